--- /dev/null
+++ b/tests/decision_trace/scenarios.rs
@@ -0,0 +1,294 @@
+//! What is played: settings, the fleet, and how often each kind of thing happens.
+
+use orchidtally::interface::{Effect, Group, PolicyConfig, TriggerType};
+
+/// A play. Rates are events a second, probabilities are from 0 to 1, times are seconds.
+#[derive(Clone, Copy)]
+pub struct Scenario {
+    pub name: &'static str,
+    pub seed: u64,
+    pub duration: f64,
+    pub executors: usize,
+    pub functions: usize,
+    pub zones: usize,
+    pub kinds: usize,
+    pub arrivals: f64,
+    /// How likely a dispatch ends in an error, 'full', a reset, a failed connection or a miss, each.
+    pub fault: f64,
+    /// Share of the executors that never answer, and share that are many times slower than the others.
+    pub hangs: f64,
+    pub slow: f64,
+    /// Changes of the endpoint list, and how many of its messages are whole lists, fail, or tell a restart.
+    pub list_changes: f64,
+    pub full_lists: f64,
+    pub failed_lists: f64,
+    pub restarts: f64,
+    /// How likely a client withdraws, and an answer is streamed.
+    pub withdrawals: f64,
+    pub streamed: f64,
+    pub prewarms: f64,
+    pub membership_changes: f64,
+    pub view_reports: f64,
+    pub stalls: f64,
+    pub reconfigurations: f64,
+    /// Whether dispatches and load commands are asked again as their bytes leave.
+    pub revalidates: bool,
+    /// When the front end begins to end.
+    pub shutdown_at: f64,
+    pub policy: fn(&mut PolicyConfig),
+}
+
+const BASE: Scenario = Scenario {
+    name: "steady traffic",
+    seed: 1,
+    duration: 40.0,
+    executors: 12,
+    functions: 20,
+    zones: 1,
+    kinds: 1,
+    arrivals: 40.0,
+    fault: 0.002,
+    hangs: 0.0,
+    slow: 0.0,
+    list_changes: 0.0,
+    full_lists: 0.0,
+    failed_lists: 0.0,
+    restarts: 0.0,
+    withdrawals: 0.0,
+    streamed: 0.0,
+    prewarms: 0.0,
+    membership_changes: 0.0,
+    view_reports: 0.0,
+    stalls: 0.0,
+    reconfigurations: 0.0,
+    revalidates: false,
+    shutdown_at: f64::INFINITY,
+    policy: |_| {},
+};
+
+fn trigger_type(effect: Effect, group: Group) -> TriggerType {
+    TriggerType {
+        objective: 1.0,
+        stretch: 0.5,
+        timeout: 5.0,
+        billed_value: 1.0,
+        late_share: 0.2,
+        effect,
+        group,
+        window: 2.0,
+    }
+}
+
+/// The settings that a scenario's `policy` starts from.
+pub fn base_policy() -> PolicyConfig {
+    PolicyConfig {
+        trigger_types: vec![
+            trigger_type(Effect::Idempotent, Group::All),
+            trigger_type(Effect::Tokened, Group::Cell),
+            trigger_type(Effect::NonIdempotent, Group::All),
+            trigger_type(Effect::Tokened, Group::Zone),
+            trigger_type(Effect::Tokened, Group::All),
+        ],
+        quotas: vec![],
+        over_share_value: 0.1,
+        value_by_work: false,
+        front_ends: 3.0,
+        index: 1.0,
+        zone: 0,
+        crossing: 0.02,
+        regions: vec![],
+        tick: 0.002,
+        max_dispatches: 4,
+        second_copies: false,
+        cancel: true,
+        max_retry_after: 1.0,
+        roster_asked: false,
+        cold: 10.0,
+        cold_from: 0.2,
+        overload_factor: 2.0,
+        fall: 1.0,
+        drain_grace: 1.0,
+        skew: 0.01,
+        orders: true,
+        order_price: 0.0,
+        answers_miss: false,
+        tells_crowd: false,
+        keep_alive: 8.0,
+        ration_floor: 2.0,
+        ration_share: 0.2,
+        ration_window: 5.0,
+        backlog_field: None,
+        loads_field: None,
+    }
+}
+
+/// Every play, in the order of the digests.
+pub const SCENARIOS: [Scenario; 22] = [
+    BASE,
+    Scenario { name: "faults of every kind", seed: 2, fault: 0.04, slow: 0.2, ..BASE },
+    Scenario { name: "hanging executors", seed: 3, hangs: 0.4, arrivals: 80.0, ..BASE },
+    Scenario {
+        name: "hedging",
+        seed: 4,
+        hangs: 0.4,
+        arrivals: 80.0,
+        slow: 0.1,
+        fault: 0.01,
+        policy: |p| p.second_copies = true,
+        ..BASE
+    },
+    Scenario {
+        name: "no cancelling",
+        seed: 5,
+        hangs: 0.2,
+        fault: 0.02,
+        policy: |p| p.cancel = false,
+        ..BASE
+    },
+    Scenario {
+        name: "quotas and billed value",
+        seed: 6,
+        arrivals: 120.0,
+        policy: |p| {
+            p.quotas = vec![30.0, 10.0, 300.0];
+            p.value_by_work = true;
+            p.trigger_types[2].billed_value = 5.0;
+        },
+        ..BASE
+    },
+    Scenario { name: "overload", seed: 7, arrivals: 400.0, executors: 6, duration: 15.0, ..BASE },
+    Scenario {
+        name: "endpoints come, drain and go",
+        seed: 8,
+        list_changes: 4.0,
+        restarts: 0.3,
+        zones: 3,
+        kinds: 2,
+        executors: 24,
+        ..BASE
+    },
+    Scenario {
+        name: "whole lists, failed lists, subscriptions",
+        seed: 9,
+        list_changes: 2.0,
+        full_lists: 0.5,
+        failed_lists: 0.3,
+        restarts: 0.2,
+        policy: |p| p.roster_asked = true,
+        ..BASE
+    },
+    Scenario { name: "prewarming", seed: 10, prewarms: 8.0, functions: 60, ..BASE },
+    Scenario {
+        name: "scarce load commands",
+        seed: 11,
+        prewarms: 4.0,
+        functions: 200,
+        policy: |p| {
+            (p.ration_floor, p.ration_share, p.order_price) = (1.0, 0.05, 0.01);
+            p.answers_miss = true;
+        },
+        ..BASE
+    },
+    Scenario {
+        name: "dear load commands, misses",
+        seed: 12,
+        functions: 100,
+        fault: 0.01,
+        policy: |p| (p.order_price, p.tells_crowd) = (0.5, true),
+        ..BASE
+    },
+    Scenario { name: "no load commands", seed: 13, functions: 60, policy: |p| p.orders = false, ..BASE },
+    Scenario {
+        name: "membership",
+        seed: 14,
+        membership_changes: 1.0,
+        list_changes: 1.0,
+        restarts: 0.7,
+        executors: 20,
+        ..BASE
+    },
+    Scenario {
+        name: "stalls and an old view",
+        seed: 15,
+        view_reports: 0.7,
+        stalls: 0.15,
+        list_changes: 0.5,
+        fault: 0.02,
+        duration: 60.0,
+        ..BASE
+    },
+    Scenario {
+        name: "revalidation as bytes leave",
+        seed: 16,
+        revalidates: true,
+        list_changes: 2.0,
+        restarts: 0.3,
+        view_reports: 0.5,
+        ..BASE
+    },
+    Scenario { name: "clients withdraw, answers stream", seed: 17, withdrawals: 0.15, streamed: 0.4, ..BASE },
+    Scenario { name: "shutdown", seed: 18, hangs: 0.2, shutdown_at: 36.0, ..BASE },
+    Scenario {
+        name: "regions",
+        seed: 19,
+        zones: 4,
+        executors: 32,
+        list_changes: 1.0,
+        fault: 0.01,
+        policy: |p| p.regions = vec![Some(0), Some(0), Some(1)],
+        ..BASE
+    },
+    Scenario {
+        name: "reconfiguration",
+        seed: 20,
+        reconfigurations: 1.0,
+        policy: |p| p.quotas = vec![20.0, 20.0],
+        ..BASE
+    },
+    Scenario {
+        name: "load reports in a large fleet",
+        seed: 21,
+        executors: 220,
+        zones: 3,
+        kinds: 3,
+        functions: 12,
+        arrivals: 300.0,
+        duration: 25.0,
+        slow: 0.05,
+        fault: 0.005,
+        policy: |p| (p.backlog_field, p.loads_field, p.front_ends) = (Some(0), Some(1), 40.0),
+        ..BASE
+    },
+    Scenario {
+        name: "everything at once",
+        seed: 22,
+        duration: 60.0,
+        executors: 40,
+        functions: 80,
+        zones: 3,
+        kinds: 2,
+        arrivals: 90.0,
+        fault: 0.01,
+        hangs: 0.08,
+        slow: 0.08,
+        list_changes: 1.5,
+        full_lists: 0.1,
+        failed_lists: 0.05,
+        restarts: 0.3,
+        withdrawals: 0.04,
+        streamed: 0.1,
+        prewarms: 1.0,
+        membership_changes: 0.2,
+        view_reports: 0.8,
+        stalls: 0.05,
+        reconfigurations: 0.2,
+        revalidates: true,
+        shutdown_at: 57.0,
+        policy: |p| {
+            p.quotas = vec![60.0, 60.0, 30.0];
+            p.second_copies = true;
+            (p.backlog_field, p.loads_field, p.tells_crowd) = (Some(1), Some(0), true);
+            p.regions = vec![Some(0), Some(1)];
+        },
+    },
+];
