--- a/crates/cli/examples/fault_shim.rs
+++ b/crates/cli/examples/fault_shim.rs
@@ -60,7 +60,9 @@
     static COUNTS: [AtomicU64; 7] = [const { AtomicU64::new(0) }; 7];
     let count = COUNTS[call as usize].fetch_add(1, Ordering::Relaxed);
     let stream = plan().seed << 40 | (call as u64) << 32;
-    let mut z = stream.wrapping_add(count).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut z = stream
+        .wrapping_add(count)
+        .wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ z >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ z >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ z >> 31
@@ -88,7 +90,8 @@
     ($name:literal, $kind:ty) => {{
         static REAL: OnceLock<usize> = OnceLock::new();
         // SAFETY: the name ends with a zero; the C library has a function of that name and kind.
-        let at = *REAL.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, $name.as_ptr()) as usize });
+        let at =
+            *REAL.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, $name.as_ptr()) as usize });
         // SAFETY: as above.
         unsafe { std::mem::transmute::<usize, $kind>(at) }
     }};
@@ -108,7 +111,11 @@
         let mut parts = text.splitn(3, ',');
         let mut number = || parts.next()?.parse::<f64>().ok();
         let (after, time) = (number()?, number()?);
-        Some(DiskPlan { after, time, folder: parts.next()?.to_owned() })
+        Some(DiskPlan {
+            after,
+            time,
+            folder: parts.next()?.to_owned(),
+        })
     };
     PLAN.get_or_init(read).as_ref()
 }
@@ -133,7 +140,10 @@
 /// As `write` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, size: size_t) -> ssize_t {
-    let real = real!(c"write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+    let real = real!(
+        c"write",
+        unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t
+    );
     let size = match disk_fails(file) {
         Some(0) if size > 1 => size / 2,
         Some(count) => return fail(count, &DISK_ERRORS) as ssize_t,
@@ -170,17 +180,23 @@
 /// Descriptors below this are looked after.
 const MOST_DESCRIPTORS: usize = 4_096;
 /// Whether a descriptor is a connection that the process has made itself.
-static OWN_CONNECTIONS: [AtomicBool; MOST_DESCRIPTORS] = [const { AtomicBool::new(false) }; MOST_DESCRIPTORS];
+static OWN_CONNECTIONS: [AtomicBool; MOST_DESCRIPTORS] =
+    [const { AtomicBool::new(false) }; MOST_DESCRIPTORS];
 
 fn set_own(file: c_int, is_own: bool) {
-    if let Some(own) = usize::try_from(file).ok().and_then(|file| OWN_CONNECTIONS.get(file)) {
+    if let Some(own) = usize::try_from(file)
+        .ok()
+        .and_then(|file| OWN_CONNECTIONS.get(file))
+    {
         own.store(is_own, Ordering::Relaxed);
     }
 }
 
 /// Whether a connection is to be seen broken with this call, and a number to choose how by.
 fn breaks(file: c_int) -> Option<usize> {
-    let is_own = usize::try_from(file).ok().and_then(|file| OWN_CONNECTIONS.get(file))?;
+    let is_own = usize::try_from(file)
+        .ok()
+        .and_then(|file| OWN_CONNECTIONS.get(file))?;
     if plan().broken == 0 || !is_own.load(Ordering::Relaxed) || !is_stream(file) {
         return None;
     }
@@ -194,7 +210,13 @@
     let (mut kind, mut size) = (0 as c_int, size_of::<c_int>() as socklen_t);
     // SAFETY: both places are this function's, and the size is the kind's.
     let told = unsafe {
-        libc::getsockopt(socket, libc::SOL_SOCKET, libc::SO_TYPE, (&raw mut kind).cast(), &raw mut size)
+        libc::getsockopt(
+            socket,
+            libc::SOL_SOCKET,
+            libc::SO_TYPE,
+            (&raw mut kind).cast(),
+            &raw mut size,
+        )
     };
     told == 0 && kind == libc::SOCK_STREAM
 }
@@ -203,7 +225,10 @@
 /// As `clock_gettime` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, at: *mut timespec) -> c_int {
-    let real = real!(c"clock_gettime", unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int);
+    let real = real!(
+        c"clock_gettime",
+        unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int
+    );
     // SAFETY: the caller's promise.
     let result = unsafe { real(clock, at) };
     if clock == libc::CLOCK_REALTIME && result == 0 {
@@ -221,9 +246,23 @@
 /// # Safety
 /// As `accept4` of the C library.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn accept4(s: c_int, at: *mut sockaddr, size: *mut socklen_t, flags: c_int) -> c_int {
-    let real = real!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    let errors = [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::ENETUNREACH, libc::EINTR];
+pub unsafe extern "C" fn accept4(
+    s: c_int,
+    at: *mut sockaddr,
+    size: *mut socklen_t,
+    flags: c_int,
+) -> c_int {
+    let real = real!(
+        c"accept4",
+        unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
+    );
+    let errors = [
+        libc::ECONNABORTED,
+        libc::ENFILE,
+        libc::ENOBUFS,
+        libc::ENETUNREACH,
+        libc::EINTR,
+    ];
     match fails(Call::Accept) {
         Some(choice) => fail(choice, &errors),
         None => {
@@ -239,7 +278,10 @@
 /// As `socket` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let real = real!(c"socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
+    let real = real!(
+        c"socket",
+        unsafe extern "C" fn(c_int, c_int, c_int) -> c_int
+    );
     match fails(Call::Socket) {
         Some(choice) => fail(choice, &[libc::ENFILE, libc::ENOBUFS]),
         // SAFETY: the caller's promise.
@@ -251,9 +293,15 @@
 /// As `connect` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(s: c_int, at: *const sockaddr, size: socklen_t) -> c_int {
-    let real = real!(c"connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    let real = real!(
+        c"connect",
+        unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int
+    );
     match fails(Call::Connect) {
-        Some(choice) => fail(choice, &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS]),
+        Some(choice) => fail(
+            choice,
+            &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS],
+        ),
         None => {
             set_own(s, true);
             // SAFETY: the caller's promise.
@@ -265,8 +313,16 @@
 /// # Safety
 /// As `send` of the C library.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn send(s: c_int, bytes: *const c_void, size: size_t, flags: c_int) -> ssize_t {
-    let real = real!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+pub unsafe extern "C" fn send(
+    s: c_int,
+    bytes: *const c_void,
+    size: size_t,
+    flags: c_int,
+) -> ssize_t {
+    let real = real!(
+        c"send",
+        unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t
+    );
     if let Some(choice) = breaks(s) {
         return fail(choice, &BROKEN) as ssize_t;
     }
@@ -285,7 +341,10 @@
 /// As `recv` of the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(s: c_int, into: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
-    let real = real!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    let real = real!(
+        c"recv",
+        unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t
+    );
     if let Some(choice) = breaks(s) {
         return fail(choice, &BROKEN) as ssize_t;
     }
@@ -301,8 +360,16 @@
 /// # Safety
 /// As `epoll_wait` of the C library.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(e: c_int, into: *mut epoll_event, most: c_int, time: c_int) -> c_int {
-    let real = real!(c"epoll_wait", unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int);
+pub unsafe extern "C" fn epoll_wait(
+    e: c_int,
+    into: *mut epoll_event,
+    most: c_int,
+    time: c_int,
+) -> c_int {
+    let real = real!(
+        c"epoll_wait",
+        unsafe extern "C" fn(c_int, *mut epoll_event, c_int, c_int) -> c_int
+    );
     match fails(Call::Wait) {
         Some(choice) => fail(choice, &[libc::EINTR]),
         // SAFETY: the caller's promise.
--- a/crates/cli/src/invoke.rs
+++ b/crates/cli/src/invoke.rs
@@ -55,11 +55,22 @@
 /// A path segment with all but plain letters escaped.
 fn escaped(name: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
-    name.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+    name.bytes()
+        .map(|b| {
+            if plain(b) {
+                char::from(b).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
+        .collect()
 }
 
 /// The request that the arguments describe.
-fn request(arguments: &Arguments, payload: Vec<u8>) -> Result<http::Request<Full<Bytes>>, http::Error> {
+fn request(
+    arguments: &Arguments,
+    payload: Vec<u8>,
+) -> Result<http::Request<Full<Bytes>>, http::Error> {
     let path = format!("/v1/functions/{}/invocations", escaped(&arguments.name));
     let mut request = http::Request::post(path)
         .header(http::header::HOST, arguments.at.to_string())
@@ -84,8 +95,9 @@
     time: Duration,
 ) -> std::io::Result<(http::response::Parts, Bytes)> {
     let stream = orchidtally_net::connect(at, time).await?;
-    let (mut sender, driver) =
-        hyper::client::conn::http1::handshake(stream).await.map_err(std::io::Error::other)?;
+    let (mut sender, driver) = hyper::client::conn::http1::handshake(stream)
+        .await
+        .map_err(std::io::Error::other)?;
     let work = async {
         let (parts, body) = sender.send_request(request).await?.into_parts();
         Ok::<_, hyper::Error>((parts, body.collect().await?.to_bytes()))
@@ -95,7 +107,9 @@
         let _ = driver.await;
         futures_lite::future::pending().await
     };
-    futures_lite::future::or(work, drive).await.map_err(std::io::Error::other)
+    futures_lite::future::or(work, drive)
+        .await
+        .map_err(std::io::Error::other)
 }
 
 fn print_head(parts: &http::response::Parts) {
@@ -109,7 +123,10 @@
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     let payload = payload(&arguments).map_err(|e| fail(BAD_INPUT, format!("no body: {e}")))?;
     let request = request(&arguments, payload).map_err(|e| fail(BAD_INPUT, e))?;
-    let (at, time) = (arguments.at, Duration::from_millis(arguments.time_left.into()));
+    let (at, time) = (
+        arguments.at,
+        Duration::from_millis(arguments.time_left.into()),
+    );
     let answered = async_io::block_on(orchidtally_net::within(time, exchange(at, request, time)));
     let (parts, body) = match answered {
         Some(Ok(answered)) => answered,
@@ -123,8 +140,11 @@
         print_head(&parts);
     }
     let is_success = parts.status.is_success();
-    let mut out: Box<dyn Write> =
-        if is_success { Box::new(std::io::stdout()) } else { Box::new(std::io::stderr()) };
+    let mut out: Box<dyn Write> = if is_success {
+        Box::new(std::io::stdout())
+    } else {
+        Box::new(std::io::stderr())
+    };
     // A reader that closed the pipe has seen what it wanted.
     let _ = out.write_all(&body).and_then(|()| out.flush());
     if is_success { Ok(()) } else { Err(NOT_SO) }
--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -31,7 +31,10 @@
     eprintln!("{error}");
     match error.kind() {
         ErrorKind::InvalidData => NOT_SO,
-        ErrorKind::NotFound => fail(BAD_INPUT, format!("{}: there is no journal", folder.display())),
+        ErrorKind::NotFound => fail(
+            BAD_INPUT,
+            format!("{}: there is no journal", folder.display()),
+        ),
         _ => COULD_NOT_RUN,
     }
 }
@@ -78,9 +81,13 @@
         Command::Check { folder } => {
             let found = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
             let bytes: usize = found.entries.iter().map(Vec::len).sum();
-            let snapshot =
-                found.snapshot.map_or("no snapshot".into(), |s| format!("a snapshot of {} bytes", s.len()));
-            println!("whole: {snapshot}, {} entries of {bytes} bytes since", found.entries.len());
+            let snapshot = found.snapshot.map_or("no snapshot".into(), |s| {
+                format!("a snapshot of {} bytes", s.len())
+            });
+            println!(
+                "whole: {snapshot}, {} entries of {bytes} bytes since",
+                found.entries.len()
+            );
             if found.cut > 0 {
                 println!(
                     "{} bytes at the end are an append that was cut short; opening it drops them",
@@ -90,24 +97,40 @@
         }
         Command::Show { folder } => {
             let found = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            found.snapshot.iter().for_each(|s| println!("snapshot {}", line(s)));
-            found.entries.iter().enumerate().for_each(|(n, e)| println!("{n} {}", line(e)));
+            found
+                .snapshot
+                .iter()
+                .for_each(|s| println!("snapshot {}", line(s)));
+            found
+                .entries
+                .iter()
+                .enumerate()
+                .for_each(|(n, e)| println!("{n} {}", line(e)));
         }
         Command::Compact { folder } => {
             // Opening makes a folder where there is none, which is not meant here.
             inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            let (mut journal, found) = Journal::open(&folder).map_err(|e| journal_failure(&folder, &e))?;
+            let (mut journal, found) =
+                Journal::open(&folder).map_err(|e| journal_failure(&folder, &e))?;
             if found.entries.is_empty() {
                 println!("nothing to fold");
                 return Ok(());
             }
             let Some(state) = snapshot(&found) else {
-                eprintln!("{}: what it holds is of no known kind; it is left as it is", folder.display());
+                eprintln!(
+                    "{}: what it holds is of no known kind; it is left as it is",
+                    folder.display()
+                );
                 return Err(NOT_SO);
             };
             let before = journal.length();
-            journal.snapshot(&state).map_err(|e| journal_failure(&folder, &e))?;
-            println!("{before} bytes of entries folded into a snapshot of {} bytes", state.len());
+            journal
+                .snapshot(&state)
+                .map_err(|e| journal_failure(&folder, &e))?;
+            println!(
+                "{before} bytes of entries folded into a snapshot of {} bytes",
+                state.len()
+            );
         }
     }
     Ok(())
--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -13,8 +13,13 @@
 type Run = fn(&[Bytes]) -> Result<Vec<Bytes>, String>;
 
 /// The built-in functions.
-pub const FUNCTIONS: [(&str, Run); 5] =
-    [("echo", echo), ("upper", upper), ("reverse", reverse), ("sha256", sha256), ("count", count)];
+pub const FUNCTIONS: [(&str, Run); 5] = [
+    ("echo", echo),
+    ("upper", upper),
+    ("reverse", reverse),
+    ("sha256", sha256),
+    ("count", count),
+];
 
 fn text(payload: &[Bytes]) -> Result<String, String> {
     String::from_utf8(payload.concat()).map_err(|_| "the body is not UTF-8".into())
@@ -25,13 +30,19 @@
 }
 
 fn reverse(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
-    Ok(vec![text(payload)?.chars().rev().collect::<String>().into()])
+    Ok(vec![
+        text(payload)?.chars().rev().collect::<String>().into(),
+    ])
 }
 
 fn sha256(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
     let mut digest = Sha256::new();
     payload.iter().for_each(|chunk| digest.update(chunk));
-    let text: String = digest.finalize().iter().map(|b| format!("{b:02x}")).collect();
+    let text: String = digest
+        .finalize()
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect();
     Ok(vec![format!("{text}\n").into()])
 }
 
@@ -61,9 +72,14 @@
         }
     });
     let addresses = told.recv().map_err(io::Error::other)??;
-    let list: Vec<_> = addresses.iter().map(|a| format!("{{ address: \"{a}\" }}")).collect();
-    let functions: Vec<_> =
-        FUNCTIONS.iter().map(|f| format!("{{ name: \"{}\", lanes: 8, loadTime: \"100ms\" }}", f.0)).collect();
+    let list: Vec<_> = addresses
+        .iter()
+        .map(|a| format!("{{ address: \"{a}\" }}"))
+        .collect();
+    let functions: Vec<_> = FUNCTIONS
+        .iter()
+        .map(|f| format!("{{ name: \"{}\", lanes: 8, loadTime: \"100ms\" }}", f.0))
+        .collect();
     let text = format!(
         r#"{{
             name: "local",
@@ -86,7 +102,13 @@
     let store = Store::new(stage, 4.0, 32);
     let catalogue: Catalogue = Rc::new(|name| {
         let (_, run) = FUNCTIONS.iter().find(|f| f.0 == name)?;
-        Some(Program { lanes: 8, load_time: 0.1, work: 0.001, run: *run, ..Program::default() })
+        Some(Program {
+            lanes: 8,
+            load_time: 0.1,
+            work: 0.001,
+            run: *run,
+            ..Program::default()
+        })
     });
     let one = |number| {
         let make = Make {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -107,8 +107,13 @@
 
 /// What `check` says of the store of configuration; nothing where there is none.
 fn store_of(deployment: &Deployment) -> String {
-    let count = deployment.configuration.as_ref().map(|store| store.endpoints.len());
-    count.map_or_else(String::new, |count| format!(", configuration from a store of {count} members"))
+    let count = deployment
+        .configuration
+        .as_ref()
+        .map(|store| store.endpoints.len());
+    count.map_or_else(String::new, |count| {
+        format!(", configuration from a store of {count} members")
+    })
 }
 
 fn main() -> ExitCode {
@@ -121,8 +126,10 @@
         }
     };
     let colours = std::io::stderr().is_terminal();
-    let logs =
-        tracing_subscriber::fmt().with_env_filter(filter).with_ansi(colours).with_writer(std::io::stderr);
+    let logs = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_ansi(colours)
+        .with_writer(std::io::stderr);
     match arguments.log_format {
         Format::Text => logs.init(),
         Format::Json => logs.json().init(),
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -65,12 +65,27 @@
     /// Starts one that prints its address at the end of its first line.
     fn start(arguments: &[&str]) -> io::Result<Part> {
         let mut command = Command::new(std::env::current_exe()?);
-        let mut child = command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
-        let out = child.stdout.take().ok_or_else(|| io::Error::other("no standard output"))?;
+        let mut child = command
+            .args(arguments)
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()?;
+        let out = child
+            .stdout
+            .take()
+            .ok_or_else(|| io::Error::other("no standard output"))?;
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line)?;
-        let all = line.trim().rsplit('/').next().unwrap_or_default().split(',').map(str::parse);
-        let all = all.collect::<Result<Vec<SocketAddr>, _>>().map_err(io::Error::other)?;
+        let all = line
+            .trim()
+            .rsplit('/')
+            .next()
+            .unwrap_or_default()
+            .split(',')
+            .map(str::parse);
+        let all = all
+            .collect::<Result<Vec<SocketAddr>, _>>()
+            .map_err(io::Error::other)?;
         let at = *all.first().ok_or_else(|| io::Error::other("no address"))?;
         Ok(Part { child, at, all })
     }
@@ -126,7 +141,10 @@
 }
 
 fn deployment(executors: &[SocketAddr], open: usize) -> io::Result<std::path::PathBuf> {
-    let list: Vec<_> = executors.iter().map(|a| format!("{{ address: \"{a}\" }}")).collect();
+    let list: Vec<_> = executors
+        .iter()
+        .map(|a| format!("{{ address: \"{a}\" }}"))
+        .collect();
     let text = format!(
         r#"{{
             triggerTypes: [{{ name: "look", effect: "idempotent", objective: "4s", timeout: "9s", lateShare: 1 }}],
@@ -137,7 +155,10 @@
         }}"#,
         list.join(", ")
     );
-    let file = std::env::temp_dir().join(format!("orchidtally-measure-{}-{open}.json5", std::process::id()));
+    let file = std::env::temp_dir().join(format!(
+        "orchidtally-measure-{}-{open}.json5",
+        std::process::id()
+    ));
     std::fs::write(&file, text)?;
     Ok(file)
 }
@@ -149,12 +170,17 @@
     // The module keeps to a limit at each executor, so that one alone would hold back a busy client.
     let (value, ports) = value.split_once('x').unwrap_or((value, "1"));
     let ports: usize = ports.parse().map_err(|_| BAD_INPUT)?;
-    let listeners = (0..ports).map(|_| listen()).collect::<io::Result<Vec<_>>>().map_err(|e| {
-        eprintln!("{e}");
-        COULD_NOT_RUN
-    })?;
-    let at: Vec<String> =
-        listeners.iter().filter_map(|l| Some(l.get_ref().local_addr().ok()?.to_string())).collect();
+    let listeners = (0..ports)
+        .map(|_| listen())
+        .collect::<io::Result<Vec<_>>>()
+        .map_err(|e| {
+            eprintln!("{e}");
+            COULD_NOT_RUN
+        })?;
+    let at: Vec<String> = listeners
+        .iter()
+        .filter_map(|l| Some(l.get_ref().local_addr().ok()?.to_string()))
+        .collect();
     let stage = Stage::new(1);
     let tasks = stage.tasks.clone();
     println!("http://{}", at.join(","));
@@ -163,11 +189,15 @@
         match kind {
             "relay" => {
                 let to = value.parse().map_err(|_| BAD_INPUT)?;
-                stage.spawn(bare::relay(stage.clone(), listener, to)).detach();
+                stage
+                    .spawn(bare::relay(stage.clone(), listener, to))
+                    .detach();
             }
             "executor" => {
                 let delay = value.parse().map_err(|_| BAD_INPUT)?;
-                stage.spawn(bare::executor(stage.clone(), listener, delay)).detach();
+                stage
+                    .spawn(bare::executor(stage.clone(), listener, delay))
+                    .detach();
             }
             _ => return Err(BAD_INPUT),
         }
@@ -178,7 +208,8 @@
 fn load(to: SocketAddr, ask: Ask, streams: usize, a: &Arguments) -> io::Result<Seen> {
     let stage = Stage::new(1);
     let tasks = stage.tasks.clone();
-    let seen = async_io::block_on(tasks.run(bare::load(&stage, to, ask, streams, a.time, a.payload)));
+    let seen =
+        async_io::block_on(tasks.run(bare::load(&stage, to, ask, streams, a.time, a.payload)));
     seen.map_err(|e| io::Error::other(e.to_string()))
 }
 
@@ -191,12 +222,25 @@
 ) -> io::Result<Row> {
     eprintln!("measuring {name}");
     // Connections stand and copies are known before it counts.
-    let warm = Arguments { time: 0.3, part: None, ..*a };
+    let warm = Arguments {
+        time: 0.3,
+        part: None,
+        ..*a
+    };
     load(to, ask, a.streams, &warm)?;
     let before = middle.and_then(Part::cpu);
     let busy = load(to, ask, a.streams, a)?;
     let after = middle.and_then(Part::cpu);
-    let quiet = load(to, ask, 1, &Arguments { time: a.time / 2.0, part: None, ..*a })?;
+    let quiet = load(
+        to,
+        ask,
+        1,
+        &Arguments {
+            time: a.time / 2.0,
+            part: None,
+            ..*a
+        },
+    )?;
     let used = before.zip(after).map(|(b, a)| a - b);
     Ok(Row {
         way: name,
@@ -229,7 +273,8 @@
     ])?;
     let stage = Stage::new(1);
     let tasks = stage.tasks.clone();
-    let sleep = |time: f64| async move { async_io::Timer::after(Duration::from_secs_f64(time)).await };
+    let sleep =
+        |time: f64| async move { async_io::Timer::after(Duration::from_secs_f64(time)).await };
     let answered = std::rc::Rc::new(std::cell::Cell::new(0));
     let work = async {
         sleep(0.3).await;
@@ -259,7 +304,9 @@
     let seen = async_io::block_on(tasks.run(work)).map_err(io::Error::other)?;
     // It lies in the temporary folder, where nobody misses it.
     let _ = std::fs::remove_file(file);
-    let (Some(empty), Some(connected), Some(open), most) = seen else { return Ok(None) };
+    let (Some(empty), Some(connected), Some(open), most) = seen else {
+        return Ok(None);
+    };
     Ok(Some(Memory {
         idle_connection: (connected - empty) / CONNECTIONS as f64,
         open_invocation: (open - connected) / (10 * STREAMS) as f64,
@@ -274,11 +321,21 @@
     let relay = Part::start(&["measure", "--part", &format!("relay={}", executor.at)])?;
     let file = deployment(&executor.all, 20_001)?;
     let path = file.display().to_string();
-    let serve =
-        ["--log", "error", "serve", "--deployment", &path, "--listen", "127.0.0.1:0", "--until-input-ends"];
+    let serve = [
+        "--log",
+        "error",
+        "serve",
+        "--deployment",
+        &path,
+        "--listen",
+        "127.0.0.1:0",
+        "--until-input-ends",
+    ];
     let front_end = Part::start(&serve)?;
     let random = Part::start(&[&serve[..], &["--random"]].concat())?;
-    let ask = Ask::Invocation { functions: a.functions };
+    let ask = Ask::Invocation {
+        functions: a.functions,
+    };
     let mut ways = vec![
         way("direct", executor.at, None, Ask::Dispatch, a)?,
         way("relay", relay.at, Some(&relay), Ask::Dispatch, a)?,
@@ -286,13 +343,17 @@
         way("random choice", random.at, Some(&random), ask, a)?,
     ];
     let direct = ways[0].per_second;
-    ways.iter_mut().for_each(|w| w.of_direct = w.per_second / direct);
+    ways.iter_mut()
+        .for_each(|w| w.of_direct = w.per_second / direct);
     let _ = std::fs::remove_file(file);
     if a.no_memory {
         return Ok(Result_ { ways, memory: None });
     }
     eprintln!("measuring memory");
-    Ok(Result_ { ways, memory: memory()? })
+    Ok(Result_ {
+        ways,
+        memory: memory()?,
+    })
 }
 
 pub fn run(arguments: Arguments) -> Result<(), u8> {
--- a/crates/cli/src/rehearse/day.rs
+++ b/crates/cli/src/rehearse/day.rs
@@ -71,8 +71,18 @@
     (Kind::OneOffs, "oneOffs", 0.15, "scan"),
     (Kind::Shift, "shift", 0.7, "shift"),
     (Kind::LoseLocation, "loseLocation", 0.33, "zone_loss"),
-    (Kind::SlowHandshakes, "slowHandshakes", 0.3, "handshake_slow"),
-    (Kind::RepeatingClients, "repeatingClients", 0.3, "retry_abuse"),
+    (
+        Kind::SlowHandshakes,
+        "slowHandshakes",
+        0.3,
+        "handshake_slow",
+    ),
+    (
+        Kind::RepeatingClients,
+        "repeatingClients",
+        0.3,
+        "retry_abuse",
+    ),
     (Kind::KillFrontEnds, "killFrontEnds", 0.5, "balancer_crash"),
     (Kind::RollFrontEnds, "rollFrontEnds", 0.5, "balancer_roll"),
     (Kind::HalfOpen, "halfOpen", 0.1, ""),
@@ -85,7 +95,10 @@
 impl Kind {
     /// The name in day files.
     pub fn name(self) -> &'static str {
-        KINDS.iter().find(|k| k.0 == self).map_or("unknown", |k| k.1)
+        KINDS
+            .iter()
+            .find(|k| k.0 == self)
+            .map_or("unknown", |k| k.1)
     }
 }
 
@@ -134,7 +147,12 @@
             // Nothing in the first tenth, so that there is a day to spoil; the last fifth sees recovery.
             let at = length * random.random_range(0.1..0.6);
             let lasts = length * random.random_range(0.1..0.22);
-            troubles.push(Trouble { kind, at, lasts, size });
+            troubles.push(Trouble {
+                kind,
+                at,
+                lasts,
+                size,
+            });
         }
         troubles.sort_by(|a, b| a.at.total_cmp(&b.at));
         Day {
@@ -153,7 +171,9 @@
     /// Reads a day file, or tells every fault in it.
     pub fn read(text: &str) -> Result<Day, Vec<Fault>> {
         let document = Document::new(text);
-        let Some(value) = document.parse() else { return Err(document.faults()) };
+        let Some(value) = document.parse() else {
+            return Err(document.faults());
+        };
         let root = document.root(&value);
         let top = root.object(&[
             "length",
@@ -167,29 +187,52 @@
             "clockStep",
         ]);
         let usual = Day::bad(1, 20.0);
-        let length = top.maybe("length", |p| p.seconds(1.0..=600.0)).unwrap_or(usual.length);
-        let whole =
-            |key: &str, most: u32, absent: u32| top.maybe(key, |p| p.whole(1..=most)).unwrap_or(absent);
+        let length = top
+            .maybe("length", |p| p.seconds(1.0..=600.0))
+            .unwrap_or(usual.length);
+        let whole = |key: &str, most: u32, absent: u32| {
+            top.maybe(key, |p| p.whole(1..=most)).unwrap_or(absent)
+        };
         let locations = whole("locations", 50, usual.locations);
         let executors = whole("executors", 200, usual.executors as u32);
         if executors < locations {
-            let place =
-                if top.at("executors").is_given() { top.at("executors") } else { top.at("locations") };
-            place.fault(format!("{executors} executors are too few for {locations} locations"));
+            let place = if top.at("executors").is_given() {
+                top.at("executors")
+            } else {
+                top.at("locations")
+            };
+            place.fault(format!(
+                "{executors} executors are too few for {locations} locations"
+            ));
         }
         let day = Day {
             length,
             front_ends: whole("frontEnds", 32, usual.front_ends),
             executors: executors as usize,
             locations,
-            rate: top.maybe("rate", |p| p.number(0.1..=5_000.0)).unwrap_or(usual.rate),
+            rate: top
+                .maybe("rate", |p| p.number(0.1..=5_000.0))
+                .unwrap_or(usual.rate),
             functions: whole("functions", 100_000, usual.functions as u32) as usize,
-            troubles: top.at("troubles").list().iter().filter_map(|p| trouble(p, length)).collect(),
-            clock_skew: top.maybe("clockSkew", |p| p.seconds(0.0..=10.0)).unwrap_or(usual.clock_skew),
-            clock_step: top.maybe("clockStep", |p| p.seconds(0.0..=3_600.0)).unwrap_or(0.0),
+            troubles: top
+                .at("troubles")
+                .list()
+                .iter()
+                .filter_map(|p| trouble(p, length))
+                .collect(),
+            clock_skew: top
+                .maybe("clockSkew", |p| p.seconds(0.0..=10.0))
+                .unwrap_or(usual.clock_skew),
+            clock_step: top
+                .maybe("clockStep", |p| p.seconds(0.0..=3_600.0))
+                .unwrap_or(0.0),
         };
         let faults = document.faults();
-        if faults.is_empty() { Ok(day) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(day)
+        } else {
+            Err(faults)
+        }
     }
 }
 
@@ -202,7 +245,12 @@
     let size = fields.maybe("size", |p| p.number(0.001..=1.0));
     let kind = kind?;
     let usual = KINDS.iter().find(|k| k.0 == kind).map_or(1.0, |k| k.2);
-    Some(Trouble { kind, at: at?, lasts: lasts?, size: size.unwrap_or(usual) })
+    Some(Trouble {
+        kind,
+        at: at?,
+        lasts: lasts?,
+        size: size.unwrap_or(usual),
+    })
 }
 
 /// A time in microseconds, as the users' bench prints it, in seconds.
@@ -219,18 +267,35 @@
     left_out: &mut Vec<String>,
 ) -> Vec<Trouble> {
     let mut troubles = vec![];
-    for trouble in day.get("troubles").and_then(|list| list.as_array()).into_iter().flatten() {
+    for trouble in day
+        .get("troubles")
+        .and_then(|list| list.as_array())
+        .into_iter()
+        .flatten()
+    {
         let field = |key: &str| trouble.get(key).and_then(serde_json::Value::as_f64);
-        let name = trouble.get("kind").and_then(|kind| kind.as_str()).unwrap_or("unnamed");
-        let known = KINDS.iter().find(|known| !known.3.is_empty() && known.3 == name);
+        let name = trouble
+            .get("kind")
+            .and_then(|kind| kind.as_str())
+            .unwrap_or("unnamed");
+        let known = KINDS
+            .iter()
+            .find(|known| !known.3.is_empty() && known.3 == name);
         let Some(&(kind, _, usual, _)) = known else {
             left_out.push(format!("the trouble '{name}'"));
             continue;
         };
-        let size = field("size").filter(|size| *size > 0.0 && *size <= 1.0).unwrap_or(usual);
+        let size = field("size")
+            .filter(|size| *size > 0.0 && *size <= 1.0)
+            .unwrap_or(usual);
         let at = (from_micros(field("at").unwrap_or(0.0)) * stretch).clamp(0.0, length);
         let lasts = (from_micros(field("len").unwrap_or(1e6)) * stretch).clamp(0.2, length);
-        troubles.push(Trouble { kind, at, lasts, size });
+        troubles.push(Trouble {
+            kind,
+            at,
+            lasts,
+            size,
+        });
     }
     troubles
 }
@@ -241,7 +306,12 @@
     let bench_day: serde_json::Value =
         serde_json::from_str(text).map_err(|e| format!("not a day of the bench: {e}"))?;
     let number = |key: &str| bench_day.pointer(key).and_then(serde_json::Value::as_f64);
-    let count = |key: &str| bench_day.get(key).and_then(|list| list.as_array()).map(Vec::len);
+    let count = |key: &str| {
+        bench_day
+            .get(key)
+            .and_then(|list| list.as_array())
+            .map(Vec::len)
+    };
     let seconds = from_micros(number("/length").ok_or("not a day of the bench: it has no length")?);
     let mut left_out = vec![];
     let length = seconds.clamp(5.0, 30.0);
@@ -249,7 +319,10 @@
     if (stretch - 1.0).abs() > 1e-9 {
         left_out.push(format!("{seconds:.1} s are played in {length:.1} s"));
     }
-    let (servers, balancers) = (count("servers").unwrap_or(12), count("balancers").unwrap_or(4));
+    let (servers, balancers) = (
+        count("servers").unwrap_or(12),
+        count("balancers").unwrap_or(4),
+    );
     let locations = count("zones").unwrap_or(1).clamp(1, 6);
     let (executors, front_ends) = (servers.clamp(locations, 24), balancers.clamp(1, 6));
     if (executors, front_ends) != (servers, balancers) {
@@ -259,17 +332,29 @@
     }
     let troubles = bench_troubles(&bench_day, stretch, length, &mut left_out);
     let unlike = [
-        ("/traffic/shape", "the shape of the traffic over the day: it is even"),
-        ("/classes", "its trigger types: the rehearsal's own are used"),
+        (
+            "/traffic/shape",
+            "the shape of the traffic over the day: it is even",
+        ),
+        (
+            "/classes",
+            "its trigger types: the rehearsal's own are used",
+        ),
         ("/tenants/0", "its customers and their shares"),
-        ("/fam", "sizes, loads and popularity of its functions: the rehearsal's own are used"),
+        (
+            "/fam",
+            "sizes, loads and popularity of its functions: the rehearsal's own are used",
+        ),
     ];
-    let unlike = unlike.iter().filter(|(key, _)| bench_day.pointer(key).is_some());
+    let unlike = unlike
+        .iter()
+        .filter(|(key, _)| bench_day.pointer(key).is_some());
     left_out.extend(unlike.map(|(_, what)| (*what).to_owned()));
     let load = number("/traffic/load").unwrap_or(0.7);
     let rate = (load * executors as f64 * 40.0).min(600.0);
-    left_out
-        .push(format!("its rate: {rate:.0} invocations a second, {load:.2} of what these executors can do"));
+    left_out.push(format!(
+        "its rate: {rate:.0} invocations a second, {load:.2} of what these executors can do"
+    ));
     let day = Day {
         length,
         front_ends: front_ends as u32,
--- a/crates/cli/src/rehearse/evidence.rs
+++ b/crates/cli/src/rehearse/evidence.rs
@@ -19,11 +19,15 @@
     RanTwice,
     #[error("the injecting front end was never told that an executor drains")]
     ToldOfDrain,
-    #[error("no dispatch reached a draining executor later than the grace and what messages may take")]
+    #[error(
+        "no dispatch reached a draining executor later than the grace and what messages may take"
+    )]
     LateDispatch,
     #[error("the injecting front end was never told of an executor's cold start")]
     ToldOfStart,
-    #[error("no cold executor was pushed over by dispatches that were mostly the injecting front end's")]
+    #[error(
+        "no cold executor was pushed over by dispatches that were mostly the injecting front end's"
+    )]
     PushedOver,
     #[error("the orders to load that were given could all have been within the ration")]
     OrdersOverRation,
@@ -51,47 +55,62 @@
 
 fn unanswered(records: &[&Record]) -> Result<(), Missing> {
     let offered = |r: &&Record| match r {
-        Record::Offered { client, invocation, .. } if *client == UNANSWERED_CLIENT => {
-            Some(invocation.clone())
-        }
+        Record::Offered {
+            client, invocation, ..
+        } if *client == UNANSWERED_CLIENT => Some(invocation.clone()),
         _ => None,
     };
     let offered: HashSet<String> = records.iter().filter_map(offered).collect();
-    let gave_up =
-        |r: &&Record| matches!(r, Record::GaveUp { invocation, .. } if offered.contains(invocation));
+    let gave_up = |r: &&Record| matches!(r, Record::GaveUp { invocation, .. } if offered.contains(invocation));
     found_or(records.iter().any(gave_up), Missing::Unanswered)
 }
 
 fn ran_twice(records: &[&Record]) -> Result<(), Missing> {
     let mut ran_at: HashMap<&str, HashSet<usize>> = HashMap::new();
     for record in records {
-        if let Record::Ran { executor, invocation, .. } = record
+        if let Record::Ran {
+            executor,
+            invocation,
+            ..
+        } = record
             && invocation.starts_with(INVOCATION_PREFIX)
         {
             ran_at.entry(invocation).or_default().insert(*executor);
         }
     }
-    found_or(ran_at.values().any(|executors| executors.len() > 1), Missing::RanTwice)
+    found_or(
+        ran_at.values().any(|executors| executors.len() > 1),
+        Missing::RanTwice,
+    )
 }
 
 /// Since when the injecting front end has been told that an executor is not to be used.
 pub fn drain_told_at(records: &[Record], executor: usize) -> Option<f64> {
-    let mut told: Vec<(f64, Standing)> = records.iter().filter_map(|r| drain_told(r, executor)).collect();
+    let mut told: Vec<(f64, Standing)> = records
+        .iter()
+        .filter_map(|r| drain_told(r, executor))
+        .collect();
     told.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut since = None;
     for (at, standing) in told {
-        since = if standing == Standing::Ready { None } else { since.or(Some(at)) };
+        since = if standing == Standing::Ready {
+            None
+        } else {
+            since.or(Some(at))
+        };
     }
     since
 }
 
 fn drain_told(record: &Record, wanted: usize) -> Option<(f64, Standing)> {
     match record {
-        Record::Told { at, life, executor, standing, .. }
-            if *life == rogue::INCARNATION && *executor == wanted =>
-        {
-            Some((*at, *standing))
-        }
+        Record::Told {
+            at,
+            life,
+            executor,
+            standing,
+            ..
+        } if *life == rogue::INCARNATION && *executor == wanted => Some((*at, *standing)),
         _ => None,
     }
 }
@@ -101,7 +120,13 @@
     let mut was_told = false;
     for record in records {
         match record {
-            Record::Told { at, life, executor, standing, .. } if *life == rogue::INCARNATION => {
+            Record::Told {
+                at,
+                life,
+                executor,
+                standing,
+                ..
+            } if *life == rogue::INCARNATION => {
                 if *standing == Standing::Ready {
                     told_since.remove(executor);
                 } else {
@@ -109,24 +134,36 @@
                     told_since.entry(*executor).or_insert(*at);
                 }
             }
-            Record::Reached { at, life, executor, .. } if *life == rogue::INCARNATION => {
+            Record::Reached {
+                at, life, executor, ..
+            } if *life == rogue::INCARNATION => {
                 let allowed = limits.drain_grace + limits.transit;
-                if told_since.get(executor).is_some_and(|since| *at > since + allowed) {
+                if told_since
+                    .get(executor)
+                    .is_some_and(|since| *at > since + allowed)
+                {
                     return Ok(());
                 }
             }
             _ => {}
         }
     }
-    Err(if was_told { Missing::LateDispatch } else { Missing::ToldOfDrain })
+    Err(if was_told {
+        Missing::LateDispatch
+    } else {
+        Missing::ToldOfDrain
+    })
 }
 
 /// Whether the injecting front end was told of a start of an executor that is no earlier than `since`.
 pub fn start_was_told(records: &[Record], wanted: usize, since: f64) -> bool {
     records.iter().any(|r| match r {
-        Record::Told { life, executor, since: told, .. } => {
-            *life == rogue::INCARNATION && *executor == wanted && *told >= since
-        }
+        Record::Told {
+            life,
+            executor,
+            since: told,
+            ..
+        } => *life == rogue::INCARNATION && *executor == wanted && *told >= since,
         _ => false,
     })
 }
@@ -136,15 +173,35 @@
     let mut reached: HashMap<usize, Vec<(f64, bool)>> = HashMap::new();
     for record in records {
         match record {
-            Record::Told { life, executor, since, .. } if *life == rogue::INCARNATION => {
+            Record::Told {
+                life,
+                executor,
+                since,
+                ..
+            } if *life == rogue::INCARNATION => {
                 told_start.insert(*executor, *since);
             }
-            Record::Reached { at, life, executor, .. } => {
-                reached.entry(*executor).or_default().push((*at, *life == rogue::INCARNATION));
+            Record::Reached {
+                at, life, executor, ..
+            } => {
+                reached
+                    .entry(*executor)
+                    .or_default()
+                    .push((*at, *life == rogue::INCARNATION));
             }
-            Record::Fell { at, executor, since } if told_start.get(executor).is_some_and(|t| t >= since) => {
+            Record::Fell {
+                at,
+                executor,
+                since,
+            } if told_start.get(executor).is_some_and(|t| t >= since) => {
                 let began = since.max(at - limits.fall);
-                let lately = || reached.get(executor).into_iter().flatten().filter(|r| r.0 >= began);
+                let lately = || {
+                    reached
+                        .get(executor)
+                        .into_iter()
+                        .flatten()
+                        .filter(|r| r.0 >= began)
+                };
                 let injected = lately().filter(|r| r.1).count();
                 if 3 * injected > 2 * lately().count() {
                     return Ok(());
@@ -154,12 +211,22 @@
         }
     }
     let was_told = told_start.values().any(|since| since.is_finite());
-    Err(if was_told { Missing::PushedOver } else { Missing::ToldOfStart })
+    Err(if was_told {
+        Missing::PushedOver
+    } else {
+        Missing::ToldOfStart
+    })
 }
 
 /// Counts what all front ends were offered in place of one, and leaves out executors that were deaf at any time.
 fn over_ration(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
-    let deaf = |r: &&Record| if let Record::Deaf { executor, .. } = r { Some(*executor) } else { None };
+    let deaf = |r: &&Record| {
+        if let Record::Deaf { executor, .. } = r {
+            Some(*executor)
+        } else {
+            None
+        }
+    };
     let deaf: HashSet<usize> = records.iter().filter_map(deaf).collect();
     let mut orders: Vec<f64> = vec![];
     let mut offers: Vec<f64> = vec![];
@@ -168,13 +235,24 @@
         match record {
             Record::Offered { at, .. } => offers.push(*at),
             Record::Published { .. } => published += 1,
-            Record::Ordered { at, executor, life, copies, .. }
-                if *life == rogue::INCARNATION && *copies > 0 && !deaf.contains(executor) =>
-            {
+            Record::Ordered {
+                at,
+                executor,
+                life,
+                copies,
+                ..
+            } if *life == rogue::INCARNATION && *copies > 0 && !deaf.contains(executor) => {
                 orders.push(*at);
                 let from = at - limits.ration_window;
-                let given = orders.iter().filter(|&&t| t > from + limits.transit).count();
-                let taken = offers.iter().filter(|&&t| t > from - limits.transit).count() + published;
+                let given = orders
+                    .iter()
+                    .filter(|&&t| t > from + limits.transit)
+                    .count();
+                let taken = offers
+                    .iter()
+                    .filter(|&&t| t > from - limits.transit)
+                    .count()
+                    + published;
                 if given as f64 > limits.ration_floor + limits.ration_share * taken as f64 {
                     return Ok(());
                 }
@@ -186,12 +264,18 @@
 }
 
 fn message_ran_twice(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
-    let has_effect_once =
-        |name: &str| limits.trigger_types.iter().any(|t| t.name == name && t.effect == Effect::NonIdempotent);
+    let has_effect_once = |name: &str| {
+        limits
+            .trigger_types
+            .iter()
+            .any(|t| t.name == name && t.effect == Effect::NonIdempotent)
+    };
     let message = |r: &&Record| match r {
-        Record::Published { invocation, trigger_type, .. } if has_effect_once(trigger_type) => {
-            Some(invocation.clone())
-        }
+        Record::Published {
+            invocation,
+            trigger_type,
+            ..
+        } if has_effect_once(trigger_type) => Some(invocation.clone()),
         _ => None,
     };
     let messages: HashSet<String> = records.iter().filter_map(message).collect();
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -37,10 +37,19 @@
 impl Messages {
     /// Starts the broker.
     pub fn new(stage: &Stage, seed: u64) -> io::Result<Messages> {
-        let folder = std::env::temp_dir().join(format!("orchidtally-messages-{}-{seed}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "orchidtally-messages-{}-{seed}",
+            std::process::id()
+        ));
         let broker = BrokerServer::start(stage, any_port(), None)?;
         broker.broker.borrow_mut().faults.reorders = true;
-        Ok(Messages { stage: stage.clone(), broker, folder, sent: Cell::new(0), open: RefCell::default() })
+        Ok(Messages {
+            stage: stage.clone(),
+            broker,
+            folder,
+            sent: Cell::new(0),
+            open: RefCell::default(),
+        })
     }
 
     /// The section of the deployment file.
@@ -110,7 +119,11 @@
             let invocation = user("orchidtally-invocation");
             self.open.borrow_mut().remove(&invocation);
             let outcome = user("orchidtally-outcome");
-            self.stage.record(Record::Heard { at: self.stage.now(), invocation, outcome });
+            self.stage.record(Record::Heard {
+                at: self.stage.now(),
+                invocation,
+                outcome,
+            });
         }
     }
 
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -11,7 +11,9 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_text};
 use day::Day;
 use evidence::Missing;
-use orchidtally_invariants::{Answer, Messages, Record, Verdict, judge, messages as judge_messages};
+use orchidtally_invariants::{
+    Answer, Messages, Record, Verdict, judge, messages as judge_messages,
+};
 use serde::Serialize;
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -80,14 +82,26 @@
 
 /// The rollout that the arguments ask for.
 fn rollout(arguments: &Arguments) -> Result<Option<rolling::Options>, u8> {
-    let Some(file) = &arguments.rollout else { return Ok(None) };
-    let plan = if file == BUILT_IN { rolling::PLAN.into() } else { read_text(file.as_ref())? };
-    Ok(Some(rolling::Options { plan, new: arguments.new_version }))
+    let Some(file) = &arguments.rollout else {
+        return Ok(None);
+    };
+    let plan = if file == BUILT_IN {
+        rolling::PLAN.into()
+    } else {
+        read_text(file.as_ref())?
+    };
+    Ok(Some(rolling::Options {
+        plan,
+        new: arguments.new_version,
+    }))
 }
 
 /// Writes the records of the traffic, one a line.
 fn write_records(file: &Path, records: &[Record]) -> Result<(), u8> {
-    let lines: Vec<String> = records.iter().filter_map(|r| serde_json::to_string(r).ok()).collect();
+    let lines: Vec<String> = records
+        .iter()
+        .filter_map(|r| serde_json::to_string(r).ok())
+        .collect();
     std::fs::write(file, lines.join("\n") + "\n")
         .map_err(|e| fail(COULD_NOT_RUN, format!("{}: {e}", file.display())))
 }
@@ -95,7 +109,10 @@
 /// Plays a day and checks the rules.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     if arguments.inject_violation == Some(6) && !arguments.mqtt {
-        return Err(fail(BAD_INPUT, "--inject-violation 6 is a broker's fault: --mqtt is wanted with it"));
+        return Err(fail(
+            BAD_INPUT,
+            "--inject-violation 6 is a broker's fault: --mqtt is wanted with it",
+        ));
     }
     let day = day(&arguments)?;
     let options = play::Options {
@@ -112,16 +129,29 @@
         write_records(file, &played.records)?;
     }
     let verdict = judge(&played.limits, &played.fleet, &played.records);
-    let messages = arguments.mqtt.then(|| judge_messages(&played.limits, &played.records));
-    let injected =
-        arguments.inject_violation.map(|rule| evidence::of_violation(rule, &played.limits, &played.records));
-    report(&day, &played, &verdict, messages.as_ref(), injected.map(|found| found.is_ok()));
+    let messages = arguments
+        .mqtt
+        .then(|| judge_messages(&played.limits, &played.records));
+    let injected = arguments
+        .inject_violation
+        .map(|rule| evidence::of_violation(rule, &played.limits, &played.records));
+    report(
+        &day,
+        &played,
+        &verdict,
+        messages.as_ref(),
+        injected.map(|found| found.is_ok()),
+    );
     if let (Some(rule), Some(injected)) = (arguments.inject_violation, injected) {
         check_injection(rule, injected, &verdict, messages.as_ref())?;
     }
     let rolled_well = played.rollout.as_ref().is_none_or(rolling::Seen::is_well);
     let carried_well = messages.as_ref().is_none_or(Messages::kept);
-    if verdict.kept() && rolled_well && carried_well { Ok(()) } else { Err(NOT_SO) }
+    if verdict.kept() && rolled_well && carried_well {
+        Ok(())
+    } else {
+        Err(NOT_SO)
+    }
 }
 
 /// A violation that was asked for has to have taken place and to be found; else nothing is proved either way.
@@ -133,7 +163,9 @@
 ) -> Result<(), u8> {
     if let Err(missing) = injected {
         eprintln!("no violation of rule {rule} could be injected: {missing}");
-        eprintln!("give it more room: a longer day (--length), fewer troubles, or a less busy machine");
+        eprintln!(
+            "give it more room: a longer day (--length), fewer troubles, or a less busy machine"
+        );
         return Err(COULD_NOT_RUN);
     }
     let is_found = match messages {
@@ -175,7 +207,10 @@
 
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (sorted.len() as f64 * share) as usize;
-    sorted.get(rank.min(sorted.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
+    sorted
+        .get(rank.min(sorted.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 fn report(
@@ -187,31 +222,58 @@
 ) {
     println!("troubles:");
     for t in &day.troubles {
-        println!("  {:>5.1} s  {:<16} for {:>4.1} s, size {:.2}", t.at, t.kind.name(), t.lasts, t.size);
+        println!(
+            "  {:>5.1} s  {:<16} for {:>4.1} s, size {:.2}",
+            t.at,
+            t.kind.name(),
+            t.lasts,
+            t.size
+        );
     }
     for note in &played.notes {
         println!("  {note}");
     }
     println!("service by trigger type:");
-    println!("  trigger type     offered  in objective  succeeded  throttled  errored   median    0.99");
+    println!(
+        "  trigger type     offered  in objective  succeeded  throttled  errored   median    0.99"
+    );
     print_service(played);
     println!(
         "  of {} invocations, {} were at front ends that were killed and {} clients left early",
         verdict.invocations, verdict.lost, verdict.left
     );
     println!("rules:");
-    let what = ["final answers", "effects", "drains", "cold executors", "orders to load"];
+    let what = [
+        "final answers",
+        "effects",
+        "drains",
+        "cold executors",
+        "orders to load",
+    ];
     for (rule, what) in verdict.rules.iter().zip(what) {
-        println!("  {} {what:<15} {:>7} checked, {} broken", rule.rule, rule.checked, rule.broken);
+        println!(
+            "  {} {what:<15} {:>7} checked, {} broken",
+            rule.rule, rule.checked, rule.broken
+        );
         for breach in &rule.breaches {
             println!("      {breach}");
         }
     }
-    let broken = |rule: u8| verdict.rules.iter().find(|r| r.rule == rule).map_or(0, |r| r.broken);
+    let broken = |rule: u8| {
+        verdict
+            .rules
+            .iter()
+            .find(|r| r.rule == rule)
+            .map_or(0, |r| r.broken)
+    };
     let rollout = played.rollout.as_ref().map(|seen| {
         println!("rollout: {}", seen.state);
         seen.told.iter().for_each(|line| println!("  {line}"));
-        Rolled { seen, effects_twice: broken(2), orders_over_ration: broken(5) }
+        Rolled {
+            seen,
+            effects_twice: broken(2),
+            orders_over_ration: broken(5),
+        }
     });
     if let Some(m) = messages {
         println!(
@@ -220,8 +282,10 @@
         );
         m.breaches.iter().for_each(|breach| println!("  {breach}"));
     }
-    let roster =
-        played.roster.as_ref().map(|r| r.seen(&played.records, played.relists, (broken(3), broken(4))));
+    let roster = played
+        .roster
+        .as_ref()
+        .map(|r| r.seen(&played.records, played.relists, (broken(3), broken(4))));
     let kept = verdict.kept() && messages.is_none_or(Messages::kept);
     let line = Line {
         verdict: if kept { "kept" } else { "broken" },
@@ -285,14 +349,23 @@
         .records
         .iter()
         .filter_map(|record| match record {
-            Record::Answered { at, invocation, answer } => Some((invocation.as_str(), (*at, *answer))),
+            Record::Answered {
+                at,
+                invocation,
+                answer,
+            } => Some((invocation.as_str(), (*at, *answer))),
             _ => None,
         })
         .collect();
     for (index, known) in played.limits.trigger_types.iter().enumerate() {
         let mut service = Service::default();
         for record in &played.records {
-            if let Record::Offered { at, invocation, trigger_type, .. } = record
+            if let Record::Offered {
+                at,
+                invocation,
+                trigger_type,
+                ..
+            } = record
                 && *trigger_type == index
             {
                 service.add(known.objective, *at, ends.get(invocation.as_str()));
--- a/crates/cli/src/rehearse/play/hostile.rs
+++ b/crates/cli/src/rehearse/play/hostile.rs
@@ -15,12 +15,17 @@
                 _ => self.executors[n / 2 % self.executors.len()].address,
             };
             n += 1;
-            let mut bytes: Vec<u8> = (0..600).map(|_| (self.stage.unit() * 256.0) as u8).collect();
+            let mut bytes: Vec<u8> = (0..600)
+                .map(|_| (self.stage.unit() * 256.0) as u8)
+                .collect();
             match n % 4 {
                 // A preface, then no frames; headers without end; a wrong version.
-                0 => bytes.splice(0..0, *b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").for_each(drop),
+                0 => bytes
+                    .splice(0..0, *b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")
+                    .for_each(drop),
                 1 => {
-                    bytes = b"POST /v1/functions/fn-1/invocations HTTP/1.1\r\nhost: x\r\nx: ".to_vec();
+                    bytes =
+                        b"POST /v1/functions/fn-1/invocations HTTP/1.1\r\nhost: x\r\nx: ".to_vec();
                     bytes.resize(70_000, b'a');
                 }
                 2 => bytes = b"POST /v1/functions/fn-1/invocations HTTP/9.9\r\n\r\n".to_vec(),
@@ -38,16 +43,25 @@
 
     /// Sends to a front end what is no client's of the day.
     async fn dribble(&self, bytes: &[u8], pause: f64, until: f64, flood: bool) {
-        let Some(fe) = self.front_ends.iter().find(|f| f.used.get()) else { return };
-        let Ok(mut stream) = orchidtally_net::connect(fe.at, Duration::from_millis(200)).await else {
+        let Some(fe) = self.front_ends.iter().find(|f| f.used.get()) else {
+            return;
+        };
+        let Ok(mut stream) = orchidtally_net::connect(fe.at, Duration::from_millis(200)).await
+        else {
             return;
         };
         let mut sent = 0;
         while self.stage.now() < until {
-            let part = if flood { bytes } else { &bytes[sent % bytes.len()..][..1] };
+            let part = if flood {
+                bytes
+            } else {
+                &bytes[sent % bytes.len()..][..1]
+            };
             let say = stream.socket().write_all(part);
-            if !matches!(orchidtally_net::within(Duration::from_millis(200), say).await, Some(Ok(())))
-                && !flood
+            if !matches!(
+                orchidtally_net::within(Duration::from_millis(200), say).await,
+                Some(Ok(()))
+            ) && !flood
             {
                 return;
             }
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -56,23 +56,37 @@
     /// The injecting front end hears of the roster as the others do.
     fn follow_roster(&self, rogue: &Rc<Rogue>) -> async_executor::Task<()> {
         match &self.roster {
-            Some(roster) => self.stage.spawn(rogue.clone().follow_store(roster.endpoints(), roster.prefix())),
-            None => self.stage.spawn(rogue.clone().follow(self.publisher.address)),
+            Some(roster) => self.stage.spawn(
+                rogue
+                    .clone()
+                    .follow_store(roster.endpoints(), roster.prefix()),
+            ),
+            None => self
+                .stage
+                .spawn(rogue.clone().follow(self.publisher.address)),
         }
     }
 
     /// Executors that take work, those first that no script has touched yet.
     fn usable_executors(&self) -> Vec<Rc<Executor>> {
         let usable = |e: &&Rc<Executor>| e.is_up() && !e.draining.get();
-        let (untouched, restarted): (Vec<_>, Vec<_>) =
-            self.executors.iter().filter(usable).cloned().partition(|e| e.since() == f64::NEG_INFINITY);
+        let (untouched, restarted): (Vec<_>, Vec<_>) = self
+            .executors
+            .iter()
+            .filter(usable)
+            .cloned()
+            .partition(|e| e.since() == f64::NEG_INFINITY);
         [untouched, restarted].concat()
     }
 
     /// Rule 1: an invocation at a front end that never answers.
     async fn leave_unanswered(&self) {
-        let Ok(silent) = orchidtally_net::listen(any_port()) else { return };
-        let Ok(at) = silent.get_ref().local_addr() else { return };
+        let Ok(silent) = orchidtally_net::listen(any_port()) else {
+            return;
+        };
+        let Ok(at) = silent.get_ref().local_addr() else {
+            return;
+        };
         let hold = self.stage.spawn(async move {
             let mut taken = vec![];
             loop {
@@ -88,7 +102,9 @@
         };
         // A front end that the script knows nothing of, so that it never kills it.
         let index = self.front_ends.len() as u32;
-        Caller::new(&self.stage, UNANSWERED_CLIENT, index, at, true).invoke(&ask).await;
+        Caller::new(&self.stage, UNANSWERED_CLIENT, index, at, true)
+            .invoke(&ask)
+            .await;
         drop(hold);
     }
 
@@ -101,11 +117,16 @@
             if usable.len() < 2 {
                 return;
             }
-            let two = [usable[number % usable.len()].address, usable[(number + 1) % usable.len()].address];
+            let two = [
+                usable[number % usable.len()].address,
+                usable[(number + 1) % usable.len()].address,
+            ];
             let (rogue, name) = (rogue.clone(), format!("{INVOCATION_PREFIX}2-{number}"));
             let both = async move {
                 for (dispatch, at) in two.into_iter().enumerate() {
-                    rogue.dispatch(at, &name, dispatch as u32, "fn-1", "act").await;
+                    rogue
+                        .dispatch(at, &name, dispatch as u32, "fn-1", "act")
+                        .await;
                 }
             };
             self.stage.spawn(both).detach();
@@ -116,7 +137,9 @@
     /// Rule 3: a dispatch to an executor long after its drain was told.
     async fn dispatch_after_drain(&self, rogue: &Rc<Rogue>, attempt: usize, until: f64) {
         let usable = self.usable_executors();
-        let Some(executor) = usable.get(attempt % usable.len().max(1)) else { return };
+        let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
+            return;
+        };
         let began = self.stage.now();
         self.tell(executor, Standing::Draining);
         let mut was_told = false;
@@ -129,8 +152,13 @@
             }
             was_told |= told_at.is_some();
             let allowed = self.limits.drain_grace + TRANSIT + self.lag.get() + DRAIN_MARGIN;
-            let Some(told_at) = told_at.filter(|at| self.stage.now() > at + allowed) else { continue };
-            let name = format!("{INVOCATION_PREFIX}3-{attempt}-{:.0}", 1e3 * (told_at - began));
+            let Some(told_at) = told_at.filter(|at| self.stage.now() > at + allowed) else {
+                continue;
+            };
+            let name = format!(
+                "{INVOCATION_PREFIX}3-{attempt}-{:.0}",
+                1e3 * (told_at - began)
+            );
             self.dispatch_in_time(rogue, executor, &name).await;
             break;
         }
@@ -143,7 +171,9 @@
     /// Rule 4: more work than a cold executor can take, from a front end that was told of its start.
     async fn push_over_cold(&self, rogue: &Rc<Rogue>, attempt: usize) {
         let usable = self.usable_executors();
-        let Some(executor) = usable.get(attempt % usable.len().max(1)) else { return };
+        let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
+            return;
+        };
         executor.crash();
         self.stage.sleep(0.1).await;
         self.bring_up(executor);
@@ -156,7 +186,12 @@
             self.stage.sleep(LOOK_INTERVAL).await;
         }
         // The first one opens the connection, so that the rest comes all at once.
-        self.dispatch_in_time(rogue, executor, &format!("{INVOCATION_PREFIX}4-{attempt}-first")).await;
+        self.dispatch_in_time(
+            rogue,
+            executor,
+            &format!("{INVOCATION_PREFIX}4-{attempt}-first"),
+        )
+        .await;
         for number in 0..BURST {
             let (rogue, at) = (rogue.clone(), executor.address);
             let name = format!("{INVOCATION_PREFIX}4-{attempt}-{number}");
@@ -171,7 +206,9 @@
         for number in 0..BURST {
             let executor = &self.executors[number % self.executors.len()];
             let (rogue, at) = (rogue.clone(), executor.address);
-            self.stage.spawn(async move { rogue.hold(at, "fn-1").await }).detach();
+            self.stage
+                .spawn(async move { rogue.hold(at, "fn-1").await })
+                .detach();
             if number % 20 == 0 {
                 self.stage.sleep(0.01).await;
             }
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -144,14 +144,25 @@
     let notes = played?;
     let per_location = |n: usize| n as u32 % day.locations;
     let fleet = (0..day.executors)
-        .map(|n| invariants::Executor { location: per_location(n), cell: setup::cell(n, day) })
+        .map(|n| invariants::Executor {
+            location: per_location(n),
+            cell: setup::cell(n, day),
+        })
         .collect();
     let records = rehearsal.stage.records();
     let rollout = rehearsal.rolling.as_ref().map(|r| r.seen(&records));
     let mut limits = rehearsal.limits.clone();
     limits.transit += rehearsal.lag.get();
     let (roster, relists) = (rehearsal.roster.clone(), rehearsal.relists.get());
-    Ok(Played { limits, fleet, records, notes, rollout, roster, relists })
+    Ok(Played {
+        limits,
+        fleet,
+        records,
+        notes,
+        rollout,
+        roster,
+        relists,
+    })
 }
 
 impl Rehearsal {
@@ -183,14 +194,20 @@
             ));
         }
         if self.pending.get() > 0 {
-            notes.push(format!("{} pieces of the script did not end", self.pending.get()));
+            notes.push(format!(
+                "{} pieces of the script did not end",
+                self.pending.get()
+            ));
         }
         Ok(notes)
     }
 
     /// Starts all processes, and waits until front ends take invocations.
     async fn start_all(&self) -> io::Result<()> {
-        eprintln!("starting {} front ends and {} executors", self.day.front_ends, self.day.executors);
+        eprintln!(
+            "starting {} front ends and {} executors",
+            self.day.front_ends, self.day.executors
+        );
         if let Some(rolling) = &self.rolling {
             rolling.start(&self.file)?;
         }
@@ -230,14 +247,26 @@
         }
         if let Some(messages) = self.messages.clone() {
             let gives_twice = violation == Some(MESSAGES_RULE);
-            self.in_background(async move { messages.perform(from, length, rate, gives_twice).await });
+            self.in_background(
+                async move { messages.perform(from, length, rate, gives_twice).await },
+            );
         }
     }
 
     /// Waits until what is open is answered and all parts of the script are over, for a bounded time.
     async fn wait_for_script(&self) {
-        let longest = self.deployment.policy.trigger_types.iter().map(|t| t.timeout).fold(0.0, f64::max);
-        let answers = if self.messages.is_some() { MESSAGES_TIME } else { 0.0 };
+        let longest = self
+            .deployment
+            .policy
+            .trigger_types
+            .iter()
+            .map(|t| t.timeout)
+            .fold(0.0, f64::max);
+        let answers = if self.messages.is_some() {
+            MESSAGES_TIME
+        } else {
+            0.0
+        };
         let until = self.stage.now() + longest + 2.0 + answers;
         while self.pending.get() > 0 && self.stage.now() < until {
             self.stage.sleep(0.02).await;
@@ -255,7 +284,9 @@
             match standing(fe.at).await {
                 Ok(text) => {
                     let v: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
-                    let relists = v.pointer("/roster/relists").and_then(serde_json::Value::as_u64);
+                    let relists = v
+                        .pointer("/roster/relists")
+                        .and_then(serde_json::Value::as_u64);
                     self.relists.set(self.relists.get() + relists.unwrap_or(0));
                     let overdue = v.get("overdue").and_then(serde_json::Value::as_u64);
                     if overdue != Some(0) {
@@ -265,7 +296,10 @@
                         ));
                     }
                 }
-                Err(e) => notes.push(format!("front end {} does not say how it stands: {e}", fe.index)),
+                Err(e) => notes.push(format!(
+                    "front end {} does not say how it stands: {e}",
+                    fe.index
+                )),
             }
         }
         notes
@@ -277,7 +311,8 @@
         loop {
             let before = self.stage.now();
             self.stage.sleep(INTERVAL).await;
-            self.lag.set(self.lag.get().max(self.stage.now() - before - INTERVAL));
+            self.lag
+                .set(self.lag.get().max(self.stage.now() - before - INTERVAL));
         }
     }
 
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -17,13 +17,21 @@
         command
             .args(["--log", &self.log, "serve", "--deployment"])
             .arg(&self.file)
-            .args(["--listen", &fe.at.to_string(), "--index", &fe.index.to_string()])
+            .args([
+                "--listen",
+                &fe.at.to_string(),
+                "--index",
+                &fe.index.to_string(),
+            ])
             .args(["--clock-ahead", &fe.ahead.to_string()])
             .arg("--until-input-ends")
             .stdin(Stdio::piped())
             .stdout(Stdio::null());
         if fe.step != 0.0 {
-            command.args(["--clock-step", &format!("{},{}", self.day.length / 2.0, fe.step)]);
+            command.args([
+                "--clock-step",
+                &format!("{},{}", self.day.length / 2.0, fe.step),
+            ]);
         }
         *fe.child.borrow_mut() = Some(command.spawn()?);
         Ok(())
@@ -32,18 +40,30 @@
     pub(super) async fn until_up(&self, fe: &FrontEnd) -> io::Result<()> {
         let until = self.stage.now() + START_TIME;
         loop {
-            if orchidtally_net::connect(fe.at, Duration::from_millis(200)).await.is_ok() {
-                self.stage.record(Record::Up { at: self.stage.now(), front_end: fe.index });
+            if orchidtally_net::connect(fe.at, Duration::from_millis(200))
+                .await
+                .is_ok()
+            {
+                self.stage.record(Record::Up {
+                    at: self.stage.now(),
+                    front_end: fe.index,
+                });
                 fe.used.set(true);
                 return Ok(());
             }
             if let Some(child) = fe.child.borrow_mut().as_mut()
                 && let Some(status) = child.try_wait()?
             {
-                return Err(io::Error::other(format!("front end {} ended at its start: {status}", fe.index)));
+                return Err(io::Error::other(format!(
+                    "front end {} ended at its start: {status}",
+                    fe.index
+                )));
             }
             if self.stage.now() > until {
-                return Err(io::Error::other(format!("front end {} did not start", fe.index)));
+                return Err(io::Error::other(format!(
+                    "front end {} did not start",
+                    fe.index
+                )));
             }
             self.stage.sleep(0.02).await;
         }
@@ -52,7 +72,10 @@
     pub(super) async fn kill_front_ends(self: &Rc<Self>, t: &Trouble) {
         let some = self.some(&self.front_ends, t.size, |f| f.used.get());
         for fe in &some {
-            self.stage.record(Record::Killed { at: self.stage.now(), front_end: fe.index });
+            self.stage.record(Record::Killed {
+                at: self.stage.now(),
+                front_end: fe.index,
+            });
             if let Some(mut child) = fe.child.borrow_mut().take() {
                 // Outright, as a machine that is lost.
                 let _ = child.kill();
@@ -86,9 +109,13 @@
             }
             fe.used.set(false);
             self.stage.sleep(NOTICE).await;
-            let Some(mut child) = fe.child.borrow_mut().take() else { continue };
+            let Some(mut child) = fe.child.borrow_mut().take() else {
+                continue;
+            };
             // By the tool that every system has, since the standard library sends no other signal.
-            let told = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
+            let told = Command::new("kill")
+                .args(["-TERM", &child.id().to_string()])
+                .status();
             if !told.is_ok_and(|s| s.success()) {
                 eprintln!("front end {} could not be told to end", fe.index);
             }
@@ -114,11 +141,21 @@
 pub(super) async fn standing(at: SocketAddr) -> Result<String, Box<dyn std::error::Error>> {
     use http_body_util::{BodyExt, Empty};
     let stream = orchidtally_net::connect(at, Duration::from_secs(1)).await?;
-    let (mut sender, driver) = hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(stream).await?;
-    let ask =
-        http::Request::get("/v1/front-end").header(http::header::HOST, at.to_string()).body(Empty::new())?;
+    let (mut sender, driver) =
+        hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(stream).await?;
+    let ask = http::Request::get("/v1/front-end")
+        .header(http::header::HOST, at.to_string())
+        .body(Empty::new())?;
     let work = async {
-        Ok::<_, hyper::Error>(sender.send_request(ask).await?.into_body().collect().await?.to_bytes())
+        Ok::<_, hyper::Error>(
+            sender
+                .send_request(ask)
+                .await?
+                .into_body()
+                .collect()
+                .await?
+                .to_bytes(),
+        )
     };
     let drive = async {
         let _ = driver.await;
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -8,7 +8,9 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{Effect, Group, Limits, Standing, TriggerType};
 use orchidtally_test_servers::client::Caller;
-use orchidtally_test_servers::executor::{Catalogue, Executor, Make, Program, Surroundings, Tokens, echo};
+use orchidtally_test_servers::executor::{
+    Catalogue, Executor, Make, Program, Surroundings, Tokens, echo,
+};
 use orchidtally_test_servers::publisher::{Publisher, Row};
 use orchidtally_test_servers::store::Store;
 use orchidtally_test_servers::{Stage, any_port, port_for_later};
@@ -25,7 +27,9 @@
 
 /// The deployment file that front ends read.
 fn description(day: &Day, source: &str, sections: &str) -> String {
-    let locations: Vec<String> = (0..day.locations).map(|n| format!("\"room-{n}\"")).collect();
+    let locations: Vec<String> = (0..day.locations)
+        .map(|n| format!("\"room-{n}\""))
+        .collect();
     format!(
         r#"{{
   name: "rehearsal",
@@ -60,26 +64,33 @@
 /// What the rules are checked against, from the same description that the front ends read.
 fn limits(deployment: &Deployment) -> Limits {
     let policy = &deployment.policy;
-    let trigger_type =
-        |(trigger, ty): (&orchidtally_deployment::Trigger, &orchidtally::interface::TriggerType)| {
-            TriggerType {
-                name: trigger.name.clone(),
-                effect: match ty.effect {
-                    orchidtally::interface::Effect::Idempotent => Effect::Idempotent,
-                    orchidtally::interface::Effect::Tokened => Effect::Tokened,
-                    orchidtally::interface::Effect::NonIdempotent => Effect::NonIdempotent,
-                },
-                group: match ty.group {
-                    orchidtally::interface::Group::All => Group::All,
-                    orchidtally::interface::Group::Zone => Group::Location,
-                    orchidtally::interface::Group::Cell => Group::Cell,
-                },
-                window: ty.window,
-                objective: ty.objective,
-            }
-        };
+    let trigger_type = |(trigger, ty): (
+        &orchidtally_deployment::Trigger,
+        &orchidtally::interface::TriggerType,
+    )| {
+        TriggerType {
+            name: trigger.name.clone(),
+            effect: match ty.effect {
+                orchidtally::interface::Effect::Idempotent => Effect::Idempotent,
+                orchidtally::interface::Effect::Tokened => Effect::Tokened,
+                orchidtally::interface::Effect::NonIdempotent => Effect::NonIdempotent,
+            },
+            group: match ty.group {
+                orchidtally::interface::Group::All => Group::All,
+                orchidtally::interface::Group::Zone => Group::Location,
+                orchidtally::interface::Group::Cell => Group::Cell,
+            },
+            window: ty.window,
+            objective: ty.objective,
+        }
+    };
     Limits {
-        trigger_types: deployment.trigger_types.iter().zip(&policy.trigger_types).map(trigger_type).collect(),
+        trigger_types: deployment
+            .trigger_types
+            .iter()
+            .zip(&policy.trigger_types)
+            .map(trigger_type)
+            .collect(),
         second_copies: policy.second_copies,
         drain_grace: 1.0,
         fall: policy.fall,
@@ -177,8 +188,14 @@
     let mut front_ends = vec![];
     for n in 0..day.front_ends as usize {
         let (index, at) = (n as u32, port_for_later()?);
-        let callers = (0..4).map(|c| Caller::new(stage, 10 * index + c, index, at, c == 3)).collect();
-        let spread = if day.front_ends > 1 { n as f64 / f64::from(day.front_ends - 1) } else { 0.0 };
+        let callers = (0..4)
+            .map(|c| Caller::new(stage, 10 * index + c, index, at, c == 3))
+            .collect();
+        let spread = if day.front_ends > 1 {
+            n as f64 / f64::from(day.front_ends - 1)
+        } else {
+            0.0
+        };
         front_ends.push(Rc::new(FrontEnd {
             index,
             at,
@@ -207,19 +224,39 @@
 /// Sets a rehearsal up; front ends are not started yet.
 pub(super) fn set_up(stage: Stage, day: &Day, options: &Options) -> io::Result<Rc<Rehearsal>> {
     let store = Store::new(&stage, 12.0, 48);
-    let rolling = options.rollout.as_ref().map(|options| Rolling::new(&stage, options));
+    let rolling = options
+        .rollout
+        .as_ref()
+        .map(|options| Rolling::new(&stage, options));
     let rolling = rolling.transpose()?.map(Rc::new);
-    let messages = if options.messages { Some(Rc::new(Messages::new(&stage, options.seed)?)) } else { None };
+    let messages = if options.messages {
+        Some(Rc::new(Messages::new(&stage, options.seed)?))
+    } else {
+        None
+    };
     let executors = start_executors(&stage, day, &store, &catalogue(rolling.clone()))?;
-    let rows = executors.iter().map(|executor| row(executor, day)).collect();
+    let rows = executors
+        .iter()
+        .map(|executor| row(executor, day))
+        .collect();
     let publisher = Publisher::start(&stage, any_port(), rows)?;
-    let roster = if options.etcd { Some(etcd_roster(&stage, day)?) } else { None };
+    let roster = if options.etcd {
+        Some(etcd_roster(&stage, day)?)
+    } else {
+        None
+    };
     let source = match &roster {
         Some(roster) => roster.description(),
         None => format!("publisher: \"{}\"", publisher.address),
     };
-    let mut sections = rolling.as_ref().map(|rolling| rolling.description()).unwrap_or_default();
-    sections += &messages.as_ref().map(|messages| messages.description()).unwrap_or_default();
+    let mut sections = rolling
+        .as_ref()
+        .map(|rolling| rolling.description())
+        .unwrap_or_default();
+    sections += &messages
+        .as_ref()
+        .map(|messages| messages.description())
+        .unwrap_or_default();
     let text = description(day, &source, &sections);
     let deployment = Deployment::read(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
     let file = deployment_path(options.seed);
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -49,7 +49,11 @@
         let kind = &self.limits.trigger_types[ty];
         let timeout = self.deployment.policy.trigger_types[ty].timeout;
         let short = self.short_patience.0.is_on(now) && self.drawn(self.short_patience.1.get());
-        let time_left = if short { 0.35 + 0.5 * self.stage.unit() } else { timeout };
+        let time_left = if short {
+            0.35 + 0.5 * self.stage.unit()
+        } else {
+            timeout
+        };
         let leaves_after = (short && self.drawn(0.3)).then(|| 0.05 + 0.3 * self.stage.unit());
         let function = match kind.name.as_str() {
             // A part of the traffic is the function's that is rolled out.
@@ -59,7 +63,11 @@
             "watch" => format!("watch-{}", self.function(now)),
             _ => self.function(now),
         };
-        let token = if kind.effect == Effect::Tokened { self.name() } else { String::new() };
+        let token = if kind.effect == Effect::Tokened {
+            self.name()
+        } else {
+            String::new()
+        };
         let size = if self.drawn(0.02) { 40_000 } else { 200 };
         let ask = Ask {
             invocation: self.name(),
@@ -87,8 +95,16 @@
             let Some(caller) = self.caller() else { return };
             let heard = caller.invoke(&ask).await;
             let (again, pause) = match &heard {
-                Heard::Answered { answer: Answer::Succeeded | Answer::NotTaken, .. } | Heard::Left => return,
-                Heard::Answered { answer: Answer::Throttled, stay_away, .. } => (true, *stay_away),
+                Heard::Answered {
+                    answer: Answer::Succeeded | Answer::NotTaken,
+                    ..
+                }
+                | Heard::Left => return,
+                Heard::Answered {
+                    answer: Answer::Throttled,
+                    stay_away,
+                    ..
+                } => (true, *stay_away),
                 Heard::Answered { may_have_run, .. } => {
                     (effect != Effect::NonIdempotent || !may_have_run, 0.1)
                 }
@@ -115,6 +131,8 @@
             among.truncate(1.max(used.len() / 3));
         }
         let fe = among.get((self.stage.unit() * among.len() as f64) as usize)?;
-        fe.callers.get((self.stage.unit() * fe.callers.len() as f64) as usize).cloned()
+        fe.callers
+            .get((self.stage.unit() * fe.callers.len() as f64) as usize)
+            .cloned()
     }
 }
--- a/crates/cli/src/rehearse/play/troubles.rs
+++ b/crates/cli/src/rehearse/play/troubles.rs
@@ -26,7 +26,10 @@
     pub(super) fn perform_later(self: &Rc<Self>, from: f64, trouble: Trouble) {
         let rehearsal = self.clone();
         self.in_background(async move {
-            rehearsal.stage.sleep(from + trouble.at - rehearsal.stage.now()).await;
+            rehearsal
+                .stage
+                .sleep(from + trouble.at - rehearsal.stage.now())
+                .await;
             rehearsal.trouble(&trouble).await;
         });
     }
@@ -46,16 +49,24 @@
                 }
             }
             Kind::Hang => {
-                self.some(&self.executors, t.size, up).iter().for_each(|e| e.faults.hangs.set(until));
+                self.some(&self.executors, t.size, up)
+                    .iter()
+                    .for_each(|e| e.faults.hangs.set(until));
             }
             Kind::FastErrors => {
-                self.some(&self.executors, t.size, up).iter().for_each(|e| e.faults.errors.set(until));
+                self.some(&self.executors, t.size, up)
+                    .iter()
+                    .for_each(|e| e.faults.errors.set(until));
             }
             Kind::HalfOpen => {
                 for e in self.some(&self.executors, t.size, up) {
                     e.faults.deaf.set(until);
                     let at = self.stage.now();
-                    self.stage.record(Record::Deaf { at, executor: e.make.number, until });
+                    self.stage.record(Record::Deaf {
+                        at,
+                        executor: e.make.number,
+                        until,
+                    });
                 }
             }
             Kind::SlowHandshakes => {
@@ -63,7 +74,10 @@
                     .iter()
                     .for_each(|e| e.faults.slow_handshakes.set(until));
             }
-            Kind::LateReports => self.executors.iter().for_each(|e| e.faults.late_reports.set(until)),
+            Kind::LateReports => self
+                .executors
+                .iter()
+                .for_each(|e| e.faults.late_reports.set(until)),
             Kind::Deploy => {
                 let some = self.some(&self.executors, t.size, up);
                 let each = t.lasts / some.len() as f64;
@@ -85,7 +99,11 @@
             Kind::LoseLocation => {
                 let lost = (self.stage.unit() * f64::from(self.day.locations)) as usize;
                 let locations = self.day.locations as usize;
-                for e in self.executors.iter().filter(|e| e.make.number % locations == lost && up(e)) {
+                for e in self
+                    .executors
+                    .iter()
+                    .filter(|e| e.make.number % locations == lost && up(e))
+                {
                     self.down_and_up(e.clone(), t.lasts);
                 }
             }
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -88,7 +88,9 @@
     /// Whether it came to the end that it should.
     pub fn is_well(&self) -> bool {
         // A rehearsal whose rollout never began has tried nothing.
-        self.state != NEVER && self.digest_mismatches == 0 && self.back_in_s.is_none_or(|s| s <= BACK_WITHIN)
+        self.state != NEVER
+            && self.digest_mismatches == 0
+            && self.back_in_s.is_none_or(|s| s <= BACK_WITHIN)
     }
 }
 
@@ -122,7 +124,8 @@
     /// A rollout whose coordinator is not started yet.
     pub fn new(stage: &Stage, options: &Options) -> io::Result<Rolling> {
         let at = port_for_later()?;
-        let state = std::env::temp_dir().join(format!("orchidtally-rollout-{}", std::process::id()));
+        let state =
+            std::env::temp_dir().join(format!("orchidtally-rollout-{}", std::process::id()));
         // One of an earlier process with this number.
         let _ = std::fs::remove_dir_all(&state);
         Ok(Rolling {
@@ -130,7 +133,11 @@
             plan: options.plan.clone(),
             name: name(&options.plan),
             new: options.new,
-            fails: Cell::new(if options.new == NewVersion::Fails { 0.5 } else { 0.0 }),
+            fails: Cell::new(if options.new == NewVersion::Fails {
+                0.5
+            } else {
+                0.0
+            }),
             at,
             state,
             child: RefCell::default(),
@@ -165,7 +172,11 @@
             lanes: 4,
             memory: 100.0,
             load_time: 0.3,
-            work: if is_new && self.new == NewVersion::Slow { 0.06 } else { 0.02 },
+            work: if is_new && self.new == NewVersion::Slow {
+                0.06
+            } else {
+                0.02
+            },
             run: echo,
             package: Bytes::from_static(bytes),
             fails: if is_new { self.fails.get() } else { 0.0 },
@@ -176,7 +187,14 @@
     pub fn start(&self, deployment: &Path) -> io::Result<()> {
         let mut command = Command::new(std::env::current_exe()?);
         command
-            .args(["--log", "error", "rollout", "coordinate", "--until-input-ends", "--deployment"])
+            .args([
+                "--log",
+                "error",
+                "rollout",
+                "coordinate",
+                "--until-input-ends",
+                "--deployment",
+            ])
             .arg(deployment)
             .arg("--state")
             .arg(&self.state)
@@ -205,7 +223,11 @@
         let body = serde_json::to_vec(order).map_err(|e| e.to_string())?;
         let asked = ask(self.at, Method::POST, "/v1/rollouts/orders", body, PATIENCE).await;
         let (status, body) = asked.map_err(|e| e.to_string())?;
-        if status.is_success() { Ok(()) } else { Err(String::from_utf8_lossy(&body).into_owned()) }
+        if status.is_success() {
+            Ok(())
+        } else {
+            Err(String::from_utf8_lossy(&body).into_owned())
+        }
     }
 
     /// Until the coordinator takes it, for some seconds.
@@ -236,13 +258,19 @@
     pub async fn perform(&self, from: f64, length: f64, deployment: &Path) {
         let moment = |part: f64| from + part * length;
         self.stage.sleep(moment(BEGINS) - self.stage.now()).await;
-        self.insist(Order::Start { plan: self.plan.clone(), dry: false }).await;
+        self.insist(Order::Start {
+            plan: self.plan.clone(),
+            dry: false,
+        })
+        .await;
         self.stage.sleep(moment(KILLED) - self.stage.now()).await;
         self.look().await;
         self.kill();
         self.stage.sleep(0.5).await;
         if let Err(fault) = self.start(deployment) {
-            self.faults.borrow_mut().push(format!("the coordinator did not start again: {fault}"));
+            self.faults
+                .borrow_mut()
+                .push(format!("the coordinator did not start again: {fault}"));
         }
         self.stage.sleep(moment(FAILS) - self.stage.now()).await;
         if self.new == NewVersion::FailsLater {
@@ -250,10 +278,17 @@
         }
         self.stage.sleep(moment(BY_HAND) - self.stage.now()).await;
         self.look().await;
-        let on = self.history.borrow().last().is_some_and(|e| !e.phase.is_over());
+        let on = self
+            .history
+            .borrow()
+            .last()
+            .is_some_and(|e| !e.phase.is_over());
         if on && self.new != NewVersion::Fine {
-            self.insist(Order::Back { name: self.name.clone(), why: "the rehearsal takes it back".into() })
-                .await;
+            self.insist(Order::Back {
+                name: self.name.clone(),
+                why: "the rehearsal takes it back".into(),
+            })
+            .await;
         }
         self.stage.sleep(moment(1.0) - self.stage.now()).await;
         self.look().await;
@@ -263,9 +298,14 @@
         let history = self.history.borrow();
         let state = history.last().map_or(NEVER, |e| e.phase.name()).to_owned();
         // The coordinator's clock is the machine's; the records' began with the stage.
-        let back = history.iter().find(|e| e.phase == orchidtally_rollout::Phase::TakenBack);
+        let back = history
+            .iter()
+            .find(|e| e.phase == orchidtally_rollout::Phase::TakenBack);
         let back = back.map(|e| e.at - self.stage.wall(0.0));
-        let mut seen = Seen { state, ..Seen::default() };
+        let mut seen = Seen {
+            state,
+            ..Seen::default()
+        };
         let offered: HashMap<&str, f64> = records
             .iter()
             .filter_map(|r| match r {
@@ -275,7 +315,15 @@
             .collect();
         let (new, mut last) = (digest(NEW), 0.0f64);
         for r in records {
-            let Record::RanVersion { invocation, named, loaded, .. } = r else { continue };
+            let Record::RanVersion {
+                invocation,
+                named,
+                loaded,
+                ..
+            } = r
+            else {
+                continue;
+            };
             seen.digest_mismatches += u64::from(named != loaded);
             if *named == new {
                 seen.ran_new += 1;
@@ -289,7 +337,10 @@
             .map(|e| format!("{:>6.2} s  {}: {}", e.at - first, e.phase.name(), e.reason))
             .collect();
         seen.told.extend(self.faults.borrow().iter().cloned());
-        seen.told.push(format!("{} dispatches of the new version ran", seen.ran_new));
+        seen.told.push(format!(
+            "{} dispatches of the new version ran",
+            seen.ran_new
+        ));
         seen
     }
 }
--- a/crates/cli/src/rehearse/roster.rs
+++ b/crates/cli/src/rehearse/roster.rs
@@ -47,16 +47,33 @@
 
 impl Roster {
     /// A store without entries. `place` returns an executor's location and cell.
-    pub fn new(stage: &Stage, place: impl Fn(usize) -> (u32, u32) + 'static) -> io::Result<Rc<Roster>> {
+    pub fn new(
+        stage: &Stage,
+        place: impl Fn(usize) -> (u32, u32) + 'static,
+    ) -> io::Result<Rc<Roster>> {
         let etcd = Served::start(stage, 3)?;
         let (entries, executors) = Default::default();
-        Ok(Rc::new(Roster { stage: stage.clone(), etcd, entries, executors, place: Box::new(place) }))
+        Ok(Rc::new(Roster {
+            stage: stage.clone(),
+            etcd,
+            entries,
+            executors,
+            place: Box::new(place),
+        }))
     }
 
     /// The part of the deployment file that names the store.
     pub fn description(&self) -> String {
-        let endpoints: Vec<String> = self.etcd.addresses.iter().map(|a| format!("\"{a}\"")).collect();
-        format!("etcd: {{ endpoints: [{}], lease: \"3s\" }}", endpoints.join(", "))
+        let endpoints: Vec<String> = self
+            .etcd
+            .addresses
+            .iter()
+            .map(|a| format!("\"{a}\""))
+            .collect();
+        format!(
+            "etcd: {{ endpoints: [{}], lease: \"3s\" }}",
+            endpoints.join(", ")
+        )
     }
 
     /// The store's members.
@@ -103,28 +120,49 @@
             self.entries.borrow_mut().push((lease, Standing::Ready));
             self.put(e);
         }
-        let numbers: HashMap<String, usize> =
-            executors.iter().map(|e| (format!("{PREFIX}{}", e.address), e.make.number)).collect();
+        let numbers: HashMap<String, usize> = executors
+            .iter()
+            .map(|e| (format!("{PREFIX}{}", e.address), e.make.number))
+            .collect();
         let (stage, all) = (self.stage.clone(), executors.to_vec());
         let hears = move |agent: &str, event: &Event| {
-            let Some((index, life)) = agent.split_once('.') else { return };
-            let (Ok(front_end), Ok(life)) = (index.parse(), life.parse()) else { return };
+            let Some((index, life)) = agent.split_once('.') else {
+                return;
+            };
+            let (Ok(front_end), Ok(life)) = (index.parse(), life.parse()) else {
+                return;
+            };
             let Some(kv) = &event.kv else { return };
-            let Some(&executor) = numbers.get(&*String::from_utf8_lossy(&kv.key)) else { return };
+            let Some(&executor) = numbers.get(&*String::from_utf8_lossy(&kv.key)) else {
+                return;
+            };
             let standing = match event.r#type() {
                 EventType::Delete => Standing::Gone,
                 _ if String::from_utf8_lossy(&kv.value).contains("draining") => Standing::Draining,
                 _ => Standing::Ready,
             };
             let (at, since) = (stage.now(), all[executor].since());
-            stage.record(Record::Told { at, front_end, life, executor, standing, since });
+            stage.record(Record::Told {
+                at,
+                front_end,
+                life,
+                executor,
+                standing,
+                since,
+            });
         };
         *self.etcd.told.borrow_mut() = Some(Rc::new(hears));
         let me = self.clone();
         let renewals = async move {
             loop {
                 me.stage.sleep(RENEWED).await;
-                let up: Vec<_> = me.executors.borrow().iter().filter(|e| e.is_up()).cloned().collect();
+                let up: Vec<_> = me
+                    .executors
+                    .borrow()
+                    .iter()
+                    .filter(|e| e.is_up())
+                    .cloned()
+                    .collect();
                 up.iter().for_each(|e| me.renew(e));
             }
         };
@@ -137,12 +175,21 @@
         let lease = self.entries.borrow()[e.make.number].0;
         let over = self.etcd.store.borrow_mut().keep_alive(now, lease).ttl == 0;
         if over {
-            self.entries.borrow_mut()[e.make.number].0 = self.etcd.store.borrow_mut().grant(now, LEASE).id;
+            self.entries.borrow_mut()[e.make.number].0 =
+                self.etcd.store.borrow_mut().grant(now, LEASE).id;
         }
         let wanted = self.value(e);
-        let question =
-            RangeRequest { key: format!("{PREFIX}{}", e.address).into(), ..RangeRequest::default() };
-        let found = self.etcd.store.borrow().range(&question).map(|r| r.kvs).unwrap_or_default();
+        let question = RangeRequest {
+            key: format!("{PREFIX}{}", e.address).into(),
+            ..RangeRequest::default()
+        };
+        let found = self
+            .etcd
+            .store
+            .borrow()
+            .range(&question)
+            .map(|r| r.kvs)
+            .unwrap_or_default();
         if over || found.first().is_none_or(|kv| kv.value != wanted.as_bytes()) {
             self.put(e);
         }
@@ -161,7 +208,11 @@
 
     /// What goes wrong with the store through a day.
     pub async fn perform(self: Rc<Self>, from: f64, length: f64) {
-        let until = async |share: f64| self.stage.sleep(from + share * length - self.stage.now()).await;
+        let until = async |share: f64| {
+            self.stage
+                .sleep(from + share * length - self.stage.now())
+                .await
+        };
         until(0.15).await;
         self.etcd.faults.breaks_every.set(BREAKS_EVERY);
         until(0.3).await;
@@ -172,7 +223,11 @@
         // While all watchers are off it changes, and is compacted past what they had seen.
         self.etcd.faults.stalled.set(self.stage.now() + 0.3);
         self.etcd.cut_off();
-        self.executors.borrow().iter().filter(|e| e.is_up()).for_each(|e| self.put(e));
+        self.executors
+            .borrow()
+            .iter()
+            .filter(|e| e.is_up())
+            .for_each(|e| self.put(e));
         let revision = self.etcd.store.borrow().revision;
         if let Err(status) = self.etcd.store.borrow_mut().compact(revision) {
             eprintln!("nothing was compacted: {status}");
@@ -192,13 +247,24 @@
 
     /// How soon after it was told of a drain each front end had sent its last dispatch.
     pub fn seen(&self, records: &[Record], relists: u64, (stale, fallen): (u64, u64)) -> Seen {
-        let mut seen = Seen { relists, stale_dispatches: stale, cold_fallen: fallen, ..Seen::default() };
+        let mut seen = Seen {
+            relists,
+            stale_dispatches: stale,
+            cold_fallen: fallen,
+            ..Seen::default()
+        };
         let mut drains: HashMap<(u64, usize), f64> = HashMap::new();
         let mut records: Vec<&Record> = records.iter().collect();
         records.sort_by(|a, b| a.at().total_cmp(&b.at()));
         for r in records {
             match r {
-                Record::Told { at, life, executor, standing: Standing::Draining, .. } => {
+                Record::Told {
+                    at,
+                    life,
+                    executor,
+                    standing: Standing::Draining,
+                    ..
+                } => {
                     drains.entry((*life, *executor)).or_insert_with(|| {
                         seen.drains += 1;
                         *at
@@ -207,7 +273,9 @@
                 Record::Told { life, executor, .. } => {
                     drains.remove(&(*life, *executor));
                 }
-                Record::Reached { at, life, executor, .. } => {
+                Record::Reached {
+                    at, life, executor, ..
+                } => {
                     if let Some(told) = drains.get(&(*life, *executor)) {
                         seen.worst_drain_s = seen.worst_drain_s.max(at - told);
                     }
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -117,14 +117,28 @@
 
 /// Sends a request to the coordinator. Faults that it names are printed after the name of the file that they are in.
 fn ask(place: &Where, method: Method, path: &str, body: Vec<u8>, file: &str) -> Result<Value, u8> {
-    let asked = async_io::block_on(orchidtally_net::http::ask(place.at, method, path, body, REQUEST_TIMEOUT));
-    let (status, body) =
-        asked.map_err(|e| fail(COULD_NOT_RUN, format!("no coordinator at {}: {e}", place.at)))?;
+    let asked = async_io::block_on(orchidtally_net::http::ask(
+        place.at,
+        method,
+        path,
+        body,
+        REQUEST_TIMEOUT,
+    ));
+    let (status, body) = asked.map_err(|e| {
+        fail(
+            COULD_NOT_RUN,
+            format!("no coordinator at {}: {e}", place.at),
+        )
+    })?;
     let value: Value = serde_json::from_slice(&body).unwrap_or_default();
     if status == StatusCode::OK {
         return Ok(value);
     }
-    let faults = value.get("faults").and_then(Value::as_array).cloned().unwrap_or_default();
+    let faults = value
+        .get("faults")
+        .and_then(Value::as_array)
+        .cloned()
+        .unwrap_or_default();
     for fault in &faults {
         eprintln!("{file}{}", fault.as_str().unwrap_or_default());
     }
@@ -144,8 +158,12 @@
 }
 
 fn read<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, u8> {
-    serde_json::from_value(value.clone())
-        .map_err(|e| fail(COULD_NOT_RUN, format!("the coordinator's answer can't be read: {e}")))
+    serde_json::from_value(value.clone()).map_err(|e| {
+        fail(
+            COULD_NOT_RUN,
+            format!("the coordinator's answer can't be read: {e}"),
+        )
+    })
 }
 
 fn show_steps(value: &Value, output: Output) -> Result<(), u8> {
@@ -182,7 +200,10 @@
 
 fn show_status(value: &Value, only: Option<&str>, output: Output) -> Result<(), u8> {
     let list: Vec<Status> = read(&value["rollouts"])?;
-    let shown: Vec<_> = list.iter().filter(|s| only.is_none_or(|n| n == s.name)).collect();
+    let shown: Vec<_> = list
+        .iter()
+        .filter(|s| only.is_none_or(|n| n == s.name))
+        .collect();
     if let (Some(name), true) = (only, shown.is_empty()) {
         return Err(fail(NOT_SO, format!("there is no rollout '{name}'")));
     }
@@ -190,7 +211,10 @@
         println!("{}", serde_json::to_string(&shown).unwrap_or_default());
         return Ok(());
     }
-    println!("coordinator of term {}, state {}", value["term"], value["number"]);
+    println!(
+        "coordinator of term {}, state {}",
+        value["term"], value["number"]
+    );
     shown.into_iter().for_each(show_rollout);
     Ok(())
 }
@@ -212,10 +236,13 @@
         "  gate           old         new         evidence it is worse (takes back at {:.0})",
         status.takes_back
     );
-    let events =
-        |counts: &Counts, gate: Gate| format!("{}/{}", counts.events[gate.index()], counts.exposed(gate));
+    let events = |counts: &Counts, gate: Gate| {
+        format!("{}/{}", counts.events[gate.index()], counts.exposed(gate))
+    };
     for gate in GATES {
-        let Some(evidence) = status.evidence.get(gate.name()) else { continue };
+        let Some(evidence) = status.evidence.get(gate.name()) else {
+            continue;
+        };
         let (old, new) = (events(&status.old, gate), events(&status.new, gate));
         println!("  {:<12} {old:>9} {new:>11} {evidence:>12.2}", gate.name());
     }
@@ -250,8 +277,8 @@
 ) -> Result<(), u8> {
     let deployment = read_deployment(deployment)?;
     let could_not = |reason: String| fail(COULD_NOT_RUN, reason);
-    let listener =
-        orchidtally_net::listen(listen).map_err(|e| could_not(format!("can't listen at {listen}: {e}")))?;
+    let listener = orchidtally_net::listen(listen)
+        .map_err(|e| could_not(format!("can't listen at {listen}: {e}")))?;
     let at = listener.get_ref().local_addr().unwrap_or(listen);
     let (stop, stopped) = async_channel::bounded(1);
     if ends {
@@ -269,9 +296,13 @@
     println!("listening on http://{at}");
     match orchidtally_coordinator::run(deployment, state, listener, stopped) {
         Ok(StopReason::Stopped) => Ok(()),
-        Ok(StopReason::Superseded(epoch)) => {
-            Err(fail(NOT_SO, format!("another coordinator, of term {}, has taken over", epoch.term)))
-        }
+        Ok(StopReason::Superseded(epoch)) => Err(fail(
+            NOT_SO,
+            format!(
+                "another coordinator, of term {}, has taken over",
+                epoch.term
+            ),
+        )),
         Err(e) => Err(could_not(format!("the state can't be kept: {e}"))),
     }
 }
@@ -282,14 +313,32 @@
         show_status(&value, Some(name), place.output)
     };
     match arguments.command {
-        Command::Coordinate { deployment, state, listen, until_input_ends } => {
-            coordinate(&deployment, &state, listen, until_input_ends)
-        }
-        Command::Start { plan, dry_run, place } => {
+        Command::Coordinate {
+            deployment,
+            state,
+            listen,
+            until_input_ends,
+        } => coordinate(&deployment, &state, listen, until_input_ends),
+        Command::Start {
+            plan,
+            dry_run,
+            place,
+        } => {
             let text = read_text(&plan)?;
             let file = format!("{}:", plan.display());
-            let value = order(&place, &Order::Start { plan: text, dry: dry_run }, &file)?;
-            if dry_run { show_steps(&value, place.output) } else { show_status(&value, None, place.output) }
+            let value = order(
+                &place,
+                &Order::Start {
+                    plan: text,
+                    dry: dry_run,
+                },
+                &file,
+            )?;
+            if dry_run {
+                show_steps(&value, place.output)
+            } else {
+                show_status(&value, None, place.output)
+            }
         }
         Command::Status { name, place } => {
             let value = ask(&place, Method::GET, "/v1/rollouts", vec![], "")?;
@@ -297,11 +346,21 @@
         }
         Command::Pause { name, place } => change(&place, &name.clone(), Order::Pause { name }),
         Command::Resume { name, place } => change(&place, &name.clone(), Order::Resume { name }),
-        Command::Back { name, why, place } => change(&place, &name.clone(), Order::Back { name, why }),
-        Command::Advance { name, why, place } => change(&place, &name.clone(), Order::Advance { name, why }),
+        Command::Back { name, why, place } => {
+            change(&place, &name.clone(), Order::Back { name, why })
+        }
+        Command::Advance { name, why, place } => {
+            change(&place, &name.clone(), Order::Advance { name, why })
+        }
         Command::Finish { name, place } => change(&place, &name.clone(), Order::Finish { name }),
         Command::History { name, place } => {
-            let value = ask(&place, Method::GET, &format!("/v1/rollouts/{name}/history"), vec![], "")?;
+            let value = ask(
+                &place,
+                Method::GET,
+                &format!("/v1/rollouts/{name}/history"),
+                vec![],
+                "",
+            )?;
             show_history(&value, place.output)
         }
     }
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -81,7 +81,11 @@
     }
 
     /// Sends a request to one endpoint after the other.
-    fn ask<M: prost::Message + Default>(&self, path: &str, question: &impl prost::Message) -> Result<M, u8> {
+    fn ask<M: prost::Message + Default>(
+        &self,
+        path: &str,
+        question: &impl prost::Message,
+    ) -> Result<M, u8> {
         let mut last = None;
         for _ in 0..MAX_TRIES {
             match self.on(self.client.unary(path, question, REQUEST_TIMEOUT)) {
@@ -96,7 +100,10 @@
                 }
             }
         }
-        Err(fail(COULD_NOT_RUN, last.map_or_else(String::new, |fault| fault.to_string())))
+        Err(fail(
+            COULD_NOT_RUN,
+            last.map_or_else(String::new, |fault| fault.to_string()),
+        ))
     }
 
     /// The entries of a kind: names, values and revisions.
@@ -127,7 +134,9 @@
             json!({ "executor": name, "entry": value, "revision": revision, "drained": drained(name) })
         });
         let front_ends = self.list(FRONT_ENDS)?;
-        let front_ends = front_ends.iter().map(|(name, value, _)| json!({ "index": name, "entry": value }));
+        let front_ends = front_ends
+            .iter()
+            .map(|(name, value, _)| json!({ "index": name, "entry": value }));
         Ok((executors.collect(), front_ends.collect()))
     }
 
@@ -137,10 +146,18 @@
         loop {
             let mut behind = vec![];
             for (index, value, _) in self.list(FRONT_ENDS)? {
-                let at = value.get("at").and_then(Value::as_str).and_then(|a| a.parse::<SocketAddr>().ok());
+                let at = value
+                    .get("at")
+                    .and_then(Value::as_str)
+                    .and_then(|a| a.parse::<SocketAddr>().ok());
                 let heard = at.and_then(|at| {
-                    let asked =
-                        orchidtally_net::http::ask(at, Method::GET, "/v1/front-end", vec![], REQUEST_TIMEOUT);
+                    let asked = orchidtally_net::http::ask(
+                        at,
+                        Method::GET,
+                        "/v1/front-end",
+                        vec![],
+                        REQUEST_TIMEOUT,
+                    );
                     let (_, body) = self.on(asked).ok()?;
                     let standing: Value = serde_json::from_slice(&body).ok()?;
                     standing.pointer("/roster/revision")?.as_i64()
@@ -154,7 +171,10 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                println!("front ends that have not heard of it: {}", behind.join(", "));
+                println!(
+                    "front ends that have not heard of it: {}",
+                    behind.join(", ")
+                );
                 return Err(NOT_SO);
             }
             std::thread::sleep(WAIT_INTERVAL);
@@ -168,11 +188,21 @@
         return Err(fail(BAD_INPUT, "--deployment FILE is missing"));
     };
     let deployment = read_deployment(file)?;
-    let Source::Etcd(Etcd { endpoints, prefix, .. }) = deployment.source else {
-        return Err(fail(BAD_INPUT, format!("{}: its executors come from no etcd", file.display())));
+    let Source::Etcd(Etcd {
+        endpoints, prefix, ..
+    }) = deployment.source
+    else {
+        return Err(fail(
+            BAD_INPUT,
+            format!("{}: its executors come from no etcd", file.display()),
+        ));
     };
     let tasks = Rc::new(async_executor::LocalExecutor::new());
-    Ok(Store { client: Client::new(endpoints, tasks.clone()), prefix, tasks })
+    Ok(Store {
+        client: Client::new(endpoints, tasks.clone()),
+        prefix,
+        tasks,
+    })
 }
 
 /// An executor as a line of a table.
@@ -182,7 +212,11 @@
         Some(Value::Null) | None => "-".into(),
         Some(other) => other.to_string(),
     };
-    let standing = if e["drained"] == true { "drained".into() } else { of("/entry/standing") };
+    let standing = if e["drained"] == true {
+        "drained".into()
+    } else {
+        of("/entry/standing")
+    };
     format!(
         "{:<24} {standing:<9} {:<12} {:<8} {:>5} {:>9}",
         of("/executor"),
@@ -197,24 +231,39 @@
     fn print(&self, as_json: bool) -> Result<(), u8> {
         let (executors, front_ends) = self.standing()?;
         if as_json {
-            println!("{}", json!({ "executors": executors, "frontEnds": front_ends }));
+            println!(
+                "{}",
+                json!({ "executors": executors, "frontEnds": front_ends })
+            );
             return Ok(());
         }
         println!("executor                 standing  location     kind      cell  revision");
-        executors.iter().for_each(|executor| println!("{}", line(executor)));
-        println!("{} executors, {} front ends", executors.len(), front_ends.len());
+        executors
+            .iter()
+            .for_each(|executor| println!("{}", line(executor)));
+        println!(
+            "{} executors, {} front ends",
+            executors.len(),
+            front_ends.len()
+        );
         Ok(())
     }
 
     /// Prints each change, without end or for some seconds.
     fn watch(&self, seconds: Option<f64>) -> Result<(), u8> {
-        let until = seconds.map(|time| Instant::now() + Duration::from_secs_f64(time.clamp(0.0, MAX_WATCH)));
+        let until = seconds
+            .map(|time| Instant::now() + Duration::from_secs_f64(time.clamp(0.0, MAX_WATCH)));
         let mut before: Vec<Value> = vec![];
         while until.is_none_or(|until| Instant::now() < until) {
             let (now, _) = self.standing()?;
-            now.iter().filter(|e| !before.contains(e)).for_each(|e| println!("{}", line(e)));
+            now.iter()
+                .filter(|e| !before.contains(e))
+                .for_each(|e| println!("{}", line(e)));
             let is_there = |e: &&Value| now.iter().any(|n| n["executor"] == e["executor"]);
-            before.iter().filter(|e| !is_there(e)).for_each(|e| println!("{} is gone", e["executor"]));
+            before
+                .iter()
+                .filter(|e| !is_there(e))
+                .for_each(|e| println!("{} is gone", e["executor"]));
             before = now;
             std::thread::sleep(WATCH_INTERVAL);
         }
@@ -230,11 +279,17 @@
         let known = self.list(EXECUTORS)?;
         let mut revision = 0;
         for executor in executors {
-            if !known.iter().any(|(name, _, _)| *name == executor.to_string()) {
+            if !known
+                .iter()
+                .any(|(name, _, _)| *name == executor.to_string())
+            {
                 eprintln!("{executor} has no entry in the store; it is drained once it has");
             }
-            let put =
-                PutRequest { key: self.drain_key(executor), value: "{}".into(), ..PutRequest::default() };
+            let put = PutRequest {
+                key: self.drain_key(executor),
+                value: "{}".into(),
+                ..PutRequest::default()
+            };
             let done: PutResponse = self.ask(PUT, &put)?;
             revision = done.header.unwrap_or_default().revision;
             println!("{executor} is drained as of revision {revision}");
@@ -246,8 +301,10 @@
     fn undrain(&self, executors: &[SocketAddr]) -> Result<i64, u8> {
         let mut revision = 0;
         for executor in executors {
-            let delete =
-                DeleteRangeRequest { key: self.drain_key(executor), ..DeleteRangeRequest::default() };
+            let delete = DeleteRangeRequest {
+                key: self.drain_key(executor),
+                ..DeleteRangeRequest::default()
+            };
             let done: DeleteRangeResponse = self.ask(DELETE_RANGE, &delete)?;
             revision = done.header.unwrap_or_default().revision;
             if done.deleted == 0 {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -31,7 +31,12 @@
     #[arg(long)]
     seed: Option<u64>,
     /// Take the wall clock to be ahead by so many seconds.
-    #[arg(long, hide = true, default_value_t = 0.0, allow_negative_numbers = true)]
+    #[arg(
+        long,
+        hide = true,
+        default_value_t = 0.0,
+        allow_negative_numbers = true
+    )]
     clock_ahead: f64,
     /// Step that clock after so many seconds by so many: `AFTER,BY`.
     #[arg(long, hide = true, value_parser = step, allow_negative_numbers = true)]
@@ -68,11 +73,17 @@
     let signals = orchidtally_platform::PendingSignals::new().map_err(unable)?;
     let file = variable("LB_CONFIG").ok_or_else(|| bad("LB_CONFIG names no file".into()))?;
     let file = PathBuf::from(file);
-    let start = orchidtally_platform::start::read_at_start(&file).map_err(|e| bad(e.to_string()))?;
+    let start =
+        orchidtally_platform::start::read_at_start(&file).map_err(|e| bad(e.to_string()))?;
     start
-        .agrees(variable("LB_NAME").as_deref(), variable("LB_LISTEN").as_deref())
+        .agrees(
+            variable("LB_NAME").as_deref(),
+            variable("LB_LISTEN").as_deref(),
+        )
         .map_err(|e| bad(e.to_string()))?;
-    orchidtally_platform::run(start, file, signals).map(drop).map_err(unable)
+    orchidtally_platform::run(start, file, signals)
+        .map(drop)
+        .map_err(unable)
 }
 
 /// What a front end is started from.
@@ -90,12 +101,20 @@
         Some(path) => {
             let text = read_text(path)?;
             let (deployment, section) = check_text(path, &text)?;
-            Loaded { deployment, section, file: Some((path.clone(), text)) }
+            Loaded {
+                deployment,
+                section,
+                file: Some((path.clone(), text)),
+            }
         }
         None => {
             let deployment = local::deployment(arguments.listen)
                 .map_err(|e| fail(COULD_NOT_RUN, format!("no local executors: {e}")))?;
-            Loaded { deployment, section: None, file: None }
+            Loaded {
+                deployment,
+                section: None,
+                file: None,
+            }
         }
     };
     if let Some(index) = arguments.index {
@@ -120,7 +139,9 @@
 
 /// Seconds since 1970.
 fn now() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |time| time.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |time| time.as_secs_f64())
 }
 
 /// Says where the front end listens, and with local executors how to try it.
@@ -140,16 +161,30 @@
     if arguments.platform {
         return serve_platform();
     }
-    let caught = signals::catch().map_err(|e| fail(COULD_NOT_RUN, format!("can't wait for signals: {e}")))?;
-    let Loaded { deployment, section, file } = load(&arguments)?;
+    let caught = signals::catch()
+        .map_err(|e| fail(COULD_NOT_RUN, format!("can't wait for signals: {e}")))?;
+    let Loaded {
+        deployment,
+        section,
+        file,
+    } = load(&arguments)?;
     let is_local = file.is_none();
     let index = deployment.policy.index as u32;
     let triggers = section
         .map(|section| Triggers::open(section, index))
         .transpose()
-        .map_err(|e| fail(COULD_NOT_RUN, format!("the journal of triggers can't be used: {e}")))?;
-    let promise_store = PromiseStore::open(&deployment, now())
-        .map_err(|e| fail(COULD_NOT_RUN, format!("the journal of promises can't be used: {e}")))?;
+        .map_err(|e| {
+            fail(
+                COULD_NOT_RUN,
+                format!("the journal of triggers can't be used: {e}"),
+            )
+        })?;
+    let promise_store = PromiseStore::open(&deployment, now()).map_err(|e| {
+        fail(
+            COULD_NOT_RUN,
+            format!("the journal of promises can't be used: {e}"),
+        )
+    })?;
     let at = arguments.listen.unwrap_or(deployment.listen);
     let listener = orchidtally_frontend::listen(at)
         .map_err(|e| fail(COULD_NOT_RUN, format!("can't listen at {at}: {e}")))?;
@@ -161,7 +196,9 @@
             stop.close();
         });
     }
-    let (reread, reloads) = file.map(|(path, text)| watch_for_reloads(path, text)).unzip();
+    let (reread, reloads) = file
+        .map(|(path, text)| watch_for_reloads(path, text))
+        .unzip();
     signals::follow(caught, stop, reread);
     greet(at, is_local);
     let start = Start {
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -13,7 +13,11 @@
 
 /// Follows the signals on a thread of its own. `stop` is closed by the first that ends the front end; `reread` gets a
 /// message for each SIGHUP, or none where one waits already.
-pub fn follow(signals: Signals, stop: async_channel::Sender<()>, reread: Option<async_channel::Sender<()>>) {
+pub fn follow(
+    signals: Signals,
+    stop: async_channel::Sender<()>,
+    reread: Option<async_channel::Sender<()>>,
+) {
     std::thread::spawn(move || async_io::block_on(attend(signals, stop, reread)));
 }
 
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -23,14 +23,21 @@
 /// Its last line as JSON.
 fn verdict(output: &Output) -> serde_json::Value {
     let out = text(&output.stdout);
-    let last = out.lines().last().unwrap_or_else(|| panic!("nothing printed: {}", text(&output.stderr)));
+    let last = out
+        .lines()
+        .last()
+        .unwrap_or_else(|| panic!("nothing printed: {}", text(&output.stderr)));
     serde_json::from_str(last).unwrap()
 }
 
 fn broken(verdict: &serde_json::Value) -> Vec<u64> {
     let rules = verdict["rules"].as_array().unwrap();
     assert_eq!(rules.len(), 5);
-    rules.iter().filter(|r| r["broken"] != 0).map(|r| r["rule"].as_u64().unwrap()).collect()
+    rules
+        .iter()
+        .filter(|r| r["broken"] != 0)
+        .map(|r| r["rule"].as_u64().unwrap())
+        .collect()
 }
 
 #[test]
@@ -38,12 +45,23 @@
     for seed in ["1", "2", "3"] {
         let output = run(&["rehearse", "--length", "6", "--seed", seed]);
         let verdict = verdict(&output);
-        assert_eq!(output.status.code(), Some(0), "seed {seed}: {}", text(&output.stdout));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "seed {seed}: {}",
+            text(&output.stdout)
+        );
         assert_eq!(verdict["verdict"], "kept");
         assert!(broken(&verdict).is_empty());
-        assert!(verdict["invocations"].as_u64().unwrap() > 1_500, "{verdict}");
+        assert!(
+            verdict["invocations"].as_u64().unwrap() > 1_500,
+            "{verdict}"
+        );
         for rule in verdict["rules"].as_array().unwrap() {
-            assert!(rule["checked"].as_u64().unwrap() > 50, "seed {seed} hardly tried rule {rule}");
+            assert!(
+                rule["checked"].as_u64().unwrap() > 50,
+                "seed {seed} hardly tried rule {rule}"
+            );
         }
         let overdue = text(&output.stdout).contains("in the module's place");
         assert!(!overdue, "{}", text(&output.stdout));
@@ -62,9 +80,17 @@
     let verdict = verdict(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     let cold = &verdict["rules"][3];
-    assert!(cold["rule"] == 4 && cold["checked"].as_u64().unwrap() > 50, "{verdict}");
-    let logged = text(&output.stderr).matches("the wall clock was stepped").count();
-    assert_eq!(logged, 1, "one front end's clock was stepped, and it says so once");
+    assert!(
+        cold["rule"] == 4 && cold["checked"].as_u64().unwrap() > 50,
+        "{verdict}"
+    );
+    let logged = text(&output.stderr)
+        .matches("the wall clock was stepped")
+        .count();
+    assert_eq!(
+        logged, 1,
+        "one front end's clock was stepped, and it says so once"
+    );
 }
 
 #[test]
@@ -75,10 +101,20 @@
     let verdict = verdict(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     let of = |key: &str| verdict[key].as_u64().unwrap();
-    assert!(of("succeeded") as f64 > 0.95 * of("invocations") as f64, "{}", text(&output.stdout));
+    assert!(
+        of("succeeded") as f64 > 0.95 * of("invocations") as f64,
+        "{}",
+        text(&output.stdout)
+    );
     let lost = text(&output.stdout);
-    let lost = lost.lines().find(|l| l.contains("were at front ends that were killed")).unwrap();
-    assert!(!lost.contains(", 0 were at"), "none was out at the kill: {lost}");
+    let lost = lost
+        .lines()
+        .find(|l| l.contains("were at front ends that were killed"))
+        .unwrap();
+    assert!(
+        !lost.contains(", 0 were at"),
+        "none was out at the kill: {lost}"
+    );
 }
 
 #[test]
@@ -92,27 +128,48 @@
         .unwrap();
     let mut first = String::new();
     // Nobody reads on after the first line, which must not end it.
-    BufReader::new(serving.stdout.take().unwrap()).read_line(&mut first).unwrap();
+    BufReader::new(serving.stdout.take().unwrap())
+        .read_line(&mut first)
+        .unwrap();
     assert!(first.starts_with("listening on"), "{first}");
-    assert!(serving.try_wait().unwrap().is_none(), "it serves while the input is open");
+    assert!(
+        serving.try_wait().unwrap().is_none(),
+        "it serves while the input is open"
+    );
     drop(serving.stdin.take());
     assert!(serving.wait().unwrap().success());
 }
 
 #[test]
 fn each_planted_breach_is_found_and_named() {
-    let day = r#"{ length: "4s", frontEnds: 2, executors: 6, locations: 2, rate: 60, functions: 10 }"#;
+    let day =
+        r#"{ length: "4s", frontEnds: 2, executors: 6, locations: 2, rate: 60, functions: 10 }"#;
     let day = file("planted.json5", day);
     let children: Vec<(u64, Child)> = (1..=5)
         .map(|rule| {
             let mut command = Command::new(PROGRAM);
-            command.arg("rehearse").arg(&day).args(["--inject-violation", &rule.to_string()]);
-            (rule, command.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap())
+            command
+                .arg("rehearse")
+                .arg(&day)
+                .args(["--inject-violation", &rule.to_string()]);
+            (
+                rule,
+                command
+                    .stdout(Stdio::piped())
+                    .stderr(Stdio::null())
+                    .spawn()
+                    .unwrap(),
+            )
         })
         .collect();
     for (rule, child) in children {
         let output = child.wait_with_output().unwrap();
-        assert_eq!(output.status.code(), Some(1), "rule {rule}: {}", text(&output.stdout));
+        assert_eq!(
+            output.status.code(),
+            Some(1),
+            "rule {rule}: {}",
+            text(&output.stdout)
+        );
         let verdict = verdict(&output);
         assert_eq!(verdict["verdict"], "broken");
         assert_eq!(broken(&verdict), [rule], "{}", text(&output.stdout));
@@ -130,18 +187,37 @@
     let play = |more: &[&str]| {
         let mut command = Command::new(PROGRAM);
         command.arg("rehearse").arg(&day).arg("--mqtt").args(more);
-        command.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap()
+        command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()
+            .unwrap()
     };
     let (well, planted) = (play(&[]), play(&["--inject-violation", "6"]));
     let output = well.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     let mqtt = verdict(&output)["mqtt"].clone();
     let of = |key: &str| mqtt[key].as_u64().unwrap();
-    assert!(of("messages") > 150 && of("answers") == of("messages"), "{mqtt}");
-    assert_eq!((of("answered_twice"), of("unanswered"), of("effects_twice"), of("untrue")), (0, 0, 0, 0));
+    assert!(
+        of("messages") > 150 && of("answers") == of("messages"),
+        "{mqtt}"
+    );
+    assert_eq!(
+        (
+            of("answered_twice"),
+            of("unanswered"),
+            of("effects_twice"),
+            of("untrue")
+        ),
+        (0, 0, 0, 0)
+    );
     let output = planted.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(1), "{}", text(&output.stdout));
-    assert!(verdict(&output)["mqtt"]["effects_twice"].as_u64().unwrap() > 0, "{}", text(&output.stdout));
+    assert!(
+        verdict(&output)["mqtt"]["effects_twice"].as_u64().unwrap() > 0,
+        "{}",
+        text(&output.stdout)
+    );
 }
 
 #[test]
@@ -151,13 +227,23 @@
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     assert!(broken(&verdict).is_empty(), "{}", text(&output.stdout));
     let roster = &verdict["roster"];
-    assert_eq!((&roster["stale_dispatches"], &roster["cold_fallen"]), (&0.into(), &0.into()));
+    assert_eq!(
+        (&roster["stale_dispatches"], &roster["cold_fallen"]),
+        (&0.into(), &0.into())
+    );
     assert!(
         roster["drains"].as_u64().unwrap() > 0 && roster["worst_drain_s"].as_f64().unwrap() < 1.35,
         "{roster}"
     );
     assert!(roster["relists"].as_u64().unwrap() > 0, "{roster}");
-    let planted = run(&["rehearse", "--etcd", "--length", "8", "--inject-violation", "2"]);
+    let planted = run(&[
+        "rehearse",
+        "--etcd",
+        "--length",
+        "8",
+        "--inject-violation",
+        "2",
+    ]);
     assert_eq!(planted.status.code(), Some(1), "{}", text(&planted.stdout));
 }
 
@@ -173,17 +259,39 @@
         .into_iter()
         .map(|new| {
             let mut command = Command::new(PROGRAM);
-            command.arg("rehearse").arg(&day).args(["--rollout", "--new-version", new]);
-            (new, command.stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap())
+            command
+                .arg("rehearse")
+                .arg(&day)
+                .args(["--rollout", "--new-version", new]);
+            (
+                new,
+                command
+                    .stdout(Stdio::piped())
+                    .stderr(Stdio::null())
+                    .spawn()
+                    .unwrap(),
+            )
         })
         .collect();
     for (new, child) in children {
         let output = child.wait_with_output().unwrap();
-        assert_eq!(output.status.code(), Some(0), "{new}: {}", text(&output.stdout));
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{new}: {}",
+            text(&output.stdout)
+        );
         let rollout = verdict(&output)["rollout"].clone();
         let number = |key: &str| rollout[key].as_u64().unwrap();
-        assert_eq!((number("effects_twice"), number("orders_over_ration")), (0, 0));
-        assert_eq!(number("digest_mismatches"), 0, "bytes that a digest doesn't name never run");
+        assert_eq!(
+            (number("effects_twice"), number("orders_over_ration")),
+            (0, 0)
+        );
+        assert_eq!(
+            number("digest_mismatches"),
+            0,
+            "bytes that a digest doesn't name never run"
+        );
         match new {
             "fine" => assert!(number("ran_new") > 10, "{}", text(&output.stdout)),
             "other-bytes" => assert_eq!(number("ran_new"), 0),
@@ -208,7 +316,14 @@
     let state = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("rollout-state");
     let _ = std::fs::remove_dir_all(&state);
     let mut serving = Command::new(PROGRAM)
-        .args(["rollout", "coordinate", "--listen", "127.0.0.1:0", "--until-input-ends", "--deployment"])
+        .args([
+            "rollout",
+            "coordinate",
+            "--listen",
+            "127.0.0.1:0",
+            "--until-input-ends",
+            "--deployment",
+        ])
         .arg(&deployment)
         .arg("--state")
         .arg(&state)
@@ -218,71 +333,133 @@
         .spawn()
         .unwrap();
     let mut first = String::new();
-    BufReader::new(serving.stdout.take().unwrap()).read_line(&mut first).unwrap();
-    let at = first.trim().strip_prefix("listening on http://").unwrap().to_owned();
+    BufReader::new(serving.stdout.take().unwrap())
+        .read_line(&mut first)
+        .unwrap();
+    let at = first
+        .trim()
+        .strip_prefix("listening on http://")
+        .unwrap()
+        .to_owned();
     let rollout = |arguments: &[&str]| {
         let output = run(&[&["rollout"], arguments, &["--at", &at]].concat());
-        (output.status.code(), text(&output.stdout), text(&output.stderr))
+        (
+            output.status.code(),
+            text(&output.stdout),
+            text(&output.stderr),
+        )
     };
-    let bad =
-        file("bad-plan.json5", "{ name: 'r', function: 'mist',\n  to: 'later', steps: [{ share: 2 }] }");
+    let bad = file(
+        "bad-plan.json5",
+        "{ name: 'r', function: 'mist',\n  to: 'later', steps: [{ share: 2 }] }",
+    );
     let (code, _, told) = rollout(&["start", bad.to_str().unwrap()]);
     assert_eq!(code, Some(2));
-    assert!(told.contains("bad-plan.json5:2:7: to: 'later' is no alias or digest of 'mist'"), "{told}");
-    assert!(told.contains("bad-plan.json5:2:33: steps[0].share: 2 is out of range"), "{told}");
+    assert!(
+        told.contains("bad-plan.json5:2:7: to: 'later' is no alias or digest of 'mist'"),
+        "{told}"
+    );
+    assert!(
+        told.contains("bad-plan.json5:2:33: steps[0].share: 2 is out of range"),
+        "{told}"
+    );
     let plan = file(
         "plan.json5",
         "{ name: 'r', function: 'mist', to: 'next', loadsPerSecond: 0.5, steps: [{ share: 0.1 }, { share: 1 }] }",
     );
     let plan = plan.to_str().unwrap();
     let (code, steps, _) = rollout(&["start", plan, "--dry-run"]);
-    assert!(code == Some(0) && steps.contains("of 0.8 that the ration grants"), "{steps}");
-    assert!(rollout(&["status", "r"]).0 == Some(1), "a dry run starts nothing");
+    assert!(
+        code == Some(0) && steps.contains("of 0.8 that the ration grants"),
+        "{steps}"
+    );
+    assert!(
+        rollout(&["status", "r"]).0 == Some(1),
+        "a dry run starts nothing"
+    );
     assert_eq!(rollout(&["start", plan]).0, Some(0));
     assert_eq!(rollout(&["start", plan]).0, Some(1), "it is on already");
     assert_eq!(rollout(&["pause", "r"]).0, Some(0));
     let (_, status, _) = rollout(&["status", "r", "--output", "json"]);
     assert!(status.contains("\"phase\":\"paused\""), "{status}");
     assert_eq!(rollout(&["resume", "r"]).0, Some(0));
-    assert_eq!(rollout(&["finish", "r"]).0, Some(1), "its last step is not on");
+    assert_eq!(
+        rollout(&["finish", "r"]).0,
+        Some(1),
+        "its last step is not on"
+    );
     assert_eq!(rollout(&["back", "r", "--why", "it smells"]).0, Some(0));
     let (_, history, _) = rollout(&["history", "r"]);
-    assert!(history.contains("it smells") && history.contains("hand"), "{history}");
+    assert!(
+        history.contains("it smells") && history.contains("hand"),
+        "{history}"
+    );
     drop(serving.stdin.take());
     assert!(serving.wait().unwrap().success());
     assert_eq!(rollout(&["status"]).0, Some(3), "nobody is there");
     // What it kept can be looked into, folded, and is found damaged where it is.
     let folder = state.to_str().unwrap();
     let shown = text(&run(&["journal", "show", folder]).stdout);
-    assert!(shown.lines().count() > 3 && shown.contains("it smells"), "{shown}");
+    assert!(
+        shown.lines().count() > 3 && shown.contains("it smells"),
+        "{shown}"
+    );
     assert_eq!(run(&["journal", "compact", folder]).status.code(), Some(0));
     let checked = text(&run(&["journal", "check", folder]).stdout);
-    assert!(checked.contains("whole: a snapshot of") && checked.contains("0 entries"), "{checked}");
+    assert!(
+        checked.contains("whole: a snapshot of") && checked.contains("0 entries"),
+        "{checked}"
+    );
     std::fs::write(state.join("snapshot-1"), b"orchjrn2 nonsense").unwrap();
     assert_eq!(run(&["journal", "check", folder]).status.code(), Some(1));
-    assert_eq!(run(&["journal", "check", "/nowhere/at/all"]).status.code(), Some(2));
+    assert_eq!(
+        run(&["journal", "check", "/nowhere/at/all"]).status.code(),
+        Some(2)
+    );
 }
 
 #[test]
 fn bad_input_is_told_with_its_place_and_exit_code_2() {
-    let day =
-        file("bad-day.json5", "{\n  length: '5s',\n  troubles: [{ kind: 'crsh', at: '1s', for: '1s' }],\n}");
+    let day = file(
+        "bad-day.json5",
+        "{\n  length: '5s',\n  troubles: [{ kind: 'crsh', at: '1s', for: '1s' }],\n}",
+    );
     let output = run(&["rehearse", day.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
     let told = text(&output.stderr);
-    assert!(told.contains("bad-day.json5:3:22: troubles[0].kind: 'crsh' is none of 'crash'"), "{told}");
-    let deployment = file("bad.json5", "{ triggerTypes: [], otherFunctions: { lanes: 1 }, executors: {} }");
-    for arguments in
-        [["check", deployment.to_str().unwrap(), ""], ["serve", "--deployment", deployment.to_str().unwrap()]]
-    {
+    assert!(
+        told.contains("bad-day.json5:3:22: troubles[0].kind: 'crsh' is none of 'crash'"),
+        "{told}"
+    );
+    let deployment = file(
+        "bad.json5",
+        "{ triggerTypes: [], otherFunctions: { lanes: 1 }, executors: {} }",
+    );
+    for arguments in [
+        ["check", deployment.to_str().unwrap(), ""],
+        ["serve", "--deployment", deployment.to_str().unwrap()],
+    ] {
         let arguments: Vec<&str> = arguments.into_iter().filter(|a| !a.is_empty()).collect();
         let output = run(&arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
-        assert!(text(&output.stderr).contains("bad.json5:1:"), "{}", text(&output.stderr));
+        assert!(
+            text(&output.stderr).contains("bad.json5:1:"),
+            "{}",
+            text(&output.stderr)
+        );
     }
-    assert_eq!(run(&["check", "/nowhere/at/all.json5"]).status.code(), Some(2));
-    assert_eq!(run(&["rehearse", "--inject-violation", "6"]).status.code(), Some(2));
-    let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/deployments/harbour-cranes.json5");
+    assert_eq!(
+        run(&["check", "/nowhere/at/all.json5"]).status.code(),
+        Some(2)
+    );
+    assert_eq!(
+        run(&["rehearse", "--inject-violation", "6"]).status.code(),
+        Some(2)
+    );
+    let example = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../examples/deployments/harbour-cranes.json5"
+    );
     assert_eq!(run(&["check", example]).status.code(), Some(0));
 }
 
@@ -295,22 +472,43 @@
     let output = run(&["rehearse", "--bench-day", day.to_str().unwrap()]);
     let out = text(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{out}");
-    assert!(out.contains("not carried over: the trouble 'eclipse'"), "{out}");
+    assert!(
+        out.contains("not carried over: the trouble 'eclipse'"),
+        "{out}"
+    );
     assert!(out.contains("crash"), "{out}");
     let other = file("no-day.json", "{}");
-    assert_eq!(run(&["rehearse", "--bench-day", other.to_str().unwrap()]).status.code(), Some(2));
+    assert_eq!(
+        run(&["rehearse", "--bench-day", other.to_str().unwrap()])
+            .status
+            .code(),
+        Some(2)
+    );
 }
 
 #[test]
 fn serve_without_arguments_answers_what_it_prints() {
     let mut command = Command::new(PROGRAM);
-    command.args(["serve", "--listen", "127.0.0.1:0"]).stdout(Stdio::piped()).stderr(Stdio::null());
+    command
+        .args(["serve", "--listen", "127.0.0.1:0"])
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null());
     let mut serving = command.spawn().unwrap();
-    let mut lines = BufReader::new(serving.stdout.take().unwrap()).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(serving.stdout.take().unwrap())
+        .lines()
+        .map_while(Result::ok);
     let first = lines.next().unwrap();
-    let at = first.strip_prefix("listening on http://").unwrap().to_owned();
+    let at = first
+        .strip_prefix("listening on http://")
+        .unwrap()
+        .to_owned();
     let curl = lines.next().unwrap();
-    assert!(curl.contains(&format!("curl -d 'hello' http://{at}/v1/functions/upper/invocations")), "{curl}");
+    assert!(
+        curl.contains(&format!(
+            "curl -d 'hello' http://{at}/v1/functions/upper/invocations"
+        )),
+        "{curl}"
+    );
     let mut invoke = Command::new(PROGRAM)
         .args(["invoke", "upper", "--at", &at])
         .stdin(Stdio::piped())
@@ -319,12 +517,30 @@
         .unwrap();
     invoke.stdin.take().unwrap().write_all(b"dawn").unwrap();
     let output = invoke.wait_with_output().unwrap();
-    assert_eq!((output.status.code(), text(&output.stdout).as_str()), (Some(0), "DAWN"));
+    assert_eq!(
+        (output.status.code(), text(&output.stdout).as_str()),
+        (Some(0), "DAWN")
+    );
     let unknown = run(&["invoke", "nothing", "--at", &at, "--data", ""]);
     assert_eq!(unknown.status.code(), Some(1));
-    assert!(text(&unknown.stderr).contains("unknown function"), "{}", text(&unknown.stderr));
-    let told = Command::new("kill").args(["-TERM", &serving.id().to_string()]).status().unwrap();
+    assert!(
+        text(&unknown.stderr).contains("unknown function"),
+        "{}",
+        text(&unknown.stderr)
+    );
+    let told = Command::new("kill")
+        .args(["-TERM", &serving.id().to_string()])
+        .status()
+        .unwrap();
     assert!(told.success());
-    assert!(serving.wait().unwrap().success(), "it ends well when told to");
-    assert_eq!(run(&["invoke", "upper", "--at", &at, "--data", ""]).status.code(), Some(3));
+    assert!(
+        serving.wait().unwrap().success(),
+        "it ends well when told to"
+    );
+    assert_eq!(
+        run(&["invoke", "upper", "--at", &at, "--data", ""])
+            .status
+            .code(),
+        Some(3)
+    );
 }
--- a/crates/cli/tests/config_store.rs
+++ b/crates/cli/tests/config_store.rs
@@ -27,7 +27,8 @@
 }
 
 fn ran(stage: &Stage, wanted: &str) -> usize {
-    let is_it = |record: &&Record| matches!(record, Record::Ran { invocation, .. } if invocation == wanted);
+    let is_it =
+        |record: &&Record| matches!(record, Record::Ran { invocation, .. } if invocation == wanted);
     stage.records().iter().filter(is_it).count()
 }
 
@@ -41,31 +42,46 @@
     let etcd = Served::start(&stage, 3).unwrap();
     let snapshot = folder("pause").join("s");
     // One stream at a time, so that an invocation waits behind another one for its bytes to go out.
-    let limits = r#"limits: { streamsPerConnection: 1, connectionsPerExecutor: 1, connectTime: "10s" },"#;
+    let limits =
+        r#"limits: { streamsPerConnection: 1, connectionsPerExecutor: 1, connectTime: "10s" },"#;
     let text = deployment_with(executor(&stage), &etcd.addresses, &snapshot, limits);
     let path = file("pause.json5", &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     let writer = Writer::new(&stage, &etcd);
     on(&stage, async {
-        writer.write(&[("functions/secret", Some(function(true, "refuse")))]).await;
-        until(&stage, "it may be called", async || answered(serve.send("secret", &[])).await.0 == 200).await;
+        writer
+            .write(&[("functions/secret", Some(function(true, "refuse")))])
+            .await;
+        until(&stage, "it may be called", async || {
+            answered(serve.send("secret", &[])).await.0 == 200
+        })
+        .await;
         let before = serve.send("slow", &named("before"));
         until(&stage, "it is out", async || ran(&stage, "before") == 1).await;
         let waiting = serve.send("secret", &named("waiting"));
         stage.sleep(0.3).await;
         serve.signal("STOP");
-        writer.write(&[("functions/secret", Some(function(false, "refuse")))]).await;
+        writer
+            .write(&[("functions/secret", Some(function(false, "refuse")))])
+            .await;
         let late = serve.send("secret", &named("late"));
         stage.sleep(PAUSE).await;
         serve.signal("CONT");
         for (name, stream) in [("waiting", waiting), ("late", late)] {
             let (status, body) = answered(stream).await;
             assert!(matches!(status, 403 | 503), "{name}: {body}");
-            assert!(body.contains("functions/secret"), "{name} was refused for what was taken away: {body}");
+            assert!(
+                body.contains("functions/secret"),
+                "{name} was refused for what was taken away: {body}"
+            );
             assert!(body.contains("\"mayHaveRun\":false"), "{name}: {body}");
             assert_eq!(ran(&stage, name), 0, "{name}");
         }
-        assert_eq!(answered(before).await.0, 200, "what was out before is answered");
+        assert_eq!(
+            answered(before).await.0,
+            200,
+            "what was out before is answered"
+        );
         until(&stage, "it has read what changed", async || {
             answered(serve.send("secret", &[])).await.0 == 403
         })
@@ -89,13 +105,28 @@
             ("functions/stored", Some(function(true, "serve"))),
         ];
         writer.write(&stored).await;
-        until(&stage, "it is there", async || answered(serve.send("stored", &[])).await.0 == 200).await;
-        replace(&path, &text.replace(r#"{ name: "slow", lanes: 32 }"#, r#"{ name: "other", lanes: 32 }"#));
+        until(&stage, "it is there", async || {
+            answered(serve.send("stored", &[])).await.0 == 200
+        })
+        .await;
+        replace(
+            &path,
+            &text.replace(
+                r#"{ name: "slow", lanes: 32 }"#,
+                r#"{ name: "other", lanes: 32 }"#,
+            ),
+        );
         serve.signal("HUP");
-        until(&stage, "the file's is there", async || answered(serve.send("other", &[])).await.0 == 200)
-            .await;
+        until(&stage, "the file's is there", async || {
+            answered(serve.send("other", &[])).await.0 == 200
+        })
+        .await;
         for (function, status) in [("stored", 200), ("listed", 403), ("slow", 404)] {
-            assert_eq!(answered(serve.send(function, &[])).await.0, status, "{function}");
+            assert_eq!(
+                answered(serve.send(function, &[])).await.0,
+                status,
+                "{function}"
+            );
         }
     });
 }
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -4,7 +4,9 @@
 #![allow(dead_code)]
 
 use futures_lite::future;
-use orchidtally_invariants::{Answer, Effect, Group, Limits, Standing, TriggerType, Verdict, judge};
+use orchidtally_invariants::{
+    Answer, Effect, Group, Limits, Standing, TriggerType, Verdict, judge,
+};
 use orchidtally_test_servers::Stage;
 use orchidtally_test_servers::platform::{Ask, Client, Executor, Lives, Resolver, Row, executors};
 use serde_json::{Value, json};
@@ -100,10 +102,13 @@
         let (stage, lives) = (Stage::new(seed), Rc::new(Lives::default()));
         let executors = executors(&stage, &lives, 6, front_ends, WINDOW).unwrap();
         let resolver = Resolver::new(&stage, &lives, &executors);
-        let at: Vec<SocketAddr> =
-            (0..front_ends).map(|_| orchidtally_test_servers::port_for_later().unwrap()).collect();
+        let at: Vec<SocketAddr> = (0..front_ends)
+            .map(|_| orchidtally_test_servers::port_for_later().unwrap())
+            .collect();
         let dns = (0..front_ends).map(|j| resolver.open(j).unwrap()).collect();
-        let clients = (0..front_ends).map(|j| Client::new(&stage, j, at[j as usize])).collect();
+        let clients = (0..front_ends)
+            .map(|j| Client::new(&stage, j, at[j as usize]))
+            .collect();
         Rc::new(Day {
             name: name.to_owned(),
             stage,
@@ -130,13 +135,18 @@
     /// Where its log goes on, life after life.
     fn log(&self, j: u32) -> Stdio {
         let path = self.file(j).with_extension("log");
-        let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
+        let file = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(path);
         file.map_or_else(|_| Stdio::null(), Stdio::from)
     }
 
     /// Has front ends that start from now on run with the library of faults in `examples/fault_shim.rs`.
     pub fn shim(&self, variables: &[(&'static str, String)]) {
-        let beside = PathBuf::from(PROGRAM).with_file_name("examples").join("libfault_shim.so");
+        let beside = PathBuf::from(PROGRAM)
+            .with_file_name("examples")
+            .join("libfault_shim.so");
         assert!(
             beside.is_file(),
             "{} is missing: cargo build -p orchidtally-cli --examples",
@@ -149,7 +159,9 @@
 
     /// Puts links between front ends that start from now on and all executors.
     pub fn link(&self) {
-        self.executors.iter().for_each(|executor| executor.link().unwrap());
+        self.executors
+            .iter()
+            .for_each(|executor| executor.link().unwrap());
     }
 
     pub fn configure(&self, j: u32) {
@@ -166,8 +178,16 @@
         self.lives.begin(j);
         self.configure(j);
         let mut command = Command::new(PROGRAM);
-        command.args(["serve", "--platform"]).env("LB_CONFIG", self.file(j)).stderr(self.log(j));
-        command.envs(self.environment.borrow().iter().map(|(key, value)| (*key, value.clone())));
+        command
+            .args(["serve", "--platform"])
+            .env("LB_CONFIG", self.file(j))
+            .stderr(self.log(j));
+        command.envs(
+            self.environment
+                .borrow()
+                .iter()
+                .map(|(key, value)| (*key, value.clone())),
+        );
         self.processes.borrow_mut()[j as usize] = Some(command.spawn().unwrap());
         for _ in 0..1_000 {
             if TcpStream::connect(self.at[j as usize]).is_ok() {
@@ -179,8 +199,13 @@
     }
 
     pub fn signal(&self, j: u32, name: &str) {
-        let id = self.processes.borrow()[j as usize].as_ref().map(Child::id).expect("it was started");
-        let told = Command::new("sh").args(["-c", &format!("kill -{name} {id}")]).status();
+        let id = self.processes.borrow()[j as usize]
+            .as_ref()
+            .map(Child::id)
+            .expect("it was started");
+        let told = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {id}")])
+            .status();
         assert!(told.unwrap().success());
     }
 
@@ -202,7 +227,11 @@
                 };
                 let (client, day) = (client.clone(), self.clone());
                 let leaves = self.leaving.get() > 0.0 && self.stage.unit() < self.leaving.get();
-                let patience = if leaves { LONGEST_PATIENCE * self.stage.unit() } else { f64::INFINITY };
+                let patience = if leaves {
+                    LONGEST_PATIENCE * self.stage.unit()
+                } else {
+                    f64::INFINITY
+                };
                 out.push(self.stage.spawn(async move {
                     let answer = client.invoke_for(&ask, patience).await;
                     if leaves && answer.is_none() {
@@ -226,15 +255,25 @@
     }
 
     pub fn verdict(&self) -> Verdict {
-        let stands = |e: &Rc<Executor>| orchidtally_invariants::Executor { location: 0, cell: e.cell.into() };
-        judge(&limits(), &self.executors.iter().map(stands).collect::<Vec<_>>(), &self.stage.records())
+        let stands = |e: &Rc<Executor>| orchidtally_invariants::Executor {
+            location: 0,
+            cell: e.cell.into(),
+        };
+        judge(
+            &limits(),
+            &self.executors.iter().map(stands).collect::<Vec<_>>(),
+            &self.stage.records(),
+        )
     }
 
     pub fn change(&self, executor: usize, standing: Standing) {
         self.resolver.change(|rows| {
             rows.retain(|r| r.executor.number != executor);
             if standing != Standing::Gone {
-                rows.push(Row { executor: self.executors[executor].clone(), standing });
+                rows.push(Row {
+                    executor: self.executors[executor].clone(),
+                    standing,
+                });
             }
         });
     }
@@ -276,9 +315,14 @@
             "{name}, {ty}: {well} succeeded, {throttled} throttled, {errored} errored, {none} without an answer"
         );
         // None may be served at the cost of another.
-        assert!(share([well, throttled, errored, none]) >= 0.5, "{name}, {ty}: under half succeeded");
+        assert!(
+            share([well, throttled, errored, none]) >= 0.5,
+            "{name}, {ty}: under half succeeded"
+        );
     }
-    let sum = all.into_iter().fold([0; 4], |sum, ty| std::array::from_fn(|n| sum[n] + ty[n]));
+    let sum = all
+        .into_iter()
+        .fold([0; 4], |sum, ty| std::array::from_fn(|n| sum[n] + ty[n]));
     (day.verdict(), share(sum))
 }
 
@@ -286,6 +330,9 @@
     let breaches: Vec<&String> = verdict.rules.iter().flat_map(|r| &r.breaches).collect();
     assert!(verdict.kept(), "{name}: {breaches:#?}");
     // How many come depends on the machine.
-    assert!(verdict.rules[0].checked > 50 && verdict.rules[1].checked > 50, "{name}: {verdict:?}");
+    assert!(
+        verdict.rules[0].checked > 50 && verdict.rules[1].checked > 50,
+        "{name}: {verdict:?}"
+    );
     assert!(succeeded >= least, "{name}: {succeeded} succeeded");
 }
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -20,7 +20,10 @@
 }
 
 fn named(name: &str) -> [(&str, &str); 2] {
-    [("orchidtally-invocation", name), ("orchidtally-trigger-type", "act")]
+    [
+        ("orchidtally-invocation", name),
+        ("orchidtally-trigger-type", "act"),
+    ]
 }
 
 /// Whether an answer is that of an invocation of before.
@@ -52,8 +55,9 @@
     wait_until(FAILS_AFTER - SLOW / 2.0);
     let across = serve.send("slow", &named("across"));
     wait_until(FAILS_AFTER + 0.2);
-    let refused: Vec<(u16, String)> =
-        (0..3).map(|n| serve.invoke("f", &named(&format!("refused-{n}")))).collect();
+    let refused: Vec<(u16, String)> = (0..3)
+        .map(|n| serve.invoke("f", &named(&format!("refused-{n}"))))
+        .collect();
     for (status, text) in &refused {
         assert_eq!(*status, 503, "nothing may be promised: {text}");
         assert!(text.contains("nothing has run"), "{text}");
@@ -65,13 +69,24 @@
     assert!(is_recorded(&serve.invoke("f", &named("before")).1));
     serve.signal("KILL");
     drop(serve);
-    let checked = Command::new(PROGRAM).args(["journal", "check"]).arg(&journal).output().unwrap();
+    let checked = Command::new(PROGRAM)
+        .args(["journal", "check"])
+        .arg(&journal)
+        .output()
+        .unwrap();
     assert!(checked.status.success(), "{checked:?}");
     let serve = Serve::start(&arguments);
     for name in ["before", "refused-0"] {
         let kept = serve.invoke("f", &named(name));
-        assert_eq!((kept.0, is_recorded(&kept.1)), (200, true), "{name}: {kept:?}");
+        assert_eq!(
+            (kept.0, is_recorded(&kept.1)),
+            (200, true),
+            "{name}: {kept:?}"
+        );
     }
     let kept = serve.invoke("slow", &named("across"));
-    assert!(is_recorded(&kept.1), "it must not run again: {across:?}, then {kept:?}");
+    assert!(
+        is_recorded(&kept.1),
+        "it must not run again: {across:?}, then {kept:?}"
+    );
 }
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -23,7 +23,13 @@
 const WAITING_REQUESTS: usize = 24;
 
 fn executor(stage: &Stage, number: usize) -> Rc<Executor> {
-    let program = || Program { lanes: 32, load_time: 0.02, work: 0.002, run: echo, ..Program::default() };
+    let program = || Program {
+        lanes: 32,
+        load_time: 0.02,
+        work: 0.002,
+        run: echo,
+        ..Program::default()
+    };
     let around = Surroundings {
         store: Store::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| Some(program())),
@@ -42,7 +48,11 @@
 /// Executors at which invocations ran whose names begin so.
 fn ran_at(stage: &Stage, label: &str) -> Vec<usize> {
     let of = |record: &Record| match record {
-        Record::Ran { executor, invocation, .. } if invocation.starts_with(label) => Some(*executor),
+        Record::Ran {
+            executor,
+            invocation,
+            ..
+        } if invocation.starts_with(label) => Some(*executor),
         _ => None,
     };
     let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
@@ -65,7 +75,10 @@
     let path = file(name, &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     on(stage, async {
-        until(stage, "it serves", async || answered(serve.send("first", &[])).await == 200).await;
+        until(stage, "it serves", async || {
+            answered(serve.send("first", &[])).await == 200
+        })
+        .await;
         for n in 0..WAITING_REQUESTS {
             assert_eq!(answered(send(&serve, "before", n)).await, 200);
         }
@@ -73,14 +86,21 @@
         serve.signal("STOP");
         drain();
         stage.sleep(STOPPED_FOR).await;
-        let waiting: Vec<TcpStream> = (0..WAITING_REQUESTS).map(|n| send(&serve, "waited", n)).collect();
+        let waiting: Vec<TcpStream> = (0..WAITING_REQUESTS)
+            .map(|n| send(&serve, "waited", n))
+            .collect();
         stage.sleep(0.1).await;
         serve.signal("CONT");
         for stream in waiting {
             assert_eq!(answered(stream).await, 200);
         }
     });
-    assert_eq!(ran_at(stage, "waited"), [1], "the other was told to drain long ago:\n{}", serve.log());
+    assert_eq!(
+        ran_at(stage, "waited"),
+        [1],
+        "the other was told to drain long ago:\n{}",
+        serve.log()
+    );
 }
 
 #[test]
@@ -91,10 +111,20 @@
     let put = |n: usize, standing: &str| {
         let key = format!("/orchidtally/executors/{}", executors[n].address).into();
         let value = format!(r#"{{"standing":"{standing}","since":1}}"#).into();
-        etcd.store.borrow_mut().put(&PutRequest { key, value, ..PutRequest::default() }).unwrap();
+        etcd.store
+            .borrow_mut()
+            .put(&PutRequest {
+                key,
+                value,
+                ..PutRequest::default()
+            })
+            .unwrap();
     };
     (0..2).for_each(|n| put(n, "ready"));
-    let source = format!(r#"etcd: {{ endpoints: ["{}"], lease: "10s" }}"#, etcd.addresses[0]);
+    let source = format!(
+        r#"etcd: {{ endpoints: ["{}"], lease: "10s" }}"#,
+        etcd.addresses[0]
+    );
     drains_during_a_stop(&stage, &source, "stop-etcd.json5", || {
         // The store is slow to tell it, so that the requests that waited are read before.
         etcd.faults.stalled.set(stage.now() + STOPPED_FOR + 0.5);
--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -49,7 +49,10 @@
             all.push(message.clone());
             all.len() == 1
         };
-        let answer = match (message["t"].as_str().unwrap(), f["item"].as_str().unwrap_or_default()) {
+        let answer = match (
+            message["t"].as_str().unwrap(),
+            f["item"].as_str().unwrap_or_default(),
+        ) {
             ("DO", BREAKS_OFF) if first => {
                 out.write_all(br#"{"t":"DONE","i":""#).unwrap();
                 return out.shutdown(std::net::Shutdown::Both).unwrap();
@@ -110,7 +113,10 @@
 
 /// What a front end is told, and where it is to listen.
 pub fn told(hosts: &[Value], sockets: usize) -> (String, SocketAddr) {
-    let resolver = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let resolver = UdpSocket::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let at = orchidtally_test_servers::port_for_later().unwrap();
     let told = json!({
         "name": "n0", "listen": at, "seed": "8c1f30d27a5be964", "dns": resolver,
@@ -126,7 +132,9 @@
 
 pub fn start_among(name: &str, executors: usize, sockets: usize) -> FrontEnd {
     let seen = Seen::default();
-    let hosts: Vec<Value> = (1..=executors).map(|n| host(n, executor(seen.clone()))).collect();
+    let hosts: Vec<Value> = (1..=executors)
+        .map(|n| host(n, executor(seen.clone())))
+        .collect();
     start_with(name, &hosts, sockets, seen)
 }
 
@@ -142,31 +150,51 @@
 impl FrontEnd {
     pub fn begin(file: PathBuf, at: SocketAddr, seen: Seen) -> FrontEnd {
         let mut command = Command::new(PROGRAM);
-        command.args(["serve", "--platform"]).env("LB_CONFIG", &file).stderr(Stdio::null());
-        FrontEnd { process: command.spawn().unwrap(), at, file, seen }
+        command
+            .args(["serve", "--platform"])
+            .env("LB_CONFIG", &file)
+            .stderr(Stdio::null());
+        FrontEnd {
+            process: command.spawn().unwrap(),
+            at,
+            file,
+            seen,
+        }
     }
 
     pub fn listens(&self) {
         let begun = Instant::now();
         while TcpStream::connect(self.at).is_err() {
-            assert!(begun.elapsed() < Duration::from_secs(10), "it never listened");
+            assert!(
+                begun.elapsed() < Duration::from_secs(10),
+                "it never listened"
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     pub fn client(&self) -> TcpStream {
         let stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(6))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(6)))
+            .unwrap();
         stream
     }
 
     pub fn signal(&self, name: &str) {
-        let told = Command::new("sh").args(["-c", &format!("kill -{name} {}", self.process.id())]).status();
+        let told = Command::new("sh")
+            .args(["-c", &format!("kill -{name} {}", self.process.id())])
+            .status();
         assert!(told.unwrap().success());
     }
 
     pub fn dispatches(&self, id: &str) -> Vec<Value> {
-        self.seen.lock().unwrap().get(id).cloned().unwrap_or_default()
+        self.seen
+            .lock()
+            .unwrap()
+            .get(id)
+            .cloned()
+            .unwrap_or_default()
     }
 }
 
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -16,7 +16,10 @@
 #[test]
 fn a_calm_day_is_served_and_keeps_the_rules() {
     let (verdict, succeeded) = play("calm", 2, 3.0, |_| async {});
-    assert!(verdict.rules[4].checked > 0, "orders were given: {verdict:?}");
+    assert!(
+        verdict.rules[4].checked > 0,
+        "orders were given: {verdict:?}"
+    );
     kept("calm", (verdict, succeeded), 0.98);
 }
 
@@ -32,7 +35,9 @@
     ] {
         let name = format!("{spoil:?}");
         let day = play(&name, 2, 1.6, |day| async move {
-            day.executors.iter().for_each(|e| e.faults.spoils.set(Some((spoil, 0.1))));
+            day.executors
+                .iter()
+                .for_each(|e| e.faults.spoils.set(Some((spoil, 0.1))));
         });
         kept(&name, day, least);
     }
@@ -60,7 +65,9 @@
         killed.wait().unwrap();
         day.start(1).await;
         day.stage.sleep(1.2).await;
-        let code = day.processes.borrow_mut()[0].as_mut().and_then(|p| p.try_wait().unwrap());
+        let code = day.processes.borrow_mut()[0]
+            .as_mut()
+            .and_then(|p| p.try_wait().unwrap());
         assert_eq!(code.and_then(|c| c.code()), Some(0), "it ended by itself");
         day.start(0).await;
     });
@@ -69,16 +76,20 @@
 
 /// Says lines to an executor under a front end's address, as one that breaks the rules would.
 async fn say(day: &Day, executor: usize, lines: impl IntoIterator<Item = Value>) {
-    let mut stream = Async::<TcpStream>::connect(day.executors[executor].at[0]).await.unwrap();
+    let mut stream = Async::<TcpStream>::connect(day.executors[executor].at[0])
+        .await
+        .unwrap();
     for line in lines {
-        stream.write_all(format!("{line}\n").as_bytes()).await.unwrap();
+        stream
+            .write_all(format!("{line}\n").as_bytes())
+            .await
+            .unwrap();
     }
     day.stage.sleep(0.3).await;
 }
 
 fn invoked(id: u64, service: &str) -> Value {
-    let fields =
-        json!({"cls": service, "item": "0000000000000001", "limit": 1000, "nonce": format!("{id:032x}")});
+    let fields = json!({"cls": service, "item": "0000000000000001", "limit": 1000, "nonce": format!("{id:032x}")});
     json!({"t": "DO", "i": format!("{id:016x}"), "f": fields, "b": ""})
 }
 
@@ -88,7 +99,16 @@
     let mut invocation = [0; 1_024];
     let _ = stream.read(&mut invocation).await.unwrap();
     let mut out = vec![];
-    (0..times).for_each(|_| frames::put(&mut out, frames::ANSWER, 1, Some(frames::ERRORED), Some(&[]), &[]));
+    (0..times).for_each(|_| {
+        frames::put(
+            &mut out,
+            frames::ANSWER,
+            1,
+            Some(frames::ERRORED),
+            Some(&[]),
+            &[],
+        )
+    });
     stream.write_all(&out).await.unwrap();
     future::pending().await
 }
@@ -99,13 +119,24 @@
     day.lives.begin(0);
     day.resolver.known(0);
     async_io::block_on(day.stage.tasks.run(script(day.clone())));
-    day.verdict().rules.iter().filter(|r| r.broken > 0).map(|r| r.rule).collect()
+    day.verdict()
+        .rules
+        .iter()
+        .filter(|r| r.broken > 0)
+        .map(|r| r.rule)
+        .collect()
 }
 
 async fn ask_rogue(day: Rc<Day>, times: usize) {
     let listener = Async::<TcpListener>::bind(day.at[0]).unwrap();
     day.stage.spawn(answers(listener, times)).detach();
-    let ask = Ask { id: 1, trigger_type: (0, "read"), function: 1, allow: 0.3, body: vec![] };
+    let ask = Ask {
+        id: 1,
+        trigger_type: (0, "read"),
+        function: 1,
+        allow: 0.3,
+        body: vec![],
+    };
     day.clients[0].invoke(&ask).await;
 }
 
@@ -115,17 +146,23 @@
     assert_eq!(broken(|day| ask_rogue(day, 0)), [1], "never answered");
     assert!(broken(|day| ask_rogue(day, 1)).is_empty());
     assert_eq!(broken(|day| ask_rogue(day, 2)), [1], "answered twice");
-    for (service, to, found) in
-        [("command", 1, &[2][..]), ("update", 2, &[2]), ("update", 1, &[]), ("read", 5, &[])]
-    {
+    for (service, to, found) in [
+        ("command", 1, &[2][..]),
+        ("update", 2, &[2]),
+        ("update", 1, &[]),
+        ("read", 5, &[]),
+    ] {
         let found_now = broken(|day| async move {
             say(&day, 0, [invoked(1, service)]).await;
             say(&day, to, [invoked(1, service)]).await;
         });
         assert_eq!(found_now, found, "{service} again at executor {to}");
     }
-    for (standing, found) in [(Standing::Draining, &[3][..]), (Standing::Gone, &[3]), (Standing::Ready, &[])]
-    {
+    for (standing, found) in [
+        (Standing::Draining, &[3][..]),
+        (Standing::Gone, &[3]),
+        (Standing::Ready, &[]),
+    ] {
         let found_now = broken(|day| async move {
             day.change(0, standing);
             day.resolver.known(0);
@@ -146,8 +183,7 @@
         assert_eq!(found_now, found, "{dispatches} sent to a cold one");
     }
     for (orders, found) in [(4, &[][..]), (6, &[5])] {
-        let order =
-            |n| json!({"t": "PIN", "i": format!("order-{n}"), "f": {"item": "0000000000000001", "count": 1}});
+        let order = |n| json!({"t": "PIN", "i": format!("order-{n}"), "f": {"item": "0000000000000001", "count": 1}});
         let found_now = broken(|day| async move { say(&day, 0, (0..orders).map(order)).await });
         assert_eq!(found_now, found, "{orders} orders");
     }
--- a/crates/cli/tests/platform_lists.rs
+++ b/crates/cli/tests/platform_lists.rs
@@ -22,13 +22,24 @@
         }
         (3..5).for_each(|x| day.change(x, Standing::Gone));
     });
-    assert!(verdict.rules[2].checked > 0 && verdict.rules[3].checked > 0, "{verdict:?}");
+    assert!(
+        verdict.rules[2].checked > 0 && verdict.rules[3].checked > 0,
+        "{verdict:?}"
+    );
     kept("drain", (verdict, succeeded), 0.9);
 }
 
 #[test]
 fn an_odd_resolver_that_moves_keeps_the_rules() {
-    for odd in [Odd::Lost, Odd::Foreign, Odd::Truncated, Odd::Cut, Odd::Failed, Odd::Stale, Odd::Late] {
+    for odd in [
+        Odd::Lost,
+        Odd::Foreign,
+        Odd::Truncated,
+        Odd::Cut,
+        Odd::Failed,
+        Odd::Stale,
+        Odd::Late,
+    ] {
         let name = format!("{odd:?}");
         let day = play(&name, 2, 3.0, |day| async move {
             day.resolver.odd.set(Some((odd, 0.25)));
--- a/crates/cli/tests/platform_shim.rs
+++ b/crates/cli/tests/platform_shim.rs
@@ -43,16 +43,26 @@
         let (verdict, _) = play_prepared(&name, 1, 2.0, shim, |day| async move {
             day.stage.sleep(0.75).await;
             for record in day.stage.records() {
-                let Record::Reached { executor, .. } = record else { continue };
+                let Record::Reached { executor, .. } = record else {
+                    continue;
+                };
                 let count = if executor == 0 { &counts.0 } else { &counts.1 };
                 count.set(count.get() + 1);
             }
         });
-        println!("{name}: {} cold, {} warm", reached_cold.get(), reached.get());
+        println!(
+            "{name}: {} cold, {} warm",
+            reached_cold.get(),
+            reached.get()
+        );
         assert!(verdict.kept(), "{verdict:?}");
         assert!(reached.get() >= 10, "{name}: the warm one serves");
         // Warm, it would get as many as the other; its budget grants one for each span at the start.
-        assert!(4 * reached_cold.get() <= reached.get(), "{name}: {} cold", reached_cold.get());
+        assert!(
+            4 * reached_cold.get() <= reached.get(),
+            "{name}: {} cold",
+            reached_cold.get()
+        );
     }
 }
 
@@ -62,7 +72,10 @@
     for (seed, percent) in [(1, 2), (2, 10), (3, 10), (4, 15), (5, 15)] {
         let name = format!("calls-{seed}");
         let shim = |day: &Day| {
-            day.shim(&[("FAULT_PERCENT", format!("{percent}")), ("FAULT_SEED", format!("{seed}"))]);
+            day.shim(&[
+                ("FAULT_PERCENT", format!("{percent}")),
+                ("FAULT_SEED", format!("{seed}")),
+            ]);
         };
         let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
             day.stage.sleep(0.6).await;
@@ -82,7 +95,10 @@
     for (seed, broken) in [(1, 5), (2, 20), (3, 60)] {
         let name = format!("broken-{seed}");
         let shim = |day: &Day| {
-            day.shim(&[("FAULT_BROKEN", format!("{broken}")), ("FAULT_SEED", format!("{seed}"))]);
+            day.shim(&[
+                ("FAULT_BROKEN", format!("{broken}")),
+                ("FAULT_SEED", format!("{seed}")),
+            ]);
         };
         let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
             day.stage.sleep(1.0).await;
--- a/crates/cli/tests/platform_soak.rs
+++ b/crates/cli/tests/platform_soak.rs
@@ -85,8 +85,18 @@
         Odd::OddText,
         Odd::OddStanding,
     ];
-    let spoils = [Spoil::Unread, Spoil::Half, Spoil::Noise, Spoil::BadBody, Spoil::Twice, Spoil::Never];
-    let (front_end, executor) = (random.random_range(0..FRONT_ENDS), random.random_range(STAY..EXECUTORS));
+    let spoils = [
+        Spoil::Unread,
+        Spoil::Half,
+        Spoil::Noise,
+        Spoil::BadBody,
+        Spoil::Twice,
+        Spoil::Never,
+    ];
+    let (front_end, executor) = (
+        random.random_range(0..FRONT_ENDS),
+        random.random_range(STAY..EXECUTORS),
+    );
     let time = random.random_range(0.3..1.2);
     let any_executor = random.random_range(0..EXECUTORS);
     match random.random_range(0..16) {
@@ -144,13 +154,17 @@
     while day.stage.now() < by {
         if let Some(status) = process.try_wait().unwrap() {
             if status.code() != Some(0) {
-                wrong.borrow_mut().push(format!("a front end told to end ended with {status}"));
+                wrong
+                    .borrow_mut()
+                    .push(format!("a front end told to end ended with {status}"));
             }
             return;
         }
         day.stage.sleep(0.01).await;
     }
-    wrong.borrow_mut().push("a front end had to be killed after its time".to_owned());
+    wrong
+        .borrow_mut()
+        .push("a front end had to be killed after its time".to_owned());
     process.kill().unwrap();
     process.wait().unwrap();
 }
@@ -166,7 +180,11 @@
     }
     day.stage.sleep(time).await;
     signal(process.id(), "CONT");
-    day.stage.record(Record::Stopped { at, front_end: j, until: day.stage.now() });
+    day.stage.record(Record::Stopped {
+        at,
+        front_end: j,
+        until: day.stage.now(),
+    });
     day.processes.borrow_mut()[j as usize] = Some(process);
 }
 
@@ -178,22 +196,38 @@
             day.resolver.odd.set(None);
         }
         Fault::Silence(time) => day.resolver.go_away(time, 4.5, FRONT_ENDS),
-        Fault::SpoiltAnswers(x, spoil, share) => day.executors[x].faults.spoils.set(Some((spoil, share))),
+        Fault::SpoiltAnswers(x, spoil, share) => {
+            day.executors[x].faults.spoils.set(Some((spoil, share)))
+        }
         Fault::Vanish(x, time) => day.executors[x].fall_silent(time),
-        Fault::Reset(x) => day.executors[x].links.borrow().iter().for_each(|link| link.reset()),
+        Fault::Reset(x) => day.executors[x]
+            .links
+            .borrow()
+            .iter()
+            .for_each(|link| link.reset()),
         Fault::HalfLine(x, bytes) => {
-            day.executors[x].links.borrow().iter().for_each(|link| link.reset_after.set(Some(bytes)));
+            day.executors[x]
+                .links
+                .borrow()
+                .iter()
+                .for_each(|link| link.reset_after.set(Some(bytes)));
         }
         Fault::StalledAnswers(x, time) => {
             let until = day.stage.now() + time;
-            day.executors[x].links.borrow().iter().for_each(|link| link.stalls_answers.set(until));
+            day.executors[x]
+                .links
+                .borrow()
+                .iter()
+                .for_each(|link| link.stalls_answers.set(until));
         }
         Fault::Change(x, standing) => change(&day, x, standing).await,
         Fault::Stop(j, time) => stop(&day, j, time, None).await,
         Fault::StopThroughDrain(j, x, time) => stop(&day, j, time, Some(x)).await,
         Fault::HangUp(j, times) => {
             for _ in 0..times {
-                let Some(id) = day.processes.borrow()[j as usize].as_ref().map(Child::id) else { return };
+                let Some(id) = day.processes.borrow()[j as usize].as_ref().map(Child::id) else {
+                    return;
+                };
                 let moved = day.resolver.open(j).unwrap();
                 day.dns.borrow_mut()[j as usize] = moved;
                 // Half of it first, as by a slow writer.
@@ -204,14 +238,21 @@
             }
         }
         Fault::Replace(j) => {
-            let Some(mut process) = take(&day, j) else { return };
+            let Some(mut process) = take(&day, j) else {
+                return;
+            };
             signal(process.id(), "TERM");
             ended(&day, &mut process, &wrong).await;
             day.start(j).await;
         }
         Fault::Kill(j) => {
-            let Some(mut process) = take(&day, j) else { return };
-            day.stage.record(Record::Killed { at: day.stage.now(), front_end: j });
+            let Some(mut process) = take(&day, j) else {
+                return;
+            };
+            day.stage.record(Record::Killed {
+                at: day.stage.now(),
+                front_end: j,
+            });
             process.kill().unwrap();
             process.wait().unwrap();
             day.start(j).await;
@@ -220,7 +261,9 @@
 }
 
 fn signal(id: u32, name: &str) {
-    let told = std::process::Command::new("sh").args(["-c", &format!("kill -{name} {id}")]).status();
+    let told = std::process::Command::new("sh")
+        .args(["-c", &format!("kill -{name} {id}")])
+        .status();
     assert!(told.unwrap().success());
 }
 
@@ -239,7 +282,11 @@
 
     fn line(&self) -> String {
         let v = &self.verdict;
-        let broken: Vec<String> = v.rules.iter().map(|r| format!("{}/{}", r.broken, r.checked)).collect();
+        let broken: Vec<String> = v
+            .rules
+            .iter()
+            .map(|r| format!("{}/{}", r.broken, r.checked))
+            .collect();
         format!(
             "seed {}: {} faults, {} invocations, {} succeeded, {} throttled, {} errored, {} withdrawn; rules broken/checked {}{}",
             self.seed,
@@ -265,8 +312,14 @@
     day.leaving.set(LEAVING);
     // Before the first list, which tells the links' addresses.
     day.link();
-    let percent = if random.random_bool(0.3) { random.random_range(1..8) } else { 0 };
-    let step = *[0.0, 0.0, 3_600.0, -3_600.0, 5.0, -5.0].choose(&mut random).expect("there are some");
+    let percent = if random.random_bool(0.3) {
+        random.random_range(1..8)
+    } else {
+        0
+    };
+    let step = *[0.0, 0.0, 3_600.0, -3_600.0, 5.0, -5.0]
+        .choose(&mut random)
+        .expect("there are some");
     day.shim(&[
         ("FAULT_PERCENT", format!("{percent}")),
         ("FAULT_SEED", format!("{seed}")),
@@ -294,15 +347,25 @@
     async_io::block_on(day.stage.tasks.run(all));
     for process in day.processes.borrow_mut().iter_mut().flatten() {
         if let Some(status) = process.try_wait().unwrap() {
-            wrong.borrow_mut().push(format!("a front end ended by itself: {status}"));
+            wrong
+                .borrow_mut()
+                .push(format!("a front end ended by itself: {status}"));
         }
     }
     let wrong = wrong.borrow().clone();
-    Played { seed, verdict: day.verdict(), faults, wrong }
+    Played {
+        seed,
+        verdict: day.verdict(),
+        faults,
+        wrong,
+    }
 }
 
 fn number(key: &str, otherwise: u64) -> u64 {
-    std::env::var(key).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+    std::env::var(key)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(otherwise)
 }
 
 #[test]
@@ -320,23 +383,37 @@
                     let day = play_seed(seed);
                     println!("{}", day.line());
                     let breaches = day.verdict.rules.iter().flat_map(|r| &r.breaches);
-                    breaches.chain(&day.wrong).for_each(|what| println!("    {what}"));
+                    breaches
+                        .chain(&day.wrong)
+                        .for_each(|what| println!("    {what}"));
                     if !day.is_sound() {
                         println!("    faults: {:?}", day.faults);
                     }
                     let broken = day.verdict.rules.iter().map(|r| r.broken).sum::<u64>();
                     let checked = day.verdict.rules.iter().map(|r| r.checked).sum::<u64>();
-                    played.lock().unwrap().push((seed, broken, checked, day.is_sound()));
+                    played
+                        .lock()
+                        .unwrap()
+                        .push((seed, broken, checked, day.is_sound()));
                 }
             });
         }
     });
     let mut played = played.into_inner().unwrap();
     played.sort_unstable();
-    let (broken, checked): (u64, u64) = played.iter().fold((0, 0), |sum, p| (sum.0 + p.1, sum.1 + p.2));
+    let (broken, checked): (u64, u64) = played
+        .iter()
+        .fold((0, 0), |sum, p| (sum.0 + p.1, sum.1 + p.2));
     let bad: Vec<u64> = played.iter().filter(|p| !p.3).map(|p| p.0).collect();
-    let worst = played.iter().max_by_key(|p| p.1).filter(|p| p.1 > 0).map(|p| p.0);
-    println!("{} seeds: {checked} checks, {broken} broken, bad seeds {bad:?}, worst {worst:?}", played.len());
+    let worst = played
+        .iter()
+        .max_by_key(|p| p.1)
+        .filter(|p| p.1 > 0)
+        .map(|p| p.0);
+    println!(
+        "{} seeds: {checked} checks, {broken} broken, bad seeds {bad:?}, worst {worst:?}",
+        played.len()
+    );
     assert!(checked > 500 * count, "too little was checked: {checked}");
     assert!(bad.is_empty(), "seeds {bad:?}");
 }
--- a/crates/cli/tests/reload.rs
+++ b/crates/cli/tests/reload.rs
@@ -35,7 +35,10 @@
 #[test]
 fn what_can_change_changes_without_a_restart() {
     let executor = executor();
-    let path = file("reload-changes.json5", &deployment(executor, &["first"], "5s", ""));
+    let path = file(
+        "reload-changes.json5",
+        &deployment(executor, &["first"], "5s", ""),
+    );
     let mut serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     assert_eq!((serve.status("first"), serve.status("second")), (200, 404));
     replace(&path, &deployment(executor, &["second"], "5s", ""));
@@ -46,16 +49,33 @@
     replace(&path, &deployment(executor, &["second"], "5s", customers));
     serve.signal("HUP");
     serve.logs(IN_FORCE, 2);
-    assert_eq!(serve.status("second"), 400, "a customer has to be named now");
-    assert_eq!(serve.invoke("second", &[("orchidtally-customer", "north")]).0, 200);
-    assert_eq!(serve.invoke("second", &[("orchidtally-customer", "south")]).0, 403);
+    assert_eq!(
+        serve.status("second"),
+        400,
+        "a customer has to be named now"
+    );
+    assert_eq!(
+        serve
+            .invoke("second", &[("orchidtally-customer", "north")])
+            .0,
+        200
+    );
+    assert_eq!(
+        serve
+            .invoke("second", &[("orchidtally-customer", "south")])
+            .0,
+        403
+    );
     assert!(serve.is_alive());
 }
 
 #[test]
 fn an_open_invocation_keeps_the_trigger_type_that_it_was_admitted_with() {
     let executor = executor();
-    let path = file("reload-open.json5", &deployment(executor, &["slow"], "5s", ""));
+    let path = file(
+        "reload-open.json5",
+        &deployment(executor, &["slow"], "5s", ""),
+    );
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     let open = serve.send("slow", &[]);
     std::thread::sleep(Duration::from_millis(200));
@@ -64,10 +84,21 @@
     serve.logs(IN_FORCE, 1);
     let begun = std::time::Instant::now();
     let late = serve.invoke("slow", &[]);
-    assert!(matches!(late.0, 503 | 504), "the new client timeout holds: {}", late.1);
-    assert!(begun.elapsed().as_secs_f64() < SLOW, "it was answered within the new timeout");
+    assert!(
+        matches!(late.0, 503 | 504),
+        "the new client timeout holds: {}",
+        late.1
+    );
+    assert!(
+        begun.elapsed().as_secs_f64() < SLOW,
+        "it was answered within the new timeout"
+    );
     let first = answer(open);
-    assert_eq!(first.0, 200, "the old one holds for what was open: {}", first.1);
+    assert_eq!(
+        first.0, 200,
+        "the old one holds for what was open: {}",
+        first.1
+    );
 }
 
 #[test]
@@ -83,16 +114,36 @@
         serve.logs(NOT_APPLIED, refused);
         let log = serve.log();
         assert!(log.contains(why), "'{why}' is not told:\n{log}");
-        assert_eq!((serve.status("first"), serve.status("second")), (200, 404), "{why}");
+        assert_eq!(
+            (serve.status("first"), serve.status("second")),
+            (200, 404),
+            "{why}"
+        );
     };
     // A fault beside a good change.
-    replace(&path, &deployment(executor, &["first", "second"], "100ms", ""));
-    refuses(&serve, "triggerTypes[0].objective: 0.3 s is over the client timeout");
+    replace(
+        &path,
+        &deployment(executor, &["first", "second"], "100ms", ""),
+    );
+    refuses(
+        &serve,
+        "triggerTypes[0].objective: 0.3 s is over the client timeout",
+    );
     // Changes that need a restart beside one that doesn't.
     let needs_restart = r#"listen: "127.0.0.1:7999", limits: { openInvocations: 7 },"#;
-    replace(&path, &deployment(executor, &["first", "second"], "5s", needs_restart));
-    refuses(&serve, "listen: has changed, which takes effect at a restart only");
-    assert!(serve.log().contains("limits: has changed, which takes effect at a restart only"));
+    replace(
+        &path,
+        &deployment(executor, &["first", "second"], "5s", needs_restart),
+    );
+    refuses(
+        &serve,
+        "listen: has changed, which takes effect at a restart only",
+    );
+    assert!(
+        serve
+            .log()
+            .contains("limits: has changed, which takes effect at a restart only")
+    );
     let whole = deployment(executor, &["first", "second"], "5s", "");
     for length in [0, 1, whole.len() / 3, whole.len() / 2, whole.len() - 2] {
         std::fs::write(&path, &whole[..length]).unwrap();
@@ -104,13 +155,20 @@
     replace(&path, &whole);
     serve.signal("HUP");
     serve.logs(IN_FORCE, 1);
-    assert_eq!((serve.status("first"), serve.status("second")), (200, 200), "a good file mends it");
+    assert_eq!(
+        (serve.status("first"), serve.status("second")),
+        (200, 200),
+        "a good file mends it"
+    );
 }
 
 #[test]
 fn of_many_signals_the_last_file_counts() {
     let executor = executor();
-    let path = file("reload-many.json5", &deployment(executor, &["f0"], "5s", ""));
+    let path = file(
+        "reload-many.json5",
+        &deployment(executor, &["f0"], "5s", ""),
+    );
     let mut serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     for n in 1..=30 {
         replace(&path, &deployment(executor, &[&format!("f{n}")], "5s", ""));
@@ -132,7 +190,10 @@
 #[test]
 fn a_signal_while_it_ends_changes_nothing_and_what_is_open_is_answered() {
     let executor = executor();
-    let path = file("reload-end.json5", &deployment(executor, &["slow"], "5s", ""));
+    let path = file(
+        "reload-end.json5",
+        &deployment(executor, &["slow"], "5s", ""),
+    );
     let mut serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     let open = serve.send("slow", &[]);
     std::thread::sleep(Duration::from_millis(200));
@@ -164,7 +225,13 @@
     let path = file("reload-early.json5", "");
     std::fs::remove_file(&path).unwrap();
     // A file that takes as long to be read as this test wants.
-    assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
+    assert!(
+        Command::new("mkfifo")
+            .arg(&path)
+            .status()
+            .unwrap()
+            .success()
+    );
     let first = deployment(executor, &["first"], "5s", "");
     let second = deployment(executor, &["second"], "5s", "");
     let mut serve = Serve::start_with(&["--deployment", path.to_str().unwrap()], |process| {
--- a/crates/cli/tests/roster.rs
+++ b/crates/cli/tests/roster.rs
@@ -12,7 +12,13 @@
 
 fn roster(file: &PathBuf, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidtally"));
-    command.arg("roster").args(arguments).arg("--deployment").arg(file).output().unwrap()
+    command
+        .arg("roster")
+        .args(arguments)
+        .arg("--deployment")
+        .arg(file)
+        .output()
+        .unwrap()
 }
 
 #[test]
@@ -23,7 +29,8 @@
         let etcd = Served::start(&stage, 2).unwrap();
         let put = PutRequest {
             key: "/orchidtally/executors/10.0.0.1:7000".into(),
-            value: r#"{"location":"north","kind":"gpu","cell":3,"standing":"ready","since":1}"#.into(),
+            value: r#"{"location":"north","kind":"gpu","cell":3,"standing":"ready","since":1}"#
+                .into(),
             ..PutRequest::default()
         };
         etcd.store.borrow_mut().put(&put).unwrap();
@@ -40,7 +47,14 @@
     };
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = folder.join("roster.json5");
-    std::fs::write(&file, deployment(&format!("etcd: {{ endpoints: [{}] }}", endpoints.join(", ")))).unwrap();
+    std::fs::write(
+        &file,
+        deployment(&format!(
+            "etcd: {{ endpoints: [{}] }}",
+            endpoints.join(", ")
+        )),
+    )
+    .unwrap();
     let listed = text(&roster(&file, &["list"]).stdout);
     assert!(
         listed.contains("10.0.0.1:7000") && listed.contains("ready") && listed.contains("north"),
@@ -49,24 +63,47 @@
     assert!(listed.contains("1 executors, 0 front ends"), "{listed}");
     let drained = roster(&file, &["drain", "10.0.0.1:7000", "--wait", "1"]);
     assert_eq!(drained.status.code(), Some(0), "{}", text(&drained.stderr));
-    assert!(text(&drained.stdout).contains("is drained as of revision 3"), "{}", text(&drained.stdout));
+    assert!(
+        text(&drained.stdout).contains("is drained as of revision 3"),
+        "{}",
+        text(&drained.stdout)
+    );
     let listed: serde_json::Value =
         serde_json::from_slice(&roster(&file, &["list", "--json"]).stdout).unwrap();
     assert_eq!(
-        (&listed["executors"][0]["drained"], listed["executors"].as_array().unwrap().len()),
+        (
+            &listed["executors"][0]["drained"],
+            listed["executors"].as_array().unwrap().len()
+        ),
         (&true.into(), 1)
     );
     let back = roster(&file, &["undrain", "10.0.0.1:7000"]);
-    assert!(text(&back.stdout).contains("is drained no more"), "{}", text(&back.stdout));
+    assert!(
+        text(&back.stdout).contains("is drained no more"),
+        "{}",
+        text(&back.stdout)
+    );
     assert!(text(&roster(&file, &["undrain", "10.0.0.1:7000"]).stdout).contains("was not drained"));
     let watched = text(&roster(&file, &["watch", "--seconds", "0.2"]).stdout);
     assert!(watched.contains("ready"), "{watched}");
     // A deployment whose executors are listed, and a store that is not there.
     let other = folder.join("roster-listed.json5");
-    std::fs::write(&other, deployment(r#"list: [{ address: "10.0.0.1:7000" }]"#)).unwrap();
+    std::fs::write(
+        &other,
+        deployment(r#"list: [{ address: "10.0.0.1:7000" }]"#),
+    )
+    .unwrap();
     assert_eq!(roster(&other, &["list"]).status.code(), Some(2));
-    std::fs::write(&other, deployment(r#"etcd: { endpoints: ["127.0.0.1:1"] }"#)).unwrap();
+    std::fs::write(
+        &other,
+        deployment(r#"etcd: { endpoints: ["127.0.0.1:1"] }"#),
+    )
+    .unwrap();
     let away = roster(&other, &["list"]);
     assert_eq!(away.status.code(), Some(3));
-    assert!(text(&away.stderr).contains("the store is not to be reached"), "{}", text(&away.stderr));
+    assert!(
+        text(&away.stderr).contains("the store is not to be reached"),
+        "{}",
+        text(&away.stderr)
+    );
 }
--- a/crates/cli/tests/serve_kit/mod.rs
+++ b/crates/cli/tests/serve_kit/mod.rs
@@ -25,8 +25,18 @@
     std::thread::spawn(move || {
         let stage = Stage::new(1);
         let program = |name: &str| {
-            let work = if name.starts_with("slow") { SLOW } else { 0.001 };
-            Some(Program { lanes: 64, load_time: 0.01, work, run: echo, ..Program::default() })
+            let work = if name.starts_with("slow") {
+                SLOW
+            } else {
+                0.001
+            };
+            Some(Program {
+                lanes: 64,
+                load_time: 0.01,
+                work,
+                run: echo,
+                ..Program::default()
+            })
         };
         let around = Surroundings {
             store: Store::new(&stage, 8.0, 8),
@@ -34,8 +44,13 @@
             tokens: Rc::default(),
             token_window: 5.0,
         };
-        let executor =
-            Executor::start(&stage, Make::roomy(1), orchidtally_test_servers::any_port(), around).unwrap();
+        let executor = Executor::start(
+            &stage,
+            Make::roomy(1),
+            orchidtally_test_servers::any_port(),
+            around,
+        )
+        .unwrap();
         tell.send(executor.address).unwrap();
         async_io::block_on(stage.tasks.run(std::future::pending::<()>()));
     });
@@ -84,14 +99,24 @@
 
     /// The same with the library of faults in `examples/fault_shim.rs`, which reads these variables.
     pub fn start_shimmed(variables: &[(&str, String)], arguments: &[&str]) -> Serve {
-        let shim = PathBuf::from(PROGRAM).with_file_name("examples").join("libfault_shim.so");
-        assert!(shim.is_file(), "{} is missing: cargo build -p orchidtally-cli --examples", shim.display());
+        let shim = PathBuf::from(PROGRAM)
+            .with_file_name("examples")
+            .join("libfault_shim.so");
+        assert!(
+            shim.is_file(),
+            "{} is missing: cargo build -p orchidtally-cli --examples",
+            shim.display()
+        );
         let mut environment = variables.to_vec();
         environment.push(("LD_PRELOAD", shim.display().to_string()));
         Serve::start_in(&environment, arguments, |_| {})
     }
 
-    fn start_in(environment: &[(&str, String)], arguments: &[&str], meanwhile: impl FnOnce(&Child)) -> Serve {
+    fn start_in(
+        environment: &[(&str, String)],
+        arguments: &[&str],
+        meanwhile: impl FnOnce(&Child),
+    ) -> Serve {
         let mut process = Command::new(PROGRAM)
             .envs(environment.iter().map(|(key, value)| (*key, value.clone())))
             .args(["serve", "--listen", "127.0.0.1:0"])
@@ -112,8 +137,13 @@
         });
         meanwhile(&process);
         let mut told = String::new();
-        BufReader::new(process.stdout.take().unwrap()).read_line(&mut told).unwrap();
-        let at = told.trim().strip_prefix("listening on http://").and_then(|at| at.parse().ok());
+        BufReader::new(process.stdout.take().unwrap())
+            .read_line(&mut told)
+            .unwrap();
+        let at = told
+            .trim()
+            .strip_prefix("listening on http://")
+            .and_then(|at| at.parse().ok());
         let at = at.unwrap_or_else(|| panic!("it said '{told}': {}", log.lock().unwrap()));
         Serve { process, at, log }
     }
@@ -131,7 +161,11 @@
     pub fn logs(&self, text: &str, times: usize) {
         let begun = Instant::now();
         while self.log().matches(text).count() < times {
-            assert!(begun.elapsed() < PATIENCE, "'{text}' is not {times} times in its log:\n{}", self.log());
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "'{text}' is not {times} times in its log:\n{}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -148,7 +182,11 @@
             if let Some(status) = self.process.try_wait().unwrap() {
                 return status;
             }
-            assert!(begun.elapsed() < PATIENCE, "it did not end:\n{}", self.log());
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "it did not end:\n{}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -160,8 +198,12 @@
         let mut request = format!(
             "POST /v1/functions/{function}/invocations HTTP/1.1\r\nhost: test\r\nconnection: close\r\ncontent-length: 2\r\n"
         );
-        headers.iter().for_each(|(name, value)| request += &format!("{name}: {value}\r\n"));
-        stream.write_all(format!("{request}\r\nhi").as_bytes()).unwrap();
+        headers
+            .iter()
+            .for_each(|(name, value)| request += &format!("{name}: {value}\r\n"));
+        stream
+            .write_all(format!("{request}\r\nhi").as_bytes())
+            .unwrap();
         stream
     }
 
@@ -179,13 +221,25 @@
 /// Sends a process a signal, such as `HUP`.
 pub fn signal(process: &Child, name: &str) {
     let id = process.id().to_string();
-    assert!(Command::new("kill").args([&format!("-{name}"), &id]).status().unwrap().success());
+    assert!(
+        Command::new("kill")
+            .args([&format!("-{name}"), &id])
+            .status()
+            .unwrap()
+            .success()
+    );
 }
 
 /// Reads the answer to an invocation.
 pub fn answer(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
-    let status = text.split(' ').nth(1).and_then(|status| status.parse().ok());
-    (status.unwrap_or_else(|| panic!("no answer: '{text}'")), text)
+    let status = text
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok());
+    (
+        status.unwrap_or_else(|| panic!("no answer: '{text}'")),
+        text,
+    )
 }
