--- a/crates/config-sync/benches/core.rs
+++ b/crates/config-sync/benches/core.rs
@@ -3,8 +3,8 @@
 //! `cargo bench -p orchidtally-config-sync`
 
 use orchidtally_config_sync::{
-    Action, BarrierAnswer, Change, ConfigSync, EntryKey, GatewaySchema, Header, Keyspace, RangeAnswer,
-    RangeEntry, SyncSettings, WatchBatch,
+    Action, BarrierAnswer, Change, ConfigSync, EntryKey, GatewaySchema, Header, Keyspace,
+    RangeAnswer, RangeEntry, SyncSettings, WatchBatch,
 };
 use std::hint::black_box;
 use std::time::Instant;
@@ -29,7 +29,11 @@
 
 fn resident_mb() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0);
+    let pages = statm
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse::<f64>().ok())
+        .unwrap_or(0.0);
     pages * PAGE / 1e6
 }
 
@@ -40,12 +44,20 @@
     entries: &[RangeEntry],
     snapshots: &mut Vec<Vec<u8>>,
 ) {
-    let header = Header { cluster: CLUSTER, revision: 1 };
+    let header = Header {
+        cluster: CLUSTER,
+        revision: 1,
+    };
     while let Some(action) = core.poll(now) {
         match action {
-            Action::Barrier { id } => {
-                core.barrier_answer(now, BarrierAnswer { id, header, generation: None })
-            }
+            Action::Barrier { id } => core.barrier_answer(
+                now,
+                BarrierAnswer {
+                    id,
+                    header,
+                    generation: None,
+                },
+            ),
             Action::Read(request) => {
                 let from = entries.partition_point(|entry| entry.key < request.range.start);
                 let until = entries.partition_point(|entry| entry.key < request.range.end);
@@ -54,7 +66,13 @@
                 let more = page < until;
                 core.range_answer(
                     now,
-                    RangeAnswer { id: request.id, header, entries: answered, more, bytes: 0 },
+                    RangeAnswer {
+                        id: request.id,
+                        header,
+                        entries: answered,
+                        more,
+                        bytes: 0,
+                    },
                 );
             }
             Action::WriteSnapshot { bytes, .. } => snapshots.push(bytes),
@@ -67,11 +85,16 @@
     let settings = SyncSettings::default();
     let keyspace = Keyspace::new(settings.prefix.clone());
     let mut entries: Vec<RangeEntry> = (0..FUNCTIONS)
-        .map(|n| RangeEntry { key: keyspace.entry(&key(n)), value: document(n), mod_revision: 1 })
+        .map(|n| RangeEntry {
+            key: keyspace.entry(&key(n)),
+            value: document(n),
+            mod_revision: 1,
+        })
         .collect();
     entries.sort_by(|a, b| a.key.cmp(&b.key));
     let before = resident_mb();
-    let mut core = ConfigSync::new(settings.clone(), GatewaySchema, 1, 0.0).expect("the settings are sound");
+    let mut core =
+        ConfigSync::new(settings.clone(), GatewaySchema, 1, 0.0).expect("the settings are sound");
     let (mut now, mut snapshots) = (0.0, vec![]);
     core.connected(now);
     while !core.is_loaded() {
@@ -79,7 +102,10 @@
         now += 0.05;
     }
     answer(&mut core, now, &entries, &mut snapshots);
-    let bytes: usize = entries.iter().map(|entry| entry.key.len() + entry.value.len()).sum();
+    let bytes: usize = entries
+        .iter()
+        .map(|entry| entry.key.len() + entry.value.len())
+        .sum();
     println!(
         "{FUNCTIONS} functions, {bytes} bytes of keys and documents; {} entries in force",
         core.view().len()
@@ -94,15 +120,39 @@
     for n in 0..CHANGES {
         let revision = n as i64 + 2;
         let key = keyspace.entry(&key(n * 7 % FUNCTIONS));
-        let changes = vec![Change { key, value: Some(document(n)), mod_revision: revision }];
-        let header = Header { cluster: CLUSTER, revision };
-        core.watch_batch(now, WatchBatch { header, changes, complete: true });
+        let changes = vec![Change {
+            key,
+            value: Some(document(n)),
+            mod_revision: revision,
+        }];
+        let header = Header {
+            cluster: CLUSTER,
+            revision,
+        };
+        core.watch_batch(
+            now,
+            WatchBatch {
+                header,
+                changes,
+                complete: true,
+            },
+        );
     }
-    println!("a change: {:.1} us", began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64);
+    println!(
+        "a change: {:.1} us",
+        began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
+    );
 
     let began = Instant::now();
     for n in 0..1_000_000usize {
-        black_box(core.admits(now, if n % 2 == 0 { "functions/f17" } else { "functions/none" }));
+        black_box(core.admits(
+            now,
+            if n % 2 == 0 {
+                "functions/f17"
+            } else {
+                "functions/none"
+            },
+        ));
     }
     println!("a verdict: {:.3} us", began.elapsed().as_secs_f64());
 
@@ -110,11 +160,16 @@
     let began = Instant::now();
     while let Some(action) = core.poll(now) {
         if let Action::WriteSnapshot { bytes, .. } = action {
-            println!("a snapshot: {:.1} ms, {} bytes", began.elapsed().as_secs_f64() * 1e3, bytes.len());
+            println!(
+                "a snapshot: {:.1} ms, {} bytes",
+                began.elapsed().as_secs_f64() * 1e3,
+                bytes.len()
+            );
             snapshots.push(bytes);
         }
     }
-    let mut restored = ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
+    let mut restored =
+        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
     let began = Instant::now();
     let from = restored.restore(0.0, &[&snapshots[snapshots.len() - 1]]);
     println!(
--- a/crates/config-sync/src/applier.rs
+++ b/crates/config-sync/src/applier.rs
@@ -100,7 +100,9 @@
 
     /// Blocked keys, and the revisions of their transactions.
     pub(crate) fn blocked_keys(&self) -> impl Iterator<Item = (&EntryKey, i64)> {
-        self.blocked_keys.iter().map(|(key, blocked)| (key, blocked.revision))
+        self.blocked_keys
+            .iter()
+            .map(|(key, blocked)| (key, blocked.revision))
     }
 
     /// As of when the entry in force under a blocked key was certainly current; `None` if the key isn't blocked.
@@ -110,14 +112,24 @@
 
     /// Rejections in the order of revisions, and how many found no place.
     pub(crate) fn rejections(&self) -> (Vec<&Rejection>, usize) {
-        let mut rejections: Vec<&Rejection> =
-            self.blocked.iter().flat_map(|blocked| &blocked.rejections).collect();
+        let mut rejections: Vec<&Rejection> = self
+            .blocked
+            .iter()
+            .flat_map(|blocked| &blocked.rejections)
+            .collect();
         rejections.sort_by_key(|rejection| rejection.revision);
-        (rejections, self.blocked.iter().map(|blocked| blocked.omitted).sum())
+        (
+            rejections,
+            self.blocked.iter().map(|blocked| blocked.omitted).sum(),
+        )
     }
 
     /// Applies one transaction, whose values `context.stored` holds already.
-    pub(crate) fn apply<S: Schema<Entry = E>>(&mut self, context: &Context<'_, S>, transaction: Transaction) {
+    pub(crate) fn apply<S: Schema<Entry = E>>(
+        &mut self,
+        context: &Context<'_, S>,
+        transaction: Transaction,
+    ) {
         let remainders = self.take_overtaken(&transaction.keys);
         if !remainders.is_empty() && self.apply_together(context, &transaction, &remainders) {
             return;
@@ -135,7 +147,10 @@
         let before = std::mem::take(&mut self.blocked_keys);
         let transactions = differences(context, &self.view, &before);
         self.blocked.clear();
-        let keys: Vec<EntryKey> = transactions.iter().flat_map(|t| t.keys.iter().cloned()).collect();
+        let keys: Vec<EntryKey> = transactions
+            .iter()
+            .flat_map(|t| t.keys.iter().cloned())
+            .collect();
         if let Ok(view) = candidate(context, &self.view, &keys, context.revision) {
             self.commit(view);
             return;
@@ -158,8 +173,11 @@
     /// Tries blocked transactions again: all together, then a bounded number one by one.
     pub(crate) fn retry<S: Schema<Entry = E>>(&mut self, context: &Context<'_, S>) {
         self.retry_wanted = false;
-        let all: Vec<EntryKey> =
-            self.blocked.iter().flat_map(|b| b.transaction.keys.iter().cloned()).collect();
+        let all: Vec<EntryKey> = self
+            .blocked
+            .iter()
+            .flat_map(|b| b.transaction.keys.iter().cloned())
+            .collect();
         if let Ok(view) = candidate(context, &self.view, &all, context.revision) {
             self.blocked.clear();
             self.blocked_keys.clear();
@@ -168,13 +186,21 @@
         }
         let count = self.blocked.len();
         let tried = count.min(MAX_RETRIES);
-        let mut places: Vec<usize> = (0..tried).map(|offset| (self.retry_from + offset) % count).collect();
-        self.retry_from = if count > tried { (self.retry_from + tried) % count } else { 0 };
+        let mut places: Vec<usize> = (0..tried)
+            .map(|offset| (self.retry_from + offset) % count)
+            .collect();
+        self.retry_from = if count > tried {
+            (self.retry_from + tried) % count
+        } else {
+            0
+        };
         places.sort_unstable();
         let mut healed = BTreeSet::new();
         for place in places {
             let transaction = &self.blocked[place].transaction;
-            if let Ok(view) = candidate(context, &self.view, &transaction.keys, transaction.revision) {
+            if let Ok(view) =
+                candidate(context, &self.view, &transaction.keys, transaction.revision)
+            {
                 self.commit(view);
                 healed.insert(place);
             }
@@ -199,11 +225,28 @@
         }
         let as_of = f64::NEG_INFINITY;
         for key in unread {
-            self.blocked_keys.insert(key, BlockedKey { revision: context.revision, as_of });
+            self.blocked_keys.insert(
+                key,
+                BlockedKey {
+                    revision: context.revision,
+                    as_of,
+                },
+            );
         }
-        for LastGood { key, record, blocked_revision } in last_good {
+        for LastGood {
+            key,
+            record,
+            blocked_revision,
+        } in last_good
+        {
             view.set(&key, record);
-            self.blocked_keys.insert(key, BlockedKey { revision: blocked_revision, as_of });
+            self.blocked_keys.insert(
+                key,
+                BlockedKey {
+                    revision: blocked_revision,
+                    as_of,
+                },
+            );
         }
         self.view = Arc::new(view);
         self.apply_all(context);
@@ -215,12 +258,21 @@
         if !keys.iter().any(|key| self.blocked_keys.contains_key(key)) {
             return vec![];
         }
-        let (overtaken, others) = std::mem::take(&mut self.blocked)
-            .into_iter()
-            .partition(|blocked: &Blocked| blocked.transaction.keys.iter().any(|key| keys.contains(key)));
+        let (overtaken, others) =
+            std::mem::take(&mut self.blocked)
+                .into_iter()
+                .partition(|blocked: &Blocked| {
+                    blocked
+                        .transaction
+                        .keys
+                        .iter()
+                        .any(|key| keys.contains(key))
+                });
         self.blocked = others;
-        let mut remainders: Vec<Transaction> =
-            overtaken.into_iter().map(|blocked: Blocked| blocked.transaction).collect();
+        let mut remainders: Vec<Transaction> = overtaken
+            .into_iter()
+            .map(|blocked: Blocked| blocked.transaction)
+            .collect();
         for remainder in &mut remainders {
             remainder.keys.retain(|key| !keys.contains(key));
         }
@@ -235,8 +287,14 @@
         remainders: &[Transaction],
     ) -> bool {
         let mut keys = transaction.keys.clone();
-        keys.extend(remainders.iter().flat_map(|remainder| remainder.keys.iter().cloned()));
-        let Ok(view) = candidate(context, &self.view, &keys, transaction.revision) else { return false };
+        keys.extend(
+            remainders
+                .iter()
+                .flat_map(|remainder| remainder.keys.iter().cloned()),
+        );
+        let Ok(view) = candidate(context, &self.view, &keys, transaction.revision) else {
+            return false;
+        };
         for key in &keys {
             self.blocked_keys.remove(key);
         }
@@ -244,7 +302,11 @@
         true
     }
 
-    fn apply_or_block<S: Schema<Entry = E>>(&mut self, context: &Context<'_, S>, transaction: Transaction) {
+    fn apply_or_block<S: Schema<Entry = E>>(
+        &mut self,
+        context: &Context<'_, S>,
+        transaction: Transaction,
+    ) {
         match candidate(context, &self.view, &transaction.keys, transaction.revision) {
             Ok(view) => {
                 for key in &transaction.keys {
@@ -256,17 +318,33 @@
         }
     }
 
-    fn block(&mut self, fresh_as_of: f64, transaction: Transaction, mut rejections: Vec<Rejection>) {
-        let kept: usize = self.blocked.iter().map(|blocked| blocked.rejections.len()).sum();
+    fn block(
+        &mut self,
+        fresh_as_of: f64,
+        transaction: Transaction,
+        mut rejections: Vec<Rejection>,
+    ) {
+        let kept: usize = self
+            .blocked
+            .iter()
+            .map(|blocked| blocked.rejections.len())
+            .sum();
         let found = rejections.len();
         rejections.truncate(MAX_REJECTIONS.saturating_sub(kept));
         let omitted = found - rejections.len();
         let revision = transaction.revision;
         for key in &transaction.keys {
-            let new = BlockedKey { revision, as_of: fresh_as_of };
+            let new = BlockedKey {
+                revision,
+                as_of: fresh_as_of,
+            };
             self.blocked_keys.entry(key.clone()).or_insert(new).revision = revision;
         }
-        self.blocked.push(Blocked { transaction, rejections, omitted });
+        self.blocked.push(Blocked {
+            transaction,
+            rejections,
+            omitted,
+        });
     }
 
     fn unblock(&mut self, healed: &BTreeSet<usize>) {
@@ -307,16 +385,23 @@
         };
         match read_record(context, key, &entry.document, entry.mod_revision) {
             Ok(record) => candidate.set(key, Some(Arc::new(record))),
-            Err(invalid) => rejections.push(rejection(key, revision, &invalid.reason, &invalid.remedy)),
+            Err(invalid) => {
+                rejections.push(rejection(key, revision, &invalid.reason, &invalid.remedy))
+            }
         }
     }
     if rejections.is_empty() {
         let violations = context.schema.check(&candidate, keys);
-        let of =
-            |v: &crate::schema::Violation| rejection(&v.key, revision, &v.invalid.reason, &v.invalid.remedy);
+        let of = |v: &crate::schema::Violation| {
+            rejection(&v.key, revision, &v.invalid.reason, &v.invalid.remedy)
+        };
         rejections.extend(violations.iter().map(of));
     }
-    if rejections.is_empty() { Ok(candidate) } else { Err(rejections) }
+    if rejections.is_empty() {
+        Ok(candidate)
+    } else {
+        Err(rejections)
+    }
 }
 
 /// Reads a document into a record.
@@ -328,12 +413,22 @@
 ) -> Result<Record<S::Entry>, crate::schema::InvalidEntry> {
     let envelope = Envelope::parse(document, context.max_value_bytes)?;
     let entry = context.schema.parse(key, envelope.spec)?;
-    Ok(Record { mod_revision, when_stale: envelope.when_stale, document: document.clone(), entry })
+    Ok(Record {
+        mod_revision,
+        when_stale: envelope.when_stale,
+        document: document.clone(),
+        entry,
+    })
 }
 
 fn rejection(key: &EntryKey, revision: i64, reason: &str, remedy: &str) -> Rejection {
     let shorten = |text: &str| text.chars().take(MAX_REASON_CHARS).collect();
-    Rejection { key: key.to_string(), revision, reason: shorten(reason), remedy: shorten(remedy) }
+    Rejection {
+        key: key.to_string(),
+        revision,
+        reason: shorten(reason),
+        remedy: shorten(remedy),
+    }
 }
 
 /// Where the store differs from the view: by transaction in the order of revisions, then each deletion whose
@@ -351,16 +446,24 @@
             known.mod_revision == entry.mod_revision && known.document == entry.document
         });
         if !is_same {
-            changed.entry(entry.mod_revision).or_default().push(entry.key.clone());
+            changed
+                .entry(entry.mod_revision)
+                .or_default()
+                .push(entry.key.clone());
         }
     }
     let mut deleted = vec![];
     for (key, _) in view.iter().filter(|(key, _)| stored.get(key).is_none()) {
         match blocked.get(key) {
             Some(known) => changed.entry(known.revision).or_default().push(key.clone()),
-            None => deleted.push(Transaction { revision: context.revision, keys: vec![key.clone()] }),
+            None => deleted.push(Transaction {
+                revision: context.revision,
+                keys: vec![key.clone()],
+            }),
         }
     }
-    let changed = changed.into_iter().map(|(revision, keys)| Transaction { revision, keys });
+    let changed = changed
+        .into_iter()
+        .map(|(revision, keys)| Transaction { revision, keys });
     changed.chain(deleted).collect()
 }
--- a/crates/config-sync/src/backlog.rs
+++ b/crates/config-sync/src/backlog.rs
@@ -63,18 +63,24 @@
         for change in changes {
             self.push_one(change);
         }
-        let newest = self.revisions.last_key_value().map_or(self.complete_through, |(newest, _)| *newest);
+        let newest = self
+            .revisions
+            .last_key_value()
+            .map_or(self.complete_through, |(newest, _)| *newest);
         if self.changes > self.max_changes || self.bytes > self.max_bytes {
             return Err(BacklogFull);
         }
-        self.incomplete = Some(newest).filter(|newest| !complete && *newest > self.complete_through);
+        self.incomplete =
+            Some(newest).filter(|newest| !complete && *newest > self.complete_through);
         self.told_through(newest);
         Ok(())
     }
 
     /// Everything up to this revision was told, but for what is known to be incomplete.
     pub(crate) fn told_through(&mut self, revision: i64) {
-        let most = self.incomplete.map_or(revision, |incomplete| revision.min(incomplete - 1));
+        let most = self
+            .incomplete
+            .map_or(revision, |incomplete| revision.min(incomplete - 1));
         self.complete_through = self.complete_through.max(most);
     }
 
@@ -105,7 +111,10 @@
 
     fn forget(&mut self, changes: &ChangesByKey) {
         self.changes -= changes.len();
-        self.bytes -= changes.iter().map(|(key, value)| bytes_of(key, value.as_deref())).sum::<usize>();
+        self.bytes -= changes
+            .iter()
+            .map(|(key, value)| bytes_of(key, value.as_deref()))
+            .sum::<usize>();
     }
 }
 
--- a/crates/config-sync/src/deletions.rs
+++ b/crates/config-sync/src/deletions.rs
@@ -20,7 +20,12 @@
     let hashes: Vec<u64> = bucket.iter().map(StoredEntry::hash).collect();
     let mut chosen = vec![];
     let is_found = (1..=MAX_DELETED).any(|count| choose(&hashes, 0, count, lacking, &mut chosen));
-    is_found.then(|| chosen.iter().map(|&place| bucket[place].key.clone()).collect())
+    is_found.then(|| {
+        chosen
+            .iter()
+            .map(|&place| bucket[place].key.clone())
+            .collect()
+    })
 }
 
 /// Chooses so many hashes, from a place on, that sum up to `sum`.
@@ -30,7 +35,13 @@
     }
     for (place, hash) in hashes.iter().enumerate().skip(from) {
         chosen.push(place);
-        if choose(hashes, place + 1, count - 1, sum.wrapping_sub(*hash), chosen) {
+        if choose(
+            hashes,
+            place + 1,
+            count - 1,
+            sum.wrapping_sub(*hash),
+            chosen,
+        ) {
             return true;
         }
         chosen.pop();
--- a/crates/config-sync/src/digest.rs
+++ b/crates/config-sync/src/digest.rs
@@ -48,13 +48,18 @@
 
     /// Buckets in which the two differ, in ascending order.
     pub fn differing(&self, other: &Digests) -> Vec<usize> {
-        (0..BUCKET_COUNT).filter(|&bucket| self.0[bucket] != other.0[bucket]).collect()
+        (0..BUCKET_COUNT)
+            .filter(|&bucket| self.0[bucket] != other.0[bucket])
+            .collect()
     }
 
     /// The value of a group's key in the store: its buckets' digests, big-endian, one behind the other.
     pub fn encode_group(&self, group: usize) -> Vec<u8> {
         let first = group * BUCKETS_PER_GROUP;
-        self.0[first..first + BUCKETS_PER_GROUP].iter().flat_map(|digest| digest.to_be_bytes()).collect()
+        self.0[first..first + BUCKETS_PER_GROUP]
+            .iter()
+            .flat_map(|digest| digest.to_be_bytes())
+            .collect()
     }
 
     /// Takes in the value of a group's key; `false` if it has another length than it must have, and nothing changed.
@@ -66,7 +71,9 @@
         for (offset, bytes) in digests.iter().enumerate() {
             self.0[group * BUCKETS_PER_GROUP + offset] = u64::from_be_bytes(*bytes);
         }
-        debug_assert!(digests.len() == BUCKETS_PER_GROUP && group_of(group * BUCKETS_PER_GROUP) == group);
+        debug_assert!(
+            digests.len() == BUCKETS_PER_GROUP && group_of(group * BUCKETS_PER_GROUP) == group
+        );
         true
     }
 }
--- a/crates/config-sync/src/freshness.rs
+++ b/crates/config-sync/src/freshness.rs
@@ -26,7 +26,10 @@
 
 impl Default for Freshness {
     fn default() -> Freshness {
-        Freshness { as_of: f64::NEG_INFINITY, questions: VecDeque::new() }
+        Freshness {
+            as_of: f64::NEG_INFINITY,
+            questions: VecDeque::new(),
+        }
     }
 }
 
@@ -46,20 +49,31 @@
 
     /// All changes up to this revision are applied to a view that follows the store.
     pub(crate) fn applied(&mut self, revision: i64) {
-        let as_of = self.questions.iter().filter(|q| q.revision <= revision).map(|q| q.asked_at);
+        let as_of = self
+            .questions
+            .iter()
+            .filter(|q| q.revision <= revision)
+            .map(|q| q.asked_at);
         self.as_of = as_of.fold(self.as_of, f64::max);
-        self.questions.retain(|question| question.revision > revision);
+        self.questions
+            .retain(|question| question.revision > revision);
     }
 
     /// Since when a question has waited for a revision beyond this one; infinite if none does.
     pub(crate) fn waiting_since(&self, received: i64) -> f64 {
-        let waiting = self.questions.iter().filter(|question| question.revision > received);
-        waiting.map(|question| question.asked_at).fold(f64::INFINITY, f64::min)
+        let waiting = self
+            .questions
+            .iter()
+            .filter(|question| question.revision > received);
+        waiting
+            .map(|question| question.asked_at)
+            .fold(f64::INFINITY, f64::min)
     }
 
     /// Forgets the questions that wait for a revision beyond this one.
     pub(crate) fn forget_waiting(&mut self, received: i64) {
-        self.questions.retain(|question| question.revision <= received);
+        self.questions
+            .retain(|question| question.revision <= received);
     }
 
     /// Forgets what was answered and not settled.
--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -101,7 +101,10 @@
         .union(live)
         .filter_map(|front_end| {
             let reason = missing_reason(written, live.contains(front_end), reports.get(front_end))?;
-            Some(Missing { front_end: front_end.clone(), reason })
+            Some(Missing {
+                front_end: front_end.clone(),
+                reason,
+            })
         })
         .collect();
     if missing.is_empty() {
@@ -111,40 +114,63 @@
         until if now < until => RevocationState::NotBefore(until),
         _ => RevocationState::InForce,
     };
-    InForce::Missing { missing, revocations }
+    InForce::Missing {
+        missing,
+        revocations,
+    }
 }
 
 /// The front ends whose reports say that they have ended, sorted by name.
 pub fn ended(reports: &BTreeMap<String, Report>) -> Vec<&str> {
     let has_ended = |report: &Report| report.state == ReportedState::Ended;
-    reports.iter().filter(|(_, report)| has_ended(report)).map(|(name, _)| name.as_str()).collect()
+    reports
+        .iter()
+        .filter(|(_, report)| has_ended(report))
+        .map(|(name, _)| name.as_str())
+        .collect()
 }
 
-fn missing_reason(written: &Written, is_live: bool, report: Option<&Report>) -> Option<MissingReason> {
+fn missing_reason(
+    written: &Written,
+    is_live: bool,
+    report: Option<&Report>,
+) -> Option<MissingReason> {
     if report.is_some_and(|report| report.state == ReportedState::Ended) {
         return None;
     }
     if !is_live {
         return Some(MissingReason::LeaseLost);
     }
-    let Some(report) = report else { return Some(MissingReason::NotReported) };
+    let Some(report) = report else {
+        return Some(MissingReason::NotReported);
+    };
     if (report.generation, report.cluster) != (written.generation, written.cluster) {
         let (generation, cluster) = (report.generation, report.cluster);
-        return Some(MissingReason::OtherStore { generation, cluster });
+        return Some(MissingReason::OtherStore {
+            generation,
+            cluster,
+        });
     }
     if report.applied_revision < written.revision {
         let (applied_revision, state) = (report.applied_revision, report.state);
-        return Some(MissingReason::Behind { applied_revision, state });
+        return Some(MissingReason::Behind {
+            applied_revision,
+            state,
+        });
     }
     rejected_reason(written, report)
 }
 
 fn rejected_reason(written: &Written, report: &Report) -> Option<MissingReason> {
-    let of_write = report.rejected.iter().filter(|rejection| rejection.revision == written.revision);
+    let of_write = report
+        .rejected
+        .iter()
+        .filter(|rejection| rejection.revision == written.revision);
     let keys: Vec<String> = of_write.map(|rejection| rejection.key.clone()).collect();
     if !keys.is_empty() {
         return Some(MissingReason::Rejected { keys });
     }
-    (report.rejected_omitted > 0)
-        .then_some(MissingReason::PerhapsRejected { omitted: report.rejected_omitted })
+    (report.rejected_omitted > 0).then_some(MissingReason::PerhapsRejected {
+        omitted: report.rejected_omitted,
+    })
 }
--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -50,10 +50,14 @@
     /// Reads `KIND/NAME`. The name may hold further slashes.
     pub fn parse(text: &str) -> Result<EntryKey, EntryKeyError> {
         let Some((kind, name)) = text.split_once('/') else {
-            return Err(EntryKeyError::NoKind(text.chars().take(MAX_KEY_BYTES).collect()));
+            return Err(EntryKeyError::NoKind(
+                text.chars().take(MAX_KEY_BYTES).collect(),
+            ));
         };
         if kind.is_empty() || name.is_empty() {
-            return Err(EntryKeyError::Empty(text.chars().take(MAX_KEY_BYTES).collect()));
+            return Err(EntryKeyError::Empty(
+                text.chars().take(MAX_KEY_BYTES).collect(),
+            ));
         }
         if text.len() > MAX_KEY_BYTES {
             return Err(EntryKeyError::TooLong(text.len()));
@@ -139,12 +143,18 @@
 
     /// From the start of one range to the end of a later one.
     pub fn through(self, last: KeyRange) -> KeyRange {
-        KeyRange { start: self.start, end: last.end }
+        KeyRange {
+            start: self.start,
+            end: last.end,
+        }
     }
 
     /// The part of the range that follows a key.
     pub fn after(&self, key: &[u8]) -> KeyRange {
-        KeyRange { start: [key, &[0]].concat(), end: self.end.clone() }
+        KeyRange {
+            start: [key, &[0]].concat(),
+            end: self.end.clone(),
+        }
     }
 }
 
@@ -157,7 +167,9 @@
 impl Keyspace {
     /// Everything stands under this prefix, as a rule with a slash at its end.
     pub fn new(prefix: impl Into<String>) -> Keyspace {
-        Keyspace { prefix: prefix.into() }
+        Keyspace {
+            prefix: prefix.into(),
+        }
     }
 
     /// What all keys begin with.
@@ -225,6 +237,8 @@
     pub fn parse_digest(&self, store_key: &[u8]) -> Option<usize> {
         let text = std::str::from_utf8(store_key).ok()?;
         let group = text.strip_prefix(&self.prefix)?.strip_prefix("digests/")?;
-        usize::from_str_radix(group, 16).ok().filter(|group| *group < GROUP_COUNT)
+        usize::from_str_radix(group, 16)
+            .ok()
+            .filter(|group| *group < GROUP_COUNT)
     }
 }
--- a/crates/config-sync/src/pacing.rs
+++ b/crates/config-sync/src/pacing.rs
@@ -18,7 +18,13 @@
 impl TokenBucket {
     /// A full bucket.
     pub(crate) fn new(bytes_per_second: f64, burst: f64, now: f64) -> TokenBucket {
-        TokenBucket { bytes_per_second, burst, tokens: burst, updated_at: now, slow_until: now }
+        TokenBucket {
+            bytes_per_second,
+            burst,
+            tokens: burst,
+            updated_at: now,
+            slow_until: now,
+        }
     }
 
     /// Fills at half its rate for so many seconds, and begins with a part of its burst at most: front ends that begin
--- a/crates/config-sync/src/schema/envelope.rs
+++ b/crates/config-sync/src/schema/envelope.rs
@@ -23,8 +23,14 @@
     /// Reads a document of at most so many bytes.
     pub fn parse(document: &[u8], max_bytes: usize) -> Result<Envelope, InvalidEntry> {
         if document.len() > max_bytes {
-            let reason = format!("the document has {} bytes, over the limit of {max_bytes}", document.len());
-            return Err(InvalidEntry::new(reason, "make it shorter, or raise max_value_bytes everywhere"));
+            let reason = format!(
+                "the document has {} bytes, over the limit of {max_bytes}",
+                document.len()
+            );
+            return Err(InvalidEntry::new(
+                reason,
+                "make it shorter, or raise max_value_bytes everywhere",
+            ));
         }
         serde_json::from_slice(document)
             .map_err(|error| InvalidEntry::new(error.to_string(), ENVELOPE_REMEDY))
@@ -36,8 +42,12 @@
     spec: serde_json::Value,
     shape: &str,
 ) -> Result<T, InvalidEntry> {
-    serde_json::from_value(spec)
-        .map_err(|error| InvalidEntry::new(format!("spec: {error}"), format!("write a spec such as {shape}")))
+    serde_json::from_value(spec).map_err(|error| {
+        InvalidEntry::new(
+            format!("spec: {error}"),
+            format!("write a spec such as {shape}"),
+        )
+    })
 }
 
 /// Checks that a number lies within its bounds.
@@ -49,6 +59,10 @@
     if range.contains(&value) {
         return Ok(());
     }
-    let remedy = format!("choose {field} between {} and {}", range.start(), range.end());
+    let remedy = format!(
+        "choose {field} between {} and {}",
+        range.start(),
+        range.end()
+    );
     Err(InvalidEntry::new(format!("{field} is {value}"), remedy))
 }
--- a/crates/config-sync/src/schema/function.rs
+++ b/crates/config-sync/src/schema/function.rs
@@ -9,8 +9,7 @@
 const MAX_VERSIONS: usize = 64;
 /// Aliases and trigger types of a function at most.
 const MAX_NAMES: usize = 64;
-const SHAPE: &str =
-    r#"{"versions":[{"digest":"sha256:1f","lanes":4,"memory":2.56e8,"load_time":0.2,"work":0.01}]}"#;
+const SHAPE: &str = r#"{"versions":[{"digest":"sha256:1f","lanes":4,"memory":2.56e8,"load_time":0.2,"work":0.01}]}"#;
 
 /// One version of a function.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -73,11 +72,26 @@
 
     fn check_counts(&self) -> Result<(), InvalidEntry> {
         if self.versions.is_empty() {
-            return Err(InvalidEntry::new("versions is empty", "list at least one version"));
+            return Err(InvalidEntry::new(
+                "versions is empty",
+                "list at least one version",
+            ));
         }
-        check_range("the number of versions", self.versions.len() as f64, 1.0..=MAX_VERSIONS as f64)?;
-        check_range("the number of aliases", self.aliases.len() as f64, 0.0..=MAX_NAMES as f64)?;
-        check_range("the number of trigger_types", self.trigger_types.len() as f64, 0.0..=MAX_NAMES as f64)
+        check_range(
+            "the number of versions",
+            self.versions.len() as f64,
+            1.0..=MAX_VERSIONS as f64,
+        )?;
+        check_range(
+            "the number of aliases",
+            self.aliases.len() as f64,
+            0.0..=MAX_NAMES as f64,
+        )?;
+        check_range(
+            "the number of trigger_types",
+            self.trigger_types.len() as f64,
+            0.0..=MAX_NAMES as f64,
+        )
     }
 
     fn check_versions(&self) -> Result<(), InvalidEntry> {
@@ -85,7 +99,10 @@
         for version in &self.versions {
             version.check()?;
             if !digests.insert(&version.digest) {
-                let reason = format!("there are two versions with the digest '{}'", version.digest);
+                let reason = format!(
+                    "there are two versions with the digest '{}'",
+                    version.digest
+                );
                 return Err(InvalidEntry::new(reason, "keep one of them"));
             }
         }
@@ -94,9 +111,16 @@
 
     fn check_aliases(&self) -> Result<(), InvalidEntry> {
         for (alias, digest) in &self.aliases {
-            if !self.versions.iter().any(|version| version.digest == *digest) {
+            if !self
+                .versions
+                .iter()
+                .any(|version| version.digest == *digest)
+            {
                 let reason = format!("the alias '{alias}' names '{digest}', which is no version");
-                return Err(InvalidEntry::new(reason, "name the digest of one of the versions"));
+                return Err(InvalidEntry::new(
+                    reason,
+                    "name the digest of one of the versions",
+                ));
             }
         }
         Ok(())
@@ -106,7 +130,10 @@
 impl VersionSpec {
     fn check(&self) -> Result<(), InvalidEntry> {
         if self.digest.is_empty() {
-            return Err(InvalidEntry::new("a version's digest is empty", "give the digest of its image"));
+            return Err(InvalidEntry::new(
+                "a version's digest is empty",
+                "give the digest of its image",
+            ));
         }
         check_range("lanes", f64::from(self.lanes), 1.0..=100_000.0)?;
         check_range("memory", self.memory, 1.0..=1e13)?;
--- a/crates/config-sync/src/schema/gateway.rs
+++ b/crates/config-sync/src/schema/gateway.rs
@@ -37,22 +37,33 @@
             TRIGGER_TYPES => TriggerTypeSpec::parse(spec).map(GatewayEntry::TriggerType),
             other => {
                 let reason = format!("there is no kind '{other}'");
-                let remedy = format!("use one of {FUNCTIONS}, {QUOTAS}, {TRIGGER_TYPES}; delete this key");
+                let remedy =
+                    format!("use one of {FUNCTIONS}, {QUOTAS}, {TRIGGER_TYPES}; delete this key");
                 Err(InvalidEntry::new(reason, remedy))
             }
         }
     }
 
     fn check(&self, candidate: &View<GatewayEntry>, changed: &[EntryKey]) -> Vec<Violation> {
-        let trigger_types: BTreeSet<&str> =
-            changed.iter().filter(|key| key.kind() == TRIGGER_TYPES).map(EntryKey::name).collect();
+        let trigger_types: BTreeSet<&str> = changed
+            .iter()
+            .filter(|key| key.kind() == TRIGGER_TYPES)
+            .map(EntryKey::name)
+            .collect();
         if trigger_types.is_empty() {
-            return changed.iter().filter_map(|key| check_function(candidate, key)).collect();
+            return changed
+                .iter()
+                .filter_map(|key| check_function(candidate, key))
+                .collect();
         }
         // A trigger type is changed seldom: then all functions that name one of them are gone through.
         let changed: BTreeSet<&EntryKey> = changed.iter().collect();
         let touched = |key: &EntryKey, function: &FunctionSpec| {
-            changed.contains(key) || function.trigger_types.iter().any(|n| trigger_types.contains(n.as_str()))
+            changed.contains(key)
+                || function
+                    .trigger_types
+                    .iter()
+                    .any(|n| trigger_types.contains(n.as_str()))
         };
         candidate
             .iter()
@@ -75,10 +86,17 @@
 
 /// Checks a function against the trigger types that it names; `None` for what is no function, or is sound.
 fn check_function(candidate: &View<GatewayEntry>, key: &EntryKey) -> Option<Violation> {
-    let GatewayEntry::Function(function) = &candidate.get(key.as_str())?.entry else { return None };
-    let invalid =
-        function.trigger_types.iter().find_map(|name| check_trigger_type(candidate, function, name))?;
-    Some(Violation { key: key.clone(), invalid })
+    let GatewayEntry::Function(function) = &candidate.get(key.as_str())?.entry else {
+        return None;
+    };
+    let invalid = function
+        .trigger_types
+        .iter()
+        .find_map(|name| check_trigger_type(candidate, function, name))?;
+    Some(Violation {
+        key: key.clone(),
+        invalid,
+    })
 }
 
 fn check_trigger_type(
@@ -86,16 +104,27 @@
     function: &FunctionSpec,
     name: &str,
 ) -> Option<InvalidEntry> {
-    let known = candidate.get(&format!("{TRIGGER_TYPES}/{name}")).map(|record| &record.entry);
+    let known = candidate
+        .get(&format!("{TRIGGER_TYPES}/{name}"))
+        .map(|record| &record.entry);
     let Some(GatewayEntry::TriggerType(trigger_type)) = known else {
         let reason = format!("the function names the trigger type '{name}', which is not there");
-        return Some(InvalidEntry::new(reason, "write the trigger type first, or in the same transaction"));
+        return Some(InvalidEntry::new(
+            reason,
+            "write the trigger type first, or in the same transaction",
+        ));
     };
     let works_too_long = |work: f64| work > trigger_type.timeout;
-    let version = function.versions.iter().find(|version| version.work.is_some_and(works_too_long))?;
+    let version = function
+        .versions
+        .iter()
+        .find(|version| version.work.is_some_and(works_too_long))?;
     let reason = format!(
         "version '{}' works longer than the timeout of {} s of the trigger type '{name}'",
         version.digest, trigger_type.timeout
     );
-    Some(InvalidEntry::new(reason, "raise the timeout, or take the trigger type from the function"))
+    Some(InvalidEntry::new(
+        reason,
+        "raise the timeout, or take the trigger type from the function",
+    ))
 }
--- a/crates/config-sync/src/schema/mod.rs
+++ b/crates/config-sync/src/schema/mod.rs
@@ -30,7 +30,10 @@
 impl InvalidEntry {
     /// A reason and its remedy.
     pub fn new(reason: impl Into<String>, remedy: impl Into<String>) -> InvalidEntry {
-        InvalidEntry { reason: reason.into(), remedy: remedy.into() }
+        InvalidEntry {
+            reason: reason.into(),
+            remedy: remedy.into(),
+        }
     }
 }
 
--- a/crates/config-sync/src/schema/trigger_type.rs
+++ b/crates/config-sync/src/schema/trigger_type.rs
@@ -27,7 +27,10 @@
                 "the client timeout of {} s is below the latency objective of {} s",
                 trigger_type.timeout, trigger_type.objective
             );
-            return Err(InvalidEntry::new(reason, "raise the timeout, or lower the objective"));
+            return Err(InvalidEntry::new(
+                reason,
+                "raise the timeout, or lower the objective",
+            ));
         }
         Ok(trigger_type)
     }
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -132,11 +132,17 @@
         }
         let (freshness_bound, in_force_limit) = (self.freshness_bound, self.in_force_limit);
         if freshness_bound + LEAST_SLACK > in_force_limit {
-            return Err(SettingsError::NoSlack { freshness_bound, in_force_limit });
+            return Err(SettingsError::NoSlack {
+                freshness_bound,
+                in_force_limit,
+            });
         }
         let barrier_interval = self.barrier_interval;
         if barrier_interval * LEAST_BARRIERS > freshness_bound {
-            return Err(SettingsError::TooFewBarriers { freshness_bound, barrier_interval });
+            return Err(SettingsError::TooFewBarriers {
+                freshness_bound,
+                barrier_interval,
+            });
         }
         Ok(self)
     }
@@ -147,7 +153,11 @@
             ("in_force_limit", self.in_force_limit, 2.0..=86_400.0),
             ("barrier_interval", self.barrier_interval, 0.1..=3_600.0),
             ("audit_interval", self.audit_interval, 1.0..=86_400.0),
-            ("read_bytes_per_second", self.read_bytes_per_second, 100.0..=1e9),
+            (
+                "read_bytes_per_second",
+                self.read_bytes_per_second,
+                100.0..=1e9,
+            ),
             ("read_burst", self.read_burst, 100.0..=1e9),
             ("page_bytes", self.page_bytes, 100.0..=1e6),
             ("spread", self.spread, 0.0..=3_600.0),
@@ -158,17 +168,38 @@
             ("max_entries", self.max_entries as f64, 1.0..=1e7),
             ("max_bytes", self.max_bytes as f64, 1_024.0..=1e10),
             ("max_value_bytes", self.max_value_bytes as f64, 16.0..=1.5e6),
-            ("max_pending_changes", self.max_pending_changes as f64, 1.0..=1e6),
-            ("max_pending_bytes", self.max_pending_bytes as f64, 1_024.0..=1e9),
-            ("max_reported_rejections", self.max_reported_rejections as f64, 1.0..=1_000.0),
+            (
+                "max_pending_changes",
+                self.max_pending_changes as f64,
+                1.0..=1e6,
+            ),
+            (
+                "max_pending_bytes",
+                self.max_pending_bytes as f64,
+                1_024.0..=1e9,
+            ),
+            (
+                "max_reported_rejections",
+                self.max_reported_rejections as f64,
+                1.0..=1_000.0,
+            ),
         ]
     }
 }
 
-fn check_range(name: &'static str, value: f64, range: RangeInclusive<f64>) -> Result<(), SettingsError> {
+fn check_range(
+    name: &'static str,
+    value: f64,
+    range: RangeInclusive<f64>,
+) -> Result<(), SettingsError> {
     let (least, most) = (*range.start(), *range.end());
     if range.contains(&value) {
         return Ok(());
     }
-    Err(SettingsError::OutOfRange { name, value, least, most })
+    Err(SettingsError::OutOfRange {
+        name,
+        value,
+        least,
+        most,
+    })
 }
--- a/crates/config-sync/src/snapshot.rs
+++ b/crates/config-sync/src/snapshot.rs
@@ -39,13 +39,19 @@
     #[error("the snapshot has version {0}, this program reads {VERSION}; it is passed over")]
     OtherVersion(u16),
     /// It was damaged.
-    #[error("the snapshot's checksum doesn't fit; it is passed over, an earlier one or the store is read")]
+    #[error(
+        "the snapshot's checksum doesn't fit; it is passed over, an earlier one or the store is read"
+    )]
     Checksum,
     /// Its parts don't fit each other.
-    #[error("the snapshot's body is malformed; it is passed over, an earlier one or the store is read")]
+    #[error(
+        "the snapshot's body is malformed; it is passed over, an earlier one or the store is read"
+    )]
     Malformed,
     /// It holds more than the settings allow.
-    #[error("the snapshot holds {entries} entries and {bytes} bytes, over the limits of this front end")]
+    #[error(
+        "the snapshot holds {entries} entries and {bytes} bytes, over the limits of this front end"
+    )]
     TooLarge {
         /// Entries that it holds.
         entries: usize,
@@ -92,14 +98,24 @@
 ) -> Vec<u8> {
     let mut body = Vec::with_capacity(stored.bytes() + stored.len() * 16);
     for entry in stored.iter() {
-        put_entry(&mut body, &entry.key, entry.mod_revision, Some(&entry.document));
+        put_entry(
+            &mut body,
+            &entry.key,
+            entry.mod_revision,
+            Some(&entry.document),
+        );
     }
     let mut overrides = 0u32;
     for (key, blocked_revision) in blocked {
         body.extend_from_slice(&blocked_revision.to_be_bytes());
         let record = view.get(key.as_str());
         let mod_revision = record.map_or(0, |record| record.mod_revision);
-        put_entry(&mut body, key, mod_revision, record.map(|record| &record.document));
+        put_entry(
+            &mut body,
+            key,
+            mod_revision,
+            record.map(|record| &record.document),
+        );
         overrides += 1;
     }
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len() + CHECKSUM_BYTES);
@@ -131,7 +147,9 @@
 /// Reads a snapshot. Whatever the bytes are, it gives the whole snapshot or an error.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let mut header = Reader(bytes);
-    let magic = header.take(MAGIC.len()).ok_or(SnapshotError::Truncated(bytes.len()))?;
+    let magic = header
+        .take(MAGIC.len())
+        .ok_or(SnapshotError::Truncated(bytes.len()))?;
     if magic != MAGIC {
         return Err(SnapshotError::NoSnapshot);
     }
@@ -153,7 +171,13 @@
     if !reader.0.is_empty() {
         return Err(SnapshotError::Malformed);
     }
-    Ok(Snapshot { cluster, generation, revision, stored, overrides })
+    Ok(Snapshot {
+        cluster,
+        generation,
+        revision,
+        stored,
+        overrides,
+    })
 }
 
 /// The body, if its length and the checksum fit.
@@ -176,8 +200,16 @@
 fn read_stored(reader: &mut Reader<'_>, count: u32) -> Option<Stored> {
     let mut stored = Stored::default();
     for _ in 0..count {
-        let RawEntry { key, mod_revision, document } = reader.entry()?;
-        stored.put(StoredEntry { key, document: document?, mod_revision });
+        let RawEntry {
+            key,
+            mod_revision,
+            document,
+        } = reader.entry()?;
+        stored.put(StoredEntry {
+            key,
+            document: document?,
+            mod_revision,
+        });
     }
     (stored.len() == count as usize).then_some(stored)
 }
@@ -209,19 +241,37 @@
 
     fn blocked(&mut self) -> Option<Override> {
         let blocked_revision = i64::from_be_bytes(self.array()?);
-        let RawEntry { key, mod_revision, document } = self.entry()?;
-        Some(Override { key, mod_revision, document, blocked_revision })
+        let RawEntry {
+            key,
+            mod_revision,
+            document,
+        } = self.entry()?;
+        Some(Override {
+            key,
+            mod_revision,
+            document,
+            blocked_revision,
+        })
     }
 
     fn entry(&mut self) -> Option<RawEntry> {
         let mod_revision = i64::from_be_bytes(self.array()?);
         let key_length = u32::from_be_bytes(self.array()?);
         let document_length = u32::from_be_bytes(self.array()?);
-        let key = EntryKey::parse(std::str::from_utf8(self.take(key_length as usize)?).ok()?).ok()?;
+        let key =
+            EntryKey::parse(std::str::from_utf8(self.take(key_length as usize)?).ok()?).ok()?;
         if document_length == ABSENT {
-            return Some(RawEntry { key, mod_revision, document: None });
+            return Some(RawEntry {
+                key,
+                mod_revision,
+                document: None,
+            });
         }
         let document = self.take(document_length as usize)?;
-        Some(RawEntry { key, mod_revision, document: Some(document.into()) })
+        Some(RawEntry {
+            key,
+            mod_revision,
+            document: Some(document.into()),
+        })
     }
 }
--- a/crates/config-sync/src/stored.rs
+++ b/crates/config-sync/src/stored.rs
@@ -35,7 +35,12 @@
 impl Default for Stored {
     fn default() -> Stored {
         let empty = Arc::new(vec![]);
-        Stored { buckets: vec![empty; BUCKET_COUNT], digests: Digests::default(), len: 0, bytes: 0 }
+        Stored {
+            buckets: vec![empty; BUCKET_COUNT],
+            digests: Digests::default(),
+            len: 0,
+            bytes: 0,
+        }
     }
 }
 
@@ -87,7 +92,9 @@
 
     pub(crate) fn delete(&mut self, key: &EntryKey) {
         let number = key.bucket();
-        let Ok(place) = self.buckets[number].binary_search_by(|known| known.key.cmp(key)) else { return };
+        let Ok(place) = self.buckets[number].binary_search_by(|known| known.key.cmp(key)) else {
+            return;
+        };
         let old = Arc::make_mut(&mut self.buckets[number]).remove(place);
         self.digests.remove(number, old.hash());
         self.bytes -= old.bytes();
@@ -96,8 +103,14 @@
 
     /// Replaces a whole bucket by what was read of it.
     pub(crate) fn replace_bucket(&mut self, bucket: usize, entries: Vec<StoredEntry>) {
-        let old: Vec<EntryKey> = self.buckets[bucket].iter().map(|entry| entry.key.clone()).collect();
-        for key in old.iter().filter(|key| !entries.iter().any(|entry| entry.key == **key)) {
+        let old: Vec<EntryKey> = self.buckets[bucket]
+            .iter()
+            .map(|entry| entry.key.clone())
+            .collect();
+        for key in old
+            .iter()
+            .filter(|key| !entries.iter().any(|entry| entry.key == **key))
+        {
             self.delete(key);
         }
         for entry in entries {
--- a/crates/config-sync/src/sync/barrier.rs
+++ b/crates/config-sync/src/sync/barrier.rs
@@ -27,7 +27,10 @@
 
 impl Default for Barriers {
     fn default() -> Barriers {
-        Barriers { open: None, next_at: f64::INFINITY }
+        Barriers {
+            open: None,
+            next_at: f64::INFINITY,
+        }
     }
 }
 
@@ -44,7 +47,9 @@
 impl<S: Schema> ConfigSync<S> {
     /// A barrier was answered.
     pub fn barrier_answer(&mut self, now: f64, answer: BarrierAnswer) {
-        let Some(open) = self.barriers.open.filter(|open| open.id == answer.id) else { return };
+        let Some(open) = self.barriers.open.filter(|open| open.id == answer.id) else {
+            return;
+        };
         self.barriers.open = None;
         let Some(generation) = read_generation(answer.generation.as_deref()) else {
             self.halt(now, ReportedState::UnknownFormat);
@@ -61,7 +66,10 @@
 
     /// Asks barriers from now on.
     pub(super) fn start_barriers(&mut self, now: f64) {
-        self.barriers = Barriers { open: None, next_at: now };
+        self.barriers = Barriers {
+            open: None,
+            next_at: now,
+        };
     }
 
     pub(super) fn stop_barriers(&mut self) {
@@ -85,7 +93,11 @@
         let id = self.request_id();
         // The time is taken before the question is sent: what it proves, it proves as of then.
         let known_revision = self.known_revision();
-        self.barriers.open = Some(OpenBarrier { id, asked_at: now, known_revision });
+        self.barriers.open = Some(OpenBarrier {
+            id,
+            asked_at: now,
+            known_revision,
+        });
         let interval = self.settings.barrier_interval;
         self.barriers.next_at = now + interval * 0.9 + self.draw(interval * 0.2);
         self.actions.push_back(Action::Barrier { id });
@@ -110,19 +122,31 @@
     }
 
     fn judge_store(&self, header: &Header, generation: u64, known_revision: i64) -> Judgement {
-        let source = Source { cluster: header.cluster, generation };
-        let Some(followed) = self.source else { return Judgement::Follow(source) };
+        let source = Source {
+            cluster: header.cluster,
+            generation,
+        };
+        let Some(followed) = self.source else {
+            return Judgement::Follow(source);
+        };
         if followed == source && header.revision >= known_revision {
             return Judgement::Same;
         }
         let is_wanted = generation > followed.generation || self.loaded.is_none();
-        if is_wanted { Judgement::Follow(source) } else { Judgement::SetBack }
+        if is_wanted {
+            Judgement::Follow(source)
+        } else {
+            Judgement::SetBack
+        }
     }
 
     fn same_store(&mut self, now: f64, open: &OpenBarrier, revision: i64) {
         match self.phase {
             Phase::AwaitingBarrier => self.start_reading(now, self.need),
-            Phase::Halted { state: ReportedState::UnknownFormat, .. } => {
+            Phase::Halted {
+                state: ReportedState::UnknownFormat,
+                ..
+            } => {
                 self.fault = None;
                 self.resume(now);
             }
@@ -144,7 +168,14 @@
         self.close_watch();
         self.reading = None;
         self.freshness.forget_questions();
-        self.start_reading(now, if is_first { Need::CatchUp } else { Need::Rebase });
+        self.start_reading(
+            now,
+            if is_first {
+                Need::CatchUp
+            } else {
+                Need::Rebase
+            },
+        );
         self.mark_report(now);
     }
 }
--- a/crates/config-sync/src/sync/catch_up.rs
+++ b/crates/config-sync/src/sync/catch_up.rs
@@ -25,7 +25,9 @@
 impl<S: Schema> ConfigSync<S> {
     /// A read was answered.
     pub fn range_answer(&mut self, now: f64, answer: RangeAnswer) {
-        let Some(open) = self.take_open_read(answer.id) else { return };
+        let Some(open) = self.take_open_read(answer.id) else {
+            return;
+        };
         let bytes = (answer.bytes as f64).max(LEAST_READ_BYTES);
         self.read_pace.charge(now, bytes - open.charged);
         match self.judge_answer(open, answer) {
@@ -34,7 +36,11 @@
             Outcome::OtherHistory => self.halt(now, ReportedState::StoreSetBack),
             Outcome::TooLarge => {
                 self.halt(now, ReportedState::StoreTooLarge);
-                self.need = if self.loaded == self.source { Need::CatchUp } else { self.need };
+                self.need = if self.loaded == self.source {
+                    Need::CatchUp
+                } else {
+                    self.need
+                };
             }
         }
     }
@@ -48,18 +54,24 @@
     }
 
     fn judge_answer(&mut self, open: OpenRead, answer: RangeAnswer) -> Outcome {
-        let same_cluster = self.source.is_some_and(|source| source.cluster == answer.header.cluster);
+        let same_cluster = self
+            .source
+            .is_some_and(|source| source.cluster == answer.header.cluster);
         if !same_cluster || answer.header.revision < open.known_revision {
             return Outcome::OtherHistory;
         }
-        let Some(mut reading) = self.reading.take() else { return Outcome::GoOn };
+        let Some(mut reading) = self.reading.take() else {
+            return Outcome::GoOn;
+        };
         if reading.revision == 0 {
             reading.revision = answer.header.revision;
         }
         reading.learn_size(answer.entries.len(), answer.bytes);
         let last = answer.entries.last().filter(|_| answer.more);
         if let Some(last) = last {
-            reading.pending.push_front(open.part.after(&last.key, answer.entries.len()));
+            reading
+                .pending
+                .push_front(open.part.after(&last.key, answer.entries.len()));
         }
         let is_page = last.is_some();
         let outcome = self.take_in(&mut reading, &open.part, answer.entries, is_page);
@@ -79,14 +91,18 @@
             Step::Scan => self.take_scanned(reading, entries),
             Step::Deletions { .. } => self.take_deletion(reading, part, entries),
             Step::Changed => self.take_changed(reading, entries),
-            Step::BucketKeys { .. } => self.take_bucket_keys(reading, part.bucket, entries, is_page),
+            Step::BucketKeys { .. } => {
+                self.take_bucket_keys(reading, part.bucket, entries, is_page)
+            }
             Step::Buckets { .. } => self.take_bucket(reading, part.bucket, entries, is_page),
         }
     }
 
     fn take_digests(&self, reading: &mut Reading, entries: Vec<RangeEntry>) -> Outcome {
         let is_through = reading.step_is_through();
-        let Step::Digests { read } = &mut reading.step else { return Outcome::GoOn };
+        let Step::Digests { read } = &mut reading.step else {
+            return Outcome::GoOn;
+        };
         for entry in entries {
             if let Some(group) = self.keyspace.parse_digest(&entry.key) {
                 // A value that can't be read leaves zeros: its buckets differ then, and are read.
@@ -109,7 +125,9 @@
         if self.stage(reading, entries) {
             return Outcome::TooLarge;
         }
-        let Some(scan) = &mut reading.scan else { return Outcome::GoOn };
+        let Some(scan) = &mut reading.scan else {
+            return Outcome::GoOn;
+        };
         if scan.began_at == 0 {
             scan.began_at = reading.revision;
         }
@@ -123,12 +141,23 @@
     }
 
     /// A key that digests showed as deleted was asked for. If it is there, its bucket's digest misleads.
-    fn take_deletion(&mut self, reading: &mut Reading, part: &Part, entries: Vec<RangeEntry>) -> Outcome {
+    fn take_deletion(
+        &mut self,
+        reading: &mut Reading,
+        part: &Part,
+        entries: Vec<RangeEntry>,
+    ) -> Outcome {
         if !entries.is_empty() {
             reading.misleading.insert(part.bucket);
         }
         let is_through = reading.step_is_through();
-        let Step::Deletions { likely, changes_are_read } = &mut reading.step else { return Outcome::GoOn };
+        let Step::Deletions {
+            likely,
+            changes_are_read,
+        } = &mut reading.step
+        else {
+            return Outcome::GoOn;
+        };
         if !is_through {
             return Outcome::GoOn;
         }
@@ -169,17 +198,31 @@
         entries: Vec<RangeEntry>,
         is_page: bool,
     ) -> Outcome {
-        let Step::BucketKeys { listed } = &mut reading.step else { return Outcome::GoOn };
+        let Step::BucketKeys { listed } = &mut reading.step else {
+            return Outcome::GoOn;
+        };
         let of_bucket = listed.entry(bucket).or_default();
-        of_bucket.extend(entries.iter().filter_map(|entry| self.keyspace.parse_entry(&entry.key)));
+        of_bucket.extend(
+            entries
+                .iter()
+                .filter_map(|entry| self.keyspace.parse_entry(&entry.key)),
+        );
         if is_page {
             return Outcome::GoOn;
         }
         let of_bucket = listed.remove(&bucket).unwrap_or_default();
-        let staged = reading.staged.bucket(bucket).iter().map(|entry| entry.key.clone());
+        let staged = reading
+            .staged
+            .bucket(bucket)
+            .iter()
+            .map(|entry| entry.key.clone());
         let deleted: Vec<EntryKey> = staged.filter(|key| !of_bucket.contains(key)).collect();
         deleted.iter().for_each(|key| reading.staged.delete(key));
-        if reading.step_is_through() { self.enter_buckets(reading) } else { Outcome::GoOn }
+        if reading.step_is_through() {
+            self.enter_buckets(reading)
+        } else {
+            Outcome::GoOn
+        }
     }
 
     fn take_bucket(
@@ -189,10 +232,15 @@
         entries: Vec<RangeEntry>,
         is_page: bool,
     ) -> Outcome {
-        let Step::Buckets { collected } = &mut reading.step else { return Outcome::GoOn };
+        let Step::Buckets { collected } = &mut reading.step else {
+            return Outcome::GoOn;
+        };
         let of_bucket = collected.entry(bucket).or_default();
         for entry in entries {
-            of_bucket.extend(self.read_entry(entry).filter(|entry| entry.key.bucket() == bucket));
+            of_bucket.extend(
+                self.read_entry(entry)
+                    .filter(|entry| entry.key.bucket() == bucket),
+            );
         }
         let is_too_large = of_bucket.len() > self.settings.max_entries;
         if is_page && !is_too_large {
@@ -209,7 +257,11 @@
         if self.is_too_large(&reading.staged) {
             return Outcome::TooLarge;
         }
-        if reading.step_is_through() { done(reading) } else { Outcome::GoOn }
+        if reading.step_is_through() {
+            done(reading)
+        } else {
+            Outcome::GoOn
+        }
     }
 
     /// Whether a bucket can't be the known history's. What was written up to the applied revision never changes: an
@@ -222,9 +274,13 @@
             Need::Verification => !same_content(reading.staged.bucket(bucket), read),
             Need::CatchUp if self.loaded.is_none() => false,
             Need::CatchUp => {
-                let mut old = read.iter().filter(|entry| entry.mod_revision <= self.applied_revision);
+                let mut old = read
+                    .iter()
+                    .filter(|entry| entry.mod_revision <= self.applied_revision);
                 let is_known = |entry: &StoredEntry| {
-                    self.stored.get(&entry.key).is_some_and(|known| known.document == entry.document)
+                    self.stored
+                        .get(&entry.key)
+                        .is_some_and(|known| known.document == entry.document)
                 };
                 !old.all(is_known)
             }
@@ -236,11 +292,17 @@
             self.note_foreign_key(entry.key, true, entry.mod_revision);
             return None;
         };
-        Some(StoredEntry { key, document: entry.value.into(), mod_revision: entry.mod_revision })
+        Some(StoredEntry {
+            key,
+            document: entry.value.into(),
+            mod_revision: entry.mod_revision,
+        })
     }
 
     fn finish_reading(&mut self, now: f64, digest_faults: usize) {
-        let Some(reading) = self.reading.take() else { return };
+        let Some(reading) = self.reading.take() else {
+            return;
+        };
         if self.digest_faults != digest_faults {
             self.digest_faults = digest_faults;
             self.mark_report(now);
@@ -289,5 +351,7 @@
 
 /// All buckets that differed were read whole: where digests still differ, they are at fault.
 pub(super) fn done(reading: &Reading) -> Outcome {
-    Outcome::Done { digest_faults: reading.digests.differing(reading.staged.digests()).len() }
+    Outcome::Done {
+        digest_faults: reading.digests.differing(reading.staged.digests()).len(),
+    }
 }
--- a/crates/config-sync/src/sync/mod.rs
+++ b/crates/config-sync/src/sync/mod.rs
@@ -188,7 +188,11 @@
     /// Entries whose transactions are rejected at present, oldest first, all that are kept.
     pub fn rejections(&self) -> Vec<Rejection> {
         let (rejections, _) = self.applier.rejections();
-        rejections.into_iter().chain(self.foreign_keys.values()).cloned().collect()
+        rejections
+            .into_iter()
+            .chain(self.foreign_keys.values())
+            .cloned()
+            .collect()
     }
 
     /// The settings, as they were checked.
@@ -230,13 +234,21 @@
         }
         // Only a barrier tells that the format can be read again.
         let is_unknown = state == ReportedState::UnknownFormat;
-        let retry_at = if is_unknown { f64::INFINITY } else { now + timers::HALT_RETRY };
+        let retry_at = if is_unknown {
+            f64::INFINITY
+        } else {
+            now + timers::HALT_RETRY
+        };
         self.phase = Phase::Halted { state, retry_at };
         self.mark_report(now);
     }
 
     /// Applies to the view by this, after `stored` has its new values.
-    fn with_applier(&mut self, revision: i64, apply: impl FnOnce(&mut Applier<S::Entry>, &Context<'_, S>)) {
+    fn with_applier(
+        &mut self,
+        revision: i64,
+        apply: impl FnOnce(&mut Applier<S::Entry>, &Context<'_, S>),
+    ) {
         let context = Context {
             schema: &self.schema,
             stored: &self.stored,
@@ -254,7 +266,9 @@
             return;
         }
         self.announced = self.applier.view().clone();
-        self.actions.retain(|action| !matches!(action, Action::Apply(_)));
-        self.actions.push_back(Action::Apply(self.announced.clone()));
+        self.actions
+            .retain(|action| !matches!(action, Action::Apply(_)));
+        self.actions
+            .push_back(Action::Apply(self.announced.clone()));
     }
 }
--- a/crates/config-sync/src/sync/publishing.rs
+++ b/crates/config-sync/src/sync/publishing.rs
@@ -37,7 +37,11 @@
 impl<S: Schema> ConfigSync<S> {
     /// The report of this sequence stands in the store.
     pub fn reported(&mut self, _now: f64, sequence: u64) {
-        if self.publishing.open_report.is_some_and(|(open, _)| open == sequence) {
+        if self
+            .publishing
+            .open_report
+            .is_some_and(|(open, _)| open == sequence)
+        {
             self.publishing.open_report = None;
         }
     }
@@ -55,7 +59,10 @@
         let (rejections, uncounted) = self.applier.rejections();
         let all = rejections.len() + self.foreign_keys.len() + uncounted;
         let named = rejections.into_iter().chain(self.foreign_keys.values());
-        let rejected: Vec<_> = named.take(self.settings.max_reported_rejections).cloned().collect();
+        let rejected: Vec<_> = named
+            .take(self.settings.max_reported_rejections)
+            .cloned()
+            .collect();
         Report {
             sequence: self.publishing.sequence,
             applied_revision: self.applied_revision,
@@ -112,7 +119,10 @@
         if !self.is_connected() {
             return f64::INFINITY;
         }
-        let again = self.publishing.open_report.map_or(f64::INFINITY, |(_, until)| until);
+        let again = self
+            .publishing
+            .open_report
+            .map_or(f64::INFINITY, |(_, until)| until);
         self.publishing.report_due.min(again)
     }
 
@@ -123,7 +133,8 @@
         self.publishing.report_due = f64::INFINITY;
         self.publishing.reported_at = now;
         let report = self.report();
-        self.actions.retain(|action| !matches!(action, Action::Report(_)));
+        self.actions
+            .retain(|action| !matches!(action, Action::Report(_)));
         self.actions.push_back(Action::Report(report));
     }
 
@@ -132,10 +143,16 @@
         self.publishing.snapshot_due = f64::INFINITY;
         self.publishing.snapshot_at = now;
         let revision = self.applied_revision;
-        let position = Position { cluster: source.cluster, generation: source.generation, revision };
+        let position = Position {
+            cluster: source.cluster,
+            generation: source.generation,
+            revision,
+        };
         let view = self.applier.view();
         let bytes = snapshot::encode(position, &self.stored, view, self.applier.blocked_keys());
-        self.actions.retain(|action| !matches!(action, Action::WriteSnapshot { .. }));
-        self.actions.push_back(Action::WriteSnapshot { revision, bytes });
+        self.actions
+            .retain(|action| !matches!(action, Action::WriteSnapshot { .. }));
+        self.actions
+            .push_back(Action::WriteSnapshot { revision, bytes });
     }
 }
--- a/crates/config-sync/src/sync/reading.rs
+++ b/crates/config-sync/src/sync/reading.rs
@@ -72,13 +72,21 @@
 
 impl Part {
     pub(super) fn new(range: KeyRange, bucket: usize, expected: usize) -> Part {
-        Part { range, bucket, expected }
+        Part {
+            range,
+            bucket,
+            expected,
+        }
     }
 
     /// What is left of it behind a page that ended with this key.
     pub(super) fn after(&self, last: &[u8], read: usize) -> Part {
         let expected = self.expected.saturating_sub(read).max(1);
-        Part { range: self.range.after(last), bucket: self.bucket, expected }
+        Part {
+            range: self.range.after(last),
+            bucket: self.bucket,
+            expected,
+        }
     }
 }
 
@@ -119,7 +127,13 @@
 }
 
 impl Reading {
-    fn new(need: Need, revision: i64, changed_from: i64, staged: Stored, digests: KeyRange) -> Reading {
+    fn new(
+        need: Need,
+        revision: i64,
+        changed_from: i64,
+        staged: Stored,
+        digests: KeyRange,
+    ) -> Reading {
         let mut reading = Reading {
             need,
             step: Step::Scan,
@@ -156,7 +170,12 @@
     }
 
     fn enter_digests(&mut self, digests: KeyRange) {
-        self.enter(Step::Digests { read: Digests::default() }, [Part::new(digests, 0, 0)]);
+        self.enter(
+            Step::Digests {
+                read: Digests::default(),
+            },
+            [Part::new(digests, 0, 0)],
+        );
     }
 
     /// Goes on with what comes next.
@@ -247,7 +266,11 @@
         let part = self.draw(1.0);
         self.read_pace.start_slowly(now, self.settings.spread, part);
         let digests = self.keyspace.digests();
-        if let Some(reading) = self.reading.as_mut().filter(|reading| reading.goes_on_with(need)) {
+        if let Some(reading) = self
+            .reading
+            .as_mut()
+            .filter(|reading| reading.goes_on_with(need))
+        {
             reading.begin_anew(digests);
             return;
         }
@@ -263,7 +286,10 @@
             }
             Need::CatchUp => {
                 let reading = Reading::new(need, 0, 0, Stored::default(), digests);
-                Reading { scan: Some(Scan::default()), ..reading }
+                Reading {
+                    scan: Some(Scan::default()),
+                    ..reading
+                }
             }
             Need::Rebase => Reading::new(need, 0, 0, known, digests),
         }
--- a/crates/config-sync/src/sync/requests.rs
+++ b/crates/config-sync/src/sync/requests.rs
@@ -26,11 +26,16 @@
 impl<S: Schema> ConfigSync<S> {
     /// When something is to be done about reads.
     pub(super) fn read_timer(&self) -> f64 {
-        self.read_deadline().map_or(f64::INFINITY, |(_, deadline)| deadline).min(self.send_timer())
+        self.read_deadline()
+            .map_or(f64::INFINITY, |(_, deadline)| deadline)
+            .min(self.send_timer())
     }
 
     pub(super) fn run_read_timer(&mut self, now: f64) {
-        if let Some((id, _)) = self.read_deadline().filter(|(_, deadline)| now >= *deadline) {
+        if let Some((id, _)) = self
+            .read_deadline()
+            .filter(|(_, deadline)| now >= *deadline)
+        {
             self.request_failed(now, id, RequestFailure::Unavailable);
         } else if now >= self.send_timer() {
             self.send_read(now);
@@ -46,13 +51,20 @@
     /// The read that has to be answered first.
     fn read_deadline(&self) -> Option<(RequestId, f64)> {
         let open = self.active_reading()?.open.iter();
-        open.map(|open| (open.id, open.deadline)).min_by(|a, b| a.1.total_cmp(&b.1))
+        open.map(|open| (open.id, open.deadline))
+            .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// When the next read may be sent.
     fn send_timer(&self) -> f64 {
-        let Some(reading) = self.active_reading() else { return f64::INFINITY };
-        let Some(next) = reading.pending.front().filter(|_| reading.open.len() < MAX_OPEN_READS) else {
+        let Some(reading) = self.active_reading() else {
+            return f64::INFINITY;
+        };
+        let Some(next) = reading
+            .pending
+            .front()
+            .filter(|_| reading.open.len() < MAX_OPEN_READS)
+        else {
             return f64::INFINITY;
         };
         let expected = reading.expected_bytes(next, self.settings.page_bytes);
@@ -61,11 +73,19 @@
 
     fn send_read(&mut self, now: f64) {
         let id = self.request_id();
-        let known_revision = if self.loaded == self.source { self.applied_revision } else { 0 };
+        let known_revision = if self.loaded == self.source {
+            self.applied_revision
+        } else {
+            0
+        };
         let deadline = now + self.settings.request_timeout;
         let page_bytes = self.settings.page_bytes;
-        let Some(reading) = &mut self.reading else { return };
-        let Some(part) = reading.pending.pop_front() else { return };
+        let Some(reading) = &mut self.reading else {
+            return;
+        };
+        let Some(part) = reading.pending.pop_front() else {
+            return;
+        };
         let request = ReadRequest {
             id,
             kind: reading.kind(&part),
@@ -76,7 +96,13 @@
             keys_only: reading.reads_keys_only(),
         };
         let charged = reading.expected_bytes(&part, page_bytes);
-        reading.open.push(OpenRead { id, deadline, known_revision, part, charged });
+        reading.open.push(OpenRead {
+            id,
+            deadline,
+            known_revision,
+            part,
+            charged,
+        });
         self.read_pace.charge(now, charged);
         self.actions.push_back(Action::Read(request));
     }
@@ -92,7 +118,9 @@
         if self.barrier_failed(now, id) {
             return;
         }
-        let Some(open) = self.take_open_read(id) else { return };
+        let Some(open) = self.take_open_read(id) else {
+            return;
+        };
         match failure {
             RequestFailure::Unavailable => self.read_again(now, open),
             RequestFailure::Compacted => self.read_was_compacted(now),
@@ -117,7 +145,9 @@
     /// The revision that was read at is gone.
     fn read_was_compacted(&mut self, now: f64) {
         let digests = self.keyspace.digests();
-        let Some(reading) = &mut self.reading else { return };
+        let Some(reading) = &mut self.reading else {
+            return;
+        };
         if !reading.is_verification() {
             reading.begin_anew(digests);
             self.pause_reading(now);
--- a/crates/config-sync/src/sync/restoring.rs
+++ b/crates/config-sync/src/sync/restoring.rs
@@ -46,14 +46,26 @@
     }
 
     fn start_from(&mut self, now: f64, snapshot: Snapshot) {
-        let Snapshot { cluster, generation, revision, stored, overrides } = snapshot;
-        let source = Source { cluster, generation };
+        let Snapshot {
+            cluster,
+            generation,
+            revision,
+            stored,
+            overrides,
+        } = snapshot;
+        let source = Source {
+            cluster,
+            generation,
+        };
         (self.source, self.loaded) = (Some(source), Some(source));
         self.stored = stored;
         self.applied_revision = revision;
         self.need = Need::Verification;
         self.with_applier(revision, |applier, context: &Context<'_, S>| {
-            let last_good = overrides.into_iter().map(|known| read_override(context, known)).collect();
+            let last_good = overrides
+                .into_iter()
+                .map(|known| read_override(context, known))
+                .collect();
             applier.load(context, last_good);
         });
         self.announce_view();
@@ -63,7 +75,17 @@
 
 /// Reads a last good document; if this version of the program can't, nothing is in force under the key.
 fn read_override<S: Schema>(context: &Context<'_, S>, known: Override) -> LastGood<S::Entry> {
-    let Override { key, mod_revision, document, blocked_revision } = known;
-    let record = document.and_then(|document| read_record(context, &key, &document, mod_revision).ok());
-    LastGood { key, record: record.map(Arc::new), blocked_revision }
+    let Override {
+        key,
+        mod_revision,
+        document,
+        blocked_revision,
+    } = known;
+    let record =
+        document.and_then(|document| read_record(context, &key, &document, mod_revision).ok());
+    LastGood {
+        key,
+        record: record.map(Arc::new),
+        blocked_revision,
+    }
 }
--- a/crates/config-sync/src/sync/steps.rs
+++ b/crates/config-sync/src/sync/steps.rs
@@ -28,15 +28,28 @@
         if likely.is_empty() {
             return self.leave_deletions(reading, changes_are_read);
         }
-        let part = |bucket: usize, key: &EntryKey| Part::new(self.keyspace.entry_alone(key), bucket, 1);
-        let parts: Vec<Part> =
-            likely.iter().flat_map(|(bucket, keys)| keys.iter().map(|key| part(*bucket, key))).collect();
-        reading.enter(Step::Deletions { likely, changes_are_read }, parts);
+        let part =
+            |bucket: usize, key: &EntryKey| Part::new(self.keyspace.entry_alone(key), bucket, 1);
+        let parts: Vec<Part> = likely
+            .iter()
+            .flat_map(|(bucket, keys)| keys.iter().map(|key| part(*bucket, key)))
+            .collect();
+        reading.enter(
+            Step::Deletions {
+                likely,
+                changes_are_read,
+            },
+            parts,
+        );
         Outcome::GoOn
     }
 
     pub(super) fn leave_deletions(&self, reading: &mut Reading, changes_are_read: bool) -> Outcome {
-        if changes_are_read { self.enter_bucket_keys(reading) } else { self.enter_changed(reading) }
+        if changes_are_read {
+            self.enter_bucket_keys(reading)
+        } else {
+            self.enter_changed(reading)
+        }
     }
 
     /// Reads what was changed in the groups that differ, if revisions tell.
@@ -46,7 +59,11 @@
         }
         let mut spans: BTreeMap<usize, Span> = BTreeMap::new();
         for bucket in differing(reading) {
-            let new = Span { first: bucket, last: bucket, differing: 0 };
+            let new = Span {
+                first: bucket,
+                last: bucket,
+                differing: 0,
+            };
             let span = spans.entry(group_of(bucket)).or_insert(new);
             span.last = bucket;
             span.differing += 1;
@@ -54,7 +71,10 @@
         if spans.is_empty() {
             return done(reading);
         }
-        let parts: Vec<Part> = spans.values().map(|span| span_part(&self.keyspace, span)).collect();
+        let parts: Vec<Part> = spans
+            .values()
+            .map(|span| span_part(&self.keyspace, span))
+            .collect();
         reading.enter(Step::Changed, parts);
         Outcome::GoOn
     }
@@ -67,7 +87,12 @@
             return self.enter_buckets(reading);
         }
         let parts = self.bucket_parts(reading, differing);
-        reading.enter(Step::BucketKeys { listed: BTreeMap::new() }, parts);
+        reading.enter(
+            Step::BucketKeys {
+                listed: BTreeMap::new(),
+            },
+            parts,
+        );
         Outcome::GoOn
     }
 
@@ -78,7 +103,12 @@
             return done(reading);
         }
         let parts = self.bucket_parts(reading, differing);
-        reading.enter(Step::Buckets { collected: BTreeMap::new() }, parts);
+        reading.enter(
+            Step::Buckets {
+                collected: BTreeMap::new(),
+            },
+            parts,
+        );
         Outcome::GoOn
     }
 
@@ -96,7 +126,9 @@
 }
 
 fn span_part(keyspace: &Keyspace, span: &Span) -> Part {
-    let range = keyspace.bucket(span.first).through(keyspace.bucket(span.last));
+    let range = keyspace
+        .bucket(span.first)
+        .through(keyspace.bucket(span.last));
     Part::new(range, span.first, span.differing)
 }
 
@@ -107,8 +139,13 @@
         if reading.misleading.contains(&bucket) {
             return None;
         }
-        let lacking = staged.bucket(bucket).wrapping_sub(reading.digests.bucket(bucket));
-        Some((bucket, likely_deleted(reading.staged.bucket(bucket), lacking)?))
+        let lacking = staged
+            .bucket(bucket)
+            .wrapping_sub(reading.digests.bucket(bucket));
+        Some((
+            bucket,
+            likely_deleted(reading.staged.bucket(bucket), lacking)?,
+        ))
     };
     differing(reading).into_iter().filter_map(keys_of).collect()
 }
--- a/crates/config-sync/src/sync/timers.rs
+++ b/crates/config-sync/src/sync/timers.rs
@@ -64,7 +64,9 @@
     fn phase_timer(&self) -> f64 {
         match self.phase {
             Phase::Halted { retry_at, .. } => retry_at,
-            Phase::Disconnected | Phase::AwaitingBarrier | Phase::Reading | Phase::Following => f64::INFINITY,
+            Phase::Disconnected | Phase::AwaitingBarrier | Phase::Reading | Phase::Following => {
+                f64::INFINITY
+            }
         }
     }
 
@@ -84,7 +86,9 @@
             return self.reopen_watch_at;
         }
         let timeout = self.settings.watch_timeout;
-        let lags_since = self.freshness.waiting_since(self.backlog.complete_through());
+        let lags_since = self
+            .freshness
+            .waiting_since(self.backlog.complete_through());
         let silent_until = lags_since.max(self.watch_told_at) + timeout;
         silent_until.min(lags_since + self.settings.freshness_bound.max(timeout))
     }
@@ -94,7 +98,8 @@
             return;
         }
         // What waits is asked for anew: the new watch has its whole time.
-        self.freshness.forget_waiting(self.backlog.complete_through());
+        self.freshness
+            .forget_waiting(self.backlog.complete_through());
         self.reopen_watch();
     }
 
--- a/crates/config-sync/src/sync/verdict.rs
+++ b/crates/config-sync/src/sync/verdict.rs
@@ -40,8 +40,12 @@
     /// its bytes go out. All else of the call goes by the view that it was admitted under, but what was taken away
     /// since counts, and so does time.
     pub fn still_admitted(&self, now: f64, admitted: &View<S::Entry>, key: &str) -> Verdict {
-        let Some(known) = admitted.get(key) else { return Verdict::Unknown };
-        let Some(current) = self.applier.view().get(key) else { return Verdict::RefuseNotAllowed };
+        let Some(known) = admitted.get(key) else {
+            return Verdict::Unknown;
+        };
+        let Some(current) = self.applier.view().get(key) else {
+            return Verdict::RefuseNotAllowed;
+        };
         match self.judge(now, key, current) {
             Verdict::Serve => self.judge(now, key, known),
             refusal => refusal,
@@ -56,12 +60,18 @@
             return Verdict::Serve;
         }
         let age = now - self.entry_fresh_as_of(key);
-        if age <= self.settings.freshness_bound { Verdict::Serve } else { Verdict::RefuseStale { age } }
+        if age <= self.settings.freshness_bound {
+            Verdict::Serve
+        } else {
+            Verdict::RefuseStale { age }
+        }
     }
 
     /// An entry whose newest transaction was rejected is older than the view.
     fn entry_fresh_as_of(&self, key: &str) -> f64 {
         let view = self.freshness.as_of();
-        self.applier.blocked_as_of(key).map_or(view, |blocked| blocked.min(view))
+        self.applier
+            .blocked_as_of(key)
+            .map_or(view, |blocked| blocked.min(view))
     }
 }
--- a/crates/config-sync/src/sync/watching.rs
+++ b/crates/config-sync/src/sync/watching.rs
@@ -39,8 +39,9 @@
         self.stop_barriers();
         self.audit_at = f64::INFINITY;
         self.forget_reads();
-        let is_local =
-            |action: &Action<S::Entry>| matches!(action, Action::Apply(_) | Action::WriteSnapshot { .. });
+        let is_local = |action: &Action<S::Entry>| {
+            matches!(action, Action::Apply(_) | Action::WriteSnapshot { .. })
+        };
         self.actions.retain(is_local);
         self.mark_report(now);
     }
@@ -98,7 +99,9 @@
         self.backlog.restart(self.applied_revision);
         self.watch_is_open = true;
         self.reopen_watch_at = f64::INFINITY;
-        self.actions.push_back(Action::Watch { from_revision: self.applied_revision + 1 });
+        self.actions.push_back(Action::Watch {
+            from_revision: self.applied_revision + 1,
+        });
     }
 
     /// Opens the watch anew, behind all that was told whole.
@@ -106,7 +109,9 @@
         self.close_watch();
         self.backlog.drop_incomplete();
         self.watch_is_open = true;
-        self.actions.push_back(Action::Watch { from_revision: self.backlog.complete_through() + 1 });
+        self.actions.push_back(Action::Watch {
+            from_revision: self.backlog.complete_through() + 1,
+        });
     }
 
     pub(super) fn close_watch(&mut self) {
@@ -115,14 +120,19 @@
             return;
         }
         let queued = self.actions.len();
-        self.actions.retain(|action| !matches!(action, Action::Watch { .. }));
+        self.actions
+            .retain(|action| !matches!(action, Action::Watch { .. }));
         if self.actions.len() == queued {
             self.actions.push_back(Action::CancelWatch);
         }
     }
 
     pub(super) fn request_progress(&mut self) {
-        if !self.actions.iter().any(|action| matches!(action, Action::RequestProgress)) {
+        if !self
+            .actions
+            .iter()
+            .any(|action| matches!(action, Action::RequestProgress))
+        {
             self.actions.push_back(Action::RequestProgress);
         }
     }
@@ -183,7 +193,11 @@
             match document {
                 Some(document) => {
                     let document = document.into();
-                    stored.put(StoredEntry { key: key.clone(), document, mod_revision: revision });
+                    stored.put(StoredEntry {
+                        key: key.clone(),
+                        document,
+                        mod_revision: revision,
+                    });
                 }
                 None => stored.delete(&key),
             }
@@ -202,7 +216,9 @@
             self.foreign_keys.remove(&store_key);
             return;
         }
-        if self.foreign_keys.len() >= MAX_FOREIGN_KEYS && !self.foreign_keys.contains_key(&store_key) {
+        if self.foreign_keys.len() >= MAX_FOREIGN_KEYS
+            && !self.foreign_keys.contains_key(&store_key)
+        {
             return;
         }
         let rejection = Rejection {
@@ -218,7 +234,10 @@
 
     /// Whether an answer of the watch comes from the store that is followed; if not, the front end halts.
     fn is_followed(&mut self, now: f64, header: &Header) -> bool {
-        if self.source.is_some_and(|source| source.cluster == header.cluster) {
+        if self
+            .source
+            .is_some_and(|source| source.cluster == header.cluster)
+        {
             return true;
         }
         self.halt(now, ReportedState::StoreSetBack);
--- a/crates/config-sync/src/view.rs
+++ b/crates/config-sync/src/view.rs
@@ -54,7 +54,12 @@
 impl<E> Default for View<E> {
     fn default() -> View<E> {
         let empty = Arc::new(vec![]);
-        View { generation: 0, revision: 0, len: 0, buckets: vec![empty; BUCKET_COUNT] }
+        View {
+            generation: 0,
+            revision: 0,
+            len: 0,
+            buckets: vec![empty; BUCKET_COUNT],
+        }
     }
 }
 
@@ -82,23 +87,35 @@
     /// The entry under a logical key such as `functions/resize`.
     pub fn get(&self, key: &str) -> Option<&Arc<Record<E>>> {
         let bucket = &self.buckets[bucket_of(key)];
-        let place = bucket.binary_search_by(|(known, _)| known.as_str().cmp(key)).ok()?;
+        let place = bucket
+            .binary_search_by(|(known, _)| known.as_str().cmp(key))
+            .ok()?;
         Some(&bucket[place].1)
     }
 
     /// All entries, by bucket and then by key: an order that is the same everywhere, but not that of keys.
     pub fn iter(&self) -> impl Iterator<Item = (&EntryKey, &Arc<Record<E>>)> {
-        self.buckets.iter().flat_map(|bucket| bucket.iter().map(|(key, record)| (key, record)))
+        self.buckets
+            .iter()
+            .flat_map(|bucket| bucket.iter().map(|(key, record)| (key, record)))
     }
 
     /// All entries of a kind, in the order of [`View::iter`]. Entries of other kinds cost nothing.
-    pub fn of_kind<'v>(&'v self, kind: &'v str) -> impl Iterator<Item = (&'v EntryKey, &'v Arc<Record<E>>)> {
+    pub fn of_kind<'v>(
+        &'v self,
+        kind: &'v str,
+    ) -> impl Iterator<Item = (&'v EntryKey, &'v Arc<Record<E>>)> {
         // A kind's entries stand together: keys are sorted, and begin with their kind and a slash.
         let of_bucket = move |bucket: &'v Arc<Bucket<E>>| {
             let first = bucket.partition_point(|(key, _)| is_before_kind(key, kind));
-            bucket[first..].iter().take_while(move |(key, _)| key.kind() == kind)
+            bucket[first..]
+                .iter()
+                .take_while(move |(key, _)| key.kind() == kind)
         };
-        self.buckets.iter().flat_map(of_bucket).map(|(key, record)| (key, record))
+        self.buckets
+            .iter()
+            .flat_map(of_bucket)
+            .map(|(key, record)| (key, record))
     }
 
     pub(crate) fn set_position(&mut self, generation: u64, revision: i64) {
--- a/crates/config-sync/src/writer.rs
+++ b/crates/config-sync/src/writer.rs
@@ -28,7 +28,10 @@
 impl Generation {
     /// A generation in this crate's format.
     pub fn new(generation: u64) -> Generation {
-        Generation { format: FORMAT, generation }
+        Generation {
+            format: FORMAT,
+            generation,
+        }
     }
 
     /// The JSON that is put into the store.
@@ -125,8 +128,13 @@
 /// The store keys that [`plan`] needs, to be read at one revision.
 pub fn keys_to_read(keyspace: &Keyspace, changes: &[EntryChange]) -> Vec<Vec<u8>> {
     let entries = changes.iter().map(|change| keyspace.entry(&change.key));
-    let groups: BTreeSet<usize> = changes.iter().map(|change| group_of(change.key.bucket())).collect();
-    entries.chain(groups.into_iter().map(|group| keyspace.digest(group))).collect()
+    let groups: BTreeSet<usize> = changes
+        .iter()
+        .map(|change| group_of(change.key.bucket()))
+        .collect();
+    entries
+        .chain(groups.into_iter().map(|group| keyspace.digest(group)))
+        .collect()
 }
 
 /// Builds the transaction for some changes. Each document is read by the schema, so that nothing malformed is
@@ -140,14 +148,22 @@
     max_operations: usize,
 ) -> Result<Transaction, WriteError> {
     check_changes(schema, changes, max_value_bytes)?;
-    let mut plan = Plan { keyspace, read, groups: BTreeMap::new(), transaction: Transaction::default() };
+    let mut plan = Plan {
+        keyspace,
+        read,
+        groups: BTreeMap::new(),
+        transaction: Transaction::default(),
+    };
     for change in changes {
         plan.add(change)?;
     }
     let transaction = plan.finish();
     let operations = transaction.operations.len();
     if operations > max_operations {
-        return Err(WriteError::TooManyOperations { operations, most: max_operations });
+        return Err(WriteError::TooManyOperations {
+            operations,
+            most: max_operations,
+        });
     }
     Ok(transaction)
 }
@@ -171,7 +187,10 @@
             continue;
         }
         let mod_revision = known.map_or(0, |known| known.mod_revision);
-        transaction.guards.push(ModRevisionGuard { key: key.clone(), mod_revision });
+        transaction.guards.push(ModRevisionGuard {
+            key: key.clone(),
+            mod_revision,
+        });
         transaction.operations.push(Operation::Put { key, value });
     }
     transaction
@@ -190,7 +209,10 @@
         let Some(document) = document else { continue };
         Envelope::parse(document, max_value_bytes)
             .and_then(|envelope| schema.parse(key, envelope.spec))
-            .map_err(|invalid| WriteError::Invalid { key: key.clone(), invalid })?;
+            .map_err(|invalid| WriteError::Invalid {
+                key: key.clone(),
+                invalid,
+            })?;
     }
     Ok(())
 }
@@ -210,7 +232,9 @@
         let known = self.read.get(&store_key);
         let bucket = change.key.bucket();
         self.load_group(group_of(bucket))?;
-        let Some(digests) = self.groups.get_mut(&group_of(bucket)) else { return Ok(()) };
+        let Some(digests) = self.groups.get_mut(&group_of(bucket)) else {
+            return Ok(());
+        };
         if let Some(known) = known {
             digests.remove(bucket, entry_hash(change.key.as_str(), &known.value));
         }
@@ -218,9 +242,15 @@
             digests.add(bucket, entry_hash(change.key.as_str(), document));
         }
         let mod_revision = known.map_or(0, |known| known.mod_revision);
-        self.transaction.guards.push(ModRevisionGuard { key: store_key.clone(), mod_revision });
+        self.transaction.guards.push(ModRevisionGuard {
+            key: store_key.clone(),
+            mod_revision,
+        });
         self.transaction.operations.push(match &change.document {
-            Some(document) => Operation::Put { key: store_key, value: document.clone() },
+            Some(document) => Operation::Put {
+                key: store_key,
+                value: document.clone(),
+            },
             None => Operation::Delete { key: store_key },
         });
         Ok(())
@@ -237,10 +267,14 @@
         if let Some(known) = known
             && !digests.decode_group(group, &known.value)
         {
-            return Err(WriteError::BadDigest(String::from_utf8_lossy(&key).into_owned()));
+            return Err(WriteError::BadDigest(
+                String::from_utf8_lossy(&key).into_owned(),
+            ));
         }
         let mod_revision = known.map_or(0, |known| known.mod_revision);
-        self.transaction.guards.push(ModRevisionGuard { key, mod_revision });
+        self.transaction
+            .guards
+            .push(ModRevisionGuard { key, mod_revision });
         self.groups.insert(group, digests);
         Ok(())
     }
@@ -248,7 +282,9 @@
     fn finish(mut self) -> Transaction {
         for (group, digests) in &self.groups {
             let (key, value) = (self.keyspace.digest(*group), digests.encode_group(*group));
-            self.transaction.operations.push(Operation::Put { key, value });
+            self.transaction
+                .operations
+                .push(Operation::Put { key, value });
         }
         self.transaction
     }
--- a/crates/config-sync/tests/convergence.rs
+++ b/crates/config-sync/tests/convergence.rs
@@ -37,7 +37,11 @@
 const KEYS: usize = 12;
 
 fn name(key: usize) -> String {
-    if key.is_multiple_of(3) { format!("quotas/q{key}") } else { format!("functions/f{key}") }
+    if key.is_multiple_of(3) {
+        format!("quotas/q{key}")
+    } else {
+        format!("functions/f{key}")
+    }
 }
 
 fn change((key, content): &(usize, Content)) -> EntryChange {
@@ -92,7 +96,9 @@
 
 fn in_force(fleet: &Fleet) -> Model {
     let view = fleet.front_ends[0].core.view();
-    view.iter().map(|(key, record)| (key.to_string(), record.document.to_vec())).collect()
+    view.iter()
+        .map(|(key, record)| (key.to_string(), record.document.to_vec()))
+        .collect()
 }
 
 fn play(fleet: &mut Fleet, event: &Event, model: &mut Model) {
@@ -131,7 +137,11 @@
 }
 
 fn one_front_end() -> Fleet {
-    let settings = SyncSettings { snapshot_interval: 2.0, audit_interval: 5.0, ..SyncSettings::default() };
+    let settings = SyncSettings {
+        snapshot_interval: 2.0,
+        audit_interval: 5.0,
+        ..SyncSettings::default()
+    };
     Fleet::new(1, settings)
 }
 
--- a/crates/config-sync/tests/faults.rs
+++ b/crates/config-sync/tests/faults.rs
@@ -12,8 +12,9 @@
 /// A fleet that has loaded some functions, `functions/guarded` among them, which is refused when stale.
 fn loaded(count: usize, functions: usize) -> Fleet {
     let mut fleet = Fleet::new(count, SyncSettings::default());
-    let mut changes: Vec<_> =
-        (0..functions).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let mut changes: Vec<_> = (0..functions)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     changes.push(put("functions/guarded", function("a", "refuse", true)));
     for some in changes.chunks(80) {
         fleet.write(some);
@@ -28,9 +29,11 @@
 fn digest_of(fleet: &Fleet, front_end: usize, key: &str) -> String {
     let view = fleet.front_ends[front_end].core.view();
     match view.get(key).map(|record| &record.entry) {
-        Some(orchidtally_config_sync::schema::GatewayEntry::Function(f)) => {
-            f.versions[0].digest.trim_start_matches("sha256:").trim_end_matches('0').to_string()
-        }
+        Some(orchidtally_config_sync::schema::GatewayEntry::Function(f)) => f.versions[0]
+            .digest
+            .trim_start_matches("sha256:")
+            .trim_end_matches('0')
+            .to_string(),
         _ => "none".into(),
     }
 }
@@ -42,19 +45,33 @@
     for front_end in &mut fleet.front_ends {
         front_end.fragment = 1;
     }
-    let changes: Vec<_> =
-        (0..90).map(|n| put(&format!("functions/f{n}"), function("b", "serve", true))).collect();
-    let bytes: usize = changes.iter().map(|change| change.document.as_ref().map_or(0, Vec::len)).sum();
+    let changes: Vec<_> = (0..90)
+        .map(|n| put(&format!("functions/f{n}"), function("b", "serve", true)))
+        .collect();
+    let bytes: usize = changes
+        .iter()
+        .map(|change| change.document.as_ref().map_or(0, Vec::len))
+        .sum();
     let began = fleet.now;
     let revision = fleet.write(&changes);
     let took = fleet.run_until_applied(revision, LIMIT, |_| true);
     let received = |f: &kit::front_end::FrontEnd| {
-        f.traffic.by_second.range(began as u64..).map(|(_, bytes)| *bytes).sum::<usize>()
+        f.traffic
+            .by_second
+            .range(began as u64..)
+            .map(|(_, bytes)| *bytes)
+            .sum::<usize>()
     };
     let most = fleet.front_ends.iter().map(received).max().unwrap_or(0);
     println!("in force after {took:?} s, {most} bytes at one front end, {bytes} of documents");
-    assert!(took.is_some_and(|took| took > 8.0 && took < 12.0), "{took:?}");
-    assert!(most < 2 * bytes, "{most} bytes at one front end, {bytes} of documents");
+    assert!(
+        took.is_some_and(|took| took > 8.0 && took < 12.0),
+        "{took:?}"
+    );
+    assert!(
+        most < 2 * bytes,
+        "{most} bytes at one front end, {bytes} of documents"
+    );
 }
 
 /// Two of five members die when front ends have a part of a transaction: nobody shows a part of it, and all have it
@@ -66,25 +83,44 @@
         front_end.fragment = 5;
     }
     let keys: Vec<String> = (0..40).map(|n| format!("functions/f{n}")).collect();
-    let changes: Vec<_> = keys.iter().map(|key| put(key, function("b", "serve", true))).collect();
+    let changes: Vec<_> = keys
+        .iter()
+        .map(|key| put(key, function("b", "serve", true)))
+        .collect();
     let revision = fleet.write(&changes);
     let written_at = fleet.now;
     let mixed = |fleet: &Fleet| {
         for index in 0..20 {
-            let digests: Vec<String> = keys.iter().map(|key| digest_of(fleet, index, key)).collect();
-            assert!(digests.iter().all(|d| *d == digests[0]), "front end {index} shows a part: {digests:?}");
+            let digests: Vec<String> = keys
+                .iter()
+                .map(|key| digest_of(fleet, index, key))
+                .collect();
+            assert!(
+                digests.iter().all(|d| *d == digests[0]),
+                "front end {index} shows a part: {digests:?}"
+            );
         }
     };
     fleet.run_with(0.2, mixed);
     let on_dead = fleet.front_ends.iter().filter(|f| f.member < 2).count();
-    let early = fleet.front_ends.iter().filter(|f| f.core.applied_revision() >= revision).count();
-    assert!(on_dead > 0 && early == 0, "the members have to die in the middle: {on_dead} {early}");
+    let early = fleet
+        .front_ends
+        .iter()
+        .filter(|f| f.core.applied_revision() >= revision)
+        .count();
+    assert!(
+        on_dead > 0 && early == 0,
+        "the members have to die in the middle: {on_dead} {early}"
+    );
     fleet.store.members[0].is_alive = false;
     fleet.store.members[1].is_alive = false;
     let mut all_at = None;
     fleet.run_with(LIMIT, |fleet| {
         mixed(fleet);
-        let all = fleet.front_ends.iter().all(|f| f.core.applied_revision() >= revision);
+        let all = fleet
+            .front_ends
+            .iter()
+            .all(|f| f.core.applied_revision() >= revision);
         if all && all_at.is_none() {
             all_at = Some(fleet.now - written_at);
         }
@@ -109,7 +145,11 @@
     let written_at = fleet.now;
     let took = fleet.run_until_applied(revision, LIMIT, |f| f.region != 2);
     assert!(took.is_some(), "the others don't have it in time");
-    assert_eq!(fleet.serving("functions/guarded"), 3, "the region can't know yet");
+    assert_eq!(
+        fleet.serving("functions/guarded"),
+        3,
+        "the region can't know yet"
+    );
     let mut last_served = 0.0f64;
     fleet.run_with(180.0, |fleet| {
         if fleet.serving("functions/guarded") > 0 {
@@ -128,7 +168,10 @@
     println!("in force after {healed:?} s of the healed region");
     assert!(healed.is_some());
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.admits(fleet.now, "functions/guarded"), Verdict::RefuseNotAllowed);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/guarded"),
+            Verdict::RefuseNotAllowed
+        );
     }
 }
 
@@ -143,12 +186,21 @@
     let cut_at = fleet.now;
     fleet.run_with(60.0, |_| {});
     for second in 0..30 {
-        fleet.front_ends[0].core.watch_progress(cut_at + 60.0 + f64::from(second), header);
+        fleet.front_ends[0]
+            .core
+            .watch_progress(cut_at + 60.0 + f64::from(second), header);
     }
     let core = &fleet.front_ends[0].core;
-    assert!(core.fresh_as_of() <= cut_at, "{} after {cut_at}", core.fresh_as_of());
+    assert!(
+        core.fresh_as_of() <= cut_at,
+        "{} after {cut_at}",
+        core.fresh_as_of()
+    );
     let verdict = core.admits(cut_at + 90.0, "functions/guarded");
-    assert!(matches!(verdict, Verdict::RefuseStale { age } if age >= 90.0), "{verdict:?}");
+    assert!(
+        matches!(verdict, Verdict::RefuseStale { age } if age >= 90.0),
+        "{verdict:?}"
+    );
 }
 
 /// A member answers linearizable reads, but its watches stand still: front ends take another one.
@@ -181,21 +233,36 @@
     let revision = fleet.write(&[put("functions/guarded", function("a", "refuse", false))]);
     fleet.run(30.0);
     let core = &fleet.front_ends[0].core;
-    assert!(core.view().get("functions/guarded").is_some(), "it still holds the old view");
+    assert!(
+        core.view().get("functions/guarded").is_some(),
+        "it still holds the old view"
+    );
     let verdict = core.admits(fleet.now, "functions/guarded");
-    assert!(matches!(verdict, Verdict::RefuseStale { .. }), "{verdict:?}");
+    assert!(
+        matches!(verdict, Verdict::RefuseStale { .. }),
+        "{verdict:?}"
+    );
     let verdict = core.still_admitted(fleet.now, &admitted, "functions/guarded");
-    assert!(matches!(verdict, Verdict::RefuseStale { .. }), "{verdict:?}");
+    assert!(
+        matches!(verdict, Verdict::RefuseStale { .. }),
+        "{verdict:?}"
+    );
     assert_eq!(core.admits(fleet.now, "functions/f1"), Verdict::Serve);
     // The answer that waited for it while it was paused doesn't make its old view fresh.
     let now = fleet.now;
     fleet.front_ends[0].receive_barrier(now);
     let verdict = fleet.front_ends[0].core.admits(now, "functions/guarded");
-    assert!(matches!(verdict, Verdict::RefuseStale { age } if age > 30.0), "{verdict:?}");
+    assert!(
+        matches!(verdict, Verdict::RefuseStale { age } if age > 30.0),
+        "{verdict:?}"
+    );
     fleet.front_ends[0].is_paused = false;
     let mut served = false;
     fleet.run_with(LIMIT, |fleet| {
-        served |= fleet.front_ends[0].core.admits(fleet.now, "functions/guarded") == Verdict::Serve;
+        served |= fleet.front_ends[0]
+            .core
+            .admits(fleet.now, "functions/guarded")
+            == Verdict::Serve;
     });
     assert!(!served, "it was served after it was taken away");
     assert!(fleet.front_ends[0].core.applied_revision() >= revision);
@@ -205,7 +272,13 @@
 #[test]
 fn the_store_comes_back_at_an_older_revision() {
     let mut fleet = loaded(6, 30);
-    let scans = |fleet: &Fleet| fleet.front_ends.iter().map(|f| f.traffic.scans).sum::<usize>();
+    let scans = |fleet: &Fleet| {
+        fleet
+            .front_ends
+            .iter()
+            .map(|f| f.traffic.scans)
+            .sum::<usize>()
+    };
     let scans_before = scans(&fleet);
     let back_to = fleet.store.revision;
     let revision = fleet.write(&[
@@ -221,13 +294,25 @@
     }
     fleet.run_with(120.0, |fleet| {
         for index in 0..6 {
-            assert_eq!(digest_of(fleet, index, "functions/f1"), "b", "front end {index} was taken back");
-            assert_ne!(fleet.front_ends[index].core.admits(fleet.now, "functions/guarded"), Verdict::Serve);
+            assert_eq!(
+                digest_of(fleet, index, "functions/f1"),
+                "b",
+                "front end {index} was taken back"
+            );
+            assert_ne!(
+                fleet.front_ends[index]
+                    .core
+                    .admits(fleet.now, "functions/guarded"),
+                Verdict::Serve
+            );
         }
     });
     for front_end in &fleet.front_ends {
         assert_eq!(front_end.core.state(), ReportedState::StoreSetBack);
-        assert_eq!(front_end.report.as_ref().map(|r| r.state), Some(ReportedState::StoreSetBack));
+        assert_eq!(
+            front_end.report.as_ref().map(|r| r.state),
+            Some(ReportedState::StoreSetBack)
+        );
         assert!(front_end.core.fresh_as_of() <= set_back_at);
     }
     // The operator restores the generation key with a higher number: then the store is followed.
@@ -274,8 +359,17 @@
     }
     fleet.run_with(60.0, |fleet| {
         for index in 0..6 {
-            assert_eq!(digest_of(fleet, index, "functions/f2"), "a", "front end {index} mixes two histories");
-            assert_ne!(fleet.front_ends[index].core.admits(fleet.now, "functions/guarded"), Verdict::Serve);
+            assert_eq!(
+                digest_of(fleet, index, "functions/f2"),
+                "a",
+                "front end {index} mixes two histories"
+            );
+            assert_ne!(
+                fleet.front_ends[index]
+                    .core
+                    .admits(fleet.now, "functions/guarded"),
+                Verdict::Serve
+            );
         }
     });
     for front_end in &fleet.front_ends {
@@ -283,7 +377,12 @@
     }
     fleet.set_generation(2);
     fleet.run(LIMIT);
-    assert!(fleet.front_ends.iter().all(|f| f.core.state() == ReportedState::Following));
+    assert!(
+        fleet
+            .front_ends
+            .iter()
+            .all(|f| f.core.state() == ReportedState::Following)
+    );
     assert_eq!(digest_of(&fleet, 0, "functions/f2"), "c");
 }
 
@@ -297,7 +396,10 @@
     }
     fleet.run(3.0);
     fleet.write(&[put("functions/f7", function("b", "serve", true))]);
-    fleet.write(&[delete("functions/f8"), put("functions/new", function("n", "serve", true))]);
+    fleet.write(&[
+        delete("functions/f8"),
+        put("functions/new", function("n", "serve", true)),
+    ]);
     let revision = fleet.write(&[put("functions/guarded", function("a", "refuse", false))]);
     fleet.store.touch();
     fleet.store.compact(fleet.store.revision);
@@ -311,9 +413,20 @@
     assert!(took.is_some());
     for (index, front_end) in fleet.front_ends.iter().enumerate() {
         assert_eq!(digest_of(&fleet, index, "functions/f7"), "b");
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f8"), Verdict::Unknown);
-        assert_eq!(front_end.core.admits(fleet.now, "functions/guarded"), Verdict::RefuseNotAllowed);
-        let read: usize = front_end.traffic.reads_by_second.range(healed_at as u64..).map(|(_, b)| *b).sum();
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f8"),
+            Verdict::Unknown
+        );
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/guarded"),
+            Verdict::RefuseNotAllowed
+        );
+        let read: usize = front_end
+            .traffic
+            .reads_by_second
+            .range(healed_at as u64..)
+            .map(|(_, b)| *b)
+            .sum();
         assert!(read < 20_000, "front end {index} read {read} bytes");
     }
     let scans_after: usize = fleet.front_ends.iter().map(|f| f.traffic.scans).sum();
@@ -340,11 +453,22 @@
         fleet.front_ends[index + 2].is_paused = false;
     }
     fleet.run_with(LIMIT, |fleet| look(fleet, &mut served));
-    assert!(fleet.front_ends.iter().all(|f| f.core.applied_revision() >= revision));
+    assert!(
+        fleet
+            .front_ends
+            .iter()
+            .all(|f| f.core.applied_revision() >= revision)
+    );
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.admits(fleet.now, "functions/guest"), Verdict::RefuseNotAllowed);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/guest"),
+            Verdict::RefuseNotAllowed
+        );
     }
-    assert_eq!(served, 0, "the change and its revocation came together, and it was used");
+    assert_eq!(
+        served, 0,
+        "the change and its revocation came together, and it was used"
+    );
 }
 
 /// The grant's transaction was rejected; its revocation heals it, and nothing of the grant comes back.
@@ -356,7 +480,12 @@
         put("functions/f1", br#"{"spec":{}}"#.to_vec()),
     ]);
     fleet.run(2.0);
-    assert_eq!(fleet.front_ends[0].core.admits(fleet.now, "functions/guest"), Verdict::Unknown);
+    assert_eq!(
+        fleet.front_ends[0]
+            .core
+            .admits(fleet.now, "functions/guest"),
+        Verdict::Unknown
+    );
     fleet.write(&[delete("functions/guest")]);
     fleet.run(2.0);
     fleet.write(&[put("functions/f1", function("z", "serve", true))]);
--- a/crates/config-sync/tests/following.rs
+++ b/crates/config-sync/tests/following.rs
@@ -8,8 +8,9 @@
 
 fn loaded(count: usize) -> Fleet {
     let mut fleet = Fleet::new(count, SyncSettings::default());
-    let changes: Vec<_> =
-        (0..40).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let changes: Vec<_> = (0..40)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     fleet.write(&changes);
     fleet.run(20.0);
     fleet
@@ -26,8 +27,14 @@
     let took = fleet.run_until_applied(revision, 18.0, |_| true);
     assert!(took.is_some_and(|took| took < 1.0), "{took:?}");
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.admits(fleet.now, "quotas/ann"), Verdict::Serve);
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f3"), Verdict::Unknown);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "quotas/ann"),
+            Verdict::Serve
+        );
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f3"),
+            Verdict::Unknown
+        );
     }
 }
 
@@ -48,20 +55,32 @@
     fleet.write(&[put("functions/f1", function("b", "serve", true))]);
     fleet.run(2.0);
     let front_end = &fleet.front_ends[0];
-    let digest = |view: &orchidtally_config_sync::View<_>| match &view.get("functions/f1").unwrap().entry {
-        orchidtally_config_sync::schema::GatewayEntry::Function(f) => f.versions[0].digest.clone(),
-        _ => unreachable!("it is a function"),
-    };
+    let digest =
+        |view: &orchidtally_config_sync::View<_>| match &view.get("functions/f1").unwrap().entry {
+            orchidtally_config_sync::schema::GatewayEntry::Function(f) => {
+                f.versions[0].digest.clone()
+            }
+            _ => unreachable!("it is a function"),
+        };
     assert!(digest(&admitted).starts_with("sha256:a"));
     assert!(digest(&front_end.core.view()).starts_with("sha256:b"));
-    assert_eq!(front_end.core.still_admitted(fleet.now, &admitted, "functions/f1"), Verdict::Serve);
+    assert_eq!(
+        front_end
+            .core
+            .still_admitted(fleet.now, &admitted, "functions/f1"),
+        Verdict::Serve
+    );
     fleet.write(&[put("functions/f1", function("b", "serve", false))]);
     fleet.run(2.0);
-    let verdict = fleet.front_ends[0].core.still_admitted(fleet.now, &admitted, "functions/f1");
+    let verdict = fleet.front_ends[0]
+        .core
+        .still_admitted(fleet.now, &admitted, "functions/f1");
     assert_eq!(verdict, Verdict::RefuseNotAllowed);
     fleet.write(&[delete("functions/f1")]);
     fleet.run(2.0);
-    let verdict = fleet.front_ends[0].core.still_admitted(fleet.now, &admitted, "functions/f1");
+    let verdict = fleet.front_ends[0]
+        .core
+        .still_admitted(fleet.now, &admitted, "functions/f1");
     assert_eq!(verdict, Verdict::RefuseNotAllowed);
 }
 
@@ -85,7 +104,10 @@
     fleet.write(&names.map(|name| put(name, quota(1.0))));
     fleet.run(2.0);
     let view = fleet.front_ends[0].core.view();
-    let mut found: Vec<&str> = view.of_kind("quotas").map(|(key, _)| key.as_str()).collect();
+    let mut found: Vec<&str> = view
+        .of_kind("quotas")
+        .map(|(key, _)| key.as_str())
+        .collect();
     found.sort_unstable();
     assert_eq!(found, names);
     assert_eq!(view.of_kind("functions").count(), 40);
@@ -110,25 +132,44 @@
     use orchidtally_config_sync::writer::Operation;
     let mut fleet = loaded(2);
     let key = fleet.keyspace.generation();
-    let generation = |value: &str| Operation::Put { key: key.clone(), value: value.as_bytes().to_vec() };
+    let generation = |value: &str| Operation::Put {
+        key: key.clone(),
+        value: value.as_bytes().to_vec(),
+    };
     for value in [r#"{"format":2,"generation":1}"#, "no json"] {
         fleet.store.commit(&[generation(value)]);
-        let revision = fleet.write(&[put("functions/f1", function(&value.len().to_string(), "serve", true))]);
+        let revision = fleet.write(&[put(
+            "functions/f1",
+            function(&value.len().to_string(), "serve", true),
+        )]);
         fleet.run(60.0);
         for front_end in &fleet.front_ends {
             assert_eq!(front_end.core.state(), ReportedState::UnknownFormat);
-            assert_eq!(front_end.core.admits(fleet.now, "functions/f1"), Verdict::Serve);
+            assert_eq!(
+                front_end.core.admits(fleet.now, "functions/f1"),
+                Verdict::Serve
+            );
             assert!(front_end.core.fresh_as_of() < fleet.now - 50.0);
         }
         fleet.set_generation(1);
         assert!(fleet.run_until_applied(revision, 18.0, |_| true).is_some());
         fleet.run(10.0);
-        assert!(fleet.front_ends.iter().all(|f| f.core.state() == ReportedState::Following));
+        assert!(
+            fleet
+                .front_ends
+                .iter()
+                .all(|f| f.core.state() == ReportedState::Following)
+        );
     }
     // A generation that is lower than the one that is followed is no reason to go back.
     fleet.set_generation(0);
     fleet.run(10.0);
-    assert!(fleet.front_ends.iter().all(|f| f.core.state() == ReportedState::StoreSetBack));
+    assert!(
+        fleet
+            .front_ends
+            .iter()
+            .all(|f| f.core.state() == ReportedState::StoreSetBack)
+    );
 }
 
 #[test]
@@ -143,7 +184,10 @@
     let front_end = &fleet.front_ends[0];
     let rejections = front_end.core.rejections();
     assert_eq!(rejections.len(), 1, "{rejections:?}");
-    assert_eq!((rejections[0].key.as_str(), rejections[0].revision), ("functions/slow", revision));
+    assert_eq!(
+        (rejections[0].key.as_str(), rejections[0].revision),
+        ("functions/slow", revision)
+    );
     assert!(!rejections[0].remedy.is_empty());
     assert_eq!(front_end.report.as_ref().unwrap().rejected, rejections);
     let document = br#"{"spec":{"versions":[{"digest":"d","work":1}],"trigger_types":["web"]}}"#;
--- a/crates/config-sync/tests/kit/fleet.rs
+++ b/crates/config-sync/tests/kit/fleet.rs
@@ -22,11 +22,17 @@
     /// Front ends of three regions; the third region's side of the store is member 4.
     pub fn new(count: usize, settings: SyncSettings) -> Fleet {
         let keyspace = Keyspace::new(settings.prefix.clone());
-        let mut fleet =
-            Fleet { now: 1_000.0, settings, store: Store::default(), front_ends: vec![], keyspace };
+        let mut fleet = Fleet {
+            now: 1_000.0,
+            settings,
+            store: Store::default(),
+            front_ends: vec![],
+            keyspace,
+        };
         fleet.set_generation(1);
         for index in 0..count {
-            let front_end = FrontEnd::new(fleet.settings.clone(), index as u64, index % 3, fleet.now);
+            let front_end =
+                FrontEnd::new(fleet.settings.clone(), index as u64, index % 3, fleet.now);
             fleet.front_ends.push(front_end);
         }
         fleet
@@ -34,7 +40,10 @@
 
     pub fn set_generation(&mut self, generation: u64) {
         let value = Generation::new(generation).to_json();
-        self.store.commit(&[Operation::Put { key: self.keyspace.generation(), value }]);
+        self.store.commit(&[Operation::Put {
+            key: self.keyspace.generation(),
+            value,
+        }]);
     }
 
     /// Writes by the writer's module; panics if another writer was faster.
@@ -43,10 +52,19 @@
     }
 
     pub fn try_write(&mut self, changes: &[EntryChange]) -> Option<i64> {
-        let read = self.store.read(&writer::keys_to_read(&self.keyspace, changes));
+        let read = self
+            .store
+            .read(&writer::keys_to_read(&self.keyspace, changes));
         let most = DEFAULT_MAX_OPERATIONS * 100;
-        let transaction = writer::plan(&self.keyspace, &GatewaySchema, changes, &read, 1 << 20, most)
-            .expect("the test's changes are sound");
+        let transaction = writer::plan(
+            &self.keyspace,
+            &GatewaySchema,
+            changes,
+            &read,
+            1 << 20,
+            most,
+        )
+        .expect("the test's changes are sound");
         self.store.transact(&transaction)
     }
 
@@ -58,8 +76,17 @@
             let key = self.keyspace.entry(key);
             match document {
                 Some(value) => {
-                    after.insert(key.clone(), ReadValue { value: value.clone(), mod_revision: 0 });
-                    operations.push(Operation::Put { key, value: value.clone() });
+                    after.insert(
+                        key.clone(),
+                        ReadValue {
+                            value: value.clone(),
+                            mod_revision: 0,
+                        },
+                    );
+                    operations.push(Operation::Put {
+                        key,
+                        value: value.clone(),
+                    });
                 }
                 None => {
                     after.remove(&key);
@@ -68,7 +95,9 @@
             }
         }
         operations.extend(writer::repair(&self.keyspace, &after).operations);
-        self.store.commit(&operations).expect("a quorum takes the write")
+        self.store
+            .commit(&operations)
+            .expect("a quorum takes the write")
     }
 
     /// Runs for so many seconds.
@@ -99,7 +128,10 @@
         let began = self.now;
         while self.now - began < most {
             let all = self.front_ends.iter().filter(|f| of(f));
-            if all.into_iter().all(|f| f.core.applied_revision() >= revision) {
+            if all
+                .into_iter()
+                .all(|f| f.core.applied_revision() >= revision)
+            {
                 return Some(self.now - began);
             }
             self.run(STEP);
@@ -110,12 +142,17 @@
     /// How many front ends serve calls of a key now, paused ones not counted.
     pub fn serving(&self, key: &str) -> usize {
         let running = self.front_ends.iter().filter(|f| !f.is_paused);
-        running.filter(|f| f.core.admits(self.now, key) == Verdict::Serve).count()
+        running
+            .filter(|f| f.core.admits(self.now, key) == Verdict::Serve)
+            .count()
     }
 
     /// The greatest bytes of any front end in any second from this time on.
     pub fn peak_bytes(&self, from: f64) -> usize {
-        let seconds = self.front_ends.iter().flat_map(|f| f.traffic.by_second.range(from as u64..));
+        let seconds = self
+            .front_ends
+            .iter()
+            .flat_map(|f| f.traffic.by_second.range(from as u64..));
         seconds.map(|(_, bytes)| *bytes).max().unwrap_or(0)
     }
 
@@ -123,7 +160,10 @@
     pub fn fleet_peak_bytes(&self, from: f64, until: f64) -> usize {
         let seconds = from as u64..until as u64;
         let in_second = |second: u64| {
-            self.front_ends.iter().filter_map(|f| f.traffic.by_second.get(&second)).sum::<usize>()
+            self.front_ends
+                .iter()
+                .filter_map(|f| f.traffic.by_second.get(&second))
+                .sum::<usize>()
         };
         seconds.map(in_second).max().unwrap_or(0)
     }
--- a/crates/config-sync/tests/kit/front_end.rs
+++ b/crates/config-sync/tests/kit/front_end.rs
@@ -4,8 +4,8 @@
 use orchidtally_config_sync::action::{ReadKind, ReadRequest};
 use orchidtally_config_sync::schema::GatewayEntry;
 use orchidtally_config_sync::{
-    Action, BarrierAnswer, Change, ConfigSync, GatewaySchema, Header, RangeAnswer, Report, RequestFailure,
-    RequestId, SyncSettings, View, WatchBatch,
+    Action, BarrierAnswer, Change, ConfigSync, GatewaySchema, Header, RangeAnswer, Report,
+    RequestFailure, RequestId, SyncSettings, View, WatchBatch,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -88,8 +88,8 @@
 
 impl FrontEnd {
     pub fn new(settings: SyncSettings, seed: u64, region: usize, now: f64) -> FrontEnd {
-        let core =
-            ConfigSync::new(settings, GatewaySchema, seed, now).expect("the test's settings are sound");
+        let core = ConfigSync::new(settings, GatewaySchema, seed, now)
+            .expect("the test's settings are sound");
         FrontEnd {
             core,
             region,
@@ -117,7 +117,12 @@
     pub fn restart(&mut self, settings: SyncSettings, seed: u64, now: f64) {
         let fresh = FrontEnd::new(settings, seed, self.region, now);
         let disk = std::mem::take(&mut self.disk);
-        *self = FrontEnd { disk, side: self.side, latency: self.latency, ..fresh };
+        *self = FrontEnd {
+            disk,
+            side: self.side,
+            latency: self.latency,
+            ..fresh
+        };
         let newest_first: Vec<&[u8]> = self.disk.iter().rev().map(Vec::as_slice).collect();
         self.core.restore(now, &newest_first);
     }
@@ -130,7 +135,9 @@
         }
         self.check_connection(now, store);
         while self.inbox.front().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, message)) = self.inbox.pop_front() else { break };
+            let Some((_, message)) = self.inbox.pop_front() else {
+                break;
+            };
             self.receive(now, message);
         }
         while let Some(action) = self.core.poll(now) {
@@ -168,7 +175,10 @@
 
     fn pause_connecting(&mut self, now: f64) {
         // A cheap draw that is the same in each run.
-        self.reconnects = self.reconnects.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        self.reconnects = self
+            .reconnects
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1);
         let drawn = (self.reconnects >> 33) as f64 / (1u64 << 31) as f64;
         self.reconnect_at = now + self.reconnect_pause * drawn;
     }
@@ -176,7 +186,11 @@
     /// Takes in nothing but the barrier's answer that is under way.
     pub fn receive_barrier(&mut self, now: f64) {
         let is_barrier = |(_, message): &(f64, Message)| matches!(message, Message::Barrier(_));
-        let place = self.inbox.iter().position(is_barrier).expect("an answer is under way");
+        let place = self
+            .inbox
+            .iter()
+            .position(is_barrier)
+            .expect("an answer is under way");
         if let Some((_, message)) = self.inbox.remove(place) {
             self.receive(now, message);
         }
@@ -184,7 +198,9 @@
 
     /// Whether a barrier's answer is under way.
     pub fn waits_for_barrier(&self) -> bool {
-        self.inbox.iter().any(|(_, message)| matches!(message, Message::Barrier(_)))
+        self.inbox
+            .iter()
+            .any(|(_, message)| matches!(message, Message::Barrier(_)))
     }
 
     /// The member sends what its watch has to tell, whether the front end is paused or not.
@@ -196,7 +212,14 @@
         let range = self.core.keyspace().entries();
         match store.events(self.member, &range, watch.next) {
             Err(revision) => {
-                self.send(now, 60, Message::Compacted { watch: watch.number, revision });
+                self.send(
+                    now,
+                    60,
+                    Message::Compacted {
+                        watch: watch.number,
+                        revision,
+                    },
+                );
                 self.watch = None;
                 return;
             }
@@ -211,19 +234,37 @@
             watch.wants_progress = false;
             let header = store.header(self.member);
             self.stream_until = self.stream_until.max(now);
-            self.send(self.stream_until, 60, Message::Progress { watch: watch.number, header });
+            self.send(
+                self.stream_until,
+                60,
+                Message::Progress {
+                    watch: watch.number,
+                    header,
+                },
+            );
         }
         self.watch = Some(watch);
     }
 
-    fn send_batch(&mut self, now: f64, watch: u64, revision: i64, changes: Vec<Change>, cluster: u64) {
+    fn send_batch(
+        &mut self,
+        now: f64,
+        watch: u64,
+        revision: i64,
+        changes: Vec<Change>,
+        cluster: u64,
+    ) {
         let header = Header { cluster, revision };
         let chunks: Vec<&[Change]> = changes.chunks(self.fragment.min(changes.len())).collect();
         for (place, chunk) in chunks.iter().enumerate() {
             let complete = place + 1 == chunks.len();
             let each = |c: &Change| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 24;
             let bytes = 60 + chunk.iter().map(each).sum::<usize>();
-            let batch = WatchBatch { header, changes: chunk.to_vec(), complete };
+            let batch = WatchBatch {
+                header,
+                changes: chunk.to_vec(),
+                complete,
+            };
             let delay = if place == 0 { 0.0 } else { FRAGMENT_DELAY };
             self.stream_until = self.stream_until.max(now) + delay;
             self.send(self.stream_until, bytes, Message::Batch { watch, batch });
@@ -233,7 +274,11 @@
     fn send(&mut self, now: f64, bytes: usize, message: Message) {
         self.count(now, bytes);
         let due = now + self.latency;
-        let place = self.inbox.iter().position(|(other, _)| *other > due).unwrap_or(self.inbox.len());
+        let place = self
+            .inbox
+            .iter()
+            .position(|(other, _)| *other > due)
+            .unwrap_or(self.inbox.len());
         self.inbox.insert(place, (due, message));
     }
 
@@ -244,8 +289,12 @@
     fn receive(&mut self, now: f64, message: Message) {
         let current = self.watch.map_or(self.watches, |watch| watch.number);
         match message {
-            Message::Batch { watch, batch } if watch == current => self.core.watch_batch(now, batch),
-            Message::Progress { watch, header } if watch == current => self.core.watch_progress(now, header),
+            Message::Batch { watch, batch } if watch == current => {
+                self.core.watch_batch(now, batch)
+            }
+            Message::Progress { watch, header } if watch == current => {
+                self.core.watch_progress(now, header)
+            }
             Message::Compacted { watch, revision } if watch == current => {
                 self.core.watch_compacted(now, revision);
             }
@@ -261,7 +310,11 @@
         match action {
             Action::Watch { from_revision } => {
                 self.watches += 1;
-                let watch = WatchState { number: self.watches, next: from_revision, wants_progress: false };
+                let watch = WatchState {
+                    number: self.watches,
+                    next: from_revision,
+                    wants_progress: false,
+                };
                 self.watch = Some(watch);
             }
             Action::CancelWatch => {
@@ -289,7 +342,10 @@
     /// After a watch was given up, another member that is reached is asked.
     fn switch_member(&mut self, store: &Store) {
         let others = (1..MEMBERS).map(|offset| (self.member + offset) % MEMBERS);
-        if let Some(other) = others.into_iter().find(|member| self.reaches(store, *member)) {
+        if let Some(other) = others
+            .into_iter()
+            .find(|member| self.reaches(store, *member))
+        {
             self.member = other;
         }
     }
@@ -314,12 +370,23 @@
                 if request.keys_only {
                     entries.iter_mut().for_each(|entry| entry.value.clear());
                 }
-                let each = |e: &orchidtally_config_sync::RangeEntry| e.key.len() + e.value.len() + 24;
+                let each =
+                    |e: &orchidtally_config_sync::RangeEntry| e.key.len() + e.value.len() + 24;
                 let bytes = 60 + entries.iter().map(each).sum::<usize>();
                 *self.traffic.reads_by_second.entry(now as u64).or_default() += bytes;
-                let of_kind = self.traffic.reads_by_kind.entry(kind_name(request.kind)).or_default();
+                let of_kind = self
+                    .traffic
+                    .reads_by_kind
+                    .entry(kind_name(request.kind))
+                    .or_default();
                 *of_kind = (of_kind.0 + 1, of_kind.1 + bytes);
-                let answer = RangeAnswer { id: request.id, header, entries, more, bytes };
+                let answer = RangeAnswer {
+                    id: request.id,
+                    header,
+                    entries,
+                    more,
+                    bytes,
+                };
                 self.send(now + self.latency, bytes, Message::Range(answer));
             }
             Err(failure) => self.fail(now, request.id, failure),
@@ -332,13 +399,30 @@
             self.fail(now, id, RequestFailure::Unavailable);
             return;
         }
-        let header = Header { cluster: store.cluster, revision: store.revision };
-        let generation = store.get(&self.core.keyspace().generation()).map(|known| known.value);
-        self.send(now + self.latency, 100, Message::Barrier(BarrierAnswer { id, header, generation }));
+        let header = Header {
+            cluster: store.cluster,
+            revision: store.revision,
+        };
+        let generation = store
+            .get(&self.core.keyspace().generation())
+            .map(|known| known.value);
+        self.send(
+            now + self.latency,
+            100,
+            Message::Barrier(BarrierAnswer {
+                id,
+                header,
+                generation,
+            }),
+        );
     }
 
     fn fail(&mut self, now: f64, id: RequestId, failure: RequestFailure) {
-        let delay = if failure == RequestFailure::Unavailable { REQUEST_TIMEOUT } else { self.latency };
+        let delay = if failure == RequestFailure::Unavailable {
+            REQUEST_TIMEOUT
+        } else {
+            self.latency
+        };
         self.send(now + delay, 40, Message::Failed(id, failure));
     }
 
--- a/crates/config-sync/tests/kit/mod.rs
+++ b/crates/config-sync/tests/kit/mod.rs
@@ -30,9 +30,15 @@
 }
 
 pub fn put(name: &str, document: Vec<u8>) -> EntryChange {
-    EntryChange { key: key(name), document: Some(document) }
+    EntryChange {
+        key: key(name),
+        document: Some(document),
+    }
 }
 
 pub fn delete(name: &str) -> EntryChange {
-    EntryChange { key: key(name), document: None }
+    EntryChange {
+        key: key(name),
+        document: None,
+    }
 }
--- a/crates/config-sync/tests/kit/store.rs
+++ b/crates/config-sync/tests/kit/store.rs
@@ -38,7 +38,12 @@
 
 impl Default for Store {
     fn default() -> Store {
-        let member = Member { is_alive: true, side: 0, is_stuck: false, revision: 1 };
+        let member = Member {
+            is_alive: true,
+            side: 0,
+            is_stuck: false,
+            revision: 1,
+        };
         Store {
             cluster: 7,
             revision: 1,
@@ -54,7 +59,10 @@
 impl Store {
     pub fn has_quorum(&self, member: usize) -> bool {
         let asked = &self.members[member];
-        let reached = self.members.iter().filter(|other| other.is_alive && other.side == asked.side);
+        let reached = self
+            .members
+            .iter()
+            .filter(|other| other.is_alive && other.side == asked.side);
         asked.is_alive && reached.count() > MEMBERS / 2
     }
 
@@ -68,7 +76,10 @@
     }
 
     pub fn header(&self, member: usize) -> Header {
-        Header { cluster: self.cluster, revision: self.members[member].revision }
+        Header {
+            cluster: self.cluster,
+            revision: self.members[member].revision,
+        }
     }
 
     /// Commits without guards, through any quorum; `None` if there is no quorum.
@@ -87,8 +98,15 @@
             if value.is_none() && self.get(&key).is_none() {
                 continue;
             }
-            self.keys.entry(key.clone()).or_default().push(Version { mod_revision, value: value.clone() });
-            changes.push(Change { key, value, mod_revision });
+            self.keys.entry(key.clone()).or_default().push(Version {
+                mod_revision,
+                value: value.clone(),
+            });
+            changes.push(Change {
+                key,
+                value,
+                mod_revision,
+            });
         }
         self.log.insert(mod_revision, changes);
         self.replicate();
@@ -100,18 +118,27 @@
         let holds = |key: &[u8], mod_revision: i64| {
             self.get(key).map_or(0, |known| known.mod_revision) == mod_revision
         };
-        if !transaction.guards.iter().all(|guard| holds(&guard.key, guard.mod_revision)) {
+        if !transaction
+            .guards
+            .iter()
+            .all(|guard| holds(&guard.key, guard.mod_revision))
+        {
             return None;
         }
         self.commit(&transaction.operations)
     }
 
     pub fn get(&self, key: &[u8]) -> Option<ReadValue> {
-        self.at(key, i64::MAX).map(|entry| ReadValue { value: entry.value, mod_revision: entry.mod_revision })
+        self.at(key, i64::MAX).map(|entry| ReadValue {
+            value: entry.value,
+            mod_revision: entry.mod_revision,
+        })
     }
 
     pub fn read(&self, keys: &[Vec<u8>]) -> ReadValues {
-        keys.iter().filter_map(|key| Some((key.clone(), self.get(key)?))).collect()
+        keys.iter()
+            .filter_map(|key| Some((key.clone(), self.get(key)?)))
+            .collect()
     }
 
     pub fn read_all(&self) -> ReadValues {
@@ -120,9 +147,18 @@
     }
 
     fn at(&self, key: &[u8], revision: i64) -> Option<RangeEntry> {
-        let version = self.keys.get(key)?.iter().rev().find(|version| version.mod_revision <= revision)?;
+        let version = self
+            .keys
+            .get(key)?
+            .iter()
+            .rev()
+            .find(|version| version.mod_revision <= revision)?;
         let value = version.value.clone()?;
-        Some(RangeEntry { key: key.to_vec(), value, mod_revision: version.mod_revision })
+        Some(RangeEntry {
+            key: key.to_vec(),
+            value,
+            mod_revision: version.mod_revision,
+        })
     }
 
     /// A linearizable range.
@@ -144,8 +180,15 @@
             return Err(RequestFailure::Compacted);
         }
         self.ranges_served += 1;
-        let revision = if at_revision == 0 { self.revision } else { at_revision };
-        let keys = self.keys.range(range.start.clone()..range.end.clone()).map(|(key, _)| key);
+        let revision = if at_revision == 0 {
+            self.revision
+        } else {
+            at_revision
+        };
+        let keys = self
+            .keys
+            .range(range.start.clone()..range.end.clone())
+            .map(|(key, _)| key);
         let mut entries: Vec<RangeEntry> = keys
             .filter_map(|key| self.at(key, revision))
             .filter(|entry| entry.mod_revision >= min_mod_revision)
@@ -153,12 +196,24 @@
             .collect();
         let more = entries.len() > limit;
         entries.truncate(limit);
-        Ok((Header { cluster: self.cluster, revision: self.revision }, entries, more))
+        Ok((
+            Header {
+                cluster: self.cluster,
+                revision: self.revision,
+            },
+            entries,
+            more,
+        ))
     }
 
     /// What a watch at a member has to tell from a revision on, one batch a transaction; the error is the revision
     /// up to which the log is compacted.
-    pub fn events(&self, member: usize, range: &KeyRange, from: i64) -> Result<Vec<(i64, Vec<Change>)>, i64> {
+    pub fn events(
+        &self,
+        member: usize,
+        range: &KeyRange,
+        from: i64,
+    ) -> Result<Vec<(i64, Vec<Change>)>, i64> {
         if from <= self.compacted && from <= self.members[member].revision {
             return Err(self.compacted);
         }
@@ -168,7 +223,10 @@
         }
         let within = |change: &&Change| change.key >= range.start && change.key < range.end;
         let told = self.log.range(from..=until).map(|(revision, changes)| {
-            (*revision, changes.iter().filter(within).cloned().collect::<Vec<_>>())
+            (
+                *revision,
+                changes.iter().filter(within).cloned().collect::<Vec<_>>(),
+            )
         });
         Ok(told.filter(|(_, changes)| !changes.is_empty()).collect())
     }
@@ -192,6 +250,9 @@
 
     /// Other users of the store move its revision on.
     pub fn touch(&mut self) {
-        self.commit(&[Operation::Put { key: b"other/key".to_vec(), value: vec![1] }]);
+        self.commit(&[Operation::Put {
+            key: b"other/key".to_vec(),
+            value: vec![1],
+        }]);
     }
 }
--- a/crates/config-sync/tests/load.rs
+++ b/crates/config-sync/tests/load.rs
@@ -12,13 +12,19 @@
 
 fn loaded(count: usize, functions: usize) -> Fleet {
     let mut fleet = Fleet::new(count, SyncSettings::default());
-    let changes: Vec<_> =
-        (0..functions).map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true))).collect();
+    let changes: Vec<_> = (0..functions)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true)))
+        .collect();
     for some in changes.chunks(100) {
         fleet.write(some);
     }
     let revision = fleet.store.revision;
-    assert!(fleet.run_until_applied(revision, 2_000.0, |_| true).is_some(), "the fleet didn't load");
+    assert!(
+        fleet
+            .run_until_applied(revision, 2_000.0, |_| true)
+            .is_some(),
+        "the fleet didn't load"
+    );
     fleet.run(10.0);
     fleet
 }
@@ -35,7 +41,10 @@
         front_end.reconnect_pause = 0.0;
     }
     fleet.run(180.0);
-    fleet.write(&[put("functions/f1", function("b", "refuse", true)), delete("functions/f2")]);
+    fleet.write(&[
+        put("functions/f1", function("b", "refuse", true)),
+        delete("functions/f2"),
+    ]);
     fleet.write(&[put("functions/f3", function("c", "refuse", true))]);
     let revision = fleet.write(&[put("functions/f4", function("d", "refuse", false))]);
     fleet.store.touch();
@@ -49,7 +58,11 @@
     let peak = fleet.peak_bytes(healed_at);
     let fleet_peak = fleet.fleet_peak_bytes(healed_at, fleet.now);
     let read = |f: &kit::front_end::FrontEnd| {
-        f.traffic.reads_by_second.range(healed_at as u64..).map(|(_, bytes)| *bytes).sum::<usize>()
+        f.traffic
+            .reads_by_second
+            .range(healed_at as u64..)
+            .map(|(_, bytes)| *bytes)
+            .sum::<usize>()
     };
     let all: usize = fleet.front_ends.iter().map(read).sum();
     println!(
@@ -60,11 +73,27 @@
     assert!(peak <= BYTES_PER_SECOND, "{peak}");
     // Without the spread all would read within the same second.
     assert!(fleet_peak < 180 * BYTES_PER_SECOND / 2, "{fleet_peak}");
-    assert_eq!(fleet.front_ends.iter().filter(|f| f.traffic.scans > 400).count(), 0);
+    assert_eq!(
+        fleet
+            .front_ends
+            .iter()
+            .filter(|f| f.traffic.scans > 400)
+            .count(),
+        0
+    );
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f2"), Verdict::Unknown);
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f4"), Verdict::RefuseNotAllowed);
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f5"), Verdict::Serve);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f2"),
+            Verdict::Unknown
+        );
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f4"),
+            Verdict::RefuseNotAllowed
+        );
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f5"),
+            Verdict::Serve
+        );
     }
 }
 
@@ -72,15 +101,24 @@
 #[test]
 fn a_first_load_is_not_begun_again() {
     let mut fleet = Fleet::new(2, SyncSettings::default());
-    let changes: Vec<_> =
-        (0..800).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let changes: Vec<_> = (0..800)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     for some in changes.chunks(100) {
         fleet.write(some);
     }
-    let whole: usize = fleet.store.read_all().iter().map(|(key, value)| key.len() + value.value.len()).sum();
+    let whole: usize = fleet
+        .store
+        .read_all()
+        .iter()
+        .map(|(key, value)| key.len() + value.value.len())
+        .sum();
     for round in 0..12 {
         fleet.run(5.0);
-        fleet.write(&[put(&format!("functions/f{round}"), function("b", "serve", true))]);
+        fleet.write(&[put(
+            &format!("functions/f{round}"),
+            function("b", "serve", true),
+        )]);
         fleet.write(&[delete(&format!("functions/f{}", 700 + round))]);
         fleet.store.touch();
         fleet.store.compact(fleet.store.revision);
@@ -97,7 +135,10 @@
         assert!(read < 2 * whole, "{read} bytes read of {whole}");
         let view = front_end.core.view();
         assert_eq!(view.len(), 788);
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f705"), Verdict::Unknown);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f705"),
+            Verdict::Unknown
+        );
     }
 }
 
@@ -106,7 +147,11 @@
 fn a_burst_of_changes_is_in_force_in_time() {
     let mut fleet = loaded(20, 600);
     let reports = |fleet: &Fleet| -> Vec<u64> {
-        fleet.front_ends.iter().map(|f| f.report.as_ref().map_or(0, |report| report.sequence)).collect()
+        fleet
+            .front_ends
+            .iter()
+            .map(|f| f.report.as_ref().map_or(0, |report| report.sequence))
+            .collect()
     };
     let reports_before = reports(&fleet);
     let written_at = fleet.now;
@@ -120,15 +165,26 @@
     }
     let began = fleet.now;
     let took = fleet.run_until_applied(revision, LIMIT, |_| true);
-    println!("in force {took:?} s after the last of {:.2} s", began - written_at);
+    println!(
+        "in force {took:?} s after the last of {:.2} s",
+        began - written_at
+    );
     assert!(took.is_some_and(|took| took < 1.0), "{took:?}");
     let peak = fleet.peak_bytes(written_at);
-    let bytes: usize =
-        fleet.front_ends[0].traffic.by_second.range(written_at as u64..).map(|(_, b)| *b).sum();
+    let bytes: usize = fleet.front_ends[0]
+        .traffic
+        .by_second
+        .range(written_at as u64..)
+        .map(|(_, b)| *b)
+        .sum();
     println!("peak {peak} B/s, {bytes} bytes in all at one front end");
     fleet.run(10.0);
     for (before, after) in reports_before.iter().zip(reports(&fleet)) {
-        assert!(after - before <= 3, "500 changes made {} reports", after - before);
+        assert!(
+            after - before <= 3,
+            "500 changes made {} reports",
+            after - before
+        );
     }
     for front_end in &fleet.front_ends {
         assert!(front_end.report.as_ref().unwrap().applied_revision >= revision);
@@ -139,14 +195,19 @@
 /// More changes than a front end keeps while it compares digests: it drops them and reads at the pace.
 #[test]
 fn a_full_backlog_is_dropped_and_read_at_the_pace() {
-    let settings = SyncSettings { max_pending_changes: 50, ..SyncSettings::default() };
+    let settings = SyncSettings {
+        max_pending_changes: 50,
+        ..SyncSettings::default()
+    };
     let mut fleet = Fleet::new(3, settings);
-    let changes: Vec<_> =
-        (0..300).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let changes: Vec<_> = (0..300)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     fleet.write(&changes);
     fleet.run(60.0);
-    let changes: Vec<_> =
-        (0..200).map(|n| put(&format!("functions/f{n}"), function("b", "serve", true))).collect();
+    let changes: Vec<_> = (0..200)
+        .map(|n| put(&format!("functions/f{n}"), function("b", "serve", true)))
+        .collect();
     let revision = fleet.write(&changes);
     let began = fleet.now;
     let took = fleet.run_until_applied(revision, 60.0, |_| true);
@@ -156,7 +217,13 @@
     fleet.run(5.0);
     for front_end in &fleet.front_ends {
         assert!(
-            front_end.core.view().iter().filter(|(_, record)| record.mod_revision == revision).count() == 200
+            front_end
+                .core
+                .view()
+                .iter()
+                .filter(|(_, record)| record.mod_revision == revision)
+                .count()
+                == 200
         );
     }
 }
@@ -164,24 +231,37 @@
 /// A store that holds more than a front end takes: the last good view stays, and the front end says so.
 #[test]
 fn a_store_that_is_too_large_leaves_the_last_good_view() {
-    let settings = SyncSettings { max_entries: 100, ..SyncSettings::default() };
+    let settings = SyncSettings {
+        max_entries: 100,
+        ..SyncSettings::default()
+    };
     let mut fleet = Fleet::new(1, settings);
-    let changes: Vec<_> =
-        (0..90).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let changes: Vec<_> = (0..90)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     fleet.write(&changes);
     fleet.run(60.0);
-    let more: Vec<_> =
-        (90..120).map(|n| put(&format!("functions/f{n}"), function("a", "serve", true))).collect();
+    let more: Vec<_> = (90..120)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
+        .collect();
     fleet.write(&more);
     fleet.run(100.0);
     let core = &fleet.front_ends[0].core;
     assert_eq!(core.view().len(), 90);
-    assert_eq!(core.state(), orchidtally_config_sync::ReportedState::StoreTooLarge);
-    let fewer: Vec<_> = (80..120).map(|n| delete(&format!("functions/f{n}"))).collect();
+    assert_eq!(
+        core.state(),
+        orchidtally_config_sync::ReportedState::StoreTooLarge
+    );
+    let fewer: Vec<_> = (80..120)
+        .map(|n| delete(&format!("functions/f{n}")))
+        .collect();
     fleet.write(&fewer);
     fleet.run(60.0);
     let core = &fleet.front_ends[0].core;
-    assert_eq!(core.state(), orchidtally_config_sync::ReportedState::Following);
+    assert_eq!(
+        core.state(),
+        orchidtally_config_sync::ReportedState::Following
+    );
     assert_eq!(core.view().len(), 80);
 }
 
@@ -190,8 +270,9 @@
 #[test]
 fn the_planned_size_heals_in_time() {
     let mut fleet = Fleet::new(3, SyncSettings::default());
-    let changes: Vec<_> =
-        (0..21_000).map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true))).collect();
+    let changes: Vec<_> = (0..21_000)
+        .map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true)))
+        .collect();
     for some in changes.chunks(100) {
         fleet.write(some);
     }
@@ -201,18 +282,26 @@
     let loaded_bytes: usize = fleet.front_ends[0].traffic.by_second.values().sum();
     println!("first load of 21,000 functions: {loaded:?} s, {loaded_bytes} bytes");
     assert!(loaded.is_some());
-    assert!(fleet.peak_bytes(began) <= BYTES_PER_SECOND, "{}", fleet.peak_bytes(began));
+    assert!(
+        fleet.peak_bytes(began) <= BYTES_PER_SECOND,
+        "{}",
+        fleet.peak_bytes(began)
+    );
     for deletions in [1, 3, 8, 30] {
         for front_end in &mut fleet.front_ends {
             front_end.side = None;
         }
         fleet.run(180.0);
         let changed = deletions * 100;
-        let mut changes: Vec<_> =
-            (0..deletions).map(|n| delete(&format!("functions/f{}", changed + n))).collect();
-        changes.extend(
-            (200..204).map(|n| put(&format!("functions/f{}", changed + n), function("b", "refuse", false))),
-        );
+        let mut changes: Vec<_> = (0..deletions)
+            .map(|n| delete(&format!("functions/f{}", changed + n)))
+            .collect();
+        changes.extend((200..204).map(|n| {
+            put(
+                &format!("functions/f{}", changed + n),
+                function("b", "refuse", false),
+            )
+        }));
         let revision = fleet.write(&changes);
         fleet.store.touch();
         fleet.store.compact(fleet.store.revision);
@@ -222,12 +311,25 @@
         let healed_at = fleet.now;
         let healed = fleet.run_until_applied(revision, 60.0, |_| true);
         let read = |f: &kit::front_end::FrontEnd| {
-            f.traffic.reads_by_second.range(healed_at as u64..).map(|(_, bytes)| *bytes).sum::<usize>()
+            f.traffic
+                .reads_by_second
+                .range(healed_at as u64..)
+                .map(|(_, bytes)| *bytes)
+                .sum::<usize>()
         };
         let most = fleet.front_ends.iter().map(read).max();
-        println!("4 changes and {deletions} deletions: in force after {healed:?} s, {most:?} bytes read");
-        assert!(healed.is_some_and(|healed| healed <= LIMIT), "{deletions} deletions: {healed:?}");
-        assert!(fleet.peak_bytes(healed_at) <= BYTES_PER_SECOND, "{}", fleet.peak_bytes(healed_at));
+        println!(
+            "4 changes and {deletions} deletions: in force after {healed:?} s, {most:?} bytes read"
+        );
+        assert!(
+            healed.is_some_and(|healed| healed <= LIMIT),
+            "{deletions} deletions: {healed:?}"
+        );
+        assert!(
+            fleet.peak_bytes(healed_at) <= BYTES_PER_SECOND,
+            "{}",
+            fleet.peak_bytes(healed_at)
+        );
         fleet.run(20.0);
     }
 }
--- a/crates/config-sync/tests/snapshots.rs
+++ b/crates/config-sync/tests/snapshots.rs
@@ -8,9 +8,15 @@
 
 /// Two snapshots of one front end, the earlier one first.
 fn two_snapshots() -> (Vec<u8>, Vec<u8>) {
-    let settings = SyncSettings { snapshot_interval: 1.0, ..SyncSettings::default() };
+    let settings = SyncSettings {
+        snapshot_interval: 1.0,
+        ..SyncSettings::default()
+    };
     let mut fleet = Fleet::new(1, settings);
-    fleet.write(&[put("functions/f1", function("a", "refuse", true)), put("quotas/ann", quota(1.0))]);
+    fleet.write(&[
+        put("functions/f1", function("a", "refuse", true)),
+        put("quotas/ann", quota(1.0)),
+    ]);
     fleet.run(20.0);
     fleet.write(&[put("functions/f1", function("b", "refuse", true))]);
     fleet.run(5.0);
@@ -35,11 +41,17 @@
     for length in 0..newest.len() {
         let mut core = core();
         let restored = core.restore(0.0, &[&newest[..length], &earlier]);
-        assert_eq!(restored.revision, earlier_revision, "cut off after {length} bytes");
+        assert_eq!(
+            restored.revision, earlier_revision,
+            "cut off after {length} bytes"
+        );
         assert_eq!(restored.passed_over.len(), 1);
         let mut alone = self::core();
         let restored = alone.restore(0.0, &[&newest[..length]]);
-        assert_eq!((restored.revision, alone.is_loaded(), alone.view().len()), (None, false, 0));
+        assert_eq!(
+            (restored.revision, alone.is_loaded(), alone.view().len()),
+            (None, false, 0)
+        );
         assert_eq!(alone.admits(0.0, "functions/f1"), Verdict::NotLoaded);
     }
     let mut core = core();
@@ -65,12 +77,22 @@
     let mut core = core();
     let garbage = vec![7u8; 4_000];
     let restored = core.restore(0.0, &[&garbage, &[]]);
-    assert_eq!(restored.passed_over, [SnapshotError::NoSnapshot, SnapshotError::Truncated(0)]);
+    assert_eq!(
+        restored.passed_over,
+        [SnapshotError::NoSnapshot, SnapshotError::Truncated(0)]
+    );
     let (_, newest) = two_snapshots();
-    let settings = SyncSettings { max_entries: 1, ..SyncSettings::default() };
-    let mut small = ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
+    let settings = SyncSettings {
+        max_entries: 1,
+        ..SyncSettings::default()
+    };
+    let mut small =
+        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
     let restored = small.restore(0.0, &[&newest]);
-    assert!(matches!(restored.passed_over[..], [SnapshotError::TooLarge { entries: 2, .. }]));
+    assert!(matches!(
+        restored.passed_over[..],
+        [SnapshotError::TooLarge { entries: 2, .. }]
+    ));
 }
 
 #[test]
@@ -78,7 +100,14 @@
     let (_, newest) = two_snapshots();
     let mut core = core();
     core.restore(50.0, &[&newest]);
-    assert_eq!(core.admits(50.0, "quotas/ann"), Verdict::Serve, "the last good one");
+    assert_eq!(
+        core.admits(50.0, "quotas/ann"),
+        Verdict::Serve,
+        "the last good one"
+    );
     assert_eq!(core.rejections().len(), 1);
-    assert_eq!(core.admits(50.0, "functions/f1"), Verdict::RefuseStale { age: f64::INFINITY });
+    assert_eq!(
+        core.admits(50.0, "functions/f1"),
+        Verdict::RefuseStale { age: f64::INFINITY }
+    );
 }
--- a/crates/config-sync/tests/transactions.rs
+++ b/crates/config-sync/tests/transactions.rs
@@ -21,7 +21,11 @@
 }
 
 fn mod_revision(fleet: &Fleet, key: &str) -> i64 {
-    fleet.front_ends[0].core.view().get(key).map_or(0, |record| record.mod_revision)
+    fleet.front_ends[0]
+        .core
+        .view()
+        .get(key)
+        .map_or(0, |record| record.mod_revision)
 }
 
 #[test]
@@ -38,18 +42,35 @@
     fleet.run(5.0);
     for key in ["functions/f1", "functions/f2", "trigger-types/web"] {
         let known = before.get(key).map(|record| record.mod_revision);
-        assert_eq!(Some(mod_revision(&fleet, key)), known, "{key} is the last good one");
+        assert_eq!(
+            Some(mod_revision(&fleet, key)),
+            known,
+            "{key} is the last good one"
+        );
     }
     assert_eq!(mod_revision(&fleet, "functions/new"), 0);
-    assert_eq!(mod_revision(&fleet, "quotas/ann"), other, "other transactions go on");
+    assert_eq!(
+        mod_revision(&fleet, "quotas/ann"),
+        other,
+        "other transactions go on"
+    );
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.admits(fleet.now, "functions/f2"), Verdict::Serve);
+        assert_eq!(
+            front_end.core.admits(fleet.now, "functions/f2"),
+            Verdict::Serve
+        );
         let report = front_end.report.as_ref().expect("it reports");
         assert!(report.applied_revision >= other);
         assert_eq!(report.rejected.len(), 1, "{report:?}");
         let rejection = &report.rejected[0];
-        assert_eq!((rejection.key.as_str(), rejection.revision), ("trigger-types/web", rejected));
-        assert!(rejection.reason.contains("below the latency objective"), "{rejection:?}");
+        assert_eq!(
+            (rejection.key.as_str(), rejection.revision),
+            ("trigger-types/web", rejected)
+        );
+        assert!(
+            rejection.reason.contains("below the latency objective"),
+            "{rejection:?}"
+        );
         assert!(!rejection.remedy.is_empty());
     }
     // The offending key is written anew: what else the transaction changed comes into force with it.
@@ -59,7 +80,14 @@
     assert_eq!(mod_revision(&fleet, "functions/f1"), rejected);
     assert_eq!(mod_revision(&fleet, "functions/new"), rejected);
     assert_eq!(mod_revision(&fleet, "functions/f2"), 0);
-    assert!(fleet.front_ends[0].report.as_ref().unwrap().rejected.is_empty());
+    assert!(
+        fleet.front_ends[0]
+            .report
+            .as_ref()
+            .unwrap()
+            .rejected
+            .is_empty()
+    );
 }
 
 #[test]
@@ -67,17 +95,26 @@
     let mut fleet = loaded();
     fleet.write_unchecked(&[
         put("functions/guarded", function("a", "refuse", false)),
-        put("quotas/ann", br#"{"spec":{"calls_per_second":-1}}"#.to_vec()),
+        put(
+            "quotas/ann",
+            br#"{"spec":{"calls_per_second":-1}}"#.to_vec(),
+        ),
     ]);
     let written_at = fleet.now;
     fleet.run_with(60.0, |fleet| {
         let may_serve = fleet.now - written_at <= 18.0;
-        assert!(may_serve || fleet.serving("functions/guarded") == 0, "{} s", fleet.now - written_at);
+        assert!(
+            may_serve || fleet.serving("functions/guarded") == 0,
+            "{} s",
+            fleet.now - written_at
+        );
         assert_eq!(fleet.serving("functions/f1"), 2);
     });
     fleet.write(&[put("quotas/ann", quota(3.0))]);
     fleet.run(3.0);
-    let verdict = fleet.front_ends[0].core.admits(fleet.now, "functions/guarded");
+    let verdict = fleet.front_ends[0]
+        .core
+        .admits(fleet.now, "functions/guarded");
     assert_eq!(verdict, Verdict::RefuseNotAllowed);
 }
 
@@ -91,14 +128,22 @@
     fleet.write(&[put("trigger-types/mail", trigger_type(1.0, 10.0))]);
     fleet.run(3.0);
     assert!(fleet.front_ends[0].core.rejections().is_empty());
-    assert_eq!(fleet.front_ends[0].core.admits(fleet.now, "functions/mailer"), Verdict::Serve);
+    assert_eq!(
+        fleet.front_ends[0]
+            .core
+            .admits(fleet.now, "functions/mailer"),
+        Verdict::Serve
+    );
 }
 
 #[test]
 fn a_restart_keeps_the_last_good_and_the_rejection() {
     let mut fleet = loaded();
     let good = mod_revision(&fleet, "functions/f1");
-    fleet.write_unchecked(&[put("functions/f1", b"no json".to_vec()), delete("functions/f2")]);
+    fleet.write_unchecked(&[
+        put("functions/f1", b"no json".to_vec()),
+        delete("functions/f2"),
+    ]);
     fleet.run(400.0);
     let settings = fleet.settings.clone();
     for front_end in &mut fleet.front_ends {
@@ -107,16 +152,29 @@
     }
     fleet.run(1.0);
     assert_eq!(mod_revision(&fleet, "functions/f1"), good);
-    assert_eq!(fleet.front_ends[0].core.admits(fleet.now, "functions/f2"), Verdict::Serve);
+    assert_eq!(
+        fleet.front_ends[0].core.admits(fleet.now, "functions/f2"),
+        Verdict::Serve
+    );
     // The store is away: what is refused when stale is refused, all else is served.
-    let verdict = fleet.front_ends[0].core.admits(fleet.now, "functions/guarded");
-    assert!(matches!(verdict, Verdict::RefuseStale { .. }), "{verdict:?}");
+    let verdict = fleet.front_ends[0]
+        .core
+        .admits(fleet.now, "functions/guarded");
+    assert!(
+        matches!(verdict, Verdict::RefuseStale { .. }),
+        "{verdict:?}"
+    );
     assert!(!fleet.front_ends[0].core.rejections().is_empty());
     for front_end in &mut fleet.front_ends {
         front_end.side = Some(0);
     }
     fleet.run(18.0);
-    assert_eq!(fleet.front_ends[0].core.admits(fleet.now, "functions/guarded"), Verdict::Serve);
+    assert_eq!(
+        fleet.front_ends[0]
+            .core
+            .admits(fleet.now, "functions/guarded"),
+        Verdict::Serve
+    );
     assert_eq!(mod_revision(&fleet, "functions/f1"), good);
     let healed = fleet.write(&[put("functions/f1", function("c", "serve", true))]);
     fleet.run(3.0);
@@ -127,7 +185,10 @@
 fn reports_name_a_bounded_number_of_rejections_and_count_the_rest() {
     let mut fleet = loaded();
     for n in 0..50 {
-        fleet.write_unchecked(&[put(&format!("functions/bad{n}"), br#"{"spec":{"x":1}}"#.to_vec())]);
+        fleet.write_unchecked(&[put(
+            &format!("functions/bad{n}"),
+            br#"{"spec":{"x":1}}"#.to_vec(),
+        )]);
     }
     fleet.run(5.0);
     let report = fleet.front_ends[0].report.clone().expect("it reports");
@@ -141,7 +202,10 @@
     use orchidtally_config_sync::writer::Operation;
     let mut fleet = loaded();
     let store_key = format!("{}entries/zzzz/functions/f1", fleet.keyspace.prefix()).into_bytes();
-    fleet.store.commit(&[Operation::Put { key: store_key.clone(), value: b"{}".to_vec() }]);
+    fleet.store.commit(&[Operation::Put {
+        key: store_key.clone(),
+        value: b"{}".to_vec(),
+    }]);
     let revision = fleet.write(&[put("functions/f1", function("d", "serve", true))]);
     fleet.run(3.0);
     assert_eq!(mod_revision(&fleet, "functions/f1"), revision);
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -26,7 +26,9 @@
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
-    response.headers_mut().insert(http::header::CONTENT_TYPE, json);
+    response
+        .headers_mut()
+        .insert(http::header::CONTENT_TYPE, json);
     response
 }
 
@@ -38,7 +40,10 @@
 
 impl Refusal {
     fn new(status: StatusCode, fault: impl Into<String>) -> Refusal {
-        Refusal { status, faults: vec![fault.into()] }
+        Refusal {
+            status,
+            faults: vec![fault.into()],
+        }
     }
 
     fn reply(&self) -> Reply {
@@ -52,19 +57,30 @@
 
 impl CoordinatorServer {
     pub(crate) async fn respond(&self, request: Request<Incoming>) -> Result<Reply, Infallible> {
-        Ok(self.answer(request).await.unwrap_or_else(|refusal| refusal.reply()))
+        Ok(self
+            .answer(request)
+            .await
+            .unwrap_or_else(|refusal| refusal.reply()))
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let (parts, body) = request.into_parts();
-        let read = orchidtally_net::within(SENDER_TIME, Limited::new(body, MAX_BODY).collect()).await;
+        let read =
+            orchidtally_net::within(SENDER_TIME, Limited::new(body, MAX_BODY).collect()).await;
         let body = match read {
             Some(Ok(body)) => body.to_bytes(),
             Some(Err(e)) => return Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string())),
-            None => return Err(Refusal::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly")),
+            None => {
+                return Err(Refusal::new(
+                    StatusCode::REQUEST_TIMEOUT,
+                    "the body came too slowly",
+                ));
+            }
         };
         let path = parts.uri.path();
-        let history = path.strip_prefix("/v1/rollouts/").and_then(|p| p.strip_suffix("/history"));
+        let history = path
+            .strip_prefix("/v1/rollouts/")
+            .and_then(|p| p.strip_suffix("/history"));
         match (&parts.method, path) {
             (&Method::POST, "/v1/rollouts/exchange") => self.exchange(&body),
             (&Method::POST, "/v1/rollouts/orders") => self.order(&body),
@@ -105,19 +121,28 @@
             Order::Advance { name, why } => Command::Advance { name, why },
             Order::Finish { name } => Command::Finish { name },
         };
-        let done = self.coordinator.borrow_mut().command(now(), &command, rand::random());
+        let done = self
+            .coordinator
+            .borrow_mut()
+            .command(now(), &command, rand::random());
         done.map_err(|error| Refusal::new(StatusCode::CONFLICT, error.to_string()))?;
         if self.persist_changes() {
             Ok(reply(StatusCode::OK, &self.status()))
         } else {
-            Err(Refusal::new(StatusCode::INTERNAL_SERVER_ERROR, "the state can't be kept"))
+            Err(Refusal::new(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                "the state can't be kept",
+            ))
         }
     }
 
     fn read_plan(&self, text: &str) -> Result<Plan, Refusal> {
         Plan::read(text, &self.deployment).map_err(|faults| {
             let faults = faults.iter().map(ToString::to_string).collect();
-            Refusal { status: StatusCode::BAD_REQUEST, faults }
+            Refusal {
+                status: StatusCode::BAD_REQUEST,
+                faults,
+            }
         })
     }
 
@@ -126,21 +151,35 @@
         let steps: Vec<StepForecast> = forecast(plan, &self.deployment);
         // Without a ration there is no bound to report.
         let granted = Some(orders_granted(&self.deployment)).filter(|granted| granted.is_finite());
-        let body = json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": granted });
+        let body =
+            json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": granted });
         reply(StatusCode::OK, &body)
     }
 
     /// The command that starts a plan between the versions that it names now.
     fn start(&self, plan: Plan) -> Result<Command, Refusal> {
-        let versions = (self.digest(&plan.function, &plan.from), self.digest(&plan.function, &plan.to));
+        let versions = (
+            self.digest(&plan.function, &plan.from),
+            self.digest(&plan.function, &plan.to),
+        );
         let (Some(from), Some(to)) = versions else {
-            return Err(Refusal::new(StatusCode::BAD_REQUEST, "a version of the plan is not known"));
+            return Err(Refusal::new(
+                StatusCode::BAD_REQUEST,
+                "a version of the plan is not known",
+            ));
         };
         if from == to {
-            let what = format!("'{}' and '{}' name the same version by now", plan.from, plan.to);
+            let what = format!(
+                "'{}' and '{}' name the same version by now",
+                plan.from, plan.to
+            );
             return Err(Refusal::new(StatusCode::CONFLICT, what));
         }
-        Ok(Command::Start { plan: Box::new(plan), from, to })
+        Ok(Command::Start {
+            plan: Box::new(plan),
+            from,
+            to,
+        })
     }
 
     /// The digest of a version that is named by an alias or a digest. An alias names what it has moved to.
@@ -157,7 +196,10 @@
         let coordinator = self.coordinator.borrow();
         match coordinator.state().runs.get(name) {
             Some(run) => Ok(reply(StatusCode::OK, &run.history)),
-            None => Err(Refusal::new(StatusCode::NOT_FOUND, format!("there is no rollout '{name}'"))),
+            None => Err(Refusal::new(
+                StatusCode::NOT_FOUND,
+                format!("there is no rollout '{name}'"),
+            )),
         }
     }
 
@@ -179,7 +221,9 @@
 }
 
 fn status_of(name: &str, rollout: &Rollout, run: &Run) -> Status {
-    let step = rollout.split_at().and_then(|step| rollout.plan.steps.get(step));
+    let step = rollout
+        .split_at()
+        .and_then(|step| rollout.plan.steps.get(step));
     let is_judged = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
     let evidence = |gate: &Gate| (gate.name().to_owned(), run.tests.evidence(*gate));
     Status {
--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -13,13 +13,19 @@
 pub fn recover(folder: &Path) -> io::Result<(Journal, CoordinatorState)> {
     let (journal, recovered) = Journal::open(folder)?;
     if recovered.cut > 0 {
-        warn!(bytes = recovered.cut, "the journal's end was not whole and was cut off");
+        warn!(
+            bytes = recovered.cut,
+            "the journal's end was not whole and was cut off"
+        );
     }
     let last = recovered.entries.last().or(recovered.snapshot.as_ref());
     let state = match last {
         None => CoordinatorState::default(),
         Some(bytes) => serde_json::from_slice(bytes).map_err(|e| {
-            let what = format!("{}: the journal's last entry can't be read: {e}", folder.display());
+            let what = format!(
+                "{}: the journal's last entry can't be read: {e}",
+                folder.display()
+            );
             io::Error::new(io::ErrorKind::InvalidData, what)
         })?,
     };
@@ -29,5 +35,9 @@
 /// Persists the whole state.
 pub(crate) fn persist(journal: &mut Journal, state: &CoordinatorState) -> io::Result<()> {
     let bytes = serde_json::to_vec(state)?;
-    if journal.length() > SNAPSHOT_THRESHOLD { journal.snapshot(&bytes) } else { journal.append(&bytes) }
+    if journal.length() > SNAPSHOT_THRESHOLD {
+        journal.snapshot(&bytes)
+    } else {
+        journal.append(&bytes)
+    }
 }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -40,7 +40,9 @@
 
 /// Seconds since 1970.
 pub(crate) fn now() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |time| time.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |time| time.as_secs_f64())
 }
 
 /// Runs a coordinator on this thread until it is stopped or superseded.
@@ -52,7 +54,10 @@
 ) -> io::Result<StopReason> {
     let (journal, state) = recover(folder)?;
     let coordinator = Coordinator::new(state, rand::random(), now());
-    info!(term = coordinator.published().epoch.term, "a coordinator begins its term");
+    info!(
+        term = coordinator.published().epoch.term,
+        "a coordinator begins its term"
+    );
     let server = Rc::new(CoordinatorServer {
         deployment,
         coordinator: RefCell::new(coordinator),
@@ -78,7 +83,10 @@
     fn persist(&self) -> io::Result<()> {
         self.coordinator.borrow_mut().take_changed();
         self.ticks_since_persist.set(0);
-        persist(&mut self.journal.borrow_mut(), self.coordinator.borrow().state())
+        persist(
+            &mut self.journal.borrow_mut(),
+            self.coordinator.borrow().state(),
+        )
     }
 
     /// Persists what was decided. To be called after every change and before anything is published of it. Returns
@@ -99,10 +107,15 @@
             self.coordinator.borrow_mut().tick(now());
             if let Some(epoch) = self.coordinator.borrow().superseded() {
                 let own = self.coordinator.borrow().published().epoch.term;
-                warn!(own, other = epoch.term, "another coordinator has a higher term; this one stops");
+                warn!(
+                    own,
+                    other = epoch.term,
+                    "another coordinator has a higher term; this one stops"
+                );
                 return Ok(StopReason::Superseded(epoch));
             }
-            self.ticks_since_persist.set(self.ticks_since_persist.get() + 1);
+            self.ticks_since_persist
+                .set(self.ticks_since_persist.get() + 1);
             let is_due = self.ticks_since_persist.get() >= TICKS_PER_PERSIST;
             if self.persist_changes() && is_due && !self.is_idle() {
                 // Evidence alone: what is lost of it is counted anew.
@@ -117,7 +130,12 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.coordinator.borrow().published().rollouts.values().all(|rollout| rollout.phase.is_over())
+        self.coordinator
+            .borrow()
+            .published()
+            .rollouts
+            .values()
+            .all(|rollout| rollout.phase.is_over())
     }
 
     async fn accept(
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -95,7 +95,10 @@
             Executor::start(&stage, make, any_port(), around).unwrap()
         })
         .collect();
-    let list: Vec<_> = executors.iter().map(|e| format!("{{ address: \"{}\" }}", e.address)).collect();
+    let list: Vec<_> = executors
+        .iter()
+        .map(|e| format!("{{ address: \"{}\" }}", e.address))
+        .collect();
     let asked: Vec<_> = coordinators.iter().map(|a| format!("\"{a}\"")).collect();
     let (old, new) = (digest(OLD), digest(NEW));
     let function = |name: &str| {
@@ -126,7 +129,12 @@
         list.join(", "),
         asked.join(", ")
     );
-    World { stage, executors, load, text }
+    World {
+        stage,
+        executors,
+        load,
+        text,
+    }
 }
 
 pub fn gateway(text: &str) -> Gateway {
@@ -171,8 +179,15 @@
 
 pub async fn order(at: SocketAddr, order: Order) -> (u16, String) {
     let body = serde_json::to_vec(&order).unwrap();
-    let (status, body) =
-        http_ask(at, Method::POST, "/v1/rollouts/orders", body, Duration::from_secs(3)).await.unwrap();
+    let (status, body) = http_ask(
+        at,
+        Method::POST,
+        "/v1/rollouts/orders",
+        body,
+        Duration::from_secs(3),
+    )
+    .await
+    .unwrap();
     (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
 }
 
@@ -190,7 +205,15 @@
 pub const ALL_AT_ONCE: &str = "{ share: 1, leastTime: '60s' }";
 
 pub async fn phase(at: SocketAddr) -> Option<Phase> {
-    let (_, body) = http_ask(at, Method::GET, "/v1/rollouts", vec![], Duration::from_secs(3)).await.ok()?;
+    let (_, body) = http_ask(
+        at,
+        Method::GET,
+        "/v1/rollouts",
+        vec![],
+        Duration::from_secs(3),
+    )
+    .await
+    .ok()?;
     let value: serde_json::Value = serde_json::from_slice(&body).ok()?;
     serde_json::from_value(value["rollouts"][0]["phase"].clone()).ok()
 }
@@ -222,7 +245,11 @@
     pub fn ran(&self, invocation: &str) -> Vec<String> {
         let records = self.stage.records();
         let of = |r: &Record| match r {
-            Record::RanVersion { invocation: i, loaded, .. } if i == invocation => Some(loaded.clone()),
+            Record::RanVersion {
+                invocation: i,
+                loaded,
+                ..
+            } if i == invocation => Some(loaded.clone()),
             _ => None,
         };
         records.iter().filter_map(of).collect()
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -4,8 +4,8 @@
 
 use http::Method;
 use kit::{
-    ACT, ALL_AT_ONCE, LOOK, NEW, OLD, ask, folder, free, gateway, gateway_ahead, on, order, phase, plan,
-    plan_of, start_coordinator, succeeded, world,
+    ACT, ALL_AT_ONCE, LOOK, NEW, OLD, ask, folder, free, gateway, gateway_ahead, on, order, phase,
+    plan, plan_of, start_coordinator, succeeded, world,
 };
 use orchidtally_coordinator::{Order, StopReason, recover};
 use orchidtally_invariants::Record;
@@ -32,8 +32,9 @@
         assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
         w.stage.sleep(0.8).await;
         // Both effects: nothing of what waits has run.
-        let asks: Vec<_> =
-            (0..10).map(|n| ask(&format!("w{n}"), if n % 2 == 0 { LOOK } else { ACT })).collect();
+        let asks: Vec<_> = (0..10)
+            .map(|n| ask(&format!("w{n}"), if n % 2 == 0 { LOOK } else { ACT }))
+            .collect();
         let tasks: Vec<_> = asks
             .into_iter()
             .map(|ask| {
@@ -44,31 +45,63 @@
         w.stage.sleep(0.3).await;
         let none = (0..10).all(|n| w.ran(&format!("w{n}")).is_empty());
         assert!(none, "they wait on the load");
-        assert_eq!(order(at, Order::Back { name: "r".into(), why: "a test".into() }).await.0, 200);
+        assert_eq!(
+            order(
+                at,
+                Order::Back {
+                    name: "r".into(),
+                    why: "a test".into()
+                }
+            )
+            .await
+            .0,
+            200
+        );
         taken_back.set(w.stage.now());
         // The one whose dispatch loads the version ends there; those that waited on it don't wait any longer.
         for task in tasks {
             let heard = task.await;
             assert!(succeeded(&heard), "{heard:?}");
         }
-        let new = (0..10).filter(|n| w.ran(&format!("w{n}")) == [digest(NEW)]).count();
+        let new = (0..10)
+            .filter(|n| w.ran(&format!("w{n}")) == [digest(NEW)])
+            .count();
         assert!(new <= 1, "{new} ran the new version");
         // Started again within seconds, and taken back again while the first load may still be under way.
         assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
         w.stage.sleep(0.2).await;
-        assert_eq!(order(at, Order::Back { name: "r".into(), why: "again".into() }).await.0, 200);
+        assert_eq!(
+            order(
+                at,
+                Order::Back {
+                    name: "r".into(),
+                    why: "again".into()
+                }
+            )
+            .await
+            .0,
+            200
+        );
         w.stage.sleep(0.3).await;
         assert!(succeeded(&caller.invoke(&ask("after", ACT)).await));
     });
     let ended = |n: usize| {
         let name = format!("w{n}");
-        let at =
-            |r: &Record| matches!(r, Record::Ran { invocation, .. } if *invocation == name).then(|| r.at());
+        let at = |r: &Record| {
+            matches!(r, Record::Ran { invocation, .. } if *invocation == name).then(|| r.at())
+        };
         w.stage.records().iter().find_map(at).unwrap()
     };
-    let soon = (0..10).filter(|&n| ended(n) < taken_back.get() + 0.5).count();
-    assert!(soon >= 9, "{soon} of 10 ran within half a second of the word");
-    let moved = (0..10).filter(|n| w.ran(&format!("w{n}")) == [digest(OLD)]).count();
+    let soon = (0..10)
+        .filter(|&n| ended(n) < taken_back.get() + 0.5)
+        .count();
+    assert!(
+        soon >= 9,
+        "{soon} of 10 ran within half a second of the word"
+    );
+    let moved = (0..10)
+        .filter(|n| w.ran(&format!("w{n}")) == [digest(OLD)])
+        .count();
     assert!(moved >= 9, "{moved} ran once, the old version");
     assert_eq!(w.ran("after"), [digest(OLD)]);
     gateway.end();
@@ -100,14 +133,22 @@
         assert!(succeeded(&heard), "{heard:?}");
         assert_eq!(w.ran("after"), [digest(NEW)]);
         // A digest names what it names, whatever the aliases do.
-        let named = Ask { function: format!("f@sha256:{}", digest(OLD)), ..ask("named", LOOK) };
+        let named = Ask {
+            function: format!("f@sha256:{}", digest(OLD)),
+            ..ask("named", LOOK)
+        };
         assert!(succeeded(&caller.invoke(&named).await));
         assert_eq!(w.ran("named"), [digest(OLD)]);
     });
     gateway.end();
     coordinator.end();
-    let (_, kept) = recover(&PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("coordinator-alias")).unwrap();
-    assert_eq!(kept.published.aliases["f"]["stable"], digest(NEW), "it outlives the process");
+    let (_, kept) =
+        recover(&PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("coordinator-alias")).unwrap();
+    assert_eq!(
+        kept.published.aliases["f"]["stable"],
+        digest(NEW),
+        "it outlives the process"
+    );
 }
 
 #[test]
@@ -130,7 +171,10 @@
         assert!(succeeded(&caller.invoke(&ask("held", LOOK)).await));
         assert!(succeeded(&late_caller.invoke(&ask("late", LOOK)).await));
     });
-    assert_eq!((w.ran("held"), w.ran("late")), (vec![digest(NEW)], vec![digest(OLD)]));
+    assert_eq!(
+        (w.ran("held"), w.ran("late")),
+        (vec![digest(NEW)], vec![digest(OLD)])
+    );
     let second = start_coordinator(&w.text, at, &kept);
     on(&w.stage, async {
         w.until_runs(&late_caller, "later", NEW).await;
@@ -143,7 +187,11 @@
     second.end();
     let (_, kept) = recover(&kept).unwrap();
     assert_eq!(kept.published.epoch.term, 2);
-    assert_eq!(kept.runs["r"].history.len(), 2, "started, then the first step");
+    assert_eq!(
+        kept.runs["r"].history.len(),
+        2,
+        "started, then the first step"
+    );
 }
 
 #[test]
@@ -193,15 +241,41 @@
     let steps = "{ share: 0.5, leastTime: '300ms', leastEvidence: 5 }, { share: 1, leastTime: '300ms', leastEvidence: 5 }";
     on(&w.stage, async {
         for n in 0..10 {
-            assert_eq!(order(at, plan_of(&format!("r{n}"), &format!("g{n}"), 3.0, steps)).await.0, 200);
+            assert_eq!(
+                order(at, plan_of(&format!("r{n}"), &format!("g{n}"), 3.0, steps))
+                    .await
+                    .0,
+                200
+            );
         }
-        assert_eq!(order(at, Order::Back { name: "r3".into(), why: "a test".into() }).await.0, 200);
+        assert_eq!(
+            order(
+                at,
+                Order::Back {
+                    name: "r3".into(),
+                    why: "a test".into()
+                }
+            )
+            .await
+            .0,
+            200
+        );
         let over = async || {
-            let (_, body) =
-                http_ask(at, Method::GET, "/v1/rollouts", vec![], Duration::from_secs(3)).await.unwrap();
+            let (_, body) = http_ask(
+                at,
+                Method::GET,
+                "/v1/rollouts",
+                vec![],
+                Duration::from_secs(3),
+            )
+            .await
+            .unwrap();
             let value: serde_json::Value = serde_json::from_slice(&body).unwrap();
-            let phases =
-                value["rollouts"].as_array().unwrap().iter().map(|r| r["phase"].as_str().unwrap().to_owned());
+            let phases = value["rollouts"]
+                .as_array()
+                .unwrap()
+                .iter()
+                .map(|r| r["phase"].as_str().unwrap().to_owned());
             let phases: Vec<_> = phases.collect();
             (
                 phases.iter().filter(|p| *p == "finished").count(),
@@ -212,7 +286,10 @@
         while over().await != (9, 1) {
             for caller in &callers {
                 let name = format!("t{n}");
-                let asked = Ask { function: format!("g{}", n % 10), ..ask(&name, ACT) };
+                let asked = Ask {
+                    function: format!("g{}", n % 10),
+                    ..ask(&name, ACT)
+                };
                 assert!(succeeded(&caller.invoke(&asked).await));
                 assert_eq!(w.ran(&name).len(), 1, "each effect once");
                 n += 1;
@@ -221,7 +298,10 @@
         w.stage.sleep(0.3).await;
         for (g, caller) in (0..10).flat_map(|g| callers.iter().map(move |c| (g, c))) {
             let name = format!("last-{g}-{}", caller.number);
-            let asked = Ask { function: format!("g{g}"), ..ask(&name, LOOK) };
+            let asked = Ask {
+                function: format!("g{g}"),
+                ..ask(&name, LOOK)
+            };
             assert!(succeeded(&caller.invoke(&asked).await));
             let wanted = if g == 3 { OLD } else { NEW };
             assert_eq!(w.ran(&name), [digest(wanted)]);
--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -11,20 +11,28 @@
 /// Both texts should have been read without faults; of one that isn't a document the syntax fault is told.
 pub fn restart_needed(before: &str, after: &str) -> Vec<Fault> {
     let (old, new) = (Document::new(before), Document::new(after));
-    let Some(old_value) = old.parse() else { return old.faults() };
-    let Some(new_value) = new.parse() else { return new.faults() };
+    let Some(old_value) = old.parse() else {
+        return old.faults();
+    };
+    let Some(new_value) = new.parse() else {
+        return new.faults();
+    };
     let old_sections = old.root(&old_value).entries();
     let root = new.root(&new_value);
     let new_sections = root.entries();
     for (name, place) in &new_sections {
         let known = old_sections.iter().find(|(known, _)| known == name);
-        if !REPLACEABLE.contains(&name.as_str()) && known.is_none_or(|(_, known)| differ(known, place)) {
+        if !REPLACEABLE.contains(&name.as_str())
+            && known.is_none_or(|(_, known)| differ(known, place))
+        {
             place
                 .fault("has changed, which takes effect at a restart only; restart, or take the change back");
         }
     }
     for (name, _) in &old_sections {
-        if !REPLACEABLE.contains(&name.as_str()) && !new_sections.iter().any(|(kept, _)| kept == name) {
+        if !REPLACEABLE.contains(&name.as_str())
+            && !new_sections.iter().any(|(kept, _)| kept == name)
+        {
             root.fault(format!(
                 "'{name}' was taken out, which takes effect at a restart only; restart, or put it back"
             ));
--- a/crates/deployment/src/configuration.rs
+++ b/crates/deployment/src/configuration.rs
@@ -87,7 +87,10 @@
     );
     let store = fields.at("store").object(&["endpoints", "prefix"]);
     let time = |key, range, absent| fields.maybe(key, |p| p.seconds(range)).unwrap_or(absent);
-    let without_view = [("refuse", WithoutView::Refuse), ("serve", WithoutView::Serve)];
+    let without_view = [
+        ("refuse", WithoutView::Refuse),
+        ("serve", WithoutView::Serve),
+    ];
     let read = Configuration {
         endpoints: endpoints(&store.at("endpoints")),
         prefix: prefix(&store),
@@ -99,10 +102,16 @@
         report_every: time("reportEvery", 0.1..=600.0, 2.0),
         snapshot_every: time("snapshotEvery", 0.1..=86_400.0, 300.0),
         spread: time("spread", 0.0..=600.0, 3.0),
-        bytes_per_second: fields.maybe("bytesPerSecond", |p| p.bytes(1_000.0..=1e9)).unwrap_or(9_000.0),
-        burst: fields.maybe("burst", |p| p.bytes(1_000.0..=1e9)).unwrap_or(2_500.0),
+        bytes_per_second: fields
+            .maybe("bytesPerSecond", |p| p.bytes(1_000.0..=1e9))
+            .unwrap_or(9_000.0),
+        burst: fields
+            .maybe("burst", |p| p.bytes(1_000.0..=1e9))
+            .unwrap_or(2_500.0),
         lease: time("lease", 2.0..=3_600.0, 10.0),
-        without_view: fields.maybe("withoutView", |p| p.one_of(&without_view)).unwrap_or(WithoutView::Refuse),
+        without_view: fields
+            .maybe("withoutView", |p| p.one_of(&without_view))
+            .unwrap_or(WithoutView::Refuse),
     };
     check_times(&fields, &read);
     Some(read)
@@ -114,13 +123,20 @@
         place.fault("at least one is wanted: the address and port of each member of the store");
     }
     if list.len() > MAX_ENDPOINTS {
-        place.fault(format!("{} are too many, {MAX_ENDPOINTS} at most", list.len()));
+        place.fault(format!(
+            "{} are too many, {MAX_ENDPOINTS} at most",
+            list.len()
+        ));
     }
-    list.iter().filter_map(|p| p.parsed("an address and port", str::parse)).collect()
+    list.iter()
+        .filter_map(|p| p.parsed("an address and port", str::parse))
+        .collect()
 }
 
 fn prefix(store: &Fields) -> String {
-    let prefix = store.maybe("prefix", Place::text).unwrap_or_else(|| "orchidtally/config/".into());
+    let prefix = store
+        .maybe("prefix", Place::text)
+        .unwrap_or_else(|| "orchidtally/config/".into());
     if !prefix.ends_with('/') {
         store.at("prefix").fault("has to end with '/'");
     }
@@ -130,13 +146,19 @@
 fn snapshot(place: &Place, front_ends: u32) -> Option<String> {
     let path = place.text()?;
     if front_ends > 1 && !path.contains(INDEX) {
-        place.fault("there are several front ends; '{index}' has to stand in it for each one's own");
+        place
+            .fault("there are several front ends; '{index}' has to stand in it for each one's own");
     }
     Some(path)
 }
 
 fn check_times(fields: &Fields, read: &Configuration) {
-    let Configuration { freshness, in_force_within, prove_every, .. } = *read;
+    let Configuration {
+        freshness,
+        in_force_within,
+        prove_every,
+        ..
+    } = *read;
     if freshness + LEAST_SLACK > in_force_within {
         fields.at("freshness").fault(format!(
             "{freshness} s is not {LEAST_SLACK} s below 'inForceWithin' of {in_force_within} s; lower it, or raise that"
--- a/crates/deployment/src/executors.rs
+++ b/crates/deployment/src/executors.rs
@@ -23,7 +23,10 @@
         .collect();
     let allows = |a: &SocketAddr| allowed.is_empty() || allowed.iter().any(|n| n.contains(&a.ip()));
     let publisher = fields.maybe("publisher", |p| p.parsed("an address and port", str::parse));
-    let (listed, published) = (fields.at("list").is_given(), fields.at("publisher").is_given());
+    let (listed, published) = (
+        fields.at("list").is_given(),
+        fields.at("publisher").is_given(),
+    );
     let etcd = fields.maybe("etcd", |p| {
         let f = p.object(&["endpoints", "prefix", "lease"]);
         let endpoints: Vec<SocketAddr> = f
@@ -35,14 +38,18 @@
         if endpoints.is_empty() {
             f.at("endpoints").fault("at least one is wanted");
         }
-        let prefix = f.maybe("prefix", Place::text).unwrap_or_else(|| "/orchidtally/".into());
+        let prefix = f
+            .maybe("prefix", Place::text)
+            .unwrap_or_else(|| "/orchidtally/".into());
         if !prefix.ends_with('/') {
             f.at("prefix").fault("has to end with '/'");
         }
         Some(Etcd {
             endpoints,
             prefix,
-            lease: f.maybe("lease", |p| p.seconds(2.0..=3_600.0)).unwrap_or(10.0),
+            lease: f
+                .maybe("lease", |p| p.seconds(2.0..=3_600.0))
+                .unwrap_or(10.0),
         })
     });
     let sources = [listed, published, fields.at("etcd").is_given()];
@@ -54,36 +61,60 @@
     }
     if let Some(publisher) = publisher {
         if !allows(&publisher) {
-            fields.at("publisher").fault(format!("{publisher} is in none of the allowed networks"));
+            fields
+                .at("publisher")
+                .fault(format!("{publisher} is in none of the allowed networks"));
         }
         return (Source::Publisher(publisher), allowed);
     }
     let mut rows: Vec<RosterRow> = vec![];
     for p in fields.at("list").list() {
         let row = p.object(&["address", "location", "kind", "cell", "weight"]);
-        let address = row.at("address").parsed("an address and port", str::parse::<SocketAddr>);
+        let address = row
+            .at("address")
+            .parsed("an address and port", str::parse::<SocketAddr>);
         let zone = place_of(&row, "location", locations);
         let kind = place_of(&row, "kind", kinds);
         let cell = row.maybe("cell", |p| p.whole(0..=65_535));
         if by_cell && !row.at("cell").is_given() {
-            row.at("cell").fault("is missing; a trigger type's tokens are dropped within cells");
+            row.at("cell")
+                .fault("is missing; a trigger type's tokens are dropped within cells");
         }
-        let weight = row.maybe("weight", |p| p.number(0.001..=1e6)).unwrap_or(1.0);
-        let (Some(address), Some(zone), Some(kind)) = (address, zone, kind) else { continue };
+        let weight = row
+            .maybe("weight", |p| p.number(0.001..=1e6))
+            .unwrap_or(1.0);
+        let (Some(address), Some(zone), Some(kind)) = (address, zone, kind) else {
+            continue;
+        };
         if !allows(&address) {
-            row.at("address").fault(format!("{address} is in none of the allowed networks"));
+            row.at("address")
+                .fault(format!("{address} is in none of the allowed networks"));
         }
         let executor = ExecutorId(address.ip(), address.port());
         if rows.iter().any(|r| r.executor == executor) {
-            row.at("address").fault(format!("{address} is listed twice"));
+            row.at("address")
+                .fault(format!("{address} is listed twice"));
         }
         let cell = cell.unwrap_or(0) as u16;
-        if let Some(other) = rows.iter().find(|r| r.cell == cell && r.zone != zone).filter(|_| by_cell) {
+        if let Some(other) = rows
+            .iter()
+            .find(|r| r.cell == cell && r.zone != zone)
+            .filter(|_| by_cell)
+        {
             let elsewhere = &locations[usize::from(other.zone)];
-            row.at("cell").fault(format!("cell {cell} is also in location '{elsewhere}'"));
+            row.at("cell")
+                .fault(format!("cell {cell} is also in location '{elsewhere}'"));
         }
         let (standing, since) = (Standing::Ready, f64::NEG_INFINITY);
-        rows.push(RosterRow { executor, zone, kind, cell, standing, weight, since });
+        rows.push(RosterRow {
+            executor,
+            zone,
+            kind,
+            cell,
+            standing,
+            weight,
+            since,
+        });
     }
     if listed && rows.is_empty() {
         fields.at("list").fault("at least one executor is wanted");
@@ -91,7 +122,9 @@
     if by_zone {
         for (n, name) in locations.iter().enumerate() {
             if !rows.is_empty() && !rows.iter().any(|r| usize::from(r.zone) == n) {
-                let what = format!("no executor is in '{name}', a location within which tokens are dropped");
+                let what = format!(
+                    "no executor is in '{name}', a location within which tokens are dropped"
+                );
                 fields.at("list").fault(what);
             }
         }
