--- a/crates/deployment/src/functions.rs
+++ b/crates/deployment/src/functions.rs
@@ -23,7 +23,9 @@
         load_time: fields
             .maybe("loadTime", |p| p.seconds(0.001..=600.0))
             .or_else(|| of.and_then(|v| v.load_time)),
-        work: fields.maybe("work", |p| p.seconds(1e-6..=3_600.0)).or_else(|| of.and_then(|v| v.work)),
+        work: fields
+            .maybe("work", |p| p.seconds(1e-6..=3_600.0))
+            .or_else(|| of.and_then(|v| v.work)),
     }
 }
 
@@ -32,10 +34,18 @@
 /// # Errors
 /// Tells what is wanted.
 pub fn check_digest(text: &str) -> Result<&str, &'static str> {
-    let digits = text.strip_prefix("sha256:").ok_or("'sha256:' and 64 hexadecimal digits are wanted")?;
-    let is_digest =
-        digits.len() == 64 && digits.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    if is_digest { Ok(digits) } else { Err("64 hexadecimal digits in small letters are wanted") }
+    let digits = text
+        .strip_prefix("sha256:")
+        .ok_or("'sha256:' and 64 hexadecimal digits are wanted")?;
+    let is_digest = digits.len() == 64
+        && digits
+            .bytes()
+            .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    if is_digest {
+        Ok(digits)
+    } else {
+        Err("64 hexadecimal digits in small letters are wanted")
+    }
 }
 
 /// Checks a function's name.
@@ -60,16 +70,24 @@
         keys.extend(["name", "versions", "aliases"]);
     }
     let fields = place.object(&keys);
-    let name = if named { fields.at("name").text()? } else { String::new() };
+    let name = if named {
+        fields.at("name").text()?
+    } else {
+        String::new()
+    };
     let odd = |c: char| c == '/' || c == '@' || c.is_whitespace() || c.is_control();
     if name.len() > MAX_NAME_BYTES || name.chars().any(odd) {
-        fields.at("name").fault("256 bytes at most, without '/', '@' and spaces, are wanted");
+        fields
+            .at("name")
+            .fault("256 bytes at most, without '/', '@' and spaces, are wanted");
     }
     let whole = version(&fields, key(&name), "".into(), None);
     let mut versions: Vec<Version> = vec![];
     for p in fields.at("versions").list() {
         let f = p.object(&["digest", "lanes", "memory", "loadTime", "work"]);
-        let Some(digest) = f.at("digest").parsed("a digest", digest) else { continue };
+        let Some(digest) = f.at("digest").parsed("a digest", digest) else {
+            continue;
+        };
         if versions.iter().any(|v| v.digest == digest) {
             f.at("digest").fault("this version is listed twice");
         }
@@ -79,13 +97,21 @@
     let mut aliases = BTreeMap::new();
     if fields.at("aliases").is_given() {
         if versions.is_empty() {
-            fields.at("aliases").fault("there are no versions for them to name; list some under 'versions'");
+            fields
+                .at("aliases")
+                .fault("there are no versions for them to name; list some under 'versions'");
         }
         for (alias, p) in fields.at("aliases").entries() {
-            if alias.is_empty() || alias.len() > 64 || alias.starts_with("sha256:") || alias.contains(odd) {
+            if alias.is_empty()
+                || alias.len() > 64
+                || alias.starts_with("sha256:")
+                || alias.contains(odd)
+            {
                 p.fault("an alias has 1 to 64 letters, without '/', '@', spaces and a leading 'sha256:'");
             }
-            let Some(digest) = p.parsed("a digest", digest) else { continue };
+            let Some(digest) = p.parsed("a digest", digest) else {
+                continue;
+            };
             match versions.iter().position(|v| v.digest == digest) {
                 Some(n) => {
                     aliases.insert(alias, n);
@@ -98,7 +124,13 @@
         versions.push(whole);
         aliases.insert("stable".into(), 0);
     } else if !aliases.contains_key("stable") {
-        fields.at("aliases").fault("'stable' is missing: it names the version that plain invocations get");
+        fields
+            .at("aliases")
+            .fault("'stable' is missing: it names the version that plain invocations get");
     }
-    Some(Function { name: name.into(), versions: versions.into(), aliases: aliases.into() })
+    Some(Function {
+        name: name.into(),
+        versions: versions.into(),
+        aliases: aliases.into(),
+    })
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -166,11 +166,15 @@
         more: impl FnOnce(&Place, &Deployment) -> T,
     ) -> Result<(Deployment, T), Vec<Fault>> {
         let document = Document::new(text);
-        let Some(value) = document.parse() else { return Err(document.faults()) };
+        let Some(value) = document.parse() else {
+            return Err(document.faults());
+        };
         let read = deployment(&document.root(&value), more);
         match (read, document.faults()) {
             (Some(read), faults) if faults.is_empty() => Ok(read),
-            (None, faults) if faults.is_empty() => unreachable!("nothing is left out without a fault"),
+            (None, faults) if faults.is_empty() => {
+                unreachable!("nothing is left out without a fault")
+            }
             (_, faults) => Err(faults),
         }
     }
@@ -179,8 +183,19 @@
     pub fn function(&self, name: &str) -> Option<Function> {
         self.functions.get(name).cloned().or_else(|| {
             let other = self.other_functions.as_ref()?;
-            let versions = other.versions.iter().map(|v| Version { key: key(name), ..v.clone() }).collect();
-            Some(Function { name: name.into(), versions, aliases: other.aliases.clone() })
+            let versions = other
+                .versions
+                .iter()
+                .map(|v| Version {
+                    key: key(name),
+                    ..v.clone()
+                })
+                .collect();
+            Some(Function {
+                name: name.into(),
+                versions,
+                aliases: other.aliases.clone(),
+            })
         })
     }
 
--- a/crates/deployment/src/reader.rs
+++ b/crates/deployment/src/reader.rs
@@ -18,7 +18,12 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { line, column, key, what } = self;
+        let Fault {
+            line,
+            column,
+            key,
+            what,
+        } = self;
         if key.is_empty() {
             write!(f, "{line}:{column}: {what}")
         } else {
@@ -42,12 +47,18 @@
 }
 
 fn options() -> ParseOptions {
-    ParseOptions { allow_missing_commas: false, ..ParseOptions::default() }
+    ParseOptions {
+        allow_missing_commas: false,
+        ..ParseOptions::default()
+    }
 }
 
 impl<'a> Document<'a> {
     pub fn new(text: &'a str) -> Document<'a> {
-        Document { text, faults: RefCell::default() }
+        Document {
+            text,
+            faults: RefCell::default(),
+        }
     }
 
     /// The document's syntax, or the fault in it.
@@ -67,7 +78,12 @@
     }
 
     pub fn root<'d>(&'d self, value: &'d Value<'a>) -> Place<'a, 'd> {
-        Place { document: self, value: Some(value), at: value.range().start, key: String::new() }
+        Place {
+            document: self,
+            value: Some(value),
+            at: value.range().start,
+            key: String::new(),
+        }
     }
 
     /// All faults in the order of the text.
@@ -82,7 +98,12 @@
         let before = &self.text[..at.min(self.text.len())];
         let line = 1 + before.matches('\n').count();
         let column = 1 + before.chars().rev().take_while(|&c| c != '\n').count();
-        self.faults.borrow_mut().push(Fault { line, column, key: key.into(), what });
+        self.faults.borrow_mut().push(Fault {
+            line,
+            column,
+            key: key.into(),
+            what,
+        });
     }
 }
 
@@ -105,7 +126,13 @@
     units.iter().find(|u| u.0 == unit).map(|u| number * u.1)
 }
 
-const TIMES: [(&str, f64); 5] = [("us", 1e-6), ("ms", 1e-3), ("s", 1.0), ("m", 60.0), ("h", 3_600.0)];
+const TIMES: [(&str, f64); 5] = [
+    ("us", 1e-6),
+    ("ms", 1e-3),
+    ("s", 1.0),
+    ("m", 60.0),
+    ("h", 3_600.0),
+];
 const SIZES: [(&str, f64); 7] = [
     ("B", 1.0),
     ("KiB", 1024.0),
@@ -141,18 +168,36 @@
                 None
             }
         };
-        let fields = Fields { place: self.clone(), object };
+        let fields = Fields {
+            place: self.clone(),
+            object,
+        };
         for (n, p) in object.iter().flat_map(|o| &o.properties).enumerate() {
             let name = p.name.as_str();
             let at = p.name.range().start;
             if !keys.contains(&name) {
-                let near = keys.iter().min_by_key(|k| distance(k, name)).filter(|k| distance(k, name) <= 3);
-                let hint = near.map(|k| format!(", is '{k}' meant?")).unwrap_or_default();
+                let near = keys
+                    .iter()
+                    .min_by_key(|k| distance(k, name))
+                    .filter(|k| distance(k, name) <= 3);
+                let hint = near
+                    .map(|k| format!(", is '{k}' meant?"))
+                    .unwrap_or_default();
                 let all = keys.join(", ");
-                self.document.note(at, &self.child(name), format!("unknown key{hint} (known here: {all})"));
+                self.document.note(
+                    at,
+                    &self.child(name),
+                    format!("unknown key{hint} (known here: {all})"),
+                );
             }
-            if object.iter().flat_map(|o| &o.properties).take(n).any(|q| q.name.as_str() == name) {
-                self.document.note(at, &self.child(name), "is given twice".into());
+            if object
+                .iter()
+                .flat_map(|o| &o.properties)
+                .take(n)
+                .any(|q| q.name.as_str() == name)
+            {
+                self.document
+                    .note(at, &self.child(name), "is given twice".into());
             }
         }
         fields
@@ -178,7 +223,11 @@
     }
 
     fn child(&self, name: &str) -> String {
-        if self.key.is_empty() { name.into() } else { format!("{}.{name}", self.key) }
+        if self.key.is_empty() {
+            name.into()
+        } else {
+            format!("{}.{name}", self.key)
+        }
     }
 
     /// The value as it is written, without comments, spaces and the order of keys.
@@ -221,9 +270,15 @@
     }
 
     /// A text that some function reads; its error is the fault.
-    pub fn parsed<T, E: fmt::Display>(&self, wanted: &str, read: impl Fn(&str) -> Result<T, E>) -> Option<T> {
+    pub fn parsed<T, E: fmt::Display>(
+        &self,
+        wanted: &str,
+        read: impl Fn(&str) -> Result<T, E>,
+    ) -> Option<T> {
         let text = self.text()?;
-        read(&text).map_err(|e| self.fault(format!("'{text}' is not {wanted}: {e}"))).ok()
+        read(&text)
+            .map_err(|e| self.fault(format!("'{text}' is not {wanted}: {e}")))
+            .ok()
     }
 
     /// One of some names.
@@ -248,12 +303,20 @@
         }
     }
 
-    fn bounded(&self, number: f64, range: RangeInclusive<f64>, show: impl Fn(f64) -> String) -> Option<f64> {
+    fn bounded(
+        &self,
+        number: f64,
+        range: RangeInclusive<f64>,
+        show: impl Fn(f64) -> String,
+    ) -> Option<f64> {
         if range.contains(&number) {
             return Some(number);
         }
         let (least, most) = (show(*range.start()), show(*range.end()));
-        self.fault(format!("{} is out of range, {least} to {most} is wanted", show(number)));
+        self.fault(format!(
+            "{} is out of range, {least} to {most} is wanted",
+            show(number)
+        ));
         None
     }
 
@@ -282,12 +345,16 @@
 
     /// A time such as `250ms`, in seconds.
     pub fn seconds(&self, range: RangeInclusive<f64>) -> Option<f64> {
-        self.quantity(range, "a time such as '250ms', '1.5s', '2m'", &TIMES, |n| format!("{n} s"))
+        self.quantity(range, "a time such as '250ms', '1.5s', '2m'", &TIMES, |n| {
+            format!("{n} s")
+        })
     }
 
     /// A size such as `64MiB`, in bytes.
     pub fn bytes(&self, range: RangeInclusive<f64>) -> Option<f64> {
-        self.quantity(range, "a size such as '64KiB', '1.5GB'", &SIZES, |n| format!("{n} bytes"))
+        self.quantity(range, "a size such as '64KiB', '1.5GB'", &SIZES, |n| {
+            format!("{n} bytes")
+        })
     }
 
     fn quantity(
@@ -323,8 +390,9 @@
             format!("[{}]", elements.join(","))
         }
         Value::Object(object) => {
-            let property =
-                |p: &jsonc_parser::ast::ObjectProp| format!("{:?}:{}", p.name.as_str(), written(&p.value));
+            let property = |p: &jsonc_parser::ast::ObjectProp| {
+                format!("{:?}:{}", p.name.as_str(), written(&p.value))
+            };
             let mut properties: Vec<String> = object.properties.iter().map(property).collect();
             properties.sort_unstable();
             format!("{{{}}}", properties.join(","))
@@ -340,7 +408,9 @@
 
 impl<'a, 'd> Fields<'a, 'd> {
     pub fn at(&self, name: &str) -> Place<'a, 'd> {
-        let property = self.object.and_then(|o| o.properties.iter().find(|p| p.name.as_str() == name));
+        let property = self
+            .object
+            .and_then(|o| o.properties.iter().find(|p| p.name.as_str() == name));
         Place {
             document: self.place.document,
             value: property.map(|p| &p.value),
@@ -351,11 +421,18 @@
 
     /// The fields of an object under `name` that was left out.
     pub fn nothing(&self, name: &str) -> Fields<'a, 'd> {
-        Fields { place: self.at(name), object: None }
+        Fields {
+            place: self.at(name),
+            object: None,
+        }
     }
 
     /// Reads a key where it is given.
-    pub fn maybe<T>(&self, name: &str, read: impl FnOnce(&Place<'a, 'd>) -> Option<T>) -> Option<T> {
+    pub fn maybe<T>(
+        &self,
+        name: &str,
+        read: impl FnOnce(&Place<'a, 'd>) -> Option<T>,
+    ) -> Option<T> {
         let place = self.at(name);
         if place.is_given() { read(&place) } else { None }
     }
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -13,18 +13,29 @@
     }
     let list = section.list();
     if list.is_empty() {
-        section.fault("at least one region is wanted; leave 'regions' out to place functions anywhere");
+        section.fault(
+            "at least one region is wanted; leave 'regions' out to place functions anywhere",
+        );
         return vec![];
     }
     if list.len() > MAX_REGIONS {
-        section.fault(format!("{} are too many, {MAX_REGIONS} at most", list.len()));
+        section.fault(format!(
+            "{} are too many, {MAX_REGIONS} at most",
+            list.len()
+        ));
         return vec![];
     }
-    let mut reader = Reader { locations, names: vec![], of_locations: vec![None; locations.len()] };
+    let mut reader = Reader {
+        locations,
+        names: vec![],
+        of_locations: vec![None; locations.len()],
+    };
     list.iter().for_each(|place| reader.region(place));
     for (name, region) in locations.iter().zip(&reader.of_locations) {
         if region.is_none() {
-            section.fault(format!("location '{name}' is in no region; name it under one of them"));
+            section.fault(format!(
+                "location '{name}' is in no region; name it under one of them"
+            ));
         }
     }
     reader.of_locations
@@ -41,22 +52,37 @@
     fn region(&mut self, place: &Place) {
         let fields = place.object(&["name", "locations"]);
         let number = self.names.len();
-        let name = fields.at("name").text().unwrap_or_else(|| format!("number {number}"));
+        let name = fields
+            .at("name")
+            .text()
+            .unwrap_or_else(|| format!("number {number}"));
         if self.names.contains(&name) {
-            fields.at("name").fault(format!("there are two regions '{name}'"));
+            fields
+                .at("name")
+                .fault(format!("there are two regions '{name}'"));
         }
         self.names.push(name);
         let members = fields.at("locations").list();
         if members.is_empty() {
-            fields.at("locations").fault("at least one location is wanted");
+            fields
+                .at("locations")
+                .fault("at least one location is wanted");
         }
-        members.iter().for_each(|member| self.location(member, number));
+        members
+            .iter()
+            .for_each(|member| self.location(member, number));
     }
 
     fn location(&mut self, place: &Place, region: usize) {
-        let names: Vec<(&str, usize)> =
-            self.locations.iter().enumerate().map(|(number, name)| (name.as_str(), number)).collect();
-        let Some(location) = place.one_of(&names) else { return };
+        let names: Vec<(&str, usize)> = self
+            .locations
+            .iter()
+            .enumerate()
+            .map(|(number, name)| (name.as_str(), number))
+            .collect();
+        let Some(location) = place.one_of(&names) else {
+            return;
+        };
         match self.of_locations[location] {
             Some(other) => place.fault(format!(
                 "is in region '{}' already; a location stands in one",
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -29,11 +29,19 @@
     if let (Some(o), Some(t)) = (objective, timeout)
         && o > t
     {
-        fields.at("objective").fault(format!("{o} s is over the client timeout of {t} s"));
+        fields
+            .at("objective")
+            .fault(format!("{o} s is over the client timeout of {t} s"));
     }
-    let stretch = fields.maybe("stretch", |p| p.number(0.0..=1_000.0)).unwrap_or(0.0);
-    let billed_value = fields.maybe("billedValue", |p| p.number(0.001..=1e6)).unwrap_or(1.0);
-    let late_share = fields.maybe("lateShare", |p| p.number(0.0..=1.0)).unwrap_or(0.0);
+    let stretch = fields
+        .maybe("stretch", |p| p.number(0.0..=1_000.0))
+        .unwrap_or(0.0);
+    let billed_value = fields
+        .maybe("billedValue", |p| p.number(0.001..=1e6))
+        .unwrap_or(1.0);
+    let late_share = fields
+        .maybe("lateShare", |p| p.number(0.0..=1.0))
+        .unwrap_or(0.0);
     let tokened = effect == Some(Effect::Tokened);
     let mut group = Some(Group::All);
     let mut window = Some(0.0);
@@ -45,18 +53,32 @@
         ]);
         window = fields.at("window").seconds(0.001..=86_400.0);
     } else if effect.is_some() {
-        for key in ["group", "window"].into_iter().filter(|k| fields.at(k).is_given()) {
+        for key in ["group", "window"]
+            .into_iter()
+            .filter(|k| fields.at(k).is_given())
+        {
             fields.at(key).fault("only a tokened trigger type has one");
         }
     }
-    let (streams, journalled) = (fields.at("streams").flag(false), fields.at("journalled").flag(false));
+    let (streams, journalled) = (
+        fields.at("streams").flag(false),
+        fields.at("journalled").flag(false),
+    );
     if journalled && effect.is_some_and(|e| e != Effect::NonIdempotent) {
-        fields.at("journalled").fault("only a non-idempotent trigger type gains by it");
+        fields
+            .at("journalled")
+            .fault("only a non-idempotent trigger type gains by it");
     }
     if journalled && streams {
-        fields.at("journalled").fault("a streamed answer can't be kept");
+        fields
+            .at("journalled")
+            .fault("a streamed answer can't be kept");
     }
-    let trigger = Trigger { name: name?, streams, journalled };
+    let trigger = Trigger {
+        name: name?,
+        streams,
+        journalled,
+    };
     let policy = TriggerType {
         objective: objective?,
         stretch,
--- a/crates/deployment/tests/changes.rs
+++ b/crates/deployment/tests/changes.rs
@@ -11,7 +11,10 @@
 }"#;
 
 fn told(before: &str, after: &str) -> Vec<String> {
-    restart_needed(before, after).iter().map(ToString::to_string).collect()
+    restart_needed(before, after)
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[test]
@@ -27,10 +30,12 @@
 
 #[test]
 fn functions_customers_and_trigger_types_need_none() {
-    let after = BEFORE.replace("timeout: \"2s\"", "timeout: \"3s\"").replace(
-        "otherFunctions: { lanes: 2 }",
-        "functions: [{ name: 'f' }], customers: [{ name: 'c', share: 1 }]",
-    );
+    let after = BEFORE
+        .replace("timeout: \"2s\"", "timeout: \"3s\"")
+        .replace(
+            "otherFunctions: { lanes: 2 }",
+            "functions: [{ name: 'f' }], customers: [{ name: 'c', share: 1 }]",
+        );
     assert_eq!(told(BEFORE, &after), Vec::<String>::new());
 }
 
@@ -39,10 +44,18 @@
     let after = BEFORE
         .replace("connections: 5", "connections: 6")
         .replace("name: \"n\",", "name: \"m\", crossing: 0.5,")
-        .replace("    executors: { list: [{ address: \"127.0.0.1:1\" }] },\n", "");
+        .replace(
+            "    executors: { list: [{ address: \"127.0.0.1:1\" }] },\n",
+            "",
+        );
     let told = told(BEFORE, &after);
-    let begins: Vec<&str> =
-        told.iter().map(|t| t.split_once(", which takes effect").map_or(t.as_str(), |t| t.0)).collect();
+    let begins: Vec<&str> = told
+        .iter()
+        .map(|t| {
+            t.split_once(", which takes effect")
+                .map_or(t.as_str(), |t| t.0)
+        })
+        .collect();
     let expected = [
         "1:1: 'executors' was taken out",
         "2:11: name: has changed",
--- a/crates/deployment/tests/configuration.rs
+++ b/crates/deployment/tests/configuration.rs
@@ -24,13 +24,30 @@
 fn the_example_is_sound_and_without_the_section_there_is_no_store() {
     let deployment = Deployment::read(EXAMPLE).expect("the example is sound");
     let read = deployment.configuration.expect("it has the section");
-    assert_eq!((read.endpoints.len(), read.prefix.as_str()), (5, "ferry-lines/config/"));
-    assert_eq!(read.snapshot(2), PathBuf::from("/var/lib/orchidtally/config-2.snapshot"));
-    assert_eq!((read.freshness, read.in_force_within, read.prove_every), (15.0, 18.0, 3.0));
-    assert_eq!((read.bytes_per_second, read.burst, read.lease), (9_000.0, 2_500.0, 10.0));
+    assert_eq!(
+        (read.endpoints.len(), read.prefix.as_str()),
+        (5, "ferry-lines/config/")
+    );
+    assert_eq!(
+        read.snapshot(2),
+        PathBuf::from("/var/lib/orchidtally/config-2.snapshot")
+    );
+    assert_eq!(
+        (read.freshness, read.in_force_within, read.prove_every),
+        (15.0, 18.0, 3.0)
+    );
+    assert_eq!(
+        (read.bytes_per_second, read.burst, read.lease),
+        (9_000.0, 2_500.0, 10.0)
+    );
     assert_eq!(read.without_view, WithoutView::Refuse);
     let without = include_str!("../../../examples/deployments/one-machine.json5");
-    assert!(Deployment::read(without).expect("sound").configuration.is_none());
+    assert!(
+        Deployment::read(without)
+            .expect("sound")
+            .configuration
+            .is_none()
+    );
 }
 
 #[test]
@@ -53,7 +70,10 @@
         "9:40: configuration.withoutView: 'guess' is none of 'refuse', 'serve'",
     ];
     for fault in expected {
-        assert!(told.iter().any(|t| t.starts_with(fault)), "'{fault}' is missing from {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {told:#?}"
+        );
     }
     assert_eq!(told.len(), expected.len(), "{told:#?}");
 }
@@ -61,11 +81,20 @@
 #[test]
 fn store_and_snapshot_are_wanted() {
     let told = faults("{}");
-    assert!(told.iter().any(|t| t.contains("configuration.store: is missing")), "{told:#?}");
-    assert!(told.iter().any(|t| t.contains("configuration.snapshot: is missing")), "{told:#?}");
+    assert!(
+        told.iter()
+            .any(|t| t.contains("configuration.store: is missing")),
+        "{told:#?}"
+    );
+    assert!(
+        told.iter()
+            .any(|t| t.contains("configuration.snapshot: is missing")),
+        "{told:#?}"
+    );
     let told = faults(r#"{ store: { endpoints: [] }, snapshot: "{index}" }"#);
     assert!(
-        told.iter().any(|t| t.contains("configuration.store.endpoints: at least one is wanted")),
+        told.iter()
+            .any(|t| t.contains("configuration.store.endpoints: at least one is wanted")),
         "{told:#?}"
     );
 }
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -13,17 +13,34 @@
 
 #[test]
 fn the_examples_are_sound() {
-    let [one, cranes, print] = EXAMPLES.map(|text| Deployment::read(text).expect("an example is sound"));
-    let Source::Listed(rows) = &one.source else { panic!("its executors are listed") };
+    let [one, cranes, print] =
+        EXAMPLES.map(|text| Deployment::read(text).expect("an example is sound"));
+    let Source::Listed(rows) = &one.source else {
+        panic!("its executors are listed")
+    };
     assert!(rows[0].executor.0.is_ipv4() && rows[1].executor.0.is_ipv6());
     assert_eq!(one.function("any").unwrap().versions[0].key, key("any"));
-    assert_eq!((cranes.policy.front_ends, cranes.policy.roster_asked), (6.0, true));
+    assert_eq!(
+        (cranes.policy.front_ends, cranes.policy.roster_asked),
+        (6.0, true)
+    );
     let plan = &cranes.policy.trigger_types[cranes.trigger_type("berth-plan").unwrap()];
-    assert_eq!((plan.effect, plan.group, plan.window), (Effect::Tokened, Group::Cell, 6.0));
+    assert_eq!(
+        (plan.effect, plan.group, plan.window),
+        (Effect::Tokened, Group::Cell, 6.0)
+    );
     assert!(cranes.function("unlisted").is_none());
-    assert_eq!(cranes.function("hook-find").unwrap().versions[0].memory, 1.2e9);
-    assert_eq!((print.policy.quotas.as_slice(), print.policy.index), ([80.0, 40.0, 15.0].as_slice(), 1.0));
-    assert!(print.trigger_types[0].streams && print.policy.answers_miss && print.policy.second_copies);
+    assert_eq!(
+        cranes.function("hook-find").unwrap().versions[0].memory,
+        1.2e9
+    );
+    assert_eq!(
+        (print.policy.quotas.as_slice(), print.policy.index),
+        ([80.0, 40.0, 15.0].as_slice(), 1.0)
+    );
+    assert!(
+        print.trigger_types[0].streams && print.policy.answers_miss && print.policy.second_copies
+    );
 }
 
 #[test]
@@ -66,7 +83,10 @@
         "15:44: limits.cancel: true or false is wanted, not a text",
     ];
     for fault in expected {
-        assert!(told.iter().any(|t| t.starts_with(fault)), "'{fault}' is missing from {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {told:#?}"
+        );
     }
     assert!(told.iter().all(|t| !t.contains("unnamed")), "{told:#?}");
 }
@@ -74,30 +94,55 @@
 #[test]
 fn a_token_group_that_nobody_is_in_is_a_fault() {
     let text = EXAMPLES[0]
-        .replace("effect: \"idempotent\"", "effect: \"tokened\", group: \"location\", window: \"5s\"")
-        .replace("name: \"one-machine\"", "name: \"x\", locations: [\"here\", \"there\"]");
+        .replace(
+            "effect: \"idempotent\"",
+            "effect: \"tokened\", group: \"location\", window: \"5s\"",
+        )
+        .replace(
+            "name: \"one-machine\"",
+            "name: \"x\", locations: [\"here\", \"there\"]",
+        );
     let faults = Deployment::read(&text).expect_err("nobody is there");
     assert_eq!(faults.len(), 1, "{faults:?}");
-    assert!(faults[0].what.contains("no executor is in 'there'"), "{faults:?}");
+    assert!(
+        faults[0].what.contains("no executor is in 'there'"),
+        "{faults:?}"
+    );
 }
 
 #[test]
 fn any_text_is_read_or_faulted_within_its_lines() {
-    let config = Config { cases: 600, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[1; 32]));
+    let config = Config {
+        cases: 600,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[1; 32]));
     // An example with a part cut out or put in elsewhere.
-    let cut = (0usize..3, any::<prop::sample::Index>(), any::<prop::sample::Index>(), 0usize..40);
+    let cut = (
+        0usize..3,
+        any::<prop::sample::Index>(),
+        any::<prop::sample::Index>(),
+        0usize..40,
+    );
     let outcome = runner.run(&cut, |(which, from, to, length)| {
         let mut text: Vec<char> = EXAMPLES[which].chars().collect();
         let from = from.index(text.len());
-        let part: Vec<char> = text.splice(from..(from + length).min(text.len()), []).collect();
+        let part: Vec<char> = text
+            .splice(from..(from + length).min(text.len()), [])
+            .collect();
         let to = to.index(text.len());
         text.splice(to..to, part);
         let text: String = text.into_iter().collect();
         if let Err(faults) = Deployment::read(&text) {
             prop_assert!(!faults.is_empty());
             let lines = text.lines().count() + 1;
-            prop_assert!(faults.iter().all(|f| (1..=lines).contains(&f.line) && f.column >= 1));
+            prop_assert!(
+                faults
+                    .iter()
+                    .all(|f| (1..=lines).contains(&f.line) && f.column >= 1)
+            );
         }
         Ok(())
     });
--- a/crates/deployment/tests/regions.rs
+++ b/crates/deployment/tests/regions.rs
@@ -36,8 +36,7 @@
 
 #[test]
 fn locations_are_found_by_their_names() {
-    let section =
-        r#"regions: [{ name: "r", locations: ["south"] }, { name: "s", locations: ["west", "east"] }],"#;
+    let section = r#"regions: [{ name: "r", locations: ["south"] }, { name: "s", locations: ["west", "east"] }],"#;
     let deployment = Deployment::read(&with_section(section)).expect("sound");
     assert_eq!(deployment.policy.regions, [Some(1), Some(1), Some(0)]);
 }
@@ -60,21 +59,29 @@
         "10:38: regions[2].zone: unknown key",
     ];
     for fault in expected {
-        assert!(told.iter().any(|t| t.starts_with(fault)), "'{fault}' is missing from {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {told:#?}"
+        );
     }
     assert_eq!(told.len(), expected.len(), "{told:#?}");
 }
 
 #[test]
 fn an_empty_one_is_a_fault() {
-    let expected =
-        "7:10: regions: at least one region is wanted; leave 'regions' out to place functions anywhere";
+    let expected = "7:10: regions: at least one region is wanted; leave 'regions' out to place functions anywhere";
     assert_eq!(faults("regions: [],"), [expected]);
 }
 
 #[test]
 fn a_change_of_it_takes_effect_at_a_restart() {
     let one = with_section(r#"regions: [{ name: "r", locations: ["east", "west", "south"] }],"#);
-    let told: Vec<String> = restart_needed(&with_section(""), &one).iter().map(ToString::to_string).collect();
-    assert!(told.len() == 1 && told[0].starts_with("7:10: regions: has changed"), "{told:?}");
+    let told: Vec<String> = restart_needed(&with_section(""), &one)
+        .iter()
+        .map(ToString::to_string)
+        .collect();
+    assert!(
+        told.len() == 1 && told[0].starts_with("7:10: regions: has changed"),
+        "{told:?}"
+    );
 }
--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -28,7 +28,11 @@
 impl Host for Bench {
     fn taken(&mut self, _: u32) {}
     fn dispatch(&mut self, inv: u32, dispatch: u8, _: ExecutorId, _: f64) {
-        self.ends.push(Reverse((self.now_us + (ANSWER_TIME * 1e6) as u64, inv, dispatch)));
+        self.ends.push(Reverse((
+            self.now_us + (ANSWER_TIME * 1e6) as u64,
+            inv,
+            dispatch,
+        )));
     }
     fn cancel(&mut self, _: u32, _: u8) {}
     fn succeeded(&mut self, _: u32, _: u8) {
@@ -117,14 +121,24 @@
         }
         let arrival = u64::from(n) * step;
         loop {
-            let end = host.ends.peek().map(|Reverse(e)| e.0).filter(|&at| at <= arrival);
+            let end = host
+                .ends
+                .peek()
+                .map(|Reverse(e)| e.0)
+                .filter(|&at| at <= arrival);
             let due = engine.due_at();
             let due_us = ((due - 1_000.0).max(0.0) * 1e6).ceil();
             match end {
                 Some(at) if at as f64 <= due_us => {
-                    let Some(Reverse((at, inv, dispatch))) = host.ends.pop() else { break };
+                    let Some(Reverse((at, inv, dispatch))) = host.ends.pop() else {
+                        break;
+                    };
                     host.now_us = at;
-                    let told = Told { found: Found::Warm, crowd: 1, report: &[0.5] };
+                    let told = Told {
+                        found: Found::Warm,
+                        crowd: 1,
+                        report: &[0.5],
+                    };
                     engine.ended(now_at(at), inv, dispatch, Ending::Ok, told, &mut host);
                 }
                 _ if due_us <= arrival as f64 => {
@@ -172,22 +186,38 @@
 
 fn main() {
     // `cargo test` runs benches too: then a small run is enough to see that it works.
-    let quick = std::env::args().any(|a| a == "--test") || !std::env::args().any(|a| a == "--bench");
+    let quick =
+        std::env::args().any(|a| a == "--test") || !std::env::args().any(|a| a == "--bench");
     println!("a second  executors  functions  us an invocation  ratio  succeeded");
-    let busy =
-        [(10, 1_000), (36, 1_000), (100, 1_000), (500, 1_000), (1_024, 1_000), (100, 10), (100, 100_000)];
+    let busy = [
+        (10, 1_000),
+        (36, 1_000),
+        (100, 1_000),
+        (500, 1_000),
+        (1_024, 1_000),
+        (100, 10),
+        (100, 100_000),
+    ];
     let sparse = [(36, 100), (300, 100), (1_024, 100)];
     for (rate, fleets, invocations) in [(BUSY, &busy[..], 60_000), (SPARSE, &sparse[..], 2_000)] {
         let mut base = None;
         for &(executors, functions) in fleets {
-            let (us, succeeded) = least(rate, executors, functions, if quick { 1_000 } else { invocations });
+            let (us, succeeded) = least(
+                rate,
+                executors,
+                functions,
+                if quick { 1_000 } else { invocations },
+            );
             let base = *base.get_or_insert(us);
             println!(
                 "{rate:>8}  {executors:>9}  {functions:>9}  {us:>16.2}  {:>5.2}  {:>8.1} %",
                 us / base,
                 100.0 * succeeded
             );
-            assert!(succeeded > 0.9, "the bench has to measure work that succeeds");
+            assert!(
+                succeeded > 0.9,
+                "the bench has to measure work that succeeds"
+            );
         }
     }
 }
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -22,7 +22,9 @@
 
 fn main() {
     // Cargo adds a flag of its own.
-    let mut numbers = std::env::args().skip(1).filter_map(|a| a.parse::<u64>().ok());
+    let mut numbers = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse::<u64>().ok());
     let front_ends = numbers.next().unwrap_or(300) as usize;
     let seed = numbers.next().unwrap_or(1);
     let makers: [(&str, &Maker); 4] = [
@@ -40,8 +42,16 @@
         for (name, maker) in makers {
             let (functions, length) = (150, 24.0);
             let (executors, load) = (36, 0.5);
-            let play =
-                Play { front_ends, executors, load, functions, length, replaced_at, restarted_at, seed };
+            let play = Play {
+                front_ends,
+                executors,
+                load,
+                functions,
+                length,
+                replaced_at,
+                restarted_at,
+                seed,
+            };
             let world = fleet::play(&play, maker);
             let seen = spread(&world.records, 8.0);
             let asked = (world.succeeded + world.given_up) as f64;
--- a/crates/engine/examples/decision_cost/main.rs
+++ b/crates/engine/examples/decision_cost/main.rs
@@ -27,8 +27,19 @@
 const ZONES: u32 = 8;
 
 enum Event {
-    Ends { inv: u32, dispatch: u8, x: usize, function: u64, ending: Ending, found: Found },
-    Held { to: ExecutorId, function: u64, ending: Ending },
+    Ends {
+        inv: u32,
+        dispatch: u8,
+        x: usize,
+        function: u64,
+        ending: Ending,
+        found: Found,
+    },
+    Held {
+        to: ExecutorId,
+        function: u64,
+        ending: Ending,
+    },
 }
 
 /// Performs what is decided, and keeps a digest of it.
@@ -54,7 +65,9 @@
     fn note(&mut self, values: &[u64]) {
         self.decided += 1;
         for value in values {
-            self.digest = (self.digest ^ value).wrapping_mul(0x0100_0000_01b3).rotate_left(23);
+            self.digest = (self.digest ^ value)
+                .wrapping_mul(0x0100_0000_01b3)
+                .rotate_left(23);
         }
     }
 
@@ -67,7 +80,10 @@
     /// When a copy stands at an executor, and whether that is now.
     fn load(&mut self, x: usize, function: u64) -> (f64, bool) {
         let now = self.now;
-        let copy = self.copies.entry((x, function)).or_insert((0.0, f64::NEG_INFINITY));
+        let copy = self
+            .copies
+            .entry((x, function))
+            .or_insert((0.0, f64::NEG_INFINITY));
         if copy.1 + KEEP_ALIVE < now {
             *copy = (now + LOAD_TIME, now);
             self.loads += 1;
@@ -95,7 +111,11 @@
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, within: f64) {
         self.note(&[1, inv.into(), dispatch.into(), number(to), within.to_bits()]);
         let (x, function) = (index(to), self.functions[&inv]);
-        let drawn = if self.day == Day::Faults { self.random.unit() } else { 1.0 };
+        let drawn = if self.day == Day::Faults {
+            self.random.unit()
+        } else {
+            1.0
+        };
         let ending = match drawn {
             d if d < 0.004 => Ending::Error,
             d if d < 0.007 => Ending::Full,
@@ -104,13 +124,25 @@
             _ => Ending::Ok,
         };
         // Some hang.
-        if self.day == Day::Faults && rendezvous_hash(x as u64, (self.now / 20.0) as u64).is_multiple_of(97) {
+        if self.day == Day::Faults
+            && rendezvous_hash(x as u64, (self.now / 20.0) as u64).is_multiple_of(97)
+        {
             return;
         }
         let (stands_at, warm) = self.load(x, function);
         let found = if warm { Found::Warm } else { Found::Loaded };
         let at = stands_at + ANSWER_TIME * (0.5 + self.random.unit());
-        self.at(at, Event::Ends { inv, dispatch, x, function, ending, found });
+        self.at(
+            at,
+            Event::Ends {
+                inv,
+                dispatch,
+                x,
+                function,
+                ending,
+                found,
+            },
+        );
     }
     fn cancel(&mut self, inv: u32, dispatch: u8) {
         self.note(&[2, inv.into(), dispatch.into()]);
@@ -130,8 +162,19 @@
         self.note(&[5, number(to), function, copies.into()]);
         let (stands_at, _) = self.load(index(to), function);
         let failed = self.day == Day::Faults && self.random.unit() < 0.01;
-        let ending = if failed { Ending::ConnectFailed } else { Ending::Ok };
-        self.at(stands_at, Event::Held { to, function, ending });
+        let ending = if failed {
+            Ending::ConnectFailed
+        } else {
+            Ending::Ok
+        };
+        self.at(
+            stands_at,
+            Event::Held {
+                to,
+                function,
+                ending,
+            },
+        );
     }
     fn ask(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
@@ -184,12 +227,19 @@
 
 fn row(day: Day, x: u32, life: u32, since: f64) -> RosterRow {
     RosterRow {
-        executor: ExecutorId(std::net::Ipv4Addr::from(0x0a00_0000 + (life << 16) + x).into(), 7000),
+        executor: ExecutorId(
+            std::net::Ipv4Addr::from(0x0a00_0000 + (life << 16) + x).into(),
+            7000,
+        ),
         zone: (x % ZONES) as u8,
         kind: if day == Day::Faults { (x % 3) as u8 } else { 0 },
         cell: (x / 7) as u16,
         standing: Standing::Ready,
-        weight: if day == Day::Faults { [1.0, 0.5, 2.0][(x % 3) as usize] } else { 1.0 },
+        weight: if day == Day::Faults {
+            [1.0, 0.5, 2.0][(x % 3) as usize]
+        } else {
+            1.0
+        },
         since,
     }
 }
@@ -200,12 +250,27 @@
     let x = (simulation.random.unit() * rows.len() as f64) as usize;
     let drawn = simulation.random.unit();
     let change = match drawn {
-        d if d < 0.3 => RosterRow { since: now, ..rows[x].clone() },
-        d if d < 0.5 => RosterRow { standing: Standing::Draining, ..rows[x].clone() },
-        d if d < 0.6 => RosterRow { standing: Standing::Gone, ..rows[x].clone() },
-        d if d < 0.7 => RosterRow { cell: rows[x].cell ^ 1, ..rows[x].clone() },
+        d if d < 0.3 => RosterRow {
+            since: now,
+            ..rows[x].clone()
+        },
+        d if d < 0.5 => RosterRow {
+            standing: Standing::Draining,
+            ..rows[x].clone()
+        },
+        d if d < 0.6 => RosterRow {
+            standing: Standing::Gone,
+            ..rows[x].clone()
+        },
+        d if d < 0.7 => RosterRow {
+            cell: rows[x].cell ^ 1,
+            ..rows[x].clone()
+        },
         d if d < 0.8 => row(simulation.day, x as u32, (now as u32) & 0xff, now),
-        _ => RosterRow { standing: Standing::Ready, ..rows[x].clone() },
+        _ => RosterRow {
+            standing: Standing::Ready,
+            ..rows[x].clone()
+        },
     };
     rows[x] = change.clone();
     match drawn {
@@ -218,7 +283,11 @@
 /// The thread's CPU time, in seconds.
 fn cpu() -> f64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    stat.split(' ').next().and_then(|ns| ns.parse::<f64>().ok()).unwrap_or(f64::NAN) / 1e9
+    stat.split(' ')
+        .next()
+        .and_then(|ns| ns.parse::<f64>().ok())
+        .unwrap_or(f64::NAN)
+        / 1e9
 }
 
 struct Seen {
@@ -234,14 +303,25 @@
     let started = cpu();
     for n in 0..LISTS {
         let ready = n % 2 == 1;
-        rows[0].standing = if ready { Standing::Ready } else { Standing::Draining };
+        rows[0].standing = if ready {
+            Standing::Ready
+        } else {
+            Standing::Draining
+        };
         engine.roster(simulation.now, RosterKind::Full, rows, simulation);
     }
     1e3 * (cpu() - started) / f64::from(LISTS)
 }
 
 fn run(play: &Play, executors: u32, shares: &[f64]) -> Seen {
-    let &Play { seconds, seed, day, rate, regions, .. } = play;
+    let &Play {
+        seconds,
+        seed,
+        day,
+        rate,
+        regions,
+        ..
+    } = play;
     let mut simulation = Simulation {
         day,
         now: START,
@@ -259,7 +339,9 @@
         given_up: 0,
     };
     let mut engine = Engine::new(policy(day, regions), 100_000, seed, START, &mut simulation);
-    let mut rows: Vec<RosterRow> = (0..executors).map(|x| row(day, x, 0, f64::NEG_INFINITY)).collect();
+    let mut rows: Vec<RosterRow> = (0..executors)
+        .map(|x| row(day, x, 0, f64::NEG_INFINITY))
+        .collect();
     engine.roster(START, RosterKind::Full, &rows, &mut simulation);
     let mut arrivals = SeededRandom::new(seed ^ 0x5eed);
     let (mut arrival, mut change_at) = (START, START + 2.0);
@@ -275,7 +357,10 @@
             (started, calls) = (cpu(), 0);
         }
         loop {
-            let event_at = simulation.due.peek().map_or(f64::INFINITY, |Reverse((at, _))| at.0);
+            let event_at = simulation
+                .due
+                .peek()
+                .map_or(f64::INFINITY, |Reverse((at, _))| at.0);
             let turn_at = engine.due_at();
             if event_at.min(turn_at) > arrival {
                 break;
@@ -286,16 +371,37 @@
                 engine.turn(now, &mut simulation);
                 continue;
             }
-            let Some(Reverse((_, key))) = simulation.due.pop() else { break };
+            let Some(Reverse((_, key))) = simulation.due.pop() else {
+                break;
+            };
             match simulation.events.remove(&key) {
-                Some(Event::Ends { inv, dispatch, x, function, ending, found }) => {
+                Some(Event::Ends {
+                    inv,
+                    dispatch,
+                    x,
+                    function,
+                    ending,
+                    found,
+                }) => {
                     simulation.load(x, function);
                     let busy = rendezvous_hash(x as u64, (now / 3.0) as u64) % 8;
-                    let waiting = if day == Day::Calm { 0.0 } else { busy.saturating_sub(4) as f32 };
-                    let told = Told { found, crowd: 0, report: &[waiting] };
+                    let waiting = if day == Day::Calm {
+                        0.0
+                    } else {
+                        busy.saturating_sub(4) as f32
+                    };
+                    let told = Told {
+                        found,
+                        crowd: 0,
+                        report: &[waiting],
+                    };
                     engine.ended(now, inv, dispatch, ending, told, &mut simulation);
                 }
-                Some(Event::Held { to, function, ending }) => {
+                Some(Event::Held {
+                    to,
+                    function,
+                    ending,
+                }) => {
                     engine.held(now, to, function, ending, &mut simulation);
                 }
                 None => {}
@@ -311,7 +417,11 @@
         simulation.taking = function;
         let kind = arrivals.unit();
         let offer = Offer {
-            trigger_type: if day == Day::Calm { 0 } else { (kind * 4.0) as usize },
+            trigger_type: if day == Day::Calm {
+                0
+            } else {
+                (kind * 4.0) as usize
+            },
             customer: 0,
             function,
             repeat: false,
@@ -321,7 +431,10 @@
             lanes: 4.0,
             load_time: Some(LOAD_TIME),
         };
-        if engine.take(simulation.now, &offer, &mut simulation).is_err() {
+        if engine
+            .take(simulation.now, &offer, &mut simulation)
+            .is_err()
+        {
             simulation.given_up += 1;
         }
         calls += 1;
@@ -329,7 +442,12 @@
     }
     let us_a_call = 1e6 * (cpu() - started) / f64::from(calls);
     let ms_a_list = ms_a_list(&mut rows, &mut engine, &mut simulation);
-    Seen { us_a_call, ms_a_list, simulation, most_functions }
+    Seen {
+        us_a_call,
+        ms_a_list,
+        simulation,
+        most_functions,
+    }
 }
 
 fn main() {
@@ -343,9 +461,21 @@
     );
     let mut base = None;
     for &executors in &play.executors {
-        let Seen { us_a_call, ms_a_list, simulation, most_functions } = run(&play, executors, &shares);
+        let Seen {
+            us_a_call,
+            ms_a_list,
+            simulation,
+            most_functions,
+        } = run(&play, executors, &shares);
         let growth = us_a_call / *base.get_or_insert(us_a_call);
-        let Simulation { decided, digest, succeeded, given_up, loads, .. } = simulation;
+        let Simulation {
+            decided,
+            digest,
+            succeeded,
+            given_up,
+            loads,
+            ..
+        } = simulation;
         println!(
             "{executors:>9}  {us_a_call:>9.2}  {growth:>6.2}  {ms_a_list:>9.2}  {decided:>7}  {digest:016x}  {succeeded:>9}  {given_up:>8}  {loads:>5}  {most_functions:>9}"
         );
--- a/crates/engine/examples/decision_cost/play.rs
+++ b/crates/engine/examples/decision_cost/play.rs
@@ -39,8 +39,9 @@
             regions: 0,
         };
         for argument in arguments {
-            let (name, value) =
-                argument.split_once('=').ok_or(format!("{argument}: NAME=VALUE is wanted"))?;
+            let (name, value) = argument
+                .split_once('=')
+                .ok_or(format!("{argument}: NAME=VALUE is wanted"))?;
             let number = || value.parse::<f64>().map_err(|e| format!("{argument}: {e}"));
             match (name, value) {
                 ("seconds", _) => play.seconds = number()?,
@@ -52,7 +53,9 @@
                 ("day", "loaded") => play.day = Day::Loaded,
                 ("day", "faults") => play.day = Day::Faults,
                 ("executors", _) => {
-                    let all = value.split(',').map(|n| n.parse().map_err(|e| format!("{argument}: {e}")));
+                    let all = value
+                        .split(',')
+                        .map(|n| n.parse().map_err(|e| format!("{argument}: {e}")));
                     play.executors = all.collect::<Result<_, _>>()?;
                 }
                 _ => return Err(format!("{argument}: there is no such name or value")),
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -13,7 +13,12 @@
     ///
     /// # Errors
     /// As told by `ConfigRefused`; then nothing is changed.
-    fn set_trigger_type(&mut self, _now: f64, _index: usize, _ty: TriggerType) -> Result<(), ConfigRefused> {
+    fn set_trigger_type(
+        &mut self,
+        _now: f64,
+        _index: usize,
+        _ty: TriggerType,
+    ) -> Result<(), ConfigRefused> {
         Ok(())
     }
     /// # Errors
@@ -54,7 +59,12 @@
     fn living(&mut self, now: f64, living: MembershipView, out: &mut dyn Actions) {
         Dispatcher::living(self, now, living, out);
     }
-    fn set_trigger_type(&mut self, now: f64, index: usize, ty: TriggerType) -> Result<(), ConfigRefused> {
+    fn set_trigger_type(
+        &mut self,
+        now: f64,
+        index: usize,
+        ty: TriggerType,
+    ) -> Result<(), ConfigRefused> {
         Dispatcher::set_trigger_type(self, now, index, ty)
     }
     fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigRefused> {
@@ -138,7 +148,13 @@
 
     pub fn by(pick: Pick, seed: u64) -> Plain {
         let (ready, open, out) = (vec![], HashMap::new(), HashMap::new());
-        Plain { pick, random: SeededRandom::new(seed), ready, open, out }
+        Plain {
+            pick,
+            random: SeededRandom::new(seed),
+            ready,
+            open,
+            out,
+        }
     }
 
     fn draw(&mut self) -> usize {
@@ -157,7 +173,11 @@
             }
             Pick::TwoByTruth(load) => {
                 let second = *self.ready.get(other)?;
-                if load(second) < load(first) { second } else { first }
+                if load(second) < load(first) {
+                    second
+                } else {
+                    first
+                }
             }
         })
     }
@@ -200,7 +220,11 @@
 
     fn outcome(&mut self, _: f64, o: &Outcome, out: &mut dyn Actions) {
         if self.end(o.inv).is_some() && !o.closed && o.ending != Ending::Ok {
-            if o.ending.never_ran() { out.throttle(o.inv, 0.0, false) } else { out.error(o.inv) }
+            if o.ending.never_ran() {
+                out.throttle(o.inv, 0.0, false)
+            } else {
+                out.error(o.inv)
+            }
         }
     }
 
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -15,7 +15,11 @@
 impl Clock {
     /// Both readings in seconds: the monotonic clock's from any start, the wall clock's since 1970.
     pub fn new(monotonic: f64, wall: f64) -> Clock {
-        Clock { offset: wall - monotonic, wanted: wall - monotonic, read_at: monotonic }
+        Clock {
+            offset: wall - monotonic,
+            wanted: wall - monotonic,
+            read_at: monotonic,
+        }
     }
 
     /// The time at a monotonic reading.
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -24,7 +24,9 @@
 
 impl Open {
     pub(crate) fn may_have_run(&self) -> bool {
-        self.sent.iter().any(|s| s.ending.is_none_or(|e| !e.never_ran()))
+        self.sent
+            .iter()
+            .any(|s| s.ending.is_none_or(|e| !e.never_ran()))
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -67,7 +69,10 @@
             let open = &self.open;
             self.deadlines.retain(|Reverse((_, inv, n))| {
                 open.get(inv).is_some_and(|o| match n {
-                    Some(n) => o.sent.get(usize::from(*n)).is_some_and(|s| s.ending.is_none()),
+                    Some(n) => o
+                        .sent
+                        .get(usize::from(*n))
+                        .is_some_and(|s| s.ending.is_none()),
                     None => !o.closed,
                 })
             });
@@ -84,17 +89,25 @@
 impl Actions for Speaker<'_> {
     fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64) {
         let desk = &mut *self.desk;
-        let Some(open) = desk.open.get_mut(&inv) else { return };
+        let Some(open) = desk.open.get_mut(&inv) else {
+            return;
+        };
         let n = open.sent.len() as u8;
         let time_out_at = (desk.now + time_out.max(0.0)).min(open.timeout_at);
-        open.sent.push(Sent { to, at: desk.now, ending: None });
+        open.sent.push(Sent {
+            to,
+            at: desk.now,
+            ending: None,
+        });
         if open.closed || open.streaming.is_some() || time_out_at <= desk.now {
-            open.sent[usize::from(n)].ending = Some(evidence::ending(evidence::Transport::Withheld));
+            open.sent[usize::from(n)].ending =
+                Some(evidence::ending(evidence::Transport::Withheld));
             desk.ended.push_back((inv, n));
             return;
         }
         desk.tally.dispatches += 1;
-        desk.deadlines.push(Reverse((Ordered(time_out_at), inv, Some(n))));
+        desk.deadlines
+            .push(Reverse((Ordered(time_out_at), inv, Some(n))));
         self.host.dispatch(inv, n, to, time_out_at - desk.now);
     }
 
@@ -106,20 +119,35 @@
     }
 
     fn error(&mut self, inv: u32) {
-        let Some(open) = self.desk.close(inv) else { return };
+        let Some(open) = self.desk.close(inv) else {
+            return;
+        };
         let may_have_run = open.may_have_run();
-        let timed_out = open.sent.last().is_some_and(|s| s.ending == Some(Ending::TimedOut));
-        let cause = if timed_out || open.sent.is_empty() { Cause::TimedOut } else { Cause::Failed };
+        let timed_out = open
+            .sent
+            .last()
+            .is_some_and(|s| s.ending == Some(Ending::TimedOut));
+        let cause = if timed_out || open.sent.is_empty() {
+            Cause::TimedOut
+        } else {
+            Cause::Failed
+        };
         self.desk.tally.errored += 1;
         self.host.errored(inv, cause, may_have_run);
     }
 
     fn cancel(&mut self, inv: u32, dispatch: u8) {
-        let Some(open) = self.desk.open.get_mut(&inv) else { return };
+        let Some(open) = self.desk.open.get_mut(&inv) else {
+            return;
+        };
         if open.streaming == Some(dispatch) {
             return;
         }
-        let Some(sent) = open.sent.get_mut(usize::from(dispatch)).filter(|s| s.ending.is_none()) else {
+        let Some(sent) = open
+            .sent
+            .get_mut(usize::from(dispatch))
+            .filter(|s| s.ending.is_none())
+        else {
             return;
         };
         sent.ending = Some(Ending::Cancelled);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -56,7 +56,11 @@
     pub report: &'a [f32],
 }
 
-pub const NOTHING_TOLD: Told<'static> = Told { found: Found::Untold, crowd: 0, report: &[] };
+pub const NOTHING_TOLD: Told<'static> = Told {
+    found: Found::Untold,
+    crowd: 0,
+    report: &[],
+};
 
 /// An invocation as a client offers it; the engine gives it its id.
 #[derive(Clone, Debug)]
@@ -107,15 +111,47 @@
 
 impl Engine {
     /// `most_open`: invocations that may be without a final answer at a time.
-    pub fn new(policy: PolicyConfig, most_open: usize, seed: u64, now: f64, host: &mut dyn Host) -> Engine {
-        let mut desk = Desk { now, ..Desk::default() };
-        let dispatcher = Dispatcher::new(policy, seed, now, &mut Speaker { desk: &mut desk, host });
-        Engine { dispatcher: Box::new(dispatcher), desk, next_id: 0, most_open, leaving: false }
+    pub fn new(
+        policy: PolicyConfig,
+        most_open: usize,
+        seed: u64,
+        now: f64,
+        host: &mut dyn Host,
+    ) -> Engine {
+        let mut desk = Desk {
+            now,
+            ..Desk::default()
+        };
+        let dispatcher = Dispatcher::new(
+            policy,
+            seed,
+            now,
+            &mut Speaker {
+                desk: &mut desk,
+                host,
+            },
+        );
+        Engine {
+            dispatcher: Box::new(dispatcher),
+            desk,
+            next_id: 0,
+            most_open,
+            leaving: false,
+        }
     }
 
     /// One that goes by a baseline, for comparisons.
     pub fn with_baseline(dispatcher: Box<dyn Decisions>, most_open: usize, now: f64) -> Engine {
-        Engine { dispatcher, desk: Desk { now, ..Desk::default() }, next_id: 0, most_open, leaving: false }
+        Engine {
+            dispatcher,
+            desk: Desk {
+                now,
+                ..Desk::default()
+            },
+            next_id: 0,
+            most_open,
+            leaving: false,
+        }
     }
 
     pub fn tally(&self) -> Tally {
@@ -139,20 +175,33 @@
 
     /// Nothing that is open is waited for past a moment, as if its client gave up then: the process ends.
     pub fn end_by(&mut self, now: f64, at: f64, host: &mut dyn Host) {
-        for (&inv, open) in self.desk.open.iter_mut().filter(|(_, o)| !o.closed && o.timeout_at > at) {
+        for (&inv, open) in self
+            .desk
+            .open
+            .iter_mut()
+            .filter(|(_, o)| !o.closed && o.timeout_at > at)
+        {
             open.timeout_at = at;
             let out = (0..).zip(&open.sent).filter(|(_, s)| s.ending.is_none());
-            self.desk.deadlines.extend(out.map(|(n, _)| Reverse((Ordered(at), inv, Some(n)))));
-            self.desk.deadlines.push(Reverse((Ordered(at + OVERDUE), inv, None)));
+            self.desk
+                .deadlines
+                .extend(out.map(|(n, _)| Reverse((Ordered(at), inv, Some(n)))));
+            self.desk
+                .deadlines
+                .push(Reverse((Ordered(at + OVERDUE), inv, None)));
         }
-        self.play(now, host, |dispatcher, now, out| dispatcher.end_by(now, at, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.end_by(now, at, out)
+        });
     }
 
     /// When `turn` is next to be called.
     pub fn due_at(&self) -> f64 {
         let deadline = self.desk.deadlines.peek().map(|Reverse((at, ..))| at.0);
         let wake = self.desk.wake_at;
-        deadline.unwrap_or(f64::INFINITY).min(wake.unwrap_or(f64::INFINITY))
+        deadline
+            .unwrap_or(f64::INFINITY)
+            .min(wake.unwrap_or(f64::INFINITY))
     }
 
     /// Calls the module, then tells it what came of its own answers.
@@ -164,7 +213,14 @@
     ) {
         self.desk.now = now.max(self.desk.now);
         let now = self.desk.now;
-        input(&mut *self.dispatcher, now, &mut Speaker { desk: &mut self.desk, host });
+        input(
+            &mut *self.dispatcher,
+            now,
+            &mut Speaker {
+                desk: &mut self.desk,
+                host,
+            },
+        );
         while let Some((inv, dispatch)) = self.desk.ended.pop_front() {
             self.tell(inv, dispatch, NOTHING_TOLD, host);
         }
@@ -172,8 +228,12 @@
     }
 
     fn tell(&mut self, inv: u32, dispatch: u8, told: Told, host: &mut dyn Host) {
-        let Some(open) = self.desk.open.get(&inv) else { return };
-        let Some(sent) = open.sent.get(usize::from(dispatch)) else { return };
+        let Some(open) = self.desk.open.get(&inv) else {
+            return;
+        };
+        let Some(sent) = open.sent.get(usize::from(dispatch)) else {
+            return;
+        };
         let Some(ending) = sent.ending else { return };
         let now = self.desk.now;
         let outcome = Outcome {
@@ -187,7 +247,14 @@
             crowd: told.crowd,
             report: told.report,
         };
-        self.dispatcher.outcome(now, &outcome, &mut Speaker { desk: &mut self.desk, host });
+        self.dispatcher.outcome(
+            now,
+            &outcome,
+            &mut Speaker {
+                desk: &mut self.desk,
+                host,
+            },
+        );
         self.desk.tidy(inv);
     }
 
@@ -195,7 +262,11 @@
     pub fn take(&mut self, now: f64, offer: &Offer, host: &mut dyn Host) -> Result<u32, Refused> {
         if self.leaving || self.desk.waiting >= self.most_open {
             self.desk.tally.refused += 1;
-            return Err(if self.leaving { Refused::Leaving } else { Refused::Full });
+            return Err(if self.leaving {
+                Refused::Leaving
+            } else {
+                Refused::Full
+            });
         }
         while self.desk.open.contains_key(&self.next_id) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -205,9 +276,17 @@
         self.desk.tally.taken += 1;
         self.desk.waiting += 1;
         let (timeout_at, trigger_type) = (offer.timeout_at, offer.trigger_type);
-        let open = Open { timeout_at, trigger_type, sent: vec![], streaming: None, closed: false };
+        let open = Open {
+            timeout_at,
+            trigger_type,
+            sent: vec![],
+            streaming: None,
+            closed: false,
+        };
         self.desk.open.insert(id, open);
-        self.desk.deadlines.push(Reverse((Ordered(offer.timeout_at + OVERDUE), id, None)));
+        self.desk
+            .deadlines
+            .push(Reverse((Ordered(offer.timeout_at + OVERDUE), id, None)));
         host.taken(id);
         let inv = Invocation {
             id,
@@ -221,16 +300,24 @@
             lanes: offer.lanes,
             load_time: offer.load_time,
         };
-        self.play(now, host, |dispatcher, now, out| dispatcher.invocation(now, &inv, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.invocation(now, &inv, out)
+        });
         Ok(id)
     }
 
     /// Whether a dispatch may leave now. It is asked as its bytes do, which may be long after it was decided
     /// on.
     pub fn leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
-        let sent = self.desk.open.get(&inv).and_then(|o| o.sent.get(usize::from(dispatch)));
+        let sent = self
+            .desk
+            .open
+            .get(&inv)
+            .and_then(|o| o.sent.get(usize::from(dispatch)));
         sent.is_some_and(|s| s.ending.is_none())
-            && self.dispatcher.leaves(now.max(self.desk.now), inv, dispatch)
+            && self
+                .dispatcher
+                .leaves(now.max(self.desk.now), inv, dispatch)
     }
 
     /// The same of an order to load that was given at a moment.
@@ -239,10 +326,26 @@
     }
 
     /// A dispatch has ended. What was cancelled, timed out or ended before is not heard again.
-    pub fn ended(&mut self, now: f64, inv: u32, n: u8, ending: Ending, told: Told, host: &mut dyn Host) {
-        let Some(open) = self.desk.open.get_mut(&inv) else { return };
+    pub fn ended(
+        &mut self,
+        now: f64,
+        inv: u32,
+        n: u8,
+        ending: Ending,
+        told: Told,
+        host: &mut dyn Host,
+    ) {
+        let Some(open) = self.desk.open.get_mut(&inv) else {
+            return;
+        };
         let streamed = open.streaming == Some(n);
-        let Some(sent) = open.sent.get_mut(usize::from(n)).filter(|s| s.ending.is_none()) else { return };
+        let Some(sent) = open
+            .sent
+            .get_mut(usize::from(n))
+            .filter(|s| s.ending.is_none())
+        else {
+            return;
+        };
         sent.ending = Some(ending);
         if ending == Ending::Ok && !streamed && self.desk.close(inv).is_some() {
             self.desk.tally.succeeded += 1;
@@ -256,8 +359,13 @@
     /// The answer of a dispatch begins to stream. Tells whether it is the client's: it isn't where the
     /// invocation is over or another dispatch was first.
     pub fn streaming(&mut self, now: f64, inv: u32, dispatch: u8, host: &mut dyn Host) -> bool {
-        let Some(open) = self.desk.open.get_mut(&inv) else { return false };
-        let out = open.sent.get(usize::from(dispatch)).is_some_and(|s| s.ending.is_none());
+        let Some(open) = self.desk.open.get_mut(&inv) else {
+            return false;
+        };
+        let out = open
+            .sent
+            .get(usize::from(dispatch))
+            .is_some_and(|s| s.ending.is_none());
         if open.closed || open.streaming.is_some() || !out {
             return false;
         }
@@ -265,7 +373,9 @@
         self.desk.close(inv);
         self.desk.tally.succeeded += 1;
         host.succeeded(inv, dispatch);
-        self.play(now, host, |dispatcher, now, out| dispatcher.streaming(now, inv, dispatch, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.streaming(now, inv, dispatch, out)
+        });
         true
     }
 
@@ -273,18 +383,24 @@
     pub fn withdrawn(&mut self, now: f64, inv: u32, host: &mut dyn Host) {
         if self.desk.close(inv).is_some() {
             self.desk.tally.withdrawn += 1;
-            self.play(now, host, |dispatcher, now, out| dispatcher.withdrawn(now, inv, out));
+            self.play(now, host, |dispatcher, now, out| {
+                dispatcher.withdrawn(now, inv, out)
+            });
             self.desk.tidy(inv);
         }
     }
 
     pub fn roster(&mut self, now: f64, kind: RosterKind, rows: &[RosterRow], host: &mut dyn Host) {
-        self.play(now, host, |dispatcher, now, out| dispatcher.roster(now, kind, rows, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.roster(now, kind, rows, out)
+        });
     }
 
     /// The roster was true at a time: what was asked then has been answered.
     pub fn view_confirmed(&mut self, now: f64, at: f64, host: &mut dyn Host) {
-        self.play(now, host, |dispatcher, now, out| dispatcher.view_confirmed(now, at, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.view_confirmed(now, at, out)
+        });
     }
 
     /// The process did not run for a while: nothing leaves on the roster that it had, until it is confirmed.
@@ -300,12 +416,17 @@
     }
 
     pub fn living(&mut self, now: f64, living: MembershipView, host: &mut dyn Host) {
-        self.play(now, host, |dispatcher, now, out| dispatcher.living(now, living, out));
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.living(now, living, out)
+        });
     }
 
     /// Whether an invocation is of the trigger type at an index: open, or with a dispatch still out.
     pub fn uses_trigger_type(&self, index: usize) -> bool {
-        self.desk.open.values().any(|open| open.trigger_type == index)
+        self.desk
+            .open
+            .values()
+            .any(|open| open.trigger_type == index)
     }
 
     /// Appends a trigger type (at the number of those that there are), or replaces one that is not in use.
@@ -313,7 +434,12 @@
     ///
     /// # Errors
     /// As told by `ConfigRefused`; then nothing is changed.
-    pub fn set_trigger_type(&mut self, now: f64, index: usize, ty: TriggerType) -> Result<(), ConfigRefused> {
+    pub fn set_trigger_type(
+        &mut self,
+        now: f64,
+        index: usize,
+        ty: TriggerType,
+    ) -> Result<(), ConfigRefused> {
         if self.uses_trigger_type(index) {
             return Err(ConfigRefused::InUse { index });
         }
@@ -332,14 +458,25 @@
     }
 
     /// The answer to an order to load.
-    pub fn held(&mut self, now: f64, at: ExecutorId, function: u64, ending: Ending, host: &mut dyn Host) {
-        self.play(now, host, |dispatcher, now, out| dispatcher.held(now, at, function, ending, out));
+    pub fn held(
+        &mut self,
+        now: f64,
+        at: ExecutorId,
+        function: u64,
+        ending: Ending,
+        host: &mut dyn Host,
+    ) {
+        self.play(now, host, |dispatcher, now, out| {
+            dispatcher.held(now, at, function, ending, out)
+        });
     }
 
     /// Copies wanted ahead of invocations; tells how many executors are known to serve the function.
     pub fn ahead(&mut self, now: f64, wish: &Ahead, host: &mut dyn Host) -> usize {
         let mut known = 0;
-        self.play(now, host, |dispatcher, now, out| known = dispatcher.ahead(now, wish, out));
+        self.play(now, host, |dispatcher, now, out| {
+            known = dispatcher.ahead(now, wish, out)
+        });
         known
     }
 
@@ -365,12 +502,16 @@
                     }
                 }
                 None => {
-                    let Some(open) = self.desk.close(inv) else { continue };
+                    let Some(open) = self.desk.close(inv) else {
+                        continue;
+                    };
                     let may_have_run = open.may_have_run();
                     self.desk.tally.errored += 1;
                     self.desk.tally.overdue += 1;
                     host.errored(inv, Cause::TimedOut, may_have_run);
-                    self.play(now, host, |dispatcher, now, out| dispatcher.withdrawn(now, inv, out));
+                    self.play(now, host, |dispatcher, now, out| {
+                        dispatcher.withdrawn(now, inv, out)
+                    });
                     self.desk.tidy(inv);
                 }
             }
--- a/crates/engine/src/standstill.rs
+++ b/crates/engine/src/standstill.rs
@@ -27,7 +27,11 @@
 impl StandstillDetector {
     /// The first look was now.
     pub fn new(now: f64) -> StandstillDetector {
-        StandstillDetector { looked_at: now, latest: None, untaken: None }
+        StandstillDetector {
+            looked_at: now,
+            latest: None,
+            untaken: None,
+        }
     }
 
     /// The host looks at its clock.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -29,8 +29,14 @@
         assert!(!self.answered.contains(&inv), "an id used twice");
     }
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, within: f64) {
-        assert!(within > 0.0 && !self.answered.contains(&inv), "{inv} dispatched after its answer");
-        assert!(!self.out.iter().any(|o| (o.0, o.1) == (inv, dispatch)), "a dispatch number used twice");
+        assert!(
+            within > 0.0 && !self.answered.contains(&inv),
+            "{inv} dispatched after its answer"
+        );
+        assert!(
+            !self.out.iter().any(|o| (o.0, o.1) == (inv, dispatch)),
+            "a dispatch number used twice"
+        );
         self.out.push((inv, dispatch, to));
     }
     fn cancel(&mut self, inv: u32, dispatch: u8) {
@@ -82,7 +88,10 @@
 }
 
 fn executor(x: u8) -> ExecutorId {
-    ExecutorId(std::net::Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 0, x.into()).into(), 7000)
+    ExecutorId(
+        std::net::Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 0, x.into()).into(),
+        7000,
+    )
 }
 
 fn engine(second_copies: bool, ear: &mut Ear) -> Engine {
@@ -96,7 +105,12 @@
         weight: 1.0,
         since: f64::NEG_INFINITY,
     };
-    engine.roster(10.0, RosterKind::Full, &[row(1), row(2), row(3), row(4)], ear);
+    engine.roster(
+        10.0,
+        RosterKind::Full,
+        &[row(1), row(2), row(3), row(4)],
+        ear,
+    );
     engine
 }
 
@@ -116,16 +130,27 @@
 
 #[test]
 fn each_invocation_gets_one_answer_in_time_whatever_races() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
     let step = (0u8..8, any::<usize>(), any::<usize>(), 0.0f64..0.4);
     let day = (any::<bool>(), prop::collection::vec(step, 1..150));
     let outcome = runner.run(&day, |(second_copies, steps)| {
         let mut ear = Ear::default();
         let mut e = engine(second_copies, &mut ear);
         let (mut now, mut timeouts, mut left) = (10.0, vec![], vec![]);
-        const ENDINGS: [Ending; 6] =
-            [Ending::Ok, Ending::Error, Ending::Full, Ending::Reset, Ending::ConnectFailed, Ending::Ok];
+        const ENDINGS: [Ending; 6] = [
+            Ending::Ok,
+            Ending::Error,
+            Ending::Full,
+            Ending::Reset,
+            Ending::ConnectFailed,
+            Ending::Ok,
+        ];
         for (what, a, b, later) in steps {
             match what {
                 0..=2 => {
@@ -137,7 +162,14 @@
                 3..=5 if !ear.out.is_empty() => {
                     let (inv, n, _) = ear.out[a % ear.out.len()];
                     // Also for dispatches that ended, were cancelled, or whose invocation is over.
-                    e.ended(now, inv, n, ENDINGS[b % ENDINGS.len()], NOTHING_TOLD, &mut ear);
+                    e.ended(
+                        now,
+                        inv,
+                        n,
+                        ENDINGS[b % ENDINGS.len()],
+                        NOTHING_TOLD,
+                        &mut ear,
+                    );
                 }
                 6 if !timeouts.is_empty() => {
                     let inv = (a % timeouts.len()) as u32;
@@ -154,13 +186,17 @@
                 e.turn(now, &mut ear);
             }
             now = until;
-            let overdue = (0..timeouts.len() as u32)
-                .find(|i| timeouts[*i as usize] < now && !ear.answered.contains(i) && !left.contains(i));
+            let overdue = (0..timeouts.len() as u32).find(|i| {
+                timeouts[*i as usize] < now && !ear.answered.contains(i) && !left.contains(i)
+            });
             prop_assert_eq!(overdue, None, "not answered by its timeout");
         }
         prop_assert_eq!(e.tally().overdue, 0, "the module answers in time by itself");
         let t = e.tally();
-        prop_assert_eq!(t.taken, t.succeeded + t.throttled + t.errored + t.withdrawn + e.open() as u64);
+        prop_assert_eq!(
+            t.taken,
+            t.succeeded + t.throttled + t.errored + t.withdrawn + e.open() as u64
+        );
         Ok(())
     });
     outcome.unwrap();
@@ -179,7 +215,11 @@
         e.ended(12.0, inv, 0, Ending::Ok, NOTHING_TOLD, &mut ear);
         e.turn(12.1, &mut ear);
         assert_eq!(ear.answered, vec![inv]);
-        let expected = if answer_first { vec![] } else { vec![(inv, Cause::TimedOut, true)] };
+        let expected = if answer_first {
+            vec![]
+        } else {
+            vec![(inv, Cause::TimedOut, true)]
+        };
         assert_eq!(ear.errored, expected);
         assert_eq!(e.open(), 0);
     }
@@ -198,7 +238,11 @@
         e.ended(10.2, inv, n, Ending::Ok, NOTHING_TOLD, &mut ear);
     }
     while ear.answered.len() < 6 {
-        let &(inv, n, _) = ear.out.iter().rfind(|o| !ear.answered.contains(&o.0)).expect("all were sent");
+        let &(inv, n, _) = ear
+            .out
+            .iter()
+            .rfind(|o| !ear.answered.contains(&o.0))
+            .expect("all were sent");
         e.ended(10.3, inv, n, Ending::Ok, NOTHING_TOLD, &mut ear);
     }
     let inv = e.take(11.0, &offer(0, 14.0), &mut ear).unwrap();
@@ -208,7 +252,11 @@
         e.turn(now, &mut ear);
     }
     let copies: Vec<_> = ear.out.iter().filter(|o| o.0 == inv).copied().collect();
-    assert_eq!(copies.len(), 2, "a silent executor's work gets a second copy");
+    assert_eq!(
+        copies.len(),
+        2,
+        "a silent executor's work gets a second copy"
+    );
     assert_ne!(copies[0].2, copies[1].2);
     e.ended(now, inv, 1, Ending::Ok, NOTHING_TOLD, &mut ear);
     assert_eq!(ear.cancelled, vec![(inv, 0)]);
@@ -233,7 +281,10 @@
     assert!(now <= 13.0, "all were answered by {now}");
     assert_eq!(ear.answered.len(), 1_000);
     e.leave();
-    assert_eq!(e.take(now, &offer(0, now + 1.0), &mut ear), Err(Refused::Leaving));
+    assert_eq!(
+        e.take(now, &offer(0, now + 1.0), &mut ear),
+        Err(Refused::Leaving)
+    );
 }
 
 #[test]
@@ -259,7 +310,12 @@
         assert_eq!(ending(seen).never_ran(), never_ran, "{seen:?}");
         // Only these say that the executor may have just started anew, cold: one whose answer was spoilt, or
         // that has other connections standing, is there.
-        let may_be_new = [Transport::NoConnection, Transport::Unwritten, Transport::Reset, Transport::Broken];
+        let may_be_new = [
+            Transport::NoConnection,
+            Transport::Unwritten,
+            Transport::Reset,
+            Transport::Broken,
+        ];
         let told = matches!(ending(seen), Ending::Reset | Ending::ConnectFailed);
         assert_eq!(told, may_be_new.contains(&seen), "{seen:?}");
     }
@@ -279,7 +335,10 @@
             assert!(now > last && now - last < 0.100_1, "{} after {last}", now);
             last = now;
         }
-        assert!((last - 1_000_600.0).abs() < 0.31, "put right by half a thousandth: {last}");
+        assert!(
+            (last - 1_000_600.0).abs() < 0.31,
+            "put right by half a thousandth: {last}"
+        );
         assert!(clock.astray().abs() > 59.0);
     }
 }
@@ -290,9 +349,14 @@
     let mut ear = Ear::default();
     let mut engine = engine(false, &mut ear);
     let ty = policy(false).trigger_types[1].clone();
-    let inv = engine.take(100.0, &offer(0, 104.0), &mut ear).expect("there is room");
+    let inv = engine
+        .take(100.0, &offer(0, 104.0), &mut ear)
+        .expect("there is room");
     assert!(engine.uses_trigger_type(0) && !engine.uses_trigger_type(1));
-    assert_eq!(engine.set_trigger_type(100.0, 0, ty.clone()), Err(ConfigRefused::InUse { index: 0 }));
+    assert_eq!(
+        engine.set_trigger_type(100.0, 0, ty.clone()),
+        Err(ConfigRefused::InUse { index: 0 })
+    );
     assert_eq!(engine.set_trigger_type(100.0, 2, ty.clone()), Ok(()));
     assert_eq!(
         engine.set_trigger_type(100.0, 4, ty.clone()),
@@ -301,8 +365,14 @@
     engine.withdrawn(100.1, inv, &mut ear);
     // Its dispatch, if there was one, was cancelled and told so to the module.
     engine.turn(110.0, &mut ear);
-    assert!(!engine.uses_trigger_type(0), "nothing is out and the client is gone");
+    assert!(
+        !engine.uses_trigger_type(0),
+        "nothing is out and the client is gone"
+    );
     assert_eq!(engine.set_trigger_type(110.0, 0, ty), Ok(()));
-    assert_eq!(engine.set_quotas(110.0, vec![-1.0]), Err(ConfigRefused::NoQuota { customer: 0 }));
+    assert_eq!(
+        engine.set_quotas(110.0, vec![-1.0]),
+        Err(ConfigRefused::NoQuota { customer: 0 })
+    );
     assert_eq!(engine.set_quotas(110.0, vec![1.0]), Ok(()));
 }
--- a/crates/engine/tests/fleet/mod.rs
+++ b/crates/engine/tests/fleet/mod.rs
@@ -72,14 +72,28 @@
     }
     fn dispatch(&mut self, inv: u32, n: u8, to: ExecutorId, _: f64) {
         let (fe, life, x) = (self.fe, self.life, self.x(to));
-        let Some(&(function, _)) = self.functions.get(&inv) else { return };
+        let Some(&(function, _)) = self.functions.get(&inv) else {
+            return;
+        };
         let mut world = self.world.borrow_mut();
         let at = world.now + TRANSIT;
-        world.at(at, What::Reaches { fe, life, inv, n, x, function });
+        world.at(
+            at,
+            What::Reaches {
+                fe,
+                life,
+                inv,
+                n,
+                x,
+                function,
+            },
+        );
     }
     fn cancel(&mut self, _: u32, _: u8) {}
     fn succeeded(&mut self, inv: u32, _: u8) {
-        let Some((_, came)) = self.functions.remove(&inv) else { return };
+        let Some((_, came)) = self.functions.remove(&inv) else {
+            return;
+        };
         let mut world = self.world.borrow_mut();
         world.succeeded += 1;
         world.in_time += u64::from(world.now <= came + OBJECTIVE);
@@ -175,8 +189,14 @@
         let policy = policy(play.front_ends, fe);
         let seed = play.seed.wrapping_mul(1_000_003) + fe as u64 * 64 + u64::from(life);
         let functions = BTreeMap::new();
-        let mut side =
-            Side { fe, life, world: world.clone(), functions, taking: (0, 0.0), ids: ids.to_vec() };
+        let mut side = Side {
+            fe,
+            life,
+            world: world.clone(),
+            functions,
+            taking: (0, 0.0),
+            ids: ids.to_vec(),
+        };
         let now = world.borrow().now;
         let mut engine = match maker(&policy, seed, &truth) {
             Some(dispatcher) => Engine::with_baseline(dispatcher, 100_000, now),
@@ -190,7 +210,9 @@
     loop {
         let (now, what) = {
             let mut world = world.borrow_mut();
-            let Some(Reverse((at, key))) = world.due.pop() else { break };
+            let Some(Reverse((at, key))) = world.due.pop() else {
+                break;
+            };
             world.now = at.0;
             (at.0, world.what.remove(&key))
         };
@@ -229,15 +251,42 @@
                 let _ = engine.take(now, &offer, side);
                 fe
             }
-            What::Reaches { fe, life, inv, n, x, function } => {
+            What::Reaches {
+                fe,
+                life,
+                inv,
+                n,
+                x,
+                function,
+            } => {
                 let (found, crowd) = (Found::Untold, 0);
                 let mut world = world.borrow_mut();
                 if x < play.executors {
-                    world.reaches(x, Job { fe, life, inv, n, function, found, crowd });
+                    world.reaches(
+                        x,
+                        Job {
+                            fe,
+                            life,
+                            inv,
+                            n,
+                            function,
+                            found,
+                            crowd,
+                        },
+                    );
                 } else {
                     // One that was replaced meanwhile takes no connection.
                     let (ending, waiting) = (Ending::ConnectFailed, 0.0);
-                    let answer = What::Answers { fe, life, inv, n, ending, found, crowd, waiting };
+                    let answer = What::Answers {
+                        fe,
+                        life,
+                        inv,
+                        n,
+                        ending,
+                        found,
+                        crowd,
+                        waiting,
+                    };
                     world.at(now + TRANSIT, answer);
                 }
                 continue;
@@ -252,7 +301,9 @@
             What::Ends { x, life, job } => {
                 let mut world = world.borrow_mut();
                 if world.executors[x].life == life {
-                    world.executors[x].running.retain(|j| (j.fe, j.inv, j.n) != (job.fe, job.inv, job.n));
+                    world.executors[x]
+                        .running
+                        .retain(|j| (j.fe, j.inv, j.n) != (job.fe, job.inv, job.n));
                     if let Some(copy) = world.executors[x].copies.get_mut(&job.function) {
                         copy.1 = now;
                     }
@@ -260,17 +311,36 @@
                     let (executor, ending) = (x, invariants::Ending::Succeeded);
                     let invocation = format!("{}-{}", job.fe, job.inv);
                     let number = job.n.into();
-                    let ended = invariants::Record::Ended { at: now, executor, invocation, number, ending };
+                    let ended = invariants::Record::Ended {
+                        at: now,
+                        executor,
+                        invocation,
+                        number,
+                        ending,
+                    };
                     world.records.push(ended);
                     world.answer(x, &job, Ending::Ok);
                     world.start(x);
                 }
                 continue;
             }
-            What::Answers { fe, life, inv, n, ending, found, crowd, waiting } => {
+            What::Answers {
+                fe,
+                life,
+                inv,
+                n,
+                ending,
+                found,
+                crowd,
+                waiting,
+            } => {
                 let (engine, side, _) = &mut sides[fe];
                 if side.life == life {
-                    let told = Told { found, crowd, report: &[waiting] };
+                    let told = Told {
+                        found,
+                        crowd,
+                        report: &[waiting],
+                    };
                     engine.ended(now, inv, n, ending, told, side);
                 }
                 fe
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -10,10 +10,33 @@
 
 pub enum What {
     Arrives(u64),
-    Reaches { fe: usize, life: u32, inv: u32, n: u8, x: usize, function: u64 },
-    Loaded { x: usize, life: u32 },
-    Ends { x: usize, life: u32, job: Job },
-    Answers { fe: usize, life: u32, inv: u32, n: u8, ending: Ending, found: Found, crowd: u32, waiting: f32 },
+    Reaches {
+        fe: usize,
+        life: u32,
+        inv: u32,
+        n: u8,
+        x: usize,
+        function: u64,
+    },
+    Loaded {
+        x: usize,
+        life: u32,
+    },
+    Ends {
+        x: usize,
+        life: u32,
+        job: Job,
+    },
+    Answers {
+        fe: usize,
+        life: u32,
+        inv: u32,
+        n: u8,
+        ending: Ending,
+        found: Found,
+        crowd: u32,
+        waiting: f32,
+    },
     Turns(usize),
 }
 
@@ -64,13 +87,25 @@
 
     /// Starts an executor, cold; what the one before had in hand is reset.
     pub fn stands(&mut self, x: usize) {
-        let lost: Vec<Job> =
-            self.executors[x].waiting.iter().chain(&self.executors[x].running).copied().collect();
-        lost.iter().for_each(|job| self.answer(x, job, Ending::Reset));
+        let lost: Vec<Job> = self.executors[x]
+            .waiting
+            .iter()
+            .chain(&self.executors[x].running)
+            .copied()
+            .collect();
+        lost.iter()
+            .for_each(|job| self.answer(x, job, Ending::Reset));
         let life = self.executors[x].life + 1;
-        self.executors[x] = Executor { life, ..Executor::default() };
+        self.executors[x] = Executor {
+            life,
+            ..Executor::default()
+        };
         self.truth.borrow_mut()[x] = 0;
-        self.records.push(invariants::Record::Stands { at: self.now, executor: x, lanes: LANES });
+        self.records.push(invariants::Record::Stands {
+            at: self.now,
+            executor: x,
+            lanes: LANES,
+        });
     }
 
     pub fn reaches(&mut self, x: usize, job: Job) {
@@ -93,7 +128,10 @@
         let e = &mut self.executors[x];
         let held = e.waiting.iter().chain(&e.running);
         let crowd = held.filter(|w| w.function == job.function).count() as u32;
-        let stale = e.copies.get(&job.function).is_some_and(|c| c.1 + KEEP < now);
+        let stale = e
+            .copies
+            .get(&job.function)
+            .is_some_and(|c| c.1 + KEEP < now);
         if stale {
             e.copies.remove(&job.function);
         }
@@ -104,15 +142,28 @@
             Some(_) => Found::Warm,
         };
         let stands_at = stands_at.unwrap_or(now + LOAD_TIME);
-        e.copies.insert(job.function, (stands_at, now.max(stands_at)));
-        e.waiting.push_back(Job { found, crowd, ..job });
+        e.copies
+            .insert(job.function, (stands_at, now.max(stands_at)));
+        e.waiting.push_back(Job {
+            found,
+            crowd,
+            ..job
+        });
         let life = e.life;
         if found == Found::Loaded {
             let name = format!("{}", job.function);
             if stale {
-                self.records.push(invariants::Record::Unloads { at, executor: x, function: name.clone() });
+                self.records.push(invariants::Record::Unloads {
+                    at,
+                    executor: x,
+                    function: name.clone(),
+                });
             }
-            self.records.push(invariants::Record::Loads { at, executor: x, function: name });
+            self.records.push(invariants::Record::Loads {
+                at,
+                executor: x,
+                function: name,
+            });
             self.at(stands_at, What::Loaded { x, life });
         }
         self.start(x);
@@ -124,8 +175,12 @@
             let now = self.now;
             let e = &mut self.executors[x];
             let ready = |w: &Job| e.copies.get(&w.function).is_some_and(|c| c.0 <= now);
-            let Some(n) = e.waiting.iter().position(ready) else { return };
-            let Some(job) = e.waiting.remove(n) else { return };
+            let Some(n) = e.waiting.iter().position(ready) else {
+                return;
+            };
+            let Some(job) = e.waiting.remove(n) else {
+                return;
+            };
             e.running.push(job);
             let life = e.life;
             let work = self.exponential(WORK);
@@ -135,7 +190,27 @@
 
     pub fn answer(&mut self, x: usize, job: &Job, ending: Ending) {
         let waiting = self.executors[x].waiting.len() as f32;
-        let Job { fe, life, inv, n, found, crowd, .. } = *job;
-        self.at(self.now + TRANSIT, What::Answers { fe, life, inv, n, ending, found, crowd, waiting });
+        let Job {
+            fe,
+            life,
+            inv,
+            n,
+            found,
+            crowd,
+            ..
+        } = *job;
+        self.at(
+            self.now + TRANSIT,
+            What::Answers {
+                fe,
+                life,
+                inv,
+                n,
+                ending,
+                found,
+                crowd,
+                waiting,
+            },
+        );
     }
 }
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -13,7 +13,16 @@
 /// The spread, and the share answered in time.
 fn seen(maker: &Maker, replaced_at: Option<f64>, restarted_at: Option<f64>) -> (Spread, f64) {
     let (front_ends, executors, load, functions, length, seed) = (40, 12, 0.5, 40, 18.0, 3);
-    let play = Play { front_ends, executors, load, functions, length, replaced_at, restarted_at, seed };
+    let play = Play {
+        front_ends,
+        executors,
+        load,
+        functions,
+        length,
+        replaced_at,
+        restarted_at,
+        seed,
+    };
     let world = fleet::play(&play, maker);
     let asked = (world.succeeded + world.given_up) as f64;
     (spread(&world.records, WARM), world.in_time as f64 / asked)
@@ -36,15 +45,24 @@
 #[test]
 fn few_copies_are_loaded_and_nothing_comes_late_for_it() {
     let ((ours, in_time), (any, _)) = (seen(&module, None, None), seen(&random, None, None));
-    assert!(ours.dispatches > 2_000 && in_time > 0.98, "{in_time} in time, {ours:?}");
+    assert!(
+        ours.dispatches > 2_000 && in_time > 0.98,
+        "{in_time} in time, {ours:?}"
+    );
     assert!(ours.copies * 4 < any.copies, "{ours:?} beside {any:?}");
-    assert!(ours.peak_over_fair < 2.5 && ours.idle_beside_queue < 0.2, "{ours:?}");
+    assert!(
+        ours.peak_over_fair < 2.5 && ours.idle_beside_queue < 0.2,
+        "{ours:?}"
+    );
 }
 
 #[test]
 fn who_sees_the_true_state_has_no_idleness_beside_a_queue() {
     let (best, _) = seen(&two_by_truth, None, None);
-    assert!(best.herds == 0 && best.idle_beside_queue < 0.002, "{best:?}");
+    assert!(
+        best.herds == 0 && best.idle_beside_queue < 0.002,
+        "{best:?}"
+    );
 }
 
 #[test]
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -134,7 +134,9 @@
     }
 
     pub fn endpoint(&self) -> Option<SocketAddr> {
-        self.endpoints.get(self.at.get() % self.endpoints.len().max(1)).copied()
+        self.endpoints
+            .get(self.at.get() % self.endpoints.len().max(1))
+            .copied()
     }
 
     /// The next exchange goes to the next endpoint.
@@ -148,8 +150,12 @@
         if let Some(connection) = known {
             return Ok(connection);
         }
-        let at = self.endpoint().ok_or_else(|| broke("no endpoint is known"))?;
-        let stream = orchidtally_net::connect(at, CONNECT_TIME).await.map_err(broke)?;
+        let at = self
+            .endpoint()
+            .ok_or_else(|| broke("no endpoint is known"))?;
+        let stream = orchidtally_net::connect(at, CONNECT_TIME)
+            .await
+            .map_err(broke)?;
         let stream = Counted::new(stream, self.traffic.clone());
         let shaken = orchidtally_net::within(CONNECT_TIME, h2::client::handshake(stream)).await;
         let (sender, driver) = shaken.ok_or(Fault::TimedOut)?.map_err(broke)?;
@@ -157,7 +163,10 @@
             // What breaks it is seen by its streams.
             let _ = driver.await;
         });
-        let connection = Rc::new(Connection { sender, _driver: driver });
+        let connection = Rc::new(Connection {
+            sender,
+            _driver: driver,
+        });
         *self.connection.borrow_mut() = Some(connection.clone());
         Ok(connection)
     }
@@ -167,7 +176,14 @@
         path: &str,
         first: Bytes,
         ends: bool,
-    ) -> Result<(h2::client::ResponseFuture, h2::SendStream<Bytes>, Rc<Connection>), Fault> {
+    ) -> Result<
+        (
+            h2::client::ResponseFuture,
+            h2::SendStream<Bytes>,
+            Rc<Connection>,
+        ),
+        Fault,
+    > {
         let connection = self.connection().await?;
         let mut request = http::Request::post(format!("http://etcd{path}"))
             .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
@@ -207,7 +223,9 @@
             }
             answer.ok_or_else(|| broke("an answer without a message"))
         };
-        let done = orchidtally_net::within(time, work).await.unwrap_or(Err(Fault::TimedOut));
+        let done = orchidtally_net::within(time, work)
+            .await
+            .unwrap_or(Err(Fault::TimedOut));
         if matches!(done, Err(Fault::Unreachable(_) | Fault::TimedOut)) {
             *self.connection.borrow_mut() = None;
         }
@@ -228,9 +246,17 @@
                 return Err(Fault::Refused(refused));
             }
             let _of = std::marker::PhantomData;
-            Ok(Both { out, body, bytes: BytesMut::new(), _of, _connection: connection })
+            Ok(Both {
+                out,
+                body,
+                bytes: BytesMut::new(),
+                _of,
+                _connection: connection,
+            })
         };
-        let done = orchidtally_net::within(time, work).await.unwrap_or(Err(Fault::TimedOut));
+        let done = orchidtally_net::within(time, work)
+            .await
+            .unwrap_or(Err(Fault::TimedOut));
         if done.is_err() {
             *self.connection.borrow_mut() = None;
         }
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -34,7 +34,9 @@
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Malformed::TooLong { length, most } => write!(f, "a message of {length} bytes, {most} at most"),
+            Malformed::TooLong { length, most } => {
+                write!(f, "a message of {length} bytes, {most} at most")
+            }
             Malformed::Compressed => f.write_str("a compressed message, which nobody asked for"),
             Malformed::Message(what) => write!(f, "a malformed message: {what}"),
         }
@@ -46,13 +48,20 @@
     let mut bytes = BytesMut::with_capacity(5 + length);
     bytes.put_u8(0);
     bytes.put_u32(length as u32);
-    message.encode(&mut bytes).expect("the buffer has room for the encoded length");
+    message
+        .encode(&mut bytes)
+        .expect("the buffer has room for the encoded length");
     bytes.freeze()
 }
 
 /// Takes the next message off what has come, once it is whole.
-pub fn deframe<M: Message + Default>(bytes: &mut BytesMut, most: usize) -> Result<Option<M>, Malformed> {
-    let Some(head) = bytes.first_chunk::<5>() else { return Ok(None) };
+pub fn deframe<M: Message + Default>(
+    bytes: &mut BytesMut,
+    most: usize,
+) -> Result<Option<M>, Malformed> {
+    let Some(head) = bytes.first_chunk::<5>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     if head[0] != 0 {
         return Err(Malformed::Compressed);
@@ -65,14 +74,19 @@
     }
     bytes.advance(5);
     let message = M::decode(bytes.split_to(length).freeze());
-    message.map(Some).map_err(|e| Malformed::Message(e.to_string()))
+    message
+        .map(Some)
+        .map_err(|e| Malformed::Message(e.to_string()))
 }
 
 /// The status among some headers, if they have one.
 pub fn status(headers: &HeaderMap) -> Option<Status> {
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let code = text("grpc-status")?.parse().ok()?;
-    Some(Status { code, message: text("grpc-message").unwrap_or_default().to_owned() })
+    Some(Status {
+        code,
+        message: text("grpc-message").unwrap_or_default().to_owned(),
+    })
 }
 
 pub fn trailers(status: &Status) -> HeaderMap {
--- a/crates/etcd/src/traffic.rs
+++ b/crates/etcd/src/traffic.rs
@@ -61,7 +61,11 @@
 }
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = polled {
             self.traffic.add_sent(written);
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -44,7 +44,12 @@
 impl Watch {
     /// Of all keys that begin with `prefix`, from a revision on.
     pub fn new(prefix: impl Into<Bytes>, from: i64) -> Watch {
-        Watch { prefix: prefix.into(), next: from, id: None, parts: vec![] }
+        Watch {
+            prefix: prefix.into(),
+            next: from,
+            id: None,
+            parts: vec![],
+        }
     }
 
     pub fn next(&self) -> i64 {
@@ -62,7 +67,9 @@
             fragment: true,
             ..WatchCreateRequest::default()
         };
-        WatchRequest { request_union: Some(RequestUnion::CreateRequest(create)) }
+        WatchRequest {
+            request_union: Some(RequestUnion::CreateRequest(create)),
+        }
     }
 
     pub fn received(&mut self, response: WatchResponse) -> Vec<Told> {
@@ -75,17 +82,22 @@
             return vec![];
         }
         if response.compact_revision > 0 {
-            return vec![Told::Compacted { revision: response.compact_revision }];
+            return vec![Told::Compacted {
+                revision: response.compact_revision,
+            }];
         }
         if response.canceled {
-            return vec![Told::Cancelled { reason: response.cancel_reason }];
+            return vec![Told::Cancelled {
+                reason: response.cancel_reason,
+            }];
         }
         if response.created {
             return vec![Told::Created];
         }
         let next = self.next;
         let modified = |e: &Event| e.kv.as_ref().map_or(0, |kv| kv.mod_revision);
-        self.parts.extend(response.events.into_iter().filter(|e| modified(e) >= next));
+        self.parts
+            .extend(response.events.into_iter().filter(|e| modified(e) >= next));
         if response.fragment {
             return vec![];
         }
@@ -101,7 +113,10 @@
         }
         // The header may be ahead of the events: more of them may come.
         self.next = self.next.max(last + 1);
-        let header = ResponseHeader { revision: last, ..header };
+        let header = ResponseHeader {
+            revision: last,
+            ..header
+        };
         vec![Told::Events { header, events }]
     }
 }
--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -92,13 +92,21 @@
             let there = left.min(4 + length);
             self.at += there;
             self.over = 4 + length - there;
-            return Ok(Some(Frame { kind, stream, payload: None }));
+            return Ok(Some(Frame {
+                kind,
+                stream,
+                payload: None,
+            }));
         }
         if left < 4 + length {
             return Ok(self.starve());
         }
         self.at += 4 + length;
-        Ok(Some(Frame { kind, stream, payload: Some(&self.bytes[head + SHORTEST..self.at]) }))
+        Ok(Some(Frame {
+            kind,
+            stream,
+            payload: Some(&self.bytes[head + SHORTEST..self.at]),
+        }))
     }
 
     /// Gives room back where nothing is left: idle connections hold none.
@@ -123,7 +131,9 @@
         rest = behind;
         std::str::from_utf8(text).map_err(|_| Unreadable("a field is not text"))
     };
-    let all = (0..count).map(|_| Ok((text(1)?, text(2)?))).collect::<Result<Vec<_>, _>>()?;
+    let all = (0..count)
+        .map(|_| Ok((text(1)?, text(2)?)))
+        .collect::<Result<Vec<_>, _>>()?;
     if (1..all.len()).any(|n| all[..n].iter().any(|f| f.0 == all[n].0)) {
         return Err(Unreadable("a field stands twice"));
     }
--- a/crates/frames/tests/frames.rs
+++ b/crates/frames/tests/frames.rs
@@ -23,7 +23,14 @@
 
 fn invoke(stream: u32, body: &[u8]) -> Vec<u8> {
     let mut out = vec![];
-    put(&mut out, INVOKE, stream, None, Some(&[("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]), body);
+    put(
+        &mut out,
+        INVOKE,
+        stream,
+        None,
+        Some(&[("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]),
+        body,
+    );
     out
 }
 
@@ -36,7 +43,10 @@
         assert_eq!((*kind, *stream), (INVOKE, 5));
         let payload = payload.as_deref().expect("it is short enough");
         let (fields, rest) = fields(payload).expect("its fields are sound");
-        assert_eq!(fields, [("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]);
+        assert_eq!(
+            fields,
+            [("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]
+        );
         assert_eq!(rest, body);
     }
 }
@@ -44,8 +54,18 @@
 #[test]
 fn the_bytes_are_those_of_the_protocol() {
     let mut out = vec![];
-    put(&mut out, ANSWER, 0x0102_0304, Some(THROTTLED), Some(&[("cooldown", "250")]), b"");
-    assert_eq!(out, b"\x00\x00\x00\x15\x08\x01\x02\x03\x04\x02\x01\x08cooldown\x00\x03250"[..].to_vec());
+    put(
+        &mut out,
+        ANSWER,
+        0x0102_0304,
+        Some(THROTTLED),
+        Some(&[("cooldown", "250")]),
+        b"",
+    );
+    assert_eq!(
+        out,
+        b"\x00\x00\x00\x15\x08\x01\x02\x03\x04\x02\x01\x08cooldown\x00\x03250"[..].to_vec()
+    );
     out.clear();
     put(&mut out, NO_MORE, 0, None, None, b"");
     assert_eq!(out, b"\x00\x00\x00\x05\x03\x00\x00\x00\x00");
@@ -76,7 +96,14 @@
     bytes.extend([INVOKE, 0, 0, 0, 3]);
     let mut decoder = Decoder::default();
     decoder.push(&bytes);
-    assert_eq!(decoder.read(), Ok(Some(Frame { kind: INVOKE, stream: 3, payload: None })));
+    assert_eq!(
+        decoder.read(),
+        Ok(Some(Frame {
+            kind: INVOKE,
+            stream: 3,
+            payload: None
+        }))
+    );
     for _ in 0..LONGEST - 5 {
         assert!(decoder.is_within());
         decoder.push(&[0xee]);
--- a/crates/frontend/benches/triggers.rs
+++ b/crates/frontend/benches/triggers.rs
@@ -51,7 +51,9 @@
 }
 
 fn wall() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64())
 }
 
 struct Run {
@@ -66,16 +68,31 @@
     let around = Surroundings {
         store: Store::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
-            Some(Program { lanes: 64, load_time: 0.05, work: 0.0005, run: echo, ..Program::default() })
+            Some(Program {
+                lanes: 64,
+                load_time: 0.05,
+                work: 0.0005,
+                run: echo,
+                ..Program::default()
+            })
         }),
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    let executor =
-        Executor::start(&stage, Make::roomy(0), any_port(), around).unwrap_or_else(|e| panic!("{e}"));
+    let executor = Executor::start(&stage, Make::roomy(0), any_port(), around)
+        .unwrap_or_else(|e| panic!("{e}"));
     let broker = BrokerServer::start(&stage, any_port(), None).unwrap_or_else(|e| panic!("{e}"));
-    let text = text(&executor.address.to_string(), &broker.address.to_string(), at);
-    Run { broker, stage, _executor: executor, text }
+    let text = text(
+        &executor.address.to_string(),
+        &broker.address.to_string(),
+        at,
+    );
+    Run {
+        broker,
+        stage,
+        _executor: executor,
+        text,
+    }
 }
 
 impl Run {
@@ -85,7 +102,10 @@
             payload: Bytes::from_static(&[b'x'; 100]),
             qos: Qos::ExactlyOnce,
             retain: false,
-            properties: vec![Property::User("sent".into(), ((sent * 1e3) as u64).to_string())],
+            properties: vec![Property::User(
+                "sent".into(),
+                ((sent * 1e3) as u64).to_string(),
+            )],
             until: f64::INFINITY,
         });
     }
@@ -109,11 +129,14 @@
         let (stop, stopped) = async_channel::bounded(1);
         let text = self.text.clone();
         let thread = std::thread::spawn(move || {
-            let (deployment, section) = orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+            let (deployment, section) =
+                orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
             let section = section.unwrap_or_else(|| panic!("no section"));
-            let triggers =
-                Triggers::open(section, 0).unwrap_or_else(|e| panic!("{e}")).measured(synced, sharing);
-            let listener = orchidtally_frontend::listen(any_port()).unwrap_or_else(|e| panic!("{e}"));
+            let triggers = Triggers::open(section, 0)
+                .unwrap_or_else(|e| panic!("{e}"))
+                .measured(synced, sharing);
+            let listener =
+                orchidtally_frontend::listen(any_port()).unwrap_or_else(|e| panic!("{e}"));
             let start = Start {
                 deployment,
                 seed: 7,
@@ -173,7 +196,9 @@
     let measured = async_io::block_on(run.stage.tasks.run(work));
     drop(stop);
     async_io::block_on(run.stage.tasks.run(run.stage.sleep(0.6)));
-    thread.join().unwrap_or_else(|_| panic!("the front end died"));
+    thread
+        .join()
+        .unwrap_or_else(|_| panic!("the front end died"));
     measured
 }
 
@@ -186,7 +211,10 @@
             name: format!("message-{n}"),
             topic: format!("act/{n}"),
             payload: Bytes::from_static(&[b'x'; 100]),
-            reply: Some(Reply { topic: format!("done/{n}"), correlation: Bytes::new() }),
+            reply: Some(Reply {
+                topic: format!("done/{n}"),
+                correlation: Bytes::new(),
+            }),
             target: InvocationTarget {
                 function: "mist".into(),
                 trigger_type: "act".into(),
@@ -217,7 +245,14 @@
     let section = section.unwrap_or_else(|| panic!("no section"));
     let began = Instant::now();
     let triggers = Triggers::open(section, 0).unwrap_or_else(|e| panic!("{e}"));
-    let consumer = Consumer::new(&triggers.section, &deployment, 0, None, triggers.records(), 1e9);
+    let consumer = Consumer::new(
+        &triggers.section,
+        &deployment,
+        0,
+        None,
+        triggers.records(),
+        1e9,
+    );
     let took = began.elapsed().as_secs_f64();
     assert_eq!(consumer.in_hand().0, in_hand as usize);
     (took, bytes)
@@ -257,7 +292,10 @@
             run.stage.sleep(0.01).await;
             most = most.max(run.broker.broker.borrow().given());
             for (n, well) in run.heard() {
-                assert!(answers.insert(n, well).is_none(), "message {n} was answered twice");
+                assert!(
+                    answers.insert(n, well).is_none(),
+                    "message {n} was answered twice"
+                );
                 if !late(n) {
                     in_time += usize::from(well);
                     last_in_time = began.elapsed().as_secs_f64();
@@ -291,8 +329,14 @@
             let off = throughput("off", false, 1_024, in_flight);
             let shared = throughput("shared", true, 1_024, in_flight);
             let single = throughput("single", true, 1, in_flight);
-            println!("round {round}, {in_flight} in flight: messages/s, median and 0.99 quantile in ms");
-            for (name, m) in [("no syncs", off), ("shared syncs", shared), ("one sync an entry", single)] {
+            println!(
+                "round {round}, {in_flight} in flight: messages/s, median and 0.99 quantile in ms"
+            );
+            for (name, m) in [
+                ("no syncs", off),
+                ("shared syncs", shared),
+                ("one sync an entry", single),
+            ] {
                 println!("  {name:<18} {:>7.0} {:>8.1} {:>8.1}", m.0, m.1, m.2);
             }
             if in_flight == IN_FLIGHT {
--- a/crates/frontend/src/config/admission.rs
+++ b/crates/frontend/src/config/admission.rs
@@ -17,7 +17,11 @@
         "whether '{key}' is still allowed was last certain {age:.1} s ago, which is too long; ask again, or another \
          front end"
     )]
-    Stale { key: String, age: f64, retry_after: f64 },
+    Stale {
+        key: String,
+        age: f64,
+        retry_after: f64,
+    },
     #[error(
         "no configuration is loaded yet: the store is not reached and there is no snapshot; ask another front end"
     )]
@@ -29,7 +33,9 @@
     pub fn retry_after(&self) -> Option<f64> {
         match self {
             Refusal::NotAllowed { .. } => None,
-            Refusal::Stale { retry_after, .. } | Refusal::NotLoaded { retry_after } => Some(*retry_after),
+            Refusal::Stale { retry_after, .. } | Refusal::NotLoaded { retry_after } => {
+                Some(*retry_after)
+            }
         }
     }
 }
@@ -46,9 +52,12 @@
 impl Subject<'_> {
     fn keys(&self) -> impl Iterator<Item = String> {
         let customer = (!self.customer.is_empty()).then(|| format!("{QUOTAS}/{}", self.customer));
-        [format!("{FUNCTIONS}/{}", self.function), format!("{TRIGGER_TYPES}/{}", self.trigger_type)]
-            .into_iter()
-            .chain(customer)
+        [
+            format!("{FUNCTIONS}/{}", self.function),
+            format!("{TRIGGER_TYPES}/{}", self.trigger_type),
+        ]
+        .into_iter()
+        .chain(customer)
     }
 }
 
@@ -83,7 +92,11 @@
             // What the store doesn't have is the deployment file's to say.
             Verdict::Serve | Verdict::Unknown => None,
             Verdict::RefuseNotAllowed => Some(Refusal::NotAllowed { key }),
-            Verdict::RefuseStale { age } => Some(Refusal::Stale { key, age, retry_after }),
+            Verdict::RefuseStale { age } => Some(Refusal::Stale {
+                key,
+                age,
+                retry_after,
+            }),
             Verdict::NotLoaded if self.without_view == WithoutView::Serve => None,
             Verdict::NotLoaded => Some(Refusal::NotLoaded { retry_after }),
         }
--- a/crates/frontend/src/config/backoff.rs
+++ b/crates/frontend/src/config/backoff.rs
@@ -15,7 +15,9 @@
 
 impl Default for Backoff {
     fn default() -> Backoff {
-        Backoff { next: Cell::new(FIRST) }
+        Backoff {
+            next: Cell::new(FIRST),
+        }
     }
 }
 
--- a/crates/frontend/src/config/exchange.rs
+++ b/crates/frontend/src/config/exchange.rs
@@ -15,21 +15,32 @@
 
 pub(super) fn header(header: Option<&ResponseHeader>) -> Header {
     let told = header.copied().unwrap_or_default();
-    Header { cluster: told.cluster_id, revision: told.revision }
+    Header {
+        cluster: told.cluster_id,
+        revision: told.revision,
+    }
 }
 
 /// What a refusal means to the core; `None` if the connection, or the member, is of no use.
 fn refused(fault: &Fault) -> Option<RequestFailure> {
-    let Fault::Refused(status) = fault else { return None };
+    let Fault::Refused(status) = fault else {
+        return None;
+    };
     match status.code {
-        grpc::OUT_OF_RANGE if status.message.contains("compacted") => Some(RequestFailure::Compacted),
+        grpc::OUT_OF_RANGE if status.message.contains("compacted") => {
+            Some(RequestFailure::Compacted)
+        }
         grpc::OUT_OF_RANGE => Some(RequestFailure::FutureRevision),
         _ => None,
     }
 }
 
 fn entry(pair: KeyValue) -> RangeEntry {
-    RangeEntry { key: pair.key.to_vec(), value: pair.value.to_vec(), mod_revision: pair.mod_revision }
+    RangeEntry {
+        key: pair.key.to_vec(),
+        value: pair.value.to_vec(),
+        mod_revision: pair.mod_revision,
+    }
 }
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
@@ -44,7 +55,10 @@
             keys_only: request.keys_only,
             ..RangeRequest::default()
         };
-        let answered = self.client.unary::<RangeResponse>(RANGE, &question, self.settings.patience).await;
+        let answered = self
+            .client
+            .unary::<RangeResponse>(RANGE, &question, self.settings.patience)
+            .await;
         if !self.is_in_session(session) {
             return;
         }
@@ -54,7 +68,13 @@
                 let bytes = answer.encoded_len() + ENVELOPE_BYTES;
                 let header = header(answer.header.as_ref());
                 let entries = answer.kvs.into_iter().map(entry).collect();
-                let answer = RangeAnswer { id: request.id, header, entries, more: answer.more, bytes };
+                let answer = RangeAnswer {
+                    id: request.id,
+                    header,
+                    entries,
+                    more: answer.more,
+                    bytes,
+                };
                 self.feed(|core, now| core.range_answer(now, answer));
             }
             Err(fault) => self.request_failed(session, request.id, &fault),
@@ -64,8 +84,14 @@
     /// Performs a barrier of the core.
     pub(super) async fn barrier(&self, session: u64, id: RequestId) {
         let key = Bytes::from(self.core.borrow().keyspace().generation());
-        let question = RangeRequest { key, ..RangeRequest::default() };
-        let answered = self.client.unary::<RangeResponse>(RANGE, &question, self.settings.patience).await;
+        let question = RangeRequest {
+            key,
+            ..RangeRequest::default()
+        };
+        let answered = self
+            .client
+            .unary::<RangeResponse>(RANGE, &question, self.settings.patience)
+            .await;
         if !self.is_in_session(session) {
             return;
         }
@@ -73,8 +99,21 @@
             Ok(answer) => {
                 self.store_answered();
                 let header = header(answer.header.as_ref());
-                let generation = answer.kvs.into_iter().next().map(|pair| pair.value.to_vec());
-                self.feed(|core, now| core.barrier_answer(now, BarrierAnswer { id, header, generation }));
+                let generation = answer
+                    .kvs
+                    .into_iter()
+                    .next()
+                    .map(|pair| pair.value.to_vec());
+                self.feed(|core, now| {
+                    core.barrier_answer(
+                        now,
+                        BarrierAnswer {
+                            id,
+                            header,
+                            generation,
+                        },
+                    )
+                });
             }
             Err(fault) => self.request_failed(session, id, &fault),
         }
--- a/crates/frontend/src/config/host.rs
+++ b/crates/frontend/src/config/host.rs
@@ -107,7 +107,9 @@
 
     /// Starts from the snapshot on disk, if there is one; to be called before [`ConfigHost::run`].
     pub fn restore(self: &Rc<Self>) {
-        let Some(file) = &self.settings.snapshot else { return };
+        let Some(file) = &self.settings.snapshot else {
+            return;
+        };
         let (found, errors) = file.read();
         for error in errors {
             error!(%error, "a snapshot of the configuration can't be read; make it readable for this user");
@@ -156,9 +158,22 @@
     }
 
     fn next_timer(&self) -> f64 {
-        let connect = if self.is_connected.get() { f64::INFINITY } else { self.connect_at.get() };
-        let retry = self.pending_view.borrow().as_ref().map_or(f64::INFINITY, |pending| pending.retry_at);
-        self.core.borrow().next_timer().min(connect).min(retry).min(self.snapshot_timer())
+        let connect = if self.is_connected.get() {
+            f64::INFINITY
+        } else {
+            self.connect_at.get()
+        };
+        let retry = self
+            .pending_view
+            .borrow()
+            .as_ref()
+            .map_or(f64::INFINITY, |pending| pending.retry_at);
+        self.core
+            .borrow()
+            .next_timer()
+            .min(connect)
+            .min(retry)
+            .min(self.snapshot_timer())
     }
 
     fn connect(self: &Rc<Self>) {
@@ -205,10 +220,9 @@
     fn watch(self: &Rc<Self>, from_revision: i64) {
         let (asks, asked) = async_channel::bounded(1);
         let (host, session) = (self.clone(), self.session.get());
-        let task = self
-            .tasks
-            .upgrade()
-            .map(|tasks| tasks.spawn(async move { host.follow_watch(session, from_revision, asked).await }));
+        let task = self.tasks.upgrade().map(|tasks| {
+            tasks.spawn(async move { host.follow_watch(session, from_revision, asked).await })
+        });
         self.watch.replace(Some(Watching { _task: task, asks }));
     }
 
@@ -219,7 +233,9 @@
         }
         if self.pending_view.borrow().is_some() {
             // The report would name a revision that isn't in force here.
-            self.core.borrow_mut().report_failed(self.now(), report.sequence);
+            self.core
+                .borrow_mut()
+                .report_failed(self.now(), report.sequence);
             return;
         }
         let (host, session) = (self.clone(), self.session.get());
@@ -232,7 +248,10 @@
         if self.now() >= due {
             self.apply(view);
         } else {
-            self.pending_view.replace(Some(PendingView { view, retry_at: due }));
+            self.pending_view.replace(Some(PendingView {
+                view,
+                retry_at: due,
+            }));
         }
     }
 
@@ -240,7 +259,10 @@
         self.applied_at.set(self.now());
         match self.target.apply(&view) {
             Ok(()) => {
-                debug!(revision = view.revision(), "a revision of the configuration is in force");
+                debug!(
+                    revision = view.revision(),
+                    "a revision of the configuration is in force"
+                );
                 self.pending_view.replace(None);
                 self.apply_fault.replace(None);
             }
@@ -254,7 +276,8 @@
                 }
                 self.apply_fault.replace(Some(fault));
                 let retry_at = self.now() + APPLY_RETRY;
-                self.pending_view.replace(Some(PendingView { view, retry_at }));
+                self.pending_view
+                    .replace(Some(PendingView { view, retry_at }));
             }
         }
     }
@@ -312,15 +335,25 @@
         }
         self.is_connected.set(false);
         self.client.fail_over();
-        self.connect_at.set(self.now() + self.backoff.pause(rand::random()));
+        self.connect_at
+            .set(self.now() + self.backoff.pause(rand::random()));
         self.feed(|core, now| core.disconnected(now));
     }
 
     /// Logs rejections that weren't logged before.
     fn log_rejections(&self, report: &Report) {
         let mut logged = self.logged_rejections.borrow_mut();
-        for rejection in report.rejected.iter().filter(|rejection| !logged.contains(rejection)) {
-            let Rejection { key, revision, reason, remedy } = rejection;
+        for rejection in report
+            .rejected
+            .iter()
+            .filter(|rejection| !logged.contains(rejection))
+        {
+            let Rejection {
+                key,
+                revision,
+                reason,
+                remedy,
+            } = rejection;
             warn!(
                 key,
                 revision,
--- a/crates/frontend/src/config/hub_target.rs
+++ b/crates/frontend/src/config/hub_target.rs
@@ -6,7 +6,9 @@
 use super::{ApplyError, ConfigTarget, HostSettings, SnapshotFile};
 use crate::hub::Hub;
 use async_executor::LocalExecutor;
-use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, InvalidEntry, TriggerTypeSpec, Violation};
+use orchidtally_config_sync::schema::{
+    FunctionSpec, GatewayEntry, InvalidEntry, TriggerTypeSpec, Violation,
+};
 use orchidtally_config_sync::{EntryKey, GatewaySchema, Schema, SettingsError, SyncSettings, View};
 use orchidtally_deployment::{Configuration, check_digest, check_function_name};
 use orchidtally_etcd::Client;
@@ -51,8 +53,10 @@
         if spec.timeout > least {
             return Ok(());
         }
-        let reason =
-            format!("the timeout of {} s leaves no time: answers leave {least} s earlier", spec.timeout);
+        let reason = format!(
+            "the timeout of {} s leaves no time: answers leave {least} s earlier",
+            spec.timeout
+        );
         Err(InvalidEntry::new(
             reason,
             "raise the timeout, or lower 'limits.answerMargin' in the deployment file",
@@ -116,7 +120,10 @@
     configuration: &Configuration,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), SettingsError> {
-    let (index, life) = (hub.deployment.policy.index as u32, hub.sender.get().incarnation);
+    let (index, life) = (
+        hub.deployment.policy.index as u32,
+        hub.sender.get().incarnation,
+    );
     // Two processes with one index, or one after the other, are two front ends to the store.
     let mut settings = HostSettings::new(format!("{index}-{life:016x}"));
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
@@ -125,7 +132,9 @@
     client.says(settings.front_end.clone());
     // Front ends spread over the members.
     (0..life % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
-    let schema = DeploymentSchema { answer_margin: hub.deployment.bounds.answer_margin };
+    let schema = DeploymentSchema {
+        answer_margin: hub.deployment.bounds.answer_margin,
+    };
     let target = Rc::downgrade(hub);
     let sync = sync_settings(configuration);
     let host = ConfigHost::new(sync, schema, life, settings, client, tasks, target)?;
--- a/crates/frontend/src/config/lease.rs
+++ b/crates/frontend/src/config/lease.rs
@@ -37,10 +37,18 @@
     /// A new lease of its own.
     pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<Lease, Fault> {
         let asked_at = self.now();
-        let question = LeaseGrantRequest { ttl: time_to_live.as_secs().max(1) as i64, id: 0 };
-        let granted: LeaseGrantResponse =
-            self.client.unary(LEASE_GRANT, &question, self.settings.patience).await?;
-        Ok(Lease { id: granted.id, until: asked_at + granted.ttl as f64 })
+        let question = LeaseGrantRequest {
+            ttl: time_to_live.as_secs().max(1) as i64,
+            id: 0,
+        };
+        let granted: LeaseGrantResponse = self
+            .client
+            .unary(LEASE_GRANT, &question, self.settings.patience)
+            .await?;
+        Ok(Lease {
+            id: granted.id,
+            until: asked_at + granted.ttl as f64,
+        })
     }
 
     /// Renews the lease for as long as the session lasts.
@@ -48,7 +56,9 @@
         let mut renewing: Option<Both<LeaseKeepAliveResponse>> = None;
         while self.is_in_session(session) {
             Timer::after(self.settings.lease / RENEWALS).await;
-            let Some(lease) = self.lease.get().filter(|_| self.is_in_session(session)) else { continue };
+            let Some(lease) = self.lease.get().filter(|_| self.is_in_session(session)) else {
+                continue;
+            };
             match self.renew(lease, &mut renewing).await {
                 Ok(Some(renewed)) => self.lease.set(Some(renewed)),
                 Ok(None) => self.lease_lost(),
@@ -73,13 +83,18 @@
                 stream.send(&question)?;
                 stream
             }
-            None => {
-                renewing.insert(self.client.both(LEASE_KEEP_ALIVE, &question, self.settings.patience).await?)
-            }
+            None => renewing.insert(
+                self.client
+                    .both(LEASE_KEEP_ALIVE, &question, self.settings.patience)
+                    .await?,
+            ),
         };
         let answer = orchidtally_net::within(self.settings.patience, stream.next()).await;
         let answer = answer.unwrap_or(Err(Fault::TimedOut))?;
-        let renewed = Lease { id: lease.id, until: asked_at + answer.ttl as f64 };
+        let renewed = Lease {
+            id: lease.id,
+            until: asked_at + answer.ttl as f64,
+        };
         Ok((answer.ttl > 0).then_some(renewed))
     }
 
--- a/crates/frontend/src/config/leaving.rs
+++ b/crates/frontend/src/config/leaving.rs
@@ -22,21 +22,36 @@
         let was_connected = self.status().connected;
         self.stop();
         // Without a lease there is no report that anybody could wait for.
-        let Some(lease) = self.lease.take().filter(|_| was_connected) else { return };
+        let Some(lease) = self.lease.take().filter(|_| was_connected) else {
+            return;
+        };
         match orchidtally_net::within(LEAVE_TIME, self.tell_end(lease)).await {
-            Some(Ok(())) => info!("the store of the configuration knows that this front end has ended"),
-            Some(Err(fault)) => warn!(%fault, "writers see this front end as missing: its end was not told"),
-            None => warn!("writers see this front end as missing: the store did not answer in time"),
+            Some(Ok(())) => {
+                info!("the store of the configuration knows that this front end has ended")
+            }
+            Some(Err(fault)) => {
+                warn!(%fault, "writers see this front end as missing: its end was not told")
+            }
+            None => {
+                warn!("writers see this front end as missing: the store did not answer in time")
+            }
         }
     }
 
     /// The lease goes first: a report that is still under way goes with it, or is refused.
     async fn tell_end(&self, lease: Lease) -> Result<(), Fault> {
         let revoke = LeaseRevokeRequest { id: lease.id };
-        self.client.unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, LEAVE_TIME).await?;
+        self.client
+            .unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, LEAVE_TIME)
+            .await?;
         let limit = self.core.borrow().settings().in_force_limit;
-        let granted = self.grant_lease(Duration::from_secs_f64(LAST_REPORT_LIMITS * limit)).await?;
-        let last = Report { state: ReportedState::Ended, ..self.core.borrow().report() };
+        let granted = self
+            .grant_lease(Duration::from_secs_f64(LAST_REPORT_LIMITS * limit))
+            .await?;
+        let last = Report {
+            state: ReportedState::Ended,
+            ..self.core.borrow().report()
+        };
         self.store_report(last, granted).await
     }
 }
--- a/crates/frontend/src/config/overlay.rs
+++ b/crates/frontend/src/config/overlay.rs
@@ -28,12 +28,19 @@
 impl Overlay<'_> {
     /// All trigger types: those of the file in its order, then those that only the store has, by name.
     pub fn trigger_types(&self) -> Vec<(Trigger, TriggerType)> {
-        let listed = self.deployment.trigger_types.iter().zip(&self.deployment.policy.trigger_types);
-        let mut all: Vec<(Trigger, TriggerType)> =
-            listed.map(|(trigger, policy)| (trigger.clone(), policy.clone())).collect();
+        let listed = self
+            .deployment
+            .trigger_types
+            .iter()
+            .zip(&self.deployment.policy.trigger_types);
+        let mut all: Vec<(Trigger, TriggerType)> = listed
+            .map(|(trigger, policy)| (trigger.clone(), policy.clone()))
+            .collect();
         for (name, spec) in self.stored_trigger_types() {
             match all.iter_mut().find(|(trigger, _)| trigger.name == name) {
-                Some((_, policy)) => (policy.objective, policy.timeout) = (spec.objective, spec.timeout),
+                Some((_, policy)) => {
+                    (policy.objective, policy.timeout) = (spec.objective, spec.timeout)
+                }
                 None => all.push(new_trigger_type(name, spec)),
             }
         }
@@ -43,7 +50,9 @@
     /// All customers with their shares: those of the file in its order, then those that only the store has, by name.
     pub fn customers(&self) -> Vec<(String, f64)> {
         let listed = self.deployment.customers.iter().cloned();
-        let mut all: Vec<(String, f64)> = listed.zip(self.deployment.policy.quotas.iter().copied()).collect();
+        let mut all: Vec<(String, f64)> = listed
+            .zip(self.deployment.policy.quotas.iter().copied())
+            .collect();
         for (name, share) in self.stored_quotas() {
             match all.iter_mut().find(|(known, _)| known == name) {
                 Some((_, known)) => *known = share,
@@ -55,7 +64,9 @@
 
     /// A function by its name.
     pub fn function(&self, name: &str) -> Option<Function> {
-        let stored = self.view.and_then(|view| view.get(&format!("{FUNCTIONS}/{name}")));
+        let stored = self
+            .view
+            .and_then(|view| view.get(&format!("{FUNCTIONS}/{name}")));
         match stored.map(|record| &record.entry) {
             Some(GatewayEntry::Function(spec)) => Some(function(name, spec)),
             _ => self.deployment.function(name),
@@ -64,7 +75,10 @@
 
     /// All functions that the store has.
     pub fn stored_functions(&self) -> impl Iterator<Item = Function> {
-        let of_kind = self.view.into_iter().flat_map(|view| view.of_kind(FUNCTIONS));
+        let of_kind = self
+            .view
+            .into_iter()
+            .flat_map(|view| view.of_kind(FUNCTIONS));
         of_kind.filter_map(|(key, record)| match &record.entry {
             GatewayEntry::Function(spec) => Some(function(key.name(), spec)),
             GatewayEntry::Quota(_) | GatewayEntry::TriggerType(_) => None,
@@ -72,7 +86,10 @@
     }
 
     fn stored_trigger_types(&self) -> BTreeMap<&str, &TriggerTypeSpec> {
-        let of_kind = self.view.into_iter().flat_map(|view| view.of_kind(TRIGGER_TYPES));
+        let of_kind = self
+            .view
+            .into_iter()
+            .flat_map(|view| view.of_kind(TRIGGER_TYPES));
         let specs = of_kind.filter_map(|(key, record)| match &record.entry {
             GatewayEntry::TriggerType(spec) => Some((key.name(), spec)),
             GatewayEntry::Quota(_) | GatewayEntry::Function(_) => None,
@@ -92,7 +109,11 @@
 
 /// A trigger type that the file doesn't have. Nothing says that running twice is harmless, so it never does.
 fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (Trigger, TriggerType) {
-    let trigger = Trigger { name: name.into(), streams: false, journalled: false };
+    let trigger = Trigger {
+        name: name.into(),
+        streams: false,
+        journalled: false,
+    };
     let policy = TriggerType {
         objective: spec.objective,
         stretch: 0.0,
@@ -107,12 +128,27 @@
 }
 
 fn function(name: &str, spec: &FunctionSpec) -> Function {
-    let versions: Vec<Version> = spec.versions.iter().map(|version| self::version(name, version)).collect();
-    let place = |digest: &String| spec.versions.iter().position(|version| version.digest == *digest);
-    let named = spec.aliases.iter().filter_map(|(alias, digest)| Some((alias.clone(), place(digest)?)));
+    let versions: Vec<Version> = spec
+        .versions
+        .iter()
+        .map(|version| self::version(name, version))
+        .collect();
+    let place = |digest: &String| {
+        spec.versions
+            .iter()
+            .position(|version| version.digest == *digest)
+    };
+    let named = spec
+        .aliases
+        .iter()
+        .filter_map(|(alias, digest)| Some((alias.clone(), place(digest)?)));
     let mut aliases: BTreeMap<String, usize> = named.collect();
     aliases.entry(STABLE.into()).or_insert(0);
-    Function { name: name.into(), versions: versions.into(), aliases: Rc::new(aliases) }
+    Function {
+        name: name.into(),
+        versions: versions.into(),
+        aliases: Rc::new(aliases),
+    }
 }
 
 fn version(function: &str, spec: &VersionSpec) -> Version {
--- a/crates/frontend/src/config/report.rs
+++ b/crates/frontend/src/config/report.rs
@@ -43,10 +43,25 @@
 
     /// Puts a report into the store under a lease.
     pub(super) async fn store_report(&self, report: Report, lease: Lease) -> Result<(), Fault> {
-        let key = self.core.borrow().keyspace().report(&self.settings.front_end);
-        let published = PublishedReport { report, snapshot_fault: self.snapshot_fault.borrow().clone() };
+        let key = self
+            .core
+            .borrow()
+            .keyspace()
+            .report(&self.settings.front_end);
+        let published = PublishedReport {
+            report,
+            snapshot_fault: self.snapshot_fault.borrow().clone(),
+        };
         let value = serde_json::to_vec(&published).unwrap_or_default();
-        let put = PutRequest { key: key.into(), value: value.into(), lease: lease.id, prev_kv: false };
-        self.client.unary::<PutResponse>(PUT, &put, self.settings.patience).await.map(drop)
+        let put = PutRequest {
+            key: key.into(),
+            value: value.into(),
+            lease: lease.id,
+            prev_kv: false,
+        };
+        self.client
+            .unary::<PutResponse>(PUT, &put, self.settings.patience)
+            .await
+            .map(drop)
     }
 }
--- a/crates/frontend/src/config/snapshot_file.rs
+++ b/crates/frontend/src/config/snapshot_file.rs
@@ -42,7 +42,8 @@
     /// # Errors
     /// The one before still stands then, under one of the two names.
     pub fn replace(&self, bytes: &[u8]) -> io::Result<()> {
-        self.try_replace(bytes).map_err(|error| named(&self.path, &error))
+        self.try_replace(bytes)
+            .map_err(|error| named(&self.path, &error))
     }
 
     fn try_replace(&self, bytes: &[u8]) -> io::Result<()> {
@@ -55,7 +56,10 @@
             _ => {}
         }
         fs::rename(&new, &self.path)?;
-        let folder = self.path.parent().filter(|folder| !folder.as_os_str().is_empty());
+        let folder = self
+            .path
+            .parent()
+            .filter(|folder| !folder.as_os_str().is_empty());
         File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
     }
 
--- a/crates/frontend/src/config/snapshot_writes.rs
+++ b/crates/frontend/src/config/snapshot_writes.rs
@@ -26,23 +26,33 @@
 {
     /// Writes a snapshot on a thread of its own: a slow disk holds up nothing else.
     pub(super) fn write_snapshot(self: &Rc<Self>, bytes: Vec<u8>) {
-        let Some(file) = self.settings.snapshot.clone() else { return };
+        let Some(file) = self.settings.snapshot.clone() else {
+            return;
+        };
         if self.snapshots.borrow().is_writing {
             self.snapshots.borrow_mut().next = Some(bytes);
             return;
         }
-        self.snapshots.replace(SnapshotWrites { is_writing: true, ..SnapshotWrites::default() });
+        self.snapshots.replace(SnapshotWrites {
+            is_writing: true,
+            ..SnapshotWrites::default()
+        });
         let (tell, told) = async_channel::bounded(1);
         let bytes = Arc::new(bytes);
         let written = bytes.clone();
-        let started = std::thread::Builder::new().name("snapshot".into()).spawn(move || {
-            // The host may be gone by then.
-            let _ = tell.send_blocking(file.replace(&written));
-        });
+        let started = std::thread::Builder::new()
+            .name("snapshot".into())
+            .spawn(move || {
+                // The host may be gone by then.
+                let _ = tell.send_blocking(file.replace(&written));
+            });
         let host = self.clone();
         self.spawn(async move {
             let written = match started {
-                Ok(_) => told.recv().await.unwrap_or_else(|_| Err(io::Error::other("its thread ended"))),
+                Ok(_) => told
+                    .recv()
+                    .await
+                    .unwrap_or_else(|_| Err(io::Error::other("its thread ended"))),
                 Err(error) => Err(error),
             };
             host.snapshot_written(written, bytes);
@@ -88,6 +98,10 @@
     pub(super) fn snapshot_timer(&self) -> f64 {
         let snapshots = self.snapshots.borrow();
         let waits = snapshots.next.is_some() && !snapshots.is_writing;
-        if waits { snapshots.retry_at } else { f64::INFINITY }
+        if waits {
+            snapshots.retry_at
+        } else {
+            f64::INFINITY
+        }
     }
 }
--- a/crates/frontend/src/config/watch.rs
+++ b/crates/frontend/src/config/watch.rs
@@ -10,19 +10,30 @@
 use orchidtally_etcd::{Fault, Told, WATCH, Watch};
 
 fn progress_request() -> WatchRequest {
-    WatchRequest { request_union: Some(RequestUnion::ProgressRequest(WatchProgressRequest {})) }
+    WatchRequest {
+        request_union: Some(RequestUnion::ProgressRequest(WatchProgressRequest {})),
+    }
 }
 
 fn change(event: Event) -> Option<Change> {
     let is_deleted = event.r#type() == event::EventType::Delete;
     let pair = event.kv?;
     let value = (!is_deleted).then(|| pair.value.to_vec());
-    Some(Change { key: pair.key.to_vec(), value, mod_revision: pair.mod_revision })
+    Some(Change {
+        key: pair.key.to_vec(),
+        value,
+        mod_revision: pair.mod_revision,
+    })
 }
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// Follows a watch from a revision on until it ends; `asks` tells when its progress is to be asked for.
-    pub(super) async fn follow_watch(&self, session: u64, from: i64, asks: async_channel::Receiver<()>) {
+    pub(super) async fn follow_watch(
+        &self,
+        session: u64,
+        from: i64,
+        asks: async_channel::Receiver<()>,
+    ) {
         if let Err(fault) = self.try_follow(session, from, &asks).await
             && self.is_in_session(session)
         {
@@ -38,8 +49,10 @@
     ) -> Result<(), Fault> {
         let prefix = self.core.borrow().keyspace().entries().start;
         let mut watch = Watch::new(prefix, from);
-        let mut both: Both<WatchResponse> =
-            self.client.both(WATCH, &watch.request(), self.settings.patience).await?;
+        let mut both: Both<WatchResponse> = self
+            .client
+            .both(WATCH, &watch.request(), self.settings.patience)
+            .await?;
         let mut is_quiet = false;
         loop {
             let received = self.client.traffic().received();
@@ -80,7 +93,11 @@
                 Told::Created => {}
                 Told::Events { header: of, events } => {
                     let changes = events.into_iter().filter_map(change).collect();
-                    let batch = WatchBatch { header: header(Some(&of)), changes, complete: true };
+                    let batch = WatchBatch {
+                        header: header(Some(&of)),
+                        changes,
+                        complete: true,
+                    };
                     self.feed(|core, now| core.watch_batch(now, batch));
                 }
                 Told::Progress { header: of, .. } => {
--- a/crates/frontend/src/etcd/entries.rs
+++ b/crates/frontend/src/etcd/entries.rs
@@ -10,7 +10,10 @@
 
 /// Which store answered, and how far it had come.
 pub(super) fn stamp(header: &ResponseHeader) -> Stamp {
-    Stamp { cluster: header.cluster_id, revision: header.revision }
+    Stamp {
+        cluster: header.cluster_id,
+        revision: header.revision,
+    }
 }
 
 /// An entry as a list has it.
@@ -31,12 +34,20 @@
 fn changed(event: &Event) -> Option<Change<'_>> {
     let change = listed(event.kv.as_ref()?);
     let is_deleted = event.r#type() == EventType::Delete;
-    Some(Change { value: change.value.filter(|_| !is_deleted), ..change })
+    Some(Change {
+        value: change.value.filter(|_| !is_deleted),
+        ..change
+    })
 }
 
 /// The index of a front end by the key of its entry.
 pub(super) fn index(key: &[u8]) -> Option<u32> {
-    std::str::from_utf8(key).ok()?.rsplit('/').next()?.parse().ok()
+    std::str::from_utf8(key)
+        .ok()?
+        .rsplit('/')
+        .next()?
+        .parse()
+        .ok()
 }
 
 /// What an executor's entry says of it, or why that can't be read.
@@ -46,15 +57,32 @@
     value: &[u8],
     now: f64,
 ) -> Result<RosterRow, String> {
-    let fields: serde_json::Value = serde_json::from_slice(value).map_err(|why| format!("no JSON: {why}"))?;
+    let fields: serde_json::Value =
+        serde_json::from_slice(value).map_err(|why| format!("no JSON: {why}"))?;
     let key = std::str::from_utf8(key).ok();
-    let address = key.and_then(|key| key.rsplit('/').next()).ok_or("no address in its key")?;
-    let text = |name: &str| fields.get(name).and_then(|field| field.as_str()).unwrap_or_default().to_owned();
-    let number = |name: &str, absent: f64| fields.get(name).map_or(Some(absent), serde_json::Value::as_f64);
+    let address = key
+        .and_then(|key| key.rsplit('/').next())
+        .ok_or("no address in its key")?;
+    let text = |name: &str| {
+        fields
+            .get(name)
+            .and_then(|field| field.as_str())
+            .unwrap_or_default()
+            .to_owned()
+    };
+    let number = |name: &str, absent: f64| {
+        fields
+            .get(name)
+            .map_or(Some(absent), serde_json::Value::as_f64)
+    };
     let standing = match text("standing").as_str() {
         "ready" => v1::Standing::Ready,
         "draining" => v1::Standing::Draining,
-        other => return Err(format!("the standing '{other}' is neither 'ready' nor 'draining'")),
+        other => {
+            return Err(format!(
+                "the standing '{other}' is neither 'ready' nor 'draining'"
+            ));
+        }
     };
     let told = v1::RosterRow {
         address: address.into(),
--- a/crates/frontend/src/etcd/follow.rs
+++ b/crates/frontend/src/etcd/follow.rs
@@ -2,8 +2,8 @@
 
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::{
-    Event, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchProgressRequest, WatchRequest,
-    WatchResponse,
+    Event, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchProgressRequest,
+    WatchRequest, WatchResponse,
 };
 use orchidtally_etcd::{Client, Fault, RANGE, Told, WATCH, Watch, range_end};
 use orchidtally_membership::Next;
@@ -71,7 +71,9 @@
         let header = *first_header.get_or_insert(page.header.unwrap_or_default());
         let last = page.kvs.last().map(|entry| entry.key.clone());
         entries.extend(page.kvs);
-        let Some(last) = last.filter(|_| page.more) else { return Ok(List { header, entries }) };
+        let Some(last) = last.filter(|_| page.more) else {
+            return Ok(List { header, entries });
+        };
         // The next page begins behind that key, and has what stood at the first page's revision.
         question.key = [&last[..], &[0]].concat().into();
         question.revision = header.revision;
@@ -105,9 +107,13 @@
         let list = list(client, prefix).await?;
         follower.listed(began, &list.header, &list.entries);
     }
-    let Next::Watch(from) = follower.next() else { return Ok(()) };
+    let Next::Watch(from) = follower.next() else {
+        return Ok(());
+    };
     let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
-    let mut stream = client.both::<WatchResponse>(WATCH, &watch.request(), REQUEST_TIMEOUT).await?;
+    let mut stream = client
+        .both::<WatchResponse>(WATCH, &watch.request(), REQUEST_TIMEOUT)
+        .await?;
     let mut questions = ProgressQuestions::new(follower.now());
     loop {
         let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
@@ -148,12 +154,19 @@
 impl ProgressQuestions {
     /// Of a watch that begins now; the first question is due at once.
     fn new(now: f64) -> ProgressQuestions {
-        ProgressQuestions { asked_at: now - PROGRESS_INTERVAL, is_answered: true }
+        ProgressQuestions {
+            asked_at: now - PROGRESS_INTERVAL,
+            is_answered: true,
+        }
     }
 
     /// Until something is due, in seconds.
     fn due_in(&self, now: f64) -> f64 {
-        let time = if self.is_answered { PROGRESS_INTERVAL } else { PROGRESS_TIMEOUT };
+        let time = if self.is_answered {
+            PROGRESS_INTERVAL
+        } else {
+            PROGRESS_TIMEOUT
+        };
         (self.asked_at + time - now).clamp(0.0, PROGRESS_TIMEOUT)
     }
 
@@ -176,7 +189,9 @@
 }
 
 fn progress_request() -> WatchRequest {
-    WatchRequest { request_union: Some(RequestUnion::ProgressRequest(WatchProgressRequest {})) }
+    WatchRequest {
+        request_union: Some(RequestUnion::ProgressRequest(WatchProgressRequest {})),
+    }
 }
 
 /// Whether a watch goes on.
@@ -187,16 +202,28 @@
 }
 
 /// Hands one thing that a watch told to the follower.
-fn take(told: Told, prefix: &str, questions: &mut ProgressQuestions, follower: &impl Follower) -> Watched {
+fn take(
+    told: Told,
+    prefix: &str,
+    questions: &mut ProgressQuestions,
+    follower: &impl Follower,
+) -> Watched {
     match told {
         Told::Created => {}
         Told::Events { header, events } => follower.changed(&header, &events),
         Told::Progress { header, is_answer } => {
-            let asked_at = if is_answer { questions.answered() } else { None };
+            let asked_at = if is_answer {
+                questions.answered()
+            } else {
+                None
+            };
             follower.progressed(asked_at, &header);
         }
         Told::Compacted { revision } => {
-            info!(prefix, revision, "the watch fell behind a compaction: listing anew");
+            info!(
+                prefix,
+                revision, "the watch fell behind a compaction: listing anew"
+            );
             follower.compacted();
             return Watched::Ended;
         }
--- a/crates/frontend/src/etcd/front_ends.rs
+++ b/crates/frontend/src/etcd/front_ends.rs
@@ -33,7 +33,10 @@
 
     fn saw(&self, began: f64) {
         self.current_as_of.set(began);
-        self.host.members().borrow_mut().saw(began, self.indices.borrow().iter().copied());
+        self.host
+            .members()
+            .borrow_mut()
+            .saw(began, self.indices.borrow().iter().copied());
         self.host.members_changed();
     }
 }
@@ -51,7 +54,10 @@
     }
 
     fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
-        *self.indices.borrow_mut() = list.iter().filter_map(|entry| entries::index(&entry.key)).collect();
+        *self.indices.borrow_mut() = list
+            .iter()
+            .filter_map(|entry| entries::index(&entry.key))
+            .collect();
         self.stamp.set(Some(entries::stamp(header)));
         self.is_stale.set(false);
         self.saw(began);
@@ -59,7 +65,9 @@
 
     fn changed(&self, header: &ResponseHeader, events: &[Event]) {
         for change in entries::changes(events) {
-            let Some(index) = entries::index(change.key) else { continue };
+            let Some(index) = entries::index(change.key) else {
+                continue;
+            };
             match change.value {
                 Some(_) => self.indices.borrow_mut().insert(index),
                 None => self.indices.borrow_mut().remove(&index),
@@ -72,7 +80,8 @@
 
     fn progressed(&self, began: Option<f64>, header: &ResponseHeader) {
         let stamp = entries::stamp(header);
-        let is_other = |known: Stamp| known.cluster != stamp.cluster || known.revision > stamp.revision;
+        let is_other =
+            |known: Stamp| known.cluster != stamp.cluster || known.revision > stamp.revision;
         if self.stamp.get().is_some_and(is_other) {
             self.is_stale.set(true);
             return;
--- a/crates/frontend/src/etcd/host.rs
+++ b/crates/frontend/src/etcd/host.rs
@@ -66,7 +66,11 @@
             client.says(name.to_owned());
             Rc::new(client)
         };
-        StoreConnections { roster: client(), front_ends: client(), registration: client() }
+        StoreConnections {
+            roster: client(),
+            front_ends: client(),
+            registration: client(),
+        }
     }
 
     /// All of them.
--- a/crates/frontend/src/etcd/hub_host.rs
+++ b/crates/frontend/src/etcd/hub_host.rs
@@ -56,8 +56,16 @@
 
 /// Keeps the roster and the membership for as long as the front end lives.
 pub fn keep(hub: &Rc<Hub>, etcd: &Etcd) {
-    let Some(tasks) = hub.spawner().upgrade() else { return };
-    let name = format!("{}.{}", hub.deployment.policy.index as u32, hub.sender.get().incarnation);
+    let Some(tasks) = hub.spawner().upgrade() else {
+        return;
+    };
+    let name = format!(
+        "{}.{}",
+        hub.deployment.policy.index as u32,
+        hub.sender.get().incarnation
+    );
     let connections = StoreConnections::new(etcd, &name, &tasks);
-    follow_store(hub, &connections, etcd, &tasks).into_iter().for_each(|task| task.detach());
+    follow_store(hub, &connections, etcd, &tasks)
+        .into_iter()
+        .for_each(|task| task.detach());
 }
--- a/crates/frontend/src/etcd/mod.rs
+++ b/crates/frontend/src/etcd/mod.rs
@@ -34,10 +34,19 @@
     let front_ends = format!("{}{FRONT_ENDS}", etcd.prefix);
     let roster = roster::RosterFollower::new(host.clone());
     let others = front_ends::FrontEndsFollower::new(host.clone());
-    let registration = registration::Registration::new(host.clone(), connections.registration.clone(), etcd);
+    let registration =
+        registration::Registration::new(host.clone(), connections.registration.clone(), etcd);
     vec![
-        tasks.spawn(follow::follow(connections.roster.clone(), executors, roster)),
-        tasks.spawn(follow::follow(connections.front_ends.clone(), front_ends, others)),
+        tasks.spawn(follow::follow(
+            connections.roster.clone(),
+            executors,
+            roster,
+        )),
+        tasks.spawn(follow::follow(
+            connections.front_ends.clone(),
+            front_ends,
+            others,
+        )),
         tasks.spawn(registration.keep()),
     ]
 }
--- a/crates/frontend/src/etcd/registration.rs
+++ b/crates/frontend/src/etcd/registration.rs
@@ -45,7 +45,12 @@
 impl<H: MembershipHost> Registration<H> {
     pub fn new(host: Rc<H>, client: Rc<Client>, etcd: &Etcd) -> Registration<H> {
         let prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
-        Registration { host, client, prefix, wanted_ttl: etcd.lease.ceil() as i64 }
+        Registration {
+            host,
+            client,
+            prefix,
+            wanted_ttl: etcd.lease.ceil() as i64,
+        }
     }
 
     /// Claims an index and keeps the entry's lease, again for as long as it is polled.
@@ -75,11 +80,20 @@
     /// Puts the entry under a free index; `None` if another front end was faster.
     async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, Fault> {
         let entries = list(&self.client, &self.prefix).await?.entries;
-        let taken: BTreeSet<u32> = entries.iter().filter_map(|entry| entries::index(&entry.key)).collect();
+        let taken: BTreeSet<u32> = entries
+            .iter()
+            .filter_map(|entry| entries::index(&entry.key))
+            .collect();
         let index = Members::wanted(&taken, rand::random(), lost_claims);
         let began = self.host.now();
-        let grant = LeaseGrantRequest { ttl: self.wanted_ttl, id: 0 };
-        let granted: LeaseGrantResponse = self.client.unary(LEASE_GRANT, &grant, REQUEST_TIMEOUT).await?;
+        let grant = LeaseGrantRequest {
+            ttl: self.wanted_ttl,
+            id: 0,
+        };
+        let granted: LeaseGrantResponse = self
+            .client
+            .unary(LEASE_GRANT, &grant, REQUEST_TIMEOUT)
+            .await?;
         let claim = self.claim_transaction(index, granted.id);
         let claimed: TxnResponse = self.client.unary(TXN, &claim, REQUEST_TIMEOUT).await?;
         if !claimed.succeeded {
@@ -93,7 +107,11 @@
         }
         info!(index, "this front end is in the store");
         self.host.members_changed();
-        Ok(Some(Lease { id: granted.id, ttl, until: began + ttl }))
+        Ok(Some(Lease {
+            id: granted.id,
+            ttl,
+            until: began + ttl,
+        }))
     }
 
     /// Puts the entry where no other stands.
@@ -106,10 +124,17 @@
             key: key.clone(),
             target_union: Some(TargetUnion::CreateRevision(0)),
         };
-        let put = PutRequest { key, value: value.into(), lease, prev_kv: false };
+        let put = PutRequest {
+            key,
+            value: value.into(),
+            lease,
+            prev_kv: false,
+        };
         TxnRequest {
             compare: vec![is_free],
-            success: vec![RequestOp { request: Some(Request::RequestPut(put)) }],
+            success: vec![RequestOp {
+                request: Some(Request::RequestPut(put)),
+            }],
             failure: vec![],
         }
     }
@@ -123,7 +148,10 @@
             match self.renew(lease.id).await {
                 Ok(answer) if answer.ttl > 0 => {
                     lease.until = began + answer.ttl as f64;
-                    self.host.members().borrow_mut().renewed(began, answer.ttl as f64);
+                    self.host
+                        .members()
+                        .borrow_mut()
+                        .renewed(began, answer.ttl as f64);
                 }
                 Ok(_) => {
                     warn!("this front end's lease was over though it lives");
@@ -144,8 +172,12 @@
 
     async fn renew(&self, id: i64) -> Result<LeaseKeepAliveResponse, Fault> {
         let question = LeaseKeepAliveRequest { id };
-        let mut stream =
-            self.client.both::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT).await?;
-        orchidtally_net::within(REQUEST_TIMEOUT, stream.next()).await.unwrap_or(Err(Fault::TimedOut))
+        let mut stream = self
+            .client
+            .both::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
+            .await?;
+        orchidtally_net::within(REQUEST_TIMEOUT, stream.next())
+            .await
+            .unwrap_or(Err(Fault::TimedOut))
     }
 }
--- a/crates/frontend/src/etcd/roster.rs
+++ b/crates/frontend/src/etcd/roster.rs
@@ -38,8 +38,13 @@
     fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
         let now = self.host.now();
         let list: Vec<Change> = list.iter().map(entries::listed).collect();
-        let read = |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told = self.host.cache().borrow_mut().listed(now, entries::stamp(header), &list, &read);
+        let read =
+            |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
+        let told = self
+            .host
+            .cache()
+            .borrow_mut()
+            .listed(now, entries::stamp(header), &list, &read);
         self.tell(told);
         self.host.roster_confirmed(began);
     }
@@ -47,8 +52,13 @@
     fn changed(&self, header: &ResponseHeader, events: &[Event]) {
         let now = self.host.now();
         let changes = entries::changes(events);
-        let read = |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told = self.host.cache().borrow_mut().changed(now, entries::stamp(header), &changes, &read);
+        let read =
+            |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
+        let told =
+            self.host
+                .cache()
+                .borrow_mut()
+                .changed(now, entries::stamp(header), &changes, &read);
         for (key, why) in self.host.cache().borrow().faults() {
             debug!(key = %String::from_utf8_lossy(key), why, "an entry can't be read; the last good one counts");
         }
@@ -56,7 +66,10 @@
     }
 
     fn progressed(&self, began: Option<f64>, header: &ResponseHeader) {
-        self.host.cache().borrow_mut().progressed(self.host.now(), entries::stamp(header));
+        self.host
+            .cache()
+            .borrow_mut()
+            .progressed(self.host.now(), entries::stamp(header));
         // Where a list has to come first, what is known is not what the store has.
         if let Some(began) = began.filter(|_| self.next() != Next::List) {
             self.host.roster_confirmed(began);
--- a/crates/frontend/src/hub/exchange.rs
+++ b/crates/frontend/src/hub/exchange.rs
@@ -88,8 +88,10 @@
     /// Two front ends with one index share a turn at each cold executor.
     fn another_has_index(&self, executor: ExecutorId) {
         self.index_taken.set(self.index_taken.get() + 1);
-        let warned_lately =
-            self.warned_of_index.get().is_some_and(|at| at.elapsed() < INDEX_WARNING_INTERVAL);
+        let warned_lately = self
+            .warned_of_index
+            .get()
+            .is_some_and(|at| at.elapsed() < INDEX_WARNING_INTERVAL);
         if !warned_lately {
             self.warned_of_index.set(Some(Instant::now()));
             error!(index = self.sender.get().index, executor = %executor.0, "another front end has this one's index");
@@ -107,13 +109,19 @@
             may_leave.then(|| frame(&self.dispatch_head(&dispatch)))
         };
         let payload = &dispatch.work.payload;
-        let exchanged = dispatch.pool.exchange_if::<v1::Answer>(DISPATCH, head, payload).await;
+        let exchanged = dispatch
+            .pool
+            .exchange_if::<v1::Answer>(DISPATCH, head, payload)
+            .await;
         if let Some(refusal) = refusal.take() {
             return self.refused((dispatch.inv, dispatch.number), refusal);
         }
         self.heard_of(dispatch.to, exchanged.as_ref().err().copied());
         match exchanged {
-            Ok((answer, incoming)) => self.dispatch_answered(&dispatch, began, answer, incoming).await,
+            Ok((answer, incoming)) => {
+                self.dispatch_answered(&dispatch, began, answer, incoming)
+                    .await
+            }
             Err(seen) => self.dispatch_broke_off(&dispatch, seen),
         }
     }
@@ -122,7 +130,9 @@
     /// client's time or the window of its token be over.
     fn still_holds(&self, dispatch: &Dispatch) -> bool {
         let now = self.look();
-        self.engine.borrow_mut().leaves(now, dispatch.inv, dispatch.number)
+        self.engine
+            .borrow_mut()
+            .leaves(now, dispatch.inv, dispatch.number)
     }
 
     /// The same of an order to load that was given at a time.
@@ -162,7 +172,12 @@
         }
         self.dispatch_ended(
             dispatch,
-            DispatchEnd { ending, told: NOTHING_TOLD, brought: None, timing: None },
+            DispatchEnd {
+                ending,
+                told: NOTHING_TOLD,
+                brought: None,
+                timing: None,
+            },
         );
     }
 
@@ -185,7 +200,9 @@
         };
         if matches!(found, Found::Loaded | Found::LoadFailed) {
             let succeeded = found == Found::Loaded;
-            self.shares.borrow_mut().load_ended(dispatch.version, succeeded, answer.digest_differs);
+            self.shares
+                .borrow_mut()
+                .load_ended(dispatch.version, succeeded, answer.digest_differs);
         }
         let timing = || Timing {
             took: began.elapsed().as_secs_f64(),
@@ -193,11 +210,15 @@
         };
         let may_stream = dispatch.work.trigger_type.trigger.streams;
         let (seen, brought) = match answer.ending() {
-            v1::Ending::Ok if answer.streams && may_stream => {
-                (self.stream_answer(dispatch, timing(), &mut incoming).await, None)
-            }
+            v1::Ending::Ok if answer.streams && may_stream => (
+                self.stream_answer(dispatch, timing(), &mut incoming).await,
+                None,
+            ),
             v1::Ending::Ok => match incoming.whole(self.deployment.bounds.answer_bytes).await {
-                Ok(chunks) => (Transport::Answered(Ending::Ok), Some(Brought::Whole(chunks))),
+                Ok(chunks) => (
+                    Transport::Answered(Ending::Ok),
+                    Some(Brought::Whole(chunks)),
+                ),
                 Err(seen) => (seen, None),
             },
             v1::Ending::Error => {
@@ -210,13 +231,30 @@
             v1::Ending::Miss => (Transport::Answered(Ending::Miss), None),
             v1::Ending::Unspecified => (Transport::Malformed, None),
         };
-        let told = Told { found, crowd: answer.crowd, report: &answer.report };
+        let told = Told {
+            found,
+            crowd: answer.crowd,
+            report: &answer.report,
+        };
         let ending = evidence::ending(seen);
-        self.dispatch_ended(dispatch, DispatchEnd { ending, told, brought, timing: Some(timing()) });
+        self.dispatch_ended(
+            dispatch,
+            DispatchEnd {
+                ending,
+                told,
+                brought,
+                timing: Some(timing()),
+            },
+        );
     }
 
     /// Passes a streamed answer on, unless another dispatch of the invocation has answered.
-    async fn stream_answer(&self, dispatch: &Dispatch, timing: Timing, incoming: &mut Incoming) -> Transport {
+    async fn stream_answer(
+        &self,
+        dispatch: &Dispatch,
+        timing: Timing,
+        incoming: &mut Incoming,
+    ) -> Transport {
         let (parts, body) = async_channel::bounded(STREAM_PARTS);
         let is_first = self.play(|engine, now, performer| {
             performer.brought = Some(Brought::Streamed(body));
@@ -225,13 +263,20 @@
             performer.brought = None;
             is_first
         });
-        if is_first { self.pass_on(incoming, parts).await } else { Transport::Reset }
+        if is_first {
+            self.pass_on(incoming, parts).await
+        } else {
+            Transport::Reset
+        }
     }
 
     /// A dispatch failed in a way that may count against its version.
     fn version_failed(&self, dispatch: &Dispatch, broke: bool) {
         let executor = number(dispatch.to);
-        let counts = self.shares.borrow_mut().dispatch_failed(self.now(), executor, dispatch.version, broke);
+        let counts =
+            self.shares
+                .borrow_mut()
+                .dispatch_failed(self.now(), executor, dispatch.version, broke);
         let failed = &dispatch.work.failed;
         failed.set(failed.get() | counts);
     }
@@ -276,7 +321,8 @@
         let time = seconds(self.deployment.bounds.order_time);
         // One that loads nothing may always go.
         let head = || {
-            let may_leave = order.kind() != v1::OrderKind::Hold || self.order_still_holds(to, given_at);
+            let may_leave =
+                order.kind() != v1::OrderKind::Hold || self.order_still_holds(to, given_at);
             may_leave.then(|| frame(&order))
         };
         let exchange = pool.exchange_if::<v1::OrderAnswer>(ORDER, head, &[]);
@@ -300,7 +346,9 @@
             let ending = evidence::ending(seen);
             // An executor that is gone or full tells nothing of the version.
             if matches!(ending, Ending::Ok | Ending::Error) {
-                self.shares.borrow_mut().load_ended(function, ending == Ending::Ok, differs);
+                self.shares
+                    .borrow_mut()
+                    .load_ended(function, ending == Ending::Ok, differs);
             }
             self.play(|engine, now, performer| engine.held(now, to, function, ending, performer));
         }
--- a/crates/frontend/src/hub/invocation.rs
+++ b/crates/frontend/src/hub/invocation.rs
@@ -90,7 +90,11 @@
     /// What it uses, by name.
     pub fn subject(&self) -> Subject<'_> {
         let trigger_type = &self.trigger_type.trigger.name;
-        Subject { function: &self.function, trigger_type, customer: self.customer.name }
+        Subject {
+            function: &self.function,
+            trigger_type,
+            customer: self.customer.name,
+        }
     }
 }
 
@@ -173,7 +177,12 @@
     fn take(&self, offer: Offer, work: Work) -> Result<Taken, Refused> {
         let (reply, answer) = oneshot::channel();
         let inv = Rc::new(Cell::new(0));
-        let client = Client { work: Rc::new(work), offer, inv: inv.clone(), reply };
+        let client = Client {
+            work: Rc::new(work),
+            offer,
+            inv: inv.clone(),
+            reply,
+        };
         self.play(|engine, now, performer| performer.offer(engine, now, client))?;
         Ok(Taken { inv, answer })
     }
@@ -185,7 +194,11 @@
     /// The invocation was not taken: nothing of it was dispatched.
     pub async fn invoke(&self, asked: Asked<'_>) -> Result<Result<Final, AnswerLost>, NotTaken> {
         let Taken { inv, answer } = self.take_asked(asked)?;
-        let mut guard = WithdrawGuard { hub: self, inv, is_answered: false };
+        let mut guard = WithdrawGuard {
+            hub: self,
+            inv,
+            is_answered: false,
+        };
         let answer = answer.await;
         guard.is_answered = true;
         Ok(answer.map_err(|_| AnswerLost))
@@ -225,7 +238,10 @@
 
     /// The name of the front end's own location.
     pub fn location(&self) -> &str {
-        self.deployment.locations.get(usize::from(self.deployment.policy.zone)).map_or("", String::as_str)
+        self.deployment
+            .locations
+            .get(usize::from(self.deployment.policy.zone))
+            .map_or("", String::as_str)
     }
 
     /// The version that an invocation gets, and whether it counts as evidence.
@@ -237,7 +253,9 @@
         customer: usize,
         who: &Who,
     ) -> Option<Resolved> {
-        self.shares.borrow_mut().resolve(function, asked, trigger_type, customer, who)
+        self.shares
+            .borrow_mut()
+            .resolve(function, asked, trigger_type, customer, who)
     }
 
     /// What the coordinators said, and what is due by the time: runs that were taken back give up what waits.
@@ -268,7 +286,10 @@
                     ahead.version.digest.clone(),
                 );
                 let before = engine.tally().orders;
-                (engine.ahead(now, &wish, performer), engine.tally().orders > before)
+                (
+                    engine.ahead(now, &wish, performer),
+                    engine.tally().orders > before,
+                )
             });
             self.shares.borrow_mut().prepared(&ahead, known, ordered);
         }
--- a/crates/frontend/src/hub/mod.rs
+++ b/crates/frontend/src/hub/mod.rs
@@ -96,7 +96,9 @@
 
 /// Seconds since 1970 by the system's clock.
 fn wall() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64())
 }
 
 fn seconds(time: f64) -> Duration {
@@ -126,7 +128,10 @@
         };
         let hub = Rc::new_cyclic(|hub: &Weak<Hub>| {
             let mut performer = Performer::new(hub.clone());
-            let (policy, most) = (deployment.policy.clone(), deployment.bounds.open_invocations);
+            let (policy, most) = (
+                deployment.policy.clone(),
+                deployment.bounds.open_invocations,
+            );
             let engine = match random {
                 true => Engine::with_baseline(Box::new(Random::new(seed)), most, now),
                 false => Engine::new(policy, most, seed, now, &mut performer),
@@ -165,14 +170,19 @@
             }
         });
         if let Source::Listed(rows) = &hub.deployment.source {
-            hub.play(|engine, now, performer| engine.roster(now, RosterKind::Full, rows, performer));
+            hub.play(|engine, now, performer| {
+                engine.roster(now, RosterKind::Full, rows, performer)
+            });
         }
         hub
     }
 
     /// Seconds since 1970, by a clock that never goes back.
     pub fn now(&self) -> f64 {
-        let now = self.clock.borrow_mut().read(self.started.elapsed().as_secs_f64());
+        let now = self
+            .clock
+            .borrow_mut()
+            .read(self.started.elapsed().as_secs_f64());
         self.standstills.borrow_mut().look(now);
         now
     }
@@ -236,18 +246,25 @@
             Timer::after(HOUSEKEEPING_INTERVAL).await;
             let monotonic = self.started.elapsed().as_secs_f64();
             let mut clock = self.clock.borrow_mut();
-            let stepped = step.filter(|(at, _)| monotonic >= *at).map_or(0.0, |(_, by)| by);
+            let stepped = step
+                .filter(|(at, _)| monotonic >= *at)
+                .map_or(0.0, |(_, by)| by);
             clock.anchor(monotonic, wall() + ahead + stepped);
             let astray = clock.astray();
             drop(clock);
             let far = astray.abs() > self.deployment.policy.skew / 2.0;
             if far && !warned {
-                warn!(astray, "the wall clock was stepped; the time is put right by half a thousandth");
+                warn!(
+                    astray,
+                    "the wall clock was stepped; the time is put right by half a thousandth"
+                );
             }
             warned = far;
             let mut performer = self.performer.borrow_mut();
             performer.pools.retain(|_, pool| !pool.sweep());
-            performer.names.retain(|_, named| named.at.elapsed() < KEEP_NAMES);
+            performer
+                .names
+                .retain(|_, named| named.at.elapsed() < KEEP_NAMES);
         }
     }
 
@@ -283,7 +300,11 @@
         }
         let shares = figure.shares && now >= self.slot_count.get().1 + LATE;
         let index = figure.index.unwrap_or(0);
-        self.sender.set(v1::Sender { index, count: slot_count, ..self.sender.get() });
+        self.sender.set(v1::Sender {
+            index,
+            count: slot_count,
+            ..self.sender.get()
+        });
         let living = MembershipView {
             front_ends: f64::from(figure.count),
             slot_count: f64::from(slot_count),
--- a/crates/frontend/src/hub/performer.rs
+++ b/crates/frontend/src/hub/performer.rs
@@ -90,11 +90,27 @@
     }
 
     pub(super) fn name(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
-        self.names.insert(key, Named { function, digest, at: Instant::now() });
+        self.names.insert(
+            key,
+            Named {
+                function,
+                digest,
+                at: Instant::now(),
+            },
+        );
     }
 
-    pub(super) fn offer(&mut self, engine: &mut Engine, now: f64, client: Client) -> Result<u32, Refused> {
-        self.name(client.offer.function, client.work.function.clone(), client.work.digest.clone());
+    pub(super) fn offer(
+        &mut self,
+        engine: &mut Engine,
+        now: f64,
+        client: Client,
+    ) -> Result<u32, Refused> {
+        self.name(
+            client.offer.function,
+            client.work.function.clone(),
+            client.work.digest.clone(),
+        );
         let offer = client.offer.clone();
         self.taking = Some(client);
         let taken = engine.take(now, &offer, self);
@@ -106,9 +122,17 @@
 
     /// What waits and was never dispatched goes to the old version, whatever its effect: nothing has run.
     pub(super) fn move_waiting(&mut self, engine: &mut Engine, now: f64, run: u64) {
-        let Some(hub) = self.hub.upgrade() else { return };
-        let Some(to) = hub.shares.borrow().goes_back_to(run) else { return };
-        let is_new = |c: &Client| c.work.invoked.is_some_and(|i| i.run == run && i.arm == Arm::New);
+        let Some(hub) = self.hub.upgrade() else {
+            return;
+        };
+        let Some(to) = hub.shares.borrow().goes_back_to(run) else {
+            return;
+        };
+        let is_new = |c: &Client| {
+            c.work
+                .invoked
+                .is_some_and(|i| i.run == run && i.arm == Arm::New)
+        };
         let mut waiting: Vec<u32> = self
             .clients
             .iter()
@@ -119,14 +143,28 @@
         for inv in waiting {
             engine.withdrawn(now, inv, self);
             if let Some(client) = self.clients.remove(&inv) {
-                self.moving.push(Moving { client, to: to.clone(), dispatched: 0 });
+                self.moving.push(Moving {
+                    client,
+                    to: to.clone(),
+                    dispatched: 0,
+                });
             }
         }
     }
 
     /// Takes an invocation anew, for another version. The change is in the log, and in the names of its dispatches.
     pub(super) fn offer_again(&mut self, engine: &mut Engine, now: f64, moving: Moving) {
-        let Moving { client: Client { work, mut offer, inv, reply }, to, dispatched } = moving;
+        let Moving {
+            client:
+                Client {
+                    work,
+                    mut offer,
+                    inv,
+                    reply,
+                },
+            to,
+            dispatched,
+        } = moving;
         info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "moved to the old version");
         (offer.function, offer.moved) = (to.key, true);
         (offer.lanes, offer.load_time, offer.work) = (to.lanes, to.load_time, to.work);
@@ -145,24 +183,44 @@
             payload: work.payload.clone(),
             payload_bytes: work.payload_bytes,
         });
-        if self.offer(engine, now, Client { work, offer, inv, reply }).is_err()
+        if self
+            .offer(
+                engine,
+                now,
+                Client {
+                    work,
+                    offer,
+                    inv,
+                    reply,
+                },
+            )
+            .is_err()
             && let Some(client) = self.taking.take()
         {
             // The front end is ending or full; asking again is harmless, or it would not have been moved.
-            let _ = client.reply.send(Final::Throttled { retry_after: 0.0, past_share: false });
+            let _ = client.reply.send(Final::Throttled {
+                retry_after: 0.0,
+                past_share: false,
+            });
         }
     }
 
     /// Sends the final answer of an invocation to its client; no other function does. What it came to is evidence on
     /// its version.
     fn answer(&mut self, inv: u32, answer: Final) {
-        let Some(client) = self.clients.remove(&inv) else { return };
+        let Some(client) = self.clients.remove(&inv) else {
+            return;
+        };
         let timing = self.timing.take();
         if let (Some(invoked), Some(hub)) = (client.work.invoked, self.hub.upgrade())
             && let Some(to) = add_evidence(&hub, &client, &invoked, &answer, timing)
             && client.offer.timeout_at - hub.now() > LEAST_TIME_TO_MOVE
         {
-            self.moving.push(Moving { client, to, dispatched: MOST_DISPATCHES });
+            self.moving.push(Moving {
+                client,
+                to,
+                dispatched: MOST_DISPATCHES,
+            });
             return;
         }
         // A client that went away meanwhile needs no answer.
@@ -170,9 +228,14 @@
     }
 
     fn order(&mut self, to: ExecutorId, function: u64, kind: v1::OrderKind, copies: u8) {
-        let Some(hub) = self.hub.upgrade() else { return };
+        let Some(hub) = self.hub.upgrade() else {
+            return;
+        };
         let Some(named) = self.names.get(&function) else {
-            warn!(function, "an order for a function that nobody invoked lately was left out");
+            warn!(
+                function,
+                "an order for a function that nobody invoked lately was left out"
+            );
             return;
         };
         let order = v1::Order {
@@ -202,17 +265,24 @@
     let work = &client.work;
     let (outcome, may_have_run) = match answer {
         Final::Succeeded(_) => {
-            let Timing { took, warm } = timing.unwrap_or(Timing { took: 0.0, warm: false });
+            let Timing { took, warm } = timing.unwrap_or(Timing {
+                took: 0.0,
+                warm: false,
+            });
             (AnswerOutcome::Succeeded { took, warm }, true)
         }
         Final::Throttled { .. } => (AnswerOutcome::Throttled, false),
         Final::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
         Final::Errored { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
     };
-    if let Final::Errored { cause: Cause::TimedOut, .. } = answer
+    if let Final::Errored {
+        cause: Cause::TimedOut,
+        ..
+    } = answer
         && work.last.get() != 0
     {
-        let counts = shares.dispatch_failed(hub.now(), work.last.get(), client.offer.function, true);
+        let counts =
+            shares.dispatch_failed(hub.now(), work.last.get(), client.offer.function, true);
         work.failed.set(work.failed.get() | counts);
     }
     shares.answered(invoked, outcome, work.failed.get());
@@ -231,13 +301,25 @@
     }
 
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let Some(hub) = self.hub.upgrade() else { return };
-        let Some(client) = self.clients.get(&inv) else { return };
+        let Some(hub) = self.hub.upgrade() else {
+            return;
+        };
+        let Some(client) = self.clients.get(&inv) else {
+            return;
+        };
         let (work, version) = (client.work.clone(), client.offer.function);
         let timeout_at = client.offer.timeout_at;
         work.last.set(number(to));
         let pool = self.pool(&hub, to);
-        let work = Dispatch { inv, number: dispatch, to, pool, work, version, timeout_at };
+        let work = Dispatch {
+            inv,
+            number: dispatch,
+            to,
+            pool,
+            work,
+            version,
+            timeout_at,
+        };
         if let Some(task) = hub.spawn(hub.clone().dispatch(work)) {
             self.out.insert((inv, dispatch), task);
         }
@@ -254,11 +336,23 @@
     }
 
     fn throttled(&mut self, inv: u32, retry_after: f64, past_share: bool) {
-        self.answer(inv, Final::Throttled { retry_after, past_share });
+        self.answer(
+            inv,
+            Final::Throttled {
+                retry_after,
+                past_share,
+            },
+        );
     }
 
     fn errored(&mut self, inv: u32, cause: Cause, may_have_run: bool) {
-        self.answer(inv, Final::Errored { cause, may_have_run });
+        self.answer(
+            inv,
+            Final::Errored {
+                cause,
+                may_have_run,
+            },
+        );
     }
 
     fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
@@ -274,9 +368,13 @@
     }
 
     fn probe(&mut self, to: ExecutorId) {
-        let Some(hub) = self.hub.upgrade() else { return };
+        let Some(hub) = self.hub.upgrade() else {
+            return;
+        };
         let pool = self.pool(&hub, to);
-        let probe = frame(&v1::Probe { from: Some(hub.sender.get()) });
+        let probe = frame(&v1::Probe {
+            from: Some(hub.sender.get()),
+        });
         let work = async move {
             let answered = pool.exchange::<v1::ProbeAnswer>(PROBE, probe, &[]).await;
             debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "probed");
@@ -287,7 +385,9 @@
     }
 
     fn watch_roster(&mut self) {
-        let Some(hub) = self.hub.upgrade() else { return };
+        let Some(hub) = self.hub.upgrade() else {
+            return;
+        };
         if let Some(task) = (hub.watch_roster)(&hub) {
             self.roster = Some(task);
         }
--- a/crates/frontend/src/hub/reconfigure.rs
+++ b/crates/frontend/src/hub/reconfigure.rs
@@ -36,12 +36,21 @@
 impl Revisions {
     /// The first revision: that of the deployment file, with the places of its lists as indices.
     pub(super) fn new(deployment: Rc<Deployment>) -> Revisions {
-        let overlay = Overlay { deployment: &deployment, view: None };
+        let overlay = Overlay {
+            deployment: &deployment,
+            view: None,
+        };
         let trigger_types: Vec<_> = overlay
             .trigger_types()
             .into_iter()
             .enumerate()
-            .map(|(index, (trigger, policy))| Rc::new(TriggerTypeInForce { trigger, policy, index }))
+            .map(|(index, (trigger, policy))| {
+                Rc::new(TriggerTypeInForce {
+                    trigger,
+                    policy,
+                    index,
+                })
+            })
             .collect();
         let customers: Vec<_> = overlay
             .customers()
@@ -68,7 +77,11 @@
 
     /// The longest client timeout among trigger types that are in force or held, in seconds.
     pub(super) fn longest_timeout(&self) -> f64 {
-        self.trigger_types.borrow().held().map(|held| held.policy.timeout).fold(0.0, f64::max)
+        self.trigger_types
+            .borrow()
+            .held()
+            .map(|held| held.policy.timeout)
+            .fold(0.0, f64::max)
     }
 
     /// Trigger types of the next revision; one that is unchanged is that of the present revision.
@@ -82,7 +95,9 @@
         let mut next = vec![];
         for (trigger, policy) in overlay.trigger_types() {
             let known = current.trigger_type(&trigger.name).map(|(_, known)| known);
-            if let Some(known) = known.filter(|known| known.trigger == trigger && known.policy == policy) {
+            if let Some(known) =
+                known.filter(|known| known.trigger == trigger && known.policy == policy)
+            {
                 next.push(known.clone());
                 continue;
             }
@@ -91,7 +106,11 @@
                 return Err(ReconfigureError::TooManyTriggerTypes);
             }
             taken.insert(index);
-            next.push(Rc::new(TriggerTypeInForce { trigger, policy, index }));
+            next.push(Rc::new(TriggerTypeInForce {
+                trigger,
+                policy,
+                index,
+            }));
         }
         Ok(next)
     }
@@ -103,12 +122,14 @@
         let mut next = HashMap::new();
         for (name, share) in overlay.customers() {
             let known = current.customer(&name).cloned();
-            let customer = known.filter(|known| known.share == share).unwrap_or_else(|| {
-                let known = current.customer(&name).map(|known| known.index);
-                let index = known.unwrap_or_else(|| indices.lowest_free(&taken, |_| false));
-                taken.insert(index);
-                Rc::new(CustomerInForce { index, share })
-            });
+            let customer = known
+                .filter(|known| known.share == share)
+                .unwrap_or_else(|| {
+                    let known = current.customer(&name).map(|known| known.index);
+                    let index = known.unwrap_or_else(|| indices.lowest_free(&taken, |_| false));
+                    taken.insert(index);
+                    Rc::new(CustomerInForce { index, share })
+                });
             next.insert(name, customer);
         }
         next
@@ -122,7 +143,11 @@
         }
         let held: Vec<_> = self.customers.borrow().held().collect();
         let known = held.iter().chain(next.values());
-        let count = known.clone().map(|customer| customer.index + 1).max().unwrap_or(0);
+        let count = known
+            .clone()
+            .map(|customer| customer.index + 1)
+            .max()
+            .unwrap_or(0);
         let mut shares = vec![0.0; count];
         known.for_each(|customer| shares[customer.index] = customer.share);
         shares
@@ -130,9 +155,13 @@
 
     fn put_in_force(&self, next: Revision) {
         let mut trigger_types = self.trigger_types.borrow_mut();
-        next.trigger_types.iter().for_each(|known| trigger_types.hold(known.index, known));
+        next.trigger_types
+            .iter()
+            .for_each(|known| trigger_types.hold(known.index, known));
         let mut customers = self.customers.borrow_mut();
-        next.customers.values().for_each(|customer| customers.hold(customer.index, customer));
+        next.customers
+            .values()
+            .for_each(|customer| customers.hold(customer.index, customer));
         self.current.replace(Rc::new(next));
     }
 }
@@ -153,7 +182,10 @@
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn reconfigure(&self, deployment: Rc<Deployment>) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn reconfigure(
+        &self,
+        deployment: Rc<Deployment>,
+    ) -> Result<Rc<Revision>, ReconfigureError> {
         let view = self.revision().view.clone();
         self.replace_revision(deployment, view)
     }
@@ -162,7 +194,10 @@
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn put_view_in_force(&self, view: Arc<ConfigView>) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn put_view_in_force(
+        &self,
+        view: Arc<ConfigView>,
+    ) -> Result<Rc<Revision>, ReconfigureError> {
         let deployment = self.revision().deployment.clone();
         self.replace_revision(deployment, Some(view))
     }
@@ -172,7 +207,10 @@
         deployment: Rc<Deployment>,
         view: Option<Arc<ConfigView>>,
     ) -> Result<Rc<Revision>, ReconfigureError> {
-        let overlay = Overlay { deployment: &deployment, view: view.as_deref() };
+        let overlay = Overlay {
+            deployment: &deployment,
+            view: view.as_deref(),
+        };
         let is_used = |index| self.engine.borrow().uses_trigger_type(index);
         let trigger_types = self.revisions.next_trigger_types(&overlay, is_used)?;
         let customers = self.revisions.next_customers(&overlay);
@@ -180,7 +218,10 @@
         check_quotas(&shares)?;
         let current = self.revision();
         let is_new = |wanted: &&Rc<TriggerTypeInForce>| {
-            !current.trigger_types.iter().any(|known| Rc::ptr_eq(known, wanted))
+            !current
+                .trigger_types
+                .iter()
+                .any(|known| Rc::ptr_eq(known, wanted))
         };
         // What the engine takes before it refuses is under indices that no invocation can name.
         self.play(|engine, now, _| {
@@ -190,7 +231,13 @@
             engine.set_quotas(now, shares)
         })?;
         let number = current.number + 1;
-        self.revisions.put_in_force(Revision { number, deployment, view, trigger_types, customers });
+        self.revisions.put_in_force(Revision {
+            number,
+            deployment,
+            view,
+            trigger_types,
+            customers,
+        });
         Ok(self.revision())
     }
 }
--- a/crates/frontend/src/hub/refusing.rs
+++ b/crates/frontend/src/hub/refusing.rs
@@ -14,16 +14,24 @@
     /// # Errors
     /// The configuration doesn't let it through.
     pub fn check_admission(&self, revision: &Revision, subject: &Subject) -> Result<(), NotTaken> {
-        let refusal =
-            self.admission.get().and_then(|admission| admission.refusal(revision.view.as_deref(), subject));
+        let refusal = self
+            .admission
+            .get()
+            .and_then(|admission| admission.refusal(revision.view.as_deref(), subject));
         refusal.map_or(Ok(()), |refusal| Err(NotTaken::Refused(refusal)))
     }
 
     /// Why the bytes of a dispatch may not go out now.
     pub(super) fn dispatch_refusal(&self, work: &Work) -> Option<Refusal> {
         let trigger_type = &work.trigger_type.trigger.name;
-        let subject = Subject { function: &work.function, trigger_type, customer: &work.customer };
-        self.admission.get()?.refusal(work.revision.view.as_deref(), &subject)
+        let subject = Subject {
+            function: &work.function,
+            trigger_type,
+            customer: &work.customer,
+        };
+        self.admission
+            .get()?
+            .refusal(work.revision.view.as_deref(), &subject)
     }
 
     /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is out, whose answer
@@ -41,7 +49,10 @@
                 engine.withdrawn(now, inv, performer);
                 if let Some(client) = performer.clients.remove(&inv) {
                     // A client that went away meanwhile needs no answer.
-                    let _ = client.reply.send(Final::Refused { refusal, may_have_run });
+                    let _ = client.reply.send(Final::Refused {
+                        refusal,
+                        may_have_run,
+                    });
                 }
             }
             engine.ended(now, inv, n, Ending::NeverSent, NOTHING_TOLD, performer);
--- a/crates/frontend/src/hub/revision.rs
+++ b/crates/frontend/src/hub/revision.rs
@@ -45,17 +45,26 @@
 impl Revision {
     /// A trigger type by its name, with its place among all.
     pub fn trigger_type(&self, name: &str) -> Option<(usize, &Rc<TriggerTypeInForce>)> {
-        self.trigger_types.iter().enumerate().find(|(_, known)| known.trigger.name == name)
+        self.trigger_types
+            .iter()
+            .enumerate()
+            .find(|(_, known)| known.trigger.name == name)
     }
 
     /// The trigger type of invocations that name none: there has to be just one.
     pub fn only_trigger_type(&self) -> Option<(usize, &Rc<TriggerTypeInForce>)> {
-        self.trigger_types.first().filter(|_| self.trigger_types.len() == 1).map(|only| (0, only))
+        self.trigger_types
+            .first()
+            .filter(|_| self.trigger_types.len() == 1)
+            .map(|only| (0, only))
     }
 
     /// Names of all trigger types, in their order.
     pub fn trigger_type_names(&self) -> Vec<&str> {
-        self.trigger_types.iter().map(|known| known.trigger.name.as_str()).collect()
+        self.trigger_types
+            .iter()
+            .map(|known| known.trigger.name.as_str())
+            .collect()
     }
 
     /// Whether invocations have to name a customer.
@@ -75,17 +84,25 @@
 
     /// The deployment file with the store's entries over it.
     pub(super) fn overlay(&self) -> Overlay<'_> {
-        Overlay { deployment: &self.deployment, view: self.view.as_deref() }
+        Overlay {
+            deployment: &self.deployment,
+            view: self.view.as_deref(),
+        }
     }
 
     /// This revision as a deployment in which the trigger types of `start` keep their places; one that was taken
     /// away stands there as it was. Rules of triggers by messages name trigger types by these places.
     pub fn aligned_to(&self, start: &Deployment) -> Deployment {
-        let mut aligned = Deployment { policy: start.policy.clone(), ..(*self.deployment).clone() };
+        let mut aligned = Deployment {
+            policy: start.policy.clone(),
+            ..(*self.deployment).clone()
+        };
         aligned.trigger_types = start.trigger_types.clone();
         aligned.customers = self.customers.keys().cloned().collect();
         let overlay = self.overlay();
-        let stored = overlay.stored_functions().map(|function| (function.name.clone(), function));
+        let stored = overlay
+            .stored_functions()
+            .map(|function| (function.name.clone(), function));
         aligned.functions.extend(stored);
         for (place, trigger) in start.trigger_types.iter().enumerate() {
             if let Some((_, known)) = self.trigger_type(&trigger.name) {
@@ -109,13 +126,24 @@
     where
         T: 'h,
     {
-        Indices { holders: held.map(Rc::downgrade).collect() }
+        Indices {
+            holders: held.map(Rc::downgrade).collect(),
+        }
     }
 
     /// The lowest index that nobody holds, that isn't in `taken` and that the engine doesn't use.
-    pub(super) fn lowest_free(&self, taken: &BTreeSet<usize>, is_used: impl Fn(usize) -> bool) -> usize {
-        let is_unheld = |index: usize| self.holders.get(index).is_none_or(|h| h.strong_count() == 0);
-        let is_free = |index: &usize| !taken.contains(index) && is_unheld(*index) && !is_used(*index);
+    pub(super) fn lowest_free(
+        &self,
+        taken: &BTreeSet<usize>,
+        is_used: impl Fn(usize) -> bool,
+    ) -> usize {
+        let is_unheld = |index: usize| {
+            self.holders
+                .get(index)
+                .is_none_or(|h| h.strong_count() == 0)
+        };
+        let is_free =
+            |index: &usize| !taken.contains(index) && is_unheld(*index) && !is_used(*index);
         (0..).find(is_free).unwrap_or(usize::MAX)
     }
 
