--- a/crates/frontend/src/ingress/answer.rs
+++ b/crates/frontend/src/ingress/answer.rs
@@ -21,11 +21,16 @@
     type Data = Bytes;
     type Error = CutOff;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
         use futures_lite::stream::Stream;
         Poll::Ready(match self.get_mut() {
             Answer::Chunks(chunks) => chunks.pop_front().map(|c| Ok(Frame::data(c))),
-            Answer::Streamed(parts) => ready!(parts.as_mut().poll_next(cx)).map(|part| part.map(Frame::data)),
+            Answer::Streamed(parts) => {
+                ready!(parts.as_mut().poll_next(cx)).map(|part| part.map(Frame::data))
+            }
         })
     }
 
@@ -35,7 +40,9 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Chunks(chunks) => SizeHint::with_exact(chunks.iter().map(|c| c.len() as u64).sum()),
+            Answer::Chunks(chunks) => {
+                SizeHint::with_exact(chunks.iter().map(|c| c.len() as u64).sum())
+            }
             Answer::Streamed(_) => SizeHint::default(),
         }
     }
@@ -50,12 +57,25 @@
 }
 
 impl Problem {
-    pub(super) fn new(status: StatusCode, title: &'static str, detail: impl Into<String>) -> Problem {
-        Problem { status, title, detail: detail.into(), retry_after: None }
+    pub(super) fn new(
+        status: StatusCode,
+        title: &'static str,
+        detail: impl Into<String>,
+    ) -> Problem {
+        Problem {
+            status,
+            title,
+            detail: detail.into(),
+            retry_after: None,
+        }
     }
 
     pub(super) fn bad(detail: impl Into<String>) -> Problem {
-        Problem::new(StatusCode::BAD_REQUEST, "the invocation is malformed", detail)
+        Problem::new(
+            StatusCode::BAD_REQUEST,
+            "the invocation is malformed",
+            detail,
+        )
     }
 
     /// Nothing of what is refused here was ever dispatched.
@@ -68,7 +88,12 @@
     }
 }
 
-pub(super) fn problem(status: StatusCode, title: &str, detail: &str, may_have_run: bool) -> Response<Answer> {
+pub(super) fn problem(
+    status: StatusCode,
+    title: &str,
+    detail: &str,
+    may_have_run: bool,
+) -> Response<Answer> {
     let body = json!({
         "type": "about:blank",
         "title": title,
@@ -78,11 +103,17 @@
     });
     let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("application/problem+json"),
+    );
     response
 }
 
 pub(super) fn stay_away(headers: &mut HeaderMap, time: f64) {
     headers.insert(RETRY_AFTER, HeaderValue::from(time.ceil().max(1.0) as u64));
-    headers.insert(HeaderName::from_static(STAY_AWAY), HeaderValue::from((time * 1e3).ceil() as u64));
+    headers.insert(
+        HeaderName::from_static(STAY_AWAY),
+        HeaderValue::from((time * 1e3).ceil() as u64),
+    );
 }
--- a/crates/frontend/src/ingress/headers.rs
+++ b/crates/frontend/src/ingress/headers.rs
@@ -13,13 +13,19 @@
 /// A header that may be given once.
 pub(super) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
-    let Some(value) = values.next() else { return Ok(None) };
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
     if values.next().is_some() {
         return Err(Problem::bad(format!("header '{name}' is given twice")));
     }
-    let text = value.to_str().map_err(|_| Problem::bad(format!("header '{name}' is not plain text")))?;
+    let text = value
+        .to_str()
+        .map_err(|_| Problem::bad(format!("header '{name}' is not plain text")))?;
     if text.is_empty() || text.len() > MAX_NAME_LENGTH {
-        return Err(Problem::bad(format!("header '{name}' must have 1 to {MAX_NAME_LENGTH} letters")));
+        return Err(Problem::bad(format!(
+            "header '{name}' must have 1 to {MAX_NAME_LENGTH} letters"
+        )));
     }
     Ok(Some(text))
 }
@@ -49,7 +55,9 @@
         let policy = &trigger_type.policy;
         let token = header(headers, TOKEN)?;
         if policy.effect == Effect::Tokened && token.is_none() {
-            return Err(Problem::bad(format!("header '{TOKEN}' is missing; this trigger type is tokened")));
+            return Err(Problem::bad(format!(
+                "header '{TOKEN}' is missing; this trigger type is tokened"
+            )));
         }
         let time_left = time_left(headers)?.map_or(policy.timeout, |time| time.min(policy.timeout));
         Ok(InvocationHeaders {
@@ -83,21 +91,35 @@
 fn customer<'r>(headers: &'r HeaderMap, revision: &Revision) -> Result<NamedCustomer<'r>, Problem> {
     let given = header(headers, CUSTOMER)?;
     if !revision.has_customers() {
-        return Ok(NamedCustomer { index: 0, name: given.unwrap_or_default() });
+        return Ok(NamedCustomer {
+            index: 0,
+            name: given.unwrap_or_default(),
+        });
     }
     let name = given.ok_or_else(|| Problem::bad(format!("header '{CUSTOMER}' is missing")))?;
     match revision.customer(name) {
-        Some(customer) => Ok(NamedCustomer { index: customer.index, name }),
-        None => Err(Problem::new(StatusCode::FORBIDDEN, "unknown customer", format!("no customer '{name}'"))),
+        Some(customer) => Ok(NamedCustomer {
+            index: customer.index,
+            name,
+        }),
+        None => Err(Problem::new(
+            StatusCode::FORBIDDEN,
+            "unknown customer",
+            format!("no customer '{name}'"),
+        )),
     }
 }
 
 /// Seconds for which the client goes on waiting, where it says so.
 fn time_left(headers: &HeaderMap) -> Result<Option<f64>, Problem> {
-    let Some(text) = header(headers, TIME_LEFT)? else { return Ok(None) };
-    let milliseconds: u32 = text
-        .parse()
-        .map_err(|_| Problem::bad(format!("header '{TIME_LEFT}': '{text}' is no whole number of ms")))?;
+    let Some(text) = header(headers, TIME_LEFT)? else {
+        return Ok(None);
+    };
+    let milliseconds: u32 = text.parse().map_err(|_| {
+        Problem::bad(format!(
+            "header '{TIME_LEFT}': '{text}' is no whole number of ms"
+        ))
+    })?;
     Ok(Some(f64::from(milliseconds) / 1e3))
 }
 
@@ -105,6 +127,8 @@
     match header(headers, REPEAT)? {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
-        Some(other) => Err(Problem::bad(format!("header '{REPEAT}': '{other}' is neither 0 nor 1"))),
+        Some(other) => Err(Problem::bad(format!(
+            "header '{REPEAT}': '{other}' is neither 0 nor 1"
+        ))),
     }
 }
--- a/crates/frontend/src/ingress/invoke.rs
+++ b/crates/frontend/src/ingress/invoke.rs
@@ -22,22 +22,43 @@
     resolved: Resolved,
 }
 
-pub(super) async fn invoke(hub: &Hub, request: Request<Incoming>) -> Result<Response<Answer>, Problem> {
+pub(super) async fn invoke(
+    hub: &Hub,
+    request: Request<Incoming>,
+) -> Result<Response<Answer>, Problem> {
     let arrived = hub.arrived_by();
     let revision = hub.revision();
     let (parts, incoming) = request.into_parts();
     let path_name = function_of(parts.uri.path())?;
     if parts.method != Method::POST {
         let detail = format!("{} is not taken here, POST is", parts.method);
-        return Err(Problem::new(StatusCode::METHOD_NOT_ALLOWED, "wrong method", detail));
+        return Err(Problem::new(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "wrong method",
+            detail,
+        ));
     }
     let asked_headers = InvocationHeaders::read(&parts.headers, &revision)?;
     let is_named = asked_headers.invocation.is_some();
-    let invocation =
-        asked_headers.invocation.map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
-    let Target { function, resolved } =
-        target(hub, &revision, &path_name, &parts.headers, &asked_headers, &invocation)?;
-    let InvocationHeaders { trigger_type, customer, token, time_left, repeat, .. } = asked_headers;
+    let invocation = asked_headers
+        .invocation
+        .map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
+    let Target { function, resolved } = target(
+        hub,
+        &revision,
+        &path_name,
+        &parts.headers,
+        &asked_headers,
+        &invocation,
+    )?;
+    let InvocationHeaders {
+        trigger_type,
+        customer,
+        token,
+        time_left,
+        repeat,
+        ..
+    } = asked_headers;
     let (payload, payload_bytes) = body(hub, incoming, content_length(&parts.headers)).await?;
     let bounds = &hub.deployment.bounds;
     let asked = Asked {
@@ -49,17 +70,21 @@
         customer,
         token: token.unwrap_or_default(),
         repeat,
-        timeout_at: arrived + time_left - bounds.answer_margin - hub.open() as f64 * bounds.answer_time,
+        timeout_at: arrived + time_left
+            - bounds.answer_margin
+            - hub.open() as f64 * bounds.answer_time,
         payload,
         payload_bytes,
     };
     // Before it is promised: what is refused leaves no record.
-    hub.check_admission(&revision, &asked.subject()).map_err(|why| not_taken(hub, why))?;
+    hub.check_admission(&revision, &asked.subject())
+        .map_err(|why| not_taken(hub, why))?;
     let promised = match &hub.promise_store {
         Some(promise_store) if trigger_type.trigger.journalled => {
             if !is_named {
-                let detail =
-                    format!("header '{INVOCATION}' is missing; this trigger type is journalled by it");
+                let detail = format!(
+                    "header '{INVOCATION}' is missing; this trigger type is journalled by it"
+                );
                 return Err(Problem::bad(detail));
             }
             match promise(hub, promise_store, &invocation).await? {
@@ -70,13 +95,20 @@
         _ => None,
     };
     let answer = hub.invoke(asked).await.map_err(|why| not_taken(hub, why))?;
-    let FinalResponse { mut response, may_have_run } = FinalResponse::of(answer);
+    let FinalResponse {
+        mut response,
+        may_have_run,
+    } = FinalResponse::of(answer);
     if let (Some(promised), Answer::Chunks(chunks)) = (promised, response.body()) {
         let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
-        promised.answered(hub.now(), may_have_run, response.status().as_u16(), &body).await;
+        promised
+            .answered(hub.now(), may_have_run, response.status().as_u16(), &body)
+            .await;
     }
     if let Ok(value) = HeaderValue::from_str(&invocation) {
-        response.headers_mut().insert(HeaderName::from_static(INVOCATION), value);
+        response
+            .headers_mut()
+            .insert(HeaderName::from_static(INVOCATION), value);
     }
     Ok(response)
 }
@@ -95,7 +127,9 @@
         None => (path_name, None),
     };
     let unknown = |what: String| Problem::new(StatusCode::NOT_FOUND, "unknown function", what);
-    let function = revision.function(name).ok_or_else(|| unknown(format!("no function '{name}'")))?;
+    let function = revision
+        .function(name)
+        .ok_or_else(|| unknown(format!("no function '{name}'")))?;
     let customer = asked_headers.customer;
     // The sticky key of the split, where a rollout is on.
     let key = hub.shares.borrow().key(name).cloned();
@@ -105,11 +139,25 @@
         Some(Key::Token) => asked_headers.token,
         Some(Key::Header(name)) => header(headers, name)?,
     };
-    let who = Who { customer: customer.name, location: hub.location(), key: key.unwrap_or(invocation) };
-    let resolved =
-        hub.resolve(&function, version, asked_headers.trigger_place, customer.index, &who).ok_or_else(
-            || unknown(format!("function '{name}' has no version '{}'", version.unwrap_or("stable"))),
-        )?;
+    let who = Who {
+        customer: customer.name,
+        location: hub.location(),
+        key: key.unwrap_or(invocation),
+    };
+    let resolved = hub
+        .resolve(
+            &function,
+            version,
+            asked_headers.trigger_place,
+            customer.index,
+            &who,
+        )
+        .ok_or_else(|| {
+            unknown(format!(
+                "function '{name}' has no version '{}'",
+                version.unwrap_or("stable")
+            ))
+        })?;
     Ok(Target { function, resolved })
 }
 
--- a/crates/frontend/src/ingress/mod.rs
+++ b/crates/frontend/src/ingress/mod.rs
@@ -61,14 +61,25 @@
     if request.method() == Method::GET && request.uri().path() == "/v1/front-end" {
         return Ok(status(&hub));
     }
-    let asked =
-        request.uri().path().strip_prefix("/v1/invocations/").filter(|_| request.method() == Method::GET);
+    let asked = request
+        .uri()
+        .path()
+        .strip_prefix("/v1/invocations/")
+        .filter(|_| request.method() == Method::GET);
     if let (Some(name), Some(promise_store)) = (asked, &hub.promise_store) {
-        let unknown =
-            || problem(StatusCode::NOT_FOUND, "unknown invocation", "none of this name is kept here", false);
+        let unknown = || {
+            problem(
+                StatusCode::NOT_FOUND,
+                "unknown invocation",
+                "none of this name is kept here",
+                false,
+            )
+        };
         return Ok(promise_store.standing(name).map_or_else(unknown, recorded));
     }
-    Ok(invoke(&hub, request).await.unwrap_or_else(Problem::response))
+    Ok(invoke(&hub, request)
+        .await
+        .unwrap_or_else(Problem::response))
 }
 
 /// Spawns work of the HTTP library on this thread.
@@ -138,14 +149,22 @@
     let mut connection = pin!(builder.serve_connection(stream, service));
     let too_slow = async {
         async_io::Timer::after(2 * time).await;
-        if has_asked.get() { future::pending().await } else { None }
+        if has_asked.get() {
+            future::pending().await
+        } else {
+            None
+        }
     };
     let left = async {
         // Nothing is ever sent: the channel closes.
         let _ = leaving.recv().await;
         None
     };
-    let ended = future::or(async { Some(connection.as_mut().await) }, future::or(too_slow, left)).await;
+    let ended = future::or(
+        async { Some(connection.as_mut().await) },
+        future::or(too_slow, left),
+    )
+    .await;
     let ended = match ended {
         Some(ended) => ended,
         None if leaving.is_closed() => {
@@ -153,7 +172,10 @@
             connection.as_mut().await
         }
         None => {
-            warn!(?peer, "closed a connection whose first headers came too slowly");
+            warn!(
+                ?peer,
+                "closed a connection whose first headers came too slowly"
+            );
             return;
         }
     };
--- a/crates/frontend/src/ingress/promise.rs
+++ b/crates/frontend/src/ingress/promise.rs
@@ -39,17 +39,29 @@
 /// The response to a request for an invocation that was promised before.
 pub(super) fn recorded(standing: Standing) -> Response<Answer> {
     match standing {
-        Standing::Over(Outcome::Answered { status, body, whole }) => {
-            mark(recorded_answer(status, body, whole), RECORDED)
-        }
+        Standing::Over(Outcome::Answered {
+            status,
+            body,
+            whole,
+        }) => mark(recorded_answer(status, body, whole), RECORDED),
         Standing::Over(Outcome::Unknown) => {
-            let detail =
-                "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
-            mark(problem(StatusCode::INTERNAL_SERVER_ERROR, "unknown outcome", detail, true), RECORDED)
-        }
-        Standing::Running | Standing::New(_) => {
-            problem(StatusCode::CONFLICT, "still running", "an invocation of this name is under way", true)
+            let detail = "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
+            mark(
+                problem(
+                    StatusCode::INTERNAL_SERVER_ERROR,
+                    "unknown outcome",
+                    detail,
+                    true,
+                ),
+                RECORDED,
+            )
         }
+        Standing::Running | Standing::New(_) => problem(
+            StatusCode::CONFLICT,
+            "still running",
+            "an invocation of this name is under way",
+            true,
+        ),
         Standing::Full => {
             let detail = "as many invocations are kept as may be; nothing has run";
             problem(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail, false)
@@ -58,7 +70,11 @@
 }
 
 fn recorded_answer(status: u16, body: Bytes, whole: bool) -> Response<Answer> {
-    let chunks = if body.is_empty() { [].into() } else { [body].into() };
+    let chunks = if body.is_empty() {
+        [].into()
+    } else {
+        [body].into()
+    };
     let mut response = Response::new(Answer::Chunks(chunks));
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if status != StatusCode::OK {
@@ -66,11 +82,18 @@
         response.headers_mut().insert(CONTENT_TYPE, problem);
     }
     *response.status_mut() = status;
-    if whole { response } else { mark(response, BODY_LEFT_OUT) }
+    if whole {
+        response
+    } else {
+        mark(response, BODY_LEFT_OUT)
+    }
 }
 
 /// Adds a header with the value 1.
 fn mark(mut response: Response<Answer>, header: &'static str) -> Response<Answer> {
-    response.headers_mut().insert(HeaderName::from_static(header), HeaderValue::from_static("1"));
+    response.headers_mut().insert(
+        HeaderName::from_static(header),
+        HeaderValue::from_static("1"),
+    );
     response
 }
--- a/crates/frontend/src/ingress/request.rs
+++ b/crates/frontend/src/ingress/request.rs
@@ -11,10 +11,19 @@
 
 /// The function that a path names.
 pub(super) fn function_of(path: &str) -> Result<String, Problem> {
-    let unknown =
-        || Problem::new(StatusCode::NOT_FOUND, "no such place", "POST /v1/functions/{name}/invocations");
-    let name = path.strip_prefix("/v1/functions/").and_then(|p| p.strip_suffix("/invocations"));
-    let name = name.filter(|n| !n.is_empty() && !n.contains('/')).ok_or_else(unknown)?;
+    let unknown = || {
+        Problem::new(
+            StatusCode::NOT_FOUND,
+            "no such place",
+            "POST /v1/functions/{name}/invocations",
+        )
+    };
+    let name = path
+        .strip_prefix("/v1/functions/")
+        .and_then(|p| p.strip_suffix("/invocations"));
+    let name = name
+        .filter(|n| !n.is_empty() && !n.contains('/'))
+        .ok_or_else(unknown)?;
     let mut bytes = Vec::with_capacity(name.len());
     let mut rest = name.bytes();
     while let Some(byte) = rest.next() {
@@ -24,7 +33,9 @@
         }
         let digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
         let (Some(high), Some(low)) = (digit(rest.next()), digit(rest.next())) else {
-            return Err(Problem::bad("the path has a '%' without two hexadecimal digits"));
+            return Err(Problem::bad(
+                "the path has a '%' without two hexadecimal digits",
+            ));
         };
         bytes.push((16 * high + low) as u8);
     }
@@ -40,7 +51,11 @@
     let bounds = &hub.deployment.bounds;
     let too_large = || {
         let detail = format!("{} bytes at most are taken", bounds.body_bytes);
-        Problem::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large", detail)
+        Problem::new(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is too large",
+            detail,
+        )
     };
     if content_length.is_some_and(|n| n > bounds.body_bytes as u64) {
         return Err(too_large());
@@ -62,8 +77,14 @@
         }
         Ok((chunks, length))
     };
-    within(Duration::from_secs_f64(bounds.sender_time), gather).await.unwrap_or_else(|| {
-        let detail = format!("it has to be here within {} s", bounds.sender_time);
-        Err(Problem::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly", detail))
-    })
+    within(Duration::from_secs_f64(bounds.sender_time), gather)
+        .await
+        .unwrap_or_else(|| {
+            let detail = format!("it has to be here within {} s", bounds.sender_time);
+            Err(Problem::new(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body came too slowly",
+                detail,
+            ))
+        })
 }
--- a/crates/frontend/src/ingress/response.rs
+++ b/crates/frontend/src/ingress/response.rs
@@ -21,27 +21,50 @@
                     Brought::Whole(chunks) => Answer::Chunks(chunks.into()),
                     Brought::Streamed(parts) => Answer::Streamed(Box::pin(parts)),
                 });
-                FinalResponse { response, may_have_run: true }
+                FinalResponse {
+                    response,
+                    may_have_run: true,
+                }
             }
-            Ok(Final::Throttled { retry_after, past_share }) => {
+            Ok(Final::Throttled {
+                retry_after,
+                past_share,
+            }) => {
                 let (status, detail) = if past_share {
-                    (StatusCode::TOO_MANY_REQUESTS, "the customer has had its share; nothing has run")
+                    (
+                        StatusCode::TOO_MANY_REQUESTS,
+                        "the customer has had its share; nothing has run",
+                    )
                 } else {
-                    (StatusCode::SERVICE_UNAVAILABLE, "there is no room in time; asking again is harmless")
+                    (
+                        StatusCode::SERVICE_UNAVAILABLE,
+                        "there is no room in time; asking again is harmless",
+                    )
                 };
                 FinalResponse::problem(status, "throttled", detail, false).retry_after(retry_after)
             }
-            Ok(Final::Errored { cause, may_have_run }) => {
+            Ok(Final::Errored {
+                cause,
+                may_have_run,
+            }) => {
                 let status = match cause {
                     Cause::TimedOut => StatusCode::GATEWAY_TIMEOUT,
                     Cause::Failed => StatusCode::BAD_GATEWAY,
                 };
-                let detail = if may_have_run { "it may have run" } else { "it has not run" };
+                let detail = if may_have_run {
+                    "it may have run"
+                } else {
+                    "it has not run"
+                };
                 FinalResponse::problem(status, "errored", detail, may_have_run)
             }
-            Ok(Final::Refused { refusal, may_have_run }) => {
+            Ok(Final::Refused {
+                refusal,
+                may_have_run,
+            }) => {
                 let (status, title) = refusal_status(&refusal);
-                let refused = FinalResponse::problem(status, title, &refusal.to_string(), may_have_run);
+                let refused =
+                    FinalResponse::problem(status, title, &refusal.to_string(), may_have_run);
                 match refusal.retry_after() {
                     Some(time) => refused.retry_after(time),
                     None => refused,
@@ -55,7 +78,10 @@
     }
 
     fn problem(status: StatusCode, title: &str, detail: &str, may_have_run: bool) -> FinalResponse {
-        FinalResponse { response: problem(status, title, detail, may_have_run), may_have_run }
+        FinalResponse {
+            response: problem(status, title, detail, may_have_run),
+            may_have_run,
+        }
     }
 
     fn retry_after(mut self, time: f64) -> FinalResponse {
@@ -68,7 +94,9 @@
 fn refusal_status(refusal: &Refusal) -> (StatusCode, &'static str) {
     match refusal {
         Refusal::NotAllowed { .. } => (StatusCode::FORBIDDEN, "not allowed"),
-        Refusal::Stale { .. } | Refusal::NotLoaded { .. } => (StatusCode::SERVICE_UNAVAILABLE, "throttled"),
+        Refusal::Stale { .. } | Refusal::NotLoaded { .. } => {
+            (StatusCode::SERVICE_UNAVAILABLE, "throttled")
+        }
     }
 }
 
@@ -80,9 +108,10 @@
         problem
     };
     match why {
-        NotTaken::Full => {
-            throttled("as many invocations are open as may be", hub.deployment.policy.max_retry_after)
-        }
+        NotTaken::Full => throttled(
+            "as many invocations are open as may be",
+            hub.deployment.policy.max_retry_after,
+        ),
         NotTaken::Leaving => throttled("this front end is ending; ask another", 0.0),
         NotTaken::Refused(refusal) => {
             let (status, title) = refusal_status(&refusal);
--- a/crates/frontend/src/ingress/status.rs
+++ b/crates/frontend/src/ingress/status.rs
@@ -12,7 +12,8 @@
     let shares = hub.shares.borrow();
     let published = shares.published();
     let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
-        let state = json!({ "phase": r.phase, "step": r.step, "number": r.number, "reason": r.reason });
+        let state =
+            json!({ "phase": r.phase, "step": r.step, "number": r.number, "reason": r.reason });
         (name.clone(), state)
     };
     let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(on).collect();
@@ -21,14 +22,19 @@
 
 /// The roster and the front ends, where they come from etcd.
 fn roster(hub: &Hub) -> serde_json::Value {
-    if !matches!(hub.deployment.source, orchidtally_deployment::Source::Etcd(_)) {
+    if !matches!(
+        hub.deployment.source,
+        orchidtally_deployment::Source::Etcd(_)
+    ) {
         return serde_json::Value::Null;
     }
     let (cache, now) = (hub.cache.borrow(), hub.now());
     let (known, held) = cache.known();
     let figure = hub.members.borrow().figure(now);
-    let faults: serde_json::Map<_, _> =
-        cache.faults().map(|(key, why)| (String::from_utf8_lossy(key).into_owned(), why.into())).collect();
+    let faults: serde_json::Map<_, _> = cache
+        .faults()
+        .map(|(key, why)| (String::from_utf8_lossy(key).into_owned(), why.into()))
+        .collect();
     json!({
         "age": cache.age(now),
         "revision": cache.revision(),
@@ -44,7 +50,9 @@
 
 /// The state of triggers by messages.
 fn triggers(hub: &Hub) -> serde_json::Value {
-    let Some(status) = hub.triggers.get() else { return serde_json::Value::Null };
+    let Some(status) = hub.triggers.get() else {
+        return serde_json::Value::Null;
+    };
     json!({
         "connected": status.connected,
         "inHand": status.in_hand,
@@ -79,6 +87,8 @@
         "mqtt": triggers(hub),
     });
     let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
--- a/crates/frontend/src/lib.rs
+++ b/crates/frontend/src/lib.rs
@@ -69,7 +69,9 @@
     hub.at.set(listener.get_ref().local_addr().ok());
     spawner.spawn(hub.clone().keep_time()).detach();
     spawner.spawn(hub.clone().watch_clock()).detach();
-    spawner.spawn(hub.clone().keep_house(start.ahead, start.step)).detach();
+    spawner
+        .spawn(hub.clone().keep_house(start.ahead, start.step))
+        .detach();
     if !hub.deployment.coordinators.is_empty() {
         spawner.spawn(rollouts::keep_up(hub.clone())).detach();
     }
@@ -83,9 +85,16 @@
         spawner.spawn(reload::follow(hub.clone(), reloads)).detach();
     }
     let (leave, leaving) = async_channel::bounded::<()>(1);
-    let consuming =
-        start.triggers.and_then(|triggers| hub.spawn(mqtt::consume(hub.clone(), triggers, leaving)));
-    let work = attend(hub, spawner.clone(), listener, start.stop, (consuming, leave));
+    let consuming = start
+        .triggers
+        .and_then(|triggers| hub.spawn(mqtt::consume(hub.clone(), triggers, leaving)));
+    let work = attend(
+        hub,
+        spawner.clone(),
+        listener,
+        start.stop,
+        (consuming, leave),
+    );
     async_io::block_on(spawner.run(work))
 }
 
@@ -106,14 +115,23 @@
             let _ = stop.recv().await;
             None
         };
-        let Some(stream) =
-            future::or(stopped, async { Some(orchidtally_net::accept(&listener).await) }).await
+        let Some(stream) = future::or(stopped, async {
+            Some(orchidtally_net::accept(&listener).await)
+        })
+        .await
         else {
             break;
         };
         // Those being turned away have a bound as well; past it a connection is just closed.
         if open.get() < most {
-            spawner.spawn(serve(hub.clone(), stream, leaving.clone(), ConnectionGuard::new(&open))).detach();
+            spawner
+                .spawn(serve(
+                    hub.clone(),
+                    stream,
+                    leaving.clone(),
+                    ConnectionGuard::new(&open),
+                ))
+                .detach();
         } else if open.get() < most + most / 4 + 16 {
             turned_away += 1;
             if turned_away.is_power_of_two() {
@@ -138,13 +156,21 @@
         }
     }
     hub.leave();
-    info!(open = hub.open(), connections = open.get(), "leaving: nothing new is taken");
+    info!(
+        open = hub.open(),
+        connections = open.get(),
+        "leaving: nothing new is taken"
+    );
     drop(leave);
     while (hub.open() > 0 || open.get() > 0) && Instant::now() < deadline {
         Timer::after(Duration::from_millis(5)).await;
     }
     if hub.open() > 0 || open.get() > 0 {
-        warn!(open = hub.open(), connections = open.get(), "left with clients still there");
+        warn!(
+            open = hub.open(),
+            connections = open.get(),
+            "left with clients still there"
+        );
     }
     config::detach(&hub).await;
     hub.tally()
--- a/crates/frontend/src/mqtt/connection.rs
+++ b/crates/frontend/src/mqtt/connection.rs
@@ -70,12 +70,16 @@
 
 pub(super) async fn connect(section: &Section) -> io::Result<Box<dyn Wire>> {
     let stream = orchidtally_net::connect(section.broker, CONNECT_TIME).await?;
-    let Some(wanted) = &section.tls else { return Ok(Box::new(stream)) };
+    let Some(wanted) = &section.tls else {
+        return Ok(Box::new(stream));
+    };
     // The files are read for each connection, so that those that were replaced count from the next on.
     let connector = tls(wanted).map_err(|e| io::Error::other(format!("TLS: {e}")))?;
     let name = ServerName::try_from(wanted.name.clone()).map_err(io::Error::other)?;
     let shaken = orchidtally_net::within(CONNECT_TIME, connector.connect(name, stream)).await;
-    Ok(Box::new(shaken.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??))
+    Ok(Box::new(shaken.ok_or_else(|| {
+        io::Error::from(io::ErrorKind::TimedOut)
+    })??))
 }
 
 /// Reads packets until the connection ends.
@@ -93,7 +97,11 @@
             Ok(n) => buffer.extend_from_slice(&bytes[..n]),
         }
         loop {
-            match decode(&mut buffer, section.version, section.largest_packet as usize) {
+            match decode(
+                &mut buffer,
+                section.version,
+                section.largest_packet as usize,
+            ) {
                 Ok(Some((_, packet))) => {
                     if inputs.send(Input::Packet(number, packet)).await.is_err() {
                         return;
--- a/crates/frontend/src/mqtt/consume.rs
+++ b/crates/frontend/src/mqtt/consume.rs
@@ -22,7 +22,10 @@
 const SPARE_ENTRIES: usize = 1_024;
 
 /// What ends a sleep.
-#[allow(clippy::large_enum_variant, reason = "it is matched at once and never stored")]
+#[allow(
+    clippy::large_enum_variant,
+    reason = "it is matched at once and never stored"
+)]
 enum Wake {
     Input(Input),
     JournalResult(JournalResult),
@@ -32,25 +35,52 @@
 
 /// Serves triggers until the front end ends and what was in hand is answered.
 pub async fn consume(hub: Rc<Hub>, triggers: Triggers, leaving: async_channel::Receiver<()>) {
-    let Triggers { section, journal, records, cut, sharing } = triggers;
+    let Triggers {
+        section,
+        journal,
+        records,
+        cut,
+        sharing,
+    } = triggers;
     if cut > 0 || !records.is_empty() {
-        info!(entries = records.len(), cut, "the journal of a life before was read");
+        info!(
+            entries = records.len(),
+            cut, "the journal of a life before was read"
+        );
     }
     let section = Rc::new(section);
     let (index, password) = (hub.deployment.policy.index as u32, read_password(&section));
-    let consumer = Consumer::new(&section, &hub.deployment, index, password, &records, hub.now());
+    let consumer = Consumer::new(
+        &section,
+        &hub.deployment,
+        index,
+        password,
+        &records,
+        hub.now(),
+    );
     let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
     let journal = Group::sharing(journal, most_entries, sharing);
-    let mut host = ConsumerHost::new(hub.clone(), section, consumer, journal, input_sender, result_sender);
+    let mut host = ConsumerHost::new(
+        hub.clone(),
+        section,
+        consumer,
+        journal,
+        input_sender,
+        result_sender,
+    );
     let mut is_leaving = false;
     loop {
         host.tick();
         if is_leaving && host.consumer.in_hand().0 == 0 {
             break;
         }
-        let longest = if host.uses_tls() { CHECK_INTERVAL } else { MAX_SLEEP };
+        let longest = if host.uses_tls() {
+            CHECK_INTERVAL
+        } else {
+            MAX_SLEEP
+        };
         let sleep = Duration::from_secs_f64((host.next_tick_at() - hub.now()).clamp(0.0, longest));
         let input = async { inputs.recv().await.ok().map(Wake::Input) };
         let journal_result = async { journal_results.recv().await.ok().map(Wake::JournalResult) };
@@ -74,7 +104,9 @@
         }
         // What has come together is processed together.
         for _ in 0..MAX_INPUTS {
-            let Ok(result) = journal_results.try_recv() else { break };
+            let Ok(result) = journal_results.try_recv() else {
+                break;
+            };
             host.apply_journal_result(result);
         }
         for _ in 0..MAX_INPUTS {
--- a/crates/frontend/src/mqtt/host.rs
+++ b/crates/frontend/src/mqtt/host.rs
@@ -66,7 +66,10 @@
         let now = hub.now();
         ConsumerHost {
             tls_files: TlsFiles::new(&section, now),
-            in_force: DeploymentInForce { revision: 1, deployment: hub.deployment.clone() },
+            in_force: DeploymentInForce {
+                revision: 1,
+                deployment: hub.deployment.clone(),
+            },
             hub,
             section,
             consumer,
@@ -91,7 +94,11 @@
     /// When something is due without any input.
     pub(super) fn next_tick_at(&self) -> f64 {
         let is_idle = self.connection.is_none() && self.connecting.is_none();
-        let connect_at = if is_idle { self.connect_at } else { f64::INFINITY };
+        let connect_at = if is_idle {
+            self.connect_at
+        } else {
+            f64::INFINITY
+        };
         self.consumer.next_tick_at().min(connect_at)
     }
 
@@ -139,14 +146,32 @@
         let (reader, writer) = futures_lite::io::split(stream);
         let (wake, woken) = async_channel::bounded(1);
         let outbox = Rc::new(Outbox::default());
-        let read = self.hub.spawn(read(reader, number, self.section.clone(), self.inputs.clone()));
-        let write = self.hub.spawn(write(writer, number, outbox.clone(), woken, self.inputs.clone()));
-        self.connection = Some(Connection { number, outbox, wake, _tasks: [read, write] });
+        let read = self.hub.spawn(read(
+            reader,
+            number,
+            self.section.clone(),
+            self.inputs.clone(),
+        ));
+        let write = self.hub.spawn(write(
+            writer,
+            number,
+            outbox.clone(),
+            woken,
+            self.inputs.clone(),
+        ));
+        self.connection = Some(Connection {
+            number,
+            outbox,
+            wake,
+            _tasks: [read, write],
+        });
         self.consumer.connect(self.hub.now());
     }
 
     fn lost(&mut self, why: &str) {
-        let Some(_) = self.connection.take() else { return };
+        let Some(_) = self.connection.take() else {
+            return;
+        };
         warn!(broker = %self.section.broker, why, "the connection to the broker is gone");
         self.consumer.connection_lost();
         self.connect_later();
@@ -201,7 +226,10 @@
         let revision = self.hub.revision();
         if self.in_force.revision != revision.number {
             let deployment = Rc::new(revision.aligned_to(&self.hub.deployment));
-            self.in_force = DeploymentInForce { revision: revision.number, deployment };
+            self.in_force = DeploymentInForce {
+                revision: revision.number,
+                deployment,
+            };
         }
         self.in_force.deployment.clone()
     }
@@ -252,14 +280,17 @@
     }
 
     fn invoke(&mut self, n: u64) {
-        let Some(message) = self.consumer.message(n).cloned() else { return };
+        let Some(message) = self.consumer.message(n).cloned() else {
+            return;
+        };
         let ready_by = self.consumer.ready_by(n);
         let (hub, inputs) = (self.hub.clone(), self.inputs.clone());
         let work = async move {
             let answer = invoke(hub, message, ready_by).await;
             let _ = inputs.send(Input::InvocationEnded(n, answer)).await;
         };
-        self.invocations.extend(self.hub.spawn(work).map(|task| (n, task)));
+        self.invocations
+            .extend(self.hub.spawn(work).map(|task| (n, task)));
     }
 
     fn log(&mut self, notice: Notice) {
@@ -270,7 +301,9 @@
             }
             Notice::Refused(filters) => error!(?filters, "the broker refused subscriptions"),
             Notice::SetAside { topic, why } => warn!(topic, why, "a message was set aside"),
-            Notice::NotPublished { topic, code } => warn!(topic, ?code, "the broker took no answer"),
+            Notice::NotPublished { topic, code } => {
+                warn!(topic, ?code, "the broker took no answer")
+            }
             Notice::JournalFailed => {
                 self.journal_works = false;
                 error!("the journal can't be written: no message is taken until it can");
@@ -283,7 +316,9 @@
     }
 
     fn send_packets(&mut self) {
-        let Some(connection) = &self.connection else { return };
+        let Some(connection) = &self.connection else {
+            return;
+        };
         let mut bytes = connection.outbox.bytes.borrow_mut();
         while bytes.len() < MOST_OUT
             && let Some(packet) = self.consumer.next_packet()
@@ -314,7 +349,9 @@
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.hub.now());
         self.perform();
-        let Some(connection) = self.connection.take() else { return };
+        let Some(connection) = self.connection.take() else {
+            return;
+        };
         connection.outbox.ended.set(true);
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
--- a/crates/frontend/src/mqtt/invoke.rs
+++ b/crates/frontend/src/mqtt/invoke.rs
@@ -15,7 +15,10 @@
     if refusal.retry_after().is_some() && !may_have_run {
         return Answer::Throttled;
     }
-    Answer::Errored { why: refusal.to_string(), may_have_run }
+    Answer::Errored {
+        why: refusal.to_string(),
+        may_have_run,
+    }
 }
 
 /// Invokes for a message; returns its final answer.
@@ -33,20 +36,35 @@
 
 /// What a message asks for, or its answer where that can't be invoked.
 fn ask<'m>(hub: &Hub, message: &'m StoredMessage, ready_by: f64) -> Result<Asked<'m>, Answer> {
-    let errored = |why: String| Answer::Errored { why, may_have_run: false };
+    let errored = |why: String| Answer::Errored {
+        why,
+        may_have_run: false,
+    };
     let revision = hub.revision();
     let target = &message.target;
-    let (trigger_place, trigger_type) = revision
-        .trigger_type(&target.trigger_type)
-        .ok_or_else(|| errored(format!("there is no trigger type '{}' any more", target.trigger_type)))?;
+    let (trigger_place, trigger_type) =
+        revision.trigger_type(&target.trigger_type).ok_or_else(|| {
+            errored(format!(
+                "there is no trigger type '{}' any more",
+                target.trigger_type
+            ))
+        })?;
     let customer = match revision.customer(&target.customer) {
         Some(customer) => customer.index,
         None if !revision.has_customers() => 0,
-        None => return Err(errored(format!("there is no customer '{}' any more", target.customer))),
+        None => {
+            return Err(errored(format!(
+                "there is no customer '{}' any more",
+                target.customer
+            )));
+        }
     };
-    let function = revision
-        .function(&target.function)
-        .ok_or_else(|| errored(format!("there is no function '{}' any more", target.function)))?;
+    let function = revision.function(&target.function).ok_or_else(|| {
+        errored(format!(
+            "there is no function '{}' any more",
+            target.function
+        ))
+    })?;
     if ready_by <= hub.now() {
         return Err(Answer::Throttled);
     }
@@ -56,17 +74,29 @@
         Some(Key::Token) if !target.token.is_empty() => &target.token,
         _ => &message.name,
     };
-    let who = Who { customer: &target.customer, location: hub.location(), key };
+    let who = Who {
+        customer: &target.customer,
+        location: hub.location(),
+        key,
+    };
     let resolved = hub
         .resolve(&function, None, trigger_place, customer, &who)
-        .ok_or_else(|| errored(format!("function '{}' has no version 'stable'", target.function)))?;
+        .ok_or_else(|| {
+            errored(format!(
+                "function '{}' has no version 'stable'",
+                target.function
+            ))
+        })?;
     Ok(Asked {
         name: message.name.clone(),
         function: function.name.clone(),
         resolved,
         revision: revision.clone(),
         trigger_type: trigger_type.clone(),
-        customer: NamedCustomer { index: customer, name: &target.customer },
+        customer: NamedCustomer {
+            index: customer,
+            name: &target.customer,
+        },
         token: &target.token,
         repeat: false,
         timeout_at: ready_by,
@@ -89,14 +119,26 @@
             may_have_run: true,
         },
         Ok(Final::Throttled { .. }) => Answer::Throttled,
-        Ok(Final::Refused { refusal, may_have_run }) => refused(&refusal, may_have_run),
-        Ok(Final::Errored { cause, may_have_run }) => {
+        Ok(Final::Refused {
+            refusal,
+            may_have_run,
+        }) => refused(&refusal, may_have_run),
+        Ok(Final::Errored {
+            cause,
+            may_have_run,
+        }) => {
             let why = match cause {
                 Cause::TimedOut => "no answer came in time",
                 Cause::Failed => "the executor failed",
             };
-            Answer::Errored { why: why.into(), may_have_run }
+            Answer::Errored {
+                why: why.into(),
+                may_have_run,
+            }
         }
-        Err(lost) => Answer::Errored { why: lost.to_string(), may_have_run: true },
+        Err(lost) => Answer::Errored {
+            why: lost.to_string(),
+            may_have_run: true,
+        },
     }
 }
--- a/crates/frontend/src/mqtt/tls_files.rs
+++ b/crates/frontend/src/mqtt/tls_files.rs
@@ -20,9 +20,18 @@
         let mut paths = vec![];
         if let Some(tls) = &section.tls {
             paths.push(tls.authorities.clone());
-            paths.extend(tls.identity.iter().flat_map(|(certificates, key)| [certificates, key]).cloned());
+            paths.extend(
+                tls.identity
+                    .iter()
+                    .flat_map(|(certificates, key)| [certificates, key])
+                    .cloned(),
+            );
+        }
+        TlsFiles {
+            paths,
+            changed_at: None,
+            next_check_at: now,
         }
-        TlsFiles { paths, changed_at: None, next_check_at: now }
     }
 
     /// Whether the connection uses TLS.
@@ -32,7 +41,11 @@
 
     /// When the newest of the files was changed.
     fn newest(&self) -> Option<SystemTime> {
-        let changed_at = |path: &PathBuf| std::fs::metadata(path).and_then(|file| file.modified()).ok();
+        let changed_at = |path: &PathBuf| {
+            std::fs::metadata(path)
+                .and_then(|file| file.modified())
+                .ok()
+        };
         self.paths.iter().filter_map(changed_at).max()
     }
 
--- a/crates/frontend/src/mqtt/triggers.rs
+++ b/crates/frontend/src/mqtt/triggers.rs
@@ -20,11 +20,17 @@
 }
 
 fn bad(folder: &Path, what: impl std::fmt::Display) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("{}: {what}", folder.display()))
+    io::Error::new(
+        io::ErrorKind::InvalidData,
+        format!("{}: {what}", folder.display()),
+    )
 }
 
 /// The records that a journal holds, in their order.
-pub fn records(snapshot: Option<&[u8]>, entries: &[Vec<u8>]) -> Result<Vec<Record>, serde_json::Error> {
+pub fn records(
+    snapshot: Option<&[u8]>,
+    entries: &[Vec<u8>],
+) -> Result<Vec<Record>, serde_json::Error> {
     let mut records: Vec<Record> = match snapshot {
         Some(state) => serde_json::from_slice(state)?,
         None => vec![],
@@ -40,9 +46,19 @@
     pub fn open(section: Section, index: u32) -> io::Result<Triggers> {
         let folder = section.folder(index);
         let (journal, found) = Journal::open(&folder)?;
-        let records = records(found.snapshot.as_deref(), &found.entries)
-            .map_err(|e| bad(&folder, format!("an entry can't be read, so that nothing is served: {e}")))?;
-        Ok(Triggers { section, journal, records, cut: found.cut, sharing: SHARING })
+        let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
+            bad(
+                &folder,
+                format!("an entry can't be read, so that nothing is served: {e}"),
+            )
+        })?;
+        Ok(Triggers {
+            section,
+            journal,
+            records,
+            cut: found.cut,
+            sharing: SHARING,
+        })
     }
 
     /// What a life before had in hand.
@@ -52,7 +68,15 @@
 
     /// With the journal as measurements want it: without syncs, or with one for each entry.
     pub fn measured(self, synced: bool, sharing: usize) -> Triggers {
-        let journal = if synced { self.journal } else { self.journal.without_syncs() };
-        Triggers { journal, sharing, ..self }
+        let journal = if synced {
+            self.journal
+        } else {
+            self.journal.without_syncs()
+        };
+        Triggers {
+            journal,
+            sharing,
+            ..self
+        }
     }
 }
--- a/crates/frontend/src/pool.rs
+++ b/crates/frontend/src/pool.rs
@@ -77,14 +77,20 @@
 
 impl Pool {
     pub fn new(to: SocketAddr, caps: Caps, spawner: Weak<LocalExecutor<'static>>) -> Rc<Pool> {
-        Rc::new(Pool { to, caps, spawner, state: RefCell::default() })
+        Rc::new(Pool {
+            to,
+            caps,
+            spawner,
+            state: RefCell::default(),
+        })
     }
 
     /// Closes what was idle for long; tells whether nothing is left.
     pub fn sweep(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let idle =
-            |c: &Rc<Connection>| c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.caps.idle_close;
+        let idle = |c: &Rc<Connection>| {
+            c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.caps.idle_close
+        };
         state.connections.retain(|c| !c.closed.get() && !idle(c));
         state.connections.is_empty() && state.connecting == 0 && state.waiters.is_empty()
     }
@@ -108,11 +114,15 @@
 
     fn free(self: &Rc<Self>) -> Option<Lease> {
         let state = self.state.borrow();
-        let free =
-            |c: &&Rc<Connection>| !c.closed.get() && c.streams.get() < self.caps.streams_per_connection;
+        let free = |c: &&Rc<Connection>| {
+            !c.closed.get() && c.streams.get() < self.caps.streams_per_connection
+        };
         let connection = state.connections.iter().find(free)?.clone();
         connection.streams.set(connection.streams.get() + 1);
-        Some(Lease { pool: self.clone(), connection })
+        Some(Lease {
+            pool: self.clone(),
+            connection,
+        })
     }
 
     async fn lease(self: &Rc<Self>) -> Result<Lease, Transport> {
@@ -137,7 +147,9 @@
                 opens
             };
             if opens {
-                let Some(spawner) = self.spawner.upgrade() else { return Err(Transport::NoConnection) };
+                let Some(spawner) = self.spawner.upgrade() else {
+                    return Err(Transport::NoConnection);
+                };
                 // On its own, so that it goes on where the dispatch that began it is cancelled.
                 spawner.spawn(self.clone().open()).detach();
             }
@@ -147,7 +159,11 @@
                 Some(Ok(Some(why))) => return Err(why),
                 Some(Err(_)) | None => {
                     let connecting = self.state.borrow().connecting > 0;
-                    return Err(if connecting { Transport::NoConnection } else { Transport::Saturated });
+                    return Err(if connecting {
+                        Transport::NoConnection
+                    } else {
+                        Transport::Saturated
+                    });
                 }
             }
         }
@@ -159,10 +175,16 @@
             let stream = orchidtally_net::connect(self.to, self.caps.connect_time).await?;
             let written = stream.written();
             let mut builder = h2::client::Builder::new();
-            builder.max_header_list_size(self.caps.header_bytes).enable_push(false);
-            builder.initial_window_size(1 << 20).initial_connection_window_size(4 << 20);
-            let (sender, mut driver) =
-                builder.handshake::<_, Bytes>(stream).await.map_err(std::io::Error::other)?;
+            builder
+                .max_header_list_size(self.caps.header_bytes)
+                .enable_push(false);
+            builder
+                .initial_window_size(1 << 20)
+                .initial_connection_window_size(4 << 20);
+            let (sender, mut driver) = builder
+                .handshake::<_, Bytes>(stream)
+                .await
+                .map_err(std::io::Error::other)?;
             let ping = driver.ping_pong();
             Ok::<_, std::io::Error>((sender, driver, written, ping))
         };
@@ -176,7 +198,13 @@
                     |r| r.err().map(|e| e.to_string()).unwrap_or_default(),
                 );
                 debug!(executor = %self.to, why, "no connection");
-                if self.state.borrow().connections.iter().all(|c| c.closed.get()) {
+                if self
+                    .state
+                    .borrow()
+                    .connections
+                    .iter()
+                    .all(|c| c.closed.get())
+                {
                     self.wake_all(Some(Transport::NoConnection));
                 }
                 return;
@@ -198,7 +226,10 @@
         if let Some(connection) = held.upgrade() {
             connection.closed.set(true);
         }
-        self.state.borrow_mut().connections.retain(|c| !c.closed.get());
+        self.state
+            .borrow_mut()
+            .connections
+            .retain(|c| !c.closed.get());
         match ended {
             Err(e) if !e.is_io() && !e.is_remote() => {
                 warn!(executor = %self.to, fault = %e, "closed a connection for what came over it");
@@ -238,7 +269,9 @@
         payload: &[Bytes],
     ) -> Result<Incoming, Transport> {
         let lease = self.lease().await?;
-        let Some(head) = head() else { return Err(Transport::Withheld) };
+        let Some(head) = head() else {
+            return Err(Transport::Withheld);
+        };
         let sent_from = lease.connection.written.get();
         let classify = |e: &h2::Error| seen(e, sent_from, &lease.connection);
         let request = http::Request::post(format!("http://{}{path}", self.to))
@@ -246,19 +279,27 @@
             .body(())
             .map_err(|_| Transport::Withheld)?;
         let mut sender = lease.connection.sender.clone();
-        let (response, mut out) = sender.send_request(request, false).map_err(|e| classify(&e))?;
+        let (response, mut out) = sender
+            .send_request(request, false)
+            .map_err(|e| classify(&e))?;
         // The chunks are handed over as they are; they go out as the peer's window lets them.
         let last = payload.len();
         out.send_data(head, last == 0).map_err(|e| classify(&e))?;
         for (n, chunk) in payload.iter().enumerate() {
-            out.send_data(chunk.clone(), n + 1 == last).map_err(|e| classify(&e))?;
+            out.send_data(chunk.clone(), n + 1 == last)
+                .map_err(|e| classify(&e))?;
         }
         let response = response.await.map_err(|e| classify(&e))?;
         if response.status() != http::StatusCode::OK {
             warn!(executor = %self.to, status = %response.status(), path, "an executor refused a message");
             return Err(Transport::Malformed);
         }
-        Ok(Incoming { stream: response.into_body(), deframer: Deframer::default(), sent_from, lease })
+        Ok(Incoming {
+            stream: response.into_body(),
+            deframer: Deframer::default(),
+            sent_from,
+            lease,
+        })
     }
 }
 
@@ -269,7 +310,12 @@
     /// Asks whether the peer is there. Whatever it sent before its answer has come by then; a second question at a
     /// time is not taken.
     pub async fn ping(&self) -> Result<(), Transport> {
-        let mut ping = self.0.ping.borrow_mut().take().ok_or(Transport::Saturated)?;
+        let mut ping = self
+            .0
+            .ping
+            .borrow_mut()
+            .take()
+            .ok_or(Transport::Saturated)?;
         let answered = ping.ping(Ping::opaque()).await;
         *self.0.ping.borrow_mut() = Some(ping);
         answered.map(drop).map_err(|_| Transport::Broken)
@@ -283,9 +329,17 @@
     }
     if e.is_remote() && e.is_reset() {
         let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
-        return if unseen { Transport::Refused } else { Transport::Reset };
+        return if unseen {
+            Transport::Refused
+        } else {
+            Transport::Reset
+        };
+    }
+    if connection.written.get() == sent_from {
+        Transport::Unwritten
+    } else {
+        Transport::Broken
     }
-    if connection.written.get() == sent_from { Transport::Unwritten } else { Transport::Broken }
 }
 
 impl Incoming {
--- a/crates/frontend/src/promise_store.rs
+++ b/crates/frontend/src/promise_store.rs
@@ -44,8 +44,10 @@
     };
     for entry in &found.entries {
         let record = serde_json::from_slice(entry).map_err(|e| {
-            let what =
-                format!("{}: an entry can't be read, so that nothing is served: {e}", folder.display());
+            let what = format!(
+                "{}: an entry can't be read, so that nothing is served: {e}",
+                folder.display()
+            );
             io::Error::new(io::ErrorKind::InvalidData, what)
         })?;
         records.push(record);
@@ -56,13 +58,19 @@
 impl PromiseStore {
     /// Opens the journal of a front end, where its deployment has one, and restores its promises.
     pub fn open(deployment: &Deployment, now: f64) -> io::Result<Option<PromiseStore>> {
-        let Some(settings) = &deployment.journal else { return Ok(None) };
+        let Some(settings) = &deployment.journal else {
+            return Ok(None);
+        };
         let folder = settings.folder(deployment.policy.index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
-        let promises = Promises::new(settings.keep, settings.most_kept, MAX_BODY).recover(&records, now);
+        let promises =
+            Promises::new(settings.keep, settings.most_kept, MAX_BODY).recover(&records, now);
         if !promises.is_empty() {
-            info!(names = promises.len(), "promises of a life before were read");
+            info!(
+                names = promises.len(),
+                "promises of a life before were read"
+            );
         }
         Ok(Some(PromiseStore {
             promises: RefCell::new(promises),
@@ -81,7 +89,8 @@
     /// Persists a record; returns whether it is on the disk.
     async fn persist(&self, record: &Record) -> bool {
         let entry = serde_json::to_vec(record).unwrap_or_default();
-        self.entry_bytes.set(self.entry_bytes.get() + entry.len() as u64 + ENTRY_OVERHEAD);
+        self.entry_bytes
+            .set(self.entry_bytes.get() + entry.len() as u64 + ENTRY_OVERHEAD);
         let (sender, result) = oneshot::channel();
         let queued = self.journal.append(entry, move |appended| {
             if let Err(fault) = &appended {
@@ -130,8 +139,15 @@
             return Err(NotKept);
         }
         let standing = self.promises.borrow_mut().offered(now, name);
-        let Standing::New(record) = &standing else { return Ok((standing, None)) };
-        let mut promised = Promised { promise_store: self.clone(), name: name.to_owned(), now, open: true };
+        let Standing::New(record) = &standing else {
+            return Ok((standing, None));
+        };
+        let mut promised = Promised {
+            promise_store: self.clone(),
+            name: name.to_owned(),
+            now,
+            open: true,
+        };
         if !self.persist(record).await {
             promised.open = false;
             self.promises.borrow_mut().not_kept(name);
@@ -154,7 +170,11 @@
     /// all the same.
     pub async fn answered(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
         self.open = false;
-        let record = self.promise_store.promises.borrow_mut().answered(now, &self.name, ran, status, body);
+        let record = self
+            .promise_store
+            .promises
+            .borrow_mut()
+            .answered(now, &self.name, ran, status, body);
         self.promise_store.persist(&record).await;
     }
 }
@@ -164,7 +184,11 @@
         if !self.open {
             return;
         }
-        let left = self.promise_store.promises.borrow_mut().left(self.now, &self.name);
+        let left = self
+            .promise_store
+            .promises
+            .borrow_mut()
+            .left(self.now, &self.name);
         // After a crash its outcome is unknown without this entry too.
         let entry = left.and_then(|record| serde_json::to_vec(&record).ok());
         if let Some(entry) = entry {
--- a/crates/frontend/src/reload.rs
+++ b/crates/frontend/src/reload.rs
@@ -55,7 +55,11 @@
 
 /// Follows what is read again, for as long as the front end lives.
 pub async fn follow(hub: Rc<Hub>, reloads: Reloads) {
-    let Reloads { path, mut text, read } = reloads;
+    let Reloads {
+        path,
+        mut text,
+        read,
+    } = reloads;
     let file = path.display();
     while let Ok(newest) = read.recv().await {
         if hub.is_leaving() {
--- a/crates/frontend/src/rollouts.rs
+++ b/crates/frontend/src/rollouts.rs
@@ -18,8 +18,9 @@
 /// One round with one coordinator.
 async fn exchange(at: SocketAddr, told: &EvidenceReport) -> Result<Published, String> {
     let body = serde_json::to_vec(told).map_err(|e| e.to_string())?;
-    let (status, answer) =
-        ask(at, Method::POST, EXCHANGE, body, PATIENCE).await.map_err(|e| e.to_string())?;
+    let (status, answer) = ask(at, Method::POST, EXCHANGE, body, PATIENCE)
+        .await
+        .map_err(|e| e.to_string())?;
     if status != StatusCode::OK {
         return Err(format!("{status}: {}", String::from_utf8_lossy(&answer)));
     }
@@ -32,7 +33,12 @@
     let mut reached = true;
     loop {
         let told = hub.shares.borrow_mut().report(hub.sender.get().incarnation);
-        let rounds: Vec<_> = hub.deployment.coordinators.iter().map(|&at| (at, told.clone())).collect();
+        let rounds: Vec<_> = hub
+            .deployment
+            .coordinators
+            .iter()
+            .map(|&at| (at, told.clone()))
+            .collect();
         let tasks: Vec<_> = rounds
             .into_iter()
             .filter_map(|(at, told)| hub.spawn(async move { (at, exchange(at, &told).await) }))
--- a/crates/frontend/src/roster.rs
+++ b/crates/frontend/src/roster.rs
@@ -44,7 +44,9 @@
     let place = |names: &[String], name: &str, what: &str| {
         let first = name.is_empty().then_some(0);
         let found = first.or_else(|| names.iter().position(|n| n == name));
-        found.map(|n| n as u8).ok_or_else(|| format!("{what} '{name}' is not in the deployment file"))
+        found
+            .map(|n| n as u8)
+            .ok_or_else(|| format!("{what} '{name}' is not in the deployment file"))
     };
     let standing = match row.standing() {
         v1::Standing::Ready => Standing::Ready,
@@ -52,7 +54,11 @@
         v1::Standing::Gone => Standing::Gone,
         v1::Standing::Unspecified => return Err("its standing is not told".into()),
     };
-    let since = if row.since > 0.0 { row.since.min(now) } else { f64::NEG_INFINITY };
+    let since = if row.since > 0.0 {
+        row.since.min(now)
+    } else {
+        f64::NEG_INFINITY
+    };
     Ok(RosterRow {
         executor: ExecutorId(address.ip(), address.port()),
         zone: place(&deployment.locations, &row.location, "location")?,
@@ -81,13 +87,20 @@
         header_bytes: bounds.header_bytes,
     };
     let pool = Pool::new(address, caps, hub.spawner());
-    let question = frame(&v1::RosterWatch { from: Some(hub.sender.get()) });
+    let question = frame(&v1::RosterWatch {
+        from: Some(hub.sender.get()),
+    });
     let asked_at = hub.now();
     let first = async {
         let mut incoming = pool.begin(ROSTER, || Some(question), &[]).await?;
-        Ok((incoming.message::<v1::RosterUpdate>(LONGEST_ROSTER).await?, incoming))
+        Ok((
+            incoming.message::<v1::RosterUpdate>(LONGEST_ROSTER).await?,
+            incoming,
+        ))
     };
-    let first = orchidtally_net::within(PING_TIMEOUT, first).await.ok_or(Ended::Silent)?;
+    let first = orchidtally_net::within(PING_TIMEOUT, first)
+        .await
+        .ok_or(Ended::Silent)?;
     let (list, incoming) = first.map_err(Ended::Connection)?;
     info!(%address, executors = list.rows.len(), "the roster is here");
     take(hub, &list)?;
@@ -117,7 +130,10 @@
     Ok(())
 }
 
-async fn take_changes(hub: &Hub, mut incoming: Incoming) -> Result<std::convert::Infallible, Ended> {
+async fn take_changes(
+    hub: &Hub,
+    mut incoming: Incoming,
+) -> Result<std::convert::Infallible, Ended> {
     loop {
         let update = incoming.message::<v1::RosterUpdate>(LONGEST_ROSTER).await;
         take(hub, &update.map_err(Ended::Connection)?)?;
--- a/crates/frontend/tests/config_hosts.rs
+++ b/crates/frontend/tests/config_hosts.rs
@@ -7,7 +7,9 @@
 use orchidtally_config_sync::{GatewaySchema, SyncSettings, View};
 use orchidtally_deployment::Deployment;
 use orchidtally_etcd::Client;
-use orchidtally_frontend::config::{ApplyError, ConfigHost, ConfigTarget, HostSettings, sync_settings};
+use orchidtally_frontend::config::{
+    ApplyError, ConfigHost, ConfigTarget, HostSettings, sync_settings,
+};
 use orchidtally_test_servers::Stage;
 use orchidtally_test_servers::etcd::Served;
 use std::cell::Cell;
@@ -47,7 +49,16 @@
     (0..number % 5).for_each(|_| client.fail_over());
     let settings = HostSettings::new(format!("front-end-{number}"));
     let sync = SyncSettings::default();
-    ConfigHost::new(sync, GatewaySchema, number, settings, client, &stage.tasks, Target::default()).unwrap()
+    ConfigHost::new(
+        sync,
+        GatewaySchema,
+        number,
+        settings,
+        client,
+        &stage.tasks,
+        Target::default(),
+    )
+    .unwrap()
 }
 
 fn bytes(hosts: &[Rc<Host>]) -> f64 {
@@ -59,27 +70,48 @@
 fn many_hosts_in_one_thread_have_a_change_in_force_and_rest_within_their_bytes() {
     let stage = Stage::new(21);
     let etcd = Served::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
-    let hosts: Vec<Rc<Host>> = (0..HOSTS as u64).map(|number| host(&stage, &etcd, number)).collect();
-    hosts.iter().for_each(|host| stage.spawn(host.clone().run()).detach());
+    let hosts: Vec<Rc<Host>> = (0..HOSTS as u64)
+        .map(|number| host(&stage, &etcd, number))
+        .collect();
+    hosts
+        .iter()
+        .for_each(|host| stage.spawn(host.clone().run()).detach());
     let writer = Writer::new(&stage, &etcd);
     on(&stage, async {
-        writer.write(&[("functions/first", Some(function(true, "serve")))]).await;
-        until(&stage, "all follow", async || hosts.iter().all(|host| host.applied_revision() > 0)).await;
+        writer
+            .write(&[("functions/first", Some(function(true, "serve")))])
+            .await;
+        until(&stage, "all follow", async || {
+            hosts.iter().all(|host| host.applied_revision() > 0)
+        })
+        .await;
         let begun = stage.now();
-        let revision = writer.write(&[("functions/second", Some(function(true, "refuse")))]).await;
-        until(&stage, "in force", async || hosts.iter().all(|h| h.target().revision.get() >= revision)).await;
+        let revision = writer
+            .write(&[("functions/second", Some(function(true, "refuse")))])
+            .await;
+        until(&stage, "in force", async || {
+            hosts.iter().all(|h| h.target().revision.get() >= revision)
+        })
+        .await;
         let took = stage.now() - begun;
         assert!(took < IN_FORCE_WITHIN, "{took} s");
         until(&stage, "all report it", async || {
             let reports = writer.reports().await;
-            reports.values().filter(|report| report.applied_revision >= revision).count() == HOSTS
+            reports
+                .values()
+                .filter(|report| report.applied_revision >= revision)
+                .count()
+                == HOSTS
         })
         .await;
         let before = bytes(&hosts);
         stage.sleep(AT_REST).await;
         let a_second = (bytes(&hosts) - before) / AT_REST / HOSTS as f64;
         println!("in force after {took:.2} s, at rest {a_second:.0} bytes a second each");
-        assert!(a_second < BYTES_PER_SECOND, "{a_second} bytes a second each");
+        assert!(
+            a_second < BYTES_PER_SECOND,
+            "{a_second} bytes a second each"
+        );
     });
 }
 
@@ -91,17 +123,32 @@
     stage.spawn(host.clone().run()).detach();
     let writer = Writer::new(&stage, &etcd);
     on(&stage, async {
-        let first = writer.write(&[("functions/first", Some(function(true, "serve")))]).await;
-        until(&stage, "in force", async || host.target().revision.get() >= first).await;
+        let first = writer
+            .write(&[("functions/first", Some(function(true, "serve")))])
+            .await;
+        until(&stage, "in force", async || {
+            host.target().revision.get() >= first
+        })
+        .await;
         host.target().refuses.set(2);
-        let second = writer.write(&[("functions/second", Some(function(true, "serve")))]).await;
-        until(&stage, "it is told", async || host.status().apply_fault.is_some()).await;
+        let second = writer
+            .write(&[("functions/second", Some(function(true, "serve")))])
+            .await;
+        until(&stage, "it is told", async || {
+            host.status().apply_fault.is_some()
+        })
+        .await;
         assert!(host.target().revision.get() < second);
         until(&stage, "in force at last", async || {
             let reports = writer.reports().await;
-            let is_reported = reports.values().any(|report| report.applied_revision >= second);
+            let is_reported = reports
+                .values()
+                .any(|report| report.applied_revision >= second);
             let is_in_force = host.target().revision.get() >= second;
-            assert!(is_in_force || !is_reported, "a report names what is not in force");
+            assert!(
+                is_in_force || !is_reported,
+                "a report names what is not in force"
+            );
             is_reported
         })
         .await;
--- a/crates/frontend/tests/config_kit/mod.rs
+++ b/crates/frontend/tests/config_kit/mod.rs
@@ -9,7 +9,8 @@
 use orchidtally_etcd::rpc::compare::{CompareResult, CompareTarget, TargetUnion};
 use orchidtally_etcd::rpc::request_op::Request;
 use orchidtally_etcd::rpc::{
-    Compare, DeleteRangeRequest, PutRequest, RangeRequest, RangeResponse, RequestOp, TxnRequest, TxnResponse,
+    Compare, DeleteRangeRequest, PutRequest, RangeRequest, RangeResponse, RequestOp, TxnRequest,
+    TxnResponse,
 };
 use orchidtally_etcd::{Client, Fault, RANGE, TXN};
 use orchidtally_frontend::Start;
@@ -48,13 +49,25 @@
     let around = Surroundings {
         store: Store::new(stage, 8.0, 8),
         catalogue: Rc::new(|name| {
-            let work = if name.starts_with("slow") { SLOW } else { 0.001 };
-            Some(Program { lanes: 32, load_time: 0.01, work, run: echo, ..Program::default() })
+            let work = if name.starts_with("slow") {
+                SLOW
+            } else {
+                0.001
+            };
+            Some(Program {
+                lanes: 32,
+                load_time: 0.01,
+                work,
+                run: echo,
+                ..Program::default()
+            })
         }),
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, Make::roomy(1), any_port(), around).unwrap().address
+    Executor::start(stage, Make::roomy(1), any_port(), around)
+        .unwrap()
+        .address
 }
 
 /// A folder of the test's own, empty.
@@ -130,13 +143,18 @@
             };
             orchidtally_frontend::run(start, listener);
         });
-        FrontEnd { at, stop: Some(stop), thread: Some(thread) }
+        FrontEnd {
+            at,
+            stop: Some(stop),
+            thread: Some(thread),
+        }
     }
 
     /// Invokes a function: the status and the answer's body.
     pub async fn invoke(&self, function: &str) -> (u16, String) {
         let path = format!("/v1/functions/{function}/invocations");
-        let asked = orchidtally_net::http::ask(self.at, Method::POST, &path, "hi", Duration::from_secs(5));
+        let asked =
+            orchidtally_net::http::ask(self.at, Method::POST, &path, "hi", Duration::from_secs(5));
         let (status, body) = asked.await.unwrap();
         (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
     }
@@ -147,8 +165,13 @@
 
     /// What it says of its configuration.
     pub async fn configuration(&self) -> Value {
-        let asked =
-            orchidtally_net::http::ask(self.at, Method::GET, "/v1/front-end", "", Duration::from_secs(5));
+        let asked = orchidtally_net::http::ask(
+            self.at,
+            Method::GET,
+            "/v1/front-end",
+            "",
+            Duration::from_secs(5),
+        );
         let (status, body) = asked.await.unwrap();
         assert_eq!(status, StatusCode::OK);
         serde_json::from_slice::<Value>(&body).unwrap()["configuration"].clone()
@@ -184,7 +207,11 @@
 impl Writer {
     pub fn new(stage: &Stage, etcd: &Served) -> Writer {
         let client = Client::new(etcd.addresses.clone(), stage.tasks.clone());
-        Writer { client, keyspace: Keyspace::new(PREFIX), tries: Cell::new(0) }
+        Writer {
+            client,
+            keyspace: Keyspace::new(PREFIX),
+            tries: Cell::new(0),
+        }
     }
 
     /// Writes entries together; without a document an entry is deleted. Gives the revision.
@@ -193,7 +220,9 @@
             .iter()
             .map(|(key, document)| EntryChange {
                 key: EntryKey::parse(key).unwrap(),
-                document: document.as_ref().map(|document| document.to_string().into_bytes()),
+                document: document
+                    .as_ref()
+                    .map(|document| document.to_string().into_bytes()),
             })
             .collect();
         loop {
@@ -202,7 +231,10 @@
                 Ok(None) => {}
                 Err(fault) => {
                     self.tries.set(self.tries.get() + 1);
-                    assert!(self.tries.get() < 50, "the writer reaches no member: {fault}");
+                    assert!(
+                        self.tries.get() < 50,
+                        "the writer reaches no member: {fault}"
+                    );
                     self.client.fail_over();
                     async_io::Timer::after(Duration::from_millis(100)).await;
                 }
@@ -214,13 +246,23 @@
     async fn try_write(&self, changes: &[EntryChange]) -> Result<Option<i64>, Fault> {
         let mut read = ReadValues::new();
         for key in writer::keys_to_read(&self.keyspace, changes) {
-            let question = RangeRequest { key: key.clone().into(), ..RangeRequest::default() };
+            let question = RangeRequest {
+                key: key.clone().into(),
+                ..RangeRequest::default()
+            };
             let answer: RangeResponse = self.client.unary(RANGE, &question, EXCHANGE_TIME).await?;
             if let Some(pair) = answer.kvs.into_iter().next() {
-                read.insert(key, ReadValue { value: pair.value.to_vec(), mod_revision: pair.mod_revision });
+                read.insert(
+                    key,
+                    ReadValue {
+                        value: pair.value.to_vec(),
+                        mod_revision: pair.mod_revision,
+                    },
+                );
             }
         }
-        let plan = writer::plan(&self.keyspace, &GatewaySchema, changes, &read, 16_384, 128).unwrap();
+        let plan =
+            writer::plan(&self.keyspace, &GatewaySchema, changes, &read, 16_384, 128).unwrap();
         let compare = plan.guards.into_iter().map(|guard| Compare {
             result: CompareResult::Equal.into(),
             target: CompareTarget::Mod.into(),
@@ -240,10 +282,15 @@
                 }),
             }),
         });
-        let transaction =
-            TxnRequest { compare: compare.collect(), success: success.collect(), failure: vec![] };
+        let transaction = TxnRequest {
+            compare: compare.collect(),
+            success: success.collect(),
+            failure: vec![],
+        };
         let answer: TxnResponse = self.client.unary(TXN, &transaction, EXCHANGE_TIME).await?;
-        Ok(answer.succeeded.then(|| answer.header.unwrap_or_default().revision))
+        Ok(answer
+            .succeeded
+            .then(|| answer.header.unwrap_or_default().revision))
     }
 
     /// All reports that stand in the store, by front end, as JSON.
@@ -254,7 +301,10 @@
             range_end: range.end.into(),
             ..RangeRequest::default()
         };
-        let answer = self.client.unary::<RangeResponse>(RANGE, &question, EXCHANGE_TIME).await;
+        let answer = self
+            .client
+            .unary::<RangeResponse>(RANGE, &question, EXCHANGE_TIME)
+            .await;
         let Ok(answer) = answer else {
             self.client.fail_over();
             return BTreeMap::new();
@@ -263,13 +313,20 @@
         answer
             .kvs
             .iter()
-            .map(|pair| (name(&pair.key), serde_json::from_slice(&pair.value).unwrap()))
+            .map(|pair| {
+                (
+                    name(&pair.key),
+                    serde_json::from_slice(&pair.value).unwrap(),
+                )
+            })
             .collect()
     }
 
     /// The same, as the core's writer takes them.
     pub async fn reports(&self) -> BTreeMap<String, Report> {
         let raw = self.raw_reports().await;
-        raw.into_iter().map(|(name, value)| (name, serde_json::from_value(value).unwrap())).collect()
+        raw.into_iter()
+            .map(|(name, value)| (name, serde_json::from_value(value).unwrap()))
+            .collect()
     }
 }
--- a/crates/frontend/tests/config_leaving.rs
+++ b/crates/frontend/tests/config_leaving.rs
@@ -39,33 +39,72 @@
     });
     let writer = Writer::new(&stage, &etcd);
     on(&stage, async {
-        until(&stage, "both report", async || writer.reports().await.len() == 2).await;
+        until(&stage, "both report", async || {
+            writer.reports().await.len() == 2
+        })
+        .await;
         let at_write = names(&writer.reports().await);
         let revoked_before = revocations(&etcd);
         // The end runs beside the store, which is served by this thread.
         let ending = std::thread::spawn(move || end(ends));
-        until(&stage, "its last report", async || ended(&writer.reports().await).len() == 1).await;
-        assert_eq!(revocations(&etcd), revoked_before + 1, "its lease is given back");
+        until(&stage, "its last report", async || {
+            ended(&writer.reports().await).len() == 1
+        })
+        .await;
+        assert_eq!(
+            revocations(&etcd),
+            revoked_before + 1,
+            "its lease is given back"
+        );
         let took = ending.join().unwrap();
         assert!(took < END_WITHIN, "{took} s");
-        let revision = writer.write(&[("functions/new", Some(function(true, "serve")))]).await;
-        let written = Written { revision, generation: 0, cluster: CLUSTER, at: stage.now() };
+        let revision = writer
+            .write(&[("functions/new", Some(function(true, "serve")))])
+            .await;
+        let written = Written {
+            revision,
+            generation: 0,
+            cluster: CLUSTER,
+            at: stage.now(),
+        };
         let asked = async || {
             let reports = writer.reports().await;
-            in_force(&written, stage.now(), &at_write, &names(&reports), &reports, IN_FORCE_WITHIN)
+            in_force(
+                &written,
+                stage.now(),
+                &at_write,
+                &names(&reports),
+                &reports,
+                IN_FORCE_WITHIN,
+            )
         };
-        until(&stage, "in force everywhere", async || asked().await == InForce::Everywhere).await;
-        let last = writer.reports().await.into_values().find(|report| report.state == ReportedState::Ended);
-        assert!(last.is_some_and(|report| report.applied_revision < revision), "it never saw the change");
+        until(&stage, "in force everywhere", async || {
+            asked().await == InForce::Everywhere
+        })
+        .await;
+        let last = writer
+            .reports()
+            .await
+            .into_values()
+            .find(|report| report.state == ReportedState::Ended);
+        assert!(
+            last.is_some_and(|report| report.applied_revision < revision),
+            "it never saw the change"
+        );
         // Its last word goes as well; who asks about an old write then learns that it has lost sight of it.
-        until(&stage, "the last report is over", async || writer.reports().await.len() == 1).await;
+        until(&stage, "the last report is over", async || {
+            writer.reports().await.len() == 1
+        })
+        .await;
         assert!(matches!(asked().await, InForce::Missing { missing, .. } if missing.len() == 1));
         drop(stays);
     });
 }
 
 fn revocations(etcd: &Served) -> u64 {
-    (0..3).map(|member| etcd.counters(member).exchanges.lease_revocations).sum()
+    (0..3)
+        .map(|member| etcd.counters(member).exchanges.lease_revocations)
+        .sum()
 }
 
 #[test]
@@ -79,13 +118,19 @@
     });
     let writer = Writer::new(&stage, &etcd);
     on(&stage, async {
-        until(&stage, "both report", async || writer.reports().await.len() == 2).await;
+        until(&stage, "both report", async || {
+            writer.reports().await.len() == 2
+        })
+        .await;
         etcd.faults.stalled.set(stage.now() + 10.0);
         let ending = std::thread::spawn(move || end(silent));
         until(&stage, "the end", async || ending.is_finished()).await;
         let took = ending.join().unwrap();
         assert!(took < END_WITHIN, "{took} s with a silent store");
-        until(&stage, "noticed", async || away.configuration().await["connected"] == false).await;
+        until(&stage, "noticed", async || {
+            away.configuration().await["connected"] == false
+        })
+        .await;
         (0..3).for_each(|member| etcd.stop(member));
         let ending = std::thread::spawn(move || end(away));
         until(&stage, "the end", async || ending.is_finished()).await;
--- a/crates/frontend/tests/departures.rs
+++ b/crates/frontend/tests/departures.rs
@@ -15,8 +15,15 @@
 const WORK: f64 = 0.6;
 
 fn slow_executor(stage: &Stage) -> Rc<Executor> {
-    let program =
-        |_: &str| Some(Program { lanes: 32, load_time: 0.01, work: WORK, run: echo, ..Program::default() });
+    let program = |_: &str| {
+        Some(Program {
+            lanes: 32,
+            load_time: 0.01,
+            work: WORK,
+            run: echo,
+            ..Program::default()
+        })
+    };
     let around = Surroundings {
         store: Store::new(stage, 8.0, 8),
         catalogue: Rc::new(program),
@@ -28,7 +35,8 @@
 
 /// A front end with one stream to each executor.
 fn narrow_gateway(source: &str) -> Gateway {
-    let narrow = "limits: { connectTime: \"3s\", streamsPerConnection: 1, connectionsPerExecutor: 1,";
+    let narrow =
+        "limits: { connectTime: \"3s\", streamsPerConnection: 1, connectionsPerExecutor: 1,";
     let text = description(source, "loading: { orders: false }");
     gateway(text.replace("limits: { connectTime: \"200ms\",", narrow))
 }
@@ -37,23 +45,41 @@
 fn nothing_leaves_for_an_executor_that_was_told_draining_while_it_waited_for_a_stream() {
     let stage = Stage::new(1);
     let one = slow_executor(&stage);
-    let publisher = Publisher::start(&stage, any_port(), vec![row(0, one.address, Standing::Ready)]).unwrap();
+    let publisher = Publisher::start(
+        &stage,
+        any_port(),
+        vec![row(0, one.address, Standing::Ready)],
+    )
+    .unwrap();
     publisher.delay.set(0.0);
     let gateway = narrow_gateway(&format!("publisher: \"{}\"", publisher.address));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("warms", LOOK)).await), 200);
-        let out = all(&stage, &caller, (0..3).map(|n| ask(&format!("a{n}"), ACT)).collect());
+        let out = all(
+            &stage,
+            &caller,
+            (0..3).map(|n| ask(&format!("a{n}"), ACT)).collect(),
+        );
         let drain = async {
             stage.sleep(WORK / 3.0).await;
             publisher.change(0, Standing::Draining, f64::NEG_INFINITY);
         };
         let (heard, ()) = futures_lite::future::zip(out, drain).await;
         let statuses: Vec<u16> = heard.iter().map(status).collect();
-        assert_eq!(statuses.iter().filter(|&&s| s == 200).count(), 1, "{statuses:?}");
+        assert_eq!(
+            statuses.iter().filter(|&&s| s == 200).count(),
+            1,
+            "{statuses:?}"
+        );
     });
-    let reached = |r: &Record| matches!(r, Record::Reached { invocation, .. } if invocation.starts_with('a'));
-    assert_eq!(stage.records().iter().filter(|r| reached(r)).count(), 1, "only the one that had its stream");
+    let reached =
+        |r: &Record| matches!(r, Record::Reached { invocation, .. } if invocation.starts_with('a'));
+    assert_eq!(
+        stage.records().iter().filter(|r| reached(r)).count(),
+        1,
+        "only the one that had its stream"
+    );
     gateway.end();
 }
 
@@ -70,7 +96,10 @@
         let heard = all(&stage, &caller, vec![ask("goes", ACT), asked.clone()]).await;
         assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
         let (told, left) = (one.last_time_left.get(), asked.time_left - WORK);
-        assert!(told <= left + 0.15 && told > left / 2.0, "{told} s of {left}");
+        assert!(
+            told <= left + 0.15 && told > left / 2.0,
+            "{told} s of {left}"
+        );
     });
     gateway.end();
 }
--- a/crates/frontend/tests/etcd.rs
+++ b/crates/frontend/tests/etcd.rs
@@ -28,7 +28,13 @@
     let around = Surroundings {
         store: Store::new(stage, 8.0, 8),
         catalogue: Rc::new(|_| {
-            Some(Program { lanes: 32, load_time: 0.02, work: 0.002, run: echo, ..Program::default() })
+            Some(Program {
+                lanes: 32,
+                load_time: 0.02,
+                work: 0.002,
+                run: echo,
+                ..Program::default()
+            })
         }),
         tokens: Rc::default(),
         token_window: 5.0,
@@ -45,24 +51,38 @@
 impl World {
     fn put(&self, n: usize, value: &str) {
         let key = format!("/orchidtally/executors/{}", self.executors[n].address).into();
-        let put =
-            PutRequest { key, value: Bytes::copy_from_slice(value.as_bytes()), ..PutRequest::default() };
+        let put = PutRequest {
+            key,
+            value: Bytes::copy_from_slice(value.as_bytes()),
+            ..PutRequest::default()
+        };
         self.etcd.store.borrow_mut().put(&put).unwrap();
     }
 
     fn mark(&self, n: usize, drains: bool) {
-        let key: Bytes = format!("/orchidtally/executors/{}/drain", self.executors[n].address).into();
+        let key: Bytes =
+            format!("/orchidtally/executors/{}/drain", self.executors[n].address).into();
         let mut store = self.etcd.store.borrow_mut();
         if drains {
-            store.put(&PutRequest { key, value: "{}".into(), ..PutRequest::default() }).unwrap();
+            store
+                .put(&PutRequest {
+                    key,
+                    value: "{}".into(),
+                    ..PutRequest::default()
+                })
+                .unwrap();
         } else {
-            store.delete(&DeleteRangeRequest { key, ..DeleteRangeRequest::default() });
+            store.delete(&DeleteRangeRequest {
+                key,
+                ..DeleteRangeRequest::default()
+            });
         }
     }
 
     async fn standing(&self, at: SocketAddr) -> Value {
         let time = Duration::from_secs(2);
-        let asked = orchidtally_net::http::ask(at, http::Method::GET, "/v1/front-end", vec![], time);
+        let asked =
+            orchidtally_net::http::ask(at, http::Method::GET, "/v1/front-end", vec![], time);
         serde_json::from_slice(&asked.await.unwrap().1).unwrap()
     }
 
@@ -87,11 +107,18 @@
                 ..Ask::default()
             };
             let heard = caller.invoke(&ask).await;
-            assert!(matches!(heard, Heard::Answered { status: 200, .. }), "{label}: {heard:?}");
+            assert!(
+                matches!(heard, Heard::Answered { status: 200, .. }),
+                "{label}: {heard:?}"
+            );
         }
         let records = self.stage.records();
         let of = |r: &Record| match r {
-            Record::Ran { executor, invocation, .. } if invocation.starts_with(label) => Some(*executor),
+            Record::Ran {
+                executor,
+                invocation,
+                ..
+            } if invocation.starts_with(label) => Some(*executor),
             _ => None,
         };
         let mut ran: Vec<usize> = records.iter().filter_map(of).collect();
@@ -108,9 +135,18 @@
     let stage = Stage::new(3);
     let etcd = Served::start(&stage, 2).unwrap();
     let executors = (0..3).map(|n| executor(&stage, n)).collect();
-    let w = World { stage, etcd, executors };
+    let w = World {
+        stage,
+        etcd,
+        executors,
+    };
     (0..3).for_each(|n| w.put(n, READY));
-    let endpoints: Vec<String> = w.etcd.addresses.iter().map(|a| format!("\"{a}\"")).collect();
+    let endpoints: Vec<String> = w
+        .etcd
+        .addresses
+        .iter()
+        .map(|a| format!("\"{a}\""))
+        .collect();
     let text = format!(
         r#"{{ triggerTypes: [{{ name: "look", effect: "idempotent", objective: "2s", timeout: "3s" }}],
             otherFunctions: {{ lanes: 32, loadTime: "100ms" }},
@@ -137,8 +173,13 @@
     });
     let caller = Caller::new(&w.stage, 0, 0, at, false);
     on(&w.stage, async {
-        let heard =
-            |revision: i64| move |r: &Value| r["revision"].as_i64().is_some_and(|known| known >= revision);
+        let heard = |revision: i64| {
+            move |r: &Value| {
+                r["revision"]
+                    .as_i64()
+                    .is_some_and(|known| known >= revision)
+            }
+        };
         let revision = || w.etcd.store.borrow().revision;
         w.until(at, |r| r["executors"] == 3).await;
         assert!(!w.ran(&caller, "before").await.is_empty());
@@ -165,7 +206,10 @@
         w.stage.sleep(2.5).await;
         assert_eq!(w.ran(&caller, "away").await, [1]);
         let standing = w.standing(at).await;
-        assert_eq!(standing["roster"]["shares"], false, "nobody can say by how many to share");
+        assert_eq!(
+            standing["roster"]["shares"], false,
+            "nobody can say by how many to share"
+        );
         w.until(at, |r| r["shares"] == true).await;
     });
     drop(stop);
--- a/crates/frontend/tests/etcd_age.rs
+++ b/crates/frontend/tests/etcd_age.rs
@@ -18,13 +18,24 @@
 fn put(etcd: &Served, executor: &Executor, standing: &str) {
     let key = format!("/orchidtally/executors/{}", executor.address).into();
     let value = Bytes::from(format!(r#"{{"standing":"{standing}","since":1}}"#));
-    etcd.store.borrow_mut().put(&PutRequest { key, value, ..PutRequest::default() }).unwrap();
+    etcd.store
+        .borrow_mut()
+        .put(&PutRequest {
+            key,
+            value,
+            ..PutRequest::default()
+        })
+        .unwrap();
 }
 
 /// Executors at which invocations ran whose names begin so.
 fn ran_at(stage: &Stage, label: &str) -> Vec<usize> {
     let of = |record: &Record| match record {
-        Record::Ran { executor, invocation, .. } if invocation.starts_with(label) => Some(*executor),
+        Record::Ran {
+            executor,
+            invocation,
+            ..
+        } if invocation.starts_with(label) => Some(*executor),
         _ => None,
     };
     let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
@@ -35,7 +46,10 @@
 
 async fn invoke_some(caller: &Rc<Caller>, label: &str) {
     for n in 0..24 {
-        let asked = Ask { function: format!("f{}", n % 8), ..ask(&format!("{label}-{n}"), LOOK) };
+        let asked = Ask {
+            function: format!("f{}", n % 8),
+            ..ask(&format!("{label}-{n}"), LOOK)
+        };
         assert_eq!(status(&caller.invoke(&asked).await), 200);
     }
 }
@@ -45,9 +59,14 @@
     let stage = Stage::new(1);
     let etcd = Served::start_in_regions(&stage, &[0, 1, 2]).unwrap();
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    executors.iter().for_each(|executor| put(&etcd, executor, "ready"));
+    executors
+        .iter()
+        .for_each(|executor| put(&etcd, executor, "ready"));
     let endpoints: Vec<String> = etcd.addresses.iter().map(|a| format!("\"{a}\"")).collect();
-    let source = format!("etcd: {{ endpoints: [{}], lease: \"2s\" }}", endpoints.join(", "));
+    let source = format!(
+        "etcd: {{ endpoints: [{}], lease: \"2s\" }}",
+        endpoints.join(", ")
+    );
     let gateway = gateway(description(&source, ""));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
@@ -64,7 +83,11 @@
             stage.sleep(FAILS_OVER_WITHIN).await;
             let label = format!("cut-{region}");
             invoke_some(&caller, &label).await;
-            assert_eq!(ran_at(&stage, &label), [1 - drains], "cut {region}: one drains");
+            assert_eq!(
+                ran_at(&stage, &label),
+                [1 - drains],
+                "cut {region}: one drains"
+            );
             etcd.heal();
             stage.sleep(1.0).await;
         }
--- a/crates/frontend/tests/gateway_kit/mod.rs
+++ b/crates/frontend/tests/gateway_kit/mod.rs
@@ -43,7 +43,10 @@
 
 impl Log {
     pub fn lines_with(&self, part: &str) -> usize {
-        String::from_utf8_lossy(&self.0.lock().unwrap()).lines().filter(|l| l.contains(part)).count()
+        String::from_utf8_lossy(&self.0.lock().unwrap())
+            .lines()
+            .filter(|l| l.contains(part))
+            .count()
     }
 }
 
@@ -65,7 +68,10 @@
 
 /// A list of executors in the deployment file.
 pub fn listed(executors: &[SocketAddr]) -> String {
-    let list: Vec<_> = executors.iter().map(|a| format!("{{ address: \"{a}\" }}")).collect();
+    let list: Vec<_> = executors
+        .iter()
+        .map(|a| format!("{{ address: \"{a}\" }}"))
+        .collect();
     format!("list: [{}]", list.join(", "))
 }
 
@@ -100,7 +106,12 @@
             listener,
         )
     });
-    Gateway { at, stop, thread, log }
+    Gateway {
+        at,
+        stop,
+        thread,
+        log,
+    }
 }
 
 impl Gateway {
@@ -167,7 +178,13 @@
     let around = Surroundings {
         store: Store::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| {
-            Some(Program { lanes: 32, load_time, work: 0.005, run: echo, ..Program::default() })
+            Some(Program {
+                lanes: 32,
+                load_time,
+                work: 0.005,
+                run: echo,
+                ..Program::default()
+            })
         }),
         tokens: Rc::default(),
         token_window: 5.0,
--- a/crates/frontend/tests/hard_cases.rs
+++ b/crates/frontend/tests/hard_cases.rs
@@ -69,7 +69,14 @@
     let gateway = gateway(description(&listed(&two), NO_ORDERS));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, caller.invoke(&ask("a", ACT)));
-    let Heard::Answered { answer: Answer::Errored, may_have_run, .. } = heard else { panic!("{heard:?}") };
+    let Heard::Answered {
+        answer: Answer::Errored,
+        may_have_run,
+        ..
+    } = heard
+    else {
+        panic!("{heard:?}")
+    };
     assert!(may_have_run);
     assert_eq!(dispatches.get(), 1, "never repeated");
     assert_eq!(gateway.end().errored, 1);
@@ -82,12 +89,20 @@
     let stands = executor(&stage, 0, 0.01);
     let gateway = gateway(description(&listed(&[gone, stands.address]), NO_ORDERS));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-    let asks = (0..12).map(|n| Ask { function: format!("f{n}"), ..ask(&format!("a{n}"), ACT) }).collect();
+    let asks = (0..12)
+        .map(|n| Ask {
+            function: format!("f{n}"),
+            ..ask(&format!("a{n}"), ACT)
+        })
+        .collect();
     let heard = on(&stage, all(&stage, &caller, asks));
     assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
     let tally = gateway.end();
     assert_eq!(tally.succeeded, 12);
-    assert!(tally.dispatches > 12, "some went to the dead one first: {tally:?}");
+    assert!(
+        tally.dispatches > 12,
+        "some went to the dead one first: {tally:?}"
+    );
 }
 
 /// Eight dispatches are out, the peer names the fourth as the last that it looked at and breaks off.
@@ -110,10 +125,16 @@
         }
     });
     let other = executor(&stage, 1, 0.01);
-    let rows = vec![row(0, closes, Standing::Ready), row(1, other.address, Standing::Gone)];
+    let rows = vec![
+        row(0, closes, Standing::Ready),
+        row(1, other.address, Standing::Gone),
+    ];
     let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
     publisher.delay.set(0.0);
-    let gateway = gateway(description(&format!("publisher: \"{}\"", publisher.address), NO_ORDERS));
+    let gateway = gateway(description(
+        &format!("publisher: \"{}\"", publisher.address),
+        NO_ORDERS,
+    ));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
@@ -123,11 +144,23 @@
     });
     let errored: Vec<_> = heard.iter().filter(|h| status(h) != 200).collect();
     assert_eq!(errored.len(), 4, "those up to the last stream: {heard:?}");
-    assert!(errored.iter().all(|h| matches!(h, Heard::Answered { may_have_run: true, .. })));
-    assert!(streams.borrow().len() >= 9, "eight were out beside the first");
+    assert!(errored.iter().all(|h| matches!(
+        h,
+        Heard::Answered {
+            may_have_run: true,
+            ..
+        }
+    )));
+    assert!(
+        streams.borrow().len() >= 9,
+        "eight were out beside the first"
+    );
     let tally = gateway.end();
     assert_eq!(tally.succeeded, 13);
-    assert!(tally.dispatches >= 17 + 4, "each of the other four went once more: {tally:?}");
+    assert!(
+        tally.dispatches >= 17 + 4,
+        "each of the other four went once more: {tally:?}"
+    );
 }
 
 #[test]
@@ -135,12 +168,22 @@
     for (code, expected) in [(raw::REFUSED_STREAM, 200), (8, 502)] {
         let stage = Stage::new(1);
         let resets = scripted(&stage, move |f| {
-            Next::Say(if f.ends_stream() { raw::reset(f.stream, code) } else { vec![] })
+            Next::Say(if f.ends_stream() {
+                raw::reset(f.stream, code)
+            } else {
+                vec![]
+            })
         });
         let other = executor(&stage, 1, 0.01);
-        let rows = vec![row(0, resets, Standing::Ready), row(1, other.address, Standing::Gone)];
+        let rows = vec![
+            row(0, resets, Standing::Ready),
+            row(1, other.address, Standing::Gone),
+        ];
         let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
-        let gateway = gateway(description(&format!("publisher: \"{}\"", publisher.address), NO_ORDERS));
+        let gateway = gateway(description(
+            &format!("publisher: \"{}\"", publisher.address),
+            NO_ORDERS,
+        ));
         let caller = Caller::new(&stage, 0, 0, gateway.at, true);
         let heard = on(&stage, async {
             // The second executor appears once the first has answered.
@@ -179,13 +222,21 @@
         // Once it is known to be silent nothing waits for it.
         let later = stage.now();
         let asks = (0..20)
-            .map(|n| Ask { function: format!("g{n}"), time_left: 1.5, ..ask(&format!("b{n}"), LOOK) })
+            .map(|n| Ask {
+                function: format!("g{n}"),
+                time_left: 1.5,
+                ..ask(&format!("b{n}"), LOOK)
+            })
             .collect();
         let after = all(&stage, &caller, asks).await;
         // One at a time is still tried there.
         let well = after.iter().filter(|h| status(h) == 200).count();
         assert!(well >= 10, "{well} of 20: {after:?}");
-        assert!(stage.now() - later < 2.0, "they took {} s", stage.now() - later);
+        assert!(
+            stage.now() - later < 2.0,
+            "they took {} s",
+            stage.now() - later
+        );
         heard
     });
     let succeeded = heard.iter().filter(|h| status(h) == 200).count();
@@ -204,19 +255,35 @@
     let [one, two] = opened.clone();
     let garbage = scripted(&stage, move |f| {
         count(&one, f);
-        if f.kind == Kind::Headers { Next::Say(vec![0xff; 300]) } else { Next::Say(vec![]) }
+        if f.kind == Kind::Headers {
+            Next::Say(vec![0xff; 300])
+        } else {
+            Next::Say(vec![])
+        }
     });
     let wrong = scripted(&stage, move |f| {
         count(&two, f);
         // An answer whose message runs past its end.
-        let bytes = [raw::ok(f.stream), raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true)].concat();
+        let bytes = [
+            raw::ok(f.stream),
+            raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true),
+        ]
+        .concat();
         Next::Say(if f.ends_stream() { bytes } else { vec![] })
     });
     let one = executor(&stage, 0, 0.01);
     // In locations of their own: where two of one broke, the module takes the rest of it for as cold.
     let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
-    let five = [(garbage, "a"), (wrong, "b"), (one.address, "c"), (more[0], "d"), (more[1], "e")];
-    let list = five.map(|(at, place)| format!("{{ address: \"{at}\", location: \"{place}\" }}")).join(", ");
+    let five = [
+        (garbage, "a"),
+        (wrong, "b"),
+        (one.address, "c"),
+        (more[0], "d"),
+        (more[1], "e"),
+    ];
+    let list = five
+        .map(|(at, place)| format!("{{ address: \"{at}\", location: \"{place}\" }}"))
+        .join(", ");
     let more = format!("locations: [\"a\", \"b\", \"c\", \"d\", \"e\"], {NO_ORDERS}");
     let gateway = gateway(description(&format!("list: [{list}]"), &more));
     on(&stage, async {
@@ -234,21 +301,35 @@
         let mut long = b"POST /v1/functions/f/invocations HTTP/1.1\r\nhost: x\r\nlong: ".to_vec();
         long.resize(200_000, b'a');
         let nonsense = [preface, vec![0xff; 200]].concat();
-        for bytes in [twice, long, nonsense, b"\x00\x01\x02 nonsense\r\n\r\n".to_vec()] {
+        for bytes in [
+            twice,
+            long,
+            nonsense,
+            b"\x00\x01\x02 nonsense\r\n\r\n".to_vec(),
+        ] {
             let mut socket = Async::<TcpStream>::connect(gateway.at).await.unwrap();
             // It may be cut off while it still writes.
             let _ = socket.write_all(&bytes).await;
             let mut rest = vec![];
-            let closed =
-                orchidtally_net::within(std::time::Duration::from_secs(3), socket.read_to_end(&mut rest));
+            let closed = orchidtally_net::within(
+                std::time::Duration::from_secs(3),
+                socket.read_to_end(&mut rest),
+            );
             assert!(closed.await.is_some(), "the connection is closed");
         }
-        assert_eq!(gateway.log.lines_with("closed a connection"), 4, "a line for each");
+        assert_eq!(
+            gateway.log.lines_with("closed a connection"),
+            4,
+            "a line for each"
+        );
         let caller = Caller::new(&stage, 0, 0, gateway.at, false);
         // Where both executors drawn for a function are bad it may fail; which are drawn hangs on their ports.
         for (round, least) in [("a", 18), ("b", 18)] {
             let asks = (0..30)
-                .map(|n| Ask { function: format!("{round}{n}"), ..ask(&format!("{round}{n}"), LOOK) })
+                .map(|n| Ask {
+                    function: format!("{round}{n}"),
+                    ..ask(&format!("{round}{n}"), LOOK)
+                })
                 .collect();
             let heard = all(&stage, &caller, asks).await;
             let well = heard.iter().filter(|h| status(h) == 200).count();
@@ -257,7 +338,11 @@
         stage.sleep(0.1).await;
         for (executor, opened) in [garbage, wrong].iter().zip(&opened) {
             let lines = gateway.log.lines_with(&format!("executor={executor}"));
-            assert!((1..=opened.get()).contains(&lines), "{lines} for {} connections", opened.get());
+            assert!(
+                (1..=opened.get()).contains(&lines),
+                "{lines} for {} connections",
+                opened.get()
+            );
         }
     });
     gateway.end();
@@ -267,14 +352,26 @@
 fn a_replacement_at_the_same_address_has_none_of_the_copies_of_the_one_before() {
     let stage = Stage::new(1);
     let one = executor(&stage, 0, 0.15);
-    let publisher = Publisher::start(&stage, any_port(), vec![row(0, one.address, Standing::Ready)]).unwrap();
+    let publisher = Publisher::start(
+        &stage,
+        any_port(),
+        vec![row(0, one.address, Standing::Ready)],
+    )
+    .unwrap();
     publisher.delay.set(0.0);
     let soon_warm = "safety: { cold: \"50ms\", fall: \"10ms\" }";
-    let gateway = gateway(description(&format!("publisher: \"{}\"", publisher.address), soon_warm));
+    let gateway = gateway(description(
+        &format!("publisher: \"{}\"", publisher.address),
+        soon_warm,
+    ));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
-        let out = all(&stage, &caller, (0..5).map(|n| ask(&format!("a{n}"), ACT)).collect());
+        let out = all(
+            &stage,
+            &caller,
+            (0..5).map(|n| ask(&format!("a{n}"), ACT)).collect(),
+        );
         let replace = async {
             stage.sleep(0.003).await;
             one.crash();
@@ -287,15 +384,32 @@
             loads_before
         };
         let (heard, loads_before) = futures_lite::future::zip(out, replace).await;
-        assert!(heard.iter().all(|h| [200, 502, 503].contains(&status(h))), "{heard:?}");
-        let after = all(&stage, &caller, (0..10).map(|n| ask(&format!("b{n}"), ACT)).collect()).await;
+        assert!(
+            heard.iter().all(|h| [200, 502, 503].contains(&status(h))),
+            "{heard:?}"
+        );
+        let after = all(
+            &stage,
+            &caller,
+            (0..10).map(|n| ask(&format!("b{n}"), ACT)).collect(),
+        )
+        .await;
         assert!(after.iter().all(|h| status(h) == 200), "{after:?}");
         // On a busy machine some of the first five wait for the replacement, and one of them may load the copy.
         let loads = one.store.fetched.get() - loads_before;
-        assert_eq!(loads, 1, "the replacement loaded its copy once, for all that came to it");
+        assert_eq!(
+            loads, 1,
+            "the replacement loaded its copy once, for all that came to it"
+        );
     });
     let mut ran: Vec<_> = (stage.records().iter())
-        .filter_map(|r| if let Record::Ran { invocation, .. } = r { Some(invocation.clone()) } else { None })
+        .filter_map(|r| {
+            if let Record::Ran { invocation, .. } = r {
+                Some(invocation.clone())
+            } else {
+                None
+            }
+        })
         .collect();
     ran.sort();
     let all = ran.len();
--- a/crates/frontend/tests/hard_requests.rs
+++ b/crates/frontend/tests/hard_requests.rs
@@ -18,10 +18,16 @@
     let stage = Stage::new(1);
     // Both load slowly; whichever is drawn is told to drain.
     let two = [executor(&stage, 0, 0.8), executor(&stage, 1, 0.8)];
-    let rows = two.iter().map(|e| row(e.make.number, e.address, Standing::Ready)).collect();
+    let rows = two
+        .iter()
+        .map(|e| row(e.make.number, e.address, Standing::Ready))
+        .collect();
     let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
     publisher.delay.set(0.0);
-    let gateway = gateway(description(&format!("publisher: \"{}\"", publisher.address), ""));
+    let gateway = gateway(description(
+        &format!("publisher: \"{}\"", publisher.address),
+        "",
+    ));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     let (heard, drained, told) = on(&stage, async {
         stage.sleep(0.2).await;
@@ -59,14 +65,26 @@
         for plain in [true, false] {
             let caller = Caller::new(&stage, 0, 0, gateway.at, plain);
             let function = format!("f-{plain}");
-            let leaves = Ask { function: function.clone(), leaves_after: Some(0.15), ..ask("leaves", ACT) };
+            let leaves = Ask {
+                function: function.clone(),
+                leaves_after: Some(0.15),
+                ..ask("leaves", ACT)
+            };
             assert_eq!(caller.invoke(&leaves).await, Heard::Left);
             stage.sleep(0.6).await;
-            let next = Ask { function, time_left: 0.4, ..ask("next", ACT) };
+            let next = Ask {
+                function,
+                time_left: 0.4,
+                ..ask("next", ACT)
+            };
             assert_eq!(status(&caller.invoke(&next).await), 200, "the copy stands");
         }
     });
-    let ran = stage.records().iter().filter(|r| matches!(r, Record::Ran { .. })).count();
+    let ran = stage
+        .records()
+        .iter()
+        .filter(|r| matches!(r, Record::Ran { .. }))
+        .count();
     assert_eq!(ran, 2, "nothing was sent for those that left");
     let tally = gateway.end();
     assert_eq!((tally.taken, tally.withdrawn, tally.succeeded), (4, 2, 2));
@@ -101,14 +119,53 @@
     let gateway = gateway(description(&listed(&[one.address]), more));
     on(&stage, async {
         let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-        let known = Ask { customer: "known".into(), ..ask("a", LOOK) };
+        let known = Ask {
+            customer: "known".into(),
+            ..ask("a", LOOK)
+        };
         let cases = [
-            (Ask { customer: "other".into(), ..known.clone() }, 403),
-            (Ask { customer: String::new(), ..known.clone() }, 400),
-            (Ask { trigger_type: (0, "none".into()), ..known.clone() }, 400),
-            (Ask { payload: vec![0; 200_000].into(), ..known.clone() }, 413),
-            (Ask { function: "a/b".into(), ..known.clone() }, 404),
-            (Ask { function: "%zz".into(), ..known.clone() }, 400),
+            (
+                Ask {
+                    customer: "other".into(),
+                    ..known.clone()
+                },
+                403,
+            ),
+            (
+                Ask {
+                    customer: String::new(),
+                    ..known.clone()
+                },
+                400,
+            ),
+            (
+                Ask {
+                    trigger_type: (0, "none".into()),
+                    ..known.clone()
+                },
+                400,
+            ),
+            (
+                Ask {
+                    payload: vec![0; 200_000].into(),
+                    ..known.clone()
+                },
+                413,
+            ),
+            (
+                Ask {
+                    function: "a/b".into(),
+                    ..known.clone()
+                },
+                404,
+            ),
+            (
+                Ask {
+                    function: "%zz".into(),
+                    ..known.clone()
+                },
+                400,
+            ),
             (known.clone(), 200),
         ];
         for (ask, expected) in cases {
@@ -116,7 +173,11 @@
             assert_eq!(status(&heard), expected, "{ask:?}: {heard:?}");
         }
     });
-    let reached = stage.records().iter().filter(|r| matches!(r, Record::Reached { .. })).count();
+    let reached = stage
+        .records()
+        .iter()
+        .filter(|r| matches!(r, Record::Reached { .. }))
+        .count();
     assert_eq!(reached, 1);
     assert_eq!(gateway.end().taken, 1);
 }
@@ -153,7 +214,10 @@
         for round in 0..3 {
             for (n, gateway) in two.iter().enumerate() {
                 let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-                assert_eq!(status(&caller.invoke(&ask(&format!("{round}-{n}"), LOOK)).await), 200);
+                assert_eq!(
+                    status(&caller.invoke(&ask(&format!("{round}-{n}"), LOOK)).await),
+                    200
+                );
             }
         }
         let mut socket = Async::<TcpStream>::connect(two[0].at).await.unwrap();
@@ -163,7 +227,10 @@
         socket.read_to_string(&mut text).await.unwrap();
         text
     });
-    assert!(standing.contains("\"indexTaken\":") && !standing.contains("\"indexTaken\":0"), "{standing}");
+    assert!(
+        standing.contains("\"indexTaken\":") && !standing.contains("\"indexTaken\":0"),
+        "{standing}"
+    );
     for gateway in two {
         gateway.end();
     }
@@ -176,26 +243,44 @@
     let rows = vec![row(0, outside.address, Standing::Ready)];
     let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
     let own = format!("{}/32", publisher.address.ip());
-    let within =
-        format!("publisher: \"{}\", allowedNetworks: [\"{own}\", \"10.0.0.0/8\"]", publisher.address);
+    let within = format!(
+        "publisher: \"{}\", allowedNetworks: [\"{own}\", \"10.0.0.0/8\"]",
+        publisher.address
+    );
     // The executor's own address is let out of the list once the file was checked.
     for (networks, expected) in [(within.clone(), 200), (within.replace(&own, "::1/128"), 0)] {
         if expected == 0 {
-            let faults = Deployment::read(&description(&networks, "")).expect_err("the publisher is outside");
-            assert!(faults[0].what.contains("in none of the allowed networks"), "{faults:?}");
+            let faults = Deployment::read(&description(&networks, ""))
+                .expect_err("the publisher is outside");
+            assert!(
+                faults[0].what.contains("in none of the allowed networks"),
+                "{faults:?}"
+            );
             continue;
         }
         let gateway = gateway(description(&networks, ""));
         let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-        assert_eq!(status(&on(&stage, caller.invoke(&ask("a", LOOK)))), expected);
+        assert_eq!(
+            status(&on(&stage, caller.invoke(&ask("a", LOOK)))),
+            expected
+        );
         gateway.end();
     }
     let far = row(1, "192.0.2.7:7000".parse().unwrap(), Standing::Ready);
     let publisher = Publisher::start(&stage, any_port(), vec![far]).unwrap();
-    let within = format!("publisher: \"{}\", allowedNetworks: [\"127.0.0.0/8\"]", publisher.address);
+    let within = format!(
+        "publisher: \"{}\", allowedNetworks: [\"127.0.0.0/8\"]",
+        publisher.address
+    );
     let gateway = gateway(description(&within, ""));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-    let heard = on(&stage, caller.invoke(&Ask { time_left: 0.5, ..ask("b", ACT) }));
+    let heard = on(
+        &stage,
+        caller.invoke(&Ask {
+            time_left: 0.5,
+            ..ask("b", ACT)
+        }),
+    );
     assert_eq!(status(&heard), 503, "{heard:?}");
     assert_eq!(gateway.end().dispatches, 0);
 }
--- a/crates/frontend/tests/publisher_age.rs
+++ b/crates/frontend/tests/publisher_age.rs
@@ -14,11 +14,18 @@
 
 /// Invokes some functions and returns the executors at which they ran.
 async fn invoke_some(stage: &Stage, caller: &std::rc::Rc<Caller>, label: &str) -> Vec<usize> {
-    let asks = (0..24).map(|n| Ask { function: format!("f{}", n % 8), ..ask(&format!("{label}-{n}"), LOOK) });
+    let asks = (0..24).map(|n| Ask {
+        function: format!("f{}", n % 8),
+        ..ask(&format!("{label}-{n}"), LOOK)
+    });
     let heard = all(stage, caller, asks.collect()).await;
     assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
     let of = |record: &Record| match record {
-        Record::Ran { executor, invocation, .. } if invocation.starts_with(label) => Some(*executor),
+        Record::Ran {
+            executor,
+            invocation,
+            ..
+        } if invocation.starts_with(label) => Some(*executor),
         _ => None,
     };
     let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
@@ -31,18 +38,28 @@
 fn a_publisher_whose_path_is_lost_is_asked_anew() {
     let stage = Stage::new(1);
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    let rows = (0..2).map(|n| row(n, executors[n].address, Standing::Ready)).collect();
+    let rows = (0..2)
+        .map(|n| row(n, executors[n].address, Standing::Ready))
+        .collect();
     let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
     publisher.delay.set(0.0);
     let path = FaultProxy::start(&stage, publisher.address).unwrap();
     let gateway = gateway(description(&format!("publisher: \"{}\"", path.address), ""));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
-        assert_eq!(invoke_some(&stage, &caller, "before").await, [0, 1], "both serve");
+        assert_eq!(
+            invoke_some(&stage, &caller, "before").await,
+            [0, 1],
+            "both serve"
+        );
         path.freeze();
         publisher.change(0, Standing::Draining, f64::NEG_INFINITY);
         stage.sleep(FOUND_OUT_WITHIN).await;
-        assert_eq!(invoke_some(&stage, &caller, "after").await, [1], "the other was told to drain");
+        assert_eq!(
+            invoke_some(&stage, &caller, "after").await,
+            [1],
+            "the other was told to drain"
+        );
     });
     gateway.end();
 }
@@ -52,11 +69,17 @@
 fn a_list_longer_than_the_head_of_a_message_is_taken() {
     let stage = Stage::new(2);
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    let mut rows: Vec<Row> = (0..2).map(|n| row(n, executors[n].address, Standing::Ready)).collect();
-    let others = (2..3_000).map(|n: u16| row(usize::from(n), ([127, 0, 0, 1], n).into(), Standing::Gone));
+    let mut rows: Vec<Row> = (0..2)
+        .map(|n| row(n, executors[n].address, Standing::Ready))
+        .collect();
+    let others =
+        (2..3_000).map(|n: u16| row(usize::from(n), ([127, 0, 0, 1], n).into(), Standing::Gone));
     rows.extend(others);
     let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
-    let gateway = gateway(description(&format!("publisher: \"{}\"", publisher.address), ""));
+    let gateway = gateway(description(
+        &format!("publisher: \"{}\"", publisher.address),
+        "",
+    ));
     let caller = Caller::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(invoke_some(&stage, &caller, "long").await, [0, 1]);
--- a/crates/frontend/tests/triggers.rs
+++ b/crates/frontend/tests/triggers.rs
@@ -56,7 +56,13 @@
     let around = Surroundings {
         store: Store::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
-            Some(Program { lanes: 32, load_time: 0.05, work: 0.005, run: echo, ..Program::default() })
+            Some(Program {
+                lanes: 32,
+                load_time: 0.05,
+                work: 0.005,
+                run: echo,
+                ..Program::default()
+            })
         }),
         tokens: Rc::default(),
         token_window: 5.0,
@@ -87,7 +93,12 @@
         broker.address,
         at.display()
     );
-    World { stage, broker, _executor: executor, text }
+    World {
+        stage,
+        broker,
+        _executor: executor,
+        text,
+    }
 }
 
 fn gateway(text: &str) -> Gateway {
@@ -96,9 +107,13 @@
     let (stop, stopped) = async_channel::bounded(1);
     let text = text.to_owned();
     let thread = std::thread::spawn(move || {
-        let (deployment, section) = orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+        let (deployment, section) =
+            orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
         let triggers = Some(Triggers::open(section.unwrap(), 0).unwrap());
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_secs_f64();
         let promise_store = PromiseStore::open(&deployment, now).unwrap();
         let start = Start {
             deployment,
@@ -147,7 +162,8 @@
             told.unwrap_or_default()
         };
         let of = broker.published.iter().filter(|m| m.topic == topic);
-        of.map(|m| (outcome(m), String::from_utf8_lossy(&m.payload).into_owned())).collect()
+        of.map(|m| (outcome(m), String::from_utf8_lossy(&m.payload).into_owned()))
+            .collect()
     }
 
     async fn answer(&self, topic: &str) -> (String, String) {
@@ -160,7 +176,11 @@
     }
 
     fn runs(&self) -> usize {
-        self.stage.records().iter().filter(|r| matches!(r, Record::Ran { .. })).count()
+        self.stage
+            .records()
+            .iter()
+            .filter(|r| matches!(r, Record::Ran { .. }))
+            .count()
     }
 }
 
@@ -188,13 +208,22 @@
             (vec![identity.0.der().clone()], key)
         };
         async move {
-            let config = ServerConfig::builder().with_no_client_auth().with_single_cert(chain, key).ok()?;
-            let shaken = TlsAcceptor::from(Arc::new(config)).accept(stream).await.ok()?;
+            let config = ServerConfig::builder()
+                .with_no_client_auth()
+                .with_single_cert(chain, key)
+                .ok()?;
+            let shaken = TlsAcceptor::from(Arc::new(config))
+                .accept(stream)
+                .await
+                .ok()?;
             Some(Box::new(shaken) as Box<dyn ByteStream>)
         }
         .boxed_local()
     });
-    let tls = format!(r#"tls: {{ authorities: "{}", name: "broker.test" }},"#, pem.display());
+    let tls = format!(
+        r#"tls: {{ authorities: "{}", name: "broker.test" }},"#,
+        pem.display()
+    );
     let w = world(&at, "5", &tls, Some(wrap));
     let gateway = gateway(&w.text);
     on(&w.stage, async {
@@ -206,7 +235,10 @@
         w.broker.break_all();
         w.publish("act/2", "warmer");
         w.stage.sleep(0.8).await;
-        assert!(w.answers("done/2").is_empty(), "nobody speaks to a broker that isn't known");
+        assert!(
+            w.answers("done/2").is_empty(),
+            "nobody speaks to a broker that isn't known"
+        );
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
         assert_eq!(w.answer("done/2").await, succeeded("warmer"));
         // Files that change end the connection that stands.
@@ -237,7 +269,12 @@
     on(&w.stage, async {
         again(&w).await;
         // CONNACK: server unavailable, not authorized.
-        w.broker.broker.borrow_mut().faults.refuses.extend([0x88, 0x87]);
+        w.broker
+            .broker
+            .borrow_mut()
+            .faults
+            .refuses
+            .extend([0x88, 0x87]);
         w.broker.break_all();
         again(&w).await;
         assert!(w.broker.broker.borrow().faults.refuses.is_empty());
@@ -265,7 +302,10 @@
         w.stage.sleep(0.3).await;
         w.publish("look/1", "no json");
         let (outcome, told) = w.answer("done/1").await;
-        assert!(outcome == "setAside" && told.contains("not JSON"), "{outcome} {told}");
+        assert!(
+            outcome == "setAside" && told.contains("not JSON"),
+            "{outcome} {told}"
+        );
         assert_eq!(w.answer("aside").await.1, "no json");
         w.publish("look/2", "{}");
         assert_eq!(w.answer("done/2").await, succeeded("{}"));
@@ -284,7 +324,10 @@
         w.publish("act/1", "warm");
         let (_, told) = w.answer("done/1").await;
         let told: serde_json::Value = serde_json::from_str(&told).unwrap();
-        assert_eq!((&told["outcome"], &told["payload"]), (&"succeeded".into(), &"warm".into()));
+        assert_eq!(
+            (&told["outcome"], &told["payload"]),
+            (&"succeeded".into(), &"warm".into())
+        );
     });
     gateway.end();
 }
@@ -295,13 +338,20 @@
     let w = world(&at, "5", "", None);
     let (_, section) = orchidtally_trigger::read(&w.text).unwrap();
     let section = section.unwrap();
-    let open = || Triggers::open(section.clone(), 0).map(|_| ()).map_err(|e| e.to_string());
+    let open = || {
+        Triggers::open(section.clone(), 0)
+            .map(|_| ())
+            .map_err(|e| e.to_string())
+    };
     open().unwrap();
     let (mut journal, _) = orchidtally_journal::Journal::open(&section.folder(0)).unwrap();
     journal.append(b"{\"what\":\"nothing known\"}").unwrap();
     assert!(open().unwrap_err().contains("another process has it open"));
     drop(journal);
-    assert!(open().unwrap_err().contains("an entry can't be read"), "nothing is skipped in silence");
+    assert!(
+        open().unwrap_err().contains("an entry can't be read"),
+        "nothing is skipped in silence"
+    );
 }
 
 #[test]
@@ -311,7 +361,9 @@
     // As a front end left it that died with this one's dispatch out.
     let left = at.join("promises-0");
     let (mut journal, _) = orchidtally_journal::Journal::open(&left).unwrap();
-    journal.append(br#"{"promise":"taken","name":"lost","at":999999999.0}"#).unwrap();
+    journal
+        .append(br#"{"promise":"taken","name":"lost","at":999999999.0}"#)
+        .unwrap();
     drop(journal);
     let invoke = async |gateway: &Gateway, name: &str, payload: &'static str| {
         let caller = Caller::new(&w.stage, 0, 0, gateway.at, true);
@@ -324,7 +376,9 @@
             ..Ask::default()
         };
         match caller.invoke(&ask).await {
-            Heard::Answered { status, body, .. } => (status, String::from_utf8_lossy(&body).into_owned()),
+            Heard::Answered { status, body, .. } => {
+                (status, String::from_utf8_lossy(&body).into_owned())
+            }
             other => panic!("{other:?}"),
         }
     };
@@ -332,22 +386,41 @@
     on(&w.stage, async {
         w.stage.sleep(0.2).await;
         assert_eq!(invoke(&first, "one", "a").await, (200, "a".into()));
-        assert_eq!(invoke(&first, "one", "b").await, (200, "a".into()), "the first answer is said again");
+        assert_eq!(
+            invoke(&first, "one", "b").await,
+            (200, "a".into()),
+            "the first answer is said again"
+        );
         let (status, told) = invoke(&first, "lost", "c").await;
-        assert!(status == 500 && told.contains("unknown outcome"), "{status} {told}");
+        assert!(
+            status == 500 && told.contains("unknown outcome"),
+            "{status} {told}"
+        );
     });
     first.end();
     let second = gateway(&w.text);
     on(&w.stage, async {
-        assert_eq!(invoke(&second, "one", "d").await, (200, "a".into()), "it outlives the front end");
+        assert_eq!(
+            invoke(&second, "one", "d").await,
+            (200, "a".into()),
+            "it outlives the front end"
+        );
         assert_eq!(invoke(&second, "two", "e").await, (200, "e".into()));
         let time = std::time::Duration::from_secs(2);
         let known = async |name: &str| {
             let path = format!("/v1/invocations/{name}");
-            orchidtally_net::http::ask(second.at, http::Method::GET, &path, vec![], time).await.unwrap()
+            orchidtally_net::http::ask(second.at, http::Method::GET, &path, vec![], time)
+                .await
+                .unwrap()
         };
-        assert_eq!(known("one").await, (http::StatusCode::OK, Bytes::from_static(b"a")));
-        assert_eq!(known("lost").await.0, http::StatusCode::INTERNAL_SERVER_ERROR);
+        assert_eq!(
+            known("one").await,
+            (http::StatusCode::OK, Bytes::from_static(b"a"))
+        );
+        assert_eq!(
+            known("lost").await.0,
+            http::StatusCode::INTERNAL_SERVER_ERROR
+        );
         assert_eq!(known("three").await.0, http::StatusCode::NOT_FOUND);
     });
     second.end();
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -130,12 +130,27 @@
 
 /// An event. `at` is when it was seen; `front_end` is an index, and `life` tells its incarnations apart.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase", rename_all_fields = "camelCase", tag = "what")]
+#[serde(
+    rename_all = "camelCase",
+    rename_all_fields = "camelCase",
+    tag = "what"
+)]
 pub enum Record {
     /// A client sent an invocation and waits until `until`.
-    Offered { at: f64, client: u32, invocation: String, front_end: u32, trigger_type: usize, until: f64 },
+    Offered {
+        at: f64,
+        client: u32,
+        invocation: String,
+        front_end: u32,
+        trigger_type: usize,
+        until: f64,
+    },
     /// A client received the final answer.
-    Answered { at: f64, invocation: String, answer: Answer },
+    Answered {
+        at: f64,
+        invocation: String,
+        answer: Answer,
+    },
     /// The connection broke before an answer.
     Lost { at: f64, invocation: String },
     /// The client went away by its own choice.
@@ -154,33 +169,94 @@
         trigger_type: String,
     },
     /// An executor began to run a dispatch: from then on its effect has taken place.
-    Ran { at: f64, executor: usize, invocation: String },
+    Ran {
+        at: f64,
+        executor: usize,
+        invocation: String,
+    },
     /// An executor ran the package of one digest for a dispatch that named another or the same.
-    RanVersion { at: f64, executor: usize, invocation: String, named: String, loaded: String },
+    RanVersion {
+        at: f64,
+        executor: usize,
+        invocation: String,
+        named: String,
+        loaded: String,
+    },
     /// An executor knew the token of a dispatch, so that it had no second effect.
-    Dropped { at: f64, executor: usize, invocation: String },
+    Dropped {
+        at: f64,
+        executor: usize,
+        invocation: String,
+    },
     /// A dispatch ended at its executor.
-    Ended { at: f64, executor: usize, invocation: String, number: u32, ending: Ending },
+    Ended {
+        at: f64,
+        executor: usize,
+        invocation: String,
+        number: u32,
+        ending: Ending,
+    },
     /// An order to load arrived at an executor.
-    Ordered { at: f64, executor: usize, front_end: u32, life: u64, copies: u32 },
+    Ordered {
+        at: f64,
+        executor: usize,
+        front_end: u32,
+        life: u64,
+        copies: u32,
+    },
     /// A front end was told of an executor, which last started at `since`.
-    Told { at: f64, front_end: u32, life: u64, executor: usize, standing: Standing, since: f64 },
+    Told {
+        at: f64,
+        front_end: u32,
+        life: u64,
+        executor: usize,
+        standing: Standing,
+        since: f64,
+    },
     /// An executor that had started at `since` was pushed over while it was cold.
-    Fell { at: f64, executor: usize, since: f64 },
+    Fell {
+        at: f64,
+        executor: usize,
+        since: f64,
+    },
     /// An executor is ready from now on, with no work and no copy, and runs so many invocations at a time.
-    Stands { at: f64, executor: usize, lanes: u32 },
+    Stands {
+        at: f64,
+        executor: usize,
+        lanes: u32,
+    },
     /// An executor ended, or takes nothing new.
     Down { at: f64, executor: usize },
     /// An executor began to load a copy of a function.
-    Loads { at: f64, executor: usize, function: String },
+    Loads {
+        at: f64,
+        executor: usize,
+        function: String,
+    },
     /// An executor let its last copy of a function go.
-    Unloads { at: f64, executor: usize, function: String },
+    Unloads {
+        at: f64,
+        executor: usize,
+        function: String,
+    },
     /// An executor reads nothing from its sockets until `until`.
-    Deaf { at: f64, executor: usize, until: f64 },
+    Deaf {
+        at: f64,
+        executor: usize,
+        until: f64,
+    },
     /// A publisher sent a message that is to become an invocation.
-    Published { at: f64, invocation: String, trigger_type: String },
+    Published {
+        at: f64,
+        invocation: String,
+        trigger_type: String,
+    },
     /// The publisher of a message received an answer.
-    Heard { at: f64, invocation: String, outcome: String },
+    Heard {
+        at: f64,
+        invocation: String,
+        outcome: String,
+    },
     /// A front end was stopped (SIGSTOP) and went on at `until`.
     Stopped { at: f64, front_end: u32, until: f64 },
     /// A front end was killed.
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -51,12 +51,21 @@
             [_] => {}
             many => {
                 self.answered_twice += 1;
-                self.breach(format!("{invocation} was answered {}", many.join(", then ")));
+                self.breach(format!(
+                    "{invocation} was answered {}",
+                    many.join(", then ")
+                ));
             }
         }
     }
 
-    fn check_outcome(&mut self, invocation: &str, outcome: &str, effect: Option<Effect>, runs: u64) {
+    fn check_outcome(
+        &mut self,
+        invocation: &str,
+        outcome: &str,
+        effect: Option<Effect>,
+        runs: u64,
+    ) {
         self.unknown_outcome += u64::from(outcome == "unknown");
         let is_true = match outcome {
             "succeeded" => runs > 0,
@@ -66,7 +75,9 @@
         };
         if !is_true {
             self.untrue += 1;
-            self.breach(format!("{invocation} was answered {outcome} and ran {runs} times"));
+            self.breach(format!(
+                "{invocation} was answered {outcome} and ran {runs} times"
+            ));
         }
     }
 }
@@ -78,7 +89,11 @@
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for record in records {
         match record {
-            Record::Heard { invocation, outcome, .. } => {
+            Record::Heard {
+                invocation,
+                outcome,
+                ..
+            } => {
                 outcomes.entry(invocation).or_default().push(outcome);
             }
             Record::Ran { invocation, .. } => *runs.entry(invocation).or_default() += 1,
@@ -86,16 +101,29 @@
         }
     }
     for record in records {
-        let Record::Published { invocation, trigger_type, .. } = record else { continue };
+        let Record::Published {
+            invocation,
+            trigger_type,
+            ..
+        } = record
+        else {
+            continue;
+        };
         found.messages += 1;
-        let known = limits.trigger_types.iter().find(|known| known.name == *trigger_type);
+        let known = limits
+            .trigger_types
+            .iter()
+            .find(|known| known.name == *trigger_type);
         let effect = known.map(|known| known.effect);
         let runs = runs.get(invocation.as_str()).copied().unwrap_or(0);
         if effect == Some(Effect::NonIdempotent) && runs > 1 {
             found.effects_twice += 1;
             found.breach(format!("{invocation} ran {runs} times"));
         }
-        let outcomes = outcomes.get(invocation.as_str()).map(Vec::as_slice).unwrap_or_default();
+        let outcomes = outcomes
+            .get(invocation.as_str())
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         found.check_answer_count(invocation, outcomes);
         for outcome in outcomes {
             found.check_outcome(invocation, outcome, effect, runs);
--- a/crates/invariants/src/rules/cold.rs
+++ b/crates/invariants/src/rules/cold.rs
@@ -17,18 +17,38 @@
     let mut arrivals: HashMap<usize, Vec<Arrival>> = HashMap::new();
     for &record in records {
         match record {
-            Record::Told { life, executor, since, .. } => {
+            Record::Told {
+                life,
+                executor,
+                since,
+                ..
+            } => {
                 told.insert((*life, *executor), *since);
             }
-            Record::Reached { at, executor, life, .. } => {
-                arrivals.entry(*executor).or_default().push(Arrival { at: *at, life: *life });
+            Record::Reached {
+                at, executor, life, ..
+            } => {
+                arrivals.entry(*executor).or_default().push(Arrival {
+                    at: *at,
+                    life: *life,
+                });
                 // The rule looks at each dispatch to an executor whose start was told.
-                let knew = told.get(&(*life, *executor)).is_some_and(|since| since.is_finite());
+                let knew = told
+                    .get(&(*life, *executor))
+                    .is_some_and(|since| since.is_finite());
                 rule.checked += u64::from(knew);
             }
-            Record::Fell { at, executor, since } => {
-                let arrivals = arrivals.get(executor).map(Vec::as_slice).unwrap_or_default();
-                let is_recent = |arrival: &&Arrival| arrival.at >= at - limits.fall && arrival.at >= *since;
+            Record::Fell {
+                at,
+                executor,
+                since,
+            } => {
+                let arrivals = arrivals
+                    .get(executor)
+                    .map(Vec::as_slice)
+                    .unwrap_or_default();
+                let is_recent =
+                    |arrival: &&Arrival| arrival.at >= at - limits.fall && arrival.at >= *since;
                 let recent: Vec<_> = arrivals.iter().filter(is_recent).collect();
                 let knew = |arrival: &&&Arrival| {
                     let told = told.get(&(arrival.life, *executor));
--- a/crates/invariants/src/rules/drains.rs
+++ b/crates/invariants/src/rules/drains.rs
@@ -15,28 +15,52 @@
     let mut told: HashMap<(u64, usize), LastTold> = HashMap::new();
     for &record in records {
         let (at, executor, life, what) = match record {
-            Record::Told { at, life, executor, standing, .. } => {
+            Record::Told {
+                at,
+                life,
+                executor,
+                standing,
+                ..
+            } => {
                 let key = (*life, *executor);
-                let was_unready = told.get(&key).is_some_and(|last| last.standing != Standing::Ready);
+                let was_unready = told
+                    .get(&key)
+                    .is_some_and(|last| last.standing != Standing::Ready);
                 // A front end that is told again what it knew has no new grace.
                 if *standing == Standing::Ready || !was_unready {
-                    told.insert(key, LastTold { at: *at, standing: *standing });
+                    told.insert(
+                        key,
+                        LastTold {
+                            at: *at,
+                            standing: *standing,
+                        },
+                    );
                 }
                 continue;
             }
-            Record::Reached { at, executor, life, invocation, .. } => {
-                (*at, *executor, *life, invocation.as_str())
-            }
-            Record::Ordered { at, executor, life, copies, .. } if *copies > 0 => {
-                (*at, *executor, *life, "an order")
-            }
+            Record::Reached {
+                at,
+                executor,
+                life,
+                invocation,
+                ..
+            } => (*at, *executor, *life, invocation.as_str()),
+            Record::Ordered {
+                at,
+                executor,
+                life,
+                copies,
+                ..
+            } if *copies > 0 => (*at, *executor, *life, "an order"),
             _ => continue,
         };
         if let Some(last) = told.get(&(life, executor)) {
             let in_grace = at <= last.at + limits.drain_grace + limits.transit;
             rule.check(last.standing == Standing::Ready || in_grace, || {
                 let (after, standing) = (at - last.at, last.standing);
-                format!("{what} came to executor {executor} {after:.3} s after it was told {standing:?}")
+                format!(
+                    "{what} came to executor {executor} {after:.3} s after it was told {standing:?}"
+                )
             });
         }
     }
--- a/crates/invariants/src/rules/effects.rs
+++ b/crates/invariants/src/rules/effects.rs
@@ -50,33 +50,67 @@
 
     fn add(&mut self, limits: &'r Limits, record: &'r Record) {
         match record {
-            Record::Reached { at, executor, invocation, number, token, trigger_type, .. } => {
-                let known = limits.trigger_types.iter().find(|known| known.name == *trigger_type);
-                self.trigger_types.extend(known.map(|known| (invocation.as_str(), known)));
+            Record::Reached {
+                at,
+                executor,
+                invocation,
+                number,
+                token,
+                trigger_type,
+                ..
+            } => {
+                let known = limits
+                    .trigger_types
+                    .iter()
+                    .find(|known| known.name == *trigger_type);
+                self.trigger_types
+                    .extend(known.map(|known| (invocation.as_str(), known)));
                 if !token.is_empty() {
                     self.token_of.insert(invocation, token);
                 }
                 if !self.dispatches.contains_key(invocation.as_str()) {
                     self.order.push(invocation);
                 }
-                let dispatch =
-                    Dispatch { at: *at, executor: *executor, number: *number, ended: None, ran: false };
-                self.dispatches.entry(invocation).or_default().push(dispatch);
+                let dispatch = Dispatch {
+                    at: *at,
+                    executor: *executor,
+                    number: *number,
+                    ended: None,
+                    ran: false,
+                };
+                self.dispatches
+                    .entry(invocation)
+                    .or_default()
+                    .push(dispatch);
             }
-            Record::Ran { at, executor, invocation } => {
+            Record::Ran {
+                at,
+                executor,
+                invocation,
+            } => {
                 let dispatches = self.dispatches.entry(invocation).or_default();
                 if let Some(dispatch) = dispatches.iter_mut().rfind(|d| d.executor == *executor) {
                     dispatch.ran = true;
                 }
                 if let Some(token) = self.token_of.get(invocation.as_str()) {
-                    let effect = TokenEffect { at: *at, executor: *executor };
+                    let effect = TokenEffect {
+                        at: *at,
+                        executor: *executor,
+                    };
                     self.token_effects.entry(token).or_default().push(effect);
                 }
             }
-            Record::Ended { at, executor, invocation, number, ending } => {
+            Record::Ended {
+                at,
+                executor,
+                invocation,
+                number,
+                ending,
+            } => {
                 let dispatches = self.dispatches.entry(invocation).or_default();
-                let is_same =
-                    |d: &&mut Dispatch| d.executor == *executor && d.number == *number && d.ended.is_none();
+                let is_same = |d: &&mut Dispatch| {
+                    d.executor == *executor && d.number == *number && d.ended.is_none()
+                };
                 if let Some(dispatch) = dispatches.iter_mut().find(is_same) {
                     dispatch.ended = Some((*at, *ending));
                 }
@@ -120,7 +154,9 @@
 
     fn dispatches(&mut self) {
         for invocation in std::mem::take(&mut self.seen.order) {
-            let Some(&trigger_type) = self.seen.trigger_types.get(invocation) else { continue };
+            let Some(&trigger_type) = self.seen.trigger_types.get(invocation) else {
+                continue;
+            };
             let dispatches = self.seen.dispatches.remove(invocation).unwrap_or_default();
             for (index, dispatch) in dispatches.iter().enumerate() {
                 self.dispatch(invocation, trigger_type, dispatch, &dispatches[..index]);
@@ -128,7 +164,8 @@
             let runs = dispatches.iter().filter(|dispatch| dispatch.ran).count();
             let may_have_run = dispatches.iter().any(|dispatch| !dispatch.was_refused());
             if trigger_type.effect == Effect::NonIdempotent && may_have_run {
-                self.rule.check(runs <= 1, || format!("{invocation} ran {runs} times"));
+                self.rule
+                    .check(runs <= 1, || format!("{invocation} ran {runs} times"));
             }
             self.seen.dispatches.insert(invocation, dispatches);
         }
@@ -157,7 +194,10 @@
                 dispatch.number, dispatch.executor
             )
         });
-        let delayed = |executor| self.paused_reads.may_have_delayed(executor, dispatch.at, transit);
+        let delayed = |executor| {
+            self.paused_reads
+                .may_have_delayed(executor, dispatch.at, transit)
+        };
         // A dispatch that was abandoned is seen to end a little later than it was.
         let is_out = |earlier: &Dispatch| {
             let until = earlier.ended.map_or(f64::INFINITY, |(at, _)| at);
@@ -175,9 +215,14 @@
     /// No token has its effect twice within its group and window.
     fn tokens(&mut self) {
         for (token, effects) in std::mem::take(&mut self.seen.token_effects) {
-            let invocation = self.seen.token_of.iter().find(|(_, other)| **other == token);
+            let invocation = self
+                .seen
+                .token_of
+                .iter()
+                .find(|(_, other)| **other == token);
             let trigger_type = invocation.and_then(|(name, _)| self.seen.trigger_types.get(name));
-            let Some(&trigger_type) = trigger_type.filter(|known| known.effect == Effect::Tokened) else {
+            let Some(&trigger_type) = trigger_type.filter(|known| known.effect == Effect::Tokened)
+            else {
                 continue;
             };
             for (index, later) in effects.iter().enumerate() {
@@ -185,7 +230,9 @@
                     self.is_same_group(trigger_type.group, earlier.executor, later.executor)
                         && later.at < earlier.at + trigger_type.window - self.limits.transit
                 });
-                self.rule.check(!twice, || format!("token {token} had its effect twice within one group"));
+                self.rule.check(!twice, || {
+                    format!("token {token} had its effect twice within one group")
+                });
             }
         }
     }
@@ -193,8 +240,17 @@
     /// A throttled answer says that asking again is harmless.
     fn throttled_answers(&mut self, records: &[&Record]) {
         for &record in records {
-            let Record::Answered { at, invocation, answer: Answer::Throttled } = record else { continue };
-            let Some(trigger_type) = self.seen.trigger_types.get(invocation.as_str()) else { continue };
+            let Record::Answered {
+                at,
+                invocation,
+                answer: Answer::Throttled,
+            } = record
+            else {
+                continue;
+            };
+            let Some(trigger_type) = self.seen.trigger_types.get(invocation.as_str()) else {
+                continue;
+            };
             let is_tokened_everywhere =
                 trigger_type.effect == Effect::Tokened && trigger_type.group == Group::All;
             if trigger_type.effect == Effect::Idempotent || is_tokened_everywhere {
@@ -202,8 +258,9 @@
             }
             let dispatches = &self.seen.dispatches[invocation.as_str()];
             let may_have_run = dispatches.iter().any(|dispatch| !dispatch.was_refused());
-            self.rule
-                .check(!may_have_run, || format!("{invocation} was throttled at {at:.3} and may have run"));
+            self.rule.check(!may_have_run, || {
+                format!("{invocation} was throttled at {at:.3} and may have run")
+            });
         }
     }
 }
--- a/crates/invariants/src/rules/final_answers.rs
+++ b/crates/invariants/src/rules/final_answers.rs
@@ -30,32 +30,69 @@
             // What waited in an executor's sockets may have left its front end long before.
             Record::Reached { at, executor, .. }
                 if paused_reads.may_have_delayed(*executor, *at, limits.transit) => {}
-            Record::Reached { at, invocation, .. } => attempts.entry(invocation).or_default().push(*at),
+            Record::Reached { at, invocation, .. } => {
+                attempts.entry(invocation).or_default().push(*at)
+            }
             Record::Killed { at, front_end } => killed.entry(*front_end).or_default().push(*at),
-            Record::Stopped { at, front_end, until } => {
+            Record::Stopped {
+                at,
+                front_end,
+                until,
+            } => {
                 stopped.entry(*front_end).or_default().push((*at, *until));
             }
             _ => {}
         }
     }
     for &record in records {
-        let Record::Offered { at, invocation, front_end, until, .. } = record else { continue };
+        let Record::Offered {
+            at,
+            invocation,
+            front_end,
+            until,
+            ..
+        } = record
+        else {
+            continue;
+        };
         verdict.invocations += 1;
-        let ends = ends.get(invocation.as_str()).map(Vec::as_slice).unwrap_or_default();
+        let ends = ends
+            .get(invocation.as_str())
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         let died = |by: f64| {
             let times = killed.get(front_end).map(Vec::as_slice).unwrap_or_default();
-            times.iter().any(|&time| (at - DEATH_MARGIN..=by).contains(&time))
+            times
+                .iter()
+                .any(|&time| (at - DEATH_MARGIN..=by).contains(&time))
+        };
+        let stops = stopped
+            .get(front_end)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
+        let was_stopped = |from: f64, to: f64| {
+            stops
+                .iter()
+                .any(|stop| stop.0 <= from && to <= stop.1 + OVERDUE_ANSWERED)
         };
-        let stops = stopped.get(front_end).map(Vec::as_slice).unwrap_or_default();
-        let was_stopped =
-            |from: f64, to: f64| stops.iter().any(|stop| stop.0 <= from && to <= stop.1 + OVERDUE_ANSWERED);
         match ends {
-            [Record::Answered { at: answered, answer, .. }] => {
+            [
+                Record::Answered {
+                    at: answered,
+                    answer,
+                    ..
+                },
+            ] => {
                 verdict.count(*answer);
-                let stop = stops.iter().find(|(from, to)| (*from..=to + OVERDUE_ANSWERED).contains(until));
+                let stop = stops
+                    .iter()
+                    .find(|(from, to)| (*from..=to + OVERDUE_ANSWERED).contains(until));
                 let due = stop.map_or(*until, |(_, to)| until.max(to + OVERDUE_ANSWERED));
                 rule.check(*answered <= due, || {
-                    format!("{invocation} was answered {:.3} s after its client gave up", answered - until)
+                    format!(
+                        "{invocation} was answered {:.3} s after its client gave up",
+                        answered - until
+                    )
                 });
             }
             [Record::Left { at: left, .. }] => {
@@ -64,7 +101,10 @@
                     let stop = stops.iter().find(|(from, to)| (*from..=*to).contains(left));
                     let heard = stop.map_or(*left, |(_, to)| *to);
                     let last = heard + margin + limits.transit;
-                    let attempts = attempts.get(invocation.as_str()).map(Vec::as_slice).unwrap_or_default();
+                    let attempts = attempts
+                        .get(invocation.as_str())
+                        .map(Vec::as_slice)
+                        .unwrap_or_default();
                     rule.check(attempts.iter().all(|&at| at <= last), || {
                         format!("{invocation}: an attempt began over {margin} s after its client left at {left:.3}")
                     });
@@ -79,9 +119,13 @@
                 format!("{invocation}: the connection broke at {lost:.3} without an answer")
             }),
             [Record::GaveUp { .. }] | [] => {
-                rule.check(false, || format!("{invocation} had no answer by {until:.3}"));
+                rule.check(false, || {
+                    format!("{invocation} had no answer by {until:.3}")
+                });
             }
-            many => rule.check(false, || format!("{invocation} had {} final answers", many.len())),
+            many => rule.check(false, || {
+                format!("{invocation} had {} final answers", many.len())
+            }),
         }
     }
     rule
--- a/crates/invariants/src/rules/mod.rs
+++ b/crates/invariants/src/rules/mod.rs
@@ -29,7 +29,10 @@
 
 impl Rule {
     fn new(rule: u8) -> Rule {
-        Rule { rule, ..Rule::default() }
+        Rule {
+            rule,
+            ..Rule::default()
+        }
     }
 
     fn check(&mut self, kept: bool, breach: impl FnOnce() -> String) {
--- a/crates/invariants/src/rules/orders.rs
+++ b/crates/invariants/src/rules/orders.rs
@@ -26,19 +26,33 @@
     let mut orders: HashMap<u64, Vec<f64>> = HashMap::new();
     for &record in records {
         match record {
-            Record::Offered { at, front_end, .. } => offers.entry(*front_end).or_default().push(*at),
+            Record::Offered { at, front_end, .. } => {
+                offers.entry(*front_end).or_default().push(*at)
+            }
             // When an order was given that an executor read after a pause is not known.
             Record::Ordered { at, executor, .. }
                 if paused_reads.may_have_delayed(*executor, *at, limits.transit) => {}
-            Record::Ordered { at, front_end, life, copies, .. } if *copies > 0 => {
+            Record::Ordered {
+                at,
+                front_end,
+                life,
+                copies,
+                ..
+            } if *copies > 0 => {
                 let orders = orders.entry(*life).or_default();
                 orders.push(*at);
                 let front_end = front_end_of.get(life).unwrap_or(front_end);
                 // Orders may have come closer together on their way, and invocations be counted late.
                 let from = at - limits.ration_window;
-                let given = orders.iter().filter(|&&time| time > from + limits.transit).count() as f64;
+                let given = orders
+                    .iter()
+                    .filter(|&&time| time > from + limits.transit)
+                    .count() as f64;
                 let requests = offers.get(front_end).map(Vec::as_slice).unwrap_or_default();
-                let requests = requests.iter().filter(|&&time| time > from - limits.transit).count();
+                let requests = requests
+                    .iter()
+                    .filter(|&&time| time > from - limits.transit)
+                    .count();
                 let is_recent = |message: &&TakenMessage| {
                     message.front_end.is_none_or(|taker| taker == *front_end)
                         && message.to > from - limits.transit
@@ -47,7 +61,9 @@
                 let taken = (requests + messages.iter().filter(is_recent).count()) as f64;
                 let granted = limits.ration_floor + limits.ration_share * taken;
                 rule.check(given <= granted, || {
-                    format!("front end {front_end} gave {given} orders by {at:.3}, {granted:.1} granted")
+                    format!(
+                        "front end {front_end} gave {given} orders by {at:.3}, {granted:.1} granted"
+                    )
                 });
             }
             _ => {}
@@ -59,7 +75,9 @@
 /// Front ends may name themselves by an index that changes; their lives don't.
 fn front_ends_by_life(records: &[&Record]) -> HashMap<u64, u32> {
     let told = records.iter().filter_map(|record| match record {
-        Record::Told { life, front_end, .. } => Some((*life, *front_end)),
+        Record::Told {
+            life, front_end, ..
+        } => Some((*life, *front_end)),
         _ => None,
     });
     told.collect()
@@ -75,10 +93,18 @@
             Record::Published { at, invocation, .. } => {
                 published.insert(invocation, *at);
             }
-            Record::Reached { at, front_end, life, invocation, .. } => {
+            Record::Reached {
+                at,
+                front_end,
+                life,
+                invocation,
+                ..
+            } => {
                 dispatched.insert(invocation);
                 let front_end = *front_end_of.get(life).unwrap_or(front_end);
-                reached.entry((invocation, *life)).or_insert((front_end, *at));
+                reached
+                    .entry((invocation, *life))
+                    .or_insert((front_end, *at));
             }
             Record::Heard { at, invocation, .. } => {
                 answered.entry(invocation).or_insert(*at);
@@ -87,11 +113,17 @@
         }
     }
     let message = |invocation: &str, front_end, to| {
-        Some(TakenMessage { front_end, from: *published.get(invocation)?, to })
+        Some(TakenMessage {
+            front_end,
+            from: *published.get(invocation)?,
+            to,
+        })
     };
     let sent = reached
         .iter()
-        .filter_map(|((invocation, _), (front_end, at))| message(invocation, Some(*front_end), *at));
+        .filter_map(|((invocation, _), (front_end, at))| {
+            message(invocation, Some(*front_end), *at)
+        });
     let unsent = answered
         .iter()
         .filter(|(invocation, _)| !dispatched.contains(*invocation))
--- a/crates/invariants/src/rules/paused_reads.rs
+++ b/crates/invariants/src/rules/paused_reads.rs
@@ -10,7 +10,12 @@
     pub(super) fn of(records: &[&Record]) -> PausedReads {
         let mut spans: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
         for record in records {
-            if let Record::Deaf { at, executor, until } = record {
+            if let Record::Deaf {
+                at,
+                executor,
+                until,
+            } = record
+            {
                 spans.entry(*executor).or_default().push((*at, *until));
             }
         }
@@ -20,6 +25,8 @@
     /// Whether what an executor records at a time may have waited in its sockets until then.
     pub(super) fn may_have_delayed(&self, executor: usize, at: f64, transit: f64) -> bool {
         let spans = self.0.get(&executor).map(Vec::as_slice).unwrap_or_default();
-        spans.iter().any(|(from, to)| *from <= at && at <= to + transit)
+        spans
+            .iter()
+            .any(|(from, to)| *from <= at && at <= to + transit)
     }
 }
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -78,7 +78,10 @@
     fn pass(&mut self, at: f64) {
         let time = at - self.now;
         let (standing, idle) = self.places.iter().fold((0.0, 0.0), |(standing, idle), p| {
-            (standing + f64::from(u8::from(p.lanes.is_some())), idle + f64::from(u8::from(p.is_idle())))
+            (
+                standing + f64::from(u8::from(p.lanes.is_some())),
+                idle + f64::from(u8::from(p.is_idle())),
+            )
         });
         self.stood += time * standing;
         if self.places.iter().any(Place::waits) {
@@ -92,9 +95,9 @@
 
     fn end_second(&mut self) {
         let whole = self.places.iter().filter(|p| p.whole);
-        let (all, lanes) = whole
-            .clone()
-            .fold((0.0, 0.0), |(all, lanes), p| (all + p.second, lanes + p.lanes.unwrap_or_default()));
+        let (all, lanes) = whole.clone().fold((0.0, 0.0), |(all, lanes), p| {
+            (all + p.second, lanes + p.lanes.unwrap_or_default())
+        });
         let over = whole.map(|p| p.second * lanes / (all * p.lanes.unwrap_or(1.0)).max(1e-9));
         if all > 0.0 {
             self.peaks = (self.peaks.0 + over.fold(0.0, f64::max), self.peaks.1 + 1);
@@ -135,16 +138,25 @@
 pub fn spread(records: &[Record], from: f64) -> Spread {
     let mut records: Vec<&Record> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
-    let mut eye = Eye { now: from, second: from, ..Eye::default() };
+    let mut eye = Eye {
+        now: from,
+        second: from,
+        ..Eye::default()
+    };
     for record in records {
         let at = record.at();
         if at > from {
             eye.pass(at);
         }
         match record {
-            Record::Stands { executor, lanes, .. } => {
+            Record::Stands {
+                executor, lanes, ..
+            } => {
                 let place = eye.place(*executor);
-                *place = Place { lanes: Some(f64::from(*lanes)), ..Place::default() };
+                *place = Place {
+                    lanes: Some(f64::from(*lanes)),
+                    ..Place::default()
+                };
                 eye.seen.executors += 1;
             }
             Record::Down { executor, .. } => *eye.place(*executor) = Place::default(),
@@ -154,7 +166,9 @@
                 let place = eye.place(*executor);
                 place.in_hand = (place.in_hand - 1.0).max(0.0);
             }
-            Record::Loads { executor, function, .. } => {
+            Record::Loads {
+                executor, function, ..
+            } => {
                 let elsewhere = eye.places.iter().any(|p| p.holds.contains(function));
                 eye.place(*executor).holds.insert(function.clone());
                 if at >= from {
@@ -162,7 +176,9 @@
                     eye.seen.copies_elsewhere += u64::from(elsewhere);
                 }
             }
-            Record::Unloads { executor, function, .. } => _ = eye.place(*executor).holds.remove(function),
+            Record::Unloads {
+                executor, function, ..
+            } => _ = eye.place(*executor).holds.remove(function),
             _ => {}
         }
     }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -28,11 +28,22 @@
 }
 
 fn offered(at: f64, name: &str, trigger_type: usize) -> Record {
-    Record::Offered { at, client: 0, invocation: name.into(), front_end: 0, trigger_type, until: at + 3.0 }
+    Record::Offered {
+        at,
+        client: 0,
+        invocation: name.into(),
+        front_end: 0,
+        trigger_type,
+        until: at + 3.0,
+    }
 }
 
 fn answered(at: f64, name: &str, answer: Answer) -> Record {
-    Record::Answered { at, invocation: name.into(), answer }
+    Record::Answered {
+        at,
+        invocation: name.into(),
+        answer,
+    }
 }
 
 fn reached(at: f64, name: &str, number: u32, executor: usize, trigger_type: &str) -> Record {
@@ -50,15 +61,32 @@
 }
 
 fn ran(at: f64, name: &str, executor: usize) -> Record {
-    Record::Ran { at, executor, invocation: name.into() }
+    Record::Ran {
+        at,
+        executor,
+        invocation: name.into(),
+    }
 }
 
 fn ended(at: f64, name: &str, number: u32, executor: usize, ending: Ending) -> Record {
-    Record::Ended { at, executor, invocation: name.into(), number, ending }
+    Record::Ended {
+        at,
+        executor,
+        invocation: name.into(),
+        number,
+        ending,
+    }
 }
 
 fn told(at: f64, executor: usize, standing: Standing, since: f64) -> Record {
-    Record::Told { at, front_end: 0, life: 7, executor, standing, since }
+    Record::Told {
+        at,
+        front_end: 0,
+        life: 7,
+        executor,
+        standing,
+        since,
+    }
 }
 
 fn clean() -> Vec<Record> {
@@ -72,7 +100,13 @@
         ran(1.3, "a", 1),
         ended(1.6, "a", 1, 1, Ending::Succeeded),
         answered(1.7, "a", Answer::Succeeded),
-        Record::Ordered { at: 2.0, executor: 0, front_end: 0, life: 7, copies: 1 },
+        Record::Ordered {
+            at: 2.0,
+            executor: 0,
+            front_end: 0,
+            life: 7,
+            copies: 1,
+        },
     ]
 }
 
@@ -81,8 +115,21 @@
     let fleet = [0, 0, 1].map(|cell| Executor { location: 0, cell });
     let records: Vec<Record> = clean().into_iter().chain(added).collect();
     let verdict = judge(&limits(), &fleet, &records);
-    assert_eq!(verdict.rules.iter().map(|r| r.broken as usize).sum::<usize>() == 0, verdict.kept());
-    verdict.rules.iter().filter(|r| r.broken > 0).map(|r| r.rule).collect()
+    assert_eq!(
+        verdict
+            .rules
+            .iter()
+            .map(|r| r.broken as usize)
+            .sum::<usize>()
+            == 0,
+        verdict.kept()
+    );
+    verdict
+        .rules
+        .iter()
+        .filter(|r| r.broken > 0)
+        .map(|r| r.rule)
+        .collect()
 }
 
 #[test]
@@ -92,30 +139,57 @@
     assert!(verdict.kept(), "{:?}", verdict.rules);
     assert_eq!((verdict.invocations, verdict.succeeded), (1, 1));
     let checked: Vec<u64> = verdict.rules.iter().map(|r| r.checked).collect();
-    assert!(checked[0] == 1 && checked[1] >= 4 && checked[2] == 3 && checked[4] == 1, "{checked:?}");
+    assert!(
+        checked[0] == 1 && checked[1] >= 4 && checked[2] == 3 && checked[4] == 1,
+        "{checked:?}"
+    );
 }
 
 #[test]
 fn rule_1_finds_what_has_no_answer_two_or_a_late_one() {
     assert_eq!(broken(vec![offered(4.0, "b", 0)]), [1]);
     assert_eq!(broken(vec![answered(1.8, "a", Answer::Succeeded)]), [1]);
-    assert_eq!(broken(vec![offered(4.0, "b", 0), answered(7.1, "b", Answer::Errored)]), [1]);
-    let lost = Record::Lost { at: 5.0, invocation: "b".into() };
+    assert_eq!(
+        broken(vec![
+            offered(4.0, "b", 0),
+            answered(7.1, "b", Answer::Errored)
+        ]),
+        [1]
+    );
+    let lost = Record::Lost {
+        at: 5.0,
+        invocation: "b".into(),
+    };
     assert_eq!(broken(vec![offered(4.0, "b", 0), lost.clone()]), [1]);
-    let killed = Record::Killed { at: 4.5, front_end: 0 };
-    assert!(broken(vec![offered(4.0, "b", 0), lost, killed]).is_empty(), "a killed front end owes nothing");
+    let killed = Record::Killed {
+        at: 4.5,
+        front_end: 0,
+    };
+    assert!(
+        broken(vec![offered(4.0, "b", 0), lost, killed]).is_empty(),
+        "a killed front end owes nothing"
+    );
 }
 
 #[test]
 fn rule_2_finds_second_effects() {
-    let twice = vec![reached(1.9, "a", 2, 0, "act"), ended(2.0, "a", 2, 0, Ending::Refused)];
+    let twice = vec![
+        reached(1.9, "a", 2, 0, "act"),
+        ended(2.0, "a", 2, 0, Ending::Refused),
+    ];
     assert_eq!(broken(twice), [2], "sent again after it ran");
     let offer = |ty| vec![offered(4.0, "b", ty), answered(5.0, "b", Answer::Throttled)];
     let mut throttled = offer(2);
-    throttled.extend([reached(4.1, "b", 0, 0, "act"), ended(4.2, "b", 0, 0, Ending::Crashed)]);
+    throttled.extend([
+        reached(4.1, "b", 0, 0, "act"),
+        ended(4.2, "b", 0, 0, Ending::Crashed),
+    ]);
     assert_eq!(broken(throttled), [2], "told harmless, and may have run");
     let mut outside = offer(0);
-    outside.extend([reached(4.1, "b", 0, 0, "plan"), ended(4.2, "b", 0, 0, Ending::Crashed)]);
+    outside.extend([
+        reached(4.1, "b", 0, 0, "plan"),
+        ended(4.2, "b", 0, 0, Ending::Crashed),
+    ]);
     outside[1] = answered(5.0, "b", Answer::Errored);
     let mut inside = outside.clone();
     outside.push(reached(4.3, "b", 1, 2, "plan"));
@@ -125,33 +199,68 @@
     inside.extend([ran(4.1, "b", 0), ran(4.3, "b", 1)]);
     assert_eq!(broken(inside), [2], "a token's effect twice in one cell");
     let mut both = vec![offered(4.0, "b", 0), answered(5.0, "b", Answer::Succeeded)];
-    both.extend([reached(4.1, "b", 0, 0, "look"), reached(4.2, "b", 1, 1, "look")]);
+    both.extend([
+        reached(4.1, "b", 0, 0, "look"),
+        reached(4.2, "b", 1, 1, "look"),
+    ]);
     both.push(ended(4.9, "b", 0, 0, Ending::Succeeded));
     assert_eq!(broken(both.clone()), [2], "two out at a time");
-    both.push(Record::Deaf { at: 4.0, executor: 0, until: 4.8 });
-    assert!(broken(both).is_empty(), "it could not hear that it was cancelled");
+    both.push(Record::Deaf {
+        at: 4.0,
+        executor: 0,
+        until: 4.8,
+    });
+    assert!(
+        broken(both).is_empty(),
+        "it could not hear that it was cancelled"
+    );
     let mut late = vec![offered(4.0, "b", 0), answered(5.0, "b", Answer::Succeeded)];
-    late.extend([reached(4.1, "b", 1, 1, "look"), reached(4.5, "b", 0, 0, "look")]);
+    late.extend([
+        reached(4.1, "b", 1, 1, "look"),
+        reached(4.5, "b", 0, 0, "look"),
+    ]);
     late.push(ended(4.9, "b", 1, 1, Ending::Succeeded));
     assert_eq!(broken(late.clone()), [2]);
-    late.push(Record::Deaf { at: 3.0, executor: 0, until: 4.45 });
+    late.push(Record::Deaf {
+        at: 3.0,
+        executor: 0,
+        until: 4.45,
+    });
     assert!(broken(late).is_empty(), "it was sent before, and read late");
 }
 
 #[test]
 fn rule_3_finds_what_is_sent_past_the_grace() {
-    let drain =
-        |at| vec![told(3.0, 0, Standing::Draining, 0.0), offered(at, "b", 0), reached(at, "b", 0, 0, "look")];
+    let drain = |at| {
+        vec![
+            told(3.0, 0, Standing::Draining, 0.0),
+            offered(at, "b", 0),
+            reached(at, "b", 0, 0, "look"),
+        ]
+    };
     let finish = |mut v: Vec<Record>, at| {
-        v.extend([ended(at, "b", 0, 0, Ending::Succeeded), answered(at, "b", Answer::Succeeded)]);
+        v.extend([
+            ended(at, "b", 0, 0, Ending::Succeeded),
+            answered(at, "b", Answer::Succeeded),
+        ]);
         v
     };
     assert!(broken(finish(drain(3.9), 3.95)).is_empty());
     assert_eq!(broken(finish(drain(4.5), 4.6)), [3]);
     let mut again = drain(4.5);
     again.push(told(4.0, 0, Standing::Gone, 0.0));
-    assert_eq!(broken(finish(again, 4.6)), [3], "told again, it has no new grace");
-    let order = Record::Ordered { at: 4.5, executor: 0, front_end: 0, life: 7, copies: 1 };
+    assert_eq!(
+        broken(finish(again, 4.6)),
+        [3],
+        "told again, it has no new grace"
+    );
+    let order = Record::Ordered {
+        at: 4.5,
+        executor: 0,
+        front_end: 0,
+        life: 7,
+        copies: 1,
+    };
     assert_eq!(broken(vec![told(3.0, 0, Standing::Gone, 0.0), order]), [3]);
 }
 
@@ -159,12 +268,25 @@
 fn rule_4_finds_a_cold_executor_pushed_over_by_those_who_knew() {
     let fall = |since| {
         let mut day = vec![told(3.0, 2, Standing::Ready, since), offered(3.5, "b", 0)];
-        day.extend([reached(3.5, "b", 0, 2, "look"), ended(3.6, "b", 0, 2, Ending::Crashed)]);
-        day.extend([answered(3.7, "b", Answer::Errored), Record::Fell { at: 3.6, executor: 2, since: 2.9 }]);
+        day.extend([
+            reached(3.5, "b", 0, 2, "look"),
+            ended(3.6, "b", 0, 2, Ending::Crashed),
+        ]);
+        day.extend([
+            answered(3.7, "b", Answer::Errored),
+            Record::Fell {
+                at: 3.6,
+                executor: 2,
+                since: 2.9,
+            },
+        ]);
         day
     };
     assert_eq!(broken(fall(2.9)), [4]);
-    assert!(broken(fall(f64::NEG_INFINITY)).is_empty(), "nobody was told of its start");
+    assert!(
+        broken(fall(f64::NEG_INFINITY)).is_empty(),
+        "nobody was told of its start"
+    );
 }
 
 #[test]
@@ -177,43 +299,107 @@
         copies: 1,
     };
     assert!(broken(vec![order(0)]).is_empty());
-    assert_eq!(broken(vec![order(0), order(1), order(2)]), [5], "two and a half are granted");
-    let late = Record::Ordered { at: 7.5, executor: 1, front_end: 0, life: 7, copies: 1 };
-    assert!(broken(vec![order(0), late]).is_empty(), "the window has moved on");
-    let deaf = |executor| Record::Deaf { at: 1.0, executor, until: 2.05 };
-    assert!(broken(vec![order(0), order(1), order(2), deaf(1)]).is_empty(), "they were given before");
-    assert_eq!(broken(vec![order(0), order(1), order(2), deaf(2)]), [5], "another one was deaf");
+    assert_eq!(
+        broken(vec![order(0), order(1), order(2)]),
+        [5],
+        "two and a half are granted"
+    );
+    let late = Record::Ordered {
+        at: 7.5,
+        executor: 1,
+        front_end: 0,
+        life: 7,
+        copies: 1,
+    };
+    assert!(
+        broken(vec![order(0), late]).is_empty(),
+        "the window has moved on"
+    );
+    let deaf = |executor| Record::Deaf {
+        at: 1.0,
+        executor,
+        until: 2.05,
+    };
+    assert!(
+        broken(vec![order(0), order(1), order(2), deaf(1)]).is_empty(),
+        "they were given before"
+    );
+    assert_eq!(
+        broken(vec![order(0), order(1), order(2), deaf(2)]),
+        [5],
+        "another one was deaf"
+    );
 }
 
 /// Nobody answers while it is stopped; once it goes on, what is overdue is owed at once.
 #[test]
 fn an_answer_due_while_its_front_end_is_stopped_is_owed_when_it_goes_on() {
-    let stopped = |from: f64, until: f64| Record::Stopped { at: from, front_end: 0, until };
+    let stopped = |from: f64, until: f64| Record::Stopped {
+        at: from,
+        front_end: 0,
+        until,
+    };
     let late = |at: f64| vec![offered(4.0, "b", 0), answered(at, "b", Answer::Throttled)];
     let with = |stop: Record, at: f64| broken([vec![stop], late(at)].concat());
     assert_eq!(broken(late(8.05)), [1], "it was due at 7.0");
     assert!(with(stopped(6.0, 8.0), 8.05).is_empty());
     assert_eq!(with(stopped(6.0, 8.0), 8.2), [1], "not at once");
-    assert_eq!(with(stopped(7.5, 8.0), 8.05), [1], "it was due before the stop");
-    assert_eq!(broken(vec![stopped(6.0, 8.0), offered(4.0, "b", 0)]), [1], "never");
-    let gave_up = |at: f64| Record::GaveUp { at, invocation: "b".into() };
+    assert_eq!(
+        with(stopped(7.5, 8.0), 8.05),
+        [1],
+        "it was due before the stop"
+    );
+    assert_eq!(
+        broken(vec![stopped(6.0, 8.0), offered(4.0, "b", 0)]),
+        [1],
+        "never"
+    );
+    let gave_up = |at: f64| Record::GaveUp {
+        at,
+        invocation: "b".into(),
+    };
     assert!(broken(vec![stopped(6.0, 8.0), offered(4.0, "b", 0), gave_up(7.5)]).is_empty());
-    assert_eq!(broken(vec![stopped(6.0, 7.35), offered(4.0, "b", 0), gave_up(7.5)]), [1], "it had its time");
+    assert_eq!(
+        broken(vec![stopped(6.0, 7.35), offered(4.0, "b", 0), gave_up(7.5)]),
+        [1],
+        "it had its time"
+    );
 }
 
 /// What has begun for a client that has left is a lost request; a moment is granted, and the time of a stop.
 #[test]
 fn an_attempt_that_begins_long_after_its_client_has_left_is_found() {
-    let left = |at| Record::Left { at, invocation: "a".into() };
+    let left = |at| Record::Left {
+        at,
+        invocation: "a".into(),
+    };
     let broken = |records: &[Record]| judge(&limits(), &[], records).rules[0].broken;
-    let day = |attempt| vec![offered(1.0, "a", 0), left(1.5), reached(attempt, "a", 0, 0, "look")];
+    let day = |attempt| {
+        vec![
+            offered(1.0, "a", 0),
+            left(1.5),
+            reached(attempt, "a", 0, 0, "look"),
+        ]
+    };
     assert_eq!(broken(&day(1.4)), 0);
     assert_eq!(broken(&day(1.79)), 0, "within 0.1 s and the transit");
     assert_eq!(broken(&day(1.81)), 1);
-    let stopped = Record::Stopped { at: 1.4, front_end: 0, until: 2.0 };
-    assert_eq!(broken(&[day(2.2), vec![stopped.clone()]].concat()), 0, "it could not hear of it before");
+    let stopped = Record::Stopped {
+        at: 1.4,
+        front_end: 0,
+        until: 2.0,
+    };
+    assert_eq!(
+        broken(&[day(2.2), vec![stopped.clone()]].concat()),
+        0,
+        "it could not hear of it before"
+    );
     assert_eq!(broken(&[day(2.4), vec![stopped]].concat()), 1);
-    let deaf = |until| Record::Deaf { at: 1.4, executor: 0, until };
+    let deaf = |until| Record::Deaf {
+        at: 1.4,
+        executor: 0,
+        until,
+    };
     assert_eq!(
         broken(&[day(2.2), vec![deaf(2.1)]].concat()),
         0,
--- a/crates/invariants/tests/spread.rs
+++ b/crates/invariants/tests/spread.rs
@@ -3,7 +3,11 @@
 use orchidtally_invariants::{Ending, Record, Spread, spread};
 
 fn stands(executor: usize, lanes: u32) -> Record {
-    Record::Stands { at: 0.0, executor, lanes }
+    Record::Stands {
+        at: 0.0,
+        executor,
+        lanes,
+    }
 }
 
 fn reached(at: f64, executor: usize) -> Record {
@@ -21,14 +25,27 @@
 
 fn ended(at: f64, executor: usize) -> Record {
     let (invocation, number, ending) = (String::new(), 1, Ending::Succeeded);
-    Record::Ended { at, executor, invocation, number, ending }
+    Record::Ended {
+        at,
+        executor,
+        invocation,
+        number,
+        ending,
+    }
 }
 
 /// Four executors, the last with twice the lanes; a hundred dispatches a second by lanes, each over in 10 ms.
 fn even(seconds: u32) -> Vec<Record> {
-    let mut records: Vec<Record> = [2, 2, 2, 4].into_iter().enumerate().map(|(x, l)| stands(x, l)).collect();
+    let mut records: Vec<Record> = [2, 2, 2, 4]
+        .into_iter()
+        .enumerate()
+        .map(|(x, l)| stands(x, l))
+        .collect();
     for n in 0..seconds * 100 {
-        let (at, x) = (f64::from(n) / 100.0 + 0.005, [0, 3, 1, 3, 2][n as usize % 5]);
+        let (at, x) = (
+            f64::from(n) / 100.0 + 0.005,
+            [0, 3, 1, 3, 2][n as usize % 5],
+        );
         records.extend([reached(at, x), ended(at + 0.01, x)]);
     }
     records
@@ -66,23 +83,52 @@
     records.extend((0..4).map(|n| reached(1.0 + f64::from(n) * 1e-6, 0)));
     records.extend([ended(3.0, 0), ended(3.0, 0), ended(5.0, 0), ended(5.0, 0)]);
     let seen = spread(&records, 0.0);
-    assert!((seen.idle_beside_queue - 2.0 / 10.0).abs() < 1e-3, "{seen:?}");
-    records.push(Record::Down { at: 0.5, executor: 1 });
-    assert_eq!(spread(&records, 0.0).idle_beside_queue, 0.0, "one that is down is not idle");
+    assert!(
+        (seen.idle_beside_queue - 2.0 / 10.0).abs() < 1e-3,
+        "{seen:?}"
+    );
+    records.push(Record::Down {
+        at: 0.5,
+        executor: 1,
+    });
+    assert_eq!(
+        spread(&records, 0.0).idle_beside_queue,
+        0.0,
+        "one that is down is not idle"
+    );
 }
 
 #[test]
 fn copies_of_what_stands_elsewhere_are_told_apart() {
-    let loads = |at, executor| Record::Loads { at, executor, function: "f".into() };
+    let loads = |at, executor| Record::Loads {
+        at,
+        executor,
+        function: "f".into(),
+    };
     let records = [
         stands(0, 1),
         stands(1, 1),
         loads(1.0, 0),
         loads(2.0, 1),
-        Record::Unloads { at: 3.0, executor: 0, function: "f".into() },
-        Record::Down { at: 3.0, executor: 1 },
+        Record::Unloads {
+            at: 3.0,
+            executor: 0,
+            function: "f".into(),
+        },
+        Record::Down {
+            at: 3.0,
+            executor: 1,
+        },
         loads(4.0, 0),
     ];
     let seen = spread(&records, 0.0);
-    assert_eq!(seen, Spread { executors: 2, copies: 3, copies_elsewhere: 1, ..seen.clone() });
+    assert_eq!(
+        seen,
+        Spread {
+            executors: 2,
+            copies: 3,
+            copies_elsewhere: 1,
+            ..seen.clone()
+        }
+    );
 }
--- a/crates/journal/benches/commit.rs
+++ b/crates/journal/benches/commit.rs
@@ -26,7 +26,9 @@
     let mut journal = open(&folder("single"));
     let began = Instant::now();
     for _ in 0..ENTRIES {
-        journal.append(&[7; BYTES]).unwrap_or_else(|e| panic!("{e}"));
+        journal
+            .append(&[7; BYTES])
+            .unwrap_or_else(|e| panic!("{e}"));
     }
     ENTRIES as f64 / began.elapsed().as_secs_f64()
 }
@@ -81,6 +83,10 @@
         drop(journal);
         let began = Instant::now();
         drop(open(&at));
-        println!("opened {:.1} MB in {:.1} ms", bytes as f64 / 1e6, 1e3 * began.elapsed().as_secs_f64());
+        println!(
+            "opened {:.1} MB in {:.1} ms",
+            bytes as f64 / 1e6,
+            1e3 * began.elapsed().as_secs_f64()
+        );
     }
 }
--- a/crates/journal/src/group.rs
+++ b/crates/journal/src/group.rs
@@ -71,10 +71,17 @@
         }
         let (bodies, told): (Vec<Vec<u8>>, Vec<Told>) = batch.into_iter().unzip();
         if failed.is_none() {
-            failed = journal.append_all(&bodies).err().map(|e| (e.kind(), e.to_string()));
+            failed = journal
+                .append_all(&bodies)
+                .err()
+                .map(|e| (e.kind(), e.to_string()));
         }
         for tell in told {
-            tell(failed.clone().map_or(Ok(()), |(kind, what)| Err(io::Error::new(kind, what))));
+            tell(
+                failed
+                    .clone()
+                    .map_or(Ok(()), |(kind, what)| Err(io::Error::new(kind, what))),
+            );
         }
     }
     journal
@@ -90,7 +97,10 @@
     pub fn sharing(journal: Journal, most_waiting: usize, most_entries: usize) -> Group {
         let (send, jobs) = sync_channel(most_waiting.max(1));
         let writer = std::thread::spawn(move || write(journal, jobs, most_entries));
-        Group { jobs: Some(send), writer: Some(writer) }
+        Group {
+            jobs: Some(send),
+            writer: Some(writer),
+        }
     }
 
     /// Hands an entry over. `told` is called on the writer's thread, once it is on the disk or can't be.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -91,11 +91,14 @@
         found.extend(entries);
         taken += HEAD + body.len();
     }
-    let is_whole = |n: &usize| record(&bytes[*n..]).is_some_and(|b| split(b).is_some_and(|e| !e.is_empty()));
+    let is_whole =
+        |n: &usize| record(&bytes[*n..]).is_some_and(|b| split(b).is_some_and(|e| !e.is_empty()));
     if let Some(next) = (taken + 1..bytes.len()).find(is_whole) {
         let (at, next) = (MAGIC.len() + taken, MAGIC.len() + next);
-        let what =
-            format!("{}: damaged at byte {at}: whole records follow from byte {next} on", path.display());
+        let what = format!(
+            "{}: damaged at byte {at}: whole records follow from byte {next} on",
+            path.display()
+        );
         return Err(io::Error::new(io::ErrorKind::InvalidData, what));
     }
     Ok((found, taken))
@@ -137,7 +140,10 @@
 fn contents(folder: &Path, generation: u64, has_snapshot: bool) -> io::Result<(Recovered, u64)> {
     let mut recovered = Recovered::default();
     let bad = |path: &Path, what: &str| {
-        io::Error::new(io::ErrorKind::InvalidData, format!("{}: {what}", path.display()))
+        io::Error::new(
+            io::ErrorKind::InvalidData,
+            format!("{}: {what}", path.display()),
+        )
     };
     if has_snapshot {
         let path = folder.join(format!("snapshot-{generation}"));
@@ -156,7 +162,11 @@
     }
     let (found, taken) = entries(body.unwrap_or_default(), &path)?;
     recovered.entries = found;
-    let length = if body.is_some() { (MAGIC.len() + taken) as u64 } else { 0 };
+    let length = if body.is_some() {
+        (MAGIC.len() + taken) as u64
+    } else {
+        0
+    };
     recovered.cut = bytes.len() as u64 - length;
     Ok((recovered, length))
 }
@@ -172,7 +182,11 @@
     /// Opens a folder, made where there is none, and gives what stood in it.
     pub fn open(folder: &Path) -> io::Result<(Journal, Recovered)> {
         std::fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join("lock"))?;
         lock.try_lock().map_err(|e| {
             let what = format!("{}: another process has it open ({e})", folder.display());
             io::Error::new(io::ErrorKind::WouldBlock, what)
@@ -182,7 +196,11 @@
         let generation = snapshots.last().copied().unwrap_or(0);
         let (recovered, length) = contents(folder, generation, !snapshots.is_empty())?;
         let path = folder.join(format!("log-{generation}"));
-        let mut log = OpenOptions::new().create(true).truncate(false).write(true).open(&path)?;
+        let mut log = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(&path)?;
         log.set_len(length)?;
         log.seek(SeekFrom::Start(length))?;
         if length == 0 {
@@ -198,12 +216,26 @@
         }
         let length = length.max(MAGIC.len() as u64);
         let folder = folder.to_owned();
-        Ok((Journal { folder, generation, log, length, broken: false, synced: true, _lock: lock }, recovered))
+        Ok((
+            Journal {
+                folder,
+                generation,
+                log,
+                length,
+                broken: false,
+                synced: true,
+                _lock: lock,
+            },
+            recovered,
+        ))
     }
 
     /// Promises nothing: entries are written and not synced. For measurements.
     pub fn without_syncs(self) -> Journal {
-        Journal { synced: false, ..self }
+        Journal {
+            synced: false,
+            ..self
+        }
     }
 
     /// As if a sync had failed, for tests of what stands round it.
@@ -239,8 +271,10 @@
         let bytes = framed(&body)?;
         if let Err(fault) = self.log.write_all(&bytes) {
             // A part of it may stand there; what came after it would never be read.
-            let back =
-                self.log.set_len(self.length).and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
+            let back = self
+                .log
+                .set_len(self.length)
+                .and_then(|()| self.log.seek(SeekFrom::Start(self.length)));
             self.broken = back.is_err();
             return Err(fault);
         }
@@ -258,8 +292,10 @@
     /// Replaces all that was kept by a new snapshot. Killed at any moment it leaves the old state or the new.
     pub fn snapshot(&mut self, state: &[u8]) -> io::Result<()> {
         let next = self.generation + 1;
-        let (path, temporary) =
-            (self.folder.join(format!("snapshot-{next}")), self.folder.join("next-snapshot"));
+        let (path, temporary) = (
+            self.folder.join(format!("snapshot-{next}")),
+            self.folder.join("next-snapshot"),
+        );
         let mut file = File::create(&temporary)?;
         file.write_all(&MAGIC)?;
         file.write_all(&framed(state)?)?;
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -14,8 +14,9 @@
 /// The one file of entries in a folder.
 fn log(folder: &PathBuf) -> PathBuf {
     let names = fs::read_dir(folder).unwrap().map(|e| e.unwrap().path());
-    let mut logs: Vec<_> =
-        names.filter(|p| p.file_name().unwrap().to_string_lossy().starts_with("log-")).collect();
+    let mut logs: Vec<_> = names
+        .filter(|p| p.file_name().unwrap().to_string_lossy().starts_with("log-"))
+        .collect();
     assert_eq!(logs.len(), 1);
     logs.pop().unwrap()
 }
@@ -91,7 +92,11 @@
     for length in 0..whole.len() {
         fs::write(log(&at), &whole[..length]).unwrap();
         let (mut journal, found) = Journal::open(&at).unwrap();
-        let expected = ends.iter().filter(|&&e| e <= length).count().saturating_sub(1);
+        let expected = ends
+            .iter()
+            .filter(|&&e| e <= length)
+            .count()
+            .saturating_sub(1);
         assert_eq!(found.entries, written[..expected], "cut at {length}");
         journal.append(b"after").unwrap();
         drop(journal);
@@ -105,7 +110,10 @@
         fs::write(log(&at), &damaged).unwrap();
         let fault = Journal::open(&at).unwrap_err().to_string();
         let start = ends.iter().rfind(|&&e| e <= at_byte).unwrap();
-        assert!(fault.contains(&format!("damaged at byte {start}: whole records follow")), "{fault}");
+        assert!(
+            fault.contains(&format!("damaged at byte {start}: whole records follow")),
+            "{fault}"
+        );
         assert!(inspect(&at).is_err());
         assert_eq!(fs::read(log(&at)).unwrap(), damaged, "nothing is cut off");
     }
@@ -117,10 +125,15 @@
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"first").unwrap();
     let before = 8 + journal.length() as usize;
-    journal.append_all(&[b"a".to_vec(), vec![], b"ccc".to_vec()]).unwrap();
+    journal
+        .append_all(&[b"a".to_vec(), vec![], b"ccc".to_vec()])
+        .unwrap();
     drop(journal);
     let whole = fs::read(log(&at)).unwrap();
-    assert_eq!(inspect(&at).unwrap().entries, [&b"first"[..], b"a", b"", b"ccc"]);
+    assert_eq!(
+        inspect(&at).unwrap().entries,
+        [&b"first"[..], b"a", b"", b"ccc"]
+    );
     for length in before..whole.len() {
         fs::write(log(&at), &whole[..length]).unwrap();
         assert_eq!(inspect(&at).unwrap().entries, [b"first"], "cut at {length}");
@@ -139,8 +152,9 @@
             std::thread::spawn(move || {
                 for n in 0..100u8 {
                     let tell = tell.clone();
-                    let report =
-                        move |done: std::io::Result<()>| tell.send((sender, n, done.is_ok())).unwrap();
+                    let report = move |done: std::io::Result<()>| {
+                        tell.send((sender, n, done.is_ok())).unwrap()
+                    };
                     while group.append(vec![sender, n], report.clone()).is_err() {
                         std::thread::yield_now();
                     }
@@ -159,7 +173,11 @@
     let found = inspect(&at).unwrap().entries;
     assert_eq!(found.len(), 400);
     for sender in 0..4u8 {
-        let own: Vec<u8> = found.iter().filter(|e| e[0] == sender).map(|e| e[1]).collect();
+        let own: Vec<u8> = found
+            .iter()
+            .filter(|e| e[0] == sender)
+            .map(|e| e[1])
+            .collect();
         assert!(own.is_sorted(), "in its order");
     }
 }
@@ -175,20 +193,32 @@
     fs::write(at.join("next-snapshot"), b"orchjrn2 half").unwrap();
     fs::write(at.join("log-2"), b"orchjrn2").unwrap();
     let (mut journal, found) = Journal::open(&at).unwrap();
-    assert_eq!((found.snapshot.unwrap(), found.entries), (b"old".to_vec(), vec![b"entry".to_vec()]));
+    assert_eq!(
+        (found.snapshot.unwrap(), found.entries),
+        (b"old".to_vec(), vec![b"entry".to_vec()])
+    );
     journal.snapshot(b"new").unwrap();
     drop(journal);
     // Killed before the old files were removed.
     fs::write(at.join("log-1"), b"orchjrn2 and more").unwrap();
     let (journal, found) = Journal::open(&at).unwrap();
-    assert_eq!((found.snapshot.unwrap(), found.entries.len(), found.cut), (b"new".to_vec(), 0, 0));
+    assert_eq!(
+        (found.snapshot.unwrap(), found.entries.len(), found.cut),
+        (b"new".to_vec(), 0, 0)
+    );
     assert!(!at.join("log-1").exists());
     let second = Journal::open(&at).unwrap_err();
-    assert!(second.to_string().contains("another process has it open"), "{second}");
+    assert!(
+        second.to_string().contains("another process has it open"),
+        "{second}"
+    );
     drop(journal);
     fs::write(at.join("snapshot-2"), b"orchjrn2 damaged").unwrap();
     let damaged = Journal::open(&at).unwrap_err();
-    assert!(damaged.to_string().contains("the snapshot is damaged"), "{damaged}");
+    assert!(
+        damaged.to_string().contains("the snapshot is damaged"),
+        "{damaged}"
+    );
 }
 
 #[test]
@@ -201,15 +231,24 @@
     let (tell, told) = std::sync::mpsc::channel();
     let append = |entry: &[u8]| {
         let tell = tell.clone();
-        group.append(entry.to_vec(), move |kept| tell.send(kept.is_ok()).unwrap()).unwrap();
+        group
+            .append(entry.to_vec(), move |kept| tell.send(kept.is_ok()).unwrap())
+            .unwrap();
         told.recv().unwrap()
     };
     assert_eq!([append(b"a"), append(b"b")], [false, false]);
     let tell_replaced = tell.clone();
-    group.replace(b"all".to_vec(), move |done| tell_replaced.send(done.is_ok()).unwrap()).unwrap();
+    group
+        .replace(b"all".to_vec(), move |done| {
+            tell_replaced.send(done.is_ok()).unwrap()
+        })
+        .unwrap();
     assert!(told.recv().unwrap());
     assert!(append(b"after"));
     drop(group.close().unwrap());
     let found = inspect(&at).unwrap();
-    assert_eq!((found.snapshot.as_deref(), found.entries), (Some(&b"all"[..]), vec![b"after".to_vec()]));
+    assert_eq!(
+        (found.snapshot.as_deref(), found.entries),
+        (Some(&b"all"[..]), vec![b"after".to_vec()])
+    );
 }
--- a/crates/lines/src/lib.rs
+++ b/crates/lines/src/lib.rs
@@ -84,13 +84,14 @@
         Some(_) => None,
     };
     let fits = read.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n));
-    fits.map(|n| n as u32).ok_or_else(|| Unreadable(format!("'{name}' is no figure")))
+    fits.map(|n| n as u32)
+        .ok_or_else(|| Unreadable(format!("'{name}' is no figure")))
 }
 
 /// One line, without its line feed.
 pub fn answer(line: &[u8]) -> Result<Answer, Unreadable> {
-    let raw: Raw =
-        serde_json::from_slice(line).map_err(|e| Unreadable(format!("a line is no answer: {e}")))?;
+    let raw: Raw = serde_json::from_slice(line)
+        .map_err(|e| Unreadable(format!("a line is no answer: {e}")))?;
     let word = match raw.t.as_ref() {
         "DONE" => Word::Done,
         "LACK" => Word::Lack,
@@ -110,9 +111,9 @@
         _ => Tell::Nothing,
     };
     let body = match raw.b {
-        Some(text) => {
-            STANDARD.decode(text.as_bytes()).map_err(|e| Unreadable(format!("a body is no base64: {e}")))?
-        }
+        Some(text) => STANDARD
+            .decode(text.as_bytes())
+            .map_err(|e| Unreadable(format!("a body is no base64: {e}")))?,
         None => vec![],
     };
     Ok(Answer {
@@ -133,7 +134,11 @@
         let (_, value) = pairs.find(|(key, _)| key.trim() == name)?;
         value.trim().parse::<f32>().ok().filter(|v| v.is_finite())
     };
-    names.iter().map(value).collect::<Option<_>>().unwrap_or_default()
+    names
+        .iter()
+        .map(value)
+        .collect::<Option<_>>()
+        .unwrap_or_default()
 }
 
 /// Takes bytes as they come. It holds one line at the most, besides what was pushed last.
@@ -158,7 +163,10 @@
 
     pub fn read(&mut self) -> Result<Option<Answer>, Unreadable> {
         let rest = &self.bytes[self.at..];
-        let end = rest[self.looked..].iter().position(|&b| b == b'\n').map(|n| n + self.looked);
+        let end = rest[self.looked..]
+            .iter()
+            .position(|&b| b == b'\n')
+            .map(|n| n + self.looked);
         match end {
             Some(end) if end <= LONGEST => {
                 let read = answer(&rest[..end]);
