--- a/crates/lines/tests/lines.rs
+++ b/crates/lines/tests/lines.rs
@@ -29,14 +29,19 @@
 fn answers_are_read_whole_with_figures_as_numbers_or_strings() {
     let (answers, fault) = read([SOUND]);
     assert!(!fault);
-    let [done, wait, past] = answers.as_slice() else { panic!("three answers, not {}", answers.len()) };
+    let [done, wait, past] = answers.as_slice() else {
+        panic!("three answers, not {}", answers.len())
+    };
     assert_eq!(
         (done.word, done.tell, done.crowd, done.body.as_slice()),
         (Word::Done, Tell::Joined, 3, &[0, 255][..])
     );
     let names = ["x1", "backlog"].map(str::to_owned);
     assert_eq!(report(&done.meter, &names), [0.61, 7.0]);
-    assert_eq!((wait.word, wait.id.as_str(), wait.count), (Word::Wait, "order-7", 2));
+    assert_eq!(
+        (wait.word, wait.id.as_str(), wait.count),
+        (Word::Wait, "order-7", 2)
+    );
     assert_eq!((past.word, past.body.len()), (Word::Past, 0));
 }
 
@@ -62,7 +67,12 @@
         b"\xff\xfe",
     ] {
         let bytes = [SOUND, bad, b"\n", SOUND].concat();
-        assert_eq!(read([bytes.as_slice()]), (read([SOUND]).0, true), "{}", String::from_utf8_lossy(bad));
+        assert_eq!(
+            read([bytes.as_slice()]),
+            (read([SOUND]).0, true),
+            "{}",
+            String::from_utf8_lossy(bad)
+        );
     }
 }
 
@@ -80,7 +90,13 @@
 #[test]
 fn a_report_that_lacks_a_figure_is_none() {
     let names = ["backlog", "x1"].map(str::to_owned);
-    for meter in ["", "backlog:1", "backlog:1;x1:much", "backlog:1;x1:NaN", "backlog 1;x1:2"] {
+    for meter in [
+        "",
+        "backlog:1",
+        "backlog:1;x1:much",
+        "backlog:1;x1:NaN",
+        "backlog 1;x1:2",
+    ] {
         assert!(report(meter, &names).is_empty(), "{meter}");
     }
 }
@@ -99,7 +115,10 @@
     assert_eq!(line.iter().position(|&b| b == b'\n'), Some(line.len() - 1));
     let read: serde_json::Value = serde_json::from_slice(&line).expect("it is JSON");
     let f = serde_json::json!({"cls": "set\"point", "item": "7f3a9c21e0b4d655", "limit": 1500, "nonce": "5c0f6e1a"});
-    assert_eq!(read, serde_json::json!({"t": "DO", "i": "9b1f03aa5c7e2d41", "f": f, "b": "CgA="}));
+    assert_eq!(
+        read,
+        serde_json::json!({"t": "DO", "i": "9b1f03aa5c7e2d41", "f": f, "b": "CgA="})
+    );
 }
 
 proptest! {
--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -9,8 +9,15 @@
 
 fn read(key: &[u8], value: &[u8]) -> Result<RosterRow, String> {
     let text = std::str::from_utf8(key).map_err(|e| e.to_string())?;
-    let n: u32 = text.rsplit('/').next().and_then(|t| t.parse().ok()).ok_or("no number")?;
-    let since = std::str::from_utf8(value).ok().and_then(|t| t.parse().ok()).ok_or("no start")?;
+    let n: u32 = text
+        .rsplit('/')
+        .next()
+        .and_then(|t| t.parse().ok())
+        .ok_or("no number")?;
+    let since = std::str::from_utf8(value)
+        .ok()
+        .and_then(|t| t.parse().ok())
+        .ok_or("no start")?;
     Ok(RosterRow {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::from(0x0a00_0000 + n)), 7000),
         zone: 0,
@@ -25,16 +32,41 @@
 fn main() {
     println!("entries   list, ms   list again, ms   one change, us");
     for entries in [10, 100, 1_000, 10_000] {
-        let keys: Vec<Vec<u8>> = (0..entries).map(|n| format!("/executors/{n}").into_bytes()).collect();
-        let list: Vec<Change> =
-            keys.iter().map(|key| Change { key, value: Some(b"1"), created: 1, modified: 1 }).collect();
+        let keys: Vec<Vec<u8>> = (0..entries)
+            .map(|n| format!("/executors/{n}").into_bytes())
+            .collect();
+        let list: Vec<Change> = keys
+            .iter()
+            .map(|key| Change {
+                key,
+                value: Some(b"1"),
+                created: 1,
+                modified: 1,
+            })
+            .collect();
         let mut cache = Cache::new(0.0);
         let began = Instant::now();
-        let told = cache.listed(0.0, Stamp { cluster: 1, revision: 1 }, &list, &read);
+        let told = cache.listed(
+            0.0,
+            Stamp {
+                cluster: 1,
+                revision: 1,
+            },
+            &list,
+            &read,
+        );
         let first = began.elapsed().as_secs_f64();
         assert_eq!(told.map(|t| t.1.len()), Some(entries));
         let began = Instant::now();
-        let told = cache.listed(1.0, Stamp { cluster: 1, revision: 2 }, &list, &read);
+        let told = cache.listed(
+            1.0,
+            Stamp {
+                cluster: 1,
+                revision: 2,
+            },
+            &list,
+            &read,
+        );
         let again = began.elapsed().as_secs_f64();
         assert!(told.is_none(), "nothing has changed");
         const CHANGES: usize = 2_000;
@@ -48,10 +80,23 @@
                 created: 1,
                 modified: revision,
             };
-            let told = cache.changed(2.0, Stamp { cluster: 1, revision }, &[change], &read);
+            let told = cache.changed(
+                2.0,
+                Stamp {
+                    cluster: 1,
+                    revision,
+                },
+                &[change],
+                &read,
+            );
             assert_eq!(told.map(|t| t.1.len()), Some(1));
         }
         let each = began.elapsed().as_secs_f64() / CHANGES as f64;
-        println!("{entries:>7} {:>10.2} {:>16.2} {:>16.2}", 1e3 * first, 1e3 * again, 1e6 * each);
+        println!(
+            "{entries:>7} {:>10.2} {:>16.2} {:>16.2}",
+            1e3 * first,
+            1e3 * again,
+            1e6 * each
+        );
     }
 }
--- a/crates/membership/src/cache.rs
+++ b/crates/membership/src/cache.rs
@@ -92,12 +92,18 @@
 }
 
 fn gone(row: &RosterRow) -> RosterRow {
-    RosterRow { standing: Standing::Gone, ..row.clone() }
+    RosterRow {
+        standing: Standing::Gone,
+        ..row.clone()
+    }
 }
 
 impl Cache {
     pub fn new(now: f64) -> Cache {
-        Cache { heard_at: now, ..Cache::default() }
+        Cache {
+            heard_at: now,
+            ..Cache::default()
+        }
     }
 
     pub fn next(&self) -> Next {
@@ -114,7 +120,9 @@
 
     /// Entries that can't be read, with why; the last good one of each counts.
     pub fn faults(&self) -> impl Iterator<Item = (&[u8], &str)> {
-        self.faults.iter().map(|(key, why)| (key.as_slice(), why.as_str()))
+        self.faults
+            .iter()
+            .map(|(key, why)| (key.as_slice(), why.as_str()))
     }
 
     /// The revision that it has heard of.
@@ -124,7 +132,13 @@
 
     /// Those that are believed to be there, and how many of them the store has no more.
     pub fn known(&self) -> (usize, usize) {
-        (self.entries.len(), self.entries.values().filter(|e| e.held_since.is_some()).count())
+        (
+            self.entries.len(),
+            self.entries
+                .values()
+                .filter(|e| e.held_since.is_some())
+                .count(),
+        )
     }
 
     pub fn rows(&self) -> impl Iterator<Item = &RosterRow> {
@@ -157,7 +171,10 @@
 
     /// A connection to it failed: one that the store has no more, and that is not there, is gone.
     pub fn failed(&mut self, executor: &ExecutorId) -> Told {
-        let key = self.entries.iter().find(|(_, e)| e.row.executor == *executor && e.held_since.is_some());
+        let key = self
+            .entries
+            .iter()
+            .find(|(_, e)| e.row.executor == *executor && e.held_since.is_some());
         let key = key.map(|(key, _)| key.clone())?;
         let entry = self.entries.remove(&key)?;
         Some((RosterKind::Delta, vec![gone(&entry.row)]))
@@ -181,14 +198,26 @@
     /// Puts an entry in; what is new about it.
     fn put(&mut self, change: &Change, stated: RosterRow, rows: &mut Vec<RosterRow>) {
         let marked = self.marks.contains(change.key) && stated.standing == Standing::Ready;
-        let standing = if marked { Standing::Draining } else { stated.standing };
-        let row = RosterRow { standing, ..stated.clone() };
+        let standing = if marked {
+            Standing::Draining
+        } else {
+            stated.standing
+        };
+        let row = RosterRow {
+            standing,
+            ..stated.clone()
+        };
         match row.standing {
             Standing::Draining => {
                 self.drained.insert(change.key.to_vec(), row.since);
             }
             // Its drain was withdrawn; that of a start before stays known.
-            Standing::Ready if self.drained.get(change.key).is_some_and(|s| *s >= row.since) => {
+            Standing::Ready
+                if self
+                    .drained
+                    .get(change.key)
+                    .is_some_and(|s| *s >= row.since) =>
+            {
                 self.drained.remove(change.key);
             }
             Standing::Ready => {}
@@ -206,7 +235,13 @@
             rows.push(row.clone());
         }
         let (created, modified) = (change.created, change.modified);
-        let entry = Entry { row, stated, created, modified, held_since: None };
+        let entry = Entry {
+            row,
+            stated,
+            created,
+            modified,
+            held_since: None,
+        };
         self.entries.insert(change.key.to_vec(), entry);
     }
 
@@ -218,12 +253,17 @@
         let known = self.entries.len() + self.vanished.len();
         // One that was told to drain was to go.
         let sudden = |e: &Entry| e.row.standing == Standing::Ready && e.held_since.is_none();
-        let count = keys.iter().filter(|k| self.entries.get(*k).is_some_and(sudden)).count();
+        let count = keys
+            .iter()
+            .filter(|k| self.entries.get(*k).is_some_and(sudden))
+            .count();
         let together = self.vanished.len() + count;
         let many = together > MANY_LEAST && together as f64 > MANY * known as f64;
         self.vanished.extend(std::iter::repeat_n(now, count));
         for key in keys {
-            let Some(entry) = self.entries.get_mut(&key) else { continue };
+            let Some(entry) = self.entries.get_mut(&key) else {
+                continue;
+            };
             if (many || doubted) && entry.row.standing == Standing::Ready {
                 entry.held_since.get_or_insert(now);
                 continue;
@@ -237,30 +277,49 @@
     pub fn listed(&mut self, now: f64, stamp: Stamp, list: &[Change], read: &Read) -> Told {
         self.heard_at = now;
         self.relists += u64::from(self.listed);
-        let back = self.stamp.is_some_and(|s| s.cluster != stamp.cluster || s.revision > stamp.revision);
+        let back = self
+            .stamp
+            .is_some_and(|s| s.cluster != stamp.cluster || s.revision > stamp.revision);
         self.went_back += u64::from(back);
         (self.stamp, self.stale, self.listed_at) = (Some(stamp), false, now);
         let mut rows = vec![];
-        self.marks = list.iter().filter_map(|c| marked(c.key)).map(<[u8]>::to_vec).collect();
+        self.marks = list
+            .iter()
+            .filter_map(|c| marked(c.key))
+            .map(<[u8]>::to_vec)
+            .collect();
         for change in list.iter().filter(|c| marked(c.key).is_none()) {
-            let Some(row) = self.read(change, read) else { continue };
+            let Some(row) = self.read(change, read) else {
+                continue;
+            };
             // Guards what was told to drain against a store that was set back to before that: the same start of the
             // same executor does not become ready by it.
-            let drained = self.drained.get(change.key).is_some_and(|since| *since >= row.since);
+            let drained = self
+                .drained
+                .get(change.key)
+                .is_some_and(|since| *since >= row.since);
             if back && row.standing == Standing::Ready && drained {
-                let row = RosterRow { standing: Standing::Draining, ..row };
+                let row = RosterRow {
+                    standing: Standing::Draining,
+                    ..row
+                };
                 self.put(change, row, &mut rows);
                 continue;
             }
             let before = self.entries.get(change.key);
-            let older = before.is_some_and(|b| b.created == change.created && b.modified > change.modified);
+            let older =
+                before.is_some_and(|b| b.created == change.created && b.modified > change.modified);
             if back || !older {
                 self.put(change, row, &mut rows);
             }
         }
         let listed: BTreeSet<&[u8]> = list.iter().map(|c| c.key).collect();
-        let missing: Vec<Vec<u8>> =
-            self.entries.keys().filter(|k| !listed.contains(k.as_slice())).cloned().collect();
+        let missing: Vec<Vec<u8>> = self
+            .entries
+            .keys()
+            .filter(|k| !listed.contains(k.as_slice()))
+            .cloned()
+            .collect();
         self.remove(now, missing, back, &mut rows);
         if !std::mem::replace(&mut self.listed, true) {
             let all = self.entries.values().map(|e| e.row.clone()).collect();
@@ -286,7 +345,12 @@
                 // What is deleted already in this answer stays so.
                 if let Some(entry) = self.entries.get(key).filter(|e| e.held_since.is_none()) {
                     let (created, modified) = (entry.created, entry.modified);
-                    let again = Change { key, value: None, created, modified };
+                    let again = Change {
+                        key,
+                        value: None,
+                        created,
+                        modified,
+                    };
                     let stated = entry.stated.clone();
                     self.put(&again, stated, &mut rows);
                 }
@@ -307,7 +371,10 @@
             }
         }
         self.remove(now, removed, false, &mut rows);
-        self.stamp = Some(Stamp { revision: known.revision.max(stamp.revision), ..stamp });
+        self.stamp = Some(Stamp {
+            revision: known.revision.max(stamp.revision),
+            ..stamp
+        });
         (!rows.is_empty()).then_some((RosterKind::Delta, rows))
     }
 
@@ -317,13 +384,24 @@
         let silent = self.age(now) > HELD;
         let over = |e: &Entry| {
             let since = e.held_since?;
-            let heard = self.answered.get(&at(&e.row.executor)).copied().unwrap_or(f64::NEG_INFINITY);
+            let heard = self
+                .answered
+                .get(&at(&e.row.executor))
+                .copied()
+                .unwrap_or(f64::NEG_INFINITY);
             (now > since.max(heard) + HELD && !silent).then_some(())
         };
-        let keys: Vec<Vec<u8>> =
-            self.entries.iter().filter(|(_, e)| over(e).is_some()).map(|(k, _)| k.clone()).collect();
-        let rows: Vec<RosterRow> =
-            keys.iter().filter_map(|k| self.entries.remove(k)).map(|e| gone(&e.row)).collect();
+        let keys: Vec<Vec<u8>> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| over(e).is_some())
+            .map(|(k, _)| k.clone())
+            .collect();
+        let rows: Vec<RosterRow> = keys
+            .iter()
+            .filter_map(|k| self.entries.remove(k))
+            .map(|e| gone(&e.row))
+            .collect();
         self.answered.retain(|_, t| now - *t < 10.0 * HELD);
         (!rows.is_empty()).then_some((RosterKind::Delta, rows))
     }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -39,7 +39,11 @@
 
 impl Members {
     pub fn new(stated: u32) -> Members {
-        Members { stated, most: stated, ..Members::default() }
+        Members {
+            stated,
+            most: stated,
+            ..Members::default()
+        }
     }
 
     /// The index to claim, where these are taken: the lowest free one, or after claims that were lost one of the lowest
@@ -88,9 +92,17 @@
         let current = self.seen_at.is_some_and(|at| now - at <= NO_VIEW);
         let lately = self.seen.iter().map(|s| s.1).max().unwrap_or(0);
         let own = index.map_or(0, |i| i + 1);
-        let count = if current { lately } else { self.most.max(self.stated) };
+        let count = if current {
+            lately
+        } else {
+            self.most.max(self.stated)
+        };
         // Each that shares has been in the store for as long as a view may be old, and is there still: all of them
         // are in this view. Without one nobody can say by how many to share.
-        Figure { count: count.max(own).max(1), index, shares: known && current }
+        Figure {
+            count: count.max(own).max(1),
+            index,
+            shares: known && current,
+        }
     }
 }
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -3,7 +3,9 @@
 
 use bytes::Bytes;
 use orchidtally::interface::{ExecutorId, RosterKind, RosterRow, Standing};
-use orchidtally_etcd::rpc::{DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse};
+use orchidtally_etcd::rpc::{
+    DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
+};
 use orchidtally_etcd::{Told, Watch, range_end};
 use orchidtally_membership::{Cache, Change, Next, Stamp};
 use orchidtally_test_servers::etcd::Store;
@@ -16,7 +18,10 @@
 const EXECUTORS: u8 = 12;
 
 fn read(key: &[u8], value: &[u8]) -> Result<RosterRow, String> {
-    let n: u8 = std::str::from_utf8(&key[PREFIX.len()..]).unwrap().parse().unwrap();
+    let n: u8 = std::str::from_utf8(&key[PREFIX.len()..])
+        .unwrap()
+        .parse()
+        .unwrap();
     let text = std::str::from_utf8(value).unwrap();
     let (standing, since) = text.split_once(' ').ok_or("half written")?;
     Ok(RosterRow {
@@ -24,7 +29,11 @@
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: if standing == "ready" { Standing::Ready } else { Standing::Draining },
+        standing: if standing == "ready" {
+            Standing::Ready
+        } else {
+            Standing::Draining
+        },
         weight: 1.0,
         since: since.parse().map_err(|_| "half written")?,
     })
@@ -102,16 +111,26 @@
     fn serve(&mut self) {
         let Some(watch) = &self.watch else { return };
         let from = self.sent.max(watch.next());
-        let answer = WatchResponse { header: self.store.header(), watch_id: 1, ..Default::default() };
+        let answer = WatchResponse {
+            header: self.store.header(),
+            watch_id: 1,
+            ..Default::default()
+        };
         match self.store.events(from, PREFIX, &range_end(PREFIX)) {
-            Err(least) => {
-                self.down.push_back(WatchResponse { canceled: true, compact_revision: least, ..answer })
-            }
+            Err(least) => self.down.push_back(WatchResponse {
+                canceled: true,
+                compact_revision: least,
+                ..answer
+            }),
             Ok(events) => {
                 let parts: Vec<Vec<Event>> = events.chunks(2).map(<[Event]>::to_vec).collect();
                 let last = parts.len();
                 for (n, events) in parts.into_iter().enumerate() {
-                    self.down.push_back(WatchResponse { events, fragment: n + 1 < last, ..answer.clone() });
+                    self.down.push_back(WatchResponse {
+                        events,
+                        fragment: n + 1 < last,
+                        ..answer.clone()
+                    });
                 }
                 if last == 0 {
                     self.down.push_back(answer);
@@ -122,7 +141,9 @@
     }
 
     fn hear(&mut self) {
-        let (Some(watch), Some(response)) = (&mut self.watch, self.down.pop_front()) else { return };
+        let (Some(watch), Some(response)) = (&mut self.watch, self.down.pop_front()) else {
+            return;
+        };
         for told in watch.received(response) {
             let stamp = |h: &orchidtally_etcd::rpc::ResponseHeader| Stamp {
                 cluster: h.cluster_id,
@@ -130,9 +151,12 @@
             };
             let rows = match told {
                 Told::Events { header, events } => {
-                    let changes: Vec<Change> =
-                        events.iter().filter_map(|e| Some(change(e.kv.as_ref()?, e.r#type == 1))).collect();
-                    self.cache.changed(self.now, stamp(&header), &changes, &read)
+                    let changes: Vec<Change> = events
+                        .iter()
+                        .filter_map(|e| Some(change(e.kv.as_ref()?, e.r#type == 1)))
+                        .collect();
+                    self.cache
+                        .changed(self.now, stamp(&header), &changes, &read)
                 }
                 Told::Progress { header, .. } => {
                     self.cache.progressed(self.now, stamp(&header));
@@ -171,15 +195,24 @@
             let answer = self.store.range(&question).unwrap();
             let list: Vec<Change> = answer.kvs.iter().map(|kv| change(kv, false)).collect();
             let header = answer.header.unwrap();
-            let stamp = Stamp { cluster: header.cluster_id, revision: header.revision };
+            let stamp = Stamp {
+                cluster: header.cluster_id,
+                revision: header.revision,
+            };
             let told = self.cache.listed(self.now, stamp, &list, &read);
             self.tell(told);
         }
-        let Next::Watch(from) = self.cache.next() else { panic!("a list was just given") };
+        let Next::Watch(from) = self.cache.next() else {
+            panic!("a list was just given")
+        };
         let mut watch = Watch::new(PREFIX, from);
         watch.request();
-        let created =
-            WatchResponse { header: self.store.header(), watch_id: 1, created: true, ..Default::default() };
+        let created = WatchResponse {
+            header: self.store.header(),
+            watch_id: 1,
+            created: true,
+            ..Default::default()
+        };
         assert_eq!(watch.received(created), [Told::Created]);
         (self.watch, self.sent) = (Some(watch), 0);
     }
@@ -199,19 +232,37 @@
                     1..=2 => format!("draining {since}"),
                     _ => format!("ready {since}"),
                 };
-                self.store.put(&PutRequest { key, value: value.into(), ..PutRequest::default() }).unwrap();
+                self.store
+                    .put(&PutRequest {
+                        key,
+                        value: value.into(),
+                        ..PutRequest::default()
+                    })
+                    .unwrap();
             }
             25..=34 => {
                 let key = self.key();
-                self.store.delete(&DeleteRangeRequest { key, ..DeleteRangeRequest::default() });
+                self.store.delete(&DeleteRangeRequest {
+                    key,
+                    ..DeleteRangeRequest::default()
+                });
             }
             35..=38 => {
                 // An operator drains one, or withdraws that.
                 let key: Bytes = [&self.key()[..], b"/drain"].concat().into();
                 if self.random.random() {
-                    self.store.put(&PutRequest { key, value: "{}".into(), ..PutRequest::default() }).unwrap();
+                    self.store
+                        .put(&PutRequest {
+                            key,
+                            value: "{}".into(),
+                            ..PutRequest::default()
+                        })
+                        .unwrap();
                 } else {
-                    self.store.delete(&DeleteRangeRequest { key, ..DeleteRangeRequest::default() });
+                    self.store.delete(&DeleteRangeRequest {
+                        key,
+                        ..DeleteRangeRequest::default()
+                    });
                 }
             }
             39..=54 => self.serve(),
@@ -264,17 +315,27 @@
         };
         let kvs = self.store.range(&question).unwrap().kvs;
         let is_marked = |key: &[u8]| kvs.iter().any(|kv| kv.key == [key, b"/drain"].concat());
-        let rows = kvs.iter().filter(|kv| !kv.key.ends_with(b"/drain")).filter_map(|kv| {
-            let row = read(&kv.key, &kv.value).ok()?;
-            let standing = if is_marked(&kv.key) { Standing::Draining } else { row.standing };
-            Some(RosterRow { standing, ..row })
-        });
+        let rows = kvs
+            .iter()
+            .filter(|kv| !kv.key.ends_with(b"/drain"))
+            .filter_map(|kv| {
+                let row = read(&kv.key, &kv.value).ok()?;
+                let standing = if is_marked(&kv.key) {
+                    Standing::Draining
+                } else {
+                    row.standing
+                };
+                Some(RosterRow { standing, ..row })
+            });
         rows.map(|r| ((r.executor.0, r.executor.1), r)).collect()
     }
 }
 
 fn live(told: &BTreeMap<(IpAddr, u16), RosterRow>) -> BTreeMap<(IpAddr, u16), RosterRow> {
-    told.iter().filter(|(_, r)| r.standing != Standing::Gone).map(|(k, r)| (*k, r.clone())).collect()
+    told.iter()
+        .filter(|(_, r)| r.standing != Standing::Gone)
+        .map(|(k, r)| (*k, r.clone()))
+        .collect()
 }
 
 #[test]
@@ -291,7 +352,13 @@
             let bad = w.cache.faults().any(|(k, _)| k == &key[..]) || n % 3 == 0;
             if bad {
                 faults += 1;
-                w.store.put(&PutRequest { key, value: "ready 900".into(), ..PutRequest::default() }).unwrap();
+                w.store
+                    .put(&PutRequest {
+                        key,
+                        value: "ready 900".into(),
+                        ..PutRequest::default()
+                    })
+                    .unwrap();
             }
         }
         w.settle();
@@ -299,7 +366,11 @@
         // A half-written entry that was never good is none; one that was is kept as it was.
         let mut truth = w.truth();
         let told = live(&w.told);
-        let unreadable: Vec<_> = told.keys().filter(|k| !truth.contains_key(*k)).copied().collect();
+        let unreadable: Vec<_> = told
+            .keys()
+            .filter(|k| !truth.contains_key(*k))
+            .copied()
+            .collect();
         for k in unreadable {
             assert_eq!(
                 w.cache.faults().count(),
@@ -310,7 +381,10 @@
         }
         assert_eq!(told, truth, "seed {seed}");
     }
-    assert!(lists > 5_000 && faults > 3_000, "{lists} lists, {faults} faults");
+    assert!(
+        lists > 5_000 && faults > 3_000,
+        "{lists} lists, {faults} faults"
+    );
 }
 
 #[test]
@@ -336,12 +410,26 @@
     let mut store = Store::new(1);
     for n in 0..n {
         let key = [PREFIX, n.to_string().as_bytes()].concat().into();
-        store.put(&PutRequest { key, value: "ready 0".into(), ..PutRequest::default() }).unwrap();
+        store
+            .put(&PutRequest {
+                key,
+                value: "ready 0".into(),
+                ..PutRequest::default()
+            })
+            .unwrap();
     }
     let mut cache = Cache::new(0.0);
     let kvs = listed(&store);
     let list: Vec<Change> = kvs.iter().map(|kv| change(kv, false)).collect();
-    let told = cache.listed(0.0, Stamp { cluster: 1, revision: store.revision }, &list, &read);
+    let told = cache.listed(
+        0.0,
+        Stamp {
+            cluster: 1,
+            revision: store.revision,
+        },
+        &list,
+        &read,
+    );
     assert_eq!(told.unwrap().1.len(), n);
     (store, cache)
 }
@@ -358,8 +446,15 @@
 #[test]
 fn an_empty_list_takes_nobody_away_whose_answers_say_otherwise() {
     let (store, mut cache) = fleet(12);
-    let stamp = Stamp { cluster: 1, revision: store.revision + 12 };
-    assert_eq!(cache.listed(1.0, stamp, &[], &read), None, "all at once: nobody is gone");
+    let stamp = Stamp {
+        cluster: 1,
+        revision: store.revision + 12,
+    };
+    assert_eq!(
+        cache.listed(1.0, stamp, &[], &read),
+        None,
+        "all at once: nobody is gone"
+    );
     assert_eq!(cache.known(), (12, 12));
     let executor = |n: u8| ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7);
     // One is not there, half of the others answer all the time, the rest say nothing.
@@ -370,17 +465,42 @@
         let now = 1.0 + 0.1 * f64::from(step);
         (1..6).for_each(|n| cache.answered(now, &executor(n)));
         cache.progressed(now, stamp);
-        gone.extend(cache.turn(now).into_iter().flat_map(|t| t.1).map(|r| (now, r.executor)));
+        gone.extend(
+            cache
+                .turn(now)
+                .into_iter()
+                .flat_map(|t| t.1)
+                .map(|r| (now, r.executor)),
+        );
     }
     assert_eq!(gone.len(), 6);
-    assert!(gone.iter().all(|(at, e)| *at > 11.0 && !(1..6).any(|n| *e == executor(n))), "{gone:?}");
+    assert!(
+        gone.iter()
+            .all(|(at, e)| *at > 11.0 && !(1..6).any(|n| *e == executor(n))),
+        "{gone:?}"
+    );
     assert_eq!(cache.known(), (5, 5));
     // What drains was to go, and a single one goes at once.
     let (mut store, mut cache) = fleet(12);
     let key: Bytes = [PREFIX, b"3"].concat().into();
-    store.delete(&DeleteRangeRequest { key, ..DeleteRangeRequest::default() });
+    store.delete(&DeleteRangeRequest {
+        key,
+        ..DeleteRangeRequest::default()
+    });
     let kvs = listed(&store);
     let list: Vec<Change> = kvs.iter().map(|kv| change(kv, false)).collect();
-    let told = cache.listed(1.0, Stamp { cluster: 1, revision: store.revision }, &list, &read).unwrap();
-    assert!(told.0 == RosterKind::Delta && told.1.len() == 1 && told.1[0].standing == Standing::Gone);
+    let told = cache
+        .listed(
+            1.0,
+            Stamp {
+                cluster: 1,
+                revision: store.revision,
+            },
+            &list,
+            &read,
+        )
+        .unwrap();
+    assert!(
+        told.0 == RosterKind::Delta && told.1.len() == 1 && told.1[0].standing == Standing::Gone
+    );
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -40,7 +40,12 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut store: BTreeMap<u32, (u64, f64)> = BTreeMap::new();
     let mut all: Vec<Member> = vec![];
-    let mut seen = Seen { worst: 0.0, same_index: 0, most: 0, used: 0.0 };
+    let mut seen = Seen {
+        worst: 0.0,
+        same_index: 0,
+        most: 0,
+        used: 0.0,
+    };
     let (mut id, mut total) = (0, 0.0);
     for step in 0..4_000 {
         let now = 0.01 * f64::from(step);
@@ -57,9 +62,20 @@
         while all.len() < wanted {
             id += 1;
             let members = Members::new(3);
-            let lives = if random.random_range(0..4) == 0 { random.random_range(1.0..8.0) } else { 1e9 };
+            let lives = if random.random_range(0..4) == 0 {
+                random.random_range(1.0..8.0)
+            } else {
+                1e9
+            };
             let (looking, renewing) = (None, None);
-            all.push(Member { members, id, dies_at: now + lives, looking, renewing, cut_off_until: 0.0 });
+            all.push(Member {
+                members,
+                id,
+                dies_at: now + lives,
+                looking,
+                renewing,
+                cut_off_until: 0.0,
+            });
         }
         while all.len() > wanted {
             // Without notice: its entry stays until its lease is over.
@@ -68,7 +84,9 @@
         // A part is cut off from the store for a while; its views are not renewed, nor its leases.
         if random.random_range(0..600) == 0 {
             let until = now + random.random_range(0.5..8.0);
-            all.iter_mut().filter(|m| m.id % 2 == 0).for_each(|m| m.cut_off_until = until);
+            all.iter_mut()
+                .filter(|m| m.id % 2 == 0)
+                .for_each(|m| m.cut_off_until = until);
         }
         for m in &mut all {
             if now < m.cut_off_until {
@@ -88,7 +106,9 @@
                 match own.and_then(|i| store.get_mut(&i)).filter(|e| e.0 == m.id) {
                     Some(entry) => {
                         // The store renews somewhere in between.
-                        entry.1 = entry.1.max(began + LEASE + random.random_range(0.0..=(ends - began)));
+                        entry.1 = entry
+                            .1
+                            .max(began + LEASE + random.random_range(0.0..=(ends - began)));
                         m.members.renewed(began, LEASE);
                     }
                     None => {
@@ -101,8 +121,10 @@
                 }
             }
             // A view begins after the last one, each as late as it may be.
-            m.looking.get_or_insert((now, now + random.random_range(0.05..1.5)));
-            m.renewing.get_or_insert((now, now + random.random_range(0.05..0.8)));
+            m.looking
+                .get_or_insert((now, now + random.random_range(0.05..1.5)));
+            m.renewing
+                .get_or_insert((now, now + random.random_range(0.05..0.8)));
         }
         let mut indices = BTreeSet::new();
         let mut sum = 0.0;
@@ -111,7 +133,9 @@
             let shares = match planted {
                 Planted::Nothing => figure.shares,
                 Planted::Eager => figure.index.is_some(),
-                Planted::Stubborn => figure.shares || now < m.cut_off_until && figure.index.is_some(),
+                Planted::Stubborn => {
+                    figure.shares || now < m.cut_off_until && figure.index.is_some()
+                }
             };
             total += 1.0;
             if shares {
--- a/crates/mqtt/src/codec/decode.rs
+++ b/crates/mqtt/src/codec/decode.rs
@@ -3,8 +3,9 @@
 use super::property::{WILL, read_properties};
 use super::reader::Reader;
 use super::{
-    CodecError, LEVEL_V5, LEVEL_V311, QOS_BITS, REQUEST_FLAGS, Result, VARINT_BYTES, VARINT_CONTINUES,
-    VARINT_VALUE, connect_flag, malformed, packet_type, publish_flag, subscribe_option,
+    CodecError, LEVEL_V5, LEVEL_V311, QOS_BITS, REQUEST_FLAGS, Result, VARINT_BYTES,
+    VARINT_CONTINUES, VARINT_VALUE, connect_flag, malformed, packet_type, publish_flag,
+    subscribe_option,
 };
 use crate::filter::check_topic;
 use crate::packet::*;
@@ -27,9 +28,14 @@
     version: Version,
     max_length: usize,
 ) -> Result<Option<(Version, Packet)>> {
-    let Some(header) = fixed_header(buffer)? else { return Ok(None) };
+    let Some(header) = fixed_header(buffer)? else {
+        return Ok(None);
+    };
     if header.packet_length > max_length {
-        return Err(CodecError::TooLarge { length: header.packet_length, most: max_length });
+        return Err(CodecError::TooLarge {
+            length: header.packet_length,
+            most: max_length,
+        });
     }
     check_flags(&header)?;
     if buffer.len() < header.packet_length {
@@ -39,14 +45,22 @@
     bytes.advance(header.header_length);
     let mut reader = Reader::new(bytes);
     let (version, packet) = read_packet(&mut reader, version, &header)?;
-    if reader.has_remaining() { malformed("bytes after its end") } else { Ok(Some((version, packet))) }
+    if reader.has_remaining() {
+        malformed("bytes after its end")
+    } else {
+        Ok(Some((version, packet)))
+    }
 }
 
 fn fixed_header(buffer: &[u8]) -> Result<Option<FixedHeader>> {
-    let Some(&first) = buffer.first() else { return Ok(None) };
+    let Some(&first) = buffer.first() else {
+        return Ok(None);
+    };
     let (mut remaining_length, mut header_length) = (0usize, 1);
     loop {
-        let Some(&byte) = buffer.get(header_length) else { return Ok(None) };
+        let Some(&byte) = buffer.get(header_length) else {
+            return Ok(None);
+        };
         remaining_length |= usize::from(byte & VARINT_VALUE) << (7 * (header_length - 1));
         header_length += 1;
         if byte & VARINT_CONTINUES == 0 {
@@ -73,10 +87,18 @@
         packet_type::PUBREL | packet_type::SUBSCRIBE | packet_type::UNSUBSCRIBE => REQUEST_FLAGS,
         _ => 0,
     };
-    if header.flags == expected { Ok(()) } else { malformed("reserved flags") }
+    if header.flags == expected {
+        Ok(())
+    } else {
+        malformed("reserved flags")
+    }
 }
 
-fn read_packet(reader: &mut Reader, version: Version, header: &FixedHeader) -> Result<(Version, Packet)> {
+fn read_packet(
+    reader: &mut Reader,
+    version: Version,
+    header: &FixedHeader,
+) -> Result<(Version, Packet)> {
     let packet_type = header.packet_type;
     let packet = match packet_type {
         packet_type::CONNECT => {
@@ -118,13 +140,32 @@
     let properties = read_properties(reader, version, packet_type::CONNECT)?;
     let client_id = reader.text()?;
     let will = read_will(reader, version, flags)?;
-    let username = if flags & connect_flag::USERNAME != 0 { Some(reader.text()?) } else { None };
-    let password = if flags & connect_flag::PASSWORD != 0 { Some(reader.binary()?) } else { None };
+    let username = if flags & connect_flag::USERNAME != 0 {
+        Some(reader.text()?)
+    } else {
+        None
+    };
+    let password = if flags & connect_flag::PASSWORD != 0 {
+        Some(reader.binary()?)
+    } else {
+        None
+    };
     if version == Version::V311 && password.is_some() && username.is_none() {
         return malformed("a password without a user name");
     }
     let clean = flags & connect_flag::CLEAN != 0;
-    Ok((version, Connect { clean, keep_alive, properties, client_id, will, username, password }))
+    Ok((
+        version,
+        Connect {
+            clean,
+            keep_alive,
+            properties,
+            client_id,
+            will,
+            username,
+            password,
+        },
+    ))
 }
 
 fn read_will(reader: &mut Reader, version: Version, flags: u8) -> Result<Option<Will>> {
@@ -144,7 +185,13 @@
         return malformed("a will's topic that nothing can be published to");
     }
     let retain = flags & connect_flag::WILL_RETAIN != 0;
-    Ok(Some(Will { topic, payload: reader.binary()?, qos, retain, properties }))
+    Ok(Some(Will {
+        topic,
+        payload: reader.binary()?,
+        qos,
+        retain,
+        properties,
+    }))
 }
 
 fn read_connack(reader: &mut Reader, version: Version) -> Result<ConnAck> {
@@ -154,7 +201,11 @@
     }
     let code = reader.u8()?;
     let properties = read_properties(reader, version, packet_type::CONNACK)?;
-    Ok(ConnAck { session_present: flags == 1, code, properties })
+    Ok(ConnAck {
+        session_present: flags == 1,
+        code,
+        properties,
+    })
 }
 
 fn read_publish(reader: &mut Reader, version: Version, flags: u8) -> Result<Publish> {
@@ -166,20 +217,38 @@
         return malformed("DUP with QoS 0");
     }
     let topic = reader.text()?;
-    let id = if qos == Qos::AtMostOnce { 0 } else { reader.nonzero_u16()? };
+    let id = if qos == Qos::AtMostOnce {
+        0
+    } else {
+        reader.nonzero_u16()?
+    };
     let properties = read_properties(reader, version, packet_type::PUBLISH)?;
-    let has_alias = properties.iter().any(|property| matches!(property, Property::TopicAlias(_)));
+    let has_alias = properties
+        .iter()
+        .any(|property| matches!(property, Property::TopicAlias(_)));
     if check_topic(&topic).is_err() && !(topic.is_empty() && has_alias) {
         return malformed("a topic that nothing can be published to");
     }
     let retain = flags & publish_flag::RETAIN != 0;
-    Ok(Publish { dup, qos, retain, topic, id, properties, payload: reader.remaining() })
+    Ok(Publish {
+        dup,
+        qos,
+        retain,
+        topic,
+        id,
+        properties,
+        payload: reader.remaining(),
+    })
 }
 
 fn read_ack(reader: &mut Reader, version: Version, packet_type: u8) -> Result<Ack> {
     let id = reader.nonzero_u16()?;
     let Reason { code, properties } = read_reason(reader, version, packet_type)?;
-    Ok(Ack { id, code, properties })
+    Ok(Ack {
+        id,
+        code,
+        properties,
+    })
 }
 
 /// A reason code and its properties. What is left out is a success without properties.
@@ -188,8 +257,11 @@
         return Ok(Reason::default());
     }
     let code = reader.u8()?;
-    let properties =
-        if reader.has_remaining() { read_properties(reader, version, packet_type)? } else { vec![] };
+    let properties = if reader.has_remaining() {
+        read_properties(reader, version, packet_type)?
+    } else {
+        vec![]
+    };
     Ok(Reason { code, properties })
 }
 
@@ -203,7 +275,11 @@
     if filters.is_empty() {
         return malformed("a SUBSCRIBE without filters");
     }
-    Ok(Subscribe { id, properties, filters })
+    Ok(Subscribe {
+        id,
+        properties,
+        filters,
+    })
 }
 
 fn read_subscription(reader: &mut Reader, version: Version) -> Result<Subscription> {
@@ -223,7 +299,13 @@
     if no_local && filter.starts_with("$share/") {
         return malformed("no local on a shared subscription");
     }
-    Ok(Subscription { filter, qos, no_local, retain_as_published, retain_handling })
+    Ok(Subscription {
+        filter,
+        qos,
+        no_local,
+        retain_as_published,
+        retain_handling,
+    })
 }
 
 fn read_unsubscribe(reader: &mut Reader, version: Version) -> Result<Unsubscribe> {
@@ -236,7 +318,11 @@
     if filters.is_empty() {
         return malformed("an UNSUBSCRIBE without filters");
     }
-    Ok(Unsubscribe { id, properties, filters })
+    Ok(Unsubscribe {
+        id,
+        properties,
+        filters,
+    })
 }
 
 /// A SUBACK or UNSUBACK. Only the UNSUBACK of version 3.1.1 has no codes.
@@ -248,5 +334,9 @@
     if has_codes == codes.is_empty() {
         return malformed("codes that are not one a filter");
     }
-    Ok(Codes { id, properties, codes })
+    Ok(Codes {
+        id,
+        properties,
+        codes,
+    })
 }
--- a/crates/mqtt/src/codec/encode.rs
+++ b/crates/mqtt/src/codec/encode.rs
@@ -2,8 +2,9 @@
 
 use super::property::put_properties;
 use super::{
-    CodecError, LEVEL_V5, LEVEL_V311, MAX_REMAINING_LENGTH, REQUEST_FLAGS, Result, VARINT_CONTINUES,
-    VARINT_VALUE, connect_flag, malformed, packet_type, publish_flag, subscribe_option,
+    CodecError, LEVEL_V5, LEVEL_V311, MAX_REMAINING_LENGTH, REQUEST_FLAGS, Result,
+    VARINT_CONTINUES, VARINT_VALUE, connect_flag, malformed, packet_type, publish_flag,
+    subscribe_option,
 };
 use crate::packet::*;
 use bytes::Bytes;
@@ -16,7 +17,10 @@
     let mut body = vec![];
     let (packet_type, flags) = put_body(&mut body, packet, version)?;
     if body.len() > MAX_REMAINING_LENGTH {
-        return Err(CodecError::TooLarge { length: body.len(), most: MAX_REMAINING_LENGTH });
+        return Err(CodecError::TooLarge {
+            length: body.len(),
+            most: MAX_REMAINING_LENGTH,
+        });
     }
     let mut bytes = Vec::with_capacity(body.len() + MAX_HEADER_LENGTH);
     bytes.push(packet_type << 4 | flags);
@@ -80,7 +84,9 @@
             put_reason(out, version, reason.code, &reason.properties)?;
             (packet_type::DISCONNECT, 0)
         }
-        Packet::Auth(_) if version == Version::V311 => return malformed("version 3.1.1 has no AUTH"),
+        Packet::Auth(_) if version == Version::V311 => {
+            return malformed("version 3.1.1 has no AUTH");
+        }
         Packet::Auth(reason) => {
             put_reason(out, version, reason.code, &reason.properties)?;
             (packet_type::AUTH, 0)
@@ -90,7 +96,11 @@
 
 fn put_connect(out: &mut Vec<u8>, version: Version, connect: &Connect) -> Result<()> {
     put_binary(out, b"MQTT")?;
-    out.push(if version == Version::V5 { LEVEL_V5 } else { LEVEL_V311 });
+    out.push(if version == Version::V5 {
+        LEVEL_V5
+    } else {
+        LEVEL_V311
+    });
     out.push(connect_flags(connect));
     out.extend(connect.keep_alive.to_be_bytes());
     put_properties(out, version, &connect.properties)?;
@@ -130,7 +140,11 @@
     put_properties(out, version, &publish.properties)?;
     out.extend(&publish.payload);
     let dup = if publish.dup { publish_flag::DUP } else { 0 };
-    let retain = if publish.retain { publish_flag::RETAIN } else { 0 };
+    let retain = if publish.retain {
+        publish_flag::RETAIN
+    } else {
+        0
+    };
     Ok(dup | publish.qos.bits() << publish_flag::QOS_SHIFT | retain)
 }
 
@@ -167,7 +181,10 @@
 fn put_unsubscribe(out: &mut Vec<u8>, version: Version, unsubscribe: &Unsubscribe) -> Result<()> {
     out.extend(unsubscribe.id.to_be_bytes());
     put_properties(out, version, &unsubscribe.properties)?;
-    unsubscribe.filters.iter().try_for_each(|filter| put_binary(out, filter.as_bytes()))
+    unsubscribe
+        .filters
+        .iter()
+        .try_for_each(|filter| put_binary(out, filter.as_bytes()))
 }
 
 /// Appends a SUBACK or UNSUBACK up to its codes.
@@ -177,7 +194,12 @@
 }
 
 /// Appends a reason code and its properties; a success without properties is left out.
-fn put_reason(out: &mut Vec<u8>, version: Version, code: u8, properties: &Properties) -> Result<()> {
+fn put_reason(
+    out: &mut Vec<u8>,
+    version: Version,
+    code: u8,
+    properties: &Properties,
+) -> Result<()> {
     if version == Version::V5 && (code != 0 || !properties.is_empty()) {
         out.push(code);
         put_properties(out, version, properties)?;
@@ -200,8 +222,8 @@
 
 /// Appends binary data after its length.
 pub(super) fn put_binary(out: &mut Vec<u8>, bytes: &[u8]) -> Result<()> {
-    let length =
-        u16::try_from(bytes.len()).map_err(|_| CodecError::Malformed("a field of over 65535 bytes"))?;
+    let length = u16::try_from(bytes.len())
+        .map_err(|_| CodecError::Malformed("a field of over 65535 bytes"))?;
     out.extend(length.to_be_bytes());
     out.extend(bytes);
     Ok(())
--- a/crates/mqtt/src/codec/property.rs
+++ b/crates/mqtt/src/codec/property.rs
@@ -2,7 +2,8 @@
 
 use super::encode::{put_binary, put_varint};
 use super::packet_type::{
-    AUTH, CONNACK, CONNECT, DISCONNECT, PUBACK, PUBCOMP, PUBLISH, PUBREC, PUBREL, SUBACK, SUBSCRIBE, UNSUBACK,
+    AUTH, CONNACK, CONNECT, DISCONNECT, PUBACK, PUBCOMP, PUBLISH, PUBREC, PUBREL, SUBACK,
+    SUBSCRIBE, UNSUBACK,
 };
 use super::reader::Reader;
 use super::{Result, malformed};
@@ -15,7 +16,11 @@
 
 /// The packet types that may carry a property, as a bit for each type.
 fn carriers(property: &Property) -> u16 {
-    let any_of = |types: &[u8]| types.iter().fold(0, |bits, packet_type| bits | 1 << packet_type);
+    let any_of = |types: &[u8]| {
+        types
+            .iter()
+            .fold(0, |bits, packet_type| bits | 1 << packet_type)
+    };
     match property {
         Property::PayloadFormat(_)
         | Property::MessageExpiry(_)
@@ -28,12 +33,12 @@
         Property::RequestProblemInfo(_) | Property::RequestResponseInfo(_) => any_of(&[CONNECT]),
         Property::WillDelay(_) => any_of(&[WILL]),
         Property::ServerReference(_) => any_of(&[CONNACK, DISCONNECT]),
-        Property::Reason(_) => {
-            any_of(&[CONNACK, PUBACK, PUBREC, PUBREL, PUBCOMP, SUBACK, UNSUBACK, DISCONNECT, AUTH])
-        }
-        Property::ReceiveMaximum(_) | Property::TopicAliasMaximum(_) | Property::MaximumPacketSize(_) => {
-            any_of(&[CONNECT, CONNACK])
-        }
+        Property::Reason(_) => any_of(&[
+            CONNACK, PUBACK, PUBREC, PUBREL, PUBCOMP, SUBACK, UNSUBACK, DISCONNECT, AUTH,
+        ]),
+        Property::ReceiveMaximum(_)
+        | Property::TopicAliasMaximum(_)
+        | Property::MaximumPacketSize(_) => any_of(&[CONNECT, CONNACK]),
         Property::TopicAlias(_) => any_of(&[PUBLISH]),
         Property::AssignedClientId(_)
         | Property::ServerKeepAlive(_)
@@ -90,7 +95,11 @@
 }
 
 /// Reads the properties of a packet type, or of a will. Version 3.1.1 has none.
-pub(super) fn read_properties(reader: &mut Reader, version: Version, carrier: u8) -> Result<Properties> {
+pub(super) fn read_properties(
+    reader: &mut Reader,
+    version: Version,
+    carrier: u8,
+) -> Result<Properties> {
     if version == Version::V311 {
         return Ok(vec![]);
     }
@@ -159,12 +168,18 @@
 }
 
 /// Appends properties after their length. Version 3.1.1 has none.
-pub(super) fn put_properties(out: &mut Vec<u8>, version: Version, properties: &Properties) -> Result<()> {
+pub(super) fn put_properties(
+    out: &mut Vec<u8>,
+    version: Version,
+    properties: &Properties,
+) -> Result<()> {
     if version == Version::V311 {
         return Ok(());
     }
     let mut bytes = vec![];
-    properties.iter().try_for_each(|property| put_property(&mut bytes, property))?;
+    properties
+        .iter()
+        .try_for_each(|property| put_property(&mut bytes, property))?;
     put_varint(out, bytes.len());
     out.extend(bytes);
     Ok(())
--- a/crates/mqtt/src/filter.rs
+++ b/crates/mqtt/src/filter.rs
@@ -45,7 +45,11 @@
 /// Checks that a message can be published to a topic.
 pub fn check_topic(topic: &str) -> Result<(), Invalid> {
     check(topic)?;
-    if topic.contains(['+', '#']) { Err(Invalid::Wildcard) } else { Ok(()) }
+    if topic.contains(['+', '#']) {
+        Err(Invalid::Wildcard)
+    } else {
+        Ok(())
+    }
 }
 
 impl Filter {
@@ -68,7 +72,10 @@
                 return Err(Invalid::Wildcard);
             }
         }
-        Ok(Filter { text: text.into(), start })
+        Ok(Filter {
+            text: text.into(),
+            start,
+        })
     }
 
     /// The filter as it stands in a SUBSCRIBE.
@@ -123,7 +130,8 @@
     pub fn overlaps(&self, other: &Filter) -> bool {
         let (a, b): (Vec<&str>, Vec<&str>) = (self.levels().collect(), other.levels().collect());
         // A wildcard at the start matches no topic that begins with '$'.
-        let hidden = |one: &[&str], two: &[&str]| matches!(one[0], "+" | "#") && two[0].starts_with('$');
+        let hidden =
+            |one: &[&str], two: &[&str]| matches!(one[0], "+" | "#") && two[0].starts_with('$');
         if hidden(&a, &b) || hidden(&b, &a) {
             return false;
         }
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -40,7 +40,9 @@
 
     /// The QoS that two bits stand for; `None` for the reserved value 3.
     pub fn from_bits(bits: u8) -> Option<Qos> {
-        [Qos::AtMostOnce, Qos::AtLeastOnce, Qos::ExactlyOnce].get(usize::from(bits)).copied()
+        [Qos::AtMostOnce, Qos::AtLeastOnce, Qos::ExactlyOnce]
+            .get(usize::from(bits))
+            .copied()
     }
 }
 
--- a/crates/mqtt/src/session/deadlines.rs
+++ b/crates/mqtt/src/session/deadlines.rs
@@ -36,14 +36,23 @@
 
     pub(super) fn send_ping(&mut self, now: f64, follows_connect: bool) {
         let acknowledged = std::mem::take(&mut self.unconfirmed);
-        self.ping = Some(Ping { sent_at: now, follows_connect, acknowledged });
+        self.ping = Some(Ping {
+            sent_at: now,
+            follows_connect,
+            acknowledged,
+        });
         self.send(now, Packet::PingReq);
     }
 
     /// PINGRESP has arrived.
     pub(super) fn ping_answered(&mut self, now: f64) -> Vec<Event> {
-        let Some(ping) = self.ping.take() else { return vec![] };
-        let confirmed = ping.acknowledged.into_iter().map(|number| Event::Confirmed { number });
+        let Some(ping) = self.ping.take() else {
+            return vec![];
+        };
+        let confirmed = ping
+            .acknowledged
+            .into_iter()
+            .map(|number| Event::Confirmed { number });
         let mut events: Vec<Event> = confirmed.collect();
         if ping.follows_connect {
             events.push(Event::Resumed);
@@ -59,8 +68,10 @@
             ConnectionState::Connecting(sent_at) => sent_at + REQUEST_TIMEOUT,
             ConnectionState::Connected => f64::INFINITY,
         };
-        let subscribed_by =
-            self.subscribing.as_ref().map_or(f64::INFINITY, |request| request.sent_at + REQUEST_TIMEOUT);
+        let subscribed_by = self
+            .subscribing
+            .as_ref()
+            .map_or(f64::INFINITY, |request| request.sent_at + REQUEST_TIMEOUT);
         let ping_at = match &self.ping {
             _ if !self.is_connected() => f64::INFINITY,
             Some(ping) => ping.sent_at + self.ping_timeout(),
@@ -71,7 +82,11 @@
     }
 
     fn ping_timeout(&self) -> f64 {
-        if self.keep_alive > 0.0 { PING_TIMEOUT_SHARE * self.keep_alive } else { REQUEST_TIMEOUT }
+        if self.keep_alive > 0.0 {
+            PING_TIMEOUT_SHARE * self.keep_alive
+        } else {
+            REQUEST_TIMEOUT
+        }
     }
 
     /// Sends a ping that is due, and notices a server that does not answer.
@@ -81,8 +96,14 @@
         }
         let is_late = |sent_at: f64| now >= sent_at + REQUEST_TIMEOUT;
         let is_silent = matches!(self.state, ConnectionState::Connecting(sent_at) if is_late(sent_at))
-            || self.subscribing.as_ref().is_some_and(|request| is_late(request.sent_at))
-            || self.ping.as_ref().is_some_and(|ping| now >= ping.sent_at + self.ping_timeout());
+            || self
+                .subscribing
+                .as_ref()
+                .is_some_and(|request| is_late(request.sent_at))
+            || self
+                .ping
+                .as_ref()
+                .is_some_and(|ping| now >= ping.sent_at + self.ping_timeout());
         if is_silent {
             return Err(ConnectionError::Silent);
         }
--- a/crates/mqtt/src/session/event.rs
+++ b/crates/mqtt/src/session/event.rs
@@ -80,5 +80,7 @@
 /// A message was not accepted for publishing: too many messages wait already, its packet identifier is in use, or
 /// it is longer than the server accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the message can't be published: too many wait, its id is in use, or it is too long for the server")]
+#[error(
+    "the message can't be published: too many wait, its id is in use, or it is too long for the server"
+)]
 pub struct PublishRejected;
--- a/crates/mqtt/src/session/incoming.rs
+++ b/crates/mqtt/src/session/incoming.rs
@@ -21,8 +21,14 @@
     /// The host has done with a delivery: the server may forget it. Returns whether that could still be said; if
     /// not, the server delivers the message again. A code from `reason_code::FAILURE` on rejects it.
     pub fn acknowledge(&mut self, now: f64, number: u64, code: u8) -> bool {
-        let Some(Unacknowledged { id, qos }) = self.unacknowledged.remove(&number) else { return false };
-        let ack = Ack { id, code, properties: vec![] };
+        let Some(Unacknowledged { id, qos }) = self.unacknowledged.remove(&number) else {
+            return false;
+        };
+        let ack = Ack {
+            id,
+            code,
+            properties: vec![],
+        };
         if qos == Qos::ExactlyOnce {
             // A failure ends the exchange here.
             if code < reason_code::FAILURE {
@@ -40,11 +46,22 @@
     /// The host has persisted that a delivery of QoS 2 was confirmed. Only now may the server use its packet
     /// identifier for another message, so that a host that crashed can tell the two apart.
     pub fn complete(&mut self, now: f64, number: u64) {
-        let found = self.received.iter().find(|(_, received)| **received == number);
-        let Some(id) = found.map(|(&id, _)| id) else { return };
+        let found = self
+            .received
+            .iter()
+            .find(|(_, received)| **received == number);
+        let Some(id) = found.map(|(&id, _)| id) else {
+            return;
+        };
         self.received.remove(&id);
         if self.is_connected() {
-            self.send(now, Packet::PubComp(Ack { id, ..Ack::default() }));
+            self.send(
+                now,
+                Packet::PubComp(Ack {
+                    id,
+                    ..Ack::default()
+                }),
+            );
         }
     }
 
@@ -57,7 +74,13 @@
         self.resolve_alias(&mut publish)?;
         if publish.qos == Qos::ExactlyOnce && self.received.contains_key(&publish.id) {
             // It was acknowledged before; the server did not receive that.
-            self.send(now, Packet::PubRec(Ack { id: publish.id, ..Ack::default() }));
+            self.send(
+                now,
+                Packet::PubRec(Ack {
+                    id: publish.id,
+                    ..Ack::default()
+                }),
+            );
             return Ok(vec![]);
         }
         let number = match publish.qos {
@@ -78,18 +101,24 @@
 
     /// Sets the topic of a message that has an alias in its place, or the alias of its topic.
     fn resolve_alias(&mut self, publish: &mut Publish) -> Result<(), ConnectionError> {
-        let alias = publish.properties.iter().find_map(|property| match property {
-            Property::TopicAlias(alias) => Some(*alias),
-            _ => None,
-        });
+        let alias = publish
+            .properties
+            .iter()
+            .find_map(|property| match property {
+                Property::TopicAlias(alias) => Some(*alias),
+                _ => None,
+            });
         let Some(alias) = alias else { return Ok(()) };
         if alias > self.options.topic_aliases {
             return Err(ConnectionError::Protocol("a topic alias over the maximum"));
         }
         if publish.topic.is_empty() {
             let topic = self.aliases.get(&alias);
-            publish.topic =
-                topic.ok_or(ConnectionError::Protocol("a topic alias that was never set"))?.clone();
+            publish.topic = topic
+                .ok_or(ConnectionError::Protocol(
+                    "a topic alias that was never set",
+                ))?
+                .clone();
         } else {
             self.aliases.insert(alias, publish.topic.clone());
         }
@@ -97,15 +126,22 @@
     }
 
     fn add_unacknowledged(&mut self, id: u16, qos: Qos) -> Result<u64, ConnectionError> {
-        if self.unacknowledged.values().any(|delivery| delivery.id == id) {
+        if self
+            .unacknowledged
+            .values()
+            .any(|delivery| delivery.id == id)
+        {
             return Err(ConnectionError::Protocol("a packet id that is in use"));
         }
         let receive_maximum = usize::from(self.options.receive_maximum.max(1));
         if self.options.version == Version::V5 && self.unacknowledged.len() >= receive_maximum {
-            return Err(ConnectionError::Protocol("more deliveries than the receive maximum"));
+            return Err(ConnectionError::Protocol(
+                "more deliveries than the receive maximum",
+            ));
         }
         self.last_delivery += 1;
-        self.unacknowledged.insert(self.last_delivery, Unacknowledged { id, qos });
+        self.unacknowledged
+            .insert(self.last_delivery, Unacknowledged { id, qos });
         Ok(self.last_delivery)
     }
 
@@ -116,9 +152,23 @@
         if !self.options.confirms || number.is_none() {
             self.received.remove(&pubrel.id);
             let is_known = number.is_some() || self.options.version == Version::V311;
-            let code = if is_known { 0 } else { reason_code::PACKET_IDENTIFIER_NOT_FOUND };
-            self.send(now, Packet::PubComp(Ack { id: pubrel.id, code, properties: vec![] }));
+            let code = if is_known {
+                0
+            } else {
+                reason_code::PACKET_IDENTIFIER_NOT_FOUND
+            };
+            self.send(
+                now,
+                Packet::PubComp(Ack {
+                    id: pubrel.id,
+                    code,
+                    properties: vec![],
+                }),
+            );
         }
-        number.map(|number| Event::Confirmed { number }).into_iter().collect()
+        number
+            .map(|number| Event::Confirmed { number })
+            .into_iter()
+            .collect()
     }
 }
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -231,7 +231,9 @@
             return Err(ConnectionError::Refused(ack.code));
         }
         if ack.session_present && self.options.session_expiry == 0 {
-            return Err(ConnectionError::Protocol("a session present after a clean start"));
+            return Err(ConnectionError::Protocol(
+                "a session present after a clean start",
+            ));
         }
         self.note_server_limits(&ack.properties);
         self.state = ConnectionState::Connected;
@@ -239,11 +241,15 @@
             // The server has forgotten which messages it has: all that it did not record are sent as new, under the
             // same identifier and token. It may have passed on those that it had recorded.
             self.received.clear();
-            self.outgoing.values_mut().for_each(|message| message.sent_before = false);
+            self.outgoing
+                .values_mut()
+                .for_each(|message| message.sent_before = false);
         }
         self.unsent = self.send_order.clone();
         self.in_flight = 0;
-        self.outgoing.values_mut().for_each(|message| message.sent = false);
+        self.outgoing
+            .values_mut()
+            .for_each(|message| message.sent = false);
         if !ack.session_present && !self.options.filters.is_empty() {
             self.subscribe(now)?;
         }
@@ -251,7 +257,9 @@
             self.send_ping(now, true);
         }
         self.send_waiting(now);
-        Ok(vec![Event::Connected { session_present: ack.session_present }])
+        Ok(vec![Event::Connected {
+            session_present: ack.session_present,
+        }])
     }
 
     fn note_server_limits(&mut self, properties: &Properties) {
@@ -274,17 +282,27 @@
             return Err(ConnectionError::Protocol("no packet id is free"));
         };
         self.subscribing = Some(Subscribing { id, sent_at: now });
-        let subscribe = Subscribe { id, properties: vec![], filters: self.options.filters.clone() };
+        let subscribe = Subscribe {
+            id,
+            properties: vec![],
+            filters: self.options.filters.clone(),
+        };
         self.send(now, Packet::Subscribe(subscribe));
         Ok(())
     }
 
     fn subscribed(&mut self, codes: Codes) -> Result<Vec<Event>, ConnectionError> {
-        if self.subscribing.take_if(|subscribing| subscribing.id == codes.id).is_none() {
+        if self
+            .subscribing
+            .take_if(|subscribing| subscribing.id == codes.id)
+            .is_none()
+        {
             return Err(ConnectionError::Protocol("a SUBACK for nothing"));
         }
         if codes.codes.len() != self.options.filters.len() {
-            return Err(ConnectionError::Protocol("a SUBACK with another number of codes"));
+            return Err(ConnectionError::Protocol(
+                "a SUBACK with another number of codes",
+            ));
         }
         let subscriptions = self.options.filters.iter().zip(&codes.codes);
         let refused = subscriptions
--- a/crates/mqtt/src/session/outgoing.rs
+++ b/crates/mqtt/src/session/outgoing.rs
@@ -32,18 +32,29 @@
 }
 
 fn ack(id: u16, code: u8) -> Ack {
-    Ack { id, code, properties: vec![] }
+    Ack {
+        id,
+        code,
+        properties: vec![],
+    }
 }
 
 impl Session {
     /// A packet identifier that nothing else has.
     pub(super) fn fresh_id(&mut self) -> Option<u16> {
         for _ in 0..=u16::MAX {
-            self.last_id = if self.last_id == u16::MAX { 1 } else { self.last_id + 1 };
+            self.last_id = if self.last_id == u16::MAX {
+                1
+            } else {
+                self.last_id + 1
+            };
             let id = self.last_id;
             let in_use = self.outgoing.contains_key(&id)
                 || self.reserved.contains(&id)
-                || self.subscribing.as_ref().is_some_and(|subscribing| subscribing.id == id);
+                || self
+                    .subscribing
+                    .as_ref()
+                    .is_some_and(|subscribing| subscribing.id == id);
             if !in_use {
                 return Some(id);
             }
@@ -70,7 +81,11 @@
     }
 
     fn supported(&self, properties: Properties) -> Properties {
-        if self.options.version == Version::V5 { properties } else { vec![] }
+        if self.options.version == Version::V5 {
+            properties
+        } else {
+            vec![]
+        }
     }
 
     /// Publishes a message. Returns the token under which its end is reported; nothing is reported with QoS 0.
@@ -89,7 +104,13 @@
         self.last_token += 1;
         let token = self.last_token;
         let properties = self.supported(properties);
-        let publish = Publish { qos, topic: topic.to_owned(), properties, payload, ..Publish::default() };
+        let publish = Publish {
+            qos,
+            topic: topic.to_owned(),
+            properties,
+            payload,
+            ..Publish::default()
+        };
         self.waiting.push_back(Waiting { token, publish });
         self.send_waiting(now);
         Ok(token)
@@ -112,7 +133,14 @@
         }
         let properties = self.supported(properties);
         let topic = topic.to_owned();
-        let publish = Publish { qos: Qos::ExactlyOnce, topic, id, properties, payload, ..Publish::default() };
+        let publish = Publish {
+            qos: Qos::ExactlyOnce,
+            topic,
+            id,
+            properties,
+            payload,
+            ..Publish::default()
+        };
         Ok(self.add_host_message(now, publish, again, false))
     }
 
@@ -120,7 +148,11 @@
     /// published before the process crashed.
     pub fn release(&mut self, now: f64, id: u16) -> u64 {
         let Some(message) = self.outgoing.get_mut(&id) else {
-            let publish = Publish { qos: Qos::ExactlyOnce, id, ..Publish::default() };
+            let publish = Publish {
+                qos: Qos::ExactlyOnce,
+                id,
+                ..Publish::default()
+            };
             return self.add_host_message(now, publish, true, true);
         };
         (message.recorded, message.released) = (true, true);
@@ -131,7 +163,13 @@
         token
     }
 
-    fn add_host_message(&mut self, now: f64, publish: Publish, sent_before: bool, released: bool) -> u64 {
+    fn add_host_message(
+        &mut self,
+        now: f64,
+        publish: Publish,
+        sent_before: bool,
+        released: bool,
+    ) -> u64 {
         self.last_token += 1;
         let (token, id) = (self.last_token, publish.id);
         self.reserved.remove(&id);
@@ -158,7 +196,9 @@
                 self.send_outgoing(now, id);
                 continue;
             }
-            let Some(Waiting { token, mut publish }) = self.waiting.pop_front() else { return };
+            let Some(Waiting { token, mut publish }) = self.waiting.pop_front() else {
+                return;
+            };
             if publish.qos == Qos::AtMostOnce {
                 self.send(now, Packet::Publish(publish));
                 continue;
@@ -184,7 +224,9 @@
     }
 
     fn send_outgoing(&mut self, now: f64, id: u16) {
-        let Some(message) = self.outgoing.get_mut(&id).filter(|message| !message.sent) else { return };
+        let Some(message) = self.outgoing.get_mut(&id).filter(|message| !message.sent) else {
+            return;
+        };
         message.sent = true;
         self.in_flight += 1;
         let packet = if message.released {
@@ -194,13 +236,20 @@
             return;
         } else {
             let dup = std::mem::replace(&mut message.sent_before, true);
-            Packet::Publish(Publish { dup, ..message.publish.clone() })
+            Packet::Publish(Publish {
+                dup,
+                ..message.publish.clone()
+            })
         };
         self.send(now, packet);
     }
 
     /// PUBREC has arrived.
-    pub(super) fn recorded(&mut self, now: f64, pubrec: Ack) -> Result<Vec<Event>, ConnectionError> {
+    pub(super) fn recorded(
+        &mut self,
+        now: f64,
+        pubrec: Ack,
+    ) -> Result<Vec<Event>, ConnectionError> {
         let Some(message) = self.outgoing.get_mut(&pubrec.id) else {
             let code = match self.options.version {
                 Version::V311 => 0,
@@ -217,7 +266,9 @@
         }
         if message.released_by_host && !message.released {
             let is_repeated = std::mem::replace(&mut message.recorded, true);
-            let event = Event::Recorded { token: message.token };
+            let event = Event::Recorded {
+                token: message.token,
+            };
             return Ok(if is_repeated { vec![] } else { vec![event] });
         }
         (message.recorded, message.released) = (true, true);
@@ -226,24 +277,37 @@
     }
 
     /// PUBACK has arrived for a message of QoS 1, or PUBCOMP for one of QoS 2.
-    pub(super) fn completed(&mut self, now: f64, ack: Ack, qos: Qos) -> Result<Vec<Event>, ConnectionError> {
+    pub(super) fn completed(
+        &mut self,
+        now: f64,
+        ack: Ack,
+        qos: Qos,
+    ) -> Result<Vec<Event>, ConnectionError> {
         let Some(message) = self.outgoing.get(&ack.id) else {
             // It belongs to an earlier connection, or to a session that the server had forgotten.
             return Ok(vec![]);
         };
         if message.publish.qos != qos || qos == Qos::ExactlyOnce && !message.released {
-            return Err(ConnectionError::Protocol("an acknowledgement of another kind"));
+            return Err(ConnectionError::Protocol(
+                "an acknowledgement of another kind",
+            ));
         }
         // A server that does not know an identifier which it had recorded has completed that message before.
-        let was_completed = qos == Qos::ExactlyOnce && ack.code == reason_code::PACKET_IDENTIFIER_NOT_FOUND;
+        let was_completed =
+            qos == Qos::ExactlyOnce && ack.code == reason_code::PACKET_IDENTIFIER_NOT_FOUND;
         Ok(self.finish(now, ack.id, if was_completed { 0 } else { ack.code }))
     }
 
     fn finish(&mut self, now: f64, id: u16, code: u8) -> Vec<Event> {
-        let Some(message) = self.outgoing.remove(&id) else { return vec![] };
+        let Some(message) = self.outgoing.remove(&id) else {
+            return vec![];
+        };
         self.send_order.retain(|&other| other != id);
         self.in_flight -= usize::from(message.sent);
         self.send_waiting(now);
-        vec![Event::Published { token: message.token, code }]
+        vec![Event::Published {
+            token: message.token,
+            code,
+        }]
     }
 }
--- a/crates/mqtt/tests/codec.rs
+++ b/crates/mqtt/tests/codec.rs
@@ -30,15 +30,29 @@
 }
 
 fn qos() -> impl Strategy<Value = Qos> {
-    prop_oneof![Just(Qos::AtMostOnce), Just(Qos::AtLeastOnce), Just(Qos::ExactlyOnce)]
+    prop_oneof![
+        Just(Qos::AtMostOnce),
+        Just(Qos::AtLeastOnce),
+        Just(Qos::ExactlyOnce)
+    ]
 }
 
 fn user() -> impl Strategy<Value = Properties> {
-    proptest::collection::vec((text(), text()).prop_map(|(k, v)| Property::User(k, v)), 0..3)
+    proptest::collection::vec(
+        (text(), text()).prop_map(|(k, v)| Property::User(k, v)),
+        0..3,
+    )
 }
 
 fn of_publish() -> impl Strategy<Value = Properties> {
-    (user(), any::<u32>(), topic(), binary(), 1u32..268_435_455, 1u16..)
+    (
+        user(),
+        any::<u32>(),
+        topic(),
+        binary(),
+        1u32..268_435_455,
+        1u16..,
+    )
         .prop_map(|(mut list, expiry, topic, data, subscription, alias)| {
             list.extend([
                 Property::MessageExpiry(expiry),
@@ -55,18 +69,36 @@
 }
 
 fn packet() -> impl Strategy<Value = Packet> {
-    let ack =
-        || (1u16.., any::<u8>(), user()).prop_map(|(id, code, properties)| Ack { id, code, properties });
-    let reason = || (any::<u8>(), user()).prop_map(|(code, properties)| Reason { code, properties });
+    let ack = || {
+        (1u16.., any::<u8>(), user()).prop_map(|(id, code, properties)| Ack {
+            id,
+            code,
+            properties,
+        })
+    };
+    let reason =
+        || (any::<u8>(), user()).prop_map(|(code, properties)| Reason { code, properties });
     let codes = || {
-        (1u16.., user(), proptest::collection::vec(any::<u8>(), 1..4))
-            .prop_map(|(id, properties, codes)| Codes { id, properties, codes })
+        (1u16.., user(), proptest::collection::vec(any::<u8>(), 1..4)).prop_map(
+            |(id, properties, codes)| Codes {
+                id,
+                properties,
+                codes,
+            },
+        )
     };
-    let will =
-        (topic(), binary(), qos(), any::<bool>(), user()).prop_map(|(topic, payload, qos, retain, mut p)| {
+    let will = (topic(), binary(), qos(), any::<bool>(), user()).prop_map(
+        |(topic, payload, qos, retain, mut p)| {
             p.push(Property::WillDelay(7));
-            Will { topic, payload, qos, retain, properties: p }
-        });
+            Will {
+                topic,
+                payload,
+                qos,
+                retain,
+                properties: p,
+            }
+        },
+    );
     let connect = (
         any::<bool>(),
         any::<u16>(),
@@ -75,18 +107,43 @@
         proptest::option::of(will),
         proptest::option::of((text(), proptest::option::of(binary()))),
     )
-        .prop_map(|(clean, keep_alive, mut properties, client_id, will, names)| {
-            properties.extend([Property::SessionExpiry(9), Property::ReceiveMaximum(3)]);
-            let (username, password) = names.map_or((None, None), |(u, p)| (Some(u), p));
-            Connect { clean, keep_alive, properties, client_id, will, username, password }
-        });
-    let publish = (any::<bool>(), qos(), any::<bool>(), topic(), 1u16.., of_publish(), binary()).prop_map(
-        |(dup, qos, retain, topic, id, properties, payload)| {
+        .prop_map(
+            |(clean, keep_alive, mut properties, client_id, will, names)| {
+                properties.extend([Property::SessionExpiry(9), Property::ReceiveMaximum(3)]);
+                let (username, password) = names.map_or((None, None), |(u, p)| (Some(u), p));
+                Connect {
+                    clean,
+                    keep_alive,
+                    properties,
+                    client_id,
+                    will,
+                    username,
+                    password,
+                }
+            },
+        );
+    let publish = (
+        any::<bool>(),
+        qos(),
+        any::<bool>(),
+        topic(),
+        1u16..,
+        of_publish(),
+        binary(),
+    )
+        .prop_map(|(dup, qos, retain, topic, id, properties, payload)| {
             let at_most_once = qos == Qos::AtMostOnce;
             let (dup, id) = if at_most_once { (false, 0) } else { (dup, id) };
-            Publish { dup, qos, retain, topic, id, properties, payload }
-        },
-    );
+            Publish {
+                dup,
+                qos,
+                retain,
+                topic,
+                id,
+                properties,
+                payload,
+            }
+        });
     let subscription = (topic(), qos(), any::<bool>(), any::<bool>(), 0u8..3).prop_map(
         |(filter, qos, l, r, retain_handling)| Subscription {
             filter,
@@ -96,12 +153,31 @@
             retain_handling,
         },
     );
-    let subscribe = (1u16.., user(), proptest::collection::vec(subscription, 1..4))
-        .prop_map(|(id, properties, filters)| Subscribe { id, properties, filters });
-    let unsubscribe = (1u16.., user(), proptest::collection::vec(topic(), 1..4))
-        .prop_map(|(id, properties, filters)| Unsubscribe { id, properties, filters });
-    let connack = (any::<bool>(), any::<u8>(), user())
-        .prop_map(|(session_present, code, properties)| ConnAck { session_present, code, properties });
+    let subscribe = (
+        1u16..,
+        user(),
+        proptest::collection::vec(subscription, 1..4),
+    )
+        .prop_map(|(id, properties, filters)| Subscribe {
+            id,
+            properties,
+            filters,
+        });
+    let unsubscribe = (1u16.., user(), proptest::collection::vec(topic(), 1..4)).prop_map(
+        |(id, properties, filters)| Unsubscribe {
+            id,
+            properties,
+            filters,
+        },
+    );
+    let connack =
+        (any::<bool>(), any::<u8>(), user()).prop_map(|(session_present, code, properties)| {
+            ConnAck {
+                session_present,
+                code,
+                properties,
+            }
+        });
     prop_oneof![
         connect.prop_map(Packet::Connect),
         connack.prop_map(Packet::ConnAck),
@@ -210,8 +286,16 @@
     let connect = b"\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01a";
     let mut buf = BytesMut::from(&connect[..]);
     let (version, packet) = decode(&mut buf, Version::V5, 100).unwrap().unwrap();
-    let expected = Connect { clean: true, keep_alive: 60, client_id: "a".into(), ..Connect::default() };
-    assert_eq!((version, &packet), (Version::V311, &Packet::Connect(expected)));
+    let expected = Connect {
+        clean: true,
+        keep_alive: 60,
+        client_id: "a".into(),
+        ..Connect::default()
+    };
+    assert_eq!(
+        (version, &packet),
+        (Version::V311, &Packet::Connect(expected))
+    );
     assert_eq!(&encode(&packet, Version::V311).unwrap()[..], connect);
     let publish = Packet::Publish(Publish {
         qos: Qos::AtLeastOnce,
@@ -220,8 +304,14 @@
         payload: "hi".into(),
         ..Publish::default()
     });
-    assert_eq!(&encode(&publish, Version::V311).unwrap()[..], b"\x32\x09\x00\x03a/b\x00\x0ahi");
-    assert_eq!(&encode(&publish, Version::V5).unwrap()[..], b"\x32\x0a\x00\x03a/b\x00\x0a\x00hi");
+    assert_eq!(
+        &encode(&publish, Version::V311).unwrap()[..],
+        b"\x32\x09\x00\x03a/b\x00\x0ahi"
+    );
+    assert_eq!(
+        &encode(&publish, Version::V5).unwrap()[..],
+        b"\x32\x0a\x00\x03a/b\x00\x0a\x00hi"
+    );
 }
 
 #[test]
@@ -232,9 +322,15 @@
     };
     for (bytes, what) in [
         (&b"\x36\x05\x00\x01a\x00\x01"[..], "a QoS of 3"),
-        (b"\x32\x06\x00\x01a\x00\x00\x00", "a 0 where the standard allows none"),
+        (
+            b"\x32\x06\x00\x01a\x00\x00\x00",
+            "a 0 where the standard allows none",
+        ),
         (b"\x38\x04\x00\x01a\x00", "DUP with QoS 0"),
-        (b"\x30\x05\x00\x02a+\x00", "a topic that nothing can be published to"),
+        (
+            b"\x30\x05\x00\x02a+\x00",
+            "a topic that nothing can be published to",
+        ),
         (b"\x30\x04\x00\x01\xff\x00", "not UTF-8"),
         (b"\x30\x04\x00\x01\x00\x00", "U+0000"),
         (b"\x30\xff\xff\xff\xff\x01", "more than four bytes"),
@@ -242,10 +338,19 @@
         (b"\xc1\x00", "reserved flags"),
         (b"\x00\x00", "a packet type that this version doesn't have"),
         (b"\x82\x03\x00\x01\x00", "a SUBSCRIBE without filters"),
-        (b"\x40\x08\x00\x01\x00\x04\x21\x00\x01\x00", "a property that this packet can't have"),
-        (b"\x30\x0a\x00\x01a\x06\x01\x00\x01\x01\x23\x00", "a property given twice"),
+        (
+            b"\x40\x08\x00\x01\x00\x04\x21\x00\x01\x00",
+            "a property that this packet can't have",
+        ),
+        (
+            b"\x30\x0a\x00\x01a\x06\x01\x00\x01\x01\x23\x00",
+            "a property given twice",
+        ),
         (b"\xc0\x01\x00", "bytes after its end"),
-        (b"\x10\x0d\x00\x04MQTT\x03\x02\x00\x3c\x00\x01a", "protocol version 3, 4 (3.1.1) or 5"),
+        (
+            b"\x10\x0d\x00\x04MQTT\x03\x02\x00\x3c\x00\x01a",
+            "protocol version 3, 4 (3.1.1) or 5",
+        ),
         (b"\x30\x70\x00", "a packet of 114 bytes, 100 at most"),
     ] {
         let told = fault(bytes);
@@ -256,8 +361,14 @@
         Ok(None),
         "more is to come"
     );
-    let long = Packet::Publish(Publish { topic: "a".repeat(70_000), ..Publish::default() });
-    assert_eq!(encode(&long, Version::V5), Err(CodecError::Malformed("a field of over 65535 bytes")));
+    let long = Packet::Publish(Publish {
+        topic: "a".repeat(70_000),
+        ..Publish::default()
+    });
+    assert_eq!(
+        encode(&long, Version::V5),
+        Err(CodecError::Malformed("a field of over 65535 bytes"))
+    );
 }
 
 #[test]
@@ -267,7 +378,10 @@
         (shared.group(), shared.to_string().as_str()),
         (Some("front-ends"), "$share/front-ends/house/+/set/#")
     );
-    assert_eq!(shared.captures("house/7/set/vent/2"), Some(vec!["7", "vent/2"]));
+    assert_eq!(
+        shared.captures("house/7/set/vent/2"),
+        Some(vec!["7", "vent/2"])
+    );
     assert_eq!(shared.captures("house/7/set"), Some(vec!["7", ""]));
     assert_eq!(shared.captures("house/7/get"), None);
     assert!(!Filter::parse("#").unwrap().matches("$SYS/uptime"));
--- a/crates/mqtt/tests/session.rs
+++ b/crates/mqtt/tests/session.rs
@@ -53,15 +53,25 @@
 impl Server {
     fn publish(&self, id: u16, (n, qos): (u32, Qos), dup: bool) -> Packet {
         let payload = n.to_string().into();
-        Packet::Publish(Publish { dup, qos, topic: "in/x".into(), id, payload, ..Publish::default() })
+        Packet::Publish(Publish {
+            dup,
+            qos,
+            topic: "in/x".into(),
+            id,
+            payload,
+            ..Publish::default()
+        })
     }
 
     fn pump(&mut self) {
         while self.out.len() < 3 {
-            let Some((n, qos)) = self.waiting.pop_front() else { return };
+            let Some((n, qos)) = self.waiting.pop_front() else {
+                return;
+            };
             self.next_id += 1;
             self.out.insert(self.next_id, (n, qos, false));
-            self.to_client.push_back(self.publish(self.next_id, (n, qos), false));
+            self.to_client
+                .push_back(self.publish(self.next_id, (n, qos), false));
         }
     }
 
@@ -77,7 +87,10 @@
                 }));
                 for (&id, &(n, qos, recorded)) in &self.out {
                     let again = match recorded {
-                        true => Packet::PubRel(Ack { id, ..Ack::default() }),
+                        true => Packet::PubRel(Ack {
+                            id,
+                            ..Ack::default()
+                        }),
                         false => self.publish(id, (n, qos), true),
                     };
                     self.to_client.push_back(again);
@@ -85,11 +98,18 @@
             }
             Packet::Subscribe(s) => {
                 let codes = vec![2; s.filters.len()];
-                self.to_client.push_back(Packet::SubAck(Codes { id: s.id, properties: vec![], codes }));
+                self.to_client.push_back(Packet::SubAck(Codes {
+                    id: s.id,
+                    properties: vec![],
+                    codes,
+                }));
             }
             Packet::Publish(p) => {
                 let n = number(&p.payload);
-                let ack = Ack { id: p.id, ..Ack::default() };
+                let ack = Ack {
+                    id: p.id,
+                    ..Ack::default()
+                };
                 match p.qos {
                     Qos::AtMostOnce => self.taken.push(n),
                     Qos::AtLeastOnce => {
@@ -106,7 +126,10 @@
             }
             Packet::PubRel(a) => {
                 self.releasing.remove(&a.id);
-                self.to_client.push_back(Packet::PubComp(Ack { id: a.id, ..Ack::default() }));
+                self.to_client.push_back(Packet::PubComp(Ack {
+                    id: a.id,
+                    ..Ack::default()
+                }));
             }
             Packet::PubAck(a) | Packet::PubComp(a) => {
                 self.out.remove(&a.id);
@@ -115,7 +138,10 @@
                 if let Some(o) = self.out.get_mut(&a.id) {
                     o.2 = true;
                 }
-                self.to_client.push_back(Packet::PubRel(Ack { id: a.id, ..Ack::default() }));
+                self.to_client.push_back(Packet::PubRel(Ack {
+                    id: a.id,
+                    ..Ack::default()
+                }));
             }
             Packet::PingReq => self.to_client.push_back(Packet::PingResp),
             other => panic!("{other:?}"),
@@ -159,14 +185,18 @@
 impl Play {
     fn up(&mut self, n: usize) {
         for _ in 0..n {
-            let Some(packet) = self.session.next_packet() else { return };
+            let Some(packet) = self.session.next_packet() else {
+                return;
+            };
             self.server.hears(packet);
         }
     }
 
     fn down(&mut self, n: usize) {
         for _ in 0..n {
-            let Some(packet) = self.server.to_client.pop_front() else { return };
+            let Some(packet) = self.server.to_client.pop_front() else {
+                return;
+            };
             for event in self.session.received(self.now, packet).unwrap() {
                 match event {
                     Event::Delivered(d) => {
@@ -175,7 +205,9 @@
                         assert!(seen.0 == 1 || d.dup, "a redelivery of this server says so");
                         self.held.push_back(d);
                     }
-                    Event::Published { token, code: 0 } => *self.published.entry(token).or_default() += 1,
+                    Event::Published { token, code: 0 } => {
+                        *self.published.entry(token).or_default() += 1
+                    }
                     Event::Published { .. } => panic!("nothing was refused"),
                     Event::Subscribed { refused } => assert!(refused.is_empty()),
                     Event::Connected { .. }
@@ -261,10 +293,18 @@
     let mut s = Session::new(options(version));
     s.connect(0.0);
     let ack = ConnAck {
-        properties: vec![Property::ServerKeepAlive(8), Property::MaximumPacketSize(500)],
+        properties: vec![
+            Property::ServerKeepAlive(8),
+            Property::MaximumPacketSize(500),
+        ],
         ..ConnAck::default()
     };
-    assert_eq!(s.received(0.0, Packet::ConnAck(ack)).unwrap(), [Event::Connected { session_present: false }]);
+    assert_eq!(
+        s.received(0.0, Packet::ConnAck(ack)).unwrap(),
+        [Event::Connected {
+            session_present: false
+        }]
+    );
     while s.next_packet().is_some() {}
     s
 }
@@ -273,12 +313,21 @@
 fn a_silent_server_is_noticed_and_a_quiet_one_pinged() {
     let mut s = Session::new(options(Version::V5));
     s.connect(0.0);
-    assert_eq!((s.next_tick_at(), s.tick(10.0)), (10.0, Err(ConnectionError::Silent)));
+    assert_eq!(
+        (s.next_tick_at(), s.tick(10.0)),
+        (10.0, Err(ConnectionError::Silent))
+    );
     let mut s = connected(Version::V5);
-    let answer = Packet::SubAck(Codes { id: 1, properties: vec![], codes: vec![0x87] });
+    let answer = Packet::SubAck(Codes {
+        id: 1,
+        properties: vec![],
+        codes: vec![0x87],
+    });
     assert_eq!(
         s.received(0.1, answer).unwrap(),
-        [Event::Subscribed { refused: vec![("in/#".into(), 0x87)] }]
+        [Event::Subscribed {
+            refused: vec![("in/#".into(), 0x87)]
+        }]
     );
     assert_eq!(s.next_tick_at(), 8.0, "the server's keep alive counts");
     assert_eq!(s.tick(7.0), Ok(()));
@@ -287,7 +336,16 @@
     assert_eq!(s.next_packet(), Some(Packet::PingReq));
     assert_eq!(s.next_tick_at(), 12.0);
     let mut answered = connected(Version::V5);
-    answered.received(0.1, Packet::SubAck(Codes { id: 1, properties: vec![], codes: vec![0] })).unwrap();
+    answered
+        .received(
+            0.1,
+            Packet::SubAck(Codes {
+                id: 1,
+                properties: vec![],
+                codes: vec![0],
+            }),
+        )
+        .unwrap();
     answered.tick(8.0).unwrap();
     answered.received(8.1, Packet::PingResp).unwrap();
     assert_eq!(answered.next_tick_at(), 16.0);
@@ -307,7 +365,11 @@
     };
     let told = |packets: Vec<Packet>| {
         let mut s = connected(Version::V5);
-        packets.into_iter().find_map(|p| s.received(1.0, p).err()).map(|e| e.to_string()).unwrap_or_default()
+        packets
+            .into_iter()
+            .find_map(|p| s.received(1.0, p).err())
+            .map(|e| e.to_string())
+            .unwrap_or_default()
     };
     let four = (1..5).map(|id| publish(id, "in/a", vec![])).collect();
     assert!(told(four).contains("more deliveries than the receive maximum"));
@@ -315,10 +377,18 @@
         told(vec![publish(1, "in/a", vec![]), publish(1, "in/b", vec![])])
             .contains("a packet id that is in use")
     );
-    assert!(told(vec![publish(1, "in/a", vec![Property::TopicAlias(3)])]).contains("over the maximum"));
+    assert!(
+        told(vec![publish(1, "in/a", vec![Property::TopicAlias(3)])]).contains("over the maximum")
+    );
     assert!(told(vec![publish(1, "", vec![Property::TopicAlias(1)])]).contains("never set"));
     assert!(told(vec![Packet::PingReq]).contains("no server sends"));
-    assert!(told(vec![Packet::Disconnect(Reason { code: 0x8e, properties: vec![] })]).contains("0x8e"));
+    assert!(
+        told(vec![Packet::Disconnect(Reason {
+            code: 0x8e,
+            properties: vec![]
+        })])
+        .contains("0x8e")
+    );
     assert!(
         told(vec![
             publish(1, "in/a", vec![Property::TopicAlias(1)]),
@@ -329,7 +399,13 @@
     let mut s = Session::new(options(Version::V311));
     s.connect(0.0);
     assert_eq!(
-        s.received(0.0, Packet::ConnAck(ConnAck { code: 5, ..ConnAck::default() })),
+        s.received(
+            0.0,
+            Packet::ConnAck(ConnAck {
+                code: 5,
+                ..ConnAck::default()
+            })
+        ),
         Err(ConnectionError::Refused(5))
     );
 }
@@ -337,10 +413,18 @@
 #[test]
 fn what_is_longer_than_the_server_takes_or_too_many_is_turned_down_at_once() {
     let mut s = connected(Version::V5);
-    assert!(s.publish(0.0, "out/x", vec![0; 600].into(), Qos::AtLeastOnce, vec![]).is_err());
+    assert!(
+        s.publish(0.0, "out/x", vec![0; 600].into(), Qos::AtLeastOnce, vec![])
+            .is_err()
+    );
     s.connection_lost();
     for _ in 0..50 {
-        s.publish(1.0, "out/x", Bytes::new(), Qos::AtLeastOnce, vec![]).unwrap();
+        s.publish(1.0, "out/x", Bytes::new(), Qos::AtLeastOnce, vec![])
+            .unwrap();
     }
-    assert!(s.publish(1.0, "out/x", Bytes::new(), Qos::AtLeastOnce, vec![]).is_err(), "as many wait as may");
+    assert!(
+        s.publish(1.0, "out/x", Bytes::new(), Qos::AtLeastOnce, vec![])
+            .is_err(),
+        "as many wait as may"
+    );
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -22,8 +22,9 @@
     let body = Full::new(body.into());
     let work = async {
         let stream = connect(at, time).await?;
-        let (mut sender, driver) =
-            hyper::client::conn::http1::handshake(stream).await.map_err(io::Error::other)?;
+        let (mut sender, driver) = hyper::client::conn::http1::handshake(stream)
+            .await
+            .map_err(io::Error::other)?;
         let request = http::Request::builder()
             .method(method)
             .uri(path)
@@ -32,10 +33,15 @@
             .body(body)
             .map_err(io::Error::other)?;
         let exchange = async {
-            let response = sender.send_request(request).await.map_err(io::Error::other)?;
+            let response = sender
+                .send_request(request)
+                .await
+                .map_err(io::Error::other)?;
             let status = response.status();
-            let body =
-                Limited::new(response.into_body(), LONGEST).collect().await.map_err(io::Error::other)?;
+            let body = Limited::new(response.into_body(), LONGEST)
+                .collect()
+                .await
+                .map_err(io::Error::other)?;
             Ok((status, body.to_bytes()))
         };
         let drive = async {
@@ -45,5 +51,7 @@
         };
         future::or(exchange, drive).await
     };
-    within(time, work).await.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
+    within(time, work)
+        .await
+        .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -38,7 +38,11 @@
 impl Stream {
     pub fn new(socket: Async<TcpStream>) -> io::Result<Stream> {
         socket.get_ref().set_nodelay(true)?;
-        Ok(Stream { socket, written: Rc::default(), drained: false })
+        Ok(Stream {
+            socket,
+            written: Rc::default(),
+            drained: false,
+        })
     }
 
     /// Bytes handed to the kernel so far; it goes on counting.
@@ -89,7 +93,11 @@
         Poll::Ready(Ok(n))
     }
 
-    fn poll_write_slices(&mut self, cx: &mut Context<'_>, bufs: &[io::IoSlice]) -> Poll<io::Result<usize>> {
+    fn poll_write_slices(
+        &mut self,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice],
+    ) -> Poll<io::Result<usize>> {
         let n = ready!(Pin::new(&mut self.socket).poll_write_vectored(cx, bufs))?;
         self.written.set(self.written.get() + n as u64);
         Poll::Ready(Ok(n))
@@ -107,7 +115,11 @@
 }
 
 impl tokio::io::AsyncWrite for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_from(cx, buf)
     }
 
@@ -143,7 +155,11 @@
 }
 
 impl hyper::rt::Write for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_from(cx, buf)
     }
 
@@ -169,13 +185,21 @@
 }
 
 impl AsyncRead for Stream {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.socket).poll_read(cx, buf)
     }
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.poll_write_from(cx, buf)
     }
 
--- a/crates/net/src/turn.rs
+++ b/crates/net/src/turn.rs
@@ -25,7 +25,12 @@
     pub fn new(stream: TcpStream) -> Socket {
         // One that was reset already needs no option; the next read tells.
         let _ = stream.set_nodelay(true);
-        Socket { stream, out: vec![], at: 0, written: 0 }
+        Socket {
+            stream,
+            out: vec![],
+            at: 0,
+            written: 0,
+        }
     }
 
     /// Whether a connection that was begun stands now; an error if there will be none.
--- a/crates/net/tests/own_fault.rs
+++ b/crates/net/tests/own_fault.rs
@@ -7,10 +7,24 @@
 #[test]
 fn faults_of_this_machine_are_told_from_those_of_the_peer() {
     let own = |errno: Errno| is_own_fault(&errno.into());
-    assert!([Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH].into_iter().all(own));
     assert!(
-        ![Errno::CONNREFUSED, Errno::TIMEDOUT, Errno::HOSTUNREACH, Errno::CONNRESET].into_iter().any(own)
+        [Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
+            .into_iter()
+            .all(own)
+    );
+    assert!(
+        ![
+            Errno::CONNREFUSED,
+            Errno::TIMEDOUT,
+            Errno::HOSTUNREACH,
+            Errno::CONNRESET
+        ]
+        .into_iter()
+        .any(own)
     );
     assert!(!is_own_fault(&io::Error::other("no errno")));
-    assert!(is_out_of_resources(&Errno::NFILE.into()) && !is_out_of_resources(&Errno::NETUNREACH.into()));
+    assert!(
+        is_out_of_resources(&Errno::NFILE.into())
+            && !is_out_of_resources(&Errno::NETUNREACH.into())
+    );
 }
--- a/crates/platform-config/src/fault.rs
+++ b/crates/platform-config/src/fault.rs
@@ -11,17 +11,32 @@
     #[error("setting '{key}' is not {wanted}; write one")]
     WrongForm { key: String, wanted: &'static str },
     #[error("setting '{key}' is {value}; {bounds} is wanted")]
-    OutOfRange { key: String, value: f64, bounds: String },
+    OutOfRange {
+        key: String,
+        value: f64,
+        bounds: String,
+    },
     #[error("setting '{key}' has an unknown value '{value}'; {known} are known")]
-    Unknown { key: String, value: String, known: String },
+    Unknown {
+        key: String,
+        value: String,
+        known: String,
+    },
 }
 
 impl Fault {
     pub(crate) fn form(key: &str, wanted: &'static str) -> Fault {
-        Fault::WrongForm { key: key.into(), wanted }
+        Fault::WrongForm {
+            key: key.into(),
+            wanted,
+        }
     }
 
     pub(crate) fn unknown(key: &str, value: &str, known: &[&str]) -> Fault {
-        Fault::Unknown { key: key.into(), value: value.into(), known: known.join(", ") }
+        Fault::Unknown {
+            key: key.into(),
+            value: value.into(),
+            known: known.join(", "),
+        }
     }
 }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -8,11 +8,15 @@
 use serde_json::Value;
 
 fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, Fault> {
-    key.split('.').try_fold(value, |v, k| v.get(k)).ok_or_else(|| Fault::Lacking { key: key.into() })
+    key.split('.')
+        .try_fold(value, |v, k| v.get(k))
+        .ok_or_else(|| Fault::Lacking { key: key.into() })
 }
 
 fn number(value: &Value, key: &str) -> Result<f64, Fault> {
-    need(value, key)?.as_f64().ok_or_else(|| Fault::form(key, "a number"))
+    need(value, key)?
+        .as_f64()
+        .ok_or_else(|| Fault::form(key, "a number"))
 }
 
 /// A number within bounds.
@@ -21,8 +25,16 @@
     if (least..=most).contains(&number) {
         return Ok(number);
     }
-    let bounds = if most.is_finite() { format!("{least} to {most}") } else { format!("{least} or more") };
-    Err(Fault::OutOfRange { key: key.into(), value: number, bounds })
+    let bounds = if most.is_finite() {
+        format!("{least} to {most}")
+    } else {
+        format!("{least} or more")
+    };
+    Err(Fault::OutOfRange {
+        key: key.into(),
+        value: number,
+        bounds,
+    })
 }
 
 /// One that can't be under zero.
@@ -36,7 +48,11 @@
 
 /// What some sites leave out.
 fn amount_or(value: &Value, key: &str, absent: f64) -> Result<f64, Fault> {
-    if need(value, key).is_err() { Ok(absent) } else { amount(value, key) }
+    if need(value, key).is_err() {
+        Ok(absent)
+    } else {
+        amount(value, key)
+    }
 }
 
 /// Whether a setting of two kinds is the second; the first stands where it is left out. Guards against a third
@@ -47,7 +63,9 @@
     }
     let kind = text(value, key)?;
     let known = kinds.iter().position(|k| *k == kind);
-    known.map(|n| n == 1).ok_or_else(|| Fault::unknown(key, kind, &kinds))
+    known
+        .map(|n| n == 1)
+        .ok_or_else(|| Fault::unknown(key, kind, &kinds))
 }
 
 fn flag(value: &Value, key: &str) -> Result<bool, Fault> {
@@ -58,11 +76,15 @@
 }
 
 fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, Fault> {
-    need(value, key)?.as_str().ok_or_else(|| Fault::form(key, "a text"))
+    need(value, key)?
+        .as_str()
+        .ok_or_else(|| Fault::form(key, "a text"))
 }
 
 fn list<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], Fault> {
-    let found = need(value, key)?.as_array().ok_or_else(|| Fault::form(key, "a list"))?;
+    let found = need(value, key)?
+        .as_array()
+        .ok_or_else(|| Fault::form(key, "a list"))?;
     Ok(found)
 }
 
@@ -71,8 +93,9 @@
     if need(v, "feedback.fields").is_err() {
         return Ok(None);
     }
-    let meaning =
-        |name: &str| text(v, &format!("specifics.report{}", name.to_uppercase())).unwrap_or_default();
+    let meaning = |name: &str| {
+        text(v, &format!("specifics.report{}", name.to_uppercase())).unwrap_or_default()
+    };
     let meant = |f: &Value| f.as_str().is_some_and(|name| is_meant(name, meaning(name)));
     Ok(list(v, "feedback.fields")?.iter().position(meant))
 }
@@ -82,14 +105,26 @@
         "pure" => Effect::Idempotent,
         "token" => Effect::Tokened,
         "side_effect" => Effect::NonIdempotent,
-        other => return Err(Fault::unknown("classes[].semantics", other, &["pure", "token", "side_effect"])),
+        other => {
+            return Err(Fault::unknown(
+                "classes[].semantics",
+                other,
+                &["pure", "token", "side_effect"],
+            ));
+        }
     };
     let (group, window) = if effect == Effect::Tokened {
         let group = match text(v, "dedupScope")? {
             "all" => Group::All,
             "zone" => Group::Zone,
             "cell" => Group::Cell,
-            other => return Err(Fault::unknown("classes[].dedupScope", other, &["all", "zone", "cell"])),
+            other => {
+                return Err(Fault::unknown(
+                    "classes[].dedupScope",
+                    other,
+                    &["all", "zone", "cell"],
+                ));
+            }
         };
         (group, seconds(v, "dedupWindow")?)
     } else {
@@ -116,19 +151,33 @@
 }
 
 fn customers(v: &Value) -> Result<&[Value], Fault> {
-    if need(v, "customers").is_ok() { list(v, "customers") } else { Ok(&[]) }
+    if need(v, "customers").is_ok() {
+        list(v, "customers")
+    } else {
+        Ok(&[])
+    }
 }
 
 fn decode(v: &Value) -> Result<PolicyConfig, Fault> {
     let customers = customers(v)?;
     Ok(PolicyConfig {
-        trigger_types: list(v, "classes")?.iter().map(trigger_type).collect::<Result<_, _>>()?,
-        quotas: customers.iter().map(|c| amount(c, "quotaRps")).collect::<Result<_, _>>()?,
+        trigger_types: list(v, "classes")?
+            .iter()
+            .map(trigger_type)
+            .collect::<Result<_, _>>()?,
+        quotas: customers
+            .iter()
+            .map(|c| amount(c, "quotaRps"))
+            .collect::<Result<_, _>>()?,
         over_share_value: amount_or(v, "overShareWorth", 1.0)?,
         value_by_work: is_second(v, "valueBy", ["request", "work"])?,
         front_ends: amount_or(v, "balancers", 1.0)?.max(1.0),
         index: amount_or(v, "index", 0.0)?,
-        zone: if need(v, "zone").is_ok() { within(v, "zone", 0.0, 255.0)? as u8 } else { 0 },
+        zone: if need(v, "zone").is_ok() {
+            within(v, "zone", 0.0, 255.0)? as u8
+        } else {
+            0
+        },
         crossing: amount_or(v, "penalties.crossZone", 0.0)?,
         regions: vec![],
         tick: seconds(v, "tick")?,
@@ -191,7 +240,9 @@
 /// # Errors
 /// A key is missing, of another form or out of its range: the fault names the key.
 pub fn front_end_settings(v: &Value) -> Result<FrontEndSettings, Fault> {
-    let trigger_types = list(v, "classes")?.iter().map(|c| text(c, "name").map(str::to_owned));
+    let trigger_types = list(v, "classes")?
+        .iter()
+        .map(|c| text(c, "name").map(str::to_owned));
     Ok(FrontEndSettings {
         policy: decode(v)?,
         trigger_types: trigger_types.collect::<Result<_, _>>()?,
@@ -201,7 +252,11 @@
             .collect::<Result<_, _>>()?,
         zones: names(v, "zones")?,
         kinds: names(v, "shapes")?,
-        report: if need(v, "feedback.fields").is_ok() { names(v, "feedback.fields")? } else { vec![] },
+        report: if need(v, "feedback.fields").is_ok() {
+            names(v, "feedback.fields")?
+        } else {
+            vec![]
+        },
         most_open: within(v, "limits.maxOpen", 1.0, f64::INFINITY)?.min(1e6) as usize,
         streams: within(v, "limits.streamsPerConn", 1.0, f64::INFINITY)?.min(1e4) as usize,
         connect_time: seconds(v, "limits.connectTimeout")?,
--- a/crates/platform-config/tests/settings.rs
+++ b/crates/platform-config/tests/settings.rs
@@ -24,7 +24,10 @@
 fn with(pointer: &str, value: Option<Value>) -> Value {
     let mut all = settings();
     let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-    let place = all.pointer_mut(place).and_then(Value::as_object_mut).expect("a place in the settings");
+    let place = all
+        .pointer_mut(place)
+        .and_then(Value::as_object_mut)
+        .expect("a place in the settings");
     match value {
         Some(value) => place.insert(key.to_owned(), value),
         None => place.remove(key),
@@ -61,9 +64,16 @@
         "/specifics/loadPart",
         "/specifics/loadPeriod",
     ];
-    let bounded = [("/zone", 256.0), ("/limits/maxAttempts", 0.0), ("/safety/coldFrom", 1.01)];
+    let bounded = [
+        ("/zone", 256.0),
+        ("/limits/maxAttempts", 0.0),
+        ("/safety/coldFrom", 1.01),
+    ];
     let far = bounded.map(|(pointer, value)| (pointer, json!(value)));
-    let under = amounts.iter().chain(bounded.iter().map(|b| &b.0)).map(|&pointer| (pointer, json!(-1e-9)));
+    let under = amounts
+        .iter()
+        .chain(bounded.iter().map(|b| &b.0))
+        .map(|&pointer| (pointer, json!(-1e-9)));
     let odd = amounts.iter().map(|&pointer| (pointer, json!("5")));
     for (pointer, value) in far.into_iter().chain(under).chain(odd) {
         let fault = policy(&with(pointer, Some(value.clone()))).expect_err(pointer);
@@ -73,13 +83,22 @@
     for pointer in amounts {
         policy(&with(pointer, Some(json!(0)))).expect(pointer);
     }
-    for (pointer, value) in [("/zone", 255), ("/limits/maxAttempts", 1), ("/limits/maxAttempts", 1_000)] {
+    for (pointer, value) in [
+        ("/zone", 255),
+        ("/limits/maxAttempts", 1),
+        ("/limits/maxAttempts", 1_000),
+    ] {
         policy(&with(pointer, Some(json!(value)))).expect(pointer);
     }
-    for pointer in
-        ["/limits/maxOpen", "/limits/streamsPerConn", "/limits/connectTimeout", "/limits/idleClose"]
-    {
-        let fault = front_end_settings(&with(pointer, Some(json!(-1)))).expect_err(pointer).to_string();
+    for pointer in [
+        "/limits/maxOpen",
+        "/limits/streamsPerConn",
+        "/limits/connectTimeout",
+        "/limits/idleClose",
+    ] {
+        let fault = front_end_settings(&with(pointer, Some(json!(-1))))
+            .expect_err(pointer)
+            .to_string();
         assert!(fault.contains(&pointer[8..]), "{fault}");
     }
 }
@@ -94,16 +113,34 @@
     for (pointer, first, second) in kinds {
         for value in [json!("other"), json!(7), json!(null)] {
             let fault = policy(&with(pointer, Some(value))).expect_err(pointer);
-            assert!(fault.contains(pointer.rsplit('/').next().expect("a key")), "{fault}");
+            assert!(
+                fault.contains(pointer.rsplit('/').next().expect("a key")),
+                "{fault}"
+            );
         }
         let of = |value: Option<Value>| {
             let policy = policy(&with(pointer, value)).expect(pointer);
-            [policy.roster_asked, policy.value_by_work, policy.answers_miss].contains(&true)
+            [
+                policy.roster_asked,
+                policy.value_by_work,
+                policy.answers_miss,
+            ]
+            .contains(&true)
         };
-        assert!(!of(Some(first.into())) && of(Some(second.into())) && !of(None), "{pointer}");
+        assert!(
+            !of(Some(first.into())) && of(Some(second.into())) && !of(None),
+            "{pointer}"
+        );
     }
-    for (pointer, value) in [("/classes/0/semantics", "other"), ("/classes/0/dedupScope", "other")] {
-        assert!(policy(&with(pointer, Some(value.into()))).expect_err(pointer).contains("unknown value"));
+    for (pointer, value) in [
+        ("/classes/0/semantics", "other"),
+        ("/classes/0/dedupScope", "other"),
+    ] {
+        assert!(
+            policy(&with(pointer, Some(value.into())))
+                .expect_err(pointer)
+                .contains("unknown value")
+        );
     }
 }
 
@@ -137,12 +174,20 @@
         "/limits/maxAttempts",
     ] {
         let fault = policy(&with(pointer, None)).expect_err(pointer);
-        assert!(fault.contains(pointer.rsplit('/').next().expect("a key")), "{fault}");
+        assert!(
+            fault.contains(pointer.rsplit('/').next().expect("a key")),
+            "{fault}"
+        );
     }
     for pointer in ["/surprise", "/classes/0/surprise", "/specifics/surprise"] {
         let policy = policy(&with(pointer, Some(json!({"a": []})))).expect(pointer);
         assert_eq!(
-            (policy.front_ends, policy.index, policy.zone, policy.trigger_types.len()),
+            (
+                policy.front_ends,
+                policy.index,
+                policy.zone,
+                policy.trigger_types.len()
+            ),
             (3.0, 2.0, 1, 1)
         );
     }
--- a/crates/platform/src/accepting.rs
+++ b/crates/platform/src/accepting.rs
@@ -17,7 +17,9 @@
         self.accept_later = false;
         let mut made_way = false;
         for _ in 0..ACCEPTS {
-            let Some(listener) = &self.listener else { return };
+            let Some(listener) = &self.listener else {
+                return;
+            };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -49,7 +51,12 @@
             self.counts.accepted += 1;
             let token = clients::token(self.host.clients.vacant_key());
             let both = Interest::READABLE | Interest::WRITABLE;
-            if self.poll.registry().register(&mut client.socket.stream, token, both).is_ok() {
+            if self
+                .poll
+                .registry()
+                .register(&mut client.socket.stream, token, both)
+                .is_ok()
+            {
                 self.host.clients.insert(client);
             }
         }
@@ -75,7 +82,9 @@
 
     /// Nobody waits any more for what a client has open.
     pub fn withdraw_all(&mut self, now: f64, slot: usize) {
-        let Some(client) = self.host.clients.get_mut(slot) else { return };
+        let Some(client) = self.host.clients.get_mut(slot) else {
+            return;
+        };
         for inv in std::mem::take(&mut client.open).into_values() {
             self.host.drop_invocation(inv);
             self.engine.withdrawn(now, inv, &mut self.host);
@@ -85,7 +94,9 @@
     /// Closes a client's connection at once; what it has open nobody waits for any more.
     pub fn close_client(&mut self, now: f64, slot: usize) {
         self.withdraw_all(now, slot);
-        let Some(mut client) = self.host.clients.try_remove(slot) else { return };
+        let Some(mut client) = self.host.clients.try_remove(slot) else {
+            return;
+        };
         // One whose socket is gone already needs no more.
         let _ = self.poll.registry().deregister(&mut client.socket.stream);
     }
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -114,14 +114,23 @@
 
     /// More is not taken from it than a client may have open whose answers it reads.
     pub fn holds_too_much(&self) -> bool {
-        let bytes: usize = self.pending.iter().filter_map(|f| f.payload.as_ref()).map(Vec::len).sum();
+        let bytes: usize = self
+            .pending
+            .iter()
+            .filter_map(|f| f.payload.as_ref())
+            .map(Vec::len)
+            .sum();
         self.pending.len() > MOST_OPEN || bytes > BACKLOG
     }
 
     /// From here on it is closed as soon as what waits is written and the peer has had time to read it.
     pub fn end(&mut self, now: f64) {
         self.pending.clear();
-        self.ending.get_or_insert(Ending { by: now + LINGER, bytes_left: LINGER_BYTES, shut: false });
+        self.ending.get_or_insert(Ending {
+            by: now + LINGER,
+            bytes_left: LINGER_BYTES,
+            shut: false,
+        });
     }
 
     /// Something came after its end; tells whether more is read over.
@@ -145,11 +154,20 @@
         if self.waiting_since.is_some_and(|at| now > at + WHOLE_FRAME) {
             return Some("no whole frame in time");
         }
-        self.stalled_since.is_some_and(|(at, _)| now > at + STALLED).then_some("takes none of its answers")
+        self.stalled_since
+            .is_some_and(|(at, _)| now > at + STALLED)
+            .then_some("takes none of its answers")
     }
 
     pub fn answer(&mut self, stream: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
-        frames::put(self.socket.out(), frames::ANSWER, stream, Some(code), Some(fields), body);
+        frames::put(
+            self.socket.out(),
+            frames::ANSWER,
+            stream,
+            Some(code),
+            Some(fields),
+            body,
+        );
     }
 }
 
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -130,7 +130,11 @@
     /// The less comes first: one that stands, then with the least open, then used last. Guards against
     /// connections that a peer, or something on the way, lets go of when idle for longer than anybody told.
     pub fn rank(&self) -> (bool, usize, Reverse<Ordered>) {
-        (!self.connected, self.open.len(), Reverse(Ordered(self.idle_since)))
+        (
+            !self.connected,
+            self.open.len(),
+            Reverse(Ordered(self.idle_since)),
+        )
     }
 
     /// How each dispatch that is open ended with the connection, while the executor is there: at fault is the
@@ -139,21 +143,37 @@
     /// lost on the way.
     pub fn verdicts(&self, seen: Transport) -> impl Iterator<Item = (&Out, Transport)> {
         let at_fault = seen == Transport::Malformed || !self.answered;
-        let first = self.open.values().map(|o| Ordered(o.at)).min().filter(|_| at_fault);
-        let verdict =
-            move |at| if Some(Ordered(at)) == first { Transport::Malformed } else { Transport::Cut };
+        let first = self
+            .open
+            .values()
+            .map(|o| Ordered(o.at))
+            .min()
+            .filter(|_| at_fault);
+        let verdict = move |at| {
+            if Some(Ordered(at)) == first {
+                Transport::Malformed
+            } else {
+                Transport::Cut
+            }
+        };
         self.open.values().map(move |o| (o, verdict(o.at)))
     }
 
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.orders.is_empty() && self.queue.is_empty() && self.socket.waiting() == 0
+        self.open.is_empty()
+            && self.orders.is_empty()
+            && self.queue.is_empty()
+            && self.socket.waiting() == 0
     }
 
     /// A dispatch is not waited for any more. Tells whether the executor may have begun to read it.
     pub fn give_up(&mut self, id: &Rc<str>) -> bool {
-        let Some(out) = self.open.remove(id) else { return false };
+        let Some(out) = self.open.remove(id) else {
+            return false;
+        };
         if out.from.is_none() {
-            self.queue.retain(|q| !matches!(q, Queued::Dispatch(queued) if queued == id));
+            self.queue
+                .retain(|q| !matches!(q, Queued::Dispatch(queued) if queued == id));
             return false;
         }
         self.given_up.insert(id.clone());
@@ -170,7 +190,11 @@
 
     /// An id was answered. It goes over this connection again once no second answer can come any more.
     pub fn said(&mut self, now: f64, id: Rc<str>) {
-        while self.answered_ids.front().is_some_and(|(at, _)| now >= at + SAID_TWICE) {
+        while self
+            .answered_ids
+            .front()
+            .is_some_and(|(at, _)| now >= at + SAID_TWICE)
+        {
             self.answered_ids.pop_front();
         }
         self.answered_ids.push_back((now, id));
@@ -188,11 +212,19 @@
 
     /// Takes everything out of which the kernel got no byte.
     pub fn take_unwritten(&mut self) -> Unwritten {
-        let ids: Vec<Rc<str>> =
-            self.open.keys().filter(|id| self.is_unwritten(self.open[*id].from)).cloned().collect();
+        let ids: Vec<Rc<str>> = self
+            .open
+            .keys()
+            .filter(|id| self.is_unwritten(self.open[*id].from))
+            .cloned()
+            .collect();
         let mut dispatches: Vec<Out> = ids.iter().filter_map(|id| self.open.remove(id)).collect();
         dispatches.sort_by_key(|o| (Ordered(o.at), o.inv));
-        let orders = self.orders.iter().filter(|&(_, &from)| self.is_unwritten(from)).map(|(&tag, _)| tag);
+        let orders = self
+            .orders
+            .iter()
+            .filter(|&(_, &from)| self.is_unwritten(from))
+            .map(|(&tag, _)| tag);
         let orders: Vec<u64> = orders.collect();
         self.orders.retain(|tag, _| !orders.contains(tag));
         self.queue.clear();
@@ -203,29 +235,50 @@
     pub fn take_back(&mut self) {
         let written = self.socket.written();
         let mut back: Vec<(u64, Queued)> = vec![];
-        for (id, out) in self.open.iter_mut().filter(|(_, o)| o.from.is_some_and(|from| from >= written)) {
-            back.extend(out.from.take().map(|from| (from, Queued::Dispatch(id.clone()))));
+        for (id, out) in self
+            .open
+            .iter_mut()
+            .filter(|(_, o)| o.from.is_some_and(|from| from >= written))
+        {
+            back.extend(
+                out.from
+                    .take()
+                    .map(|from| (from, Queued::Dispatch(id.clone()))),
+            );
         }
-        for (&tag, begins) in self.orders.iter_mut().filter(|(_, o)| o.is_some_and(|from| from >= written)) {
+        for (&tag, begins) in self
+            .orders
+            .iter_mut()
+            .filter(|(_, o)| o.is_some_and(|from| from >= written))
+        {
             back.extend(begins.take().map(|from| (from, Queued::Order(tag))));
         }
         back.sort_by_key(|b| b.0);
-        let Some(&(first, _)) = back.first() else { return };
+        let Some(&(first, _)) = back.first() else {
+            return;
+        };
         self.socket.take_back(first);
         // Lines between them that nothing is owed for are not missed; a cancel is never among them, since it leaves
         // at once or its connection is cut off.
-        back.into_iter().rev().for_each(|(_, queued)| self.queue.push_front(queued));
+        back.into_iter()
+            .rev()
+            .for_each(|(_, queued)| self.queue.push_front(queued));
     }
 
     pub fn heard(&mut self, now: f64) {
         self.heard_at = now;
-        self.line_since = if self.decoder.is_within() { self.line_since.or(Some(now)) } else { None };
+        self.line_since = if self.decoder.is_within() {
+            self.line_since.or(Some(now))
+        } else {
+            None
+        };
     }
 
     /// Why it is broken off at this moment, if it is.
     pub fn overdue(&self, now: f64, idle_close: f64) -> Option<(Transport, &'static str)> {
         if !self.connected {
-            return (now > self.connect_by).then_some((Transport::NoConnection, "no connection in time"));
+            return (now > self.connect_by)
+                .then_some((Transport::NoConnection, "no connection in time"));
         }
         if self.line_since.is_some_and(|at| now > at + HALF_LINE) {
             return Some((Transport::Malformed, "half a line and no more"));
--- a/crates/platform/src/egress.rs
+++ b/crates/platform/src/egress.rs
@@ -27,7 +27,9 @@
 impl Front {
     /// Reads what there is; tells whether the connection still stands.
     pub fn read_connection(&mut self, now: f64, slot: usize) -> bool {
-        let Some(connection) = self.host.connections.get_mut(slot) else { return false };
+        let Some(connection) = self.host.connections.get_mut(slot) else {
+            return false;
+        };
         if !connection.connected {
             match connection.socket.is_connected() {
                 Ok(false) => return true,
@@ -52,7 +54,9 @@
             }
         }
         for _ in 0..READS {
-            let Some(connection) = self.host.connections.get_mut(slot) else { return false };
+            let Some(connection) = self.host.connections.get_mut(slot) else {
+                return false;
+            };
             match connection.socket.read(&mut self.buffer) {
                 Ok(Brought::Nothing) => {
                     if connection.socket.waiting() > 0 || !connection.queue.is_empty() {
@@ -63,7 +67,9 @@
                 Ok(Brought::Bytes(n)) => {
                     connection.decoder.push(&self.buffer[..n]);
                     loop {
-                        let Some(connection) = self.host.connections.get_mut(slot) else { return false };
+                        let Some(connection) = self.host.connections.get_mut(slot) else {
+                            return false;
+                        };
                         match connection.decoder.read() {
                             Ok(None) => break connection.heard(now),
                             Ok(Some(answer)) => self.answered(now, slot, answer),
@@ -89,20 +95,36 @@
     }
 
     fn answered(&mut self, now: f64, slot: usize, answer: Answer) {
-        let Some(connection) = self.host.connections.get_mut(slot) else { return };
-        (connection.heard_at, connection.idle_since, connection.answered) = (now, now, true);
+        let Some(connection) = self.host.connections.get_mut(slot) else {
+            return;
+        };
+        (
+            connection.heard_at,
+            connection.idle_since,
+            connection.answered,
+        ) = (now, now, true);
         if let Some(tag) = answer.id.strip_prefix(ORDER).and_then(|t| t.parse().ok()) {
             return self.ordered(now, tag, ending(answer.word), answer.count);
         }
-        let there = connection.open.get(answer.id.as_str()).is_some_and(|o| o.from.is_some());
-        let Some(out) = there.then(|| connection.open.remove(answer.id.as_str())).flatten() else {
+        let there = connection
+            .open
+            .get(answer.id.as_str())
+            .is_some_and(|o| o.from.is_some());
+        let Some(out) = there
+            .then(|| connection.open.remove(answer.id.as_str()))
+            .flatten()
+        else {
             // Of one given up, a second copy, or of nothing that was asked.
             return connection.settled(&answer.id);
         };
         connection.said(now, answer.id.as_str().into());
         self.host.outs.remove(&(out.inv, out.dispatch));
         if answer.word != Word::Done {
-            let executor = self.host.executors.get(&connection.to).map(|e| e.name.as_str());
+            let executor = self
+                .host
+                .executors
+                .get(&connection.to)
+                .map(|e| e.name.as_str());
             debug!(executor, word = ?answer.word, tell = ?answer.tell, after = now - out.at, "no success");
         }
         self.host.brought = answer.body;
@@ -114,15 +136,22 @@
             Tell::LoadFailed => Found::LoadFailed,
         };
         let report = orchidtally_lines::report(&answer.meter, &self.settings.report);
-        let told = Told { found, crowd: answer.crowd, report: &report };
+        let told = Told {
+            found,
+            crowd: answer.crowd,
+            report: &report,
+        };
         let ending = evidence::ending(ending(answer.word));
-        self.engine.ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
+        self.engine
+            .ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
         self.host.brought = vec![];
     }
 
     /// An order to load has come to its end.
     pub fn ordered(&mut self, now: f64, tag: u64, seen: Transport, count: u32) {
-        let Some(order) = self.host.orders.remove(&tag) else { return };
+        let Some(order) = self.host.orders.remove(&tag) else {
+            return;
+        };
         if let Some(connection) = self.host.connections.get_mut(order.connection) {
             connection.orders.remove(&tag);
         }
@@ -131,21 +160,30 @@
             Ending::Ok if order.copies == 0 && count == 0 => Ending::Miss,
             ending => ending,
         };
-        self.engine.held(now, order.to, order.function, ending, &mut self.host);
+        self.engine
+            .held(now, order.to, order.function, ending, &mut self.host);
     }
 
     /// Ends a connection to an executor, and with it all that is open on it.
     pub fn dissolve(&mut self, now: f64, slot: usize, seen: Transport, why: &str) {
-        let Some(mut connection) = self.host.connections.try_remove(slot) else { return };
+        let Some(mut connection) = self.host.connections.try_remove(slot) else {
+            return;
+        };
         // One whose socket is gone already needs no more.
-        let _ = self.poll.registry().deregister(&mut connection.socket.stream);
+        let _ = self
+            .poll
+            .registry()
+            .deregister(&mut connection.socket.stream);
         if let Some(executor) = self.host.executors.get_mut(&connection.to) {
             executor.connections.retain(|&l| l != slot);
             if !connection.is_idle() {
                 self.counts.connections_lost += 1;
                 if let Some(left_out) = self.close_log.admit(now) {
                     let (open, connected) = (connection.open.len(), connection.connected);
-                    info!(executor = executor.name, open, connected, why, left_out, "lost a connection");
+                    info!(
+                        executor = executor.name,
+                        open, connected, why, left_out, "lost a connection"
+                    );
                 }
             }
             if !executor.listed && executor.connections.is_empty() {
@@ -154,7 +192,8 @@
         }
         let reachable = connection.connected || seen == Transport::NoResource;
         let again = reachable || self.host.stands(connection.to, now);
-        self.host.send_again(connection.to, connection.take_unwritten(), again);
+        self.host
+            .send_again(connection.to, connection.take_unwritten(), again);
         for (id, out) in &connection.open {
             self.host.outs.remove(&(out.inv, out.dispatch));
             self.host.note_given_up(id, connection.to);
@@ -171,7 +210,9 @@
     /// Judges what ended connections leave: where another stands, the process did not end.
     pub fn judge_severed(&mut self, now: f64) {
         for _ in 0..self.severed.len() {
-            let Some((at, seen, connection)) = self.severed.pop_front() else { return };
+            let Some((at, seen, connection)) = self.severed.pop_front() else {
+                return;
+            };
             let stands = self.host.stands(connection.to, at);
             if seen == Transport::Broken && stands && now < at + connections::ALL_RESET {
                 self.severed.push_back((at, seen, connection));
@@ -181,10 +222,16 @@
             for (out, verdict) in connection.verdicts(seen) {
                 let ending = evidence::ending(if one_of_several { verdict } else { seen });
                 let told = orchidtally_engine::NOTHING_TOLD;
-                self.engine.ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
+                self.engine
+                    .ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
             }
             for &tag in connection.orders.keys() {
-                self.ordered(now, tag, if one_of_several { Transport::Cut } else { seen }, 0);
+                self.ordered(
+                    now,
+                    tag,
+                    if one_of_several { Transport::Cut } else { seen },
+                    0,
+                );
             }
         }
     }
--- a/crates/platform/src/ending.rs
+++ b/crates/platform/src/ending.rs
@@ -41,7 +41,12 @@
 
 impl Default for Reread {
     fn default() -> Reread {
-        Reread { until: f64::NEG_INFINITY, at: f64::INFINITY, pause: REREAD_EVERY, log: LogBudget::default() }
+        Reread {
+            until: f64::NEG_INFINITY,
+            at: f64::INFINITY,
+            pause: REREAD_EVERY,
+            log: LogBudget::default(),
+        }
     }
 }
 
@@ -90,7 +95,10 @@
                 false
             }
             Ok(new) if new.resolver == self.resolver.at() => true,
-            Ok(new) => match self.resolver.turn_to(new.resolver, self.poll.registry(), RESOLVER) {
+            Ok(new) => match self
+                .resolver
+                .turn_to(new.resolver, self.poll.registry(), RESOLVER)
+            {
                 Ok(()) => {
                     info!(resolver = %new.resolver, "asks another resolver");
                     true
@@ -113,30 +121,58 @@
 
     /// Some time after it was told to end nothing new is taken, and clients are told so.
     pub fn stop_taking(&mut self, now: f64) {
-        if self.listener.is_none() || self.leaving_since.is_none_or(|since| now <= since + SERVE_ON) {
+        if self.listener.is_none()
+            || self
+                .leaving_since
+                .is_none_or(|since| now <= since + SERVE_ON)
+        {
             return;
         }
         // Who waits to be accepted is told with the others: no more can wait than one look takes.
         self.accept(now);
-        let Some(mut listener) = self.listener.take() else { return };
+        let Some(mut listener) = self.listener.take() else {
+            return;
+        };
         // The process ends anyway.
         let _ = self.poll.registry().deregister(&mut listener);
         self.engine.leave();
         let end_by = self.killed_at() - SOONER;
-        self.host.invocations.values_mut().for_each(|w| w.timeout_at = w.timeout_at.min(end_by));
+        self.host
+            .invocations
+            .values_mut()
+            .for_each(|w| w.timeout_at = w.timeout_at.min(end_by));
         self.engine.end_by(now, end_by, &mut self.host);
-        info!(open = self.engine.open(), clients = self.host.clients.len(), "nothing new is taken");
+        info!(
+            open = self.engine.open(),
+            clients = self.host.clients.len(),
+            "nothing new is taken"
+        );
         let all: Vec<usize> = self.host.clients.iter().map(|(slot, _)| slot).collect();
         for slot in all {
-            frames::put(self.host.clients[slot].socket.out(), frames::NO_MORE, 0, None, None, &[]);
+            frames::put(
+                self.host.clients[slot].socket.out(),
+                frames::NO_MORE,
+                0,
+                None,
+                None,
+                &[],
+            );
             self.host.touch_client(slot);
         }
     }
 
     /// When the process may be killed, once it was told to end.
     fn killed_at(&self) -> f64 {
-        let longest = self.settings.policy.trigger_types.iter().map(|t| t.timeout).fold(0.0, f64::max);
-        self.leaving_since.map_or(f64::INFINITY, |since| since + longest.min(LONGEST_COUNTED) + KILLED_AFTER)
+        let longest = self
+            .settings
+            .policy
+            .trigger_types
+            .iter()
+            .map(|t| t.timeout)
+            .fold(0.0, f64::max);
+        self.leaving_since.map_or(f64::INFINITY, |since| {
+            since + longest.min(LONGEST_COUNTED) + KILLED_AFTER
+        })
     }
 
     /// Told to end, nothing open, and clients had the time to read.
@@ -149,7 +185,12 @@
             return true;
         }
         let is_done = |c: &Client| c.socket.waiting() == 0 && c.is_idle() && !c.is_within();
-        if !self.host.clients.iter().all(|(_, c)| c.ending.is_some() || is_done(c)) {
+        if !self
+            .host
+            .clients
+            .iter()
+            .all(|(_, c)| c.ending.is_some() || is_done(c))
+        {
             self.quiet_since = None;
             return false;
         }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -92,7 +92,8 @@
 
 /// Tries again what fails for want of something on this machine.
 fn persist<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let may_pass = |fault: &io::Error| is_own_fault(fault) || fault.kind() == io::ErrorKind::AddrInUse;
+    let may_pass =
+        |fault: &io::Error| is_own_fault(fault) || fault.kind() == io::ErrorKind::AddrInUse;
     for _ in 1..START_TRIES {
         match call() {
             Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
@@ -103,9 +104,14 @@
 }
 
 /// Serves until told to end and what was taken is answered.
-pub fn run(start: Start, file: PathBuf, PendingSignals(mut signals): PendingSignals) -> io::Result<Tally> {
+pub fn run(
+    start: Start,
+    file: PathBuf,
+    PendingSignals(mut signals): PendingSignals,
+) -> io::Result<Tally> {
     let poll = persist(Poll::new)?;
-    poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
+    poll.registry()
+        .register(&mut signals, SIGNALS, Interest::READABLE)?;
     let mut front = Front::new(start, file, poll)?;
     let mut events = Events::with_capacity(1024);
     loop {
@@ -120,19 +126,32 @@
 impl Front {
     pub fn new(start: Start, file: PathBuf, poll: Poll) -> io::Result<Front> {
         let mut listener = persist(|| TcpListener::bind(start.listen))?;
-        poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
+        poll.registry()
+            .register(&mut listener, LISTENER, Interest::READABLE)?;
         let mut clock = ProcessClock::new();
         let now = clock.read();
         let view = RosterView::new(now, start.serial, &start.known);
-        let resolver = persist(|| Resolver::new(start.resolver, view.clone(), poll.registry(), RESOLVER))?;
+        let resolver =
+            persist(|| Resolver::new(start.resolver, view.clone(), poll.registry(), RESOLVER))?;
         let settings = start.settings;
         // Usual clients hold a third of the descriptors; the rest of their half is for those that misbehave.
         let most_clients = start.sockets / 2;
         let most_connections = start.sockets - most_clients - OWN_SOCKETS;
-        let mut host = HostState::new(now, poll.registry().try_clone()?, &settings, most_connections);
+        let mut host = HostState::new(
+            now,
+            poll.registry().try_clone()?,
+            &settings,
+            most_connections,
+        );
         host.clock = clock;
         host.view.serial = start.serial;
-        let mut engine = Engine::new(settings.policy.clone(), settings.most_open, start.seed, now, &mut host);
+        let mut engine = Engine::new(
+            settings.policy.clone(),
+            settings.most_open,
+            start.seed,
+            now,
+            &mut host,
+        );
         // The list of the start is that of this moment, by the platform's page.
         engine.view_confirmed(now, now, &mut host);
         let mut front = Front {
@@ -169,7 +188,11 @@
     }
 
     /// Waits, and goes through what is ready. Tells whether the front end has ended.
-    pub fn turn(&mut self, events: &mut Events, signals: impl FnOnce() -> Vec<i32>) -> io::Result<bool> {
+    pub fn turn(
+        &mut self,
+        events: &mut Events,
+        signals: impl FnOnce() -> Vec<i32>,
+    ) -> io::Result<bool> {
         self.wait(events)?;
         let now = self.now();
         self.host.release();
@@ -185,7 +208,9 @@
                 RESOLVER => self.resolve(now),
                 SIGNALS => {
                     let signals = signals.take().map_or(vec![], |pending| pending());
-                    signals.into_iter().for_each(|signal| self.signalled(now, signal));
+                    signals
+                        .into_iter()
+                        .for_each(|signal| self.signalled(now, signal));
                 }
                 Token(n) if n % 2 == 0 => self.read_client(now, (n - clients::FIRST_TOKEN) / 2),
                 Token(n) => _ = self.read_connection(now, (n - clients::FIRST_TOKEN) / 2),
@@ -214,10 +239,27 @@
     /// Waits for something to be ready or due.
     fn wait(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.now();
-        let severed = self.severed.front().map_or(f64::INFINITY, |s| s.0 + connections::ALL_RESET);
-        let held = if self.host.held.is_empty() { f64::INFINITY } else { now + self.settings.policy.tick };
-        let due = self.engine.due_at().min(self.resolver.due_at()).min(self.sweep_at).min(severed).min(held);
-        let left = if self.again.is_empty() { (due - now).clamp(0.0, SWEEP) } else { 0.0 };
+        let severed = self
+            .severed
+            .front()
+            .map_or(f64::INFINITY, |s| s.0 + connections::ALL_RESET);
+        let held = if self.host.held.is_empty() {
+            f64::INFINITY
+        } else {
+            now + self.settings.policy.tick
+        };
+        let due = self
+            .engine
+            .due_at()
+            .min(self.resolver.due_at())
+            .min(self.sweep_at)
+            .min(severed)
+            .min(held);
+        let left = if self.again.is_empty() {
+            (due - now).clamp(0.0, SWEEP)
+        } else {
+            0.0
+        };
         match self.poll.poll(events, Some(Duration::from_secs_f64(left))) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => Ok(()),
             other => other,
@@ -244,12 +286,22 @@
         let late: Vec<_> = self.host.clients.iter().filter_map(overdue).collect();
         for (slot, why) in late {
             self.counts.unreadable += 1;
-            if let Some(client) = self.host.clients.get_mut(slot).filter(|c| c.socket.waiting() == 0) {
+            if let Some(client) = self
+                .host
+                .clients
+                .get_mut(slot)
+                .filter(|c| c.socket.waiting() == 0)
+            {
                 client.answer(0, frames::ERRORED, &[], why.as_bytes());
             }
             self.end_client(now, slot);
         }
-        let ended = self.host.clients.iter().filter(|(_, c)| c.has_ended(now)).map(|(slot, _)| slot);
+        let ended = self
+            .host
+            .clients
+            .iter()
+            .filter(|(_, c)| c.has_ended(now))
+            .map(|(slot, _)| slot);
         for slot in ended.collect::<Vec<_>>() {
             self.close_client(now, slot);
         }
@@ -258,15 +310,20 @@
         }
         self.host.given_up.retain(|_, until| *until > now);
         let idle_close = self.settings.idle_close;
-        let overdue =
-            |(slot, l): (usize, &connections::Connection)| Some((slot, l.overdue(now, idle_close)?));
+        let overdue = |(slot, l): (usize, &connections::Connection)| {
+            Some((slot, l.overdue(now, idle_close)?))
+        };
         let late: Vec<_> = self.host.connections.iter().filter_map(overdue).collect();
         for (slot, (seen, why)) in late {
             self.dissolve(now, slot, seen, why);
         }
         let order_time = self.settings.order_time;
-        while let Some((&tag, _)) =
-            self.host.orders.iter().next().filter(|(_, o)| o.begun + order_time <= now)
+        while let Some((&tag, _)) = self
+            .host
+            .orders
+            .iter()
+            .next()
+            .filter(|(_, o)| o.begun + order_time <= now)
         {
             self.ordered(now, tag, Transport::TimedOut, 0);
         }
@@ -311,7 +368,9 @@
                 }
             }
             for slot in std::mem::take(&mut self.host.dirty_clients) {
-                let Some(client) = self.host.clients.get_mut(slot) else { continue };
+                let Some(client) = self.host.clients.get_mut(slot) else {
+                    continue;
+                };
                 client.dirty = false;
                 let flushed = client.socket.flush();
                 client.flushed(now);
--- a/crates/platform/src/held.rs
+++ b/crates/platform/src/held.rs
@@ -28,12 +28,26 @@
 
     /// Holds one for a time.
     pub fn push(&mut self, inv: u32, dispatch: u8, to: ExecutorId, time: f64) {
-        self.0.push(HeldDispatch { inv, dispatch, to, time, at: None, since: None });
+        self.0.push(HeldDispatch {
+            inv,
+            dispatch,
+            to,
+            time,
+            at: None,
+            since: None,
+        });
     }
 
     /// Holds one for a time that was sent at a moment and found no way out of this machine.
     pub fn push_again(&mut self, inv: u32, dispatch: u8, to: ExecutorId, time: f64, at: f64) {
-        self.0.push(HeldDispatch { inv, dispatch, to, time, at: Some(at), since: None });
+        self.0.push(HeldDispatch {
+            inv,
+            dispatch,
+            to,
+            time,
+            at: Some(at),
+            since: None,
+        });
     }
 
     /// Takes one back; tells whether it was held.
@@ -45,8 +59,12 @@
 
     /// Those that have waited for their time since a turn after their own, in the order in which they came.
     pub fn due(&mut self, now: f64) -> Vec<DueDispatch> {
-        self.0.iter_mut().for_each(|w| _ = w.since.get_or_insert(now));
-        let due = self.0.extract_if(.., |w| w.since.is_some_and(|since| now >= since + w.time));
+        self.0
+            .iter_mut()
+            .for_each(|w| _ = w.since.get_or_insert(now));
+        let due = self
+            .0
+            .extract_if(.., |w| w.since.is_some_and(|since| now >= since + w.time));
         due.map(|w| (w.inv, w.dispatch, w.to, w.at)).collect()
     }
 }
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -9,7 +9,9 @@
 
 impl Host for HostState {
     fn taken(&mut self, inv: u32) {
-        let Some(work) = self.taking.take() else { return };
+        let Some(work) = self.taking.take() else {
+            return;
+        };
         if let Some(client) = self.clients.get_mut(work.client) {
             client.open.insert(work.stream, inv);
         }
@@ -19,8 +21,14 @@
     }
 
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let until = self.invocations.get(&inv).and_then(|w| self.given_up.get(&w.id));
-        match until.map(|until| until - self.now).filter(|&left| left > 0.0) {
+        let until = self
+            .invocations
+            .get(&inv)
+            .and_then(|w| self.given_up.get(&w.id));
+        match until
+            .map(|until| until - self.now)
+            .filter(|&left| left > 0.0)
+        {
             Some(left) => self.held.push(inv, dispatch, to, left),
             None => self.send(inv, dispatch, to, self.now),
         }
@@ -30,16 +38,29 @@
         if self.held.remove(inv, dispatch) {
             return;
         }
-        let Some(slot) = self.outs.remove(&(inv, dispatch)) else { return };
-        let Some(connection) = self.connections.get_mut(slot) else { return };
-        let found = connection.open.iter().find(|(_, o)| o.inv == inv && o.dispatch == dispatch);
-        let Some((id, at)) = found.map(|(id, o)| (id.clone(), o.at)) else { return };
+        let Some(slot) = self.outs.remove(&(inv, dispatch)) else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(slot) else {
+            return;
+        };
+        let found = connection
+            .open
+            .iter()
+            .find(|(_, o)| o.inv == inv && o.dispatch == dispatch);
+        let Some((id, at)) = found.map(|(id, o)| (id.clone(), o.at)) else {
+            return;
+        };
         if connection.give_up(&id) {
             // One that was silent ever since, for longer than a new one takes to be made, may be dead.
-            connection.retired |= connection.heard_at < at && self.now > at + 2.0 * self.connect_time;
+            connection.retired |=
+                connection.heard_at < at && self.now > at + 2.0 * self.connect_time;
             if self.cancels {
                 // Ahead of what is queued. Its dispatch was made a line, so that it comes after that.
-                connection.socket.out().extend_from_slice(&lines::cancel(&id));
+                connection
+                    .socket
+                    .out()
+                    .extend_from_slice(&lines::cancel(&id));
                 self.cancelled.push(slot);
             }
             let to = connection.to;
@@ -63,7 +84,12 @@
         }
         let ms = format!("{}", (retry_after * 1e3).round().max(0.0) as u64);
         let fields = [("cooldown", ms.as_str())];
-        self.answer(inv, frames::THROTTLED, if retry_after > 0.0 { &fields } else { &[] }, &[]);
+        self.answer(
+            inv,
+            frames::THROTTLED,
+            if retry_after > 0.0 { &fields } else { &[] },
+            &[],
+        );
     }
 
     fn errored(&mut self, inv: u32, cause: Cause, may_have_run: bool) {
--- a/crates/platform/src/host_state.rs
+++ b/crates/platform/src/host_state.rs
@@ -163,7 +163,10 @@
             taking: None,
             brought: vec![],
             longest_stay_away: settings.policy.max_retry_after,
-            view: ViewStamp { serial: 0, fresh_at: now },
+            view: ViewStamp {
+                serial: 0,
+                fresh_at: now,
+            },
             dispatch_log: LogBudget::default(),
             answer_log: LogBudget::default(),
         }
@@ -181,7 +184,11 @@
 
     /// Notes that a connection has something to write.
     pub fn touch_connection(&mut self, slot: usize) {
-        if self.connections.get_mut(slot).is_some_and(|l| !std::mem::replace(&mut l.dirty, true)) {
+        if self
+            .connections
+            .get_mut(slot)
+            .is_some_and(|l| !std::mem::replace(&mut l.dirty, true))
+        {
             self.dirty_connections.push(slot);
         }
     }
@@ -199,7 +206,9 @@
 
     /// Sends the final answer of an invocation; no other function does.
     pub fn answer(&mut self, inv: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
-        let Some(work) = self.drop_invocation(inv) else { return };
+        let Some(work) = self.drop_invocation(inv) else {
+            return;
+        };
         if let Some(client) = self.clients.get_mut(work.client) {
             client.answer(work.stream, code, fields, body);
             self.touch_client(work.client);
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform/src/ingress.rs
@@ -21,16 +21,30 @@
 
 /// A figure of a client: a number within bounds.
 fn figure(text: &str, least: f64, most: f64) -> Option<f64> {
-    text.parse::<f64>().ok().filter(|n| (least..=most).contains(n))
+    text.parse::<f64>()
+        .ok()
+        .filter(|n| (least..=most).contains(n))
 }
 
 impl Front {
     pub fn read_client(&mut self, now: f64, slot: usize) {
         self.read_frames(now, slot);
-        let Some(client) = self.host.clients.get_mut(slot).filter(|c| c.ending.is_none()) else { return };
+        let Some(client) = self
+            .host
+            .clients
+            .get_mut(slot)
+            .filter(|c| c.ending.is_none())
+        else {
+            return;
+        };
         if client.full {
             if client.holds_too_much() {
-                client.answer(0, frames::ERRORED, &[], b"more is asked than answers are read");
+                client.answer(
+                    0,
+                    frames::ERRORED,
+                    &[],
+                    b"more is asked than answers are read",
+                );
                 self.end_client(now, slot);
             }
             return;
@@ -49,7 +63,9 @@
     /// back hundreds at once, each of which would have had its placement.
     fn read_frames(&mut self, now: f64, slot: usize) {
         for _ in 0..READS {
-            let Some(client) = self.host.clients.get_mut(slot) else { return };
+            let Some(client) = self.host.clients.get_mut(slot) else {
+                return;
+            };
             client.full = client.socket.waiting() > clients::BACKLOG;
             match client.socket.read(&mut self.buffer) {
                 Ok(Brought::Nothing) => {
@@ -82,8 +98,12 @@
     fn frames(&mut self, now: f64, slot: usize) -> Result<(), frames::Unreadable> {
         let mut whole = false;
         loop {
-            let Some(client) = self.host.clients.get_mut(slot) else { return Ok(()) };
-            let Some(frame) = client.decoder.read()? else { break };
+            let Some(client) = self.host.clients.get_mut(slot) else {
+                return Ok(());
+            };
+            let Some(frame) = client.decoder.read()? else {
+                break;
+            };
             whole = true;
             let stream = frame.stream;
             match frame.kind {
@@ -94,7 +114,11 @@
                     client.last_stream = stream;
                     let payload = frame.payload.map(<[u8]>::to_vec);
                     let at = self.host.clock.arrived_by(now);
-                    client.pending.push(PendingInvocation { at, stream, payload });
+                    client.pending.push(PendingInvocation {
+                        at,
+                        stream,
+                        payload,
+                    });
                 }
                 frames::WITHDRAW => {
                     client.pending.retain(|f| f.stream != stream);
@@ -107,11 +131,26 @@
                     // With nobody who could tell of any executor it serves what comes all the same.
                     let known = !self.host.executors.is_empty() || self.resolver.is_quiet();
                     let ready = self.leaving_since.is_none() && known;
-                    let code = if ready { frames::IS_READY } else { frames::NOT_READY };
-                    frames::put(client.socket.out(), frames::READY, stream, Some(code), Some(&[]), &[]);
+                    let code = if ready {
+                        frames::IS_READY
+                    } else {
+                        frames::NOT_READY
+                    };
+                    frames::put(
+                        client.socket.out(),
+                        frames::READY,
+                        stream,
+                        Some(code),
+                        Some(&[]),
+                        &[],
+                    );
                     self.host.touch_client(slot);
                 }
-                _ => return Err(frames::Unreadable("a frame of a type that clients don't send")),
+                _ => {
+                    return Err(frames::Unreadable(
+                        "a frame of a type that clients don't send",
+                    ));
+                }
             }
         }
         if let Some(client) = self.host.clients.get_mut(slot) {
@@ -123,7 +162,10 @@
     /// Takes an invocation, or answers why not.
     fn invoke(&mut self, slot: usize, pending: &PendingInvocation, guest: bool) {
         let (stream, now) = (pending.stream, pending.at);
-        let read = pending.payload.as_deref().ok_or("the frame is too long for an invocation");
+        let read = pending
+            .payload
+            .as_deref()
+            .ok_or("the frame is too long for an invocation");
         let (code, cooldown, why) = match read.and_then(|p| self.offer(now, slot, stream, p)) {
             Err(why) => {
                 self.counts.unusable += 1;
@@ -131,7 +173,11 @@
             }
             Ok((offer, work)) => {
                 let full = guest
-                    || self.host.clients.get(slot).is_none_or(|c| c.open.len() >= clients::MOST_OPEN)
+                    || self
+                        .host
+                        .clients
+                        .get(slot)
+                        .is_none_or(|c| c.open.len() >= clients::MOST_OPEN)
                     || self.host.kept + work.body.len() > self.most_held;
                 let taken = if full {
                     Err(Refused::Full)
@@ -142,9 +188,11 @@
                 self.host.taking = None;
                 match taken {
                     Ok(_) => return,
-                    Err(Refused::Full) => {
-                        (frames::THROTTLED, self.host.longest_stay_away, "too much is open")
-                    }
+                    Err(Refused::Full) => (
+                        frames::THROTTLED,
+                        self.host.longest_stay_away,
+                        "too much is open",
+                    ),
                     Err(Refused::Leaving) => {
                         self.quiet_since = None;
                         (frames::THROTTLED, 0.0, "the front end is ending")
@@ -157,7 +205,12 @@
         let ms = format!("{}", (cooldown * 1e3).ceil());
         let fields = [("cooldown", ms.as_str())];
         if let Some(client) = self.host.clients.get_mut(slot) {
-            client.answer(stream, code, if cooldown > 0.0 { &fields } else { &[] }, why.as_bytes());
+            client.answer(
+                stream,
+                code,
+                if cooldown > 0.0 { &fields } else { &[] },
+                why.as_bytes(),
+            );
         }
         self.host.touch_client(slot);
     }
@@ -176,10 +229,16 @@
         }
         let field = |name: &str| fields.iter().find(|f| f.0 == name).map(|f| f.1);
         let service = field("service").ok_or("no 'service'")?;
-        let trigger_type = self.settings.trigger_types.iter().position(|t| t == service);
+        let trigger_type = self
+            .settings
+            .trigger_types
+            .iter()
+            .position(|t| t == service);
         let trigger_type = trigger_type.ok_or("'service' names nothing that is served")?;
         let ty = &self.settings.policy.trigger_types[trigger_type];
-        let id = field("ref").filter(|id| hex(id).is_some()).ok_or("'ref' is not 16 hex digits")?;
+        let id = field("ref")
+            .filter(|id| hex(id).is_some())
+            .ok_or("'ref' is not 16 hex digits")?;
         if self.host.ids.contains(id) {
             return Err("'ref' is that of an open invocation");
         }
@@ -196,7 +255,10 @@
         let customers = &self.settings.customers;
         let customer = match field("project").filter(|_| !customers.is_empty()) {
             None => customers.len(),
-            Some(name) => customers.iter().position(|c| c == name).ok_or("'project' names no customer")?,
+            Some(name) => customers
+                .iter()
+                .position(|c| c == name)
+                .ok_or("'project' names no customer")?,
         };
         let token = field("replay");
         if token.is_some_and(|t| t.is_empty() || t.len() > LONGEST_TOKEN) {
@@ -206,13 +268,20 @@
             return Err("no 'replay', which this 'service' needs");
         }
         let (mut lanes, mut load_time) = (1.0, None);
-        for tag in field("tags").unwrap_or_default().split(';').filter(|t| !t.is_empty()) {
-            let (name, value) = tag.split_once(':').ok_or("'tags' has no form that can be read")?;
+        for tag in field("tags")
+            .unwrap_or_default()
+            .split(';')
+            .filter(|t| !t.is_empty())
+        {
+            let (name, value) = tag
+                .split_once(':')
+                .ok_or("'tags' has no form that can be read")?;
             match name {
                 "memory_mb" => _ = figure(value, 0.0, 1e7).ok_or("'memory_mb' is out of range")?,
                 "lanes" => lanes = figure(value, 1.0, 1e4).ok_or("'lanes' is out of range")?,
                 "load_ms" => {
-                    load_time = Some(figure(value, 0.0, 3.6e6).ok_or("'load_ms' is out of range")? / 1e3)
+                    load_time =
+                        Some(figure(value, 0.0, 3.6e6).ok_or("'load_ms' is out of range")? / 1e3)
                 }
                 _ => {}
             }
--- a/crates/platform/src/listing.rs
+++ b/crates/platform/src/listing.rs
@@ -16,7 +16,10 @@
         }
         if reading.confirmed {
             let fresh_at = self.resolver.view().fresh_at();
-            self.host.view = ViewStamp { serial: self.resolver.view().serial(), fresh_at };
+            self.host.view = ViewStamp {
+                serial: self.resolver.view().serial(),
+                fresh_at,
+            };
             self.engine.view_confirmed(now, fresh_at, &mut self.host);
         }
         if reading.changed {
@@ -25,7 +28,10 @@
         }
         if named != self.places.named() || left_out != self.places.left_out {
             let ((locations, kinds), left_out) = (self.places.named(), self.places.left_out);
-            warn!(locations, kinds, left_out, "lists name locations or kinds that the settings don't");
+            warn!(
+                locations,
+                kinds, left_out, "lists name locations or kinds that the settings don't"
+            );
         }
     }
 
@@ -35,24 +41,35 @@
         if std::mem::replace(&mut self.resolver.reported_quiet, quiet) != quiet {
             let age = now - self.host.view.fresh_at;
             info!(quiet, age, "the resolver");
-            let kind = if quiet { RosterKind::Failed } else { RosterKind::Delta };
+            let kind = if quiet {
+                RosterKind::Failed
+            } else {
+                RosterKind::Delta
+            };
             self.engine.roster(now, kind, &[], &mut self.host);
         }
     }
 
     /// A whole list of executors: what is not in it is gone.
     pub fn list(&mut self, now: f64, entries: Vec<Entry>) {
-        self.host.executors.values_mut().for_each(|e| e.listed = false);
+        self.host
+            .executors
+            .values_mut()
+            .for_each(|e| e.listed = false);
         let mut moved: Vec<usize> = vec![];
         let rows: Vec<RosterRow> = entries.iter().map(|e| e.row.clone()).collect();
         for entry in entries {
-            let known = self.host.executors.entry(entry.row.executor).or_insert_with(|| Executor {
-                name: entry.name,
-                address: entry.address,
-                connections: vec![],
-                listed: true,
-                reach: f64::INFINITY,
-            });
+            let known = self
+                .host
+                .executors
+                .entry(entry.row.executor)
+                .or_insert_with(|| Executor {
+                    name: entry.name,
+                    address: entry.address,
+                    connections: vec![],
+                    listed: true,
+                    reach: f64::INFINITY,
+                });
             known.listed = true;
             if known.address != entry.address {
                 known.address = entry.address;
@@ -68,11 +85,23 @@
             self.host.connections[connection].retired = true;
             self.host.touch_connection(connection);
         }
-        let ready = rows.iter().filter(|r| r.standing == Standing::Ready).count();
+        let ready = rows
+            .iter()
+            .filter(|r| r.standing == Standing::Ready)
+            .count();
         let (serial, age) = (self.resolver.view().serial(), now - self.host.view.fresh_at);
-        let youngest = rows.iter().map(|r| now - r.since).fold(f64::INFINITY, f64::min);
-        info!(executors = rows.len(), ready, serial, age, youngest, "the roster");
-        self.engine.roster(now, RosterKind::Full, &rows, &mut self.host);
-        self.host.executors.retain(|_, e| e.listed || !e.connections.is_empty());
+        let youngest = rows
+            .iter()
+            .map(|r| now - r.since)
+            .fold(f64::INFINITY, f64::min);
+        info!(
+            executors = rows.len(),
+            ready, serial, age, youngest, "the roster"
+        );
+        self.engine
+            .roster(now, RosterKind::Full, &rows, &mut self.host);
+        self.host
+            .executors
+            .retain(|_, e| e.listed || !e.connections.is_empty());
     }
 }
--- a/crates/platform/src/process_clock.rs
+++ b/crates/platform/src/process_clock.rs
@@ -5,7 +5,9 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 fn wall() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64())
 }
 
 /// Monotonic time, anchored to wall time; spans of it are real time whatever the wall clock does.
@@ -24,7 +26,11 @@
     /// Begins at a time in seconds.
     pub fn starting_at(now: f64) -> ProcessClock {
         let standstills = StandstillDetector::new(now);
-        ProcessClock { clock: Clock::new(0.0, now), began: Instant::now(), standstills }
+        ProcessClock {
+            clock: Clock::new(0.0, now),
+            began: Instant::now(),
+            standstills,
+        }
     }
 
     /// The time in seconds.
@@ -46,7 +52,8 @@
 
     /// Follows the wall clock slowly.
     pub fn follow_wall(&mut self) {
-        self.clock.anchor(self.began.elapsed().as_secs_f64(), wall());
+        self.clock
+            .anchor(self.began.elapsed().as_secs_f64(), wall());
     }
 }
 
--- a/crates/platform/src/roster.rs
+++ b/crates/platform/src/roster.rs
@@ -64,8 +64,11 @@
 }
 
 fn socket(at: SocketAddr, registry: &Registry, token: mio::Token) -> io::Result<UdpSocket> {
-    let any: IpAddr =
-        if at.is_ipv4() { Ipv4Addr::UNSPECIFIED.into() } else { std::net::Ipv6Addr::UNSPECIFIED.into() };
+    let any: IpAddr = if at.is_ipv4() {
+        Ipv4Addr::UNSPECIFIED.into()
+    } else {
+        std::net::Ipv6Addr::UNSPECIFIED.into()
+    };
     let mut socket = UdpSocket::bind(SocketAddr::new(any, 0))?;
     // What others send is not received then.
     socket.connect(at)?;
@@ -75,7 +78,11 @@
 
 impl Channel {
     fn new(at: SocketAddr, registry: &Registry, token: mio::Token) -> io::Result<Channel> {
-        Ok(Channel { socket: socket(at, registry, token)?, at, queries: VecDeque::new() })
+        Ok(Channel {
+            socket: socket(at, registry, token)?,
+            at,
+            queries: VecDeque::new(),
+        })
     }
 
     /// Asks under a new id.
@@ -94,7 +101,10 @@
 
     /// When the question with an id went out, if no answer to it was taken yet.
     fn asked_at(&self, id: u16) -> Option<f64> {
-        self.queries.iter().find(|query| query.id == id).map(|query| query.sent_at)
+        self.queries
+            .iter()
+            .find(|query| query.id == id)
+            .map(|query| query.sent_at)
     }
 
     /// An answer to the question with an id was taken.
@@ -122,7 +132,12 @@
     }
 
     /// Asks at another address from now on. The one asked so far is heard until the new one has answered.
-    pub fn turn_to(&mut self, at: SocketAddr, registry: &Registry, token: mio::Token) -> io::Result<()> {
+    pub fn turn_to(
+        &mut self,
+        at: SocketAddr,
+        registry: &Registry,
+        token: mio::Token,
+    ) -> io::Result<()> {
         let before = std::mem::replace(&mut self.now, Channel::new(at, registry, token)?);
         self.before.push_back(before);
         if self.before.len() > MOST_BEFORE {
@@ -211,7 +226,12 @@
 
 impl Reader {
     fn new(view: RosterView) -> Reader {
-        Reader { view, digest: None, log: LogBudget::default(), buffer: vec![0; LONGEST].into() }
+        Reader {
+            view,
+            digest: None,
+            log: LogBudget::default(),
+            buffer: vec![0; LONGEST].into(),
+        }
     }
 
     /// Reads what a resolver has sent, up to a bound.
--- a/crates/platform/src/sending.rs
+++ b/crates/platform/src/sending.rs
@@ -29,9 +29,15 @@
     if age > OLD_VIEW
         && let Some(left_out) = budget.admit(now)
     {
-        info!(invocation, dispatch, executor, serial, age, left_out, "a dispatch leaves on an old list");
+        info!(
+            invocation,
+            dispatch, executor, serial, age, left_out, "a dispatch leaves on an old list"
+        );
     }
-    debug!(invocation, dispatch, executor, serial, age, "a dispatch leaves");
+    debug!(
+        invocation,
+        dispatch, executor, serial, age, "a dispatch leaves"
+    );
 }
 
 impl HostState {
@@ -39,7 +45,11 @@
     pub fn read_clock(&mut self, departures: &mut dyn Departures) {
         self.now = self.clock.read().max(self.now);
         if let Some(seconds) = self.clock.take_standstill() {
-            warn!(seconds, view_age = self.now - self.view.fresh_at, "the process stood still");
+            warn!(
+                seconds,
+                view_age = self.now - self.view.fresh_at,
+                "the process stood still"
+            );
             departures.stood_still(self.now);
             self.stood_still = true;
         }
@@ -49,10 +59,15 @@
     /// be made to spread over; else one that is being made.
     pub fn connection_for(&mut self, to: ExecutorId, id: &str) -> Result<usize, Transport> {
         let executor = self.executors.get(&to).ok_or(Transport::NoConnection)?;
-        let takes = |&l: &usize| self.connections[l].takes(id, self.streams, self.now, self.idle_close);
+        let takes =
+            |&l: &usize| self.connections[l].takes(id, self.streams, self.now, self.idle_close);
         let fits = executor.connections.iter().copied().filter(takes);
         let best = fits.min_by_key(|&l| self.connections[l].rank());
-        let taking = executor.connections.iter().filter(|&&l| !self.connections[l].retired).count();
+        let taking = executor
+            .connections
+            .iter()
+            .filter(|&&l| !self.connections[l].retired)
+            .count();
         let wanted = match best {
             Some(best) if self.connections[best].is_idle() => connections::LEAST,
             Some(_) => connections::SPREAD,
@@ -60,8 +75,9 @@
         };
         let share = (self.most_connections / self.executors.len().max(1)).max(1);
         let may = taking < wanted && executor.connections.len() < share;
-        let room =
-            may && (self.connections.len() < self.most_connections || best.is_none() && self.make_room());
+        let room = may
+            && (self.connections.len() < self.most_connections
+                || best.is_none() && self.make_room());
         let begun = room.then(|| self.begin_connection(to));
         match (best, begun) {
             (Some(best), _) => Ok(best),
@@ -73,9 +89,15 @@
     /// Closes the connection that was idle for longest. Guards executors without one against never getting one
     /// where there are more of them than descriptors; could harm by a handshake for each dispatch.
     fn make_room(&mut self) -> bool {
-        let idle = self.connections.iter().filter(|(_, l)| l.connected && l.is_idle());
-        let longest = idle.min_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since)).map(|(slot, _)| slot);
-        let Some(mut connection) = longest.and_then(|slot| self.connections.try_remove(slot)) else {
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, l)| l.connected && l.is_idle());
+        let longest = idle
+            .min_by(|a, b| a.1.idle_since.total_cmp(&b.1.idle_since))
+            .map(|(slot, _)| slot);
+        let Some(mut connection) = longest.and_then(|slot| self.connections.try_remove(slot))
+        else {
             return false;
         };
         // One whose socket is gone already needs no more.
@@ -98,7 +120,8 @@
         self.registry
             .register(&mut stream, connections::token(slot), both)
             .map_err(|_| Transport::NoResource)?;
-        self.connections.insert(Connection::new(to, stream, self.now, self.connect_time));
+        self.connections
+            .insert(Connection::new(to, stream, self.now, self.connect_time));
         executor.connections.push(slot);
         Ok(slot)
     }
@@ -106,14 +129,21 @@
     /// Whether a connection to the executor that was begun before a moment stands.
     pub fn stands(&self, to: ExecutorId, before: f64) -> bool {
         let connections = self.executors.get(&to).map_or(&[][..], |e| &e.connections);
-        connections.iter().any(|&l| self.connections[l].connected && self.connections[l].begun_at < before)
+        connections
+            .iter()
+            .any(|&l| self.connections[l].connected && self.connections[l].begun_at < before)
     }
 
     /// Until when a dispatch after one that is given up now, over a connection to that executor, is held: a cancel
     /// and the next dispatch go over two connections, on which nothing keeps their order.
     pub fn note_given_up(&mut self, id: &Rc<str>, to: ExecutorId) {
-        let reach = self.executors.get(&to).map_or(0.0, |e| e.reach).min(self.connect_time);
-        self.given_up.insert(id.clone(), self.now + reach.max(self.tick));
+        let reach = self
+            .executors
+            .get(&to)
+            .map_or(0.0, |e| e.reach)
+            .min(self.connect_time);
+        self.given_up
+            .insert(id.clone(), self.now + reach.max(self.tick));
     }
 
     /// What was held back and may go now.
@@ -130,9 +160,15 @@
         };
         match self.connection_for(to, &id) {
             Ok(slot) => {
-                self.connections[slot]
-                    .open
-                    .insert(id.clone(), connections::Out { inv, dispatch, at, from: None });
+                self.connections[slot].open.insert(
+                    id.clone(),
+                    connections::Out {
+                        inv,
+                        dispatch,
+                        at,
+                        from: None,
+                    },
+                );
                 self.connections[slot].queue.push_back(Queued::Dispatch(id));
                 self.outs.insert((inv, dispatch), slot);
                 self.touch_connection(slot);
@@ -166,7 +202,9 @@
             self.outs.remove(&(out.inv, out.dispatch));
             match again && self.now < out.at + self.connect_time {
                 true => self.send(out.inv, out.dispatch, to, out.at),
-                false => self.unsent.push((out.inv, out.dispatch, Transport::NoConnection)),
+                false => self
+                    .unsent
+                    .push((out.inv, out.dispatch, Transport::NoConnection)),
             }
         }
         for tag in unwritten.orders {
@@ -189,7 +227,16 @@
     pub fn order(&mut self, to: ExecutorId, function: u64, copies: u8) {
         let tag = self.next_tag;
         self.next_tag += 1;
-        self.orders.insert(tag, Order { to, function, copies, begun: self.now, connection: usize::MAX });
+        self.orders.insert(
+            tag,
+            Order {
+                to,
+                function,
+                copies,
+                begun: self.now,
+                connection: usize::MAX,
+            },
+        );
         self.send_order(tag, to);
     }
 
@@ -198,7 +245,9 @@
     /// left, so that two are out; it could harm what else is open at an executor that is slow to read.
     fn hand_over_cancels(&mut self) {
         for slot in std::mem::take(&mut self.cancelled) {
-            let Some(connection) = self.connections.get_mut(slot) else { continue };
+            let Some(connection) = self.connections.get_mut(slot) else {
+                continue;
+            };
             let fault = match connection.socket.flush() {
                 Ok(()) if connection.socket.waiting() == 0 => continue,
                 Ok(()) => "takes no cancel".to_owned(),
@@ -213,16 +262,24 @@
     /// goes out but through here, and whether it still may is asked as its first byte leaves: a line of which the
     /// kernel took none is taken back into the queue. Guards what is bounded in time against connections that are
     /// slow to be made and executors that read nothing.
-    pub fn flush_connection(&mut self, slot: usize, departures: &mut dyn Departures) -> std::io::Result<()> {
+    pub fn flush_connection(
+        &mut self,
+        slot: usize,
+        departures: &mut dyn Departures,
+    ) -> std::io::Result<()> {
         self.read_clock(departures);
         self.hand_over_cancels();
-        let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
+        let Some(connection) = self.connections.get_mut(slot) else {
+            return Ok(());
+        };
         if connection.retired && !connection.is_cut && !connection.queue.is_empty() {
             // Nothing new goes over it; its executor may have moved, and another stand at its address.
             let (to, unwritten) = (connection.to, connection.take_unwritten());
             self.send_again(to, unwritten, true);
         }
-        let Some(connection) = self.connections.get_mut(slot) else { return Ok(()) };
+        let Some(connection) = self.connections.get_mut(slot) else {
+            return Ok(());
+        };
         if !connection.connected || connection.is_cut {
             return Ok(());
         }
@@ -241,10 +298,12 @@
                     None => break,
                     Some(Queued::Line(line)) => line,
                     Some(Queued::Order(tag)) => {
-                        let Some(order) = self.orders.get(&tag) else { continue };
+                        let Some(order) = self.orders.get(&tag) else {
+                            continue;
+                        };
                         // One that only asks loads nothing.
-                        let leaves =
-                            order.copies == 0 || departures.order_leaves(self.now, order.to, order.begun);
+                        let leaves = order.copies == 0
+                            || departures.order_leaves(self.now, order.to, order.begun);
                         if !leaves {
                             connection.orders.remove(&tag);
                             self.undone.push((tag, Transport::Withheld));
@@ -258,7 +317,9 @@
                         )
                     }
                     Some(Queued::Dispatch(id)) => {
-                        let Some(out) = connection.open.get_mut(&id) else { continue };
+                        let Some(out) = connection.open.get_mut(&id) else {
+                            continue;
+                        };
                         let (inv, dispatch) = (out.inv, out.dispatch);
                         let leaves = departures.dispatch_leaves(self.now, inv, dispatch);
                         let Some(work) = self.invocations.get(&inv).filter(|_| leaves) else {
@@ -269,7 +330,13 @@
                         };
                         out.from = Some(from);
                         let executor = self.executors.get(&connection.to).map(|e| e.name.as_str());
-                        log_dispatch(&mut self.dispatch_log, self.now, &self.view, (&id, dispatch), executor);
+                        log_dispatch(
+                            &mut self.dispatch_log,
+                            self.now,
+                            &self.view,
+                            (&id, dispatch),
+                            executor,
+                        );
                         let left = (work.timeout_at - self.now).max(0.001);
                         lines::dispatch(&lines::Dispatch {
                             id: &id,
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -49,34 +49,54 @@
 #[derive(Debug, Error)]
 pub enum Fault {
     #[error("{file}: {source}; it has to be a file that can be read")]
-    Unreadable { file: String, source: std::io::Error },
+    Unreadable {
+        file: String,
+        source: std::io::Error,
+    },
     #[error("{file}: {why}; write it whole, as one JSON object")]
     NotJson { file: String, why: String },
     #[error("{file}: key 'settings': {source}")]
-    Settings { file: String, source: orchidtally_platform_config::Fault },
+    Settings {
+        file: String,
+        source: orchidtally_platform_config::Fault,
+    },
     #[error("{file}: key 'known': {why}; write the updates as the resolver told them")]
     Known { file: String, why: String },
     #[error("{file}: key 'seed': {why}; write hex digits, 16 at the most")]
     Seed { file: String, why: String },
     #[error("{file}: key 'limits.{key}': {value} is under {least}; grant at least so much")]
-    Limit { file: String, key: &'static str, value: f64, least: f64 },
+    Limit {
+        file: String,
+        key: &'static str,
+        value: f64,
+        least: f64,
+    },
     #[error(
         "{variable} is '{told}', key '{key}' is '{written}'; make them the same, or leave the variable out"
     )]
-    Disagrees { variable: &'static str, told: String, key: &'static str, written: String },
+    Disagrees {
+        variable: &'static str,
+        told: String,
+        key: &'static str,
+        written: String,
+    },
 }
 
 /// Reads the file whole; a fault names it and the key.
 pub fn read(path: &Path) -> Result<Start, Fault> {
     let file = path.display().to_string();
-    let text = std::fs::read(path).map_err(|source| Fault::Unreadable { file: file.clone(), source })?;
+    let text = std::fs::read(path).map_err(|source| Fault::Unreadable {
+        file: file.clone(),
+        source,
+    })?;
     parse(&file, &text)
 }
 
 /// The same at a start, where there is no earlier file to go on with: a read that fails for want of something on this
 /// machine is tried again for a while.
 pub fn read_at_start(path: &Path) -> Result<Start, Fault> {
-    let may_pass = |fault: &Fault| matches!(fault, Fault::Unreadable { source, .. } if is_own_fault(source));
+    let may_pass =
+        |fault: &Fault| matches!(fault, Fault::Unreadable { source, .. } if is_own_fault(source));
     for _ in 1..START_TRIES {
         match read(path) {
             Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
@@ -88,18 +108,32 @@
 
 pub(crate) fn parse(file: &str, text: &[u8]) -> Result<Start, Fault> {
     let file = || file.to_owned();
-    let written: StartFile =
-        serde_json::from_slice(text).map_err(|e| Fault::NotJson { file: file(), why: e.to_string() })?;
-    let settings = orchidtally_platform_config::front_end_settings(&written.settings)
-        .map_err(|source| Fault::Settings { file: file(), source })?;
+    let written: StartFile = serde_json::from_slice(text).map_err(|e| Fault::NotJson {
+        file: file(),
+        why: e.to_string(),
+    })?;
+    let settings =
+        orchidtally_platform_config::front_end_settings(&written.settings).map_err(|source| {
+            Fault::Settings {
+                file: file(),
+                source,
+            }
+        })?;
     let mut places = Places::new(settings.zones.clone(), settings.kinds.clone());
     let (serial, known) = orchidtally_resolver::known(&written.known, &mut places)
         .map_err(|why| Fault::Known { file: file(), why })?;
-    let seed = u64::from_str_radix(&written.seed, 16)
-        .map_err(|e| Fault::Seed { file: file(), why: e.to_string() })?;
+    let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| Fault::Seed {
+        file: file(),
+        why: e.to_string(),
+    })?;
     let least = |value: f64, least: f64, key| match value >= least {
         true => Ok(value as usize),
-        false => Err(Fault::Limit { file: file(), key, value, least }),
+        false => Err(Fault::Limit {
+            file: file(),
+            key,
+            value,
+            least,
+        }),
     };
     Ok(Start {
         name: written.name,
@@ -119,7 +153,12 @@
     /// The environment tells some of it too; it has to tell the same.
     pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), Fault> {
         let disagrees = |variable, told: &str, key, written| {
-            Err(Fault::Disagrees { variable, told: told.to_owned(), key, written })
+            Err(Fault::Disagrees {
+                variable,
+                told: told.to_owned(),
+                key,
+                written,
+            })
         };
         if let Some(told) = name.filter(|&n| n != self.name) {
             return disagrees("LB_NAME", told, "name", self.name.clone());
--- a/crates/platform/src/tests/clients.rs
+++ b/crates/platform/src/tests/clients.rs
@@ -7,10 +7,16 @@
 /// Gives a client more to read than its socket takes.
 fn fill(stage: &mut Stage, slot: usize) {
     let filler = vec![0; 16 << 20];
-    stage.front.host.clients[slot].socket.out().extend_from_slice(&filler);
+    stage.front.host.clients[slot]
+        .socket
+        .out()
+        .extend_from_slice(&filler);
     stage.front.host.touch_client(slot);
     stage.turn();
-    assert!(stage.front.host.clients[slot].socket.waiting() > crate::clients::BACKLOG, "it reads nothing");
+    assert!(
+        stage.front.host.clients[slot].socket.waiting() > crate::clients::BACKLOG,
+        "it reads nothing"
+    );
 }
 
 /// A client with unread answers was not read, so that nobody saw it leave for 3 s.
@@ -44,8 +50,12 @@
     let mut stage = Stage::new(1, 128, |_| {});
     let mut client = stage.client();
     fill(&mut stage, 0);
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
-    client.write_all(&invocation(2, &id(2), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
+    client
+        .write_all(&invocation(2, &id(2), "read"))
+        .expect("it stands");
     stage.until("read", |s| s.front.host.clients[0].pending.len() == 2);
     let mut frame = vec![];
     frames::put(&mut frame, frames::WITHDRAW, 1, None, None, &[]);
@@ -71,9 +81,17 @@
     let mut client = stage.client();
     fill(&mut stage, 0);
     for n in 1..=40 {
-        client.write_all(&invocation(n, &id(n.into()), "read")).expect("it stands");
+        client
+            .write_all(&invocation(n, &id(n.into()), "read"))
+            .expect("it stands");
     }
-    stage.until("ended", |s| s.front.host.clients.get(0).is_none_or(|c| c.ending.is_some()));
+    stage.until("ended", |s| {
+        s.front
+            .host
+            .clients
+            .get(0)
+            .is_none_or(|c| c.ending.is_some())
+    });
     assert_eq!(stage.front.engine.open(), 0);
 }
 
@@ -90,7 +108,10 @@
         heard.1 = end;
         end.is_some()
     });
-    assert_eq!(heard, (vec![(frames::ANSWER, 0, frames::ERRORED)], Some(Ok(()))));
+    assert_eq!(
+        heard,
+        (vec![(frames::ANSWER, 0, frames::ERRORED)], Some(Ok(())))
+    );
     // What it sends after that resets nothing, and it is let go of.
     client.write_all(&[0xff; 1024]).expect("it is read over");
     stage.until("closed", |s| s.front.host.clients.is_empty());
@@ -106,7 +127,11 @@
     client.write_all(&[0xff; 16]).expect("it stands");
     let begun = Instant::now();
     stage.until("cancelled", |s| s.peers[x].lines("UNDO", &id(1)) == [end]);
-    assert!(begun.elapsed() < Duration::from_secs(2), "{:?}", begun.elapsed());
+    assert!(
+        begun.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        begun.elapsed()
+    );
 }
 
 /// Its invocation had come, and nobody had read it yet, when its connection was taken for the longest idle.
@@ -114,8 +139,12 @@
 fn a_connection_with_an_invocation_in_it_does_not_make_way_as_idle() {
     let mut stage = Stage::new(1, 48, |_| {});
     let mut first = stage.client();
-    let rest: Vec<TcpStream> = (1..stage.front.most_clients).map(|_| stage.client()).collect();
-    first.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    let rest: Vec<TcpStream> = (1..stage.front.most_clients)
+        .map(|_| stage.client())
+        .collect();
+    first
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     // The listener comes before the client in this turn.
     let one_more = TcpStream::connect(stage.at).expect("it listens");
     let now = stage.front.now();
@@ -134,8 +163,9 @@
     let (x, end) = stage.out(&mut usual, 1, "read");
     stage.peers[x].say(end, "DONE", &id(1));
     stage.until("answered", |_| !got(&mut usual).0.is_empty());
-    let silent: Vec<TcpStream> =
-        (0..100).map(|_| TcpStream::connect(stage.at).expect("it listens")).collect();
+    let silent: Vec<TcpStream> = (0..100)
+        .map(|_| TcpStream::connect(stage.at).expect("it listens"))
+        .collect();
     stage.until("taken", |s| s.front.counts.accepted == 101);
     assert_eq!(got(&mut usual), (vec![], None), "it stands");
     drop(silent);
@@ -148,12 +178,15 @@
     let mut busy = vec![];
     for n in 0..stage.front.most_clients as u64 {
         let mut client = stage.client();
-        client.write_all(&invocation(1, &id(n + 1), "read")).expect("it stands");
+        client
+            .write_all(&invocation(1, &id(n + 1), "read"))
+            .expect("it stands");
         stage.until("taken", |s| s.front.engine.open() as u64 == n + 1);
         busy.push(client);
     }
     let mut new = stage.client();
-    new.write_all(&invocation(1, &id(99), "read")).expect("it stands");
+    new.write_all(&invocation(1, &id(99), "read"))
+        .expect("it stands");
     let mut ready = vec![];
     frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
     new.write_all(&ready).expect("it stands");
@@ -165,7 +198,13 @@
         end.is_some()
     });
     heard.0.sort();
-    assert_eq!(heard.0, [(frames::READY, 0, frames::IS_READY), (frames::ANSWER, 1, frames::THROTTLED)]);
+    assert_eq!(
+        heard.0,
+        [
+            (frames::READY, 0, frames::IS_READY),
+            (frames::ANSWER, 1, frames::THROTTLED)
+        ]
+    );
     assert_eq!(heard.1, Some(Ok(())));
     for client in &mut busy {
         assert_eq!(got(client), (vec![], None), "who is busy stays");
@@ -191,6 +230,13 @@
         }
         codes.last() == Some(&frames::IS_READY)
     });
-    assert!(begun.elapsed() < Duration::from_secs(10), "{:?}", begun.elapsed());
-    assert_eq!((codes[0], codes.last()), (frames::NOT_READY, Some(&frames::IS_READY)));
+    assert!(
+        begun.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        begun.elapsed()
+    );
+    assert_eq!(
+        (codes[0], codes.last()),
+        (frames::NOT_READY, Some(&frames::IS_READY))
+    );
 }
--- a/crates/platform/src/tests/connection.rs
+++ b/crates/platform/src/tests/connection.rs
@@ -19,7 +19,15 @@
 
 fn put(connection: &mut Connection, id: &str, from: Option<u64>) -> Rc<str> {
     let id: Rc<str> = id.into();
-    connection.open.insert(id.clone(), Out { inv: 1, dispatch: 0, at: 1.0, from });
+    connection.open.insert(
+        id.clone(),
+        Out {
+            inv: 1,
+            dispatch: 0,
+            at: 1.0,
+            from,
+        },
+    );
     id
 }
 
@@ -51,8 +59,12 @@
         (connection(), connection(), connection(), connection());
     (late.idle_since, idle.idle_since, begun.connected) = (5.0, 1.0, false);
     put(&mut busy, "a", Some(0));
-    let mut all =
-        [("begun", begun.rank()), ("busy", busy.rank()), ("idle", idle.rank()), ("late", late.rank())];
+    let mut all = [
+        ("begun", begun.rank()),
+        ("busy", busy.rank()),
+        ("idle", idle.rank()),
+        ("late", late.rank()),
+    ];
     all.sort_by_key(|r| r.1);
     assert_eq!(all.map(|r| r.0), ["late", "idle", "busy", "begun"]);
 }
@@ -62,13 +74,24 @@
     let (mut connection, _peer) = connection();
     put(&mut connection, "a", Some(0));
     put(&mut connection, "b", Some(9));
-    connection.open.values_mut().filter(|o| o.from == Some(9)).for_each(|o| o.at = 2.0);
+    connection
+        .open
+        .values_mut()
+        .filter(|o| o.from == Some(9))
+        .for_each(|o| o.at = 2.0);
     let verdicts = |connection: &Connection, seen| {
-        connection.verdicts(seen).map(|(o, v)| (o.from, v)).collect::<Vec<_>>()
+        connection
+            .verdicts(seen)
+            .map(|(o, v)| (o.from, v))
+            .collect::<Vec<_>>()
     };
     let at_fault = [(Some(0), Transport::Malformed), (Some(9), Transport::Cut)];
     let lost = [(Some(0), Transport::Cut), (Some(9), Transport::Cut)];
-    assert_eq!(verdicts(&connection, Transport::Broken), at_fault, "nothing ever came");
+    assert_eq!(
+        verdicts(&connection, Transport::Broken),
+        at_fault,
+        "nothing ever came"
+    );
     connection.answered = true;
     assert_eq!(verdicts(&connection, Transport::Broken), lost);
     assert_eq!(verdicts(&connection, Transport::Malformed), at_fault);
@@ -85,14 +108,24 @@
     peer.read_exact(&mut there).expect("it came");
     assert_eq!(&there, b"first\n");
     connection.connected = false;
-    assert!(connection.is_unwritten(Some(0)), "without a connection nothing is");
+    assert!(
+        connection.is_unwritten(Some(0)),
+        "without a connection nothing is"
+    );
 }
 
 #[test]
 fn half_a_line_and_idleness_end_a_connection_and_work_does_not() {
     let (mut connection, _peer) = connection();
-    assert_eq!(connection.overdue(13.0, 15.0), None, "one in use every ten seconds or so is kept");
-    assert_eq!(connection.overdue(14.0, 15.0), Some((Transport::Broken, "idle")));
+    assert_eq!(
+        connection.overdue(13.0, 15.0),
+        None,
+        "one in use every ten seconds or so is kept"
+    );
+    assert_eq!(
+        connection.overdue(14.0, 15.0),
+        Some((Transport::Broken, "idle"))
+    );
     put(&mut connection, "a", Some(0));
     assert_eq!(connection.overdue(100.0, 15.0), None);
     connection.decoder.push(b"{\"t\":");
@@ -100,7 +133,10 @@
     assert_eq!(connection.overdue(100.4, 15.0), None);
     connection.decoder.push(b"\"DO");
     connection.heard(100.4);
-    assert!(connection.overdue(100.6, 15.0).is_some(), "the time runs from its first byte");
+    assert!(
+        connection.overdue(100.6, 15.0).is_some(),
+        "the time runs from its first byte"
+    );
     connection.connected = false;
     assert_eq!(connection.overdue(0.2, 15.0), None);
     assert!(connection.overdue(0.3, 15.0).is_some());
--- a/crates/platform/src/tests/gone.rs
+++ b/crates/platform/src/tests/gone.rs
@@ -4,7 +4,11 @@
 use std::net::Shutdown;
 
 fn all_dispatches(stage: &mut Stage) -> usize {
-    stage.peers.iter_mut().map(|p| p.lines("DO", "").len()).sum()
+    stage
+        .peers
+        .iter_mut()
+        .map(|p| p.lines("DO", "").len())
+        .sum()
 }
 
 /// The client has gone: whatever happens for a while, nothing more is dispatched or ordered for it.
@@ -17,7 +21,14 @@
     assert_eq!(all_dispatches(stage), before);
     assert_eq!(stage.front.engine.open(), 0);
     assert!(stage.front.host.invocations.is_empty() && stage.front.host.held.is_empty());
-    assert!(stage.front.host.connections.iter().all(|(_, l)| l.queue.is_empty() && l.open.is_empty()));
+    assert!(
+        stage
+            .front
+            .host
+            .connections
+            .iter()
+            .all(|(_, l)| l.queue.is_empty() && l.open.is_empty())
+    );
 }
 
 fn without_orders(s: &mut Value) {
@@ -28,8 +39,12 @@
 fn while_it_waits_for_a_load() {
     let mut stage = Stage::new(2, 128, |_| {});
     let mut client = stage.client();
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
-    stage.until("ordered", |s| s.peers.iter_mut().any(|p| !p.lines("PIN", "").is_empty()));
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
+    stage.until("ordered", |s| {
+        s.peers.iter_mut().any(|p| !p.lines("PIN", "").is_empty())
+    });
     drop(client);
     stage.until("gone", |s| s.front.host.clients.is_empty());
     nothing_begins(&mut stage, 0);
@@ -39,9 +54,15 @@
 fn while_its_dispatch_is_queued_on_a_connection_being_made() {
     let mut stage = Stage::new(2, 128, without_orders);
     let mut client = stage.client();
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     stage.until("queued", |s| {
-        s.front.host.connections.iter().any(|(_, l)| !l.connected && !l.queue.is_empty())
+        s.front
+            .host
+            .connections
+            .iter()
+            .any(|(_, l)| !l.connected && !l.queue.is_empty())
     });
     // Its end is read before the connection is seen to stand.
     client.shutdown(Shutdown::Write).expect("it stands");
@@ -117,7 +138,9 @@
         let mut stage = Stage::new(1, 128, without_orders);
         let mut client = stage.client();
         let (x, end) = stage.out(&mut client, 1, "read");
-        client.write_all(&invocation(2, &id(2), "read")[..30]).expect("it stands");
+        client
+            .write_all(&invocation(2, &id(2), "read")[..30])
+            .expect("it stands");
         if resets {
             orchidtally_net::break_on_close(&client);
         }
@@ -143,6 +166,9 @@
         stage.turn();
         heard.extend(got(&mut client).0);
     }
-    assert!(heard.is_empty() || heard == [(frames::ANSWER, 1, frames::SUCCEEDED)], "{heard:?}");
+    assert!(
+        heard.is_empty() || heard == [(frames::ANSWER, 1, frames::SUCCEEDED)],
+        "{heard:?}"
+    );
     nothing_begins(&mut stage, 1);
 }
