--- a/crates/platform/src/tests/host_state.rs
+++ b/crates/platform/src/tests/host_state.rs
@@ -18,20 +18,39 @@
 /// A host's state with some executors, each reached over one connection that stands, and the executors' ends of these.
 fn set(executors: usize) -> (HostState, Vec<ExecutorId>, Vec<std::net::TcpStream>) {
     let settings = serde_json::from_str(SETTINGS).expect("it is JSON");
-    let settings = orchidtally_platform_config::front_end_settings(&settings).expect("they are sound");
+    let settings =
+        orchidtally_platform_config::front_end_settings(&settings).expect("they are sound");
     let poll = mio::Poll::new().expect("a poll");
-    let mut host = HostState::new(0.0, poll.registry().try_clone().expect("it can be"), &settings, executors);
+    let mut host = HostState::new(
+        0.0,
+        poll.registry().try_clone().expect("it can be"),
+        &settings,
+        executors,
+    );
     let mut ends = vec![];
     let mut ids = vec![];
     for n in 0..executors {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (name, address) = (format!("s-{n}"), listener.local_addr().expect("it is bound"));
+        let (name, address) = (
+            format!("s-{n}"),
+            listener.local_addr().expect("it is bound"),
+        );
         let id = orchidtally_resolver::id(&name);
-        host.executors
-            .insert(id, Executor { name, address, connections: vec![], listed: true, reach: f64::INFINITY });
+        host.executors.insert(
+            id,
+            Executor {
+                name,
+                address,
+                connections: vec![],
+                listed: true,
+                reach: f64::INFINITY,
+            },
+        );
         let slot = host.connection_for(id, "").expect("there is room");
         ends.push(listener.accept().expect("it comes").0);
-        ends[n].set_read_timeout(Some(Duration::from_millis(200))).expect("a time");
+        ends[n]
+            .set_read_timeout(Some(Duration::from_millis(200)))
+            .expect("a time");
         host.connections[slot].connected = true;
         host.executors.get_mut(&id).expect("it is known").reach = 0.001;
         ids.push(id);
@@ -75,7 +94,13 @@
 }
 
 fn flush(host: &mut HostState) {
-    flush_by(host, &mut Gate { open: true, asked: 0 });
+    flush_by(
+        host,
+        &mut Gate {
+            open: true,
+            asked: 0,
+        },
+    );
 }
 
 fn flush_by(host: &mut HostState, gate: &mut Gate) {
@@ -101,17 +126,28 @@
     host.dispatch(0, 0, ids[0], 3.0);
     host.dispatch(1, 0, ids[1], 3.0);
     flush(&mut host);
-    ends.iter_mut().for_each(|end| assert!(come(end).contains("DO")));
+    ends.iter_mut()
+        .for_each(|end| assert!(come(end).contains("DO")));
     for inv in 0..2 {
         host.cancel(inv, 0);
         host.dispatch(inv, 1, ids[1 - inv as usize], 3.0);
     }
     let first = host.dirty_connections.remove(0);
     host.connections[first].dirty = false;
-    host.flush_connection(first, &mut Gate { open: true, asked: 0 }).expect("it is taken");
+    host.flush_connection(
+        first,
+        &mut Gate {
+            open: true,
+            asked: 0,
+        },
+    )
+    .expect("it is taken");
     for end in &mut ends {
         let line = come(end);
-        assert!(line.contains("UNDO") && !line.contains(r#""DO""#), "the cancel alone: {line}");
+        assert!(
+            line.contains("UNDO") && !line.contains(r#""DO""#),
+            "the cancel alone: {line}"
+        );
     }
     flush(&mut host);
     // It waits for a moment from the next turn on.
@@ -119,7 +155,8 @@
         host.now = now;
         host.release();
         flush(&mut host);
-        ends.iter_mut().for_each(|end| assert_eq!(come(end).contains(r#""DO""#), there, "at {now}"));
+        ends.iter_mut()
+            .for_each(|end| assert_eq!(come(end).contains(r#""DO""#), there, "at {now}"));
     }
 }
 
@@ -158,10 +195,22 @@
     host.cancel(0, 0);
     host.dispatch(0, 1, ids[1], 3.0);
     let elsewhere = host.executors[&ids[1]].connections[0];
-    host.flush_connection(elsewhere, &mut Gate { open: true, asked: 0 }).expect("it is taken");
-    assert!(host.connections[slot].is_cut && host.cut.len() == 1, "to be dissolved");
+    host.flush_connection(
+        elsewhere,
+        &mut Gate {
+            open: true,
+            asked: 0,
+        },
+    )
+    .expect("it is taken");
+    assert!(
+        host.connections[slot].is_cut && host.cut.len() == 1,
+        "to be dissolved"
+    );
     let mut rest = vec![];
-    ends[0].read_to_end(&mut rest).expect("an end, not a silence");
+    ends[0]
+        .read_to_end(&mut rest)
+        .expect("an end, not a silence");
     assert!(!rest.is_empty());
 }
 
@@ -179,19 +228,27 @@
         host.invocations.get_mut(&inv).expect("it is open").body = vec![7; 16 * 1024];
         host.dispatch(inv, 0, ids[0], 3.0);
     }
-    let mut gate = Gate { open: true, asked: 0 };
+    let mut gate = Gate {
+        open: true,
+        asked: 0,
+    };
     let mut bytes = vec![0; 20 * 1024];
     let mut stuck = 0;
     while !host.connections[slot].queue.is_empty() {
         ends[0].read_exact(&mut bytes).expect("there is more");
         host.flush_connection(slot, &mut gate).expect("it is taken");
         let connection = &host.connections[slot];
-        let begun =
-            |o: &crate::connections::Out| o.from.is_none_or(|from| from < connection.socket.written());
+        let begun = |o: &crate::connections::Out| {
+            o.from.is_none_or(|from| from < connection.socket.written())
+        };
         assert!(connection.open.values().all(begun));
         stuck += usize::from(connection.socket.waiting() > 0);
     }
-    assert!(stuck > 0 && gate.asked > 30, "lines were taken back and asked about again: {}", gate.asked);
+    assert!(
+        stuck > 0 && gate.asked > 30,
+        "lines were taken back and asked about again: {}",
+        gate.asked
+    );
 }
 
 /// An executor that is far: its cancel is under way for longer than a tick, and the next dispatch may be faster.
--- a/crates/platform/src/tests/leaving.rs
+++ b/crates/platform/src/tests/leaving.rs
@@ -32,20 +32,30 @@
         over
     });
     answers.extend(got(&mut client).0);
-    assert_eq!(answers, [(frames::NO_MORE, 0, 0), (frames::ANSWER, 1, frames::THROTTLED)]);
+    assert_eq!(
+        answers,
+        [
+            (frames::NO_MORE, 0, 0),
+            (frames::ANSWER, 1, frames::THROTTLED)
+        ]
+    );
 }
 
 /// Nearly as many as can wait, all since the last look: each is told, none is reset with the listener.
 #[test]
 fn all_that_wait_to_be_accepted_are_told_of_the_end() {
     let mut stage = Stage::new(1, 512, |_| {});
-    let mut waiting: Vec<TcpStream> =
-        (0..100).map(|_| TcpStream::connect(stage.at).expect("it listens")).collect();
+    let mut waiting: Vec<TcpStream> = (0..100)
+        .map(|_| TcpStream::connect(stage.at).expect("it listens"))
+        .collect();
     told_to_end(&mut stage);
     let now = stage.front.now();
     stage.front.stop_taking(now);
     stage.front.settle(now);
-    assert_eq!((stage.front.counts.accepted, stage.front.listener.is_none()), (100, true));
+    assert_eq!(
+        (stage.front.counts.accepted, stage.front.listener.is_none()),
+        (100, true)
+    );
     for client in &mut waiting {
         client.set_nonblocking(true).expect("it can be");
         assert_eq!(got(client), (vec![(frames::NO_MORE, 0, 0)], None));
@@ -60,11 +70,19 @@
     told_to_end(&mut stage);
     stage.until("quiet", |s| s.front.quiet_since.is_some());
     // The look at whether it is over comes after this turn's reading.
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     stage.front.quiet_since = Some(f64::NEG_INFINITY);
     let now = stage.front.now();
     assert!(!stage.front.is_over(now));
-    assert_eq!(got(&mut client).0, [(frames::NO_MORE, 0, 0), (frames::ANSWER, 1, frames::THROTTLED)]);
+    assert_eq!(
+        got(&mut client).0,
+        [
+            (frames::NO_MORE, 0, 0),
+            (frames::ANSWER, 1, frames::THROTTLED)
+        ]
+    );
 }
 
 /// A client that never reads does not hold the process for longer than the longest client timeout.
@@ -89,20 +107,38 @@
 fn what_is_open_at_the_end_is_answered_before_the_process_may_be_killed() {
     let mut stage = Stage::new(2, 128, |_| {});
     let mut client = stage.client();
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     let (x, end) = stage.dispatched(&id(1));
     told_to_end(&mut stage);
     stage.until("closed", |s| s.front.listener.is_none());
     let since = stage.front.leaving_since.expect("it was told");
-    let by = stage.front.host.invocations.values().map(|w| w.timeout_at).fold(0.0, f64::max);
-    assert!(by > since + 3.0 && by < since + 3.7, "{} s after SIGTERM", by - since);
+    let by = stage
+        .front
+        .host
+        .invocations
+        .values()
+        .map(|w| w.timeout_at)
+        .fold(0.0, f64::max);
+    assert!(
+        by > since + 3.0 && by < since + 3.7,
+        "{} s after SIGTERM",
+        by - since
+    );
     let mut answers = vec![];
     stage.until("answered", |_| {
         answers.extend(got(&mut client).0);
         answers.len() > 1
     });
     // The executor never answered; it may be repeated, so that its client is told so.
-    assert_eq!(answers, [(frames::NO_MORE, 0, 0), (frames::ANSWER, 1, frames::THROTTLED)]);
+    assert_eq!(
+        answers,
+        [
+            (frames::NO_MORE, 0, 0),
+            (frames::ANSWER, 1, frames::THROTTLED)
+        ]
+    );
     assert_eq!(stage.peers[x].lines("UNDO", &id(1)), [end]);
     stage.until("over", Stage::turn);
 }
--- a/crates/platform/src/tests/mod.rs
+++ b/crates/platform/src/tests/mod.rs
@@ -30,7 +30,13 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("it can be");
         let at = listener.local_addr().expect("it is bound");
-        Peer { name: format!("s-{n}"), at, listener, ends: vec![], orders: 0 }
+        Peer {
+            name: format!("s-{n}"),
+            at,
+            listener,
+            ends: vec![],
+            orders: 0,
+        }
     }
 
     /// Reads what has come by now.
@@ -64,7 +70,10 @@
 
     pub fn say(&mut self, end: usize, word: &str, id: &str) {
         let line = json!({"t": word, "i": id, "f": {"tell": "warm"}, "b": ""}).to_string() + "\n";
-        self.ends[end].0.write_all(line.as_bytes()).expect("it stands");
+        self.ends[end]
+            .0
+            .write_all(line.as_bytes())
+            .expect("it stands");
     }
 }
 
@@ -102,7 +111,9 @@
     pub fn new(executors: usize, sockets: usize, change: impl FnOnce(&mut Value)) -> Stage {
         let peers: Vec<Peer> = (0..executors).map(Peer::new).collect();
         let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let at = std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let at = std::net::TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a port");
         let host = |p: &Peer| {
             json!({"host": p.name, "dial": p.at, "site": "east", "class": "std", "block": 1, "health": "SERVING",
                 "share": 4, "born_ms": 0})
@@ -116,8 +127,15 @@
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
         });
         let start = crate::start::parse("told", told.to_string().as_bytes()).expect("it is sound");
-        let front = Front::new(start, PathBuf::new(), Poll::new().expect("a poll")).expect("it starts");
-        Stage { front, events: Events::with_capacity(1024), peers, _resolver: resolver, at }
+        let front =
+            Front::new(start, PathBuf::new(), Poll::new().expect("a poll")).expect("it starts");
+        Stage {
+            front,
+            events: Events::with_capacity(1024),
+            peers,
+            _resolver: resolver,
+            at,
+        }
     }
 
     /// Tells whether the front end has ended.
@@ -144,7 +162,9 @@
 
     /// Sends an invocation and turns until an executor has its dispatch; tells which, and over which connection.
     pub fn out(&mut self, client: &mut TcpStream, n: u64, service: &str) -> (usize, usize) {
-        client.write_all(&invocation(n as u32, &id(n), service)).expect("it stands");
+        client
+            .write_all(&invocation(n as u32, &id(n), service))
+            .expect("it stands");
         self.dispatched(&id(n))
     }
 
@@ -163,14 +183,26 @@
     pub fn load_all(&mut self) {
         for peer in &mut self.peers {
             peer.read();
-            for (end, come) in peer.ends.iter_mut().filter(|(_, come)| come.ends_with('\n')) {
-                let orders: Vec<String> =
-                    come.lines().filter(|l| l.contains(r#""PIN""#)).map(str::to_owned).collect();
-                *come = come.lines().filter(|l| !l.contains(r#""PIN""#)).map(|l| format!("{l}\n")).collect();
+            for (end, come) in peer
+                .ends
+                .iter_mut()
+                .filter(|(_, come)| come.ends_with('\n'))
+            {
+                let orders: Vec<String> = come
+                    .lines()
+                    .filter(|l| l.contains(r#""PIN""#))
+                    .map(str::to_owned)
+                    .collect();
+                *come = come
+                    .lines()
+                    .filter(|l| !l.contains(r#""PIN""#))
+                    .map(|l| format!("{l}\n"))
+                    .collect();
                 peer.orders += orders.len();
                 for order in orders {
                     let order: Value = serde_json::from_str(&order).expect("a line");
-                    let answer = json!({"t": "DONE", "i": order["i"], "f": {"count": 1}}).to_string() + "\n";
+                    let answer =
+                        json!({"t": "DONE", "i": order["i"], "f": {"count": 1}}).to_string() + "\n";
                     end.write_all(answer.as_bytes()).expect("it stands");
                 }
             }
@@ -183,7 +215,15 @@
             let name = self.peers[x].name.clone();
             let executor = orchidtally_resolver::id(&name);
             let since = f64::NEG_INFINITY;
-            let row = RosterRow { executor, zone: 0, kind: 0, cell: 1, standing, weight: 4.0, since };
+            let row = RosterRow {
+                executor,
+                zone: 0,
+                kind: 0,
+                cell: 1,
+                standing,
+                weight: 4.0,
+                since,
+            };
             orchidtally_resolver::Entry { row, name, address }
         };
         let entries = rows.iter().map(entry).collect();
@@ -203,7 +243,14 @@
         ("tags", "memory_mb:512;lanes:8;load_ms:20"),
     ];
     let mut out = vec![];
-    frames::put(&mut out, frames::INVOKE, stream, None, Some(&fields), b"body");
+    frames::put(
+        &mut out,
+        frames::INVOKE,
+        stream,
+        None,
+        Some(&fields),
+        b"body",
+    );
     out
 }
 
@@ -225,7 +272,11 @@
     decoder.push(&all);
     let mut found = vec![];
     while let Ok(Some(frame)) = decoder.read() {
-        let code = frame.payload.and_then(|p| p.first()).copied().unwrap_or_default();
+        let code = frame
+            .payload
+            .and_then(|p| p.first())
+            .copied()
+            .unwrap_or_default();
         found.push((frame.kind, frame.stream, code));
     }
     (found, end)
--- a/crates/platform/src/tests/on_the_way.rs
+++ b/crates/platform/src/tests/on_the_way.rs
@@ -5,19 +5,32 @@
 
 /// Sends an invocation and turns until its dispatch, or its order, is queued on a connection that is being made.
 fn queued(stage: &mut Stage, client: &mut TcpStream) -> ExecutorId {
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     let connections = |s: &Stage| {
-        s.front.host.connections.iter().find(|(_, l)| !l.connected).map(|(_, l)| (l.to, l.queue.len()))
+        s.front
+            .host
+            .connections
+            .iter()
+            .find(|(_, l)| !l.connected)
+            .map(|(_, l)| (l.to, l.queue.len()))
     };
-    stage.until("queued", |s| connections(s).is_some_and(|(_, queued)| queued > 0));
+    stage.until("queued", |s| {
+        connections(s).is_some_and(|(_, queued)| queued > 0)
+    });
     connections(stage).expect("it is there").0
 }
 
 /// An executor is known to serve the function.
 fn warm(executors: usize) -> (Stage, TcpStream) {
-    let mut stage = Stage::new(executors, 128, |s| s["specifics"]["loadControl"] = false.into());
+    let mut stage = Stage::new(executors, 128, |s| {
+        s["specifics"]["loadControl"] = false.into()
+    });
     let mut client = stage.client();
-    client.write_all(&invocation(1, &id(100), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(100), "read"))
+        .expect("it stands");
     let (x, end) = stage.dispatched(&id(100));
     stage.peers[x].say(end, "DONE", &id(100));
     stage.until("answered", |_| !got(&mut client).0.is_empty());
@@ -25,7 +38,11 @@
 }
 
 fn number(stage: &Stage, to: ExecutorId) -> usize {
-    stage.peers.iter().position(|p| orchidtally_resolver::id(&p.name) == to).expect("it is one of them")
+    stage
+        .peers
+        .iter()
+        .position(|p| orchidtally_resolver::id(&p.name) == to)
+        .expect("it is one of them")
 }
 
 /// What was allowed when it was decided left for an executor told draining by then, as long as its connection took
@@ -36,7 +53,10 @@
     let mut client = stage.client();
     let first = queued(&mut stage, &mut client);
     let x = number(&stage, first);
-    let all = [(x, Draining, stage.peers[x].at), (1 - x, Ready, stage.peers[1 - x].at)];
+    let all = [
+        (x, Draining, stage.peers[x].at),
+        (1 - x, Ready, stage.peers[1 - x].at),
+    ];
     stage.list(&all);
     let (there, _) = stage.dispatched(&id(1));
     assert_eq!(there, 1 - x);
@@ -51,7 +71,10 @@
     let mut client = stage.client();
     let first = queued(&mut stage, &mut client);
     let x = number(&stage, first);
-    let all = [(x, Draining, stage.peers[x].at), (1 - x, Ready, stage.peers[1 - x].at)];
+    let all = [
+        (x, Draining, stage.peers[x].at),
+        (1 - x, Ready, stage.peers[1 - x].at),
+    ];
     stage.list(&all);
     assert_eq!(stage.dispatched(&id(1)).0, 1 - x);
     assert!(stage.peers[x].lines("DO", "").is_empty());
@@ -65,7 +88,10 @@
     let first = queued(&mut stage, &mut client);
     let x = number(&stage, first);
     // The other stands at the first one's address from now on, and the other way round.
-    let all = [(x, Ready, stage.peers[1 - x].at), (1 - x, Ready, stage.peers[x].at)];
+    let all = [
+        (x, Ready, stage.peers[1 - x].at),
+        (1 - x, Ready, stage.peers[x].at),
+    ];
     stage.list(&all);
     let (there, _) = stage.dispatched(&id(1));
     assert_eq!(there, 1 - x, "the peer at its new address");
@@ -76,7 +102,15 @@
 #[test]
 fn what_the_kernel_does_not_take_is_asked_about_again_as_it_leaves() {
     let (mut stage, mut client) = warm(2);
-    let to = stage.front.host.connections.iter().next().expect("one that stands").1.to;
+    let to = stage
+        .front
+        .host
+        .connections
+        .iter()
+        .next()
+        .expect("one that stands")
+        .1
+        .to;
     let x = number(&stage, to);
     // Nobody reads there until the kernel takes no byte more.
     for slot in stage.front.host.executors[&to].connections.clone() {
@@ -86,9 +120,14 @@
             socket.flush().expect("it stands");
         }
     }
-    client.write_all(&invocation(2, &id(2), "read")).expect("it stands");
+    client
+        .write_all(&invocation(2, &id(2), "read"))
+        .expect("it stands");
     stage.until("queued", |s| s.front.engine.tally().dispatches == 2);
-    let all = [(x, Draining, stage.peers[x].at), (1 - x, Ready, stage.peers[1 - x].at)];
+    let all = [
+        (x, Draining, stage.peers[x].at),
+        (1 - x, Ready, stage.peers[1 - x].at),
+    ];
     stage.list(&all);
     // It reads again; the invocation goes to the other.
     assert_eq!(stage.dispatched(&id(2)).0, 1 - x);
@@ -99,14 +138,19 @@
 #[test]
 fn a_second_answer_is_not_taken_for_one_to_the_next_dispatch() {
     let (mut stage, mut client) = warm(1);
-    client.write_all(&invocation(2, &id(1), "command")).expect("it stands");
+    client
+        .write_all(&invocation(2, &id(1), "command"))
+        .expect("it stands");
     let (x, end) = stage.dispatched(&id(1));
     stage.peers[x].say(end, "WAIT", &id(1));
     stage.until("sent again", |s| s.peers[x].lines("DO", &id(1)).len() == 2);
     // The second one comes late, by whichever connection the first went over.
     stage.peers[x].say(end, "WAIT", &id(1));
     let sent = stage.peers[x].lines("DO", &id(1));
-    let next = sent.into_iter().find(|&e| e != end).expect("over another connection");
+    let next = sent
+        .into_iter()
+        .find(|&e| e != end)
+        .expect("over another connection");
     stage.peers[x].say(next, "DONE", &id(1));
     let mut answers = vec![];
     stage.until("answered", |_| {
@@ -114,7 +158,11 @@
         !answers.is_empty()
     });
     assert_eq!(answers, [(frames::ANSWER, 2, frames::SUCCEEDED)]);
-    assert_eq!(stage.peers[x].lines("DO", &id(1)).len(), 2, "a non-idempotent one is out once at a time");
+    assert_eq!(
+        stage.peers[x].lines("DO", &id(1)).len(),
+        2,
+        "a non-idempotent one is out once at a time"
+    );
 }
 
 /// Writing met the reset first, and what the executor had answered before it was never read.
@@ -131,7 +179,9 @@
     let to = orchidtally_resolver::id(&stage.peers[x].name);
     let now = stage.front.now();
     for slot in stage.front.host.executors[&to].connections.clone() {
-        stage.front.host.connections[slot].queue.push_back(crate::connections::Queued::Line(b"\n".to_vec()));
+        stage.front.host.connections[slot]
+            .queue
+            .push_back(crate::connections::Queued::Line(b"\n".to_vec()));
         stage.front.host.touch_connection(slot);
     }
     stage.front.settle(now);
@@ -147,15 +197,25 @@
 #[test]
 fn an_id_taken_back_and_asked_again_at_once_waits_for_its_cancel() {
     let (mut stage, mut client) = warm(2);
-    client.write_all(&invocation(2, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(2, &id(1), "read"))
+        .expect("it stands");
     stage.dispatched(&id(1));
     let mut both = vec![];
     frames::put(&mut both, frames::WITHDRAW, 2, None, None, &[]);
     both.extend(invocation(101, &id(1), "read"));
     client.write_all(&both).expect("it stands");
     stage.until("taken", |s| s.front.engine.tally().taken == 3);
-    assert!(!stage.front.host.held.is_empty(), "the turn that gives the first up sends no second");
-    let sent = |s: &mut Stage| s.peers.iter_mut().map(|p| p.lines("DO", &id(1)).len()).sum::<usize>();
+    assert!(
+        !stage.front.host.held.is_empty(),
+        "the turn that gives the first up sends no second"
+    );
+    let sent = |s: &mut Stage| {
+        s.peers
+            .iter_mut()
+            .map(|p| p.lines("DO", &id(1)).len())
+            .sum::<usize>()
+    };
     stage.until("sent again", |s| sent(s) == 2);
 }
 
@@ -169,7 +229,12 @@
     stage.until("answered", |_| !got(&mut client).0.is_empty());
     // As if it had stood there idle; the look at what is overdue comes later.
     let before = stage.front.now() - 14.0;
-    stage.front.host.connections.iter_mut().for_each(|(_, l)| l.idle_since = before);
+    stage
+        .front
+        .host
+        .connections
+        .iter_mut()
+        .for_each(|(_, l)| l.idle_since = before);
     stage.front.sweep_at = f64::INFINITY;
     let (_, other) = stage.out(&mut client, 2, "read");
     assert_ne!(other, end);
--- a/crates/platform/src/tests/process_clock.rs
+++ b/crates/platform/src/tests/process_clock.rs
@@ -14,7 +14,10 @@
     let second = clock.read();
     assert!(second >= first + STOOD_STILL);
     assert!(clock.take_standstill().is_some_and(|gap| gap > STOOD_STILL));
-    assert!(clock.arrived_by(second) <= second - STOOD_STILL, "bytes may have waited for as long");
+    assert!(
+        clock.arrived_by(second) <= second - STOOD_STILL,
+        "bytes may have waited for as long"
+    );
     assert_eq!(clock.arrived_by(second + 0.1), second + 0.1);
     clock.read();
     assert_eq!(clock.take_standstill(), None);
--- a/crates/platform/src/tests/roster.rs
+++ b/crates/platform/src/tests/roster.rs
@@ -6,7 +6,9 @@
 fn answer(query: &[u8], serial: u32) -> Vec<u8> {
     let mut bytes = query[..2].to_vec();
     // An answer with one record of authority: the root's, SOA, IN, without a time to live, 22 bytes.
-    bytes.extend([0x84, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 6, 0, 1, 0, 0, 0, 0, 0, 22, 0, 0]);
+    bytes.extend([
+        0x84, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 6, 0, 1, 0, 0, 0, 0, 0, 22, 0, 0,
+    ]);
     bytes.extend(serial.to_be_bytes());
     bytes.extend([0; 16]);
     bytes
@@ -42,12 +44,24 @@
         let (query, from) = &queries[query];
         there.send_to(&answer(query, serial), from).expect("sent");
         let confirmed = resolver.read(0.31, &mut places).confirmed;
-        (confirmed, resolver.view().serial(), resolver.view().fresh_at())
+        (
+            confirmed,
+            resolver.view().serial(),
+            resolver.view().fresh_at(),
+        )
     };
-    assert_eq!(read(1, 2), (true, 2, 0.15), "the second of three, newer than what was told");
+    assert_eq!(
+        read(1, 2),
+        (true, 2, 0.15),
+        "the second of three, newer than what was told"
+    );
     assert_eq!(read(0, 1), (false, 2, 0.15), "overtaken, and older");
     assert_eq!(read(1, 3), (false, 2, 0.15), "answered once");
-    assert_eq!(read(2, 2), (true, 2, 0.3), "nothing new, and as fresh as its question");
+    assert_eq!(
+        read(2, 2),
+        (true, 2, 0.3),
+        "nothing new, and as fresh as its question"
+    );
     resolver.turn(1.0);
     resolver.turn(1.15);
     let next = || {
@@ -58,8 +72,14 @@
     let (first, second) = (next(), next());
     for ((query, from), serial) in [(second, 3), (first, 4)] {
         there.send_to(&answer(&query, serial), from).expect("sent");
-        assert!(resolver.read(1.2, &mut places).confirmed, "{serial}, overtaken");
-        assert_eq!((resolver.view().serial(), resolver.view().fresh_at()), (serial, 1.15));
+        assert!(
+            resolver.read(1.2, &mut places).confirmed,
+            "{serial}, overtaken"
+        );
+        assert_eq!(
+            (resolver.view().serial(), resolver.view().fresh_at()),
+            (serial, 1.15)
+        );
     }
     assert_eq!(resolver.due_at(), 1.2 + ASK_EVERY);
 }
@@ -79,14 +99,21 @@
         (query[..size].to_vec(), from)
     };
     let poll = mio::Poll::new().expect("a poll");
-    let mut asking =
-        Resolver::new(at, RosterView::new(0.0, 1, &[]), poll.registry(), mio::Token(0)).expect("a socket");
+    let mut asking = Resolver::new(
+        at,
+        RosterView::new(0.0, 1, &[]),
+        poll.registry(),
+        mio::Token(0),
+    )
+    .expect("a socket");
     let mut places = Places::new(vec![], vec![]);
     asking.turn(0.0);
     asking.turn(0.15);
     let (one, two) = (query(&first), query(&first));
     first.send_to(&answer(&one.0, 2), one.1).expect("sent");
-    asking.turn_to(other, poll.registry(), mio::Token(0)).expect("a socket");
+    asking
+        .turn_to(other, poll.registry(), mio::Token(0))
+        .expect("a socket");
     asking.turn(0.2);
     assert!(asking.read(0.2, &mut places).confirmed, "it was told");
     assert_eq!(asking.view().serial(), 2);
@@ -108,7 +135,9 @@
     let mut query = [0; 512];
     let (size, from) = there.recv_from(&mut query).expect("a query");
     (0..READS).for_each(|_| _ = there.send_to(&[0; 12], from).expect("sent"));
-    there.send_to(&answer(&query[..size], 2), from).expect("sent");
+    there
+        .send_to(&answer(&query[..size], 2), from)
+        .expect("sent");
     let first = asking.read(0.1, &mut places);
     assert!(first.more && !first.confirmed);
     let second = asking.read(0.1, &mut places);
@@ -125,7 +154,9 @@
         asking.turn(0.2 * f64::from(n));
         queries.push(query(&there));
     }
-    there.send_to(&answer(&queries[0].0, 2), queries[0].1).expect("sent");
+    there
+        .send_to(&answer(&queries[0].0, 2), queries[0].1)
+        .expect("sent");
     assert!(asking.read(12.0, &mut places).confirmed);
     assert_eq!((asking.view().serial(), asking.view().fresh_at()), (2, 0.0));
 }
@@ -146,8 +177,13 @@
     let there = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let poll = mio::Poll::new().expect("a poll");
     let at = there.local_addr().expect("it is bound");
-    let mut asking =
-        Resolver::new(at, RosterView::new(0.0, 1, &[]), poll.registry(), mio::Token(0)).expect("a socket");
+    let mut asking = Resolver::new(
+        at,
+        RosterView::new(0.0, 1, &[]),
+        poll.registry(),
+        mio::Token(0),
+    )
+    .expect("a socket");
     let mut places = Places::new(vec![], vec![]);
     let (mut now, mut quiet) = (0.0, vec![]);
     for n in 0..60 {
@@ -156,12 +192,17 @@
         let (size, from) = there.recv_from(&mut query).expect("a query");
         // Every third is answered at first; then none, but for one.
         if n < 30 && n % 3 == 2 || n == 50 {
-            there.send_to(&answer(&query[..size], 2), from).expect("sent");
+            there
+                .send_to(&answer(&query[..size], 2), from)
+                .expect("sent");
             _ = asking.read(now, &mut places);
         }
         quiet.push(asking.is_quiet());
         now += 0.3;
     }
     let from = quiet.iter().position(|&q| q);
-    assert_eq!((from, quiet[49], quiet[50], quiet[59]), (Some(45), true, false, false));
+    assert_eq!(
+        (from, quiet[49], quiet[50], quiet[59]),
+        (Some(45), true, false, false)
+    );
 }
--- a/crates/platform/src/tests/settings.rs
+++ b/crates/platform/src/tests/settings.rs
@@ -20,14 +20,24 @@
 #[test]
 fn an_invocation_is_of_the_customer_that_it_names() {
     let customer = |name: &str, quota: f64| json!({"name": name, "quotaRps": quota});
-    let stage = Stage::new(1, 128, |s| s["customers"] = json!([customer("a", 1.0), customer("b.x-1", 2.0)]));
-    let of = |name| stage.front.offer(1.0, 0, 1, &payload(name)).map(|(offer, _)| offer.customer);
+    let stage = Stage::new(1, 128, |s| {
+        s["customers"] = json!([customer("a", 1.0), customer("b.x-1", 2.0)])
+    });
+    let of = |name| {
+        stage
+            .front
+            .offer(1.0, 0, 1, &payload(name))
+            .map(|(offer, _)| offer.customer)
+    };
     assert_eq!((of(Some("a")), of(Some("b.x-1"))), (Ok(0), Ok(1)));
     assert_eq!(of(None), Ok(2), "it takes of nobody's share");
     assert_eq!(of(Some("c")), Err("'project' names no customer"));
     let stage = Stage::new(1, 128, |_| {});
     assert_eq!(
-        stage.front.offer(1.0, 0, 1, &payload(Some("c"))).map(|(o, _)| o.customer),
+        stage
+            .front
+            .offer(1.0, 0, 1, &payload(Some("c")))
+            .map(|(o, _)| o.customer),
         Ok(0),
         "none has a share"
     );
@@ -47,14 +57,28 @@
     // What is decided on an invocation that nobody answers, and how long it may take.
     let told = |stage: &mut Stage| {
         let mut client = stage.client();
-        client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+        client
+            .write_all(&invocation(1, &id(1), "read"))
+            .expect("it stands");
         stage.dispatched(&id(1));
-        let work = stage.front.host.invocations.values().next().expect("it is open");
+        let work = stage
+            .front
+            .host
+            .invocations
+            .values()
+            .next()
+            .expect("it is open");
         let left = work.timeout_at - stage.front.now();
-        (stage.peers.iter().map(|p| p.orders).sum::<usize>(), left < 0.5)
+        (
+            stage.peers.iter().map(|p| p.orders).sum::<usize>(),
+            left < 0.5,
+        )
     };
     let calm = |_: &mut Value| {};
-    let alone = [told(&mut Stage::new(2, 128, calm)), told(&mut Stage::new(2, 128, short))];
+    let alone = [
+        told(&mut Stage::new(2, 128, calm)),
+        told(&mut Stage::new(2, 128, short)),
+    ];
     assert_eq!(alone, [(1, false), (0, true)]);
     for first_is_calm in [true, false] {
         let (mut a, mut b) = match first_is_calm {
@@ -62,7 +86,14 @@
             false => (Stage::new(2, 128, short), Stage::new(2, 128, calm)),
         };
         let both = [told(&mut a), told(&mut b)];
-        assert_eq!(both, if first_is_calm { alone } else { [alone[1], alone[0]] });
+        assert_eq!(
+            both,
+            if first_is_calm {
+                alone
+            } else {
+                [alone[1], alone[0]]
+            }
+        );
     }
 }
 
--- a/crates/platform/src/tests/standstill.rs
+++ b/crates/platform/src/tests/standstill.rs
@@ -15,9 +15,17 @@
 
 fn limit(stage: &mut Stage, peer: usize, id: &str) -> u64 {
     stage.peers[peer].read();
-    let lines = stage.peers[peer].ends.iter().flat_map(|(_, come)| come.lines());
-    let told: Vec<Value> = lines.filter_map(|line| serde_json::from_str(line).ok()).collect();
-    let told = told.iter().find(|line| line["t"] == "DO" && line["i"] == id).expect("it was dispatched");
+    let lines = stage.peers[peer]
+        .ends
+        .iter()
+        .flat_map(|(_, come)| come.lines());
+    let told: Vec<Value> = lines
+        .filter_map(|line| serde_json::from_str(line).ok())
+        .collect();
+    let told = told
+        .iter()
+        .find(|line| line["t"] == "DO" && line["i"] == id)
+        .expect("it was dispatched");
     told["f"]["limit"].as_u64().expect("a number")
 }
 
@@ -26,12 +34,17 @@
 fn the_time_that_bytes_waited_is_taken_off_the_limit_that_executors_are_told() {
     let mut stage = Stage::new(1, 128, without_orders);
     let mut client = stage.client();
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     std::thread::sleep(STOOD_STILL);
     let (peer, _) = stage.dispatched(&id(1));
     let told = limit(&mut stage, peer, &id(1));
     let left = ALLOW_MS - STOOD_STILL.as_millis() as u64;
-    assert!(told <= left + SLACK_MS && told > left / 2, "{told} ms of {left}");
+    assert!(
+        told <= left + SLACK_MS && told > left / 2,
+        "{told} ms of {left}"
+    );
 }
 
 /// Past the time for which a view is fresh nothing leaves until the resolver has answered; this one says nothing, so
@@ -44,12 +57,20 @@
     let went_on = stage.front.now();
     // What is read right after it counts as if it had waited for all of it.
     stage.until("caught up", |s| s.front.now() > went_on + 0.1);
-    client.write_all(&invocation(1, &id(1), "read")).expect("it stands");
+    client
+        .write_all(&invocation(1, &id(1), "read"))
+        .expect("it stands");
     while stage.front.now() < went_on + 0.6 {
         stage.turn();
-        assert!(stage.peers[0].lines("DO", "").is_empty(), "nothing was heard since");
+        assert!(
+            stage.peers[0].lines("DO", "").is_empty(),
+            "nothing was heard since"
+        );
     }
     let now = stage.front.now();
-    stage.front.engine.view_confirmed(now, now, &mut stage.front.host);
+    stage
+        .front
+        .engine
+        .view_confirmed(now, now, &mut stage.front.host);
     stage.dispatched(&id(1));
 }
--- a/crates/resolver/src/answer.rs
+++ b/crates/resolver/src/answer.rs
@@ -78,13 +78,21 @@
     let unreadable = |e: simple_dns::SimpleDnsError| AnswerFault::Unreadable(e.to_string());
     let name = Name::new(SERVICE).map_err(unreadable)?;
     let mut packet = Packet::new_query(id);
-    packet.questions.push(Question::new(name, QTYPE::TYPE(TYPE::SRV), QCLASS::CLASS(CLASS::IN), false));
+    packet.questions.push(Question::new(
+        name,
+        QTYPE::TYPE(TYPE::SRV),
+        QCLASS::CLASS(CLASS::IN),
+        false,
+    ));
     packet.build_bytes_vec().map_err(unreadable)
 }
 
 /// The labels of a name as text.
 fn labels(name: &Name) -> Vec<String> {
-    name.get_labels().iter().map(|l| l.to_string().to_ascii_lowercase()).collect()
+    name.get_labels()
+        .iter()
+        .map(|l| l.to_string().to_ascii_lowercase())
+        .collect()
 }
 
 /// Reads an answer to the query with an id. An answer that is not whole in every row is no list: what it left out
@@ -107,10 +115,14 @@
     if packet.questions.iter().any(|q| labels(&q.qname) != service) {
         return Err(AnswerFault::Foreign);
     }
-    let serials = packet.name_servers.iter().chain(&packet.answers).filter_map(|r| match &r.rdata {
-        RData::SOA(soa) => Some(soa.serial),
-        _ => None,
-    });
+    let serials = packet
+        .name_servers
+        .iter()
+        .chain(&packet.answers)
+        .filter_map(|r| match &r.rdata {
+            RData::SOA(soa) => Some(soa.serial),
+            _ => None,
+        });
     let serial = serials.max().ok_or(AnswerFault::NoSerial)?;
     let mut named = places.clone();
     let (entries, odd, why) = rows(&packet, &mut named)?;
@@ -120,14 +132,23 @@
             Ok(Answer { serial, entries })
         }
         Some(why) => {
-            let list = Box::new(PartialList { serial, entries, odd, places: named });
+            let list = Box::new(PartialList {
+                serial,
+                entries,
+                odd,
+                places: named,
+            });
             Err(AnswerFault::OddRow { why, list })
         }
     }
 }
 
 fn standing(srv: &SRV) -> Standing {
-    if srv.priority == 0 { Standing::Ready } else { Standing::Draining }
+    if srv.priority == 0 {
+        Standing::Ready
+    } else {
+        Standing::Draining
+    }
 }
 
 /// Addresses and texts of the targets.
@@ -151,14 +172,21 @@
                 _ => {}
             }
         }
-        Details { addresses, texts, packet }
+        Details {
+            addresses,
+            texts,
+            packet,
+        }
     }
 
     fn targets(&self) -> impl Iterator<Item = (&'a SRV<'a>, Vec<String>)> {
-        self.packet.answers.iter().filter_map(|record| match &record.rdata {
-            RData::SRV(srv) => Some((srv, labels(&srv.target))),
-            _ => None,
-        })
+        self.packet
+            .answers
+            .iter()
+            .filter_map(|record| match &record.rdata {
+                RData::SRV(srv) => Some((srv, labels(&srv.target))),
+                _ => None,
+            })
     }
 
     /// An executor's entry; none where its location is one too many, and what is wrong where it can't be read.
@@ -170,18 +198,30 @@
         zone: &str,
         places: &mut Places,
     ) -> Result<Option<Entry>, String> {
-        let ip = *self.addresses.get(target).ok_or_else(|| format!("'{name}' has no address"))?;
-        let text = self.texts.get(target).ok_or_else(|| format!("'{name}' has no text"))?;
+        let ip = *self
+            .addresses
+            .get(target)
+            .ok_or_else(|| format!("'{name}' has no address"))?;
+        let text = self
+            .texts
+            .get(target)
+            .ok_or_else(|| format!("'{name}' has no text"))?;
         let field = |key: &str| {
             let found = text.get(key).and_then(|v| v.as_deref());
             found.ok_or_else(|| format!("'{name}' has no '{key}'"))
         };
-        let started = field("started")?.parse::<f64>().ok().filter(|n| n.is_finite());
+        let started = field("started")?
+            .parse::<f64>()
+            .ok()
+            .filter(|n| n.is_finite());
         let started = started.ok_or_else(|| format!("'started' of '{name}' is no number"))?;
-        let cell =
-            field("cell")?.parse().map_err(|_| format!("'cell' of '{name}' is no number of a cell"))?;
+        let cell = field("cell")?
+            .parse()
+            .map_err(|_| format!("'cell' of '{name}' is no number of a cell"))?;
         let kind = field("kind")?;
-        let Some(zone) = places.zone(zone) else { return Ok(None) };
+        let Some(zone) = places.zone(zone) else {
+            return Ok(None);
+        };
         let row = RosterRow {
             executor: id(name),
             zone,
@@ -191,7 +231,11 @@
             weight: f64::from(srv.weight) / 10.0,
             since: since(started),
         };
-        Ok(Some(Entry { name: name.to_owned(), address: SocketAddr::new(ip, srv.port), row }))
+        Ok(Some(Entry {
+            name: name.to_owned(),
+            address: SocketAddr::new(ip, srv.port),
+            row,
+        }))
     }
 }
 
@@ -202,12 +246,17 @@
     let details = Details::new(packet);
     let (mut entries, mut odd, mut first_fault) = (vec![], vec![], None);
     for (srv, target) in details.targets() {
-        let [name, zone, ..] = target.as_slice() else { return Err(AnswerFault::NoLocation) };
+        let [name, zone, ..] = target.as_slice() else {
+            return Err(AnswerFault::NoLocation);
+        };
         match details.entry(srv, &target, name, zone, places) {
             Ok(entry) => entries.extend(entry),
             Err(why) => {
                 first_fault.get_or_insert(why);
-                odd.push(StandingRow { name: name.clone(), standing: standing(srv) });
+                odd.push(StandingRow {
+                    name: name.clone(),
+                    standing: standing(srv),
+                });
             }
         }
     }
--- a/crates/resolver/src/lib.rs
+++ b/crates/resolver/src/lib.rs
@@ -28,7 +28,12 @@
 /// The module's id for an executor: of its name alone, since its address may be another's later and is not
 /// the same for every front end. The same at all of them.
 pub fn id(name: &str) -> ExecutorId {
-    ExecutorId(IpAddr::V6(Ipv6Addr::from_bits(xxhash_rust::xxh3::xxh3_128(name.as_bytes()))), 0)
+    ExecutorId(
+        IpAddr::V6(Ipv6Addr::from_bits(xxhash_rust::xxh3::xxh3_128(
+            name.as_bytes(),
+        ))),
+        0,
+    )
 }
 
 /// Names of locations and kinds, by the index that the module knows. Lists may name more than the settings do;
@@ -46,7 +51,11 @@
 
 impl Places {
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Places {
-        Places { zones, kinds, left_out: 0 }
+        Places {
+            zones,
+            kinds,
+            left_out: 0,
+        }
     }
 
     /// How many names there are by now, of locations and of kinds.
@@ -58,7 +67,8 @@
         let known = names.iter().position(|n| n == name);
         let at = known.or_else(|| {
             let room = names.len() < MOST_NAMES;
-            room.then(|| names.push(name.to_owned())).map(|()| names.len() - 1)
+            room.then(|| names.push(name.to_owned()))
+                .map(|()| names.len() - 1)
         });
         at.and_then(|at| u8::try_from(at).ok())
     }
@@ -78,7 +88,11 @@
 
 /// Seconds of a start told in milliseconds; 0 means long ago.
 fn since(started_ms: f64) -> f64 {
-    if started_ms > 0.0 { started_ms / 1e3 } else { f64::NEG_INFINITY }
+    if started_ms > 0.0 {
+        started_ms / 1e3
+    } else {
+        f64::NEG_INFINITY
+    }
 }
 
 #[derive(Deserialize)]
@@ -134,7 +148,9 @@
                 Health::Deleted => Standing::Gone,
             };
             entries.remove(&host.host);
-            let Some(zone) = places.zone(&host.site) else { continue };
+            let Some(zone) = places.zone(&host.site) else {
+                continue;
+            };
             let row = RosterRow {
                 executor: id(&host.host),
                 zone,
@@ -145,7 +161,11 @@
                 since: since(host.born_ms),
             };
             if standing != Standing::Gone {
-                let entry = Entry { name: host.host.clone(), address: host.dial, row };
+                let entry = Entry {
+                    name: host.host.clone(),
+                    address: host.dial,
+                    row,
+                };
                 entries.insert(host.host, entry);
             }
         }
--- a/crates/resolver/src/view.rs
+++ b/crates/resolver/src/view.rs
@@ -65,7 +65,11 @@
 
 impl Held {
     fn new(entry: Entry, since: f64) -> Held {
-        Held { entry, since, differs: None }
+        Held {
+            entry,
+            since,
+            differs: None,
+        }
     }
 
     /// Takes what a list tells of the same start: its standing at once, and whatever else differs when it is told twice
@@ -82,7 +86,11 @@
         if self.differs.as_ref() == Some(&besides) {
             return Held::new(told.clone(), self.since);
         }
-        Held { entry: told_before, since: self.since, differs: Some(besides) }
+        Held {
+            entry: told_before,
+            since: self.since,
+            differs: Some(besides),
+        }
     }
 }
 
@@ -91,12 +99,19 @@
 /// Guards executors that have just started against work for warm ones; could harm by too little work for a while.
 fn listed_start(told: f64, absent_at: f64, listed_at: f64) -> f64 {
     let is_plausible = (absent_at - LISTED_WITHIN..=listed_at).contains(&told);
-    if told == f64::NEG_INFINITY || is_plausible { told } else { listed_at }
+    if told == f64::NEG_INFINITY || is_plausible {
+        told
+    } else {
+        listed_at
+    }
 }
 
 /// The latest of some starts that may be compared with each other.
 fn youngest(entries: &[Entry]) -> f64 {
-    entries.iter().map(|e| e.row.since).fold(f64::NEG_INFINITY, f64::max)
+    entries
+        .iter()
+        .map(|e| e.row.since)
+        .fold(f64::NEG_INFINITY, f64::max)
 }
 
 /// When an executor was told draining or gone.
@@ -141,10 +156,18 @@
         };
         // The youngest may have started just now, and the others so much earlier: whatever the wall clock here tells.
         let youngest = youngest(entries);
-        let since = |told: f64| if told == f64::NEG_INFINITY { told } else { now - (youngest - told) };
+        let since = |told: f64| {
+            if told == f64::NEG_INFINITY {
+                told
+            } else {
+                now - (youngest - told)
+            }
+        };
         let held = |e: &Entry| (e.name.clone(), Held::new(e.clone(), since(e.row.since)));
         view.entries = entries.iter().map(held).collect();
-        draining.iter().for_each(|name| view.withdraw(f64::NEG_INFINITY, serial, name));
+        draining
+            .iter()
+            .for_each(|name| view.withdraw(f64::NEG_INFINITY, serial, name));
         view
     }
 
@@ -194,10 +217,16 @@
         if order == Ordering::Greater || !overtaken && self.is_believed(order) {
             self.adopt(now, answer, order);
             self.asked_at = self.asked_at.max(asked_at);
-            return if self.rows() == before { Outcome::Confirmed } else { Outcome::Changed };
+            return if self.rows() == before {
+                Outcome::Confirmed
+            } else {
+                Outcome::Changed
+            };
         }
         self.take_drains(now, answer);
-        Outcome::Older { changed: self.rows() != before }
+        Outcome::Older {
+            changed: self.rows() != before,
+        }
     }
 
     /// Takes a list with rows that could not be read: of those the standing counts, the rest stays as it was.
@@ -211,7 +240,14 @@
             entry.row.standing = odd.standing;
             entries.push(entry);
         }
-        self.take(now, asked_at, &Answer { serial: list.serial, entries })
+        self.take(
+            now,
+            asked_at,
+            &Answer {
+                serial: list.serial,
+                entries,
+            },
+        )
     }
 
     /// Whether a list is taken in the place of the one that is held.
@@ -222,16 +258,29 @@
     /// Takes a list in the place of the one that is held.
     fn adopt(&mut self, now: f64, answer: &Answer, order: Ordering) {
         let new = self.listed(now, &answer.entries);
-        let is_away = |name: &String| new.get(name).is_none_or(|n| n.entry.row.standing != Standing::Ready);
-        let away: Vec<String> = self.entries.keys().filter(|name| is_away(name)).cloned().collect();
-        away.iter().for_each(|name| self.withdraw(now, answer.serial, name));
-        for held in new.values().filter(|held| held.entry.row.standing == Standing::Ready) {
+        let is_away = |name: &String| {
+            new.get(name)
+                .is_none_or(|n| n.entry.row.standing != Standing::Ready)
+        };
+        let away: Vec<String> = self
+            .entries
+            .keys()
+            .filter(|name| is_away(name))
+            .cloned()
+            .collect();
+        away.iter()
+            .for_each(|name| self.withdraw(now, answer.serial, name));
+        for held in new
+            .values()
+            .filter(|held| held.entry.row.standing == Standing::Ready)
+        {
             self.vote_ready(&held.entry, answer.serial, order);
         }
         self.entries = new;
         (self.serial, self.older_in_a_row) = (answer.serial, 0);
         let entries = &self.entries;
-        self.withdrawn.retain(|name, w| entries.contains_key(name) || now < w.at + REMEMBERED);
+        self.withdrawn
+            .retain(|name, w| entries.contains_key(name) || now < w.at + REMEMBERED);
     }
 
     /// The rows of a list that has come now, with when each of them started.
@@ -240,11 +289,17 @@
         let mut listed: BTreeMap<String, Held> = BTreeMap::new();
         for entry in entries {
             let told = entry.row.since;
-            let before = self.entries.get(&entry.name).filter(|before| before.entry.row.since == told);
+            let before = self
+                .entries
+                .get(&entry.name)
+                .filter(|before| before.entry.row.since == told);
             let new = || Held::new(entry.clone(), listed_start(told, absent_at, now));
             let mut held = before.map_or_else(new, |before| before.retold(entry));
             // Listed twice it stands as the worse of the two.
-            if let Some(twice) = listed.get(&entry.name).filter(|t| t.entry.row.standing != Standing::Ready) {
+            if let Some(twice) = listed
+                .get(&entry.name)
+                .filter(|t| t.entry.row.standing != Standing::Ready)
+            {
                 held.entry.row.standing = twice.entry.row.standing;
             }
             listed.insert(entry.name.clone(), held);
@@ -254,10 +309,17 @@
 
     /// A list tells an executor ready; where it was told away, that takes several, or another start.
     fn vote_ready(&mut self, entry: &Entry, serial: u32, order: Ordering) {
-        let Some(withdrawal) = self.withdrawn.get_mut(&entry.name) else { return };
+        let Some(withdrawal) = self.withdrawn.get_mut(&entry.name) else {
+            return;
+        };
         withdrawal.ready_votes += 1;
-        let is_older = order == Ordering::Less || compare(serial, withdrawal.serial) == Ordering::Less;
-        let wanted = if is_older { READY_IN_A_ROW_OLDER } else { READY_IN_A_ROW };
+        let is_older =
+            order == Ordering::Less || compare(serial, withdrawal.serial) == Ordering::Less;
+        let wanted = if is_older {
+            READY_IN_A_ROW_OLDER
+        } else {
+            READY_IN_A_ROW
+        };
         if entry.row.since > withdrawal.since || withdrawal.ready_votes >= wanted {
             self.withdrawn.remove(&entry.name);
         }
@@ -265,12 +327,22 @@
 
     /// An executor on the held list was told draining or gone.
     fn withdraw(&mut self, now: f64, serial: u32, name: &str) {
-        let Some(held) = self.entries.get(name) else { return };
-        let first = Withdrawal { since: held.entry.row.since, serial, at: now, ready_votes: 0 };
+        let Some(held) = self.entries.get(name) else {
+            return;
+        };
+        let first = Withdrawal {
+            since: held.entry.row.since,
+            serial,
+            at: now,
+            ready_votes: 0,
+        };
         let withdrawal = self.withdrawn.entry(name.to_owned()).or_insert(first);
         (withdrawal.at, withdrawal.ready_votes) = (now, 0);
         if self.withdrawn.len() > MOST_REMEMBERED {
-            let first = self.withdrawn.iter().min_by(|a, b| a.1.at.total_cmp(&b.1.at));
+            let first = self
+                .withdrawn
+                .iter()
+                .min_by(|a, b| a.1.at.total_cmp(&b.1.at));
             if let Some(name) = first.map(|(name, _)| name.clone()) {
                 self.withdrawn.remove(&name);
             }
@@ -279,7 +351,11 @@
 
     /// What a list that is not taken as a whole tells of executors that drain, unless it is of an earlier start.
     fn take_drains(&mut self, now: f64, answer: &Answer) {
-        for told in answer.entries.iter().filter(|e| e.row.standing != Standing::Ready) {
+        for told in answer
+            .entries
+            .iter()
+            .filter(|e| e.row.standing != Standing::Ready)
+        {
             let held = self.entries.get(&told.name);
             if held.is_some_and(|held| told.row.since >= held.entry.row.since) {
                 self.withdraw(now, answer.serial, &told.name);
--- a/crates/resolver/tests/lists.rs
+++ b/crates/resolver/tests/lists.rs
@@ -27,13 +27,27 @@
     for compressed in [false, true] {
         let (serial, entries) = read(&list(7, 41, &TWO, compressed), 7).expect("a sound answer");
         assert_eq!((serial, entries.len()), (41, 2));
-        let [one, two] = entries.as_slice() else { panic!("two of them") };
-        assert_eq!((one.name.as_str(), one.address.to_string()), ("s-1", "10.1.0.9:4100".into()));
+        let [one, two] = entries.as_slice() else {
+            panic!("two of them")
+        };
+        assert_eq!(
+            (one.name.as_str(), one.address.to_string()),
+            ("s-1", "10.1.0.9:4100".into())
+        );
         let row = &one.row;
-        assert_eq!((row.executor, row.zone, row.kind, row.cell), (id("s-1"), 1, 1, 2));
-        assert_eq!((row.standing, row.weight, row.since), (Standing::Ready, 4.0, 1.5));
+        assert_eq!(
+            (row.executor, row.zone, row.kind, row.cell),
+            (id("s-1"), 1, 1, 2)
+        );
+        assert_eq!(
+            (row.standing, row.weight, row.since),
+            (Standing::Ready, 4.0, 1.5)
+        );
         assert_eq!((two.row.standing, two.row.zone), (Standing::Draining, 0));
-        assert_ne!(one.row.executor, two.row.executor, "their address is one, they are not");
+        assert_ne!(
+            one.row.executor, two.row.executor,
+            "their address is one, they are not"
+        );
     }
 }
 
@@ -47,17 +61,36 @@
     }
     let mut packet = list(7, 41, &TWO, true);
     let mut spoilt = Packet::parse(&packet).expect("it is sound");
-    spoilt.additional_records.retain(|r| !r.name.to_string().starts_with("s-2"));
+    spoilt
+        .additional_records
+        .retain(|r| !r.name.to_string().starts_with("s-2"));
     let spoilt = spoilt.build_bytes_vec().expect("it can be built");
     let fault = answer(&spoilt, 7, &mut places).expect_err("the second row has no address");
-    let AnswerFault::OddRow { why, list: partial } = fault else { panic!("{fault}") };
+    let AnswerFault::OddRow { why, list: partial } = fault else {
+        panic!("{fault}")
+    };
     assert!(why.contains("s-2"), "{why}");
     assert_eq!((partial.serial, partial.entries.len()), (41, 1));
-    assert_eq!(partial.odd, [StandingRow { name: "s-2".into(), standing: Standing::Draining }]);
+    assert_eq!(
+        partial.odd,
+        [StandingRow {
+            name: "s-2".into(),
+            standing: Standing::Draining
+        }]
+    );
     assert_eq!((places.named(), partial.places.named()), ((0, 0), (1, 1)));
     packet[3] |= 3;
-    assert!(answer(&packet, 7, &mut places).is_err(), "a failure is told whatever its number");
-    assert_eq!(newer(&list(7, 41, &TWO, true), 7, &mut places).expect("sound").1.len(), 2);
+    assert!(
+        answer(&packet, 7, &mut places).is_err(),
+        "a failure is told whatever its number"
+    );
+    assert_eq!(
+        newer(&list(7, 41, &TWO, true), 7, &mut places)
+            .expect("sound")
+            .1
+            .len(),
+        2
+    );
     assert_eq!(places.named(), (2, 1));
 }
 
@@ -91,8 +124,14 @@
         ("truncated", |p| p.set_flags(PacketFlag::TRUNCATION)),
         ("failed", |p| *p.rcode_mut() = RCODE::ServerFailure),
         ("without a serial", |p| p.name_servers.clear()),
-        ("without addresses", |p| p.additional_records.retain(|r| !matches!(r.rdata, RData::A(_)))),
-        ("without texts", |p| p.additional_records.retain(|r| !matches!(r.rdata, RData::TXT(_)))),
+        ("without addresses", |p| {
+            p.additional_records
+                .retain(|r| !matches!(r.rdata, RData::A(_)))
+        }),
+        ("without texts", |p| {
+            p.additional_records
+                .retain(|r| !matches!(r.rdata, RData::TXT(_)))
+        }),
     ];
     for (what, change) in bad {
         assert!(read(&changed(change), 7).is_err(), "{what}");
@@ -103,11 +142,18 @@
 #[test]
 fn locations_and_kinds_that_the_settings_do_not_name_are_told_apart() {
     let mut places = Places::new(names(&["east"]), names(&["big"]));
-    let targets =
-        [("s-1.south.hosts", 0), ("s-2.east.hosts", 0), ("s-3.north.hosts", 0), ("s-4.south.hosts", 0)];
+    let targets = [
+        ("s-1.south.hosts", 0),
+        ("s-2.east.hosts", 0),
+        ("s-3.north.hosts", 0),
+        ("s-4.south.hosts", 0),
+    ];
     let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
     let zones = |entries: &[Entry]| entries.iter().map(|e| e.row.zone).collect::<Vec<_>>();
-    assert_eq!((zones(&entries), entries[0].row.kind), (vec![1, 0, 2, 1], 1));
+    assert_eq!(
+        (zones(&entries), entries[0].row.kind),
+        (vec![1, 0, 2, 1], 1)
+    );
     let host = |site: &str| {
         serde_json::json!({"host": site, "dial": "10.1.0.9:4100", "site": site, "class": "odd",
         "block": 2, "health": "SERVING", "share": 4})
@@ -115,27 +161,47 @@
     let all = serde_json::json!({"seq": 1, "whole": true, "hosts": [host("west"), host("north")]});
     let told = serde_json::json!({"index": 1, "updates": [{"endpoints": all}]});
     let (_, entries) = known(&told, &mut places).expect("a start goes on");
-    assert_eq!((zones(&entries), entries[0].row.kind), (vec![2, 3], 2), "by name");
+    assert_eq!(
+        (zones(&entries), entries[0].row.kind),
+        (vec![2, 3], 2),
+        "by name"
+    );
     // Past what an index of a byte tells apart a row is left out, and the others count.
     let many: Vec<String> = (0..300).map(|n| format!("s-{n}.z-{n}.hosts")).collect();
     let targets: Vec<(&str, u16)> = many.iter().map(|t| (t.as_str(), 0)).collect();
     let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
     let mut told_apart = zones(&entries);
     told_apart.dedup();
-    assert_eq!((told_apart.len(), entries.len(), places.left_out), (252, 252, 48));
+    assert_eq!(
+        (told_apart.len(), entries.len(), places.left_out),
+        (252, 252, 48)
+    );
 }
 
 /// An answer with hundreds of executors is longer than the 8,000 bytes that the platform's page names.
 #[test]
 fn a_list_as_long_as_a_datagram_is_read() {
-    let many: Vec<String> = (0..1_024).rev().map(|n| format!("s-{n}.east.hosts")).collect();
+    let many: Vec<String> = (0..1_024)
+        .rev()
+        .map(|n| format!("s-{n}.east.hosts"))
+        .collect();
     let targets: Vec<(&str, u16)> = many.iter().map(|t| (t.as_str(), 0)).collect();
     let bytes = list(7, 41, &targets[..500], true);
-    assert!(bytes.len() > 8_000 && bytes.len() <= LONGEST, "{}", bytes.len());
+    assert!(
+        bytes.len() > 8_000 && bytes.len() <= LONGEST,
+        "{}",
+        bytes.len()
+    );
     let (_, entries) = read(&bytes, 7).expect("a sound answer");
     assert_eq!((entries.len(), entries[0].name.as_str()), (500, "s-1023"));
     // Longer ones come by no datagram; they are read all the same.
-    assert_eq!(read(&list(7, 41, &targets, true), 7).expect("a sound answer").1.len(), 1_024);
+    assert_eq!(
+        read(&list(7, 41, &targets, true), 7)
+            .expect("a sound answer")
+            .1
+            .len(),
+        1_024
+    );
 }
 
 #[test]
@@ -147,20 +213,36 @@
             "health": health, "share": 4, "born_ms": born})
     };
     let update = |whole: bool, hosts: Vec<serde_json::Value>| serde_json::json!({"index": 1, "endpoints": {"seq": 7, "whole": whole, "hosts": hosts}});
-    let first = update(true, vec![host("s-1", "SERVING", 0), host("s-2", "SERVING", 0)]);
+    let first = update(
+        true,
+        vec![host("s-1", "SERVING", 0), host("s-2", "SERVING", 0)],
+    );
     let then = update(
         false,
-        vec![host("s-1", "DELETED", 0), host("s-2", "DRAINING", 0), host("s-3", "SERVING", 2500)],
+        vec![
+            host("s-1", "DELETED", 0),
+            host("s-2", "DRAINING", 0),
+            host("s-3", "SERVING", 2500),
+        ],
     );
     let told = serde_json::json!({"index": 3, "updates": [first, then]});
     let (serial, entries) = known(&told, &mut places).expect("it is sound");
-    let all: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.row.standing, e.row.since)).collect();
+    let all: Vec<_> = entries
+        .iter()
+        .map(|e| (e.name.as_str(), e.row.standing, e.row.since))
+        .collect();
     assert_eq!(serial, 3);
-    let expected = [("s-2", Standing::Draining, f64::NEG_INFINITY), ("s-3", Standing::Ready, 2.5)];
+    let expected = [
+        ("s-2", Standing::Draining, f64::NEG_INFINITY),
+        ("s-3", Standing::Ready, 2.5),
+    ];
     assert_eq!(all, expected);
     let bad = update(true, vec![host("s-1", "ODD", 0)]);
-    let fault =
-        known(&serde_json::json!({"index": 3, "updates": [bad]}), &mut places).expect_err("no such state");
+    let fault = known(
+        &serde_json::json!({"index": 3, "updates": [bad]}),
+        &mut places,
+    )
+    .expect_err("no such state");
     assert!(fault.contains("ODD"), "{fault}");
 }
 
--- a/crates/resolver/tests/told/mod.rs
+++ b/crates/resolver/tests/told/mod.rs
@@ -20,15 +20,35 @@
         false,
     ));
     for &(target, priority) in executors {
-        let srv = SRV { priority, weight: 40, port: 4100, target: name(target) };
-        packet.answers.push(ResourceRecord::new(name(SERVICE), CLASS::IN, 0, RData::SRV(srv)));
+        let srv = SRV {
+            priority,
+            weight: 40,
+            port: 4100,
+            target: name(target),
+        };
+        packet.answers.push(ResourceRecord::new(
+            name(SERVICE),
+            CLASS::IN,
+            0,
+            RData::SRV(srv),
+        ));
         let a = A::from(Ipv4Addr::new(10, 1, 0, 9));
-        packet.additional_records.push(ResourceRecord::new(name(target), CLASS::IN, 0, RData::A(a)));
+        packet.additional_records.push(ResourceRecord::new(
+            name(target),
+            CLASS::IN,
+            0,
+            RData::A(a),
+        ));
         let mut txt = TXT::new();
         for text in ["kind=std", "cell=2", "started=1500"] {
             txt.add_string(text).expect("a sound text");
         }
-        packet.additional_records.push(ResourceRecord::new(name(target), CLASS::IN, 0, RData::TXT(txt)));
+        packet.additional_records.push(ResourceRecord::new(
+            name(target),
+            CLASS::IN,
+            0,
+            RData::TXT(txt),
+        ));
     }
     let soa = SOA {
         mname: name("farm.lan"),
@@ -39,7 +59,16 @@
         expire: 1,
         minimum: 0,
     };
-    packet.name_servers.push(ResourceRecord::new(name("farm.lan"), CLASS::IN, 0, RData::SOA(soa)));
-    let built = if compressed { packet.build_bytes_vec_compressed() } else { packet.build_bytes_vec() };
+    packet.name_servers.push(ResourceRecord::new(
+        name("farm.lan"),
+        CLASS::IN,
+        0,
+        RData::SOA(soa),
+    ));
+    let built = if compressed {
+        packet.build_bytes_vec_compressed()
+    } else {
+        packet.build_bytes_vec()
+    };
     built.expect("it can be built")
 }
--- a/crates/resolver/tests/view.rs
+++ b/crates/resolver/tests/view.rs
@@ -11,14 +11,37 @@
 fn entry(n: u32, standing: Standing, since: f64) -> Entry {
     let name = format!("s-{n}");
     let executor = id(&name);
-    let row = RosterRow { executor, zone: 0, kind: 0, cell: 1, standing, weight: 4.0, since };
-    Entry { name, address: ([10, 1, 0, n as u8], 4100).into(), row }
+    let row = RosterRow {
+        executor,
+        zone: 0,
+        kind: 0,
+        cell: 1,
+        standing,
+        weight: 4.0,
+        since,
+    };
+    Entry {
+        name,
+        address: ([10, 1, 0, n as u8], 4100).into(),
+        row,
+    }
 }
 
 /// A list of executors 0 up to a count, some of them draining.
 fn list(serial: u32, count: u32, draining: &[u32]) -> Answer {
-    let standing = |n| if draining.contains(&n) { Standing::Draining } else { Standing::Ready };
-    Answer { serial, entries: (0..count).map(|n| entry(n, standing(n), f64::NEG_INFINITY)).collect() }
+    let standing = |n| {
+        if draining.contains(&n) {
+            Standing::Draining
+        } else {
+            Standing::Ready
+        }
+    };
+    Answer {
+        serial,
+        entries: (0..count)
+            .map(|n| entry(n, standing(n), f64::NEG_INFINITY))
+            .collect(),
+    }
 }
 
 /// A view that is told something every 0.2 s.
@@ -29,7 +52,10 @@
 
 impl Told {
     fn new(first: &Answer) -> Told {
-        Told { view: RosterView::new(0.0, first.serial, &first.entries), now: 0.0 }
+        Told {
+            view: RosterView::new(0.0, first.serial, &first.entries),
+            now: 0.0,
+        }
     }
 
     fn take(&mut self, answer: &Answer) -> Outcome {
@@ -38,8 +64,14 @@
     }
 
     fn ready(&self) -> Vec<u32> {
-        let ready = self.view.rows().into_iter().filter(|e| e.row.standing == Standing::Ready);
-        ready.map(|e| e.name[2..].parse().expect("a number")).collect()
+        let ready = self
+            .view
+            .rows()
+            .into_iter()
+            .filter(|e| e.row.standing == Standing::Ready);
+        ready
+            .map(|e| e.name[2..].parse().expect("a number"))
+            .collect()
     }
 }
 
@@ -61,7 +93,11 @@
         assert_eq!(told.ready(), [1, 2], "{jump}: the drain counts at once");
         told.take(&list(8, 4, &[0]));
         told.take(&list(8, 4, &[0]));
-        assert_eq!((told.ready(), told.view.serial()), (vec![1, 2, 3], 8), "{jump}: after three");
+        assert_eq!(
+            (told.ready(), told.view.serial()),
+            (vec![1, 2, 3], 8),
+            "{jump}: after three"
+        );
         assert_eq!(told.view.fresh_at(), told.now);
     }
 }
@@ -78,8 +114,14 @@
 fn a_list_that_lags_takes_nothing_back() {
     let mut told = Told::new(&list(3, 3, &[1]));
     for _ in 0..20 {
-        assert_eq!(told.take(&list(2, 3, &[])), Outcome::Older { changed: false });
-        assert_eq!(told.take(&list(2, 2, &[])), Outcome::Older { changed: false });
+        assert_eq!(
+            told.take(&list(2, 3, &[])),
+            Outcome::Older { changed: false }
+        );
+        assert_eq!(
+            told.take(&list(2, 2, &[])),
+            Outcome::Older { changed: false }
+        );
         assert_eq!(told.take(&list(3, 3, &[1])), Outcome::Confirmed);
         assert_eq!(told.ready(), [0, 2]);
     }
@@ -129,7 +171,10 @@
     assert_eq!(view.fresh_at(), 5.0);
     // Overtaken: who drains counts, who is missing or new does not.
     let outcome = view.take(9.1, 4.0, &list(1, 2, &[0]));
-    assert_eq!((outcome, view.fresh_at()), (Outcome::Older { changed: true }, 5.0));
+    assert_eq!(
+        (outcome, view.fresh_at()),
+        (Outcome::Older { changed: true }, 5.0)
+    );
     assert_eq!(view.rows().len(), 3);
     view.repeat(8.0);
     view.repeat(6.0);
@@ -146,15 +191,31 @@
     let mut whole = list(2, 4, &[0]);
     let _unreadable = whole.entries.remove(1);
     let odd = vec![
-        StandingRow { name: "s-1".into(), standing: Standing::Draining },
-        StandingRow { name: "s-9".into(), standing: Standing::Ready },
+        StandingRow {
+            name: "s-1".into(),
+            standing: Standing::Draining,
+        },
+        StandingRow {
+            name: "s-9".into(),
+            standing: Standing::Ready,
+        },
     ];
-    let partial = PartialList { serial: 2, entries: whole.entries, odd, places: Places::default() };
+    let partial = PartialList {
+        serial: 2,
+        entries: whole.entries,
+        odd,
+        places: Places::default(),
+    };
     assert_eq!(view.take_partial(1.0, 0.9, &partial), Outcome::Changed);
     let standing = |e: Entry| (e.name, e.row.standing == Standing::Ready);
     let rows: BTreeMap<String, bool> = view.rows().into_iter().map(standing).collect();
     let expected = [("s-0", false), ("s-1", false), ("s-2", true), ("s-3", true)];
-    assert_eq!(rows, expected.map(|(name, ready)| (name.to_owned(), ready)).into());
+    assert_eq!(
+        rows,
+        expected
+            .map(|(name, ready)| (name.to_owned(), ready))
+            .into()
+    );
     assert_eq!(view.fresh_at(), 0.9);
 }
 
@@ -167,7 +228,10 @@
     let first = address(&told);
     told.take(&moved);
     assert_eq!(address(&told), first, "told once");
-    assert!(!told.view.is_settled(), "the same answer again tells something");
+    assert!(
+        !told.view.is_settled(),
+        "the same answer again tells something"
+    );
     told.take(&list(1, 2, &[]));
     told.take(&moved);
     assert_eq!(address(&told), first, "not in a row");
@@ -178,12 +242,18 @@
     moved.entries[0].address = ([10, 8, 8, 8], 1).into();
     moved.entries[0].row.standing = Standing::Draining;
     told.take(&moved);
-    assert_eq!((address(&told).as_str(), told.ready()), ("10.9.9.9:1", vec![1]));
+    assert_eq!(
+        (address(&told).as_str(), told.ready()),
+        ("10.9.9.9:1", vec![1])
+    );
 }
 
 #[test]
 fn one_that_is_listed_twice_stands_as_the_worse_of_the_two() {
-    for order in [[Standing::Ready, Standing::Draining], [Standing::Draining, Standing::Ready]] {
+    for order in [
+        [Standing::Ready, Standing::Draining],
+        [Standing::Draining, Standing::Ready],
+    ] {
         let mut told = Told::new(&list(1, 2, &[]));
         let mut twice = list(2, 2, &[]);
         let [first, second] = order.map(|standing| entry(0, standing, f64::NEG_INFINITY));
@@ -203,30 +273,66 @@
         let new = entry(1, Standing::Ready, 200.0 + told);
         let old = entry(0, Standing::Ready, 100.0 + told);
         // It was on no list a moment before.
-        view.take(199.9, 199.9, &Answer { serial: 1, entries: vec![old.clone()] });
-        view.take(200.0, 200.0, &Answer { serial: 2, entries: vec![old.clone(), new.clone()] });
+        view.take(
+            199.9,
+            199.9,
+            &Answer {
+                serial: 1,
+                entries: vec![old.clone()],
+            },
+        );
+        view.take(
+            200.0,
+            200.0,
+            &Answer {
+                serial: 2,
+                entries: vec![old.clone(), new.clone()],
+            },
+        );
         let since: Vec<f64> = view.rows().iter().map(|e| e.row.since).collect();
         assert!(
             (98.5..=100.0).contains(&since[0]) && (198.5..=200.0).contains(&since[1]),
             "{told}: {since:?}"
         );
         // It stays so, until it starts anew.
-        view.take(300.0, 300.0, &Answer { serial: 3, entries: vec![old, new] });
-        assert_eq!(view.rows().iter().map(|e| e.row.since).collect::<Vec<_>>(), since, "{told}");
+        view.take(
+            300.0,
+            300.0,
+            &Answer {
+                serial: 3,
+                entries: vec![old, new],
+            },
+        );
+        assert_eq!(
+            view.rows().iter().map(|e| e.row.since).collect::<Vec<_>>(),
+            since,
+            "{told}"
+        );
         view.take(
             400.0,
             400.0,
-            &Answer { serial: 4, entries: vec![entry(0, Standing::Ready, 400.0 + told)] },
+            &Answer {
+                serial: 4,
+                entries: vec![entry(0, Standing::Ready, 400.0 + told)],
+            },
+        );
+        assert!(
+            (398.5..=400.0).contains(&view.rows()[0].row.since),
+            "{told}"
         );
-        assert!((398.5..=400.0).contains(&view.rows()[0].row.since), "{told}");
     }
     // Of several at a start the youngest may be new, and the others are so much older.
     for told in [-hour, 0.0, hour] {
         let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + told + since);
-        let entries: Vec<Entry> =
-            (0..).zip(since).map(|(n, since)| entry(n, Standing::Ready, since)).collect();
-        let taken: Vec<f64> =
-            RosterView::new(100.0, 1, &entries).rows().iter().map(|e| e.row.since).collect();
+        let entries: Vec<Entry> = (0..)
+            .zip(since)
+            .map(|(n, since)| entry(n, Standing::Ready, since))
+            .collect();
+        let taken: Vec<f64> = RosterView::new(100.0, 1, &entries)
+            .rows()
+            .iter()
+            .map(|e| e.row.since)
+            .collect();
         assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{told}");
     }
     let long_ago = RosterView::new(100.0, 1, &[entry(0, Standing::Ready, f64::NEG_INFINITY)]);
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -35,9 +35,17 @@
         functions.join(", ")
     );
     let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
-    let place = Place { index: 0, count: 1, location: 0, orders: false, keep_alive: 8.0 };
+    let place = Place {
+        index: 0,
+        count: 1,
+        location: 0,
+        orders: false,
+        keep_alive: 8.0,
+    };
     let names: Vec<String> = (0..FUNCTIONS).map(|n| format!("f{n}")).collect();
-    let keys: Vec<String> = (0..1_000u64).map(|n| format!("{:016x}", n * 0x9e37_79b9)).collect();
+    let keys: Vec<String> = (0..1_000u64)
+        .map(|n| format!("{:016x}", n * 0x9e37_79b9))
+        .collect();
     let mut figures = vec![];
     for on in [0, ROLLOUTS] {
         let mut coordinator = Coordinator::new(CoordinatorState::default(), 1, 0.0);
@@ -47,26 +55,52 @@
                 "{{ name: 'r{n}', function: 'f{n}', to: 'next', loadsPerSecond: 0.1, steps: [{{ share: 0.3 }}, {{ share: 1 }}] }}"
             );
             let plan = Plan::read(&plan, &deployment).unwrap_or_else(|f| panic!("{f:?}"));
-            let command = Command::Start { plan: Box::new(plan), from: digest(2 * n), to: digest(2 * n + 1) };
-            coordinator.command(1.0, &command, n as u64 + 1).unwrap_or_else(|r| panic!("{r}"));
+            let command = Command::Start {
+                plan: Box::new(plan),
+                from: digest(2 * n),
+                to: digest(2 * n + 1),
+            };
+            coordinator
+                .command(1.0, &command, n as u64 + 1)
+                .unwrap_or_else(|r| panic!("{r}"));
         }
         let mut shares = Shares::new(place, 0.0);
-        shares.adopt(2.0, coordinator.published().clone(), |name| deployment.function(name));
+        shares.adopt(2.0, coordinator.published().clone(), |name| {
+            deployment.function(name)
+        });
         shares.tick(2.1);
         let (mut best, mut new) = (f64::INFINITY, 0);
         for _ in 0..3 {
             let began = Instant::now();
             for n in 0..INVOCATIONS {
                 // Half of the invocations are of a hundredth of the functions.
-                let f = if n % 2 == 0 { n / 2 % ROLLOUTS } else { n % FUNCTIONS };
-                let function = deployment.function(&names[f]).unwrap_or_else(|| panic!("no f{f}"));
+                let f = if n % 2 == 0 {
+                    n / 2 % ROLLOUTS
+                } else {
+                    n % FUNCTIONS
+                };
+                let function = deployment
+                    .function(&names[f])
+                    .unwrap_or_else(|| panic!("no f{f}"));
                 let key = shares.key(&names[f]).is_some();
-                let who = Who { customer: "", location: "default", key: &keys[n % keys.len()] };
-                let resolved =
-                    shares.resolve(&function, None, 0, 0, &who).unwrap_or_else(|| panic!("no version"));
+                let who = Who {
+                    customer: "",
+                    location: "default",
+                    key: &keys[n % keys.len()],
+                };
+                let resolved = shares
+                    .resolve(&function, None, 0, 0, &who)
+                    .unwrap_or_else(|| panic!("no version"));
                 if let Some(invoked) = &resolved.invoked {
                     new += u64::from(invoked.arm == Arm::New);
-                    shares.answered(invoked, AnswerOutcome::Succeeded { took: 0.02, warm: true }, false);
+                    shares.answered(
+                        invoked,
+                        AnswerOutcome::Succeeded {
+                            took: 0.02,
+                            warm: true,
+                        },
+                        false,
+                    );
                 }
                 black_box((key, resolved));
             }
--- a/crates/rollout/benches/statistics.rs
+++ b/crates/rollout/benches/statistics.rs
@@ -30,10 +30,18 @@
     tail: f64,
 }
 
-const GOOD: Version = Version { errors: ERRORS, slow: 0.1, tail: 0.01 };
+const GOOD: Version = Version {
+    errors: ERRORS,
+    slow: 0.1,
+    tail: 0.01,
+};
 
 fn drawn(rng: &mut SmallRng, n: u64, p: f64) -> u64 {
-    if n == 0 { 0 } else { Binomial::new(n, p).map_or(0, |b| b.sample(rng)) }
+    if n == 0 {
+        0
+    } else {
+        Binomial::new(n, p).map_or(0, |b| b.sample(rng))
+    }
 }
 
 fn counts(rng: &mut SmallRng, n: u64, v: Version) -> Counts {
@@ -41,7 +49,11 @@
     let warm = n - errors;
     let slow = drawn(rng, warm, v.slow);
     let tail = drawn(rng, slow, v.tail / v.slow);
-    let mut c = Counts { answers: n, warm, ..Counts::default() };
+    let mut c = Counts {
+        answers: n,
+        warm,
+        ..Counts::default()
+    };
     c.events[Gate::Errors.index()] = errors;
     c.events[Gate::Slow.index()] = slow;
     c.events[Gate::SlowTail.index()] = tail;
@@ -50,14 +62,29 @@
 
 /// One second of traffic. `trouble` multiplies the errors of both versions.
 fn second(rng: &mut SmallRng, share: f64, new: Version, trouble: f64) -> Vec<Slot> {
-    let with = |v: Version| Version { errors: (v.errors * trouble).min(0.9), ..v };
+    let with = |v: Version| Version {
+        errors: (v.errors * trouble).min(0.9),
+        ..v
+    };
     let mut slots = vec![];
     for trigger_type in 0..2 {
         for location in 0..2 {
             let n = RATE / 4;
             let on_new = drawn(rng, n, share);
-            let (old, new) = (counts(rng, n - on_new, with(GOOD)), counts(rng, on_new, with(new)));
-            slots.push(Slot { cell: Cell { trigger_type, customer: 0, location }, share, old, new });
+            let (old, new) = (
+                counts(rng, n - on_new, with(GOOD)),
+                counts(rng, on_new, with(new)),
+            );
+            slots.push(Slot {
+                cell: Cell {
+                    trigger_type,
+                    customer: 0,
+                    location,
+                },
+                share,
+                old,
+                new,
+            });
         }
     }
     slots
@@ -93,7 +120,11 @@
     const Z: f64 = 3.26;
     for t in 0..LONGEST {
         let share = SHARES[t / STEP];
-        let trouble = if troubled && (t / 20) % 3 == 1 { 10.0 } else { 1.0 };
+        let trouble = if troubled && (t / 20) % 3 == 1 {
+            10.0
+        } else {
+            1.0
+        };
         let slots = second(&mut rng, share, new, trouble);
         let mut step = [Counts::default(); 2];
         for s in &slots {
@@ -106,19 +137,26 @@
         }
         whole.iter_mut().zip(&step).for_each(|(w, s)| w.add(s));
         tests.note(plan, t as f64, &slots);
-        let failed = plan.gates.iter().any(|h| h.takes_back && tests.evidence(h.gate) >= plan.threshold());
+        let failed = plan
+            .gates
+            .iter()
+            .any(|h| h.takes_back && tests.evidence(h.gate) >= plan.threshold());
         if failed && found.sequential.is_none() {
             found.sequential = Some((t + 1, harmed));
         }
         let of = |c: &Counts, g: Gate| (c.events[g.index()], c.exposed(g));
         let judged = [Gate::Errors, Gate::Slow, Gate::SlowTail];
         if t % STEP == STEP - 1 && found.fixed.is_none() {
-            let worse = judged.iter().any(|&g| z_of(of(&whole[0], g), of(&whole[1], g)) > Z);
+            let worse = judged
+                .iter()
+                .any(|&g| z_of(of(&whole[0], g), of(&whole[1], g)) > Z);
             found.fixed = worse.then_some((t + 1, harmed));
         }
         if found.threshold.is_none() && whole[1].answers >= 20 {
             let part = |c: &Counts, g| of(c, g).0 as f64 / of(c, g).1.max(1) as f64;
-            let worse = judged[..2].iter().any(|&g| part(&whole[1], g) > 1.5 * part(&whole[0], g));
+            let worse = judged[..2]
+                .iter()
+                .any(|&g| part(&whole[1], g) > 1.5 * part(&whole[0], g));
             found.threshold = worse.then_some((t + 1, harmed));
         }
         if found.sequential.is_some() && found.fixed.is_some() && found.threshold.is_some() {
@@ -129,7 +167,10 @@
 }
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
-    sorted.get((sorted.len() as f64 * q) as usize).copied().unwrap_or(f64::NAN)
+    sorted
+        .get((sorted.len() as f64 * q) as usize)
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 type Way = (&'static str, fn(&Found) -> Option<(usize, u64)>);
@@ -142,27 +183,54 @@
          'sha256:{old}', next: 'sha256:{new}' }} }}], executors: {{ list: [{{ address: '127.0.0.1:7001' }}] }} }}"
     );
     let deployment = Deployment::read(&deployment).unwrap_or_else(|f| panic!("{f:?}"));
-    let plan = "{ name: 'r', function: 'f', to: 'next', loadsPerSecond: 0.1, steps: [{ share: 1 }] }";
+    let plan =
+        "{ name: 'r', function: 'f', to: 'next', loadsPerSecond: 0.1, steps: [{ share: 1 }] }";
     let plan = Plan::read(plan, &deployment).unwrap_or_else(|f| panic!("{f:?}"));
     assert_eq!(plan.gates.len(), GATES.len());
-    let ways: [Way; 3] =
-        [("sequential", |f| f.sequential), ("fixed sample", |f| f.fixed), ("threshold", |f| f.threshold)];
-    let slower = Version { slow: 0.27, tail: 0.05, ..GOOD };
+    let ways: [Way; 3] = [
+        ("sequential", |f| f.sequential),
+        ("fixed sample", |f| f.fixed),
+        ("threshold", |f| f.threshold),
+    ];
+    let slower = Version {
+        slow: 0.27,
+        tail: 0.05,
+        ..GOOD
+    };
     let worlds: [(&str, Version, bool, usize); 5] = [
         ("harmless", GOOD, false, HARMLESS),
         ("harmless, both in trouble", GOOD, true, HARMLESS),
-        ("twice the errors", Version { errors: 2.0 * ERRORS, ..GOOD }, false, WORSE),
-        ("five times the errors", Version { errors: 5.0 * ERRORS, ..GOOD }, false, WORSE),
+        (
+            "twice the errors",
+            Version {
+                errors: 2.0 * ERRORS,
+                ..GOOD
+            },
+            false,
+            WORSE,
+        ),
+        (
+            "five times the errors",
+            Version {
+                errors: 5.0 * ERRORS,
+                ..GOOD
+            },
+            false,
+            WORSE,
+        ),
         ("0.9 quantile 1.5 times slower", slower, false, WORSE),
     ];
     println!(
         "{RATE} invocations a second, steps of {STEP} s at {SHARES:?}, looks at every second; errors {ERRORS}"
     );
-    println!("world                          way            taken back  median s  0.9 s  median harmed");
+    println!(
+        "world                          way            taken back  median s  0.9 s  median harmed"
+    );
     let mut curves = vec![];
     for (n, (world, version, troubled, rollouts)) in worlds.into_iter().enumerate() {
-        let found: Vec<Found> =
-            (0..rollouts).map(|r| rollout(&plan, (n * HARMLESS + r) as u64, version, troubled)).collect();
+        let found: Vec<Found> = (0..rollouts)
+            .map(|r| rollout(&plan, (n * HARMLESS + r) as u64, version, troubled))
+            .collect();
         for (name, way) in ways {
             let hits: Vec<(usize, u64)> = found.iter().filter_map(way).collect();
             let mut times: Vec<f64> = hits.iter().map(|h| h.0 as f64).collect();
@@ -183,7 +251,8 @@
         }
     }
     if let Some(folder) = std::env::args().nth(1).filter(|a| !a.starts_with("--")) {
-        chart(&format!("{folder}/rollout-detection.svg"), &curves).unwrap_or_else(|e| panic!("{e}"));
+        chart(&format!("{folder}/rollout-detection.svg"), &curves)
+            .unwrap_or_else(|e| panic!("{e}"));
     }
 }
 
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -14,7 +14,11 @@
 #[serde(rename_all = "camelCase", tag = "what")]
 pub enum Command {
     /// Start a rollout between two versions, by their digests.
-    Start { plan: Box<Plan>, from: String, to: String },
+    Start {
+        plan: Box<Plan>,
+        from: String,
+        to: String,
+    },
     /// Hold the step that is on.
     Pause { name: String },
     /// Go on after a pause.
@@ -107,12 +111,19 @@
             Command::Resume { name } => self.resume(name)?,
             Command::Back { name, why } => {
                 self.phase_of(name)?;
-                self.change(name, true, why.clone(), |rollout| rollout.phase = Phase::TakenBack);
+                self.change(name, true, why.clone(), |rollout| {
+                    rollout.phase = Phase::TakenBack
+                });
             }
             Command::Advance { name, why } => self.skip_step(name, why)?,
             Command::Finish { name } => match self.phase_of(name)? {
                 Phase::Keeping => self.finish(name, true, "finished by an operator".into()),
-                phase => return Err(CommandError::NotFinishable { name: name.clone(), phase }),
+                phase => {
+                    return Err(CommandError::NotFinishable {
+                        name: name.clone(),
+                        phase,
+                    });
+                }
             },
         }
         self.tick(now);
@@ -122,9 +133,14 @@
     /// The phase of a rollout that is on.
     fn phase_of(&self, name: &str) -> Result<Phase, CommandError> {
         let found = self.state.published.rollouts.get(name);
-        let phase = found.ok_or_else(|| CommandError::Unknown(name.to_owned()))?.phase;
+        let phase = found
+            .ok_or_else(|| CommandError::Unknown(name.to_owned()))?
+            .phase;
         if phase.is_over() {
-            return Err(CommandError::Over { name: name.to_owned(), phase });
+            return Err(CommandError::Over {
+                name: name.to_owned(),
+                phase,
+            });
         }
         Ok(phase)
     }
@@ -132,20 +148,30 @@
     fn pause(&mut self, name: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
-                self.change(name, true, "paused".into(), |rollout| rollout.phase = Phase::Paused);
+                self.change(name, true, "paused".into(), |rollout| {
+                    rollout.phase = Phase::Paused
+                });
                 Ok(())
             }
-            phase => Err(CommandError::NotPausable { name: name.to_owned(), phase }),
+            phase => Err(CommandError::NotPausable {
+                name: name.to_owned(),
+                phase,
+            }),
         }
     }
 
     fn resume(&mut self, name: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Paused => {
-                self.change(name, true, "resumed".into(), |rollout| rollout.phase = Phase::Shifting);
+                self.change(name, true, "resumed".into(), |rollout| {
+                    rollout.phase = Phase::Shifting
+                });
                 Ok(())
             }
-            phase => Err(CommandError::NotPaused { name: name.to_owned(), phase }),
+            phase => Err(CommandError::NotPaused {
+                name: name.to_owned(),
+                phase,
+            }),
         }
     }
 
@@ -156,13 +182,18 @@
                 run.skip = Some(format!("an operator went on: {why}"));
                 Ok(())
             }
-            phase => Err(CommandError::NotAdvancing { name: name.to_owned(), phase }),
+            phase => Err(CommandError::NotAdvancing {
+                name: name.to_owned(),
+                phase,
+            }),
         }
     }
 
     fn start(&mut self, plan: &Plan, from: &str, to: &str, drawn: u64) -> Result<(), CommandError> {
         let rollouts = &self.state.published.rollouts;
-        let rival = rollouts.values().find(|r| !r.phase.is_over() && r.plan.function == plan.function);
+        let rival = rollouts
+            .values()
+            .find(|r| !r.phase.is_over() && r.plan.function == plan.function);
         if let Some(rival) = rival {
             return Err(CommandError::Rival {
                 rival: rival.plan.name.clone(),
@@ -182,9 +213,19 @@
             to: to.to_owned(),
             reason: String::new(),
         };
-        self.state.published.rollouts.insert(plan.name.clone(), rollout);
-        let history = self.state.runs.remove(&plan.name).map(|run| run.history).unwrap_or_default();
-        self.state.runs.insert(plan.name.clone(), Run::with_history(history));
+        self.state
+            .published
+            .rollouts
+            .insert(plan.name.clone(), rollout);
+        let history = self
+            .state
+            .runs
+            .remove(&plan.name)
+            .map(|run| run.history)
+            .unwrap_or_default();
+        self.state
+            .runs
+            .insert(plan.name.clone(), Run::with_history(history));
         self.change(&plan.name, true, "started".into(), |_| {});
         Ok(())
     }
@@ -192,8 +233,11 @@
     /// Forgets the rollout that ended first, where as many are kept as may be.
     fn forget_oldest(&mut self) {
         let rollouts = &self.state.published.rollouts;
-        let over: Vec<&String> =
-            rollouts.iter().filter(|(_, rollout)| rollout.phase.is_over()).map(|(name, _)| name).collect();
+        let over: Vec<&String> = rollouts
+            .iter()
+            .filter(|(_, rollout)| rollout.phase.is_over())
+            .map(|(name, _)| name)
+            .collect();
         if over.len() < MAX_OVER {
             return;
         }
@@ -201,7 +245,10 @@
             let last = self.state.runs.get(name).and_then(|run| run.history.last());
             last.map_or(0.0, |event| event.at)
         };
-        let oldest = over.into_iter().min_by(|a, b| ended_at(a).total_cmp(&ended_at(b))).cloned();
+        let oldest = over
+            .into_iter()
+            .min_by(|a, b| ended_at(a).total_cmp(&ended_at(b)))
+            .cloned();
         if let Some(oldest) = oldest {
             self.state.published.rollouts.remove(&oldest);
             self.state.runs.remove(&oldest);
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -35,7 +35,12 @@
     /// Continues from a state that was kept, under a new term. `drawn` is a random number that tells coordinators of
     /// one term apart.
     pub fn new(state: CoordinatorState, drawn: u64, now: f64) -> Coordinator {
-        let mut coordinator = Coordinator { state, superseded: None, now, changed: true };
+        let mut coordinator = Coordinator {
+            state,
+            superseded: None,
+            now,
+            changed: true,
+        };
         coordinator.state.published.epoch.term += 1;
         coordinator.state.published.epoch.drawn = drawn;
         coordinator
@@ -70,9 +75,17 @@
     }
 
     /// Changes a rollout, and adds the change to its history.
-    fn change(&mut self, name: &str, by_hand: bool, reason: String, change: impl FnOnce(&mut Rollout)) {
+    fn change(
+        &mut self,
+        name: &str,
+        by_hand: bool,
+        reason: String,
+        change: impl FnOnce(&mut Rollout),
+    ) {
         let published = &mut self.state.published;
-        let Some(rollout) = published.rollouts.get_mut(name) else { return };
+        let Some(rollout) = published.rollouts.get_mut(name) else {
+            return;
+        };
         change(rollout);
         rollout.reason = reason.clone();
         rollout.number += 1;
@@ -95,11 +108,20 @@
 
     /// Ends a rollout with the new version: its alias moves.
     fn finish(&mut self, name: &str, by_hand: bool, reason: String) {
-        let Some(rollout) = self.state.published.rollouts.get(name) else { return };
+        let Some(rollout) = self.state.published.rollouts.get(name) else {
+            return;
+        };
         let (function, alias) = (rollout.plan.function.clone(), rollout.plan.alias.clone());
         let digest = rollout.to.clone();
-        self.state.published.aliases.entry(function).or_default().insert(alias, digest);
-        self.change(name, by_hand, reason, |rollout| rollout.phase = Phase::Finished);
+        self.state
+            .published
+            .aliases
+            .entry(function)
+            .or_default()
+            .insert(alias, digest);
+        self.change(name, by_hand, reason, |rollout| {
+            rollout.phase = Phase::Finished
+        });
     }
 
     /// Adds the report of a front end to the evidence. The front end is known by a number that it drew at its start.
@@ -111,7 +133,9 @@
         }
         for delta in &report.deltas {
             let rollouts = &self.state.published.rollouts;
-            let Some((name, rollout)) = rollouts.iter().find(|(_, r)| r.run == delta.run) else { continue };
+            let Some((name, rollout)) = rollouts.iter().find(|(_, r)| r.run == delta.run) else {
+                continue;
+            };
             if !rollout.phase.is_over() {
                 let run = self.state.runs.entry(name.clone()).or_default();
                 run.add(now, report.front_end, delta);
@@ -127,8 +151,10 @@
         }
         *last = (report.round, now);
         if rounds.len() > MAX_ROUNDS {
-            let oldest =
-                rounds.iter().min_by(|a, b| a.1.1.total_cmp(&b.1.1)).map(|(&front_end, _)| front_end);
+            let oldest = rounds
+                .iter()
+                .min_by(|a, b| a.1.1.total_cmp(&b.1.1))
+                .map(|(&front_end, _)| front_end);
             oldest.map(|front_end| rounds.remove(&front_end));
         }
         true
@@ -149,7 +175,9 @@
 
     fn judge(&mut self, name: &str, passed: f64) {
         let now = self.now;
-        let Some(rollout) = self.state.published.rollouts.get(name).cloned() else { return };
+        let Some(rollout) = self.state.published.rollouts.get(name).cloned() else {
+            return;
+        };
         let run = self.state.runs.entry(name.to_owned()).or_default();
         run.forget_silent(now);
         let slots = run.take_slots();
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -39,7 +39,9 @@
 fn digest_differs(run: &Run, _: &Rollout, _: f64) -> Verdict {
     match run.digest_mismatches {
         0 => Verdict::Pass,
-        count => Verdict::Back(format!("{count} loads found bytes that the digest doesn't name")),
+        count => Verdict::Back(format!(
+            "{count} loads found bytes that the digest doesn't name"
+        )),
     }
 }
 
@@ -60,17 +62,32 @@
 
 fn strongest(run: &Run, plan: &Plan, takes_back: bool) -> Option<Strongest> {
     let strength = |gate: Gate| run.tests.evidence(gate).ln() / plan.threshold().ln();
-    let gates = plan.gates.iter().filter(|hold| !takes_back || hold.takes_back).map(|hold| hold.gate);
-    let gates = gates.map(|gate| Strongest { gate, strength: strength(gate) });
+    let gates = plan
+        .gates
+        .iter()
+        .filter(|hold| !takes_back || hold.takes_back)
+        .map(|hold| hold.gate);
+    let gates = gates.map(|gate| Strongest {
+        gate,
+        strength: strength(gate),
+    });
     gates.max_by(|a, b| a.strength.total_cmp(&b.strength))
 }
 
 fn gate_fails(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let failing = strongest(run, &rollout.plan, true).filter(|strongest| strongest.strength >= 1.0);
-    let Some(Strongest { gate, .. }) = failing else { return Verdict::Pass };
-    let group = run.tests.strongest(gate).map_or_else(|| "all".into(), |(group, _)| group_name(group));
+    let Some(Strongest { gate, .. }) = failing else {
+        return Verdict::Pass;
+    };
+    let group = run
+        .tests
+        .strongest(gate)
+        .map_or_else(|| "all".into(), |(group, _)| group_name(group));
     let odds = run.tests.evidence(gate);
-    Verdict::Back(format!("'{}' is worse ({group}): evidence of {odds:.0} to 1", gate.name()))
+    Verdict::Back(format!(
+        "'{}' is worse ({group}): evidence of {odds:.0} to 1",
+        gate.name()
+    ))
 }
 
 fn front_end_took_it_back(run: &Run, _: &Rollout, _: f64) -> Verdict {
@@ -81,7 +98,9 @@
 }
 
 fn operator_advances(run: &Run, _: &Rollout, _: f64) -> Verdict {
-    run.skip.as_ref().map_or(Verdict::Pass, |why| Verdict::Advance(why.clone()))
+    run.skip
+        .as_ref()
+        .map_or(Verdict::Pass, |why| Verdict::Advance(why.clone()))
 }
 
 fn front_ends_are_not_ready(run: &Run, rollout: &Rollout, now: f64) -> Verdict {
@@ -106,7 +125,11 @@
     if rollout.phase == Phase::Keeping {
         return Verdict::Pass;
     }
-    let threshold = if run.held { RELEASE_THRESHOLD } else { HOLD_THRESHOLD };
+    let threshold = if run.held {
+        RELEASE_THRESHOLD
+    } else {
+        HOLD_THRESHOLD
+    };
     match strongest(run, &rollout.plan, false).filter(|strongest| strongest.strength >= threshold) {
         None => Verdict::Pass,
         Some(Strongest { gate, .. }) => {
@@ -117,11 +140,20 @@
 }
 
 fn time_or_evidence_is_missing(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
-    let step = rollout.plan.steps.get(rollout.step).filter(|_| rollout.phase != Phase::Keeping);
-    let Some(step) = step else { return Verdict::Pass };
+    let step = rollout
+        .plan
+        .steps
+        .get(rollout.step)
+        .filter(|_| rollout.phase != Phase::Keeping);
+    let Some(step) = step else {
+        return Verdict::Pass;
+    };
     let answers = run.step[1].answers;
     if answers < step.least_evidence {
-        let missing = format!("{answers} of {} answers of the new version are in", step.least_evidence);
+        let missing = format!(
+            "{answers} of {} answers of the new version are in",
+            step.least_evidence
+        );
         let is_late = step.longest.is_some_and(|longest| run.time >= longest);
         return if is_late {
             Verdict::Back(format!("in the longest time of the step {missing}"))
@@ -130,7 +162,10 @@
         };
     }
     if run.time < step.least_time {
-        return Verdict::Hold(format!("{:.0} of {:.0} s have passed", run.time, step.least_time));
+        return Verdict::Hold(format!(
+            "{:.0} of {:.0} s have passed",
+            run.time, step.least_time
+        ));
     }
     Verdict::Pass
 }
@@ -138,14 +173,24 @@
 fn gate_cannot_be_judged(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let plan = &rollout.plan;
     // Where nothing is held back there is nothing left to compare with at the end.
-    let is_whole = plan.steps.get(rollout.step).is_none_or(|step| step.share >= 1.0);
+    let is_whole = plan
+        .steps
+        .get(rollout.step)
+        .is_none_or(|step| step.share >= 1.0);
     if is_whole && plan.holdback == 0.0 || rollout.phase == Phase::Keeping {
         return Verdict::Pass;
     }
-    let Some(hold) = plan.gates.iter().find(|hold| has_no_comparison(run, hold.gate)) else {
+    let Some(hold) = plan
+        .gates
+        .iter()
+        .find(|hold| has_no_comparison(run, hold.gate))
+    else {
         return Verdict::Pass;
     };
-    let why = format!("'{}' can't be judged: one of the versions gave nothing to compare", hold.gate.name());
+    let why = format!(
+        "'{}' can't be judged: one of the versions gave nothing to compare",
+        hold.gate.name()
+    );
     match plan.unjudged {
         Unjudged::Advance => Verdict::Pass,
         Unjudged::Hold => Verdict::Hold(why),
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -75,7 +75,10 @@
 impl Run {
     /// A run without evidence, whose history goes on from an earlier run's.
     pub(super) fn with_history(history: Vec<Event>) -> Run {
-        Run { history, ..Run::default() }
+        Run {
+            history,
+            ..Run::default()
+        }
     }
 
     /// Invocations of the function a second, over all front ends that reported lately.
@@ -85,7 +88,11 @@
 
     /// For each front end that reported lately, whether it gives the new version its share.
     pub(super) fn readiness(&self, now: f64) -> Vec<bool> {
-        self.reported.values().filter(|(at, _)| now - *at < SILENCE).map(|(_, ready)| *ready).collect()
+        self.reported
+            .values()
+            .filter(|(at, _)| now - *at < SILENCE)
+            .map(|(_, ready)| *ready)
+            .collect()
     }
 
     pub(super) fn add(&mut self, now: f64, front_end: u64, delta: &Delta) {
@@ -117,6 +124,8 @@
         self.held = false;
         self.skip = None;
         // Front ends have yet to report whether they are ready for this step.
-        self.reported.values_mut().for_each(|(_, ready)| *ready = false);
+        self.reported
+            .values_mut()
+            .for_each(|(_, ready)| *ready = false);
     }
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -47,7 +47,10 @@
         self.answers += other.answers;
         self.warm += other.warm;
         self.loads += other.loads;
-        self.events.iter_mut().zip(other.events).for_each(|(a, b)| *a += b);
+        self.events
+            .iter_mut()
+            .zip(other.events)
+            .for_each(|(a, b)| *a += b);
     }
 
     /// The number of answers or loads among which the events of a gate are counted.
@@ -114,7 +117,11 @@
             return None;
         }
         let both = self.slots.entry(key).or_default();
-        Some(if arm == Arm::Old { &mut both.0 } else { &mut both.1 })
+        Some(if arm == Arm::Old {
+            &mut both.0
+        } else {
+            &mut both.1
+        })
     }
 
     /// Takes the slots that were collected.
@@ -153,7 +160,11 @@
             return;
         }
         let part = (1.0 / f64::from(self.seen - Self::FIRST).sqrt()).max(Self::LEAST);
-        self.at *= if value > self.at { 1.0 + part * quantile } else { 1.0 - part * (1.0 - quantile) };
+        self.at *= if value > self.at {
+            1.0 + part * quantile
+        } else {
+            1.0 - part * (1.0 - quantile)
+        };
     }
 
     /// The estimate, once enough values were seen.
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -49,12 +49,18 @@
 /// The copies that a share of a rate of invocations needs.
 pub fn copies_for(rate: f64, share: f64, version: &Version) -> u64 {
     let work = version.work.unwrap_or(0.0);
-    (share * rate * work / (version.lanes * MAX_UTILIZATION)).ceil().max(1.0) as u64
+    (share * rate * work / (version.lanes * MAX_UTILIZATION))
+        .ceil()
+        .max(1.0) as u64
 }
 
 fn copies(plan: &Plan, deployment: &Deployment, share: f64) -> u64 {
-    let version = deployment.function(&plan.function).and_then(|f| f.version(&plan.to).cloned());
-    let (Some(rate), Some(version)) = (plan.rate, version) else { return 1 };
+    let version = deployment
+        .function(&plan.function)
+        .and_then(|f| f.version(&plan.to).cloned());
+    let (Some(rate), Some(version)) = (plan.rate, version) else {
+        return 1;
+    };
     copies_for(rate, share, &version)
 }
 
@@ -118,13 +124,20 @@
         let what = format!(
             "{} a second can't be kept: the ration grants each of {} front ends {} orders in {} s without traffic, \
              and rollouts may use {} of it, which is {granted:.2} a second in all",
-            plan.loads_per_second, policy.front_ends, policy.ration_floor, policy.ration_window, RATION_SHARE
+            plan.loads_per_second,
+            policy.front_ends,
+            policy.ration_floor,
+            policy.ration_window,
+            RATION_SHARE
         );
         faults.push(Infeasible { step: None, what });
     }
     for forecast in forecast(plan, deployment) {
         let fault = check_step(plan, &forecast);
-        faults.extend(fault.map(|what| Infeasible { step: Some(forecast.step), what }));
+        faults.extend(fault.map(|what| Infeasible {
+            step: Some(forecast.step),
+            what,
+        }));
     }
     if plan.gate(Gate::LoadFailures).is_some() && !policy.orders && policy.answers_miss {
         let what = "load failures can't be judged where nothing loads".into();
@@ -137,15 +150,22 @@
 fn check_step(plan: &Plan, forecast: &StepForecast) -> Option<String> {
     let step = &plan.steps[forecast.step];
     let longest = step.longest?;
-    let StepForecast { orders, loading, .. } = forecast;
+    let StepForecast {
+        orders, loading, ..
+    } = forecast;
     if *loading > longest {
         let pace = plan.loads_per_second;
         return Some(format!(
             "{orders} orders to load at {pace} a second take {loading:.0} s, longer than the longest of {longest} s"
         ));
     }
-    let evidence = forecast.evidence.filter(|evidence| loading + evidence > longest)?;
-    let (answers, rate) = (step.least_evidence, new_rate(plan, forecast.step).unwrap_or(0.0));
+    let evidence = forecast
+        .evidence
+        .filter(|evidence| loading + evidence > longest)?;
+    let (answers, rate) = (
+        step.least_evidence,
+        new_rate(plan, forecast.step).unwrap_or(0.0),
+    );
     Some(format!(
         "its evidence can't come in time: {answers} answers at {rate:.3} a second take {evidence:.0} s after \
          {loading:.0} s of loading, longer than the longest of {longest} s"
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -30,8 +30,12 @@
                 taken_back.extend(self.adopt_rollout(now, rollout, &find));
             }
         }
-        let is_published =
-            |local: &LocalRollout| published.rollouts.values().any(|r| r.run == local.rollout.run);
+        let is_published = |local: &LocalRollout| {
+            published
+                .rollouts
+                .values()
+                .any(|r| r.run == local.rollout.run)
+        };
         self.locals.retain(|_, local| is_published(local));
         self.published = published;
         taken_back
@@ -58,7 +62,9 @@
             self.locals.insert(function.clone(), local);
         }
         let index = f64::from(self.place.index);
-        let Some(local) = self.locals.get_mut(function) else { return taken_back };
+        let Some(local) = self.locals.get_mut(function) else {
+            return taken_back;
+        };
         let (step_before, step) = (local.rollout.split_at(), rollout.split_at());
         local.rollout = rollout.clone();
         if step != step_before || !is_same_run {
@@ -82,7 +88,9 @@
 /// Of several rollouts of one function the one that is on counts, otherwise the last that was.
 fn is_superseded(rollout: &Rollout, published: &Published) -> bool {
     let is_rival = |other: &Rollout| {
-        other.plan.function == rollout.plan.function && !other.phase.is_over() && other.run != rollout.run
+        other.plan.function == rollout.plan.function
+            && !other.phase.is_over()
+            && other.run != rollout.run
     };
     rollout.phase.is_over() && published.rollouts.values().any(is_rival)
 }
--- a/crates/rollout/src/frontend/load_ahead.rs
+++ b/crates/rollout/src/frontend/load_ahead.rs
@@ -35,12 +35,18 @@
     /// The copies of the new version to load now. Each front end has its turn in the pace that all of them keep
     /// together.
     fn load_due(&mut self, place: Place, now: f64) -> Option<usize> {
-        let step = self.rollout.split_at().filter(|_| !self.ready && place.orders)?;
+        let step = self
+            .rollout
+            .split_at()
+            .filter(|_| !self.ready && place.orders)?;
         let plan = &self.rollout.plan;
         if let Some(to) = &self.to {
             // Guards a hot function, whose first share fills more than one copy: what the plan states, or what
             // front ends like this one take between them.
-            let rate = plan.rate.unwrap_or(0.0).max(self.rate * f64::from(place.count));
+            let rate = plan
+                .rate
+                .unwrap_or(0.0)
+                .max(self.rate * f64::from(place.count));
             self.wanted = copies_for(rate, plan.steps[step].share, to) as usize;
         }
         if now < self.next_load_at {
@@ -77,7 +83,9 @@
             let old_copies = local.is_renewal_due(place, now).then_some(1);
             for (is_new, copies) in [(true, new_copies), (false, old_copies)] {
                 let version = if is_new { &local.to } else { &local.from };
-                let (Some(copies), Some(version)) = (copies, version) else { continue };
+                let (Some(copies), Some(version)) = (copies, version) else {
+                    continue;
+                };
                 let ahead = Ahead {
                     run: local.rollout.run,
                     function: function.clone(),
@@ -85,12 +93,17 @@
                     copies,
                     is_new,
                 };
-                due.push(Due { priority: local.rollout.plan.priority, ahead });
+                due.push(Due {
+                    priority: local.rollout.plan.priority,
+                    ahead,
+                });
             }
         }
         due.sort_by(|a, b| {
             let urgency = |due: &Due| Reverse((due.priority, due.ahead.is_new));
-            urgency(a).cmp(&urgency(b)).then_with(|| a.ahead.function.cmp(&b.ahead.function))
+            urgency(a)
+                .cmp(&urgency(b))
+                .then_with(|| a.ahead.function.cmp(&b.ahead.function))
         });
         due.into_iter().map(|due| due.ahead).collect()
     }
--- a/crates/rollout/src/frontend/local.rs
+++ b/crates/rollout/src/frontend/local.rs
@@ -87,7 +87,11 @@
 
     /// The step whose share invocations get.
     pub(super) fn step_in_force(&self) -> Option<usize> {
-        if self.took_back.is_some() { None } else { self.given }
+        if self.took_back.is_some() {
+            None
+        } else {
+            self.given
+        }
     }
 
     /// Begins the step that is published now.
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -117,7 +117,11 @@
 
     /// The digest that an alias names now, where it has moved since the deployment file.
     pub fn alias(&self, function: &str, alias: &str) -> Option<&str> {
-        self.published.aliases.get(function)?.get(alias).map(String::as_str)
+        self.published
+            .aliases
+            .get(function)?
+            .get(alias)
+            .map(String::as_str)
     }
 
     /// The version that an invocation gets, once, when it is taken. `asked` is an alias or digest that it names.
@@ -130,37 +134,69 @@
         who: &Who,
     ) -> Option<Resolved> {
         let alias = asked.unwrap_or("stable");
-        let moved = self.alias(&function.name, alias).and_then(|digest| function.version(digest));
+        let moved = self
+            .alias(&function.name, alias)
+            .and_then(|digest| function.version(digest));
         let named = moved.or_else(|| function.version(alias));
-        let unsplit = || named.map(|version| Resolved { version: version.clone(), invoked: None });
-        let Some(local) = self.locals.get_mut(&*function.name) else { return unsplit() };
+        let unsplit = || {
+            named.map(|version| Resolved {
+                version: version.clone(),
+                invoked: None,
+            })
+        };
+        let Some(local) = self.locals.get_mut(&*function.name) else {
+            return unsplit();
+        };
         local.taken += 1;
         let plan = &local.rollout.plan;
         let is_split = !local.is_over() && plan.alias == alias;
         let versions = (&local.from, &local.to);
-        let (Some(step), (Some(from), Some(to)), true) = (local.step_in_force(), versions, is_split) else {
+        let (Some(step), (Some(from), Some(to)), true) =
+            (local.step_in_force(), versions, is_split)
+        else {
             return unsplit();
         };
         let share = split::share(plan, step, who);
-        let arm = if split::place(local.rollout.run, who.key) < share { Arm::New } else { Arm::Old };
+        let arm = if split::place(local.rollout.run, who.key) < share {
+            Arm::New
+        } else {
+            Arm::Old
+        };
         let cell = Cell {
             trigger_type: trigger_type.min(MAX_CELL_INDEX) as u16,
             customer: customer.min(MAX_CELL_INDEX) as u16,
             location: self.place.location,
         };
-        let key = plan.key.is_shared().then(|| xxhash_rust::xxh3::xxh3_64(who.key.as_bytes()));
-        let invoked = Invoked { run: local.rollout.run, arm, cell, share, key };
+        let key = plan
+            .key
+            .is_shared()
+            .then(|| xxhash_rust::xxh3::xxh3_64(who.key.as_bytes()));
+        let invoked = Invoked {
+            run: local.rollout.run,
+            arm,
+            cell,
+            share,
+            key,
+        };
         let version = if arm == Arm::New { to } else { from };
-        Some(Resolved { version: version.clone(), invoked: Some(invoked) })
+        Some(Resolved {
+            version: version.clone(),
+            invoked: Some(invoked),
+        })
     }
 
     fn local_of(&mut self, run: u64) -> Option<&mut LocalRollout> {
-        self.locals.values_mut().find(|local| local.rollout.run == run)
+        self.locals
+            .values_mut()
+            .find(|local| local.rollout.run == run)
     }
 
     /// The version that a rollout came from, where it gives nothing to the new one any more.
     pub fn goes_back_to(&self, run: u64) -> Option<Version> {
-        let local = self.locals.values().find(|local| local.rollout.run == run)?;
+        let local = self
+            .locals
+            .values()
+            .find(|local| local.rollout.run == run)?;
         let is_back = local.rollout.phase == Phase::TakenBack || local.took_back.is_some();
         local.from.clone().filter(|_| is_back)
     }
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -57,7 +57,10 @@
         }
         let failures = self.failures.entry(executor).or_default();
         failures.retain(|failure| now - failure.at < FAILURE_WINDOW);
-        let others = failures.iter().filter(|failure| failure.version != version).count();
+        let others = failures
+            .iter()
+            .filter(|failure| failure.version != version)
+            .count();
         if failures.len() >= MAX_FAILURES {
             failures.pop_front();
         }
@@ -70,10 +73,16 @@
     /// The events of an answer, and what it adds to the quantiles.
     fn note(&mut self, plan: &Plan, arm: Arm, took: f64) -> [Option<Gate>; 2] {
         let ratio = |gate| plan.gate(gate).map_or(1.0, |hold| hold.ratio);
-        let gates = [(Gate::Slow, 0.9, &mut self.slow), (Gate::SlowTail, 0.99, &mut self.slow_tail)];
+        let gates = [
+            (Gate::Slow, 0.9, &mut self.slow),
+            (Gate::SlowTail, 0.99, &mut self.slow_tail),
+        ];
         let events = gates.map(|(gate, quantile, tracked)| {
             let allowed = if arm == Arm::New { ratio(gate) } else { 1.0 };
-            let event = tracked.known().filter(|known| took > allowed * known).map(|_| gate);
+            let event = tracked
+                .known()
+                .filter(|known| took > allowed * known)
+                .map(|_| gate);
             if arm == Arm::Old {
                 tracked.note(quantile, took);
             }
@@ -93,8 +102,13 @@
     pub fn dispatch_failed(&mut self, now: f64, executor: u64, version: u64, broke: bool) -> bool {
         let others = self.failing.add(now, executor, version);
         let is_version = |v: &Option<Version>| v.as_ref().is_some_and(|v| v.key == version);
-        let local = self.locals.values_mut().find(|local| is_version(&local.from) || is_version(&local.to));
-        let Some(local) = local.filter(|_| others < OTHERS_FAILING) else { return false };
+        let local = self
+            .locals
+            .values_mut()
+            .find(|local| is_version(&local.from) || is_version(&local.to));
+        let Some(local) = local.filter(|_| others < OTHERS_FAILING) else {
+            return false;
+        };
         if !broke {
             return true;
         }
@@ -106,15 +120,19 @@
     /// An invocation has its final answer. `failed` says that a dispatch of it failed in a way that counts: one that
     /// was dispatched again and succeeded shows what the version is like all the same.
     pub fn answered(&mut self, invoked: &Invoked, outcome: AnswerOutcome, failed: bool) {
-        let Some(local) = self.local_of(invoked.run) else { return };
+        let Some(local) = self.local_of(invoked.run) else {
+            return;
+        };
         let plan = local.rollout.plan.clone();
         let trigger_type = invoked.cell.trigger_type;
         let own_events = match outcome {
             AnswerOutcome::Errored | AnswerOutcome::Succeeded { warm: false, .. } => [None; 2],
             AnswerOutcome::Throttled => [Some(Gate::Throttled), None],
-            AnswerOutcome::Succeeded { took, warm: true } => {
-                local.slow.entry(trigger_type).or_default().note(&plan, invoked.arm, took)
-            }
+            AnswerOutcome::Succeeded { took, warm: true } => local
+                .slow
+                .entry(trigger_type)
+                .or_default()
+                .note(&plan, invoked.arm, took),
         };
         let mut events = [own_events[0], own_events[1], failed.then_some(Gate::Errors)];
         if let Some(key) = invoked.key.filter(|_| events.iter().any(Option::is_some)) {
@@ -128,8 +146,14 @@
             }
         }
         let is_warm = matches!(outcome, AnswerOutcome::Succeeded { warm: true, .. });
-        let is_compared = is_warm && local.slow.get(&trigger_type).is_some_and(SlowThresholds::are_known);
-        let Some(counts) = local.gathered.at(invoked.cell, invoked.share, invoked.arm) else { return };
+        let is_compared = is_warm
+            && local
+                .slow
+                .get(&trigger_type)
+                .is_some_and(SlowThresholds::are_known);
+        let Some(counts) = local.gathered.at(invoked.cell, invoked.share, invoked.arm) else {
+            return;
+        };
         counts.answers += 1;
         counts.warm += u64::from(is_compared);
         for gate in events.into_iter().flatten() {
@@ -146,7 +170,11 @@
             if is_new && digest_differed {
                 local.digest_mismatches += 1;
             }
-            let cell = Cell { trigger_type: LOADS_INDEX, customer: LOADS_INDEX, location };
+            let cell = Cell {
+                trigger_type: LOADS_INDEX,
+                customer: LOADS_INDEX,
+                location,
+            };
             let arm = if is_new { Arm::New } else { Arm::Old };
             if let Some(counts) = local.gathered.at(cell, 0.0, arm) {
                 counts.loads += 1;
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -40,15 +40,26 @@
     fn own_verdict(&self, front_ends: u32) -> Option<String> {
         let plan = &self.rollout.plan;
         let threshold = plan.threshold() * f64::from(front_ends);
-        let fails = |hold: &&Hold| hold.takes_back && self.own_tests.evidence(hold.gate) >= threshold;
+        let fails =
+            |hold: &&Hold| hold.takes_back && self.own_tests.evidence(hold.gate) >= threshold;
         if let Some(failed) = plan.gates.iter().find(fails) {
-            return Some(format!("'{}' is worse by its own evidence", failed.gate.name()));
+            return Some(format!(
+                "'{}' is worse by its own evidence",
+                failed.gate.name()
+            ));
         }
-        (self.digest_mismatches > 0).then(|| "a load found bytes that the digest doesn't name".into())
+        (self.digest_mismatches > 0)
+            .then(|| "a load found bytes that the digest doesn't name".into())
     }
 
     /// The evidence since the last call. What it reports is in its own test as well.
-    fn take_delta(&mut self, now: f64, isolated: bool, orders: bool, front_ends: u32) -> TakenDelta {
+    fn take_delta(
+        &mut self,
+        now: f64,
+        isolated: bool,
+        orders: bool,
+        front_ends: u32,
+    ) -> TakenDelta {
         let slots = self.gathered.take();
         let plan = self.rollout.plan.clone();
         self.own_tests.note(&plan, now, &slots);
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -73,7 +73,13 @@
 }
 
 /// All gates, in the order of `Gate::index`.
-pub const GATES: [Gate; 5] = [Gate::Errors, Gate::Slow, Gate::SlowTail, Gate::LoadFailures, Gate::Throttled];
+pub const GATES: [Gate; 5] = [
+    Gate::Errors,
+    Gate::Slow,
+    Gate::SlowTail,
+    Gate::LoadFailures,
+    Gate::Throttled,
+];
 
 impl Gate {
     /// The name of the gate in plans and reports.
@@ -180,7 +186,9 @@
     /// Reads a plan and checks it against the deployment, or returns every fault in it.
     pub fn read(text: &str, deployment: &Deployment) -> Result<Plan, Vec<Fault>> {
         let document = Document::new(text);
-        let Some(value) = document.parse() else { return Err(document.faults()) };
+        let Some(value) = document.parse() else {
+            return Err(document.faults());
+        };
         let read = plan(&document.root(&value), deployment);
         let faults = document.faults();
         match read {
@@ -205,18 +213,30 @@
     let fields = root.object(&KEYS);
     let name = name(&fields);
     let function = fields.at("function").text();
-    let is_known = function.as_deref().is_some_and(|function| check_function(&fields, function, deployment));
+    let is_known = function
+        .as_deref()
+        .is_some_and(|function| check_function(&fields, function, deployment));
     let text = |key: &str, default: &str| match fields.at(key).is_given() {
         true => fields.at(key).text(),
         false => Some(default.to_owned()),
     };
     let alias = text("alias", "stable");
     let (from, to) = (text("from", "stable"), fields.at("to").text());
-    if let (Some(function), Some(from), Some(to)) = (function.as_deref().filter(|_| is_known), &from, &to) {
+    if let (Some(function), Some(from), Some(to)) =
+        (function.as_deref().filter(|_| is_known), &from, &to)
+    {
         check_versions(&fields, deployment, function, from, to);
     }
-    let unjudged = [("hold", Unjudged::Hold), ("advance", Unjudged::Advance), ("back", Unjudged::Back)];
-    let number = |key, range, default| fields.maybe(key, |place| place.number(range)).unwrap_or(default);
+    let unjudged = [
+        ("hold", Unjudged::Hold),
+        ("advance", Unjudged::Advance),
+        ("back", Unjudged::Back),
+    ];
+    let number = |key, range, default| {
+        fields
+            .maybe(key, |place| place.number(range))
+            .unwrap_or(default)
+    };
     let key = fields.maybe("key", key).unwrap_or(Key::Invocation);
     let steps = steps(&fields, deployment);
     let gates = gates(&fields.at("gates"));
@@ -231,11 +251,17 @@
         steps,
         gates,
         false_alarm: number("falseAlarm", 1e-6..=0.1, 0.005),
-        unjudged: fields.maybe("unjudged", |place| place.one_of(&unjudged)).unwrap_or(Unjudged::Hold),
+        unjudged: fields
+            .maybe("unjudged", |place| place.one_of(&unjudged))
+            .unwrap_or(Unjudged::Hold),
         loads_per_second: number("loadsPerSecond", 0.01..=1e4, 2.0),
-        priority: fields.maybe("priority", |place| place.whole(0..=1_000)).unwrap_or(0),
+        priority: fields
+            .maybe("priority", |place| place.whole(0..=1_000))
+            .unwrap_or(0),
         holdback: number("holdback", 0.0..=0.5, 0.05),
-        keep_from: fields.maybe("keepFrom", |place| place.seconds(0.0..=86_400.0)).unwrap_or(60.0),
+        keep_from: fields
+            .maybe("keepFrom", |place| place.seconds(0.0..=86_400.0))
+            .unwrap_or(60.0),
         rate,
     };
     if !is_known {
@@ -254,7 +280,9 @@
     let name = fields.at("name").text()?;
     let is_valid = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if name.len() > MAX_NAME_LENGTH || !name.chars().all(is_valid) {
-        fields.at("name").fault("1 to 64 of a-z, A-Z, 0-9, '-', '_', '.' are wanted");
+        fields
+            .at("name")
+            .fault("1 to 64 of a-z, A-Z, 0-9, '-', '_', '.' are wanted");
     }
     Some(name)
 }
@@ -276,7 +304,9 @@
     if let (Some(old), Some(new)) = (old, new)
         && old.key == new.key
     {
-        fields.at("to").fault(format!("'{from}' and '{to}' are the same version"));
+        fields
+            .at("to")
+            .fault(format!("'{from}' and '{to}' are the same version"));
     }
 }
 
@@ -284,9 +314,15 @@
     let found = deployment.function(function)?;
     let version = found.version(name).cloned();
     if version.is_none() {
-        let aliases: Vec<_> = found.aliases.keys().map(|alias| format!("'{alias}'")).collect();
+        let aliases: Vec<_> = found
+            .aliases
+            .keys()
+            .map(|alias| format!("'{alias}'"))
+            .collect();
         let aliases = aliases.join(", ");
-        place.fault(format!("'{name}' is no alias or digest of '{function}'; aliases: {aliases}"));
+        place.fault(format!(
+            "'{name}' is no alias or digest of '{function}'; aliases: {aliases}"
+        ));
     }
     version
 }
@@ -300,7 +336,9 @@
         other => match other.strip_prefix("header:").filter(|h| !h.is_empty()) {
             Some(header) => Some(Key::Header(header.to_ascii_lowercase())),
             None => {
-                place.fault(format!("'{other}' is none of 'invocation', 'customer', 'token', 'header:NAME'"));
+                place.fault(format!(
+                    "'{other}' is none of 'invocation', 'customer', 'token', 'header:NAME'"
+                ));
                 None
             }
         },
@@ -309,8 +347,11 @@
 
 /// Names that the deployment has to know.
 fn names(place: &Place, known: &[String], what: &str) -> Vec<String> {
-    let names: Vec<(Place, String)> =
-        place.list().into_iter().filter_map(|p| p.text().map(|t| (p, t))).collect();
+    let names: Vec<(Place, String)> = place
+        .list()
+        .into_iter()
+        .filter_map(|p| p.text().map(|t| (p, t)))
+        .collect();
     for (at, name) in &names {
         if !known.contains(name) {
             at.fault(format!("the deployment file has no {what} '{name}'"));
@@ -326,23 +367,41 @@
     }
     let mut steps: Vec<Step> = vec![];
     for place in &list {
-        let f = place.object(&["share", "customers", "locations", "leastTime", "leastEvidence", "longest"]);
-        let Some(share) = f.at("share").number(0.0001..=1.0) else { continue };
+        let f = place.object(&[
+            "share",
+            "customers",
+            "locations",
+            "leastTime",
+            "leastEvidence",
+            "longest",
+        ]);
+        let Some(share) = f.at("share").number(0.0001..=1.0) else {
+            continue;
+        };
         let step = Step {
             share,
             customers: names(&f.at("customers"), &deployment.customers, "customer"),
             locations: names(&f.at("locations"), &deployment.locations, "location"),
-            least_time: f.maybe("leastTime", |p| p.seconds(0.0..=604_800.0)).unwrap_or(60.0),
-            least_evidence: f.maybe("leastEvidence", |p| p.whole(0..=1_000_000_000)).map_or(100, u64::from),
+            least_time: f
+                .maybe("leastTime", |p| p.seconds(0.0..=604_800.0))
+                .unwrap_or(60.0),
+            least_evidence: f
+                .maybe("leastEvidence", |p| p.whole(0..=1_000_000_000))
+                .map_or(100, u64::from),
             longest: f.maybe("longest", |p| p.seconds(0.1..=2_592_000.0)),
         };
         if let Some(longest) = step.longest.filter(|&l| l < step.least_time) {
-            f.at("longest").fault(format!("{longest} s is under the least time of {} s", step.least_time));
+            f.at("longest").fault(format!(
+                "{longest} s is under the least time of {} s",
+                step.least_time
+            ));
         }
         let same = |s: &&Step| s.customers == step.customers && s.locations == step.locations;
         if let Some(before) = steps.iter().rfind(same).filter(|s| s.share >= step.share) {
-            let what =
-                format!("{share} is no more than the {} of an earlier step for the same", before.share);
+            let what = format!(
+                "{share} is no more than the {} of an earlier step for the same",
+                before.share
+            );
             f.at("share").fault(what);
         }
         steps.push(step);
@@ -356,7 +415,11 @@
 }
 
 fn gates(place: &Place) -> Vec<Hold> {
-    let usual = |gate, ratio, takes_back| Hold { gate, ratio, takes_back };
+    let usual = |gate, ratio, takes_back| Hold {
+        gate,
+        ratio,
+        takes_back,
+    };
     let mut gates = vec![
         usual(Gate::Errors, 1.0, true),
         usual(Gate::Slow, 1.1, true),
@@ -376,7 +439,9 @@
         }
         let f = p.object(&["ratio", "action"]);
         let hold = &mut gates[gate.index()];
-        hold.ratio = f.maybe("ratio", |p| p.number(1.0..=100.0)).unwrap_or(hold.ratio);
+        hold.ratio = f
+            .maybe("ratio", |p| p.number(1.0..=100.0))
+            .unwrap_or(hold.ratio);
         let actions = [("back", Some(true)), ("hold", Some(false)), ("off", None)];
         match f.maybe("action", |p| p.one_of(&actions)) {
             Some(Some(takes_back)) => hold.takes_back = takes_back,
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -59,7 +59,10 @@
             return;
         }
         let p = events.p.clamp(LEAST_SHARE, 1.0 - LEAST_SHARE);
-        let (new, old) = (events.new as f64, (events.all - events.new.min(events.all)) as f64);
+        let (new, old) = (
+            events.new as f64,
+            (events.all - events.new.min(events.all)) as f64,
+        );
         for (wealth, odds) in self.played.iter_mut().zip(ODDS) {
             let bet = odds * p / (odds * p + 1.0 - p);
             let gain = new * (bet / p).ln() + old * ((1.0 - bet) / (1.0 - p)).ln();
@@ -126,7 +129,11 @@
         self.groups.iter().map(move |(group, process)| {
             let n = &mut seen[group.kind()];
             *n += 1;
-            let part = if group.kind() == 0 { 1.0 } else { 1.0 / (f64::from(*n) * f64::from(*n + 1)) };
+            let part = if group.kind() == 0 {
+                1.0
+            } else {
+                1.0 / (f64::from(*n) * f64::from(*n + 1))
+            };
             (KIND_WEIGHTS[group.kind()] * part, process)
         })
     }
@@ -142,7 +149,11 @@
 
     /// The group with the strongest evidence.
     fn strongest(&self) -> Option<(Group, f64)> {
-        let by_group = self.groups.iter().zip(self.weights()).map(|((g, s), (w, _))| (*g, w * s.evidence()));
+        let by_group = self
+            .groups
+            .iter()
+            .zip(self.weights())
+            .map(|((g, s), (w, _))| (*g, w * s.evidence()));
         by_group.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
@@ -151,7 +162,13 @@
         if let Some(n) = self.groups.iter().position(|(g, _)| *g == group) {
             return Some(&mut self.groups[n].1);
         }
-        if self.groups.iter().filter(|(g, _)| g.kind() == group.kind()).count() >= MAX_GROUPS {
+        if self
+            .groups
+            .iter()
+            .filter(|(g, _)| g.kind() == group.kind())
+            .count()
+            >= MAX_GROUPS
+        {
             return None;
         }
         // The earlier beginnings of a group that comes late had no events, which leaves them as they were.
@@ -185,8 +202,16 @@
         return None;
     }
     // The slow gates' ratio is in the threshold by which answers were counted.
-    let ratio = if matches!(gate, Gate::Slow | Gate::SlowTail) { 1.0 } else { hold.ratio };
-    Some(Events { p: ratio * share / (ratio * share + 1.0 - share), new, all: old + new })
+    let ratio = if matches!(gate, Gate::Slow | Gate::SlowTail) {
+        1.0
+    } else {
+        hold.ratio
+    };
+    Some(Events {
+        p: ratio * share / (ratio * share + 1.0 - share),
+        new,
+        all: old + new,
+    })
 }
 
 impl Tests {
@@ -195,12 +220,17 @@
         if now >= self.next_at {
             self.next_at = now + BLOCK;
             self.begun += 1;
-            self.gates.values_mut().flat_map(|t| &mut t.groups).for_each(|(_, s)| s.begin());
+            self.gates
+                .values_mut()
+                .flat_map(|t| &mut t.groups)
+                .for_each(|(_, s)| s.begin());
         }
         for hold in &plan.gates {
             let test = self.gates.entry(hold.gate).or_default();
             for slot in slots {
-                let Some(events) = events(plan, hold.gate, slot).filter(|e| e.all > 0) else { continue };
+                let Some(events) = events(plan, hold.gate, slot).filter(|e| e.all > 0) else {
+                    continue;
+                };
                 for group in Group::of(slot.cell) {
                     if let Some(process) = test.process(group, self.begun) {
                         process.note(events);
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -31,7 +31,11 @@
 /// that are for it, without what is held back until the end.
 pub fn share(plan: &Plan, step: usize, who: &Who) -> f64 {
     let reached = plan.steps.iter().take(step + 1);
-    reached.filter(|s| is_for(s, who)).map(|s| s.share).fold(0.0, f64::max).min(1.0 - plan.holdback)
+    reached
+        .filter(|s| is_for(s, who))
+        .map(|s| s.share)
+        .fold(0.0, f64::max)
+        .min(1.0 - plan.holdback)
 }
 
 /// Whether an invocation gets the new version.
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -13,15 +13,25 @@
 fn a_version_as_good_as_the_old_one_goes_to_all_and_its_alias_moves() {
     let mut w = World::new(4);
     w.start(plan(""));
-    let took = w.until(300, |w| w.phase() == Phase::Finished).unwrap_or_else(|| panic!("{}", w.reason()));
+    let took = w
+        .until(300, |w| w.phase() == Phase::Finished)
+        .unwrap_or_else(|| panic!("{}", w.reason()));
     assert!(took > 15, "the steps take their least time: {took} s");
     assert_eq!(w.coordinator.published().aliases["mist"]["stable"], NEW);
     let function = w.function.clone();
-    let resolved = w.shares[0].resolve(&function, None, 0, 1, &who("x")).unwrap();
+    let resolved = w.shares[0]
+        .resolve(&function, None, 0, 1, &who("x"))
+        .unwrap();
     assert_eq!((&*resolved.version.digest, resolved.invoked), (NEW, None));
-    let named = w.shares[0].resolve(&function, Some(OLD), 0, 1, &who("x")).unwrap();
+    let named = w.shares[0]
+        .resolve(&function, Some(OLD), 0, 1, &who("x"))
+        .unwrap();
     assert_eq!(&*named.version.digest, OLD, "a digest names what it names");
-    assert!(w.shares[0].resolve(&function, Some("nothing"), 0, 1, &who("x")).is_none());
+    assert!(
+        w.shares[0]
+            .resolve(&function, Some("nothing"), 0, 1, &who("x"))
+            .is_none()
+    );
 }
 
 #[test]
@@ -29,19 +39,32 @@
     let mut worse = World::new(4);
     worse.errors = [0.02, 0.3];
     worse.start(plan(""));
-    let took = worse.until(120, |w| w.phase() == Phase::TakenBack).expect("it is found out");
-    assert!(took < 30 && worse.reason().contains("'errors' is worse"), "{took}: {}", worse.reason());
+    let took = worse
+        .until(120, |w| w.phase() == Phase::TakenBack)
+        .expect("it is found out");
+    assert!(
+        took < 30 && worse.reason().contains("'errors' is worse"),
+        "{took}: {}",
+        worse.reason()
+    );
     let function = worse.function.clone();
-    let after = worse
-        .shares
-        .iter_mut()
-        .all(|s| &*s.resolve(&function, None, 0, 1, &who("x")).unwrap().version.digest == OLD);
+    let after = worse.shares.iter_mut().all(|s| {
+        &*s.resolve(&function, None, 0, 1, &who("x"))
+            .unwrap()
+            .version
+            .digest
+            == OLD
+    });
     assert!(after);
 
     let mut slow = World::new(4);
     slow.latency = [0.02, 0.04];
     slow.start(plan(""));
-    assert!(slow.until(120, |w| w.phase() == Phase::TakenBack).is_some(), "{}", slow.reason());
+    assert!(
+        slow.until(120, |w| w.phase() == Phase::TakenBack).is_some(),
+        "{}",
+        slow.reason()
+    );
     assert!(slow.reason().contains("slow"), "{}", slow.reason());
 
     // For one trigger type, one customer, one location alone; in the slow tail only.
@@ -51,28 +74,50 @@
         let mut part = World::new(4);
         (part.errors, part.only) = ([0.02, 0.3], only);
         part.start(plan(""));
-        assert!(part.until(120, |w| w.phase() == Phase::TakenBack).is_some(), "{}", part.reason());
+        assert!(
+            part.until(120, |w| w.phase() == Phase::TakenBack).is_some(),
+            "{}",
+            part.reason()
+        );
     }
     let mut tail = World::new(4);
     tail.tail = 0.06;
     tail.start(plan(""));
-    assert!(tail.until(120, |w| w.phase() == Phase::TakenBack).is_some(), "{}", tail.reason());
-    assert!(tail.reason().contains("'slowTail'") || tail.reason().contains("'slow'"), "{}", tail.reason());
+    assert!(
+        tail.until(120, |w| w.phase() == Phase::TakenBack).is_some(),
+        "{}",
+        tail.reason()
+    );
+    assert!(
+        tail.reason().contains("'slowTail'") || tail.reason().contains("'slow'"),
+        "{}",
+        tail.reason()
+    );
 
     let mut both = World::new(4);
     both.start(plan(""));
     both.until(8, |_| false);
     (both.errors, both.latency) = ([0.5; 2], [0.2; 2]);
-    assert!(both.until(200, |w| w.phase() == Phase::TakenBack).is_none(), "{}", both.reason());
+    assert!(
+        both.until(200, |w| w.phase() == Phase::TakenBack).is_none(),
+        "{}",
+        both.reason()
+    );
 
     // Good until everyone but what is held back is on it.
     let mut last = World::new(4);
     let mut held = plan("");
     (held.holdback, held.keep_from) = (0.05, 300.0);
     last.start(held);
-    assert!(last.until(100, |w| w.phase() == Phase::Keeping).is_some(), "{}", last.reason());
+    assert!(
+        last.until(100, |w| w.phase() == Phase::Keeping).is_some(),
+        "{}",
+        last.reason()
+    );
     last.errors[1] = 0.4;
-    let took = last.until(120, |w| w.phase() == Phase::TakenBack).expect("it is found out");
+    let took = last
+        .until(120, |w| w.phase() == Phase::TakenBack)
+        .expect("it is found out");
     assert!(took < 60, "{took} s");
 
     // Good for a minute, then it is not.
@@ -83,7 +128,9 @@
     late.until(60, |_| false);
     assert_eq!(late.phase(), Phase::Shifting);
     late.errors[1] = 0.3;
-    let took = late.until(120, |w| w.phase() == Phase::TakenBack).expect("it is found out");
+    let took = late
+        .until(120, |w| w.phase() == Phase::TakenBack)
+        .expect("it is found out");
     assert!(took < 30, "{took} s");
 }
 
@@ -103,13 +150,22 @@
     });
     let bad = bad.unwrap();
     for n in 0..2_000 {
-        let key = if n % 10 == 0 { bad.clone() } else { format!("k{n}") };
-        let resolved = w.shares[0].resolve(&function, None, 0, 1, &who(&key)).unwrap();
+        let key = if n % 10 == 0 {
+            bad.clone()
+        } else {
+            format!("k{n}")
+        };
+        let resolved = w.shares[0]
+            .resolve(&function, None, 0, 1, &who(&key))
+            .unwrap();
         let invoked = resolved.invoked.unwrap_or_else(|| panic!("{}", w.reason()));
         let outcome = if key == bad {
             AnswerOutcome::Errored
         } else {
-            AnswerOutcome::Succeeded { took: 0.02, warm: true }
+            AnswerOutcome::Succeeded {
+                took: 0.02,
+                warm: true,
+            }
         };
         w.shares[0].answered(&invoked, outcome, outcome == AnswerOutcome::Errored);
         if n % 100 == 0 {
@@ -134,12 +190,17 @@
         (0..1_000)
             .filter(|n| {
                 let name = format!("probe-{n}");
-                let r = w.shares[0].resolve(&function, None, 0, 1, &who(&name)).unwrap();
+                let r = w.shares[0]
+                    .resolve(&function, None, 0, 1, &who(&name))
+                    .unwrap();
                 &*r.version.digest == NEW
             })
             .count()
     };
-    assert!((50..200).contains(&on(&mut w)), "the step of a tenth is held");
+    assert!(
+        (50..200).contains(&on(&mut w)),
+        "the step of a tenth is held"
+    );
     w.errors = [0.02, 0.5];
     w.until(40, |_| false);
     assert_eq!(on(&mut w), 0, "by its own evidence it went back");
@@ -147,7 +208,10 @@
     w.second();
     w.second();
     assert_eq!(w.phase(), Phase::TakenBack);
-    let why = w.coordinator.state().runs["misting"].took_back.clone().unwrap();
+    let why = w.coordinator.state().runs["misting"]
+        .took_back
+        .clone()
+        .unwrap();
     assert_eq!(why, "'errors' is worse by its own evidence");
 }
 
@@ -163,17 +227,28 @@
     let next = Coordinator::new(kept, 1, w.now);
     assert_eq!(next.published().epoch.term, old.epoch.term + 1);
     assert_eq!(next.published().rollouts, old.rollouts);
-    assert_eq!(next.state().runs["misting"].step, w.coordinator.state().runs["misting"].step);
+    assert_eq!(
+        next.state().runs["misting"].step,
+        w.coordinator.state().runs["misting"].step
+    );
     w.coordinator.heard_of(next.published().epoch);
     assert_eq!(w.coordinator.superseded(), Some(next.published().epoch));
-    let turned_down = w.order(Command::Pause { name: "misting".into() }).unwrap_err();
+    let turned_down = w
+        .order(Command::Pause {
+            name: "misting".into(),
+        })
+        .unwrap_err();
     assert!(turned_down.to_string().contains("has taken over"));
     let function = w.function.clone();
     let newer = next.published().clone();
     w.shares[0].adopt(w.now, newer.clone(), |_| Some(function.clone()));
     w.shares[0].adopt(
         w.now,
-        Published { epoch: Epoch { term: 1, drawn: 0 }, number: 999, ..Published::default() },
+        Published {
+            epoch: Epoch { term: 1, drawn: 0 },
+            number: 999,
+            ..Published::default()
+        },
         |_| None,
     );
     assert_eq!(w.shares[0].published(), &newer);
@@ -183,19 +258,47 @@
 fn commands_that_make_no_sense_are_turned_down() {
     let mut w = World::new(1);
     let name = || "misting".to_string();
-    let none = w.order(Command::Back { name: name(), why: String::new() }).unwrap_err();
+    let none = w
+        .order(Command::Back {
+            name: name(),
+            why: String::new(),
+        })
+        .unwrap_err();
     assert_eq!(none.to_string(), "there is no rollout 'misting'");
     w.start(plan(""));
-    let twice = Command::Start { plan: Box::new(plan("")), from: OLD.into(), to: NEW.into() };
-    assert!(w.order(twice.clone()).unwrap_err().to_string().contains("is on"));
-    assert!(w.order(Command::Resume { name: name() }).unwrap_err().to_string().contains("not paused"));
+    let twice = Command::Start {
+        plan: Box::new(plan("")),
+        from: OLD.into(),
+        to: NEW.into(),
+    };
+    assert!(
+        w.order(twice.clone())
+            .unwrap_err()
+            .to_string()
+            .contains("is on")
+    );
+    assert!(
+        w.order(Command::Resume { name: name() })
+            .unwrap_err()
+            .to_string()
+            .contains("not paused")
+    );
     assert!(
-        w.order(Command::Finish { name: name() }).unwrap_err().to_string().contains("after its last step")
+        w.order(Command::Finish { name: name() })
+            .unwrap_err()
+            .to_string()
+            .contains("after its last step")
     );
     w.order(Command::Pause { name: name() }).unwrap();
     let step = w.coordinator.published().rollouts["misting"].step;
     w.until(60, |_| false);
-    assert_eq!((w.phase(), w.coordinator.published().rollouts["misting"].step), (Phase::Paused, step));
+    assert_eq!(
+        (
+            w.phase(),
+            w.coordinator.published().rollouts["misting"].step
+        ),
+        (Phase::Paused, step)
+    );
     // While it is paused a version that is worse is taken back all the same.
     w.errors = [0.02, 0.5];
     assert!(w.until(60, |w| w.phase() == Phase::TakenBack).is_some());
@@ -205,13 +308,19 @@
     w.order(twice).unwrap();
     assert_ne!(w.coordinator.published().rollouts["misting"].run, before);
     assert_eq!(w.coordinator.state().runs["misting"].whole[1].answers, 0);
-    assert!(w.coordinator.state().runs["misting"].history.len() >= 5, "the history goes on");
+    assert!(
+        w.coordinator.state().runs["misting"].history.len() >= 5,
+        "the history goes on"
+    );
 }
 
 #[test]
 fn what_may_move_to_the_old_version() {
     assert!(may_move(true, true) && may_move(true, false) && may_move(false, false));
-    assert!(!may_move(false, true), "what may have run and is not idempotent ends where it is");
+    assert!(
+        !may_move(false, true),
+        "what may have run and is not idempotent ends where it is"
+    );
 }
 
 #[test]
@@ -223,17 +332,28 @@
     let shares = &mut w.shares[0];
     // It breaks off: that counts a few times, and at another executor again.
     let counted = |shares: &mut Shares, executor| {
-        (0..10).filter(|_| shares.dispatch_failed(1.0, executor, new, true)).count()
+        (0..10)
+            .filter(|_| shares.dispatch_failed(1.0, executor, new, true))
+            .count()
     };
     assert_eq!((counted(shares, 1), counted(shares, 2)), (3, 3));
     // It answers with errors: each counts, until others are seen to fail there as well.
     assert!((0..10).all(|_| shares.dispatch_failed(1.0, 3, new, false)));
     shares.dispatch_failed(1.0, 3, 77, false);
-    assert!(shares.dispatch_failed(1.0, 3, new, false), "one other may be another version's own trouble");
+    assert!(
+        shares.dispatch_failed(1.0, 3, new, false),
+        "one other may be another version's own trouble"
+    );
     shares.dispatch_failed(1.0, 3, old, false);
     assert!(!shares.dispatch_failed(1.0, 3, new, false));
-    assert!(shares.dispatch_failed(9.0, 3, new, false), "that was long ago");
-    assert!(!shares.dispatch_failed(9.0, 4, 77, false), "a function without a rollout has nothing to count");
+    assert!(
+        shares.dispatch_failed(9.0, 3, new, false),
+        "that was long ago"
+    );
+    assert!(
+        !shares.dispatch_failed(9.0, 4, 77, false),
+        "a function without a rollout has nothing to count"
+    );
 }
 
 #[test]
@@ -263,23 +383,43 @@
     w.start(long);
     w.until(3, |_| false);
     let behind = w.coordinator.published().clone();
-    w.until(14, |w| w.coordinator.published().rollouts["misting"].step == 2);
-    assert_eq!(w.coordinator.published().rollouts["misting"].step, 2, "{}", w.reason());
+    w.until(14, |w| {
+        w.coordinator.published().rollouts["misting"].step == 2
+    });
+    assert_eq!(
+        w.coordinator.published().rollouts["misting"].step,
+        2,
+        "{}",
+        w.reason()
+    );
     let function = w.function.clone();
-    let place = Place { index: 1, count: 2, location: 0, orders: false, keep_alive: 8.0 };
+    let place = Place {
+        index: 1,
+        count: 2,
+        location: 0,
+        orders: false,
+        keep_alive: 8.0,
+    };
     let mut late = Shares::new(place, w.now);
     let mut on = |state: &Published| {
         let function = function.clone();
         late.adopt(w.now, state.clone(), |_| Some(function.clone()));
         late.tick(w.now);
         let is_new = |n: &u32| {
-            let r = late.resolve(&function, None, 0, 1, &who(&n.to_string())).unwrap();
+            let r = late
+                .resolve(&function, None, 0, 1, &who(&n.to_string()))
+                .unwrap();
             &*r.version.digest == NEW
         };
         (0..500).filter(is_new).collect::<Vec<u32>>()
     };
     let (first, last) = (on(&behind), on(w.coordinator.published()));
-    assert!((20..100).contains(&first.len()) && last.len() == 500, "{} {}", first.len(), last.len());
+    assert!(
+        (20..100).contains(&first.len()) && last.len() == 500,
+        "{} {}",
+        first.len(),
+        last.len()
+    );
     assert_eq!(on(&behind).len(), 500, "an older state is not taken again");
 }
 
@@ -287,9 +427,19 @@
 fn a_rollout_withdrawn_before_its_first_step_gives_nobody_the_new_version() {
     let mut w = World::new(2);
     w.start(plan(""));
-    w.order(Command::Back { name: "misting".into(), why: "withdrawn".into() }).unwrap();
+    w.order(Command::Back {
+        name: "misting".into(),
+        why: "withdrawn".into(),
+    })
+    .unwrap();
     w.until(5, |_| false);
-    assert_eq!((w.phase(), w.coordinator.state().runs["misting"].whole[1].answers), (Phase::TakenBack, 0));
+    assert_eq!(
+        (
+            w.phase(),
+            w.coordinator.state().runs["misting"].whole[1].answers
+        ),
+        (Phase::TakenBack, 0)
+    );
 }
 
 #[test]
@@ -299,9 +449,20 @@
     w.start(plan(""));
     w.until(200, |_| false);
     assert_eq!(w.coordinator.published().rollouts["misting"].step, 0);
-    assert!(w.reason().contains("of 50 answers of the new version are in"), "{}", w.reason());
-    let step = w.until(3_000, |w| w.coordinator.published().rollouts["misting"].step == 1);
-    assert!(step.is_some(), "a tenth of one a second brings 50 in the end: {}", w.reason());
+    assert!(
+        w.reason()
+            .contains("of 50 answers of the new version are in"),
+        "{}",
+        w.reason()
+    );
+    let step = w.until(3_000, |w| {
+        w.coordinator.published().rollouts["misting"].step == 1
+    });
+    assert!(
+        step.is_some(),
+        "a tenth of one a second brings 50 in the end: {}",
+        w.reason()
+    );
 }
 
 #[test]
@@ -311,9 +472,21 @@
     // half of it is 5 lanes: 4 copies.
     let plan = plan("rate: 200,");
     let mut coordinator = Coordinator::new(CoordinatorState::default(), 1, 0.0);
-    let start = Command::Start { plan: Box::new(plan), from: OLD.into(), to: NEW.into() };
-    coordinator.command(0.0, &start, 7).unwrap_or_else(|r| panic!("{r}"));
-    let place = Place { index: 0, count: 4, location: 0, orders: true, keep_alive: 10.0 };
+    let start = Command::Start {
+        plan: Box::new(plan),
+        from: OLD.into(),
+        to: NEW.into(),
+    };
+    coordinator
+        .command(0.0, &start, 7)
+        .unwrap_or_else(|r| panic!("{r}"));
+    let place = Place {
+        index: 0,
+        count: 4,
+        location: 0,
+        orders: true,
+        keep_alive: 10.0,
+    };
     let mut shares = Shares::new(place, 0.0);
     let mut wished = vec![];
     for step in 0..2 {
@@ -329,7 +502,9 @@
             let f = d.function("mist").unwrap();
             (0..400)
                 .filter(|n| {
-                    let r = shares.resolve(&f, None, 0, 1, &who(&n.to_string())).unwrap();
+                    let r = shares
+                        .resolve(&f, None, 0, 1, &who(&n.to_string()))
+                        .unwrap();
                     r.version.digest.as_ref() == NEW
                 })
                 .count()
@@ -339,10 +514,15 @@
         wished.push(ahead.copies);
         if ahead.copies > 1 {
             shares.prepared(&ahead, ahead.copies - 1, true);
-            assert!(given(&mut shares) <= before + 20, "one copy less than that is not enough");
+            assert!(
+                given(&mut shares) <= before + 20,
+                "one copy less than that is not enough"
+            );
         }
         shares.prepared(&ahead, ahead.copies, true);
-        shares.adopt(now, coordinator.published().clone(), |name| d.function(name));
+        shares.adopt(now, coordinator.published().clone(), |name| {
+            d.function(name)
+        });
         assert!(given(&mut shares) > before + 20);
     }
     assert_eq!(wished, [1, 4]);
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -48,7 +48,11 @@
 }
 
 pub fn who(key: &str) -> Who<'_> {
-    Who { customer: "other", location: "north", key }
+    Who {
+        customer: "other",
+        location: "north",
+        key,
+    }
 }
 
 /// A coordinator and some front ends over simulated time; a version has a chance of errors and a latency.
@@ -71,8 +75,13 @@
 
 impl World {
     pub fn new(count: u32) -> World {
-        let place =
-            |index| Place { index, count, location: (index % 2) as u16, orders: false, keep_alive: 8.0 };
+        let place = |index| Place {
+            index,
+            count,
+            location: (index % 2) as u16,
+            orders: false,
+            keep_alive: 8.0,
+        };
         World {
             now: 1_000.0,
             coordinator: Coordinator::new(CoordinatorState::default(), 7, 1_000.0),
@@ -90,16 +99,24 @@
     }
 
     pub fn unit(&mut self) -> f64 {
-        self.seed = self.seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.seed = self
+            .seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.seed >> 11) as f64 / (1u64 << 53) as f64
     }
 
     pub fn order(&mut self, command: Command) -> Result<(), CommandError> {
-        self.coordinator.command(self.now, &command, u64::from(self.names) + 99)
+        self.coordinator
+            .command(self.now, &command, u64::from(self.names) + 99)
     }
 
     pub fn start(&mut self, plan: Plan) {
-        let command = Command::Start { plan: Box::new(plan), from: OLD.into(), to: NEW.into() };
+        let command = Command::Start {
+            plan: Box::new(plan),
+            from: OLD.into(),
+            to: NEW.into(),
+        };
         self.order(command).unwrap();
     }
 
@@ -110,13 +127,25 @@
             self.names += 1;
             let name = self.names.to_string();
             let function = self.function.clone();
-            let resolved = self.shares[fe].resolve(&function, None, ty, customer, &who(&name)).unwrap();
-            let Some(invoked) = resolved.invoked else { continue };
+            let resolved = self.shares[fe]
+                .resolve(&function, None, ty, customer, &who(&name))
+                .unwrap();
+            let Some(invoked) = resolved.invoked else {
+                continue;
+            };
             let arm = usize::from(invoked.arm == Arm::New);
             let (error, spread) = (self.unit(), 0.5 + self.unit());
             let meant = (self.only)(ty, customer, fe);
-            let random = if meant { self.errors[arm] } else { self.errors[0] };
-            let slow = if arm == 1 && self.unit() < self.tail { 10.0 } else { 1.0 };
+            let random = if meant {
+                self.errors[arm]
+            } else {
+                self.errors[0]
+            };
+            let slow = if arm == 1 && self.unit() < self.tail {
+                10.0
+            } else {
+                1.0
+            };
             let took = self.latency[arm] * spread * slow;
             let outcome = if error < random {
                 AnswerOutcome::Errored
@@ -138,8 +167,11 @@
         }
         self.coordinator.tick(self.now);
         if self.reached {
-            let (now, published, function) =
-                (self.now, self.coordinator.published().clone(), self.function.clone());
+            let (now, published, function) = (
+                self.now,
+                self.coordinator.published().clone(),
+                self.function.clone(),
+            );
             for shares in &mut self.shares {
                 shares.adopt(now, published.clone(), |_| Some(function.clone()));
                 shares.tick(now);
@@ -159,6 +191,8 @@
     }
 
     pub fn reason(&self) -> String {
-        self.coordinator.published().rollouts["misting"].reason.clone()
+        self.coordinator.published().rollouts["misting"]
+            .reason
+            .clone()
     }
 }
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -59,8 +59,9 @@
             )
         })
         .collect();
-    let executors: Vec<String> =
-        (0..EXECUTORS).map(|n| format!("{{ address: '10.0.0.{n}:7000' }}")).collect();
+    let executors: Vec<String> = (0..EXECUTORS)
+        .map(|n| format!("{{ address: '10.0.0.{n}:7000' }}"))
+        .collect();
     let text = format!(
         "{{ frontEnds: {{ count: {FRONT_ENDS} }}, triggerTypes: [{{ name: 'look', effect: 'idempotent', objective: '1s', \
          timeout: '3s' }}], functions: [{}], executors: {{ list: [{}] }}, loading: {{ keepAlive: '30s', rationWindow: '{window}' }} }}",
@@ -96,13 +97,25 @@
         if !paced {
             plan.loads_per_second = 1e9;
         }
-        let command = Command::Start { plan: Box::new(plan), from: digest(2 * n), to: digest(2 * n + 1) };
-        coordinator.command(1.0, &command, n as u64 + 1).unwrap_or_else(|r| panic!("{r}"));
+        let command = Command::Start {
+            plan: Box::new(plan),
+            from: digest(2 * n),
+            to: digest(2 * n + 1),
+        };
+        coordinator
+            .command(1.0, &command, n as u64 + 1)
+            .unwrap_or_else(|r| panic!("{r}"));
     }
     let mut front_ends: Vec<FrontEnd> = (0..FRONT_ENDS)
         .map(|n| {
-            let mut orders = Orders { now: 100.0, ..Orders::default() };
-            let policy = PolicyConfig { index: n as f64, ..deployment.policy.clone() };
+            let mut orders = Orders {
+                now: 100.0,
+                ..Orders::default()
+            };
+            let policy = PolicyConfig {
+                index: n as f64,
+                ..deployment.policy.clone()
+            };
             let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut orders);
             dispatcher.roster(100.0, RosterKind::Full, &rows, &mut orders);
             let place = Place {
@@ -113,13 +126,24 @@
                 keep_alive: 30.0,
             };
             let mut shares = Shares::new(place, 100.0);
-            shares.adopt(100.0, coordinator.published().clone(), |name| deployment.function(name));
-            FrontEnd { dispatcher, orders, shares }
+            shares.adopt(100.0, coordinator.published().clone(), |name| {
+                deployment.function(name)
+            });
+            FrontEnd {
+                dispatcher,
+                orders,
+                shares,
+            }
         })
         .collect();
     // Copies at executors: loaded from then on.
     let mut copies: BTreeMap<(ExecutorId, u64), f64> = BTreeMap::new();
-    let mut seen = Seen { peak: 0, loads: 0, ready: vec![f64::NAN; ROLLOUTS], in_window: 0 };
+    let mut seen = Seen {
+        peak: 0,
+        loads: 0,
+        ready: vec![f64::NAN; ROLLOUTS],
+        in_window: 0,
+    };
     let mut known = [[false; FRONT_ENDS]; ROLLOUTS];
     for step in 0..2_000 {
         let now = 100.0 + 0.1 * f64::from(step);
@@ -131,7 +155,8 @@
                     now + LOAD
                 });
                 if at <= now {
-                    fe.dispatcher.held(now, to, function, Ending::Ok, &mut fe.orders);
+                    fe.dispatcher
+                        .held(now, to, function, Ending::Ok, &mut fe.orders);
                 } else {
                     fe.orders.open.push((to, function));
                 }
@@ -141,8 +166,12 @@
             }
             for ahead in fe.shares.ahead(now) {
                 let v = &ahead.version;
-                let wish =
-                    Ahead { function: v.key, lanes: v.lanes, load_time: v.load_time, copies: ahead.copies };
+                let wish = Ahead {
+                    function: v.key,
+                    lanes: v.lanes,
+                    load_time: v.load_time,
+                    copies: ahead.copies,
+                };
                 let before = fe.orders.given.len();
                 let count = fe.dispatcher.ahead(now, &wish, &mut fe.orders);
                 let ordered = fe.orders.given.len() > before;
@@ -157,11 +186,16 @@
                 }
             }
         }
-        seen.peak = seen.peak.max(copies.values().filter(|&&at| at > now).count());
+        seen.peak = seen
+            .peak
+            .max(copies.values().filter(|&&at| at > now).count());
     }
     for fe in &front_ends {
         for (n, order) in fe.orders.given.iter().enumerate() {
-            let window = fe.orders.given[n..].iter().take_while(|o| o.0 < order.0 + 5.0).count();
+            let window = fe.orders.given[n..]
+                .iter()
+                .take_while(|o| o.0 < order.0 + 5.0)
+                .count();
             seen.in_window = seen.in_window.max(window);
         }
     }
@@ -171,7 +205,10 @@
 #[test]
 fn ten_rollouts_at_once_share_the_loads_by_priority_and_crowd_no_store() {
     let (paced, unpaced, free) = (shift(true, "5s"), shift(false, "5s"), shift(false, "0s"));
-    println!("paced: {} loads, {} at a time at the most, ready {:?}", paced.loads, paced.peak, paced.ready);
+    println!(
+        "paced: {} loads, {} at a time at the most, ready {:?}",
+        paced.loads, paced.peak, paced.ready
+    );
     println!(
         "unpaced: {} loads, {} at a time at the most, ready {:?}",
         unpaced.loads, unpaced.peak, unpaced.ready
@@ -182,7 +219,11 @@
     );
     for seen in [&paced, &unpaced] {
         // The ration's floor is 2 in 5 s, and rollouts have half of it.
-        assert!(seen.in_window <= 1, "{} orders of one front end in a window", seen.in_window);
+        assert!(
+            seen.in_window <= 1,
+            "{} orders of one front end in a window",
+            seen.in_window
+        );
         assert!(seen.ready.iter().all(|r| r.is_finite()), "{:?}", seen.ready);
         assert!(
             seen.ready[ROLLOUTS - 1] < seen.ready[0],
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -72,11 +72,22 @@
 fn the_split_gives_each_step_its_share_and_each_run_another_few() {
     let plan = plan("");
     let keys: Vec<String> = (0..20_000).map(|n| format!("key-{n}")).collect();
-    let on = |run, step| keys.iter().filter(|k| is_new(&plan, run, step, &who(k))).count() as f64 / 20_000.0;
+    let on = |run, step| {
+        keys.iter()
+            .filter(|k| is_new(&plan, run, step, &who(k)))
+            .count() as f64
+            / 20_000.0
+    };
     assert!((on(1, 0) - 0.1).abs() < 0.01 && (on(1, 1) - 0.5).abs() < 0.015);
     assert_eq!(on(1, 2), 1.0);
-    let both = keys.iter().filter(|k| is_new(&plan, 1, 0, &who(k)) && is_new(&plan, 2, 0, &who(k))).count();
-    assert!((100..300).contains(&both), "{both} of 20000 are first in both runs, 200 by random");
+    let both = keys
+        .iter()
+        .filter(|k| is_new(&plan, 1, 0, &who(k)) && is_new(&plan, 2, 0, &who(k)))
+        .count();
+    assert!(
+        (100..300).contains(&both),
+        "{both} of 20000 are first in both runs, 200 by random"
+    );
 }
 
 #[test]
@@ -93,7 +104,11 @@
                 }
                 let new = outcome >> n & 1;
                 random *= if new == 1 { p } else { 1.0 - p };
-                stakes.note(Events { p, new: u64::from(new), all: 1 });
+                stakes.note(Events {
+                    p,
+                    new: u64::from(new),
+                    all: 1,
+                });
             }
             mean += random * stakes.evidence();
         }
@@ -116,16 +131,25 @@
     let d = deployment();
     let faults = |text: &str| match Plan::read(text, &d) {
         Ok(_) => panic!("taken: {text}"),
-        Err(faults) => faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"),
+        Err(faults) => faults
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+            .join("\n"),
     };
     let fast = faults(&plan_text("").replace("loadsPerSecond: 0.5", "loadsPerSecond: 5"));
     assert!(
-        fast.contains("loadsPerSecond: 5 a second can't be kept") && fast.contains("0.80 a second in all"),
+        fast.contains("loadsPerSecond: 5 a second can't be kept")
+            && fast.contains("0.80 a second in all"),
         "{fast}"
     );
-    let rare = plan_text("rate: 0.01,").replace("leastEvidence: 50 }", "leastEvidence: 50, longest: '1h' }");
+    let rare = plan_text("rate: 0.01,")
+        .replace("leastEvidence: 50 }", "leastEvidence: 50, longest: '1h' }");
     let rare = faults(&rare);
-    assert!(rare.contains("50 answers at 0.001 a second take 50000 s"), "{rare}");
+    assert!(
+        rare.contains("50 answers at 0.001 a second take 50000 s"),
+        "{rare}"
+    );
     let wrong = faults(
         "{ name: 'a b', function: 'mist', to: 'stable', key: 'colour', stepz: 1,
            steps: [{ share: 0.5, customers: ['nobody'] }, { share: 0.2 }], gates: { errors: { action: 'of' } } }",
@@ -143,7 +167,13 @@
     }
     let steps = forecast(&plan("rate: 100,"), &d);
     // 100 a second of 50 ms over 2 lanes filled to 0.7.
-    assert_eq!(steps.iter().map(|s| s.copies).collect::<Vec<_>>(), [1, 2, 4]);
-    assert_eq!(steps.iter().map(|s| s.orders).collect::<Vec<_>>(), [4, 4, 8]);
+    assert_eq!(
+        steps.iter().map(|s| s.copies).collect::<Vec<_>>(),
+        [1, 2, 4]
+    );
+    assert_eq!(
+        steps.iter().map(|s| s.orders).collect::<Vec<_>>(),
+        [4, 4, 8]
+    );
     assert_eq!(steps[2].loading, 16.0);
 }
--- a/crates/scale/src/comparison/alone.rs
+++ b/crates/scale/src/comparison/alone.rs
@@ -48,9 +48,18 @@
     let tasks = Rc::new(LocalExecutor::new());
     // Read as a real front end reads it, since the allocator keeps what that leaves behind.
     let (snapshots, _) = SnapshotFile::new(order.snapshot.clone()).read();
-    let snapshot = snapshots.into_iter().next().ok_or(ComparisonError::NoSnapshot)?;
+    let snapshot = snapshots
+        .into_iter()
+        .next()
+        .ok_or(ComparisonError::NoSnapshot)?;
     let folder = order.snapshot.parent().unwrap_or(Path::new("."));
-    let AloneOrder { number, front_ends, seed, endpoints, .. } = &order;
+    let AloneOrder {
+        number,
+        front_ends,
+        seed,
+        endpoints,
+        ..
+    } = &order;
     let control = ControlFrontEnd::new(endpoints, *front_ends, seed + *number as u64, &tasks);
     let configuration = configuration(*seed, *number, &snapshot, folder, endpoints, &tasks)?;
     drop(snapshot);
@@ -87,7 +96,11 @@
         let mut process = AloneProcess { child, out };
         let mut line = serde_json::to_string(order).map_err(io::Error::other)?;
         line.push('\n');
-        let input = process.child.stdin.as_mut().ok_or(ComparisonError::AloneNotReady)?;
+        let input = process
+            .child
+            .stdin
+            .as_mut()
+            .ok_or(ComparisonError::AloneNotReady)?;
         input.write_all(line.as_bytes())?;
         Ok(process)
     }
@@ -100,7 +113,11 @@
     pub fn until_ready(&mut self) -> Result<(), ComparisonError> {
         let mut line = String::new();
         self.out.read_line(&mut line)?;
-        if line.trim() == READY { Ok(()) } else { Err(ComparisonError::AloneNotReady) }
+        if line.trim() == READY {
+            Ok(())
+        } else {
+            Err(ComparisonError::AloneNotReady)
+        }
     }
 }
 
--- a/crates/scale/src/comparison/front_ends.rs
+++ b/crates/scale/src/comparison/front_ends.rs
@@ -55,12 +55,19 @@
         let mut configurations = vec![];
         for (number, control) in controls.iter().enumerate() {
             let endpoints = store::endpoints_of(number, by_region);
-            let configuration = configuration(plan.seed, number, snapshot, folder, &endpoints, tasks)?;
+            let configuration =
+                configuration(plan.seed, number, snapshot, folder, &endpoints, tasks)?;
             started.extend(control.start(tasks));
             started.push(configuration.start(tasks));
             configurations.push(configuration);
         }
-        Ok(HollowFrontEnds { controls, configurations, _tasks: started, heap_before, resident_before })
+        Ok(HollowFrontEnds {
+            controls,
+            configurations,
+            _tasks: started,
+            heap_before,
+            resident_before,
+        })
     }
 
     pub fn ready(&self, plan: &Plan) -> usize {
@@ -70,12 +77,17 @@
                 && control.front_ends() as usize >= plan.front_ends()
         };
         let all = self.controls.iter().zip(&self.configurations);
-        all.filter(|(control, configuration)| knows_all(control) && configuration.follows()).count()
+        all.filter(|(control, configuration)| knows_all(control) && configuration.follows())
+            .count()
     }
 
     /// Bytes of one list of the executors, in the mean.
     pub fn list_bytes(&self) -> f64 {
-        let lists: u64 = self.controls.iter().map(|control| control.list_bytes()).sum();
+        let lists: u64 = self
+            .controls
+            .iter()
+            .map(|control| control.list_bytes())
+            .sum();
         lists as f64 / self.controls.len().max(1) as f64
     }
 }
@@ -94,7 +106,9 @@
         endpoints,
         settings: entries::settings(),
         start_from: Some(snapshot),
-        snapshot: Some(SnapshotFile::new(folder.join(format!("hollow-{number}.snapshot")))),
+        snapshot: Some(SnapshotFile::new(
+            folder.join(format!("hollow-{number}.snapshot")),
+        )),
         seed: seed.wrapping_mul(1_000_003) + number as u64,
         on_apply: Rc::new(|_, _| {}),
     };
@@ -115,21 +129,36 @@
         snapshot: &[u8],
         by_region: &[Vec<SocketAddr>],
     ) -> Result<RealFrontEnds, ComparisonError> {
-        let mut all = RealFrontEnds { with_store: vec![], without_store: vec![] };
+        let mut all = RealFrontEnds {
+            with_store: vec![],
+            without_store: vec![],
+        };
         for number in plan.real_numbers() {
             let path = folder.join(SNAPSHOT);
-            std::fs::write(folder.join(SNAPSHOT.replace(INDEX, &number.to_string())), snapshot)?;
+            std::fs::write(
+                folder.join(SNAPSHOT.replace(INDEX, &number.to_string())),
+                snapshot,
+            )?;
             let text = deployment::with_configuration(
                 plan.front_ends(),
                 &store::endpoints_of(number, by_region),
                 &path,
             );
-            all.with_store.push(Gateway::start(program, folder, &format!("real-{number}"), number, &text)?);
+            all.with_store.push(Gateway::start(
+                program,
+                folder,
+                &format!("real-{number}"),
+                number,
+                &text,
+            )?);
         }
         for number in 0..plan.without_store {
-            let (name, text) =
-                (format!("without-store-{number}"), deployment::without_store(plan.front_ends()));
-            all.without_store.push(Gateway::start(program, folder, &name, number, &text)?);
+            let (name, text) = (
+                format!("without-store-{number}"),
+                deployment::without_store(plan.front_ends()),
+            );
+            all.without_store
+                .push(Gateway::start(program, folder, &name, number, &text)?);
         }
         Ok(all)
     }
@@ -138,7 +167,8 @@
         let mut ready = 0;
         for gateway in &self.with_store {
             let standing = gateway.standing().await?;
-            ready += usize::from(standing.follows(plan.executors, plan.front_ends(), plan.functions));
+            ready +=
+                usize::from(standing.follows(plan.executors, plan.front_ends(), plan.functions));
         }
         Ok(ready)
     }
--- a/crates/scale/src/comparison/gateway.rs
+++ b/crates/scale/src/comparison/gateway.rs
@@ -54,7 +54,9 @@
 pub fn gateway_program(named: Option<&Path>) -> Result<PathBuf, GatewayError> {
     let program = match named {
         Some(program) => program.into(),
-        None => std::env::current_exe().map_err(GatewayError::NoPlace)?.with_file_name(PROGRAM),
+        None => std::env::current_exe()
+            .map_err(GatewayError::NoPlace)?
+            .with_file_name(PROGRAM),
     };
     match program.is_file() {
         true => Ok(program),
@@ -86,11 +88,16 @@
 impl Standing {
     /// Whether it knows all of these and its configuration is proven current.
     pub fn follows(&self, executors: usize, front_ends: usize, functions: usize) -> bool {
-        let Standing { roster: Some(roster), configuration: Some(configuration) } = self else {
+        let Standing {
+            roster: Some(roster),
+            configuration: Some(configuration),
+        } = self
+        else {
             return false;
         };
         let knows_all = roster.executors == executors && roster.front_ends >= front_ends;
-        let is_current = configuration.state == ReportedState::Following && configuration.age.is_some();
+        let is_current =
+            configuration.state == ReportedState::Following && configuration.age.is_some();
         knows_all && is_current && configuration.entries == functions
     }
 }
@@ -112,8 +119,14 @@
         index: usize,
         deployment: &str,
     ) -> Result<Gateway, GatewayError> {
-        let not_started = |why| GatewayError::NotStarted { program: program.into(), why };
-        let (file, log) = (folder.join(format!("{name}.json5")), folder.join(format!("{name}.log")));
+        let not_started = |why| GatewayError::NotStarted {
+            program: program.into(),
+            why,
+        };
+        let (file, log) = (
+            folder.join(format!("{name}.json5")),
+            folder.join(format!("{name}.log")),
+        );
         std::fs::write(&file, deployment).map_err(not_started)?;
         let mut child = Command::new(program)
             .args(["serve", "--until-input-ends", "--listen", "127.0.0.1:0"])
@@ -125,11 +138,21 @@
             .stderr(File::create(&log).map_err(not_started)?)
             .spawn()
             .map_err(not_started)?;
-        let address = child.stdout.take().and_then(|out| listening_address(BufReader::new(out)));
-        let mut gateway = Gateway { child, address: SocketAddr::from(([127, 0, 0, 1], 0)) };
+        let address = child
+            .stdout
+            .take()
+            .and_then(|out| listening_address(BufReader::new(out)));
+        let mut gateway = Gateway {
+            child,
+            address: SocketAddr::from(([127, 0, 0, 1], 0)),
+        };
         match address {
             Some(address) => gateway.address = address,
-            None => return Err(GatewayError::NotListening { last: last_line(&log) }),
+            None => {
+                return Err(GatewayError::NotListening {
+                    last: last_line(&log),
+                });
+            }
         }
         Ok(gateway)
     }
@@ -151,7 +174,10 @@
 fn listening_address(mut out: impl BufRead) -> Option<SocketAddr> {
     let mut line = String::new();
     out.read_line(&mut line).ok()?;
-    line.trim().strip_prefix("listening on http://")?.parse().ok()
+    line.trim()
+        .strip_prefix("listening on http://")?
+        .parse()
+        .ok()
 }
 
 fn last_line(log: &Path) -> String {
--- a/crates/scale/src/comparison/meter.rs
+++ b/crates/scale/src/comparison/meter.rs
@@ -24,26 +24,38 @@
         let mut sum = 0.0;
         for thread in std::fs::read_dir(format!("/proc/{process}/task"))? {
             let text = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-            let first = text.split_whitespace().next().and_then(|time| time.parse::<f64>().ok());
+            let first = text
+                .split_whitespace()
+                .next()
+                .and_then(|time| time.parse::<f64>().ok());
             sum += first.ok_or_else(|| io::Error::other(format!("'{text}' is no schedstat")))?;
         }
         Ok(sum)
     };
-    nanoseconds().map(|sum| sum / NANOSECONDS_PER_S).map_err(|why| MeterError::Cpu { process, why })
+    nanoseconds()
+        .map(|sum| sum / NANOSECONDS_PER_S)
+        .map_err(|why| MeterError::Cpu { process, why })
 }
 
 /// Resident memory of a process that stands in no file, in bytes.
 pub fn anonymous_bytes(process: u32) -> Result<f64, MeterError> {
     let why = |why| MeterError::Memory { process, why };
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).map_err(why)?;
-    let line = status.lines().find_map(|line| line.strip_prefix(ANONYMOUS_MEMORY));
-    let kilobytes = line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<f64>().ok());
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix(ANONYMOUS_MEMORY));
+    let kilobytes =
+        line.and_then(|line| line.trim().strip_suffix("kB")?.trim().parse::<f64>().ok());
     let missing = || why(io::Error::other(format!("no line '{ANONYMOUS_MEMORY}'")));
     Ok(kilobytes.ok_or_else(missing)? * BYTES_PER_KB)
 }
 
-fn mean(processes: &[u32], figure: impl Fn(u32) -> Result<f64, MeterError>) -> Result<f64, MeterError> {
-    let figures: Result<Vec<f64>, MeterError> = processes.iter().map(|process| figure(*process)).collect();
+fn mean(
+    processes: &[u32],
+    figure: impl Fn(u32) -> Result<f64, MeterError>,
+) -> Result<f64, MeterError> {
+    let figures: Result<Vec<f64>, MeterError> =
+        processes.iter().map(|process| figure(*process)).collect();
     Ok(figures?.iter().sum::<f64>() / processes.len().max(1) as f64)
 }
 
--- a/crates/scale/src/comparison/mod.rs
+++ b/crates/scale/src/comparison/mod.rs
@@ -125,7 +125,9 @@
     let found = run::play(plan, gateway);
     match &found {
         Ok(found) => tell(plan, found),
-        Err(why) => eprintln!("comparison: hollow and real front ends could not be compared: {why}"),
+        Err(why) => {
+            eprintln!("comparison: hollow and real front ends could not be compared: {why}")
+        }
     }
     rows(plan, &found)
 }
@@ -145,5 +147,8 @@
             cost.memory_bytes / 1e6
         );
     }
-    eprintln!("comparison: resident memory of a hollow one: {:.2} MB", found.hollow_resident_bytes / 1e6);
+    eprintln!(
+        "comparison: resident memory of a hollow one: {:.2} MB",
+        found.hollow_resident_bytes / 1e6
+    );
 }
--- a/crates/scale/src/comparison/rows.rs
+++ b/crates/scale/src/comparison/rows.rs
@@ -32,11 +32,24 @@
 pub fn rows(plan: &Plan, found: &Result<Comparison, ComparisonError>) -> Vec<Row> {
     let measured = found.as_ref().ok().copied().unwrap_or_default();
     let figures = [bytes(&measured), cpu(&measured), memory(&measured)];
-    figures.iter().flat_map(|figure| rows_of(plan, figure, found)).collect()
+    figures
+        .iter()
+        .flat_map(|figure| rows_of(plan, figure, found))
+        .collect()
 }
 
 fn rows_of(plan: &Plan, figure: &Figure, found: &Result<Comparison, ComparisonError>) -> [Row; 3] {
-    let Figure { cost_name, ratio_name, alone_ratio_name, unit, limit, hollow, alone, real, note } = figure;
+    let Figure {
+        cost_name,
+        ratio_name,
+        alone_ratio_name,
+        unit,
+        limit,
+        hollow,
+        alone,
+        real,
+        note,
+    } = figure;
     let beside = format!(
         "{} processes of `orchidtally serve`: {real:.5}; {} hollow front ends in one process beside them: {hollow:.5}, {} in processes of \
          their own: {alone:.5}; the same store, {} functions, {} executors, a change of roster and configuration each second for {} s; {note}",
@@ -47,10 +60,19 @@
         Err(why) => why.to_string(),
     };
     let cost = Row::at_most(cost_name, Role::FrontEnd, unit, *limit, &note);
-    let ratio = |name| Row::at_most(name, Role::FrontEnd, "greater over smaller", MAX_RATIO, &note);
+    let ratio = |name| {
+        Row::at_most(
+            name,
+            Role::FrontEnd,
+            "greater over smaller",
+            MAX_RATIO,
+            &note,
+        )
+    };
     let [together, apart] = [ratio_name, alone_ratio_name].map(|name| ratio(name));
-    let is_told =
-        plan.is_judged && found.is_ok() && [hollow, alone, real].iter().all(|figure| **figure > 0.0);
+    let is_told = plan.is_judged
+        && found.is_ok()
+        && [hollow, alone, real].iter().all(|figure| **figure > 0.0);
     if !is_told {
         return [cost, together, apart];
     }
@@ -64,7 +86,13 @@
 
 fn bytes(found: &Comparison) -> Figure {
     let lists = found.list_bytes_per_s;
-    let with_lists = |cost: &ControlCost| if cost.bytes_per_s > 0.0 { cost.bytes_per_s + lists } else { 0.0 };
+    let with_lists = |cost: &ControlCost| {
+        if cost.bytes_per_s > 0.0 {
+            cost.bytes_per_s + lists
+        } else {
+            0.0
+        }
+    };
     Figure {
         cost_name: "real_control_bytes_per_s",
         ratio_name: "hollow_real_bytes_ratio",
--- a/crates/scale/src/comparison/run.rs
+++ b/crates/scale/src/comparison/run.rs
@@ -34,14 +34,20 @@
     Settings(#[from] SettingsError),
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
-    #[error("deployment files, snapshots or processes can't be used: {0}; make room, or set TMPDIR")]
+    #[error(
+        "deployment files, snapshots or processes can't be used: {0}; make room, or set TMPDIR"
+    )]
     Io(#[from] std::io::Error),
     #[error("a hollow front end in a process of its own found no snapshot to start from")]
     NoSnapshot,
     #[error("a hollow front end in a process of its own did not follow the store in time")]
     AloneNotReady,
     #[error("{hollow} hollow and {real} real front ends followed the store within {seconds} s")]
-    NotReady { hollow: usize, real: usize, seconds: f64 },
+    NotReady {
+        hollow: usize,
+        real: usize,
+        seconds: f64,
+    },
 }
 
 /// A folder of this run's own, which goes with it.
@@ -49,7 +55,10 @@
 
 impl Folder {
     fn new() -> std::io::Result<Folder> {
-        let path = std::env::temp_dir().join(format!("orchidtally-scale-{}-comparison", std::process::id()));
+        let path = std::env::temp_dir().join(format!(
+            "orchidtally-scale-{}-comparison",
+            std::process::id()
+        ));
         std::fs::create_dir_all(&path)?;
         Ok(Folder(path))
     }
@@ -66,19 +75,30 @@
 pub fn play(plan: &Plan, gateway: &Path) -> Result<Comparison, ComparisonError> {
     let folder = Folder::new()?;
     let mut store = StoreProcess::start()?;
-    store.run(&Command::PutExecutors { count: plan.executors })?;
-    store.run(&Command::PutConfiguration { functions: plan.functions })?;
+    store.run(&Command::PutExecutors {
+        count: plan.executors,
+    })?;
+    store.run(&Command::PutConfiguration {
+        functions: plan.functions,
+    })?;
     let by_region = store.addresses()?;
     let tasks = Rc::new(LocalExecutor::new());
     let work = async {
         let path = folder.0.join("first.snapshot");
         let snapshot =
-            snapshot::write_snapshot(path.clone(), &by_region[0], &tasks, plan.start_timeout_s).await?;
+            snapshot::write_snapshot(path.clone(), &by_region[0], &tasks, plan.start_timeout_s)
+                .await?;
         let real = RealFrontEnds::start(plan, gateway, &folder.0, &snapshot, &by_region)?;
         let alone = start_alone(plan, &path, &by_region)?;
         let hollow = HollowFrontEnds::start(plan, &snapshot, &folder.0, &by_region, &tasks)?;
         drop(snapshot);
-        let mut run = Run { plan, store: &mut store, hollow, alone, real };
+        let mut run = Run {
+            plan,
+            store: &mut store,
+            hollow,
+            alone,
+            real,
+        };
         run.until_all_follow().await?;
         run.measure().await
     };
@@ -87,20 +107,30 @@
 
 /// Whether a client of the store belongs to one of these hollow front ends.
 fn is_hollow_client(plan: &Plan, mut numbers: Range<usize>, name: &str) -> bool {
-    let names_of = |number| [client_name(number), control::client_name(plan.seed + number as u64)];
+    let names_of = |number| {
+        [
+            client_name(number),
+            control::client_name(plan.seed + number as u64),
+        ]
+    };
     numbers.any(|number| names_of(number).iter().any(|known| known == name))
 }
 
 /// Whether it belongs to a real one: those are called by their index and more behind a dot or a dash.
 fn is_real_client(plan: &Plan, name: &str) -> bool {
-    let index = name.split(['.', '-']).next().and_then(|index| index.parse().ok());
+    let index = name
+        .split(['.', '-'])
+        .next()
+        .and_then(|index| index.parse().ok());
     index.is_some_and(|index: usize| plan.real_numbers().contains(&index))
 }
 
 /// Bytes both ways of some clients so far.
 fn bytes_of(clients: &[ClientUsage], is_meant: impl Fn(&str) -> bool) -> f64 {
     let meant = clients.iter().filter(|client| is_meant(&client.name));
-    meant.map(|client| (client.bytes_received + client.bytes_sent) as f64).sum()
+    meant
+        .map(|client| (client.bytes_received + client.bytes_sent) as f64)
+        .sum()
 }
 
 fn ids(processes: &[Gateway]) -> Vec<u32> {
@@ -121,7 +151,9 @@
         snapshot: snapshot.into(),
         start_timeout_s: plan.start_timeout_s,
     };
-    plan.alone_numbers().map(|number| AloneProcess::start(&order(number))).collect()
+    plan.alone_numbers()
+        .map(|number| AloneProcess::start(&order(number)))
+        .collect()
 }
 
 /// What all have used up to a moment.
@@ -147,14 +179,26 @@
     async fn until_all_follow(&mut self) -> Result<(), ComparisonError> {
         let (began, seconds) = (Instant::now(), self.plan.start_timeout_s);
         loop {
-            let (hollow, real) = (self.hollow.ready(self.plan), self.real.ready(self.plan).await?);
+            let (hollow, real) = (
+                self.hollow.ready(self.plan),
+                self.real.ready(self.plan).await?,
+            );
             if hollow == self.plan.hollow && real == self.plan.real {
-                self.alone.iter_mut().try_for_each(AloneProcess::until_ready)?;
-                eprintln!("comparison: all follow the store after {:.1} s", began.elapsed().as_secs_f64());
+                self.alone
+                    .iter_mut()
+                    .try_for_each(AloneProcess::until_ready)?;
+                eprintln!(
+                    "comparison: all follow the store after {:.1} s",
+                    began.elapsed().as_secs_f64()
+                );
                 return Ok(());
             }
             if began.elapsed().as_secs_f64() > seconds {
-                return Err(ComparisonError::NotReady { hollow, real, seconds });
+                return Err(ComparisonError::NotReady {
+                    hollow,
+                    real,
+                    seconds,
+                });
             }
             Timer::after(LOOK_INTERVAL).await;
         }
@@ -163,9 +207,16 @@
     /// One change of the roster and one of the configuration.
     fn change(&mut self, number: usize) -> Result<(), StoreError> {
         let from = number % self.plan.executors;
-        self.store.run(&Command::ChangeExecutors { from, count: 1 })?;
+        self.store
+            .run(&Command::ChangeExecutors { from, count: 1 })?;
         let (from, version) = (number % self.plan.functions, number as u64 + 1);
-        self.store.ask(&Command::ChangeFunctions { from, count: 1, version }).map(drop)
+        self.store
+            .ask(&Command::ChangeFunctions {
+                from,
+                count: 1,
+                version,
+            })
+            .map(drop)
     }
 
     fn alone_ids(&self) -> Vec<u32> {
@@ -203,7 +254,10 @@
             spent / seconds / count as f64
         };
         let hollow_bytes_per_s = |numbers: Range<usize>| {
-            bytes_per_s(&|name| is_hollow_client(self.plan, numbers.clone(), name), numbers.len())
+            bytes_per_s(
+                &|name| is_hollow_client(self.plan, numbers.clone(), name),
+                numbers.len(),
+            )
         };
         let hollow_count = self.plan.hollow as f64;
         let resident = meter::anonymous_bytes(std::process::id())? - self.hollow.resident_before;
@@ -221,12 +275,14 @@
             alone: ControlCost {
                 bytes_per_s: hollow_bytes_per_s(self.plan.alone_numbers()),
                 cpu_share: (after.alone_cpu_s - before.alone_cpu_s) / seconds,
-                memory_bytes: meter::mean_anonymous_bytes(&self.alone_ids())? - without_store.memory_bytes,
+                memory_bytes: meter::mean_anonymous_bytes(&self.alone_ids())?
+                    - without_store.memory_bytes,
             },
             hollow_resident_bytes: resident / hollow_count,
             real: ControlCost {
                 bytes_per_s: bytes_per_s(&|name| is_real_client(self.plan, name), self.plan.real),
-                cpu_share: (after.real_cpu_s - before.real_cpu_s) / seconds - without_store.cpu_share,
+                cpu_share: (after.real_cpu_s - before.real_cpu_s) / seconds
+                    - without_store.cpu_share,
                 memory_bytes: meter::mean_anonymous_bytes(&ids(&self.real.with_store))?
                     - without_store.memory_bytes,
             },
--- a/crates/scale/src/config/entries.rs
+++ b/crates/scale/src/config/entries.rs
@@ -1,7 +1,9 @@
 //! The configuration of a run: functions of about 300 bytes each.
 
 use crate::store::PREFIX;
-use orchidtally_config_sync::writer::{self, EntryChange, Generation, Operation, ReadValue, ReadValues};
+use orchidtally_config_sync::writer::{
+    self, EntryChange, Generation, Operation, ReadValue, ReadValues,
+};
 use orchidtally_config_sync::{EntryKey, Keyspace, SyncSettings};
 
 /// The generation of the store's configuration.
@@ -9,7 +11,10 @@
 
 /// The settings of a front end, but for the prefix those of the core.
 pub fn settings() -> SyncSettings {
-    SyncSettings { prefix: format!("{PREFIX}config/"), ..SyncSettings::default() }
+    SyncSettings {
+        prefix: format!("{PREFIX}config/"),
+        ..SyncSettings::default()
+    }
 }
 
 pub fn keyspace() -> Keyspace {
@@ -34,12 +39,20 @@
 impl Function {
     /// One that may be called.
     pub fn version(version: u64) -> Function {
-        Function { version, allowed: true, refused_when_stale: false }
+        Function {
+            version,
+            allowed: true,
+            refused_when_stale: false,
+        }
     }
 
     /// The document, of about 300 bytes.
     pub fn document(self) -> Vec<u8> {
-        let when_stale = if self.refused_when_stale { "refuse" } else { "serve" };
+        let when_stale = if self.refused_when_stale {
+            "refuse"
+        } else {
+            "serve"
+        };
         let digest = format!("sha256:{:064x}", self.version);
         serde_json::json!({
             "when_stale": when_stale,
@@ -68,11 +81,24 @@
 /// Keys and values of the whole configuration: entries, digests and generation.
 pub fn all(functions: usize) -> Vec<(Vec<u8>, Vec<u8>)> {
     let keyspace = keyspace();
-    let entry = |number| (keyspace.entry(&function_key(number)), Function::version(0).document());
+    let entry = |number| {
+        (
+            keyspace.entry(&function_key(number)),
+            Function::version(0).document(),
+        )
+    };
     let mut all: Vec<(Vec<u8>, Vec<u8>)> = (0..functions).map(entry).collect();
     let read: ReadValues = all
         .iter()
-        .map(|(key, value)| (key.clone(), ReadValue { value: value.clone(), mod_revision: 0 }))
+        .map(|(key, value)| {
+            (
+                key.clone(),
+                ReadValue {
+                    value: value.clone(),
+                    mod_revision: 0,
+                },
+            )
+        })
         .collect();
     for operation in writer::repair(&keyspace, &read).operations {
         match operation {
