--- a/crates/scale/src/config/front_ends.rs
+++ b/crates/scale/src/config/front_ends.rs
@@ -33,7 +33,11 @@
     #[error(transparent)]
     Change(#[from] super::writer::ChangeError),
     #[error("{ready} of {of} front ends were ready within {seconds} s")]
-    NotReady { ready: usize, of: usize, seconds: f64 },
+    NotReady {
+        ready: usize,
+        of: usize,
+        seconds: f64,
+    },
     #[error("the first front end read no snapshot within {0} s")]
     NoSnapshot(f64),
 }
@@ -109,7 +113,10 @@
 fn snapshot_path() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!("orchidtally-scale-{}-{number}.snapshot", std::process::id()))
+    std::env::temp_dir().join(format!(
+        "orchidtally-scale-{}-{number}.snapshot",
+        std::process::id()
+    ))
 }
 
 impl FrontEnds {
@@ -122,8 +129,14 @@
         tasks: &Rc<LocalExecutor<'static>>,
     ) -> Result<FrontEnds, RunError> {
         let tracker = Rc::new(RefCell::new(Tracker::new(count)));
-        let mut front_ends =
-            FrontEnds { all: vec![], by_region, snapshot, seed, tasks: tasks.clone(), tracker };
+        let mut front_ends = FrontEnds {
+            all: vec![],
+            by_region,
+            snapshot,
+            seed,
+            tasks: tasks.clone(),
+            tracker,
+        };
         for number in 0..count {
             let front_end = front_ends.start_one(number, count)?;
             front_ends.all.push(front_end);
@@ -154,16 +167,23 @@
 
     fn start_one(&self, number: usize, count: usize) -> Result<FrontEnd, RunError> {
         let endpoints = store::endpoints_of(number, &self.by_region);
-        let control = ControlFrontEnd::new(&endpoints, count, self.seed + number as u64, &self.tasks);
+        let control =
+            ControlFrontEnd::new(&endpoints, count, self.seed + number as u64, &self.tasks);
         let host = self.new_host(number)?;
         let _control_tasks = control.start(&self.tasks);
         let host_task = Some(host.start(&self.tasks));
-        Ok(FrontEnd { control, host, _control_tasks, host_task })
+        Ok(FrontEnd {
+            control,
+            host,
+            _control_tasks,
+            host_task,
+        })
     }
 
     fn new_host(&self, number: usize) -> Result<Rc<Configuration>, SettingsError> {
         let tracker = self.tracker.clone();
-        let on_apply: OnApply = Rc::new(move |front_end, view| tracker.borrow_mut().applied(front_end, view));
+        let on_apply: OnApply =
+            Rc::new(move |front_end, view| tracker.borrow_mut().applied(front_end, view));
         let endpoints = store::endpoints_of(number, &self.by_region);
         let options = Options {
             number,
@@ -209,11 +229,16 @@
     /// Waits until all follow the store and have their entries.
     pub async fn until_ready(&self, patience: f64) -> Result<(), RunError> {
         let began = Instant::now();
-        let is_ready = |front_end: &&FrontEnd| front_end.control.is_ready() && front_end.host.follows();
+        let is_ready =
+            |front_end: &&FrontEnd| front_end.control.is_ready() && front_end.host.follows();
         while !self.all.iter().all(|front_end| is_ready(&front_end)) {
             if began.elapsed().as_secs_f64() > patience {
                 let ready = self.all.iter().filter(is_ready).count();
-                return Err(RunError::NotReady { ready, of: self.all.len(), seconds: patience });
+                return Err(RunError::NotReady {
+                    ready,
+                    of: self.all.len(),
+                    seconds: patience,
+                });
             }
             Timer::after(LOOK_INTERVAL).await;
         }
@@ -242,12 +267,18 @@
 
     /// Bytes over all connections of all front ends so far.
     pub fn bytes(&self) -> Bytes {
-        self.all.iter().flat_map(|front_end| [front_end.control.bytes(), front_end.host.bytes()]).sum()
+        self.all
+            .iter()
+            .flat_map(|front_end| [front_end.control.bytes(), front_end.host.bytes()])
+            .sum()
     }
 
     /// Bytes of a list of all executors, in the mean over front ends.
     pub fn mean_list_bytes(&self) -> f64 {
-        let lists = self.all.iter().map(|front_end| front_end.control.list_bytes() as f64);
+        let lists = self
+            .all
+            .iter()
+            .map(|front_end| front_end.control.list_bytes() as f64);
         lists.sum::<f64>() / self.all.len().max(1) as f64
     }
 
--- a/crates/scale/src/config/meter.rs
+++ b/crates/scale/src/config/meter.rs
@@ -30,7 +30,12 @@
     pub fn start(run: &mut Run) -> Result<Meter, RunError> {
         let store = run.store.usage()?;
         let bytes = run.front_ends.bytes();
-        Ok(Meter { began: Instant::now(), cpu_s: clock::process_cpu_s(), bytes, store })
+        Ok(Meter {
+            began: Instant::now(),
+            cpu_s: clock::process_cpu_s(),
+            bytes,
+            store,
+        })
     }
 
     pub fn stop(self, run: &mut Run) -> Result<Spent, RunError> {
--- a/crates/scale/src/config/mod.rs
+++ b/crates/scale/src/config/mod.rs
@@ -49,16 +49,29 @@
 fn play(plan: &Plan, findings: &mut Findings, memory: &mut Memory) -> Result<(), RunError> {
     memory.configuration_bytes = configuration_bytes(plan)?;
     let mut store = StoreProcess::start()?;
-    store.run(&Command::PutExecutors { count: plan.executors })?;
-    store.run(&Command::PutConfiguration { functions: plan.functions_held })?;
+    store.run(&Command::PutExecutors {
+        count: plan.executors,
+    })?;
+    store.run(&Command::PutConfiguration {
+        functions: plan.functions_held,
+    })?;
     let by_region = store.addresses()?;
     let tasks = Rc::new(LocalExecutor::new());
     let work = async {
         let snapshot = read_snapshot(&by_region[0], &tasks, plan.start_patience_s).await?;
-        eprintln!("config: {} front ends start with {} functions", plan.front_ends, plan.functions_held);
+        eprintln!(
+            "config: {} front ends start with {} functions",
+            plan.front_ends, plan.functions_held
+        );
         let heap = clock::heap_bytes();
-        let front_ends =
-            FrontEnds::start(plan.front_ends, by_region.clone(), snapshot, plan.seed, &tasks).await?;
+        let front_ends = FrontEnds::start(
+            plan.front_ends,
+            by_region.clone(),
+            snapshot,
+            plan.seed,
+            &tasks,
+        )
+        .await?;
         front_ends.until_ready(plan.start_patience_s).await?;
         let each = (clock::heap_bytes() - heap) / plan.front_ends as f64;
         let held = memory.configuration_bytes * plan.functions_held as f64 / plan.functions as f64;
@@ -75,7 +88,9 @@
 /// The memory of one front end's configuration with all functions of the design.
 fn configuration_bytes(plan: &Plan) -> Result<f64, RunError> {
     let mut store = StoreProcess::start()?;
-    store.run(&Command::PutConfiguration { functions: plan.functions })?;
+    store.run(&Command::PutConfiguration {
+        functions: plan.functions,
+    })?;
     let endpoints = store.addresses()?.swap_remove(0);
     let tasks = Rc::new(LocalExecutor::new());
     let work = async {
@@ -92,10 +107,15 @@
 /// Front ends that report a revision and whose calls don't see what was changed at it.
 fn false_claims(front_ends: &FrontEnds) -> usize {
     let tracker = front_ends.tracker.borrow();
-    let claims =
-        |missing: &Missing| front_ends.host(missing.front_end).claimed_revision() >= missing.revision;
-    let mut liars: Vec<usize> =
-        tracker.missing(usize::MAX).iter().filter(|m| claims(m)).map(|m| m.front_end).collect();
+    let claims = |missing: &Missing| {
+        front_ends.host(missing.front_end).claimed_revision() >= missing.revision
+    };
+    let mut liars: Vec<usize> = tracker
+        .missing(usize::MAX)
+        .iter()
+        .filter(|m| claims(m))
+        .map(|m| m.front_end)
+        .collect();
     liars.sort_unstable();
     liars.dedup();
     liars.len()
--- a/crates/scale/src/config/phases.rs
+++ b/crates/scale/src/config/phases.rs
@@ -72,7 +72,14 @@
         front_ends: FrontEnds,
         writer: WriterThread,
     ) -> Run<'a> {
-        Run { plan, store, front_ends, writer, next_function: 0, version: 0 }
+        Run {
+            plan,
+            store,
+            front_ends,
+            writer,
+            next_function: 0,
+            version: 0,
+        }
     }
 
     /// Plays all parts, or those until one in which changes did not come into force.
@@ -90,10 +97,17 @@
             return Ok(());
         }
         findings.burst_bytes_per_s = sampler.busiest(self.plan.burst_window_s).await;
-        let after_burst = self.front_ends.read_snapshot(self.plan.start_patience_s).await?;
+        let after_burst = self
+            .front_ends
+            .read_snapshot(self.plan.start_patience_s)
+            .await?;
         let before_burst = std::mem::replace(&mut self.front_ends.snapshot, after_burst);
         findings.member_failure_in_force_s = self.lose_members().await?;
-        if self.stops(findings.member_failure_in_force_s, "two members lost", findings) {
+        if self.stops(
+            findings.member_failure_in_force_s,
+            "two members lost",
+            findings,
+        ) {
             return Ok(());
         }
         self.cut_region(findings).await?;
@@ -101,7 +115,11 @@
             return Ok(());
         }
         findings.compaction_heal_s = self.compact(findings).await?;
-        if self.stops(findings.compaction_heal_s, "a compaction past all watches", findings) {
+        if self.stops(
+            findings.compaction_heal_s,
+            "a compaction past all watches",
+            findings,
+        ) {
             return Ok(());
         }
         findings.return_heal_s = self.come_back(findings).await?;
@@ -110,7 +128,11 @@
         }
         self.front_ends.snapshot = before_burst;
         findings.return_after_burst_s = self.come_back(findings).await?;
-        self.stops(findings.return_after_burst_s, "front ends back at once without the burst", findings);
+        self.stops(
+            findings.return_after_burst_s,
+            "front ends back at once without the burst",
+            findings,
+        );
         findings.store_heap_bytes = self.store.usage()?.heap_bytes;
         Ok(())
     }
@@ -120,10 +142,14 @@
         match self.plan.injection {
             None => {}
             Some(Injection::LostChange) => {
-                self.store.run(&Command::LoseEvents { client: client_name(faulty) })?;
+                self.store.run(&Command::LoseEvents {
+                    client: client_name(faulty),
+                })?;
             }
             Some(Injection::StaleView) => self.front_ends.host(faulty).keep_old_view(),
-            Some(Injection::SlowStore) => self.store.run(&Command::Delay { seconds: SLOW_STORE_DELAY })?,
+            Some(Injection::SlowStore) => self.store.run(&Command::Delay {
+                seconds: SLOW_STORE_DELAY,
+            })?,
         }
         Ok(())
     }
@@ -141,9 +167,17 @@
                 let count = tracker.missing_front_ends();
                 let names: Vec<String> = missing
                     .iter()
-                    .map(|m| format!("front end {} lacks {} of revision {}", m.front_end, m.key, m.revision))
+                    .map(|m| {
+                        format!(
+                            "front end {} lacks {} of revision {}",
+                            m.front_end, m.key, m.revision
+                        )
+                    })
                     .collect();
-                let text = format!("{part}: {count} front ends lack changes: {}", names.join(", "));
+                let text = format!(
+                    "{part}: {count} front ends lack changes: {}",
+                    names.join(", ")
+                );
                 eprintln!("config: {text}");
                 findings.missing.push(text);
                 true
@@ -164,7 +198,10 @@
         self.version += 1;
         let (version, functions) = (self.version, self.plan.functions_held);
         self.next_function = (first + count) % functions;
-        entries::changes((first..first + count.min(functions)).map(|n| n % functions), version)
+        entries::changes(
+            (first..first + count.min(functions)).map(|n| n % functions),
+            version,
+        )
     }
 
     /// Writes a change of each of the next functions in one transaction, and tracks it.
@@ -183,18 +220,29 @@
         let mut tracker = self.front_ends.tracker.borrow_mut();
         let mut first = None;
         for change in changes {
-            let Some(document) = &change.document else { continue };
-            let number = tracker.written(change.key.as_str(), document, written.revision, written.began);
+            let Some(document) = &change.document else {
+                continue;
+            };
+            let number = tracker.written(
+                change.key.as_str(),
+                document,
+                written.revision,
+                written.began,
+            );
             first.get_or_insert(number);
         }
         // Some may have had it before the writer had its answer.
         let first = first.unwrap_or(0);
-        self.front_ends.hosts().for_each(|host| tracker.applied_since(first, host.number(), &host.view()));
+        self.front_ends
+            .hosts()
+            .for_each(|host| tracker.applied_since(first, host.number(), &host.view()));
     }
 
     /// Waits for all changes at all front ends; the slowest front end's time from before the write.
     async fn slowest(&self) -> Option<f64> {
-        self.front_ends.until_in_force(self.plan.patience_s, |_| true).await?;
+        self.front_ends
+            .until_in_force(self.plan.patience_s, |_| true)
+            .await?;
         Some(self.front_ends.tracker.borrow_mut().take_slowest())
     }
 
@@ -220,8 +268,9 @@
         let began = Instant::now();
         let per_transaction = self.plan.burst_transaction;
         let transactions = self.plan.burst.div_ceil(per_transaction);
-        let batches: Vec<Vec<EntryChange>> =
-            (0..transactions).map(|_| self.next_changes(per_transaction)).collect();
+        let batches: Vec<Vec<EntryChange>> = (0..transactions)
+            .map(|_| self.next_changes(per_transaction))
+            .collect();
         let mut pending = vec![];
         for batch in &batches {
             pending.push(self.writer.submit(batch.clone()).await?);
@@ -233,14 +282,20 @@
             self.track(batch, written);
         }
         let took = last.duration_since(began).as_secs_f64();
-        eprintln!("config: {} changes written within {took:.2} s", self.plan.burst);
+        eprintln!(
+            "config: {} changes written within {took:.2} s",
+            self.plan.burst
+        );
         findings.burst_write_s = took;
         Ok(self.slowest().await)
     }
 
     /// Two members stop in the middle of a change; the writer tries again until it stands.
     async fn lose_members(&mut self) -> Result<Option<f64>, RunError> {
-        self.store.run(&Command::CrashInNextTransaction { members: 2, committed: false })?;
+        self.store.run(&Command::CrashInNextTransaction {
+            members: 2,
+            committed: false,
+        })?;
         self.change(1).await?;
         let slowest = self.slowest().await;
         for member in 0..crate::store::MEMBER_REGIONS.len() {
@@ -253,21 +308,39 @@
     async fn cut_region(&mut self, findings: &mut Findings) -> Result<(), RunError> {
         let number = self.next_function;
         let key = entries::function_key(number);
-        let guarded = Function { refused_when_stale: true, ..Function::version(self.version) };
-        self.write(vec![EntryChange { key: key.clone(), document: Some(guarded.document()) }]).await?;
+        let guarded = Function {
+            refused_when_stale: true,
+            ..Function::version(self.version)
+        };
+        self.write(vec![EntryChange {
+            key: key.clone(),
+            document: Some(guarded.document()),
+        }])
+        .await?;
         if self.slowest().await.is_none() {
             return Ok(());
         }
         self.next_function = (number + 1) % self.plan.functions_held;
         self.store.run(&Command::CutRegion { region: CUT_REGION })?;
-        let revoked = Function { allowed: false, ..guarded };
+        let revoked = Function {
+            allowed: false,
+            ..guarded
+        };
         let written_at = Instant::now();
-        self.write(vec![EntryChange { key: key.clone(), document: Some(revoked.document()) }]).await?;
+        self.write(vec![EntryChange {
+            key: key.clone(),
+            document: Some(revoked.document()),
+        }])
+        .await?;
         self.change(1).await?;
         let mut used = 0.0_f64;
         while written_at.elapsed().as_secs_f64() < self.plan.cut_s {
             self.sleep(ADMISSION_LOOK).await;
-            if self.front_ends.hosts().any(|host| host.admits(key.as_str())) {
+            if self
+                .front_ends
+                .hosts()
+                .any(|host| host.admits(key.as_str()))
+            {
                 used = written_at.elapsed().as_secs_f64();
             }
         }
@@ -290,15 +363,28 @@
             self.store.run(&Command::StopMember { member })?;
         }
         let began = Instant::now();
-        let from = self.next_function.min(self.plan.functions_held.saturating_sub(CHANGES_AWAY));
+        let from = self
+            .next_function
+            .min(self.plan.functions_held.saturating_sub(CHANGES_AWAY));
         let changes = self.next_changes_from(from, CHANGES_AWAY);
         let version = self.version;
         let count = changes.len();
-        let answer = self.store.ask(&Command::ChangeFunctions { from, count, version })?;
+        let answer = self.store.ask(&Command::ChangeFunctions {
+            from,
+            count,
+            version,
+        })?;
         let Answer::Changed { revision } = answer else {
             return Err(StoreError::Failed(format!("{answer:?} instead of a revision")).into());
         };
-        self.track(&changes, Written { revision, began, answered: Instant::now() });
+        self.track(
+            &changes,
+            Written {
+                revision,
+                began,
+                answered: Instant::now(),
+            },
+        );
         self.store.run(&Command::Compact)?;
         self.sleep(AWAY_S).await;
         for member in 0..MEMBER_REGIONS.len() {
@@ -329,13 +415,24 @@
         let mut before = at_start.clone();
         loop {
             let window = Instant::now();
-            let waited = self.front_ends.until_in_force(READ_WINDOW_S, |_| true).await;
+            let waited = self
+                .front_ends
+                .until_in_force(READ_WINDOW_S, |_| true)
+                .await;
             // What was not read for a whole window is averaged over one all the same.
             let seconds = window.elapsed().as_secs_f64().max(READ_WINDOW_S);
             let received = self.front_ends.received_for_configuration();
-            let highest = received.iter().zip(&before).map(|(now, then)| now.saturating_sub(*then)).max();
+            let highest = received
+                .iter()
+                .zip(&before)
+                .map(|(now, then)| now.saturating_sub(*then))
+                .max();
             peak = peak.max(highest.unwrap_or(0) as f64 / seconds);
-            let most = received.iter().zip(&at_start).map(|(now, then)| now.saturating_sub(*then)).max();
+            let most = received
+                .iter()
+                .zip(&at_start)
+                .map(|(now, then)| now.saturating_sub(*then))
+                .max();
             findings.most_caught_up_bytes = findings.most_caught_up_bytes.max(most.unwrap_or(0));
             before = received;
             let took = began.elapsed().as_secs_f64();
--- a/crates/scale/src/config/received.rs
+++ b/crates/scale/src/config/received.rs
@@ -33,8 +33,14 @@
     pub fn busiest(&self, seconds: f64) -> Option<f64> {
         let most_from = |place: usize| {
             let (began, before) = &self.samples[place];
-            let (_, after) = self.samples[place..].iter().find(|(at, _)| *at >= began + seconds)?;
-            before.iter().zip(after).map(|(before, after)| after.saturating_sub(*before)).max()
+            let (_, after) = self.samples[place..]
+                .iter()
+                .find(|(at, _)| *at >= began + seconds)?;
+            before
+                .iter()
+                .zip(after)
+                .map(|(before, after)| after.saturating_sub(*before))
+                .max()
         };
         let most = (0..self.samples.len()).filter_map(most_from).max()?;
         Some(most as f64 / seconds)
@@ -55,12 +61,20 @@
         let began = Instant::now();
         let task = tasks.spawn(async move {
             loop {
-                let received = front_ends.iter().map(|front_end| front_end.bytes().received).collect();
-                taken.borrow_mut().add(began.elapsed().as_secs_f64(), received);
+                let received = front_ends
+                    .iter()
+                    .map(|front_end| front_end.bytes().received)
+                    .collect();
+                taken
+                    .borrow_mut()
+                    .add(began.elapsed().as_secs_f64(), received);
                 Timer::after(SAMPLE_INTERVAL).await;
             }
         });
-        Sampler { samples, _task: task }
+        Sampler {
+            samples,
+            _task: task,
+        }
     }
 
     /// Waits until the samples span so many seconds; the most bytes a second that any front end received within as many.
--- a/crates/scale/src/config/rows.rs
+++ b/crates/scale/src/config/rows.rs
@@ -27,7 +27,10 @@
 
 /// The greatest of some times; `None` if one of them was not measured.
 fn greatest(times: &[Option<f64>]) -> Option<f64> {
-    times.iter().copied().try_fold(0.0_f64, |greatest, time| Some(greatest.max(time?)))
+    times
+        .iter()
+        .copied()
+        .try_fold(0.0_f64, |greatest, time| Some(greatest.max(time?)))
 }
 
 fn filled(row: Row, figure: Option<f64>) -> Row {
@@ -95,10 +98,20 @@
         ),
         filled(
             Row::at_most("config_heal_s", Role::Region, "s", IN_FORCE_S, &heal_note),
-            greatest(&[findings.cut_heal_s, findings.compaction_heal_s, findings.return_heal_s]),
+            greatest(&[
+                findings.cut_heal_s,
+                findings.compaction_heal_s,
+                findings.return_heal_s,
+            ]),
         ),
         filled(
-            Row::at_most("config_return_after_burst_s", Role::Region, "s", IN_FORCE_S, &return_note),
+            Row::at_most(
+                "config_return_after_burst_s",
+                Role::Region,
+                "s",
+                IN_FORCE_S,
+                &return_note,
+            ),
             findings.return_after_burst_s,
         ),
         filled(
@@ -113,18 +126,34 @@
             findings.revoked_used_s,
         ),
         filled(
-            Row::at_most("config_false_claims", Role::Fleet, "front ends", 0.0, claims_note),
+            Row::at_most(
+                "config_false_claims",
+                Role::Fleet,
+                "front ends",
+                0.0,
+                claims_note,
+            ),
             Some(memory.false_claims as f64),
         ),
         filled(
-            Row::at_most("config_reread_share", Role::FrontEnd, "share", 0.5, &reads_note),
+            Row::at_most(
+                "config_reread_share",
+                Role::FrontEnd,
+                "share",
+                0.5,
+                &reads_note,
+            ),
             whole.then_some(findings.most_caught_up_bytes as f64 / whole_bytes),
         ),
     ]
 }
 
 fn control(plan: &Plan, findings: &Findings, memory: &Memory) -> Vec<Row> {
-    let Spent { cpu_share, bytes_per_s, .. } = findings.daily;
+    let Spent {
+        cpu_share,
+        bytes_per_s,
+        ..
+    } = findings.daily;
     let rate = plan.daily_rate;
     let note = format!(
         "membership, roster and configuration of {} hollow front ends at {rate} changes a second, {:.0} times the daily \
@@ -152,15 +181,33 @@
     let megabytes = (memory.control_bytes + memory.configuration_bytes) / MEGABYTE;
     vec![
         filled(
-            Row::at_most("control_cpu_share", Role::FrontEnd, "cores", CONTROL_CPU, &note),
+            Row::at_most(
+                "control_cpu_share",
+                Role::FrontEnd,
+                "cores",
+                CONTROL_CPU,
+                &note,
+            ),
             positive(cpu_share),
         ),
         filled(
-            Row::at_most("control_memory_mb", Role::FrontEnd, "MB", CONTROL_MB, &memory_note),
+            Row::at_most(
+                "control_memory_mb",
+                Role::FrontEnd,
+                "MB",
+                CONTROL_MB,
+                &memory_note,
+            ),
             positive(memory.control_bytes).map(|_| megabytes),
         ),
         filled(
-            Row::at_most("control_bytes_per_s", Role::FrontEnd, "bytes/s", CONTROL_BYTES_PER_S, &note),
+            Row::at_most(
+                "control_bytes_per_s",
+                Role::FrontEnd,
+                "bytes/s",
+                CONTROL_BYTES_PER_S,
+                &note,
+            ),
             positive(bytes_per_s),
         ),
         filled(
@@ -199,11 +246,23 @@
     let positive = |figure: f64| (figure > 0.0).then_some(figure);
     vec![
         filled(
-            Row::at_most("store_cpu_share", Role::StoreMember, "cores", STORE_CPU, &note),
+            Row::at_most(
+                "store_cpu_share",
+                Role::StoreMember,
+                "cores",
+                STORE_CPU,
+                &note,
+            ),
             positive(findings.daily.store_cpu_share),
         ),
         filled(
-            Row::at_most("store_memory_mb", Role::StoreMember, "MB", STORE_MB, &memory_note),
+            Row::at_most(
+                "store_memory_mb",
+                Role::StoreMember,
+                "MB",
+                STORE_MB,
+                &memory_note,
+            ),
             positive(findings.store_heap_bytes).map(|bytes| bytes / MEGABYTE),
         ),
     ]
--- a/crates/scale/src/config/tracker.rs
+++ b/crates/scale/src/config/tracker.rs
@@ -54,7 +54,13 @@
     }
 
     /// A change was written, to be in force at all front ends. Its time counts from before the write.
-    pub fn written(&mut self, key: &str, document: &[u8], revision: i64, written_at: Instant) -> u64 {
+    pub fn written(
+        &mut self,
+        key: &str,
+        document: &[u8],
+        revision: i64,
+        written_at: Instant,
+    ) -> u64 {
         let number = self.next;
         self.next += 1;
         self.written += 1;
@@ -80,7 +86,11 @@
         let mut finished = vec![];
         let revision = view.revision();
         let is_due = |change: &Change| change.missing[front_end] && change.revision <= revision;
-        for (&number, change) in self.open.range_mut(first..).filter(|(_, change)| is_due(change)) {
+        for (&number, change) in self
+            .open
+            .range_mut(first..)
+            .filter(|(_, change)| is_due(change))
+        {
             let known = view.get(&change.key);
             if known.is_none_or(|record| record.document[..] != change.document[..]) {
                 continue;
@@ -102,7 +112,10 @@
     }
 
     fn close(&mut self, change: Change) {
-        let newer = self.closed.get(&change.key).is_some_and(|known| known.revision > change.revision);
+        let newer = self
+            .closed
+            .get(&change.key)
+            .is_some_and(|known| known.revision > change.revision);
         if !newer {
             self.closed.insert(change.key.clone(), change);
         }
@@ -117,7 +130,11 @@
             self.open.insert(self.next, change);
             self.next += 1;
         }
-        for change in self.open.values_mut().filter(|change| !change.missing[front_end]) {
+        for change in self
+            .open
+            .values_mut()
+            .filter(|change| !change.missing[front_end])
+        {
             change.missing[front_end] = true;
             change.missing_count += 1;
         }
@@ -132,7 +149,9 @@
 
     /// Whether some front ends have all changes.
     pub fn is_in_force(&self, of: impl Fn(usize) -> bool) -> bool {
-        self.open.values().all(|change| !(0..self.front_ends).any(|n| of(n) && change.missing[n]))
+        self.open
+            .values()
+            .all(|change| !(0..self.front_ends).any(|n| of(n) && change.missing[n]))
     }
 
     /// What is missing anywhere, at most so many.
@@ -140,7 +159,11 @@
         let of = |change: &Change| -> Vec<Missing> {
             let front_ends = (0..self.front_ends).filter(|&n| change.missing[n]);
             front_ends
-                .map(|front_end| Missing { front_end, key: change.key.clone(), revision: change.revision })
+                .map(|front_end| Missing {
+                    front_end,
+                    key: change.key.clone(),
+                    revision: change.revision,
+                })
                 .collect()
         };
         self.open.values().flat_map(of).take(most).collect()
@@ -148,6 +171,8 @@
 
     /// Front ends that have not got all changes.
     pub fn missing_front_ends(&self) -> usize {
-        (0..self.front_ends).filter(|&n| self.open.values().any(|change| change.missing[n])).count()
+        (0..self.front_ends)
+            .filter(|&n| self.open.values().any(|change| change.missing[n]))
+            .count()
     }
 }
--- a/crates/scale/src/config/writer.rs
+++ b/crates/scale/src/config/writer.rs
@@ -76,7 +76,10 @@
     /// Has some changes written in one transaction, after those that were asked for before.
     pub async fn submit(&self, changes: Vec<EntryChange>) -> Result<PendingWrite, ChangeError> {
         let (answer, answered) = async_channel::bounded(1);
-        self.jobs.send(Job { changes, answer }).await.map_err(|_| ChangeError::NoWriter)?;
+        self.jobs
+            .send(Job { changes, answer })
+            .await
+            .map_err(|_| ChangeError::NoWriter)?;
         Ok(PendingWrite { answered })
     }
 }
@@ -89,7 +92,10 @@
 impl PendingWrite {
     /// Waits until it is written.
     pub async fn written(self) -> Result<Written, ChangeError> {
-        self.answered.recv().await.map_err(|_| ChangeError::NoWriter)?
+        self.answered
+            .recv()
+            .await
+            .map_err(|_| ChangeError::NoWriter)?
     }
 }
 
@@ -105,7 +111,12 @@
 impl ChangeWriter {
     fn new(client: Client, patience: f64) -> ChangeWriter {
         let max_value_bytes = entries::settings().max_value_bytes;
-        ChangeWriter { client, keyspace: entries::keyspace(), max_value_bytes, patience }
+        ChangeWriter {
+            client,
+            keyspace: entries::keyspace(),
+            max_value_bytes,
+            patience,
+        }
     }
 
     /// Writes some changes in one transaction.
@@ -114,7 +125,13 @@
         let began = Instant::now();
         while began.elapsed().as_secs_f64() < self.patience {
             match self.try_write(changes).await {
-                Ok(Ok(Some(revision))) => return Ok(Written { revision, began, answered: Instant::now() }),
+                Ok(Ok(Some(revision))) => {
+                    return Ok(Written {
+                        revision,
+                        began,
+                        answered: Instant::now(),
+                    });
+                }
                 Ok(Ok(None)) => last = "another writer was faster".into(),
                 Ok(Err(unplanned)) => return Err(unplanned.into()),
                 Err(fault) => {
@@ -124,17 +141,32 @@
                 }
             }
         }
-        Err(ChangeError::NotTaken { seconds: self.patience, last })
+        Err(ChangeError::NotTaken {
+            seconds: self.patience,
+            last,
+        })
     }
 
-    async fn try_write(&self, changes: &[EntryChange]) -> Result<Result<Option<i64>, WriteError>, Fault> {
-        let read = self.read(&writer::keys_to_read(&self.keyspace, changes)).await?;
+    async fn try_write(
+        &self,
+        changes: &[EntryChange],
+    ) -> Result<Result<Option<i64>, WriteError>, Fault> {
+        let read = self
+            .read(&writer::keys_to_read(&self.keyspace, changes))
+            .await?;
         // A try whose answer was lost may have been committed.
         if let Some(revision) = self.written_before(changes, &read) {
             return Ok(Ok(Some(revision)));
         }
         let (schema, most) = (GatewaySchema, DEFAULT_MAX_OPERATIONS);
-        match writer::plan(&self.keyspace, &schema, changes, &read, self.max_value_bytes, most) {
+        match writer::plan(
+            &self.keyspace,
+            &schema,
+            changes,
+            &read,
+            self.max_value_bytes,
+            most,
+        ) {
             Ok(transaction) => self.commit(&transaction).await.map(Ok),
             Err(unplanned) => Ok(Err(unplanned)),
         }
@@ -152,16 +184,29 @@
     /// Reads keys at one revision.
     async fn read(&self, keys: &[Vec<u8>]) -> Result<ReadValues, Fault> {
         let range = |key: &Vec<u8>| {
-            let request = RangeRequest { key: key.clone().into(), ..RangeRequest::default() };
-            RequestOp { request: Some(Request::RequestRange(request)) }
+            let request = RangeRequest {
+                key: key.clone().into(),
+                ..RangeRequest::default()
+            };
+            RequestOp {
+                request: Some(Request::RequestRange(request)),
+            }
         };
         let mut values = ReadValues::new();
-        let request = TxnRequest { success: keys.iter().map(range).collect(), ..TxnRequest::default() };
+        let request = TxnRequest {
+            success: keys.iter().map(range).collect(),
+            ..TxnRequest::default()
+        };
         let answer: TxnResponse = self.client.unary(TXN, &request, REQUEST_TIMEOUT).await?;
         for response in answer.responses {
-            let Some(Response::ResponseRange(range)) = response.response else { continue };
+            let Some(Response::ResponseRange(range)) = response.response else {
+                continue;
+            };
             for entry in range.kvs {
-                let value = ReadValue { value: entry.value.to_vec(), mod_revision: entry.mod_revision };
+                let value = ReadValue {
+                    value: entry.value.to_vec(),
+                    mod_revision: entry.mod_revision,
+                };
                 values.insert(entry.key.to_vec(), value);
             }
         }
@@ -170,7 +215,10 @@
 
     /// Commits; `None` if a guard did not hold.
     async fn commit(&self, transaction: &Transaction) -> Result<Option<i64>, Fault> {
-        let answer: TxnResponse = self.client.unary(TXN, &request(transaction), REQUEST_TIMEOUT).await?;
+        let answer: TxnResponse = self
+            .client
+            .unary(TXN, &request(transaction), REQUEST_TIMEOUT)
+            .await?;
         let revision = answer.header.map_or(0, |header| header.revision);
         Ok(answer.succeeded.then_some(revision))
     }
@@ -206,5 +254,7 @@
             ..DeleteRangeRequest::default()
         }),
     };
-    RequestOp { request: Some(request) }
+    RequestOp {
+        request: Some(request),
+    }
 }
--- a/crates/scale/src/fleet/arrivals.rs
+++ b/crates/scale/src/fleet/arrivals.rs
@@ -26,7 +26,13 @@
     /// `rate` calls a second from `start` on; until `thinned_until` popular functions are called less often.
     pub fn new(seed: u64, rate: f64, functions: usize, start: f64, thinned_until: f64) -> Arrivals {
         let random = StdRng::seed_from_u64(seed);
-        Arrivals { random, popularity: Popularity::new(functions), rate, at: start, thinned_until }
+        Arrivals {
+            random,
+            popularity: Popularity::new(functions),
+            rate,
+            at: start,
+            thinned_until,
+        }
     }
 
     /// The next call.
@@ -37,7 +43,11 @@
             let rank = self.popularity.draw(&mut self.random);
             let is_thinned = self.at < self.thinned_until && rank < THINNED_RANKS;
             if !is_thinned || self.random.random::<f64>() < THINNED_PART {
-                return Arrival { at: self.at, function: rank as u32, draw: self.random.random() };
+                return Arrival {
+                    at: self.at,
+                    function: rank as u32,
+                    draw: self.random.random(),
+                };
             }
         }
     }
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/scale/src/fleet/event.rs
@@ -38,7 +38,9 @@
 
     /// When the next event is; infinity when there is none.
     pub fn next_at(&self) -> f64 {
-        self.heap.peek().map_or(f64::INFINITY, |Reverse((at, ..))| at.0)
+        self.heap
+            .peek()
+            .map_or(f64::INFINITY, |Reverse((at, ..))| at.0)
     }
 
     pub fn pop(&mut self) -> Option<(f64, Event)> {
--- a/crates/scale/src/fleet/executor.rs
+++ b/crates/scale/src/fleet/executor.rs
@@ -82,11 +82,14 @@
     }
 
     pub fn copy_mut(&mut self, function: u32) -> Option<&mut Copy> {
-        self.copies.iter_mut().find(|copy| copy.function == function)
+        self.copies
+            .iter_mut()
+            .find(|copy| copy.function == function)
     }
 
     pub fn has_loaded(&self, function: u32) -> bool {
-        self.copy(function).is_some_and(|copy| copy.loaded_at.is_some())
+        self.copy(function)
+            .is_some_and(|copy| copy.loaded_at.is_some())
     }
 
     /// Whether a further call would begin at once.
@@ -95,15 +98,30 @@
     }
 
     /// Enters a copy that is to be loaded, and tells the function of the one that gave way to it.
-    pub fn add_copy(&mut self, function: u32, now: f64, most: usize) -> Result<Option<u32>, MemoryFull> {
+    pub fn add_copy(
+        &mut self,
+        function: u32,
+        now: f64,
+        most: usize,
+    ) -> Result<Option<u32>, MemoryFull> {
         let mut evicted = None;
         if self.copies.len() >= most {
-            let evictable = self.copies.iter().enumerate().filter(|(_, copy)| copy.is_evictable(now));
+            let evictable = self
+                .copies
+                .iter()
+                .enumerate()
+                .filter(|(_, copy)| copy.is_evictable(now));
             let oldest = evictable.min_by(|(_, a), (_, b)| a.used_at.total_cmp(&b.used_at));
             let position = oldest.map(|(position, _)| position).ok_or(MemoryFull)?;
             evicted = Some(self.copies.swap_remove(position).function);
         }
-        self.copies.push(Copy { function, loaded_at: None, used_at: now, calls: 0, orders: vec![] });
+        self.copies.push(Copy {
+            function,
+            loaded_at: None,
+            used_at: now,
+            calls: 0,
+            orders: vec![],
+        });
         Ok(evicted)
     }
 
@@ -117,11 +135,19 @@
     /// orders, and calls that ran.
     pub fn clear(&mut self) -> Lost {
         let mut unstarted: Vec<u32> = self.waiting.drain(..).collect();
-        unstarted.extend(self.copies.iter().flat_map(|copy| copy.orders.iter().copied()));
+        unstarted.extend(
+            self.copies
+                .iter()
+                .flat_map(|copy| copy.orders.iter().copied()),
+        );
         let copies = self.copies.drain(..).map(|copy| copy.function).collect();
         self.loading = 0;
         self.loads_waiting.clear();
-        Lost { unstarted, running: std::mem::take(&mut self.running), copies }
+        Lost {
+            unstarted,
+            running: std::mem::take(&mut self.running),
+            copies,
+        }
     }
 }
 
--- a/crates/scale/src/fleet/front_end.rs
+++ b/crates/scale/src/fleet/front_end.rs
@@ -23,7 +23,10 @@
     executor_life: u8,
 }
 
-const NO_CONNECTION: Connection = Connection { used_at: f32::NEG_INFINITY, executor_life: 0 };
+const NO_CONNECTION: Connection = Connection {
+    used_at: f32::NEG_INFINITY,
+    executor_life: 0,
+};
 
 /// A call without a final answer.
 #[derive(Clone, Copy)]
@@ -56,7 +59,11 @@
             life,
             is_up: true,
             place,
-            taking: OpenCall { call: 0, function: 0, came: 0.0 },
+            taking: OpenCall {
+                call: 0,
+                function: 0,
+                came: 0.0,
+            },
             open: HashMap::new(),
             sent: HashMap::new(),
             connections: vec![NO_CONNECTION; executors],
@@ -129,9 +136,13 @@
         };
         let key = self.shared.requests.insert(request) as u32;
         let trips = if is_connected { 1.0 } else { 3.0 };
-        self.shared.queue.push(now + trips * delay, Event::Reaches(key));
+        self.shared
+            .queue
+            .push(now + trips * delay, Event::Reaches(key));
         if purpose != Purpose::Order {
-            self.shared.ledger.dispatched(now, place.region != self.state.place.region);
+            self.shared
+                .ledger
+                .dispatched(now, place.region != self.state.place.region);
         }
         Some(key)
     }
@@ -155,8 +166,20 @@
     }
 
     fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let Some(&OpenCall { call, function, came }) = self.state.open.get(&invocation) else { return };
-        let purpose = Purpose::Call { invocation, dispatch, call, came };
+        let Some(&OpenCall {
+            call,
+            function,
+            came,
+        }) = self.state.open.get(&invocation)
+        else {
+            return;
+        };
+        let purpose = Purpose::Call {
+            invocation,
+            dispatch,
+            call,
+            came,
+        };
         if let Some(key) = self.send(to, function, purpose) {
             self.state.sent.insert((invocation, dispatch), key);
         }
@@ -166,11 +189,23 @@
     }
 
     fn cancel(&mut self, invocation: u32, dispatch: u8) {
-        let Some(key) = self.state.sent.remove(&(invocation, dispatch)) else { return };
-        let Some(request) = self.shared.requests.get_mut(key as usize) else { return };
-        let Purpose::Call { invocation: of, dispatch: number, .. } = request.purpose else { return };
+        let Some(key) = self.state.sent.remove(&(invocation, dispatch)) else {
+            return;
+        };
+        let Some(request) = self.shared.requests.get_mut(key as usize) else {
+            return;
+        };
+        let Purpose::Call {
+            invocation: of,
+            dispatch: number,
+            ..
+        } = request.purpose
+        else {
+            return;
+        };
         // The request may have been lost, and its key be another's by now.
-        let same = (request.front_end, request.front_end_life) == (self.state.number, self.state.life);
+        let same =
+            (request.front_end, request.front_end_life) == (self.state.number, self.state.life);
         if same && (of, number) == (invocation, dispatch) {
             let place = self.shared.topology.executors[usize::from(request.executor)];
             request.cancelled_at = self.shared.now + self.state.place.delay(place);
@@ -213,7 +248,12 @@
 pub const NON_IDEMPOTENT: usize = 1;
 
 /// The terms of a deployment file with the assumptions of this run, and its defaults otherwise.
-pub fn policy(front_ends: usize, index: usize, place: Place, regions: Vec<Option<u8>>) -> PolicyConfig {
+pub fn policy(
+    front_ends: usize,
+    index: usize,
+    place: Place,
+    regions: Vec<Option<u8>>,
+) -> PolicyConfig {
     let trigger_type = |effect| TriggerType {
         objective: OBJECTIVE,
         stretch: 0.0,
@@ -225,7 +265,10 @@
         window: 0.0,
     };
     PolicyConfig {
-        trigger_types: vec![trigger_type(Effect::Idempotent), trigger_type(Effect::NonIdempotent)],
+        trigger_types: vec![
+            trigger_type(Effect::Idempotent),
+            trigger_type(Effect::NonIdempotent),
+        ],
         over_share_value: 0.1,
         front_ends: front_ends as f64,
         index: index as f64,
--- a/crates/scale/src/fleet/measure.rs
+++ b/crates/scale/src/fleet/measure.rs
@@ -154,9 +154,16 @@
 }
 
 impl Ledger {
-    pub fn new(window: Range<f64>, cut: Option<CutWindow>, executors: usize, functions: usize) -> Ledger {
+    pub fn new(
+        window: Range<f64>,
+        cut: Option<CutWindow>,
+        executors: usize,
+        functions: usize,
+    ) -> Ledger {
         let mut call_herds = CallHerds::default();
-        call_herds.of_executor.resize(executors, (VecDeque::new(), f64::NEG_INFINITY));
+        call_herds
+            .of_executor
+            .resize(executors, (VecDeque::new(), f64::NEG_INFINITY));
         let load_herds = LoadHerds(vec![(VecDeque::new(), f64::NEG_INFINITY); functions]);
         Ledger {
             window,
@@ -202,18 +209,22 @@
             (is_cut_off && is_settled, &mut self.cut_off_settled),
             (cut.is_some() && !is_cut_off, &mut self.not_cut_off),
         ];
-        tallies.into_iter().filter_map(|(counts, tally)| counts.then_some(tally))
+        tallies
+            .into_iter()
+            .filter_map(|(counts, tally)| counts.then_some(tally))
     }
 
     /// A call has come; tells its number.
     pub fn offered(&mut self, came: f64, region: u8) -> u32 {
-        self.tallies(came, region).for_each(|tally| tally.offered += 1);
+        self.tallies(came, region)
+            .for_each(|tally| tally.offered += 1);
         self.begun.push(0);
         self.begun.len() as u32 - 1
     }
 
     pub fn answered(&mut self, now: f64, came: f64, region: u8, answer: FinalAnswer) {
-        self.tallies(came, region).for_each(|tally| tally.enter(answer, now - came));
+        self.tallies(came, region)
+            .for_each(|tally| tally.enter(answer, now - came));
     }
 
     /// An executor begins a call, on a copy that was loaded at `loaded_at`.
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -91,7 +91,10 @@
 }
 
 fn plans(size: &Size, seed: u64, seconds: f64) -> Vec<Plan> {
-    let more = Size { executors: size.executors * MORE_EXECUTORS, ..size.clone() };
+    let more = Size {
+        executors: size.executors * MORE_EXECUTORS,
+        ..size.clone()
+    };
     let warm_up = WARM_UP.min(WARM_UP_BY_SECONDS * seconds);
     let plan = |size: &Size, scenario, policy| Plan {
         size: size.clone(),
@@ -106,11 +109,20 @@
     };
     // The longest runs begin first. A rack and the day's restarts are as many machines of more executors too.
     let of_more = [Scenario::RegionCut, Scenario::ZoneLost, Scenario::Calm];
-    let of_fewer =
-        [Scenario::RegionCut, Scenario::ZoneLost, Scenario::Calm, Scenario::RackLost, Scenario::Restarts];
-    let mut plans: Vec<Plan> = of_more.map(|scenario| plan(&more, scenario, Policy::Dispatcher)).into();
+    let of_fewer = [
+        Scenario::RegionCut,
+        Scenario::ZoneLost,
+        Scenario::Calm,
+        Scenario::RackLost,
+        Scenario::Restarts,
+    ];
+    let mut plans: Vec<Plan> = of_more
+        .map(|scenario| plan(&more, scenario, Policy::Dispatcher))
+        .into();
     plans.extend(of_fewer.map(|scenario| plan(size, scenario, Policy::Dispatcher)));
-    plans.extend([Policy::Random, Policy::TwoByTrueLoad].map(|policy| plan(size, Scenario::Calm, policy)));
+    plans.extend(
+        [Policy::Random, Policy::TwoByTrueLoad].map(|policy| plan(size, Scenario::Calm, policy)),
+    );
     plans
 }
 
@@ -128,7 +140,11 @@
 pub fn play(plans: Vec<Plan>) -> Outcome {
     let cores = thread::available_parallelism().map_or(1, |cores| cores.get());
     let at_once = cores.min(MOST_AT_ONCE).min(plans.len());
-    let front_ends: usize = plans.iter().take(at_once).map(|plan| plan.size.front_ends).sum();
+    let front_ends: usize = plans
+        .iter()
+        .take(at_once)
+        .map(|plan| plan.size.front_ends)
+        .sum();
     let before = resident_bytes();
     let waiting = Mutex::new(plans.into_iter().enumerate());
     let next = || waiting.lock().ok()?.next();
@@ -144,11 +160,17 @@
     };
     let mut played: Vec<(usize, Played)> = thread::scope(|scope| {
         let workers: Vec<_> = (0..at_once).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("a run does not panic")).collect()
+        workers
+            .into_iter()
+            .flat_map(|worker| worker.join().expect("a run does not panic"))
+            .collect()
     });
     played.sort_by_key(|(number, _)| *number);
-    let added =
-        first_memory.into_inner().flatten().zip(before).map(|(after, before)| after.saturating_sub(before));
+    let added = first_memory
+        .into_inner()
+        .flatten()
+        .zip(before)
+        .map(|(after, before)| after.saturating_sub(before));
     Outcome {
         played: played.into_iter().map(|(_, played)| played).collect(),
         memory_mb: added.map(|bytes| bytes as f64 / 1e6 / front_ends as f64),
@@ -158,7 +180,11 @@
 fn play_one(plan: Plan) -> Played {
     let began = Instant::now();
     let finding = Simulation::new(plan.clone()).run();
-    let (name, policy, executors) = (plan.scenario.name(), plan.policy.name(), plan.size.executors);
+    let (name, policy, executors) = (
+        plan.scenario.name(),
+        plan.policy.name(),
+        plan.size.executors,
+    );
     let took = began.elapsed().as_secs_f64();
     eprintln!("fleet: {name}, {executors} executors, {policy}: took {took:.0} s");
     eprintln!("fleet:   {finding:?}");
--- a/crates/scale/src/fleet/rows.rs
+++ b/crates/scale/src/fleet/rows.rs
@@ -30,22 +30,43 @@
 
 /// The rows of all runs of the dispatch policy; the references are told on standard error alone.
 pub fn of(outcome: &Outcome) -> Vec<Row> {
-    let fewest = outcome.played.iter().map(|run| run.plan.size.executors).min();
+    let fewest = outcome
+        .played
+        .iter()
+        .map(|run| run.plan.size.executors)
+        .min();
     let mut rows = vec![];
-    for run in outcome.played.iter().filter(|run| run.plan.policy == Policy::Dispatcher) {
+    for run in outcome
+        .played
+        .iter()
+        .filter(|run| run.plan.policy == Policy::Dispatcher)
+    {
         let executors = run.plan.size.executors;
-        let suffix = if Some(executors) == fewest { String::new() } else { format!("_{executors}") };
+        let suffix = if Some(executors) == fewest {
+            String::new()
+        } else {
+            format!("_{executors}")
+        };
         rows.extend(of_run(run, &suffix));
     }
-    let note =
-        "resident memory of the first runs for each of their front ends, executors included: at the most";
-    let row = Row::at_most("fleet_memory_mb", Role::FrontEnd, "MB", CONTROL_MEMORY_MB, note);
+    let note = "resident memory of the first runs for each of their front ends, executors included: at the most";
+    let row = Row::at_most(
+        "fleet_memory_mb",
+        Role::FrontEnd,
+        "MB",
+        CONTROL_MEMORY_MB,
+        note,
+    );
     rows.push(row.with(outcome.memory_mb.unwrap_or(f64::NAN), Basis::Measured));
     rows
 }
 
 fn of_run(run: &Played, suffix: &str) -> Vec<Row> {
-    let Finding { counts, decision_cpu_us, .. } = &run.finding;
+    let Finding {
+        counts,
+        decision_cpu_us,
+        ..
+    } = &run.finding;
     let scenario = run.plan.scenario;
     let outage = scenario.outage(&(0.0..counts.seconds));
     let about = format!(
@@ -54,7 +75,10 @@
         if outage.is_empty() {
             String::new()
         } else {
-            format!(" for {:.1} s", outage.end.min(counts.seconds) - outage.start)
+            format!(
+                " for {:.1} s",
+                outage.end.min(counts.seconds) - outage.start
+            )
         },
         run.plan.size.executors,
         counts.seconds
@@ -63,7 +87,11 @@
         Scenario::Restarts => format!("a day's {about}, thousands of times denser than on the day"),
         _ => about,
     };
-    let build = Builder { scenario, suffix, about: &about };
+    let build = Builder {
+        scenario,
+        suffix,
+        about: &about,
+    };
     let mut rows = build.for_each_scenario(counts);
     match scenario {
         Scenario::Calm => {
@@ -71,13 +99,24 @@
             let limit_us = 1e6 * CONTROL_CPU_SHARE / run.plan.size.calls_per_front_end();
             let note = "processor time of engine and policy a call, with all engines of the fleet in one \
                         process; limit: 4.8 % of a core at its calls a second";
-            rows.push(build.at_most("fleet_decision_cpu_us", "us", limit_us, *decision_cpu_us, note));
+            rows.push(build.at_most(
+                "fleet_decision_cpu_us",
+                "us",
+                limit_us,
+                *decision_cpu_us,
+                note,
+            ));
         }
         Scenario::RegionCut => {
             let note = "calls at the region that is cut off, served before the client timeout; limit assumed";
             rows.push(build.cut_off("region_cut_served_share", &counts.cut_off, note));
-            let note = "the same in the second half of the cut, when what its front ends know has settled";
-            rows.push(build.cut_off("region_cut_settled_served_share", &counts.cut_off_settled, note));
+            let note =
+                "the same in the second half of the cut, when what its front ends know has settled";
+            rows.push(build.cut_off(
+                "region_cut_settled_served_share",
+                &counts.cut_off_settled,
+                note,
+            ));
         }
         Scenario::RackLost | Scenario::ZoneLost | Scenario::Restarts => {}
     }
@@ -101,19 +140,22 @@
 
     fn at_most(&self, figure: &str, unit: &str, limit: f64, measured: f64, note: &str) -> Row {
         let note = format!("{}: {note}", self.about);
-        Row::at_most(&self.name(figure), Role::Fleet, unit, limit, &note).with(measured, Basis::Measured)
+        Row::at_most(&self.name(figure), Role::Fleet, unit, limit, &note)
+            .with(measured, Basis::Measured)
     }
 
     fn at_least(&self, figure: &str, unit: &str, limit: f64, measured: f64, note: &str) -> Row {
         let note = format!("{}: {note}", self.about);
-        Row::at_least(&self.name(figure), Role::Fleet, unit, limit, &note).with(measured, Basis::Measured)
+        Row::at_least(&self.name(figure), Role::Fleet, unit, limit, &note)
+            .with(measured, Basis::Measured)
     }
 
     fn cut_off(&self, figure: &str, tally: &Tally, note: &str) -> Row {
         let name = format!("{figure}{}", self.suffix);
         let note = format!("{}: {note}", self.about);
         let served = tally.share(tally.succeeded);
-        Row::at_least(&name, Role::Region, "share", CUT_OFF_SERVED_SHARE, &note).with(served, Basis::Measured)
+        Row::at_least(&name, Role::Region, "share", CUT_OFF_SERVED_SHARE, &note)
+            .with(served, Basis::Measured)
     }
 
     fn for_each_scenario(&self, counts: &Counts) -> Vec<Row> {
@@ -126,7 +168,13 @@
             "from a call to its beginning on the copy loaded for it; a load of {LOAD_TIME} s assumed"
         );
         vec![
-            self.at_most("cold_start_p99_s", "s", COLD_START_S, counts.cold_start_p99_s, &cold),
+            self.at_most(
+                "cold_start_p99_s",
+                "s",
+                COLD_START_S,
+                counts.cold_start_p99_s,
+                &cold,
+            ),
             self.at_least(
                 "served_in_time_share",
                 "share",
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -25,8 +25,13 @@
 }
 
 impl Scenario {
-    pub const ALL: [Scenario; 5] =
-        [Scenario::Calm, Scenario::RackLost, Scenario::ZoneLost, Scenario::RegionCut, Scenario::Restarts];
+    pub const ALL: [Scenario; 5] = [
+        Scenario::Calm,
+        Scenario::RackLost,
+        Scenario::ZoneLost,
+        Scenario::RegionCut,
+        Scenario::Restarts,
+    ];
 
     /// Its name in rows and progress.
     pub fn name(self) -> &'static str {
@@ -67,7 +72,8 @@
             Scenario::Calm => vec![],
             Scenario::RackLost => {
                 let rack = topology.racks[0];
-                let executors = (0..topology.executors.len()).filter(|&x| topology.racks[x] == rack);
+                let executors =
+                    (0..topology.executors.len()).filter(|&x| topology.racks[x] == rack);
                 outage_steps(executors.map(Machine::Executor).collect(), &outage)
             }
             Scenario::ZoneLost => outage_steps(machines_of_zone(topology, LOST_ZONE), &outage),
@@ -127,9 +133,13 @@
 }
 
 fn machines_of_zone(topology: &Topology, zone: u8) -> Vec<Machine> {
-    let front_ends = (0..topology.front_ends.len()).filter(|&n| topology.front_ends[n].zone == zone);
+    let front_ends =
+        (0..topology.front_ends.len()).filter(|&n| topology.front_ends[n].zone == zone);
     let executors = (0..topology.executors.len()).filter(|&x| topology.executors[x].zone == zone);
-    front_ends.map(Machine::FrontEnd).chain(executors.map(Machine::Executor)).collect()
+    front_ends
+        .map(Machine::FrontEnd)
+        .chain(executors.map(Machine::Executor))
+        .collect()
 }
 
 fn executors_among(machines: &[Machine]) -> Vec<usize> {
@@ -143,14 +153,26 @@
 /// Machines that are silent for a time; the store tells of executors when their leases end, and when they are back.
 fn outage_steps(machines: Vec<Machine>, outage: &Range<f64>) -> Vec<Step> {
     let executors = executors_among(&machines);
-    let mut steps = vec![Step { at: outage.start, change: Change::Down(machines.clone(), Down::Silent) }];
+    let mut steps = vec![Step {
+        at: outage.start,
+        change: Change::Down(machines.clone(), Down::Silent),
+    }];
     let expires_at = outage.start + EXECUTOR_LEASE;
     if expires_at < outage.end {
-        steps.push(Step { at: expires_at, change: Change::Tells(executors.clone(), Listed::Gone) });
+        steps.push(Step {
+            at: expires_at,
+            change: Change::Tells(executors.clone(), Listed::Gone),
+        });
     }
     if outage.end.is_finite() {
-        steps.push(Step { at: outage.end, change: Change::Up(machines) });
-        steps.push(Step { at: outage.end, change: Change::Tells(executors, Listed::Ready) });
+        steps.push(Step {
+            at: outage.end,
+            change: Change::Up(machines),
+        });
+        steps.push(Step {
+            at: outage.end,
+            change: Change::Tells(executors, Listed::Ready),
+        });
     }
     steps
 }
@@ -159,17 +181,39 @@
     let of_region = |x: &usize| topology.executors[*x].region == CUT_REGION;
     let executors: Vec<usize> = (0..topology.executors.len()).filter(of_region).collect();
     let part = executors.len() as f64 / topology.executors.len() as f64;
-    let held = if part > MANY_VANISHED { VANISHED_HELD } else { 0.0 };
+    let held = if part > MANY_VANISHED {
+        VANISHED_HELD
+    } else {
+        0.0
+    };
     let gone_at = outage.start + EXECUTOR_LEASE + held;
     let mut steps = vec![
-        Step { at: outage.start, change: Change::Cut(CUT_REGION) },
-        Step { at: outage.start + SHARE_PAUSE, change: Change::Shares(CUT_REGION, false) },
-        Step { at: outage.end, change: Change::Healed },
-        Step { at: outage.end + SHARE_PAUSE, change: Change::Shares(CUT_REGION, true) },
+        Step {
+            at: outage.start,
+            change: Change::Cut(CUT_REGION),
+        },
+        Step {
+            at: outage.start + SHARE_PAUSE,
+            change: Change::Shares(CUT_REGION, false),
+        },
+        Step {
+            at: outage.end,
+            change: Change::Healed,
+        },
+        Step {
+            at: outage.end + SHARE_PAUSE,
+            change: Change::Shares(CUT_REGION, true),
+        },
     ];
     if gone_at < outage.end {
-        steps.push(Step { at: gone_at, change: Change::Tells(executors.clone(), Listed::Gone) });
-        steps.push(Step { at: outage.end, change: Change::Tells(executors, Listed::Ready) });
+        steps.push(Step {
+            at: gone_at,
+            change: Change::Tells(executors.clone(), Listed::Gone),
+        });
+        steps.push(Step {
+            at: outage.end,
+            change: Change::Tells(executors, Listed::Ready),
+        });
     }
     steps
 }
@@ -177,8 +221,9 @@
 /// Each restart hits any machine, front end or executor, with equal chance; no machine twice.
 fn restart_steps(topology: &Topology, window: &Range<f64>, seed: u64) -> Vec<Step> {
     let front_ends = (0..topology.front_ends.len()).map(Machine::FrontEnd);
-    let mut machines: Vec<Machine> =
-        front_ends.chain((0..topology.executors.len()).map(Machine::Executor)).collect();
+    let mut machines: Vec<Machine> = front_ends
+        .chain((0..topology.executors.len()).map(Machine::Executor))
+        .collect();
     let restarts = RESTARTS.min(machines.len() / 4);
     let spacing = (window.end - window.start) / (restarts + 1) as f64;
     let mut random = StdRng::seed_from_u64(seed);
@@ -188,11 +233,20 @@
         let machine = machines.swap_remove(drawn);
         let at = window.start + spacing * restart as f64;
         let back_at = at + RESTART_TIME;
-        steps.push(Step { at, change: Change::Down(vec![machine], Down::Restarting) });
-        steps.push(Step { at: back_at, change: Change::Up(vec![machine]) });
+        steps.push(Step {
+            at,
+            change: Change::Down(vec![machine], Down::Restarting),
+        });
+        steps.push(Step {
+            at: back_at,
+            change: Change::Up(vec![machine]),
+        });
         let executors = executors_among(&[machine]);
         if !executors.is_empty() {
-            steps.push(Step { at: back_at, change: Change::Tells(executors, Listed::Ready) });
+            steps.push(Step {
+                at: back_at,
+                change: Change::Tells(executors, Listed::Ready),
+            });
         }
     }
     steps
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/scale/src/fleet/simulation.rs
@@ -56,9 +56,15 @@
     /// What each executor can hold and run.
     pub fn capacity(&self) -> Capacity {
         let executors = self.size.executors as f64;
-        let lanes = (LANES_PER_CALL_RATE * self.size.calls_per_s / executors).ceil().max(1.0) as usize;
+        let lanes = (LANES_PER_CALL_RATE * self.size.calls_per_s / executors)
+            .ceil()
+            .max(1.0) as usize;
         let copies = (self.size.instances as f64 / executors).ceil().max(1.0) as usize;
-        Capacity { lanes, waiting: WAITING_PER_LANE * lanes, copies }
+        Capacity {
+            lanes,
+            waiting: WAITING_PER_LANE * lanes,
+            copies,
+        }
     }
 }
 
@@ -140,11 +146,16 @@
         let topology = Topology::new(size.front_ends, size.executors, size.regions, size.zones);
         let window = plan.window();
         let region = cut_region(plan.scenario);
-        let cut = region.map(|region| CutWindow { region, during: plan.scenario.outage(&window) });
+        let cut = region.map(|region| CutWindow {
+            region,
+            during: plan.scenario.outage(&window),
+        });
         let steps = plan.scenario.steps(&topology, &window, plan.seed);
         let ledger = Ledger::new(window, cut, size.executors, size.functions);
         let mut queue = Queue::default();
-        (0..).zip(&steps).for_each(|(number, step)| queue.push(step.at, Event::Step(number)));
+        (0..)
+            .zip(&steps)
+            .for_each(|(number, step)| queue.push(step.at, Event::Step(number)));
         let shared = Shared {
             now: START,
             queue,
@@ -183,14 +194,22 @@
     fn front_end(&mut self, number: usize, life: u8) -> FrontEnd {
         let place = self.shared.topology.front_ends[number];
         let told = self.plan.regions_told;
-        let regions = if told { self.shared.topology.regions.clone() } else { vec![] };
+        let regions = if told {
+            self.shared.topology.regions.clone()
+        } else {
+            vec![]
+        };
         let policy = policy(self.plan.size.front_ends, number, place, regions);
-        let seed = self.plan.seed.wrapping_mul(1_000_003) + (number * 256 + usize::from(life)) as u64;
+        let seed =
+            self.plan.seed.wrapping_mul(1_000_003) + (number * 256 + usize::from(life)) as u64;
         let mut state = HostState::new(number as u16, life, place, self.plan.size.executors);
         let now = self.shared.now;
         let engine = match self.plan.policy {
             Policy::Dispatcher => {
-                let mut host = HollowHost { state: &mut state, shared: &mut self.shared };
+                let mut host = HollowHost {
+                    state: &mut state,
+                    shared: &mut self.shared,
+                };
                 Engine::new(policy, MOST_OPEN, seed, now, &mut host)
             }
             Policy::Random => Engine::with_baseline(Box::new(Plain::new(seed)), MOST_OPEN, now),
@@ -209,8 +228,13 @@
         let window = self.plan.window();
         let size = &self.plan.size;
         let thinned_until = START + self.plan.warm_up_thinned;
-        let mut arrivals =
-            Arrivals::new(self.plan.seed, size.calls_per_s, size.functions, START, thinned_until);
+        let mut arrivals = Arrivals::new(
+            self.plan.seed,
+            size.calls_per_s,
+            size.functions,
+            START,
+            thinned_until,
+        );
         let mut next = arrivals.draw();
         let ends_at = window.end + CLIENT_TIMEOUT + 1.0;
         loop {
@@ -244,15 +268,24 @@
     }
 
     /// Calls the engine of a front end, and sets its timer anew.
-    fn play<T>(&mut self, front_end: usize, input: impl FnOnce(&mut Engine, f64, &mut HollowHost) -> T) -> T {
+    fn play<T>(
+        &mut self,
+        front_end: usize,
+        input: impl FnOnce(&mut Engine, f64, &mut HollowHost) -> T,
+    ) -> T {
         let now = self.shared.now;
         let FrontEnd { engine, state } = &mut self.front_ends[front_end];
-        let mut host = HollowHost { state, shared: &mut self.shared };
+        let mut host = HollowHost {
+            state,
+            shared: &mut self.shared,
+        };
         let result = self.cpu.measure(|| input(engine, now, &mut host));
         let due_at = engine.due_at().max(now);
         if due_at < state.wakes_at {
             state.wakes_at = due_at;
-            self.shared.queue.push(due_at, Event::Wakes(front_end as u32));
+            self.shared
+                .queue
+                .push(due_at, Event::Wakes(front_end as u32));
         }
         result
     }
@@ -267,14 +300,26 @@
     }
 
     fn arrives(&mut self, arrival: &Arrival) {
-        let Some(front_end) = self.live_front_end(arrival.draw) else { return };
-        let Arrival { at: came, function, .. } = *arrival;
+        let Some(front_end) = self.live_front_end(arrival.draw) else {
+            return;
+        };
+        let Arrival {
+            at: came, function, ..
+        } = *arrival;
         let state = &mut self.front_ends[front_end].state;
         let region = state.place.region;
         let call = self.shared.ledger.offered(came, region);
-        state.taking = OpenCall { call, function, came };
+        state.taking = OpenCall {
+            call,
+            function,
+            came,
+        };
         let offer = Offer {
-            trigger_type: if is_idempotent(function) { IDEMPOTENT } else { NON_IDEMPOTENT },
+            trigger_type: if is_idempotent(function) {
+                IDEMPOTENT
+            } else {
+                NON_IDEMPOTENT
+            },
             customer: 0,
             function: u64::from(function),
             repeat: false,
@@ -284,10 +329,14 @@
             lanes: FUNCTION_LANES,
             load_time: Some(LOAD_TIME),
         };
-        let taken = self.play(front_end, |engine, now, host| engine.take(now, &offer, host));
+        let taken = self.play(front_end, |engine, now, host| {
+            engine.take(now, &offer, host)
+        });
         self.cpu.calls += 1;
         if taken.is_err() {
-            self.shared.ledger.answered(came, came, region, FinalAnswer::Refused);
+            self.shared
+                .ledger
+                .answered(came, came, region, FinalAnswer::Refused);
         }
     }
 
@@ -295,7 +344,9 @@
     fn live_front_end(&self, draw: f64) -> Option<usize> {
         let count = self.front_ends.len();
         let first = (draw * count as f64) as usize;
-        (first..first + count).map(|n| n % count).find(|&n| self.front_ends[n].state.is_up)
+        (first..first + count)
+            .map(|n| n % count)
+            .find(|&n| self.front_ends[n].state.is_up)
     }
 
     /// Whether a cut parts a front end from an executor.
@@ -310,7 +361,13 @@
     /// An answer reaches its front end.
     fn answers(&mut self, key: u32) {
         let request = self.shared.requests.remove(key as usize);
-        let Request { front_end, executor, ending, function, .. } = request;
+        let Request {
+            front_end,
+            executor,
+            ending,
+            function,
+            ..
+        } = request;
         let state = &mut self.front_ends[usize::from(front_end)].state;
         if !state.is_up || state.life != request.front_end_life {
             return;
@@ -319,7 +376,11 @@
             state.disconnect(usize::from(executor));
         }
         match request.purpose {
-            Purpose::Call { invocation, dispatch, .. } => {
+            Purpose::Call {
+                invocation,
+                dispatch,
+                ..
+            } => {
                 // A second answer to one dispatch is none of its key's.
                 if state.sent.get(&(invocation, dispatch)) == Some(&key) {
                     state.sent.remove(&(invocation, dispatch));
@@ -345,12 +406,26 @@
 
     fn found(self) -> Finding {
         let resident_bytes = resident_bytes();
-        let Simulation { shared, cpu, executors, front_ends, .. } = self;
+        let Simulation {
+            shared,
+            cpu,
+            executors,
+            front_ends,
+            ..
+        } = self;
         let kept: usize = front_ends.iter().map(|f| f.engine.kept().functions).sum();
         let functions_kept = kept as f64 / front_ends.len() as f64;
-        let copies = executors.iter().map(|executor| executor.copies.len() as u64).sum();
+        let copies = executors
+            .iter()
+            .map(|executor| executor.copies.len() as u64)
+            .sum();
         let counts = Counts::of(shared.ledger, copies, shared.queue.entered());
-        Finding { counts, decision_cpu_us: cpu.us_a_call(), functions_kept, resident_bytes }
+        Finding {
+            counts,
+            decision_cpu_us: cpu.us_a_call(),
+            functions_kept,
+            resident_bytes,
+        }
     }
 }
 
@@ -360,7 +435,9 @@
         let cold = &ledger.cold_starts;
         let quantile = |share: f64| {
             let rank = (cold.len() as f64 * share) as usize;
-            cold.get(rank.min(cold.len().saturating_sub(1))).copied().unwrap_or(f64::NAN)
+            cold.get(rank.min(cold.len().saturating_sub(1)))
+                .copied()
+                .unwrap_or(f64::NAN)
         };
         Counts {
             seconds: ledger.length(),
--- a/crates/scale/src/fleet/simulation/changes.rs
+++ b/crates/scale/src/fleet/simulation/changes.rs
@@ -5,9 +5,9 @@
 impl Simulation {
     pub(super) fn changes(&mut self, change: &Change) {
         match change {
-            Change::Down(machines, down) => {
-                machines.iter().for_each(|&machine| self.goes_down(machine, *down))
-            }
+            Change::Down(machines, down) => machines
+                .iter()
+                .for_each(|&machine| self.goes_down(machine, *down)),
             Change::Up(machines) => machines.iter().for_each(|&machine| self.comes_up(machine)),
             Change::Cut(region) => self.cut = Some(*region),
             Change::Healed => self.cut = None,
@@ -41,7 +41,9 @@
         let region = state.place.region;
         // The order does not matter: each is counted alike.
         for call in std::mem::take(&mut state.open).into_values() {
-            self.shared.ledger.answered(now, call.came, region, FinalAnswer::FrontEndLost);
+            self.shared
+                .ledger
+                .answered(now, call.came, region, FinalAnswer::FrontEndLost);
         }
         state.sent.clear();
     }
@@ -52,19 +54,31 @@
         self.list_all(number);
         self.set_share(number, false);
         // A share of its own comes once all others must have seen it.
-        let notice = Notice { front_end: number, life, told: Told::Share };
+        let notice = Notice {
+            front_end: number,
+            life,
+            told: Told::Share,
+        };
         let key = self.notices.insert(notice) as u32;
-        self.shared.queue.push(self.shared.now + SHARE_PAUSE, Event::Notice(key));
+        self.shared
+            .queue
+            .push(self.shared.now + SHARE_PAUSE, Event::Notice(key));
     }
 
     /// Tells a front end the whole list as the store has it.
     pub(super) fn list_all(&mut self, front_end: usize) {
-        let rows: Vec<RosterRow> = (0..self.executors.len()).map(|x| self.row(x, Standing::Ready)).collect();
-        self.play(front_end, |engine, now, host| engine.roster(now, RosterKind::Full, &rows, host));
+        let rows: Vec<RosterRow> = (0..self.executors.len())
+            .map(|x| self.row(x, Standing::Ready))
+            .collect();
+        self.play(front_end, |engine, now, host| {
+            engine.roster(now, RosterKind::Full, &rows, host)
+        });
     }
 
     fn row(&self, executor: usize, standing: Standing) -> RosterRow {
-        self.shared.topology.row(executor, standing, self.executors[executor].since)
+        self.shared
+            .topology
+            .row(executor, standing, self.executors[executor].since)
     }
 
     fn executor_down(&mut self, number: usize, down: Down) {
@@ -112,13 +126,23 @@
             }
             let life = state.life;
             let delay = ROSTER_DELAY * self.random.random::<f64>();
-            let key = self.notices.insert(Notice { front_end, life, told: Told::Rows(rows.clone()) }) as u32;
-            self.shared.queue.push(self.shared.now + delay, Event::Notice(key));
+            let key = self.notices.insert(Notice {
+                front_end,
+                life,
+                told: Told::Rows(rows.clone()),
+            }) as u32;
+            self.shared
+                .queue
+                .push(self.shared.now + delay, Event::Notice(key));
         }
     }
 
     pub(super) fn notice(&mut self, key: u32) {
-        let Notice { front_end, life, told } = self.notices.remove(key as usize);
+        let Notice {
+            front_end,
+            life,
+            told,
+        } = self.notices.remove(key as usize);
         let state = &self.front_ends[front_end].state;
         if !state.is_up || state.life != life {
             return;
@@ -150,6 +174,8 @@
             index: front_end as f64,
             shares,
         };
-        self.play(front_end, |engine, now, host| engine.living(now, view, host));
+        self.play(front_end, |engine, now, host| {
+            engine.living(now, view, host)
+        });
     }
 }
--- a/crates/scale/src/fleet/simulation/executor_events.rs
+++ b/crates/scale/src/fleet/simulation/executor_events.rs
@@ -32,7 +32,11 @@
         let life = self.executors[executor].life;
         if request.executor_life != life {
             // The connection led to the process before.
-            let ending = if request.is_connected { Ending::Reset } else { Ending::ConnectFailed };
+            let ending = if request.is_connected {
+                Ending::Reset
+            } else {
+                Ending::ConnectFailed
+            };
             return self.answer(key, ending);
         }
         match request.purpose {
@@ -59,12 +63,18 @@
                 return;
             }
         };
-        self.shared.queue.push(self.shared.now + wait, Event::Answers(key));
+        self.shared
+            .queue
+            .push(self.shared.now + wait, Event::Answers(key));
     }
 
     /// Sends the answer to a request, which is lost where a cut lies between.
     pub(super) fn answer(&mut self, key: u32, ending: Ending) {
-        let Request { front_end, executor, .. } = self.shared.requests[key as usize];
+        let Request {
+            front_end,
+            executor,
+            ..
+        } = self.shared.requests[key as usize];
         if self.is_cut_off(front_end, executor) {
             self.shared.requests.remove(key as usize);
             return;
@@ -73,29 +83,41 @@
         let place = topology.executors[usize::from(executor)];
         let delay = place.delay(topology.front_ends[usize::from(front_end)]);
         let e = &self.executors[usize::from(executor)];
-        let report = [e.waiting.len() as f32, (e.loading + e.loads_waiting.len()) as f32];
+        let report = [
+            e.waiting.len() as f32,
+            (e.loading + e.loads_waiting.len()) as f32,
+        ];
         let request = &mut self.shared.requests[key as usize];
         (request.ending, request.report) = (ending, report);
         if ending == Ending::Full {
             self.shared.ledger.turned_away(self.shared.now);
         }
-        self.shared.queue.push(self.shared.now + delay, Event::Answers(key));
+        self.shared
+            .queue
+            .push(self.shared.now + delay, Event::Answers(key));
     }
 
     fn call_reaches(&mut self, key: u32, request: Request) {
         let (executor, function) = (usize::from(request.executor), request.function);
-        self.shared.ledger.reached(self.shared.now, executor, self.executors_up);
+        self.shared
+            .ledger
+            .reached(self.shared.now, executor, self.executors_up);
         if self.executors[executor].waiting.len() >= self.capacity.waiting {
             return self.answer(key, Ending::Full);
         }
-        let found = match self.executors[executor].copy(function).map(|copy| copy.loaded_at) {
+        let found = match self.executors[executor]
+            .copy(function)
+            .map(|copy| copy.loaded_at)
+        {
             Some(Some(_)) => Found::Warm,
             Some(None) => Found::Waited,
             None if self.begin_load(request.executor, function, request.front_end) => Found::Loaded,
             None => return self.answer(key, Ending::Full),
         };
         let e = &mut self.executors[executor];
-        let Some(copy) = e.copy_mut(function) else { return };
+        let Some(copy) = e.copy_mut(function) else {
+            return;
+        };
         let request = &mut self.shared.requests[key as usize];
         (request.found, request.crowd) = (found, copy.calls);
         copy.calls += 1;
@@ -122,13 +144,17 @@
     fn begin_load(&mut self, executor: u16, function: u32, front_end: u16) -> bool {
         let now = self.shared.now;
         let e = &mut self.executors[usize::from(executor)];
-        let Ok(evicted) = e.add_copy(function, now, self.capacity.copies) else { return false };
+        let Ok(evicted) = e.add_copy(function, now, self.capacity.copies) else {
+            return false;
+        };
         e.loads_waiting.push_back(function);
         if let Some(evicted) = evicted {
             self.holders[evicted as usize].retain(|&holder| holder != executor);
         }
         let is_beyond_need = self.has_room_elsewhere(function, front_end);
-        self.shared.ledger.loads(now, function, front_end, is_beyond_need);
+        self.shared
+            .ledger
+            .loads(now, function, front_end, is_beyond_need);
         self.holders[function as usize].push(executor);
         self.next_load(executor);
         true
@@ -138,7 +164,9 @@
     fn has_room_elsewhere(&self, function: u32, front_end: u16) -> bool {
         let has_room = |&executor: &u16| {
             let e = &self.executors[usize::from(executor)];
-            e.has_room(&self.capacity) && e.has_loaded(function) && !self.is_cut_off(front_end, executor)
+            e.has_room(&self.capacity)
+                && e.has_loaded(function)
+                && !self.is_cut_off(front_end, executor)
         };
         self.holders[function as usize].iter().any(has_room)
     }
@@ -148,10 +176,18 @@
         if e.loading >= LOADS_AT_A_TIME {
             return;
         }
-        let Some(function) = e.loads_waiting.pop_front() else { return };
+        let Some(function) = e.loads_waiting.pop_front() else {
+            return;
+        };
         e.loading += 1;
-        let key = self.loads.insert(Load { executor, life: e.life, function });
-        self.shared.queue.push(self.shared.now + LOAD_TIME, Event::Loaded(key as u32));
+        let key = self.loads.insert(Load {
+            executor,
+            life: e.life,
+            function,
+        });
+        self.shared
+            .queue
+            .push(self.shared.now + LOAD_TIME, Event::Loaded(key as u32));
     }
 
     pub(super) fn loaded(&mut self, key: u32) {
@@ -167,7 +203,9 @@
             (copy.loaded_at, copy.used_at) = (Some(self.shared.now), self.shared.now);
             orders = std::mem::take(&mut copy.orders);
         }
-        orders.into_iter().for_each(|order| self.answer(order, Ending::Ok));
+        orders
+            .into_iter()
+            .for_each(|order| self.answer(order, Ending::Ok));
         self.next_load(load.executor);
         self.start(executor);
     }
@@ -182,10 +220,16 @@
                 let request = &requests[key as usize];
                 now >= request.cancelled_at || e.has_loaded(request.function)
             };
-            let Some(position) = e.waiting.iter().position(can_begin) else { return };
-            let Some(key) = e.waiting.remove(position) else { return };
+            let Some(position) = e.waiting.iter().position(can_begin) else {
+                return;
+            };
+            let Some(key) = e.waiting.remove(position) else {
+                return;
+            };
             let request = self.shared.requests[key as usize];
-            let Some(copy) = e.copy_mut(request.function) else { continue };
+            let Some(copy) = e.copy_mut(request.function) else {
+                continue;
+            };
             if now >= request.cancelled_at {
                 copy.calls -= 1;
                 self.shared.requests.remove(key as usize);
@@ -196,7 +240,9 @@
             e.running.push(key);
             if let Purpose::Call { call, came, .. } = request.purpose {
                 let is_idempotent = is_idempotent(request.function);
-                self.shared.ledger.begins(now, call, came, loaded_at, is_idempotent);
+                self.shared
+                    .ledger
+                    .begins(now, call, came, loaded_at, is_idempotent);
             }
             let unit: f64 = self.random.random();
             let work = -(1.0 - unit).ln() * MEAN_WORK / self.executors[executor].speed(now);
--- a/crates/scale/src/fleet/topology.rs
+++ b/crates/scale/src/fleet/topology.rs
@@ -45,9 +45,14 @@
         let region_of = |zone: usize| zone * regions / zones;
         let place = |machine: usize| {
             let region = machine % regions;
-            let of_region: Vec<usize> = (0..zones).filter(|&zone| region_of(zone) == region).collect();
+            let of_region: Vec<usize> = (0..zones)
+                .filter(|&zone| region_of(zone) == region)
+                .collect();
             let zone = of_region[(machine / regions) % of_region.len()];
-            Place { region: region as u8, zone: zone as u8 }
+            Place {
+                region: region as u8,
+                zone: zone as u8,
+            }
         };
         let executors: Vec<Place> = (0..executors).map(place).collect();
         let racks = racks(&executors, zones);
@@ -86,13 +91,19 @@
 
 /// The id of an executor by its number.
 pub fn executor_id(executor: usize) -> ExecutorId {
-    ExecutorId(Ipv4Addr::from_bits(FIRST_ADDRESS + executor as u32).into(), PORT)
+    ExecutorId(
+        Ipv4Addr::from_bits(FIRST_ADDRESS + executor as u32).into(),
+        PORT,
+    )
 }
 
 /// The number of an executor by its id; `None` for an id that [`executor_id`] never gave.
 pub fn executor_number(id: ExecutorId) -> Option<usize> {
     match id.0 {
-        IpAddr::V4(address) => address.to_bits().checked_sub(FIRST_ADDRESS).map(|n| n as usize),
+        IpAddr::V4(address) => address
+            .to_bits()
+            .checked_sub(FIRST_ADDRESS)
+            .map(|n| n as usize),
         IpAddr::V6(_) => None,
     }
 }
--- a/crates/scale/src/hollow/configuration.rs
+++ b/crates/scale/src/hollow/configuration.rs
@@ -4,9 +4,13 @@
 use super::control::Bytes;
 use async_executor::{LocalExecutor, Task};
 use orchidtally_config_sync::schema::GatewayEntry;
-use orchidtally_config_sync::{GatewaySchema, ReportedState, SettingsError, SyncSettings, Verdict, View};
+use orchidtally_config_sync::{
+    GatewaySchema, ReportedState, SettingsError, SyncSettings, Verdict, View,
+};
 use orchidtally_etcd::Client;
-use orchidtally_frontend::config::{ApplyError, ConfigHost, ConfigTarget, HostSettings, SnapshotFile};
+use orchidtally_frontend::config::{
+    ApplyError, ConfigHost, ConfigTarget, HostSettings, SnapshotFile,
+};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -72,8 +76,15 @@
         client.says(client_name(options.number));
         let mut settings = HostSettings::new(options.number.to_string());
         settings.snapshot = options.snapshot;
-        let host =
-            ConfigHost::new(options.settings, GatewaySchema, options.seed, settings, client, tasks, target)?;
+        let host = ConfigHost::new(
+            options.settings,
+            GatewaySchema,
+            options.seed,
+            settings,
+            client,
+            tasks,
+            target,
+        )?;
         if let Some(snapshot) = options.start_from {
             host.restore_from(&[snapshot]);
         }
@@ -122,6 +133,9 @@
     /// Bytes over its connections to the store so far.
     pub fn bytes(&self) -> Bytes {
         let traffic = self.host.client().traffic();
-        Bytes { sent: traffic.sent(), received: traffic.received() }
+        Bytes {
+            sent: traffic.sent(),
+            received: traffic.received(),
+        }
     }
 }
--- a/crates/scale/src/hollow/control.rs
+++ b/crates/scale/src/hollow/control.rs
@@ -17,7 +17,8 @@
 /// A whole list of executors is read so often, in seconds, as the membership core asks for it.
 pub use orchidtally_membership::cache::LIST_INTERVAL as LIST_INTERVAL_S;
 /// Where a hollow front end would take invocations.
-const LISTENS_AT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8080);
+const LISTENS_AT: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8080);
 
 /// An engine without calls has nothing to perform.
 struct NoCalls;
@@ -64,7 +65,10 @@
 
 impl std::iter::Sum for Bytes {
     fn sum<I: Iterator<Item = Bytes>>(all: I) -> Bytes {
-        let add = |a: Bytes, b: Bytes| Bytes { sent: a.sent + b.sent, received: a.received + b.received };
+        let add = |a: Bytes, b: Bytes| Bytes {
+            sent: a.sent + b.sent,
+            received: a.received + b.received,
+        };
         all.fold(Bytes::default(), add)
     }
 }
@@ -123,8 +127,10 @@
 
     /// Bytes over its connections to the store so far.
     pub fn bytes(&self) -> Bytes {
-        let of =
-            |client: &Client| Bytes { sent: client.traffic().sent(), received: client.traffic().received() };
+        let of = |client: &Client| Bytes {
+            sent: client.traffic().sent(),
+            received: client.traffic().received(),
+        };
         self.connections.all().into_iter().map(of).sum()
     }
 }
@@ -147,18 +153,27 @@
     }
 
     fn own_entry(&self) -> OwnEntry {
-        OwnEntry { life: self.life, location: self.deployment.locations[0].clone(), at: Some(LISTENS_AT) }
+        OwnEntry {
+            life: self.life,
+            location: self.deployment.locations[0].clone(),
+            at: Some(LISTENS_AT),
+        }
     }
 
     fn roster_changed(&self, kind: RosterKind, rows: &[RosterRow]) {
         if kind == RosterKind::Full {
-            self.list_bytes.set(self.connections.roster.traffic().received());
+            self.list_bytes
+                .set(self.connections.roster.traffic().received());
         }
-        self.engine.borrow_mut().roster(self.now(), kind, rows, &mut NoCalls);
+        self.engine
+            .borrow_mut()
+            .roster(self.now(), kind, rows, &mut NoCalls);
     }
 
     fn roster_confirmed(&self, asked_at: f64) {
-        self.engine.borrow_mut().view_confirmed(self.now(), asked_at, &mut NoCalls);
+        self.engine
+            .borrow_mut()
+            .view_confirmed(self.now(), asked_at, &mut NoCalls);
     }
 
     fn roster_lost(&self, asked_at: f64) {
@@ -173,6 +188,8 @@
             index: f64::from(figure.index.unwrap_or(0)),
             shares: figure.shares,
         };
-        self.engine.borrow_mut().living(self.now(), view, &mut NoCalls);
+        self.engine
+            .borrow_mut()
+            .living(self.now(), view, &mut NoCalls);
     }
 }
--- a/crates/scale/src/hollow/decisions.rs
+++ b/crates/scale/src/hollow/decisions.rs
@@ -119,7 +119,8 @@
 
 impl Executors {
     fn arrives(&mut self, after: f64, arrival: Arrival) {
-        self.arrivals.push(Reverse((microseconds(self.now + after), arrival)));
+        self.arrivals
+            .push(Reverse((microseconds(self.now + after), arrival)));
     }
 
     /// Whether a copy stands there; it does from now on.
@@ -140,11 +141,20 @@
         self.functions.insert(inv, self.taking);
     }
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let Some(&function) = self.functions.get(&inv) else { return };
+        let Some(&function) = self.functions.get(&inv) else {
+            return;
+        };
         let warm = self.touch(to, function);
         let work = -(1.0 - self.random.random::<f64>()).ln() * self.answer_time;
         let load = if warm { 0.0 } else { LOAD_TIME };
-        self.arrives(work + load, Arrival::Answered { inv, dispatch, warm });
+        self.arrives(
+            work + load,
+            Arrival::Answered {
+                inv,
+                dispatch,
+                warm,
+            },
+        );
     }
     fn cancel(&mut self, _inv: u32, _dispatch: u8) {}
     fn succeeded(&mut self, inv: u32, _dispatch: u8) {
@@ -200,8 +210,13 @@
             copies: BTreeMap::new(),
             finished: Finished::default(),
         };
-        let mut engine =
-            Engine::new(policy(traffic.front_ends, 0), MOST_OPEN, traffic.seed, START, &mut executors);
+        let mut engine = Engine::new(
+            policy(traffic.front_ends, 0),
+            MOST_OPEN,
+            traffic.seed,
+            START,
+            &mut executors,
+        );
         let rows: Vec<RosterRow> = (0..traffic.executors).map(|x| roster_row(x, 8)).collect();
         engine.roster(START, RosterKind::Full, &rows, &mut executors);
         FrontEnd {
@@ -232,7 +247,11 @@
     /// Answers and timers up to a moment, in their order.
     fn catch_up(&mut self, until: f64) {
         loop {
-            let arrival = self.executors.arrivals.peek().map(|Reverse((at, _))| moment(*at));
+            let arrival = self
+                .executors
+                .arrivals
+                .peek()
+                .map(|Reverse((at, _))| moment(*at));
             let arrival = arrival.unwrap_or(f64::INFINITY);
             let due = self.engine.due_at();
             if arrival.min(due) > until {
@@ -243,7 +262,9 @@
                 self.engine.turn(self.executors.now, &mut self.executors);
                 continue;
             }
-            let Some(Reverse((_, arrival_kind))) = self.executors.arrivals.pop() else { return };
+            let Some(Reverse((_, arrival_kind))) = self.executors.arrivals.pop() else {
+                return;
+            };
             self.executors.now = self.executors.now.max(arrival);
             self.arrived(arrival_kind);
         }
@@ -252,13 +273,23 @@
     fn arrived(&mut self, arrival: Arrival) {
         let now = self.executors.now;
         match arrival {
-            Arrival::Answered { inv, dispatch, warm } => {
+            Arrival::Answered {
+                inv,
+                dispatch,
+                warm,
+            } => {
                 let found = if warm { Found::Warm } else { Found::Loaded };
-                let told = Told { found, crowd: 1, report: &[0.5] };
-                self.engine.ended(now, inv, dispatch, Ending::Ok, told, &mut self.executors);
+                let told = Told {
+                    found,
+                    crowd: 1,
+                    report: &[0.5],
+                };
+                self.engine
+                    .ended(now, inv, dispatch, Ending::Ok, told, &mut self.executors);
             }
             Arrival::Held { to, function } => {
-                self.engine.held(now, to, function, Ending::Ok, &mut self.executors);
+                self.engine
+                    .held(now, to, function, Ending::Ok, &mut self.executors);
             }
         }
     }
@@ -291,7 +322,8 @@
 
     /// Takes in rows of a roster now.
     pub fn roster(&mut self, kind: RosterKind, rows: &[RosterRow]) {
-        self.engine.roster(self.executors.now, kind, rows, &mut self.executors);
+        self.engine
+            .roster(self.executors.now, kind, rows, &mut self.executors);
     }
 
     pub fn finished(&self) -> Finished {
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -78,7 +78,9 @@
 }
 
 fn seconds(text: &str) -> Result<f64, String> {
-    let seconds: f64 = text.parse().map_err(|_| format!("'{text}' is no number of seconds"))?;
+    let seconds: f64 = text
+        .parse()
+        .map_err(|_| format!("'{text}' is no number of seconds"))?;
     match seconds.is_finite() && seconds > 0.0 && seconds <= 86_400.0 {
         true => Ok(seconds),
         false => Err("seconds lie above 0 and at most at 86400".into()),
@@ -130,7 +132,11 @@
         if let Some(seconds) = self.seconds {
             add("seconds", seconds.to_string());
         }
-        if let Some(value) = self.inject.filter(|_| part == "config").and_then(|i| i.to_possible_value()) {
+        if let Some(value) = self
+            .inject
+            .filter(|_| part == "config")
+            .and_then(|i| i.to_possible_value())
+        {
             add("inject", value.get_name().to_owned());
         }
         if let Some(gateway) = &self.gateway {
@@ -148,7 +154,11 @@
     // A program that is missing is told before anything takes its time.
     let gateway = gateway_program(arguments.gateway.as_deref())?;
     let found = slopes::run(&size, arguments.seed, arguments.short);
-    let rows = found.rows.into_iter().chain(comparison_rows(arguments, &size, &gateway)).collect();
+    let rows = found
+        .rows
+        .into_iter()
+        .chain(comparison_rows(arguments, &size, &gateway))
+        .collect();
     Ok(Report::new(size, arguments.seed, None, rows, found.slopes))
 }
 
@@ -164,7 +174,11 @@
 }
 
 fn run_fleet(arguments: &Arguments, size: Size) -> Report {
-    let default = if arguments.short { SHORT_FLEET_SECONDS } else { fleet::SECONDS };
+    let default = if arguments.short {
+        SHORT_FLEET_SECONDS
+    } else {
+        fleet::SECONDS
+    };
     let rows = fleet::run(&size, arguments.seed, arguments.seconds.unwrap_or(default));
     Report::new(size, arguments.seed, None, rows, vec![])
 }
@@ -172,14 +186,22 @@
 fn run_config(arguments: &Arguments, size: Size) -> Report {
     let mut plan = config::Plan::new(&size, arguments.seed, arguments.inject, arguments.short);
     plan.daily_s = arguments.seconds.unwrap_or(plan.daily_s);
-    Report::new(size, arguments.seed, arguments.inject, config::run(&plan), vec![])
+    Report::new(
+        size,
+        arguments.seed,
+        arguments.inject,
+        config::run(&plan),
+        vec![],
+    )
 }
 
 /// Rows of configuration, which measure all of control together, take the place of those of the slopes.
 fn run_all(arguments: &Arguments, size: Size) -> Result<Report, RunError> {
     gateway_program(arguments.gateway.as_deref())?;
-    let parts: Result<Vec<Part>, PartError> =
-        ["slopes", "fleet", "config"].iter().map(|part| Part::start(&arguments.of_part(part))).collect();
+    let parts: Result<Vec<Part>, PartError> = ["slopes", "fleet", "config"]
+        .iter()
+        .map(|part| Part::start(&arguments.of_part(part)))
+        .collect();
     let reports: Vec<Result<Report, PartError>> = parts?.into_iter().map(Part::report).collect();
     let (mut rows, mut fits) = (vec![], vec![]);
     for report in reports {
@@ -187,7 +209,13 @@
         report::merge(&mut rows, report.rows);
         fits.extend(report.slopes);
     }
-    Ok(Report::new(size, arguments.seed, arguments.inject, rows, fits))
+    Ok(Report::new(
+        size,
+        arguments.seed,
+        arguments.inject,
+        rows,
+        fits,
+    ))
 }
 
 /// An error message and the exit code for it.
@@ -222,7 +250,9 @@
         Run::Stored => match serde_json::from_reader(std::io::stdin().lock()) {
             Ok(report) => report,
             Err(why) => {
-                eprintln!("error: standard input holds no report: {why}; give it a last line of a run");
+                eprintln!(
+                    "error: standard input holds no report: {why}; give it a last line of a run"
+                );
                 return ExitCode::from(BAD_ARGUMENTS);
             }
         },
--- a/crates/scale/src/parts.rs
+++ b/crates/scale/src/parts.rs
@@ -27,7 +27,11 @@
     pub fn start(arguments: &[String]) -> Result<Part, PartError> {
         let name = arguments.first().cloned().unwrap_or_default();
         let spawned = std::env::current_exe().and_then(|program| {
-            Command::new(program).args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()
+            Command::new(program)
+                .args(arguments)
+                .stdin(Stdio::piped())
+                .stdout(Stdio::piped())
+                .spawn()
         });
         match spawned {
             Ok(child) => Ok(Part { name, child }),
@@ -38,10 +42,21 @@
     /// Waits for its report: the last line that it prints.
     pub fn report(mut self) -> Result<Report, PartError> {
         let mut text = String::new();
-        let read = self.child.stdout.take().map(|mut out| out.read_to_string(&mut text));
+        let read = self
+            .child
+            .stdout
+            .take()
+            .map(|mut out| out.read_to_string(&mut text));
         let is_whole = matches!(read, Some(Ok(_)));
-        let report = text.lines().last().and_then(|line| serde_json::from_str(line).ok());
-        report.filter(|_| is_whole).ok_or_else(|| PartError::NoReport { part: self.name.clone() })
+        let report = text
+            .lines()
+            .last()
+            .and_then(|line| serde_json::from_str(line).ok());
+        report
+            .filter(|_| is_whole)
+            .ok_or_else(|| PartError::NoReport {
+                part: self.name.clone(),
+            })
     }
 }
 
--- a/crates/scale/src/report.rs
+++ b/crates/scale/src/report.rs
@@ -65,7 +65,14 @@
 
 impl Row {
     /// A row that has a limit and no figure yet: missed.
-    pub fn unmeasured(name: &str, role: Role, unit: &str, bound: Bound, limit: f64, note: &str) -> Row {
+    pub fn unmeasured(
+        name: &str,
+        role: Role,
+        unit: &str,
+        bound: Bound,
+        limit: f64,
+        note: &str,
+    ) -> Row {
         Row {
             name: name.into(),
             role,
@@ -90,7 +97,13 @@
             Bound::AtLeast => (measured >= self.limit, self.limit / measured),
         };
         let factor = factor.is_finite().then_some(factor);
-        Row { measured: Some(measured), held, factor, basis, ..self }
+        Row {
+            measured: Some(measured),
+            held,
+            factor,
+            basis,
+            ..self
+        }
     }
 
     /// A figure that has to stay at or below its limit.
@@ -136,7 +149,14 @@
     ) -> Report {
         let held = !rows.is_empty() && rows.iter().all(|row| row.held);
         let verdict = if held { Verdict::Held } else { Verdict::Missed };
-        Report { verdict, size, seed, injected, rows, slopes }
+        Report {
+            verdict,
+            size,
+            seed,
+            injected,
+            rows,
+            slopes,
+        }
     }
 
     /// The exit code of the program: 0 if all rows are held, 1 if one is missed.
--- a/crates/scale/src/slopes/configuration.rs
+++ b/crates/scale/src/slopes/configuration.rs
@@ -78,7 +78,10 @@
         snapshot: &[u8],
         tasks: &Rc<LocalExecutor<'static>>,
     ) -> Result<FrontEnds, RunError> {
-        let mut front_ends = FrontEnds { all: vec![], _tasks: vec![] };
+        let mut front_ends = FrontEnds {
+            all: vec![],
+            _tasks: vec![],
+        };
         for number in 0..setting.front_ends {
             let mut settings = entries::settings();
             settings.spread = setting.spread;
@@ -93,7 +96,11 @@
             };
             front_ends.all.push(Configuration::new(options, tasks)?);
         }
-        front_ends._tasks = front_ends.all.iter().map(|front_end| front_end.start(tasks)).collect();
+        front_ends._tasks = front_ends
+            .all
+            .iter()
+            .map(|front_end| front_end.start(tasks))
+            .collect();
         Ok(front_ends)
     }
 
@@ -107,7 +114,11 @@
             }
             if seconds > PATIENCE_S {
                 let ready = self.all.iter().filter(sees).count();
-                return Err(RunError::NotReady { ready, of: self.all.len(), seconds });
+                return Err(RunError::NotReady {
+                    ready,
+                    of: self.all.len(),
+                    seconds,
+                });
             }
             Timer::after(LOOK_INTERVAL).await;
         }
@@ -115,7 +126,11 @@
 
     /// Bytes that one of them has received so far, in the mean.
     fn mean_received(&self) -> f64 {
-        let all: u64 = self.all.iter().map(|front_end| front_end.bytes().received).sum();
+        let all: u64 = self
+            .all
+            .iter()
+            .map(|front_end| front_end.bytes().received)
+            .sum();
         all as f64 / self.all.len() as f64
     }
 }
@@ -136,10 +151,18 @@
         while left > 0 {
             let some = left.min(TRANSACTION).min(self.entries - self.next);
             self.version += 1;
-            let command = Command::ChangeFunctions { from: self.next, count: some, version: self.version };
+            let command = Command::ChangeFunctions {
+                from: self.next,
+                count: some,
+                version: self.version,
+            };
             revision = match self.store.ask(&command)? {
                 Answer::Changed { revision } => revision,
-                other => return Err(StoreError::Failed(format!("{other:?} instead of a revision"))),
+                other => {
+                    return Err(StoreError::Failed(format!(
+                        "{other:?} instead of a revision"
+                    )));
+                }
             };
             self.next = (self.next + some) % self.entries;
             left -= some;
@@ -150,10 +173,17 @@
 
 async fn measure(setting: Setting, tasks: Rc<LocalExecutor<'static>>) -> Result<Cost, RunError> {
     let mut store = StoreProcess::start()?;
-    store.run(&Command::PutConfiguration { functions: setting.entries })?;
+    store.run(&Command::PutConfiguration {
+        functions: setting.entries,
+    })?;
     let by_region = store.addresses()?;
     let snapshot = read_snapshot(&by_region[0], &tasks, PATIENCE_S).await?;
-    let mut changes = Changes { store, entries: setting.entries, next: 0, version: 0 };
+    let mut changes = Changes {
+        store,
+        entries: setting.entries,
+        next: 0,
+        version: 0,
+    };
     let revision = changes.commit(setting.missed)?;
     changes.store.run(&Command::Compact)?;
     let front_ends = FrontEnds::start(&setting, &by_region, &snapshot, &tasks)?;
@@ -166,15 +196,31 @@
         Timer::after(SETTLE).await;
         bursts.push(burst(&mut changes, &front_ends, count).await?);
     }
-    Ok(Cost { return_s, return_bytes, bursts })
+    Ok(Cost {
+        return_s,
+        return_bytes,
+        bursts,
+    })
 }
 
-async fn burst(changes: &mut Changes, front_ends: &FrontEnds, count: usize) -> Result<Burst, RunError> {
-    let (received, cpu_s, began) = (front_ends.mean_received(), clock::process_cpu_s(), Instant::now());
+async fn burst(
+    changes: &mut Changes,
+    front_ends: &FrontEnds,
+    count: usize,
+) -> Result<Burst, RunError> {
+    let (received, cpu_s, began) = (
+        front_ends.mean_received(),
+        clock::process_cpu_s(),
+        Instant::now(),
+    );
     let revision = changes.commit(count)?;
     let in_force_s = front_ends.until_seen(revision, began).await?;
     let cpu_us = (clock::process_cpu_s() - cpu_s) / front_ends.all.len() as f64 * 1e6;
-    Ok(Burst { in_force_s, bytes: front_ends.mean_received() - received, cpu_us })
+    Ok(Burst {
+        in_force_s,
+        bytes: front_ends.mean_received() - received,
+        cpu_us,
+    })
 }
 
 /// The sizes of each dimension.
@@ -191,8 +237,14 @@
     fn new(size: &Size, seed: u64, short: bool) -> Sizes {
         let share = |part: usize| (size.front_ends * part / 100).max(1);
         if short {
-            let usual =
-                Setting { front_ends: 2, entries: 100, missed: 2, bursts: vec![5], seed, spread: 0.0 };
+            let usual = Setting {
+                front_ends: 2,
+                entries: 100,
+                missed: 2,
+                bursts: vec![5],
+                seed,
+                spread: 0.0,
+            };
             return Sizes {
                 missed: vec![2, 4, 8],
                 entries: vec![50, 100, 200],
@@ -202,8 +254,14 @@
             };
         }
         let spread = entries::settings().spread;
-        let usual =
-            Setting { front_ends: 5, entries: 500, missed: 20, bursts: vec![TRANSACTION], seed, spread };
+        let usual = Setting {
+            front_ends: 5,
+            entries: 500,
+            missed: 20,
+            bursts: vec![TRANSACTION],
+            seed,
+            spread,
+        };
         Sizes {
             missed: vec![20, 40, 80, 140, 200],
             entries: vec![1_000, 2_000, 4_000, 8_000, 16_000],
@@ -239,10 +297,16 @@
 }
 
 /// Measures several numbers of front ends, one after the other.
-async fn by_front_ends(sizes: &Sizes, tasks: &Rc<LocalExecutor<'static>>) -> Result<Costs, RunError> {
+async fn by_front_ends(
+    sizes: &Sizes,
+    tasks: &Rc<LocalExecutor<'static>>,
+) -> Result<Costs, RunError> {
     let mut costs = vec![];
     for &front_ends in &sizes.front_ends {
-        let setting = Setting { front_ends, ..sizes.usual.clone() };
+        let setting = Setting {
+            front_ends,
+            ..sizes.usual.clone()
+        };
         costs.push((front_ends, measure(setting, tasks.clone()).await?));
     }
     Ok(costs)
@@ -255,7 +319,9 @@
             "slopes: {size} {dimension}: back after {:.2} s with {:.0} bytes{}",
             cost.return_s,
             cost.return_bytes,
-            burst.map_or(String::new(), |seconds| format!(", a burst in force after {seconds:.2} s"))
+            burst.map_or(String::new(), |seconds| format!(
+                ", a burst in force after {seconds:.2} s"
+            ))
         );
     }
 }
@@ -267,9 +333,23 @@
     let usual = || sizes.usual.clone();
     let began = Instant::now();
     let work = async {
-        let missed = Setting { bursts: vec![], ..usual() };
-        let missed = side_by_side(&sizes.missed, |count| Setting { missed: count, ..missed.clone() }, &tasks);
-        let entries = side_by_side(&sizes.entries, |entries| Setting { entries, ..usual() }, &tasks);
+        let missed = Setting {
+            bursts: vec![],
+            ..usual()
+        };
+        let missed = side_by_side(
+            &sizes.missed,
+            |count| Setting {
+                missed: count,
+                ..missed.clone()
+            },
+            &tasks,
+        );
+        let entries = side_by_side(
+            &sizes.entries,
+            |entries| Setting { entries, ..usual() },
+            &tasks,
+        );
         let front_ends = by_front_ends(&sizes, &tasks).await?;
         let (missed, entries) = (finished(missed).await?, finished(entries).await?);
         tell("changes missed", &missed);
@@ -278,9 +358,18 @@
         // Alone, as processor time is the whole process's.
         let few = sizes.front_ends[0];
         let bursts = sizes.bursts.clone();
-        let setting = Setting { front_ends: few, missed: 1, spread: 0.0, bursts, ..usual() };
+        let setting = Setting {
+            front_ends: few,
+            missed: 1,
+            spread: 0.0,
+            bursts,
+            ..usual()
+        };
         let in_bursts = measure(setting, tasks.clone()).await?.bursts;
-        eprintln!("slopes: configuration took {:.1} s", began.elapsed().as_secs_f64());
+        eprintln!(
+            "slopes: configuration took {:.1} s",
+            began.elapsed().as_secs_f64()
+        );
         Ok(slopes(&sizes, &missed, &entries, &front_ends, &in_bursts))
     };
     async_io::block_on(tasks.run(work))
@@ -294,28 +383,68 @@
     bursts: &[Burst],
 ) -> Vec<Slope> {
     let line = |figure: &str, unit: &str, dimension: &str, points: Vec<(f64, f64)>| {
-        fit::line(Axes { figure, unit, dimension }, &points)
+        fit::line(
+            Axes {
+                figure,
+                unit,
+                dimension,
+            },
+            &points,
+        )
     };
     let of = |costs: &Costs, value: &dyn Fn(&Cost) -> Option<f64>| -> Vec<(f64, f64)> {
-        costs.iter().filter_map(|(size, cost)| Some((*size as f64, value(cost)?))).collect()
+        costs
+            .iter()
+            .filter_map(|(size, cost)| Some((*size as f64, value(cost)?)))
+            .collect()
     };
     let back = |cost: &Cost| Some(cost.return_s);
     let bytes_back = |cost: &Cost| Some(cost.return_bytes);
     let in_force = |cost: &Cost| cost.bursts.first().map(|burst| burst.in_force_s);
     let by_burst = |value: fn(&Burst) -> f64| -> Vec<(f64, f64)> {
-        sizes.bursts.iter().zip(bursts).map(|(count, burst)| (*count as f64, value(burst))).collect()
+        sizes
+            .bursts
+            .iter()
+            .zip(bursts)
+            .map(|(count, burst)| (*count as f64, value(burst)))
+            .collect()
     };
-    let (changes, held, all, burst) = ("changes missed", "entries held", "front ends", "changes in a burst");
+    let (changes, held, all, burst) = (
+        "changes missed",
+        "entries held",
+        "front ends",
+        "changes in a burst",
+    );
     [
         line("time to return", "s", changes, of(missed, &back)),
-        line("bytes to return", "bytes a front end", changes, of(missed, &bytes_back)),
+        line(
+            "bytes to return",
+            "bytes a front end",
+            changes,
+            of(missed, &bytes_back),
+        ),
         line("time to return", "s", held, of(entries, &back)),
         line("time to return", "s", all, of(front_ends, &back)),
-        line("time in force", "s", burst, by_burst(|burst| burst.in_force_s)),
+        line(
+            "time in force",
+            "s",
+            burst,
+            by_burst(|burst| burst.in_force_s),
+        ),
         line("time in force", "s", held, of(entries, &in_force)),
         line("time in force", "s", all, of(front_ends, &in_force)),
-        line("bytes of changes", "bytes a front end", burst, by_burst(|burst| burst.bytes)),
-        line("CPU of changes", "us a front end", burst, by_burst(|burst| burst.cpu_us)),
+        line(
+            "bytes of changes",
+            "bytes a front end",
+            burst,
+            by_burst(|burst| burst.bytes),
+        ),
+        line(
+            "CPU of changes",
+            "us a front end",
+            burst,
+            by_burst(|burst| burst.cpu_us),
+        ),
     ]
     .into_iter()
     .flatten()
--- a/crates/scale/src/slopes/control.rs
+++ b/crates/scale/src/slopes/control.rs
@@ -70,10 +70,18 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<FrontEnds, StoreError> {
     let by_region = process.addresses()?;
-    let mut front_ends = FrontEnds { all: vec![], tasks: vec![] };
+    let mut front_ends = FrontEnds {
+        all: vec![],
+        tasks: vec![],
+    };
     for number in 0..setting.front_ends {
         let endpoints = store::endpoints_of(number, &by_region);
-        let front_end = ControlFrontEnd::new(&endpoints, setting.front_ends, seed + number as u64, executor);
+        let front_end = ControlFrontEnd::new(
+            &endpoints,
+            setting.front_ends,
+            seed + number as u64,
+            executor,
+        );
         front_ends.tasks.extend(front_end.start(executor));
         front_ends.all.push(front_end);
         if number % STARTED_TOGETHER == STARTED_TOGETHER - 1 {
@@ -83,9 +91,15 @@
     let started = Instant::now();
     while !front_ends.all.iter().all(|front_end| front_end.is_ready()) {
         if started.elapsed() > READY_TIMEOUT {
-            let ready = front_ends.all.iter().filter(|front_end| front_end.is_ready()).count();
+            let ready = front_ends
+                .all
+                .iter()
+                .filter(|front_end| front_end.is_ready())
+                .count();
             let of = setting.front_ends;
-            return Err(StoreError::Failed(format!("{ready} of {of} front ends were ready in time")));
+            return Err(StoreError::Failed(format!(
+                "{ready} of {of} front ends were ready in time"
+            )));
         }
         async_io::Timer::after(Duration::from_millis(50)).await;
     }
@@ -93,7 +107,11 @@
 }
 
 fn store_bytes(usage: &Usage) -> f64 {
-    usage.members.iter().map(|member| (member.bytes_sent + member.bytes_received) as f64).sum()
+    usage
+        .members
+        .iter()
+        .map(|member| (member.bytes_sent + member.bytes_received) as f64)
+        .sum()
 }
 
 async fn play(setting: Setting, store: &mut StoreProcess) -> Result<(), StoreError> {
@@ -111,7 +129,9 @@
 /// Measures one setting.
 pub fn measure(setting: Setting, seed: u64) -> Result<Cost, StoreError> {
     let mut store = StoreProcess::start()?;
-    store.run(&Command::PutExecutors { count: setting.executors })?;
+    store.run(&Command::PutExecutors {
+        count: setting.executors,
+    })?;
     let executor = Rc::new(LocalExecutor::new());
     let heap_before = clock::heap_bytes();
     let store_heap_before = store.usage()?.heap_bytes;
@@ -182,8 +202,18 @@
     costs: &[(usize, Cost)],
     value: impl Fn(&Cost) -> f64,
 ) -> Option<Slope> {
-    let points: Vec<(f64, f64)> = costs.iter().map(|(size, cost)| (*size as f64, value(cost))).collect();
-    fit::line(Axes { figure, unit, dimension }, &points)
+    let points: Vec<(f64, f64)> = costs
+        .iter()
+        .map(|(size, cost)| (*size as f64, value(cost)))
+        .collect();
+    fit::line(
+        Axes {
+            figure,
+            unit,
+            dimension,
+        },
+        &points,
+    )
 }
 
 /// What the sizes cost, with the slopes through them.
@@ -226,27 +256,94 @@
         seconds,
     })?;
     let slopes = [
-        fitted("control bytes", "bytes/s a front end", "front ends", &by_front_ends, Cost::bytes_per_s),
-        fitted("control CPU", "cores a front end", "front ends", &by_front_ends, |cost| cost.cpu_share),
-        fitted("control memory", "MB a front end", "front ends", &by_front_ends, |c| c.heap_bytes / 1e6),
-        fitted("store CPU", "cores a member", "front ends", &by_front_ends, |cost| cost.store_cpu_share),
-        fitted("store bytes", "bytes/s, all members", "front ends", &by_front_ends, |c| c.store_bytes_per_s),
-        fitted("store memory", "MB, the whole stand-in", "front ends", &by_front_ends, |cost| {
-            cost.store_heap_bytes / 1e6
-        }),
-        fitted("control bytes", "bytes/s a front end", "executors", &by_executors, Cost::bytes_per_s),
-        fitted("bytes of a list", "bytes", "executors", &by_executors, |cost| cost.list_bytes),
-        fitted("control memory", "MB a front end", "executors", &by_executors, |c| c.heap_bytes / 1e6),
-        fitted("control bytes", "bytes/s a front end", "roster changes a second", &by_changes, |cost| {
-            cost.bytes_per_s()
-        }),
-        fitted("control CPU", "cores a front end", "roster changes a second", &by_changes, |cost| {
-            cost.cpu_share
-        }),
-        fitted("store CPU", "cores a member", "roster changes a second", &by_changes, |cost| {
-            cost.store_cpu_share
-        }),
+        fitted(
+            "control bytes",
+            "bytes/s a front end",
+            "front ends",
+            &by_front_ends,
+            Cost::bytes_per_s,
+        ),
+        fitted(
+            "control CPU",
+            "cores a front end",
+            "front ends",
+            &by_front_ends,
+            |cost| cost.cpu_share,
+        ),
+        fitted(
+            "control memory",
+            "MB a front end",
+            "front ends",
+            &by_front_ends,
+            |c| c.heap_bytes / 1e6,
+        ),
+        fitted(
+            "store CPU",
+            "cores a member",
+            "front ends",
+            &by_front_ends,
+            |cost| cost.store_cpu_share,
+        ),
+        fitted(
+            "store bytes",
+            "bytes/s, all members",
+            "front ends",
+            &by_front_ends,
+            |c| c.store_bytes_per_s,
+        ),
+        fitted(
+            "store memory",
+            "MB, the whole stand-in",
+            "front ends",
+            &by_front_ends,
+            |cost| cost.store_heap_bytes / 1e6,
+        ),
+        fitted(
+            "control bytes",
+            "bytes/s a front end",
+            "executors",
+            &by_executors,
+            Cost::bytes_per_s,
+        ),
+        fitted(
+            "bytes of a list",
+            "bytes",
+            "executors",
+            &by_executors,
+            |cost| cost.list_bytes,
+        ),
+        fitted(
+            "control memory",
+            "MB a front end",
+            "executors",
+            &by_executors,
+            |c| c.heap_bytes / 1e6,
+        ),
+        fitted(
+            "control bytes",
+            "bytes/s a front end",
+            "roster changes a second",
+            &by_changes,
+            |cost| cost.bytes_per_s(),
+        ),
+        fitted(
+            "control CPU",
+            "cores a front end",
+            "roster changes a second",
+            &by_changes,
+            |cost| cost.cpu_share,
+        ),
+        fitted(
+            "store CPU",
+            "cores a member",
+            "roster changes a second",
+            &by_changes,
+            |cost| cost.store_cpu_share,
+        ),
     ];
     let largest = by_front_ends[by_front_ends.len() - 1];
-    Ok(Control { largest, slopes: slopes.into_iter().flatten().collect() })
+    Ok(Control {
+        largest,
+        slopes: slopes.into_iter().flatten().collect(),
+    })
 }
--- a/crates/scale/src/slopes/decision.rs
+++ b/crates/scale/src/slopes/decision.rs
@@ -25,8 +25,14 @@
 impl Duration {
     fn of(short: bool) -> Duration {
         match short {
-            true => Duration { warm_up: 2.0, measured: 2.0 },
-            false => Duration { warm_up: 120.0, measured: 60.0 },
+            true => Duration {
+                warm_up: 2.0,
+                measured: 2.0,
+            },
+            false => Duration {
+                warm_up: 120.0,
+                measured: 60.0,
+            },
         }
     }
 }
@@ -81,7 +87,11 @@
     let mut cpu = 0.0;
     for n in 0..LISTS {
         let mut row = roster_row(n % executors, 8);
-        row.standing = if n % 2 == 0 { Standing::Draining } else { Standing::Ready };
+        row.standing = if n % 2 == 0 {
+            Standing::Draining
+        } else {
+            Standing::Ready
+        };
         let started = clock::thread_cpu_s();
         front_end.roster(RosterKind::Delta, &[row]);
         front_end.call_now();
@@ -112,7 +122,10 @@
 }
 
 fn fitted(axes: Axes, costs: &[(usize, Cost)], figure: impl Fn(&Cost) -> f64) -> Option<Slope> {
-    let points: Vec<(f64, f64)> = costs.iter().map(|(value, cost)| (*value as f64, figure(cost))).collect();
+    let points: Vec<(f64, f64)> = costs
+        .iter()
+        .map(|(value, cost)| (*value as f64, figure(cost)))
+        .collect();
     fit::line(axes, &points)
 }
 
@@ -127,8 +140,14 @@
         answer_time: ANSWER_TIME,
         seed,
     };
-    let (executors, functions, rates, busy): (&[usize], &[usize], &[usize], &[usize]) = match short {
-        true => (&[36, 100, 300], &[210, 2_100, 21_000], &[18, 60, 182], &[5, 10, 20]),
+    let (executors, functions, rates, busy): (&[usize], &[usize], &[usize], &[usize]) = match short
+    {
+        true => (
+            &[36, 100, 300],
+            &[210, 2_100, 21_000],
+            &[18, 60, 182],
+            &[5, 10, 20],
+        ),
         false => (
             &[36, 100, 300, 1_000, 3_000],
             &[210, 1_050, 4_200, 10_500, 21_000, 42_000],
@@ -136,23 +155,49 @@
             &[5, 10, 20, 50, 95],
         ),
     };
-    let by_executors =
-        sweep("executors", executors, duration, |executors| Traffic { executors, ..base.clone() });
-    let by_functions =
-        sweep("functions", functions, duration, |functions| Traffic { functions, ..base.clone() });
+    let by_executors = sweep("executors", executors, duration, |executors| Traffic {
+        executors,
+        ..base.clone()
+    });
+    let by_functions = sweep("functions", functions, duration, |functions| Traffic {
+        functions,
+        ..base.clone()
+    });
     let by_rate = sweep("calls a second", rates, duration, |rate| {
         let front_ends = (size.calls_per_s / rate as f64).round().max(1.0) as usize;
-        Traffic { calls_per_s: rate as f64, front_ends, ..base.clone() }
+        Traffic {
+            calls_per_s: rate as f64,
+            front_ends,
+            ..base.clone()
+        }
     });
-    let by_instances = sweep("thousand busy instances", busy, duration, |thousands| Traffic {
-        // Instances that work at a time are calls a second times the time of one.
-        answer_time: thousands as f64 * 1_000.0 / size.calls_per_s,
-        ..base.clone()
+    let by_instances = sweep("thousand busy instances", busy, duration, |thousands| {
+        Traffic {
+            // Instances that work at a time are calls a second times the time of one.
+            answer_time: thousands as f64 * 1_000.0 / size.calls_per_s,
+            ..base.clone()
+        }
     });
-    let cpu = |dimension| Axes { figure: "CPU of a decision", unit: "us a call", dimension };
-    let heap = |dimension| Axes { figure: "memory of decisions", unit: "MB a front end", dimension };
-    let list = Axes { figure: "CPU of a whole roster list", unit: "us", dimension: "executors" };
-    let change = Axes { figure: "CPU of a roster change of one row", unit: "us", dimension: "executors" };
+    let cpu = |dimension| Axes {
+        figure: "CPU of a decision",
+        unit: "us a call",
+        dimension,
+    };
+    let heap = |dimension| Axes {
+        figure: "memory of decisions",
+        unit: "MB a front end",
+        dimension,
+    };
+    let list = Axes {
+        figure: "CPU of a whole roster list",
+        unit: "us",
+        dimension: "executors",
+    };
+    let change = Axes {
+        figure: "CPU of a roster change of one row",
+        unit: "us",
+        dimension: "executors",
+    };
     let cpu_of = |cost: &Cost| cost.cpu_us_per_call;
     let heap_of = |cost: &Cost| cost.heap_bytes / 1e6;
     let slopes = [
@@ -166,11 +211,19 @@
         fitted(list, &by_executors, |cost| cost.list_us),
         fitted(change, &by_executors, |cost| cost.change_us),
     ];
-    super::Slopes { rows: rows(size, &by_executors), slopes: slopes.into_iter().flatten().collect() }
+    super::Slopes {
+        rows: rows(size, &by_executors),
+        slopes: slopes.into_iter().flatten().collect(),
+    }
 }
 
 fn rows(size: &Size, by_executors: &[(usize, Cost)]) -> Vec<Row> {
-    let at = |executors| by_executors.iter().find(|(value, _)| *value == executors).map(|(_, cost)| cost);
+    let at = |executors| {
+        by_executors
+            .iter()
+            .find(|(value, _)| *value == executors)
+            .map(|(_, cost)| cost)
+    };
     let share = Row::at_most(
         "decision_cpu_us",
         Role::FrontEnd,
@@ -191,9 +244,10 @@
         None => share,
     };
     let growth = match (at(SMALL_FLEET), at(LARGE_FLEET)) {
-        (Some(small), Some(large)) => {
-            growth.with(large.cpu_us_per_call / small.cpu_us_per_call, Basis::Measured)
-        }
+        (Some(small), Some(large)) => growth.with(
+            large.cpu_us_per_call / small.cpu_us_per_call,
+            Basis::Measured,
+        ),
         _ => growth,
     };
     vec![share, growth]
--- a/crates/scale/src/slopes/fit.rs
+++ b/crates/scale/src/slopes/fit.rs
@@ -25,9 +25,16 @@
     if spread <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum::<f64>() / spread;
+    let slope = points
+        .iter()
+        .map(|p| (p.0 - mean_x) * (p.1 - mean_y))
+        .sum::<f64>()
+        / spread;
     let intercept = mean_y - slope * mean_x;
-    let squares: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
+    let squares: f64 = points
+        .iter()
+        .map(|p| (p.1 - intercept - slope * p.0).powi(2))
+        .sum();
     let residual_error = (squares / (count - 2.0)).sqrt();
     Some(Slope {
         figure: axes.figure.into(),
--- a/crates/scale/src/slopes/mod.rs
+++ b/crates/scale/src/slopes/mod.rs
@@ -24,7 +24,9 @@
         eprintln!("slopes: control could not be measured: {why}");
     }
     found.rows.extend(control_rows(size, &control));
-    found.slopes.extend(control.map_or(vec![], |control| control.slopes));
+    found
+        .slopes
+        .extend(control.map_or(vec![], |control| control.slopes));
     match configuration::run(size, seed, short) {
         Ok(slopes) => found.slopes.extend(slopes),
         Err(why) => eprintln!("slopes: configuration could not be measured: {why}"),
@@ -45,11 +47,19 @@
     let rows = [
         Row::at_most("control_cpu_share", Role::FrontEnd, "cores", 0.048, &note),
         Row::at_most("control_memory_mb", Role::FrontEnd, "MB", 64.0, &note),
-        Row::at_most("control_bytes_per_s", Role::FrontEnd, "bytes/s", 12_000.0, &note),
+        Row::at_most(
+            "control_bytes_per_s",
+            Role::FrontEnd,
+            "bytes/s",
+            12_000.0,
+            &note,
+        ),
         Row::at_most("store_cpu_share", Role::StoreMember, "cores", 0.5, &note),
         Row::at_most("store_memory_mb", Role::StoreMember, "MB", 2_048.0, &note),
     ];
-    let Ok(control) = control else { return rows.into() };
+    let Ok(control) = control else {
+        return rows.into();
+    };
     let (front_ends, cost) = &control.largest;
     // Smaller runs, such as the short form, can't tell of the whole size.
     if *front_ends < size.front_ends {
@@ -62,5 +72,8 @@
         cost.store_cpu_share,
         cost.store_heap_bytes / 1e6,
     ];
-    rows.into_iter().zip(figures).map(|(row, figure)| row.with(figure, Basis::Measured)).collect()
+    rows.into_iter()
+        .zip(figures)
+        .map(|(row, figure)| row.with(figure, Basis::Measured))
+        .collect()
 }
--- a/crates/scale/src/store/command.rs
+++ b/crates/scale/src/store/command.rs
@@ -33,7 +33,11 @@
     Compact,
     /// Changes so many functions, from this one on, to this version: committed whatever members run, as what a front end
     /// misses while it can reach none.
-    ChangeFunctions { from: usize, count: usize, version: u64 },
+    ChangeFunctions {
+        from: usize,
+        count: usize,
+        version: u64,
+    },
     /// The next events for the watch of a client of this name are lost.
     LoseEvents { client: String },
     /// Delays each answer by so much, in seconds.
--- a/crates/scale/src/store/mod.rs
+++ b/crates/scale/src/store/mod.rs
@@ -26,7 +26,11 @@
 pub fn endpoints_of(front_end: usize, by_region: &[Vec<SocketAddr>]) -> Vec<SocketAddr> {
     let region = region_of(front_end);
     let mut endpoints = by_region.get(region as usize).cloned().unwrap_or_default();
-    let own_members = MEMBER_REGIONS.iter().filter(|of| **of == region).count().min(endpoints.len());
+    let own_members = MEMBER_REGIONS
+        .iter()
+        .filter(|of| **of == region)
+        .count()
+        .min(endpoints.len());
     if own_members > 0 {
         endpoints[..own_members].rotate_left(front_end / by_region.len() % own_members);
     }
--- a/crates/scale/src/store/process.rs
+++ b/crates/scale/src/store/process.rs
@@ -36,7 +36,11 @@
             .spawn()?;
         let commands = child.stdin.take();
         let answers = BufReader::new(child.stdout.take().ok_or(StoreError::Ended)?);
-        Ok(StoreProcess { child, commands, answers })
+        Ok(StoreProcess {
+            child,
+            commands,
+            answers,
+        })
     }
 
     /// Has a command done and waits for the answer.
@@ -64,7 +68,9 @@
     pub fn usage(&mut self) -> Result<Usage, StoreError> {
         match self.ask(&Command::Usage)? {
             Answer::Usage(usage) => Ok(usage),
-            other => Err(StoreError::Failed(format!("{other:?} instead of its usage"))),
+            other => Err(StoreError::Failed(format!(
+                "{other:?} instead of its usage"
+            ))),
         }
     }
 
@@ -72,7 +78,9 @@
     pub fn clients(&mut self) -> Result<Vec<ClientUsage>, StoreError> {
         match self.ask(&Command::Clients)? {
             Answer::Clients { clients } => Ok(clients),
-            other => Err(StoreError::Failed(format!("{other:?} instead of its clients"))),
+            other => Err(StoreError::Failed(format!(
+                "{other:?} instead of its clients"
+            ))),
         }
     }
 
@@ -80,7 +88,9 @@
     pub fn addresses(&mut self) -> Result<Vec<Vec<SocketAddr>>, StoreError> {
         match self.ask(&Command::Addresses)? {
             Answer::Addresses { by_region } => Ok(by_region),
-            other => Err(StoreError::Failed(format!("{other:?} instead of its addresses"))),
+            other => Err(StoreError::Failed(format!(
+                "{other:?} instead of its addresses"
+            ))),
         }
     }
 }
--- a/crates/scale/src/store/serve.rs
+++ b/crates/scale/src/store/serve.rs
@@ -40,7 +40,9 @@
         while let Ok(line) = commands.recv().await {
             let answer = match serde_json::from_str(&line) {
                 Ok(command) => perform(&served, &command),
-                Err(why) => Answer::Failed { reason: format!("no command of ours: {why}") },
+                Err(why) => Answer::Failed {
+                    reason: format!("no command of ours: {why}"),
+                },
             };
             let mut text = serde_json::to_string(&answer)?;
             text.push('\n');
@@ -55,9 +57,17 @@
 
 fn perform(served: &Rc<Served>, command: &Command) -> Answer {
     match command {
-        Command::Addresses => return Answer::Addresses { by_region: addresses(served) },
+        Command::Addresses => {
+            return Answer::Addresses {
+                by_region: addresses(served),
+            };
+        }
         Command::Usage => return Answer::Usage(usage_of(served)),
-        Command::Clients => return Answer::Clients { clients: clients_of(served) },
+        Command::Clients => {
+            return Answer::Clients {
+                clients: clients_of(served),
+            };
+        }
         Command::PutExecutors { count } => {
             return put(served, (0..*count).map(|n| executor_entry(n, true)));
         }
@@ -66,13 +76,21 @@
         Command::StopMember { member } => served.stop(*member),
         Command::RestartMember { member } => served.restart(*member),
         Command::CrashInNextTransaction { members, committed } => {
-            let point = if *committed { CrashPoint::AfterCommit } else { CrashPoint::BeforeCommit };
+            let point = if *committed {
+                CrashPoint::AfterCommit
+            } else {
+                CrashPoint::BeforeCommit
+            };
             served.crash_in_next_transaction(point, *members);
         }
         Command::CutRegion { region } => served.cut(*region),
         Command::Heal => served.heal(),
         Command::Compact => return compact(served),
-        Command::ChangeFunctions { from, count, version } => {
+        Command::ChangeFunctions {
+            from,
+            count,
+            version,
+        } => {
             return change_functions(served, *from, *count, *version);
         }
         Command::LoseEvents { client } => {
@@ -123,9 +141,15 @@
 
 fn put(served: &Served, entries: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Answer {
     for (key, value) in entries {
-        let request = PutRequest { key: key.into(), value: value.into(), ..PutRequest::default() };
+        let request = PutRequest {
+            key: key.into(),
+            value: value.into(),
+            ..PutRequest::default()
+        };
         if let Err(status) = served.store.borrow_mut().put(&request) {
-            return Answer::Failed { reason: status.to_string() };
+            return Answer::Failed {
+                reason: status.to_string(),
+            };
         }
     }
     Answer::Done
@@ -134,7 +158,10 @@
 fn change_executors(served: &Served, from: usize, count: usize) -> Answer {
     // One that drains is ready after its next change.
     let is_ready = served.store.borrow().revision % 2 == 0;
-    put(served, (from..from + count).map(|n| executor_entry(n, is_ready)))
+    put(
+        served,
+        (from..from + count).map(|n| executor_entry(n, is_ready)),
+    )
 }
 
 fn change_functions(served: &Served, from: usize, count: usize, version: u64) -> Answer {
@@ -145,22 +172,38 @@
     let planned = writer::plan(&keyspace, &GatewaySchema, &changes, &read, most_bytes, most);
     let request = match planned {
         Ok(transaction) => request(&transaction),
-        Err(why) => return Answer::Failed { reason: why.to_string() },
+        Err(why) => {
+            return Answer::Failed {
+                reason: why.to_string(),
+            };
+        }
     };
     let mut store = served.store.borrow_mut();
     match store.txn(&request) {
-        Ok(answer) if answer.succeeded => Answer::Changed { revision: store.revision },
-        Ok(_) => Answer::Failed { reason: "a guard of the change did not hold".into() },
-        Err(status) => Answer::Failed { reason: status.to_string() },
+        Ok(answer) if answer.succeeded => Answer::Changed {
+            revision: store.revision,
+        },
+        Ok(_) => Answer::Failed {
+            reason: "a guard of the change did not hold".into(),
+        },
+        Err(status) => Answer::Failed {
+            reason: status.to_string(),
+        },
     }
 }
 
 fn read_values(served: &Served, keys: &[Vec<u8>]) -> ReadValues {
     let store = served.store.borrow();
     let read = |key: &Vec<u8>| {
-        let request = RangeRequest { key: key.clone().into(), ..RangeRequest::default() };
+        let request = RangeRequest {
+            key: key.clone().into(),
+            ..RangeRequest::default()
+        };
         let entry = store.range(&request).ok()?.kvs.into_iter().next()?;
-        let value = ReadValue { value: entry.value.to_vec(), mod_revision: entry.mod_revision };
+        let value = ReadValue {
+            value: entry.value.to_vec(),
+            mod_revision: entry.mod_revision,
+        };
         Some((key.clone(), value))
     };
     keys.iter().filter_map(read).collect()
@@ -168,10 +211,15 @@
 
 fn compact(served: &Served) -> Answer {
     let mut store = served.store.borrow_mut();
-    let request = CompactionRequest { revision: store.revision, ..CompactionRequest::default() };
+    let request = CompactionRequest {
+        revision: store.revision,
+        ..CompactionRequest::default()
+    };
     match store.compact(request.revision) {
         Ok(_) => Answer::Done,
-        Err(status) => Answer::Failed { reason: status.to_string() },
+        Err(status) => Answer::Failed {
+            reason: status.to_string(),
+        },
     }
 }
 
@@ -184,5 +232,8 @@
         "location": format!("zone-{}", number % 8), "kind": "standard", "cell": number % 64,
         "standing": standing, "weight": 1.0, "since": 1_790_000_000.0 + number as f64,
     });
-    (format!("{PREFIX}executors/{address}:7000").into_bytes(), value.to_string().into_bytes())
+    (
+        format!("{PREFIX}executors/{address}:7000").into_bytes(),
+        value.to_string().into_bytes(),
+    )
 }
--- a/crates/scale/src/tables.rs
+++ b/crates/scale/src/tables.rs
@@ -20,10 +20,16 @@
 
 /// Writes both tables of a report into a page that has their marks.
 pub fn write(file: &Path, report: &Report) -> Result<(), TablesError> {
-    let io = |why| TablesError::Io { file: file.into(), why };
+    let io = |why| TablesError::Io {
+        file: file.into(),
+        why,
+    };
     let mut text = std::fs::read_to_string(file).map_err(io)?;
     for (name, table) in [(ROWS, rows(&report.rows)), (SLOPES, slopes(&report.slopes))] {
-        let no_marks = || TablesError::NoMarks { file: file.into(), name };
+        let no_marks = || TablesError::NoMarks {
+            file: file.into(),
+            name,
+        };
         text = replaced(&text, name, &table).ok_or_else(no_marks)?;
     }
     std::fs::write(file, text).map_err(io)
@@ -89,7 +95,11 @@
         "| figure | unit | by | sizes | at rest | for one more | ± | off the line |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
     for slope in slopes {
-        let sizes: Vec<String> = slope.points.iter().map(|(size, _)| format!("{size}")).collect();
+        let sizes: Vec<String> = slope
+            .points
+            .iter()
+            .map(|(size, _)| format!("{size}"))
+            .collect();
         table.push_str(&format!(
             "| {} | {} | {} | {} | {} | {} | {} | {} |\n",
             slope.figure,
--- a/crates/scale/src/zipf.rs
+++ b/crates/scale/src/zipf.rs
@@ -22,10 +22,16 @@
     /// `functions` at least 1; fewer count as 1.
     pub fn new(functions: usize) -> Popularity {
         let functions = functions.max(1);
-        let ranks =
-            Zipf::new(functions as f64, EXPONENT).expect("a count of at least 1 and an exponent above 0");
-        let weights = (1..=functions).map(|rank| (rank as f64).powf(-EXPONENT)).sum();
-        Popularity { ranks, functions, weights }
+        let ranks = Zipf::new(functions as f64, EXPONENT)
+            .expect("a count of at least 1 and an exponent above 0");
+        let weights = (1..=functions)
+            .map(|rank| (rank as f64).powf(-EXPONENT))
+            .sum();
+        Popularity {
+            ranks,
+            functions,
+            weights,
+        }
     }
 
     /// The rank of the function that is called next.
--- a/crates/scale/tests/comparison.rs
+++ b/crates/scale/tests/comparison.rs
@@ -25,11 +25,17 @@
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn row<'r>(rows: &'r [Row], name: &str) -> &'r Row {
-    rows.iter().find(|row| row.name == name).unwrap_or_else(|| panic!("no row {name}"))
+    rows.iter()
+        .find(|row| row.name == name)
+        .unwrap_or_else(|| panic!("no row {name}"))
 }
 
 fn cost(bytes_per_s: f64, cpu_share: f64, memory_bytes: f64) -> ControlCost {
-    ControlCost { bytes_per_s, cpu_share, memory_bytes }
+    ControlCost {
+        bytes_per_s,
+        cpu_share,
+        memory_bytes,
+    }
 }
 
 fn full() -> Plan {
@@ -50,24 +56,41 @@
     assert_eq!(rows.len(), ROWS.len());
     assert!((measured("real_control_bytes_per_s") - 1_100.0).abs() < 1e-9);
     assert!((measured("hollow_real_bytes_ratio") - 1_200.0 / 1_100.0).abs() < 1e-9);
-    assert!((measured("hollow_real_cpu_ratio") - 1.2).abs() < 1e-9, "the greater one is above the line");
+    assert!(
+        (measured("hollow_real_cpu_ratio") - 1.2).abs() < 1e-9,
+        "the greater one is above the line"
+    );
     assert!((measured("hollow_real_memory_ratio") - 5.0 / 3.0).abs() < 1e-9);
     assert_eq!(measured("hollow_alone_real_cpu_ratio"), 1.0);
     assert!(
         (measured("hollow_alone_real_memory_ratio") - 1.5).abs() < 1e-9,
         "the smaller one is below the line"
     );
-    assert!(row(&rows, "hollow_real_bytes_ratio").held && row(&rows, "hollow_alone_real_cpu_ratio").held);
+    assert!(
+        row(&rows, "hollow_real_bytes_ratio").held
+            && row(&rows, "hollow_alone_real_cpu_ratio").held
+    );
     assert!(!row(&rows, "hollow_alone_real_memory_ratio").held);
     assert!(!row(&rows, "hollow_real_memory_ratio").held);
-    let limits = ["real_control_bytes_per_s", "real_control_cpu_share", "real_control_memory_mb"];
-    assert_eq!(limits.map(|name| row(&rows, name).limit), [12_000.0, 0.048, 64.0]);
+    let limits = [
+        "real_control_bytes_per_s",
+        "real_control_cpu_share",
+        "real_control_memory_mb",
+    ];
+    assert_eq!(
+        limits.map(|name| row(&rows, name).limit),
+        [12_000.0, 0.048, 64.0]
+    );
     assert!(limits.iter().all(|name| row(&rows, name).held));
 }
 
 #[test]
 fn a_comparison_that_failed_has_no_figures_and_tells_why() {
-    let why = ComparisonError::NotReady { hollow: 3, real: 2, seconds: 60.0 };
+    let why = ComparisonError::NotReady {
+        hollow: 3,
+        real: 2,
+        seconds: 60.0,
+    };
     let rows = rows(&full(), &Err(why));
     assert_eq!(rows.len(), ROWS.len());
     for row in &rows {
@@ -78,8 +101,11 @@
 
 #[test]
 fn figures_of_nothing_are_none() {
-    let found =
-        Comparison { hollow: cost(0.0, 0.001, 0.0), real: cost(900.0, 0.0, 1e6), ..Comparison::default() };
+    let found = Comparison {
+        hollow: cost(0.0, 0.001, 0.0),
+        real: cost(900.0, 0.0, 1e6),
+        ..Comparison::default()
+    };
     for row in rows(&full(), &Ok(found)) {
         assert!(row.measured.is_none() && !row.held, "{row:?}");
     }
@@ -89,11 +115,17 @@
 fn a_gateway_that_is_not_built_is_told_before_anything_runs() {
     for run in ["slopes", "comparison", "all"] {
         let arguments = [run, "--gateway", "/nowhere/orchidtally"];
-        let output = Command::new(kit::SCALE).args(arguments).output().expect("the program starts");
+        let output = Command::new(kit::SCALE)
+            .args(arguments)
+            .output()
+            .expect("the program starts");
         let messages = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(3), "{run}: {messages}");
         assert!(output.stdout.is_empty(), "{run}");
-        assert!(messages.contains("/nowhere/orchidtally") && messages.contains("cargo build"), "{messages}");
+        assert!(
+            messages.contains("/nowhere/orchidtally") && messages.contains("cargo build"),
+            "{messages}"
+        );
         assert_eq!(messages.lines().count(), 1, "nothing was run: {messages}");
     }
 }
@@ -107,8 +139,15 @@
         .unwrap_or_else(|why| panic!("{why}: {text}{messages}"));
     for name in ROWS {
         let row = row(&report.rows, name);
-        assert!(row.note.starts_with("2 processes of `orchidtally serve`: "), "{row:?}\n{messages}");
-        assert!(row.note.contains("2 hollow front ends in one process beside them: "), "{row:?}");
+        assert!(
+            row.note.starts_with("2 processes of `orchidtally serve`: "),
+            "{row:?}\n{messages}"
+        );
+        assert!(
+            row.note
+                .contains("2 hollow front ends in one process beside them: "),
+            "{row:?}"
+        );
         // So short a run can't tell of the design.
         assert!(row.measured.is_none(), "{row:?}");
     }
@@ -136,17 +175,28 @@
     if fields[0] == "Z" {
         return None;
     }
-    let command = std::fs::read_to_string(format!("/proc/{id}/cmdline")).ok()?.replace('\0', " ");
-    Some(Process { parent: fields[1].parse().ok()?, began: fields[19].parse().ok()?, command })
+    let command = std::fs::read_to_string(format!("/proc/{id}/cmdline"))
+        .ok()?
+        .replace('\0', " ");
+    Some(Process {
+        parent: fields[1].parse().ok()?,
+        began: fields[19].parse().ok()?,
+        command,
+    })
 }
 
 /// A process and all that come from it, by id.
 fn family(root: u32) -> BTreeMap<u32, Process> {
     let all = processes();
-    let mut found: BTreeMap<u32, Process> =
-        all.iter().filter(|(id, _)| **id == root).map(|(id, p)| (*id, p.clone())).collect();
+    let mut found: BTreeMap<u32, Process> = all
+        .iter()
+        .filter(|(id, _)| **id == root)
+        .map(|(id, p)| (*id, p.clone()))
+        .collect();
     loop {
-        let children = all.iter().filter(|(id, p)| found.contains_key(&p.parent) && !found.contains_key(id));
+        let children = all
+            .iter()
+            .filter(|(id, p)| found.contains_key(&p.parent) && !found.contains_key(id));
         let children: Vec<(u32, Process)> = children.map(|(id, p)| (*id, p.clone())).collect();
         if children.is_empty() {
             return found;
@@ -170,9 +220,18 @@
         .spawn()
         .expect("the program starts");
     let (began, mut seen) = (Instant::now(), BTreeMap::new());
-    while !seen.values().any(|process: &Process| process.command.contains("serve --until-input-ends")) {
-        assert!(began.elapsed() < TIMEOUT, "no front end was started: {seen:?}");
-        assert!(run.try_wait().unwrap().is_none(), "the run ended before: {seen:?}");
+    while !seen
+        .values()
+        .any(|process: &Process| process.command.contains("serve --until-input-ends"))
+    {
+        assert!(
+            began.elapsed() < TIMEOUT,
+            "no front end was started: {seen:?}"
+        );
+        assert!(
+            run.try_wait().unwrap().is_none(),
+            "the run ended before: {seen:?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
         seen.extend(family(run.id()));
     }
@@ -180,7 +239,10 @@
     run.wait().unwrap();
     let killed = Instant::now();
     while let Some((id, process)) = seen.iter().find(|(id, process)| still_runs(**id, process)) {
-        assert!(killed.elapsed() < TIMEOUT / 4, "{id} still runs: {process:?}");
+        assert!(
+            killed.elapsed() < TIMEOUT / 4,
+            "{id} still runs: {process:?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale/tests/fit.rs
@@ -6,7 +6,11 @@
 use orchidtally_scale::tables;
 use orchidtally_scale::zipf::Popularity;
 
-const AXES: Axes = Axes { figure: "cost", unit: "us", dimension: "executors" };
+const AXES: Axes = Axes {
+    figure: "cost",
+    unit: "us",
+    dimension: "executors",
+};
 
 #[test]
 fn a_line_is_found_with_its_error() {
@@ -74,11 +78,19 @@
 
 #[test]
 fn tables_go_between_their_marks_and_nowhere_else() {
-    let file = std::env::temp_dir().join(format!("orchidtally-scale-tables-{}.md", std::process::id()));
-    let row = Row::at_most("cost", Role::FrontEnd, "us", 550.0, "a test").with(44.83, Basis::Measured);
+    let file = std::env::temp_dir().join(format!(
+        "orchidtally-scale-tables-{}.md",
+        std::process::id()
+    ));
+    let row =
+        Row::at_most("cost", Role::FrontEnd, "us", 550.0, "a test").with(44.83, Basis::Measured);
     let slope = line(AXES, &[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)]).unwrap();
     let report = Report::new(Size::default(), 1, None, vec![row], vec![slope]);
-    std::fs::write(&file, "# A page\n<!-- scale:rows -->\nold\n<!-- /scale:rows -->\n").unwrap();
+    std::fs::write(
+        &file,
+        "# A page\n<!-- scale:rows -->\nold\n<!-- /scale:rows -->\n",
+    )
+    .unwrap();
     let why = tables::write(&file, &report).unwrap_err().to_string();
     assert!(why.contains("scale:slopes"), "{why}");
     let page = "# A page\n<!-- scale:rows -->\nold\n<!-- /scale:rows -->\ntext\n<!-- scale:slopes -->\n<!-- /scale:slopes -->\nend\n";
@@ -87,7 +99,16 @@
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::remove_file(&file).unwrap();
     assert!(text.starts_with("# A page\n") && text.ends_with("\nend\n") && !text.contains("old"));
-    assert!(text.contains("| `cost` | front end | 44.8 | ≤ 550 | us | held | 0.0815 | measured |"), "{text}");
-    assert_eq!(tables::between(&text, tables::ROWS), Some(tables::rows(&report.rows).as_str()));
-    assert_eq!(tables::between(&text, tables::SLOPES), Some(tables::slopes(&report.slopes).as_str()));
+    assert!(
+        text.contains("| `cost` | front end | 44.8 | ≤ 550 | us | held | 0.0815 | measured |"),
+        "{text}"
+    );
+    assert_eq!(
+        tables::between(&text, tables::ROWS),
+        Some(tables::rows(&report.rows).as_str())
+    );
+    assert_eq!(
+        tables::between(&text, tables::SLOPES),
+        Some(tables::slopes(&report.slopes).as_str())
+    );
 }
--- a/crates/scale/tests/fleet.rs
+++ b/crates/scale/tests/fleet.rs
@@ -42,7 +42,10 @@
         assert_eq!(counts.unanswered, 0, "{scenario:?}: {counts:?}");
         assert_eq!(counts.answered_twice, 0, "{scenario:?}: {counts:?}");
         assert_eq!(counts.ran_twice, 0, "{scenario:?}: {counts:?}");
-        assert!(counts.calls_begun >= counts.all.succeeded, "{scenario:?}: {counts:?}");
+        assert!(
+            counts.calls_begun >= counts.all.succeeded,
+            "{scenario:?}: {counts:?}"
+        );
         assert!(counts.dispatches >= counts.crossing && counts.loads >= counts.loads_beyond_need);
     }
 }
@@ -59,15 +62,29 @@
     let zone = counts(&plan(Scenario::ZoneLost, None));
     assert!(zone.all.front_end_lost > 0, "{zone:?}");
     // Where no regions are told, calls cross them and are lost with the way there.
-    let untold = |scenario| counts(&Plan { regions_told: false, ..plan(scenario, None) });
+    let untold = |scenario| {
+        counts(&Plan {
+            regions_told: false,
+            ..plan(scenario, None)
+        })
+    };
     let cut = untold(Scenario::RegionCut);
-    assert!(cut.cut_off.offered > 2_000 && cut.not_cut_off.offered > cut.cut_off.offered, "{cut:?}");
+    assert!(
+        cut.cut_off.offered > 2_000 && cut.not_cut_off.offered > cut.cut_off.offered,
+        "{cut:?}"
+    );
     let settled = cut.cut_off_settled.offered * 2;
-    assert!(settled.abs_diff(cut.cut_off.offered) * 10 < cut.cut_off.offered, "{cut:?}");
+    assert!(
+        settled.abs_diff(cut.cut_off.offered) * 10 < cut.cut_off.offered,
+        "{cut:?}"
+    );
     let calm = untold(Scenario::Calm);
     assert!(calm.crossing * 4 > calm.dispatches, "{calm:?}");
     assert_eq!((calm.cut_off.offered, calm.not_cut_off.offered), (0, 0));
-    assert!(cut.all.errored + cut.all.throttled > calm.all.errored + calm.all.throttled, "{cut:?}, {calm:?}");
+    assert!(
+        cut.all.errored + cut.all.throttled > calm.all.errored + calm.all.throttled,
+        "{cut:?}, {calm:?}"
+    );
 }
 
 #[test]
@@ -77,7 +94,10 @@
         assert_eq!(counts.crossing, 0, "{scenario:?}: {counts:?}");
     }
     let cut = counts(&plan(Scenario::RegionCut, None)).cut_off;
-    assert!(cut.offered > 2_000 && cut.share(cut.in_time) > 0.97, "{cut:?}");
+    assert!(
+        cut.offered > 2_000 && cut.share(cut.in_time) > 0.97,
+        "{cut:?}"
+    );
 }
 
 #[test]
@@ -89,7 +109,10 @@
         assert_eq!(played.plan.scenario, plan.scenario);
         assert_eq!(text(&counts(plan)), text(&played.finding.counts));
     }
-    let other = Plan { seed: 8, ..plans[0].clone() };
+    let other = Plan {
+        seed: 8,
+        ..plans[0].clone()
+    };
     assert_ne!(text(&counts(&plans[0])), text(&counts(&other)));
 }
 
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -18,10 +18,14 @@
 
 #[test]
 fn their_settings_of_configuration_are_those_of_the_section_without_further_keys() {
-    let text = deployment::with_configuration(3, &endpoints(), Path::new("config-{index}.snapshot"));
+    let text =
+        deployment::with_configuration(3, &endpoints(), Path::new("config-{index}.snapshot"));
     let section = read(&text).configuration.expect("the file has the section");
     assert_eq!(sync_settings(&section), entries::settings());
-    assert_eq!(section.lease, HostSettings::new("hollow").lease.as_secs_f64());
+    assert_eq!(
+        section.lease,
+        HostSettings::new("hollow").lease.as_secs_f64()
+    );
     assert_eq!(section.endpoints, endpoints());
 }
 
@@ -34,7 +38,10 @@
     assert!(with_roster.configuration.is_none() && without_store.configuration.is_none());
     // Whether a roster is asked for goes by where it comes from.
     assert!(with_roster.policy.roster_asked && !without_store.policy.roster_asked);
-    let policy = PolicyConfig { roster_asked: true, ..without_store.policy };
+    let policy = PolicyConfig {
+        roster_asked: true,
+        ..without_store.policy
+    };
     assert_eq!(format!("{:?}", with_roster.policy), format!("{policy:?}"));
     assert_eq!(with_roster.locations, without_store.locations);
 }
--- a/crates/scale/tests/kit/mod.rs
+++ b/crates/scale/tests/kit/mod.rs
@@ -30,11 +30,17 @@
         build.arg("--release");
     }
     build.current_dir(env!("CARGO_MANIFEST_DIR"));
-    assert!(build.status().expect("cargo starts").success(), "the gateway's program can't be built");
+    assert!(
+        build.status().expect("cargo starts").success(),
+        "the gateway's program can't be built"
+    );
 }
 
 /// Runs the program to its end, with the gateway's program beside it.
 pub fn run(arguments: &[&str]) -> Output {
     gateway();
-    Command::new(SCALE).args(arguments).output().expect("the program starts")
+    Command::new(SCALE)
+        .args(arguments)
+        .output()
+        .expect("the program starts")
 }
--- a/crates/scale/tests/received.rs
+++ b/crates/scale/tests/received.rs
@@ -4,7 +4,9 @@
 
 fn samples(samples: &[(f64, [u64; 2])]) -> ReceivedSamples {
     let mut taken = ReceivedSamples::default();
-    samples.iter().for_each(|(at, received)| taken.add(*at, received.to_vec()));
+    samples
+        .iter()
+        .for_each(|(at, received)| taken.add(*at, received.to_vec()));
     taken
 }
 
--- a/crates/scale/tests/short.rs
+++ b/crates/scale/tests/short.rs
@@ -13,8 +13,12 @@
 fn report(output: &Output) -> Report {
     let text = String::from_utf8_lossy(&output.stdout);
     let messages = String::from_utf8_lossy(&output.stderr);
-    let last = text.lines().last().unwrap_or_else(|| panic!("no line on standard output: {messages}"));
-    let report: Report = serde_json::from_str(last).unwrap_or_else(|why| panic!("{why}: {last}\n{messages}"));
+    let last = text
+        .lines()
+        .last()
+        .unwrap_or_else(|| panic!("no line on standard output: {messages}"));
+    let report: Report =
+        serde_json::from_str(last).unwrap_or_else(|why| panic!("{why}: {last}\n{messages}"));
     let all_held = report.rows.iter().all(|row| row.held);
     assert_eq!(report.verdict == Verdict::Held, all_held, "{last}");
     let code = if all_held { 0 } else { 1 };
@@ -23,7 +27,11 @@
 }
 
 fn row<'r>(report: &'r Report, name: &str) -> &'r Row {
-    report.rows.iter().find(|row| row.name == name).unwrap_or_else(|| panic!("no row {name}"))
+    report
+        .rows
+        .iter()
+        .find(|row| row.name == name)
+        .unwrap_or_else(|| panic!("no row {name}"))
 }
 
 #[test]
@@ -72,7 +80,10 @@
     seen.dedup();
     assert_eq!(seen.len(), count, "a row is told twice");
     for slope in &report.slopes {
-        assert!(slope.points.len() >= 3 && slope.slope_error.is_finite(), "{slope:?}");
+        assert!(
+            slope.points.len() >= 3 && slope.slope_error.is_finite(),
+            "{slope:?}"
+        );
     }
     assert!(!report.slopes.is_empty());
     let of_configuration = [
@@ -88,10 +99,17 @@
     ];
     for (figure, dimension) in of_configuration {
         let is_it = |slope: &&Slope| slope.figure == figure && slope.dimension == dimension;
-        assert_eq!(report.slopes.iter().filter(is_it).count(), 1, "{figure} by {dimension}");
+        assert_eq!(
+            report.slopes.iter().filter(is_it).count(),
+            1,
+            "{figure} by {dimension}"
+        );
     }
     // Changes cost bytes, whatever else a busy machine does to times.
-    let bytes = report.slopes.iter().find(|slope| slope.figure == "bytes of changes");
+    let bytes = report
+        .slopes
+        .iter()
+        .find(|slope| slope.figure == "bytes of changes");
     assert!(bytes.is_some_and(|slope| slope.slope > 100.0), "{bytes:?}");
     // What a small fleet can't tell of is not made up.
     assert_eq!(row(&report, "decision_cpu_growth").measured, None);
@@ -135,5 +153,8 @@
 fn a_slow_store_is_found() {
     let report = report(&run(&["config", "--short", "--inject", "slow-store"]));
     let row = row(&report, IN_FORCE);
-    assert!(!row.held && row.note.contains("did not take the change"), "{row:?}");
+    assert!(
+        !row.held && row.note.contains("did not take the change"),
+        "{row:?}"
+    );
 }
--- a/crates/test-servers/src/bare.rs
+++ b/crates/test-servers/src/bare.rs
@@ -13,7 +13,10 @@
 type Fault = Box<dyn std::error::Error>;
 
 fn windows(builder: &mut h2::client::Builder) {
-    builder.initial_window_size(1 << 20).initial_connection_window_size(4 << 20).enable_push(false);
+    builder
+        .initial_window_size(1 << 20)
+        .initial_connection_window_size(4 << 20)
+        .enable_push(false);
 }
 
 /// Reads a body to its end.
@@ -38,9 +41,13 @@
         let (stage_, answer) = (stage.clone(), answer.clone());
         let connection = async move {
             let mut builder = h2::server::Builder::new();
-            builder.initial_window_size(1 << 20).initial_connection_window_size(4 << 20);
+            builder
+                .initial_window_size(1 << 20)
+                .initial_connection_window_size(4 << 20);
             builder.max_concurrent_streams(10_000);
-            let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else { return };
+            let Ok(mut connection) = builder.handshake::<_, Bytes>(stream).await else {
+                return;
+            };
             while let Some(Ok((request, respond))) = connection.accept().await {
                 let work = answer(request, respond);
                 // A stream that breaks is its client's to count.
@@ -73,7 +80,9 @@
 
 /// Passes streams on as they are.
 pub async fn relay(stage: Stage, listener: async_io::Async<TcpListener>, to: SocketAddr) {
-    let Ok(onward) = connect(&stage, to).await else { return };
+    let Ok(onward) = connect(&stage, to).await else {
+        return;
+    };
     let onward = Rc::new(RefCell::new(onward));
     serve(stage, listener, move |request, mut respond| {
         let onward = onward.clone();
@@ -141,7 +150,11 @@
 ) -> Result<Seen, Fault> {
     let sender = connect(stage, to).await?;
     let head = frame(&v1::Dispatch {
-        from: Some(v1::Sender { index: 0, count: 1, incarnation: 1 }),
+        from: Some(v1::Sender {
+            index: 0,
+            count: 1,
+            incarnation: 1,
+        }),
         invocation: "measure".into(),
         function: "f0".into(),
         trigger_type: "look".into(),
@@ -169,7 +182,8 @@
                     .header("orchidtally-time-left", "4000")
                     .body(())?,
                 };
-                let (response, mut out) = sender.clone().ready().await?.send_request(request, false)?;
+                let (response, mut out) =
+                    sender.clone().ready().await?.send_request(request, false)?;
                 if ask == Ask::Dispatch {
                     out.send_data(head.clone(), false)?;
                 }
@@ -212,9 +226,10 @@
     for _ in 0..connections {
         let sender = connect(stage, to).await?;
         for n in 0..streams {
-            let request = http::Request::post(format!("http://{to}/v1/functions/f{}/invocations", n % 50))
-                .header("orchidtally-time-left", ((time * 1e3) as u64).to_string())
-                .body(())?;
+            let request =
+                http::Request::post(format!("http://{to}/v1/functions/f{}/invocations", n % 50))
+                    .header("orchidtally-time-left", ((time * 1e3) as u64).to_string())
+                    .body(())?;
             let (response, mut out) = sender.clone().ready().await?.send_request(request, false)?;
             out.send_data(Bytes::from_static(b"0123456789"), true)?;
             let (began, answered) = (Instant::now(), answered.clone());
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -75,7 +75,11 @@
 impl GivesTwice {
     /// One in `every` messages whose topic matches the filter.
     pub fn one_in(every: u64, filter: Filter) -> GivesTwice {
-        GivesTwice { filter, every, matched: 0 }
+        GivesTwice {
+            filter,
+            every,
+            matched: 0,
+        }
     }
 
     /// Counts a message, and returns whether it is one of those.
@@ -114,17 +118,26 @@
     /// The number of messages that were delivered to nobody.
     pub fn waiting(&self) -> usize {
         self.shared.values().map(VecDeque::len).sum::<usize>()
-            + self.sessions.values().map(|session| session.queue.len()).sum::<usize>()
+            + self
+                .sessions
+                .values()
+                .map(|session| session.queue.len())
+                .sum::<usize>()
     }
 
     /// The number of messages that were delivered and are not acknowledged.
     pub fn given(&self) -> usize {
-        self.sessions.values().map(ClientSession::unacknowledged).sum()
+        self.sessions
+            .values()
+            .map(ClientSession::unacknowledged)
+            .sum()
     }
 
     /// The protocol version of a connection; 5 for one that has not sent CONNECT.
     fn version_of(&self, number: u64) -> Version {
-        self.connections.get(&number).map_or(Version::V5, |connection| connection.version)
+        self.connections
+            .get(&number)
+            .map_or(Version::V5, |connection| connection.version)
     }
 
     /// Drops a client's session, as after a loss of state.
@@ -149,11 +162,19 @@
                 self.retained.insert(message.topic.clone(), message.clone());
             }
         }
-        let live = Message { retain: false, ..message };
+        let live = Message {
+            retain: false,
+            ..message
+        };
         let mut groups: BTreeMap<SharedSubscription, Qos> = BTreeMap::new();
         for session in self.sessions.values_mut() {
-            let matching = session.filters.iter().filter(|(filter, _)| filter.matches(&live.topic));
-            let unshared = matching.clone().filter(|(filter, _)| filter.group().is_none());
+            let matching = session
+                .filters
+                .iter()
+                .filter(|(filter, _)| filter.matches(&live.topic));
+            let unshared = matching
+                .clone()
+                .filter(|(filter, _)| filter.group().is_none());
             let unshared_qos = unshared.map(|(_, qos)| *qos).max();
             for (filter, qos) in matching {
                 if let Some(shared) = SharedSubscription::of(filter) {
@@ -161,13 +182,24 @@
                 }
             }
             if let Some(qos) = unshared_qos {
-                session.queue.push_back(Message { qos: qos.min(live.qos), ..live.clone() });
+                session.queue.push_back(Message {
+                    qos: qos.min(live.qos),
+                    ..live.clone()
+                });
             }
         }
         for (shared, qos) in groups {
             let queue = self.shared.entry(shared).or_default();
-            let message = Message { qos: qos.min(live.qos), ..live.clone() };
-            if self.faults.gives_twice.as_mut().is_some_and(|fault| fault.applies_to(&message.topic)) {
+            let message = Message {
+                qos: qos.min(live.qos),
+                ..live.clone()
+            };
+            if self
+                .faults
+                .gives_twice
+                .as_mut()
+                .is_some_and(|fault| fault.applies_to(&message.topic))
+            {
                 queue.push_back(message.clone());
             }
             queue.push_back(message);
@@ -192,15 +224,21 @@
 
     /// Delivers a message over a connection; returns whether there was one.
     fn deliver_one(&mut self, now: f64, number: u64, actions: &mut Vec<Action>) -> bool {
-        let Some(connection) = self.connections.get(&number) else { return false };
-        let Some(session) = self.sessions.get_mut(&connection.client) else { return false };
+        let Some(connection) = self.connections.get(&number) else {
+            return false;
+        };
+        let Some(session) = self.sessions.get_mut(&connection.client) else {
+            return false;
+        };
         let has_room = session.unacknowledged() < usize::from(connection.receive_maximum);
         if session.connection != Some(number) || !has_room {
             return false;
         }
         let mut next = session.queue.pop_front();
         for (filter, _) in &session.filters {
-            let Some(shared) = SharedSubscription::of(filter).filter(|_| next.is_none()) else { continue };
+            let Some(shared) = SharedSubscription::of(filter).filter(|_| next.is_none()) else {
+                continue;
+            };
             next = self.shared.get_mut(&shared).and_then(VecDeque::pop_front);
         }
         let Some(message) = next else { return false };
@@ -214,7 +252,9 @@
     /// A connection has ended, in order or not.
     pub fn lost(&mut self, now: f64, number: u64, in_order: bool) -> Vec<Action> {
         let mut actions = vec![];
-        let Some(connection) = self.connections.remove(&number) else { return actions };
+        let Some(connection) = self.connections.remove(&number) else {
+            return actions;
+        };
         let session = self.sessions.get_mut(&connection.client);
         if let Some(session) = session.filter(|session| session.connection == Some(number)) {
             session.connection = None;
@@ -229,8 +269,21 @@
             }
         }
         if let Some(will) = connection.will.filter(|_| !in_order) {
-            let Will { topic, payload, qos, retain, properties } = will;
-            self.route(Message { topic, payload, qos, retain, properties, until: f64::INFINITY });
+            let Will {
+                topic,
+                payload,
+                qos,
+                retain,
+                properties,
+            } = will;
+            self.route(Message {
+                topic,
+                payload,
+                qos,
+                retain,
+                properties,
+                until: f64::INFINITY,
+            });
         }
         self.deliver(now, &mut actions);
         actions
--- a/crates/test-servers/src/broker/requests.rs
+++ b/crates/test-servers/src/broker/requests.rs
@@ -17,7 +17,10 @@
 impl SessionRequest {
     fn of(version: Version, connect: &Connect) -> SessionRequest {
         let mut request = match version {
-            Version::V5 => SessionRequest { receive_maximum: u16::MAX, expiry: 0.0 },
+            Version::V5 => SessionRequest {
+                receive_maximum: u16::MAX,
+                expiry: 0.0,
+            },
             Version::V311 => SessionRequest {
                 receive_maximum: DEFAULT_RECEIVE_MAXIMUM,
                 expiry: if connect.clean { 0.0 } else { f64::INFINITY },
@@ -44,7 +47,13 @@
 
 impl Broker {
     /// A packet has arrived over a connection; the first one has to be CONNECT.
-    pub fn received(&mut self, now: f64, number: u64, version: Version, packet: Packet) -> Vec<Action> {
+    pub fn received(
+        &mut self,
+        now: f64,
+        number: u64,
+        version: Version,
+        packet: Packet,
+    ) -> Vec<Action> {
         if let Packet::Connect(connect) = packet {
             if self.connections.contains_key(&number) {
                 return vec![Action::Close(number)];
@@ -61,24 +70,41 @@
         let Some(answers) = self.answer(now, number, version, packet) else {
             return vec![Action::Close(number)];
         };
-        let mut actions: Vec<Action> =
-            answers.into_iter().map(|answer| Action::Send(number, answer)).collect();
+        let mut actions: Vec<Action> = answers
+            .into_iter()
+            .map(|answer| Action::Send(number, answer))
+            .collect();
         self.deliver(now, &mut actions);
         actions
     }
 
     fn has_session(&self, number: u64) -> bool {
-        self.connections.get(&number).is_some_and(|connection| self.sessions.contains_key(&connection.client))
+        self.connections
+            .get(&number)
+            .is_some_and(|connection| self.sessions.contains_key(&connection.client))
     }
 
-    fn connect(&mut self, now: f64, number: u64, version: Version, connect: Connect) -> Vec<Action> {
+    fn connect(
+        &mut self,
+        now: f64,
+        number: u64,
+        version: Version,
+        connect: Connect,
+    ) -> Vec<Action> {
         if let Some(code) = self.faults.refuses.pop_front() {
-            let refusal = Packet::ConnAck(ConnAck { code, ..ConnAck::default() });
+            let refusal = Packet::ConnAck(ConnAck {
+                code,
+                ..ConnAck::default()
+            });
             return vec![Action::Send(number, refusal), Action::Close(number)];
         }
-        self.sessions.retain(|_, session| session.connection.is_some() || session.until > now);
+        self.sessions
+            .retain(|_, session| session.connection.is_some() || session.until > now);
         let mut actions = vec![];
-        let before = self.sessions.get(&connect.client_id).and_then(|session| session.connection);
+        let before = self
+            .sessions
+            .get(&connect.client_id)
+            .and_then(|session| session.connection);
         if let Some(before) = before {
             // A client that connects again takes its session over.
             actions.extend(self.lost(now, before, true));
@@ -91,10 +117,17 @@
         let session_present = self.sessions.contains_key(&connect.client_id);
         let session = self.sessions.entry(connect.client_id.clone()).or_default();
         session.connection = Some(number);
-        let accepted = Packet::ConnAck(ConnAck { session_present, ..ConnAck::default() });
+        let accepted = Packet::ConnAck(ConnAck {
+            session_present,
+            ..ConnAck::default()
+        });
         actions.push(Action::Send(number, accepted));
         let repeated = session.redeliver(now, version, self.faults.reorders);
-        actions.extend(repeated.into_iter().map(|packet| Action::Send(number, packet)));
+        actions.extend(
+            repeated
+                .into_iter()
+                .map(|packet| Action::Send(number, packet)),
+        );
         let connection = Connection {
             client: connect.client_id,
             version,
@@ -108,16 +141,28 @@
     }
 
     /// The answers to a packet; `None` where the connection has to be closed.
-    fn answer(&mut self, now: f64, number: u64, version: Version, packet: Packet) -> Option<Vec<Packet>> {
+    fn answer(
+        &mut self,
+        now: f64,
+        number: u64,
+        version: Version,
+        packet: Packet,
+    ) -> Option<Vec<Packet>> {
         let client = &self.connections.get(&number)?.client;
         let session = self.sessions.get_mut(client)?;
         Some(match packet {
             Packet::Publish(publish) => {
-                let ack = Ack { id: publish.id, ..Ack::default() };
+                let ack = Ack {
+                    id: publish.id,
+                    ..Ack::default()
+                };
                 let (is_new, answers) = match publish.qos {
                     Qos::AtMostOnce => (true, vec![]),
                     Qos::AtLeastOnce => (true, vec![Packet::PubAck(ack)]),
-                    Qos::ExactlyOnce => (session.incoming.insert(publish.id), vec![Packet::PubRec(ack)]),
+                    Qos::ExactlyOnce => (
+                        session.incoming.insert(publish.id),
+                        vec![Packet::PubRec(ack)],
+                    ),
                 };
                 if is_new {
                     self.accept(now, publish);
@@ -126,12 +171,23 @@
             }
             Packet::PubRel(pubrel) => {
                 let is_known = session.incoming.remove(&pubrel.id) || version == Version::V311;
-                let code = if is_known { 0 } else { reason_code::PACKET_IDENTIFIER_NOT_FOUND };
-                vec![Packet::PubComp(Ack { id: pubrel.id, code, properties: vec![] })]
+                let code = if is_known {
+                    0
+                } else {
+                    reason_code::PACKET_IDENTIFIER_NOT_FOUND
+                };
+                vec![Packet::PubComp(Ack {
+                    id: pubrel.id,
+                    code,
+                    properties: vec![],
+                })]
             }
             Packet::PubRec(pubrec) if pubrec.code < reason_code::FAILURE => {
                 session.recorded(pubrec.id);
-                vec![Packet::PubRel(Ack { id: pubrec.id, ..Ack::default() })]
+                vec![Packet::PubRel(Ack {
+                    id: pubrec.id,
+                    ..Ack::default()
+                })]
             }
             Packet::PubAck(ack) | Packet::PubComp(ack) | Packet::PubRec(ack) => {
                 session.completed(ack.id);
@@ -142,10 +198,19 @@
                 vec![self.subscribe(&client, subscribe)?]
             }
             Packet::Unsubscribe(unsubscribe) => {
-                let is_named = |filter: &Filter| unsubscribe.filters.iter().any(|f| f == filter.as_str());
+                let is_named =
+                    |filter: &Filter| unsubscribe.filters.iter().any(|f| f == filter.as_str());
                 session.filters.retain(|(filter, _)| !is_named(filter));
-                let codes = if version == Version::V5 { vec![0; unsubscribe.filters.len()] } else { vec![] };
-                vec![Packet::UnsubAck(Codes { id: unsubscribe.id, properties: vec![], codes })]
+                let codes = if version == Version::V5 {
+                    vec![0; unsubscribe.filters.len()]
+                } else {
+                    vec![]
+                };
+                vec![Packet::UnsubAck(Codes {
+                    id: unsubscribe.id,
+                    properties: vec![],
+                    codes,
+                })]
             }
             Packet::PingReq => vec![Packet::PingResp],
             _ => return None,
@@ -155,8 +220,22 @@
     /// Takes a message that a client has published.
     fn accept(&mut self, now: f64, publish: Publish) {
         let until = expires_at(&publish.properties, now);
-        let Publish { topic, payload, qos, retain, properties, .. } = publish;
-        let message = Message { topic, payload, qos, retain, properties, until };
+        let Publish {
+            topic,
+            payload,
+            qos,
+            retain,
+            properties,
+            ..
+        } = publish;
+        let message = Message {
+            topic,
+            payload,
+            qos,
+            retain,
+            properties,
+            until,
+        };
         self.published.push(message.clone());
         self.route(message);
     }
@@ -172,11 +251,18 @@
             codes.push(subscription.qos.bits());
             session.filters.retain(|(other, _)| *other != filter);
             if filter.group().is_none() && subscription.retain_handling < 2 {
-                let matching = self.retained.values().filter(|message| filter.matches(&message.topic));
+                let matching = self
+                    .retained
+                    .values()
+                    .filter(|message| filter.matches(&message.topic));
                 session.queue.extend(matching.cloned());
             }
             session.filters.push((filter, subscription.qos));
         }
-        Some(Packet::SubAck(Codes { id: subscribe.id, properties: vec![], codes }))
+        Some(Packet::SubAck(Codes {
+            id: subscribe.id,
+            properties: vec![],
+            codes,
+        }))
     }
 }
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -26,8 +26,11 @@
 impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
 /// Wraps a stream that was accepted in another, as TLS does; `None` where that fails.
-pub type StreamWrapper =
-    Rc<dyn Fn(orchidtally_net::Stream) -> futures_lite::future::BoxedLocal<Option<Box<dyn ByteStream>>>>;
+pub type StreamWrapper = Rc<
+    dyn Fn(
+        orchidtally_net::Stream,
+    ) -> futures_lite::future::BoxedLocal<Option<Box<dyn ByteStream>>>,
+>;
 
 /// A broker on sockets, with faults of its network.
 pub struct BrokerServer {
@@ -126,7 +129,10 @@
             // A full channel belongs to a connection that is not read from: it ends when its writer gives up.
             let _ = writer.try_send(None);
         }
-        let actions = self.broker.borrow_mut().lost(self.stage.now(), number, false);
+        let actions = self
+            .broker
+            .borrow_mut()
+            .lost(self.stage.now(), number, false);
         self.perform(actions);
     }
 
@@ -141,7 +147,9 @@
             match action {
                 Action::Send(number, packet) => {
                     let version = self.broker.borrow().version_of(number);
-                    let Ok(bytes) = encode(&packet, version) else { continue };
+                    let Ok(bytes) = encode(&packet, version) else {
+                        continue;
+                    };
                     if let Some(writer) = self.writers.borrow().get(&number) {
                         let _ = writer.try_send(Some(bytes));
                     }
@@ -159,7 +167,9 @@
     }
 
     async fn wait_while_silent(&self) {
-        self.stage.sleep(self.silent.ends() - self.stage.now()).await;
+        self.stage
+            .sleep(self.silent.ends() - self.stage.now())
+            .await;
     }
 
     /// Serves one connection until it ends.
@@ -230,7 +240,10 @@
                 if self.breaks() || !self.writers.borrow().contains_key(&number) {
                     return;
                 }
-                let actions = self.broker.borrow_mut().received(self.stage.now(), number, version, packet);
+                let actions =
+                    self.broker
+                        .borrow_mut()
+                        .received(self.stage.now(), number, version, packet);
                 self.perform(actions);
             }
         }
--- a/crates/test-servers/src/broker/session.rs
+++ b/crates/test-servers/src/broker/session.rs
@@ -9,7 +9,10 @@
     /// The shared subscription of a filter, if it is shared.
     pub(super) fn of(filter: &Filter) -> Option<SharedSubscription> {
         let group = filter.group()?.to_owned();
-        Some(SharedSubscription { group, filter: filter.as_str().to_owned() })
+        Some(SharedSubscription {
+            group,
+            filter: filter.as_str().to_owned(),
+        })
     }
 }
 
@@ -61,7 +64,8 @@
         }
         let id = self.fresh_id();
         let packet = publish_packet(&message, id, false, now, version);
-        self.unacknowledged.insert(id, (message, DeliveryState::Sent));
+        self.unacknowledged
+            .insert(id, (message, DeliveryState::Sent));
         self.order.push_back(id);
         packet
     }
@@ -76,7 +80,10 @@
             let (message, state) = self.unacknowledged.get(&id)?;
             Some(match state {
                 DeliveryState::Sent => publish_packet(message, id, true, now, version),
-                DeliveryState::Recorded => Packet::PubRel(Ack { id, ..Ack::default() }),
+                DeliveryState::Recorded => Packet::PubRel(Ack {
+                    id,
+                    ..Ack::default()
+                }),
             })
         };
         ids.into_iter().filter_map(packet).collect()
@@ -102,9 +109,14 @@
         let ids: Vec<u16> = self.order.iter().copied().filter(has_qos_1).collect();
         let mut taken = vec![];
         for id in ids.into_iter().rev() {
-            let Some((message, _)) = self.unacknowledged.remove(&id) else { continue };
+            let Some((message, _)) = self.unacknowledged.remove(&id) else {
+                continue;
+            };
             self.order.retain(|&other| other != id);
-            let mut matching = self.filters.iter().filter(|(filter, _)| filter.matches(&message.topic));
+            let mut matching = self
+                .filters
+                .iter()
+                .filter(|(filter, _)| filter.matches(&message.topic));
             if let Some(shared) = matching.find_map(|(filter, _)| SharedSubscription::of(filter)) {
                 taken.push((shared, message));
             }
@@ -114,12 +126,24 @@
 }
 
 fn publish_packet(message: &Message, id: u16, dup: bool, now: f64, version: Version) -> Packet {
-    let mut properties = if version == Version::V5 { message.properties.clone() } else { vec![] };
+    let mut properties = if version == Version::V5 {
+        message.properties.clone()
+    } else {
+        vec![]
+    };
     for property in &mut properties {
         if let Property::MessageExpiry(left) = property {
             *left = (message.until - now).ceil().max(1.0) as u32;
         }
     }
     let (topic, payload) = (message.topic.clone(), message.payload.clone());
-    Packet::Publish(Publish { dup, qos: message.qos, retain: message.retain, topic, id, properties, payload })
+    Packet::Publish(Publish {
+        dup,
+        qos: message.qos,
+        retain: message.retain,
+        topic,
+        id,
+        properties,
+        payload,
+    })
 }
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -73,16 +73,33 @@
     parts: &http::response::Parts,
     fault: impl std::error::Error + 'static,
 ) -> Box<dyn std::error::Error> {
-    let streamed =
-        parts.status == http::StatusCode::OK && !parts.headers.contains_key(http::header::CONTENT_LENGTH);
-    if streamed { Box::new(Cut) } else { Box::new(fault) }
+    let streamed = parts.status == http::StatusCode::OK
+        && !parts.headers.contains_key(http::header::CONTENT_LENGTH);
+    if streamed {
+        Box::new(Cut)
+    } else {
+        Box::new(fault)
+    }
 }
 
 type Raw = (http::response::Parts, Bytes);
 
 impl Caller {
-    pub fn new(stage: &Stage, number: u32, front_end: u32, at: SocketAddr, plain: bool) -> Rc<Caller> {
-        Rc::new(Caller { stage: stage.clone(), number, front_end, at, plain, shared: RefCell::default() })
+    pub fn new(
+        stage: &Stage,
+        number: u32,
+        front_end: u32,
+        at: SocketAddr,
+        plain: bool,
+    ) -> Rc<Caller> {
+        Rc::new(Caller {
+            stage: stage.clone(),
+            number,
+            front_end,
+            at,
+            plain,
+            shared: RefCell::default(),
+        })
     }
 
     /// Offers an invocation and notes what comes of it.
@@ -125,7 +142,11 @@
         let heard = future::or(sent, future::or(left, gave_up)).await;
         let at = self.stage.now();
         self.stage.record(match &heard {
-            Heard::Answered { answer, .. } => Record::Answered { at, invocation, answer: *answer },
+            Heard::Answered { answer, .. } => Record::Answered {
+                at,
+                invocation,
+                answer: *answer,
+            },
             Heard::Lost => Record::Lost { at, invocation },
             Heard::GaveUp => Record::GaveUp { at, invocation },
             Heard::Left => Record::Left { at, invocation },
@@ -134,10 +155,14 @@
     }
 
     fn request(&self, ask: &Ask, place: &str) -> http::Result<http::Request<()>> {
-        let mut request = http::Request::post(format!("{place}/v1/functions/{}/invocations", ask.function))
-            .header("orchidtally-trigger-type", &ask.trigger_type.1)
-            .header("orchidtally-invocation", &ask.invocation)
-            .header("orchidtally-time-left", ((ask.time_left * 1e3) as u64).to_string());
+        let mut request =
+            http::Request::post(format!("{place}/v1/functions/{}/invocations", ask.function))
+                .header("orchidtally-trigger-type", &ask.trigger_type.1)
+                .header("orchidtally-invocation", &ask.invocation)
+                .header(
+                    "orchidtally-time-left",
+                    ((ask.time_left * 1e3) as u64).to_string(),
+                );
         if !ask.token.is_empty() {
             request = request.header("idempotency-key", &ask.token);
         }
@@ -151,18 +176,29 @@
     }
 
     async fn send(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
-        if self.plain { self.send_plain(ask).await } else { self.send_shared(ask).await }
+        if self.plain {
+            self.send_plain(ask).await
+        } else {
+            self.send_shared(ask).await
+        }
     }
 
     async fn send_plain(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
         let stream = orchidtally_net::connect(self.at, Duration::from_secs(2)).await?;
-        let (mut sender, driver) = hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
+        let (mut sender, driver) =
+            hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
         let driver = self.stage.spawn(driver);
-        let mut request = self.request(ask, "")?.map(|()| Full::new(ask.payload.clone()));
+        let mut request = self
+            .request(ask, "")?
+            .map(|()| Full::new(ask.payload.clone()));
         let host = http::HeaderValue::from_str(&self.at.to_string())?;
         request.headers_mut().insert(http::header::HOST, host);
         let (parts, body) = sender.send_request(request).await?.into_parts();
-        let body = body.collect().await.map_err(|e| broke(&parts, e))?.to_bytes();
+        let body = body
+            .collect()
+            .await
+            .map_err(|e| broke(&parts, e))?
+            .to_bytes();
         drop(driver);
         Ok((parts, body))
     }
@@ -211,7 +247,10 @@
 fn heard(parts: &http::response::Parts, body: Bytes) -> Heard {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
-    let stay_away = parts.headers.get("orchidtally-stay-away").and_then(|v| v.to_str().ok());
+    let stay_away = parts
+        .headers
+        .get("orchidtally-stay-away")
+        .and_then(|v| v.to_str().ok());
     let stay_away = stay_away.and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0) / 1e3;
     let answer = match status {
         200 => Answer::Succeeded,
@@ -219,5 +258,11 @@
         502 | 504 => Answer::Errored,
         _ => Answer::NotTaken,
     };
-    Heard::Answered { answer, status, body, stay_away, may_have_run }
+    Heard::Answered {
+        answer,
+        status,
+        body,
+        stay_away,
+        may_have_run,
+    }
 }
--- a/crates/test-servers/src/etcd/clients.rs
+++ b/crates/test-servers/src/etcd/clients.rs
@@ -56,18 +56,30 @@
 impl Clients {
     /// A connection that is open now. It is nobody's until its first request.
     pub fn connection(&self, traffic: Rc<Traffic>) -> ClientConnection<'_> {
-        ClientConnection { clients: self, traffic, name: OnceCell::new() }
+        ClientConnection {
+            clients: self,
+            traffic,
+            name: OnceCell::new(),
+        }
     }
 
     pub fn snapshot(&self) -> Vec<ClientCounters> {
-        self.by_name.borrow().iter().map(|(name, connections)| connections.snapshot(name)).collect()
+        self.by_name
+            .borrow()
+            .iter()
+            .map(|(name, connections)| connections.snapshot(name))
+            .collect()
     }
 
     fn open(&self, name: &str, traffic: &Rc<Traffic>) -> String {
         let mut by_name = self.by_name.borrow_mut();
         let has_room = by_name.len() < MAX_NAMES || by_name.contains_key(name);
         let counted_as = if has_room { name } else { "" };
-        by_name.entry(counted_as.into()).or_default().open.push(traffic.clone());
+        by_name
+            .entry(counted_as.into())
+            .or_default()
+            .open
+            .push(traffic.clone());
         counted_as.into()
     }
 }
@@ -84,7 +96,9 @@
     pub fn requested<B>(&self, request: &http::Request<B>) {
         self.name.get_or_init(|| {
             let header = request.headers().get(http::header::USER_AGENT);
-            let name = header.and_then(|value| value.to_str().ok()).unwrap_or_default();
+            let name = header
+                .and_then(|value| value.to_str().ok())
+                .unwrap_or_default();
             self.clients.open(name, &self.traffic)
         });
     }
--- a/crates/test-servers/src/etcd/cluster.rs
+++ b/crates/test-servers/src/etcd/cluster.rs
@@ -30,9 +30,19 @@
 impl Cluster {
     /// A member in each of the regions named; the first one leads at once.
     pub fn new(regions: &[Region]) -> Cluster {
-        let member = |&region| Member { region, is_running: true, stale_view: None };
+        let member = |&region| Member {
+            region,
+            is_running: true,
+            stale_view: None,
+        };
         let members = regions.iter().map(member).collect();
-        Cluster { members, cuts: BTreeSet::new(), leader: Some(0), term: 1, leads_from: f64::NEG_INFINITY }
+        Cluster {
+            members,
+            cuts: BTreeSet::new(),
+            leader: Some(0),
+            term: 1,
+            leads_from: f64::NEG_INFINITY,
+        }
     }
 
     pub fn regions(&self) -> BTreeSet<Region> {
@@ -52,7 +62,9 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.members.len()).filter(|&m| self.is_running(m)).collect()
+        (0..self.members.len())
+            .filter(|&m| self.is_running(m))
+            .collect()
     }
 
     pub fn is_cut(&self, a: Region, b: Region) -> bool {
@@ -87,7 +99,10 @@
     pub fn view(&self, member: usize, store: &Store) -> View {
         let newest = store.view();
         match self.members[member].stale_view {
-            Some(view) => View { revision: view.revision.min(newest.revision), ..view },
+            Some(view) => View {
+                revision: view.revision.min(newest.revision),
+                ..view
+            },
             None => newest,
         }
     }
@@ -98,11 +113,14 @@
     }
 
     fn follows(&self, member: usize) -> bool {
-        self.leader.is_some_and(|leader| self.reaches(leader, member))
+        self.leader
+            .is_some_and(|leader| self.reaches(leader, member))
     }
 
     fn has_majority(&self, candidate: usize) -> bool {
-        let reached = (0..self.members.len()).filter(|&m| self.reaches(candidate, m)).count();
+        let reached = (0..self.members.len())
+            .filter(|&m| self.reaches(candidate, m))
+            .count();
         2 * reached > self.members.len()
     }
 
@@ -129,7 +147,13 @@
             }
         }
         // What a stale member has not heard to be compacted can still be read there.
-        store.pin(self.members.iter().filter_map(|m| m.stale_view).map(|v| v.compacted).min());
+        store.pin(
+            self.members
+                .iter()
+                .filter_map(|m| m.stale_view)
+                .map(|v| v.compacted)
+                .min(),
+        );
         store.notify();
     }
 }
