--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -9,7 +9,9 @@
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
 use h2::server::SendResponse;
-use orchidtally_etcd::grpc::{CONTENT_TYPE, Status, UNAUTHENTICATED, UNAVAILABLE, deframe, frame, trailers};
+use orchidtally_etcd::grpc::{
+    CONTENT_TYPE, Status, UNAUTHENTICATED, UNAVAILABLE, deframe, frame, trailers,
+};
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::*;
 use prost::Message;
@@ -75,7 +77,9 @@
     /// What a message waits for before it is answered: fails where the connections break with it.
     pub(super) async fn wait_for_faults(&self) -> Result<(), Broken> {
         self.stage.sleep(self.faults.delay.get()).await;
-        self.stage.sleep(self.faults.stalled.ends() - self.stage.now()).await;
+        self.stage
+            .sleep(self.faults.stalled.ends() - self.stage.now())
+            .await;
         self.messages.set(self.messages.get() + 1);
         let every = self.faults.breaks_every.get();
         if every > 0 && self.messages.get().is_multiple_of(every) {
@@ -123,15 +127,32 @@
         mut respond: SendResponse<Bytes>,
     ) {
         let path = request.uri().path().to_owned();
-        let header = |name| request.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
+        let header = |name| {
+            request
+                .headers()
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .map(str::to_owned)
+        };
         let token = header("token");
-        let requires_leader = header(orchidtally_etcd::REQUIRE_LEADER).is_some_and(|value| value == "true");
-        let caller = Caller { member, agent: header("user-agent").unwrap_or_default(), requires_leader };
+        let requires_leader =
+            header(orchidtally_etcd::REQUIRE_LEADER).is_some_and(|value| value == "true");
+        let caller = Caller {
+            member,
+            agent: header("user-agent").unwrap_or_default(),
+            requires_leader,
+        };
         let body = request.into_body();
         let wanted = self.faults.token.borrow().clone();
         if wanted.is_some() && wanted != token && path != orchidtally_etcd::AUTHENTICATE {
             let message = "etcdserver: invalid auth token".into();
-            return respond_with_status(respond, &Status { code: UNAUTHENTICATED, message });
+            return respond_with_status(
+                respond,
+                &Status {
+                    code: UNAUTHENTICATED,
+                    message,
+                },
+            );
         }
         match path.as_str() {
             orchidtally_etcd::WATCH => {
@@ -176,10 +197,15 @@
             Ok(answer) => answer,
             Err(status) => return respond_with_status(respond, &status),
         };
-        let Ok(mut out) = respond.send_response(response_head(), false) else { return };
+        let Ok(mut out) = respond.send_response(response_head(), false) else {
+            return;
+        };
         if out.send_data(answer, false).is_ok() {
             // The client may have gone.
-            let _ = out.send_trailers(trailers(&Status { code: 0, message: String::new() }));
+            let _ = out.send_trailers(trailers(&Status {
+                code: 0,
+                message: String::new(),
+            }));
         }
     }
 
@@ -195,7 +221,11 @@
         self.answer_as(member);
         let response = self.store.borrow().range_in(&request, self.view(member))?;
         for entry in &response.kvs {
-            let event = Event { r#type: EventType::Put.into(), kv: Some(entry.clone()), prev_kv: None };
+            let event = Event {
+                r#type: EventType::Put.into(),
+                kv: Some(entry.clone()),
+                prev_kv: None,
+            };
             self.tell(&caller.agent, &event);
         }
         Ok(frame(&response))
@@ -256,28 +286,42 @@
                 check_key(&delete.key)?;
                 frame(&store.delete(&delete))
             }
-            orchidtally_etcd::COMPACT => frame(&store.compact(read::<CompactionRequest>(request)?.revision)?),
+            orchidtally_etcd::COMPACT => {
+                frame(&store.compact(read::<CompactionRequest>(request)?.revision)?)
+            }
             orchidtally_etcd::LEASE_GRANT => {
                 frame(&store.grant(now, read::<LeaseGrantRequest>(request)?.ttl))
             }
             orchidtally_etcd::LEASE_REVOKE => {
                 store.revoke(read::<LeaseRevokeRequest>(request)?.id);
-                frame(&LeaseRevokeResponse { header: store.header() })
+                frame(&LeaseRevokeResponse {
+                    header: store.header(),
+                })
             }
             orchidtally_etcd::AUTHENTICATE => {
                 let token = self.faults.token.borrow().clone().unwrap_or_default();
-                frame(&AuthenticateResponse { header: store.header(), token })
+                frame(&AuthenticateResponse {
+                    header: store.header(),
+                    token,
+                })
             }
             _ => return refuse(UNIMPLEMENTED, "unknown method"),
         })
     }
 
     /// Each request on the stream has its answer, for as long as the member follows a leader.
-    async fn renew_leases(&self, member: usize, mut body: h2::RecvStream, mut out: h2::SendStream<Bytes>) {
+    async fn renew_leases(
+        &self,
+        member: usize,
+        mut body: h2::RecvStream,
+        mut out: h2::SendStream<Bytes>,
+    ) {
         let mut bytes = BytesMut::new();
         while let Some(chunk) = next_chunk(&mut body).await {
             bytes.extend_from_slice(&chunk);
-            while let Ok(Some(request)) = deframe::<LeaseKeepAliveRequest>(&mut bytes, LONGEST_RENEWAL) {
+            while let Ok(Some(request)) =
+                deframe::<LeaseKeepAliveRequest>(&mut bytes, LONGEST_RENEWAL)
+            {
                 if self.wait_for_faults().await.is_err() {
                     return;
                 }
@@ -288,7 +332,10 @@
                     return;
                 }
                 self.answer_as(member);
-                let answer = self.store.borrow_mut().keep_alive(self.stage.now(), request.id);
+                let answer = self
+                    .store
+                    .borrow_mut()
+                    .keep_alive(self.stage.now(), request.id);
                 if out.send_data(frame(&answer), false).is_err() {
                     return;
                 }
--- a/crates/test-servers/src/etcd/history.rs
+++ b/crates/test-servers/src/etcd/history.rs
@@ -30,7 +30,10 @@
             [0] => KeyRangeEnd::Unbounded,
             end => KeyRangeEnd::Before(Bytes::copy_from_slice(end)),
         };
-        KeyRange { start: Bytes::copy_from_slice(key), end }
+        KeyRange {
+            start: Bytes::copy_from_slice(key),
+            end,
+        }
     }
 
     /// Whether the range holds a key.
@@ -82,29 +85,53 @@
 
     /// The entries of a range as they were at a revision, in the order of their keys.
     pub fn entries_at(&self, range: &KeyRange, revision: i64) -> impl Iterator<Item = &KeyValue> {
-        let versions = range.bounds().map(|bounds| self.keys.range::<[u8], _>(bounds));
-        versions.into_iter().flatten().filter_map(move |(_, versions)| entry_at(versions, revision))
+        let versions = range
+            .bounds()
+            .map(|bounds| self.keys.range::<[u8], _>(bounds));
+        versions
+            .into_iter()
+            .flatten()
+            .filter_map(move |(_, versions)| entry_at(versions, revision))
     }
 
     /// Appends a version; `entry` is none for a deletion. Revisions never go down between calls.
     pub fn write(&mut self, revision: i64, key: &Bytes, entry: Option<KeyValue>) {
         let event = match &entry {
-            Some(entry) => Event { r#type: EventType::Put.into(), kv: Some(entry.clone()), prev_kv: None },
+            Some(entry) => Event {
+                r#type: EventType::Put.into(),
+                kv: Some(entry.clone()),
+                prev_kv: None,
+            },
             None => {
-                let deleted = KeyValue { key: key.clone(), mod_revision: revision, ..KeyValue::default() };
-                Event { r#type: EventType::Delete.into(), kv: Some(deleted), prev_kv: None }
+                let deleted = KeyValue {
+                    key: key.clone(),
+                    mod_revision: revision,
+                    ..KeyValue::default()
+                };
+                Event {
+                    r#type: EventType::Delete.into(),
+                    kv: Some(deleted),
+                    prev_kv: None,
+                }
             }
         };
         self.log.push_back(event);
-        self.keys.entry(key.clone()).or_default().push(Version { revision, entry });
+        self.keys
+            .entry(key.clone())
+            .or_default()
+            .push(Version { revision, entry });
     }
 
     /// Events of a range with revisions from `from` to `to`, both inclusive.
     pub fn events(&self, range: &KeyRange, from: i64, to: i64) -> impl Iterator<Item = &Event> {
         let first = self.log.partition_point(|event| revision_of(event) < from);
         let until_last = move |event: &&Event| revision_of(event) <= to;
-        let in_range = move |event: &&Event| event.kv.as_ref().is_some_and(|kv| range.contains(&kv.key));
-        self.log.range(first..).take_while(until_last).filter(in_range)
+        let in_range =
+            move |event: &&Event| event.kv.as_ref().is_some_and(|kv| range.contains(&kv.key));
+        self.log
+            .range(first..)
+            .take_while(until_last)
+            .filter(in_range)
     }
 
     /// Drops what can't be read at `floor` or later.
@@ -127,7 +154,8 @@
             versions.truncate(versions.partition_point(|v| v.revision <= last));
             !versions.is_empty()
         });
-        self.log.truncate(self.log.partition_point(|event| revision_of(event) <= last));
+        self.log
+            .truncate(self.log.partition_point(|event| revision_of(event) <= last));
     }
 
     /// Bytes of keys and values in all versions that are kept, and in the log. Values that versions and log share
@@ -139,7 +167,11 @@
         };
         let keys: usize = self.keys.iter().map(of_key).sum();
         let fixed = self.log.len() * size_of::<Event>()
-            + self.keys.values().map(|v| v.len() * size_of::<Version>()).sum::<usize>();
+            + self
+                .keys
+                .values()
+                .map(|v| v.len() * size_of::<Version>())
+                .sum::<usize>();
         (keys + fixed) as u64
     }
 }
--- a/crates/test-servers/src/etcd/lease.rs
+++ b/crates/test-servers/src/etcd/lease.rs
@@ -21,7 +21,11 @@
     pub fn grant(&mut self, now: f64, time_to_live: i64) -> i64 {
         self.last_id += 1;
         let time_to_live = time_to_live as f64;
-        let lease = Lease { time_to_live, ends_at: now + time_to_live, keys: BTreeSet::new() };
+        let lease = Lease {
+            time_to_live,
+            ends_at: now + time_to_live,
+            keys: BTreeSet::new(),
+        };
         self.leases.insert(self.last_id, lease);
         self.last_id
     }
@@ -32,7 +36,9 @@
 
     /// Renews a lease and returns its time to live in whole seconds; 0 for one that has ended.
     pub fn keep_alive(&mut self, now: f64, id: i64) -> i64 {
-        let Some(lease) = self.leases.get_mut(&id) else { return 0 };
+        let Some(lease) = self.leases.get_mut(&id) else {
+            return 0;
+        };
         lease.ends_at = now + lease.time_to_live;
         lease.time_to_live as i64
     }
@@ -53,7 +59,11 @@
     }
 
     pub fn ended(&self, now: f64) -> Vec<i64> {
-        self.leases.iter().filter(|(_, lease)| lease.ends_at <= now).map(|(&id, _)| id).collect()
+        self.leases
+            .iter()
+            .filter(|(_, lease)| lease.ends_at <= now)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
     pub fn ids(&self) -> Vec<i64> {
@@ -69,7 +79,9 @@
 
     /// Attaches keys anew, as `entries` have them.
     pub fn reattach<'a>(&mut self, entries: impl Iterator<Item = (&'a Bytes, i64)>) {
-        self.leases.values_mut().for_each(|lease| lease.keys.clear());
+        self.leases
+            .values_mut()
+            .for_each(|lease| lease.keys.clear());
         for (key, id) in entries {
             self.move_key(key, 0, id);
         }
--- a/crates/test-servers/src/etcd/link.rs
+++ b/crates/test-servers/src/etcd/link.rs
@@ -38,7 +38,10 @@
     pub fn set_cut(&self, is_cut: bool) {
         self.is_cut.set(is_cut);
         if !is_cut {
-            for waker in [self.reader.take(), self.writer.take()].into_iter().flatten() {
+            for waker in [self.reader.take(), self.writer.take()]
+                .into_iter()
+                .flatten()
+            {
                 waker.wake();
             }
         }
@@ -89,7 +92,11 @@
 }
 
 impl AsyncWrite for LinkStream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         std::task::ready!(self.link.poll_passable(cx, &self.link.writer));
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/crates/test-servers/src/etcd/mod.rs
+++ b/crates/test-servers/src/etcd/mod.rs
@@ -37,5 +37,8 @@
 const MAX_REQUEST_BYTES: usize = 1_572_864;
 
 fn refuse<T>(code: u32, message: &str) -> Result<T, Status> {
-    Err(Status { code, message: message.into() })
+    Err(Status {
+        code,
+        message: message.into(),
+    })
 }
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -61,7 +61,10 @@
             for member in 0..regions.len() {
                 let listener = orchidtally_net::listen(crate::any_port())?;
                 let address = listener.get_ref().local_addr()?;
-                addresses_by_region.entry(client_region).or_default().push(address);
+                addresses_by_region
+                    .entry(client_region)
+                    .or_default()
+                    .push(address);
                 listeners.push((listener, member, client_region));
             }
         }
@@ -82,7 +85,9 @@
             told: RefCell::default(),
         });
         for (listener, member, client_region) in listeners {
-            stage.spawn(served.clone().listen(listener, member, client_region)).detach();
+            stage
+                .spawn(served.clone().listen(listener, member, client_region))
+                .detach();
         }
         stage.spawn(served.clone().expire_leases()).detach();
         Ok(served)
@@ -91,14 +96,22 @@
     /// The members' addresses for clients of a region: a cut between that region and a member's holds for what comes
     /// over them. Empty for a region without members.
     pub fn addresses_from(&self, client_region: Region) -> Vec<SocketAddr> {
-        self.addresses_by_region.get(&client_region).cloned().unwrap_or_default()
+        self.addresses_by_region
+            .get(&client_region)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Stops a member at once, as a machine that is lost: its connections break, and new ones do.
     pub fn stop(&self, member: usize) {
         self.cluster.borrow_mut().set_running(member, false);
         self.update_cluster();
-        for link in self.links.borrow().values().filter(|link| link.member == member) {
+        for link in self
+            .links
+            .borrow()
+            .values()
+            .filter(|link| link.member == member)
+        {
             link.break_off();
         }
     }
@@ -112,7 +125,9 @@
     /// Cuts a region off from all others: its members, and its clients from the others' members.
     pub fn cut(&self, region: Region) {
         let others = self.cluster.borrow().regions();
-        others.into_iter().for_each(|other| self.cluster.borrow_mut().cut(region, other));
+        others
+            .into_iter()
+            .for_each(|other| self.cluster.borrow_mut().cut(region, other));
         self.update_cluster();
     }
 
@@ -136,14 +151,23 @@
 
     pub(super) fn crash(&self, serving: usize, members: usize) {
         let mut stopping = vec![serving];
-        stopping.extend(self.cluster.borrow().running().into_iter().filter(|&m| m != serving));
+        stopping.extend(
+            self.cluster
+                .borrow()
+                .running()
+                .into_iter()
+                .filter(|&m| m != serving),
+        );
         stopping.truncate(members);
         stopping.into_iter().for_each(|member| self.stop(member));
     }
 
     /// Breaks all connections off.
     pub fn cut_off(&self) {
-        self.links.borrow().values().for_each(|link| link.break_off());
+        self.links
+            .borrow()
+            .values()
+            .for_each(|link| link.break_off());
     }
 
     /// What a member did so far.
@@ -154,7 +178,9 @@
     /// What all members did so far.
     pub fn total_counters(&self) -> Counters {
         let mut total = Counters::default();
-        self.counters.iter().for_each(|counters| total += counters.snapshot());
+        self.counters
+            .iter()
+            .for_each(|counters| total += counters.snapshot());
         total
     }
 
@@ -176,7 +202,11 @@
     fn update_cluster(&self) {
         let mut cluster = self.cluster.borrow_mut();
         let election_time = self.timing.election_time.get();
-        cluster.update(self.stage.now(), &mut self.store.borrow_mut(), election_time);
+        cluster.update(
+            self.stage.now(),
+            &mut self.store.borrow_mut(),
+            election_time,
+        );
         for link in self.links.borrow().values() {
             link.set_cut(cluster.is_cut(link.client_region, cluster.region(link.member)));
         }
@@ -192,7 +222,12 @@
         }
     }
 
-    async fn listen(self: Rc<Self>, listener: Async<TcpListener>, member: usize, client_region: Region) {
+    async fn listen(
+        self: Rc<Self>,
+        listener: Async<TcpListener>,
+        member: usize,
+        client_region: Region,
+    ) {
         loop {
             let stream = orchidtally_net::accept(&listener).await;
             let cluster = self.cluster.borrow();
@@ -200,7 +235,9 @@
             if cluster.is_running(member) {
                 let is_cut = cluster.is_cut(client_region, cluster.region(member));
                 let link = Rc::new(Link::new(member, client_region, is_cut));
-                self.stage.spawn(self.clone().connection(stream, link)).detach();
+                self.stage
+                    .spawn(self.clone().connection(stream, link))
+                    .detach();
             }
         }
     }
@@ -215,13 +252,17 @@
         let counted = Counted::new(Counted::new(stream, counters.traffic.clone()), traffic);
         let stream = LinkStream::new(counted, link.clone());
         let serve = async {
-            let Ok(mut connection) = h2::server::handshake(stream).await else { return };
+            let Ok(mut connection) = h2::server::handshake(stream).await else {
+                return;
+            };
             // Exchanges end with their connection.
             let exchanges = async_executor::LocalExecutor::new();
             let accept = async {
                 while let Some(Ok((request, respond))) = connection.accept().await {
                     client.requested(&request);
-                    exchanges.spawn(self.clone().exchange(link.member, request, respond)).detach();
+                    exchanges
+                        .spawn(self.clone().exchange(link.member, request, respond))
+                        .detach();
                 }
             };
             exchanges.run(accept).await;
--- a/crates/test-servers/src/etcd/store.rs
+++ b/crates/test-servers/src/etcd/store.rs
@@ -63,7 +63,12 @@
     pub(super) fn header_of(&self, view: View) -> Option<ResponseHeader> {
         let (member_id, raft_term) = self.answering;
         let (cluster_id, revision) = (self.cluster, view.revision);
-        Some(ResponseHeader { cluster_id, member_id, revision, raft_term })
+        Some(ResponseHeader {
+            cluster_id,
+            member_id,
+            revision,
+            raft_term,
+        })
     }
 
     /// Headers are those of this member from now on.
@@ -73,7 +78,10 @@
 
     /// The newest state.
     pub fn view(&self) -> View {
-        View { revision: self.revision, compacted: self.compacted }
+        View {
+            revision: self.revision,
+            compacted: self.compacted,
+        }
     }
 
     /// Is notified of the next change: a write, a compaction, or what a member sees.
@@ -93,30 +101,52 @@
     /// A range as a member with this view answers it.
     pub fn range_in(&self, request: &RangeRequest, view: View) -> Result<RangeResponse, Status> {
         self.check_range(request, view)?;
-        let revision = if request.revision > 0 { request.revision } else { view.revision };
+        let revision = if request.revision > 0 {
+            request.revision
+        } else {
+            view.revision
+        };
         Ok(self.read_range(request, revision, view))
     }
 
     pub(super) fn check_range(&self, request: &RangeRequest, view: View) -> Result<(), Status> {
         check_key(&request.key)?;
         if request.revision > 0 && request.revision < view.compacted {
-            return refuse(OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted");
+            return refuse(
+                OUT_OF_RANGE,
+                "etcdserver: mvcc: required revision has been compacted",
+            );
         }
         if request.revision > view.revision {
-            return refuse(OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision");
+            return refuse(
+                OUT_OF_RANGE,
+                "etcdserver: mvcc: required revision is a future revision",
+            );
         }
         Ok(())
     }
 
     /// `count` is that of all keys in the range, whatever else bounds the entries: so etcd gives it.
-    pub(super) fn read_range(&self, request: &RangeRequest, revision: i64, view: View) -> RangeResponse {
+    pub(super) fn read_range(
+        &self,
+        request: &RangeRequest,
+        revision: i64,
+        view: View,
+    ) -> RangeResponse {
         let range = KeyRange::new(&request.key, &request.range_end);
-        let mut response = RangeResponse { header: self.header_of(view), ..RangeResponse::default() };
+        let mut response = RangeResponse {
+            header: self.header_of(view),
+            ..RangeResponse::default()
+        };
         if request.count_only {
             response.count = self.history.entries_at(&range, revision).count() as i64;
             return response;
         }
-        let limit = if request.limit > 0 { request.limit as usize } else { usize::MAX };
+        let limit = if request.limit > 0 {
+            request.limit as usize
+        } else {
+            usize::MAX
+        };
         for entry in self.history.entries_at(&range, revision) {
             response.count += 1;
             if !is_wanted(request, entry) {
@@ -154,13 +184,18 @@
             value: put.value.clone(),
             lease: put.lease,
         };
-        self.leases.move_key(&put.key, before.as_ref().map_or(0, |b| b.lease), put.lease);
+        self.leases
+            .move_key(&put.key, before.as_ref().map_or(0, |b| b.lease), put.lease);
         self.history.write(revision, &put.key, Some(entry));
         before
     }
 
     /// Deletes a range; returns the entries that stood there.
-    pub(super) fn write_delete(&mut self, revision: i64, delete: &DeleteRangeRequest) -> Vec<KeyValue> {
+    pub(super) fn write_delete(
+        &mut self,
+        revision: i64,
+        delete: &DeleteRangeRequest,
+    ) -> Vec<KeyValue> {
         let range = KeyRange::new(&delete.key, &delete.range_end);
         let deleted: Vec<KeyValue> = self.history.entries_at(&range, revision).cloned().collect();
         for entry in &deleted {
@@ -175,7 +210,10 @@
         self.check_put(put)?;
         let before = self.write_put(self.revision + 1, put);
         self.commit();
-        Ok(PutResponse { header: self.header(), prev_kv: before.filter(|_| put.prev_kv) })
+        Ok(PutResponse {
+            header: self.header(),
+            prev_kv: before.filter(|_| put.prev_kv),
+        })
     }
 
     /// Deletes a range, in a revision of its own if there was anything in it.
@@ -186,7 +224,11 @@
         }
         let deleted = entries.len() as i64;
         let prev_kvs = if delete.prev_kv { entries } else { vec![] };
-        DeleteRangeResponse { header: self.header(), deleted, prev_kvs }
+        DeleteRangeResponse {
+            header: self.header(),
+            deleted,
+            prev_kvs,
+        }
     }
 
     /// What was written at the next revision is seen.
@@ -198,15 +240,23 @@
     /// Forgets versions that no read at `revision` or later can see.
     pub fn compact(&mut self, revision: i64) -> Result<CompactionResponse, Status> {
         if revision <= self.compacted {
-            return refuse(OUT_OF_RANGE, "etcdserver: mvcc: required revision has been compacted");
+            return refuse(
+                OUT_OF_RANGE,
+                "etcdserver: mvcc: required revision has been compacted",
+            );
         }
         if revision > self.revision {
-            return refuse(OUT_OF_RANGE, "etcdserver: mvcc: required revision is a future revision");
+            return refuse(
+                OUT_OF_RANGE,
+                "etcdserver: mvcc: required revision is a future revision",
+            );
         }
         self.compacted = revision;
         self.drop_compacted();
         self.notify();
-        Ok(CompactionResponse { header: self.header() })
+        Ok(CompactionResponse {
+            header: self.header(),
+        })
     }
 
     fn drop_compacted(&mut self) {
@@ -225,19 +275,32 @@
     pub fn events(&self, from: i64, key: &[u8], range_end: &[u8]) -> Result<Vec<Event>, i64> {
         let view = self.view();
         check_watchable(from, view)?;
-        Ok(self.history.events(&KeyRange::new(key, range_end), from, view.revision).cloned().collect())
+        Ok(self
+            .history
+            .events(&KeyRange::new(key, range_end), from, view.revision)
+            .cloned()
+            .collect())
     }
 
     /// Grants a lease of so many seconds.
     pub fn grant(&mut self, now: f64, time_to_live: i64) -> LeaseGrantResponse {
         let id = self.leases.grant(now, time_to_live);
-        LeaseGrantResponse { header: self.header(), id, ttl: time_to_live, error: String::new() }
+        LeaseGrantResponse {
+            header: self.header(),
+            id,
+            ttl: time_to_live,
+            error: String::new(),
+        }
     }
 
     /// Renews a lease; the answer's time to live is 0 where it has ended.
     pub fn keep_alive(&mut self, now: f64, id: i64) -> LeaseKeepAliveResponse {
         let ttl = self.leases.keep_alive(now, id);
-        LeaseKeepAliveResponse { header: self.header(), id, ttl }
+        LeaseKeepAliveResponse {
+            header: self.header(),
+            id,
+            ttl,
+        }
     }
 
     /// Ends a lease, and deletes its keys in one revision.
@@ -273,7 +336,8 @@
         self.revision = self.revision.min(revision);
         let all = KeyRange::new(&[], &[0]);
         let entries = self.history.entries_at(&all, self.revision);
-        self.leases.reattach(entries.map(|entry| (&entry.key, entry.lease)));
+        self.leases
+            .reattach(entries.map(|entry| (&entry.key, entry.lease)));
         self.notify();
     }
 
@@ -300,6 +364,13 @@
 
 fn is_wanted(request: &RangeRequest, entry: &KeyValue) -> bool {
     let within = |revision, min, max| revision >= min && (max == 0 || revision <= max);
-    within(entry.mod_revision, request.min_mod_revision, request.max_mod_revision)
-        && within(entry.create_revision, request.min_create_revision, request.max_create_revision)
+    within(
+        entry.mod_revision,
+        request.min_mod_revision,
+        request.max_mod_revision,
+    ) && within(
+        entry.create_revision,
+        request.min_create_revision,
+        request.max_create_revision,
+    )
 }
--- a/crates/test-servers/src/etcd/transaction.rs
+++ b/crates/test-servers/src/etcd/transaction.rs
@@ -20,8 +20,15 @@
     pub fn txn(&mut self, txn: &TxnRequest) -> Result<TxnResponse, Status> {
         check_form(txn)?;
         let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
-        let operations = if succeeded { &txn.success } else { &txn.failure };
-        let requests: Vec<&Request> = operations.iter().filter_map(|op| op.request.as_ref()).collect();
+        let operations = if succeeded {
+            &txn.success
+        } else {
+            &txn.failure
+        };
+        let requests: Vec<&Request> = operations
+            .iter()
+            .filter_map(|op| op.request.as_ref())
+            .collect();
         for request in &requests {
             self.check(request)?;
         }
@@ -31,12 +38,18 @@
         for request in requests {
             let (response, wrote) = self.apply(request, next);
             has_written |= wrote;
-            responses.push(ResponseOp { response: Some(response) });
+            responses.push(ResponseOp {
+                response: Some(response),
+            });
         }
         if has_written {
             self.commit();
         }
-        Ok(TxnResponse { header: self.header(), succeeded, responses })
+        Ok(TxnResponse {
+            header: self.header(),
+            succeeded,
+            responses,
+        })
     }
 
     fn check(&self, request: &Request) -> Result<(), Status> {
@@ -51,29 +64,49 @@
     fn apply(&mut self, request: &Request, next: i64) -> (Response, bool) {
         match request {
             Request::RequestRange(range) => {
-                let revision = if range.revision > 0 { range.revision } else { next };
+                let revision = if range.revision > 0 {
+                    range.revision
+                } else {
+                    next
+                };
                 let response = self.read_range(range, revision, self.view());
                 (Response::ResponseRange(response), false)
             }
             Request::RequestPut(put) => {
                 let prev_kv = self.write_put(next, put).filter(|_| put.prev_kv);
-                (Response::ResponsePut(PutResponse { header: None, prev_kv }), true)
+                (
+                    Response::ResponsePut(PutResponse {
+                        header: None,
+                        prev_kv,
+                    }),
+                    true,
+                )
             }
             Request::RequestDeleteRange(delete) => {
                 let entries = self.write_delete(next, delete);
                 let deleted = entries.len() as i64;
                 let prev_kvs = if delete.prev_kv { entries } else { vec![] };
-                let response = DeleteRangeResponse { header: None, deleted, prev_kvs };
+                let response = DeleteRangeResponse {
+                    header: None,
+                    deleted,
+                    prev_kvs,
+                };
                 (Response::ResponseDeleteRange(response), deleted > 0)
             }
         }
     }
 
     fn holds(&self, compare: &Compare) -> bool {
-        let entry = self.history.entry_at(&compare.key, self.revision).cloned().unwrap_or_default();
+        let entry = self
+            .history
+            .entry_at(&compare.key, self.revision)
+            .cloned()
+            .unwrap_or_default();
         let order = match (&compare.target_union, compare.target()) {
             (Some(TargetUnion::Version(v)), CompareTarget::Version) => entry.version.cmp(v),
-            (Some(TargetUnion::CreateRevision(v)), CompareTarget::Create) => entry.create_revision.cmp(v),
+            (Some(TargetUnion::CreateRevision(v)), CompareTarget::Create) => {
+                entry.create_revision.cmp(v)
+            }
             (Some(TargetUnion::ModRevision(v)), CompareTarget::Mod) => entry.mod_revision.cmp(v),
             (Some(TargetUnion::Value(v)), CompareTarget::Value) => entry.value.cmp(v),
             (Some(TargetUnion::Lease(v)), CompareTarget::Lease) => entry.lease.cmp(v),
@@ -94,9 +127,16 @@
 }
 
 fn check_form(txn: &TxnRequest) -> Result<(), Status> {
-    let longest = txn.compare.len().max(txn.success.len()).max(txn.failure.len());
+    let longest = txn
+        .compare
+        .len()
+        .max(txn.success.len())
+        .max(txn.failure.len());
     if longest > MAX_OPERATIONS {
-        return refuse(INVALID_ARGUMENT, "etcdserver: too many operations in txn request");
+        return refuse(
+            INVALID_ARGUMENT,
+            "etcdserver: too many operations in txn request",
+        );
     }
     check_branch(&txn.success)?;
     check_branch(&txn.failure)
@@ -108,7 +148,12 @@
     let mut deleted: Vec<KeyRange> = vec![];
     for operation in operations {
         match &operation.request {
-            None => return refuse(INVALID_ARGUMENT, "etcdserver: an operation without a request"),
+            None => {
+                return refuse(
+                    INVALID_ARGUMENT,
+                    "etcdserver: an operation without a request",
+                );
+            }
             Some(Request::RequestRange(_)) => {}
             Some(Request::RequestDeleteRange(delete)) => {
                 deleted.push(KeyRange::new(&delete.key, &delete.range_end));
@@ -125,5 +170,8 @@
 }
 
 fn refuse_duplicate() -> Result<(), Status> {
-    refuse(INVALID_ARGUMENT, "etcdserver: duplicate key given in txn request")
+    refuse(
+        INVALID_ARGUMENT,
+        "etcdserver: duplicate key given in txn request",
+    )
 }
--- a/crates/test-servers/src/etcd/watch.rs
+++ b/crates/test-servers/src/etcd/watch.rs
@@ -79,7 +79,10 @@
             if stream.has_lost_leader() {
                 let message = "etcdserver: no leader".to_owned();
                 // The client may have gone.
-                let _ = stream.out.send_trailers(trailers(&Status { code: UNAVAILABLE, message }));
+                let _ = stream.out.send_trailers(trailers(&Status {
+                    code: UNAVAILABLE,
+                    message,
+                }));
                 return;
             }
             if stream.deliver().await.is_err() {
@@ -91,7 +94,9 @@
                 Wake::Changed
             };
             let timer = async {
-                self.stage.sleep(stream.next_progress_in().min(stream.leaderless_time_left())).await;
+                self.stage
+                    .sleep(stream.next_progress_in().min(stream.leaderless_time_left()))
+                    .await;
                 Wake::TimeOver
             };
             match future::or(read, future::or(change, timer)).await {
@@ -112,7 +117,11 @@
 impl Served {
     /// For how long changes are gathered before watches are served, in seconds.
     fn gathering_time(&self) -> f64 {
-        let open: u64 = self.counters.iter().map(|counters| counters.watches_open.get()).sum();
+        let open: u64 = self
+            .counters
+            .iter()
+            .map(|counters| counters.watches_open.get())
+            .sum();
         self.timing.watch_batch_time.get() + GATHERING_PER_WATCH * open as f64
     }
 }
@@ -125,7 +134,11 @@
     fn response(&self, id: i64, view: View) -> WatchResponse {
         self.server.answer_as(self.caller.member);
         let header = self.server.store.borrow().header_of(view);
-        WatchResponse { header, watch_id: id, ..WatchResponse::default() }
+        WatchResponse {
+            header,
+            watch_id: id,
+            ..WatchResponse::default()
+        }
     }
 
     /// Whether the client requires a leader and the member has had none for too long.
@@ -141,7 +154,8 @@
     /// Until the stream is ended for want of a leader, in seconds.
     fn leaderless_time_left(&self) -> f64 {
         let time = self.server.timing.leaderless_time.get();
-        self.leaderless_since.map_or(IDLE_TIME, |since| since + time - self.server.stage.now())
+        self.leaderless_since
+            .map_or(IDLE_TIME, |since| since + time - self.server.stage.now())
     }
 
     /// Until a watch is told of progress, in seconds.
@@ -149,16 +163,23 @@
         let now = self.server.stage.now();
         let interval = self.server.timing.progress_interval.get();
         let waiting = self.watches.iter().filter(|w| w.wants_progress);
-        waiting.map(|w| w.answered_at + interval - now).fold(IDLE_TIME, f64::min).max(0.0)
+        waiting
+            .map(|w| w.answered_at + interval - now)
+            .fold(IDLE_TIME, f64::min)
+            .max(0.0)
     }
 
     async fn take_requests(&mut self, bytes: &mut BytesMut) -> Result<(), Broken> {
-        while let Some(request) = deframe::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| Broken)? {
+        while let Some(request) =
+            deframe::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| Broken)?
+        {
             match request.request_union {
                 Some(RequestUnion::CreateRequest(create)) => self.create(create).await?,
                 Some(RequestUnion::CancelRequest(cancel)) => self.cancel(cancel.watch_id).await?,
                 Some(RequestUnion::ProgressRequest(_)) => {
-                    self.server.count(self.caller.member, |exchanges| exchanges.progress_requests += 1);
+                    self.server.count(self.caller.member, |exchanges| {
+                        exchanges.progress_requests += 1
+                    });
                     self.is_progress_asked = true;
                 }
                 None => return Err(Broken),
@@ -169,18 +190,32 @@
 
     async fn create(&mut self, create: WatchCreateRequest) -> Result<(), Broken> {
         let member = self.caller.member;
-        self.server.count(member, |exchanges| exchanges.watches_created += 1);
+        self.server
+            .count(member, |exchanges| exchanges.watches_created += 1);
         let view = self.view();
-        let id = if create.watch_id > 0 { create.watch_id } else { self.next_id };
+        let id = if create.watch_id > 0 {
+            create.watch_id
+        } else {
+            self.next_id
+        };
         if self.watches.iter().any(|watch| watch.id == id) {
             let cancel_reason = "mvcc: watch ID already exists".to_owned();
             let refused = self.response(ALL_WATCHES, view);
             return self
-                .send(WatchResponse { created: true, canceled: true, cancel_reason, ..refused })
+                .send(WatchResponse {
+                    created: true,
+                    canceled: true,
+                    cancel_reason,
+                    ..refused
+                })
                 .await;
         }
         self.next_id = self.next_id.max(id + 1);
-        let next = if create.start_revision > 0 { create.start_revision } else { view.revision + 1 };
+        let next = if create.start_revision > 0 {
+            create.start_revision
+        } else {
+            view.revision + 1
+        };
         self.watches.push(Watch {
             id,
             range: KeyRange::new(&create.key, &create.range_end),
@@ -189,8 +224,13 @@
             wants_progress: create.progress_notify,
             answered_at: self.server.stage.now(),
         });
-        self.open.push(Open::new(&self.server.counters[member].watches_open));
-        self.send(WatchResponse { created: true, ..self.response(id, view) }).await
+        self.open
+            .push(Open::new(&self.server.counters[member].watches_open));
+        self.send(WatchResponse {
+            created: true,
+            ..self.response(id, view)
+        })
+        .await
     }
 
     async fn cancel(&mut self, id: i64) -> Result<(), Broken> {
@@ -200,13 +240,20 @@
             return Ok(());
         }
         self.open.pop();
-        self.send(WatchResponse { canceled: true, ..self.response(id, self.view()) }).await
+        self.send(WatchResponse {
+            canceled: true,
+            ..self.response(id, self.view())
+        })
+        .await
     }
 
     /// Sends all that is due: events, ends of watches, and progress.
     async fn deliver(&mut self) -> Result<(), Broken> {
         let server = self.server;
-        server.stage.sleep(server.faults.stalled.ends() - server.stage.now()).await;
+        server
+            .stage
+            .sleep(server.faults.stalled.ends() - server.stage.now())
+            .await;
         let mut at = 0;
         while at < self.watches.len() {
             if self.deliver_events(at).await? {
@@ -226,8 +273,12 @@
                 self.open.pop();
                 let cancel_reason = "mvcc: required revision has been compacted".to_owned();
                 let response = self.response(id, view);
-                let ended =
-                    WatchResponse { canceled: true, compact_revision: least, cancel_reason, ..response };
+                let ended = WatchResponse {
+                    canceled: true,
+                    compact_revision: least,
+                    cancel_reason,
+                    ..response
+                };
                 self.send_late(ended).await?;
                 return Ok(false);
             }
@@ -259,8 +310,13 @@
     fn due_events(&self, watch: &Watch, view: View) -> Vec<Event> {
         let store = self.server.store.borrow();
         let mut due: Vec<Event> = vec![];
-        for event in store.history.events(&watch.range, watch.next, view.revision) {
-            let begins_revision = due.last().is_none_or(|last| revision_of(last) < revision_of(event));
+        for event in store
+            .history
+            .events(&watch.range, watch.next, view.revision)
+        {
+            let begins_revision = due
+                .last()
+                .is_none_or(|last| revision_of(last) < revision_of(event));
             if due.len() >= EVENTS_PER_ANSWER && begins_revision {
                 break;
             }
@@ -269,19 +325,33 @@
         due
     }
 
-    async fn send_events(&mut self, at: usize, events: Vec<Event>, view: View) -> Result<(), Broken> {
+    async fn send_events(
+        &mut self,
+        at: usize,
+        events: Vec<Event>,
+        view: View,
+    ) -> Result<(), Broken> {
         let (id, is_fragmented) = (self.watches[at].id, self.watches[at].is_fragmented);
         let member = self.caller.member;
         self.server.count(member, |exchanges| {
             exchanges.watch_answers += 1;
             exchanges.watch_events += events.len() as u64;
         });
-        let part_length = if is_fragmented { EVENTS_PER_FRAGMENT } else { events.len() };
+        let part_length = if is_fragmented {
+            EVENTS_PER_FRAGMENT
+        } else {
+            events.len()
+        };
         let mut parts = events.chunks(part_length).peekable();
         while let Some(part) = parts.next() {
             let fragment = parts.peek().is_some();
             let response = self.response(id, view);
-            self.send_late(WatchResponse { fragment, events: part.to_vec(), ..response }).await?;
+            self.send_late(WatchResponse {
+                fragment,
+                events: part.to_vec(),
+                ..response
+            })
+            .await?;
         }
         self.watches[at].answered_at = self.server.stage.now();
         Ok(())
@@ -294,7 +364,9 @@
         {
             self.send_progress(ALL_WATCHES, heard).await?;
             let now = self.server.stage.now();
-            self.watches.iter_mut().for_each(|watch| watch.answered_at = now);
+            self.watches
+                .iter_mut()
+                .for_each(|watch| watch.answered_at = now);
         }
         let interval = self.server.timing.progress_interval.get();
         for at in 0..self.watches.len() {
@@ -314,16 +386,24 @@
     }
 
     async fn send_progress(&mut self, id: i64, heard: i64) -> Result<(), Broken> {
-        self.server.count(self.caller.member, |exchanges| exchanges.progress_answers += 1);
+        self.server.count(self.caller.member, |exchanges| {
+            exchanges.progress_answers += 1
+        });
         let view = self.view();
-        let view = View { revision: view.revision.min(heard), ..view };
+        let view = View {
+            revision: view.revision.min(heard),
+            ..view
+        };
         let response = self.response(id, view);
         self.send_late(response).await
     }
 
     /// Sends an answer after what the script's faults make it wait for.
     async fn send_late(&mut self, response: WatchResponse) -> Result<(), Broken> {
-        response.events.iter().for_each(|event| self.server.tell(&self.caller.agent, event));
+        response
+            .events
+            .iter()
+            .for_each(|event| self.server.tell(&self.caller.agent, event));
         self.server.wait_for_faults().await?;
         self.send(response).await
     }
--- a/crates/test-servers/src/executor/cold.rs
+++ b/crates/test-servers/src/executor/cold.rs
@@ -33,7 +33,11 @@
         }
         self.fell.set(self.fell.get() + 1);
         let (at, since) = (self.stage.now(), self.since.get());
-        self.stage.record(Record::Fell { at, executor: self.make.number, since });
+        self.stage.record(Record::Fell {
+            at,
+            executor: self.make.number,
+            since,
+        });
         let Some(me) = self.me.upgrade() else { return };
         self.stage
             .spawn(async move {
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -17,15 +17,20 @@
     pub(super) async fn connection(self: Rc<Self>, stream: Stream, leaving: Receiver<()>) {
         let now = self.stage.now();
         if self.faults.slow_handshakes.is_on(now) {
-            self.stage.sleep(self.faults.slow_handshakes.ends() - now).await;
+            self.stage
+                .sleep(self.faults.slow_handshakes.ends() - now)
+                .await;
         }
         let mut builder = h2::server::Builder::new();
         builder
             .max_concurrent_streams(1_000)
             .initial_window_size(1 << 20)
             .initial_connection_window_size(4 << 20);
-        let Some(Ok(mut connection)) =
-            orchidtally_net::within(Duration::from_secs(5), builder.handshake::<_, Bytes>(stream)).await
+        let Some(Ok(mut connection)) = orchidtally_net::within(
+            Duration::from_secs(5),
+            builder.handshake::<_, Bytes>(stream),
+        )
+        .await
         else {
             return;
         };
@@ -57,7 +62,9 @@
                         return;
                     }
                     Some(Some(Ok((request, respond)))) => {
-                        streams.spawn(self.clone().stream(request, respond)).detach();
+                        streams
+                            .spawn(self.clone().stream(request, respond))
+                            .detach();
                     }
                 }
             }
@@ -70,9 +77,15 @@
         request: http::Request<h2::RecvStream>,
         mut respond: SendResponse<Bytes>,
     ) {
-        let typed = request.headers().get(http::header::CONTENT_TYPE).is_some_and(|t| t == CONTENT_TYPE);
+        let typed = request
+            .headers()
+            .get(http::header::CONTENT_TYPE)
+            .is_some_and(|t| t == CONTENT_TYPE);
         let path = request.uri().path().to_owned();
-        let mut body = Body { stream: request.into_body(), deframer: Deframer::default() };
+        let mut body = Body {
+            stream: request.into_body(),
+            deframer: Deframer::default(),
+        };
         if !typed {
             refuse(&mut respond, http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
             return;
@@ -94,11 +107,16 @@
                 match worked {
                     Some((answer, payload, mut in_hand, ending, streams)) => {
                         let sent = if streams > 0 {
-                            self.stream_out(&mut respond, &answer, payload, streams).await
+                            self.stream_out(&mut respond, &answer, payload, streams)
+                                .await
                         } else {
                             answer_with(&mut respond, &answer, payload)
                         };
-                        in_hand.end(if sent.is_ok() { ending } else { Ending::Abandoned });
+                        in_hand.end(if sent.is_ok() {
+                            ending
+                        } else {
+                            Ending::Abandoned
+                        });
                         sent
                     }
                     None => return,
@@ -111,7 +129,13 @@
                 let answer = self.clone().order(order).await;
                 answer_with(&mut respond, &answer, vec![])
             }
-            PROBE => answer_with(&mut respond, &v1::ProbeAnswer { report: self.report() }, vec![]),
+            PROBE => answer_with(
+                &mut respond,
+                &v1::ProbeAnswer {
+                    report: self.report(),
+                },
+                vec![],
+            ),
             _ => return refuse(&mut respond, http::StatusCode::NOT_FOUND),
         };
         if let Err(fault) = done {
--- a/crates/test-servers/src/executor/copies.rs
+++ b/crates/test-servers/src/executor/copies.rs
@@ -41,12 +41,20 @@
                 Some(copy) => copy.loading.clone(),
                 None if found != v1::Found::Warm => {
                     let other = self.other_bytes.borrow().contains(function);
-                    return Err(if other { Unloaded::OtherBytes } else { Unloaded::Failed });
+                    return Err(if other {
+                        Unloaded::OtherBytes
+                    } else {
+                        Unloaded::Failed
+                    });
                 }
                 None => None,
             };
             if let Some(loading) = loading {
-                found = if found == v1::Found::Warm { v1::Found::Waited } else { found };
+                found = if found == v1::Found::Warm {
+                    v1::Found::Waited
+                } else {
+                    found
+                };
                 // Nothing is ever sent: the channel closes when the load has ended.
                 let _ = loading.recv().await;
                 continue;
@@ -106,10 +114,15 @@
     fn make_room(&self, memory: f64) -> Result<(), Unloaded> {
         while self.memory_used() + memory > self.make.memory {
             let mut copies = self.copies.borrow_mut();
-            let idle = copies.iter().filter(|(_, c)| c.loaded && c.running == 0 && c.held == 0);
-            let oldest =
-                idle.min_by(|a, b| a.1.used_at.total_cmp(&b.1.used_at)).map(|(name, _)| name.clone());
-            let Some(oldest) = oldest else { return Err(Unloaded::NoRoom) };
+            let idle = copies
+                .iter()
+                .filter(|(_, c)| c.loaded && c.running == 0 && c.held == 0);
+            let oldest = idle
+                .min_by(|a, b| a.1.used_at.total_cmp(&b.1.used_at))
+                .map(|(name, _)| name.clone());
+            let Some(oldest) = oldest else {
+                return Err(Unloaded::NoRoom);
+            };
             copies.remove(&oldest);
         }
         Ok(())
@@ -121,13 +134,25 @@
             let mut copies = self.copies.borrow_mut();
             let copy = copies.get_mut(function)?;
             copy.held += 1;
-            (copy.lanes.clone(), copy.free_lane.clone(), copy.digest.clone())
+            (
+                copy.lanes.clone(),
+                copy.free_lane.clone(),
+                copy.digest.clone(),
+            )
+        };
+        let held = Held {
+            executor: self.clone(),
+            function: function.to_owned(),
         };
-        let held = Held { executor: self.clone(), function: function.to_owned() };
         lanes.recv().await.ok()?;
         drop(held);
         self.copies.borrow_mut().get_mut(function)?.running += 1;
-        Some(Lane { executor: self.clone(), function: function.to_owned(), back, digest })
+        Some(Lane {
+            executor: self.clone(),
+            function: function.to_owned(),
+            back,
+            digest,
+        })
     }
 }
 
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -40,7 +40,8 @@
             token: dispatch.token.clone(),
             trigger_type: dispatch.trigger_type.clone(),
         });
-        self.last_time_left.set(dispatch.time_left as f64 / MICROSECONDS);
+        self.last_time_left
+            .set(dispatch.time_left as f64 / MICROSECONDS);
         self.in_hand.set(self.in_hand.get() + 1);
         let in_hand = InHand {
             executor: self.clone(),
@@ -101,15 +102,29 @@
             return (vec![], 0);
         }
         if self.draining.get() || self.in_hand.get() > self.make.queue + self.make.cores {
-            end(v1::Ending::Full, if self.draining.get() { "draining" } else { "the queue is full" });
+            end(
+                v1::Ending::Full,
+                if self.draining.get() {
+                    "draining"
+                } else {
+                    "the queue is full"
+                },
+            );
             return (vec![], 0);
         }
         let payload = body.rest().await;
-        let found = match self.copy(&name, &dispatch.digest, &program, !self.make.answers_miss).await {
+        let found = match self
+            .copy(&name, &dispatch.digest, &program, !self.make.answers_miss)
+            .await
+        {
             Ok(found) => found,
             Err(Unloaded::Failed) => {
                 answer.set_found(v1::Found::LoadFailed);
-                answer.set_ending(if self.make.fail_is_miss { v1::Ending::Miss } else { v1::Ending::Error });
+                answer.set_ending(if self.make.fail_is_miss {
+                    v1::Ending::Miss
+                } else {
+                    v1::Ending::Error
+                });
                 return (vec![], 0);
             }
             Err(Unloaded::OtherBytes) => {
@@ -134,10 +149,19 @@
         // From here on it runs: its effect counts as done.
         let number = self.make.number;
         let (at, invocation) = (stage.now(), dispatch.invocation.clone());
-        let known = !dispatch.token.is_empty() && !self.tokens.is_new(&dispatch.token, at, self.token_window);
+        let known = !dispatch.token.is_empty()
+            && !self.tokens.is_new(&dispatch.token, at, self.token_window);
         stage.record(match known {
-            true => Record::Dropped { at, executor: number, invocation },
-            false => Record::Ran { at, executor: number, invocation },
+            true => Record::Dropped {
+                at,
+                executor: number,
+                invocation,
+            },
+            false => Record::Ran {
+                at,
+                executor: number,
+                invocation,
+            },
         });
         if !dispatch.digest.is_empty() {
             let loaded = lane.digest.clone();
@@ -152,9 +176,18 @@
         self.running.set(self.running.get() + 1);
         let _running = Running(&self.running);
         let shared = (self.running.get() as f64 / self.make.cores as f64).max(1.0);
-        let slow = if stage.unit() < program.slow.0 { program.slow.1 } else { 1.0 };
-        stage.sleep(program.work * (0.7 + 0.6 * stage.unit()) * shared * slow / self.warmth()).await;
-        let meant = program.fails_for.as_ref().is_none_or(|t| *t == dispatch.trigger_type);
+        let slow = if stage.unit() < program.slow.0 {
+            program.slow.1
+        } else {
+            1.0
+        };
+        stage
+            .sleep(program.work * (0.7 + 0.6 * stage.unit()) * shared * slow / self.warmth())
+            .await;
+        let meant = program
+            .fails_for
+            .as_ref()
+            .is_none_or(|t| *t == dispatch.trigger_type);
         if meant && stage.unit() < program.fails {
             end(v1::Ending::Error, "this version fails");
             answer.set_found(found);
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -31,8 +31,16 @@
 
 impl Drop for InHand {
     fn drop(&mut self) {
-        let crashed = self.executor.serving.try_borrow().is_ok_and(|s| s.is_none());
-        self.end(if crashed { Ending::Crashed } else { Ending::Abandoned });
+        let crashed = self
+            .executor
+            .serving
+            .try_borrow()
+            .is_ok_and(|s| s.is_none());
+        self.end(if crashed {
+            Ending::Crashed
+        } else {
+            Ending::Abandoned
+        });
     }
 }
 
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -125,10 +125,14 @@
                     open.retain(|s| s.peer_addr().is_ok());
                     open.extend(stream.breaker());
                     drop(open);
-                    connections.spawn(me.clone().connection(stream, leaving.clone())).detach();
+                    connections
+                        .spawn(me.clone().connection(stream, leaving.clone()))
+                        .detach();
                 }
             };
-            connections.run(future::or(accepting, me.clone().keep_house())).await
+            connections
+                .run(future::or(accepting, me.clone().keep_house()))
+                .await
         };
         *self.serving.borrow_mut() = Some(self.stage.spawn(work));
     }
@@ -175,7 +179,8 @@
                 backlogs.pop_front();
             }
             let keep = self.make.keep_alive;
-            let idle = |c: &Copy| c.loaded && c.running == 0 && c.held == 0 && now > c.used_at + keep;
+            let idle =
+                |c: &Copy| c.loaded && c.running == 0 && c.held == 0 && now > c.used_at + keep;
             self.copies.borrow_mut().retain(|_, c| !idle(c));
         }
     }
@@ -186,9 +191,18 @@
 
     fn report(&self) -> Vec<f32> {
         let now = self.stage.now();
-        let late = if self.faults.late_reports.is_on(now) { 8.0 } else { self.make.report_delay };
+        let late = if self.faults.late_reports.is_on(now) {
+            8.0
+        } else {
+            self.make.report_delay
+        };
         let backlogs = self.backlogs.borrow();
-        let told = backlogs.iter().rev().find(|b| b.0 <= now - late).or(backlogs.front()).copied();
+        let told = backlogs
+            .iter()
+            .rev()
+            .find(|b| b.0 <= now - late)
+            .or(backlogs.front())
+            .copied();
         let (_, waiting, memory) = told.unwrap_or_default();
         let noise = 1.0 + self.make.report_noise * (2.0 * self.stage.unit() - 1.0);
         let value = |field: &String| match field.as_str() {
--- a/crates/test-servers/src/executor/orders.rs
+++ b/crates/test-servers/src/executor/orders.rs
@@ -18,16 +18,24 @@
             life: from.incarnation,
             copies: if hold { order.copies } else { 0 },
         });
-        let mut answer = v1::OrderAnswer { report: self.report(), ..v1::OrderAnswer::default() };
+        let mut answer = v1::OrderAnswer {
+            report: self.report(),
+            ..v1::OrderAnswer::default()
+        };
         answer.set_ending(v1::Ending::Ok);
         if hold {
             while self.faults.hangs.is_on(self.stage.now()) {
-                self.stage.sleep(self.faults.hangs.ends() - self.stage.now()).await;
+                self.stage
+                    .sleep(self.faults.hangs.ends() - self.stage.now())
+                    .await;
             }
             let name = package(&order.function, &order.digest);
             let loaded = match (self.catalogue)(&name) {
                 Some(_) if self.draining.get() => Err(Unloaded::NoRoom),
-                Some(program) => self.copy(&name, &order.digest, &program, true).await.map(|_| ()),
+                Some(program) => self
+                    .copy(&name, &order.digest, &program, true)
+                    .await
+                    .map(|_| ()),
                 None => Err(Unloaded::Failed),
             };
             answer.digest_differs = matches!(loaded, Err(Unloaded::OtherBytes));
@@ -39,7 +47,10 @@
         } else if order.kind() == v1::OrderKind::Unload {
             let name = package(&order.function, &order.digest);
             let mut copies = self.copies.borrow_mut();
-            if copies.get(&name).is_some_and(|c| c.loaded && c.running == 0 && c.held == 0) {
+            if copies
+                .get(&name)
+                .is_some_and(|c| c.loaded && c.running == 0 && c.held == 0)
+            {
                 copies.remove(&name);
             }
         }
--- a/crates/test-servers/src/executor/program.rs
+++ b/crates/test-servers/src/executor/program.rs
@@ -47,12 +47,19 @@
 
 /// The name under which the store has a version.
 pub fn package(function: &str, digest: &str) -> String {
-    if digest.is_empty() { function.to_owned() } else { format!("{function}@{digest}") }
+    if digest.is_empty() {
+        function.to_owned()
+    } else {
+        format!("{function}@{digest}")
+    }
 }
 
 /// SHA-256 in hexadecimal digits.
 pub fn digest(package: &[u8]) -> String {
-    Sha256::digest(package).iter().map(|b| format!("{b:02x}")).collect()
+    Sha256::digest(package)
+        .iter()
+        .map(|b| format!("{b:02x}"))
+        .collect()
 }
 
 /// Answers with what it was asked.
--- a/crates/test-servers/src/fault_proxy.rs
+++ b/crates/test-servers/src/fault_proxy.rs
@@ -88,9 +88,13 @@
     /// Carries a client's connection until both sides have ended it, or it is reset.
     async fn carry(self: Rc<Self>, client: Async<TcpStream>, generation: u64) {
         self.stage.sleep(self.dial_delay.get()).await;
-        let Ok(server) = Async::<TcpStream>::connect(self.server).await else { return };
+        let Ok(server) = Async::<TcpStream>::connect(self.server).await else {
+            return;
+        };
         let (reset, is_reset) = async_channel::bounded(1);
-        self.resets.borrow_mut().retain(|connection| !connection.is_closed());
+        self.resets
+            .borrow_mut()
+            .retain(|connection| !connection.is_closed());
         self.resets.borrow_mut().push(reset.clone());
         let to_server = self.pass(&client, &server, generation, Some(&reset));
         let to_client = self.pass(&server, &client, generation, None);
@@ -115,9 +119,17 @@
     ) {
         let mut chunk = vec![0; CHUNK];
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
-            let stalled = if reset.is_some() { &self.stalls_requests } else { &self.stalls_answers };
+            let stalled = if reset.is_some() {
+                &self.stalls_requests
+            } else {
+                &self.stalls_answers
+            };
             self.hold_back(generation, stalled).await;
-            let passes = if reset.is_some() { self.let_pass(length) } else { length };
+            let passes = if reset.is_some() {
+                self.let_pass(length)
+            } else {
+                length
+            };
             if to.write_all(&chunk[..passes]).await.is_err() {
                 break;
             }
@@ -140,7 +152,9 @@
 
     /// How many of some bytes pass before a reset that the script wants.
     fn let_pass(&self, length: usize) -> usize {
-        let Some(left) = self.reset_after.get() else { return length };
+        let Some(left) = self.reset_after.get() else {
+            return length;
+        };
         if left >= length {
             self.reset_after.set(Some(left - length));
             return length;
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -40,7 +40,9 @@
         Stage {
             tasks: Rc::new(LocalExecutor::new()),
             started: Instant::now(),
-            started_wall: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64()),
+            started_wall: SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0.0, |d| d.as_secs_f64()),
             records: Rc::default(),
             random: Rc::new(RefCell::new(SmallRng::seed_from_u64(seed))),
         }
@@ -53,7 +55,11 @@
 
     /// A moment of the stage in seconds since 1970, as rosters tell it.
     pub fn wall(&self, at: f64) -> f64 {
-        if at.is_finite() { self.started_wall + at } else { 0.0 }
+        if at.is_finite() {
+            self.started_wall + at
+        } else {
+            0.0
+        }
     }
 
     pub fn record(&self, record: Record) {
@@ -69,7 +75,10 @@
         self.random.borrow_mut().random()
     }
 
-    pub fn spawn<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> async_executor::Task<T> {
+    pub fn spawn<T: 'static>(
+        &self,
+        work: impl Future<Output = T> + 'static,
+    ) -> async_executor::Task<T> {
         self.tasks.spawn(work)
     }
 
@@ -87,7 +96,11 @@
     let [_, a, b, c] = std::process::id().to_be_bytes();
     let own = SocketAddr::from((Ipv4Addr::new(127, 1 | a, b, c), 0));
     // Some systems have the one loopback address only.
-    if TcpListener::bind(own).is_ok() { own } else { SocketAddr::from((Ipv4Addr::LOCALHOST, 0)) }
+    if TcpListener::bind(own).is_ok() {
+        own
+    } else {
+        SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
+    }
 }
 
 /// A port of that address for another process to listen at later: outside of the range from which systems give free
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -43,7 +43,12 @@
 
 impl Client {
     pub fn new(stage: &Stage, front_end: u32, at: SocketAddr) -> Rc<Client> {
-        Rc::new(Client { stage: stage.clone(), front_end, at, open: RefCell::default() })
+        Rc::new(Client {
+            stage: stage.clone(),
+            front_end,
+            at,
+            open: RefCell::default(),
+        })
     }
 
     async fn connection(&self) -> std::io::Result<Rc<Open>> {
@@ -53,7 +58,12 @@
         }
         let stream = Rc::new(Async::<TcpStream>::connect(self.at).await?);
         let (next, waiting, over) = (Cell::new(1), RefCell::default(), Cell::new(false));
-        let open = Rc::new(Open { stream, next, waiting, over });
+        let open = Rc::new(Open {
+            stream,
+            next,
+            waiting,
+            over,
+        });
         let listening = open.clone();
         self.stage
             .spawn(async move {
@@ -71,7 +81,9 @@
                         match (frame.kind, payload.split_first()) {
                             (frames::NO_MORE, _) => listening.over.set(true),
                             (frames::ANSWER, Some((&code, rest))) => {
-                                let body = frames::fields(rest).map(|f| f.1.to_vec()).unwrap_or_default();
+                                let body = frames::fields(rest)
+                                    .map(|f| f.1.to_vec())
+                                    .unwrap_or_default();
                                 let to = listening.waiting.borrow().get(&frame.stream).cloned();
                                 if let Some(to) = to {
                                     // A second answer has no room there, and is noted by who looks.
@@ -108,10 +120,19 @@
         let until = at + ask.allow + 0.05;
         let (client, trigger_type) = (self.front_end, ask.trigger_type.0);
         let front_end = self.front_end;
-        let offered =
-            Record::Offered { at, client, invocation: invocation.clone(), front_end, trigger_type, until };
+        let offered = Record::Offered {
+            at,
+            client,
+            invocation: invocation.clone(),
+            front_end,
+            trigger_type,
+            until,
+        };
         self.stage.record(offered);
-        let (allow, function) = (format!("{}", (ask.allow * 1e3) as u64), format!("{:016x}", ask.function));
+        let (allow, function) = (
+            format!("{}", (ask.allow * 1e3) as u64),
+            format!("{:016x}", ask.function),
+        );
         let token = format!("{:032x}", ask.id);
         let fields = [
             ("service", ask.trigger_type.1),
@@ -122,7 +143,14 @@
             ("tags", "memory_mb:64;lanes:4;load_ms:50"),
         ];
         let mut frame = vec![];
-        frames::put(&mut frame, frames::INVOKE, stream, None, Some(&fields), &ask.body);
+        frames::put(
+            &mut frame,
+            frames::INVOKE,
+            stream,
+            None,
+            Some(&fields),
+            &ask.body,
+        );
         let heard = async {
             (&*open.stream).write_all(&frame).await.ok()?;
             answers.recv().await.ok()
@@ -149,7 +177,10 @@
             frames::put(&mut frame, frames::WITHDRAW, stream, None, None, &[]);
             // The front end may have gone.
             let _ = (&*open.stream).write_all(&frame).await;
-            self.stage.record(Record::Left { at: self.stage.now(), invocation });
+            self.stage.record(Record::Left {
+                at: self.stage.now(),
+                invocation,
+            });
             open.waiting.borrow_mut().remove(&stream);
             return None;
         };
@@ -168,10 +199,18 @@
                 return None;
             }
         };
-        self.stage.record(Record::Answered { at, invocation: invocation.clone(), answer });
+        self.stage.record(Record::Answered {
+            at,
+            invocation: invocation.clone(),
+            answer,
+        });
         self.stage.sleep(0.3).await;
         if answers.try_recv().is_ok() {
-            self.stage.record(Record::Answered { at: self.stage.now(), invocation, answer });
+            self.stage.record(Record::Answered {
+                at: self.stage.now(),
+                invocation,
+                answer,
+            });
         }
         open.waiting.borrow_mut().remove(&stream);
         Some(answer)
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -129,8 +129,13 @@
     let tokens = Rc::new(RefCell::new(HashMap::new()));
     let make = |number: usize| {
         let listen = |_| Async::<TcpListener>::bind(any_port());
-        let listeners = (0..front_ends).map(listen).collect::<std::io::Result<Vec<_>>>()?;
-        let at = listeners.iter().map(|l| l.get_ref().local_addr()).collect::<std::io::Result<_>>()?;
+        let listeners = (0..front_ends)
+            .map(listen)
+            .collect::<std::io::Result<Vec<_>>>()?;
+        let at = listeners
+            .iter()
+            .map(|l| l.get_ref().local_addr())
+            .collect::<std::io::Result<_>>()?;
         let executor = Rc::new(Executor {
             number,
             name: format!("s-{number:08x}"),
@@ -154,7 +159,9 @@
             numbers: RefCell::default(),
         });
         for (front_end, listener) in (0..front_ends).zip(listeners) {
-            stage.spawn(executor.clone().serve(front_end, listener)).detach();
+            stage
+                .spawn(executor.clone().serve(front_end, listener))
+                .detach();
         }
         Ok(executor)
     };
@@ -171,7 +178,11 @@
 
     /// Where a front end reaches it.
     pub fn reached_at(&self, front_end: u32) -> SocketAddr {
-        let link = self.links.borrow().get(front_end as usize).map(|link| link.address);
+        let link = self
+            .links
+            .borrow()
+            .get(front_end as usize)
+            .map(|link| link.address);
         link.unwrap_or(self.at[front_end as usize])
     }
 
@@ -179,7 +190,11 @@
     pub fn fall_silent(&self, time: f64) {
         let at = self.stage.now();
         self.faults.silent.set(at + time);
-        self.stage.record(Record::Deaf { at, executor: self.number, until: at + time });
+        self.stage.record(Record::Deaf {
+            at,
+            executor: self.number,
+            until: at + time,
+        });
     }
 
     async fn silence(&self) {
@@ -191,13 +206,19 @@
     async fn serve(self: Rc<Self>, front_end: u32, listener: Async<TcpListener>) {
         while let Ok((stream, _)) = listener.accept().await {
             self.silence().await;
-            self.stage.spawn(self.clone().attend(front_end, stream)).detach();
+            self.stage
+                .spawn(self.clone().attend(front_end, stream))
+                .detach();
         }
     }
 
     async fn attend(self: Rc<Self>, front_end: u32, stream: Async<TcpStream>) {
         let (answers, queue) = async_channel::bounded::<Vec<u8>>(1_024);
-        let way = Way { front_end, stream: Rc::new(stream), answers };
+        let way = Way {
+            front_end,
+            stream: Rc::new(stream),
+            answers,
+        };
         let writing = async {
             while let Ok(line) = queue.recv().await {
                 if (&*way.stream).write_all(&line).await.is_err() {
@@ -211,7 +232,9 @@
             let mut lines = BufReader::new(&*way.stream).lines();
             while let Some(Ok(line)) = lines.next().await {
                 self.silence().await;
-                let Ok(message) = serde_json::from_str::<Value>(&line) else { return };
+                let Ok(message) = serde_json::from_str::<Value>(&line) else {
+                    return;
+                };
                 let id = message["i"].as_str().unwrap_or_default().to_owned();
                 works.retain(|_, work| !work.is_finished());
                 match message["t"].as_str() {
@@ -255,10 +278,22 @@
         let mut arrived = self.arrived.borrow_mut();
         arrived.retain(|&t| t > at - 1.0);
         arrived.push(at);
-        if at < self.since.get() + self.cold && arrived.len() > self.bears && !self.fell.replace(true) {
-            self.stage.record(Record::Fell { at, executor: self.number, since: self.since.get() });
+        if at < self.since.get() + self.cold
+            && arrived.len() > self.bears
+            && !self.fell.replace(true)
+        {
+            self.stage.record(Record::Fell {
+                at,
+                executor: self.number,
+                since: self.since.get(),
+            });
+        }
+        InHand {
+            executor: self.clone(),
+            invocation: id.to_owned(),
+            number,
+            ended: false,
         }
-        InHand { executor: self.clone(), invocation: id.to_owned(), number, ended: false }
     }
 
     /// Waits until a copy of the function stands; tells how it was found.
@@ -266,7 +301,9 @@
         let now = self.stage.now();
         let known = self.copies.borrow().get(function).copied();
         let stands_at = known.unwrap_or(now + self.load_time);
-        self.copies.borrow_mut().insert(function.to_owned(), stands_at);
+        self.copies
+            .borrow_mut()
+            .insert(function.to_owned(), stands_at);
         self.stage.sleep(stands_at - now).await;
         match known {
             None => "cold",
@@ -281,7 +318,12 @@
             in_hand.end(Ending::Refused);
             return way.put(line("WAIT", &id, json!({}), &Value::Null)).await;
         }
-        let spoil = self.faults.spoils.get().filter(|s| self.stage.unit() < s.1).map(|s| s.0);
+        let spoil = self
+            .faults
+            .spoils
+            .get()
+            .filter(|s| self.stage.unit() < s.1)
+            .map(|s| s.0);
         if spoil == Some(Spoil::Unread) {
             return way.cut();
         }
@@ -289,10 +331,20 @@
         let (at, executor, invocation) = (self.stage.now(), self.number, id.clone());
         let token = fields["nonce"].as_str().map(|t| (self.cell, t.to_owned()));
         let seen = token.and_then(|t| self.tokens.borrow_mut().insert(t, at));
-        self.stage.record(match seen.is_some_and(|seen| at < seen + self.token_window) {
-            true => Record::Dropped { at, executor, invocation },
-            false => Record::Ran { at, executor, invocation },
-        });
+        self.stage.record(
+            match seen.is_some_and(|seen| at < seen + self.token_window) {
+                true => Record::Dropped {
+                    at,
+                    executor,
+                    invocation,
+                },
+                false => Record::Ran {
+                    at,
+                    executor,
+                    invocation,
+                },
+            },
+        );
         self.stage.sleep(self.work).await;
         let told = json!({"tell": tell, "crowd": "1"});
         let done = line("DONE", &id, told.clone(), &message["b"]);
@@ -323,9 +375,12 @@
             copies,
         });
         if self.draining.get() {
-            return way.put(line("WAIT", &tag, json!({"count": 0}), &Value::Null)).await;
+            return way
+                .put(line("WAIT", &tag, json!({"count": 0}), &Value::Null))
+                .await;
         }
         self.load(fields["item"].as_str().unwrap_or_default()).await;
-        way.put(line("DONE", &tag, json!({"count": copies}), &Value::Null)).await;
+        way.put(line("DONE", &tag, json!({"count": copies}), &Value::Null))
+            .await;
     }
 }
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -65,7 +65,10 @@
 
 impl Resolver {
     pub fn new(stage: &Stage, lives: &Rc<Lives>, executors: &[Rc<Executor>]) -> Rc<Resolver> {
-        let ready = |e: &Rc<Executor>| Row { executor: e.clone(), standing: Standing::Ready };
+        let ready = |e: &Rc<Executor>| Row {
+            executor: e.clone(),
+            standing: Standing::Ready,
+        };
         let rows: Vec<Row> = executors.iter().map(ready).collect();
         Rc::new(Resolver {
             stage: stage.clone(),
@@ -134,7 +137,14 @@
             let standing = row.map_or(Standing::Gone, |r| r.standing);
             let since = row.map_or(f64::NEG_INFINITY, |r| r.executor.since.get());
             if told.insert((life, executor), standing) != Some(standing) {
-                self.stage.record(Record::Told { at, front_end, life, executor, standing, since });
+                self.stage.record(Record::Told {
+                    at,
+                    front_end,
+                    life,
+                    executor,
+                    standing,
+                    since,
+                });
             }
         }
     }
@@ -148,7 +158,11 @@
         self.tell(front_end);
         let host = |row: &Row| {
             let e = &row.executor;
-            let health = if row.standing == Standing::Ready { "SERVING" } else { "DRAINING" };
+            let health = if row.standing == Standing::Ready {
+                "SERVING"
+            } else {
+                "DRAINING"
+            };
             json!({"host": e.name, "dial": e.reached_at(front_end), "site": "east", "class": "std",
                 "block": e.cell, "health": health, "share": 4, "born_ms": self.started(e)})
         };
@@ -157,15 +171,26 @@
         json!({"index": self.serial.get(), "updates": [{"index": 1, "endpoints": endpoints}]})
     }
 
-    fn list(&self, id: u16, front_end: u32, odd: Option<Odd>) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
+    fn list(
+        &self,
+        id: u16,
+        front_end: u32,
+        odd: Option<Odd>,
+    ) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
         let before = self.before.borrow();
         let (serial, rows) = match odd {
             Some(Odd::Stale) => (before.0, before.1.clone()),
             Some(Odd::OldRows) => (self.serial.get(), before.1.clone()),
-            Some(Odd::Ahead(by)) => (self.serial.get().wrapping_add(by), self.rows.borrow().clone()),
+            Some(Odd::Ahead(by)) => (
+                self.serial.get().wrapping_add(by),
+                self.rows.borrow().clone(),
+            ),
             _ => (self.serial.get(), self.rows.borrow().clone()),
         };
-        let targets: Vec<String> = rows.iter().map(|r| format!("{}.east.hosts", r.executor.name)).collect();
+        let targets: Vec<String> = rows
+            .iter()
+            .map(|r| format!("{}.east.hosts", r.executor.name))
+            .collect();
         let mut packet = Packet::new_reply(if odd == Some(Odd::Foreign) { !id } else { id });
         packet.set_flags(PacketFlag::RESPONSE);
         match odd {
@@ -178,27 +203,61 @@
             let at = e.reached_at(front_end);
             let is_odd = |kind| n == 0 && odd == Some(kind);
             let priority = u16::from((row.standing != Standing::Ready) != is_odd(Odd::OddStanding));
-            let srv = SRV { priority, weight: 40, port: at.port(), target: target.clone() };
-            packet.answers.push(ResourceRecord::new(Name::new(SERVICE)?, CLASS::IN, 0, RData::SRV(srv)));
+            let srv = SRV {
+                priority,
+                weight: 40,
+                port: at.port(),
+                target: target.clone(),
+            };
+            packet.answers.push(ResourceRecord::new(
+                Name::new(SERVICE)?,
+                CLASS::IN,
+                0,
+                RData::SRV(srv),
+            ));
             if let IpAddr::V4(ip) = at.ip() {
                 let a = RData::A(A::from(ip));
-                packet.additional_records.push(ResourceRecord::new(target.clone(), CLASS::IN, 0, a));
+                packet.additional_records.push(ResourceRecord::new(
+                    target.clone(),
+                    CLASS::IN,
+                    0,
+                    a,
+                ));
             }
             let mut txt = TXT::new();
-            let figures = [format!("cell={}", e.cell), format!("started={}", self.started(e))];
-            for text in [if is_odd(Odd::OddText) { "kin" } else { "kind=std" }]
-                .into_iter()
-                .chain(figures.iter().map(String::as_str))
+            let figures = [
+                format!("cell={}", e.cell),
+                format!("started={}", self.started(e)),
+            ];
+            for text in [if is_odd(Odd::OddText) {
+                "kin"
+            } else {
+                "kind=std"
+            }]
+            .into_iter()
+            .chain(figures.iter().map(String::as_str))
             {
                 txt.add_string(text)?;
             }
             let txt = RData::TXT(txt.into_owned());
-            packet.additional_records.push(ResourceRecord::new(target, CLASS::IN, 0, txt));
+            packet
+                .additional_records
+                .push(ResourceRecord::new(target, CLASS::IN, 0, txt));
         }
         let name = || Name::new("farm.lan");
         let (refresh, retry, expire, minimum) = (1, 1, 1, 0);
-        let soa = SOA { mname: name()?, rname: name()?, serial, refresh, retry, expire, minimum };
-        packet.name_servers.push(ResourceRecord::new(name()?, CLASS::IN, 0, RData::SOA(soa)));
+        let soa = SOA {
+            mname: name()?,
+            rname: name()?,
+            serial,
+            refresh,
+            retry,
+            expire,
+            minimum,
+        };
+        packet
+            .name_servers
+            .push(ResourceRecord::new(name()?, CLASS::IN, 0, RData::SOA(soa)));
         packet.build_bytes_vec_compressed()
     }
 
@@ -221,13 +280,17 @@
                     me.tell(front_end);
                     continue;
                 }
-                let Ok(mut list) = me.list(id, front_end, odd) else { continue };
+                let Ok(mut list) = me.list(id, front_end, odd) else {
+                    continue;
+                };
                 if odd == Some(Odd::Cut) {
                     list.truncate(list.len() / 2);
                 }
                 let is_told = matches!(
                     odd,
-                    None | Some(Odd::Ahead(_) | Odd::Late | Odd::LateBy(_) | Odd::Doubled | Odd::OddText)
+                    None | Some(
+                        Odd::Ahead(_) | Odd::Late | Odd::LateBy(_) | Odd::Doubled | Odd::OddText
+                    )
                 );
                 if is_told {
                     me.tell(front_end);
@@ -246,7 +309,11 @@
                     // One who is gone asks no more.
                     let _ = socket.send_to(&list, from).await;
                 };
-                if late > 0.0 { stage.spawn(sending).detach() } else { sending.await }
+                if late > 0.0 {
+                    stage.spawn(sending).detach()
+                } else {
+                    sending.await
+                }
             }
         };
         self.stage.spawn(serving).detach();
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -74,7 +74,9 @@
         }
         let row = {
             let mut rows = self.rows.borrow_mut();
-            let Some(row) = rows.iter_mut().find(|r| r.executor == executor) else { return };
+            let Some(row) = rows.iter_mut().find(|r| r.executor == executor) else {
+                return;
+            };
             row.standing = standing;
             row.since = row.since.max(since);
             row.clone()
@@ -83,7 +85,8 @@
         let now = self.stage.now();
         self.watchers.borrow_mut().retain(|w| {
             let late = self.delay.get() * self.stage.unit();
-            w.try_send((now.max(self.stale.ends()) + late, row.clone())).is_ok()
+            w.try_send((now.max(self.stale.ends()) + late, row.clone()))
+                .is_ok()
         });
     }
 
@@ -129,7 +132,9 @@
     async fn connection(self: Rc<Self>, stream: orchidtally_net::Stream) {
         let cut = self.cut.borrow().1.clone();
         let serve = async {
-            let Ok(mut connection) = h2::server::handshake(stream).await else { return };
+            let Ok(mut connection) = h2::server::handshake(stream).await else {
+                return;
+            };
             let streams = async_executor::LocalExecutor::new();
             let accept = async {
                 while let Some(Ok((request, respond))) = connection.accept().await {
@@ -173,20 +178,36 @@
             Some(kept) => kept.clone(),
             None => self.rows.borrow().clone(),
         };
-        let Ok(mut out) = respond.send_response(http::Response::new(()), false) else { return };
+        let Ok(mut out) = respond.send_response(http::Response::new(()), false) else {
+            return;
+        };
         let update = |kind: v1::RosterKind, rows: Vec<v1::RosterRow>| {
-            frame(&v1::RosterUpdate { kind: kind.into(), revision: self.revision.get(), rows })
+            frame(&v1::RosterUpdate {
+                kind: kind.into(),
+                revision: self.revision.get(),
+                rows,
+            })
         };
         rows.iter().for_each(|row| self.told(to, row));
         // What is gone is left out of a full list.
-        let listed = rows.iter().filter(|r| r.standing != Standing::Gone).map(|r| self.wire(r)).collect();
-        if out.send_data(update(v1::RosterKind::FullList, listed), false).is_err() {
+        let listed = rows
+            .iter()
+            .filter(|r| r.standing != Standing::Gone)
+            .map(|r| self.wire(r))
+            .collect();
+        if out
+            .send_data(update(v1::RosterKind::FullList, listed), false)
+            .is_err()
+        {
             return;
         }
         while let Ok((at, row)) = changes.recv().await {
             self.stage.sleep(at - self.stage.now()).await;
             self.told(to, &row);
-            if out.send_data(update(v1::RosterKind::Delta, vec![self.wire(&row)]), false).is_err() {
+            if out
+                .send_data(update(v1::RosterKind::Delta, vec![self.wire(&row)]), false)
+                .is_err()
+            {
                 return;
             }
         }
--- a/crates/test-servers/src/raw.rs
+++ b/crates/test-servers/src/raw.rs
@@ -90,7 +90,12 @@
         7 => Kind::GoAway,
         other => Kind::Other(other),
     };
-    Ok(Frame { kind, flags: head[4], stream, payload })
+    Ok(Frame {
+        kind,
+        flags: head[4],
+        stream,
+        payload,
+    })
 }
 
 /// Serves one connection by a script, which hears each frame. Settings and pings are answered by themselves.
@@ -104,7 +109,9 @@
     loop {
         let frame_in = read(&mut socket).await?;
         match frame_in.kind {
-            Kind::Settings if frame_in.flags & 1 == 0 => socket.write_all(&frame(4, 1, 0, &[])).await?,
+            Kind::Settings if frame_in.flags & 1 == 0 => {
+                socket.write_all(&frame(4, 1, 0, &[])).await?
+            }
             Kind::Ping if frame_in.flags & 1 == 0 => {
                 socket.write_all(&frame(6, 1, 0, &frame_in.payload)).await?
             }
--- a/crates/test-servers/src/rogue.rs
+++ b/crates/test-servers/src/rogue.rs
@@ -27,8 +27,16 @@
 
 impl Rogue {
     pub fn new(stage: &Stage, index: u32, count: u32) -> Rc<Rogue> {
-        let sender = v1::Sender { index, count, incarnation: INCARNATION };
-        Rc::new(Rogue { stage: stage.clone(), sender, connections: RefCell::default() })
+        let sender = v1::Sender {
+            index,
+            count,
+            incarnation: INCARNATION,
+        };
+        Rc::new(Rogue {
+            stage: stage.clone(),
+            sender,
+            connections: RefCell::default(),
+        })
     }
 
     async fn send(
@@ -70,7 +78,9 @@
     /// Follows the roster as a front end does, and asks for it again when the publisher breaks off.
     pub async fn follow(self: Rc<Self>, publisher: SocketAddr) {
         loop {
-            let ask = frame(&v1::RosterWatch { from: Some(self.sender) });
+            let ask = frame(&v1::RosterWatch {
+                from: Some(self.sender),
+            });
             if let Ok(mut told) = self.send(publisher, ROSTER, ask).await {
                 while let Some(Ok(chunk)) = told.data().await {
                     // Fails only where the stream has ended, which the next read tells.
@@ -100,11 +110,14 @@
             range_end: range_end(prefix.as_bytes()).into(),
             ..RangeRequest::default()
         };
-        let listed: RangeResponse = client.unary(orchidtally_etcd::RANGE, &list, STORE_TIME).await?;
+        let listed: RangeResponse = client
+            .unary(orchidtally_etcd::RANGE, &list, STORE_TIME)
+            .await?;
         let next = listed.header.map_or(0, |header| header.revision) + 1;
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), next);
-        let mut told =
-            client.both::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME).await?;
+        let mut told = client
+            .both::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME)
+            .await?;
         loop {
             if told.next().await?.canceled {
                 return Ok(());
@@ -138,8 +151,13 @@
 
     pub async fn hold(&self, to: SocketAddr, function: &str) {
         let (kind, function) = (v1::OrderKind::Hold.into(), function.to_owned());
-        let order =
-            frame(&v1::Order { from: Some(self.sender), kind, function, copies: 1, ..v1::Order::default() });
+        let order = frame(&v1::Order {
+            from: Some(self.sender),
+            kind,
+            function,
+            copies: 1,
+            ..v1::Order::default()
+        });
         if let Ok(mut answer) = self.send(to, ORDER, order).await {
             while let Some(Ok(_)) = answer.data().await {}
         }
--- a/crates/test-servers/tests/etcd_cluster.rs
+++ b/crates/test-servers/tests/etcd_cluster.rs
@@ -16,27 +16,48 @@
 fn a_quorum_is_kept_with_two_members_dead_and_lost_with_three() {
     let (stage, served) = cluster(1);
     on(&stage, async {
-        let clients: Vec<Client> = served.addresses.iter().map(|&at| client(&stage, at)).collect();
+        let clients: Vec<Client> = served
+            .addresses
+            .iter()
+            .map(|&at| client(&stage, at))
+            .collect();
         put(&clients[4], "k", "1").await.unwrap();
         served.stop(0);
         served.stop(2);
         // The leader was among them: another is elected while this waits.
         let answered = put(&clients[4], "k", "2").await.unwrap();
         assert_eq!(answered.header.unwrap().raft_term, 2);
-        assert!(matches!(put(&clients[0], "k", "dead").await, Err(Fault::Unreachable(_))));
+        assert!(matches!(
+            put(&clients[0], "k", "dead").await,
+            Err(Fault::Unreachable(_))
+        ));
         served.stop(1);
         for left in [3, 4] {
-            assert!(is_unavailable(&put(&clients[left], "k", "3").await), "member {left}");
-            assert!(is_unavailable(&get(&clients[left], "k", false).await), "member {left}");
+            assert!(
+                is_unavailable(&put(&clients[left], "k", "3").await),
+                "member {left}"
+            );
+            assert!(
+                is_unavailable(&get(&clients[left], "k", false).await),
+                "member {left}"
+            );
             let grant = LeaseGrantRequest { ttl: 5, id: 0 };
-            let granted = clients[left].unary::<LeaseGrantResponse>(LEASE_GRANT, &grant, ANSWER_TIME).await;
+            let granted = clients[left]
+                .unary::<LeaseGrantResponse>(LEASE_GRANT, &grant, ANSWER_TIME)
+                .await;
             assert!(is_unavailable(&granted), "member {left}");
-            assert_eq!(value(&get(&clients[left], "k", true).await.unwrap()).as_deref(), Some("2"));
+            assert_eq!(
+                value(&get(&clients[left], "k", true).await.unwrap()).as_deref(),
+                Some("2")
+            );
         }
         served.restart(0);
         put(&clients[3], "k", "4").await.unwrap();
         let found = get(&clients[0], "k", false).await.unwrap();
-        assert_eq!((value(&found).as_deref(), found.header.unwrap().member_id), (Some("4"), 1));
+        assert_eq!(
+            (value(&found).as_deref(), found.header.unwrap().member_id),
+            (Some("4"), 1)
+        );
     });
 }
 
@@ -52,17 +73,32 @@
         let new = revision(put(&far, "p/k", "new").await.unwrap().header);
         // Compaction by the others is not heard of either.
         served.store.borrow_mut().compact(new).unwrap();
-        assert_eq!((served.view(4).revision, served.view(4).compacted), (old, 0));
+        assert_eq!(
+            (served.view(4).revision, served.view(4).compacted),
+            (old, 0)
+        );
         let found = get(&near, "p/k", true).await.unwrap();
-        assert_eq!((value(&found).as_deref(), revision(found.header)), (Some("old"), old));
+        assert_eq!(
+            (value(&found).as_deref(), revision(found.header)),
+            (Some("old"), old)
+        );
         assert!(is_unavailable(&get(&near, "p/k", false).await));
         assert_eq!(watcher.progress().await, old);
         assert_eq!(watcher.progress().await, old, "however often it is asked");
         served.heal();
         // It catches up by a snapshot, in which the compaction has overtaken this watch.
-        assert_eq!(watcher.next().await, [Told::Compacted { revision: new + 1 }]);
-        assert_eq!(Watcher::begin(&near, "p/", new + 1).await.progress().await, new);
-        assert_eq!(value(&get(&near, "p/k", false).await.unwrap()).as_deref(), Some("new"));
+        assert_eq!(
+            watcher.next().await,
+            [Told::Compacted { revision: new + 1 }]
+        );
+        assert_eq!(
+            Watcher::begin(&near, "p/", new + 1).await.progress().await,
+            new
+        );
+        assert_eq!(
+            value(&get(&near, "p/k", false).await.unwrap()).as_deref(),
+            Some("new")
+        );
     });
 }
 
@@ -75,19 +111,29 @@
             for (member, &at) in served.addresses.iter().enumerate() {
                 let answered = put(&client(&stage, at), "k", "v").await;
                 let is_cut_off = REGIONS[member] == region;
-                assert_eq!(answered.is_err(), is_cut_off, "region {region}, member {member}: {answered:?}");
+                assert_eq!(
+                    answered.is_err(),
+                    is_cut_off,
+                    "region {region}, member {member}: {answered:?}"
+                );
             }
             served.heal();
         }
         // Two regions lose each other alone: the leader's side goes on, and the third region with it.
         served.cut_between(0, 1);
-        let can_write =
-            async |member: usize| put(&client(&stage, served.addresses[member]), "k", "v").await.is_ok();
+        let can_write = async |member: usize| {
+            put(&client(&stage, served.addresses[member]), "k", "v")
+                .await
+                .is_ok()
+        };
         let mut writing = vec![];
         for member in 0..5 {
             writing.push(can_write(member).await);
         }
-        assert!(writing[4] && writing[0] == writing[1] && writing[2] == writing[3], "{writing:?}");
+        assert!(
+            writing[4] && writing[0] == writing[1] && writing[2] == writing[3],
+            "{writing:?}"
+        );
         assert_ne!(writing[0], writing[2]);
     });
 }
@@ -101,7 +147,11 @@
         let before = served.counters(0).bytes_received;
         served.cut(2);
         let short = Duration::from_millis(300);
-        let put = PutRequest { key: "k".into(), value: "2".into(), ..PutRequest::default() };
+        let put = PutRequest {
+            key: "k".into(),
+            value: "2".into(),
+            ..PutRequest::default()
+        };
         let answered = abroad.unary::<PutResponse>(PUT, &put, short).await;
         assert!(matches!(answered, Err(Fault::TimedOut)), "{answered:?}");
         assert_eq!(served.counters(0).bytes_received, before, "nothing passes");
@@ -117,7 +167,10 @@
 
 #[test]
 fn a_transaction_in_which_two_members_die_is_committed_as_a_whole_or_not_at_all() {
-    for (point, committed) in [(CrashPoint::BeforeCommit, false), (CrashPoint::AfterCommit, true)] {
+    for (point, committed) in [
+        (CrashPoint::BeforeCommit, false),
+        (CrashPoint::AfterCommit, true),
+    ] {
         let (stage, served) = cluster(5);
         on(&stage, async {
             let serving = client(&stage, served.addresses[2]);
@@ -136,17 +189,32 @@
                 target_union: Some(TargetUnion::Version(1)),
                 ..Compare::default()
             };
-            let txn =
-                TxnRequest { compare: vec![unchanged], success: vec![op("a"), op("b")], failure: vec![] };
+            let txn = TxnRequest {
+                compare: vec![unchanged],
+                success: vec![op("a"), op("b")],
+                failure: vec![],
+            };
             served.crash_in_next_transaction(point, 2);
             let answered = serving.unary::<TxnResponse>(TXN, &txn, ANSWER_TIME).await;
-            assert!(matches!(answered, Err(Fault::Unreachable(_))), "{point:?}: {answered:?}");
-            let (a, b) = (get(&other, "a", false).await.unwrap(), get(&other, "b", false).await.unwrap());
+            assert!(
+                matches!(answered, Err(Fault::Unreachable(_))),
+                "{point:?}: {answered:?}"
+            );
+            let (a, b) = (
+                get(&other, "a", false).await.unwrap(),
+                get(&other, "b", false).await.unwrap(),
+            );
             let found = (value(&a), value(&b));
-            let (whole, none) = ((Some("1".into()), Some("1".into())), (Some("0".into()), None));
+            let (whole, none) = (
+                (Some("1".into()), Some("1".into())),
+                (Some("0".into()), None),
+            );
             assert_eq!(found, if committed { whole } else { none }, "{point:?}");
             // It may be asked again: the comparison keeps it from being applied twice.
-            let again = other.unary::<TxnResponse>(TXN, &txn, ANSWER_TIME).await.unwrap();
+            let again = other
+                .unary::<TxnResponse>(TXN, &txn, ANSWER_TIME)
+                .await
+                .unwrap();
             assert_eq!(again.succeeded, !committed, "{point:?}");
             assert!(!served.has_leader(2) && served.has_leader(4));
         });
@@ -160,13 +228,27 @@
         let any = client(&stage, served.addresses[4]);
         let grant = LeaseGrantRequest { ttl: 1, id: 0 };
         let lease: LeaseGrantResponse = any.unary(LEASE_GRANT, &grant, ANSWER_TIME).await.unwrap();
-        let leased = PutRequest { key: "l".into(), lease: lease.id, ..PutRequest::default() };
-        any.unary::<PutResponse>(PUT, &leased, ANSWER_TIME).await.unwrap();
+        let leased = PutRequest {
+            key: "l".into(),
+            lease: lease.id,
+            ..PutRequest::default()
+        };
+        any.unary::<PutResponse>(PUT, &leased, ANSWER_TIME)
+            .await
+            .unwrap();
         (0..3).for_each(|member| served.stop(member));
         stage.sleep(1.5).await;
-        assert_eq!(get(&any, "l", true).await.unwrap().kvs.len(), 1, "nobody can end it");
+        assert_eq!(
+            get(&any, "l", true).await.unwrap().kvs.len(),
+            1,
+            "nobody can end it"
+        );
         served.restart(0);
-        assert_eq!(get(&any, "l", false).await.unwrap().kvs.len(), 1, "it has its whole time again");
+        assert_eq!(
+            get(&any, "l", false).await.unwrap().kvs.len(),
+            1,
+            "it has its whole time again"
+        );
         while !get(&any, "l", false).await.unwrap().kvs.is_empty() {
             stage.sleep(0.05).await;
         }
@@ -189,6 +271,10 @@
         assert_eq!(counted.bytes_received, client.traffic().sent());
         assert_eq!(counted.bytes_sent, client.traffic().received());
         assert_eq!((counted.exchanges.puts, counted.connections_open), (20, 1));
-        assert_eq!(served.total_counters(), counted, "no other member had anything to do");
+        assert_eq!(
+            served.total_counters(),
+            counted,
+            "no other member had anything to do"
+        );
     });
 }
--- a/crates/test-servers/tests/etcd_watch.rs
+++ b/crates/test-servers/tests/etcd_watch.rs
@@ -21,15 +21,28 @@
         // Both happen before any watch is served.
         put_here(&served, "p/b");
         served.store.borrow_mut().compact(first + 1).unwrap();
-        assert_eq!(synced.next().await, [Told::Compacted { revision: first + 2 }]);
+        assert_eq!(
+            synced.next().await,
+            [Told::Compacted {
+                revision: first + 2
+            }]
+        );
         let mut late = Watcher::begin(&client, "p/", first).await;
-        assert_eq!(late.next().await, [Told::Compacted { revision: first + 2 }]);
+        assert_eq!(
+            late.next().await,
+            [Told::Compacted {
+                revision: first + 2
+            }]
+        );
         let mut current = Watcher::begin(&client, "p/", first + 2).await;
         put_here(&served, "p/c");
         assert!(matches!(&current.next().await[..], [Told::Events { .. }]));
         served.store.borrow_mut().compact(first + 2).unwrap();
         put_here(&served, "p/d");
-        assert!(matches!(&current.next().await[..], [Told::Events { .. }]), "it has heard of all before");
+        assert!(
+            matches!(&current.next().await[..], [Told::Events { .. }]),
+            "it has heard of all before"
+        );
     });
 }
 
@@ -50,7 +63,9 @@
             }
         });
         let ask = RequestUnion::ProgressRequest(WatchProgressRequest {});
-        let ask = WatchRequest { request_union: Some(ask) };
+        let ask = WatchRequest {
+            request_union: Some(ask),
+        };
         let (mut heard, mut finished) = (1, false);
         while !finished {
             watcher.stream.send(&ask).unwrap();
@@ -85,7 +100,10 @@
                 ..WatchCreateRequest::default()
             })),
         };
-        let mut stream: Both<WatchResponse> = client.both(WATCH, &create("a/"), ANSWER_TIME).await.unwrap();
+        let mut stream: Both<WatchResponse> = client
+            .both(WATCH, &create("a/"), ANSWER_TIME)
+            .await
+            .unwrap();
         let first = stream.next().await.unwrap();
         stream.send(&create("b/")).unwrap();
         let second = stream.next().await.unwrap();
@@ -93,8 +111,14 @@
         assert_eq!(served.counters(0).watches_open, 2);
         put_here(&served, "b/1");
         assert_eq!(stream.next().await.unwrap().watch_id, second.watch_id);
-        let cancel = RequestUnion::CancelRequest(WatchCancelRequest { watch_id: second.watch_id });
-        stream.send(&WatchRequest { request_union: Some(cancel) }).unwrap();
+        let cancel = RequestUnion::CancelRequest(WatchCancelRequest {
+            watch_id: second.watch_id,
+        });
+        stream
+            .send(&WatchRequest {
+                request_union: Some(cancel),
+            })
+            .unwrap();
         assert!(stream.next().await.unwrap().canceled);
         put_here(&served, "b/2");
         put_here(&served, "a/1");
@@ -120,19 +144,23 @@
             put_here(&served, &format!("other/{n}"));
         }
         let from = served.store.borrow().revision + 1;
-        let clients: Vec<Client> =
-            (0..CONNECTIONS).map(|n| client(&stage, served.addresses[n % REGIONS.len()])).collect();
+        let clients: Vec<Client> = (0..CONNECTIONS)
+            .map(|n| client(&stage, served.addresses[n % REGIONS.len()]))
+            .collect();
         let mut watching = vec![];
         for n in 0..WATCHERS {
             watching.push(Watcher::begin(&clients[n % CONNECTIONS], "p/", from).await);
         }
         assert_eq!(served.total_counters().watches_open, WATCHERS as u64);
         let started = stage.now();
-        let listen = |mut watcher: Watcher| stage.spawn(async move { watcher.events(CHANGES).await });
+        let listen =
+            |mut watcher: Watcher| stage.spawn(async move { watcher.events(CHANGES).await });
         let watching: Vec<_> = watching.into_iter().map(listen).collect();
         let writer = client(&stage, served.addresses[0]);
         for n in 0..CHANGES {
-            put(&writer, &format!("p/{n}"), &"x".repeat(300)).await.unwrap();
+            put(&writer, &format!("p/{n}"), &"x".repeat(300))
+                .await
+                .unwrap();
         }
         for watcher in watching {
             assert_eq!(watcher.await, CHANGES);
@@ -142,7 +170,10 @@
         let total = served.total_counters();
         let least = (WATCHERS * CHANGES * 300) as u64;
         assert_eq!(total.exchanges.watch_events, (WATCHERS * CHANGES) as u64);
-        assert!(total.bytes_sent > least && total.bytes_sent < 2 * least, "{total:?}");
+        assert!(
+            total.bytes_sent > least && total.bytes_sent < 2 * least,
+            "{total:?}"
+        );
         assert_eq!(total.exchanges.puts, CHANGES as u64);
     });
 }
@@ -153,17 +184,31 @@
     const CHANGES: usize = 3_000;
     let (stage, served) = cluster(12);
     on(&stage, async {
-        let (idle, busy) = (client(&stage, served.addresses[0]), client(&stage, served.addresses[1]));
+        let (idle, busy) = (
+            client(&stage, served.addresses[0]),
+            client(&stage, served.addresses[1]),
+        );
         let mut waiting = Watcher::begin(&idle, "p/", 2).await;
         let mut reading = Watcher::begin(&busy, "p/", 2).await;
         for n in 0..CHANGES {
             let value = Bytes::from(vec![b'x'; 1_000]);
-            let put = PutRequest { key: format!("p/{n}").into(), value, ..PutRequest::default() };
+            let put = PutRequest {
+                key: format!("p/{n}").into(),
+                value,
+                ..PutRequest::default()
+            };
             served.store.borrow_mut().put(&put).unwrap();
         }
         assert_eq!(reading.events(CHANGES).await, CHANGES);
         let held_back = served.counters(0).bytes_sent;
-        assert!(held_back < 200_000, "{held_back} bytes went to a client that reads nothing");
-        assert_eq!(waiting.events(CHANGES).await, CHANGES, "all of it comes once it reads");
+        assert!(
+            held_back < 200_000,
+            "{held_back} bytes went to a client that reads nothing"
+        );
+        assert_eq!(
+            waiting.events(CHANGES).await,
+            CHANGES,
+            "all of it comes once it reads"
+        );
     });
 }
--- a/crates/test-servers/tests/kit/mod.rs
+++ b/crates/test-servers/tests/kit/mod.rs
@@ -42,13 +42,27 @@
 
 pub async fn put(client: &Client, key: &str, value: &str) -> Result<PutResponse, Fault> {
     let key = Bytes::from(key.to_owned());
-    let put = PutRequest { key, value: Bytes::from(value.to_owned()), ..PutRequest::default() };
+    let put = PutRequest {
+        key,
+        value: Bytes::from(value.to_owned()),
+        ..PutRequest::default()
+    };
     client.unary(PUT, &put, ANSWER_TIME).await
 }
 
 pub async fn get(client: &Client, key: &str, serializable: bool) -> Result<RangeResponse, Fault> {
     let key = Bytes::from(key.to_owned());
-    client.unary(RANGE, &RangeRequest { key, serializable, ..RangeRequest::default() }, ANSWER_TIME).await
+    client
+        .unary(
+            RANGE,
+            &RangeRequest {
+                key,
+                serializable,
+                ..RangeRequest::default()
+            },
+            ANSWER_TIME,
+        )
+        .await
 }
 
 pub fn value(found: &RangeResponse) -> Option<String> {
@@ -71,7 +85,10 @@
 impl Watcher {
     pub async fn begin(client: &Client, prefix: &str, from: i64) -> Watcher {
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
-        let stream = client.both(WATCH, &watch.request(), ANSWER_TIME).await.unwrap();
+        let stream = client
+            .both(WATCH, &watch.request(), ANSWER_TIME)
+            .await
+            .unwrap();
         let mut watcher = Watcher { watch, stream };
         assert_eq!(watcher.next().await, [Told::Created]);
         watcher
@@ -97,7 +114,11 @@
     /// The revision that the member tells when it is asked for progress.
     pub async fn progress(&mut self) -> i64 {
         let ask = RequestUnion::ProgressRequest(WatchProgressRequest {});
-        self.stream.send(&WatchRequest { request_union: Some(ask) }).unwrap();
+        self.stream
+            .send(&WatchRequest {
+                request_union: Some(ask),
+            })
+            .unwrap();
         loop {
             if let Some(Told::Progress { header, .. }) = self.next().await.first() {
                 return header.revision;
@@ -108,6 +129,10 @@
 
 /// Puts a key as a script does, whatever members run.
 pub fn put_here(served: &Served, key: &str) -> i64 {
-    let put = PutRequest { key: Bytes::from(key.to_owned()), value: "v".into(), ..PutRequest::default() };
+    let put = PutRequest {
+        key: Bytes::from(key.to_owned()),
+        value: "v".into(),
+        ..PutRequest::default()
+    };
     revision(served.store.borrow_mut().put(&put).unwrap().header)
 }
--- a/crates/trigger/src/admission.rs
+++ b/crates/trigger/src/admission.rs
@@ -94,7 +94,8 @@
     /// Offers a message under a number that grows. Returns false where as many messages wait as may: a broker that
     /// keeps to the receive maximum never comes to that.
     pub fn offer(&mut self, n: u64, message: Waiting) -> bool {
-        if self.waiting.len() >= self.most_waiting || message.trigger_type >= self.usual_times.len() {
+        if self.waiting.len() >= self.most_waiting || message.trigger_type >= self.usual_times.len()
+        {
             return false;
         }
         if let Some(key) = &message.key {
@@ -126,7 +127,8 @@
     /// Whether no message of its key has to come before it.
     fn is_first_of_key(&self, n: u64, message: &Waiting) -> bool {
         message.key.as_ref().is_none_or(|key| {
-            !self.busy_keys.contains(key) && self.queues.get(key).and_then(VecDeque::front) == Some(&n)
+            !self.busy_keys.contains(key)
+                && self.queues.get(key).and_then(VecDeque::front) == Some(&n)
         })
     }
 
@@ -139,11 +141,24 @@
             decisions.push(Decision::GiveUp(n));
         }
         while (self.in_flight.len() as f64) < self.limit.floor().max(LEAST_LIMIT) {
-            let Some(n) = self.most_valuable(now) else { break };
-            let Some(message) = self.remove_waiting(n) else { break };
-            let Waiting { trigger_type, key, .. } = message;
+            let Some(n) = self.most_valuable(now) else {
+                break;
+            };
+            let Some(message) = self.remove_waiting(n) else {
+                break;
+            };
+            let Waiting {
+                trigger_type, key, ..
+            } = message;
             self.busy_keys.extend(key.clone());
-            self.in_flight.insert(n, InFlight { trigger_type, key, admitted_at: now });
+            self.in_flight.insert(
+                n,
+                InFlight {
+                    trigger_type,
+                    key,
+                    admitted_at: now,
+                },
+            );
             decisions.push(Decision::Admit(n));
         }
         decisions
@@ -152,13 +167,21 @@
     /// Messages that can't be answered in time.
     fn late(&self, now: f64) -> Vec<u64> {
         let is_late = |message: &Waiting| now + self.usual_time(message, now) > message.until;
-        self.waiting.iter().filter(|(_, message)| is_late(message)).map(|(&n, _)| n).collect()
+        self.waiting
+            .iter()
+            .filter(|(_, message)| is_late(message))
+            .map(|(&n, _)| n)
+            .collect()
     }
 
     /// The message that earns the most for its time; of several the newest.
     fn most_valuable(&self, now: f64) -> Option<u64> {
-        let worth = |message: &Waiting| message.value / self.usual_time(message, now).max(LEAST_TIME);
-        let candidates = self.waiting.iter().filter(|(n, message)| self.is_first_of_key(**n, message));
+        let worth =
+            |message: &Waiting| message.value / self.usual_time(message, now).max(LEAST_TIME);
+        let candidates = self
+            .waiting
+            .iter()
+            .filter(|(n, message)| self.is_first_of_key(**n, message));
         let best = candidates.max_by(|a, b| worth(a.1).total_cmp(&worth(b.1)).then(a.0.cmp(b.0)));
         best.map(|(&n, _)| n)
     }
@@ -178,7 +201,9 @@
 
     /// An invocation has had its final answer. A throttled one cuts the limit: there is no room for as many.
     pub fn finished(&mut self, now: f64, n: u64, throttled: bool) {
-        let Some(message) = self.in_flight.remove(&n) else { return };
+        let Some(message) = self.in_flight.remove(&n) else {
+            return;
+        };
         if let Some(key) = &message.key {
             self.busy_keys.remove(key);
         }
--- a/crates/trigger/src/consumer/actions.rs
+++ b/crates/trigger/src/consumer/actions.rs
@@ -67,16 +67,24 @@
 
     fn publish_set_aside_copy(&mut self, now: f64, n: u64) -> Vec<Action> {
         let (message, answer) = (self.ledger.message(n), self.ledger.answer(n));
-        let (Some(message), Some(Answer::SetAside { why })) = (message, answer) else { return vec![] };
+        let (Some(message), Some(Answer::SetAside { why })) = (message, answer) else {
+            return vec![];
+        };
         self.counters.set_aside += 1;
         let copy = encode_set_aside_copy(self.version, message, why);
-        self.notices.push_back(Notice::SetAside { topic: message.topic.clone(), why: why.clone() });
+        self.notices.push_back(Notice::SetAside {
+            topic: message.topic.clone(),
+            why: why.clone(),
+        });
         let token = self.set_aside_topic.as_ref().and_then(|topic| {
-            self.session.publish(now, topic, copy.payload, Qos::AtLeastOnce, copy.properties).ok()
+            self.session
+                .publish(now, topic, copy.payload, Qos::AtLeastOnce, copy.properties)
+                .ok()
         });
         match token {
             Some(token) => {
-                self.publications.insert(token, Publication::SetAsideCopy(n));
+                self.publications
+                    .insert(token, Publication::SetAsideCopy(n));
                 vec![]
             }
             // There is no topic for it, or it would never be taken there.
@@ -86,16 +94,24 @@
 
     fn publish_reply(&mut self, now: f64, n: u64, id: u16, again: bool) -> Vec<Action> {
         let (message, answer) = (self.ledger.message(n), self.ledger.answer(n));
-        let (Some(message), Some(answer)) = (message, answer) else { return vec![] };
-        let Some(reply) = &message.reply else { return self.ledger.reply_completed(n) };
+        let (Some(message), Some(answer)) = (message, answer) else {
+            return vec![];
+        };
+        let Some(reply) = &message.reply else {
+            return self.ledger.reply_completed(n);
+        };
         self.counters.unknown += u64::from(*answer == Answer::Unknown);
-        let too_long =
-            Answer::Errored { why: "the answer is longer than the broker takes".into(), may_have_run: true };
+        let too_long = Answer::Errored {
+            why: "the answer is longer than the broker takes".into(),
+            may_have_run: true,
+        };
         // An answer that is not accepted is replaced by one that says so.
         let token = [answer, &too_long].into_iter().find_map(|answer| {
             let encoded = encode_reply(self.version, message, answer);
             let (payload, properties) = (encoded.payload, encoded.properties);
-            self.session.publish_as(now, id, again, &reply.topic, payload, properties).ok()
+            self.session
+                .publish_as(now, id, again, &reply.topic, payload, properties)
+                .ok()
         });
         match token {
             Some(token) => {
--- a/crates/trigger/src/consumer/events.rs
+++ b/crates/trigger/src/consumer/events.rs
@@ -22,12 +22,18 @@
         Ok(())
     }
 
-    fn handle(&mut self, now: f64, event: Event, deployment: &Deployment) -> Result<(), ConnectionError> {
+    fn handle(
+        &mut self,
+        now: f64,
+        event: Event,
+        deployment: &Deployment,
+    ) -> Result<(), ConnectionError> {
         match event {
             Event::Connected { session_present } => {
                 self.session_present = session_present;
                 self.held_back = Some(vec![]);
-                self.notices.push_back(Notice::Connected { session_present });
+                self.notices
+                    .push_back(Notice::Connected { session_present });
             }
             Event::Subscribed { refused } => {
                 if !refused.is_empty() {
@@ -56,9 +62,15 @@
         let held_back = self.held_back.take().unwrap_or_default();
         let redelivered: Vec<Redelivery> = held_back
             .iter()
-            .map(|d| Redelivery { packet: d.id, topic: &d.topic, payload: &d.payload })
+            .map(|d| Redelivery {
+                packet: d.id,
+                topic: &d.topic,
+                payload: &d.payload,
+            })
             .collect();
-        let actions = self.ledger.session_resumed(self.session_present, &redelivered, self.hands_over);
+        let actions =
+            self.ledger
+                .session_resumed(self.session_present, &redelivered, self.hands_over);
         self.perform(now, actions);
         for delivery in held_back {
             self.take(now, delivery, deployment)?;
@@ -67,7 +79,11 @@
     }
 
     fn confirmed(&mut self, now: f64, delivery: u64) {
-        match self.deliveries.message(delivery).filter(|&n| !self.ledger.is_owned(n)) {
+        match self
+            .deliveries
+            .message(delivery)
+            .filter(|&n| !self.ledger.is_owned(n))
+        {
             Some(n) => {
                 let actions = self.ledger.confirmed(n);
                 self.perform(now, actions);
@@ -78,7 +94,9 @@
     }
 
     fn published(&mut self, now: f64, token: u64, code: u8) {
-        let Some(publication) = self.publications.remove(&token) else { return };
+        let Some(publication) = self.publications.remove(&token) else {
+            return;
+        };
         let is_refused = code >= reason_code::FAILURE;
         if is_refused {
             self.not_published(publication.message(), Some(code));
@@ -99,7 +117,10 @@
     /// Notes that what should be published for a message was not.
     pub(super) fn not_published(&mut self, n: u64, code: Option<u8>) {
         self.counters.not_published += 1;
-        let reply = self.ledger.message(n).and_then(|message| message.reply.as_ref());
+        let reply = self
+            .ledger
+            .message(n)
+            .and_then(|message| message.reply.as_ref());
         let topic = reply.map_or_else(String::new, |reply| reply.topic.clone());
         self.notices.push_back(Notice::NotPublished { topic, code });
     }
--- a/crates/trigger/src/consumer/intake.rs
+++ b/crates/trigger/src/consumer/intake.rs
@@ -25,14 +25,19 @@
 }
 
 fn delivery_id(delivery: &Delivery) -> DeliveryId {
-    DeliveryId { packet: delivery.number.map(|_| delivery.id), confirms: delivery.qos == Qos::ExactlyOnce }
+    DeliveryId {
+        packet: delivery.number.map(|_| delivery.id),
+        confirms: delivery.qos == Qos::ExactlyOnce,
+    }
 }
 
 /// Whether the invocation of a message may run more than once.
 fn effect(policy: &interface::TriggerType, now: f64) -> Effect {
     match (policy.effect, policy.group) {
         (interface::Effect::Idempotent, _) => Effect::Idempotent,
-        (interface::Effect::Tokened, interface::Group::All) => Effect::Tokened { until: now + policy.window },
+        (interface::Effect::Tokened, interface::Group::All) => Effect::Tokened {
+            until: now + policy.window,
+        },
         // A token that is remembered in a part of the fleet protects within that part alone.
         (interface::Effect::Tokened | interface::Effect::NonIdempotent, _) => Effect::NonIdempotent,
     }
@@ -42,7 +47,9 @@
     /// When the publisher of a message gives up.
     fn answer_until(&self, call: &Call, now: f64) -> f64 {
         let rule_time_left = self.rules.list[call.rule].time_left;
-        let since_sent = call.sent_at.map_or(f64::INFINITY, |sent_at| sent_at + rule_time_left);
+        let since_sent = call
+            .sent_at
+            .map_or(f64::INFINITY, |sent_at| sent_at + rule_time_left);
         since_sent.min(now + call.time_left)
     }
 
@@ -69,7 +76,8 @@
             Ok(call) => self.offer(now, n, delivery, call, deployment),
             Err(poison) => {
                 let why = poison.to_string();
-                self.poison_messages.push_back(PoisonMessage { n, delivery, why });
+                self.poison_messages
+                    .push_back(PoisonMessage { n, delivery, why });
                 Ok(())
             }
         }
@@ -97,7 +105,9 @@
                 self.counters.dropped += 1;
                 return Ok(());
             }
-            return Err(ConnectionError::Protocol("more deliveries than can be held"));
+            return Err(ConnectionError::Protocol(
+                "more deliveries than can be held",
+            ));
         }
         let has_token = policy.effect == interface::Effect::Tokened;
         let target = InvocationTarget {
@@ -115,7 +125,14 @@
             target,
             until,
         };
-        self.offered.insert(n, Offered { delivery: id, effect, message });
+        self.offered.insert(
+            n,
+            Offered {
+                delivery: id,
+                effect,
+                message,
+            },
+        );
         Ok(())
     }
 
@@ -135,11 +152,19 @@
                 Decision::Admit(n) => (n, None),
                 Decision::GiveUp(n) => (n, Some(Answer::Throttled)),
             };
-            let Some(offered) = self.offered.remove(&n) else { continue };
+            let Some(offered) = self.offered.remove(&n) else {
+                continue;
+            };
             self.counters.invoked += u64::from(answer.is_none());
             self.counters.given_up += u64::from(answer.is_some());
-            let Offered { delivery, effect, message } = offered;
-            let actions = self.ledger.delivered(n, effect, delivery, message.into(), answer);
+            let Offered {
+                delivery,
+                effect,
+                message,
+            } = offered;
+            let actions = self
+                .ledger
+                .delivered(n, effect, delivery, message.into(), answer);
             if self.ledger.answer(n).is_some() {
                 // It was set aside: nothing is dispatched for it.
                 self.admission.cancel(n);
@@ -160,7 +185,9 @@
                 until: now,
             };
             let answer = Some(Answer::SetAside { why });
-            let actions = self.ledger.delivered(n, Effect::NonIdempotent, id, message.into(), answer);
+            let actions =
+                self.ledger
+                    .delivered(n, Effect::NonIdempotent, id, message.into(), answer);
             self.perform(now, actions);
         }
     }
--- a/crates/trigger/src/consumer/journal_writer.rs
+++ b/crates/trigger/src/consumer/journal_writer.rs
@@ -104,7 +104,9 @@
             self.refused_results -= 1;
             return Appended::Ignored;
         }
-        let Some(record) = self.outstanding.pop_front() else { return Appended::Ignored };
+        let Some(record) = self.outstanding.pop_front() else {
+            return Appended::Ignored;
+        };
         if succeeded {
             return Appended::Persisted(record);
         }
--- a/crates/trigger/src/consumer/mod.rs
+++ b/crates/trigger/src/consumer/mod.rs
@@ -103,7 +103,11 @@
             hands_over: section.hands_over,
             answer_margin: section.answer_margin,
             session: Session::new(options),
-            admission: AdmissionQueue::new(deployment.trigger_types.len(), section.in_flight, most_waiting),
+            admission: AdmissionQueue::new(
+                deployment.trigger_types.len(),
+                section.in_flight,
+                most_waiting,
+            ),
             ledger,
             journal: JournalWriter::new(section.journal_bytes),
             offered: BTreeMap::new(),
@@ -209,9 +213,14 @@
 
     /// The time at which `tick` has to be called next.
     pub fn next_tick_at(&self) -> f64 {
-        let must_decide =
-            !self.offered.is_empty() || !self.poison_messages.is_empty() || self.journal.is_failing();
-        let decision_at = if must_decide { self.next_decision_at } else { f64::INFINITY };
+        let must_decide = !self.offered.is_empty()
+            || !self.poison_messages.is_empty()
+            || self.journal.is_failing();
+        let decision_at = if must_decide {
+            self.next_decision_at
+        } else {
+            f64::INFINITY
+        };
         self.session.next_tick_at().min(decision_at)
     }
 
--- a/crates/trigger/src/consumer/reply.rs
+++ b/crates/trigger/src/consumer/reply.rs
@@ -31,14 +31,24 @@
     fn of(answer: &Answer) -> Summary<'_> {
         let (outcome, detail, may_have_run) = match answer {
             Answer::Succeeded { .. } => ("succeeded", "", true),
-            Answer::Throttled => ("throttled", "there was no room in time; asking again is harmless", false),
+            Answer::Throttled => (
+                "throttled",
+                "there was no room in time; asking again is harmless",
+                false,
+            ),
             Answer::Errored { why, may_have_run } => ("errored", why.as_str(), *may_have_run),
-            Answer::Unknown => {
-                ("unknown", "the front end died with its dispatch out: whether it ran isn't known", true)
-            }
+            Answer::Unknown => (
+                "unknown",
+                "the front end died with its dispatch out: whether it ran isn't known",
+                true,
+            ),
             Answer::SetAside { why } => ("setAside", why.as_str(), false),
         };
-        Summary { outcome, detail, may_have_run }
+        Summary {
+            outcome,
+            detail,
+            may_have_run,
+        }
     }
 
     fn body(&self, invocation: &str) -> serde_json::Value {
@@ -66,22 +76,38 @@
                 Err(_) => body["payloadBase64"] = STANDARD.encode(payload).into(),
             }
         }
-        return Encoded { payload: body.to_string().into(), properties: vec![] };
+        return Encoded {
+            payload: body.to_string().into(),
+            properties: vec![],
+        };
     }
     let payload = match answer {
         Answer::Succeeded { payload } => payload.clone(),
         _ => body.to_string().into(),
     };
-    let mut properties =
-        vec![user_property(OUTCOME_PROPERTY, summary.outcome), user_property(NAME_PROPERTY, &message.name)];
-    if let Some(reply) = message.reply.as_ref().filter(|reply| !reply.correlation.is_empty()) {
+    let mut properties = vec![
+        user_property(OUTCOME_PROPERTY, summary.outcome),
+        user_property(NAME_PROPERTY, &message.name),
+    ];
+    if let Some(reply) = message
+        .reply
+        .as_ref()
+        .filter(|reply| !reply.correlation.is_empty())
+    {
         properties.push(Property::CorrelationData(reply.correlation.clone()));
     }
-    Encoded { payload, properties }
+    Encoded {
+        payload,
+        properties,
+    }
 }
 
 /// The copy of a message that is set aside.
-pub(super) fn encode_set_aside_copy(version: Version, message: &StoredMessage, why: &str) -> Encoded {
+pub(super) fn encode_set_aside_copy(
+    version: Version,
+    message: &StoredMessage,
+    why: &str,
+) -> Encoded {
     let payload = match version {
         Version::V5 => message.payload.clone(),
         Version::V311 => json!({
@@ -92,6 +118,12 @@
         .to_string()
         .into(),
     };
-    let properties = vec![user_property(TOPIC_PROPERTY, &message.topic), user_property(REASON_PROPERTY, why)];
-    Encoded { payload, properties }
+    let properties = vec![
+        user_property(TOPIC_PROPERTY, &message.topic),
+        user_property(REASON_PROPERTY, why),
+    ];
+    Encoded {
+        payload,
+        properties,
+    }
 }
--- a/crates/trigger/src/ledger/mod.rs
+++ b/crates/trigger/src/ledger/mod.rs
@@ -100,13 +100,18 @@
 }
 
 fn taken_too_often(times: u32) -> Answer {
-    Answer::SetAside { why: format!("it was taken {times} times without coming to an end") }
+    Answer::SetAside {
+        why: format!("it was taken {times} times without coming to an end"),
+    }
 }
 
 impl Ledger {
     /// An empty ledger. A message that was taken more than `most_times` times is set aside.
     pub fn new(most_times: u32) -> Ledger {
-        Ledger { most_times, ..Ledger::default() }
+        Ledger {
+            most_times,
+            ..Ledger::default()
+        }
     }
 
     /// The number of messages in the ledger.
@@ -159,11 +164,21 @@
         answer: Option<Answer>,
     ) -> Vec<Action> {
         let DeliveryId { packet, confirms } = delivery;
-        let before = packet.and_then(|id| self.repeated.remove(&id)).filter(|r| r.topic == held.topic);
+        let before = packet
+            .and_then(|id| self.repeated.remove(&id))
+            .filter(|r| r.topic == held.topic);
         let times = before.map_or(1, |before| before.times + 1);
         let answer = answer.or_else(|| (times > self.most_times).then(|| taken_too_often(times)));
         let is_answered = answer.is_some();
-        let record = Record::Taken { n, effect, packet, confirms, times, held, answer };
+        let record = Record::Taken {
+            n,
+            effect,
+            packet,
+            confirms,
+            times,
+            held,
+            answer,
+        };
         let mut actions = vec![Action::Persist(record.clone())];
         self.apply(&record);
         self.update(n, |m| m.taken = false);
@@ -183,14 +198,24 @@
         if !matches!(record, Record::Taken { .. }) {
             self.apply(record);
         }
-        let Some(m) = self.messages.get_mut(&n) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n) else {
+            return vec![];
+        };
         match record {
             Record::Taken { .. } => {
                 m.taken = true;
-                if m.owned { self.proceed(n) } else { vec![Action::Acknowledge(n)] }
+                if m.owned {
+                    self.proceed(n)
+                } else {
+                    vec![Action::Acknowledge(n)]
+                }
             }
             Record::Owned { .. } => {
-                let mut actions = if m.confirms { vec![Action::Complete(n)] } else { vec![] };
+                let mut actions = if m.confirms {
+                    vec![Action::Complete(n)]
+                } else {
+                    vec![]
+                };
                 actions.extend(self.proceed(n));
                 actions
             }
@@ -204,15 +229,25 @@
                 vec![Action::Dispatch(n)]
             }
             Record::Answered { .. } => self.send_reply(n),
-            Record::Publishing { id, .. } => vec![Action::Publish { n, id: *id, again: false }],
-            Record::Released { .. } => m.reply_id.map_or_else(Vec::new, |id| vec![Action::Release { n, id }]),
+            Record::Publishing { id, .. } => vec![Action::Publish {
+                n,
+                id: *id,
+                again: false,
+            }],
+            Record::Released { .. } => m
+                .reply_id
+                .map_or_else(Vec::new, |id| vec![Action::Release { n, id }]),
             Record::Done { .. } => vec![],
         }
     }
 
     /// The broker has confirmed the acknowledgement: from now on it gives the message to nobody else.
     pub fn confirmed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.taken && !m.owned && !m.owning) else {
+        let Some(m) = self
+            .messages
+            .get_mut(&n)
+            .filter(|m| m.taken && !m.owned && !m.owning)
+        else {
             return vec![];
         };
         m.owning = true;
@@ -221,17 +256,24 @@
 
     /// The next step of a message that this front end owns.
     fn proceed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n) else {
+            return vec![];
+        };
         match &m.answer {
             Some(_) if m.answered => self.send_reply(n),
             Some(_) if m.answering => vec![],
             Some(Answer::SetAside { .. }) => vec![Action::SetAside(n)],
             Some(answer) => {
                 m.answering = true;
-                vec![Action::Persist(Record::Answered { n, answer: answer.clone() })]
+                vec![Action::Persist(Record::Answered {
+                    n,
+                    answer: answer.clone(),
+                })]
             }
             None if m.dispatched => vec![],
-            None if m.effect == Effect::NonIdempotent => vec![Action::Persist(Record::Dispatching { n })],
+            None if m.effect == Effect::NonIdempotent => {
+                vec![Action::Persist(Record::Dispatching { n })]
+            }
             None => {
                 m.dispatched = true;
                 vec![Action::Dispatch(n)]
@@ -241,33 +283,48 @@
 
     /// The final answer of an invocation.
     pub fn invocation_ended(&mut self, n: u64, answer: Answer) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.answer.is_none()) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n).filter(|m| m.answer.is_none()) else {
+            return vec![];
+        };
         // Guards the answer to a message whose dispatch was out when a front end crashed: that it has not run this
         // time proves nothing.
         let may_have_run_before = m.times > 1 && m.effect != Effect::NonIdempotent;
         m.answer = Some(match (answer, m.effect) {
             (Answer::Throttled, Effect::Tokened { .. }) if may_have_run_before => Answer::Unknown,
-            (Answer::Errored { why, may_have_run }, _) => {
-                Answer::Errored { why, may_have_run: may_have_run || may_have_run_before }
-            }
+            (Answer::Errored { why, may_have_run }, _) => Answer::Errored {
+                why,
+                may_have_run: may_have_run || may_have_run_before,
+            },
             (answer, _) => answer,
         });
         // Nobody may receive an answer to a message that another front end may answer too.
-        if m.owned && m.taken { self.proceed(n) } else { vec![] }
+        if m.owned && m.taken {
+            self.proceed(n)
+        } else {
+            vec![]
+        }
     }
 
     /// The copy of a message that is set aside is where operators find it, or there is no place for it.
     pub fn set_aside(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.owned && !m.answering && !m.answered) else {
+        let Some(m) = self
+            .messages
+            .get_mut(&n)
+            .filter(|m| m.owned && !m.answering && !m.answered)
+        else {
+            return vec![];
+        };
+        let Some(answer) = m.answer.clone() else {
             return vec![];
         };
-        let Some(answer) = m.answer.clone() else { return vec![] };
         m.answering = true;
         vec![Action::Persist(Record::Answered { n, answer })]
     }
 
     fn send_reply(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n) else {
+            return vec![];
+        };
         match m.held.reply {
             Some(_) => vec![Action::ReserveReplyId(n)],
             None => self.reply_completed(n),
@@ -276,7 +333,11 @@
 
     /// A packet identifier was reserved for the answer; no other exchange has it.
     pub fn reply_id_reserved(&mut self, n: u64, id: u16) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.answered && m.reply_id.is_none()) else {
+        let Some(m) = self
+            .messages
+            .get_mut(&n)
+            .filter(|m| m.answered && m.reply_id.is_none())
+        else {
             return vec![];
         };
         m.reply_id = Some(id);
@@ -285,7 +346,11 @@
 
     /// The broker has recorded the answer (PUBREC).
     pub fn reply_recorded(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.reply_id.is_some() && !m.recorded) else {
+        let Some(m) = self
+            .messages
+            .get_mut(&n)
+            .filter(|m| m.reply_id.is_some() && !m.recorded)
+        else {
             return vec![];
         };
         m.recorded = true;
@@ -295,7 +360,9 @@
     /// The broker has completed the exchange of the answer (PUBCOMP), or will never take the answer, or nobody
     /// wants one.
     pub fn reply_completed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| !m.ending) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n).filter(|m| !m.ending) else {
+            return vec![];
+        };
         m.ending = true;
         vec![Action::Persist(Record::Done { n })]
     }
@@ -303,7 +370,15 @@
     /// Applies a record to the state.
     fn apply(&mut self, record: &Record) {
         match record {
-            Record::Taken { n, effect, packet, confirms, times, held, answer } => {
+            Record::Taken {
+                n,
+                effect,
+                packet,
+                confirms,
+                times,
+                held,
+                answer,
+            } => {
                 self.last_number = self.last_number.max(*n);
                 let message = Message {
                     effect: *effect,
--- a/crates/trigger/src/ledger/record.rs
+++ b/crates/trigger/src/ledger/record.rs
@@ -24,7 +24,11 @@
 
 /// The final answer to a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "camelCase", rename_all_fields = "camelCase", tag = "what")]
+#[serde(
+    rename_all = "camelCase",
+    rename_all_fields = "camelCase",
+    tag = "what"
+)]
 pub enum Answer {
     /// The invocation succeeded with this response.
     Succeeded {
@@ -66,7 +70,10 @@
 
     pub fn deserialize<'a, D: Deserializer<'a>>(deserializer: D) -> Result<Bytes, D::Error> {
         let text = String::deserialize(deserializer)?;
-        STANDARD.decode(text).map(Bytes::from).map_err(serde::de::Error::custom)
+        STANDARD
+            .decode(text)
+            .map(Bytes::from)
+            .map_err(serde::de::Error::custom)
     }
 }
 
@@ -76,7 +83,11 @@
     /// The topic.
     pub topic: String,
     /// The correlation data of the message; empty if it has none.
-    #[serde(with = "base64_bytes", default, skip_serializing_if = "Bytes::is_empty")]
+    #[serde(
+        with = "base64_bytes",
+        default,
+        skip_serializing_if = "Bytes::is_empty"
+    )]
     pub correlation: Bytes,
 }
 
--- a/crates/trigger/src/ledger/recovery.rs
+++ b/crates/trigger/src/ledger/recovery.rs
@@ -38,13 +38,20 @@
         hands_over: bool,
     ) -> Vec<Action> {
         let is_unowned = |m: &Message| !m.owned && !m.owning;
-        let unowned: Vec<u64> =
-            self.messages.iter().filter(|(_, m)| is_unowned(m)).map(|(&n, _)| n).collect();
+        let unowned: Vec<u64> = self
+            .messages
+            .iter()
+            .filter(|(_, m)| is_unowned(m))
+            .map(|(&n, _)| n)
+            .collect();
         let mut actions = vec![];
         self.repeated.clear();
         for n in unowned {
-            let Some(m) = self.messages.get_mut(&n) else { continue };
-            let is_repeated = m.packet.is_none() || redelivered.iter().any(|delivery| delivery.is_of(m));
+            let Some(m) = self.messages.get_mut(&n) else {
+                continue;
+            };
+            let is_repeated =
+                m.packet.is_none() || redelivered.iter().any(|delivery| delivery.is_of(m));
             let was_heard = session_present && !is_repeated && m.taken;
             if was_heard && m.confirms {
                 continue;
@@ -61,9 +68,17 @@
 
     /// Leaves a message to the broker, which gives it again.
     fn forget(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.remove(&n) else { return vec![] };
+        let Some(m) = self.messages.remove(&n) else {
+            return vec![];
+        };
         if let Some(packet) = m.packet {
-            self.repeated.insert(packet, Repeated { topic: m.held.topic.clone(), times: m.times });
+            self.repeated.insert(
+                packet,
+                Repeated {
+                    topic: m.held.topic.clone(),
+                    times: m.times,
+                },
+            );
         }
         let mut actions = vec![];
         if m.dispatched && m.answer.is_none() {
@@ -83,7 +98,10 @@
     /// yet that it has received the acknowledgement.
     pub fn unconfirmed(&self) -> impl Iterator<Item = (u64, u16)> {
         let waits = |m: &&Message| m.taken && m.confirms && !m.owned;
-        self.messages.iter().filter(move |(_, m)| waits(m)).filter_map(|(&n, m)| Some((n, m.packet?)))
+        self.messages
+            .iter()
+            .filter(move |(_, m)| waits(m))
+            .filter_map(|(&n, m)| Some((n, m.packet?)))
     }
 
     /// Restores the ledger of a front end that crashed from the records of its journal. The actions have to be
@@ -96,13 +114,17 @@
             actions.extend(ledger.resume(n, now));
         }
         // Guards a packet identifier that is in use against being reserved again: answers that have one come first.
-        actions.sort_by_key(|action| !matches!(action, Action::Publish { .. } | Action::Release { .. }));
+        actions.sort_by_key(|action| {
+            !matches!(action, Action::Publish { .. } | Action::Release { .. })
+        });
         (ledger, actions)
     }
 
     /// The next step of a message after a crash.
     fn resume(&mut self, n: u64, now: f64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else { return vec![] };
+        let Some(m) = self.messages.get_mut(&n) else {
+            return vec![];
+        };
         match m.reply_id {
             Some(id) if m.released => return vec![Action::Release { n, id }],
             Some(id) => return vec![Action::Publish { n, id, again: true }],
@@ -124,7 +146,10 @@
             (None, _) if may_dispatch => vec![Action::Persist(Record::Again { n })],
             (None, _) => {
                 (m.answer, m.answering) = (Some(Answer::Unknown), true);
-                vec![Action::Persist(Record::Answered { n, answer: Answer::Unknown })]
+                vec![Action::Persist(Record::Answered {
+                    n,
+                    answer: Answer::Unknown,
+                })]
             }
         }
     }
@@ -150,7 +175,9 @@
             Some(taken),
             (self.owned && self.packet.is_some()).then_some(Record::Owned { n }),
             (self.dispatched && is_non_idempotent).then_some(Record::Dispatching { n }),
-            answer().filter(|_| self.answered && self.owned).map(|answer| Record::Answered { n, answer }),
+            answer()
+                .filter(|_| self.answered && self.owned)
+                .map(|answer| Record::Answered { n, answer }),
             self.reply_id.map(|id| Record::Publishing { n, id }),
             self.released.then_some(Record::Released { n }),
         ];
--- a/crates/trigger/src/pattern.rs
+++ b/crates/trigger/src/pattern.rs
@@ -24,7 +24,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Invalid {
     /// This level has a brace and is no name in braces.
-    #[error("the level '{0}': a name in braces has to be a whole level, of letters, digits and '_'")]
+    #[error(
+        "the level '{0}': a name in braces has to be a whole level, of letters, digits and '_'"
+    )]
     Braces(String),
     /// This name is given twice.
     #[error("the name '{0}' is given twice")]
@@ -46,19 +48,27 @@
             let part = match braced {
                 None if level.contains(['{', '}']) => return Err(Invalid::Braces(level.into())),
                 None if level.contains(['+', '#']) => {
-                    return Err(Invalid::Topic("wildcards are written as names in braces".into()));
+                    return Err(Invalid::Topic(
+                        "wildcards are written as names in braces".into(),
+                    ));
                 }
                 None => Part::Text(level.into()),
                 Some(inner) => {
                     let name = inner.strip_suffix("...").unwrap_or(inner);
-                    if name.is_empty() || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_') {
+                    if name.is_empty()
+                        || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
+                    {
                         return Err(Invalid::Braces(level.into()));
                     }
                     let known = |p: &Part| matches!(p, Part::Name(n) | Part::Rest(n) if n == name);
                     if levels.iter().any(known) {
                         return Err(Invalid::Twice(name.into()));
                     }
-                    if name.len() < inner.len() { Part::Rest(name.into()) } else { Part::Name(name.into()) }
+                    if name.len() < inner.len() {
+                        Part::Rest(name.into())
+                    } else {
+                        Part::Name(name.into())
+                    }
                 }
             };
             if matches!(levels.last(), Some(Part::Rest(_))) {
@@ -77,7 +87,11 @@
             Part::Name(_) => "+".into(),
             Part::Rest(_) => "#".into(),
         };
-        self.levels.iter().map(level).collect::<Vec<String>>().join("/")
+        self.levels
+            .iter()
+            .map(level)
+            .collect::<Vec<String>>()
+            .join("/")
     }
 
     /// The filter that matches the same topics.
@@ -96,7 +110,12 @@
     /// What a topic has at each name; `None` where the pattern does not match it.
     pub fn captures(&self, topic: &str) -> Option<Captures> {
         let found = self.filter().captures(topic)?;
-        Some(self.names().map(str::to_owned).zip(found.into_iter().map(str::to_owned)).collect())
+        Some(
+            self.names()
+                .map(str::to_owned)
+                .zip(found.into_iter().map(str::to_owned))
+                .collect(),
+        )
     }
 
     /// The topic with these in place of the names; `None` where one is missing.
--- a/crates/trigger/src/promises.rs
+++ b/crates/trigger/src/promises.rs
@@ -30,7 +30,11 @@
     /// An invocation was promised.
     Taken { name: String, at: f64 },
     /// It has ended.
-    Over { name: String, at: f64, outcome: Outcome },
+    Over {
+        name: String,
+        at: f64,
+        outcome: Outcome,
+    },
     /// It has not run: the name is free again.
     Dropped { name: String },
 }
@@ -71,7 +75,12 @@
 impl Promises {
     /// No promises yet.
     pub fn new(keep: f64, most: usize, longest_body: usize) -> Promises {
-        Promises { keep, most, longest_body, ..Promises::default() }
+        Promises {
+            keep,
+            most,
+            longest_body,
+            ..Promises::default()
+        }
     }
 
     /// Restores the promises of a journal. Those that were open when the front end crashed have an unknown outcome.
@@ -89,20 +98,37 @@
     }
 
     fn end_open(&mut self, now: f64) {
-        let open: Vec<String> =
-            self.names.iter().filter(|(_, p)| p.outcome.is_none()).map(|(n, _)| n.clone()).collect();
+        let open: Vec<String> = self
+            .names
+            .iter()
+            .filter(|(_, p)| p.outcome.is_none())
+            .map(|(n, _)| n.clone())
+            .collect();
         for name in open {
-            self.note(&Record::Over { name, at: now, outcome: Outcome::Unknown });
+            self.note(&Record::Over {
+                name,
+                at: now,
+                outcome: Outcome::Unknown,
+            });
         }
     }
 
     fn note(&mut self, record: &Record) {
         match record {
             Record::Taken { name, at } => {
-                self.names.insert(name.clone(), Promise { at: *at, outcome: None });
+                self.names.insert(
+                    name.clone(),
+                    Promise {
+                        at: *at,
+                        outcome: None,
+                    },
+                );
             }
             Record::Over { name, at, outcome } => {
-                let promise = Promise { at: *at, outcome: Some(outcome.clone()) };
+                let promise = Promise {
+                    at: *at,
+                    outcome: Some(outcome.clone()),
+                };
                 self.names.insert(name.clone(), promise);
                 self.over.push_back((*at, name.clone()));
             }
@@ -116,7 +142,11 @@
         while let Some((at, name)) = self.over.front()
             && *at + self.keep <= now
         {
-            if self.names.get(name).is_some_and(|p| p.outcome.is_some() && p.at == *at) {
+            if self
+                .names
+                .get(name)
+                .is_some_and(|p| p.outcome.is_some() && p.at == *at)
+            {
                 self.names.remove(name);
             }
             self.over.pop_front();
@@ -135,7 +165,9 @@
 
     /// The state of a name, without a change.
     pub fn standing(&self, name: &str) -> Option<Standing> {
-        self.names.get(name).map(|p| p.outcome.clone().map_or(Standing::Running, Standing::Over))
+        self.names
+            .get(name)
+            .map(|p| p.outcome.clone().map_or(Standing::Running, Standing::Over))
     }
 
     /// An invocation is offered under a name.
@@ -147,20 +179,40 @@
         if self.names.len() >= self.most {
             return Standing::Full;
         }
-        let record = Record::Taken { name: name.to_owned(), at: now };
+        let record = Record::Taken {
+            name: name.to_owned(),
+            at: now,
+        };
         self.note(&record);
         Standing::New(record)
     }
 
     /// An invocation has its final answer. If it has not run, the name is free again.
-    pub fn answered(&mut self, now: f64, name: &str, ran: bool, status: u16, body: &Bytes) -> Record {
+    pub fn answered(
+        &mut self,
+        now: f64,
+        name: &str,
+        ran: bool,
+        status: u16,
+        body: &Bytes,
+    ) -> Record {
         let record = if ran {
             let whole = body.len() <= self.longest_body;
             let body = if whole { body.clone() } else { Bytes::new() };
-            let outcome = Outcome::Answered { status, body, whole };
-            Record::Over { name: name.to_owned(), at: now, outcome }
+            let outcome = Outcome::Answered {
+                status,
+                body,
+                whole,
+            };
+            Record::Over {
+                name: name.to_owned(),
+                at: now,
+                outcome,
+            }
         } else {
-            Record::Dropped { name: name.to_owned() }
+            Record::Dropped {
+                name: name.to_owned(),
+            }
         };
         self.note(&record);
         record
@@ -170,7 +222,11 @@
     pub fn left(&mut self, now: f64, name: &str) -> Option<Record> {
         let open = self.names.get(name).is_some_and(|p| p.outcome.is_none());
         open.then(|| {
-            let record = Record::Over { name: name.to_owned(), at: now, outcome: Outcome::Unknown };
+            let record = Record::Over {
+                name: name.to_owned(),
+                at: now,
+                outcome: Outcome::Unknown,
+            };
             self.note(&record);
             record
         })
@@ -187,8 +243,15 @@
             .names
             .iter()
             .map(|(name, p)| match &p.outcome {
-                None => Record::Taken { name: name.clone(), at: p.at },
-                Some(outcome) => Record::Over { name: name.clone(), at: p.at, outcome: outcome.clone() },
+                None => Record::Taken {
+                    name: name.clone(),
+                    at: p.at,
+                },
+                Some(outcome) => Record::Over {
+                    name: name.clone(),
+                    at: p.at,
+                    outcome: outcome.clone(),
+                },
             })
             .collect();
         // In the order in which they are forgotten.
--- a/crates/trigger/src/rules/mod.rs
+++ b/crates/trigger/src/rules/mod.rs
@@ -141,15 +141,20 @@
 
 impl Rules {
     fn find(&self, topic: &str) -> Option<Match<'_>> {
-        self.list
-            .iter()
-            .enumerate()
-            .find_map(|(index, rule)| Some(Match { index, rule, captures: rule.topic.captures(topic)? }))
+        self.list.iter().enumerate().find_map(|(index, rule)| {
+            Some(Match {
+                index,
+                rule,
+                captures: rule.topic.captures(topic)?,
+            })
+        })
     }
 
     /// Whether a message to this topic would be taken as a trigger.
     fn is_trigger(&self, topic: &str) -> bool {
-        self.list.iter().any(|rule| rule.topic.filter().matches(topic))
+        self.list
+            .iter()
+            .any(|rule| rule.topic.filter().matches(topic))
     }
 
     /// The name of the invocation of a message.
@@ -168,7 +173,11 @@
     /// The invocation that a message becomes, or why it can never become one.
     pub fn call(&self, deployment: &Deployment, delivery: &Delivery) -> Result<Call, Poison> {
         let found = self.find(&delivery.topic).ok_or(Poison::NoRule)?;
-        let Match { index, rule, captures } = &found;
+        let Match {
+            index,
+            rule,
+            captures,
+        } = &found;
         rule.check_payload(&delivery.payload)?;
         let function = rule.function.of(captures).to_owned();
         if deployment.function(&function).is_none() {
@@ -200,7 +209,9 @@
             ReplyTo::Topic(pattern) => pattern.filled(&found.captures),
             ReplyTo::ResponseTopic => response_topic(delivery),
         };
-        let topic = topic.filter(|topic| check_topic(topic).is_ok()).ok_or(Poison::NoResponseTopic)?;
+        let topic = topic
+            .filter(|topic| check_topic(topic).is_ok())
+            .ok_or(Poison::NoResponseTopic)?;
         if self.is_trigger(&topic) {
             return Err(Poison::Loop(topic));
         }
@@ -212,7 +223,10 @@
 impl Rule {
     fn check_payload(&self, payload: &Bytes) -> Result<(), Poison> {
         if payload.len() > self.most_bytes {
-            return Err(Poison::TooLong { bytes: payload.len(), most: self.most_bytes });
+            return Err(Poison::TooLong {
+                bytes: payload.len(),
+                most: self.most_bytes,
+            });
         }
         match self.payload_format {
             PayloadFormat::Bytes => {}
@@ -229,7 +243,10 @@
 
     /// When a message was sent, in seconds since 1970, where it says so.
     fn sent_at(&self, delivery: &Delivery) -> Result<Option<f64>, Poison> {
-        let stated = self.sent_at.as_ref().and_then(|name| user_property(delivery, name));
+        let stated = self
+            .sent_at
+            .as_ref()
+            .and_then(|name| user_property(delivery, name));
         let Some(text) = stated else { return Ok(None) };
         match text.parse::<u64>() {
             Ok(milliseconds) => Ok(Some(milliseconds as f64 / 1e3)),
@@ -239,32 +256,44 @@
 }
 
 fn user_property<'d>(delivery: &'d Delivery, wanted: &str) -> Option<&'d str> {
-    delivery.properties.iter().find_map(|property| match property {
-        Property::User(name, value) if name == wanted => Some(value.as_str()),
-        _ => None,
-    })
+    delivery
+        .properties
+        .iter()
+        .find_map(|property| match property {
+            Property::User(name, value) if name == wanted => Some(value.as_str()),
+            _ => None,
+        })
 }
 
 fn correlation_data(delivery: &Delivery) -> Option<&Bytes> {
-    delivery.properties.iter().find_map(|property| match property {
-        Property::CorrelationData(data) => Some(data),
-        _ => None,
-    })
+    delivery
+        .properties
+        .iter()
+        .find_map(|property| match property {
+            Property::CorrelationData(data) => Some(data),
+            _ => None,
+        })
 }
 
 fn response_topic(delivery: &Delivery) -> Option<String> {
-    delivery.properties.iter().find_map(|property| match property {
-        Property::ResponseTopic(topic) => Some(topic.clone()),
-        _ => None,
-    })
+    delivery
+        .properties
+        .iter()
+        .find_map(|property| match property {
+            Property::ResponseTopic(topic) => Some(topic.clone()),
+            _ => None,
+        })
 }
 
 /// Seconds until a message expires.
 fn expiry(delivery: &Delivery) -> Option<f64> {
-    delivery.properties.iter().find_map(|property| match property {
-        Property::MessageExpiry(seconds) => Some(f64::from(*seconds)),
-        _ => None,
-    })
+    delivery
+        .properties
+        .iter()
+        .find_map(|property| match property {
+            Property::MessageExpiry(seconds) => Some(f64::from(*seconds)),
+            _ => None,
+        })
 }
 
 /// A token that is the same for a message that is delivered again, and differs between messages that differ in their
@@ -284,5 +313,10 @@
     digest.update(&delivery.topic);
     digest.update([u8::from(distinction.is_some())]);
     digest.update(distinction.unwrap_or(&delivery.payload));
-    digest.finalize().iter().take(TOKEN_BYTES).map(|byte| format!("{byte:02x}")).collect()
+    digest
+        .finalize()
+        .iter()
+        .take(TOKEN_BYTES)
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
--- a/crates/trigger/src/rules/parse.rs
+++ b/crates/trigger/src/rules/parse.rs
@@ -33,10 +33,19 @@
     /// Reads a document with a list of rules, or returns every fault in it.
     pub fn read(text: &str, deployment: &Deployment) -> Result<Rules, Vec<Fault>> {
         let document = Document::new(text);
-        let Some(value) = document.parse() else { return Err(document.faults()) };
-        let rules = Rules::at(&document.root(&value).object(&["triggers"]).at("triggers"), deployment);
+        let Some(value) = document.parse() else {
+            return Err(document.faults());
+        };
+        let rules = Rules::at(
+            &document.root(&value).object(&["triggers"]).at("triggers"),
+            deployment,
+        );
         let faults = document.faults();
-        if faults.is_empty() { Ok(rules) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(rules)
+        } else {
+            Err(faults)
+        }
     }
 
     /// Reads the list at a place, and notes every fault in it there.
@@ -50,7 +59,9 @@
             .filter_map(|place| Some((place.clone(), RuleReader::new(place, deployment).rule()?)))
             .collect();
         check_overlaps(&rules);
-        Rules { list: rules.into_iter().map(|(_, rule)| rule).collect() }
+        Rules {
+            list: rules.into_iter().map(|(_, rule)| rule).collect(),
+        }
     }
 }
 
@@ -64,8 +75,15 @@
 impl<'a, 'd> RuleReader<'a, 'd> {
     fn new(place: &Place<'a, 'd>, deployment: &'d Deployment) -> RuleReader<'a, 'd> {
         let fields = place.object(&KEYS);
-        let topic = fields.at("topic").parsed("a topic pattern such as 'house/{house}/set'", Pattern::parse);
-        RuleReader { fields, deployment, topic }
+        let topic = fields.at("topic").parsed(
+            "a topic pattern such as 'house/{house}/set'",
+            Pattern::parse,
+        );
+        RuleReader {
+            fields,
+            deployment,
+            topic,
+        }
     }
 
     fn rule(self) -> Option<Rule> {
@@ -79,8 +97,9 @@
         let function = self.value(&fields.at("function"), &is_function, "function");
         let customer = self.customer();
         let key = fields.maybe("key", |place| self.value(place, &|_| true, "key"));
-        let timeout =
-            trigger_type.map_or(DEFAULT_TIMEOUT, |t| self.deployment.policy.trigger_types[t].timeout);
+        let timeout = trigger_type.map_or(DEFAULT_TIMEOUT, |t| {
+            self.deployment.policy.trigger_types[t].timeout
+        });
         let time_left = fields.maybe("timeLeft", |place| place.seconds(MIN_TIME_LEFT..=timeout));
         let body_bytes = self.deployment.bounds.body_bytes;
         let most_bytes = fields.maybe("maxBytes", |place| place.bytes(1.0..=body_bytes as f64));
@@ -124,8 +143,11 @@
             "response" => Some(ReplyTo::ResponseTopic),
             "none" => Some(ReplyTo::Nowhere),
             _ => {
-                let pattern = place.parsed("a topic pattern, 'response' or 'none'", Pattern::parse)?;
-                pattern.names().for_each(|name| self.check_captured(&place, name));
+                let pattern =
+                    place.parsed("a topic pattern, 'response' or 'none'", Pattern::parse)?;
+                pattern
+                    .names()
+                    .for_each(|name| self.check_captured(&place, name));
                 Some(ReplyTo::Topic(pattern))
             }
         }
@@ -135,7 +157,11 @@
         let place = self.fields.at("customer");
         let customers = &self.deployment.customers;
         if place.is_given() {
-            return self.value(&place, &|name| customers.iter().any(|c| c == name), "customer");
+            return self.value(
+                &place,
+                &|name| customers.iter().any(|c| c == name),
+                "customer",
+            );
         }
         if customers.is_empty() {
             return Some(Value::Fixed(String::new()));
@@ -145,15 +171,23 @@
     }
 
     fn payload_format(&self) -> PayloadFormat {
-        let formats =
-            [("bytes", PayloadFormat::Bytes), ("text", PayloadFormat::Text), ("json", PayloadFormat::Json)];
-        self.fields.maybe("payload", |place| place.one_of(&formats)).unwrap_or(PayloadFormat::Bytes)
+        let formats = [
+            ("bytes", PayloadFormat::Bytes),
+            ("text", PayloadFormat::Text),
+            ("json", PayloadFormat::Json),
+        ];
+        self.fields
+            .maybe("payload", |place| place.one_of(&formats))
+            .unwrap_or(PayloadFormat::Bytes)
     }
 
     /// A fixed text, which has to be known, or a name of the topic in braces.
     fn value(&self, place: &Place, is_known: &dyn Fn(&str) -> bool, what: &str) -> Option<Value> {
         let text = place.text()?;
-        if let Some(name) = text.strip_prefix('{').and_then(|text| text.strip_suffix('}')) {
+        if let Some(name) = text
+            .strip_prefix('{')
+            .and_then(|text| text.strip_suffix('}'))
+        {
             self.check_captured(place, name);
             return Some(Value::Captured(name.into()));
         }
@@ -165,7 +199,11 @@
 
     /// Notes a fault where the topic has no such name.
     fn check_captured(&self, place: &Place, name: &str) {
-        if self.topic.as_ref().is_some_and(|topic| !topic.names().any(|known| known == name)) {
+        if self
+            .topic
+            .as_ref()
+            .is_some_and(|topic| !topic.names().any(|known| known == name))
+        {
             place.fault(format!("the topic gives no '{name}'"));
         }
     }
@@ -178,7 +216,9 @@
         "payload" => return Some(TokenSource::Payload),
         _ => {}
     }
-    let property = text.strip_prefix("property:").filter(|name| !name.is_empty());
+    let property = text
+        .strip_prefix("property:")
+        .filter(|name| !name.is_empty());
     if property.is_none() {
         place.fault("'correlation', 'payload' or 'property:' and a user property's name is wanted");
     }
@@ -191,13 +231,19 @@
         let filter = rule.topic.filter();
         let overlaps = |(_, other): &(Place, Rule)| other.topic.filter().overlaps(&filter);
         if let Some(other) = rules[..index].iter().position(overlaps) {
-            place.fault(format!("'{filter}' and the filter of triggers[{other}] can match one message"));
+            place.fault(format!(
+                "'{filter}' and the filter of triggers[{other}] can match one message"
+            ));
         }
-        let ReplyTo::Topic(answer) = &rule.reply_to else { continue };
+        let ReplyTo::Topic(answer) = &rule.reply_to else {
+            continue;
+        };
         let answer = answer.filter();
         let comes_back = |(_, other): &(Place, Rule)| other.topic.filter().overlaps(&answer);
         if let Some(other) = rules.iter().position(comes_back) {
-            place.fault(format!("its answers to '{answer}' can come back as messages of triggers[{other}]"));
+            place.fault(format!(
+                "its answers to '{answer}' can come back as messages of triggers[{other}]"
+            ));
         }
     }
 }
--- a/crates/trigger/src/section.rs
+++ b/crates/trigger/src/section.rs
@@ -67,12 +67,13 @@
 
 /// Reads a deployment file with its `mqtt` section, if it has one, or returns every fault in both.
 pub fn read(text: &str) -> Result<(Deployment, Option<Section>), Vec<Fault>> {
-    Deployment::read_with(
-        text,
-        |place, deployment| {
-            if place.is_given() { section(place, deployment) } else { None }
-        },
-    )
+    Deployment::read_with(text, |place, deployment| {
+        if place.is_given() {
+            section(place, deployment)
+        } else {
+            None
+        }
+    })
 }
 
 const KEYS: [&str; 17] = [
@@ -110,16 +111,26 @@
 
 fn section(place: &Place, deployment: &Deployment) -> Option<Section> {
     let fields = place.object(&KEYS);
-    let broker = fields.at("broker").parsed("an address and port", str::parse);
+    let broker = fields
+        .at("broker")
+        .parsed("an address and port", str::parse);
     let versions = [("5", Version::V5), ("3.1.1", Version::V311)];
-    let version = fields.maybe("version", |p| p.one_of(&versions)).unwrap_or(Version::V5);
+    let version = fields
+        .maybe("version", |p| p.one_of(&versions))
+        .unwrap_or(Version::V5);
     let client_id = match fields.at("clientId").is_given() {
-        true => fields.at("clientId").text().map(|text| own(&fields.at("clientId"), text, deployment)),
+        true => fields
+            .at("clientId")
+            .text()
+            .map(|text| own(&fields.at("clientId"), text, deployment)),
         false => Some(format!("{}-{INDEX}", deployment.name)),
     };
     let tls = fields.maybe("tls", tls);
     let journal = fields.at("journal").object(&["folder", "maxBytes"]);
-    let folder = journal.at("folder").text().map(|text| own(&journal.at("folder"), text, deployment));
+    let folder = journal
+        .at("folder")
+        .text()
+        .map(|text| own(&journal.at("folder"), text, deployment));
     let rules = Rules::at(&fields.at("triggers"), deployment);
     let (set_aside, most_times) = set_aside(&fields, &rules);
     if version == Version::V311 {
@@ -128,13 +139,16 @@
     let answer_margin = answer_margin(&fields, &rules);
     let group = group(&fields);
     let whole = |key, range, default: u32| fields.maybe(key, |p| p.whole(range)).unwrap_or(default);
-    let seconds = |key, range, default: f64| fields.maybe(key, |p| p.seconds(range)).unwrap_or(default);
+    let seconds =
+        |key, range, default: f64| fields.maybe(key, |p| p.seconds(range)).unwrap_or(default);
     let session_expiry = seconds("sessionExpiry", 60.0..=2_592_000.0, default::SESSION_EXPIRY);
     let keep_alive = seconds("keepAlive", 1.0..=3_600.0, default::KEEP_ALIVE);
-    let largest_packet =
-        fields.maybe("largestPacket", |p| p.bytes(1_024.0..=2e8)).unwrap_or(default::LARGEST_PACKET);
-    let journal_bytes =
-        journal.maybe("maxBytes", |p| p.bytes(65_536.0..=1e12)).unwrap_or(default::JOURNAL_BYTES);
+    let largest_packet = fields
+        .maybe("largestPacket", |p| p.bytes(1_024.0..=2e8))
+        .unwrap_or(default::LARGEST_PACKET);
+    let journal_bytes = journal
+        .maybe("maxBytes", |p| p.bytes(65_536.0..=1e12))
+        .unwrap_or(default::JOURNAL_BYTES);
     Some(Section {
         broker: broker?,
         version,
@@ -161,7 +175,9 @@
 /// A text that each front end needs for itself, because it has a session and a journal of its own.
 fn own(place: &Place, text: String, deployment: &Deployment) -> String {
     if deployment.policy.front_ends > 1.0 && !text.contains(INDEX) {
-        place.fault(format!("there are several front ends; '{INDEX}' has to stand in it for each one's own"));
+        place.fault(format!(
+            "there are several front ends; '{INDEX}' has to stand in it for each one's own"
+        ));
     }
     text
 }
@@ -178,29 +194,47 @@
         }
     };
     let authorities = fields.at("authorities").text()?.into();
-    Some(Tls { authorities, identity, name: fields.at("name").text()? })
+    Some(Tls {
+        authorities,
+        identity,
+        name: fields.at("name").text()?,
+    })
 }
 
 /// The topic to which messages that are set aside are copied, and after how many tries that is done.
 fn set_aside(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
     let place = fields.at("setAside");
-    let fields =
-        if place.is_given() { place.object(&["topic", "after"]) } else { fields.nothing("setAside") };
+    let fields = if place.is_given() {
+        place.object(&["topic", "after"])
+    } else {
+        fields.nothing("setAside")
+    };
     let topic = fields.maybe("topic", Place::text);
     if let Some(topic) = &topic {
         if let Err(why) = check_topic(topic) {
             fields.at("topic").fault(format!("no topic: {why}"));
-        } else if rules.list.iter().any(|rule| rule.topic.filter().matches(topic)) {
-            fields.at("topic").fault("what is set aside would come back as a message");
+        } else if rules
+            .list
+            .iter()
+            .any(|rule| rule.topic.filter().matches(topic))
+        {
+            fields
+                .at("topic")
+                .fault("what is set aside would come back as a message");
         }
     }
-    let most_times = fields.maybe("after", |p| p.whole(1..=1_000)).unwrap_or(default::MOST_TIMES);
+    let most_times = fields
+        .maybe("after", |p| p.whole(1..=1_000))
+        .unwrap_or(default::MOST_TIMES);
     (topic, most_times)
 }
 
 /// Version 3.1.1 has no response topics.
 fn check_reply_topics(fields: &Fields, rules: &Rules) {
-    let without_topic = rules.list.iter().position(|rule| rule.reply_to == ReplyTo::ResponseTopic);
+    let without_topic = rules
+        .list
+        .iter()
+        .position(|rule| rule.reply_to == ReplyTo::ResponseTopic);
     if let Some(index) = without_topic {
         fields.at("triggers").fault(format!(
             "triggers[{index}]: version 3.1.1 has no response topics; 'answer' has to name one"
@@ -209,16 +243,28 @@
 }
 
 fn answer_margin(fields: &Fields, rules: &Rules) -> f64 {
-    let margin = fields.maybe("answerMargin", |p| p.seconds(0.001..=60.0)).unwrap_or(default::ANSWER_MARGIN);
-    if let Some(rule) = rules.list.iter().find(|rule| rule.time_left <= 2.0 * margin) {
-        let what = format!("leaves no time: '{}' has {} s", rule.topic.filter(), rule.time_left);
+    let margin = fields
+        .maybe("answerMargin", |p| p.seconds(0.001..=60.0))
+        .unwrap_or(default::ANSWER_MARGIN);
+    if let Some(rule) = rules
+        .list
+        .iter()
+        .find(|rule| rule.time_left <= 2.0 * margin)
+    {
+        let what = format!(
+            "leaves no time: '{}' has {} s",
+            rule.topic.filter(),
+            rule.time_left
+        );
         fields.at("answerMargin").fault(what);
     }
     margin
 }
 
 fn group(fields: &Fields) -> String {
-    let group = fields.maybe("group", Place::text).unwrap_or_else(|| default::GROUP.into());
+    let group = fields
+        .maybe("group", Place::text)
+        .unwrap_or_else(|| default::GROUP.into());
     if group.contains(['/', '+', '#']) {
         fields.at("group").fault("must not have '/', '+' and '#'");
     }
--- a/crates/trigger/tests/admission.rs
+++ b/crates/trigger/tests/admission.rs
@@ -78,16 +78,27 @@
             if at > now {
                 return true;
             }
-            earned += if at <= messages[&n].until { messages[&n].value } else { 0.0 };
+            earned += if at <= messages[&n].until {
+                messages[&n].value
+            } else {
+                0.0
+            };
             admission.finished(now, n, false);
             false
         });
-        seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        seed = seed
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         if (seed >> 33) % 1_000 < 120 {
             n += 1;
             let dear = n % 5 == 0;
             let value = if dear { 5.0 } else { 1.0 };
-            let m = Waiting { trigger_type: usize::from(dear), value, until: now + 1.0, key: None };
+            let m = Waiting {
+                trigger_type: usize::from(dear),
+                value,
+                until: now + 1.0,
+                key: None,
+            };
             messages.insert(n, m.clone());
             broker.push_back((n, m));
         }
@@ -131,12 +142,29 @@
     let mut round = |a: &mut AdmissionQueue, now: f64, throttled: bool| {
         for _ in 0..20 {
             n += 1;
-            a.offer(n, Waiting { trigger_type: 0, value: 1.0, until: now + 60.0, key: None });
+            a.offer(
+                n,
+                Waiting {
+                    trigger_type: 0,
+                    value: 1.0,
+                    until: now + 60.0,
+                    key: None,
+                },
+            );
         }
         let taken = a.decide(now);
-        let on: Vec<u64> =
-            taken.iter().filter_map(|d| if let Decision::Admit(n) = d { Some(*n) } else { None }).collect();
-        on.iter().for_each(|&n| a.finished(now + 0.01, n, throttled));
+        let on: Vec<u64> = taken
+            .iter()
+            .filter_map(|d| {
+                if let Decision::Admit(n) = d {
+                    Some(*n)
+                } else {
+                    None
+                }
+            })
+            .collect();
+        on.iter()
+            .for_each(|&n| a.finished(now + 0.01, n, throttled));
         on.len()
     };
     let limits: Vec<usize> = (0..4).map(|r| round(&mut a, f64::from(r), true)).collect();
--- a/crates/trigger/tests/model.rs
+++ b/crates/trigger/tests/model.rs
@@ -3,7 +3,8 @@
 
 use bytes::Bytes;
 use orchidtally_trigger::ledger::{
-    Action, Answer, DeliveryId, Effect, InvocationTarget, Ledger, Record, Redelivery, Reply, StoredMessage,
+    Action, Answer, DeliveryId, Effect, InvocationTarget, Ledger, Record, Redelivery, Reply,
+    StoredMessage,
 };
 use pathfinding::directed::bfs::bfs_reach;
 use std::collections::{BTreeSet, VecDeque};
@@ -94,7 +95,10 @@
         name: m.to_string(),
         topic: m.to_string(),
         payload: Bytes::new(),
-        reply: Some(Reply { topic: "a".into(), correlation: Bytes::new() }),
+        reply: Some(Reply {
+            topic: "a".into(),
+            correlation: Bytes::new(),
+        }),
         target: InvocationTarget::default(),
         until: 1e9,
     })
@@ -103,7 +107,9 @@
 impl State {
     fn new(shape: Shape) -> State {
         let mut front_ends: [FrontEnd; 2] = Default::default();
-        front_ends.iter_mut().for_each(|f| f.ledger = Some(Ledger::new(9)));
+        front_ends
+            .iter_mut()
+            .for_each(|f| f.ledger = Some(Ledger::new(9)));
         let answers = Default::default();
         let state = State {
             front_ends,
@@ -117,13 +123,21 @@
     }
 
     fn keyed(mut self) -> State {
-        self.key =
-            format!("{:?}{:?}{:?}{:?}{}", self.front_ends, self.at, self.effects, self.answers, self.deaths);
+        self.key = format!(
+            "{:?}{:?}{:?}{:?}{}",
+            self.front_ends, self.at, self.effects, self.answers, self.deaths
+        );
         self
     }
 
     fn message(&self, f: usize, n: u64) -> Option<usize> {
-        self.front_ends[f].ledger.as_ref()?.message(n)?.topic.parse().ok()
+        self.front_ends[f]
+            .ledger
+            .as_ref()?
+            .message(n)?
+            .topic
+            .parse()
+            .ok()
     }
 
     fn give(&mut self, f: usize, m: usize, shape: Shape) {
@@ -134,7 +148,10 @@
         let todo = ledger.delivered(
             n,
             shape.effect,
-            DeliveryId { packet: Some(m as u16 + 1), confirms: shape.qos2 },
+            DeliveryId {
+                packet: Some(m as u16 + 1),
+                confirms: shape.qos2,
+            },
             held(m),
             None,
         );
@@ -147,13 +164,19 @@
     /// The broker hears an acknowledgement.
     fn acknowledged(&mut self, f: usize, n: u64, m: usize, shape: Shape) {
         if self.at[m] == At::Given(f) {
-            self.at[m] = if shape.qos2 { At::Recorded(f) } else { At::Gone };
+            self.at[m] = if shape.qos2 {
+                At::Recorded(f)
+            } else {
+                At::Gone
+            };
         }
         self.front_ends[f].todo.push_back(Task::Confirmed(n));
     }
 
     fn perform(&mut self, f: usize, shape: Shape) {
-        let Some(task) = self.front_ends[f].todo.pop_front() else { return };
+        let Some(task) = self.front_ends[f].todo.pop_front() else {
+            return;
+        };
         let message = match &task {
             Task::Action(
                 Action::Acknowledge(n)
@@ -167,7 +190,8 @@
         let Some(ledger) = &mut fe.ledger else { return };
         let more = match task {
             Task::Action(Action::Persist(record)) => {
-                if shape.planted != Planted::ForgetsDispatch || !matches!(record, Record::Dispatching { .. })
+                if shape.planted != Planted::ForgetsDispatch
+                    || !matches!(record, Record::Dispatching { .. })
                 {
                     fe.journal.push(record.clone());
                 }
@@ -220,11 +244,18 @@
             }
             Task::Action(Action::SetAside(_) | Action::Cancel(_)) => vec![],
             Task::Confirmed(n) => ledger.confirmed(n),
-            Task::Came(n) => ledger.invocation_ended(n, Answer::Succeeded { payload: Bytes::new() }),
+            Task::Came(n) => ledger.invocation_ended(
+                n,
+                Answer::Succeeded {
+                    payload: Bytes::new(),
+                },
+            ),
             Task::Recorded(n) => ledger.reply_recorded(n),
             Task::Completed(n) => ledger.reply_completed(n),
         };
-        self.front_ends[f].todo.extend(more.into_iter().map(Task::Action));
+        self.front_ends[f]
+            .todo
+            .extend(more.into_iter().map(Task::Action));
     }
 
     fn die(&mut self, f: usize, shape: Shape) {
@@ -265,7 +296,11 @@
         let given: Vec<Redelivery> = again
             .iter()
             .zip(&topics)
-            .map(|(&m, topic)| Redelivery { packet: m as u16 + 1, topic, payload: &empty })
+            .map(|(&m, topic)| Redelivery {
+                packet: m as u16 + 1,
+                topic,
+                payload: &empty,
+            })
             .collect();
         let todo = ledger.session_resumed(true, &given, shape.hands_over);
         fe.todo.extend(confirmed.into_iter().map(Task::Confirmed));
@@ -303,7 +338,9 @@
     }
 
     fn is_over(&self) -> bool {
-        self.front_ends.iter().all(|f| f.ledger.is_some() && f.todo.is_empty())
+        self.front_ends
+            .iter()
+            .all(|f| f.ledger.is_some() && f.todo.is_empty())
             && self.at.iter().all(|a| *a != At::Waiting)
     }
 }
@@ -317,7 +354,10 @@
 }
 
 fn all_states(shape: Shape) -> Found {
-    let mut found = Found { fewest: usize::MAX, ..Found::default() };
+    let mut found = Found {
+        fewest: usize::MAX,
+        ..Found::default()
+    };
     let mut states = 0u64;
     for state in bfs_reach(State::new(shape), |s| s.next(shape)) {
         states += 1;
@@ -344,12 +384,28 @@
 
 #[test]
 fn a_non_idempotent_message_has_one_effect_at_the_most_and_one_answer() {
-    let once = Found { effects: 1, answers: 1, fewest: 1, unknown: true };
+    let once = Found {
+        effects: 1,
+        answers: 1,
+        fewest: 1,
+        unknown: true,
+    };
     assert_eq!(all_states(PLAIN), once);
-    assert_eq!(all_states(Shape { qos2: false, ..PLAIN }), once);
+    assert_eq!(
+        all_states(Shape {
+            qos2: false,
+            ..PLAIN
+        }),
+        once
+    );
     // Where the broker hands over with QoS 1: never two, but none if the front end died between the
     // acknowledgement and its confirmation.
-    let handed = Shape { qos2: false, hands_over: true, deaths: 1, ..PLAIN };
+    let handed = Shape {
+        qos2: false,
+        hands_over: true,
+        deaths: 1,
+        ..PLAIN
+    };
     assert_eq!(all_states(handed), Found { fewest: 0, ..once });
 }
 
@@ -357,26 +413,53 @@
 fn others_may_run_again_and_are_answered_once_with_what_they_came_to() {
     for effect in [Effect::Idempotent, Effect::Tokened { until: 1e9 }] {
         for qos2 in [true, false] {
-            let found = all_states(Shape { effect, qos2, ..PLAIN });
+            let found = all_states(Shape {
+                effect,
+                qos2,
+                ..PLAIN
+            });
             assert!(found.effects > 1, "deaths are gone through");
             assert_eq!((found.answers, found.fewest, found.unknown), (1, 1, false));
         }
     }
     // A token that is forgotten by then protects nothing.
-    let forgotten = all_states(Shape { effect: Effect::Tokened { until: -1.0 }, ..PLAIN });
-    assert_eq!(forgotten, Found { effects: 1, answers: 1, fewest: 1, unknown: true });
+    let forgotten = all_states(Shape {
+        effect: Effect::Tokened { until: -1.0 },
+        ..PLAIN
+    });
+    assert_eq!(
+        forgotten,
+        Found {
+            effects: 1,
+            answers: 1,
+            fewest: 1,
+            unknown: true
+        }
+    );
 }
 
 #[test]
 fn planted_faults_are_found() {
-    let found = |planted| all_states(Shape { planted, deaths: 1, ..PLAIN });
+    let found = |planted| {
+        all_states(Shape {
+            planted,
+            deaths: 1,
+            ..PLAIN
+        })
+    };
     assert_eq!(
         found(Planted::AcknowledgeFirst).fewest,
         0,
         "what is acknowledged and not written down is lost"
     );
-    assert!(found(Planted::ForgetsDispatch).effects > 1, "a dispatch that is forgotten is made again");
-    assert!(found(Planted::FreshId).answers > 1, "an answer under another id is a second answer");
+    assert!(
+        found(Planted::ForgetsDispatch).effects > 1,
+        "a dispatch that is forgotten is made again"
+    );
+    assert!(
+        found(Planted::FreshId).answers > 1,
+        "an answer under another id is a second answer"
+    );
     assert_eq!(
         found(Planted::CompletesFirst).fewest,
         0,
--- a/crates/trigger/tests/rules.rs
+++ b/crates/trigger/tests/rules.rs
@@ -47,37 +47,85 @@
     let d = deployment();
     let rules = Rules::read(RULES, &d).unwrap_or_else(|f| panic!("{f:?}"));
     let data = Bytes::from_static(b"7");
-    let asked = vec![Property::MessageExpiry(1), Property::CorrelationData(data.clone())];
-    let call = rules.call(&d, &message("house/9/set/mist", "{}", asked)).unwrap();
-    assert_eq!((call.rule, call.function.as_str(), call.key.as_deref()), (0, "mist", Some("9")));
+    let asked = vec![
+        Property::MessageExpiry(1),
+        Property::CorrelationData(data.clone()),
+    ];
+    let call = rules
+        .call(&d, &message("house/9/set/mist", "{}", asked))
+        .unwrap();
+    assert_eq!(
+        (call.rule, call.function.as_str(), call.key.as_deref()),
+        (0, "mist", Some("9"))
+    );
     assert_eq!(
         (call.customer.as_str(), call.time_left),
         ("rose", 1.0),
         "the lesser of expiry and the rule's time"
     );
-    assert_eq!(call.answer, Some(Reply { topic: "house/9/done/mist".into(), correlation: data }));
+    assert_eq!(
+        call.answer,
+        Some(Reply {
+            topic: "house/9/done/mist".into(),
+            correlation: data
+        })
+    );
     let response = |topic: &str| vec![Property::ResponseTopic(topic.into())];
-    let call = rules.call(&d, &message("ask/rose/a/b", "x", response("me/1"))).unwrap();
+    let call = rules
+        .call(&d, &message("ask/rose/a/b", "x", response("me/1")))
+        .unwrap();
     assert_eq!(
         (call.answer, call.time_left),
-        (Some(Reply { topic: "me/1".into(), correlation: Bytes::new() }), 5.0)
+        (
+            Some(Reply {
+                topic: "me/1".into(),
+                correlation: Bytes::new()
+            }),
+            5.0
+        )
+    );
+    assert_eq!(
+        rules.call(&d, &message("log", "x", vec![])).unwrap().answer,
+        None
     );
-    assert_eq!(rules.call(&d, &message("log", "x", vec![])).unwrap().answer, None);
     for (m, expected) in [
         (message("other", "", vec![]), Poison::NoRule),
         (
-            message("house/9/set/mist", &format!("\"{}\"", "a".repeat(70)), vec![]),
-            Poison::TooLong { bytes: 72, most: 64 },
+            message(
+                "house/9/set/mist",
+                &format!("\"{}\"", "a".repeat(70)),
+                vec![],
+            ),
+            Poison::TooLong {
+                bytes: 72,
+                most: 64,
+            },
+        ),
+        (
+            message("house/9/set/nothing", "{}", vec![]),
+            Poison::UnknownFunction("nothing".into()),
+        ),
+        (
+            message("ask/tulip/a", "", response("me")),
+            Poison::UnknownCustomer("tulip".into()),
         ),
-        (message("house/9/set/nothing", "{}", vec![]), Poison::UnknownFunction("nothing".into())),
-        (message("ask/tulip/a", "", response("me")), Poison::UnknownCustomer("tulip".into())),
         (message("ask/rose/a", "", vec![]), Poison::NoResponseTopic),
-        (message("ask/rose/a", "", response("ask/rose/b")), Poison::Loop("ask/rose/b".into())),
+        (
+            message("ask/rose/a", "", response("ask/rose/b")),
+            Poison::Loop("ask/rose/b".into()),
+        ),
     ] {
         assert_eq!(rules.call(&d, &m), Err(expected));
     }
-    let broken = rules.call(&d, &message("house/9/set/mist", "{", vec![])).unwrap_err();
-    assert!(broken.to_string().starts_with("the payload is not JSON: EOF"), "{broken}");
+    let broken = rules
+        .call(&d, &message("house/9/set/mist", "{", vec![]))
+        .unwrap_err();
+    assert!(
+        broken
+            .to_string()
+            .starts_with("the payload is not JSON: EOF"),
+        "{broken}"
+    );
 }
 
 #[test]
@@ -89,7 +137,11 @@
   { topic: "b/{rest...}", function: "fog", triggerType: "watch", customer: "rose" },
   { topic: "d/{x...}/e", function: "mist", triggerType: "setpont", payload: "xml" },
 ] }"#;
-    let told: Vec<String> = Rules::read(text, &d).unwrap_err().iter().map(ToString::to_string).collect();
+    let told: Vec<String> = Rules::read(text, &d)
+        .unwrap_err()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     for part in [
         "2:31: triggers[0].function: the topic gives no 'y'",
         "2:3: triggers[0]: its answers to 'b/+' can come back as messages of triggers[1]",
@@ -103,9 +155,17 @@
         "triggers[3].customer: is missing",
         "'xml' is none of 'bytes', 'text', 'json'",
     ] {
-        assert!(told.iter().any(|t| t.contains(part)), "{part} is not in:\n{}", told.join("\n"));
+        assert!(
+            told.iter().any(|t| t.contains(part)),
+            "{part} is not in:\n{}",
+            told.join("\n")
+        );
     }
-    assert!(Rules::read("{ triggers: [] }", &d).unwrap_err()[0].what.contains("at least one"));
+    assert!(
+        Rules::read("{ triggers: [] }", &d).unwrap_err()[0]
+            .what
+            .contains("at least one")
+    );
 }
 
 proptest! {
--- a/crates/trigger/tests/simulated.rs
+++ b/crates/trigger/tests/simulated.rs
@@ -51,7 +51,10 @@
             payload,
             qos: Qos::ExactlyOnce,
             retain: false,
-            properties: vec![Property::User("orchidtally-invocation".into(), format!("{kind}-{message}"))],
+            properties: vec![Property::User(
+                "orchidtally-invocation".into(),
+                format!("{kind}-{message}"),
+            )],
             until: f64::INFINITY,
         };
         let out = w.broker.publish(w.now, m);
@@ -71,14 +74,23 @@
         let kind = KINDS[message % KINDS.len()];
         // 3.1.1 has no properties: the name is derived there, and effects are told by what the executors saw.
         let topic = format!("done/{message}");
-        let answers: Vec<&Message> = w.broker.published.iter().filter(|m| m.topic == topic).collect();
+        let answers: Vec<&Message> = w
+            .broker
+            .published
+            .iter()
+            .filter(|m| m.topic == topic)
+            .collect();
         found.messages += 1;
         found.twice += u32::from(answers.len() > 1);
         found.unanswered += u32::from(answers.is_empty());
         if w.version == Version::V311 {
             continue;
         }
-        let effects = w.effects.get(&format!("{kind}-{message}")).copied().unwrap_or(0);
+        let effects = w
+            .effects
+            .get(&format!("{kind}-{message}"))
+            .copied()
+            .unwrap_or(0);
         found.effects_twice += u32::from(kind == "act" && effects > 1);
         for answer in answers {
             let outcome = outcome(answer, w.version);
@@ -95,9 +107,21 @@
     if planted == Planted::Nothing && !shape.2 {
         let now = (found.twice, found.unanswered, found.effects_twice);
         assert_eq!(now, before, "seed {seed}");
-        let left: Vec<_> = w.front_ends.iter().map(|f| f.consumer.as_ref().unwrap().in_hand()).collect();
-        assert_eq!(left, vec![(0, 0); FRONT_ENDS], "seed {seed}: nothing is left in hand");
-        assert_eq!((w.broker.waiting(), w.broker.given()), (0, 0), "seed {seed}: nor at the broker");
+        let left: Vec<_> = w
+            .front_ends
+            .iter()
+            .map(|f| f.consumer.as_ref().unwrap().in_hand())
+            .collect();
+        assert_eq!(
+            left,
+            vec![(0, 0); FRONT_ENDS],
+            "seed {seed}: nothing is left in hand"
+        );
+        assert_eq!(
+            (w.broker.waiting(), w.broker.given()),
+            (0, 0),
+            "seed {seed}: nor at the broker"
+        );
     }
 }
 
@@ -111,10 +135,29 @@
 #[test]
 fn each_message_has_one_answer_and_one_effect_though_front_ends_die_anywhere() {
     let found = courses(6_000, ("5", 2, false), Planted::Nothing);
-    assert!(found.kills > 8_000 && found.fails > 500 && found.unknown > 50, "{found:?}");
-    assert_eq!((found.twice, found.unanswered, found.effects_twice, found.untrue), (0, 0, 0, 0));
+    assert!(
+        found.kills > 8_000 && found.fails > 500 && found.unknown > 50,
+        "{found:?}"
+    );
+    assert_eq!(
+        (
+            found.twice,
+            found.unanswered,
+            found.effects_twice,
+            found.untrue
+        ),
+        (0, 0, 0, 0)
+    );
     let found = courses(2_000, ("5", 1, false), Planted::Nothing);
-    assert_eq!((found.twice, found.unanswered, found.effects_twice, found.untrue), (0, 0, 0, 0));
+    assert_eq!(
+        (
+            found.twice,
+            found.unanswered,
+            found.effects_twice,
+            found.untrue
+        ),
+        (0, 0, 0, 0)
+    );
     let found = courses(2_000, ("3.1.1", 2, false), Planted::Nothing);
     assert_eq!((found.twice, found.unanswered), (0, 0));
 }
@@ -125,7 +168,10 @@
     assert_eq!((found.twice, found.effects_twice, found.untrue), (0, 0, 0));
     // One that died after its acknowledgement and before it was sure of that leaves its message to others, and there
     // may be none: with QoS 2 the standard forbids to hand it over.
-    assert!(found.unanswered > 0 && 4 * found.unanswered < found.messages, "{found:?}");
+    assert!(
+        found.unanswered > 0 && 4 * found.unanswered < found.messages,
+        "{found:?}"
+    );
 }
 
 #[test]
