--- a/crates/trigger/tests/simulation/mod.rs
+++ b/crates/trigger/tests/simulation/mod.rs
@@ -127,8 +127,14 @@
     pub fn start(&mut self, n: usize) {
         let fe = &mut self.front_ends[n];
         let records = records(&fe.disk);
-        fe.consumer =
-            Some(Consumer::new(&self.section, &self.deployment, n as u32, None, &records, self.now));
+        fe.consumer = Some(Consumer::new(
+            &self.section,
+            &self.deployment,
+            n as u32,
+            None,
+            &records,
+            self.now,
+        ));
         self.work(n);
     }
 
@@ -145,7 +151,9 @@
 
     pub fn cut(&mut self, n: usize) {
         let fe = &mut self.front_ends[n];
-        let Some(connection) = fe.connection.take() else { return };
+        let Some(connection) = fe.connection.take() else {
+            return;
+        };
         (fe.up, fe.down) = Default::default();
         if let Some(consumer) = &mut fe.consumer {
             consumer.connection_lost();
@@ -159,10 +167,16 @@
     pub fn kill(&mut self, n: usize) {
         self.kills += 1;
         let fe = &mut self.front_ends[n];
-        let kept = if fe.failed { 0 } else { self.random.random_range(0..=fe.unsynced.len()) };
+        let kept = if fe.failed {
+            0
+        } else {
+            self.random.random_range(0..=fe.unsynced.len())
+        };
         let lies = self.planted == Planted::LyingDisk;
         for (replaces, bytes) in
-            std::mem::take(&mut fe.unsynced).into_iter().take(if lies { 0 } else { kept })
+            std::mem::take(&mut fe.unsynced)
+                .into_iter()
+                .take(if lies { 0 } else { kept })
         {
             if replaces {
                 fe.disk.clear();
@@ -182,12 +196,20 @@
         for out in out {
             match out {
                 Action::Send(to, packet) => {
-                    if let Some(fe) = self.front_ends.iter_mut().find(|f| f.connection == Some(to)) {
+                    if let Some(fe) = self
+                        .front_ends
+                        .iter_mut()
+                        .find(|f| f.connection == Some(to))
+                    {
                         fe.down.push_back(packet);
                     }
                 }
                 Action::Close(to) => {
-                    if let Some(n) = self.front_ends.iter().position(|f| f.connection == Some(to)) {
+                    if let Some(n) = self
+                        .front_ends
+                        .iter()
+                        .position(|f| f.connection == Some(to))
+                    {
                         self.cut(n);
                     }
                 }
@@ -199,7 +221,9 @@
     pub fn work(&mut self, n: usize) {
         let planted = self.planted;
         let fe = &mut self.front_ends[n];
-        let Some(consumer) = &mut fe.consumer else { return };
+        let Some(consumer) = &mut fe.consumer else {
+            return;
+        };
         while let Some(action) = consumer.next_action() {
             match action {
                 HostAction::Append(bytes) => {
@@ -222,7 +246,9 @@
                     }
                 }
                 HostAction::Invoke(m) => {
-                    let name = consumer.message(m).map_or_else(String::new, |h| h.name.clone());
+                    let name = consumer
+                        .message(m)
+                        .map_or_else(String::new, |h| h.name.clone());
                     fe.out.insert(m, (name, false));
                 }
                 HostAction::Cancel(m) => {
@@ -237,7 +263,9 @@
         while let Some(packet) = consumer.next_packet() {
             // Each goes through the codec.
             let mut bytes = BytesMut::from(&encode(&packet, self.version).unwrap()[..]);
-            let (_, packet) = decode(&mut bytes, self.version, 1_000_000).unwrap().unwrap();
+            let (_, packet) = decode(&mut bytes, self.version, 1_000_000)
+                .unwrap()
+                .unwrap();
             if fe.connection.is_some() {
                 fe.up.push_back(packet);
             }
@@ -246,14 +274,20 @@
 
     pub fn up(&mut self, n: usize) {
         let fe = &mut self.front_ends[n];
-        let (Some(connection), Some(packet)) = (fe.connection, fe.up.pop_front()) else { return };
-        let out = self.broker.received(self.now, connection, self.version, packet);
+        let (Some(connection), Some(packet)) = (fe.connection, fe.up.pop_front()) else {
+            return;
+        };
+        let out = self
+            .broker
+            .received(self.now, connection, self.version, packet);
         self.perform(out);
     }
 
     pub fn down(&mut self, n: usize) {
         let fe = &mut self.front_ends[n];
-        let (Some(consumer), Some(packet)) = (&mut fe.consumer, fe.down.pop_front()) else { return };
+        let (Some(consumer), Some(packet)) = (&mut fe.consumer, fe.down.pop_front()) else {
+            return;
+        };
         if let Err(ended) = consumer.received(self.now, packet, &self.deployment) {
             panic!("the broker and the consumer don't understand each other: {ended}");
         }
@@ -265,7 +299,8 @@
         let fails = may_fail && self.random.random_range(0..12) == 0;
         let lies = self.planted == Planted::LyingDisk;
         let fe = &mut self.front_ends[n];
-        let (Some(consumer), Some((replaces, bytes))) = (&mut fe.consumer, fe.unsynced.pop_front()) else {
+        let (Some(consumer), Some((replaces, bytes))) = (&mut fe.consumer, fe.unsynced.pop_front())
+        else {
             return;
         };
         let fails = fails || fe.failed && !replaces;
@@ -288,7 +323,9 @@
 
     pub fn run(&mut self, n: usize) {
         let fe = &mut self.front_ends[n];
-        let Some((&m, (name, ran))) = fe.out.iter_mut().next() else { return };
+        let Some((&m, (name, ran))) = fe.out.iter_mut().next() else {
+            return;
+        };
         if !std::mem::replace(ran, true) {
             *self.effects.entry(name.clone()).or_default() += 1;
             return;
@@ -298,7 +335,9 @@
             consumer.invocation_ended(
                 self.now,
                 m,
-                Answer::Succeeded { payload: Bytes::from_static(b"well") },
+                Answer::Succeeded {
+                    payload: Bytes::from_static(b"well"),
+                },
             );
         }
         self.work(n);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -32,8 +32,12 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::TooLong { length, most } => write!(f, "a message of {length} bytes, {most} at most"),
-            Fault::CutShort { missing } => write!(f, "the stream ended {missing} bytes before its message"),
+            Fault::TooLong { length, most } => {
+                write!(f, "a message of {length} bytes, {most} at most")
+            }
+            Fault::CutShort { missing } => {
+                write!(f, "the stream ended {missing} bytes before its message")
+            }
             Fault::Malformed(what) => write!(f, "a malformed message: {what}"),
         }
     }
@@ -46,7 +50,9 @@
     let length = message.encoded_len();
     let mut bytes = BytesMut::with_capacity(4 + length);
     bytes.put_u32(length as u32);
-    message.encode(&mut bytes).expect("the buffer has room for the encoded length");
+    message
+        .encode(&mut bytes)
+        .expect("the buffer has room for the encoded length");
     bytes.freeze()
 }
 
@@ -77,7 +83,9 @@
 
     /// The next message once it is here whole.
     pub fn message<M: Message + Default>(&mut self, most: usize) -> Result<Option<M>, Fault> {
-        let Some(length) = self.peek_length() else { return Ok(None) };
+        let Some(length) = self.peek_length() else {
+            return Ok(None);
+        };
         if length > most {
             return Err(Fault::TooLong { length, most });
         }
@@ -86,13 +94,17 @@
         }
         self.take(4);
         let bytes = self.take(length);
-        M::decode(bytes).map(Some).map_err(|e| Fault::Malformed(e.to_string()))
+        M::decode(bytes)
+            .map(Some)
+            .map_err(|e| Fault::Malformed(e.to_string()))
     }
 
     /// What is missing where the stream has ended before a message.
     pub fn cut_short(&self) -> Fault {
         let wanted = self.peek_length().map_or(4, |length| 4 + length);
-        Fault::CutShort { missing: wanted.saturating_sub(self.length) }
+        Fault::CutShort {
+            missing: wanted.saturating_sub(self.length),
+        }
     }
 
     /// The next chunk of the payload.
@@ -118,7 +130,10 @@
         }
         let mut whole = BytesMut::with_capacity(n);
         while whole.len() < n {
-            let chunk = self.chunks.front_mut().expect("the length was checked before");
+            let chunk = self
+                .chunks
+                .front_mut()
+                .expect("the length was checked before");
             let part = chunk.len().min(n - whole.len());
             whole.extend_from_slice(&chunk[..part]);
             chunk.advance(part);
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -7,18 +7,37 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 fn runner(cases: u32) -> TestRunner {
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]))
 }
 
 fn dispatch(function: String, time_left: u64) -> Dispatch {
-    let from = Some(Sender { index: 3, count: 7, incarnation: u64::MAX });
-    Dispatch { from, function, time_left, number: 2, ..Dispatch::default() }
+    let from = Some(Sender {
+        index: 3,
+        count: 7,
+        incarnation: u64::MAX,
+    });
+    Dispatch {
+        from,
+        function,
+        time_left,
+        number: 2,
+        ..Dispatch::default()
+    }
 }
 
 #[test]
 fn a_message_and_its_payload_come_out_however_the_stream_is_cut() {
-    let cut = (".{0,300}", any::<u64>(), prop::collection::vec(any::<u8>(), 0..500), 1usize..90);
+    let cut = (
+        ".{0,300}",
+        any::<u64>(),
+        prop::collection::vec(any::<u8>(), 0..500),
+        1usize..90,
+    );
     let outcome = runner(400).run(&cut, |(function, time_left, payload, step)| {
         let sent = dispatch(function, time_left);
         let mut bytes = frame(&sent).to_vec();
@@ -31,7 +50,9 @@
             }
         }
         prop_assert_eq!(got, Some(sent));
-        let rest: Vec<u8> = std::iter::from_fn(|| deframer.payload()).flatten().collect();
+        let rest: Vec<u8> = std::iter::from_fn(|| deframer.payload())
+            .flatten()
+            .collect();
         prop_assert_eq!(rest, payload);
         prop_assert!(deframer.is_empty());
         Ok(())
@@ -46,7 +67,9 @@
     let outcome = runner(2_000).run(&bytes, |bytes| {
         let mut deframer = Deframer::default();
         deframer.push(Bytes::from(bytes.clone()));
-        let length = bytes.get(..4).map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize);
+        let length = bytes
+            .get(..4)
+            .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize);
         match (deframer.message::<Answer>(LONGEST_HEAD), length) {
             (Ok(Some(_)), Some(length)) => prop_assert!(length + 4 <= bytes.len()),
             (Ok(None), Some(length)) => {
@@ -66,6 +89,12 @@
     outcome.unwrap();
     let mut wrong = Deframer::default();
     wrong.push(Bytes::from_static(&[0, 0, 0, 2, 0x0a, 0xff]));
-    faults += usize::from(matches!(wrong.message::<Answer>(LONGEST_HEAD), Err(Fault::Malformed(_))));
-    assert_eq!(faults, 1, "a message whose field runs past its end is malformed");
+    faults += usize::from(matches!(
+        wrong.message::<Answer>(LONGEST_HEAD),
+        Err(Fault::Malformed(_))
+    ));
+    assert_eq!(
+        faults, 1,
+        "a message whose field runs past its end is malformed"
+    );
 }
--- a/sim-adapter/src/batch.rs
+++ b/sim-adapter/src/batch.rs
@@ -42,8 +42,20 @@
     };
     let weight = f64::from(fields.f32()?);
     let since = fields.seconds()?;
-    let since = if since > 0.0 { since } else { f64::NEG_INFINITY };
-    Ok(RosterRow { executor, zone, kind, cell, standing, weight, since })
+    let since = if since > 0.0 {
+        since
+    } else {
+        f64::NEG_INFINITY
+    };
+    Ok(RosterRow {
+        executor,
+        zone,
+        kind,
+        cell,
+        standing,
+        weight,
+        since,
+    })
 }
 
 impl Host {
@@ -65,12 +77,20 @@
         Ok(())
     }
 
-    fn event(&mut self, code: u8, mut f: Fields, now: f64, reply: &mut Reply) -> Result<(), Malformed> {
+    fn event(
+        &mut self,
+        code: u8,
+        mut f: Fields,
+        now: f64,
+        reply: &mut Reply,
+    ) -> Result<(), Malformed> {
         if code == 8 {
             let (page, rows) = (usize::from(f.u16()?), f.u32()?);
             let rows = (0..rows).map(|_| row(&mut f)).collect::<Result<_, _>>()?;
-            *self.lists.get_mut(page).ok_or_else(|| f.fault(format!("no list can have number {page}")))? =
-                Some(rows);
+            *self
+                .lists
+                .get_mut(page)
+                .ok_or_else(|| f.fault(format!("no list can have number {page}")))? = Some(rows);
             return Ok(());
         }
         let start = f.clone();
@@ -82,7 +102,8 @@
             let length = f.u32()? as usize;
             let at_text = f.clone();
             let text = f.take(length)?;
-            let policy = orchidtally_platform_config::read(text).map_err(|e| at_text.fault(e.to_string()))?;
+            let policy = orchidtally_platform_config::read(text)
+                .map_err(|e| at_text.fault(e.to_string()))?;
             if self.instances.len() <= slot {
                 self.instances.resize_with(slot + 1, || None);
             }
@@ -119,7 +140,8 @@
                     return Err(start.fault(format!("no trigger type has number {trigger_type}")));
                 }
                 let work = (options & 1 != 0).then_some(work);
-                let load_time = (load_ms > 0.0 && load_ms.is_finite()).then(|| f64::from(load_ms) / 1e3);
+                let load_time =
+                    (load_ms > 0.0 && load_ms.is_finite()).then(|| f64::from(load_ms) / 1e3);
                 let repeat = options & 2 != 0;
                 let inv = Invocation {
                     id,
@@ -163,7 +185,17 @@
                 };
                 let crowd = info >> 3;
                 let report = &report(&mut f)?;
-                let outcome = Outcome { inv, dispatch, executor, ending, took, closed, found, crowd, report };
+                let outcome = Outcome {
+                    inv,
+                    dispatch,
+                    executor,
+                    ending,
+                    took,
+                    closed,
+                    found,
+                    crowd,
+                    report,
+                };
                 dispatcher.outcome(now, &outcome, reply);
             }
             9 => {}
--- a/sim-adapter/src/frame.rs
+++ b/sim-adapter/src/frame.rs
@@ -12,7 +12,11 @@
 
 impl fmt::Display for Malformed {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "record {}, byte {}: {}", self.record, self.byte, self.what)
+        write!(
+            f,
+            "record {}, byte {}: {}",
+            self.record, self.byte, self.what
+        )
     }
 }
 
@@ -27,11 +31,20 @@
 
 impl<'a> Fields<'a> {
     pub fn new(bytes: &'a [u8], base: usize, record: usize) -> Self {
-        Fields { bytes, at: 0, base, record }
+        Fields {
+            bytes,
+            at: 0,
+            base,
+            record,
+        }
     }
 
     pub fn fault(&self, what: impl Into<String>) -> Malformed {
-        Malformed { record: self.record, byte: self.base + self.at, what: what.into() }
+        Malformed {
+            record: self.record,
+            byte: self.base + self.at,
+            what: what.into(),
+        }
     }
 
     pub fn is_empty(&self) -> bool {
@@ -54,7 +67,10 @@
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
-        Ok(self.take(N)?.try_into().expect("take gives as many bytes as asked"))
+        Ok(self
+            .take(N)?
+            .try_into()
+            .expect("take gives as many bytes as asked"))
     }
 
     pub fn u8(&mut self) -> Result<u8, Malformed> {
@@ -77,6 +93,9 @@
     }
     pub fn executor(&mut self) -> Result<orchidtally::interface::ExecutorId, Malformed> {
         let address: [u8; 4] = self.array()?;
-        Ok(orchidtally::interface::ExecutorId(address.into(), self.u16()?))
+        Ok(orchidtally::interface::ExecutorId(
+            address.into(),
+            self.u16()?,
+        ))
     }
 }
--- a/sim-adapter/src/lib.rs
+++ b/sim-adapter/src/lib.rs
@@ -17,12 +17,25 @@
     for batch in 0.. {
         let failed = |e: Malformed| format!("batch {batch}, {e}");
         let mut length = Vec::with_capacity(4);
-        input.by_ref().take(4).read_to_end(&mut length).map_err(|e| format!("batch {batch}: {e}"))?;
+        input
+            .by_ref()
+            .take(4)
+            .read_to_end(&mut length)
+            .map_err(|e| format!("batch {batch}: {e}"))?;
         if length.is_empty() {
             return Ok(());
         }
-        let cut = |byte| failed(Malformed { record: 0, byte, what: "the frame is cut short".into() });
-        let length: [u8; 4] = length.as_slice().try_into().map_err(|_| cut(length.len()))?;
+        let cut = |byte| {
+            failed(Malformed {
+                record: 0,
+                byte,
+                what: "the frame is cut short".into(),
+            })
+        };
+        let length: [u8; 4] = length
+            .as_slice()
+            .try_into()
+            .map_err(|_| cut(length.len()))?;
         let length = u32::from_le_bytes(length) as usize;
         frame.clear();
         input
@@ -34,7 +47,10 @@
             return Err(cut(4 + frame.len()));
         }
         host.play(&frame, &mut reply).map_err(failed)?;
-        match output.write_all(reply.finish()).and_then(|()| output.flush()) {
+        match output
+            .write_all(reply.finish())
+            .and_then(|()| output.flush())
+        {
             Err(e) if e.kind() == ErrorKind::BrokenPipe => return Ok(()),
             other => other.map_err(|e| format!("batch {batch}: {e}"))?,
         }
--- a/sim-adapter/src/reply.rs
+++ b/sim-adapter/src/reply.rs
@@ -56,7 +56,15 @@
     fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64) {
         // Zero would mean no time-out at all.
         let within = nanos(time_out.max(1e-9));
-        self.record(66, &[&inv.to_le_bytes(), &address(to), &to.1.to_le_bytes(), &within]);
+        self.record(
+            66,
+            &[
+                &inv.to_le_bytes(),
+                &address(to),
+                &to.1.to_le_bytes(),
+                &within,
+            ],
+        );
     }
     fn throttle(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
         self.record(78, &[&inv.to_le_bytes(), &nanos(retry_after.max(0.0))]);
@@ -68,19 +76,33 @@
         self.record(75, &[&inv.to_le_bytes(), &[dispatch]]);
     }
     fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.record(73, &[&address(to), &to.1.to_le_bytes(), &function.to_le_bytes(), &[copies]]);
+        self.record(
+            73,
+            &[
+                &address(to),
+                &to.1.to_le_bytes(),
+                &function.to_le_bytes(),
+                &[copies],
+            ],
+        );
     }
     fn ask(&mut self, to: ExecutorId, function: u64) {
         self.hold(to, function, 0);
     }
     fn unload(&mut self, to: ExecutorId, function: u64) {
-        self.record(77, &[&address(to), &to.1.to_le_bytes(), &function.to_le_bytes()]);
+        self.record(
+            77,
+            &[&address(to), &to.1.to_le_bytes(), &function.to_le_bytes()],
+        );
     }
     fn probe(&mut self, to: ExecutorId) {
         self.record(67, &[&address(to), &to.1.to_le_bytes()]);
     }
     fn wake(&mut self, delay: f64, mark: u64) {
-        self.record(72, &[&nanos(delay.clamp(0.0, LONGEST_WAKE)), &mark.to_le_bytes()]);
+        self.record(
+            72,
+            &[&nanos(delay.clamp(0.0, LONGEST_WAKE)), &mark.to_le_bytes()],
+        );
     }
     fn watch_roster(&mut self) {
         self.record(65, &[&[1]]);
--- a/sim-adapter/tests/frames.rs
+++ b/sim-adapter/tests/frames.rs
@@ -13,25 +13,48 @@
 
 fn frame(now: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let head = [&(body.len() as u32 + 12).to_le_bytes()[..], &(records.len() as u32).to_le_bytes()].concat();
+    let head = [
+        &(body.len() as u32 + 12).to_le_bytes()[..],
+        &(records.len() as u32).to_le_bytes(),
+    ]
+    .concat();
     [&head[..], &now.to_le_bytes(), &body].concat()
 }
 
 fn boot(policy: &str) -> Vec<u8> {
     let text = [&(policy.len() as u32).to_le_bytes()[..], policy.as_bytes()].concat();
-    record(4, &[&0u16.to_le_bytes()[..], &9u64.to_le_bytes(), &text].concat())
+    record(
+        4,
+        &[&0u16.to_le_bytes()[..], &9u64.to_le_bytes(), &text].concat(),
+    )
 }
 
 fn roster() -> [Vec<u8>; 2] {
-    let row = [&[10, 1, 2, 3, 5, 0, 0, 0, 0, 0, 0][..], &1f32.to_le_bytes(), &0u64.to_le_bytes()].concat();
+    let row = [
+        &[10, 1, 2, 3, 5, 0, 0, 0, 0, 0, 0][..],
+        &1f32.to_le_bytes(),
+        &0u64.to_le_bytes(),
+    ]
+    .concat();
     let list = record(8, &[&[3, 0, 1, 0, 0, 0][..], &row].concat());
     [list, record(6, &[0, 0, 2, 1, 0, 0, 0, 3, 0])]
 }
 
 fn invocation(extra: &[u8]) -> Vec<u8> {
-    let ids = [&[0, 0][..], &77u32.to_le_bytes(), &[0, 0, 0], &5u64.to_le_bytes()].concat();
+    let ids = [
+        &[0, 0][..],
+        &77u32.to_le_bytes(),
+        &[0, 0, 0],
+        &5u64.to_le_bytes(),
+    ]
+    .concat();
     let times = [6_000_000_000u64.to_le_bytes(), 0u64.to_le_bytes()].concat();
-    let sizes = [100f32.to_le_bytes(), 4f32.to_le_bytes(), 900f32.to_le_bytes()].concat();
+    let sizes = [
+        100f32.to_le_bytes(),
+        4f32.to_le_bytes(),
+        900f32.to_le_bytes(),
+    ]
+    .concat();
     record(5, &[&ids[..], &times, &sizes, &[0], extra].concat())
 }
 
@@ -42,7 +65,11 @@
 
 fn day(extra: &[u8]) -> Vec<u8> {
     let [list, told] = roster();
-    [frame(1_000_000_000, &[boot(TERMS), list, told]), frame(1_100_000_000, &[invocation(extra)])].concat()
+    [
+        frame(1_000_000_000, &[boot(TERMS), list, told]),
+        frame(1_100_000_000, &[invocation(extra)]),
+    ]
+    .concat()
 }
 
 #[test]
@@ -52,7 +79,10 @@
     let dispatch = output.iter().position(|&b| b == 66).expect("a dispatch");
     assert_eq!(output[dispatch + 7..dispatch + 11], 77u32.to_le_bytes());
     assert_eq!(output[dispatch + 11..dispatch + 17], [10, 1, 2, 3, 5, 0]);
-    assert_eq!(output[dispatch + 17..dispatch + 25], 4_900_000_000u64.to_le_bytes());
+    assert_eq!(
+        output[dispatch + 17..dispatch + 25],
+        4_900_000_000u64.to_le_bytes()
+    );
     assert_eq!(played(&day(&[1, 2, 3])), (Ok(()), output));
 }
 
@@ -65,12 +95,24 @@
 #[test]
 fn every_cut_is_refused_and_leaves_whole_replies_only() {
     let whole = day(&[]);
-    let first = frame(1_000_000_000, &[boot(TERMS), roster()[0].clone(), roster()[1].clone()]).len();
+    let first = frame(
+        1_000_000_000,
+        &[boot(TERMS), roster()[0].clone(), roster()[1].clone()],
+    )
+    .len();
     let (_, answered) = played(&whole[..first]);
     for cut in (1..whole.len()).filter(|&cut| cut != first) {
         let (ended, output) = played(&whole[..cut]);
         assert!(ended.unwrap_err().contains("byte"), "cut at {cut}");
-        assert_eq!(output, if cut < first { vec![] } else { answered.clone() }, "cut at {cut}");
+        assert_eq!(
+            output,
+            if cut < first {
+                vec![]
+            } else {
+                answered.clone()
+            },
+            "cut at {cut}"
+        );
     }
 }
 
@@ -83,13 +125,16 @@
     };
     assert!(fault(&[invocation(&[])]).contains("record 0, byte 21: instance 0 was never started"));
     assert!(
-        fault(&[boot(TERMS), record(6, &[0, 0, 1, 0, 0, 0, 0, 9, 0])]).contains("list 9 was never given")
+        fault(&[boot(TERMS), record(6, &[0, 0, 1, 0, 0, 0, 0, 9, 0])])
+            .contains("list 9 was never given")
     );
     assert!(fault(&[boot(TERMS), record(1, &[0, 0, 1])]).contains("record 1, byte"));
     assert!(fault(&[boot(TERMS), record(99, &[0, 0])]).contains("no event has code 99"));
     assert!(fault(&[boot("{}")]).contains("settings lack 'classes'"));
     assert!(fault(&[boot("nonsense")]).contains("settings are not JSON"));
-    assert!(fault(&[boot(&TERMS.replace("\"tick\": 2000000", "\"tick\": \"x\""))]).contains("'tick'"));
+    assert!(
+        fault(&[boot(&TERMS.replace("\"tick\": 2000000", "\"tick\": \"x\""))]).contains("'tick'")
+    );
     let mut long = frame(1, &[]);
     long[0] += 1;
     long.push(0);
--- a/src/dispatch/freshness.rs
+++ b/src/dispatch/freshness.rs
@@ -80,7 +80,11 @@
     /// draining.
     pub(super) fn freshness(&self, now: f64, grace: f64) -> Freshness {
         let Some(confirmed_at) = self.confirmed_at else {
-            return if self.is_silent { Freshness::Ageing } else { Freshness::Fresh };
+            return if self.is_silent {
+                Freshness::Ageing
+            } else {
+                Freshness::Fresh
+            };
         };
         let age = now - confirmed_at;
         let fresh_for = if grace > 0.0 { grace } else { FRESH_FOR };
--- a/src/dispatch/judge.rs
+++ b/src/dispatch/judge.rs
@@ -7,7 +7,9 @@
     /// seen here is a sample of what all front ends take, so one invocation alone tells nothing.
     pub(super) fn wanted(&self, f: usize) -> f64 {
         let seen = (self.book.functions[f].taken.at(self.now, PART_TIME) - 1.0).max(0.0);
-        let in_region = self.has_region(f).then_some(self.fleet.ready_in_region.len());
+        let in_region = self
+            .has_region(f)
+            .then_some(self.fleet.ready_in_region.len());
         let ready = in_region.unwrap_or(self.fleet.ready_count) as f64;
         let by_traffic = COPIES * ready * seen / (self.lately.at(self.now, PART_TIME) + SAMPLE);
         (1.0 + by_traffic.max(self.book.functions[f].everywhere / CROWD)).min(ready)
@@ -30,7 +32,10 @@
     /// Whether the own region has an executor to place at: none elsewhere is taken then. Guards functions
     /// against regions cut from each other; could harm where a region has less room than traffic.
     pub(super) fn has_region(&self, f: usize) -> bool {
-        self.fleet.ready_in_region.iter().any(|&x| self.may_place(f, x))
+        self.fleet
+            .ready_in_region
+            .iter()
+            .any(|&x| self.may_place(f, x))
     }
 
     pub(super) fn is_idempotent(&self, i: usize) -> bool {
@@ -42,15 +47,35 @@
     /// tries, against clients that repeat without end. Told too: whether it is past the share.
     pub(super) fn value(&mut self, inv: &Invocation) -> (f64, bool) {
         let ty = &self.policy.trigger_types[inv.trigger_type];
-        let work = if self.policy.value_by_work { 1.0 } else { self.usual[inv.trigger_type].max(1e-6) };
-        let quota = self.policy.quotas.get(inv.customer).map(|q| q / self.policy.front_ends);
+        let work = if self.policy.value_by_work {
+            1.0
+        } else {
+            self.usual[inv.trigger_type].max(1e-6)
+        };
+        let quota = self
+            .policy
+            .quotas
+            .get(inv.customer)
+            .map(|q| q / self.policy.front_ends);
         // A few seen tell little: the less of a share falls to one front end, the more of it may be saved up.
         let within = quota.is_none_or(|q| {
             let most = most_saved(q);
-            let (cost, least) = if inv.repeat { (REPEAT_COST, most / 2.0) } else { (1.0, 1.0) };
+            let (cost, least) = if inv.repeat {
+                (REPEAT_COST, most / 2.0)
+            } else {
+                (1.0, 1.0)
+            };
             self.shares[inv.customer].take(self.now, q, most, cost, least)
         });
-        (ty.billed_value / work * if within { 1.0 } else { self.policy.over_share_value }, !within)
+        (
+            ty.billed_value / work
+                * if within {
+                    1.0
+                } else {
+                    self.policy.over_share_value
+                },
+            !within,
+        )
     }
 
     /// The part of an executor's limit that an invocation may fill: that of its billed value now in the mean.
@@ -58,7 +83,11 @@
     pub(super) fn part(&self, i: usize) -> f64 {
         let inv = &self.book.invs[i];
         let late = self.policy.trigger_types[inv.ty].late_share;
-        let left = if self.now > inv.at + inv.patience { late } else { 1.0 };
+        let left = if self.now > inv.at + inv.patience {
+            late
+        } else {
+            1.0
+        };
         (inv.value * left / self.mean_value).min(1.0)
     }
 
@@ -73,11 +102,18 @@
         // Under one place at each, what is out at all of them counts: guards little traffic against waiting
         // for its turn at the few executors that it knows; it could harm one that all of it goes to.
         let at_all = limit < 1.0;
-        Room { limit: if at_all { limit * ready } else { limit }, at_all }
+        Room {
+            limit: if at_all { limit * ready } else { limit },
+            at_all,
+        }
     }
 
     pub(super) fn takes_more(&self, x: usize, Room { limit, at_all }: Room) -> bool {
-        let held = if at_all { self.fleet.out_count as f64 } else { self.fleet.inflight(x) };
+        let held = if at_all {
+            self.fleet.out_count as f64
+        } else {
+            self.fleet.inflight(x)
+        };
         // A turn is less than one, so that it decides only about the last place.
         let turn = || held < (limit + self.slot_share(x, (self.now / TURN) as u64)).floor();
         let free = self.now >= self.fleet.paused[x].until;
@@ -91,10 +127,18 @@
 
     /// The same by a load; of several executors it is the least that any of them could be.
     pub(super) fn busy_by(&self, load: &Load, warmth: f64) -> f64 {
-        let told_at = if load.waiting > self.mean_backlog { load.earliest } else { load.latest };
+        let told_at = if load.waiting > self.mean_backlog {
+            load.earliest
+        } else {
+            load.latest
+        };
         let fresh = (-(self.now - told_at) / REPORT_TIME).exp();
         let held = load.held + self.mean_backlog + fresh * (load.waiting - self.mean_backlog);
-        let far = if load.home { 1.0 } else { 1.0 + FAR * self.policy.crossing };
+        let far = if load.home {
+            1.0
+        } else {
+            1.0 + FAR * self.policy.crossing
+        };
         far * (held + 1.0) / (load.weight * warmth)
     }
 
@@ -104,17 +148,21 @@
         // As many as are wanted fit among so many and those that can't. For one that may have run that is any
         // number: all are ranked. It has to stay rare, and does: those known in its group come first.
         let wanted = self.wanted(f).max(2.0) as usize;
-        let bound = placed.is_some_and(|i| self.book.invs[i].ran.is_some() && !self.is_idempotent(i));
+        let bound =
+            placed.is_some_and(|i| self.book.invs[i].ran.is_some() && !self.is_idempotent(i));
         let any_may_be_unfit = bound || !self.view_is_fresh();
         let function = &mut self.book.functions[f];
         let unfit = function.known.len() + 1 + self.fleet.unfit_bound(any_may_be_unfit);
-        self.fleet.rank(&mut function.ranking, function.key, wanted + unfit);
+        self.fleet
+            .rank(&mut function.ranking, function.key, wanted + unfit);
         let function = &self.book.functions[f];
         let anywhere = bound || !self.has_region(f);
         let may_run = |x: usize| placed.is_none_or(|i| self.may_repeat(i, x, None));
         let is_new = |x: usize| self.may_place(f, x) && !function.knows(x, self.now);
         let fits = |&x: &usize| (anywhere || self.fleet.in_region(x)) && is_new(x) && may_run(x);
-        let last = function.last_warm.filter(|&(x, at)| self.now < at + self.policy.keep_alive && fits(&x));
+        let last = function
+            .last_warm
+            .filter(|&(x, at)| self.now < at + self.policy.keep_alive && fits(&x));
         if let Some((x, _)) = last {
             return Some(x);
         }
@@ -123,18 +171,38 @@
         let room = self.room(placed.map_or(1.0, |i| self.part(i)));
         let fitting = function.ranking.iter().filter(fits).take(wanted);
         let rest = |x| !room.at_all && self.fleet.all_warm && self.fleet.rests(x);
-        let fitting = fitting.filter(|&x| rest(x) || self.takes_more(x, room) && cold(x)).collect();
+        let fitting = fitting
+            .filter(|&x| rest(x) || self.takes_more(x, room) && cold(x))
+            .collect();
         let fitting = leave_two(fitting, || self.random.unit());
         // Front ends that a report parts each have a copy loaded: guards executors that load all they can.
         let margin = SECOND + SECOND_BY_LOADS * self.loads.at(self.now, REPORT_TIME);
-        fitting.into_iter().reduce(|a, b| if margin * self.busy(b) < self.busy(a) { b } else { a })
+        fitting.into_iter().reduce(|a, b| {
+            if margin * self.busy(b) < self.busy(a) {
+                b
+            } else {
+                a
+            }
+        })
     }
 
     pub(super) fn warmth(&self, x: usize) -> f64 {
         let age = self.now - self.policy.skew - self.fleet.since[x];
-        let risen = if age >= self.policy.cold { 1.0 } else { (age / self.policy.cold).max(0.0) };
-        let risen = if self.now < self.fleet.broke_at[x] + BROKEN_FOR { 0.0 } else { risen };
-        if risen >= 1.0 { 1.0 } else { self.policy.cold_from + (1.0 - self.policy.cold_from) * risen }
+        let risen = if age >= self.policy.cold {
+            1.0
+        } else {
+            (age / self.policy.cold).max(0.0)
+        };
+        let risen = if self.now < self.fleet.broke_at[x] + BROKEN_FOR {
+            0.0
+        } else {
+            risen
+        };
+        if risen >= 1.0 {
+            1.0
+        } else {
+            self.policy.cold_from + (1.0 - self.policy.cold_from) * risen
+        }
     }
 
     /// How many of a kind are ready and warm. The cold ones are looked at again from when the next of them
@@ -151,7 +219,11 @@
 
     pub(super) fn learn(&mut self, x: usize, (f, ty): (usize, usize), done: &Out, o: &Outcome) {
         let now = self.now;
-        let loaded = if o.found == Found::Untold { done.places } else { o.found != Found::Warm };
+        let loaded = if o.found == Found::Untold {
+            done.places
+        } else {
+            o.found != Found::Warm
+        };
         let objective = self.policy.trigger_types[ty].objective;
         let sample = match o.ending {
             Ending::Ok if loaded => return,
@@ -160,7 +232,8 @@
                 self.usual[ty] += NEWEST * (o.took - self.usual[ty]);
                 if self.warmth(x) >= 1.0 {
                     let warm = self.warm(self.fleet.kind[x]) as f64;
-                    self.fleet.note_carried(x, warm, self.usual[ty], now, CARRY_TIME);
+                    self.fleet
+                        .note_carried(x, warm, self.usual[ty], now, CARRY_TIME);
                 }
                 self.gauge(o.took / objective, done.at);
                 o.took / self.usual[ty].max(1e-6)
@@ -201,9 +274,15 @@
     /// crowd. One cut for what was sent since the last. Guards against overload, whatever its cause; it could
     /// harm where work is long by nature.
     fn gauge(&mut self, time: f64, sent_at: f64) {
-        self.typical *= if time > self.typical { TYPICAL_STEP } else { 1.0 / TYPICAL_STEP };
+        self.typical *= if time > self.typical {
+            TYPICAL_STEP
+        } else {
+            1.0 / TYPICAL_STEP
+        };
         if self.typical <= TYPICAL_MOST {
-            self.limit *= (LIMIT_GROWTH * (self.now - self.limit_at)).exp().min(LIMIT_MOST / self.limit);
+            self.limit *= (LIMIT_GROWTH * (self.now - self.limit_at))
+                .exp()
+                .min(LIMIT_MOST / self.limit);
         } else if sent_at > self.cut_at {
             self.limit = (self.limit * LIMIT_CUT).max(LIMIT_LEAST / self.policy.front_ends);
             self.cut_at = self.now;
@@ -231,16 +310,30 @@
         self.fleet.retain_judged(now);
         let usual = |i: usize| self.usual[self.book.invs[i].ty].max(1e-6);
         let high = |x: usize| {
-            let ages =
-                self.fleet.unheard(x).map(|(i, at)| (now - at) / usual(i)).filter(|&age| age > SUSPECT);
+            let ages = self
+                .fleet
+                .unheard(x)
+                .map(|(i, at)| (now - at) / usual(i))
+                .filter(|&age| age > SUSPECT);
             let times: Vec<f64> = self.fleet.answers_at(x, now).chain(ages).collect();
-            if times.len() < LEAST_JUDGED { None } else { quantile(times, HIGH_QUANTILE) }
+            if times.len() < LEAST_JUDGED {
+                None
+            } else {
+                quantile(times, HIGH_QUANTILE)
+            }
         };
         let judged = self.fleet.judged.iter();
         let quantiles: Vec<(usize, f64)> = judged.filter_map(|&x| Some((x, high(x)?))).collect();
-        let of_ready = quantiles.iter().filter(|q| self.fleet.ready[q.0]).map(|q| q.1).collect();
+        let of_ready = quantiles
+            .iter()
+            .filter(|q| self.fleet.ready[q.0])
+            .map(|q| q.1)
+            .collect();
         let middle = quantile(of_ready, MIDDLE).unwrap_or(1.0);
-        let far = quantiles.iter().filter(|q| q.1 > SUSPECT * middle.max(1.0)).map(|q| q.0);
+        let far = quantiles
+            .iter()
+            .filter(|q| q.1 > SUSPECT * middle.max(1.0))
+            .map(|q| q.0);
         let has_fellow = |x: &usize| self.fleet.ready_count > usize::from(self.fleet.ready[*x]);
         self.fleet.set_suspects(far.filter(has_fellow).collect());
     }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -146,15 +146,28 @@
         let mut dispatcher = Dispatcher {
             slot_count: policy.front_ends,
             holds_share: true,
-            usual: policy.trigger_types.iter().map(|t| FIRST_USUAL * t.objective).collect(),
-            shares: policy.quotas.iter().map(|_| TokenBucket::full(now)).collect(),
+            usual: policy
+                .trigger_types
+                .iter()
+                .map(|t| FIRST_USUAL * t.objective)
+                .collect(),
+            shares: policy
+                .quotas
+                .iter()
+                .map(|_| TokenBucket::full(now))
+                .collect(),
             random: SeededRandom::new(seed),
             beat: TICK_INTERVAL.max(policy.tick),
-            cache_time: if policy.keep_alive > 0.0 { CACHE_SHARE * policy.keep_alive } else { CACHE_TIME },
+            cache_time: if policy.keep_alive > 0.0 {
+                CACHE_SHARE * policy.keep_alive
+            } else {
+                CACHE_TIME
+            },
             limit: LIMIT_MOST,
             typical: TYPICAL_MOST / 3.0,
             wake_at: f64::INFINITY,
-            fleet: Fleet::new(policy.zone, LEAST_JUDGED, JUDGED_FOR).in_regions(policy.regions.clone()),
+            fleet: Fleet::new(policy.zone, LEAST_JUDGED, JUDGED_FOR)
+                .in_regions(policy.regions.clone()),
             policy,
             now,
             watch_at: now,
@@ -176,7 +189,12 @@
 
     /// Appends a trigger type, or replaces one that no invocation is of any more; it begins like at a start.
     /// What is open keeps the type that it was taken with.
-    pub fn set_trigger_type(&mut self, now: f64, index: usize, ty: TriggerType) -> Result<(), ConfigRefused> {
+    pub fn set_trigger_type(
+        &mut self,
+        now: f64,
+        index: usize,
+        ty: TriggerType,
+    ) -> Result<(), ConfigRefused> {
         self.now = now;
         ty.check(index, self.policy.trigger_types.len())?;
         self.book.check_unused(index)?;
@@ -189,19 +207,35 @@
     pub fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigRefused> {
         self.now = now;
         check_quotas(&quotas)?;
-        let rates = self.policy.quotas.iter().map(|q| q / self.policy.front_ends);
+        let rates = self
+            .policy
+            .quotas
+            .iter()
+            .map(|q| q / self.policy.front_ends);
         refill(&mut self.shares, now, rates, most_saved, quotas.len());
         self.policy.quotas = quotas;
         Ok(())
     }
 
-    pub fn roster(&mut self, now: f64, kind: RosterKind, rows: &[RosterRow], out: &mut dyn Actions) {
+    pub fn roster(
+        &mut self,
+        now: f64,
+        kind: RosterKind,
+        rows: &[RosterRow],
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
         self.view.set_silent(kind == RosterKind::Failed);
         if self.view.is_silent {
             self.watch_at = now + WATCH_PAUSE * (0.5 + self.random.unit());
         }
-        take_list(&mut self.fleet, &mut self.book, now, (kind, rows), now - FORGOTTEN);
+        take_list(
+            &mut self.fleet,
+            &mut self.book,
+            now,
+            (kind, rows),
+            now - FORGOTTEN,
+        );
         self.settle(out);
     }
 
@@ -237,15 +271,28 @@
         if !inv.moved {
             self.taken.add(now);
         }
-        let f = self.book.function(inv.function, inv.lanes, inv.load_time.unwrap_or(LOAD_TIME));
+        let f = self
+            .book
+            .function(inv.function, inv.lanes, inv.load_time.unwrap_or(LOAD_TIME));
         let ty = &self.policy.trigger_types[inv.trigger_type];
         let objective = (ty.objective + ty.stretch * inv.work.unwrap_or(0.0)).min(ty.timeout);
         let (value, past_share) = self.value(inv);
-        self.mean_value += NEWEST.max(1.0 / self.lately.add(1.0, now, PART_TIME)) * (value - self.mean_value);
+        self.mean_value +=
+            NEWEST.max(1.0 / self.lately.add(1.0, now, PART_TIME)) * (value - self.mean_value);
         let (id, ty, timeout_at, at) = (inv.id, inv.trigger_type, inv.timeout_at, now);
         // What counts is the lesser of the latency objective and the client timeout.
         let patience = objective.min(timeout_at - now);
-        let inv = Inv { id, ty, f, value, past_share, timeout_at, patience, at, ..Inv::default() };
+        let inv = Inv {
+            id,
+            ty,
+            f,
+            value,
+            past_share,
+            timeout_at,
+            patience,
+            at,
+            ..Inv::default()
+        };
         self.book.take(inv);
         self.book.functions[f].taken.add(1.0, now, PART_TIME);
         self.work.add(self.usual[ty], now, PART_TIME);
@@ -255,8 +302,12 @@
 
     pub fn outcome(&mut self, now: f64, o: &Outcome, out: &mut dyn Actions) {
         self.now = now;
-        let Some(&i) = self.book.inv_index.get(&o.inv) else { return };
-        let Some(done) = self.book.ended(i, o.dispatch) else { return };
+        let Some(&i) = self.book.inv_index.get(&o.inv) else {
+            return;
+        };
+        let Some(done) = self.book.ended(i, o.dispatch) else {
+            return;
+        };
         let (x, f, ty) = (done.x, self.book.invs[i].f, self.book.invs[i].ty);
         self.fleet.note_ended(x, i, done.at, now);
         if let Some(waiting) = o.reported(self.policy.backlog_field) {
@@ -281,7 +332,9 @@
             Ending::Full => function.known.set_full(x),
             // A client that left early tells nothing of the copy.
             Ending::TimedOut if o.took < SILENCE * self.policy.trigger_types[ty].objective => {}
-            Ending::TimedOut | Ending::ConnectFailed | Ending::Reset | Ending::Miss => function.evict(x),
+            Ending::TimedOut | Ending::ConnectFailed | Ending::Reset | Ending::Miss => {
+                function.evict(x)
+            }
             Ending::Ok | Ending::Error | Ending::Cancelled | Ending::NeverSent => {}
         }
         if done.places {
@@ -307,7 +360,9 @@
     /// that are slow to be made or to take bytes. Could harm by a dispatch that is decided on over and over.
     pub fn leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
         self.now = now;
-        let Some((i, d)) = self.book.out_of(inv, dispatch) else { return false };
+        let Some((i, d)) = self.book.out_of(inv, dispatch) else {
+            return false;
+        };
         let work = self.fleet.take_sent(d.x, d.at);
         let leaves = self.allows_dispatch(i, d.x, Some(dispatch));
         self.fleet.sent[d.x].extend(work.filter(|_| leaves).map(|work| (now, work)));
@@ -319,13 +374,18 @@
         self.now = now;
         self.orders.remove(at);
         let open = self.fleet.index.get(&to).is_some_and(|&x| self.is_open(x));
-        (open && self.ration_left(1.0)).then(|| self.orders.add(now)).is_some()
+        (open && self.ration_left(1.0))
+            .then(|| self.orders.add(now))
+            .is_some()
     }
 
     /// The front end is about to end: nothing is waited for past a moment.
     pub fn end_by(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
         self.now = now;
-        self.book.invs.iter_mut().for_each(|inv| inv.timeout_at = inv.timeout_at.min(at));
+        self.book
+            .invs
+            .iter_mut()
+            .for_each(|inv| inv.timeout_at = inv.timeout_at.min(at));
         self.settle(out);
     }
 
@@ -350,10 +410,21 @@
     }
 
     /// The answer to an order to load.
-    pub fn held(&mut self, now: f64, at: ExecutorId, key: u64, ending: Ending, out: &mut dyn Actions) {
+    pub fn held(
+        &mut self,
+        now: f64,
+        at: ExecutorId,
+        key: u64,
+        ending: Ending,
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
-        let Some(&f) = self.book.function_index.get(&key) else { return };
-        let Some(&x) = self.fleet.index.get(&at) else { return };
+        let Some(&f) = self.book.function_index.get(&key) else {
+            return;
+        };
+        let Some(&x) = self.fleet.index.get(&at) else {
+            return;
+        };
         self.fleet.note_answer(x, ending);
         if ending == Ending::Ok && self.fleet.ready[x] {
             self.book.functions[f].know(x, now, now + self.cache_time);
@@ -383,8 +454,10 @@
             self.judge();
             self.taken.after(now - self.policy.ration_window);
             let crowded = self.book.function_index.len() > MOST_FUNCTIONS;
-            self.book.sweep(if crowded { now } else { now - FORGOTTEN }, now);
-            self.touched.extend(self.fleet.invocations_out().map(|i| self.book.invs[i].f));
+            self.book
+                .sweep(if crowded { now } else { now - FORGOTTEN }, now);
+            self.touched
+                .extend(self.fleet.invocations_out().map(|i| self.book.invs[i].f));
         }
         self.settle(out);
     }
--- a/src/dispatch/send.rs
+++ b/src/dispatch/send.rs
@@ -8,7 +8,8 @@
     pub(super) fn settle(&mut self, out: &mut dyn Actions) {
         self.touched.extend(&self.book.pending);
         // Where most wait comes first, so that scarce room and loads serve the most.
-        self.touched.sort_by_key(|&f| self.book.functions[f].waiting.len());
+        self.touched
+            .sort_by_key(|&f| self.book.functions[f].waiting.len());
         while let Some(f) = self.touched.pop() {
             while RULES.iter().any(|rule| rule(self, f, out)) {}
         }
@@ -18,7 +19,11 @@
             true if self.fleet.out_count > 0 => self.judge_at.max(soon),
             true => f64::INFINITY,
         };
-        let due = if self.policy.roster_asked { due.min(self.watch_at.max(self.now)) } else { due };
+        let due = if self.policy.roster_asked {
+            due.min(self.watch_at.max(self.now))
+        } else {
+            due
+        };
         if due < self.wake_at {
             self.wake_at = due;
             out.wake(due - self.now, 0);
@@ -29,7 +34,8 @@
     pub(super) fn give_up(&mut self, f: usize, out: &mut dyn Actions) -> bool {
         // While a placement is under way, its answer is waited for; else what is late stays so.
         let function = &self.book.functions[f];
-        let settled = function.placement.is_none() || function.known.iter().any(|k| k.until > self.now);
+        let settled =
+            function.placement.is_none() || function.known.iter().any(|k| k.until > self.now);
         let hopeless = |&&i: &&usize| {
             let inv = &self.book.invs[i];
             // Half the patience at the most: an estimate that throttled everything would never be put right.
@@ -40,13 +46,20 @@
                 || (inv.ran.is_some() && !self.may_repeat_where(i, |_| true))
                 || late && self.may_throttle(i)
         };
-        let Some(&i) = self.book.functions[f].waiting.iter().find(hopeless) else { return false };
+        let Some(&i) = self.book.functions[f].waiting.iter().find(hopeless) else {
+            return false;
+        };
         self.answer(i, out);
         true
     }
 
     /// Newest first: it has its whole latency objective before it.
-    pub(super) fn send_to_known(&mut self, f: usize, with_room: bool, out: &mut dyn Actions) -> bool {
+    pub(super) fn send_to_known(
+        &mut self,
+        f: usize,
+        with_room: bool,
+        out: &mut dyn Actions,
+    ) -> bool {
         // Where none has a place for the best of them, none of the many that may wait need be looked at.
         self.book.functions[f].known.refresh(&self.fleet);
         let (function, room) = (&self.book.functions[f], self.room(1.0));
@@ -73,21 +86,34 @@
         }
         let free = |&&i: &&usize| self.book.invs[i].ran.is_none() || self.is_idempotent(i);
         // Else one that is bound to its group: guards it against waiting there for what nobody loads.
-        let first = function.waiting.iter().find(free).or(function.waiting.first());
-        let Some(&i) = first.filter(|_| self.now >= function.next_at) else { return false };
-        let Some(x) = self.placement_target(f, Some(i)) else { return false };
+        let first = function
+            .waiting
+            .iter()
+            .find(free)
+            .or(function.waiting.first());
+        let Some(&i) = first.filter(|_| self.now >= function.next_at) else {
+            return false;
+        };
+        let Some(x) = self.placement_target(f, Some(i)) else {
+            return false;
+        };
         let function = &self.book.functions[f];
         // Guards against copies for what only crowding holds up. A cold one without a turn has no room.
         let (most, work) = (SPREAD * self.busy(x), self.usual[self.book.invs[i].ty]);
         // Not one whose time is over: with many functions it is long until they are swept.
-        let stands = |k: &&Known| k.until > self.now && !self.fleet.suspect[k.x] && self.has_lane(f, k);
-        let bears = |x: usize| self.busy(x) < most && self.cold_room(x, work) && self.may_repeat(i, x, None);
+        let stands =
+            |k: &&Known| k.until > self.now && !self.fleet.suspect[k.x] && self.has_lane(f, k);
+        let bears = |x: usize| {
+            self.busy(x) < most && self.cold_room(x, work) && self.may_repeat(i, x, None)
+        };
         if self.is_spread(f) && function.known.iter().filter(stands).any(|k| bears(k.x)) {
             return false;
         }
         let worth_it = self.policy.answers_miss || self.policy.order_price < ORDER_PRICE_THRESHOLD;
         let by_order = self.policy.orders && worth_it && self.order(f, x, out);
-        if !by_order && (self.policy.orders && self.policy.answers_miss || !self.dispatch(i, x, true, out)) {
+        if !by_order
+            && (self.policy.orders && self.policy.answers_miss || !self.dispatch(i, x, true, out))
+        {
             return false;
         }
         self.book.functions[f].begin_placement(x, by_order, self.now, PLACEMENT_TIMEOUT);
@@ -100,19 +126,33 @@
     /// placements; it could harm where orders are scarce, so a part of them is left to those.
     pub fn ahead(&mut self, now: f64, wish: &Ahead, out: &mut dyn Actions) -> usize {
         self.now = now;
-        let f = self.book.function(wish.function, wish.lanes, wish.load_time.unwrap_or(LOAD_TIME));
+        let f = self.book.function(
+            wish.function,
+            wish.lanes,
+            wish.load_time.unwrap_or(LOAD_TIME),
+        );
         self.touched.push(f);
         self.settle(out); // ends a placement past its patience
         let spare = self.ration_left(AHEAD);
         let function = &self.book.functions[f];
-        let known = function.known.iter().filter(|k| k.until > now && self.fleet.ready[k.x]);
-        let (count, oldest) = (known.clone().count(), known.min_by(|a, b| a.until.total_cmp(&b.until)));
+        let known = function
+            .known
+            .iter()
+            .filter(|k| k.until > now && self.fleet.ready[k.x]);
+        let (count, oldest) = (
+            known.clone().count(),
+            known.min_by(|a, b| a.until.total_cmp(&b.until)),
+        );
         let due = |k: &&Known| wish.copies > 0 && k.until < now + RENEWED * self.cache_time;
         let renewed = oldest.filter(due).map(|k| k.x);
         if !spare || !self.policy.orders || function.placement.is_some() || now < function.next_at {
             return count;
         }
-        let x = if count < wish.copies { self.placement_target(f, None) } else { renewed };
+        let x = if count < wish.copies {
+            self.placement_target(f, None)
+        } else {
+            renewed
+        };
         let ordered = x.filter(|&x| self.order(f, x, out));
         if let Some(x) = ordered.filter(|_| count < wish.copies) {
             self.book.functions[f].begin_placement(x, true, now, PLACEMENT_TIMEOUT);
@@ -137,13 +177,22 @@
             let ty = &self.policy.trigger_types[inv.ty];
             let &[d] = inv.out.as_slice() else { continue };
             let silent = self.fleet.heard[d.x] < d.at && self.now - d.at > SILENCE * ty.objective;
-            let moved = silent && (self.policy.second_copies && !d.places || self.fleet.suspect[d.x]);
-            if inv.closed || inv.streaming || d.cancelled || ty.effect == Effect::NonIdempotent || !moved {
+            let moved =
+                silent && (self.policy.second_copies && !d.places || self.fleet.suspect[d.x]);
+            if inv.closed
+                || inv.streaming
+                || d.cancelled
+                || ty.effect == Effect::NonIdempotent
+                || !moved
+            {
                 continue;
             }
             if self.policy.second_copies {
                 self.book.functions[f].known.refresh(&self.fleet);
-                if let Some(x) = self.least_busy_known(f, i, true).filter(|&x| !self.fleet.suspect[x]) {
+                if let Some(x) = self
+                    .least_busy_known(f, i, true)
+                    .filter(|&x| !self.fleet.suspect[x])
+                {
                     return self.dispatch(i, x, false, out);
                 }
                 continue;
@@ -161,7 +210,11 @@
     /// Effects, drains and cold executors: no dispatch is made, nor leaves (by its number), but through here.
     pub(super) fn allows_dispatch(&self, i: usize, x: usize, leaving: Option<u8>) -> bool {
         let inv = &self.book.invs[i];
-        let others = inv.out.iter().filter(|d| Some(d.dispatch) != leaving).count();
+        let others = inv
+            .out
+            .iter()
+            .filter(|d| Some(d.dispatch) != leaving)
+            .count();
         !inv.closed
             && inv.sent - u8::from(leaving.is_some()) < self.policy.max_dispatches
             && others <= usize::from(self.policy.second_copies)
@@ -186,9 +239,17 @@
     /// The same of any executor that fits; it is looked for only where one can be.
     fn may_repeat_where(&self, i: usize, fits: impl Fn(usize) -> bool) -> bool {
         let ty = &self.policy.trigger_types[self.book.invs[i].ty];
-        let group = if ty.effect == Effect::Tokened { ty.group } else { Group::All };
-        let ready = self.fleet.ready_in(group, self.book.first_sent(i, None).map(|first| first.0));
-        ready.iter().any(|&x| fits(x) && self.is_open(x) && self.may_repeat(i, x, None))
+        let group = if ty.effect == Effect::Tokened {
+            ty.group
+        } else {
+            Group::All
+        };
+        let ready = self
+            .fleet
+            .ready_in(group, self.book.first_sent(i, None).map(|first| first.0));
+        ready
+            .iter()
+            .any(|&x| fits(x) && self.is_open(x) && self.may_repeat(i, x, None))
     }
 
     /// A cold executor's budget over the span in which it could be pushed over: this front end's part, what's
@@ -223,7 +284,8 @@
         let seen = CARRY_TIME * (1.0 - (-(now - self.started) / CARRY_TIME).exp()).max(0.1);
         let fellows = self.fleet.fellows[kind].at(now, CARRY_TIME).max(1.0);
         let carried = self.fleet.carried[kind].at(now, CARRY_TIME) / seen / fellows;
-        let budget = carried * self.warmth(x) * self.policy.overload_factor * self.policy.fall / work;
+        let budget =
+            carried * self.warmth(x) * self.policy.overload_factor * self.policy.fall / work;
         // Turns of two slots may fall into one span: guards it against both, where they exceed what it bears.
         let all = (budget * self.policy.front_ends).max(1.0);
         (budget * (0.5 + 0.5 * COLD_SLACK / all.sqrt()).min(1.0)).max(1.0 / self.slot_count)
@@ -233,9 +295,12 @@
         if !self.allows_dispatch(i, x, None) {
             return false;
         }
-        let &Inv { id, ty, timeout_at, .. } = &self.book.invs[i];
+        let &Inv {
+            id, ty, timeout_at, ..
+        } = &self.book.invs[i];
         out.dispatch(id, self.fleet.ids[x], timeout_at - self.now);
-        self.fleet.note_sent(x, i, self.now, self.usual[ty], 2.0 * self.policy.fall);
+        self.fleet
+            .note_sent(x, i, self.now, self.usual[ty], 2.0 * self.policy.fall);
         if self.fleet.suspect[x] {
             self.fleet.trial_at[x] = self.now + SILENCE * self.policy.trigger_types[ty].objective;
         }
@@ -247,7 +312,8 @@
     pub(super) fn ration_left(&mut self, part: f64) -> bool {
         let (since, tick) = (self.now - self.policy.ration_window, self.policy.tick);
         let ordered = self.orders.after(since - tick);
-        let granted = self.policy.ration_floor + self.policy.ration_share * self.taken.after(since + tick);
+        let granted =
+            self.policy.ration_floor + self.policy.ration_share * self.taken.after(since + tick);
         self.policy.ration_window <= 0.0 || ordered + 1.0 <= part * granted
     }
 
@@ -264,8 +330,8 @@
     fn may_throttle(&self, i: usize) -> bool {
         let inv = &self.book.invs[i];
         let ty = &self.policy.trigger_types[inv.ty];
-        let harmless =
-            ty.effect == Effect::Idempotent || ty.effect == Effect::Tokened && ty.group == Group::All;
+        let harmless = ty.effect == Effect::Idempotent
+            || ty.effect == Effect::Tokened && ty.group == Group::All;
         harmless || inv.ran.is_none() && inv.out.is_empty()
     }
 
@@ -284,9 +350,12 @@
     fn least_busy_known(&self, f: usize, i: usize, with_room: bool) -> Option<usize> {
         let (out, room) = (&self.book.invs[i].out, self.room(self.part(i)));
         let stands = |k: &Known| k.until > self.now && !out.iter().any(|d| d.x == k.x);
-        let has_room = |k: &Known| self.takes_more(k.x, room) && (!with_room || self.has_lane(f, k));
+        let has_room =
+            |k: &Known| self.takes_more(k.x, room) && (!with_room || self.has_lane(f, k));
         let is_sound = |k: &Known| !self.fleet.suspect[k.x] || self.may_try(i, k.x);
-        let fits = |k: &Known| stands(k) && has_room(k) && is_sound(k) && self.allows_dispatch(i, k.x, None);
+        let fits = |k: &Known| {
+            stands(k) && has_room(k) && is_sound(k) && self.allows_dispatch(i, k.x, None)
+        };
         let value = |k: &Known| fits(k).then(|| self.busy(k.x));
         let known = (!with_room || self.is_spread(f)).then_some(&self.book.functions[f].known)?;
         known.least(|load| self.busy_by(load, 1.0), value)
@@ -296,7 +365,8 @@
     /// any: guards what went elsewhere against staying there.
     fn is_spread(&self, f: usize) -> bool {
         let known = &self.book.functions[f].known;
-        let is_near = |k: &Known| k.until > self.now && self.fleet.in_region(k.x) || !self.has_region(f);
+        let is_near =
+            |k: &Known| k.until > self.now && self.fleet.in_region(k.x) || !self.has_region(f);
         known.len() as f64 + 1.0 > self.wanted(f) && known.iter().any(is_near)
     }
 
@@ -308,6 +378,9 @@
     /// A suspect is tried with one idempotent invocation at a time, and with none that was moved from there.
     fn may_try(&self, i: usize, x: usize) -> bool {
         let moved = self.book.invs[i].ran.is_some_and(|(at, _)| at == x);
-        self.fleet.out[x].is_empty() && self.now >= self.fleet.trial_at[x] && self.is_idempotent(i) && !moved
+        self.fleet.out[x].is_empty()
+            && self.now >= self.fleet.trial_at[x]
+            && self.is_idempotent(i)
+            && !moved
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -87,14 +87,20 @@
                 "trigger type {index} has invocations open; append the new one, or try again when they are over"
             ),
             ConfigRefused::OutOfOrder { index, next } => {
-                write!(f, "trigger type {index} leaves a gap; the next one to append is {next}")
+                write!(
+                    f,
+                    "trigger type {index} leaves a gap; the next one to append is {next}"
+                )
             }
             ConfigRefused::NoTime { index } => write!(
                 f,
                 "trigger type {index} needs a latency objective and a client timeout of more than 0 s"
             ),
             ConfigRefused::NoQuota { customer } => {
-                write!(f, "the share of customer {customer} has to be 0 or more invocations a second")
+                write!(
+                    f,
+                    "the share of customer {customer} has to be 0 or more invocations a second"
+                )
             }
         }
     }
@@ -219,7 +225,10 @@
 impl Ending {
     /// Whether it proves that the dispatch never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::NeverSent | Ending::Miss)
+        matches!(
+            self,
+            Ending::Full | Ending::ConnectFailed | Ending::NeverSent | Ending::Miss
+        )
     }
 }
 
@@ -250,7 +259,9 @@
 impl Outcome<'_> {
     /// What its load report says in a field, if the field is told; never under 0.
     pub fn reported(&self, field: Option<usize>) -> Option<f64> {
-        self.report.get(field?).map(|&told| f64::from(told).max(0.0))
+        self.report
+            .get(field?)
+            .map(|&told| f64::from(told).max(0.0))
     }
 }
 
--- a/src/state/book.rs
+++ b/src/state/book.rs
@@ -95,12 +95,17 @@
     /// Enters a placement that is given some load times.
     pub fn begin_placement(&mut self, x: usize, by_order: bool, now: f64, load_times: f64) {
         let patience_at = now + load_times * self.load_time;
-        self.placement = Some(Placement { x, by_order, patience_at });
+        self.placement = Some(Placement {
+            x,
+            by_order,
+            patience_at,
+        });
     }
 
     /// Ends the placement at an executor, if it is under way; tells how many failed in a row where it failed.
     pub fn end_placement(&mut self, x: usize, by_order: bool, well: bool) -> Option<i32> {
-        self.placement.take_if(|p| p.x == x && p.by_order == by_order)?;
+        self.placement
+            .take_if(|p| p.x == x && p.by_order == by_order)?;
         self.failed = (!well).then_some(x);
         self.tries = if well { 0 } else { self.tries + 1 };
         (!well).then_some(self.tries)
@@ -139,14 +144,22 @@
             if f == self.functions.len() {
                 self.functions.push(Function::default());
             }
-            self.functions[f] = Function { key, lanes, load_time, ..Function::default() };
+            self.functions[f] = Function {
+                key,
+                lanes,
+                load_time,
+                ..Function::default()
+            };
             f
         })
     }
 
     /// Drops entries past their time, and functions unused since a moment, of a part of them at a time.
     pub fn sweep(&mut self, unused_since: f64, now: f64) {
-        for _ in 0..(self.functions.len() / 64).max(16).min(self.functions.len()) {
+        for _ in 0..(self.functions.len() / 64)
+            .max(16)
+            .min(self.functions.len())
+        {
             self.swept = (self.swept + 1) % self.functions.len();
             let f = &mut self.functions[self.swept];
             f.known.retain(|k| k.until > now);
@@ -163,18 +176,28 @@
     /// Entries in the tables, with those of a fleet.
     pub fn kept(&self, fleet: &Fleet) -> Kept {
         let (executors, functions) = (fleet.ids.len(), self.functions.len());
-        Kept { executors, functions, invocations: self.invs.len() }
+        Kept {
+            executors,
+            functions,
+            invocations: self.invs.len(),
+        }
     }
 
     /// Whether no invocation is of a trigger type, open or with a dispatch still out.
     pub fn check_unused(&self, index: usize) -> Result<(), ConfigRefused> {
         let used = self.inv_index.values().any(|&i| self.invs[i].ty == index);
-        if used { Err(ConfigRefused::InUse { index }) } else { Ok(()) }
+        if used {
+            Err(ConfigRefused::InUse { index })
+        } else {
+            Ok(())
+        }
     }
 
     /// Whether an open invocation may have run at an executor.
     pub fn needs(&self, x: usize) -> bool {
-        self.invs.iter().any(|inv| !inv.closed && inv.ran.is_some_and(|r| r.0 == x))
+        self.invs
+            .iter()
+            .any(|inv| !inv.closed && inv.ran.is_some_and(|r| r.0 == x))
     }
 
     /// Drops all entries of some executors.
@@ -223,7 +246,10 @@
     /// A dispatch that is out and not cancelled, and its invocation's slot, by the invocation's id.
     pub fn out_of(&self, inv: u32, dispatch: u8) -> Option<(usize, Out)> {
         let i = *self.inv_index.get(&inv)?;
-        let out = self.invs[i].out.iter().find(|d| !d.cancelled && d.dispatch == dispatch);
+        let out = self.invs[i]
+            .out
+            .iter()
+            .find(|d| !d.cancelled && d.dispatch == dispatch);
         out.map(|d| (i, *d))
     }
 
@@ -231,7 +257,13 @@
     pub fn send(&mut self, i: usize, x: usize, at: f64, places: bool) {
         self.unwait(i);
         let inv = &mut self.invs[i];
-        inv.out.push(Out { dispatch: inv.sent, x, at, places, cancelled: false });
+        inv.out.push(Out {
+            dispatch: inv.sent,
+            x,
+            at,
+            places,
+            cancelled: false,
+        });
         inv.sent += 1;
         *self.functions[inv.f].held.entry(x).or_default() += 1;
         let out = &mut self.functions[inv.f].out;
@@ -243,7 +275,11 @@
     /// Cancels what is out of an invocation, but for one dispatch.
     pub fn cancel(&mut self, i: usize, but: Option<u8>, out: &mut dyn Actions) {
         let inv = &mut self.invs[i];
-        for d in inv.out.iter_mut().filter(|d| !d.cancelled && Some(d.dispatch) != but) {
+        for d in inv
+            .out
+            .iter_mut()
+            .filter(|d| !d.cancelled && Some(d.dispatch) != but)
+        {
             d.cancelled = true;
             out.cancel(inv.id, d.dispatch);
         }
@@ -252,13 +288,20 @@
     /// Where and when the first dispatch was sent that may have run, but for one that is only about to leave.
     pub fn first_sent(&self, i: usize, leaving: Option<u8>) -> Option<(usize, f64)> {
         let inv = &self.invs[i];
-        let others = inv.out.iter().filter(|d| Some(d.dispatch) != leaving).map(|d| (d.x, d.at));
+        let others = inv
+            .out
+            .iter()
+            .filter(|d| Some(d.dispatch) != leaving)
+            .map(|d| (d.x, d.at));
         others.chain(inv.ran).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// Takes a dispatch that ended off those that are out.
     pub fn ended(&mut self, i: usize, dispatch: u8) -> Option<Out> {
-        let at = self.invs[i].out.iter().position(|d| d.dispatch == dispatch)?;
+        let at = self.invs[i]
+            .out
+            .iter()
+            .position(|d| d.dispatch == dispatch)?;
         let ended = self.invs[i].out.remove(at);
         let held = &mut self.functions[self.invs[i].f].held;
         if let Entry::Occupied(mut count) = held.entry(ended.x) {
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -93,18 +93,31 @@
 
 impl WarmCount {
     /// Leaves those that are cold still, and notes when the first of them can become warm; not before it is due.
-    pub fn look_again(&mut self, now: f64, is_cold: impl Fn(usize) -> bool, ripe_at: impl Fn(usize) -> f64) {
+    pub fn look_again(
+        &mut self,
+        now: f64,
+        is_cold: impl Fn(usize) -> bool,
+        ripe_at: impl Fn(usize) -> f64,
+    ) {
         if now < self.due {
             return;
         }
         self.cold.retain(|&x| is_cold(x));
-        self.due = self.cold.iter().map(|&x| ripe_at(x)).fold(f64::INFINITY, f64::min);
+        self.due = self
+            .cold
+            .iter()
+            .map(|&x| ripe_at(x))
+            .fold(f64::INFINITY, f64::min);
     }
 }
 
 /// Sets the entry at an index, or appends it at the next one.
 pub fn put<T>(all: &mut Vec<T>, x: usize, value: T) {
-    if x == all.len() { all.push(value) } else { all[x] = value }
+    if x == all.len() {
+        all.push(value)
+    } else {
+        all[x] = value
+    }
 }
 
 /// Changes of loads that are kept.
@@ -114,12 +127,20 @@
     /// None, seen from a location. One is judged by so many answers and dispatches at the least; answers
     /// count for so many seconds.
     pub fn new(home: u8, least_judged: usize, judged_for: f64) -> Fleet {
-        Fleet { home, least_judged, judged_for, ..Fleet::default() }
+        Fleet {
+            home,
+            least_judged,
+            judged_for,
+            ..Fleet::default()
+        }
     }
 
     /// One without executors, with the regions of locations.
     pub fn in_regions(self, of_zones: Vec<Option<u8>>) -> Fleet {
-        Fleet { regions: Regions::new(of_zones, self.home), ..self }
+        Fleet {
+            regions: Regions::new(of_zones, self.home),
+            ..self
+        }
     }
 
     /// Whether an executor stands in the front end's own region.
@@ -141,7 +162,10 @@
     }
 
     /// The executors whose loads changed after so many changes; `None` where that is no longer known.
-    pub(super) fn changed_since(&self, changes: u64) -> Option<impl ExactSizeIterator<Item = usize> + '_> {
+    pub(super) fn changed_since(
+        &self,
+        changes: u64,
+    ) -> Option<impl ExactSizeIterator<Item = usize> + '_> {
         let first = usize::try_from(changes.checked_sub(self.forgotten_changes)?).ok()?;
         (first <= self.changed.len()).then(|| self.changed.range(first..).copied())
     }
@@ -150,7 +174,14 @@
     pub fn load(&self, x: usize) -> Load {
         let (waiting, at) = self.backlog[x];
         let (weight, home) = (self.weight[x], self.zone[x] == self.home);
-        Load { held: self.inflight(x), waiting, earliest: at, latest: at, weight, home }
+        Load {
+            held: self.inflight(x),
+            waiting,
+            earliest: at,
+            latest: at,
+            weight,
+            home,
+        }
     }
 
     /// Notes what an executor reports waiting.
@@ -193,7 +224,12 @@
 
     /// Notes that an executor itself ended a dispatch, if it did.
     pub fn note_heard(&mut self, x: usize, ending: Ending, now: f64) {
-        let unheard = [Ending::TimedOut, Ending::Cancelled, Ending::ConnectFailed, Ending::Reset];
+        let unheard = [
+            Ending::TimedOut,
+            Ending::Cancelled,
+            Ending::ConnectFailed,
+            Ending::Reset,
+        ];
         if !unheard.contains(&ending) {
             self.heard[x] = now;
         }
@@ -225,7 +261,11 @@
 
     /// Work sent since a moment that is still kept.
     pub fn sent_since(&self, x: usize, since: f64) -> f64 {
-        self.sent[x].iter().filter(|s| s.0 > since).map(|s| s.1).sum()
+        self.sent[x]
+            .iter()
+            .filter(|s| s.0 > since)
+            .map(|s| s.1)
+            .sum()
     }
 
     /// Whether it surely has nothing out and is not paused: it takes more wherever it may have one at a time.
@@ -241,7 +281,10 @@
 
     /// The invocations with a dispatch out, in the order of the executors.
     pub fn invocations_out(&self) -> impl Iterator<Item = usize> + '_ {
-        self.busy.iter().flat_map(|&x| &self.out[x]).map(|&(i, _)| i)
+        self.busy
+            .iter()
+            .flat_map(|&x| &self.out[x])
+            .map(|&(i, _)| i)
     }
 
     /// Whether there is enough to judge an executor by. Without a new dispatch or answer that can only cease.
@@ -249,7 +292,9 @@
         let missing = self.least_judged.saturating_sub(self.out[x].len());
         let answers = &self.answers[x];
         // The answers are in the order in which they came: those that count are the last ones.
-        missing == 0 || answers.len() >= missing && now < answers[answers.len() - missing].0 + self.judged_for
+        missing == 0
+            || answers.len() >= missing
+                && now < answers[answers.len() - missing].0 + self.judged_for
     }
 
     fn note_judged(&mut self, x: usize, now: f64) {
@@ -278,7 +323,11 @@
 
     /// At least as many ready ones as are suspect, or unfit for another reason where there is one.
     pub fn unfit_bound(&self, has_other_reason: bool) -> usize {
-        if has_other_reason { self.ready_count } else { self.suspects.len() }
+        if has_other_reason {
+            self.ready_count
+        } else {
+            self.suspects.len()
+        }
     }
 
     /// Notes that an executor broke off or took no connection, as so many failed answers.
@@ -307,12 +356,16 @@
 
     /// Whether any executor in an executor's zone was heard after a moment.
     pub fn zone_heard_after(&self, x: usize, moment: f64) -> bool {
-        self.all().any(|y| self.zone[y] == self.zone[x] && self.heard[y] > moment)
+        self.all()
+            .any(|y| self.zone[y] == self.zone[x] && self.heard[y] > moment)
     }
 
     /// Notes that all executors in an executor's zone broke now.
     pub fn note_zone_broken(&mut self, x: usize, now: f64) {
-        let fellows: Vec<usize> = self.all().filter(|&y| self.zone[y] == self.zone[x]).collect();
+        let fellows: Vec<usize> = self
+            .all()
+            .filter(|&y| self.zone[y] == self.zone[x])
+            .collect();
         fellows.iter().for_each(|&y| self.broke_at[y] = now);
         self.broken.extend(fellows);
         self.recount_cold();
@@ -320,12 +373,18 @@
 
     /// Invocations with a dispatch out at an executor that was not heard since, and when it was sent.
     pub fn unheard(&self, x: usize) -> impl Iterator<Item = (usize, f64)> + '_ {
-        self.out[x].iter().copied().filter(move |&(_, at)| at > self.heard[x])
+        self.out[x]
+            .iter()
+            .copied()
+            .filter(move |&(_, at)| at > self.heard[x])
     }
 
     /// The times of the answers that count.
     pub fn answers_at(&self, x: usize, now: f64) -> impl Iterator<Item = f64> + '_ {
-        self.answers[x].iter().filter(move |a| now < a.0 + self.judged_for).map(|a| a.1)
+        self.answers[x]
+            .iter()
+            .filter(move |a| now < a.0 + self.judged_for)
+            .map(|a| a.1)
     }
 
     /// Keeps an answer among the latest `most`.
--- a/src/state/groups.rs
+++ b/src/state/groups.rs
@@ -22,7 +22,10 @@
             sorted[next[group(x)]] = x;
             next[group(x)] += 1;
         }
-        Groups { members: sorted, starts }
+        Groups {
+            members: sorted,
+            starts,
+        }
     }
 
     pub(super) fn members(&self, group: usize) -> &[usize] {
--- a/src/state/known.rs
+++ b/src/state/known.rs
@@ -84,7 +84,10 @@
     }
 
     fn place(&self, x: usize) -> Option<usize> {
-        self.places.get(x).filter(|&&place| place != NOWHERE).map(|&place| place as usize)
+        self.places
+            .get(x)
+            .filter(|&&place| place != NOWHERE)
+            .map(|&place| place as usize)
     }
 
     fn put(&mut self, x: usize, place: u32, until: f64) {
@@ -126,7 +129,10 @@
     fn place(&self, x: usize) -> Option<usize> {
         match &self.tree {
             Some(tree) => tree.place(x),
-            None => self.entries.iter().position(|k| k.is_some_and(|k| k.x == x)),
+            None => self
+                .entries
+                .iter()
+                .position(|k| k.is_some_and(|k| k.x == x)),
         }
     }
 
@@ -149,7 +155,11 @@
     pub fn add(&mut self, x: usize, until: f64) {
         self.remove(x);
         let place = self.entries.len();
-        self.entries.push(Some(Known { x, until, full: false }));
+        self.entries.push(Some(Known {
+            x,
+            until,
+            full: false,
+        }));
         self.count += 1;
         self.tree.take_if(|tree| place >= tree.leaves);
         if let Some(tree) = &mut self.tree {
@@ -196,8 +206,17 @@
         let tree = self.tree.get_or_insert_with(|| {
             let leaves = (entries.len() + SMALL).next_power_of_two();
             let nodes = vec![Load::NONE; 2 * leaves];
-            let mut tree = Tree { leaves, nodes, places: vec![], until: vec![], seen: None, added: vec![] };
-            (0..).zip(entries).for_each(|(place, k)| k.iter().for_each(|k| tree.put(k.x, place, k.until)));
+            let mut tree = Tree {
+                leaves,
+                nodes,
+                places: vec![],
+                until: vec![],
+                seen: None,
+                added: vec![],
+            };
+            (0..)
+                .zip(entries)
+                .for_each(|(place, k)| k.iter().for_each(|k| tree.put(k.x, place, k.until)));
             Box::new(tree)
         });
         let changed = tree
@@ -242,19 +261,36 @@
         // Nodes to look at, each with its bound and the first of its places; the most promising last.
         let mut nodes = vec![(bound(&tree.nodes[1]), 0, tree.leaves, 1)];
         while let Some((least, first, width, node)) = nodes.pop() {
-            if best.is_some_and(|(value, place)| (value, place) <= (least, first)) || least == f64::INFINITY {
+            if best.is_some_and(|(value, place)| (value, place) <= (least, first))
+                || least == f64::INFINITY
+            {
                 continue;
             }
             if width == 1 {
-                let found = self.entries.get(first).and_then(Option::as_ref).and_then(&value);
+                let found = self
+                    .entries
+                    .get(first)
+                    .and_then(Option::as_ref)
+                    .and_then(&value);
                 let found = found.map(|value| (value, first));
-                best = found.filter(|found| best.is_none_or(|best| *found < best)).or(best);
+                best = found
+                    .filter(|found| best.is_none_or(|best| *found < best))
+                    .or(best);
                 continue;
             }
             let half = width / 2;
             let left = (bound(&tree.nodes[2 * node]), first, half, 2 * node);
-            let right = (bound(&tree.nodes[2 * node + 1]), first + half, half, 2 * node + 1);
-            if right.0 < left.0 { nodes.extend([left, right]) } else { nodes.extend([right, left]) }
+            let right = (
+                bound(&tree.nodes[2 * node + 1]),
+                first + half,
+                half,
+                2 * node + 1,
+            );
+            if right.0 < left.0 {
+                nodes.extend([left, right])
+            } else {
+                nodes.extend([right, left])
+            }
         }
         best.and_then(|(_, place)| self.entries[place]).map(|k| k.x)
     }
--- a/src/state/listing.rs
+++ b/src/state/listing.rs
@@ -43,8 +43,12 @@
             self.sent[x] = self.sent[first].clone();
             self.broken.push(x);
         }
-        self.carried.resize(self.carried.len().max(self.kind[x] + 1), DecayingSum::default());
-        self.fellows.resize(self.carried.len(), DecayingSum::default());
+        self.carried.resize(
+            self.carried.len().max(self.kind[x] + 1),
+            DecayingSum::default(),
+        );
+        self.fellows
+            .resize(self.carried.len(), DecayingSum::default());
         self.warm.resize(self.carried.len(), WarmCount::default());
         x
     }
@@ -62,8 +66,16 @@
         for row in rows {
             let x = self.index_of(row, now);
             self.ready[x] = row.standing == Standing::Ready;
-            self.gone_at[x] = if row.standing == Standing::Gone { now } else { f64::INFINITY };
-            let weight = if row.weight > 0.0 && row.weight.is_finite() { row.weight } else { 1.0 };
+            self.gone_at[x] = if row.standing == Standing::Gone {
+                now
+            } else {
+                f64::INFINITY
+            };
+            let weight = if row.weight > 0.0 && row.weight.is_finite() {
+                row.weight
+            } else {
+                1.0
+            };
             reweighed |= weight != self.weight[x];
             self.weight[x] = weight;
             if row.since > self.since[x] {
@@ -72,7 +84,8 @@
             }
         }
         void.extend((0..before.len()).filter(|&x| before[x] && !self.ready[x]));
-        let changed = reweighed || self.ready[..before.len()] != before || self.ready.len() > before.len();
+        let changed =
+            reweighed || self.ready[..before.len()] != before || self.ready.len() > before.len();
         if changed {
             self.update_ready();
             self.update_ranked();
@@ -90,7 +103,12 @@
     fn update_ready(&mut self) {
         self.ready_in_all = self.all().filter(|&x| self.ready[x]).collect();
         self.ready_count = self.ready_in_all.len();
-        self.ready_in_region = self.ready_in_all.iter().copied().filter(|&x| self.in_region(x)).collect();
+        self.ready_in_region = self
+            .ready_in_all
+            .iter()
+            .copied()
+            .filter(|&x| self.in_region(x))
+            .collect();
         self.ready_in_zone = Groups::new(&self.ready_in_all, |x| usize::from(self.zone[x]));
         self.ready_in_cell = Groups::new(&self.ready_in_all, |x| usize::from(self.cell[x]));
     }
@@ -98,7 +116,10 @@
     /// Takes every ready executor for cold until it is looked at.
     pub(super) fn recount_cold(&mut self) {
         self.all_warm = false;
-        self.warm.fill(WarmCount { due: f64::NEG_INFINITY, ..WarmCount::default() });
+        self.warm.fill(WarmCount {
+            due: f64::NEG_INFINITY,
+            ..WarmCount::default()
+        });
         for &x in &self.ready_in_all {
             let count = &mut self.warm[self.kind[x]];
             count.ready += 1;
@@ -118,7 +139,10 @@
     /// Those that are in no list since a moment, with nothing out there.
     pub fn departed(&self, since: f64) -> Vec<usize> {
         let gone = |&x: &usize| self.gone_at[x].is_finite() && self.gone_at[x] < since;
-        self.all().filter(gone).filter(|&x| self.out[x].is_empty()).collect()
+        self.all()
+            .filter(gone)
+            .filter(|&x| self.out[x].is_empty())
+            .collect()
     }
 
     /// Drops an executor; its index is another's from then on.
--- a/src/state/meters.rs
+++ b/src/state/meters.rs
@@ -38,7 +38,10 @@
 impl TokenBucket {
     /// One that nothing was taken of; how much that is, the first use tells.
     pub fn full(now: f64) -> TokenBucket {
-        TokenBucket { left: f64::INFINITY, at: now }
+        TokenBucket {
+            left: f64::INFINITY,
+            at: now,
+        }
     }
 
     /// Adds what came in since the last time, up to the most.
@@ -65,7 +68,10 @@
     most: fn(f64) -> f64,
     count: usize,
 ) {
-    buckets.iter_mut().zip(rates).for_each(|(bucket, rate)| bucket.fill(now, rate, most(rate)));
+    buckets
+        .iter_mut()
+        .zip(rates)
+        .for_each(|(bucket, rate)| bucket.fill(now, rate, most(rate)));
     buckets.resize_with(count, || TokenBucket::full(now));
 }
 
@@ -159,5 +165,7 @@
 pub fn quantile(mut values: Vec<f64>, share: f64) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let rank = (values.len() as f64 * share) as usize;
-    values.get(rank.min(values.len().saturating_sub(1))).copied()
+    values
+        .get(rank.min(values.len().saturating_sub(1)))
+        .copied()
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -37,10 +37,17 @@
 
 /// Takes out elements drawn at random, each by a number from 0 up to 1, until two at the most are left.
 pub fn leave_two(all: Vec<usize>, mut unit: impl FnMut() -> f64) -> Vec<usize> {
-    let drawn: Vec<usize> = (3..=all.len()).rev().map(|len| (unit() * len as f64) as usize).collect();
+    let drawn: Vec<usize> = (3..=all.len())
+        .rev()
+        .map(|len| (unit() * len as f64) as usize)
+        .collect();
     // From the last draw back: where the two that are left stood before each of them.
     let before = |place: usize, out: usize| place + usize::from(place >= out);
-    let (one, other) =
-        drawn.iter().rev().fold((0, 1), |(one, other), &out| (before(one, out), before(other, out)));
-    [one, other].into_iter().filter_map(|place| all.get(place).copied()).collect()
+    let (one, other) = drawn.iter().rev().fold((0, 1), |(one, other), &out| {
+        (before(one, out), before(other, out))
+    });
+    [one, other]
+        .into_iter()
+        .filter_map(|place| all.get(place).copied())
+        .collect()
 }
--- a/src/state/ranking.rs
+++ b/src/state/ranking.rs
@@ -67,7 +67,11 @@
     fn new(members: Vec<Ranked>, parts_zones: bool) -> Pool {
         let weight = members.iter().map(|r| r.weight).sum();
         let has_several_zones = members.iter().any(|r| r.zone != members[0].zone);
-        Pool { members, weight, parts_zones: parts_zones && has_several_zones }
+        Pool {
+            members,
+            weight,
+            parts_zones: parts_zones && has_several_zones,
+        }
     }
 
     /// The first `count` for a key, or all there are. Equal ranks are in the order of their indices.
@@ -79,7 +83,11 @@
         // About twice as many as are wanted have a rank below this one; where it was too few, all are looked
         // at.
         let enough = (2 * count + LEAST_RANKED) as f64;
-        let limit = if enough < self.members.len() as f64 { enough / self.weight } else { f64::INFINITY };
+        let limit = if enough < self.members.len() as f64 {
+            enough / self.weight
+        } else {
+            f64::INFINITY
+        };
         let mut ranks = self.ranks_below(key, limit);
         if ranks.len() < count {
             ranks = self.ranks_below(key, f64::INFINITY);
@@ -95,11 +103,18 @@
     /// Puts the first that stands in another zone than the first of all in the second place.
     fn part_zones(&self, key: u64, ranks: &mut Vec<(f64, Ranked)>) {
         let zone = ranks[0].1.zone;
-        let place = ranks.iter().position(|(_, r)| r.zone != zone).unwrap_or_else(|| {
-            let elsewhere = self.members.iter().filter(|r| r.zone != zone).map(|r| (r.rank(key), *r));
-            ranks.extend(elsewhere.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.x.cmp(&b.1.x))));
-            ranks.len() - 1
-        });
+        let place = ranks
+            .iter()
+            .position(|(_, r)| r.zone != zone)
+            .unwrap_or_else(|| {
+                let elsewhere = self
+                    .members
+                    .iter()
+                    .filter(|r| r.zone != zone)
+                    .map(|r| (r.rank(key), *r));
+                ranks.extend(elsewhere.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.x.cmp(&b.1.x))));
+                ranks.len() - 1
+            });
         ranks[1..=place].rotate_right(1);
     }
 
@@ -132,11 +147,13 @@
             number: executor_number(ids[x]),
             weight: weights[x],
         };
-        let (own, others): (Vec<usize>, Vec<usize>) =
-            self.ready_in_all.iter().partition(|&&x| self.regions.is_own(zones[x]));
+        let (own, others): (Vec<usize>, Vec<usize>) = self
+            .ready_in_all
+            .iter()
+            .partition(|&&x| self.regions.is_own(zones[x]));
         let parts_zones = self.regions.has_own();
-        self.ranked =
-            [own, others].map(|pool| Pool::new(pool.into_iter().map(ranked).collect(), parts_zones));
+        self.ranked = [own, others]
+            .map(|pool| Pool::new(pool.into_iter().map(ranked).collect(), parts_zones));
         self.version += 1;
     }
 
@@ -149,12 +166,19 @@
             return;
         }
         // Asked for more again and again, it has all after a few times.
-        let grown = if is_current { 2 * ranking.first.len() } else { 0 };
+        let grown = if is_current {
+            2 * ranking.first.len()
+        } else {
+            0
+        };
         let count = count.max(grown).min(self.ready_count);
         let [own, others] = &self.ranked;
         let mut first = own.first(key, count);
         first.extend(others.first(key, count.saturating_sub(first.len())));
-        *ranking = Ranking { version: self.version, first };
+        *ranking = Ranking {
+            version: self.version,
+            first,
+        };
     }
 
     /// An executor's hash for a key, as a number from 0 up to 2^32.
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -31,8 +31,12 @@
                 w.invoke(b % 3, a as u64 % 5, 0.3 + later * 20.0);
             }
             4..=6 => {
-                let out =
-                    |t: &plain::Taken| t.sent.iter().position(|s| s.ending.is_none()).map(|n| (t.inv.id, n));
+                let out = |t: &plain::Taken| {
+                    t.sent
+                        .iter()
+                        .position(|s| s.ending.is_none())
+                        .map(|n| (t.inv.id, n))
+                };
                 let out: Vec<_> = w.plain.taken.iter().filter_map(out).collect();
                 if let Some(&(inv, n)) = out.get(a % out.len().max(1)) {
                     w.end(inv, n, ENDINGS[b % ENDINGS.len()]);
@@ -40,8 +44,17 @@
             }
             7 => w.load_all(ENDINGS[b % ENDINGS.len()]),
             8 => {
-                let standing = [Standing::Ready, Standing::Draining, Standing::Gone, Standing::Ready][b % 4];
-                let since = if b >= 4 { w.plain.now - later } else { f64::NEG_INFINITY };
+                let standing = [
+                    Standing::Ready,
+                    Standing::Draining,
+                    Standing::Gone,
+                    Standing::Ready,
+                ][b % 4];
+                let since = if b >= 4 {
+                    w.plain.now - later
+                } else {
+                    f64::NEG_INFINITY
+                };
                 w.roster(a % 6, standing, since);
             }
             9 => _ = w.ahead(a as u64 % 5, b % 3),
@@ -57,17 +70,26 @@
 
 #[test]
 fn the_module_and_the_plain_model_agree_on_what_is_allowed() {
-    let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
+    let config = Config {
+        cases: 200,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]));
     let happening = (0u8..11, 0usize..60, 0usize..72, 0.0f64..0.25);
     let day = (any::<[bool; 4]>(), prop::collection::vec(happening, 1..250));
-    let outcome = runner.run(&day, |([second_copies, orders, rationed, miss], happenings)| {
-        let mut policy = policy();
-        (policy.second_copies, policy.orders, policy.answers_miss) = (second_copies, orders, miss);
-        policy.ration_window = if rationed { 5.0 } else { 0.0 };
-        play(policy, &happenings);
-        Ok(())
-    });
+    let outcome = runner.run(
+        &day,
+        |([second_copies, orders, rationed, miss], happenings)| {
+            let mut policy = policy();
+            (policy.second_copies, policy.orders, policy.answers_miss) =
+                (second_copies, orders, miss);
+            policy.ration_window = if rationed { 5.0 } else { 0.0 };
+            play(policy, &happenings);
+            Ok(())
+        },
+    );
     outcome.unwrap();
 }
 
@@ -77,9 +99,19 @@
     for _ in 0..4 {
         w.invoke(0, 1, 5.0);
     }
-    assert_eq!(w.plain.said.len(), 1, "one order, nothing sent: {:?}", w.plain.said);
+    assert_eq!(
+        w.plain.said.len(),
+        1,
+        "one order, nothing sent: {:?}",
+        w.plain.said
+    );
     w.load_all(Ending::Ok);
-    let sent = w.plain.said.iter().filter(|s| matches!(s, Said::Dispatch(..))).count();
+    let sent = w
+        .plain
+        .said
+        .iter()
+        .filter(|s| matches!(s, Said::Dispatch(..)))
+        .count();
     assert_eq!(sent, 4, "all follow its answer: {:?}", w.plain.said);
 }
 
@@ -136,7 +168,13 @@
 
 #[test]
 fn a_silent_executor_loses_what_may_be_moved() {
-    let (mut w, x) = warm(PolicyConfig { second_copies: true, ..policy() }, 4);
+    let (mut w, x) = warm(
+        PolicyConfig {
+            second_copies: true,
+            ..policy()
+        },
+        4,
+    );
     w.pass(0.01);
     let stuck = w.invoke(0, 1, 5.0);
     for _ in 0..2 {
@@ -145,7 +183,10 @@
     w.load_all(Ending::Ok);
     w.pass(0.9);
     let sent = &w.plain.taken[stuck as usize].sent;
-    assert!(sent.len() == 2 && sent[0].x == x && sent[1].x != x, "a second copy went elsewhere");
+    assert!(
+        sent.len() == 2 && sent[0].x == x && sent[1].x != x,
+        "a second copy went elsewhere"
+    );
 }
 
 #[test]
@@ -154,7 +195,11 @@
     for function in 0..40 {
         let inv = w.invoke(0, function, 5.0);
         w.load_all(Ending::Ok);
-        let ending = if w.plain.taken[inv as usize].sent[0].x == x { Ending::Error } else { Ending::Ok };
+        let ending = if w.plain.taken[inv as usize].sent[0].x == x {
+            Ending::Error
+        } else {
+            Ending::Ok
+        };
         w.end(inv, 0, ending);
         if ending == Ending::Error {
             w.pass(0.15);
@@ -166,7 +211,11 @@
     for _ in 0..4 {
         w.invoke(2, 1, 5.0);
     }
-    assert_eq!(w.sent_to(x), before, "no invocation that may run only once is risked there");
+    assert_eq!(
+        w.sent_to(x),
+        before,
+        "no invocation that may run only once is risked there"
+    );
     w.pass(6.0);
     w.invoke(0, 9, 5.0);
     w.all_answered();
@@ -196,7 +245,13 @@
 
 #[test]
 fn errors_of_what_no_executor_serves_are_none_of_theirs() {
-    let (mut w, x) = warm(PolicyConfig { orders: false, ..policy() }, 4);
+    let (mut w, x) = warm(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        4,
+    );
     for function in 100..160 {
         let first = w.invoke(2, function, 5.0);
         if w.plain.taken[first as usize].sent[0].x == x {
@@ -209,7 +264,11 @@
         w.end(second, 0, Ending::Ok);
     }
     let last = w.invoke(2, 1, 5.0);
-    assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(last, x)), "what it serves goes there as before");
+    assert_eq!(
+        w.plain.said.last(),
+        Some(&Said::Dispatch(last, x)),
+        "what it serves goes there as before"
+    );
 }
 
 #[test]
@@ -229,13 +288,24 @@
     let now = w.plain.now;
     w.roster(x, Standing::Ready, now);
     w.invoke(0, 1, 5.0);
-    assert!(matches!(w.plain.said.last(), Some(Said::Hold(..))), "the copy there is gone");
+    assert!(
+        matches!(w.plain.said.last(), Some(Said::Hold(..))),
+        "the copy there is gone"
+    );
 }
 
 /// Where executors are told to be warm at once, one that started this moment is.
 #[test]
 fn without_a_cold_time_a_new_executor_is_used_at_once() {
-    let mut w = World::new(PolicyConfig { cold: 0.0, orders: false, front_ends: 300.0, ..policy() }, 1);
+    let mut w = World::new(
+        PolicyConfig {
+            cold: 0.0,
+            orders: false,
+            front_ends: 300.0,
+            ..policy()
+        },
+        1,
+    );
     let started = w.plain.now;
     w.roster(0, Standing::Ready, started);
     (0..5).for_each(|function| _ = w.invoke(0, function, 5.0));
@@ -247,7 +317,15 @@
 #[test]
 fn without_a_turn_at_a_known_cold_executor_another_is_used() {
     let at_once = |trial: u32| {
-        let mut w = World::new(PolicyConfig { cold: 1e4, orders: false, front_ends: 2.0, ..policy() }, 2);
+        let mut w = World::new(
+            PolicyConfig {
+                cold: 1e4,
+                orders: false,
+                front_ends: 2.0,
+                ..policy()
+            },
+            2,
+        );
         let now = w.plain.now;
         (0..2).for_each(|x| w.roster(x, Standing::Ready, now));
         w.pass(trial.into());
@@ -282,24 +360,49 @@
     let stuck: Vec<u32> = (0..4).map(|_| w.invoke(0, 1, 5.0)).collect();
     w.pass(0.75);
     w.took = 0.75;
-    stuck.iter().for_each(|&inv| w.end(inv, 0, Ending::Cancelled));
+    stuck
+        .iter()
+        .for_each(|&inv| w.end(inv, 0, Ending::Cancelled));
     w.load_all(Ending::Ok);
-    let sent = |inv: &u32| w.plain.taken[*inv as usize].sent.iter().map(|s| s.x).collect::<Vec<_>>();
-    let moved: Vec<_> = stuck.iter().map(sent).filter(|s| s[0] == x && s.len() > 1).collect();
-    assert!(!moved.is_empty() && moved.iter().all(|s| s[1] != x), "{moved:?} from {x}");
+    let sent = |inv: &u32| {
+        w.plain.taken[*inv as usize]
+            .sent
+            .iter()
+            .map(|s| s.x)
+            .collect::<Vec<_>>()
+    };
+    let moved: Vec<_> = stuck
+        .iter()
+        .map(sent)
+        .filter(|s| s[0] == x && s.len() > 1)
+        .collect();
+    assert!(
+        !moved.is_empty() && moved.iter().all(|s| s[1] != x),
+        "{moved:?} from {x}"
+    );
 }
 
 /// A world whose placements are dispatches, with one tokened invocation that may have run at the first executor it
 /// was sent to; and the other executor of that one's group.
 fn one_that_may_have_run(function: u64) -> (World, u32, usize) {
-    let mut w = World::new(PolicyConfig { orders: false, ..policy() }, 8);
+    let mut w = World::new(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        8,
+    );
     let inv = w.invoke(1, function, 5.0);
     let first = w.plain.taken[inv as usize].sent[0].x;
     (w, inv, first ^ 1)
 }
 
 fn sent_to(w: &World, inv: u32) -> Vec<usize> {
-    w.plain.taken[inv as usize].sent.iter().map(|s| s.x).collect()
+    w.plain.taken[inv as usize]
+        .sent
+        .iter()
+        .map(|s| s.x)
+        .collect()
 }
 
 /// Found on socket days: where no executor was known in its group it was held until its client had left.
@@ -309,7 +412,11 @@
         let (mut w, inv, fellow) = one_that_may_have_run(function);
         w.end(inv, 0, Ending::Error);
         w.pass(0.5);
-        assert_eq!(sent_to(&w, inv), [fellow ^ 1, fellow], "function {function}");
+        assert_eq!(
+            sent_to(&w, inv),
+            [fellow ^ 1, fellow],
+            "function {function}"
+        );
         w.end(inv, 1, Ending::Ok);
         w.all_answered();
     }
@@ -320,7 +427,9 @@
     for function in 0..40 {
         let (mut w, inv, fellow) = one_that_may_have_run(function);
         let outside: Vec<usize> = (0..8).filter(|x| x / 2 != fellow / 2).collect();
-        outside[1..].iter().for_each(|&x| w.roster(x, Standing::Draining, f64::NEG_INFINITY));
+        outside[1..]
+            .iter()
+            .for_each(|&x| w.roster(x, Standing::Draining, f64::NEG_INFINITY));
         w.roster(fellow, Standing::Draining, f64::NEG_INFINITY);
         w.end(inv, 0, Ending::Error);
         w.pass(0.2);
@@ -328,7 +437,11 @@
         assert_eq!(sent_to(&w, other), outside[..1], "function {function}");
         w.end(other, 0, Ending::Ok);
         w.pass(0.1);
-        assert_eq!(sent_to(&w, inv), [fellow ^ 1, fellow ^ 1], "function {function}");
+        assert_eq!(
+            sent_to(&w, inv),
+            [fellow ^ 1, fellow ^ 1],
+            "function {function}"
+        );
         w.end(inv, 1, Ending::Ok);
         w.all_answered();
     }
@@ -343,10 +456,18 @@
             w.roster(fellow, Standing::Draining, f64::NEG_INFINITY);
             w.end(inv, 0, Ending::Error);
             w.pass(back_after);
-            assert_eq!(sent_to(&w, inv), [fellow ^ 1], "function {function}, with no other in its group");
+            assert_eq!(
+                sent_to(&w, inv),
+                [fellow ^ 1],
+                "function {function}, with no other in its group"
+            );
             w.roster(fellow, Standing::Ready, f64::NEG_INFINITY);
             w.pass(0.1);
-            assert_eq!(sent_to(&w, inv).len(), sent, "function {function}, back after {back_after} s");
+            assert_eq!(
+                sent_to(&w, inv).len(),
+                sent,
+                "function {function}, back after {back_after} s"
+            );
             w.all_answered();
         }
     }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -7,16 +7,26 @@
 use plain::{Said, World, policy};
 
 fn trigger_type(objective: f64) -> TriggerType {
-    TriggerType { objective, ..policy().trigger_types[0].clone() }
+    TriggerType {
+        objective,
+        ..policy().trigger_types[0].clone()
+    }
 }
 
 #[test]
 fn an_appended_trigger_type_is_served() {
     let (mut w, x) = warm(policy(), 4);
     assert!(!w.dispatcher.has_trigger_type(3));
-    let non_idempotent = TriggerType { effect: Effect::NonIdempotent, ..trigger_type(1.0) };
+    let non_idempotent = TriggerType {
+        effect: Effect::NonIdempotent,
+        ..trigger_type(1.0)
+    };
     w.plain.policy.trigger_types.push(non_idempotent.clone());
-    assert_eq!(w.dispatcher.set_trigger_type(w.plain.now, 3, non_idempotent), Ok(()));
+    assert_eq!(
+        w.dispatcher
+            .set_trigger_type(w.plain.now, 3, non_idempotent),
+        Ok(())
+    );
     assert!(w.dispatcher.has_trigger_type(3));
     let inv = w.invoke(3, 1, 5.0);
     assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(inv, x)));
@@ -29,8 +39,10 @@
 fn a_trigger_type_in_use_stays_until_its_last_invocation_is_over() {
     let (mut w, _) = warm(policy(), 4);
     let inv = w.invoke(0, 1, 5.0);
-    let change =
-        |w: &mut World| w.dispatcher.set_trigger_type(w.plain.now, 0, policy().trigger_types[2].clone());
+    let change = |w: &mut World| {
+        w.dispatcher
+            .set_trigger_type(w.plain.now, 0, policy().trigger_types[2].clone())
+    };
     assert_eq!(change(&mut w), Err(ConfigRefused::InUse { index: 0 }));
     // What is withdrawn is cancelled, and in hand until that is confirmed.
     w.withdraw(inv);
@@ -40,7 +52,11 @@
     w.plain.policy.trigger_types[0] = policy().trigger_types[2].clone();
     let inv = w.invoke(0, 1, 5.0);
     w.end(inv, 0, Ending::Error);
-    assert_eq!(w.plain.said.last(), Some(&Said::Error(inv)), "it is non-idempotent now");
+    assert_eq!(
+        w.plain.said.last(),
+        Some(&Said::Error(inv)),
+        "it is non-idempotent now"
+    );
 }
 
 #[test]
@@ -48,11 +64,20 @@
     let mut w = World::new(policy(), 4);
     let now = w.plain.now;
     let mut set = |index, ty| w.dispatcher.set_trigger_type(now, index, ty);
-    assert_eq!(set(5, trigger_type(1.0)), Err(ConfigRefused::OutOfOrder { index: 5, next: 3 }));
+    assert_eq!(
+        set(5, trigger_type(1.0)),
+        Err(ConfigRefused::OutOfOrder { index: 5, next: 3 })
+    );
     for objective in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        assert_eq!(set(3, trigger_type(objective)), Err(ConfigRefused::NoTime { index: 3 }));
+        assert_eq!(
+            set(3, trigger_type(objective)),
+            Err(ConfigRefused::NoTime { index: 3 })
+        );
     }
-    let no_timeout = TriggerType { timeout: f64::NAN, ..trigger_type(1.0) };
+    let no_timeout = TriggerType {
+        timeout: f64::NAN,
+        ..trigger_type(1.0)
+    };
     assert_eq!(set(0, no_timeout), Err(ConfigRefused::NoTime { index: 0 }));
     assert!(!w.dispatcher.has_trigger_type(3));
     let said = ConfigRefused::OutOfOrder { index: 5, next: 3 }.to_string();
@@ -61,7 +86,11 @@
 
 /// How many of some invocations at one moment are past their customer's share; all are refused, as there is
 /// no executor.
-fn past_share(dispatcher: &mut orchidtally::dispatch::Dispatcher, now: f64, customer: usize) -> usize {
+fn past_share(
+    dispatcher: &mut orchidtally::dispatch::Dispatcher,
+    now: f64,
+    customer: usize,
+) -> usize {
     #[derive(Default)]
     struct Throttled(usize);
     impl Actions for Throttled {
@@ -80,7 +109,11 @@
     }
     let mut throttled = Throttled::default();
     for id in 0..200 {
-        let inv = Invocation { id, customer, ..plain::invocation(now + 0.01) };
+        let inv = Invocation {
+            id,
+            customer,
+            ..plain::invocation(now + 0.01)
+        };
         dispatcher.invocation(now, &inv, &mut throttled);
     }
     throttled.0
@@ -88,7 +121,11 @@
 
 #[test]
 fn a_kept_customer_keeps_what_it_saved_and_a_new_one_begins_with_all() {
-    let quotas = |quotas: &[f64]| PolicyConfig { front_ends: 1.0, quotas: quotas.to_vec(), ..policy() };
+    let quotas = |quotas: &[f64]| PolicyConfig {
+        front_ends: 1.0,
+        quotas: quotas.to_vec(),
+        ..policy()
+    };
     let mut w = World::new(quotas(&[9.0]), 0);
     // Two seconds of the share and five times its root: 18 + 15 may be saved up.
     assert_eq!(past_share(&mut w.dispatcher, 100.0, 0), 200 - 33);
@@ -108,7 +145,14 @@
 
 #[test]
 fn shares_that_are_no_rates_are_refused_and_change_nothing() {
-    let mut w = World::new(PolicyConfig { front_ends: 1.0, quotas: vec![9.0], ..policy() }, 0);
+    let mut w = World::new(
+        PolicyConfig {
+            front_ends: 1.0,
+            quotas: vec![9.0],
+            ..policy()
+        },
+        0,
+    );
     for quota in [-1.0, f64::NAN, f64::INFINITY] {
         let set = w.dispatcher.set_quotas(100.0, vec![1.0, quota]);
         assert_eq!(set, Err(ConfigRefused::NoQuota { customer: 1 }));
--- a/tests/decision_trace/fleet.rs
+++ b/tests/decision_trace/fleet.rs
@@ -49,19 +49,29 @@
                 cell: (number / 3) as u16,
                 standing: Standing::Ready,
                 weight: 1.0 + (number % 3) as f64,
-                since: if random.chance(0.2) { now - 12.0 * random.unit() } else { f64::NEG_INFINITY },
+                since: if random.chance(0.2) {
+                    now - 12.0 * random.unit()
+                } else {
+                    f64::NEG_INFINITY
+                },
             },
             hangs: random.chance(scenario.hangs),
             is_slow: random.chance(scenario.slow),
             copies: BTreeMap::new(),
         };
         let executors = (0..scenario.executors).map(executor).collect();
-        Fleet { executors, hangs_from: now + scenario.duration / 4.0 }
+        Fleet {
+            executors,
+            hangs_from: now + scenario.duration / 4.0,
+        }
     }
 
     /// Every executor that is not gone.
     pub fn rows(&self) -> Vec<RosterRow> {
-        let listed = self.executors.iter().filter(|executor| executor.row.standing != Standing::Gone);
+        let listed = self
+            .executors
+            .iter()
+            .filter(|executor| executor.row.standing != Standing::Gone);
         listed.map(|executor| executor.row.clone()).collect()
     }
 
@@ -89,7 +99,10 @@
     }
 
     fn get(&mut self, id: ExecutorId) -> &mut Executor {
-        let found = self.executors.iter_mut().find(|executor| executor.row.executor == id);
+        let found = self
+            .executors
+            .iter_mut()
+            .find(|executor| executor.row.executor == id);
         found.expect("an executor that no list told")
     }
 
@@ -110,10 +123,17 @@
     ) -> RunResult {
         let hangs_now = now >= self.hangs_from;
         let executor = self.get(to);
-        let is_warm = executor.copies.get(&function).is_some_and(|&until| until > now);
+        let is_warm = executor
+            .copies
+            .get(&function)
+            .is_some_and(|&until| until > now);
         let factor = if executor.is_slow { SLOW_FACTOR } else { 1.0 };
         let work = SERVICE_TIME * factor * (0.3 + 1.4 * random.unit());
-        let load = if is_warm { 0.0 } else { LOAD_TIME * (0.5 + random.unit()) };
+        let load = if is_warm {
+            0.0
+        } else {
+            LOAD_TIME * (0.5 + random.unit())
+        };
         let fault = fault(scenario.fault, random);
         if executor.hangs && hangs_now {
             return RunResult {
@@ -132,16 +152,28 @@
             };
         }
         if let Some((ending, found, delay)) = fault {
-            return RunResult { is_answered: true, delay, ending, found };
+            return RunResult {
+                is_answered: true,
+                delay,
+                ending,
+                found,
+            };
         }
-        executor.copies.insert(function, now + load + work + IDLE_TIME);
+        executor
+            .copies
+            .insert(function, now + load + work + IDLE_TIME);
         let found = match (is_warm, random.below(3)) {
             (_, 0) => Found::Untold,
             (true, _) => Found::Warm,
             (false, 1) => Found::Waited,
             (false, _) => Found::Loaded,
         };
-        RunResult { is_answered: true, delay: load + work, ending: Ending::Ok, found }
+        RunResult {
+            is_answered: true,
+            delay: load + work,
+            ending: Ending::Ok,
+            found,
+        }
     }
 
     /// Carries out a command to load at its end.
--- a/tests/decision_trace/main.rs
+++ b/tests/decision_trace/main.rs
@@ -40,7 +40,10 @@
 
 #[test]
 fn every_scenario_gives_the_actions_that_it_gave_before() {
-    let results: Vec<_> = SCENARIOS.iter().map(|scenario| (scenario.name, play::run(scenario))).collect();
+    let results: Vec<_> = SCENARIOS
+        .iter()
+        .map(|scenario| (scenario.name, play::run(scenario)))
+        .collect();
     for (name, summary) in &results {
         println!("    {:#018x}, // {name}: {summary:?}", summary.digest);
     }
--- a/tests/decision_trace/play.rs
+++ b/tests/decision_trace/play.rs
@@ -34,12 +34,32 @@
     Stall,
     Reconfiguration,
     Shutdown,
-    BytesLeave { invocation: u32, dispatch: u8 },
-    LoadLeaves { to: ExecutorId, function: u64, ordered_at: f64 },
-    LoadEnds { to: ExecutorId, function: u64 },
-    Streams { invocation: u32, dispatch: u8 },
-    DispatchEnds { invocation: u32, dispatch: u8, ending: Ending, found: Found },
-    Withdrawal { invocation: u32 },
+    BytesLeave {
+        invocation: u32,
+        dispatch: u8,
+    },
+    LoadLeaves {
+        to: ExecutorId,
+        function: u64,
+        ordered_at: f64,
+    },
+    LoadEnds {
+        to: ExecutorId,
+        function: u64,
+    },
+    Streams {
+        invocation: u32,
+        dispatch: u8,
+    },
+    DispatchEnds {
+        invocation: u32,
+        dispatch: u8,
+        ending: Ending,
+        found: Found,
+    },
+    Withdrawal {
+        invocation: u32,
+    },
 }
 
 #[derive(Clone, Copy)]
@@ -100,13 +120,18 @@
     };
     play.begin();
     play.run_to_the_end();
-    Summary { digest: play.recorder.digest(), counts: play.recorder.counts, succeeded: play.succeeded }
+    Summary {
+        digest: play.recorder.digest(),
+        counts: play.recorder.counts,
+        succeeded: play.succeeded,
+    }
 }
 
 impl Play<'_> {
     fn begin(&mut self) {
         let rows = self.fleet.rows();
-        self.dispatcher.roster(START, RosterKind::Full, &rows, &mut self.recorder);
+        self.dispatcher
+            .roster(START, RosterKind::Full, &rows, &mut self.recorder);
         let scenario = self.scenario;
         let streams = [
             (scenario.arrivals, Event::Arrival),
@@ -173,16 +198,37 @@
             Event::Stall => self.stall(),
             Event::Reconfiguration => self.reconfigure(),
             Event::Shutdown => self.dispatcher.end_by(now, now + 1.5, &mut self.recorder),
-            Event::BytesLeave { invocation, dispatch } => self.bytes_leave(invocation, dispatch),
-            Event::LoadLeaves { to, function, ordered_at } => self.load_leaves(to, function, ordered_at),
+            Event::BytesLeave {
+                invocation,
+                dispatch,
+            } => self.bytes_leave(invocation, dispatch),
+            Event::LoadLeaves {
+                to,
+                function,
+                ordered_at,
+            } => self.load_leaves(to, function, ordered_at),
             Event::LoadEnds { to, function } => self.end_load(to, function),
-            Event::Streams { invocation, dispatch } => {
+            Event::Streams {
+                invocation,
+                dispatch,
+            } => {
                 let is_out = !self.dropped.contains(&(invocation, dispatch));
-                if is_out && self.invocations.get(&invocation).is_some_and(|open| !open.closed) {
-                    self.dispatcher.streaming(now, invocation, dispatch, &mut self.recorder);
+                if is_out
+                    && self
+                        .invocations
+                        .get(&invocation)
+                        .is_some_and(|open| !open.closed)
+                {
+                    self.dispatcher
+                        .streaming(now, invocation, dispatch, &mut self.recorder);
                 }
             }
-            Event::DispatchEnds { invocation, dispatch, ending, found } => {
+            Event::DispatchEnds {
+                invocation,
+                dispatch,
+                ending,
+                found,
+            } => {
                 self.end_dispatch(invocation, dispatch, ending, found);
             }
             Event::Withdrawal { invocation } => self.withdraw(invocation),
@@ -193,7 +239,11 @@
         let (now, id) = (self.now(), self.next_invocation);
         self.next_invocation += 1;
         let function = self.random.skewed_below(self.scenario.functions) as u64 * 7_919 + 13;
-        let allowance = if self.random.chance(0.1) { 0.2 + self.random.unit() } else { 5.0 };
+        let allowance = if self.random.chance(0.1) {
+            0.2 + self.random.unit()
+        } else {
+            5.0
+        };
         let invocation = Invocation {
             id,
             trigger_type: self.random.below(self.trigger_types),
@@ -202,14 +252,25 @@
             repeat: self.random.chance(0.1),
             moved: self.random.chance(0.02),
             timeout_at: now + allowance,
-            work: self.random.chance(0.5).then(|| 0.05 + 0.3 * self.random.unit()),
+            work: self
+                .random
+                .chance(0.5)
+                .then(|| 0.05 + 0.3 * self.random.unit()),
             lanes: 1.0 + (function % 4) as f64,
             load_time: self.random.chance(0.8).then_some(LOAD_TIME),
         };
         let timeout_at = invocation.timeout_at;
-        self.invocations
-            .insert(id, OpenInvocation { function, timeout_at, closed: false, dispatches: vec![] });
-        self.dispatcher.invocation(now, &invocation, &mut self.recorder);
+        self.invocations.insert(
+            id,
+            OpenInvocation {
+                function,
+                timeout_at,
+                closed: false,
+                dispatches: vec![],
+            },
+        );
+        self.dispatcher
+            .invocation(now, &invocation, &mut self.recorder);
         if self.random.chance(self.scenario.withdrawals) {
             let delay = self.random.unit() * allowance;
             self.schedule(delay, Event::Withdrawal { invocation: id });
@@ -219,10 +280,13 @@
 
     fn withdraw(&mut self, invocation: u32) {
         let now = self.now();
-        let Some(open) = self.invocations.get_mut(&invocation) else { return };
+        let Some(open) = self.invocations.get_mut(&invocation) else {
+            return;
+        };
         if !open.closed {
             open.closed = true;
-            self.dispatcher.withdrawn(now, invocation, &mut self.recorder);
+            self.dispatcher
+                .withdrawn(now, invocation, &mut self.recorder);
         }
     }
 
@@ -238,19 +302,41 @@
     fn carry_out_one(&mut self, action: Pending) {
         let now = self.now();
         match action {
-            Pending::Dispatch { invocation, to, time_out } => self.send(invocation, to, time_out),
+            Pending::Dispatch {
+                invocation,
+                to,
+                time_out,
+            } => self.send(invocation, to, time_out),
             Pending::Final { invocation } => {
                 if let Some(open) = self.invocations.get_mut(&invocation) {
                     open.closed = true;
                 }
             }
-            Pending::Cancel { invocation, dispatch } => {
+            Pending::Cancel {
+                invocation,
+                dispatch,
+            } => {
                 self.dropped.insert((invocation, dispatch));
                 let (ending, found) = (Ending::Cancelled, Found::Untold);
-                self.schedule(0.001, Event::DispatchEnds { invocation, dispatch, ending, found });
+                self.schedule(
+                    0.001,
+                    Event::DispatchEnds {
+                        invocation,
+                        dispatch,
+                        ending,
+                        found,
+                    },
+                );
             }
             Pending::Load { to, function } if self.scenario.revalidates => {
-                self.schedule(SEND_DELAY, Event::LoadLeaves { to, function, ordered_at: now });
+                self.schedule(
+                    SEND_DELAY,
+                    Event::LoadLeaves {
+                        to,
+                        function,
+                        ordered_at: now,
+                    },
+                );
             }
             Pending::Load { to, function } => self.schedule_load(to, function),
             Pending::Wake { delay } => self.schedule(delay, Event::Timer),
@@ -263,23 +349,60 @@
 
     fn send(&mut self, invocation: u32, to: ExecutorId, time_out: f64) {
         let now = self.now();
-        let open = self.invocations.get_mut(&invocation).expect("a dispatch of an invocation never taken");
+        let open = self
+            .invocations
+            .get_mut(&invocation)
+            .expect("a dispatch of an invocation never taken");
         let dispatch = open.dispatches.len() as u8;
-        open.dispatches.push(SentDispatch { to, sent_at: now, ended: false });
+        open.dispatches.push(SentDispatch {
+            to,
+            sent_at: now,
+            ended: false,
+        });
         let function = open.function;
         if self.scenario.revalidates {
-            self.schedule(SEND_DELAY, Event::BytesLeave { invocation, dispatch });
+            self.schedule(
+                SEND_DELAY,
+                Event::BytesLeave {
+                    invocation,
+                    dispatch,
+                },
+            );
         }
-        let result = self.fleet.run(self.scenario, &mut self.random, to, function, now);
+        let result = self
+            .fleet
+            .run(self.scenario, &mut self.random, to, function, now);
         if result.is_answered && result.delay < time_out {
             if self.random.chance(self.scenario.streamed) {
-                self.schedule(0.7 * result.delay, Event::Streams { invocation, dispatch });
+                self.schedule(
+                    0.7 * result.delay,
+                    Event::Streams {
+                        invocation,
+                        dispatch,
+                    },
+                );
             }
             let (ending, found) = (result.ending, result.found);
-            self.schedule(result.delay, Event::DispatchEnds { invocation, dispatch, ending, found });
+            self.schedule(
+                result.delay,
+                Event::DispatchEnds {
+                    invocation,
+                    dispatch,
+                    ending,
+                    found,
+                },
+            );
         } else {
             let (ending, found) = (Ending::TimedOut, Found::Untold);
-            self.schedule(time_out, Event::DispatchEnds { invocation, dispatch, ending, found });
+            self.schedule(
+                time_out,
+                Event::DispatchEnds {
+                    invocation,
+                    dispatch,
+                    ending,
+                    found,
+                },
+            );
         }
     }
 
@@ -298,8 +421,12 @@
         if !withheld && self.dropped.contains(&(invocation, dispatch)) {
             return;
         }
-        let Some(open) = self.invocations.get_mut(&invocation) else { return };
-        let Some(sent) = open.dispatches.get_mut(usize::from(dispatch)) else { return };
+        let Some(open) = self.invocations.get_mut(&invocation) else {
+            return;
+        };
+        let Some(sent) = open.dispatches.get_mut(usize::from(dispatch)) else {
+            return;
+        };
         if std::mem::replace(&mut sent.ended, true) {
             return;
         }
@@ -310,12 +437,24 @@
         }
         open.closed |= is_success;
         let closed = open.closed;
-        let report = [self.fleet.waiting(executor, &mut self.random), (self.random.unit() * 3.0) as f32];
+        let report = [
+            self.fleet.waiting(executor, &mut self.random),
+            (self.random.unit() * 3.0) as f32,
+        ];
         let has_report = self.random.chance(0.7);
         let report: &[f32] = if has_report { &report } else { &[] };
         let crowd = self.random.below(6) as u32;
-        let result =
-            Outcome { inv: invocation, dispatch, executor, ending, took, closed, found, crowd, report };
+        let result = Outcome {
+            inv: invocation,
+            dispatch,
+            executor,
+            ending,
+            took,
+            closed,
+            found,
+            crowd,
+            report,
+        };
         self.dispatcher.outcome(now, &result, &mut self.recorder);
     }
 
@@ -326,7 +465,8 @@
         if leaves {
             self.schedule_load(to, function);
         } else {
-            self.dispatcher.held(now, to, function, Ending::NeverSent, &mut self.recorder);
+            self.dispatcher
+                .held(now, to, function, Ending::NeverSent, &mut self.recorder);
         }
     }
 
@@ -337,7 +477,10 @@
 
     fn end_load(&mut self, to: ExecutorId, function: u64) {
         let now = self.now();
-        let ending = self.fleet.load(self.scenario, &mut self.random, to, function, now);
-        self.dispatcher.held(now, to, function, ending, &mut self.recorder);
+        let ending = self
+            .fleet
+            .load(self.scenario, &mut self.random, to, function, now);
+        self.dispatcher
+            .held(now, to, function, ending, &mut self.recorder);
     }
 }
--- a/tests/decision_trace/play/disturbances.rs
+++ b/tests/decision_trace/play/disturbances.rs
@@ -9,23 +9,28 @@
     pub(super) fn tell_full_list(&mut self) {
         let now = self.now();
         if self.random.chance(self.scenario.failed_lists) {
-            self.dispatcher.roster(now, RosterKind::Failed, &[], &mut self.recorder);
+            self.dispatcher
+                .roster(now, RosterKind::Failed, &[], &mut self.recorder);
             return;
         }
         let rows = self.fleet.rows();
-        self.dispatcher.roster(now, RosterKind::Full, &rows, &mut self.recorder);
+        self.dispatcher
+            .roster(now, RosterKind::Full, &rows, &mut self.recorder);
     }
 
     pub(super) fn change_list(&mut self) {
         let now = self.now();
         let row = self.fleet.change(self.scenario, &mut self.random, now);
         if self.random.chance(self.scenario.failed_lists) {
-            self.dispatcher.roster(now, RosterKind::Failed, &[], &mut self.recorder);
+            self.dispatcher
+                .roster(now, RosterKind::Failed, &[], &mut self.recorder);
         } else if self.random.chance(self.scenario.full_lists) {
             let rows = self.fleet.rows();
-            self.dispatcher.roster(now, RosterKind::Full, &rows, &mut self.recorder);
+            self.dispatcher
+                .roster(now, RosterKind::Full, &rows, &mut self.recorder);
         } else {
-            self.dispatcher.roster(now, RosterKind::Delta, &[row], &mut self.recorder);
+            self.dispatcher
+                .roster(now, RosterKind::Delta, &[row], &mut self.recorder);
         }
         self.schedule_next(self.scenario.list_changes, Event::ListChange);
     }
@@ -35,7 +40,12 @@
         let function = self.random.skewed_below(self.scenario.functions) as u64 * 7_919 + 13;
         let load_time = self.random.chance(0.5).then_some(LOAD_TIME);
         let copies = self.random.below(4);
-        let wish = Ahead { function, lanes: 2.0, load_time, copies };
+        let wish = Ahead {
+            function,
+            lanes: 2.0,
+            load_time,
+            copies,
+        };
         let warm = self.dispatcher.ahead(now, &wish, &mut self.recorder);
         self.recorder.note(32, warm as u64);
         self.schedule_next(self.scenario.prewarms, Event::Prewarm);
@@ -60,7 +70,8 @@
         if self.random.chance(0.25) {
             self.dispatcher.view_lost(now, asked_at);
         } else {
-            self.dispatcher.view_confirmed(now, asked_at, &mut self.recorder);
+            self.dispatcher
+                .view_confirmed(now, asked_at, &mut self.recorder);
         }
         self.schedule_next(self.scenario.view_reports, Event::ViewReport);
     }
@@ -68,11 +79,15 @@
     /// The process does not run for a while: all that was due meanwhile happens afterwards.
     pub(super) fn stall(&mut self) {
         let resumed_at = self.now() + 0.2 + 3.0 * self.random.unit();
-        let due: Vec<(u64, u64)> =
-            self.events.range(..(resumed_at.to_bits(), 0)).map(|(key, _)| *key).collect();
+        let due: Vec<(u64, u64)> = self
+            .events
+            .range(..(resumed_at.to_bits(), 0))
+            .map(|(key, _)| *key)
+            .collect();
         for key in due {
             let event = self.events.remove(&key);
-            self.events.extend(event.map(|event| ((resumed_at.to_bits(), key.1), event)));
+            self.events
+                .extend(event.map(|event| ((resumed_at.to_bits(), key.1), event)));
         }
         self.recorder.now = resumed_at;
         self.dispatcher.stood_still(resumed_at);
@@ -82,7 +97,9 @@
     pub(super) fn reconfigure(&mut self) {
         let now = self.now();
         let accepted = if self.random.chance(0.5) {
-            let quotas: Vec<f64> = (0..self.customers).map(|_| 60.0 * self.random.unit()).collect();
+            let quotas: Vec<f64> = (0..self.customers)
+                .map(|_| 60.0 * self.random.unit())
+                .collect();
             self.dispatcher.set_quotas(now, quotas).is_ok()
         } else {
             self.change_trigger_type(now)
@@ -96,11 +113,17 @@
         let mut changed = types.swap_remove(self.random.below(types.len()));
         changed.objective = 0.3 + self.random.unit();
         let index = self.random.below(self.trigger_types + 2);
-        let accepted = self.dispatcher.set_trigger_type(now, index, changed).is_ok();
+        let accepted = self
+            .dispatcher
+            .set_trigger_type(now, index, changed)
+            .is_ok();
         if accepted {
             self.trigger_types = self.trigger_types.max(index + 1);
         }
-        assert_eq!(accepted, self.dispatcher.has_trigger_type(index) && accepted);
+        assert_eq!(
+            accepted,
+            self.dispatcher.has_trigger_type(index) && accepted
+        );
         accepted
     }
 }
--- a/tests/decision_trace/recorder.rs
+++ b/tests/decision_trace/recorder.rs
@@ -31,11 +31,25 @@
 /// An action that the play has to carry out.
 #[derive(Clone, Copy, Debug)]
 pub enum Pending {
-    Dispatch { invocation: u32, to: ExecutorId, time_out: f64 },
-    Final { invocation: u32 },
-    Cancel { invocation: u32, dispatch: u8 },
-    Load { to: ExecutorId, function: u64 },
-    Wake { delay: f64 },
+    Dispatch {
+        invocation: u32,
+        to: ExecutorId,
+        time_out: f64,
+    },
+    Final {
+        invocation: u32,
+    },
+    Cancel {
+        invocation: u32,
+        dispatch: u8,
+    },
+    Load {
+        to: ExecutorId,
+        function: u64,
+    },
+    Wake {
+        delay: f64,
+    },
     Subscribe,
 }
 
@@ -50,7 +64,10 @@
 
 impl Recorder {
     pub fn new(now: f64) -> Recorder {
-        Recorder { now, ..Recorder::default() }
+        Recorder {
+            now,
+            ..Recorder::default()
+        }
     }
 
     pub fn digest(&self) -> u64 {
@@ -83,7 +100,11 @@
         self.note_executor(to);
         self.note(0, time_out.to_bits());
         self.counts.dispatches += 1;
-        self.pending.push(Pending::Dispatch { invocation: inv, to, time_out });
+        self.pending.push(Pending::Dispatch {
+            invocation: inv,
+            to,
+            time_out,
+        });
     }
 
     fn throttle(&mut self, inv: u32, retry_after: f64, past_share: bool) {
@@ -105,7 +126,10 @@
         self.begin(4);
         self.note(dispatch, inv.into());
         self.counts.cancels += 1;
-        self.pending.push(Pending::Cancel { invocation: inv, dispatch });
+        self.pending.push(Pending::Cancel {
+            invocation: inv,
+            dispatch,
+        });
     }
 
     fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
--- a/tests/decision_trace/scenarios.rs
+++ b/tests/decision_trace/scenarios.rs
@@ -125,8 +125,20 @@
 /// Every play, in the order of the digests.
 pub const SCENARIOS: [Scenario; 22] = [
     BASE,
-    Scenario { name: "faults of every kind", seed: 2, fault: 0.04, slow: 0.2, ..BASE },
-    Scenario { name: "hanging executors", seed: 3, hangs: 0.4, arrivals: 80.0, ..BASE },
+    Scenario {
+        name: "faults of every kind",
+        seed: 2,
+        fault: 0.04,
+        slow: 0.2,
+        ..BASE
+    },
+    Scenario {
+        name: "hanging executors",
+        seed: 3,
+        hangs: 0.4,
+        arrivals: 80.0,
+        ..BASE
+    },
     Scenario {
         name: "hedging",
         seed: 4,
@@ -156,7 +168,14 @@
         },
         ..BASE
     },
-    Scenario { name: "overload", seed: 7, arrivals: 400.0, executors: 6, duration: 15.0, ..BASE },
+    Scenario {
+        name: "overload",
+        seed: 7,
+        arrivals: 400.0,
+        executors: 6,
+        duration: 15.0,
+        ..BASE
+    },
     Scenario {
         name: "endpoints come, drain and go",
         seed: 8,
@@ -177,7 +196,13 @@
         policy: |p| p.roster_asked = true,
         ..BASE
     },
-    Scenario { name: "prewarming", seed: 10, prewarms: 8.0, functions: 60, ..BASE },
+    Scenario {
+        name: "prewarming",
+        seed: 10,
+        prewarms: 8.0,
+        functions: 60,
+        ..BASE
+    },
     Scenario {
         name: "scarce load commands",
         seed: 11,
@@ -197,7 +222,13 @@
         policy: |p| (p.order_price, p.tells_crowd) = (0.5, true),
         ..BASE
     },
-    Scenario { name: "no load commands", seed: 13, functions: 60, policy: |p| p.orders = false, ..BASE },
+    Scenario {
+        name: "no load commands",
+        seed: 13,
+        functions: 60,
+        policy: |p| p.orders = false,
+        ..BASE
+    },
     Scenario {
         name: "membership",
         seed: 14,
@@ -226,8 +257,20 @@
         view_reports: 0.5,
         ..BASE
     },
-    Scenario { name: "clients withdraw, answers stream", seed: 17, withdrawals: 0.15, streamed: 0.4, ..BASE },
-    Scenario { name: "shutdown", seed: 18, hangs: 0.2, shutdown_at: 36.0, ..BASE },
+    Scenario {
+        name: "clients withdraw, answers stream",
+        seed: 17,
+        withdrawals: 0.15,
+        streamed: 0.4,
+        ..BASE
+    },
+    Scenario {
+        name: "shutdown",
+        seed: 18,
+        hangs: 0.2,
+        shutdown_at: 36.0,
+        ..BASE
+    },
     Scenario {
         name: "regions",
         seed: 19,
--- a/tests/indices.rs
+++ b/tests/indices.rs
@@ -27,7 +27,9 @@
 
 /// All ready executors by their ranks, as each front end has to see them.
 fn ranked_by_scan(fleet: &Fleet, key: u64) -> Vec<usize> {
-    let rank = |x: usize| -((fleet.rendezvous_number(x, key) + 1.0) / 4_294_967_297.0).ln() / fleet.weight[x];
+    let rank = |x: usize| {
+        -((fleet.rendezvous_number(x, key) + 1.0) / 4_294_967_297.0).ln() / fleet.weight[x]
+    };
     let mut all: Vec<usize> = fleet.all().filter(|&x| fleet.ready[x]).collect();
     all.sort_by(|&a, &b| rank(a).total_cmp(&rank(b)));
     all
@@ -35,7 +37,11 @@
 
 /// A value like the one by which the module compares executors: never below that of a better load.
 fn busy(load: &Load, now: f64, mean: f64) -> f64 {
-    let told_at = if load.waiting > mean { load.earliest } else { load.latest };
+    let told_at = if load.waiting > mean {
+        load.earliest
+    } else {
+        load.latest
+    };
     let fresh = (-(now - told_at) / REPORT_TIME).exp();
     let far = if load.home { 1.0 } else { 1.4 };
     far * (load.held + mean + fresh * (load.waiting - mean) + 1.0) / load.weight
@@ -54,12 +60,22 @@
 impl World {
     fn new(weights: &[f64]) -> World {
         let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-        let rows: Vec<RosterRow> =
-            (0..EXECUTORS).map(|x| row(x, x % 3, Standing::Ready, weights[x % weights.len()])).collect();
+        let rows: Vec<RosterRow> = (0..EXECUTORS)
+            .map(|x| row(x, x % 3, Standing::Ready, weights[x % weights.len()]))
+            .collect();
         fleet.list(100.0, true, &rows);
-        let rankings = [3, 0x9e37_79b9_7f4a_7c15].map(|key| (key, Ranking::default())).into();
+        let rankings = [3, 0x9e37_79b9_7f4a_7c15]
+            .map(|key| (key, Ranking::default()))
+            .into();
         let (known, known_by_scan, sent) = (KnownSet::default(), vec![], vec![]);
-        World { fleet, now: 100.0, known, known_by_scan, rankings, sent }
+        World {
+            fleet,
+            now: 100.0,
+            known,
+            known_by_scan,
+            rankings,
+            sent,
+        }
     }
 
     fn know(&mut self, x: usize) {
@@ -86,12 +102,19 @@
         let weight = weights[b % weights.len()];
         match what {
             0 => {
-                let standing = [Standing::Ready, Standing::Draining, Standing::Gone, Standing::Ready][b % 4];
+                let standing = [
+                    Standing::Ready,
+                    Standing::Draining,
+                    Standing::Gone,
+                    Standing::Ready,
+                ][b % 4];
                 self.list(false, &[row(a % EXECUTORS, b % 3, standing, weight)]);
             }
             1 if b.is_multiple_of(8) => {
                 let rows = (0..EXECUTORS).filter(|x| (x + a) % 11 != 0);
-                let rows: Vec<RosterRow> = rows.map(|x| row(x, x % 3, Standing::Ready, weight)).collect();
+                let rows: Vec<RosterRow> = rows
+                    .map(|x| row(x, x % 3, Standing::Ready, weight))
+                    .collect();
                 self.list(true, &rows);
             }
             2 | 3 => {
@@ -100,8 +123,13 @@
             }
             4 if !self.sent.is_empty() => {
                 let (x, at) = self.sent.swap_remove(a % self.sent.len());
-                let out: Vec<_> = self.fleet.out[x].iter().filter(|o| o.1 == at).copied().collect();
-                out.iter().for_each(|&(i, at)| self.fleet.note_ended(x, i, at, self.now));
+                let out: Vec<_> = self.fleet.out[x]
+                    .iter()
+                    .filter(|o| o.1 == at)
+                    .copied()
+                    .collect();
+                out.iter()
+                    .for_each(|&(i, at)| self.fleet.note_ended(x, i, at, self.now));
             }
             5 => self.fleet.note_backlog(x, (b % 4) as f64 / 2.0, self.now),
             6 => self.fleet.remember(x, self.now, 1.0, 16),
@@ -133,14 +161,18 @@
         prop_assert_eq!(fleet.ready_in(Group::Cell, None), &ready[..]);
         for group in [Group::All, Group::Zone, Group::Cell] {
             let x = (self.now * 100.0) as usize % fleet.ids.len();
-            let peers: Vec<usize> =
-                ready.iter().copied().filter(|&y| fleet.same_group(group, y, x)).collect();
+            let peers: Vec<usize> = ready
+                .iter()
+                .copied()
+                .filter(|&y| fleet.same_group(group, y, x))
+                .collect();
             prop_assert_eq!(fleet.ready_in(group, Some(x)), &peers[..]);
         }
         let out: Vec<usize> = fleet.out.iter().flatten().map(|&(i, _)| i).collect();
         prop_assert_eq!(fleet.invocations_out().collect::<Vec<_>>(), out);
         fleet.retain_judged(self.now);
-        let enough = |&x: &usize| fleet.answers_at(x, self.now).count() + fleet.out[x].len() >= LEAST_JUDGED;
+        let enough =
+            |&x: &usize| fleet.answers_at(x, self.now).count() + fleet.out[x].len() >= LEAST_JUDGED;
         let mut judged = fleet.judged.clone();
         judged.sort();
         prop_assert_eq!(judged, fleet.all().filter(enough).collect::<Vec<_>>());
@@ -166,9 +198,14 @@
                 let warmth = if x.is_multiple_of(13) { 0.2 } else { 1.0 };
                 (x % 17 != 3).then(|| busy(&fleet.load(x), now, mean) / warmth)
             };
-            let by_scan = self.known_by_scan.iter().filter_map(|k| Some((value(k.0)?, k.0)));
+            let by_scan = self
+                .known_by_scan
+                .iter()
+                .filter_map(|k| Some((value(k.0)?, k.0)));
             let by_scan = by_scan.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, x)| x);
-            let least = self.known.least(|load| busy(load, now, mean), |k| value(k.x));
+            let least = self
+                .known
+                .least(|load| busy(load, now, mean), |k| value(k.x));
             prop_assert_eq!(least, by_scan, "mean {}", mean);
         }
         Ok(())
@@ -177,8 +214,13 @@
 
 #[test]
 fn each_index_tells_what_a_scan_of_all_tells_whatever_changes() {
-    let config = Config { cases: 120, failure_persistence: None, ..Config::default() };
-    let mut runner = TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]));
+    let config = Config {
+        cases: 120,
+        failure_persistence: None,
+        ..Config::default()
+    };
+    let mut runner =
+        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]));
     let step = (0u8..12, any::<usize>(), any::<usize>(), 0.0f64..0.15);
     let day = (0usize..3, prop::collection::vec(step, 1..200));
     let outcome = runner.run(&day, |(kinds, steps)| {
@@ -196,8 +238,10 @@
 #[test]
 fn two_are_left_as_if_the_others_were_taken_out_one_by_one() {
     for len in 0..60 {
-        let (mut one, mut other) =
-            (orchidtally::random::SeededRandom::new(len), orchidtally::random::SeededRandom::new(len));
+        let (mut one, mut other) = (
+            orchidtally::random::SeededRandom::new(len),
+            orchidtally::random::SeededRandom::new(len),
+        );
         let mut by_one: Vec<usize> = (0..len as usize).map(|x| 3 * x).collect();
         let left = leave_two(by_one.clone(), || one.unit());
         while by_one.len() > 2 {
@@ -215,7 +259,9 @@
     for (mean, busy_part) in [(0.0, 0), (0.0, 3), (0.2, 0), (0.2, 3), (0.2, 50)] {
         let looked_at = |executors: usize| {
             let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-            let rows: Vec<RosterRow> = (0..executors).map(|x| row(x, 0, Standing::Ready, 1.0)).collect();
+            let rows: Vec<RosterRow> = (0..executors)
+                .map(|x| row(x, 0, Standing::Ready, 1.0))
+                .collect();
             fleet.list(100.0, true, &rows);
             let mut known = KnownSet::default();
             for x in 0..executors {
@@ -240,7 +286,10 @@
         };
         let (bounds, values) = looked_at(3_000);
         let (_, of_few) = looked_at(60);
-        assert!(bounds <= 60, "{bounds} bounds worked out, mean {mean}, busy {busy_part}");
+        assert!(
+            bounds <= 60,
+            "{bounds} bounds worked out, mean {mean}, busy {busy_part}"
+        );
         assert!(
             values <= of_few.min(12),
             "{values} looked at, {of_few} of 60, mean {mean}, busy {busy_part}"
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -29,7 +29,10 @@
         let (mut w, inv, x) = out(policy());
         assert!(leaves(&mut w, inv, 0) && order_leaves(&mut w, x));
         w.roster(x, standing, f64::NEG_INFINITY);
-        assert!(!leaves(&mut w, inv, 0) && !order_leaves(&mut w, x), "{standing:?}");
+        assert!(
+            !leaves(&mut w, inv, 0) && !order_leaves(&mut w, x),
+            "{standing:?}"
+        );
     }
     let (mut w, ..) = out(policy());
     assert!(!order_leaves(&mut w, 200), "nobody knows it");
@@ -45,7 +48,11 @@
     w.pass(1.5);
     assert!(leaves(&mut w, inv, 0));
     w.end(inv, 0, Ending::Error);
-    assert_eq!(w.plain.taken[inv as usize].sent.len(), 2, "it may be repeated");
+    assert_eq!(
+        w.plain.taken[inv as usize].sent.len(),
+        2,
+        "it may be repeated"
+    );
     assert!(leaves(&mut w, inv, 1));
     w.pass(0.49);
     assert!(leaves(&mut w, inv, 1));
@@ -72,7 +79,14 @@
 /// when it leaves.
 #[test]
 fn what_leaves_late_counts_at_a_cold_executor_when_it_leaves() {
-    let (mut w, x) = warm(PolicyConfig { orders: false, front_ends: 1.0, ..policy() }, 1);
+    let (mut w, x) = warm(
+        PolicyConfig {
+            orders: false,
+            front_ends: 1.0,
+            ..policy()
+        },
+        1,
+    );
     w.pass(3.0);
     let first = w.invoke(0, 1, 4.0);
     assert_eq!(w.plain.taken[first as usize].sent.len(), 1);
@@ -81,7 +95,10 @@
     assert!(leaves(&mut w, first, 0), "its turn of one");
     let second = w.invoke(0, 2, 4.0);
     w.pass(0.5);
-    assert!(w.plain.taken[second as usize].sent.is_empty(), "the first has just left");
+    assert!(
+        w.plain.taken[second as usize].sent.is_empty(),
+        "the first has just left"
+    );
 }
 
 /// While no list can be had nobody is told who drains: one that turns away whatever comes is left alone until one can.
@@ -99,14 +116,29 @@
     };
     let list = |w: &mut World, kind| w.dispatcher.roster(w.plain.now, kind, &[], &mut w.plain);
     let pauses = [0.15, 0.25, 0.45, 0.85];
-    let (mut w, x) = warm(PolicyConfig { orders: false, ..policy() }, 1);
-    assert!(pauses.into_iter().all(|pause| turn_away(&mut w, pause)), "with a list it is asked again");
+    let (mut w, x) = warm(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        1,
+    );
+    assert!(
+        pauses.into_iter().all(|pause| turn_away(&mut w, pause)),
+        "with a list it is asked again"
+    );
     list(&mut w, RosterKind::Failed);
     assert!(!turn_away(&mut w, 0.1) && !order_leaves(&mut w, x));
     list(&mut w, RosterKind::Delta);
     assert!(order_leaves(&mut w, x) && turn_away(&mut w, 0.1));
     // One that serves in between is crowded, not draining.
-    let (mut w, x) = warm(PolicyConfig { orders: false, ..policy() }, 1);
+    let (mut w, x) = warm(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        1,
+    );
     list(&mut w, RosterKind::Failed);
     assert!(pauses[..3].iter().all(|&pause| turn_away(&mut w, pause)));
     let inv = w.invoke(0, 1, 5.0);
@@ -117,7 +149,14 @@
 /// An order that took its time to leave is one of the span in which it left.
 #[test]
 fn an_order_counts_against_the_ration_when_it_leaves() {
-    let mut w = World::new(PolicyConfig { ration_floor: 1.0, ration_share: 0.0, ..policy() }, 4);
+    let mut w = World::new(
+        PolicyConfig {
+            ration_floor: 1.0,
+            ration_share: 0.0,
+            ..policy()
+        },
+        4,
+    );
     w.invoke(0, 1, 4.0);
     let (given, x, ..) = w.plain.holds[0];
     w.pass(0.3);
--- a/tests/plain/mod.rs
+++ b/tests/plain/mod.rs
@@ -56,15 +56,25 @@
 
 impl Plain {
     fn open(&self, inv: u32) -> &Taken {
-        let taken =
-            self.taken.iter().find(|t| t.inv.id == inv).expect("an answer to an invocation never taken");
-        assert!(taken.closed_at.is_none(), "rule 1: {inv} had its final answer");
+        let taken = self
+            .taken
+            .iter()
+            .find(|t| t.inv.id == inv)
+            .expect("an answer to an invocation never taken");
+        assert!(
+            taken.closed_at.is_none(),
+            "rule 1: {inv} had its final answer"
+        );
         taken
     }
 
     fn close(&mut self, inv: u32) {
         let now = self.now;
-        self.taken.iter_mut().find(|t| t.inv.id == inv).unwrap().closed_at = Some(now);
+        self.taken
+            .iter_mut()
+            .find(|t| t.inv.id == inv)
+            .unwrap()
+            .closed_at = Some(now);
     }
 
     fn may_have_run(sent: &Sent) -> bool {
@@ -80,28 +90,45 @@
         let taken = self.open(inv);
         let ty = &self.policy.trigger_types[taken.inv.trigger_type];
         let out = taken.sent.iter().filter(|s| s.ending.is_none()).count();
-        assert!(out == 0 || self.policy.second_copies, "rule 2: two dispatches of {inv} out");
-        assert!(taken.sent.len() < usize::from(self.policy.max_dispatches), "the dispatch limit");
+        assert!(
+            out == 0 || self.policy.second_copies,
+            "rule 2: two dispatches of {inv} out"
+        );
+        assert!(
+            taken.sent.len() < usize::from(self.policy.max_dispatches),
+            "the dispatch limit"
+        );
         if let Some(first) = taken.sent.iter().find(|s| Self::may_have_run(s)) {
             match ty.effect {
                 Effect::Idempotent => {}
-                Effect::NonIdempotent => panic!("rule 2: {inv} may have run and was dispatched again"),
+                Effect::NonIdempotent => {
+                    panic!("rule 2: {inv} may have run and was dispatched again")
+                }
                 Effect::Tokened => {
                     assert_eq!(first.cell, self.fleet[x].cell, "rule 2: outside the group");
                     assert!(self.now <= first.at + ty.window, "rule 2: past the window");
                 }
             }
         }
-        assert!(self.fleet[x].ready, "rule 3: a dispatch to an executor told draining or gone");
+        assert!(
+            self.fleet[x].ready,
+            "rule 3: a dispatch to an executor told draining or gone"
+        );
         let part = self.warm_part(x);
         if part < 1.0 {
             // All invocations here weigh the same, so counts will do. No fellow carried more than all the
             // answers there were, over the shortest time in which a rate is taken; a turn is one more.
             let oks: u32 = self.fleet.iter().map(|e| e.oks).sum();
-            let budget = self.policy.overload_factor * part * self.policy.fall * f64::from(oks) + 1.0;
+            let budget =
+                self.policy.overload_factor * part * self.policy.fall * f64::from(oks) + 1.0;
             let all = self.taken.iter().flat_map(|t| &t.sent);
-            let sent = 1 + all.filter(|s| s.x == x && s.at > self.now - self.policy.fall).count();
-            assert!(sent as f64 <= budget, "rule 4: {sent} sent to a cold executor, {budget} granted");
+            let sent = 1 + all
+                .filter(|s| s.x == x && s.at > self.now - self.policy.fall)
+                .count();
+            assert!(
+                sent as f64 <= budget,
+                "rule 4: {sent} sent to a cold executor, {budget} granted"
+            );
         }
     }
 }
@@ -116,7 +143,12 @@
             time_out > 0.0 && now + time_out <= taken.inv.timeout_at + 1e-6,
             "a time-out past the client's"
         );
-        taken.sent.push(Sent { x, cell, at: now, ending: None });
+        taken.sent.push(Sent {
+            x,
+            cell,
+            at: now,
+            ending: None,
+        });
         self.said.push(Said::Dispatch(inv, x));
     }
     fn throttle(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
@@ -137,19 +169,28 @@
     }
     fn cancel(&mut self, inv: u32, dispatch: u8) {
         let taken = self.taken.iter().find(|t| t.inv.id == inv).unwrap();
-        assert!(usize::from(dispatch) < taken.sent.len(), "a cancel of a dispatch never made");
+        assert!(
+            usize::from(dispatch) < taken.sent.len(),
+            "a cancel of a dispatch never made"
+        );
         self.said.push(Said::Cancel(inv, dispatch));
     }
     fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
         let x = number(to);
-        assert!(self.fleet[x].ready, "rule 3: an order to an executor told draining or gone");
+        assert!(
+            self.fleet[x].ready,
+            "rule 3: an order to an executor told draining or gone"
+        );
         let window = self.policy.ration_window;
         if copies > 0 && window > 0.0 {
             let recent = |at: f64| at > self.now - window;
             let orders = 1 + self.holds.iter().filter(|h| recent(h.0)).count();
             let taken = self.arrivals.iter().filter(|&&at| recent(at)).count();
             let most = self.policy.ration_floor + self.policy.ration_share * taken as f64;
-            assert!(orders as f64 <= most, "rule 5: {orders} orders, {most} granted");
+            assert!(
+                orders as f64 <= most,
+                "rule 5: {orders} orders, {most} granted"
+            );
         }
         self.holds.push((self.now, x, function, true));
         self.said.push(Said::Hold(x, function));
@@ -192,8 +233,13 @@
 
     fn in_zones_at(policy: PolicyConfig, zones: &[u8], now: f64) -> World {
         let since = f64::NEG_INFINITY;
-        let executor =
-            |(x, &zone): (usize, &u8)| Executor { ready: false, since, zone, cell: x as u16 / 2, oks: 0 };
+        let executor = |(x, &zone): (usize, &u8)| Executor {
+            ready: false,
+            since,
+            zone,
+            cell: x as u16 / 2,
+            oks: 0,
+        };
         let fleet = zones.iter().enumerate().map(executor).collect();
         let mut plain = Plain {
             policy: policy.clone(),
@@ -206,7 +252,13 @@
             said: vec![],
         };
         let dispatcher = Dispatcher::new(policy, 7, now, &mut plain);
-        let mut world = World { dispatcher, plain, crowd: 0, report: vec![], took: 0.25 };
+        let mut world = World {
+            dispatcher,
+            plain,
+            crowd: 0,
+            report: vec![],
+            took: 0.25,
+        };
         for x in 0..zones.len() {
             world.roster(x, Standing::Ready, f64::NEG_INFINITY);
         }
@@ -216,22 +268,41 @@
     pub fn roster(&mut self, x: usize, standing: Standing, since: f64) {
         let e = &mut self.plain.fleet[x];
         (e.ready, e.since) = (standing == Standing::Ready, since.max(e.since));
-        let row = RosterRow { zone: e.zone, cell: e.cell, standing, since, ..row(x) };
-        self.dispatcher.roster(self.plain.now, RosterKind::Delta, &[row], &mut self.plain);
+        let row = RosterRow {
+            zone: e.zone,
+            cell: e.cell,
+            standing,
+            since,
+            ..row(x)
+        };
+        self.dispatcher
+            .roster(self.plain.now, RosterKind::Delta, &[row], &mut self.plain);
     }
 
     pub fn invoke(&mut self, trigger_type: usize, function: u64, within: f64) -> u32 {
         let (id, now) = (self.plain.taken.len() as u32, self.plain.now);
-        let inv = Invocation { id, trigger_type, function, ..invocation(now + within) };
+        let inv = Invocation {
+            id,
+            trigger_type,
+            function,
+            ..invocation(now + within)
+        };
         self.plain.arrivals.push(now);
-        self.plain.taken.push(Taken { inv: inv.clone(), sent: vec![], closed_at: None });
+        self.plain.taken.push(Taken {
+            inv: inv.clone(),
+            sent: vec![],
+            closed_at: None,
+        });
         self.dispatcher.invocation(now, &inv, &mut self.plain);
         id
     }
 
     /// The client takes an invocation back; it counts for no order from then on.
     pub fn withdraw(&mut self, inv: u32) {
-        let (now, at) = (self.plain.now, self.plain.taken[inv as usize].inv.timeout_at);
+        let (now, at) = (
+            self.plain.now,
+            self.plain.taken[inv as usize].inv.timeout_at,
+        );
         self.plain.taken[inv as usize].closed_at = Some(now.min(at));
         self.plain.arrivals.pop();
         self.dispatcher.withdrawn(now, inv, &mut self.plain);
@@ -239,8 +310,14 @@
 
     /// Wishes for copies ahead of invocations; tells how many are known.
     pub fn ahead(&mut self, function: u64, copies: usize) -> usize {
-        let wish = Ahead { function, lanes: 2.0, load_time: Some(1.0), copies };
-        self.dispatcher.ahead(self.plain.now, &wish, &mut self.plain)
+        let wish = Ahead {
+            function,
+            lanes: 2.0,
+            load_time: Some(1.0),
+            copies,
+        };
+        self.dispatcher
+            .ahead(self.plain.now, &wish, &mut self.plain)
     }
 
     pub fn end(&mut self, inv: u32, dispatch: usize, ending: Ending) {
@@ -257,7 +334,17 @@
         let closed = taken.closed_at.is_some();
         let (dispatch, executor) = (dispatch as u8, id(x));
         let (took, crowd, report) = (self.took, self.crowd, &self.report[..]);
-        let o = Outcome { inv, dispatch, executor, ending, took, closed, crowd, report, ..succeeded() };
+        let o = Outcome {
+            inv,
+            dispatch,
+            executor,
+            ending,
+            took,
+            closed,
+            crowd,
+            report,
+            ..succeeded()
+        };
         self.dispatcher.outcome(self.plain.now, &o, &mut self.plain);
     }
 
@@ -265,7 +352,8 @@
         let (_, x, function, open) = self.plain.holds[n];
         if open {
             self.plain.holds[n].3 = false;
-            self.dispatcher.held(self.plain.now, id(x), function, ending, &mut self.plain);
+            self.dispatcher
+                .held(self.plain.now, id(x), function, ending, &mut self.plain);
         }
     }
 
@@ -279,10 +367,23 @@
         let until = self.plain.now + seconds;
         loop {
             let due = |t: &Taken| {
-                t.sent.iter().position(|s| s.ending.is_none()).map(|n| (t.inv.id, n, t.inv.timeout_at))
+                t.sent
+                    .iter()
+                    .position(|s| s.ending.is_none())
+                    .map(|n| (t.inv.id, n, t.inv.timeout_at))
             };
-            let wake = self.plain.wakes.iter().copied().fold(f64::INFINITY, f64::min);
-            let out = self.plain.taken.iter().filter_map(due).min_by(|a, b| a.2.total_cmp(&b.2));
+            let wake = self
+                .plain
+                .wakes
+                .iter()
+                .copied()
+                .fold(f64::INFINITY, f64::min);
+            let out = self
+                .plain
+                .taken
+                .iter()
+                .filter_map(due)
+                .min_by(|a, b| a.2.total_cmp(&b.2));
             match out {
                 Some((inv, n, at)) if at <= wake && at <= until => {
                     self.plain.now = at.max(self.plain.now);
@@ -300,14 +401,21 @@
     }
 
     pub fn sent_to(&self, x: usize) -> usize {
-        self.plain.taken.iter().flat_map(|t| &t.sent).filter(|s| s.x == x).count()
+        self.plain
+            .taken
+            .iter()
+            .flat_map(|t| &t.sent)
+            .filter(|s| s.x == x)
+            .count()
     }
 
     /// Every invocation taken has had its final answer in time.
     pub fn all_answered(&mut self) {
         self.pass(6.0);
         for t in &self.plain.taken {
-            let at = t.closed_at.unwrap_or_else(|| panic!("rule 1: {} was never answered", t.inv.id));
+            let at = t
+                .closed_at
+                .unwrap_or_else(|| panic!("rule 1: {} was never answered", t.inv.id));
             assert!(
                 at <= t.inv.timeout_at + 0.008 || at <= t.inv.timeout_at.max(100.0) + 0.008,
                 "rule 1: {} late",
--- a/tests/plain/warm.rs
+++ b/tests/plain/warm.rs
@@ -8,7 +8,9 @@
     let mut w = World::new(policy, executors);
     let inv = w.invoke(0, 1, 5.0);
     w.load_all(Ending::Ok);
-    let Some(&Said::Dispatch(_, x)) = w.plain.said.last() else { panic!("nothing was sent") };
+    let Some(&Said::Dispatch(_, x)) = w.plain.said.last() else {
+        panic!("nothing was sent")
+    };
     w.end(inv, 0, Ending::Ok);
     (w, x)
 }
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -16,8 +16,10 @@
     w.end(inv, 0, Ending::Ok);
     w.dispatcher.withdrawn(w.plain.now, inv, &mut w.plain);
     w.dispatcher.withdrawn(w.plain.now, 999, &mut w.plain);
-    w.dispatcher.roster(w.plain.now, RosterKind::Failed, &[], &mut w.plain);
-    w.dispatcher.held(w.plain.now, plain::id(9), 77, Ending::Ok, &mut w.plain);
+    w.dispatcher
+        .roster(w.plain.now, RosterKind::Failed, &[], &mut w.plain);
+    w.dispatcher
+        .held(w.plain.now, plain::id(9), 77, Ending::Ok, &mut w.plain);
     let past = w.invoke(2, 1, 0.0);
     assert!(
         w.plain.taken[past as usize].closed_at.is_some(),
@@ -30,7 +32,13 @@
 
 #[test]
 fn a_function_told_to_be_crowded_reaches_more_executors() {
-    let (mut w, _) = warm(PolicyConfig { tells_crowd: true, ..policy() }, 6);
+    let (mut w, _) = warm(
+        PolicyConfig {
+            tells_crowd: true,
+            ..policy()
+        },
+        6,
+    );
     w.crowd = 24;
     for _ in 0..8 {
         let inv = w.invoke(0, 1, 5.0);
@@ -46,14 +54,24 @@
     let (mut w, x) = warm(policy(), 4);
     w.invoke(0, 1, 0.2);
     w.pass(1.0);
-    assert!(w.plain.wakes.is_empty(), "no timer with nothing waiting or out");
+    assert!(
+        w.plain.wakes.is_empty(),
+        "no timer with nothing waiting or out"
+    );
     w.invoke(0, 1, 5.0);
     assert!(matches!(w.plain.said.last(), Some(&Said::Dispatch(_, to)) if to == x));
 }
 
 #[test]
 fn where_most_wait_is_served_first() {
-    let mut w = World::new(PolicyConfig { ration_floor: 1.0, ration_share: 0.0, ..policy() }, 4);
+    let mut w = World::new(
+        PolicyConfig {
+            ration_floor: 1.0,
+            ration_share: 0.0,
+            ..policy()
+        },
+        4,
+    );
     w.invoke(0, 1, 5.0);
     for function in [2, 3, 3, 3, 4] {
         w.invoke(0, function, 5.0);
@@ -66,8 +84,15 @@
     }
     w.plain.said.clear();
     w.pass(5.1);
-    let order = w.plain.said.iter().find(|s| matches!(s, Said::Hold(..) | Said::Dispatch(..)));
-    assert!(matches!(order, Some(Said::Dispatch(inv, _)) if (2..5).contains(inv)), "{order:?}");
+    let order = w
+        .plain
+        .said
+        .iter()
+        .find(|s| matches!(s, Said::Hold(..) | Said::Dispatch(..)));
+    assert!(
+        matches!(order, Some(Said::Dispatch(inv, _)) if (2..5).contains(inv)),
+        "{order:?}"
+    );
 }
 
 /// Found with 100,000 functions: an entry that had run out, and was not swept yet, held up the next placement.
@@ -77,13 +102,20 @@
     w.pass(9.0);
     let before = w.plain.said.len();
     w.invoke(0, 1, 5.0);
-    assert!(matches!(w.plain.said[before..], [Said::Hold(_, 1)]), "{:?}", &w.plain.said[before..]);
+    assert!(
+        matches!(w.plain.said[before..], [Said::Hold(_, 1)]),
+        "{:?}",
+        &w.plain.said[before..]
+    );
 }
 
 /// Found by a rollout's socket test: what is worth little had no place even at an idle executor.
 #[test]
 fn what_is_worth_least_is_served_by_an_idle_fleet() {
-    let mut policy = PolicyConfig { front_ends: 1.0, ..policy() };
+    let mut policy = PolicyConfig {
+        front_ends: 1.0,
+        ..policy()
+    };
     policy.trigger_types[2].billed_value = 0.001;
     let (mut w, x) = warm(policy, 4);
     for _ in 0..20 {
@@ -97,7 +129,14 @@
 
 #[test]
 fn copies_ahead_leave_half_of_the_ration_and_are_renewed_before_their_time() {
-    let mut w = World::new(PolicyConfig { ration_floor: 4.0, ration_share: 0.0, ..policy() }, 6);
+    let mut w = World::new(
+        PolicyConfig {
+            ration_floor: 4.0,
+            ration_share: 0.0,
+            ..policy()
+        },
+        6,
+    );
     let orders = |w: &World| w.plain.holds.len();
     for function in 1..=4 {
         assert_eq!(w.ahead(function, 1), 0);
@@ -108,7 +147,11 @@
     w.load_all(Ending::Ok);
     assert_eq!(w.ahead(1, 1), 1, "the copy is known");
     w.pass(5.5);
-    assert_eq!((w.ahead(1, 1), orders(&w)), (1, 4), "it is renewed before its time is over");
+    assert_eq!(
+        (w.ahead(1, 1), orders(&w)),
+        (1, 4),
+        "it is renewed before its time is over"
+    );
     w.load_all(Ending::Ok);
     w.pass(5.0);
     assert_eq!(w.ahead(1, 0), 1, "and known for longer than without");
@@ -117,7 +160,13 @@
 
 #[test]
 fn what_a_client_takes_back_grants_no_order() {
-    let mut w = World::new(PolicyConfig { ration_floor: 1.0, ..policy() }, 6);
+    let mut w = World::new(
+        PolicyConfig {
+            ration_floor: 1.0,
+            ..policy()
+        },
+        6,
+    );
     for _ in 0..20 {
         let inv = w.invoke(0, 1, 5.0);
         w.withdraw(inv);
@@ -125,14 +174,24 @@
     for function in 2..6 {
         w.invoke(0, function, 5.0);
     }
-    assert_eq!(w.plain.holds.len(), 1, "the floor, and no fifth part of what was taken back");
+    assert_eq!(
+        w.plain.holds.len(),
+        1,
+        "the floor, and no fifth part of what was taken back"
+    );
 }
 
 /// Found by a flaky test of the HTTP front end: a function whose placement had failed went to any executor but that
 /// one, for good where there was no other.
 #[test]
 fn the_only_executor_is_tried_again_after_it_had_no_room() {
-    let mut w = World::new(PolicyConfig { orders: false, ..policy() }, 1);
+    let mut w = World::new(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        1,
+    );
     let inv = w.invoke(0, 1, 5.0);
     assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(inv, 0)));
     w.end(inv, 0, Ending::Full);
@@ -143,13 +202,29 @@
 /// The same with another that takes no connection: what one dispatch found out of it need not be found out again.
 #[test]
 fn an_executor_that_had_no_room_is_tried_before_one_that_takes_no_connection() {
-    let mut w = World::new(PolicyConfig { orders: false, ..policy() }, 2);
+    let mut w = World::new(
+        PolicyConfig {
+            orders: false,
+            ..policy()
+        },
+        2,
+    );
     let inv = w.invoke(0, 1, 5.0);
     let gone = usize::from(w.sent_to(1) > 0);
     w.end(inv, 0, Ending::ConnectFailed);
     w.pass(0.2);
-    assert_eq!((w.sent_to(gone), w.sent_to(1 - gone)), (1, 1), "{:?}", w.plain.said);
+    assert_eq!(
+        (w.sent_to(gone), w.sent_to(1 - gone)),
+        (1, 1),
+        "{:?}",
+        w.plain.said
+    );
     w.end(inv, 1, Ending::Full);
     w.pass(0.6);
-    assert_eq!((w.sent_to(gone), w.sent_to(1 - gone)), (1, 2), "{:?}", w.plain.said);
+    assert_eq!(
+        (w.sent_to(gone), w.sent_to(1 - gone)),
+        (1, 2),
+        "{:?}",
+        w.plain.said
+    );
 }
--- a/tests/topology.rs
+++ b/tests/topology.rs
@@ -14,7 +14,11 @@
 
 /// A front end in a zone of the first region; placements are dispatches.
 fn regional() -> PolicyConfig {
-    PolicyConfig { orders: false, regions: REGIONS.into(), ..policy() }
+    PolicyConfig {
+        orders: false,
+        regions: REGIONS.into(),
+        ..policy()
+    }
 }
 
 fn world() -> World {
@@ -31,13 +35,19 @@
 
 /// Where an invocation was sent, in order.
 fn sent(w: &World, inv: u32) -> Vec<usize> {
-    w.plain.taken[inv as usize].sent.iter().map(|s| s.x).collect()
+    w.plain.taken[inv as usize]
+        .sent
+        .iter()
+        .map(|s| s.x)
+        .collect()
 }
 
 /// Invokes a function, and has it succeed where it is sent to at once.
 fn serve(w: &mut World, function: u64) -> usize {
     let inv = w.invoke(0, function, 5.0);
-    let &[x] = sent(w, inv).as_slice() else { panic!("{function} was sent to {:?}", sent(w, inv)) };
+    let &[x] = sent(w, inv).as_slice() else {
+        panic!("{function} was sent to {:?}", sent(w, inv))
+    };
     w.end(inv, 0, Ending::Ok);
     x
 }
@@ -53,7 +63,9 @@
     let inv = w.invoke(0, function, 5.0);
     w.end(inv, 0, Ending::Full);
     w.pass(0.3);
-    let &[first, second] = sent(&w, inv).as_slice() else { panic!("{:?}", sent(&w, inv)) };
+    let &[first, second] = sent(&w, inv).as_slice() else {
+        panic!("{:?}", sent(&w, inv))
+    };
     (first, second)
 }
 
@@ -72,37 +84,79 @@
 fn functions_are_placed_in_the_front_ends_own_region() {
     let here = placed(world());
     assert!(here.iter().all(|&x| in_own_region(x)), "{here:?}");
-    assert!((0..6).all(|x| here.contains(&x)), "all of it is used: {here:?}");
-    let anywhere = placed(World::in_zones(PolicyConfig { regions: vec![], ..regional() }, &ZONES));
-    assert!(anywhere.iter().any(|&x| !in_own_region(x)), "where none is told it may be any");
+    assert!(
+        (0..6).all(|x| here.contains(&x)),
+        "all of it is used: {here:?}"
+    );
+    let anywhere = placed(World::in_zones(
+        PolicyConfig {
+            regions: vec![],
+            ..regional()
+        },
+        &ZONES,
+    ));
+    assert!(
+        anywhere.iter().any(|&x| !in_own_region(x)),
+        "where none is told it may be any"
+    );
 }
 
 #[test]
 fn all_front_ends_of_a_region_place_alike() {
-    let other = PolicyConfig { zone: 2, index: 1.0, ..regional() };
+    let other = PolicyConfig {
+        zone: 2,
+        index: 1.0,
+        ..regional()
+    };
     assert_eq!(placed(World::in_zones(other, &ZONES)), placed(world()));
-    let elsewhere = PolicyConfig { zone: 4, ..regional() };
-    assert!(placed(World::in_zones(elsewhere, &ZONES)).iter().all(|&x| !in_own_region(x)));
+    let elsewhere = PolicyConfig {
+        zone: 4,
+        ..regional()
+    };
+    assert!(
+        placed(World::in_zones(elsewhere, &ZONES))
+            .iter()
+            .all(|&x| !in_own_region(x))
+    );
 }
 
 #[test]
 fn the_first_two_candidates_stand_in_different_zones() {
     for function in FUNCTIONS {
         let (first, second) = first_two(function);
-        assert!(in_own_region(second) && zone(second) != zone(first), "{function}: {first}, {second}");
+        assert!(
+            in_own_region(second) && zone(second) != zone(first),
+            "{function}: {first}, {second}"
+        );
     }
 }
 
 #[test]
 fn a_region_without_executors_is_served_by_the_others() {
     let front_end = |index: f64| {
-        let regions = vec![Some(0), Some(0), Some(0), Some(1), Some(1), Some(1), Some(2)];
-        let policy = PolicyConfig { zone: 6, index, regions, ..regional() };
+        let regions = vec![
+            Some(0),
+            Some(0),
+            Some(0),
+            Some(1),
+            Some(1),
+            Some(1),
+            Some(2),
+        ];
+        let policy = PolicyConfig {
+            zone: 6,
+            index,
+            regions,
+            ..regional()
+        };
         placed(World::in_zones(policy, &ZONES))
     };
     let there = front_end(0.0);
     assert_eq!(there, front_end(1.0), "alike at each of its front ends");
-    assert!((0..12).filter(|x| there.contains(x)).count() > 8, "all of them are used: {there:?}");
+    assert!(
+        (0..12).filter(|x| there.contains(x)).count() > 8,
+        "all of them are used: {there:?}"
+    );
 }
 
 #[test]
@@ -121,7 +175,14 @@
 /// The copy elsewhere serves on until one at home is loaded.
 #[test]
 fn nothing_waits_for_the_copy_that_brings_a_function_back() {
-    let mut w = World::in_zones(PolicyConfig { orders: true, ration_floor: 99.0, ..regional() }, &ZONES);
+    let mut w = World::in_zones(
+        PolicyConfig {
+            orders: true,
+            ration_floor: 99.0,
+            ..regional()
+        },
+        &ZONES,
+    );
     set(&mut w, 0..6, Standing::Draining);
     let inv = w.invoke(0, 1, 5.0);
     w.load_all(Ending::Ok);
@@ -129,7 +190,9 @@
     set(&mut w, 0..6, Standing::Ready);
     let there = sent(&w, inv)[0];
     let inv = w.invoke(0, 1, 5.0);
-    let Some(&Said::Hold(x, 1)) = w.plain.said.iter().rev().nth(1) else { panic!("{:?}", w.plain.said) };
+    let Some(&Said::Hold(x, 1)) = w.plain.said.iter().rev().nth(1) else {
+        panic!("{:?}", w.plain.said)
+    };
     assert!(in_own_region(x));
     assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(inv, there)));
 }
@@ -139,7 +202,9 @@
     let mut w = world();
     // Executors are judged by their fellows: the others have to be seen sound, on copies that they had loaded.
     set(&mut w, 0..6, Standing::Draining);
-    (1000..1200).chain(1000..1200).for_each(|function| _ = serve(&mut w, function));
+    (1000..1200)
+        .chain(1000..1200)
+        .for_each(|function| _ = serve(&mut w, function));
     set(&mut w, 0..6, Standing::Ready);
     FUNCTIONS.for_each(|function| _ = serve(&mut w, function));
     let mut elsewhere = 0;
@@ -153,12 +218,20 @@
         elsewhere = if is_near { 0 } else { elsewhere + 1 };
         w.end(inv, 0, if is_near { Ending::Error } else { Ending::Ok });
     }
-    assert!(elsewhere >= 60, "all functions go elsewhere in the end, not the last {elsewhere} calls alone");
+    assert!(
+        elsewhere >= 60,
+        "all functions go elsewhere in the end, not the last {elsewhere} calls alone"
+    );
     w.pass(10.0);
     // Executors are judged anew while calls are under way.
     serve(&mut w, 9_999);
     w.pass(0.2);
-    assert!(FUNCTIONS.map(|function| serve(&mut w, function)).all(in_own_region), "though known elsewhere");
+    assert!(
+        FUNCTIONS
+            .map(|function| serve(&mut w, function))
+            .all(in_own_region),
+        "though known elsewhere"
+    );
 }
 
 #[test]
@@ -187,11 +260,15 @@
     let meanwhile: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
     w.pass(0.5);
     let now = w.plain.now;
-    (0..12).filter(|&x| zone(x) == 1).for_each(|x| w.roster(x, Standing::Ready, now));
+    (0..12)
+        .filter(|&x| zone(x) == 1)
+        .for_each(|x| w.roster(x, Standing::Ready, now));
     let returned: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
     assert_eq!(returned, meanwhile, "what has a copy stays there");
     // The model beside it judges each dispatch to a cold executor; what has no turn there goes to another zone.
-    let others: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, 5000 + function)).collect();
+    let others: Vec<usize> = FUNCTIONS
+        .map(|function| serve(&mut w, 5000 + function))
+        .collect();
     assert!(others.iter().all(|&x| in_own_region(x)), "{others:?}");
     let cold = others.iter().filter(|&&x| zone(x) == 1).count();
     let warm = before.iter().filter(|&&x| zone(x) == 1).count();
@@ -205,36 +282,74 @@
     for function in FUNCTIONS.chain(5000..5060) {
         let inv = w.invoke(2, function, 5.0);
         let x = sent(&w, inv)[0];
-        w.end(inv, 0, if in_own_region(x) { Ending::Ok } else { Ending::TimedOut });
+        w.end(
+            inv,
+            0,
+            if in_own_region(x) {
+                Ending::Ok
+            } else {
+                Ending::TimedOut
+            },
+        );
     }
-    assert!((6..12).all(|x| w.sent_to(x) == 0), "nothing goes where it can't be reached");
+    assert!(
+        (6..12).all(|x| w.sent_to(x) == 0),
+        "nothing goes where it can't be reached"
+    );
 }
 
 #[test]
 fn a_zone_that_no_region_names_is_used_where_the_own_region_has_none() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
     let mut w = World::in_zones(regional(), &zones);
-    assert!(FUNCTIONS.map(|function| serve(&mut w, function)).all(in_own_region));
+    assert!(
+        FUNCTIONS
+            .map(|function| serve(&mut w, function))
+            .all(in_own_region)
+    );
     set(&mut w, 0..12, Standing::Draining);
-    assert!(FUNCTIONS.map(|function| serve(&mut w, function)).all(|x| x >= 12));
+    assert!(
+        FUNCTIONS
+            .map(|function| serve(&mut w, function))
+            .all(|x| x >= 12)
+    );
 }
 
 #[test]
 fn a_front_end_in_a_zone_that_no_region_names_places_anywhere() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
-    let there = |regions| placed(World::in_zones(PolicyConfig { zone: 9, regions, ..regional() }, &zones));
+    let there = |regions| {
+        placed(World::in_zones(
+            PolicyConfig {
+                zone: 9,
+                regions,
+                ..regional()
+            },
+            &zones,
+        ))
+    };
     assert_eq!(there(REGIONS.into()), there(vec![]));
 }
 
 #[test]
 fn a_region_with_one_zone_has_two_candidates() {
     for function in FUNCTIONS {
-        let mut w = World::in_zones(PolicyConfig { regions: vec![Some(0)], ..regional() }, &[0; 6]);
+        let mut w = World::in_zones(
+            PolicyConfig {
+                regions: vec![Some(0)],
+                ..regional()
+            },
+            &[0; 6],
+        );
         let inv = w.invoke(0, function, 5.0);
         let first = sent(&w, inv)[0];
         w.end(inv, 0, Ending::Full);
         w.pass(0.3);
-        assert!(sent(&w, inv).len() == 2 && sent(&w, inv)[1] != first, "{:?}", sent(&w, inv));
+        assert!(
+            sent(&w, inv).len() == 2 && sent(&w, inv)[1] != first,
+            "{:?}",
+            sent(&w, inv)
+        );
     }
 }
 
@@ -246,7 +361,11 @@
         let inv = w.invoke(0, function, 5.0);
         w.end(inv, 0, Ending::Full);
         w.pass(0.3);
-        assert!(sent(&w, inv).len() == 2 && sent(&w, inv).contains(&40), "{:?}", sent(&w, inv));
+        assert!(
+            sent(&w, inv).len() == 2 && sent(&w, inv).contains(&40),
+            "{:?}",
+            sent(&w, inv)
+        );
     }
 }
 
@@ -265,10 +384,19 @@
 #[test]
 fn a_region_is_served_as_if_it_were_the_whole_fleet() {
     let served = |regions: Vec<Option<u8>>, zones: &[u8]| {
-        let mut w = World::in_zones(PolicyConfig { regions, ..regional() }, zones);
+        let mut w = World::in_zones(
+            PolicyConfig {
+                regions,
+                ..regional()
+            },
+            zones,
+        );
         for n in 0..400 {
             let inv = w.invoke(0, 1 + n % 7 / 4, 5.0);
-            if let Some(early) = inv.checked_sub(20).filter(|&early| !sent(&w, early).is_empty()) {
+            if let Some(early) = inv
+                .checked_sub(20)
+                .filter(|&early| !sent(&w, early).is_empty())
+            {
                 w.end(early, 0, Ending::Ok);
             }
             w.pass(0.01);
@@ -276,7 +404,10 @@
         w.plain.said
     };
     let alone = served(vec![], &[0; 8]);
-    assert_eq!(served(vec![Some(0), Some(1)], &[[0; 8], [1; 8]].concat()), alone);
+    assert_eq!(
+        served(vec![Some(0), Some(1)], &[[0; 8], [1; 8]].concat()),
+        alone
+    );
 }
 
 /// The only executor of the region has just failed to load the function.
@@ -287,7 +418,11 @@
     let inv = w.invoke(0, 1, 5.0);
     w.end(inv, 0, Ending::Error);
     w.pass(0.3);
-    assert!(sent(&w, inv).len() == 2 && !in_own_region(sent(&w, inv)[1]), "{:?}", sent(&w, inv));
+    assert!(
+        sent(&w, inv).len() == 2 && !in_own_region(sent(&w, inv)[1]),
+        "{:?}",
+        sent(&w, inv)
+    );
 }
 
 #[test]
@@ -300,7 +435,10 @@
     };
     place(&mut w, 3);
     let left: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
-    assert!(left.iter().all(|&x| in_own_region(x) && x != moving), "{left:?}");
+    assert!(
+        left.iter().all(|&x| in_own_region(x) && x != moving),
+        "{left:?}"
+    );
     assert_ne!(left, placed(world()));
     let mut w = World::in_zones(regional(), &ZONES);
     place(&mut w, 3);
@@ -328,7 +466,14 @@
 
 #[test]
 fn copies_ahead_are_ordered_within_the_region() {
-    let mut w = World::in_zones(PolicyConfig { orders: true, ration_window: 0.0, ..regional() }, &ZONES);
+    let mut w = World::in_zones(
+        PolicyConfig {
+            orders: true,
+            ration_window: 0.0,
+            ..regional()
+        },
+        &ZONES,
+    );
     for _ in 0..12 {
         w.ahead(1, 6);
         w.load_all(Ending::Ok);
@@ -345,7 +490,14 @@
     let mut out = Dispatched::default();
     let mut dispatcher = Dispatcher::new(regional(), 7, 100.0, &mut out);
     dispatcher.roster(100.0, RosterKind::Full, rows, &mut out);
-    dispatcher.invocation(100.0, &Invocation { function, ..plain::invocation(105.0) }, &mut out);
+    dispatcher.invocation(
+        100.0,
+        &Invocation {
+            function,
+            ..plain::invocation(105.0)
+        },
+        &mut out,
+    );
     out.0[0]
 }
 
@@ -379,14 +531,31 @@
         ..plain::row(0)
     };
     let all: Vec<RosterRow> = (0..2048).map(|x| row(x, Standing::Ready)).collect();
-    let zone = |id: &ExecutorId| all.iter().find(|r| r.executor == *id).map(|r| r.zone).unwrap();
+    let zone = |id: &ExecutorId| {
+        all.iter()
+            .find(|r| r.executor == *id)
+            .map(|r| r.zone)
+            .unwrap()
+    };
     let without: Vec<RosterRow> = all.iter().filter(|r| r.zone != 1).cloned().collect();
-    let first: Vec<ExecutorId> = (0..300).map(|function| placed_in_large(&all, function)).collect();
+    let first: Vec<ExecutorId> = (0..300)
+        .map(|function| placed_in_large(&all, function))
+        .collect();
     for (function, before) in (0..).zip(&first) {
         let after = placed_in_large(&without, function);
-        assert!(zone(before) < 3 && zone(&after) < 3, "{before:?}, {after:?}");
-        assert!(zone(before) == 1 || *before == after, "{before:?} was not lost, and moved to {after:?}");
+        assert!(
+            zone(before) < 3 && zone(&after) < 3,
+            "{before:?}, {after:?}"
+        );
+        assert!(
+            zone(before) == 1 || *before == after,
+            "{before:?} was not lost, and moved to {after:?}"
+        );
     }
     let distinct: std::collections::BTreeSet<&ExecutorId> = first.iter().collect();
-    assert!(distinct.len() > 230, "{} executors for 300 functions", distinct.len());
+    assert!(
+        distinct.len() > 230,
+        "{} executors for 300 functions",
+        distinct.len()
+    );
 }
