--- a/crates/scale/src/comparison/alone.rs
+++ b/crates/capacity-model/src/comparison/alone.rs
@@ -7,7 +7,7 @@
 use crate::parts;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use orchidtally_frontend::config::SnapshotFile;
+use orchidtally_http_frontend::config::SnapshotFile;
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::SocketAddr;
--- a/crates/scale/src/comparison/front_ends.rs
+++ b/crates/capacity-model/src/comparison/front_ends.rs
@@ -12,7 +12,7 @@
 use crate::store;
 use async_executor::{LocalExecutor, Task};
 use orchidtally_config_sync::SettingsError;
-use orchidtally_frontend::config::SnapshotFile;
+use orchidtally_http_frontend::config::SnapshotFile;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::rc::Rc;
--- a/crates/scale/src/comparison/gateway.rs
+++ b/crates/capacity-model/src/comparison/gateway.rs
@@ -164,7 +164,8 @@
     /// What it says of itself.
     pub async fn standing(&self) -> Result<Standing, GatewayError> {
         let (get, path) = (http::Method::GET, "/v1/front-end");
-        let asked = orchidtally_net::http::ask(self.address, get, path, vec![], STANDING_TIMEOUT);
+        let asked =
+            orchidtally_socket_io::http::ask(self.address, get, path, vec![], STANDING_TIMEOUT);
         let (_, body) = asked.await.map_err(GatewayError::NoStanding)?;
         Ok(serde_json::from_slice(&body)?)
     }
--- a/crates/scale/src/config/front_ends.rs
+++ b/crates/capacity-model/src/config/front_ends.rs
@@ -9,7 +9,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use orchidtally_config_sync::{SettingsError, SyncSettings};
-use orchidtally_frontend::config::SnapshotFile;
+use orchidtally_http_frontend::config::SnapshotFile;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/scale/src/fleet/event.rs
+++ b/crates/capacity-model/src/fleet/event.rs
@@ -1,6 +1,6 @@
 //! The queue of what happens next: compact events in order of time, and in order of entry at the same time.
 
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::state::Ordered;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/crates/scale/src/fleet/front_end.rs
+++ b/crates/capacity-model/src/fleet/front_end.rs
@@ -6,7 +6,7 @@
 use super::request::{Purpose, Request};
 use super::topology::{Place, Topology, executor_number};
 use super::{Fault, is_idempotent};
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{Cause, Engine, Host};
 use slab::Slab;
 use std::collections::HashMap;
--- a/crates/scale/src/fleet/request.rs
+++ b/crates/capacity-model/src/fleet/request.rs
@@ -1,6 +1,6 @@
 //! What a front end sends to an executor.
 
-use orchidtally::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{Ending, Found};
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/scale/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -17,7 +17,7 @@
 use crate::clock::resident_bytes;
 use crate::size::Size;
 use executor_events::Load;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::baseline::{Pick, Plain};
 use orchidtally_engine::{Engine, Offer};
 use rand::rngs::StdRng;
--- a/crates/scale/src/fleet/simulation/executor_events.rs
+++ b/crates/capacity-model/src/fleet/simulation/executor_events.rs
@@ -6,7 +6,7 @@
 use crate::fleet::executor::State;
 use crate::fleet::is_idempotent;
 use crate::fleet::request::{Purpose, Request};
-use orchidtally::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{Ending, Found};
 use rand::RngExt;
 
 /// A load that is under way.
--- a/crates/scale/src/fleet/topology.rs
+++ b/crates/capacity-model/src/fleet/topology.rs
@@ -1,7 +1,7 @@
 //! Where machines stand, and how far they are from each other.
 
 use super::assumptions::{DELAY_BETWEEN_REGIONS, DELAY_WITHIN_REGION, DELAY_WITHIN_ZONE, RACK};
-use orchidtally::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
 use std::net::{IpAddr, Ipv4Addr};
 
 /// The first executor's address; the others' follow.
--- a/crates/scale/src/hollow/configuration.rs
+++ b/crates/capacity-model/src/hollow/configuration.rs
@@ -8,7 +8,7 @@
     GatewaySchema, ReportedState, SettingsError, SyncSettings, Verdict, View,
 };
 use orchidtally_etcd::Client;
-use orchidtally_frontend::config::{
+use orchidtally_http_frontend::config::{
     ApplyError, ConfigHost, ConfigTarget, HostSettings, SnapshotFile,
 };
 use std::cell::{Cell, RefCell};
--- a/crates/scale/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -3,11 +3,11 @@
 
 use super::deployment;
 use async_executor::{LocalExecutor, Task};
-use orchidtally::interface::*;
 use orchidtally_deployment::{Deployment, Etcd, Source};
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{Cause, Engine, Host};
 use orchidtally_etcd::Client;
-use orchidtally_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
+use orchidtally_http_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
 use orchidtally_membership::{Cache, Members};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/crates/scale/src/hollow/decisions.rs
+++ b/crates/capacity-model/src/hollow/decisions.rs
@@ -2,7 +2,7 @@
 //! that answer from memory.
 
 use crate::zipf::Popularity;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{Cause, Engine, Host, Offer, Refused, Told};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/scale/src/hollow/snapshot.rs
+++ b/crates/capacity-model/src/hollow/snapshot.rs
@@ -5,7 +5,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use orchidtally_config_sync::{SettingsError, SyncSettings};
-use orchidtally_frontend::config::SnapshotFile;
+use orchidtally_http_frontend::config::SnapshotFile;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/scale/src/main.rs
+++ b/crates/capacity-model/src/main.rs
@@ -4,11 +4,11 @@
 //! are held, 1 one is missed, 2 bad arguments, 3 could not run.
 
 use clap::{Parser, ValueEnum};
-use orchidtally_scale::comparison::{self, GatewayError, gateway_program};
-use orchidtally_scale::parts::{self, Part, PartError};
-use orchidtally_scale::report::{self, Report, Row};
-use orchidtally_scale::size::{Injection, Size};
-use orchidtally_scale::{config, fleet, slopes, store, tables};
+use orchidtally_capacity_model::comparison::{self, GatewayError, gateway_program};
+use orchidtally_capacity_model::parts::{self, Part, PartError};
+use orchidtally_capacity_model::report::{self, Report, Row};
+use orchidtally_capacity_model::size::{Injection, Size};
+use orchidtally_capacity_model::{config, fleet, slopes, store, tables};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use thiserror::Error;
--- a/crates/scale/src/slopes/decision.rs
+++ b/crates/capacity-model/src/slopes/decision.rs
@@ -5,7 +5,7 @@
 use crate::hollow::decisions::{FrontEnd, Traffic, roster_row};
 use crate::report::{Basis, Role, Row, Slope};
 use crate::size::Size;
-use orchidtally::interface::{RosterKind, Standing};
+use orchidtally_dispatch_policy::interface::{RosterKind, Standing};
 
 /// Executors of the small fleet and of the large one that the growth is told over.
 const SMALL_FLEET: usize = 36;
--- a/crates/scale/tests/comparison.rs
+++ b/crates/capacity-model/tests/comparison.rs
@@ -3,9 +3,11 @@
 
 mod kit;
 
-use orchidtally_scale::comparison::{Comparison, ComparisonError, ControlCost, Plan, rows};
-use orchidtally_scale::report::{Report, Row};
-use orchidtally_scale::size::Size;
+use orchidtally_capacity_model::comparison::{
+    Comparison, ComparisonError, ControlCost, Plan, rows,
+};
+use orchidtally_capacity_model::report::{Report, Row};
+use orchidtally_capacity_model::size::Size;
 use std::collections::BTreeMap;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
--- a/crates/scale/tests/fit.rs
+++ b/crates/capacity-model/tests/fit.rs
@@ -1,10 +1,10 @@
 //! Lines through points, rows against their limits, and tables.
 
-use orchidtally_scale::report::{Basis, Report, Role, Row, Verdict, merge};
-use orchidtally_scale::size::Size;
-use orchidtally_scale::slopes::fit::{Axes, at, line};
-use orchidtally_scale::tables;
-use orchidtally_scale::zipf::Popularity;
+use orchidtally_capacity_model::report::{Basis, Report, Role, Row, Verdict, merge};
+use orchidtally_capacity_model::size::Size;
+use orchidtally_capacity_model::slopes::fit::{Axes, at, line};
+use orchidtally_capacity_model::tables;
+use orchidtally_capacity_model::zipf::Popularity;
 
 const AXES: Axes = Axes {
     figure: "cost",
--- a/crates/scale/tests/fleet.rs
+++ b/crates/capacity-model/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet run in its short form: few front ends and seconds. Judged is what always holds; no timings.
 
-use orchidtally_scale::fleet::{Counts, Fault, Plan, Policy, Scenario, Simulation, play};
-use orchidtally_scale::size::Size;
+use orchidtally_capacity_model::fleet::{Counts, Fault, Plan, Policy, Scenario, Simulation, play};
+use orchidtally_capacity_model::size::Size;
 
 fn plan(scenario: Scenario, fault: Option<Fault>) -> Plan {
     let size = Size {
--- a/crates/scale/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -1,10 +1,10 @@
 //! Hollow front ends are set up as real ones are by their deployment files.
 
-use orchidtally::interface::PolicyConfig;
+use orchidtally_capacity_model::config::entries;
+use orchidtally_capacity_model::hollow::deployment;
 use orchidtally_deployment::{Deployment, Source};
-use orchidtally_frontend::config::{HostSettings, sync_settings};
-use orchidtally_scale::config::entries;
-use orchidtally_scale::hollow::deployment;
+use orchidtally_dispatch_policy::interface::PolicyConfig;
+use orchidtally_http_frontend::config::{HostSettings, sync_settings};
 use std::net::SocketAddr;
 use std::path::Path;
 
--- a/crates/scale/tests/page.rs
+++ b/crates/capacity-model/tests/page.rs
@@ -1,7 +1,7 @@
 //! `docs/CAPACITY.md` tells what the program measured: its tables are those of the report beside it.
 
-use orchidtally_scale::report::Report;
-use orchidtally_scale::tables;
+use orchidtally_capacity_model::report::Report;
+use orchidtally_capacity_model::tables;
 use std::path::Path;
 
 #[test]
--- a/crates/scale/tests/received.rs
+++ b/crates/capacity-model/tests/received.rs
@@ -1,6 +1,6 @@
 //! The busiest seconds of front ends, by what each had received in all.
 
-use orchidtally_scale::config::received::ReceivedSamples;
+use orchidtally_capacity_model::config::received::ReceivedSamples;
 
 fn samples(samples: &[(f64, [u64; 2])]) -> ReceivedSamples {
     let mut taken = ReceivedSamples::default();
--- a/crates/scale/tests/short.rs
+++ b/crates/capacity-model/tests/short.rs
@@ -4,7 +4,7 @@
 mod kit;
 
 use kit::run;
-use orchidtally_scale::report::{Report, Row, Slope, Verdict};
+use orchidtally_capacity_model::report::{Report, Row, Slope, Verdict};
 use std::process::Output;
 
 const IN_FORCE: &str = "config_in_force_s";
--- a/crates/cli/src/invoke.rs
+++ b/crates/cli/src/invoke.rs
@@ -3,7 +3,7 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
-use orchidtally_frontend::ingress;
+use orchidtally_http_frontend::ingress;
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -94,7 +94,7 @@
     request: http::Request<Full<Bytes>>,
     time: Duration,
 ) -> std::io::Result<(http::response::Parts, Bytes)> {
-    let stream = orchidtally_net::connect(at, time).await?;
+    let stream = orchidtally_socket_io::connect(at, time).await?;
     let (mut sender, driver) = hyper::client::conn::http1::handshake(stream)
         .await
         .map_err(std::io::Error::other)?;
@@ -127,7 +127,10 @@
         arguments.at,
         Duration::from_millis(arguments.time_left.into()),
     );
-    let answered = async_io::block_on(orchidtally_net::within(time, exchange(at, request, time)));
+    let answered = async_io::block_on(orchidtally_socket_io::within(
+        time,
+        exchange(at, request, time),
+    ));
     let (parts, body) = match answered {
         Some(Ok(answered)) => answered,
         Some(Err(e)) => return Err(fail(COULD_NOT_RUN, format!("{at}: {e}"))),
--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -3,9 +3,9 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail};
 use clap::Subcommand;
 use orchidtally_journal::{Journal, Recovered, inspect};
+use orchidtally_mqtt_triggers::ledger::{self, Ledger};
+use orchidtally_mqtt_triggers::promises::{self, Promises};
 use orchidtally_rollout::coordinator::CoordinatorState;
-use orchidtally_trigger::ledger::{self, Ledger};
-use orchidtally_trigger::promises::{self, Promises};
 use serde::de::DeserializeOwned;
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,7 +15,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use orchidtally_deployment::Deployment;
-use orchidtally_trigger::Section;
+use orchidtally_mqtt_triggers::Section;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -31,7 +31,7 @@
     /// How log lines on standard error look.
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     log_format: Format,
-    /// What is logged: error, warn, info, debug, trace, or a filter such as `orchidtally_frontend=debug`.
+    /// What is logged: error, warn, info, debug, trace, or a filter such as `orchidtally_http_frontend=debug`.
     #[arg(long, global = true, default_value = "info")]
     log: String,
     #[command(subcommand)]
@@ -97,7 +97,7 @@
 
 /// Reads the text of a deployment file; faults are printed with the file's name.
 pub fn check_text(file: &Path, text: &str) -> Result<(Deployment, Option<Section>), u8> {
-    orchidtally_trigger::read(text).map_err(|faults| {
+    orchidtally_mqtt_triggers::read(text).map_err(|faults| {
         for fault in &faults {
             eprintln!("{}:{fault}", file.display());
         }
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -165,7 +165,7 @@
 
 /// Plays a part until it is ended.
 fn play(part: &str) -> Result<(), u8> {
-    let listen = || orchidtally_net::listen(orchidtally_test_servers::any_port());
+    let listen = || orchidtally_socket_io::listen(orchidtally_test_servers::any_port());
     let (kind, value) = part.split_once('=').ok_or(BAD_INPUT)?;
     // The module keeps to a limit at each executor, so that one alone would hold back a busy client.
     let (value, ports) = value.split_once('x').unwrap_or((value, "1"));
--- a/crates/cli/src/rehearse/play/hostile.rs
+++ b/crates/cli/src/rehearse/play/hostile.rs
@@ -31,10 +31,12 @@
                 2 => bytes = b"POST /v1/functions/fn-1/invocations HTTP/9.9\r\n\r\n".to_vec(),
                 _ => {}
             }
-            if let Ok(mut stream) = orchidtally_net::connect(to, Duration::from_millis(200)).await {
+            if let Ok(mut stream) =
+                orchidtally_socket_io::connect(to, Duration::from_millis(200)).await
+            {
                 let say = stream.socket().write_all(&bytes);
                 // Whether it is cut off in the middle is the peer's to decide.
-                let _ = orchidtally_net::within(Duration::from_millis(100), say).await;
+                let _ = orchidtally_socket_io::within(Duration::from_millis(100), say).await;
                 self.stage.sleep(0.02).await;
             }
             self.stage.sleep(0.05).await;
@@ -46,7 +48,8 @@
         let Some(fe) = self.front_ends.iter().find(|f| f.used.get()) else {
             return;
         };
-        let Ok(mut stream) = orchidtally_net::connect(fe.at, Duration::from_millis(200)).await
+        let Ok(mut stream) =
+            orchidtally_socket_io::connect(fe.at, Duration::from_millis(200)).await
         else {
             return;
         };
@@ -59,7 +62,7 @@
             };
             let say = stream.socket().write_all(part);
             if !matches!(
-                orchidtally_net::within(Duration::from_millis(200), say).await,
+                orchidtally_socket_io::within(Duration::from_millis(200), say).await,
                 Some(Ok(()))
             ) && !flood
             {
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -81,7 +81,7 @@
 
     /// Rule 1: an invocation at a front end that never answers.
     async fn leave_unanswered(&self) {
-        let Ok(silent) = orchidtally_net::listen(any_port()) else {
+        let Ok(silent) = orchidtally_socket_io::listen(any_port()) else {
             return;
         };
         let Ok(at) = silent.get_ref().local_addr() else {
@@ -90,7 +90,7 @@
         let hold = self.stage.spawn(async move {
             let mut taken = vec![];
             loop {
-                taken.push(orchidtally_net::accept(&silent).await);
+                taken.push(orchidtally_socket_io::accept(&silent).await);
             }
         });
         let ask = Ask {
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -40,7 +40,7 @@
     pub(super) async fn until_up(&self, fe: &FrontEnd) -> io::Result<()> {
         let until = self.stage.now() + START_TIME;
         loop {
-            if orchidtally_net::connect(fe.at, Duration::from_millis(200))
+            if orchidtally_socket_io::connect(fe.at, Duration::from_millis(200))
                 .await
                 .is_ok()
             {
@@ -140,7 +140,7 @@
 /// What a front end says of itself, as JSON.
 pub(super) async fn standing(at: SocketAddr) -> Result<String, Box<dyn std::error::Error>> {
     use http_body_util::{BodyExt, Empty};
-    let stream = orchidtally_net::connect(at, Duration::from_secs(1)).await?;
+    let stream = orchidtally_socket_io::connect(at, Duration::from_secs(1)).await?;
     let (mut sender, driver) =
         hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(stream).await?;
     let ask = http::Request::get("/v1/front-end")
@@ -161,6 +161,6 @@
         let _ = driver.await;
         future::pending().await
     };
-    let body = orchidtally_net::within(Duration::from_secs(2), future::or(work, drive)).await;
+    let body = orchidtally_socket_io::within(Duration::from_secs(2), future::or(work, drive)).await;
     Ok(String::from_utf8(body.ok_or("no answer")??.to_vec())?)
 }
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -66,19 +66,21 @@
     let policy = &deployment.policy;
     let trigger_type = |(trigger, ty): (
         &orchidtally_deployment::Trigger,
-        &orchidtally::interface::TriggerType,
+        &orchidtally_dispatch_policy::interface::TriggerType,
     )| {
         TriggerType {
             name: trigger.name.clone(),
             effect: match ty.effect {
-                orchidtally::interface::Effect::Idempotent => Effect::Idempotent,
-                orchidtally::interface::Effect::Tokened => Effect::Tokened,
-                orchidtally::interface::Effect::NonIdempotent => Effect::NonIdempotent,
+                orchidtally_dispatch_policy::interface::Effect::Idempotent => Effect::Idempotent,
+                orchidtally_dispatch_policy::interface::Effect::Tokened => Effect::Tokened,
+                orchidtally_dispatch_policy::interface::Effect::NonIdempotent => {
+                    Effect::NonIdempotent
+                }
             },
             group: match ty.group {
-                orchidtally::interface::Group::All => Group::All,
-                orchidtally::interface::Group::Zone => Group::Location,
-                orchidtally::interface::Group::Cell => Group::Cell,
+                orchidtally_dispatch_policy::interface::Group::All => Group::All,
+                orchidtally_dispatch_policy::interface::Group::Zone => Group::Location,
+                orchidtally_dispatch_policy::interface::Group::Cell => Group::Cell,
             },
             window: ty.window,
             objective: ty.objective,
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -117,7 +117,7 @@
 
 /// Sends a request to the coordinator. Faults that it names are printed after the name of the file that they are in.
 fn ask(place: &Where, method: Method, path: &str, body: Vec<u8>, file: &str) -> Result<Value, u8> {
-    let asked = async_io::block_on(orchidtally_net::http::ask(
+    let asked = async_io::block_on(orchidtally_socket_io::http::ask(
         place.at,
         method,
         path,
@@ -277,7 +277,7 @@
 ) -> Result<(), u8> {
     let deployment = read_deployment(deployment)?;
     let could_not = |reason: String| fail(COULD_NOT_RUN, reason);
-    let listener = orchidtally_net::listen(listen)
+    let listener = orchidtally_socket_io::listen(listen)
         .map_err(|e| could_not(format!("can't listen at {listen}: {e}")))?;
     let at = listener.get_ref().local_addr().unwrap_or(listen);
     let (stop, stopped) = async_channel::bounded(1);
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -10,7 +10,7 @@
     DeleteRangeRequest, DeleteRangeResponse, PutRequest, PutResponse, RangeRequest, RangeResponse,
 };
 use orchidtally_etcd::{Client, DELETE_RANGE, Fault, PUT, RANGE, range_end};
-use orchidtally_frontend::etcd::{EXECUTORS, FRONT_ENDS};
+use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -151,7 +151,7 @@
                     .and_then(Value::as_str)
                     .and_then(|a| a.parse::<SocketAddr>().ok());
                 let heard = at.and_then(|at| {
-                    let asked = orchidtally_net::http::ask(
+                    let asked = orchidtally_socket_io::http::ask(
                         at,
                         Method::GET,
                         "/v1/front-end",
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,11 +2,11 @@
 
 use crate::{BAD_INPUT, COULD_NOT_RUN, check_text, fail, local, read_text, signals};
 use orchidtally_deployment::Deployment;
-use orchidtally_frontend::Start;
-use orchidtally_frontend::mqtt::Triggers;
-use orchidtally_frontend::promise_store::PromiseStore;
-use orchidtally_frontend::reload::Reloads;
-use orchidtally_trigger::Section;
+use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::promise_store::PromiseStore;
+use orchidtally_http_frontend::reload::Reloads;
+use orchidtally_mqtt_triggers::Section;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -70,18 +70,18 @@
     let variable = |key| std::env::var(key).ok();
     let bad = |fault: String| fail(BAD_INPUT, fault);
     let unable = |e: std::io::Error| fail(COULD_NOT_RUN, format!("can't serve: {e}"));
-    let signals = orchidtally_platform::PendingSignals::new().map_err(unable)?;
+    let signals = orchidtally_platform_frontend::PendingSignals::new().map_err(unable)?;
     let file = variable("LB_CONFIG").ok_or_else(|| bad("LB_CONFIG names no file".into()))?;
     let file = PathBuf::from(file);
-    let start =
-        orchidtally_platform::start::read_at_start(&file).map_err(|e| bad(e.to_string()))?;
+    let start = orchidtally_platform_frontend::start::read_at_start(&file)
+        .map_err(|e| bad(e.to_string()))?;
     start
         .agrees(
             variable("LB_NAME").as_deref(),
             variable("LB_LISTEN").as_deref(),
         )
         .map_err(|e| bad(e.to_string()))?;
-    orchidtally_platform::run(start, file, signals)
+    orchidtally_platform_frontend::run(start, file, signals)
         .map(drop)
         .map_err(unable)
 }
@@ -186,7 +186,7 @@
         )
     })?;
     let at = arguments.listen.unwrap_or(deployment.listen);
-    let listener = orchidtally_frontend::listen(at)
+    let listener = orchidtally_http_frontend::listen(at)
         .map_err(|e| fail(COULD_NOT_RUN, format!("can't listen at {at}: {e}")))?;
     let at = listener.get_ref().local_addr().unwrap_or(at);
     let (stop, stopped) = async_channel::bounded(1);
@@ -212,7 +212,7 @@
         promise_store,
         reloads,
     };
-    let tally = orchidtally_frontend::run(start, listener);
+    let tally = orchidtally_http_frontend::run(start, listener);
     info!(?tally, "ended");
     Ok(())
 }
--- a/crates/cli/tests/config_store.rs
+++ b/crates/cli/tests/config_store.rs
@@ -1,7 +1,7 @@
 //! A real `orchidtally serve` that follows a store of configuration: one that is paused for longer than its freshness bound wakes with an old view of the
 //! configuration: what was taken away meanwhile is refused.
 
-#[path = "../../frontend/tests/config_kit/mod.rs"]
+#[path = "../../http-frontend/tests/config_kit/mod.rs"]
 mod config_kit;
 mod serve_kit;
 
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -1,7 +1,7 @@
 //! A real `orchidtally serve` that is stopped while an executor is told to drain: what it knew before is asked anew
 //! before anything goes out.
 
-#[path = "../../frontend/tests/config_kit/mod.rs"]
+#[path = "../../http-frontend/tests/config_kit/mod.rs"]
 mod config_kit;
 mod serve_kit;
 
--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -3,7 +3,7 @@
 // Each test program uses a part of it.
 #![allow(dead_code)]
 
-use orchidtally_frames as frames;
+use orchidtally_platform_client_protocol as frames;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -5,7 +5,7 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use kit::*;
-use orchidtally_frames as frames;
+use orchidtally_platform_client_protocol as frames;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::TcpStream;
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -3,7 +3,7 @@
 mod kit;
 
 use kit::*;
-use orchidtally_frames as frames;
+use orchidtally_platform_client_protocol as frames;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpStream, UdpSocket};
--- a/crates/cli/tests/platform_end.rs
+++ b/crates/cli/tests/platform_end.rs
@@ -3,7 +3,7 @@
 mod kit;
 
 use kit::*;
-use orchidtally_frames as frames;
+use orchidtally_platform_client_protocol as frames;
 
 use std::io::Write;
 
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -66,7 +66,8 @@
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let (parts, body) = request.into_parts();
         let read =
-            orchidtally_net::within(SENDER_TIME, Limited::new(body, MAX_BODY).collect()).await;
+            orchidtally_socket_io::within(SENDER_TIME, Limited::new(body, MAX_BODY).collect())
+                .await;
         let body = match read {
             Some(Ok(body)) => body.to_bytes(),
             Some(Err(e)) => return Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string())),
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -7,8 +7,8 @@
 use futures_lite::future;
 use orchidtally_deployment::Deployment;
 use orchidtally_journal::Journal;
-use orchidtally_net::Stream;
 use orchidtally_rollout::Coordinator;
+use orchidtally_socket_io::Stream;
 use smol_hyper::rt::SmolTimer;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -144,7 +144,7 @@
         spawner: Rc<LocalExecutor<'static>>,
     ) -> io::Result<StopReason> {
         loop {
-            let stream = orchidtally_net::accept(&listener).await;
+            let stream = orchidtally_socket_io::accept(&listener).await;
             if self.connections.get() < MAX_CONNECTIONS {
                 spawner.spawn(self.clone().serve(stream)).detach();
             }
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -5,10 +5,10 @@
 use http::Method;
 use orchidtally_coordinator::{Order, StopReason};
 use orchidtally_deployment::Deployment;
-use orchidtally_frontend::Start;
+use orchidtally_http_frontend::Start;
 use orchidtally_invariants::Record;
-use orchidtally_net::http::ask as http_ask;
 use orchidtally_rollout::Phase;
+use orchidtally_socket_io::http::ask as http_ask;
 use orchidtally_test_servers::client::{Ask, Caller, Heard};
 use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, digest};
 use orchidtally_test_servers::store::Store;
@@ -143,7 +143,7 @@
 
 /// With a wall clock that is so far ahead.
 pub fn gateway_ahead(text: &str, ahead: f64) -> Gateway {
-    let listener = orchidtally_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let (text, seed) = (text.to_owned(), u64::from(at.port()));
@@ -160,7 +160,7 @@
             promise_store: None,
             reloads: None,
         };
-        let tally = orchidtally_frontend::run(start, listener);
+        let tally = orchidtally_http_frontend::run(start, listener);
         assert_eq!(tally.overdue, 0);
     });
     Gateway { at, stop, thread }
@@ -169,7 +169,7 @@
 pub fn start_coordinator(text: &str, at: SocketAddr, folder: &Path) -> CoordinatorThread {
     let (stop, stopped) = async_channel::bounded(1);
     let (text, folder) = (text.to_owned(), folder.to_owned());
-    let listener = orchidtally_net::listen(at).unwrap();
+    let listener = orchidtally_socket_io::listen(at).unwrap();
     let thread = std::thread::spawn(move || {
         let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
         orchidtally_coordinator::run(deployment, &folder, listener, stopped)
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -9,8 +9,8 @@
 };
 use orchidtally_coordinator::{Order, StopReason, recover};
 use orchidtally_invariants::Record;
-use orchidtally_net::http::ask as http_ask;
 use orchidtally_rollout::Phase;
+use orchidtally_socket_io::http::ask as http_ask;
 use orchidtally_test_servers::client::{Ask, Caller};
 use orchidtally_test_servers::executor::digest;
 use std::cell::Cell;
--- a/crates/deployment/src/executors.rs
+++ b/crates/deployment/src/executors.rs
@@ -4,7 +4,7 @@
 use crate::sections::place_of;
 use crate::{Etcd, Source};
 use ipnet::IpNet;
-use orchidtally::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
 use std::net::SocketAddr;
 
 pub(crate) fn executors(
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -15,7 +15,7 @@
 pub use configuration::{Configuration, WithoutView};
 pub use functions::{check_digest, check_function_name};
 use ipnet::IpNet;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 pub use reader::Fault;
 use reader::{Document, Place};
 use sections::deployment;
--- a/crates/deployment/src/sections.rs
+++ b/crates/deployment/src/sections.rs
@@ -7,7 +7,7 @@
 use crate::regions::regions;
 use crate::trigger_types::trigger_type;
 use crate::{Bounds, Deployment, Journalling, Source};
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -2,7 +2,7 @@
 
 use crate::Trigger;
 use crate::reader::Place;
-use orchidtally::interface::{Effect, Group, TriggerType};
+use orchidtally_dispatch_policy::interface::{Effect, Group, TriggerType};
 
 pub(crate) fn trigger_type(place: &Place) -> Option<(Trigger, TriggerType)> {
     let fields = place.object(&[
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -1,7 +1,7 @@
 //! Descriptions that are sound, and what is said of those that are not.
 
-use orchidtally::interface::{Effect, Group};
 use orchidtally_deployment::{Deployment, Source, key};
+use orchidtally_dispatch_policy::interface::{Effect, Group};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/choice.rs
+++ b/crates/dispatch-policy/tests/choice.rs
@@ -2,7 +2,7 @@
 
 mod plain;
 
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use plain::warm::warm;
 use plain::{Said, World, policy};
 use proptest::prelude::*;
--- a/tests/cold.rs
+++ b/crates/dispatch-policy/tests/cold.rs
@@ -2,7 +2,7 @@
 
 mod plain;
 
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use plain::{World, policy};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
--- a/tests/config.rs
+++ b/crates/dispatch-policy/tests/config.rs
@@ -2,7 +2,7 @@
 
 mod plain;
 
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use plain::warm::warm;
 use plain::{Said, World, policy};
 
@@ -87,7 +87,7 @@
 /// How many of some invocations at one moment are past their customer's share; all are refused, as there is
 /// no executor.
 fn past_share(
-    dispatcher: &mut orchidtally::dispatch::Dispatcher,
+    dispatcher: &mut orchidtally_dispatch_policy::dispatch::Dispatcher,
     now: f64,
     customer: usize,
 ) -> usize {
--- a/tests/decision_trace/fleet.rs
+++ b/crates/dispatch-policy/tests/decision_trace/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::scenarios::Scenario;
 use crate::seeded::Seeded;
-use orchidtally::interface::{Ending, ExecutorId, Found, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Ending, ExecutorId, Found, RosterRow, Standing};
 use std::collections::BTreeMap;
 
 /// Usual time of a load, in seconds.
--- a/tests/decision_trace/play.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play.rs
@@ -6,8 +6,8 @@
 use crate::recorder::{ActionCounts, Pending, Recorder};
 use crate::scenarios::{Scenario, base_policy};
 use crate::seeded::Seeded;
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const START: f64 = 1_000.0;
--- a/tests/decision_trace/play/disturbances.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
@@ -3,7 +3,7 @@
 use super::{Event, Play};
 use crate::fleet::LOAD_TIME;
 use crate::scenarios::base_policy;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 
 impl Play<'_> {
     pub(super) fn tell_full_list(&mut self) {
--- a/tests/decision_trace/recorder.rs
+++ b/crates/dispatch-policy/tests/decision_trace/recorder.rs
@@ -1,6 +1,6 @@
 //! Actions of the module, hashed as they come and kept for the play to carry out.
 
-use orchidtally::interface::{Actions, ExecutorId};
+use orchidtally_dispatch_policy::interface::{Actions, ExecutorId};
 use std::net::IpAddr;
 use xxhash_rust::xxh3::Xxh3;
 
--- a/tests/decision_trace/scenarios.rs
+++ b/crates/dispatch-policy/tests/decision_trace/scenarios.rs
@@ -1,6 +1,6 @@
 //! What is played: settings, the fleet, and how often each kind of thing happens.
 
-use orchidtally::interface::{Effect, Group, PolicyConfig, TriggerType};
+use orchidtally_dispatch_policy::interface::{Effect, Group, PolicyConfig, TriggerType};
 
 /// A play. Rates are events a second, probabilities are from 0 to 1, times are seconds.
 #[derive(Clone, Copy)]
--- a/tests/indices.rs
+++ b/crates/dispatch-policy/tests/indices.rs
@@ -1,8 +1,8 @@
 //! The indices beside the records, each against the plain scan that it stands for, over random changes; and
 //! how much of a large fleet they look at.
 
-use orchidtally::interface::*;
-use orchidtally::state::*;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::state::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
@@ -239,8 +239,8 @@
 fn two_are_left_as_if_the_others_were_taken_out_one_by_one() {
     for len in 0..60 {
         let (mut one, mut other) = (
-            orchidtally::random::SeededRandom::new(len),
-            orchidtally::random::SeededRandom::new(len),
+            orchidtally_dispatch_policy::random::SeededRandom::new(len),
+            orchidtally_dispatch_policy::random::SeededRandom::new(len),
         );
         let mut by_one: Vec<usize> = (0..len as usize).map(|x| 3 * x).collect();
         let left = leave_two(by_one.clone(), || one.unit());
--- a/tests/many.rs
+++ b/crates/dispatch-policy/tests/many.rs
@@ -2,8 +2,8 @@
 
 mod plain;
 
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
 use plain::warm::warm;
 use plain::{Said, World, policy};
 
@@ -314,7 +314,7 @@
         dispatcher.roster(100.0, RosterKind::Full, &rows, &mut heard);
         all.push((dispatcher, heard, 0));
     }
-    let mut random = orchidtally::random::SeededRandom::new(5);
+    let mut random = orchidtally_dispatch_policy::random::SeededRandom::new(5);
     let (mut copies, mut out) = (std::collections::HashMap::new(), vec![]);
     let (mut functions, mut taken, mut in_time) = (vec![vec![]; front_ends as usize], 0, 0);
     for step in 0..4_000 {
--- a/tests/plain/given.rs
+++ b/crates/dispatch-policy/tests/plain/given.rs
@@ -1,6 +1,6 @@
 //! What tests start from.
 
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 
 pub fn id(x: usize) -> ExecutorId {
     ExecutorId([10, 0, 0, x as u8].into(), 7000)
--- a/tests/plain/mod.rs
+++ b/crates/dispatch-policy/tests/plain/mod.rs
@@ -6,8 +6,8 @@
 pub mod given;
 pub mod warm;
 
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
 
 pub use given::*;
 
--- a/tests/plain/warm.rs
+++ b/crates/dispatch-policy/tests/plain/warm.rs
@@ -1,7 +1,7 @@
 //! A fleet that serves already.
 
 use super::{Said, World};
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 
 /// A fleet on which function 1 is known at one executor, and that executor.
 pub fn warm(policy: PolicyConfig, executors: usize) -> (World, usize) {
--- a/tests/topology.rs
+++ b/crates/dispatch-policy/tests/topology.rs
@@ -2,8 +2,8 @@
 
 mod plain;
 
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
 use plain::{Said, World, policy};
 
 /// Zones 0 to 2 are a region, zones 3 to 5 another one; two executors stand in each.
--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench -p orchidtally-engine --bench scale`
 
-use orchidtally::interface::*;
-use orchidtally::random::SeededRandom;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_engine::{Engine, Host, Offer, Told};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -6,7 +6,7 @@
 mod fleet;
 
 use fleet::{Maker, Play, Truth};
-use orchidtally::interface::{ExecutorId, PolicyConfig};
+use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
 use orchidtally_engine::baseline::{Decisions, Pick, Plain};
 use orchidtally_invariants::spread;
 
--- a/crates/engine/examples/decision_cost/main.rs
+++ b/crates/engine/examples/decision_cost/main.rs
@@ -11,9 +11,9 @@
 
 mod play;
 
-use orchidtally::interface::*;
-use orchidtally::random::{SeededRandom, rendezvous_hash};
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::random::{SeededRandom, rendezvous_hash};
+use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_engine::{Cause, Engine, Host, Offer, Told};
 use play::{Day, Play};
 use std::cmp::Reverse;
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -1,8 +1,8 @@
 //! Who decides: the module, or a baseline to measure it against. Baselines serve comparisons alone.
 
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
-use orchidtally::random::SeededRandom;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::random::SeededRandom;
 use std::collections::HashMap;
 
 /// What the engine tells to whatever decides.
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -2,8 +2,8 @@
 
 use crate::evidence;
 use crate::{Cause, Host, Tally};
-use orchidtally::interface::*;
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::state::Ordered;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
--- a/crates/engine/src/evidence.rs
+++ b/crates/engine/src/evidence.rs
@@ -1,6 +1,6 @@
 //! What the end of a dispatch proves. This is the one place that tells what never ran from what may have.
 
-use orchidtally::interface::Ending;
+use orchidtally_dispatch_policy::interface::Ending;
 
 /// How a dispatch ended on its connection, as the transport saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -10,9 +10,9 @@
 
 use baseline::Decisions;
 use desk::{Desk, Open, Speaker};
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::state::Ordered;
 use std::cmp::Reverse;
 
 /// The engine answers an invocation itself if the module has left it open for this long past its timeout.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,6 +1,6 @@
 //! The engine under any order of endings, deadlines and departures, its clock, and its table of proofs.
 
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::clock::Clock;
 use orchidtally_engine::evidence::{Transport, ending};
 use orchidtally_engine::*;
--- a/crates/engine/tests/fleet/mod.rs
+++ b/crates/engine/tests/fleet/mod.rs
@@ -6,8 +6,8 @@
 
 mod world;
 
-use orchidtally::interface::*;
-use orchidtally::random::SeededRandom;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_engine::baseline::Decisions;
 use orchidtally_engine::{Cause, Engine, Host, Offer, Told};
 use orchidtally_invariants as invariants;
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -1,9 +1,9 @@
 //! Executors in simulated time, and what happens when.
 
 use super::{KEEP, LANES, LOAD_TIME, ROOM, TRANSIT, Truth, WORK};
-use orchidtally::interface::{Ending, Found};
-use orchidtally::random::SeededRandom;
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::interface::{Ending, Found};
+use orchidtally_dispatch_policy::random::SeededRandom;
+use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_invariants as invariants;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
--- a/crates/wire/tests/codec.rs
+++ b/crates/executor-protocol/tests/codec.rs
@@ -1,8 +1,8 @@
 //! The codec under any cutting of the stream and any bytes.
 
 use bytes::Bytes;
-use orchidtally_wire::v1::{Answer, Dispatch, Sender};
-use orchidtally_wire::{Deframer, Fault, LONGEST_HEAD, frame};
+use orchidtally_executor_protocol::v1::{Answer, Dispatch, Sender};
+use orchidtally_executor_protocol::{Deframer, Fault, LONGEST_HEAD, frame};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -1,19 +1,19 @@
 //! Messages a second and their time through one front end, with the journal synced in groups, once an entry, and
 //! not at all; the time to take up a journal by its size; a backlog most of which is past its time.
 //!
-//! `cargo bench -p orchidtally-frontend --bench triggers`
+//! `cargo bench -p orchidtally-http-frontend --bench triggers`
 
 use bytes::Bytes;
-use orchidtally_frontend::Start;
-use orchidtally_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::mqtt::Triggers;
 use orchidtally_journal::Journal;
 use orchidtally_mqtt::packet::{Property, Qos};
+use orchidtally_mqtt_triggers::Consumer;
+use orchidtally_mqtt_triggers::ledger::{Effect, InvocationTarget, Record, Reply, StoredMessage};
 use orchidtally_test_servers::broker::{BrokerServer, Message};
 use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
 use orchidtally_test_servers::store::Store;
 use orchidtally_test_servers::{Stage, any_port};
-use orchidtally_trigger::Consumer;
-use orchidtally_trigger::ledger::{Effect, InvocationTarget, Record, Reply, StoredMessage};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -130,13 +130,13 @@
         let text = self.text.clone();
         let thread = std::thread::spawn(move || {
             let (deployment, section) =
-                orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+                orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
             let section = section.unwrap_or_else(|| panic!("no section"));
             let triggers = Triggers::open(section, 0)
                 .unwrap_or_else(|e| panic!("{e}"))
                 .measured(synced, sharing);
             let listener =
-                orchidtally_frontend::listen(any_port()).unwrap_or_else(|e| panic!("{e}"));
+                orchidtally_http_frontend::listen(any_port()).unwrap_or_else(|e| panic!("{e}"));
             let start = Start {
                 deployment,
                 seed: 7,
@@ -148,7 +148,7 @@
                 promise_store: None,
                 reloads: None,
             };
-            orchidtally_frontend::run(start, listener);
+            orchidtally_http_frontend::run(start, listener);
         });
         (stop, thread)
     }
@@ -240,8 +240,9 @@
     }
     let bytes = journal.length();
     drop(journal);
-    let (deployment, section) = orchidtally_trigger::read(&text("127.0.0.1:1", "127.0.0.1:2", &at))
-        .unwrap_or_else(|f| panic!("{f:?}"));
+    let (deployment, section) =
+        orchidtally_mqtt_triggers::read(&text("127.0.0.1:1", "127.0.0.1:2", &at))
+            .unwrap_or_else(|f| panic!("{f:?}"));
     let section = section.unwrap_or_else(|| panic!("no section"));
     let began = Instant::now();
     let triggers = Triggers::open(section, 0).unwrap_or_else(|e| panic!("{e}"));
--- a/crates/frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -1,10 +1,10 @@
 //! What is in force: the deployment file, and over it the entries of the store. An entry replaces what the file has
 //! under its name; where the entry is deleted, the file counts again.
 
-use orchidtally::interface::{Effect, Group, TriggerType};
 use orchidtally_config_sync::View;
 use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, TriggerTypeSpec, VersionSpec};
 use orchidtally_deployment::{Deployment, Function, Trigger, Version, key};
+use orchidtally_dispatch_policy::interface::{Effect, Group, TriggerType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -63,7 +63,8 @@
                 None
             };
             let half = self.settings.patience / 2;
-            let next = orchidtally_net::within(half, futures_lite::future::or(next, asked)).await;
+            let next =
+                orchidtally_socket_io::within(half, futures_lite::future::or(next, asked)).await;
             if !self.is_in_session(session) {
                 return Ok(());
             }
--- a/crates/frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -1,12 +1,12 @@
 //! Entries of the store as the cores of membership take them.
 
 use crate::roster::row;
-use orchidtally::interface::RosterRow;
 use orchidtally_deployment::Deployment;
+use orchidtally_dispatch_policy::interface::RosterRow;
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
+use orchidtally_executor_protocol::v1;
 use orchidtally_membership::{Change, Stamp};
-use orchidtally_wire::v1;
 
 /// Which store answered, and how far it had come.
 pub(super) fn stamp(header: &ResponseHeader) -> Stamp {
--- a/crates/frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -117,7 +117,7 @@
     let mut questions = ProgressQuestions::new(follower.now());
     loop {
         let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
-        let response = orchidtally_net::within(time_left, stream.next()).await;
+        let response = orchidtally_socket_io::within(time_left, stream.next()).await;
         if let Some(response) = response {
             for told in watch.received(response?) {
                 if take(told, prefix, &mut questions, follower) == Watched::Ended {
--- a/crates/frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -1,8 +1,8 @@
 //! What follows a store: the cores of membership, and who hears of what they decide.
 
 use async_executor::LocalExecutor;
-use orchidtally::interface::{RosterKind, RosterRow};
 use orchidtally_deployment::{Deployment, Etcd};
+use orchidtally_dispatch_policy::interface::{RosterKind, RosterRow};
 use orchidtally_etcd::Client;
 use orchidtally_membership::{Cache, Members};
 use serde::Serialize;
--- a/crates/frontend/src/etcd/hub_host.rs
+++ b/crates/http-frontend/src/etcd/hub_host.rs
@@ -2,8 +2,8 @@
 
 use super::{MembershipHost, OwnEntry, StoreConnections, follow_store};
 use crate::hub::Hub;
-use orchidtally::interface::{RosterKind, RosterRow};
 use orchidtally_deployment::{Deployment, Etcd};
+use orchidtally_dispatch_policy::interface::{RosterKind, RosterRow};
 use orchidtally_membership::{Cache, Members};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -176,7 +176,7 @@
             .client
             .both::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
             .await?;
-        orchidtally_net::within(REQUEST_TIMEOUT, stream.next())
+        orchidtally_socket_io::within(REQUEST_TIMEOUT, stream.next())
             .await
             .unwrap_or(Err(Fault::TimedOut))
     }
--- a/crates/frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -4,12 +4,12 @@
 use super::{Hub, number, seconds};
 use crate::pool::{Incoming, Pool};
 use bytes::Bytes;
-use orchidtally::interface::*;
 use orchidtally_deployment::Source;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::{self, Transport};
 use orchidtally_engine::{NOTHING_TOLD, Told};
-use orchidtally_wire::v1;
-use orchidtally_wire::{DISPATCH, ORDER, frame};
+use orchidtally_executor_protocol::v1;
+use orchidtally_executor_protocol::{DISPATCH, ORDER, frame};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -289,19 +289,19 @@
     ) -> Transport {
         let time = seconds(self.deployment.bounds.sender_time);
         loop {
-            let part = match orchidtally_net::within(time, incoming.payload()).await {
+            let part = match orchidtally_socket_io::within(time, incoming.payload()).await {
                 Some(Ok(Some(part))) => Ok(part),
                 Some(Ok(None)) => return Transport::Answered(Ending::Ok),
                 Some(Err(seen)) => {
-                    let _ = orchidtally_net::within(time, parts.send(Err(CutOff))).await;
+                    let _ = orchidtally_socket_io::within(time, parts.send(Err(CutOff))).await;
                     return seen;
                 }
                 None => {
-                    let _ = orchidtally_net::within(time, parts.send(Err(CutOff))).await;
+                    let _ = orchidtally_socket_io::within(time, parts.send(Err(CutOff))).await;
                     return Transport::TimedOut;
                 }
             };
-            match orchidtally_net::within(time, parts.send(part)).await {
+            match orchidtally_socket_io::within(time, parts.send(part)).await {
                 Some(Ok(())) => {}
                 // The client went away, or stopped reading.
                 Some(Err(_)) | None => return Transport::Answered(Ending::Cancelled),
@@ -326,7 +326,7 @@
             may_leave.then(|| frame(&order))
         };
         let exchange = pool.exchange_if::<v1::OrderAnswer>(ORDER, head, &[]);
-        let answered = orchidtally_net::within(time, exchange).await;
+        let answered = orchidtally_socket_io::within(time, exchange).await;
         let mut differs = false;
         let seen = match answered {
             None => Transport::TimedOut,
--- a/crates/frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/hub/invocation.rs
@@ -273,7 +273,7 @@
             self.play(|engine, now, performer| performer.move_waiting(engine, now, run));
         }
         for ahead in due {
-            let wish = orchidtally::interface::Ahead {
+            let wish = orchidtally_dispatch_policy::interface::Ahead {
                 function: ahead.version.key,
                 lanes: ahead.version.lanes,
                 load_time: ahead.version.load_time,
--- a/crates/frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -19,16 +19,16 @@
 use crate::promise_store::PromiseStore;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use orchidtally::interface::*;
 use orchidtally_deployment::{Deployment, Source};
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::Engine;
 use orchidtally_engine::baseline::Random;
 use orchidtally_engine::clock::Clock;
 use orchidtally_engine::standstill::StandstillDetector;
+use orchidtally_executor_protocol::v1;
 use orchidtally_membership::members::LATE;
 use orchidtally_membership::{Cache, Members};
 use orchidtally_rollout::Shares;
-use orchidtally_wire::v1;
 use performer::Performer;
 use reconfigure::Revisions;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -227,7 +227,7 @@
                     let _ = self.rearm.1.recv().await;
                 };
                 if due.is_finite() {
-                    orchidtally_net::within(seconds(left), woken).await;
+                    orchidtally_socket_io::within(seconds(left), woken).await;
                 } else {
                     woken.await;
                 }
--- a/crates/frontend/src/hub/reconfigure.rs
+++ b/crates/http-frontend/src/hub/reconfigure.rs
@@ -3,8 +3,8 @@
 use super::Hub;
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
 use crate::config::{ConfigView, Overlay};
-use orchidtally::interface::{ConfigRefused, check_quotas};
 use orchidtally_deployment::Deployment;
+use orchidtally_dispatch_policy::interface::{ConfigRefused, check_quotas};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/frontend/src/hub/refusing.rs
+++ b/crates/http-frontend/src/hub/refusing.rs
@@ -5,7 +5,7 @@
 use super::invocation::{Final, NotTaken, Work};
 use super::revision::Revision;
 use crate::config::{Refusal, Subject};
-use orchidtally::interface::Ending;
+use orchidtally_dispatch_policy::interface::Ending;
 use orchidtally_engine::NOTHING_TOLD;
 
 impl Hub {
--- a/crates/frontend/src/hub/revision.rs
+++ b/crates/http-frontend/src/hub/revision.rs
@@ -5,8 +5,8 @@
 //! customer is given to another one only when nobody holds the old one any more.
 
 use crate::config::{ConfigView, Overlay};
-use orchidtally::interface::TriggerType;
 use orchidtally_deployment::{Deployment, Function, Trigger};
+use orchidtally_dispatch_policy::interface::TriggerType;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::{Rc, Weak};
 use std::sync::Arc;
--- a/crates/frontend/src/hub/trigger_status.rs
+++ b/crates/http-frontend/src/hub/trigger_status.rs
@@ -1,6 +1,6 @@
 //! The state of triggers by messages, for operators.
 
-use orchidtally_trigger::consumer::Counters;
+use orchidtally_mqtt_triggers::consumer::Counters;
 
 /// The state of triggers by messages.
 #[derive(Clone, Copy, Debug, Default)]
--- a/crates/frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -4,7 +4,7 @@
 use super::{CUSTOMER, INVOCATION, REPEAT, TIME_LEFT, TOKEN, TRIGGER_TYPE};
 use crate::hub::{NamedCustomer, Revision, TriggerTypeInForce};
 use http::{HeaderMap, StatusCode};
-use orchidtally::interface::Effect;
+use orchidtally_dispatch_policy::interface::Effect;
 use std::rc::Rc;
 
 /// The greatest length of a header that names something, in bytes.
--- a/crates/frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -22,7 +22,7 @@
 use hyper::body::Incoming;
 use hyper_util::server::conn::auto;
 use invoke::invoke;
-use orchidtally_net::{Stream, within};
+use orchidtally_socket_io::{Stream, within};
 use promise::recorded;
 use smol_hyper::rt::SmolTimer;
 use status::status;
--- a/crates/frontend/src/ingress/promise.rs
+++ b/crates/http-frontend/src/ingress/promise.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
-use orchidtally_trigger::promises::{Outcome, Standing};
+use orchidtally_mqtt_triggers::promises::{Outcome, Standing};
 use std::rc::Rc;
 
 /// What comes of an invocation that is offered under a name.
--- a/crates/frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use orchidtally_net::within;
+use orchidtally_socket_io::within;
 use std::time::Duration;
 
 /// The function that a path names.
--- a/crates/frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -50,7 +50,7 @@
 
 /// Binds the address that the deployment states.
 pub fn listen(at: SocketAddr) -> std::io::Result<Async<TcpListener>> {
-    orchidtally_net::listen(at)
+    orchidtally_socket_io::listen(at)
 }
 
 /// Runs a front end on this thread until it is stopped and what was open is answered.
@@ -116,7 +116,7 @@
             None
         };
         let Some(stream) = future::or(stopped, async {
-            Some(orchidtally_net::accept(&listener).await)
+            Some(orchidtally_socket_io::accept(&listener).await)
         })
         .await
         else {
@@ -150,7 +150,7 @@
     let deadline = Instant::now() + Duration::from_secs_f64(hub.longest_timeout()) + LEAVE_MARGIN;
     if let Some(consuming) = consuming {
         // Messages in hand may have to be dispatched yet.
-        let left = orchidtally_net::within(deadline - Instant::now(), consuming).await;
+        let left = orchidtally_socket_io::within(deadline - Instant::now(), consuming).await;
         if left.is_none() {
             warn!("left with messages in hand: the journal has them");
         }
--- a/crates/frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -9,9 +9,9 @@
 use futures_rustls::rustls::{ClientConfig, RootCertStore};
 use orchidtally_mqtt::decode;
 use orchidtally_mqtt::packet::Packet;
-use orchidtally_trigger::Section;
-use orchidtally_trigger::ledger::Answer;
-use orchidtally_trigger::section::Tls;
+use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::ledger::Answer;
+use orchidtally_mqtt_triggers::section::Tls;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -69,14 +69,14 @@
 }
 
 pub(super) async fn connect(section: &Section) -> io::Result<Box<dyn Wire>> {
-    let stream = orchidtally_net::connect(section.broker, CONNECT_TIME).await?;
+    let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIME).await?;
     let Some(wanted) = &section.tls else {
         return Ok(Box::new(stream));
     };
     // The files are read for each connection, so that those that were replaced count from the next on.
     let connector = tls(wanted).map_err(|e| io::Error::other(format!("TLS: {e}")))?;
     let name = ServerName::try_from(wanted.name.clone()).map_err(io::Error::other)?;
-    let shaken = orchidtally_net::within(CONNECT_TIME, connector.connect(name, stream)).await;
+    let shaken = orchidtally_socket_io::within(CONNECT_TIME, connector.connect(name, stream)).await;
     Ok(Box::new(shaken.ok_or_else(|| {
         io::Error::from(io::ErrorKind::TimedOut)
     })??))
--- a/crates/frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_journal::Group;
-use orchidtally_trigger::{Consumer, Section};
+use orchidtally_mqtt_triggers::{Consumer, Section};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{debug, error, info};
@@ -93,7 +93,7 @@
             Some(Wake::Leave)
         };
         let wake = future::or(journal_result, future::or(input, leave));
-        match orchidtally_net::within(sleep, wake).await.flatten() {
+        match orchidtally_socket_io::within(sleep, wake).await.flatten() {
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
             Some(Wake::Leave) => {
--- a/crates/frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -8,8 +8,8 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_journal::Group;
 use orchidtally_mqtt::encode;
-use orchidtally_trigger::consumer::{HostAction, Notice};
-use orchidtally_trigger::{Consumer, Section};
+use orchidtally_mqtt_triggers::consumer::{HostAction, Notice};
+use orchidtally_mqtt_triggers::{Consumer, Section};
 use std::collections::HashMap;
 use std::io;
 use std::rc::Rc;
@@ -356,7 +356,7 @@
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
         if let Some(write) = write {
-            let _ = orchidtally_net::within(CLOSE_TIME, write).await;
+            let _ = orchidtally_socket_io::within(CLOSE_TIME, write).await;
         }
     }
 }
--- a/crates/frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -4,9 +4,9 @@
 use crate::hub::{AnswerLost, Asked, Brought, Final, Hub, NamedCustomer, NotTaken};
 use bytes::Bytes;
 use orchidtally_engine::Cause;
+use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
 use orchidtally_rollout::plan::Key;
 use orchidtally_rollout::split::Who;
-use orchidtally_trigger::ledger::{Answer, StoredMessage};
 use std::rc::Rc;
 
 /// The answer to a message that the configuration does not let through: one that may be let through later is throttled,
--- a/crates/frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -1,6 +1,6 @@
 //! Watches the files of TLS, so that a connection is made anew when its certificates were replaced.
 
-use orchidtally_trigger::Section;
+use orchidtally_mqtt_triggers::Section;
 use std::path::PathBuf;
 use std::time::SystemTime;
 
--- a/crates/frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -1,8 +1,8 @@
 //! What a front end needs to serve triggers by messages.
 
 use orchidtally_journal::Journal;
-use orchidtally_trigger::Section;
-use orchidtally_trigger::ledger::Record;
+use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::ledger::Record;
 use std::io;
 use std::path::Path;
 
--- a/crates/frontend/src/pool.rs
+++ b/crates/http-frontend/src/pool.rs
@@ -7,7 +7,7 @@
 use h2::client::SendRequest;
 use h2::{Ping, PingPong};
 use orchidtally_engine::evidence::Transport;
-use orchidtally_wire::{CONTENT_TYPE, Deframer, LONGEST_HEAD};
+use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, LONGEST_HEAD};
 use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -154,7 +154,7 @@
                 spawner.spawn(self.clone().open()).detach();
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            match orchidtally_net::within(left, woken).await {
+            match orchidtally_socket_io::within(left, woken).await {
                 Some(Ok(None)) => {}
                 Some(Ok(Some(why))) => return Err(why),
                 Some(Err(_)) | None => {
@@ -172,7 +172,7 @@
     /// Opens a connection and drives it to its end.
     async fn open(self: Rc<Self>) {
         let handshake = async {
-            let stream = orchidtally_net::connect(self.to, self.caps.connect_time).await?;
+            let stream = orchidtally_socket_io::connect(self.to, self.caps.connect_time).await?;
             let written = stream.written();
             let mut builder = h2::client::Builder::new();
             builder
@@ -188,7 +188,7 @@
             let ping = driver.ping_pong();
             Ok::<_, std::io::Error>((sender, driver, written, ping))
         };
-        let shaken = orchidtally_net::within(self.caps.connect_time, handshake).await;
+        let shaken = orchidtally_socket_io::within(self.caps.connect_time, handshake).await;
         self.state.borrow_mut().connecting -= 1;
         let (sender, driver, written, ping) = match shaken {
             Some(Ok(shaken)) => shaken,
--- a/crates/frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/promise_store.rs
@@ -4,7 +4,7 @@
 use futures_channel::oneshot;
 use orchidtally_deployment::Deployment;
 use orchidtally_journal::{Group, Journal, Recovered};
-use orchidtally_trigger::promises::{Promises, Record, Standing};
+use orchidtally_mqtt_triggers::promises::{Promises, Record, Standing};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::Path;
--- a/crates/frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -44,7 +44,7 @@
 /// Puts a file's text in force. `before` is the text that is in force.
 fn reload(hub: &Hub, before: &str, read: io::Result<String>) -> Result<String, ReloadError> {
     let text = read?;
-    let (deployment, _) = orchidtally_trigger::read(&text).map_err(ReloadError::Faults)?;
+    let (deployment, _) = orchidtally_mqtt_triggers::read(&text).map_err(ReloadError::Faults)?;
     let needed = restart_needed(before, &text);
     if !needed.is_empty() {
         return Err(ReloadError::NeedsRestart(needed));
--- a/crates/frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -3,9 +3,9 @@
 use crate::hub::Hub;
 use futures_lite::future;
 use http::{Method, StatusCode};
-use orchidtally_net::http::ask;
 use orchidtally_rollout::Published;
 use orchidtally_rollout::frontend::EvidenceReport;
+use orchidtally_socket_io::http::ask;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/frontend/src/roster.rs
+++ b/crates/http-frontend/src/roster.rs
@@ -6,11 +6,11 @@
 use crate::pool::{Caps, Incoming, Pinger, Pool};
 use async_io::Timer;
 use futures_lite::future;
-use orchidtally::interface::*;
 use orchidtally_deployment::Deployment;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::Transport;
-use orchidtally_wire::v1;
-use orchidtally_wire::{LONGEST_ROSTER, ROSTER, frame};
+use orchidtally_executor_protocol::v1;
+use orchidtally_executor_protocol::{LONGEST_ROSTER, ROSTER, frame};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -98,7 +98,7 @@
             incoming,
         ))
     };
-    let first = orchidtally_net::within(PING_TIMEOUT, first)
+    let first = orchidtally_socket_io::within(PING_TIMEOUT, first)
         .await
         .ok_or(Ended::Silent)?;
     let (list, incoming) = first.map_err(Ended::Connection)?;
@@ -144,7 +144,7 @@
     loop {
         Timer::after(PING_INTERVAL).await;
         let asked_at = hub.now();
-        let answered = orchidtally_net::within(PING_TIMEOUT, pinger.ping()).await;
+        let answered = orchidtally_socket_io::within(PING_TIMEOUT, pinger.ping()).await;
         answered.ok_or(Ended::Silent)?.map_err(Ended::Connection)?;
         hub.roster_confirmed(asked_at);
     }
--- a/crates/frontend/tests/config_hosts.rs
+++ b/crates/http-frontend/tests/config_hosts.rs
@@ -7,7 +7,7 @@
 use orchidtally_config_sync::{GatewaySchema, SyncSettings, View};
 use orchidtally_deployment::Deployment;
 use orchidtally_etcd::Client;
-use orchidtally_frontend::config::{
+use orchidtally_http_frontend::config::{
     ApplyError, ConfigHost, ConfigTarget, HostSettings, sync_settings,
 };
 use orchidtally_test_servers::Stage;
--- a/crates/frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -13,7 +13,7 @@
     TxnResponse,
 };
 use orchidtally_etcd::{Client, Fault, RANGE, TXN};
-use orchidtally_frontend::Start;
+use orchidtally_http_frontend::Start;
 use orchidtally_test_servers::etcd::Served;
 use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, digest, echo};
 use orchidtally_test_servers::store::Store;
@@ -125,7 +125,7 @@
 
 impl FrontEnd {
     pub fn start(text: String, seed: u64) -> FrontEnd {
-        let listener = orchidtally_frontend::listen(any_port()).unwrap();
+        let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
         let at = listener.get_ref().local_addr().unwrap();
         let (stop, stopped) = async_channel::bounded(1);
         let thread = std::thread::spawn(move || {
@@ -141,7 +141,7 @@
                 promise_store: None,
                 reloads: None,
             };
-            orchidtally_frontend::run(start, listener);
+            orchidtally_http_frontend::run(start, listener);
         });
         FrontEnd {
             at,
@@ -153,8 +153,13 @@
     /// Invokes a function: the status and the answer's body.
     pub async fn invoke(&self, function: &str) -> (u16, String) {
         let path = format!("/v1/functions/{function}/invocations");
-        let asked =
-            orchidtally_net::http::ask(self.at, Method::POST, &path, "hi", Duration::from_secs(5));
+        let asked = orchidtally_socket_io::http::ask(
+            self.at,
+            Method::POST,
+            &path,
+            "hi",
+            Duration::from_secs(5),
+        );
         let (status, body) = asked.await.unwrap();
         (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
     }
@@ -165,7 +170,7 @@
 
     /// What it says of its configuration.
     pub async fn configuration(&self) -> Value {
-        let asked = orchidtally_net::http::ask(
+        let asked = orchidtally_socket_io::http::ask(
             self.at,
             Method::GET,
             "/v1/front-end",
--- a/crates/frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
 use orchidtally_etcd::rpc::{DeleteRangeRequest, PutRequest};
-use orchidtally_frontend::Start;
+use orchidtally_http_frontend::Start;
 use orchidtally_invariants::Record;
 use orchidtally_test_servers::client::{Ask, Caller, Heard};
 use orchidtally_test_servers::etcd::Served;
@@ -82,7 +82,7 @@
     async fn standing(&self, at: SocketAddr) -> Value {
         let time = Duration::from_secs(2);
         let asked =
-            orchidtally_net::http::ask(at, http::Method::GET, "/v1/front-end", vec![], time);
+            orchidtally_socket_io::http::ask(at, http::Method::GET, "/v1/front-end", vec![], time);
         serde_json::from_slice(&asked.await.unwrap().1).unwrap()
     }
 
@@ -153,7 +153,7 @@
             executors: {{ etcd: {{ endpoints: [{}], lease: "2s" }} }} }}"#,
         endpoints.join(", ")
     );
-    let listener = orchidtally_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let thread = std::thread::spawn(move || {
@@ -169,7 +169,7 @@
             promise_store: None,
             reloads: None,
         };
-        orchidtally_frontend::run(start, listener);
+        orchidtally_http_frontend::run(start, listener);
     });
     let caller = Caller::new(&w.stage, 0, 0, at, false);
     on(&w.stage, async {
--- a/crates/frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
 use orchidtally_engine::Tally;
-use orchidtally_frontend::Start;
+use orchidtally_http_frontend::Start;
 use orchidtally_invariants::Standing;
 use orchidtally_test_servers::client::{Ask, Caller, Heard};
 use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
@@ -77,7 +77,7 @@
 
 /// Starts a front end.
 pub fn gateway(text: String) -> Gateway {
-    let listener = orchidtally_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let seed = u64::from(at.port());
@@ -91,7 +91,7 @@
             lines.with_writer(move || writer.clone()).finish(),
         );
         let deployment = Deployment::read(&text).unwrap();
-        orchidtally_frontend::run(
+        orchidtally_http_frontend::run(
             Start {
                 deployment,
                 seed,
--- a/crates/frontend/tests/hard_cases.rs
+++ b/crates/http-frontend/tests/hard_cases.rs
@@ -7,12 +7,12 @@
 use bytes::Bytes;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use gateway_kit::{ACT, LOOK, all, ask, description, executor, gateway, listed, on, row, status};
+use orchidtally_executor_protocol::{frame, v1};
 use orchidtally_invariants::{Answer, Record, Standing};
 use orchidtally_test_servers::client::{Ask, Caller, Heard};
 use orchidtally_test_servers::publisher::Publisher;
 use orchidtally_test_servers::raw::{self, Kind, Next};
 use orchidtally_test_servers::{Stage, any_port, port_for_later};
-use orchidtally_wire::{frame, v1};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -311,7 +311,7 @@
             // It may be cut off while it still writes.
             let _ = socket.write_all(&bytes).await;
             let mut rest = vec![];
-            let closed = orchidtally_net::within(
+            let closed = orchidtally_socket_io::within(
                 std::time::Duration::from_secs(3),
                 socket.read_to_end(&mut rest),
             );
--- a/crates/frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -195,7 +195,8 @@
             stage.sleep(0.2).await;
             gateway.stop.close();
             stage.sleep(0.1).await;
-            let refused = orchidtally_net::connect(at, std::time::Duration::from_secs(1)).await;
+            let refused =
+                orchidtally_socket_io::connect(at, std::time::Duration::from_secs(1)).await;
             assert!(refused.is_err(), "it listens no more");
         };
         let (heard, ()) = futures_lite::future::zip(all(&stage, &caller, asks), stop).await;
--- a/crates/frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -5,9 +5,9 @@
 use futures_rustls::TlsAcceptor;
 use futures_rustls::pki_types::PrivateKeyDer;
 use futures_rustls::rustls::ServerConfig;
-use orchidtally_frontend::Start;
-use orchidtally_frontend::mqtt::Triggers;
-use orchidtally_frontend::promise_store::PromiseStore;
+use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::promise_store::PromiseStore;
 use orchidtally_invariants::Record;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_test_servers::broker::{BrokerServer, ByteStream, Message, StreamWrapper};
@@ -102,13 +102,13 @@
 }
 
 fn gateway(text: &str) -> Gateway {
-    let listener = orchidtally_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let text = text.to_owned();
     let thread = std::thread::spawn(move || {
         let (deployment, section) =
-            orchidtally_trigger::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+            orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
         let triggers = Some(Triggers::open(section.unwrap(), 0).unwrap());
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -126,7 +126,7 @@
             promise_store,
             reloads: None,
         };
-        orchidtally_frontend::run(start, listener);
+        orchidtally_http_frontend::run(start, listener);
     });
     Gateway { at, stop, thread }
 }
@@ -336,7 +336,7 @@
 fn a_journal_that_is_damaged_or_not_its_own_is_not_served_from() {
     let at = folder("damaged");
     let w = world(&at, "5", "", None);
-    let (_, section) = orchidtally_trigger::read(&w.text).unwrap();
+    let (_, section) = orchidtally_mqtt_triggers::read(&w.text).unwrap();
     let section = section.unwrap();
     let open = || {
         Triggers::open(section.clone(), 0)
@@ -409,7 +409,7 @@
         let time = std::time::Duration::from_secs(2);
         let known = async |name: &str| {
             let path = format!("/v1/invocations/{name}");
-            orchidtally_net::http::ask(second.at, http::Method::GET, &path, vec![], time)
+            orchidtally_socket_io::http::ask(second.at, http::Method::GET, &path, vec![], time)
                 .await
                 .unwrap()
         };
--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p orchidtally-membership --bench cache`
 
-use orchidtally::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
 use orchidtally_membership::{Cache, Change, Stamp};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
--- a/crates/membership/src/cache.rs
+++ b/crates/membership/src/cache.rs
@@ -1,7 +1,7 @@
 //! The roster as a store tells it by lists and watches: put together so that what the module is told never goes
 //! back, no deletion is missed, and a store that lost its mind does not take the fleet with it.
 
-use orchidtally::interface::{ExecutorId, RosterKind, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterKind, RosterRow, Standing};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Entries that vanish within this time count together.
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -2,7 +2,7 @@
 //! back, on drawn courses.
 
 use bytes::Bytes;
-use orchidtally::interface::{ExecutorId, RosterKind, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterKind, RosterRow, Standing};
 use orchidtally_etcd::rpc::{
     DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
 };
--- a/crates/trigger/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -4,8 +4,8 @@
 use crate::admission::{Decision, Waiting};
 use crate::ledger::{Answer, DeliveryId, Effect, InvocationTarget, StoredMessage};
 use crate::rules::{Call, Rules};
-use orchidtally::interface;
 use orchidtally_deployment::Deployment;
+use orchidtally_dispatch_policy::interface;
 use orchidtally_mqtt::packet::Qos;
 use orchidtally_mqtt::session::{ConnectionError, Delivery};
 
--- a/crates/trigger/tests/admission.rs
+++ b/crates/mqtt-triggers/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission against a plain queue under more than can be served, and its promises under drawn courses.
 
-use orchidtally_trigger::admission::{AdmissionQueue, Decision, Waiting};
+use orchidtally_mqtt_triggers::admission::{AdmissionQueue, Decision, Waiting};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/trigger/tests/model.rs
+++ b/crates/mqtt-triggers/tests/model.rs
@@ -2,7 +2,7 @@
 //! reached is gone through, with the ledger itself.
 
 use bytes::Bytes;
-use orchidtally_trigger::ledger::{
+use orchidtally_mqtt_triggers::ledger::{
     Action, Answer, DeliveryId, Effect, InvocationTarget, Ledger, Record, Redelivery, Reply,
     StoredMessage,
 };
--- a/crates/trigger/tests/promises.rs
+++ b/crates/mqtt-triggers/tests/promises.rs
@@ -1,7 +1,7 @@
 //! Promises against a plain model, with front ends that die between any two records.
 
 use bytes::Bytes;
-use orchidtally_trigger::promises::{Outcome, Promises, Record, Standing};
+use orchidtally_mqtt_triggers::promises::{Outcome, Promises, Record, Standing};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
--- a/crates/trigger/tests/rules.rs
+++ b/crates/mqtt-triggers/tests/rules.rs
@@ -4,8 +4,8 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_mqtt::session::Delivery;
-use orchidtally_trigger::ledger::Reply;
-use orchidtally_trigger::{Pattern, Poison, Rules};
+use orchidtally_mqtt_triggers::ledger::Reply;
+use orchidtally_mqtt_triggers::{Pattern, Poison, Rules};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -183,7 +183,7 @@
                 mqtt: {{ broker: "127.0.0.1:2", journal: {{ folder: "x" }}, triggers: [
                     {{ topic: "{topic}", function: "f", triggerType: "t", answer: "{answer}", qos: {qos}, payload: "json", sentAt: "sent" }}] }} }}"#
         );
-        match orchidtally_trigger::read(&text) {
+        match orchidtally_mqtt_triggers::read(&text) {
             Err(faults) => prop_assert!(!faults.is_empty() && faults.iter().all(|f| f.key.starts_with("mqtt"))),
             Ok((d, section)) => {
                 let rules = section.unwrap().rules;
--- a/crates/frames/tests/frames.rs
+++ b/crates/platform-client-protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-use orchidtally_frames::*;
+use orchidtally_platform_client_protocol::*;
 use proptest::prelude::*;
 
 /// What a decoder reads when the bytes come in these pieces: kind, stream and payload of each frame, then the
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -4,7 +4,7 @@
 mod fault;
 
 pub use fault::Fault;
-use orchidtally::interface::{Effect, Group, PolicyConfig, TriggerType};
+use orchidtally_dispatch_policy::interface::{Effect, Group, PolicyConfig, TriggerType};
 use serde_json::Value;
 
 fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, Fault> {
--- a/crates/platform-config/tests/settings.rs
+++ b/crates/platform-config/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Each setting at its edges, absent and malformed: read, or named in what is told.
 
-use orchidtally::interface::PolicyConfig;
+use orchidtally_dispatch_policy::interface::PolicyConfig;
 use orchidtally_platform_config::{front_end_settings, read};
 use serde_json::{Value, json};
 
--- a/crates/resolver/benches/lists.rs
+++ b/crates/platform-discovery/benches/lists.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/told/mod.rs"]
 mod told;
 
-use orchidtally_resolver::{Places, RosterView, answer, known};
+use orchidtally_platform_discovery::{Places, RosterView, answer, known};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/resolver/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers of the resolver over DNS: what is asked, and what an answer tells.
 
 use crate::{Entry, Places, SERVICE, id, since};
-use orchidtally::interface::{RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{RosterRow, Standing};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use std::collections::HashMap;
--- a/crates/resolver/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -5,7 +5,7 @@
 mod view;
 
 pub use answer::{Answer, AnswerFault, PartialList, StandingRow, answer, query};
-use orchidtally::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
--- a/crates/resolver/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -3,7 +3,7 @@
 //! datagram with a serial that is not its list's would hide every true list after it.
 
 use crate::{Answer, Entry, PartialList};
-use orchidtally::interface::Standing;
+use orchidtally_dispatch_policy::interface::Standing;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
--- a/crates/resolver/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -1,7 +1,7 @@
 mod told;
 
-use orchidtally::interface::Standing;
-use orchidtally_resolver::*;
+use orchidtally_dispatch_policy::interface::Standing;
+use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use simple_dns::rdata::RData;
 use simple_dns::{Packet, PacketFlag, QTYPE, RCODE, TYPE};
--- a/crates/resolver/tests/told/mod.rs
+++ b/crates/platform-discovery/tests/told/mod.rs
@@ -1,6 +1,6 @@
 //! Answers as a resolver gives them.
 
-use orchidtally_resolver::SERVICE;
+use orchidtally_platform_discovery::SERVICE;
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, ResourceRecord, TYPE};
 use std::net::Ipv4Addr;
--- a/crates/resolver/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -1,7 +1,7 @@
 //! Which of several lists is believed: serials that don't fit, answers overtaken, rows that can't be read.
 
-use orchidtally::interface::{RosterRow, Standing};
-use orchidtally_resolver::*;
+use orchidtally_dispatch_policy::interface::{RosterRow, Standing};
+use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/lines/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -1,4 +1,4 @@
-use orchidtally_lines::*;
+use orchidtally_platform_executor_protocol::*;
 use proptest::prelude::*;
 
 type Read = (Vec<Answer>, bool);
--- a/crates/platform/src/accepting.rs
+++ b/crates/platform-frontend/src/accepting.rs
@@ -3,7 +3,7 @@
 use crate::clients::{self, Client};
 use crate::front::{Front, LISTENER};
 use mio::Interest;
-use orchidtally_net::{is_out_of_descriptors, is_out_of_resources};
+use orchidtally_socket_io::{is_out_of_descriptors, is_out_of_resources};
 use std::io::ErrorKind;
 use tracing::debug;
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform-frontend/src/clients.rs
@@ -2,9 +2,9 @@
 
 use mio::Token;
 use mio::net::TcpStream;
-use orchidtally::state::Ordered;
-use orchidtally_frames::{self as frames, Decoder};
-use orchidtally_net::turn::Socket;
+use orchidtally_dispatch_policy::state::Ordered;
+use orchidtally_platform_client_protocol::{self as frames, Decoder};
+use orchidtally_socket_io::turn::Socket;
 use slab::Slab;
 use std::collections::BTreeMap;
 
--- a/crates/platform/src/connections.rs
+++ b/crates/platform-frontend/src/connections.rs
@@ -3,11 +3,11 @@
 use crate::clients::FIRST_TOKEN;
 use mio::Token;
 use mio::net::TcpStream;
-use orchidtally::interface::ExecutorId;
-use orchidtally::state::Ordered;
+use orchidtally_dispatch_policy::interface::ExecutorId;
+use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_engine::evidence::Transport;
-use orchidtally_lines::Decoder;
-use orchidtally_net::turn::Socket;
+use orchidtally_platform_executor_protocol::Decoder;
+use orchidtally_socket_io::turn::Socket;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/platform/src/egress.rs
+++ b/crates/platform-frontend/src/egress.rs
@@ -3,12 +3,12 @@
 use crate::connections;
 use crate::front::{Front, READS};
 use crate::host_state::ORDER;
-use orchidtally::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{Ending, Found};
 use orchidtally_engine::Told;
 use orchidtally_engine::evidence::{self, Transport};
-use orchidtally_lines::{Answer, Tell, Word};
-use orchidtally_net::is_own_fault;
-use orchidtally_net::turn::Brought;
+use orchidtally_platform_executor_protocol::{Answer, Tell, Word};
+use orchidtally_socket_io::is_own_fault;
+use orchidtally_socket_io::turn::Brought;
 use tracing::{debug, info};
 
 /// What the module is told of an answer's ending.
@@ -135,7 +135,8 @@
             Tell::Joined => Found::Waited,
             Tell::LoadFailed => Found::LoadFailed,
         };
-        let report = orchidtally_lines::report(&answer.meter, &self.settings.report);
+        let report =
+            orchidtally_platform_executor_protocol::report(&answer.meter, &self.settings.report);
         let told = Told {
             found,
             crowd: answer.crowd,
--- a/crates/platform/src/ending.rs
+++ b/crates/platform-frontend/src/ending.rs
@@ -4,7 +4,7 @@
 use crate::front::{Front, RESOLVER};
 use crate::log_budget::LogBudget;
 use crate::start;
-use orchidtally_frames as frames;
+use orchidtally_platform_client_protocol as frames;
 use signal_hook::consts::SIGHUP;
 use tracing::{info, warn};
 
--- a/crates/platform/src/held.rs
+++ b/crates/platform-frontend/src/held.rs
@@ -1,6 +1,6 @@
 //! Dispatches that wait until what was given up of the same invocation has surely left.
 
-use orchidtally::interface::ExecutorId;
+use orchidtally_dispatch_policy::interface::ExecutorId;
 
 struct HeldDispatch {
     inv: u32,
--- a/crates/platform/src/host.rs
+++ b/crates/platform-frontend/src/host.rs
@@ -1,10 +1,10 @@
 //! Performs the engine's answers: lines to executors, frames to clients.
 
 use crate::host_state::{HostState, PROBE};
-use orchidtally::interface::ExecutorId;
+use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::{Cause, Host};
-use orchidtally_frames as frames;
-use orchidtally_lines as lines;
+use orchidtally_platform_client_protocol as frames;
+use orchidtally_platform_executor_protocol as lines;
 use tracing::info;
 
 impl Host for HostState {
--- a/crates/platform/src/host_state.rs
+++ b/crates/platform-frontend/src/host_state.rs
@@ -7,7 +7,7 @@
 use crate::log_budget::LogBudget;
 use crate::process_clock::ProcessClock;
 use mio::Registry;
-use orchidtally::interface::ExecutorId;
+use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::Engine;
 use orchidtally_engine::evidence::Transport;
 use orchidtally_platform_config::FrontEndSettings;
--- a/crates/platform/src/ingress.rs
+++ b/crates/platform-frontend/src/ingress.rs
@@ -3,10 +3,10 @@
 use crate::clients::{self, PendingInvocation};
 use crate::front::{Front, READS};
 use crate::host_state::OpenInvocation;
-use orchidtally::interface::Effect;
+use orchidtally_dispatch_policy::interface::Effect;
 use orchidtally_engine::{Offer, Refused};
-use orchidtally_frames as frames;
-use orchidtally_net::turn::Brought;
+use orchidtally_platform_client_protocol as frames;
+use orchidtally_socket_io::turn::Brought;
 use tracing::debug;
 
 /// The longest that a client may say it waits: a day would only hold a place.
--- a/crates/platform/src/listing.rs
+++ b/crates/platform-frontend/src/listing.rs
@@ -3,8 +3,8 @@
 use crate::connections::Executor;
 use crate::front::{Front, RESOLVER};
 use crate::host_state::ViewStamp;
-use orchidtally::interface::*;
-use orchidtally_resolver::Entry;
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_platform_discovery::Entry;
 use tracing::{info, warn};
 
 impl Front {
--- a/crates/platform/src/roster.rs
+++ b/crates/platform-frontend/src/roster.rs
@@ -3,7 +3,7 @@
 use crate::log_budget::LogBudget;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
-use orchidtally_resolver::{AnswerFault, LONGEST, Outcome, Places, RosterView};
+use orchidtally_platform_discovery::{AnswerFault, LONGEST, Outcome, Places, RosterView};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -94,7 +94,7 @@
             self.queries.pop_front();
         }
         // One that can't be sent is asked again like one whose answer got lost.
-        if let Ok(query) = orchidtally_resolver::query(id) {
+        if let Ok(query) = orchidtally_platform_discovery::query(id) {
             let _ = self.socket.send(&query);
         }
     }
@@ -273,7 +273,7 @@
             return reading.add_outcome(Outcome::Confirmed);
         }
         let (held, age) = (self.view.serial(), now - asked_at);
-        let (serial, outcome) = match orchidtally_resolver::answer(bytes, id, places) {
+        let (serial, outcome) = match orchidtally_platform_discovery::answer(bytes, id, places) {
             Ok(answer) => (answer.serial, self.view.take(now, asked_at, &answer)),
             Err(AnswerFault::OddRow { why, list }) => {
                 if let Some(left_out) = self.log.admit(now) {
--- a/crates/platform/src/sending.rs
+++ b/crates/platform-frontend/src/sending.rs
@@ -5,10 +5,10 @@
 use crate::log_budget::LogBudget;
 use mio::Interest;
 use mio::net::TcpStream;
-use orchidtally::interface::ExecutorId;
+use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::evidence::Transport;
-use orchidtally_lines as lines;
-use orchidtally_net::is_own_fault;
+use orchidtally_platform_executor_protocol as lines;
+use orchidtally_socket_io::is_own_fault;
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
--- a/crates/platform/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -1,8 +1,8 @@
 //! What a front end is told at its start, and again when its file is replaced.
 
-use orchidtally_net::is_own_fault;
 use orchidtally_platform_config::FrontEndSettings;
-use orchidtally_resolver::{Entry, Places};
+use orchidtally_platform_discovery::{Entry, Places};
+use orchidtally_socket_io::is_own_fault;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -120,7 +120,7 @@
             }
         })?;
     let mut places = Places::new(settings.zones.clone(), settings.kinds.clone());
-    let (serial, known) = orchidtally_resolver::known(&written.known, &mut places)
+    let (serial, known) = orchidtally_platform_discovery::known(&written.known, &mut places)
         .map_err(|why| Fault::Known { file: file(), why })?;
     let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| Fault::Seed {
         file: file(),
--- a/crates/platform/src/tests/gone.rs
+++ b/crates/platform-frontend/src/tests/gone.rs
@@ -91,7 +91,7 @@
     // The executor has two connections; one breaks, which is judged a moment later.
     stage.until("two of them", |s| {
         s.peers[x].read();
-        let to = orchidtally_resolver::id(&s.peers[x].name);
+        let to = orchidtally_platform_discovery::id(&s.peers[x].name);
         let _ = s.front.host.connection_for(to, "another");
         s.front.host.executors[&to]
             .connections
@@ -101,7 +101,7 @@
             > 1
     });
     let (socket, come) = stage.peers[x].ends.remove(end);
-    orchidtally_net::break_on_close(&socket);
+    orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
     stage.until("severed", |s| !s.front.severed.is_empty());
     drop(client);
@@ -142,7 +142,7 @@
             .write_all(&invocation(2, &id(2), "read")[..30])
             .expect("it stands");
         if resets {
-            orchidtally_net::break_on_close(&client);
+            orchidtally_socket_io::break_on_close(&client);
         }
         drop(client);
         stage.until("cancelled", |s| s.peers[x].lines("UNDO", &id(1)) == [end]);
--- a/crates/platform/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -9,7 +9,7 @@
 mod standstill;
 
 use super::*;
-use orchidtally::interface::*;
+use orchidtally_dispatch_policy::interface::*;
 use serde_json::{Value, json};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -213,7 +213,7 @@
     pub fn list(&mut self, rows: &[(usize, Standing, SocketAddr)]) {
         let entry = |&(x, standing, address): &(usize, Standing, SocketAddr)| {
             let name = self.peers[x].name.clone();
-            let executor = orchidtally_resolver::id(&name);
+            let executor = orchidtally_platform_discovery::id(&name);
             let since = f64::NEG_INFINITY;
             let row = RosterRow {
                 executor,
@@ -224,7 +224,7 @@
                 weight: 4.0,
                 since,
             };
-            orchidtally_resolver::Entry { row, name, address }
+            orchidtally_platform_discovery::Entry { row, name, address }
         };
         let entries = rows.iter().map(entry).collect();
         let now = self.front.now();
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -1,9 +1,9 @@
 //! Ten rollouts at once on front ends with real decision modules over simulated time: what their loads come to at
 //! the executors' store, in pace and without, and against each front end's ration.
 
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::*;
 use orchidtally_deployment::Deployment;
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
 use orchidtally_rollout::frontend::Place;
 use orchidtally_rollout::{Coordinator, Plan, Shares};
--- a/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -2,8 +2,10 @@
 
 use crate::frame::{Fields, Malformed};
 use crate::reply::Reply;
-use orchidtally::dispatch::Dispatcher;
-use orchidtally::interface::{Ending, Found, Invocation, Outcome, RosterKind, RosterRow, Standing};
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::{
+    Ending, Found, Invocation, Outcome, RosterKind, RosterRow, Standing,
+};
 
 /// The instances that this process hosts and the executor lists told to it. Instances share nothing else.
 #[derive(Default)]
--- a/sim-adapter/src/frame.rs
+++ b/crates/sim-adapter/src/frame.rs
@@ -91,9 +91,11 @@
     pub fn seconds(&mut self) -> Result<f64, Malformed> {
         Ok(self.u64()? as f64 / 1e9)
     }
-    pub fn executor(&mut self) -> Result<orchidtally::interface::ExecutorId, Malformed> {
+    pub fn executor(
+        &mut self,
+    ) -> Result<orchidtally_dispatch_policy::interface::ExecutorId, Malformed> {
         let address: [u8; 4] = self.array()?;
-        Ok(orchidtally::interface::ExecutorId(
+        Ok(orchidtally_dispatch_policy::interface::ExecutorId(
             address.into(),
             self.u16()?,
         ))
--- a/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -1,6 +1,6 @@
 //! The module's answers as records of a reply.
 
-use orchidtally::interface::{Actions, ExecutorId};
+use orchidtally_dispatch_policy::interface::{Actions, ExecutorId};
 use std::net::IpAddr;
 
 /// The longest interval that a timer takes.
--- a/crates/net/tests/own_fault.rs
+++ b/crates/socket-io/tests/own_fault.rs
@@ -1,6 +1,6 @@
 //! Which failures of calls are this machine's own.
 
-use orchidtally_net::{is_out_of_resources, is_own_fault};
+use orchidtally_socket_io::{is_out_of_resources, is_own_fault};
 use rustix::io::Errno;
 use std::io;
 
--- a/crates/test-servers/src/bare.rs
+++ b/crates/test-servers/src/bare.rs
@@ -4,7 +4,7 @@
 use crate::Stage;
 use bytes::Bytes;
 use h2::client::SendRequest;
-use orchidtally_wire::{CONTENT_TYPE, DISPATCH, frame, v1};
+use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, frame, v1};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -37,7 +37,7 @@
     W: Future<Output = Result<(), Fault>> + 'static,
 {
     loop {
-        let stream = orchidtally_net::accept(&listener).await;
+        let stream = orchidtally_socket_io::accept(&listener).await;
         let (stage_, answer) = (stage.clone(), answer.clone());
         let connection = async move {
             let mut builder = h2::server::Builder::new();
@@ -114,7 +114,7 @@
 }
 
 async fn connect(stage: &Stage, to: SocketAddr) -> Result<SendRequest<Bytes>, Fault> {
-    let stream = orchidtally_net::connect(to, std::time::Duration::from_secs(2)).await?;
+    let stream = orchidtally_socket_io::connect(to, std::time::Duration::from_secs(2)).await?;
     let mut builder = h2::client::Builder::new();
     windows(&mut builder);
     let (sender, driver) = builder.handshake::<_, Bytes>(stream).await?;
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -28,7 +28,7 @@
 /// Wraps a stream that was accepted in another, as TLS does; `None` where that fails.
 pub type StreamWrapper = Rc<
     dyn Fn(
-        orchidtally_net::Stream,
+        orchidtally_socket_io::Stream,
     ) -> futures_lite::future::BoxedLocal<Option<Box<dyn ByteStream>>>,
 >;
 
@@ -62,7 +62,7 @@
         at: SocketAddr,
         wrapper: Option<StreamWrapper>,
     ) -> std::io::Result<Rc<BrokerServer>> {
-        let listener = orchidtally_net::listen(at)?;
+        let listener = orchidtally_socket_io::listen(at)?;
         let server = Rc::new(BrokerServer {
             stage: stage.clone(),
             address: listener.get_ref().local_addr()?,
@@ -85,7 +85,7 @@
         let server = self.clone();
         let accept = async move {
             loop {
-                let stream = orchidtally_net::accept(&listener).await;
+                let stream = orchidtally_socket_io::accept(&listener).await;
                 server.stage.spawn(server.clone().serve(stream)).detach();
             }
         };
@@ -102,7 +102,7 @@
         self.stage.sleep(after).await;
         let until = self.stage.now() + LISTEN_TIMEOUT;
         loop {
-            match orchidtally_net::listen(self.address) {
+            match orchidtally_socket_io::listen(self.address) {
                 Ok(listener) => {
                     self.listen(listener);
                     return Ok(());
@@ -173,7 +173,7 @@
     }
 
     /// Serves one connection until it ends.
-    async fn serve(self: Rc<Self>, stream: orchidtally_net::Stream) {
+    async fn serve(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
         let breaker = stream.breaker();
         let stream: Box<dyn ByteStream> = match &self.wrapper {
             Some(wrapper) => match wrapper(stream).await {
@@ -194,7 +194,7 @@
         let writing = self.stage.spawn(async move {
             server.write(socket, packets).await;
             if let Some(socket) = breaker {
-                orchidtally_net::break_on_close(&socket);
+                orchidtally_socket_io::break_on_close(&socket);
                 let _ = socket.shutdown(Shutdown::Both);
             }
         });
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -7,7 +7,7 @@
 use h2::client::SendRequest;
 use http_body_util::{BodyExt, Full};
 use orchidtally_invariants::{Answer, Record};
-use orchidtally_net::Stream;
+use orchidtally_socket_io::Stream;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -184,7 +184,7 @@
     }
 
     async fn send_plain(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
-        let stream = orchidtally_net::connect(self.at, Duration::from_secs(2)).await?;
+        let stream = orchidtally_socket_io::connect(self.at, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
         let driver = self.stage.spawn(driver);
@@ -207,7 +207,8 @@
         if let Some(shared) = self.shared.borrow().clone() {
             return Ok(shared);
         }
-        let stream: Stream = orchidtally_net::connect(self.at, Duration::from_secs(2)).await?;
+        let stream: Stream =
+            orchidtally_socket_io::connect(self.at, Duration::from_secs(2)).await?;
         let (sender, driver) = h2::client::handshake(stream).await?;
         self.stage
             .spawn(async move {
--- a/crates/test-servers/src/etcd/link.rs
+++ b/crates/test-servers/src/etcd/link.rs
@@ -3,7 +3,7 @@
 
 use super::cluster::Region;
 use orchidtally_etcd::Counted;
-use orchidtally_net::Stream;
+use orchidtally_socket_io::Stream;
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
 use std::pin::Pin;
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -59,7 +59,7 @@
         let mut addresses_by_region: BTreeMap<Region, Vec<SocketAddr>> = BTreeMap::new();
         for client_region in cluster.regions() {
             for member in 0..regions.len() {
-                let listener = orchidtally_net::listen(crate::any_port())?;
+                let listener = orchidtally_socket_io::listen(crate::any_port())?;
                 let address = listener.get_ref().local_addr()?;
                 addresses_by_region
                     .entry(client_region)
@@ -229,7 +229,7 @@
         client_region: Region,
     ) {
         loop {
-            let stream = orchidtally_net::accept(&listener).await;
+            let stream = orchidtally_socket_io::accept(&listener).await;
             let cluster = self.cluster.borrow();
             // The connection to a member that is stopped breaks here.
             if cluster.is_running(member) {
@@ -242,7 +242,7 @@
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: orchidtally_net::Stream, link: Rc<Link>) {
+    async fn connection(self: Rc<Self>, stream: orchidtally_socket_io::Stream, link: Rc<Link>) {
         let key = self.next_link.replace(self.next_link.get() + 1);
         self.links.borrow_mut().insert(key, link.clone());
         let counters = &self.counters[link.member];
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -5,9 +5,11 @@
 use bytes::Bytes;
 use futures_lite::future;
 use h2::server::SendResponse;
+use orchidtally_executor_protocol::{
+    CONTENT_TYPE, DISPATCH, Deframer, LONGEST_HEAD, ORDER, PROBE, frame, v1,
+};
 use orchidtally_invariants::Ending;
-use orchidtally_net::Stream;
-use orchidtally_wire::{CONTENT_TYPE, DISPATCH, Deframer, LONGEST_HEAD, ORDER, PROBE, frame, v1};
+use orchidtally_socket_io::Stream;
 use prost::Message;
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,7 +28,7 @@
             .max_concurrent_streams(1_000)
             .initial_window_size(1 << 20)
             .initial_connection_window_size(4 << 20);
-        let Some(Ok(mut connection)) = orchidtally_net::within(
+        let Some(Ok(mut connection)) = orchidtally_socket_io::within(
             Duration::from_secs(5),
             builder.handshake::<_, Bytes>(stream),
         )
--- a/crates/test-servers/src/executor/copies.rs
+++ b/crates/test-servers/src/executor/copies.rs
@@ -4,7 +4,7 @@
 use super::guards::{Held, Lane};
 use super::program::{Program, digest};
 use async_channel::{Receiver, Sender};
-use orchidtally_wire::v1;
+use orchidtally_executor_protocol::v1;
 use std::rc::Rc;
 
 /// A copy of a function.
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -7,8 +7,8 @@
 use super::program::package;
 use bytes::Bytes;
 use futures_lite::future;
+use orchidtally_executor_protocol::v1;
 use orchidtally_invariants::{Ending, Record};
-use orchidtally_wire::v1;
 use std::rc::Rc;
 
 /// In a second.
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -67,7 +67,7 @@
         at: SocketAddr,
         around: Surroundings,
     ) -> std::io::Result<Rc<Executor>> {
-        let listener = orchidtally_net::listen(at)?;
+        let listener = orchidtally_socket_io::listen(at)?;
         let address = listener.get_ref().local_addr()?;
         let executor = Rc::new_cyclic(|me| Executor {
             make,
@@ -120,7 +120,7 @@
             let connections = async_executor::LocalExecutor::new();
             let accepting = async {
                 loop {
-                    let stream = orchidtally_net::accept(&listener).await;
+                    let stream = orchidtally_socket_io::accept(&listener).await;
                     let mut open = me.open.borrow_mut();
                     open.retain(|s| s.peer_addr().is_ok());
                     open.extend(stream.breaker());
@@ -141,7 +141,7 @@
     pub fn crash(&self) {
         let serving = self.serving.borrow_mut().take();
         for stream in self.open.borrow_mut().drain(..) {
-            orchidtally_net::break_on_close(&stream);
+            orchidtally_socket_io::break_on_close(&stream);
         }
         drop(serving);
         self.copies.borrow_mut().clear();
@@ -153,7 +153,7 @@
     pub fn restart(&self) -> std::io::Result<()> {
         self.draining.set(false);
         self.since.set(self.stage.now());
-        self.serve(orchidtally_net::listen(self.address)?);
+        self.serve(orchidtally_socket_io::listen(self.address)?);
         Ok(())
     }
 
--- a/crates/test-servers/src/executor/orders.rs
+++ b/crates/test-servers/src/executor/orders.rs
@@ -3,8 +3,8 @@
 use super::Executor;
 use super::copies::Unloaded;
 use super::program::package;
+use orchidtally_executor_protocol::v1;
 use orchidtally_invariants::Record;
-use orchidtally_wire::v1;
 use std::rc::Rc;
 
 impl Executor {
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -5,8 +5,8 @@
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use futures_lite::future;
+use orchidtally_executor_protocol::{Deframer, LONGEST_HEAD, ROSTER, frame, v1};
 use orchidtally_invariants::{Record, Standing};
-use orchidtally_wire::{Deframer, LONGEST_HEAD, ROSTER, frame, v1};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 
 impl Publisher {
     pub fn start(stage: &Stage, at: SocketAddr, rows: Vec<Row>) -> std::io::Result<Rc<Publisher>> {
-        let listener = orchidtally_net::listen(at)?;
+        let listener = orchidtally_socket_io::listen(at)?;
         let publisher = Rc::new(Publisher {
             stage: stage.clone(),
             address: listener.get_ref().local_addr()?,
@@ -59,7 +59,7 @@
         let me = publisher.clone();
         let accept = async move {
             loop {
-                let stream = orchidtally_net::accept(&listener).await;
+                let stream = orchidtally_socket_io::accept(&listener).await;
                 me.stage.spawn(me.clone().connection(stream)).detach();
             }
         };
@@ -129,7 +129,7 @@
         });
     }
 
-    async fn connection(self: Rc<Self>, stream: orchidtally_net::Stream) {
+    async fn connection(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
         let cut = self.cut.borrow().1.clone();
         let serve = async {
             let Ok(mut connection) = h2::server::handshake(stream).await else {
--- a/crates/test-servers/src/rogue.rs
+++ b/crates/test-servers/src/rogue.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use orchidtally_etcd::rpc::{RangeRequest, RangeResponse, WatchResponse};
 use orchidtally_etcd::{Client, Fault, Watch, range_end};
-use orchidtally_wire::{CONTENT_TYPE, DISPATCH, ORDER, ROSTER, frame, v1};
+use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, ORDER, ROSTER, frame, v1};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
         let sender = match open {
             Some(sender) => sender,
             None => {
-                let stream = orchidtally_net::connect(to, Duration::from_secs(1)).await?;
+                let stream = orchidtally_socket_io::connect(to, Duration::from_secs(1)).await?;
                 let (sender, driver) = h2::client::handshake(stream).await?;
                 self.stage
                     .spawn(async move {
