--- a/crates/capacity-model/src/fleet/front_end.rs
+++ b/crates/capacity-model/src/fleet/front_end.rs
@@ -7,7 +7,7 @@
 use super::topology::{Place, Topology, executor_number};
 use super::{Fault, is_idempotent};
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::{Cause, Engine, Host};
+use orchidtally_engine::{Engine, FailureReason, Host};
 use slab::Slab;
 use std::collections::HashMap;
 
@@ -129,8 +129,8 @@
             executor_life: connection.executor_life,
             is_connected,
             cancelled_at: f64::INFINITY,
-            ending: Ending::Ok,
-            found: Found::Untold,
+            ending: DispatchStatus::Ok,
+            found: CopyState::Unknown,
             crowd: 0,
             report: [0.0; 2],
         };
@@ -161,7 +161,7 @@
 }
 
 impl Host for HollowHost<'_> {
-    fn taken(&mut self, invocation: u32) {
+    fn admitted(&mut self, invocation: u32) {
         self.state.open.insert(invocation, self.state.taking);
     }
 
@@ -216,25 +216,25 @@
         self.answer(invocation, FinalAnswer::Succeeded);
     }
 
-    fn throttled(&mut self, invocation: u32, _retry_after: f64, _past_share: bool) {
+    fn rejected(&mut self, invocation: u32, _retry_after: f64, _past_share: bool) {
         self.answer(invocation, FinalAnswer::Throttled);
     }
 
-    fn errored(&mut self, invocation: u32, _cause: Cause, _may_have_run: bool) {
+    fn failed(&mut self, invocation: u32, _cause: FailureReason, _may_have_run: bool) {
         self.answer(invocation, FinalAnswer::Errored);
     }
 
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         if copies > 0 {
             self.send(to, function as u32, Purpose::Order);
         }
     }
 
     // Asked for by other kinds of deployments than the one that is assumed here.
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// A front end of the fleet.
@@ -255,42 +255,42 @@
     regions: Vec<Option<u8>>,
 ) -> PolicyConfig {
     let trigger_type = |effect| TriggerType {
-        objective: OBJECTIVE,
-        stretch: 0.0,
-        timeout: CLIENT_TIMEOUT,
+        latency_objective: OBJECTIVE,
+        objective_work_factor: 0.0,
+        client_timeout: CLIENT_TIMEOUT,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect,
-        group: Group::All,
-        window: 0.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
     };
     PolicyConfig {
         trigger_types: vec![
-            trigger_type(Effect::Idempotent),
-            trigger_type(Effect::NonIdempotent),
+            trigger_type(Idempotency::Idempotent),
+            trigger_type(Idempotency::NonIdempotent),
         ],
-        over_share_value: 0.1,
+        over_quota_value_factor: 0.1,
         front_ends: front_ends as f64,
-        index: index as f64,
+        front_end_index: index as f64,
         zone: place.zone,
-        crossing: CROSSING,
-        regions,
-        tick: 0.002,
+        cross_zone_cost: CROSSING,
+        zone_regions: regions,
+        clock_tick: 0.002,
         max_dispatches: 4,
-        cancel: true,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        cold: COLD_TIME,
-        cold_from: COLD_SPEED,
+        slow_start_duration: COLD_TIME,
+        slow_start_initial_weight: COLD_SPEED,
         overload_factor: 2.0,
-        fall: 1.0,
-        orders: true,
-        tells_crowd: true,
+        overload_window: 1.0,
+        allows_load_commands: true,
+        reports_concurrency: true,
         keep_alive: KEEP_ALIVE,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: Some(0),
-        loads_field: Some(1),
+        pending_loads_field: Some(1),
         ..PolicyConfig::default()
     }
 }
--- a/crates/capacity-model/src/fleet/request.rs
+++ b/crates/capacity-model/src/fleet/request.rs
@@ -1,6 +1,6 @@
 //! What a front end sends to an executor.
 
-use orchidtally_dispatch_policy::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,8 +32,8 @@
     pub is_connected: bool,
     /// The executor drops it from then on, unless it has begun.
     pub cancelled_at: f64,
-    pub ending: Ending,
-    pub found: Found,
+    pub ending: DispatchStatus,
+    pub found: CopyState,
     /// Calls of the same function at the executor when it came.
     pub crowd: u32,
     /// Calls that wait, and loads under way or waiting.
--- a/crates/capacity-model/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -18,8 +18,8 @@
 use crate::size::Size;
 use executor_events::Load;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::baseline::{Pick, Plain};
-use orchidtally_engine::{Engine, Offer};
+use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
+use orchidtally_engine::{Engine, InvocationRequest};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use slab::Slab;
@@ -76,7 +76,7 @@
 }
 
 enum Told {
-    Rows(Rc<[RosterRow]>),
+    Rows(Rc<[Endpoint]>),
     /// It has its part of what is strictly shared.
     Share,
 }
@@ -212,11 +212,16 @@
                 };
                 Engine::new(policy, MOST_OPEN, seed, now, &mut host)
             }
-            Policy::Random => Engine::with_baseline(Box::new(Plain::new(seed)), MOST_OPEN, now),
+            Policy::Random => {
+                Engine::with_baseline(Box::new(BaselinePolicy::new(seed)), MOST_OPEN, now)
+            }
             Policy::TwoByTrueLoad => {
                 let in_hand = self.in_hand.clone();
                 let load = move |id| executor_number(id).map_or(u32::MAX, |x| in_hand[x].get());
-                let policy = Plain::by(Pick::TwoByTruth(Box::new(load)), seed);
+                let policy = BaselinePolicy::by(
+                    BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
+                    seed,
+                );
                 Engine::with_baseline(Box::new(policy), MOST_OPEN, now)
             }
         };
@@ -280,7 +285,7 @@
             shared: &mut self.shared,
         };
         let result = self.cpu.measure(|| input(engine, now, &mut host));
-        let due_at = engine.due_at().max(now);
+        let due_at = engine.next_deadline().max(now);
         if due_at < state.wakes_at {
             state.wakes_at = due_at;
             self.shared
@@ -295,7 +300,9 @@
         // An earlier timer may have taken this one's place.
         if state.is_up && state.wakes_at == self.shared.now {
             state.wakes_at = f64::INFINITY;
-            self.play(front_end, |engine, now, host| engine.turn(now, host));
+            self.play(front_end, |engine, now, host| {
+                engine.run_due_timers(now, host)
+            });
         }
     }
 
@@ -314,7 +321,7 @@
             function,
             came,
         };
-        let offer = Offer {
+        let offer = InvocationRequest {
             trigger_type: if is_idempotent(function) {
                 IDEMPOTENT
             } else {
@@ -322,15 +329,15 @@
             },
             customer: 0,
             function: u64::from(function),
-            repeat: false,
-            moved: false,
+            is_retry: false,
+            is_migrated: false,
             timeout_at: came + CLIENT_TIMEOUT,
-            work: None,
-            lanes: FUNCTION_LANES,
+            expected_work: None,
+            concurrency: FUNCTION_LANES,
             load_time: Some(LOAD_TIME),
         };
         let taken = self.play(front_end, |engine, now, host| {
-            engine.take(now, &offer, host)
+            engine.admit(now, &offer, host)
         });
         self.cpu.calls += 1;
         if taken.is_err() {
@@ -372,7 +379,10 @@
         if !state.is_up || state.life != request.front_end_life {
             return;
         }
-        if matches!(ending, Ending::ConnectFailed | Ending::Reset) {
+        if matches!(
+            ending,
+            DispatchStatus::ConnectFailed | DispatchStatus::Reset
+        ) {
             state.disconnect(usize::from(executor));
         }
         match request.purpose {
@@ -387,18 +397,18 @@
                 }
                 let report = request.report;
                 self.play(usize::from(front_end), |engine, now, host| {
-                    let told = orchidtally_engine::Told {
-                        found: request.found,
-                        crowd: request.crowd,
-                        report: &report,
+                    let told = orchidtally_engine::ResponseMetadata {
+                        copy_state: request.found,
+                        function_concurrency: request.crowd,
+                        load_report: &report,
                     };
-                    engine.ended(now, invocation, dispatch, ending, told, host);
+                    engine.on_dispatch_result(now, invocation, dispatch, ending, told, host);
                 });
             }
             Purpose::Order => {
                 let id = executor_id(usize::from(executor));
                 self.play(usize::from(front_end), |engine, now, host| {
-                    engine.held(now, id, u64::from(function), ending, host);
+                    engine.on_load_result(now, id, u64::from(function), ending, host);
                 });
             }
         }
@@ -413,7 +423,10 @@
             front_ends,
             ..
         } = self;
-        let kept: usize = front_ends.iter().map(|f| f.engine.kept().functions).sum();
+        let kept: usize = front_ends
+            .iter()
+            .map(|f| f.engine.table_sizes().functions)
+            .sum();
         let functions_kept = kept as f64 / front_ends.len() as f64;
         let copies = executors
             .iter()
--- a/crates/capacity-model/src/fleet/simulation/changes.rs
+++ b/crates/capacity-model/src/fleet/simulation/changes.rs
@@ -67,15 +67,15 @@
 
     /// Tells a front end the whole list as the store has it.
     pub(super) fn list_all(&mut self, front_end: usize) {
-        let rows: Vec<RosterRow> = (0..self.executors.len())
-            .map(|x| self.row(x, Standing::Ready))
+        let rows: Vec<Endpoint> = (0..self.executors.len())
+            .map(|x| self.row(x, EndpointState::Ready))
             .collect();
         self.play(front_end, |engine, now, host| {
-            engine.roster(now, RosterKind::Full, &rows, host)
+            engine.on_endpoint_update(now, EndpointUpdateKind::Full, &rows, host)
         });
     }
 
-    fn row(&self, executor: usize, standing: Standing) -> RosterRow {
+    fn row(&self, executor: usize, standing: EndpointState) -> Endpoint {
         self.shared
             .topology
             .row(executor, standing, self.executors[executor].since)
@@ -102,23 +102,23 @@
             return;
         }
         for key in lost.unstarted {
-            self.answer(key, Ending::Reset);
+            self.answer(key, DispatchStatus::Reset);
         }
         for key in lost.running {
             // The request itself stays until the end of its work would have come.
             let copy = self.shared.requests[key as usize];
             let answered = self.shared.requests.insert(copy) as u32;
-            self.answer(answered, Ending::Reset);
+            self.answer(answered, DispatchStatus::Reset);
         }
     }
 
     /// Sends a change of executors to the front ends that are up and have the store, each at its own time.
     fn tells(&mut self, executors: &[usize], listed: Listed) {
         let standing = match listed {
-            Listed::Ready => Standing::Ready,
-            Listed::Gone => Standing::Gone,
+            Listed::Ready => EndpointState::Ready,
+            Listed::Gone => EndpointState::Gone,
         };
-        let rows: Rc<[RosterRow]> = executors.iter().map(|&x| self.row(x, standing)).collect();
+        let rows: Rc<[Endpoint]> = executors.iter().map(|&x| self.row(x, standing)).collect();
         for front_end in 0..self.front_ends.len() {
             let state = &self.front_ends[front_end].state;
             if !state.is_up || self.cut == Some(state.place.region) {
@@ -150,7 +150,7 @@
         match told {
             Told::Share => self.set_share(front_end, true),
             Told::Rows(rows) => self.play(front_end, |engine, now, host| {
-                engine.roster(now, RosterKind::Delta, &rows, host);
+                engine.on_endpoint_update(now, EndpointUpdateKind::Delta, &rows, host);
             }),
         }
     }
@@ -171,11 +171,11 @@
         let view = MembershipView {
             front_ends: front_ends as f64,
             slot_count: front_ends.next_power_of_two() as f64,
-            index: front_end as f64,
-            shares,
+            front_end_index: front_end as f64,
+            has_budget_share: shares,
         };
         self.play(front_end, |engine, now, host| {
-            engine.living(now, view, host)
+            engine.on_membership_change(now, view, host)
         });
     }
 }
--- a/crates/capacity-model/src/fleet/simulation/executor_events.rs
+++ b/crates/capacity-model/src/fleet/simulation/executor_events.rs
@@ -6,7 +6,7 @@
 use crate::fleet::executor::State;
 use crate::fleet::is_idempotent;
 use crate::fleet::request::{Purpose, Request};
-use orchidtally_dispatch_policy::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use rand::RngExt;
 
 /// A load that is under way.
@@ -27,15 +27,15 @@
             return self.unheard(key);
         }
         if self.executors[executor].state == State::Refusing {
-            return self.answer(key, Ending::ConnectFailed);
+            return self.answer(key, DispatchStatus::ConnectFailed);
         }
         let life = self.executors[executor].life;
         if request.executor_life != life {
             // The connection led to the process before.
             let ending = if request.is_connected {
-                Ending::Reset
+                DispatchStatus::Reset
             } else {
-                Ending::ConnectFailed
+                DispatchStatus::ConnectFailed
             };
             return self.answer(key, ending);
         }
@@ -51,11 +51,11 @@
         let request = &mut self.shared.requests[key as usize];
         let wait = match request.purpose {
             _ if !request.is_connected => {
-                request.ending = Ending::ConnectFailed;
+                request.ending = DispatchStatus::ConnectFailed;
                 CONNECT_TIME
             }
             Purpose::Order => {
-                request.ending = Ending::TimedOut;
+                request.ending = DispatchStatus::TimedOut;
                 ORDER_TIME
             }
             Purpose::Call { .. } => {
@@ -69,7 +69,7 @@
     }
 
     /// Sends the answer to a request, which is lost where a cut lies between.
-    pub(super) fn answer(&mut self, key: u32, ending: Ending) {
+    pub(super) fn answer(&mut self, key: u32, ending: DispatchStatus) {
         let Request {
             front_end,
             executor,
@@ -89,7 +89,7 @@
         ];
         let request = &mut self.shared.requests[key as usize];
         (request.ending, request.report) = (ending, report);
-        if ending == Ending::Full {
+        if ending == DispatchStatus::Full {
             self.shared.ledger.turned_away(self.shared.now);
         }
         self.shared
@@ -103,16 +103,18 @@
             .ledger
             .reached(self.shared.now, executor, self.executors_up);
         if self.executors[executor].waiting.len() >= self.capacity.waiting {
-            return self.answer(key, Ending::Full);
+            return self.answer(key, DispatchStatus::Full);
         }
         let found = match self.executors[executor]
             .copy(function)
             .map(|copy| copy.loaded_at)
         {
-            Some(Some(_)) => Found::Warm,
-            Some(None) => Found::Waited,
-            None if self.begin_load(request.executor, function, request.front_end) => Found::Loaded,
-            None => return self.answer(key, Ending::Full),
+            Some(Some(_)) => CopyState::Warm,
+            Some(None) => CopyState::JoinedLoad,
+            None if self.begin_load(request.executor, function, request.front_end) => {
+                CopyState::ColdLoad
+            }
+            None => return self.answer(key, DispatchStatus::Full),
         };
         let e = &mut self.executors[executor];
         let Some(copy) = e.copy_mut(function) else {
@@ -129,11 +131,11 @@
     fn order_reaches(&mut self, key: u32, request: Request) {
         let (executor, function) = (usize::from(request.executor), request.function);
         if self.executors[executor].has_loaded(function) {
-            return self.answer(key, Ending::Ok);
+            return self.answer(key, DispatchStatus::Ok);
         }
         let is_loading = self.executors[executor].copy(function).is_some();
         if !is_loading && !self.begin_load(request.executor, function, request.front_end) {
-            return self.answer(key, Ending::Full);
+            return self.answer(key, DispatchStatus::Full);
         }
         if let Some(copy) = self.executors[executor].copy_mut(function) {
             copy.orders.push(key);
@@ -205,7 +207,7 @@
         }
         orders
             .into_iter()
-            .for_each(|order| self.answer(order, Ending::Ok));
+            .for_each(|order| self.answer(order, DispatchStatus::Ok));
         self.next_load(load.executor);
         self.start(executor);
     }
@@ -267,7 +269,7 @@
             copy.used_at = self.shared.now;
         }
         self.change_in_hand(executor, -1);
-        self.answer(key, Ending::Ok);
+        self.answer(key, DispatchStatus::Ok);
         self.start(executor);
     }
 
--- a/crates/capacity-model/src/fleet/topology.rs
+++ b/crates/capacity-model/src/fleet/topology.rs
@@ -1,7 +1,7 @@
 //! Where machines stand, and how far they are from each other.
 
 use super::assumptions::{DELAY_BETWEEN_REGIONS, DELAY_WITHIN_REGION, DELAY_WITHIN_ZONE, RACK};
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use std::net::{IpAddr, Ipv4Addr};
 
 /// The first executor's address; the others' follow.
@@ -65,15 +65,15 @@
     }
 
     /// The roster row of an executor that started at `since`.
-    pub fn row(&self, executor: usize, standing: Standing, since: f64) -> RosterRow {
-        RosterRow {
+    pub fn row(&self, executor: usize, standing: EndpointState, since: f64) -> Endpoint {
+        Endpoint {
             executor: executor_id(executor),
             zone: self.executors[executor].zone,
             kind: 0,
             cell: self.racks[executor],
-            standing,
+            state: standing,
             weight: 1.0,
-            since,
+            started_at: since,
         }
     }
 }
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -5,7 +5,7 @@
 use async_executor::{LocalExecutor, Task};
 use orchidtally_deployment::{Deployment, Etcd, Source};
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::{Cause, Engine, Host};
+use orchidtally_engine::{Engine, FailureReason, Host};
 use orchidtally_etcd::Client;
 use orchidtally_http_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
 use orchidtally_membership::{Cache, Members};
@@ -24,17 +24,17 @@
 struct NoCalls;
 
 impl Host for NoCalls {
-    fn taken(&mut self, _inv: u32) {}
+    fn admitted(&mut self, _inv: u32) {}
     fn dispatch(&mut self, _inv: u32, _dispatch: u8, _to: ExecutorId, _within: f64) {}
     fn cancel(&mut self, _inv: u32, _dispatch: u8) {}
     fn succeeded(&mut self, _inv: u32, _dispatch: u8) {}
-    fn throttled(&mut self, _inv: u32, _retry_after: f64, _past_share: bool) {}
-    fn errored(&mut self, _inv: u32, _cause: Cause, _may_have_run: bool) {}
-    fn hold(&mut self, _to: ExecutorId, _function: u64, _copies: u8) {}
-    fn ask(&mut self, _to: ExecutorId, _function: u64) {}
+    fn rejected(&mut self, _inv: u32, _retry_after: f64, _past_share: bool) {}
+    fn failed(&mut self, _inv: u32, _cause: FailureReason, _may_have_run: bool) {}
+    fn load(&mut self, _to: ExecutorId, _function: u64, _copies: u8) {}
+    fn query_replicas(&mut self, _to: ExecutorId, _function: u64) {}
     fn unload(&mut self, _to: ExecutorId, _function: u64) {}
-    fn probe(&mut self, _to: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _to: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// One hollow front end's control.
@@ -160,24 +160,24 @@
         }
     }
 
-    fn roster_changed(&self, kind: RosterKind, rows: &[RosterRow]) {
-        if kind == RosterKind::Full {
+    fn roster_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+        if kind == EndpointUpdateKind::Full {
             self.list_bytes
                 .set(self.connections.roster.traffic().received());
         }
         self.engine
             .borrow_mut()
-            .roster(self.now(), kind, rows, &mut NoCalls);
+            .on_endpoint_update(self.now(), kind, rows, &mut NoCalls);
     }
 
     fn roster_confirmed(&self, asked_at: f64) {
         self.engine
             .borrow_mut()
-            .view_confirmed(self.now(), asked_at, &mut NoCalls);
+            .on_view_confirmed(self.now(), asked_at, &mut NoCalls);
     }
 
     fn roster_lost(&self, asked_at: f64) {
-        self.engine.borrow_mut().view_lost(self.now(), asked_at);
+        self.engine.borrow_mut().on_view_lost(self.now(), asked_at);
     }
 
     fn members_changed(&self) {
@@ -185,11 +185,11 @@
         let view = MembershipView {
             front_ends: f64::from(figure.count),
             slot_count: f64::from(figure.count.next_power_of_two()),
-            index: f64::from(figure.index.unwrap_or(0)),
-            shares: figure.shares,
+            front_end_index: f64::from(figure.index.unwrap_or(0)),
+            has_budget_share: figure.shares,
         };
         self.engine
             .borrow_mut()
-            .living(self.now(), view, &mut NoCalls);
+            .on_membership_change(self.now(), view, &mut NoCalls);
     }
 }
--- a/crates/capacity-model/src/hollow/decisions.rs
+++ b/crates/capacity-model/src/hollow/decisions.rs
@@ -3,7 +3,9 @@
 
 use crate::zipf::Popularity;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::{Cause, Engine, Host, Offer, Refused, Told};
+use orchidtally_engine::{
+    AdmissionError, Engine, FailureReason, Host, InvocationRequest, ResponseMetadata,
+};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
@@ -36,48 +38,48 @@
 /// The limits of a deployment of that size.
 pub fn policy(front_ends: usize, index: usize) -> PolicyConfig {
     let trigger_type = TriggerType {
-        objective: 1.5,
-        stretch: 0.0,
-        timeout: CLIENT_TIMEOUT,
+        latency_objective: 1.5,
+        objective_work_factor: 0.0,
+        client_timeout: CLIENT_TIMEOUT,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect: Effect::Idempotent,
-        group: Group::All,
-        window: 0.0,
+        late_value_fraction: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
     };
     PolicyConfig {
         trigger_types: vec![trigger_type],
         front_ends: front_ends as f64,
-        index: index as f64,
-        tick: 0.002,
+        front_end_index: index as f64,
+        clock_tick: 0.002,
         max_dispatches: 4,
-        cancel: true,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        cold: 15.0,
-        cold_from: 0.2,
+        slow_start_duration: 15.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
-        orders: true,
-        tells_crowd: true,
+        overload_window: 1.0,
+        allows_load_commands: true,
+        reports_concurrency: true,
         keep_alive: KEEP_ALIVE,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: Some(0),
         ..PolicyConfig::default()
     }
 }
 
 /// The roster's row of an executor by its number.
-pub fn roster_row(executor: usize, zones: usize) -> RosterRow {
-    RosterRow {
+pub fn roster_row(executor: usize, zones: usize) -> Endpoint {
+    Endpoint {
         executor: ExecutorId(Ipv4Addr::from(0x0a00_0000 + executor as u32).into(), 7_000),
         zone: (executor % zones.max(1)) as u8,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        since: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
     }
 }
 
@@ -137,7 +139,7 @@
 }
 
 impl Host for Executors {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         self.functions.insert(inv, self.taking);
     }
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
@@ -161,27 +163,27 @@
         self.functions.remove(&inv);
         self.finished.succeeded += 1;
     }
-    fn throttled(&mut self, inv: u32, _retry_after: f64, _past_share: bool) {
+    fn rejected(&mut self, inv: u32, _retry_after: f64, _past_share: bool) {
         self.functions.remove(&inv);
         self.finished.failed += 1;
     }
-    fn errored(&mut self, inv: u32, _cause: Cause, _may_have_run: bool) {
+    fn failed(&mut self, inv: u32, _cause: FailureReason, _may_have_run: bool) {
         self.functions.remove(&inv);
         self.finished.failed += 1;
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         if copies > 0 {
             let warm = self.touch(to, function);
             let after = if warm { 0.001 } else { LOAD_TIME };
             self.arrives(after, Arrival::Held { to, function });
         }
     }
-    fn ask(&mut self, _to: ExecutorId, _function: u64) {}
+    fn query_replicas(&mut self, _to: ExecutorId, _function: u64) {}
     fn unload(&mut self, to: ExecutorId, function: u64) {
         self.copies.remove(&(to, function));
     }
-    fn probe(&mut self, _to: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _to: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// One front end's engine with the executors that it meets.
@@ -217,8 +219,8 @@
             START,
             &mut executors,
         );
-        let rows: Vec<RosterRow> = (0..traffic.executors).map(|x| roster_row(x, 8)).collect();
-        engine.roster(START, RosterKind::Full, &rows, &mut executors);
+        let rows: Vec<Endpoint> = (0..traffic.executors).map(|x| roster_row(x, 8)).collect();
+        engine.on_endpoint_update(START, EndpointUpdateKind::Full, &rows, &mut executors);
         FrontEnd {
             engine,
             executors,
@@ -253,13 +255,14 @@
                 .peek()
                 .map(|Reverse((at, _))| moment(*at));
             let arrival = arrival.unwrap_or(f64::INFINITY);
-            let due = self.engine.due_at();
+            let due = self.engine.next_deadline();
             if arrival.min(due) > until {
                 return;
             }
             if due <= arrival {
                 self.executors.now = self.executors.now.max(due);
-                self.engine.turn(self.executors.now, &mut self.executors);
+                self.engine
+                    .run_due_timers(self.executors.now, &mut self.executors);
                 continue;
             }
             let Some(Reverse((_, arrival_kind))) = self.executors.arrivals.pop() else {
@@ -278,18 +281,33 @@
                 dispatch,
                 warm,
             } => {
-                let found = if warm { Found::Warm } else { Found::Loaded };
-                let told = Told {
-                    found,
-                    crowd: 1,
-                    report: &[0.5],
+                let found = if warm {
+                    CopyState::Warm
+                } else {
+                    CopyState::ColdLoad
                 };
-                self.engine
-                    .ended(now, inv, dispatch, Ending::Ok, told, &mut self.executors);
+                let told = ResponseMetadata {
+                    copy_state: found,
+                    function_concurrency: 1,
+                    load_report: &[0.5],
+                };
+                self.engine.on_dispatch_result(
+                    now,
+                    inv,
+                    dispatch,
+                    DispatchStatus::Ok,
+                    told,
+                    &mut self.executors,
+                );
             }
             Arrival::Held { to, function } => {
-                self.engine
-                    .held(now, to, function, Ending::Ok, &mut self.executors);
+                self.engine.on_load_result(
+                    now,
+                    to,
+                    function,
+                    DispatchStatus::Ok,
+                    &mut self.executors,
+                );
             }
         }
     }
@@ -298,20 +316,22 @@
         self.executors.now = now;
         let function = self.popularity.draw(&mut self.random) as u64;
         self.executors.taking = function;
-        let offer = Offer {
+        let offer = InvocationRequest {
             trigger_type: 0,
             customer: 0,
             function,
-            repeat: false,
-            moved: false,
+            is_retry: false,
+            is_migrated: false,
             timeout_at: now + CLIENT_TIMEOUT,
-            work: None,
-            lanes: 4.0,
+            expected_work: None,
+            concurrency: 4.0,
             load_time: Some(LOAD_TIME),
         };
-        match self.engine.take(now, &offer, &mut self.executors) {
+        match self.engine.admit(now, &offer, &mut self.executors) {
             Ok(_) => {}
-            Err(Refused::Full | Refused::Leaving) => self.executors.finished.failed += 1,
+            Err(AdmissionError::AtCapacity | AdmissionError::ShuttingDown) => {
+                self.executors.finished.failed += 1
+            }
         }
     }
 
@@ -321,9 +341,9 @@
     }
 
     /// Takes in rows of a roster now.
-    pub fn roster(&mut self, kind: RosterKind, rows: &[RosterRow]) {
+    pub fn roster(&mut self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
         self.engine
-            .roster(self.executors.now, kind, rows, &mut self.executors);
+            .on_endpoint_update(self.executors.now, kind, rows, &mut self.executors);
     }
 
     pub fn finished(&self) -> Finished {
@@ -331,7 +351,7 @@
     }
 
     /// Entries in the policy's tables.
-    pub fn kept(&self) -> Kept {
-        self.engine.kept()
+    pub fn kept(&self) -> TableSizes {
+        self.engine.table_sizes()
     }
 }
--- a/crates/capacity-model/src/slopes/decision.rs
+++ b/crates/capacity-model/src/slopes/decision.rs
@@ -5,7 +5,7 @@
 use crate::hollow::decisions::{FrontEnd, Traffic, roster_row};
 use crate::report::{Basis, Role, Row, Slope};
 use crate::size::Size;
-use orchidtally_dispatch_policy::interface::{RosterKind, Standing};
+use orchidtally_dispatch_policy::interface::{EndpointState, EndpointUpdateKind};
 
 /// Executors of the small fleet and of the large one that the growth is told over.
 const SMALL_FLEET: usize = 36;
@@ -76,7 +76,7 @@
     let rows: Vec<_> = (0..executors).map(|x| roster_row(x, 8)).collect();
     let started = clock::thread_cpu_s();
     for _ in 0..LISTS {
-        front_end.roster(RosterKind::Full, &rows);
+        front_end.roster(EndpointUpdateKind::Full, &rows);
         front_end.call_now();
     }
     1e6 * (clock::thread_cpu_s() - started) / LISTS as f64
@@ -87,13 +87,13 @@
     let mut cpu = 0.0;
     for n in 0..LISTS {
         let mut row = roster_row(n % executors, 8);
-        row.standing = if n % 2 == 0 {
-            Standing::Draining
+        row.state = if n % 2 == 0 {
+            EndpointState::Draining
         } else {
-            Standing::Ready
+            EndpointState::Ready
         };
         let started = clock::thread_cpu_s();
-        front_end.roster(RosterKind::Delta, &[row]);
+        front_end.roster(EndpointUpdateKind::Delta, &[row]);
         front_end.call_now();
         cpu += clock::thread_cpu_s() - started;
     }
--- a/crates/capacity-model/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -37,9 +37,9 @@
     assert!(matches!(without_store.source, Source::Listed(_)));
     assert!(with_roster.configuration.is_none() && without_store.configuration.is_none());
     // Whether a roster is asked for goes by where it comes from.
-    assert!(with_roster.policy.roster_asked && !without_store.policy.roster_asked);
+    assert!(with_roster.policy.polls_endpoints && !without_store.policy.polls_endpoints);
     let policy = PolicyConfig {
-        roster_asked: true,
+        polls_endpoints: true,
         ..without_store.policy
     };
     assert_eq!(format!("{:?}", with_roster.policy), format!("{policy:?}"));
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -260,7 +260,7 @@
             .policy
             .trigger_types
             .iter()
-            .map(|t| t.timeout)
+            .map(|t| t.client_timeout)
             .fold(0.0, f64::max);
         let answers = if self.messages.is_some() {
             MESSAGES_TIME
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -70,20 +70,22 @@
     )| {
         TriggerType {
             name: trigger.name.clone(),
-            effect: match ty.effect {
-                orchidtally_dispatch_policy::interface::Effect::Idempotent => Effect::Idempotent,
-                orchidtally_dispatch_policy::interface::Effect::Tokened => Effect::Tokened,
-                orchidtally_dispatch_policy::interface::Effect::NonIdempotent => {
+            effect: match ty.idempotency {
+                orchidtally_dispatch_policy::interface::Idempotency::Idempotent => {
+                    Effect::Idempotent
+                }
+                orchidtally_dispatch_policy::interface::Idempotency::Keyed => Effect::Tokened,
+                orchidtally_dispatch_policy::interface::Idempotency::NonIdempotent => {
                     Effect::NonIdempotent
                 }
             },
-            group: match ty.group {
-                orchidtally_dispatch_policy::interface::Group::All => Group::All,
-                orchidtally_dispatch_policy::interface::Group::Zone => Group::Location,
-                orchidtally_dispatch_policy::interface::Group::Cell => Group::Cell,
+            group: match ty.deduplication_scope {
+                orchidtally_dispatch_policy::interface::DeduplicationScope::All => Group::All,
+                orchidtally_dispatch_policy::interface::DeduplicationScope::Zone => Group::Location,
+                orchidtally_dispatch_policy::interface::DeduplicationScope::Cell => Group::Cell,
             },
-            window: ty.window,
-            objective: ty.objective,
+            window: ty.deduplication_window,
+            objective: ty.latency_objective,
         }
     };
     Limits {
@@ -93,12 +95,12 @@
             .zip(&policy.trigger_types)
             .map(trigger_type)
             .collect(),
-        second_copies: policy.second_copies,
+        second_copies: policy.allows_hedging,
         drain_grace: 1.0,
-        fall: policy.fall,
-        ration_floor: policy.ration_floor,
-        ration_share: policy.ration_share,
-        ration_window: policy.ration_window,
+        fall: policy.overload_window,
+        ration_floor: policy.load_budget_floor,
+        ration_share: policy.load_budget_fraction,
+        ration_window: policy.load_budget_window,
         transit: TRANSIT,
         leave_margin: None,
     }
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -47,7 +47,7 @@
         });
         let ty = ty.unwrap_or(0);
         let kind = &self.limits.trigger_types[ty];
-        let timeout = self.deployment.policy.trigger_types[ty].timeout;
+        let timeout = self.deployment.policy.trigger_types[ty].client_timeout;
         let short = self.short_patience.0.is_on(now) && self.drawn(self.short_patience.1.get());
         let time_left = if short {
             0.35 + 0.5 * self.stage.unit()
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -124,7 +124,7 @@
             let reason = format!("--index {index} is no index among {count} front ends");
             return Err(fail(BAD_INPUT, reason));
         }
-        policy.index = index;
+        policy.front_end_index = index;
     }
     Ok(loaded)
 }
@@ -169,7 +169,7 @@
         file,
     } = load(&arguments)?;
     let is_local = file.is_none();
-    let index = deployment.policy.index as u32;
+    let index = deployment.policy.front_end_index as u32;
     let triggers = section
         .map(|section| Triggers::open(section, index))
         .transpose()
--- a/crates/deployment/src/executors.rs
+++ b/crates/deployment/src/executors.rs
@@ -4,7 +4,7 @@
 use crate::sections::place_of;
 use crate::{Etcd, Source};
 use ipnet::IpNet;
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use std::net::SocketAddr;
 
 pub(crate) fn executors(
@@ -67,7 +67,7 @@
         }
         return (Source::Publisher(publisher), allowed);
     }
-    let mut rows: Vec<RosterRow> = vec![];
+    let mut rows: Vec<Endpoint> = vec![];
     for p in fields.at("list").list() {
         let row = p.object(&["address", "location", "kind", "cell", "weight"]);
         let address = row
@@ -105,15 +105,15 @@
             row.at("cell")
                 .fault(format!("cell {cell} is also in location '{elsewhere}'"));
         }
-        let (standing, since) = (Standing::Ready, f64::NEG_INFINITY);
-        rows.push(RosterRow {
+        let (standing, since) = (EndpointState::Ready, f64::NEG_INFINITY);
+        rows.push(Endpoint {
             executor,
             zone,
             kind,
             cell,
-            standing,
+            state: standing,
             weight,
-            since,
+            started_at: since,
         });
     }
     if listed && rows.is_empty() {
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug)]
 pub enum Source {
     /// The executors that the file lists.
-    Listed(Vec<RosterRow>),
+    Listed(Vec<Endpoint>),
     /// A publisher that is asked for the roster and tells its changes.
     Publisher(SocketAddr),
     /// etcd, where executors and front ends have their entries.
--- a/crates/deployment/src/sections.rs
+++ b/crates/deployment/src/sections.rs
@@ -97,12 +97,12 @@
         top.at("functions")
             .fault("is missing; list functions, or say under 'otherFunctions' what any has");
     }
-    let by_cell = trigger_types
-        .iter()
-        .any(|t| t.effect == Effect::Tokened && t.group == Group::Cell);
-    let by_zone = trigger_types
-        .iter()
-        .any(|t| t.effect == Effect::Tokened && t.group == Group::Zone);
+    let by_cell = trigger_types.iter().any(|t| {
+        t.idempotency == Idempotency::Keyed && t.deduplication_scope == DeduplicationScope::Cell
+    });
+    let by_zone = trigger_types.iter().any(|t| {
+        t.idempotency == Idempotency::Keyed && t.deduplication_scope == DeduplicationScope::Zone
+    });
     let (source, allowed) = executors(&top.at("executors"), &locations, &kinds, by_cell, by_zone);
 
     let rollouts = optional(&top, "rollouts", &["coordinators", "every"]);
@@ -205,11 +205,11 @@
     };
     if let Some(t) = trigger_types
         .iter()
-        .position(|t| t.timeout <= 2.0 * bounds.answer_margin)
+        .position(|t| t.client_timeout <= 2.0 * bounds.answer_margin)
     {
         let what = format!(
             "leaves no time: the client timeout of '{}' is {} s, more than twice the margin is wanted",
-            triggers[t].name, trigger_types[t].timeout
+            triggers[t].name, trigger_types[t].client_timeout
         );
         limits.at("answerMargin").fault(what);
     }
@@ -229,58 +229,58 @@
     let policy = PolicyConfig {
         trigger_types,
         quotas,
-        over_share_value: top
+        over_quota_value_factor: top
             .maybe("overShareValue", |p| p.number(0.0..=1.0))
             .unwrap_or(0.1),
-        value_by_work: top.at("valueByWork").flag(false),
+        bills_by_work: top.at("valueByWork").flag(false),
         front_ends: f64::from(count),
-        index: f64::from(index),
+        front_end_index: f64::from(index),
         zone,
-        crossing: top
+        cross_zone_cost: top
             .maybe("crossing", |p| p.number(0.0..=10.0))
             .unwrap_or(0.02),
-        regions: regions(&top, &locations),
-        tick,
+        zone_regions: regions(&top, &locations),
+        clock_tick: tick,
         max_dispatches: whole("maxDispatches", 1..=255, 4) as u8,
-        second_copies: limits.at("secondCopies").flag(false),
-        cancel: limits.at("cancel").flag(true),
+        allows_hedging: limits.at("secondCopies").flag(false),
+        allows_cancellation: limits.at("cancel").flag(true),
         max_retry_after: limits
             .maybe("maxRetryAfter", |p| p.seconds(0.0..=3_600.0))
             .unwrap_or(1.0),
-        roster_asked: !matches!(source, Source::Listed(_)),
-        cold: safety
+        polls_endpoints: !matches!(source, Source::Listed(_)),
+        slow_start_duration: safety
             .maybe("cold", |p| p.seconds(0.001..=3_600.0))
             .unwrap_or(15.0),
-        cold_from: safety
+        slow_start_initial_weight: safety
             .maybe("coldFrom", |p| p.number(0.001..=1.0))
             .unwrap_or(0.15),
         overload_factor: safety
             .maybe("overloadFactor", |p| p.number(1.0..=100.0))
             .unwrap_or(2.0),
-        fall: safety
+        overload_window: safety
             .maybe("fall", |p| p.seconds(0.01..=60.0))
             .unwrap_or(1.0),
         // Deployment files name no grace: the module takes its own.
         drain_grace: 0.0,
-        skew,
-        orders,
-        order_price: 0.0,
-        answers_miss,
-        tells_crowd: loading.at("tellsCrowd").flag(true),
+        max_clock_skew: skew,
+        allows_load_commands: orders,
+        load_command_cost: 0.0,
+        rejects_unloaded: answers_miss,
+        reports_concurrency: loading.at("tellsCrowd").flag(true),
         keep_alive: loading
             .maybe("keepAlive", |p| p.seconds(0.0..=86_400.0))
             .unwrap_or(8.0),
-        ration_floor: loading
+        load_budget_floor: loading
             .maybe("rationFloor", |p| p.number(0.0..=1e6))
             .unwrap_or(2.0),
-        ration_share: loading
+        load_budget_fraction: loading
             .maybe("rationShare", |p| p.number(0.0..=1.0))
             .unwrap_or(0.2),
-        ration_window: loading
+        load_budget_window: loading
             .maybe("rationWindow", |p| p.seconds(0.0..=3_600.0))
             .unwrap_or(5.0),
         backlog_field: reports.iter().position(|r| r == "backlog"),
-        loads_field: reports.iter().position(|r| r == "loads"),
+        pending_loads_field: reports.iter().position(|r| r == "loads"),
     };
     let deployment = Deployment {
         name,
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -2,7 +2,7 @@
 
 use crate::Trigger;
 use crate::reader::Place;
-use orchidtally_dispatch_policy::interface::{Effect, Group, TriggerType};
+use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 
 pub(crate) fn trigger_type(place: &Place) -> Option<(Trigger, TriggerType)> {
     let fields = place.object(&[
@@ -20,9 +20,9 @@
     ]);
     let name = fields.at("name").text();
     let effect = fields.at("effect").one_of(&[
-        ("idempotent", Effect::Idempotent),
-        ("tokened", Effect::Tokened),
-        ("nonIdempotent", Effect::NonIdempotent),
+        ("idempotent", Idempotency::Idempotent),
+        ("tokened", Idempotency::Keyed),
+        ("nonIdempotent", Idempotency::NonIdempotent),
     ]);
     let objective = fields.at("objective").seconds(0.001..=3_600.0);
     let timeout = fields.at("timeout").seconds(0.001..=3_600.0);
@@ -42,14 +42,14 @@
     let late_share = fields
         .maybe("lateShare", |p| p.number(0.0..=1.0))
         .unwrap_or(0.0);
-    let tokened = effect == Some(Effect::Tokened);
-    let mut group = Some(Group::All);
+    let tokened = effect == Some(Idempotency::Keyed);
+    let mut group = Some(DeduplicationScope::All);
     let mut window = Some(0.0);
     if tokened {
         group = fields.at("group").one_of(&[
-            ("all", Group::All),
-            ("location", Group::Zone),
-            ("cell", Group::Cell),
+            ("all", DeduplicationScope::All),
+            ("location", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
         ]);
         window = fields.at("window").seconds(0.001..=86_400.0);
     } else if effect.is_some() {
@@ -64,7 +64,7 @@
         fields.at("streams").flag(false),
         fields.at("journalled").flag(false),
     );
-    if journalled && effect.is_some_and(|e| e != Effect::NonIdempotent) {
+    if journalled && effect.is_some_and(|e| e != Idempotency::NonIdempotent) {
         fields
             .at("journalled")
             .fault("only a non-idempotent trigger type gains by it");
@@ -80,14 +80,14 @@
         journalled,
     };
     let policy = TriggerType {
-        objective: objective?,
-        stretch,
-        timeout: timeout?,
+        latency_objective: objective?,
+        objective_work_factor: stretch,
+        client_timeout: timeout?,
         billed_value,
-        late_share,
-        effect: effect?,
-        group: group?,
-        window: window?,
+        late_value_fraction: late_share,
+        idempotency: effect?,
+        deduplication_scope: group?,
+        deduplication_window: window?,
     };
     Some((trigger, policy))
 }
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -1,7 +1,7 @@
 //! Descriptions that are sound, and what is said of those that are not.
 
 use orchidtally_deployment::{Deployment, Source, key};
-use orchidtally_dispatch_policy::interface::{Effect, Group};
+use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -21,13 +21,17 @@
     assert!(rows[0].executor.0.is_ipv4() && rows[1].executor.0.is_ipv6());
     assert_eq!(one.function("any").unwrap().versions[0].key, key("any"));
     assert_eq!(
-        (cranes.policy.front_ends, cranes.policy.roster_asked),
+        (cranes.policy.front_ends, cranes.policy.polls_endpoints),
         (6.0, true)
     );
     let plan = &cranes.policy.trigger_types[cranes.trigger_type("berth-plan").unwrap()];
     assert_eq!(
-        (plan.effect, plan.group, plan.window),
-        (Effect::Tokened, Group::Cell, 6.0)
+        (
+            plan.idempotency,
+            plan.deduplication_scope,
+            plan.deduplication_window
+        ),
+        (Idempotency::Keyed, DeduplicationScope::Cell, 6.0)
     );
     assert!(cranes.function("unlisted").is_none());
     assert_eq!(
@@ -35,11 +39,13 @@
         1.2e9
     );
     assert_eq!(
-        (print.policy.quotas.as_slice(), print.policy.index),
+        (print.policy.quotas.as_slice(), print.policy.front_end_index),
         ([80.0, 40.0, 15.0].as_slice(), 1.0)
     );
     assert!(
-        print.trigger_types[0].streams && print.policy.answers_miss && print.policy.second_copies
+        print.trigger_types[0].streams
+            && print.policy.rejects_unloaded
+            && print.policy.allows_hedging
     );
 }
 
--- a/crates/dispatch-policy/src/dispatch/judge.rs
+++ b/crates/dispatch-policy/src/dispatch/judge.rs
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn is_idempotent(&self, i: usize) -> bool {
-        self.policy.trigger_types[self.book.invs[i].ty].effect == Effect::Idempotent
+        self.policy.trigger_types[self.book.invs[i].ty].idempotency == Idempotency::Idempotent
     }
 
     /// What an invocation is billed for a unit of work; little where its customer is past its share. A repeat
@@ -47,7 +47,7 @@
     /// tries, against clients that repeat without end. Told too: whether it is past the share.
     pub(super) fn value(&mut self, inv: &Invocation) -> (f64, bool) {
         let ty = &self.policy.trigger_types[inv.trigger_type];
-        let work = if self.policy.value_by_work {
+        let work = if self.policy.bills_by_work {
             1.0
         } else {
             self.usual[inv.trigger_type].max(1e-6)
@@ -60,7 +60,7 @@
         // A few seen tell little: the less of a share falls to one front end, the more of it may be saved up.
         let within = quota.is_none_or(|q| {
             let most = most_saved(q);
-            let (cost, least) = if inv.repeat {
+            let (cost, least) = if inv.is_retry {
                 (REPEAT_COST, most / 2.0)
             } else {
                 (1.0, 1.0)
@@ -72,7 +72,7 @@
                 * if within {
                     1.0
                 } else {
-                    self.policy.over_share_value
+                    self.policy.over_quota_value_factor
                 },
             !within,
         )
@@ -82,7 +82,7 @@
     /// Guards the room against what earns little, late or past a customer's share, when room is short.
     pub(super) fn part(&self, i: usize) -> f64 {
         let inv = &self.book.invs[i];
-        let late = self.policy.trigger_types[inv.ty].late_share;
+        let late = self.policy.trigger_types[inv.ty].late_value_fraction;
         let left = if self.now > inv.at + inv.patience {
             late
         } else {
@@ -137,7 +137,7 @@
         let far = if load.home {
             1.0
         } else {
-            1.0 + FAR * self.policy.crossing
+            1.0 + FAR * self.policy.cross_zone_cost
         };
         far * (held + 1.0) / (load.weight * warmth)
     }
@@ -187,11 +187,11 @@
     }
 
     pub(super) fn warmth(&self, x: usize) -> f64 {
-        let age = self.now - self.policy.skew - self.fleet.since[x];
-        let risen = if age >= self.policy.cold {
+        let age = self.now - self.policy.max_clock_skew - self.fleet.since[x];
+        let risen = if age >= self.policy.slow_start_duration {
             1.0
         } else {
-            (age / self.policy.cold).max(0.0)
+            (age / self.policy.slow_start_duration).max(0.0)
         };
         let risen = if self.now < self.fleet.broke_at[x] + BROKEN_FOR {
             0.0
@@ -201,7 +201,8 @@
         if risen >= 1.0 {
             1.0
         } else {
-            self.policy.cold_from + (1.0 - self.policy.cold_from) * risen
+            self.policy.slow_start_initial_weight
+                + (1.0 - self.policy.slow_start_initial_weight) * risen
         }
     }
 
@@ -210,60 +211,72 @@
     fn warm(&mut self, kind: usize) -> usize {
         let mut count = std::mem::take(&mut self.fleet.warm[kind]);
         let ripe = |y: usize| {
-            let risen = self.fleet.since[y] + self.policy.skew + self.policy.cold;
+            let risen =
+                self.fleet.since[y] + self.policy.max_clock_skew + self.policy.slow_start_duration;
             risen.max(self.fleet.broke_at[y] + BROKEN_FOR) - TICK_INTERVAL
         };
         count.look_again(self.now, |y| self.warmth(y) < 1.0, ripe);
         self.fleet.set_warm(kind, count)
     }
 
-    pub(super) fn learn(&mut self, x: usize, (f, ty): (usize, usize), done: &Out, o: &Outcome) {
+    pub(super) fn learn(
+        &mut self,
+        x: usize,
+        (f, ty): (usize, usize),
+        done: &Out,
+        o: &DispatchResult,
+    ) {
         let now = self.now;
-        let loaded = if o.found == Found::Untold {
+        let loaded = if o.copy_state == CopyState::Unknown {
             done.places
         } else {
-            o.found != Found::Warm
+            o.copy_state != CopyState::Warm
         };
-        let objective = self.policy.trigger_types[ty].objective;
-        let sample = match o.ending {
-            Ending::Ok if loaded => return,
-            Ending::Ok => {
+        let objective = self.policy.trigger_types[ty].latency_objective;
+        let sample = match o.status {
+            DispatchStatus::Ok if loaded => return,
+            DispatchStatus::Ok => {
                 self.fleet.paused[x].end();
-                self.usual[ty] += NEWEST * (o.took - self.usual[ty]);
+                self.usual[ty] += NEWEST * (o.duration - self.usual[ty]);
                 if self.warmth(x) >= 1.0 {
                     let warm = self.warm(self.fleet.kind[x]) as f64;
                     self.fleet
                         .note_carried(x, warm, self.usual[ty], now, CARRY_TIME);
                 }
-                self.gauge(o.took / objective, done.at);
-                o.took / self.usual[ty].max(1e-6)
+                self.gauge(o.duration / objective, done.at);
+                o.duration / self.usual[ty].max(1e-6)
             }
-            Ending::Error if o.found == Found::LoadFailed => return,
+            DispatchStatus::Error if o.copy_state == CopyState::LoadFailed => return,
             // Where a function was never seen served, that may be its own fault, or its client's: it counts
             // once another executor serves it. Guards against clients that invoke what no executor knows.
-            Ending::Error if !self.book.functions[f].served => {
+            DispatchStatus::Error if !self.book.functions[f].served => {
                 return self.book.functions[f].erred_at = Some(x);
             }
             // A client's early leaving is no executor's fault: it says that the answer would take so long.
-            Ending::TimedOut => {
-                if o.took / objective > self.typical {
-                    self.gauge(o.took / objective, done.at);
+            DispatchStatus::TimedOut => {
+                if o.duration / objective > self.typical {
+                    self.gauge(o.duration / objective, done.at);
                 }
-                (o.took / self.usual[ty].max(1e-6)).min(FAILURE)
+                (o.duration / self.usual[ty].max(1e-6)).min(FAILURE)
             }
-            Ending::Error | Ending::Reset | Ending::ConnectFailed => FAILED,
-            Ending::Full => {
+            DispatchStatus::Error | DispatchStatus::Reset | DispatchStatus::ConnectFailed => FAILED,
+            DispatchStatus::Full => {
                 self.fleet.pause(x, now, FULL_PAUSE, FULL_DOUBLINGS);
                 self.gauge(1.0, done.at);
                 return;
             }
             // Moved from a silent executor: what it took so far is known of it. Guards against a silent one
             // that looks sound again as soon as nothing is out there.
-            Ending::Cancelled if !o.closed => (o.took / self.usual[ty].max(1e-6)).min(FAILURE),
-            Ending::Cancelled | Ending::NeverSent | Ending::Miss => return,
+            DispatchStatus::Cancelled if !o.is_answered => {
+                (o.duration / self.usual[ty].max(1e-6)).min(FAILURE)
+            }
+            DispatchStatus::Cancelled | DispatchStatus::NeverSent | DispatchStatus::Miss => return,
         };
         self.fleet.remember(x, now, sample, JUDGED);
-        if matches!(o.ending, Ending::Reset | Ending::ConnectFailed) {
+        if matches!(
+            o.status,
+            DispatchStatus::Reset | DispatchStatus::ConnectFailed
+        ) {
             self.distrust(x);
         } else if sample >= SUSPECT || self.fleet.suspect[x] {
             self.judge();
--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -149,7 +149,7 @@
             usual: policy
                 .trigger_types
                 .iter()
-                .map(|t| FIRST_USUAL * t.objective)
+                .map(|t| FIRST_USUAL * t.latency_objective)
                 .collect(),
             shares: policy
                 .quotas
@@ -157,7 +157,7 @@
                 .map(|_| TokenBucket::full(now))
                 .collect(),
             random: SeededRandom::new(seed),
-            beat: TICK_INTERVAL.max(policy.tick),
+            beat: TICK_INTERVAL.max(policy.clock_tick),
             cache_time: if policy.keep_alive > 0.0 {
                 CACHE_SHARE * policy.keep_alive
             } else {
@@ -167,7 +167,7 @@
             typical: TYPICAL_MOST / 3.0,
             wake_at: f64::INFINITY,
             fleet: Fleet::new(policy.zone, LEAST_JUDGED, JUDGED_FOR)
-                .in_regions(policy.regions.clone()),
+                .in_regions(policy.zone_regions.clone()),
             policy,
             now,
             watch_at: now,
@@ -179,7 +179,7 @@
     }
 
     /// What is kept of executors, functions and invocations: all three level off.
-    pub fn kept(&self) -> Kept {
+    pub fn table_sizes(&self) -> TableSizes {
         self.book.kept(&self.fleet)
     }
 
@@ -194,17 +194,17 @@
         now: f64,
         index: usize,
         ty: TriggerType,
-    ) -> Result<(), ConfigRefused> {
+    ) -> Result<(), ConfigError> {
         self.now = now;
         ty.check(index, self.policy.trigger_types.len())?;
         self.book.check_unused(index)?;
-        put(&mut self.usual, index, FIRST_USUAL * ty.objective);
+        put(&mut self.usual, index, FIRST_USUAL * ty.latency_objective);
         put(&mut self.policy.trigger_types, index, ty);
         Ok(())
     }
 
     /// Sets the customers' shares. Who had one keeps what is saved up, within the new bound.
-    pub fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigRefused> {
+    pub fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigError> {
         self.now = now;
         check_quotas(&quotas)?;
         let rates = self
@@ -217,15 +217,15 @@
         Ok(())
     }
 
-    pub fn roster(
+    pub fn on_endpoint_update(
         &mut self,
         now: f64,
-        kind: RosterKind,
-        rows: &[RosterRow],
+        kind: EndpointUpdateKind,
+        rows: &[Endpoint],
         out: &mut dyn Actions,
     ) {
         self.now = now;
-        self.view.set_silent(kind == RosterKind::Failed);
+        self.view.set_silent(kind == EndpointUpdateKind::Failed);
         if self.view.is_silent {
             self.watch_at = now + WATCH_PAUSE * (0.5 + self.random.unit());
         }
@@ -240,42 +240,52 @@
     }
 
     /// The view of executors was true at a time: what was asked then has been answered.
-    pub fn view_confirmed(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
+    pub fn on_view_confirmed(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
         self.now = now;
         self.view.confirm(at);
         self.settle(out);
     }
 
     /// The process did not run for a while: what it believes of executors may be long untrue.
-    pub fn stood_still(&mut self, now: f64) {
+    pub fn on_process_stall(&mut self, now: f64) {
         self.now = now;
         self.view.resume(now);
     }
 
     /// The source of the roster does not answer what was asked at a time. Whoever tells this goes on asking.
-    pub fn view_lost(&mut self, now: f64, asked_at: f64) {
+    pub fn on_view_lost(&mut self, now: f64, asked_at: f64) {
         self.now = now;
         self.view.lose(asked_at);
     }
 
     /// How many front ends live. What is shared strictly has to wait while one can't know that.
-    pub fn living(&mut self, now: f64, living: MembershipView, out: &mut dyn Actions) {
+    pub fn on_membership_change(
+        &mut self,
+        now: f64,
+        living: MembershipView,
+        out: &mut dyn Actions,
+    ) {
         self.now = now;
-        (self.policy.front_ends, self.policy.index) = (living.front_ends.max(1.0), living.index);
-        (self.slot_count, self.holds_share) = (living.slot_count.max(1.0), living.shares);
+        (self.policy.front_ends, self.policy.front_end_index) =
+            (living.front_ends.max(1.0), living.front_end_index);
+        (self.slot_count, self.holds_share) = (living.slot_count.max(1.0), living.has_budget_share);
         self.settle(out);
     }
 
-    pub fn invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
+    pub fn on_invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
         self.now = now;
-        if !inv.moved {
+        if !inv.is_migrated {
             self.taken.add(now);
         }
-        let f = self
-            .book
-            .function(inv.function, inv.lanes, inv.load_time.unwrap_or(LOAD_TIME));
+        let f = self.book.function(
+            inv.function,
+            inv.concurrency,
+            inv.load_time.unwrap_or(LOAD_TIME),
+        );
         let ty = &self.policy.trigger_types[inv.trigger_type];
-        let objective = (ty.objective + ty.stretch * inv.work.unwrap_or(0.0)).min(ty.timeout);
+        let objective = (ty.latency_objective
+            + ty.objective_work_factor * inv.expected_work.unwrap_or(0.0))
+        .min(ty.client_timeout);
         let (value, past_share) = self.value(inv);
         self.mean_value +=
             NEWEST.max(1.0 / self.lately.add(1.0, now, PART_TIME)) * (value - self.mean_value);
@@ -300,9 +310,9 @@
         self.settle(out);
     }
 
-    pub fn outcome(&mut self, now: f64, o: &Outcome, out: &mut dyn Actions) {
+    pub fn on_dispatch_result(&mut self, now: f64, o: &DispatchResult, out: &mut dyn Actions) {
         self.now = now;
-        let Some(&i) = self.book.inv_index.get(&o.inv) else {
+        let Some(&i) = self.book.inv_index.get(&o.invocation) else {
             return;
         };
         let Some(done) = self.book.ended(i, o.dispatch) else {
@@ -310,44 +320,49 @@
         };
         let (x, f, ty) = (done.x, self.book.invs[i].f, self.book.invs[i].ty);
         self.fleet.note_ended(x, i, done.at, now);
-        if let Some(waiting) = o.reported(self.policy.backlog_field) {
+        if let Some(waiting) = o.reported_value(self.policy.backlog_field) {
             self.mean_backlog += NEWEST * (waiting - self.mean_backlog);
             self.fleet.note_backlog(x, waiting, now);
         }
-        if let Some(loads) = o.reported(self.policy.loads_field) {
+        if let Some(loads) = o.reported_value(self.policy.pending_loads_field) {
             self.loads.add(loads, now, REPORT_TIME);
         }
-        self.fleet.note_heard(x, o.ending, now);
-        self.fleet.note_answer(x, o.ending);
+        self.fleet.note_heard(x, o.status, now);
+        self.fleet.note_answer(x, o.status);
         self.learn(x, (f, ty), &done, o);
         let (until, wanted) = (now + self.cache_time, self.wanted(f));
         let function = &mut self.book.functions[f];
-        match o.ending {
-            Ending::Ok if self.fleet.ready[x] => {
+        match o.status {
+            DispatchStatus::Ok if self.fleet.ready[x] => {
                 function.know(x, now, until);
-                if self.policy.tells_crowd {
-                    function.tell(f64::from(o.crowd) * wanted, NEWEST_CROWD);
+                if self.policy.reports_concurrency {
+                    function.tell(f64::from(o.function_concurrency) * wanted, NEWEST_CROWD);
                 }
             }
-            Ending::Full => function.known.set_full(x),
+            DispatchStatus::Full => function.known.set_full(x),
             // A client that left early tells nothing of the copy.
-            Ending::TimedOut if o.took < SILENCE * self.policy.trigger_types[ty].objective => {}
-            Ending::TimedOut | Ending::ConnectFailed | Ending::Reset | Ending::Miss => {
-                function.evict(x)
-            }
-            Ending::Ok | Ending::Error | Ending::Cancelled | Ending::NeverSent => {}
+            DispatchStatus::TimedOut
+                if o.duration < SILENCE * self.policy.trigger_types[ty].latency_objective => {}
+            DispatchStatus::TimedOut
+            | DispatchStatus::ConnectFailed
+            | DispatchStatus::Reset
+            | DispatchStatus::Miss => function.evict(x),
+            DispatchStatus::Ok
+            | DispatchStatus::Error
+            | DispatchStatus::Cancelled
+            | DispatchStatus::NeverSent => {}
         }
         if done.places {
-            self.placed(f, x, false, o.ending == Ending::Ok);
+            self.placed(f, x, false, o.status == DispatchStatus::Ok);
         }
         let erred_at = &mut self.book.functions[f].erred_at;
-        if let Some(y) = erred_at.take_if(|&mut y| o.ending == Ending::Ok && y != x) {
+        if let Some(y) = erred_at.take_if(|&mut y| o.status == DispatchStatus::Ok && y != x) {
             self.fleet.remember(y, now, FAILED, JUDGED);
             self.judge();
         }
-        self.book.note_ran(i, &done, o.ending);
-        if o.closed || o.ending == Ending::Ok {
-            self.book.close(i, self.policy.cancel, out);
+        self.book.note_ran(i, &done, o.status);
+        if o.is_answered || o.status == DispatchStatus::Ok {
+            self.book.close(i, self.policy.allows_cancellation, out);
         } else {
             self.book.wait_again(i);
         }
@@ -358,7 +373,7 @@
 
     /// What was decided is asked again as its bytes leave: guards what is bounded in time against connections
     /// that are slow to be made or to take bytes. Could harm by a dispatch that is decided on over and over.
-    pub fn leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
+    pub fn revalidate_dispatch(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
         self.now = now;
         let Some((i, d)) = self.book.out_of(inv, dispatch) else {
             return false;
@@ -370,7 +385,7 @@
     }
 
     /// The same of an order to load, given at a moment; it counts against the ration when it leaves.
-    pub fn order_leaves(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
+    pub fn revalidate_load(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
         self.now = now;
         self.orders.remove(at);
         let open = self.fleet.index.get(&to).is_some_and(|&x| self.is_open(x));
@@ -380,7 +395,7 @@
     }
 
     /// The front end is about to end: nothing is waited for past a moment.
-    pub fn end_by(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
+    pub fn begin_shutdown(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
         self.now = now;
         self.book
             .invs
@@ -390,32 +405,32 @@
     }
 
     /// The answer has begun to stream: this dispatch is the client's, any other is not wanted.
-    pub fn streaming(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions) {
+    pub fn on_response_started(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions) {
         self.now = now;
         if let Some(&i) = self.book.inv_index.get(&inv) {
             self.book.invs[i].streaming = true;
-            if self.policy.cancel {
+            if self.policy.allows_cancellation {
                 self.book.cancel(i, Some(dispatch), out);
             }
         }
     }
 
-    pub fn withdrawn(&mut self, now: f64, inv: u32, out: &mut dyn Actions) {
+    pub fn on_client_cancel(&mut self, now: f64, inv: u32, out: &mut dyn Actions) {
         self.now = now;
         if let Some(&i) = self.book.inv_index.get(&inv) {
             // It grants no order to load: guards against clients that take back what they just asked.
             self.taken.remove(self.book.invs[i].at);
-            self.book.close(i, self.policy.cancel, out);
+            self.book.close(i, self.policy.allows_cancellation, out);
         }
     }
 
     /// The answer to an order to load.
-    pub fn held(
+    pub fn on_load_result(
         &mut self,
         now: f64,
         at: ExecutorId,
         key: u64,
-        ending: Ending,
+        ending: DispatchStatus,
         out: &mut dyn Actions,
     ) {
         self.now = now;
@@ -426,33 +441,36 @@
             return;
         };
         self.fleet.note_answer(x, ending);
-        if ending == Ending::Ok && self.fleet.ready[x] {
+        if ending == DispatchStatus::Ok && self.fleet.ready[x] {
             self.book.functions[f].know(x, now, now + self.cache_time);
         } else {
             self.book.functions[f].evict(x);
-            if matches!(ending, Ending::ConnectFailed | Ending::Reset) {
+            if matches!(
+                ending,
+                DispatchStatus::ConnectFailed | DispatchStatus::Reset
+            ) {
                 self.distrust(x);
             }
         }
-        self.placed(f, x, true, ending == Ending::Ok);
+        self.placed(f, x, true, ending == DispatchStatus::Ok);
         self.touched.push(f);
         self.settle(out);
     }
 
-    pub fn timer(&mut self, now: f64, _mark: u64, out: &mut dyn Actions) {
+    pub fn on_timer(&mut self, now: f64, _mark: u64, out: &mut dyn Actions) {
         self.now = now;
         if now + 1e-6 < self.wake_at {
             return;
         }
         self.wake_at = f64::INFINITY;
-        if self.policy.roster_asked && now >= self.watch_at {
+        if self.policy.polls_endpoints && now >= self.watch_at {
             self.watch_at = f64::INFINITY;
-            out.watch_roster();
+            out.subscribe_to_endpoints();
         }
         if now >= self.judge_at {
             self.judge_at = now + 4.0 * self.beat;
             self.judge();
-            self.taken.after(now - self.policy.ration_window);
+            self.taken.after(now - self.policy.load_budget_window);
             let crowded = self.book.function_index.len() > MOST_FUNCTIONS;
             self.book
                 .sweep(if crowded { now } else { now - FORGOTTEN }, now);
--- a/crates/dispatch-policy/src/dispatch/send.rs
+++ b/crates/dispatch-policy/src/dispatch/send.rs
@@ -19,14 +19,14 @@
             true if self.fleet.out_count > 0 => self.judge_at.max(soon),
             true => f64::INFINITY,
         };
-        let due = if self.policy.roster_asked {
+        let due = if self.policy.polls_endpoints {
             due.min(self.watch_at.max(self.now))
         } else {
             due
         };
         if due < self.wake_at {
             self.wake_at = due;
-            out.wake(due - self.now, 0);
+            out.set_timer(due - self.now, 0);
         }
     }
 
@@ -109,10 +109,12 @@
         if self.is_spread(f) && function.known.iter().filter(stands).any(|k| bears(k.x)) {
             return false;
         }
-        let worth_it = self.policy.answers_miss || self.policy.order_price < ORDER_PRICE_THRESHOLD;
-        let by_order = self.policy.orders && worth_it && self.order(f, x, out);
+        let worth_it =
+            self.policy.rejects_unloaded || self.policy.load_command_cost < ORDER_PRICE_THRESHOLD;
+        let by_order = self.policy.allows_load_commands && worth_it && self.order(f, x, out);
         if !by_order
-            && (self.policy.orders && self.policy.answers_miss || !self.dispatch(i, x, true, out))
+            && (self.policy.allows_load_commands && self.policy.rejects_unloaded
+                || !self.dispatch(i, x, true, out))
         {
             return false;
         }
@@ -124,11 +126,11 @@
     /// else renews the one whose time is over first; from what the ration leaves over, one order at a time.
     /// Tells how many are known. Guards a version that traffic is about to come to against a rush of
     /// placements; it could harm where orders are scarce, so a part of them is left to those.
-    pub fn ahead(&mut self, now: f64, wish: &Ahead, out: &mut dyn Actions) -> usize {
+    pub fn prewarm(&mut self, now: f64, wish: &PrewarmRequest, out: &mut dyn Actions) -> usize {
         self.now = now;
         let f = self.book.function(
             wish.function,
-            wish.lanes,
+            wish.concurrency,
             wish.load_time.unwrap_or(LOAD_TIME),
         );
         self.touched.push(f);
@@ -143,18 +145,22 @@
             known.clone().count(),
             known.min_by(|a, b| a.until.total_cmp(&b.until)),
         );
-        let due = |k: &&Known| wish.copies > 0 && k.until < now + RENEWED * self.cache_time;
+        let due = |k: &&Known| wish.replicas > 0 && k.until < now + RENEWED * self.cache_time;
         let renewed = oldest.filter(due).map(|k| k.x);
-        if !spare || !self.policy.orders || function.placement.is_some() || now < function.next_at {
+        if !spare
+            || !self.policy.allows_load_commands
+            || function.placement.is_some()
+            || now < function.next_at
+        {
             return count;
         }
-        let x = if count < wish.copies {
+        let x = if count < wish.replicas {
             self.placement_target(f, None)
         } else {
             renewed
         };
         let ordered = x.filter(|&x| self.order(f, x, out));
-        if let Some(x) = ordered.filter(|_| count < wish.copies) {
+        if let Some(x) = ordered.filter(|_| count < wish.replicas) {
             self.book.functions[f].begin_placement(x, true, now, PLACEMENT_TIMEOUT);
         }
         count
@@ -176,18 +182,19 @@
             let inv = &self.book.invs[i];
             let ty = &self.policy.trigger_types[inv.ty];
             let &[d] = inv.out.as_slice() else { continue };
-            let silent = self.fleet.heard[d.x] < d.at && self.now - d.at > SILENCE * ty.objective;
+            let silent =
+                self.fleet.heard[d.x] < d.at && self.now - d.at > SILENCE * ty.latency_objective;
             let moved =
-                silent && (self.policy.second_copies && !d.places || self.fleet.suspect[d.x]);
+                silent && (self.policy.allows_hedging && !d.places || self.fleet.suspect[d.x]);
             if inv.closed
                 || inv.streaming
                 || d.cancelled
-                || ty.effect == Effect::NonIdempotent
+                || ty.idempotency == Idempotency::NonIdempotent
                 || !moved
             {
                 continue;
             }
-            if self.policy.second_copies {
+            if self.policy.allows_hedging {
                 self.book.functions[f].known.refresh(&self.fleet);
                 if let Some(x) = self
                     .least_busy_known(f, i, true)
@@ -198,7 +205,7 @@
                 continue;
             }
             let elsewhere = |x: usize| x != d.x && !self.fleet.suspect[x];
-            let left = self.policy.cancel && inv.sent < self.policy.max_dispatches;
+            let left = self.policy.allows_cancellation && inv.sent < self.policy.max_dispatches;
             if left && self.may_repeat_where(i, elsewhere) {
                 self.book.cancel(i, None, out);
                 return true;
@@ -217,8 +224,8 @@
             .count();
         !inv.closed
             && inv.sent - u8::from(leaving.is_some()) < self.policy.max_dispatches
-            && others <= usize::from(self.policy.second_copies)
-            && self.now + self.policy.tick < inv.timeout_at
+            && others <= usize::from(self.policy.allows_hedging)
+            && self.now + self.policy.clock_tick < inv.timeout_at
             && self.is_open(x)
             && self.may_repeat(i, x, leaving)
             && self.cold_room(x, self.usual[inv.ty])
@@ -227,11 +234,13 @@
     /// Whether another dispatch there could have no second effect.
     pub(super) fn may_repeat(&self, i: usize, x: usize, leaving: Option<u8>) -> bool {
         let ty = &self.policy.trigger_types[self.book.invs[i].ty];
-        let harmless = |(at, when): (usize, f64)| match ty.effect {
-            Effect::Idempotent => true,
-            Effect::NonIdempotent => false,
-            Effect::Tokened if !self.fleet.same_group(ty.group, x, at) => false,
-            Effect::Tokened => self.now < when + ty.window - 2.0 * self.policy.tick,
+        let harmless = |(at, when): (usize, f64)| match ty.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed if !self.fleet.same_group(ty.deduplication_scope, x, at) => false,
+            Idempotency::Keyed => {
+                self.now < when + ty.deduplication_window - 2.0 * self.policy.clock_tick
+            }
         };
         self.book.first_sent(i, leaving).is_none_or(harmless)
     }
@@ -239,10 +248,10 @@
     /// The same of any executor that fits; it is looked for only where one can be.
     fn may_repeat_where(&self, i: usize, fits: impl Fn(usize) -> bool) -> bool {
         let ty = &self.policy.trigger_types[self.book.invs[i].ty];
-        let group = if ty.effect == Effect::Tokened {
-            ty.group
+        let group = if ty.idempotency == Idempotency::Keyed {
+            ty.deduplication_scope
         } else {
-            Group::All
+            DeduplicationScope::All
         };
         let ready = self
             .fleet
@@ -261,18 +270,20 @@
         }
         // Guards against front ends that see each other come and go late: their parts would exceed the whole.
         // One that started anew knows not what it sent before: it sits out the span that is under way.
-        if !self.holds_share || self.now < self.started + self.policy.fall + 2.0 * TICK_INTERVAL {
+        if !self.holds_share
+            || self.now < self.started + self.policy.overload_window + 2.0 * TICK_INTERVAL
+        {
             return false;
         }
-        let span = self.now - self.policy.fall - 2.0 * TICK_INTERVAL;
-        let slot = (self.now / (self.policy.fall + self.policy.skew)) as u64;
+        let span = self.now - self.policy.overload_window - 2.0 * TICK_INTERVAL;
+        let slot = (self.now / (self.policy.overload_window + self.policy.max_clock_skew)) as u64;
         let whole = (self.budget_share(x, work) + self.slot_share(x, slot)).floor();
         self.fleet.sent_since(x, span) / work + 1.0 <= whole
     }
 
     /// Its place, from 0 up to 1, among the time slots of an executor that all front ends draw alike.
     pub(super) fn slot_share(&self, x: usize, slot: u64) -> f64 {
-        let drawn = (self.policy.index + self.fleet.rendezvous_number(x, slot)) as u64;
+        let drawn = (self.policy.front_end_index + self.fleet.rendezvous_number(x, slot)) as u64;
         (drawn % self.slot_count as u64) as f64 / self.slot_count + 1e-9
     }
 
@@ -285,7 +296,8 @@
         let fellows = self.fleet.fellows[kind].at(now, CARRY_TIME).max(1.0);
         let carried = self.fleet.carried[kind].at(now, CARRY_TIME) / seen / fellows;
         let budget =
-            carried * self.warmth(x) * self.policy.overload_factor * self.policy.fall / work;
+            carried * self.warmth(x) * self.policy.overload_factor * self.policy.overload_window
+                / work;
         // Turns of two slots may fall into one span: guards it against both, where they exceed what it bears.
         let all = (budget * self.policy.front_ends).max(1.0);
         (budget * (0.5 + 0.5 * COLD_SLACK / all.sqrt()).min(1.0)).max(1.0 / self.slot_count)
@@ -299,10 +311,16 @@
             id, ty, timeout_at, ..
         } = &self.book.invs[i];
         out.dispatch(id, self.fleet.ids[x], timeout_at - self.now);
-        self.fleet
-            .note_sent(x, i, self.now, self.usual[ty], 2.0 * self.policy.fall);
+        self.fleet.note_sent(
+            x,
+            i,
+            self.now,
+            self.usual[ty],
+            2.0 * self.policy.overload_window,
+        );
         if self.fleet.suspect[x] {
-            self.fleet.trial_at[x] = self.now + SILENCE * self.policy.trigger_types[ty].objective;
+            self.fleet.trial_at[x] =
+                self.now + SILENCE * self.policy.trigger_types[ty].latency_objective;
         }
         self.book.send(i, x, self.now, places);
         true
@@ -310,11 +328,14 @@
 
     /// Whether the ration, or a part of it, has an order left; a tick to the safe side at either end.
     pub(super) fn ration_left(&mut self, part: f64) -> bool {
-        let (since, tick) = (self.now - self.policy.ration_window, self.policy.tick);
+        let (since, tick) = (
+            self.now - self.policy.load_budget_window,
+            self.policy.clock_tick,
+        );
         let ordered = self.orders.after(since - tick);
-        let granted =
-            self.policy.ration_floor + self.policy.ration_share * self.taken.after(since + tick);
-        self.policy.ration_window <= 0.0 || ordered + 1.0 <= part * granted
+        let granted = self.policy.load_budget_floor
+            + self.policy.load_budget_fraction * self.taken.after(since + tick);
+        self.policy.load_budget_window <= 0.0 || ordered + 1.0 <= part * granted
     }
 
     /// Drains and the ration: no order to load goes out but through here.
@@ -323,15 +344,16 @@
             return false;
         }
         self.orders.add(self.now);
-        out.hold(self.fleet.ids[x], self.book.functions[f].key, 1);
+        out.load(self.fleet.ids[x], self.book.functions[f].key, 1);
         true
     }
 
     fn may_throttle(&self, i: usize) -> bool {
         let inv = &self.book.invs[i];
         let ty = &self.policy.trigger_types[inv.ty];
-        let harmless = ty.effect == Effect::Idempotent
-            || ty.effect == Effect::Tokened && ty.group == Group::All;
+        let harmless = ty.idempotency == Idempotency::Idempotent
+            || ty.idempotency == Idempotency::Keyed
+                && ty.deduplication_scope == DeduplicationScope::All;
         harmless || inv.ran.is_none() && inv.out.is_empty()
     }
 
@@ -340,11 +362,11 @@
         if self.may_throttle(i) {
             let share = STAY_AWAY + (1.0 - STAY_AWAY) * self.random.unit();
             let inv = &self.book.invs[i];
-            out.throttle(inv.id, share * self.policy.max_retry_after, inv.past_share);
+            out.reject(inv.id, share * self.policy.max_retry_after, inv.past_share);
         } else {
-            out.error(self.book.invs[i].id);
+            out.fail(self.book.invs[i].id);
         }
-        self.book.close(i, self.policy.cancel, out);
+        self.book.close(i, self.policy.allows_cancellation, out);
     }
 
     fn least_busy_known(&self, f: usize, i: usize, with_room: bool) -> Option<usize> {
--- a/crates/dispatch-policy/src/interface.rs
+++ b/crates/dispatch-policy/src/interface.rs
@@ -7,15 +7,15 @@
 pub struct ExecutorId(pub IpAddr, pub u16);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     Idempotent,
-    Tokened,
+    Keyed,
     NonIdempotent,
 }
 
 /// The executors among which a repeat of a tokened invocation is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -24,18 +24,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct TriggerType {
     /// Latency objective.
-    pub objective: f64,
+    pub latency_objective: f64,
     /// The objective grows by this many times the invocation's own work.
-    pub stretch: f64,
+    pub objective_work_factor: f64,
     /// Client timeout, at the longest.
-    pub timeout: f64,
+    pub client_timeout: f64,
     pub billed_value: f64,
     /// What is left of the billed value after the objective.
-    pub late_share: f64,
-    pub effect: Effect,
-    pub group: Group,
+    pub late_value_fraction: f64,
+    pub idempotency: Idempotency,
+    pub deduplication_scope: DeduplicationScope,
     /// How long the group remembers a token.
-    pub window: f64,
+    pub deduplication_window: f64,
 }
 
 impl TriggerType {
@@ -43,12 +43,12 @@
     ///
     /// # Errors
     /// Its times have to be positive and finite, and the index at most the next one.
-    pub fn check(&self, index: usize, next: usize) -> Result<(), ConfigRefused> {
+    pub fn check(&self, index: usize, next: usize) -> Result<(), ConfigError> {
         let is_time = |seconds: f64| seconds > 0.0 && seconds.is_finite();
         if index > next {
-            Err(ConfigRefused::OutOfOrder { index, next })
-        } else if !is_time(self.objective) || !is_time(self.timeout) {
-            Err(ConfigRefused::NoTime { index })
+            Err(ConfigError::OutOfOrder { index, next })
+        } else if !is_time(self.latency_objective) || !is_time(self.client_timeout) {
+            Err(ConfigError::InvalidTime { index })
         } else {
             Ok(())
         }
@@ -59,44 +59,44 @@
 ///
 /// # Errors
 /// Each share has to be a finite number, and not negative.
-pub fn check_quotas(quotas: &[f64]) -> Result<(), ConfigRefused> {
+pub fn check_quotas(quotas: &[f64]) -> Result<(), ConfigError> {
     match quotas.iter().position(|q| !q.is_finite() || *q < 0.0) {
-        Some(customer) => Err(ConfigRefused::NoQuota { customer }),
+        Some(customer) => Err(ConfigError::InvalidQuota { customer }),
         None => Ok(()),
     }
 }
 
 /// Why a change of configuration was not taken. What was in force before stays so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConfigRefused {
+pub enum ConfigError {
     /// An invocation is still of the trigger type that stands at the index.
     InUse { index: usize },
     /// Trigger types are appended one after the other.
     OutOfOrder { index: usize, next: usize },
     /// The trigger type's latency objective or client timeout is no time.
-    NoTime { index: usize },
+    InvalidTime { index: usize },
     /// A customer's share is no rate.
-    NoQuota { customer: usize },
+    InvalidQuota { customer: usize },
 }
 
-impl std::fmt::Display for ConfigRefused {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            ConfigRefused::InUse { index } => write!(
+            ConfigError::InUse { index } => write!(
                 f,
                 "trigger type {index} has invocations open; append the new one, or try again when they are over"
             ),
-            ConfigRefused::OutOfOrder { index, next } => {
+            ConfigError::OutOfOrder { index, next } => {
                 write!(
                     f,
                     "trigger type {index} leaves a gap; the next one to append is {next}"
                 )
             }
-            ConfigRefused::NoTime { index } => write!(
+            ConfigError::InvalidTime { index } => write!(
                 f,
                 "trigger type {index} needs a latency objective and a client timeout of more than 0 s"
             ),
-            ConfigRefused::NoQuota { customer } => {
+            ConfigError::InvalidQuota { customer } => {
                 write!(
                     f,
                     "the share of customer {customer} has to be 0 or more invocations a second"
@@ -106,7 +106,7 @@
     }
 }
 
-impl std::error::Error for ConfigRefused {}
+impl std::error::Error for ConfigError {}
 
 /// What a deployment grants and demands, decoded once when a front end starts.
 #[derive(Clone, Debug, Default)]
@@ -114,68 +114,68 @@
     pub trigger_types: Vec<TriggerType>,
     /// Invocations a second within each customer's share, over all front ends.
     pub quotas: Vec<f64>,
-    pub over_share_value: f64,
-    pub value_by_work: bool,
+    pub over_quota_value_factor: f64,
+    pub bills_by_work: bool,
     pub front_ends: f64,
     /// Which of them this is.
-    pub index: f64,
+    pub front_end_index: f64,
     /// Its location, and what a dispatch to another one costs.
     pub zone: u8,
-    pub crossing: f64,
+    pub cross_zone_cost: f64,
     /// The region of each zone, by the zone's number; zones past its end have none. Where the front end's own zone
     /// has one, functions are placed there while it has an executor that is ready and sound. Empty: anywhere.
-    pub regions: Vec<Option<u8>>,
-    pub tick: f64,
+    pub zone_regions: Vec<Option<u8>>,
+    pub clock_tick: f64,
     pub max_dispatches: u8,
-    pub second_copies: bool,
-    pub cancel: bool,
+    pub allows_hedging: bool,
+    pub allows_cancellation: bool,
     pub max_retry_after: f64,
-    pub roster_asked: bool,
-    pub cold: f64,
-    pub cold_from: f64,
+    pub polls_endpoints: bool,
+    pub slow_start_duration: f64,
+    pub slow_start_initial_weight: f64,
     pub overload_factor: f64,
-    pub fall: f64,
+    pub overload_window: f64,
     /// Work may go to an executor for so long after it was told draining; 0 where that is not told.
     pub drain_grace: f64,
     /// How far the clocks of any two front ends may differ.
-    pub skew: f64,
-    pub orders: bool,
+    pub max_clock_skew: f64,
+    pub allows_load_commands: bool,
     /// What an order costs, in invocations.
-    pub order_price: f64,
-    pub answers_miss: bool,
-    pub tells_crowd: bool,
+    pub load_command_cost: f64,
+    pub rejects_unloaded: bool,
+    pub reports_concurrency: bool,
     /// An idle copy stays loaded at least this long.
     pub keep_alive: f64,
-    pub ration_floor: f64,
-    pub ration_share: f64,
-    pub ration_window: f64,
+    pub load_budget_floor: f64,
+    pub load_budget_fraction: f64,
+    pub load_budget_window: f64,
     /// Where in a load report the invocations waiting are found.
     pub backlog_field: Option<usize>,
     /// Where in it the loads under way or waiting are found.
-    pub loads_field: Option<usize>,
+    pub pending_loads_field: Option<usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct RosterRow {
+pub struct Endpoint {
     pub executor: ExecutorId,
     pub zone: u8,
     pub kind: u8,
     pub cell: u16,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub weight: f64,
     /// When it last started; minus infinity for long ago.
-    pub since: f64,
+    pub started_at: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RosterKind {
+pub enum EndpointUpdateKind {
     Delta,
     Full,
     Failed,
@@ -188,29 +188,29 @@
     pub customer: usize,
     pub function: u64,
     /// The client says that it asks again.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// It was taken before, under another id: it grants no further order to load.
-    pub moved: bool,
+    pub is_migrated: bool,
     /// The moment the client gives up.
     pub timeout_at: f64,
     /// Expected work, where the hint is valid.
-    pub work: Option<f64>,
-    pub lanes: f64,
+    pub expected_work: Option<f64>,
+    pub concurrency: f64,
     /// Usual time of a load, where told.
     pub load_time: Option<f64>,
 }
 
 /// Copies that are wanted ahead of invocations.
 #[derive(Clone, Copy, Debug)]
-pub struct Ahead {
+pub struct PrewarmRequest {
     pub function: u64,
-    pub lanes: f64,
+    pub concurrency: f64,
     pub load_time: Option<f64>,
-    pub copies: usize,
+    pub replicas: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum DispatchStatus {
     Ok,
     Error,
     Full,
@@ -222,44 +222,47 @@
     Miss,
 }
 
-impl Ending {
+impl DispatchStatus {
     /// Whether it proves that the dispatch never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Ending::Full | Ending::ConnectFailed | Ending::NeverSent | Ending::Miss
+            DispatchStatus::Full
+                | DispatchStatus::ConnectFailed
+                | DispatchStatus::NeverSent
+                | DispatchStatus::Miss
         )
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
-    Untold,
+pub enum CopyState {
+    Unknown,
     Warm,
-    Loaded,
-    Waited,
+    ColdLoad,
+    JoinedLoad,
     LoadFailed,
 }
 
 #[derive(Clone, Debug)]
-pub struct Outcome<'a> {
-    pub inv: u32,
+pub struct DispatchResult<'a> {
+    pub invocation: u32,
     pub dispatch: u8,
     pub executor: ExecutorId,
-    pub ending: Ending,
-    pub took: f64,
+    pub status: DispatchStatus,
+    pub duration: f64,
     /// The invocation has had its final answer.
-    pub closed: bool,
-    pub found: Found,
+    pub is_answered: bool,
+    pub copy_state: CopyState,
     /// Invocations of the same function that the executor held, where told.
-    pub crowd: u32,
-    pub report: &'a [f32],
+    pub function_concurrency: u32,
+    pub load_report: &'a [f32],
 }
 
-impl Outcome<'_> {
+impl DispatchResult<'_> {
     /// What its load report says in a field, if the field is told; never under 0.
-    pub fn reported(&self, field: Option<usize>) -> Option<f64> {
-        self.report
+    pub fn reported_value(&self, field: Option<usize>) -> Option<f64> {
+        self.load_report
             .get(field?)
             .map(|&told| f64::from(told).max(0.0))
     }
@@ -269,18 +272,18 @@
 pub trait Actions {
     fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64);
     /// `past_share`: for its customer's having had its share.
-    fn throttle(&mut self, inv: u32, retry_after: f64, past_share: bool);
-    fn error(&mut self, inv: u32);
+    fn reject(&mut self, inv: u32, retry_after: f64, past_share: bool);
+    fn fail(&mut self, inv: u32);
     fn cancel(&mut self, inv: u32, dispatch: u8);
     /// Orders an executor to hold copies of a function.
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8);
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8);
     /// Asks how many copies of a function stand.
-    fn ask(&mut self, to: ExecutorId, function: u64);
+    fn query_replicas(&mut self, to: ExecutorId, function: u64);
     fn unload(&mut self, to: ExecutorId, function: u64);
-    fn probe(&mut self, to: ExecutorId);
-    fn wake(&mut self, delay: f64, mark: u64);
+    fn health_check(&mut self, to: ExecutorId);
+    fn set_timer(&mut self, delay: f64, mark: u64);
     /// Subscribes to the roster where it has to be asked for.
-    fn watch_roster(&mut self);
+    fn subscribe_to_endpoints(&mut self);
 }
 
 /// The front ends that live, as far as this one knows.
@@ -291,14 +294,14 @@
     /// Time slots into which a shared budget is divided; the same at all that share.
     pub slot_count: f64,
     /// This one's place in it, which no other has.
-    pub index: f64,
+    pub front_end_index: f64,
     /// Whether it has a part of what all of them strictly share.
-    pub shares: bool,
+    pub has_budget_share: bool,
 }
 
 /// Entries in the module's tables.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct TableSizes {
     pub executors: usize,
     pub functions: usize,
     pub invocations: usize,
--- a/crates/dispatch-policy/src/state/book.rs
+++ b/crates/dispatch-policy/src/state/book.rs
@@ -1,7 +1,7 @@
 //! Functions and invocations, and the dispatches that are out.
 
 use super::{DecayingSum, Fleet, KnownSet, Ranking};
-use crate::interface::{Actions, ConfigRefused, Ending, Kept};
+use crate::interface::{Actions, ConfigError, DispatchStatus, TableSizes};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -174,9 +174,9 @@
     }
 
     /// Entries in the tables, with those of a fleet.
-    pub fn kept(&self, fleet: &Fleet) -> Kept {
+    pub fn kept(&self, fleet: &Fleet) -> TableSizes {
         let (executors, functions) = (fleet.ids.len(), self.functions.len());
-        Kept {
+        TableSizes {
             executors,
             functions,
             invocations: self.invs.len(),
@@ -184,10 +184,10 @@
     }
 
     /// Whether no invocation is of a trigger type, open or with a dispatch still out.
-    pub fn check_unused(&self, index: usize) -> Result<(), ConfigRefused> {
+    pub fn check_unused(&self, index: usize) -> Result<(), ConfigError> {
         let used = self.inv_index.values().any(|&i| self.invs[i].ty == index);
         if used {
-            Err(ConfigRefused::InUse { index })
+            Err(ConfigError::InUse { index })
         } else {
             Ok(())
         }
@@ -314,7 +314,7 @@
     }
 
     /// Notes that a dispatch which ended so may have run, unless an earlier one may have.
-    pub fn note_ran(&mut self, i: usize, ended: &Out, ending: Ending) {
+    pub fn note_ran(&mut self, i: usize, ended: &Out, ending: DispatchStatus) {
         let ran = &mut self.invs[i].ran;
         if !ending.never_ran() && ran.is_none_or(|(_, at)| at > ended.at) {
             *ran = Some((ended.x, ended.at));
--- a/crates/dispatch-policy/src/state/fleet.rs
+++ b/crates/dispatch-policy/src/state/fleet.rs
@@ -3,7 +3,7 @@
 use super::groups::Groups;
 use super::ranking::Pool;
 use super::{DecayingSum, Load, Pause, Regions};
-use crate::interface::{Ending, ExecutorId, Group};
+use crate::interface::{DeduplicationScope, DispatchStatus, ExecutorId};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Executors, as parallel arrays under a dense index.
@@ -223,12 +223,12 @@
     }
 
     /// Notes that an executor itself ended a dispatch, if it did.
-    pub fn note_heard(&mut self, x: usize, ending: Ending, now: f64) {
+    pub fn note_heard(&mut self, x: usize, ending: DispatchStatus, now: f64) {
         let unheard = [
-            Ending::TimedOut,
-            Ending::Cancelled,
-            Ending::ConnectFailed,
-            Ending::Reset,
+            DispatchStatus::TimedOut,
+            DispatchStatus::Cancelled,
+            DispatchStatus::ConnectFailed,
+            DispatchStatus::Reset,
         ];
         if !unheard.contains(&ending) {
             self.heard[x] = now;
@@ -251,10 +251,10 @@
     }
 
     /// Notes how a dispatch or an order ended.
-    pub fn note_answer(&mut self, x: usize, ending: Ending) {
+    pub fn note_answer(&mut self, x: usize, ending: DispatchStatus) {
         match ending {
-            Ending::Full => self.turned_away[x] += 1,
-            Ending::Ok => self.turned_away[x] = 0,
+            DispatchStatus::Full => self.turned_away[x] += 1,
+            DispatchStatus::Ok => self.turned_away[x] = 0,
             _ => {}
         }
     }
@@ -404,11 +404,11 @@
         self.out[x].len() as f64
     }
 
-    pub fn same_group(&self, group: Group, x: usize, y: usize) -> bool {
+    pub fn same_group(&self, group: DeduplicationScope, x: usize, y: usize) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone[x] == self.zone[y],
-            Group::Cell => self.cell[x] == self.cell[y],
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => self.zone[x] == self.zone[y],
+            DeduplicationScope::Cell => self.cell[x] == self.cell[y],
         }
     }
 }
--- a/crates/dispatch-policy/src/state/listing.rs
+++ b/crates/dispatch-policy/src/state/listing.rs
@@ -3,13 +3,13 @@
 use super::fleet::{WarmCount, put};
 use super::groups::Groups;
 use super::{DecayingSum, Fleet, Pause};
-use crate::interface::{Group, RosterRow, Standing};
+use crate::interface::{DeduplicationScope, Endpoint, EndpointState};
 use std::collections::VecDeque;
 
 impl Fleet {
     /// The index of a roster row's executor, which is added where it is new. An id that now stands somewhere
     /// else is another executor's; it is as cold and doubtful as the first, and what went there weighs on.
-    fn index_of(&mut self, row: &RosterRow, now: f64) -> usize {
+    fn index_of(&mut self, row: &Endpoint, now: f64) -> usize {
         let place = (row.zone, usize::from(row.kind), row.cell);
         let known = self.index.get(&row.executor).copied();
         if let Some(x) = known.filter(|&x| (self.zone[x], self.kind[x], self.cell[x]) == place) {
@@ -55,7 +55,7 @@
 
     /// Enters roster rows, and tells of which executors all that was known is void: those that restarted,
     /// drain or are gone. A full list leaves out what is gone.
-    pub fn list(&mut self, now: f64, full: bool, rows: &[RosterRow]) -> Vec<usize> {
+    pub fn list(&mut self, now: f64, full: bool, rows: &[Endpoint]) -> Vec<usize> {
         let before = self.ready.clone();
         let mut reweighed = false;
         if full {
@@ -65,8 +65,8 @@
         let mut void = vec![];
         for row in rows {
             let x = self.index_of(row, now);
-            self.ready[x] = row.standing == Standing::Ready;
-            self.gone_at[x] = if row.standing == Standing::Gone {
+            self.ready[x] = row.state == EndpointState::Ready;
+            self.gone_at[x] = if row.state == EndpointState::Gone {
                 now
             } else {
                 f64::INFINITY
@@ -78,8 +78,8 @@
             };
             reweighed |= weight != self.weight[x];
             self.weight[x] = weight;
-            if row.since > self.since[x] {
-                self.since[x] = row.since;
+            if row.started_at > self.since[x] {
+                self.since[x] = row.started_at;
                 void.push(x);
             }
         }
@@ -128,11 +128,11 @@
     }
 
     /// The ready executors of the group that one is in, or all of them.
-    pub fn ready_in(&self, group: Group, member: Option<usize>) -> &[usize] {
+    pub fn ready_in(&self, group: DeduplicationScope, member: Option<usize>) -> &[usize] {
         match (group, member) {
-            (Group::All, _) | (_, None) => &self.ready_in_all,
-            (Group::Zone, Some(x)) => self.ready_in_zone.members(self.zone[x].into()),
-            (Group::Cell, Some(x)) => self.ready_in_cell.members(self.cell[x].into()),
+            (DeduplicationScope::All, _) | (_, None) => &self.ready_in_all,
+            (DeduplicationScope::Zone, Some(x)) => self.ready_in_zone.members(self.zone[x].into()),
+            (DeduplicationScope::Cell, Some(x)) => self.ready_in_cell.members(self.cell[x].into()),
         }
     }
 
--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -9,7 +9,7 @@
 mod ranking;
 mod regions;
 
-use crate::interface::{RosterKind, RosterRow};
+use crate::interface::{Endpoint, EndpointUpdateKind};
 pub use book::*;
 pub use fleet::*;
 pub use known::{Known, KnownSet, Load};
@@ -23,10 +23,10 @@
     fleet: &mut Fleet,
     book: &mut Book,
     now: f64,
-    (kind, rows): (RosterKind, &[RosterRow]),
+    (kind, rows): (EndpointUpdateKind, &[Endpoint]),
     forgotten: f64,
 ) {
-    let void = fleet.list(now, kind == RosterKind::Full, rows);
+    let void = fleet.list(now, kind == EndpointUpdateKind::Full, rows);
     book.evict(&void);
     void.into_iter().for_each(|x| fleet.forget(x));
     let mut gone = fleet.departed(forgotten);
--- a/crates/dispatch-policy/tests/choice.rs
+++ b/crates/dispatch-policy/tests/choice.rs
@@ -11,16 +11,16 @@
 /// One thing that happens: what, where, how, and how much later.
 type Happening = (u8, usize, usize, f64);
 
-const ENDINGS: [Ending; 9] = [
-    Ending::Ok,
-    Ending::Error,
-    Ending::Full,
-    Ending::TimedOut,
-    Ending::ConnectFailed,
-    Ending::Reset,
-    Ending::Ok,
-    Ending::Miss,
-    Ending::Ok,
+const ENDINGS: [DispatchStatus; 9] = [
+    DispatchStatus::Ok,
+    DispatchStatus::Error,
+    DispatchStatus::Full,
+    DispatchStatus::TimedOut,
+    DispatchStatus::ConnectFailed,
+    DispatchStatus::Reset,
+    DispatchStatus::Ok,
+    DispatchStatus::Miss,
+    DispatchStatus::Ok,
 ];
 
 fn play(policy: PolicyConfig, happenings: &[Happening]) {
@@ -45,10 +45,10 @@
             7 => w.load_all(ENDINGS[b % ENDINGS.len()]),
             8 => {
                 let standing = [
-                    Standing::Ready,
-                    Standing::Draining,
-                    Standing::Gone,
-                    Standing::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Gone,
+                    EndpointState::Ready,
                 ][b % 4];
                 let since = if b >= 4 {
                     w.plain.now - later
@@ -60,7 +60,7 @@
             9 => _ = w.ahead(a as u64 % 5, b % 3),
             _ => {
                 w.plain.fleet[a % 6].cell = b as u16 % 4;
-                w.roster(a % 6, Standing::Ready, f64::NEG_INFINITY);
+                w.roster(a % 6, EndpointState::Ready, f64::NEG_INFINITY);
             }
         }
         w.pass(later);
@@ -83,9 +83,12 @@
         &day,
         |([second_copies, orders, rationed, miss], happenings)| {
             let mut policy = policy();
-            (policy.second_copies, policy.orders, policy.answers_miss) =
-                (second_copies, orders, miss);
-            policy.ration_window = if rationed { 5.0 } else { 0.0 };
+            (
+                policy.allows_hedging,
+                policy.allows_load_commands,
+                policy.rejects_unloaded,
+            ) = (second_copies, orders, miss);
+            policy.load_budget_window = if rationed { 5.0 } else { 0.0 };
             play(policy, &happenings);
             Ok(())
         },
@@ -105,7 +108,7 @@
         "one order, nothing sent: {:?}",
         w.plain.said
     );
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     let sent = w
         .plain
         .said
@@ -120,7 +123,7 @@
     let drawn = |before: u64| {
         let mut w = World::new(policy(), 6);
         for _ in 0..before {
-            w.dispatcher.timer(100.0, 0, &mut w.plain);
+            w.dispatcher.on_timer(100.0, 0, &mut w.plain);
         }
         w.invoke(0, 42, 5.0);
         w.plain.said[0].clone()
@@ -132,7 +135,7 @@
 fn full_answers_do_not_start_a_storm() {
     let (mut w, x) = warm(policy(), 1);
     let inv = w.invoke(0, 1, 5.0);
-    w.end(inv, 1 - 1, Ending::Full);
+    w.end(inv, 1 - 1, DispatchStatus::Full);
     w.pass(0.05);
     assert_eq!(w.sent_to(x), 2, "nothing is sent while the pause lasts");
     w.pass(0.1);
@@ -145,22 +148,22 @@
     for _ in 0..60 {
         let (inv, now) = (w.invoke(0, 1, 5.0), w.plain.now);
         let dispatch = (w.plain.taken[inv as usize].sent.len().max(1) - 1) as u8;
-        w.plain.taken[inv as usize].sent[0].ending = Some(Ending::Ok);
+        w.plain.taken[inv as usize].sent[0].ending = Some(DispatchStatus::Ok);
         w.plain.taken[inv as usize].closed_at = Some(now);
-        let (executor, found) = (plain::id(x), Found::Warm);
-        let ending = Ending::Ok;
-        let o = Outcome {
-            inv,
+        let (executor, found) = (plain::id(x), CopyState::Warm);
+        let ending = DispatchStatus::Ok;
+        let o = DispatchResult {
+            invocation: inv,
             dispatch,
             executor,
-            ending,
-            took: 4.0,
-            closed: true,
-            found,
-            crowd: 0,
-            report: &[],
+            status: ending,
+            duration: 4.0,
+            is_answered: true,
+            copy_state: found,
+            function_concurrency: 0,
+            load_report: &[],
         };
-        w.dispatcher.outcome(now, &o, &mut w.plain);
+        w.dispatcher.on_dispatch_result(now, &o, &mut w.plain);
     }
     let inv = w.invoke(0, 1, 5.0);
     assert!(matches!(w.plain.said.last(), Some(&Said::Dispatch(i, _)) if i == inv));
@@ -170,7 +173,7 @@
 fn a_silent_executor_loses_what_may_be_moved() {
     let (mut w, x) = warm(
         PolicyConfig {
-            second_copies: true,
+            allows_hedging: true,
             ..policy()
         },
         4,
@@ -180,7 +183,7 @@
     for _ in 0..2 {
         w.invoke(2, 1, 5.0);
     }
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     w.pass(0.9);
     let sent = &w.plain.taken[stuck as usize].sent;
     assert!(
@@ -194,19 +197,19 @@
     let (mut w, x) = warm(policy(), 4);
     for function in 0..40 {
         let inv = w.invoke(0, function, 5.0);
-        w.load_all(Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
         let ending = if w.plain.taken[inv as usize].sent[0].x == x {
-            Ending::Error
+            DispatchStatus::Error
         } else {
-            Ending::Ok
+            DispatchStatus::Ok
         };
         w.end(inv, 0, ending);
-        if ending == Ending::Error {
+        if ending == DispatchStatus::Error {
             w.pass(0.15);
-            w.end(inv, 1, Ending::Ok);
+            w.end(inv, 1, DispatchStatus::Ok);
         }
     }
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     let before = w.sent_to(x);
     for _ in 0..4 {
         w.invoke(2, 1, 5.0);
@@ -226,8 +229,8 @@
     let (mut w, x) = warm(policy(), 4);
     (1..40).for_each(|function| {
         let inv = w.invoke(0, function, 5.0);
-        w.load_all(Ending::Ok);
-        w.end(inv, 0, Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
+        w.end(inv, 0, DispatchStatus::Ok);
     });
     w.took = 1.0;
     let mut failed = 0;
@@ -236,7 +239,15 @@
         if let Some(sent) = w.plain.taken[inv as usize].sent.first() {
             let there = sent.x == x;
             failed += u32::from(there);
-            w.end(inv, 0, if there { Ending::Error } else { Ending::Ok });
+            w.end(
+                inv,
+                0,
+                if there {
+                    DispatchStatus::Error
+                } else {
+                    DispatchStatus::Ok
+                },
+            );
         }
         w.pass(0.02);
     }
@@ -247,7 +258,7 @@
 fn errors_of_what_no_executor_serves_are_none_of_theirs() {
     let (mut w, x) = warm(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         4,
@@ -256,12 +267,12 @@
         let first = w.invoke(2, function, 5.0);
         if w.plain.taken[first as usize].sent[0].x == x {
             // One of those that a client invokes though no executor knows them.
-            w.end(first, 0, Ending::Error);
+            w.end(first, 0, DispatchStatus::Error);
             continue;
         }
-        w.end(first, 0, Ending::Ok);
+        w.end(first, 0, DispatchStatus::Ok);
         let second = w.invoke(2, function, 5.0);
-        w.end(second, 0, Ending::Ok);
+        w.end(second, 0, DispatchStatus::Ok);
     }
     let last = w.invoke(2, 1, 5.0);
     assert_eq!(
@@ -275,9 +286,9 @@
 fn a_refused_connection_is_enough_to_leave_an_executor() {
     let (mut w, x) = warm(policy(), 4);
     let inv = w.invoke(2, 1, 5.0);
-    w.end(inv, 0, Ending::ConnectFailed);
+    w.end(inv, 0, DispatchStatus::ConnectFailed);
     w.pass(0.2);
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     assert_eq!(w.plain.taken[inv as usize].sent.len(), 2);
     assert_ne!(w.plain.taken[inv as usize].sent[1].x, x);
 }
@@ -286,7 +297,7 @@
 fn an_executor_that_restarted_is_known_to_be_empty_and_cold() {
     let (mut w, x) = warm(policy(), 4);
     let now = w.plain.now;
-    w.roster(x, Standing::Ready, now);
+    w.roster(x, EndpointState::Ready, now);
     w.invoke(0, 1, 5.0);
     assert!(
         matches!(w.plain.said.last(), Some(Said::Hold(..))),
@@ -299,15 +310,15 @@
 fn without_a_cold_time_a_new_executor_is_used_at_once() {
     let mut w = World::new(
         PolicyConfig {
-            cold: 0.0,
-            orders: false,
+            slow_start_duration: 0.0,
+            allows_load_commands: false,
             front_ends: 300.0,
             ..policy()
         },
         1,
     );
     let started = w.plain.now;
-    w.roster(0, Standing::Ready, started);
+    w.roster(0, EndpointState::Ready, started);
     (0..5).for_each(|function| _ = w.invoke(0, function, 5.0));
     assert_eq!(w.sent_to(0), 5);
 }
@@ -319,21 +330,21 @@
     let at_once = |trial: u32| {
         let mut w = World::new(
             PolicyConfig {
-                cold: 1e4,
-                orders: false,
+                slow_start_duration: 1e4,
+                allows_load_commands: false,
                 front_ends: 2.0,
                 ..policy()
             },
             2,
         );
         let now = w.plain.now;
-        (0..2).for_each(|x| w.roster(x, Standing::Ready, now));
+        (0..2).for_each(|x| w.roster(x, EndpointState::Ready, now));
         w.pass(trial.into());
         let mut sent = |ends: bool| {
             let inv = w.invoke(0, 1, 5.0);
             let sent = !w.plain.taken[inv as usize].sent.is_empty();
             if ends && sent {
-                w.end(inv, 0, Ending::Ok);
+                w.end(inv, 0, DispatchStatus::Ok);
             }
             w.pass(1.0);
             sent
@@ -353,8 +364,8 @@
     w.took = 0.02;
     for function in 0..200 {
         let inv = w.invoke(0, 2 + function % 20, 5.0);
-        w.load_all(Ending::Ok);
-        w.end(inv, 0, Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
+        w.end(inv, 0, DispatchStatus::Ok);
     }
     w.pass(0.01);
     let stuck: Vec<u32> = (0..4).map(|_| w.invoke(0, 1, 5.0)).collect();
@@ -362,8 +373,8 @@
     w.took = 0.75;
     stuck
         .iter()
-        .for_each(|&inv| w.end(inv, 0, Ending::Cancelled));
-    w.load_all(Ending::Ok);
+        .for_each(|&inv| w.end(inv, 0, DispatchStatus::Cancelled));
+    w.load_all(DispatchStatus::Ok);
     let sent = |inv: &u32| {
         w.plain.taken[*inv as usize]
             .sent
@@ -387,7 +398,7 @@
 fn one_that_may_have_run(function: u64) -> (World, u32, usize) {
     let mut w = World::new(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         8,
@@ -410,14 +421,14 @@
 fn one_that_may_have_run_is_placed_again_within_its_group() {
     for function in 0..40 {
         let (mut w, inv, fellow) = one_that_may_have_run(function);
-        w.end(inv, 0, Ending::Error);
+        w.end(inv, 0, DispatchStatus::Error);
         w.pass(0.5);
         assert_eq!(
             sent_to(&w, inv),
             [fellow ^ 1, fellow],
             "function {function}"
         );
-        w.end(inv, 1, Ending::Ok);
+        w.end(inv, 1, DispatchStatus::Ok);
         w.all_answered();
     }
 }
@@ -429,20 +440,20 @@
         let outside: Vec<usize> = (0..8).filter(|x| x / 2 != fellow / 2).collect();
         outside[1..]
             .iter()
-            .for_each(|&x| w.roster(x, Standing::Draining, f64::NEG_INFINITY));
-        w.roster(fellow, Standing::Draining, f64::NEG_INFINITY);
-        w.end(inv, 0, Ending::Error);
+            .for_each(|&x| w.roster(x, EndpointState::Draining, f64::NEG_INFINITY));
+        w.roster(fellow, EndpointState::Draining, f64::NEG_INFINITY);
+        w.end(inv, 0, DispatchStatus::Error);
         w.pass(0.2);
         let other = w.invoke(0, function, 5.0);
         assert_eq!(sent_to(&w, other), outside[..1], "function {function}");
-        w.end(other, 0, Ending::Ok);
+        w.end(other, 0, DispatchStatus::Ok);
         w.pass(0.1);
         assert_eq!(
             sent_to(&w, inv),
             [fellow ^ 1, fellow ^ 1],
             "function {function}"
         );
-        w.end(inv, 1, Ending::Ok);
+        w.end(inv, 1, DispatchStatus::Ok);
         w.all_answered();
     }
 }
@@ -453,15 +464,15 @@
         // The executors remember a token for 2 s.
         for (back_after, sent) in [(1.9, 2), (2.1, 1)] {
             let (mut w, inv, fellow) = one_that_may_have_run(function);
-            w.roster(fellow, Standing::Draining, f64::NEG_INFINITY);
-            w.end(inv, 0, Ending::Error);
+            w.roster(fellow, EndpointState::Draining, f64::NEG_INFINITY);
+            w.end(inv, 0, DispatchStatus::Error);
             w.pass(back_after);
             assert_eq!(
                 sent_to(&w, inv),
                 [fellow ^ 1],
                 "function {function}, with no other in its group"
             );
-            w.roster(fellow, Standing::Ready, f64::NEG_INFINITY);
+            w.roster(fellow, EndpointState::Ready, f64::NEG_INFINITY);
             w.pass(0.1);
             assert_eq!(
                 sent_to(&w, inv).len(),
--- a/crates/dispatch-policy/tests/cold.rs
+++ b/crates/dispatch-policy/tests/cold.rs
@@ -50,10 +50,10 @@
         let (front_ends, index) = (self.front_ends as f64, j as f64);
         PolicyConfig {
             front_ends,
-            index,
-            skew: self.skew,
-            cold: self.cold,
-            orders: false,
+            front_end_index: index,
+            max_clock_skew: self.skew,
+            slow_start_duration: self.cold,
+            allows_load_commands: false,
             ..policy()
         }
     }
@@ -83,7 +83,7 @@
             .enumerate()
             .for_each(|(j, w)| w.pass(self.ahead(j)));
         all.iter_mut()
-            .for_each(|w| w.roster(4, Standing::Gone, f64::NEG_INFINITY));
+            .for_each(|w| w.roster(4, EndpointState::Gone, f64::NEG_INFINITY));
         let started = all[0].plain.now + STARTED as f64 * STEP;
         let mut cold = vec![];
         let mut to_cold = |j: usize, w: &World| {
@@ -105,8 +105,9 @@
                     *w = World::new_at(self.policy(j), 5, w.plain.now);
                 }
                 if n == STARTED || killed {
-                    (self.left..4).for_each(|x| w.roster(x, Standing::Gone, f64::NEG_INFINITY));
-                    w.roster(4, Standing::Ready, started);
+                    (self.left..4)
+                        .for_each(|x| w.roster(x, EndpointState::Gone, f64::NEG_INFINITY));
+                    w.roster(4, EndpointState::Ready, started);
                 }
                 let rate = self.rate(j) * if n >= STARTED { self.surge } else { 1.0 };
                 let turn = |n: usize| {
@@ -121,7 +122,7 @@
                         .iter()
                         .position(|s| s.ending.is_none())
                     {
-                        w.end(inv as u32, n, Ending::Ok);
+                        w.end(inv as u32, n, DispatchStatus::Ok);
                     }
                 }
             }
@@ -136,13 +137,14 @@
         let (cold, started) = self.play();
         let policy = self.policy(0);
         let used = |&from: &f64| {
-            let age = from + policy.fall - started;
-            let warmth = policy.cold_from + (1.0 - policy.cold_from) * age / policy.cold;
+            let age = from + policy.overload_window - started;
+            let warmth = policy.slow_start_initial_weight
+                + (1.0 - policy.slow_start_initial_weight) * age / policy.slow_start_duration;
             let carried = self.front_ends as f64 * self.rate / 4.0;
-            let budget = policy.overload_factor * warmth * carried * policy.fall;
+            let budget = policy.overload_factor * warmth * carried * policy.overload_window;
             let sum = cold
                 .iter()
-                .filter(|&&at| at >= from && at < from + policy.fall)
+                .filter(|&&at| at >= from && at < from + policy.overload_window)
                 .count() as f64;
             sum / (budget + 2.0 * budget.sqrt() + 2.0)
         };
@@ -186,7 +188,7 @@
         prop_assert!(
             used <= 1.0,
             "{used} of what it may get within {} s",
-            policy().fall
+            policy().overload_window
         );
         prop_assert!(left > 0 || count > 0, "the only one left is used");
         Ok(())
@@ -232,7 +234,7 @@
                 functions: 1,
                 ..CALM
             };
-            let largest_budget = 2.0 * rate / 4.0 * policy().fall;
+            let largest_budget = 2.0 * rate / 4.0 * policy().overload_window;
             assert!(largest_budget < 30.0);
             let (used, count) = fleet.used();
             assert!(
@@ -285,13 +287,13 @@
 fn one_that_started_anew_sends_a_cold_executor_nothing_within_the_span() {
     let mut w = World::new(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             front_ends: 1.0,
             ..policy()
         },
         1,
     );
-    w.roster(0, Standing::Ready, w.plain.now - 5.0);
+    w.roster(0, EndpointState::Ready, w.plain.now - 5.0);
     w.invoke(0, 1, 5.0);
     w.pass(1.0);
     assert_eq!(w.sent_to(0), 0);
@@ -307,7 +309,7 @@
     let to_cold = |shares: bool| {
         let mut w = World::new(
             PolicyConfig {
-                orders: false,
+                allows_load_commands: false,
                 ..policy()
             },
             2,
@@ -316,12 +318,13 @@
         let living = MembershipView {
             front_ends: 3.0,
             slot_count: 4.0,
-            index: 1.0,
-            shares,
+            front_end_index: 1.0,
+            has_budget_share: shares,
         };
-        w.dispatcher.living(w.plain.now, living, &mut w.plain);
-        w.roster(0, Standing::Gone, f64::NEG_INFINITY);
-        w.roster(1, Standing::Ready, w.plain.now);
+        w.dispatcher
+            .on_membership_change(w.plain.now, living, &mut w.plain);
+        w.roster(0, EndpointState::Gone, f64::NEG_INFINITY);
+        w.roster(1, EndpointState::Ready, w.plain.now);
         for n in 0..100 {
             w.invoke(0, n % 3, 0.5);
             w.pass(0.1);
--- a/crates/dispatch-policy/tests/config.rs
+++ b/crates/dispatch-policy/tests/config.rs
@@ -8,7 +8,7 @@
 
 fn trigger_type(objective: f64) -> TriggerType {
     TriggerType {
-        objective,
+        latency_objective: objective,
         ..policy().trigger_types[0].clone()
     }
 }
@@ -18,7 +18,7 @@
     let (mut w, x) = warm(policy(), 4);
     assert!(!w.dispatcher.has_trigger_type(3));
     let non_idempotent = TriggerType {
-        effect: Effect::NonIdempotent,
+        idempotency: Idempotency::NonIdempotent,
         ..trigger_type(1.0)
     };
     w.plain.policy.trigger_types.push(non_idempotent.clone());
@@ -31,7 +31,7 @@
     let inv = w.invoke(3, 1, 5.0);
     assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(inv, x)));
     // It is what it was said to be: nothing that may have run is repeated.
-    w.end(inv, 0, Ending::Error);
+    w.end(inv, 0, DispatchStatus::Error);
     assert_eq!(w.plain.said.last(), Some(&Said::Error(inv)));
 }
 
@@ -43,15 +43,15 @@
         w.dispatcher
             .set_trigger_type(w.plain.now, 0, policy().trigger_types[2].clone())
     };
-    assert_eq!(change(&mut w), Err(ConfigRefused::InUse { index: 0 }));
+    assert_eq!(change(&mut w), Err(ConfigError::InUse { index: 0 }));
     // What is withdrawn is cancelled, and in hand until that is confirmed.
     w.withdraw(inv);
-    assert_eq!(change(&mut w), Err(ConfigRefused::InUse { index: 0 }));
-    w.end(inv, 0, Ending::Cancelled);
+    assert_eq!(change(&mut w), Err(ConfigError::InUse { index: 0 }));
+    w.end(inv, 0, DispatchStatus::Cancelled);
     assert_eq!(change(&mut w), Ok(()));
     w.plain.policy.trigger_types[0] = policy().trigger_types[2].clone();
     let inv = w.invoke(0, 1, 5.0);
-    w.end(inv, 0, Ending::Error);
+    w.end(inv, 0, DispatchStatus::Error);
     assert_eq!(
         w.plain.said.last(),
         Some(&Said::Error(inv)),
@@ -66,21 +66,24 @@
     let mut set = |index, ty| w.dispatcher.set_trigger_type(now, index, ty);
     assert_eq!(
         set(5, trigger_type(1.0)),
-        Err(ConfigRefused::OutOfOrder { index: 5, next: 3 })
+        Err(ConfigError::OutOfOrder { index: 5, next: 3 })
     );
     for objective in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         assert_eq!(
             set(3, trigger_type(objective)),
-            Err(ConfigRefused::NoTime { index: 3 })
+            Err(ConfigError::InvalidTime { index: 3 })
         );
     }
     let no_timeout = TriggerType {
-        timeout: f64::NAN,
+        client_timeout: f64::NAN,
         ..trigger_type(1.0)
     };
-    assert_eq!(set(0, no_timeout), Err(ConfigRefused::NoTime { index: 0 }));
+    assert_eq!(
+        set(0, no_timeout),
+        Err(ConfigError::InvalidTime { index: 0 })
+    );
     assert!(!w.dispatcher.has_trigger_type(3));
-    let said = ConfigRefused::OutOfOrder { index: 5, next: 3 }.to_string();
+    let said = ConfigError::OutOfOrder { index: 5, next: 3 }.to_string();
     assert!(said.contains("the next one to append is 3"), "{said}");
 }
 
@@ -95,17 +98,17 @@
     struct Throttled(usize);
     impl Actions for Throttled {
         fn dispatch(&mut self, _: u32, _: ExecutorId, _: f64) {}
-        fn throttle(&mut self, _: u32, _: f64, past_share: bool) {
+        fn reject(&mut self, _: u32, _: f64, past_share: bool) {
             self.0 += usize::from(past_share);
         }
-        fn error(&mut self, _: u32) {}
+        fn fail(&mut self, _: u32) {}
         fn cancel(&mut self, _: u32, _: u8) {}
-        fn hold(&mut self, _: ExecutorId, _: u64, _: u8) {}
-        fn ask(&mut self, _: ExecutorId, _: u64) {}
+        fn load(&mut self, _: ExecutorId, _: u64, _: u8) {}
+        fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
         fn unload(&mut self, _: ExecutorId, _: u64) {}
-        fn probe(&mut self, _: ExecutorId) {}
-        fn wake(&mut self, _: f64, _: u64) {}
-        fn watch_roster(&mut self) {}
+        fn health_check(&mut self, _: ExecutorId) {}
+        fn set_timer(&mut self, _: f64, _: u64) {}
+        fn subscribe_to_endpoints(&mut self) {}
     }
     let mut throttled = Throttled::default();
     for id in 0..200 {
@@ -114,7 +117,7 @@
             customer,
             ..plain::invocation(now + 0.01)
         };
-        dispatcher.invocation(now, &inv, &mut throttled);
+        dispatcher.on_invocation(now, &inv, &mut throttled);
     }
     throttled.0
 }
@@ -155,7 +158,7 @@
     );
     for quota in [-1.0, f64::NAN, f64::INFINITY] {
         let set = w.dispatcher.set_quotas(100.0, vec![1.0, quota]);
-        assert_eq!(set, Err(ConfigRefused::NoQuota { customer: 1 }));
+        assert_eq!(set, Err(ConfigError::InvalidQuota { customer: 1 }));
     }
     assert_eq!(past_share(&mut w.dispatcher, 100.0, 0), 200 - 33);
 }
--- a/crates/dispatch-policy/tests/decision_trace/fleet.rs
+++ b/crates/dispatch-policy/tests/decision_trace/fleet.rs
@@ -2,7 +2,9 @@
 
 use crate::scenarios::Scenario;
 use crate::seeded::Seeded;
-use orchidtally_dispatch_policy::interface::{Ending, ExecutorId, Found, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{
+    CopyState, DispatchStatus, Endpoint, EndpointState, ExecutorId,
+};
 use std::collections::BTreeMap;
 
 /// Usual time of a load, in seconds.
@@ -16,12 +18,12 @@
 pub struct RunResult {
     pub is_answered: bool,
     pub delay: f64,
-    pub ending: Ending,
-    pub found: Found,
+    pub ending: DispatchStatus,
+    pub found: CopyState,
 }
 
 struct Executor {
-    row: RosterRow,
+    row: Endpoint,
     hangs: bool,
     is_slow: bool,
     /// Until when a copy of each function stays.
@@ -42,14 +44,14 @@
 impl Fleet {
     pub fn new(scenario: &Scenario, random: &mut Seeded, now: f64) -> Fleet {
         let executor = |number: usize| Executor {
-            row: RosterRow {
+            row: Endpoint {
                 executor: executor_id(number),
                 zone: (number % scenario.zones) as u8,
                 kind: (number / 2 % scenario.kinds) as u8,
                 cell: (number / 3) as u16,
-                standing: Standing::Ready,
+                state: EndpointState::Ready,
                 weight: 1.0 + (number % 3) as f64,
-                since: if random.chance(0.2) {
+                started_at: if random.chance(0.2) {
                     now - 12.0 * random.unit()
                 } else {
                     f64::NEG_INFINITY
@@ -67,32 +69,32 @@
     }
 
     /// Every executor that is not gone.
-    pub fn rows(&self) -> Vec<RosterRow> {
+    pub fn rows(&self) -> Vec<Endpoint> {
         let listed = self
             .executors
             .iter()
-            .filter(|executor| executor.row.standing != Standing::Gone);
+            .filter(|executor| executor.row.state != EndpointState::Gone);
         listed.map(|executor| executor.row.clone()).collect()
     }
 
     /// Changes an executor drawn at random; answers with what the list now tells of it.
-    pub fn change(&mut self, scenario: &Scenario, random: &mut Seeded, now: f64) -> RosterRow {
+    pub fn change(&mut self, scenario: &Scenario, random: &mut Seeded, now: f64) -> Endpoint {
         let number = random.below(self.executors.len());
         let executor = &mut self.executors[number];
-        executor.row.standing = match executor.row.standing {
-            Standing::Ready if random.chance(0.6) => Standing::Draining,
-            Standing::Ready => Standing::Gone,
-            Standing::Draining if random.chance(0.7) => Standing::Gone,
-            _ => Standing::Ready,
+        executor.row.state = match executor.row.state {
+            EndpointState::Ready if random.chance(0.6) => EndpointState::Draining,
+            EndpointState::Ready => EndpointState::Gone,
+            EndpointState::Draining if random.chance(0.7) => EndpointState::Gone,
+            _ => EndpointState::Ready,
         };
-        if executor.row.standing == Standing::Ready && random.chance(scenario.restarts) {
-            executor.row.since = now - random.unit();
+        if executor.row.state == EndpointState::Ready && random.chance(scenario.restarts) {
+            executor.row.started_at = now - random.unit();
             executor.copies.clear();
         }
         if random.chance(0.1) {
             executor.row.weight = 0.5 + 2.0 * random.unit();
         }
-        if executor.row.standing == Standing::Ready && random.chance(0.1) {
+        if executor.row.state == EndpointState::Ready && random.chance(0.1) {
             executor.row.cell += 1;
         }
         executor.row.clone()
@@ -139,16 +141,16 @@
             return RunResult {
                 is_answered: false,
                 delay: 0.0,
-                ending: Ending::TimedOut,
-                found: Found::Untold,
+                ending: DispatchStatus::TimedOut,
+                found: CopyState::Unknown,
             };
         }
-        if executor.row.standing == Standing::Gone {
+        if executor.row.state == EndpointState::Gone {
             return RunResult {
                 is_answered: true,
                 delay: 0.002,
-                ending: Ending::Reset,
-                found: Found::Untold,
+                ending: DispatchStatus::Reset,
+                found: CopyState::Unknown,
             };
         }
         if let Some((ending, found, delay)) = fault {
@@ -163,15 +165,15 @@
             .copies
             .insert(function, now + load + work + IDLE_TIME);
         let found = match (is_warm, random.below(3)) {
-            (_, 0) => Found::Untold,
-            (true, _) => Found::Warm,
-            (false, 1) => Found::Waited,
-            (false, _) => Found::Loaded,
+            (_, 0) => CopyState::Unknown,
+            (true, _) => CopyState::Warm,
+            (false, 1) => CopyState::JoinedLoad,
+            (false, _) => CopyState::ColdLoad,
         };
         RunResult {
             is_answered: true,
             delay: load + work,
-            ending: Ending::Ok,
+            ending: DispatchStatus::Ok,
             found,
         }
     }
@@ -184,33 +186,33 @@
         to: ExecutorId,
         function: u64,
         now: f64,
-    ) -> Ending {
+    ) -> DispatchStatus {
         let fault = fault(scenario.fault, random);
         let hangs_now = now >= self.hangs_from;
         let executor = self.get(to);
         if executor.hangs && hangs_now {
-            return Ending::TimedOut;
+            return DispatchStatus::TimedOut;
         }
-        if executor.row.standing == Standing::Gone {
-            return Ending::ConnectFailed;
+        if executor.row.state == EndpointState::Gone {
+            return DispatchStatus::ConnectFailed;
         }
         if let Some((ending, ..)) = fault {
             return ending;
         }
         executor.copies.insert(function, now + IDLE_TIME);
-        Ending::Ok
+        DispatchStatus::Ok
     }
 }
 
 /// A fault with its delay in seconds, each kind with the same probability.
-fn fault(probability: f64, random: &mut Seeded) -> Option<(Ending, Found, f64)> {
-    const FAULTS: [(Ending, Found, f64); 6] = [
-        (Ending::Error, Found::Untold, 0.05),
-        (Ending::Error, Found::LoadFailed, 0.4),
-        (Ending::Full, Found::Untold, 0.004),
-        (Ending::Reset, Found::Untold, 0.08),
-        (Ending::ConnectFailed, Found::Untold, 0.001),
-        (Ending::Miss, Found::Untold, 0.003),
+fn fault(probability: f64, random: &mut Seeded) -> Option<(DispatchStatus, CopyState, f64)> {
+    const FAULTS: [(DispatchStatus, CopyState, f64); 6] = [
+        (DispatchStatus::Error, CopyState::Unknown, 0.05),
+        (DispatchStatus::Error, CopyState::LoadFailed, 0.4),
+        (DispatchStatus::Full, CopyState::Unknown, 0.004),
+        (DispatchStatus::Reset, CopyState::Unknown, 0.08),
+        (DispatchStatus::ConnectFailed, CopyState::Unknown, 0.001),
+        (DispatchStatus::Miss, CopyState::Unknown, 0.003),
     ];
     let drawn = random.unit() / probability.max(1e-12);
     FAULTS.get(drawn as usize).copied()
--- a/crates/dispatch-policy/tests/decision_trace/play.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play.rs
@@ -54,8 +54,8 @@
     DispatchEnds {
         invocation: u32,
         dispatch: u8,
-        ending: Ending,
-        found: Found,
+        ending: DispatchStatus,
+        found: CopyState,
     },
     Withdrawal {
         invocation: u32,
@@ -130,8 +130,12 @@
 impl Play<'_> {
     fn begin(&mut self) {
         let rows = self.fleet.rows();
-        self.dispatcher
-            .roster(START, RosterKind::Full, &rows, &mut self.recorder);
+        self.dispatcher.on_endpoint_update(
+            START,
+            EndpointUpdateKind::Full,
+            &rows,
+            &mut self.recorder,
+        );
         let scenario = self.scenario;
         let streams = [
             (scenario.arrivals, Event::Arrival),
@@ -157,7 +161,7 @@
             self.happen(event);
             self.carry_out();
         }
-        let kept = self.dispatcher.kept();
+        let kept = self.dispatcher.table_sizes();
         self.recorder.note(20, kept.executors as u64);
         self.recorder.note(21, kept.functions as u64);
         self.recorder.note(22, kept.invocations as u64);
@@ -189,7 +193,7 @@
         let now = self.now();
         match event {
             Event::Arrival => self.arrive(),
-            Event::Timer => self.dispatcher.timer(now, 0, &mut self.recorder),
+            Event::Timer => self.dispatcher.on_timer(now, 0, &mut self.recorder),
             Event::Subscribed => self.tell_full_list(),
             Event::ListChange => self.change_list(),
             Event::Prewarm => self.prewarm(),
@@ -197,7 +201,9 @@
             Event::ViewReport => self.report_view(),
             Event::Stall => self.stall(),
             Event::Reconfiguration => self.reconfigure(),
-            Event::Shutdown => self.dispatcher.end_by(now, now + 1.5, &mut self.recorder),
+            Event::Shutdown => self
+                .dispatcher
+                .begin_shutdown(now, now + 1.5, &mut self.recorder),
             Event::BytesLeave {
                 invocation,
                 dispatch,
@@ -219,8 +225,12 @@
                         .get(&invocation)
                         .is_some_and(|open| !open.closed)
                 {
-                    self.dispatcher
-                        .streaming(now, invocation, dispatch, &mut self.recorder);
+                    self.dispatcher.on_response_started(
+                        now,
+                        invocation,
+                        dispatch,
+                        &mut self.recorder,
+                    );
                 }
             }
             Event::DispatchEnds {
@@ -249,14 +259,14 @@
             trigger_type: self.random.below(self.trigger_types),
             customer: self.random.below(self.customers),
             function,
-            repeat: self.random.chance(0.1),
-            moved: self.random.chance(0.02),
+            is_retry: self.random.chance(0.1),
+            is_migrated: self.random.chance(0.02),
             timeout_at: now + allowance,
-            work: self
+            expected_work: self
                 .random
                 .chance(0.5)
                 .then(|| 0.05 + 0.3 * self.random.unit()),
-            lanes: 1.0 + (function % 4) as f64,
+            concurrency: 1.0 + (function % 4) as f64,
             load_time: self.random.chance(0.8).then_some(LOAD_TIME),
         };
         let timeout_at = invocation.timeout_at;
@@ -270,7 +280,7 @@
             },
         );
         self.dispatcher
-            .invocation(now, &invocation, &mut self.recorder);
+            .on_invocation(now, &invocation, &mut self.recorder);
         if self.random.chance(self.scenario.withdrawals) {
             let delay = self.random.unit() * allowance;
             self.schedule(delay, Event::Withdrawal { invocation: id });
@@ -286,7 +296,7 @@
         if !open.closed {
             open.closed = true;
             self.dispatcher
-                .withdrawn(now, invocation, &mut self.recorder);
+                .on_client_cancel(now, invocation, &mut self.recorder);
         }
     }
 
@@ -317,7 +327,7 @@
                 dispatch,
             } => {
                 self.dropped.insert((invocation, dispatch));
-                let (ending, found) = (Ending::Cancelled, Found::Untold);
+                let (ending, found) = (DispatchStatus::Cancelled, CopyState::Unknown);
                 self.schedule(
                     0.001,
                     Event::DispatchEnds {
@@ -393,7 +403,7 @@
                 },
             );
         } else {
-            let (ending, found) = (Ending::TimedOut, Found::Untold);
+            let (ending, found) = (DispatchStatus::TimedOut, CopyState::Unknown);
             self.schedule(
                 time_out,
                 Event::DispatchEnds {
@@ -408,16 +418,32 @@
 
     fn bytes_leave(&mut self, invocation: u32, dispatch: u8) {
         let now = self.now();
-        let leaves = self.dispatcher.leaves(now, invocation, dispatch);
+        let leaves = self
+            .dispatcher
+            .revalidate_dispatch(now, invocation, dispatch);
         self.recorder.note(30, leaves.into());
         if !leaves && self.dropped.insert((invocation, dispatch)) {
-            self.end_dispatch(invocation, dispatch, Ending::NeverSent, Found::Untold);
+            self.end_dispatch(
+                invocation,
+                dispatch,
+                DispatchStatus::NeverSent,
+                CopyState::Unknown,
+            );
         }
     }
 
-    fn end_dispatch(&mut self, invocation: u32, dispatch: u8, ending: Ending, found: Found) {
+    fn end_dispatch(
+        &mut self,
+        invocation: u32,
+        dispatch: u8,
+        ending: DispatchStatus,
+        found: CopyState,
+    ) {
         let now = self.now();
-        let withheld = matches!(ending, Ending::Cancelled | Ending::NeverSent);
+        let withheld = matches!(
+            ending,
+            DispatchStatus::Cancelled | DispatchStatus::NeverSent
+        );
         if !withheld && self.dropped.contains(&(invocation, dispatch)) {
             return;
         }
@@ -431,7 +457,7 @@
             return;
         }
         let (executor, took) = (sent.to, now - sent.sent_at);
-        let is_success = ending == Ending::Ok;
+        let is_success = ending == DispatchStatus::Ok;
         if is_success && !open.closed && now <= open.timeout_at {
             self.succeeded += 1;
         }
@@ -444,29 +470,35 @@
         let has_report = self.random.chance(0.7);
         let report: &[f32] = if has_report { &report } else { &[] };
         let crowd = self.random.below(6) as u32;
-        let result = Outcome {
-            inv: invocation,
+        let result = DispatchResult {
+            invocation: invocation,
             dispatch,
             executor,
-            ending,
-            took,
-            closed,
-            found,
-            crowd,
-            report,
+            status: ending,
+            duration: took,
+            is_answered: closed,
+            copy_state: found,
+            function_concurrency: crowd,
+            load_report: report,
         };
-        self.dispatcher.outcome(now, &result, &mut self.recorder);
+        self.dispatcher
+            .on_dispatch_result(now, &result, &mut self.recorder);
     }
 
     fn load_leaves(&mut self, to: ExecutorId, function: u64, ordered_at: f64) {
         let now = self.now();
-        let leaves = self.dispatcher.order_leaves(now, to, ordered_at);
+        let leaves = self.dispatcher.revalidate_load(now, to, ordered_at);
         self.recorder.note(31, leaves.into());
         if leaves {
             self.schedule_load(to, function);
         } else {
-            self.dispatcher
-                .held(now, to, function, Ending::NeverSent, &mut self.recorder);
+            self.dispatcher.on_load_result(
+                now,
+                to,
+                function,
+                DispatchStatus::NeverSent,
+                &mut self.recorder,
+            );
         }
     }
 
@@ -481,6 +513,6 @@
             .fleet
             .load(self.scenario, &mut self.random, to, function, now);
         self.dispatcher
-            .held(now, to, function, ending, &mut self.recorder);
+            .on_load_result(now, to, function, ending, &mut self.recorder);
     }
 }
--- a/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
@@ -9,28 +9,48 @@
     pub(super) fn tell_full_list(&mut self) {
         let now = self.now();
         if self.random.chance(self.scenario.failed_lists) {
-            self.dispatcher
-                .roster(now, RosterKind::Failed, &[], &mut self.recorder);
+            self.dispatcher.on_endpoint_update(
+                now,
+                EndpointUpdateKind::Failed,
+                &[],
+                &mut self.recorder,
+            );
             return;
         }
         let rows = self.fleet.rows();
-        self.dispatcher
-            .roster(now, RosterKind::Full, &rows, &mut self.recorder);
+        self.dispatcher.on_endpoint_update(
+            now,
+            EndpointUpdateKind::Full,
+            &rows,
+            &mut self.recorder,
+        );
     }
 
     pub(super) fn change_list(&mut self) {
         let now = self.now();
         let row = self.fleet.change(self.scenario, &mut self.random, now);
         if self.random.chance(self.scenario.failed_lists) {
-            self.dispatcher
-                .roster(now, RosterKind::Failed, &[], &mut self.recorder);
+            self.dispatcher.on_endpoint_update(
+                now,
+                EndpointUpdateKind::Failed,
+                &[],
+                &mut self.recorder,
+            );
         } else if self.random.chance(self.scenario.full_lists) {
             let rows = self.fleet.rows();
-            self.dispatcher
-                .roster(now, RosterKind::Full, &rows, &mut self.recorder);
+            self.dispatcher.on_endpoint_update(
+                now,
+                EndpointUpdateKind::Full,
+                &rows,
+                &mut self.recorder,
+            );
         } else {
-            self.dispatcher
-                .roster(now, RosterKind::Delta, &[row], &mut self.recorder);
+            self.dispatcher.on_endpoint_update(
+                now,
+                EndpointUpdateKind::Delta,
+                &[row],
+                &mut self.recorder,
+            );
         }
         self.schedule_next(self.scenario.list_changes, Event::ListChange);
     }
@@ -40,13 +60,13 @@
         let function = self.random.skewed_below(self.scenario.functions) as u64 * 7_919 + 13;
         let load_time = self.random.chance(0.5).then_some(LOAD_TIME);
         let copies = self.random.below(4);
-        let wish = Ahead {
+        let wish = PrewarmRequest {
             function,
-            lanes: 2.0,
+            concurrency: 2.0,
             load_time,
-            copies,
+            replicas: copies,
         };
-        let warm = self.dispatcher.ahead(now, &wish, &mut self.recorder);
+        let warm = self.dispatcher.prewarm(now, &wish, &mut self.recorder);
         self.recorder.note(32, warm as u64);
         self.schedule_next(self.scenario.prewarms, Event::Prewarm);
     }
@@ -57,10 +77,11 @@
         let view = MembershipView {
             front_ends: 1.0 + self.random.below(6) as f64,
             slot_count,
-            index: self.random.below(slot_count as usize) as f64,
-            shares: self.random.chance(0.8),
+            front_end_index: self.random.below(slot_count as usize) as f64,
+            has_budget_share: self.random.chance(0.8),
         };
-        self.dispatcher.living(now, view, &mut self.recorder);
+        self.dispatcher
+            .on_membership_change(now, view, &mut self.recorder);
         self.schedule_next(self.scenario.membership_changes, Event::MembershipChange);
     }
 
@@ -68,10 +89,10 @@
         let now = self.now();
         let asked_at = now - 0.3 * self.random.unit();
         if self.random.chance(0.25) {
-            self.dispatcher.view_lost(now, asked_at);
+            self.dispatcher.on_view_lost(now, asked_at);
         } else {
             self.dispatcher
-                .view_confirmed(now, asked_at, &mut self.recorder);
+                .on_view_confirmed(now, asked_at, &mut self.recorder);
         }
         self.schedule_next(self.scenario.view_reports, Event::ViewReport);
     }
@@ -90,7 +111,7 @@
                 .extend(event.map(|event| ((resumed_at.to_bits(), key.1), event)));
         }
         self.recorder.now = resumed_at;
-        self.dispatcher.stood_still(resumed_at);
+        self.dispatcher.on_process_stall(resumed_at);
         self.schedule_next(self.scenario.stalls, Event::Stall);
     }
 
@@ -111,7 +132,7 @@
     fn change_trigger_type(&mut self, now: f64) -> bool {
         let mut types = base_policy().trigger_types;
         let mut changed = types.swap_remove(self.random.below(types.len()));
-        changed.objective = 0.3 + self.random.unit();
+        changed.latency_objective = 0.3 + self.random.unit();
         let index = self.random.below(self.trigger_types + 2);
         let accepted = self
             .dispatcher
--- a/crates/dispatch-policy/tests/decision_trace/recorder.rs
+++ b/crates/dispatch-policy/tests/decision_trace/recorder.rs
@@ -107,7 +107,7 @@
         });
     }
 
-    fn throttle(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+    fn reject(&mut self, inv: u32, retry_after: f64, past_share: bool) {
         self.begin(2);
         self.note(0, inv.into());
         self.note(u8::from(past_share), retry_after.to_bits());
@@ -115,7 +115,7 @@
         self.pending.push(Pending::Final { invocation: inv });
     }
 
-    fn error(&mut self, inv: u32) {
+    fn fail(&mut self, inv: u32) {
         self.begin(3);
         self.note(0, inv.into());
         self.counts.errors += 1;
@@ -132,7 +132,7 @@
         });
     }
 
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.begin(5);
         self.note_executor(to);
         self.note(copies, function);
@@ -140,7 +140,7 @@
         self.pending.push(Pending::Load { to, function });
     }
 
-    fn ask(&mut self, to: ExecutorId, function: u64) {
+    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
         self.begin(6);
         self.note_executor(to);
         self.note(0, function);
@@ -152,12 +152,12 @@
         self.note(0, function);
     }
 
-    fn probe(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, to: ExecutorId) {
         self.begin(8);
         self.note_executor(to);
     }
 
-    fn wake(&mut self, delay: f64, mark: u64) {
+    fn set_timer(&mut self, delay: f64, mark: u64) {
         self.begin(9);
         self.note(0, delay.to_bits());
         self.note(0, mark);
@@ -165,7 +165,7 @@
         self.pending.push(Pending::Wake { delay });
     }
 
-    fn watch_roster(&mut self) {
+    fn subscribe_to_endpoints(&mut self) {
         self.begin(10);
         self.counts.subscriptions += 1;
         self.pending.push(Pending::Subscribe);
--- a/crates/dispatch-policy/tests/decision_trace/scenarios.rs
+++ b/crates/dispatch-policy/tests/decision_trace/scenarios.rs
@@ -1,6 +1,8 @@
 //! What is played: settings, the fleet, and how often each kind of thing happens.
 
-use orchidtally_dispatch_policy::interface::{Effect, Group, PolicyConfig, TriggerType};
+use orchidtally_dispatch_policy::interface::{
+    DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
+};
 
 /// A play. Rates are events a second, probabilities are from 0 to 1, times are seconds.
 #[derive(Clone, Copy)]
@@ -66,16 +68,16 @@
     policy: |_| {},
 };
 
-fn trigger_type(effect: Effect, group: Group) -> TriggerType {
+fn trigger_type(effect: Idempotency, group: DeduplicationScope) -> TriggerType {
     TriggerType {
-        objective: 1.0,
-        stretch: 0.5,
-        timeout: 5.0,
+        latency_objective: 1.0,
+        objective_work_factor: 0.5,
+        client_timeout: 5.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect,
-        group,
-        window: 2.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 2.0,
     }
 }
 
@@ -83,42 +85,42 @@
 pub fn base_policy() -> PolicyConfig {
     PolicyConfig {
         trigger_types: vec![
-            trigger_type(Effect::Idempotent, Group::All),
-            trigger_type(Effect::Tokened, Group::Cell),
-            trigger_type(Effect::NonIdempotent, Group::All),
-            trigger_type(Effect::Tokened, Group::Zone),
-            trigger_type(Effect::Tokened, Group::All),
+            trigger_type(Idempotency::Idempotent, DeduplicationScope::All),
+            trigger_type(Idempotency::Keyed, DeduplicationScope::Cell),
+            trigger_type(Idempotency::NonIdempotent, DeduplicationScope::All),
+            trigger_type(Idempotency::Keyed, DeduplicationScope::Zone),
+            trigger_type(Idempotency::Keyed, DeduplicationScope::All),
         ],
         quotas: vec![],
-        over_share_value: 0.1,
-        value_by_work: false,
+        over_quota_value_factor: 0.1,
+        bills_by_work: false,
         front_ends: 3.0,
-        index: 1.0,
+        front_end_index: 1.0,
         zone: 0,
-        crossing: 0.02,
-        regions: vec![],
-        tick: 0.002,
+        cross_zone_cost: 0.02,
+        zone_regions: vec![],
+        clock_tick: 0.002,
         max_dispatches: 4,
-        second_copies: false,
-        cancel: true,
+        allows_hedging: false,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        roster_asked: false,
-        cold: 10.0,
-        cold_from: 0.2,
+        polls_endpoints: false,
+        slow_start_duration: 10.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
+        overload_window: 1.0,
         drain_grace: 1.0,
-        skew: 0.01,
-        orders: true,
-        order_price: 0.0,
-        answers_miss: false,
-        tells_crowd: false,
+        max_clock_skew: 0.01,
+        allows_load_commands: true,
+        load_command_cost: 0.0,
+        rejects_unloaded: false,
+        reports_concurrency: false,
         keep_alive: 8.0,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: None,
-        loads_field: None,
+        pending_loads_field: None,
     }
 }
 
@@ -146,7 +148,7 @@
         arrivals: 80.0,
         slow: 0.1,
         fault: 0.01,
-        policy: |p| p.second_copies = true,
+        policy: |p| p.allows_hedging = true,
         ..BASE
     },
     Scenario {
@@ -154,7 +156,7 @@
         seed: 5,
         hangs: 0.2,
         fault: 0.02,
-        policy: |p| p.cancel = false,
+        policy: |p| p.allows_cancellation = false,
         ..BASE
     },
     Scenario {
@@ -163,7 +165,7 @@
         arrivals: 120.0,
         policy: |p| {
             p.quotas = vec![30.0, 10.0, 300.0];
-            p.value_by_work = true;
+            p.bills_by_work = true;
             p.trigger_types[2].billed_value = 5.0;
         },
         ..BASE
@@ -193,7 +195,7 @@
         full_lists: 0.5,
         failed_lists: 0.3,
         restarts: 0.2,
-        policy: |p| p.roster_asked = true,
+        policy: |p| p.polls_endpoints = true,
         ..BASE
     },
     Scenario {
@@ -209,8 +211,12 @@
         prewarms: 4.0,
         functions: 200,
         policy: |p| {
-            (p.ration_floor, p.ration_share, p.order_price) = (1.0, 0.05, 0.01);
-            p.answers_miss = true;
+            (
+                p.load_budget_floor,
+                p.load_budget_fraction,
+                p.load_command_cost,
+            ) = (1.0, 0.05, 0.01);
+            p.rejects_unloaded = true;
         },
         ..BASE
     },
@@ -219,14 +225,14 @@
         seed: 12,
         functions: 100,
         fault: 0.01,
-        policy: |p| (p.order_price, p.tells_crowd) = (0.5, true),
+        policy: |p| (p.load_command_cost, p.reports_concurrency) = (0.5, true),
         ..BASE
     },
     Scenario {
         name: "no load commands",
         seed: 13,
         functions: 60,
-        policy: |p| p.orders = false,
+        policy: |p| p.allows_load_commands = false,
         ..BASE
     },
     Scenario {
@@ -278,7 +284,7 @@
         executors: 32,
         list_changes: 1.0,
         fault: 0.01,
-        policy: |p| p.regions = vec![Some(0), Some(0), Some(1)],
+        policy: |p| p.zone_regions = vec![Some(0), Some(0), Some(1)],
         ..BASE
     },
     Scenario {
@@ -299,7 +305,9 @@
         duration: 25.0,
         slow: 0.05,
         fault: 0.005,
-        policy: |p| (p.backlog_field, p.loads_field, p.front_ends) = (Some(0), Some(1), 40.0),
+        policy: |p| {
+            (p.backlog_field, p.pending_loads_field, p.front_ends) = (Some(0), Some(1), 40.0)
+        },
         ..BASE
     },
     Scenario {
@@ -329,9 +337,13 @@
         shutdown_at: 57.0,
         policy: |p| {
             p.quotas = vec![60.0, 60.0, 30.0];
-            p.second_copies = true;
-            (p.backlog_field, p.loads_field, p.tells_crowd) = (Some(1), Some(0), true);
-            p.regions = vec![Some(0), Some(1)];
+            p.allows_hedging = true;
+            (
+                p.backlog_field,
+                p.pending_loads_field,
+                p.reports_concurrency,
+            ) = (Some(1), Some(0), true);
+            p.zone_regions = vec![Some(0), Some(1)];
         },
     },
 ];
--- a/crates/dispatch-policy/tests/indices.rs
+++ b/crates/dispatch-policy/tests/indices.rs
@@ -12,16 +12,16 @@
 const JUDGED_FOR: f64 = 5.0;
 const REPORT_TIME: f64 = 10.0;
 
-fn row(x: usize, zone: usize, standing: Standing, weight: f64) -> RosterRow {
+fn row(x: usize, zone: usize, standing: EndpointState, weight: f64) -> Endpoint {
     let address = std::net::Ipv4Addr::from(0x0a00_0000 + 7 * x as u32);
-    RosterRow {
+    Endpoint {
         executor: ExecutorId(address.into(), 7000),
         zone: zone as u8,
         kind: (x % 2) as u8,
         cell: (x / 5) as u16,
-        standing,
+        state: standing,
         weight,
-        since: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
     }
 }
 
@@ -60,8 +60,8 @@
 impl World {
     fn new(weights: &[f64]) -> World {
         let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-        let rows: Vec<RosterRow> = (0..EXECUTORS)
-            .map(|x| row(x, x % 3, Standing::Ready, weights[x % weights.len()]))
+        let rows: Vec<Endpoint> = (0..EXECUTORS)
+            .map(|x| row(x, x % 3, EndpointState::Ready, weights[x % weights.len()]))
             .collect();
         fleet.list(100.0, true, &rows);
         let rankings = [3, 0x9e37_79b9_7f4a_7c15]
@@ -90,7 +90,7 @@
         self.known_by_scan.retain(|k| !forgotten(k));
     }
 
-    fn list(&mut self, full: bool, rows: &[RosterRow]) {
+    fn list(&mut self, full: bool, rows: &[Endpoint]) {
         for x in self.fleet.list(self.now, full, rows) {
             self.fleet.forget(x);
             self.forget(|k| k.0 == x);
@@ -103,17 +103,17 @@
         match what {
             0 => {
                 let standing = [
-                    Standing::Ready,
-                    Standing::Draining,
-                    Standing::Gone,
-                    Standing::Ready,
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Gone,
+                    EndpointState::Ready,
                 ][b % 4];
                 self.list(false, &[row(a % EXECUTORS, b % 3, standing, weight)]);
             }
             1 if b.is_multiple_of(8) => {
                 let rows = (0..EXECUTORS).filter(|x| (x + a) % 11 != 0);
-                let rows: Vec<RosterRow> = rows
-                    .map(|x| row(x, x % 3, Standing::Ready, weight))
+                let rows: Vec<Endpoint> = rows
+                    .map(|x| row(x, x % 3, EndpointState::Ready, weight))
                     .collect();
                 self.list(true, &rows);
             }
@@ -158,8 +158,12 @@
         }
         let ready: Vec<usize> = fleet.all().filter(|&x| fleet.ready[x]).collect();
         prop_assert_eq!(fleet.ready_count, ready.len());
-        prop_assert_eq!(fleet.ready_in(Group::Cell, None), &ready[..]);
-        for group in [Group::All, Group::Zone, Group::Cell] {
+        prop_assert_eq!(fleet.ready_in(DeduplicationScope::Cell, None), &ready[..]);
+        for group in [
+            DeduplicationScope::All,
+            DeduplicationScope::Zone,
+            DeduplicationScope::Cell,
+        ] {
             let x = (self.now * 100.0) as usize % fleet.ids.len();
             let peers: Vec<usize> = ready
                 .iter()
@@ -259,8 +263,8 @@
     for (mean, busy_part) in [(0.0, 0), (0.0, 3), (0.2, 0), (0.2, 3), (0.2, 50)] {
         let looked_at = |executors: usize| {
             let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-            let rows: Vec<RosterRow> = (0..executors)
-                .map(|x| row(x, 0, Standing::Ready, 1.0))
+            let rows: Vec<Endpoint> = (0..executors)
+                .map(|x| row(x, 0, EndpointState::Ready, 1.0))
                 .collect();
             fleet.list(100.0, true, &rows);
             let mut known = KnownSet::default();
--- a/crates/dispatch-policy/tests/leaving.rs
+++ b/crates/dispatch-policy/tests/leaving.rs
@@ -7,12 +7,13 @@
 use plain::{Said, World, id, policy};
 
 fn leaves(w: &mut World, inv: u32, dispatch: u8) -> bool {
-    w.dispatcher.leaves(w.plain.now, inv, dispatch)
+    w.dispatcher.revalidate_dispatch(w.plain.now, inv, dispatch)
 }
 
 /// Whether an order that is given now may leave now.
 fn order_leaves(w: &mut World, x: usize) -> bool {
-    w.dispatcher.order_leaves(w.plain.now, id(x), w.plain.now)
+    w.dispatcher
+        .revalidate_load(w.plain.now, id(x), w.plain.now)
 }
 
 /// One dispatch that is out, and where.
@@ -25,7 +26,7 @@
 
 #[test]
 fn nothing_leaves_for_an_executor_that_was_told_draining_or_gone_meanwhile() {
-    for standing in [Standing::Draining, Standing::Gone] {
+    for standing in [EndpointState::Draining, EndpointState::Gone] {
         let (mut w, inv, x) = out(policy());
         assert!(leaves(&mut w, inv, 0) && order_leaves(&mut w, x));
         w.roster(x, standing, f64::NEG_INFINITY);
@@ -47,7 +48,7 @@
     assert!(leaves(&mut w, inv, 0), "the first has no window");
     w.pass(1.5);
     assert!(leaves(&mut w, inv, 0));
-    w.end(inv, 0, Ending::Error);
+    w.end(inv, 0, DispatchStatus::Error);
     assert_eq!(
         w.plain.taken[inv as usize].sent.len(),
         2,
@@ -71,7 +72,7 @@
     w.withdraw(inv);
     assert!(!leaves(&mut w, inv, 0) && !leaves(&mut w, 999, 0));
     let (mut w, inv, _) = out(policy());
-    w.end(inv, 0, Ending::Ok);
+    w.end(inv, 0, DispatchStatus::Ok);
     assert!(!leaves(&mut w, inv, 0));
 }
 
@@ -81,7 +82,7 @@
 fn what_leaves_late_counts_at_a_cold_executor_when_it_leaves() {
     let (mut w, x) = warm(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             front_ends: 1.0,
             ..policy()
         },
@@ -91,7 +92,7 @@
     let first = w.invoke(0, 1, 4.0);
     assert_eq!(w.plain.taken[first as usize].sent.len(), 1);
     w.pass(2.0);
-    w.roster(x, Standing::Ready, w.plain.now);
+    w.roster(x, EndpointState::Ready, w.plain.now);
     assert!(leaves(&mut w, first, 0), "its turn of one");
     let second = w.invoke(0, 2, 4.0);
     w.pass(0.5);
@@ -108,17 +109,20 @@
         let inv = w.invoke(0, 1, 5.0);
         let sent = !w.plain.taken[inv as usize].sent.is_empty();
         if sent {
-            w.end(inv, 0, Ending::Full);
+            w.end(inv, 0, DispatchStatus::Full);
         }
         w.withdraw(inv);
         w.pass(pause);
         sent
     };
-    let list = |w: &mut World, kind| w.dispatcher.roster(w.plain.now, kind, &[], &mut w.plain);
+    let list = |w: &mut World, kind| {
+        w.dispatcher
+            .on_endpoint_update(w.plain.now, kind, &[], &mut w.plain)
+    };
     let pauses = [0.15, 0.25, 0.45, 0.85];
     let (mut w, x) = warm(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         1,
@@ -127,22 +131,22 @@
         pauses.into_iter().all(|pause| turn_away(&mut w, pause)),
         "with a list it is asked again"
     );
-    list(&mut w, RosterKind::Failed);
+    list(&mut w, EndpointUpdateKind::Failed);
     assert!(!turn_away(&mut w, 0.1) && !order_leaves(&mut w, x));
-    list(&mut w, RosterKind::Delta);
+    list(&mut w, EndpointUpdateKind::Delta);
     assert!(order_leaves(&mut w, x) && turn_away(&mut w, 0.1));
     // One that serves in between is crowded, not draining.
     let (mut w, x) = warm(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         1,
     );
-    list(&mut w, RosterKind::Failed);
+    list(&mut w, EndpointUpdateKind::Failed);
     assert!(pauses[..3].iter().all(|&pause| turn_away(&mut w, pause)));
     let inv = w.invoke(0, 1, 5.0);
-    w.end(inv, 0, Ending::Ok);
+    w.end(inv, 0, DispatchStatus::Ok);
     assert!(pauses[..3].iter().all(|&pause| turn_away(&mut w, pause)) && order_leaves(&mut w, x));
 }
 
@@ -151,8 +155,8 @@
 fn an_order_counts_against_the_ration_when_it_leaves() {
     let mut w = World::new(
         PolicyConfig {
-            ration_floor: 1.0,
-            ration_share: 0.0,
+            load_budget_floor: 1.0,
+            load_budget_fraction: 0.0,
             ..policy()
         },
         4,
@@ -160,7 +164,7 @@
     w.invoke(0, 1, 4.0);
     let (given, x, ..) = w.plain.holds[0];
     w.pass(0.3);
-    assert!(w.dispatcher.order_leaves(w.plain.now, id(x), given));
+    assert!(w.dispatcher.revalidate_load(w.plain.now, id(x), given));
     w.pass(4.8);
     w.invoke(0, 2, 4.0);
     assert_eq!(w.plain.holds.len(), 1, "within 5 s of its leaving");
@@ -168,5 +172,5 @@
     w.invoke(0, 3, 4.0);
     assert_eq!(w.plain.holds.len(), 2, "and not after that");
     // Another that waited for a connection meanwhile finds nothing left.
-    assert!(!w.dispatcher.order_leaves(w.plain.now, id(x), given));
+    assert!(!w.dispatcher.revalidate_load(w.plain.now, id(x), given));
 }
--- a/crates/dispatch-policy/tests/many.rs
+++ b/crates/dispatch-policy/tests/many.rs
@@ -20,21 +20,21 @@
     fn dispatch(&mut self, inv: u32, to: ExecutorId, _: f64) {
         self.sent.push((inv, to));
     }
-    fn throttle(&mut self, _: u32, _: f64, _: bool) {
+    fn reject(&mut self, _: u32, _: f64, _: bool) {
         self.given_up += 1;
     }
-    fn error(&mut self, _: u32) {
+    fn fail(&mut self, _: u32) {
         self.given_up += 1;
     }
     fn cancel(&mut self, _: u32, _: u8) {}
-    fn hold(&mut self, _: ExecutorId, _: u64, _: u8) {}
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn load(&mut self, _: ExecutorId, _: u64, _: u8) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn wake(&mut self, delay: f64, _: u64) {
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn set_timer(&mut self, delay: f64, _: u64) {
         self.wake_at = self.now + delay;
     }
-    fn watch_roster(&mut self) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// Found with 300 front ends: a small difference in what each had out parted them over both executors drawn,
@@ -46,16 +46,16 @@
         let mut w = World::new(
             PolicyConfig {
                 front_ends: 300.0,
-                ration_floor: 9.0,
-                loads_field: Some(0),
+                load_budget_floor: 9.0,
+                pending_loads_field: Some(0),
                 ..policy()
             },
             6,
         );
         w.report = vec![told.get()];
         let inv = w.invoke(0, 1, 5.0);
-        w.load_all(Ending::Ok);
-        w.end(inv, 0, Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
+        w.end(inv, 0, DispatchStatus::Ok);
         w
     };
     let drawn = |mut w: World| {
@@ -70,7 +70,7 @@
         let elsewhere = |other: &u64| {
             let mut w = many();
             w.invoke(0, *other, 5.0);
-            w.load_all(Ending::Ok);
+            w.load_all(DispatchStatus::Ok);
             drawn(w).0 != first
         };
         (100..160).filter(elsewhere).count()
@@ -102,7 +102,7 @@
                 .iter()
                 .position(|s| s.ending.is_none())
             {
-                w.end(inv as u32, n, Ending::Ok);
+                w.end(inv as u32, n, DispatchStatus::Ok);
             }
         }
         w.pass(0.3);
@@ -123,7 +123,7 @@
         w.plain.taken[inv as usize].closed_at.is_none(),
         "its placement is waited for"
     );
-    w.load_all(Ending::Full);
+    w.load_all(DispatchStatus::Full);
     w.pass(0.05);
     assert!(w.plain.taken[inv as usize].closed_at.is_some());
 }
@@ -135,7 +135,7 @@
     let (mut w, _) = warm(
         PolicyConfig {
             front_ends: 300.0,
-            tells_crowd: true,
+            reports_concurrency: true,
             ..policy()
         },
         36,
@@ -149,7 +149,7 @@
                 .iter()
                 .filter(|&&inv| !w.plain.taken[inv as usize].sent.is_empty())
                 .count();
-            w.load_all(Ending::Ok);
+            w.load_all(DispatchStatus::Ok);
             w.pass(0.2);
             for inv in 0..w.plain.taken.len() {
                 if let Some(n) = w.plain.taken[inv]
@@ -157,7 +157,7 @@
                     .iter()
                     .position(|s| s.ending.is_none())
                 {
-                    w.end(inv as u32, n, Ending::Ok);
+                    w.end(inv as u32, n, DispatchStatus::Ok);
                 }
             }
         }
@@ -178,8 +178,8 @@
     let placed = |order_price: f64, answers_miss: bool| {
         let mut w = World::new(
             PolicyConfig {
-                order_price,
-                answers_miss,
+                load_command_cost: order_price,
+                rejects_unloaded: answers_miss,
                 ..policy()
             },
             6,
@@ -200,7 +200,7 @@
     let mut heard = Heard::default();
     let mut dispatcher = Dispatcher::new(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         7,
@@ -211,33 +211,33 @@
     for round in 0..rounds {
         let now = 100.0 + step * f64::from(round);
         let executor = |n| ExecutorId(std::net::Ipv4Addr::from(0x0b00_0000 + n).into(), 7000);
-        let row = |n| RosterRow {
+        let row = |n| Endpoint {
             executor: executor(executors * round + n),
             ..plain::row(0)
         };
-        let rows: Vec<RosterRow> = (0..executors).map(row).collect();
-        dispatcher.roster(now, RosterKind::Full, &rows, &mut heard);
+        let rows: Vec<Endpoint> = (0..executors).map(row).collect();
+        dispatcher.on_endpoint_update(now, EndpointUpdateKind::Full, &rows, &mut heard);
         for id in invocations * round..invocations * (round + 1) {
             let inv = Invocation {
                 id,
                 function: u64::from(id),
                 ..plain::invocation(now + 1.0)
             };
-            dispatcher.invocation(now, &inv, &mut heard);
+            dispatcher.on_invocation(now, &inv, &mut heard);
         }
         for (inv, executor) in std::mem::take(&mut heard.sent) {
-            dispatcher.outcome(
+            dispatcher.on_dispatch_result(
                 now,
-                &Outcome {
-                    inv,
+                &DispatchResult {
+                    invocation: inv,
                     executor,
                     ..plain::succeeded()
                 },
                 &mut heard,
             );
         }
-        (1..=20).for_each(|n| dispatcher.timer(now + f64::from(n) / 20.0 * step, 0, &mut heard));
-        let kept = dispatcher.kept();
+        (1..=20).for_each(|n| dispatcher.on_timer(now + f64::from(n) / 20.0 * step, 0, &mut heard));
+        let kept = dispatcher.table_sizes();
         (0..3).for_each(|n| {
             most[n] = most[n].max([kept.executors, kept.functions, kept.invocations][n])
         });
@@ -264,14 +264,14 @@
 fn an_id_that_was_taken_over_stands_for_the_group_it_was_in() {
     let mut w = World::new(
         PolicyConfig {
-            ration_window: 0.0,
+            load_budget_window: 0.0,
             ..policy()
         },
         2,
     );
     for _ in 0..2 {
         w.ahead(1, 2);
-        w.load_all(Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
     }
     let (inv, other) = (w.invoke(1, 1, 5.0), w.invoke(0, 1, 5.0));
     let at = |w: &World, inv: u32| {
@@ -284,8 +284,8 @@
     let (first, second) = (at(&w, inv)[0], at(&w, other)[0]);
     assert_ne!(first, second, "each executor has one of them");
     w.plain.fleet[first].cell = 9;
-    w.roster(first, Standing::Ready, f64::NEG_INFINITY);
-    w.end(inv, 0, Ending::Error);
+    w.roster(first, EndpointState::Ready, f64::NEG_INFINITY);
+    w.end(inv, 0, DispatchStatus::Error);
     assert_eq!(
         at(&w, inv),
         [first, second],
@@ -299,11 +299,11 @@
     const FUNCTIONS: f64 = 20.0;
     let part = |j: u32| PolicyConfig {
         front_ends: front_ends.into(),
-        index: j.into(),
-        orders: false,
+        front_end_index: j.into(),
+        allows_load_commands: false,
         ..policy()
     };
-    let rows: Vec<RosterRow> = (0..36).map(plain::row).collect();
+    let rows: Vec<Endpoint> = (0..36).map(plain::row).collect();
     let mut all: Vec<(Dispatcher, Heard, u32)> = vec![];
     for j in 0..front_ends {
         let mut heard = Heard {
@@ -311,7 +311,7 @@
             ..Heard::default()
         };
         let mut dispatcher = Dispatcher::new(part(j), j.into(), 100.0, &mut heard);
-        dispatcher.roster(100.0, RosterKind::Full, &rows, &mut heard);
+        dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut heard);
         all.push((dispatcher, heard, 0));
     }
     let mut random = orchidtally_dispatch_policy::random::SeededRandom::new(5);
@@ -327,7 +327,7 @@
             let function = FUNCTIONS.powf(random.unit()) as u64;
             let (inv, load_time) = (plain::invocation(now + 5.0), Some(1.0));
             heard.now = now;
-            dispatcher.invocation(
+            dispatcher.on_invocation(
                 now,
                 &Invocation {
                     id: *next,
@@ -343,20 +343,20 @@
         }
         let ends = out.extract_if(
             ..,
-            |o: &mut (f64, usize, u32, u8, ExecutorId, f64, Found)| o.0 <= now,
+            |o: &mut (f64, usize, u32, u8, ExecutorId, f64, CopyState)| o.0 <= now,
         );
         for (_, j, inv, dispatch, executor, took, found) in ends.collect::<Vec<_>>() {
             let (dispatcher, heard, _) = &mut all[j];
             heard.now = now;
-            let o = Outcome {
-                inv,
+            let o = DispatchResult {
+                invocation: inv,
                 dispatch,
                 executor,
-                took,
-                found,
+                duration: took,
+                copy_state: found,
                 ..plain::succeeded()
             };
-            dispatcher.outcome(now, &o, heard);
+            dispatcher.on_dispatch_result(now, &o, heard);
             let at = functions[j][inv as usize].1;
             in_time += u32::from(at >= 110.0 && now - at <= 1.0);
             touched.push(j);
@@ -364,7 +364,7 @@
         for (j, (dispatcher, heard, _)) in all.iter_mut().enumerate() {
             if heard.wake_at > 0.0 && heard.wake_at <= now {
                 (heard.now, heard.wake_at) = (now, 0.0);
-                dispatcher.timer(now, 0, heard);
+                dispatcher.on_timer(now, 0, heard);
                 touched.push(j);
             }
         }
@@ -373,11 +373,15 @@
                 let (function, _, sent) = &mut functions[j][inv as usize];
                 let stands_at = *copies.entry((executor, *function)).or_insert(now + 1.0);
                 let found = if stands_at == now + 1.0 {
-                    Found::Loaded
+                    CopyState::ColdLoad
                 } else {
-                    Found::Waited
+                    CopyState::JoinedLoad
+                };
+                let found = if stands_at <= now {
+                    CopyState::Warm
+                } else {
+                    found
                 };
-                let found = if stands_at <= now { Found::Warm } else { found };
                 let took = (stands_at - now).max(0.0) + 0.25;
                 out.push((now + took, j, inv, *sent, executor, took, found));
                 *sent += 1;
--- a/crates/dispatch-policy/tests/plain/given.rs
+++ b/crates/dispatch-policy/tests/plain/given.rs
@@ -14,15 +14,15 @@
 }
 
 /// One that has stood for long.
-pub fn row(x: usize) -> RosterRow {
-    RosterRow {
+pub fn row(x: usize) -> Endpoint {
+    Endpoint {
         executor: id(x),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        since: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
     }
 }
 
@@ -33,75 +33,75 @@
         trigger_type: 0,
         customer: 0,
         function: 0,
-        repeat: false,
-        moved: false,
+        is_retry: false,
+        is_migrated: false,
         timeout_at,
-        work: None,
-        lanes: 2.0,
+        expected_work: None,
+        concurrency: 2.0,
         load_time: Some(1.0),
     }
 }
 
-pub fn succeeded() -> Outcome<'static> {
-    Outcome {
-        inv: 0,
+pub fn succeeded() -> DispatchResult<'static> {
+    DispatchResult {
+        invocation: 0,
         dispatch: 0,
         executor: id(0),
-        ending: Ending::Ok,
-        took: 0.25,
-        closed: true,
-        found: Found::Untold,
-        crowd: 0,
-        report: &[],
+        status: DispatchStatus::Ok,
+        duration: 0.25,
+        is_answered: true,
+        copy_state: CopyState::Unknown,
+        function_concurrency: 0,
+        load_report: &[],
     }
 }
 
 pub fn policy() -> PolicyConfig {
     let ty = |effect, group| TriggerType {
-        objective: 1.0,
-        stretch: 0.0,
-        timeout: 5.0,
+        latency_objective: 1.0,
+        objective_work_factor: 0.0,
+        client_timeout: 5.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect,
-        group,
-        window: 2.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 2.0,
     };
     PolicyConfig {
         trigger_types: vec![
-            ty(Effect::Idempotent, Group::All),
-            ty(Effect::Tokened, Group::Cell),
-            ty(Effect::NonIdempotent, Group::All),
+            ty(Idempotency::Idempotent, DeduplicationScope::All),
+            ty(Idempotency::Keyed, DeduplicationScope::Cell),
+            ty(Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         quotas: vec![],
-        over_share_value: 0.1,
-        value_by_work: false,
+        over_quota_value_factor: 0.1,
+        bills_by_work: false,
         front_ends: 3.0,
-        index: 0.0,
+        front_end_index: 0.0,
         zone: 0,
-        crossing: 0.02,
-        regions: vec![],
-        tick: 0.002,
+        cross_zone_cost: 0.02,
+        zone_regions: vec![],
+        clock_tick: 0.002,
         max_dispatches: 4,
-        second_copies: false,
-        cancel: true,
+        allows_hedging: false,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        roster_asked: false,
-        cold: 10.0,
-        cold_from: 0.2,
+        polls_endpoints: false,
+        slow_start_duration: 10.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
+        overload_window: 1.0,
         drain_grace: 1.0,
-        skew: 0.0,
-        orders: true,
-        order_price: 0.0,
-        answers_miss: false,
-        tells_crowd: false,
+        max_clock_skew: 0.0,
+        allows_load_commands: true,
+        load_command_cost: 0.0,
+        rejects_unloaded: false,
+        reports_concurrency: false,
         keep_alive: 8.0,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: None,
-        loads_field: None,
+        pending_loads_field: None,
     }
 }
--- a/crates/dispatch-policy/tests/plain/mod.rs
+++ b/crates/dispatch-policy/tests/plain/mod.rs
@@ -25,7 +25,7 @@
     /// Of the executor at that time.
     pub cell: u16,
     pub at: f64,
-    pub ending: Option<Ending>,
+    pub ending: Option<DispatchStatus>,
 }
 
 pub struct Taken {
@@ -82,8 +82,10 @@
     }
 
     fn warm_part(&self, x: usize) -> f64 {
-        let age = (self.now - self.fleet[x].since) / self.policy.cold;
-        (self.policy.cold_from + (1.0 - self.policy.cold_from) * age).min(1.0)
+        let age = (self.now - self.fleet[x].since) / self.policy.slow_start_duration;
+        (self.policy.slow_start_initial_weight
+            + (1.0 - self.policy.slow_start_initial_weight) * age)
+            .min(1.0)
     }
 
     fn judge_dispatch(&self, inv: u32, x: usize) {
@@ -91,7 +93,7 @@
         let ty = &self.policy.trigger_types[taken.inv.trigger_type];
         let out = taken.sent.iter().filter(|s| s.ending.is_none()).count();
         assert!(
-            out == 0 || self.policy.second_copies,
+            out == 0 || self.policy.allows_hedging,
             "rule 2: two dispatches of {inv} out"
         );
         assert!(
@@ -99,14 +101,17 @@
             "the dispatch limit"
         );
         if let Some(first) = taken.sent.iter().find(|s| Self::may_have_run(s)) {
-            match ty.effect {
-                Effect::Idempotent => {}
-                Effect::NonIdempotent => {
+            match ty.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
                     panic!("rule 2: {inv} may have run and was dispatched again")
                 }
-                Effect::Tokened => {
+                Idempotency::Keyed => {
                     assert_eq!(first.cell, self.fleet[x].cell, "rule 2: outside the group");
-                    assert!(self.now <= first.at + ty.window, "rule 2: past the window");
+                    assert!(
+                        self.now <= first.at + ty.deduplication_window,
+                        "rule 2: past the window"
+                    );
                 }
             }
         }
@@ -120,10 +125,11 @@
             // answers there were, over the shortest time in which a rate is taken; a turn is one more.
             let oks: u32 = self.fleet.iter().map(|e| e.oks).sum();
             let budget =
-                self.policy.overload_factor * part * self.policy.fall * f64::from(oks) + 1.0;
+                self.policy.overload_factor * part * self.policy.overload_window * f64::from(oks)
+                    + 1.0;
             let all = self.taken.iter().flat_map(|t| &t.sent);
             let sent = 1 + all
-                .filter(|s| s.x == x && s.at > self.now - self.policy.fall)
+                .filter(|s| s.x == x && s.at > self.now - self.policy.overload_window)
                 .count();
             assert!(
                 sent as f64 <= budget,
@@ -151,18 +157,19 @@
         });
         self.said.push(Said::Dispatch(inv, x));
     }
-    fn throttle(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
+    fn reject(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
         let taken = self.open(inv);
         let ty = &self.policy.trigger_types[taken.inv.trigger_type];
-        let harmless = ty.effect == Effect::Idempotent
-            || ty.effect == Effect::Tokened && ty.group == Group::All
+        let harmless = ty.idempotency == Idempotency::Idempotent
+            || ty.idempotency == Idempotency::Keyed
+                && ty.deduplication_scope == DeduplicationScope::All
             || !taken.sent.iter().any(Self::may_have_run);
         assert!(harmless, "rule 2: {inv} may have run and was throttled");
         assert!((0.0..=self.policy.max_retry_after).contains(&retry_after));
         self.close(inv);
         self.said.push(Said::Throttle(inv));
     }
-    fn error(&mut self, inv: u32) {
+    fn fail(&mut self, inv: u32) {
         self.open(inv);
         self.close(inv);
         self.said.push(Said::Error(inv));
@@ -175,18 +182,19 @@
         );
         self.said.push(Said::Cancel(inv, dispatch));
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         let x = number(to);
         assert!(
             self.fleet[x].ready,
             "rule 3: an order to an executor told draining or gone"
         );
-        let window = self.policy.ration_window;
+        let window = self.policy.load_budget_window;
         if copies > 0 && window > 0.0 {
             let recent = |at: f64| at > self.now - window;
             let orders = 1 + self.holds.iter().filter(|h| recent(h.0)).count();
             let taken = self.arrivals.iter().filter(|&&at| recent(at)).count();
-            let most = self.policy.ration_floor + self.policy.ration_share * taken as f64;
+            let most =
+                self.policy.load_budget_floor + self.policy.load_budget_fraction * taken as f64;
             assert!(
                 orders as f64 <= most,
                 "rule 5: {orders} orders, {most} granted"
@@ -195,13 +203,13 @@
         self.holds.push((self.now, x, function, true));
         self.said.push(Said::Hold(x, function));
     }
-    fn wake(&mut self, delay: f64, _mark: u64) {
+    fn set_timer(&mut self, delay: f64, _mark: u64) {
         self.wakes.push(self.now + delay);
     }
-    fn ask(&mut self, _to: ExecutorId, _function: u64) {}
+    fn query_replicas(&mut self, _to: ExecutorId, _function: u64) {}
     fn unload(&mut self, _to: ExecutorId, _function: u64) {}
-    fn probe(&mut self, _to: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _to: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// A front end with its fleet, to which things happen one by one.
@@ -260,23 +268,27 @@
             took: 0.25,
         };
         for x in 0..zones.len() {
-            world.roster(x, Standing::Ready, f64::NEG_INFINITY);
+            world.roster(x, EndpointState::Ready, f64::NEG_INFINITY);
         }
         world
     }
 
-    pub fn roster(&mut self, x: usize, standing: Standing, since: f64) {
+    pub fn roster(&mut self, x: usize, standing: EndpointState, since: f64) {
         let e = &mut self.plain.fleet[x];
-        (e.ready, e.since) = (standing == Standing::Ready, since.max(e.since));
-        let row = RosterRow {
+        (e.ready, e.since) = (standing == EndpointState::Ready, since.max(e.since));
+        let row = Endpoint {
             zone: e.zone,
             cell: e.cell,
-            standing,
-            since,
+            state: standing,
+            started_at: since,
             ..row(x)
         };
-        self.dispatcher
-            .roster(self.plain.now, RosterKind::Delta, &[row], &mut self.plain);
+        self.dispatcher.on_endpoint_update(
+            self.plain.now,
+            EndpointUpdateKind::Delta,
+            &[row],
+            &mut self.plain,
+        );
     }
 
     pub fn invoke(&mut self, trigger_type: usize, function: u64, within: f64) -> u32 {
@@ -293,7 +305,7 @@
             sent: vec![],
             closed_at: None,
         });
-        self.dispatcher.invocation(now, &inv, &mut self.plain);
+        self.dispatcher.on_invocation(now, &inv, &mut self.plain);
         id
     }
 
@@ -305,60 +317,66 @@
         );
         self.plain.taken[inv as usize].closed_at = Some(now.min(at));
         self.plain.arrivals.pop();
-        self.dispatcher.withdrawn(now, inv, &mut self.plain);
+        self.dispatcher.on_client_cancel(now, inv, &mut self.plain);
     }
 
     /// Wishes for copies ahead of invocations; tells how many are known.
     pub fn ahead(&mut self, function: u64, copies: usize) -> usize {
-        let wish = Ahead {
+        let wish = PrewarmRequest {
             function,
-            lanes: 2.0,
+            concurrency: 2.0,
             load_time: Some(1.0),
-            copies,
+            replicas: copies,
         };
         self.dispatcher
-            .ahead(self.plain.now, &wish, &mut self.plain)
+            .prewarm(self.plain.now, &wish, &mut self.plain)
     }
 
-    pub fn end(&mut self, inv: u32, dispatch: usize, ending: Ending) {
+    pub fn end(&mut self, inv: u32, dispatch: usize, ending: DispatchStatus) {
         let taken = &mut self.plain.taken[inv as usize];
         let sent = &mut taken.sent[dispatch];
         if sent.ending.replace(ending).is_some() {
             return;
         }
         let x = sent.x;
-        if ending == Ending::Ok {
+        if ending == DispatchStatus::Ok {
             self.plain.fleet[x].oks += 1;
             taken.closed_at.get_or_insert(self.plain.now);
         }
         let closed = taken.closed_at.is_some();
         let (dispatch, executor) = (dispatch as u8, id(x));
         let (took, crowd, report) = (self.took, self.crowd, &self.report[..]);
-        let o = Outcome {
-            inv,
+        let o = DispatchResult {
+            invocation: inv,
             dispatch,
             executor,
-            ending,
-            took,
-            closed,
-            crowd,
-            report,
+            status: ending,
+            duration: took,
+            is_answered: closed,
+            function_concurrency: crowd,
+            load_report: report,
             ..succeeded()
         };
-        self.dispatcher.outcome(self.plain.now, &o, &mut self.plain);
+        self.dispatcher
+            .on_dispatch_result(self.plain.now, &o, &mut self.plain);
     }
 
-    pub fn answer_hold(&mut self, n: usize, ending: Ending) {
+    pub fn answer_hold(&mut self, n: usize, ending: DispatchStatus) {
         let (_, x, function, open) = self.plain.holds[n];
         if open {
             self.plain.holds[n].3 = false;
-            self.dispatcher
-                .held(self.plain.now, id(x), function, ending, &mut self.plain);
+            self.dispatcher.on_load_result(
+                self.plain.now,
+                id(x),
+                function,
+                ending,
+                &mut self.plain,
+            );
         }
     }
 
     /// Answers every order that is out.
-    pub fn load_all(&mut self, ending: Ending) {
+    pub fn load_all(&mut self, ending: DispatchStatus) {
         (0..self.plain.holds.len()).for_each(|n| self.answer_hold(n, ending));
     }
 
@@ -387,12 +405,12 @@
             match out {
                 Some((inv, n, at)) if at <= wake && at <= until => {
                     self.plain.now = at.max(self.plain.now);
-                    self.end(inv, n, Ending::TimedOut);
+                    self.end(inv, n, DispatchStatus::TimedOut);
                 }
                 _ if wake <= until => {
                     self.plain.now = wake;
                     self.plain.wakes.retain(|&w| w > wake);
-                    self.dispatcher.timer(wake, 0, &mut self.plain);
+                    self.dispatcher.on_timer(wake, 0, &mut self.plain);
                 }
                 _ => break,
             }
--- a/crates/dispatch-policy/tests/room.rs
+++ b/crates/dispatch-policy/tests/room.rs
@@ -10,16 +10,24 @@
 fn streams_and_odd_inputs_are_taken_calmly() {
     let (mut w, _) = warm(policy(), 2);
     let inv = w.invoke(0, 1, 5.0);
-    w.dispatcher.streaming(w.plain.now, inv, 0, &mut w.plain);
+    w.dispatcher
+        .on_response_started(w.plain.now, inv, 0, &mut w.plain);
     w.pass(2.0);
     assert_eq!(w.plain.taken[inv as usize].sent.len(), 1);
-    w.end(inv, 0, Ending::Ok);
-    w.dispatcher.withdrawn(w.plain.now, inv, &mut w.plain);
-    w.dispatcher.withdrawn(w.plain.now, 999, &mut w.plain);
+    w.end(inv, 0, DispatchStatus::Ok);
+    w.dispatcher
+        .on_client_cancel(w.plain.now, inv, &mut w.plain);
     w.dispatcher
-        .roster(w.plain.now, RosterKind::Failed, &[], &mut w.plain);
+        .on_client_cancel(w.plain.now, 999, &mut w.plain);
     w.dispatcher
-        .held(w.plain.now, plain::id(9), 77, Ending::Ok, &mut w.plain);
+        .on_endpoint_update(w.plain.now, EndpointUpdateKind::Failed, &[], &mut w.plain);
+    w.dispatcher.on_load_result(
+        w.plain.now,
+        plain::id(9),
+        77,
+        DispatchStatus::Ok,
+        &mut w.plain,
+    );
     let past = w.invoke(2, 1, 0.0);
     assert!(
         w.plain.taken[past as usize].closed_at.is_some(),
@@ -34,7 +42,7 @@
 fn a_function_told_to_be_crowded_reaches_more_executors() {
     let (mut w, _) = warm(
         PolicyConfig {
-            tells_crowd: true,
+            reports_concurrency: true,
             ..policy()
         },
         6,
@@ -42,8 +50,8 @@
     w.crowd = 24;
     for _ in 0..8 {
         let inv = w.invoke(0, 1, 5.0);
-        w.load_all(Ending::Ok);
-        w.end(inv, 0, Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
+        w.end(inv, 0, DispatchStatus::Ok);
         w.pass(3.0);
     }
     assert!((0..6).filter(|&x| w.sent_to(x) > 0).count() > 2);
@@ -66,8 +74,8 @@
 fn where_most_wait_is_served_first() {
     let mut w = World::new(
         PolicyConfig {
-            ration_floor: 1.0,
-            ration_share: 0.0,
+            load_budget_floor: 1.0,
+            load_budget_fraction: 0.0,
             ..policy()
         },
         4,
@@ -80,7 +88,7 @@
     let sent = w.plain.taken[1..].iter().filter(|t| !t.sent.is_empty());
     let refused: Vec<_> = sent.map(|t| t.inv.id).collect();
     for inv in refused {
-        w.end(inv, 0, Ending::Full);
+        w.end(inv, 0, DispatchStatus::Full);
     }
     w.plain.said.clear();
     w.pass(5.1);
@@ -120,7 +128,7 @@
     let (mut w, x) = warm(policy, 4);
     for _ in 0..20 {
         let inv = w.invoke(0, 1, 5.0);
-        w.end(inv, 0, Ending::Ok);
+        w.end(inv, 0, DispatchStatus::Ok);
         w.pass(0.1);
     }
     let least = w.invoke(2, 1, 5.0);
@@ -131,8 +139,8 @@
 fn copies_ahead_leave_half_of_the_ration_and_are_renewed_before_their_time() {
     let mut w = World::new(
         PolicyConfig {
-            ration_floor: 4.0,
-            ration_share: 0.0,
+            load_budget_floor: 4.0,
+            load_budget_fraction: 0.0,
             ..policy()
         },
         6,
@@ -144,7 +152,7 @@
     assert_eq!(orders(&w), 2, "the rest of the ration is for placements");
     w.invoke(0, 9, 5.0);
     assert_eq!(orders(&w), 3);
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     assert_eq!(w.ahead(1, 1), 1, "the copy is known");
     w.pass(5.5);
     assert_eq!(
@@ -152,7 +160,7 @@
         (1, 4),
         "it is renewed before its time is over"
     );
-    w.load_all(Ending::Ok);
+    w.load_all(DispatchStatus::Ok);
     w.pass(5.0);
     assert_eq!(w.ahead(1, 0), 1, "and known for longer than without");
     assert_eq!(w.ahead(2, 0), 0, "which the other is not");
@@ -162,7 +170,7 @@
 fn what_a_client_takes_back_grants_no_order() {
     let mut w = World::new(
         PolicyConfig {
-            ration_floor: 1.0,
+            load_budget_floor: 1.0,
             ..policy()
         },
         6,
@@ -187,14 +195,14 @@
 fn the_only_executor_is_tried_again_after_it_had_no_room() {
     let mut w = World::new(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         1,
     );
     let inv = w.invoke(0, 1, 5.0);
     assert_eq!(w.plain.said.last(), Some(&Said::Dispatch(inv, 0)));
-    w.end(inv, 0, Ending::Full);
+    w.end(inv, 0, DispatchStatus::Full);
     w.pass(0.6);
     assert_eq!(w.sent_to(0), 2, "{:?}", w.plain.said);
 }
@@ -204,14 +212,14 @@
 fn an_executor_that_had_no_room_is_tried_before_one_that_takes_no_connection() {
     let mut w = World::new(
         PolicyConfig {
-            orders: false,
+            allows_load_commands: false,
             ..policy()
         },
         2,
     );
     let inv = w.invoke(0, 1, 5.0);
     let gone = usize::from(w.sent_to(1) > 0);
-    w.end(inv, 0, Ending::ConnectFailed);
+    w.end(inv, 0, DispatchStatus::ConnectFailed);
     w.pass(0.2);
     assert_eq!(
         (w.sent_to(gone), w.sent_to(1 - gone)),
@@ -219,7 +227,7 @@
         "{:?}",
         w.plain.said
     );
-    w.end(inv, 1, Ending::Full);
+    w.end(inv, 1, DispatchStatus::Full);
     w.pass(0.6);
     assert_eq!(
         (w.sent_to(gone), w.sent_to(1 - gone)),
