--- a/crates/dispatch-policy/tests/topology.rs
+++ b/crates/dispatch-policy/tests/topology.rs
@@ -15,8 +15,8 @@
 /// A front end in a zone of the first region; placements are dispatches.
 fn regional() -> PolicyConfig {
     PolicyConfig {
-        orders: false,
-        regions: REGIONS.into(),
+        allows_load_commands: false,
+        zone_regions: REGIONS.into(),
         ..policy()
     }
 }
@@ -48,7 +48,7 @@
     let &[x] = sent(w, inv).as_slice() else {
         panic!("{function} was sent to {:?}", sent(w, inv))
     };
-    w.end(inv, 0, Ending::Ok);
+    w.end(inv, 0, DispatchStatus::Ok);
     x
 }
 
@@ -61,7 +61,7 @@
 fn first_two(function: u64) -> (usize, usize) {
     let mut w = world();
     let inv = w.invoke(0, function, 5.0);
-    w.end(inv, 0, Ending::Full);
+    w.end(inv, 0, DispatchStatus::Full);
     w.pass(0.3);
     let &[first, second] = sent(&w, inv).as_slice() else {
         panic!("{:?}", sent(&w, inv))
@@ -69,14 +69,14 @@
     (first, second)
 }
 
-fn set(w: &mut World, executors: impl Iterator<Item = usize>, standing: Standing) {
+fn set(w: &mut World, executors: impl Iterator<Item = usize>, standing: EndpointState) {
     executors.for_each(|x| w.roster(x, standing, LONG_AGO));
 }
 
 /// The same functions where some executors are not to be had.
 fn placed_without(gone: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut w = world();
-    set(&mut w, (0..12).filter(|&x| gone(x)), Standing::Gone);
+    set(&mut w, (0..12).filter(|&x| gone(x)), EndpointState::Gone);
     placed(w)
 }
 
@@ -90,7 +90,7 @@
     );
     let anywhere = placed(World::in_zones(
         PolicyConfig {
-            regions: vec![],
+            zone_regions: vec![],
             ..regional()
         },
         &ZONES,
@@ -105,7 +105,7 @@
 fn all_front_ends_of_a_region_place_alike() {
     let other = PolicyConfig {
         zone: 2,
-        index: 1.0,
+        front_end_index: 1.0,
         ..regional()
     };
     assert_eq!(placed(World::in_zones(other, &ZONES)), placed(world()));
@@ -145,8 +145,8 @@
         ];
         let policy = PolicyConfig {
             zone: 6,
-            index,
-            regions,
+            front_end_index: index,
+            zone_regions: regions,
             ..regional()
         };
         placed(World::in_zones(policy, &ZONES))
@@ -163,11 +163,11 @@
 fn a_region_that_drains_is_left_and_come_back_to() {
     let mut w = world();
     let here: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
-    set(&mut w, 0..6, Standing::Draining);
+    set(&mut w, 0..6, EndpointState::Draining);
     for function in FUNCTIONS {
         assert!(!in_own_region(serve(&mut w, function)));
     }
-    set(&mut w, 0..6, Standing::Ready);
+    set(&mut w, 0..6, EndpointState::Ready);
     let back: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
     assert_eq!(back, here, "though copies elsewhere are known");
 }
@@ -177,17 +177,17 @@
 fn nothing_waits_for_the_copy_that_brings_a_function_back() {
     let mut w = World::in_zones(
         PolicyConfig {
-            orders: true,
-            ration_floor: 99.0,
+            allows_load_commands: true,
+            load_budget_floor: 99.0,
             ..regional()
         },
         &ZONES,
     );
-    set(&mut w, 0..6, Standing::Draining);
+    set(&mut w, 0..6, EndpointState::Draining);
     let inv = w.invoke(0, 1, 5.0);
-    w.load_all(Ending::Ok);
-    w.end(inv, 0, Ending::Ok);
-    set(&mut w, 0..6, Standing::Ready);
+    w.load_all(DispatchStatus::Ok);
+    w.end(inv, 0, DispatchStatus::Ok);
+    set(&mut w, 0..6, EndpointState::Ready);
     let there = sent(&w, inv)[0];
     let inv = w.invoke(0, 1, 5.0);
     let Some(&Said::Hold(x, 1)) = w.plain.said.iter().rev().nth(1) else {
@@ -201,11 +201,11 @@
 fn a_region_whose_executors_are_all_suspect_is_left_and_come_back_to() {
     let mut w = world();
     // Executors are judged by their fellows: the others have to be seen sound, on copies that they had loaded.
-    set(&mut w, 0..6, Standing::Draining);
+    set(&mut w, 0..6, EndpointState::Draining);
     (1000..1200)
         .chain(1000..1200)
         .for_each(|function| _ = serve(&mut w, function));
-    set(&mut w, 0..6, Standing::Ready);
+    set(&mut w, 0..6, EndpointState::Ready);
     FUNCTIONS.for_each(|function| _ = serve(&mut w, function));
     let mut elsewhere = 0;
     for function in FUNCTIONS.cycle().take(600) {
@@ -216,7 +216,15 @@
         }
         let is_near = sent(&w, inv).iter().all(|&x| in_own_region(x));
         elsewhere = if is_near { 0 } else { elsewhere + 1 };
-        w.end(inv, 0, if is_near { Ending::Error } else { Ending::Ok });
+        w.end(
+            inv,
+            0,
+            if is_near {
+                DispatchStatus::Error
+            } else {
+                DispatchStatus::Ok
+            },
+        );
     }
     assert!(
         elsewhere >= 60,
@@ -256,13 +264,17 @@
 fn a_zone_that_is_back_cold_is_not_flooded() {
     let mut w = world();
     let before: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
-    set(&mut w, (0..12).filter(|&x| zone(x) == 1), Standing::Gone);
+    set(
+        &mut w,
+        (0..12).filter(|&x| zone(x) == 1),
+        EndpointState::Gone,
+    );
     let meanwhile: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
     w.pass(0.5);
     let now = w.plain.now;
     (0..12)
         .filter(|&x| zone(x) == 1)
-        .for_each(|x| w.roster(x, Standing::Ready, now));
+        .for_each(|x| w.roster(x, EndpointState::Ready, now));
     let returned: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
     assert_eq!(returned, meanwhile, "what has a copy stays there");
     // The model beside it judges each dispatch to a cold executor; what has no turn there goes to another zone.
@@ -286,9 +298,9 @@
             inv,
             0,
             if in_own_region(x) {
-                Ending::Ok
+                DispatchStatus::Ok
             } else {
-                Ending::TimedOut
+                DispatchStatus::TimedOut
             },
         );
     }
@@ -307,7 +319,7 @@
             .map(|function| serve(&mut w, function))
             .all(in_own_region)
     );
-    set(&mut w, 0..12, Standing::Draining);
+    set(&mut w, 0..12, EndpointState::Draining);
     assert!(
         FUNCTIONS
             .map(|function| serve(&mut w, function))
@@ -322,7 +334,7 @@
         placed(World::in_zones(
             PolicyConfig {
                 zone: 9,
-                regions,
+                zone_regions: regions,
                 ..regional()
             },
             &zones,
@@ -336,14 +348,14 @@
     for function in FUNCTIONS {
         let mut w = World::in_zones(
             PolicyConfig {
-                regions: vec![Some(0)],
+                zone_regions: vec![Some(0)],
                 ..regional()
             },
             &[0; 6],
         );
         let inv = w.invoke(0, function, 5.0);
         let first = sent(&w, inv)[0];
-        w.end(inv, 0, Ending::Full);
+        w.end(inv, 0, DispatchStatus::Full);
         w.pass(0.3);
         assert!(
             sent(&w, inv).len() == 2 && sent(&w, inv)[1] != first,
@@ -359,7 +371,7 @@
     for function in FUNCTIONS {
         let mut w = World::in_zones(regional(), &zones);
         let inv = w.invoke(0, function, 5.0);
-        w.end(inv, 0, Ending::Full);
+        w.end(inv, 0, DispatchStatus::Full);
         w.pass(0.3);
         assert!(
             sent(&w, inv).len() == 2 && sent(&w, inv).contains(&40),
@@ -373,7 +385,7 @@
 #[test]
 fn the_last_executor_of_a_region_serves_it_alone() {
     let mut w = world();
-    set(&mut w, 1..6, Standing::Draining);
+    set(&mut w, 1..6, EndpointState::Draining);
     for function in FUNCTIONS.take(8) {
         let inv = w.invoke(0, function, 5.0);
         assert_eq!(sent(&w, inv), [0], "function {function}");
@@ -386,7 +398,7 @@
     let served = |regions: Vec<Option<u8>>, zones: &[u8]| {
         let mut w = World::in_zones(
             PolicyConfig {
-                regions,
+                zone_regions: regions,
                 ..regional()
             },
             zones,
@@ -397,7 +409,7 @@
                 .checked_sub(20)
                 .filter(|&early| !sent(&w, early).is_empty())
             {
-                w.end(early, 0, Ending::Ok);
+                w.end(early, 0, DispatchStatus::Ok);
             }
             w.pass(0.01);
         }
@@ -414,9 +426,9 @@
 #[test]
 fn a_region_with_one_executor_that_fails_leaves_the_function_to_others() {
     let mut w = world();
-    set(&mut w, 1..6, Standing::Gone);
+    set(&mut w, 1..6, EndpointState::Gone);
     let inv = w.invoke(0, 1, 5.0);
-    w.end(inv, 0, Ending::Error);
+    w.end(inv, 0, DispatchStatus::Error);
     w.pass(0.3);
     assert!(
         sent(&w, inv).len() == 2 && !in_own_region(sent(&w, inv)[1]),
@@ -431,7 +443,7 @@
     let moving = serve(&mut w, 1);
     let place = |w: &mut World, zone: u8| {
         w.plain.fleet[moving].zone = zone;
-        w.roster(moving, Standing::Ready, LONG_AGO);
+        w.roster(moving, EndpointState::Ready, LONG_AGO);
     };
     place(&mut w, 3);
     let left: Vec<usize> = FUNCTIONS.map(|function| serve(&mut w, function)).collect();
@@ -450,16 +462,16 @@
 fn one_that_may_have_run_elsewhere_is_repeated_there() {
     for function in FUNCTIONS {
         let mut w = world();
-        set(&mut w, 0..6, Standing::Draining);
+        set(&mut w, 0..6, EndpointState::Draining);
         let inv = w.invoke(1, function, 5.0);
         let first = sent(&w, inv)[0];
         assert!(!in_own_region(first));
-        set(&mut w, 0..6, Standing::Ready);
-        w.end(inv, 0, Ending::Error);
+        set(&mut w, 0..6, EndpointState::Ready);
+        w.end(inv, 0, DispatchStatus::Error);
         w.pass(0.5);
         // Groups are cells of two executors.
         assert_eq!(sent(&w, inv), [first, first ^ 1], "function {function}");
-        w.end(inv, 1, Ending::Ok);
+        w.end(inv, 1, DispatchStatus::Ok);
         w.all_answered();
     }
 }
@@ -468,15 +480,15 @@
 fn copies_ahead_are_ordered_within_the_region() {
     let mut w = World::in_zones(
         PolicyConfig {
-            orders: true,
-            ration_window: 0.0,
+            allows_load_commands: true,
+            load_budget_window: 0.0,
             ..regional()
         },
         &ZONES,
     );
     for _ in 0..12 {
         w.ahead(1, 6);
-        w.load_all(Ending::Ok);
+        w.load_all(DispatchStatus::Ok);
     }
     let mut held: Vec<usize> = w.plain.holds.iter().map(|h| h.1).collect();
     held.sort_unstable();
@@ -486,11 +498,11 @@
 }
 
 /// Where a front end that knows nothing puts a function by a large list.
-fn placed_in_large(rows: &[RosterRow], function: u64) -> ExecutorId {
+fn placed_in_large(rows: &[Endpoint], function: u64) -> ExecutorId {
     let mut out = Dispatched::default();
     let mut dispatcher = Dispatcher::new(regional(), 7, 100.0, &mut out);
-    dispatcher.roster(100.0, RosterKind::Full, rows, &mut out);
-    dispatcher.invocation(
+    dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, rows, &mut out);
+    dispatcher.on_invocation(
         100.0,
         &Invocation {
             function,
@@ -509,35 +521,35 @@
     fn dispatch(&mut self, _: u32, to: ExecutorId, _: f64) {
         self.0.push(to);
     }
-    fn throttle(&mut self, _: u32, _: f64, _: bool) {}
-    fn error(&mut self, _: u32) {}
+    fn reject(&mut self, _: u32, _: f64, _: bool) {}
+    fn fail(&mut self, _: u32) {}
     fn cancel(&mut self, _: u32, _: u8) {}
-    fn hold(&mut self, _: ExecutorId, _: u64, _: u8) {}
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn load(&mut self, _: ExecutorId, _: u64, _: u8) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn wake(&mut self, _: f64, _: u64) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn set_timer(&mut self, _: f64, _: u64) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 /// 1,024 executors of the own region stand in a list with as many of another one.
 #[test]
 fn a_region_of_1024_executors_is_used_whole_and_alone() {
     let executor = |x: u32| ExecutorId(std::net::Ipv4Addr::from(0x0a00_0000 + x).into(), 7000);
-    let row = |x: u32, standing| RosterRow {
+    let row = |x: u32, standing| Endpoint {
         executor: executor(x),
         zone: (x % 6) as u8,
-        standing,
+        state: standing,
         ..plain::row(0)
     };
-    let all: Vec<RosterRow> = (0..2048).map(|x| row(x, Standing::Ready)).collect();
+    let all: Vec<Endpoint> = (0..2048).map(|x| row(x, EndpointState::Ready)).collect();
     let zone = |id: &ExecutorId| {
         all.iter()
             .find(|r| r.executor == *id)
             .map(|r| r.zone)
             .unwrap()
     };
-    let without: Vec<RosterRow> = all.iter().filter(|r| r.zone != 1).cloned().collect();
+    let without: Vec<Endpoint> = all.iter().filter(|r| r.zone != 1).cloned().collect();
     let first: Vec<ExecutorId> = (0..300)
         .map(|function| placed_in_large(&all, function))
         .collect();
--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -5,7 +5,7 @@
 
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::random::SeededRandom;
-use orchidtally_engine::{Engine, Host, Offer, Told};
+use orchidtally_engine::{Engine, Host, InvocationRequest, ResponseMetadata};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Instant;
@@ -26,7 +26,7 @@
 }
 
 impl Host for Bench {
-    fn taken(&mut self, _: u32) {}
+    fn admitted(&mut self, _: u32) {}
     fn dispatch(&mut self, inv: u32, dispatch: u8, _: ExecutorId, _: f64) {
         self.ends.push(Reverse((
             self.now_us + (ANSWER_TIME * 1e6) as u64,
@@ -38,51 +38,51 @@
     fn succeeded(&mut self, _: u32, _: u8) {
         self.succeeded += 1;
     }
-    fn throttled(&mut self, _: u32, _: f64, _: bool) {
+    fn rejected(&mut self, _: u32, _: f64, _: bool) {
         self.others += 1;
     }
-    fn errored(&mut self, _: u32, _: orchidtally_engine::Cause, _: bool) {
+    fn failed(&mut self, _: u32, _: orchidtally_engine::FailureReason, _: bool) {
         self.others += 1;
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, _: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
         self.holds.push((to, function));
     }
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 fn policy() -> PolicyConfig {
     let ty = TriggerType {
-        objective: 0.5,
-        stretch: 0.0,
-        timeout: 5.0,
+        latency_objective: 0.5,
+        objective_work_factor: 0.0,
+        client_timeout: 5.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect: Effect::Idempotent,
-        group: Group::All,
-        window: 0.0,
+        late_value_fraction: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
     };
     PolicyConfig {
         trigger_types: vec![ty],
         front_ends: 4.0,
-        tick: 0.002,
+        clock_tick: 0.002,
         max_dispatches: 4,
-        cancel: true,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        cold: 15.0,
-        cold_from: 0.2,
+        slow_start_duration: 15.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
-        orders: true,
-        tells_crowd: true,
+        overload_window: 1.0,
+        allows_load_commands: true,
+        reports_concurrency: true,
         keep_alive: 10.0,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: Some(0),
-        loads_field: None,
+        pending_loads_field: None,
         ..PolicyConfig::default()
     }
 }
@@ -97,18 +97,18 @@
 fn run(rate: f64, executors: u32, functions: u64, invocations: u32) -> (f64, f64) {
     let mut host = Bench::default();
     let mut engine = Engine::new(policy(), 100_000, 1, 1_000.0, &mut host);
-    let rows: Vec<RosterRow> = (0..executors)
-        .map(|x| RosterRow {
+    let rows: Vec<Endpoint> = (0..executors)
+        .map(|x| Endpoint {
             executor: ExecutorId(std::net::Ipv4Addr::from(0x0a00_0000 + x).into(), 7000),
             zone: (x % 3) as u8,
             kind: 0,
             cell: 0,
-            standing: Standing::Ready,
+            state: EndpointState::Ready,
             weight: 1.0,
-            since: f64::NEG_INFINITY,
+            started_at: f64::NEG_INFINITY,
         })
         .collect();
-    engine.roster(1_000.0, RosterKind::Full, &rows, &mut host);
+    engine.on_endpoint_update(1_000.0, EndpointUpdateKind::Full, &rows, &mut host);
     let mut random = SeededRandom::new(3);
     let (mut started, mut counted) = (0.0, 0);
     let now_at = |us: u64| 1_000.0 + us as f64 / 1e6;
@@ -126,7 +126,7 @@
                 .peek()
                 .map(|Reverse(e)| e.0)
                 .filter(|&at| at <= arrival);
-            let due = engine.due_at();
+            let due = engine.next_deadline();
             let due_us = ((due - 1_000.0).max(0.0) * 1e6).ceil();
             match end {
                 Some(at) if at as f64 <= due_us => {
@@ -134,41 +134,54 @@
                         break;
                     };
                     host.now_us = at;
-                    let told = Told {
-                        found: Found::Warm,
-                        crowd: 1,
-                        report: &[0.5],
+                    let told = ResponseMetadata {
+                        copy_state: CopyState::Warm,
+                        function_concurrency: 1,
+                        load_report: &[0.5],
                     };
-                    engine.ended(now_at(at), inv, dispatch, Ending::Ok, told, &mut host);
+                    engine.on_dispatch_result(
+                        now_at(at),
+                        inv,
+                        dispatch,
+                        DispatchStatus::Ok,
+                        told,
+                        &mut host,
+                    );
                 }
                 _ if due_us <= arrival as f64 => {
                     host.now_us = host.now_us.max(due_us as u64);
-                    engine.turn(now_at(host.now_us).max(due), &mut host);
+                    engine.run_due_timers(now_at(host.now_us).max(due), &mut host);
                 }
                 _ => break,
             }
             for (to, function) in std::mem::take(&mut host.holds) {
-                engine.held(now_at(host.now_us), to, function, Ending::Ok, &mut host);
+                engine.on_load_result(
+                    now_at(host.now_us),
+                    to,
+                    function,
+                    DispatchStatus::Ok,
+                    &mut host,
+                );
             }
         }
         host.now_us = arrival;
         // Popularity falls as one over the rank.
         let function = (functions as f64).powf(random.unit()) as u64;
         let now = now_at(arrival);
-        let offer = Offer {
+        let offer = InvocationRequest {
             trigger_type: 0,
             customer: 0,
             function: function.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            repeat: false,
-            moved: false,
+            is_retry: false,
+            is_migrated: false,
             timeout_at: now + 5.0,
-            work: None,
-            lanes: 4.0,
+            expected_work: None,
+            concurrency: 4.0,
             load_time: Some(0.2),
         };
-        engine.take(now, &offer, &mut host).expect("there is room");
+        engine.admit(now, &offer, &mut host).expect("there is room");
         for (to, function) in std::mem::take(&mut host.holds) {
-            engine.held(now, to, function, Ending::Ok, &mut host);
+            engine.on_load_result(now, to, function, DispatchStatus::Ok, &mut host);
         }
     }
     let took = cpu() - started;
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -7,17 +7,20 @@
 
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
-use orchidtally_engine::baseline::{Decisions, Pick, Plain};
+use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
 use orchidtally_invariants::spread;
 
-fn plain(pick: Pick, seed: u64) -> Option<Box<dyn Decisions>> {
-    Some(Box::new(Plain::by(pick, seed)))
+fn plain(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
+    Some(Box::new(BaselinePolicy::by(pick, seed)))
 }
 
-fn by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn Decisions>> {
+fn by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn DispatchPolicy>> {
     let truth = truth.clone();
     let load = move |id: ExecutorId| fleet::number(id).map_or(u32::MAX, |x| truth.borrow()[x]);
-    plain(Pick::TwoByTruth(Box::new(load)), seed)
+    plain(
+        BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
+        seed,
+    )
 }
 
 fn main() {
@@ -29,8 +32,12 @@
     let seed = numbers.next().unwrap_or(1);
     let makers: [(&str, &Maker); 4] = [
         ("module", &|_, _, _| None),
-        ("random", &|_, seed, _| plain(Pick::Random, seed)),
-        ("own least busy", &|_, seed, _| plain(Pick::LeastBusy, seed)),
+        ("random", &|_, seed, _| {
+            plain(BaselineSelection::Random, seed)
+        }),
+        ("own least busy", &|_, seed, _| {
+            plain(BaselineSelection::LeastInFlight, seed)
+        }),
         ("two by truth", &by_truth),
     ];
     for (day, replaced_at, restarted_at) in [
--- a/crates/engine/examples/decision_cost/main.rs
+++ b/crates/engine/examples/decision_cost/main.rs
@@ -14,7 +14,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::random::{SeededRandom, rendezvous_hash};
 use orchidtally_dispatch_policy::state::Ordered;
-use orchidtally_engine::{Cause, Engine, Host, Offer, Told};
+use orchidtally_engine::{Engine, FailureReason, Host, InvocationRequest, ResponseMetadata};
 use play::{Day, Play};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -32,13 +32,13 @@
         dispatch: u8,
         x: usize,
         function: u64,
-        ending: Ending,
-        found: Found,
+        ending: DispatchStatus,
+        found: CopyState,
     },
     Held {
         to: ExecutorId,
         function: u64,
-        ending: Ending,
+        ending: DispatchStatus,
     },
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl Host for Simulation {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         self.functions.insert(inv, self.taking);
     }
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, within: f64) {
@@ -117,11 +117,11 @@
             1.0
         };
         let ending = match drawn {
-            d if d < 0.004 => Ending::Error,
-            d if d < 0.007 => Ending::Full,
-            d if d < 0.009 => Ending::Reset,
-            d if d < 0.011 => Ending::ConnectFailed,
-            _ => Ending::Ok,
+            d if d < 0.004 => DispatchStatus::Error,
+            d if d < 0.007 => DispatchStatus::Full,
+            d if d < 0.009 => DispatchStatus::Reset,
+            d if d < 0.011 => DispatchStatus::ConnectFailed,
+            _ => DispatchStatus::Ok,
         };
         // Some hang.
         if self.day == Day::Faults
@@ -130,7 +130,11 @@
             return;
         }
         let (stands_at, warm) = self.load(x, function);
-        let found = if warm { Found::Warm } else { Found::Loaded };
+        let found = if warm {
+            CopyState::Warm
+        } else {
+            CopyState::ColdLoad
+        };
         let at = stands_at + ANSWER_TIME * (0.5 + self.random.unit());
         self.at(
             at,
@@ -150,22 +154,22 @@
     fn succeeded(&mut self, _: u32, _: u8) {
         self.succeeded += 1;
     }
-    fn throttled(&mut self, inv: u32, retry_after: f64, _: bool) {
+    fn rejected(&mut self, inv: u32, retry_after: f64, _: bool) {
         self.note(&[3, inv.into(), retry_after.to_bits()]);
         self.given_up += 1;
     }
-    fn errored(&mut self, inv: u32, _: Cause, _: bool) {
+    fn failed(&mut self, inv: u32, _: FailureReason, _: bool) {
         self.note(&[4, inv.into()]);
         self.given_up += 1;
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.note(&[5, number(to), function, copies.into()]);
         let (stands_at, _) = self.load(index(to), function);
         let failed = self.day == Day::Faults && self.random.unit() < 0.01;
         let ending = if failed {
-            Ending::ConnectFailed
+            DispatchStatus::ConnectFailed
         } else {
-            Ending::Ok
+            DispatchStatus::Ok
         };
         self.at(
             stands_at,
@@ -176,57 +180,57 @@
             },
         );
     }
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 fn policy(day: Day, regions: u32) -> PolicyConfig {
     let ty = |effect, group| TriggerType {
-        objective: 1.0,
-        stretch: 0.0,
-        timeout: 5.0,
+        latency_objective: 1.0,
+        objective_work_factor: 0.0,
+        client_timeout: 5.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect,
-        group,
-        window: 2.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 2.0,
     };
     PolicyConfig {
         trigger_types: vec![
-            ty(Effect::Idempotent, Group::All),
-            ty(Effect::Tokened, Group::Zone),
-            ty(Effect::Tokened, Group::Cell),
-            ty(Effect::NonIdempotent, Group::All),
+            ty(Idempotency::Idempotent, DeduplicationScope::All),
+            ty(Idempotency::Keyed, DeduplicationScope::Zone),
+            ty(Idempotency::Keyed, DeduplicationScope::Cell),
+            ty(Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         front_ends: FRONT_ENDS,
-        index: 17.0,
-        crossing: 0.02,
-        regions: (0..ZONES)
+        front_end_index: 17.0,
+        cross_zone_cost: 0.02,
+        zone_regions: (0..ZONES)
             .filter(|_| regions > 0)
             .map(|zone| Some((zone * regions / ZONES) as u8))
             .collect(),
-        tick: 0.002,
+        clock_tick: 0.002,
         max_dispatches: 4,
-        cancel: true,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        cold: 10.0,
-        cold_from: 0.2,
+        slow_start_duration: 10.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
-        orders: day != Day::Loaded,
+        overload_window: 1.0,
+        allows_load_commands: day != Day::Loaded,
         keep_alive: KEEP_ALIVE,
-        ration_floor: 20.0,
-        ration_share: 0.5,
-        ration_window: 5.0,
+        load_budget_floor: 20.0,
+        load_budget_fraction: 0.5,
+        load_budget_window: 5.0,
         backlog_field: Some(0),
         ..PolicyConfig::default()
     }
 }
 
-fn row(day: Day, x: u32, life: u32, since: f64) -> RosterRow {
-    RosterRow {
+fn row(day: Day, x: u32, life: u32, since: f64) -> Endpoint {
+    Endpoint {
         executor: ExecutorId(
             std::net::Ipv4Addr::from(0x0a00_0000 + (life << 16) + x).into(),
             7000,
@@ -234,49 +238,51 @@
         zone: (x % ZONES) as u8,
         kind: if day == Day::Faults { (x % 3) as u8 } else { 0 },
         cell: (x / 7) as u16,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: if day == Day::Faults {
             [1.0, 0.5, 2.0][(x % 3) as usize]
         } else {
             1.0
         },
-        since,
+        started_at: since,
     }
 }
 
 /// Plays a change of the roster.
-fn change_roster(rows: &mut [RosterRow], engine: &mut Engine, simulation: &mut Simulation) {
+fn change_roster(rows: &mut [Endpoint], engine: &mut Engine, simulation: &mut Simulation) {
     let now = simulation.now;
     let x = (simulation.random.unit() * rows.len() as f64) as usize;
     let drawn = simulation.random.unit();
     let change = match drawn {
-        d if d < 0.3 => RosterRow {
-            since: now,
+        d if d < 0.3 => Endpoint {
+            started_at: now,
             ..rows[x].clone()
         },
-        d if d < 0.5 => RosterRow {
-            standing: Standing::Draining,
+        d if d < 0.5 => Endpoint {
+            state: EndpointState::Draining,
             ..rows[x].clone()
         },
-        d if d < 0.6 => RosterRow {
-            standing: Standing::Gone,
+        d if d < 0.6 => Endpoint {
+            state: EndpointState::Gone,
             ..rows[x].clone()
         },
-        d if d < 0.7 => RosterRow {
+        d if d < 0.7 => Endpoint {
             cell: rows[x].cell ^ 1,
             ..rows[x].clone()
         },
         d if d < 0.8 => row(simulation.day, x as u32, (now as u32) & 0xff, now),
-        _ => RosterRow {
-            standing: Standing::Ready,
+        _ => Endpoint {
+            state: EndpointState::Ready,
             ..rows[x].clone()
         },
     };
     rows[x] = change.clone();
     match drawn {
-        d if d < 0.9 => engine.roster(now, RosterKind::Delta, &[change], simulation),
-        d if d < 0.98 => engine.roster(now, RosterKind::Full, rows, simulation),
-        _ => engine.roster(now, RosterKind::Failed, &[], simulation),
+        d if d < 0.9 => {
+            engine.on_endpoint_update(now, EndpointUpdateKind::Delta, &[change], simulation)
+        }
+        d if d < 0.98 => engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, simulation),
+        _ => engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], simulation),
     }
 }
 
@@ -298,17 +304,17 @@
 }
 
 /// Milliseconds for a whole list in which one executor differs from the last.
-fn ms_a_list(rows: &mut [RosterRow], engine: &mut Engine, simulation: &mut Simulation) -> f64 {
+fn ms_a_list(rows: &mut [Endpoint], engine: &mut Engine, simulation: &mut Simulation) -> f64 {
     const LISTS: u32 = 40;
     let started = cpu();
     for n in 0..LISTS {
         let ready = n % 2 == 1;
-        rows[0].standing = if ready {
-            Standing::Ready
+        rows[0].state = if ready {
+            EndpointState::Ready
         } else {
-            Standing::Draining
+            EndpointState::Draining
         };
-        engine.roster(simulation.now, RosterKind::Full, rows, simulation);
+        engine.on_endpoint_update(simulation.now, EndpointUpdateKind::Full, rows, simulation);
     }
     1e3 * (cpu() - started) / f64::from(LISTS)
 }
@@ -339,10 +345,10 @@
         given_up: 0,
     };
     let mut engine = Engine::new(policy(day, regions), 100_000, seed, START, &mut simulation);
-    let mut rows: Vec<RosterRow> = (0..executors)
+    let mut rows: Vec<Endpoint> = (0..executors)
         .map(|x| row(day, x, 0, f64::NEG_INFINITY))
         .collect();
-    engine.roster(START, RosterKind::Full, &rows, &mut simulation);
+    engine.on_endpoint_update(START, EndpointUpdateKind::Full, &rows, &mut simulation);
     let mut arrivals = SeededRandom::new(seed ^ 0x5eed);
     let (mut arrival, mut change_at) = (START, START + 2.0);
     let (mut started, mut calls) = (cpu(), 0u32);
@@ -361,14 +367,14 @@
                 .due
                 .peek()
                 .map_or(f64::INFINITY, |Reverse((at, _))| at.0);
-            let turn_at = engine.due_at();
+            let turn_at = engine.next_deadline();
             if event_at.min(turn_at) > arrival {
                 break;
             }
             simulation.now = simulation.now.max(event_at.min(turn_at));
             let now = simulation.now;
             if turn_at < event_at {
-                engine.turn(now, &mut simulation);
+                engine.run_due_timers(now, &mut simulation);
                 continue;
             }
             let Some(Reverse((_, key))) = simulation.due.pop() else {
@@ -390,19 +396,19 @@
                     } else {
                         busy.saturating_sub(4) as f32
                     };
-                    let told = Told {
-                        found,
-                        crowd: 0,
-                        report: &[waiting],
+                    let told = ResponseMetadata {
+                        copy_state: found,
+                        function_concurrency: 0,
+                        load_report: &[waiting],
                     };
-                    engine.ended(now, inv, dispatch, ending, told, &mut simulation);
+                    engine.on_dispatch_result(now, inv, dispatch, ending, told, &mut simulation);
                 }
                 Some(Event::Held {
                     to,
                     function,
                     ending,
                 }) => {
-                    engine.held(now, to, function, ending, &mut simulation);
+                    engine.on_load_result(now, to, function, ending, &mut simulation);
                 }
                 None => {}
             }
@@ -416,7 +422,7 @@
         let function = shares.partition_point(|&s| s <= drawn) as u64;
         simulation.taking = function;
         let kind = arrivals.unit();
-        let offer = Offer {
+        let offer = InvocationRequest {
             trigger_type: if day == Day::Calm {
                 0
             } else {
@@ -424,21 +430,21 @@
             },
             customer: 0,
             function,
-            repeat: false,
-            moved: false,
+            is_retry: false,
+            is_migrated: false,
             timeout_at: arrival + 5.0,
-            work: None,
-            lanes: 4.0,
+            expected_work: None,
+            concurrency: 4.0,
             load_time: Some(LOAD_TIME),
         };
         if engine
-            .take(simulation.now, &offer, &mut simulation)
+            .admit(simulation.now, &offer, &mut simulation)
             .is_err()
         {
             simulation.given_up += 1;
         }
         calls += 1;
-        most_functions = most_functions.max(engine.kept().functions);
+        most_functions = most_functions.max(engine.table_sizes().functions);
     }
     let us_a_call = 1e6 * (cpu() - started) / f64::from(calls);
     let ms_a_list = ms_a_list(&mut rows, &mut engine, &mut simulation);
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -6,9 +6,10 @@
 use std::collections::HashMap;
 
 /// What the engine tells to whatever decides.
-pub trait Decisions {
+pub trait DispatchPolicy {
     /// Those that share nothing by the number of front ends need not know it.
-    fn living(&mut self, _now: f64, _living: MembershipView, _out: &mut dyn Actions) {}
+    fn on_membership_change(&mut self, _now: f64, _living: MembershipView, _out: &mut dyn Actions) {
+    }
     /// Those that know nothing of trigger types and shares have nothing to change.
     ///
     /// # Errors
@@ -18,118 +19,144 @@
         _now: f64,
         _index: usize,
         _ty: TriggerType,
-    ) -> Result<(), ConfigRefused> {
+    ) -> Result<(), ConfigError> {
         Ok(())
     }
     /// # Errors
     /// As told by `ConfigRefused`; then nothing is changed.
-    fn set_quotas(&mut self, _now: f64, _quotas: Vec<f64>) -> Result<(), ConfigRefused> {
+    fn set_quotas(&mut self, _now: f64, _quotas: Vec<f64>) -> Result<(), ConfigError> {
         Ok(())
     }
-    fn roster(&mut self, now: f64, kind: RosterKind, rows: &[RosterRow], out: &mut dyn Actions);
+    fn on_endpoint_update(
+        &mut self,
+        now: f64,
+        kind: EndpointUpdateKind,
+        rows: &[Endpoint],
+        out: &mut dyn Actions,
+    );
     /// The roster was true at a time; those that don't mind its age need not know it.
-    fn view_confirmed(&mut self, _now: f64, _at: f64, _out: &mut dyn Actions) {}
+    fn on_view_confirmed(&mut self, _now: f64, _at: f64, _out: &mut dyn Actions) {}
     /// The process did not run for a while.
-    fn stood_still(&mut self, _now: f64) {}
+    fn on_process_stall(&mut self, _now: f64) {}
     /// The source of the roster does not answer what was asked at a time.
-    fn view_lost(&mut self, _now: f64, _asked_at: f64) {}
-    fn invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions);
-    fn outcome(&mut self, now: f64, o: &Outcome, out: &mut dyn Actions);
-    fn streaming(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions);
-    fn withdrawn(&mut self, now: f64, inv: u32, out: &mut dyn Actions);
-    fn held(&mut self, now: f64, at: ExecutorId, key: u64, ending: Ending, out: &mut dyn Actions);
-    fn ahead(&mut self, now: f64, wish: &Ahead, out: &mut dyn Actions) -> usize;
-    fn timer(&mut self, now: f64, out: &mut dyn Actions);
+    fn on_view_lost(&mut self, _now: f64, _asked_at: f64) {}
+    fn on_invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions);
+    fn on_dispatch_result(&mut self, now: f64, o: &DispatchResult, out: &mut dyn Actions);
+    fn on_response_started(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions);
+    fn on_client_cancel(&mut self, now: f64, inv: u32, out: &mut dyn Actions);
+    fn on_load_result(
+        &mut self,
+        now: f64,
+        at: ExecutorId,
+        key: u64,
+        ending: DispatchStatus,
+        out: &mut dyn Actions,
+    );
+    fn prewarm(&mut self, now: f64, wish: &PrewarmRequest, out: &mut dyn Actions) -> usize;
+    fn on_timer(&mut self, now: f64, out: &mut dyn Actions);
     /// Nothing that is open is waited for past a moment.
-    fn end_by(&mut self, _now: f64, _at: f64, _out: &mut dyn Actions) {}
+    fn begin_shutdown(&mut self, _now: f64, _at: f64, _out: &mut dyn Actions) {}
     /// Whether what was decided still holds as its bytes leave; baselines don't mind.
-    fn leaves(&mut self, _now: f64, _inv: u32, _dispatch: u8) -> bool {
+    fn revalidate_dispatch(&mut self, _now: f64, _inv: u32, _dispatch: u8) -> bool {
         true
     }
-    fn order_leaves(&mut self, _now: f64, _to: ExecutorId, _at: f64) -> bool {
+    fn revalidate_load(&mut self, _now: f64, _to: ExecutorId, _at: f64) -> bool {
         true
     }
     /// Entries in its tables, where it has any.
-    fn kept(&self) -> Kept {
-        Kept::default()
+    fn table_sizes(&self) -> TableSizes {
+        TableSizes::default()
     }
 }
 
-impl Decisions for Dispatcher {
-    fn living(&mut self, now: f64, living: MembershipView, out: &mut dyn Actions) {
-        Dispatcher::living(self, now, living, out);
+impl DispatchPolicy for Dispatcher {
+    fn on_membership_change(&mut self, now: f64, living: MembershipView, out: &mut dyn Actions) {
+        Dispatcher::on_membership_change(self, now, living, out);
     }
     fn set_trigger_type(
         &mut self,
         now: f64,
         index: usize,
         ty: TriggerType,
-    ) -> Result<(), ConfigRefused> {
+    ) -> Result<(), ConfigError> {
         Dispatcher::set_trigger_type(self, now, index, ty)
     }
-    fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigRefused> {
+    fn set_quotas(&mut self, now: f64, quotas: Vec<f64>) -> Result<(), ConfigError> {
         Dispatcher::set_quotas(self, now, quotas)
     }
-    fn roster(&mut self, now: f64, kind: RosterKind, rows: &[RosterRow], out: &mut dyn Actions) {
-        Dispatcher::roster(self, now, kind, rows, out);
+    fn on_endpoint_update(
+        &mut self,
+        now: f64,
+        kind: EndpointUpdateKind,
+        rows: &[Endpoint],
+        out: &mut dyn Actions,
+    ) {
+        Dispatcher::on_endpoint_update(self, now, kind, rows, out);
     }
-    fn view_confirmed(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
-        Dispatcher::view_confirmed(self, now, at, out);
+    fn on_view_confirmed(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
+        Dispatcher::on_view_confirmed(self, now, at, out);
     }
-    fn stood_still(&mut self, now: f64) {
-        Dispatcher::stood_still(self, now);
+    fn on_process_stall(&mut self, now: f64) {
+        Dispatcher::on_process_stall(self, now);
     }
-    fn view_lost(&mut self, now: f64, asked_at: f64) {
-        Dispatcher::view_lost(self, now, asked_at);
+    fn on_view_lost(&mut self, now: f64, asked_at: f64) {
+        Dispatcher::on_view_lost(self, now, asked_at);
     }
-    fn invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
-        Dispatcher::invocation(self, now, inv, out);
+    fn on_invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
+        Dispatcher::on_invocation(self, now, inv, out);
     }
-    fn outcome(&mut self, now: f64, o: &Outcome, out: &mut dyn Actions) {
-        Dispatcher::outcome(self, now, o, out);
+    fn on_dispatch_result(&mut self, now: f64, o: &DispatchResult, out: &mut dyn Actions) {
+        Dispatcher::on_dispatch_result(self, now, o, out);
     }
-    fn streaming(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions) {
-        Dispatcher::streaming(self, now, inv, dispatch, out);
+    fn on_response_started(&mut self, now: f64, inv: u32, dispatch: u8, out: &mut dyn Actions) {
+        Dispatcher::on_response_started(self, now, inv, dispatch, out);
     }
-    fn withdrawn(&mut self, now: f64, inv: u32, out: &mut dyn Actions) {
-        Dispatcher::withdrawn(self, now, inv, out);
+    fn on_client_cancel(&mut self, now: f64, inv: u32, out: &mut dyn Actions) {
+        Dispatcher::on_client_cancel(self, now, inv, out);
     }
-    fn held(&mut self, now: f64, at: ExecutorId, key: u64, ending: Ending, out: &mut dyn Actions) {
-        Dispatcher::held(self, now, at, key, ending, out);
+    fn on_load_result(
+        &mut self,
+        now: f64,
+        at: ExecutorId,
+        key: u64,
+        ending: DispatchStatus,
+        out: &mut dyn Actions,
+    ) {
+        Dispatcher::on_load_result(self, now, at, key, ending, out);
     }
-    fn ahead(&mut self, now: f64, wish: &Ahead, out: &mut dyn Actions) -> usize {
-        Dispatcher::ahead(self, now, wish, out)
+    fn prewarm(&mut self, now: f64, wish: &PrewarmRequest, out: &mut dyn Actions) -> usize {
+        Dispatcher::prewarm(self, now, wish, out)
     }
-    fn timer(&mut self, now: f64, out: &mut dyn Actions) {
-        Dispatcher::timer(self, now, 0, out);
+    fn on_timer(&mut self, now: f64, out: &mut dyn Actions) {
+        Dispatcher::on_timer(self, now, 0, out);
     }
-    fn end_by(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
-        Dispatcher::end_by(self, now, at, out);
+    fn begin_shutdown(&mut self, now: f64, at: f64, out: &mut dyn Actions) {
+        Dispatcher::begin_shutdown(self, now, at, out);
     }
-    fn leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
-        Dispatcher::leaves(self, now, inv, dispatch)
+    fn revalidate_dispatch(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
+        Dispatcher::revalidate_dispatch(self, now, inv, dispatch)
     }
-    fn order_leaves(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
-        Dispatcher::order_leaves(self, now, to, at)
+    fn revalidate_load(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
+        Dispatcher::revalidate_load(self, now, to, at)
     }
-    fn kept(&self) -> Kept {
-        Dispatcher::kept(self)
+    fn table_sizes(&self) -> TableSizes {
+        Dispatcher::table_sizes(self)
     }
 }
 
 /// How a baseline chooses among the ready executors.
-pub enum Pick {
+pub enum BaselineSelection {
     /// Any of them.
     Random,
     /// The one where the fewest of its own are out; chance between equals.
-    LeastBusy,
+    LeastInFlight,
     /// The less loaded of two, by what is told of each as it truly is: no front end can know that.
-    TwoByTruth(Box<dyn Fn(ExecutorId) -> u32>),
+    TwoChoicesByTrueLoad(Box<dyn Fn(ExecutorId) -> u32>),
 }
 
 /// Sends each invocation once.
-pub struct Plain {
-    pick: Pick,
+pub struct BaselinePolicy {
+    pick: BaselineSelection,
     random: SeededRandom,
     ready: Vec<ExecutorId>,
     open: HashMap<u32, ExecutorId>,
@@ -138,17 +165,17 @@
 }
 
 /// The baseline that a front end may be started with.
-pub type Random = Plain;
+pub type RandomPolicy = BaselinePolicy;
 
-impl Plain {
+impl BaselinePolicy {
     /// At random.
-    pub fn new(seed: u64) -> Plain {
-        Plain::by(Pick::Random, seed)
+    pub fn new(seed: u64) -> BaselinePolicy {
+        BaselinePolicy::by(BaselineSelection::Random, seed)
     }
 
-    pub fn by(pick: Pick, seed: u64) -> Plain {
+    pub fn by(pick: BaselineSelection, seed: u64) -> BaselinePolicy {
         let (ready, open, out) = (vec![], HashMap::new(), HashMap::new());
-        Plain {
+        BaselinePolicy {
             pick,
             random: SeededRandom::new(seed),
             ready,
@@ -165,13 +192,13 @@
         let (one, other) = (self.draw(), self.draw());
         let first = *self.ready.get(one)?;
         Some(match &self.pick {
-            Pick::Random => first,
+            BaselineSelection::Random => first,
             // From the one drawn on, so that equals are not chosen by the order of the list.
-            Pick::LeastBusy => {
+            BaselineSelection::LeastInFlight => {
                 let from_there = self.ready[one..].iter().chain(&self.ready[..one]).copied();
                 from_there.min_by_key(|x| self.out.get(x).copied().unwrap_or_default())?
             }
-            Pick::TwoByTruth(load) => {
+            BaselineSelection::TwoChoicesByTrueLoad(load) => {
                 let second = *self.ready.get(other)?;
                 if load(second) < load(first) {
                     second
@@ -192,14 +219,20 @@
     }
 }
 
-impl Decisions for Plain {
-    fn roster(&mut self, _: f64, kind: RosterKind, rows: &[RosterRow], _: &mut dyn Actions) {
-        if kind == RosterKind::Full {
+impl DispatchPolicy for BaselinePolicy {
+    fn on_endpoint_update(
+        &mut self,
+        _: f64,
+        kind: EndpointUpdateKind,
+        rows: &[Endpoint],
+        _: &mut dyn Actions,
+    ) {
+        if kind == EndpointUpdateKind::Full {
             self.ready.clear();
         }
         for row in rows {
             self.ready.retain(|&x| x != row.executor);
-            if row.standing == Standing::Ready {
+            if row.state == EndpointState::Ready {
                 self.ready.push(row.executor);
             }
         }
@@ -207,38 +240,46 @@
         self.out.retain(|x, _| ready.contains(x));
     }
 
-    fn invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
+    fn on_invocation(&mut self, now: f64, inv: &Invocation, out: &mut dyn Actions) {
         match self.choose() {
             Some(to) => {
                 self.open.insert(inv.id, to);
                 *self.out.entry(to).or_default() += 1;
                 out.dispatch(inv.id, to, inv.timeout_at - now);
             }
-            None => out.throttle(inv.id, 0.0, false),
+            None => out.reject(inv.id, 0.0, false),
         }
     }
 
-    fn outcome(&mut self, _: f64, o: &Outcome, out: &mut dyn Actions) {
-        if self.end(o.inv).is_some() && !o.closed && o.ending != Ending::Ok {
-            if o.ending.never_ran() {
-                out.throttle(o.inv, 0.0, false)
+    fn on_dispatch_result(&mut self, _: f64, o: &DispatchResult, out: &mut dyn Actions) {
+        if self.end(o.invocation).is_some() && !o.is_answered && o.status != DispatchStatus::Ok {
+            if o.status.never_ran() {
+                out.reject(o.invocation, 0.0, false)
             } else {
-                out.error(o.inv)
+                out.fail(o.invocation)
             }
         }
     }
 
-    fn streaming(&mut self, _: f64, _: u32, _: u8, _: &mut dyn Actions) {}
+    fn on_response_started(&mut self, _: f64, _: u32, _: u8, _: &mut dyn Actions) {}
 
-    fn withdrawn(&mut self, _: f64, inv: u32, out: &mut dyn Actions) {
+    fn on_client_cancel(&mut self, _: f64, inv: u32, out: &mut dyn Actions) {
         if self.end(inv).is_some() {
             out.cancel(inv, 0);
         }
     }
 
-    fn held(&mut self, _: f64, _: ExecutorId, _: u64, _: Ending, _: &mut dyn Actions) {}
-    fn ahead(&mut self, _: f64, wish: &Ahead, _: &mut dyn Actions) -> usize {
-        wish.copies
+    fn on_load_result(
+        &mut self,
+        _: f64,
+        _: ExecutorId,
+        _: u64,
+        _: DispatchStatus,
+        _: &mut dyn Actions,
+    ) {
+    }
+    fn prewarm(&mut self, _: f64, wish: &PrewarmRequest, _: &mut dyn Actions) -> usize {
+        wish.replicas
     }
-    fn timer(&mut self, _: f64, _: &mut dyn Actions) {}
+    fn on_timer(&mut self, _: f64, _: &mut dyn Actions) {}
 }
--- a/crates/engine/src/desk.rs
+++ b/crates/engine/src/desk.rs
@@ -1,79 +1,83 @@
 //! What is open, and the module's answers performed on it.
 
 use crate::evidence;
-use crate::{Cause, Host, Tally};
+use crate::{Counters, FailureReason, Host};
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::state::Ordered;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-pub(crate) struct Sent {
-    pub(crate) to: ExecutorId,
-    pub(crate) at: f64,
-    pub(crate) ending: Option<Ending>,
+pub(crate) struct SentDispatch {
+    pub(crate) executor: ExecutorId,
+    pub(crate) sent_at: f64,
+    pub(crate) status: Option<DispatchStatus>,
 }
 
-pub(crate) struct Open {
+pub(crate) struct OpenInvocation {
     pub(crate) timeout_at: f64,
     pub(crate) trigger_type: usize,
-    pub(crate) sent: Vec<Sent>,
+    pub(crate) dispatches: Vec<SentDispatch>,
     /// The dispatch whose answer has begun to stream to the client.
-    pub(crate) streaming: Option<u8>,
-    pub(crate) closed: bool,
+    pub(crate) streaming_dispatch: Option<u8>,
+    pub(crate) is_answered: bool,
 }
 
-impl Open {
+impl OpenInvocation {
     pub(crate) fn may_have_run(&self) -> bool {
-        self.sent
+        self.dispatches
             .iter()
-            .any(|s| s.ending.is_none_or(|e| !e.never_ran()))
+            .any(|s| s.status.is_none_or(|e| !e.never_ran()))
     }
 
     pub(crate) fn is_over(&self) -> bool {
-        self.closed && self.sent.iter().all(|s| s.ending.is_some())
+        self.is_answered && self.dispatches.iter().all(|s| s.status.is_some())
     }
 }
 
 /// Everything but the module, so that the module can be called with it as its `Actions`.
 #[derive(Default)]
-pub(crate) struct Desk {
+pub(crate) struct InvocationRegistry {
     pub(crate) now: f64,
-    pub(crate) open: HashMap<u32, Open>,
+    pub(crate) invocations: HashMap<u32, OpenInvocation>,
     /// Invocations without a final answer.
-    pub(crate) waiting: usize,
+    pub(crate) unanswered: usize,
     /// Time-outs of dispatches, and the engine's own last look at each invocation (`None`).
     pub(crate) deadlines: BinaryHeap<Reverse<(Ordered, u32, Option<u8>)>>,
-    pub(crate) wake_at: Option<f64>,
+    pub(crate) policy_timer_at: Option<f64>,
     /// Dispatches that ended by what the module itself asked for; it hears of them after the present call.
-    pub(crate) ended: VecDeque<(u32, u8)>,
-    pub(crate) tally: Tally,
+    pub(crate) ended_locally: VecDeque<(u32, u8)>,
+    pub(crate) counters: Counters,
 }
 
-impl Desk {
-    pub(crate) fn close(&mut self, inv: u32) -> Option<&Open> {
-        let open = self.open.get_mut(&inv).filter(|o| !o.closed)?;
-        open.closed = true;
-        self.waiting -= 1;
+impl InvocationRegistry {
+    pub(crate) fn close(&mut self, inv: u32) -> Option<&OpenInvocation> {
+        let open = self.invocations.get_mut(&inv).filter(|o| !o.is_answered)?;
+        open.is_answered = true;
+        self.unanswered -= 1;
         Some(open)
     }
 
-    pub(crate) fn tidy(&mut self, inv: u32) {
-        if self.open.get(&inv).is_some_and(Open::is_over) {
-            self.open.remove(&inv);
+    pub(crate) fn remove_if_complete(&mut self, inv: u32) {
+        if self
+            .invocations
+            .get(&inv)
+            .is_some_and(OpenInvocation::is_over)
+        {
+            self.invocations.remove(&inv);
         }
     }
 
     /// Drops deadlines of what has ended, once they are the most of the heap.
-    pub(crate) fn prune(&mut self) {
-        if self.deadlines.len() > 1_024 + 4 * self.open.len() {
-            let open = &self.open;
+    pub(crate) fn prune_deadlines(&mut self) {
+        if self.deadlines.len() > 1_024 + 4 * self.invocations.len() {
+            let open = &self.invocations;
             self.deadlines.retain(|Reverse((_, inv, n))| {
                 open.get(inv).is_some_and(|o| match n {
                     Some(n) => o
-                        .sent
+                        .dispatches
                         .get(usize::from(*n))
-                        .is_some_and(|s| s.ending.is_none()),
-                    None => !o.closed,
+                        .is_some_and(|s| s.status.is_none()),
+                    None => !o.is_answered,
                 })
             });
         }
@@ -81,103 +85,104 @@
 }
 
 /// The module's answers, performed on the spot.
-pub(crate) struct Speaker<'a> {
-    pub(crate) desk: &'a mut Desk,
+pub(crate) struct ActionExecutor<'a> {
+    pub(crate) registry: &'a mut InvocationRegistry,
     pub(crate) host: &'a mut dyn Host,
 }
 
-impl Actions for Speaker<'_> {
+impl Actions for ActionExecutor<'_> {
     fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64) {
-        let desk = &mut *self.desk;
-        let Some(open) = desk.open.get_mut(&inv) else {
+        let desk = &mut *self.registry;
+        let Some(open) = desk.invocations.get_mut(&inv) else {
             return;
         };
-        let n = open.sent.len() as u8;
+        let n = open.dispatches.len() as u8;
         let time_out_at = (desk.now + time_out.max(0.0)).min(open.timeout_at);
-        open.sent.push(Sent {
-            to,
-            at: desk.now,
-            ending: None,
+        open.dispatches.push(SentDispatch {
+            executor: to,
+            sent_at: desk.now,
+            status: None,
         });
-        if open.closed || open.streaming.is_some() || time_out_at <= desk.now {
-            open.sent[usize::from(n)].ending =
+        if open.is_answered || open.streaming_dispatch.is_some() || time_out_at <= desk.now {
+            open.dispatches[usize::from(n)].status =
                 Some(evidence::ending(evidence::Transport::Withheld));
-            desk.ended.push_back((inv, n));
+            desk.ended_locally.push_back((inv, n));
             return;
         }
-        desk.tally.dispatches += 1;
+        desk.counters.dispatches += 1;
         desk.deadlines
             .push(Reverse((Ordered(time_out_at), inv, Some(n))));
         self.host.dispatch(inv, n, to, time_out_at - desk.now);
     }
 
-    fn throttle(&mut self, inv: u32, retry_after: f64, past_share: bool) {
-        if self.desk.close(inv).is_some() {
-            self.desk.tally.throttled += 1;
-            self.host.throttled(inv, retry_after, past_share);
+    fn reject(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+        if self.registry.close(inv).is_some() {
+            self.registry.counters.rejected += 1;
+            self.host.rejected(inv, retry_after, past_share);
         }
     }
 
-    fn error(&mut self, inv: u32) {
-        let Some(open) = self.desk.close(inv) else {
+    fn fail(&mut self, inv: u32) {
+        let Some(open) = self.registry.close(inv) else {
             return;
         };
         let may_have_run = open.may_have_run();
         let timed_out = open
-            .sent
+            .dispatches
             .last()
-            .is_some_and(|s| s.ending == Some(Ending::TimedOut));
-        let cause = if timed_out || open.sent.is_empty() {
-            Cause::TimedOut
+            .is_some_and(|s| s.status == Some(DispatchStatus::TimedOut));
+        let cause = if timed_out || open.dispatches.is_empty() {
+            FailureReason::TimedOut
         } else {
-            Cause::Failed
+            FailureReason::Failed
         };
-        self.desk.tally.errored += 1;
-        self.host.errored(inv, cause, may_have_run);
+        self.registry.counters.failed += 1;
+        self.host.failed(inv, cause, may_have_run);
     }
 
     fn cancel(&mut self, inv: u32, dispatch: u8) {
-        let Some(open) = self.desk.open.get_mut(&inv) else {
+        let Some(open) = self.registry.invocations.get_mut(&inv) else {
             return;
         };
-        if open.streaming == Some(dispatch) {
+        if open.streaming_dispatch == Some(dispatch) {
             return;
         }
         let Some(sent) = open
-            .sent
+            .dispatches
             .get_mut(usize::from(dispatch))
-            .filter(|s| s.ending.is_none())
+            .filter(|s| s.status.is_none())
         else {
             return;
         };
-        sent.ending = Some(Ending::Cancelled);
-        self.desk.ended.push_back((inv, dispatch));
+        sent.status = Some(DispatchStatus::Cancelled);
+        self.registry.ended_locally.push_back((inv, dispatch));
         self.host.cancel(inv, dispatch);
     }
 
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.desk.tally.orders += u64::from(copies > 0);
-        self.host.hold(to, function, copies);
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
+        self.registry.counters.load_commands += u64::from(copies > 0);
+        self.host.load(to, function, copies);
     }
 
-    fn ask(&mut self, to: ExecutorId, function: u64) {
-        self.host.ask(to, function);
+    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
+        self.host.query_replicas(to, function);
     }
 
     fn unload(&mut self, to: ExecutorId, function: u64) {
         self.host.unload(to, function);
     }
 
-    fn probe(&mut self, to: ExecutorId) {
-        self.host.probe(to);
+    fn health_check(&mut self, to: ExecutorId) {
+        self.host.health_check(to);
     }
 
-    fn wake(&mut self, delay: f64, _mark: u64) {
-        let at = self.desk.now + delay;
-        self.desk.wake_at = Some(self.desk.wake_at.map_or(at, |w| w.min(at)));
+    fn set_timer(&mut self, delay: f64, _mark: u64) {
+        let at = self.registry.now + delay;
+        self.registry.policy_timer_at =
+            Some(self.registry.policy_timer_at.map_or(at, |w| w.min(at)));
     }
 
-    fn watch_roster(&mut self) {
-        self.host.watch_roster();
+    fn subscribe_to_endpoints(&mut self) {
+        self.host.subscribe_to_endpoints();
     }
 }
--- a/crates/engine/src/evidence.rs
+++ b/crates/engine/src/evidence.rs
@@ -1,12 +1,12 @@
 //! What the end of a dispatch proves. This is the one place that tells what never ran from what may have.
 
-use orchidtally_dispatch_policy::interface::Ending;
+use orchidtally_dispatch_policy::interface::DispatchStatus;
 
 /// How a dispatch ended on its connection, as the transport saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
     /// The executor said it in an answer that was read whole.
-    Answered(Ending),
+    Answered(DispatchStatus),
     /// No connection stood in time: refused, unreachable, or no handshake.
     NoConnection,
     /// This machine could open no connection: it says nothing of the executor.
@@ -35,16 +35,16 @@
 
 /// Nothing but these proofs lets a dispatch count as never run: an answer that says so, and what the peer
 /// can't have looked at. An end of file proves nothing: the bytes may have been read before it.
-pub fn ending(seen: Transport) -> Ending {
+pub fn ending(seen: Transport) -> DispatchStatus {
     match seen {
         Transport::Answered(ending) => ending,
-        Transport::NoConnection | Transport::Unwritten => Ending::ConnectFailed,
-        Transport::Saturated | Transport::Refused | Transport::AboveLast => Ending::Full,
+        Transport::NoConnection | Transport::Unwritten => DispatchStatus::ConnectFailed,
+        Transport::Saturated | Transport::Refused | Transport::AboveLast => DispatchStatus::Full,
         // Not a reset: that says of the executor that it may have just started anew.
-        Transport::Malformed => Ending::Error,
-        Transport::Cut => Ending::Cancelled,
-        Transport::Reset | Transport::Broken => Ending::Reset,
-        Transport::TimedOut => Ending::TimedOut,
-        Transport::Withheld | Transport::NoResource => Ending::NeverSent,
+        Transport::Malformed => DispatchStatus::Error,
+        Transport::Cut => DispatchStatus::Cancelled,
+        Transport::Reset | Transport::Broken => DispatchStatus::Reset,
+        Transport::TimedOut => DispatchStatus::TimedOut,
+        Transport::Withheld | Transport::NoResource => DispatchStatus::NeverSent,
     }
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -12,7 +12,7 @@
 struct Ear {
     out: Vec<(u32, u8, ExecutorId)>,
     answered: Vec<u32>,
-    errored: Vec<(u32, Cause, bool)>,
+    errored: Vec<(u32, FailureReason, bool)>,
     cancelled: Vec<(u32, u8)>,
     holds: Vec<(ExecutorId, u64)>,
 }
@@ -25,7 +25,7 @@
 }
 
 impl Host for Ear {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         assert!(!self.answered.contains(&inv), "an id used twice");
     }
     fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, within: f64) {
@@ -45,44 +45,44 @@
     fn succeeded(&mut self, inv: u32, _: u8) {
         self.answer(inv);
     }
-    fn throttled(&mut self, inv: u32, _: f64, _: bool) {
+    fn rejected(&mut self, inv: u32, _: f64, _: bool) {
         self.answer(inv);
     }
-    fn errored(&mut self, inv: u32, cause: Cause, may_have_run: bool) {
+    fn failed(&mut self, inv: u32, cause: FailureReason, may_have_run: bool) {
         self.answer(inv);
         self.errored.push((inv, cause, may_have_run));
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, _: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
         self.holds.push((to, function));
     }
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 fn policy(second_copies: bool) -> PolicyConfig {
     let ty = |effect| TriggerType {
-        objective: 1.0,
-        stretch: 0.0,
-        timeout: 4.0,
+        latency_objective: 1.0,
+        objective_work_factor: 0.0,
+        client_timeout: 4.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect,
-        group: Group::All,
-        window: 2.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 2.0,
     };
     PolicyConfig {
-        trigger_types: vec![ty(Effect::Idempotent), ty(Effect::NonIdempotent)],
+        trigger_types: vec![ty(Idempotency::Idempotent), ty(Idempotency::NonIdempotent)],
         front_ends: 1.0,
         max_dispatches: 4,
-        second_copies,
-        cancel: true,
+        allows_hedging: second_copies,
+        allows_cancellation: true,
         max_retry_after: 1.0,
-        cold: 5.0,
-        cold_from: 0.2,
+        slow_start_duration: 5.0,
+        slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
-        fall: 1.0,
+        overload_window: 1.0,
         ..PolicyConfig::default()
     }
 }
@@ -96,34 +96,34 @@
 
 fn engine(second_copies: bool, ear: &mut Ear) -> Engine {
     let mut engine = Engine::new(policy(second_copies), 1_000, 5, 10.0, ear);
-    let row = |x| RosterRow {
+    let row = |x| Endpoint {
         executor: executor(x),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        since: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
     };
-    engine.roster(
+    engine.on_endpoint_update(
         10.0,
-        RosterKind::Full,
+        EndpointUpdateKind::Full,
         &[row(1), row(2), row(3), row(4)],
         ear,
     );
     engine
 }
 
-fn offer(trigger_type: usize, timeout_at: f64) -> Offer {
-    Offer {
+fn offer(trigger_type: usize, timeout_at: f64) -> InvocationRequest {
+    InvocationRequest {
         trigger_type,
         customer: 0,
         function: 1,
-        repeat: false,
-        moved: false,
+        is_retry: false,
+        is_migrated: false,
         timeout_at,
-        work: None,
-        lanes: 2.0,
+        expected_work: None,
+        concurrency: 2.0,
         load_time: None,
     }
 }
@@ -143,31 +143,31 @@
         let mut ear = Ear::default();
         let mut e = engine(second_copies, &mut ear);
         let (mut now, mut timeouts, mut left) = (10.0, vec![], vec![]);
-        const ENDINGS: [Ending; 6] = [
-            Ending::Ok,
-            Ending::Error,
-            Ending::Full,
-            Ending::Reset,
-            Ending::ConnectFailed,
-            Ending::Ok,
+        const ENDINGS: [DispatchStatus; 6] = [
+            DispatchStatus::Ok,
+            DispatchStatus::Error,
+            DispatchStatus::Full,
+            DispatchStatus::Reset,
+            DispatchStatus::ConnectFailed,
+            DispatchStatus::Ok,
         ];
         for (what, a, b, later) in steps {
             match what {
                 0..=2 => {
                     let timeout_at = now + 0.1 + later * 5.0;
-                    let inv = e.take(now, &offer(a % 2, timeout_at), &mut ear).unwrap();
+                    let inv = e.admit(now, &offer(a % 2, timeout_at), &mut ear).unwrap();
                     prop_assert_eq!(inv as usize, timeouts.len());
                     timeouts.push(timeout_at);
                 }
                 3..=5 if !ear.out.is_empty() => {
                     let (inv, n, _) = ear.out[a % ear.out.len()];
                     // Also for dispatches that ended, were cancelled, or whose invocation is over.
-                    e.ended(
+                    e.on_dispatch_result(
                         now,
                         inv,
                         n,
                         ENDINGS[b % ENDINGS.len()],
-                        NOTHING_TOLD,
+                        NO_METADATA,
                         &mut ear,
                     );
                 }
@@ -176,14 +176,14 @@
                     if !ear.answered.contains(&inv) {
                         left.push(inv);
                     }
-                    e.withdrawn(now, inv, &mut ear);
+                    e.on_client_cancel(now, inv, &mut ear);
                 }
                 _ => {}
             }
             let until = now + later;
-            while e.due_at() <= until {
-                now = e.due_at().max(now);
-                e.turn(now, &mut ear);
+            while e.next_deadline() <= until {
+                now = e.next_deadline().max(now);
+                e.run_due_timers(now, &mut ear);
             }
             now = until;
             let overdue = (0..timeouts.len() as u32).find(|i| {
@@ -191,11 +191,19 @@
             });
             prop_assert_eq!(overdue, None, "not answered by its timeout");
         }
-        prop_assert_eq!(e.tally().overdue, 0, "the module answers in time by itself");
-        let t = e.tally();
         prop_assert_eq!(
-            t.taken,
-            t.succeeded + t.throttled + t.errored + t.withdrawn + e.open() as u64
+            e.counters().overdue,
+            0,
+            "the module answers in time by itself"
+        );
+        let t = e.counters();
+        prop_assert_eq!(
+            t.admitted,
+            t.succeeded
+                + t.rejected
+                + t.failed
+                + t.cancelled_by_client
+                + e.open_invocations() as u64
         );
         Ok(())
     });
@@ -207,21 +215,21 @@
     for answer_first in [true, false] {
         let mut ear = Ear::default();
         let mut e = engine(false, &mut ear);
-        let inv = e.take(10.0, &offer(1, 12.0), &mut ear).unwrap();
+        let inv = e.admit(10.0, &offer(1, 12.0), &mut ear).unwrap();
         assert_eq!(ear.out.len(), 1);
         if !answer_first {
-            e.turn(12.0, &mut ear);
+            e.run_due_timers(12.0, &mut ear);
         }
-        e.ended(12.0, inv, 0, Ending::Ok, NOTHING_TOLD, &mut ear);
-        e.turn(12.1, &mut ear);
+        e.on_dispatch_result(12.0, inv, 0, DispatchStatus::Ok, NO_METADATA, &mut ear);
+        e.run_due_timers(12.1, &mut ear);
         assert_eq!(ear.answered, vec![inv]);
         let expected = if answer_first {
             vec![]
         } else {
-            vec![(inv, Cause::TimedOut, true)]
+            vec![(inv, FailureReason::TimedOut, true)]
         };
         assert_eq!(ear.errored, expected);
-        assert_eq!(e.open(), 0);
+        assert_eq!(e.open_invocations(), 0);
     }
 }
 
@@ -231,11 +239,11 @@
     let mut e = engine(true, &mut ear);
     // Warms two executors, so that a copy has somewhere to go.
     for n in 0..6 {
-        let inv = e.take(10.0, &offer(0, 14.0), &mut ear).unwrap();
+        let inv = e.admit(10.0, &offer(0, 14.0), &mut ear).unwrap();
         assert_eq!(inv, n);
     }
     for (inv, n, _) in ear.out.clone() {
-        e.ended(10.2, inv, n, Ending::Ok, NOTHING_TOLD, &mut ear);
+        e.on_dispatch_result(10.2, inv, n, DispatchStatus::Ok, NO_METADATA, &mut ear);
     }
     while ear.answered.len() < 6 {
         let &(inv, n, _) = ear
@@ -243,13 +251,13 @@
             .iter()
             .rfind(|o| !ear.answered.contains(&o.0))
             .expect("all were sent");
-        e.ended(10.3, inv, n, Ending::Ok, NOTHING_TOLD, &mut ear);
+        e.on_dispatch_result(10.3, inv, n, DispatchStatus::Ok, NO_METADATA, &mut ear);
     }
-    let inv = e.take(11.0, &offer(0, 14.0), &mut ear).unwrap();
+    let inv = e.admit(11.0, &offer(0, 14.0), &mut ear).unwrap();
     let mut now = 11.0;
     while ear.out.iter().filter(|o| o.0 == inv).count() < 2 && now < 13.5 {
-        now = e.due_at();
-        e.turn(now, &mut ear);
+        now = e.next_deadline();
+        e.run_due_timers(now, &mut ear);
     }
     let copies: Vec<_> = ear.out.iter().filter(|o| o.0 == inv).copied().collect();
     assert_eq!(
@@ -258,9 +266,9 @@
         "a silent executor's work gets a second copy"
     );
     assert_ne!(copies[0].2, copies[1].2);
-    e.ended(now, inv, 1, Ending::Ok, NOTHING_TOLD, &mut ear);
+    e.on_dispatch_result(now, inv, 1, DispatchStatus::Ok, NO_METADATA, &mut ear);
     assert_eq!(ear.cancelled, vec![(inv, 0)]);
-    e.ended(now, inv, 0, Ending::Ok, NOTHING_TOLD, &mut ear);
+    e.on_dispatch_result(now, inv, 0, DispatchStatus::Ok, NO_METADATA, &mut ear);
     assert_eq!(ear.answered.iter().filter(|&&i| i == inv).count(), 1);
 }
 
@@ -269,31 +277,34 @@
     let mut ear = Ear::default();
     let mut e = engine(false, &mut ear);
     for n in 0..200_000 {
-        let taken = e.take(10.0, &offer(0, 13.0), &mut ear);
+        let taken = e.admit(10.0, &offer(0, 13.0), &mut ear);
         assert_eq!(taken.is_ok(), n < 1_000);
     }
-    assert_eq!((e.open(), e.tally().refused), (1_000, 199_000));
+    assert_eq!(
+        (e.open_invocations(), e.counters().not_admitted),
+        (1_000, 199_000)
+    );
     let mut now = 10.0;
-    while e.open() > 0 {
-        now = e.due_at();
-        e.turn(now, &mut ear);
+    while e.open_invocations() > 0 {
+        now = e.next_deadline();
+        e.run_due_timers(now, &mut ear);
     }
     assert!(now <= 13.0, "all were answered by {now}");
     assert_eq!(ear.answered.len(), 1_000);
-    e.leave();
+    e.start_draining();
     assert_eq!(
-        e.take(now, &offer(0, now + 1.0), &mut ear),
-        Err(Refused::Leaving)
+        e.admit(now, &offer(0, now + 1.0), &mut ear),
+        Err(AdmissionError::ShuttingDown)
     );
 }
 
 #[test]
 fn only_proofs_count_as_never_run() {
     let table = [
-        (Transport::Answered(Ending::Ok), false),
-        (Transport::Answered(Ending::Error), false),
-        (Transport::Answered(Ending::Full), true),
-        (Transport::Answered(Ending::Miss), true),
+        (Transport::Answered(DispatchStatus::Ok), false),
+        (Transport::Answered(DispatchStatus::Error), false),
+        (Transport::Answered(DispatchStatus::Full), true),
+        (Transport::Answered(DispatchStatus::Miss), true),
         (Transport::NoConnection, true),
         (Transport::Saturated, true),
         (Transport::Unwritten, true),
@@ -316,7 +327,10 @@
             Transport::Reset,
             Transport::Broken,
         ];
-        let told = matches!(ending(seen), Ending::Reset | Ending::ConnectFailed);
+        let told = matches!(
+            ending(seen),
+            DispatchStatus::Reset | DispatchStatus::ConnectFailed
+        );
         assert_eq!(told, may_be_new.contains(&seen), "{seen:?}");
     }
 }
@@ -350,21 +364,21 @@
     let mut engine = engine(false, &mut ear);
     let ty = policy(false).trigger_types[1].clone();
     let inv = engine
-        .take(100.0, &offer(0, 104.0), &mut ear)
+        .admit(100.0, &offer(0, 104.0), &mut ear)
         .expect("there is room");
     assert!(engine.uses_trigger_type(0) && !engine.uses_trigger_type(1));
     assert_eq!(
         engine.set_trigger_type(100.0, 0, ty.clone()),
-        Err(ConfigRefused::InUse { index: 0 })
+        Err(ConfigError::InUse { index: 0 })
     );
     assert_eq!(engine.set_trigger_type(100.0, 2, ty.clone()), Ok(()));
     assert_eq!(
         engine.set_trigger_type(100.0, 4, ty.clone()),
-        Err(ConfigRefused::OutOfOrder { index: 4, next: 3 })
+        Err(ConfigError::OutOfOrder { index: 4, next: 3 })
     );
-    engine.withdrawn(100.1, inv, &mut ear);
+    engine.on_client_cancel(100.1, inv, &mut ear);
     // Its dispatch, if there was one, was cancelled and told so to the module.
-    engine.turn(110.0, &mut ear);
+    engine.run_due_timers(110.0, &mut ear);
     assert!(
         !engine.uses_trigger_type(0),
         "nothing is out and the client is gone"
@@ -372,7 +386,7 @@
     assert_eq!(engine.set_trigger_type(110.0, 0, ty), Ok(()));
     assert_eq!(
         engine.set_quotas(110.0, vec![-1.0]),
-        Err(ConfigRefused::NoQuota { customer: 0 })
+        Err(ConfigError::InvalidQuota { customer: 0 })
     );
     assert_eq!(engine.set_quotas(110.0, vec![1.0]), Ok(()));
 }
--- a/crates/engine/tests/fleet/mod.rs
+++ b/crates/engine/tests/fleet/mod.rs
@@ -8,8 +8,8 @@
 
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::random::SeededRandom;
-use orchidtally_engine::baseline::Decisions;
-use orchidtally_engine::{Cause, Engine, Host, Offer, Told};
+use orchidtally_engine::baseline::DispatchPolicy;
+use orchidtally_engine::{Engine, FailureReason, Host, InvocationRequest, ResponseMetadata};
 use orchidtally_invariants as invariants;
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -43,7 +43,7 @@
 /// In hand at each executor, as it truly is: for references that see it.
 pub type Truth = Rc<RefCell<Vec<u32>>>;
 /// Makes what decides at a front end, by its terms, its seed and the true state; `None`: the module.
-pub type Maker = dyn Fn(&PolicyConfig, u64, &Truth) -> Option<Box<dyn Decisions>>;
+pub type Maker = dyn Fn(&PolicyConfig, u64, &Truth) -> Option<Box<dyn DispatchPolicy>>;
 
 /// One front end's side of the world.
 struct Side {
@@ -67,7 +67,7 @@
 }
 
 impl Host for Side {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         self.functions.insert(inv, self.taking);
     }
     fn dispatch(&mut self, inv: u32, n: u8, to: ExecutorId, _: f64) {
@@ -98,50 +98,50 @@
         world.succeeded += 1;
         world.in_time += u64::from(world.now <= came + OBJECTIVE);
     }
-    fn throttled(&mut self, inv: u32, _: f64, _: bool) {
+    fn rejected(&mut self, inv: u32, _: f64, _: bool) {
         self.given_up(inv);
     }
-    fn errored(&mut self, inv: u32, _: Cause, _: bool) {
+    fn failed(&mut self, inv: u32, _: FailureReason, _: bool) {
         self.given_up(inv);
     }
-    fn hold(&mut self, _: ExecutorId, _: u64, _: u8) {}
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn load(&mut self, _: ExecutorId, _: u64, _: u8) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 const OBJECTIVE: f64 = 1.5;
 
 fn policy(front_ends: usize, index: usize) -> PolicyConfig {
     let ty = TriggerType {
-        objective: OBJECTIVE,
-        stretch: 0.0,
-        timeout: 6.0,
+        latency_objective: OBJECTIVE,
+        objective_work_factor: 0.0,
+        client_timeout: 6.0,
         billed_value: 1.0,
-        late_share: 0.2,
-        effect: Effect::Idempotent,
-        group: Group::All,
-        window: 0.0,
+        late_value_fraction: 0.2,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
     };
     PolicyConfig {
         trigger_types: vec![ty],
         front_ends: front_ends as f64,
-        index: index as f64,
-        tick: 0.002,
+        front_end_index: index as f64,
+        clock_tick: 0.002,
         max_dispatches: 4,
-        cancel: true,
+        allows_cancellation: true,
         max_retry_after: 1.0,
         // Warm at once: a cold time would bound what the measure is to find.
-        cold: 0.0,
-        cold_from: 1.0,
+        slow_start_duration: 0.0,
+        slow_start_initial_weight: 1.0,
         overload_factor: 2.0,
-        fall: 1.0,
-        tells_crowd: true,
+        overload_window: 1.0,
+        reports_concurrency: true,
         keep_alive: KEEP,
-        ration_floor: 2.0,
-        ration_share: 0.2,
-        ration_window: 5.0,
+        load_budget_floor: 2.0,
+        load_budget_fraction: 0.2,
+        load_budget_window: 5.0,
         backlog_field: Some(0),
         ..PolicyConfig::default()
     }
@@ -202,7 +202,7 @@
             Some(dispatcher) => Engine::with_baseline(dispatcher, 100_000, now),
             None => Engine::new(policy, 100_000, seed, now, &mut side),
         };
-        engine.roster(now, RosterKind::Full, &rows(ids), &mut side);
+        engine.on_endpoint_update(now, EndpointUpdateKind::Full, &rows(ids), &mut side);
         (engine, side, 0.0_f64)
     };
     let mut sides: Vec<_> = (0..play.front_ends).map(|fe| make(fe, 0, &ids)).collect();
@@ -224,7 +224,7 @@
             }
             for (engine, side, _) in &mut sides {
                 side.ids = ids.clone();
-                engine.roster(now, RosterKind::Full, &rows(&ids), side);
+                engine.on_endpoint_update(now, EndpointUpdateKind::Full, &rows(&ids), side);
             }
         }
         if restarted_at.is_some_and(|at| now >= at) {
@@ -237,18 +237,18 @@
                 let fe = (arrivals.unit() * play.front_ends as f64) as usize;
                 let (engine, side, _) = &mut sides[fe];
                 side.taking = (function, now);
-                let offer = Offer {
+                let offer = InvocationRequest {
                     trigger_type: 0,
                     customer: 0,
                     function,
-                    repeat: false,
-                    moved: false,
+                    is_retry: false,
+                    is_migrated: false,
                     timeout_at: now + 6.0,
-                    work: None,
-                    lanes: f64::from(LANES),
+                    expected_work: None,
+                    concurrency: f64::from(LANES),
                     load_time: Some(LOAD_TIME),
                 };
-                let _ = engine.take(now, &offer, side);
+                let _ = engine.admit(now, &offer, side);
                 fe
             }
             What::Reaches {
@@ -259,7 +259,7 @@
                 x,
                 function,
             } => {
-                let (found, crowd) = (Found::Untold, 0);
+                let (found, crowd) = (CopyState::Unknown, 0);
                 let mut world = world.borrow_mut();
                 if x < play.executors {
                     world.reaches(
@@ -276,7 +276,7 @@
                     );
                 } else {
                     // One that was replaced meanwhile takes no connection.
-                    let (ending, waiting) = (Ending::ConnectFailed, 0.0);
+                    let (ending, waiting) = (DispatchStatus::ConnectFailed, 0.0);
                     let answer = What::Answers {
                         fe,
                         life,
@@ -319,7 +319,7 @@
                         ending,
                     };
                     world.records.push(ended);
-                    world.answer(x, &job, Ending::Ok);
+                    world.answer(x, &job, DispatchStatus::Ok);
                     world.start(x);
                 }
                 continue;
@@ -336,24 +336,24 @@
             } => {
                 let (engine, side, _) = &mut sides[fe];
                 if side.life == life {
-                    let told = Told {
-                        found,
-                        crowd,
-                        report: &[waiting],
+                    let told = ResponseMetadata {
+                        copy_state: found,
+                        function_concurrency: crowd,
+                        load_report: &[waiting],
                     };
-                    engine.ended(now, inv, n, ending, told, side);
+                    engine.on_dispatch_result(now, inv, n, ending, told, side);
                 }
                 fe
             }
             What::Turns(fe) => {
                 let (engine, side, due) = &mut sides[fe];
                 *due = f64::INFINITY;
-                engine.turn(now, side);
+                engine.run_due_timers(now, side);
                 fe
             }
         };
         let (engine, _, due) = &mut sides[touched];
-        let at = engine.due_at();
+        let at = engine.next_deadline();
         if at.is_finite() && at < play.length + 10.0 && (*due <= now || at < *due) {
             *due = at;
             world.borrow_mut().at(at.max(now), What::Turns(touched));
@@ -365,15 +365,15 @@
     world
 }
 
-fn rows(ids: &[ExecutorId]) -> Vec<RosterRow> {
-    let row = |&executor: &ExecutorId| RosterRow {
+fn rows(ids: &[ExecutorId]) -> Vec<Endpoint> {
+    let row = |&executor: &ExecutorId| Endpoint {
         executor,
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        since: f64::NEG_INFINITY,
+        started_at: f64::NEG_INFINITY,
     };
     ids.iter().map(row).collect()
 }
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -1,7 +1,7 @@
 //! Executors in simulated time, and what happens when.
 
 use super::{KEEP, LANES, LOAD_TIME, ROOM, TRANSIT, Truth, WORK};
-use orchidtally_dispatch_policy::interface::{Ending, Found};
+use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_invariants as invariants;
@@ -32,8 +32,8 @@
         life: u32,
         inv: u32,
         n: u8,
-        ending: Ending,
-        found: Found,
+        ending: DispatchStatus,
+        found: CopyState,
         crowd: u32,
         waiting: f32,
     },
@@ -47,7 +47,7 @@
     pub inv: u32,
     pub n: u8,
     pub function: u64,
-    pub found: Found,
+    pub found: CopyState,
     pub crowd: u32,
 }
 
@@ -94,7 +94,7 @@
             .copied()
             .collect();
         lost.iter()
-            .for_each(|job| self.answer(x, job, Ending::Reset));
+            .for_each(|job| self.answer(x, job, DispatchStatus::Reset));
         let life = self.executors[x].life + 1;
         self.executors[x] = Executor {
             life,
@@ -112,7 +112,7 @@
         let (at, now) = (self.now, self.now);
         let e = &self.executors[x];
         if e.waiting.len() >= ROOM {
-            return self.answer(x, &job, Ending::Full);
+            return self.answer(x, &job, DispatchStatus::Full);
         }
         self.records.push(invariants::Record::Reached {
             at,
@@ -137,9 +137,9 @@
         }
         let stands_at = e.copies.get(&job.function).map(|c| c.0);
         let found = match stands_at {
-            None => Found::Loaded,
-            Some(at) if at > now => Found::Waited,
-            Some(_) => Found::Warm,
+            None => CopyState::ColdLoad,
+            Some(at) if at > now => CopyState::JoinedLoad,
+            Some(_) => CopyState::Warm,
         };
         let stands_at = stands_at.unwrap_or(now + LOAD_TIME);
         e.copies
@@ -150,7 +150,7 @@
             ..job
         });
         let life = e.life;
-        if found == Found::Loaded {
+        if found == CopyState::ColdLoad {
             let name = format!("{}", job.function);
             if stale {
                 self.records.push(invariants::Record::Unloads {
@@ -188,7 +188,7 @@
         }
     }
 
-    pub fn answer(&mut self, x: usize, job: &Job, ending: Ending) {
+    pub fn answer(&mut self, x: usize, job: &Job, ending: DispatchStatus) {
         let waiting = self.executors[x].waiting.len() as f32;
         let Job {
             fe,
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -5,7 +5,7 @@
 
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
-use orchidtally_engine::baseline::{Decisions, Pick, Plain};
+use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
 use orchidtally_invariants::{Spread, spread};
 
 const WARM: f64 = 6.0;
@@ -28,18 +28,21 @@
     (spread(&world.records, WARM), world.in_time as f64 / asked)
 }
 
-fn module(_: &PolicyConfig, _: u64, _: &Truth) -> Option<Box<dyn Decisions>> {
+fn module(_: &PolicyConfig, _: u64, _: &Truth) -> Option<Box<dyn DispatchPolicy>> {
     None
 }
 
-fn random(_: &PolicyConfig, seed: u64, _: &Truth) -> Option<Box<dyn Decisions>> {
-    Some(Box::new(Plain::new(seed)))
+fn random(_: &PolicyConfig, seed: u64, _: &Truth) -> Option<Box<dyn DispatchPolicy>> {
+    Some(Box::new(BaselinePolicy::new(seed)))
 }
 
-fn two_by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn Decisions>> {
+fn two_by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn DispatchPolicy>> {
     let truth = truth.clone();
     let load = move |id: ExecutorId| fleet::number(id).map_or(u32::MAX, |x| truth.borrow()[x]);
-    Some(Box::new(Plain::by(Pick::TwoByTruth(Box::new(load)), seed)))
+    Some(Box::new(BaselinePolicy::by(
+        BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
+        seed,
+    )))
 }
 
 #[test]
--- a/crates/http-frontend/src/config/hub_target.rs
+++ b/crates/http-frontend/src/config/hub_target.rs
@@ -121,7 +121,7 @@
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), SettingsError> {
     let (index, life) = (
-        hub.deployment.policy.index as u32,
+        hub.deployment.policy.front_end_index as u32,
         hub.sender.get().incarnation,
     );
     // Two processes with one index, or one after the other, are two front ends to the store.
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -4,7 +4,7 @@
 use orchidtally_config_sync::View;
 use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, TriggerTypeSpec, VersionSpec};
 use orchidtally_deployment::{Deployment, Function, Trigger, Version, key};
-use orchidtally_dispatch_policy::interface::{Effect, Group, TriggerType};
+use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -39,7 +39,8 @@
         for (name, spec) in self.stored_trigger_types() {
             match all.iter_mut().find(|(trigger, _)| trigger.name == name) {
                 Some((_, policy)) => {
-                    (policy.objective, policy.timeout) = (spec.objective, spec.timeout)
+                    (policy.latency_objective, policy.client_timeout) =
+                        (spec.objective, spec.timeout)
                 }
                 None => all.push(new_trigger_type(name, spec)),
             }
@@ -115,14 +116,14 @@
         journalled: false,
     };
     let policy = TriggerType {
-        objective: spec.objective,
-        stretch: 0.0,
-        timeout: spec.timeout,
+        latency_objective: spec.objective,
+        objective_work_factor: 0.0,
+        client_timeout: spec.timeout,
         billed_value: 1.0,
-        late_share: 0.0,
-        effect: Effect::NonIdempotent,
-        group: Group::All,
-        window: 0.0,
+        late_value_fraction: 0.0,
+        idempotency: Idempotency::NonIdempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: 0.0,
     };
     (trigger, policy)
 }
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -2,7 +2,7 @@
 
 use crate::roster::row;
 use orchidtally_deployment::Deployment;
-use orchidtally_dispatch_policy::interface::RosterRow;
+use orchidtally_dispatch_policy::interface::Endpoint;
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
 use orchidtally_executor_protocol::v1;
@@ -56,7 +56,7 @@
     key: &[u8],
     value: &[u8],
     now: f64,
-) -> Result<RosterRow, String> {
+) -> Result<Endpoint, String> {
     let fields: serde_json::Value =
         serde_json::from_slice(value).map_err(|why| format!("no JSON: {why}"))?;
     let key = std::str::from_utf8(key).ok();
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -2,7 +2,7 @@
 
 use async_executor::LocalExecutor;
 use orchidtally_deployment::{Deployment, Etcd};
-use orchidtally_dispatch_policy::interface::{RosterKind, RosterRow};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
 use orchidtally_etcd::Client;
 use orchidtally_membership::{Cache, Members};
 use serde::Serialize;
@@ -27,7 +27,7 @@
     fn own_entry(&self) -> OwnEntry;
 
     /// Executors have changed, or the first whole list is here.
-    fn roster_changed(&self, kind: RosterKind, rows: &[RosterRow]);
+    fn roster_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
 
     /// The roster as it was told was true when the store was asked at a time, which has answered that.
     fn roster_confirmed(&self, asked_at: f64);
--- a/crates/http-frontend/src/etcd/hub_host.rs
+++ b/crates/http-frontend/src/etcd/hub_host.rs
@@ -3,7 +3,7 @@
 use super::{MembershipHost, OwnEntry, StoreConnections, follow_store};
 use crate::hub::Hub;
 use orchidtally_deployment::{Deployment, Etcd};
-use orchidtally_dispatch_policy::interface::{RosterKind, RosterRow};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
 use orchidtally_membership::{Cache, Members};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -34,11 +34,11 @@
         }
     }
 
-    fn roster_changed(&self, kind: RosterKind, rows: &[RosterRow]) {
-        if kind == RosterKind::Full {
+    fn roster_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+        if kind == EndpointUpdateKind::Full {
             info!(executors = rows.len(), "the roster is here");
         }
-        self.play(|engine, now, performer| engine.roster(now, kind, rows, performer));
+        self.play(|engine, now, performer| engine.on_endpoint_update(now, kind, rows, performer));
     }
 
     fn roster_confirmed(&self, asked_at: f64) {
@@ -61,7 +61,7 @@
     };
     let name = format!(
         "{}.{}",
-        hub.deployment.policy.index as u32,
+        hub.deployment.policy.front_end_index as u32,
         hub.sender.get().incarnation
     );
     let connections = StoreConnections::new(etcd, &name, &tasks);
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -7,7 +7,7 @@
 use orchidtally_deployment::Source;
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::{self, Transport};
-use orchidtally_engine::{NOTHING_TOLD, Told};
+use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{DISPATCH, ORDER, frame};
 use std::cell::Cell;
@@ -48,8 +48,8 @@
 
 /// How a dispatch ended.
 struct DispatchEnd<'a> {
-    ending: Ending,
-    told: Told<'a>,
+    ending: DispatchStatus,
+    told: ResponseMetadata<'a>,
     brought: Option<Brought>,
     timing: Option<Timing>,
 }
@@ -63,7 +63,7 @@
                 task.detach();
             }
             performer.brought = end.brought;
-            engine.ended(now, inv, number, end.ending, end.told, performer);
+            engine.on_dispatch_result(now, inv, number, end.ending, end.told, performer);
             performer.brought = None;
         });
     }
@@ -78,7 +78,9 @@
             Some(Transport::NoConnection) => {
                 let told = self.cache.borrow_mut().failed(&executor);
                 if let Some((kind, rows)) = told {
-                    self.play(|engine, now, performer| engine.roster(now, kind, &rows, performer));
+                    self.play(|engine, now, performer| {
+                        engine.on_endpoint_update(now, kind, &rows, performer)
+                    });
                 }
             }
             Some(_) => {}
@@ -132,21 +134,21 @@
         let now = self.look();
         self.engine
             .borrow_mut()
-            .leaves(now, dispatch.inv, dispatch.number)
+            .revalidate_dispatch(now, dispatch.inv, dispatch.number)
     }
 
     /// The same of an order to load that was given at a time.
     fn order_still_holds(&self, to: ExecutorId, given_at: f64) -> bool {
         let now = self.look();
-        self.engine.borrow_mut().order_leaves(now, to, given_at)
+        self.engine.borrow_mut().revalidate_load(now, to, given_at)
     }
 
     fn dispatch_head(&self, dispatch: &Dispatch) -> v1::Dispatch {
         let work = &dispatch.work;
-        let effect = match work.trigger_type.policy.effect {
-            Effect::Idempotent => v1::Effect::Idempotent,
-            Effect::Tokened => v1::Effect::Tokened,
-            Effect::NonIdempotent => v1::Effect::NonIdempotent,
+        let effect = match work.trigger_type.policy.idempotency {
+            Idempotency::Idempotent => v1::Effect::Idempotent,
+            Idempotency::Keyed => v1::Effect::Tokened,
+            Idempotency::NonIdempotent => v1::Effect::NonIdempotent,
         };
         v1::Dispatch {
             from: Some(self.sender.get()),
@@ -174,7 +176,7 @@
             dispatch,
             DispatchEnd {
                 ending,
-                told: NOTHING_TOLD,
+                told: NO_METADATA,
                 brought: None,
                 timing: None,
             },
@@ -192,21 +194,21 @@
             self.another_has_index(dispatch.to);
         }
         let found = match answer.found() {
-            v1::Found::Untold => Found::Untold,
-            v1::Found::Warm => Found::Warm,
-            v1::Found::Loaded => Found::Loaded,
-            v1::Found::Waited => Found::Waited,
-            v1::Found::LoadFailed => Found::LoadFailed,
+            v1::Found::Untold => CopyState::Unknown,
+            v1::Found::Warm => CopyState::Warm,
+            v1::Found::Loaded => CopyState::ColdLoad,
+            v1::Found::Waited => CopyState::JoinedLoad,
+            v1::Found::LoadFailed => CopyState::LoadFailed,
         };
-        if matches!(found, Found::Loaded | Found::LoadFailed) {
-            let succeeded = found == Found::Loaded;
+        if matches!(found, CopyState::ColdLoad | CopyState::LoadFailed) {
+            let succeeded = found == CopyState::ColdLoad;
             self.shares
                 .borrow_mut()
                 .load_ended(dispatch.version, succeeded, answer.digest_differs);
         }
         let timing = || Timing {
             took: began.elapsed().as_secs_f64(),
-            warm: matches!(found, Found::Warm | Found::Untold),
+            warm: matches!(found, CopyState::Warm | CopyState::Unknown),
         };
         let may_stream = dispatch.work.trigger_type.trigger.streams;
         let (seen, brought) = match answer.ending() {
@@ -216,25 +218,25 @@
             ),
             v1::Ending::Ok => match incoming.whole(self.deployment.bounds.answer_bytes).await {
                 Ok(chunks) => (
-                    Transport::Answered(Ending::Ok),
+                    Transport::Answered(DispatchStatus::Ok),
                     Some(Brought::Whole(chunks)),
                 ),
                 Err(seen) => (seen, None),
             },
             v1::Ending::Error => {
-                if found != Found::LoadFailed {
+                if found != CopyState::LoadFailed {
                     self.version_failed(dispatch, false);
                 }
-                (Transport::Answered(Ending::Error), None)
+                (Transport::Answered(DispatchStatus::Error), None)
             }
-            v1::Ending::Full => (Transport::Answered(Ending::Full), None),
-            v1::Ending::Miss => (Transport::Answered(Ending::Miss), None),
+            v1::Ending::Full => (Transport::Answered(DispatchStatus::Full), None),
+            v1::Ending::Miss => (Transport::Answered(DispatchStatus::Miss), None),
             v1::Ending::Unspecified => (Transport::Malformed, None),
         };
-        let told = Told {
-            found,
-            crowd: answer.crowd,
-            report: &answer.report,
+        let told = ResponseMetadata {
+            copy_state: found,
+            function_concurrency: answer.crowd,
+            load_report: &answer.report,
         };
         let ending = evidence::ending(seen);
         self.dispatch_ended(
@@ -259,7 +261,8 @@
         let is_first = self.play(|engine, now, performer| {
             performer.brought = Some(Brought::Streamed(body));
             performer.timing = Some(timing);
-            let is_first = engine.streaming(now, dispatch.inv, dispatch.number, performer);
+            let is_first =
+                engine.on_response_started(now, dispatch.inv, dispatch.number, performer);
             performer.brought = None;
             is_first
         });
@@ -291,7 +294,7 @@
         loop {
             let part = match orchidtally_socket_io::within(time, incoming.payload()).await {
                 Some(Ok(Some(part))) => Ok(part),
-                Some(Ok(None)) => return Transport::Answered(Ending::Ok),
+                Some(Ok(None)) => return Transport::Answered(DispatchStatus::Ok),
                 Some(Err(seen)) => {
                     let _ = orchidtally_socket_io::within(time, parts.send(Err(CutOff))).await;
                     return seen;
@@ -304,7 +307,7 @@
             match orchidtally_socket_io::within(time, parts.send(part)).await {
                 Some(Ok(())) => {}
                 // The client went away, or stopped reading.
-                Some(Err(_)) | None => return Transport::Answered(Ending::Cancelled),
+                Some(Err(_)) | None => return Transport::Answered(DispatchStatus::Cancelled),
             }
         }
     }
@@ -334,23 +337,27 @@
             Some(Ok((answer, _))) => match answer.ending() {
                 _ if answer.digest_differs => {
                     differs = true;
-                    Transport::Answered(Ending::Error)
+                    Transport::Answered(DispatchStatus::Error)
                 }
-                v1::Ending::Ok => Transport::Answered(Ending::Ok),
-                v1::Ending::Full => Transport::Answered(Ending::Full),
-                v1::Ending::Error | v1::Ending::Miss => Transport::Answered(Ending::Error),
+                v1::Ending::Ok => Transport::Answered(DispatchStatus::Ok),
+                v1::Ending::Full => Transport::Answered(DispatchStatus::Full),
+                v1::Ending::Error | v1::Ending::Miss => Transport::Answered(DispatchStatus::Error),
                 v1::Ending::Unspecified => Transport::Malformed,
             },
         };
         if order.kind() == v1::OrderKind::Hold {
             let ending = evidence::ending(seen);
             // An executor that is gone or full tells nothing of the version.
-            if matches!(ending, Ending::Ok | Ending::Error) {
-                self.shares
-                    .borrow_mut()
-                    .load_ended(function, ending == Ending::Ok, differs);
+            if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
+                self.shares.borrow_mut().load_ended(
+                    function,
+                    ending == DispatchStatus::Ok,
+                    differs,
+                );
             }
-            self.play(|engine, now, performer| engine.held(now, to, function, ending, performer));
+            self.play(|engine, now, performer| {
+                engine.on_load_result(now, to, function, ending, performer)
+            });
         }
     }
 }
--- a/crates/http-frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/hub/invocation.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_channel::oneshot;
 use orchidtally_deployment::Function;
-use orchidtally_engine::{Cause, Offer, Refused};
+use orchidtally_engine::{AdmissionError, FailureReason, InvocationRequest};
 use orchidtally_rollout::split::Who;
 use orchidtally_rollout::{Invoked, Published, Resolved};
 use std::cell::Cell;
@@ -109,11 +109,11 @@
     Refused(Refusal),
 }
 
-impl From<Refused> for NotTaken {
-    fn from(refused: Refused) -> NotTaken {
+impl From<AdmissionError> for NotTaken {
+    fn from(refused: AdmissionError) -> NotTaken {
         match refused {
-            Refused::Full => NotTaken::Full,
-            Refused::Leaving => NotTaken::Leaving,
+            AdmissionError::AtCapacity => NotTaken::Full,
+            AdmissionError::ShuttingDown => NotTaken::Leaving,
         }
     }
 }
@@ -150,7 +150,7 @@
     /// No executor has answered, or the function failed.
     Errored {
         /// Which of the two.
-        cause: Cause,
+        cause: FailureReason,
         /// Whether the function may have run.
         may_have_run: bool,
     },
@@ -166,7 +166,7 @@
 /// Whoever waits for the final answer of an invocation.
 pub(super) struct Client {
     pub(super) work: Rc<Work>,
-    pub(super) offer: Offer,
+    pub(super) offer: InvocationRequest,
     /// The engine's id for it, which changes where it is moved to another version.
     pub(super) inv: Rc<Cell<u32>>,
     pub(super) reply: oneshot::Sender<Final>,
@@ -174,7 +174,7 @@
 
 impl Hub {
     /// Takes an invocation. The receiver gets its final answer.
-    fn take(&self, offer: Offer, work: Work) -> Result<Taken, Refused> {
+    fn take(&self, offer: InvocationRequest, work: Work) -> Result<Taken, AdmissionError> {
         let (reply, answer) = oneshot::channel();
         let inv = Rc::new(Cell::new(0));
         let client = Client {
@@ -207,15 +207,15 @@
     fn take_asked(&self, asked: Asked) -> Result<Taken, NotTaken> {
         self.check_admission(&asked.revision, &asked.subject())?;
         let Resolved { version, invoked } = asked.resolved;
-        let offer = Offer {
+        let offer = InvocationRequest {
             trigger_type: asked.trigger_type.index,
             customer: asked.customer.index,
             function: version.key,
-            repeat: asked.repeat,
-            moved: false,
+            is_retry: asked.repeat,
+            is_migrated: false,
             timeout_at: asked.timeout_at,
-            work: version.work,
-            lanes: version.lanes,
+            expected_work: version.work,
+            concurrency: version.lanes,
             load_time: version.load_time,
         };
         let work = Work {
@@ -273,11 +273,11 @@
             self.play(|engine, now, performer| performer.move_waiting(engine, now, run));
         }
         for ahead in due {
-            let wish = orchidtally_dispatch_policy::interface::Ahead {
+            let wish = orchidtally_dispatch_policy::interface::PrewarmRequest {
                 function: ahead.version.key,
-                lanes: ahead.version.lanes,
+                concurrency: ahead.version.lanes,
                 load_time: ahead.version.load_time,
-                copies: ahead.copies,
+                replicas: ahead.copies,
             };
             let (known, ordered) = self.play(|engine, now, performer| {
                 performer.name(
@@ -285,10 +285,10 @@
                     ahead.function.as_str().into(),
                     ahead.version.digest.clone(),
                 );
-                let before = engine.tally().orders;
+                let before = engine.counters().load_commands;
                 (
-                    engine.ahead(now, &wish, performer),
-                    engine.tally().orders > before,
+                    engine.prewarm(now, &wish, performer),
+                    engine.counters().load_commands > before,
                 )
             });
             self.shares.borrow_mut().prepared(&ahead, known, ordered);
@@ -297,7 +297,7 @@
 
     fn withdraw(&self, inv: u32) {
         self.play(|engine, now, performer| {
-            engine.withdrawn(now, inv, performer);
+            engine.on_client_cancel(now, inv, performer);
             performer.clients.remove(&inv);
         });
     }
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -22,9 +22,9 @@
 use orchidtally_deployment::{Deployment, Source};
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::Engine;
-use orchidtally_engine::baseline::Random;
+use orchidtally_engine::baseline::RandomPolicy;
 use orchidtally_engine::clock::Clock;
-use orchidtally_engine::standstill::StandstillDetector;
+use orchidtally_engine::standstill::StallDetector;
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::members::LATE;
 use orchidtally_membership::{Cache, Members};
@@ -67,7 +67,7 @@
     pub shares: RefCell<Shares>,
     performer: RefCell<Performer>,
     clock: RefCell<Clock>,
-    standstills: RefCell<StandstillDetector>,
+    standstills: RefCell<StallDetector>,
     started: Instant,
     spawner: Weak<LocalExecutor<'static>>,
     armed_for: Cell<f64>,
@@ -122,7 +122,7 @@
         let clock = RefCell::new(Clock::new(0.0, wall() + ahead));
         let now = clock.borrow_mut().read(0.0);
         let sender = v1::Sender {
-            index: deployment.policy.index as u32,
+            index: deployment.policy.front_end_index as u32,
             count: deployment.policy.front_ends as u32,
             incarnation: seed,
         };
@@ -133,14 +133,14 @@
                 deployment.bounds.open_invocations,
             );
             let engine = match random {
-                true => Engine::with_baseline(Box::new(Random::new(seed)), most, now),
+                true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
                 false => Engine::new(policy, most, seed, now, &mut performer),
             };
             let place = orchidtally_rollout::frontend::Place {
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
-                orders: deployment.policy.orders && !random,
+                orders: deployment.policy.allows_load_commands && !random,
                 keep_alive: deployment.policy.keep_alive,
             };
             Hub {
@@ -154,7 +154,7 @@
                 engine: RefCell::new(engine),
                 performer: RefCell::new(performer),
                 clock,
-                standstills: RefCell::new(StandstillDetector::new(now)),
+                standstills: RefCell::new(StallDetector::new(now)),
                 started,
                 spawner: Rc::downgrade(spawner),
                 armed_for: Cell::new(f64::INFINITY),
@@ -171,7 +171,7 @@
         });
         if let Source::Listed(rows) = &hub.deployment.source {
             hub.play(|engine, now, performer| {
-                engine.roster(now, RosterKind::Full, rows, performer)
+                engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, performer)
             });
         }
         hub
@@ -183,7 +183,7 @@
             .clock
             .borrow_mut()
             .read(self.started.elapsed().as_secs_f64());
-        self.standstills.borrow_mut().look(now);
+        self.standstills.borrow_mut().observe(now);
         now
     }
 
@@ -208,7 +208,7 @@
             performer.offer_again(&mut engine, now, moving);
         }
         drop(performer);
-        if engine.due_at() < self.armed_for.get() {
+        if engine.next_deadline() < self.armed_for.get() {
             // A full channel has woken the timer already.
             let _ = self.rearm.0.try_send(());
         }
@@ -218,7 +218,7 @@
     /// Calls the engine when it is due, for as long as the front end lives.
     pub async fn keep_time(self: Rc<Self>) {
         loop {
-            let due = self.engine.borrow().due_at();
+            let due = self.engine.borrow().next_deadline();
             self.armed_for.set(due);
             let left = due - self.now();
             if left > 0.0 {
@@ -232,7 +232,7 @@
                     woken.await;
                 }
             } else {
-                self.play(|engine, now, performer| engine.turn(now, performer));
+                self.play(|engine, now, performer| engine.run_due_timers(now, performer));
                 futures_lite::future::yield_now().await;
             }
         }
@@ -252,7 +252,7 @@
             clock.anchor(monotonic, wall() + ahead + stepped);
             let astray = clock.astray();
             drop(clock);
-            let far = astray.abs() > self.deployment.policy.skew / 2.0;
+            let far = astray.abs() > self.deployment.policy.max_clock_skew / 2.0;
             if far && !warned {
                 warn!(
                     astray,
@@ -271,7 +271,7 @@
     /// From now on nothing new is taken.
     pub fn leave(&self) {
         self.is_leaving.set(true);
-        self.engine.borrow_mut().leave();
+        self.engine.borrow_mut().start_draining();
     }
 
     /// Whether nothing new is taken any more.
@@ -281,12 +281,12 @@
 
     /// The number of open invocations.
     pub fn open(&self) -> usize {
-        self.engine.borrow().open()
+        self.engine.borrow().open_invocations()
     }
 
     /// Counts of what has happened so far.
-    pub fn tally(&self) -> orchidtally_engine::Tally {
-        self.engine.borrow().tally()
+    pub fn tally(&self) -> orchidtally_engine::Counters {
+        self.engine.borrow().counters()
     }
 
     /// Tells the dispatch module how many front ends share the fleet. The number of slots is a power of two, so that it
@@ -308,9 +308,9 @@
         let living = MembershipView {
             front_ends: f64::from(figure.count),
             slot_count: f64::from(slot_count),
-            index: f64::from(index),
-            shares,
+            front_end_index: f64::from(index),
+            has_budget_share: shares,
         };
-        self.play(|engine, now, performer| engine.living(now, living, performer));
+        self.play(|engine, now, performer| engine.on_membership_change(now, living, performer));
     }
 }
--- a/crates/http-frontend/src/hub/performer.rs
+++ b/crates/http-frontend/src/hub/performer.rs
@@ -7,7 +7,7 @@
 use async_executor::Task;
 use orchidtally_deployment::Version;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::{Cause, Engine, Host, Refused};
+use orchidtally_engine::{AdmissionError, Engine, FailureReason, Host};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{PROBE, frame};
 use orchidtally_rollout::frontend::{AnswerOutcome, may_move};
@@ -105,7 +105,7 @@
         engine: &mut Engine,
         now: f64,
         client: Client,
-    ) -> Result<u32, Refused> {
+    ) -> Result<u32, AdmissionError> {
         self.name(
             client.offer.function,
             client.work.function.clone(),
@@ -113,7 +113,7 @@
         );
         let offer = client.offer.clone();
         self.taking = Some(client);
-        let taken = engine.take(now, &offer, self);
+        let taken = engine.admit(now, &offer, self);
         if taken.is_ok() {
             self.taking = None;
         }
@@ -136,12 +136,12 @@
         let mut waiting: Vec<u32> = self
             .clients
             .iter()
-            .filter(|(inv, c)| is_new(c) && engine.sent(**inv) == 0)
+            .filter(|(inv, c)| is_new(c) && engine.dispatch_count(**inv) == 0)
             .map(|(&inv, _)| inv)
             .collect();
         waiting.sort_unstable();
         for inv in waiting {
-            engine.withdrawn(now, inv, self);
+            engine.on_client_cancel(now, inv, self);
             if let Some(client) = self.clients.remove(&inv) {
                 self.moving.push(Moving {
                     client,
@@ -166,8 +166,9 @@
             dispatched,
         } = moving;
         info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "moved to the old version");
-        (offer.function, offer.moved) = (to.key, true);
-        (offer.lanes, offer.load_time, offer.work) = (to.lanes, to.load_time, to.work);
+        (offer.function, offer.is_migrated) = (to.key, true);
+        (offer.concurrency, offer.load_time, offer.expected_work) =
+            (to.lanes, to.load_time, to.work);
         let work = Rc::new(Work {
             name: work.name.clone(),
             function: work.function.clone(),
@@ -276,7 +277,7 @@
         Final::Errored { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
     };
     if let Final::Errored {
-        cause: Cause::TimedOut,
+        cause: FailureReason::TimedOut,
         ..
     } = answer
         && work.last.get() != 0
@@ -287,13 +288,13 @@
     }
     shares.answered(invoked, outcome, work.failed.get());
     let has_failed = !matches!(outcome, AnswerOutcome::Succeeded { .. });
-    let is_idempotent = work.trigger_type.policy.effect == Effect::Idempotent;
+    let is_idempotent = work.trigger_type.policy.idempotency == Idempotency::Idempotent;
     let moves = has_failed && may_move(is_idempotent, may_have_run) && invoked.arm == Arm::New;
     shares.goes_back_to(invoked.run).filter(|_| moves)
 }
 
 impl Host for Performer {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         if let Some(client) = self.taking.take() {
             client.inv.set(inv);
             self.clients.insert(inv, client);
@@ -335,7 +336,7 @@
         self.answer(inv, Final::Succeeded(brought));
     }
 
-    fn throttled(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+    fn rejected(&mut self, inv: u32, retry_after: f64, past_share: bool) {
         self.answer(
             inv,
             Final::Throttled {
@@ -345,7 +346,7 @@
         );
     }
 
-    fn errored(&mut self, inv: u32, cause: Cause, may_have_run: bool) {
+    fn failed(&mut self, inv: u32, cause: FailureReason, may_have_run: bool) {
         self.answer(
             inv,
             Final::Errored {
@@ -355,11 +356,11 @@
         );
     }
 
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.order(to, function, v1::OrderKind::Hold, copies);
     }
 
-    fn ask(&mut self, to: ExecutorId, function: u64) {
+    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
         self.order(to, function, v1::OrderKind::Ask, 0);
     }
 
@@ -367,7 +368,7 @@
         self.order(to, function, v1::OrderKind::Unload, 0);
     }
 
-    fn probe(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, to: ExecutorId) {
         let Some(hub) = self.hub.upgrade() else {
             return;
         };
@@ -384,7 +385,7 @@
         }
     }
 
-    fn watch_roster(&mut self) {
+    fn subscribe_to_endpoints(&mut self) {
         let Some(hub) = self.hub.upgrade() else {
             return;
         };
--- a/crates/http-frontend/src/hub/reconfigure.rs
+++ b/crates/http-frontend/src/hub/reconfigure.rs
@@ -4,7 +4,7 @@
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
 use crate::config::{ConfigView, Overlay};
 use orchidtally_deployment::Deployment;
-use orchidtally_dispatch_policy::interface::{ConfigRefused, check_quotas};
+use orchidtally_dispatch_policy::interface::{ConfigError, check_quotas};
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     )]
     TooManyTriggerTypes,
     #[error("the engine refused it: {0}")]
-    Refused(#[from] ConfigRefused),
+    Refused(#[from] ConfigError),
 }
 
 /// The revision in force, and who holds which of the engine's indices.
@@ -80,7 +80,7 @@
         self.trigger_types
             .borrow()
             .held()
-            .map(|held| held.policy.timeout)
+            .map(|held| held.policy.client_timeout)
             .fold(0.0, f64::max)
     }
 
--- a/crates/http-frontend/src/hub/refusing.rs
+++ b/crates/http-frontend/src/hub/refusing.rs
@@ -5,8 +5,8 @@
 use super::invocation::{Final, NotTaken, Work};
 use super::revision::Revision;
 use crate::config::{Refusal, Subject};
-use orchidtally_dispatch_policy::interface::Ending;
-use orchidtally_engine::NOTHING_TOLD;
+use orchidtally_dispatch_policy::interface::DispatchStatus;
+use orchidtally_engine::NO_METADATA;
 
 impl Hub {
     /// Whether an invocation under a revision may be taken now.
@@ -41,12 +41,12 @@
             if let Some(task) = performer.out.remove(&(inv, n)) {
                 task.detach();
             }
-            let sent = engine.sent(inv);
+            let sent = engine.dispatch_count(inv);
             let another_is_out = (0..sent).any(|m| performer.out.contains_key(&(inv, m as u8)));
             if !another_is_out {
                 // An earlier one may have run; it isn't known here how it ended.
                 let may_have_run = sent > 1;
-                engine.withdrawn(now, inv, performer);
+                engine.on_client_cancel(now, inv, performer);
                 if let Some(client) = performer.clients.remove(&inv) {
                     // A client that went away meanwhile needs no answer.
                     let _ = client.reply.send(Final::Refused {
@@ -55,7 +55,14 @@
                     });
                 }
             }
-            engine.ended(now, inv, n, Ending::NeverSent, NOTHING_TOLD, performer);
+            engine.on_dispatch_result(
+                now,
+                inv,
+                n,
+                DispatchStatus::NeverSent,
+                NO_METADATA,
+                performer,
+            );
         });
     }
 }
--- a/crates/http-frontend/src/hub/view_age.rs
+++ b/crates/http-frontend/src/hub/view_age.rs
@@ -3,7 +3,7 @@
 
 use super::Hub;
 use async_io::Timer;
-use orchidtally_engine::standstill::LOOK_INTERVAL;
+use orchidtally_engine::standstill::MAX_OBSERVATION_INTERVAL;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
@@ -11,29 +11,29 @@
 impl Hub {
     /// The list was true when its source was asked at a time, which has answered that.
     pub fn roster_confirmed(&self, asked_at: f64) {
-        self.play(|engine, now, performer| engine.view_confirmed(now, asked_at, performer));
+        self.play(|engine, now, performer| engine.on_view_confirmed(now, asked_at, performer));
     }
 
     /// What the source was asked at a time has no answer.
     pub fn roster_lost(&self, asked_at: f64) {
-        self.play(|engine, now, _| engine.view_lost(now, asked_at));
+        self.play(|engine, now, _| engine.on_view_lost(now, asked_at));
     }
 
     /// When bytes that are read now may have come: they may have waited while the process stood still.
     pub fn arrived_by(&self) -> f64 {
         let now = self.now();
-        self.standstills.borrow().arrived_by(now)
+        self.standstills.borrow().arrival_bound(now)
     }
 
     /// The time; the engine hears of it if the process stood still until now.
     pub(super) fn look(&self) -> f64 {
         let now = self.now();
-        if let Some(seconds) = self.standstills.borrow_mut().take() {
+        if let Some(seconds) = self.standstills.borrow_mut().take_stall() {
             warn!(
                 seconds,
                 "the process stood still: nothing goes out on an old list until its source has answered"
             );
-            self.engine.borrow_mut().stood_still(now);
+            self.engine.borrow_mut().on_process_stall(now);
         }
         now
     }
@@ -41,7 +41,7 @@
     /// Looks at the clock often enough to tell a standstill from idleness, for as long as the front end lives.
     pub async fn watch_clock(self: Rc<Self>) {
         loop {
-            Timer::after(Duration::from_secs_f64(LOOK_INTERVAL)).await;
+            Timer::after(Duration::from_secs_f64(MAX_OBSERVATION_INTERVAL)).await;
             self.look();
         }
     }
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -4,7 +4,7 @@
 use super::{CUSTOMER, INVOCATION, REPEAT, TIME_LEFT, TOKEN, TRIGGER_TYPE};
 use crate::hub::{NamedCustomer, Revision, TriggerTypeInForce};
 use http::{HeaderMap, StatusCode};
-use orchidtally_dispatch_policy::interface::Effect;
+use orchidtally_dispatch_policy::interface::Idempotency;
 use std::rc::Rc;
 
 /// The greatest length of a header that names something, in bytes.
@@ -54,12 +54,14 @@
         let customer = customer(headers, revision)?;
         let policy = &trigger_type.policy;
         let token = header(headers, TOKEN)?;
-        if policy.effect == Effect::Tokened && token.is_none() {
+        if policy.idempotency == Idempotency::Keyed && token.is_none() {
             return Err(Problem::bad(format!(
                 "header '{TOKEN}' is missing; this trigger type is tokened"
             )));
         }
-        let time_left = time_left(headers)?.map_or(policy.timeout, |time| time.min(policy.timeout));
+        let time_left = time_left(headers)?.map_or(policy.client_timeout, |time| {
+            time.min(policy.client_timeout)
+        });
         Ok(InvocationHeaders {
             trigger_place,
             customer,
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -4,7 +4,7 @@
 use crate::config::Refusal;
 use crate::hub::{AnswerLost, Brought, Final, Hub, NotTaken};
 use http::{Response, StatusCode};
-use orchidtally_engine::Cause;
+use orchidtally_engine::FailureReason;
 
 /// The response to a final answer.
 pub(super) struct FinalResponse {
@@ -48,8 +48,8 @@
                 may_have_run,
             }) => {
                 let status = match cause {
-                    Cause::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-                    Cause::Failed => StatusCode::BAD_GATEWAY,
+                    FailureReason::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+                    FailureReason::Failed => StatusCode::BAD_GATEWAY,
                 };
                 let detail = if may_have_run {
                     "it may have run"
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -19,7 +19,7 @@
 use hub::Hub;
 use ingress::{ConnectionGuard, serve, turn_away};
 use orchidtally_deployment::Deployment;
-use orchidtally_engine::Tally;
+use orchidtally_engine::Counters;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
 }
 
 /// Runs a front end on this thread until it is stopped and what was open is answered.
-pub fn run(start: Start, listener: Async<TcpListener>) -> Tally {
+pub fn run(start: Start, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
     let promise_store = start.promise_store.map(Rc::new);
     let hub = Hub::new(
@@ -104,7 +104,7 @@
     listener: Async<TcpListener>,
     stop: async_channel::Receiver<()>,
     (consuming, stop_consuming): (Option<Task<()>>, async_channel::Sender<()>),
-) -> Tally {
+) -> Counters {
     let most = hub.deployment.bounds.connections;
     let open = Rc::new(Cell::new(0));
     let (leave, leaving) = async_channel::bounded::<()>(1);
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -49,7 +49,10 @@
         );
     }
     let section = Rc::new(section);
-    let (index, password) = (hub.deployment.policy.index as u32, read_password(&section));
+    let (index, password) = (
+        hub.deployment.policy.front_end_index as u32,
+        read_password(&section),
+    );
     let consumer = Consumer::new(
         &section,
         &hub.deployment,
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -3,7 +3,7 @@
 use crate::config::Refusal;
 use crate::hub::{AnswerLost, Asked, Brought, Final, Hub, NamedCustomer, NotTaken};
 use bytes::Bytes;
-use orchidtally_engine::Cause;
+use orchidtally_engine::FailureReason;
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
 use orchidtally_rollout::plan::Key;
 use orchidtally_rollout::split::Who;
@@ -128,8 +128,8 @@
             may_have_run,
         }) => {
             let why = match cause {
-                Cause::TimedOut => "no answer came in time",
-                Cause::Failed => "the executor failed",
+                FailureReason::TimedOut => "no answer came in time",
+                FailureReason::Failed => "the executor failed",
             };
             Answer::Errored {
                 why: why.into(),
--- a/crates/http-frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/promise_store.rs
@@ -61,7 +61,7 @@
         let Some(settings) = &deployment.journal else {
             return Ok(None);
         };
-        let folder = settings.folder(deployment.policy.index as u32);
+        let folder = settings.folder(deployment.policy.front_end_index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
         let promises =
--- a/crates/http-frontend/src/roster.rs
+++ b/crates/http-frontend/src/roster.rs
@@ -36,7 +36,7 @@
 }
 
 /// A row as the module takes it, or why it can't.
-pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<RosterRow, String> {
+pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<Endpoint, String> {
     let address: SocketAddr = row.address.parse().map_err(|e| format!("{e}"))?;
     if !deployment.allows(address) {
         return Err("its address is in none of the allowed networks".into());
@@ -49,9 +49,9 @@
             .ok_or_else(|| format!("{what} '{name}' is not in the deployment file"))
     };
     let standing = match row.standing() {
-        v1::Standing::Ready => Standing::Ready,
-        v1::Standing::Draining => Standing::Draining,
-        v1::Standing::Gone => Standing::Gone,
+        v1::Standing::Ready => EndpointState::Ready,
+        v1::Standing::Draining => EndpointState::Draining,
+        v1::Standing::Gone => EndpointState::Gone,
         v1::Standing::Unspecified => return Err("its standing is not told".into()),
     };
     let since = if row.since > 0.0 {
@@ -59,14 +59,14 @@
     } else {
         f64::NEG_INFINITY
     };
-    Ok(RosterRow {
+    Ok(Endpoint {
         executor: ExecutorId(address.ip(), address.port()),
         zone: place(&deployment.locations, &row.location, "location")?,
         kind: place(&deployment.kinds, &row.kind, "kind")?,
         cell: u16::try_from(row.cell).map_err(|_| format!("cell {} is over 65535", row.cell))?,
-        standing,
+        state: standing,
         weight: row.weight,
-        since,
+        started_at: since,
     })
 }
 
@@ -74,7 +74,9 @@
 pub async fn watch(hub: Rc<Hub>, address: SocketAddr) {
     let Err(ended) = follow(&hub, address).await;
     warn!(%address, why = %ended, "the roster's publisher is not there");
-    hub.play(|engine, now, performer| engine.roster(now, RosterKind::Failed, &[], performer));
+    hub.play(|engine, now, performer| {
+        engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], performer)
+    });
 }
 
 async fn follow(hub: &Rc<Hub>, address: SocketAddr) -> Result<std::convert::Infallible, Ended> {
@@ -113,8 +115,8 @@
 /// Tells the module what the publisher tells.
 fn take(hub: &Hub, update: &v1::RosterUpdate) -> Result<(), Ended> {
     let kind = match update.kind() {
-        v1::RosterKind::FullList => RosterKind::Full,
-        v1::RosterKind::Delta => RosterKind::Delta,
+        v1::RosterKind::FullList => EndpointUpdateKind::Full,
+        v1::RosterKind::Delta => EndpointUpdateKind::Delta,
         v1::RosterKind::RosterUnspecified => return Err(Ended::UnknownKind),
     };
     let now = hub.now();
@@ -125,8 +127,8 @@
             None
         }
     };
-    let rows: Vec<RosterRow> = update.rows.iter().filter_map(read).collect();
-    hub.play(|engine, now, performer| engine.roster(now, kind, &rows, performer));
+    let rows: Vec<Endpoint> = update.rows.iter().filter_map(read).collect();
+    hub.play(|engine, now, performer| engine.on_endpoint_update(now, kind, &rows, performer));
     Ok(())
 }
 
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
-use orchidtally_engine::Tally;
+use orchidtally_engine::Counters;
 use orchidtally_http_frontend::Start;
 use orchidtally_invariants::Standing;
 use orchidtally_test_servers::client::{Ask, Caller, Heard};
@@ -22,7 +22,7 @@
 pub struct Gateway {
     pub at: SocketAddr,
     pub stop: async_channel::Sender<()>,
-    thread: JoinHandle<Tally>,
+    thread: JoinHandle<Counters>,
     pub log: Log,
 }
 
@@ -116,7 +116,7 @@
 
 impl Gateway {
     /// Stops it gracefully and returns its counts.
-    pub fn end(self) -> Tally {
+    pub fn end(self) -> Counters {
         drop(self.stop);
         let tally = self.thread.join().unwrap();
         assert_eq!(tally.overdue, 0, "the module answers in time by itself");
--- a/crates/http-frontend/tests/hard_cases.rs
+++ b/crates/http-frontend/tests/hard_cases.rs
@@ -79,7 +79,7 @@
     };
     assert!(may_have_run);
     assert_eq!(dispatches.get(), 1, "never repeated");
-    assert_eq!(gateway.end().errored, 1);
+    assert_eq!(gateway.end().failed, 1);
 }
 
 #[test]
--- a/crates/http-frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -87,7 +87,10 @@
         .count();
     assert_eq!(ran, 2, "nothing was sent for those that left");
     let tally = gateway.end();
-    assert_eq!((tally.taken, tally.withdrawn, tally.succeeded), (4, 2, 2));
+    assert_eq!(
+        (tally.admitted, tally.cancelled_by_client, tally.succeeded),
+        (4, 2, 2)
+    );
 }
 
 #[test]
@@ -108,7 +111,7 @@
         slow.read_exact(&mut answer).await.unwrap();
         assert_eq!(answer, b"HTTP/1.1 408");
     });
-    assert_eq!(gateway.end().taken, 20, "the slow one was never taken");
+    assert_eq!(gateway.end().admitted, 20, "the slow one was never taken");
 }
 
 #[test]
@@ -179,7 +182,7 @@
         .filter(|r| matches!(r, Record::Reached { .. }))
         .count();
     assert_eq!(reached, 1);
-    assert_eq!(gateway.end().taken, 1);
+    assert_eq!(gateway.end().admitted, 1);
 }
 
 #[test]
--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -2,12 +2,12 @@
 //!
 //! `cargo bench -p orchidtally-membership --bench cache`
 
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use orchidtally_membership::{Cache, Change, Stamp};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
-fn read(key: &[u8], value: &[u8]) -> Result<RosterRow, String> {
+fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, String> {
     let text = std::str::from_utf8(key).map_err(|e| e.to_string())?;
     let n: u32 = text
         .rsplit('/')
@@ -18,14 +18,14 @@
         .ok()
         .and_then(|t| t.parse().ok())
         .ok_or("no start")?;
-    Ok(RosterRow {
+    Ok(Endpoint {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::from(0x0a00_0000 + n)), 7000),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
-        since,
+        started_at: since,
     })
 }
 
--- a/crates/membership/src/cache.rs
+++ b/crates/membership/src/cache.rs
@@ -1,7 +1,9 @@
 //! The roster as a store tells it by lists and watches: put together so that what the module is told never goes
 //! back, no deletion is missed, and a store that lost its mind does not take the fleet with it.
 
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterKind, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{
+    Endpoint, EndpointState, EndpointUpdateKind, ExecutorId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Entries that vanish within this time count together.
@@ -37,9 +39,9 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    row: RosterRow,
+    row: Endpoint,
     /// As the executor says it itself.
-    stated: RosterRow,
+    stated: Endpoint,
     created: i64,
     modified: i64,
     /// The store has it no more, since then; it is believed to live.
@@ -60,10 +62,10 @@
 }
 
 /// Reads an entry's key and value, or tells why it can't be one.
-pub type Read<'r> = dyn Fn(&[u8], &[u8]) -> Result<RosterRow, String> + 'r;
+pub type Read<'r> = dyn Fn(&[u8], &[u8]) -> Result<Endpoint, String> + 'r;
 
 /// What the module is to be told.
-pub type Told = Option<(RosterKind, Vec<RosterRow>)>;
+pub type Told = Option<(EndpointUpdateKind, Vec<Endpoint>)>;
 
 #[derive(Debug, Default)]
 pub struct Cache {
@@ -91,9 +93,9 @@
     (executor.0, executor.1)
 }
 
-fn gone(row: &RosterRow) -> RosterRow {
-    RosterRow {
-        standing: Standing::Gone,
+fn gone(row: &Endpoint) -> Endpoint {
+    Endpoint {
+        state: EndpointState::Gone,
         ..row.clone()
     }
 }
@@ -141,7 +143,7 @@
         )
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = &RosterRow> {
+    pub fn rows(&self) -> impl Iterator<Item = &Endpoint> {
         self.entries.values().map(|e| &e.row)
     }
 
@@ -177,10 +179,10 @@
             .find(|(_, e)| e.row.executor == *executor && e.held_since.is_some());
         let key = key.map(|(key, _)| key.clone())?;
         let entry = self.entries.remove(&key)?;
-        Some((RosterKind::Delta, vec![gone(&entry.row)]))
+        Some((EndpointUpdateKind::Delta, vec![gone(&entry.row)]))
     }
 
-    fn read(&mut self, change: &Change, read: &Read) -> Option<RosterRow> {
+    fn read(&mut self, change: &Change, read: &Read) -> Option<Endpoint> {
         match read(change.key, change.value?) {
             Ok(row) => {
                 self.faults.remove(change.key);
@@ -196,32 +198,32 @@
     }
 
     /// Puts an entry in; what is new about it.
-    fn put(&mut self, change: &Change, stated: RosterRow, rows: &mut Vec<RosterRow>) {
-        let marked = self.marks.contains(change.key) && stated.standing == Standing::Ready;
+    fn put(&mut self, change: &Change, stated: Endpoint, rows: &mut Vec<Endpoint>) {
+        let marked = self.marks.contains(change.key) && stated.state == EndpointState::Ready;
         let standing = if marked {
-            Standing::Draining
+            EndpointState::Draining
         } else {
-            stated.standing
+            stated.state
         };
-        let row = RosterRow {
-            standing,
+        let row = Endpoint {
+            state: standing,
             ..stated.clone()
         };
-        match row.standing {
-            Standing::Draining => {
-                self.drained.insert(change.key.to_vec(), row.since);
+        match row.state {
+            EndpointState::Draining => {
+                self.drained.insert(change.key.to_vec(), row.started_at);
             }
             // Its drain was withdrawn; that of a start before stays known.
-            Standing::Ready
+            EndpointState::Ready
                 if self
                     .drained
                     .get(change.key)
-                    .is_some_and(|s| *s >= row.since) =>
+                    .is_some_and(|s| *s >= row.started_at) =>
             {
                 self.drained.remove(change.key);
             }
-            Standing::Ready => {}
-            Standing::Gone => {}
+            EndpointState::Ready => {}
+            EndpointState::Gone => {}
         }
         while self.drained.len() > MOST_DRAINED {
             self.drained.pop_first();
@@ -246,13 +248,13 @@
     }
 
     /// Entries that the store has no more: gone at once, or held where there are many.
-    fn remove(&mut self, now: f64, keys: Vec<Vec<u8>>, doubted: bool, rows: &mut Vec<RosterRow>) {
+    fn remove(&mut self, now: f64, keys: Vec<Vec<u8>>, doubted: bool, rows: &mut Vec<Endpoint>) {
         while self.vanished.front().is_some_and(|&t| t < now - TOGETHER) {
             self.vanished.pop_front();
         }
         let known = self.entries.len() + self.vanished.len();
         // One that was told to drain was to go.
-        let sudden = |e: &Entry| e.row.standing == Standing::Ready && e.held_since.is_none();
+        let sudden = |e: &Entry| e.row.state == EndpointState::Ready && e.held_since.is_none();
         let count = keys
             .iter()
             .filter(|k| self.entries.get(*k).is_some_and(sudden))
@@ -264,7 +266,7 @@
             let Some(entry) = self.entries.get_mut(&key) else {
                 continue;
             };
-            if (many || doubted) && entry.row.standing == Standing::Ready {
+            if (many || doubted) && entry.row.state == EndpointState::Ready {
                 entry.held_since.get_or_insert(now);
                 continue;
             }
@@ -297,10 +299,10 @@
             let drained = self
                 .drained
                 .get(change.key)
-                .is_some_and(|since| *since >= row.since);
-            if back && row.standing == Standing::Ready && drained {
-                let row = RosterRow {
-                    standing: Standing::Draining,
+                .is_some_and(|since| *since >= row.started_at);
+            if back && row.state == EndpointState::Ready && drained {
+                let row = Endpoint {
+                    state: EndpointState::Draining,
                     ..row
                 };
                 self.put(change, row, &mut rows);
@@ -323,9 +325,9 @@
         self.remove(now, missing, back, &mut rows);
         if !std::mem::replace(&mut self.listed, true) {
             let all = self.entries.values().map(|e| e.row.clone()).collect();
-            return Some((RosterKind::Full, all));
+            return Some((EndpointUpdateKind::Full, all));
         }
-        (!rows.is_empty()).then_some((RosterKind::Delta, rows))
+        (!rows.is_empty()).then_some((EndpointUpdateKind::Delta, rows))
     }
 
     /// What a watch told, up to and with a revision. What was told before is let pass.
@@ -375,7 +377,7 @@
             revision: known.revision.max(stamp.revision),
             ..stamp
         });
-        (!rows.is_empty()).then_some((RosterKind::Delta, rows))
+        (!rows.is_empty()).then_some((EndpointUpdateKind::Delta, rows))
     }
 
     /// What is held goes once nothing has been heard of it for long enough. While the store itself is silent nothing
@@ -397,12 +399,12 @@
             .filter(|(_, e)| over(e).is_some())
             .map(|(k, _)| k.clone())
             .collect();
-        let rows: Vec<RosterRow> = keys
+        let rows: Vec<Endpoint> = keys
             .iter()
             .filter_map(|k| self.entries.remove(k))
             .map(|e| gone(&e.row))
             .collect();
         self.answered.retain(|_, t| now - *t < 10.0 * HELD);
-        (!rows.is_empty()).then_some((RosterKind::Delta, rows))
+        (!rows.is_empty()).then_some((EndpointUpdateKind::Delta, rows))
     }
 }
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -2,7 +2,9 @@
 //! back, on drawn courses.
 
 use bytes::Bytes;
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterKind, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{
+    Endpoint, EndpointState, EndpointUpdateKind, ExecutorId,
+};
 use orchidtally_etcd::rpc::{
     DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
 };
@@ -17,25 +19,25 @@
 const PREFIX: &[u8] = b"/executors/";
 const EXECUTORS: u8 = 12;
 
-fn read(key: &[u8], value: &[u8]) -> Result<RosterRow, String> {
+fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, String> {
     let n: u8 = std::str::from_utf8(&key[PREFIX.len()..])
         .unwrap()
         .parse()
         .unwrap();
     let text = std::str::from_utf8(value).unwrap();
     let (standing, since) = text.split_once(' ').ok_or("half written")?;
-    Ok(RosterRow {
+    Ok(Endpoint {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7),
         zone: 0,
         kind: 0,
         cell: 0,
-        standing: if standing == "ready" {
-            Standing::Ready
+        state: if standing == "ready" {
+            EndpointState::Ready
         } else {
-            Standing::Draining
+            EndpointState::Draining
         },
         weight: 1.0,
-        since: since.parse().map_err(|_| "half written")?,
+        started_at: since.parse().map_err(|_| "half written")?,
     })
 }
 
@@ -58,7 +60,7 @@
     down: VecDeque<WatchResponse>,
     sent: i64,
     /// What the module was told: the last row of each executor.
-    told: BTreeMap<(IpAddr, u16), RosterRow>,
+    told: BTreeMap<(IpAddr, u16), Endpoint>,
     /// Executors that were told to drain, by their start, and what broke that.
     drained: BTreeSet<(IpAddr, u64)>,
     undrained: u32,
@@ -89,18 +91,18 @@
         [PREFIX, n.to_string().as_bytes()].concat().into()
     }
 
-    fn tell(&mut self, told: Option<(RosterKind, Vec<RosterRow>)>) {
+    fn tell(&mut self, told: Option<(EndpointUpdateKind, Vec<Endpoint>)>) {
         let Some((kind, rows)) = told else { return };
-        if kind == RosterKind::Full {
+        if kind == EndpointUpdateKind::Full {
             self.told.clear();
         }
         for row in rows {
-            let start = (row.executor.0, row.since as u64);
-            match row.standing {
-                Standing::Draining => {
+            let start = (row.executor.0, row.started_at as u64);
+            match row.state {
+                EndpointState::Draining => {
                     self.drained.insert(start);
                 }
-                Standing::Ready if self.drained.remove(&start) => self.undrained += 1,
+                EndpointState::Ready if self.drained.remove(&start) => self.undrained += 1,
                 _ => {}
             }
             self.told.insert((row.executor.0, row.executor.1), row);
@@ -307,7 +309,7 @@
     }
 
     /// What the store has that can be read, by executor.
-    fn truth(&self) -> BTreeMap<(IpAddr, u16), RosterRow> {
+    fn truth(&self) -> BTreeMap<(IpAddr, u16), Endpoint> {
         let question = RangeRequest {
             key: PREFIX.to_vec().into(),
             range_end: range_end(PREFIX).into(),
@@ -321,19 +323,22 @@
             .filter_map(|kv| {
                 let row = read(&kv.key, &kv.value).ok()?;
                 let standing = if is_marked(&kv.key) {
-                    Standing::Draining
+                    EndpointState::Draining
                 } else {
-                    row.standing
+                    row.state
                 };
-                Some(RosterRow { standing, ..row })
+                Some(Endpoint {
+                    state: standing,
+                    ..row
+                })
             });
         rows.map(|r| ((r.executor.0, r.executor.1), r)).collect()
     }
 }
 
-fn live(told: &BTreeMap<(IpAddr, u16), RosterRow>) -> BTreeMap<(IpAddr, u16), RosterRow> {
+fn live(told: &BTreeMap<(IpAddr, u16), Endpoint>) -> BTreeMap<(IpAddr, u16), Endpoint> {
     told.iter()
-        .filter(|(_, r)| r.standing != Standing::Gone)
+        .filter(|(_, r)| r.state != EndpointState::Gone)
         .map(|(k, r)| (*k, r.clone()))
         .collect()
 }
@@ -459,7 +464,7 @@
     let executor = |n: u8| ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7);
     // One is not there, half of the others answer all the time, the rest say nothing.
     let failed = cache.failed(&executor(0)).unwrap().1;
-    assert!(failed.len() == 1 && failed[0].standing == Standing::Gone);
+    assert!(failed.len() == 1 && failed[0].state == EndpointState::Gone);
     let mut gone = vec![];
     for step in 0..400 {
         let now = 1.0 + 0.1 * f64::from(step);
@@ -501,6 +506,8 @@
         )
         .unwrap();
     assert!(
-        told.0 == RosterKind::Delta && told.1.len() == 1 && told.1[0].standing == Standing::Gone
+        told.0 == EndpointUpdateKind::Delta
+            && told.1.len() == 1
+            && told.1[0].state == EndpointState::Gone
     );
 }
--- a/crates/mqtt-triggers/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -33,13 +33,15 @@
 
 /// Whether the invocation of a message may run more than once.
 fn effect(policy: &interface::TriggerType, now: f64) -> Effect {
-    match (policy.effect, policy.group) {
-        (interface::Effect::Idempotent, _) => Effect::Idempotent,
-        (interface::Effect::Tokened, interface::Group::All) => Effect::Tokened {
-            until: now + policy.window,
+    match (policy.idempotency, policy.deduplication_scope) {
+        (interface::Idempotency::Idempotent, _) => Effect::Idempotent,
+        (interface::Idempotency::Keyed, interface::DeduplicationScope::All) => Effect::Tokened {
+            until: now + policy.deduplication_window,
         },
         // A token that is remembered in a part of the fleet protects within that part alone.
-        (interface::Effect::Tokened | interface::Effect::NonIdempotent, _) => Effect::NonIdempotent,
+        (interface::Idempotency::Keyed | interface::Idempotency::NonIdempotent, _) => {
+            Effect::NonIdempotent
+        }
     }
 }
 
@@ -109,7 +111,7 @@
                 "more deliveries than can be held",
             ));
         }
-        let has_token = policy.effect == interface::Effect::Tokened;
+        let has_token = policy.idempotency == interface::Idempotency::Keyed;
         let target = InvocationTarget {
             function: call.function,
             trigger_type: deployment.trigger_types[call.trigger_type].name.clone(),
--- a/crates/mqtt-triggers/src/rules/parse.rs
+++ b/crates/mqtt-triggers/src/rules/parse.rs
@@ -98,7 +98,7 @@
         let customer = self.customer();
         let key = fields.maybe("key", |place| self.value(place, &|_| true, "key"));
         let timeout = trigger_type.map_or(DEFAULT_TIMEOUT, |t| {
-            self.deployment.policy.trigger_types[t].timeout
+            self.deployment.policy.trigger_types[t].client_timeout
         });
         let time_left = fields.maybe("timeLeft", |place| place.seconds(MIN_TIME_LEFT..=timeout));
         let body_bytes = self.deployment.bounds.body_bytes;
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -4,7 +4,9 @@
 mod fault;
 
 pub use fault::Fault;
-use orchidtally_dispatch_policy::interface::{Effect, Group, PolicyConfig, TriggerType};
+use orchidtally_dispatch_policy::interface::{
+    DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
+};
 use serde_json::Value;
 
 fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, Fault> {
@@ -102,9 +104,9 @@
 
 fn trigger_type(v: &Value) -> Result<TriggerType, Fault> {
     let effect = match text(v, "semantics")? {
-        "pure" => Effect::Idempotent,
-        "token" => Effect::Tokened,
-        "side_effect" => Effect::NonIdempotent,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::Keyed,
+        "side_effect" => Idempotency::NonIdempotent,
         other => {
             return Err(Fault::unknown(
                 "classes[].semantics",
@@ -113,11 +115,11 @@
             ));
         }
     };
-    let (group, window) = if effect == Effect::Tokened {
+    let (group, window) = if effect == Idempotency::Keyed {
         let group = match text(v, "dedupScope")? {
-            "all" => Group::All,
-            "zone" => Group::Zone,
-            "cell" => Group::Cell,
+            "all" => DeduplicationScope::All,
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Cell,
             other => {
                 return Err(Fault::unknown(
                     "classes[].dedupScope",
@@ -128,17 +130,17 @@
         };
         (group, seconds(v, "dedupWindow")?)
     } else {
-        (Group::All, 0.0)
+        (DeduplicationScope::All, 0.0)
     };
     Ok(TriggerType {
-        objective: seconds(v, "aim")?,
-        stretch: amount_or(v, "aimStretch", 0.0)?,
-        timeout: seconds(v, "deadline")?,
+        latency_objective: seconds(v, "aim")?,
+        objective_work_factor: amount_or(v, "aimStretch", 0.0)?,
+        client_timeout: seconds(v, "deadline")?,
         billed_value: amount_or(v, "credit", 1.0)?,
-        late_share: amount_or(v, "lateWorth", 0.0)?,
-        effect,
-        group,
-        window,
+        late_value_fraction: amount_or(v, "lateWorth", 0.0)?,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: window,
     })
 }
 
@@ -169,43 +171,43 @@
             .iter()
             .map(|c| amount(c, "quotaRps"))
             .collect::<Result<_, _>>()?,
-        over_share_value: amount_or(v, "overShareWorth", 1.0)?,
-        value_by_work: is_second(v, "valueBy", ["request", "work"])?,
+        over_quota_value_factor: amount_or(v, "overShareWorth", 1.0)?,
+        bills_by_work: is_second(v, "valueBy", ["request", "work"])?,
         front_ends: amount_or(v, "balancers", 1.0)?.max(1.0),
-        index: amount_or(v, "index", 0.0)?,
+        front_end_index: amount_or(v, "index", 0.0)?,
         zone: if need(v, "zone").is_ok() {
             within(v, "zone", 0.0, 255.0)? as u8
         } else {
             0
         },
-        crossing: amount_or(v, "penalties.crossZone", 0.0)?,
-        regions: vec![],
-        tick: seconds(v, "tick")?,
+        cross_zone_cost: amount_or(v, "penalties.crossZone", 0.0)?,
+        zone_regions: vec![],
+        clock_tick: seconds(v, "tick")?,
         max_dispatches: within(v, "limits.maxAttempts", 1.0, f64::INFINITY)?.min(255.0) as u8,
-        second_copies: flag(v, "limits.secondCopies")?,
-        cancel: flag(v, "limits.cancel")?,
+        allows_hedging: flag(v, "limits.secondCopies")?,
+        allows_cancellation: flag(v, "limits.cancel")?,
         max_retry_after: if flag(v, "limits.retryAfter")? {
             seconds(v, "limits.maxRetryAfter")?
         } else {
             0.0
         },
-        roster_asked: is_second(v, "registryMode", ["push", "ask"])?,
-        cold: seconds(v, "safety.cold")?,
-        cold_from: within(v, "safety.coldFrom", 0.0, 1.0)?,
+        polls_endpoints: is_second(v, "registryMode", ["push", "ask"])?,
+        slow_start_duration: seconds(v, "safety.cold")?,
+        slow_start_initial_weight: within(v, "safety.coldFrom", 0.0, 1.0)?,
         overload_factor: amount(v, "safety.overloadFactor")?,
-        fall: seconds(v, "safety.fall")?,
+        overload_window: seconds(v, "safety.fall")?,
         drain_grace: amount_or(v, "safety.drainGrace", 0.0)? / 1e9,
-        skew: 0.0,
-        orders: flag(v, "specifics.loadControl")?,
-        order_price: amount_or(v, "penalties.probe", 0.0)?,
-        answers_miss: is_second(v, "specifics.notLoaded", ["load", "miss"])?,
-        tells_crowd: flag(v, "specifics.notesPeersInHand")?,
+        max_clock_skew: 0.0,
+        allows_load_commands: flag(v, "specifics.loadControl")?,
+        load_command_cost: amount_or(v, "penalties.probe", 0.0)?,
+        rejects_unloaded: is_second(v, "specifics.notLoaded", ["load", "miss"])?,
+        reports_concurrency: flag(v, "specifics.notesPeersInHand")?,
         keep_alive: amount_or(v, "specifics.staysLoaded", 0.0)? / 1e9,
-        ration_floor: amount_or(v, "specifics.loadFloor", 0.0)?,
-        ration_share: amount_or(v, "specifics.loadPart", 0.0)?,
-        ration_window: amount_or(v, "specifics.loadPeriod", 0.0)? / 1e9,
+        load_budget_floor: amount_or(v, "specifics.loadFloor", 0.0)?,
+        load_budget_fraction: amount_or(v, "specifics.loadPart", 0.0)?,
+        load_budget_window: amount_or(v, "specifics.loadPeriod", 0.0)? / 1e9,
         backlog_field: reported(v, |name, _| name == "backlog")?,
-        loads_field: reported(v, |_, meaning| meaning.starts_with("loads under way"))?,
+        pending_loads_field: reported(v, |_, meaning| meaning.starts_with("loads under way"))?,
     })
 }
 
--- a/crates/platform-config/tests/settings.rs
+++ b/crates/platform-config/tests/settings.rs
@@ -121,9 +121,9 @@
         let of = |value: Option<Value>| {
             let policy = policy(&with(pointer, value)).expect(pointer);
             [
-                policy.roster_asked,
-                policy.value_by_work,
-                policy.answers_miss,
+                policy.polls_endpoints,
+                policy.bills_by_work,
+                policy.rejects_unloaded,
             ]
             .contains(&true)
         };
@@ -184,7 +184,7 @@
         assert_eq!(
             (
                 policy.front_ends,
-                policy.index,
+                policy.front_end_index,
                 policy.zone,
                 policy.trigger_types.len()
             ),
--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -1,7 +1,7 @@
 //! Answers of the resolver over DNS: what is asked, and what an answer tells.
 
 use crate::{Entry, Places, SERVICE, id, since};
-use orchidtally_dispatch_policy::interface::{RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
     /// The executor's id.
     pub name: String,
     /// Ready or draining.
-    pub standing: Standing,
+    pub standing: EndpointState,
 }
 
 /// A list that names every executor and its standing, some of them with rows that could not be read.
@@ -143,11 +143,11 @@
     }
 }
 
-fn standing(srv: &SRV) -> Standing {
+fn standing(srv: &SRV) -> EndpointState {
     if srv.priority == 0 {
-        Standing::Ready
+        EndpointState::Ready
     } else {
-        Standing::Draining
+        EndpointState::Draining
     }
 }
 
@@ -222,14 +222,14 @@
         let Some(zone) = places.zone(zone) else {
             return Ok(None);
         };
-        let row = RosterRow {
+        let row = Endpoint {
             executor: id(name),
             zone,
             kind: places.kind(kind),
             cell,
-            standing: standing(srv),
+            state: standing(srv),
             weight: f64::from(srv.weight) / 10.0,
-            since: since(started),
+            started_at: since(started),
         };
         Ok(Some(Entry {
             name: name.to_owned(),
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -5,7 +5,7 @@
 mod view;
 
 pub use answer::{Answer, AnswerFault, PartialList, StandingRow, answer, query};
-use orchidtally_dispatch_policy::interface::{ExecutorId, RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
@@ -22,7 +22,7 @@
 pub struct Entry {
     pub name: String,
     pub address: SocketAddr,
-    pub row: RosterRow,
+    pub row: Endpoint,
 }
 
 /// The module's id for an executor: of its name alone, since its address may be another's later and is not
@@ -143,24 +143,24 @@
         }
         for host in update.endpoints.hosts {
             let standing = match host.health {
-                Health::Serving => Standing::Ready,
-                Health::Draining => Standing::Draining,
-                Health::Deleted => Standing::Gone,
+                Health::Serving => EndpointState::Ready,
+                Health::Draining => EndpointState::Draining,
+                Health::Deleted => EndpointState::Gone,
             };
             entries.remove(&host.host);
             let Some(zone) = places.zone(&host.site) else {
                 continue;
             };
-            let row = RosterRow {
+            let row = Endpoint {
                 executor: id(&host.host),
                 zone,
                 kind: places.kind(&host.class),
                 cell: host.block,
-                standing,
+                state: standing,
                 weight: host.share,
-                since: since(host.born_ms),
+                started_at: since(host.born_ms),
             };
-            if standing != Standing::Gone {
+            if standing != EndpointState::Gone {
                 let entry = Entry {
                     name: host.host.clone(),
                     address: host.dial,
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -3,7 +3,7 @@
 //! datagram with a serial that is not its list's would hide every true list after it.
 
 use crate::{Answer, Entry, PartialList};
-use orchidtally_dispatch_policy::interface::Standing;
+use orchidtally_dispatch_policy::interface::EndpointState;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -77,12 +77,12 @@
     /// and taken for broken; could harm one that moves, by 0.2 s.
     fn retold(&self, told: &Entry) -> Held {
         let mut told_before = self.entry.clone();
-        told_before.row.standing = told.row.standing;
+        told_before.row.state = told.row.state;
         if told_before == *told {
             return Held::new(told_before, self.since);
         }
         let mut besides = told.clone();
-        besides.row.standing = Standing::Ready;
+        besides.row.state = EndpointState::Ready;
         if self.differs.as_ref() == Some(&besides) {
             return Held::new(told.clone(), self.since);
         }
@@ -110,7 +110,7 @@
 fn youngest(entries: &[Entry]) -> f64 {
     entries
         .iter()
-        .map(|e| e.row.since)
+        .map(|e| e.row.started_at)
         .fold(f64::NEG_INFINITY, f64::max)
 }
 
@@ -144,7 +144,9 @@
 impl RosterView {
     /// The view of a start at a time: what the configuration lists. Nobody knows how old it is.
     pub fn new(now: f64, serial: u32, entries: &[Entry]) -> RosterView {
-        let draining = entries.iter().filter(|e| e.row.standing != Standing::Ready);
+        let draining = entries
+            .iter()
+            .filter(|e| e.row.state != EndpointState::Ready);
         let draining: Vec<String> = draining.map(|e| e.name.clone()).collect();
         let mut view = RosterView {
             serial,
@@ -163,7 +165,12 @@
                 now - (youngest - told)
             }
         };
-        let held = |e: &Entry| (e.name.clone(), Held::new(e.clone(), since(e.row.since)));
+        let held = |e: &Entry| {
+            (
+                e.name.clone(),
+                Held::new(e.clone(), since(e.row.started_at)),
+            )
+        };
         view.entries = entries.iter().map(held).collect();
         draining
             .iter()
@@ -192,9 +199,9 @@
     pub fn rows(&self) -> Vec<Entry> {
         let row = |held: &Held| {
             let mut entry = held.entry.clone();
-            entry.row.since = held.since;
+            entry.row.started_at = held.since;
             if self.withdrawn.contains_key(&entry.name) {
-                entry.row.standing = Standing::Draining;
+                entry.row.state = EndpointState::Draining;
             }
             entry
         };
@@ -237,7 +244,7 @@
             let Some(mut entry) = self.entries.get(&odd.name).map(|held| held.entry.clone()) else {
                 continue;
             };
-            entry.row.standing = odd.standing;
+            entry.row.state = odd.standing;
             entries.push(entry);
         }
         self.take(
@@ -260,7 +267,7 @@
         let new = self.listed(now, &answer.entries);
         let is_away = |name: &String| {
             new.get(name)
-                .is_none_or(|n| n.entry.row.standing != Standing::Ready)
+                .is_none_or(|n| n.entry.row.state != EndpointState::Ready)
         };
         let away: Vec<String> = self
             .entries
@@ -272,7 +279,7 @@
             .for_each(|name| self.withdraw(now, answer.serial, name));
         for held in new
             .values()
-            .filter(|held| held.entry.row.standing == Standing::Ready)
+            .filter(|held| held.entry.row.state == EndpointState::Ready)
         {
             self.vote_ready(&held.entry, answer.serial, order);
         }
@@ -288,19 +295,19 @@
         let absent_at = self.asked_at.max(self.began_at);
         let mut listed: BTreeMap<String, Held> = BTreeMap::new();
         for entry in entries {
-            let told = entry.row.since;
+            let told = entry.row.started_at;
             let before = self
                 .entries
                 .get(&entry.name)
-                .filter(|before| before.entry.row.since == told);
+                .filter(|before| before.entry.row.started_at == told);
             let new = || Held::new(entry.clone(), listed_start(told, absent_at, now));
             let mut held = before.map_or_else(new, |before| before.retold(entry));
             // Listed twice it stands as the worse of the two.
             if let Some(twice) = listed
                 .get(&entry.name)
-                .filter(|t| t.entry.row.standing != Standing::Ready)
+                .filter(|t| t.entry.row.state != EndpointState::Ready)
             {
-                held.entry.row.standing = twice.entry.row.standing;
+                held.entry.row.state = twice.entry.row.state;
             }
             listed.insert(entry.name.clone(), held);
         }
@@ -320,7 +327,7 @@
         } else {
             READY_IN_A_ROW
         };
-        if entry.row.since > withdrawal.since || withdrawal.ready_votes >= wanted {
+        if entry.row.started_at > withdrawal.since || withdrawal.ready_votes >= wanted {
             self.withdrawn.remove(&entry.name);
         }
     }
@@ -331,7 +338,7 @@
             return;
         };
         let first = Withdrawal {
-            since: held.entry.row.since,
+            since: held.entry.row.started_at,
             serial,
             at: now,
             ready_votes: 0,
@@ -354,10 +361,10 @@
         for told in answer
             .entries
             .iter()
-            .filter(|e| e.row.standing != Standing::Ready)
+            .filter(|e| e.row.state != EndpointState::Ready)
         {
             let held = self.entries.get(&told.name);
-            if held.is_some_and(|held| told.row.since >= held.entry.row.since) {
+            if held.is_some_and(|held| told.row.started_at >= held.entry.row.started_at) {
                 self.withdraw(now, answer.serial, &told.name);
             }
         }
--- a/crates/platform-discovery/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -1,6 +1,6 @@
 mod told;
 
-use orchidtally_dispatch_policy::interface::Standing;
+use orchidtally_dispatch_policy::interface::EndpointState;
 use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use simple_dns::rdata::RData;
@@ -40,10 +40,10 @@
             (id("s-1"), 1, 1, 2)
         );
         assert_eq!(
-            (row.standing, row.weight, row.since),
-            (Standing::Ready, 4.0, 1.5)
+            (row.state, row.weight, row.started_at),
+            (EndpointState::Ready, 4.0, 1.5)
         );
-        assert_eq!((two.row.standing, two.row.zone), (Standing::Draining, 0));
+        assert_eq!((two.row.state, two.row.zone), (EndpointState::Draining, 0));
         assert_ne!(
             one.row.executor, two.row.executor,
             "their address is one, they are not"
@@ -75,7 +75,7 @@
         partial.odd,
         [StandingRow {
             name: "s-2".into(),
-            standing: Standing::Draining
+            standing: EndpointState::Draining
         }]
     );
     assert_eq!((places.named(), partial.places.named()), ((0, 0), (1, 1)));
@@ -229,12 +229,12 @@
     let (serial, entries) = known(&told, &mut places).expect("it is sound");
     let all: Vec<_> = entries
         .iter()
-        .map(|e| (e.name.as_str(), e.row.standing, e.row.since))
+        .map(|e| (e.name.as_str(), e.row.state, e.row.started_at))
         .collect();
     assert_eq!(serial, 3);
     let expected = [
-        ("s-2", Standing::Draining, f64::NEG_INFINITY),
-        ("s-3", Standing::Ready, 2.5),
+        ("s-2", EndpointState::Draining, f64::NEG_INFINITY),
+        ("s-3", EndpointState::Ready, 2.5),
     ];
     assert_eq!(all, expected);
     let bad = update(true, vec![host("s-1", "ODD", 0)]);
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -1,6 +1,6 @@
 //! Which of several lists is believed: serials that don't fit, answers overtaken, rows that can't be read.
 
-use orchidtally_dispatch_policy::interface::{RosterRow, Standing};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -8,17 +8,17 @@
 /// Seconds between two questions.
 const ASKED_EVERY: f64 = 0.2;
 
-fn entry(n: u32, standing: Standing, since: f64) -> Entry {
+fn entry(n: u32, standing: EndpointState, since: f64) -> Entry {
     let name = format!("s-{n}");
     let executor = id(&name);
-    let row = RosterRow {
+    let row = Endpoint {
         executor,
         zone: 0,
         kind: 0,
         cell: 1,
-        standing,
+        state: standing,
         weight: 4.0,
-        since,
+        started_at: since,
     };
     Entry {
         name,
@@ -31,9 +31,9 @@
 fn list(serial: u32, count: u32, draining: &[u32]) -> Answer {
     let standing = |n| {
         if draining.contains(&n) {
-            Standing::Draining
+            EndpointState::Draining
         } else {
-            Standing::Ready
+            EndpointState::Ready
         }
     };
     Answer {
@@ -68,7 +68,7 @@
             .view
             .rows()
             .into_iter()
-            .filter(|e| e.row.standing == Standing::Ready);
+            .filter(|e| e.row.state == EndpointState::Ready);
         ready
             .map(|e| e.name[2..].parse().expect("a number"))
             .collect()
@@ -142,7 +142,7 @@
     }
     told.take(&list(4, 1, &[]));
     let mut anew = list(5, 2, &[]);
-    anew.entries[1].row.since = 9.0;
+    anew.entries[1].row.started_at = 9.0;
     told.take(&anew);
     assert_eq!(told.ready(), [0, 1]);
 }
@@ -193,11 +193,11 @@
     let odd = vec![
         StandingRow {
             name: "s-1".into(),
-            standing: Standing::Draining,
+            standing: EndpointState::Draining,
         },
         StandingRow {
             name: "s-9".into(),
-            standing: Standing::Ready,
+            standing: EndpointState::Ready,
         },
     ];
     let partial = PartialList {
@@ -207,7 +207,7 @@
         places: Places::default(),
     };
     assert_eq!(view.take_partial(1.0, 0.9, &partial), Outcome::Changed);
-    let standing = |e: Entry| (e.name, e.row.standing == Standing::Ready);
+    let standing = |e: Entry| (e.name, e.row.state == EndpointState::Ready);
     let rows: BTreeMap<String, bool> = view.rows().into_iter().map(standing).collect();
     let expected = [("s-0", false), ("s-1", false), ("s-2", true), ("s-3", true)];
     assert_eq!(
@@ -240,7 +240,7 @@
     assert!(told.view.is_settled());
     // Its standing counts at once all the same.
     moved.entries[0].address = ([10, 8, 8, 8], 1).into();
-    moved.entries[0].row.standing = Standing::Draining;
+    moved.entries[0].row.state = EndpointState::Draining;
     told.take(&moved);
     assert_eq!(
         (address(&told).as_str(), told.ready()),
@@ -251,8 +251,8 @@
 #[test]
 fn one_that_is_listed_twice_stands_as_the_worse_of_the_two() {
     for order in [
-        [Standing::Ready, Standing::Draining],
-        [Standing::Draining, Standing::Ready],
+        [EndpointState::Ready, EndpointState::Draining],
+        [EndpointState::Draining, EndpointState::Ready],
     ] {
         let mut told = Told::new(&list(1, 2, &[]));
         let mut twice = list(2, 2, &[]);
@@ -269,9 +269,9 @@
 fn an_executor_that_has_just_started_is_new_whatever_the_wall_clock_tells() {
     let hour = 3_600.0;
     for told in [-hour, -1.0, 0.0, 1.0, hour] {
-        let mut view = RosterView::new(100.0, 1, &[entry(0, Standing::Ready, 100.0 + told)]);
-        let new = entry(1, Standing::Ready, 200.0 + told);
-        let old = entry(0, Standing::Ready, 100.0 + told);
+        let mut view = RosterView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + told)]);
+        let new = entry(1, EndpointState::Ready, 200.0 + told);
+        let old = entry(0, EndpointState::Ready, 100.0 + told);
         // It was on no list a moment before.
         view.take(
             199.9,
@@ -289,7 +289,7 @@
                 entries: vec![old.clone(), new.clone()],
             },
         );
-        let since: Vec<f64> = view.rows().iter().map(|e| e.row.since).collect();
+        let since: Vec<f64> = view.rows().iter().map(|e| e.row.started_at).collect();
         assert!(
             (98.5..=100.0).contains(&since[0]) && (198.5..=200.0).contains(&since[1]),
             "{told}: {since:?}"
@@ -304,7 +304,10 @@
             },
         );
         assert_eq!(
-            view.rows().iter().map(|e| e.row.since).collect::<Vec<_>>(),
+            view.rows()
+                .iter()
+                .map(|e| e.row.started_at)
+                .collect::<Vec<_>>(),
             since,
             "{told}"
         );
@@ -313,11 +316,11 @@
             400.0,
             &Answer {
                 serial: 4,
-                entries: vec![entry(0, Standing::Ready, 400.0 + told)],
+                entries: vec![entry(0, EndpointState::Ready, 400.0 + told)],
             },
         );
         assert!(
-            (398.5..=400.0).contains(&view.rows()[0].row.since),
+            (398.5..=400.0).contains(&view.rows()[0].row.started_at),
             "{told}"
         );
     }
@@ -326,17 +329,21 @@
         let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + told + since);
         let entries: Vec<Entry> = (0..)
             .zip(since)
-            .map(|(n, since)| entry(n, Standing::Ready, since))
+            .map(|(n, since)| entry(n, EndpointState::Ready, since))
             .collect();
         let taken: Vec<f64> = RosterView::new(100.0, 1, &entries)
             .rows()
             .iter()
-            .map(|e| e.row.since)
+            .map(|e| e.row.started_at)
             .collect();
         assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{told}");
     }
-    let long_ago = RosterView::new(100.0, 1, &[entry(0, Standing::Ready, f64::NEG_INFINITY)]);
-    assert_eq!(long_ago.rows()[0].row.since, f64::NEG_INFINITY);
+    let long_ago = RosterView::new(
+        100.0,
+        1,
+        &[entry(0, EndpointState::Ready, f64::NEG_INFINITY)],
+    );
+    assert_eq!(long_ago.rows()[0].row.started_at, f64::NEG_INFINITY);
 }
 
 proptest! {
--- a/crates/platform-frontend/src/accepting.rs
+++ b/crates/platform-frontend/src/accepting.rs
@@ -87,7 +87,7 @@
         };
         for inv in std::mem::take(&mut client.open).into_values() {
             self.host.drop_invocation(inv);
-            self.engine.withdrawn(now, inv, &mut self.host);
+            self.engine.on_client_cancel(now, inv, &mut self.host);
         }
     }
 
--- a/crates/platform-frontend/src/egress.rs
+++ b/crates/platform-frontend/src/egress.rs
@@ -3,8 +3,8 @@
 use crate::connections;
 use crate::front::{Front, READS};
 use crate::host_state::ORDER;
-use orchidtally_dispatch_policy::interface::{Ending, Found};
-use orchidtally_engine::Told;
+use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_engine::ResponseMetadata;
 use orchidtally_engine::evidence::{self, Transport};
 use orchidtally_platform_executor_protocol::{Answer, Tell, Word};
 use orchidtally_socket_io::is_own_fault;
@@ -14,11 +14,11 @@
 /// What the module is told of an answer's ending.
 fn ending(word: Word) -> Transport {
     match word {
-        Word::Done => Transport::Answered(Ending::Ok),
-        Word::Lack => Transport::Answered(Ending::Miss),
-        Word::Wait => Transport::Answered(Ending::Full),
-        Word::Broke => Transport::Answered(Ending::Error),
-        Word::Past => Transport::Answered(Ending::NeverSent),
+        Word::Done => Transport::Answered(DispatchStatus::Ok),
+        Word::Lack => Transport::Answered(DispatchStatus::Miss),
+        Word::Wait => Transport::Answered(DispatchStatus::Full),
+        Word::Broke => Transport::Answered(DispatchStatus::Error),
+        Word::Past => Transport::Answered(DispatchStatus::NeverSent),
         // No answer to a dispatch or an order.
         Word::Fit | Word::Unfit => Transport::Malformed,
     }
@@ -129,22 +129,22 @@
         }
         self.host.brought = answer.body;
         let found = match answer.tell {
-            Tell::Nothing => Found::Untold,
-            Tell::Warm => Found::Warm,
-            Tell::Cold => Found::Loaded,
-            Tell::Joined => Found::Waited,
-            Tell::LoadFailed => Found::LoadFailed,
+            Tell::Nothing => CopyState::Unknown,
+            Tell::Warm => CopyState::Warm,
+            Tell::Cold => CopyState::ColdLoad,
+            Tell::Joined => CopyState::JoinedLoad,
+            Tell::LoadFailed => CopyState::LoadFailed,
         };
         let report =
             orchidtally_platform_executor_protocol::report(&answer.meter, &self.settings.report);
-        let told = Told {
-            found,
-            crowd: answer.crowd,
-            report: &report,
+        let told = ResponseMetadata {
+            copy_state: found,
+            function_concurrency: answer.crowd,
+            load_report: &report,
         };
         let ending = evidence::ending(ending(answer.word));
         self.engine
-            .ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
+            .on_dispatch_result(now, out.inv, out.dispatch, ending, told, &mut self.host);
         self.host.brought = vec![];
     }
 
@@ -158,11 +158,11 @@
         }
         let ending = match evidence::ending(seen) {
             // One that only asked.
-            Ending::Ok if order.copies == 0 && count == 0 => Ending::Miss,
+            DispatchStatus::Ok if order.copies == 0 && count == 0 => DispatchStatus::Miss,
             ending => ending,
         };
         self.engine
-            .held(now, order.to, order.function, ending, &mut self.host);
+            .on_load_result(now, order.to, order.function, ending, &mut self.host);
     }
 
     /// Ends a connection to an executor, and with it all that is open on it.
@@ -222,9 +222,15 @@
             let one_of_several = seen == Transport::Malformed || stands;
             for (out, verdict) in connection.verdicts(seen) {
                 let ending = evidence::ending(if one_of_several { verdict } else { seen });
-                let told = orchidtally_engine::NOTHING_TOLD;
-                self.engine
-                    .ended(now, out.inv, out.dispatch, ending, told, &mut self.host);
+                let told = orchidtally_engine::NO_METADATA;
+                self.engine.on_dispatch_result(
+                    now,
+                    out.inv,
+                    out.dispatch,
+                    ending,
+                    told,
+                    &mut self.host,
+                );
             }
             for &tag in connection.orders.keys() {
                 self.ordered(
--- a/crates/platform-frontend/src/ending.rs
+++ b/crates/platform-frontend/src/ending.rs
@@ -135,15 +135,15 @@
         };
         // The process ends anyway.
         let _ = self.poll.registry().deregister(&mut listener);
-        self.engine.leave();
+        self.engine.start_draining();
         let end_by = self.killed_at() - SOONER;
         self.host
             .invocations
             .values_mut()
             .for_each(|w| w.timeout_at = w.timeout_at.min(end_by));
-        self.engine.end_by(now, end_by, &mut self.host);
+        self.engine.begin_shutdown(now, end_by, &mut self.host);
         info!(
-            open = self.engine.open(),
+            open = self.engine.open_invocations(),
             clients = self.host.clients.len(),
             "nothing new is taken"
         );
@@ -168,7 +168,7 @@
             .policy
             .trigger_types
             .iter()
-            .map(|t| t.timeout)
+            .map(|t| t.client_timeout)
             .fold(0.0, f64::max);
         self.leaving_since.map_or(f64::INFINITY, |since| {
             since + longest.min(LONGEST_COUNTED) + KILLED_AFTER
@@ -177,7 +177,7 @@
 
     /// Told to end, nothing open, and clients had the time to read.
     pub fn is_over(&mut self, now: f64) -> bool {
-        if self.listener.is_some() || self.engine.open() > 0 {
+        if self.listener.is_some() || self.engine.open_invocations() > 0 {
             self.quiet_since = None;
             return false;
         }
--- a/crates/platform-frontend/src/front.rs
+++ b/crates/platform-frontend/src/front.rs
@@ -11,7 +11,7 @@
 use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
 use orchidtally_engine::evidence::{self, Transport};
-use orchidtally_engine::{Engine, Tally};
+use orchidtally_engine::{Counters, Engine};
 use orchidtally_platform_client_protocol as frames;
 use orchidtally_platform_config::FrontEndSettings;
 use orchidtally_platform_discovery::{Places, RosterView};
@@ -108,7 +108,7 @@
     start: Start,
     file: PathBuf,
     PendingSignals(mut signals): PendingSignals,
-) -> io::Result<Tally> {
+) -> io::Result<Counters> {
     let poll = persist(Poll::new)?;
     poll.registry()
         .register(&mut signals, SIGNALS, Interest::READABLE)?;
@@ -116,7 +116,7 @@
     let mut events = Events::with_capacity(1024);
     loop {
         if front.turn(&mut events, || signals.pending().collect())? {
-            let tally = front.engine.tally();
+            let tally = front.engine.counters();
             info!(?tally, "ended");
             return Ok(tally);
         }
@@ -153,7 +153,7 @@
             &mut host,
         );
         // The list of the start is that of this moment, by the platform's page.
-        engine.view_confirmed(now, now, &mut host);
+        engine.on_view_confirmed(now, now, &mut host);
         let mut front = Front {
             poll,
             listener: Some(listener),
@@ -216,7 +216,7 @@
                 Token(n) => _ = self.read_connection(now, (n - clients::FIRST_TOKEN) / 2),
             }
         }
-        self.engine.turn(now, &mut self.host);
+        self.engine.run_due_timers(now, &mut self.host);
         self.keep_house(now);
         self.settle(now);
         Ok(self.is_over(now))
@@ -246,11 +246,11 @@
         let held = if self.host.held.is_empty() {
             f64::INFINITY
         } else {
-            now + self.settings.policy.tick
+            now + self.settings.policy.clock_tick
         };
         let due = self
             .engine
-            .due_at()
+            .next_deadline()
             .min(self.resolver.due_at())
             .min(self.sweep_at)
             .min(severed)
@@ -279,7 +279,7 @@
         }
         if now > self.report_at {
             self.report_at = now + REPORT;
-            info!(tally = ?self.engine.tally(), counts = ?self.counts, open = self.engine.open(), kept = ?self.engine.kept(),
+            info!(tally = ?self.engine.counters(), counts = ?self.counts, open = self.engine.open_invocations(), kept = ?self.engine.table_sizes(),
                 clients = self.host.clients.len(), connections = self.host.connections.len(), "standing");
         }
         let overdue = |(slot, c): (usize, &Client)| Some((slot, c.overdue(now)?));
@@ -337,12 +337,12 @@
             self.judge_severed(now);
             for (inv, dispatch, why) in std::mem::take(&mut self.host.unsent) {
                 let ending = evidence::ending(why);
-                self.engine.ended(
+                self.engine.on_dispatch_result(
                     now,
                     inv,
                     dispatch,
                     ending,
-                    orchidtally_engine::NOTHING_TOLD,
+                    orchidtally_engine::NO_METADATA,
                     &mut self.host,
                 );
             }
--- a/crates/platform-frontend/src/host.rs
+++ b/crates/platform-frontend/src/host.rs
@@ -2,13 +2,13 @@
 
 use crate::host_state::{HostState, PROBE};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::{Cause, Host};
+use orchidtally_engine::{FailureReason, Host};
 use orchidtally_platform_client_protocol as frames;
 use orchidtally_platform_executor_protocol as lines;
 use tracing::info;
 
 impl Host for HostState {
-    fn taken(&mut self, inv: u32) {
+    fn admitted(&mut self, inv: u32) {
         let Some(work) = self.taking.take() else {
             return;
         };
@@ -77,7 +77,7 @@
         self.answer(inv, frames::SUCCEEDED, &[], &body);
     }
 
-    fn throttled(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+    fn rejected(&mut self, inv: u32, retry_after: f64, past_share: bool) {
         if let Some(left_out) = self.answer_log.admit(self.now) {
             let invocation = self.invocations.get(&inv).map(|open| &*open.id);
             info!(invocation, retry_after, past_share, left_out, "throttled");
@@ -92,7 +92,7 @@
         );
     }
 
-    fn errored(&mut self, inv: u32, cause: Cause, may_have_run: bool) {
+    fn failed(&mut self, inv: u32, cause: FailureReason, may_have_run: bool) {
         if let Some(left_out) = self.answer_log.admit(self.now) {
             let invocation = self.invocations.get(&inv).map(|open| &*open.id);
             info!(invocation, ?cause, may_have_run, left_out, "errored");
@@ -100,11 +100,11 @@
         self.answer(inv, frames::ERRORED, &[], &[]);
     }
 
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.order(to, function, copies);
     }
 
-    fn ask(&mut self, to: ExecutorId, function: u64) {
+    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
         self.order(to, function, 0);
     }
 
@@ -112,11 +112,11 @@
         self.line(to, lines::unload(&format!("{function:016x}")));
     }
 
-    fn probe(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, to: ExecutorId) {
         self.next_tag += 1;
         self.line(to, lines::probe(&format!("{PROBE}{}", self.next_tag)));
     }
 
     /// It is asked for all the time.
-    fn watch_roster(&mut self) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
--- a/crates/platform-frontend/src/host_state.rs
+++ b/crates/platform-frontend/src/host_state.rs
@@ -40,24 +40,24 @@
 }
 
 /// Asked as bytes leave whether what was decided earlier still holds.
-pub trait Departures {
+pub trait SendRevalidation {
     /// The process stood still until now.
-    fn stood_still(&mut self, now: f64);
-    fn dispatch_leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool;
-    fn order_leaves(&mut self, now: f64, to: ExecutorId, at: f64) -> bool;
+    fn on_process_stall(&mut self, now: f64);
+    fn revalidate_dispatch(&mut self, now: f64, inv: u32, dispatch: u8) -> bool;
+    fn revalidate_load(&mut self, now: f64, to: ExecutorId, at: f64) -> bool;
 }
 
-impl Departures for Engine {
-    fn stood_still(&mut self, now: f64) {
-        Engine::stood_still(self, now);
+impl SendRevalidation for Engine {
+    fn on_process_stall(&mut self, now: f64) {
+        Engine::on_process_stall(self, now);
     }
 
-    fn dispatch_leaves(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
-        self.leaves(now, inv, dispatch)
+    fn revalidate_dispatch(&mut self, now: f64, inv: u32, dispatch: u8) -> bool {
+        Engine::revalidate_dispatch(self, now, inv, dispatch)
     }
 
-    fn order_leaves(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
-        Engine::order_leaves(self, now, to, at)
+    fn revalidate_load(&mut self, now: f64, to: ExecutorId, at: f64) -> bool {
+        Engine::revalidate_load(self, now, to, at)
     }
 }
 
@@ -139,9 +139,9 @@
             trigger_types: settings.trigger_types.clone(),
             streams: settings.streams,
             connect_time: settings.connect_time,
-            tick: settings.policy.tick,
+            tick: settings.policy.clock_tick,
             idle_close: settings.idle_close,
-            cancels: settings.policy.cancel,
+            cancels: settings.policy.allows_cancellation,
             most_connections,
             clients: Slab::new(),
             connections: Slab::new(),
--- a/crates/platform-frontend/src/ingress.rs
+++ b/crates/platform-frontend/src/ingress.rs
@@ -3,8 +3,8 @@
 use crate::clients::{self, PendingInvocation};
 use crate::front::{Front, READS};
 use crate::host_state::OpenInvocation;
-use orchidtally_dispatch_policy::interface::Effect;
-use orchidtally_engine::{Offer, Refused};
+use orchidtally_dispatch_policy::interface::Idempotency;
+use orchidtally_engine::{AdmissionError, InvocationRequest};
 use orchidtally_platform_client_protocol as frames;
 use orchidtally_socket_io::turn::Brought;
 use tracing::debug;
@@ -124,7 +124,7 @@
                     client.pending.retain(|f| f.stream != stream);
                     if let Some(&inv) = client.open.get(&stream) {
                         self.host.drop_invocation(inv);
-                        self.engine.withdrawn(now, inv, &mut self.host);
+                        self.engine.on_client_cancel(now, inv, &mut self.host);
                     }
                 }
                 frames::ASK_READY => {
@@ -180,20 +180,20 @@
                         .is_none_or(|c| c.open.len() >= clients::MOST_OPEN)
                     || self.host.kept + work.body.len() > self.most_held;
                 let taken = if full {
-                    Err(Refused::Full)
+                    Err(AdmissionError::AtCapacity)
                 } else {
                     self.host.taking = Some(work);
-                    self.engine.take(self.host.now, &offer, &mut self.host)
+                    self.engine.admit(self.host.now, &offer, &mut self.host)
                 };
                 self.host.taking = None;
                 match taken {
                     Ok(_) => return,
-                    Err(Refused::Full) => (
+                    Err(AdmissionError::AtCapacity) => (
                         frames::THROTTLED,
                         self.host.longest_stay_away,
                         "too much is open",
                     ),
-                    Err(Refused::Leaving) => {
+                    Err(AdmissionError::ShuttingDown) => {
                         self.quiet_since = None;
                         (frames::THROTTLED, 0.0, "the front end is ending")
                     }
@@ -222,7 +222,7 @@
         client: usize,
         stream: u32,
         payload: &[u8],
-    ) -> Result<(Offer, OpenInvocation), &'static str> {
+    ) -> Result<(InvocationRequest, OpenInvocation), &'static str> {
         let (fields, body) = frames::fields(payload).map_err(|e| e.0)?;
         if body.len() > frames::LONGEST_BODY {
             return Err("the body is over 16 KiB");
@@ -264,7 +264,7 @@
         if token.is_some_and(|t| t.is_empty() || t.len() > LONGEST_TOKEN) {
             return Err("'replay' is empty or too long");
         }
-        if token.is_none() && ty.effect == Effect::Tokened {
+        if token.is_none() && ty.idempotency == Idempotency::Keyed {
             return Err("no 'replay', which this 'service' needs");
         }
         let (mut lanes, mut load_time) = (1.0, None);
@@ -286,16 +286,16 @@
                 _ => {}
             }
         }
-        let timeout_at = now + (allow / 1e3).min(ty.timeout);
-        let offer = Offer {
+        let timeout_at = now + (allow / 1e3).min(ty.client_timeout);
+        let offer = InvocationRequest {
             trigger_type,
             customer,
             function,
-            repeat,
-            moved: false,
+            is_retry: repeat,
+            is_migrated: false,
             timeout_at,
-            work: None,
-            lanes,
+            expected_work: None,
+            concurrency: lanes,
             load_time,
         };
         let work = OpenInvocation {
--- a/crates/platform-frontend/src/listing.rs
+++ b/crates/platform-frontend/src/listing.rs
@@ -20,7 +20,7 @@
                 serial: self.resolver.view().serial(),
                 fresh_at,
             };
-            self.engine.view_confirmed(now, fresh_at, &mut self.host);
+            self.engine.on_view_confirmed(now, fresh_at, &mut self.host);
         }
         if reading.changed {
             let rows = self.resolver.view().rows();
@@ -42,11 +42,12 @@
             let age = now - self.host.view.fresh_at;
             info!(quiet, age, "the resolver");
             let kind = if quiet {
-                RosterKind::Failed
+                EndpointUpdateKind::Failed
             } else {
-                RosterKind::Delta
+                EndpointUpdateKind::Delta
             };
-            self.engine.roster(now, kind, &[], &mut self.host);
+            self.engine
+                .on_endpoint_update(now, kind, &[], &mut self.host);
         }
     }
 
@@ -57,7 +58,7 @@
             .values_mut()
             .for_each(|e| e.listed = false);
         let mut moved: Vec<usize> = vec![];
-        let rows: Vec<RosterRow> = entries.iter().map(|e| e.row.clone()).collect();
+        let rows: Vec<Endpoint> = entries.iter().map(|e| e.row.clone()).collect();
         for entry in entries {
             let known = self
                 .host
@@ -87,19 +88,19 @@
         }
         let ready = rows
             .iter()
-            .filter(|r| r.standing == Standing::Ready)
+            .filter(|r| r.state == EndpointState::Ready)
             .count();
         let (serial, age) = (self.resolver.view().serial(), now - self.host.view.fresh_at);
         let youngest = rows
             .iter()
-            .map(|r| now - r.since)
+            .map(|r| now - r.started_at)
             .fold(f64::INFINITY, f64::min);
         info!(
             executors = rows.len(),
             ready, serial, age, youngest, "the roster"
         );
         self.engine
-            .roster(now, RosterKind::Full, &rows, &mut self.host);
+            .on_endpoint_update(now, EndpointUpdateKind::Full, &rows, &mut self.host);
         self.host
             .executors
             .retain(|_, e| e.listed || !e.connections.is_empty());
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -1,7 +1,7 @@
 //! The process's time, and whether the process stood still.
 
 use orchidtally_engine::clock::Clock;
-use orchidtally_engine::standstill::StandstillDetector;
+use orchidtally_engine::standstill::StallDetector;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 fn wall() -> f64 {
@@ -14,7 +14,7 @@
 pub struct ProcessClock {
     clock: Clock,
     began: Instant,
-    standstills: StandstillDetector,
+    standstills: StallDetector,
 }
 
 impl ProcessClock {
@@ -25,7 +25,7 @@
 
     /// Begins at a time in seconds.
     pub fn starting_at(now: f64) -> ProcessClock {
-        let standstills = StandstillDetector::new(now);
+        let standstills = StallDetector::new(now);
         ProcessClock {
             clock: Clock::new(0.0, now),
             began: Instant::now(),
@@ -36,18 +36,18 @@
     /// The time in seconds.
     pub fn read(&mut self) -> f64 {
         let now = self.clock.read(self.began.elapsed().as_secs_f64());
-        self.standstills.look(now);
+        self.standstills.observe(now);
         now
     }
 
     /// When bytes that are read now may have come.
     pub fn arrived_by(&self, now: f64) -> f64 {
-        self.standstills.arrived_by(now)
+        self.standstills.arrival_bound(now)
     }
 
     /// For how long the process did not run, where it did not since this was asked last.
     pub fn take_standstill(&mut self) -> Option<f64> {
-        self.standstills.take()
+        self.standstills.take_stall()
     }
 
     /// Follows the wall clock slowly.
--- a/crates/platform-frontend/src/sending.rs
+++ b/crates/platform-frontend/src/sending.rs
@@ -1,7 +1,7 @@
 //! Lines to executors: over which connection each goes, and when it leaves.
 
 use crate::connections::{self, BACKLOG, Connection, Queued, Unwritten};
-use crate::host_state::{Departures, HostState, ORDER, Order, ViewStamp};
+use crate::host_state::{HostState, ORDER, Order, SendRevalidation, ViewStamp};
 use crate::log_budget::LogBudget;
 use mio::Interest;
 use mio::net::TcpStream;
@@ -42,7 +42,7 @@
 
 impl HostState {
     /// Reads the clock anew. A process that stood still has to hear of the executors before it sends to any.
-    pub fn read_clock(&mut self, departures: &mut dyn Departures) {
+    pub fn read_clock(&mut self, departures: &mut dyn SendRevalidation) {
         self.now = self.clock.read().max(self.now);
         if let Some(seconds) = self.clock.take_standstill() {
             warn!(
@@ -50,7 +50,7 @@
                 view_age = self.now - self.view.fresh_at,
                 "the process stood still"
             );
-            departures.stood_still(self.now);
+            departures.on_process_stall(self.now);
             self.stood_still = true;
         }
     }
@@ -265,7 +265,7 @@
     pub fn flush_connection(
         &mut self,
         slot: usize,
-        departures: &mut dyn Departures,
+        departures: &mut dyn SendRevalidation,
     ) -> std::io::Result<()> {
         self.read_clock(departures);
         self.hand_over_cancels();
@@ -303,7 +303,7 @@
                         };
                         // One that only asks loads nothing.
                         let leaves = order.copies == 0
-                            || departures.order_leaves(self.now, order.to, order.begun);
+                            || departures.revalidate_load(self.now, order.to, order.begun);
                         if !leaves {
                             connection.orders.remove(&tag);
                             self.undone.push((tag, Transport::Withheld));
@@ -321,7 +321,7 @@
                             continue;
                         };
                         let (inv, dispatch) = (out.inv, out.dispatch);
-                        let leaves = departures.dispatch_leaves(self.now, inv, dispatch);
+                        let leaves = departures.revalidate_dispatch(self.now, inv, dispatch);
                         let Some(work) = self.invocations.get(&inv).filter(|_| leaves) else {
                             connection.open.remove(&id);
                             self.outs.remove(&(inv, dispatch));
--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -61,14 +61,18 @@
     frames::put(&mut frame, frames::WITHDRAW, 1, None, None, &[]);
     client.write_all(&frame).expect("it stands");
     stage.until("taken back", |s| s.front.host.clients[0].pending.len() == 1);
-    assert_eq!(stage.front.engine.open(), 0, "nothing is taken yet");
+    assert_eq!(
+        stage.front.engine.open_invocations(),
+        0,
+        "nothing is taken yet"
+    );
     let mut all = 0;
     let mut bytes = vec![0; 1 << 20];
     stage.until("taken", |s| {
         while let Ok(n @ 1..) = client.read(&mut bytes) {
             all += n;
         }
-        s.front.engine.open() > 0
+        s.front.engine.open_invocations() > 0
     });
     assert!(all >= (16 << 20) - crate::clients::BACKLOG);
     stage.dispatched(&id(2));
@@ -92,7 +96,7 @@
             .get(0)
             .is_none_or(|c| c.ending.is_some())
     });
-    assert_eq!(stage.front.engine.open(), 0);
+    assert_eq!(stage.front.engine.open_invocations(), 0);
 }
 
 /// Closed with bytes unread it was reset, which can destroy the answer that tells what was wrong.
@@ -181,7 +185,9 @@
         client
             .write_all(&invocation(1, &id(n + 1), "read"))
             .expect("it stands");
-        stage.until("taken", |s| s.front.engine.open() as u64 == n + 1);
+        stage.until("taken", |s| {
+            s.front.engine.open_invocations() as u64 == n + 1
+        });
         busy.push(client);
     }
     let mut new = stage.client();
