--- a/crates/platform-frontend/src/tests/gone.rs
+++ b/crates/platform-frontend/src/tests/gone.rs
@@ -19,7 +19,7 @@
         stage.turn();
     }
     assert_eq!(all_dispatches(stage), before);
-    assert_eq!(stage.front.engine.open(), 0);
+    assert_eq!(stage.front.engine.open_invocations(), 0);
     assert!(stage.front.host.invocations.is_empty() && stage.front.host.held.is_empty());
     assert!(
         stage
--- a/crates/platform-frontend/src/tests/host_state.rs
+++ b/crates/platform-frontend/src/tests/host_state.rs
@@ -70,7 +70,7 @@
         body: vec![],
         timeout_at: 3.0,
     });
-    host.taken(inv);
+    host.admitted(inv);
 }
 
 /// Lets everything leave, or nothing, and counts what it was asked.
@@ -79,15 +79,15 @@
     asked: usize,
 }
 
-impl Departures for Gate {
-    fn stood_still(&mut self, _: f64) {}
+impl SendRevalidation for Gate {
+    fn on_process_stall(&mut self, _: f64) {}
 
-    fn dispatch_leaves(&mut self, _: f64, _: u32, _: u8) -> bool {
+    fn revalidate_dispatch(&mut self, _: f64, _: u32, _: u8) -> bool {
         self.asked += 1;
         self.open
     }
 
-    fn order_leaves(&mut self, _: f64, _: ExecutorId, _: f64) -> bool {
+    fn revalidate_load(&mut self, _: f64, _: ExecutorId, _: f64) -> bool {
         self.asked += 1;
         self.open
     }
--- a/crates/platform-frontend/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -210,19 +210,19 @@
     }
 
     /// A list as the resolver tells it: of these executors, draining or not, at these addresses.
-    pub fn list(&mut self, rows: &[(usize, Standing, SocketAddr)]) {
-        let entry = |&(x, standing, address): &(usize, Standing, SocketAddr)| {
+    pub fn list(&mut self, rows: &[(usize, EndpointState, SocketAddr)]) {
+        let entry = |&(x, standing, address): &(usize, EndpointState, SocketAddr)| {
             let name = self.peers[x].name.clone();
             let executor = orchidtally_platform_discovery::id(&name);
             let since = f64::NEG_INFINITY;
-            let row = RosterRow {
+            let row = Endpoint {
                 executor,
                 zone: 0,
                 kind: 0,
                 cell: 1,
-                standing,
+                state: standing,
                 weight: 4.0,
-                since,
+                started_at: since,
             };
             orchidtally_platform_discovery::Entry { row, name, address }
         };
--- a/crates/platform-frontend/src/tests/on_the_way.rs
+++ b/crates/platform-frontend/src/tests/on_the_way.rs
@@ -1,7 +1,7 @@
 //! Lists, answers, ends of connections, while a dispatch or an order is on its way.
 
 use super::*;
-use Standing::{Draining, Ready};
+use EndpointState::{Draining, Ready};
 
 /// Sends an invocation and turns until its dispatch, or its order, is queued on a connection that is being made.
 fn queued(stage: &mut Stage, client: &mut TcpStream) -> ExecutorId {
@@ -123,7 +123,7 @@
     client
         .write_all(&invocation(2, &id(2), "read"))
         .expect("it stands");
-    stage.until("queued", |s| s.front.engine.tally().dispatches == 2);
+    stage.until("queued", |s| s.front.engine.counters().dispatches == 2);
     let all = [
         (x, Draining, stage.peers[x].at),
         (1 - x, Ready, stage.peers[1 - x].at),
@@ -205,7 +205,7 @@
     frames::put(&mut both, frames::WITHDRAW, 2, None, None, &[]);
     both.extend(invocation(101, &id(1), "read"));
     client.write_all(&both).expect("it stands");
-    stage.until("taken", |s| s.front.engine.tally().taken == 3);
+    stage.until("taken", |s| s.front.engine.counters().admitted == 3);
     assert!(
         !stage.front.host.held.is_empty(),
         "the turn that gives the first up sends no second"
--- a/crates/platform-frontend/src/tests/process_clock.rs
+++ b/crates/platform-frontend/src/tests/process_clock.rs
@@ -1,7 +1,7 @@
 //! Time, and whether the process stood still.
 
 use super::*;
-use orchidtally_engine::standstill::STOOD_STILL;
+use orchidtally_engine::standstill::STALL_THRESHOLD;
 use std::time::Duration;
 
 #[test]
@@ -10,12 +10,16 @@
     let first = clock.read();
     assert!((5.0..6.0).contains(&first));
     clock.take_standstill();
-    std::thread::sleep(Duration::from_secs_f64(STOOD_STILL + 0.05));
+    std::thread::sleep(Duration::from_secs_f64(STALL_THRESHOLD + 0.05));
     let second = clock.read();
-    assert!(second >= first + STOOD_STILL);
-    assert!(clock.take_standstill().is_some_and(|gap| gap > STOOD_STILL));
+    assert!(second >= first + STALL_THRESHOLD);
     assert!(
-        clock.arrived_by(second) <= second - STOOD_STILL,
+        clock
+            .take_standstill()
+            .is_some_and(|gap| gap > STALL_THRESHOLD)
+    );
+    assert!(
+        clock.arrived_by(second) <= second - STALL_THRESHOLD,
         "bytes may have waited for as long"
     );
     assert_eq!(clock.arrived_by(second + 0.1), second + 0.1);
--- a/crates/platform-frontend/src/tests/standstill.rs
+++ b/crates/platform-frontend/src/tests/standstill.rs
@@ -71,6 +71,6 @@
     stage
         .front
         .engine
-        .view_confirmed(now, now, &mut stage.front.host);
+        .on_view_confirmed(now, now, &mut stage.front.host);
     stage.dispatched(&id(1));
 }
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -40,10 +40,10 @@
 /// Orders a second that all front ends together may give for rollouts; infinite where there is no ration.
 pub fn orders_granted(deployment: &Deployment) -> f64 {
     let policy = &deployment.policy;
-    if !policy.orders || policy.ration_window <= 0.0 {
+    if !policy.allows_load_commands || policy.load_budget_window <= 0.0 {
         return f64::INFINITY;
     }
-    policy.front_ends * RATION_SHARE * policy.ration_floor / policy.ration_window
+    policy.front_ends * RATION_SHARE * policy.load_budget_floor / policy.load_budget_window
 }
 
 /// The copies that a share of a rate of invocations needs.
@@ -126,8 +126,8 @@
              and rollouts may use {} of it, which is {granted:.2} a second in all",
             plan.loads_per_second,
             policy.front_ends,
-            policy.ration_floor,
-            policy.ration_window,
+            policy.load_budget_floor,
+            policy.load_budget_window,
             RATION_SHARE
         );
         faults.push(Infeasible { step: None, what });
@@ -139,7 +139,10 @@
             what,
         }));
     }
-    if plan.gate(Gate::LoadFailures).is_some() && !policy.orders && policy.answers_miss {
+    if plan.gate(Gate::LoadFailures).is_some()
+        && !policy.allows_load_commands
+        && policy.rejects_unloaded
+    {
         let what = "load failures can't be judged where nothing loads".into();
         faults.push(Infeasible { step: None, what });
     }
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -24,19 +24,19 @@
 }
 
 impl Actions for Orders {
-    fn hold(&mut self, to: ExecutorId, function: u64, _: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
         self.given.push((self.now, to, function));
         self.open.push((to, function));
     }
     fn dispatch(&mut self, _: u32, _: ExecutorId, _: f64) {}
-    fn throttle(&mut self, _: u32, _: f64, _: bool) {}
-    fn error(&mut self, _: u32) {}
+    fn reject(&mut self, _: u32, _: f64, _: bool) {}
+    fn fail(&mut self, _: u32) {}
     fn cancel(&mut self, _: u32, _: u8) {}
-    fn ask(&mut self, _: ExecutorId, _: u64) {}
+    fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
-    fn probe(&mut self, _: ExecutorId) {}
-    fn wake(&mut self, _: f64, _: u64) {}
-    fn watch_roster(&mut self) {}
+    fn health_check(&mut self, _: ExecutorId) {}
+    fn set_timer(&mut self, _: f64, _: u64) {}
+    fn subscribe_to_endpoints(&mut self) {}
 }
 
 struct FrontEnd {
@@ -113,11 +113,11 @@
                 ..Orders::default()
             };
             let policy = PolicyConfig {
-                index: n as f64,
+                front_end_index: n as f64,
                 ..deployment.policy.clone()
             };
             let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut orders);
-            dispatcher.roster(100.0, RosterKind::Full, &rows, &mut orders);
+            dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut orders);
             let place = Place {
                 index: n as u32,
                 count: FRONT_ENDS as u32,
@@ -155,8 +155,13 @@
                     now + LOAD
                 });
                 if at <= now {
-                    fe.dispatcher
-                        .held(now, to, function, Ending::Ok, &mut fe.orders);
+                    fe.dispatcher.on_load_result(
+                        now,
+                        to,
+                        function,
+                        DispatchStatus::Ok,
+                        &mut fe.orders,
+                    );
                 } else {
                     fe.orders.open.push((to, function));
                 }
@@ -166,14 +171,14 @@
             }
             for ahead in fe.shares.ahead(now) {
                 let v = &ahead.version;
-                let wish = Ahead {
+                let wish = PrewarmRequest {
                     function: v.key,
-                    lanes: v.lanes,
+                    concurrency: v.lanes,
                     load_time: v.load_time,
-                    copies: ahead.copies,
+                    replicas: ahead.copies,
                 };
                 let before = fe.orders.given.len();
-                let count = fe.dispatcher.ahead(now, &wish, &mut fe.orders);
+                let count = fe.dispatcher.prewarm(now, &wish, &mut fe.orders);
                 let ordered = fe.orders.given.len() > before;
                 // Without a ration to spare the first invocations would bring it; here only orders do.
                 fe.shares.prepared(&ahead, count, ordered || count == 0);
--- a/crates/sim-adapter/src/batch.rs
+++ b/crates/sim-adapter/src/batch.rs
@@ -4,27 +4,28 @@
 use crate::reply::Reply;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::{
-    Ending, Found, Invocation, Outcome, RosterKind, RosterRow, Standing,
+    CopyState, DispatchResult, DispatchStatus, Endpoint, EndpointState, EndpointUpdateKind,
+    Invocation,
 };
 
 /// The instances that this process hosts and the executor lists told to it. Instances share nothing else.
 #[derive(Default)]
 pub struct Host {
     instances: Vec<Option<Box<Dispatcher>>>,
-    lists: [Option<Vec<RosterRow>>; 16],
+    lists: [Option<Vec<Endpoint>>; 16],
 }
 
-fn ending(fields: &Fields, code: u8) -> Result<Ending, Malformed> {
+fn ending(fields: &Fields, code: u8) -> Result<DispatchStatus, Malformed> {
     Ok(match code {
-        0 => Ending::Ok,
-        255 => Ending::Error,
-        254 => Ending::Full,
-        253 => Ending::TimedOut,
-        252 => Ending::ConnectFailed,
-        251 => Ending::Reset,
-        250 => Ending::Cancelled,
-        249 => Ending::NeverSent,
-        1 => Ending::Miss,
+        0 => DispatchStatus::Ok,
+        255 => DispatchStatus::Error,
+        254 => DispatchStatus::Full,
+        253 => DispatchStatus::TimedOut,
+        252 => DispatchStatus::ConnectFailed,
+        251 => DispatchStatus::Reset,
+        250 => DispatchStatus::Cancelled,
+        249 => DispatchStatus::NeverSent,
+        1 => DispatchStatus::Miss,
         other => return Err(fields.fault(format!("no result has number {other}"))),
     })
 }
@@ -33,13 +34,13 @@
     (0..fields.u8()?).map(|_| fields.f32()).collect()
 }
 
-fn row(fields: &mut Fields) -> Result<RosterRow, Malformed> {
+fn row(fields: &mut Fields) -> Result<Endpoint, Malformed> {
     let executor = fields.executor()?;
     let (zone, kind, cell) = (fields.u8()?, fields.u8()?, fields.u16()?);
     let standing = match fields.u8()? {
-        0 => Standing::Ready,
-        3 => Standing::Draining,
-        1 => Standing::Gone,
+        0 => EndpointState::Ready,
+        3 => EndpointState::Draining,
+        1 => EndpointState::Gone,
         other => return Err(fields.fault(format!("no standing has number {other}"))),
     };
     let weight = f64::from(fields.f32()?);
@@ -49,14 +50,14 @@
     } else {
         f64::NEG_INFINITY
     };
-    Ok(RosterRow {
+    Ok(Endpoint {
         executor,
         zone,
         kind,
         cell,
-        standing,
+        state: standing,
         weight,
-        since,
+        started_at: since,
     })
 }
 
@@ -118,12 +119,12 @@
             .and_then(Option::as_mut)
             .ok_or_else(|| start.fault(format!("instance {who} was never started")))?;
         match code {
-            1 => dispatcher.timer(now, f.u64()?, reply),
+            1 => dispatcher.on_timer(now, f.u64()?, reply),
             2 => {
                 let (inv, dispatch) = (f.u32()?, f.u8()?);
                 f.executor()?;
                 f.seconds()?;
-                dispatcher.streaming(now, inv, dispatch, reply);
+                dispatcher.on_response_started(now, inv, dispatch, reply);
             }
             3 => {
                 f.executor()?;
@@ -150,55 +151,55 @@
                     trigger_type,
                     customer,
                     function,
-                    repeat,
-                    moved: false,
+                    is_retry: repeat,
+                    is_migrated: false,
                     timeout_at,
-                    work,
-                    lanes,
+                    expected_work: work,
+                    concurrency: lanes,
                     load_time,
                 };
-                dispatcher.invocation(now, &inv, reply);
+                dispatcher.on_invocation(now, &inv, reply);
             }
             6 => {
                 let (mode, _revision, page) = (f.u8()?, f.u32()?, usize::from(f.u16()?));
                 let kind = match mode {
-                    0 => RosterKind::Delta,
-                    1 | 2 => RosterKind::Full,
-                    3 => RosterKind::Failed,
+                    0 => EndpointUpdateKind::Delta,
+                    1 | 2 => EndpointUpdateKind::Full,
+                    3 => EndpointUpdateKind::Failed,
                     other => return Err(f.fault(format!("no roster event has mode {other}"))),
                 };
                 let rows = match self.lists.get(page).and_then(Option::as_ref) {
                     Some(rows) => rows.as_slice(),
-                    None if kind == RosterKind::Failed => &[],
+                    None if kind == EndpointUpdateKind::Failed => &[],
                     None => return Err(f.fault(format!("list {page} was never given"))),
                 };
-                dispatcher.roster(now, kind, rows, reply);
+                dispatcher.on_endpoint_update(now, kind, rows, reply);
             }
             7 => {
                 let (inv, dispatch, executor, code) = (f.u32()?, f.u8()?, f.executor()?, f.u8()?);
                 let ending = ending(&f, code)?;
                 let (took, closed, info) = (f.seconds()?, f.u8()? != 0, f.u32()?);
                 let found = match info & 7 {
-                    1 => Found::Warm,
-                    2 => Found::Loaded,
-                    3 => Found::Waited,
-                    4 => Found::LoadFailed,
-                    _ => Found::Untold,
+                    1 => CopyState::Warm,
+                    2 => CopyState::ColdLoad,
+                    3 => CopyState::JoinedLoad,
+                    4 => CopyState::LoadFailed,
+                    _ => CopyState::Unknown,
                 };
                 let crowd = info >> 3;
                 let report = &report(&mut f)?;
-                let outcome = Outcome {
-                    inv,
+                let outcome = DispatchResult {
+                    invocation: inv,
                     dispatch,
                     executor,
-                    ending,
-                    took,
-                    closed,
-                    found,
-                    crowd,
-                    report,
+                    status: ending,
+                    duration: took,
+                    is_answered: closed,
+                    copy_state: found,
+                    function_concurrency: crowd,
+                    load_report: report,
                 };
-                dispatcher.outcome(now, &outcome, reply);
+                dispatcher.on_dispatch_result(now, &outcome, reply);
             }
             9 => {}
             10 => {
@@ -206,9 +207,9 @@
                 let code = f.u8()?;
                 let (ending, function) = (ending(&f, code)?, f.u64()?);
                 let (executor, _copies) = (f.executor()?, f.u8()?);
-                dispatcher.held(now, executor, function, ending, reply);
+                dispatcher.on_load_result(now, executor, function, ending, reply);
             }
-            11 => dispatcher.withdrawn(now, f.u32()?, reply),
+            11 => dispatcher.on_client_cancel(now, f.u32()?, reply),
             12 => self.instances[slot] = None,
             other => return Err(start.fault(format!("no event has code {other}"))),
         }
--- a/crates/sim-adapter/src/reply.rs
+++ b/crates/sim-adapter/src/reply.rs
@@ -66,16 +66,16 @@
             ],
         );
     }
-    fn throttle(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
+    fn reject(&mut self, inv: u32, retry_after: f64, _past_share: bool) {
         self.record(78, &[&inv.to_le_bytes(), &nanos(retry_after.max(0.0))]);
     }
-    fn error(&mut self, inv: u32) {
+    fn fail(&mut self, inv: u32) {
         self.record(68, &[&inv.to_le_bytes()]);
     }
     fn cancel(&mut self, inv: u32, dispatch: u8) {
         self.record(75, &[&inv.to_le_bytes(), &[dispatch]]);
     }
-    fn hold(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.record(
             73,
             &[
@@ -86,8 +86,8 @@
             ],
         );
     }
-    fn ask(&mut self, to: ExecutorId, function: u64) {
-        self.hold(to, function, 0);
+    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
+        self.load(to, function, 0);
     }
     fn unload(&mut self, to: ExecutorId, function: u64) {
         self.record(
@@ -95,16 +95,16 @@
             &[&address(to), &to.1.to_le_bytes(), &function.to_le_bytes()],
         );
     }
-    fn probe(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, to: ExecutorId) {
         self.record(67, &[&address(to), &to.1.to_le_bytes()]);
     }
-    fn wake(&mut self, delay: f64, mark: u64) {
+    fn set_timer(&mut self, delay: f64, mark: u64) {
         self.record(
             72,
             &[&nanos(delay.clamp(0.0, LONGEST_WAKE)), &mark.to_le_bytes()],
         );
     }
-    fn watch_roster(&mut self) {
+    fn subscribe_to_endpoints(&mut self) {
         self.record(65, &[&[1]]);
     }
 }
