--- a/crates/capacity-model/src/comparison/gateway.rs
+++ b/crates/capacity-model/src/comparison/gateway.rs
@@ -165,7 +165,7 @@
     pub async fn standing(&self) -> Result<Standing, GatewayError> {
         let (get, path) = (http::Method::GET, "/v1/front-end");
         let asked =
-            orchidtally_socket_io::http::ask(self.address, get, path, vec![], STANDING_TIMEOUT);
+            orchidtally_socket_io::http::fetch(self.address, get, path, vec![], STANDING_TIMEOUT);
         let (_, body) = asked.await.map_err(GatewayError::NoStanding)?;
         Ok(serde_json::from_slice(&body)?)
     }
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -3,12 +3,12 @@
 
 use super::deployment;
 use async_executor::{LocalExecutor, Task};
-use orchidtally_deployment::{Deployment, Etcd, Source};
+use orchidtally_deployment::{Deployment, EndpointSource, EtcdSettings};
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{Engine, FailureReason, Host};
 use orchidtally_etcd::Client;
 use orchidtally_http_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
-use orchidtally_membership::{Cache, Members};
+use orchidtally_membership::{EndpointCache, Members};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -41,9 +41,9 @@
 pub struct ControlFrontEnd {
     started: Instant,
     deployment: Deployment,
-    etcd: Etcd,
+    etcd: EtcdSettings,
     life: u64,
-    cache: RefCell<Cache>,
+    cache: RefCell<EndpointCache>,
     members: RefCell<Members>,
     engine: RefCell<Engine>,
     /// Bytes received by the roster's connection when its first list was there.
@@ -82,7 +82,7 @@
         tasks: &Rc<LocalExecutor<'static>>,
     ) -> Rc<ControlFrontEnd> {
         let deployment = deployment::parsed(&deployment::with_roster(front_ends, endpoints));
-        let Source::Etcd(etcd) = deployment.source.clone() else {
+        let EndpointSource::Etcd(etcd) = deployment.source.clone() else {
             unreachable!("the deployment file of a hollow front end names a store")
         };
         let engine = Engine::new(deployment.policy.clone(), 1, seed, 0.0, &mut NoCalls);
@@ -90,7 +90,7 @@
             started: Instant::now(),
             deployment,
             life: seed,
-            cache: RefCell::new(Cache::new(0.0)),
+            cache: RefCell::new(EndpointCache::new(0.0)),
             members: RefCell::new(Members::new(front_ends as u32)),
             engine: RefCell::new(engine),
             list_bytes: Cell::new(0),
@@ -144,7 +144,7 @@
         &self.deployment
     }
 
-    fn cache(&self) -> &RefCell<Cache> {
+    fn cache(&self) -> &RefCell<EndpointCache> {
         &self.cache
     }
 
--- a/crates/capacity-model/src/store/serve.rs
+++ b/crates/capacity-model/src/store/serve.rs
@@ -7,8 +7,8 @@
 use orchidtally_config_sync::GatewaySchema;
 use orchidtally_config_sync::writer::{self, DEFAULT_MAX_OPERATIONS, ReadValue, ReadValues};
 use orchidtally_etcd::rpc::{CompactionRequest, PutRequest, RangeRequest};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::{ClientCounters, CrashPoint, Served};
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::{ClientCounters, CrashPoint, EtcdServer};
 use std::collections::BTreeSet;
 use std::io::{BufRead, Write};
 use std::net::Ipv4Addr;
@@ -24,8 +24,8 @@
 
 /// Serves until standard input ends.
 pub fn serve(seed: u64) -> std::io::Result<()> {
-    let stage = Stage::new(seed);
-    let served = Served::start_in_regions(&stage, &MEMBER_REGIONS)?;
+    let stage = TestEnvironment::new(seed);
+    let served = EtcdServer::start_in_regions(&stage, &MEMBER_REGIONS)?;
     served.timing.progress_interval.set(PROGRESS_INTERVAL);
     let (sender, commands) = async_channel::bounded::<String>(COMMANDS);
     std::thread::spawn(move || {
@@ -55,7 +55,7 @@
     async_io::block_on(stage.tasks.run(work))
 }
 
-fn perform(served: &Rc<Served>, command: &Command) -> Answer {
+fn perform(served: &Rc<EtcdServer>, command: &Command) -> Answer {
     match command {
         Command::Addresses => {
             return Answer::Addresses {
@@ -101,7 +101,7 @@
     Answer::Done
 }
 
-fn addresses(served: &Served) -> Vec<Vec<std::net::SocketAddr>> {
+fn addresses(served: &EtcdServer) -> Vec<Vec<std::net::SocketAddr>> {
     let regions: BTreeSet<u32> = MEMBER_REGIONS.iter().copied().collect();
     let of = |&region: &u32| {
         let all = served.addresses_from(region);
@@ -112,7 +112,7 @@
     regions.iter().map(of).collect()
 }
 
-fn usage_of(served: &Served) -> Usage {
+fn usage_of(served: &EtcdServer) -> Usage {
     let member = |member| {
         let counters = served.counters(member);
         MemberUsage {
@@ -130,7 +130,7 @@
     }
 }
 
-fn clients_of(served: &Served) -> Vec<ClientUsage> {
+fn clients_of(served: &EtcdServer) -> Vec<ClientUsage> {
     let usage = |client: ClientCounters| ClientUsage {
         name: client.name,
         bytes_received: client.bytes_received,
@@ -139,7 +139,7 @@
     served.clients().into_iter().map(usage).collect()
 }
 
-fn put(served: &Served, entries: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Answer {
+fn put(served: &EtcdServer, entries: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Answer {
     for (key, value) in entries {
         let request = PutRequest {
             key: key.into(),
@@ -155,7 +155,7 @@
     Answer::Done
 }
 
-fn change_executors(served: &Served, from: usize, count: usize) -> Answer {
+fn change_executors(served: &EtcdServer, from: usize, count: usize) -> Answer {
     // One that drains is ready after its next change.
     let is_ready = served.store.borrow().revision % 2 == 0;
     put(
@@ -164,7 +164,7 @@
     )
 }
 
-fn change_functions(served: &Served, from: usize, count: usize, version: u64) -> Answer {
+fn change_functions(served: &EtcdServer, from: usize, count: usize, version: u64) -> Answer {
     let changes = entries::changes(from..from + count, version);
     let keyspace = entries::keyspace();
     let read = read_values(served, &writer::keys_to_read(&keyspace, &changes));
@@ -192,7 +192,7 @@
     }
 }
 
-fn read_values(served: &Served, keys: &[Vec<u8>]) -> ReadValues {
+fn read_values(served: &EtcdServer, keys: &[Vec<u8>]) -> ReadValues {
     let store = served.store.borrow();
     let read = |key: &Vec<u8>| {
         let request = RangeRequest {
@@ -209,7 +209,7 @@
     keys.iter().filter_map(read).collect()
 }
 
-fn compact(served: &Served) -> Answer {
+fn compact(served: &EtcdServer) -> Answer {
     let mut store = served.store.borrow_mut();
     let request = CompactionRequest {
         revision: store.revision,
--- a/crates/capacity-model/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -2,7 +2,7 @@
 
 use orchidtally_capacity_model::config::entries;
 use orchidtally_capacity_model::hollow::deployment;
-use orchidtally_deployment::{Deployment, Source};
+use orchidtally_deployment::{Deployment, EndpointSource};
 use orchidtally_dispatch_policy::interface::PolicyConfig;
 use orchidtally_http_frontend::config::{HostSettings, sync_settings};
 use std::net::SocketAddr;
@@ -33,8 +33,10 @@
 fn front_ends_with_and_without_a_store_differ_in_nothing_else() {
     let with_roster = read(&deployment::with_roster(3, &endpoints()));
     let without_store = read(&deployment::without_store(3));
-    assert!(matches!(&with_roster.source, Source::Etcd(etcd) if etcd.endpoints == endpoints()));
-    assert!(matches!(without_store.source, Source::Listed(_)));
+    assert!(
+        matches!(&with_roster.source, EndpointSource::Etcd(etcd) if etcd.endpoints == endpoints())
+    );
+    assert!(matches!(without_store.source, EndpointSource::Listed(_)));
     assert!(with_roster.configuration.is_none() && without_store.configuration.is_none());
     // Whether a roster is asked for goes by where it comes from.
     assert!(with_roster.policy.polls_endpoints && !without_store.policy.polls_endpoints);
--- a/crates/cli/src/invoke.rs
+++ b/crates/cli/src/invoke.rs
@@ -127,7 +127,7 @@
         arguments.at,
         Duration::from_millis(arguments.time_left.into()),
     );
-    let answered = async_io::block_on(orchidtally_socket_io::within(
+    let answered = async_io::block_on(orchidtally_socket_io::with_timeout(
         time,
         exchange(at, request, time),
     ));
--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -4,7 +4,7 @@
 use clap::Subcommand;
 use orchidtally_journal::{Journal, Recovered, inspect};
 use orchidtally_mqtt_triggers::ledger::{self, Ledger};
-use orchidtally_mqtt_triggers::promises::{self, Promises};
+use orchidtally_mqtt_triggers::promises::{self, DurableInvocations};
 use orchidtally_rollout::coordinator::CoordinatorState;
 use serde::de::DeserializeOwned;
 use std::io::ErrorKind;
@@ -67,7 +67,7 @@
         return serde_json::to_vec(&ledger.snapshot()).ok();
     }
     if let Some(records) = records_of_kind::<promises::Record>(found) {
-        let all = Promises::new(f64::INFINITY, usize::MAX, usize::MAX).noted(&records);
+        let all = DurableInvocations::new(f64::INFINITY, usize::MAX, usize::MAX).noted(&records);
         return serde_json::to_vec(&all.records()).ok();
     }
     // Each of a coordinator's entries is its whole state.
--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -2,9 +2,11 @@
 
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::executor::{Catalogue, Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::store::Store;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::executor::{
+    Catalogue, Executor, ExecutorSpec, Program, SharedResources, echo,
+};
+use orchidtally_test_servers::store::PackageStore;
 use sha2::{Digest, Sha256};
 use std::io;
 use std::net::SocketAddr;
@@ -57,7 +59,7 @@
 pub fn deployment(listen: Option<SocketAddr>) -> io::Result<Deployment> {
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = Stage::new(1);
+        let stage = TestEnvironment::new(1);
         let started = start(&stage);
         let tasks = stage.tasks.clone();
         match started {
@@ -98,8 +100,8 @@
     Ok(deployment)
 }
 
-fn start(stage: &Stage) -> io::Result<Vec<Rc<Executor>>> {
-    let store = Store::new(stage, 4.0, 32);
+fn start(stage: &TestEnvironment) -> io::Result<Vec<Rc<Executor>>> {
+    let store = PackageStore::new(stage, 4.0, 32);
     let catalogue: Catalogue = Rc::new(|name| {
         let (_, run) = FUNCTIONS.iter().find(|f| f.0 == name)?;
         Some(Program {
@@ -111,21 +113,26 @@
         })
     });
     let one = |number| {
-        let make = Make {
+        let make = ExecutorSpec {
             cores: 4,
             memory: 64.0,
             queue: 200,
             keep_alive: 30.0,
             report_fields: vec!["backlog".into()],
-            ..Make::roomy(number)
+            ..ExecutorSpec::roomy(number)
         };
-        let around = Surroundings {
+        let around = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
             tokens: Rc::default(),
             token_window: 60.0,
         };
-        Executor::start(stage, make, orchidtally_test_servers::any_port(), around)
+        Executor::start(
+            stage,
+            make,
+            orchidtally_test_servers::unused_address(),
+            around,
+        )
     };
     (0..EXECUTORS).map(one).collect()
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,7 +15,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use orchidtally_deployment::Deployment;
-use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::TriggerSettings;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -86,7 +86,7 @@
 }
 
 /// Reads a deployment file with its triggers, where it has some.
-pub fn read_whole(file: &Path) -> Result<(Deployment, Option<Section>), u8> {
+pub fn read_whole(file: &Path) -> Result<(Deployment, Option<TriggerSettings>), u8> {
     check_text(file, &read_text(file)?)
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Reads the text of a deployment file; faults are printed with the file's name.
-pub fn check_text(file: &Path, text: &str) -> Result<(Deployment, Option<Section>), u8> {
+pub fn check_text(file: &Path, text: &str) -> Result<(Deployment, Option<TriggerSettings>), u8> {
     orchidtally_mqtt_triggers::read(text).map_err(|faults| {
         for fault in &faults {
             eprintln!("{}:{fault}", file.display());
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::{BAD_INPUT, COULD_NOT_RUN};
 use clap::ValueEnum;
-use orchidtally_test_servers::Stage;
+use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::bare::{self, Ask, Seen};
 use serde::Serialize;
 use std::io::{self, BufRead, BufReader};
@@ -165,7 +165,7 @@
 
 /// Plays a part until it is ended.
 fn play(part: &str) -> Result<(), u8> {
-    let listen = || orchidtally_socket_io::listen(orchidtally_test_servers::any_port());
+    let listen = || orchidtally_socket_io::listen(orchidtally_test_servers::unused_address());
     let (kind, value) = part.split_once('=').ok_or(BAD_INPUT)?;
     // The module keeps to a limit at each executor, so that one alone would hold back a busy client.
     let (value, ports) = value.split_once('x').unwrap_or((value, "1"));
@@ -181,7 +181,7 @@
         .iter()
         .filter_map(|l| Some(l.get_ref().local_addr().ok()?.to_string()))
         .collect();
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
     println!("http://{}", at.join(","));
     crate::serve::at_end_of_input(|| std::process::exit(0));
@@ -206,7 +206,7 @@
 }
 
 fn load(to: SocketAddr, ask: Ask, streams: usize, a: &Arguments) -> io::Result<Seen> {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
     let seen =
         async_io::block_on(tasks.run(bare::load(&stage, to, ask, streams, a.time, a.payload)));
@@ -271,7 +271,7 @@
         "127.0.0.1:0",
         "--until-input-ends",
     ])?;
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
     let sleep =
         |time: f64| async move { async_io::Timer::after(Duration::from_secs_f64(time)).await };
--- a/crates/cli/src/rehearse/day.rs
+++ b/crates/cli/src/rehearse/day.rs
@@ -1,6 +1,6 @@
 //! The script of a day: the traffic, and what goes wrong when.
 
-use orchidtally_deployment::reader::{Document, Fault, Place};
+use orchidtally_deployment::reader::{DeploymentFault, Document, Place};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -169,7 +169,7 @@
     }
 
     /// Reads a day file, or tells every fault in it.
-    pub fn read(text: &str) -> Result<Day, Vec<Fault>> {
+    pub fn read(text: &str) -> Result<Day, Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
             return Err(document.faults());
--- a/crates/cli/src/rehearse/evidence.rs
+++ b/crates/cli/src/rehearse/evidence.rs
@@ -1,7 +1,7 @@
 //! Whether a violation that was injected took place, told from the records alone and more strictly than the checks
 //! judge it: what holds here has to be found by them.
 
-use orchidtally_invariants::{Effect, Limits, Record, Standing};
+use orchidtally_invariants::{EndpointState, Idempotency, Limits, TrafficRecord};
 use orchidtally_test_servers::rogue;
 use std::collections::{HashMap, HashSet};
 
@@ -36,8 +36,8 @@
 }
 
 /// The evidence of a rule's injected violation, or what is missing for it.
-pub fn of_violation(rule: u8, limits: &Limits, records: &[Record]) -> Result<(), Missing> {
-    let mut records: Vec<&Record> = records.iter().collect();
+pub fn of_violation(rule: u8, limits: &Limits, records: &[TrafficRecord]) -> Result<(), Missing> {
+    let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
     match rule {
         1 => unanswered(&records),
@@ -53,22 +53,22 @@
     if found { Ok(()) } else { Err(missing) }
 }
 
-fn unanswered(records: &[&Record]) -> Result<(), Missing> {
-    let offered = |r: &&Record| match r {
-        Record::Offered {
+fn unanswered(records: &[&TrafficRecord]) -> Result<(), Missing> {
+    let offered = |r: &&TrafficRecord| match r {
+        TrafficRecord::Offered {
             client, invocation, ..
         } if *client == UNANSWERED_CLIENT => Some(invocation.clone()),
         _ => None,
     };
     let offered: HashSet<String> = records.iter().filter_map(offered).collect();
-    let gave_up = |r: &&Record| matches!(r, Record::GaveUp { invocation, .. } if offered.contains(invocation));
+    let gave_up = |r: &&TrafficRecord| matches!(r, TrafficRecord::GaveUp { invocation, .. } if offered.contains(invocation));
     found_or(records.iter().any(gave_up), Missing::Unanswered)
 }
 
-fn ran_twice(records: &[&Record]) -> Result<(), Missing> {
+fn ran_twice(records: &[&TrafficRecord]) -> Result<(), Missing> {
     let mut ran_at: HashMap<&str, HashSet<usize>> = HashMap::new();
     for record in records {
-        if let Record::Ran {
+        if let TrafficRecord::Ran {
             executor,
             invocation,
             ..
@@ -85,15 +85,15 @@
 }
 
 /// Since when the injecting front end has been told that an executor is not to be used.
-pub fn drain_told_at(records: &[Record], executor: usize) -> Option<f64> {
-    let mut told: Vec<(f64, Standing)> = records
+pub fn drain_told_at(records: &[TrafficRecord], executor: usize) -> Option<f64> {
+    let mut told: Vec<(f64, EndpointState)> = records
         .iter()
         .filter_map(|r| drain_told(r, executor))
         .collect();
     told.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut since = None;
     for (at, standing) in told {
-        since = if standing == Standing::Ready {
+        since = if standing == EndpointState::Ready {
             None
         } else {
             since.or(Some(at))
@@ -102,9 +102,9 @@
     since
 }
 
-fn drain_told(record: &Record, wanted: usize) -> Option<(f64, Standing)> {
+fn drain_told(record: &TrafficRecord, wanted: usize) -> Option<(f64, EndpointState)> {
     match record {
-        Record::Told {
+        TrafficRecord::Told {
             at,
             life,
             executor,
@@ -115,26 +115,26 @@
     }
 }
 
-fn dispatched_after_drain(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
+fn dispatched_after_drain(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
     let mut told_since: HashMap<usize, f64> = HashMap::new();
     let mut was_told = false;
     for record in records {
         match record {
-            Record::Told {
+            TrafficRecord::Told {
                 at,
                 life,
                 executor,
                 standing,
                 ..
             } if *life == rogue::INCARNATION => {
-                if *standing == Standing::Ready {
+                if *standing == EndpointState::Ready {
                     told_since.remove(executor);
                 } else {
                     was_told = true;
                     told_since.entry(*executor).or_insert(*at);
                 }
             }
-            Record::Reached {
+            TrafficRecord::Reached {
                 at, life, executor, ..
             } if *life == rogue::INCARNATION => {
                 let allowed = limits.drain_grace + limits.transit;
@@ -156,9 +156,9 @@
 }
 
 /// Whether the injecting front end was told of a start of an executor that is no earlier than `since`.
-pub fn start_was_told(records: &[Record], wanted: usize, since: f64) -> bool {
+pub fn start_was_told(records: &[TrafficRecord], wanted: usize, since: f64) -> bool {
     records.iter().any(|r| match r {
-        Record::Told {
+        TrafficRecord::Told {
             life,
             executor,
             since: told,
@@ -168,12 +168,12 @@
     })
 }
 
-fn pushed_over(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
+fn pushed_over(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
     let mut told_start: HashMap<usize, f64> = HashMap::new();
     let mut reached: HashMap<usize, Vec<(f64, bool)>> = HashMap::new();
     for record in records {
         match record {
-            Record::Told {
+            TrafficRecord::Told {
                 life,
                 executor,
                 since,
@@ -181,7 +181,7 @@
             } if *life == rogue::INCARNATION => {
                 told_start.insert(*executor, *since);
             }
-            Record::Reached {
+            TrafficRecord::Reached {
                 at, life, executor, ..
             } => {
                 reached
@@ -189,7 +189,7 @@
                     .or_default()
                     .push((*at, *life == rogue::INCARNATION));
             }
-            Record::Fell {
+            TrafficRecord::Fell {
                 at,
                 executor,
                 since,
@@ -219,9 +219,9 @@
 }
 
 /// Counts what all front ends were offered in place of one, and leaves out executors that were deaf at any time.
-fn over_ration(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
-    let deaf = |r: &&Record| {
-        if let Record::Deaf { executor, .. } = r {
+fn over_ration(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
+    let deaf = |r: &&TrafficRecord| {
+        if let TrafficRecord::Deaf { executor, .. } = r {
             Some(*executor)
         } else {
             None
@@ -233,9 +233,9 @@
     let mut published = 0;
     for record in records {
         match record {
-            Record::Offered { at, .. } => offers.push(*at),
-            Record::Published { .. } => published += 1,
-            Record::Ordered {
+            TrafficRecord::Offered { at, .. } => offers.push(*at),
+            TrafficRecord::Published { .. } => published += 1,
+            TrafficRecord::Ordered {
                 at,
                 executor,
                 life,
@@ -263,15 +263,15 @@
     Err(Missing::OrdersOverRation)
 }
 
-fn message_ran_twice(limits: &Limits, records: &[&Record]) -> Result<(), Missing> {
+fn message_ran_twice(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
     let has_effect_once = |name: &str| {
         limits
             .trigger_types
             .iter()
-            .any(|t| t.name == name && t.effect == Effect::NonIdempotent)
+            .any(|t| t.name == name && t.effect == Idempotency::NonIdempotent)
     };
-    let message = |r: &&Record| match r {
-        Record::Published {
+    let message = |r: &&TrafficRecord| match r {
+        TrafficRecord::Published {
             invocation,
             trigger_type,
             ..
@@ -281,7 +281,7 @@
     let messages: HashSet<String> = records.iter().filter_map(message).collect();
     let mut ran: HashSet<&str> = HashSet::new();
     for record in records {
-        if let Record::Ran { invocation, .. } = record
+        if let TrafficRecord::Ran { invocation, .. } = record
             && messages.contains(invocation)
             && !ran.insert(invocation)
         {
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -2,11 +2,11 @@
 //! connections that break, by way of a broker that goes down.
 
 use bytes::Bytes;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::filter::Filter;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_test_servers::broker::{BrokerServer, GivesTwice, Message};
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::io;
@@ -27,7 +27,7 @@
 
 /// Messages that are published beside a day's traffic.
 pub struct Messages {
-    stage: Stage,
+    stage: TestEnvironment,
     broker: Rc<BrokerServer>,
     folder: PathBuf,
     sent: Cell<u64>,
@@ -36,12 +36,12 @@
 
 impl Messages {
     /// Starts the broker.
-    pub fn new(stage: &Stage, seed: u64) -> io::Result<Messages> {
+    pub fn new(stage: &TestEnvironment, seed: u64) -> io::Result<Messages> {
         let folder = std::env::temp_dir().join(format!(
             "orchidtally-messages-{}-{seed}",
             std::process::id()
         ));
-        let broker = BrokerServer::start(stage, any_port(), None)?;
+        let broker = BrokerServer::start(stage, unused_address(), None)?;
         broker.broker.borrow_mut().faults.reorders = true;
         Ok(Messages {
             stage: stage.clone(),
@@ -87,7 +87,7 @@
         let function = format!("fn-{}", (self.stage.unit() * 6.0) as u32);
         self.open.borrow_mut().insert(invocation.clone());
         let at = self.stage.now();
-        self.stage.record(Record::Published {
+        self.stage.record(TrafficRecord::Published {
             at,
             invocation: invocation.clone(),
             trigger_type: kind.into(),
@@ -119,7 +119,7 @@
             let invocation = user("orchidtally-invocation");
             self.open.borrow_mut().remove(&invocation);
             let outcome = user("orchidtally-outcome");
-            self.stage.record(Record::Heard {
+            self.stage.record(TrafficRecord::Heard {
                 at: self.stage.now(),
                 invocation,
                 outcome,
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -12,7 +12,8 @@
 use day::Day;
 use evidence::Missing;
 use orchidtally_invariants::{
-    Answer, Messages, Record, Verdict, judge, messages as judge_messages,
+    FinalAnswer, MessageReport, TrafficRecord, Verdict, check_messages as judge_messages,
+    check_rules,
 };
 use serde::Serialize;
 use std::collections::HashMap;
@@ -97,7 +98,7 @@
 }
 
 /// Writes the records of the traffic, one a line.
-fn write_records(file: &Path, records: &[Record]) -> Result<(), u8> {
+fn write_records(file: &Path, records: &[TrafficRecord]) -> Result<(), u8> {
     let lines: Vec<String> = records
         .iter()
         .filter_map(|r| serde_json::to_string(r).ok())
@@ -128,7 +129,7 @@
     if let Some(file) = &arguments.records {
         write_records(file, &played.records)?;
     }
-    let verdict = judge(&played.limits, &played.fleet, &played.records);
+    let verdict = check_rules(&played.limits, &played.fleet, &played.records);
     let messages = arguments
         .mqtt
         .then(|| judge_messages(&played.limits, &played.records));
@@ -146,8 +147,8 @@
         check_injection(rule, injected, &verdict, messages.as_ref())?;
     }
     let rolled_well = played.rollout.as_ref().is_none_or(rolling::Seen::is_well);
-    let carried_well = messages.as_ref().is_none_or(Messages::kept);
-    if verdict.kept() && rolled_well && carried_well {
+    let carried_well = messages.as_ref().is_none_or(MessageReport::kept);
+    if verdict.holds() && rolled_well && carried_well {
         Ok(())
     } else {
         Err(NOT_SO)
@@ -159,7 +160,7 @@
     rule: u8,
     injected: Result<(), Missing>,
     verdict: &Verdict,
-    messages: Option<&Messages>,
+    messages: Option<&MessageReport>,
 ) -> Result<(), u8> {
     if let Err(missing) = injected {
         eprintln!("no violation of rule {rule} could be injected: {missing}");
@@ -189,7 +190,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     rollout: Option<Rolled<'a>>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    mqtt: Option<&'a Messages>,
+    mqtt: Option<&'a MessageReport>,
     #[serde(skip_serializing_if = "Option::is_none")]
     roster: Option<roster::Seen>,
     /// Whether the violation that was asked for took place.
@@ -217,7 +218,7 @@
     day: &Day,
     played: &play::Played,
     verdict: &Verdict,
-    messages: Option<&Messages>,
+    messages: Option<&MessageReport>,
     injected: Option<bool>,
 ) {
     println!("troubles:");
@@ -286,7 +287,7 @@
         .roster
         .as_ref()
         .map(|r| r.seen(&played.records, played.relists, (broken(3), broken(4))));
-    let kept = verdict.kept() && messages.is_none_or(Messages::kept);
+    let kept = verdict.holds() && messages.is_none_or(MessageReport::kept);
     let line = Line {
         verdict: if kept { "kept" } else { "broken" },
         found: verdict,
@@ -312,17 +313,17 @@
 }
 
 impl Service {
-    fn add(&mut self, objective: f64, offered_at: f64, end: Option<&(f64, Answer)>) {
+    fn add(&mut self, objective: f64, offered_at: f64, end: Option<&(f64, FinalAnswer)>) {
         self.offered += 1;
         match end {
-            Some((ended_at, Answer::Succeeded)) => {
+            Some((ended_at, FinalAnswer::Succeeded)) => {
                 let time = ended_at - offered_at;
                 self.succeeded += 1;
                 self.in_time += u64::from(time <= objective);
                 self.times.push(time);
             }
-            Some((_, Answer::Throttled)) => self.throttled += 1,
-            Some((_, Answer::Errored)) => self.errored += 1,
+            Some((_, FinalAnswer::Throttled)) => self.throttled += 1,
+            Some((_, FinalAnswer::Errored)) => self.errored += 1,
             _ => {}
         }
     }
@@ -345,11 +346,11 @@
 
 /// Prints what became of invocations, by trigger type.
 fn print_service(played: &play::Played) {
-    let ends: HashMap<&str, (f64, Answer)> = played
+    let ends: HashMap<&str, (f64, FinalAnswer)> = played
         .records
         .iter()
         .filter_map(|record| match record {
-            Record::Answered {
+            TrafficRecord::Answered {
                 at,
                 invocation,
                 answer,
@@ -360,7 +361,7 @@
     for (index, known) in played.limits.trigger_types.iter().enumerate() {
         let mut service = Service::default();
         for record in &played.records {
-            if let Record::Offered {
+            if let TrafficRecord::Offered {
                 at,
                 invocation,
                 trigger_type,
--- a/crates/cli/src/rehearse/play/hostile.rs
+++ b/crates/cli/src/rehearse/play/hostile.rs
@@ -36,7 +36,7 @@
             {
                 let say = stream.socket().write_all(&bytes);
                 // Whether it is cut off in the middle is the peer's to decide.
-                let _ = orchidtally_socket_io::within(Duration::from_millis(100), say).await;
+                let _ = orchidtally_socket_io::with_timeout(Duration::from_millis(100), say).await;
                 self.stage.sleep(0.02).await;
             }
             self.stage.sleep(0.05).await;
@@ -62,7 +62,7 @@
             };
             let say = stream.socket().write_all(part);
             if !matches!(
-                orchidtally_socket_io::within(Duration::from_millis(200), say).await,
+                orchidtally_socket_io::with_timeout(Duration::from_millis(200), say).await,
                 Some(Ok(()))
             ) && !flood
             {
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -3,11 +3,11 @@
 
 use super::{Rehearsal, TRANSIT};
 use crate::rehearse::evidence::{self, INVOCATION_PREFIX, UNANSWERED_CLIENT};
-use orchidtally_invariants::Standing;
-use orchidtally_test_servers::any_port;
-use orchidtally_test_servers::client::{Ask, Caller};
+use orchidtally_invariants::EndpointState;
+use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::executor::Executor;
-use orchidtally_test_servers::rogue::Rogue;
+use orchidtally_test_servers::rogue::MisbehavingFrontEnd;
+use orchidtally_test_servers::unused_address;
 use std::rc::Rc;
 
 /// Attempts end so long after the day at the latest, in seconds: sooner than the rehearsal waits for what is open.
@@ -30,7 +30,7 @@
     /// Injects a violation of a rule from 1 to 5. Whether it took place is told by `evidence`.
     pub(super) async fn inject_violation(self: Rc<Self>, rule: u8, day_begins: f64) {
         let until = day_begins + self.day.length + TIME_AFTER_DAY;
-        let rogue = Rogue::new(&self.stage, 0, self.day.front_ends);
+        let rogue = MisbehavingFrontEnd::new(&self.stage, 0, self.day.front_ends);
         let watching = (rule == 3 || rule == 4).then(|| self.follow_roster(&rogue));
         let mut attempt = 0;
         while self.stage.now() < until && !self.is_violated(rule) {
@@ -54,7 +54,7 @@
     }
 
     /// The injecting front end hears of the roster as the others do.
-    fn follow_roster(&self, rogue: &Rc<Rogue>) -> async_executor::Task<()> {
+    fn follow_roster(&self, rogue: &Rc<MisbehavingFrontEnd>) -> async_executor::Task<()> {
         match &self.roster {
             Some(roster) => self.stage.spawn(
                 rogue
@@ -81,7 +81,7 @@
 
     /// Rule 1: an invocation at a front end that never answers.
     async fn leave_unanswered(&self) {
-        let Ok(silent) = orchidtally_socket_io::listen(any_port()) else {
+        let Ok(silent) = orchidtally_socket_io::listen(unused_address()) else {
             return;
         };
         let Ok(at) = silent.get_ref().local_addr() else {
@@ -93,16 +93,16 @@
                 taken.push(orchidtally_socket_io::accept(&silent).await);
             }
         });
-        let ask = Ask {
+        let ask = ClientRequest {
             invocation: self.name(),
             function: "fn-1".into(),
             trigger_type: (0, self.limits.trigger_types[0].name.clone()),
             time_left: 1.0,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         // A front end that the script knows nothing of, so that it never kills it.
         let index = self.front_ends.len() as u32;
-        Caller::new(&self.stage, UNANSWERED_CLIENT, index, at, true)
+        TestClient::new(&self.stage, UNANSWERED_CLIENT, index, at, true)
             .invoke(&ask)
             .await;
         drop(hold);
@@ -110,7 +110,7 @@
 
     /// Rule 2: one invocation that must not run twice, at two executors. Which ones changes each time: on a bad day
     /// one of the two may be full, hang or be gone.
-    async fn dispatch_twice(&self, rogue: &Rc<Rogue>, attempt: usize) {
+    async fn dispatch_twice(&self, rogue: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         for pair in 0..PAIRS {
             let number = attempt * PAIRS + pair;
             let usable = self.usable_executors();
@@ -135,13 +135,18 @@
     }
 
     /// Rule 3: a dispatch to an executor long after its drain was told.
-    async fn dispatch_after_drain(&self, rogue: &Rc<Rogue>, attempt: usize, until: f64) {
+    async fn dispatch_after_drain(
+        &self,
+        rogue: &Rc<MisbehavingFrontEnd>,
+        attempt: usize,
+        until: f64,
+    ) {
         let usable = self.usable_executors();
         let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
             return;
         };
         let began = self.stage.now();
-        self.tell(executor, Standing::Draining);
+        self.tell(executor, EndpointState::Draining);
         let mut was_told = false;
         while self.stage.now() < until && executor.is_up() && !executor.draining.get() {
             self.stage.sleep(LOOK_INTERVAL).await;
@@ -164,12 +169,12 @@
         }
         // Where a script has drained or ended it meanwhile, that is what counts.
         if executor.is_up() && !executor.draining.get() {
-            self.tell(executor, Standing::Ready);
+            self.tell(executor, EndpointState::Ready);
         }
     }
 
     /// Rule 4: more work than a cold executor can take, from a front end that was told of its start.
-    async fn push_over_cold(&self, rogue: &Rc<Rogue>, attempt: usize) {
+    async fn push_over_cold(&self, rogue: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         let usable = self.usable_executors();
         let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
             return;
@@ -202,7 +207,7 @@
     }
 
     /// Rule 5: more orders to load than any share of the day's invocations grants.
-    async fn order_over_ration(&self, rogue: &Rc<Rogue>) {
+    async fn order_over_ration(&self, rogue: &Rc<MisbehavingFrontEnd>) {
         for number in 0..BURST {
             let executor = &self.executors[number % self.executors.len()];
             let (rogue, at) = (rogue.clone(), executor.address);
@@ -215,7 +220,7 @@
         }
     }
 
-    async fn dispatch_in_time(&self, rogue: &Rogue, executor: &Executor, name: &str) {
+    async fn dispatch_in_time(&self, rogue: &MisbehavingFrontEnd, executor: &Executor, name: &str) {
         let dispatch = rogue.dispatch(executor.address, name, 0, "fn-1", "look");
         // What became of it is on record at the executor, or is not.
         futures_lite::future::or(dispatch, self.stage.sleep(DISPATCH_TIME)).await;
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -12,12 +12,12 @@
 use super::rolling::{self, Rolling};
 use super::roster::Roster;
 use orchidtally_deployment::Deployment;
-use orchidtally_invariants::{self as invariants, Limits, Record};
-use orchidtally_test_servers::client::Caller;
+use orchidtally_invariants::{self as invariants, Limits, TrafficRecord};
+use orchidtally_test_servers::client::TestClient;
 use orchidtally_test_servers::executor::Executor;
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, Until};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, TimedFault};
 use processes::standing;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -66,7 +66,7 @@
     /// The executors.
     pub fleet: Vec<invariants::Executor>,
     /// What went over the sockets.
-    pub records: Vec<Record>,
+    pub records: Vec<TrafficRecord>,
     /// Remarks for the reader.
     pub notes: Vec<String>,
     /// What became of the rollout.
@@ -83,29 +83,29 @@
     child: RefCell<Option<Child>>,
     /// The front layer sends to it.
     used: Cell<bool>,
-    callers: Vec<Rc<Caller>>,
+    callers: Vec<Rc<TestClient>>,
     ahead: f64,
     step: f64,
 }
 
 struct Rehearsal {
-    stage: Stage,
+    stage: TestEnvironment,
     day: Day,
     seed: u64,
     log: String,
     file: PathBuf,
     deployment: Deployment,
     limits: Limits,
-    store: Rc<Store>,
+    store: Rc<PackageStore>,
     publisher: Rc<Publisher>,
     executors: Vec<Rc<Executor>>,
     front_ends: Vec<Rc<FrontEnd>>,
     /// Clients wait a fraction of their time; how many of them.
-    short_patience: (Until, Cell<f64>),
-    hot: (Until, Cell<f64>),
-    one_offs: (Until, Cell<f64>),
-    shifted: (Until, Cell<f64>),
-    repeating: (Until, Cell<f64>),
+    short_patience: (TimedFault, Cell<f64>),
+    hot: (TimedFault, Cell<f64>),
+    one_offs: (TimedFault, Cell<f64>),
+    shifted: (TimedFault, Cell<f64>),
+    repeating: (TimedFault, Cell<f64>),
     /// The work of the day: it has to be over before the records are judged.
     pending: Cell<usize>,
     names: Cell<u64>,
@@ -122,7 +122,7 @@
 /// # Errors
 /// A front end or a test server could not be started.
 pub fn play(day: &Day, options: &Options) -> io::Result<Played> {
-    let stage = Stage::new(options.seed);
+    let stage = TestEnvironment::new(options.seed);
     let tasks = stage.tasks.clone();
     let rehearsal = setup::set_up(stage, day, options)?;
     let played = async_io::block_on(tasks.run(rehearsal.clone().perform(options.inject_violation)));
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -4,7 +4,7 @@
 use crate::rehearse::day::Trouble;
 use bytes::Bytes;
 use futures_lite::future;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use std::io;
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -44,7 +44,7 @@
                 .await
                 .is_ok()
             {
-                self.stage.record(Record::Up {
+                self.stage.record(TrafficRecord::Up {
                     at: self.stage.now(),
                     front_end: fe.index,
                 });
@@ -72,7 +72,7 @@
     pub(super) async fn kill_front_ends(self: &Rc<Self>, t: &Trouble) {
         let some = self.some(&self.front_ends, t.size, |f| f.used.get());
         for fe in &some {
-            self.stage.record(Record::Killed {
+            self.stage.record(TrafficRecord::Killed {
                 at: self.stage.now(),
                 front_end: fe.index,
             });
@@ -161,6 +161,7 @@
         let _ = driver.await;
         future::pending().await
     };
-    let body = orchidtally_socket_io::within(Duration::from_secs(2), future::or(work, drive)).await;
+    let body =
+        orchidtally_socket_io::with_timeout(Duration::from_secs(2), future::or(work, drive)).await;
     Ok(String::from_utf8(body.ok_or("no answer")??.to_vec())?)
 }
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -6,14 +6,14 @@
 use crate::rehearse::rolling::Rolling;
 use crate::rehearse::roster::Roster;
 use orchidtally_deployment::Deployment;
-use orchidtally_invariants::{Effect, Group, Limits, Standing, TriggerType};
-use orchidtally_test_servers::client::Caller;
+use orchidtally_invariants::{DeduplicationScope, EndpointState, Idempotency, Limits, TriggerType};
+use orchidtally_test_servers::client::TestClient;
 use orchidtally_test_servers::executor::{
-    Catalogue, Executor, Make, Program, Surroundings, Tokens, echo,
+    Catalogue, Executor, ExecutorSpec, Program, SharedResources, TokenCache, echo,
 };
-use orchidtally_test_servers::publisher::{Publisher, Row};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port, port_for_later};
+use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, reserve_address, unused_address};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -65,24 +65,30 @@
 fn limits(deployment: &Deployment) -> Limits {
     let policy = &deployment.policy;
     let trigger_type = |(trigger, ty): (
-        &orchidtally_deployment::Trigger,
+        &orchidtally_deployment::TriggerTypeSettings,
         &orchidtally_dispatch_policy::interface::TriggerType,
     )| {
         TriggerType {
             name: trigger.name.clone(),
             effect: match ty.idempotency {
                 orchidtally_dispatch_policy::interface::Idempotency::Idempotent => {
-                    Effect::Idempotent
+                    Idempotency::Idempotent
                 }
-                orchidtally_dispatch_policy::interface::Idempotency::Keyed => Effect::Tokened,
+                orchidtally_dispatch_policy::interface::Idempotency::Keyed => Idempotency::Tokened,
                 orchidtally_dispatch_policy::interface::Idempotency::NonIdempotent => {
-                    Effect::NonIdempotent
+                    Idempotency::NonIdempotent
                 }
             },
             group: match ty.deduplication_scope {
-                orchidtally_dispatch_policy::interface::DeduplicationScope::All => Group::All,
-                orchidtally_dispatch_policy::interface::DeduplicationScope::Zone => Group::Location,
-                orchidtally_dispatch_policy::interface::DeduplicationScope::Cell => Group::Cell,
+                orchidtally_dispatch_policy::interface::DeduplicationScope::All => {
+                    DeduplicationScope::All
+                }
+                orchidtally_dispatch_policy::interface::DeduplicationScope::Zone => {
+                    DeduplicationScope::Location
+                }
+                orchidtally_dispatch_policy::interface::DeduplicationScope::Cell => {
+                    DeduplicationScope::Cell
+                }
             },
             window: ty.deduplication_window,
             objective: ty.latency_objective,
@@ -132,8 +138,8 @@
 }
 
 /// What an executor is like.
-fn make(number: usize) -> Make {
-    Make {
+fn make(number: usize) -> ExecutorSpec {
+    ExecutorSpec {
         number,
         cores: CORES,
         memory: MEMORY_MB,
@@ -153,47 +159,52 @@
 }
 
 fn start_executors(
-    stage: &Stage,
+    stage: &TestEnvironment,
     day: &Day,
-    store: &Rc<Store>,
+    store: &Rc<PackageStore>,
     catalogue: &Catalogue,
 ) -> io::Result<Vec<Rc<Executor>>> {
-    let mut tokens: HashMap<u32, Rc<Tokens>> = HashMap::new();
+    let mut tokens: HashMap<u32, Rc<TokenCache>> = HashMap::new();
     let mut executors = vec![];
     for number in 0..day.executors {
-        let around = Surroundings {
+        let around = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
             tokens: tokens.entry(cell(number, day)).or_default().clone(),
             token_window: 3.0,
         };
-        executors.push(Executor::start(stage, make(number), any_port(), around)?);
+        executors.push(Executor::start(
+            stage,
+            make(number),
+            unused_address(),
+            around,
+        )?);
     }
     Ok(executors)
 }
 
 /// An executor's row in the publisher's list.
-fn row(executor: &Executor, day: &Day) -> Row {
+fn row(executor: &Executor, day: &Day) -> PublishedEndpoint {
     let number = executor.make.number;
-    Row {
+    PublishedEndpoint {
         executor: number,
         address: executor.address,
         location: format!("room-{}", number as u32 % day.locations),
         kind: "box".into(),
         cell: cell(number, day),
         weight: 1.0,
-        standing: Standing::Ready,
+        standing: EndpointState::Ready,
         since: f64::NEG_INFINITY,
     }
 }
 
 /// Front ends that are not started yet, with their clients. Their wall clocks are spread over the day's skew.
-fn front_ends(stage: &Stage, day: &Day) -> io::Result<Vec<Rc<FrontEnd>>> {
+fn front_ends(stage: &TestEnvironment, day: &Day) -> io::Result<Vec<Rc<FrontEnd>>> {
     let mut front_ends = vec![];
     for n in 0..day.front_ends as usize {
-        let (index, at) = (n as u32, port_for_later()?);
+        let (index, at) = (n as u32, reserve_address()?);
         let callers = (0..4)
-            .map(|c| Caller::new(stage, 10 * index + c, index, at, c == 3))
+            .map(|c| TestClient::new(stage, 10 * index + c, index, at, c == 3))
             .collect();
         let spread = if day.front_ends > 1 {
             n as f64 / f64::from(day.front_ends - 1)
@@ -214,7 +225,7 @@
 }
 
 /// The list of executors in etcd.
-fn etcd_roster(stage: &Stage, day: &Day) -> io::Result<Rc<Roster>> {
+fn etcd_roster(stage: &TestEnvironment, day: &Day) -> io::Result<Rc<Roster>> {
     let day = day.clone();
     Roster::new(stage, move |n| (n as u32 % day.locations, cell(n, &day)))
 }
@@ -226,8 +237,12 @@
 }
 
 /// Sets a rehearsal up; front ends are not started yet.
-pub(super) fn set_up(stage: Stage, day: &Day, options: &Options) -> io::Result<Rc<Rehearsal>> {
-    let store = Store::new(&stage, 12.0, 48);
+pub(super) fn set_up(
+    stage: TestEnvironment,
+    day: &Day,
+    options: &Options,
+) -> io::Result<Rc<Rehearsal>> {
+    let store = PackageStore::new(&stage, 12.0, 48);
     let rolling = options
         .rollout
         .as_ref()
@@ -243,7 +258,7 @@
         .iter()
         .map(|executor| row(executor, day))
         .collect();
-    let publisher = Publisher::start(&stage, any_port(), rows)?;
+    let publisher = Publisher::start(&stage, unused_address(), rows)?;
     let roster = if options.etcd {
         Some(etcd_roster(&stage, day)?)
     } else {
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -3,8 +3,8 @@
 use super::{Rehearsal, SHARES, WARM_UP};
 use crate::rehearse::rolling;
 use bytes::Bytes;
-use orchidtally_invariants::{Answer, Effect};
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
+use orchidtally_invariants::{FinalAnswer, Idempotency};
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use std::rc::Rc;
 
 impl Rehearsal {
@@ -63,13 +63,13 @@
             "watch" => format!("watch-{}", self.function(now)),
             _ => self.function(now),
         };
-        let token = if kind.effect == Effect::Tokened {
+        let token = if kind.effect == Idempotency::Tokened {
             self.name()
         } else {
             String::new()
         };
         let size = if self.drawn(0.02) { 40_000 } else { 200 };
-        let ask = Ask {
+        let ask = ClientRequest {
             invocation: self.name(),
             function,
             trigger_type: (ty, kind.name.clone()),
@@ -77,7 +77,7 @@
             time_left,
             payload: Bytes::from(vec![b'x'; size]),
             leaves_after,
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         let effect = kind.effect;
         let rehearsal = self.clone();
@@ -86,7 +86,7 @@
 
     /// One invocation and what its client makes of the answer: it asks again where that is harmless, and
     /// some clients do without end.
-    async fn invoke(&self, mut ask: Ask, effect: Effect) {
+    async fn invoke(&self, mut ask: ClientRequest, effect: Idempotency) {
         let began = self.stage.now();
         let patience = ask.time_left;
         let abuses = self.repeating.0.is_on(began) && self.drawn(self.repeating.1.get());
@@ -95,20 +95,22 @@
             let Some(caller) = self.caller() else { return };
             let heard = caller.invoke(&ask).await;
             let (again, pause) = match &heard {
-                Heard::Answered {
-                    answer: Answer::Succeeded | Answer::NotTaken,
+                ClientOutcome::Answered {
+                    answer: FinalAnswer::Succeeded | FinalAnswer::NotTaken,
                     ..
                 }
-                | Heard::Left => return,
-                Heard::Answered {
-                    answer: Answer::Throttled,
+                | ClientOutcome::Left => return,
+                ClientOutcome::Answered {
+                    answer: FinalAnswer::Throttled,
                     stay_away,
                     ..
                 } => (true, *stay_away),
-                Heard::Answered { may_have_run, .. } => {
-                    (effect != Effect::NonIdempotent || !may_have_run, 0.1)
+                ClientOutcome::Answered { may_have_run, .. } => {
+                    (effect != Idempotency::NonIdempotent || !may_have_run, 0.1)
+                }
+                ClientOutcome::Lost | ClientOutcome::GaveUp => {
+                    (effect != Idempotency::NonIdempotent, 0.1)
                 }
-                Heard::Lost | Heard::GaveUp => (effect != Effect::NonIdempotent, 0.1),
             };
             let pause = if abuses { 0.01 } else { pause };
             let left = began + patience - self.stage.now() - pause;
@@ -124,7 +126,7 @@
     }
 
     /// The front layer: any front end that it knows to be up, all of one location's where traffic is shifted.
-    fn caller(&self) -> Option<Rc<Caller>> {
+    fn caller(&self) -> Option<Rc<TestClient>> {
         let used: Vec<_> = self.front_ends.iter().filter(|f| f.used.get()).collect();
         let mut among = used.clone();
         if self.shifted.0.is_on(self.stage.now()) && self.drawn(self.shifted.1.get()) {
--- a/crates/cli/src/rehearse/play/troubles.rs
+++ b/crates/cli/src/rehearse/play/troubles.rs
@@ -2,8 +2,8 @@
 
 use super::Rehearsal;
 use crate::rehearse::day::{Kind, Trouble};
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::Until;
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::TimedFault;
 use orchidtally_test_servers::executor::Executor;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
         });
     }
 
-    fn switch(&self, which: &(Until, Cell<f64>), t: &Trouble) {
+    fn switch(&self, which: &(TimedFault, Cell<f64>), t: &Trouble) {
         which.1.set(t.size);
         which.0.set(self.stage.now() + t.lasts);
     }
@@ -62,7 +62,7 @@
                 for e in self.some(&self.executors, t.size, up) {
                     e.faults.deaf.set(until);
                     let at = self.stage.now();
-                    self.stage.record(Record::Deaf {
+                    self.stage.record(TrafficRecord::Deaf {
                         at,
                         executor: e.make.number,
                         until,
@@ -87,11 +87,11 @@
             }
             Kind::Preempt => {
                 for e in self.some(&self.executors, t.size, up) {
-                    self.tell(&e, Standing::Draining);
+                    self.tell(&e, EndpointState::Draining);
                     e.draining.set(true);
                     self.stage.sleep(0.4).await;
                     e.crash();
-                    self.tell(&e, Standing::Gone);
+                    self.tell(&e, EndpointState::Gone);
                     self.stage.sleep(t.lasts).await;
                     self.bring_up(&e);
                 }
@@ -124,7 +124,7 @@
         }
     }
 
-    pub(super) fn tell(&self, e: &Executor, standing: Standing) {
+    pub(super) fn tell(&self, e: &Executor, standing: EndpointState) {
         if let Some(roster) = &self.roster {
             roster.change(e, standing);
             return;
@@ -137,7 +137,7 @@
             return;
         }
         match e.restart() {
-            Ok(()) => self.tell(e, Standing::Ready),
+            Ok(()) => self.tell(e, EndpointState::Ready),
             Err(fault) => eprintln!("executor {} did not come up: {fault}", e.make.number),
         }
     }
@@ -157,7 +157,7 @@
         if !e.is_up() {
             return;
         }
-        self.tell(e, Standing::Draining);
+        self.tell(e, EndpointState::Draining);
         e.draining.set(true);
         e.say_goodbye();
         let until = self.stage.now() + time;
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -4,13 +4,13 @@
 use bytes::Bytes;
 use clap::ValueEnum;
 use http::Method;
-use orchidtally_coordinator::Order;
+use orchidtally_coordinator::StartRequest;
 use orchidtally_deployment::reader::Document;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::coordinator::Event;
-use orchidtally_socket_io::http::ask;
+use orchidtally_socket_io::http::fetch;
 use orchidtally_test_servers::executor::{Program, digest, echo};
-use orchidtally_test_servers::{Stage, port_for_later};
+use orchidtally_test_servers::{TestEnvironment, reserve_address};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -107,7 +107,7 @@
 
 /// A rollout that is played under a day.
 pub struct Rolling {
-    stage: Stage,
+    stage: TestEnvironment,
     plan: String,
     /// The rollout's, as the plan gives it.
     name: String,
@@ -122,8 +122,8 @@
 
 impl Rolling {
     /// A rollout whose coordinator is not started yet.
-    pub fn new(stage: &Stage, options: &Options) -> io::Result<Rolling> {
-        let at = port_for_later()?;
+    pub fn new(stage: &TestEnvironment, options: &Options) -> io::Result<Rolling> {
+        let at = reserve_address()?;
         let state =
             std::env::temp_dir().join(format!("orchidtally-rollout-{}", std::process::id()));
         // One of an earlier process with this number.
@@ -219,9 +219,9 @@
         let _ = std::fs::remove_dir_all(&self.state);
     }
 
-    async fn order(&self, order: &Order) -> Result<(), String> {
+    async fn order(&self, order: &StartRequest) -> Result<(), String> {
         let body = serde_json::to_vec(order).map_err(|e| e.to_string())?;
-        let asked = ask(self.at, Method::POST, "/v1/rollouts/orders", body, PATIENCE).await;
+        let asked = fetch(self.at, Method::POST, "/v1/rollouts/orders", body, PATIENCE).await;
         let (status, body) = asked.map_err(|e| e.to_string())?;
         if status.is_success() {
             Ok(())
@@ -231,7 +231,7 @@
     }
 
     /// Until the coordinator takes it, for some seconds.
-    async fn insist(&self, order: Order) {
+    async fn insist(&self, order: StartRequest) {
         let until = self.stage.now() + 5.0;
         loop {
             match self.order(&order).await {
@@ -247,7 +247,7 @@
 
     async fn look(&self) {
         let path = format!("/v1/rollouts/{}/history", self.name);
-        if let Ok((status, body)) = ask(self.at, Method::GET, &path, vec![], PATIENCE).await
+        if let Ok((status, body)) = fetch(self.at, Method::GET, &path, vec![], PATIENCE).await
             && status.is_success()
             && let Ok(history) = serde_json::from_slice::<Vec<Event>>(&body)
         {
@@ -258,7 +258,7 @@
     pub async fn perform(&self, from: f64, length: f64, deployment: &Path) {
         let moment = |part: f64| from + part * length;
         self.stage.sleep(moment(BEGINS) - self.stage.now()).await;
-        self.insist(Order::Start {
+        self.insist(StartRequest::Start {
             plan: self.plan.clone(),
             dry: false,
         })
@@ -284,7 +284,7 @@
             .last()
             .is_some_and(|e| !e.phase.is_over());
         if on && self.new != NewVersion::Fine {
-            self.insist(Order::Back {
+            self.insist(StartRequest::Back {
                 name: self.name.clone(),
                 why: "the rehearsal takes it back".into(),
             })
@@ -294,7 +294,7 @@
         self.look().await;
     }
 
-    pub fn seen(&self, records: &[Record]) -> Seen {
+    pub fn seen(&self, records: &[TrafficRecord]) -> Seen {
         let history = self.history.borrow();
         let state = history.last().map_or(NEVER, |e| e.phase.name()).to_owned();
         // The coordinator's clock is the machine's; the records' began with the stage.
@@ -309,13 +309,13 @@
         let offered: HashMap<&str, f64> = records
             .iter()
             .filter_map(|r| match r {
-                Record::Offered { at, invocation, .. } => Some((invocation.as_str(), *at)),
+                TrafficRecord::Offered { at, invocation, .. } => Some((invocation.as_str(), *at)),
                 _ => None,
             })
             .collect();
         let (new, mut last) = (digest(NEW), 0.0f64);
         for r in records {
-            let Record::RanVersion {
+            let TrafficRecord::RanVersion {
                 invocation,
                 named,
                 loaded,
--- a/crates/cli/src/rehearse/roster.rs
+++ b/crates/cli/src/rehearse/roster.rs
@@ -3,9 +3,9 @@
 
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, PutRequest, RangeRequest};
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use orchidtally_test_servers::executor::Executor;
 use serde::Serialize;
 use serde_json::json;
@@ -24,10 +24,10 @@
 
 /// The list of executors in etcd.
 pub struct Roster {
-    stage: Stage,
-    pub etcd: Rc<Served>,
+    stage: TestEnvironment,
+    pub etcd: Rc<EtcdServer>,
     /// Lease and standing of each executor.
-    entries: RefCell<Vec<(i64, Standing)>>,
+    entries: RefCell<Vec<(i64, EndpointState)>>,
     executors: RefCell<Vec<Rc<Executor>>>,
     /// Location and cell of each.
     place: Place,
@@ -48,10 +48,10 @@
 impl Roster {
     /// A store without entries. `place` returns an executor's location and cell.
     pub fn new(
-        stage: &Stage,
+        stage: &TestEnvironment,
         place: impl Fn(usize) -> (u32, u32) + 'static,
     ) -> io::Result<Rc<Roster>> {
-        let etcd = Served::start(stage, 3)?;
+        let etcd = EtcdServer::start(stage, 3)?;
         let (entries, executors) = Default::default();
         Ok(Rc::new(Roster {
             stage: stage.clone(),
@@ -89,7 +89,7 @@
     fn value(&self, e: &Executor) -> String {
         let (location, cell) = (self.place)(e.make.number);
         let standing = match self.entries.borrow()[e.make.number].1 {
-            Standing::Draining => "draining",
+            EndpointState::Draining => "draining",
             _ => "ready",
         };
         let value = json!({
@@ -117,7 +117,9 @@
         *self.executors.borrow_mut() = executors.to_vec();
         for e in executors {
             let lease = self.etcd.store.borrow_mut().grant(now, LEASE).id;
-            self.entries.borrow_mut().push((lease, Standing::Ready));
+            self.entries
+                .borrow_mut()
+                .push((lease, EndpointState::Ready));
             self.put(e);
         }
         let numbers: HashMap<String, usize> = executors
@@ -137,12 +139,14 @@
                 return;
             };
             let standing = match event.r#type() {
-                EventType::Delete => Standing::Gone,
-                _ if String::from_utf8_lossy(&kv.value).contains("draining") => Standing::Draining,
-                _ => Standing::Ready,
+                EventType::Delete => EndpointState::Gone,
+                _ if String::from_utf8_lossy(&kv.value).contains("draining") => {
+                    EndpointState::Draining
+                }
+                _ => EndpointState::Ready,
             };
             let (at, since) = (stage.now(), all[executor].since());
-            stage.record(Record::Told {
+            stage.record(TrafficRecord::Told {
                 at,
                 front_end,
                 life,
@@ -196,8 +200,8 @@
     }
 
     /// What an executor, or whoever stops it, says of it.
-    pub fn change(&self, e: &Executor, standing: Standing) {
-        if standing == Standing::Gone {
+    pub fn change(&self, e: &Executor, standing: EndpointState) {
+        if standing == EndpointState::Gone {
             let lease = self.entries.borrow()[e.make.number].0;
             self.etcd.store.borrow_mut().revoke(lease);
             return;
@@ -246,7 +250,12 @@
     }
 
     /// How soon after it was told of a drain each front end had sent its last dispatch.
-    pub fn seen(&self, records: &[Record], relists: u64, (stale, fallen): (u64, u64)) -> Seen {
+    pub fn seen(
+        &self,
+        records: &[TrafficRecord],
+        relists: u64,
+        (stale, fallen): (u64, u64),
+    ) -> Seen {
         let mut seen = Seen {
             relists,
             stale_dispatches: stale,
@@ -254,15 +263,15 @@
             ..Seen::default()
         };
         let mut drains: HashMap<(u64, usize), f64> = HashMap::new();
-        let mut records: Vec<&Record> = records.iter().collect();
+        let mut records: Vec<&TrafficRecord> = records.iter().collect();
         records.sort_by(|a, b| a.at().total_cmp(&b.at()));
         for r in records {
             match r {
-                Record::Told {
+                TrafficRecord::Told {
                     at,
                     life,
                     executor,
-                    standing: Standing::Draining,
+                    standing: EndpointState::Draining,
                     ..
                 } => {
                     drains.entry((*life, *executor)).or_insert_with(|| {
@@ -270,10 +279,10 @@
                         *at
                     });
                 }
-                Record::Told { life, executor, .. } => {
+                TrafficRecord::Told { life, executor, .. } => {
                     drains.remove(&(*life, *executor));
                 }
-                Record::Reached {
+                TrafficRecord::Reached {
                     at, life, executor, ..
                 } => {
                     if let Some(told) = drains.get(&(*life, *executor)) {
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -5,7 +5,7 @@
 use clap::{Subcommand, ValueEnum};
 use futures_lite::StreamExt;
 use http::{Method, StatusCode};
-use orchidtally_coordinator::{Order, Status, StopReason};
+use orchidtally_coordinator::{StartRequest, Status, StopReason};
 use orchidtally_rollout::Counts;
 use orchidtally_rollout::coordinator::Event;
 use orchidtally_rollout::forecast::StepForecast;
@@ -117,7 +117,7 @@
 
 /// Sends a request to the coordinator. Faults that it names are printed after the name of the file that they are in.
 fn ask(place: &Where, method: Method, path: &str, body: Vec<u8>, file: &str) -> Result<Value, u8> {
-    let asked = async_io::block_on(orchidtally_socket_io::http::ask(
+    let asked = async_io::block_on(orchidtally_socket_io::http::fetch(
         place.at,
         method,
         path,
@@ -152,7 +152,7 @@
     })
 }
 
-fn order(place: &Where, order: &Order, file: &str) -> Result<Value, u8> {
+fn order(place: &Where, order: &StartRequest, file: &str) -> Result<Value, u8> {
     let body = serde_json::to_vec(order).map_err(|_| COULD_NOT_RUN)?;
     ask(place, Method::POST, "/v1/rollouts/orders", body, file)
 }
@@ -308,7 +308,7 @@
 }
 
 pub fn run(arguments: Arguments) -> Result<(), u8> {
-    let change = |place: &Where, name: &str, change: Order| {
+    let change = |place: &Where, name: &str, change: StartRequest| {
         let value = order(place, &change, "")?;
         show_status(&value, Some(name), place.output)
     };
@@ -328,7 +328,7 @@
             let file = format!("{}:", plan.display());
             let value = order(
                 &place,
-                &Order::Start {
+                &StartRequest::Start {
                     plan: text,
                     dry: dry_run,
                 },
@@ -344,15 +344,21 @@
             let value = ask(&place, Method::GET, "/v1/rollouts", vec![], "")?;
             show_status(&value, name.as_deref(), place.output)
         }
-        Command::Pause { name, place } => change(&place, &name.clone(), Order::Pause { name }),
-        Command::Resume { name, place } => change(&place, &name.clone(), Order::Resume { name }),
+        Command::Pause { name, place } => {
+            change(&place, &name.clone(), StartRequest::Pause { name })
+        }
+        Command::Resume { name, place } => {
+            change(&place, &name.clone(), StartRequest::Resume { name })
+        }
         Command::Back { name, why, place } => {
-            change(&place, &name.clone(), Order::Back { name, why })
+            change(&place, &name.clone(), StartRequest::Back { name, why })
         }
         Command::Advance { name, why, place } => {
-            change(&place, &name.clone(), Order::Advance { name, why })
+            change(&place, &name.clone(), StartRequest::Advance { name, why })
+        }
+        Command::Finish { name, place } => {
+            change(&place, &name.clone(), StartRequest::Finish { name })
         }
-        Command::Finish { name, place } => change(&place, &name.clone(), Order::Finish { name }),
         Command::History { name, place } => {
             let value = ask(
                 &place,
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use futures_lite::future::block_on;
 use http::Method;
-use orchidtally_deployment::{Etcd, Source};
+use orchidtally_deployment::{EndpointSource, EtcdSettings};
 use orchidtally_etcd::rpc::{
     DeleteRangeRequest, DeleteRangeResponse, PutRequest, PutResponse, RangeRequest, RangeResponse,
 };
@@ -151,7 +151,7 @@
                     .and_then(Value::as_str)
                     .and_then(|a| a.parse::<SocketAddr>().ok());
                 let heard = at.and_then(|at| {
-                    let asked = orchidtally_socket_io::http::ask(
+                    let asked = orchidtally_socket_io::http::fetch(
                         at,
                         Method::GET,
                         "/v1/front-end",
@@ -188,7 +188,7 @@
         return Err(fail(BAD_INPUT, "--deployment FILE is missing"));
     };
     let deployment = read_deployment(file)?;
-    let Source::Etcd(Etcd {
+    let EndpointSource::Etcd(EtcdSettings {
         endpoints, prefix, ..
     }) = deployment.source
     else {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,7 +6,7 @@
 use orchidtally_http_frontend::mqtt::Triggers;
 use orchidtally_http_frontend::promise_store::PromiseStore;
 use orchidtally_http_frontend::reload::Reloads;
-use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::TriggerSettings;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -90,7 +90,7 @@
 struct Loaded {
     deployment: Deployment,
     /// Triggers by messages, where the deployment file has a broker.
-    section: Option<Section>,
+    section: Option<TriggerSettings>,
     /// The deployment file and its text; `None` with local executors.
     file: Option<(PathBuf, String)>,
 }
--- a/crates/cli/tests/config_store.rs
+++ b/crates/cli/tests/config_store.rs
@@ -6,9 +6,9 @@
 mod serve_kit;
 
 use config_kit::{Writer, deployment_with, executor, folder, function, on, until};
-use orchidtally_invariants::Record;
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_invariants::TrafficRecord;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use serve_kit::{Serve, answer, file, replace};
 use std::net::TcpStream;
 
@@ -26,9 +26,8 @@
     unblock(move || answer(stream)).await
 }
 
-fn ran(stage: &Stage, wanted: &str) -> usize {
-    let is_it =
-        |record: &&Record| matches!(record, Record::Ran { invocation, .. } if invocation == wanted);
+fn ran(stage: &TestEnvironment, wanted: &str) -> usize {
+    let is_it = |record: &&TrafficRecord| matches!(record, TrafficRecord::Ran { invocation, .. } if invocation == wanted);
     stage.records().iter().filter(is_it).count()
 }
 
@@ -38,8 +37,8 @@
 
 #[test]
 fn what_was_taken_away_during_a_pause_is_refused_on_waking() {
-    let stage = Stage::new(1);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let snapshot = folder("pause").join("s");
     // One stream at a time, so that an invocation waits behind another one for its bytes to go out.
     let limits =
@@ -91,8 +90,8 @@
 
 #[test]
 fn a_file_that_is_read_again_stands_under_what_the_store_has() {
-    let stage = Stage::new(2);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(2);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let executor = executor(&stage);
     let snapshot = folder("reload-store").join("s");
     let text = deployment_with(executor, &etcd.addresses, &snapshot, "");
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -5,10 +5,13 @@
 
 use futures_lite::future;
 use orchidtally_invariants::{
-    Answer, Effect, Group, Limits, Standing, TriggerType, Verdict, judge,
+    DeduplicationScope, EndpointState, FinalAnswer, Idempotency, Limits, TriggerType, Verdict,
+    check_rules,
+};
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::platform::{
+    Client, ClientRequest, Executor, Incarnations, ListedEndpoint, Resolver, executors,
 };
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::platform::{Ask, Client, Executor, Lives, Resolver, Row, executors};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpStream};
@@ -42,11 +45,15 @@
 }
 
 fn limits() -> Limits {
-    let effects = [Effect::Idempotent, Effect::Tokened, Effect::NonIdempotent];
+    let effects = [
+        Idempotency::Idempotent,
+        Idempotency::Tokened,
+        Idempotency::NonIdempotent,
+    ];
     let types = TYPES.iter().zip(effects).map(|(name, effect)| TriggerType {
         name: (*name).to_owned(),
         effect,
-        group: Group::Cell,
+        group: DeduplicationScope::Cell,
         window: WINDOW,
         objective: 1.0,
     });
@@ -66,8 +73,8 @@
 /// A fleet with its front ends, on one stage.
 pub struct Day {
     pub name: String,
-    pub stage: Stage,
-    pub lives: Rc<Lives>,
+    pub stage: TestEnvironment,
+    pub lives: Rc<Incarnations>,
     pub executors: Vec<Rc<Executor>>,
     pub resolver: Rc<Resolver>,
     pub at: Vec<SocketAddr>,
@@ -99,11 +106,11 @@
 
 impl Day {
     pub fn new(name: &str, front_ends: u32, seed: u64) -> Rc<Day> {
-        let (stage, lives) = (Stage::new(seed), Rc::new(Lives::default()));
+        let (stage, lives) = (TestEnvironment::new(seed), Rc::new(Incarnations::default()));
         let executors = executors(&stage, &lives, 6, front_ends, WINDOW).unwrap();
         let resolver = Resolver::new(&stage, &lives, &executors);
         let at: Vec<SocketAddr> = (0..front_ends)
-            .map(|_| orchidtally_test_servers::port_for_later().unwrap())
+            .map(|_| orchidtally_test_servers::reserve_address().unwrap())
             .collect();
         let dns = (0..front_ends).map(|j| resolver.open(j).unwrap()).collect();
         let clients = (0..front_ends)
@@ -218,7 +225,7 @@
                 let n = self.next.get();
                 self.next.set(n + 1);
                 let ty = (n * 7 % 3) as usize;
-                let ask = Ask {
+                let ask = ClientRequest {
                     id: n,
                     trigger_type: (ty, TYPES[ty]),
                     function: 0x100 + n * n % 11,
@@ -239,8 +246,8 @@
                     }
                     let mut all = day.answered.get();
                     all[ask.trigger_type.0][match answer {
-                        Some(Answer::Succeeded) => 0,
-                        Some(Answer::Throttled) => 1,
+                        Some(FinalAnswer::Succeeded) => 0,
+                        Some(FinalAnswer::Throttled) => 1,
                         Some(_) => 2,
                         None => 3,
                     }] += 1;
@@ -259,18 +266,18 @@
             location: 0,
             cell: e.cell.into(),
         };
-        judge(
+        check_rules(
             &limits(),
             &self.executors.iter().map(stands).collect::<Vec<_>>(),
             &self.stage.records(),
         )
     }
 
-    pub fn change(&self, executor: usize, standing: Standing) {
+    pub fn change(&self, executor: usize, standing: EndpointState) {
         self.resolver.change(|rows| {
             rows.retain(|r| r.executor.number != executor);
-            if standing != Standing::Gone {
-                rows.push(Row {
+            if standing != EndpointState::Gone {
+                rows.push(ListedEndpoint {
                     executor: self.executors[executor].clone(),
                     standing,
                 });
@@ -328,7 +335,7 @@
 
 pub fn kept(name: &str, (verdict, succeeded): (Verdict, f64), least: f64) {
     let breaches: Vec<&String> = verdict.rules.iter().flat_map(|r| &r.breaches).collect();
-    assert!(verdict.kept(), "{name}: {breaches:#?}");
+    assert!(verdict.holds(), "{name}: {breaches:#?}");
     // How many come depends on the machine.
     assert!(
         verdict.rules[0].checked > 50 && verdict.rules[1].checked > 50,
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -7,12 +7,12 @@
 
 use config_kit::{on, until};
 use orchidtally_etcd::rpc::PutRequest;
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::etcd::Served;
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::publisher::{Publisher, Row};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::etcd::EtcdServer;
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use serve_kit::{Serve, answer, file};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 /// Requests that wait in its sockets when it goes on.
 const WAITING_REQUESTS: usize = 24;
 
-fn executor(stage: &Stage, number: usize) -> Rc<Executor> {
+fn executor(stage: &TestEnvironment, number: usize) -> Rc<Executor> {
     let program = || Program {
         lanes: 32,
         load_time: 0.02,
@@ -30,13 +30,13 @@
         run: echo,
         ..Program::default()
     };
-    let around = Surroundings {
-        store: Store::new(stage, 8.0, 8),
+    let around = SharedResources {
+        store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| Some(program())),
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, Make::roomy(number), any_port(), around).unwrap()
+    Executor::start(stage, ExecutorSpec::roomy(number), unused_address(), around).unwrap()
 }
 
 async fn answered(stream: TcpStream) -> u16 {
@@ -46,9 +46,9 @@
 }
 
 /// Executors at which invocations ran whose names begin so.
-fn ran_at(stage: &Stage, label: &str) -> Vec<usize> {
-    let of = |record: &Record| match record {
-        Record::Ran {
+fn ran_at(stage: &TestEnvironment, label: &str) -> Vec<usize> {
+    let of = |record: &TrafficRecord| match record {
+        TrafficRecord::Ran {
             executor,
             invocation,
             ..
@@ -67,7 +67,7 @@
 }
 
 /// Stops the process, lets `drain` tell that the first executor drains, and counts where requests run that waited.
-fn drains_during_a_stop(stage: &Stage, source: &str, name: &str, drain: impl FnOnce()) {
+fn drains_during_a_stop(stage: &TestEnvironment, source: &str, name: &str, drain: impl FnOnce()) {
     let text = format!(
         r#"{{ triggerTypes: [{{ name: "look", effect: "idempotent", objective: "2s", timeout: "8s" }}],
             otherFunctions: {{ lanes: 32, loadTime: "100ms" }}, executors: {{ {source} }} }}"#
@@ -105,8 +105,8 @@
 
 #[test]
 fn nothing_leaves_on_a_list_of_etcd_from_before_a_stop() {
-    let stage = Stage::new(1);
-    let etcd = Served::start(&stage, 1).unwrap();
+    let stage = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&stage, 1).unwrap();
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n)).collect();
     let put = |n: usize, standing: &str| {
         let key = format!("/orchidtally/executors/{}", executors[n].address).into();
@@ -134,21 +134,21 @@
 
 #[test]
 fn nothing_leaves_on_a_publishers_list_from_before_a_stop() {
-    let stage = Stage::new(2);
+    let stage = TestEnvironment::new(2);
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n)).collect();
-    let row = |n: usize| Row {
+    let row = |n: usize| PublishedEndpoint {
         executor: n,
         address: executors[n].address,
         location: String::new(),
         kind: String::new(),
         cell: 0,
         weight: 1.0,
-        standing: Standing::Ready,
+        standing: EndpointState::Ready,
         since: f64::NEG_INFINITY,
     };
-    let publisher = Publisher::start(&stage, any_port(), vec![row(0), row(1)]).unwrap();
+    let publisher = Publisher::start(&stage, unused_address(), vec![row(0), row(1)]).unwrap();
     publisher.delay.set(0.0);
     let source = format!(r#"publisher: "{}""#, publisher.address);
-    let drain = || publisher.change(0, Standing::Draining, f64::NEG_INFINITY);
+    let drain = || publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
     drains_during_a_stop(&stage, &source, "stop-publisher.json5", drain);
 }
--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -117,7 +117,7 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let at = orchidtally_test_servers::port_for_later().unwrap();
+    let at = orchidtally_test_servers::reserve_address().unwrap();
     let told = json!({
         "name": "n0", "listen": at, "seed": "8c1f30d27a5be964", "dns": resolver,
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}, "settings": settings(),
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -26,7 +26,7 @@
     for (n, body) in [
         (1, &b""[..]),
         (2, b"\x00\n\xff"),
-        (3, &[9; frames::LONGEST_BODY]),
+        (3, &[9; frames::MAX_BODY_LENGTH]),
     ] {
         let answer = ask(
             &mut client,
@@ -52,7 +52,7 @@
         invocation(4, "xyz", "read", CALM, b""),
         invocation(5, &id(5), "none", CALM, b""),
         invocation(6, &id(6), "read", "12", b""),
-        invocation(7, &id(7), "read", CALM, &[0; frames::LONGEST_BODY + 1]),
+        invocation(7, &id(7), "read", CALM, &[0; frames::MAX_BODY_LENGTH + 1]),
         invocation(8, &id(8), "read", CALM, &[0; 100_000]),
     ];
     for (n, bad) in (4..).zip(unusable) {
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -6,9 +6,9 @@
 use async_io::Async;
 use day::*;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use orchidtally_invariants::{Record, Standing};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_platform_client_protocol as frames;
-use orchidtally_test_servers::platform::{Ask, Spoil};
+use orchidtally_test_servers::platform::{ClientRequest, ResponseFault};
 use serde_json::{Value, json};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
@@ -26,12 +26,12 @@
 #[test]
 fn spoilt_answers_and_broken_connections_keep_the_rules() {
     for (spoil, least) in [
-        (Spoil::Unread, 0.8),
-        (Spoil::Half, 0.8),
-        (Spoil::Noise, 0.8),
-        (Spoil::BadBody, 0.8),
-        (Spoil::Twice, 0.98),
-        (Spoil::Never, 0.8),
+        (ResponseFault::Unread, 0.8),
+        (ResponseFault::Half, 0.8),
+        (ResponseFault::Noise, 0.8),
+        (ResponseFault::BadBody, 0.8),
+        (ResponseFault::Twice, 0.98),
+        (ResponseFault::Never, 0.8),
     ] {
         let name = format!("{spoil:?}");
         let day = play(&name, 2, 1.6, |day| async move {
@@ -58,7 +58,7 @@
         day.stage.sleep(0.8).await;
         day.signal(0, "TERM");
         let at = day.stage.now();
-        day.stage.record(Record::Killed { at, front_end: 1 });
+        day.stage.record(TrafficRecord::Killed { at, front_end: 1 });
         let killed = day.processes.borrow_mut()[1].take();
         let mut killed = killed.expect("it runs");
         killed.kill().unwrap();
@@ -130,7 +130,7 @@
 async fn ask_rogue(day: Rc<Day>, times: usize) {
     let listener = Async::<TcpListener>::bind(day.at[0]).unwrap();
     day.stage.spawn(answers(listener, times)).detach();
-    let ask = Ask {
+    let ask = ClientRequest {
         id: 1,
         trigger_type: (0, "read"),
         function: 1,
@@ -159,9 +159,9 @@
         assert_eq!(found_now, found, "{service} again at executor {to}");
     }
     for (standing, found) in [
-        (Standing::Draining, &[3][..]),
-        (Standing::Gone, &[3]),
-        (Standing::Ready, &[]),
+        (EndpointState::Draining, &[3][..]),
+        (EndpointState::Gone, &[3]),
+        (EndpointState::Ready, &[]),
     ] {
         let found_now = broken(|day| async move {
             day.change(0, standing);
@@ -173,10 +173,10 @@
     }
     for (dispatches, found) in [(20, &[][..]), (40, &[4])] {
         let found_now = broken(|day| async move {
-            day.change(0, Standing::Gone);
+            day.change(0, EndpointState::Gone);
             day.resolver.known(0);
             day.executors[0].since.set(day.stage.now());
-            day.change(0, Standing::Ready);
+            day.change(0, EndpointState::Ready);
             day.resolver.known(0);
             say(&day, 0, (0..dispatches).map(|n| invoked(n, "read"))).await;
         });
--- a/crates/cli/tests/platform_lists.rs
+++ b/crates/cli/tests/platform_lists.rs
@@ -4,23 +4,23 @@
 mod day;
 
 use day::*;
-use orchidtally_invariants::Standing;
-use orchidtally_test_servers::platform::Odd;
+use orchidtally_invariants::EndpointState;
+use orchidtally_test_servers::platform::AnswerFault;
 
 #[test]
 fn executors_drained_gone_and_started_anew_keep_the_rules() {
     let (verdict, succeeded) = play("drain", 2, 3.0, |day| async move {
         day.stage.sleep(0.5).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
-        (1..3).for_each(|x| day.change(x, Standing::Gone));
+        (1..3).for_each(|x| day.change(x, EndpointState::Gone));
         day.stage.sleep(0.8).await;
         // What the last ones held goes to those that are cold.
         for x in 1..3 {
             day.executors[x].since.set(day.stage.now());
-            day.change(x, Standing::Ready);
+            day.change(x, EndpointState::Ready);
         }
-        (3..5).for_each(|x| day.change(x, Standing::Gone));
+        (3..5).for_each(|x| day.change(x, EndpointState::Gone));
     });
     assert!(
         verdict.rules[2].checked > 0 && verdict.rules[3].checked > 0,
@@ -32,19 +32,19 @@
 #[test]
 fn an_odd_resolver_that_moves_keeps_the_rules() {
     for odd in [
-        Odd::Lost,
-        Odd::Foreign,
-        Odd::Truncated,
-        Odd::Cut,
-        Odd::Failed,
-        Odd::Stale,
-        Odd::Late,
+        AnswerFault::Lost,
+        AnswerFault::Foreign,
+        AnswerFault::Truncated,
+        AnswerFault::Cut,
+        AnswerFault::Failed,
+        AnswerFault::Stale,
+        AnswerFault::Late,
     ] {
         let name = format!("{odd:?}");
         let day = play(&name, 2, 3.0, |day| async move {
             day.resolver.odd.set(Some((odd, 0.25)));
             day.stage.sleep(0.3).await;
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
             day.stage.sleep(0.5).await;
             for j in 0..2 {
                 let moved = day.resolver.open(j).unwrap();
@@ -53,7 +53,7 @@
                 day.signal(j, "HUP");
             }
             day.stage.sleep(0.5).await;
-            day.change(3, Standing::Gone);
+            day.change(3, EndpointState::Gone);
             day.stage.sleep(1.0).await;
         });
         kept(&name, day, 0.95);
@@ -64,11 +64,11 @@
 #[test]
 fn a_resolver_whose_answers_are_all_late_is_heard() {
     let day = play("all-late", 2, 3.0, |day| async move {
-        day.resolver.odd.set(Some((Odd::Late, 1.0)));
+        day.resolver.odd.set(Some((AnswerFault::Late, 1.0)));
         day.stage.sleep(0.5).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
         day.stage.sleep(0.9).await;
-        day.change(1, Standing::Gone);
+        day.change(1, EndpointState::Gone);
         // Those that are told gone take nothing that is sent to them all the same.
         day.stage.sleep(0.7).await;
         day.executors[..2].iter().for_each(|e| e.draining.set(true));
@@ -84,10 +84,10 @@
         day.stage.sleep(0.3).await;
         day.resolver.go_away(4.6, 4.5, 2);
         day.stage.sleep(0.3).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
         day.stage.sleep(2.0).await;
-        day.change(1, Standing::Gone);
+        day.change(1, EndpointState::Gone);
         day.executors[1].draining.set(true);
     });
     assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
@@ -102,9 +102,9 @@
         day.stage.sleep(0.3).await;
         day.resolver.go_away(9.0, 4.5, 2);
         day.stage.sleep(0.3).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
-        day.change(1, Standing::Draining);
+        day.change(1, EndpointState::Draining);
         day.executors[1].draining.set(true);
     });
     let late = verdict.rules[2].breaches.len();
--- a/crates/cli/tests/platform_shim.rs
+++ b/crates/cli/tests/platform_shim.rs
@@ -4,7 +4,7 @@
 mod day;
 
 use day::*;
-use orchidtally_invariants::{Record, Standing};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -17,11 +17,11 @@
         let step = |day: &Day| day.shim(&[("FAULT_WALL", format!("1.2,{by}"))]);
         let day = play_prepared(&name, 2, 4.0, step, |day| async move {
             day.stage.sleep(1.5).await;
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
             day.stage.sleep(0.5).await;
             day.signal(0, "TERM");
             day.stage.sleep(1.0).await;
-            day.change(1, Standing::Gone);
+            day.change(1, EndpointState::Gone);
         });
         assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
         kept(&name, day, 0.7);
@@ -37,13 +37,13 @@
         let name = format!("starts-ahead{ahead}");
         let shim = |day: &Day| {
             day.shim(&[("FAULT_WALL", format!("0,{ahead}"))]);
-            (2..6).for_each(|x| day.change(x, Standing::Gone));
+            (2..6).for_each(|x| day.change(x, EndpointState::Gone));
             day.executors[0].since.set(day.stage.now());
         };
         let (verdict, _) = play_prepared(&name, 1, 2.0, shim, |day| async move {
             day.stage.sleep(0.75).await;
             for record in day.stage.records() {
-                let Record::Reached { executor, .. } = record else {
+                let TrafficRecord::Reached { executor, .. } = record else {
                     continue;
                 };
                 let count = if executor == 0 { &counts.0 } else { &counts.1 };
@@ -55,7 +55,7 @@
             reached_cold.get(),
             reached.get()
         );
-        assert!(verdict.kept(), "{verdict:?}");
+        assert!(verdict.holds(), "{verdict:?}");
         assert!(reached.get() >= 10, "{name}: the warm one serves");
         // Warm, it would get as many as the other; its budget grants one for each span at the start.
         assert!(
@@ -79,10 +79,10 @@
         };
         let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
             day.stage.sleep(0.6).await;
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
             day.stage.sleep(0.8).await;
             day.signal(0, "HUP");
-            day.change(1, Standing::Gone);
+            day.change(1, EndpointState::Gone);
         });
         assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
         kept(&name, day, 0.95);
@@ -102,7 +102,7 @@
         };
         let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
             day.stage.sleep(1.0).await;
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
         });
         println!("{name}: {} succeeded", day.1);
         kept(&name, day, 0.6);
--- a/crates/cli/tests/platform_soak.rs
+++ b/crates/cli/tests/platform_soak.rs
@@ -10,8 +10,8 @@
 mod day;
 
 use day::*;
-use orchidtally_invariants::{Record, Standing, Verdict};
-use orchidtally_test_servers::platform::{Odd, Spoil};
+use orchidtally_invariants::{EndpointState, TrafficRecord, Verdict};
+use orchidtally_test_servers::platform::{AnswerFault, ResponseFault};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -41,15 +41,15 @@
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     /// A share of the resolver's answers is odd for a while.
-    OddAnswers(Odd, f64, f64),
+    OddAnswers(AnswerFault, f64, f64),
     /// The resolver answers nothing for a while.
     Silence(f64),
     /// A share of an executor's answers is spoilt from now on.
-    SpoiltAnswers(usize, Spoil, f64),
+    SpoiltAnswers(usize, ResponseFault, f64),
     /// An executor's machine is not heard for a while.
     Vanish(usize, f64),
     /// An executor stands otherwise from now on.
-    Change(usize, Standing),
+    Change(usize, EndpointState),
     /// All connections to an executor are reset.
     Reset(usize),
     /// So many more bytes reach an executor from each front end, then the connection is reset.
@@ -71,27 +71,27 @@
 /// Draws a fault.
 fn draw(random: &mut SmallRng) -> Fault {
     let odd = [
-        Odd::Lost,
-        Odd::Foreign,
-        Odd::Truncated,
-        Odd::Cut,
-        Odd::Failed,
-        Odd::Stale,
-        Odd::OldRows,
-        Odd::Ahead(1),
-        Odd::Ahead(1_000),
-        Odd::Late,
-        Odd::Doubled,
-        Odd::OddText,
-        Odd::OddStanding,
+        AnswerFault::Lost,
+        AnswerFault::Foreign,
+        AnswerFault::Truncated,
+        AnswerFault::Cut,
+        AnswerFault::Failed,
+        AnswerFault::Stale,
+        AnswerFault::OldRows,
+        AnswerFault::Ahead(1),
+        AnswerFault::Ahead(1_000),
+        AnswerFault::Late,
+        AnswerFault::Doubled,
+        AnswerFault::OddText,
+        AnswerFault::OddStanding,
     ];
     let spoils = [
-        Spoil::Unread,
-        Spoil::Half,
-        Spoil::Noise,
-        Spoil::BadBody,
-        Spoil::Twice,
-        Spoil::Never,
+        ResponseFault::Unread,
+        ResponseFault::Half,
+        ResponseFault::Noise,
+        ResponseFault::BadBody,
+        ResponseFault::Twice,
+        ResponseFault::Never,
     ];
     let (front_end, executor) = (
         random.random_range(0..FRONT_ENDS),
@@ -110,9 +110,9 @@
             Fault::SpoiltAnswers(any_executor, spoil, 0.05)
         }
         5 => Fault::Vanish(executor, time),
-        6 => Fault::Change(executor, Standing::Draining),
-        7 => Fault::Change(executor, Standing::Gone),
-        8 => Fault::Change(executor, Standing::Ready),
+        6 => Fault::Change(executor, EndpointState::Draining),
+        7 => Fault::Change(executor, EndpointState::Gone),
+        8 => Fault::Change(executor, EndpointState::Ready),
         9 => Fault::Stop(front_end, 1.8 * time),
         10 => Fault::HangUp(front_end, random.random_range(1..5)),
         11 => Fault::StopThroughDrain(front_end, executor, random.random_range(1.0..4.0)),
@@ -132,13 +132,13 @@
     day.processes.borrow_mut()[j as usize].take()
 }
 
-async fn change(day: &Day, x: usize, standing: Standing) {
-    if standing == Standing::Ready {
+async fn change(day: &Day, x: usize, standing: EndpointState) {
+    if standing == EndpointState::Ready {
         if !day.executors[x].draining.replace(false) {
             return;
         }
         // It comes back as one that has just started, after it was gone.
-        day.change(x, Standing::Gone);
+        day.change(x, EndpointState::Gone);
         day.stage.sleep(0.4).await;
         day.executors[x].since.set(day.stage.now());
     } else {
@@ -176,11 +176,11 @@
     signal(process.id(), "STOP");
     day.stage.sleep(0.1).await;
     if let Some(x) = drains {
-        change(day, x, Standing::Draining).await;
+        change(day, x, EndpointState::Draining).await;
     }
     day.stage.sleep(time).await;
     signal(process.id(), "CONT");
-    day.stage.record(Record::Stopped {
+    day.stage.record(TrafficRecord::Stopped {
         at,
         front_end: j,
         until: day.stage.now(),
@@ -249,7 +249,7 @@
             let Some(mut process) = take(&day, j) else {
                 return;
             };
-            day.stage.record(Record::Killed {
+            day.stage.record(TrafficRecord::Killed {
                 at: day.stage.now(),
                 front_end: j,
             });
@@ -277,7 +277,7 @@
 
 impl Played {
     fn is_sound(&self) -> bool {
-        self.verdict.kept() && self.wrong.is_empty()
+        self.verdict.holds() && self.wrong.is_empty()
     }
 
     fn line(&self) -> String {
--- a/crates/cli/tests/platform_views.rs
+++ b/crates/cli/tests/platform_views.rs
@@ -4,8 +4,8 @@
 mod day;
 
 use day::*;
-use orchidtally_invariants::Standing;
-use orchidtally_test_servers::platform::Odd;
+use orchidtally_invariants::EndpointState;
+use orchidtally_test_servers::platform::AnswerFault;
 
 /// A list came under the serial of a drain and lacked it; the true lists under the same serial were never read
 /// (docs/incidents/2026-12-02-drain-after-restart.md).
@@ -13,8 +13,8 @@
 fn a_list_that_lacks_what_its_serial_stands_for_is_put_right_by_the_next() {
     let day = play("old-rows", 1, 4.0, |day| async move {
         day.stage.sleep(0.5).await;
-        day.resolver.odd.set(Some((Odd::OldRows, 1.0)));
-        day.change(0, Standing::Draining);
+        day.resolver.odd.set(Some((AnswerFault::OldRows, 1.0)));
+        day.change(0, EndpointState::Draining);
         day.stage.sleep(0.3).await;
         day.resolver.odd.set(None);
     });
@@ -26,12 +26,12 @@
 #[test]
 fn a_serial_too_high_an_odd_row_or_an_odd_standing_hide_no_drain() {
     let odds = [
-        Odd::Ahead(1),
-        Odd::Ahead(1_000),
-        Odd::Ahead(u32::MAX / 2),
-        Odd::OddText,
-        Odd::OddStanding,
-        Odd::Doubled,
+        AnswerFault::Ahead(1),
+        AnswerFault::Ahead(1_000),
+        AnswerFault::Ahead(u32::MAX / 2),
+        AnswerFault::OddText,
+        AnswerFault::OddStanding,
+        AnswerFault::Doubled,
     ];
     for odd in odds {
         let name = format!("hides-{odd:?}");
@@ -40,9 +40,9 @@
             day.resolver.odd.set(Some((odd, 1.0)));
             day.stage.sleep(0.3).await;
             // A row that can't be read, or a doubled answer, may go on for good.
-            let goes_on = matches!(odd, Odd::OddText | Odd::Doubled);
+            let goes_on = matches!(odd, AnswerFault::OddText | AnswerFault::Doubled);
             day.resolver.odd.set(Some((odd, 1.0)).filter(|_| goes_on));
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
             day.executors[0].draining.set(true);
         });
         assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
@@ -60,7 +60,7 @@
             day.signal(0, "STOP");
             day.stage.sleep(0.1).await;
             // What happens while it is stopped counts as told by the time limit.
-            day.change(0, Standing::Draining);
+            day.change(0, EndpointState::Draining);
             day.resolver.known(0);
             day.stage.sleep(2.4).await;
             if silent > 0.0 {
@@ -78,9 +78,11 @@
 #[test]
 fn answers_that_are_all_seconds_late_are_believed() {
     let (verdict, succeeded) = play("seconds-late", 1, 9.0, |day| async move {
-        day.resolver.odd.set(Some((Odd::LateBy(3_000), 1.0)));
+        day.resolver
+            .odd
+            .set(Some((AnswerFault::LateBy(3_000), 1.0)));
         day.stage.sleep(4.0).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
     });
     println!("{:#?}", verdict.rules[2]);
@@ -101,7 +103,7 @@
         day.resolver.close_all_but(moved);
         day.configure(0);
         day.stage.sleep(4.2).await;
-        day.change(0, Standing::Draining);
+        day.change(0, EndpointState::Draining);
     });
     assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
     kept("whole-late", day, 0.95);
--- a/crates/cli/tests/roster.rs
+++ b/crates/cli/tests/roster.rs
@@ -1,8 +1,8 @@
 //! `orchidtally roster` against the store's stand-in.
 
 use orchidtally_etcd::rpc::PutRequest;
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
@@ -25,8 +25,8 @@
 fn executors_are_listed_drained_and_given_back() {
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = Stage::new(1);
-        let etcd = Served::start(&stage, 2).unwrap();
+        let stage = TestEnvironment::new(1);
+        let etcd = EtcdServer::start(&stage, 2).unwrap();
         let put = PutRequest {
             key: "/orchidtally/executors/10.0.0.1:7000".into(),
             value: r#"{"location":"north","kind":"gpu","cell":3,"standing":"ready","since":1}"#
--- a/crates/cli/tests/serve_kit/mod.rs
+++ b/crates/cli/tests/serve_kit/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::store::Store;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::store::PackageStore;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 pub fn executor() -> SocketAddr {
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = Stage::new(1);
+        let stage = TestEnvironment::new(1);
         let program = |name: &str| {
             let work = if name.starts_with("slow") {
                 SLOW
@@ -38,16 +38,16 @@
                 ..Program::default()
             })
         };
-        let around = Surroundings {
-            store: Store::new(&stage, 8.0, 8),
+        let around = SharedResources {
+            store: PackageStore::new(&stage, 8.0, 8),
             catalogue: Rc::new(program),
             tokens: Rc::default(),
             token_window: 5.0,
         };
         let executor = Executor::start(
             &stage,
-            Make::roomy(1),
-            orchidtally_test_servers::any_port(),
+            ExecutorSpec::roomy(1),
+            orchidtally_test_servers::unused_address(),
             around,
         )
         .unwrap();
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,7 +1,7 @@
 //! What front ends and operators ask of a coordinator over HTTP.
 
 use crate::server::{CoordinatorServer, SENDER_TIME, now};
-use crate::{Order, Status};
+use crate::{StartRequest, Status};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -65,9 +65,11 @@
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
         let (parts, body) = request.into_parts();
-        let read =
-            orchidtally_socket_io::within(SENDER_TIME, Limited::new(body, MAX_BODY).collect())
-                .await;
+        let read = orchidtally_socket_io::with_timeout(
+            SENDER_TIME,
+            Limited::new(body, MAX_BODY).collect(),
+        )
+        .await;
         let body = match read {
             Some(Ok(body)) => body.to_bytes(),
             Some(Err(e)) => return Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string())),
@@ -109,18 +111,18 @@
     /// An operator's order.
     fn order(&self, body: &[u8]) -> Result<Reply, Refusal> {
         let command = match parse(body)? {
-            Order::Start { plan, dry } => {
+            StartRequest::Start { plan, dry } => {
                 let plan = self.read_plan(&plan)?;
                 if dry {
                     return Ok(self.dry_run(&plan));
                 }
                 self.start(plan)?
             }
-            Order::Pause { name } => Command::Pause { name },
-            Order::Resume { name } => Command::Resume { name },
-            Order::Back { name, why } => Command::Back { name, why },
-            Order::Advance { name, why } => Command::Advance { name, why },
-            Order::Finish { name } => Command::Finish { name },
+            StartRequest::Pause { name } => Command::Pause { name },
+            StartRequest::Resume { name } => Command::Resume { name },
+            StartRequest::Back { name, why } => Command::Back { name, why },
+            StartRequest::Advance { name, why } => Command::Advance { name, why },
+            StartRequest::Finish { name } => Command::Finish { name },
         };
         let done = self
             .coordinator
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -16,7 +16,7 @@
 /// What an operator's tool sends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
-pub enum Order {
+pub enum StartRequest {
     /// Start a rollout.
     Start {
         /// The text of the plan, as its file has it.
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -3,16 +3,18 @@
 use bytes::Bytes;
 use futures_lite::future;
 use http::Method;
-use orchidtally_coordinator::{Order, StopReason};
+use orchidtally_coordinator::{StartRequest, StopReason};
 use orchidtally_deployment::Deployment;
 use orchidtally_http_frontend::Start;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::Phase;
-use orchidtally_socket_io::http::ask as http_ask;
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, digest};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port, port_for_later};
+use orchidtally_socket_io::http::fetch as http_fetch;
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
+use orchidtally_test_servers::executor::{
+    Executor, ExecutorSpec, Program, SharedResources, digest,
+};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, reserve_address, unused_address};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -51,7 +53,7 @@
 }
 
 pub struct World {
-    pub stage: Stage,
+    pub stage: TestEnvironment,
     pub executors: Vec<Rc<Executor>>,
     /// Seconds that a load of the new version takes.
     pub load: Rc<Cell<f64>>,
@@ -59,7 +61,7 @@
 }
 
 pub fn free() -> SocketAddr {
-    port_for_later().unwrap()
+    reserve_address().unwrap()
 }
 
 pub fn folder(name: &str) -> PathBuf {
@@ -69,12 +71,12 @@
 }
 
 pub fn world(coordinators: &[SocketAddr], loading: &str) -> World {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let load = Rc::new(Cell::new(0.05));
-    let store = Store::new(&stage, 8.0, 8);
+    let store = PackageStore::new(&stage, 8.0, 8);
     let executors: Vec<_> = (0..2)
         .map(|number| {
-            let make = Make::roomy(number);
+            let make = ExecutorSpec::roomy(number);
             let load = load.clone();
             let catalogue = move |name: &str| {
                 let is_new = name.ends_with(&format!("@{}", digest(NEW)));
@@ -86,13 +88,13 @@
                     ..Program::default()
                 })
             };
-            let around = Surroundings {
+            let around = SharedResources {
                 store: store.clone(),
                 catalogue: Rc::new(catalogue),
                 tokens: Rc::default(),
                 token_window: 5.0,
             };
-            Executor::start(&stage, make, any_port(), around).unwrap()
+            Executor::start(&stage, make, unused_address(), around).unwrap()
         })
         .collect();
     let list: Vec<_> = executors
@@ -143,7 +145,7 @@
 
 /// With a wall clock that is so far ahead.
 pub fn gateway_ahead(text: &str, ahead: f64) -> Gateway {
-    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let (text, seed) = (text.to_owned(), u64::from(at.port()));
@@ -177,9 +179,9 @@
     CoordinatorThread { stop, thread }
 }
 
-pub async fn order(at: SocketAddr, order: Order) -> (u16, String) {
+pub async fn order(at: SocketAddr, order: StartRequest) -> (u16, String) {
     let body = serde_json::to_vec(&order).unwrap();
-    let (status, body) = http_ask(
+    let (status, body) = http_fetch(
         at,
         Method::POST,
         "/v1/rollouts/orders",
@@ -191,21 +193,21 @@
     (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
 }
 
-pub fn plan(steps: &str) -> Order {
+pub fn plan(steps: &str) -> StartRequest {
     plan_of("r", "f", 0.1, steps)
 }
 
-pub fn plan_of(name: &str, function: &str, pace: f64, steps: &str) -> Order {
+pub fn plan_of(name: &str, function: &str, pace: f64, steps: &str) -> StartRequest {
     let plan = format!(
         "{{ name: '{name}', function: '{function}', to: 'next', loadsPerSecond: {pace}, holdback: 0, keepFrom: '200ms', steps: [{steps}] }}"
     );
-    Order::Start { plan, dry: false }
+    StartRequest::Start { plan, dry: false }
 }
 
 pub const ALL_AT_ONCE: &str = "{ share: 1, leastTime: '60s' }";
 
 pub async fn phase(at: SocketAddr) -> Option<Phase> {
-    let (_, body) = http_ask(
+    let (_, body) = http_fetch(
         at,
         Method::GET,
         "/v1/rollouts",
@@ -218,7 +220,7 @@
     serde_json::from_value(value["rollouts"][0]["phase"].clone()).ok()
 }
 
-pub fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(30.0).await;
         panic!("the case did not end");
@@ -226,26 +228,26 @@
     async_io::block_on(stage.tasks.run(future::or(work, late)))
 }
 
-pub fn ask(name: &str, trigger_type: (usize, &str)) -> Ask {
-    Ask {
+pub fn ask(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
+    ClientRequest {
         invocation: name.into(),
         function: "f".into(),
         trigger_type: (trigger_type.0, trigger_type.1.into()),
         time_left: 4.0,
-        ..Ask::default()
+        ..ClientRequest::default()
     }
 }
 
-pub fn succeeded(heard: &Heard) -> bool {
-    matches!(heard, Heard::Answered { status: 200, .. })
+pub fn succeeded(heard: &ClientOutcome) -> bool {
+    matches!(heard, ClientOutcome::Answered { status: 200, .. })
 }
 
 impl World {
     /// The digest that each invocation ran, and how often.
     pub fn ran(&self, invocation: &str) -> Vec<String> {
         let records = self.stage.records();
-        let of = |r: &Record| match r {
-            Record::RanVersion {
+        let of = |r: &TrafficRecord| match r {
+            TrafficRecord::RanVersion {
                 invocation: i,
                 loaded,
                 ..
@@ -256,7 +258,7 @@
     }
 
     /// Offers one invocation after another until one runs this package.
-    pub async fn until_runs(&self, caller: &Rc<Caller>, label: &str, package: &[u8]) {
+    pub async fn until_runs(&self, caller: &Rc<TestClient>, label: &str, package: &[u8]) {
         for n in 0..400 {
             let name = format!("{label}-{n}");
             assert!(succeeded(&caller.invoke(&ask(&name, LOOK)).await));
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -7,11 +7,11 @@
     ACT, ALL_AT_ONCE, LOOK, NEW, OLD, ask, folder, free, gateway, gateway_ahead, on, order, phase,
     plan, plan_of, start_coordinator, succeeded, world,
 };
-use orchidtally_coordinator::{Order, StopReason, recover};
-use orchidtally_invariants::Record;
+use orchidtally_coordinator::{StartRequest, StopReason, recover};
+use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::Phase;
-use orchidtally_socket_io::http::ask as http_ask;
-use orchidtally_test_servers::client::{Ask, Caller};
+use orchidtally_socket_io::http::fetch as http_fetch;
+use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::executor::digest;
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -24,7 +24,7 @@
     let w = world(&[at], "rationFloor: 1");
     let coordinator = start_coordinator(&w.text, at, &folder("loading"));
     let gateway = gateway(&w.text);
-    let caller = Caller::new(&w.stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
     w.load.set(1.5);
     let taken_back = Cell::new(0.0);
     on(&w.stage, async {
@@ -48,7 +48,7 @@
         assert_eq!(
             order(
                 at,
-                Order::Back {
+                StartRequest::Back {
                     name: "r".into(),
                     why: "a test".into()
                 }
@@ -73,7 +73,7 @@
         assert_eq!(
             order(
                 at,
-                Order::Back {
+                StartRequest::Back {
                     name: "r".into(),
                     why: "again".into()
                 }
@@ -87,8 +87,9 @@
     });
     let ended = |n: usize| {
         let name = format!("w{n}");
-        let at = |r: &Record| {
-            matches!(r, Record::Ran { invocation, .. } if *invocation == name).then(|| r.at())
+        let at = |r: &TrafficRecord| {
+            matches!(r, TrafficRecord::Ran { invocation, .. } if *invocation == name)
+                .then(|| r.at())
         };
         w.stage.records().iter().find_map(at).unwrap()
     };
@@ -114,7 +115,7 @@
     let w = world(&[at], "rationFloor: 4");
     let coordinator = start_coordinator(&w.text, at, &folder("alias"));
     let gateway = gateway(&w.text);
-    let caller = Caller::new(&w.stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
     on(&w.stage, async {
         w.until_runs(&caller, "before", OLD).await;
         let steps = "{ share: 0.5, leastTime: '300ms', leastEvidence: 5 }, { share: 1, leastTime: '300ms', leastEvidence: 5 }";
@@ -133,7 +134,7 @@
         assert!(succeeded(&heard), "{heard:?}");
         assert_eq!(w.ran("after"), [digest(NEW)]);
         // A digest names what it names, whatever the aliases do.
-        let named = Ask {
+        let named = ClientRequest {
             function: format!("f@sha256:{}", digest(OLD)),
             ..ask("named", LOOK)
         };
@@ -157,7 +158,7 @@
     let w = world(&[at], "rationFloor: 4");
     let first = start_coordinator(&w.text, at, &kept);
     let one = gateway(&w.text);
-    let caller = Caller::new(&w.stage, 0, 0, one.at, false);
+    let caller = TestClient::new(&w.stage, 0, 0, one.at, false);
     on(&w.stage, async {
         w.until_runs(&caller, "before", OLD).await;
         assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
@@ -166,7 +167,7 @@
     assert_eq!(first.end(), StopReason::Stopped);
     // One that starts while nobody says how the rollout stands serves the old version.
     let late = gateway(&w.text);
-    let late_caller = Caller::new(&w.stage, 1, 0, late.at, false);
+    let late_caller = TestClient::new(&w.stage, 1, 0, late.at, false);
     on(&w.stage, async {
         assert!(succeeded(&caller.invoke(&ask("held", LOOK)).await));
         assert!(succeeded(&late_caller.invoke(&ask("late", LOOK)).await));
@@ -205,7 +206,7 @@
     }
     let one = start_coordinator(&w.text, a, &first);
     let gateway = gateway(&w.text);
-    let caller = Caller::new(&w.stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
     on(&w.stage, async {
         w.until_runs(&caller, "before", OLD).await;
         assert_eq!(order(a, plan(ALL_AT_ONCE)).await.0, 200);
@@ -236,7 +237,7 @@
     let callers: Vec<_> = gateways
         .iter()
         .enumerate()
-        .map(|(n, g)| Caller::new(&w.stage, n as u32, n as u32, g.at, false))
+        .map(|(n, g)| TestClient::new(&w.stage, n as u32, n as u32, g.at, false))
         .collect();
     let steps = "{ share: 0.5, leastTime: '300ms', leastEvidence: 5 }, { share: 1, leastTime: '300ms', leastEvidence: 5 }";
     on(&w.stage, async {
@@ -251,7 +252,7 @@
         assert_eq!(
             order(
                 at,
-                Order::Back {
+                StartRequest::Back {
                     name: "r3".into(),
                     why: "a test".into()
                 }
@@ -261,7 +262,7 @@
             200
         );
         let over = async || {
-            let (_, body) = http_ask(
+            let (_, body) = http_fetch(
                 at,
                 Method::GET,
                 "/v1/rollouts",
@@ -286,7 +287,7 @@
         while over().await != (9, 1) {
             for caller in &callers {
                 let name = format!("t{n}");
-                let asked = Ask {
+                let asked = ClientRequest {
                     function: format!("g{}", n % 10),
                     ..ask(&name, ACT)
                 };
@@ -298,7 +299,7 @@
         w.stage.sleep(0.3).await;
         for (g, caller) in (0..10).flat_map(|g| callers.iter().map(move |c| (g, c))) {
             let name = format!("last-{g}-{}", caller.number);
-            let asked = Ask {
+            let asked = ClientRequest {
                 function: format!("g{g}"),
                 ..ask(&name, LOOK)
             };
--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,6 +1,6 @@
 //! What a changed deployment file changes that takes effect at a restart only.
 
-use crate::reader::{Document, Fault, Place};
+use crate::reader::{DeploymentFault, Document, Place};
 
 /// Sections that can be replaced while a front end runs.
 const REPLACEABLE: [&str; 4] = ["triggerTypes", "customers", "functions", "otherFunctions"];
@@ -9,7 +9,7 @@
 /// `after`. Values are compared as they are written, without comments and spaces: `1s` and `1000ms` differ.
 ///
 /// Both texts should have been read without faults; of one that isn't a document the syntax fault is told.
-pub fn restart_needed(before: &str, after: &str) -> Vec<Fault> {
+pub fn restart_needed(before: &str, after: &str) -> Vec<DeploymentFault> {
     let (old, new) = (Document::new(before), Document::new(after));
     let Some(old_value) = old.parse() else {
         return old.faults();
--- a/crates/deployment/src/executors.rs
+++ b/crates/deployment/src/executors.rs
@@ -2,7 +2,7 @@
 
 use crate::reader::Place;
 use crate::sections::place_of;
-use crate::{Etcd, Source};
+use crate::{EndpointSource, EtcdSettings};
 use ipnet::IpNet;
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     kinds: &[String],
     by_cell: bool,
     by_zone: bool,
-) -> (Source, Vec<IpNet>) {
+) -> (EndpointSource, Vec<IpNet>) {
     let fields = place.object(&["allowedNetworks", "publisher", "list", "etcd"]);
     let allowed: Vec<IpNet> = fields
         .at("allowedNetworks")
@@ -44,7 +44,7 @@
         if !prefix.ends_with('/') {
             f.at("prefix").fault("has to end with '/'");
         }
-        Some(Etcd {
+        Some(EtcdSettings {
             endpoints,
             prefix,
             lease: f
@@ -57,7 +57,7 @@
         place.fault("one of 'list', 'publisher' and 'etcd' is wanted");
     }
     if let Some(etcd) = etcd {
-        return (Source::Etcd(etcd), allowed);
+        return (EndpointSource::Etcd(etcd), allowed);
     }
     if let Some(publisher) = publisher {
         if !allows(&publisher) {
@@ -65,7 +65,7 @@
                 .at("publisher")
                 .fault(format!("{publisher} is in none of the allowed networks"));
         }
-        return (Source::Publisher(publisher), allowed);
+        return (EndpointSource::Publisher(publisher), allowed);
     }
     let mut rows: Vec<Endpoint> = vec![];
     for p in fields.at("list").list() {
@@ -129,5 +129,5 @@
             }
         }
     }
-    (Source::Listed(rows), allowed)
+    (EndpointSource::Listed(rows), allowed)
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -16,7 +16,7 @@
 pub use functions::{check_digest, check_function_name};
 use ipnet::IpNet;
 use orchidtally_dispatch_policy::interface::*;
-pub use reader::Fault;
+pub use reader::DeploymentFault;
 use reader::{Document, Place};
 use sections::deployment;
 use sha2::{Digest, Sha256};
@@ -27,7 +27,7 @@
 
 /// What the program needs of a trigger type besides the module's terms, at the same place of its list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trigger {
+pub struct TriggerTypeSettings {
     pub name: String,
     /// The answer is passed on from its first byte.
     pub streams: bool,
@@ -37,7 +37,7 @@
 
 /// Where that is kept, and for how long.
 #[derive(Clone, Debug)]
-pub struct Journalling {
+pub struct JournalSettings {
     folder: String,
     /// With more entries and state than this nothing new is taken.
     pub max_bytes: u64,
@@ -46,7 +46,7 @@
     pub most_kept: usize,
 }
 
-impl Journalling {
+impl JournalSettings {
     /// The folder of one front end.
     pub fn folder(&self, index: u32) -> PathBuf {
         self.folder.replace("{index}", &index.to_string()).into()
@@ -84,17 +84,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Source {
+pub enum EndpointSource {
     /// The executors that the file lists.
     Listed(Vec<Endpoint>),
     /// A publisher that is asked for the roster and tells its changes.
     Publisher(SocketAddr),
     /// etcd, where executors and front ends have their entries.
-    Etcd(Etcd),
+    Etcd(EtcdSettings),
 }
 
 #[derive(Clone, Debug)]
-pub struct Etcd {
+pub struct EtcdSettings {
     pub endpoints: Vec<SocketAddr>,
     /// All keys begin so.
     pub prefix: String,
@@ -104,7 +104,7 @@
 
 /// What the front end grants its clients and opens to executors.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct Limits {
     pub open_invocations: usize,
     pub connections: usize,
     pub header_bytes: u32,
@@ -129,14 +129,14 @@
     pub name: String,
     pub listen: SocketAddr,
     pub policy: PolicyConfig,
-    pub trigger_types: Vec<Trigger>,
+    pub trigger_types: Vec<TriggerTypeSettings>,
     pub customers: Vec<String>,
     pub functions: HashMap<Rc<str>, Function>,
     /// What any function has that is not listed; without it such a function is unknown.
     pub other_functions: Option<Function>,
     pub locations: Vec<String>,
     pub kinds: Vec<String>,
-    pub source: Source,
+    pub source: EndpointSource,
     pub allowed: Vec<IpNet>,
     /// Who is asked for rollouts; each is told of the others' terms.
     pub coordinators: Vec<SocketAddr>,
@@ -144,8 +144,8 @@
     pub rollouts_asked: f64,
     /// The store that changes of configuration come from, where there is one.
     pub configuration: Option<Configuration>,
-    pub journal: Option<Journalling>,
-    pub bounds: Bounds,
+    pub journal: Option<JournalSettings>,
+    pub bounds: Limits,
 }
 
 /// The number by which all front ends know a function: the first bytes of its name's SHA-256.
@@ -156,7 +156,7 @@
 
 impl Deployment {
     /// Reads a description, or tells every fault in it.
-    pub fn read(text: &str) -> Result<Deployment, Vec<Fault>> {
+    pub fn read(text: &str) -> Result<Deployment, Vec<DeploymentFault>> {
         Deployment::read_with(text, |_, _| ()).map(|read| read.0)
     }
 
@@ -164,7 +164,7 @@
     pub fn read_with<T>(
         text: &str,
         more: impl FnOnce(&Place, &Deployment) -> T,
-    ) -> Result<(Deployment, T), Vec<Fault>> {
+    ) -> Result<(Deployment, T), Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
             return Err(document.faults());
--- a/crates/deployment/src/reader.rs
+++ b/crates/deployment/src/reader.rs
@@ -9,16 +9,16 @@
 
 /// What is wrong, where, and what would be right.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct DeploymentFault {
     pub line: usize,
     pub column: usize,
     pub key: String,
     pub what: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DeploymentFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault {
+        let DeploymentFault {
             line,
             column,
             key,
@@ -34,7 +34,7 @@
 
 pub struct Document<'a> {
     text: &'a str,
-    faults: RefCell<Vec<Fault>>,
+    faults: RefCell<Vec<DeploymentFault>>,
 }
 
 /// A place in the document: a value and the key that leads there.
@@ -87,7 +87,7 @@
     }
 
     /// All faults in the order of the text.
-    pub fn faults(self) -> Vec<Fault> {
+    pub fn faults(self) -> Vec<DeploymentFault> {
         let mut faults = self.faults.into_inner();
         faults.sort_by_key(|f| (f.line, f.column));
         faults.dedup();
@@ -98,7 +98,7 @@
         let before = &self.text[..at.min(self.text.len())];
         let line = 1 + before.matches('\n').count();
         let column = 1 + before.chars().rev().take_while(|&c| c != '\n').count();
-        self.faults.borrow_mut().push(Fault {
+        self.faults.borrow_mut().push(DeploymentFault {
             line,
             column,
             key: key.into(),
--- a/crates/deployment/src/sections.rs
+++ b/crates/deployment/src/sections.rs
@@ -6,7 +6,7 @@
 use crate::reader::{Fields, Place};
 use crate::regions::regions;
 use crate::trigger_types::trigger_type;
-use crate::{Bounds, Deployment, Journalling, Source};
+use crate::{Deployment, EndpointSource, JournalSettings, Limits};
 use orchidtally_dispatch_policy::interface::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -184,7 +184,7 @@
             "answerWithin",
         ],
     );
-    let bounds = Bounds {
+    let bounds = Limits {
         open_invocations: whole("openInvocations", 1..=10_000_000, 20_000) as usize,
         connections: whole("connections", 1..=1_000_000, 10_000) as usize,
         header_bytes: bytes("headerBytes", 16_384.0).clamp(8_192.0, 1e6) as u32,
@@ -247,7 +247,7 @@
         max_retry_after: limits
             .maybe("maxRetryAfter", |p| p.seconds(0.0..=3_600.0))
             .unwrap_or(1.0),
-        polls_endpoints: !matches!(source, Source::Listed(_)),
+        polls_endpoints: !matches!(source, EndpointSource::Listed(_)),
         slow_start_duration: safety
             .maybe("cold", |p| p.seconds(0.001..=3_600.0))
             .unwrap_or(15.0),
@@ -304,7 +304,7 @@
     Some((deployment, more))
 }
 
-fn journalling(top: &Fields, front_ends: u32, journalled: &[String]) -> Option<Journalling> {
+fn journalling(top: &Fields, front_ends: u32, journalled: &[String]) -> Option<JournalSettings> {
     let place = top.at("journal");
     if !place.is_given() {
         if let Some(name) = journalled.first() {
@@ -324,7 +324,7 @@
             .at("folder")
             .fault("there are several front ends; '{index}' has to stand in it for each one's own");
     }
-    Some(Journalling {
+    Some(JournalSettings {
         folder: folder?,
         max_bytes: fields
             .maybe("maxBytes", |p| p.bytes(65_536.0..=1e12))
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -1,10 +1,10 @@
 //! Trigger types: what is promised to invocations of a kind.
 
-use crate::Trigger;
+use crate::TriggerTypeSettings;
 use crate::reader::Place;
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 
-pub(crate) fn trigger_type(place: &Place) -> Option<(Trigger, TriggerType)> {
+pub(crate) fn trigger_type(place: &Place) -> Option<(TriggerTypeSettings, TriggerType)> {
     let fields = place.object(&[
         "name",
         "effect",
@@ -74,7 +74,7 @@
             .at("journalled")
             .fault("a streamed answer can't be kept");
     }
-    let trigger = Trigger {
+    let trigger = TriggerTypeSettings {
         name: name?,
         streams,
         journalled,
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -1,6 +1,6 @@
 //! Descriptions that are sound, and what is said of those that are not.
 
-use orchidtally_deployment::{Deployment, Source, key};
+use orchidtally_deployment::{Deployment, EndpointSource, key};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -15,7 +15,7 @@
 fn the_examples_are_sound() {
     let [one, cranes, print] =
         EXAMPLES.map(|text| Deployment::read(text).expect("an example is sound"));
-    let Source::Listed(rows) = &one.source else {
+    let EndpointSource::Listed(rows) = &one.source else {
         panic!("its executors are listed")
     };
     assert!(rows[0].executor.0.is_ipv4() && rows[1].executor.0.is_ipv6());
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -8,7 +8,7 @@
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
 use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
-use orchidtally_invariants::spread;
+use orchidtally_invariants::measure_spread;
 
 fn plain(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
     Some(Box::new(BaselinePolicy::by(pick, seed)))
@@ -60,7 +60,7 @@
                 seed,
             };
             let world = fleet::play(&play, maker);
-            let seen = spread(&world.records, 8.0);
+            let seen = measure_spread(&world.records, 8.0);
             let asked = (world.succeeded + world.given_up) as f64;
             println!(
                 "  {name:<15} herds {:>3} (last {:>4.1} s), idle beside queue {:>5.3}, peak over fair {:>5.2}, copies {:>4} ({:>4} elsewhere), in time {:.3}",
--- a/crates/engine/tests/fleet/mod.rs
+++ b/crates/engine/tests/fleet/mod.rs
@@ -308,10 +308,10 @@
                         copy.1 = now;
                     }
                     world.truth.borrow_mut()[x] -= 1;
-                    let (executor, ending) = (x, invariants::Ending::Succeeded);
+                    let (executor, ending) = (x, invariants::DispatchOutcome::Succeeded);
                     let invocation = format!("{}-{}", job.fe, job.inv);
                     let number = job.n.into();
-                    let ended = invariants::Record::Ended {
+                    let ended = invariants::TrafficRecord::Ended {
                         at: now,
                         executor,
                         invocation,
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -68,7 +68,7 @@
     pub executors: Vec<Executor>,
     pub truth: Truth,
     pub random: SeededRandom,
-    pub records: Vec<invariants::Record>,
+    pub records: Vec<invariants::TrafficRecord>,
     pub succeeded: u64,
     pub in_time: u64,
     pub given_up: u64,
@@ -101,7 +101,7 @@
             ..Executor::default()
         };
         self.truth.borrow_mut()[x] = 0;
-        self.records.push(invariants::Record::Stands {
+        self.records.push(invariants::TrafficRecord::Stands {
             at: self.now,
             executor: x,
             lanes: LANES,
@@ -114,7 +114,7 @@
         if e.waiting.len() >= ROOM {
             return self.answer(x, &job, DispatchStatus::Full);
         }
-        self.records.push(invariants::Record::Reached {
+        self.records.push(invariants::TrafficRecord::Reached {
             at,
             executor: x,
             front_end: job.fe as u32,
@@ -153,13 +153,13 @@
         if found == CopyState::ColdLoad {
             let name = format!("{}", job.function);
             if stale {
-                self.records.push(invariants::Record::Unloads {
+                self.records.push(invariants::TrafficRecord::Unloads {
                     at,
                     executor: x,
                     function: name.clone(),
                 });
             }
-            self.records.push(invariants::Record::Loads {
+            self.records.push(invariants::TrafficRecord::Loads {
                 at,
                 executor: x,
                 function: name,
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -6,12 +6,12 @@
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
 use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
-use orchidtally_invariants::{Spread, spread};
+use orchidtally_invariants::{SpreadReport, measure_spread};
 
 const WARM: f64 = 6.0;
 
 /// The spread, and the share answered in time.
-fn seen(maker: &Maker, replaced_at: Option<f64>, restarted_at: Option<f64>) -> (Spread, f64) {
+fn seen(maker: &Maker, replaced_at: Option<f64>, restarted_at: Option<f64>) -> (SpreadReport, f64) {
     let (front_ends, executors, load, functions, length, seed) = (40, 12, 0.5, 40, 18.0, 3);
     let play = Play {
         front_ends,
@@ -25,7 +25,10 @@
     };
     let world = fleet::play(&play, maker);
     let asked = (world.succeeded + world.given_up) as f64;
-    (spread(&world.records, WARM), world.in_time as f64 / asked)
+    (
+        measure_spread(&world.records, WARM),
+        world.in_time as f64 / asked,
+    )
 }
 
 fn module(_: &PolicyConfig, _: u64, _: &Truth) -> Option<Box<dyn DispatchPolicy>> {
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -158,7 +158,7 @@
             .map_err(broke)?;
         let stream = Counted::new(stream, self.traffic.clone());
         let shaken =
-            orchidtally_socket_io::within(CONNECT_TIME, h2::client::handshake(stream)).await;
+            orchidtally_socket_io::with_timeout(CONNECT_TIME, h2::client::handshake(stream)).await;
         let (sender, driver) = shaken.ok_or(Fault::TimedOut)?.map_err(broke)?;
         let driver = self.tasks.spawn(async {
             // What breaks it is seen by its streams.
@@ -224,7 +224,7 @@
             }
             answer.ok_or_else(|| broke("an answer without a message"))
         };
-        let done = orchidtally_socket_io::within(time, work)
+        let done = orchidtally_socket_io::with_timeout(time, work)
             .await
             .unwrap_or(Err(Fault::TimedOut));
         if matches!(done, Err(Fault::Unreachable(_) | Fault::TimedOut)) {
@@ -255,7 +255,7 @@
                 _connection: connection,
             })
         };
-        let done = orchidtally_socket_io::within(time, work)
+        let done = orchidtally_socket_io::with_timeout(time, work)
             .await
             .unwrap_or(Err(Fault::TimedOut));
         if done.is_err() {
--- a/crates/executor-protocol/src/lib.rs
+++ b/crates/executor-protocol/src/lib.rs
@@ -12,38 +12,38 @@
 }
 
 pub const DISPATCH: &str = "/orchidtally.v1/dispatch";
-pub const ORDER: &str = "/orchidtally.v1/order";
-pub const PROBE: &str = "/orchidtally.v1/probe";
-pub const ROSTER: &str = "/orchidtally.v1/roster";
+pub const LOAD: &str = "/orchidtally.v1/order";
+pub const HEALTH_CHECK: &str = "/orchidtally.v1/probe";
+pub const ENDPOINTS: &str = "/orchidtally.v1/roster";
 /// Each stream names it; one that names another is refused.
 pub const CONTENT_TYPE: &str = "application/orchidtally.v1+proto";
 /// The longest message, without the payload behind it.
-pub const LONGEST_HEAD: usize = 64 * 1024;
+pub const MAX_MESSAGE_LENGTH: usize = 64 * 1024;
 /// The longest roster update: some 200,000 rows.
-pub const LONGEST_ROSTER: usize = 16 * 1024 * 1024;
+pub const MAX_ENDPOINT_LIST_LENGTH: usize = 16 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FramingError {
     TooLong { length: usize, most: usize },
     CutShort { missing: usize },
     Malformed(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::TooLong { length, most } => {
+            FramingError::TooLong { length, most } => {
                 write!(f, "a message of {length} bytes, {most} at most")
             }
-            Fault::CutShort { missing } => {
+            FramingError::CutShort { missing } => {
                 write!(f, "the stream ended {missing} bytes before its message")
             }
-            Fault::Malformed(what) => write!(f, "a malformed message: {what}"),
+            FramingError::Malformed(what) => write!(f, "a malformed message: {what}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for FramingError {}
 
 /// A message with its length in front.
 pub fn frame(message: &impl Message) -> Bytes {
@@ -82,12 +82,15 @@
     }
 
     /// The next message once it is here whole.
-    pub fn message<M: Message + Default>(&mut self, most: usize) -> Result<Option<M>, Fault> {
+    pub fn message<M: Message + Default>(
+        &mut self,
+        most: usize,
+    ) -> Result<Option<M>, FramingError> {
         let Some(length) = self.peek_length() else {
             return Ok(None);
         };
         if length > most {
-            return Err(Fault::TooLong { length, most });
+            return Err(FramingError::TooLong { length, most });
         }
         if self.length < 4 + length {
             return Ok(None);
@@ -96,13 +99,13 @@
         let bytes = self.take(length);
         M::decode(bytes)
             .map(Some)
-            .map_err(|e| Fault::Malformed(e.to_string()))
+            .map_err(|e| FramingError::Malformed(e.to_string()))
     }
 
     /// What is missing where the stream has ended before a message.
-    pub fn cut_short(&self) -> Fault {
+    pub fn cut_short(&self) -> FramingError {
         let wanted = self.peek_length().map_or(4, |length| 4 + length);
-        Fault::CutShort {
+        FramingError::CutShort {
             missing: wanted.saturating_sub(self.length),
         }
     }
--- a/crates/executor-protocol/tests/codec.rs
+++ b/crates/executor-protocol/tests/codec.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use orchidtally_executor_protocol::v1::{Answer, Dispatch, Sender};
-use orchidtally_executor_protocol::{Deframer, Fault, LONGEST_HEAD, frame};
+use orchidtally_executor_protocol::{Deframer, FramingError, MAX_MESSAGE_LENGTH, frame};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -46,7 +46,7 @@
         for chunk in bytes.chunks(step) {
             deframer.push(Bytes::copy_from_slice(chunk));
             if got.is_none() {
-                got = deframer.message::<Dispatch>(LONGEST_HEAD).unwrap();
+                got = deframer.message::<Dispatch>(MAX_MESSAGE_LENGTH).unwrap();
             }
         }
         prop_assert_eq!(got, Some(sent));
@@ -70,18 +70,20 @@
         let length = bytes
             .get(..4)
             .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize);
-        match (deframer.message::<Answer>(LONGEST_HEAD), length) {
+        match (deframer.message::<Answer>(MAX_MESSAGE_LENGTH), length) {
             (Ok(Some(_)), Some(length)) => prop_assert!(length + 4 <= bytes.len()),
             (Ok(None), Some(length)) => {
                 prop_assert!(length + 4 > bytes.len());
                 let missing = length + 4 - bytes.len();
-                prop_assert_eq!(deframer.cut_short(), Fault::CutShort { missing });
+                prop_assert_eq!(deframer.cut_short(), FramingError::CutShort { missing });
             }
             (Ok(None), None) => prop_assert!(bytes.len() < 4),
-            (Err(Fault::TooLong { length, most }), Some(told)) => {
+            (Err(FramingError::TooLong { length, most }), Some(told)) => {
                 prop_assert!(length == told && length > most);
             }
-            (Err(Fault::Malformed(_)), Some(length)) => prop_assert!(length <= LONGEST_HEAD),
+            (Err(FramingError::Malformed(_)), Some(length)) => {
+                prop_assert!(length <= MAX_MESSAGE_LENGTH)
+            }
             other => return Err(TestCaseError::fail(format!("{other:?}"))),
         }
         Ok(())
@@ -90,8 +92,8 @@
     let mut wrong = Deframer::default();
     wrong.push(Bytes::from_static(&[0, 0, 0, 2, 0x0a, 0xff]));
     faults += usize::from(matches!(
-        wrong.message::<Answer>(LONGEST_HEAD),
-        Err(Fault::Malformed(_))
+        wrong.message::<Answer>(MAX_MESSAGE_LENGTH),
+        Err(FramingError::Malformed(_))
     ));
     assert_eq!(
         faults, 1,
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -11,9 +11,9 @@
 use orchidtally_mqtt_triggers::Consumer;
 use orchidtally_mqtt_triggers::ledger::{Effect, InvocationTarget, Record, Reply, StoredMessage};
 use orchidtally_test_servers::broker::{BrokerServer, Message};
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -58,15 +58,15 @@
 
 struct Run {
     broker: Rc<BrokerServer>,
-    stage: Stage,
+    stage: TestEnvironment,
     _executor: Rc<Executor>,
     text: String,
 }
 
 fn run(at: &Path) -> Run {
-    let stage = Stage::new(1);
-    let around = Surroundings {
-        store: Store::new(&stage, 8.0, 8),
+    let stage = TestEnvironment::new(1);
+    let around = SharedResources {
+        store: PackageStore::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
                 lanes: 64,
@@ -79,9 +79,10 @@
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    let executor = Executor::start(&stage, Make::roomy(0), any_port(), around)
+    let executor = Executor::start(&stage, ExecutorSpec::roomy(0), unused_address(), around)
         .unwrap_or_else(|e| panic!("{e}"));
-    let broker = BrokerServer::start(&stage, any_port(), None).unwrap_or_else(|e| panic!("{e}"));
+    let broker =
+        BrokerServer::start(&stage, unused_address(), None).unwrap_or_else(|e| panic!("{e}"));
     let text = text(
         &executor.address.to_string(),
         &broker.address.to_string(),
@@ -135,8 +136,8 @@
             let triggers = Triggers::open(section, 0)
                 .unwrap_or_else(|e| panic!("{e}"))
                 .measured(synced, sharing);
-            let listener =
-                orchidtally_http_frontend::listen(any_port()).unwrap_or_else(|e| panic!("{e}"));
+            let listener = orchidtally_http_frontend::listen(unused_address())
+                .unwrap_or_else(|e| panic!("{e}"));
             let start = Start {
                 deployment,
                 seed: 7,
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -145,7 +145,7 @@
             let woken = async {
                 let _ = self.wake.1.recv().await;
             };
-            orchidtally_socket_io::within(Duration::from_secs_f64(wait), woken).await;
+            orchidtally_socket_io::with_timeout(Duration::from_secs_f64(wait), woken).await;
         }
     }
 
--- a/crates/http-frontend/src/config/lease.rs
+++ b/crates/http-frontend/src/config/lease.rs
@@ -89,7 +89,8 @@
                     .await?,
             ),
         };
-        let answer = orchidtally_socket_io::within(self.settings.patience, stream.next()).await;
+        let answer =
+            orchidtally_socket_io::with_timeout(self.settings.patience, stream.next()).await;
         let answer = answer.unwrap_or(Err(Fault::TimedOut))?;
         let renewed = Lease {
             id: lease.id,
--- a/crates/http-frontend/src/config/leaving.rs
+++ b/crates/http-frontend/src/config/leaving.rs
@@ -25,7 +25,7 @@
         let Some(lease) = self.lease.take().filter(|_| was_connected) else {
             return;
         };
-        match orchidtally_socket_io::within(LEAVE_TIME, self.tell_end(lease)).await {
+        match orchidtally_socket_io::with_timeout(LEAVE_TIME, self.tell_end(lease)).await {
             Some(Ok(())) => {
                 info!("the store of the configuration knows that this front end has ended")
             }
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -3,7 +3,7 @@
 
 use orchidtally_config_sync::View;
 use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, TriggerTypeSpec, VersionSpec};
-use orchidtally_deployment::{Deployment, Function, Trigger, Version, key};
+use orchidtally_deployment::{Deployment, Function, TriggerTypeSettings, Version, key};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,13 +27,13 @@
 
 impl Overlay<'_> {
     /// All trigger types: those of the file in its order, then those that only the store has, by name.
-    pub fn trigger_types(&self) -> Vec<(Trigger, TriggerType)> {
+    pub fn trigger_types(&self) -> Vec<(TriggerTypeSettings, TriggerType)> {
         let listed = self
             .deployment
             .trigger_types
             .iter()
             .zip(&self.deployment.policy.trigger_types);
-        let mut all: Vec<(Trigger, TriggerType)> = listed
+        let mut all: Vec<(TriggerTypeSettings, TriggerType)> = listed
             .map(|(trigger, policy)| (trigger.clone(), policy.clone()))
             .collect();
         for (name, spec) in self.stored_trigger_types() {
@@ -109,8 +109,8 @@
 }
 
 /// A trigger type that the file doesn't have. Nothing says that running twice is harmless, so it never does.
-fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (Trigger, TriggerType) {
-    let trigger = Trigger {
+fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (TriggerTypeSettings, TriggerType) {
+    let trigger = TriggerTypeSettings {
         name: name.into(),
         streams: false,
         journalled: false,
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -64,7 +64,8 @@
             };
             let half = self.settings.patience / 2;
             let next =
-                orchidtally_socket_io::within(half, futures_lite::future::or(next, asked)).await;
+                orchidtally_socket_io::with_timeout(half, futures_lite::future::or(next, asked))
+                    .await;
             if !self.is_in_session(session) {
                 return Ok(());
             }
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -6,11 +6,11 @@
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
 use orchidtally_executor_protocol::v1;
-use orchidtally_membership::{Change, Stamp};
+use orchidtally_membership::{Change, StoreRevision};
 
 /// Which store answered, and how far it had come.
-pub(super) fn stamp(header: &ResponseHeader) -> Stamp {
-    Stamp {
+pub(super) fn stamp(header: &ResponseHeader) -> StoreRevision {
+    StoreRevision {
         cluster: header.cluster_id,
         revision: header.revision,
     }
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -6,7 +6,7 @@
     WatchRequest, WatchResponse,
 };
 use orchidtally_etcd::{Client, Fault, RANGE, Told, WATCH, Watch, range_end};
-use orchidtally_membership::Next;
+use orchidtally_membership::NextRequest;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
@@ -29,7 +29,7 @@
     fn now(&self) -> f64;
 
     /// What it needs next.
-    fn next(&self) -> Next;
+    fn next(&self) -> NextRequest;
 
     /// A list whose question was sent at `began`.
     fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]);
@@ -102,12 +102,12 @@
 
 /// Lists, where the follower needs that, and watches until it needs another list or the watch ends.
 async fn follow_once(client: &Client, prefix: &str, follower: &impl Follower) -> Result<(), Fault> {
-    if follower.next() == Next::List {
+    if follower.next() == NextRequest::List {
         let began = follower.now();
         let list = list(client, prefix).await?;
         follower.listed(began, &list.header, &list.entries);
     }
-    let Next::Watch(from) = follower.next() else {
+    let NextRequest::Watch(from) = follower.next() else {
         return Ok(());
     };
     let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
@@ -117,7 +117,7 @@
     let mut questions = ProgressQuestions::new(follower.now());
     loop {
         let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
-        let response = orchidtally_socket_io::within(time_left, stream.next()).await;
+        let response = orchidtally_socket_io::with_timeout(time_left, stream.next()).await;
         if let Some(response) = response {
             for told in watch.received(response?) {
                 if take(told, prefix, &mut questions, follower) == Watched::Ended {
@@ -131,7 +131,7 @@
             None => {}
         }
         follower.turn();
-        if follower.next() == Next::List {
+        if follower.next() == NextRequest::List {
             return Ok(());
         }
     }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -4,7 +4,7 @@
 use super::follow::Follower;
 use super::host::MembershipHost;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
-use orchidtally_membership::{Next, Stamp};
+use orchidtally_membership::{NextRequest, StoreRevision};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// Feeds a host's view of the front ends and has the host look at it.
 pub(super) struct FrontEndsFollower<H> {
     host: Rc<H>,
-    stamp: Cell<Option<Stamp>>,
+    stamp: Cell<Option<StoreRevision>>,
     /// A list has to come before the next watch.
     is_stale: Cell<bool>,
     indices: RefCell<BTreeSet<u32>>,
@@ -46,10 +46,10 @@
         self.host.now()
     }
 
-    fn next(&self) -> Next {
+    fn next(&self) -> NextRequest {
         match self.stamp.get() {
-            Some(stamp) if !self.is_stale.get() => Next::Watch(stamp.revision + 1),
-            _ => Next::List,
+            Some(stamp) if !self.is_stale.get() => NextRequest::Watch(stamp.revision + 1),
+            _ => NextRequest::List,
         }
     }
 
@@ -80,8 +80,9 @@
 
     fn progressed(&self, began: Option<f64>, header: &ResponseHeader) {
         let stamp = entries::stamp(header);
-        let is_other =
-            |known: Stamp| known.cluster != stamp.cluster || known.revision > stamp.revision;
+        let is_other = |known: StoreRevision| {
+            known.cluster != stamp.cluster || known.revision > stamp.revision
+        };
         if self.stamp.get().is_some_and(is_other) {
             self.is_stale.set(true);
             return;
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -1,10 +1,10 @@
 //! What follows a store: the cores of membership, and who hears of what they decide.
 
 use async_executor::LocalExecutor;
-use orchidtally_deployment::{Deployment, Etcd};
+use orchidtally_deployment::{Deployment, EtcdSettings};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
 use orchidtally_etcd::Client;
-use orchidtally_membership::{Cache, Members};
+use orchidtally_membership::{EndpointCache, Members};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     /// The deployment that entries of executors are read by.
     fn deployment(&self) -> &Deployment;
 
-    fn cache(&self) -> &RefCell<Cache>;
+    fn cache(&self) -> &RefCell<EndpointCache>;
 
     fn members(&self) -> &RefCell<Members>;
 
@@ -60,7 +60,11 @@
 
 impl StoreConnections {
     /// Connections to a deployment's store, which are not open yet. The store hears that they belong to `name`.
-    pub fn new(etcd: &Etcd, name: &str, tasks: &Rc<LocalExecutor<'static>>) -> StoreConnections {
+    pub fn new(
+        etcd: &EtcdSettings,
+        name: &str,
+        tasks: &Rc<LocalExecutor<'static>>,
+    ) -> StoreConnections {
         let client = || {
             let client = Client::new(etcd.endpoints.clone(), tasks.clone());
             client.says(name.to_owned());
--- a/crates/http-frontend/src/etcd/hub_host.rs
+++ b/crates/http-frontend/src/etcd/hub_host.rs
@@ -2,9 +2,9 @@
 
 use super::{MembershipHost, OwnEntry, StoreConnections, follow_store};
 use crate::hub::Hub;
-use orchidtally_deployment::{Deployment, Etcd};
+use orchidtally_deployment::{Deployment, EtcdSettings};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
-use orchidtally_membership::{Cache, Members};
+use orchidtally_membership::{EndpointCache, Members};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tracing::info;
@@ -18,7 +18,7 @@
         &self.deployment
     }
 
-    fn cache(&self) -> &RefCell<Cache> {
+    fn cache(&self) -> &RefCell<EndpointCache> {
         &self.cache
     }
 
@@ -55,7 +55,7 @@
 }
 
 /// Keeps the roster and the membership for as long as the front end lives.
-pub fn keep(hub: &Rc<Hub>, etcd: &Etcd) {
+pub fn keep(hub: &Rc<Hub>, etcd: &EtcdSettings) {
     let Some(tasks) = hub.spawner().upgrade() else {
         return;
     };
--- a/crates/http-frontend/src/etcd/mod.rs
+++ b/crates/http-frontend/src/etcd/mod.rs
@@ -16,7 +16,7 @@
 pub use hub_host::keep;
 
 use async_executor::{LocalExecutor, Task};
-use orchidtally_deployment::Etcd;
+use orchidtally_deployment::EtcdSettings;
 use std::rc::Rc;
 
 /// Executors and front ends have their entries under these names, behind the deployment's prefix.
@@ -27,7 +27,7 @@
 pub fn follow_store<H: MembershipHost + 'static>(
     host: &Rc<H>,
     connections: &StoreConnections,
-    etcd: &Etcd,
+    etcd: &EtcdSettings,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Vec<Task<()>> {
     let executors = format!("{}{EXECUTORS}", etcd.prefix);
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -5,7 +5,7 @@
 use super::follow::{FIRST_RETRY_DELAY, REQUEST_TIMEOUT, list};
 use super::host::MembershipHost;
 use bytes::Bytes;
-use orchidtally_deployment::Etcd;
+use orchidtally_deployment::EtcdSettings;
 use orchidtally_etcd::rpc::compare::{CompareResult, CompareTarget, TargetUnion};
 use orchidtally_etcd::rpc::request_op::Request;
 use orchidtally_etcd::rpc::{
@@ -43,7 +43,7 @@
 }
 
 impl<H: MembershipHost> Registration<H> {
-    pub fn new(host: Rc<H>, client: Rc<Client>, etcd: &Etcd) -> Registration<H> {
+    pub fn new(host: Rc<H>, client: Rc<Client>, etcd: &EtcdSettings) -> Registration<H> {
         let prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
         Registration {
             host,
@@ -176,7 +176,7 @@
             .client
             .both::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
             .await?;
-        orchidtally_socket_io::within(REQUEST_TIMEOUT, stream.next())
+        orchidtally_socket_io::with_timeout(REQUEST_TIMEOUT, stream.next())
             .await
             .unwrap_or(Err(Fault::TimedOut))
     }
--- a/crates/http-frontend/src/etcd/roster.rs
+++ b/crates/http-frontend/src/etcd/roster.rs
@@ -4,8 +4,8 @@
 use super::follow::Follower;
 use super::host::MembershipHost;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
-use orchidtally_membership::cache::Told;
-use orchidtally_membership::{Change, Next};
+use orchidtally_membership::cache::EndpointUpdate;
+use orchidtally_membership::{Change, NextRequest};
 use std::rc::Rc;
 use tracing::debug;
 
@@ -19,7 +19,7 @@
         RosterFollower { host }
     }
 
-    fn tell(&self, told: Told) {
+    fn tell(&self, told: EndpointUpdate) {
         if let Some((kind, rows)) = told {
             self.host.roster_changed(kind, &rows);
         }
@@ -31,7 +31,7 @@
         self.host.now()
     }
 
-    fn next(&self) -> Next {
+    fn next(&self) -> NextRequest {
         self.host.cache().borrow().next()
     }
 
@@ -71,7 +71,7 @@
             .borrow_mut()
             .progressed(self.host.now(), entries::stamp(header));
         // Where a list has to come first, what is known is not what the store has.
-        if let Some(began) = began.filter(|_| self.next() != Next::List) {
+        if let Some(began) = began.filter(|_| self.next() != NextRequest::List) {
             self.host.roster_confirmed(began);
         }
     }
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -4,12 +4,12 @@
 use super::{Hub, number, seconds};
 use crate::pool::{Incoming, Pool};
 use bytes::Bytes;
-use orchidtally_deployment::Source;
+use orchidtally_deployment::EndpointSource;
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::{self, Transport};
 use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{DISPATCH, ORDER, frame};
+use orchidtally_executor_protocol::{DISPATCH, LOAD, frame};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -70,7 +70,7 @@
 
     /// Notes what the end of an exchange says of whether the executor is there.
     fn heard_of(&self, executor: ExecutorId, seen: Option<Transport>) {
-        if !matches!(self.deployment.source, Source::Etcd(_)) {
+        if !matches!(self.deployment.source, EndpointSource::Etcd(_)) {
             return;
         }
         match seen {
@@ -292,19 +292,21 @@
     ) -> Transport {
         let time = seconds(self.deployment.bounds.sender_time);
         loop {
-            let part = match orchidtally_socket_io::within(time, incoming.payload()).await {
+            let part = match orchidtally_socket_io::with_timeout(time, incoming.payload()).await {
                 Some(Ok(Some(part))) => Ok(part),
                 Some(Ok(None)) => return Transport::Answered(DispatchStatus::Ok),
                 Some(Err(seen)) => {
-                    let _ = orchidtally_socket_io::within(time, parts.send(Err(CutOff))).await;
+                    let _ =
+                        orchidtally_socket_io::with_timeout(time, parts.send(Err(CutOff))).await;
                     return seen;
                 }
                 None => {
-                    let _ = orchidtally_socket_io::within(time, parts.send(Err(CutOff))).await;
+                    let _ =
+                        orchidtally_socket_io::with_timeout(time, parts.send(Err(CutOff))).await;
                     return Transport::TimedOut;
                 }
             };
-            match orchidtally_socket_io::within(time, parts.send(part)).await {
+            match orchidtally_socket_io::with_timeout(time, parts.send(part)).await {
                 Some(Ok(())) => {}
                 // The client went away, or stopped reading.
                 Some(Err(_)) | None => return Transport::Answered(DispatchStatus::Cancelled),
@@ -328,8 +330,8 @@
                 order.kind() != v1::OrderKind::Hold || self.order_still_holds(to, given_at);
             may_leave.then(|| frame(&order))
         };
-        let exchange = pool.exchange_if::<v1::OrderAnswer>(ORDER, head, &[]);
-        let answered = orchidtally_socket_io::within(time, exchange).await;
+        let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
+        let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
         let mut differs = false;
         let seen = match answered {
             None => Transport::TimedOut,
--- a/crates/http-frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/hub/invocation.rs
@@ -7,7 +7,7 @@
 use futures_channel::oneshot;
 use orchidtally_deployment::Function;
 use orchidtally_engine::{AdmissionError, FailureReason, InvocationRequest};
-use orchidtally_rollout::split::Who;
+use orchidtally_rollout::split::Caller;
 use orchidtally_rollout::{Invoked, Published, Resolved};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -251,7 +251,7 @@
         asked: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        who: &Who,
+        who: &Caller,
     ) -> Option<Resolved> {
         self.shares
             .borrow_mut()
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -19,16 +19,16 @@
 use crate::promise_store::PromiseStore;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use orchidtally_deployment::{Deployment, Source};
+use orchidtally_deployment::{Deployment, EndpointSource};
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::Engine;
 use orchidtally_engine::baseline::RandomPolicy;
 use orchidtally_engine::clock::Clock;
 use orchidtally_engine::standstill::StallDetector;
 use orchidtally_executor_protocol::v1;
-use orchidtally_membership::members::LATE;
-use orchidtally_membership::{Cache, Members};
-use orchidtally_rollout::Shares;
+use orchidtally_membership::members::MAX_VIEW_DELAY;
+use orchidtally_membership::{EndpointCache, Members};
+use orchidtally_rollout::TrafficSplit;
 use performer::Performer;
 use reconfigure::Revisions;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -57,14 +57,14 @@
     /// How the front end names itself to executors. Its index changes where it claims one in etcd.
     pub sender: Cell<v1::Sender>,
     /// The list of executors, where it comes from etcd.
-    pub cache: RefCell<Cache>,
+    pub cache: RefCell<EndpointCache>,
     /// The front ends, where they are known from etcd.
     pub members: RefCell<Members>,
     /// Time slots of shared budgets, and since when.
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
     /// What the front end knows of rollouts.
-    pub shares: RefCell<Shares>,
+    pub shares: RefCell<TrafficSplit>,
     performer: RefCell<Performer>,
     clock: RefCell<Clock>,
     standstills: RefCell<StallDetector>,
@@ -136,7 +136,7 @@
                 true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
                 false => Engine::new(policy, most, seed, now, &mut performer),
             };
-            let place = orchidtally_rollout::frontend::Place {
+            let place = orchidtally_rollout::frontend::FrontEndLocation {
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
@@ -144,11 +144,11 @@
                 keep_alive: deployment.policy.keep_alive,
             };
             Hub {
-                shares: RefCell::new(Shares::new(place, now)),
+                shares: RefCell::new(TrafficSplit::new(place, now)),
                 revisions: Revisions::new(deployment.clone()),
                 deployment,
                 sender: Cell::new(sender),
-                cache: RefCell::new(Cache::new(now)),
+                cache: RefCell::new(EndpointCache::new(now)),
                 members: RefCell::new(Members::new(sender.count)),
                 slot_count: Cell::new((0, f64::INFINITY)),
                 engine: RefCell::new(engine),
@@ -169,7 +169,7 @@
                 at: Cell::new(None),
             }
         });
-        if let Source::Listed(rows) = &hub.deployment.source {
+        if let EndpointSource::Listed(rows) = &hub.deployment.source {
             hub.play(|engine, now, performer| {
                 engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, performer)
             });
@@ -227,7 +227,7 @@
                     let _ = self.rearm.1.recv().await;
                 };
                 if due.is_finite() {
-                    orchidtally_socket_io::within(seconds(left), woken).await;
+                    orchidtally_socket_io::with_timeout(seconds(left), woken).await;
                 } else {
                     woken.await;
                 }
@@ -298,7 +298,7 @@
         if self.slot_count.get().0 != slot_count {
             self.slot_count.set((slot_count, now));
         }
-        let shares = figure.shares && now >= self.slot_count.get().1 + LATE;
+        let shares = figure.shares && now >= self.slot_count.get().1 + MAX_VIEW_DELAY;
         let index = figure.index.unwrap_or(0);
         self.sender.set(v1::Sender {
             index,
--- a/crates/http-frontend/src/hub/performer.rs
+++ b/crates/http-frontend/src/hub/performer.rs
@@ -9,7 +9,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{AdmissionError, Engine, FailureReason, Host};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{PROBE, frame};
+use orchidtally_executor_protocol::{HEALTH_CHECK, frame};
 use orchidtally_rollout::frontend::{AnswerOutcome, may_move};
 use orchidtally_rollout::{Arm, Invoked};
 use std::cell::Cell;
@@ -377,7 +377,9 @@
             from: Some(hub.sender.get()),
         });
         let work = async move {
-            let answered = pool.exchange::<v1::ProbeAnswer>(PROBE, probe, &[]).await;
+            let answered = pool
+                .exchange::<v1::ProbeAnswer>(HEALTH_CHECK, probe, &[])
+                .await;
             debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "probed");
         };
         if let Some(task) = hub.spawn(work) {
--- a/crates/http-frontend/src/hub/revision.rs
+++ b/crates/http-frontend/src/hub/revision.rs
@@ -5,7 +5,7 @@
 //! customer is given to another one only when nobody holds the old one any more.
 
 use crate::config::{ConfigView, Overlay};
-use orchidtally_deployment::{Deployment, Function, Trigger};
+use orchidtally_deployment::{Deployment, Function, TriggerTypeSettings};
 use orchidtally_dispatch_policy::interface::TriggerType;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::{Rc, Weak};
@@ -14,7 +14,7 @@
 /// A trigger type as one revision has it.
 #[derive(Debug)]
 pub struct TriggerTypeInForce {
-    pub trigger: Trigger,
+    pub trigger: TriggerTypeSettings,
     pub policy: TriggerType,
     /// Its index in the engine.
     pub index: usize,
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -14,7 +14,7 @@
 use orchidtally_deployment::Function;
 use orchidtally_rollout::Resolved;
 use orchidtally_rollout::plan::Key;
-use orchidtally_rollout::split::Who;
+use orchidtally_rollout::split::Caller;
 
 /// The function of an invocation, and the version that it gets.
 struct Target {
@@ -139,7 +139,7 @@
         Some(Key::Token) => asked_headers.token,
         Some(Key::Header(name)) => header(headers, name)?,
     };
-    let who = Who {
+    let who = Caller {
         customer: customer.name,
         location: hub.location(),
         key: key.unwrap_or(invocation),
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -22,7 +22,7 @@
 use hyper::body::Incoming;
 use hyper_util::server::conn::auto;
 use invoke::invoke;
-use orchidtally_socket_io::{Stream, within};
+use orchidtally_socket_io::{Stream, with_timeout};
 use promise::recorded;
 use smol_hyper::rt::SmolTimer;
 use status::status;
@@ -121,7 +121,7 @@
         socket.close().await
     };
     // It was told why, or went away before.
-    let _ = within(Duration::from_secs(1), say).await;
+    let _ = with_timeout(Duration::from_secs(1), say).await;
 }
 
 /// Serves one connection until it ends, or until `leaving` closes and what is open on it is answered.
@@ -133,7 +133,7 @@
 ) {
     let time = Duration::from_secs_f64(hub.deployment.bounds.sender_time);
     let peer = stream.peer();
-    if within(time, stream.readable()).await.is_none() {
+    if with_timeout(time, stream.readable()).await.is_none() {
         debug!(?peer, "closed a connection over which nothing came");
         return;
     }
--- a/crates/http-frontend/src/ingress/promise.rs
+++ b/crates/http-frontend/src/ingress/promise.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
-use orchidtally_mqtt_triggers::promises::{Outcome, Standing};
+use orchidtally_mqtt_triggers::promises::{InvocationState, Outcome};
 use std::rc::Rc;
 
 /// What comes of an invocation that is offered under a name.
@@ -25,7 +25,7 @@
     name: &str,
 ) -> Result<Offered, Problem> {
     match promise_store.offered(hub.now(), name).await {
-        Ok((Standing::New(_), Some(promised))) => Ok(Offered::Promised(promised)),
+        Ok((InvocationState::New(_), Some(promised))) => Ok(Offered::Promised(promised)),
         Ok((standing, _)) => Ok(Offered::Known(recorded(standing))),
         Err(NotKept) => {
             let detail = "the journal can't be written; nothing has run";
@@ -37,14 +37,14 @@
 }
 
 /// The response to a request for an invocation that was promised before.
-pub(super) fn recorded(standing: Standing) -> Response<Answer> {
+pub(super) fn recorded(standing: InvocationState) -> Response<Answer> {
     match standing {
-        Standing::Over(Outcome::Answered {
+        InvocationState::Over(Outcome::Answered {
             status,
             body,
             whole,
         }) => mark(recorded_answer(status, body, whole), RECORDED),
-        Standing::Over(Outcome::Unknown) => {
+        InvocationState::Over(Outcome::Unknown) => {
             let detail = "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
             mark(
                 problem(
@@ -56,13 +56,13 @@
                 RECORDED,
             )
         }
-        Standing::Running | Standing::New(_) => problem(
+        InvocationState::Running | InvocationState::New(_) => problem(
             StatusCode::CONFLICT,
             "still running",
             "an invocation of this name is under way",
             true,
         ),
-        Standing::Full => {
+        InvocationState::Full => {
             let detail = "as many invocations are kept as may be; nothing has run";
             problem(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail, false)
         }
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use orchidtally_socket_io::within;
+use orchidtally_socket_io::with_timeout;
 use std::time::Duration;
 
 /// The function that a path names.
@@ -77,7 +77,7 @@
         }
         Ok((chunks, length))
     };
-    within(Duration::from_secs_f64(bounds.sender_time), gather)
+    with_timeout(Duration::from_secs_f64(bounds.sender_time), gather)
         .await
         .unwrap_or_else(|| {
             let detail = format!("it has to be here within {} s", bounds.sender_time);
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -24,7 +24,7 @@
 fn roster(hub: &Hub) -> serde_json::Value {
     if !matches!(
         hub.deployment.source,
-        orchidtally_deployment::Source::Etcd(_)
+        orchidtally_deployment::EndpointSource::Etcd(_)
     ) {
         return serde_json::Value::Null;
     }
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -150,7 +150,7 @@
     let deadline = Instant::now() + Duration::from_secs_f64(hub.longest_timeout()) + LEAVE_MARGIN;
     if let Some(consuming) = consuming {
         // Messages in hand may have to be dispatched yet.
-        let left = orchidtally_socket_io::within(deadline - Instant::now(), consuming).await;
+        let left = orchidtally_socket_io::with_timeout(deadline - Instant::now(), consuming).await;
         if left.is_none() {
             warn!("left with messages in hand: the journal has them");
         }
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -9,9 +9,9 @@
 use futures_rustls::rustls::{ClientConfig, RootCertStore};
 use orchidtally_mqtt::decode;
 use orchidtally_mqtt::packet::Packet;
-use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::TriggerSettings;
 use orchidtally_mqtt_triggers::ledger::Answer;
-use orchidtally_mqtt_triggers::section::Tls;
+use orchidtally_mqtt_triggers::section::TlsSettings;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
     pub(super) _tasks: [Option<Task<()>>; 2],
 }
 
-fn tls(section: &Tls) -> Result<TlsConnector, Box<dyn std::error::Error>> {
+fn tls(section: &TlsSettings) -> Result<TlsConnector, Box<dyn std::error::Error>> {
     let mut roots = RootCertStore::empty();
     for certificate in CertificateDer::pem_file_iter(&section.authorities)? {
         roots.add(certificate?)?;
@@ -68,7 +68,7 @@
     Ok(TlsConnector::from(Arc::new(config)))
 }
 
-pub(super) async fn connect(section: &Section) -> io::Result<Box<dyn Wire>> {
+pub(super) async fn connect(section: &TriggerSettings) -> io::Result<Box<dyn Wire>> {
     let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIME).await?;
     let Some(wanted) = &section.tls else {
         return Ok(Box::new(stream));
@@ -76,7 +76,8 @@
     // The files are read for each connection, so that those that were replaced count from the next on.
     let connector = tls(wanted).map_err(|e| io::Error::other(format!("TLS: {e}")))?;
     let name = ServerName::try_from(wanted.name.clone()).map_err(io::Error::other)?;
-    let shaken = orchidtally_socket_io::within(CONNECT_TIME, connector.connect(name, stream)).await;
+    let shaken =
+        orchidtally_socket_io::with_timeout(CONNECT_TIME, connector.connect(name, stream)).await;
     Ok(Box::new(shaken.ok_or_else(|| {
         io::Error::from(io::ErrorKind::TimedOut)
     })??))
@@ -86,7 +87,7 @@
 pub(super) async fn read(
     mut stream: impl AsyncRead + Unpin,
     number: u64,
-    section: Rc<Section>,
+    section: Rc<TriggerSettings>,
     inputs: async_channel::Sender<Input>,
 ) {
     let (mut buffer, mut bytes) = (BytesMut::new(), vec![0; 16 * 1024]);
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -7,8 +7,8 @@
 use crate::hub::Hub;
 use bytes::Bytes;
 use futures_lite::future;
-use orchidtally_journal::Group;
-use orchidtally_mqtt_triggers::{Consumer, Section};
+use orchidtally_journal::GroupCommit;
+use orchidtally_mqtt_triggers::{Consumer, TriggerSettings};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{debug, error, info};
@@ -64,7 +64,7 @@
     let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
-    let journal = Group::sharing(journal, most_entries, sharing);
+    let journal = GroupCommit::sharing(journal, most_entries, sharing);
     let mut host = ConsumerHost::new(
         hub.clone(),
         section,
@@ -96,7 +96,10 @@
             Some(Wake::Leave)
         };
         let wake = future::or(journal_result, future::or(input, leave));
-        match orchidtally_socket_io::within(sleep, wake).await.flatten() {
+        match orchidtally_socket_io::with_timeout(sleep, wake)
+            .await
+            .flatten()
+        {
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
             Some(Wake::Leave) => {
@@ -121,7 +124,7 @@
     debug!("no more messages are carried");
 }
 
-fn read_password(section: &Section) -> Option<Bytes> {
+fn read_password(section: &TriggerSettings) -> Option<Bytes> {
     let file = section.password_file.as_ref()?;
     match std::fs::read(file) {
         Ok(bytes) => Some(Bytes::from(bytes.trim_ascii_end().to_vec())),
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -6,10 +6,10 @@
 use crate::hub::{Hub, TriggerStatus};
 use async_executor::Task;
 use orchidtally_deployment::Deployment;
-use orchidtally_journal::Group;
+use orchidtally_journal::GroupCommit;
 use orchidtally_mqtt::encode;
 use orchidtally_mqtt_triggers::consumer::{HostAction, Notice};
-use orchidtally_mqtt_triggers::{Consumer, Section};
+use orchidtally_mqtt_triggers::{Consumer, TriggerSettings};
 use std::collections::HashMap;
 use std::io;
 use std::rc::Rc;
@@ -38,9 +38,9 @@
 /// A consumer with what it commands.
 pub(super) struct ConsumerHost {
     hub: Rc<Hub>,
-    section: Rc<Section>,
+    section: Rc<TriggerSettings>,
     pub(super) consumer: Consumer,
-    journal: Group,
+    journal: GroupCommit,
     inputs: async_channel::Sender<Input>,
     journal_results: async_channel::Sender<JournalResult>,
     connection: Option<Connection>,
@@ -57,9 +57,9 @@
 impl ConsumerHost {
     pub(super) fn new(
         hub: Rc<Hub>,
-        section: Rc<Section>,
+        section: Rc<TriggerSettings>,
         consumer: Consumer,
-        journal: Group,
+        journal: GroupCommit,
         inputs: async_channel::Sender<Input>,
         journal_results: async_channel::Sender<JournalResult>,
     ) -> ConsumerHost {
@@ -356,7 +356,7 @@
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
         if let Some(write) = write {
-            let _ = orchidtally_socket_io::within(CLOSE_TIME, write).await;
+            let _ = orchidtally_socket_io::with_timeout(CLOSE_TIME, write).await;
         }
     }
 }
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -6,7 +6,7 @@
 use orchidtally_engine::FailureReason;
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
 use orchidtally_rollout::plan::Key;
-use orchidtally_rollout::split::Who;
+use orchidtally_rollout::split::Caller;
 use std::rc::Rc;
 
 /// The answer to a message that the configuration does not let through: one that may be let through later is throttled,
@@ -74,7 +74,7 @@
         Some(Key::Token) if !target.token.is_empty() => &target.token,
         _ => &message.name,
     };
-    let who = Who {
+    let who = Caller {
         customer: &target.customer,
         location: hub.location(),
         key,
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -1,6 +1,6 @@
 //! Watches the files of TLS, so that a connection is made anew when its certificates were replaced.
 
-use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::TriggerSettings;
 use std::path::PathBuf;
 use std::time::SystemTime;
 
@@ -16,7 +16,7 @@
 }
 
 impl TlsFiles {
-    pub(super) fn new(section: &Section, now: f64) -> TlsFiles {
+    pub(super) fn new(section: &TriggerSettings, now: f64) -> TlsFiles {
         let mut paths = vec![];
         if let Some(tls) = &section.tls {
             paths.push(tls.authorities.clone());
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -1,7 +1,7 @@
 //! What a front end needs to serve triggers by messages.
 
 use orchidtally_journal::Journal;
-use orchidtally_mqtt_triggers::Section;
+use orchidtally_mqtt_triggers::TriggerSettings;
 use orchidtally_mqtt_triggers::ledger::Record;
 use std::io;
 use std::path::Path;
@@ -11,7 +11,7 @@
 
 /// What a front end needs to serve triggers: the section, and its journal with what stood in it.
 pub struct Triggers {
-    pub section: Section,
+    pub section: TriggerSettings,
     pub(super) journal: Journal,
     pub(super) records: Vec<Record>,
     pub(super) cut: u64,
@@ -43,7 +43,7 @@
 
 impl Triggers {
     /// Opens the journal of a front end.
-    pub fn open(section: Section, index: u32) -> io::Result<Triggers> {
+    pub fn open(section: TriggerSettings, index: u32) -> io::Result<Triggers> {
         let folder = section.folder(index);
         let (journal, found) = Journal::open(&folder)?;
         let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
--- a/crates/http-frontend/src/pool.rs
+++ b/crates/http-frontend/src/pool.rs
@@ -7,7 +7,7 @@
 use h2::client::SendRequest;
 use h2::{Ping, PingPong};
 use orchidtally_engine::evidence::Transport;
-use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, LONGEST_HEAD};
+use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, MAX_MESSAGE_LENGTH};
 use prost::Message;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -154,7 +154,7 @@
                 spawner.spawn(self.clone().open()).detach();
             }
             let left = deadline.saturating_duration_since(Instant::now());
-            match orchidtally_socket_io::within(left, woken).await {
+            match orchidtally_socket_io::with_timeout(left, woken).await {
                 Some(Ok(None)) => {}
                 Some(Ok(Some(why))) => return Err(why),
                 Some(Err(_)) | None => {
@@ -188,7 +188,7 @@
             let ping = driver.ping_pong();
             Ok::<_, std::io::Error>((sender, driver, written, ping))
         };
-        let shaken = orchidtally_socket_io::within(self.caps.connect_time, handshake).await;
+        let shaken = orchidtally_socket_io::with_timeout(self.caps.connect_time, handshake).await;
         self.state.borrow_mut().connecting -= 1;
         let (sender, driver, written, ping) = match shaken {
             Some(Ok(shaken)) => shaken,
@@ -257,7 +257,7 @@
         payload: &[Bytes],
     ) -> Result<(M, Incoming), Transport> {
         let mut incoming = self.begin(path, head, payload).await?;
-        let message = incoming.message(LONGEST_HEAD).await?;
+        let message = incoming.message(MAX_MESSAGE_LENGTH).await?;
         Ok((message, incoming))
     }
 
--- a/crates/http-frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/promise_store.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use futures_channel::oneshot;
 use orchidtally_deployment::Deployment;
-use orchidtally_journal::{Group, Journal, Recovered};
-use orchidtally_mqtt_triggers::promises::{Promises, Record, Standing};
+use orchidtally_journal::{GroupCommit, Journal, Recovered};
+use orchidtally_mqtt_triggers::promises::{DurableInvocations, InvocationState, Record};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::Path;
@@ -22,8 +22,8 @@
 
 /// The promises of a front end and their journal.
 pub struct PromiseStore {
-    promises: RefCell<Promises>,
-    journal: Group,
+    promises: RefCell<DurableInvocations>,
+    journal: GroupCommit,
     /// Bytes of the entries since the last snapshot.
     entry_bytes: Cell<u64>,
     max_bytes: u64,
@@ -64,8 +64,8 @@
         let folder = settings.folder(deployment.policy.front_end_index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
-        let promises =
-            Promises::new(settings.keep, settings.most_kept, MAX_BODY).recover(&records, now);
+        let promises = DurableInvocations::new(settings.keep, settings.most_kept, MAX_BODY)
+            .recover(&records, now);
         if !promises.is_empty() {
             info!(
                 names = promises.len(),
@@ -75,14 +75,14 @@
         Ok(Some(PromiseStore {
             promises: RefCell::new(promises),
             entry_bytes: Cell::new(journal.length()),
-            journal: Group::new(journal, MAX_WAITING),
+            journal: GroupCommit::new(journal, MAX_WAITING),
             max_bytes: settings.max_bytes,
             failed: Cell::new(false),
         }))
     }
 
     /// The state of an invocation by its name.
-    pub fn standing(&self, name: &str) -> Option<Standing> {
+    pub fn standing(&self, name: &str) -> Option<InvocationState> {
         self.promises.borrow().standing(name)
     }
 
@@ -134,12 +134,12 @@
         self: &Rc<Self>,
         now: f64,
         name: &str,
-    ) -> Result<(Standing, Option<Promised>), NotKept> {
+    ) -> Result<(InvocationState, Option<Promised>), NotKept> {
         if self.needs_snapshot() && !self.write_snapshot().await {
             return Err(NotKept);
         }
         let standing = self.promises.borrow_mut().offered(now, name);
-        let Standing::New(record) = &standing else {
+        let InvocationState::New(record) = &standing else {
             return Ok((standing, None));
         };
         let mut promised = Promised {
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -2,7 +2,7 @@
 //! whole or not at all.
 
 use crate::hub::{Hub, ReconfigureError};
-use orchidtally_deployment::{Fault, restart_needed};
+use orchidtally_deployment::{DeploymentFault, restart_needed};
 use std::io;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -24,16 +24,16 @@
     #[error("it can't be read: {0}; put it back, readable for this user")]
     Unreadable(#[from] io::Error),
     #[error("it has {} faults; mend them, as `orchidtally check` tells them too", .0.len())]
-    Faults(Vec<Fault>),
+    Faults(Vec<DeploymentFault>),
     #[error("{} of its changes need a restart; restart this front end, or take them back", .0.len())]
-    NeedsRestart(Vec<Fault>),
+    NeedsRestart(Vec<DeploymentFault>),
     #[error(transparent)]
     Refused(#[from] ReconfigureError),
 }
 
 impl ReloadError {
     /// Where in the file it lies, as far as that can be told.
-    fn places(&self) -> &[Fault] {
+    fn places(&self) -> &[DeploymentFault] {
         match self {
             ReloadError::Faults(places) | ReloadError::NeedsRestart(places) => places,
             ReloadError::Unreadable(_) | ReloadError::Refused(_) => &[],
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -5,7 +5,7 @@
 use http::{Method, StatusCode};
 use orchidtally_rollout::Published;
 use orchidtally_rollout::frontend::EvidenceReport;
-use orchidtally_socket_io::http::ask;
+use orchidtally_socket_io::http::fetch;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// One round with one coordinator.
 async fn exchange(at: SocketAddr, told: &EvidenceReport) -> Result<Published, String> {
     let body = serde_json::to_vec(told).map_err(|e| e.to_string())?;
-    let (status, answer) = ask(at, Method::POST, EXCHANGE, body, PATIENCE)
+    let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, PATIENCE)
         .await
         .map_err(|e| e.to_string())?;
     if status != StatusCode::OK {
--- a/crates/http-frontend/src/roster.rs
+++ b/crates/http-frontend/src/roster.rs
@@ -10,7 +10,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::Transport;
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{LONGEST_ROSTER, ROSTER, frame};
+use orchidtally_executor_protocol::{ENDPOINTS, MAX_ENDPOINT_LIST_LENGTH, frame};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -94,13 +94,15 @@
     });
     let asked_at = hub.now();
     let first = async {
-        let mut incoming = pool.begin(ROSTER, || Some(question), &[]).await?;
+        let mut incoming = pool.begin(ENDPOINTS, || Some(question), &[]).await?;
         Ok((
-            incoming.message::<v1::RosterUpdate>(LONGEST_ROSTER).await?,
+            incoming
+                .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
+                .await?,
             incoming,
         ))
     };
-    let first = orchidtally_socket_io::within(PING_TIMEOUT, first)
+    let first = orchidtally_socket_io::with_timeout(PING_TIMEOUT, first)
         .await
         .ok_or(Ended::Silent)?;
     let (list, incoming) = first.map_err(Ended::Connection)?;
@@ -137,7 +139,9 @@
     mut incoming: Incoming,
 ) -> Result<std::convert::Infallible, Ended> {
     loop {
-        let update = incoming.message::<v1::RosterUpdate>(LONGEST_ROSTER).await;
+        let update = incoming
+            .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
+            .await;
         take(hub, &update.map_err(Ended::Connection)?)?;
     }
 }
@@ -146,7 +150,7 @@
     loop {
         Timer::after(PING_INTERVAL).await;
         let asked_at = hub.now();
-        let answered = orchidtally_socket_io::within(PING_TIMEOUT, pinger.ping()).await;
+        let answered = orchidtally_socket_io::with_timeout(PING_TIMEOUT, pinger.ping()).await;
         answered.ok_or(Ended::Silent)?.map_err(Ended::Connection)?;
         hub.roster_confirmed(asked_at);
     }
--- a/crates/http-frontend/src/roster_source.rs
+++ b/crates/http-frontend/src/roster_source.rs
@@ -3,7 +3,7 @@
 use crate::hub::Hub;
 use crate::{etcd, roster};
 use async_executor::Task;
-use orchidtally_deployment::Source;
+use orchidtally_deployment::EndpointSource;
 use std::rc::Rc;
 use tracing::info;
 
@@ -11,13 +11,13 @@
 /// following, and the one in etcd is followed for as long as the front end lives.
 pub fn watch(hub: &Rc<Hub>) -> Option<Task<()>> {
     match &hub.deployment.source {
-        Source::Listed(_) => None,
-        Source::Etcd(settings) => {
+        EndpointSource::Listed(_) => None,
+        EndpointSource::Etcd(settings) => {
             info!(endpoints = ?settings.endpoints, "following the roster in etcd");
             etcd::keep(hub, settings);
             None
         }
-        Source::Publisher(publisher) => {
+        EndpointSource::Publisher(publisher) => {
             info!(%publisher, "asking for the roster");
             hub.spawn(roster::watch(hub.clone(), *publisher))
         }
--- a/crates/http-frontend/tests/config_faults.rs
+++ b/crates/http-frontend/tests/config_faults.rs
@@ -3,8 +3,8 @@
 mod config_kit;
 
 use config_kit::{FrontEnd, Writer, deployment, executor, folder, function, on, until};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 
 /// A silent store has to be noticed within this time, in seconds.
 const NOTICED_WITHIN: f64 = 3.0;
@@ -13,8 +13,8 @@
 
 #[test]
 fn a_silent_store_is_noticed_and_left_and_what_changed_meanwhile_comes_in() {
-    let stage = Stage::new(11);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(11);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let snapshot = folder("config-silent").join("s");
     let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
     let writer = Writer::new(&stage, &etcd);
@@ -58,8 +58,8 @@
 
 #[test]
 fn the_report_stands_as_long_as_the_front_end_and_no_longer() {
-    let stage = Stage::new(12);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(12);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let snapshot = folder("config-lease").join("s");
     let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
     let writer = Writer::new(&stage, &etcd);
@@ -89,8 +89,8 @@
 
 #[test]
 fn a_compaction_that_overtakes_the_watch_loses_no_change_and_no_deletion() {
-    let stage = Stage::new(13);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(13);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let snapshot = folder("config-compacted").join("s");
     let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
     let writer = Writer::new(&stage, &etcd);
--- a/crates/http-frontend/tests/config_hosts.rs
+++ b/crates/http-frontend/tests/config_hosts.rs
@@ -10,8 +10,8 @@
 use orchidtally_http_frontend::config::{
     ApplyError, ConfigHost, ConfigTarget, HostSettings, sync_settings,
 };
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -44,7 +44,7 @@
 
 type Host = ConfigHost<GatewaySchema, Target>;
 
-fn host(stage: &Stage, etcd: &Served, number: u64) -> Rc<Host> {
+fn host(stage: &TestEnvironment, etcd: &EtcdServer, number: u64) -> Rc<Host> {
     let client = Client::new(etcd.addresses.clone(), stage.tasks.clone());
     (0..number % 5).for_each(|_| client.fail_over());
     let settings = HostSettings::new(format!("front-end-{number}"));
@@ -68,8 +68,8 @@
 
 #[test]
 fn many_hosts_in_one_thread_have_a_change_in_force_and_rest_within_their_bytes() {
-    let stage = Stage::new(21);
-    let etcd = Served::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
+    let stage = TestEnvironment::new(21);
+    let etcd = EtcdServer::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
     let hosts: Vec<Rc<Host>> = (0..HOSTS as u64)
         .map(|number| host(&stage, &etcd, number))
         .collect();
@@ -117,8 +117,8 @@
 
 #[test]
 fn a_view_that_is_not_taken_is_offered_again_and_not_reported_before() {
-    let stage = Stage::new(22);
-    let etcd = Served::start(&stage, 1).unwrap();
+    let stage = TestEnvironment::new(22);
+    let etcd = EtcdServer::start(&stage, 1).unwrap();
     let host = host(&stage, &etcd, 0);
     stage.spawn(host.clone().run()).detach();
     let writer = Writer::new(&stage, &etcd);
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -14,10 +14,12 @@
 };
 use orchidtally_etcd::{Client, Fault, RANGE, TXN};
 use orchidtally_http_frontend::Start;
-use orchidtally_test_servers::etcd::Served;
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, digest, echo};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::etcd::EtcdServer;
+use orchidtally_test_servers::executor::{
+    Executor, ExecutorSpec, Program, SharedResources, digest, echo,
+};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -36,7 +38,7 @@
 const EXCHANGE_TIME: Duration = Duration::from_millis(700);
 
 /// Runs a case to its end.
-pub fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(60.0).await;
         panic!("the case did not end");
@@ -45,9 +47,9 @@
 }
 
 /// An executor that serves any function.
-pub fn executor(stage: &Stage) -> SocketAddr {
-    let around = Surroundings {
-        store: Store::new(stage, 8.0, 8),
+pub fn executor(stage: &TestEnvironment) -> SocketAddr {
+    let around = SharedResources {
+        store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(|name| {
             let work = if name.starts_with("slow") {
                 SLOW
@@ -65,7 +67,7 @@
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, Make::roomy(1), any_port(), around)
+    Executor::start(stage, ExecutorSpec::roomy(1), unused_address(), around)
         .unwrap()
         .address
 }
@@ -125,7 +127,7 @@
 
 impl FrontEnd {
     pub fn start(text: String, seed: u64) -> FrontEnd {
-        let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
+        let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
         let at = listener.get_ref().local_addr().unwrap();
         let (stop, stopped) = async_channel::bounded(1);
         let thread = std::thread::spawn(move || {
@@ -153,7 +155,7 @@
     /// Invokes a function: the status and the answer's body.
     pub async fn invoke(&self, function: &str) -> (u16, String) {
         let path = format!("/v1/functions/{function}/invocations");
-        let asked = orchidtally_socket_io::http::ask(
+        let asked = orchidtally_socket_io::http::fetch(
             self.at,
             Method::POST,
             &path,
@@ -170,7 +172,7 @@
 
     /// What it says of its configuration.
     pub async fn configuration(&self) -> Value {
-        let asked = orchidtally_socket_io::http::ask(
+        let asked = orchidtally_socket_io::http::fetch(
             self.at,
             Method::GET,
             "/v1/front-end",
@@ -194,7 +196,7 @@
 }
 
 /// Waits until something is so.
-pub async fn until(stage: &Stage, what: &str, mut is_so: impl AsyncFnMut() -> bool) {
+pub async fn until(stage: &TestEnvironment, what: &str, mut is_so: impl AsyncFnMut() -> bool) {
     let end = stage.now() + PATIENCE;
     while !is_so().await {
         assert!(stage.now() < end, "not within {PATIENCE} s: {what}");
@@ -210,7 +212,7 @@
 }
 
 impl Writer {
-    pub fn new(stage: &Stage, etcd: &Served) -> Writer {
+    pub fn new(stage: &TestEnvironment, etcd: &EtcdServer) -> Writer {
         let client = Client::new(etcd.addresses.clone(), stage.tasks.clone());
         Writer {
             client,
--- a/crates/http-frontend/tests/config_leaving.rs
+++ b/crates/http-frontend/tests/config_leaving.rs
@@ -5,8 +5,8 @@
 use config_kit::{FrontEnd, Writer, deployment, executor, folder, function, on, until};
 use orchidtally_config_sync::in_force::{Written, ended};
 use orchidtally_config_sync::{InForce, Report, ReportedState, in_force};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
@@ -30,8 +30,8 @@
 
 #[test]
 fn a_front_end_that_ends_is_gone_and_one_that_dies_is_missing() {
-    let stage = Stage::new(31);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(31);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let (executor, folder) = (executor(&stage), folder("config-leaving"));
     let [stays, ends] = [1, 2].map(|n| {
         let snapshot = folder.join(format!("{n}.snapshot"));
@@ -101,7 +101,7 @@
     });
 }
 
-fn revocations(etcd: &Served) -> u64 {
+fn revocations(etcd: &EtcdServer) -> u64 {
     (0..3)
         .map(|member| etcd.counters(member).exchanges.lease_revocations)
         .sum()
@@ -109,8 +109,8 @@
 
 #[test]
 fn a_store_that_does_not_answer_delays_no_end() {
-    let stage = Stage::new(32);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(32);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let (executor, folder) = (executor(&stage), folder("config-leaving-silent"));
     let [silent, away] = [1, 2].map(|n| {
         let snapshot = folder.join(format!("{n}.snapshot"));
