--- a/crates/http-frontend/tests/config_sync.rs
+++ b/crates/http-frontend/tests/config_sync.rs
@@ -5,8 +5,8 @@
 use config_kit::{FrontEnd, Writer, deployment, executor, folder, function, on, until};
 use orchidtally_config_sync::in_force::Written;
 use orchidtally_config_sync::{InForce, in_force};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::{CrashPoint, Served};
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::{CrashPoint, EtcdServer};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -18,8 +18,8 @@
 
 #[test]
 fn a_change_is_in_force_at_two_front_ends_without_a_restart_and_the_writer_sees_it() {
-    let stage = Stage::new(1);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let (executor, folder) = (executor(&stage), folder("config-two"));
     let front_ends = [1, 2].map(|n| {
         let snapshot = folder.join(format!("{n}.snapshot"));
@@ -86,8 +86,8 @@
 
 #[test]
 fn a_transaction_half_of_which_is_invalid_is_rejected_whole_with_key_reason_and_remedy() {
-    let stage = Stage::new(2);
-    let etcd = Served::start(&stage, 1).unwrap();
+    let stage = TestEnvironment::new(2);
+    let etcd = EtcdServer::start(&stage, 1).unwrap();
     let snapshot = folder("config-invalid").join("s");
     let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
     let writer = Writer::new(&stage, &etcd);
@@ -159,8 +159,8 @@
 
 #[test]
 fn with_the_store_away_it_starts_from_its_snapshot_and_refuses_what_may_have_been_taken_away() {
-    let stage = Stage::new(3);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(3);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let (executor, snapshot) = (executor(&stage), folder("config-away").join("s"));
     let text = deployment(executor, &etcd.addresses, &snapshot);
     let writer = Writer::new(&stage, &etcd);
@@ -224,8 +224,8 @@
 
 #[test]
 fn a_store_that_was_set_back_is_not_followed() {
-    let stage = Stage::new(4);
-    let etcd = Served::start(&stage, 3).unwrap();
+    let stage = TestEnvironment::new(4);
+    let etcd = EtcdServer::start(&stage, 3).unwrap();
     let snapshot = folder("config-back").join("s");
     let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
     let writer = Writer::new(&stage, &etcd);
@@ -272,8 +272,8 @@
 
 #[test]
 fn two_of_five_members_die_in_the_middle_of_a_change() {
-    let stage = Stage::new(5);
-    let etcd = Served::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
+    let stage = TestEnvironment::new(5);
+    let etcd = EtcdServer::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
     let (executor, folder) = (executor(&stage), folder("config-members"));
     let front_ends = [1, 2, 3].map(|n| {
         let snapshot = folder.join(format!("{n}.snapshot"));
--- a/crates/http-frontend/tests/departures.rs
+++ b/crates/http-frontend/tests/departures.rs
@@ -3,18 +3,18 @@
 mod gateway_kit;
 
 use gateway_kit::*;
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::client::Caller;
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::client::TestClient;
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::rc::Rc;
 
 /// Seconds that an invocation takes; the next one waits for its stream for as long.
 const WORK: f64 = 0.6;
 
-fn slow_executor(stage: &Stage) -> Rc<Executor> {
+fn slow_executor(stage: &TestEnvironment) -> Rc<Executor> {
     let program = |_: &str| {
         Some(Program {
             lanes: 32,
@@ -24,13 +24,13 @@
             ..Program::default()
         })
     };
-    let around = Surroundings {
-        store: Store::new(stage, 8.0, 8),
+    let around = SharedResources {
+        store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(program),
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, Make::roomy(0), any_port(), around).unwrap()
+    Executor::start(stage, ExecutorSpec::roomy(0), unused_address(), around).unwrap()
 }
 
 /// A front end with one stream to each executor.
@@ -43,17 +43,17 @@
 
 #[test]
 fn nothing_leaves_for_an_executor_that_was_told_draining_while_it_waited_for_a_stream() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = slow_executor(&stage);
     let publisher = Publisher::start(
         &stage,
-        any_port(),
-        vec![row(0, one.address, Standing::Ready)],
+        unused_address(),
+        vec![row(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
     publisher.delay.set(0.0);
     let gateway = narrow_gateway(&format!("publisher: \"{}\"", publisher.address));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("warms", LOOK)).await), 200);
         let out = all(
@@ -63,7 +63,7 @@
         );
         let drain = async {
             stage.sleep(WORK / 3.0).await;
-            publisher.change(0, Standing::Draining, f64::NEG_INFINITY);
+            publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
         };
         let (heard, ()) = futures_lite::future::zip(out, drain).await;
         let statuses: Vec<u16> = heard.iter().map(status).collect();
@@ -73,8 +73,7 @@
             "{statuses:?}"
         );
     });
-    let reached =
-        |r: &Record| matches!(r, Record::Reached { invocation, .. } if invocation.starts_with('a'));
+    let reached = |r: &TrafficRecord| matches!(r, TrafficRecord::Reached { invocation, .. } if invocation.starts_with('a'));
     assert_eq!(
         stage.records().iter().filter(|r| reached(r)).count(),
         1,
@@ -86,10 +85,10 @@
 /// The term: at most what the client has left, with 0.15 s of slack.
 #[test]
 fn an_executor_is_told_the_time_that_is_left_as_the_dispatch_leaves() {
-    let stage = Stage::new(2);
+    let stage = TestEnvironment::new(2);
     let one = slow_executor(&stage);
     let gateway = narrow_gateway(&listed(&[one.address]));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("warms", LOOK)).await), 200);
         let asked = ask("waits", ACT);
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -4,19 +4,19 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_etcd::rpc::{DeleteRangeRequest, PutRequest};
 use orchidtally_http_frontend::Start;
-use orchidtally_invariants::Record;
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
-use orchidtally_test_servers::etcd::Served;
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_invariants::TrafficRecord;
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
+use orchidtally_test_servers::etcd::EtcdServer;
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use serde_json::Value;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(30.0).await;
         panic!("the case did not end");
@@ -24,9 +24,9 @@
     async_io::block_on(stage.tasks.run(futures_lite::future::or(work, late)))
 }
 
-fn executor(stage: &Stage, number: usize) -> Rc<Executor> {
-    let around = Surroundings {
-        store: Store::new(stage, 8.0, 8),
+fn executor(stage: &TestEnvironment, number: usize) -> Rc<Executor> {
+    let around = SharedResources {
+        store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
                 lanes: 32,
@@ -39,12 +39,12 @@
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, Make::roomy(number), any_port(), around).unwrap()
+    Executor::start(stage, ExecutorSpec::roomy(number), unused_address(), around).unwrap()
 }
 
 struct World {
-    stage: Stage,
-    etcd: Rc<Served>,
+    stage: TestEnvironment,
+    etcd: Rc<EtcdServer>,
     executors: Vec<Rc<Executor>>,
 }
 
@@ -81,8 +81,13 @@
 
     async fn standing(&self, at: SocketAddr) -> Value {
         let time = Duration::from_secs(2);
-        let asked =
-            orchidtally_socket_io::http::ask(at, http::Method::GET, "/v1/front-end", vec![], time);
+        let asked = orchidtally_socket_io::http::fetch(
+            at,
+            http::Method::GET,
+            "/v1/front-end",
+            vec![],
+            time,
+        );
         serde_json::from_slice(&asked.await.unwrap().1).unwrap()
     }
 
@@ -97,24 +102,24 @@
     }
 
     /// Where some invocations ran.
-    async fn ran(&self, caller: &Caller, label: &str) -> Vec<usize> {
+    async fn ran(&self, caller: &TestClient, label: &str) -> Vec<usize> {
         for n in 0..20 {
-            let ask = Ask {
+            let ask = ClientRequest {
                 invocation: format!("{label}-{n}"),
                 function: format!("f{}", n % 5),
                 trigger_type: (0, "look".into()),
                 time_left: 3.0,
-                ..Ask::default()
+                ..ClientRequest::default()
             };
             let heard = caller.invoke(&ask).await;
             assert!(
-                matches!(heard, Heard::Answered { status: 200, .. }),
+                matches!(heard, ClientOutcome::Answered { status: 200, .. }),
                 "{label}: {heard:?}"
             );
         }
         let records = self.stage.records();
-        let of = |r: &Record| match r {
-            Record::Ran {
+        let of = |r: &TrafficRecord| match r {
+            TrafficRecord::Ran {
                 executor,
                 invocation,
                 ..
@@ -132,8 +137,8 @@
 
 #[test]
 fn drains_hold_over_another_registration_and_bad_entries_change_nothing() {
-    let stage = Stage::new(3);
-    let etcd = Served::start(&stage, 2).unwrap();
+    let stage = TestEnvironment::new(3);
+    let etcd = EtcdServer::start(&stage, 2).unwrap();
     let executors = (0..3).map(|n| executor(&stage, n)).collect();
     let w = World {
         stage,
@@ -153,7 +158,7 @@
             executors: {{ etcd: {{ endpoints: [{}], lease: "2s" }} }} }}"#,
         endpoints.join(", ")
     );
-    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let thread = std::thread::spawn(move || {
@@ -171,7 +176,7 @@
         };
         orchidtally_http_frontend::run(start, listener);
     });
-    let caller = Caller::new(&w.stage, 0, 0, at, false);
+    let caller = TestClient::new(&w.stage, 0, 0, at, false);
     on(&w.stage, async {
         let heard = |revision: i64| {
             move |r: &Value| {
--- a/crates/http-frontend/tests/etcd_age.rs
+++ b/crates/http-frontend/tests/etcd_age.rs
@@ -5,17 +5,17 @@
 use bytes::Bytes;
 use gateway_kit::{LOOK, ask, description, executor, gateway, on, status};
 use orchidtally_etcd::rpc::PutRequest;
-use orchidtally_invariants::Record;
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::client::{Ask, Caller};
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_invariants::TrafficRecord;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::client::{ClientRequest, TestClient};
+use orchidtally_test_servers::etcd::EtcdServer;
 use orchidtally_test_servers::executor::Executor;
 use std::rc::Rc;
 
 /// For so long a front end may follow a member without a leader, in seconds.
 const FAILS_OVER_WITHIN: f64 = 3.0;
 
-fn put(etcd: &Served, executor: &Executor, standing: &str) {
+fn put(etcd: &EtcdServer, executor: &Executor, standing: &str) {
     let key = format!("/orchidtally/executors/{}", executor.address).into();
     let value = Bytes::from(format!(r#"{{"standing":"{standing}","since":1}}"#));
     etcd.store
@@ -29,9 +29,9 @@
 }
 
 /// Executors at which invocations ran whose names begin so.
-fn ran_at(stage: &Stage, label: &str) -> Vec<usize> {
-    let of = |record: &Record| match record {
-        Record::Ran {
+fn ran_at(stage: &TestEnvironment, label: &str) -> Vec<usize> {
+    let of = |record: &TrafficRecord| match record {
+        TrafficRecord::Ran {
             executor,
             invocation,
             ..
@@ -44,9 +44,9 @@
     ran
 }
 
-async fn invoke_some(caller: &Rc<Caller>, label: &str) {
+async fn invoke_some(caller: &Rc<TestClient>, label: &str) {
     for n in 0..24 {
-        let asked = Ask {
+        let asked = ClientRequest {
             function: format!("f{}", n % 8),
             ..ask(&format!("{label}-{n}"), LOOK)
         };
@@ -56,8 +56,8 @@
 
 #[test]
 fn a_drain_is_heard_of_though_the_followed_member_has_lost_its_leader() {
-    let stage = Stage::new(1);
-    let etcd = Served::start_in_regions(&stage, &[0, 1, 2]).unwrap();
+    let stage = TestEnvironment::new(1);
+    let etcd = EtcdServer::start_in_regions(&stage, &[0, 1, 2]).unwrap();
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
     executors
         .iter()
@@ -68,7 +68,7 @@
         endpoints.join(", ")
     );
     let gateway = gateway(description(&source, ""));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         stage.sleep(1.0).await;
         invoke_some(&caller, "before").await;
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -6,12 +6,12 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_engine::Counters;
 use orchidtally_http_frontend::Start;
-use orchidtally_invariants::Standing;
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::publisher::Row;
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_invariants::EndpointState;
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::publisher::PublishedEndpoint;
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
 
 /// Starts a front end.
 pub fn gateway(text: String) -> Gateway {
-    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let seed = u64::from(at.port());
@@ -125,7 +125,7 @@
 }
 
 /// Runs work to its end, with what the stage has started.
-pub fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(30.0).await;
         panic!("the case did not end");
@@ -134,14 +134,14 @@
 }
 
 /// A request by its name and trigger type.
-pub fn ask(name: &str, trigger_type: (usize, &str)) -> Ask {
-    Ask {
+pub fn ask(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
+    ClientRequest {
         invocation: name.into(),
         function: "f".into(),
         trigger_type: (trigger_type.0, trigger_type.1.into()),
         time_left: 3.0,
         payload: Bytes::from_static(b"payload"),
-        ..Ask::default()
+        ..ClientRequest::default()
     }
 }
 
@@ -149,15 +149,19 @@
 pub const ACT: (usize, &str) = (1, "act");
 
 /// The status of a response.
-pub fn status(heard: &Heard) -> u16 {
+pub fn status(heard: &ClientOutcome) -> u16 {
     match heard {
-        Heard::Answered { status, .. } => *status,
+        ClientOutcome::Answered { status, .. } => *status,
         other => panic!("no answer: {other:?}"),
     }
 }
 
 /// Sends requests at once and waits for all responses.
-pub async fn all(stage: &Stage, caller: &Rc<Caller>, asks: Vec<Ask>) -> Vec<Heard> {
+pub async fn all(
+    stage: &TestEnvironment,
+    caller: &Rc<TestClient>,
+    asks: Vec<ClientRequest>,
+) -> Vec<ClientOutcome> {
     let tasks: Vec<_> = asks
         .into_iter()
         .map(|ask| {
@@ -173,10 +177,10 @@
 }
 
 /// Starts an executor whose functions take this long to load.
-pub fn executor(stage: &Stage, number: usize, load_time: f64) -> Rc<Executor> {
-    let make = Make::roomy(number);
-    let around = Surroundings {
-        store: Store::new(stage, 8.0, 8),
+pub fn executor(stage: &TestEnvironment, number: usize, load_time: f64) -> Rc<Executor> {
+    let make = ExecutorSpec::roomy(number);
+    let around = SharedResources {
+        store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| {
             Some(Program {
                 lanes: 32,
@@ -189,12 +193,12 @@
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    Executor::start(stage, make, any_port(), around).unwrap()
+    Executor::start(stage, make, unused_address(), around).unwrap()
 }
 
 /// An executor's row in the publisher's list.
-pub fn row(executor: usize, address: SocketAddr, standing: Standing) -> Row {
-    Row {
+pub fn row(executor: usize, address: SocketAddr, standing: EndpointState) -> PublishedEndpoint {
+    PublishedEndpoint {
         executor,
         address,
         location: String::new(),
--- a/crates/http-frontend/tests/hard_cases.rs
+++ b/crates/http-frontend/tests/hard_cases.rs
@@ -8,11 +8,11 @@
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use gateway_kit::{ACT, LOOK, all, ask, description, executor, gateway, listed, on, row, status};
 use orchidtally_executor_protocol::{frame, v1};
-use orchidtally_invariants::{Answer, Record, Standing};
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
+use orchidtally_invariants::{EndpointState, FinalAnswer, TrafficRecord};
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::publisher::Publisher;
 use orchidtally_test_servers::raw::{self, Kind, Next};
-use orchidtally_test_servers::{Stage, any_port, port_for_later};
+use orchidtally_test_servers::{TestEnvironment, reserve_address, unused_address};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
@@ -31,8 +31,11 @@
 }
 
 /// A scripted executor: `script` hears each frame of each connection.
-fn scripted(stage: &Stage, script: impl FnMut(&raw::Frame) -> Next + 'static) -> SocketAddr {
-    let listener = Async::<TcpListener>::bind(any_port()).unwrap();
+fn scripted(
+    stage: &TestEnvironment,
+    script: impl FnMut(&raw::Frame) -> Next + 'static,
+) -> SocketAddr {
+    let listener = Async::<TcpListener>::bind(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let script = Rc::new(RefCell::new(script));
     let serve = stage.clone();
@@ -54,7 +57,7 @@
 
 #[test]
 fn an_executor_that_dies_after_the_first_bytes_leaves_a_non_idempotent_invocation_errored() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let dispatches = Rc::new(Cell::new(0));
     let counted = dispatches.clone();
     // Dies with each dispatch, once it is here whole.
@@ -67,10 +70,10 @@
     };
     let two = [scripted(&stage, dies.clone()), scripted(&stage, dies)];
     let gateway = gateway(description(&listed(&two), NO_ORDERS));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, caller.invoke(&ask("a", ACT)));
-    let Heard::Answered {
-        answer: Answer::Errored,
+    let ClientOutcome::Answered {
+        answer: FinalAnswer::Errored,
         may_have_run,
         ..
     } = heard
@@ -84,13 +87,13 @@
 
 #[test]
 fn an_executor_that_dies_before_any_byte_costs_nothing() {
-    let stage = Stage::new(1);
-    let gone = port_for_later().unwrap();
+    let stage = TestEnvironment::new(1);
+    let gone = reserve_address().unwrap();
     let stands = executor(&stage, 0, 0.01);
     let gateway = gateway(description(&listed(&[gone, stands.address]), NO_ORDERS));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let asks = (0..12)
-        .map(|n| Ask {
+        .map(|n| ClientRequest {
             function: format!("f{n}"),
             ..ask(&format!("a{n}"), ACT)
         })
@@ -108,7 +111,7 @@
 /// Eight dispatches are out, the peer names the fourth as the last that it looked at and breaks off.
 #[test]
 fn of_dispatches_at_a_closing_peer_those_above_the_last_stream_alone_go_elsewhere() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let streams = Rc::new(RefCell::new(vec![]));
     let seen = streams.clone();
     let closes = scripted(&stage, move |f| {
@@ -126,19 +129,19 @@
     });
     let other = executor(&stage, 1, 0.01);
     let rows = vec![
-        row(0, closes, Standing::Ready),
-        row(1, other.address, Standing::Gone),
+        row(0, closes, EndpointState::Ready),
+        row(1, other.address, EndpointState::Gone),
     ];
-    let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     publisher.delay.set(0.0);
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
         NO_ORDERS,
     ));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
-        publisher.change(1, Standing::Ready, f64::NEG_INFINITY);
+        publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
         let asks = (0..16).map(|n| ask(&format!("a{n}"), ACT)).collect();
         all(&stage, &caller, asks).await
     });
@@ -146,7 +149,7 @@
     assert_eq!(errored.len(), 4, "those up to the last stream: {heard:?}");
     assert!(errored.iter().all(|h| matches!(
         h,
-        Heard::Answered {
+        ClientOutcome::Answered {
             may_have_run: true,
             ..
         }
@@ -166,7 +169,7 @@
 #[test]
 fn a_refused_stream_is_proof_and_another_reset_is_none() {
     for (code, expected) in [(raw::REFUSED_STREAM, 200), (8, 502)] {
-        let stage = Stage::new(1);
+        let stage = TestEnvironment::new(1);
         let resets = scripted(&stage, move |f| {
             Next::Say(if f.ends_stream() {
                 raw::reset(f.stream, code)
@@ -176,15 +179,15 @@
         });
         let other = executor(&stage, 1, 0.01);
         let rows = vec![
-            row(0, resets, Standing::Ready),
-            row(1, other.address, Standing::Gone),
+            row(0, resets, EndpointState::Ready),
+            row(1, other.address, EndpointState::Gone),
         ];
-        let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+        let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
         let gateway = gateway(description(
             &format!("publisher: \"{}\"", publisher.address),
             NO_ORDERS,
         ));
-        let caller = Caller::new(&stage, 0, 0, gateway.at, true);
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, true);
         let heard = on(&stage, async {
             // The second executor appears once the first has answered.
             let invoked = stage.spawn({
@@ -192,7 +195,7 @@
                 async move { caller.invoke(&ask("a", ACT)).await }
             });
             stage.sleep(0.4).await;
-            publisher.change(1, Standing::Ready, f64::NEG_INFINITY);
+            publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
             invoked.await
         });
         assert_eq!(status(&heard), expected, "code {code}: {heard:?}");
@@ -202,17 +205,17 @@
 
 #[test]
 fn an_executor_that_stops_reading_blocks_no_other() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let deaf = scripted(&stage, |_| Next::StopReading);
     let one = executor(&stage, 0, 0.01);
     let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
     let text = description(&listed(&[deaf, one.address, more[0], more[1]]), NO_ORDERS);
     let gateway = gateway(text.replace("objective: \"2s\"", "objective: \"300ms\""));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, async {
         let payload = Bytes::from(vec![7; 100_000]);
         let asks = (0..40)
-            .map(|n| Ask {
+            .map(|n| ClientRequest {
                 function: format!("f{}", n % 10),
                 payload: payload.clone(),
                 ..ask(&format!("a{n}"), LOOK)
@@ -222,7 +225,7 @@
         // Once it is known to be silent nothing waits for it.
         let later = stage.now();
         let asks = (0..20)
-            .map(|n| Ask {
+            .map(|n| ClientRequest {
                 function: format!("g{n}"),
                 time_left: 1.5,
                 ..ask(&format!("b{n}"), LOOK)
@@ -246,7 +249,7 @@
 
 #[test]
 fn bytes_that_are_no_messages_close_their_connection_alone() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     // A peer agrees to settings once on a connection.
     let opened = [(); 2].map(|()| Rc::new(Cell::new(0)));
     let count = |opened: &Cell<usize>, f: &raw::Frame| {
@@ -311,7 +314,7 @@
             // It may be cut off while it still writes.
             let _ = socket.write_all(&bytes).await;
             let mut rest = vec![];
-            let closed = orchidtally_socket_io::within(
+            let closed = orchidtally_socket_io::with_timeout(
                 std::time::Duration::from_secs(3),
                 socket.read_to_end(&mut rest),
             );
@@ -322,11 +325,11 @@
             4,
             "a line for each"
         );
-        let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
         // Where both executors drawn for a function are bad it may fail; which are drawn hangs on their ports.
         for (round, least) in [("a", 18), ("b", 18)] {
             let asks = (0..30)
-                .map(|n| Ask {
+                .map(|n| ClientRequest {
                     function: format!("{round}{n}"),
                     ..ask(&format!("{round}{n}"), LOOK)
                 })
@@ -350,12 +353,12 @@
 
 #[test]
 fn a_replacement_at_the_same_address_has_none_of_the_copies_of_the_one_before() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.15);
     let publisher = Publisher::start(
         &stage,
-        any_port(),
-        vec![row(0, one.address, Standing::Ready)],
+        unused_address(),
+        vec![row(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
     publisher.delay.set(0.0);
@@ -364,7 +367,7 @@
         &format!("publisher: \"{}\"", publisher.address),
         soon_warm,
     ));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
         let out = all(
@@ -376,10 +379,10 @@
             stage.sleep(0.003).await;
             one.crash();
             let loads_before = one.store.fetched.get();
-            publisher.change(0, Standing::Gone, f64::NEG_INFINITY);
+            publisher.change(0, EndpointState::Gone, f64::NEG_INFINITY);
             stage.sleep(0.3).await;
             one.restart().unwrap();
-            publisher.change(0, Standing::Ready, one.since());
+            publisher.change(0, EndpointState::Ready, one.since());
             stage.sleep(0.1).await;
             loads_before
         };
@@ -404,7 +407,7 @@
     });
     let mut ran: Vec<_> = (stage.records().iter())
         .filter_map(|r| {
-            if let Record::Ran { invocation, .. } = r {
+            if let TrafficRecord::Ran { invocation, .. } = r {
                 Some(invocation.clone())
             } else {
                 None
--- a/crates/http-frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -7,28 +7,28 @@
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use gateway_kit::{ACT, LOOK, all, ask, description, executor, gateway, listed, on, row, status};
 use orchidtally_deployment::Deployment;
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::net::TcpStream;
 
 #[test]
 fn twenty_invocations_waiting_on_a_load_go_elsewhere_when_it_drains() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     // Both load slowly; whichever is drawn is told to drain.
     let two = [executor(&stage, 0, 0.8), executor(&stage, 1, 0.8)];
     let rows = two
         .iter()
-        .map(|e| row(e.make.number, e.address, Standing::Ready))
+        .map(|e| row(e.make.number, e.address, EndpointState::Ready))
         .collect();
-    let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     publisher.delay.set(0.0);
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
         "",
     ));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let (heard, drained, told) = on(&stage, async {
         stage.sleep(0.2).await;
         let asks = (0..20).map(|n| ask(&format!("a{n}"), LOOK)).collect();
@@ -36,12 +36,12 @@
         let drain = async {
             stage.sleep(0.3).await;
             let ordered = stage.records().iter().find_map(|r| match r {
-                Record::Ordered { executor, .. } => Some(*executor),
+                TrafficRecord::Ordered { executor, .. } => Some(*executor),
                 _ => None,
             });
             let drained = ordered.expect("a load was ordered");
             two[drained].draining.set(true);
-            publisher.change(drained, Standing::Draining, f64::NEG_INFINITY);
+            publisher.change(drained, EndpointState::Draining, f64::NEG_INFINITY);
             (drained, stage.now())
         };
         let (heard, (drained, told)) = futures_lite::future::zip(work, drain).await;
@@ -49,7 +49,7 @@
     });
     assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
     let late = stage.records().iter().any(|r| match r {
-        Record::Reached { at, executor, .. } => *executor == drained && *at > told + 0.1,
+        TrafficRecord::Reached { at, executor, .. } => *executor == drained && *at > told + 0.1,
         _ => false,
     });
     assert!(!late, "something was sent to the draining one");
@@ -58,21 +58,21 @@
 
 #[test]
 fn a_client_that_leaves_during_a_placement_is_forgotten_and_the_placement_still_counts() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.5);
     let gateway = gateway(description(&listed(&[one.address]), ""));
     on(&stage, async {
         for plain in [true, false] {
-            let caller = Caller::new(&stage, 0, 0, gateway.at, plain);
+            let caller = TestClient::new(&stage, 0, 0, gateway.at, plain);
             let function = format!("f-{plain}");
-            let leaves = Ask {
+            let leaves = ClientRequest {
                 function: function.clone(),
                 leaves_after: Some(0.15),
                 ..ask("leaves", ACT)
             };
-            assert_eq!(caller.invoke(&leaves).await, Heard::Left);
+            assert_eq!(caller.invoke(&leaves).await, ClientOutcome::Left);
             stage.sleep(0.6).await;
-            let next = Ask {
+            let next = ClientRequest {
                 function,
                 time_left: 0.4,
                 ..ask("next", ACT)
@@ -83,7 +83,7 @@
     let ran = stage
         .records()
         .iter()
-        .filter(|r| matches!(r, Record::Ran { .. }))
+        .filter(|r| matches!(r, TrafficRecord::Ran { .. }))
         .count();
     assert_eq!(ran, 2, "nothing was sent for those that left");
     let tally = gateway.end();
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_slow_upload_holds_nothing_and_is_told_so() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.01);
     let gateway = gateway(description(&listed(&[one.address]), ""));
     on(&stage, async {
@@ -103,7 +103,7 @@
         let head = b"POST /v1/functions/f/invocations HTTP/1.1\r\nhost: x\r\n\
                      orchidtally-trigger-type: act\r\ncontent-length: 100\r\n\r\nhalf";
         slow.write_all(head).await.unwrap();
-        let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
         let asks = (0..20).map(|n| ask(&format!("a{n}"), LOOK)).collect();
         let heard = all(&stage, &caller, asks).await;
         assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
@@ -116,54 +116,54 @@
 
 #[test]
 fn what_is_malformed_gets_its_4xx_and_reaches_no_executor() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.01);
     let more = "customers: [{ name: \"known\", share: 10 }],";
     let gateway = gateway(description(&listed(&[one.address]), more));
     on(&stage, async {
-        let caller = Caller::new(&stage, 0, 0, gateway.at, false);
-        let known = Ask {
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
+        let known = ClientRequest {
             customer: "known".into(),
             ..ask("a", LOOK)
         };
         let cases = [
             (
-                Ask {
+                ClientRequest {
                     customer: "other".into(),
                     ..known.clone()
                 },
                 403,
             ),
             (
-                Ask {
+                ClientRequest {
                     customer: String::new(),
                     ..known.clone()
                 },
                 400,
             ),
             (
-                Ask {
+                ClientRequest {
                     trigger_type: (0, "none".into()),
                     ..known.clone()
                 },
                 400,
             ),
             (
-                Ask {
+                ClientRequest {
                     payload: vec![0; 200_000].into(),
                     ..known.clone()
                 },
                 413,
             ),
             (
-                Ask {
+                ClientRequest {
                     function: "a/b".into(),
                     ..known.clone()
                 },
                 404,
             ),
             (
-                Ask {
+                ClientRequest {
                     function: "%zz".into(),
                     ..known.clone()
                 },
@@ -179,7 +179,7 @@
     let reached = stage
         .records()
         .iter()
-        .filter(|r| matches!(r, Record::Reached { .. }))
+        .filter(|r| matches!(r, TrafficRecord::Reached { .. }))
         .count();
     assert_eq!(reached, 1);
     assert_eq!(gateway.end().admitted, 1);
@@ -187,11 +187,11 @@
 
 #[test]
 fn an_ending_front_end_answers_what_is_open_and_takes_nothing_new() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.6);
     let gateway = gateway(description(&listed(&[one.address]), ""));
     let at = gateway.at;
-    let caller = Caller::new(&stage, 0, 0, at, false);
+    let caller = TestClient::new(&stage, 0, 0, at, false);
     on(&stage, async {
         let asks = (0..10).map(|n| ask(&format!("a{n}"), ACT)).collect();
         let stop = async {
@@ -210,14 +210,14 @@
 
 #[test]
 fn two_front_ends_with_one_index_are_told() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let one = executor(&stage, 0, 0.01);
     let two = [1, 2].map(|_| gateway(description(&listed(&[one.address]), "")));
     // Their seeds are their incarnations, and differ as they would in service.
     let standing = on(&stage, async {
         for round in 0..3 {
             for (n, gateway) in two.iter().enumerate() {
-                let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+                let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
                 assert_eq!(
                     status(&caller.invoke(&ask(&format!("{round}-{n}"), LOOK)).await),
                     200
@@ -242,10 +242,10 @@
 
 #[test]
 fn an_executor_outside_the_allowed_networks_is_never_used() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let outside = executor(&stage, 0, 0.01);
-    let rows = vec![row(0, outside.address, Standing::Ready)];
-    let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+    let rows = vec![row(0, outside.address, EndpointState::Ready)];
+    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     let own = format!("{}/32", publisher.address.ip());
     let within = format!(
         "publisher: \"{}\", allowedNetworks: [\"{own}\", \"10.0.0.0/8\"]",
@@ -263,24 +263,24 @@
             continue;
         }
         let gateway = gateway(description(&networks, ""));
-        let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
         assert_eq!(
             status(&on(&stage, caller.invoke(&ask("a", LOOK)))),
             expected
         );
         gateway.end();
     }
-    let far = row(1, "192.0.2.7:7000".parse().unwrap(), Standing::Ready);
-    let publisher = Publisher::start(&stage, any_port(), vec![far]).unwrap();
+    let far = row(1, "192.0.2.7:7000".parse().unwrap(), EndpointState::Ready);
+    let publisher = Publisher::start(&stage, unused_address(), vec![far]).unwrap();
     let within = format!(
         "publisher: \"{}\", allowedNetworks: [\"127.0.0.0/8\"]",
         publisher.address
     );
     let gateway = gateway(description(&within, ""));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let heard = on(
         &stage,
-        caller.invoke(&Ask {
+        caller.invoke(&ClientRequest {
             time_left: 0.5,
             ..ask("b", ACT)
         }),
--- a/crates/http-frontend/tests/publisher_age.rs
+++ b/crates/http-frontend/tests/publisher_age.rs
@@ -3,25 +3,29 @@
 mod gateway_kit;
 
 use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, row, status};
-use orchidtally_invariants::{Record, Standing};
-use orchidtally_test_servers::client::{Ask, Caller};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::fault_proxy::FaultProxy;
-use orchidtally_test_servers::publisher::{Publisher, Row};
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 
 /// For so long a front end may take a publisher for there that isn't, in seconds, and then ask it anew.
 const FOUND_OUT_WITHIN: f64 = 6.0;
 
 /// Invokes some functions and returns the executors at which they ran.
-async fn invoke_some(stage: &Stage, caller: &std::rc::Rc<Caller>, label: &str) -> Vec<usize> {
-    let asks = (0..24).map(|n| Ask {
+async fn invoke_some(
+    stage: &TestEnvironment,
+    caller: &std::rc::Rc<TestClient>,
+    label: &str,
+) -> Vec<usize> {
+    let asks = (0..24).map(|n| ClientRequest {
         function: format!("f{}", n % 8),
         ..ask(&format!("{label}-{n}"), LOOK)
     });
     let heard = all(stage, caller, asks.collect()).await;
     assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
-    let of = |record: &Record| match record {
-        Record::Ran {
+    let of = |record: &TrafficRecord| match record {
+        TrafficRecord::Ran {
             executor,
             invocation,
             ..
@@ -36,16 +40,16 @@
 
 #[test]
 fn a_publisher_whose_path_is_lost_is_asked_anew() {
-    let stage = Stage::new(1);
+    let stage = TestEnvironment::new(1);
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
     let rows = (0..2)
-        .map(|n| row(n, executors[n].address, Standing::Ready))
+        .map(|n| row(n, executors[n].address, EndpointState::Ready))
         .collect();
-    let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     publisher.delay.set(0.0);
     let path = FaultProxy::start(&stage, publisher.address).unwrap();
     let gateway = gateway(description(&format!("publisher: \"{}\"", path.address), ""));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(
             invoke_some(&stage, &caller, "before").await,
@@ -53,7 +57,7 @@
             "both serve"
         );
         path.freeze();
-        publisher.change(0, Standing::Draining, f64::NEG_INFINITY);
+        publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
         stage.sleep(FOUND_OUT_WITHIN).await;
         assert_eq!(
             invoke_some(&stage, &caller, "after").await,
@@ -67,20 +71,25 @@
 /// The first message of a publisher is as long as its list.
 #[test]
 fn a_list_longer_than_the_head_of_a_message_is_taken() {
-    let stage = Stage::new(2);
+    let stage = TestEnvironment::new(2);
     let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    let mut rows: Vec<Row> = (0..2)
-        .map(|n| row(n, executors[n].address, Standing::Ready))
+    let mut rows: Vec<PublishedEndpoint> = (0..2)
+        .map(|n| row(n, executors[n].address, EndpointState::Ready))
         .collect();
-    let others =
-        (2..3_000).map(|n: u16| row(usize::from(n), ([127, 0, 0, 1], n).into(), Standing::Gone));
+    let others = (2..3_000).map(|n: u16| {
+        row(
+            usize::from(n),
+            ([127, 0, 0, 1], n).into(),
+            EndpointState::Gone,
+        )
+    });
     rows.extend(others);
-    let publisher = Publisher::start(&stage, any_port(), rows).unwrap();
+    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
         "",
     ));
-    let caller = Caller::new(&stage, 0, 0, gateway.at, false);
+    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
         assert_eq!(invoke_some(&stage, &caller, "long").await, [0, 1]);
     });
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -8,13 +8,13 @@
 use orchidtally_http_frontend::Start;
 use orchidtally_http_frontend::mqtt::Triggers;
 use orchidtally_http_frontend::promise_store::PromiseStore;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_test_servers::broker::{BrokerServer, ByteStream, Message, StreamWrapper};
-use orchidtally_test_servers::client::{Ask, Caller, Heard};
-use orchidtally_test_servers::executor::{Executor, Make, Program, Surroundings, echo};
-use orchidtally_test_servers::store::Store;
-use orchidtally_test_servers::{Stage, any_port};
+use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
+use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::store::PackageStore;
+use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::RefCell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 struct World {
-    stage: Stage,
+    stage: TestEnvironment,
     broker: Rc<BrokerServer>,
     _executor: Rc<Executor>,
     text: String,
@@ -52,9 +52,9 @@
 }
 
 fn world(at: &Path, version: &str, tls: &str, wrap: Option<StreamWrapper>) -> World {
-    let stage = Stage::new(1);
-    let around = Surroundings {
-        store: Store::new(&stage, 8.0, 8),
+    let stage = TestEnvironment::new(1);
+    let around = SharedResources {
+        store: PackageStore::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
                 lanes: 32,
@@ -67,8 +67,9 @@
         tokens: Rc::default(),
         token_window: 5.0,
     };
-    let executor = Executor::start(&stage, Make::roomy(0), any_port(), around).unwrap();
-    let broker = BrokerServer::start(&stage, any_port(), wrap).unwrap();
+    let executor =
+        Executor::start(&stage, ExecutorSpec::roomy(0), unused_address(), around).unwrap();
+    let broker = BrokerServer::start(&stage, unused_address(), wrap).unwrap();
     let text = format!(
         r#"{{
             triggerTypes: [
@@ -102,7 +103,7 @@
 }
 
 fn gateway(text: &str) -> Gateway {
-    let listener = orchidtally_http_frontend::listen(any_port()).unwrap();
+    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let text = text.to_owned();
@@ -131,7 +132,7 @@
     Gateway { at, stop, thread }
 }
 
-fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(40.0).await;
         panic!("the case did not end");
@@ -179,7 +180,7 @@
         self.stage
             .records()
             .iter()
-            .filter(|r| matches!(r, Record::Ran { .. }))
+            .filter(|r| matches!(r, TrafficRecord::Ran { .. }))
             .count()
     }
 }
@@ -366,17 +367,17 @@
         .unwrap();
     drop(journal);
     let invoke = async |gateway: &Gateway, name: &str, payload: &'static str| {
-        let caller = Caller::new(&w.stage, 0, 0, gateway.at, true);
-        let ask = Ask {
+        let caller = TestClient::new(&w.stage, 0, 0, gateway.at, true);
+        let ask = ClientRequest {
             invocation: name.into(),
             function: "mist".into(),
             trigger_type: (0, "act".into()),
             time_left: 4.0,
             payload: payload.into(),
-            ..Ask::default()
+            ..ClientRequest::default()
         };
         match caller.invoke(&ask).await {
-            Heard::Answered { status, body, .. } => {
+            ClientOutcome::Answered { status, body, .. } => {
                 (status, String::from_utf8_lossy(&body).into_owned())
             }
             other => panic!("{other:?}"),
@@ -409,7 +410,7 @@
         let time = std::time::Duration::from_secs(2);
         let known = async |name: &str| {
             let path = format!("/v1/invocations/{name}");
-            orchidtally_socket_io::http::ask(second.at, http::Method::GET, &path, vec![], time)
+            orchidtally_socket_io::http::fetch(second.at, http::Method::GET, &path, vec![], time)
                 .await
                 .unwrap()
         };
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -6,15 +6,15 @@
 mod rules;
 mod spread;
 
-pub use messages::{Messages, messages};
-pub use rules::{Rule, Verdict, judge};
+pub use messages::{MessageReport, check_messages};
+pub use rules::{RuleReport, Verdict, check_rules};
 use serde::{Deserialize, Serialize};
-pub use spread::{Spread, spread};
+pub use spread::{SpreadReport, measure_spread};
 
 /// Whether an invocation may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Effect {
+pub enum Idempotency {
     /// Running again is harmless.
     Idempotent,
     /// Running again under the same token is harmless within a group and a window of time.
@@ -26,7 +26,7 @@
 /// The executors that remember a token together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All executors.
     All,
     /// Those of one location.
@@ -68,9 +68,9 @@
     /// The name.
     pub name: String,
     /// Whether its invocations may run more than once.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The executors that remember a token together.
-    pub group: Group,
+    pub group: DeduplicationScope,
     /// Seconds for which they remember it.
     pub window: f64,
     /// Seconds within which an answer is in time.
@@ -89,7 +89,7 @@
 /// The final answer of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Answer {
+pub enum FinalAnswer {
     /// The function has answered.
     Succeeded,
     /// There was no room in time.
@@ -103,7 +103,7 @@
 /// How a dispatch ended at its executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Ending {
+pub enum DispatchOutcome {
     /// The function has answered.
     Succeeded,
     /// The function failed.
@@ -119,7 +119,7 @@
 /// The state of an executor as front ends are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Standing {
+pub enum EndpointState {
     /// It takes new work.
     Ready,
     /// It ends what it has, and takes no new work.
@@ -135,7 +135,7 @@
     rename_all_fields = "camelCase",
     tag = "what"
 )]
-pub enum Record {
+pub enum TrafficRecord {
     /// A client sent an invocation and waits until `until`.
     Offered {
         at: f64,
@@ -149,7 +149,7 @@
     Answered {
         at: f64,
         invocation: String,
-        answer: Answer,
+        answer: FinalAnswer,
     },
     /// The connection broke before an answer.
     Lost { at: f64, invocation: String },
@@ -194,7 +194,7 @@
         executor: usize,
         invocation: String,
         number: u32,
-        ending: Ending,
+        ending: DispatchOutcome,
     },
     /// An order to load arrived at an executor.
     Ordered {
@@ -210,7 +210,7 @@
         front_end: u32,
         life: u64,
         executor: usize,
-        standing: Standing,
+        standing: EndpointState,
         since: f64,
     },
     /// An executor that had started at `since` was pushed over while it was cold.
@@ -265,33 +265,33 @@
     Up { at: f64, front_end: u32 },
 }
 
-impl Record {
+impl TrafficRecord {
     /// When the event was seen.
     pub fn at(&self) -> f64 {
         match *self {
-            Record::Offered { at, .. }
-            | Record::Answered { at, .. }
-            | Record::Lost { at, .. }
-            | Record::Left { at, .. }
-            | Record::GaveUp { at, .. }
-            | Record::Reached { at, .. }
-            | Record::Ran { at, .. }
-            | Record::RanVersion { at, .. }
-            | Record::Dropped { at, .. }
-            | Record::Ended { at, .. }
-            | Record::Ordered { at, .. }
-            | Record::Told { at, .. }
-            | Record::Fell { at, .. }
-            | Record::Stands { at, .. }
-            | Record::Down { at, .. }
-            | Record::Loads { at, .. }
-            | Record::Unloads { at, .. }
-            | Record::Deaf { at, .. }
-            | Record::Published { at, .. }
-            | Record::Heard { at, .. }
-            | Record::Stopped { at, .. }
-            | Record::Killed { at, .. }
-            | Record::Up { at, .. } => at,
+            TrafficRecord::Offered { at, .. }
+            | TrafficRecord::Answered { at, .. }
+            | TrafficRecord::Lost { at, .. }
+            | TrafficRecord::Left { at, .. }
+            | TrafficRecord::GaveUp { at, .. }
+            | TrafficRecord::Reached { at, .. }
+            | TrafficRecord::Ran { at, .. }
+            | TrafficRecord::RanVersion { at, .. }
+            | TrafficRecord::Dropped { at, .. }
+            | TrafficRecord::Ended { at, .. }
+            | TrafficRecord::Ordered { at, .. }
+            | TrafficRecord::Told { at, .. }
+            | TrafficRecord::Fell { at, .. }
+            | TrafficRecord::Stands { at, .. }
+            | TrafficRecord::Down { at, .. }
+            | TrafficRecord::Loads { at, .. }
+            | TrafficRecord::Unloads { at, .. }
+            | TrafficRecord::Deaf { at, .. }
+            | TrafficRecord::Published { at, .. }
+            | TrafficRecord::Heard { at, .. }
+            | TrafficRecord::Stopped { at, .. }
+            | TrafficRecord::Killed { at, .. }
+            | TrafficRecord::Up { at, .. } => at,
         }
     }
 }
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -1,6 +1,6 @@
 //! What became of messages: one answer each that is true, and no effect twice that must not be.
 
-use crate::{Effect, Limits, Record};
+use crate::{Idempotency, Limits, TrafficRecord};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 
 /// What was found of messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Messages {
+pub struct MessageReport {
     /// Messages that were published.
     pub messages: u64,
     /// Answers that were received.
@@ -29,7 +29,7 @@
     pub breaches: Vec<String>,
 }
 
-impl Messages {
+impl MessageReport {
     /// Whether nothing was broken.
     pub fn kept(&self) -> bool {
         self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
@@ -63,14 +63,14 @@
         &mut self,
         invocation: &str,
         outcome: &str,
-        effect: Option<Effect>,
+        effect: Option<Idempotency>,
         runs: u64,
     ) {
         self.unknown_outcome += u64::from(outcome == "unknown");
         let is_true = match outcome {
             "succeeded" => runs > 0,
-            "throttled" => runs == 0 || effect == Some(Effect::Idempotent),
-            "unknown" => effect != Some(Effect::Idempotent),
+            "throttled" => runs == 0 || effect == Some(Idempotency::Idempotent),
+            "unknown" => effect != Some(Idempotency::Idempotent),
             _ => true,
         };
         if !is_true {
@@ -83,25 +83,25 @@
 }
 
 /// Checks the messages among records.
-pub fn messages(limits: &Limits, records: &[Record]) -> Messages {
-    let mut found = Messages::default();
+pub fn check_messages(limits: &Limits, records: &[TrafficRecord]) -> MessageReport {
+    let mut found = MessageReport::default();
     let mut outcomes: HashMap<&str, Vec<&str>> = HashMap::new();
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for record in records {
         match record {
-            Record::Heard {
+            TrafficRecord::Heard {
                 invocation,
                 outcome,
                 ..
             } => {
                 outcomes.entry(invocation).or_default().push(outcome);
             }
-            Record::Ran { invocation, .. } => *runs.entry(invocation).or_default() += 1,
+            TrafficRecord::Ran { invocation, .. } => *runs.entry(invocation).or_default() += 1,
             _ => {}
         }
     }
     for record in records {
-        let Record::Published {
+        let TrafficRecord::Published {
             invocation,
             trigger_type,
             ..
@@ -116,7 +116,7 @@
             .find(|known| known.name == *trigger_type);
         let effect = known.map(|known| known.effect);
         let runs = runs.get(invocation.as_str()).copied().unwrap_or(0);
-        if effect == Some(Effect::NonIdempotent) && runs > 1 {
+        if effect == Some(Idempotency::NonIdempotent) && runs > 1 {
             found.effects_twice += 1;
             found.breach(format!("{invocation} ran {runs} times"));
         }
--- a/crates/invariants/src/rules/cold.rs
+++ b/crates/invariants/src/rules/cold.rs
@@ -1,7 +1,7 @@
 //! Rule 4: a cold executor is never pushed over by front ends that know that it is cold.
 
-use super::Rule;
-use crate::{Limits, Record};
+use super::RuleReport;
+use crate::{Limits, TrafficRecord};
 use std::collections::HashMap;
 
 /// A dispatch that reached an executor.
@@ -10,14 +10,14 @@
     life: u64,
 }
 
-pub(super) fn check(limits: &Limits, records: &[&Record]) -> Rule {
-    let mut rule = Rule::new(4);
+pub(super) fn check(limits: &Limits, records: &[&TrafficRecord]) -> RuleReport {
+    let mut rule = RuleReport::new(4);
     // When an executor had started, as a life of a front end was last told.
     let mut told: HashMap<(u64, usize), f64> = HashMap::new();
     let mut arrivals: HashMap<usize, Vec<Arrival>> = HashMap::new();
     for &record in records {
         match record {
-            Record::Told {
+            TrafficRecord::Told {
                 life,
                 executor,
                 since,
@@ -25,7 +25,7 @@
             } => {
                 told.insert((*life, *executor), *since);
             }
-            Record::Reached {
+            TrafficRecord::Reached {
                 at, executor, life, ..
             } => {
                 arrivals.entry(*executor).or_default().push(Arrival {
@@ -38,7 +38,7 @@
                     .is_some_and(|since| since.is_finite());
                 rule.checked += u64::from(knew);
             }
-            Record::Fell {
+            TrafficRecord::Fell {
                 at,
                 executor,
                 since,
--- a/crates/invariants/src/rules/drains.rs
+++ b/crates/invariants/src/rules/drains.rs
@@ -1,21 +1,21 @@
 //! Rule 3: nothing new to an executor that is known to be draining or gone, past the grace.
 
-use super::Rule;
-use crate::{Limits, Record, Standing};
+use super::RuleReport;
+use crate::{EndpointState, Limits, TrafficRecord};
 use std::collections::HashMap;
 
 /// What a life of a front end was last told of an executor.
 struct LastTold {
     at: f64,
-    standing: Standing,
+    standing: EndpointState,
 }
 
-pub(super) fn check(limits: &Limits, records: &[&Record]) -> Rule {
-    let mut rule = Rule::new(3);
+pub(super) fn check(limits: &Limits, records: &[&TrafficRecord]) -> RuleReport {
+    let mut rule = RuleReport::new(3);
     let mut told: HashMap<(u64, usize), LastTold> = HashMap::new();
     for &record in records {
         let (at, executor, life, what) = match record {
-            Record::Told {
+            TrafficRecord::Told {
                 at,
                 life,
                 executor,
@@ -25,9 +25,9 @@
                 let key = (*life, *executor);
                 let was_unready = told
                     .get(&key)
-                    .is_some_and(|last| last.standing != Standing::Ready);
+                    .is_some_and(|last| last.standing != EndpointState::Ready);
                 // A front end that is told again what it knew has no new grace.
-                if *standing == Standing::Ready || !was_unready {
+                if *standing == EndpointState::Ready || !was_unready {
                     told.insert(
                         key,
                         LastTold {
@@ -38,14 +38,14 @@
                 }
                 continue;
             }
-            Record::Reached {
+            TrafficRecord::Reached {
                 at,
                 executor,
                 life,
                 invocation,
                 ..
             } => (*at, *executor, *life, invocation.as_str()),
-            Record::Ordered {
+            TrafficRecord::Ordered {
                 at,
                 executor,
                 life,
@@ -56,7 +56,7 @@
         };
         if let Some(last) = told.get(&(life, executor)) {
             let in_grace = at <= last.at + limits.drain_grace + limits.transit;
-            rule.check(last.standing == Standing::Ready || in_grace, || {
+            rule.check(last.standing == EndpointState::Ready || in_grace, || {
                 let (after, standing) = (at - last.at, last.standing);
                 format!(
                     "{what} came to executor {executor} {after:.3} s after it was told {standing:?}"
--- a/crates/invariants/src/rules/effects.rs
+++ b/crates/invariants/src/rules/effects.rs
@@ -1,8 +1,11 @@
 //! Rule 2: no effect twice, and an answer that says that asking again is harmless is true.
 
-use super::Rule;
+use super::RuleReport;
 use super::paused_reads::PausedReads;
-use crate::{Answer, Effect, Ending, Executor, Group, Limits, Record, TriggerType};
+use crate::{
+    DeduplicationScope, DispatchOutcome, Executor, FinalAnswer, Idempotency, Limits, TrafficRecord,
+    TriggerType,
+};
 use std::collections::HashMap;
 
 /// A dispatch as its executor recorded it.
@@ -10,14 +13,14 @@
     at: f64,
     executor: usize,
     number: u32,
-    ended: Option<(f64, Ending)>,
+    ended: Option<(f64, DispatchOutcome)>,
     ran: bool,
 }
 
 impl Dispatch {
     /// Whether it provably never ran.
     fn was_refused(&self) -> bool {
-        matches!(self.ended, Some((_, Ending::Refused))) && !self.ran
+        matches!(self.ended, Some((_, DispatchOutcome::Refused))) && !self.ran
     }
 }
 
@@ -40,7 +43,7 @@
 }
 
 impl<'r> Seen<'r> {
-    fn of(limits: &'r Limits, records: &[&'r Record]) -> Seen<'r> {
+    fn of(limits: &'r Limits, records: &[&'r TrafficRecord]) -> Seen<'r> {
         let mut seen = Seen::default();
         for &record in records {
             seen.add(limits, record);
@@ -48,9 +51,9 @@
         seen
     }
 
-    fn add(&mut self, limits: &'r Limits, record: &'r Record) {
+    fn add(&mut self, limits: &'r Limits, record: &'r TrafficRecord) {
         match record {
-            Record::Reached {
+            TrafficRecord::Reached {
                 at,
                 executor,
                 invocation,
@@ -83,7 +86,7 @@
                     .or_default()
                     .push(dispatch);
             }
-            Record::Ran {
+            TrafficRecord::Ran {
                 at,
                 executor,
                 invocation,
@@ -100,7 +103,7 @@
                     self.token_effects.entry(token).or_default().push(effect);
                 }
             }
-            Record::Ended {
+            TrafficRecord::Ended {
                 at,
                 executor,
                 invocation,
@@ -122,16 +125,16 @@
 
 /// The check of the rule.
 struct Check<'r> {
-    rule: Rule,
+    rule: RuleReport,
     limits: &'r Limits,
     fleet: &'r [Executor],
     seen: Seen<'r>,
     paused_reads: PausedReads,
 }
 
-pub(super) fn check(limits: &Limits, fleet: &[Executor], records: &[&Record]) -> Rule {
+pub(super) fn check(limits: &Limits, fleet: &[Executor], records: &[&TrafficRecord]) -> RuleReport {
     let mut check = Check {
-        rule: Rule::new(2),
+        rule: RuleReport::new(2),
         limits,
         fleet,
         seen: Seen::of(limits, records),
@@ -144,11 +147,11 @@
 }
 
 impl Check<'_> {
-    fn is_same_group(&self, group: Group, a: usize, b: usize) -> bool {
+    fn is_same_group(&self, group: DeduplicationScope, a: usize, b: usize) -> bool {
         match group {
-            Group::All => true,
-            Group::Location => self.fleet[a].location == self.fleet[b].location,
-            Group::Cell => self.fleet[a].cell == self.fleet[b].cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Location => self.fleet[a].location == self.fleet[b].location,
+            DeduplicationScope::Cell => self.fleet[a].cell == self.fleet[b].cell,
         }
     }
 
@@ -163,7 +166,7 @@
             }
             let runs = dispatches.iter().filter(|dispatch| dispatch.ran).count();
             let may_have_run = dispatches.iter().any(|dispatch| !dispatch.was_refused());
-            if trigger_type.effect == Effect::NonIdempotent && may_have_run {
+            if trigger_type.effect == Idempotency::NonIdempotent && may_have_run {
                 self.rule
                     .check(runs <= 1, || format!("{invocation} ran {runs} times"));
             }
@@ -181,9 +184,9 @@
         let transit = self.limits.transit;
         let may_have_run = earlier.iter().find(|earlier| !earlier.was_refused());
         let kept = match (trigger_type.effect, may_have_run) {
-            (Effect::Idempotent, _) | (_, None) => true,
-            (Effect::NonIdempotent, Some(_)) => false,
-            (Effect::Tokened, Some(earlier)) => {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::Tokened, Some(earlier)) => {
                 self.is_same_group(trigger_type.group, earlier.executor, dispatch.executor)
                     && dispatch.at <= earlier.at + trigger_type.window + transit
             }
@@ -221,7 +224,8 @@
                 .iter()
                 .find(|(_, other)| **other == token);
             let trigger_type = invocation.and_then(|(name, _)| self.seen.trigger_types.get(name));
-            let Some(&trigger_type) = trigger_type.filter(|known| known.effect == Effect::Tokened)
+            let Some(&trigger_type) =
+                trigger_type.filter(|known| known.effect == Idempotency::Tokened)
             else {
                 continue;
             };
@@ -238,12 +242,12 @@
     }
 
     /// A throttled answer says that asking again is harmless.
-    fn throttled_answers(&mut self, records: &[&Record]) {
+    fn throttled_answers(&mut self, records: &[&TrafficRecord]) {
         for &record in records {
-            let Record::Answered {
+            let TrafficRecord::Answered {
                 at,
                 invocation,
-                answer: Answer::Throttled,
+                answer: FinalAnswer::Throttled,
             } = record
             else {
                 continue;
@@ -251,9 +255,9 @@
             let Some(trigger_type) = self.seen.trigger_types.get(invocation.as_str()) else {
                 continue;
             };
-            let is_tokened_everywhere =
-                trigger_type.effect == Effect::Tokened && trigger_type.group == Group::All;
-            if trigger_type.effect == Effect::Idempotent || is_tokened_everywhere {
+            let is_tokened_everywhere = trigger_type.effect == Idempotency::Tokened
+                && trigger_type.group == DeduplicationScope::All;
+            if trigger_type.effect == Idempotency::Idempotent || is_tokened_everywhere {
                 continue;
             }
             let dispatches = &self.seen.dispatches[invocation.as_str()];
--- a/crates/invariants/src/rules/final_answers.rs
+++ b/crates/invariants/src/rules/final_answers.rs
@@ -3,8 +3,8 @@
 //! that goes on: nobody can answer sooner.
 
 use super::paused_reads::PausedReads;
-use super::{Rule, Verdict};
-use crate::{Answer, Limits, Record};
+use super::{RuleReport, Verdict};
+use crate::{FinalAnswer, Limits, TrafficRecord};
 use std::collections::HashMap;
 
 /// Seconds before an invocation was sent in which the death of its front end counts: the client may have sent it to
@@ -14,27 +14,35 @@
 /// Seconds after a stopped front end goes on within which it answers what is overdue.
 const OVERDUE_ANSWERED: f64 = 0.1;
 
-pub(super) fn check(limits: &Limits, records: &[&Record], verdict: &mut Verdict) -> Rule {
-    let mut rule = Rule::new(1);
+pub(super) fn check(
+    limits: &Limits,
+    records: &[&TrafficRecord],
+    verdict: &mut Verdict,
+) -> RuleReport {
+    let mut rule = RuleReport::new(1);
     let mut attempts: HashMap<&str, Vec<f64>> = HashMap::new();
     let paused_reads = PausedReads::of(records);
-    let mut ends: HashMap<&str, Vec<&Record>> = HashMap::new();
+    let mut ends: HashMap<&str, Vec<&TrafficRecord>> = HashMap::new();
     let mut killed: HashMap<u32, Vec<f64>> = HashMap::new();
     let mut stopped: HashMap<u32, Vec<(f64, f64)>> = HashMap::new();
     for &record in records {
         match record {
-            Record::Answered { invocation, .. }
-            | Record::Lost { invocation, .. }
-            | Record::Left { invocation, .. }
-            | Record::GaveUp { invocation, .. } => ends.entry(invocation).or_default().push(record),
+            TrafficRecord::Answered { invocation, .. }
+            | TrafficRecord::Lost { invocation, .. }
+            | TrafficRecord::Left { invocation, .. }
+            | TrafficRecord::GaveUp { invocation, .. } => {
+                ends.entry(invocation).or_default().push(record)
+            }
             // What waited in an executor's sockets may have left its front end long before.
-            Record::Reached { at, executor, .. }
+            TrafficRecord::Reached { at, executor, .. }
                 if paused_reads.may_have_delayed(*executor, *at, limits.transit) => {}
-            Record::Reached { at, invocation, .. } => {
+            TrafficRecord::Reached { at, invocation, .. } => {
                 attempts.entry(invocation).or_default().push(*at)
             }
-            Record::Killed { at, front_end } => killed.entry(*front_end).or_default().push(*at),
-            Record::Stopped {
+            TrafficRecord::Killed { at, front_end } => {
+                killed.entry(*front_end).or_default().push(*at)
+            }
+            TrafficRecord::Stopped {
                 at,
                 front_end,
                 until,
@@ -45,7 +53,7 @@
         }
     }
     for &record in records {
-        let Record::Offered {
+        let TrafficRecord::Offered {
             at,
             invocation,
             front_end,
@@ -77,7 +85,7 @@
         };
         match ends {
             [
-                Record::Answered {
+                TrafficRecord::Answered {
                     at: answered,
                     answer,
                     ..
@@ -95,7 +103,7 @@
                     )
                 });
             }
-            [Record::Left { at: left, .. }] => {
+            [TrafficRecord::Left { at: left, .. }] => {
                 verdict.left += 1;
                 if let Some(margin) = limits.leave_margin {
                     let stop = stops.iter().find(|(from, to)| (*from..=*to).contains(left));
@@ -111,14 +119,18 @@
                 }
             }
             // Its front end was stopped for all of the time in which it could have answered late.
-            [Record::GaveUp { at: lost, .. }] if was_stopped(*until, *lost) => verdict.lost += 1,
-            [Record::Lost { at: lost, .. } | Record::GaveUp { at: lost, .. }] if died(*lost) => {
+            [TrafficRecord::GaveUp { at: lost, .. }] if was_stopped(*until, *lost) => {
+                verdict.lost += 1
+            }
+            [TrafficRecord::Lost { at: lost, .. } | TrafficRecord::GaveUp { at: lost, .. }]
+                if died(*lost) =>
+            {
                 verdict.lost += 1
             }
-            [Record::Lost { at: lost, .. }] => rule.check(false, || {
+            [TrafficRecord::Lost { at: lost, .. }] => rule.check(false, || {
                 format!("{invocation}: the connection broke at {lost:.3} without an answer")
             }),
-            [Record::GaveUp { .. }] | [] => {
+            [TrafficRecord::GaveUp { .. }] | [] => {
                 rule.check(false, || {
                     format!("{invocation} had no answer by {until:.3}")
                 });
@@ -132,12 +144,12 @@
 }
 
 impl Verdict {
-    fn count(&mut self, answer: Answer) {
+    fn count(&mut self, answer: FinalAnswer) {
         match answer {
-            Answer::Succeeded => self.succeeded += 1,
-            Answer::Throttled => self.throttled += 1,
-            Answer::Errored => self.errored += 1,
-            Answer::NotTaken => {}
+            FinalAnswer::Succeeded => self.succeeded += 1,
+            FinalAnswer::Throttled => self.throttled += 1,
+            FinalAnswer::Errored => self.errored += 1,
+            FinalAnswer::NotTaken => {}
         }
     }
 }
--- a/crates/invariants/src/rules/mod.rs
+++ b/crates/invariants/src/rules/mod.rs
@@ -7,7 +7,7 @@
 mod orders;
 mod paused_reads;
 
-use crate::{Executor, Limits, Record};
+use crate::{Executor, Limits, TrafficRecord};
 use serde::Serialize;
 
 /// Breaches of a rule that are described in words.
@@ -15,7 +15,7 @@
 
 /// What was checked of a rule, and the breaches found.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Rule {
+pub struct RuleReport {
     /// The number of the rule.
     pub rule: u8,
     /// How often it was checked.
@@ -27,11 +27,11 @@
     pub breaches: Vec<String>,
 }
 
-impl Rule {
-    fn new(rule: u8) -> Rule {
-        Rule {
+impl RuleReport {
+    fn new(rule: u8) -> RuleReport {
+        RuleReport {
             rule,
-            ..Rule::default()
+            ..RuleReport::default()
         }
     }
 
@@ -58,7 +58,7 @@
     /// Those that failed.
     pub errored: u64,
     /// The five rules in their order.
-    pub rules: Vec<Rule>,
+    pub rules: Vec<RuleReport>,
     /// Invocations without an answer whose front end was killed: they are owed none.
     #[serde(skip)]
     pub lost: u64,
@@ -69,14 +69,14 @@
 
 impl Verdict {
     /// Whether no rule was broken.
-    pub fn kept(&self) -> bool {
+    pub fn holds(&self) -> bool {
         self.rules.iter().all(|rule| rule.broken == 0)
     }
 }
 
 /// Checks all rules on records, in whatever order they were noted.
-pub fn judge(limits: &Limits, fleet: &[Executor], records: &[Record]) -> Verdict {
-    let mut records: Vec<&Record> = records.iter().collect();
+pub fn check_rules(limits: &Limits, fleet: &[Executor], records: &[TrafficRecord]) -> Verdict {
+    let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
     let mut verdict = Verdict::default();
     let final_answers = final_answers::check(limits, &records, &mut verdict);
--- a/crates/invariants/src/rules/orders.rs
+++ b/crates/invariants/src/rules/orders.rs
@@ -1,8 +1,8 @@
 //! Rule 5: orders to load stay within the ration.
 
-use super::Rule;
+use super::RuleReport;
 use super::paused_reads::PausedReads;
-use crate::{Limits, Record};
+use crate::{Limits, TrafficRecord};
 use std::collections::{HashMap, HashSet};
 
 /// A message that became an invocation. When a front end took it is not seen from outside, only when it was published
@@ -14,8 +14,8 @@
     to: f64,
 }
 
-pub(super) fn check(limits: &Limits, records: &[&Record]) -> Rule {
-    let mut rule = Rule::new(5);
+pub(super) fn check(limits: &Limits, records: &[&TrafficRecord]) -> RuleReport {
+    let mut rule = RuleReport::new(5);
     if limits.ration_window <= 0.0 {
         return rule;
     }
@@ -26,13 +26,13 @@
     let mut orders: HashMap<u64, Vec<f64>> = HashMap::new();
     for &record in records {
         match record {
-            Record::Offered { at, front_end, .. } => {
+            TrafficRecord::Offered { at, front_end, .. } => {
                 offers.entry(*front_end).or_default().push(*at)
             }
             // When an order was given that an executor read after a pause is not known.
-            Record::Ordered { at, executor, .. }
+            TrafficRecord::Ordered { at, executor, .. }
                 if paused_reads.may_have_delayed(*executor, *at, limits.transit) => {}
-            Record::Ordered {
+            TrafficRecord::Ordered {
                 at,
                 front_end,
                 life,
@@ -73,9 +73,9 @@
 }
 
 /// Front ends may name themselves by an index that changes; their lives don't.
-fn front_ends_by_life(records: &[&Record]) -> HashMap<u64, u32> {
+fn front_ends_by_life(records: &[&TrafficRecord]) -> HashMap<u64, u32> {
     let told = records.iter().filter_map(|record| match record {
-        Record::Told {
+        TrafficRecord::Told {
             life, front_end, ..
         } => Some((*life, *front_end)),
         _ => None,
@@ -83,17 +83,20 @@
     told.collect()
 }
 
-fn taken_messages(records: &[&Record], front_end_of: &HashMap<u64, u32>) -> Vec<TakenMessage> {
+fn taken_messages(
+    records: &[&TrafficRecord],
+    front_end_of: &HashMap<u64, u32>,
+) -> Vec<TakenMessage> {
     let mut published: HashMap<&str, f64> = HashMap::new();
     let mut reached: HashMap<(&str, u64), (u32, f64)> = HashMap::new();
     let mut dispatched: HashSet<&str> = HashSet::new();
     let mut answered: HashMap<&str, f64> = HashMap::new();
     for record in records {
         match record {
-            Record::Published { at, invocation, .. } => {
+            TrafficRecord::Published { at, invocation, .. } => {
                 published.insert(invocation, *at);
             }
-            Record::Reached {
+            TrafficRecord::Reached {
                 at,
                 front_end,
                 life,
@@ -106,7 +109,7 @@
                     .entry((invocation, *life))
                     .or_insert((front_end, *at));
             }
-            Record::Heard { at, invocation, .. } => {
+            TrafficRecord::Heard { at, invocation, .. } => {
                 answered.entry(invocation).or_insert(*at);
             }
             _ => {}
--- a/crates/invariants/src/rules/paused_reads.rs
+++ b/crates/invariants/src/rules/paused_reads.rs
@@ -1,16 +1,16 @@
 //! When executors read nothing from their sockets.
 
-use crate::Record;
+use crate::TrafficRecord;
 use std::collections::HashMap;
 
 /// The spans of time in which executors read nothing from their sockets.
 pub(super) struct PausedReads(HashMap<usize, Vec<(f64, f64)>>);
 
 impl PausedReads {
-    pub(super) fn of(records: &[&Record]) -> PausedReads {
+    pub(super) fn of(records: &[&TrafficRecord]) -> PausedReads {
         let mut spans: HashMap<usize, Vec<(f64, f64)>> = HashMap::new();
         for record in records {
-            if let Record::Deaf {
+            if let TrafficRecord::Deaf {
                 at,
                 executor,
                 until,
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -1,7 +1,7 @@
 //! How evenly dispatches are spread over the executors, from the executors' own records alone: when each stood and
 //! with how many lanes, what reached it and when that ended, and what it loaded.
 
-use crate::Record;
+use crate::TrafficRecord;
 use serde::Serialize;
 use std::collections::{HashSet, VecDeque};
 
@@ -12,7 +12,7 @@
 
 /// What was found. Shares and ratios are plain numbers; `docs/design/spread.md` defines each.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Spread {
+pub struct SpreadReport {
     pub executors: usize,
     pub dispatches: u64,
     /// Herds, and when the last of them was.
@@ -59,7 +59,7 @@
     stood: f64,
     idle: f64,
     peaks: (f64, u64),
-    seen: Spread,
+    seen: SpreadReport,
 }
 
 impl Eye {
@@ -135,8 +135,8 @@
 }
 
 /// Looks at the records from a moment on; those before it only tell what stands.
-pub fn spread(records: &[Record], from: f64) -> Spread {
-    let mut records: Vec<&Record> = records.iter().collect();
+pub fn measure_spread(records: &[TrafficRecord], from: f64) -> SpreadReport {
+    let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
     let mut eye = Eye {
         now: from,
@@ -149,7 +149,7 @@
             eye.pass(at);
         }
         match record {
-            Record::Stands {
+            TrafficRecord::Stands {
                 executor, lanes, ..
             } => {
                 let place = eye.place(*executor);
@@ -159,14 +159,14 @@
                 };
                 eye.seen.executors += 1;
             }
-            Record::Down { executor, .. } => *eye.place(*executor) = Place::default(),
-            Record::Reached { executor, .. } if at >= from => eye.reached(at, *executor),
-            Record::Reached { executor, .. } => eye.place(*executor).in_hand += 1.0,
-            Record::Ended { executor, .. } => {
+            TrafficRecord::Down { executor, .. } => *eye.place(*executor) = Place::default(),
+            TrafficRecord::Reached { executor, .. } if at >= from => eye.reached(at, *executor),
+            TrafficRecord::Reached { executor, .. } => eye.place(*executor).in_hand += 1.0,
+            TrafficRecord::Ended { executor, .. } => {
                 let place = eye.place(*executor);
                 place.in_hand = (place.in_hand - 1.0).max(0.0);
             }
-            Record::Loads {
+            TrafficRecord::Loads {
                 executor, function, ..
             } => {
                 let elsewhere = eye.places.iter().any(|p| p.holds.contains(function));
@@ -176,7 +176,7 @@
                     eye.seen.copies_elsewhere += u64::from(elsewhere);
                 }
             }
-            Record::Unloads {
+            TrafficRecord::Unloads {
                 executor, function, ..
             } => _ = eye.place(*executor).holds.remove(function),
             _ => {}
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -12,9 +12,9 @@
     };
     Limits {
         trigger_types: vec![
-            ty("look", Effect::Idempotent, Group::All),
-            ty("plan", Effect::Tokened, Group::Cell),
-            ty("act", Effect::NonIdempotent, Group::All),
+            ty("look", Idempotency::Idempotent, DeduplicationScope::All),
+            ty("plan", Idempotency::Tokened, DeduplicationScope::Cell),
+            ty("act", Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         second_copies: false,
         drain_grace: 1.0,
@@ -27,8 +27,8 @@
     }
 }
 
-fn offered(at: f64, name: &str, trigger_type: usize) -> Record {
-    Record::Offered {
+fn offered(at: f64, name: &str, trigger_type: usize) -> TrafficRecord {
+    TrafficRecord::Offered {
         at,
         client: 0,
         invocation: name.into(),
@@ -38,17 +38,17 @@
     }
 }
 
-fn answered(at: f64, name: &str, answer: Answer) -> Record {
-    Record::Answered {
+fn answered(at: f64, name: &str, answer: FinalAnswer) -> TrafficRecord {
+    TrafficRecord::Answered {
         at,
         invocation: name.into(),
         answer,
     }
 }
 
-fn reached(at: f64, name: &str, number: u32, executor: usize, trigger_type: &str) -> Record {
+fn reached(at: f64, name: &str, number: u32, executor: usize, trigger_type: &str) -> TrafficRecord {
     let token = if trigger_type == "plan" { "token" } else { "" };
-    Record::Reached {
+    TrafficRecord::Reached {
         at,
         executor,
         front_end: 0,
@@ -60,16 +60,22 @@
     }
 }
 
-fn ran(at: f64, name: &str, executor: usize) -> Record {
-    Record::Ran {
+fn ran(at: f64, name: &str, executor: usize) -> TrafficRecord {
+    TrafficRecord::Ran {
         at,
         executor,
         invocation: name.into(),
     }
 }
 
-fn ended(at: f64, name: &str, number: u32, executor: usize, ending: Ending) -> Record {
-    Record::Ended {
+fn ended(
+    at: f64,
+    name: &str,
+    number: u32,
+    executor: usize,
+    ending: DispatchOutcome,
+) -> TrafficRecord {
+    TrafficRecord::Ended {
         at,
         executor,
         invocation: name.into(),
@@ -78,8 +84,8 @@
     }
 }
 
-fn told(at: f64, executor: usize, standing: Standing, since: f64) -> Record {
-    Record::Told {
+fn told(at: f64, executor: usize, standing: EndpointState, since: f64) -> TrafficRecord {
+    TrafficRecord::Told {
         at,
         front_end: 0,
         life: 7,
@@ -89,18 +95,18 @@
     }
 }
 
-fn clean() -> Vec<Record> {
+fn clean() -> Vec<TrafficRecord> {
     vec![
-        told(0.0, 0, Standing::Ready, f64::NEG_INFINITY),
-        told(0.0, 1, Standing::Ready, f64::NEG_INFINITY),
+        told(0.0, 0, EndpointState::Ready, f64::NEG_INFINITY),
+        told(0.0, 1, EndpointState::Ready, f64::NEG_INFINITY),
         offered(1.0, "a", 2),
         reached(1.1, "a", 0, 0, "act"),
-        ended(1.2, "a", 0, 0, Ending::Refused),
+        ended(1.2, "a", 0, 0, DispatchOutcome::Refused),
         reached(1.3, "a", 1, 1, "act"),
         ran(1.3, "a", 1),
-        ended(1.6, "a", 1, 1, Ending::Succeeded),
-        answered(1.7, "a", Answer::Succeeded),
-        Record::Ordered {
+        ended(1.6, "a", 1, 1, DispatchOutcome::Succeeded),
+        answered(1.7, "a", FinalAnswer::Succeeded),
+        TrafficRecord::Ordered {
             at: 2.0,
             executor: 0,
             front_end: 0,
@@ -111,10 +117,10 @@
 }
 
 /// The rules that are broken when some records are added to a clean day.
-fn broken(added: Vec<Record>) -> Vec<u8> {
+fn broken(added: Vec<TrafficRecord>) -> Vec<u8> {
     let fleet = [0, 0, 1].map(|cell| Executor { location: 0, cell });
-    let records: Vec<Record> = clean().into_iter().chain(added).collect();
-    let verdict = judge(&limits(), &fleet, &records);
+    let records: Vec<TrafficRecord> = clean().into_iter().chain(added).collect();
+    let verdict = check_rules(&limits(), &fleet, &records);
     assert_eq!(
         verdict
             .rules
@@ -122,7 +128,7 @@
             .map(|r| r.broken as usize)
             .sum::<usize>()
             == 0,
-        verdict.kept()
+        verdict.holds()
     );
     verdict
         .rules
@@ -135,8 +141,8 @@
 #[test]
 fn a_clean_day_is_kept_and_was_looked_at() {
     let fleet = [0, 0, 1].map(|cell| Executor { location: 0, cell });
-    let verdict = judge(&limits(), &fleet, &clean());
-    assert!(verdict.kept(), "{:?}", verdict.rules);
+    let verdict = check_rules(&limits(), &fleet, &clean());
+    assert!(verdict.holds(), "{:?}", verdict.rules);
     assert_eq!((verdict.invocations, verdict.succeeded), (1, 1));
     let checked: Vec<u64> = verdict.rules.iter().map(|r| r.checked).collect();
     assert!(
@@ -148,20 +154,23 @@
 #[test]
 fn rule_1_finds_what_has_no_answer_two_or_a_late_one() {
     assert_eq!(broken(vec![offered(4.0, "b", 0)]), [1]);
-    assert_eq!(broken(vec![answered(1.8, "a", Answer::Succeeded)]), [1]);
+    assert_eq!(
+        broken(vec![answered(1.8, "a", FinalAnswer::Succeeded)]),
+        [1]
+    );
     assert_eq!(
         broken(vec![
             offered(4.0, "b", 0),
-            answered(7.1, "b", Answer::Errored)
+            answered(7.1, "b", FinalAnswer::Errored)
         ]),
         [1]
     );
-    let lost = Record::Lost {
+    let lost = TrafficRecord::Lost {
         at: 5.0,
         invocation: "b".into(),
     };
     assert_eq!(broken(vec![offered(4.0, "b", 0), lost.clone()]), [1]);
-    let killed = Record::Killed {
+    let killed = TrafficRecord::Killed {
         at: 4.5,
         front_end: 0,
     };
@@ -175,22 +184,27 @@
 fn rule_2_finds_second_effects() {
     let twice = vec![
         reached(1.9, "a", 2, 0, "act"),
-        ended(2.0, "a", 2, 0, Ending::Refused),
+        ended(2.0, "a", 2, 0, DispatchOutcome::Refused),
     ];
     assert_eq!(broken(twice), [2], "sent again after it ran");
-    let offer = |ty| vec![offered(4.0, "b", ty), answered(5.0, "b", Answer::Throttled)];
+    let offer = |ty| {
+        vec![
+            offered(4.0, "b", ty),
+            answered(5.0, "b", FinalAnswer::Throttled),
+        ]
+    };
     let mut throttled = offer(2);
     throttled.extend([
         reached(4.1, "b", 0, 0, "act"),
-        ended(4.2, "b", 0, 0, Ending::Crashed),
+        ended(4.2, "b", 0, 0, DispatchOutcome::Crashed),
     ]);
     assert_eq!(broken(throttled), [2], "told harmless, and may have run");
     let mut outside = offer(0);
     outside.extend([
         reached(4.1, "b", 0, 0, "plan"),
-        ended(4.2, "b", 0, 0, Ending::Crashed),
+        ended(4.2, "b", 0, 0, DispatchOutcome::Crashed),
     ]);
-    outside[1] = answered(5.0, "b", Answer::Errored);
+    outside[1] = answered(5.0, "b", FinalAnswer::Errored);
     let mut inside = outside.clone();
     outside.push(reached(4.3, "b", 1, 2, "plan"));
     inside.push(reached(4.3, "b", 1, 1, "plan"));
@@ -198,14 +212,17 @@
     assert!(broken(inside.clone()).is_empty());
     inside.extend([ran(4.1, "b", 0), ran(4.3, "b", 1)]);
     assert_eq!(broken(inside), [2], "a token's effect twice in one cell");
-    let mut both = vec![offered(4.0, "b", 0), answered(5.0, "b", Answer::Succeeded)];
+    let mut both = vec![
+        offered(4.0, "b", 0),
+        answered(5.0, "b", FinalAnswer::Succeeded),
+    ];
     both.extend([
         reached(4.1, "b", 0, 0, "look"),
         reached(4.2, "b", 1, 1, "look"),
     ]);
-    both.push(ended(4.9, "b", 0, 0, Ending::Succeeded));
+    both.push(ended(4.9, "b", 0, 0, DispatchOutcome::Succeeded));
     assert_eq!(broken(both.clone()), [2], "two out at a time");
-    both.push(Record::Deaf {
+    both.push(TrafficRecord::Deaf {
         at: 4.0,
         executor: 0,
         until: 4.8,
@@ -214,14 +231,17 @@
         broken(both).is_empty(),
         "it could not hear that it was cancelled"
     );
-    let mut late = vec![offered(4.0, "b", 0), answered(5.0, "b", Answer::Succeeded)];
+    let mut late = vec![
+        offered(4.0, "b", 0),
+        answered(5.0, "b", FinalAnswer::Succeeded),
+    ];
     late.extend([
         reached(4.1, "b", 1, 1, "look"),
         reached(4.5, "b", 0, 0, "look"),
     ]);
-    late.push(ended(4.9, "b", 1, 1, Ending::Succeeded));
+    late.push(ended(4.9, "b", 1, 1, DispatchOutcome::Succeeded));
     assert_eq!(broken(late.clone()), [2]);
-    late.push(Record::Deaf {
+    late.push(TrafficRecord::Deaf {
         at: 3.0,
         executor: 0,
         until: 4.45,
@@ -233,48 +253,54 @@
 fn rule_3_finds_what_is_sent_past_the_grace() {
     let drain = |at| {
         vec![
-            told(3.0, 0, Standing::Draining, 0.0),
+            told(3.0, 0, EndpointState::Draining, 0.0),
             offered(at, "b", 0),
             reached(at, "b", 0, 0, "look"),
         ]
     };
-    let finish = |mut v: Vec<Record>, at| {
+    let finish = |mut v: Vec<TrafficRecord>, at| {
         v.extend([
-            ended(at, "b", 0, 0, Ending::Succeeded),
-            answered(at, "b", Answer::Succeeded),
+            ended(at, "b", 0, 0, DispatchOutcome::Succeeded),
+            answered(at, "b", FinalAnswer::Succeeded),
         ]);
         v
     };
     assert!(broken(finish(drain(3.9), 3.95)).is_empty());
     assert_eq!(broken(finish(drain(4.5), 4.6)), [3]);
     let mut again = drain(4.5);
-    again.push(told(4.0, 0, Standing::Gone, 0.0));
+    again.push(told(4.0, 0, EndpointState::Gone, 0.0));
     assert_eq!(
         broken(finish(again, 4.6)),
         [3],
         "told again, it has no new grace"
     );
-    let order = Record::Ordered {
+    let order = TrafficRecord::Ordered {
         at: 4.5,
         executor: 0,
         front_end: 0,
         life: 7,
         copies: 1,
     };
-    assert_eq!(broken(vec![told(3.0, 0, Standing::Gone, 0.0), order]), [3]);
+    assert_eq!(
+        broken(vec![told(3.0, 0, EndpointState::Gone, 0.0), order]),
+        [3]
+    );
 }
 
 #[test]
 fn rule_4_finds_a_cold_executor_pushed_over_by_those_who_knew() {
     let fall = |since| {
-        let mut day = vec![told(3.0, 2, Standing::Ready, since), offered(3.5, "b", 0)];
+        let mut day = vec![
+            told(3.0, 2, EndpointState::Ready, since),
+            offered(3.5, "b", 0),
+        ];
         day.extend([
             reached(3.5, "b", 0, 2, "look"),
-            ended(3.6, "b", 0, 2, Ending::Crashed),
+            ended(3.6, "b", 0, 2, DispatchOutcome::Crashed),
         ]);
         day.extend([
-            answered(3.7, "b", Answer::Errored),
-            Record::Fell {
+            answered(3.7, "b", FinalAnswer::Errored),
+            TrafficRecord::Fell {
                 at: 3.6,
                 executor: 2,
                 since: 2.9,
@@ -291,7 +317,7 @@
 
 #[test]
 fn rule_5_finds_orders_over_the_ration() {
-    let order = |n: usize| Record::Ordered {
+    let order = |n: usize| TrafficRecord::Ordered {
         at: 2.1 + n as f64 / 100.0,
         executor: 1,
         front_end: 0,
@@ -304,7 +330,7 @@
         [5],
         "two and a half are granted"
     );
-    let late = Record::Ordered {
+    let late = TrafficRecord::Ordered {
         at: 7.5,
         executor: 1,
         front_end: 0,
@@ -315,7 +341,7 @@
         broken(vec![order(0), late]).is_empty(),
         "the window has moved on"
     );
-    let deaf = |executor| Record::Deaf {
+    let deaf = |executor| TrafficRecord::Deaf {
         at: 1.0,
         executor,
         until: 2.05,
@@ -334,13 +360,18 @@
 /// Nobody answers while it is stopped; once it goes on, what is overdue is owed at once.
 #[test]
 fn an_answer_due_while_its_front_end_is_stopped_is_owed_when_it_goes_on() {
-    let stopped = |from: f64, until: f64| Record::Stopped {
+    let stopped = |from: f64, until: f64| TrafficRecord::Stopped {
         at: from,
         front_end: 0,
         until,
     };
-    let late = |at: f64| vec![offered(4.0, "b", 0), answered(at, "b", Answer::Throttled)];
-    let with = |stop: Record, at: f64| broken([vec![stop], late(at)].concat());
+    let late = |at: f64| {
+        vec![
+            offered(4.0, "b", 0),
+            answered(at, "b", FinalAnswer::Throttled),
+        ]
+    };
+    let with = |stop: TrafficRecord, at: f64| broken([vec![stop], late(at)].concat());
     assert_eq!(broken(late(8.05)), [1], "it was due at 7.0");
     assert!(with(stopped(6.0, 8.0), 8.05).is_empty());
     assert_eq!(with(stopped(6.0, 8.0), 8.2), [1], "not at once");
@@ -354,7 +385,7 @@
         [1],
         "never"
     );
-    let gave_up = |at: f64| Record::GaveUp {
+    let gave_up = |at: f64| TrafficRecord::GaveUp {
         at,
         invocation: "b".into(),
     };
@@ -369,11 +400,11 @@
 /// What has begun for a client that has left is a lost request; a moment is granted, and the time of a stop.
 #[test]
 fn an_attempt_that_begins_long_after_its_client_has_left_is_found() {
-    let left = |at| Record::Left {
+    let left = |at| TrafficRecord::Left {
         at,
         invocation: "a".into(),
     };
-    let broken = |records: &[Record]| judge(&limits(), &[], records).rules[0].broken;
+    let broken = |records: &[TrafficRecord]| check_rules(&limits(), &[], records).rules[0].broken;
     let day = |attempt| {
         vec![
             offered(1.0, "a", 0),
@@ -384,7 +415,7 @@
     assert_eq!(broken(&day(1.4)), 0);
     assert_eq!(broken(&day(1.79)), 0, "within 0.1 s and the transit");
     assert_eq!(broken(&day(1.81)), 1);
-    let stopped = Record::Stopped {
+    let stopped = TrafficRecord::Stopped {
         at: 1.4,
         front_end: 0,
         until: 2.0,
@@ -395,7 +426,7 @@
         "it could not hear of it before"
     );
     assert_eq!(broken(&[day(2.4), vec![stopped]].concat()), 1);
-    let deaf = |until| Record::Deaf {
+    let deaf = |until| TrafficRecord::Deaf {
         at: 1.4,
         executor: 0,
         until,
--- a/crates/invariants/tests/spread.rs
+++ b/crates/invariants/tests/spread.rs
@@ -1,17 +1,17 @@
 //! The measures of spread on records written by hand: each finds what it is for, and nothing where that is not.
 
-use orchidtally_invariants::{Ending, Record, Spread, spread};
+use orchidtally_invariants::{DispatchOutcome, SpreadReport, TrafficRecord, measure_spread};
 
-fn stands(executor: usize, lanes: u32) -> Record {
-    Record::Stands {
+fn stands(executor: usize, lanes: u32) -> TrafficRecord {
+    TrafficRecord::Stands {
         at: 0.0,
         executor,
         lanes,
     }
 }
 
-fn reached(at: f64, executor: usize) -> Record {
-    Record::Reached {
+fn reached(at: f64, executor: usize) -> TrafficRecord {
+    TrafficRecord::Reached {
         at,
         executor,
         front_end: 0,
@@ -23,9 +23,9 @@
     }
 }
 
-fn ended(at: f64, executor: usize) -> Record {
-    let (invocation, number, ending) = (String::new(), 1, Ending::Succeeded);
-    Record::Ended {
+fn ended(at: f64, executor: usize) -> TrafficRecord {
+    let (invocation, number, ending) = (String::new(), 1, DispatchOutcome::Succeeded);
+    TrafficRecord::Ended {
         at,
         executor,
         invocation,
@@ -35,8 +35,8 @@
 }
 
 /// Four executors, the last with twice the lanes; a hundred dispatches a second by lanes, each over in 10 ms.
-fn even(seconds: u32) -> Vec<Record> {
-    let mut records: Vec<Record> = [2, 2, 2, 4]
+fn even(seconds: u32) -> Vec<TrafficRecord> {
+    let mut records: Vec<TrafficRecord> = [2, 2, 2, 4]
         .into_iter()
         .enumerate()
         .map(|(x, l)| stands(x, l))
@@ -53,7 +53,7 @@
 
 #[test]
 fn even_traffic_has_no_herd_no_idleness_and_no_peak() {
-    let seen = spread(&even(4), 0.0);
+    let seen = measure_spread(&even(4), 0.0);
     assert_eq!((seen.executors, seen.dispatches, seen.herds), (4, 400, 0));
     assert_eq!(seen.idle_beside_queue, 0.0);
     assert!((seen.peak_over_fair - 1.0).abs() < 0.05, "{seen:?}");
@@ -67,13 +67,17 @@
         records.extend((0..more).map(|n| reached(2.0 + f64::from(n) * 1e-3, 0)));
         records
     };
-    assert_eq!(spread(&with(19), 0.0).herds, 0);
+    assert_eq!(measure_spread(&with(19), 0.0).herds, 0);
     let records = with(35);
-    let seen = spread(&records, 0.0);
+    let seen = measure_spread(&records, 0.0);
     assert_eq!(seen.herds, 1, "{seen:?}");
     assert!(seen.last_herd.is_some_and(|at| (2.0..2.3).contains(&at)));
     assert!(seen.peak_over_fair > 1.1, "{seen:?}");
-    assert_eq!(spread(&records, 2.5).herds, 0, "looked at from later on");
+    assert_eq!(
+        measure_spread(&records, 2.5).herds,
+        0,
+        "looked at from later on"
+    );
 }
 
 #[test]
@@ -82,17 +86,17 @@
     // Four in hand at the first from 1 s on; two of them end at 3 s.
     records.extend((0..4).map(|n| reached(1.0 + f64::from(n) * 1e-6, 0)));
     records.extend([ended(3.0, 0), ended(3.0, 0), ended(5.0, 0), ended(5.0, 0)]);
-    let seen = spread(&records, 0.0);
+    let seen = measure_spread(&records, 0.0);
     assert!(
         (seen.idle_beside_queue - 2.0 / 10.0).abs() < 1e-3,
         "{seen:?}"
     );
-    records.push(Record::Down {
+    records.push(TrafficRecord::Down {
         at: 0.5,
         executor: 1,
     });
     assert_eq!(
-        spread(&records, 0.0).idle_beside_queue,
+        measure_spread(&records, 0.0).idle_beside_queue,
         0.0,
         "one that is down is not idle"
     );
@@ -100,7 +104,7 @@
 
 #[test]
 fn copies_of_what_stands_elsewhere_are_told_apart() {
-    let loads = |at, executor| Record::Loads {
+    let loads = |at, executor| TrafficRecord::Loads {
         at,
         executor,
         function: "f".into(),
@@ -110,21 +114,21 @@
         stands(1, 1),
         loads(1.0, 0),
         loads(2.0, 1),
-        Record::Unloads {
+        TrafficRecord::Unloads {
             at: 3.0,
             executor: 0,
             function: "f".into(),
         },
-        Record::Down {
+        TrafficRecord::Down {
             at: 3.0,
             executor: 1,
         },
         loads(4.0, 0),
     ];
-    let seen = spread(&records, 0.0);
+    let seen = measure_spread(&records, 0.0);
     assert_eq!(
         seen,
-        Spread {
+        SpreadReport {
             executors: 2,
             copies: 3,
             copies_elsewhere: 1,
--- a/crates/journal/benches/commit.rs
+++ b/crates/journal/benches/commit.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench -p orchidtally-journal --bench commit`
 
-use orchidtally_journal::{Group, Journal};
+use orchidtally_journal::{GroupCommit, Journal};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::channel;
 use std::time::Instant;
@@ -34,7 +34,7 @@
 }
 
 fn together() -> (f64, f64) {
-    let group = Group::new(open(&folder("group")), IN_FLIGHT);
+    let group = GroupCommit::new(open(&folder("group")), IN_FLIGHT);
     let (tell, told) = channel();
     let (mut sent, mut done, mut longest) = (0, 0, 0.0f64);
     let began = Instant::now();
--- a/crates/journal/src/group.rs
+++ b/crates/journal/src/group.rs
@@ -15,15 +15,15 @@
 
 /// As many entries wait as may, or the writer has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct QueueFull;
 
-impl fmt::Display for Full {
+impl fmt::Display for QueueFull {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the journal takes no more entries now")
     }
 }
 
-impl std::error::Error for Full {}
+impl std::error::Error for QueueFull {}
 
 enum Job {
     Append(Vec<u8>, Told),
@@ -32,7 +32,7 @@
 
 /// A journal behind a thread of its own. There is no wait for company: while one sync runs the next entries gather,
 /// so that an entry waits for two syncs at the most, the one that runs and its own.
-pub struct Group {
+pub struct GroupCommit {
     jobs: Option<SyncSender<Job>>,
     writer: Option<JoinHandle<Journal>>,
 }
@@ -87,17 +87,17 @@
     journal
 }
 
-impl Group {
+impl GroupCommit {
     /// `most_waiting`: entries that may wait for the writer.
-    pub fn new(journal: Journal, most_waiting: usize) -> Group {
-        Group::sharing(journal, most_waiting, MOST_ENTRIES)
+    pub fn new(journal: Journal, most_waiting: usize) -> GroupCommit {
+        GroupCommit::sharing(journal, most_waiting, MOST_ENTRIES)
     }
 
     /// With so many entries that share a sync at the most.
-    pub fn sharing(journal: Journal, most_waiting: usize, most_entries: usize) -> Group {
+    pub fn sharing(journal: Journal, most_waiting: usize, most_entries: usize) -> GroupCommit {
         let (send, jobs) = sync_channel(most_waiting.max(1));
         let writer = std::thread::spawn(move || write(journal, jobs, most_entries));
-        Group {
+        GroupCommit {
             jobs: Some(send),
             writer: Some(writer),
         }
@@ -108,7 +108,7 @@
         &self,
         entry: Vec<u8>,
         told: impl FnOnce(io::Result<()>) + Send + 'static,
-    ) -> Result<(), Full> {
+    ) -> Result<(), QueueFull> {
         self.hand_over(Job::Append(entry, Box::new(told)))
     }
 
@@ -118,14 +118,14 @@
         &self,
         state: Vec<u8>,
         told: impl FnOnce(io::Result<()>) + Send + 'static,
-    ) -> Result<(), Full> {
+    ) -> Result<(), QueueFull> {
         self.hand_over(Job::Replace(state, Box::new(told)))
     }
 
-    fn hand_over(&self, job: Job) -> Result<(), Full> {
-        let jobs = self.jobs.as_ref().ok_or(Full)?;
+    fn hand_over(&self, job: Job) -> Result<(), QueueFull> {
+        let jobs = self.jobs.as_ref().ok_or(QueueFull)?;
         jobs.try_send(job).map_err(|e| match e {
-            TrySendError::Full(_) | TrySendError::Disconnected(_) => Full,
+            TrySendError::Full(_) | TrySendError::Disconnected(_) => QueueFull,
         })
     }
 
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod group;
 
-pub use group::{Full, Group};
+pub use group::{GroupCommit, QueueFull};
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -1,6 +1,6 @@
 //! The journal against a plain list, with files cut and damaged at any byte.
 
-use orchidtally_journal::{Group, Journal, Recovered, inspect};
+use orchidtally_journal::{GroupCommit, Journal, Recovered, inspect};
 use proptest::prelude::*;
 use std::fs;
 use std::path::PathBuf;
@@ -144,7 +144,7 @@
 fn a_group_tells_each_once_and_keeps_the_order_of_one_sender() {
     let at = folder("group");
     let (journal, _) = Journal::open(&at).unwrap();
-    let group = std::sync::Arc::new(Group::new(journal, 64));
+    let group = std::sync::Arc::new(GroupCommit::new(journal, 64));
     let (tell, told) = std::sync::mpsc::channel();
     let senders: Vec<_> = (0..4u8)
         .map(|sender| {
@@ -227,7 +227,7 @@
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"before").unwrap();
     journal.fail();
-    let group = Group::new(journal, 64);
+    let group = GroupCommit::new(journal, 64);
     let (tell, told) = std::sync::mpsc::channel();
     let append = |entry: &[u8]| {
         let tell = tell.clone();
--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -3,7 +3,7 @@
 //! `cargo bench -p orchidtally-membership --bench cache`
 
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
-use orchidtally_membership::{Cache, Change, Stamp};
+use orchidtally_membership::{Change, EndpointCache, StoreRevision};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
@@ -44,11 +44,11 @@
                 modified: 1,
             })
             .collect();
-        let mut cache = Cache::new(0.0);
+        let mut cache = EndpointCache::new(0.0);
         let began = Instant::now();
         let told = cache.listed(
             0.0,
-            Stamp {
+            StoreRevision {
                 cluster: 1,
                 revision: 1,
             },
@@ -60,7 +60,7 @@
         let began = Instant::now();
         let told = cache.listed(
             1.0,
-            Stamp {
+            StoreRevision {
                 cluster: 1,
                 revision: 2,
             },
@@ -82,7 +82,7 @@
             };
             let told = cache.changed(
                 2.0,
-                Stamp {
+                StoreRevision {
                     cluster: 1,
                     revision,
                 },
--- a/crates/membership/src/cache.rs
+++ b/crates/membership/src/cache.rs
@@ -23,7 +23,7 @@
 
 /// Where an answer of the store comes from, and how far it had come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Stamp {
+pub struct StoreRevision {
     pub cluster: u64,
     pub revision: i64,
 }
@@ -55,21 +55,21 @@
 
 /// What the host is to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextRequest {
     List,
     /// From this revision on.
     Watch(i64),
 }
 
 /// Reads an entry's key and value, or tells why it can't be one.
-pub type Read<'r> = dyn Fn(&[u8], &[u8]) -> Result<Endpoint, String> + 'r;
+pub type EntryReader<'r> = dyn Fn(&[u8], &[u8]) -> Result<Endpoint, String> + 'r;
 
 /// What the module is to be told.
-pub type Told = Option<(EndpointUpdateKind, Vec<Endpoint>)>;
+pub type EndpointUpdate = Option<(EndpointUpdateKind, Vec<Endpoint>)>;
 
 #[derive(Debug, Default)]
-pub struct Cache {
-    stamp: Option<Stamp>,
+pub struct EndpointCache {
+    stamp: Option<StoreRevision>,
     listed: bool,
     /// A list has to come before the next watch.
     stale: bool,
@@ -100,18 +100,18 @@
     }
 }
 
-impl Cache {
-    pub fn new(now: f64) -> Cache {
-        Cache {
+impl EndpointCache {
+    pub fn new(now: f64) -> EndpointCache {
+        EndpointCache {
             heard_at: now,
-            ..Cache::default()
+            ..EndpointCache::default()
         }
     }
 
-    pub fn next(&self) -> Next {
+    pub fn next(&self) -> NextRequest {
         match self.stamp {
-            Some(stamp) if !self.stale => Next::Watch(stamp.revision + 1),
-            _ => Next::List,
+            Some(stamp) if !self.stale => NextRequest::Watch(stamp.revision + 1),
+            _ => NextRequest::List,
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// A sign of life: nothing has changed up to this revision.
-    pub fn progressed(&mut self, now: f64, stamp: Stamp) {
+    pub fn progressed(&mut self, now: f64, stamp: StoreRevision) {
         self.heard_at = now;
         // Guards against a store that was set back and has caught up since, which no revision tells.
         self.stale |= now - self.listed_at > LIST_INTERVAL;
@@ -172,7 +172,7 @@
     }
 
     /// A connection to it failed: one that the store has no more, and that is not there, is gone.
-    pub fn failed(&mut self, executor: &ExecutorId) -> Told {
+    pub fn failed(&mut self, executor: &ExecutorId) -> EndpointUpdate {
         let key = self
             .entries
             .iter()
@@ -182,7 +182,7 @@
         Some((EndpointUpdateKind::Delta, vec![gone(&entry.row)]))
     }
 
-    fn read(&mut self, change: &Change, read: &Read) -> Option<Endpoint> {
+    fn read(&mut self, change: &Change, read: &EntryReader) -> Option<Endpoint> {
         match read(change.key, change.value?) {
             Ok(row) => {
                 self.faults.remove(change.key);
@@ -276,7 +276,13 @@
     }
 
     /// A whole list, at one revision.
-    pub fn listed(&mut self, now: f64, stamp: Stamp, list: &[Change], read: &Read) -> Told {
+    pub fn listed(
+        &mut self,
+        now: f64,
+        stamp: StoreRevision,
+        list: &[Change],
+        read: &EntryReader,
+    ) -> EndpointUpdate {
         self.heard_at = now;
         self.relists += u64::from(self.listed);
         let back = self
@@ -331,7 +337,13 @@
     }
 
     /// What a watch told, up to and with a revision. What was told before is let pass.
-    pub fn changed(&mut self, now: f64, stamp: Stamp, changes: &[Change], read: &Read) -> Told {
+    pub fn changed(
+        &mut self,
+        now: f64,
+        stamp: StoreRevision,
+        changes: &[Change],
+        read: &EntryReader,
+    ) -> EndpointUpdate {
         let Some(known) = self.stamp.filter(|s| s.cluster == stamp.cluster) else {
             self.stale = true;
             return None;
@@ -373,7 +385,7 @@
             }
         }
         self.remove(now, removed, false, &mut rows);
-        self.stamp = Some(Stamp {
+        self.stamp = Some(StoreRevision {
             revision: known.revision.max(stamp.revision),
             ..stamp
         });
@@ -382,7 +394,7 @@
 
     /// What is held goes once nothing has been heard of it for long enough. While the store itself is silent nothing
     /// more is concluded from it.
-    pub fn turn(&mut self, now: f64) -> Told {
+    pub fn turn(&mut self, now: f64) -> EndpointUpdate {
         let silent = self.age(now) > HELD;
         let over = |e: &Entry| {
             let since = e.held_since?;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,5 +4,5 @@
 pub mod cache;
 pub mod members;
 
-pub use cache::{Cache, Change, Next, Stamp};
-pub use members::{Figure, Members};
+pub use cache::{Change, EndpointCache, NextRequest, StoreRevision};
+pub use members::{Members, MembershipEstimate};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -9,9 +9,9 @@
 
 /// What views may differ by, in seconds: how late a change is seen, at the most, by a front end that counts by its
 /// view.
-pub const LATE: f64 = 3.0;
+pub const MAX_VIEW_DELAY: f64 = 3.0;
 /// A view that was not renewed for so long is none.
-const NO_VIEW: f64 = LATE;
+const NO_VIEW: f64 = MAX_VIEW_DELAY;
 
 #[derive(Clone, Debug, Default)]
 pub struct Members {
@@ -28,7 +28,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figure {
+pub struct MembershipEstimate {
     /// Front ends to share by.
     pub count: u32,
     /// Its own index; none while it owns none.
@@ -79,16 +79,16 @@
         self.most = self.most.max(count);
         self.seen_at = Some(self.seen_at.map_or(at, |before: f64| before.max(at)));
         self.seen.push_back((at, count));
-        while self.seen.len() > 1 && self.seen[1].0 <= at - 2.0 * LATE {
+        while self.seen.len() > 1 && self.seen[1].0 <= at - 2.0 * MAX_VIEW_DELAY {
             self.seen.pop_front();
         }
     }
 
-    pub fn figure(&self, now: f64) -> Figure {
+    pub fn figure(&self, now: f64) -> MembershipEstimate {
         let index = self.own.map(|own| own.0);
         let holds = now < self.lease_until;
         // Others count it once they have seen it.
-        let known = self.own.is_some_and(|own| now >= own.1 + LATE) && holds;
+        let known = self.own.is_some_and(|own| now >= own.1 + MAX_VIEW_DELAY) && holds;
         let current = self.seen_at.is_some_and(|at| now - at <= NO_VIEW);
         let lately = self.seen.iter().map(|s| s.1).max().unwrap_or(0);
         let own = index.map_or(0, |i| i + 1);
@@ -99,7 +99,7 @@
         };
         // Each that shares has been in the store for as long as a view may be old, and is there still: all of them
         // are in this view. Without one nobody can say by how many to share.
-        Figure {
+        MembershipEstimate {
             count: count.max(own).max(1),
             index,
             shares: known && current,
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -9,7 +9,7 @@
     DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
 };
 use orchidtally_etcd::{Told, Watch, range_end};
-use orchidtally_membership::{Cache, Change, Next, Stamp};
+use orchidtally_membership::{Change, EndpointCache, NextRequest, StoreRevision};
 use orchidtally_test_servers::etcd::Store;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -54,7 +54,7 @@
     random: SmallRng,
     now: f64,
     store: Store,
-    cache: Cache,
+    cache: EndpointCache,
     watch: Option<Watch>,
     /// What is on its way to the watcher.
     down: VecDeque<WatchResponse>,
@@ -74,7 +74,7 @@
             random: SmallRng::seed_from_u64(seed),
             now: 0.0,
             store: Store::new(1),
-            cache: Cache::new(0.0),
+            cache: EndpointCache::new(0.0),
             watch: None,
             down: VecDeque::new(),
             sent: 0,
@@ -147,7 +147,7 @@
             return;
         };
         for told in watch.received(response) {
-            let stamp = |h: &orchidtally_etcd::rpc::ResponseHeader| Stamp {
+            let stamp = |h: &orchidtally_etcd::rpc::ResponseHeader| StoreRevision {
                 cluster: h.cluster_id,
                 revision: h.revision,
             };
@@ -171,7 +171,7 @@
                 Told::Created | Told::Cancelled { .. } => None,
             };
             self.tell(rows);
-            if self.cache.next() == Next::List {
+            if self.cache.next() == NextRequest::List {
                 self.cut();
                 return;
             }
@@ -187,7 +187,7 @@
         if self.watch.is_some() {
             return;
         }
-        if self.cache.next() == Next::List {
+        if self.cache.next() == NextRequest::List {
             self.lists += 1;
             let question = RangeRequest {
                 key: PREFIX.to_vec().into(),
@@ -197,14 +197,14 @@
             let answer = self.store.range(&question).unwrap();
             let list: Vec<Change> = answer.kvs.iter().map(|kv| change(kv, false)).collect();
             let header = answer.header.unwrap();
-            let stamp = Stamp {
+            let stamp = StoreRevision {
                 cluster: header.cluster_id,
                 revision: header.revision,
             };
             let told = self.cache.listed(self.now, stamp, &list, &read);
             self.tell(told);
         }
-        let Next::Watch(from) = self.cache.next() else {
+        let NextRequest::Watch(from) = self.cache.next() else {
             panic!("a list was just given")
         };
         let mut watch = Watch::new(PREFIX, from);
@@ -411,7 +411,7 @@
     assert!(back > 200, "{back}");
 }
 
-fn fleet(n: usize) -> (Store, Cache) {
+fn fleet(n: usize) -> (Store, EndpointCache) {
     let mut store = Store::new(1);
     for n in 0..n {
         let key = [PREFIX, n.to_string().as_bytes()].concat().into();
@@ -423,12 +423,12 @@
             })
             .unwrap();
     }
-    let mut cache = Cache::new(0.0);
+    let mut cache = EndpointCache::new(0.0);
     let kvs = listed(&store);
     let list: Vec<Change> = kvs.iter().map(|kv| change(kv, false)).collect();
     let told = cache.listed(
         0.0,
-        Stamp {
+        StoreRevision {
             cluster: 1,
             revision: store.revision,
         },
@@ -451,7 +451,7 @@
 #[test]
 fn an_empty_list_takes_nobody_away_whose_answers_say_otherwise() {
     let (store, mut cache) = fleet(12);
-    let stamp = Stamp {
+    let stamp = StoreRevision {
         cluster: 1,
         revision: store.revision + 12,
     };
@@ -497,7 +497,7 @@
     let told = cache
         .listed(
             1.0,
-            Stamp {
+            StoreRevision {
                 cluster: 1,
                 revision: store.revision,
             },
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -2,7 +2,7 @@
 //! strictly never adds up to more than one.
 
 use orchidtally_membership::Members;
-use orchidtally_membership::members::LATE;
+use orchidtally_membership::members::MAX_VIEW_DELAY;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -149,7 +149,7 @@
     }
     seen.used /= total;
     // Views are as late as they may be here.
-    const { assert!(LATE > 1.5) };
+    const { assert!(MAX_VIEW_DELAY > 1.5) };
     seen
 }
 
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -17,7 +17,7 @@
 use crate::admission::AdmissionQueue;
 use crate::ledger::{Answer, Ledger, Record, StoredMessage};
 use crate::rules::Rules;
-use crate::section::Section;
+use crate::section::TriggerSettings;
 use actions::Publication;
 use bytes::Bytes;
 use delivery_numbers::DeliveryNumbers;
@@ -81,7 +81,7 @@
 impl Consumer {
     /// A consumer that is not connected yet. `index` is the front end's, `records` are what its journal holds.
     pub fn new(
-        section: &Section,
+        section: &TriggerSettings,
         deployment: &Deployment,
         index: u32,
         password: Option<Bytes>,
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -12,4 +12,4 @@
 pub use consumer::Consumer;
 pub use pattern::Pattern;
 pub use rules::{Poison, Rules};
-pub use section::{Section, read};
+pub use section::{TriggerSettings, read};
--- a/crates/mqtt-triggers/src/promises.rs
+++ b/crates/mqtt-triggers/src/promises.rs
@@ -47,7 +47,7 @@
 
 /// The state of an invocation by its name.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Standing {
+pub enum InvocationState {
     /// It is new, and promised once this record is on the disk.
     New(Record),
     /// It has no answer yet.
@@ -60,7 +60,7 @@
 
 /// The promises of a front end.
 #[derive(Clone, Debug, Default)]
-pub struct Promises {
+pub struct DurableInvocations {
     /// Seconds for which a name is kept after its answer.
     keep: f64,
     /// The most names that are kept.
@@ -72,19 +72,19 @@
     over: VecDeque<(f64, String)>,
 }
 
-impl Promises {
+impl DurableInvocations {
     /// No promises yet.
-    pub fn new(keep: f64, most: usize, longest_body: usize) -> Promises {
-        Promises {
+    pub fn new(keep: f64, most: usize, longest_body: usize) -> DurableInvocations {
+        DurableInvocations {
             keep,
             most,
             longest_body,
-            ..Promises::default()
+            ..DurableInvocations::default()
         }
     }
 
     /// Restores the promises of a journal. Those that were open when the front end crashed have an unknown outcome.
-    pub fn recover(self, records: &[Record], now: f64) -> Promises {
+    pub fn recover(self, records: &[Record], now: f64) -> DurableInvocations {
         let mut promises = self.noted(records);
         promises.end_open(now);
         promises.sweep(now);
@@ -92,7 +92,7 @@
     }
 
     /// Applies records, and leaves open what is open.
-    pub fn noted(mut self, records: &[Record]) -> Promises {
+    pub fn noted(mut self, records: &[Record]) -> DurableInvocations {
         records.iter().for_each(|record| self.note(record));
         self
     }
@@ -164,27 +164,29 @@
     }
 
     /// The state of a name, without a change.
-    pub fn standing(&self, name: &str) -> Option<Standing> {
-        self.names
-            .get(name)
-            .map(|p| p.outcome.clone().map_or(Standing::Running, Standing::Over))
+    pub fn standing(&self, name: &str) -> Option<InvocationState> {
+        self.names.get(name).map(|p| {
+            p.outcome
+                .clone()
+                .map_or(InvocationState::Running, InvocationState::Over)
+        })
     }
 
     /// An invocation is offered under a name.
-    pub fn offered(&mut self, now: f64, name: &str) -> Standing {
+    pub fn offered(&mut self, now: f64, name: &str) -> InvocationState {
         self.sweep(now);
         if let Some(standing) = self.standing(name) {
             return standing;
         }
         if self.names.len() >= self.most {
-            return Standing::Full;
+            return InvocationState::Full;
         }
         let record = Record::Taken {
             name: name.to_owned(),
             at: now,
         };
         self.note(&record);
-        Standing::New(record)
+        InvocationState::New(record)
     }
 
     /// An invocation has its final answer. If it has not run, the name is free again.
--- a/crates/mqtt-triggers/src/rules/parse.rs
+++ b/crates/mqtt-triggers/src/rules/parse.rs
@@ -6,7 +6,7 @@
 use super::{PayloadFormat, ReplyTo, Rule, Rules, TokenSource, Value};
 use crate::pattern::Pattern;
 use orchidtally_deployment::Deployment;
-use orchidtally_deployment::reader::{Document, Fault, Fields, Place};
+use orchidtally_deployment::reader::{DeploymentFault, Document, Fields, Place};
 use orchidtally_mqtt::packet::Qos;
 
 /// The time in seconds that messages of an unknown trigger type have: the rule is refused anyway.
@@ -31,7 +31,7 @@
 
 impl Rules {
     /// Reads a document with a list of rules, or returns every fault in it.
-    pub fn read(text: &str, deployment: &Deployment) -> Result<Rules, Vec<Fault>> {
+    pub fn read(text: &str, deployment: &Deployment) -> Result<Rules, Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
             return Err(document.faults());
--- a/crates/mqtt-triggers/src/section.rs
+++ b/crates/mqtt-triggers/src/section.rs
@@ -2,7 +2,7 @@
 
 use crate::rules::{ReplyTo, Rules};
 use orchidtally_deployment::reader::{Fields, Place};
-use orchidtally_deployment::{Deployment, Fault};
+use orchidtally_deployment::{Deployment, DeploymentFault};
 use orchidtally_mqtt::filter::check_topic;
 use orchidtally_mqtt::packet::{Subscription, Version};
 use orchidtally_mqtt::session::SessionOptions;
@@ -12,7 +12,7 @@
 
 /// The files of TLS in PEM, which are read for each connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tls {
+pub struct TlsSettings {
     /// The certificates of the authorities that are trusted.
     pub authorities: PathBuf,
     /// The files of the client's certificates and key, where the broker wants them.
@@ -23,7 +23,7 @@
 
 /// The `mqtt` section.
 #[derive(Clone, Debug)]
-pub struct Section {
+pub struct TriggerSettings {
     /// The address of the broker.
     pub broker: SocketAddr,
     /// The protocol version that is spoken.
@@ -34,7 +34,7 @@
     /// The file that holds the password.
     pub password_file: Option<PathBuf>,
     /// Set where the connection uses TLS.
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsSettings>,
     /// The group of the shared subscriptions, by which front ends share the messages.
     pub group: String,
     /// Seconds without a packet after which a ping is sent.
@@ -66,7 +66,7 @@
 const INDEX: &str = "{index}";
 
 /// Reads a deployment file with its `mqtt` section, if it has one, or returns every fault in both.
-pub fn read(text: &str) -> Result<(Deployment, Option<Section>), Vec<Fault>> {
+pub fn read(text: &str) -> Result<(Deployment, Option<TriggerSettings>), Vec<DeploymentFault>> {
     Deployment::read_with(text, |place, deployment| {
         if place.is_given() {
             section(place, deployment)
@@ -109,7 +109,7 @@
     pub const ANSWER_MARGIN: f64 = 0.1;
 }
 
-fn section(place: &Place, deployment: &Deployment) -> Option<Section> {
+fn section(place: &Place, deployment: &Deployment) -> Option<TriggerSettings> {
     let fields = place.object(&KEYS);
     let broker = fields
         .at("broker")
@@ -149,7 +149,7 @@
     let journal_bytes = journal
         .maybe("maxBytes", |p| p.bytes(65_536.0..=1e12))
         .unwrap_or(default::JOURNAL_BYTES);
-    Some(Section {
+    Some(TriggerSettings {
         broker: broker?,
         version,
         client_id: client_id?,
@@ -182,7 +182,7 @@
     text
 }
 
-fn tls(place: &Place) -> Option<Tls> {
+fn tls(place: &Place) -> Option<TlsSettings> {
     let fields = place.object(&["authorities", "certificate", "key", "name"]);
     let path = |key| fields.maybe(key, Place::text).map(PathBuf::from);
     let identity = match (path("certificate"), path("key")) {
@@ -194,7 +194,7 @@
         }
     };
     let authorities = fields.at("authorities").text()?.into();
-    Some(Tls {
+    Some(TlsSettings {
         authorities,
         identity,
         name: fields.at("name").text()?,
@@ -271,7 +271,7 @@
     group
 }
 
-impl Section {
+impl TriggerSettings {
     /// The folder of a front end's journal.
     pub fn folder(&self, index: u32) -> PathBuf {
         self.journal.replace(INDEX, &index.to_string()).into()
--- a/crates/mqtt-triggers/tests/promises.rs
+++ b/crates/mqtt-triggers/tests/promises.rs
@@ -1,15 +1,15 @@
 //! Promises against a plain model, with front ends that die between any two records.
 
 use bytes::Bytes;
-use orchidtally_mqtt_triggers::promises::{Outcome, Promises, Record, Standing};
+use orchidtally_mqtt_triggers::promises::{DurableInvocations, InvocationState, Outcome, Record};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
 const KEEP: f64 = 50.0;
 
-fn fresh() -> Promises {
-    Promises::new(KEEP, 6, 4)
+fn fresh() -> DurableInvocations {
+    DurableInvocations::new(KEEP, 6, 4)
 }
 
 /// What the plain model knows of a name: runs, and what was answered.
@@ -41,7 +41,7 @@
             let n = names.entry(name.clone()).or_default();
             match what {
                 0..=4 => match promises.offered(now, &name) {
-                    Standing::New(record) => {
+                    InvocationState::New(record) => {
                         prop_assert!(!n.running && n.over.is_none() && known < 6);
                         // A disk that fails now and then.
                         if what == 4 {
@@ -51,9 +51,9 @@
                             (n.running, n.runs) = (true, n.runs + 1);
                         }
                     }
-                    Standing::Running => prop_assert!(n.running),
-                    Standing::Over(outcome) => prop_assert_eq!(Some(&outcome), n.over.as_ref().map(|o| &o.1)),
-                    Standing::Full => prop_assert_eq!(known, 6),
+                    InvocationState::Running => prop_assert!(n.running),
+                    InvocationState::Over(outcome) => prop_assert_eq!(Some(&outcome), n.over.as_ref().map(|o| &o.1)),
+                    InvocationState::Full => prop_assert_eq!(known, 6),
                 },
                 5..=6 if n.running => {
                     let body = Bytes::from(vec![b'x'; name.len() + 4 * usize::from(what == 6)]);
--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 use orchidtally_mqtt_triggers::Consumer;
 use orchidtally_mqtt_triggers::consumer::HostAction;
 use orchidtally_mqtt_triggers::ledger::{Answer, Record};
-use orchidtally_mqtt_triggers::section::{Section, read};
+use orchidtally_mqtt_triggers::section::{TriggerSettings, read};
 use orchidtally_test_servers::broker::{Action, Broker, GivesTwice};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -17,7 +17,7 @@
 
 pub const FRONT_ENDS: usize = 3;
 
-pub fn deployment(version: &str, qos: u8, hands_over: bool) -> (Deployment, Section) {
+pub fn deployment(version: &str, qos: u8, hands_over: bool) -> (Deployment, TriggerSettings) {
     let text = format!(
         r#"{{
             frontEnds: {{ count: {FRONT_ENDS} }},
@@ -77,7 +77,7 @@
     pub now: f64,
     pub version: Version,
     pub deployment: Deployment,
-    pub section: Section,
+    pub section: TriggerSettings,
     pub planted: Planted,
     pub broker: Broker,
     pub front_ends: Vec<FrontEnd>,
--- a/crates/platform-client-protocol/src/lib.rs
+++ b/crates/platform-client-protocol/src/lib.rs
@@ -4,13 +4,13 @@
 use std::fmt;
 
 /// What a frame's length may be; it counts all that follows it.
-pub const LONGEST: usize = 262_144;
-const SHORTEST: usize = 5;
+pub const MAX_FRAME_LENGTH: usize = 262_144;
+const MIN_FRAME_LENGTH: usize = 5;
 /// A body that may be asked for.
-pub const LONGEST_BODY: usize = 16 * 1024;
+pub const MAX_BODY_LENGTH: usize = 16 * 1024;
 /// Frames over this are read over without being kept: no invocation that may be taken has one. It is a body
 /// and as much again for its fields.
-const LONGEST_KEPT: usize = 2 * LONGEST_BODY;
+const MAX_BUFFERED_LENGTH: usize = 2 * MAX_BODY_LENGTH;
 
 pub const INVOKE: u8 = 7;
 pub const ANSWER: u8 = 8;
@@ -77,18 +77,18 @@
             return Ok(self.starve());
         }
         let length = word(&self.bytes[self.at..]) as usize;
-        if length < SHORTEST {
+        if length < MIN_FRAME_LENGTH {
             return Err(Unreadable("the length of a frame is under 5"));
         }
-        if length > LONGEST {
+        if length > MAX_FRAME_LENGTH {
             return Err(Unreadable("the length of a frame is over 262144"));
         }
-        if left < 4 + SHORTEST {
+        if left < 4 + MIN_FRAME_LENGTH {
             return Ok(self.starve());
         }
         let head = self.at + 4;
         let (kind, stream) = (self.bytes[head], word(&self.bytes[head + 1..]));
-        if length > LONGEST_KEPT {
+        if length > MAX_BUFFERED_LENGTH {
             let there = left.min(4 + length);
             self.at += there;
             self.over = 4 + length - there;
@@ -105,7 +105,7 @@
         Ok(Some(Frame {
             kind,
             stream,
-            payload: Some(&self.bytes[head + SHORTEST..self.at]),
+            payload: Some(&self.bytes[head + MIN_FRAME_LENGTH..self.at]),
         }))
     }
 
--- a/crates/platform-client-protocol/tests/frames.rs
+++ b/crates/platform-client-protocol/tests/frames.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_frame_is_read_as_it_was_written() {
-    for body in [&b""[..], b"\x00\xff", &[7; LONGEST_BODY]] {
+    for body in [&b""[..], b"\x00\xff", &[7; MAX_BODY_LENGTH]] {
         let (frames, fault) = read([invoke(5, body).as_slice()]);
         assert_eq!((frames.len(), fault), (1, None));
         let (kind, stream, payload) = &frames[0];
@@ -84,7 +84,14 @@
 
 #[test]
 fn lengths_out_of_bounds_end_the_reading() {
-    for length in [0u32, 1, 4, LONGEST as u32 + 1, 60_000_000, u32::MAX] {
+    for length in [
+        0u32,
+        1,
+        4,
+        MAX_FRAME_LENGTH as u32 + 1,
+        60_000_000,
+        u32::MAX,
+    ] {
         let (frames, fault) = read([&length.to_be_bytes()[..]]);
         assert!(frames.is_empty() && fault.is_some(), "length {length}");
     }
@@ -92,7 +99,7 @@
 
 #[test]
 fn a_frame_too_long_to_keep_is_told_at_once_and_read_over() {
-    let mut bytes = ((LONGEST) as u32).to_be_bytes().to_vec();
+    let mut bytes = ((MAX_FRAME_LENGTH) as u32).to_be_bytes().to_vec();
     bytes.extend([INVOKE, 0, 0, 0, 3]);
     let mut decoder = Decoder::default();
     decoder.push(&bytes);
@@ -104,7 +111,7 @@
             payload: None
         }))
     );
-    for _ in 0..LONGEST - 5 {
+    for _ in 0..MAX_FRAME_LENGTH - 5 {
         assert!(decoder.is_within());
         decoder.push(&[0xee]);
         assert_eq!(decoder.read(), Ok(None));
--- a/crates/platform-config/src/fault.rs
+++ b/crates/platform-config/src/fault.rs
@@ -3,7 +3,7 @@
 use thiserror::Error;
 
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum Fault {
+pub enum SettingsError {
     #[error("settings are not JSON: {0}; write them as one JSON object")]
     NotJson(String),
     #[error("settings lack '{key}'; add it")]
@@ -24,16 +24,16 @@
     },
 }
 
-impl Fault {
-    pub(crate) fn form(key: &str, wanted: &'static str) -> Fault {
-        Fault::WrongForm {
+impl SettingsError {
+    pub(crate) fn form(key: &str, wanted: &'static str) -> SettingsError {
+        SettingsError::WrongForm {
             key: key.into(),
             wanted,
         }
     }
 
-    pub(crate) fn unknown(key: &str, value: &str, known: &[&str]) -> Fault {
-        Fault::Unknown {
+    pub(crate) fn unknown(key: &str, value: &str, known: &[&str]) -> SettingsError {
+        SettingsError::Unknown {
             key: key.into(),
             value: value.into(),
             known: known.join(", "),
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -3,26 +3,26 @@
 
 mod fault;
 
-pub use fault::Fault;
+pub use fault::SettingsError;
 use orchidtally_dispatch_policy::interface::{
     DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
 };
 use serde_json::Value;
 
-fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, Fault> {
+fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, SettingsError> {
     key.split('.')
         .try_fold(value, |v, k| v.get(k))
-        .ok_or_else(|| Fault::Lacking { key: key.into() })
+        .ok_or_else(|| SettingsError::Lacking { key: key.into() })
 }
 
-fn number(value: &Value, key: &str) -> Result<f64, Fault> {
+fn number(value: &Value, key: &str) -> Result<f64, SettingsError> {
     need(value, key)?
         .as_f64()
-        .ok_or_else(|| Fault::form(key, "a number"))
+        .ok_or_else(|| SettingsError::form(key, "a number"))
 }
 
 /// A number within bounds.
-fn within(value: &Value, key: &str, least: f64, most: f64) -> Result<f64, Fault> {
+fn within(value: &Value, key: &str, least: f64, most: f64) -> Result<f64, SettingsError> {
     let number = number(value, key)?;
     if (least..=most).contains(&number) {
         return Ok(number);
@@ -32,7 +32,7 @@
     } else {
         format!("{least} or more")
     };
-    Err(Fault::OutOfRange {
+    Err(SettingsError::OutOfRange {
         key: key.into(),
         value: number,
         bounds,
@@ -40,16 +40,16 @@
 }
 
 /// One that can't be under zero.
-fn amount(value: &Value, key: &str) -> Result<f64, Fault> {
+fn amount(value: &Value, key: &str) -> Result<f64, SettingsError> {
     within(value, key, 0.0, f64::INFINITY)
 }
 
-fn seconds(value: &Value, key: &str) -> Result<f64, Fault> {
+fn seconds(value: &Value, key: &str) -> Result<f64, SettingsError> {
     Ok(amount(value, key)? / 1e9)
 }
 
 /// What some sites leave out.
-fn amount_or(value: &Value, key: &str, absent: f64) -> Result<f64, Fault> {
+fn amount_or(value: &Value, key: &str, absent: f64) -> Result<f64, SettingsError> {
     if need(value, key).is_err() {
         Ok(absent)
     } else {
@@ -59,7 +59,7 @@
 
 /// Whether a setting of two kinds is the second; the first stands where it is left out. Guards against a third
 /// that would be held for the first.
-fn is_second(value: &Value, key: &str, kinds: [&str; 2]) -> Result<bool, Fault> {
+fn is_second(value: &Value, key: &str, kinds: [&str; 2]) -> Result<bool, SettingsError> {
     if need(value, key).is_err() {
         return Ok(false);
     }
@@ -67,31 +67,36 @@
     let known = kinds.iter().position(|k| *k == kind);
     known
         .map(|n| n == 1)
-        .ok_or_else(|| Fault::unknown(key, kind, &kinds))
+        .ok_or_else(|| SettingsError::unknown(key, kind, &kinds))
 }
 
-fn flag(value: &Value, key: &str) -> Result<bool, Fault> {
+fn flag(value: &Value, key: &str) -> Result<bool, SettingsError> {
     match need(value, key) {
         Err(_) => Ok(false),
-        Ok(v) => v.as_bool().ok_or_else(|| Fault::form(key, "true or false")),
+        Ok(v) => v
+            .as_bool()
+            .ok_or_else(|| SettingsError::form(key, "true or false")),
     }
 }
 
-fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, Fault> {
+fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
     need(value, key)?
         .as_str()
-        .ok_or_else(|| Fault::form(key, "a text"))
+        .ok_or_else(|| SettingsError::form(key, "a text"))
 }
 
-fn list<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], Fault> {
+fn list<'a>(value: &'a Value, key: &str) -> Result<&'a [Value], SettingsError> {
     let found = need(value, key)?
         .as_array()
-        .ok_or_else(|| Fault::form(key, "a list"))?;
+        .ok_or_else(|| SettingsError::form(key, "a list"))?;
     Ok(found)
 }
 
 /// Which field of a load report is meant, by its name and by what the settings say of it, if they do.
-fn reported(v: &Value, is_meant: impl Fn(&str, &str) -> bool) -> Result<Option<usize>, Fault> {
+fn reported(
+    v: &Value,
+    is_meant: impl Fn(&str, &str) -> bool,
+) -> Result<Option<usize>, SettingsError> {
     if need(v, "feedback.fields").is_err() {
         return Ok(None);
     }
@@ -102,13 +107,13 @@
     Ok(list(v, "feedback.fields")?.iter().position(meant))
 }
 
-fn trigger_type(v: &Value) -> Result<TriggerType, Fault> {
+fn trigger_type(v: &Value) -> Result<TriggerType, SettingsError> {
     let effect = match text(v, "semantics")? {
         "pure" => Idempotency::Idempotent,
         "token" => Idempotency::Keyed,
         "side_effect" => Idempotency::NonIdempotent,
         other => {
-            return Err(Fault::unknown(
+            return Err(SettingsError::unknown(
                 "classes[].semantics",
                 other,
                 &["pure", "token", "side_effect"],
@@ -121,7 +126,7 @@
             "zone" => DeduplicationScope::Zone,
             "cell" => DeduplicationScope::Cell,
             other => {
-                return Err(Fault::unknown(
+                return Err(SettingsError::unknown(
                     "classes[].dedupScope",
                     other,
                     &["all", "zone", "cell"],
@@ -148,11 +153,11 @@
 ///
 /// # Errors
 /// It is no JSON, or a key is missing, of another form or out of its range: the fault names the key.
-pub fn read(bytes: &[u8]) -> Result<PolicyConfig, Fault> {
-    decode(&serde_json::from_slice(bytes).map_err(|e| Fault::NotJson(e.to_string()))?)
+pub fn read(bytes: &[u8]) -> Result<PolicyConfig, SettingsError> {
+    decode(&serde_json::from_slice(bytes).map_err(|e| SettingsError::NotJson(e.to_string()))?)
 }
 
-fn customers(v: &Value) -> Result<&[Value], Fault> {
+fn customers(v: &Value) -> Result<&[Value], SettingsError> {
     if need(v, "customers").is_ok() {
         list(v, "customers")
     } else {
@@ -160,7 +165,7 @@
     }
 }
 
-fn decode(v: &Value) -> Result<PolicyConfig, Fault> {
+fn decode(v: &Value) -> Result<PolicyConfig, SettingsError> {
     let customers = customers(v)?;
     Ok(PolicyConfig {
         trigger_types: list(v, "classes")?
@@ -231,17 +236,17 @@
     pub order_time: f64,
 }
 
-fn names(value: &Value, key: &str) -> Result<Vec<String>, Fault> {
+fn names(value: &Value, key: &str) -> Result<Vec<String>, SettingsError> {
     let name = |v: &Value| v.as_str().map(str::to_owned);
     let all = list(value, key)?.iter().map(name).collect::<Option<_>>();
-    all.ok_or_else(|| Fault::form(key, "a list of texts"))
+    all.ok_or_else(|| SettingsError::form(key, "a list of texts"))
 }
 
 /// Reads settings for a front end on sockets.
 ///
 /// # Errors
 /// A key is missing, of another form or out of its range: the fault names the key.
-pub fn front_end_settings(v: &Value) -> Result<FrontEndSettings, Fault> {
+pub fn front_end_settings(v: &Value) -> Result<FrontEndSettings, SettingsError> {
     let trigger_types = list(v, "classes")?
         .iter()
         .map(|c| text(c, "name").map(str::to_owned));
--- a/crates/platform-discovery/benches/lists.rs
+++ b/crates/platform-discovery/benches/lists.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/told/mod.rs"]
 mod told;
 
-use orchidtally_platform_discovery::{Places, RosterView, answer, known};
+use orchidtally_platform_discovery::{EndpointView, LocationTable, answer, initial_endpoints};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -43,13 +43,13 @@
         };
         let hosts: Vec<_> = names.iter().map(host).collect();
         let start = serde_json::json!({"index": 3, "updates": [{"endpoints": {"whole": true, "hosts": hosts}}]});
-        let mut places = Places::default();
+        let mut places = LocationTable::default();
         let mut read = |bytes: &[u8]| {
             let list = answer(black_box(bytes), 7, &mut places).expect("a sound list");
             assert_eq!(list.entries.len(), executors);
             list
         };
-        let (held, mut view) = (read(&plain), RosterView::new(0.0, 0, &[]));
+        let (held, mut view) = (read(&plain), EndpointView::new(0.0, 0, &[]));
         let mut now = 0.0;
         let times = [
             ("plain", plain.len(), least(rounds, || _ = read(&plain))),
@@ -65,9 +65,10 @@
                 })
             }),
             ("of a start", start.to_string().len(), {
-                let mut places = Places::default();
+                let mut places = LocationTable::default();
                 least(rounds, || {
-                    let (_, entries) = known(black_box(&start), &mut places).expect("a sound list");
+                    let (_, entries) =
+                        initial_endpoints(black_box(&start), &mut places).expect("a sound list");
                     assert_eq!(entries.len(), executors);
                 })
             }),
--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of the resolver over DNS: what is asked, and what an answer tells.
 
-use crate::{Entry, Places, SERVICE, id, since};
+use crate::{DiscoveredEndpoint, LocationTable, SERVICE, executor_id, since};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
@@ -14,12 +14,12 @@
     /// The serial of the SOA record.
     pub serial: u32,
     /// Every executor on the list.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DiscoveredEndpoint>,
 }
 
 /// An executor's standing, where the rest of its row could not be read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StandingRow {
+pub struct EndpointStateOnly {
     /// The executor's id.
     pub name: String,
     /// Ready or draining.
@@ -32,11 +32,11 @@
     /// The serial of the SOA record.
     pub serial: u32,
     /// The executors whose rows could be read.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<DiscoveredEndpoint>,
     /// The others.
-    pub odd: Vec<StandingRow>,
+    pub odd: Vec<EndpointStateOnly>,
     /// Locations and kinds with those that the entries name; to be taken over together with these.
-    pub places: Places,
+    pub places: LocationTable,
 }
 
 /// Why an answer is no whole list.
@@ -100,7 +100,11 @@
 ///
 /// # Errors
 /// As `AnswerFault` tells.
-pub fn answer(bytes: &[u8], id_asked: u16, places: &mut Places) -> Result<Answer, AnswerFault> {
+pub fn answer(
+    bytes: &[u8],
+    id_asked: u16,
+    places: &mut LocationTable,
+) -> Result<Answer, AnswerFault> {
     let packet = Packet::parse(bytes).map_err(|e| AnswerFault::Unreadable(e.to_string()))?;
     if packet.id() != id_asked || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(AnswerFault::Foreign);
@@ -196,8 +200,8 @@
         target: &Vec<String>,
         name: &str,
         zone: &str,
-        places: &mut Places,
-    ) -> Result<Option<Entry>, String> {
+        places: &mut LocationTable,
+    ) -> Result<Option<DiscoveredEndpoint>, String> {
         let ip = *self
             .addresses
             .get(target)
@@ -223,7 +227,7 @@
             return Ok(None);
         };
         let row = Endpoint {
-            executor: id(name),
+            executor: executor_id(name),
             zone,
             kind: places.kind(kind),
             cell,
@@ -231,7 +235,7 @@
             weight: f64::from(srv.weight) / 10.0,
             started_at: since(started),
         };
-        Ok(Some(Entry {
+        Ok(Some(DiscoveredEndpoint {
             name: name.to_owned(),
             address: SocketAddr::new(ip, srv.port),
             row,
@@ -240,9 +244,13 @@
 }
 
 /// Entries, rows of which only the standing could be read, and what is wrong with the first of these.
-type Rows = (Vec<Entry>, Vec<StandingRow>, Option<String>);
+type Rows = (
+    Vec<DiscoveredEndpoint>,
+    Vec<EndpointStateOnly>,
+    Option<String>,
+);
 
-fn rows(packet: &Packet, places: &mut Places) -> Result<Rows, AnswerFault> {
+fn rows(packet: &Packet, places: &mut LocationTable) -> Result<Rows, AnswerFault> {
     let details = Details::new(packet);
     let (mut entries, mut odd, mut first_fault) = (vec![], vec![], None);
     for (srv, target) in details.targets() {
@@ -253,7 +261,7 @@
             Ok(entry) => entries.extend(entry),
             Err(why) => {
                 first_fault.get_or_insert(why);
-                odd.push(StandingRow {
+                odd.push(EndpointStateOnly {
                     name: name.clone(),
                     standing: standing(srv),
                 });
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -4,22 +4,22 @@
 mod answer;
 mod view;
 
-pub use answer::{Answer, AnswerFault, PartialList, StandingRow, answer, query};
+pub use answer::{Answer, AnswerFault, EndpointStateOnly, PartialList, answer, query};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
-pub use view::{Outcome, RosterView};
+pub use view::{EndpointView, ListOutcome};
 
 /// The service whose targets are the executors.
 pub const SERVICE: &str = "_data._tcp.farm.lan";
 /// An answer's bytes at the most: what a UDP datagram carries over IPv4. Hundreds of executors take more than
 /// the 8,000 that the platform's page names.
-pub const LONGEST: usize = 65_507;
+pub const MAX_ANSWER_LENGTH: usize = 65_507;
 
 /// A row of the roster, and where its executor is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct DiscoveredEndpoint {
     pub name: String,
     pub address: SocketAddr,
     pub row: Endpoint,
@@ -27,7 +27,7 @@
 
 /// The module's id for an executor: of its name alone, since its address may be another's later and is not
 /// the same for every front end. The same at all of them.
-pub fn id(name: &str) -> ExecutorId {
+pub fn executor_id(name: &str) -> ExecutorId {
     ExecutorId(
         IpAddr::V6(Ipv6Addr::from_bits(xxhash_rust::xxh3::xxh3_128(
             name.as_bytes(),
@@ -39,7 +39,7 @@
 /// Names of locations and kinds, by the index that the module knows. Lists may name more than the settings do;
 /// those are added as they come.
 #[derive(Clone, Debug, Default)]
-pub struct Places {
+pub struct LocationTable {
     zones: Vec<String>,
     kinds: Vec<String>,
     /// Rows that were left out, for being in a location past those that can be told apart.
@@ -49,9 +49,9 @@
 /// Names told apart, by an index of one byte.
 const MOST_NAMES: usize = 256;
 
-impl Places {
-    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Places {
-        Places {
+impl LocationTable {
+    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> LocationTable {
+        LocationTable {
             zones,
             kinds,
             left_out: 0,
@@ -134,9 +134,12 @@
 }
 
 /// The list of the start, by name, and the number of the last event in it.
-pub fn known(value: &serde_json::Value, places: &mut Places) -> Result<(u32, Vec<Entry>), String> {
+pub fn initial_endpoints(
+    value: &serde_json::Value,
+    places: &mut LocationTable,
+) -> Result<(u32, Vec<DiscoveredEndpoint>), String> {
     let known = Known::deserialize(value).map_err(|e| e.to_string())?;
-    let mut entries: BTreeMap<String, Entry> = BTreeMap::new();
+    let mut entries: BTreeMap<String, DiscoveredEndpoint> = BTreeMap::new();
     for update in known.updates {
         if update.endpoints.whole {
             entries.clear();
@@ -152,7 +155,7 @@
                 continue;
             };
             let row = Endpoint {
-                executor: id(&host.host),
+                executor: executor_id(&host.host),
                 zone,
                 kind: places.kind(&host.class),
                 cell: host.block,
@@ -161,7 +164,7 @@
                 started_at: since(host.born_ms),
             };
             if standing != EndpointState::Gone {
-                let entry = Entry {
+                let entry = DiscoveredEndpoint {
                     name: host.host.clone(),
                     address: host.dial,
                     row,
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -2,7 +2,7 @@
 //! executor that drains or is gone counts at once. A serial alone proves nothing about the rows that came with it: one
 //! datagram with a serial that is not its list's would hide every true list after it.
 
-use crate::{Answer, Entry, PartialList};
+use crate::{Answer, DiscoveredEndpoint, PartialList};
 use orchidtally_dispatch_policy::interface::EndpointState;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 
 /// What came of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ListOutcome {
     /// It tells what is held: the view is as fresh as the question.
     Confirmed,
     /// The rows changed, and the view is as fresh as the question.
@@ -41,30 +41,33 @@
     },
 }
 
-impl Outcome {
+impl ListOutcome {
     /// Whether rows changed.
     pub fn changed(self) -> bool {
-        matches!(self, Outcome::Changed | Outcome::Older { changed: true })
+        matches!(
+            self,
+            ListOutcome::Changed | ListOutcome::Older { changed: true }
+        )
     }
 
     /// Whether the view is as fresh as the question.
     pub fn confirms(self) -> bool {
-        !matches!(self, Outcome::Older { .. })
+        !matches!(self, ListOutcome::Older { .. })
     }
 }
 
 /// An executor on the list that is held.
 #[derive(Clone, Debug)]
 struct Held {
-    entry: Entry,
+    entry: DiscoveredEndpoint,
     /// When it started at the latest, on the caller's clock.
     since: f64,
     /// What the last list told of it besides its standing, where that differs from the entry.
-    differs: Option<Entry>,
+    differs: Option<DiscoveredEndpoint>,
 }
 
 impl Held {
-    fn new(entry: Entry, since: f64) -> Held {
+    fn new(entry: DiscoveredEndpoint, since: f64) -> Held {
         Held {
             entry,
             since,
@@ -75,7 +78,7 @@
     /// Takes what a list tells of the same start: its standing at once, and whatever else differs when it is told twice
     /// in a row. Guards against one spoilt record, by which an executor would be looked for elsewhere, found unreachable
     /// and taken for broken; could harm one that moves, by 0.2 s.
-    fn retold(&self, told: &Entry) -> Held {
+    fn retold(&self, told: &DiscoveredEndpoint) -> Held {
         let mut told_before = self.entry.clone();
         told_before.row.state = told.row.state;
         if told_before == *told {
@@ -107,7 +110,7 @@
 }
 
 /// The latest of some starts that may be compared with each other.
-fn youngest(entries: &[Entry]) -> f64 {
+fn youngest(entries: &[DiscoveredEndpoint]) -> f64 {
     entries
         .iter()
         .map(|e| e.row.started_at)
@@ -127,7 +130,7 @@
 
 /// The executors as last told, and how fresh that is. All times are seconds on the clock of the caller.
 #[derive(Clone, Debug)]
-pub struct RosterView {
+pub struct EndpointView {
     serial: u32,
     began_at: f64,
     asked_at: f64,
@@ -141,14 +144,14 @@
     (serial.wrapping_sub(other) as i32).cmp(&0)
 }
 
-impl RosterView {
+impl EndpointView {
     /// The view of a start at a time: what the configuration lists. Nobody knows how old it is.
-    pub fn new(now: f64, serial: u32, entries: &[Entry]) -> RosterView {
+    pub fn new(now: f64, serial: u32, entries: &[DiscoveredEndpoint]) -> EndpointView {
         let draining = entries
             .iter()
             .filter(|e| e.row.state != EndpointState::Ready);
         let draining: Vec<String> = draining.map(|e| e.name.clone()).collect();
-        let mut view = RosterView {
+        let mut view = EndpointView {
             serial,
             began_at: now,
             asked_at: f64::NEG_INFINITY,
@@ -165,7 +168,7 @@
                 now - (youngest - told)
             }
         };
-        let held = |e: &Entry| {
+        let held = |e: &DiscoveredEndpoint| {
             (
                 e.name.clone(),
                 Held::new(e.clone(), since(e.row.started_at)),
@@ -196,7 +199,7 @@
     }
 
     /// The rows as they count. One told away and ready again before its time is draining.
-    pub fn rows(&self) -> Vec<Entry> {
+    pub fn rows(&self) -> Vec<DiscoveredEndpoint> {
         let row = |held: &Held| {
             let mut entry = held.entry.clone();
             entry.row.started_at = held.since;
@@ -214,7 +217,7 @@
     }
 
     /// Takes a whole list that answers a question which went out at a time.
-    pub fn take(&mut self, now: f64, asked_at: f64, answer: &Answer) -> Outcome {
+    pub fn take(&mut self, now: f64, asked_at: f64, answer: &Answer) -> ListOutcome {
         let order = compare(answer.serial, self.serial);
         let overtaken = asked_at < self.asked_at;
         if order == Ordering::Less && !overtaken {
@@ -225,19 +228,19 @@
             self.adopt(now, answer, order);
             self.asked_at = self.asked_at.max(asked_at);
             return if self.rows() == before {
-                Outcome::Confirmed
+                ListOutcome::Confirmed
             } else {
-                Outcome::Changed
+                ListOutcome::Changed
             };
         }
         self.take_drains(now, answer);
-        Outcome::Older {
+        ListOutcome::Older {
             changed: self.rows() != before,
         }
     }
 
     /// Takes a list with rows that could not be read: of those the standing counts, the rest stays as it was.
-    pub fn take_partial(&mut self, now: f64, asked_at: f64, list: &PartialList) -> Outcome {
+    pub fn take_partial(&mut self, now: f64, asked_at: f64, list: &PartialList) -> ListOutcome {
         let mut entries = list.entries.clone();
         for odd in &list.odd {
             // Nothing can be done with one of which nothing else is known.
@@ -291,7 +294,7 @@
     }
 
     /// The rows of a list that has come now, with when each of them started.
-    fn listed(&self, now: f64, entries: &[Entry]) -> BTreeMap<String, Held> {
+    fn listed(&self, now: f64, entries: &[DiscoveredEndpoint]) -> BTreeMap<String, Held> {
         let absent_at = self.asked_at.max(self.began_at);
         let mut listed: BTreeMap<String, Held> = BTreeMap::new();
         for entry in entries {
@@ -315,7 +318,7 @@
     }
 
     /// A list tells an executor ready; where it was told away, that takes several, or another start.
-    fn vote_ready(&mut self, entry: &Entry, serial: u32, order: Ordering) {
+    fn vote_ready(&mut self, entry: &DiscoveredEndpoint, serial: u32, order: Ordering) {
         let Some(withdrawal) = self.withdrawn.get_mut(&entry.name) else {
             return;
         };
--- a/crates/platform-discovery/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -13,13 +13,17 @@
 
 const TWO: [(&str, u16); 2] = [("s-1.east.hosts", 0), ("s-2.west.hosts", 1)];
 
-fn newer(bytes: &[u8], id: u16, places: &mut Places) -> Result<(u32, Vec<Entry>), AnswerFault> {
+fn newer(
+    bytes: &[u8],
+    id: u16,
+    places: &mut LocationTable,
+) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerFault> {
     answer(bytes, id, places).map(|answer| (answer.serial, answer.entries))
 }
 
-fn read(bytes: &[u8], id: u16) -> Result<(u32, Vec<Entry>), AnswerFault> {
+fn read(bytes: &[u8], id: u16) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerFault> {
     let (zones, kinds) = (names(&["west", "east"]), names(&["big", "std"]));
-    newer(bytes, id, &mut Places::new(zones, kinds))
+    newer(bytes, id, &mut LocationTable::new(zones, kinds))
 }
 
 #[test]
@@ -37,7 +41,7 @@
         let row = &one.row;
         assert_eq!(
             (row.executor, row.zone, row.kind, row.cell),
-            (id("s-1"), 1, 1, 2)
+            (executor_id("s-1"), 1, 1, 2)
         );
         assert_eq!(
             (row.state, row.weight, row.started_at),
@@ -54,7 +58,7 @@
 /// A serial proves nothing about the rows: they are read whatever it is, or one that doesn't fit hides every list.
 #[test]
 fn rows_are_read_whatever_the_serial_and_an_unusable_list_names_no_places() {
-    let mut places = Places::default();
+    let mut places = LocationTable::default();
     for serial in [0, 41, u32::MAX] {
         let told = answer(&list(7, serial, &TWO, true), 7, &mut places.clone()).expect("sound");
         assert_eq!((told.serial, told.entries.len()), (serial, 2));
@@ -73,7 +77,7 @@
     assert_eq!((partial.serial, partial.entries.len()), (41, 1));
     assert_eq!(
         partial.odd,
-        [StandingRow {
+        [EndpointStateOnly {
             name: "s-2".into(),
             standing: EndpointState::Draining
         }]
@@ -141,7 +145,7 @@
 /// Zones may be more than the settings name: one such row must not cost the list, nor a start.
 #[test]
 fn locations_and_kinds_that_the_settings_do_not_name_are_told_apart() {
-    let mut places = Places::new(names(&["east"]), names(&["big"]));
+    let mut places = LocationTable::new(names(&["east"]), names(&["big"]));
     let targets = [
         ("s-1.south.hosts", 0),
         ("s-2.east.hosts", 0),
@@ -149,7 +153,8 @@
         ("s-4.south.hosts", 0),
     ];
     let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
-    let zones = |entries: &[Entry]| entries.iter().map(|e| e.row.zone).collect::<Vec<_>>();
+    let zones =
+        |entries: &[DiscoveredEndpoint]| entries.iter().map(|e| e.row.zone).collect::<Vec<_>>();
     assert_eq!(
         (zones(&entries), entries[0].row.kind),
         (vec![1, 0, 2, 1], 1)
@@ -160,7 +165,7 @@
     };
     let all = serde_json::json!({"seq": 1, "whole": true, "hosts": [host("west"), host("north")]});
     let told = serde_json::json!({"index": 1, "updates": [{"endpoints": all}]});
-    let (_, entries) = known(&told, &mut places).expect("a start goes on");
+    let (_, entries) = initial_endpoints(&told, &mut places).expect("a start goes on");
     assert_eq!(
         (zones(&entries), entries[0].row.kind),
         (vec![2, 3], 2),
@@ -188,7 +193,7 @@
     let targets: Vec<(&str, u16)> = many.iter().map(|t| (t.as_str(), 0)).collect();
     let bytes = list(7, 41, &targets[..500], true);
     assert!(
-        bytes.len() > 8_000 && bytes.len() <= LONGEST,
+        bytes.len() > 8_000 && bytes.len() <= MAX_ANSWER_LENGTH,
         "{}",
         bytes.len()
     );
@@ -207,7 +212,7 @@
 #[test]
 fn known_is_a_whole_list_and_what_changed_since() {
     let (zones, kinds) = (names(&["east"]), names(&["std"]));
-    let mut places = Places::new(zones, kinds);
+    let mut places = LocationTable::new(zones, kinds);
     let host = |host: &str, health: &str, born: u64| {
         serde_json::json!({"host": host, "dial": "10.1.0.9:4100", "site": "east", "class": "std", "block": 2,
             "health": health, "share": 4, "born_ms": born})
@@ -226,7 +231,7 @@
         ],
     );
     let told = serde_json::json!({"index": 3, "updates": [first, then]});
-    let (serial, entries) = known(&told, &mut places).expect("it is sound");
+    let (serial, entries) = initial_endpoints(&told, &mut places).expect("it is sound");
     let all: Vec<_> = entries
         .iter()
         .map(|e| (e.name.as_str(), e.row.state, e.row.started_at))
@@ -238,7 +243,7 @@
     ];
     assert_eq!(all, expected);
     let bad = update(true, vec![host("s-1", "ODD", 0)]);
-    let fault = known(
+    let fault = initial_endpoints(
         &serde_json::json!({"index": 3, "updates": [bad]}),
         &mut places,
     )
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -8,9 +8,9 @@
 /// Seconds between two questions.
 const ASKED_EVERY: f64 = 0.2;
 
-fn entry(n: u32, standing: EndpointState, since: f64) -> Entry {
+fn entry(n: u32, standing: EndpointState, since: f64) -> DiscoveredEndpoint {
     let name = format!("s-{n}");
-    let executor = id(&name);
+    let executor = executor_id(&name);
     let row = Endpoint {
         executor,
         zone: 0,
@@ -20,7 +20,7 @@
         weight: 4.0,
         started_at: since,
     };
-    Entry {
+    DiscoveredEndpoint {
         name,
         address: ([10, 1, 0, n as u8], 4100).into(),
         row,
@@ -46,19 +46,19 @@
 
 /// A view that is told something every 0.2 s.
 struct Told {
-    view: RosterView,
+    view: EndpointView,
     now: f64,
 }
 
 impl Told {
     fn new(first: &Answer) -> Told {
         Told {
-            view: RosterView::new(0.0, first.serial, &first.entries),
+            view: EndpointView::new(0.0, first.serial, &first.entries),
             now: 0.0,
         }
     }
 
-    fn take(&mut self, answer: &Answer) -> Outcome {
+    fn take(&mut self, answer: &Answer) -> ListOutcome {
         self.now += ASKED_EVERY;
         self.view.take(self.now, self.now, answer)
     }
@@ -79,8 +79,8 @@
 #[test]
 fn a_drain_counts_though_its_serial_is_held_already() {
     let mut told = Told::new(&list(1, 3, &[]));
-    assert_eq!(told.take(&list(2, 3, &[])), Outcome::Confirmed);
-    assert_eq!(told.take(&list(2, 3, &[1])), Outcome::Changed);
+    assert_eq!(told.take(&list(2, 3, &[])), ListOutcome::Confirmed);
+    assert_eq!(told.take(&list(2, 3, &[1])), ListOutcome::Changed);
     assert_eq!(told.ready(), [0, 2]);
 }
 
@@ -105,7 +105,7 @@
 #[test]
 fn serials_wrap_around() {
     let mut told = Told::new(&list(u32::MAX, 2, &[]));
-    assert_eq!(told.take(&list(0, 3, &[])), Outcome::Changed);
+    assert_eq!(told.take(&list(0, 3, &[])), ListOutcome::Changed);
     assert_eq!((told.view.serial(), told.ready()), (0, vec![0, 1, 2]));
 }
 
@@ -116,13 +116,13 @@
     for _ in 0..20 {
         assert_eq!(
             told.take(&list(2, 3, &[])),
-            Outcome::Older { changed: false }
+            ListOutcome::Older { changed: false }
         );
         assert_eq!(
             told.take(&list(2, 2, &[])),
-            Outcome::Older { changed: false }
+            ListOutcome::Older { changed: false }
         );
-        assert_eq!(told.take(&list(3, 3, &[1])), Outcome::Confirmed);
+        assert_eq!(told.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
         assert_eq!(told.ready(), [0, 2]);
     }
     // Where nothing else comes it is the list, but who was told away stays so for longer than a resolver lags.
@@ -165,7 +165,7 @@
 /// What it answers was asked before: it is as old as its question, whenever it comes.
 #[test]
 fn the_view_is_as_fresh_as_its_question() {
-    let mut view = RosterView::new(0.0, 1, &list(1, 3, &[]).entries);
+    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).entries);
     assert_eq!(view.fresh_at(), f64::NEG_INFINITY);
     view.take(9.0, 5.0, &list(1, 3, &[]));
     assert_eq!(view.fresh_at(), 5.0);
@@ -173,29 +173,29 @@
     let outcome = view.take(9.1, 4.0, &list(1, 2, &[0]));
     assert_eq!(
         (outcome, view.fresh_at()),
-        (Outcome::Older { changed: true }, 5.0)
+        (ListOutcome::Older { changed: true }, 5.0)
     );
     assert_eq!(view.rows().len(), 3);
     view.repeat(8.0);
     view.repeat(6.0);
     assert_eq!(view.fresh_at(), 8.0);
     // One with a newer serial counts however late it comes.
-    assert_eq!(view.take(9.2, 7.0, &list(2, 4, &[0])), Outcome::Changed);
+    assert_eq!(view.take(9.2, 7.0, &list(2, 4, &[0])), ListOutcome::Changed);
     assert_eq!(view.fresh_at(), 8.0);
 }
 
 /// One row that can't be read cost every later list, drains and all.
 #[test]
 fn a_row_that_can_not_be_read_keeps_its_place_and_loses_its_standing() {
-    let mut view = RosterView::new(0.0, 1, &list(1, 3, &[]).entries);
+    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).entries);
     let mut whole = list(2, 4, &[0]);
     let _unreadable = whole.entries.remove(1);
     let odd = vec![
-        StandingRow {
+        EndpointStateOnly {
             name: "s-1".into(),
             standing: EndpointState::Draining,
         },
-        StandingRow {
+        EndpointStateOnly {
             name: "s-9".into(),
             standing: EndpointState::Ready,
         },
@@ -204,10 +204,10 @@
         serial: 2,
         entries: whole.entries,
         odd,
-        places: Places::default(),
+        places: LocationTable::default(),
     };
-    assert_eq!(view.take_partial(1.0, 0.9, &partial), Outcome::Changed);
-    let standing = |e: Entry| (e.name, e.row.state == EndpointState::Ready);
+    assert_eq!(view.take_partial(1.0, 0.9, &partial), ListOutcome::Changed);
+    let standing = |e: DiscoveredEndpoint| (e.name, e.row.state == EndpointState::Ready);
     let rows: BTreeMap<String, bool> = view.rows().into_iter().map(standing).collect();
     let expected = [("s-0", false), ("s-1", false), ("s-2", true), ("s-3", true)];
     assert_eq!(
@@ -269,7 +269,7 @@
 fn an_executor_that_has_just_started_is_new_whatever_the_wall_clock_tells() {
     let hour = 3_600.0;
     for told in [-hour, -1.0, 0.0, 1.0, hour] {
-        let mut view = RosterView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + told)]);
+        let mut view = EndpointView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + told)]);
         let new = entry(1, EndpointState::Ready, 200.0 + told);
         let old = entry(0, EndpointState::Ready, 100.0 + told);
         // It was on no list a moment before.
@@ -327,18 +327,18 @@
     // Of several at a start the youngest may be new, and the others are so much older.
     for told in [-hour, 0.0, hour] {
         let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + told + since);
-        let entries: Vec<Entry> = (0..)
+        let entries: Vec<DiscoveredEndpoint> = (0..)
             .zip(since)
             .map(|(n, since)| entry(n, EndpointState::Ready, since))
             .collect();
-        let taken: Vec<f64> = RosterView::new(100.0, 1, &entries)
+        let taken: Vec<f64> = EndpointView::new(100.0, 1, &entries)
             .rows()
             .iter()
             .map(|e| e.row.started_at)
             .collect();
         assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{told}");
     }
-    let long_ago = RosterView::new(
+    let long_ago = EndpointView::new(
         100.0,
         1,
         &[entry(0, EndpointState::Ready, f64::NEG_INFINITY)],
--- a/crates/platform-executor-protocol/src/lib.rs
+++ b/crates/platform-executor-protocol/src/lib.rs
@@ -9,7 +9,7 @@
 use std::fmt;
 
 /// A line that is read to its end: a body of 16 KiB in base64 takes 22 KiB, the rest leaves room for fields.
-pub const LONGEST: usize = 64 * 1024;
+pub const MAX_LINE_LENGTH: usize = 64 * 1024;
 
 /// Why a line can't be read; nothing behind it on that connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ResponseKind {
     Done,
     Lack,
     Wait,
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Tell {
+pub enum LoadNote {
     #[default]
     Nothing,
     Warm,
@@ -43,10 +43,10 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    pub word: Word,
+pub struct Response {
+    pub word: ResponseKind,
     pub id: String,
-    pub tell: Tell,
+    pub tell: LoadNote,
     pub crowd: u32,
     pub count: u32,
     /// A load report, as `name:value;name:value`; empty where there is none.
@@ -89,26 +89,26 @@
 }
 
 /// One line, without its line feed.
-pub fn answer(line: &[u8]) -> Result<Answer, Unreadable> {
+pub fn answer(line: &[u8]) -> Result<Response, Unreadable> {
     let raw: Raw = serde_json::from_slice(line)
         .map_err(|e| Unreadable(format!("a line is no answer: {e}")))?;
     let word = match raw.t.as_ref() {
-        "DONE" => Word::Done,
-        "LACK" => Word::Lack,
-        "WAIT" => Word::Wait,
-        "BROKE" => Word::Broke,
-        "PAST" => Word::Past,
-        "FIT" => Word::Fit,
-        "UNFIT" => Word::Unfit,
+        "DONE" => ResponseKind::Done,
+        "LACK" => ResponseKind::Lack,
+        "WAIT" => ResponseKind::Wait,
+        "BROKE" => ResponseKind::Broke,
+        "PAST" => ResponseKind::Past,
+        "FIT" => ResponseKind::Fit,
+        "UNFIT" => ResponseKind::Unfit,
         _ => return Err(Unreadable("an answer's word is unknown".into())),
     };
     let f = raw.f.unwrap_or_default();
     let tell = match f.tell.as_deref() {
-        Some("warm") => Tell::Warm,
-        Some("cold") => Tell::Cold,
-        Some("joined") => Tell::Joined,
-        Some("load_failed") => Tell::LoadFailed,
-        _ => Tell::Nothing,
+        Some("warm") => LoadNote::Warm,
+        Some("cold") => LoadNote::Cold,
+        Some("joined") => LoadNote::Joined,
+        Some("load_failed") => LoadNote::LoadFailed,
+        _ => LoadNote::Nothing,
     };
     let body = match raw.b {
         Some(text) => STANDARD
@@ -116,7 +116,7 @@
             .map_err(|e| Unreadable(format!("a body is no base64: {e}")))?,
         None => vec![],
     };
-    Ok(Answer {
+    Ok(Response {
         word,
         id: raw.i.into_owned(),
         tell,
@@ -161,27 +161,29 @@
         self.at < self.bytes.len()
     }
 
-    pub fn read(&mut self) -> Result<Option<Answer>, Unreadable> {
+    pub fn read(&mut self) -> Result<Option<Response>, Unreadable> {
         let rest = &self.bytes[self.at..];
         let end = rest[self.looked..]
             .iter()
             .position(|&b| b == b'\n')
             .map(|n| n + self.looked);
         match end {
-            Some(end) if end <= LONGEST => {
+            Some(end) if end <= MAX_LINE_LENGTH => {
                 let read = answer(&rest[..end]);
                 self.at += end + 1;
                 self.looked = 0;
                 read.map(Some)
             }
-            None if rest.len() <= LONGEST => {
+            None if rest.len() <= MAX_LINE_LENGTH => {
                 self.looked = rest.len();
                 if rest.is_empty() {
                     (self.bytes, self.at, self.looked) = (Vec::new(), 0, 0);
                 }
                 Ok(None)
             }
-            _ => Err(Unreadable(format!("a line is over {LONGEST} bytes"))),
+            _ => Err(Unreadable(format!(
+                "a line is over {MAX_LINE_LENGTH} bytes"
+            ))),
         }
     }
 }
@@ -214,7 +216,7 @@
     ended(serde_json::json!({"t": "UNDO", "i": id}))
 }
 
-pub fn hold(tag: &str, function: &str, copies: u8) -> Vec<u8> {
+pub fn load(tag: &str, function: &str, copies: u8) -> Vec<u8> {
     ended(serde_json::json!({"t": "PIN", "i": tag, "f": {"item": function, "count": copies}}))
 }
 
@@ -223,6 +225,6 @@
 }
 
 /// Asks for an executor's load report.
-pub fn probe(tag: &str) -> Vec<u8> {
+pub fn health_check(tag: &str) -> Vec<u8> {
     ended(serde_json::json!({"t": "METER", "i": tag}))
 }
--- a/crates/platform-executor-protocol/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -1,7 +1,7 @@
 use orchidtally_platform_executor_protocol::*;
 use proptest::prelude::*;
 
-type Read = (Vec<Answer>, bool);
+type Read = (Vec<Response>, bool);
 
 /// What is read when the bytes come in these pieces, and whether a fault ended it.
 fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Read {
@@ -34,15 +34,15 @@
     };
     assert_eq!(
         (done.word, done.tell, done.crowd, done.body.as_slice()),
-        (Word::Done, Tell::Joined, 3, &[0, 255][..])
+        (ResponseKind::Done, LoadNote::Joined, 3, &[0, 255][..])
     );
     let names = ["x1", "backlog"].map(str::to_owned);
     assert_eq!(report(&done.meter, &names), [0.61, 7.0]);
     assert_eq!(
         (wait.word, wait.id.as_str(), wait.count),
-        (Word::Wait, "order-7", 2)
+        (ResponseKind::Wait, "order-7", 2)
     );
-    assert_eq!((past.word, past.body.len()), (Word::Past, 0));
+    assert_eq!((past.word, past.body.len()), (ResponseKind::Past, 0));
 }
 
 #[test]
@@ -84,7 +84,7 @@
         decoder.push(&chunk);
         decoder.read().is_err()
     });
-    assert_eq!(fault, Some(LONGEST / 1024));
+    assert_eq!(fault, Some(MAX_LINE_LENGTH / 1024));
 }
 
 #[test]
--- a/crates/platform-frontend/src/clients.rs
+++ b/crates/platform-frontend/src/clients.rs
@@ -4,7 +4,7 @@
 use mio::net::TcpStream;
 use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_platform_client_protocol::{self as frames, Decoder};
-use orchidtally_socket_io::turn::Socket;
+use orchidtally_socket_io::turn::BufferedSocket;
 use slab::Slab;
 use std::collections::BTreeMap;
 
@@ -41,7 +41,7 @@
 }
 
 pub struct Client {
-    pub socket: Socket,
+    pub socket: BufferedSocket,
     pub decoder: Decoder,
     /// The engine's id of what is open, by stream.
     pub open: BTreeMap<u32, u32>,
@@ -65,7 +65,7 @@
 impl Client {
     pub fn new(stream: TcpStream, now: f64) -> Client {
         Client {
-            socket: Socket::new(stream),
+            socket: BufferedSocket::new(stream),
             decoder: Decoder::default(),
             open: BTreeMap::new(),
             last_stream: 0,
--- a/crates/platform-frontend/src/connections.rs
+++ b/crates/platform-frontend/src/connections.rs
@@ -7,7 +7,7 @@
 use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_engine::evidence::Transport;
 use orchidtally_platform_executor_protocol::Decoder;
-use orchidtally_socket_io::turn::Socket;
+use orchidtally_socket_io::turn::BufferedSocket;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
 
 pub struct Connection {
     pub to: ExecutorId,
-    pub socket: Socket,
+    pub socket: BufferedSocket,
     pub connected: bool,
     /// When it was begun.
     pub begun_at: f64,
@@ -90,7 +90,7 @@
     pub fn new(to: ExecutorId, stream: TcpStream, now: f64, connect_time: f64) -> Connection {
         Connection {
             to,
-            socket: Socket::new(stream),
+            socket: BufferedSocket::new(stream),
             connected: false,
             begun_at: now,
             connect_by: now + connect_time,
--- a/crates/platform-frontend/src/egress.rs
+++ b/crates/platform-frontend/src/egress.rs
@@ -6,21 +6,21 @@
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_engine::ResponseMetadata;
 use orchidtally_engine::evidence::{self, Transport};
-use orchidtally_platform_executor_protocol::{Answer, Tell, Word};
-use orchidtally_socket_io::is_own_fault;
-use orchidtally_socket_io::turn::Brought;
+use orchidtally_platform_executor_protocol::{LoadNote, Response, ResponseKind};
+use orchidtally_socket_io::is_local_fault;
+use orchidtally_socket_io::turn::ReadOutcome;
 use tracing::{debug, info};
 
 /// What the module is told of an answer's ending.
-fn ending(word: Word) -> Transport {
+fn ending(word: ResponseKind) -> Transport {
     match word {
-        Word::Done => Transport::Answered(DispatchStatus::Ok),
-        Word::Lack => Transport::Answered(DispatchStatus::Miss),
-        Word::Wait => Transport::Answered(DispatchStatus::Full),
-        Word::Broke => Transport::Answered(DispatchStatus::Error),
-        Word::Past => Transport::Answered(DispatchStatus::NeverSent),
+        ResponseKind::Done => Transport::Answered(DispatchStatus::Ok),
+        ResponseKind::Lack => Transport::Answered(DispatchStatus::Miss),
+        ResponseKind::Wait => Transport::Answered(DispatchStatus::Full),
+        ResponseKind::Broke => Transport::Answered(DispatchStatus::Error),
+        ResponseKind::Past => Transport::Answered(DispatchStatus::NeverSent),
         // No answer to a dispatch or an order.
-        Word::Fit | Word::Unfit => Transport::Malformed,
+        ResponseKind::Fit | ResponseKind::Unfit => Transport::Malformed,
     }
 }
 
@@ -44,7 +44,7 @@
                     self.host.touch_connection(slot);
                 }
                 Err(fault) => {
-                    let seen = match is_own_fault(&fault) {
+                    let seen = match is_local_fault(&fault) {
                         true => Transport::NoResource,
                         false => Transport::NoConnection,
                     };
@@ -58,13 +58,13 @@
                 return false;
             };
             match connection.socket.read(&mut self.buffer) {
-                Ok(Brought::Nothing) => {
+                Ok(ReadOutcome::Nothing) => {
                     if connection.socket.waiting() > 0 || !connection.queue.is_empty() {
                         self.host.touch_connection(slot);
                     }
                     return true;
                 }
-                Ok(Brought::Bytes(n)) => {
+                Ok(ReadOutcome::Bytes(n)) => {
                     connection.decoder.push(&self.buffer[..n]);
                     loop {
                         let Some(connection) = self.host.connections.get_mut(slot) else {
@@ -80,7 +80,7 @@
                         }
                     }
                 }
-                Ok(Brought::End) => {
+                Ok(ReadOutcome::End) => {
                     self.dissolve(now, slot, Transport::Broken, "closed by the executor");
                     return false;
                 }
@@ -94,7 +94,7 @@
         true
     }
 
-    fn answered(&mut self, now: f64, slot: usize, answer: Answer) {
+    fn answered(&mut self, now: f64, slot: usize, answer: Response) {
         let Some(connection) = self.host.connections.get_mut(slot) else {
             return;
         };
@@ -119,7 +119,7 @@
         };
         connection.said(now, answer.id.as_str().into());
         self.host.outs.remove(&(out.inv, out.dispatch));
-        if answer.word != Word::Done {
+        if answer.word != ResponseKind::Done {
             let executor = self
                 .host
                 .executors
@@ -129,11 +129,11 @@
         }
         self.host.brought = answer.body;
         let found = match answer.tell {
-            Tell::Nothing => CopyState::Unknown,
-            Tell::Warm => CopyState::Warm,
-            Tell::Cold => CopyState::ColdLoad,
-            Tell::Joined => CopyState::JoinedLoad,
-            Tell::LoadFailed => CopyState::LoadFailed,
+            LoadNote::Nothing => CopyState::Unknown,
+            LoadNote::Warm => CopyState::Warm,
+            LoadNote::Cold => CopyState::ColdLoad,
+            LoadNote::Joined => CopyState::JoinedLoad,
+            LoadNote::LoadFailed => CopyState::LoadFailed,
         };
         let report =
             orchidtally_platform_executor_protocol::report(&answer.meter, &self.settings.report);
--- a/crates/platform-frontend/src/front.rs
+++ b/crates/platform-frontend/src/front.rs
@@ -14,8 +14,8 @@
 use orchidtally_engine::{Counters, Engine};
 use orchidtally_platform_client_protocol as frames;
 use orchidtally_platform_config::FrontEndSettings;
-use orchidtally_platform_discovery::{Places, RosterView};
-use orchidtally_socket_io::is_own_fault;
+use orchidtally_platform_discovery::{EndpointView, LocationTable};
+use orchidtally_socket_io::is_local_fault;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use std::collections::VecDeque;
@@ -58,7 +58,7 @@
     pub engine: Engine,
     pub host: HostState,
     pub settings: FrontEndSettings,
-    pub places: Places,
+    pub places: LocationTable,
     pub most_clients: usize,
     pub most_held: usize,
     /// Sources that may have more to read than a turn takes.
@@ -93,7 +93,7 @@
 /// Tries again what fails for want of something on this machine.
 fn persist<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let may_pass =
-        |fault: &io::Error| is_own_fault(fault) || fault.kind() == io::ErrorKind::AddrInUse;
+        |fault: &io::Error| is_local_fault(fault) || fault.kind() == io::ErrorKind::AddrInUse;
     for _ in 1..START_TRIES {
         match call() {
             Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
@@ -130,7 +130,7 @@
             .register(&mut listener, LISTENER, Interest::READABLE)?;
         let mut clock = ProcessClock::new();
         let now = clock.read();
-        let view = RosterView::new(now, start.serial, &start.known);
+        let view = EndpointView::new(now, start.serial, &start.known);
         let resolver =
             persist(|| Resolver::new(start.resolver, view.clone(), poll.registry(), RESOLVER))?;
         let settings = start.settings;
--- a/crates/platform-frontend/src/host.rs
+++ b/crates/platform-frontend/src/host.rs
@@ -114,7 +114,10 @@
 
     fn health_check(&mut self, to: ExecutorId) {
         self.next_tag += 1;
-        self.line(to, lines::probe(&format!("{PROBE}{}", self.next_tag)));
+        self.line(
+            to,
+            lines::health_check(&format!("{PROBE}{}", self.next_tag)),
+        );
     }
 
     /// It is asked for all the time.
--- a/crates/platform-frontend/src/ingress.rs
+++ b/crates/platform-frontend/src/ingress.rs
@@ -6,7 +6,7 @@
 use orchidtally_dispatch_policy::interface::Idempotency;
 use orchidtally_engine::{AdmissionError, InvocationRequest};
 use orchidtally_platform_client_protocol as frames;
-use orchidtally_socket_io::turn::Brought;
+use orchidtally_socket_io::turn::ReadOutcome;
 use tracing::debug;
 
 /// The longest that a client may say it waits: a day would only hold a place.
@@ -68,18 +68,18 @@
             };
             client.full = client.socket.waiting() > clients::BACKLOG;
             match client.socket.read(&mut self.buffer) {
-                Ok(Brought::Nothing) => {
+                Ok(ReadOutcome::Nothing) => {
                     if client.socket.waiting() > 0 {
                         self.host.touch_client(slot);
                     }
                     return;
                 }
-                Ok(Brought::Bytes(n)) if client.ending.is_some() => {
+                Ok(ReadOutcome::Bytes(n)) if client.ending.is_some() => {
                     if !client.reads_over(n) {
                         return self.close_client(now, slot);
                     }
                 }
-                Ok(Brought::Bytes(n)) => {
+                Ok(ReadOutcome::Bytes(n)) => {
                     client.decoder.push(&self.buffer[..n]);
                     if let Err(fault) = self.frames(now, slot) {
                         self.counts.unreadable += 1;
@@ -89,7 +89,7 @@
                         return self.end_client(now, slot);
                     }
                 }
-                Ok(Brought::End) | Err(_) => return self.close_client(now, slot),
+                Ok(ReadOutcome::End) | Err(_) => return self.close_client(now, slot),
             }
         }
         self.again.push_back(clients::token(slot));
@@ -224,7 +224,7 @@
         payload: &[u8],
     ) -> Result<(InvocationRequest, OpenInvocation), &'static str> {
         let (fields, body) = frames::fields(payload).map_err(|e| e.0)?;
-        if body.len() > frames::LONGEST_BODY {
+        if body.len() > frames::MAX_BODY_LENGTH {
             return Err("the body is over 16 KiB");
         }
         let field = |name: &str| fields.iter().find(|f| f.0 == name).map(|f| f.1);
--- a/crates/platform-frontend/src/listing.rs
+++ b/crates/platform-frontend/src/listing.rs
@@ -4,7 +4,7 @@
 use crate::front::{Front, RESOLVER};
 use crate::host_state::ViewStamp;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_platform_discovery::Entry;
+use orchidtally_platform_discovery::DiscoveredEndpoint;
 use tracing::{info, warn};
 
 impl Front {
@@ -52,7 +52,7 @@
     }
 
     /// A whole list of executors: what is not in it is gone.
-    pub fn list(&mut self, now: f64, entries: Vec<Entry>) {
+    pub fn list(&mut self, now: f64, entries: Vec<DiscoveredEndpoint>) {
         self.host
             .executors
             .values_mut()
--- a/crates/platform-frontend/src/roster.rs
+++ b/crates/platform-frontend/src/roster.rs
@@ -3,7 +3,9 @@
 use crate::log_budget::LogBudget;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
-use orchidtally_platform_discovery::{AnswerFault, LONGEST, Outcome, Places, RosterView};
+use orchidtally_platform_discovery::{
+    AnswerFault, EndpointView, ListOutcome, LocationTable, MAX_ANSWER_LENGTH,
+};
 use std::collections::VecDeque;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -117,7 +119,7 @@
     /// Asks at an address; `view` is what the start tells.
     pub fn new(
         at: SocketAddr,
-        view: RosterView,
+        view: EndpointView,
         registry: &Registry,
         token: mio::Token,
     ) -> io::Result<Resolver> {
@@ -148,7 +150,7 @@
     }
 
     /// The executors as last told.
-    pub fn view(&self) -> &RosterView {
+    pub fn view(&self) -> &EndpointView {
         &self.reader.view
     }
 
@@ -183,7 +185,7 @@
     }
 
     /// Reads what has come.
-    pub fn read(&mut self, now: f64, places: &mut Places) -> Reading {
+    pub fn read(&mut self, now: f64, places: &mut LocationTable) -> Reading {
         let mut reading = Reading::default();
         // Those asked before come first: what the present one tells is newer.
         for channel in &mut self.before {
@@ -209,7 +211,7 @@
         self.more |= other.more;
     }
 
-    fn add_outcome(&mut self, outcome: Outcome) {
+    fn add_outcome(&mut self, outcome: ListOutcome) {
         self.confirmed |= outcome.confirms();
         self.changed |= outcome.changed();
     }
@@ -217,7 +219,7 @@
 
 /// Reads answers into the view.
 struct Reader {
-    view: RosterView,
+    view: EndpointView,
     /// The digest of the answer that the view was last taken from.
     digest: Option<u64>,
     log: LogBudget,
@@ -225,17 +227,17 @@
 }
 
 impl Reader {
-    fn new(view: RosterView) -> Reader {
+    fn new(view: EndpointView) -> Reader {
         Reader {
             view,
             digest: None,
             log: LogBudget::default(),
-            buffer: vec![0; LONGEST].into(),
+            buffer: vec![0; MAX_ANSWER_LENGTH].into(),
         }
     }
 
     /// Reads what a resolver has sent, up to a bound.
-    fn read(&mut self, now: f64, channel: &mut Channel, places: &mut Places) -> Reading {
+    fn read(&mut self, now: f64, channel: &mut Channel, places: &mut LocationTable) -> Reading {
         let mut reading = Reading::default();
         for _ in 0..READS {
             match channel.socket.recv(&mut self.buffer) {
@@ -255,7 +257,7 @@
         now: f64,
         size: usize,
         channel: &mut Channel,
-        places: &mut Places,
+        places: &mut LocationTable,
         reading: &mut Reading,
     ) {
         let bytes = &self.buffer[..size];
@@ -270,7 +272,7 @@
         if self.digest == Some(digest) && self.view.is_settled() {
             self.view.repeat(asked_at);
             channel.answered(id);
-            return reading.add_outcome(Outcome::Confirmed);
+            return reading.add_outcome(ListOutcome::Confirmed);
         }
         let (held, age) = (self.view.serial(), now - asked_at);
         let (serial, outcome) = match orchidtally_platform_discovery::answer(bytes, id, places) {
--- a/crates/platform-frontend/src/sending.rs
+++ b/crates/platform-frontend/src/sending.rs
@@ -8,7 +8,7 @@
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::evidence::Transport;
 use orchidtally_platform_executor_protocol as lines;
-use orchidtally_socket_io::is_own_fault;
+use orchidtally_socket_io::is_local_fault;
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
@@ -110,7 +110,7 @@
 
     fn begin_connection(&mut self, to: ExecutorId) -> Result<usize, Transport> {
         let executor = self.executors.get_mut(&to).ok_or(Transport::NoConnection)?;
-        let seen = |fault: std::io::Error| match is_own_fault(&fault) {
+        let seen = |fault: std::io::Error| match is_local_fault(&fault) {
             true => Transport::NoResource,
             false => Transport::NoConnection,
         };
@@ -310,7 +310,7 @@
                             continue;
                         }
                         connection.orders.insert(tag, Some(from));
-                        lines::hold(
+                        lines::load(
                             &format!("{ORDER}{tag}"),
                             &format!("{:016x}", order.function),
                             order.copies,
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -1,8 +1,8 @@
 //! What a front end is told at its start, and again when its file is replaced.
 
 use orchidtally_platform_config::FrontEndSettings;
-use orchidtally_platform_discovery::{Entry, Places};
-use orchidtally_socket_io::is_own_fault;
+use orchidtally_platform_discovery::{DiscoveredEndpoint, LocationTable};
+use orchidtally_socket_io::is_local_fault;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -40,8 +40,8 @@
     pub sockets: usize,
     pub resolver: SocketAddr,
     pub serial: u32,
-    pub known: Vec<Entry>,
-    pub places: Places,
+    pub known: Vec<DiscoveredEndpoint>,
+    pub places: LocationTable,
     pub settings: FrontEndSettings,
 }
 
@@ -58,7 +58,7 @@
     #[error("{file}: key 'settings': {source}")]
     Settings {
         file: String,
-        source: orchidtally_platform_config::Fault,
+        source: orchidtally_platform_config::SettingsError,
     },
     #[error("{file}: key 'known': {why}; write the updates as the resolver told them")]
     Known { file: String, why: String },
@@ -96,7 +96,7 @@
 /// machine is tried again for a while.
 pub fn read_at_start(path: &Path) -> Result<Start, Fault> {
     let may_pass =
-        |fault: &Fault| matches!(fault, Fault::Unreadable { source, .. } if is_own_fault(source));
+        |fault: &Fault| matches!(fault, Fault::Unreadable { source, .. } if is_local_fault(source));
     for _ in 1..START_TRIES {
         match read(path) {
             Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
@@ -119,9 +119,10 @@
                 source,
             }
         })?;
-    let mut places = Places::new(settings.zones.clone(), settings.kinds.clone());
-    let (serial, known) = orchidtally_platform_discovery::known(&written.known, &mut places)
-        .map_err(|why| Fault::Known { file: file(), why })?;
+    let mut places = LocationTable::new(settings.zones.clone(), settings.kinds.clone());
+    let (serial, known) =
+        orchidtally_platform_discovery::initial_endpoints(&written.known, &mut places)
+            .map_err(|why| Fault::Known { file: file(), why })?;
     let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| Fault::Seed {
         file: file(),
         why: e.to_string(),
--- a/crates/platform-frontend/src/tests/connection.rs
+++ b/crates/platform-frontend/src/tests/connection.rs
@@ -8,8 +8,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("it is bound")).expect("begun");
     let (peer, _) = listener.accept().expect("it comes");
-    let mut connection =
-        Connection::new(orchidtally_platform_discovery::id("s-1"), stream, 0.0, 0.25);
+    let mut connection = Connection::new(
+        orchidtally_platform_discovery::executor_id("s-1"),
+        stream,
+        0.0,
+        0.25,
+    );
     connection.connected = true;
     (connection, peer)
 }
--- a/crates/platform-frontend/src/tests/gone.rs
+++ b/crates/platform-frontend/src/tests/gone.rs
@@ -91,7 +91,7 @@
     // The executor has two connections; one breaks, which is judged a moment later.
     stage.until("two of them", |s| {
         s.peers[x].read();
-        let to = orchidtally_platform_discovery::id(&s.peers[x].name);
+        let to = orchidtally_platform_discovery::executor_id(&s.peers[x].name);
         let _ = s.front.host.connection_for(to, "another");
         s.front.host.executors[&to]
             .connections
--- a/crates/platform-frontend/src/tests/host_state.rs
+++ b/crates/platform-frontend/src/tests/host_state.rs
@@ -35,7 +35,7 @@
             format!("s-{n}"),
             listener.local_addr().expect("it is bound"),
         );
-        let id = orchidtally_platform_discovery::id(&name);
+        let id = orchidtally_platform_discovery::executor_id(&name);
         host.executors.insert(
             id,
             Executor {
--- a/crates/platform-frontend/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -213,7 +213,7 @@
     pub fn list(&mut self, rows: &[(usize, EndpointState, SocketAddr)]) {
         let entry = |&(x, standing, address): &(usize, EndpointState, SocketAddr)| {
             let name = self.peers[x].name.clone();
-            let executor = orchidtally_platform_discovery::id(&name);
+            let executor = orchidtally_platform_discovery::executor_id(&name);
             let since = f64::NEG_INFINITY;
             let row = Endpoint {
                 executor,
@@ -224,7 +224,7 @@
                 weight: 4.0,
                 started_at: since,
             };
-            orchidtally_platform_discovery::Entry { row, name, address }
+            orchidtally_platform_discovery::DiscoveredEndpoint { row, name, address }
         };
         let entries = rows.iter().map(entry).collect();
         let now = self.front.now();
--- a/crates/platform-frontend/src/tests/on_the_way.rs
+++ b/crates/platform-frontend/src/tests/on_the_way.rs
@@ -41,7 +41,7 @@
     stage
         .peers
         .iter()
-        .position(|p| orchidtally_platform_discovery::id(&p.name) == to)
+        .position(|p| orchidtally_platform_discovery::executor_id(&p.name) == to)
         .expect("it is one of them")
 }
 
@@ -176,7 +176,7 @@
     orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
     // Something is written there before anything is read.
-    let to = orchidtally_platform_discovery::id(&stage.peers[x].name);
+    let to = orchidtally_platform_discovery::executor_id(&stage.peers[x].name);
     let now = stage.front.now();
     for slot in stage.front.host.executors[&to].connections.clone() {
         stage.front.host.connections[slot]
