--- a/crates/platform-frontend/src/tests/roster.rs
+++ b/crates/platform-frontend/src/tests/roster.rs
@@ -19,7 +19,7 @@
     let there = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let at = there.local_addr().expect("it is bound");
     let poll = mio::Poll::new().expect("a poll");
-    let view = RosterView::new(0.0, 1, &[]);
+    let view = EndpointView::new(0.0, 1, &[]);
     let resolver = Resolver::new(at, view, poll.registry(), mio::Token(0)).expect("a socket");
     (there, poll, resolver)
 }
@@ -34,7 +34,7 @@
 #[test]
 fn answers_that_take_longer_than_the_time_between_queries_are_read() {
     let (there, _poll, mut resolver) = asking();
-    let mut places = Places::new(vec![], vec![]);
+    let mut places = LocationTable::new(vec![], vec![]);
     let mut queries = vec![];
     for n in 0..3 {
         resolver.turn(0.15 * f64::from(n));
@@ -101,12 +101,12 @@
     let poll = mio::Poll::new().expect("a poll");
     let mut asking = Resolver::new(
         at,
-        RosterView::new(0.0, 1, &[]),
+        EndpointView::new(0.0, 1, &[]),
         poll.registry(),
         mio::Token(0),
     )
     .expect("a socket");
-    let mut places = Places::new(vec![], vec![]);
+    let mut places = LocationTable::new(vec![], vec![]);
     asking.turn(0.0);
     asking.turn(0.15);
     let (one, two) = (query(&first), query(&first));
@@ -130,7 +130,7 @@
 #[test]
 fn what_a_turn_does_not_read_is_read_in_the_next() {
     let (there, _poll, mut asking) = asking();
-    let mut places = Places::new(vec![], vec![]);
+    let mut places = LocationTable::new(vec![], vec![]);
     asking.turn(0.0);
     let mut query = [0; 512];
     let (size, from) = there.recv_from(&mut query).expect("a query");
@@ -148,7 +148,7 @@
 #[test]
 fn answers_that_come_seconds_late_are_read() {
     let (there, _poll, mut asking) = asking();
-    let mut places = Places::new(vec![], vec![]);
+    let mut places = LocationTable::new(vec![], vec![]);
     let mut queries = vec![];
     for n in 0..60 {
         asking.turn(0.2 * f64::from(n));
@@ -179,12 +179,12 @@
     let at = there.local_addr().expect("it is bound");
     let mut asking = Resolver::new(
         at,
-        RosterView::new(0.0, 1, &[]),
+        EndpointView::new(0.0, 1, &[]),
         poll.registry(),
         mio::Token(0),
     )
     .expect("a socket");
-    let mut places = Places::new(vec![], vec![]);
+    let mut places = LocationTable::new(vec![], vec![]);
     let (mut now, mut quiet) = (0.0, vec![]);
     for n in 0..60 {
         asking.turn(now);
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -5,9 +5,9 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
 use orchidtally_rollout::evidence::Arm;
-use orchidtally_rollout::frontend::{AnswerOutcome, Place};
-use orchidtally_rollout::split::Who;
-use orchidtally_rollout::{Coordinator, Plan, Shares};
+use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndLocation};
+use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::{Coordinator, Plan, TrafficSplit};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -35,7 +35,7 @@
         functions.join(", ")
     );
     let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
-    let place = Place {
+    let place = FrontEndLocation {
         index: 0,
         count: 1,
         location: 0,
@@ -64,7 +64,7 @@
                 .command(1.0, &command, n as u64 + 1)
                 .unwrap_or_else(|r| panic!("{r}"));
         }
-        let mut shares = Shares::new(place, 0.0);
+        let mut shares = TrafficSplit::new(place, 0.0);
         shares.adopt(2.0, coordinator.published().clone(), |name| {
             deployment.function(name)
         });
@@ -83,7 +83,7 @@
                     .function(&names[f])
                     .unwrap_or_else(|| panic!("no f{f}"));
                 let key = shares.key(&names[f]).is_some();
-                let who = Who {
+                let who = Caller {
                     customer: "",
                     location: "default",
                     key: &keys[n % keys.len()],
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -2,7 +2,7 @@
 
 use super::Run;
 use crate::plan::{Gate, Plan, Unjudged};
-use crate::sequential::Group;
+use crate::sequential::Stratum;
 use crate::state::{Phase, Rollout};
 
 /// Evidence that holds a step, as a part of the logarithm of what takes the rollout back.
@@ -45,12 +45,12 @@
     }
 }
 
-fn group_name(group: Group) -> String {
+fn group_name(group: Stratum) -> String {
     match group {
-        Group::All => "all".into(),
-        Group::TriggerType(index) => format!("trigger type {index}"),
-        Group::Customer(index) => format!("customer {index}"),
-        Group::Location(index) => format!("location {index}"),
+        Stratum::All => "all".into(),
+        Stratum::TriggerType(index) => format!("trigger type {index}"),
+        Stratum::Customer(index) => format!("customer {index}"),
+        Stratum::Location(index) => format!("location {index}"),
     }
 }
 
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -1,11 +1,11 @@
 //! How a front end takes what a coordinator published.
 
-use super::Shares;
+use super::TrafficSplit;
 use super::local::LocalRollout;
 use crate::state::{Epoch, Published, Rollout};
 use orchidtally_deployment::Function;
 
-impl Shares {
+impl TrafficSplit {
     /// An epoch that was heard of otherwise.
     pub fn heard_of(&mut self, epoch: Epoch) {
         self.newest_epoch = self.newest_epoch.max(epoch);
--- a/crates/rollout/src/frontend/load_ahead.rs
+++ b/crates/rollout/src/frontend/load_ahead.rs
@@ -1,7 +1,7 @@
 //! Copies that are loaded, or kept, ahead of invocations.
 
 use super::local::LocalRollout;
-use super::{Place, Shares};
+use super::{FrontEndLocation, TrafficSplit};
 use crate::forecast::copies_for;
 use orchidtally_deployment::Version;
 use std::cmp::Reverse;
@@ -13,7 +13,7 @@
 
 /// Copies to load, or keep, ahead of invocations.
 #[derive(Clone, Debug)]
-pub struct Ahead {
+pub struct PrewarmCommand {
     /// The run of the rollout.
     pub run: u64,
     /// The name of the function.
@@ -28,13 +28,13 @@
 
 struct Due {
     priority: u32,
-    ahead: Ahead,
+    ahead: PrewarmCommand,
 }
 
 impl LocalRollout {
     /// The copies of the new version to load now. Each front end has its turn in the pace that all of them keep
     /// together.
-    fn load_due(&mut self, place: Place, now: f64) -> Option<usize> {
+    fn load_due(&mut self, place: FrontEndLocation, now: f64) -> Option<usize> {
         let step = self
             .rollout
             .split_at()
@@ -58,7 +58,7 @@
 
     /// Whether this front end renews the copies of the old version now. They are kept for as long as the rollout
     /// could still be taken back; each front end renews in its turn what all of them draw alike.
-    fn is_renewal_due(&mut self, place: Place, now: f64) -> bool {
+    fn is_renewal_due(&mut self, place: FrontEndLocation, now: f64) -> bool {
         if self.rollout.split_at().is_none() || now < self.next_renewal_at || !place.orders {
             return false;
         }
@@ -69,10 +69,10 @@
     }
 }
 
-impl Shares {
+impl TrafficSplit {
     /// The copies to order now, the most urgent first. One order is given for each; `prepared` is told what came of
     /// it.
-    pub fn ahead(&mut self, now: f64) -> Vec<Ahead> {
+    pub fn ahead(&mut self, now: f64) -> Vec<PrewarmCommand> {
         let place = self.place;
         let mut due: Vec<Due> = vec![];
         for (function, local) in &mut self.locals {
@@ -86,7 +86,7 @@
                 let (Some(copies), Some(version)) = (copies, version) else {
                     continue;
                 };
-                let ahead = Ahead {
+                let ahead = PrewarmCommand {
                     run: local.rollout.run,
                     function: function.clone(),
                     version: version.clone(),
@@ -111,7 +111,7 @@
     /// How many copies of a version are known here after `ahead`, and whether an order went out. Where the ration had
     /// none to spare the first invocations load the copy, one placement at a time, in this front end's turn: guards a
     /// rollout against waiting without end where placements take all orders.
-    pub fn prepared(&mut self, ahead: &Ahead, known: usize, ordered: bool) {
+    pub fn prepared(&mut self, ahead: &PrewarmCommand, known: usize, ordered: bool) {
         if let Some(local) = self.local_of(ahead.run).filter(|_| ahead.is_new) {
             local.ready |= known >= local.wanted || ahead.copies > 0 && !ordered;
         }
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -10,13 +10,13 @@
 mod outcomes;
 mod report;
 
-pub use load_ahead::Ahead;
+pub use load_ahead::PrewarmCommand;
 pub use outcomes::AnswerOutcome;
 pub use report::EvidenceReport;
 
 use crate::evidence::{Arm, Cell, Delta};
 use crate::plan::Key;
-use crate::split::{self, Who};
+use crate::split::{self, Caller};
 use crate::state::{Epoch, Phase, Published};
 use local::LocalRollout;
 use orchidtally_deployment::{Function, Version};
@@ -58,7 +58,7 @@
 
 /// How a front end stands among the others.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct FrontEndLocation {
     /// The index of the front end.
     pub index: u32,
     /// The number of front ends.
@@ -73,8 +73,8 @@
 
 /// What a front end knows of all rollouts. Times are in seconds.
 #[derive(Debug)]
-pub struct Shares {
-    place: Place,
+pub struct TrafficSplit {
+    place: FrontEndLocation,
     published: Published,
     newest_epoch: Epoch,
     /// Rollouts by the name of their function.
@@ -88,10 +88,10 @@
     failing: FailingExecutors,
 }
 
-impl Shares {
+impl TrafficSplit {
     /// A front end that knows of no rollout.
-    pub fn new(place: Place, now: f64) -> Shares {
-        Shares {
+    pub fn new(place: FrontEndLocation, now: f64) -> TrafficSplit {
+        TrafficSplit {
             place,
             published: Published::default(),
             newest_epoch: Epoch::default(),
@@ -131,7 +131,7 @@
         asked: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        who: &Who,
+        who: &Caller,
     ) -> Option<Resolved> {
         let alias = asked.unwrap_or("stable");
         let moved = self
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -1,7 +1,7 @@
 //! What invocations, dispatches and loads came to, and what of it counts as evidence.
 
 use super::local::SlowThresholds;
-use super::{Invoked, LOADS_INDEX, Shares};
+use super::{Invoked, LOADS_INDEX, TrafficSplit};
 use crate::evidence::{Arm, Cell};
 use crate::plan::{Gate, Plan};
 use orchidtally_deployment::Version;
@@ -93,7 +93,7 @@
     }
 }
 
-impl Shares {
+impl TrafficSplit {
     /// A dispatch of a version failed at an executor, by its answer or, where it `broke`, by a reset or time-out.
     /// Returns whether that counts against the version.
     ///
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -1,6 +1,6 @@
 //! What a front end reports to coordinators, and its own judgement while it reaches none.
 
-use super::Shares;
+use super::TrafficSplit;
 use super::local::LocalRollout;
 use crate::evidence::Delta;
 use crate::plan::Hold;
@@ -91,7 +91,7 @@
     taken_back: bool,
 }
 
-impl Shares {
+impl TrafficSplit {
     /// Does what is due: steps that are ready are given, and a front end that reaches no coordinator judges by
     /// itself. Returns the runs that it took back. To be called several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<u64> {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -13,6 +13,6 @@
 
 pub use coordinator::Coordinator;
 pub use evidence::{Arm, Cell, Counts, Delta};
-pub use frontend::{Invoked, Resolved, Shares};
+pub use frontend::{Invoked, Resolved, TrafficSplit};
 pub use plan::Plan;
 pub use state::{Epoch, Phase, Published, Rollout};
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a rollout, in JSON5. It is checked as a whole, like the deployment file.
 
 use crate::forecast;
-use orchidtally_deployment::reader::{Document, Fault, Fields, Place};
+use orchidtally_deployment::reader::{DeploymentFault, Document, Fields, Place};
 use orchidtally_deployment::{Deployment, Version};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -184,7 +184,7 @@
 
 impl Plan {
     /// Reads a plan and checks it against the deployment, or returns every fault in it.
-    pub fn read(text: &str, deployment: &Deployment) -> Result<Plan, Vec<Fault>> {
+    pub fn read(text: &str, deployment: &Deployment) -> Result<Plan, Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
             return Err(document.faults());
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -81,7 +81,7 @@
 /// Invocations that are tested together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Group {
+pub enum Stratum {
     /// All invocations.
     All,
     /// Those of a trigger type, by index.
@@ -92,22 +92,22 @@
     Location(u16),
 }
 
-impl Group {
-    fn of(cell: Cell) -> [Group; 4] {
+impl Stratum {
+    fn of(cell: Cell) -> [Stratum; 4] {
         [
-            Group::All,
-            Group::TriggerType(cell.trigger_type),
-            Group::Customer(cell.customer),
-            Group::Location(cell.location),
+            Stratum::All,
+            Stratum::TriggerType(cell.trigger_type),
+            Stratum::Customer(cell.customer),
+            Stratum::Location(cell.location),
         ]
     }
 
     fn kind(self) -> usize {
         match self {
-            Group::All => 0,
-            Group::TriggerType(_) => 1,
-            Group::Customer(_) => 2,
-            Group::Location(_) => 3,
+            Stratum::All => 0,
+            Stratum::TriggerType(_) => 1,
+            Stratum::Customer(_) => 2,
+            Stratum::Location(_) => 3,
         }
     }
 }
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Test {
     /// By group, in the order in which they were first seen within their kind.
-    groups: Vec<(Group, EProcess)>,
+    groups: Vec<(Stratum, EProcess)>,
 }
 
 impl Test {
@@ -148,7 +148,7 @@
     }
 
     /// The group with the strongest evidence.
-    fn strongest(&self) -> Option<(Group, f64)> {
+    fn strongest(&self) -> Option<(Stratum, f64)> {
         let by_group = self
             .groups
             .iter()
@@ -158,7 +158,7 @@
     }
 
     /// The e-process of a group; `None` where too many groups of its kind are tested.
-    fn process(&mut self, group: Group, begun: u64) -> Option<&mut EProcess> {
+    fn process(&mut self, group: Stratum, begun: u64) -> Option<&mut EProcess> {
         if let Some(n) = self.groups.iter().position(|(g, _)| *g == group) {
             return Some(&mut self.groups[n].1);
         }
@@ -231,7 +231,7 @@
                 let Some(events) = events(plan, hold.gate, slot).filter(|e| e.all > 0) else {
                     continue;
                 };
-                for group in Group::of(slot.cell) {
+                for group in Stratum::of(slot.cell) {
                     if let Some(process) = test.process(group, self.begun) {
                         process.note(events);
                     }
@@ -246,7 +246,7 @@
     }
 
     /// The group with the strongest evidence of a gate, and that evidence.
-    pub fn strongest(&self, gate: Gate) -> Option<(Group, f64)> {
+    pub fn strongest(&self, gate: Gate) -> Option<(Stratum, f64)> {
         self.gates.get(&gate)?.strongest()
     }
 }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -6,7 +6,7 @@
 
 /// What is known of an invocation when it is resolved.
 #[derive(Clone, Copy, Debug)]
-pub struct Who<'a> {
+pub struct Caller<'a> {
     /// The name of the customer.
     pub customer: &'a str,
     /// The name of the front end's location.
@@ -22,14 +22,14 @@
     (xxh3_64_with_seed(key.as_bytes(), run) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn is_for(step: &Step, who: &Who) -> bool {
+fn is_for(step: &Step, who: &Caller) -> bool {
     let among = |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
     among(&step.customers, who.customer) && among(&step.locations, who.location)
 }
 
 /// The probability that an invocation gets the new version at a step: the greatest share of the steps up to this one
 /// that are for it, without what is held back until the end.
-pub fn share(plan: &Plan, step: usize, who: &Who) -> f64 {
+pub fn share(plan: &Plan, step: usize, who: &Caller) -> f64 {
     let reached = plan.steps.iter().take(step + 1);
     reached
         .filter(|s| is_for(s, who))
@@ -39,6 +39,6 @@
 }
 
 /// Whether an invocation gets the new version.
-pub fn is_new(plan: &Plan, run: u64, step: usize, who: &Who) -> bool {
+pub fn is_new(plan: &Plan, run: u64, step: usize, who: &Caller) -> bool {
     place(run, who.key) < share(plan, step, who)
 }
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -4,10 +4,10 @@
 
 use kit::{NEW, OLD, World, deployment, plan, who};
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::frontend::{AnswerOutcome, Place, may_move};
+use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndLocation, may_move};
 use orchidtally_rollout::plan::Gate;
 use orchidtally_rollout::split::place;
-use orchidtally_rollout::{Coordinator, Epoch, Phase, Published, Shares};
+use orchidtally_rollout::{Coordinator, Epoch, Phase, Published, TrafficSplit};
 
 #[test]
 fn a_version_as_good_as_the_old_one_goes_to_all_and_its_alias_moves() {
@@ -331,7 +331,7 @@
     let (old, new) = (w.function.versions[0].key, w.function.versions[1].key);
     let shares = &mut w.shares[0];
     // It breaks off: that counts a few times, and at another executor again.
-    let counted = |shares: &mut Shares, executor| {
+    let counted = |shares: &mut TrafficSplit, executor| {
         (0..10)
             .filter(|_| shares.dispatch_failed(1.0, executor, new, true))
             .count()
@@ -393,14 +393,14 @@
         w.reason()
     );
     let function = w.function.clone();
-    let place = Place {
+    let place = FrontEndLocation {
         index: 1,
         count: 2,
         location: 0,
         orders: false,
         keep_alive: 8.0,
     };
-    let mut late = Shares::new(place, w.now);
+    let mut late = TrafficSplit::new(place, w.now);
     let mut on = |state: &Published| {
         let function = function.clone();
         late.adopt(w.now, state.clone(), |_| Some(function.clone()));
@@ -480,14 +480,14 @@
     coordinator
         .command(0.0, &start, 7)
         .unwrap_or_else(|r| panic!("{r}"));
-    let place = Place {
+    let place = FrontEndLocation {
         index: 0,
         count: 4,
         location: 0,
         orders: true,
         keep_alive: 10.0,
     };
-    let mut shares = Shares::new(place, 0.0);
+    let mut shares = TrafficSplit::new(place, 0.0);
     let mut wished = vec![];
     for step in 0..2 {
         let mut published = coordinator.published().clone();
@@ -497,7 +497,7 @@
         published.number += step as u64 + 1;
         shares.adopt(100.0 * step as f64, published, |name| d.function(name));
         let now = 100.0 * step as f64 + 50.0;
-        let given = |shares: &mut Shares| {
+        let given = |shares: &mut TrafficSplit| {
             shares.tick(now);
             let f = d.function("mist").unwrap();
             (0..400)
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -4,9 +4,9 @@
 
 use orchidtally_deployment::{Deployment, Function};
 use orchidtally_rollout::coordinator::{Command, CommandError, CoordinatorState};
-use orchidtally_rollout::frontend::{AnswerOutcome, Place};
-use orchidtally_rollout::split::Who;
-use orchidtally_rollout::{Arm, Coordinator, Phase, Plan, Shares};
+use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndLocation};
+use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::{Arm, Coordinator, Phase, Plan, TrafficSplit};
 
 pub const OLD: &str = "1111111111111111111111111111111111111111111111111111111111111111";
 pub const NEW: &str = "2222222222222222222222222222222222222222222222222222222222222222";
@@ -47,8 +47,8 @@
     Plan::read(&plan_text(more), &deployment()).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
-pub fn who(key: &str) -> Who<'_> {
-    Who {
+pub fn who(key: &str) -> Caller<'_> {
+    Caller {
         customer: "other",
         location: "north",
         key,
@@ -59,7 +59,7 @@
 pub struct World {
     pub now: f64,
     pub coordinator: Coordinator,
-    pub shares: Vec<Shares>,
+    pub shares: Vec<TrafficSplit>,
     pub function: Function,
     pub seed: u64,
     pub rate: u32,
@@ -75,7 +75,7 @@
 
 impl World {
     pub fn new(count: u32) -> World {
-        let place = |index| Place {
+        let place = |index| FrontEndLocation {
             index,
             count,
             location: (index % 2) as u16,
@@ -85,7 +85,9 @@
         World {
             now: 1_000.0,
             coordinator: Coordinator::new(CoordinatorState::default(), 7, 1_000.0),
-            shares: (0..count).map(|n| Shares::new(place(n), 1_000.0)).collect(),
+            shares: (0..count)
+                .map(|n| TrafficSplit::new(place(n), 1_000.0))
+                .collect(),
             function: deployment().function("mist").unwrap(),
             seed: 1,
             rate: 100,
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -5,8 +5,8 @@
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::frontend::Place;
-use orchidtally_rollout::{Coordinator, Plan, Shares};
+use orchidtally_rollout::frontend::FrontEndLocation;
+use orchidtally_rollout::{Coordinator, Plan, TrafficSplit};
 use std::collections::BTreeMap;
 
 const FRONT_ENDS: usize = 10;
@@ -42,7 +42,7 @@
 struct FrontEnd {
     dispatcher: Dispatcher,
     orders: Orders,
-    shares: Shares,
+    shares: TrafficSplit,
 }
 
 fn digest(n: usize) -> String {
@@ -84,7 +84,7 @@
 fn shift(paced: bool, window: &str) -> Seen {
     let deployment = deployment(window);
     let rows = match &deployment.source {
-        orchidtally_deployment::Source::Listed(rows) => rows.clone(),
+        orchidtally_deployment::EndpointSource::Listed(rows) => rows.clone(),
         other => panic!("{other:?}"),
     };
     let mut coordinator = Coordinator::new(CoordinatorState::default(), 1, 0.0);
@@ -118,14 +118,14 @@
             };
             let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut orders);
             dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut orders);
-            let place = Place {
+            let place = FrontEndLocation {
                 index: n as u32,
                 count: FRONT_ENDS as u32,
                 location: 0,
                 orders: true,
                 keep_alive: 30.0,
             };
-            let mut shares = Shares::new(place, 100.0);
+            let mut shares = TrafficSplit::new(place, 100.0);
             shares.adopt(100.0, coordinator.published().clone(), |name| {
                 deployment.function(name)
             });
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -7,7 +7,7 @@
 use orchidtally_rollout::evidence::QuantileEstimate;
 use orchidtally_rollout::forecast::forecast;
 use orchidtally_rollout::sequential::{EProcess, Events};
-use orchidtally_rollout::split::{Who, is_new, place, share};
+use orchidtally_rollout::split::{Caller, is_new, place, share};
 use proptest::prelude::*;
 
 proptest! {
@@ -31,7 +31,7 @@
         for (n, key) in keys.iter().enumerate() {
             let customer = if n % 2 == 0 { "trial" } else { "other" };
             let location = if n % 3 == 0 { "north" } else { "south" };
-            let who = Who { customer, location, key };
+            let who = Caller { customer, location, key };
             let mut ever = false;
             for step in 0..plan.steps.len() {
                 let s = &plan.steps[step];
--- a/crates/socket-io/src/http.rs
+++ b/crates/socket-io/src/http.rs
@@ -1,6 +1,6 @@
 //! A small HTTP/1.1 client for what one process asks another now and then: one connection a time.
 
-use crate::{connect, within};
+use crate::{connect, with_timeout};
 use bytes::Bytes;
 use futures_lite::future;
 use http_body_util::{BodyExt, Full, Limited};
@@ -12,7 +12,7 @@
 const LONGEST: usize = 64 * 1024 * 1024;
 
 /// Asks and reads the whole answer: its status and body.
-pub async fn ask(
+pub async fn fetch(
     at: SocketAddr,
     method: http::Method,
     path: &str,
@@ -51,7 +51,7 @@
         };
         future::or(exchange, drive).await
     };
-    within(time, work)
+    with_timeout(time, work)
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -5,7 +5,7 @@
 mod own_fault;
 pub mod turn;
 
-pub use own_fault::{is_out_of_descriptors, is_out_of_resources, is_own_fault};
+pub use own_fault::{is_local_fault, is_out_of_descriptors, is_out_of_resources};
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -219,7 +219,7 @@
 }
 
 /// `None` where the time runs out first.
-pub async fn within<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
     let late = async {
         Timer::after(time).await;
         None
@@ -228,7 +228,7 @@
 }
 
 pub async fn connect(to: SocketAddr, time: Duration) -> io::Result<Stream> {
-    let connected = within(time, Async::<TcpStream>::connect(to)).await;
+    let connected = with_timeout(time, Async::<TcpStream>::connect(to)).await;
     Stream::new(connected.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??)
 }
 
--- a/crates/socket-io/src/own_fault.rs
+++ b/crates/socket-io/src/own_fault.rs
@@ -5,7 +5,7 @@
 
 /// Whether a call failed for want of something on this machine: descriptors, memory, ports, a route. It may work a
 /// moment later, and proves nothing about the peer.
-pub fn is_own_fault(fault: &io::Error) -> bool {
+pub fn is_local_fault(fault: &io::Error) -> bool {
     const OWN: [Errno; 10] = [
         Errno::MFILE,
         Errno::NFILE,
--- a/crates/socket-io/src/turn.rs
+++ b/crates/socket-io/src/turn.rs
@@ -5,7 +5,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 
 /// A connection and what is waiting to be written on it. Its owner bounds that.
-pub struct Socket {
+pub struct BufferedSocket {
     pub stream: TcpStream,
     out: Vec<u8>,
     at: usize,
@@ -14,18 +14,18 @@
 
 /// What a read brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Brought {
+pub enum ReadOutcome {
     Bytes(usize),
     /// Nothing is there now.
     Nothing,
     End,
 }
 
-impl Socket {
-    pub fn new(stream: TcpStream) -> Socket {
+impl BufferedSocket {
+    pub fn new(stream: TcpStream) -> BufferedSocket {
         // One that was reset already needs no option; the next read tells.
         let _ = stream.set_nodelay(true);
-        Socket {
+        BufferedSocket {
             stream,
             out: vec![],
             at: 0,
@@ -45,13 +45,13 @@
         }
     }
 
-    pub fn read(&mut self, into: &mut [u8]) -> io::Result<Brought> {
+    pub fn read(&mut self, into: &mut [u8]) -> io::Result<ReadOutcome> {
         loop {
             return match self.stream.read(into) {
-                Ok(0) => Ok(Brought::End),
-                Ok(n) => Ok(Brought::Bytes(n)),
+                Ok(0) => Ok(ReadOutcome::End),
+                Ok(n) => Ok(ReadOutcome::Bytes(n)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(Brought::Nothing),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(ReadOutcome::Nothing),
                 Err(e) => Err(e),
             };
         }
--- a/crates/test-servers/src/bare.rs
+++ b/crates/test-servers/src/bare.rs
@@ -1,7 +1,7 @@
 //! The least that speaks HTTP/2 on these sockets, to measure the gateway against: an executor that answers at
 //! once, a relay that decides nothing, and a client that keeps so many streams open.
 
-use crate::Stage;
+use crate::TestEnvironment;
 use bytes::Bytes;
 use h2::client::SendRequest;
 use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, frame, v1};
@@ -31,7 +31,7 @@
 }
 
 /// Serves streams, each by `answer`, until the thread ends.
-async fn serve<F, W>(stage: Stage, listener: async_io::Async<TcpListener>, answer: F)
+async fn serve<F, W>(stage: TestEnvironment, listener: async_io::Async<TcpListener>, answer: F)
 where
     F: Fn(http::Request<h2::RecvStream>, h2::server::SendResponse<Bytes>) -> W + Clone + 'static,
     W: Future<Output = Result<(), Fault>> + 'static,
@@ -59,7 +59,7 @@
 }
 
 /// An executor that has every function loaded and echoes at once, after `delay` seconds.
-pub async fn executor(stage: Stage, listener: async_io::Async<TcpListener>, delay: f64) {
+pub async fn executor(stage: TestEnvironment, listener: async_io::Async<TcpListener>, delay: f64) {
     let mut answer = v1::Answer::default();
     answer.set_ending(v1::Ending::Ok);
     answer.set_found(v1::Found::Warm);
@@ -79,7 +79,7 @@
 }
 
 /// Passes streams on as they are.
-pub async fn relay(stage: Stage, listener: async_io::Async<TcpListener>, to: SocketAddr) {
+pub async fn relay(stage: TestEnvironment, listener: async_io::Async<TcpListener>, to: SocketAddr) {
     let Ok(onward) = connect(&stage, to).await else {
         return;
     };
@@ -113,7 +113,7 @@
         .body(())
 }
 
-async fn connect(stage: &Stage, to: SocketAddr) -> Result<SendRequest<Bytes>, Fault> {
+async fn connect(stage: &TestEnvironment, to: SocketAddr) -> Result<SendRequest<Bytes>, Fault> {
     let stream = orchidtally_socket_io::connect(to, std::time::Duration::from_secs(2)).await?;
     let mut builder = h2::client::Builder::new();
     windows(&mut builder);
@@ -141,7 +141,7 @@
 
 /// Keeps so many streams open for a time, each sending again once it is answered.
 pub async fn load(
-    stage: &Stage,
+    stage: &TestEnvironment,
     to: SocketAddr,
     ask: Ask,
     streams: usize,
@@ -215,7 +215,7 @@
 
 /// Opens so many connections and streams at once and holds them. Final answers within `time` are counted.
 pub async fn hold(
-    stage: &Stage,
+    stage: &TestEnvironment,
     to: SocketAddr,
     connections: usize,
     streams: usize,
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -1,7 +1,7 @@
 //! The broker on sockets, with faults of its network.
 
 use super::{Action, Broker, Message};
-use crate::{Stage, Until};
+use crate::{TestEnvironment, TimedFault};
 use bytes::{Bytes, BytesMut};
 use futures_lite::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use orchidtally_mqtt::packet::Version;
@@ -34,7 +34,7 @@
 
 /// A broker on sockets, with faults of its network.
 pub struct BrokerServer {
-    stage: Stage,
+    stage: TestEnvironment,
     /// Where it listens.
     pub address: SocketAddr,
     /// The broker.
@@ -44,7 +44,7 @@
     last_connection: Cell<u64>,
     wrapper: Option<StreamWrapper>,
     /// Nothing is read or written until then.
-    pub silent: Until,
+    pub silent: TimedFault,
     /// Seconds that each packet to a client is delayed.
     pub slow: Cell<f64>,
     /// One in so many packets breaks its connection; 0 for none.
@@ -58,7 +58,7 @@
 impl BrokerServer {
     /// Starts a broker that listens at an address.
     pub fn start(
-        stage: &Stage,
+        stage: &TestEnvironment,
         at: SocketAddr,
         wrapper: Option<StreamWrapper>,
     ) -> std::io::Result<Rc<BrokerServer>> {
@@ -70,7 +70,7 @@
             writers: RefCell::default(),
             last_connection: Cell::new(0),
             wrapper,
-            silent: Until::default(),
+            silent: TimedFault::default(),
             slow: Cell::new(0.0),
             breaks_every: Cell::new(0),
             malformed: Cell::new(false),
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,12 +1,12 @@
 //! Clients: they offer invocations to front ends over HTTP/2 or HTTP/1.1, wait as long as they said, and note
 //! what they hear.
 
-use crate::Stage;
+use crate::TestEnvironment;
 use bytes::Bytes;
 use futures_lite::future;
 use h2::client::SendRequest;
 use http_body_util::{BodyExt, Full};
-use orchidtally_invariants::{Answer, Record};
+use orchidtally_invariants::{FinalAnswer, TrafficRecord};
 use orchidtally_socket_io::Stream;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 /// One invocation as a client offers it.
 #[derive(Clone, Debug, Default)]
-pub struct Ask {
+pub struct ClientRequest {
     pub invocation: String,
     pub function: String,
     /// Its place among the deployment's, and its name.
@@ -31,9 +31,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ClientOutcome {
     Answered {
-        answer: Answer,
+        answer: FinalAnswer,
         status: u16,
         body: Bytes,
         stay_away: f64,
@@ -46,8 +46,8 @@
 }
 
 /// A client's way to one front end.
-pub struct Caller {
-    stage: Stage,
+pub struct TestClient {
+    stage: TestEnvironment,
     pub number: u32,
     pub front_end: u32,
     pub at: SocketAddr,
@@ -84,15 +84,15 @@
 
 type Raw = (http::response::Parts, Bytes);
 
-impl Caller {
+impl TestClient {
     pub fn new(
-        stage: &Stage,
+        stage: &TestEnvironment,
         number: u32,
         front_end: u32,
         at: SocketAddr,
         plain: bool,
-    ) -> Rc<Caller> {
-        Rc::new(Caller {
+    ) -> Rc<TestClient> {
+        Rc::new(TestClient {
             stage: stage.clone(),
             number,
             front_end,
@@ -103,11 +103,11 @@
     }
 
     /// Offers an invocation and notes what comes of it.
-    pub async fn invoke(&self, ask: &Ask) -> Heard {
+    pub async fn invoke(&self, ask: &ClientRequest) -> ClientOutcome {
         let at = self.stage.now();
         let until = at + ask.time_left;
         let invocation = ask.invocation.clone();
-        self.stage.record(Record::Offered {
+        self.stage.record(TrafficRecord::Offered {
             at,
             client: self.number,
             invocation: invocation.clone(),
@@ -117,44 +117,44 @@
         });
         let gave_up = async {
             self.stage.sleep(until - self.stage.now()).await;
-            Heard::GaveUp
+            ClientOutcome::GaveUp
         };
         let left = async {
             match ask.leaves_after {
                 Some(time) => self.stage.sleep(time).await,
                 None => future::pending().await,
             }
-            Heard::Left
+            ClientOutcome::Left
         };
         let sent = async {
             match self.send(ask).await {
                 Ok((parts, body)) => heard(&parts, body),
-                Err(fault) if fault.is::<Cut>() => Heard::Answered {
-                    answer: Answer::Errored,
+                Err(fault) if fault.is::<Cut>() => ClientOutcome::Answered {
+                    answer: FinalAnswer::Errored,
                     status: 200,
                     body: Bytes::new(),
                     stay_away: 0.0,
                     may_have_run: true,
                 },
-                Err(_) => Heard::Lost,
+                Err(_) => ClientOutcome::Lost,
             }
         };
         let heard = future::or(sent, future::or(left, gave_up)).await;
         let at = self.stage.now();
         self.stage.record(match &heard {
-            Heard::Answered { answer, .. } => Record::Answered {
+            ClientOutcome::Answered { answer, .. } => TrafficRecord::Answered {
                 at,
                 invocation,
                 answer: *answer,
             },
-            Heard::Lost => Record::Lost { at, invocation },
-            Heard::GaveUp => Record::GaveUp { at, invocation },
-            Heard::Left => Record::Left { at, invocation },
+            ClientOutcome::Lost => TrafficRecord::Lost { at, invocation },
+            ClientOutcome::GaveUp => TrafficRecord::GaveUp { at, invocation },
+            ClientOutcome::Left => TrafficRecord::Left { at, invocation },
         });
         heard
     }
 
-    fn request(&self, ask: &Ask, place: &str) -> http::Result<http::Request<()>> {
+    fn request(&self, ask: &ClientRequest, place: &str) -> http::Result<http::Request<()>> {
         let mut request =
             http::Request::post(format!("{place}/v1/functions/{}/invocations", ask.function))
                 .header("orchidtally-trigger-type", &ask.trigger_type.1)
@@ -175,7 +175,7 @@
         request.body(())
     }
 
-    async fn send(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
         if self.plain {
             self.send_plain(ask).await
         } else {
@@ -183,7 +183,7 @@
         }
     }
 
-    async fn send_plain(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send_plain(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
         let stream = orchidtally_socket_io::connect(self.at, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
@@ -220,7 +220,7 @@
         Ok(sender)
     }
 
-    async fn send_shared(&self, ask: &Ask) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send_shared(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
         let mut sender = match self.connect().await?.ready().await {
             Ok(sender) => sender,
             Err(_) => {
@@ -245,7 +245,7 @@
     }
 }
 
-fn heard(parts: &http::response::Parts, body: Bytes) -> Heard {
+fn heard(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
     let stay_away = parts
@@ -254,12 +254,12 @@
         .and_then(|v| v.to_str().ok());
     let stay_away = stay_away.and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0) / 1e3;
     let answer = match status {
-        200 => Answer::Succeeded,
-        429 | 503 => Answer::Throttled,
-        502 | 504 => Answer::Errored,
-        _ => Answer::NotTaken,
+        200 => FinalAnswer::Succeeded,
+        429 | 503 => FinalAnswer::Throttled,
+        502 | 504 => FinalAnswer::Errored,
+        _ => FinalAnswer::NotTaken,
     };
-    Heard::Answered {
+    ClientOutcome::Answered {
         answer,
         status,
         body,
--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -3,7 +3,7 @@
 
 use super::counters::Exchanges;
 use super::faults::CrashPoint;
-use super::server::Served;
+use super::server::EtcdServer;
 use super::store::check_key;
 use super::{INVALID_ARGUMENT, MAX_REQUEST_BYTES, UNIMPLEMENTED, refuse};
 use bytes::{Bytes, BytesMut};
@@ -73,7 +73,7 @@
     }
 }
 
-impl Served {
+impl EtcdServer {
     /// What a message waits for before it is answered: fails where the connections break with it.
     pub(super) async fn wait_for_faults(&self) -> Result<(), Broken> {
         self.stage.sleep(self.faults.delay.get()).await;
--- a/crates/test-servers/src/etcd/faults.rs
+++ b/crates/test-servers/src/etcd/faults.rs
@@ -1,6 +1,6 @@
 //! What a script can have the store do wrong, and how fast its members are.
 
-use crate::Until;
+use crate::TimedFault;
 use std::cell::{Cell, RefCell};
 
 /// Faults that a script switches on.
@@ -9,7 +9,7 @@
     /// Each answer waits so long, in seconds: a slow store.
     pub delay: Cell<f64>,
     /// Nothing is answered until then: no leader.
-    pub stalled: Until,
+    pub stalled: TimedFault,
     /// All connections are broken off with every so-manieth message; 0 for never.
     pub breaks_every: Cell<u64>,
     /// Exchanges without this token are refused.
--- a/crates/test-servers/src/etcd/mod.rs
+++ b/crates/test-servers/src/etcd/mod.rs
@@ -22,7 +22,7 @@
 pub use counters::{Counters, Exchanges};
 pub use faults::{CrashPoint, Faults, Timing};
 pub use history::KeyRange;
-pub use server::{Hears, Served};
+pub use server::{EtcdServer, EventListener};
 pub use store::{Store, View};
 pub use transaction::MAX_OPERATIONS;
 
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -6,7 +6,7 @@
 use super::faults::{CrashPoint, Faults, PlannedCrash, Timing};
 use super::link::{Link, LinkStream};
 use super::store::{Store, View};
-use crate::Stage;
+use crate::TestEnvironment;
 use async_io::Async;
 use futures_lite::future;
 use orchidtally_etcd::rpc::Event;
@@ -23,11 +23,11 @@
 const EXPIRY_INTERVAL: f64 = 0.05;
 
 /// Hears of each entry that is told to a client, with the name that the client gives itself.
-pub type Hears = Rc<dyn Fn(&str, &Event)>;
+pub type EventListener = Rc<dyn Fn(&str, &Event)>;
 
 /// A store on sockets, with several members.
-pub struct Served {
-    pub(super) stage: Stage,
+pub struct EtcdServer {
+    pub(super) stage: TestEnvironment,
     /// Each member's address for clients of its own region.
     pub addresses: Vec<SocketAddr>,
     /// By client region, the address of each member: what comes over it counts as from that region.
@@ -43,23 +43,26 @@
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_link: Cell<u64>,
     /// Hears of each entry that is told to a client.
-    pub told: RefCell<Option<Hears>>,
+    pub told: RefCell<Option<EventListener>>,
 }
 
-impl Served {
+impl EtcdServer {
     /// Starts so many members in one region. Fails where no address can be had.
-    pub fn start(stage: &Stage, members: usize) -> io::Result<Rc<Served>> {
-        Served::start_in_regions(stage, &vec![0; members])
+    pub fn start(stage: &TestEnvironment, members: usize) -> io::Result<Rc<EtcdServer>> {
+        EtcdServer::start_in_regions(stage, &vec![0; members])
     }
 
     /// Starts a member in each of the regions named: `[0, 0, 1, 1, 2]` are five members in three regions.
-    pub fn start_in_regions(stage: &Stage, regions: &[Region]) -> io::Result<Rc<Served>> {
+    pub fn start_in_regions(
+        stage: &TestEnvironment,
+        regions: &[Region],
+    ) -> io::Result<Rc<EtcdServer>> {
         let cluster = Cluster::new(regions);
         let mut listeners = vec![];
         let mut addresses_by_region: BTreeMap<Region, Vec<SocketAddr>> = BTreeMap::new();
         for client_region in cluster.regions() {
             for member in 0..regions.len() {
-                let listener = orchidtally_socket_io::listen(crate::any_port())?;
+                let listener = orchidtally_socket_io::listen(crate::unused_address())?;
                 let address = listener.get_ref().local_addr()?;
                 addresses_by_region
                     .entry(client_region)
@@ -69,7 +72,7 @@
             }
         }
         let own_address = |(member, region): (usize, &Region)| addresses_by_region[region][member];
-        let served = Rc::new(Served {
+        let served = Rc::new(EtcdServer {
             stage: stage.clone(),
             addresses: regions.iter().enumerate().map(own_address).collect(),
             addresses_by_region,
--- a/crates/test-servers/src/etcd/watch.rs
+++ b/crates/test-servers/src/etcd/watch.rs
@@ -5,7 +5,7 @@
 use super::counters::Open;
 use super::exchange::{Broken, Caller, next_chunk};
 use super::history::{KeyRange, revision_of};
-use super::server::Served;
+use super::server::EtcdServer;
 use super::store::{View, check_watchable};
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
@@ -44,7 +44,7 @@
 }
 
 struct WatchStream<'a> {
-    server: &'a Served,
+    server: &'a EtcdServer,
     caller: Caller,
     out: h2::SendStream<Bytes>,
     watches: Vec<Watch>,
@@ -55,7 +55,7 @@
     leaderless_since: Option<f64>,
 }
 
-impl Served {
+impl EtcdServer {
     /// Serves the watches of a stream until its client ends it.
     pub(super) async fn serve_watches(
         &self,
@@ -114,7 +114,7 @@
     }
 }
 
-impl Served {
+impl EtcdServer {
     /// For how long changes are gathered before watches are served, in seconds.
     fn gathering_time(&self) -> f64 {
         let open: u64 = self
--- a/crates/test-servers/src/executor/cold.rs
+++ b/crates/test-servers/src/executor/cold.rs
@@ -1,7 +1,7 @@
 //! A cold start: how warm an executor is by now, and the load that pushes it over.
 
 use super::Executor;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use tracing::warn;
 
 impl Executor {
@@ -33,7 +33,7 @@
         }
         self.fell.set(self.fell.get() + 1);
         let (at, since) = (self.stage.now(), self.since.get());
-        self.stage.record(Record::Fell {
+        self.stage.record(TrafficRecord::Fell {
             at,
             executor: self.make.number,
             since,
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -6,9 +6,9 @@
 use futures_lite::future;
 use h2::server::SendResponse;
 use orchidtally_executor_protocol::{
-    CONTENT_TYPE, DISPATCH, Deframer, LONGEST_HEAD, ORDER, PROBE, frame, v1,
+    CONTENT_TYPE, DISPATCH, Deframer, HEALTH_CHECK, LOAD, MAX_MESSAGE_LENGTH, frame, v1,
 };
-use orchidtally_invariants::Ending;
+use orchidtally_invariants::DispatchOutcome;
 use orchidtally_socket_io::Stream;
 use prost::Message;
 use std::rc::Rc;
@@ -28,7 +28,7 @@
             .max_concurrent_streams(1_000)
             .initial_window_size(1 << 20)
             .initial_connection_window_size(4 << 20);
-        let Some(Ok(mut connection)) = orchidtally_socket_io::within(
+        let Some(Ok(mut connection)) = orchidtally_socket_io::with_timeout(
             Duration::from_secs(5),
             builder.handshake::<_, Bytes>(stream),
         )
@@ -117,21 +117,21 @@
                         in_hand.end(if sent.is_ok() {
                             ending
                         } else {
-                            Ending::Abandoned
+                            DispatchOutcome::Abandoned
                         });
                         sent
                     }
                     None => return,
                 }
             }
-            ORDER => {
+            LOAD => {
                 let Some(order) = body.message::<v1::Order>().await else {
                     return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
                 let answer = self.clone().order(order).await;
                 answer_with(&mut respond, &answer, vec![])
             }
-            PROBE => answer_with(
+            HEALTH_CHECK => answer_with(
                 &mut respond,
                 &v1::ProbeAnswer {
                     report: self.report(),
@@ -186,7 +186,7 @@
 
     async fn message<M: Message + Default>(&mut self) -> Option<M> {
         loop {
-            match self.deframer.message(LONGEST_HEAD) {
+            match self.deframer.message(MAX_MESSAGE_LENGTH) {
                 Ok(Some(message)) => return Some(message),
                 Ok(None) if self.more().await => {}
                 Ok(None) => return None,
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_executor_protocol::v1;
-use orchidtally_invariants::{Ending, Record};
+use orchidtally_invariants::{DispatchOutcome, TrafficRecord};
 use std::rc::Rc;
 
 /// In a second.
@@ -28,9 +28,9 @@
         self: Rc<Self>,
         dispatch: v1::Dispatch,
         body: &mut Body,
-    ) -> (v1::Answer, Vec<Bytes>, InHand, Ending, usize) {
+    ) -> (v1::Answer, Vec<Bytes>, InHand, DispatchOutcome, usize) {
         let from = dispatch.from.unwrap_or_default();
-        self.stage.record(Record::Reached {
+        self.stage.record(TrafficRecord::Reached {
             at: self.stage.now(),
             executor: self.make.number,
             front_end: from.index,
@@ -62,9 +62,9 @@
         };
         let (payload, streams) = self.run(&dispatch, body, &mut answer).await;
         let ending = match answer.ending() {
-            v1::Ending::Ok => Ending::Succeeded,
-            v1::Ending::Full | v1::Ending::Miss => Ending::Refused,
-            v1::Ending::Error | v1::Ending::Unspecified => Ending::Failed,
+            v1::Ending::Ok => DispatchOutcome::Succeeded,
+            v1::Ending::Full | v1::Ending::Miss => DispatchOutcome::Refused,
+            v1::Ending::Error | v1::Ending::Unspecified => DispatchOutcome::Failed,
         };
         answer.streams = streams > 0;
         (answer, payload, in_hand, ending, streams)
@@ -152,12 +152,12 @@
         let known = !dispatch.token.is_empty()
             && !self.tokens.is_new(&dispatch.token, at, self.token_window);
         stage.record(match known {
-            true => Record::Dropped {
+            true => TrafficRecord::Dropped {
                 at,
                 executor: number,
                 invocation,
             },
-            false => Record::Ran {
+            false => TrafficRecord::Ran {
                 at,
                 executor: number,
                 invocation,
@@ -165,7 +165,7 @@
         });
         if !dispatch.digest.is_empty() {
             let loaded = lane.digest.clone();
-            stage.record(Record::RanVersion {
+            stage.record(TrafficRecord::RanVersion {
                 at,
                 executor: number,
                 invocation: dispatch.invocation.clone(),
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -2,7 +2,7 @@
 
 use super::Executor;
 use async_channel::Sender;
-use orchidtally_invariants::{Ending, Record};
+use orchidtally_invariants::{DispatchOutcome, TrafficRecord};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -15,10 +15,10 @@
 }
 
 impl InHand {
-    pub(super) fn end(&mut self, ending: Ending) {
+    pub(super) fn end(&mut self, ending: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.executor.in_hand.set(self.executor.in_hand.get() - 1);
-            self.executor.stage.record(Record::Ended {
+            self.executor.stage.record(TrafficRecord::Ended {
                 at: self.executor.stage.now(),
                 executor: self.executor.make.number,
                 invocation: self.invocation.clone(),
@@ -37,9 +37,9 @@
             .try_borrow()
             .is_ok_and(|s| s.is_none());
         self.end(if crashed {
-            Ending::Crashed
+            DispatchOutcome::Crashed
         } else {
-            Ending::Abandoned
+            DispatchOutcome::Abandoned
         });
     }
 }
--- a/crates/test-servers/src/executor/make.rs
+++ b/crates/test-servers/src/executor/make.rs
@@ -1,15 +1,15 @@
 //! What an executor is like, what surrounds it, and the faults that a script puts on it.
 
 use super::program::Catalogue;
-use crate::Until;
-use crate::store::Store;
+use crate::TimedFault;
+use crate::store::PackageStore;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// What an executor is like. Times are in seconds.
 #[derive(Clone)]
-pub struct Make {
+pub struct ExecutorSpec {
     /// Its place in the fleet.
     pub number: usize,
     pub cores: usize,
@@ -34,10 +34,10 @@
     pub report_fields: Vec<String>,
 }
 
-impl Make {
+impl ExecutorSpec {
     /// One with room that is warm at once and tells no reports.
-    pub fn roomy(number: usize) -> Make {
-        Make {
+    pub fn roomy(number: usize) -> ExecutorSpec {
+        ExecutorSpec {
             number,
             cores: 8,
             memory: 100.0,
@@ -59,9 +59,9 @@
 
 /// Tokens that the executors of a group have seen, and when.
 #[derive(Default)]
-pub struct Tokens(RefCell<HashMap<String, f64>>);
+pub struct TokenCache(RefCell<HashMap<String, f64>>);
 
-impl Tokens {
+impl TokenCache {
     /// Whether it is new within the window; it is remembered either way.
     pub(super) fn is_new(&self, token: &str, now: f64, window: f64) -> bool {
         let mut seen = self.0.borrow_mut();
@@ -78,22 +78,22 @@
 #[derive(Default)]
 pub struct Faults {
     /// Nothing is answered, and nothing run.
-    pub hangs: Until,
+    pub hangs: TimedFault,
     /// Every dispatch errors at once.
-    pub errors: Until,
+    pub errors: TimedFault,
     /// Connections are accepted, and their handshake waits.
-    pub slow_handshakes: Until,
+    pub slow_handshakes: TimedFault,
     /// Nothing is read from any socket.
-    pub deaf: Until,
+    pub deaf: TimedFault,
     /// Reports come so much later.
-    pub late_reports: Until,
+    pub late_reports: TimedFault,
 }
 
 /// What an executor shares with others.
-pub struct Surroundings {
-    pub store: Rc<Store>,
+pub struct SharedResources {
+    pub store: Rc<PackageStore>,
     pub catalogue: Catalogue,
     /// Shared by the executors of its group.
-    pub tokens: Rc<Tokens>,
+    pub tokens: Rc<TokenCache>,
     pub token_window: f64,
 }
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -11,11 +11,11 @@
 mod orders;
 mod program;
 
-pub use make::{Faults, Make, Surroundings, Tokens};
+pub use make::{ExecutorSpec, Faults, SharedResources, TokenCache};
 pub use program::{Catalogue, Program, digest, echo, package};
 
-use crate::Stage;
-use crate::store::Store;
+use crate::TestEnvironment;
+use crate::store::PackageStore;
 use async_channel::Sender;
 use async_executor::Task;
 use copies::Copy;
@@ -27,13 +27,13 @@
 
 /// An executor on a socket, with what it holds.
 pub struct Executor {
-    pub make: Make,
+    pub make: ExecutorSpec,
     pub faults: Faults,
     pub address: SocketAddr,
-    stage: Stage,
-    pub store: Rc<Store>,
+    stage: TestEnvironment,
+    pub store: Rc<PackageStore>,
     catalogue: Catalogue,
-    tokens: Rc<Tokens>,
+    tokens: Rc<TokenCache>,
     token_window: f64,
     copies: RefCell<HashMap<String, Copy>>,
     /// Packages that were found to be others than their digests name.
@@ -62,10 +62,10 @@
 impl Executor {
     /// Starts one; port 0 takes any free one.
     pub fn start(
-        stage: &Stage,
-        make: Make,
+        stage: &TestEnvironment,
+        make: ExecutorSpec,
         at: SocketAddr,
-        around: Surroundings,
+        around: SharedResources,
     ) -> std::io::Result<Rc<Executor>> {
         let listener = orchidtally_socket_io::listen(at)?;
         let address = listener.get_ref().local_addr()?;
--- a/crates/test-servers/src/executor/orders.rs
+++ b/crates/test-servers/src/executor/orders.rs
@@ -4,14 +4,14 @@
 use super::copies::Unloaded;
 use super::program::package;
 use orchidtally_executor_protocol::v1;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use std::rc::Rc;
 
 impl Executor {
     pub(super) async fn order(self: Rc<Self>, order: v1::Order) -> v1::OrderAnswer {
         let from = order.from.unwrap_or_default();
         let hold = order.kind() == v1::OrderKind::Hold;
-        self.stage.record(Record::Ordered {
+        self.stage.record(TrafficRecord::Ordered {
             at: self.stage.now(),
             executor: self.make.number,
             front_end: from.index,
--- a/crates/test-servers/src/fault_proxy.rs
+++ b/crates/test-servers/src/fault_proxy.rs
@@ -1,7 +1,7 @@
 //! A TCP proxy that does to connections what networks do: it stalls them, cuts a message in two, resets, and is late to
 //! make a connection.
 
-use crate::{Stage, Until, any_port};
+use crate::{TestEnvironment, TimedFault, unused_address};
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::future;
@@ -20,14 +20,14 @@
 /// One proxy before one server. Its faults hold for all connections over it, or for those that it had when the script
 /// asked for them.
 pub struct FaultProxy {
-    stage: Stage,
+    stage: TestEnvironment,
     /// Where clients connect.
     pub address: SocketAddr,
     server: SocketAddr,
     /// Nothing passes from clients until then, on any connection; it is delivered afterwards.
-    pub stalls_requests: Until,
+    pub stalls_requests: TimedFault,
     /// The same of what servers send.
-    pub stalls_answers: Until,
+    pub stalls_answers: TimedFault,
     /// A connection is made to the server so many seconds after the client's.
     pub dial_delay: Cell<f64>,
     /// So many more bytes from clients pass, then the connection over which the next one comes is reset.
@@ -44,14 +44,14 @@
 
 impl FaultProxy {
     /// Starts a proxy before a server.
-    pub fn start(stage: &Stage, server: SocketAddr) -> io::Result<Rc<FaultProxy>> {
-        let listener = Async::<TcpListener>::bind(any_port())?;
+    pub fn start(stage: &TestEnvironment, server: SocketAddr) -> io::Result<Rc<FaultProxy>> {
+        let listener = Async::<TcpListener>::bind(unused_address())?;
         let proxy = Rc::new(FaultProxy {
             stage: stage.clone(),
             address: listener.get_ref().local_addr()?,
             server,
-            stalls_requests: Until::default(),
-            stalls_answers: Until::default(),
+            stalls_requests: TimedFault::default(),
+            stalls_answers: TimedFault::default(),
             dial_delay: Cell::new(0.0),
             reset_after: Cell::new(None),
             generation: Cell::new(1),
@@ -144,7 +144,7 @@
     }
 
     /// Waits while the script lets nothing pass.
-    async fn hold_back(&self, generation: u64, stalled: &Until) {
+    async fn hold_back(&self, generation: u64, stalled: &TimedFault) {
         while generation < self.frozen_before.get() || stalled.is_on(self.stage.now()) {
             self.stage.sleep(POLL).await;
         }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -15,7 +15,7 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use orchidtally_invariants::Record;
+use orchidtally_invariants::TrafficRecord;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -27,17 +27,17 @@
 
 /// What all stand-ins of a rehearsal share: the thread's tasks, the clock, chance and the records.
 #[derive(Clone)]
-pub struct Stage {
+pub struct TestEnvironment {
     pub tasks: Rc<LocalExecutor<'static>>,
     started: Instant,
     started_wall: f64,
-    records: Rc<RefCell<Vec<Record>>>,
+    records: Rc<RefCell<Vec<TrafficRecord>>>,
     random: Rc<RefCell<SmallRng>>,
 }
 
-impl Stage {
-    pub fn new(seed: u64) -> Stage {
-        Stage {
+impl TestEnvironment {
+    pub fn new(seed: u64) -> TestEnvironment {
+        TestEnvironment {
             tasks: Rc::new(LocalExecutor::new()),
             started: Instant::now(),
             started_wall: SystemTime::now()
@@ -62,11 +62,11 @@
         }
     }
 
-    pub fn record(&self, record: Record) {
+    pub fn record(&self, record: TrafficRecord) {
         self.records.borrow_mut().push(record);
     }
 
-    pub fn records(&self) -> Vec<Record> {
+    pub fn records(&self) -> Vec<TrafficRecord> {
         self.records.borrow().clone()
     }
 
@@ -92,7 +92,7 @@
 /// Any free port of a loopback address that this process alone uses. On the address that all share, a port
 /// given up in a crash may be another rehearsal's, or the near end of anybody's connection, by the time of
 /// the restart.
-pub fn any_port() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     let [_, a, b, c] = std::process::id().to_be_bytes();
     let own = SocketAddr::from((Ipv4Addr::new(127, 1 | a, b, c), 0));
     // Some systems have the one loopback address only.
@@ -105,9 +105,9 @@
 
 /// A port of that address for another process to listen at later: outside of the range from which systems give free
 /// ports, so that nothing that is started meanwhile gets it.
-pub fn port_for_later() -> std::io::Result<SocketAddr> {
+pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
-    let mut at = any_port();
+    let mut at = unused_address();
     loop {
         at.set_port(NEXT.fetch_add(1, Ordering::Relaxed));
         match TcpListener::bind(at) {
@@ -119,9 +119,9 @@
 
 /// A switch that is on until a moment.
 #[derive(Default)]
-pub struct Until(Cell<f64>);
+pub struct TimedFault(Cell<f64>);
 
-impl Until {
+impl TimedFault {
     pub fn set(&self, at: f64) {
         self.0.set(self.0.get().max(at));
     }
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -1,10 +1,10 @@
 //! Clients that send the platform's frames.
 
-use crate::Stage;
+use crate::TestEnvironment;
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use orchidtally_invariants::{Answer, Record};
+use orchidtally_invariants::{FinalAnswer, TrafficRecord};
 use orchidtally_platform_client_protocol as frames;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,7 +13,7 @@
 
 /// One invocation as a client sends it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     pub id: u64,
     /// Its place among the settings' and its name.
     pub trigger_type: (usize, &'static str),
@@ -35,14 +35,14 @@
 
 /// A client's way to one front end: one connection, and a new one where that is over.
 pub struct Client {
-    stage: Stage,
+    stage: TestEnvironment,
     front_end: u32,
     at: SocketAddr,
     open: RefCell<Option<Rc<Open>>>,
 }
 
 impl Client {
-    pub fn new(stage: &Stage, front_end: u32, at: SocketAddr) -> Rc<Client> {
+    pub fn new(stage: &TestEnvironment, front_end: u32, at: SocketAddr) -> Rc<Client> {
         Rc::new(Client {
             stage: stage.clone(),
             front_end,
@@ -103,12 +103,12 @@
     }
 
     /// Sends an invocation and notes what comes of it; nothing where no connection came about.
-    pub async fn invoke(&self, ask: &Ask) -> Option<Answer> {
+    pub async fn invoke(&self, ask: &ClientRequest) -> Option<FinalAnswer> {
         self.invoke_for(ask, f64::INFINITY).await
     }
 
     /// The same, and withdraws the invocation if it has no answer after some seconds.
-    pub async fn invoke_for(&self, ask: &Ask, patience: f64) -> Option<Answer> {
+    pub async fn invoke_for(&self, ask: &ClientRequest, patience: f64) -> Option<FinalAnswer> {
         let open = self.connection().await.ok()?;
         let stream = open.next.get();
         open.next.set(stream + 1);
@@ -120,7 +120,7 @@
         let until = at + ask.allow + 0.05;
         let (client, trigger_type) = (self.front_end, ask.trigger_type.0);
         let front_end = self.front_end;
-        let offered = Record::Offered {
+        let offered = TrafficRecord::Offered {
             at,
             client,
             invocation: invocation.clone(),
@@ -177,7 +177,7 @@
             frames::put(&mut frame, frames::WITHDRAW, stream, None, None, &[]);
             // The front end may have gone.
             let _ = (&*open.stream).write_all(&frame).await;
-            self.stage.record(Record::Left {
+            self.stage.record(TrafficRecord::Left {
                 at: self.stage.now(),
                 invocation,
             });
@@ -186,27 +186,27 @@
         };
         let at = self.stage.now();
         let answer = match heard {
-            Some((frames::SUCCEEDED, body)) if body == ask.body => Answer::Succeeded,
-            Some((frames::THROTTLED, _)) => Answer::Throttled,
-            Some((frames::ERRORED, _)) => Answer::Errored,
+            Some((frames::SUCCEEDED, body)) if body == ask.body => FinalAnswer::Succeeded,
+            Some((frames::THROTTLED, _)) => FinalAnswer::Throttled,
+            Some((frames::ERRORED, _)) => FinalAnswer::Errored,
             // What no executor made, or nothing: as if there had been no answer.
             Some(_) => {
-                self.stage.record(Record::GaveUp { at, invocation });
+                self.stage.record(TrafficRecord::GaveUp { at, invocation });
                 return None;
             }
             None => {
-                self.stage.record(Record::Lost { at, invocation });
+                self.stage.record(TrafficRecord::Lost { at, invocation });
                 return None;
             }
         };
-        self.stage.record(Record::Answered {
+        self.stage.record(TrafficRecord::Answered {
             at,
             invocation: invocation.clone(),
             answer,
         });
         self.stage.sleep(0.3).await;
         if answers.try_recv().is_ok() {
-            self.stage.record(Record::Answered {
+            self.stage.record(TrafficRecord::Answered {
                 at: self.stage.now(),
                 invocation,
                 answer,
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -1,14 +1,14 @@
 //! Executors on the platform's lines.
 
-use super::Lives;
+use super::Incarnations;
 use crate::fault_proxy::FaultProxy;
-use crate::{Stage, Until, any_port};
+use crate::{TestEnvironment, TimedFault, unused_address};
 use async_channel::Sender;
 use async_executor::Task;
 use async_io::Async;
 use futures_lite::io::BufReader;
 use futures_lite::{AsyncBufReadExt, AsyncWriteExt, StreamExt, future};
-use orchidtally_invariants::{Ending, Record};
+use orchidtally_invariants::{DispatchOutcome, TrafficRecord};
 use serde_json::{Value, json};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 
 /// How an answer goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoil {
+pub enum ResponseFault {
     /// The connection is reset before anything is begun.
     Unread,
     /// It is reset within the answer.
@@ -32,9 +32,9 @@
 /// What a script may put on an executor.
 #[derive(Default)]
 pub struct Faults {
-    silent: Until,
+    silent: TimedFault,
     /// What goes wrong with answers, and the chance that it does.
-    pub spoils: Cell<Option<(Spoil, f64)>>,
+    pub spoils: Cell<Option<(ResponseFault, f64)>>,
 }
 
 pub struct Executor {
@@ -57,8 +57,8 @@
     pub bears: usize,
     arrived: RefCell<Vec<f64>>,
     fell: Cell<bool>,
-    stage: Stage,
-    lives: Rc<Lives>,
+    stage: TestEnvironment,
+    lives: Rc<Incarnations>,
     tokens: Rc<RefCell<HashMap<(u16, String), f64>>>,
     token_window: f64,
     /// When the copy of a function stands.
@@ -75,9 +75,9 @@
 }
 
 impl InHand {
-    fn end(&mut self, ending: Ending) {
+    fn end(&mut self, ending: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.executor.stage.record(Record::Ended {
+            self.executor.stage.record(TrafficRecord::Ended {
                 at: self.executor.stage.now(),
                 executor: self.executor.number,
                 invocation: self.invocation.clone(),
@@ -90,7 +90,7 @@
 
 impl Drop for InHand {
     fn drop(&mut self) {
-        self.end(Ending::Abandoned);
+        self.end(DispatchOutcome::Abandoned);
     }
 }
 
@@ -120,15 +120,15 @@
 
 /// Executors with an address for each front end, in cells of two; they serve as long as the stage's tasks run.
 pub fn executors(
-    stage: &Stage,
-    lives: &Rc<Lives>,
+    stage: &TestEnvironment,
+    lives: &Rc<Incarnations>,
     count: usize,
     front_ends: u32,
     token_window: f64,
 ) -> std::io::Result<Vec<Rc<Executor>>> {
     let tokens = Rc::new(RefCell::new(HashMap::new()));
     let make = |number: usize| {
-        let listen = |_| Async::<TcpListener>::bind(any_port());
+        let listen = |_| Async::<TcpListener>::bind(unused_address());
         let listeners = (0..front_ends)
             .map(listen)
             .collect::<std::io::Result<Vec<_>>>()?;
@@ -190,7 +190,7 @@
     pub fn fall_silent(&self, time: f64) {
         let at = self.stage.now();
         self.faults.silent.set(at + time);
-        self.stage.record(Record::Deaf {
+        self.stage.record(TrafficRecord::Deaf {
             at,
             executor: self.number,
             until: at + time,
@@ -265,7 +265,7 @@
             *number
         };
         let at = self.stage.now();
-        self.stage.record(Record::Reached {
+        self.stage.record(TrafficRecord::Reached {
             at,
             executor: self.number,
             front_end,
@@ -282,7 +282,7 @@
             && arrived.len() > self.bears
             && !self.fell.replace(true)
         {
-            self.stage.record(Record::Fell {
+            self.stage.record(TrafficRecord::Fell {
                 at,
                 executor: self.number,
                 since: self.since.get(),
@@ -315,7 +315,7 @@
     async fn work(self: Rc<Self>, mut in_hand: InHand, message: Value, way: Way) {
         let (id, fields) = (in_hand.invocation.clone(), &message["f"]);
         if self.draining.get() {
-            in_hand.end(Ending::Refused);
+            in_hand.end(DispatchOutcome::Refused);
             return way.put(line("WAIT", &id, json!({}), &Value::Null)).await;
         }
         let spoil = self
@@ -324,7 +324,7 @@
             .get()
             .filter(|s| self.stage.unit() < s.1)
             .map(|s| s.0);
-        if spoil == Some(Spoil::Unread) {
+        if spoil == Some(ResponseFault::Unread) {
             return way.cut();
         }
         let tell = self.load(fields["item"].as_str().unwrap_or_default()).await;
@@ -333,12 +333,12 @@
         let seen = token.and_then(|t| self.tokens.borrow_mut().insert(t, at));
         self.stage.record(
             match seen.is_some_and(|seen| at < seen + self.token_window) {
-                true => Record::Dropped {
+                true => TrafficRecord::Dropped {
                     at,
                     executor,
                     invocation,
                 },
-                false => Record::Ran {
+                false => TrafficRecord::Ran {
                     at,
                     executor,
                     invocation,
@@ -350,24 +350,26 @@
         let done = line("DONE", &id, told.clone(), &message["b"]);
         match spoil {
             None => {}
-            Some(Spoil::Half) => {
+            Some(ResponseFault::Half) => {
                 way.put(done[..done.len() / 2].to_vec()).await;
                 self.stage.sleep(0.01).await;
                 return way.cut();
             }
-            Some(Spoil::Noise) => return way.put(b"\x01 noise\n".to_vec()).await,
-            Some(Spoil::BadBody) => return way.put(line("DONE", &id, told, &"%%%".into())).await,
-            Some(Spoil::Twice) => way.put(done.clone()).await,
-            Some(Spoil::Never | Spoil::Unread) => return future::pending().await,
+            Some(ResponseFault::Noise) => return way.put(b"\x01 noise\n".to_vec()).await,
+            Some(ResponseFault::BadBody) => {
+                return way.put(line("DONE", &id, told, &"%%%".into())).await;
+            }
+            Some(ResponseFault::Twice) => way.put(done.clone()).await,
+            Some(ResponseFault::Never | ResponseFault::Unread) => return future::pending().await,
         }
-        in_hand.end(Ending::Succeeded);
+        in_hand.end(DispatchOutcome::Succeeded);
         way.put(done).await;
     }
 
     async fn order(self: Rc<Self>, tag: String, message: Value, way: Way) {
         let fields = &message["f"];
         let copies = fields["count"].as_u64().unwrap_or_default() as u32;
-        self.stage.record(Record::Ordered {
+        self.stage.record(TrafficRecord::Ordered {
             at: self.stage.now(),
             executor: self.number,
             front_end: way.front_end,
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -6,17 +6,17 @@
 mod executor;
 mod resolver;
 
-pub use client::{Ask, Client};
-pub use executor::{Executor, Faults, Spoil, executors};
-pub use resolver::{Odd, Resolver, Row};
+pub use client::{Client, ClientRequest};
+pub use executor::{Executor, Faults, ResponseFault, executors};
+pub use resolver::{AnswerFault, ListedEndpoint, Resolver};
 use std::cell::RefCell;
 use std::collections::HashMap;
 
 /// Which life each front end is in; a new one with each start.
 #[derive(Default)]
-pub struct Lives(RefCell<HashMap<u32, u64>>);
+pub struct Incarnations(RefCell<HashMap<u32, u64>>);
 
-impl Lives {
+impl Incarnations {
     pub fn begin(&self, front_end: u32) {
         *self.0.borrow_mut().entry(front_end).or_default() += 1;
     }
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -1,10 +1,10 @@
 //! The resolver, which tells the list of executors over DNS.
 
-use super::Lives;
+use super::Incarnations;
 use super::executor::Executor;
-use crate::{Stage, Until, any_port};
+use crate::{TestEnvironment, TimedFault, unused_address};
 use async_io::Async;
-use orchidtally_invariants::{Record, Standing};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
 use serde_json::{Value, json};
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, ResourceRecord};
@@ -15,14 +15,14 @@
 
 /// An executor as the list tells it.
 #[derive(Clone)]
-pub struct Row {
+pub struct ListedEndpoint {
     pub executor: Rc<Executor>,
-    pub standing: Standing,
+    pub standing: EndpointState,
 }
 
 /// How an answer of the resolver goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Odd {
+pub enum AnswerFault {
     Lost,
     Foreign,
     Truncated,
@@ -47,16 +47,16 @@
 }
 
 pub struct Resolver {
-    stage: Stage,
-    lives: Rc<Lives>,
-    rows: RefCell<Vec<Row>>,
-    before: RefCell<(u32, Vec<Row>)>,
+    stage: TestEnvironment,
+    lives: Rc<Incarnations>,
+    rows: RefCell<Vec<ListedEndpoint>>,
+    before: RefCell<(u32, Vec<ListedEndpoint>)>,
     serial: Cell<u32>,
     /// What goes wrong with answers, and the chance that it does.
-    pub odd: Cell<Option<(Odd, f64)>>,
+    pub odd: Cell<Option<(AnswerFault, f64)>>,
     /// Nothing is answered until then; since when.
-    away: Until,
-    told: RefCell<HashMap<(u64, usize), Standing>>,
+    away: TimedFault,
+    told: RefCell<HashMap<(u64, usize), EndpointState>>,
     /// The one address that answers, where the others no longer do.
     only: Cell<Option<SocketAddr>>,
 }
@@ -64,12 +64,16 @@
 const SERVICE: &str = "_data._tcp.farm.lan";
 
 impl Resolver {
-    pub fn new(stage: &Stage, lives: &Rc<Lives>, executors: &[Rc<Executor>]) -> Rc<Resolver> {
-        let ready = |e: &Rc<Executor>| Row {
+    pub fn new(
+        stage: &TestEnvironment,
+        lives: &Rc<Incarnations>,
+        executors: &[Rc<Executor>],
+    ) -> Rc<Resolver> {
+        let ready = |e: &Rc<Executor>| ListedEndpoint {
             executor: e.clone(),
-            standing: Standing::Ready,
+            standing: EndpointState::Ready,
         };
-        let rows: Vec<Row> = executors.iter().map(ready).collect();
+        let rows: Vec<ListedEndpoint> = executors.iter().map(ready).collect();
         Rc::new(Resolver {
             stage: stage.clone(),
             lives: lives.clone(),
@@ -77,14 +81,14 @@
             rows: RefCell::new(rows),
             serial: Cell::new(1),
             odd: Cell::default(),
-            away: Until::default(),
+            away: TimedFault::default(),
             told: RefCell::default(),
             only: Cell::default(),
         })
     }
 
     /// An event: some executors stand otherwise from now on.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<Row>)) {
+    pub fn change(&self, change: impl FnOnce(&mut Vec<ListedEndpoint>)) {
         *self.before.borrow_mut() = (self.serial.get(), self.rows.borrow().clone());
         change(&mut self.rows.borrow_mut());
         self.serial.set(self.serial.get() + 1);
@@ -134,10 +138,10 @@
         numbers.dedup();
         for executor in numbers {
             let row = listed(executor);
-            let standing = row.map_or(Standing::Gone, |r| r.standing);
+            let standing = row.map_or(EndpointState::Gone, |r| r.standing);
             let since = row.map_or(f64::NEG_INFINITY, |r| r.executor.since.get());
             if told.insert((life, executor), standing) != Some(standing) {
-                self.stage.record(Record::Told {
+                self.stage.record(TrafficRecord::Told {
                     at,
                     front_end,
                     life,
@@ -156,9 +160,9 @@
     /// The list as a front end's configuration has it at its start.
     pub fn known(&self, front_end: u32) -> Value {
         self.tell(front_end);
-        let host = |row: &Row| {
+        let host = |row: &ListedEndpoint| {
             let e = &row.executor;
-            let health = if row.standing == Standing::Ready {
+            let health = if row.standing == EndpointState::Ready {
                 "SERVING"
             } else {
                 "DRAINING"
@@ -175,13 +179,13 @@
         &self,
         id: u16,
         front_end: u32,
-        odd: Option<Odd>,
+        odd: Option<AnswerFault>,
     ) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
         let before = self.before.borrow();
         let (serial, rows) = match odd {
-            Some(Odd::Stale) => (before.0, before.1.clone()),
-            Some(Odd::OldRows) => (self.serial.get(), before.1.clone()),
-            Some(Odd::Ahead(by)) => (
+            Some(AnswerFault::Stale) => (before.0, before.1.clone()),
+            Some(AnswerFault::OldRows) => (self.serial.get(), before.1.clone()),
+            Some(AnswerFault::Ahead(by)) => (
                 self.serial.get().wrapping_add(by),
                 self.rows.borrow().clone(),
             ),
@@ -191,18 +195,24 @@
             .iter()
             .map(|r| format!("{}.east.hosts", r.executor.name))
             .collect();
-        let mut packet = Packet::new_reply(if odd == Some(Odd::Foreign) { !id } else { id });
+        let mut packet = Packet::new_reply(if odd == Some(AnswerFault::Foreign) {
+            !id
+        } else {
+            id
+        });
         packet.set_flags(PacketFlag::RESPONSE);
         match odd {
-            Some(Odd::Truncated) => packet.set_flags(PacketFlag::TRUNCATION),
-            Some(Odd::Failed) => *packet.rcode_mut() = simple_dns::RCODE::ServerFailure,
+            Some(AnswerFault::Truncated) => packet.set_flags(PacketFlag::TRUNCATION),
+            Some(AnswerFault::Failed) => *packet.rcode_mut() = simple_dns::RCODE::ServerFailure,
             _ => {}
         }
         for (n, (row, target)) in rows.iter().zip(&targets).enumerate() {
             let (e, target) = (&row.executor, Name::new(target)?);
             let at = e.reached_at(front_end);
             let is_odd = |kind| n == 0 && odd == Some(kind);
-            let priority = u16::from((row.standing != Standing::Ready) != is_odd(Odd::OddStanding));
+            let priority = u16::from(
+                (row.standing != EndpointState::Ready) != is_odd(AnswerFault::OddStanding),
+            );
             let srv = SRV {
                 priority,
                 weight: 40,
@@ -229,7 +239,7 @@
                 format!("cell={}", e.cell),
                 format!("started={}", self.started(e)),
             ];
-            for text in [if is_odd(Odd::OddText) {
+            for text in [if is_odd(AnswerFault::OddText) {
                 "kin"
             } else {
                 "kind=std"
@@ -263,7 +273,7 @@
 
     /// An address at which a front end may ask from now on.
     pub fn open(self: &Rc<Self>, front_end: u32) -> std::io::Result<SocketAddr> {
-        let socket = Rc::new(Async::<UdpSocket>::bind(any_port())?);
+        let socket = Rc::new(Async::<UdpSocket>::bind(unused_address())?);
         let at = socket.get_ref().local_addr()?;
         let (me, stage) = (self.clone(), self.stage.clone());
         let serving = async move {
@@ -275,7 +285,7 @@
                 if n < 12 || closed || me.away.is_on(me.stage.now()) {
                     continue;
                 }
-                if odd == Some(Odd::Lost) {
+                if odd == Some(AnswerFault::Lost) {
                     // It was sent, so that what it holds is told.
                     me.tell(front_end);
                     continue;
@@ -283,13 +293,17 @@
                 let Ok(mut list) = me.list(id, front_end, odd) else {
                     continue;
                 };
-                if odd == Some(Odd::Cut) {
+                if odd == Some(AnswerFault::Cut) {
                     list.truncate(list.len() / 2);
                 }
                 let is_told = matches!(
                     odd,
                     None | Some(
-                        Odd::Ahead(_) | Odd::Late | Odd::LateBy(_) | Odd::Doubled | Odd::OddText
+                        AnswerFault::Ahead(_)
+                            | AnswerFault::Late
+                            | AnswerFault::LateBy(_)
+                            | AnswerFault::Doubled
+                            | AnswerFault::OddText
                     )
                 );
                 if is_told {
@@ -297,11 +311,11 @@
                 }
                 let (me, socket) = (me.clone(), socket.clone());
                 let late = match odd {
-                    Some(Odd::Late) => 0.2 + 0.3 * me.stage.unit(),
-                    Some(Odd::LateBy(ms)) => f64::from(ms) / 1e3,
+                    Some(AnswerFault::Late) => 0.2 + 0.3 * me.stage.unit(),
+                    Some(AnswerFault::LateBy(ms)) => f64::from(ms) / 1e3,
                     _ => 0.0,
                 };
-                if odd == Some(Odd::Doubled) {
+                if odd == Some(AnswerFault::Doubled) {
                     let _ = socket.send_to(&list, from).await;
                 }
                 let sending = async move {
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -1,25 +1,25 @@
 //! The publisher of the roster: full lists and deltas, as late as the script wants them, and a record of what
 //! it told whom.
 
-use crate::{Stage, Until};
+use crate::{TestEnvironment, TimedFault};
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use futures_lite::future;
-use orchidtally_executor_protocol::{Deframer, LONGEST_HEAD, ROSTER, frame, v1};
-use orchidtally_invariants::{Record, Standing};
+use orchidtally_executor_protocol::{Deframer, ENDPOINTS, MAX_MESSAGE_LENGTH, frame, v1};
+use orchidtally_invariants::{EndpointState, TrafficRecord};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct PublishedEndpoint {
     pub executor: usize,
     pub address: SocketAddr,
     pub location: String,
     pub kind: String,
     pub cell: u32,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// On the stage's clock.
     pub since: f64,
 }
@@ -28,22 +28,26 @@
 const MOST_WAITING: usize = 1_024;
 
 pub struct Publisher {
-    stage: Stage,
+    stage: TestEnvironment,
     pub address: SocketAddr,
-    rows: RefCell<Vec<Row>>,
+    rows: RefCell<Vec<PublishedEndpoint>>,
     revision: Cell<u64>,
-    watchers: RefCell<Vec<Sender<(f64, Row)>>>,
+    watchers: RefCell<Vec<Sender<(f64, PublishedEndpoint)>>>,
     /// How late changes are told, at the most.
     pub delay: Cell<f64>,
     /// Changes are kept back until then, and new watchers get what stood before.
-    pub stale: Until,
+    pub stale: TimedFault,
     /// Where it is stale: the list as it stood.
-    kept: RefCell<Option<Vec<Row>>>,
+    kept: RefCell<Option<Vec<PublishedEndpoint>>>,
     cut: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
 impl Publisher {
-    pub fn start(stage: &Stage, at: SocketAddr, rows: Vec<Row>) -> std::io::Result<Rc<Publisher>> {
+    pub fn start(
+        stage: &TestEnvironment,
+        at: SocketAddr,
+        rows: Vec<PublishedEndpoint>,
+    ) -> std::io::Result<Rc<Publisher>> {
         let listener = orchidtally_socket_io::listen(at)?;
         let publisher = Rc::new(Publisher {
             stage: stage.clone(),
@@ -52,7 +56,7 @@
             revision: Cell::new(1),
             watchers: RefCell::default(),
             delay: Cell::new(0.1),
-            stale: Until::default(),
+            stale: TimedFault::default(),
             kept: RefCell::default(),
             cut: RefCell::new(async_channel::bounded(1)),
         });
@@ -68,7 +72,7 @@
     }
 
     /// Enters a change and tells it, later by chance within the delay.
-    pub fn change(&self, executor: usize, standing: Standing, since: f64) {
+    pub fn change(&self, executor: usize, standing: EndpointState, since: f64) {
         if self.stale.is_on(self.stage.now()) && self.kept.borrow().is_none() {
             *self.kept.borrow_mut() = Some(self.rows.borrow().clone());
         }
@@ -101,11 +105,11 @@
         self.stale.set(until);
     }
 
-    fn wire(&self, row: &Row) -> v1::RosterRow {
+    fn wire(&self, row: &PublishedEndpoint) -> v1::RosterRow {
         let standing = match row.standing {
-            Standing::Ready => v1::Standing::Ready,
-            Standing::Draining => v1::Standing::Draining,
-            Standing::Gone => v1::Standing::Gone,
+            EndpointState::Ready => v1::Standing::Ready,
+            EndpointState::Draining => v1::Standing::Draining,
+            EndpointState::Gone => v1::Standing::Gone,
         };
         v1::RosterRow {
             address: row.address.to_string(),
@@ -118,8 +122,8 @@
         }
     }
 
-    fn told(&self, to: v1::Sender, row: &Row) {
-        self.stage.record(Record::Told {
+    fn told(&self, to: v1::Sender, row: &PublishedEndpoint) {
+        self.stage.record(TrafficRecord::Told {
             at: self.stage.now(),
             front_end: to.index,
             life: to.incarnation,
@@ -155,13 +159,13 @@
         request: http::Request<h2::RecvStream>,
         mut respond: h2::server::SendResponse<Bytes>,
     ) {
-        if request.uri().path() != ROSTER {
+        if request.uri().path() != ENDPOINTS {
             return;
         }
         let mut body = request.into_body();
         let mut deframer = Deframer::default();
         let watch = loop {
-            match deframer.message::<v1::RosterWatch>(LONGEST_HEAD) {
+            match deframer.message::<v1::RosterWatch>(MAX_MESSAGE_LENGTH) {
                 Ok(Some(watch)) => break watch,
                 Ok(None) => match body.data().await {
                     Some(Ok(chunk)) => deframer.push(chunk),
@@ -192,7 +196,7 @@
         // What is gone is left out of a full list.
         let listed = rows
             .iter()
-            .filter(|r| r.standing != Standing::Gone)
+            .filter(|r| r.standing != EndpointState::Gone)
             .map(|r| self.wire(r))
             .collect();
         if out
--- a/crates/test-servers/src/rogue.rs
+++ b/crates/test-servers/src/rogue.rs
@@ -1,11 +1,11 @@
 //! A front end that breaks the rules on purpose, so that the checks can be seen to find it. It speaks the
 //! executors' protocol under the index of a real one.
 
-use crate::Stage;
+use crate::TestEnvironment;
 use bytes::Bytes;
 use orchidtally_etcd::rpc::{RangeRequest, RangeResponse, WatchResponse};
 use orchidtally_etcd::{Client, Fault, Watch, range_end};
-use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, ORDER, ROSTER, frame, v1};
+use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, ENDPOINTS, LOAD, frame, v1};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,20 +19,20 @@
 const STORE_TIME: Duration = Duration::from_secs(2);
 
 /// A front end that breaks the rules.
-pub struct Rogue {
-    stage: Stage,
+pub struct MisbehavingFrontEnd {
+    stage: TestEnvironment,
     sender: v1::Sender,
     connections: RefCell<HashMap<SocketAddr, h2::client::SendRequest<Bytes>>>,
 }
 
-impl Rogue {
-    pub fn new(stage: &Stage, index: u32, count: u32) -> Rc<Rogue> {
+impl MisbehavingFrontEnd {
+    pub fn new(stage: &TestEnvironment, index: u32, count: u32) -> Rc<MisbehavingFrontEnd> {
         let sender = v1::Sender {
             index,
             count,
             incarnation: INCARNATION,
         };
-        Rc::new(Rogue {
+        Rc::new(MisbehavingFrontEnd {
             stage: stage.clone(),
             sender,
             connections: RefCell::default(),
@@ -81,7 +81,7 @@
             let ask = frame(&v1::RosterWatch {
                 from: Some(self.sender),
             });
-            if let Ok(mut told) = self.send(publisher, ROSTER, ask).await {
+            if let Ok(mut told) = self.send(publisher, ENDPOINTS, ask).await {
                 while let Some(Ok(chunk)) = told.data().await {
                     // Fails only where the stream has ended, which the next read tells.
                     let _ = told.flow_control().release_capacity(chunk.len());
@@ -158,7 +158,7 @@
             copies: 1,
             ..v1::Order::default()
         });
-        if let Ok(mut answer) = self.send(to, ORDER, order).await {
+        if let Ok(mut answer) = self.send(to, LOAD, order).await {
             while let Some(Ok(_)) = answer.data().await {}
         }
     }
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -1,17 +1,17 @@
 //! The shared store from which executors load functions: the more fetch at a time, the slower all of them,
 //! and past a bound it turns fetches away.
 
-use crate::{Stage, Until};
+use crate::{TestEnvironment, TimedFault};
 use std::cell::Cell;
 use std::rc::Rc;
 
-pub struct Store {
-    stage: Stage,
+pub struct PackageStore {
+    stage: TestEnvironment,
     /// Fetches at a time that are not slowed, and that are not turned away.
     pub smooth: f64,
     pub most: usize,
     fetching: Cell<usize>,
-    pub refusing: Until,
+    pub refusing: TimedFault,
     pub refused: Cell<u64>,
     pub fetched: Cell<u64>,
 }
@@ -24,14 +24,14 @@
     }
 }
 
-impl Store {
-    pub fn new(stage: &Stage, smooth: f64, most: usize) -> Rc<Store> {
-        Rc::new(Store {
+impl PackageStore {
+    pub fn new(stage: &TestEnvironment, smooth: f64, most: usize) -> Rc<PackageStore> {
+        Rc::new(PackageStore {
             stage: stage.clone(),
             smooth,
             most,
             fetching: Cell::new(0),
-            refusing: Until::default(),
+            refusing: TimedFault::default(),
             refused: Cell::new(0),
             fetched: Cell::new(0),
         })
--- a/crates/test-servers/tests/kit/mod.rs
+++ b/crates/test-servers/tests/kit/mod.rs
@@ -7,8 +7,8 @@
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::*;
 use orchidtally_etcd::{Client, Fault, PUT, RANGE, Told, WATCH, Watch, client::Both};
-use orchidtally_test_servers::Stage;
-use orchidtally_test_servers::etcd::Served;
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::etcd::EtcdServer;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 /// Generous: what a loaded machine may take for any one case.
 pub const CASE_TIME: f64 = 60.0;
 
-pub fn on<T>(stage: &Stage, work: impl Future<Output = T>) -> T {
+pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
         stage.sleep(CASE_TIME).await;
         panic!("the case did not end");
@@ -28,15 +28,15 @@
     async_io::block_on(stage.tasks.run(future::or(work, late)))
 }
 
-pub fn cluster(seed: u64) -> (Stage, Rc<Served>) {
-    let stage = Stage::new(seed);
-    let served = Served::start_in_regions(&stage, &REGIONS).unwrap();
+pub fn cluster(seed: u64) -> (TestEnvironment, Rc<EtcdServer>) {
+    let stage = TestEnvironment::new(seed);
+    let served = EtcdServer::start_in_regions(&stage, &REGIONS).unwrap();
     served.timing.election_time.set(0.2);
     served.timing.request_timeout.set(0.4);
     (stage, served)
 }
 
-pub fn client(stage: &Stage, to: SocketAddr) -> Client {
+pub fn client(stage: &TestEnvironment, to: SocketAddr) -> Client {
     Client::new(vec![to], stage.tasks.clone())
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// Puts a key as a script does, whatever members run.
-pub fn put_here(served: &Served, key: &str) -> i64 {
+pub fn put_here(served: &EtcdServer, key: &str) -> i64 {
     let put = PutRequest {
         key: Bytes::from(key.to_owned()),
         value: "v".into(),
