--- /dev/null
+++ b/crates/frames/tests/stored_formats.rs
@@ -0,0 +1,122 @@
+//! One example of each frame of the platform, as bytes that clients and front ends of other builds exchange. They
+//! must not be changed.
+
+use orchidtally_frames::{
+    ANSWER, ASK_READY, Decoder, ERRORED, INVOKE, IS_READY, NO_MORE, NOT_READY, READY, SUCCEEDED, THROTTLED,
+    WITHDRAW, fields, put,
+};
+
+/// A frame, and what it is written from.
+struct Example {
+    kind: u8,
+    stream: u32,
+    code: Option<u8>,
+    fields: Option<&'static [(&'static str, &'static str)]>,
+    body: &'static [u8],
+    bytes: &'static [u8],
+}
+
+const EXAMPLES: [Example; 9] = [
+    Example {
+        kind: INVOKE,
+        stream: 1,
+        code: None,
+        fields: Some(&[("service", "setpoint"), ("ref", "9b1f"), ("empty", "")]),
+        body: b"body\x00\xff",
+        bytes: b"\x00\x00\x00\x30\x07\x00\x00\x00\x01\x03\x07service\x00\x08setpoint\x03ref\x00\x049b1f\x05empty\x00\x00body\x00\xff",
+    },
+    Example {
+        kind: ANSWER,
+        stream: 0x0102_0304,
+        code: Some(SUCCEEDED),
+        fields: Some(&[]),
+        body: b"done",
+        bytes: b"\x00\x00\x00\x0b\x08\x01\x02\x03\x04\x01\x00done",
+    },
+    Example {
+        kind: ANSWER,
+        stream: 2,
+        code: Some(THROTTLED),
+        fields: Some(&[("cooldown", "250")]),
+        body: b"",
+        bytes: b"\x00\x00\x00\x15\x08\x00\x00\x00\x02\x02\x01\x08cooldown\x00\x03250",
+    },
+    Example {
+        kind: ANSWER,
+        stream: 3,
+        code: Some(ERRORED),
+        fields: Some(&[]),
+        body: b"",
+        bytes: b"\x00\x00\x00\x07\x08\x00\x00\x00\x03\x03\x00",
+    },
+    Example {
+        kind: WITHDRAW,
+        stream: u32::MAX,
+        code: None,
+        fields: None,
+        body: b"",
+        bytes: b"\x00\x00\x00\x05\x09\xff\xff\xff\xff",
+    },
+    Example {
+        kind: ASK_READY,
+        stream: 0,
+        code: None,
+        fields: None,
+        body: b"",
+        bytes: b"\x00\x00\x00\x05\x01\x00\x00\x00\x00",
+    },
+    Example {
+        kind: READY,
+        stream: 0,
+        code: Some(IS_READY),
+        fields: Some(&[]),
+        body: b"",
+        bytes: b"\x00\x00\x00\x07\x02\x00\x00\x00\x00\x01\x00",
+    },
+    Example {
+        kind: READY,
+        stream: 0,
+        code: Some(NOT_READY),
+        fields: Some(&[]),
+        body: b"",
+        bytes: b"\x00\x00\x00\x07\x02\x00\x00\x00\x00\x02\x00",
+    },
+    Example {
+        kind: NO_MORE,
+        stream: 0,
+        code: None,
+        fields: None,
+        body: b"",
+        bytes: b"\x00\x00\x00\x05\x03\x00\x00\x00\x00",
+    },
+];
+
+#[test]
+fn each_frame_is_written_as_its_bytes() {
+    for example in &EXAMPLES {
+        let mut written = vec![];
+        put(&mut written, example.kind, example.stream, example.code, example.fields, example.body);
+        assert_eq!(written, example.bytes, "kind {}", example.kind);
+    }
+}
+
+#[test]
+fn each_frame_is_read_from_its_bytes() {
+    for example in &EXAMPLES {
+        let mut decoder = Decoder::default();
+        decoder.push(example.bytes);
+        let frame = decoder.read().expect("it is sound").expect("it is whole");
+        assert_eq!((frame.kind, frame.stream), (example.kind, example.stream));
+        let mut payload = frame.payload.expect("it is short enough");
+        if let Some(code) = example.code {
+            assert_eq!(payload[0], code);
+            payload = &payload[1..];
+        }
+        if let Some(expected) = example.fields {
+            let (read, rest) = fields(payload).expect("its fields are sound");
+            assert_eq!(read, expected);
+            payload = rest;
+        }
+        assert_eq!(payload, example.body);
+    }
+}
--- /dev/null
+++ b/crates/wire/tests/stored_formats.rs
@@ -0,0 +1,136 @@
+//! One example of each message between front ends, executors and publishers, as bytes that other builds exchange.
+//! `messages.txt` was written by the build of version 0.2.0 and must not be changed.
+
+use bytes::Bytes;
+use orchidtally_wire::v1::{
+    Answer, Dispatch, Effect, Ending, Found, Order, OrderAnswer, OrderKind, Probe, ProbeAnswer, RosterKind,
+    RosterRow, RosterUpdate, RosterWatch, Sender, Standing,
+};
+use orchidtally_wire::{CONTENT_TYPE, DISPATCH, Deframer, LONGEST_ROSTER, ORDER, PROBE, ROSTER, frame};
+use std::fmt::Debug;
+
+/// A name and the bytes in hexadecimal digits on each line.
+const MESSAGES: &str = include_str!("stored_formats/messages.txt");
+
+fn sender() -> Option<Sender> {
+    Some(Sender { index: 3, count: 7, incarnation: u64::MAX })
+}
+
+fn hexadecimal(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The bytes of an example.
+fn committed(name: &str) -> Vec<u8> {
+    let line = MESSAGES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let digits = line.unwrap_or_default();
+    (0..digits.len() / 2).map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap()).collect()
+}
+
+/// Checks that a message is written as its example, and read from it.
+fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
+    let bytes = committed(name);
+    assert_eq!(hexadecimal(&frame(&message)), hexadecimal(&bytes), "{name} as it is written now");
+    let mut deframer = Deframer::default();
+    deframer.push(Bytes::from(bytes));
+    let read: Message = deframer.message(LONGEST_ROSTER).unwrap().expect("the example is whole");
+    assert_eq!(read, message, "{name}");
+    assert!(deframer.is_empty());
+}
+
+fn dispatch(effect: Effect) -> Dispatch {
+    Dispatch {
+        from: sender(),
+        invocation: "invocation-1".into(),
+        number: 2,
+        function: "resize".into(),
+        trigger_type: "orders".into(),
+        customer: "ann".into(),
+        effect: effect.into(),
+        token: "token-1".into(),
+        time_left: 2_500_000,
+        payload_bytes: 1_024,
+        digest: "1f".into(),
+    }
+}
+
+#[test]
+fn dispatches_and_their_answers_keep_their_bytes() {
+    check("dispatch-unspecified", dispatch(Effect::Unspecified));
+    check("dispatch-idempotent", dispatch(Effect::Idempotent));
+    check("dispatch-tokened", dispatch(Effect::Tokened));
+    check("dispatch-non-idempotent", dispatch(Effect::NonIdempotent));
+    let answer = |ending: Ending, found: Found| Answer {
+        ending: ending.into(),
+        found: found.into(),
+        crowd: 5,
+        report: vec![0.5, 7.0],
+        streams: true,
+        index_taken: true,
+        detail: "why".into(),
+        digest_differs: true,
+    };
+    check("answer-unspecified", answer(Ending::Unspecified, Found::Untold));
+    check("answer-ok", answer(Ending::Ok, Found::Warm));
+    check("answer-error", answer(Ending::Error, Found::Loaded));
+    check("answer-full", answer(Ending::Full, Found::Waited));
+    check("answer-miss", answer(Ending::Miss, Found::LoadFailed));
+}
+
+#[test]
+fn orders_probes_and_their_answers_keep_their_bytes() {
+    let order = |kind: OrderKind| Order {
+        from: sender(),
+        kind: kind.into(),
+        function: "resize".into(),
+        copies: 2,
+        digest: "1f".into(),
+    };
+    check("order-unspecified", order(OrderKind::OrderUnspecified));
+    check("order-hold", order(OrderKind::Hold));
+    check("order-ask", order(OrderKind::Ask));
+    check("order-unload", order(OrderKind::Unload));
+    let answer = OrderAnswer {
+        ending: Ending::Ok.into(),
+        copies: 2,
+        report: vec![0.5],
+        detail: "why".into(),
+        digest_differs: true,
+    };
+    check("order-answer", answer);
+    check("probe", Probe { from: sender() });
+    check("probe-answer", ProbeAnswer { report: vec![0.5, 7.0] });
+}
+
+#[test]
+fn rosters_keep_their_bytes() {
+    let row = |standing: Standing| RosterRow {
+        address: "10.0.0.1:4100".into(),
+        location: "east".into(),
+        kind: "std".into(),
+        cell: 4,
+        standing: standing.into(),
+        weight: 1.5,
+        since: 1_764_600_000.5,
+    };
+    let all = [Standing::Unspecified, Standing::Ready, Standing::Draining, Standing::Gone];
+    let update =
+        |kind: RosterKind| RosterUpdate { kind: kind.into(), revision: 42, rows: all.map(row).to_vec() };
+    check("roster-watch", RosterWatch { from: sender() });
+    check("roster-unspecified", update(RosterKind::RosterUnspecified));
+    check("roster-full-list", update(RosterKind::FullList));
+    check("roster-delta", update(RosterKind::Delta));
+}
+
+#[test]
+fn paths_and_content_type_are_those_of_the_protocol() {
+    let paths = [DISPATCH, ORDER, PROBE, ROSTER];
+    let expected = [
+        "/orchidtally.v1/dispatch",
+        "/orchidtally.v1/order",
+        "/orchidtally.v1/probe",
+        "/orchidtally.v1/roster",
+    ];
+    assert_eq!(paths, expected);
+    assert_eq!(CONTENT_TYPE, "application/orchidtally.v1+proto");
+}
