--- a/crates/cli/tests/endpoint_texts.rs
+++ b/crates/cli/tests/endpoint_texts.rs
@@ -113,11 +113,14 @@
     lines.join("\n") + "\n"
 }
 
+/// A request's first line, its headers and its body.
+type InvocationRequest = (String, Vec<(&'static str, &'static str)>, &'static str);
+
 #[test]
 fn a_front_end_answers_invocations_with_the_same_words() {
     let front_end = Serving::start(&["serve", "--seed", "1"]);
     let invoke = |function: &str| format!("POST /v1/functions/{function}/invocations");
-    let requests: [(String, Vec<(&str, &str)>, &str); 9] = [
+    let requests: [InvocationRequest; 9] = [
         (invoke("upper"), vec![], "dawn"),
         (invoke("upper"), vec![("orchidtally-invocation", "named")], "named"),
         (invoke("no-such-function"), vec![], ""),
--- /dev/null
+++ b/crates/invariants/tests/stored_formats.rs
@@ -0,0 +1,64 @@
+//! Records of the traffic are written to files by `orchidtally rehearse --records`, and read again: their JSON is a
+//! stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and must not be
+//! changed.
+
+use orchidtally_invariants::{Effect, Executor, Group, Limits, Messages, Record, Spread, judge};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+const RECORDS: &str = include_str!("stored_formats/records.jsonl");
+const LIMITS: &str = include_str!("stored_formats/limits.jsonl");
+const EXECUTOR: &str = include_str!("stored_formats/executor.json");
+
+/// Reads one value a line, and checks that each is written again byte for byte.
+fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
+    let read_line = |line: &str| {
+        let value: Value = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
+        assert_eq!(serde_json::to_string(&value).unwrap(), line);
+        value
+    };
+    lines.lines().map(read_line).collect()
+}
+
+#[test]
+fn records_are_read_and_written_again() {
+    let records: Vec<Record> = read_and_rewrite(RECORDS);
+    assert_eq!(records.len(), 32);
+    assert!(records.iter().all(|record| record.at() == 1.5));
+    let kind = |line: &str| {
+        let value: serde_json::Value = serde_json::from_str(line).unwrap();
+        value["what"].as_str().unwrap().to_owned()
+    };
+    let mut kinds: Vec<String> = RECORDS.lines().map(kind).collect();
+    kinds.dedup();
+    assert_eq!(kinds.len(), 23, "{kinds:?}");
+}
+
+#[test]
+fn limits_are_read_and_written_again() {
+    let limits: Vec<Limits> = read_and_rewrite(LIMITS);
+    let first = &limits[0];
+    let kinds: Vec<(Effect, Group)> =
+        first.trigger_types.iter().map(|trigger_type| (trigger_type.effect, trigger_type.group)).collect();
+    let expected = [
+        (Effect::Idempotent, Group::All),
+        (Effect::Tokened, Group::Location),
+        (Effect::NonIdempotent, Group::Cell),
+    ];
+    assert_eq!(kinds, expected);
+    assert_eq!((first.second_copies, first.drain_grace, first.fall), (true, 1.5, 2.5));
+    assert_eq!((first.ration_floor, first.ration_share, first.ration_window), (3.5, 0.5, 5.5));
+    assert_eq!((first.transit, first.leave_margin, limits[1].leave_margin), (0.25, Some(0.125), None));
+    let executor: Executor = read_and_rewrite(EXECUTOR).remove(0);
+    assert_eq!((executor.location, executor.cell), (1, 2));
+}
+
+#[test]
+fn findings_are_written_with_the_same_keys() {
+    let limits: Limits = read_and_rewrite(LIMITS).remove(0);
+    let verdict = serde_json::to_string(&judge(&limits, &[], &[])).unwrap();
+    let messages = serde_json::to_string(&Messages::default()).unwrap();
+    let spread = serde_json::to_string(&Spread::default()).unwrap();
+    let written = [verdict, messages, spread].join("\n") + "\n";
+    assert_eq!(written, include_str!("stored_formats/findings.jsonl"), "\n{written}");
+}
