--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -147,7 +147,7 @@
         check_injection(rule, injected, &verdict, messages.as_ref())?;
     }
     let rolled_well = played.rollout.as_ref().is_none_or(rolling::Seen::is_well);
-    let carried_well = messages.as_ref().is_none_or(MessageReport::kept);
+    let carried_well = messages.as_ref().is_none_or(MessageReport::holds);
     if verdict.holds() && rolled_well && carried_well {
         Ok(())
     } else {
@@ -287,7 +287,7 @@
         .roster
         .as_ref()
         .map(|r| r.seen(&played.records, played.relists, (broken(3), broken(4))));
-    let kept = verdict.holds() && messages.is_none_or(MessageReport::kept);
+    let kept = verdict.holds() && messages.is_none_or(MessageReport::holds);
     let line = Line {
         verdict: if kept { "kept" } else { "broken" },
         found: verdict,
--- a/crates/cli/tests/command_line_texts.rs
+++ b/crates/cli/tests/command_line_texts.rs
@@ -10,12 +10,18 @@
 use std::process::{Command, Output};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_orchidtally");
-const LEDGER: &str = include_str!("../../trigger/tests/stored_formats/ledger.jsonl");
-const PROMISES: &str = include_str!("../../trigger/tests/stored_formats/promises.jsonl");
-const COORDINATOR_STATE: &str = include_str!("../../rollout/tests/stored_formats/coordinator_state.json");
+const LEDGER: &str = include_str!("../../mqtt-triggers/tests/stored_formats/ledger.jsonl");
+const PROMISES: &str = include_str!("../../mqtt-triggers/tests/stored_formats/promises.jsonl");
+const COORDINATOR_STATE: &str =
+    include_str!("../../rollout/tests/stored_formats/coordinator_state.json");
 
 fn run(folder: &Path, arguments: &[&str]) -> Output {
-    Command::new(PROGRAM).args(arguments).current_dir(folder).env_remove("LB_CONFIG").output().unwrap()
+    Command::new(PROGRAM)
+        .args(arguments)
+        .current_dir(folder)
+        .env_remove("LB_CONFIG")
+        .output()
+        .unwrap()
 }
 
 /// A command with all that it printed and its exit code, as a shell would show them.
@@ -33,11 +39,14 @@
 
 /// Compares a text with the committed one of this name.
 fn check(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/command_line_texts").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/command_line_texts")
+        .join(name);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         fs::write(&path, text).unwrap();
     }
-    let committed = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let committed =
+        fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     for (number, (now, before)) in text.lines().zip(committed.lines()).enumerate() {
         assert_eq!(now, before, "line {} of {name}", number + 1);
     }
@@ -60,8 +69,12 @@
     let listed = help.lines().skip_while(|line| *line != "Commands:").skip(1);
     let listed = listed.take_while(|line| !line.is_empty());
     // A command is indented by two; what is told of it may go on in lines that are indented further.
-    let names = listed.filter_map(|line| line.strip_prefix("  ")).filter(|line| !line.starts_with(' '));
-    let names = names.filter_map(|line| line.split_whitespace().next()).map(str::to_owned);
+    let names = listed
+        .filter_map(|line| line.strip_prefix("  "))
+        .filter(|line| !line.starts_with(' '));
+    let names = names
+        .filter_map(|line| line.split_whitespace().next())
+        .map(str::to_owned);
     names.filter(|name| name != "help").collect()
 }
 
@@ -81,17 +94,32 @@
         commands.push(command.join(" "));
     }
     check("help.txt", &texts);
-    for name in
-        ["serve", "check", "invoke", "rehearse", "measure", "rollout start", "roster drain", "journal show"]
-    {
-        assert!(commands.iter().any(|command| command == name), "{name} is missing: {commands:?}");
+    for name in [
+        "serve",
+        "check",
+        "invoke",
+        "rehearse",
+        "measure",
+        "rollout start",
+        "roster drain",
+        "journal show",
+    ] {
+        assert!(
+            commands.iter().any(|command| command == name),
+            "{name} is missing: {commands:?}"
+        );
     }
 }
 
 #[test]
 fn each_command_prints_its_short_help() {
-    let commands = ["serve", "check", "invoke", "rehearse", "rollout", "roster", "journal", "measure"];
-    let texts: String = commands.iter().map(|command| transcript(&here(), &[command, "-h"])).collect();
+    let commands = [
+        "serve", "check", "invoke", "rehearse", "rollout", "roster", "journal", "measure",
+    ];
+    let texts: String = commands
+        .iter()
+        .map(|command| transcript(&here(), &[command, "-h"]))
+        .collect();
     check("short_help.txt", &texts);
 }
 
@@ -104,7 +132,10 @@
         .collect();
     names.sort();
     assert_eq!(names.len(), 5, "{names:?}");
-    let texts: String = names.iter().map(|name| transcript(&folder, &["check", name])).collect();
+    let texts: String = names
+        .iter()
+        .map(|name| transcript(&folder, &["check", name]))
+        .collect();
     check("examples.txt", &texts);
 }
 
@@ -135,7 +166,10 @@
         &["no-such-command"],
         &["--log", "a=b=c", "check", "bad.json5"],
     ];
-    let texts: String = commands.iter().map(|arguments| transcript(&folder, arguments)).collect();
+    let texts: String = commands
+        .iter()
+        .map(|arguments| transcript(&folder, arguments))
+        .collect();
     check("bad_input.txt", &texts);
 }
 
@@ -148,14 +182,29 @@
     }
     drop(journal);
     let commands = ["check", "show", "compact", "show", "compact"];
-    commands.iter().map(|command| transcript(&folder, &["journal", command, "state"])).collect()
+    commands
+        .iter()
+        .map(|command| transcript(&folder, &["journal", command, "state"]))
+        .collect()
 }
 
 #[test]
 fn journals_are_checked_shown_and_compacted_with_the_same_words() {
     check("journal_ledger.txt", &journal_transcript("ledger", LEDGER));
-    check("journal_promises.txt", &journal_transcript("promises", PROMISES));
-    check("journal_coordinator.txt", &journal_transcript("coordinator", COORDINATOR_STATE));
-    check("journal_unknown.txt", &journal_transcript("unknown", "no record of any kind\n"));
-    check("journal_absent.txt", &transcript(&empty_folder("absent"), &["journal", "check", "absent"]));
+    check(
+        "journal_promises.txt",
+        &journal_transcript("promises", PROMISES),
+    );
+    check(
+        "journal_coordinator.txt",
+        &journal_transcript("coordinator", COORDINATOR_STATE),
+    );
+    check(
+        "journal_unknown.txt",
+        &journal_transcript("unknown", "no record of any kind\n"),
+    );
+    check(
+        "journal_absent.txt",
+        &transcript(&empty_folder("absent"), &["journal", "check", "absent"]),
+    );
 }
--- a/crates/cli/tests/endpoint_texts.rs
+++ b/crates/cli/tests/endpoint_texts.rs
@@ -24,7 +24,9 @@
 impl Serving {
     fn start(arguments: &[&str]) -> Serving {
         let mut command = Command::new(PROGRAM);
-        command.args(arguments).args(["--listen", "127.0.0.1:0", "--until-input-ends"]);
+        command
+            .args(arguments)
+            .args(["--listen", "127.0.0.1:0", "--until-input-ends"]);
         let mut process = command
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -32,23 +34,36 @@
             .spawn()
             .expect("the program starts");
         let mut first = String::new();
-        BufReader::new(process.stdout.take().expect("a pipe")).read_line(&mut first).expect("a line");
-        let address = first.trim().strip_prefix("listening on http://").expect(&first).to_owned();
+        BufReader::new(process.stdout.take().expect("a pipe"))
+            .read_line(&mut first)
+            .expect("a line");
+        let address = first
+            .trim()
+            .strip_prefix("listening on http://")
+            .expect(&first)
+            .to_owned();
         Serving { process, address }
     }
 
     /// Sends a request; returns the whole response.
     fn exchange(&self, request_line: &str, headers: &[(&str, &str)], body: &str) -> String {
         let mut stream = TcpStream::connect(&self.address).expect("it listens");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
-        let mut request = format!("{request_line} HTTP/1.1\r\nhost: front-end\r\nconnection: close\r\n");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a timeout");
+        let mut request =
+            format!("{request_line} HTTP/1.1\r\nhost: front-end\r\nconnection: close\r\n");
         for (name, value) in headers {
             request += &format!("{name}: {value}\r\n");
         }
         request += &format!("content-length: {}\r\n\r\n{body}", body.len());
-        stream.write_all(request.as_bytes()).expect("the request is taken");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the request is taken");
         let mut response = String::new();
-        stream.read_to_string(&mut response).expect("a whole response");
+        stream
+            .read_to_string(&mut response)
+            .expect("a whole response");
         response
     }
 
@@ -57,9 +72,13 @@
         let response = self.exchange(request_line, headers, body);
         let (head, body) = response.split_once("\r\n\r\n").expect("a head and a body");
         let (status, response_headers) = head.split_once("\r\n").unwrap_or((head, ""));
-        let mut response_headers: Vec<String> = response_headers.lines().map(without_varying).collect();
+        let mut response_headers: Vec<String> =
+            response_headers.lines().map(without_varying).collect();
         response_headers.sort();
-        format!("> {request_line} {headers:?}\n{status}\n{}\n\n{body}\n\n", response_headers.join("\n"))
+        format!(
+            "> {request_line} {headers:?}\n{status}\n{}\n\n{body}\n\n",
+            response_headers.join("\n")
+        )
     }
 }
 
@@ -72,16 +91,23 @@
 
 fn without_varying(header: &str) -> String {
     let name = header.split(':').next().unwrap_or_default();
-    if VARYING_HEADERS.contains(&name) { format!("{name}: ...") } else { header.to_owned() }
+    if VARYING_HEADERS.contains(&name) {
+        format!("{name}: ...")
+    } else {
+        header.to_owned()
+    }
 }
 
 /// Compares a text with the committed one of this name.
 fn check(name: &str, text: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/endpoint_texts").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/endpoint_texts")
+        .join(name);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
         fs::write(&path, text).expect("the fixture can be written");
     }
-    let committed = fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    let committed =
+        fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     assert_eq!(text, committed, "{name} is now\n{text}");
 }
 
@@ -93,11 +119,14 @@
         Value::Number(_) => "number",
         Value::String(_) => "text",
         Value::Array(list) => {
-            list.iter().for_each(|member| shape(member, &format!("{path}[]"), lines));
+            list.iter()
+                .for_each(|member| shape(member, &format!("{path}[]"), lines));
             "list"
         }
         Value::Object(members) => {
-            members.iter().for_each(|(key, member)| shape(member, &format!("{path}.{key}"), lines));
+            members
+                .iter()
+                .for_each(|(key, member)| shape(member, &format!("{path}.{key}"), lines));
             "object"
         }
     };
@@ -122,17 +151,27 @@
     let invoke = |function: &str| format!("POST /v1/functions/{function}/invocations");
     let requests: [InvocationRequest; 9] = [
         (invoke("upper"), vec![], "dawn"),
-        (invoke("upper"), vec![("orchidtally-invocation", "named")], "named"),
+        (
+            invoke("upper"),
+            vec![("orchidtally-invocation", "named")],
+            "named",
+        ),
         (invoke("no-such-function"), vec![], ""),
-        (invoke("upper"), vec![("orchidtally-trigger-type", "no-such-type")], ""),
+        (
+            invoke("upper"),
+            vec![("orchidtally-trigger-type", "no-such-type")],
+            "",
+        ),
         (invoke("upper"), vec![("orchidtally-time-left", "soon")], ""),
         (invoke("upper"), vec![("orchidtally-repeat", "2")], ""),
         ("GET /v1/functions/upper/invocations".into(), vec![], ""),
         ("GET /nowhere".into(), vec![], ""),
         ("POST /v1/front-end".into(), vec![], ""),
     ];
-    let texts: String =
-        requests.iter().map(|(line, headers, body)| front_end.transcript(line, headers, body)).collect();
+    let texts: String = requests
+        .iter()
+        .map(|(line, headers, body)| front_end.transcript(line, headers, body))
+        .collect();
     check("invocations.txt", &texts);
 }
 
@@ -152,7 +191,9 @@
 fn file(name: &str, content: &str) -> String {
     let path = here().join(name);
     fs::write(&path, content).expect("the file can be written");
-    path.into_os_string().into_string().expect("a path in UTF-8")
+    path.into_os_string()
+        .into_string()
+        .expect("a path in UTF-8")
 }
 
 /// A coordinator with files of its own, by the name of the test.
@@ -162,25 +203,45 @@
     let state = here().join(format!("endpoint-texts-{name}-state"));
     let _ = fs::remove_dir_all(&state);
     let state = state.to_str().expect("a path in UTF-8");
-    Serving::start(&["rollout", "coordinate", "--deployment", &deployment, "--state", state])
+    Serving::start(&[
+        "rollout",
+        "coordinate",
+        "--deployment",
+        &deployment,
+        "--state",
+        state,
+    ])
 }
 
 /// Runs `orchidtally rollout`; returns its output and exit code.
 fn rollout(coordinator: &Serving, arguments: &[&str]) -> (String, Option<i32>) {
     let mut command = Command::new(PROGRAM);
-    let output = command.arg("rollout").args(arguments).args(["--at", &coordinator.address]).output();
+    let output = command
+        .arg("rollout")
+        .args(arguments)
+        .args(["--at", &coordinator.address])
+        .output();
     let output = output.expect("the program starts");
-    (String::from_utf8(output.stdout).expect("text"), output.status.code())
+    (
+        String::from_utf8(output.stdout).expect("text"),
+        output.status.code(),
+    )
 }
 
 #[test]
 fn a_rollout_is_forecast_with_the_same_words_and_figures() {
     let coordinator = coordinator("forecast");
-    let plan = file("endpoint-texts-plan.json5", include_str!("endpoint_texts/plan.json5"));
+    let plan = file(
+        "endpoint-texts-plan.json5",
+        include_str!("endpoint_texts/plan.json5"),
+    );
     let (table, code) = rollout(&coordinator, &["start", &plan, "--dry-run"]);
     assert_eq!(code, Some(0));
     check("dry_run_table.txt", &table);
-    let (json, code) = rollout(&coordinator, &["start", &plan, "--dry-run", "--output", "json"]);
+    let (json, code) = rollout(
+        &coordinator,
+        &["start", &plan, "--dry-run", "--output", "json"],
+    );
     assert_eq!(code, Some(0));
     check("dry_run.json", &json);
 }
@@ -188,7 +249,10 @@
 #[test]
 fn a_rollout_is_told_by_the_same_keys() {
     let coordinator = coordinator("told");
-    let plan = file("endpoint-texts-started.json5", include_str!("endpoint_texts/plan.json5"));
+    let plan = file(
+        "endpoint-texts-started.json5",
+        include_str!("endpoint_texts/plan.json5"),
+    );
     assert_eq!(rollout(&coordinator, &["start", &plan]).1, Some(0));
     assert_eq!(rollout(&coordinator, &["pause", "pinned"]).1, Some(0));
     let (status, _) = rollout(&coordinator, &["status", "--output", "json"]);
@@ -204,13 +268,22 @@
 fn a_coordinator_refuses_with_the_same_words() {
     let coordinator = coordinator("refuses");
     let requests = [
-        ("POST /v1/rollouts/orders", r#"{"what":"pause","name":"absent"}"#),
-        ("POST /v1/rollouts/orders", r#"{"what":"start","plan":"{ name: 'x' }","dry":false}"#),
+        (
+            "POST /v1/rollouts/orders",
+            r#"{"what":"pause","name":"absent"}"#,
+        ),
+        (
+            "POST /v1/rollouts/orders",
+            r#"{"what":"start","plan":"{ name: 'x' }","dry":false}"#,
+        ),
         ("POST /v1/rollouts/orders", r#"{"what":"no such order"}"#),
         ("POST /v1/rollouts/exchange", "{}"),
         ("GET /v1/rollouts/absent/history", ""),
         ("GET /nowhere", ""),
     ];
-    let texts: String = requests.iter().map(|(line, body)| coordinator.transcript(line, &[], body)).collect();
+    let texts: String = requests
+        .iter()
+        .map(|(line, body)| coordinator.transcript(line, &[], body))
+        .collect();
     check("coordinator_refusals.txt", &texts);
 }
--- a/crates/config-sync/tests/stored_formats.rs
+++ b/crates/config-sync/tests/stored_formats.rs
@@ -8,7 +8,9 @@
 use kit::{function, key, put, quota, trigger_type};
 use orchidtally_config_sync::digest::{Digests, entry_hash};
 use orchidtally_config_sync::keys::{BUCKET_COUNT, bucket_of, group_of};
-use orchidtally_config_sync::schema::{Envelope, FunctionSpec, QuotaSpec, TriggerTypeSpec, VersionSpec};
+use orchidtally_config_sync::schema::{
+    Envelope, FunctionSpec, QuotaSpec, TriggerTypeSpec, VersionSpec,
+};
 use orchidtally_config_sync::writer::Generation;
 use orchidtally_config_sync::{
     ConfigSync, GatewaySchema, Keyspace, Report, ReportedState, SyncSettings, Verdict, WhenStale,
@@ -25,7 +27,8 @@
 /// Reads one value a line, and checks that each is written again byte for byte.
 fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
-        let value: Value = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
+        let value: Value =
+            serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
         assert_eq!(serde_json::to_string(&value).unwrap(), line);
         value
     };
@@ -34,7 +37,10 @@
 
 /// The newest snapshot of a front end that follows a store with entries of all kinds, one of them rejected.
 fn written_snapshot() -> Vec<u8> {
-    let settings = SyncSettings { snapshot_interval: 1.0, ..SyncSettings::default() };
+    let settings = SyncSettings {
+        snapshot_interval: 1.0,
+        ..SyncSettings::default()
+    };
     let mut fleet = Fleet::new(1, settings);
     fleet.write(&[
         put("functions/resize", function("1f", "refuse", true)),
@@ -42,9 +48,16 @@
         put("trigger-types/orders", trigger_type(0.5, 10.0)),
     ]);
     fleet.run(20.0);
-    fleet.write_unchecked(&[put("quotas/ann", b"{}".to_vec()), put("quotas/bob", b"{}".to_vec())]);
+    fleet.write_unchecked(&[
+        put("quotas/ann", b"{}".to_vec()),
+        put("quotas/bob", b"{}".to_vec()),
+    ]);
     fleet.run(5.0);
-    fleet.front_ends[0].disk.last().expect("it has written a snapshot").clone()
+    fleet.front_ends[0]
+        .disk
+        .last()
+        .expect("it has written a snapshot")
+        .clone()
 }
 
 fn core() -> ConfigSync<GatewaySchema> {
@@ -61,7 +74,11 @@
     let bytes = committed_snapshot();
     let mut core = core();
     let restored = core.restore(0.0, &[&bytes]);
-    assert!(restored.passed_over.is_empty(), "{:?}", restored.passed_over);
+    assert!(
+        restored.passed_over.is_empty(),
+        "{:?}",
+        restored.passed_over
+    );
     let view = core.view();
     let names: Vec<&str> = view.iter().map(|(key, _)| key.as_str()).collect();
     assert_eq!(names.len(), 3, "{names:?}");
@@ -70,7 +87,11 @@
     assert_eq!(document("quotas/ann"), quota(1.5), "the last good one");
     assert_eq!(document("trigger-types/orders"), trigger_type(0.5, 10.0));
     assert_eq!(core.admits(0.0, "quotas/ann"), Verdict::Serve);
-    let mut rejected: Vec<String> = core.rejections().into_iter().map(|rejection| rejection.key).collect();
+    let mut rejected: Vec<String> = core
+        .rejections()
+        .into_iter()
+        .map(|rejection| rejection.key)
+        .collect();
     rejected.sort();
     assert_eq!(rejected, ["quotas/ann", "quotas/bob"]);
 }
@@ -80,7 +101,11 @@
     let written = written_snapshot();
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("stored-formats-snapshot.bin");
     std::fs::write(&path, &written).unwrap();
-    assert!(written == committed_snapshot(), "what was written is in {}", path.display());
+    assert!(
+        written == committed_snapshot(),
+        "what was written is in {}",
+        path.display()
+    );
 }
 
 #[test]
@@ -108,13 +133,24 @@
     assert_eq!(states, expected);
     let first = &reports[0];
     assert_eq!(
-        (first.sequence, first.applied_revision, first.generation, first.cluster),
+        (
+            first.sequence,
+            first.applied_revision,
+            first.generation,
+            first.cluster
+        ),
         (3, 41, 1, u64::MAX)
     );
     assert_eq!((first.rejected_omitted, first.digest_faults), (5, 6));
     let rejection = &first.rejected[0];
-    assert_eq!((rejection.key.as_str(), rejection.revision), ("quotas/ann", 40));
-    assert_eq!((rejection.reason.as_str(), rejection.remedy.as_str()), ("why", "what to do"));
+    assert_eq!(
+        (rejection.key.as_str(), rejection.revision),
+        ("quotas/ann", 40)
+    );
+    assert_eq!(
+        (rejection.reason.as_str(), rejection.remedy.as_str()),
+        ("why", "what to do")
+    );
     for (report, line) in reports.iter().zip(REPORTS.lines()) {
         assert_eq!(report.to_json(), line.as_bytes());
         assert_eq!(Report::from_json(line.as_bytes()).unwrap(), *report);
@@ -130,10 +166,23 @@
 
 #[test]
 fn documents_of_each_kind_are_read() {
-    let envelopes: Vec<Envelope> =
-        DOCUMENTS.lines().map(|line| Envelope::parse(line.as_bytes(), 1 << 20).expect(line)).collect();
-    let when_stale: Vec<WhenStale> = envelopes.iter().map(|envelope| envelope.when_stale).collect();
-    assert_eq!(when_stale, [WhenStale::Refuse, WhenStale::Serve, WhenStale::Serve, WhenStale::Serve]);
+    let envelopes: Vec<Envelope> = DOCUMENTS
+        .lines()
+        .map(|line| Envelope::parse(line.as_bytes(), 1 << 20).expect(line))
+        .collect();
+    let when_stale: Vec<WhenStale> = envelopes
+        .iter()
+        .map(|envelope| envelope.when_stale)
+        .collect();
+    assert_eq!(
+        when_stale,
+        [
+            WhenStale::Refuse,
+            WhenStale::Serve,
+            WhenStale::Serve,
+            WhenStale::Serve
+        ]
+    );
     let mut specs = envelopes.into_iter().map(|envelope| envelope.spec);
     let mut next = || specs.next().expect("four documents");
     let version = |digest: &str, lanes, memory, load_time, work| VersionSpec {
@@ -160,8 +209,19 @@
         trigger_types: vec![],
     };
     assert_eq!(FunctionSpec::parse(next()).unwrap(), smallest);
-    assert_eq!(QuotaSpec::parse(next()).unwrap(), QuotaSpec { calls_per_second: 12.5 });
-    assert_eq!(TriggerTypeSpec::parse(next()).unwrap(), TriggerTypeSpec { objective: 0.5, timeout: 10.0 });
+    assert_eq!(
+        QuotaSpec::parse(next()).unwrap(),
+        QuotaSpec {
+            calls_per_second: 12.5
+        }
+    );
+    assert_eq!(
+        TriggerTypeSpec::parse(next()).unwrap(),
+        TriggerTypeSpec {
+            objective: 0.5,
+            timeout: 10.0
+        }
+    );
 }
 
 #[test]
@@ -177,7 +237,12 @@
         serde_json::to_string(&trigger_type).unwrap(),
     ];
     let expected = include_str!("stored_formats/specs.jsonl");
-    assert_eq!(written.to_vec(), expected.lines().collect::<Vec<_>>(), "\n{}", written.join("\n"));
+    assert_eq!(
+        written.to_vec(),
+        expected.lines().collect::<Vec<_>>(),
+        "\n{}",
+        written.join("\n")
+    );
 }
 
 #[test]
@@ -187,13 +252,34 @@
     for name in ["functions/resize", "quotas/ann", "trigger-types/orders"] {
         keys.push(keyspace.entry(&key(name)));
     }
-    keys.extend([keyspace.digest(0), keyspace.digest(31), keyspace.generation(), keyspace.report("fe-3")]);
-    for range in [keyspace.entries(), keyspace.bucket(255), keyspace.digests(), keyspace.reports()] {
+    keys.extend([
+        keyspace.digest(0),
+        keyspace.digest(31),
+        keyspace.generation(),
+        keyspace.report("fe-3"),
+    ]);
+    for range in [
+        keyspace.entries(),
+        keyspace.bucket(255),
+        keyspace.digests(),
+        keyspace.reports(),
+    ] {
         keys.extend([range.start, range.end]);
     }
-    let written: Vec<String> = keys.into_iter().map(|key| String::from_utf8(key).unwrap()).collect();
-    assert_eq!(written, KEYS.lines().collect::<Vec<_>>(), "\n{}", written.join("\n"));
-    assert_eq!(keyspace.parse_entry(KEYS.lines().next().unwrap().as_bytes()), Some(key("functions/resize")));
+    let written: Vec<String> = keys
+        .into_iter()
+        .map(|key| String::from_utf8(key).unwrap())
+        .collect();
+    assert_eq!(
+        written,
+        KEYS.lines().collect::<Vec<_>>(),
+        "\n{}",
+        written.join("\n")
+    );
+    assert_eq!(
+        keyspace.parse_entry(KEYS.lines().next().unwrap().as_bytes()),
+        Some(key("functions/resize"))
+    );
 }
 
 #[test]
@@ -204,7 +290,11 @@
     digests.add(bucket, entry_hash(name, b"{}"));
     let value = digests.encode_group(group_of(bucket));
     let hex: String = value.iter().map(|byte| format!("{byte:02x}")).collect();
-    assert_eq!(hex, include_str!("stored_formats/digest_group.txt").trim_end(), "\n{hex}");
+    assert_eq!(
+        hex,
+        include_str!("stored_formats/digest_group.txt").trim_end(),
+        "\n{hex}"
+    );
     let mut read = Digests::default();
     assert!(read.decode_group(group_of(bucket), &value));
     assert_eq!((read, BUCKET_COUNT), (digests, 1_024));
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -4,12 +4,12 @@
 
 pub mod baseline;
 pub mod clock;
-mod desk;
 pub mod evidence;
-pub mod standstill;
+mod invocation_registry;
+pub mod stall_detector;
 
 use baseline::DispatchPolicy;
-use desk::{ActionExecutor, InvocationRegistry, OpenInvocation};
+use invocation_registry::{ActionExecutor, InvocationRegistry, OpenInvocation};
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::state::Ordered;
--- a/crates/engine/src/standstill.rs
+++ b/crates/engine/src/stall_detector.rs
@@ -1,7 +1,7 @@
 //! Whether the process stood still: it was stopped, or had no processor.
 
 /// Where two looks are further apart than this, in seconds, the process did not run. Its host looks at the clock at
-/// least every [`LOOK_INTERVAL`].
+/// least every [`MAX_OBSERVATION_INTERVAL`].
 pub const STALL_THRESHOLD: f64 = 0.25;
 /// The longest time between two looks of a process that runs, in seconds.
 pub const MAX_OBSERVATION_INTERVAL: f64 = 0.05;
--- a/crates/etcd/tests/stored_formats.rs
+++ b/crates/etcd/tests/stored_formats.rs
@@ -10,10 +10,11 @@
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::{
     AuthenticateRequest, AuthenticateResponse, CompactionRequest, CompactionResponse, Compare,
-    DeleteRangeRequest, DeleteRangeResponse, Event, KeyValue, LeaseGrantRequest, LeaseGrantResponse,
-    LeaseKeepAliveRequest, LeaseKeepAliveResponse, LeaseRevokeRequest, LeaseRevokeResponse, PutRequest,
-    PutResponse, RangeRequest, RangeResponse, RequestOp, ResponseHeader, ResponseOp, TxnRequest, TxnResponse,
-    WatchCancelRequest, WatchCreateRequest, WatchProgressRequest, WatchRequest, WatchResponse,
+    DeleteRangeRequest, DeleteRangeResponse, Event, KeyValue, LeaseGrantRequest,
+    LeaseGrantResponse, LeaseKeepAliveRequest, LeaseKeepAliveResponse, LeaseRevokeRequest,
+    LeaseRevokeResponse, PutRequest, PutResponse, RangeRequest, RangeResponse, RequestOp,
+    ResponseHeader, ResponseOp, TxnRequest, TxnResponse, WatchCancelRequest, WatchCreateRequest,
+    WatchProgressRequest, WatchRequest, WatchResponse,
 };
 use std::fmt::Debug;
 
@@ -26,17 +27,27 @@
 
 /// The bytes of an example.
 fn committed(name: &str) -> Vec<u8> {
-    let line = MESSAGES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = MESSAGES
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let digits = line.unwrap_or_default();
-    (0..digits.len() / 2).map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap()).collect()
+    (0..digits.len() / 2)
+        .map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap())
+        .collect()
 }
 
 /// Checks that a message is written as its example, and read from it.
 fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
     let bytes = committed(name);
-    assert_eq!(hexadecimal(&frame(&message)), hexadecimal(&bytes), "{name} as it is written now");
+    assert_eq!(
+        hexadecimal(&frame(&message)),
+        hexadecimal(&bytes),
+        "{name} as it is written now"
+    );
     let mut bytes = BytesMut::from(&bytes[..]);
-    let read: Message = deframe(&mut bytes, 1 << 20).unwrap().expect("the example is whole");
+    let read: Message = deframe(&mut bytes, 1 << 20)
+        .unwrap()
+        .expect("the example is whole");
     assert_eq!(read, message, "{name}");
     assert!(bytes.is_empty());
 }
@@ -46,7 +57,12 @@
 }
 
 fn header() -> Option<ResponseHeader> {
-    Some(ResponseHeader { cluster_id: 7, member_id: 8, revision: 9, raft_term: 10 })
+    Some(ResponseHeader {
+        cluster_id: 7,
+        member_id: 8,
+        revision: 9,
+        raft_term: 10,
+    })
 }
 
 fn key_value() -> KeyValue {
@@ -77,23 +93,44 @@
 }
 
 fn put() -> PutRequest {
-    PutRequest { key: text("key"), value: text("value"), lease: 5, prev_kv: true }
+    PutRequest {
+        key: text("key"),
+        value: text("value"),
+        lease: 5,
+        prev_kv: true,
+    }
 }
 
 fn delete_range() -> DeleteRangeRequest {
-    DeleteRangeRequest { key: text("key"), range_end: text("end"), prev_kv: true }
+    DeleteRangeRequest {
+        key: text("key"),
+        range_end: text("end"),
+        prev_kv: true,
+    }
 }
 
 fn range_response() -> RangeResponse {
-    RangeResponse { header: header(), kvs: vec![key_value()], more: true, count: 2 }
+    RangeResponse {
+        header: header(),
+        kvs: vec![key_value()],
+        more: true,
+        count: 2,
+    }
 }
 
 fn put_response() -> PutResponse {
-    PutResponse { header: header(), prev_kv: Some(key_value()) }
+    PutResponse {
+        header: header(),
+        prev_kv: Some(key_value()),
+    }
 }
 
 fn delete_range_response() -> DeleteRangeResponse {
-    DeleteRangeResponse { header: header(), deleted: 1, prev_kvs: vec![key_value()] }
+    DeleteRangeResponse {
+        header: header(),
+        deleted: 1,
+        prev_kvs: vec![key_value()],
+    }
 }
 
 #[test]
@@ -104,8 +141,17 @@
     check("put-response", put_response());
     check("delete-range-request", delete_range());
     check("delete-range-response", delete_range_response());
-    check("compaction-request", CompactionRequest { revision: 1, physical: true });
-    check("compaction-response", CompactionResponse { header: header() });
+    check(
+        "compaction-request",
+        CompactionRequest {
+            revision: 1,
+            physical: true,
+        },
+    );
+    check(
+        "compaction-response",
+        CompactionResponse { header: header() },
+    );
 }
 
 #[test]
@@ -116,20 +162,47 @@
         key: text("key"),
         target_union: Some(union),
     };
-    let request = |request| RequestOp { request: Some(request) };
+    let request = |request| RequestOp {
+        request: Some(request),
+    };
     let transaction = TxnRequest {
         compare: vec![
-            compare(CompareResult::Equal, CompareTarget::Version, TargetUnion::Version(1)),
-            compare(CompareResult::Greater, CompareTarget::Create, TargetUnion::CreateRevision(2)),
-            compare(CompareResult::Less, CompareTarget::Mod, TargetUnion::ModRevision(3)),
-            compare(CompareResult::NotEqual, CompareTarget::Value, TargetUnion::Value(text("value"))),
-            compare(CompareResult::Equal, CompareTarget::Lease, TargetUnion::Lease(4)),
+            compare(
+                CompareResult::Equal,
+                CompareTarget::Version,
+                TargetUnion::Version(1),
+            ),
+            compare(
+                CompareResult::Greater,
+                CompareTarget::Create,
+                TargetUnion::CreateRevision(2),
+            ),
+            compare(
+                CompareResult::Less,
+                CompareTarget::Mod,
+                TargetUnion::ModRevision(3),
+            ),
+            compare(
+                CompareResult::NotEqual,
+                CompareTarget::Value,
+                TargetUnion::Value(text("value")),
+            ),
+            compare(
+                CompareResult::Equal,
+                CompareTarget::Lease,
+                TargetUnion::Lease(4),
+            ),
+        ],
+        success: vec![
+            request(Request::RequestRange(range())),
+            request(Request::RequestPut(put())),
         ],
-        success: vec![request(Request::RequestRange(range())), request(Request::RequestPut(put()))],
         failure: vec![request(Request::RequestDeleteRange(delete_range()))],
     };
     check("transaction-request", transaction);
-    let response = |response| ResponseOp { response: Some(response) };
+    let response = |response| ResponseOp {
+        response: Some(response),
+    };
     let answer = TxnResponse {
         header: header(),
         succeeded: true,
@@ -144,7 +217,9 @@
 
 #[test]
 fn watches_and_their_answers_keep_their_bytes() {
-    let request = |union| WatchRequest { request_union: Some(union) };
+    let request = |union| WatchRequest {
+        request_union: Some(union),
+    };
     let create = WatchCreateRequest {
         key: text("key"),
         range_end: text("end"),
@@ -155,10 +230,21 @@
         fragment: true,
     };
     check("watch-create", request(RequestUnion::CreateRequest(create)));
-    check("watch-cancel", request(RequestUnion::CancelRequest(WatchCancelRequest { watch_id: 2 })));
-    check("watch-progress", request(RequestUnion::ProgressRequest(WatchProgressRequest {})));
-    let event =
-        |kind: EventType| Event { r#type: kind.into(), kv: Some(key_value()), prev_kv: Some(key_value()) };
+    check(
+        "watch-cancel",
+        request(RequestUnion::CancelRequest(WatchCancelRequest {
+            watch_id: 2,
+        })),
+    );
+    check(
+        "watch-progress",
+        request(RequestUnion::ProgressRequest(WatchProgressRequest {})),
+    );
+    let event = |kind: EventType| Event {
+        r#type: kind.into(),
+        kv: Some(key_value()),
+        prev_kv: Some(key_value()),
+    };
     let answer = WatchResponse {
         header: header(),
         watch_id: 2,
@@ -175,31 +261,69 @@
 #[test]
 fn leases_and_their_answers_keep_their_bytes() {
     check("lease-grant-request", LeaseGrantRequest { ttl: 10, id: 5 });
-    let granted = LeaseGrantResponse { header: header(), id: 5, ttl: 10, error: "why".into() };
+    let granted = LeaseGrantResponse {
+        header: header(),
+        id: 5,
+        ttl: 10,
+        error: "why".into(),
+    };
     check("lease-grant-response", granted);
     check("lease-keep-alive-request", LeaseKeepAliveRequest { id: 5 });
-    check("lease-keep-alive-response", LeaseKeepAliveResponse { header: header(), id: 5, ttl: 10 });
+    check(
+        "lease-keep-alive-response",
+        LeaseKeepAliveResponse {
+            header: header(),
+            id: 5,
+            ttl: 10,
+        },
+    );
     check("lease-revoke-request", LeaseRevokeRequest { id: 5 });
-    check("lease-revoke-response", LeaseRevokeResponse { header: header() });
+    check(
+        "lease-revoke-response",
+        LeaseRevokeResponse { header: header() },
+    );
 }
 
 #[test]
 fn authentication_and_its_answer_keep_their_bytes() {
-    check("authenticate-request", AuthenticateRequest { name: "ann".into(), password: "secret".into() });
-    check("authenticate-response", AuthenticateResponse { header: header(), token: "token-1".into() });
+    check(
+        "authenticate-request",
+        AuthenticateRequest {
+            name: "ann".into(),
+            password: "secret".into(),
+        },
+    );
+    check(
+        "authenticate-response",
+        AuthenticateResponse {
+            header: header(),
+            token: "token-1".into(),
+        },
+    );
 }
 
 #[test]
 fn paths_and_content_type_are_those_of_the_protocol() {
     use orchidtally_etcd::{
-        AUTHENTICATE, COMPACT, DELETE_RANGE, LEASE_GRANT, LEASE_KEEP_ALIVE, LEASE_REVOKE, PUT, RANGE, TXN,
-        WATCH,
+        AUTHENTICATE, COMPACT, DELETE_RANGE, LEASE_GRANT, LEASE_KEEP_ALIVE, LEASE_REVOKE, PUT,
+        RANGE, TXN, WATCH,
     };
     let services = [
-        ("KV", vec![(RANGE, "Range"), (PUT, "Put"), (DELETE_RANGE, "DeleteRange"), (TXN, "Txn")]),
+        (
+            "KV",
+            vec![
+                (RANGE, "Range"),
+                (PUT, "Put"),
+                (DELETE_RANGE, "DeleteRange"),
+                (TXN, "Txn"),
+            ],
+        ),
         ("KV", vec![(COMPACT, "Compact")]),
         ("Watch", vec![(WATCH, "Watch")]),
-        ("Lease", vec![(LEASE_GRANT, "LeaseGrant"), (LEASE_REVOKE, "LeaseRevoke")]),
+        (
+            "Lease",
+            vec![(LEASE_GRANT, "LeaseGrant"), (LEASE_REVOKE, "LeaseRevoke")],
+        ),
         ("Lease", vec![(LEASE_KEEP_ALIVE, "LeaseKeepAlive")]),
         ("Auth", vec![(AUTHENTICATE, "Authenticate")]),
     ];
--- a/crates/executor-protocol/tests/stored_formats.rs
+++ b/crates/executor-protocol/tests/stored_formats.rs
@@ -2,18 +2,25 @@
 //! `messages.txt` was written by the build of version 0.2.0 and must not be changed.
 
 use bytes::Bytes;
-use orchidtally_wire::v1::{
-    Answer, Dispatch, Effect, Ending, Found, Order, OrderAnswer, OrderKind, Probe, ProbeAnswer, RosterKind,
-    RosterRow, RosterUpdate, RosterWatch, Sender, Standing,
+use orchidtally_executor_protocol::v1::{
+    Answer, Dispatch, Effect, Ending, Found, Order, OrderAnswer, OrderKind, Probe, ProbeAnswer,
+    RosterKind, RosterRow, RosterUpdate, RosterWatch, Sender, Standing,
+};
+use orchidtally_executor_protocol::{
+    CONTENT_TYPE, DISPATCH, Deframer, ENDPOINTS, HEALTH_CHECK, LOAD, MAX_ENDPOINT_LIST_LENGTH,
+    frame,
 };
-use orchidtally_wire::{CONTENT_TYPE, DISPATCH, Deframer, LONGEST_ROSTER, ORDER, PROBE, ROSTER, frame};
 use std::fmt::Debug;
 
 /// A name and the bytes in hexadecimal digits on each line.
 const MESSAGES: &str = include_str!("stored_formats/messages.txt");
 
 fn sender() -> Option<Sender> {
-    Some(Sender { index: 3, count: 7, incarnation: u64::MAX })
+    Some(Sender {
+        index: 3,
+        count: 7,
+        incarnation: u64::MAX,
+    })
 }
 
 fn hexadecimal(bytes: &[u8]) -> String {
@@ -22,18 +29,29 @@
 
 /// The bytes of an example.
 fn committed(name: &str) -> Vec<u8> {
-    let line = MESSAGES.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+    let line = MESSAGES
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
     let digits = line.unwrap_or_default();
-    (0..digits.len() / 2).map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap()).collect()
+    (0..digits.len() / 2)
+        .map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap())
+        .collect()
 }
 
 /// Checks that a message is written as its example, and read from it.
 fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
     let bytes = committed(name);
-    assert_eq!(hexadecimal(&frame(&message)), hexadecimal(&bytes), "{name} as it is written now");
+    assert_eq!(
+        hexadecimal(&frame(&message)),
+        hexadecimal(&bytes),
+        "{name} as it is written now"
+    );
     let mut deframer = Deframer::default();
     deframer.push(Bytes::from(bytes));
-    let read: Message = deframer.message(LONGEST_ROSTER).unwrap().expect("the example is whole");
+    let read: Message = deframer
+        .message(MAX_ENDPOINT_LIST_LENGTH)
+        .unwrap()
+        .expect("the example is whole");
     assert_eq!(read, message, "{name}");
     assert!(deframer.is_empty());
 }
@@ -70,7 +88,10 @@
         detail: "why".into(),
         digest_differs: true,
     };
-    check("answer-unspecified", answer(Ending::Unspecified, Found::Untold));
+    check(
+        "answer-unspecified",
+        answer(Ending::Unspecified, Found::Untold),
+    );
     check("answer-ok", answer(Ending::Ok, Found::Warm));
     check("answer-error", answer(Ending::Error, Found::Loaded));
     check("answer-full", answer(Ending::Full, Found::Waited));
@@ -99,7 +120,12 @@
     };
     check("order-answer", answer);
     check("probe", Probe { from: sender() });
-    check("probe-answer", ProbeAnswer { report: vec![0.5, 7.0] });
+    check(
+        "probe-answer",
+        ProbeAnswer {
+            report: vec![0.5, 7.0],
+        },
+    );
 }
 
 #[test]
@@ -113,9 +139,17 @@
         weight: 1.5,
         since: 1_764_600_000.5,
     };
-    let all = [Standing::Unspecified, Standing::Ready, Standing::Draining, Standing::Gone];
-    let update =
-        |kind: RosterKind| RosterUpdate { kind: kind.into(), revision: 42, rows: all.map(row).to_vec() };
+    let all = [
+        Standing::Unspecified,
+        Standing::Ready,
+        Standing::Draining,
+        Standing::Gone,
+    ];
+    let update = |kind: RosterKind| RosterUpdate {
+        kind: kind.into(),
+        revision: 42,
+        rows: all.map(row).to_vec(),
+    };
     check("roster-watch", RosterWatch { from: sender() });
     check("roster-unspecified", update(RosterKind::RosterUnspecified));
     check("roster-full-list", update(RosterKind::FullList));
@@ -124,7 +158,7 @@
 
 #[test]
 fn paths_and_content_type_are_those_of_the_protocol() {
-    let paths = [DISPATCH, ORDER, PROBE, ROSTER];
+    let paths = [DISPATCH, LOAD, HEALTH_CHECK, ENDPOINTS];
     let expected = [
         "/orchidtally.v1/dispatch",
         "/orchidtally.v1/order",
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -24,7 +24,7 @@
 use orchidtally_engine::Engine;
 use orchidtally_engine::baseline::RandomPolicy;
 use orchidtally_engine::clock::Clock;
-use orchidtally_engine::standstill::StallDetector;
+use orchidtally_engine::stall_detector::StallDetector;
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::members::MAX_VIEW_DELAY;
 use orchidtally_membership::{EndpointCache, Members};
--- a/crates/http-frontend/src/hub/view_age.rs
+++ b/crates/http-frontend/src/hub/view_age.rs
@@ -3,7 +3,7 @@
 
 use super::Hub;
 use async_io::Timer;
-use orchidtally_engine::standstill::MAX_OBSERVATION_INTERVAL;
+use orchidtally_engine::stall_detector::MAX_OBSERVATION_INTERVAL;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
--- a/crates/http-frontend/tests/stored_formats.rs
+++ b/crates/http-frontend/tests/stored_formats.rs
@@ -2,10 +2,10 @@
 //! headers, its entry among the front ends, its report on the configuration. The texts must not be changed.
 
 use orchidtally_config_sync::{Rejection, Report, ReportedState};
-use orchidtally_frontend::config::{ConfigStatus, PublishedReport};
-use orchidtally_frontend::etcd::{EXECUTORS, FRONT_ENDS, OwnEntry};
-use orchidtally_frontend::ingress;
-use orchidtally_trigger::consumer::Counters;
+use orchidtally_http_frontend::config::{ConfigStatus, PublishedReport};
+use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS, OwnEntry};
+use orchidtally_http_frontend::ingress;
+use orchidtally_mqtt_triggers::consumer::Counters;
 
 #[test]
 fn headers_have_the_names_of_the_protocol() {
@@ -42,14 +42,26 @@
         at: Some("127.0.0.1:7300".parse().expect("an address")),
     };
     let text = serde_json::to_string(&entry).expect("it can be written");
-    assert_eq!(text, r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#);
-    let unknown = serde_json::to_string(&OwnEntry { at: None, ..entry }).expect("it can be written");
-    assert_eq!(unknown, r#"{"life":18446744073709551615,"location":"east","at":null}"#);
+    assert_eq!(
+        text,
+        r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#
+    );
+    let unknown =
+        serde_json::to_string(&OwnEntry { at: None, ..entry }).expect("it can be written");
+    assert_eq!(
+        unknown,
+        r#"{"life":18446744073709551615,"location":"east","at":null}"#
+    );
     assert_eq!((EXECUTORS, FRONT_ENDS), ("executors/", "front-ends/"));
 }
 
 fn rejection() -> Rejection {
-    Rejection { key: "quotas/ann".into(), revision: 40, reason: "why".into(), remedy: "what to do".into() }
+    Rejection {
+        key: "quotas/ann".into(),
+        revision: 40,
+        reason: "why".into(),
+        remedy: "what to do".into(),
+    }
 }
 
 #[test]
@@ -64,11 +76,24 @@
         rejected_omitted: 5,
         digest_faults: 6,
     };
-    let published = PublishedReport { report, snapshot_fault: Some("the disk is full".into()) };
+    let published = PublishedReport {
+        report,
+        snapshot_fault: Some("the disk is full".into()),
+    };
     let text = serde_json::to_string(&published).expect("it can be written");
-    assert_eq!(text, include_str!("stored_formats/published_report.json").trim_end());
-    let without = PublishedReport { snapshot_fault: None, ..published };
-    assert!(!serde_json::to_string(&without).expect("it can be written").contains("snapshot_fault"));
+    assert_eq!(
+        text,
+        include_str!("stored_formats/published_report.json").trim_end()
+    );
+    let without = PublishedReport {
+        snapshot_fault: None,
+        ..published
+    };
+    assert!(
+        !serde_json::to_string(&without)
+            .expect("it can be written")
+            .contains("snapshot_fault")
+    );
 }
 
 #[test]
@@ -88,7 +113,10 @@
         bytes_received: 4,
     };
     let text = serde_json::to_string(&status).expect("it can be written");
-    assert_eq!(text, include_str!("stored_formats/config_status.json").trim_end());
+    assert_eq!(
+        text,
+        include_str!("stored_formats/config_status.json").trim_end()
+    );
 }
 
 #[test]
@@ -105,5 +133,8 @@
         dropped: 9,
     };
     let text = serde_json::to_string(&counters).expect("it can be written");
-    assert_eq!(text, include_str!("stored_formats/counters.json").trim_end());
+    assert_eq!(
+        text,
+        include_str!("stored_formats/counters.json").trim_end()
+    );
 }
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -31,7 +31,7 @@
 
 impl MessageReport {
     /// Whether nothing was broken.
-    pub fn kept(&self) -> bool {
+    pub fn holds(&self) -> bool {
         self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
     }
 
--- a/crates/invariants/tests/stored_formats.rs
+++ b/crates/invariants/tests/stored_formats.rs
@@ -2,7 +2,10 @@
 //! stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and must not be
 //! changed.
 
-use orchidtally_invariants::{Effect, Executor, Group, Limits, Messages, Record, Spread, judge};
+use orchidtally_invariants::{
+    DeduplicationScope, Executor, Idempotency, Limits, MessageReport, SpreadReport, TrafficRecord,
+    check_rules,
+};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -13,7 +16,8 @@
 /// Reads one value a line, and checks that each is written again byte for byte.
 fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
-        let value: Value = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
+        let value: Value =
+            serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
         assert_eq!(serde_json::to_string(&value).unwrap(), line);
         value
     };
@@ -22,7 +26,7 @@
 
 #[test]
 fn records_are_read_and_written_again() {
-    let records: Vec<Record> = read_and_rewrite(RECORDS);
+    let records: Vec<TrafficRecord> = read_and_rewrite(RECORDS);
     assert_eq!(records.len(), 32);
     assert!(records.iter().all(|record| record.at() == 1.5));
     let kind = |line: &str| {
@@ -38,17 +42,29 @@
 fn limits_are_read_and_written_again() {
     let limits: Vec<Limits> = read_and_rewrite(LIMITS);
     let first = &limits[0];
-    let kinds: Vec<(Effect, Group)> =
-        first.trigger_types.iter().map(|trigger_type| (trigger_type.effect, trigger_type.group)).collect();
+    let kinds: Vec<(Idempotency, DeduplicationScope)> = first
+        .trigger_types
+        .iter()
+        .map(|trigger_type| (trigger_type.effect, trigger_type.group))
+        .collect();
     let expected = [
-        (Effect::Idempotent, Group::All),
-        (Effect::Tokened, Group::Location),
-        (Effect::NonIdempotent, Group::Cell),
+        (Idempotency::Idempotent, DeduplicationScope::All),
+        (Idempotency::Tokened, DeduplicationScope::Location),
+        (Idempotency::NonIdempotent, DeduplicationScope::Cell),
     ];
     assert_eq!(kinds, expected);
-    assert_eq!((first.second_copies, first.drain_grace, first.fall), (true, 1.5, 2.5));
-    assert_eq!((first.ration_floor, first.ration_share, first.ration_window), (3.5, 0.5, 5.5));
-    assert_eq!((first.transit, first.leave_margin, limits[1].leave_margin), (0.25, Some(0.125), None));
+    assert_eq!(
+        (first.second_copies, first.drain_grace, first.fall),
+        (true, 1.5, 2.5)
+    );
+    assert_eq!(
+        (first.ration_floor, first.ration_share, first.ration_window),
+        (3.5, 0.5, 5.5)
+    );
+    assert_eq!(
+        (first.transit, first.leave_margin, limits[1].leave_margin),
+        (0.25, Some(0.125), None)
+    );
     let executor: Executor = read_and_rewrite(EXECUTOR).remove(0);
     assert_eq!((executor.location, executor.cell), (1, 2));
 }
@@ -56,9 +72,13 @@
 #[test]
 fn findings_are_written_with_the_same_keys() {
     let limits: Limits = read_and_rewrite(LIMITS).remove(0);
-    let verdict = serde_json::to_string(&judge(&limits, &[], &[])).unwrap();
-    let messages = serde_json::to_string(&Messages::default()).unwrap();
-    let spread = serde_json::to_string(&Spread::default()).unwrap();
+    let verdict = serde_json::to_string(&check_rules(&limits, &[], &[])).unwrap();
+    let messages = serde_json::to_string(&MessageReport::default()).unwrap();
+    let spread = serde_json::to_string(&SpreadReport::default()).unwrap();
     let written = [verdict, messages, spread].join("\n") + "\n";
-    assert_eq!(written, include_str!("stored_formats/findings.jsonl"), "\n{written}");
+    assert_eq!(
+        written,
+        include_str!("stored_formats/findings.jsonl"),
+        "\n{written}"
+    );
 }
--- a/crates/journal/tests/stored_formats.rs
+++ b/crates/journal/tests/stored_formats.rs
@@ -31,7 +31,11 @@
 }
 
 fn expected() -> Recovered {
-    Recovered { snapshot: Some(STATE.to_vec()), entries: groups().concat(), cut: 0 }
+    Recovered {
+        snapshot: Some(STATE.to_vec()),
+        entries: groups().concat(),
+        cut: 0,
+    }
 }
 
 /// Writes a folder: an entry that the snapshot replaces, the snapshot, and entries since.
--- a/crates/mqtt-triggers/tests/deployment_keys.rs
+++ b/crates/mqtt-triggers/tests/deployment_keys.rs
@@ -1,8 +1,8 @@
 //! The keys of deployment files are an interface: each is read under its name. `every_key.json` has every key, those of
 //! the `mqtt` section too, as a rule with a value that differs from what stands where it is left out.
 
-use orchidtally_deployment::{Bounds, Source};
-use orchidtally_trigger::read;
+use orchidtally_deployment::{EndpointSource, Limits};
+use orchidtally_mqtt_triggers::read;
 use serde_json::{Value, json};
 
 const EVERY_KEY: &str = include_str!("deployment_keys/every_key.json");
@@ -23,7 +23,8 @@
 /// What a file is read as, in words that differ where a value does; or its faults.
 fn read_as(file: &Value) -> Result<String, Vec<String>> {
     let read = read(&file.to_string());
-    read.map(|read| format!("{read:?}")).map_err(|faults| faults.iter().map(ToString::to_string).collect())
+    read.map(|read| format!("{read:?}"))
+        .map_err(|faults| faults.iter().map(ToString::to_string).collect())
 }
 
 /// The pointers to all members of objects.
@@ -52,9 +53,17 @@
     for pointer in all {
         let mut without = whole.clone();
         let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-        without.pointer_mut(place).and_then(Value::as_object_mut).expect("an object").remove(key);
+        without
+            .pointer_mut(place)
+            .and_then(Value::as_object_mut)
+            .expect("an object")
+            .remove(key);
         let makes_no_difference = read_as(&without) == Ok(expected.clone());
-        assert_eq!(makes_no_difference, WITH_DEFAULT.contains(&pointer.as_str()), "{pointer}");
+        assert_eq!(
+            makes_no_difference,
+            WITH_DEFAULT.contains(&pointer.as_str()),
+            "{pointer}"
+        );
     }
 }
 
@@ -67,19 +76,25 @@
     for pointer in all {
         let mut misspelt = whole.clone();
         let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-        let members = misspelt.pointer_mut(place).and_then(Value::as_object_mut).expect("an object");
+        let members = misspelt
+            .pointer_mut(place)
+            .and_then(Value::as_object_mut)
+            .expect("an object");
         let value = members.remove(key).expect("it is there");
         members.insert(format!("{key}X"), value);
         let faults = read_as(&misspelt).expect_err(&pointer);
         let told = format!("{key}X: unknown key, is '{key}' meant?");
-        assert!(faults.iter().any(|fault| fault.contains(&told)), "{pointer}: {faults:?}");
+        assert!(
+            faults.iter().any(|fault| fault.contains(&told)),
+            "{pointer}: {faults:?}"
+        );
     }
 }
 
 #[test]
 fn limits_have_the_values_of_their_keys() {
     let (deployment, _) = read(EVERY_KEY).expect("the fixture is sound");
-    let Bounds {
+    let Limits {
         open_invocations,
         connections,
         header_bytes,
@@ -94,9 +109,15 @@
         idle_close,
         order_time,
     } = deployment.bounds;
-    assert_eq!((open_invocations, connections, header_bytes), (101, 102, 16_000));
+    assert_eq!(
+        (open_invocations, connections, header_bytes),
+        (101, 102, 16_000)
+    );
     assert_eq!((body_bytes, answer_bytes), (8 << 20, 9 << 20));
-    assert_eq!((sender_time, answer_margin, answer_time), (11.0, 0.03, 0.002));
+    assert_eq!(
+        (sender_time, answer_margin, answer_time),
+        (11.0, 0.03, 0.002)
+    );
     assert_eq!((streams_per_connection, connections_per_executor), (32, 5));
     assert_eq!((connect_time, idle_close, order_time), (0.15, 16.0, 12.0));
 }
@@ -105,29 +126,113 @@
 fn the_policy_has_the_values_of_its_keys() {
     let (deployment, _) = read(EVERY_KEY).expect("the fixture is sound");
     let policy = deployment.policy;
-    assert_eq!((policy.front_ends, policy.index, policy.skew, policy.tick), (3.0, 2.0, 0.25, 0.004));
-    assert_eq!((policy.zone, policy.regions), (1, vec![Some(0), Some(1)]));
-    assert_eq!((policy.crossing, policy.over_share_value, policy.value_by_work), (0.0625, 0.125, true));
-    assert_eq!((policy.max_dispatches, policy.second_copies, policy.cancel), (3, true, false));
-    assert_eq!((policy.max_retry_after, policy.quotas), (1.5, vec![100.5, 50.5]));
-    assert_eq!((policy.cold, policy.cold_from, policy.overload_factor, policy.fall), (12.0, 0.75, 2.5, 3.0));
-    assert_eq!((policy.orders, policy.answers_miss, policy.tells_crowd), (true, true, false));
-    assert_eq!((policy.keep_alive, policy.ration_floor), (20.0, 9.0));
-    assert_eq!((policy.ration_share, policy.ration_window), (0.5, 6.0));
-    assert_eq!((policy.backlog_field, policy.loads_field), (Some(1), Some(2)));
+    assert_eq!(
+        (
+            policy.front_ends,
+            policy.front_end_index,
+            policy.max_clock_skew,
+            policy.clock_tick
+        ),
+        (3.0, 2.0, 0.25, 0.004)
+    );
+    assert_eq!(
+        (policy.zone, policy.zone_regions),
+        (1, vec![Some(0), Some(1)])
+    );
+    assert_eq!(
+        (
+            policy.cross_zone_cost,
+            policy.over_quota_value_factor,
+            policy.bills_by_work
+        ),
+        (0.0625, 0.125, true)
+    );
+    assert_eq!(
+        (
+            policy.max_dispatches,
+            policy.allows_hedging,
+            policy.allows_cancellation
+        ),
+        (3, true, false)
+    );
+    assert_eq!(
+        (policy.max_retry_after, policy.quotas),
+        (1.5, vec![100.5, 50.5])
+    );
+    assert_eq!(
+        (
+            policy.slow_start_duration,
+            policy.slow_start_initial_weight,
+            policy.overload_factor,
+            policy.overload_window
+        ),
+        (12.0, 0.75, 2.5, 3.0)
+    );
+    assert_eq!(
+        (
+            policy.allows_load_commands,
+            policy.rejects_unloaded,
+            policy.reports_concurrency
+        ),
+        (true, true, false)
+    );
+    assert_eq!((policy.keep_alive, policy.load_budget_floor), (20.0, 9.0));
+    assert_eq!(
+        (policy.load_budget_fraction, policy.load_budget_window),
+        (0.5, 6.0)
+    );
+    assert_eq!(
+        (policy.backlog_field, policy.pending_loads_field),
+        (Some(1), Some(2))
+    );
 }
 
 #[test]
 fn the_store_of_configuration_and_the_broker_have_the_values_of_their_keys() {
     let (deployment, section) = read(EVERY_KEY).expect("the fixture is sound");
     let store = deployment.configuration.expect("there is one");
-    assert_eq!((store.freshness, store.in_force_within, store.prove_every), (16.0, 19.0, 4.0));
-    assert_eq!((store.compare_every, store.report_every, store.snapshot_every), (200.0, 5.0, 201.0));
-    assert_eq!((store.spread, store.bytes_per_second, store.burst, store.lease), (6.0, 10e3, 20e3, 13.0));
+    assert_eq!(
+        (store.freshness, store.in_force_within, store.prove_every),
+        (16.0, 19.0, 4.0)
+    );
+    assert_eq!(
+        (
+            store.compare_every,
+            store.report_every,
+            store.snapshot_every
+        ),
+        (200.0, 5.0, 201.0)
+    );
+    assert_eq!(
+        (
+            store.spread,
+            store.bytes_per_second,
+            store.burst,
+            store.lease
+        ),
+        (6.0, 10e3, 20e3, 13.0)
+    );
     let broker = section.expect("there is one");
-    assert_eq!((broker.keep_alive, broker.session_expiry, broker.receive_maximum), (14, 7_200, 104));
-    assert_eq!((broker.in_flight, broker.largest_packet, broker.hands_over), (105, 3 << 20, false));
-    assert_eq!((broker.journal_bytes, broker.most_times, broker.answer_margin), (2 << 20, 6, 0.2));
+    assert_eq!(
+        (
+            broker.keep_alive,
+            broker.session_expiry,
+            broker.receive_maximum
+        ),
+        (14, 7_200, 104)
+    );
+    assert_eq!(
+        (broker.in_flight, broker.largest_packet, broker.hands_over),
+        (105, 3 << 20, false)
+    );
+    assert_eq!(
+        (
+            broker.journal_bytes,
+            broker.most_times,
+            broker.answer_margin
+        ),
+        (2 << 20, 6, 0.2)
+    );
     assert_eq!(broker.set_aside.as_deref(), Some("ops/set-aside"));
 }
 
@@ -139,9 +244,18 @@
         read(&file.to_string()).expect("it is sound").0.source
     };
     let source = with(json!({"publisher": "127.0.0.1:7390"}));
-    assert!(matches!(source, Source::Publisher(at) if at.to_string() == "127.0.0.1:7390"), "{source:?}");
-    let source =
-        with(json!({"etcd": {"endpoints": ["127.0.0.1:2379"], "prefix": "/pinned/", "lease": "11s"}}));
-    let Source::Etcd(etcd) = source else { panic!("{source:?}") };
-    assert_eq!((etcd.endpoints.len(), etcd.prefix.as_str(), etcd.lease), (1, "/pinned/", 11.0));
+    assert!(
+        matches!(source, EndpointSource::Publisher(at) if at.to_string() == "127.0.0.1:7390"),
+        "{source:?}"
+    );
+    let source = with(
+        json!({"etcd": {"endpoints": ["127.0.0.1:2379"], "prefix": "/pinned/", "lease": "11s"}}),
+    );
+    let EndpointSource::Etcd(etcd) = source else {
+        panic!("{source:?}")
+    };
+    assert_eq!(
+        (etcd.endpoints.len(), etcd.prefix.as_str(), etcd.lease),
+        (1, "/pinned/", 11.0)
+    );
 }
--- a/crates/mqtt-triggers/tests/stored_formats.rs
+++ b/crates/mqtt-triggers/tests/stored_formats.rs
@@ -2,8 +2,8 @@
 //! same. The examples were written by hand against the build of version 0.2.0 and must not be changed.
 
 use bytes::Bytes;
-use orchidtally_trigger::ledger::{self, Answer, Effect, Ledger, Reply};
-use orchidtally_trigger::promises::{self, Outcome, Promises, Standing};
+use orchidtally_mqtt_triggers::ledger::{self, Answer, Effect, Ledger, Reply};
+use orchidtally_mqtt_triggers::promises::{self, DurableInvocations, InvocationState, Outcome};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -13,7 +13,8 @@
 /// Reads one record a line, and checks that each is written again byte for byte.
 fn read_and_rewrite<Record: Serialize + DeserializeOwned>(lines: &str) -> Vec<Record> {
     let read_line = |line: &str| {
-        let record: Record = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
+        let record: Record =
+            serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
         assert_eq!(serde_json::to_string(&record).unwrap(), line);
         record
     };
@@ -35,23 +36,55 @@
 fn ledger_records_are_read_and_written_again() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
     assert_eq!(records.len(), 14);
-    let expected = ["taken", "owned", "again", "dispatching", "answered", "publishing", "released", "done"];
+    let expected = [
+        "taken",
+        "owned",
+        "again",
+        "dispatching",
+        "answered",
+        "publishing",
+        "released",
+        "done",
+    ];
     assert_eq!(tags(LEDGER, "what"), expected);
 }
 
 #[test]
 fn a_taken_message_has_the_values_of_its_record() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
-    let ledger::Record::Taken { n, effect, packet, confirms, times, held, answer } = &records[0] else {
+    let ledger::Record::Taken {
+        n,
+        effect,
+        packet,
+        confirms,
+        times,
+        held,
+        answer,
+    } = &records[0]
+    else {
         panic!("{:?}", records[0]);
     };
-    assert_eq!((*n, *effect, *packet, *confirms, *times), (1, Effect::Idempotent, Some(7), true, 1));
-    assert_eq!((held.name.as_str(), held.topic.as_str(), held.until), ("m-1", "orders/new", 1764600000.5));
+    assert_eq!(
+        (*n, *effect, *packet, *confirms, *times),
+        (1, Effect::Idempotent, Some(7), true, 1)
+    );
+    assert_eq!(
+        (held.name.as_str(), held.topic.as_str(), held.until),
+        ("m-1", "orders/new", 1764600000.5)
+    );
     assert_eq!(held.payload, Bytes::from_static(b"hello\0\xff"));
-    let reply = Reply { topic: "answers/m-1".into(), correlation: Bytes::from_static(b"corr") };
+    let reply = Reply {
+        topic: "answers/m-1".into(),
+        correlation: Bytes::from_static(b"corr"),
+    };
     assert_eq!(held.reply, Some(reply));
     let target = &held.target;
-    let names = [&target.function, &target.trigger_type, &target.customer, &target.token];
+    let names = [
+        &target.function,
+        &target.trigger_type,
+        &target.customer,
+        &target.token,
+    ];
     assert_eq!(names, ["resize", "orders", "ann", "token-1"]);
     assert_eq!(*answer, None);
 }
@@ -66,7 +99,13 @@
     let effects: Vec<Effect> = records.iter().filter_map(effect).collect();
     assert_eq!(
         effects,
-        [Effect::Idempotent, Effect::Tokened { until: 1764600300.25 }, Effect::NonIdempotent]
+        [
+            Effect::Idempotent,
+            Effect::Tokened {
+                until: 1764600300.25
+            },
+            Effect::NonIdempotent
+        ]
     );
     let answer = |record: &ledger::Record| match record {
         ledger::Record::Answered { answer, .. } => Some(answer.clone()),
@@ -74,11 +113,18 @@
     };
     let answers: Vec<Answer> = records.iter().filter_map(answer).collect();
     let expected = [
-        Answer::Succeeded { payload: Bytes::from_static(&[0, 1, 2]) },
+        Answer::Succeeded {
+            payload: Bytes::from_static(&[0, 1, 2]),
+        },
         Answer::Throttled,
-        Answer::Errored { why: "it failed".into(), may_have_run: true },
+        Answer::Errored {
+            why: "it failed".into(),
+            may_have_run: true,
+        },
         Answer::Unknown,
-        Answer::SetAside { why: "taken too often".into() },
+        Answer::SetAside {
+            why: "taken too often".into(),
+        },
     ];
     assert_eq!(answers, expected);
 }
@@ -87,9 +133,18 @@
 fn a_ledger_recovered_from_a_journal_writes_the_same_snapshot() {
     let read: Vec<ledger::Record> = read_and_rewrite(LEDGER);
     let (ledger, _) = Ledger::recover(&read[..6], u32::MAX, 1764600000.0);
-    let lines: Vec<String> = ledger.snapshot().iter().map(|r| serde_json::to_string(r).unwrap()).collect();
+    let lines: Vec<String> = ledger
+        .snapshot()
+        .iter()
+        .map(|r| serde_json::to_string(r).unwrap())
+        .collect();
     let expected = include_str!("stored_formats/ledger_snapshot.jsonl");
-    assert_eq!(lines, expected.lines().collect::<Vec<_>>(), "\n{}", lines.join("\n"));
+    assert_eq!(
+        lines,
+        expected.lines().collect::<Vec<_>>(),
+        "\n{}",
+        lines.join("\n")
+    );
 }
 
 #[test]
@@ -102,22 +157,41 @@
 #[test]
 fn promises_have_the_values_of_their_records() {
     let records: Vec<promises::Record> = read_and_rewrite(PROMISES);
-    let promises = Promises::new(600.0, 100, 1_000).noted(&records);
+    let promises = DurableInvocations::new(600.0, 100, 1_000).noted(&records);
     let answered = |status, body: &'static [u8], whole| {
-        Standing::Over(Outcome::Answered { status, body: Bytes::from_static(body), whole })
+        InvocationState::Over(Outcome::Answered {
+            status,
+            body: Bytes::from_static(body),
+            whole,
+        })
     };
-    assert_eq!(promises.standing("invocation-1"), Some(Standing::Running));
-    assert_eq!(promises.standing("invocation-2"), Some(answered(200, b"hello\0\xff", true)));
-    assert_eq!(promises.standing("invocation-3"), Some(answered(504, b"", false)));
-    assert_eq!(promises.standing("invocation-4"), Some(Standing::Over(Outcome::Unknown)));
+    assert_eq!(
+        promises.standing("invocation-1"),
+        Some(InvocationState::Running)
+    );
+    assert_eq!(
+        promises.standing("invocation-2"),
+        Some(answered(200, b"hello\0\xff", true))
+    );
+    assert_eq!(
+        promises.standing("invocation-3"),
+        Some(answered(504, b"", false))
+    );
+    assert_eq!(
+        promises.standing("invocation-4"),
+        Some(InvocationState::Over(Outcome::Unknown))
+    );
     assert_eq!(promises.standing("invocation-5"), None);
 }
 
 #[test]
 fn a_snapshot_of_promises_is_the_records_that_still_count() {
     let records: Vec<promises::Record> = read_and_rewrite(PROMISES);
-    let promises = Promises::new(600.0, 100, 1_000).noted(&records);
-    let written: Vec<String> =
-        promises.records().iter().map(|record| serde_json::to_string(record).unwrap()).collect();
+    let promises = DurableInvocations::new(600.0, 100, 1_000).noted(&records);
+    let written: Vec<String> = promises
+        .records()
+        .iter()
+        .map(|record| serde_json::to_string(record).unwrap())
+        .collect();
     assert_eq!(written, PROMISES.lines().take(4).collect::<Vec<_>>());
 }
--- a/crates/mqtt/tests/stored_formats.rs
+++ b/crates/mqtt/tests/stored_formats.rs
@@ -64,11 +64,19 @@
         subscription("$share/group/b/#", Qos::AtLeastOnce, 1),
         subscription("c", Qos::ExactlyOnce, 2),
     ];
-    Packet::Subscribe(Subscribe { id: 11, properties, filters })
+    Packet::Subscribe(Subscribe {
+        id: 11,
+        properties,
+        filters,
+    })
 }
 
 fn ack(code: u8, properties: Properties) -> Ack {
-    Ack { id: 12, code, properties }
+    Ack {
+        id: 12,
+        code,
+        properties,
+    }
 }
 
 /// Packets that both versions have; `carried` picks out properties, of which version 3.1.1 has none.
@@ -77,28 +85,57 @@
     let carried = |properties: Properties| if is_newer { properties } else { vec![] };
     let code = |code: u8| if is_newer { code } else { 0 };
     let reason = || carried(vec![Property::Reason("why".into()), user()]);
-    let unsubscribe = Unsubscribe { id: 13, properties: carried(vec![user()]), filters: vec!["a/+".into()] };
+    let unsubscribe = Unsubscribe {
+        id: 13,
+        properties: carried(vec![user()]),
+        filters: vec!["a/+".into()],
+    };
     let refused = ConnAck {
         session_present: false,
         code: if is_newer { 0x87 } else { 5 },
         properties: carried(of_connack()),
     };
-    let codes = |codes| Codes { id: 14, properties: reason(), codes };
+    let codes = |codes| Codes {
+        id: 14,
+        properties: reason(),
+        codes,
+    };
     vec![
-        ("connect", connect(carried(of_connect()), carried(of_will()))),
-        ("connack-accepted", Packet::ConnAck(ConnAck { session_present: true, ..ConnAck::default() })),
+        (
+            "connect",
+            connect(carried(of_connect()), carried(of_will())),
+        ),
+        (
+            "connack-accepted",
+            Packet::ConnAck(ConnAck {
+                session_present: true,
+                ..ConnAck::default()
+            }),
+        ),
         ("connack-refused", Packet::ConnAck(refused)),
         ("publish-at-most-once", publish(Qos::AtMostOnce, vec![])),
-        ("publish-at-least-once", publish(Qos::AtLeastOnce, carried(of_publish()))),
+        (
+            "publish-at-least-once",
+            publish(Qos::AtLeastOnce, carried(of_publish())),
+        ),
         ("publish-exactly-once", publish(Qos::ExactlyOnce, vec![])),
         ("puback", Packet::PubAck(ack(code(0x10), reason()))),
         ("pubrec", Packet::PubRec(ack(code(0x97), reason()))),
         ("pubrel", Packet::PubRel(ack(code(0x92), reason()))),
         ("pubcomp", Packet::PubComp(ack(0, vec![]))),
-        ("subscribe", subscribe(carried(vec![Property::SubscriptionId(300), user()]), is_newer)),
+        (
+            "subscribe",
+            subscribe(
+                carried(vec![Property::SubscriptionId(300), user()]),
+                is_newer,
+            ),
+        ),
         ("suback", Packet::SubAck(codes(vec![0, 1, 2, 0x80]))),
         ("unsubscribe", Packet::Unsubscribe(unsubscribe)),
-        ("unsuback", Packet::UnsubAck(codes(if is_newer { vec![0, 0x11] } else { vec![] }))),
+        (
+            "unsuback",
+            Packet::UnsubAck(codes(if is_newer { vec![0, 0x11] } else { vec![] })),
+        ),
         ("pingreq", Packet::PingReq),
         ("pingresp", Packet::PingResp),
         ("disconnect", Packet::Disconnect(Reason::default())),
@@ -112,10 +149,25 @@
         Property::ServerReference("elsewhere".into()),
         Property::Reason("why".into()),
     ];
-    let auth = vec![Property::AuthMethod("method".into()), Property::AuthData(Bytes::from_static(b"data"))];
+    let auth = vec![
+        Property::AuthMethod("method".into()),
+        Property::AuthData(Bytes::from_static(b"data")),
+    ];
     vec![
-        ("disconnect-with-reason", Packet::Disconnect(Reason { code: 0x8e, properties: disconnect })),
-        ("auth", Packet::Auth(Reason { code: 0x18, properties: auth })),
+        (
+            "disconnect-with-reason",
+            Packet::Disconnect(Reason {
+                code: 0x8e,
+                properties: disconnect,
+            }),
+        ),
+        (
+            "auth",
+            Packet::Auth(Reason {
+                code: 0x18,
+                properties: auth,
+            }),
+        ),
     ]
 }
 
@@ -134,7 +186,11 @@
 }
 
 fn of_will() -> Properties {
-    vec![Property::WillDelay(7), Property::ContentType("text/plain".into()), user()]
+    vec![
+        Property::WillDelay(7),
+        Property::ContentType("text/plain".into()),
+        user(),
+    ]
 }
 
 fn of_connack() -> Properties {
@@ -168,7 +224,9 @@
 
 fn examples() -> Vec<(String, Version, Packet)> {
     let named = |prefix: &str, version, packets: Vec<(&str, Packet)>| {
-        let named = packets.into_iter().map(|(name, packet)| (format!("{prefix}-{name}"), version, packet));
+        let named = packets
+            .into_iter()
+            .map(|(name, packet)| (format!("{prefix}-{name}"), version, packet));
         named.collect::<Vec<_>>()
     };
     [
@@ -186,10 +244,18 @@
 #[test]
 fn each_packet_is_written_as_its_bytes() {
     let line = |(name, version, packet): (String, Version, Packet)| {
-        format!("{name} {}", hexadecimal(&encode(&packet, version).expect(&name)))
+        format!(
+            "{name} {}",
+            hexadecimal(&encode(&packet, version).expect(&name))
+        )
     };
     let written: Vec<String> = examples().into_iter().map(line).collect();
-    assert_eq!(written, PACKETS.lines().collect::<Vec<_>>(), "\n{}", written.join("\n"));
+    assert_eq!(
+        written,
+        PACKETS.lines().collect::<Vec<_>>(),
+        "\n{}",
+        written.join("\n")
+    );
 }
 
 #[test]
@@ -197,12 +263,17 @@
     let examples = examples();
     assert_eq!(PACKETS.lines().count(), examples.len());
     for (line, (name, version, packet)) in PACKETS.lines().zip(examples) {
-        let digits = line.strip_prefix(&name).and_then(|rest| rest.strip_prefix(' ')).expect(&name);
+        let digits = line
+            .strip_prefix(&name)
+            .and_then(|rest| rest.strip_prefix(' '))
+            .expect(&name);
         let bytes: Vec<u8> = (0..digits.len() / 2)
             .map(|n| u8::from_str_radix(&digits[2 * n..2 * n + 2], 16).unwrap())
             .collect();
         let mut buffer = BytesMut::from(&bytes[..]);
-        let read = decode(&mut buffer, version, MAX_LENGTH).expect(&name).expect(&name);
+        let read = decode(&mut buffer, version, MAX_LENGTH)
+            .expect(&name)
+            .expect(&name);
         assert_eq!(read, (version, packet), "{name}");
         assert!(buffer.is_empty(), "{name}");
     }
--- a/crates/platform-client-protocol/tests/stored_formats.rs
+++ b/crates/platform-client-protocol/tests/stored_formats.rs
@@ -1,9 +1,9 @@
 //! One example of each frame of the platform, as bytes that clients and front ends of other builds exchange. They
 //! must not be changed.
 
-use orchidtally_frames::{
-    ANSWER, ASK_READY, Decoder, ERRORED, INVOKE, IS_READY, NO_MORE, NOT_READY, READY, SUCCEEDED, THROTTLED,
-    WITHDRAW, fields, put,
+use orchidtally_platform_client_protocol::{
+    ANSWER, ASK_READY, Decoder, ERRORED, INVOKE, IS_READY, NO_MORE, NOT_READY, READY, SUCCEEDED,
+    THROTTLED, WITHDRAW, fields, put,
 };
 
 /// A frame, and what it is written from.
@@ -95,7 +95,14 @@
 fn each_frame_is_written_as_its_bytes() {
     for example in &EXAMPLES {
         let mut written = vec![];
-        put(&mut written, example.kind, example.stream, example.code, example.fields, example.body);
+        put(
+            &mut written,
+            example.kind,
+            example.stream,
+            example.code,
+            example.fields,
+            example.body,
+        );
         assert_eq!(written, example.bytes, "kind {}", example.kind);
     }
 }
--- a/crates/platform-config/tests/stored_formats.rs
+++ b/crates/platform-config/tests/stored_formats.rs
@@ -1,7 +1,9 @@
 //! The platform's settings object is a format of others: each key is read under its name, and into the same value.
 //! `settings.json` has every key with a value that differs from what stands where it is left out.
 
-use orchidtally::interface::{Effect, Group, PolicyConfig, TriggerType};
+use orchidtally_dispatch_policy::interface::{
+    DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
+};
 use orchidtally_platform_config::{FrontEndSettings, front_end_settings, read};
 use serde_json::Value;
 
@@ -36,27 +38,32 @@
 fn trigger_types_have_the_values_of_their_keys() {
     let policy = read(SETTINGS.as_bytes()).expect("the settings are sound");
     let plain = |seconds: f64, effect, group, window| TriggerType {
-        objective: seconds,
-        stretch: 0.0,
-        timeout: seconds + 3.0,
+        latency_objective: seconds,
+        objective_work_factor: 0.0,
+        client_timeout: seconds + 3.0,
         billed_value: 1.0,
-        late_share: 0.0,
-        effect,
-        group,
-        window,
+        late_value_fraction: 0.0,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: window,
     };
     let first = TriggerType {
-        stretch: 0.5,
+        objective_work_factor: 0.5,
         billed_value: 2.0,
-        late_share: 0.25,
-        ..plain(1.0, Effect::Tokened, Group::Cell, 5.0)
+        late_value_fraction: 0.25,
+        ..plain(1.0, Idempotency::Keyed, DeduplicationScope::Cell, 5.0)
     };
     let expected = [
         first,
-        plain(2.0, Effect::Tokened, Group::Zone, 6.0),
-        plain(3.0, Effect::Tokened, Group::All, 7.0),
-        plain(4.0, Effect::Idempotent, Group::All, 0.0),
-        plain(5.0, Effect::NonIdempotent, Group::All, 0.0),
+        plain(2.0, Idempotency::Keyed, DeduplicationScope::Zone, 6.0),
+        plain(3.0, Idempotency::Keyed, DeduplicationScope::All, 7.0),
+        plain(4.0, Idempotency::Idempotent, DeduplicationScope::All, 0.0),
+        plain(
+            5.0,
+            Idempotency::NonIdempotent,
+            DeduplicationScope::All,
+            0.0,
+        ),
     ];
     assert_eq!(policy.trigger_types, expected);
 }
@@ -67,58 +74,92 @@
     let PolicyConfig {
         trigger_types,
         quotas,
-        over_share_value,
-        value_by_work,
+        over_quota_value_factor: over_share_value,
+        bills_by_work: value_by_work,
         front_ends,
-        index,
+        front_end_index: index,
         zone,
-        crossing,
-        regions,
-        tick,
+        cross_zone_cost: crossing,
+        zone_regions: regions,
+        clock_tick: tick,
         max_dispatches,
-        second_copies,
-        cancel,
+        allows_hedging: second_copies,
+        allows_cancellation: cancel,
         max_retry_after,
-        roster_asked,
-        cold,
-        cold_from,
+        polls_endpoints: roster_asked,
+        slow_start_duration: cold,
+        slow_start_initial_weight: cold_from,
         overload_factor,
-        fall,
+        overload_window: fall,
         drain_grace,
-        skew,
-        orders,
-        order_price,
-        answers_miss,
-        tells_crowd,
+        max_clock_skew: skew,
+        allows_load_commands: orders,
+        load_command_cost: order_price,
+        rejects_unloaded: answers_miss,
+        reports_concurrency: tells_crowd,
         keep_alive,
-        ration_floor,
-        ration_share,
-        ration_window,
+        load_budget_floor: ration_floor,
+        load_budget_fraction: ration_share,
+        load_budget_window: ration_window,
         backlog_field,
-        loads_field,
+        pending_loads_field: loads_field,
     } = read(SETTINGS.as_bytes()).expect("the settings are sound");
-    assert_eq!((trigger_types.len(), quotas, regions), (5, vec![5.5, 6.5], vec![]));
-    assert_eq!((over_share_value, value_by_work, crossing, order_price), (0.125, true, 0.0625, 0.03125));
-    assert_eq!((front_ends, index, zone, tick, skew), (3.0, 2.0, 1, 0.002, 0.0));
-    assert_eq!((max_dispatches, second_copies, cancel, max_retry_after), (4, true, true, 1.5));
-    assert_eq!((cold, cold_from, overload_factor, fall, drain_grace), (1.0, 0.75, 2.5, 3.0, 3.5));
-    assert_eq!((roster_asked, orders, answers_miss, tells_crowd), (true, true, true, true));
-    assert_eq!((keep_alive, ration_floor, ration_share, ration_window), (8.0, 9.0, 0.5, 10.0));
+    assert_eq!(
+        (trigger_types.len(), quotas, regions),
+        (5, vec![5.5, 6.5], vec![])
+    );
+    assert_eq!(
+        (over_share_value, value_by_work, crossing, order_price),
+        (0.125, true, 0.0625, 0.03125)
+    );
+    assert_eq!(
+        (front_ends, index, zone, tick, skew),
+        (3.0, 2.0, 1, 0.002, 0.0)
+    );
+    assert_eq!(
+        (max_dispatches, second_copies, cancel, max_retry_after),
+        (4, true, true, 1.5)
+    );
+    assert_eq!(
+        (cold, cold_from, overload_factor, fall, drain_grace),
+        (1.0, 0.75, 2.5, 3.0, 3.5)
+    );
+    assert_eq!(
+        (roster_asked, orders, answers_miss, tells_crowd),
+        (true, true, true, true)
+    );
+    assert_eq!(
+        (keep_alive, ration_floor, ration_share, ration_window),
+        (8.0, 9.0, 0.5, 10.0)
+    );
     assert_eq!((backlog_field, loads_field), (Some(1), Some(2)));
 }
 
 #[test]
 fn a_front_end_has_the_values_of_its_keys() {
     let settings = front_end(&settings()).expect("the settings are sound");
-    assert_eq!(settings.trigger_types, ["update", "zoned", "everywhere", "read", "write"]);
+    assert_eq!(
+        settings.trigger_types,
+        ["update", "zoned", "everywhere", "read", "write"]
+    );
     assert_eq!(settings.customers, ["one", "two"]);
     assert_eq!(
         (settings.zones, settings.kinds),
-        (vec!["a".into(), "b".into()], vec!["std".into(), "big".into()])
+        (
+            vec!["a".into(), "b".into()],
+            vec!["std".into(), "big".into()]
+        )
     );
     assert_eq!(settings.report, ["x1", "backlog", "x2"]);
     assert_eq!((settings.most_open, settings.streams), (1_000, 32));
-    assert_eq!((settings.connect_time, settings.idle_close, settings.order_time), (0.25, 15.0, 11.0));
+    assert_eq!(
+        (
+            settings.connect_time,
+            settings.idle_close,
+            settings.order_time
+        ),
+        (0.25, 15.0, 11.0)
+    );
 }
 
 #[test]
@@ -131,7 +172,11 @@
     for pointer in pointers {
         let mut without = whole.clone();
         let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-        without.pointer_mut(place).and_then(Value::as_object_mut).expect("an object").remove(key);
+        without
+            .pointer_mut(place)
+            .and_then(Value::as_object_mut)
+            .expect("an object")
+            .remove(key);
         let read = front_end(&without).map(|settings| format!("{settings:?}"));
         assert_ne!(read.as_ref(), Ok(&as_read), "{pointer} makes no difference");
     }
--- a/crates/platform-executor-protocol/tests/stored_formats.rs
+++ b/crates/platform-executor-protocol/tests/stored_formats.rs
@@ -1,8 +1,9 @@
 //! One example of each line between front ends and executors of the platform, as other builds write and read it.
 //! They must not be changed.
 
-use orchidtally_lines::{
-    Answer, Decoder, Dispatch, Tell, Word, answer, cancel, dispatch, hold, probe, report, unload,
+use orchidtally_platform_executor_protocol::{
+    Decoder, Dispatch, LoadNote, Response, ResponseKind, answer, cancel, dispatch, health_check,
+    load, report, unload,
 };
 
 /// Lines to executors.
@@ -20,25 +21,29 @@
         token: Some("token-1"),
         body: b"body\x00\xff",
     };
-    let without_token = Dispatch { token: None, body: b"", ..with_token };
+    let without_token = Dispatch {
+        token: None,
+        body: b"",
+        ..with_token
+    };
     let written = [
         dispatch(&with_token),
         dispatch(&without_token),
         cancel("9b1f03aa5c7e2d41"),
-        hold("order-7", "resize", 2),
+        load("order-7", "resize", 2),
         unload("resize"),
-        probe("probe-1"),
+        health_check("probe-1"),
     ];
     let text = String::from_utf8(written.concat()).unwrap();
     assert_eq!(text, SENT);
 }
 
 /// An answer without figures and body.
-fn plain(word: Word, id: &str) -> Answer {
-    Answer {
+fn plain(word: ResponseKind, id: &str) -> Response {
+    Response {
         word,
         id: id.into(),
-        tell: Tell::Nothing,
+        tell: LoadNote::Nothing,
         crowd: 0,
         count: 0,
         meter: String::new(),
@@ -46,31 +51,37 @@
     }
 }
 
-fn expected() -> Vec<Answer> {
-    let told = |tell, crowd, meter: &str, body: &[u8]| Answer {
+fn expected() -> Vec<Response> {
+    let told = |tell, crowd, meter: &str, body: &[u8]| Response {
         tell,
         crowd,
         meter: meter.into(),
         body: body.to_vec(),
-        ..plain(Word::Done, "1")
+        ..plain(ResponseKind::Done, "1")
     };
     vec![
-        told(Tell::Warm, 3, "backlog:7;x1:0.61", &[0, 255]),
-        told(Tell::Cold, 4, "", b"body"),
-        told(Tell::Joined, 0, "", b""),
-        told(Tell::LoadFailed, 0, "", b""),
-        plain(Word::Lack, "2"),
-        Answer { count: 2, ..plain(Word::Wait, "3") },
-        plain(Word::Broke, "4"),
-        plain(Word::Past, "5"),
-        plain(Word::Fit, "6"),
-        plain(Word::Unfit, "7"),
+        told(LoadNote::Warm, 3, "backlog:7;x1:0.61", &[0, 255]),
+        told(LoadNote::Cold, 4, "", b"body"),
+        told(LoadNote::Joined, 0, "", b""),
+        told(LoadNote::LoadFailed, 0, "", b""),
+        plain(ResponseKind::Lack, "2"),
+        Response {
+            count: 2,
+            ..plain(ResponseKind::Wait, "3")
+        },
+        plain(ResponseKind::Broke, "4"),
+        plain(ResponseKind::Past, "5"),
+        plain(ResponseKind::Fit, "6"),
+        plain(ResponseKind::Unfit, "7"),
     ]
 }
 
 #[test]
 fn lines_from_executors_are_read_with_their_values() {
-    let read: Vec<Answer> = RECEIVED.lines().map(|line| answer(line.as_bytes()).expect(line)).collect();
+    let read: Vec<Response> = RECEIVED
+        .lines()
+        .map(|line| answer(line.as_bytes()).expect(line))
+        .collect();
     assert_eq!(read, expected());
 }
 
@@ -78,7 +89,7 @@
 fn lines_in_a_stream_are_read_with_their_values() {
     let mut decoder = Decoder::default();
     decoder.push(RECEIVED.as_bytes());
-    let read: Vec<Answer> = std::iter::from_fn(|| decoder.read().unwrap()).collect();
+    let read: Vec<Response> = std::iter::from_fn(|| decoder.read().unwrap()).collect();
     assert_eq!(read, expected());
 }
 
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -1,7 +1,7 @@
 //! The process's time, and whether the process stood still.
 
 use orchidtally_engine::clock::Clock;
-use orchidtally_engine::standstill::StallDetector;
+use orchidtally_engine::stall_detector::StallDetector;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 fn wall() -> f64 {
--- a/crates/platform-frontend/src/tests/process_clock.rs
+++ b/crates/platform-frontend/src/tests/process_clock.rs
@@ -1,7 +1,7 @@
 //! Time, and whether the process stood still.
 
 use super::*;
-use orchidtally_engine::standstill::STALL_THRESHOLD;
+use orchidtally_engine::stall_detector::STALL_THRESHOLD;
 use std::time::Duration;
 
 #[test]
--- a/crates/platform/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -1,11 +1,11 @@
 //! The file that a front end of the platform starts from is a format of others: its keys are read under their names.
 
-use orchidtally_platform::start::{Start, read};
+use orchidtally_platform_frontend::start::{Start, read};
 use serde_json::Value;
 use std::path::PathBuf;
 
 const SETTINGS: &str = include_str!("../../platform-config/tests/stored_formats/settings.json");
-const KNOWN: &str = include_str!("../../resolver/tests/stored_formats/known.json");
+const KNOWN: &str = include_str!("../../platform-discovery/tests/stored_formats/known.json");
 
 fn start_file() -> Value {
     let parse = |text: &str| -> Value { serde_json::from_str(text).expect("the fixture is JSON") };
@@ -16,7 +16,8 @@
 }
 
 fn read_file(name: &str, file: &Value) -> Result<Start, String> {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}.json"));
+    let path =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}.json"));
     std::fs::write(&path, file.to_string()).expect("the folder can be written to");
     read(&path).map_err(|fault| fault.to_string())
 }
@@ -24,17 +25,39 @@
 #[test]
 fn a_start_file_is_read_with_its_values() {
     let start = read_file("whole", &start_file()).expect("it is sound");
-    assert_eq!((start.name.as_str(), start.listen.to_string()), ("lb-3", "127.0.0.1:7300".into()));
-    assert_eq!((start.seed, start.memory, start.sockets), (0x9b1f_03aa, 64 << 20, 200));
-    assert_eq!((start.resolver.to_string(), start.serial), ("127.0.0.1:5353".into(), 17));
-    let names: Vec<&str> = start.known.iter().map(|entry| entry.name.as_str()).collect();
-    assert_eq!((names, start.settings.most_open), (vec!["s-1", "s-2"], 1_000));
-    assert_eq!(start.places.named(), (4, 2), "the settings name two locations, the list two others");
+    assert_eq!(
+        (start.name.as_str(), start.listen.to_string()),
+        ("lb-3", "127.0.0.1:7300".into())
+    );
+    assert_eq!(
+        (start.seed, start.memory, start.sockets),
+        (0x9b1f_03aa, 64 << 20, 200)
+    );
+    assert_eq!(
+        (start.resolver.to_string(), start.serial),
+        ("127.0.0.1:5353".into(), 17)
+    );
+    let names: Vec<&str> = start
+        .known
+        .iter()
+        .map(|entry| entry.name.as_str())
+        .collect();
+    assert_eq!(
+        (names, start.settings.most_open),
+        (vec!["s-1", "s-2"], 1_000)
+    );
+    assert_eq!(
+        start.places.named(),
+        (4, 2),
+        "the settings name two locations, the list two others"
+    );
 }
 
 #[test]
 fn each_key_of_a_start_file_is_needed() {
-    for key in ["name", "listen", "seed", "limits", "dns", "known", "settings"] {
+    for key in [
+        "name", "listen", "seed", "limits", "dns", "known", "settings",
+    ] {
         let mut file = start_file();
         file.as_object_mut().expect("an object").remove(key);
         let fault = read_file(key, &file).err().expect(key);
@@ -42,7 +65,10 @@
     }
     for key in ["memory_mb", "sockets"] {
         let mut file = start_file();
-        file["limits"].as_object_mut().expect("an object").remove(key);
+        file["limits"]
+            .as_object_mut()
+            .expect("an object")
+            .remove(key);
         let fault = read_file(key, &file).err().expect(key);
         assert!(fault.contains(&format!("missing field `{key}`")), "{fault}");
     }
--- a/crates/rollout/tests/stored_formats.rs
+++ b/crates/rollout/tests/stored_formats.rs
@@ -20,7 +20,8 @@
 /// Reads one value a line, and checks that each is written again byte for byte.
 fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
-        let value: Value = serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
+        let value: Value =
+            serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
         assert_eq!(serde_json::to_string(&value).unwrap(), line);
         value
     };
@@ -50,7 +51,10 @@
     };
     let mut kinds: Vec<&str> = commands.iter().map(kind).collect();
     kinds.dedup();
-    assert_eq!(kinds, ["start", "pause", "resume", "back", "advance", "finish"]);
+    assert_eq!(
+        kinds,
+        ["start", "pause", "resume", "back", "advance", "finish"]
+    );
 }
 
 #[test]
@@ -58,12 +62,31 @@
     let commands: Vec<Command> = read_and_rewrite(COMMANDS);
     let plans = plans(&commands);
     let keys: Vec<Key> = plans.iter().map(|plan| plan.key.clone()).collect();
-    assert_eq!(keys, [Key::Header("x-session".into()), Key::Invocation, Key::Customer, Key::Token]);
+    assert_eq!(
+        keys,
+        [
+            Key::Header("x-session".into()),
+            Key::Invocation,
+            Key::Customer,
+            Key::Token
+        ]
+    );
     let unjudged: Vec<Unjudged> = plans.iter().map(|plan| plan.unjudged).collect();
-    assert_eq!(unjudged, [Unjudged::Hold, Unjudged::Advance, Unjudged::Back, Unjudged::Hold]);
+    assert_eq!(
+        unjudged,
+        [
+            Unjudged::Hold,
+            Unjudged::Advance,
+            Unjudged::Back,
+            Unjudged::Hold
+        ]
+    );
     let plan = plans[0];
-    let gates: Vec<(Gate, f64, bool)> =
-        plan.gates.iter().map(|terms| (terms.gate, terms.ratio, terms.takes_back)).collect();
+    let gates: Vec<(Gate, f64, bool)> = plan
+        .gates
+        .iter()
+        .map(|terms| (terms.gate, terms.ratio, terms.takes_back))
+        .collect();
     let expected = [
         (Gate::Errors, 1.25, true),
         (Gate::Slow, 1.5, true),
@@ -72,23 +95,53 @@
         (Gate::Throttled, 1.125, false),
     ];
     assert_eq!(gates, expected);
-    assert_eq!((plan.false_alarm, plan.loads_per_second, plan.priority), (0.01, 2.5, 3));
-    assert_eq!((plan.holdback, plan.keep_from, plan.rate), (0.0625, 600.0, Some(120.5)));
+    assert_eq!(
+        (plan.false_alarm, plan.loads_per_second, plan.priority),
+        (0.01, 2.5, 3)
+    );
+    assert_eq!(
+        (plan.holdback, plan.keep_from, plan.rate),
+        (0.0625, 600.0, Some(120.5))
+    );
     let step = &plan.steps[0];
     assert_eq!(
-        (step.share, step.least_time, step.least_evidence, step.longest),
+        (
+            step.share,
+            step.least_time,
+            step.least_evidence,
+            step.longest
+        ),
         (0.05, 60.0, 100, Some(3600.0))
     );
-    assert_eq!((step.customers[0].as_str(), step.locations[0].as_str()), ("ann", "east"));
+    assert_eq!(
+        (step.customers[0].as_str(), step.locations[0].as_str()),
+        ("ann", "east")
+    );
 }
 
 #[test]
 fn what_is_published_is_read_and_written_again() {
     let published: Published = read_and_rewrite(PUBLISHED).remove(0);
-    assert_eq!(published.epoch, Epoch { term: 7, drawn: u64::MAX - 1 });
-    let phases: Vec<Phase> = published.rollouts.values().map(|rollout| rollout.phase).collect();
-    let expected =
-        [Phase::Planned, Phase::Shifting, Phase::Paused, Phase::Keeping, Phase::Finished, Phase::TakenBack];
+    assert_eq!(
+        published.epoch,
+        Epoch {
+            term: 7,
+            drawn: u64::MAX - 1
+        }
+    );
+    let phases: Vec<Phase> = published
+        .rollouts
+        .values()
+        .map(|rollout| rollout.phase)
+        .collect();
+    let expected = [
+        Phase::Planned,
+        Phase::Shifting,
+        Phase::Paused,
+        Phase::Keeping,
+        Phase::Finished,
+        Phase::TakenBack,
+    ];
     assert_eq!(phases, expected);
     assert_eq!(published.aliases["resize"]["canary"], "2f");
 }
@@ -96,15 +149,40 @@
 #[test]
 fn the_state_in_a_coordinators_journal_is_read_and_written_again() {
     let state: CoordinatorState = read_and_rewrite(COORDINATOR_STATE).remove(0);
-    assert_eq!((state.published.number, state.rounds[&13]), (42, (4, 1764600002.5)));
+    assert_eq!(
+        (state.published.number, state.rounds[&13]),
+        (42, (4, 1764600002.5))
+    );
     let run = &state.runs["r1"];
-    assert_eq!(run.step[1], Counts { answers: 20, warm: 19, loads: 2, events: [6, 7, 8, 9, 10] });
-    assert_eq!(run.whole[0], Counts { answers: 30, warm: 29, loads: 3, events: [11, 12, 13, 14, 15] });
+    assert_eq!(
+        run.step[1],
+        Counts {
+            answers: 20,
+            warm: 19,
+            loads: 2,
+            events: [6, 7, 8, 9, 10]
+        }
+    );
+    assert_eq!(
+        run.whole[0],
+        Counts {
+            answers: 30,
+            warm: 29,
+            loads: 3,
+            events: [11, 12, 13, 14, 15]
+        }
+    );
     assert_eq!((run.time, run.held, run.digest_mismatches), (61.5, true, 2));
-    assert_eq!(run.took_back.as_deref(), Some("'errors' is worse by its own evidence"));
+    assert_eq!(
+        run.took_back.as_deref(),
+        Some("'errors' is worse by its own evidence")
+    );
     let event = &run.history[1];
     assert_eq!((event.at, event.run, event.number), (1764600060.25, 5, 2));
-    assert_eq!((event.phase, event.step, event.by_hand), (Phase::Shifting, 1, false));
+    assert_eq!(
+        (event.phase, event.step, event.by_hand),
+        (Phase::Shifting, 1, false)
+    );
     assert!(run.tests.evidence(Gate::Errors) > run.tests.evidence(Gate::Slow));
 }
 
@@ -114,9 +192,19 @@
     let report = &reports[0];
     assert_eq!((report.front_end, report.index, report.round), (99, 3, 17));
     let delta = &report.deltas[0];
-    assert_eq!((delta.run, delta.digest_mismatches, delta.ready, delta.rate), (5, 1, true, 60.25));
+    assert_eq!(
+        (delta.run, delta.digest_mismatches, delta.ready, delta.rate),
+        (5, 1, true, 60.25)
+    );
     let slot = &delta.slots[0];
-    assert_eq!(slot.cell, Cell { trigger_type: 1, customer: 2, location: 3 });
+    assert_eq!(
+        slot.cell,
+        Cell {
+            trigger_type: 1,
+            customer: 2,
+            location: 3
+        }
+    );
     assert_eq!((slot.share, slot.old.warm, slot.new.loads), (0.05, 9, 2));
 }
 
@@ -124,13 +212,27 @@
 fn forecasts_are_read_and_written_again() {
     let forecasts: Vec<StepForecast> = read_and_rewrite(FORECASTS);
     let first = &forecasts[0];
-    assert_eq!((first.step, first.copies, first.orders, first.answers_to_detect), (0, 3, 6, 900));
-    assert_eq!((first.loading, first.evidence, first.time), (1.5, Some(120.5), 180.0));
+    assert_eq!(
+        (
+            first.step,
+            first.copies,
+            first.orders,
+            first.answers_to_detect
+        ),
+        (0, 3, 6, 900)
+    );
+    assert_eq!(
+        (first.loading, first.evidence, first.time),
+        (1.5, Some(120.5), 180.0)
+    );
 }
 
 #[test]
 fn gates_have_the_names_and_the_order_of_plans_and_counts() {
-    assert_eq!(GATES.map(Gate::name), ["errors", "slow", "slowTail", "loadFailures", "throttled"]);
+    assert_eq!(
+        GATES.map(Gate::name),
+        ["errors", "slow", "slowTail", "loadFailures", "throttled"]
+    );
     let names = GATES.map(|gate| serde_json::to_value(gate).unwrap());
     assert_eq!(names, GATES.map(Gate::name));
 }
