--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -7,7 +7,8 @@
 
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
-use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
+use orchidtally_engine::DispatchPolicy;
+use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
 use orchidtally_invariants::measure_spread;
 
 fn plain(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,44 +1,48 @@
-//! The module's time: monotonic, anchored to wall time, since front ends number their turns by it alike.
+//! The policy's clock: monotonic, and slewed towards wall time, because front ends number shared time slots by it.
 
-/// The share of passing time by which the offset to wall time is put right. A wall clock stepped by a minute
-/// is followed over a day and a half; one that drifts by less than this is followed as it drifts.
-const SLEW: f64 = 5e-4;
+/// The rate at which the offset to wall time is corrected, in seconds for each second that passes. A wall clock stepped
+/// by a minute is followed over a day and a half; one that drifts by less than this is followed as it drifts.
+const SLEW_RATE: f64 = 5e-4;
 
-/// Never steps and never runs backwards, whatever the wall clock does after the start.
+/// A clock that never steps and never runs backwards, whatever the wall clock does after the start.
 #[derive(Clone, Debug)]
 pub struct Clock {
+    /// What is added to a monotonic reading.
     offset: f64,
-    wanted: f64,
+    /// The offset that the wall clock was last seen to have.
+    target_offset: f64,
+    /// The latest monotonic reading.
     read_at: f64,
 }
 
 impl Clock {
-    /// Both readings in seconds: the monotonic clock's from any start, the wall clock's since 1970.
+    /// A clock that shows wall time now. Both readings are in seconds: of the monotonic clock since any origin, of the
+    /// wall clock since 1970.
     pub fn new(monotonic: f64, wall: f64) -> Clock {
         Clock {
             offset: wall - monotonic,
-            wanted: wall - monotonic,
+            target_offset: wall - monotonic,
             read_at: monotonic,
         }
     }
 
-    /// The time at a monotonic reading.
+    /// The time at a monotonic reading, in seconds since 1970.
     pub fn read(&mut self, monotonic: f64) -> f64 {
         let passed = (monotonic - self.read_at).max(0.0);
         self.read_at += passed;
-        let most = SLEW * passed;
-        self.offset += (self.wanted - self.offset).clamp(-most, most);
+        let max_correction = SLEW_RATE * passed;
+        self.offset += (self.target_offset - self.offset).clamp(-max_correction, max_correction);
         self.read_at + self.offset
     }
 
-    /// Takes the wall clock's present reading as the aim.
+    /// Slews towards the wall clock's present reading from now on.
     pub fn anchor(&mut self, monotonic: f64, wall: f64) {
         self.read(monotonic);
-        self.wanted = wall - self.read_at;
+        self.target_offset = wall - self.read_at;
     }
 
-    /// How far the time is from the wall clock as last anchored.
+    /// How far the time is behind the wall clock as last anchored, in seconds.
     pub fn astray(&self) -> f64 {
-        self.wanted - self.offset
+        self.target_offset - self.offset
     }
 }
--- a/crates/engine/src/invocation_registry.rs
+++ b/crates/engine/src/invocation_registry.rs
@@ -1,188 +1,148 @@
-//! What is open, and the module's answers performed on it.
+//! The open invocations of an engine, their dispatches and their deadlines.
 
-use crate::evidence;
-use crate::{Counters, FailureReason, Host};
-use orchidtally_dispatch_policy::interface::*;
+use crate::Counters;
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
 use orchidtally_dispatch_policy::state::Ordered;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
+/// Deadlines of what has ended are dropped once the heap is longer than this, plus [`DEADLINES_PER_INVOCATION`] for
+/// each open invocation.
+const MIN_DEADLINES_TO_PRUNE: usize = 1_024;
+const DEADLINES_PER_INVOCATION: usize = 4;
+
+/// A dispatch that was handed to the host, or withheld.
 pub(crate) struct SentDispatch {
     pub(crate) executor: ExecutorId,
     pub(crate) sent_at: f64,
+    /// How it ended; `None` while it is in flight.
     pub(crate) status: Option<DispatchStatus>,
 }
 
+impl SentDispatch {
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.status.is_none()
+    }
+}
+
+/// An invocation that has no final answer yet, or still has a dispatch in flight.
 pub(crate) struct OpenInvocation {
     pub(crate) timeout_at: f64,
     pub(crate) trigger_type: usize,
     pub(crate) dispatches: Vec<SentDispatch>,
-    /// The dispatch whose answer has begun to stream to the client.
+    /// The dispatch whose response has begun to stream to the client.
     pub(crate) streaming_dispatch: Option<u8>,
     pub(crate) is_answered: bool,
 }
 
 impl OpenInvocation {
+    pub(crate) fn dispatch(&self, number: u8) -> Option<&SentDispatch> {
+        self.dispatches.get(usize::from(number))
+    }
+
+    /// A dispatch by its number, if it is in flight.
+    pub(crate) fn in_flight_mut(&mut self, number: u8) -> Option<&mut SentDispatch> {
+        self.dispatches
+            .get_mut(usize::from(number))
+            .filter(|dispatch| dispatch.is_in_flight())
+    }
+
+    pub(crate) fn is_in_flight(&self, number: u8) -> bool {
+        self.dispatch(number)
+            .is_some_and(SentDispatch::is_in_flight)
+    }
+
     pub(crate) fn may_have_run(&self) -> bool {
         self.dispatches
             .iter()
-            .any(|s| s.status.is_none_or(|e| !e.never_ran()))
+            .any(|dispatch| dispatch.status.is_none_or(|status| !status.never_ran()))
     }
 
-    pub(crate) fn is_over(&self) -> bool {
-        self.is_answered && self.dispatches.iter().all(|s| s.status.is_some())
+    fn is_complete(&self) -> bool {
+        self.is_answered && !self.dispatches.iter().any(SentDispatch::is_in_flight)
     }
 }
 
-/// Everything but the module, so that the module can be called with it as its `Actions`.
+/// A moment at which the engine looks at an invocation. Ordered by time, then invocation, then dispatch.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Deadline {
+    pub(crate) at: Ordered,
+    pub(crate) invocation: u32,
+    /// The dispatch that times out; `None` for the engine's own check that the invocation was answered.
+    pub(crate) dispatch: Option<u8>,
+}
+
+/// Everything of an engine but the policy, so that the policy can be called with it as its `Actions`.
 #[derive(Default)]
 pub(crate) struct InvocationRegistry {
+    /// The time of the latest input; it never runs backwards.
     pub(crate) now: f64,
     pub(crate) invocations: HashMap<u32, OpenInvocation>,
     /// Invocations without a final answer.
     pub(crate) unanswered: usize,
-    /// Time-outs of dispatches, and the engine's own last look at each invocation (`None`).
-    pub(crate) deadlines: BinaryHeap<Reverse<(Ordered, u32, Option<u8>)>>,
+    pub(crate) deadlines: BinaryHeap<Reverse<Deadline>>,
     pub(crate) policy_timer_at: Option<f64>,
-    /// Dispatches that ended by what the module itself asked for; it hears of them after the present call.
+    /// Dispatches that the policy's own actions ended; they are reported to it after the present call.
     pub(crate) ended_locally: VecDeque<(u32, u8)>,
     pub(crate) counters: Counters,
 }
 
 impl InvocationRegistry {
-    pub(crate) fn close(&mut self, inv: u32) -> Option<&OpenInvocation> {
-        let open = self.invocations.get_mut(&inv).filter(|o| !o.is_answered)?;
-        open.is_answered = true;
-        self.unanswered -= 1;
-        Some(open)
-    }
-
-    pub(crate) fn remove_if_complete(&mut self, inv: u32) {
-        if self
-            .invocations
-            .get(&inv)
-            .is_some_and(OpenInvocation::is_over)
-        {
-            self.invocations.remove(&inv);
+    pub(crate) fn new(now: f64) -> InvocationRegistry {
+        InvocationRegistry {
+            now,
+            ..InvocationRegistry::default()
         }
     }
 
-    /// Drops deadlines of what has ended, once they are the most of the heap.
-    pub(crate) fn prune_deadlines(&mut self) {
-        if self.deadlines.len() > 1_024 + 4 * self.invocations.len() {
-            let open = &self.invocations;
-            self.deadlines.retain(|Reverse((_, inv, n))| {
-                open.get(inv).is_some_and(|o| match n {
-                    Some(n) => o
-                        .dispatches
-                        .get(usize::from(*n))
-                        .is_some_and(|s| s.status.is_none()),
-                    None => !o.is_answered,
-                })
-            });
-        }
+    /// Moves the time forward and returns it.
+    pub(crate) fn advance_to(&mut self, now: f64) -> f64 {
+        self.now = now.max(self.now);
+        self.now
     }
-}
-
-/// The module's answers, performed on the spot.
-pub(crate) struct ActionExecutor<'a> {
-    pub(crate) registry: &'a mut InvocationRegistry,
-    pub(crate) host: &'a mut dyn Host,
-}
 
-impl Actions for ActionExecutor<'_> {
-    fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64) {
-        let desk = &mut *self.registry;
-        let Some(open) = desk.invocations.get_mut(&inv) else {
-            return;
-        };
-        let n = open.dispatches.len() as u8;
-        let time_out_at = (desk.now + time_out.max(0.0)).min(open.timeout_at);
-        open.dispatches.push(SentDispatch {
-            executor: to,
-            sent_at: desk.now,
-            status: None,
-        });
-        if open.is_answered || open.streaming_dispatch.is_some() || time_out_at <= desk.now {
-            open.dispatches[usize::from(n)].status =
-                Some(evidence::ending(evidence::Transport::Withheld));
-            desk.ended_locally.push_back((inv, n));
-            return;
-        }
-        desk.counters.dispatches += 1;
-        desk.deadlines
-            .push(Reverse((Ordered(time_out_at), inv, Some(n))));
-        self.host.dispatch(inv, n, to, time_out_at - desk.now);
+    pub(crate) fn add_deadline(&mut self, at: f64, invocation: u32, dispatch: Option<u8>) {
+        self.deadlines.push(Reverse(Deadline {
+            at: Ordered(at),
+            invocation,
+            dispatch,
+        }));
     }
 
-    fn reject(&mut self, inv: u32, retry_after: f64, past_share: bool) {
-        if self.registry.close(inv).is_some() {
-            self.registry.counters.rejected += 1;
-            self.host.rejected(inv, retry_after, past_share);
-        }
+    /// Marks an invocation as answered; `None` if it is not open or was answered before.
+    pub(crate) fn close(&mut self, invocation: u32) -> Option<&OpenInvocation> {
+        let open = self
+            .invocations
+            .get_mut(&invocation)
+            .filter(|open| !open.is_answered)?;
+        open.is_answered = true;
+        self.unanswered -= 1;
+        Some(open)
     }
 
-    fn fail(&mut self, inv: u32) {
-        let Some(open) = self.registry.close(inv) else {
-            return;
-        };
-        let may_have_run = open.may_have_run();
-        let timed_out = open
-            .dispatches
-            .last()
-            .is_some_and(|s| s.status == Some(DispatchStatus::TimedOut));
-        let cause = if timed_out || open.dispatches.is_empty() {
-            FailureReason::TimedOut
-        } else {
-            FailureReason::Failed
-        };
-        self.registry.counters.failed += 1;
-        self.host.failed(inv, cause, may_have_run);
+    /// Drops an invocation that is answered and has nothing in flight.
+    pub(crate) fn remove_if_complete(&mut self, invocation: u32) {
+        let open = self.invocations.get(&invocation);
+        if open.is_some_and(OpenInvocation::is_complete) {
+            self.invocations.remove(&invocation);
+        }
     }
 
-    fn cancel(&mut self, inv: u32, dispatch: u8) {
-        let Some(open) = self.registry.invocations.get_mut(&inv) else {
-            return;
-        };
-        if open.streaming_dispatch == Some(dispatch) {
+    /// Drops the deadlines of what has ended, once they outnumber the others.
+    pub(crate) fn prune_deadlines(&mut self) {
+        let limit = MIN_DEADLINES_TO_PRUNE + DEADLINES_PER_INVOCATION * self.invocations.len();
+        if self.deadlines.len() <= limit {
             return;
         }
-        let Some(sent) = open
-            .dispatches
-            .get_mut(usize::from(dispatch))
-            .filter(|s| s.status.is_none())
-        else {
-            return;
-        };
-        sent.status = Some(DispatchStatus::Cancelled);
-        self.registry.ended_locally.push_back((inv, dispatch));
-        self.host.cancel(inv, dispatch);
-    }
-
-    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.registry.counters.load_commands += u64::from(copies > 0);
-        self.host.load(to, function, copies);
-    }
-
-    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
-        self.host.query_replicas(to, function);
-    }
-
-    fn unload(&mut self, to: ExecutorId, function: u64) {
-        self.host.unload(to, function);
-    }
-
-    fn health_check(&mut self, to: ExecutorId) {
-        self.host.health_check(to);
-    }
-
-    fn set_timer(&mut self, delay: f64, _mark: u64) {
-        let at = self.registry.now + delay;
-        self.registry.policy_timer_at =
-            Some(self.registry.policy_timer_at.map_or(at, |w| w.min(at)));
-    }
-
-    fn subscribe_to_endpoints(&mut self) {
-        self.host.subscribe_to_endpoints();
+        let invocations = &self.invocations;
+        self.deadlines.retain(|Reverse(deadline)| {
+            let Some(open) = invocations.get(&deadline.invocation) else {
+                return false;
+            };
+            match deadline.dispatch {
+                Some(dispatch) => open.is_in_flight(dispatch),
+                None => !open.is_answered,
+            }
+        });
     }
 }
--- a/crates/engine/tests/fleet/mod.rs
+++ b/crates/engine/tests/fleet/mod.rs
@@ -8,7 +8,7 @@
 
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::random::SeededRandom;
-use orchidtally_engine::baseline::DispatchPolicy;
+use orchidtally_engine::DispatchPolicy;
 use orchidtally_engine::{Engine, FailureReason, Host, InvocationRequest, ResponseMetadata};
 use orchidtally_invariants as invariants;
 use std::cell::RefCell;
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -5,7 +5,8 @@
 
 use fleet::{Maker, Play, Truth};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
-use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection, DispatchPolicy};
+use orchidtally_engine::DispatchPolicy;
+use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
 use orchidtally_invariants::{SpreadReport, measure_spread};
 
 const WARM: f64 = 6.0;
