--- /dev/null
+++ b/crates/engine/tests/clock.rs
@@ -0,0 +1,25 @@
+//! The engine's clock beside a wall clock that is stepped.
+
+use orchidtally_engine::clock::Clock;
+
+#[test]
+fn a_wall_clock_stepped_by_a_minute_neither_steps_nor_stops_the_time() {
+    for step in [-60.0, 60.0] {
+        let mut clock = Clock::new(100.0, 1_000_000.0);
+        let mut last = clock.read(100.0);
+        for n in 1..=6_000 {
+            let monotonic = 100.0 + f64::from(n) * 0.1;
+            if n % 50 == 0 {
+                clock.anchor(monotonic, 1_000_000.0 + f64::from(n) * 0.1 + step);
+            }
+            let now = clock.read(monotonic);
+            assert!(now > last && now - last < 0.100_1, "{} after {last}", now);
+            last = now;
+        }
+        assert!(
+            (last - 1_000_600.0).abs() < 0.31,
+            "put right by half a thousandth: {last}"
+        );
+        assert!(clock.astray().abs() > 59.0);
+    }
+}
