--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -5,20 +5,26 @@
 #[path = "../tests/fleet/mod.rs"]
 mod fleet;
 
-use fleet::{Maker, Play, Truth};
+use fleet::{PolicyFactory, Scenario, TrueLoads};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
 use orchidtally_engine::DispatchPolicy;
 use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
 use orchidtally_invariants::measure_spread;
 
-fn plain(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
+fn baseline(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
     Some(Box::new(BaselinePolicy::by(pick, seed)))
 }
 
-fn by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn DispatchPolicy>> {
-    let truth = truth.clone();
-    let load = move |id: ExecutorId| fleet::number(id).map_or(u32::MAX, |x| truth.borrow()[x]);
-    plain(
+fn by_truth(
+    _: &PolicyConfig,
+    seed: u64,
+    true_loads: &TrueLoads,
+) -> Option<Box<dyn DispatchPolicy>> {
+    let true_loads = true_loads.clone();
+    let load = move |id: ExecutorId| {
+        fleet::executor_number(id).map_or(u32::MAX, |x| true_loads.borrow()[x])
+    };
+    baseline(
         BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
         seed,
     )
@@ -31,15 +37,15 @@
         .filter_map(|a| a.parse::<u64>().ok());
     let front_ends = numbers.next().unwrap_or(300) as usize;
     let seed = numbers.next().unwrap_or(1);
-    let makers: [(&str, &Maker); 4] = [
+    let policies: [(&str, &PolicyFactory); 4] = [
         ("module", &|_, _, _| None),
         ("random", &|_, seed, _| {
-            plain(BaselineSelection::Random, seed)
+            baseline(BaselineSelection::Random, seed)
         }),
         ("own least busy", &|_, seed, _| {
-            plain(BaselineSelection::LeastInFlight, seed)
+            baseline(BaselineSelection::LeastInFlight, seed)
         }),
-        ("two by truth", &by_truth),
+        ("two by true_loads", &by_truth),
     ];
     for (day, replaced_at, restarted_at) in [
         ("calm", None, None),
@@ -47,10 +53,10 @@
         ("restarted at 12 s", None, Some(12.0)),
     ] {
         println!("{day}, {front_ends} front ends, 36 executors, load 0.5, seed {seed}");
-        for (name, maker) in makers {
+        for (name, policy_factory) in policies {
             let (functions, length) = (150, 24.0);
             let (executors, load) = (36, 0.5);
-            let play = Play {
+            let scenario = Scenario {
                 front_ends,
                 executors,
                 load,
@@ -60,9 +66,9 @@
                 restarted_at,
                 seed,
             };
-            let world = fleet::play(&play, maker);
+            let world = fleet::simulate(&scenario, policy_factory);
             let seen = measure_spread(&world.records, 8.0);
-            let asked = (world.succeeded + world.given_up) as f64;
+            let asked = (world.succeeded + world.failed) as f64;
             println!(
                 "  {name:<15} herds {:>3} (last {:>4.1} s), idle beside queue {:>5.3}, peak over fair {:>5.2}, copies {:>4} ({:>4} elsewhere), in time {:.3}",
                 seen.herds,
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -1,6 +1,6 @@
-//! Executors in simulated time, and what happens when.
+//! Executors in simulated time, and the queue of events.
 
-use super::{KEEP, LANES, LOAD_TIME, ROOM, TRANSIT, Truth, WORK};
+use super::{CONCURRENCY, IDLE_TIME, LOAD_TIME, QUEUE_LIMIT, TRANSIT, TrueLoads, WORK};
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_dispatch_policy::state::Ordered;
@@ -8,52 +8,57 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-pub enum What {
-    Arrives(u64),
-    Reaches {
-        fe: usize,
-        life: u32,
-        inv: u32,
-        n: u8,
-        x: usize,
-        function: u64,
+pub enum Event {
+    InvocationArrives(u64),
+    DispatchArrives {
+        executor: usize,
+        job: Job,
     },
-    Loaded {
-        x: usize,
-        life: u32,
+    LoadEnds {
+        executor: usize,
+        incarnation: u32,
     },
-    Ends {
-        x: usize,
-        life: u32,
+    ExecutionEnds {
+        executor: usize,
+        incarnation: u32,
         job: Job,
     },
-    Answers {
-        fe: usize,
-        life: u32,
-        inv: u32,
-        n: u8,
-        ending: DispatchStatus,
-        found: CopyState,
-        crowd: u32,
+    ResponseArrives {
+        job: Job,
+        status: DispatchStatus,
+        /// Invocations that the executor reports waiting.
         waiting: f32,
     },
-    Turns(usize),
+    TimersDue(usize),
 }
 
 #[derive(Clone, Copy)]
 pub struct Job {
-    pub fe: usize,
-    pub life: u32,
-    pub inv: u32,
-    pub n: u8,
+    pub front_end: usize,
+    pub incarnation: u32,
+    pub invocation: u32,
+    pub dispatch: u8,
     pub function: u64,
-    pub found: CopyState,
-    pub crowd: u32,
+    pub copy_state: CopyState,
+    pub function_concurrency: u32,
+}
+
+impl Job {
+    /// The invocation's name in the records.
+    pub fn name(&self) -> String {
+        format!("{}-{}", self.front_end, self.invocation)
+    }
+
+    /// Whether another value stands for the same dispatch.
+    pub fn is_same(&self, other: &Job) -> bool {
+        (self.front_end, self.invocation, self.dispatch)
+            == (other.front_end, other.invocation, other.dispatch)
+    }
 }
 
 #[derive(Default)]
 pub struct Executor {
-    pub life: u32,
+    pub incarnation: u32,
     pub running: Vec<Job>,
     pub waiting: VecDeque<Job>,
     /// When each copy stands, and when it was last used.
@@ -64,21 +69,21 @@
     pub now: f64,
     pub next: u64,
     pub due: BinaryHeap<Reverse<(Ordered, u64)>>,
-    pub what: BTreeMap<u64, What>,
+    pub events: BTreeMap<u64, Event>,
     pub executors: Vec<Executor>,
-    pub truth: Truth,
+    pub true_loads: TrueLoads,
     pub random: SeededRandom,
     pub records: Vec<invariants::TrafficRecord>,
     pub succeeded: u64,
     pub in_time: u64,
-    pub given_up: u64,
+    pub failed: u64,
 }
 
 impl World {
-    pub fn at(&mut self, at: f64, what: What) {
+    pub fn at(&mut self, at: f64, event: Event) {
         self.next += 1;
         self.due.push(Reverse((Ordered(at), self.next)));
-        self.what.insert(self.next, what);
+        self.events.insert(self.next, event);
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
@@ -86,131 +91,132 @@
     }
 
     /// Starts an executor, cold; what the one before had in hand is reset.
-    pub fn stands(&mut self, x: usize) {
-        let lost: Vec<Job> = self.executors[x]
+    pub fn start_executor(&mut self, executor: usize) {
+        let abandoned: Vec<Job> = self.executors[executor]
             .waiting
             .iter()
-            .chain(&self.executors[x].running)
+            .chain(&self.executors[executor].running)
             .copied()
             .collect();
-        lost.iter()
-            .for_each(|job| self.answer(x, job, DispatchStatus::Reset));
-        let life = self.executors[x].life + 1;
-        self.executors[x] = Executor {
-            life,
+        abandoned
+            .iter()
+            .for_each(|job| self.respond(executor, job, DispatchStatus::Reset));
+        let incarnation = self.executors[executor].incarnation + 1;
+        self.executors[executor] = Executor {
+            incarnation,
             ..Executor::default()
         };
-        self.truth.borrow_mut()[x] = 0;
+        self.true_loads.borrow_mut()[executor] = 0;
         self.records.push(invariants::TrafficRecord::Stands {
             at: self.now,
-            executor: x,
-            lanes: LANES,
+            executor,
+            lanes: CONCURRENCY,
         });
     }
 
-    pub fn reaches(&mut self, x: usize, job: Job) {
+    pub fn dispatch_arrives(&mut self, executor: usize, job: Job) {
         let (at, now) = (self.now, self.now);
-        let e = &self.executors[x];
-        if e.waiting.len() >= ROOM {
-            return self.answer(x, &job, DispatchStatus::Full);
+        let record = &self.executors[executor];
+        if record.waiting.len() >= QUEUE_LIMIT {
+            return self.respond(executor, &job, DispatchStatus::Full);
         }
         self.records.push(invariants::TrafficRecord::Reached {
             at,
-            executor: x,
-            front_end: job.fe as u32,
-            life: job.life.into(),
-            invocation: format!("{}-{}", job.fe, job.inv),
-            number: job.n.into(),
+            executor,
+            front_end: job.front_end as u32,
+            life: job.incarnation.into(),
+            invocation: job.name(),
+            number: job.dispatch.into(),
             token: String::new(),
             trigger_type: "look".into(),
         });
-        self.truth.borrow_mut()[x] += 1;
-        let e = &mut self.executors[x];
-        let held = e.waiting.iter().chain(&e.running);
-        let crowd = held.filter(|w| w.function == job.function).count() as u32;
-        let stale = e
+        self.true_loads.borrow_mut()[executor] += 1;
+        let record = &mut self.executors[executor];
+        let present = record.waiting.iter().chain(&record.running);
+        let function_concurrency = present
+            .filter(|other| other.function == job.function)
+            .count() as u32;
+        let is_expired = record
             .copies
             .get(&job.function)
-            .is_some_and(|c| c.1 + KEEP < now);
-        if stale {
-            e.copies.remove(&job.function);
+            .is_some_and(|c| c.1 + IDLE_TIME < now);
+        if is_expired {
+            record.copies.remove(&job.function);
         }
-        let stands_at = e.copies.get(&job.function).map(|c| c.0);
-        let found = match stands_at {
+        let stands_at = record.copies.get(&job.function).map(|c| c.0);
+        let copy_state = match stands_at {
             None => CopyState::ColdLoad,
             Some(at) if at > now => CopyState::JoinedLoad,
             Some(_) => CopyState::Warm,
         };
         let stands_at = stands_at.unwrap_or(now + LOAD_TIME);
-        e.copies
+        record
+            .copies
             .insert(job.function, (stands_at, now.max(stands_at)));
-        e.waiting.push_back(Job {
-            found,
-            crowd,
+        record.waiting.push_back(Job {
+            copy_state,
+            function_concurrency,
             ..job
         });
-        let life = e.life;
-        if found == CopyState::ColdLoad {
+        let incarnation = record.incarnation;
+        if copy_state == CopyState::ColdLoad {
             let name = format!("{}", job.function);
-            if stale {
+            if is_expired {
                 self.records.push(invariants::TrafficRecord::Unloads {
                     at,
-                    executor: x,
+                    executor,
                     function: name.clone(),
                 });
             }
             self.records.push(invariants::TrafficRecord::Loads {
                 at,
-                executor: x,
+                executor,
                 function: name,
             });
-            self.at(stands_at, What::Loaded { x, life });
+            self.at(
+                stands_at,
+                Event::LoadEnds {
+                    executor,
+                    incarnation,
+                },
+            );
         }
-        self.start(x);
+        self.start_waiting(executor);
     }
 
     /// Begins what can run: the first that wait whose copies stand.
-    pub fn start(&mut self, x: usize) {
-        while self.executors[x].running.len() < LANES as usize {
+    pub fn start_waiting(&mut self, executor: usize) {
+        while self.executors[executor].running.len() < CONCURRENCY as usize {
             let now = self.now;
-            let e = &mut self.executors[x];
-            let ready = |w: &Job| e.copies.get(&w.function).is_some_and(|c| c.0 <= now);
-            let Some(n) = e.waiting.iter().position(ready) else {
+            let record = &mut self.executors[executor];
+            let ready = |job: &Job| record.copies.get(&job.function).is_some_and(|c| c.0 <= now);
+            let Some(position) = record.waiting.iter().position(ready) else {
                 return;
             };
-            let Some(job) = e.waiting.remove(n) else {
+            let Some(job) = record.waiting.remove(position) else {
                 return;
             };
-            e.running.push(job);
-            let life = e.life;
+            record.running.push(job);
+            let incarnation = record.incarnation;
             let work = self.exponential(WORK);
-            self.at(now + work, What::Ends { x, life, job });
+            self.at(
+                now + work,
+                Event::ExecutionEnds {
+                    executor,
+                    incarnation,
+                    job,
+                },
+            );
         }
     }
 
-    pub fn answer(&mut self, x: usize, job: &Job, ending: DispatchStatus) {
-        let waiting = self.executors[x].waiting.len() as f32;
-        let Job {
-            fe,
-            life,
-            inv,
-            n,
-            found,
-            crowd,
-            ..
-        } = *job;
-        self.at(
-            self.now + TRANSIT,
-            What::Answers {
-                fe,
-                life,
-                inv,
-                n,
-                ending,
-                found,
-                crowd,
-                waiting,
-            },
-        );
+    pub fn respond(&mut self, executor: usize, job: &Job, status: DispatchStatus) {
+        let waiting = self.executors[executor].waiting.len() as f32;
+        let response = Event::ResponseArrives {
+            job: *job,
+            status,
+            waiting,
+        };
+        self.at(self.now + TRANSIT, response);
     }
 }
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -3,7 +3,7 @@
 
 mod fleet;
 
-use fleet::{Maker, Play, Truth};
+use fleet::{PolicyFactory, Scenario, TrueLoads};
 use orchidtally_dispatch_policy::interface::{ExecutorId, PolicyConfig};
 use orchidtally_engine::DispatchPolicy;
 use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
@@ -12,9 +12,13 @@
 const WARM: f64 = 6.0;
 
 /// The spread, and the share answered in time.
-fn seen(maker: &Maker, replaced_at: Option<f64>, restarted_at: Option<f64>) -> (SpreadReport, f64) {
+fn seen(
+    policy_factory: &PolicyFactory,
+    replaced_at: Option<f64>,
+    restarted_at: Option<f64>,
+) -> (SpreadReport, f64) {
     let (front_ends, executors, load, functions, length, seed) = (40, 12, 0.5, 40, 18.0, 3);
-    let play = Play {
+    let scenario = Scenario {
         front_ends,
         executors,
         load,
@@ -24,25 +28,31 @@
         restarted_at,
         seed,
     };
-    let world = fleet::play(&play, maker);
-    let asked = (world.succeeded + world.given_up) as f64;
+    let world = fleet::simulate(&scenario, policy_factory);
+    let asked = (world.succeeded + world.failed) as f64;
     (
         measure_spread(&world.records, WARM),
         world.in_time as f64 / asked,
     )
 }
 
-fn module(_: &PolicyConfig, _: u64, _: &Truth) -> Option<Box<dyn DispatchPolicy>> {
+fn module(_: &PolicyConfig, _: u64, _: &TrueLoads) -> Option<Box<dyn DispatchPolicy>> {
     None
 }
 
-fn random(_: &PolicyConfig, seed: u64, _: &Truth) -> Option<Box<dyn DispatchPolicy>> {
+fn random(_: &PolicyConfig, seed: u64, _: &TrueLoads) -> Option<Box<dyn DispatchPolicy>> {
     Some(Box::new(BaselinePolicy::new(seed)))
 }
 
-fn two_by_truth(_: &PolicyConfig, seed: u64, truth: &Truth) -> Option<Box<dyn DispatchPolicy>> {
-    let truth = truth.clone();
-    let load = move |id: ExecutorId| fleet::number(id).map_or(u32::MAX, |x| truth.borrow()[x]);
+fn two_by_truth(
+    _: &PolicyConfig,
+    seed: u64,
+    true_loads: &TrueLoads,
+) -> Option<Box<dyn DispatchPolicy>> {
+    let true_loads = true_loads.clone();
+    let load = move |id: ExecutorId| {
+        fleet::executor_number(id).map_or(u32::MAX, |x| true_loads.borrow()[x])
+    };
     Some(Box::new(BaselinePolicy::by(
         BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
         seed,
