--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -1,5 +1,5 @@
 //! CPU time of the engine and the module for one invocation, by executors and functions, in one run: each
-//! front end sees the same traffic, and what is told is the ratio to the smallest fleet. No sockets.
+//! front end sees the same traffic, and what is metadata is the ratio to the smallest fleet. No sockets.
 //!
 //! `cargo bench -p orchidtally-engine --bench scale`
 
@@ -11,26 +11,26 @@
 use std::time::Instant;
 
 /// Invocations a second of a front end that is one of few, and of one that is one of hundreds.
-const BUSY: f64 = 2_000.0;
-const SPARSE: f64 = 2.0;
+const BUSY_RATE: f64 = 2_000.0;
+const SPARSE_RATE: f64 = 2.0;
 const ANSWER_TIME: f64 = 0.02;
 
 /// Ends each dispatch after the answer time.
 #[derive(Default)]
-struct Bench {
+struct BenchHost {
     now_us: u64,
     ends: BinaryHeap<Reverse<(u64, u32, u8)>>,
-    holds: Vec<(ExecutorId, u64)>,
+    load_commands: Vec<(ExecutorId, u64)>,
     succeeded: u64,
     others: u64,
 }
 
-impl Host for Bench {
+impl Host for BenchHost {
     fn admitted(&mut self, _: u32) {}
-    fn dispatch(&mut self, inv: u32, dispatch: u8, _: ExecutorId, _: f64) {
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, _: ExecutorId, _: f64) {
         self.ends.push(Reverse((
             self.now_us + (ANSWER_TIME * 1e6) as u64,
-            inv,
+            invocation,
             dispatch,
         )));
     }
@@ -45,7 +45,7 @@
         self.others += 1;
     }
     fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
-        self.holds.push((to, function));
+        self.load_commands.push((to, function));
     }
     fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
@@ -54,7 +54,7 @@
 }
 
 fn policy() -> PolicyConfig {
-    let ty = TriggerType {
+    let trigger_type = TriggerType {
         latency_objective: 0.5,
         objective_work_factor: 0.0,
         client_timeout: 5.0,
@@ -65,7 +65,7 @@
         deduplication_window: 0.0,
     };
     PolicyConfig {
-        trigger_types: vec![ty],
+        trigger_types: vec![trigger_type],
         front_ends: 4.0,
         clock_tick: 0.002,
         max_dispatches: 4,
@@ -95,7 +95,7 @@
 
 /// Microseconds for one invocation, and the share that succeeded.
 fn run(rate: f64, executors: u32, functions: u64, invocations: u32) -> (f64, f64) {
-    let mut host = Bench::default();
+    let mut host = BenchHost::default();
     let mut engine = Engine::new(policy(), 100_000, 1, 1_000.0, &mut host);
     let rows: Vec<Endpoint> = (0..executors)
         .map(|x| Endpoint {
@@ -130,21 +130,21 @@
             let due_us = ((due - 1_000.0).max(0.0) * 1e6).ceil();
             match end {
                 Some(at) if at as f64 <= due_us => {
-                    let Some(Reverse((at, inv, dispatch))) = host.ends.pop() else {
+                    let Some(Reverse((at, invocation, dispatch))) = host.ends.pop() else {
                         break;
                     };
                     host.now_us = at;
-                    let told = ResponseMetadata {
+                    let metadata = ResponseMetadata {
                         copy_state: CopyState::Warm,
                         function_concurrency: 1,
                         load_report: &[0.5],
                     };
                     engine.on_dispatch_result(
                         now_at(at),
-                        inv,
+                        invocation,
                         dispatch,
                         DispatchStatus::Ok,
-                        told,
+                        metadata,
                         &mut host,
                     );
                 }
@@ -154,7 +154,7 @@
                 }
                 _ => break,
             }
-            for (to, function) in std::mem::take(&mut host.holds) {
+            for (to, function) in std::mem::take(&mut host.load_commands) {
                 engine.on_load_result(
                     now_at(host.now_us),
                     to,
@@ -168,7 +168,7 @@
         // Popularity falls as one over the rank.
         let function = (functions as f64).powf(random.unit()) as u64;
         let now = now_at(arrival);
-        let offer = InvocationRequest {
+        let request = InvocationRequest {
             trigger_type: 0,
             customer: 0,
             function: function.wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -179,8 +179,10 @@
             concurrency: 4.0,
             load_time: Some(0.2),
         };
-        engine.admit(now, &offer, &mut host).expect("there is room");
-        for (to, function) in std::mem::take(&mut host.holds) {
+        engine
+            .admit(now, &request, &mut host)
+            .expect("there is room");
+        for (to, function) in std::mem::take(&mut host.load_commands) {
             engine.on_load_result(now, to, function, DispatchStatus::Ok, &mut host);
         }
     }
@@ -212,7 +214,10 @@
         (100, 100_000),
     ];
     let sparse = [(36, 100), (300, 100), (1_024, 100)];
-    for (rate, fleets, invocations) in [(BUSY, &busy[..], 60_000), (SPARSE, &sparse[..], 2_000)] {
+    for (rate, fleets, invocations) in [
+        (BUSY_RATE, &busy[..], 60_000),
+        (SPARSE_RATE, &sparse[..], 2_000),
+    ] {
         let mut base = None;
         for &(executors, functions) in fleets {
             let (us, succeeded) = least(
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -45,7 +45,7 @@
         ("own least busy", &|_, seed, _| {
             baseline(BaselineSelection::LeastInFlight, seed)
         }),
-        ("two by true_loads", &by_truth),
+        ("two by truth", &by_truth),
     ];
     for (day, replaced_at, restarted_at) in [
         ("calm", None, None),
--- /dev/null
+++ b/crates/engine/examples/decision_cost/fleet.rs
@@ -0,0 +1,121 @@
+//! Settings and endpoints of the measured front end, and how the endpoint list changes.
+
+use crate::scenario::Day;
+use crate::simulation::{KEEP_ALIVE, Simulation};
+use orchidtally_dispatch_policy::interface::*;
+use orchidtally_engine::Engine;
+
+const FRONT_ENDS: f64 = 550.0;
+pub const ZONES: u32 = 8;
+
+/// The settings of the measured front end.
+pub fn policy(day: Day, regions: u32) -> PolicyConfig {
+    let make_type = |effect, group| TriggerType {
+        latency_objective: 1.0,
+        objective_work_factor: 0.0,
+        client_timeout: 5.0,
+        billed_value: 1.0,
+        late_value_fraction: 0.2,
+        idempotency: effect,
+        deduplication_scope: group,
+        deduplication_window: 2.0,
+    };
+    PolicyConfig {
+        trigger_types: vec![
+            make_type(Idempotency::Idempotent, DeduplicationScope::All),
+            make_type(Idempotency::Keyed, DeduplicationScope::Zone),
+            make_type(Idempotency::Keyed, DeduplicationScope::Cell),
+            make_type(Idempotency::NonIdempotent, DeduplicationScope::All),
+        ],
+        front_ends: FRONT_ENDS,
+        front_end_index: 17.0,
+        cross_zone_cost: 0.02,
+        zone_regions: (0..ZONES)
+            .filter(|_| regions > 0)
+            .map(|zone| Some((zone * regions / ZONES) as u8))
+            .collect(),
+        clock_tick: 0.002,
+        max_dispatches: 4,
+        allows_cancellation: true,
+        max_retry_after: 1.0,
+        slow_start_duration: 10.0,
+        slow_start_initial_weight: 0.2,
+        overload_factor: 2.0,
+        overload_window: 1.0,
+        allows_load_commands: day != Day::Loaded,
+        keep_alive: KEEP_ALIVE,
+        load_budget_floor: 20.0,
+        load_budget_fraction: 0.5,
+        load_budget_window: 5.0,
+        backlog_field: Some(0),
+        ..PolicyConfig::default()
+    }
+}
+
+/// An executor as the endpoint list tells of it.
+pub fn endpoint(day: Day, executor: u32, incarnation: u32, started_at: f64) -> Endpoint {
+    Endpoint {
+        executor: ExecutorId(
+            std::net::Ipv4Addr::from(0x0a00_0000 + (incarnation << 16) + executor).into(),
+            7000,
+        ),
+        zone: (executor % ZONES) as u8,
+        kind: if day == Day::Faults {
+            (executor % 3) as u8
+        } else {
+            0
+        },
+        cell: (executor / 7) as u16,
+        state: EndpointState::Ready,
+        weight: if day == Day::Faults {
+            [1.0, 0.5, 2.0][(executor % 3) as usize]
+        } else {
+            1.0
+        },
+        started_at,
+    }
+}
+
+/// Changes the endpoint list, and tells the engine.
+pub fn change_endpoints(
+    endpoints: &mut [Endpoint],
+    engine: &mut Engine,
+    simulation: &mut Simulation,
+) {
+    let now = simulation.now;
+    let executor = (simulation.random.unit() * endpoints.len() as f64) as usize;
+    let drawn = simulation.random.unit();
+    let change = match drawn {
+        d if d < 0.3 => Endpoint {
+            started_at: now,
+            ..endpoints[executor].clone()
+        },
+        d if d < 0.5 => Endpoint {
+            state: EndpointState::Draining,
+            ..endpoints[executor].clone()
+        },
+        d if d < 0.6 => Endpoint {
+            state: EndpointState::Gone,
+            ..endpoints[executor].clone()
+        },
+        d if d < 0.7 => Endpoint {
+            cell: endpoints[executor].cell ^ 1,
+            ..endpoints[executor].clone()
+        },
+        d if d < 0.8 => endpoint(simulation.day, executor as u32, (now as u32) & 0xff, now),
+        _ => Endpoint {
+            state: EndpointState::Ready,
+            ..endpoints[executor].clone()
+        },
+    };
+    endpoints[executor] = change.clone();
+    match drawn {
+        d if d < 0.9 => {
+            engine.on_endpoint_update(now, EndpointUpdateKind::Delta, &[change], simulation)
+        }
+        d if d < 0.98 => {
+            engine.on_endpoint_update(now, EndpointUpdateKind::Full, endpoints, simulation)
+        }
+        _ => engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], simulation),
+    }
+}
--- a/crates/engine/examples/decision_cost/play.rs
+++ b/crates/engine/examples/decision_cost/scenario.rs
@@ -1,6 +1,6 @@
-//! What is played, as the arguments say.
+//! What is measured, by the arguments.
 
-use super::ZONES;
+use crate::fleet::ZONES;
 
 const FUNCTIONS: usize = 21_000;
 
@@ -14,8 +14,8 @@
     Faults,
 }
 
-/// What is played.
-pub struct Play {
+/// What is measured.
+pub struct Scenario {
     pub seconds: f64,
     pub seed: u64,
     pub day: Day,
@@ -25,11 +25,11 @@
     pub regions: u32,
 }
 
-impl Play {
+impl Scenario {
     /// Reads `NAME=VALUE` arguments.
-    pub fn from_arguments(arguments: impl Iterator<Item = String>) -> Result<Play, String> {
+    pub fn from_arguments(arguments: impl Iterator<Item = String>) -> Result<Scenario, String> {
         let executors = vec![36, 300, 1_000, 3_000];
-        let mut play = Play {
+        let mut scenario = Scenario {
             seconds: 120.0,
             seed: 1,
             day: Day::Calm,
@@ -44,37 +44,37 @@
                 .ok_or(format!("{argument}: NAME=VALUE is wanted"))?;
             let number = || value.parse::<f64>().map_err(|e| format!("{argument}: {e}"));
             match (name, value) {
-                ("seconds", _) => play.seconds = number()?,
-                ("seed", _) => play.seed = number()? as u64,
-                ("rate", _) => play.rate = number()?,
-                ("exponent", _) => play.exponent = number()?,
-                ("regions", _) => play.regions = number()?.clamp(0.0, f64::from(ZONES)) as u32,
-                ("day", "calm") => play.day = Day::Calm,
-                ("day", "loaded") => play.day = Day::Loaded,
-                ("day", "faults") => play.day = Day::Faults,
+                ("seconds", _) => scenario.seconds = number()?,
+                ("seed", _) => scenario.seed = number()? as u64,
+                ("rate", _) => scenario.rate = number()?,
+                ("exponent", _) => scenario.exponent = number()?,
+                ("regions", _) => scenario.regions = number()?.clamp(0.0, f64::from(ZONES)) as u32,
+                ("day", "calm") => scenario.day = Day::Calm,
+                ("day", "loaded") => scenario.day = Day::Loaded,
+                ("day", "faults") => scenario.day = Day::Faults,
                 ("executors", _) => {
                     let all = value
                         .split(',')
                         .map(|n| n.parse().map_err(|e| format!("{argument}: {e}")));
-                    play.executors = all.collect::<Result<_, _>>()?;
+                    scenario.executors = all.collect::<Result<_, _>>()?;
                 }
                 _ => return Err(format!("{argument}: there is no such name or value")),
             }
         }
-        Ok(play)
+        Ok(scenario)
     }
 
-    /// The share of the first so many functions in all calls.
-    pub fn shares(&self) -> Vec<f64> {
+    /// By the number of functions, the share that the first so many have in all invocations.
+    pub fn cumulative_shares(&self) -> Vec<f64> {
         let weights = (1..=FUNCTIONS).map(|n| (n as f64).powf(-self.exponent));
-        let mut shares: Vec<f64> = weights
+        let mut cumulative_shares: Vec<f64> = weights
             .scan(0.0, |sum, weight| {
                 *sum += weight;
                 Some(*sum)
             })
             .collect();
-        let all = shares[FUNCTIONS - 1];
-        shares.iter_mut().for_each(|share| *share /= all);
-        shares
+        let all = cumulative_shares[FUNCTIONS - 1];
+        cumulative_shares.iter_mut().for_each(|share| *share /= all);
+        cumulative_shares
     }
 }
