--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -82,7 +82,7 @@
         tasks: &Rc<LocalExecutor<'static>>,
     ) -> Rc<ControlFrontEnd> {
         let deployment = deployment::parsed(&deployment::with_roster(front_ends, endpoints));
-        let EndpointSource::Etcd(etcd) = deployment.source.clone() else {
+        let EndpointSource::Etcd(etcd) = deployment.endpoint_source.clone() else {
             unreachable!("the deployment file of a hollow front end names a store")
         };
         let engine = Engine::new(deployment.policy.clone(), 1, seed, 0.0, &mut NoCalls);
--- a/crates/capacity-model/src/hollow/deployment.rs
+++ b/crates/capacity-model/src/hollow/deployment.rs
@@ -18,7 +18,7 @@
 
 /// Reads one of the files below.
 pub(super) fn parsed(text: &str) -> Deployment {
-    Deployment::read(text).expect("the deployment file of a hollow front end has no fault")
+    Deployment::parse(text).expect("the deployment file of a hollow front end has no fault")
 }
 
 /// What the files of all front ends have in common. JSON is JSON5 as well.
--- a/crates/capacity-model/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -13,7 +13,7 @@
 }
 
 fn read(text: &str) -> Deployment {
-    Deployment::read(text).unwrap_or_else(|faults| panic!("{faults:?}"))
+    Deployment::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"))
 }
 
 #[test]
@@ -34,9 +34,12 @@
     let with_roster = read(&deployment::with_roster(3, &endpoints()));
     let without_store = read(&deployment::without_store(3));
     assert!(
-        matches!(&with_roster.source, EndpointSource::Etcd(etcd) if etcd.endpoints == endpoints())
+        matches!(&with_roster.endpoint_source, EndpointSource::Etcd(etcd) if etcd.endpoints == endpoints())
     );
-    assert!(matches!(without_store.source, EndpointSource::Listed(_)));
+    assert!(matches!(
+        without_store.endpoint_source,
+        EndpointSource::Listed(_)
+    ));
     assert!(with_roster.configuration.is_none() && without_store.configuration.is_none());
     // Whether a roster is asked for goes by where it comes from.
     assert!(with_roster.policy.polls_endpoints && !without_store.policy.polls_endpoints);
--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -93,7 +93,8 @@
         functions.join(", "),
         list.join(", ")
     );
-    let mut deployment = Deployment::read(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
+    let mut deployment =
+        Deployment::parse(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
     if let Some(listen) = listen {
         deployment.listen = listen;
     }
--- a/crates/cli/src/rehearse/day.rs
+++ b/crates/cli/src/rehearse/day.rs
@@ -188,10 +188,10 @@
         ]);
         let usual = Day::bad(1, 20.0);
         let length = top
-            .maybe("length", |p| p.seconds(1.0..=600.0))
+            .optional("length", |p| p.seconds(1.0..=600.0))
             .unwrap_or(usual.length);
         let whole = |key: &str, most: u32, absent: u32| {
-            top.maybe(key, |p| p.whole(1..=most)).unwrap_or(absent)
+            top.optional(key, |p| p.integer(1..=most)).unwrap_or(absent)
         };
         let locations = whole("locations", 50, usual.locations);
         let executors = whole("executors", 200, usual.executors as u32);
@@ -211,7 +211,7 @@
             executors: executors as usize,
             locations,
             rate: top
-                .maybe("rate", |p| p.number(0.1..=5_000.0))
+                .optional("rate", |p| p.number(0.1..=5_000.0))
                 .unwrap_or(usual.rate),
             functions: whole("functions", 100_000, usual.functions as u32) as usize,
             troubles: top
@@ -221,10 +221,10 @@
                 .filter_map(|p| trouble(p, length))
                 .collect(),
             clock_skew: top
-                .maybe("clockSkew", |p| p.seconds(0.0..=10.0))
+                .optional("clockSkew", |p| p.seconds(0.0..=10.0))
                 .unwrap_or(usual.clock_skew),
             clock_step: top
-                .maybe("clockStep", |p| p.seconds(0.0..=3_600.0))
+                .optional("clockStep", |p| p.seconds(0.0..=3_600.0))
                 .unwrap_or(0.0),
         };
         let faults = document.faults();
@@ -239,10 +239,10 @@
 fn trouble(place: &Place, length: f64) -> Option<Trouble> {
     let fields = place.object(&["kind", "at", "for", "size"]);
     let names: Vec<(&str, Kind)> = KINDS.iter().map(|k| (k.1, k.0)).collect();
-    let kind = fields.at("kind").one_of(&names);
+    let kind = fields.at("kind").choice(&names);
     let at = fields.at("at").seconds(0.0..=length);
     let lasts = fields.at("for").seconds(0.01..=length);
-    let size = fields.maybe("size", |p| p.number(0.001..=1.0));
+    let size = fields.optional("size", |p| p.number(0.001..=1.0));
     let kind = kind?;
     let usual = KINDS.iter().find(|k| k.0 == kind).map_or(1.0, |k| k.2);
     Some(Trouble {
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -277,7 +277,7 @@
         .map(|messages| messages.description())
         .unwrap_or_default();
     let text = description(day, &source, &sections);
-    let deployment = Deployment::read(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
+    let deployment = Deployment::parse(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
     let file = deployment_path(options.seed);
     std::fs::write(&file, text)?;
     Ok(Rc::new(Rehearsal {
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -190,7 +190,7 @@
     let deployment = read_deployment(file)?;
     let EndpointSource::Etcd(EtcdSettings {
         endpoints, prefix, ..
-    }) = deployment.source
+    }) = deployment.endpoint_source
     else {
         return Err(fail(
             BAD_INPUT,
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -150,7 +150,7 @@
     let (stop, stopped) = async_channel::bounded(1);
     let (text, seed) = (text.to_owned(), u64::from(at.port()));
     let thread = std::thread::spawn(move || {
-        let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+        let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
         let start = Start {
             deployment,
             seed,
@@ -173,7 +173,7 @@
     let (text, folder) = (text.to_owned(), folder.to_owned());
     let listener = orchidtally_socket_io::listen(at).unwrap();
     let thread = std::thread::spawn(move || {
-        let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+        let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
         orchidtally_coordinator::run(deployment, &folder, listener, stopped)
     });
     CoordinatorThread { stop, thread }
--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,14 +1,14 @@
-//! What a changed deployment file changes that takes effect at a restart only.
+//! Changes of a deployment file that take effect at a restart only.
 
 use crate::reader::{DeploymentFault, Document, Place};
 
 /// Sections that can be replaced while a front end runs.
 const REPLACEABLE: [&str; 4] = ["triggerTypes", "customers", "functions", "otherFunctions"];
 
-/// Names every section that differs between two texts and takes effect at a restart only, with its place in the text
-/// `after`. Values are compared as they are written, without comments and spaces: `1s` and `1000ms` differ.
+/// Every section that differs between two texts and takes effect at a restart only, with its place in `after`. Values
+/// are compared as text, without comments and spaces: `1s` and `1000ms` differ.
 ///
-/// Both texts should have been read without faults; of one that isn't a document the syntax fault is told.
+/// Both texts should have been parsed without faults; of one that isn't a document the syntax fault is returned.
 pub fn restart_needed(before: &str, after: &str) -> Vec<DeploymentFault> {
     let (old, new) = (Document::new(before), Document::new(after));
     let Some(old_value) = old.parse() else {
@@ -21,9 +21,9 @@
     let root = new.root(&new_value);
     let new_sections = root.entries();
     for (name, place) in &new_sections {
-        let known = old_sections.iter().find(|(known, _)| known == name);
+        let before = old_sections.iter().find(|(before, _)| before == name);
         if !REPLACEABLE.contains(&name.as_str())
-            && known.is_none_or(|(_, known)| differ(known, place))
+            && before.is_none_or(|(_, before)| differ(before, place))
         {
             place
                 .fault("has changed, which takes effect at a restart only; restart, or take the change back");
@@ -31,7 +31,7 @@
     }
     for (name, _) in &old_sections {
         if !REPLACEABLE.contains(&name.as_str())
-            && !new_sections.iter().any(|(kept, _)| kept == name)
+            && !new_sections.iter().any(|(remaining, _)| remaining == name)
         {
             root.fault(format!(
                 "'{name}' was taken out, which takes effect at a restart only; restart, or put it back"
@@ -42,5 +42,5 @@
 }
 
 fn differ(before: &Place, after: &Place) -> bool {
-    before.written() != after.written()
+    before.canonical_text() != after.canonical_text()
 }
--- a/crates/deployment/src/functions.rs
+++ b/crates/deployment/src/functions.rs
@@ -1,38 +1,92 @@
-//! Functions, their versions and aliases.
+//! The `functions` and `otherFunctions` sections: functions, their versions and aliases.
 
 use crate::reader::{Fields, Place};
-use crate::{Function, Version, key};
-use std::collections::BTreeMap;
+use sha2::{Digest, Sha256};
+use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
+/// What runs under a function's name. Replicas, placements and reports are of a version.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Version {
+    /// SHA-256 of its package in hexadecimal digits; empty where the file names none.
+    pub digest: Rc<str>,
+    /// The number by which all front ends know it.
+    pub key: u64,
+    /// Invocations that one replica runs at a time.
+    pub concurrency: f64,
+    /// Bytes of memory of a replica.
+    pub memory: f64,
+    /// Usual seconds of a load, where given.
+    pub load_time: Option<f64>,
+    /// Usual seconds of work of an invocation, where given.
+    pub expected_work: Option<f64>,
+}
+
+/// A function, its versions and their aliases.
+#[derive(Clone, Debug)]
+pub struct Function {
+    /// Its name.
+    pub name: Rc<str>,
+    /// Its versions; one without a digest where the file lists none.
+    pub versions: Rc<[Version]>,
+    /// Names of versions, each with an index into `versions`.
+    pub aliases: Rc<BTreeMap<String, usize>>,
+}
+
+impl Function {
+    /// A version by an alias, or by a digest with or without `sha256:` before it.
+    pub fn version(&self, name: &str) -> Option<&Version> {
+        let aliased = self.aliases.get(name);
+        let by_alias = aliased.and_then(|&index| self.versions.get(index));
+        let digest = name.strip_prefix("sha256:").unwrap_or(name);
+        by_alias.or_else(|| {
+            let mut versions = self.versions.iter();
+            versions.find(|version| *version.digest == *digest)
+        })
+    }
+}
+
+/// The number by which all front ends know a function: the first bytes of its name's SHA-256.
+pub fn function_key(name: &str) -> u64 {
+    let digest = Sha256::digest(name.as_bytes());
+    u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
+}
+
 /// The longest name of a function.
 const MAX_NAME_BYTES: usize = 256;
-const VERSION: [&str; 4] = ["lanes", "memory", "loadTime", "work"];
+/// The longest alias.
+const MAX_ALIAS_BYTES: usize = 64;
+/// The alias of the version that invocations without one get.
+const DEFAULT_ALIAS: &str = "stable";
+const VERSION_KEYS: [&str; 4] = ["lanes", "memory", "loadTime", "work"];
+/// Bytes of memory of a replica where the file gives none.
+const DEFAULT_MEMORY: f64 = 256e6;
 
-/// What a version has; what its function has where it says nothing itself.
-fn version(fields: &Fields, key: u64, digest: Rc<str>, of: Option<&Version>) -> Version {
+/// Reads a version. What it leaves out it has from its function, if that is given.
+fn read_version(fields: &Fields, key: u64, digest: Rc<str>, function: Option<&Version>) -> Version {
+    let concurrency = fields.optional("lanes", |place| place.integer(1..=100_000));
+    let memory = fields.optional("memory", |place| place.bytes(1.0..=1e13));
+    let load_time = fields.optional("loadTime", |place| place.seconds(0.001..=600.0));
+    let expected_work = fields.optional("work", |place| place.seconds(1e-6..=3_600.0));
     Version {
         digest,
         key,
-        lanes: fields
-            .maybe("lanes", |p| p.whole(1..=100_000))
-            .map_or_else(|| of.map_or(1.0, |v| v.lanes), f64::from),
-        memory: fields
-            .maybe("memory", |p| p.bytes(1.0..=1e13))
-            .unwrap_or_else(|| of.map_or(256e6, |v| v.memory)),
-        load_time: fields
-            .maybe("loadTime", |p| p.seconds(0.001..=600.0))
-            .or_else(|| of.and_then(|v| v.load_time)),
-        work: fields
-            .maybe("work", |p| p.seconds(1e-6..=3_600.0))
-            .or_else(|| of.and_then(|v| v.work)),
+        concurrency: concurrency
+            .map(f64::from)
+            .or(function.map(|version| version.concurrency))
+            .unwrap_or(1.0),
+        memory: memory
+            .or(function.map(|version| version.memory))
+            .unwrap_or(DEFAULT_MEMORY),
+        load_time: load_time.or_else(|| function?.load_time),
+        expected_work: expected_work.or_else(|| function?.expected_work),
     }
 }
 
-/// Checks a version's digest as it is written in configuration, and gives its digits.
+/// Checks a version's digest as it is written in configuration, and returns its digits.
 ///
 /// # Errors
-/// Tells what is wanted.
+/// What is wanted instead.
 pub fn check_digest(text: &str) -> Result<&str, &'static str> {
     let digits = text
         .strip_prefix("sha256:")
@@ -51,86 +105,125 @@
 /// Checks a function's name.
 ///
 /// # Errors
-/// Tells what is wanted.
+/// What is wanted instead.
 pub fn check_function_name(name: &str) -> Result<(), &'static str> {
-    let is_odd = |c: char| c == '/' || c == '@' || c.is_whitespace() || c.is_control();
-    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains(is_odd) {
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains(is_forbidden) {
         return Err("1 to 256 bytes, without '/', '@' and spaces");
     }
     Ok(())
 }
 
-fn digest(text: &str) -> Result<Rc<str>, &'static str> {
+fn parse_digest(text: &str) -> Result<Rc<str>, &'static str> {
     check_digest(text).map(Rc::from)
 }
 
-pub(crate) fn function(place: &Place, named: bool) -> Option<Function> {
-    let mut keys = VERSION.to_vec();
-    if named {
-        keys.extend(["name", "versions", "aliases"]);
+/// Reads the functions that are listed, and the template of those that are not.
+pub(crate) fn read_functions(top: &Fields) -> (HashMap<Rc<str>, Function>, Option<Function>) {
+    let mut functions = HashMap::new();
+    for place in top.at("functions").list() {
+        let Some(function) = read_named_function(&place) else {
+            continue;
+        };
+        if let Some(other) = functions.insert(function.name.clone(), function) {
+            place.fault(format!("there are two functions '{}'", other.name));
+        }
+    }
+    let other_functions = top.optional("otherFunctions", |place| {
+        let fields = place.object(&VERSION_KEYS);
+        Some(read_function(&fields, String::new()))
+    });
+    if !top.at("functions").is_given() && !top.at("otherFunctions").is_given() {
+        top.at("functions")
+            .fault("is missing; list functions, or say under 'otherFunctions' what any has");
     }
+    (functions, other_functions)
+}
+
+fn read_named_function(place: &Place) -> Option<Function> {
+    let mut keys = VERSION_KEYS.to_vec();
+    keys.extend(["name", "versions", "aliases"]);
     let fields = place.object(&keys);
-    let name = if named {
-        fields.at("name").text()?
-    } else {
-        String::new()
-    };
-    let odd = |c: char| c == '/' || c == '@' || c.is_whitespace() || c.is_control();
-    if name.len() > MAX_NAME_BYTES || name.chars().any(odd) {
+    let name = fields.at("name").text()?;
+    if name.len() > MAX_NAME_BYTES || name.contains(is_forbidden) {
         fields
             .at("name")
             .fault("256 bytes at most, without '/', '@' and spaces, are wanted");
     }
-    let whole = version(&fields, key(&name), "".into(), None);
+    Some(read_function(&fields, name))
+}
+
+fn read_function(fields: &Fields, name: String) -> Function {
+    let unversioned = read_version(fields, function_key(&name), "".into(), None);
+    let mut versions = read_versions(fields, &name, &unversioned);
+    let mut aliases = read_aliases(fields, &versions);
+    if versions.is_empty() {
+        versions.push(unversioned);
+        aliases.insert(DEFAULT_ALIAS.into(), 0);
+    } else if !aliases.contains_key(DEFAULT_ALIAS) {
+        fields
+            .at("aliases")
+            .fault("'stable' is missing: it names the version that plain invocations get");
+    }
+    Function {
+        name: name.into(),
+        versions: versions.into(),
+        aliases: aliases.into(),
+    }
+}
+
+fn read_versions(fields: &Fields, name: &str, function: &Version) -> Vec<Version> {
     let mut versions: Vec<Version> = vec![];
-    for p in fields.at("versions").list() {
-        let f = p.object(&["digest", "lanes", "memory", "loadTime", "work"]);
-        let Some(digest) = f.at("digest").parsed("a digest", digest) else {
+    for place in fields.at("versions").list() {
+        let fields = place.object(&["digest", "lanes", "memory", "loadTime", "work"]);
+        let digest = fields.at("digest");
+        let Some(parsed) = digest.parsed("a digest", parse_digest) else {
             continue;
         };
-        if versions.iter().any(|v| v.digest == digest) {
-            f.at("digest").fault("this version is listed twice");
+        if versions.iter().any(|version| version.digest == parsed) {
+            digest.fault("this version is listed twice");
         }
-        let key = key(&format!("{name}@{digest}"));
-        versions.push(version(&f, key, digest, Some(&whole)));
+        let key = function_key(&format!("{name}@{parsed}"));
+        versions.push(read_version(&fields, key, parsed, Some(function)));
     }
+    versions
+}
+
+fn read_aliases(fields: &Fields, versions: &[Version]) -> BTreeMap<String, usize> {
     let mut aliases = BTreeMap::new();
-    if fields.at("aliases").is_given() {
-        if versions.is_empty() {
-            fields
-                .at("aliases")
-                .fault("there are no versions for them to name; list some under 'versions'");
+    let place = fields.at("aliases");
+    if !place.is_given() {
+        return aliases;
+    }
+    if versions.is_empty() {
+        place.fault("there are no versions for them to name; list some under 'versions'");
+    }
+    for (alias, place) in place.entries() {
+        if !is_alias(&alias) {
+            place.fault(
+                "an alias has 1 to 64 letters, without '/', '@', spaces and a leading 'sha256:'",
+            );
         }
-        for (alias, p) in fields.at("aliases").entries() {
-            if alias.is_empty()
-                || alias.len() > 64
-                || alias.starts_with("sha256:")
-                || alias.contains(odd)
-            {
-                p.fault("an alias has 1 to 64 letters, without '/', '@', spaces and a leading 'sha256:'");
-            }
-            let Some(digest) = p.parsed("a digest", digest) else {
-                continue;
-            };
-            match versions.iter().position(|v| v.digest == digest) {
-                Some(n) => {
-                    aliases.insert(alias, n);
-                }
-                None => p.fault("no version of this function has this digest"),
+        let Some(digest) = place.parsed("a digest", parse_digest) else {
+            continue;
+        };
+        match versions.iter().position(|version| version.digest == digest) {
+            Some(index) => {
+                aliases.insert(alias, index);
             }
+            None => place.fault("no version of this function has this digest"),
         }
     }
-    if versions.is_empty() {
-        versions.push(whole);
-        aliases.insert("stable".into(), 0);
-    } else if !aliases.contains_key("stable") {
-        fields
-            .at("aliases")
-            .fault("'stable' is missing: it names the version that plain invocations get");
-    }
-    Some(Function {
-        name: name.into(),
-        versions: versions.into(),
-        aliases: aliases.into(),
-    })
+    aliases
+}
+
+fn is_alias(text: &str) -> bool {
+    !text.is_empty()
+        && text.len() <= MAX_ALIAS_BYTES
+        && !text.starts_with("sha256:")
+        && !text.contains(is_forbidden)
+}
+
+/// Characters that separate the parts of a path or of a versioned name.
+fn is_forbidden(character: char) -> bool {
+    character == '/' || character == '@' || character.is_whitespace() || character.is_control()
 }
--- /dev/null
+++ b/crates/deployment/src/journal.rs
@@ -0,0 +1,66 @@
+//! The `journal` section: where durable invocations are kept, and for how long.
+
+use crate::reader::Fields;
+use crate::{INDEX_PLACEHOLDER, MISSING_INDEX_FAULT, TriggerTypeSettings};
+use std::path::PathBuf;
+
+const DEFAULT_MAX_BYTES: f64 = 268_435_456.0;
+const DEFAULT_RETENTION: f64 = 3_600.0;
+const DEFAULT_MAX_RETAINED: u32 = 100_000;
+
+/// The journal of durable invocations.
+#[derive(Clone, Debug)]
+pub struct JournalSettings {
+    /// The path of the folder, with a placeholder for the front end's index.
+    folder: String,
+    /// With more bytes of entries and state nothing new is accepted.
+    pub max_bytes: u64,
+    /// Seconds for which an answer is kept.
+    pub retention: f64,
+    /// Answers that are kept at most.
+    pub max_retained: usize,
+}
+
+impl JournalSettings {
+    /// The folder of one front end.
+    pub fn folder(&self, front_end: u32) -> PathBuf {
+        self.folder
+            .replace(INDEX_PLACEHOLDER, &front_end.to_string())
+            .into()
+    }
+}
+
+/// Reads the section; it has to be there where a trigger type is durable.
+pub(crate) fn read_journal(
+    top: &Fields,
+    front_ends: u32,
+    trigger_types: &[TriggerTypeSettings],
+) -> Option<JournalSettings> {
+    let place = top.at("journal");
+    if !place.is_given() {
+        let mut durable = trigger_types.iter().filter(|settings| settings.is_durable);
+        if let Some(settings) = durable.next() {
+            place.fault(format!(
+                "is missing; the trigger type '{}' is journalled",
+                settings.name
+            ));
+        }
+        return None;
+    }
+    let fields = place.object(&["folder", "maxBytes", "keep", "mostKept"]);
+    let folder = fields.at("folder").text();
+    let is_shared = |path: &String| front_ends > 1 && !path.contains(INDEX_PLACEHOLDER);
+    if folder.as_ref().is_some_and(is_shared) {
+        fields.at("folder").fault(MISSING_INDEX_FAULT);
+    }
+    let folder = folder?;
+    let max_bytes = fields.optional("maxBytes", |place| place.bytes(65_536.0..=1e12));
+    let retention = fields.optional("keep", |place| place.seconds(1.0..=2_592_000.0));
+    let max_retained = fields.optional("mostKept", |place| place.integer(1..=10_000_000));
+    Some(JournalSettings {
+        folder,
+        max_bytes: max_bytes.unwrap_or(DEFAULT_MAX_BYTES) as u64,
+        retention: retention.unwrap_or(DEFAULT_RETENTION),
+        max_retained: max_retained.unwrap_or(DEFAULT_MAX_RETAINED) as usize,
+    })
+}
--- /dev/null
+++ b/crates/deployment/src/limits.rs
@@ -0,0 +1,116 @@
+//! The `limits` section: what a front end grants its clients and opens to executors.
+
+use crate::TriggerTypeSettings;
+use crate::reader::Fields;
+use orchidtally_dispatch_policy::interface::TriggerType;
+use std::ops::RangeInclusive;
+
+/// The keys of the section; some of them are read into the policy's configuration.
+pub(crate) const LIMIT_KEYS: [&str; 16] = [
+    "maxDispatches",
+    "secondCopies",
+    "cancel",
+    "maxRetryAfter",
+    "openInvocations",
+    "connections",
+    "headerBytes",
+    "bodyBytes",
+    "answerBytes",
+    "senderTime",
+    "answerMargin",
+    "answerTime",
+    "streamsPerConnection",
+    "connectionsPerExecutor",
+    "connectTime",
+    "idleClose",
+];
+
+/// HTTP libraries want header buffers of at least, and at most, so many bytes.
+const HEADER_BYTES_RANGE: RangeInclusive<f64> = 8_192.0..=1e6;
+
+/// Bounds of a front end. Times are in seconds.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Invocations without a final answer.
+    pub max_open_invocations: usize,
+    /// Connections from clients.
+    pub max_connections: usize,
+    /// Bytes of a request's headers.
+    pub max_header_bytes: u32,
+    /// Bytes of a request's body.
+    pub max_body_bytes: usize,
+    /// Bytes of a response's body.
+    pub max_response_bytes: usize,
+    /// Within which a client has to have sent headers, and then the body.
+    pub request_read_timeout: f64,
+    /// How much earlier than the client timeout a response is sent.
+    pub response_margin: f64,
+    /// How much earlier still for each open invocation, since responses that are due together are sent one by one.
+    pub response_margin_per_open: f64,
+    /// HTTP/2 streams on one connection to an executor.
+    pub max_streams_per_connection: usize,
+    /// Connections to one executor.
+    pub max_connections_per_executor: usize,
+    /// Within which a connection to an executor has to be made.
+    pub connect_timeout: f64,
+    /// After which an idle connection to an executor is closed.
+    pub idle_timeout: f64,
+    /// After which a load command without an answer is given up.
+    pub load_command_timeout: f64,
+}
+
+/// Reads the bounds.
+pub(crate) fn read_limits(limits: &Fields, loading: &Fields) -> Limits {
+    let count = |key, range, absent: u32| {
+        let read = limits.optional(key, |place| place.integer(range));
+        read.unwrap_or(absent) as usize
+    };
+    let bytes = |key, absent| {
+        let read = limits.optional(key, |place| place.bytes(1.0..=1e10));
+        read.unwrap_or(absent)
+    };
+    let time = |key, max, absent| {
+        let read = limits.optional(key, |place| place.seconds(0.001..=max));
+        read.unwrap_or(absent)
+    };
+    let header_bytes =
+        |bytes: f64| bytes.clamp(*HEADER_BYTES_RANGE.start(), *HEADER_BYTES_RANGE.end()) as u32;
+    Limits {
+        max_open_invocations: count("openInvocations", 1..=10_000_000, 20_000),
+        max_connections: count("connections", 1..=1_000_000, 10_000),
+        max_header_bytes: header_bytes(bytes("headerBytes", 16_384.0)),
+        max_body_bytes: bytes("bodyBytes", 1_048_576.0) as usize,
+        max_response_bytes: bytes("answerBytes", 4_194_304.0) as usize,
+        request_read_timeout: time("senderTime", 600.0, 10.0),
+        response_margin: time("answerMargin", 5.0, 0.025),
+        response_margin_per_open: limits
+            .optional("answerTime", |place| place.seconds(0.0..=0.01))
+            .unwrap_or(40e-6),
+        max_streams_per_connection: count("streamsPerConnection", 1..=100_000, 100),
+        max_connections_per_executor: count("connectionsPerExecutor", 1..=10_000, 4),
+        connect_timeout: time("connectTime", 60.0, 0.25),
+        idle_timeout: time("idleClose", 86_400.0, 15.0),
+        load_command_timeout: loading
+            .optional("answerWithin", |place| place.seconds(0.01..=3_600.0))
+            .unwrap_or(10.0),
+    }
+}
+
+/// Every client timeout has to leave time beside the margin.
+pub(crate) fn check_response_margin(
+    fields: &Fields,
+    limits: &Limits,
+    names: &[TriggerTypeSettings],
+    trigger_types: &[TriggerType],
+) {
+    let too_short = names
+        .iter()
+        .zip(trigger_types)
+        .find(|(_, trigger_type)| trigger_type.client_timeout <= 2.0 * limits.response_margin);
+    if let Some((settings, trigger_type)) = too_short {
+        fields.at("answerMargin").fault(format!(
+            "leaves no time: the client timeout of '{}' is {} s, more than twice the margin is wanted",
+            settings.name, trigger_type.client_timeout
+        ));
+    }
+}
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -1,12 +1,12 @@
-//! The `regions` section: which locations stand near each other. Without it functions are placed anywhere.
+//! The `regions` section: which locations are near each other. Without it functions are placed anywhere.
 
 use crate::reader::{Fields, Place};
 
 /// Regions at the most: as many as locations.
 const MAX_REGIONS: usize = 250;
 
-/// Reads the section: the region of each location, by the location's number; empty where none is told.
-pub(crate) fn regions(top: &Fields, locations: &[String]) -> Vec<Option<u8>> {
+/// Reads the region of each location, by the location's index; empty where the section is left out.
+pub(crate) fn read_regions(top: &Fields, locations: &[String]) -> Vec<Option<u8>> {
     let section = top.at("regions");
     if !section.is_given() {
         return vec![];
@@ -30,7 +30,7 @@
         names: vec![],
         of_locations: vec![None; locations.len()],
     };
-    list.iter().for_each(|place| reader.region(place));
+    list.iter().for_each(|place| reader.read_region(place));
     for (name, region) in locations.iter().zip(&reader.of_locations) {
         if region.is_none() {
             section.fault(format!(
@@ -41,15 +41,17 @@
     reader.of_locations
 }
 
-/// What was read so far.
+/// Reads regions one by one.
 struct Reader<'a> {
     locations: &'a [String],
+    /// Names of the regions read so far.
     names: Vec<String>,
+    /// The region of each location.
     of_locations: Vec<Option<u8>>,
 }
 
 impl Reader<'_> {
-    fn region(&mut self, place: &Place) {
+    fn read_region(&mut self, place: &Place) {
         let fields = place.object(&["name", "locations"]);
         let number = self.names.len();
         let name = fields
@@ -70,17 +72,17 @@
         }
         members
             .iter()
-            .for_each(|member| self.location(member, number));
+            .for_each(|member| self.read_location(member, number));
     }
 
-    fn location(&mut self, place: &Place, region: usize) {
+    fn read_location(&mut self, place: &Place, region: usize) {
         let names: Vec<(&str, usize)> = self
             .locations
             .iter()
             .enumerate()
             .map(|(number, name)| (name.as_str(), number))
             .collect();
-        let Some(location) = place.one_of(&names) else {
+        let Some(location) = place.choice(&names) else {
             return;
         };
         match self.of_locations[location] {
--- a/crates/deployment/tests/configuration.rs
+++ b/crates/deployment/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! The section of the store that configuration comes from.
 
-use orchidtally_deployment::{Deployment, WithoutView};
+use orchidtally_deployment::{Deployment, UnsyncedBehavior};
 use std::path::PathBuf;
 
 const EXAMPLE: &str = include_str!("../../../examples/deployments/ferry-lines.json5");
@@ -16,13 +16,13 @@
 }
 
 fn faults(section: &str) -> Vec<String> {
-    let faults = Deployment::read(&with_section(section)).expect_err(section);
+    let faults = Deployment::parse(&with_section(section)).expect_err(section);
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn the_example_is_sound_and_without_the_section_there_is_no_store() {
-    let deployment = Deployment::read(EXAMPLE).expect("the example is sound");
+    let deployment = Deployment::parse(EXAMPLE).expect("the example is sound");
     let read = deployment.configuration.expect("it has the section");
     assert_eq!(
         (read.endpoints.len(), read.prefix.as_str()),
@@ -33,17 +33,17 @@
         PathBuf::from("/var/lib/orchidtally/config-2.snapshot")
     );
     assert_eq!(
-        (read.freshness, read.in_force_within, read.prove_every),
+        (read.freshness, read.in_force_within, read.proof_interval),
         (15.0, 18.0, 3.0)
     );
     assert_eq!(
         (read.bytes_per_second, read.burst, read.lease),
         (9_000.0, 2_500.0, 10.0)
     );
-    assert_eq!(read.without_view, WithoutView::Refuse);
+    assert_eq!(read.without_view, UnsyncedBehavior::Refuse);
     let without = include_str!("../../../examples/deployments/one-machine.json5");
     assert!(
-        Deployment::read(without)
+        Deployment::parse(without)
             .expect("sound")
             .configuration
             .is_none()
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -1,6 +1,6 @@
 //! Descriptions that are sound, and what is said of those that are not.
 
-use orchidtally_deployment::{Deployment, EndpointSource, key};
+use orchidtally_deployment::{Deployment, EndpointSource, function_key};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,12 +14,15 @@
 #[test]
 fn the_examples_are_sound() {
     let [one, cranes, print] =
-        EXAMPLES.map(|text| Deployment::read(text).expect("an example is sound"));
-    let EndpointSource::Listed(rows) = &one.source else {
+        EXAMPLES.map(|text| Deployment::parse(text).expect("an example is sound"));
+    let EndpointSource::Listed(rows) = &one.endpoint_source else {
         panic!("its executors are listed")
     };
     assert!(rows[0].executor.0.is_ipv4() && rows[1].executor.0.is_ipv6());
-    assert_eq!(one.function("any").unwrap().versions[0].key, key("any"));
+    assert_eq!(
+        one.function("any").unwrap().versions[0].key,
+        function_key("any")
+    );
     assert_eq!(
         (cranes.policy.front_ends, cranes.policy.polls_endpoints),
         (6.0, true)
@@ -43,7 +46,7 @@
         ([80.0, 40.0, 15.0].as_slice(), 1.0)
     );
     assert!(
-        print.trigger_types[0].streams
+        print.trigger_types[0].streams_responses
             && print.policy.rejects_unloaded
             && print.policy.allows_hedging
     );
@@ -67,7 +70,7 @@
   safty: {},
   limits: { bodyBytes: "1 parsec", cancel: "yes" },
 }"#;
-    let faults = Deployment::read(text).expect_err("it is full of faults");
+    let faults = Deployment::parse(text).expect_err("it is full of faults");
     let told: Vec<String> = faults.iter().map(|f| f.to_string()).collect();
     let expected = [
         "2:11: listen: 'nowhere' is not an address and port",
@@ -108,10 +111,10 @@
             "name: \"one-machine\"",
             "name: \"x\", locations: [\"here\", \"there\"]",
         );
-    let faults = Deployment::read(&text).expect_err("nobody is there");
+    let faults = Deployment::parse(&text).expect_err("nobody is there");
     assert_eq!(faults.len(), 1, "{faults:?}");
     assert!(
-        faults[0].what.contains("no executor is in 'there'"),
+        faults[0].message.contains("no executor is in 'there'"),
         "{faults:?}"
     );
 }
@@ -141,7 +144,7 @@
         let to = to.index(text.len());
         text.splice(to..to, part);
         let text: String = text.into_iter().collect();
-        if let Err(faults) = Deployment::read(&text) {
+        if let Err(faults) = Deployment::parse(&text) {
             prop_assert!(!faults.is_empty());
             let lines = text.lines().count() + 1;
             prop_assert!(
--- a/crates/deployment/tests/regions.rs
+++ b/crates/deployment/tests/regions.rs
@@ -16,13 +16,13 @@
 }
 
 fn faults(section: &str) -> Vec<String> {
-    let faults = Deployment::read(&with_section(section)).expect_err(section);
+    let faults = Deployment::parse(&with_section(section)).expect_err(section);
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn the_example_is_sound() {
-    let deployment = Deployment::read(EXAMPLE).expect("the example is sound");
+    let deployment = Deployment::parse(EXAMPLE).expect("the example is sound");
     assert_eq!(deployment.locations, ["east-port", "west-port", "island"]);
     assert_eq!(deployment.policy.zone_regions, [Some(0), Some(0), Some(1)]);
     assert_eq!(deployment.policy.zone, 2);
@@ -30,14 +30,14 @@
 
 #[test]
 fn it_may_be_left_out() {
-    let deployment = Deployment::read(&with_section("")).expect("sound");
+    let deployment = Deployment::parse(&with_section("")).expect("sound");
     assert!(deployment.policy.zone_regions.is_empty());
 }
 
 #[test]
 fn locations_are_found_by_their_names() {
     let section = r#"regions: [{ name: "r", locations: ["south"] }, { name: "s", locations: ["west", "east"] }],"#;
-    let deployment = Deployment::read(&with_section(section)).expect("sound");
+    let deployment = Deployment::parse(&with_section(section)).expect("sound");
     assert_eq!(deployment.policy.zone_regions, [Some(1), Some(1), Some(0)]);
 }
 
--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -4,7 +4,7 @@
 use super::hub_target::HubConfig;
 use super::overlay::{ConfigView, FUNCTIONS, QUOTAS, TRIGGER_TYPES};
 use orchidtally_config_sync::Verdict;
-use orchidtally_deployment::WithoutView;
+use orchidtally_deployment::UnsyncedBehavior;
 use std::rc::Rc;
 use thiserror::Error;
 
@@ -64,7 +64,7 @@
 /// Asks the core's verdict on invocations.
 pub struct Admission {
     pub(super) host: Rc<HubConfig>,
-    pub(super) without_view: WithoutView,
+    pub(super) without_view: UnsyncedBehavior,
     /// When a client may ask again, in seconds.
     pub(super) retry_after: f64,
 }
@@ -97,7 +97,7 @@
                 age,
                 retry_after,
             }),
-            Verdict::NotLoaded if self.without_view == WithoutView::Serve => None,
+            Verdict::NotLoaded if self.without_view == UnsyncedBehavior::Serve => None,
             Verdict::NotLoaded => Some(Refusal::NotLoaded { retry_after }),
         }
     }
--- a/crates/http-frontend/src/config/hub_target.rs
+++ b/crates/http-frontend/src/config/hub_target.rs
@@ -99,14 +99,14 @@
         prefix: configuration.prefix.clone(),
         freshness_bound: configuration.freshness,
         in_force_limit: configuration.in_force_within,
-        barrier_interval: configuration.prove_every,
-        audit_interval: configuration.compare_every,
+        barrier_interval: configuration.proof_interval,
+        audit_interval: configuration.comparison_interval,
         read_bytes_per_second: configuration.bytes_per_second,
         read_burst: configuration.burst,
         page_bytes: usual.page_bytes.min(configuration.burst),
-        spread: configuration.spread,
-        report_interval: configuration.report_every,
-        snapshot_interval: configuration.snapshot_every,
+        spread: configuration.max_start_delay,
+        report_interval: configuration.report_interval,
+        snapshot_interval: configuration.snapshot_interval,
         ..usual
     }
 }
@@ -133,7 +133,7 @@
     // Front ends spread over the members.
     (0..life % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
     let schema = DeploymentSchema {
-        answer_margin: hub.deployment.bounds.answer_margin,
+        answer_margin: hub.deployment.limits.response_margin,
     };
     let target = Rc::downgrade(hub);
     let sync = sync_settings(configuration);
@@ -141,7 +141,7 @@
     let admission = Admission {
         host: host.clone(),
         without_view: configuration.without_view,
-        retry_after: configuration.prove_every,
+        retry_after: configuration.proof_interval,
     };
     if hub.admission.set(admission).is_err() {
         // It is tied to a host already.
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -3,7 +3,7 @@
 
 use orchidtally_config_sync::View;
 use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, TriggerTypeSpec, VersionSpec};
-use orchidtally_deployment::{Deployment, Function, TriggerTypeSettings, Version, key};
+use orchidtally_deployment::{Deployment, Function, TriggerTypeSettings, Version, function_key};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -112,8 +112,8 @@
 fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (TriggerTypeSettings, TriggerType) {
     let trigger = TriggerTypeSettings {
         name: name.into(),
-        streams: false,
-        journalled: false,
+        streams_responses: false,
+        is_durable: false,
     };
     let policy = TriggerType {
         latency_objective: spec.objective,
@@ -155,11 +155,11 @@
 fn version(function: &str, spec: &VersionSpec) -> Version {
     let digest = spec.digest.strip_prefix("sha256:").unwrap_or(&spec.digest);
     Version {
-        key: key(&format!("{function}@{digest}")),
+        key: function_key(&format!("{function}@{digest}")),
         digest: digest.into(),
-        lanes: f64::from(spec.lanes),
+        concurrency: f64::from(spec.lanes),
         memory: spec.memory,
         load_time: spec.load_time.filter(|seconds| *seconds > 0.0),
-        work: spec.work,
+        expected_work: spec.work,
     }
 }
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -70,7 +70,7 @@
 
     /// Notes what the end of an exchange says of whether the executor is there.
     fn heard_of(&self, executor: ExecutorId, seen: Option<Transport>) {
-        if !matches!(self.deployment.source, EndpointSource::Etcd(_)) {
+        if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
         }
         match seen {
@@ -210,13 +210,16 @@
             took: began.elapsed().as_secs_f64(),
             warm: matches!(found, CopyState::Warm | CopyState::Unknown),
         };
-        let may_stream = dispatch.work.trigger_type.trigger.streams;
+        let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
         let (seen, brought) = match answer.ending() {
             v1::Ending::Ok if answer.streams && may_stream => (
                 self.stream_answer(dispatch, timing(), &mut incoming).await,
                 None,
             ),
-            v1::Ending::Ok => match incoming.whole(self.deployment.bounds.answer_bytes).await {
+            v1::Ending::Ok => match incoming
+                .whole(self.deployment.limits.max_response_bytes)
+                .await
+            {
                 Ok(chunks) => (
                     Transport::Answered(DispatchStatus::Ok),
                     Some(Brought::Whole(chunks)),
@@ -290,7 +293,7 @@
         incoming: &mut Incoming,
         parts: async_channel::Sender<Result<Bytes, CutOff>>,
     ) -> Transport {
-        let time = seconds(self.deployment.bounds.sender_time);
+        let time = seconds(self.deployment.limits.request_read_timeout);
         loop {
             let part = match orchidtally_socket_io::with_timeout(time, incoming.payload()).await {
                 Some(Ok(Some(part))) => Ok(part),
@@ -323,7 +326,7 @@
         function: u64,
         given_at: f64,
     ) {
-        let time = seconds(self.deployment.bounds.order_time);
+        let time = seconds(self.deployment.limits.load_command_timeout);
         // One that loads nothing may always go.
         let head = || {
             let may_leave =
--- a/crates/http-frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/hub/invocation.rs
@@ -214,8 +214,8 @@
             is_retry: asked.repeat,
             is_migrated: false,
             timeout_at: asked.timeout_at,
-            expected_work: version.work,
-            concurrency: version.lanes,
+            expected_work: version.expected_work,
+            concurrency: version.concurrency,
             load_time: version.load_time,
         };
         let work = Work {
@@ -275,7 +275,7 @@
         for ahead in due {
             let wish = orchidtally_dispatch_policy::interface::PrewarmRequest {
                 function: ahead.version.key,
-                concurrency: ahead.version.lanes,
+                concurrency: ahead.version.concurrency,
                 load_time: ahead.version.load_time,
                 replicas: ahead.copies,
             };
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -130,7 +130,7 @@
             let mut performer = Performer::new(hub.clone());
             let (policy, most) = (
                 deployment.policy.clone(),
-                deployment.bounds.open_invocations,
+                deployment.limits.max_open_invocations,
             );
             let engine = match random {
                 true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
@@ -169,7 +169,7 @@
                 at: Cell::new(None),
             }
         });
-        if let EndpointSource::Listed(rows) = &hub.deployment.source {
+        if let EndpointSource::Listed(rows) = &hub.deployment.endpoint_source {
             hub.play(|engine, now, performer| {
                 engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, performer)
             });
--- a/crates/http-frontend/src/hub/performer.rs
+++ b/crates/http-frontend/src/hub/performer.rs
@@ -77,13 +77,13 @@
     }
 
     fn pool(&mut self, hub: &Rc<Hub>, to: ExecutorId) -> Rc<Pool> {
-        let bounds = &hub.deployment.bounds;
+        let bounds = &hub.deployment.limits;
         let caps = Caps {
-            streams_per_connection: bounds.streams_per_connection,
-            connections: bounds.connections_per_executor,
-            connect_time: seconds(bounds.connect_time),
-            idle_close: seconds(bounds.idle_close),
-            header_bytes: bounds.header_bytes,
+            streams_per_connection: bounds.max_streams_per_connection,
+            connections: bounds.max_connections_per_executor,
+            connect_time: seconds(bounds.connect_timeout),
+            idle_close: seconds(bounds.idle_timeout),
+            header_bytes: bounds.max_header_bytes,
         };
         let new = || Pool::new(SocketAddr::new(to.0, to.1), caps, hub.spawner());
         self.pools.entry(to).or_insert_with(new).clone()
@@ -168,7 +168,7 @@
         info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "moved to the old version");
         (offer.function, offer.is_migrated) = (to.key, true);
         (offer.concurrency, offer.load_time, offer.expected_work) =
-            (to.lanes, to.load_time, to.work);
+            (to.concurrency, to.load_time, to.expected_work);
         let work = Rc::new(Work {
             name: work.name.clone(),
             function: work.function.clone(),
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -60,7 +60,7 @@
         ..
     } = asked_headers;
     let (payload, payload_bytes) = body(hub, incoming, content_length(&parts.headers)).await?;
-    let bounds = &hub.deployment.bounds;
+    let bounds = &hub.deployment.limits;
     let asked = Asked {
         name: invocation.clone(),
         function: function.name,
@@ -71,8 +71,8 @@
         token: token.unwrap_or_default(),
         repeat,
         timeout_at: arrived + time_left
-            - bounds.answer_margin
-            - hub.open() as f64 * bounds.answer_time,
+            - bounds.response_margin
+            - hub.open() as f64 * bounds.response_margin_per_open,
         payload,
         payload_bytes,
     };
@@ -80,7 +80,7 @@
     hub.check_admission(&revision, &asked.subject())
         .map_err(|why| not_taken(hub, why))?;
     let promised = match &hub.promise_store {
-        Some(promise_store) if trigger_type.trigger.journalled => {
+        Some(promise_store) if trigger_type.trigger.is_durable => {
             if !is_named {
                 let detail = format!(
                     "header '{INVOCATION}' is missing; this trigger type is journalled by it"
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -131,7 +131,7 @@
     leaving: async_channel::Receiver<()>,
     _open: ConnectionGuard,
 ) {
-    let time = Duration::from_secs_f64(hub.deployment.bounds.sender_time);
+    let time = Duration::from_secs_f64(hub.deployment.limits.request_read_timeout);
     let peer = stream.peer();
     if with_timeout(time, stream.readable()).await.is_none() {
         debug!(?peer, "closed a connection over which nothing came");
@@ -186,17 +186,17 @@
 
 /// The limits of a connection, which a client has this time to keep.
 fn connection_builder(hub: &Hub, time: Duration) -> auto::Builder<Spawner> {
-    let bounds = &hub.deployment.bounds;
+    let bounds = &hub.deployment.limits;
     let mut builder = auto::Builder::new(Spawner(hub.spawner()));
     builder
         .http1()
         .timer(SmolTimer::new())
         .header_read_timeout(time)
-        .max_buf_size(bounds.header_bytes as usize);
+        .max_buf_size(bounds.max_header_bytes as usize);
     builder
         .http2()
         .timer(SmolTimer::new())
-        .max_header_list_size(bounds.header_bytes)
+        .max_header_list_size(bounds.max_header_bytes)
         .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
         .keep_alive_interval(Some(time))
         .keep_alive_timeout(time);
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -48,16 +48,16 @@
     incoming: Incoming,
     content_length: Option<u64>,
 ) -> Result<(Vec<Bytes>, u64), Problem> {
-    let bounds = &hub.deployment.bounds;
+    let bounds = &hub.deployment.limits;
     let too_large = || {
-        let detail = format!("{} bytes at most are taken", bounds.body_bytes);
+        let detail = format!("{} bytes at most are taken", bounds.max_body_bytes);
         Problem::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is too large",
             detail,
         )
     };
-    if content_length.is_some_and(|n| n > bounds.body_bytes as u64) {
+    if content_length.is_some_and(|n| n > bounds.max_body_bytes as u64) {
         return Err(too_large());
     }
     let gather = async {
@@ -69,7 +69,7 @@
                 && !chunk.is_empty()
             {
                 length += chunk.len() as u64;
-                if length > bounds.body_bytes as u64 {
+                if length > bounds.max_body_bytes as u64 {
                     return Err(too_large());
                 }
                 chunks.push(chunk);
@@ -77,10 +77,10 @@
         }
         Ok((chunks, length))
     };
-    with_timeout(Duration::from_secs_f64(bounds.sender_time), gather)
+    with_timeout(Duration::from_secs_f64(bounds.request_read_timeout), gather)
         .await
         .unwrap_or_else(|| {
-            let detail = format!("it has to be here within {} s", bounds.sender_time);
+            let detail = format!("it has to be here within {} s", bounds.request_read_timeout);
             Err(Problem::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body came too slowly",
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -23,7 +23,7 @@
 /// The roster and the front ends, where they come from etcd.
 fn roster(hub: &Hub) -> serde_json::Value {
     if !matches!(
-        hub.deployment.source,
+        hub.deployment.endpoint_source,
         orchidtally_deployment::EndpointSource::Etcd(_)
     ) {
         return serde_json::Value::Null;
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -105,7 +105,7 @@
     stop: async_channel::Receiver<()>,
     (consuming, stop_consuming): (Option<Task<()>>, async_channel::Sender<()>),
 ) -> Counters {
-    let most = hub.deployment.bounds.connections;
+    let most = hub.deployment.limits.max_connections;
     let open = Rc::new(Cell::new(0));
     let (leave, leaving) = async_channel::bounded::<()>(1);
     let mut turned_away = 0u64;
--- a/crates/http-frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/promise_store.rs
@@ -64,7 +64,7 @@
         let folder = settings.folder(deployment.policy.front_end_index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
-        let promises = DurableInvocations::new(settings.keep, settings.most_kept, MAX_BODY)
+        let promises = DurableInvocations::new(settings.retention, settings.max_retained, MAX_BODY)
             .recover(&records, now);
         if !promises.is_empty() {
             info!(
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -29,7 +29,7 @@
 
 /// Round after round, for as long as the front end lives.
 pub async fn keep_up(hub: Rc<Hub>) {
-    let pause = Duration::from_secs_f64(hub.deployment.rollouts_asked);
+    let pause = Duration::from_secs_f64(hub.deployment.rollout_poll_interval);
     let mut reached = true;
     loop {
         let told = hub.shares.borrow_mut().report(hub.sender.get().incarnation);
--- a/crates/http-frontend/src/roster.rs
+++ b/crates/http-frontend/src/roster.rs
@@ -38,7 +38,7 @@
 /// A row as the module takes it, or why it can't.
 pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<Endpoint, String> {
     let address: SocketAddr = row.address.parse().map_err(|e| format!("{e}"))?;
-    if !deployment.allows(address) {
+    if !deployment.allows_address(address) {
         return Err("its address is in none of the allowed networks".into());
     }
     let place = |names: &[String], name: &str, what: &str| {
@@ -80,13 +80,13 @@
 }
 
 async fn follow(hub: &Rc<Hub>, address: SocketAddr) -> Result<std::convert::Infallible, Ended> {
-    let bounds = &hub.deployment.bounds;
+    let bounds = &hub.deployment.limits;
     let caps = Caps {
         streams_per_connection: 1,
         connections: 1,
-        connect_time: Duration::from_secs_f64(bounds.connect_time),
+        connect_time: Duration::from_secs_f64(bounds.connect_timeout),
         idle_close: Duration::ZERO,
-        header_bytes: bounds.header_bytes,
+        header_bytes: bounds.max_header_bytes,
     };
     let pool = Pool::new(address, caps, hub.spawner());
     let question = frame(&v1::RosterWatch {
--- a/crates/http-frontend/src/roster_source.rs
+++ b/crates/http-frontend/src/roster_source.rs
@@ -10,7 +10,7 @@
 /// Starts to follow the list of executors that the deployment names. A list in the deployment itself needs no
 /// following, and the one in etcd is followed for as long as the front end lives.
 pub fn watch(hub: &Rc<Hub>) -> Option<Task<()>> {
-    match &hub.deployment.source {
+    match &hub.deployment.endpoint_source {
         EndpointSource::Listed(_) => None,
         EndpointSource::Etcd(settings) => {
             info!(endpoints = ?settings.endpoints, "following the roster in etcd");
--- a/crates/http-frontend/tests/config_hosts.rs
+++ b/crates/http-frontend/tests/config_hosts.rs
@@ -164,7 +164,7 @@
         executors: { list: [{ address: "127.0.0.1:1" }] },
         configuration: { store: { endpoints: ["127.0.0.1:2"] }, snapshot: "s" },
     }"#;
-    let deployment = Deployment::read(text).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let deployment = Deployment::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"));
     let configuration = deployment.configuration.expect("it has the section");
     assert_eq!(sync_settings(&configuration), SyncSettings::default());
 }
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -131,7 +131,7 @@
         let at = listener.get_ref().local_addr().unwrap();
         let (stop, stopped) = async_channel::bounded(1);
         let thread = std::thread::spawn(move || {
-            let deployment = Deployment::read(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
+            let deployment = Deployment::parse(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
             let start = Start {
                 deployment,
                 seed,
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -162,7 +162,7 @@
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
     let thread = std::thread::spawn(move || {
-        let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+        let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
         let start = Start {
             deployment,
             seed: 5,
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -90,7 +90,7 @@
         let _logged = tracing_subscriber::util::SubscriberInitExt::set_default(
             lines.with_writer(move || writer.clone()).finish(),
         );
-        let deployment = Deployment::read(&text).unwrap();
+        let deployment = Deployment::parse(&text).unwrap();
         orchidtally_http_frontend::run(
             Start {
                 deployment,
--- a/crates/http-frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -254,10 +254,12 @@
     // The executor's own address is let out of the list once the file was checked.
     for (networks, expected) in [(within.clone(), 200), (within.replace(&own, "::1/128"), 0)] {
         if expected == 0 {
-            let faults = Deployment::read(&description(&networks, ""))
+            let faults = Deployment::parse(&description(&networks, ""))
                 .expect_err("the publisher is outside");
             assert!(
-                faults[0].what.contains("in none of the allowed networks"),
+                faults[0]
+                    .message
+                    .contains("in none of the allowed networks"),
                 "{faults:?}"
             );
             continue;
--- a/crates/mqtt-triggers/src/rules/parse.rs
+++ b/crates/mqtt-triggers/src/rules/parse.rs
@@ -96,18 +96,18 @@
         let is_function = |name: &str| self.deployment.function(name).is_some();
         let function = self.value(&fields.at("function"), &is_function, "function");
         let customer = self.customer();
-        let key = fields.maybe("key", |place| self.value(place, &|_| true, "key"));
+        let key = fields.optional("key", |place| self.value(place, &|_| true, "key"));
         let timeout = trigger_type.map_or(DEFAULT_TIMEOUT, |t| {
             self.deployment.policy.trigger_types[t].client_timeout
         });
-        let time_left = fields.maybe("timeLeft", |place| place.seconds(MIN_TIME_LEFT..=timeout));
-        let body_bytes = self.deployment.bounds.body_bytes;
-        let most_bytes = fields.maybe("maxBytes", |place| place.bytes(1.0..=body_bytes as f64));
-        let qos = fields.maybe("qos", |place| Qos::from_bits(place.whole(0..=2)? as u8));
+        let time_left = fields.optional("timeLeft", |place| place.seconds(MIN_TIME_LEFT..=timeout));
+        let body_bytes = self.deployment.limits.max_body_bytes;
+        let most_bytes = fields.optional("maxBytes", |place| place.bytes(1.0..=body_bytes as f64));
+        let qos = fields.optional("qos", |place| Qos::from_bits(place.integer(0..=2)? as u8));
         Some(Rule {
             payload_format: self.payload_format(),
-            token: fields.maybe("token", token_source),
-            sent_at: fields.maybe("sentAt", Place::text),
+            token: fields.optional("token", token_source),
+            sent_at: fields.optional("sentAt", Place::text),
             topic: self.topic?,
             function: function?,
             trigger_type: trigger_type?,
@@ -123,11 +123,13 @@
     fn trigger_type(&self) -> Option<usize> {
         let types = self.deployment.trigger_types.iter().enumerate();
         let names: Vec<(&str, usize)> = types.map(|(index, t)| (t.name.as_str(), index)).collect();
-        self.fields.at("triggerType").one_of(&names)
+        self.fields.at("triggerType").choice(&names)
     }
 
     fn check_streaming(&self, trigger_type: usize, reply_to: &ReplyTo) {
-        if self.deployment.trigger_types[trigger_type].streams && *reply_to != ReplyTo::Nowhere {
+        if self.deployment.trigger_types[trigger_type].streams_responses
+            && *reply_to != ReplyTo::Nowhere
+        {
             self.fields.at("triggerType").fault(
                 "its answers are streamed, which a message can't be; 'answer' would have to be 'none'",
             );
@@ -177,7 +179,7 @@
             ("json", PayloadFormat::Json),
         ];
         self.fields
-            .maybe("payload", |place| place.one_of(&formats))
+            .optional("payload", |place| place.choice(&formats))
             .unwrap_or(PayloadFormat::Bytes)
     }
 
--- a/crates/mqtt-triggers/src/section.rs
+++ b/crates/mqtt-triggers/src/section.rs
@@ -67,7 +67,7 @@
 
 /// Reads a deployment file with its `mqtt` section, if it has one, or returns every fault in both.
 pub fn read(text: &str) -> Result<(Deployment, Option<TriggerSettings>), Vec<DeploymentFault>> {
-    Deployment::read_with(text, |place, deployment| {
+    Deployment::parse_with(text, |place, deployment| {
         if place.is_given() {
             section(place, deployment)
         } else {
@@ -116,7 +116,7 @@
         .parsed("an address and port", str::parse);
     let versions = [("5", Version::V5), ("3.1.1", Version::V311)];
     let version = fields
-        .maybe("version", |p| p.one_of(&versions))
+        .optional("version", |p| p.choice(&versions))
         .unwrap_or(Version::V5);
     let client_id = match fields.at("clientId").is_given() {
         true => fields
@@ -125,7 +125,7 @@
             .map(|text| own(&fields.at("clientId"), text, deployment)),
         false => Some(format!("{}-{INDEX}", deployment.name)),
     };
-    let tls = fields.maybe("tls", tls);
+    let tls = fields.optional("tls", tls);
     let journal = fields.at("journal").object(&["folder", "maxBytes"]);
     let folder = journal
         .at("folder")
@@ -138,23 +138,32 @@
     }
     let answer_margin = answer_margin(&fields, &rules);
     let group = group(&fields);
-    let whole = |key, range, default: u32| fields.maybe(key, |p| p.whole(range)).unwrap_or(default);
-    let seconds =
-        |key, range, default: f64| fields.maybe(key, |p| p.seconds(range)).unwrap_or(default);
+    let whole = |key, range, default: u32| {
+        fields
+            .optional(key, |p| p.integer(range))
+            .unwrap_or(default)
+    };
+    let seconds = |key, range, default: f64| {
+        fields
+            .optional(key, |p| p.seconds(range))
+            .unwrap_or(default)
+    };
     let session_expiry = seconds("sessionExpiry", 60.0..=2_592_000.0, default::SESSION_EXPIRY);
     let keep_alive = seconds("keepAlive", 1.0..=3_600.0, default::KEEP_ALIVE);
     let largest_packet = fields
-        .maybe("largestPacket", |p| p.bytes(1_024.0..=2e8))
+        .optional("largestPacket", |p| p.bytes(1_024.0..=2e8))
         .unwrap_or(default::LARGEST_PACKET);
     let journal_bytes = journal
-        .maybe("maxBytes", |p| p.bytes(65_536.0..=1e12))
+        .optional("maxBytes", |p| p.bytes(65_536.0..=1e12))
         .unwrap_or(default::JOURNAL_BYTES);
     Some(TriggerSettings {
         broker: broker?,
         version,
         client_id: client_id?,
-        username: fields.maybe("username", Place::text),
-        password_file: fields.maybe("passwordFile", Place::text).map(PathBuf::from),
+        username: fields.optional("username", Place::text),
+        password_file: fields
+            .optional("passwordFile", Place::text)
+            .map(PathBuf::from),
         tls,
         group,
         keep_alive: keep_alive as u16,
@@ -184,7 +193,7 @@
 
 fn tls(place: &Place) -> Option<TlsSettings> {
     let fields = place.object(&["authorities", "certificate", "key", "name"]);
-    let path = |key| fields.maybe(key, Place::text).map(PathBuf::from);
+    let path = |key| fields.optional(key, Place::text).map(PathBuf::from);
     let identity = match (path("certificate"), path("key")) {
         (Some(certificate), Some(key)) => Some((certificate, key)),
         (None, None) => None,
@@ -203,13 +212,8 @@
 
 /// The topic to which messages that are set aside are copied, and after how many tries that is done.
 fn set_aside(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
-    let place = fields.at("setAside");
-    let fields = if place.is_given() {
-        place.object(&["topic", "after"])
-    } else {
-        fields.nothing("setAside")
-    };
-    let topic = fields.maybe("topic", Place::text);
+    let fields = fields.optional_object("setAside", &["topic", "after"]);
+    let topic = fields.optional("topic", Place::text);
     if let Some(topic) = &topic {
         if let Err(why) = check_topic(topic) {
             fields.at("topic").fault(format!("no topic: {why}"));
@@ -224,7 +228,7 @@
         }
     }
     let most_times = fields
-        .maybe("after", |p| p.whole(1..=1_000))
+        .optional("after", |p| p.integer(1..=1_000))
         .unwrap_or(default::MOST_TIMES);
     (topic, most_times)
 }
@@ -244,7 +248,7 @@
 
 fn answer_margin(fields: &Fields, rules: &Rules) -> f64 {
     let margin = fields
-        .maybe("answerMargin", |p| p.seconds(0.001..=60.0))
+        .optional("answerMargin", |p| p.seconds(0.001..=60.0))
         .unwrap_or(default::ANSWER_MARGIN);
     if let Some(rule) = rules
         .list
@@ -263,7 +267,7 @@
 
 fn group(fields: &Fields) -> String {
     let group = fields
-        .maybe("group", Place::text)
+        .optional("group", Place::text)
         .unwrap_or_else(|| default::GROUP.into());
     if group.contains(['/', '+', '#']) {
         fields.at("group").fault("must not have '/', '+' and '#'");
--- a/crates/mqtt-triggers/tests/deployment_keys.rs
+++ b/crates/mqtt-triggers/tests/deployment_keys.rs
@@ -95,20 +95,20 @@
 fn limits_have_the_values_of_their_keys() {
     let (deployment, _) = read(EVERY_KEY).expect("the fixture is sound");
     let Limits {
-        open_invocations,
-        connections,
-        header_bytes,
-        body_bytes,
-        answer_bytes,
-        sender_time,
-        answer_margin,
-        answer_time,
-        streams_per_connection,
-        connections_per_executor,
-        connect_time,
-        idle_close,
-        order_time,
-    } = deployment.bounds;
+        max_open_invocations: open_invocations,
+        max_connections: connections,
+        max_header_bytes: header_bytes,
+        max_body_bytes: body_bytes,
+        max_response_bytes: answer_bytes,
+        request_read_timeout: sender_time,
+        response_margin: answer_margin,
+        response_margin_per_open: answer_time,
+        max_streams_per_connection: streams_per_connection,
+        max_connections_per_executor: connections_per_executor,
+        connect_timeout: connect_time,
+        idle_timeout: idle_close,
+        load_command_timeout: order_time,
+    } = deployment.limits;
     assert_eq!(
         (open_invocations, connections, header_bytes),
         (101, 102, 16_000)
@@ -192,20 +192,20 @@
     let (deployment, section) = read(EVERY_KEY).expect("the fixture is sound");
     let store = deployment.configuration.expect("there is one");
     assert_eq!(
-        (store.freshness, store.in_force_within, store.prove_every),
+        (store.freshness, store.in_force_within, store.proof_interval),
         (16.0, 19.0, 4.0)
     );
     assert_eq!(
         (
-            store.compare_every,
-            store.report_every,
-            store.snapshot_every
+            store.comparison_interval,
+            store.report_interval,
+            store.snapshot_interval
         ),
         (200.0, 5.0, 201.0)
     );
     assert_eq!(
         (
-            store.spread,
+            store.max_start_delay,
             store.bytes_per_second,
             store.burst,
             store.lease
@@ -241,7 +241,10 @@
     let with = |executors: Value| {
         let mut file = every_key();
         file["executors"] = executors;
-        read(&file.to_string()).expect("it is sound").0.source
+        read(&file.to_string())
+            .expect("it is sound")
+            .0
+            .endpoint_source
     };
     let source = with(json!({"publisher": "127.0.0.1:7390"}));
     assert!(
--- a/crates/mqtt-triggers/tests/rules.rs
+++ b/crates/mqtt-triggers/tests/rules.rs
@@ -19,7 +19,7 @@
         functions: [{ name: "mist" }, { name: "shade" }],
         executors: { list: [{ address: "127.0.0.1:7001" }] },
     }"#;
-    Deployment::read(text).unwrap_or_else(|f| panic!("{f:?}"))
+    Deployment::parse(text).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
 const RULES: &str = r#"{ triggers: [
@@ -163,7 +163,7 @@
     }
     assert!(
         Rules::read("{ triggers: [] }", &d).unwrap_err()[0]
-            .what
+            .message
             .contains("at least one")
     );
 }
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -34,7 +34,7 @@
          functions: [{}], executors: {{ list: [{{ address: '127.0.0.1:7001' }}] }} }}",
         functions.join(", ")
     );
-    let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
+    let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
     let place = FrontEndLocation {
         index: 0,
         count: 1,
--- a/crates/rollout/benches/statistics.rs
+++ b/crates/rollout/benches/statistics.rs
@@ -182,7 +182,7 @@
          name: 'f', versions: [{{ digest: 'sha256:{old}' }}, {{ digest: 'sha256:{new}' }}], aliases: {{ stable: \
          'sha256:{old}', next: 'sha256:{new}' }} }}], executors: {{ list: [{{ address: '127.0.0.1:7001' }}] }} }}"
     );
-    let deployment = Deployment::read(&deployment).unwrap_or_else(|f| panic!("{f:?}"));
+    let deployment = Deployment::parse(&deployment).unwrap_or_else(|f| panic!("{f:?}"));
     let plan =
         "{ name: 'r', function: 'f', to: 'next', loadsPerSecond: 0.1, steps: [{ share: 1 }] }";
     let plan = Plan::read(plan, &deployment).unwrap_or_else(|f| panic!("{f:?}"));
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -48,8 +48,8 @@
 
 /// The copies that a share of a rate of invocations needs.
 pub fn copies_for(rate: f64, share: f64, version: &Version) -> u64 {
-    let work = version.work.unwrap_or(0.0);
-    (share * rate * work / (version.lanes * MAX_UTILIZATION))
+    let work = version.expected_work.unwrap_or(0.0);
+    (share * rate * work / (version.concurrency * MAX_UTILIZATION))
         .ceil()
         .max(1.0) as u64
 }
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -234,13 +234,13 @@
     ];
     let number = |key, range, default| {
         fields
-            .maybe(key, |place| place.number(range))
+            .optional(key, |place| place.number(range))
             .unwrap_or(default)
     };
-    let key = fields.maybe("key", key).unwrap_or(Key::Invocation);
+    let key = fields.optional("key", key).unwrap_or(Key::Invocation);
     let steps = steps(&fields, deployment);
     let gates = gates(&fields.at("gates"));
-    let rate = fields.maybe("rate", |place| place.number(1e-6..=1e7));
+    let rate = fields.optional("rate", |place| place.number(1e-6..=1e7));
     let plan = Plan {
         name: name?,
         function: function?,
@@ -252,15 +252,15 @@
         gates,
         false_alarm: number("falseAlarm", 1e-6..=0.1, 0.005),
         unjudged: fields
-            .maybe("unjudged", |place| place.one_of(&unjudged))
+            .optional("unjudged", |place| place.choice(&unjudged))
             .unwrap_or(Unjudged::Hold),
         loads_per_second: number("loadsPerSecond", 0.01..=1e4, 2.0),
         priority: fields
-            .maybe("priority", |place| place.whole(0..=1_000))
+            .optional("priority", |place| place.integer(0..=1_000))
             .unwrap_or(0),
         holdback: number("holdback", 0.0..=0.5, 0.05),
         keep_from: fields
-            .maybe("keepFrom", |place| place.seconds(0.0..=86_400.0))
+            .optional("keepFrom", |place| place.seconds(0.0..=86_400.0))
             .unwrap_or(60.0),
         rate,
     };
@@ -383,12 +383,12 @@
             customers: names(&f.at("customers"), &deployment.customers, "customer"),
             locations: names(&f.at("locations"), &deployment.locations, "location"),
             least_time: f
-                .maybe("leastTime", |p| p.seconds(0.0..=604_800.0))
+                .optional("leastTime", |p| p.seconds(0.0..=604_800.0))
                 .unwrap_or(60.0),
             least_evidence: f
-                .maybe("leastEvidence", |p| p.whole(0..=1_000_000_000))
+                .optional("leastEvidence", |p| p.integer(0..=1_000_000_000))
                 .map_or(100, u64::from),
-            longest: f.maybe("longest", |p| p.seconds(0.1..=2_592_000.0)),
+            longest: f.optional("longest", |p| p.seconds(0.1..=2_592_000.0)),
         };
         if let Some(longest) = step.longest.filter(|&l| l < step.least_time) {
             f.at("longest").fault(format!(
@@ -440,10 +440,10 @@
         let f = p.object(&["ratio", "action"]);
         let hold = &mut gates[gate.index()];
         hold.ratio = f
-            .maybe("ratio", |p| p.number(1.0..=100.0))
+            .optional("ratio", |p| p.number(1.0..=100.0))
             .unwrap_or(hold.ratio);
         let actions = [("back", Some(true)), ("hold", Some(false)), ("off", None)];
-        match f.maybe("action", |p| p.one_of(&actions)) {
+        match f.optional("action", |p| p.choice(&actions)) {
             Some(Some(takes_back)) => hold.takes_back = takes_back,
             Some(None) => hold.ratio = f64::INFINITY,
             None => {}
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -29,7 +29,7 @@
             executors: {{ list: [{{ address: "127.0.0.1:7001" }}] }},
         }}"#
     );
-    Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"))
+    Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
 pub fn plan_text(more: &str) -> String {
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -68,7 +68,7 @@
         functions.join(", "),
         executors.join(", ")
     );
-    Deployment::read(&text).unwrap_or_else(|f| panic!("{f:?}"))
+    Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
 struct Seen {
@@ -83,7 +83,7 @@
 
 fn shift(paced: bool, window: &str) -> Seen {
     let deployment = deployment(window);
-    let rows = match &deployment.source {
+    let rows = match &deployment.endpoint_source {
         orchidtally_deployment::EndpointSource::Listed(rows) => rows.clone(),
         other => panic!("{other:?}"),
     };
@@ -173,7 +173,7 @@
                 let v = &ahead.version;
                 let wish = PrewarmRequest {
                     function: v.key,
-                    concurrency: v.lanes,
+                    concurrency: v.concurrency,
                     load_time: v.load_time,
                     replicas: ahead.copies,
                 };
