--- a/crates/dispatch-policy/src/random.rs
+++ b/crates/dispatch-policy/src/random.rs
@@ -1,20 +1,25 @@
-//! A permuted congruential generator (PCG-XSH-RR 64/32).
+//! Seeded pseudo-random numbers and rendezvous hashes.
 
+/// Increment of the linear congruential step.
+const INCREMENT: u64 = 1_442_695_040_888_963_407;
+/// Multiplier of the linear congruential step.
+const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+
+/// A permuted congruential generator (PCG-XSH-RR 64/32).
 #[derive(Default)]
 pub struct SeededRandom(u64);
 
 impl SeededRandom {
+    /// A generator whose sequence depends on nothing but the seed.
     pub fn new(seed: u64) -> Self {
-        let mut chance = SeededRandom(seed.wrapping_add(1_442_695_040_888_963_407));
-        chance.draw();
-        chance
+        let mut generator = SeededRandom(seed.wrapping_add(INCREMENT));
+        generator.draw();
+        generator
     }
 
     fn draw(&mut self) -> u32 {
         let old = self.0;
-        self.0 = old
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1_442_695_040_888_963_407);
+        self.0 = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
         let mixed = (((old >> 18) ^ old) >> 27) as u32;
         mixed.rotate_right((old >> 59) as u32)
     }
@@ -25,10 +30,10 @@
     }
 }
 
-/// One fixed number for each pair, the same at every front end: the generator seeded with the pair.
+/// A hash of a pair of numbers, the same at every front end.
 pub fn rendezvous_hash(a: u64, b: u64) -> u32 {
-    let mut chance = SeededRandom::new(
+    let mut generator = SeededRandom::new(
         a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xd6e8_feb8_6659_fd93),
     );
-    chance.draw()
+    generator.draw()
 }
