--- /dev/null
+++ b/crates/dispatch-policy/src/dispatch/load_budget.rs
@@ -0,0 +1,67 @@
+//! The budget of load commands: a number in each window, and a fraction of the invocations accepted in it.
+
+use crate::interface::PolicyConfig;
+use crate::state::SlidingWindow;
+
+/// Accepted invocations and load commands within the window of the budget. Times are in seconds.
+pub(super) struct LoadBudget {
+    /// Commands granted in each window regardless of traffic.
+    floor: f64,
+    /// Commands granted for each invocation in the window.
+    fraction: f64,
+    /// 0 where load commands are unlimited.
+    window: f64,
+    clock_tick: f64,
+    accepted_at: SlidingWindow,
+    commanded_at: SlidingWindow,
+}
+
+impl LoadBudget {
+    /// The budget of a deployment.
+    pub(super) fn new(config: &PolicyConfig) -> LoadBudget {
+        LoadBudget {
+            floor: config.load_budget_floor,
+            fraction: config.load_budget_fraction,
+            window: config.load_budget_window,
+            clock_tick: config.clock_tick,
+            accepted_at: SlidingWindow::default(),
+            commanded_at: SlidingWindow::default(),
+        }
+    }
+
+    /// Adds an accepted invocation.
+    pub(super) fn record_invocation(&mut self, now: f64) {
+        self.accepted_at.add(now);
+    }
+
+    /// Takes out an invocation that was accepted at a time: the client withdrew it.
+    pub(super) fn withdraw_invocation(&mut self, accepted_at: f64) {
+        self.accepted_at.remove(accepted_at);
+    }
+
+    /// Adds a load command.
+    pub(super) fn record_command(&mut self, now: f64) {
+        self.commanded_at.add(now);
+    }
+
+    /// Takes out a load command that was given at a time.
+    pub(super) fn withdraw_command(&mut self, commanded_at: f64) {
+        self.commanded_at.remove(commanded_at);
+    }
+
+    /// Drops invocations that are out of the window.
+    pub(super) fn expire(&mut self, now: f64) {
+        self.accepted_at.count_after(now - self.window);
+    }
+
+    /// Whether a fraction of the budget has a load command left; either end of the window is a tick to the safe side.
+    pub(super) fn allows_command(&mut self, fraction: f64, now: f64) -> bool {
+        let window_start = now - self.window;
+        let commands = self
+            .commanded_at
+            .count_after(window_start - self.clock_tick);
+        let invocations = self.accepted_at.count_after(window_start + self.clock_tick);
+        let granted = self.floor + self.fraction * invocations;
+        self.window <= 0.0 || commands + 1.0 <= fraction * granted
+    }
+}
--- /dev/null
+++ b/crates/dispatch-policy/src/dispatch/prewarm.rs
@@ -0,0 +1,75 @@
+//! Prewarming: replicas loaded before the invocations arrive, from what the load budget leaves over.
+
+use super::Dispatcher;
+use super::placement::DEFAULT_LOAD_TIME;
+use crate::interface::{Actions, PrewarmRequest};
+use crate::state::FunctionIndex;
+
+/// Fraction of the load budget that prewarming may use.
+const BUDGET_FRACTION: f64 = 0.5;
+/// A replica is renewed with less than this fraction of its lifetime left.
+const RENEWAL_FRACTION: f64 = 0.6;
+
+impl Dispatcher {
+    /// Has a replica loaded where a function has fewer warm replicas than requested, else renews the one that expires
+    /// first; one load command at a time. Returns the number of warm replicas at ready executors.
+    ///
+    /// Failure mode: a new version of a function gets all its traffic at once, and with it a rush of placements.
+    /// Risk: placements lack load commands where these are scarce, so a part of the budget is left to them.
+    pub fn prewarm(
+        &mut self,
+        now: f64,
+        request: &PrewarmRequest,
+        actions: &mut dyn Actions,
+    ) -> usize {
+        self.now = now;
+        let function = self.workload.functions.find_or_insert(
+            request.function,
+            request.concurrency,
+            request.load_time.unwrap_or(DEFAULT_LOAD_TIME),
+        );
+        self.dirty_functions.push(function);
+        // Ends a placement that took too long.
+        self.run_rules(actions);
+        let has_budget = self.load_budget.allows_command(BUDGET_FRACTION, now);
+        let record = &self.workload.functions[function];
+        let warm = record
+            .unexpired_replicas(now)
+            .filter(|replica| self.executors[replica.executor].is_ready())
+            .count();
+        if !has_budget
+            || !self.config.allows_load_commands
+            || record.placement().is_some()
+            || now < record.next_placement_at
+        {
+            return warm;
+        }
+        if warm < request.replicas {
+            self.load_ahead(function, actions);
+        } else if request.replicas > 0 {
+            self.renew_oldest(function, actions);
+        }
+        warm
+    }
+
+    fn load_ahead(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
+        if let Some(target) = self.placement_target(function, None)
+            && self.command_load(function, target, actions)
+        {
+            self.begin_placement(function, target, true);
+        }
+    }
+
+    /// Renews the replica that expires first, if it does so soon.
+    fn renew_oldest(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
+        let oldest = self.workload.functions[function]
+            .unexpired_replicas(self.now)
+            .filter(|replica| self.executors[replica.executor].is_ready())
+            .min_by(|one, other| one.expires_at.total_cmp(&other.expires_at))
+            .copied();
+        let renews_before = self.now + RENEWAL_FRACTION * self.replica_lifetime;
+        if let Some(oldest) = oldest.filter(|oldest| oldest.expires_at < renews_before) {
+            self.command_load(function, oldest.executor, actions);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -0,0 +1,92 @@
+//! Retries and hedged requests for what is in flight at a silent executor, and trials of ejected executors.
+
+use super::Dispatcher;
+use crate::interface::{Actions, Idempotency};
+use crate::state::{ExecutorIndex, FunctionIndex, InFlightDispatch, InvocationIndex};
+
+/// Fraction of the latency objective after which a dispatch to an executor that was not heard since is retried or
+/// hedged, and an ejected executor gets another trial.
+pub(super) const SILENCE_FRACTION: f64 = 0.6;
+
+impl Dispatcher {
+    /// Rule: gives an invocation in flight at an executor that is long silent another dispatch: a hedged request where
+    /// that is allowed, else, if the executor is ejected too, a retry after a cancellation.
+    ///
+    /// Failure mode: executors hang, or links to them are lost. Slowness is not meant: hedged requests feed a crowd.
+    /// Risk: work that would have ended soon is done twice.
+    pub(super) fn hedge_or_retry_slow(
+        &mut self,
+        function: FunctionIndex,
+        actions: &mut dyn Actions,
+    ) -> bool {
+        for position in 0..self.workload.functions[function].in_flight().len() {
+            let index = self.workload.functions[function].in_flight()[position];
+            let Some(dispatch) = self.silent_dispatch(index) else {
+                continue;
+            };
+            if !self.config.allows_hedging {
+                if self.may_retry_elsewhere(index, dispatch.executor) {
+                    self.workload
+                        .invocations
+                        .get_mut(index)
+                        .cancel_dispatches(None, actions);
+                    return true;
+                }
+                continue;
+            }
+            let record = &mut self.workload.functions[function];
+            record.warm_replicas.refresh(&self.executors);
+            let replica = self
+                .least_loaded_replica(function, index, true)
+                .filter(|&executor| !self.executors[executor].is_ejected());
+            if let Some(executor) = replica {
+                return self.dispatch(index, executor, false, actions);
+            }
+        }
+        false
+    }
+
+    /// The only dispatch in flight of an invocation, if its executor is long silent and the invocation may have
+    /// another one.
+    fn silent_dispatch(&self, index: InvocationIndex) -> Option<InFlightDispatch> {
+        let invocation = &self.workload.invocations[index];
+        let &[dispatch] = invocation.in_flight() else {
+            return None;
+        };
+        let trigger_type = &self.config.trigger_types[invocation.trigger_type()];
+        let executor = &self.executors[dispatch.executor];
+        let max_silence = SILENCE_FRACTION * trigger_type.latency_objective;
+        let is_silent = executor.last_heard_at() < dispatch.sent_at
+            && self.now - dispatch.sent_at > max_silence;
+        let may_hedge = self.config.allows_hedging && !dispatch.is_placement;
+        let may_have_another = !invocation.is_answered()
+            && !invocation.is_streaming()
+            && !dispatch.is_cancelled
+            && trigger_type.idempotency != Idempotency::NonIdempotent;
+        let is_due = is_silent && (may_hedge || executor.is_ejected()) && may_have_another;
+        is_due.then_some(dispatch)
+    }
+
+    /// Whether an invocation may be cancelled at an executor and repeated at another one that is not ejected.
+    fn may_retry_elsewhere(&self, index: InvocationIndex, executor: ExecutorIndex) -> bool {
+        let dispatch_count = self.workload.invocations[index].dispatch_count();
+        self.config.allows_cancellation
+            && dispatch_count < self.config.max_dispatches
+            && self.may_repeat_anywhere(index, |other| {
+                other != executor && !self.executors[other].is_ejected()
+            })
+    }
+
+    /// Whether an ejected executor may be tried with an invocation: one idempotent invocation at a time, and none that
+    /// may have run there.
+    pub(super) fn may_try_ejected(&self, index: InvocationIndex, executor: ExecutorIndex) -> bool {
+        let record = &self.executors[executor];
+        let may_have_run_there = self.workload.invocations[index]
+            .possible_execution()
+            .is_some_and(|execution| execution.executor == executor);
+        record.in_flight().is_empty()
+            && self.now >= record.next_trial_at()
+            && self.is_idempotent(index)
+            && !may_have_run_there
+    }
+}
--- /dev/null
+++ b/crates/dispatch-policy/src/dispatch/rules.rs
@@ -0,0 +1,57 @@
+//! The rules by which waiting and slow invocations are served, in their order, and when they are run again.
+
+use super::Dispatcher;
+use crate::interface::Actions;
+use crate::state::FunctionIndex;
+
+/// Seconds after which whatever waits is looked at again, at the least.
+pub(super) const TICK_INTERVAL: f64 = 0.025;
+
+/// A rule: does one thing for a function if it applies, and tells whether it did.
+type Rule = fn(&mut Dispatcher, FunctionIndex, &mut dyn Actions) -> bool;
+
+/// For each function, the first rule that applies is taken again and again until none does.
+const RULES: [Rule; 5] = [
+    Dispatcher::shed_expired,
+    Dispatcher::dispatch_to_free_replica,
+    Dispatcher::start_placement,
+    Dispatcher::dispatch_to_busy_replica,
+    Dispatcher::hedge_or_retry_slow,
+];
+
+impl Dispatcher {
+    /// Goes through the rules for the functions that an input changed and those with invocations waiting, and sets the
+    /// timer for what is left.
+    pub(super) fn run_rules(&mut self, actions: &mut dyn Actions) {
+        let functions = &self.workload.functions;
+        self.dirty_functions.extend(functions.with_waiting());
+        // The function with the most waiting comes first, so that scarce capacity and loads serve the most.
+        self.dirty_functions
+            .sort_by_key(|&function| functions[function].waiting().len());
+        while let Some(function) = self.dirty_functions.pop() {
+            while RULES.iter().any(|rule| rule(self, function, actions)) {}
+        }
+        self.set_next_timer(actions);
+    }
+
+    /// Has the timer fire soon for what waits, later for what is in flight, else not at all.
+    fn set_next_timer(&mut self, actions: &mut dyn Actions) {
+        let soon = self.now + self.tick_interval;
+        let due_at = if !self.workload.functions.with_waiting().is_empty() {
+            soon
+        } else if self.executors.in_flight_count() > 0 {
+            self.next_maintenance_at.max(soon)
+        } else {
+            f64::INFINITY
+        };
+        let due_at = if self.config.polls_endpoints {
+            due_at.min(self.next_subscription_at.max(self.now))
+        } else {
+            due_at
+        };
+        if due_at < self.next_timer_at {
+            self.next_timer_at = due_at;
+            actions.set_timer(due_at - self.now, 0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatch-policy/src/state/endpoint_updates.rs
@@ -0,0 +1,160 @@
+//! What an endpoint update changes in the tables.
+
+use super::executor::{BacklogReport, Executor, put_at};
+use super::ready_sets::ReadySets;
+use super::{Backoff, ExecutorIndex, ExecutorTable, Workload};
+use crate::interface::{Endpoint, EndpointState, EndpointUpdateKind};
+
+/// Applies an endpoint update and drops what was believed of executors that restarted, drain or are gone. Executors
+/// that are in no list since `forget_before`, in seconds, and that nothing refers to any more are forgotten.
+pub fn apply_endpoint_update(
+    executors: &mut ExecutorTable,
+    workload: &mut Workload,
+    now: f64,
+    kind: EndpointUpdateKind,
+    endpoints: &[Endpoint],
+    forget_before: f64,
+) {
+    let is_full = kind == EndpointUpdateKind::Full;
+    let invalidated = executors.apply_endpoints(now, is_full, endpoints);
+    workload.functions.evict_executors(&invalidated);
+    for executor in invalidated {
+        executors.forget_beliefs(executor);
+    }
+    let mut departed = executors.departed(forget_before);
+    departed.retain(|&executor| !workload.invocations.may_have_run_at(executor));
+    workload.functions.forget_executors(&departed);
+    for executor in departed {
+        executors.release(executor);
+    }
+}
+
+impl ExecutorTable {
+    /// The index of an endpoint's executor, which is added where it is new. An address that now stands in another
+    /// place is another executor's: that one is as cold and as doubtful as the first, and the work sent there
+    /// still weighs on it.
+    fn find_or_insert(&mut self, endpoint: &Endpoint, now: f64) -> ExecutorIndex {
+        let known = self.find(endpoint.executor);
+        if let Some(executor) = known.filter(|&executor| self[executor].is_at(endpoint)) {
+            return executor;
+        }
+        let index = self
+            .free
+            .pop()
+            .unwrap_or_else(|| ExecutorIndex::new(self.executors.len()));
+        self.by_id.insert(endpoint.executor, index);
+        let mut executor = Executor::new(endpoint);
+        // The list of candidates refers to the slot, whoever has it.
+        if let Some(previous) = self.executors.get(index.position()) {
+            executor.outlier.is_candidate = previous.outlier.is_candidate;
+        }
+        if let Some(replaced) = known {
+            let replaced = &mut self.executors[replaced.position()];
+            replaced.is_ready = false;
+            replaced.removed_at = now;
+            executor.started_at = replaced.started_at;
+            executor.last_failure_at = replaced.last_failure_at;
+            executor.recent_work = replaced.recent_work.clone();
+            self.outliers.add_failed(index);
+        }
+        let kind = executor.kind();
+        put_at(&mut self.executors, index, executor);
+        self.add_kind(kind);
+        index
+    }
+
+    /// Applies the endpoints of an update, and returns the executors of which all that was believed is void: those
+    /// that restarted, drain or are gone. From a full list, executors that are gone are missing.
+    pub fn apply_endpoints(
+        &mut self,
+        now: f64,
+        is_full: bool,
+        endpoints: &[Endpoint],
+    ) -> Vec<ExecutorIndex> {
+        let was_ready: Vec<bool> = self.executors.iter().map(Executor::is_ready).collect();
+        if is_full {
+            for executor in &mut self.executors {
+                executor.is_ready = false;
+                executor.removed_at = executor.removed_at.min(now);
+            }
+        }
+        let mut has_new_weights = false;
+        let mut invalidated = vec![];
+        for endpoint in endpoints {
+            let index = self.find_or_insert(endpoint, now);
+            let executor = &mut self.executors[index.position()];
+            executor.is_ready = endpoint.state == EndpointState::Ready;
+            executor.removed_at = if endpoint.state == EndpointState::Gone {
+                now
+            } else {
+                f64::INFINITY
+            };
+            let weight = valid_weight(endpoint.weight);
+            has_new_weights |= weight != executor.weight;
+            executor.weight = weight;
+            if endpoint.started_at > executor.started_at {
+                executor.started_at = endpoint.started_at;
+                invalidated.push(index);
+            }
+        }
+        let is_ready = |position: usize| self.executors[position].is_ready;
+        let stopped = (0..was_ready.len())
+            .filter(|&position| was_ready[position] && !is_ready(position))
+            .map(ExecutorIndex::new);
+        invalidated.extend(stopped);
+        let has_changed = has_new_weights
+            || self.executors.len() > was_ready.len()
+            || (0..was_ready.len()).any(|position| was_ready[position] != is_ready(position));
+        if has_changed {
+            self.ready = ReadySets::new(&self.executors, &self.regions);
+            self.update_ranking_pools();
+        }
+        if has_changed || !invalidated.is_empty() {
+            // Every load may be another one: what was known of changes is of no use.
+            self.load_changes.invalidate();
+            self.restart_all_warmups();
+        }
+        invalidated
+    }
+
+    /// Executors that are in no list since before a moment, with nothing in flight.
+    fn departed(&self, since: f64) -> Vec<ExecutorIndex> {
+        let is_departed = |&executor: &ExecutorIndex| {
+            let executor = &self[executor];
+            executor.removed_at.is_finite()
+                && executor.removed_at < since
+                && executor.in_flight.is_empty()
+        };
+        self.indices().filter(is_departed).collect()
+    }
+
+    /// Drops an executor; its index is another's from then on.
+    fn release(&mut self, index: ExecutorIndex) {
+        let executor = &mut self.executors[index.position()];
+        executor.removed_at = f64::NEG_INFINITY;
+        let id = executor.id();
+        if self.by_id.get(&id) == Some(&index) {
+            self.by_id.remove(&id);
+        }
+        self.free.push(index);
+    }
+
+    /// Drops what was believed of an executor. What is in flight there still counts, and so does what was sent.
+    pub fn forget_beliefs(&mut self, index: ExecutorIndex) {
+        let executor = &mut self.executors[index.position()];
+        executor.backlog = BacklogReport::NONE;
+        executor.full_backoff = Backoff::default();
+        executor.consecutive_rejections = 0;
+        executor.outlier.samples.clear();
+        executor.outlier.is_ejected = false;
+        self.load_changes.record(index);
+    }
+}
+
+fn valid_weight(weight: f64) -> f64 {
+    if weight > 0.0 && weight.is_finite() {
+        weight
+    } else {
+        1.0
+    }
+}
--- /dev/null
+++ b/crates/dispatch-policy/src/state/executor_table.rs
@@ -0,0 +1,262 @@
+//! All executors, by their dense indices, and the indices over them that dispatches keep in step.
+
+use super::executor::{Executor, SentWork};
+use super::kind_stats::KindStats;
+use super::load_changes::LoadChanges;
+use super::outlier_stats::{OutlierIndex, SampleRequirements};
+use super::ranking::RankingPools;
+use super::ready_sets::ReadySets;
+use super::{DispatchAt, ExecutorIndex, InvocationIndex, LoadEstimate, Regions};
+use crate::interface::{DeduplicationScope, DispatchStatus, ExecutorId};
+use std::collections::{BTreeSet, HashMap};
+use std::ops::Index;
+
+/// The executors of the fleet. Times are in seconds.
+#[derive(Default)]
+pub struct ExecutorTable {
+    pub(super) executors: Vec<Executor>,
+    pub(super) by_id: HashMap<ExecutorId, ExecutorIndex>,
+    pub(super) free: Vec<ExecutorIndex>,
+    pub(super) ready: ReadySets,
+    pub(super) ranking_pools: RankingPools,
+    /// Executors with dispatches in flight.
+    busy: BTreeSet<ExecutorIndex>,
+    /// Dispatches in flight at all executors together.
+    in_flight_count: usize,
+    pub(super) load_changes: LoadChanges,
+    /// By hardware kind.
+    pub(super) kinds: Vec<KindStats>,
+    pub(super) all_are_warm: bool,
+    pub(super) outliers: OutlierIndex,
+    /// Zone of the front end.
+    own_zone: u8,
+    pub(super) regions: Regions,
+}
+
+impl Index<ExecutorIndex> for ExecutorTable {
+    type Output = Executor;
+
+    fn index(&self, executor: ExecutorIndex) -> &Executor {
+        &self.executors[executor.position()]
+    }
+}
+
+impl ExecutorTable {
+    /// An empty table, seen from a front end in a zone.
+    pub fn new(own_zone: u8, requirements: SampleRequirements) -> ExecutorTable {
+        ExecutorTable {
+            own_zone,
+            outliers: OutlierIndex::new(requirements),
+            ..ExecutorTable::default()
+        }
+    }
+
+    /// The same table with the regions of zones, by the zones' numbers. It has to be empty.
+    pub fn with_regions(self, region_of_zone: Vec<Option<u8>>) -> ExecutorTable {
+        ExecutorTable {
+            regions: Regions::new(region_of_zone, self.own_zone),
+            ..self
+        }
+    }
+
+    /// Slots of executors, the free ones included.
+    pub fn len(&self) -> usize {
+        self.executors.len()
+    }
+
+    /// Whether there is no slot.
+    pub fn is_empty(&self) -> bool {
+        self.executors.is_empty()
+    }
+
+    /// The indices of all slots.
+    pub fn indices(&self) -> impl Iterator<Item = ExecutorIndex> + use<> {
+        (0..self.executors.len()).map(ExecutorIndex::new)
+    }
+
+    /// The executor at an address.
+    pub fn find(&self, id: ExecutorId) -> Option<ExecutorIndex> {
+        self.by_id.get(&id).copied()
+    }
+
+    /// The ready executors.
+    pub fn ready(&self) -> &[ExecutorIndex] {
+        self.ready.all()
+    }
+
+    /// The number of ready executors.
+    pub fn ready_count(&self) -> usize {
+        self.ready.all().len()
+    }
+
+    /// The ready executors of the front end's own region.
+    pub fn ready_in_own_region(&self) -> &[ExecutorIndex] {
+        self.ready.in_own_region()
+    }
+
+    /// The ready executors that share a deduplication scope with an executor, or all of them.
+    pub fn ready_in_scope(
+        &self,
+        scope: DeduplicationScope,
+        member: Option<ExecutorIndex>,
+    ) -> &[ExecutorIndex] {
+        match member {
+            Some(member) => self.ready.in_scope_of(scope, &self[member]),
+            None => self.ready.all(),
+        }
+    }
+
+    /// Whether an executor is in the front end's own region.
+    pub fn is_in_own_region(&self, executor: ExecutorIndex) -> bool {
+        self.regions.is_own(self[executor].zone())
+    }
+
+    /// Whether two executors recognize each other's idempotency keys.
+    pub fn share_scope(
+        &self,
+        scope: DeduplicationScope,
+        one: ExecutorIndex,
+        other: ExecutorIndex,
+    ) -> bool {
+        let (one, other) = (&self[one], &self[other]);
+        match scope {
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => one.zone() == other.zone(),
+            DeduplicationScope::Cell => one.cell() == other.cell(),
+        }
+    }
+
+    /// The load of an executor.
+    pub fn load_of(&self, executor: ExecutorIndex) -> LoadEstimate {
+        let executor = &self[executor];
+        LoadEstimate {
+            in_flight: executor.in_flight_count(),
+            backlog: executor.backlog.invocations,
+            earliest_report_at: executor.backlog.reported_at,
+            latest_report_at: executor.backlog.reported_at,
+            weight: executor.weight,
+            is_local: executor.zone() == self.own_zone,
+        }
+    }
+
+    /// Dispatches in flight at all executors together.
+    pub fn in_flight_count(&self) -> usize {
+        self.in_flight_count
+    }
+
+    /// The invocations with a dispatch in flight, in the order of the executors.
+    pub fn invocations_in_flight(&self) -> impl Iterator<Item = InvocationIndex> + '_ {
+        self.busy
+            .iter()
+            .flat_map(|&executor| self[executor].in_flight())
+            .map(|dispatch| dispatch.invocation)
+    }
+
+    /// Notes the invocations that an executor reports waiting.
+    pub fn record_backlog(&mut self, executor: ExecutorIndex, invocations: f64, now: f64) {
+        let backlog = &mut self.executors[executor.position()].backlog;
+        backlog.invocations = invocations;
+        backlog.reported_at = now;
+        self.load_changes.record(executor);
+    }
+
+    /// Notes a dispatch of so much expected work, which is kept for `work_lifetime` seconds.
+    pub fn record_dispatch(
+        &mut self,
+        executor: ExecutorIndex,
+        invocation: InvocationIndex,
+        now: f64,
+        work: f64,
+        work_lifetime: f64,
+    ) {
+        let record = &mut self.executors[executor.position()];
+        record.in_flight.push(DispatchAt {
+            invocation,
+            sent_at: now,
+        });
+        record.is_idle = false;
+        let recent = &mut record.recent_work;
+        recent.push_back(SentWork { sent_at: now, work });
+        while recent
+            .front()
+            .is_some_and(|sent| sent.sent_at < now - work_lifetime)
+        {
+            recent.pop_front();
+        }
+        self.load_changes.record(executor);
+        self.busy.insert(executor);
+        self.add_outlier_candidate(executor, now);
+        self.in_flight_count += 1;
+    }
+
+    /// Takes the expected work of a dispatch off what was sent to an executor, and returns it.
+    pub fn take_sent_work(&mut self, executor: ExecutorIndex, sent_at: f64) -> Option<f64> {
+        let recent = &mut self.executors[executor.position()].recent_work;
+        let position = recent.iter().position(|sent| sent.sent_at == sent_at)?;
+        recent.remove(position).map(|sent| sent.work)
+    }
+
+    /// Adds expected work to what was sent to an executor.
+    pub fn add_sent_work(&mut self, executor: ExecutorIndex, sent_at: f64, work: f64) {
+        let recent = &mut self.executors[executor.position()].recent_work;
+        recent.push_back(SentWork { sent_at, work });
+    }
+
+    /// Notes the end of a dispatch, by when it was sent.
+    pub fn record_dispatch_end(
+        &mut self,
+        executor: ExecutorIndex,
+        invocation: InvocationIndex,
+        sent_at: f64,
+        now: f64,
+    ) {
+        let ended = DispatchAt {
+            invocation,
+            sent_at,
+        };
+        let record = &mut self.executors[executor.position()];
+        let before = record.in_flight.len();
+        record.in_flight.retain(|dispatch| *dispatch != ended);
+        self.in_flight_count -= before - record.in_flight.len();
+        self.load_changes.record(executor);
+        if record.in_flight.is_empty() {
+            self.busy.remove(&executor);
+            record.is_idle = record.full_backoff.until() <= now;
+        }
+    }
+
+    /// Notes the status of a dispatch as a sign of life and as a rejection.
+    pub fn record_dispatch_status(
+        &mut self,
+        executor: ExecutorIndex,
+        status: DispatchStatus,
+        now: f64,
+    ) {
+        let record = &mut self.executors[executor.position()];
+        record.record_contact(status, now);
+        record.count_rejection(status);
+    }
+
+    /// Notes the status of a load command as a rejection.
+    pub fn record_load_status(&mut self, executor: ExecutorIndex, status: DispatchStatus) {
+        self.executors[executor.position()].count_rejection(status);
+    }
+
+    /// Has an executor that answered `Full` take no dispatch for a time that grows with each such answer in a row.
+    pub fn start_full_backoff(
+        &mut self,
+        executor: ExecutorIndex,
+        now: f64,
+        first: f64,
+        max_doublings: i32,
+    ) {
+        let record = &mut self.executors[executor.position()];
+        record.full_backoff.grow(now, first, max_doublings);
+        record.is_idle = false;
+    }
+
+    /// Has the next backoff of an executor be a short one again.
+    pub fn reset_full_backoff(&mut self, executor: ExecutorIndex) {
+        self.executors[executor.position()].full_backoff.reset();
+    }
+}
--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -1,53 +1,38 @@
-//! What the module keeps between inputs: plain records, and the upkeep that takes no decision.
+//! What the dispatch policy keeps between inputs: records and the indices over them. Nothing here takes a decision.
 
-mod book;
-mod fleet;
+mod endpoint_updates;
+mod executor;
+mod executor_table;
+mod function_table;
 mod groups;
-mod known;
-mod listing;
-mod meters;
+mod index;
+mod invocation_table;
+mod kind_stats;
+mod load_changes;
+mod load_tree;
+mod outlier_stats;
 mod ranking;
+mod ready_sets;
 mod regions;
+mod sampling;
+mod statistics;
+mod warm_replicas;
+mod workload;
 
-use crate::interface::{Endpoint, EndpointUpdateKind};
-pub use book::*;
-pub use fleet::*;
-pub use known::{Known, KnownSet, Load};
-pub use meters::*;
+pub use endpoint_updates::apply_endpoint_update;
+pub use executor::{DispatchAt, Executor, LoadEstimate};
+pub use executor_table::ExecutorTable;
+pub use function_table::{Function, FunctionTable, LastWarm, Placement};
+pub use index::{ExecutorIndex, FunctionIndex, InvocationIndex};
+pub use invocation_table::{
+    InFlightDispatch, InvocationTable, OpenInvocation, PossibleExecution, Priority,
+};
+pub use outlier_stats::SampleRequirements;
 pub use ranking::Ranking;
 pub use regions::Regions;
-
-/// Enters a list and voids what was known of executors that restarted, drain or are gone. Executors that are
-/// in no list since `forgotten` and that nothing refers to any more are dropped.
-pub fn take_list(
-    fleet: &mut Fleet,
-    book: &mut Book,
-    now: f64,
-    (kind, rows): (EndpointUpdateKind, &[Endpoint]),
-    forgotten: f64,
-) {
-    let void = fleet.list(now, kind == EndpointUpdateKind::Full, rows);
-    book.evict(&void);
-    void.into_iter().for_each(|x| fleet.forget(x));
-    let mut gone = fleet.departed(forgotten);
-    gone.retain(|&x| !book.needs(x));
-    book.drop_executors(&gone);
-    gone.into_iter().for_each(|x| fleet.release(x));
-}
-
-/// Takes out elements drawn at random, each by a number from 0 up to 1, until two at the most are left.
-pub fn leave_two(all: Vec<usize>, mut unit: impl FnMut() -> f64) -> Vec<usize> {
-    let drawn: Vec<usize> = (3..=all.len())
-        .rev()
-        .map(|len| (unit() * len as f64) as usize)
-        .collect();
-    // From the last draw back: where the two that are left stood before each of them.
-    let before = |place: usize, out: usize| place + usize::from(place >= out);
-    let (one, other) = drawn.iter().rev().fold((0, 1), |(one, other), &out| {
-        (before(one, out), before(other, out))
-    });
-    [one, other]
-        .into_iter()
-        .filter_map(|place| all.get(place).copied())
-        .collect()
-}
+pub use sampling::draw_two;
+pub use statistics::{
+    Backoff, DecayingMean, DecayingSum, Ordered, SlidingWindow, TokenBucket, quantile,
+};
+pub use warm_replicas::{WarmReplica, WarmReplicaSet};
+pub use workload::Workload;
--- a/crates/dispatch-policy/tests/indices.rs
+++ b/crates/dispatch-policy/tests/indices.rs
@@ -1,223 +1,306 @@
-//! The indices beside the records, each against the plain scan that it stands for, over random changes; and
-//! how much of a large fleet they look at.
+//! The indices of the executor table and of sets of warm replicas, each compared with a scan of the records over
+//! random changes; and how much of a large fleet they look at.
 
 use orchidtally_dispatch_policy::interface::*;
+use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_dispatch_policy::state::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::cell::Cell;
 
 const EXECUTORS: usize = 130;
-const LEAST_JUDGED: usize = 3;
-const JUDGED_FOR: f64 = 5.0;
+const REQUIREMENTS: SampleRequirements = SampleRequirements {
+    min_samples: 3,
+    max_samples: 16,
+    sample_lifetime: 5.0,
+};
 const REPORT_TIME: f64 = 10.0;
 
-fn row(x: usize, zone: usize, standing: EndpointState, weight: f64) -> Endpoint {
-    let address = std::net::Ipv4Addr::from(0x0a00_0000 + 7 * x as u32);
+fn endpoint(number: usize, zone: usize, state: EndpointState, weight: f64) -> Endpoint {
+    let address = std::net::Ipv4Addr::from(0x0a00_0000 + 7 * number as u32);
     Endpoint {
         executor: ExecutorId(address.into(), 7000),
         zone: zone as u8,
-        kind: (x % 2) as u8,
-        cell: (x / 5) as u16,
-        state: standing,
+        kind: (number % 2) as u8,
+        cell: (number / 5) as u16,
+        state,
         weight,
         started_at: f64::NEG_INFINITY,
     }
 }
 
+fn no_executors() -> ExecutorTable {
+    ExecutorTable::new(0, REQUIREMENTS)
+}
+
 /// All ready executors by their ranks, as each front end has to see them.
-fn ranked_by_scan(fleet: &Fleet, key: u64) -> Vec<usize> {
-    let rank = |x: usize| {
-        -((fleet.rendezvous_number(x, key) + 1.0) / 4_294_967_297.0).ln() / fleet.weight[x]
+fn ranked_by_scan(executors: &ExecutorTable, key: u64) -> Vec<ExecutorIndex> {
+    let rank = |executor: ExecutorIndex| {
+        -((executors.rendezvous_number(executor, key) + 1.0) / 4_294_967_297.0).ln()
+            / executors[executor].weight()
     };
-    let mut all: Vec<usize> = fleet.all().filter(|&x| fleet.ready[x]).collect();
-    all.sort_by(|&a, &b| rank(a).total_cmp(&rank(b)));
+    let mut all = ready_by_scan(executors);
+    all.sort_by(|&one, &other| rank(one).total_cmp(&rank(other)));
     all
 }
 
-/// A value like the one by which the module compares executors: never below that of a better load.
-fn busy(load: &Load, now: f64, mean: f64) -> f64 {
-    let told_at = if load.waiting > mean {
-        load.earliest
+fn ready_by_scan(executors: &ExecutorTable) -> Vec<ExecutorIndex> {
+    executors
+        .indices()
+        .filter(|&executor| executors[executor].is_ready())
+        .collect()
+}
+
+/// A score like the one by which the policy compares executors: never below that of a better load.
+fn score(load: &LoadEstimate, now: f64, mean_backlog: f64) -> f64 {
+    let reported_at = if load.backlog > mean_backlog {
+        load.earliest_report_at
     } else {
-        load.latest
+        load.latest_report_at
     };
-    let fresh = (-(now - told_at) / REPORT_TIME).exp();
-    let far = if load.home { 1.0 } else { 1.4 };
-    far * (load.held + mean + fresh * (load.waiting - mean) + 1.0) / load.weight
+    let freshness = (-(now - reported_at) / REPORT_TIME).exp();
+    let zone_factor = if load.is_local { 1.0 } else { 1.4 };
+    let backlog = mean_backlog + freshness * (load.backlog - mean_backlog);
+    zone_factor * (load.in_flight + backlog + 1.0) / load.weight
 }
 
-/// Fleet and known set beside the plain records of what was done to them.
+/// An executor known to be warm, and until when.
+type Warm = (ExecutorIndex, f64);
+
+/// Executors and warm replicas beside plain records of what was done to them.
 struct World {
-    fleet: Fleet,
+    executors: ExecutorTable,
     now: f64,
-    known: KnownSet,
-    known_by_scan: Vec<(usize, f64)>,
+    replicas: WarmReplicaSet,
+    replicas_by_scan: Vec<Warm>,
     rankings: Vec<(u64, Ranking)>,
-    sent: Vec<(usize, f64)>,
+    sent: Vec<(ExecutorIndex, f64)>,
 }
 
 impl World {
     fn new(weights: &[f64]) -> World {
-        let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-        let rows: Vec<Endpoint> = (0..EXECUTORS)
-            .map(|x| row(x, x % 3, EndpointState::Ready, weights[x % weights.len()]))
+        let mut executors = no_executors();
+        let endpoints: Vec<Endpoint> = (0..EXECUTORS)
+            .map(|number| {
+                let weight = weights[number % weights.len()];
+                endpoint(number, number % 3, EndpointState::Ready, weight)
+            })
             .collect();
-        fleet.list(100.0, true, &rows);
+        executors.apply_endpoints(100.0, true, &endpoints);
         let rankings = [3, 0x9e37_79b9_7f4a_7c15]
             .map(|key| (key, Ranking::default()))
             .into();
-        let (known, known_by_scan, sent) = (KnownSet::default(), vec![], vec![]);
         World {
-            fleet,
+            executors,
             now: 100.0,
-            known,
-            known_by_scan,
+            replicas: WarmReplicaSet::default(),
+            replicas_by_scan: vec![],
             rankings,
-            sent,
+            sent: vec![],
         }
     }
 
-    fn know(&mut self, x: usize) {
-        let until = self.now + 4.0;
-        self.known.add(x, until);
-        self.known_by_scan.retain(|k| k.0 != x);
-        self.known_by_scan.push((x, until));
+    fn record_warm(&mut self, executor: ExecutorIndex) {
+        let expires_at = self.now + 4.0;
+        self.replicas.add(executor, expires_at);
+        self.replicas_by_scan.retain(|warm| warm.0 != executor);
+        self.replicas_by_scan.push((executor, expires_at));
     }
 
-    fn forget(&mut self, forgotten: impl Fn(&(usize, f64)) -> bool) {
-        self.known.retain(|k| !forgotten(&(k.x, k.until)));
-        self.known_by_scan.retain(|k| !forgotten(k));
+    fn evict(&mut self, is_evicted: impl Fn(&Warm) -> bool) {
+        self.replicas
+            .retain(|replica| !is_evicted(&(replica.executor, replica.expires_at)));
+        self.replicas_by_scan.retain(|warm| !is_evicted(warm));
     }
 
-    fn list(&mut self, full: bool, rows: &[Endpoint]) {
-        for x in self.fleet.list(self.now, full, rows) {
-            self.fleet.forget(x);
-            self.forget(|k| k.0 == x);
+    fn apply(&mut self, is_full: bool, endpoints: &[Endpoint]) {
+        for executor in self.executors.apply_endpoints(self.now, is_full, endpoints) {
+            self.executors.forget_beliefs(executor);
+            self.evict(|warm| warm.0 == executor);
         }
     }
 
     fn step(&mut self, (what, a, b, later): (u8, usize, usize, f64), weights: &[f64]) {
-        let x = a % self.fleet.ids.len();
+        let executor = ExecutorIndex::new(a % self.executors.len());
         let weight = weights[b % weights.len()];
         match what {
             0 => {
-                let standing = [
+                let state = [
                     EndpointState::Ready,
                     EndpointState::Draining,
                     EndpointState::Gone,
                     EndpointState::Ready,
                 ][b % 4];
-                self.list(false, &[row(a % EXECUTORS, b % 3, standing, weight)]);
+                self.apply(false, &[endpoint(a % EXECUTORS, b % 3, state, weight)]);
             }
             1 if b.is_multiple_of(8) => {
-                let rows = (0..EXECUTORS).filter(|x| (x + a) % 11 != 0);
-                let rows: Vec<Endpoint> = rows
-                    .map(|x| row(x, x % 3, EndpointState::Ready, weight))
+                let endpoints: Vec<Endpoint> = (0..EXECUTORS)
+                    .filter(|number| (number + a) % 11 != 0)
+                    .map(|number| endpoint(number, number % 3, EndpointState::Ready, weight))
                     .collect();
-                self.list(true, &rows);
+                self.apply(true, &endpoints);
             }
             2 | 3 => {
-                self.fleet.note_sent(x, b, self.now, 1.0, 2.0);
-                self.sent.push((x, self.now));
+                let invocation = InvocationIndex::new(b & 0xffff_ffff);
+                self.executors
+                    .record_dispatch(executor, invocation, self.now, 1.0, 2.0);
+                self.sent.push((executor, self.now));
             }
             4 if !self.sent.is_empty() => {
-                let (x, at) = self.sent.swap_remove(a % self.sent.len());
-                let out: Vec<_> = self.fleet.out[x]
+                let (executor, sent_at) = self.sent.swap_remove(a % self.sent.len());
+                let ended: Vec<DispatchAt> = self.executors[executor]
+                    .in_flight()
                     .iter()
-                    .filter(|o| o.1 == at)
+                    .filter(|dispatch| dispatch.sent_at == sent_at)
                     .copied()
                     .collect();
-                out.iter()
-                    .for_each(|&(i, at)| self.fleet.note_ended(x, i, at, self.now));
+                for DispatchAt {
+                    invocation,
+                    sent_at,
+                } in ended
+                {
+                    self.executors
+                        .record_dispatch_end(executor, invocation, sent_at, self.now);
+                }
             }
-            5 => self.fleet.note_backlog(x, (b % 4) as f64 / 2.0, self.now),
-            6 => self.fleet.remember(x, self.now, 1.0, 16),
+            5 => self
+                .executors
+                .record_backlog(executor, (b % 4) as f64 / 2.0, self.now),
+            6 => self
+                .executors
+                .record_latency_sample(executor, self.now, 1.0),
             7 => {
-                self.known.remove(x);
-                self.known_by_scan.retain(|k| k.0 != x);
+                self.replicas.remove(executor);
+                self.replicas_by_scan.retain(|warm| warm.0 != executor);
             }
             8 if b.is_multiple_of(16) => {
                 let now = self.now;
-                self.forget(|k| k.1 <= now);
+                self.evict(|warm| warm.1 <= now);
             }
-            _ => (0..12).for_each(|n| self.know((a + 7 * n) % self.fleet.ids.len())),
+            _ => (0..12).for_each(|n| {
+                self.record_warm(ExecutorIndex::new((a + 7 * n) % self.executors.len()));
+            }),
         }
         self.now += later;
     }
 
     fn check(&mut self) -> Result<(), TestCaseError> {
-        let fleet = &mut self.fleet;
+        self.check_rankings()?;
+        self.check_ready_sets()?;
+        self.check_in_flight_and_samples()?;
+        let replicas: Vec<Warm> = self
+            .replicas
+            .iter()
+            .map(|replica| (replica.executor, replica.expires_at))
+            .collect();
+        prop_assert_eq!(&replicas, &self.replicas_by_scan);
+        prop_assert_eq!(self.replicas.len(), replicas.len());
+        for executor in self.executors.indices() {
+            let is_warm = replicas
+                .iter()
+                .any(|warm| warm.0 == executor && warm.1 > self.now);
+            prop_assert_eq!(self.replicas.is_warm(executor, self.now), is_warm);
+        }
+        self.check_least_loaded()
+    }
+
+    fn check_rankings(&mut self) -> Result<(), TestCaseError> {
+        let executors = &self.executors;
         for (n, (key, ranking)) in self.rankings.iter_mut().enumerate() {
-            let all = ranked_by_scan(fleet, *key);
+            let all = ranked_by_scan(executors, *key);
             // Asked for ever more, so that what is kept has to grow.
             let count = (3 * n + (self.now * 10.0) as usize % 150).min(all.len());
-            fleet.rank(ranking, *key, count);
-            let ranked: Vec<usize> = ranking.iter().take(count).collect();
+            executors.rank(ranking, *key, count);
+            let ranked: Vec<ExecutorIndex> = ranking.iter().take(count).collect();
             prop_assert_eq!(&ranked[..], &all[..count]);
         }
-        let ready: Vec<usize> = fleet.all().filter(|&x| fleet.ready[x]).collect();
-        prop_assert_eq!(fleet.ready_count, ready.len());
-        prop_assert_eq!(fleet.ready_in(DeduplicationScope::Cell, None), &ready[..]);
-        for group in [
+        Ok(())
+    }
+
+    fn check_ready_sets(&self) -> Result<(), TestCaseError> {
+        let executors = &self.executors;
+        let ready = ready_by_scan(executors);
+        prop_assert_eq!(executors.ready_count(), ready.len());
+        prop_assert_eq!(
+            executors.ready_in_scope(DeduplicationScope::Cell, None),
+            &ready[..]
+        );
+        for scope in [
             DeduplicationScope::All,
             DeduplicationScope::Zone,
             DeduplicationScope::Cell,
         ] {
-            let x = (self.now * 100.0) as usize % fleet.ids.len();
-            let peers: Vec<usize> = ready
+            let member = ExecutorIndex::new((self.now * 100.0) as usize % executors.len());
+            let peers: Vec<ExecutorIndex> = ready
                 .iter()
                 .copied()
-                .filter(|&y| fleet.same_group(group, y, x))
+                .filter(|&other| executors.share_scope(scope, other, member))
                 .collect();
-            prop_assert_eq!(fleet.ready_in(group, Some(x)), &peers[..]);
-        }
-        let out: Vec<usize> = fleet.out.iter().flatten().map(|&(i, _)| i).collect();
-        prop_assert_eq!(fleet.invocations_out().collect::<Vec<_>>(), out);
-        fleet.retain_judged(self.now);
-        let enough =
-            |&x: &usize| fleet.answers_at(x, self.now).count() + fleet.out[x].len() >= LEAST_JUDGED;
-        let mut judged = fleet.judged.clone();
-        judged.sort();
-        prop_assert_eq!(judged, fleet.all().filter(enough).collect::<Vec<_>>());
-        for x in fleet.all().filter(|&x| fleet.rests(x)) {
-            prop_assert!(fleet.out[x].is_empty() && fleet.paused[x].until <= self.now);
+            prop_assert_eq!(executors.ready_in_scope(scope, Some(member)), &peers[..]);
         }
-        let known: Vec<(usize, f64)> = self.known.iter().map(|k| (k.x, k.until)).collect();
-        prop_assert_eq!(&known, &self.known_by_scan);
-        prop_assert_eq!(self.known.len(), known.len());
-        for x in self.fleet.all() {
-            let holds = known.iter().any(|k| k.0 == x && k.1 > self.now);
-            prop_assert_eq!(self.known.holds_after(x, self.now), holds);
+        Ok(())
+    }
+
+    fn check_in_flight_and_samples(&mut self) -> Result<(), TestCaseError> {
+        let executors = &mut self.executors;
+        let in_flight: Vec<InvocationIndex> = executors
+            .indices()
+            .flat_map(|executor| executors[executor].in_flight())
+            .map(|dispatch| dispatch.invocation)
+            .collect();
+        prop_assert_eq!(
+            executors.invocations_in_flight().collect::<Vec<_>>(),
+            in_flight
+        );
+        executors.retain_outlier_candidates(self.now);
+        let has_enough = |&executor: &ExecutorIndex| {
+            let samples = executors.latency_samples(executor, self.now).count();
+            samples + executors[executor].in_flight().len() >= REQUIREMENTS.min_samples
+        };
+        let mut candidates = executors.outlier_candidates().to_vec();
+        candidates.sort();
+        prop_assert_eq!(
+            candidates,
+            executors.indices().filter(has_enough).collect::<Vec<_>>()
+        );
+        for executor in executors.indices().map(|executor| &executors[executor]) {
+            prop_assert!(
+                !executor.is_idle()
+                    || executor.in_flight().is_empty() && executor.backoff_until() <= self.now
+            );
         }
-        self.check_least()
+        Ok(())
     }
 
-    fn check_least(&mut self) -> Result<(), TestCaseError> {
-        let (fleet, now) = (&self.fleet, self.now);
-        self.known.refresh(fleet);
-        for mean in [0.0, 1e-16, 0.3, 5.0] {
-            // Some have no value, and some are cold, which makes them busier than their load tells.
-            let value = |x: usize| {
-                let warmth = if x.is_multiple_of(13) { 0.2 } else { 1.0 };
-                (x % 17 != 3).then(|| busy(&fleet.load(x), now, mean) / warmth)
+    fn check_least_loaded(&mut self) -> Result<(), TestCaseError> {
+        let (executors, now) = (&self.executors, self.now);
+        self.replicas.refresh(executors);
+        for mean_backlog in [0.0, 1e-16, 0.3, 5.0] {
+            // Some have no score, and some are cold, which makes them more loaded than their load says.
+            let score_of = |executor: ExecutorIndex| {
+                let number = executor.position();
+                let weight = if number.is_multiple_of(13) { 0.2 } else { 1.0 };
+                let load = executors.load_of(executor);
+                (number % 17 != 3).then(|| score(&load, now, mean_backlog) / weight)
             };
             let by_scan = self
-                .known_by_scan
+                .replicas_by_scan
                 .iter()
-                .filter_map(|k| Some((value(k.0)?, k.0)));
-            let by_scan = by_scan.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, x)| x);
-            let least = self
-                .known
-                .least(|load| busy(load, now, mean), |k| value(k.x));
-            prop_assert_eq!(least, by_scan, "mean {}", mean);
+                .filter_map(|warm| Some((score_of(warm.0)?, warm.0)))
+                .min_by(|one, other| one.0.total_cmp(&other.0))
+                .map(|(_, executor)| executor);
+            let found = self.replicas.min_by_score(
+                |load| score(load, now, mean_backlog),
+                |replica| score_of(replica.executor),
+            );
+            prop_assert_eq!(found, by_scan, "mean {}", mean_backlog);
         }
         Ok(())
     }
 }
 
 #[test]
-fn each_index_tells_what_a_scan_of_all_tells_whatever_changes() {
+fn every_index_agrees_with_a_scan_after_random_changes() {
     let config = Config {
         cases: 120,
         failure_persistence: None,
@@ -226,8 +309,8 @@
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[6; 32]));
     let step = (0u8..12, any::<usize>(), any::<usize>(), 0.0f64..0.15);
-    let day = (0usize..3, prop::collection::vec(step, 1..200));
-    let outcome = runner.run(&day, |(kinds, steps)| {
+    let scenario = (0usize..3, prop::collection::vec(step, 1..200));
+    let outcome = runner.run(&scenario, |(kinds, steps)| {
         let weights: &[f64] = [&[1.0][..], &[1.0, 0.5, 2.0], &[0.3]][kinds];
         let mut world = World::new(weights);
         for step in steps {
@@ -240,63 +323,63 @@
 }
 
 #[test]
-fn two_are_left_as_if_the_others_were_taken_out_one_by_one() {
+fn draw_two_equals_removing_elements_one_by_one() {
     for len in 0..60 {
-        let (mut one, mut other) = (
-            orchidtally_dispatch_policy::random::SeededRandom::new(len),
-            orchidtally_dispatch_policy::random::SeededRandom::new(len),
-        );
-        let mut by_one: Vec<usize> = (0..len as usize).map(|x| 3 * x).collect();
-        let left = leave_two(by_one.clone(), || one.unit());
-        while by_one.len() > 2 {
-            by_one.remove((other.unit() * by_one.len() as f64) as usize);
+        let (mut one, mut other) = (SeededRandom::new(len), SeededRandom::new(len));
+        let mut one_by_one: Vec<usize> = (0..len as usize).map(|element| 3 * element).collect();
+        let drawn = draw_two(one_by_one.clone(), || one.unit());
+        while one_by_one.len() > 2 {
+            one_by_one.remove((other.unit() * one_by_one.len() as f64) as usize);
         }
-        assert_eq!(left, by_one);
+        assert_eq!(drawn, one_by_one);
         assert_eq!(one.unit(), other.unit(), "as many numbers were drawn");
     }
 }
 
-/// A search among 3,000 known executors looks at no more of them than among 60, whether all are alike, all
-/// differ in when they reported, or some are in use.
+/// A search among 3,000 warm replicas looks at no more of them than among 60, whether all are alike, all differ in
+/// when they reported, or some are in use.
 #[test]
-fn a_search_looks_at_few_however_many_are_known() {
-    for (mean, busy_part) in [(0.0, 0), (0.0, 3), (0.2, 0), (0.2, 3), (0.2, 50)] {
-        let looked_at = |executors: usize| {
-            let mut fleet = Fleet::new(0, LEAST_JUDGED, JUDGED_FOR);
-            let rows: Vec<Endpoint> = (0..executors)
-                .map(|x| row(x, 0, EndpointState::Ready, 1.0))
+fn a_search_for_the_least_loaded_looks_at_few_of_many_replicas() {
+    for (mean_backlog, busy_part) in [(0.0, 0), (0.0, 3), (0.2, 0), (0.2, 3), (0.2, 50)] {
+        let looked_at = |count: usize| {
+            let mut executors = no_executors();
+            let endpoints: Vec<Endpoint> = (0..count)
+                .map(|number| endpoint(number, 0, EndpointState::Ready, 1.0))
                 .collect();
-            fleet.list(100.0, true, &rows);
-            let mut known = KnownSet::default();
-            for x in 0..executors {
-                fleet.note_backlog(x, 0.0, 100.0 + x as f64 / 100.0);
-                known.add(x, 1e9);
-                if busy_part > 0 && x.is_multiple_of(busy_part) {
-                    fleet.note_sent(x, x, 100.0, 1.0, 2.0);
+            executors.apply_endpoints(100.0, true, &endpoints);
+            let mut replicas = WarmReplicaSet::default();
+            for number in 0..count {
+                let executor = ExecutorIndex::new(number);
+                executors.record_backlog(executor, 0.0, 100.0 + number as f64 / 100.0);
+                replicas.add(executor, 1e9);
+                if busy_part > 0 && number.is_multiple_of(busy_part) {
+                    let invocation = InvocationIndex::new(number);
+                    executors.record_dispatch(executor, invocation, 100.0, 1.0, 2.0);
                 }
             }
-            let (bounds, values) = (Cell::new(0), Cell::new(0));
-            known.refresh(&fleet);
-            let bound = |load: &Load| {
+            let (bounds, scores) = (Cell::new(0), Cell::new(0));
+            replicas.refresh(&executors);
+            let bound = |load: &LoadEstimate| {
                 bounds.set(bounds.get() + 1);
-                busy(load, 140.0, mean)
+                score(load, 140.0, mean_backlog)
             };
-            let value = |k: &Known| {
-                values.set(values.get() + 1);
-                Some(busy(&fleet.load(k.x), 140.0, mean))
+            let score_of = |replica: &WarmReplica| {
+                scores.set(scores.get() + 1);
+                let load = executors.load_of(replica.executor);
+                Some(score(&load, 140.0, mean_backlog))
             };
-            assert!(known.least(bound, value).is_some());
-            (bounds.get(), values.get())
+            assert!(replicas.min_by_score(bound, score_of).is_some());
+            (bounds.get(), scores.get())
         };
-        let (bounds, values) = looked_at(3_000);
-        let (_, of_few) = looked_at(60);
+        let (bounds, scores) = looked_at(3_000);
+        let (_, scores_of_few) = looked_at(60);
         assert!(
             bounds <= 60,
-            "{bounds} bounds worked out, mean {mean}, busy {busy_part}"
+            "{bounds} bounds computed, mean {mean_backlog}, busy {busy_part}"
         );
         assert!(
-            values <= of_few.min(12),
-            "{values} looked at, {of_few} of 60, mean {mean}, busy {busy_part}"
+            scores <= scores_of_few.min(12),
+            "{scores} looked at, {scores_of_few} of 60, mean {mean_backlog}, busy {busy_part}"
         );
     }
 }
