--- a/crates/dispatch-policy/src/state/endpoint_updates.rs
+++ b/crates/dispatch-policy/src/state/endpoint_updates.rs
@@ -71,9 +71,10 @@
         is_full: bool,
         endpoints: &[Endpoint],
     ) -> Vec<ExecutorIndex> {
-        let was_ready: Vec<bool> = self.executors.iter().map(Executor::is_ready).collect();
-        if is_full {
-            for executor in &mut self.executors {
+        let mut was_ready = Vec::with_capacity(self.executors.len());
+        for executor in &mut self.executors {
+            was_ready.push(executor.is_ready);
+            if is_full {
                 executor.is_ready = false;
                 executor.removed_at = executor.removed_at.min(now);
             }
@@ -97,14 +98,12 @@
                 invalidated.push(index);
             }
         }
-        let is_ready = |position: usize| self.executors[position].is_ready;
+        let is_ready: Vec<bool> = self.executors.iter().map(Executor::is_ready).collect();
         let stopped = (0..was_ready.len())
-            .filter(|&position| was_ready[position] && !is_ready(position))
+            .filter(|&position| was_ready[position] && !is_ready[position])
             .map(ExecutorIndex::new);
         invalidated.extend(stopped);
-        let has_changed = has_new_weights
-            || self.executors.len() > was_ready.len()
-            || (0..was_ready.len()).any(|position| was_ready[position] != is_ready(position));
+        let has_changed = has_new_weights || is_ready != was_ready;
         if has_changed {
             self.ready = ReadySets::new(&self.executors, &self.regions);
             self.update_ranking_pools();
--- a/crates/dispatch-policy/src/state/ready_sets.rs
+++ b/crates/dispatch-policy/src/state/ready_sets.rs
@@ -17,22 +17,24 @@
 impl ReadySets {
     /// Collects the sets from the records of all executors.
     pub(super) fn new(executors: &[Executor], regions: &Regions) -> ReadySets {
-        let all: Vec<ExecutorIndex> = (0..executors.len())
-            .filter(|&position| executors[position].is_ready())
-            .map(ExecutorIndex::new)
-            .collect();
-        let zone = |executor: ExecutorIndex| executors[executor.position()].zone();
-        let cell = |executor: ExecutorIndex| executors[executor.position()].cell();
-        ReadySets {
-            in_own_region: all
-                .iter()
-                .copied()
-                .filter(|&executor| regions.is_own(zone(executor)))
-                .collect(),
-            by_zone: Groups::new(&all, |executor| usize::from(zone(executor))),
-            by_cell: Groups::new(&all, |executor| usize::from(cell(executor))),
-            all,
+        let mut ready = ReadySets::default();
+        // Small arrays of their own: a pass over all records costs much more in a large fleet.
+        let (mut zones, mut cells) = (vec![], vec![]);
+        for (position, executor) in executors.iter().enumerate() {
+            zones.push(executor.zone());
+            cells.push(executor.cell());
+            if !executor.is_ready() {
+                continue;
+            }
+            let index = ExecutorIndex::new(position);
+            ready.all.push(index);
+            if regions.is_own(executor.zone()) {
+                ready.in_own_region.push(index);
+            }
         }
+        ready.by_zone = Groups::new(&ready.all, |executor| zones[executor.position()].into());
+        ready.by_cell = Groups::new(&ready.all, |executor| cells[executor.position()].into());
+        ready
     }
 
     /// All ready executors.
