--- /dev/null
+++ b/crates/dispatch-policy/tests/load_budget.rs
@@ -0,0 +1,64 @@
+//! The budget of load commands, and prewarming.
+
+mod reference_model;
+
+use orchidtally_dispatch_policy::interface::*;
+use reference_model::{World, policy};
+
+#[test]
+fn prewarming_uses_half_of_the_load_budget_and_renews_replicas() {
+    let mut world = World::new(
+        PolicyConfig {
+            load_budget_floor: 4.0,
+            load_budget_fraction: 0.0,
+            ..policy()
+        },
+        6,
+    );
+    let commands = |world: &World| world.model.load_commands.len();
+    for function in 1..=4 {
+        assert_eq!(world.prewarm(function, 1), 0);
+    }
+    assert_eq!(
+        commands(&world),
+        2,
+        "the rest of the budget is for placements"
+    );
+    world.invoke(0, 9, 5.0);
+    assert_eq!(commands(&world), 3);
+    world.finish_loads(DispatchStatus::Ok);
+    assert_eq!(world.prewarm(1, 1), 1, "the replica is warm");
+    world.advance(5.5);
+    assert_eq!(
+        (world.prewarm(1, 1), commands(&world)),
+        (1, 4),
+        "it is renewed before it expires"
+    );
+    world.finish_loads(DispatchStatus::Ok);
+    world.advance(5.0);
+    assert_eq!(world.prewarm(1, 0), 1, "and warm for longer than without");
+    assert_eq!(world.prewarm(2, 0), 0, "unlike the other");
+}
+
+#[test]
+fn withdrawn_invocations_grant_no_load_command() {
+    let mut world = World::new(
+        PolicyConfig {
+            load_budget_floor: 1.0,
+            ..policy()
+        },
+        6,
+    );
+    for _ in 0..20 {
+        let invocation = world.invoke(0, 1, 5.0);
+        world.cancel(invocation);
+    }
+    for function in 2..6 {
+        world.invoke(0, function, 5.0);
+    }
+    assert_eq!(
+        world.model.load_commands.len(),
+        1,
+        "the floor, and no fraction of what was withdrawn"
+    );
+}
--- /dev/null
+++ b/crates/dispatch-policy/tests/reconfiguration.rs
@@ -0,0 +1,178 @@
+//! Trigger types and customers' quotas that change while a front end runs.
+
+mod reference_model;
+
+use orchidtally_dispatch_policy::dispatch::Dispatcher;
+use orchidtally_dispatch_policy::interface::*;
+use reference_model::{RecordedAction, World, policy, warm_world};
+
+fn trigger_type(objective: f64) -> TriggerType {
+    TriggerType {
+        latency_objective: objective,
+        ..policy().trigger_types[0].clone()
+    }
+}
+
+#[test]
+fn an_appended_trigger_type_is_served() {
+    let (mut world, executor) = warm_world(policy(), 4);
+    assert!(!world.dispatcher.has_trigger_type(3));
+    let non_idempotent = TriggerType {
+        idempotency: Idempotency::NonIdempotent,
+        ..trigger_type(1.0)
+    };
+    world
+        .model
+        .policy
+        .trigger_types
+        .push(non_idempotent.clone());
+    assert_eq!(
+        world
+            .dispatcher
+            .set_trigger_type(world.model.now, 3, non_idempotent),
+        Ok(())
+    );
+    assert!(world.dispatcher.has_trigger_type(3));
+    let invocation = world.invoke(3, 1, 5.0);
+    assert_eq!(
+        world.model.actions.last(),
+        Some(&RecordedAction::Dispatch(invocation, executor))
+    );
+    // It is non-idempotent: what may have run is not retried.
+    world.finish(invocation, 0, DispatchStatus::Error);
+    assert_eq!(
+        world.model.actions.last(),
+        Some(&RecordedAction::Fail(invocation))
+    );
+}
+
+#[test]
+fn trigger_type_in_use_cannot_be_replaced() {
+    let (mut world, _) = warm_world(policy(), 4);
+    let invocation = world.invoke(0, 1, 5.0);
+    let change = |world: &mut World| {
+        world
+            .dispatcher
+            .set_trigger_type(world.model.now, 0, policy().trigger_types[2].clone())
+    };
+    assert_eq!(change(&mut world), Err(ConfigError::InUse { index: 0 }));
+    // A withdrawn invocation is cancelled, and open until that is confirmed.
+    world.cancel(invocation);
+    assert_eq!(change(&mut world), Err(ConfigError::InUse { index: 0 }));
+    world.finish(invocation, 0, DispatchStatus::Cancelled);
+    assert_eq!(change(&mut world), Ok(()));
+    world.model.policy.trigger_types[0] = policy().trigger_types[2].clone();
+    let invocation = world.invoke(0, 1, 5.0);
+    world.finish(invocation, 0, DispatchStatus::Error);
+    assert_eq!(
+        world.model.actions.last(),
+        Some(&RecordedAction::Fail(invocation)),
+        "it is non-idempotent now"
+    );
+}
+
+#[test]
+fn invalid_trigger_type_is_rejected_and_changes_nothing() {
+    let mut world = World::new(policy(), 4);
+    let now = world.model.now;
+    let mut set = |index, trigger_type| world.dispatcher.set_trigger_type(now, index, trigger_type);
+    assert_eq!(
+        set(5, trigger_type(1.0)),
+        Err(ConfigError::OutOfOrder { index: 5, next: 3 })
+    );
+    for objective in [0.0, -1.0, f64::NAN, f64::INFINITY] {
+        assert_eq!(
+            set(3, trigger_type(objective)),
+            Err(ConfigError::InvalidTime { index: 3 })
+        );
+    }
+    let no_timeout = TriggerType {
+        client_timeout: f64::NAN,
+        ..trigger_type(1.0)
+    };
+    assert_eq!(
+        set(0, no_timeout),
+        Err(ConfigError::InvalidTime { index: 0 })
+    );
+    assert!(!world.dispatcher.has_trigger_type(3));
+    let text = ConfigError::OutOfOrder { index: 5, next: 3 }.to_string();
+    assert!(text.contains("the next one to append is 3"), "{text}");
+}
+
+/// How many of 200 invocations at one moment are over their customer's quota; all are rejected, as there is no executor.
+fn count_over_quota(dispatcher: &mut Dispatcher, now: f64, customer: usize) -> usize {
+    #[derive(Default)]
+    struct OverQuotaCount(usize);
+    impl Actions for OverQuotaCount {
+        fn dispatch(&mut self, _: u32, _: ExecutorId, _: f64) {}
+        fn reject(&mut self, _: u32, _: f64, over_quota: bool) {
+            self.0 += usize::from(over_quota);
+        }
+        fn fail(&mut self, _: u32) {}
+        fn cancel(&mut self, _: u32, _: u8) {}
+        fn load(&mut self, _: ExecutorId, _: u64, _: u8) {}
+        fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
+        fn unload(&mut self, _: ExecutorId, _: u64) {}
+        fn health_check(&mut self, _: ExecutorId) {}
+        fn set_timer(&mut self, _: f64, _: u64) {}
+        fn subscribe_to_endpoints(&mut self) {}
+    }
+    let mut count = OverQuotaCount::default();
+    for id in 0..200 {
+        let invocation = Invocation {
+            id,
+            customer,
+            ..reference_model::invocation(now + 0.01)
+        };
+        dispatcher.on_invocation(now, &invocation, &mut count);
+    }
+    count.0
+}
+
+#[test]
+fn quota_change_keeps_saved_tokens_and_new_customers_start_full() {
+    let quotas = |quotas: &[f64]| PolicyConfig {
+        front_ends: 1.0,
+        quotas: quotas.to_vec(),
+        ..policy()
+    };
+    let mut world = World::new(quotas(&[9.0]), 0);
+    // Two seconds of the quota and five times its root: 18 + 15 may be saved up.
+    assert_eq!(count_over_quota(&mut world.dispatcher, 100.0, 0), 200 - 33);
+    assert_eq!(count_over_quota(&mut world.dispatcher, 101.0, 0), 200 - 9);
+    // One second at the old rate counts before the change, and one at the new rate after it.
+    assert_eq!(world.dispatcher.set_quotas(102.0, vec![25.0, 4.0]), Ok(()));
+    assert_eq!(
+        count_over_quota(&mut world.dispatcher, 103.0, 0),
+        200 - 9 - 25
+    );
+    assert_eq!(
+        count_over_quota(&mut world.dispatcher, 103.0, 1),
+        200 - 18,
+        "8 + 10"
+    );
+    // What is saved is bounded by the new quota: 75 were saved by then, 4.5 are the most.
+    assert_eq!(world.dispatcher.set_quotas(203.0, vec![0.5]), Ok(()));
+    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 0), 200 - 4);
+    // A customer without a quota has no bound, and one that comes back starts full.
+    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 1), 0);
+    assert_eq!(world.dispatcher.set_quotas(203.0, vec![0.5, 4.0]), Ok(()));
+    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 1), 200 - 18);
+}
+
+#[test]
+fn invalid_quota_is_rejected_and_changes_nothing() {
+    let mut world = World::new(
+        PolicyConfig {
+            front_ends: 1.0,
+            quotas: vec![9.0],
+            ..policy()
+        },
+        0,
+    );
+    for quota in [-1.0, f64::NAN, f64::INFINITY] {
+        let set = world.dispatcher.set_quotas(100.0, vec![1.0, quota]);
+        assert_eq!(set, Err(ConfigError::InvalidQuota { customer: 1 }));
+    }
+    assert_eq!(count_over_quota(&mut world.dispatcher, 100.0, 0), 200 - 33);
+}
--- a/crates/dispatch-policy/tests/plain/given.rs
+++ b/crates/dispatch-policy/tests/reference_model/fixtures.rs
@@ -1,22 +1,24 @@
-//! What tests start from.
+//! Settings, endpoints, invocations and results that tests start from.
 
 use orchidtally_dispatch_policy::interface::*;
 
-pub fn id(x: usize) -> ExecutorId {
-    ExecutorId([10, 0, 0, x as u8].into(), 7000)
+/// The address of an executor, by its number.
+pub fn executor_id(executor: usize) -> ExecutorId {
+    ExecutorId([10, 0, 0, executor as u8].into(), 7000)
 }
 
-pub fn number(to: ExecutorId) -> usize {
-    match to.0 {
+/// The number of the executor at an address.
+pub fn executor_number(executor: ExecutorId) -> usize {
+    match executor.0 {
         std::net::IpAddr::V4(a) => usize::from(a.octets()[3]),
         std::net::IpAddr::V6(a) => panic!("no executor {a}"),
     }
 }
 
-/// One that has stood for long.
-pub fn row(x: usize) -> Endpoint {
+/// A ready executor that started long ago.
+pub fn endpoint(executor: usize) -> Endpoint {
     Endpoint {
-        executor: id(x),
+        executor: executor_id(executor),
         zone: 0,
         kind: 0,
         cell: 0,
@@ -26,7 +28,7 @@
     }
 }
 
-/// An idempotent one.
+/// An idempotent invocation.
 pub fn invocation(timeout_at: f64) -> Invocation {
     Invocation {
         id: 0,
@@ -42,11 +44,12 @@
     }
 }
 
+/// The result of a dispatch that succeeded.
 pub fn succeeded() -> DispatchResult<'static> {
     DispatchResult {
         invocation: 0,
         dispatch: 0,
-        executor: id(0),
+        executor: executor_id(0),
         status: DispatchStatus::Ok,
         duration: 0.25,
         is_answered: true,
@@ -56,22 +59,23 @@
     }
 }
 
+/// Settings with an idempotent, a keyed and a non-idempotent trigger type, in this order.
 pub fn policy() -> PolicyConfig {
-    let ty = |effect, group| TriggerType {
+    let trigger_type = |idempotency, deduplication_scope| TriggerType {
         latency_objective: 1.0,
         objective_work_factor: 0.0,
         client_timeout: 5.0,
         billed_value: 1.0,
         late_value_fraction: 0.2,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: 2.0,
     };
     PolicyConfig {
         trigger_types: vec![
-            ty(Idempotency::Idempotent, DeduplicationScope::All),
-            ty(Idempotency::Keyed, DeduplicationScope::Cell),
-            ty(Idempotency::NonIdempotent, DeduplicationScope::All),
+            trigger_type(Idempotency::Idempotent, DeduplicationScope::All),
+            trigger_type(Idempotency::Keyed, DeduplicationScope::Cell),
+            trigger_type(Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         quotas: vec![],
         over_quota_value_factor: 0.1,
--- /dev/null
+++ b/crates/dispatch-policy/tests/regional_placement/kit.rs
@@ -0,0 +1,81 @@
+//! A front end in a region of three zones beside another region of three zones.
+
+use crate::reference_model::{World, policy};
+use orchidtally_dispatch_policy::interface::*;
+
+/// Zones 0 to 2 are a region, zones 3 to 5 another one; each has two executors.
+pub const ZONES: [u8; 12] = [0, 0, 1, 1, 2, 2, 3, 3, 4, 4, 5, 5];
+
+pub const REGIONS: [Option<u8>; 6] = [Some(0), Some(0), Some(0), Some(1), Some(1), Some(1)];
+
+pub const FUNCTIONS: std::ops::Range<u64> = 1..61;
+
+pub const LONG_AGO: f64 = f64::NEG_INFINITY;
+
+/// A front end in a zone of the first region; placements are dispatches.
+pub fn regional() -> PolicyConfig {
+    PolicyConfig {
+        allows_load_commands: false,
+        zone_regions: REGIONS.into(),
+        ..policy()
+    }
+}
+
+pub fn regional_world() -> World {
+    World::in_zones(regional(), &ZONES)
+}
+
+pub fn in_own_region(executor: usize) -> bool {
+    executor < 6
+}
+
+pub fn zone(executor: usize) -> u8 {
+    ZONES[executor]
+}
+
+/// Invokes a function, and has it succeed where it is dispatched to at once; returns that executor.
+pub fn serve(world: &mut World, function: u64) -> usize {
+    let invocation = world.invoke(0, function, 5.0);
+    let &[executor] = world.executors_of(invocation).as_slice() else {
+        panic!(
+            "{function} was dispatched to {:?}",
+            world.executors_of(invocation)
+        )
+    };
+    world.finish(invocation, 0, DispatchStatus::Ok);
+    executor
+}
+
+/// Where a front end without any warm replica places the functions.
+pub fn placed(mut world: World) -> Vec<usize> {
+    FUNCTIONS
+        .map(|function| serve(&mut world, function))
+        .collect()
+}
+
+/// The first two candidates of a function: the second gets the dispatch when the first is full.
+pub fn first_two(function: u64) -> (usize, usize) {
+    let mut world = regional_world();
+    let invocation = world.invoke(0, function, 5.0);
+    world.finish(invocation, 0, DispatchStatus::Full);
+    world.advance(0.3);
+    let &[first, second] = world.executors_of(invocation).as_slice() else {
+        panic!("{:?}", world.executors_of(invocation))
+    };
+    (first, second)
+}
+
+pub fn set_states(world: &mut World, executors: impl Iterator<Item = usize>, state: EndpointState) {
+    executors.for_each(|executor| world.update_endpoint(executor, state, LONG_AGO));
+}
+
+/// Where the functions are placed while some executors are gone.
+pub fn placed_without(is_gone: impl Fn(usize) -> bool) -> Vec<usize> {
+    let mut world = regional_world();
+    set_states(
+        &mut world,
+        (0..12).filter(|&executor| is_gone(executor)),
+        EndpointState::Gone,
+    );
+    placed(world)
+}
--- /dev/null
+++ b/crates/dispatch-policy/tests/regional_placement/main.rs
@@ -0,0 +1,9 @@
+//! Placement where the regions of zones are known: within the front end's own region, in different zones.
+
+#[path = "../reference_model/mod.rs"]
+mod reference_model;
+
+mod failures;
+mod kit;
+mod large_region;
+mod placement;
