--- a/crates/capacity-model/src/fleet/assumptions.rs
+++ b/crates/capacity-model/src/fleet/assumptions.rs
@@ -51,7 +51,7 @@
 pub const MANY_VANISHED: f64 = 0.25;
 pub const VANISHED_HELD: f64 = 10.0;
 /// A front end that lost the store, or has just come back to it, has no part of the strictly shared budgets for this
-/// long: `orchidtally_membership::members::LATE`.
+/// long: `orchidtally_membership::members::MAX_VIEW_DELAY`.
 pub const SHARE_PAUSE: f64 = 3.0;
 /// A restarted machine serves again after this time.
 pub const RESTART_TIME: f64 = 2.0;
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -106,7 +106,7 @@
 
     /// Whether it has its list of executors and its own entry.
     pub fn is_ready(&self) -> bool {
-        let owns_entry = self.members.borrow().figure(self.now()).index.is_some();
+        let owns_entry = self.members.borrow().estimate(self.now()).index.is_some();
         owns_entry && self.executors() > 0
     }
 
@@ -117,12 +117,12 @@
 
     /// Executors that it knows.
     pub fn executors(&self) -> usize {
-        self.cache.borrow().known().0
+        self.cache.borrow().executor_counts().known
     }
 
     /// Front ends that it counts.
     pub fn front_ends(&self) -> u32 {
-        self.members.borrow().figure(self.now()).count
+        self.members.borrow().estimate(self.now()).count
     }
 
     /// Bytes over its connections to the store so far.
@@ -181,12 +181,12 @@
     }
 
     fn members_changed(&self) {
-        let figure = self.members.borrow().figure(self.now());
+        let estimate = self.members.borrow().estimate(self.now());
         let view = MembershipView {
-            front_ends: f64::from(figure.count),
-            slot_count: f64::from(figure.count.next_power_of_two()),
-            front_end_index: f64::from(figure.index.unwrap_or(0)),
-            has_budget_share: figure.shares,
+            front_ends: f64::from(estimate.count),
+            slot_count: f64::from(estimate.count.next_power_of_two()),
+            front_end_index: f64::from(estimate.index.unwrap_or(0)),
+            has_budget_share: estimate.shares,
         };
         self.engine
             .borrow_mut()
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -6,7 +6,7 @@
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
 use orchidtally_executor_protocol::v1;
-use orchidtally_membership::{Change, StoreRevision};
+use orchidtally_membership::{EntryChange, EntryError, StoreRevision};
 
 /// Which store answered, and how far it had come.
 pub(super) fn stamp(header: &ResponseHeader) -> StoreRevision {
@@ -17,8 +17,8 @@
 }
 
 /// An entry as a list has it.
-pub(super) fn listed(entry: &KeyValue) -> Change<'_> {
-    Change {
+pub(super) fn listed(entry: &KeyValue) -> EntryChange<'_> {
+    EntryChange {
         key: &entry.key,
         value: Some(&entry.value[..]),
         created: entry.create_revision,
@@ -27,14 +27,14 @@
 }
 
 /// What some events of a watch tell, in their order.
-pub(super) fn changes(events: &[Event]) -> Vec<Change<'_>> {
+pub(super) fn changes(events: &[Event]) -> Vec<EntryChange<'_>> {
     events.iter().filter_map(changed).collect()
 }
 
-fn changed(event: &Event) -> Option<Change<'_>> {
+fn changed(event: &Event) -> Option<EntryChange<'_>> {
     let change = listed(event.kv.as_ref()?);
     let is_deleted = event.r#type() == EventType::Delete;
-    Some(Change {
+    Some(EntryChange {
         value: change.value.filter(|_| !is_deleted),
         ..change
     })
@@ -56,13 +56,13 @@
     key: &[u8],
     value: &[u8],
     now: f64,
-) -> Result<Endpoint, String> {
+) -> Result<Endpoint, EntryError> {
     let fields: serde_json::Value =
-        serde_json::from_slice(value).map_err(|why| format!("no JSON: {why}"))?;
+        serde_json::from_slice(value).map_err(EntryError::InvalidJson)?;
     let key = std::str::from_utf8(key).ok();
     let address = key
         .and_then(|key| key.rsplit('/').next())
-        .ok_or("no address in its key")?;
+        .ok_or(EntryError::MissingAddress)?;
     let text = |name: &str| {
         fields
             .get(name)
@@ -70,28 +70,25 @@
             .unwrap_or_default()
             .to_owned()
     };
-    let number = |name: &str, absent: f64| {
+    let number = |field: &'static str, absent: f64| {
         fields
-            .get(name)
+            .get(field)
             .map_or(Some(absent), serde_json::Value::as_f64)
+            .ok_or(EntryError::NotANumber { field })
     };
     let standing = match text("standing").as_str() {
         "ready" => v1::Standing::Ready,
         "draining" => v1::Standing::Draining,
-        other => {
-            return Err(format!(
-                "the standing '{other}' is neither 'ready' nor 'draining'"
-            ));
-        }
+        other => return Err(EntryError::UnknownState(other.into())),
     };
     let told = v1::RosterRow {
         address: address.into(),
         location: text("location"),
         kind: text("kind"),
-        cell: number("cell", 0.0).ok_or("'cell' is no number")? as u32,
+        cell: number("cell", 0.0)? as u32,
         standing: standing.into(),
-        weight: number("weight", 1.0).ok_or("'weight' is no number")?,
-        since: number("since", 0.0).ok_or("'since' is no number")?,
+        weight: number("weight", 1.0)?,
+        since: number("since", 0.0)?,
     };
     row(deployment, &told, now)
 }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -36,7 +36,7 @@
         self.host
             .members()
             .borrow_mut()
-            .saw(began, self.indices.borrow().iter().copied());
+            .record_view(began, self.indices.borrow().iter().copied());
         self.host.members_changed();
     }
 }
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -84,7 +84,7 @@
             .iter()
             .filter_map(|entry| entries::index(&entry.key))
             .collect();
-        let index = Members::wanted(&taken, rand::random(), lost_claims);
+        let index = Members::choose_index(&taken, rand::random(), lost_claims);
         let began = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.wanted_ttl,
@@ -102,8 +102,8 @@
         let ttl = granted.ttl.max(1) as f64;
         {
             let mut members = self.host.members().borrow_mut();
-            members.owns(self.host.now(), index, 0.0);
-            members.renewed(began, ttl);
+            members.on_claimed(self.host.now(), index, 0.0);
+            members.on_lease_renewed(began, ttl);
         }
         info!(index, "this front end is in the store");
         self.host.members_changed();
@@ -151,15 +151,15 @@
                     self.host
                         .members()
                         .borrow_mut()
-                        .renewed(began, answer.ttl as f64);
+                        .on_lease_renewed(began, answer.ttl as f64);
                 }
                 Ok(_) => {
                     warn!("this front end's lease was over though it lives");
-                    self.host.members().borrow_mut().disowned();
+                    self.host.members().borrow_mut().on_entry_lost();
                     return Ok(());
                 }
                 Err(fault) if self.host.now() > lease.until => {
-                    self.host.members().borrow_mut().disowned();
+                    self.host.members().borrow_mut().on_entry_lost();
                     return Err(fault);
                 }
                 Err(fault) => {
--- a/crates/http-frontend/src/etcd/roster.rs
+++ b/crates/http-frontend/src/etcd/roster.rs
@@ -4,8 +4,7 @@
 use super::follow::Follower;
 use super::host::MembershipHost;
 use orchidtally_etcd::rpc::{Event, KeyValue, ResponseHeader};
-use orchidtally_membership::cache::EndpointUpdate;
-use orchidtally_membership::{Change, NextRequest};
+use orchidtally_membership::{EndpointUpdate, EntryChange, NextRequest};
 use std::rc::Rc;
 use tracing::debug;
 
@@ -19,9 +18,9 @@
         RosterFollower { host }
     }
 
-    fn tell(&self, told: EndpointUpdate) {
-        if let Some((kind, rows)) = told {
-            self.host.roster_changed(kind, &rows);
+    fn tell(&self, update: Option<EndpointUpdate>) {
+        if let Some(update) = update {
+            self.host.roster_changed(update.kind, &update.endpoints);
         }
     }
 }
@@ -32,19 +31,19 @@
     }
 
     fn next(&self) -> NextRequest {
-        self.host.cache().borrow().next()
+        self.host.cache().borrow().next_request()
     }
 
     fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
         let now = self.host.now();
-        let list: Vec<Change> = list.iter().map(entries::listed).collect();
+        let list: Vec<EntryChange> = list.iter().map(entries::listed).collect();
         let read =
             |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told = self
-            .host
-            .cache()
-            .borrow_mut()
-            .listed(now, entries::stamp(header), &list, &read);
+        let told =
+            self.host
+                .cache()
+                .borrow_mut()
+                .apply_list(now, entries::stamp(header), &list, &read);
         self.tell(told);
         self.host.roster_confirmed(began);
     }
@@ -54,13 +53,14 @@
         let changes = entries::changes(events);
         let read =
             |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told =
-            self.host
-                .cache()
-                .borrow_mut()
-                .changed(now, entries::stamp(header), &changes, &read);
-        for (key, why) in self.host.cache().borrow().faults() {
-            debug!(key = %String::from_utf8_lossy(key), why, "an entry can't be read; the last good one counts");
+        let told = self.host.cache().borrow_mut().apply_events(
+            now,
+            entries::stamp(header),
+            &changes,
+            &read,
+        );
+        for (key, error) in self.host.cache().borrow().entry_errors() {
+            debug!(key = %String::from_utf8_lossy(key), %error, "executor entry can't be read, keeping its last valid value");
         }
         self.tell(told);
     }
@@ -69,7 +69,7 @@
         self.host
             .cache()
             .borrow_mut()
-            .progressed(self.host.now(), entries::stamp(header));
+            .on_progress(self.host.now(), entries::stamp(header));
         // Where a list has to come first, what is known is not what the store has.
         if let Some(began) = began.filter(|_| self.next() != NextRequest::List) {
             self.host.roster_confirmed(began);
@@ -81,11 +81,15 @@
     }
 
     fn compacted(&self) {
-        self.host.cache().borrow_mut().compacted();
+        self.host.cache().borrow_mut().on_compaction();
     }
 
     fn turn(&self) {
-        let told = self.host.cache().borrow_mut().turn(self.host.now());
+        let told = self
+            .host
+            .cache()
+            .borrow_mut()
+            .remove_expired(self.host.now());
         self.tell(told);
     }
 }
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -74,12 +74,15 @@
             return;
         }
         match seen {
-            None => self.cache.borrow_mut().answered(self.now(), &executor),
+            None => self
+                .cache
+                .borrow_mut()
+                .record_response(self.now(), &executor),
             Some(Transport::NoConnection) => {
-                let told = self.cache.borrow_mut().failed(&executor);
-                if let Some((kind, rows)) = told {
+                let update = self.cache.borrow_mut().on_connection_failure(&executor);
+                if let Some(update) = update {
                     self.play(|engine, now, performer| {
-                        engine.on_endpoint_update(now, kind, &rows, performer)
+                        engine.on_endpoint_update(now, update.kind, &update.endpoints, performer)
                     });
                 }
             }
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -293,20 +293,20 @@
     /// changes seldom; a front end joins a new number once all must have seen it.
     pub fn count_front_ends(&self) {
         let now = self.now();
-        let figure = self.members.borrow().figure(now);
-        let slot_count = figure.count.next_power_of_two();
+        let estimate = self.members.borrow().estimate(now);
+        let slot_count = estimate.count.next_power_of_two();
         if self.slot_count.get().0 != slot_count {
             self.slot_count.set((slot_count, now));
         }
-        let shares = figure.shares && now >= self.slot_count.get().1 + MAX_VIEW_DELAY;
-        let index = figure.index.unwrap_or(0);
+        let shares = estimate.shares && now >= self.slot_count.get().1 + MAX_VIEW_DELAY;
+        let index = estimate.index.unwrap_or(0);
         self.sender.set(v1::Sender {
             index,
             count: slot_count,
             ..self.sender.get()
         });
         let living = MembershipView {
-            front_ends: f64::from(figure.count),
+            front_ends: f64::from(estimate.count),
             slot_count: f64::from(slot_count),
             front_end_index: f64::from(index),
             has_budget_share: shares,
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -29,22 +29,25 @@
         return serde_json::Value::Null;
     }
     let (cache, now) = (hub.cache.borrow(), hub.now());
-    let (known, held) = cache.known();
-    let figure = hub.members.borrow().figure(now);
-    let faults: serde_json::Map<_, _> = cache
-        .faults()
-        .map(|(key, why)| (String::from_utf8_lossy(key).into_owned(), why.into()))
+    let executors = cache.executor_counts();
+    let estimate = hub.members.borrow().estimate(now);
+    let entry_errors: serde_json::Map<_, _> = cache
+        .entry_errors()
+        .map(|(key, error)| {
+            let key = String::from_utf8_lossy(key).into_owned();
+            (key, error.to_string().into())
+        })
         .collect();
     json!({
         "age": cache.age(now),
         "revision": cache.revision(),
-        "executors": known,
-        "held": held,
-        "relists": cache.relists,
-        "wentBack": cache.went_back,
-        "faults": faults,
-        "frontEnds": figure.count,
-        "shares": figure.shares,
+        "executors": executors.known,
+        "held": executors.retained,
+        "relists": cache.relists(),
+        "wentBack": cache.store_rollbacks(),
+        "faults": entry_errors,
+        "frontEnds": estimate.count,
+        "shares": estimate.shares,
     })
 }
 
--- a/crates/http-frontend/src/roster.rs
+++ b/crates/http-frontend/src/roster.rs
@@ -11,6 +11,7 @@
 use orchidtally_engine::evidence::Transport;
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{ENDPOINTS, MAX_ENDPOINT_LIST_LENGTH, frame};
+use orchidtally_membership::EntryError;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,24 +36,27 @@
     Silent,
 }
 
-/// A row as the module takes it, or why it can't.
-pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<Endpoint, String> {
-    let address: SocketAddr = row.address.parse().map_err(|e| format!("{e}"))?;
+/// The endpoint that a row of an endpoint list stands for in a deployment.
+pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<Endpoint, EntryError> {
+    let address: SocketAddr = row.address.parse().map_err(EntryError::InvalidAddress)?;
     if !deployment.allows(address) {
-        return Err("its address is in none of the allowed networks".into());
+        return Err(EntryError::AddressNotAllowed);
     }
-    let place = |names: &[String], name: &str, what: &str| {
+    let place = |names: &[String], name: &str, category: &'static str| {
         let first = name.is_empty().then_some(0);
         let found = first.or_else(|| names.iter().position(|n| n == name));
         found
             .map(|n| n as u8)
-            .ok_or_else(|| format!("{what} '{name}' is not in the deployment file"))
+            .ok_or_else(|| EntryError::UnknownName {
+                category,
+                name: name.to_owned(),
+            })
     };
     let standing = match row.standing() {
         v1::Standing::Ready => EndpointState::Ready,
         v1::Standing::Draining => EndpointState::Draining,
         v1::Standing::Gone => EndpointState::Gone,
-        v1::Standing::Unspecified => return Err("its standing is not told".into()),
+        v1::Standing::Unspecified => return Err(EntryError::MissingState),
     };
     let since = if row.since > 0.0 {
         row.since.min(now)
@@ -63,7 +67,7 @@
         executor: ExecutorId(address.ip(), address.port()),
         zone: place(&deployment.locations, &row.location, "location")?,
         kind: place(&deployment.kinds, &row.kind, "kind")?,
-        cell: u16::try_from(row.cell).map_err(|_| format!("cell {} is over 65535", row.cell))?,
+        cell: u16::try_from(row.cell).map_err(|_| EntryError::CellOutOfRange(row.cell))?,
         state: standing,
         weight: row.weight,
         started_at: since,
@@ -124,8 +128,8 @@
     let now = hub.now();
     let read = |told: &v1::RosterRow| match row(&hub.deployment, told, now) {
         Ok(row) => Some(row),
-        Err(fault) => {
-            warn!(executor = told.address, fault, "an executor was refused");
+        Err(error) => {
+            warn!(executor = told.address, %error, "executor rejected");
             None
         }
     };
--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -3,21 +3,21 @@
 //! `cargo bench -p orchidtally-membership --bench cache`
 
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
-use orchidtally_membership::{Change, EndpointCache, StoreRevision};
+use orchidtally_membership::{EndpointCache, EntryChange, EntryError, StoreRevision};
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
-fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, String> {
-    let text = std::str::from_utf8(key).map_err(|e| e.to_string())?;
+fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
+    let text = std::str::from_utf8(key).map_err(|_| EntryError::MissingAddress)?;
     let n: u32 = text
         .rsplit('/')
         .next()
         .and_then(|t| t.parse().ok())
-        .ok_or("no number")?;
+        .ok_or(EntryError::MissingAddress)?;
     let since = std::str::from_utf8(value)
         .ok()
         .and_then(|t| t.parse().ok())
-        .ok_or("no start")?;
+        .ok_or(EntryError::NotANumber { field: "since" })?;
     Ok(Endpoint {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::from(0x0a00_0000 + n)), 7000),
         zone: 0,
@@ -35,9 +35,9 @@
         let keys: Vec<Vec<u8>> = (0..entries)
             .map(|n| format!("/executors/{n}").into_bytes())
             .collect();
-        let list: Vec<Change> = keys
+        let list: Vec<EntryChange> = keys
             .iter()
-            .map(|key| Change {
+            .map(|key| EntryChange {
                 key,
                 value: Some(b"1"),
                 created: 1,
@@ -46,7 +46,7 @@
             .collect();
         let mut cache = EndpointCache::new(0.0);
         let began = Instant::now();
-        let told = cache.listed(
+        let told = cache.apply_list(
             0.0,
             StoreRevision {
                 cluster: 1,
@@ -56,9 +56,9 @@
             &read,
         );
         let first = began.elapsed().as_secs_f64();
-        assert_eq!(told.map(|t| t.1.len()), Some(entries));
+        assert_eq!(told.map(|t| t.endpoints.len()), Some(entries));
         let began = Instant::now();
-        let told = cache.listed(
+        let told = cache.apply_list(
             1.0,
             StoreRevision {
                 cluster: 1,
@@ -74,13 +74,13 @@
         for n in 0..CHANGES {
             let revision = 3 + n as i64;
             let value = revision.to_string();
-            let change = Change {
+            let change = EntryChange {
                 key: &keys[n % entries],
                 value: Some(value.as_bytes()),
                 created: 1,
                 modified: revision,
             };
-            let told = cache.changed(
+            let told = cache.apply_events(
                 2.0,
                 StoreRevision {
                     cluster: 1,
@@ -89,7 +89,7 @@
                 &[change],
                 &read,
             );
-            assert_eq!(told.map(|t| t.1.len()), Some(1));
+            assert_eq!(told.map(|t| t.endpoints.len()), Some(1));
         }
         let each = began.elapsed().as_secs_f64() / CHANGES as f64;
         println!(
--- /dev/null
+++ b/crates/membership/src/cache/updates.rs
@@ -0,0 +1,236 @@
+//! How lists and watch events change the cache.
+
+use super::entry::{CachedEntry, drained_executor_key, with_state};
+use super::{EndpointCache, EndpointUpdate, EntryReader, MAX_REMEMBERED_ERRORS};
+use crate::{EntryChange, StoreRevision};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, EndpointUpdateKind};
+use std::collections::BTreeSet;
+
+impl EndpointCache {
+    /// Applies a list of all entries, complete at one revision. `read` parses the entries.
+    ///
+    /// The first list gives a full update, later ones the difference, or `None` if there is none.
+    pub fn apply_list(
+        &mut self,
+        now: f64,
+        revision: StoreRevision,
+        list: &[EntryChange],
+        read: &EntryReader,
+    ) -> Option<EndpointUpdate> {
+        self.last_response_at = now;
+        self.relists += u64::from(self.has_list);
+        let is_rollback = self.revision.is_some_and(|known| {
+            known.cluster != revision.cluster || known.revision > revision.revision
+        });
+        self.store_rollbacks += u64::from(is_rollback);
+        self.revision = Some(revision);
+        self.needs_list = false;
+        self.last_list_at = now;
+        self.operator_drains = list
+            .iter()
+            .filter_map(|entry| drained_executor_key(entry.key))
+            .map(<[u8]>::to_vec)
+            .collect();
+
+        let mut changed = vec![];
+        for entry in list {
+            if drained_executor_key(entry.key).is_none() {
+                self.apply_listed_entry(entry, is_rollback, read, &mut changed);
+            }
+        }
+        let missing = self.keys_missing_from(list);
+        self.remove(now, missing, is_rollback, &mut changed);
+        if !std::mem::replace(&mut self.has_list, true) {
+            return Some(EndpointUpdate {
+                kind: EndpointUpdateKind::Full,
+                endpoints: self.endpoints().cloned().collect(),
+            });
+        }
+        EndpointUpdate::delta(changed)
+    }
+
+    fn apply_listed_entry(
+        &mut self,
+        entry: &EntryChange,
+        is_rollback: bool,
+        read: &EntryReader,
+        changed: &mut Vec<Endpoint>,
+    ) {
+        let Some(endpoint) = self.read_entry(entry, read) else {
+            return;
+        };
+        let was_drained = self.drain_history.contains(entry.key, &endpoint);
+        if is_rollback && endpoint.state == EndpointState::Ready && was_drained {
+            let draining = with_state(&endpoint, EndpointState::Draining);
+            self.insert(entry, draining, changed);
+            return;
+        }
+        let is_outdated = self
+            .entries
+            .get(entry.key)
+            .is_some_and(|known| known.created == entry.created && known.modified > entry.modified);
+        if is_rollback || !is_outdated {
+            self.insert(entry, endpoint, changed);
+        }
+    }
+
+    fn keys_missing_from(&self, list: &[EntryChange]) -> Vec<Vec<u8>> {
+        let listed: BTreeSet<&[u8]> = list.iter().map(|entry| entry.key).collect();
+        self.entries
+            .keys()
+            .filter(|key| !listed.contains(key.as_slice()))
+            .cloned()
+            .collect()
+    }
+
+    /// Applies the events of a watch response at `revision`. Events that were applied before are skipped. `read`
+    /// parses the entries. `None` if no endpoint changed.
+    pub fn apply_events(
+        &mut self,
+        now: f64,
+        revision: StoreRevision,
+        events: &[EntryChange],
+        read: &EntryReader,
+    ) -> Option<EndpointUpdate> {
+        let known = self
+            .revision
+            .filter(|known| known.cluster == revision.cluster);
+        let Some(known) = known else {
+            self.needs_list = true;
+            return None;
+        };
+        self.last_response_at = now;
+        let mut changed = vec![];
+        let mut removed = vec![];
+        for event in events {
+            if event.modified <= known.revision {
+                continue;
+            }
+            if let Some(executor_key) = drained_executor_key(event.key) {
+                self.apply_operator_drain(executor_key, event.value.is_some(), &mut changed);
+                continue;
+            }
+            if event.value.is_none() {
+                removed.push(event.key.to_vec());
+                continue;
+            }
+            // An entry that is deleted and created again within one response belongs to another executor.
+            if let Some(position) = removed.iter().position(|key| key == event.key) {
+                let key = removed.swap_remove(position);
+                self.remove(now, vec![key], false, &mut changed);
+            }
+            if let Some(endpoint) = self.read_entry(event, read) {
+                self.insert(event, endpoint, &mut changed);
+            }
+        }
+        self.remove(now, removed, false, &mut changed);
+        self.revision = Some(StoreRevision {
+            revision: known.revision.max(revision.revision),
+            ..revision
+        });
+        EndpointUpdate::delta(changed)
+    }
+
+    /// Applies an operator's drain of an executor, or its withdrawal.
+    fn apply_operator_drain(
+        &mut self,
+        executor_key: &[u8],
+        is_drained: bool,
+        changed: &mut Vec<Endpoint>,
+    ) {
+        if is_drained {
+            self.operator_drains.insert(executor_key.to_vec());
+        } else {
+            self.operator_drains.remove(executor_key);
+        }
+        let Some(entry) = self.entries.get(executor_key) else {
+            return;
+        };
+        // An entry that the store no longer has isn't inserted again.
+        if entry.is_retained() {
+            return;
+        }
+        let unchanged = EntryChange {
+            key: executor_key,
+            value: None,
+            created: entry.created,
+            modified: entry.modified,
+        };
+        let registered = entry.registered.clone();
+        self.insert(&unchanged, registered, changed);
+    }
+
+    /// Parses an entry; the error of one that can't be parsed is kept.
+    fn read_entry(&mut self, entry: &EntryChange, read: &EntryReader) -> Option<Endpoint> {
+        match read(entry.key, entry.value?) {
+            Ok(endpoint) => {
+                self.entry_errors.remove(entry.key);
+                Some(endpoint)
+            }
+            Err(error) => {
+                if self.entry_errors.len() < MAX_REMEMBERED_ERRORS {
+                    self.entry_errors.insert(entry.key.to_vec(), error);
+                }
+                None
+            }
+        }
+    }
+
+    /// Inserts or replaces an entry and adds what this changes to `changed`.
+    fn insert(&mut self, change: &EntryChange, registered: Endpoint, changed: &mut Vec<Endpoint>) {
+        let is_drained_by_operator =
+            self.operator_drains.contains(change.key) && registered.state == EndpointState::Ready;
+        let state = if is_drained_by_operator {
+            EndpointState::Draining
+        } else {
+            registered.state
+        };
+        let endpoint = with_state(&registered, state);
+        self.drain_history.record(change.key, &endpoint);
+        let previous = self.entries.get(change.key).map(|entry| &entry.endpoint);
+        // Another executor under the same key: the previous one is gone first.
+        if let Some(previous) = previous.filter(|known| known.executor != endpoint.executor) {
+            changed.push(with_state(previous, EndpointState::Gone));
+        }
+        if previous != Some(&endpoint) {
+            changed.push(endpoint.clone());
+        }
+        let entry = CachedEntry {
+            endpoint,
+            registered,
+            created: change.created,
+            modified: change.modified,
+            retained_since: None,
+        };
+        self.entries.insert(change.key.to_vec(), entry);
+    }
+
+    /// Removes entries that the store no longer has. Ready executors are retained for now if many disappear together
+    /// or if the store `is_rollback`.
+    fn remove(
+        &mut self,
+        now: f64,
+        keys: Vec<Vec<u8>>,
+        is_rollback: bool,
+        changed: &mut Vec<Endpoint>,
+    ) {
+        // The removal of a draining executor is expected.
+        let is_unexpected = |entry: &CachedEntry| entry.is_ready() && !entry.is_retained();
+        let unexpected = keys
+            .iter()
+            .filter(|key| self.entries.get(*key).is_some_and(is_unexpected))
+            .count();
+        let is_mass_expiry = self.mass_expiry.record(now, unexpected, self.entries.len());
+        for key in keys {
+            let Some(entry) = self.entries.get_mut(&key) else {
+                continue;
+            };
+            if (is_mass_expiry || is_rollback) && entry.is_ready() {
+                entry.retained_since.get_or_insert(now);
+                continue;
+            }
+            changed.push(with_state(&entry.endpoint, EndpointState::Gone));
+            self.entries.remove(&key);
+        }
+    }
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,15 @@
-//! Decisions of membership, without I/O: what of a store's word on executors is believed when, and by how many front
-//! ends each one shares what is to be shared.
+//! Membership decisions, without I/O: which executors a front end believes to be alive from what a store with lists
+//! and watches (etcd) reports, and by how many front ends shared budgets are divided.
+//!
+//! Nothing here reads a clock or a socket. Callers pass the time, in seconds of one monotonic clock of theirs, and
+//! the store's responses.
 
 pub mod cache;
+mod error;
 pub mod members;
+mod store;
 
-pub use cache::{Change, EndpointCache, NextRequest, StoreRevision};
+pub use cache::{EndpointCache, EndpointUpdate, EntryReader, ExecutorCounts};
+pub use error::EntryError;
 pub use members::{Members, MembershipEstimate};
+pub use store::{EntryChange, NextRequest, StoreRevision};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,108 +1,137 @@
-//! By how many front ends what is to be shared is shared. Views of the count differ while front ends come and go;
-//! the shares of all that live never add up to more than one.
+//! By how many front ends shared budgets are divided.
 //!
-//! A front end counts with the most that it has seen within the time in which views may differ, and has no share of
-//! its own until all others must have seen it. One whose lease may have expired has none either: others may count
-//! without it.
+//! While front ends join and leave, their views of the count differ. The shares of all live front ends must never add
+//! up to more than one. A front end therefore divides by the highest count that it has seen within the time by which
+//! views may differ, and takes no share of its own until all others must have seen it. A front end whose lease may
+//! have expired takes none either, since others may no longer count it.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// What views may differ by, in seconds: how late a change is seen, at the most, by a front end that counts by its
-/// view.
+/// By how much views may differ, in seconds: the longest delay until a front end that divides by its view sees a
+/// change.
 pub const MAX_VIEW_DELAY: f64 = 3.0;
-/// A view that was not renewed for so long is none.
-const NO_VIEW: f64 = MAX_VIEW_DELAY;
+/// A view that wasn't refreshed for longer than this is not used, in seconds.
+const VIEW_EXPIRY: f64 = MAX_VIEW_DELAY;
+/// The choice of an index after lost claims is spread over at most 2 to this power free indices.
+const MAX_CLAIM_SPREAD_EXPONENT: u32 = 8;
 
+/// A view of the front ends in the store.
+#[derive(Clone, Copy, Debug)]
+struct CountView {
+    /// No earlier than this moment the store had these front ends.
+    at: f64,
+    count: u32,
+}
+
+/// The index under which a front end has registered itself.
+#[derive(Clone, Copy, Debug)]
+struct OwnEntry {
+    index: u32,
+    claimed_at: f64,
+}
+
+/// What a front end knows of its own registration and of the other front ends.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
-    /// The deployment's figure, for when the store is away.
-    stated: u32,
-    /// Counts seen, with the time until which each may still be another's.
-    seen: VecDeque<(f64, u32)>,
-    seen_at: Option<f64>,
-    /// The most ever seen.
-    most: u32,
-    /// Its own entry: the index, and since when it stands there.
-    own: Option<(u32, f64)>,
+    /// The count in the deployment file, used while the store is unreachable.
+    configured_count: u32,
+    /// Recent views; any of their counts may still be in use by another front end.
+    recent_views: VecDeque<CountView>,
+    last_view_at: Option<f64>,
+    /// The highest count of any view, and of the deployment file.
+    highest_count: u32,
+    own_entry: Option<OwnEntry>,
     lease_until: f64,
 }
 
+/// A front end's estimate of the membership.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipEstimate {
-    /// Front ends to share by.
+    /// The number of front ends by which to divide; at least 1.
     pub count: u32,
-    /// Its own index; none while it owns none.
+    /// The front end's own index; `None` while it is not registered.
     pub index: Option<u32>,
-    /// Whether it may take its share of what all share strictly: the budgets of cold executors.
+    /// Whether the front end may use its share of strictly shared budgets: those for executors that are warming up.
     pub shares: bool,
 }
 
 impl Members {
-    pub fn new(stated: u32) -> Members {
+    /// No registration and no view yet. `configured_count` is the count in the deployment file.
+    pub fn new(configured_count: u32) -> Members {
         Members {
-            stated,
-            most: stated,
+            configured_count,
+            highest_count: configured_count,
             ..Members::default()
         }
     }
 
-    /// The index to claim, where these are taken: the lowest free one, or after claims that were lost one of the lowest
-    /// few by a draw, twice as many each time, so that many that start together don't all try for one.
-    pub fn wanted(taken: &BTreeSet<u32>, draw: f64, lost: u32) -> u32 {
-        let free = (0..).filter(|n| !taken.contains(n));
-        let among = 1u32 << lost.min(8);
-        let skip = (draw.clamp(0.0, 0.999) * f64::from(among)) as usize;
-        free.skip(skip).map(|n: u32| n).next().unwrap_or(0)
+    /// The index to claim while the indices `taken` are in use: the lowest free one, or, after lost claims, one of the
+    /// lowest few. Their number doubles with each lost claim, so that front ends that start together don't all claim
+    /// the same index. `random` is uniform in 0 to 1.
+    pub fn choose_index(taken: &BTreeSet<u32>, random: f64, lost_claims: u32) -> u32 {
+        let mut free = (0..).filter(|index| !taken.contains(index));
+        let candidates = 1u32 << lost_claims.min(MAX_CLAIM_SPREAD_EXPONENT);
+        let position = (random.clamp(0.0, 0.999) * f64::from(candidates)) as usize;
+        free.nth(position).unwrap_or(0)
     }
 
-    /// The store took its claim.
-    pub fn owns(&mut self, now: f64, index: u32, lease: f64) {
-        self.own = Some((index, now));
+    /// The store accepted the claim of `index`, with a lease of `lease` seconds.
+    pub fn on_claimed(&mut self, now: f64, index: u32, lease: f64) {
+        self.own_entry = Some(OwnEntry {
+            index,
+            claimed_at: now,
+        });
         self.lease_until = now + lease;
     }
 
-    /// The lease was renewed by an exchange that began at `began`: it holds from then on.
-    pub fn renewed(&mut self, began: f64, lease: f64) {
-        self.lease_until = self.lease_until.max(began + lease);
+    /// The lease was renewed by a request that was sent at `sent_at`, from when it is valid.
+    pub fn on_lease_renewed(&mut self, sent_at: f64, lease: f64) {
+        self.lease_until = self.lease_until.max(sent_at + lease);
     }
 
-    /// The store says that its entry is not there, or another's.
-    pub fn disowned(&mut self) {
-        self.own = None;
+    /// The store no longer has the front end's own entry, or has another's in its place.
+    pub fn on_entry_lost(&mut self) {
+        self.own_entry = None;
     }
 
-    /// The front ends in the store, as of a moment no earlier than `at`: their indices.
-    pub fn saw(&mut self, at: f64, indices: impl IntoIterator<Item = u32>) {
-        let indices: BTreeSet<u32> = indices.into_iter().collect();
-        // Indices have holes; a rota goes by the greatest.
-        let count = indices.last().map_or(0, |last| last + 1);
-        self.most = self.most.max(count);
-        self.seen_at = Some(self.seen_at.map_or(at, |before: f64| before.max(at)));
-        self.seen.push_back((at, count));
-        while self.seen.len() > 1 && self.seen[1].0 <= at - 2.0 * MAX_VIEW_DELAY {
-            self.seen.pop_front();
+    /// Records the indices of the front ends in the store, as of a moment no earlier than `at`.
+    pub fn record_view(&mut self, at: f64, indices: impl IntoIterator<Item = u32>) {
+        // Indices may have gaps, and slots go by the highest one.
+        let count = indices.into_iter().max().map_or(0, |highest| highest + 1);
+        self.highest_count = self.highest_count.max(count);
+        self.last_view_at = Some(self.last_view_at.map_or(at, |last: f64| last.max(at)));
+        self.recent_views.push_back(CountView { at, count });
+        let oldest_used = at - 2.0 * MAX_VIEW_DELAY;
+        while self.recent_views.len() > 1 && self.recent_views[1].at <= oldest_used {
+            self.recent_views.pop_front();
         }
     }
 
-    pub fn figure(&self, now: f64) -> MembershipEstimate {
-        let index = self.own.map(|own| own.0);
-        let holds = now < self.lease_until;
-        // Others count it once they have seen it.
-        let known = self.own.is_some_and(|own| now >= own.1 + MAX_VIEW_DELAY) && holds;
-        let current = self.seen_at.is_some_and(|at| now - at <= NO_VIEW);
-        let lately = self.seen.iter().map(|s| s.1).max().unwrap_or(0);
-        let own = index.map_or(0, |i| i + 1);
-        let count = if current {
-            lately
+    /// The estimate at `now`.
+    pub fn estimate(&self, now: f64) -> MembershipEstimate {
+        let index = self.own_entry.map(|entry| entry.index);
+        let is_view_current = self.last_view_at.is_some_and(|at| now - at <= VIEW_EXPIRY);
+        let count = if is_view_current {
+            let counts = self.recent_views.iter().map(|view| view.count);
+            counts.max().unwrap_or(0)
         } else {
-            self.most.max(self.stated)
+            self.highest_count.max(self.configured_count)
         };
-        // Each that shares has been in the store for as long as a view may be old, and is there still: all of them
-        // are in this view. Without one nobody can say by how many to share.
+        let count_with_own = index.map_or(0, |index| index + 1);
+        // Every front end that uses its share has been in the store for as long as a view may be old, and still is, so
+        // a current view has all of them. Without one the divisor is unknown.
         MembershipEstimate {
-            count: count.max(own).max(1),
+            count: count.max(count_with_own).max(1),
             index,
-            shares: known && current,
+            shares: is_view_current && self.is_seen_by_all(now),
         }
     }
+
+    /// Whether all others must have seen the own entry, and its lease can't have expired.
+    fn is_seen_by_all(&self, now: f64) -> bool {
+        let is_old_enough = self
+            .own_entry
+            .is_some_and(|entry| now >= entry.claimed_at + MAX_VIEW_DELAY);
+        is_old_enough && now < self.lease_until
+    }
 }
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -9,7 +9,10 @@
     DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
 };
 use orchidtally_etcd::{Told, Watch, range_end};
-use orchidtally_membership::{Change, EndpointCache, NextRequest, StoreRevision};
+use orchidtally_membership::{
+    EndpointCache, EndpointUpdate, EntryChange, EntryError, ExecutorCounts, NextRequest,
+    StoreRevision,
+};
 use orchidtally_test_servers::etcd::Store;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -19,13 +22,13 @@
 const PREFIX: &[u8] = b"/executors/";
 const EXECUTORS: u8 = 12;
 
-fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, String> {
+fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
     let n: u8 = std::str::from_utf8(&key[PREFIX.len()..])
         .unwrap()
         .parse()
         .unwrap();
     let text = std::str::from_utf8(value).unwrap();
-    let (standing, since) = text.split_once(' ').ok_or("half written")?;
+    let (standing, since) = text.split_once(' ').ok_or(EntryError::MissingState)?;
     Ok(Endpoint {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7),
         zone: 0,
@@ -37,12 +40,14 @@
             EndpointState::Draining
         },
         weight: 1.0,
-        started_at: since.parse().map_err(|_| "half written")?,
+        started_at: since
+            .parse()
+            .map_err(|_| EntryError::NotANumber { field: "since" })?,
     })
 }
 
-fn change(kv: &KeyValue, deleted: bool) -> Change<'_> {
-    Change {
+fn change(kv: &KeyValue, deleted: bool) -> EntryChange<'_> {
+    EntryChange {
         key: &kv.key,
         value: (!deleted).then_some(&kv.value[..]),
         created: kv.create_revision,
@@ -91,12 +96,12 @@
         [PREFIX, n.to_string().as_bytes()].concat().into()
     }
 
-    fn tell(&mut self, told: Option<(EndpointUpdateKind, Vec<Endpoint>)>) {
-        let Some((kind, rows)) = told else { return };
-        if kind == EndpointUpdateKind::Full {
+    fn tell(&mut self, update: Option<EndpointUpdate>) {
+        let Some(update) = update else { return };
+        if update.kind == EndpointUpdateKind::Full {
             self.told.clear();
         }
-        for row in rows {
+        for row in update.endpoints {
             let start = (row.executor.0, row.started_at as u64);
             match row.state {
                 EndpointState::Draining => {
@@ -153,25 +158,25 @@
             };
             let rows = match told {
                 Told::Events { header, events } => {
-                    let changes: Vec<Change> = events
+                    let changes: Vec<EntryChange> = events
                         .iter()
                         .filter_map(|e| Some(change(e.kv.as_ref()?, e.r#type == 1)))
                         .collect();
                     self.cache
-                        .changed(self.now, stamp(&header), &changes, &read)
+                        .apply_events(self.now, stamp(&header), &changes, &read)
                 }
                 Told::Progress { header, .. } => {
-                    self.cache.progressed(self.now, stamp(&header));
+                    self.cache.on_progress(self.now, stamp(&header));
                     None
                 }
                 Told::Compacted { .. } => {
-                    self.cache.compacted();
+                    self.cache.on_compaction();
                     None
                 }
                 Told::Created | Told::Cancelled { .. } => None,
             };
             self.tell(rows);
-            if self.cache.next() == NextRequest::List {
+            if self.cache.next_request() == NextRequest::List {
                 self.cut();
                 return;
             }
@@ -187,7 +192,7 @@
         if self.watch.is_some() {
             return;
         }
-        if self.cache.next() == NextRequest::List {
+        if self.cache.next_request() == NextRequest::List {
             self.lists += 1;
             let question = RangeRequest {
                 key: PREFIX.to_vec().into(),
@@ -195,16 +200,16 @@
                 ..RangeRequest::default()
             };
             let answer = self.store.range(&question).unwrap();
-            let list: Vec<Change> = answer.kvs.iter().map(|kv| change(kv, false)).collect();
+            let list: Vec<EntryChange> = answer.kvs.iter().map(|kv| change(kv, false)).collect();
             let header = answer.header.unwrap();
             let stamp = StoreRevision {
                 cluster: header.cluster_id,
                 revision: header.revision,
             };
-            let told = self.cache.listed(self.now, stamp, &list, &read);
+            let told = self.cache.apply_list(self.now, stamp, &list, &read);
             self.tell(told);
         }
-        let NextRequest::Watch(from) = self.cache.next() else {
+        let NextRequest::Watch(from) = self.cache.next_request() else {
             panic!("a list was just given")
         };
         let mut watch = Watch::new(PREFIX, from);
@@ -285,10 +290,10 @@
             95 if restores => {
                 self.store.restore(self.store.revision - 4);
                 self.cut();
-                self.cache.compacted();
+                self.cache.on_compaction();
             }
             _ => {
-                let told = self.cache.turn(self.now);
+                let told = self.cache.remove_expired(self.now);
                 self.tell(told);
             }
         }
@@ -303,7 +308,7 @@
             while !self.down.is_empty() {
                 self.hear();
             }
-            let told = self.cache.turn(self.now);
+            let told = self.cache.remove_expired(self.now);
             self.tell(told);
         }
     }
@@ -354,7 +359,7 @@
         // The last good one of what can't be read counts, so that all are written whole before they are compared.
         for n in 0..EXECUTORS {
             let key: Bytes = [PREFIX, n.to_string().as_bytes()].concat().into();
-            let bad = w.cache.faults().any(|(k, _)| k == &key[..]) || n % 3 == 0;
+            let bad = w.cache.entry_errors().any(|(k, _)| k == &key[..]) || n % 3 == 0;
             if bad {
                 faults += 1;
                 w.store
@@ -378,8 +383,8 @@
             .collect();
         for k in unreadable {
             assert_eq!(
-                w.cache.faults().count(),
-                1.max(w.cache.faults().count()),
+                w.cache.entry_errors().count(),
+                1.max(w.cache.entry_errors().count()),
                 "seed {seed}: {k:?} is not there"
             );
             truth.insert(k, told[&k].clone());
@@ -400,13 +405,13 @@
         // An executor that was told to drain is not told otherwise by its own registration.
         for _ in 0..150 {
             let before = w.undrained;
-            let was_back = w.cache.went_back;
+            let was_back = w.cache.store_rollbacks();
             w.step(true);
-            if w.cache.went_back > was_back {
+            if w.cache.store_rollbacks() > was_back {
                 assert_eq!(w.undrained, before, "seed {seed}");
             }
         }
-        back += w.cache.went_back;
+        back += w.cache.store_rollbacks();
     }
     assert!(back > 200, "{back}");
 }
@@ -425,8 +430,8 @@
     }
     let mut cache = EndpointCache::new(0.0);
     let kvs = listed(&store);
-    let list: Vec<Change> = kvs.iter().map(|kv| change(kv, false)).collect();
-    let told = cache.listed(
+    let list: Vec<EntryChange> = kvs.iter().map(|kv| change(kv, false)).collect();
+    let told = cache.apply_list(
         0.0,
         StoreRevision {
             cluster: 1,
@@ -435,7 +440,7 @@
         &list,
         &read,
     );
-    assert_eq!(told.unwrap().1.len(), n);
+    assert_eq!(told.unwrap().endpoints.len(), n);
     (store, cache)
 }
 
@@ -448,6 +453,10 @@
     store.range(&question).unwrap().kvs
 }
 
+fn counts(known: usize, retained: usize) -> ExecutorCounts {
+    ExecutorCounts { known, retained }
+}
+
 #[test]
 fn an_empty_list_takes_nobody_away_whose_answers_say_otherwise() {
     let (store, mut cache) = fleet(12);
@@ -456,25 +465,25 @@
         revision: store.revision + 12,
     };
     assert_eq!(
-        cache.listed(1.0, stamp, &[], &read),
+        cache.apply_list(1.0, stamp, &[], &read),
         None,
         "all at once: nobody is gone"
     );
-    assert_eq!(cache.known(), (12, 12));
+    assert_eq!(cache.executor_counts(), counts(12, 12));
     let executor = |n: u8| ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7);
     // One is not there, half of the others answer all the time, the rest say nothing.
-    let failed = cache.failed(&executor(0)).unwrap().1;
+    let failed = cache.on_connection_failure(&executor(0)).unwrap().endpoints;
     assert!(failed.len() == 1 && failed[0].state == EndpointState::Gone);
     let mut gone = vec![];
     for step in 0..400 {
         let now = 1.0 + 0.1 * f64::from(step);
-        (1..6).for_each(|n| cache.answered(now, &executor(n)));
-        cache.progressed(now, stamp);
+        (1..6).for_each(|n| cache.record_response(now, &executor(n)));
+        cache.on_progress(now, stamp);
         gone.extend(
             cache
-                .turn(now)
+                .remove_expired(now)
                 .into_iter()
-                .flat_map(|t| t.1)
+                .flat_map(|update| update.endpoints)
                 .map(|r| (now, r.executor)),
         );
     }
@@ -484,7 +493,7 @@
             .all(|(at, e)| *at > 11.0 && !(1..6).any(|n| *e == executor(n))),
         "{gone:?}"
     );
-    assert_eq!(cache.known(), (5, 5));
+    assert_eq!(cache.executor_counts(), counts(5, 5));
     // What drains was to go, and a single one goes at once.
     let (mut store, mut cache) = fleet(12);
     let key: Bytes = [PREFIX, b"3"].concat().into();
@@ -493,9 +502,9 @@
         ..DeleteRangeRequest::default()
     });
     let kvs = listed(&store);
-    let list: Vec<Change> = kvs.iter().map(|kv| change(kv, false)).collect();
+    let list: Vec<EntryChange> = kvs.iter().map(|kv| change(kv, false)).collect();
     let told = cache
-        .listed(
+        .apply_list(
             1.0,
             StoreRevision {
                 cluster: 1,
@@ -506,8 +515,8 @@
         )
         .unwrap();
     assert!(
-        told.0 == EndpointUpdateKind::Delta
-            && told.1.len() == 1
-            && told.1[0].state == EndpointState::Gone
+        told.kind == EndpointUpdateKind::Delta
+            && told.endpoints.len() == 1
+            && told.endpoints[0].state == EndpointState::Gone
     );
 }
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -95,28 +95,28 @@
             if let Some((began, ends)) = m.looking
                 && now >= ends
             {
-                m.members.saw(began, store.keys().copied());
+                m.members.record_view(began, store.keys().copied());
                 m.looking = None;
             }
             if let Some((began, ends)) = m.renewing
                 && now >= ends
             {
                 m.renewing = None;
-                let own = m.members.figure(now).index;
+                let own = m.members.estimate(now).index;
                 match own.and_then(|i| store.get_mut(&i)).filter(|e| e.0 == m.id) {
                     Some(entry) => {
                         // The store renews somewhere in between.
                         entry.1 = entry
                             .1
                             .max(began + LEASE + random.random_range(0.0..=(ends - began)));
-                        m.members.renewed(began, LEASE);
+                        m.members.on_lease_renewed(began, LEASE);
                     }
                     None => {
-                        m.members.disowned();
+                        m.members.on_entry_lost();
                         let taken: BTreeSet<u32> = store.keys().copied().collect();
-                        let index = Members::wanted(&taken, random.random(), 0);
+                        let index = Members::choose_index(&taken, random.random(), 0);
                         store.insert(index, (m.id, now + LEASE));
-                        m.members.owns(now, index, LEASE);
+                        m.members.on_claimed(now, index, LEASE);
                     }
                 }
             }
@@ -129,19 +129,19 @@
         let mut indices = BTreeSet::new();
         let mut sum = 0.0;
         for m in &all {
-            let figure = m.members.figure(now);
+            let estimate = m.members.estimate(now);
             let shares = match planted {
-                Planted::Nothing => figure.shares,
-                Planted::Eager => figure.index.is_some(),
+                Planted::Nothing => estimate.shares,
+                Planted::Eager => estimate.index.is_some(),
                 Planted::Stubborn => {
-                    figure.shares || now < m.cut_off_until && figure.index.is_some()
+                    estimate.shares || now < m.cut_off_until && estimate.index.is_some()
                 }
             };
             total += 1.0;
             if shares {
                 seen.used += 1.0;
-                sum += 1.0 / f64::from(figure.count);
-                seen.same_index += u32::from(!indices.insert(figure.index));
+                sum += 1.0 / f64::from(estimate.count);
+                seen.same_index += u32::from(!indices.insert(estimate.index));
             }
         }
         seen.worst = seen.worst.max(sum);
