--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -88,10 +88,10 @@
                 "whole: {snapshot}, {} entries of {bytes} bytes since",
                 found.entries.len()
             );
-            if found.cut > 0 {
+            if found.truncated_bytes > 0 {
                 println!(
                     "{} bytes at the end are an append that was cut short; opening it drops them",
-                    found.cut
+                    found.truncated_bytes
                 );
             }
         }
--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -12,10 +12,10 @@
 /// Reads the state from a journal: it is in the last whole entry.
 pub fn recover(folder: &Path) -> io::Result<(Journal, CoordinatorState)> {
     let (journal, recovered) = Journal::open(folder)?;
-    if recovered.cut > 0 {
+    if recovered.truncated_bytes > 0 {
         warn!(
-            bytes = recovered.cut,
-            "the journal's end was not whole and was cut off"
+            bytes = recovered.truncated_bytes,
+            "incomplete record at the end of the journal truncated"
         );
     }
     let last = recovered.entries.last().or(recovered.snapshot.as_ref());
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -64,7 +64,7 @@
     let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
-    let journal = GroupCommit::sharing(journal, most_entries, sharing);
+    let journal = GroupCommit::with_max_batch(journal, most_entries, sharing);
     let mut host = ConsumerHost::new(
         hub.clone(),
         section,
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -56,7 +56,7 @@
             section,
             journal,
             records,
-            cut: found.cut,
+            cut: found.truncated_bytes,
             sharing: SHARING,
         })
     }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -49,7 +49,7 @@
         let (mut journal, _) = Journal::open(&at).unwrap();
         let mut model = Recovered::default();
         for step in steps {
-            let cut = match step {
+            let truncated_bytes = match step {
                 Step::Append(bytes) => {
                     journal.append(&bytes).unwrap();
                     model.entries.push(bytes);
@@ -71,7 +71,7 @@
             drop(journal);
             let (again, found) = Journal::open(&at).unwrap();
             journal = again;
-            prop_assert_eq!(found, Recovered { snapshot: model.snapshot.clone(), entries: model.entries.clone(), cut });
+            prop_assert_eq!(found, Recovered { snapshot: model.snapshot.clone(), entries: model.entries.clone(), truncated_bytes });
         }
     }
 }
@@ -101,7 +101,10 @@
         journal.append(b"after").unwrap();
         drop(journal);
         let (_, found) = Journal::open(&at).unwrap();
-        assert_eq!((found.entries.len(), found.cut), (expected + 1, 0));
+        assert_eq!(
+            (found.entries.len(), found.truncated_bytes),
+            (expected + 1, 0)
+        );
     }
     // A byte that is wrong in the middle is damage and not an append that was cut short: it is named.
     for at_byte in [ends[1] + 9, ends[0] + 1, ends[2] + 5] {
@@ -203,7 +206,11 @@
     fs::write(at.join("log-1"), b"orchjrn2 and more").unwrap();
     let (journal, found) = Journal::open(&at).unwrap();
     assert_eq!(
-        (found.snapshot.unwrap(), found.entries.len(), found.cut),
+        (
+            found.snapshot.unwrap(),
+            found.entries.len(),
+            found.truncated_bytes
+        ),
         (b"new".to_vec(), 0, 0)
     );
     assert!(!at.join("log-1").exists());
--- a/crates/journal/tests/stored_formats.rs
+++ b/crates/journal/tests/stored_formats.rs
@@ -34,7 +34,7 @@
     Recovered {
         snapshot: Some(STATE.to_vec()),
         entries: groups().concat(),
-        cut: 0,
+        truncated_bytes: 0,
     }
 }
 
