--- a/crates/config-sync/src/action.rs
+++ b/crates/config-sync/src/action.rs
@@ -1,4 +1,4 @@
-//! What the core asks its host to do.
+//! Actions that the core requests from its host.
 
 use crate::keys::KeyRange;
 use crate::message::RequestId;
@@ -6,14 +6,14 @@
 use crate::view::View;
 use std::sync::Arc;
 
-/// Why something is read; the host needs it for its counters only.
+/// The purpose of a read; the host only needs it for its counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadKind {
     /// Digests of all buckets.
     Digests,
-    /// All entries, when there is nothing to build on.
+    /// All entries, for a first load.
     Scan,
-    /// What changed since the applied revision, where digests differ.
+    /// Entries that changed since the applied revision, where digests differ.
     Changed,
     /// One key that digests show as deleted.
     Deletion,
@@ -24,9 +24,9 @@
 /// A **linearizable** range read (`serializable` = false), sorted by key, ascending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadRequest {
-    /// Has to come back with the answer.
+    /// Id to return with the answer.
     pub id: RequestId,
-    /// What it is for.
+    /// Purpose of the read.
     pub kind: ReadKind,
     /// The keys to read.
     pub range: KeyRange,
@@ -34,43 +34,43 @@
     pub min_mod_revision: i64,
     /// The revision to read at; 0 for the newest.
     pub at_revision: i64,
-    /// Entries in the answer at most.
+    /// The most entries in the answer.
     pub limit: i64,
-    /// Values aren't needed (`keys_only`); a host that reads them all the same spends bytes, nothing else.
+    /// Whether values aren't needed (`keys_only`). Reading them all the same only costs bytes.
     pub keys_only: bool,
 }
 
-/// An action for the host. All are started at once, in the order in which they are polled.
+/// An action for the host. The host starts each at once, in the order in which they are polled.
 #[derive(Debug)]
 pub enum Action<E> {
     /// Watch [`Keyspace::entries`](crate::Keyspace::entries) from this revision on, fragments allowed. After a
-    /// [`Action::CancelWatch`] the host rather asks another member of the store than the one before.
+    /// [`Action::CancelWatch`] the host should use another member of the store.
     Watch {
-        /// The first revision that is wanted.
+        /// The first revision of the watch.
         from_revision: i64,
     },
-    /// End the watch; nothing of it is fed any more.
+    /// Cancel the watch; the host passes on none of its responses any more.
     CancelWatch,
-    /// Ask the watch's stream for its progress (`WatchProgressRequest`).
+    /// Request progress on the watch's stream (`WatchProgressRequest`).
     RequestProgress,
-    /// Read a range and feed the answer, or the failure.
+    /// Read a range and pass on the answer, or the failure.
     Read(ReadRequest),
-    /// Read [`Keyspace::generation`](crate::Keyspace::generation) linearizably and feed the answer, or the failure.
+    /// Read [`Keyspace::generation`](crate::Keyspace::generation) linearizably and pass on the answer, or the failure.
     Barrier {
-        /// Has to come back with the answer.
+        /// Id to return with the answer.
         id: RequestId,
     },
-    /// Replace the snapshot on disk by these bytes: the one before is kept under a second name, the new one is
-    /// written to a third, synced and renamed.
+    /// Replace the snapshot on disk: write and sync the new one under a temporary name, keep the previous one under a
+    /// second name, and rename.
     WriteSnapshot {
-        /// The revision that the snapshot is of.
+        /// The revision of the snapshot.
         revision: i64,
-        /// The whole file.
+        /// Contents of the file.
         bytes: Vec<u8>,
     },
     /// Put the report under the front end's own lease, then call
     /// [`ConfigSync::reported`](crate::ConfigSync::reported).
     Report(Report),
-    /// This view is in force from now on.
+    /// Use this view from now on.
     Apply(Arc<View<E>>),
 }
--- a/crates/config-sync/src/applier.rs
+++ b/crates/config-sync/src/applier/mod.rs
@@ -1,21 +1,23 @@
-//! Applies transactions to the view, whole or not at all, and keeps those that were rejected.
+//! Applies transactions to the view atomically, and keeps those that were rejected.
 //!
-//! A rejected transaction is *blocked*: its keys keep their last good entries. It is tried again when a later
-//! transaction changes one of its keys, and now and then when the view has changed. So a view with nothing blocked is
-//! what the store holds, by whatever way the front end came there.
+//! A rejected transaction is *blocked*: its keys keep their last good entries. It is retried when a later transaction
+//! changes one of its keys, and periodically while the view changes. A view without blocked transactions equals the
+//! store, whichever way the front end reached it.
+
+mod candidate;
+
+pub(crate) use candidate::{Context, read_record};
 
 use crate::keys::EntryKey;
-use crate::schema::{Envelope, Rejection, Schema};
-use crate::stored::Stored;
+use crate::schema::{Rejection, Schema};
 use crate::view::{Record, View};
+use candidate::{candidate, differences};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Rejections that are kept in all; more are counted.
+/// The most rejections that are kept; further ones are only counted.
 const MAX_REJECTIONS: usize = 1_024;
-/// Characters of a reason or a remedy that are kept.
-const MAX_REASON_CHARS: usize = 300;
-/// Blocked transactions that one retry tries one by one.
+/// The most blocked transactions that one retry tries individually.
 const MAX_RETRIES: usize = 256;
 
 /// Keys that change together, and the revision of their transaction.
@@ -25,7 +27,7 @@
     pub(crate) keys: Vec<EntryKey>,
 }
 
-/// What is in force under a blocked key.
+/// The entry in force under a blocked key.
 #[derive(Debug)]
 pub(crate) struct LastGood<E> {
     pub(crate) key: EntryKey,
@@ -40,7 +42,7 @@
 struct Blocked {
     transaction: Transaction,
     rejections: Vec<Rejection>,
-    /// Rejections of this transaction that found no place.
+    /// Number of rejections of this transaction that aren't kept.
     omitted: usize,
 }
 
@@ -49,30 +51,19 @@
 pub(crate) struct BlockedKey {
     /// The revision of the transaction.
     pub(crate) revision: i64,
-    /// What is in force under the key was certainly current as of this time.
+    /// As of when the entry in force under the key was proven current.
     pub(crate) as_of: f64,
 }
 
-/// What a transaction is judged by.
-pub(crate) struct Context<'c, S> {
-    pub(crate) schema: &'c S,
-    pub(crate) stored: &'c Stored,
-    pub(crate) max_value_bytes: usize,
-    pub(crate) generation: u64,
-    pub(crate) revision: i64,
-    /// The view was certainly current as of this time, before what is applied now.
-    pub(crate) fresh_as_of: f64,
-}
-
 #[derive(Debug)]
 pub(crate) struct Applier<E> {
     view: Arc<View<E>>,
     blocked: Vec<Blocked>,
     /// Keys of blocked transactions.
     blocked_keys: BTreeMap<EntryKey, BlockedKey>,
-    /// Where the next retry begins.
+    /// Index of the transaction at which the next retry starts.
     retry_from: usize,
-    /// The view has changed since the last retry.
+    /// Whether the view has changed since the last retry.
     retry_wanted: bool,
 }
 
@@ -93,7 +84,7 @@
         &self.view
     }
 
-    /// Whether blocked transactions should be tried again.
+    /// Whether blocked transactions should be retried.
     pub(crate) fn wants_retry(&self) -> bool {
         self.retry_wanted && !self.blocked.is_empty()
     }
@@ -105,12 +96,12 @@
             .map(|(key, blocked)| (key, blocked.revision))
     }
 
-    /// As of when the entry in force under a blocked key was certainly current; `None` if the key isn't blocked.
+    /// As of when the entry in force under a blocked key was proven current; `None` if the key isn't blocked.
     pub(crate) fn blocked_as_of(&self, key: &str) -> Option<f64> {
         self.blocked_keys.get(key).map(|blocked| blocked.as_of)
     }
 
-    /// Rejections in the order of revisions, and how many found no place.
+    /// The rejections in the order of revisions, and the number of those that aren't kept.
     pub(crate) fn rejections(&self) -> (Vec<&Rejection>, usize) {
         let mut rejections: Vec<&Rejection> = self
             .blocked
@@ -130,7 +121,7 @@
         context: &Context<'_, S>,
         transaction: Transaction,
     ) {
-        let remainders = self.take_overtaken(&transaction.keys);
+        let remainders = self.take_superseded(&transaction.keys);
         if !remainders.is_empty() && self.apply_together(context, &transaction, &remainders) {
             return;
         }
@@ -140,9 +131,9 @@
         }
     }
 
-    /// Brings the view to what `context.stored` holds, from a view that differs anywhere: in one step if all of it is
-    /// valid together, else transaction by transaction. A deletion has no revision: unless its transaction is known
-    /// from before, it stands for itself.
+    /// Updates the view to `context.stored`, which may differ anywhere: at once if the result is valid, otherwise
+    /// transaction by transaction. A deletion has no revision, so it is a transaction of its own unless its
+    /// transaction was blocked before.
     pub(crate) fn apply_all<S: Schema<Entry = E>>(&mut self, context: &Context<'_, S>) {
         let before = std::mem::take(&mut self.blocked_keys);
         let transactions = differences(context, &self.view, &before);
@@ -155,7 +146,7 @@
             self.commit(view);
             return;
         }
-        // What was blocked before is as old as it was.
+        // Keys that were blocked before keep their age.
         for key in &keys {
             if let Some(blocked) = before.get(key) {
                 self.blocked_keys.insert(key.clone(), *blocked);
@@ -170,7 +161,7 @@
         self.retry(context);
     }
 
-    /// Tries blocked transactions again: all together, then a bounded number one by one.
+    /// Retries blocked transactions: first all together, then a bounded number individually.
     pub(crate) fn retry<S: Schema<Entry = E>>(&mut self, context: &Context<'_, S>) {
         self.retry_wanted = false;
         let all: Vec<EntryKey> = self
@@ -186,7 +177,7 @@
         }
         let count = self.blocked.len();
         let tried = count.min(MAX_RETRIES);
-        let mut places: Vec<usize> = (0..tried)
+        let mut indices: Vec<usize> = (0..tried)
             .map(|offset| (self.retry_from + offset) % count)
             .collect();
         self.retry_from = if count > tried {
@@ -194,21 +185,21 @@
         } else {
             0
         };
-        places.sort_unstable();
-        let mut healed = BTreeSet::new();
-        for place in places {
-            let transaction = &self.blocked[place].transaction;
+        indices.sort_unstable();
+        let mut applied = BTreeSet::new();
+        for index in indices {
+            let transaction = &self.blocked[index].transaction;
             if let Ok(view) =
                 candidate(context, &self.view, &transaction.keys, transaction.revision)
             {
                 self.commit(view);
-                healed.insert(place);
+                applied.insert(index);
             }
         }
-        self.unblock(&healed);
+        self.unblock(&applied);
     }
 
-    /// Loads a view as it was in force: what the store held, with the last good documents of blocked keys.
+    /// Restores the view that was in force: the store's entries, with the last good documents of blocked keys.
     pub(crate) fn load<S: Schema<Entry = E>>(
         &mut self,
         context: &Context<'_, S>,
@@ -252,13 +243,12 @@
         self.apply_all(context);
     }
 
-    /// Takes the transaction's keys out of what is blocked, and gives what remains of the transactions that it
-    /// touched.
-    fn take_overtaken(&mut self, keys: &[EntryKey]) -> Vec<Transaction> {
+    /// Removes the transactions that share keys with a new one from the blocked ones, and returns their other keys.
+    fn take_superseded(&mut self, keys: &[EntryKey]) -> Vec<Transaction> {
         if !keys.iter().any(|key| self.blocked_keys.contains_key(key)) {
             return vec![];
         }
-        let (overtaken, others) =
+        let (superseded, others) =
             std::mem::take(&mut self.blocked)
                 .into_iter()
                 .partition(|blocked: &Blocked| {
@@ -269,7 +259,7 @@
                         .any(|key| keys.contains(key))
                 });
         self.blocked = others;
-        let mut remainders: Vec<Transaction> = overtaken
+        let mut remainders: Vec<Transaction> = superseded
             .into_iter()
             .map(|blocked: Blocked| blocked.transaction)
             .collect();
@@ -347,18 +337,18 @@
         });
     }
 
-    fn unblock(&mut self, healed: &BTreeSet<usize>) {
-        let mut place = 0;
+    fn unblock(&mut self, applied: &BTreeSet<usize>) {
+        let mut index = 0;
         let blocked_keys = &mut self.blocked_keys;
         self.blocked.retain(|blocked| {
-            let heals = healed.contains(&place);
-            place += 1;
-            if heals {
+            let is_applied = applied.contains(&index);
+            index += 1;
+            if is_applied {
                 for key in &blocked.transaction.keys {
                     blocked_keys.remove(key);
                 }
             }
-            !heals
+            !is_applied
         });
     }
 
@@ -367,103 +357,3 @@
         self.retry_wanted = true;
     }
 }
-
-/// The view with some keys set to what the store holds, or why it would break rules.
-fn candidate<S: Schema>(
-    context: &Context<'_, S>,
-    view: &View<S::Entry>,
-    keys: &[EntryKey],
-    revision: i64,
-) -> Result<View<S::Entry>, Vec<Rejection>> {
-    let mut candidate = view.clone();
-    candidate.set_position(context.generation, context.revision);
-    let mut rejections = vec![];
-    for key in keys {
-        let Some(entry) = context.stored.get(key) else {
-            candidate.set(key, None);
-            continue;
-        };
-        match read_record(context, key, &entry.document, entry.mod_revision) {
-            Ok(record) => candidate.set(key, Some(Arc::new(record))),
-            Err(invalid) => {
-                rejections.push(rejection(key, revision, &invalid.reason, &invalid.remedy))
-            }
-        }
-    }
-    if rejections.is_empty() {
-        let violations = context.schema.check(&candidate, keys);
-        let of = |v: &crate::schema::Violation| {
-            rejection(&v.key, revision, &v.invalid.reason, &v.invalid.remedy)
-        };
-        rejections.extend(violations.iter().map(of));
-    }
-    if rejections.is_empty() {
-        Ok(candidate)
-    } else {
-        Err(rejections)
-    }
-}
-
-/// Reads a document into a record.
-pub(crate) fn read_record<S: Schema>(
-    context: &Context<'_, S>,
-    key: &EntryKey,
-    document: &Arc<[u8]>,
-    mod_revision: i64,
-) -> Result<Record<S::Entry>, crate::schema::InvalidEntry> {
-    let envelope = Envelope::parse(document, context.max_value_bytes)?;
-    let entry = context.schema.parse(key, envelope.spec)?;
-    Ok(Record {
-        mod_revision,
-        when_stale: envelope.when_stale,
-        document: document.clone(),
-        entry,
-    })
-}
-
-fn rejection(key: &EntryKey, revision: i64, reason: &str, remedy: &str) -> Rejection {
-    let shorten = |text: &str| text.chars().take(MAX_REASON_CHARS).collect();
-    Rejection {
-        key: key.to_string(),
-        revision,
-        reason: shorten(reason),
-        remedy: shorten(remedy),
-    }
-}
-
-/// Where the store differs from the view: by transaction in the order of revisions, then each deletion whose
-/// transaction isn't known.
-fn differences<S: Schema>(
-    context: &Context<'_, S>,
-    view: &View<S::Entry>,
-    blocked: &BTreeMap<EntryKey, BlockedKey>,
-) -> Vec<Transaction> {
-    let stored = context.stored;
-    let mut changed: BTreeMap<i64, Vec<EntryKey>> = BTreeMap::new();
-    for entry in stored.iter() {
-        let known = view.get(entry.key.as_str());
-        let is_same = known.is_some_and(|known| {
-            known.mod_revision == entry.mod_revision && known.document == entry.document
-        });
-        if !is_same {
-            changed
-                .entry(entry.mod_revision)
-                .or_default()
-                .push(entry.key.clone());
-        }
-    }
-    let mut deleted = vec![];
-    for (key, _) in view.iter().filter(|(key, _)| stored.get(key).is_none()) {
-        match blocked.get(key) {
-            Some(known) => changed.entry(known.revision).or_default().push(key.clone()),
-            None => deleted.push(Transaction {
-                revision: context.revision,
-                keys: vec![key.clone()],
-            }),
-        }
-    }
-    let changed = changed
-        .into_iter()
-        .map(|(revision, keys)| Transaction { revision, keys });
-    changed.chain(deleted).collect()
-}
--- a/crates/config-sync/src/backlog.rs
+++ b/crates/config-sync/src/backlog.rs
@@ -1,10 +1,10 @@
-//! Changes that a watch told of and that are not applied yet, by revision.
+//! Changes received from the watch that aren't applied yet, by revision.
 
 use crate::message::Change;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// More changes wait than there is room for. The answer is to drop them, and to read at the pace what changed.
+/// The queue is full. The queued changes are dropped, and the entries that changed are read at the configured pace.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("more changes wait than there is room for")]
 pub(crate) struct BacklogFull;
@@ -19,9 +19,9 @@
     revisions: BTreeMap<i64, ChangesByKey>,
     changes: usize,
     bytes: usize,
-    /// Everything up to this revision was told.
+    /// All changes up to this revision were received.
     complete_through: i64,
-    /// The transaction of which only a part was told.
+    /// The revision of a transaction of which only a part was received.
     incomplete: Option<i64>,
 }
 
@@ -42,14 +42,14 @@
         self.complete_through
     }
 
-    /// Drops everything; a watch goes on behind this revision.
+    /// Drops everything; the watch starts after this revision.
     pub(crate) fn restart(&mut self, revision: i64) {
         self.revisions.clear();
         (self.changes, self.bytes, self.complete_through) = (0, 0, revision);
         self.incomplete = None;
     }
 
-    /// Drops what isn't complete: a new watch tells it again.
+    /// Drops transactions that aren't complete; a new watch sends them again.
     pub(crate) fn drop_incomplete(&mut self) {
         self.incomplete = None;
         let incomplete = self.revisions.split_off(&(self.complete_through + 1));
@@ -58,7 +58,11 @@
         }
     }
 
-    /// Takes changes in. What is not behind `complete_through` was told before and is passed over.
+    /// Queues changes. Those up to `complete_through` were received before and are skipped.
+    ///
+    /// # Errors
+    ///
+    /// [`BacklogFull`] if the limits are exceeded.
     pub(crate) fn push(&mut self, changes: Vec<Change>, complete: bool) -> Result<(), BacklogFull> {
         for change in changes {
             self.push_one(change);
@@ -72,19 +76,19 @@
         }
         self.incomplete =
             Some(newest).filter(|newest| !complete && *newest > self.complete_through);
-        self.told_through(newest);
+        self.mark_received_through(newest);
         Ok(())
     }
 
-    /// Everything up to this revision was told, but for what is known to be incomplete.
-    pub(crate) fn told_through(&mut self, revision: i64) {
-        let most = self
+    /// Records that all changes up to this revision were received, except for a transaction known to be incomplete.
+    pub(crate) fn mark_received_through(&mut self, revision: i64) {
+        let complete = self
             .incomplete
             .map_or(revision, |incomplete| revision.min(incomplete - 1));
-        self.complete_through = self.complete_through.max(most);
+        self.complete_through = self.complete_through.max(complete);
     }
 
-    /// The oldest transaction that is there whole.
+    /// Removes and returns the oldest complete transaction.
     pub(crate) fn pop_complete(&mut self) -> Option<(i64, ChangesByKey)> {
         let first = self.revisions.first_entry()?;
         if *first.key() > self.complete_through {
--- a/crates/config-sync/src/deletions.rs
+++ b/crates/config-sync/src/deletions.rs
@@ -1,18 +1,18 @@
-//! Names the entries that were deleted from a bucket by the bucket's digest.
+//! Infers from a bucket's digest which of its entries were deleted.
 //!
 //! A digest is the sum of its entries' hashes. A bucket that only lost entries differs by the sum of their hashes, which
-//! few subsets of a bucket can have. A name found so is a guess: a writer that left the digest as it was makes an entry
-//! look deleted that is still there. Whoever uses it asks the store for that key.
+//! few subsets of the bucket have. The result is a guess: if a writer didn't update the digest, an entry that still
+//! exists looks deleted. Callers therefore confirm each key by a read.
 
 use crate::keys::EntryKey;
 use crate::stored::StoredEntry;
 
-/// Deleted entries of one bucket that are looked for at most.
+/// The most deleted entries that are searched for.
 const MAX_DELETED: usize = 3;
-/// The largest bucket that is searched: 64 entries have some 44,000 subsets of up to three.
+/// The most entries of a bucket that is searched: 64 entries have some 44,000 subsets of up to three.
 const MAX_ENTRIES: usize = 64;
 
-/// The fewest entries whose hashes sum up to what the digest lacks; `None` if no few do.
+/// The smallest set of entries whose hashes sum up to `lacking`; `None` if no small set does.
 pub(crate) fn likely_deleted(bucket: &[StoredEntry], lacking: u64) -> Option<Vec<EntryKey>> {
     if lacking == 0 || bucket.len() > MAX_ENTRIES {
         return None;
@@ -23,21 +23,21 @@
     is_found.then(|| {
         chosen
             .iter()
-            .map(|&place| bucket[place].key.clone())
+            .map(|&index| bucket[index].key.clone())
             .collect()
     })
 }
 
-/// Chooses so many hashes, from a place on, that sum up to `sum`.
+/// Chooses `count` hashes, from the index `from` on, that sum up to `sum`.
 fn choose(hashes: &[u64], from: usize, count: usize, sum: u64, chosen: &mut Vec<usize>) -> bool {
     if count == 0 {
         return sum == 0;
     }
-    for (place, hash) in hashes.iter().enumerate().skip(from) {
-        chosen.push(place);
+    for (index, hash) in hashes.iter().enumerate().skip(from) {
+        chosen.push(index);
         if choose(
             hashes,
-            place + 1,
+            index + 1,
             count - 1,
             sum.wrapping_sub(*hash),
             chosen,
--- a/crates/config-sync/src/digest.rs
+++ b/crates/config-sync/src/digest.rs
@@ -1,15 +1,15 @@
 //! Digests of buckets: an order-independent sum over the hashes of a bucket's entries.
 //!
-//! They find accidental differences (missed deletions, a store that was set back); they are no protection against a
-//! writer who means harm, who could as well write entries.
+//! They detect accidental differences (missed deletions, a store that was rolled back). They don't protect against a
+//! malicious writer, who could write entries just as well.
 
 use crate::keys::{BUCKET_COUNT, BUCKETS_PER_GROUP, group_of};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of one bucket's digest as it stands in the store.
+/// Bytes of a bucket's digest in the store.
 const DIGEST_BYTES: usize = 8;
 
-/// The hash of an entry: of its logical key and its value.
+/// The hash of an entry's logical key and value.
 pub fn entry_hash(key: &str, value: &[u8]) -> u64 {
     let key_hash = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(value, key_hash)
@@ -36,7 +36,7 @@
         self.0[bucket] = self.0[bucket].wrapping_add(hash);
     }
 
-    /// Takes an entry's hash out of its bucket.
+    /// Removes an entry's hash from its bucket.
     pub fn remove(&mut self, bucket: usize, hash: u64) {
         self.0[bucket] = self.0[bucket].wrapping_sub(hash);
     }
@@ -53,7 +53,7 @@
             .collect()
     }
 
-    /// The value of a group's key in the store: its buckets' digests, big-endian, one behind the other.
+    /// The value of a group's key in the store: the digests of its buckets in order, big-endian.
     pub fn encode_group(&self, group: usize) -> Vec<u8> {
         let first = group * BUCKETS_PER_GROUP;
         self.0[first..first + BUCKETS_PER_GROUP]
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Takes in the value of a group's key; `false` if it has another length than it must have, and nothing changed.
+    /// Decodes the value of a group's key. Returns `false` and changes nothing if its length is wrong.
     pub fn decode_group(&mut self, group: usize, value: &[u8]) -> bool {
         if value.len() != BUCKETS_PER_GROUP * DIGEST_BYTES {
             return false;
--- a/crates/config-sync/src/freshness.rs
+++ b/crates/config-sync/src/freshness.rs
@@ -1,83 +1,81 @@
-//! Until when the view is certainly current.
+//! As of when the view is proven current.
 //!
-//! Only a **linearizable** read proves anything: if its question was sent at `asked_at` and answered at revision `R`,
-//! then all that was committed before `asked_at` has a revision of at most `R`; once all changes up to `R` are
-//! applied, the view is current as of `asked_at`. Watch progress alone proves nothing: a member that is cut off from
+//! Only a **linearizable** read proves anything: if it was sent at `sent_at` and answered at revision `R`, then
+//! everything that was committed before `sent_at` has a revision of at most `R`; once all changes up to `R` are
+//! applied, the view is current as of `sent_at`. Watch progress alone proves nothing: a member that is cut off from
 //! its quorum goes on sending it with its own old revision.
 
 use std::collections::VecDeque;
 
-/// Answered questions that wait for the watch at most. When full, the newest is replaced: the older ones are settled
-/// first.
-const MAX_QUESTIONS: usize = 8;
+/// The most answered barriers that wait for the watch. When full, the newest is replaced, since the older ones are
+/// confirmed first.
+const MAX_PENDING_BARRIERS: usize = 8;
 
 /// An answered barrier whose revision isn't applied yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Question {
-    asked_at: f64,
+struct PendingBarrier {
+    sent_at: f64,
     revision: i64,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Freshness {
     as_of: f64,
-    questions: VecDeque<Question>,
+    pending: VecDeque<PendingBarrier>,
 }
 
 impl Default for Freshness {
     fn default() -> Freshness {
         Freshness {
             as_of: f64::NEG_INFINITY,
-            questions: VecDeque::new(),
+            pending: VecDeque::new(),
         }
     }
 }
 
 impl Freshness {
-    /// The view is certainly current as of this time.
+    /// The time as of which the view is proven current.
     pub(crate) fn as_of(&self) -> f64 {
         self.as_of
     }
 
-    /// A barrier that was asked at this time was answered at this revision.
-    pub(crate) fn answered(&mut self, asked_at: f64, revision: i64) {
-        if self.questions.len() == MAX_QUESTIONS {
-            self.questions.pop_back();
+    /// Records that a barrier sent at `sent_at` was answered at `revision`.
+    pub(crate) fn on_barrier(&mut self, sent_at: f64, revision: i64) {
+        if self.pending.len() == MAX_PENDING_BARRIERS {
+            self.pending.pop_back();
         }
-        self.questions.push_back(Question { asked_at, revision });
+        self.pending.push_back(PendingBarrier { sent_at, revision });
     }
 
-    /// All changes up to this revision are applied to a view that follows the store.
-    pub(crate) fn applied(&mut self, revision: i64) {
+    /// Records that all changes up to `revision` are applied to a view that follows the store.
+    pub(crate) fn on_applied(&mut self, revision: i64) {
         let as_of = self
-            .questions
+            .pending
             .iter()
-            .filter(|q| q.revision <= revision)
-            .map(|q| q.asked_at);
+            .filter(|barrier| barrier.revision <= revision)
+            .map(|barrier| barrier.sent_at);
         self.as_of = as_of.fold(self.as_of, f64::max);
-        self.questions
-            .retain(|question| question.revision > revision);
+        self.pending.retain(|barrier| barrier.revision > revision);
     }
 
-    /// Since when a question has waited for a revision beyond this one; infinite if none does.
-    pub(crate) fn waiting_since(&self, received: i64) -> f64 {
+    /// Since when a barrier waits for a revision beyond `received`; infinite if none does.
+    pub(crate) fn pending_since(&self, received: i64) -> f64 {
         let waiting = self
-            .questions
+            .pending
             .iter()
-            .filter(|question| question.revision > received);
+            .filter(|barrier| barrier.revision > received);
         waiting
-            .map(|question| question.asked_at)
+            .map(|barrier| barrier.sent_at)
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Forgets the questions that wait for a revision beyond this one.
-    pub(crate) fn forget_waiting(&mut self, received: i64) {
-        self.questions
-            .retain(|question| question.revision <= received);
+    /// Forgets the barriers that wait for a revision beyond `received`.
+    pub(crate) fn forget_pending_beyond(&mut self, received: i64) {
+        self.pending.retain(|barrier| barrier.revision <= received);
     }
 
-    /// Forgets what was answered and not settled.
-    pub(crate) fn forget_questions(&mut self) {
-        self.questions.clear();
+    /// Forgets the barriers that aren't confirmed yet.
+    pub(crate) fn clear_pending(&mut self) {
+        self.pending.clear();
     }
 }
--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -1,4 +1,4 @@
-//! Whether a revision is in force at every front end: a pure function for the writer, over front ends' reports.
+//! Whether a revision is in force at every front end, from the front ends' reports; for writers.
 
 use crate::report::{Report, ReportedState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,11 +6,11 @@
 /// Why a front end is not known to have the revision in force.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MissingReason {
-    /// It lives, but has reported nothing yet.
+    /// It is live, but hasn't reported yet.
     NotReported,
-    /// Its report names an older revision.
+    /// It reported an older revision.
     Behind {
-        /// How far it has come.
+        /// The revision that it has applied.
         applied_revision: i64,
         /// Whether it follows the store.
         state: ReportedState,
@@ -22,68 +22,68 @@
         /// The cluster id that it follows.
         cluster: u64,
     },
-    /// It came to the revision, but rejected the transaction; reasons as it reports them.
+    /// It reached the revision, but rejected the transaction.
     Rejected {
         /// The offending keys.
         keys: Vec<String>,
     },
-    /// It came to the revision, but names only a part of what it rejects: the transaction may be among the rest.
+    /// It reached the revision, but its report omits some rejections, which may include this transaction.
     PerhapsRejected {
-        /// Rejections that its report leaves out.
+        /// Number of rejections that the report omits.
         omitted: usize,
     },
-    /// It was there when the change was written, and its lease is over without its word that it ended: it died, or is
-    /// cut off.
+    /// It was live when the change was written, and its lease has expired without a report that it ended: it crashed,
+    /// or is partitioned.
     LeaseLost,
 }
 
-/// A front end that the revision is not known to be in force at.
+/// A front end at which the revision is not known to be in force.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Missing {
-    /// Its name, as in its report's key.
+pub struct MissingFrontEnd {
+    /// Name of the front end, as in the key of its report.
     pub front_end: String,
     /// Why it is missing.
     pub reason: MissingReason,
 }
 
-/// Whether what the revision takes away can still be used anywhere.
+/// Whether something that the revision revokes may still be used at a front end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RevocationState {
-    /// It can't: the limit has passed since the write. It holds for entries that said `"when_stale":"refuse"` in a
-    /// revision that was in force everywhere before.
+    /// The revocation is in force, as the limit has passed since the write. This holds for entries with
+    /// `"when_stale":"refuse"` in a revision that was in force everywhere before.
     InForce,
-    /// A front end that is cut off may use it until this time, in seconds of the caller's clock.
+    /// A partitioned front end may use it until this time, in seconds of the caller's clock.
     NotBefore(f64),
 }
 
-/// The answer to "is it in force everywhere?".
+/// Whether a write is in force at every front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InForce {
-    /// All front ends that were there at the write or are there now have it, or have ended.
+    /// All front ends that were live at the write, or are live now, have the revision in force or have ended.
     Everywhere,
-    /// These are missing, sorted by name; what is taken away is treated by itself.
+    /// Some front ends aren't known to have the revision in force.
     Missing {
-        /// Who is missing, and why.
-        missing: Vec<Missing>,
-        /// Whether what is taken away can still be used.
+        /// These front ends, sorted by name.
+        missing: Vec<MissingFrontEnd>,
+        /// Whether something that the revision revokes may still be used.
         revocations: RevocationState,
     },
 }
 
-/// What is asked about.
+/// A write to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Written {
-    /// The revision that the store answered to the write.
+    /// The revision of the write.
     pub revision: i64,
     /// The store's generation at the write.
     pub generation: u64,
     /// The store's cluster id.
     pub cluster: u64,
-    /// When the write was answered, in seconds of the caller's clock: not before it was committed.
+    /// When the response to the write was received, in seconds of the caller's clock; not before it was committed.
     pub at: f64,
 }
 
-/// Tells whether a write is in force everywhere.
+/// Determines whether a write is in force at every front end.
 ///
 /// `at_write` names the front ends that had a lease when the change was written, `live` those that have one now,
 /// `reports` holds the reports that were read last (linearizably), by front end. `limit` is
@@ -97,11 +97,11 @@
     reports: &BTreeMap<String, Report>,
     limit: f64,
 ) -> InForce {
-    let missing: Vec<Missing> = at_write
+    let missing: Vec<MissingFrontEnd> = at_write
         .union(live)
         .filter_map(|front_end| {
             let reason = missing_reason(written, live.contains(front_end), reports.get(front_end))?;
-            Some(Missing {
+            Some(MissingFrontEnd {
                 front_end: front_end.clone(),
                 reason,
             })
--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -1,4 +1,4 @@
-//! The protocol of keys: where entries, digests, the generation and front ends' reports stand in the store.
+//! The keys of entries, digests, the generation and front ends' reports in the store.
 //!
 //! ```text
 //! <prefix>entries/<bucket, 4 hex digits>/<kind>/<name>   one JSON document
@@ -7,37 +7,37 @@
 //! <prefix>reports/<front end>                            a report, under the front end's own lease
 //! ```
 //!
-//! A bucket is a contiguous range of keys, so that one range request reads it whole.
+//! A bucket is a contiguous range of keys, so that a single range request can read it.
 
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Buckets that entries are spread over by a hash of their key. Part of the protocol: format 1.
+/// Number of buckets over which entries are distributed by a hash of their key. Part of the protocol: format 1.
 pub const BUCKET_COUNT: usize = 1_024;
-/// Buckets whose digests share one key of the store.
+/// Number of buckets whose digests share a key of the store.
 pub const BUCKETS_PER_GROUP: usize = 32;
-/// Keys that hold digests.
+/// Number of keys that hold digests.
 pub const GROUP_COUNT: usize = BUCKET_COUNT / BUCKETS_PER_GROUP;
-/// The longest kind and name together, in bytes.
+/// The most bytes of a kind and name together, with their slash.
 pub const MAX_KEY_BYTES: usize = 256;
 /// The format of keys and values that this crate reads and writes.
 pub const FORMAT: u32 = 1;
 
-/// Why a text is no entry key.
+/// Why a text isn't the key of an entry.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum EntryKeyError {
-    /// There is no slash; the text.
+    /// The text has no slash.
     #[error("'{0}' has no kind; write it as KIND/NAME, such as functions/resize")]
     NoKind(String),
-    /// Kind or name is empty; the text.
+    /// The kind or the name is empty.
     #[error("'{0}' has an empty kind or name; write it as KIND/NAME, such as functions/resize")]
     Empty(String),
-    /// It is longer than [`MAX_KEY_BYTES`]; its bytes.
+    /// The text is longer than [`MAX_KEY_BYTES`]; its length in bytes.
     #[error("the key has {0} bytes; at most {MAX_KEY_BYTES} are allowed, choose a shorter name")]
     TooLong(usize),
-    /// It holds a control character.
+    /// The text has a control character.
     #[error("the key holds a control character; use printable characters only")]
     ControlCharacter,
 }
@@ -47,7 +47,11 @@
 pub struct EntryKey(Arc<str>);
 
 impl EntryKey {
-    /// Reads `KIND/NAME`. The name may hold further slashes.
+    /// Parses `KIND/NAME`. The name may have further slashes.
+    ///
+    /// # Errors
+    ///
+    /// If the text isn't of this form.
     pub fn parse(text: &str) -> Result<EntryKey, EntryKeyError> {
         let Some((kind, name)) = text.split_once('/') else {
             return Err(EntryKeyError::NoKind(
@@ -69,26 +73,30 @@
     }
 
     /// The key of an entry of this kind and name.
+    ///
+    /// # Errors
+    ///
+    /// As for [`EntryKey::parse`].
     pub fn new(kind: &str, name: &str) -> Result<EntryKey, EntryKeyError> {
         EntryKey::parse(&format!("{kind}/{name}"))
     }
 
-    /// The whole key.
+    /// The key as text, `KIND/NAME`.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// What stands before the first slash.
+    /// The part before the first slash.
     pub fn kind(&self) -> &str {
         self.0.split_once('/').map_or("", |(kind, _)| kind)
     }
 
-    /// What stands behind the first slash.
+    /// The part after the first slash.
     pub fn name(&self) -> &str {
         self.0.split_once('/').map_or("", |(_, name)| name)
     }
 
-    /// The bucket that the entry stands in, below [`BUCKET_COUNT`].
+    /// The bucket of the entry, below [`BUCKET_COUNT`].
     pub fn bucket(&self) -> usize {
         bucket_of(&self.0)
     }
@@ -127,12 +135,12 @@
 pub struct KeyRange {
     /// The first key.
     pub start: Vec<u8>,
-    /// The first key behind the range.
+    /// The first key after the range.
     pub end: Vec<u8>,
 }
 
 impl KeyRange {
-    /// All keys that begin with a prefix; the prefix must not be empty or end in the byte 255.
+    /// All keys with a prefix, which must not be empty or end in the byte 255.
     fn of_prefix(prefix: Vec<u8>) -> KeyRange {
         let mut end = prefix.clone();
         if let Some(last) = end.last_mut() {
@@ -158,21 +166,21 @@
     }
 }
 
-/// Builds and reads the store's keys under one prefix.
+/// Builds and parses the store's keys under a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keyspace {
     prefix: String,
 }
 
 impl Keyspace {
-    /// Everything stands under this prefix, as a rule with a slash at its end.
+    /// The keys under `prefix`, which usually ends with a slash.
     pub fn new(prefix: impl Into<String>) -> Keyspace {
         Keyspace {
             prefix: prefix.into(),
         }
     }
 
-    /// What all keys begin with.
+    /// The prefix of all keys.
     pub fn prefix(&self) -> &str {
         &self.prefix
     }
@@ -182,14 +190,14 @@
         format!("{}entries/{:04x}/{}", self.prefix, key.bucket(), key).into_bytes()
     }
 
-    /// The range that holds one entry's key and no other.
+    /// The range that contains only the key of one entry.
     pub fn entry_alone(&self, key: &EntryKey) -> KeyRange {
         let start = self.entry(key);
         let end = [&start[..], &[0]].concat();
         KeyRange { start, end }
     }
 
-    /// The range of all entries; it is what is watched.
+    /// The range of all entries, which front ends watch.
     pub fn entries(&self) -> KeyRange {
         KeyRange::of_prefix(format!("{}entries/", self.prefix).into_bytes())
     }
@@ -209,7 +217,7 @@
         KeyRange::of_prefix(format!("{}digests/", self.prefix).into_bytes())
     }
 
-    /// The key that the barrier reads.
+    /// The key that barriers read.
     pub fn generation(&self) -> Vec<u8> {
         format!("{}generation", self.prefix).into_bytes()
     }
@@ -224,7 +232,7 @@
         KeyRange::of_prefix(format!("{}reports/", self.prefix).into_bytes())
     }
 
-    /// The logical key behind a store key, if it is an entry's and stands in its own bucket.
+    /// The logical key of an entry's key in the store; `None` for other keys and keys in a wrong bucket.
     pub fn parse_entry(&self, store_key: &[u8]) -> Option<EntryKey> {
         let text = std::str::from_utf8(store_key).ok()?;
         let rest = text.strip_prefix(&self.prefix)?.strip_prefix("entries/")?;
@@ -233,7 +241,7 @@
         (bucket == format!("{:04x}", key.bucket())).then_some(key)
     }
 
-    /// The group whose digests stand under a store key.
+    /// The digest group of a key in the store.
     pub fn parse_digest(&self, store_key: &[u8]) -> Option<usize> {
         let text = std::str::from_utf8(store_key).ok()?;
         let group = text.strip_prefix(&self.prefix)?.strip_prefix("digests/")?;
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -1,15 +1,13 @@
-//! Configuration distribution for one front end, as a decision core: no I/O, no clock, no sockets.
+//! Configuration distribution for one front end, as a core without I/O: list-and-watch with anti-entropy.
 //!
-//! A host feeds [`ConfigSync`] what the store answers and the time in seconds, and performs the [`Action`]s that it
-//! polls. The core decides which revision of the configuration is in force (a [`View`]), what was rejected and why,
-//! until when the view is certainly current, and what is read from the store when, and at what pace.
+//! The host passes the store's responses and the time in seconds to [`ConfigSync`], and performs the [`Action`]s that
+//! it polls. The core decides which revision of the configuration is in force (a [`View`]), which transactions are
+//! rejected and why, as of when the view is proven current, and what is read from the store, when and at what rate.
 //!
-//! Writers use [`writer`] to build transactions that keep the digests in step, and [`in_force()`] to learn whether a
+//! Writers use [`writer`] to build transactions that keep the digests consistent, and [`in_force()`] to learn whether a
 //! revision is in force at every front end, or which front ends are missing.
 //!
-//! The protocol of keys, the invariants and the arithmetic are in `docs/design/config-sync.md`.
-
-#![warn(missing_docs)]
+//! `docs/design/config-sync.md` has the keys, the invariants and the calculations.
 
 pub mod action;
 pub mod digest;
@@ -32,7 +30,7 @@
 mod stored;
 
 pub use action::{Action, ReadKind, ReadRequest};
-pub use in_force::{InForce, Missing, MissingReason, RevocationState, in_force};
+pub use in_force::{InForce, MissingFrontEnd, MissingReason, RevocationState, in_force};
 pub use keys::{EntryKey, EntryKeyError, Keyspace};
 pub use message::{
     BarrierAnswer, Change, Header, RangeAnswer, RangeEntry, RequestFailure, RequestId, WatchBatch,
--- a/crates/config-sync/src/pacing.rs
+++ b/crates/config-sync/src/pacing.rs
@@ -1,17 +1,16 @@
-//! The pace of reads: a token bucket in bytes.
+//! The rate limit of reads: a token bucket in bytes.
 
-/// The share of the pace at which a slow start reads.
-const SLOW_SHARE: f64 = 0.5;
+/// Fraction of the rate during a slow start.
+const SLOW_START_FRACTION: f64 = 0.5;
 
-/// Fills at a rate up to a burst. An answer that was larger than expected leaves it in debt, which is paid before the
-/// next read.
+/// A token bucket. An answer that was larger than expected leaves it in debt, which delays the next read.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     bytes_per_second: f64,
     burst: f64,
     tokens: f64,
     updated_at: f64,
-    /// Until then it fills at a share of its rate.
+    /// Until then the bucket fills at a fraction of its rate.
     slow_until: f64,
 }
 
@@ -27,8 +26,8 @@
         }
     }
 
-    /// Fills at half its rate for so many seconds, and begins with a part of its burst at most: front ends that begin
-    /// together, each with another part, read neither in step nor at their whole pace.
+    /// Fills at half the rate for `seconds`, and starts with at most the fraction `part` of the burst. Front ends that
+    /// start together, each with another fraction, are then neither in step nor at their full rate.
     pub(crate) fn start_slowly(&mut self, now: f64, seconds: f64, part: f64) {
         self.fill(now);
         if seconds > 0.0 {
@@ -37,17 +36,17 @@
         }
     }
 
-    /// Fills at its whole rate from now on.
+    /// Fills at the full rate from now on.
     pub(crate) fn end_slow_start(&mut self, now: f64) {
         self.fill(now);
         self.slow_until = now;
     }
 
-    /// When so many bytes may be read; `wanted` above the burst counts as the burst.
+    /// When `wanted` bytes may be read; more than the burst counts as the burst.
     pub(crate) fn ready_at(&self, wanted: f64) -> f64 {
         let lacking = (wanted.min(self.burst) - self.tokens).max(0.0);
         let slow_seconds = (self.slow_until - self.updated_at).max(0.0);
-        let slow_rate = self.bytes_per_second * SLOW_SHARE;
+        let slow_rate = self.bytes_per_second * SLOW_START_FRACTION;
         let by_slow_start = slow_seconds * slow_rate;
         if lacking <= by_slow_start {
             return self.updated_at + lacking / slow_rate;
@@ -55,7 +54,7 @@
         self.updated_at + slow_seconds + (lacking - by_slow_start) / self.bytes_per_second
     }
 
-    /// Takes what is read; less than nothing gives back what was taken too much.
+    /// Charges bytes; a negative number refunds them.
     pub(crate) fn charge(&mut self, now: f64, bytes: f64) {
         self.fill(now);
         self.tokens -= bytes;
@@ -64,7 +63,7 @@
     fn fill(&mut self, now: f64) {
         let passed = (now - self.updated_at).max(0.0);
         let slow_seconds = (self.slow_until - self.updated_at).clamp(0.0, passed);
-        let filled = (passed - slow_seconds * (1.0 - SLOW_SHARE)) * self.bytes_per_second;
+        let filled = (passed - slow_seconds * (1.0 - SLOW_START_FRACTION)) * self.bytes_per_second;
         self.tokens = (self.tokens + filled).min(self.burst);
         self.updated_at = self.updated_at.max(now);
     }
--- a/crates/config-sync/src/report.rs
+++ b/crates/config-sync/src/report.rs
@@ -1,4 +1,4 @@
-//! What a front end says of itself in the store.
+//! The report of a front end in the store.
 
 use crate::schema::Rejection;
 use serde::{Deserialize, Serialize};
@@ -7,42 +7,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportedState {
-    /// It follows the store's changes.
+    /// The front end follows the store's changes.
     Following,
-    /// It reads what it missed.
+    /// The front end reads the changes that it missed.
     CatchingUp,
-    /// The store came back at an older revision, or is another one, without a higher generation: the last good view
-    /// stays, and nothing proves it current.
+    /// The store was rolled back, or is another one, without a higher generation. The last good view stays in force,
+    /// and nothing proves it current.
     StoreSetBack,
-    /// The store holds more than the front end takes; the last good view stays.
+    /// The store exceeds the front end's limits; the last good view stays in force.
     StoreTooLarge,
     /// The generation key can't be read by this version.
     UnknownFormat,
-    /// It has ended and serves nothing any more: its last word, which stands for a while only.
+    /// The front end has ended and serves nothing any more. This last report expires after a while.
     Ended,
 }
 
 /// The value of a report key, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Names this report in [`ConfigSync::reported`](crate::ConfigSync::reported).
+    /// Identifies this report in [`ConfigSync::reported`](crate::ConfigSync::reported).
     pub sequence: u64,
-    /// Every transaction up to this revision was applied or is named, or counted, in `rejected`.
+    /// Every transaction up to this revision is applied, or listed in `rejected`, or counted in `rejected_omitted`.
     pub applied_revision: i64,
-    /// The generation that the view is of; 0 before anything is loaded.
+    /// Generation of the view; 0 before anything is loaded.
     pub generation: u64,
-    /// The cluster id that the view is of; 0 before anything is loaded.
+    /// Cluster id of the view; 0 before anything is loaded.
     pub cluster: u64,
-    /// Whether it follows the store.
+    /// Whether the front end follows the store.
     pub state: ReportedState,
-    /// Rejected entries that are still rejected, oldest first, a bounded number.
+    /// Entries whose transactions are rejected at present, oldest first; a bounded number.
     #[serde(default)]
     pub rejected: Vec<Rejection>,
-    /// Rejected entries that found no place in `rejected`.
+    /// Number of rejections omitted from `rejected`.
     #[serde(default)]
     pub rejected_omitted: usize,
-    /// Buckets whose digest in the store doesn't fit the entries: a writer went past
-    /// [`writer`](crate::writer); [`writer::repair`](crate::writer::repair) mends them.
+    /// Buckets whose digest in the store doesn't match their entries: a writer didn't use [`writer`](crate::writer).
+    /// [`writer::repair`](crate::writer::repair) repairs them.
     #[serde(default)]
     pub digest_faults: usize,
 }
@@ -53,7 +53,11 @@
         serde_json::to_vec(self).unwrap_or_default()
     }
 
-    /// Reads a report as the writer finds it in the store.
+    /// Parses a report from the store.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes aren't a report in JSON.
     pub fn from_json(bytes: &[u8]) -> Result<Report, serde_json::Error> {
         serde_json::from_slice(bytes)
     }
--- a/crates/config-sync/src/schema/envelope.rs
+++ b/crates/config-sync/src/schema/envelope.rs
@@ -1,26 +1,30 @@
-//! The outer form that all documents have: `{"when_stale":"serve"|"refuse","spec":{...}}`.
+//! The envelope of all documents: `{"when_stale":"serve"|"refuse","spec":{...}}`.
 
 use super::InvalidEntry;
 use crate::view::WhenStale;
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-/// A document before its `spec` is read.
+/// A document whose `spec` isn't parsed yet.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// What holds while the view can't be proven current.
+    /// What applies while the view can't be proven current.
     #[serde(default)]
     pub when_stale: WhenStale,
-    /// What the schema reads.
+    /// The contents, which the schema parses.
     pub spec: serde_json::Value,
 }
 
-/// The remedy for a document that isn't of the outer form.
+/// The remedy for a document without a valid envelope.
 const ENVELOPE_REMEDY: &str = r#"write {"when_stale":"serve" or "refuse","spec":{...}}"#;
 
 impl Envelope {
-    /// Reads a document of at most so many bytes.
+    /// Parses a document of at most `max_bytes`.
+    ///
+    /// # Errors
+    ///
+    /// If the document is longer, or isn't a valid envelope.
     pub fn parse(document: &[u8], max_bytes: usize) -> Result<Envelope, InvalidEntry> {
         if document.len() > max_bytes {
             let reason = format!(
@@ -37,7 +41,7 @@
     }
 }
 
-/// Reads a `spec` into its type; `shape` shows what it should look like.
+/// Parses a `spec`; `shape` is the example in the remedy.
 pub(super) fn read_spec<T: DeserializeOwned>(
     spec: serde_json::Value,
     shape: &str,
--- a/crates/config-sync/src/schema/function.rs
+++ b/crates/config-sync/src/schema/function.rs
@@ -1,13 +1,13 @@
-//! Entries `functions/<name>`: versions of a function and whether it may be called.
+//! Entries `functions/<name>`: the versions of a function and whether it may be invoked.
 
 use super::InvalidEntry;
 use super::envelope::{check_range, read_spec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Versions of a function at most.
+/// The most versions of a function.
 const MAX_VERSIONS: usize = 64;
-/// Aliases and trigger types of a function at most.
+/// The most aliases, and the most trigger types, of a function.
 const MAX_NAMES: usize = 64;
 const SHAPE: &str = r#"{"versions":[{"digest":"sha256:1f","lanes":4,"memory":2.56e8,"load_time":0.2,"work":0.01}]}"#;
 
@@ -15,18 +15,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpec {
-    /// The digest of its image.
+    /// Digest of the image.
     pub digest: String,
-    /// Invocations that one instance takes at a time.
+    /// Concurrent invocations of one instance.
     #[serde(default = "one_lane")]
     pub lanes: u32,
     /// Bytes of memory of one instance.
     #[serde(default = "default_memory")]
     pub memory: f64,
-    /// Seconds that a cold start takes, where known.
+    /// Duration of a cold start in seconds, if known.
     #[serde(default)]
     pub load_time: Option<f64>,
-    /// Seconds of work of one invocation, where known.
+    /// Duration of an invocation in seconds, if known.
     #[serde(default)]
     pub work: Option<f64>,
 }
@@ -47,21 +47,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionSpec {
-    /// Whether it may be called.
+    /// Whether the function may be invoked.
     #[serde(default = "allowed_by_default")]
     pub allowed: bool,
-    /// At least one; the first is what a call without a version gets.
+    /// The versions, at least one; the first serves invocations that name no version.
     pub versions: Vec<VersionSpec>,
-    /// Names of versions: each the digest of one of `versions`.
+    /// Digests of versions by their aliases.
     #[serde(default)]
     pub aliases: BTreeMap<String, String>,
-    /// Trigger types that it is called by; each has to be there, with a timeout that leaves time for the work.
+    /// Trigger types that invoke the function. Each has to exist, with a timeout not below `work`.
     #[serde(default)]
     pub trigger_types: Vec<String>,
 }
 
 impl FunctionSpec {
-    /// Reads and checks a function's `spec`.
+    /// Parses and checks the `spec` of a function.
+    ///
+    /// # Errors
+    ///
+    /// If it is malformed or a value is out of its range.
     pub fn parse(spec: serde_json::Value) -> Result<FunctionSpec, InvalidEntry> {
         let function: FunctionSpec = read_spec(spec, SHAPE)?;
         function.check_counts()?;
--- a/crates/config-sync/src/schema/gateway.rs
+++ b/crates/config-sync/src/schema/gateway.rs
@@ -5,7 +5,7 @@
 use crate::view::View;
 use std::collections::BTreeSet;
 
-/// The kind of functions, as it begins an entry's key.
+/// The kind of functions, the first part of their keys.
 pub const FUNCTIONS: &str = "functions";
 /// The kind of customers' quotas.
 pub const QUOTAS: &str = "quotas";
@@ -23,7 +23,7 @@
     TriggerType(TriggerTypeSpec),
 }
 
-/// Reads and checks the gateway's entries.
+/// Parses and checks the gateway's entries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GatewaySchema;
 
@@ -56,7 +56,7 @@
                 .filter_map(|key| check_function(candidate, key))
                 .collect();
         }
-        // A trigger type is changed seldom: then all functions that name one of them are gone through.
+        // Trigger types rarely change, so all functions are searched for their names then.
         let changed: BTreeSet<&EntryKey> = changed.iter().collect();
         let touched = |key: &EntryKey, function: &FunctionSpec| {
             changed.contains(key)
@@ -84,7 +84,7 @@
     }
 }
 
-/// Checks a function against the trigger types that it names; `None` for what is no function, or is sound.
+/// Checks a function against its trigger types; `None` if it is valid, or the entry isn't a function.
 fn check_function(candidate: &View<GatewayEntry>, key: &EntryKey) -> Option<Violation> {
     let GatewayEntry::Function(function) = &candidate.get(key.as_str())?.entry else {
         return None;
--- a/crates/config-sync/src/schema/mod.rs
+++ b/crates/config-sync/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! What an entry may hold. The core takes a [`Schema`] from its host; [`GatewaySchema`] is that of this gateway.
+//! The contents of entries. The host gives the core a [`Schema`]; [`GatewaySchema`] is that of this gateway.
 
 mod envelope;
 mod function;
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Why a document is no entry, and what to do about it.
+/// Why a document isn't a valid entry, and what to do about it.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{reason}; {remedy}")]
 pub struct InvalidEntry {
@@ -28,7 +28,7 @@
 }
 
 impl InvalidEntry {
-    /// A reason and its remedy.
+    /// An error with its remedy.
     pub fn new(reason: impl Into<String>, remedy: impl Into<String>) -> InvalidEntry {
         InvalidEntry {
             reason: reason.into(),
@@ -37,10 +37,10 @@
     }
 }
 
-/// An entry whose transaction was rejected; the last good one stays in force.
+/// An entry whose transaction was rejected. The last good entry stays in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rejection {
-    /// The logical key, or the store key where it is no entry's.
+    /// The logical key, or the key in the store if it isn't that of an entry.
     pub key: String,
     /// The revision of the rejected transaction.
     pub revision: i64,
@@ -53,24 +53,28 @@
 /// A violation of a rule between entries that [`Schema::check`] found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The entry that the rule is broken at.
+    /// The entry that violates the rule.
     pub key: EntryKey,
-    /// The rule, and what to do.
+    /// The rule, and the remedy.
     pub invalid: InvalidEntry,
 }
 
-/// Reads documents into entries, and checks rules between them.
+/// Parses documents into entries, and checks rules between them.
 pub trait Schema {
-    /// What the host uses of an entry.
+    /// A parsed entry.
     type Entry;
 
-    /// Reads the `spec` of a document.
+    /// Parses the `spec` of a document.
+    ///
+    /// # Errors
+    ///
+    /// If it isn't a valid entry of the key's kind.
     fn parse(&self, key: &EntryKey, spec: serde_json::Value) -> Result<Self::Entry, InvalidEntry>;
 
-    /// Checks rules between entries in a view that would be in force. `changed` names the keys that differ from
-    /// the view before, deleted ones included; what can't be touched by them need not be checked again.
+    /// Checks rules between the entries of a view before it is in force. `changed` has the keys that differ from the
+    /// previous view, including deleted ones; rules that they can't affect needn't be checked again.
     fn check(&self, candidate: &View<Self::Entry>, changed: &[EntryKey]) -> Vec<Violation>;
 
-    /// Whether the entry lets its function, customer or trigger type be used at all.
+    /// Whether the entry allows its function, customer or trigger type to be used.
     fn is_allowed(&self, entry: &Self::Entry) -> bool;
 }
--- a/crates/config-sync/src/schema/quota.rs
+++ b/crates/config-sync/src/schema/quota.rs
@@ -1,4 +1,4 @@
-//! Entries `quotas/<customer>`: how much a customer may call.
+//! Entries `quotas/<customer>`: the rate at which a customer may invoke functions.
 
 use super::InvalidEntry;
 use super::envelope::{check_range, read_spec};
@@ -10,19 +10,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaSpec {
-    /// Calls a second at most; 0 takes the customer's access away.
+    /// The most invocations a second; 0 revokes the customer's access.
     pub calls_per_second: f64,
 }
 
 impl QuotaSpec {
-    /// Reads and checks a quota's `spec`.
+    /// Parses and checks the `spec` of a quota.
+    ///
+    /// # Errors
+    ///
+    /// If it is malformed or the rate is out of its range.
     pub fn parse(spec: serde_json::Value) -> Result<QuotaSpec, InvalidEntry> {
         let quota: QuotaSpec = read_spec(spec, SHAPE)?;
         check_range("calls_per_second", quota.calls_per_second, 0.0..=1e9)?;
         Ok(quota)
     }
 
-    /// Whether the customer may call at all.
+    /// Whether the customer may invoke functions.
     pub fn is_allowed(&self) -> bool {
         self.calls_per_second > 0.0
     }
--- a/crates/config-sync/src/schema/trigger_type.rs
+++ b/crates/config-sync/src/schema/trigger_type.rs
@@ -1,4 +1,4 @@
-//! Entries `trigger-types/<name>`: what is promised to calls of a kind.
+//! Entries `trigger-types/<name>`: the latency objective and timeout of a kind of invocation.
 
 use super::InvalidEntry;
 use super::envelope::{check_range, read_spec};
@@ -10,14 +10,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TriggerTypeSpec {
-    /// Seconds within which an answer counts as in time.
+    /// Latency objective in seconds.
     pub objective: f64,
-    /// Seconds after which the client gives up; not below the objective.
+    /// Client timeout in seconds; not below the objective.
     pub timeout: f64,
 }
 
 impl TriggerTypeSpec {
-    /// Reads and checks a trigger type's `spec`.
+    /// Parses and checks the `spec` of a trigger type.
+    ///
+    /// # Errors
+    ///
+    /// If it is malformed, or a time is out of its range.
     pub fn parse(spec: serde_json::Value) -> Result<TriggerTypeSpec, InvalidEntry> {
         let trigger_type: TriggerTypeSpec = read_spec(spec, SHAPE)?;
         check_range("objective", trigger_type.objective, 0.001..=3_600.0)?;
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -1,4 +1,4 @@
-//! The core's settings, checked once.
+//! The settings of the core.
 
 use std::ops::RangeInclusive;
 use thiserror::Error;
@@ -6,44 +6,44 @@
 /// Settings of one front end's core. All front ends of a store should have the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SyncSettings {
-    /// Everything stands under this prefix of the store, `orchidtally/config/` by default.
+    /// Prefix of all keys in the store, `orchidtally/config/` by default.
     pub prefix: String,
-    /// Entries with `"when_stale":"refuse"` are refused once the view wasn't proven current for so long, in seconds.
+    /// Entries with `"when_stale":"refuse"` are refused once the view wasn't proven current for this long, in seconds.
     pub freshness_bound: f64,
-    /// A change that takes away is in force everywhere after so long, in seconds; above `freshness_bound`.
+    /// Time after which a revocation is in force everywhere, in seconds; above `freshness_bound`.
     pub in_force_limit: f64,
-    /// Between two proofs of freshness, in seconds.
+    /// Interval of barriers, which prove freshness, in seconds.
     pub barrier_interval: f64,
-    /// Between two comparisons of digests while nothing else asks for one, in seconds.
+    /// Mean interval of digest comparisons while the watch is followed, in seconds.
     pub audit_interval: f64,
-    /// The pace of reads, in bytes a second.
+    /// Rate limit of reads, in bytes a second.
     pub read_bytes_per_second: f64,
-    /// Bytes that may be read at once after a pause. In any one second at most this and `read_bytes_per_second` are
-    /// read, but for answers that are larger than expected.
+    /// Burst of reads in bytes. In any second at most this and `read_bytes_per_second` are read, apart from answers that
+    /// are larger than expected.
     pub read_burst: f64,
-    /// Bytes that one answer should have; the limits of reads follow it by the size of entries seen so far.
+    /// Target size of an answer in bytes, from which the limits of reads are derived.
     pub page_bytes: f64,
-    /// The greatest drawn delay before a catch-up or a comparison after a connection, in seconds.
+    /// Duration of the slow start of reads after a connection, in seconds, which spreads the load of many front ends.
     pub spread: f64,
-    /// Between two reports at least, in seconds.
+    /// The shortest interval of reports, in seconds.
     pub report_interval: f64,
-    /// Between two snapshots at least, in seconds.
+    /// The shortest interval of snapshots, in seconds.
     pub snapshot_interval: f64,
-    /// A request without an answer counts as failed after this time, in seconds.
+    /// Timeout of requests, in seconds.
     pub request_timeout: f64,
-    /// A watch that doesn't come to a revision that a barrier named is begun anew after this time, in seconds.
+    /// A watch that doesn't reach the revision of a barrier within this time is opened again, in seconds.
     pub watch_timeout: f64,
-    /// Entries in the store at most.
+    /// The most entries in the store.
     pub max_entries: usize,
-    /// Bytes of keys and values in the store at most.
+    /// The most bytes of keys and values in the store.
     pub max_bytes: usize,
-    /// Bytes of one value at most.
+    /// The most bytes of a value.
     pub max_value_bytes: usize,
-    /// Changes of one incomplete revision that are kept at most; beyond, they are dropped and read at the pace.
+    /// The most queued changes; beyond, they are dropped and read at the rate limit.
     pub max_pending_changes: usize,
-    /// Bytes of such changes at most.
+    /// The most bytes of queued changes.
     pub max_pending_bytes: usize,
-    /// Rejected entries that a report names at most.
+    /// The most rejections in a report.
     pub max_reported_rejections: usize,
 }
 
@@ -73,25 +73,25 @@
     }
 }
 
-/// What is wrong with the settings.
+/// Why settings are invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// There is no prefix.
+    /// The prefix is empty.
     #[error("the prefix is empty; choose one such as 'orchidtally/config/'")]
     NoPrefix,
-    /// A setting lies outside of its range.
+    /// A setting is out of its range.
     #[error("{name} is {value}; it has to lie between {least} and {most}")]
     OutOfRange {
-        /// The setting.
+        /// Name of the setting.
         name: &'static str,
-        /// What it was set to.
+        /// Value of the setting.
         value: f64,
-        /// The least that it may be.
+        /// The lowest allowed value.
         least: f64,
-        /// The most that it may be.
+        /// The highest allowed value.
         most: f64,
     },
-    /// The freshness bound leaves no time for calls that were admitted at it.
+    /// The freshness bound leaves too little time for invocations that are admitted right before it.
     #[error(
         "freshness_bound {freshness_bound} s is not at least 1 s below in_force_limit {in_force_limit} s; lower it, \
          or raise the limit"
@@ -102,7 +102,7 @@
         /// In seconds.
         in_force_limit: f64,
     },
-    /// A lost barrier or two would have everything refused.
+    /// The freshness bound allows for too few barriers: one or two lost ones would refuse entries.
     #[error(
         "freshness_bound {freshness_bound} s leaves no room for three barriers of {barrier_interval} s; raise it, or \
          ask more often"
@@ -115,14 +115,18 @@
     },
 }
 
-/// The least slack between the freshness bound and the limit, in seconds: a call that was admitted at the bound
-/// still has to get its bytes out.
+/// The least difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
+/// bound still has to be sent.
 const LEAST_SLACK: f64 = 1.0;
-/// Barriers that have to fit into the freshness bound.
+/// The least number of barrier intervals within the freshness bound.
 const LEAST_BARRIERS: f64 = 3.0;
 
 impl SyncSettings {
-    /// Checks all settings; the error names the first that is out of its range.
+    /// Checks all settings.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is invalid.
     pub fn checked(self) -> Result<SyncSettings, SettingsError> {
         if self.prefix.is_empty() {
             return Err(SettingsError::NoPrefix);
--- a/crates/config-sync/src/snapshot.rs
+++ b/crates/config-sync/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot on a front end's disk: what it starts from while the store is away.
+//! The snapshot on a front end's disk, from which it starts while the store is unreachable.
 //!
 //! Layout, all numbers big-endian:
 //!
@@ -9,7 +9,7 @@
 //! override = revision of the blocked transaction i64 | entry, document length u32::MAX standing for "not in force"
 //! ```
 //!
-//! Entries are what the store held. Overrides name keys whose last good document differs from it.
+//! Entries are those of the store. Overrides are keys whose last good document differs from the store's.
 
 use crate::keys::EntryKey;
 use crate::stored::{Stored, StoredEntry};
@@ -21,39 +21,39 @@
 const VERSION: u16 = 1;
 const HEADER_BYTES: usize = 8 + 2 + 8 + 8 + 8 + 4 + 4 + 8;
 const CHECKSUM_BYTES: usize = 4;
-/// Stands for the length of a document that is not there.
+/// The length field of an absent document.
 const ABSENT: u32 = u32::MAX;
 
-/// Why bytes are no snapshot that can be used.
+/// Why a snapshot can't be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It ends too early; its bytes.
+    /// The file is truncated; its length in bytes.
     #[error(
         "the snapshot was cut off after {0} bytes; it is passed over, an earlier one or the store is read"
     )]
     Truncated(usize),
-    /// It doesn't begin as a snapshot does.
+    /// The file doesn't start with the magic number.
     #[error("the file is no snapshot of the configuration; check the path")]
     NoSnapshot,
-    /// Another version of the program wrote it.
+    /// The snapshot has another version of the format.
     #[error("the snapshot has version {0}, this program reads {VERSION}; it is passed over")]
     OtherVersion(u16),
-    /// It was damaged.
+    /// The checksum is wrong.
     #[error(
         "the snapshot's checksum doesn't fit; it is passed over, an earlier one or the store is read"
     )]
     Checksum,
-    /// Its parts don't fit each other.
+    /// The body doesn't match the header.
     #[error(
         "the snapshot's body is malformed; it is passed over, an earlier one or the store is read"
     )]
     Malformed,
-    /// It holds more than the settings allow.
+    /// The snapshot exceeds the limits in the settings.
     #[error(
         "the snapshot holds {entries} entries and {bytes} bytes, over the limits of this front end"
     )]
     TooLarge {
-        /// Entries that it holds.
+        /// Number of entries.
         entries: usize,
         /// Bytes of their keys and documents.
         bytes: usize,
@@ -71,7 +71,7 @@
     pub(crate) blocked_revision: i64,
 }
 
-/// A snapshot as it was read.
+/// A decoded snapshot.
 #[derive(Debug)]
 pub(crate) struct Snapshot {
     pub(crate) cluster: u64,
@@ -81,17 +81,17 @@
     pub(crate) overrides: Vec<Override>,
 }
 
-/// Which store and how far, as the header says.
+/// The store and revision of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Position {
+pub(crate) struct SnapshotOrigin {
     pub(crate) cluster: u64,
     pub(crate) generation: u64,
     pub(crate) revision: i64,
 }
 
-/// Writes what the store held and what is in force instead for the blocked keys.
+/// Encodes the store's entries, and the entries in force instead for blocked keys.
 pub(crate) fn encode<'k, E>(
-    position: Position,
+    origin: SnapshotOrigin,
     stored: &Stored,
     view: &View<E>,
     blocked: impl Iterator<Item = (&'k EntryKey, i64)>,
@@ -121,9 +121,9 @@
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len() + CHECKSUM_BYTES);
     bytes.extend_from_slice(MAGIC);
     bytes.extend_from_slice(&VERSION.to_be_bytes());
-    bytes.extend_from_slice(&position.cluster.to_be_bytes());
-    bytes.extend_from_slice(&position.generation.to_be_bytes());
-    bytes.extend_from_slice(&position.revision.to_be_bytes());
+    bytes.extend_from_slice(&origin.cluster.to_be_bytes());
+    bytes.extend_from_slice(&origin.generation.to_be_bytes());
+    bytes.extend_from_slice(&origin.revision.to_be_bytes());
     bytes.extend_from_slice(&(stored.len() as u32).to_be_bytes());
     bytes.extend_from_slice(&overrides.to_be_bytes());
     bytes.extend_from_slice(&(body.len() as u64).to_be_bytes());
@@ -144,7 +144,11 @@
     }
 }
 
-/// Reads a snapshot. Whatever the bytes are, it gives the whole snapshot or an error.
+/// Decodes a snapshot.
+///
+/// # Errors
+///
+/// If the bytes are anything but a complete snapshot.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let mut header = Reader(bytes);
     let magic = header
@@ -180,7 +184,7 @@
     })
 }
 
-/// The body, if its length and the checksum fit.
+/// The body, if its length and the checksum are right.
 fn checked_body(bytes: &[u8], length: u64) -> Result<&[u8], SnapshotError> {
     let whole = (HEADER_BYTES + CHECKSUM_BYTES) as u64;
     let expected = whole.checked_add(length).ok_or(SnapshotError::Malformed)?;
@@ -218,14 +222,14 @@
     (0..count).map(|_| reader.blocked()).collect()
 }
 
-/// An entry as it is written; a document may be absent in an override.
+/// An encoded entry. The document may be absent in an override.
 struct RawEntry {
     key: EntryKey,
     mod_revision: i64,
     document: Option<Arc<[u8]>>,
 }
 
-/// Takes bytes from the front, or nothing if there are too few.
+/// Reads from the start of some bytes; `None` if there are too few.
 struct Reader<'b>(&'b [u8]);
 
 impl<'b> Reader<'b> {
--- a/crates/config-sync/src/stored.rs
+++ b/crates/config-sync/src/stored.rs
@@ -1,11 +1,11 @@
-//! What the store holds, as far as the front end knows: raw documents, whether they are in force or not, with their
-//! digests. Cloning is cheap; a change copies one bucket.
+//! The local copy of the store: raw documents, whether they are in force or not, with their digests. Cloning is cheap;
+//! a change copies one bucket.
 
 use crate::digest::{Digests, entry_hash};
 use crate::keys::{BUCKET_COUNT, EntryKey};
 use std::sync::Arc;
 
-/// One entry as it stands in the store.
+/// An entry of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct StoredEntry {
     pub(crate) key: EntryKey,
@@ -68,8 +68,8 @@
 
     pub(crate) fn get(&self, key: &EntryKey) -> Option<&StoredEntry> {
         let bucket = &self.buckets[key.bucket()];
-        let place = bucket.binary_search_by(|entry| entry.key.cmp(key)).ok()?;
-        Some(&bucket[place])
+        let index = bucket.binary_search_by(|entry| entry.key.cmp(key)).ok()?;
+        Some(&bucket[index])
     }
 
     pub(crate) fn put(&mut self, entry: StoredEntry) {
@@ -78,13 +78,13 @@
         self.digests.add(number, entry.hash());
         self.bytes += entry.bytes();
         match bucket.binary_search_by(|known| known.key.cmp(&entry.key)) {
-            Ok(place) => {
-                let old = std::mem::replace(&mut bucket[place], entry);
+            Ok(index) => {
+                let old = std::mem::replace(&mut bucket[index], entry);
                 self.digests.remove(number, old.hash());
                 self.bytes -= old.bytes();
             }
-            Err(place) => {
-                bucket.insert(place, entry);
+            Err(index) => {
+                bucket.insert(index, entry);
                 self.len += 1;
             }
         }
@@ -92,16 +92,16 @@
 
     pub(crate) fn delete(&mut self, key: &EntryKey) {
         let number = key.bucket();
-        let Ok(place) = self.buckets[number].binary_search_by(|known| known.key.cmp(key)) else {
+        let Ok(index) = self.buckets[number].binary_search_by(|known| known.key.cmp(key)) else {
             return;
         };
-        let old = Arc::make_mut(&mut self.buckets[number]).remove(place);
+        let old = Arc::make_mut(&mut self.buckets[number]).remove(index);
         self.digests.remove(number, old.hash());
         self.bytes -= old.bytes();
         self.len -= 1;
     }
 
-    /// Replaces a whole bucket by what was read of it.
+    /// Replaces the contents of a bucket.
     pub(crate) fn replace_bucket(&mut self, bucket: usize, entries: Vec<StoredEntry>) {
         let old: Vec<EntryKey> = self.buckets[bucket]
             .iter()
--- a/crates/config-sync/src/sync/barrier.rs
+++ b/crates/config-sync/src/sync/barrier.rs
@@ -1,7 +1,7 @@
-//! Barriers: linearizable reads of the generation key. They prove how fresh the view is, tell when the store was set
-//! back, and bring the operator's word that another history is to be followed.
+//! Barriers: linearizable reads of the generation key. They prove how fresh the view is, detect that the store was
+//! rolled back, and carry the operator's decision to follow another history.
 
-use super::{ConfigSync, Need, Phase, Source};
+use super::{ConfigSync, Phase, StoreIdentity, SyncMode};
 use crate::action::Action;
 use crate::keys::FORMAT;
 use crate::message::{BarrierAnswer, Header, RequestId};
@@ -9,16 +9,16 @@
 use crate::schema::Schema;
 use crate::writer::Generation;
 
-/// A barrier that isn't answered yet.
+/// A barrier in flight.
 #[derive(Clone, Copy, Debug)]
 struct OpenBarrier {
     id: RequestId,
-    asked_at: f64,
-    /// What the watch had told when it was asked: the answer's revision can't be below it in the same history.
+    sent_at: f64,
+    /// The revision received by the watch when the barrier was sent. In the same history the answer can't be below it.
     known_revision: i64,
 }
 
-/// When barriers are asked.
+/// The schedule of barriers.
 #[derive(Debug)]
 pub(super) struct Barriers {
     open: Option<OpenBarrier>,
@@ -34,18 +34,18 @@
     }
 }
 
-/// What a barrier's answer says of the store.
-enum Judgement {
-    /// It is the one that is followed.
-    Same,
-    /// Nothing is loaded yet, or the operator wants another history to be followed.
-    Follow(Source),
-    /// It is another history, and nobody said that it should be followed.
-    SetBack,
+/// How the store that answered a barrier compares with the one that is followed.
+enum StoreComparison {
+    /// It is the same store and history.
+    Unchanged,
+    /// Nothing is loaded yet, or the operator raised the generation: this store is followed from now on.
+    Adopt(StoreIdentity),
+    /// It has another history, without a higher generation.
+    RolledBack,
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// A barrier was answered.
+    /// Handles the answer to an [`Action::Barrier`].
     pub fn barrier_answer(&mut self, now: f64, answer: BarrierAnswer) {
         let Some(open) = self.barriers.open.filter(|open| open.id == answer.id) else {
             return;
@@ -55,16 +55,16 @@
             self.halt(now, ReportedState::UnknownFormat);
             return;
         };
-        match self.judge_store(&answer.header, generation, open.known_revision) {
-            Judgement::Same => self.same_store(now, &open, answer.header.revision),
-            Judgement::Follow(source) => self.follow_source(now, source),
-            Judgement::SetBack => {
+        match self.compare_store(&answer.header, generation, open.known_revision) {
+            StoreComparison::Unchanged => self.on_same_store(now, &open, answer.header.revision),
+            StoreComparison::Adopt(source) => self.adopt_source(now, source),
+            StoreComparison::RolledBack => {
                 self.halt(now, ReportedState::StoreSetBack);
             }
         }
     }
 
-    /// Asks barriers from now on.
+    /// Starts to send barriers.
     pub(super) fn start_barriers(&mut self, now: f64) {
         self.barriers = Barriers {
             open: None,
@@ -76,10 +76,10 @@
         self.barriers = Barriers::default();
     }
 
-    /// When something is to be done about barriers.
+    /// When a barrier is due or times out.
     pub(super) fn barrier_timer(&self) -> f64 {
         match self.barriers.open {
-            Some(open) => open.asked_at + self.settings.request_timeout,
+            Some(open) => open.sent_at + self.settings.request_timeout,
             None => self.barriers.next_at,
         }
     }
@@ -88,32 +88,32 @@
         if now < self.barrier_timer() {
             return;
         }
-        // A barrier without an answer in time is asked again at once, under another number.
+        // A barrier that timed out is sent again at once, under another id.
         self.barriers.open = None;
         let id = self.request_id();
-        // The time is taken before the question is sent: what it proves, it proves as of then.
+        // The time is taken before the request is sent, since the answer proves freshness as of then.
         let known_revision = self.known_revision();
         self.barriers.open = Some(OpenBarrier {
             id,
-            asked_at: now,
+            sent_at: now,
             known_revision,
         });
         let interval = self.settings.barrier_interval;
-        self.barriers.next_at = now + interval * 0.9 + self.draw(interval * 0.2);
+        self.barriers.next_at = now + interval * 0.9 + self.random_below(interval * 0.2);
         self.actions.push_back(Action::Barrier { id });
     }
 
-    /// Whether the failed request was the open barrier; it is asked again after a drawn pause.
+    /// Whether the failed request was the barrier in flight, which is then sent again after a random delay.
     pub(super) fn barrier_failed(&mut self, now: f64, id: RequestId) -> bool {
         if self.barriers.open.is_none_or(|open| open.id != id) {
             return false;
         }
         self.barriers.open = None;
-        self.barriers.next_at = now + self.draw(self.settings.barrier_interval.min(1.0));
+        self.barriers.next_at = now + self.random_below(self.settings.barrier_interval.min(1.0));
         true
     }
 
-    /// The greatest revision that was seen in the history that is followed.
+    /// The highest revision that was received in the history that is followed.
     fn known_revision(&self) -> i64 {
         if self.loaded != self.source {
             return 0;
@@ -121,28 +121,33 @@
         self.backlog.complete_through().max(self.applied_revision)
     }
 
-    fn judge_store(&self, header: &Header, generation: u64, known_revision: i64) -> Judgement {
-        let source = Source {
+    fn compare_store(
+        &self,
+        header: &Header,
+        generation: u64,
+        known_revision: i64,
+    ) -> StoreComparison {
+        let source = StoreIdentity {
             cluster: header.cluster,
             generation,
         };
         let Some(followed) = self.source else {
-            return Judgement::Follow(source);
+            return StoreComparison::Adopt(source);
         };
         if followed == source && header.revision >= known_revision {
-            return Judgement::Same;
+            return StoreComparison::Unchanged;
         }
         let is_wanted = generation > followed.generation || self.loaded.is_none();
         if is_wanted {
-            Judgement::Follow(source)
+            StoreComparison::Adopt(source)
         } else {
-            Judgement::SetBack
+            StoreComparison::RolledBack
         }
     }
 
-    fn same_store(&mut self, now: f64, open: &OpenBarrier, revision: i64) {
+    fn on_same_store(&mut self, now: f64, open: &OpenBarrier, revision: i64) {
         match self.phase {
-            Phase::AwaitingBarrier => self.start_reading(now, self.need),
+            Phase::AwaitingBarrier => self.start_session(now, self.mode),
             Phase::Halted {
                 state: ReportedState::UnknownFormat,
                 ..
@@ -153,34 +158,34 @@
             Phase::Halted { .. } => return,
             _ => {}
         }
-        self.freshness.answered(open.asked_at, revision);
-        self.settle_freshness();
+        self.freshness.on_barrier(open.sent_at, revision);
+        self.update_freshness();
         if self.watch_is_open && revision > self.backlog.complete_through() {
             self.request_progress();
         }
     }
 
-    fn follow_source(&mut self, now: f64, source: Source) {
+    fn adopt_source(&mut self, now: f64, source: StoreIdentity) {
         let is_first = self.loaded.is_none();
         self.source = Some(source);
-        self.distrusts = false;
+        self.is_history_suspect = false;
         self.fault = None;
         self.close_watch();
-        self.reading = None;
-        self.freshness.forget_questions();
-        self.start_reading(
+        self.session = None;
+        self.freshness.clear_pending();
+        self.start_session(
             now,
             if is_first {
-                Need::CatchUp
+                SyncMode::CatchUp
             } else {
-                Need::Rebase
+                SyncMode::Rebase
             },
         );
-        self.mark_report(now);
+        self.schedule_report(now);
     }
 }
 
-/// The generation that the key's value names, 0 without a key; `None` if it can't be read.
+/// The generation in the key's value, 0 without a key; `None` if it can't be read.
 fn read_generation(value: Option<&[u8]>) -> Option<u64> {
     let Some(value) = value else { return Some(0) };
     let generation: Generation = serde_json::from_slice(value).ok()?;
--- a/crates/config-sync/src/sync/mod.rs
+++ b/crates/config-sync/src/sync/mod.rs
@@ -1,16 +1,19 @@
-//! The core itself: one front end's side of configuration distribution.
+//! The core: one front end's side of configuration distribution (list-and-watch with anti-entropy by digests).
 //!
-//! After each connection the front end asks a barrier, then compares its own digests with the store's at its own
-//! applied revision; what the watch tells meanwhile waits. So nothing is applied on top of a history that isn't the
-//! store's. What it can't resume by revision it reads: what changed since, then only buckets that still differ.
+//! After each connection the front end sends a barrier, then compares its digests with the store's at its own applied
+//! revision; changes from the watch are queued meanwhile. So nothing is applied on top of a history that isn't the
+//! store's. If the watch can't resume at the applied revision, the front end reads the entries that changed since, then
+//! only the buckets that still differ.
 
+mod answers;
 mod barrier;
-mod catch_up;
+mod bucket_pages;
 mod publishing;
-mod reading;
+mod range_read;
 mod requests;
 mod restoring;
-mod steps;
+mod session;
+mod stages;
 mod timers;
 mod verdict;
 mod watching;
@@ -34,42 +37,42 @@
 use publishing::Publishing;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use reading::Reading;
+use session::SyncSession;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Which store is followed, and which of its histories.
+/// A store and one of its histories.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Source {
+struct StoreIdentity {
     cluster: u64,
     generation: u64,
 }
 
-/// How far the front end is with the store.
+/// The phase of synchronization with the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Disconnected,
-    /// The first barrier of this connection isn't answered yet.
+    /// The first barrier of this connection is in flight.
     AwaitingBarrier,
-    /// Reading what decides, or brings, the view; changes wait.
-    Reading,
+    /// A session verifies or updates the view; changes from the watch are queued.
+    Synchronizing,
     /// The view follows the watch.
     Following,
-    /// The last good view stays, for this reason; it is looked again at this time.
+    /// The last good view stays in force, for the reason `state`, until a retry at `retry_at`.
     Halted {
         state: ReportedState,
         retry_at: f64,
     },
 }
 
-/// What has to be read before the watch is followed.
+/// What a session has to achieve before the watch is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Need {
-    /// A comparison of digests at the applied revision.
+enum SyncMode {
+    /// Compare digests at the applied revision.
     Verification,
-    /// What changed since the applied revision, in the same history.
+    /// Read the changes since the applied revision, in the same history.
     CatchUp,
-    /// Whatever differs; another history is taken over.
+    /// Read everything that differs, to adopt another history.
     Rebase,
 }
 
@@ -82,31 +85,31 @@
     keyspace: Keyspace,
     random: StdRng,
     phase: Phase,
-    need: Need,
+    mode: SyncMode,
     /// The store that is followed; `None` before the first is known.
-    source: Option<Source>,
+    source: Option<StoreIdentity>,
     /// The store that the view comes from; `None` before anything is loaded.
-    loaded: Option<Source>,
-    /// The store's history was found to be another one; only digests that fit, or a higher generation, help.
-    distrusts: bool,
-    /// Why it halted last; it stands until the store is followed again.
+    loaded: Option<StoreIdentity>,
+    /// The store's history appeared to be another one. Only matching digests or a higher generation clear this.
+    is_history_suspect: bool,
+    /// The reason of the last halt, until the store is followed again.
     fault: Option<ReportedState>,
     stored: Stored,
     applied_revision: i64,
     applier: Applier<S::Entry>,
-    /// The view that the host was told of last.
+    /// The view that was last announced to the host.
     announced: Arc<View<S::Entry>>,
-    /// Keys in the entries' range that are no entries', with what is said of them; a bounded number.
+    /// Keys in the range of entries that aren't those of entries, with their rejections; a bounded number.
     foreign_keys: BTreeMap<Vec<u8>, Rejection>,
     digest_faults: usize,
     backlog: Backlog,
     watch_is_open: bool,
     reopen_watch_at: f64,
-    /// When the watch told of a change last.
-    watch_told_at: f64,
+    /// When the watch last delivered a change.
+    last_watch_change_at: f64,
     freshness: Freshness,
     barriers: Barriers,
-    reading: Option<Reading>,
+    session: Option<SyncSession>,
     read_pace: TokenBucket,
     next_request: u64,
     audit_at: f64,
@@ -116,7 +119,11 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// A core that knows nothing yet. `seed` draws its delays; it should differ between front ends.
+    /// A core without any configuration. `seed` of the random delays should differ between front ends.
+    ///
+    /// # Errors
+    ///
+    /// If a setting is out of its range.
     pub fn new(
         settings: SyncSettings,
         schema: S,
@@ -128,10 +135,10 @@
             keyspace: Keyspace::new(settings.prefix.clone()),
             random: StdRng::seed_from_u64(seed),
             phase: Phase::Disconnected,
-            need: Need::CatchUp,
+            mode: SyncMode::CatchUp,
             source: None,
             loaded: None,
-            distrusts: false,
+            is_history_suspect: false,
             fault: None,
             stored: Stored::default(),
             applied_revision: 0,
@@ -142,10 +149,10 @@
             backlog: Backlog::new(settings.max_pending_changes, settings.max_pending_bytes),
             watch_is_open: false,
             reopen_watch_at: f64::INFINITY,
-            watch_told_at: f64::NEG_INFINITY,
+            last_watch_change_at: f64::NEG_INFINITY,
             freshness: Freshness::default(),
             barriers: Barriers::default(),
-            reading: None,
+            session: None,
             read_pace: TokenBucket::new(settings.read_bytes_per_second, settings.read_burst, now),
             next_request: 0,
             audit_at: f64::INFINITY,
@@ -162,12 +169,12 @@
         self.applier.view().clone()
     }
 
-    /// Whether a snapshot or the store gave a view.
+    /// Whether a view was loaded from a snapshot or the store.
     pub fn is_loaded(&self) -> bool {
         self.loaded.is_some()
     }
 
-    /// The time as of which the view is certainly current; negative infinity if it never was proven since the start.
+    /// The time as of which the view is proven current; negative infinity if it wasn't since the start.
     pub fn fresh_as_of(&self) -> f64 {
         self.freshness.as_of()
     }
@@ -209,9 +216,9 @@
         self.phase != Phase::Disconnected
     }
 
-    /// A number drawn between 0 and `most`.
-    fn draw(&mut self, most: f64) -> f64 {
-        self.random.random::<f64>() * most
+    /// A uniform random number between 0 and `limit`.
+    fn random_below(&mut self, limit: f64) -> f64 {
+        self.random.random::<f64>() * limit
     }
 
     fn request_id(&mut self) -> RequestId {
@@ -219,20 +226,20 @@
         RequestId(self.next_request)
     }
 
-    /// Keeps the last good view until the store has come right.
+    /// Halts: the last good view stays in force until the store has recovered.
     fn halt(&mut self, now: f64, state: ReportedState) {
         if matches!(self.phase, Phase::Halted { state: known, .. } if known == state) {
             return;
         }
         self.close_watch();
-        self.reading = None;
-        self.freshness.forget_questions();
+        self.session = None;
+        self.freshness.clear_pending();
         self.fault = Some(state);
         if state == ReportedState::StoreSetBack && self.loaded == self.source {
-            self.distrusts = true;
-            self.need = Need::Verification;
+            self.is_history_suspect = true;
+            self.mode = SyncMode::Verification;
         }
-        // Only a barrier tells that the format can be read again.
+        // Only a barrier can show that the format is readable again.
         let is_unknown = state == ReportedState::UnknownFormat;
         let retry_at = if is_unknown {
             f64::INFINITY
@@ -240,10 +247,10 @@
             now + timers::HALT_RETRY
         };
         self.phase = Phase::Halted { state, retry_at };
-        self.mark_report(now);
+        self.schedule_report(now);
     }
 
-    /// Applies to the view by this, after `stored` has its new values.
+    /// Calls the applier with the present context. `stored` has to hold the new values already.
     fn with_applier(
         &mut self,
         revision: i64,
@@ -260,7 +267,7 @@
         apply(&mut self.applier, &context);
     }
 
-    /// Tells the host of the view that is in force, once for all changes that came together.
+    /// Announces the view in force to the host, once for all changes that came together.
     fn announce_view(&mut self) {
         if Arc::ptr_eq(&self.announced, self.applier.view()) {
             return;
--- a/crates/config-sync/src/sync/publishing.rs
+++ b/crates/config-sync/src/sync/publishing.rs
@@ -1,22 +1,30 @@
-//! What goes out of the core besides requests: views for the host, reports for the writer, snapshots for the disk.
+//! What the core publishes: views to the host, reports to the writer, snapshots to the disk.
 
 use super::ConfigSync;
 use crate::action::Action;
 use crate::report::Report;
 use crate::schema::Schema;
-use crate::snapshot::{self, Position};
+use crate::snapshot::{self, SnapshotOrigin};
 
-/// A report that isn't acknowledged after so many report intervals is put again.
+/// A report is sent again if it isn't acknowledged within this many report intervals.
 const REPORT_TIMEOUT_INTERVALS: f64 = 3.0;
 
+/// A report that isn't acknowledged yet.
+#[derive(Clone, Copy, Debug)]
+struct OpenReport {
+    sequence: u64,
+    /// When the report is sent again.
+    deadline: f64,
+}
+
 /// When reports and snapshots are due.
 #[derive(Debug)]
 pub(super) struct Publishing {
     report_due: f64,
     reported_at: f64,
     sequence: u64,
-    /// The report that isn't acknowledged yet, and until when that is waited for.
-    open_report: Option<(u64, f64)>,
+    /// The report that isn't acknowledged yet.
+    open_report: Option<OpenReport>,
     snapshot_due: f64,
     snapshot_at: f64,
 }
@@ -35,29 +43,29 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// The report of this sequence stands in the store.
+    /// The report with this sequence number is in the store.
     pub fn reported(&mut self, _now: f64, sequence: u64) {
         if self
             .publishing
             .open_report
-            .is_some_and(|(open, _)| open == sequence)
+            .is_some_and(|open| open.sequence == sequence)
         {
             self.publishing.open_report = None;
         }
     }
 
-    /// The report of this sequence could not be put, or its lease is over: it is told again.
+    /// The report with this sequence number couldn't be put, or its lease has expired: it is sent again.
     pub fn report_failed(&mut self, now: f64, sequence: u64) {
         if sequence == self.publishing.sequence {
             self.publishing.open_report = None;
-            self.mark_report(now);
+            self.schedule_report(now);
         }
     }
 
-    /// What a report would say now.
+    /// The report as of now.
     pub fn report(&self) -> Report {
-        let (rejections, uncounted) = self.applier.rejections();
-        let all = rejections.len() + self.foreign_keys.len() + uncounted;
+        let (rejections, omitted) = self.applier.rejections();
+        let all = rejections.len() + self.foreign_keys.len() + omitted;
         let named = rejections.into_iter().chain(self.foreign_keys.values());
         let rejected: Vec<_> = named
             .take(self.settings.max_reported_rejections)
@@ -75,28 +83,28 @@
         }
     }
 
-    /// Something that a report says has changed. Reports of front ends that saw the same change are spread over an
-    /// interval.
-    pub(super) fn mark_report(&mut self, now: f64) {
+    /// Schedules a report after a change of its contents. Reports of front ends that saw the same change are spread
+    /// over an interval.
+    pub(super) fn schedule_report(&mut self, now: f64) {
         if self.publishing.report_due < f64::INFINITY {
             return;
         }
         let interval = self.settings.report_interval;
-        let drawn = now + self.draw(interval);
-        self.publishing.report_due = drawn.max(self.publishing.reported_at + interval);
+        let due = now + self.random_below(interval);
+        self.publishing.report_due = due.max(self.publishing.reported_at + interval);
     }
 
-    /// Reports anew over a new connection, spread over an interval.
+    /// Schedules a report over a new connection, spread over an interval.
     pub(super) fn restart_reports(&mut self, now: f64) {
         self.publishing.open_report = None;
         self.publishing.report_due = f64::INFINITY;
-        self.mark_report(now);
+        self.schedule_report(now);
     }
 
-    /// A view came into force, or transactions were rejected.
+    /// Publishes that a view came into force, or that transactions were rejected.
     pub(super) fn publish_change(&mut self, now: f64) {
         self.announce_view();
-        self.mark_report(now);
+        self.schedule_report(now);
         self.schedule_retry(now);
         let due = self.publishing.snapshot_at + self.settings.snapshot_interval;
         self.publishing.snapshot_due = self.publishing.snapshot_due.min(due.max(now));
@@ -119,17 +127,20 @@
         if !self.is_connected() {
             return f64::INFINITY;
         }
-        let again = self
+        let resend_at = self
             .publishing
             .open_report
-            .map_or(f64::INFINITY, |(_, until)| until);
-        self.publishing.report_due.min(again)
+            .map_or(f64::INFINITY, |open| open.deadline);
+        self.publishing.report_due.min(resend_at)
     }
 
     fn send_report(&mut self, now: f64) {
         self.publishing.sequence += 1;
         let timeout = self.settings.report_interval * REPORT_TIMEOUT_INTERVALS;
-        self.publishing.open_report = Some((self.publishing.sequence, now + timeout));
+        self.publishing.open_report = Some(OpenReport {
+            sequence: self.publishing.sequence,
+            deadline: now + timeout,
+        });
         self.publishing.report_due = f64::INFINITY;
         self.publishing.reported_at = now;
         let report = self.report();
@@ -143,13 +154,13 @@
         self.publishing.snapshot_due = f64::INFINITY;
         self.publishing.snapshot_at = now;
         let revision = self.applied_revision;
-        let position = Position {
+        let origin = SnapshotOrigin {
             cluster: source.cluster,
             generation: source.generation,
             revision,
         };
         let view = self.applier.view();
-        let bytes = snapshot::encode(position, &self.stored, view, self.applier.blocked_keys());
+        let bytes = snapshot::encode(origin, &self.stored, view, self.applier.blocked_keys());
         self.actions
             .retain(|action| !matches!(action, Action::WriteSnapshot { .. }));
         self.actions
--- a/crates/config-sync/src/sync/requests.rs
+++ b/crates/config-sync/src/sync/requests.rs
@@ -1,30 +1,18 @@
-//! Reads as requests: sent at the pace, several at a time, with a deadline each.
+//! Sends the reads of a session at the configured pace, several at a time, and handles their failures.
 
-use super::reading::{Part, Reading};
-use super::{ConfigSync, Need, Phase};
+use super::range_read::OpenRead;
+use super::session::SyncSession;
+use super::{ConfigSync, Phase, SyncMode};
 use crate::action::{Action, ReadRequest};
 use crate::message::{RequestFailure, RequestId};
 use crate::report::ReportedState;
 use crate::schema::Schema;
 
-/// Reads that wait for their answers at most. The pace bounds what they bring; several hide the way to a distant store.
+/// The most reads in flight. The pace bounds their bytes; several of them hide the round trip to a distant store.
 const MAX_OPEN_READS: usize = 16;
 
-/// A read that isn't answered yet.
-#[derive(Clone, Debug)]
-pub(super) struct OpenRead {
-    id: RequestId,
-    deadline: f64,
-    /// Applied when it was asked: a linearizable answer can't be older in the same history.
-    pub(super) known_revision: i64,
-    /// What it reads.
-    pub(super) part: Part,
-    /// Bytes that were charged when it was sent.
-    pub(super) charged: f64,
-}
-
 impl<S: Schema> ConfigSync<S> {
-    /// When something is to be done about reads.
+    /// When a read is due or times out.
     pub(super) fn read_timer(&self) -> f64 {
         self.read_deadline()
             .map_or(f64::INFINITY, |(_, deadline)| deadline)
@@ -42,33 +30,33 @@
         }
     }
 
-    /// The reading that may send requests and gets answers now.
-    fn active_reading(&self) -> Option<&Reading> {
-        let is_active = matches!(self.phase, Phase::Reading | Phase::Following);
-        self.reading.as_ref().filter(|_| is_active)
+    /// The session, if it may send requests and receive answers in the present phase.
+    fn active_session(&self) -> Option<&SyncSession> {
+        let is_active = matches!(self.phase, Phase::Synchronizing | Phase::Following);
+        self.session.as_ref().filter(|_| is_active)
     }
 
-    /// The read that has to be answered first.
+    /// The read with the earliest deadline.
     fn read_deadline(&self) -> Option<(RequestId, f64)> {
-        let open = self.active_reading()?.open.iter();
+        let open = self.active_session()?.open.iter();
         open.map(|open| (open.id, open.deadline))
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// When the next read may be sent.
     fn send_timer(&self) -> f64 {
-        let Some(reading) = self.active_reading() else {
+        let Some(session) = self.active_session() else {
             return f64::INFINITY;
         };
-        let Some(next) = reading
+        let Some(next) = session
             .pending
             .front()
-            .filter(|_| reading.open.len() < MAX_OPEN_READS)
+            .filter(|_| session.open.len() < MAX_OPEN_READS)
         else {
             return f64::INFINITY;
         };
-        let expected = reading.expected_bytes(next, self.settings.page_bytes);
-        self.read_pace.ready_at(expected).max(reading.not_before)
+        let expected = session.expected_bytes(next, self.settings.page_bytes);
+        self.read_pace.ready_at(expected).max(session.not_before)
     }
 
     fn send_read(&mut self, now: f64) {
@@ -80,27 +68,27 @@
         };
         let deadline = now + self.settings.request_timeout;
         let page_bytes = self.settings.page_bytes;
-        let Some(reading) = &mut self.reading else {
+        let Some(session) = &mut self.session else {
             return;
         };
-        let Some(part) = reading.pending.pop_front() else {
+        let Some(range) = session.pending.pop_front() else {
             return;
         };
         let request = ReadRequest {
             id,
-            kind: reading.kind(&part),
-            range: part.range.clone(),
-            min_mod_revision: reading.min_mod_revision(),
-            at_revision: reading.revision,
-            limit: reading.limit(page_bytes),
-            keys_only: reading.reads_keys_only(),
+            kind: session.kind(&range),
+            range: range.range.clone(),
+            min_mod_revision: session.min_mod_revision(),
+            at_revision: session.revision,
+            limit: session.limit(page_bytes),
+            keys_only: session.reads_keys_only(),
         };
-        let charged = reading.expected_bytes(&part, page_bytes);
-        reading.open.push(OpenRead {
+        let charged = session.expected_bytes(&range, page_bytes);
+        session.open.push(OpenRead {
             id,
             deadline,
             known_revision,
-            part,
+            range,
             charged,
         });
         self.read_pace.charge(now, charged);
@@ -108,12 +96,12 @@
     }
 
     pub(super) fn take_open_read(&mut self, id: RequestId) -> Option<OpenRead> {
-        let open = &mut self.reading.as_mut()?.open;
-        let place = open.iter().position(|open| open.id == id)?;
-        Some(open.swap_remove(place))
+        let open = &mut self.session.as_mut()?.open;
+        let position = open.iter().position(|open| open.id == id)?;
+        Some(open.swap_remove(position))
     }
 
-    /// A read or a barrier failed.
+    /// Handles the failure of a read or a barrier.
     pub fn request_failed(&mut self, now: f64, id: RequestId, failure: RequestFailure) {
         if self.barrier_failed(now, id) {
             return;
@@ -122,45 +110,45 @@
             return;
         };
         match failure {
-            RequestFailure::Unavailable => self.read_again(now, open),
-            RequestFailure::Compacted => self.read_was_compacted(now),
+            RequestFailure::Unavailable => self.retry_read(now, open),
+            RequestFailure::Compacted => self.on_read_compacted(now),
             RequestFailure::FutureRevision => self.halt(now, ReportedState::StoreSetBack),
         }
     }
 
-    fn read_again(&mut self, now: f64, open: OpenRead) {
-        self.pause_reading(now);
-        if let Some(reading) = &mut self.reading {
-            reading.pending.push_front(open.part);
+    fn retry_read(&mut self, now: f64, open: OpenRead) {
+        self.back_off_reads(now);
+        if let Some(session) = &mut self.session {
+            session.pending.push_front(open.range);
         }
     }
 
-    fn pause_reading(&mut self, now: f64) {
-        let part = self.draw(1.0);
-        if let Some(reading) = &mut self.reading {
-            reading.pause(now, part);
+    fn back_off_reads(&mut self, now: f64) {
+        let random = self.random_below(1.0);
+        if let Some(session) = &mut self.session {
+            session.back_off(now, random);
         }
     }
 
-    /// The revision that was read at is gone.
-    fn read_was_compacted(&mut self, now: f64) {
+    /// Handles that the revision at which the session reads is compacted.
+    fn on_read_compacted(&mut self, now: f64) {
         let digests = self.keyspace.digests();
-        let Some(reading) = &mut self.reading else {
+        let Some(session) = &mut self.session else {
             return;
         };
-        if !reading.is_verification() {
-            reading.begin_anew(digests);
-            self.pause_reading(now);
+        if !session.is_verification() {
+            session.restart(digests);
+            self.back_off_reads(now);
             return;
         }
-        self.reading = None;
+        self.session = None;
         match self.phase {
             Phase::Following => self.schedule_audit(now),
-            // Without the old revision nothing shows that the history is the same.
-            _ if self.distrusts => self.halt(now, ReportedState::StoreSetBack),
+            // Without the old revision nothing can show that the history is the same.
+            _ if self.is_history_suspect => self.halt(now, ReportedState::StoreSetBack),
             _ => {
                 self.close_watch();
-                self.start_reading(now, Need::CatchUp);
+                self.start_session(now, SyncMode::CatchUp);
             }
         }
     }
--- a/crates/config-sync/src/sync/restoring.rs
+++ b/crates/config-sync/src/sync/restoring.rs
@@ -1,24 +1,24 @@
 //! Starting from a snapshot on disk.
 
-use super::{ConfigSync, Need, Source};
+use super::{ConfigSync, StoreIdentity, SyncMode};
 use crate::applier::{Context, LastGood, read_record};
 use crate::schema::Schema;
 use crate::snapshot::{self, Override, Snapshot, SnapshotError};
 use std::sync::Arc;
 
-/// What came of the snapshots on disk.
+/// The result of restoring a snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Restored {
     /// The revision that the front end starts from; `None` if no snapshot could be used.
     pub revision: Option<i64>,
-    /// Why newer snapshots were passed over, in their order.
+    /// Why newer snapshots were skipped, in their order.
     pub passed_over: Vec<SnapshotError>,
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// Starts from the first snapshot that can be used; to be called before [`ConfigSync::connected`]. The newest
-    /// snapshot comes first. Nothing proves it current: entries that are refused when stale are refused until the
-    /// store has answered.
+    /// Starts from the first usable snapshot; to be called before [`ConfigSync::connected`]. `newest_first` holds the
+    /// contents of the snapshot files. Nothing proves a snapshot current: entries that are refused when stale are
+    /// refused until the store has answered.
     pub fn restore(&mut self, now: f64, newest_first: &[&[u8]]) -> Restored {
         let mut restored = Restored::default();
         if self.is_loaded() || self.is_connected() {
@@ -53,14 +53,14 @@
             stored,
             overrides,
         } = snapshot;
-        let source = Source {
+        let source = StoreIdentity {
             cluster,
             generation,
         };
         (self.source, self.loaded) = (Some(source), Some(source));
         self.stored = stored;
         self.applied_revision = revision;
-        self.need = Need::Verification;
+        self.mode = SyncMode::Verification;
         self.with_applier(revision, |applier, context: &Context<'_, S>| {
             let last_good = overrides
                 .into_iter()
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads a last good document; if this version of the program can't, nothing is in force under the key.
+/// Parses a last good document; if this version of the program can't, nothing is in force under the key.
 fn read_override<S: Schema>(context: &Context<'_, S>, known: Override) -> LastGood<S::Entry> {
     let Override {
         key,
--- a/crates/config-sync/src/sync/timers.rs
+++ b/crates/config-sync/src/sync/timers.rs
@@ -1,23 +1,23 @@
-//! What is done when its time has come.
+//! Timers.
 
-use super::{ConfigSync, Need, Phase};
+use super::{ConfigSync, Phase, SyncMode};
 use crate::action::Action;
 use crate::schema::Schema;
 
-/// A halted front end looks again after this time, in seconds.
+/// Delay until a halted front end tries again, in seconds.
 pub(super) const HALT_RETRY: f64 = 30.0;
-/// Blocked transactions are tried again this long after the view has changed, in seconds.
-const RETRY_BLOCKED: f64 = 1.0;
+/// Delay from a change of the view until blocked transactions are retried, in seconds.
+const BLOCKED_RETRY_DELAY: f64 = 1.0;
 
 impl<S: Schema> ConfigSync<S> {
-    /// What is to be done now; to be called until it gives `None`, after each call of another method and when
-    /// [`ConfigSync::next_timer`] has come.
+    /// The next action. The host calls this until it returns `None`, after each call of another method and when
+    /// [`ConfigSync::next_timer`] is due.
     pub fn poll(&mut self, now: f64) -> Option<Action<S::Entry>> {
         self.run_timers(now);
         self.actions.pop_front()
     }
 
-    /// When [`ConfigSync::poll`] is to be called at the latest, in seconds; infinite if nothing is waited for.
+    /// The latest time at which [`ConfigSync::poll`] has to be called, in seconds; infinite if no timer runs.
     pub fn next_timer(&self) -> f64 {
         let timers = [
             self.phase_timer(),
@@ -33,20 +33,20 @@
 
     pub(super) fn schedule_audit(&mut self, now: f64) {
         let interval = self.settings.audit_interval;
-        self.audit_at = now + interval * 0.75 + self.draw(interval * 0.5);
+        self.audit_at = now + interval * 0.75 + self.random_below(interval * 0.5);
     }
 
-    /// Tries blocked transactions again in a while, if something may have changed for them.
+    /// Schedules a retry of blocked transactions, if one of them may have become valid.
     pub(super) fn schedule_retry(&mut self, now: f64) {
         if self.applier.wants_retry() && self.retry_blocked_at == f64::INFINITY {
-            self.retry_blocked_at = now + RETRY_BLOCKED;
+            self.retry_blocked_at = now + BLOCKED_RETRY_DELAY;
         }
     }
 
-    /// Reads again what a halted front end has to have read.
+    /// Resumes synchronization after a halt.
     pub(super) fn resume(&mut self, now: f64) {
-        self.start_reading(now, self.need);
-        if self.need == Need::Verification && !self.distrusts {
+        self.start_session(now, self.mode);
+        if self.mode == SyncMode::Verification && !self.is_history_suspect {
             self.open_watch();
         }
     }
@@ -64,9 +64,10 @@
     fn phase_timer(&self) -> f64 {
         match self.phase {
             Phase::Halted { retry_at, .. } => retry_at,
-            Phase::Disconnected | Phase::AwaitingBarrier | Phase::Reading | Phase::Following => {
-                f64::INFINITY
-            }
+            Phase::Disconnected
+            | Phase::AwaitingBarrier
+            | Phase::Synchronizing
+            | Phase::Following => f64::INFINITY,
         }
     }
 
@@ -79,8 +80,9 @@
         }
     }
 
-    /// A watch that lags behind what a barrier named and is silent is opened anew, at another member. One that still tells
-    /// of changes would have to tell them again: it is given the time for which entries may be used without a proof.
+    /// When the watch is opened again at another member, because it hasn't reached the revision of a barrier: after the
+    /// watch timeout without any change, or, while it still delivers changes that would have to be sent again, after
+    /// the freshness bound.
     fn watch_timer(&self) -> f64 {
         if !self.watch_is_open {
             return self.reopen_watch_at;
@@ -88,8 +90,8 @@
         let timeout = self.settings.watch_timeout;
         let lags_since = self
             .freshness
-            .waiting_since(self.backlog.complete_through());
-        let silent_until = lags_since.max(self.watch_told_at) + timeout;
+            .pending_since(self.backlog.complete_through());
+        let silent_until = lags_since.max(self.last_watch_change_at) + timeout;
         silent_until.min(lags_since + self.settings.freshness_bound.max(timeout))
     }
 
@@ -97,20 +99,20 @@
         if now < self.watch_timer() {
             return;
         }
-        // What waits is asked for anew: the new watch has its whole time.
+        // The new watch has its full timeout.
         self.freshness
-            .forget_waiting(self.backlog.complete_through());
+            .forget_pending_beyond(self.backlog.complete_through());
         self.reopen_watch();
     }
 
     fn audit_timer(&self) -> f64 {
-        let is_due = self.phase == Phase::Following && self.reading.is_none();
+        let is_due = self.phase == Phase::Following && self.session.is_none();
         if is_due { self.audit_at } else { f64::INFINITY }
     }
 
     fn run_audit_timer(&mut self, now: f64) {
         if now >= self.audit_timer() {
-            self.begin_audit();
+            self.start_audit();
         }
     }
 
--- a/crates/config-sync/src/sync/verdict.rs
+++ b/crates/config-sync/src/sync/verdict.rs
@@ -1,44 +1,44 @@
-//! Whether a call may use an entry: asked at its admission, and again right before its bytes go out.
+//! Whether an invocation may use an entry, checked at admission and again right before its bytes are sent.
 
 use super::ConfigSync;
 use crate::schema::Schema;
 use crate::view::{Record, View, WhenStale};
 
-/// Whether a call may use an entry now.
+/// Whether an invocation may use an entry now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// It may.
     Serve,
-    /// The entry is refused when stale, and what is known of it was last certainly current `age` seconds ago;
-    /// infinite if it was not yet since the start.
+    /// The entry must not be used when stale, and was last proven current `age` seconds ago; infinite if it wasn't
+    /// since the start.
     RefuseStale {
         /// In seconds.
         age: f64,
     },
-    /// The entry says that it must not be used, or was deleted since the call was admitted.
+    /// The entry forbids its use, or was deleted since the invocation was admitted.
     RefuseNotAllowed,
     /// There is no such entry.
     Unknown,
-    /// No configuration is loaded yet: neither a snapshot nor an answer of the store.
+    /// No configuration is loaded yet, neither from a snapshot nor from the store.
     NotLoaded,
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// Whether a call that comes now may use an entry. `now` has to be read for this very question: a process that
-    /// was paused and wakes is refused before it has read anything from the store.
+    /// Whether a new invocation may use an entry. `now` has to be read for this call: then a process that was paused
+    /// is refused before it has received anything from the store.
     pub fn admits(&self, now: f64, key: &str) -> Verdict {
         if !self.is_loaded() {
             return Verdict::NotLoaded;
         }
         match self.applier.view().get(key) {
             None => Verdict::Unknown,
-            Some(record) => self.judge(now, key, record),
+            Some(record) => self.check_record(now, key, record),
         }
     }
 
-    /// Whether a call that was admitted under the view `admitted` may still use the entry; to be asked right before
-    /// its bytes go out. All else of the call goes by the view that it was admitted under, but what was taken away
-    /// since counts, and so does time.
+    /// Whether an invocation that was admitted under the view `admitted` may still use the entry, to be checked right
+    /// before its bytes are sent. The invocation otherwise keeps to the view under which it was admitted, but a
+    /// revocation since then applies, and so does staleness.
     pub fn still_admitted(&self, now: f64, admitted: &View<S::Entry>, key: &str) -> Verdict {
         let Some(known) = admitted.get(key) else {
             return Verdict::Unknown;
@@ -46,13 +46,13 @@
         let Some(current) = self.applier.view().get(key) else {
             return Verdict::RefuseNotAllowed;
         };
-        match self.judge(now, key, current) {
-            Verdict::Serve => self.judge(now, key, known),
+        match self.check_record(now, key, current) {
+            Verdict::Serve => self.check_record(now, key, known),
             refusal => refusal,
         }
     }
 
-    fn judge(&self, now: f64, key: &str, record: &Record<S::Entry>) -> Verdict {
+    fn check_record(&self, now: f64, key: &str, record: &Record<S::Entry>) -> Verdict {
         if !self.schema.is_allowed(&record.entry) {
             return Verdict::RefuseNotAllowed;
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// An entry whose newest transaction was rejected is older than the view.
+    /// As of when the entry is proven current. An entry whose newest transaction was rejected is older than the view.
     fn entry_fresh_as_of(&self, key: &str) -> f64 {
         let view = self.freshness.as_of();
         self.applier
--- a/crates/config-sync/src/sync/watching.rs
+++ b/crates/config-sync/src/sync/watching.rs
@@ -1,6 +1,6 @@
-//! The watch: opened behind what is known, its changes applied transaction by transaction.
+//! The watch: started after the applied revision, its changes applied transaction by transaction.
 
-use super::{ConfigSync, Need, Phase};
+use super::{ConfigSync, Phase, SyncMode};
 use crate::action::Action;
 use crate::applier::Transaction;
 use crate::backlog::ChangesByKey;
@@ -10,91 +10,91 @@
 use crate::schema::{Rejection, Schema};
 use crate::stored::{Stored, StoredEntry};
 
-/// Keys that are no entries' and are named at most.
+/// The most foreign keys, which are not those of entries, that are reported.
 const MAX_FOREIGN_KEYS: usize = 16;
-/// The greatest drawn pause before a watch that the store ended is opened again, in seconds.
-const REOPEN_PAUSE: f64 = 1.0;
+/// The longest random delay before a watch that the store cancelled is opened again, in seconds.
+const MAX_REOPEN_DELAY: f64 = 1.0;
 
 impl<S: Schema> ConfigSync<S> {
-    /// The store can be reached: requests can be sent and watches be opened.
+    /// The store is reachable: requests can be sent and watches opened.
     pub fn connected(&mut self, now: f64) {
         if self.is_connected() {
             self.disconnected(now);
         }
         self.phase = Phase::AwaitingBarrier;
         self.start_barriers(now);
-        if self.need == Need::Verification && !self.distrusts {
+        if self.mode == SyncMode::Verification && !self.is_history_suspect {
             self.open_watch();
         }
         self.restart_reports(now);
     }
 
-    /// The store can't be reached, or the watch's connection broke. What was asked and not answered is forgotten;
-    /// what a catch-up has read stays.
+    /// The store is unreachable, or the connection of the watch broke. Requests in flight are abandoned; what a
+    /// catch-up has read so far is kept.
     pub fn disconnected(&mut self, now: f64) {
         self.phase = Phase::Disconnected;
         self.watch_is_open = false;
         self.reopen_watch_at = f64::INFINITY;
-        self.freshness.forget_questions();
+        self.freshness.clear_pending();
         self.stop_barriers();
         self.audit_at = f64::INFINITY;
-        self.forget_reads();
+        self.abandon_reads();
         let is_local = |action: &Action<S::Entry>| {
             matches!(action, Action::Apply(_) | Action::WriteSnapshot { .. })
         };
         self.actions.retain(is_local);
-        self.mark_report(now);
+        self.schedule_report(now);
     }
 
-    /// The watch told of changes, in the order of revisions.
+    /// Handles changes from the watch, in the order of revisions.
     pub fn watch_batch(&mut self, now: f64, batch: WatchBatch) {
         if !self.watch_is_open || !self.is_followed(now, &batch.header) {
             return;
         }
         if !batch.changes.is_empty() {
-            self.watch_told_at = now;
+            self.last_watch_change_at = now;
         }
         if self.backlog.push(batch.changes, batch.complete).is_err() {
             self.close_watch();
-            self.reading = None;
-            self.start_reading(now, Need::CatchUp);
+            self.session = None;
+            self.start_session(now, SyncMode::CatchUp);
             return;
         }
         self.apply_backlog(now);
     }
 
-    /// The watch told that all changes up to the header's revision were told.
+    /// Handles a progress notification: the watch has sent all changes up to the header's revision.
     pub fn watch_progress(&mut self, now: f64, header: Header) {
         if !self.watch_is_open || !self.is_followed(now, &header) {
             return;
         }
-        self.backlog.told_through(header.revision);
+        self.backlog.mark_received_through(header.revision);
         self.apply_backlog(now);
     }
 
-    /// The watch can't go on: what it would go on from is compacted up to this revision.
+    /// Handles that the watch's next revision is compacted.
     pub fn watch_compacted(&mut self, now: f64, _compact_revision: i64) {
         if !self.watch_is_open {
             return;
         }
         self.watch_is_open = false;
-        self.reading = None;
+        self.session = None;
         if self.phase == Phase::AwaitingBarrier {
-            self.need = Need::CatchUp;
+            self.mode = SyncMode::CatchUp;
         } else {
-            self.start_reading(now, Need::CatchUp);
+            self.start_session(now, SyncMode::CatchUp);
         }
     }
 
-    /// The store ended the watch for another reason.
+    /// Handles that the store cancelled the watch for another reason than compaction.
     pub fn watch_cancelled(&mut self, now: f64) {
         if self.watch_is_open {
             self.watch_is_open = false;
-            self.reopen_watch_at = now + self.draw(REOPEN_PAUSE);
+            self.reopen_watch_at = now + self.random_below(MAX_REOPEN_DELAY);
         }
     }
 
-    /// Opens the watch behind what is applied.
+    /// Opens the watch after the applied revision.
     pub(super) fn open_watch(&mut self) {
         self.backlog.restart(self.applied_revision);
         self.watch_is_open = true;
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Opens the watch anew, behind all that was told whole.
+    /// Opens the watch again, after the last revision that was received completely.
     pub(super) fn reopen_watch(&mut self) {
         self.close_watch();
         self.backlog.drop_incomplete();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Applies what was told whole, if the view follows the watch.
+    /// Applies the transactions that were received completely, if the view follows the watch.
     pub(super) fn apply_backlog(&mut self, now: f64) {
         if self.phase != Phase::Following {
             return;
@@ -154,23 +154,23 @@
         }
         if self.phase == Phase::Following {
             self.applied_revision = self.applied_revision.max(self.backlog.complete_through());
-            self.settle_freshness();
+            self.update_freshness();
         }
     }
 
-    /// The view is as fresh as answered barriers show, while it follows the watch.
-    pub(super) fn settle_freshness(&mut self) {
+    /// Updates the freshness from answered barriers, while the view follows the watch.
+    pub(super) fn update_freshness(&mut self) {
         if self.phase == Phase::Following {
-            self.freshness.applied(self.applied_revision);
+            self.freshness.on_applied(self.applied_revision);
         }
     }
 
-    /// Takes in one transaction; `false` if the front end can't hold it and has halted.
+    /// Applies one transaction; `false` if it exceeds the limits and the front end has halted.
     fn apply_revision(&mut self, now: f64, revision: i64, changes: ChangesByKey) -> bool {
         let (stored, keys) = self.store_changes(revision, changes);
         if self.is_too_large(&stored) {
             self.halt(now, ReportedState::StoreTooLarge);
-            self.need = Need::CatchUp;
+            self.mode = SyncMode::CatchUp;
             return false;
         }
         self.stored = stored;
@@ -187,7 +187,7 @@
         let mut keys = vec![];
         for (store_key, document) in changes {
             let Some(key) = self.keyspace.parse_entry(&store_key) else {
-                self.note_foreign_key(store_key, document.is_some(), revision);
+                self.record_foreign_key(store_key, document.is_some(), revision);
                 continue;
             };
             match document {
@@ -210,9 +210,9 @@
         stored.len() > self.settings.max_entries || stored.bytes() > self.settings.max_bytes
     }
 
-    /// Names a key that stands among the entries and is none.
-    pub(super) fn note_foreign_key(&mut self, store_key: Vec<u8>, is_there: bool, revision: i64) {
-        if !is_there {
+    /// Records a key in the range of entries that isn't the key of an entry, or removes the record.
+    pub(super) fn record_foreign_key(&mut self, store_key: Vec<u8>, exists: bool, revision: i64) {
+        if !exists {
             self.foreign_keys.remove(&store_key);
             return;
         }
@@ -232,7 +232,7 @@
         self.foreign_keys.insert(store_key, rejection);
     }
 
-    /// Whether an answer of the watch comes from the store that is followed; if not, the front end halts.
+    /// Whether a response of the watch comes from the cluster that is followed; if not, the front end halts.
     fn is_followed(&mut self, now: f64, header: &Header) -> bool {
         if self
             .source
--- a/crates/config-sync/src/view.rs
+++ b/crates/config-sync/src/view.rs
@@ -4,14 +4,14 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What holds for an entry while the view can't be proven current.
+/// What applies to an entry while the view can't be proven current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WhenStale {
-    /// What is known goes on to hold.
+    /// The known entry stays in use.
     #[default]
     Serve,
-    /// The entry is refused: for what may be taken away.
+    /// The entry must not be used; for permissions that may be revoked.
     Refuse,
 }
 
@@ -20,18 +20,19 @@
 pub struct Record<E> {
     /// The revision of the transaction that wrote it.
     pub mod_revision: i64,
-    /// What holds while the view can't be proven current.
+    /// What applies while the view can't be proven current.
     pub when_stale: WhenStale,
-    /// The document as it stands in the store.
+    /// The document in the store.
     pub document: Arc<[u8]>,
-    /// The document as the schema reads it.
+    /// The document parsed by the schema.
     pub entry: E,
 }
 
 /// The entries of one bucket, sorted by key.
 type Bucket<E> = Vec<(EntryKey, Arc<Record<E>>)>;
 
-/// The configuration at one revision. A call takes one at its admission and keeps it to its end.
+/// The configuration at one revision. An invocation keeps the view under which it was admitted
+/// to its end.
 #[derive(Debug)]
 pub struct View<E> {
     generation: u64,
@@ -69,7 +70,7 @@
         self.generation
     }
 
-    /// All transactions up to this revision are applied, or rejected whole.
+    /// The revision up to which all transactions are applied or rejected, each atomically.
     pub fn revision(&self) -> i64 {
         self.revision
     }
@@ -87,25 +88,25 @@
     /// The entry under a logical key such as `functions/resize`.
     pub fn get(&self, key: &str) -> Option<&Arc<Record<E>>> {
         let bucket = &self.buckets[bucket_of(key)];
-        let place = bucket
+        let index = bucket
             .binary_search_by(|(known, _)| known.as_str().cmp(key))
             .ok()?;
-        Some(&bucket[place].1)
+        Some(&bucket[index].1)
     }
 
-    /// All entries, by bucket and then by key: an order that is the same everywhere, but not that of keys.
+    /// All entries, by bucket and then by key. The order is the same at every front end.
     pub fn iter(&self) -> impl Iterator<Item = (&EntryKey, &Arc<Record<E>>)> {
         self.buckets
             .iter()
             .flat_map(|bucket| bucket.iter().map(|(key, record)| (key, record)))
     }
 
-    /// All entries of a kind, in the order of [`View::iter`]. Entries of other kinds cost nothing.
+    /// All entries of a kind, in the order of [`View::iter`]. Entries of other kinds aren't visited.
     pub fn of_kind<'v>(
         &'v self,
         kind: &'v str,
     ) -> impl Iterator<Item = (&'v EntryKey, &'v Arc<Record<E>>)> {
-        // A kind's entries stand together: keys are sorted, and begin with their kind and a slash.
+        // The entries of a kind are adjacent: keys are sorted, and start with their kind and a slash.
         let of_bucket = move |bucket: &'v Arc<Bucket<E>>| {
             let first = bucket.partition_point(|(key, _)| is_before_kind(key, kind));
             bucket[first..]
@@ -125,15 +126,15 @@
     /// Puts or, without a record, deletes an entry. Only the entry's bucket is copied.
     pub(crate) fn set(&mut self, key: &EntryKey, record: Option<Arc<Record<E>>>) {
         let bucket = Arc::make_mut(&mut self.buckets[key.bucket()]);
-        let place = bucket.binary_search_by(|(known, _)| known.cmp(key));
-        match (place, record) {
-            (Ok(place), Some(record)) => bucket[place].1 = record,
-            (Ok(place), None) => {
-                bucket.remove(place);
+        let index = bucket.binary_search_by(|(known, _)| known.cmp(key));
+        match (index, record) {
+            (Ok(index), Some(record)) => bucket[index].1 = record,
+            (Ok(index), None) => {
+                bucket.remove(index);
                 self.len -= 1;
             }
-            (Err(place), Some(record)) => {
-                bucket.insert(place, (key.clone(), record));
+            (Err(index), Some(record)) => {
+                bucket.insert(index, (key.clone(), record));
                 self.len += 1;
             }
             (Err(_), None) => {}
--- a/crates/config-sync/src/writer.rs
+++ b/crates/config-sync/src/writer.rs
@@ -1,9 +1,9 @@
-//! What a writer of configuration needs: transactions that change entries and their digests together, guarded so that
-//! concurrent writers can't put the digests out of step. Pure; the caller reads and commits.
+//! Transactions for writers of configuration. They change entries and their digests together, with guards against
+//! concurrent writers. Without I/O: the caller reads and commits.
 //!
 //! 1. Read [`keys_to_read`] at one revision (one transaction of range requests).
 //! 2. [`plan`] the transaction.
-//! 3. Commit it: all `compares` have to hold. If they don't, another writer was faster: begin anew at 1.
+//! 3. Commit it if all its guards hold. If they don't, another writer was faster: start again at 1.
 
 use crate::digest::{Digests, entry_hash};
 use crate::keys::{EntryKey, FORMAT, GROUP_COUNT, Keyspace, group_of};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Operations that a store takes in one transaction as it comes (`--max-txn-ops` of etcd).
+/// etcd's default limit of operations in a transaction (`--max-txn-ops`).
 pub const DEFAULT_MAX_OPERATIONS: usize = 128;
 
 /// The value of the generation key.
@@ -21,7 +21,7 @@
 pub struct Generation {
     /// The format of keys and values; [`FORMAT`].
     pub format: u32,
-    /// Raised by the operator when a store that was set back is to be followed.
+    /// Raised by the operator to have front ends follow a store that was rolled back.
     pub generation: u64,
 }
 
@@ -34,13 +34,13 @@
         }
     }
 
-    /// The JSON that is put into the store.
+    /// The JSON for the store.
     pub fn to_json(self) -> Vec<u8> {
         serde_json::to_vec(&self).unwrap_or_default()
     }
 }
 
-/// A value and the revision of its last change, as it was read.
+/// A value that was read, with its revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadValue {
     /// The value.
@@ -49,24 +49,24 @@
     pub mod_revision: i64,
 }
 
-/// What was read at one revision, by store key; a key that isn't in it is not in the store.
+/// The values that were read at one revision, by key in the store. Absent keys aren't in the store.
 pub type ReadValues = BTreeMap<Vec<u8>, ReadValue>;
 
-/// A wanted change of one entry; without a document it is deleted.
+/// A change of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryChange {
     /// The entry.
     pub key: EntryKey,
-    /// Its new document; `None` deletes it.
+    /// The new document; `None` deletes the entry.
     pub document: Option<Vec<u8>>,
 }
 
-/// A guard: the key's `mod_revision` has to be this one; 0 if the key must not be there.
+/// A condition of a transaction on the revision of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ModRevisionGuard {
-    /// The whole key in the store.
+    /// The key in the store, with its prefix.
     pub key: Vec<u8>,
-    /// What it has to be.
+    /// The required revision; 0 if the key must not exist.
     pub mod_revision: i64,
 }
 
@@ -75,52 +75,52 @@
 pub enum Operation {
     /// Puts a value under a key.
     Put {
-        /// The whole key in the store.
+        /// The key in the store, with its prefix.
         key: Vec<u8>,
         /// The value.
         value: Vec<u8>,
     },
     /// Deletes a key.
     Delete {
-        /// The whole key in the store.
+        /// The key in the store, with its prefix.
         key: Vec<u8>,
     },
 }
 
-/// A transaction for the store: `operations` are done together if all `guards` hold.
+/// A transaction for the store: all operations are applied if all guards hold, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// What has to hold.
+    /// The conditions.
     pub guards: Vec<ModRevisionGuard>,
-    /// What is done then.
+    /// The operations.
     pub operations: Vec<Operation>,
 }
 
-/// Why there is no transaction.
+/// Why a transaction can't be built.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum WriteError {
     /// An entry is changed twice.
     #[error("'{0}' is changed twice in one transaction; keep one of the changes")]
     ChangedTwice(EntryKey),
-    /// A document is no entry.
+    /// A document isn't a valid entry.
     #[error("'{key}': {invalid}")]
     Invalid {
         /// The entry.
         key: EntryKey,
-        /// What is wrong with it.
+        /// Why the document is invalid.
         invalid: InvalidEntry,
     },
-    /// The store would refuse it.
+    /// The transaction exceeds the store's limit.
     #[error(
         "the transaction has {operations} operations and the store takes {most}; split it, or raise the store's limit"
     )]
     TooManyOperations {
-        /// Operations, those on digests among them.
+        /// Number of operations, including those on digests.
         operations: usize,
-        /// What the store takes.
+        /// The store's limit.
         most: usize,
     },
-    /// Digests in the store have another length than they must have; their key.
+    /// The value of this digest key has a wrong length.
     #[error("the digests under '{0}' can't be read; repair them")]
     BadDigest(String),
 }
@@ -137,8 +137,12 @@
         .collect()
 }
 
-/// Builds the transaction for some changes. Each document is read by the schema, so that nothing malformed is
-/// written; rules between entries are checked by the front ends.
+/// Builds the transaction for some changes. Each document is validated by the schema; the front ends check the rules
+/// between entries.
+///
+/// # Errors
+///
+/// If a change is invalid, or the transaction would exceed `max_operations`.
 pub fn plan<S: Schema>(
     keyspace: &Keyspace,
     schema: &S,
@@ -168,9 +172,9 @@
     Ok(transaction)
 }
 
-/// Builds the transaction that sets all digests to what fits the entries, where they don't. `read` holds all entries
-/// and digests of the store at one revision. Other writers must stand still: an entry that was written past
-/// [`plan`] in between isn't noticed by the guards.
+/// Builds the transaction that corrects all digests that don't match their entries. `read` has all entries and digests
+/// of the store at one revision. There must be no other writer meanwhile: the guards don't detect an entry that was
+/// written without [`plan`].
 pub fn repair(keyspace: &Keyspace, read: &ReadValues) -> Transaction {
     let mut digests = Digests::default();
     for (store_key, value) in read {
@@ -217,11 +221,11 @@
     Ok(())
 }
 
-/// A transaction as it grows.
+/// A transaction under construction.
 struct Plan<'p> {
     keyspace: &'p Keyspace,
     read: &'p ReadValues,
-    /// Digests of the touched groups, as they are to be.
+    /// The new digests of the groups that change.
     groups: BTreeMap<usize, Digests>,
     transaction: Transaction,
 }
@@ -256,7 +260,7 @@
         Ok(())
     }
 
-    /// Takes the digests of a group in, and guards them, when it is touched for the first time.
+    /// Loads the digests of a group and guards them, at the first change in the group.
     fn load_group(&mut self, group: usize) -> Result<(), WriteError> {
         if self.groups.contains_key(&group) {
             return Ok(());
--- a/crates/config-sync/tests/kit/mod.rs
+++ b/crates/config-sync/tests/kit/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod fleet;
 pub mod front_end;
+pub mod loaded;
 pub mod store;
 
 use orchidtally_config_sync::EntryKey;
