--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -3,8 +3,8 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail};
 use clap::Subcommand;
 use orchidtally_journal::{Journal, Recovered, inspect};
+use orchidtally_mqtt_triggers::durable_invocations::{self, DurableInvocations};
 use orchidtally_mqtt_triggers::ledger::{self, Ledger};
-use orchidtally_mqtt_triggers::promises::{self, DurableInvocations};
 use orchidtally_rollout::coordinator::CoordinatorState;
 use serde::de::DeserializeOwned;
 use std::io::ErrorKind;
@@ -66,8 +66,9 @@
         let (ledger, _) = Ledger::recover(&records, u32::MAX, 0.0);
         return serde_json::to_vec(&ledger.snapshot()).ok();
     }
-    if let Some(records) = records_of_kind::<promises::Record>(found) {
-        let all = DurableInvocations::new(f64::INFINITY, usize::MAX, usize::MAX).noted(&records);
+    if let Some(records) = records_of_kind::<durable_invocations::Record>(found) {
+        let all =
+            DurableInvocations::new(f64::INFINITY, usize::MAX, usize::MAX).with_records(&records);
         return serde_json::to_vec(&all.records()).ok();
     }
     // Each of a coordinator's entries is its whole state.
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -9,7 +9,9 @@
 use orchidtally_journal::Journal;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_mqtt_triggers::Consumer;
-use orchidtally_mqtt_triggers::ledger::{Effect, InvocationTarget, Record, Reply, StoredMessage};
+use orchidtally_mqtt_triggers::ledger::{
+    Idempotency, InvocationTarget, Record, Reply, StoredMessage,
+};
 use orchidtally_test_servers::broker::{BrokerServer, Message};
 use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
 use orchidtally_test_servers::store::PackageStore;
@@ -221,18 +223,22 @@
                 trigger_type: "act".into(),
                 ..InvocationTarget::default()
             },
-            until: 2e9,
+            expires_at: 2e9,
         };
-        let taken = Record::Taken {
-            n,
-            effect: Effect::NonIdempotent,
+        let taken = Record::Accepted {
+            message_id: n,
+            idempotency: Idempotency::NonIdempotent,
             packet: Some((n % 60_000) as u16 + 1),
             confirms: true,
-            times: 1,
-            held: Rc::new(held),
+            delivery_count: 1,
+            stored: Rc::new(held),
             answer: None,
         };
-        for record in [taken, Record::Owned { n }, Record::Dispatching { n }] {
+        for record in [
+            taken,
+            Record::Owned { message_id: n },
+            Record::Dispatching { message_id: n },
+        ] {
             entries.push(serde_json::to_vec(&record).unwrap_or_default());
         }
     }
@@ -256,7 +262,7 @@
         1e9,
     );
     let took = began.elapsed().as_secs_f64();
-    assert_eq!(consumer.in_hand().0, in_hand as usize);
+    assert_eq!(consumer.backlog().0, in_hand as usize);
     (took, bytes)
 }
 
--- a/crates/http-frontend/src/ingress/promise.rs
+++ b/crates/http-frontend/src/ingress/promise.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
-use orchidtally_mqtt_triggers::promises::{InvocationState, Outcome};
+use orchidtally_mqtt_triggers::durable_invocations::{DurableOutcome, InvocationState};
 use std::rc::Rc;
 
 /// What comes of an invocation that is offered under a name.
@@ -39,12 +39,12 @@
 /// The response to a request for an invocation that was promised before.
 pub(super) fn recorded(standing: InvocationState) -> Response<Answer> {
     match standing {
-        InvocationState::Over(Outcome::Answered {
+        InvocationState::Ended(DurableOutcome::Answered {
             status,
             body,
-            whole,
+            is_complete: whole,
         }) => mark(recorded_answer(status, body, whole), RECORDED),
-        InvocationState::Over(Outcome::Unknown) => {
+        InvocationState::Ended(DurableOutcome::Unknown) => {
             let detail = "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
             mark(
                 problem(
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -76,7 +76,7 @@
     let mut is_leaving = false;
     loop {
         host.tick();
-        if is_leaving && host.consumer.in_hand().0 == 0 {
+        if is_leaving && host.consumer.backlog().0 == 0 {
             break;
         }
         let longest = if host.uses_tls() {
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -335,7 +335,7 @@
     }
 
     fn report(&self) {
-        let (in_hand, waiting) = self.consumer.in_hand();
+        let (in_hand, waiting) = self.consumer.backlog();
         self.hub.triggers.set(Some(TriggerStatus {
             counters: self.consumer.counters(),
             connected: self.consumer.is_connected(),
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -13,10 +13,10 @@
 /// unless it may have run.
 fn refused(refusal: &Refusal, may_have_run: bool) -> Answer {
     if refusal.retry_after().is_some() && !may_have_run {
-        return Answer::Throttled;
+        return Answer::Rejected;
     }
-    Answer::Errored {
-        why: refusal.to_string(),
+    Answer::Failed {
+        reason: refusal.to_string(),
         may_have_run,
     }
 }
@@ -29,15 +29,15 @@
     };
     match hub.invoke(asked).await {
         Ok(answer) => final_answer(answer),
-        Err(NotTaken::Full | NotTaken::Leaving) => Answer::Throttled,
+        Err(NotTaken::Full | NotTaken::Leaving) => Answer::Rejected,
         Err(NotTaken::Refused(refusal)) => refused(&refusal, false),
     }
 }
 
 /// What a message asks for, or its answer where that can't be invoked.
 fn ask<'m>(hub: &Hub, message: &'m StoredMessage, ready_by: f64) -> Result<Asked<'m>, Answer> {
-    let errored = |why: String| Answer::Errored {
-        why,
+    let errored = |why: String| Answer::Failed {
+        reason: why,
         may_have_run: false,
     };
     let revision = hub.revision();
@@ -66,7 +66,7 @@
         ))
     })?;
     if ready_by <= hub.now() {
-        return Err(Answer::Throttled);
+        return Err(Answer::Rejected);
     }
     let key = hub.shares.borrow().key(&target.function).cloned();
     let key = match &key {
@@ -114,11 +114,11 @@
                 many => Bytes::from(many.concat()),
             },
         },
-        Ok(Final::Succeeded(Brought::Streamed(_))) => Answer::Errored {
-            why: "its answer was streamed, which a message can't be".into(),
+        Ok(Final::Succeeded(Brought::Streamed(_))) => Answer::Failed {
+            reason: "its answer was streamed, which a message can't be".into(),
             may_have_run: true,
         },
-        Ok(Final::Throttled { .. }) => Answer::Throttled,
+        Ok(Final::Throttled { .. }) => Answer::Rejected,
         Ok(Final::Refused {
             refusal,
             may_have_run,
@@ -131,13 +131,13 @@
                 FailureReason::TimedOut => "no answer came in time",
                 FailureReason::Failed => "the executor failed",
             };
-            Answer::Errored {
-                why: why.into(),
+            Answer::Failed {
+                reason: why.into(),
                 may_have_run,
             }
         }
-        Err(lost) => Answer::Errored {
-            why: lost.to_string(),
+        Err(lost) => Answer::Failed {
+            reason: lost.to_string(),
             may_have_run: true,
         },
     }
--- a/crates/http-frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/promise_store.rs
@@ -4,7 +4,7 @@
 use futures_channel::oneshot;
 use orchidtally_deployment::Deployment;
 use orchidtally_journal::{GroupCommit, Journal, Recovered};
-use orchidtally_mqtt_triggers::promises::{DurableInvocations, InvocationState, Record};
+use orchidtally_mqtt_triggers::durable_invocations::{DurableInvocations, InvocationState, Record};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::path::Path;
@@ -83,7 +83,7 @@
 
     /// The state of an invocation by its name.
     pub fn standing(&self, name: &str) -> Option<InvocationState> {
-        self.promises.borrow().standing(name)
+        self.promises.borrow().state(name)
     }
 
     /// Persists a record; returns whether it is on the disk.
@@ -138,7 +138,7 @@
         if self.needs_snapshot() && !self.write_snapshot().await {
             return Err(NotKept);
         }
-        let standing = self.promises.borrow_mut().offered(now, name);
+        let standing = self.promises.borrow_mut().begin(now, name);
         let InvocationState::New(record) = &standing else {
             return Ok((standing, None));
         };
@@ -150,7 +150,7 @@
         };
         if !self.persist(record).await {
             promised.open = false;
-            self.promises.borrow_mut().not_kept(name);
+            self.promises.borrow_mut().forget(name);
             return Err(NotKept);
         }
         Ok((standing, Some(promised)))
@@ -174,7 +174,7 @@
             .promise_store
             .promises
             .borrow_mut()
-            .answered(now, &self.name, ran, status, body);
+            .end(now, &self.name, ran, status, body);
         self.promise_store.persist(&record).await;
     }
 }
@@ -188,7 +188,7 @@
             .promise_store
             .promises
             .borrow_mut()
-            .left(self.now, &self.name);
+            .client_cancelled(self.now, &self.name);
         // After a crash its outcome is unknown without this entry too.
         let entry = left.and_then(|record| serde_json::to_vec(&record).ok());
         if let Some(entry) = entry {
--- a/crates/mqtt-triggers/src/admission.rs
+++ b/crates/mqtt-triggers/src/admission.rs
@@ -38,7 +38,7 @@
     /// It is invoked.
     Admit(u64),
     /// It can't be answered in time: it is answered as throttled at once, as nothing has run.
-    GiveUp(u64),
+    Reject(u64),
 }
 
 #[derive(Debug)]
@@ -56,10 +56,10 @@
     /// The waiting messages of each key, the oldest first.
     queues: BTreeMap<String, VecDeque<u64>>,
     /// Keys of which a message is in flight.
-    busy_keys: BTreeSet<String>,
+    active_keys: BTreeSet<String>,
     in_flight: BTreeMap<u64, InFlight>,
     /// The usual time of an answer in seconds, by trigger type.
-    usual_times: Vec<Option<f64>>,
+    typical_durations: Vec<Option<f64>>,
     limit: f64,
     most_in_flight: f64,
     last_cut_at: f64,
@@ -72,9 +72,9 @@
             most_waiting,
             waiting: BTreeMap::new(),
             queues: BTreeMap::new(),
-            busy_keys: BTreeSet::new(),
+            active_keys: BTreeSet::new(),
             in_flight: BTreeMap::new(),
-            usual_times: vec![None; trigger_types],
+            typical_durations: vec![None; trigger_types],
             limit: most_in_flight as f64,
             most_in_flight: most_in_flight as f64,
             last_cut_at: f64::NEG_INFINITY,
@@ -93,30 +93,34 @@
 
     /// Offers a message under a number that grows. Returns false where as many messages wait as may: a broker that
     /// keeps to the receive maximum never comes to that.
-    pub fn offer(&mut self, n: u64, message: Waiting) -> bool {
-        if self.waiting.len() >= self.most_waiting || message.trigger_type >= self.usual_times.len()
+    pub fn enqueue(&mut self, message_id: u64, message: Waiting) -> bool {
+        if self.waiting.len() >= self.most_waiting
+            || message.trigger_type >= self.typical_durations.len()
         {
             return false;
         }
         if let Some(key) = &message.key {
-            self.queues.entry(key.clone()).or_default().push_back(n);
+            self.queues
+                .entry(key.clone())
+                .or_default()
+                .push_back(message_id);
         }
-        self.waiting.insert(n, message);
+        self.waiting.insert(message_id, message);
         true
     }
 
     /// The time that an answer usually takes.
-    fn usual_time(&self, message: &Waiting, now: f64) -> f64 {
+    fn typical_duration(&self, message: &Waiting, now: f64) -> f64 {
         let time_left = (message.until - now).max(0.0);
-        self.usual_times[message.trigger_type].unwrap_or(UNKNOWN_SHARE * time_left)
+        self.typical_durations[message.trigger_type].unwrap_or(UNKNOWN_SHARE * time_left)
     }
 
-    fn remove_waiting(&mut self, n: u64) -> Option<Waiting> {
-        let message = self.waiting.remove(&n)?;
+    fn remove_waiting(&mut self, message_id: u64) -> Option<Waiting> {
+        let message = self.waiting.remove(&message_id)?;
         if let Some(key) = &message.key
             && let Some(queue) = self.queues.get_mut(key)
         {
-            queue.retain(|&other| other != n);
+            queue.retain(|&other| other != message_id);
             if queue.is_empty() {
                 self.queues.remove(key);
             }
@@ -125,10 +129,10 @@
     }
 
     /// Whether no message of its key has to come before it.
-    fn is_first_of_key(&self, n: u64, message: &Waiting) -> bool {
+    fn is_first_of_key(&self, message_id: u64, message: &Waiting) -> bool {
         message.key.as_ref().is_none_or(|key| {
-            !self.busy_keys.contains(key)
-                && self.queues.get(key).and_then(VecDeque::front) == Some(&n)
+            !self.active_keys.contains(key)
+                && self.queues.get(key).and_then(VecDeque::front) == Some(&message_id)
         })
     }
 
@@ -136,60 +140,68 @@
     /// earn the most for their time, the newest first, since it has all of its time before it.
     pub fn decide(&mut self, now: f64) -> Vec<Decision> {
         let mut decisions = vec![];
-        for n in self.late(now) {
-            self.remove_waiting(n);
-            decisions.push(Decision::GiveUp(n));
+        for message_id in self.late(now) {
+            self.remove_waiting(message_id);
+            decisions.push(Decision::Reject(message_id));
         }
         while (self.in_flight.len() as f64) < self.limit.floor().max(LEAST_LIMIT) {
-            let Some(n) = self.most_valuable(now) else {
+            let Some(message_id) = self.most_valuable(now) else {
                 break;
             };
-            let Some(message) = self.remove_waiting(n) else {
+            let Some(message) = self.remove_waiting(message_id) else {
                 break;
             };
             let Waiting {
                 trigger_type, key, ..
             } = message;
-            self.busy_keys.extend(key.clone());
+            self.active_keys.extend(key.clone());
             self.in_flight.insert(
-                n,
+                message_id,
                 InFlight {
                     trigger_type,
                     key,
                     admitted_at: now,
                 },
             );
-            decisions.push(Decision::Admit(n));
+            decisions.push(Decision::Admit(message_id));
         }
         decisions
     }
 
     /// Messages that can't be answered in time.
     fn late(&self, now: f64) -> Vec<u64> {
-        let is_late = |message: &Waiting| now + self.usual_time(message, now) > message.until;
+        let is_late = |message: &Waiting| now + self.typical_duration(message, now) > message.until;
         self.waiting
             .iter()
             .filter(|(_, message)| is_late(message))
-            .map(|(&n, _)| n)
+            .map(|(&message_id, _)| message_id)
             .collect()
     }
 
     /// The message that earns the most for its time; of several the newest.
     fn most_valuable(&self, now: f64) -> Option<u64> {
-        let worth =
-            |message: &Waiting| message.value / self.usual_time(message, now).max(LEAST_TIME);
+        let priority_weight =
+            |message: &Waiting| message.value / self.typical_duration(message, now).max(LEAST_TIME);
         let candidates = self
             .waiting
             .iter()
-            .filter(|(n, message)| self.is_first_of_key(**n, message));
-        let best = candidates.max_by(|a, b| worth(a.1).total_cmp(&worth(b.1)).then(a.0.cmp(b.0)));
-        best.map(|(&n, _)| n)
+            .filter(|(message_id, message)| self.is_first_of_key(**message_id, message));
+        let best = candidates.max_by(|a, b| {
+            priority_weight(a.1)
+                .total_cmp(&priority_weight(b.1))
+                .then(a.0.cmp(b.0))
+        });
+        best.map(|(&message_id, _)| message_id)
     }
 
     /// An admitted message has no end here: the broker gives it again, or it is set aside.
-    pub fn cancel(&mut self, n: u64) {
-        if let Some(key) = self.in_flight.remove(&n).and_then(|message| message.key) {
-            self.busy_keys.remove(&key);
+    pub fn cancel(&mut self, message_id: u64) {
+        if let Some(key) = self
+            .in_flight
+            .remove(&message_id)
+            .and_then(|message| message.key)
+        {
+            self.active_keys.remove(&key);
         }
     }
 
@@ -200,12 +212,12 @@
     }
 
     /// An invocation has had its final answer. A throttled one cuts the limit: there is no room for as many.
-    pub fn finished(&mut self, now: f64, n: u64, throttled: bool) {
-        let Some(message) = self.in_flight.remove(&n) else {
+    pub fn finished(&mut self, now: f64, message_id: u64, throttled: bool) {
+        let Some(message) = self.in_flight.remove(&message_id) else {
             return;
         };
         if let Some(key) = &message.key {
-            self.busy_keys.remove(key);
+            self.active_keys.remove(key);
         }
         if throttled {
             if message.admitted_at > self.last_cut_at + CUT_PAUSE {
@@ -216,7 +228,9 @@
         }
         self.limit = (self.limit + 1.0 / self.limit).min(self.most_in_flight);
         let took = now - message.admitted_at;
-        let usual_time = &mut self.usual_times[message.trigger_type];
-        *usual_time = Some(usual_time.map_or(took, |usual| usual + NEWEST_WEIGHT * (took - usual)));
+        let typical_duration = &mut self.typical_durations[message.trigger_type];
+        *typical_duration = Some(
+            typical_duration.map_or(took, |typical| typical + NEWEST_WEIGHT * (took - typical)),
+        );
     }
 }
--- a/crates/mqtt-triggers/src/consumer/actions.rs
+++ b/crates/mqtt-triggers/src/consumer/actions.rs
@@ -18,8 +18,8 @@
 impl Publication {
     /// The number of the message for which it is published.
     pub(super) fn message(self) -> u64 {
-        let (Publication::Reply(n) | Publication::SetAsideCopy(n)) = self;
-        n
+        let (Publication::Reply(message_id) | Publication::SetAsideCopy(message_id)) = self;
+        message_id
     }
 }
 
@@ -35,39 +35,49 @@
     fn perform_one(&mut self, now: f64, action: Action) -> Vec<Action> {
         match action {
             Action::Persist(record) => self.persist(record),
-            Action::Acknowledge(n) => {
+            Action::Acknowledge(message_id) => {
                 // Where the connection was lost meanwhile, the broker gives the message again.
-                if let Some(delivery) = self.deliveries.delivery(n) {
+                if let Some(delivery) = self.deliveries.delivery(message_id) {
                     self.session.acknowledge(now, delivery, 0);
                 }
             }
-            Action::Complete(n) => {
-                if let Some(delivery) = self.deliveries.delivery(n) {
+            Action::Complete(message_id) => {
+                if let Some(delivery) = self.deliveries.delivery(message_id) {
                     self.session.complete(now, delivery);
                 }
             }
-            Action::Dispatch(n) => self.host_actions.push_back(HostAction::Invoke(n)),
-            Action::Cancel(n) => {
-                self.admission.cancel(n);
-                self.host_actions.push_back(HostAction::Cancel(n));
+            Action::Dispatch(message_id) => {
+                self.host_actions.push_back(HostAction::Invoke(message_id))
             }
-            Action::SetAside(n) => return self.publish_set_aside_copy(now, n),
-            Action::ReserveReplyId(n) => match self.session.reserve() {
-                Some(id) => return self.ledger.reply_id_reserved(n, id),
-                None => self.waiting_for_reply_id.push_back(n),
+            Action::Cancel(message_id) => {
+                self.admission.cancel(message_id);
+                self.host_actions.push_back(HostAction::Cancel(message_id));
+            }
+            Action::SetAside(message_id) => return self.publish_set_aside_copy(now, message_id),
+            Action::ReserveReplyId(message_id) => match self.session.reserve() {
+                Some(id) => return self.ledger.reply_id_reserved(message_id, id),
+                None => self.waiting_for_reply_id.push_back(message_id),
             },
-            Action::Publish { n, id, again } => return self.publish_reply(now, n, id, again),
-            Action::Release { n, id } => {
+            Action::Publish {
+                message_id,
+                id,
+                is_republished: again,
+            } => return self.publish_reply(now, message_id, id, again),
+            Action::Release { message_id, id } => {
                 let token = self.session.release(now, id);
-                self.publications.insert(token, Publication::Reply(n));
+                self.publications
+                    .insert(token, Publication::Reply(message_id));
             }
         }
         vec![]
     }
 
-    fn publish_set_aside_copy(&mut self, now: f64, n: u64) -> Vec<Action> {
-        let (message, answer) = (self.ledger.message(n), self.ledger.answer(n));
-        let (Some(message), Some(Answer::SetAside { why })) = (message, answer) else {
+    fn publish_set_aside_copy(&mut self, now: f64, message_id: u64) -> Vec<Action> {
+        let (message, answer) = (
+            self.ledger.message(message_id),
+            self.ledger.answer(message_id),
+        );
+        let (Some(message), Some(Answer::SetAside { reason: why })) = (message, answer) else {
             return vec![];
         };
         self.counters.set_aside += 1;
@@ -84,25 +94,28 @@
         match token {
             Some(token) => {
                 self.publications
-                    .insert(token, Publication::SetAsideCopy(n));
+                    .insert(token, Publication::SetAsideCopy(message_id));
                 vec![]
             }
             // There is no topic for it, or it would never be taken there.
-            None => self.ledger.set_aside(n),
+            None => self.ledger.set_aside(message_id),
         }
     }
 
-    fn publish_reply(&mut self, now: f64, n: u64, id: u16, again: bool) -> Vec<Action> {
-        let (message, answer) = (self.ledger.message(n), self.ledger.answer(n));
+    fn publish_reply(&mut self, now: f64, message_id: u64, id: u16, again: bool) -> Vec<Action> {
+        let (message, answer) = (
+            self.ledger.message(message_id),
+            self.ledger.answer(message_id),
+        );
         let (Some(message), Some(answer)) = (message, answer) else {
             return vec![];
         };
         let Some(reply) = &message.reply else {
-            return self.ledger.reply_completed(n);
+            return self.ledger.reply_completed(message_id);
         };
         self.counters.unknown += u64::from(*answer == Answer::Unknown);
-        let too_long = Answer::Errored {
-            why: "the answer is longer than the broker takes".into(),
+        let too_long = Answer::Failed {
+            reason: "the answer is longer than the broker takes".into(),
             may_have_run: true,
         };
         // An answer that is not accepted is replaced by one that says so.
@@ -115,12 +128,13 @@
         });
         match token {
             Some(token) => {
-                self.publications.insert(token, Publication::Reply(n));
+                self.publications
+                    .insert(token, Publication::Reply(message_id));
                 vec![]
             }
             None => {
-                self.not_published(n, None);
-                self.ledger.reply_completed(n)
+                self.not_published(message_id, None);
+                self.ledger.reply_completed(message_id)
             }
         }
     }
--- a/crates/mqtt-triggers/src/consumer/delivery_numbers.rs
+++ b/crates/mqtt-triggers/src/consumer/delivery_numbers.rs
@@ -10,20 +10,20 @@
 }
 
 impl DeliveryNumbers {
-    pub(super) fn insert(&mut self, n: u64, delivery: u64) {
-        self.delivery_of.insert(n, delivery);
-        self.message_of.insert(delivery, n);
+    pub(super) fn insert(&mut self, message_id: u64, delivery: u64) {
+        self.delivery_of.insert(message_id, delivery);
+        self.message_of.insert(delivery, message_id);
     }
 
-    pub(super) fn remove(&mut self, n: u64) {
-        if let Some(delivery) = self.delivery_of.remove(&n) {
+    pub(super) fn remove(&mut self, message_id: u64) {
+        if let Some(delivery) = self.delivery_of.remove(&message_id) {
             self.message_of.remove(&delivery);
         }
     }
 
     /// The delivery of a message; `None` where the connection over which it came is lost.
-    pub(super) fn delivery(&self, n: u64) -> Option<u64> {
-        self.delivery_of.get(&n).copied()
+    pub(super) fn delivery(&self, message_id: u64) -> Option<u64> {
+        self.delivery_of.get(&message_id).copied()
     }
 
     /// The message of a delivery.
--- a/crates/mqtt-triggers/src/consumer/events.rs
+++ b/crates/mqtt-triggers/src/consumer/events.rs
@@ -31,7 +31,7 @@
         match event {
             Event::Connected { session_present } => {
                 self.session_present = session_present;
-                self.held_back = Some(vec![]);
+                self.postponed = Some(vec![]);
                 self.notices
                     .push_back(Notice::Connected { session_present });
             }
@@ -40,15 +40,15 @@
                     self.notices.push_back(Notice::Refused(refused));
                 }
             }
-            Event::Delivered(delivery) => match &mut self.held_back {
-                Some(held_back) => held_back.push(delivery),
+            Event::Delivered(delivery) => match &mut self.postponed {
+                Some(postponed) => postponed.push(delivery),
                 None => self.take(now, delivery, deployment)?,
             },
             Event::Resumed => self.resumed(now, deployment)?,
             Event::Confirmed { number } => self.confirmed(now, number),
             Event::Recorded { token } => {
-                if let Some(&Publication::Reply(n)) = self.publications.get(&token) {
-                    let actions = self.ledger.reply_recorded(n);
+                if let Some(&Publication::Reply(message_id)) = self.publications.get(&token) {
+                    let actions = self.ledger.reply_recorded(message_id);
                     self.perform(now, actions);
                 }
             }
@@ -59,8 +59,8 @@
 
     /// The broker has sent again what it had to send again.
     fn resumed(&mut self, now: f64, deployment: &Deployment) -> Result<(), ConnectionError> {
-        let held_back = self.held_back.take().unwrap_or_default();
-        let redelivered: Vec<Redelivery> = held_back
+        let postponed = self.postponed.take().unwrap_or_default();
+        let redelivered: Vec<Redelivery> = postponed
             .iter()
             .map(|d| Redelivery {
                 packet: d.id,
@@ -72,7 +72,7 @@
             self.ledger
                 .session_resumed(self.session_present, &redelivered, self.hands_over);
         self.perform(now, actions);
-        for delivery in held_back {
+        for delivery in postponed {
             self.take(now, delivery, deployment)?;
         }
         Ok(())
@@ -82,10 +82,10 @@
         match self
             .deliveries
             .message(delivery)
-            .filter(|&n| !self.ledger.is_owned(n))
+            .filter(|&message_id| !self.ledger.is_owned(message_id))
         {
-            Some(n) => {
-                let actions = self.ledger.confirmed(n);
+            Some(message_id) => {
+                let actions = self.ledger.confirmed(message_id);
                 self.perform(now, actions);
             }
             // That it is owned is persisted already, or the message is done with.
@@ -102,24 +102,24 @@
             self.not_published(publication.message(), Some(code));
         }
         let actions = match publication {
-            Publication::SetAsideCopy(n) => self.ledger.set_aside(n),
-            Publication::Reply(n) => {
+            Publication::SetAsideCopy(message_id) => self.ledger.set_aside(message_id),
+            Publication::Reply(message_id) => {
                 self.counters.answered += u64::from(!is_refused);
-                self.ledger.reply_completed(n)
+                self.ledger.reply_completed(message_id)
             }
         };
         self.perform(now, actions);
-        if let Some(n) = self.waiting_for_reply_id.pop_front() {
-            self.perform(now, vec![Action::ReserveReplyId(n)]);
+        if let Some(message_id) = self.waiting_for_reply_id.pop_front() {
+            self.perform(now, vec![Action::ReserveReplyId(message_id)]);
         }
     }
 
     /// Notes that what should be published for a message was not.
-    pub(super) fn not_published(&mut self, n: u64, code: Option<u8>) {
+    pub(super) fn not_published(&mut self, message_id: u64, code: Option<u8>) {
         self.counters.not_published += 1;
         let reply = self
             .ledger
-            .message(n)
+            .message(message_id)
             .and_then(|message| message.reply.as_ref());
         let topic = reply.map_or_else(String::new, |reply| reply.topic.clone());
         self.notices.push_back(Notice::NotPublished { topic, code });
--- a/crates/mqtt-triggers/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -2,7 +2,7 @@
 
 use super::{Consumer, DECISION_INTERVAL};
 use crate::admission::{Decision, Waiting};
-use crate::ledger::{Answer, DeliveryId, Effect, InvocationTarget, StoredMessage};
+use crate::ledger::{Answer, DeliveryId, Idempotency, InvocationTarget, StoredMessage};
 use crate::rules::{Call, Rules};
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface;
@@ -11,15 +11,15 @@
 
 /// A delivery that waits to be admitted.
 #[derive(Clone, Debug)]
-pub(super) struct Offered {
+pub(super) struct PendingMessage {
     delivery: DeliveryId,
-    effect: Effect,
+    effect: Idempotency,
     message: StoredMessage,
 }
 
 /// A delivery that can never become an invocation.
 pub(super) struct PoisonMessage {
-    pub(super) n: u64,
+    pub(super) message_id: u64,
     delivery: Delivery,
     why: String,
 }
@@ -32,15 +32,15 @@
 }
 
 /// Whether the invocation of a message may run more than once.
-fn effect(policy: &interface::TriggerType, now: f64) -> Effect {
+fn effect(policy: &interface::TriggerType, now: f64) -> Idempotency {
     match (policy.idempotency, policy.deduplication_scope) {
-        (interface::Idempotency::Idempotent, _) => Effect::Idempotent,
-        (interface::Idempotency::Keyed, interface::DeduplicationScope::All) => Effect::Tokened {
-            until: now + policy.deduplication_window,
+        (interface::Idempotency::Idempotent, _) => Idempotency::Idempotent,
+        (interface::Idempotency::Keyed, interface::DeduplicationScope::All) => Idempotency::Keyed {
+            expires_at: now + policy.deduplication_window,
         },
         // A token that is remembered in a part of the fleet protects within that part alone.
         (interface::Idempotency::Keyed | interface::Idempotency::NonIdempotent, _) => {
-            Effect::NonIdempotent
+            Idempotency::NonIdempotent
         }
     }
 }
@@ -70,16 +70,19 @@
             }
             return Ok(());
         }
-        let n = self.ledger.next_number();
+        let message_id = self.ledger.next_id();
         if let Some(number) = delivery.number {
-            self.deliveries.insert(n, number);
+            self.deliveries.insert(message_id, number);
         }
         match self.rules.call(deployment, &delivery) {
-            Ok(call) => self.offer(now, n, delivery, call, deployment),
+            Ok(call) => self.offer(now, message_id, delivery, call, deployment),
             Err(poison) => {
                 let why = poison.to_string();
-                self.poison_messages
-                    .push_back(PoisonMessage { n, delivery, why });
+                self.poison_messages.push_back(PoisonMessage {
+                    message_id,
+                    delivery,
+                    why,
+                });
                 Ok(())
             }
         }
@@ -88,7 +91,7 @@
     fn offer(
         &mut self,
         now: f64,
-        n: u64,
+        message_id: u64,
         delivery: Delivery,
         call: Call,
         deployment: &Deployment,
@@ -102,7 +105,7 @@
             until: until - self.answer_margin,
             key: call.key,
         };
-        if !self.admission.offer(n, waiting) {
+        if !self.admission.enqueue(message_id, waiting) {
             if delivery.number.is_none() {
                 self.counters.dropped += 1;
                 return Ok(());
@@ -125,11 +128,11 @@
             payload: call.payload,
             reply: call.answer,
             target,
-            until,
+            expires_at: until,
         };
-        self.offered.insert(
-            n,
-            Offered {
+        self.pending.insert(
+            message_id,
+            PendingMessage {
                 delivery: id,
                 effect,
                 message,
@@ -144,39 +147,44 @@
         let must_wait = self.journal.is_failing()
             || self.journal.is_full()
             || self.is_draining
-            || self.held_back.is_some();
+            || self.postponed.is_some();
         if must_wait {
             return;
         }
         self.set_poison_messages_aside(now);
         for decision in self.admission.decide(now) {
-            let (n, answer) = match decision {
-                Decision::Admit(n) => (n, None),
-                Decision::GiveUp(n) => (n, Some(Answer::Throttled)),
+            let (message_id, answer) = match decision {
+                Decision::Admit(message_id) => (message_id, None),
+                Decision::Reject(message_id) => (message_id, Some(Answer::Rejected)),
             };
-            let Some(offered) = self.offered.remove(&n) else {
+            let Some(pending) = self.pending.remove(&message_id) else {
                 continue;
             };
             self.counters.invoked += u64::from(answer.is_none());
             self.counters.given_up += u64::from(answer.is_some());
-            let Offered {
+            let PendingMessage {
                 delivery,
                 effect,
                 message,
-            } = offered;
-            let actions = self
-                .ledger
-                .delivered(n, effect, delivery, message.into(), answer);
-            if self.ledger.answer(n).is_some() {
+            } = pending;
+            let actions =
+                self.ledger
+                    .delivered(message_id, effect, delivery, message.into(), answer);
+            if self.ledger.answer(message_id).is_some() {
                 // It was set aside: nothing is dispatched for it.
-                self.admission.cancel(n);
+                self.admission.cancel(message_id);
             }
             self.perform(now, actions);
         }
     }
 
     fn set_poison_messages_aside(&mut self, now: f64) {
-        while let Some(PoisonMessage { n, delivery, why }) = self.poison_messages.pop_front() {
+        while let Some(PoisonMessage {
+            message_id,
+            delivery,
+            why,
+        }) = self.poison_messages.pop_front()
+        {
             let id = delivery_id(&delivery);
             let message = StoredMessage {
                 name: Rules::name(&delivery),
@@ -184,12 +192,16 @@
                 topic: delivery.topic,
                 payload: delivery.payload,
                 target: InvocationTarget::default(),
-                until: now,
+                expires_at: now,
             };
-            let answer = Some(Answer::SetAside { why });
-            let actions =
-                self.ledger
-                    .delivered(n, Effect::NonIdempotent, id, message.into(), answer);
+            let answer = Some(Answer::SetAside { reason: why });
+            let actions = self.ledger.delivered(
+                message_id,
+                Idempotency::NonIdempotent,
+                id,
+                message.into(),
+                answer,
+            );
             self.perform(now, actions);
         }
     }
--- a/crates/mqtt-triggers/src/consumer/journal_writer.rs
+++ b/crates/mqtt-triggers/src/consumer/journal_writer.rs
@@ -174,10 +174,10 @@
     }
 
     fn record_persisted(&mut self, now: f64, record: &Record) {
-        if let Record::Done { n } = record {
+        if let Record::Done { message_id } = record {
             // Guards a place in flight against a message that was given again before it was dispatched.
-            self.admission.cancel(*n);
-            self.deliveries.remove(*n);
+            self.admission.cancel(*message_id);
+            self.deliveries.remove(*message_id);
         }
         let actions = self.ledger.persisted(record);
         self.perform(now, actions);
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -21,7 +21,7 @@
 use actions::Publication;
 use bytes::Bytes;
 use delivery_numbers::DeliveryNumbers;
-use intake::{Offered, PoisonMessage};
+use intake::{PendingMessage, PoisonMessage};
 use journal_writer::JournalWriter;
 use orchidtally_deployment::Deployment;
 use orchidtally_mqtt::packet::{Packet, Version};
@@ -60,11 +60,11 @@
     ledger: Ledger,
     journal: JournalWriter,
     /// Deliveries that wait to be admitted, by message number.
-    offered: BTreeMap<u64, Offered>,
+    pending: BTreeMap<u64, PendingMessage>,
     /// Deliveries that can never become invocations.
     poison_messages: VecDeque<PoisonMessage>,
     /// Deliveries that arrived since the connection was made, until the broker has sent again what it had to.
-    held_back: Option<Vec<Delivery>>,
+    postponed: Option<Vec<Delivery>>,
     session_present: bool,
     deliveries: DeliveryNumbers,
     /// What is being published, by the session's token.
@@ -110,9 +110,9 @@
             ),
             ledger,
             journal: JournalWriter::new(section.journal_bytes),
-            offered: BTreeMap::new(),
+            pending: BTreeMap::new(),
             poison_messages: VecDeque::new(),
-            held_back: None,
+            postponed: None,
             session_present: false,
             deliveries: DeliveryNumbers::default(),
             publications: BTreeMap::new(),
@@ -123,9 +123,9 @@
             next_decision_at: now,
             counters: Counters::default(),
         };
-        for (n, packet) in consumer.ledger.unconfirmed().collect::<Vec<_>>() {
+        for (message_id, packet) in consumer.ledger.unconfirmed().collect::<Vec<_>>() {
             let delivery = consumer.session.restore_received(packet);
-            consumer.deliveries.insert(n, delivery);
+            consumer.deliveries.insert(message_id, delivery);
         }
         consumer.perform(now, actions);
         consumer
@@ -157,13 +157,13 @@
     }
 
     /// A message in hand by its number.
-    pub fn message(&self, n: u64) -> Option<&StoredMessage> {
-        self.ledger.message(n)
+    pub fn message(&self, message_id: u64) -> Option<&StoredMessage> {
+        self.ledger.message(message_id)
     }
 
     /// When the answer to a message has to be ready.
-    pub fn ready_by(&self, n: u64) -> f64 {
-        self.ledger.until(n) - self.answer_margin
+    pub fn ready_by(&self, message_id: u64) -> f64 {
+        self.ledger.expires_at(message_id) - self.answer_margin
     }
 
     /// What has happened so far.
@@ -172,8 +172,8 @@
     }
 
     /// The number of messages in hand, and of those that wait to be admitted.
-    pub fn in_hand(&self) -> (usize, usize) {
-        (self.ledger.len(), self.offered.len())
+    pub fn backlog(&self) -> (usize, usize) {
+        (self.ledger.len(), self.pending.len())
     }
 
     /// The host has opened a connection to the broker.
@@ -184,11 +184,14 @@
     /// The connection is gone. The broker gives again what was not admitted.
     pub fn connection_lost(&mut self) {
         self.session.connection_lost();
-        self.held_back = None;
-        let offered = std::mem::take(&mut self.offered).into_keys();
-        let poison = self.poison_messages.drain(..).map(|message| message.n);
-        for n in offered.chain(poison) {
-            self.deliveries.remove(n);
+        self.postponed = None;
+        let pending = std::mem::take(&mut self.pending).into_keys();
+        let poison = self
+            .poison_messages
+            .drain(..)
+            .map(|message| message.message_id);
+        for message_id in pending.chain(poison) {
+            self.deliveries.remove(message_id);
         }
         self.admission.clear_waiting();
     }
@@ -204,16 +207,17 @@
     }
 
     /// The final answer of a message's invocation.
-    pub fn invocation_ended(&mut self, now: f64, n: u64, answer: Answer) {
-        self.admission.finished(now, n, answer == Answer::Throttled);
-        let actions = self.ledger.invocation_ended(n, answer);
+    pub fn invocation_ended(&mut self, now: f64, message_id: u64, answer: Answer) {
+        self.admission
+            .finished(now, message_id, answer == Answer::Rejected);
+        let actions = self.ledger.invocation_ended(message_id, answer);
         self.perform(now, actions);
         self.decide(now);
     }
 
     /// The time at which `tick` has to be called next.
     pub fn next_tick_at(&self) -> f64 {
-        let must_decide = !self.offered.is_empty()
+        let must_decide = !self.pending.is_empty()
             || !self.poison_messages.is_empty()
             || self.journal.is_failing();
         let decision_at = if must_decide {
--- a/crates/mqtt-triggers/src/consumer/reply.rs
+++ b/crates/mqtt-triggers/src/consumer/reply.rs
@@ -31,18 +31,21 @@
     fn of(answer: &Answer) -> Summary<'_> {
         let (outcome, detail, may_have_run) = match answer {
             Answer::Succeeded { .. } => ("succeeded", "", true),
-            Answer::Throttled => (
+            Answer::Rejected => (
                 "throttled",
                 "there was no room in time; asking again is harmless",
                 false,
             ),
-            Answer::Errored { why, may_have_run } => ("errored", why.as_str(), *may_have_run),
+            Answer::Failed {
+                reason: why,
+                may_have_run,
+            } => ("errored", why.as_str(), *may_have_run),
             Answer::Unknown => (
                 "unknown",
                 "the front end died with its dispatch out: whether it ran isn't known",
                 true,
             ),
-            Answer::SetAside { why } => ("setAside", why.as_str(), false),
+            Answer::SetAside { reason: why } => ("setAside", why.as_str(), false),
         };
         Summary {
             outcome,
--- a/crates/mqtt-triggers/src/ledger/mod.rs
+++ b/crates/mqtt-triggers/src/ledger/mod.rs
@@ -1,115 +1,58 @@
 //! The order in which a message is persisted, acknowledged, dispatched and answered, so that it has one effect and
 //! one answer although the front end may crash between any two of these steps.
 //!
-//! A front end takes a message over before its effect: the message is persisted, acknowledged, and the
+//! A front end takes over a message before its effect: the message is persisted, acknowledged, and the
 //! acknowledgement confirmed (by PUBREL, or with QoS 1 by the answer to a ping that was sent after it, as a broker
-//! processes the packets of a connection in order). Until then the broker may give the message to another front
+//! processes the packets of a connection in order). Until then the broker may deliver the message to another front
 //! end; from then on this front end owns it. The answer is published with QoS 2 under a packet identifier that is
 //! persisted first, so that a front end that restarts continues that exchange instead of beginning another.
 //!
 //! The ledger does no I/O: its methods return the actions that its host has to perform, in their order.
 
+mod action;
+mod message;
 mod record;
 mod recovery;
 
+pub use action::{Action, DeliveryId};
+use message::Message;
 pub(crate) use record::base64_bytes;
-pub use record::{Answer, Effect, InvocationTarget, Record, Reply, StoredMessage};
+pub use record::{Answer, Idempotency, InvocationTarget, Record, Reply, StoredMessage};
 pub use recovery::Redelivery;
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What the host has to do. Numbers are those of messages.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Append a record to the journal; `Ledger::persisted` once it is on the disk.
-    Persist(Record),
-    /// Acknowledge the delivery to the broker and have that confirmed; `Ledger::confirmed` when it is.
-    Acknowledge(u64),
-    /// Let the broker use the packet identifier of the delivery again.
-    Complete(u64),
-    /// Dispatch the invocation; `Ledger::invocation_ended` with its final answer.
-    Dispatch(u64),
-    /// Publish a copy where operators find it; `Ledger::set_aside` once that is done.
-    SetAside(u64),
-    /// Reserve a packet identifier for the answer; `Ledger::reply_id_reserved` with it.
-    ReserveReplyId(u64),
-    /// Publish the answer under its packet identifier; `again` says that it may have been published before.
-    Publish { n: u64, id: u16, again: bool },
-    /// Release the packet identifier of the answer, perhaps again.
-    Release { n: u64, id: u16 },
-    /// Cancel the invocation: the broker gives the message again.
-    Cancel(u64),
-}
-
-/// How a delivery is known to the broker.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DeliveryId {
-    /// The packet identifier; `None` with QoS 0.
-    pub packet: Option<u16>,
-    /// Whether the delivery has QoS 2, with which the broker says what it has received.
-    pub confirms: bool,
-}
-
-/// A message and the steps that were taken for it.
+/// A message that the broker delivers again.
 #[derive(Clone, Debug)]
-struct Message {
-    effect: Effect,
-    packet: Option<u16>,
-    confirms: bool,
-    /// How often the message has been taken.
-    times: u32,
-    held: Rc<StoredMessage>,
-    /// `Record::Taken` is on the disk.
-    taken: bool,
-    /// `Record::Owned` is being written, and is on the disk.
-    owning: bool,
-    owned: bool,
-    /// The invocation may have been dispatched.
-    dispatched: bool,
-    answer: Option<Answer>,
-    /// `Record::Answered` is being written, and is on the disk.
-    answering: bool,
-    answered: bool,
-    /// The packet identifier of the answer, once it was chosen.
-    reply_id: Option<u16>,
-    /// The broker has recorded the answer, and that is on the disk.
-    recorded: bool,
-    released: bool,
-    /// `Record::Done` is being written.
-    ending: bool,
-}
-
-/// A message that the broker gives again.
-#[derive(Clone, Debug)]
-struct Repeated {
+struct RedeliveredMessage {
     topic: String,
-    /// How often it was taken before.
-    times: u32,
+    /// How often it was delivered before.
+    delivery_count: u32,
 }
 
-/// The messages that a front end has taken and not yet done with.
+/// The messages that a front end has accepted and not yet completed.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     messages: BTreeMap<u64, Message>,
-    last_number: u64,
-    /// How often a message may be taken before it is set aside.
-    most_times: u32,
-    /// Messages that the broker gives again, by packet identifier.
-    repeated: BTreeMap<u16, Repeated>,
+    last_id: u64,
+    /// How often a message may be delivered before it is set aside.
+    max_deliveries: u32,
+    /// Messages that the broker delivers again, by packet identifier.
+    redelivered_messages: BTreeMap<u16, RedeliveredMessage>,
 }
 
-fn taken_too_often(times: u32) -> Answer {
+fn too_many_deliveries(delivery_count: u32) -> Answer {
     Answer::SetAside {
-        why: format!("it was taken {times} times without coming to an end"),
+        reason: format!("it was taken {delivery_count} times without coming to an end"),
     }
 }
 
 impl Ledger {
-    /// An empty ledger. A message that was taken more than `most_times` times is set aside.
-    pub fn new(most_times: u32) -> Ledger {
+    /// An empty ledger. A message that was delivered more than `max_deliveries` times is set aside.
+    pub fn new(max_deliveries: u32) -> Ledger {
         Ledger {
-            most_times,
+            max_deliveries,
             ..Ledger::default()
         }
     }
@@ -124,301 +67,326 @@
         self.messages.is_empty()
     }
 
-    /// A message by its number.
-    pub fn message(&self, n: u64) -> Option<&StoredMessage> {
-        self.messages.get(&n).map(|m| &*m.held)
+    /// A message by its id.
+    pub fn message(&self, message_id: u64) -> Option<&StoredMessage> {
+        self.messages
+            .get(&message_id)
+            .map(|message| &*message.stored)
     }
 
-    /// When the publisher gives up or, for a message that was taken again, its token is forgotten, in seconds since
+    /// When the publisher gives up or, for a message that was delivered again, its idempotency key is forgotten, in seconds since
     /// 1970.
-    pub fn until(&self, n: u64) -> f64 {
-        self.messages.get(&n).map_or(0.0, |m| match m.effect {
-            Effect::Tokened { until } if m.times > 1 => m.held.until.min(until),
-            _ => m.held.until,
-        })
+    pub fn expires_at(&self, message_id: u64) -> f64 {
+        self.messages
+            .get(&message_id)
+            .map_or(0.0, |message| match message.idempotency {
+                Idempotency::Keyed { expires_at } if message.delivery_count > 1 => {
+                    message.stored.expires_at.min(expires_at)
+                }
+                _ => message.stored.expires_at,
+            })
     }
 
     /// The final answer to a message, if there is one.
-    pub fn answer(&self, n: u64) -> Option<&Answer> {
-        self.messages.get(&n)?.answer.as_ref()
+    pub fn answer(&self, message_id: u64) -> Option<&Answer> {
+        self.messages.get(&message_id)?.answer.as_ref()
     }
 
-    /// Whether it is persisted that the broker gives the message to nobody else, or the message is done with.
-    pub fn is_owned(&self, n: u64) -> bool {
-        self.messages.get(&n).is_none_or(|m| m.owned)
+    /// Whether it is persisted that the broker delivers the message to nobody else, or the message is completed.
+    pub fn is_owned(&self, message_id: u64) -> bool {
+        self.messages
+            .get(&message_id)
+            .is_none_or(|message| message.is_owned)
     }
 
-    /// A number for the next message.
-    pub fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    /// An id for the next message.
+    pub fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
     /// A message was delivered and is to be invoked, or has its answer already.
     pub fn delivered(
         &mut self,
-        n: u64,
-        effect: Effect,
+        message_id: u64,
+        idempotency: Idempotency,
         delivery: DeliveryId,
-        held: Rc<StoredMessage>,
+        stored: Rc<StoredMessage>,
         answer: Option<Answer>,
     ) -> Vec<Action> {
         let DeliveryId { packet, confirms } = delivery;
         let before = packet
-            .and_then(|id| self.repeated.remove(&id))
-            .filter(|r| r.topic == held.topic);
-        let times = before.map_or(1, |before| before.times + 1);
-        let answer = answer.or_else(|| (times > self.most_times).then(|| taken_too_often(times)));
+            .and_then(|id| self.redelivered_messages.remove(&id))
+            .filter(|r| r.topic == stored.topic);
+        let delivery_count = before.map_or(1, |before| before.delivery_count + 1);
+        let answer = answer.or_else(|| {
+            (delivery_count > self.max_deliveries).then(|| too_many_deliveries(delivery_count))
+        });
         let is_answered = answer.is_some();
-        let record = Record::Taken {
-            n,
-            effect,
+        let record = Record::Accepted {
+            message_id,
+            idempotency,
             packet,
             confirms,
-            times,
-            held,
+            delivery_count,
+            stored,
             answer,
         };
         let mut actions = vec![Action::Persist(record.clone())];
         self.apply(&record);
-        self.update(n, |m| m.taken = false);
-        if effect == Effect::Idempotent && !is_answered {
-            self.update(n, |m| m.dispatched = true);
-            actions.push(Action::Dispatch(n));
+        self.update(message_id, |message| message.is_persisted = false);
+        if idempotency == Idempotency::Idempotent && !is_answered {
+            self.update(message_id, |message| message.was_dispatched = true);
+            actions.push(Action::Dispatch(message_id));
         }
         actions
     }
 
     /// A record is on the disk.
     pub fn persisted(&mut self, record: &Record) -> Vec<Action> {
-        let n = record.number();
-        if !self.messages.contains_key(&n) {
+        let message_id = record.message_id();
+        if !self.messages.contains_key(&message_id) {
             return vec![];
         }
-        if !matches!(record, Record::Taken { .. }) {
+        if !matches!(record, Record::Accepted { .. }) {
             self.apply(record);
         }
-        let Some(m) = self.messages.get_mut(&n) else {
+        let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
         };
         match record {
-            Record::Taken { .. } => {
-                m.taken = true;
-                if m.owned {
-                    self.proceed(n)
+            Record::Accepted { .. } => {
+                message.is_persisted = true;
+                if message.is_owned {
+                    self.proceed(message_id)
                 } else {
-                    vec![Action::Acknowledge(n)]
+                    vec![Action::Acknowledge(message_id)]
                 }
             }
             Record::Owned { .. } => {
-                let mut actions = if m.confirms {
-                    vec![Action::Complete(n)]
+                let mut actions = if message.confirms {
+                    vec![Action::Complete(message_id)]
                 } else {
                     vec![]
                 };
-                actions.extend(self.proceed(n));
+                actions.extend(self.proceed(message_id));
                 actions
             }
-            Record::Again { .. } if m.times > self.most_times => {
-                let answer = taken_too_often(m.times);
-                m.answer = Some(answer);
-                self.proceed(n)
+            Record::Retrying { .. } if message.delivery_count > self.max_deliveries => {
+                let answer = too_many_deliveries(message.delivery_count);
+                message.answer = Some(answer);
+                self.proceed(message_id)
             }
-            Record::Again { .. } | Record::Dispatching { .. } => {
-                m.dispatched = true;
-                vec![Action::Dispatch(n)]
+            Record::Retrying { .. } | Record::Dispatching { .. } => {
+                message.was_dispatched = true;
+                vec![Action::Dispatch(message_id)]
             }
-            Record::Answered { .. } => self.send_reply(n),
+            Record::Answered { .. } => self.send_reply(message_id),
             Record::Publishing { id, .. } => vec![Action::Publish {
-                n,
+                message_id,
                 id: *id,
-                again: false,
+                is_republished: false,
             }],
-            Record::Released { .. } => m
+            Record::Released { .. } => message
                 .reply_id
-                .map_or_else(Vec::new, |id| vec![Action::Release { n, id }]),
+                .map_or_else(Vec::new, |id| vec![Action::Release { message_id, id }]),
             Record::Done { .. } => vec![],
         }
     }
 
-    /// The broker has confirmed the acknowledgement: from now on it gives the message to nobody else.
-    pub fn confirmed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self
+    /// The broker has confirmed the acknowledgement: from now on it delivers the message to nobody else.
+    pub fn confirmed(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self
             .messages
-            .get_mut(&n)
-            .filter(|m| m.taken && !m.owned && !m.owning)
+            .get_mut(&message_id)
+            .filter(|message| message.is_persisted && !message.is_owned && !message.is_claiming)
         else {
             return vec![];
         };
-        m.owning = true;
-        vec![Action::Persist(Record::Owned { n })]
+        message.is_claiming = true;
+        vec![Action::Persist(Record::Owned { message_id })]
     }
 
     /// The next step of a message that this front end owns.
-    fn proceed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else {
+    fn proceed(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
         };
-        match &m.answer {
-            Some(_) if m.answered => self.send_reply(n),
-            Some(_) if m.answering => vec![],
-            Some(Answer::SetAside { .. }) => vec![Action::SetAside(n)],
+        match &message.answer {
+            Some(_) if message.is_answered => self.send_reply(message_id),
+            Some(_) if message.is_answer_pending => vec![],
+            Some(Answer::SetAside { .. }) => vec![Action::SetAside(message_id)],
             Some(answer) => {
-                m.answering = true;
+                message.is_answer_pending = true;
                 vec![Action::Persist(Record::Answered {
-                    n,
+                    message_id,
                     answer: answer.clone(),
                 })]
             }
-            None if m.dispatched => vec![],
-            None if m.effect == Effect::NonIdempotent => {
-                vec![Action::Persist(Record::Dispatching { n })]
+            None if message.was_dispatched => vec![],
+            None if message.idempotency == Idempotency::NonIdempotent => {
+                vec![Action::Persist(Record::Dispatching { message_id })]
             }
             None => {
-                m.dispatched = true;
-                vec![Action::Dispatch(n)]
+                message.was_dispatched = true;
+                vec![Action::Dispatch(message_id)]
             }
         }
     }
 
     /// The final answer of an invocation.
-    pub fn invocation_ended(&mut self, n: u64, answer: Answer) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| m.answer.is_none()) else {
+    pub fn invocation_ended(&mut self, message_id: u64, answer: Answer) -> Vec<Action> {
+        let Some(message) = self
+            .messages
+            .get_mut(&message_id)
+            .filter(|message| message.answer.is_none())
+        else {
             return vec![];
         };
-        // Guards the answer to a message whose dispatch was out when a front end crashed: that it has not run this
-        // time proves nothing.
-        let may_have_run_before = m.times > 1 && m.effect != Effect::NonIdempotent;
-        m.answer = Some(match (answer, m.effect) {
-            (Answer::Throttled, Effect::Tokened { .. }) if may_have_run_before => Answer::Unknown,
-            (Answer::Errored { why, may_have_run }, _) => Answer::Errored {
-                why,
+        // Failure mode: a dispatch was in flight when a front end crashed; that the message has not run this time
+        // proves nothing. Risk: an answer says "may have run" although nothing did.
+        let may_have_run_before =
+            message.delivery_count > 1 && message.idempotency != Idempotency::NonIdempotent;
+        message.answer = Some(match (answer, message.idempotency) {
+            (Answer::Rejected, Idempotency::Keyed { .. }) if may_have_run_before => Answer::Unknown,
+            (
+                Answer::Failed {
+                    reason,
+                    may_have_run,
+                },
+                _,
+            ) => Answer::Failed {
+                reason,
                 may_have_run: may_have_run || may_have_run_before,
             },
             (answer, _) => answer,
         });
         // Nobody may receive an answer to a message that another front end may answer too.
-        if m.owned && m.taken {
-            self.proceed(n)
+        if message.is_owned && message.is_persisted {
+            self.proceed(message_id)
         } else {
             vec![]
         }
     }
 
     /// The copy of a message that is set aside is where operators find it, or there is no place for it.
-    pub fn set_aside(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self
-            .messages
-            .get_mut(&n)
-            .filter(|m| m.owned && !m.answering && !m.answered)
-        else {
+    pub fn set_aside(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self.messages.get_mut(&message_id).filter(|message| {
+            message.is_owned && !message.is_answer_pending && !message.is_answered
+        }) else {
             return vec![];
         };
-        let Some(answer) = m.answer.clone() else {
+        let Some(answer) = message.answer.clone() else {
             return vec![];
         };
-        m.answering = true;
-        vec![Action::Persist(Record::Answered { n, answer })]
+        message.is_answer_pending = true;
+        vec![Action::Persist(Record::Answered { message_id, answer })]
     }
 
-    fn send_reply(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else {
+    fn send_reply(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
         };
-        match m.held.reply {
-            Some(_) => vec![Action::ReserveReplyId(n)],
-            None => self.reply_completed(n),
+        match message.stored.reply {
+            Some(_) => vec![Action::ReserveReplyId(message_id)],
+            None => self.reply_completed(message_id),
         }
     }
 
     /// A packet identifier was reserved for the answer; no other exchange has it.
-    pub fn reply_id_reserved(&mut self, n: u64, id: u16) -> Vec<Action> {
-        let Some(m) = self
+    pub fn reply_id_reserved(&mut self, message_id: u64, id: u16) -> Vec<Action> {
+        let Some(message) = self
             .messages
-            .get_mut(&n)
-            .filter(|m| m.answered && m.reply_id.is_none())
+            .get_mut(&message_id)
+            .filter(|message| message.is_answered && message.reply_id.is_none())
         else {
             return vec![];
         };
-        m.reply_id = Some(id);
-        vec![Action::Persist(Record::Publishing { n, id })]
+        message.reply_id = Some(id);
+        vec![Action::Persist(Record::Publishing { message_id, id })]
     }
 
     /// The broker has recorded the answer (PUBREC).
-    pub fn reply_recorded(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self
+    pub fn reply_recorded(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self
             .messages
-            .get_mut(&n)
-            .filter(|m| m.reply_id.is_some() && !m.recorded)
+            .get_mut(&message_id)
+            .filter(|message| message.reply_id.is_some() && !message.is_reply_recorded)
         else {
             return vec![];
         };
-        m.recorded = true;
-        vec![Action::Persist(Record::Released { n })]
+        message.is_reply_recorded = true;
+        vec![Action::Persist(Record::Released { message_id })]
     }
 
     /// The broker has completed the exchange of the answer (PUBCOMP), or will never take the answer, or nobody
     /// wants one.
-    pub fn reply_completed(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n).filter(|m| !m.ending) else {
+    pub fn reply_completed(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self
+            .messages
+            .get_mut(&message_id)
+            .filter(|message| !message.is_ending)
+        else {
             return vec![];
         };
-        m.ending = true;
-        vec![Action::Persist(Record::Done { n })]
+        message.is_ending = true;
+        vec![Action::Persist(Record::Done { message_id })]
     }
 
     /// Applies a record to the state.
     fn apply(&mut self, record: &Record) {
         match record {
-            Record::Taken {
-                n,
-                effect,
+            Record::Accepted {
+                message_id,
+                idempotency,
                 packet,
                 confirms,
-                times,
-                held,
+                delivery_count,
+                stored,
                 answer,
             } => {
-                self.last_number = self.last_number.max(*n);
-                let message = Message {
-                    effect: *effect,
+                let delivery = DeliveryId {
                     packet: *packet,
                     confirms: *confirms,
-                    times: *times,
-                    held: held.clone(),
-                    taken: true,
-                    owning: false,
-                    // A broker never gives a message of QoS 0 again.
-                    owned: packet.is_none(),
-                    dispatched: false,
-                    // A message that is set aside is answered once its copy is published.
-                    answered: answer.as_ref().is_some_and(|answer| !answer.is_set_aside()),
-                    answer: answer.clone(),
-                    answering: false,
-                    reply_id: None,
-                    recorded: false,
-                    released: false,
-                    ending: false,
                 };
-                self.messages.insert(*n, message);
+                let message = Message::accepted(
+                    *idempotency,
+                    delivery,
+                    *delivery_count,
+                    stored.clone(),
+                    answer.clone(),
+                );
+                self.last_id = self.last_id.max(*message_id);
+                self.messages.insert(*message_id, message);
+            }
+            Record::Owned { message_id } => {
+                self.update(*message_id, |message| message.is_owned = true)
+            }
+            Record::Retrying { message_id } => {
+                self.update(*message_id, |message| message.delivery_count += 1)
+            }
+            Record::Dispatching { message_id } => {
+                self.update(*message_id, |message| message.was_dispatched = true)
+            }
+            Record::Answered { message_id, answer } => self.update(*message_id, |message| {
+                (message.is_owned, message.is_answered, message.answer) =
+                    (true, true, Some(answer.clone()));
+            }),
+            Record::Publishing { message_id, id } => {
+                self.update(*message_id, |message| message.reply_id = Some(*id))
             }
-            Record::Owned { n } => self.update(*n, |m| m.owned = true),
-            Record::Again { n } => self.update(*n, |m| m.times += 1),
-            Record::Dispatching { n } => self.update(*n, |m| m.dispatched = true),
-            Record::Answered { n, answer } => self.update(*n, |m| {
-                (m.owned, m.answered, m.answer) = (true, true, Some(answer.clone()));
+            Record::Released { message_id } => self.update(*message_id, |message| {
+                (message.is_reply_recorded, message.is_reply_released) = (true, true)
             }),
-            Record::Publishing { n, id } => self.update(*n, |m| m.reply_id = Some(*id)),
-            Record::Released { n } => self.update(*n, |m| (m.recorded, m.released) = (true, true)),
-            Record::Done { n } => {
-                self.messages.remove(n);
+            Record::Done { message_id } => {
+                self.messages.remove(message_id);
             }
         }
     }
 
-    fn update(&mut self, n: u64, change: impl FnOnce(&mut Message)) {
-        if let Some(m) = self.messages.get_mut(&n) {
-            change(m);
+    fn update(&mut self, message_id: u64, change: impl FnOnce(&mut Message)) {
+        if let Some(message) = self.messages.get_mut(&message_id) {
+            change(message);
         }
     }
 }
--- a/crates/mqtt-triggers/src/ledger/record.rs
+++ b/crates/mqtt-triggers/src/ledger/record.rs
@@ -11,13 +11,18 @@
 /// Whether the invocation of a message may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Effect {
+pub enum Idempotency {
     /// Running again is harmless: the message may be dispatched before this front end owns it, and again after a
     /// crash.
     Idempotent,
-    /// Running again under the message's token is harmless until the token is forgotten (seconds since 1970). The
+    /// Running again under the message's idempotency key is harmless until the key is forgotten (seconds since 1970). The
     /// message is dispatched once this front end owns it: the executors of another one may not know the token.
-    Tokened { until: f64 },
+    #[serde(rename = "tokened")]
+    Keyed {
+        /// When the key is forgotten, in seconds since 1970.
+        #[serde(rename = "until")]
+        expires_at: f64,
+    },
     /// The message is dispatched once, after this front end owns it.
     NonIdempotent,
 }
@@ -32,25 +37,30 @@
 pub enum Answer {
     /// The invocation succeeded with this response.
     Succeeded {
+        /// The payload.
         #[serde(with = "base64_bytes")]
         payload: Bytes,
     },
-    /// There was no room in time; nothing has run.
-    Throttled,
+    /// There was no capacity in time; nothing has run.
+    #[serde(rename = "throttled")]
+    Rejected,
     /// The invocation failed.
-    Errored {
+    #[serde(rename = "errored")]
+    Failed {
         /// The reason, for the publisher.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
         /// Whether the function may have run.
         may_have_run: bool,
     },
     /// The front end crashed after the dispatch: whether the function ran is not known.
     Unknown,
-    /// The message can never become an invocation, or it was taken too often without coming to an end; nothing has
+    /// The message can never become an invocation, or it was delivered too often without coming to an end; nothing has
     /// run for it.
     SetAside {
         /// The reason, for the publisher and the operator.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
 }
 
@@ -123,55 +133,97 @@
     #[serde(rename = "work")]
     pub target: InvocationTarget,
     /// When the publisher gives up, in seconds since 1970.
-    pub until: f64,
+    #[serde(rename = "until")]
+    pub expires_at: f64,
 }
 
-/// An entry of the journal. Entries are read in the order in which they were written. `n` is the number of the
-/// message, which is unique within the journal.
+/// An entry of the journal. Entries are read in the order in which they were written. The id of a
+/// message is unique within the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
 pub enum Record {
-    /// The message was taken.
-    Taken {
-        n: u64,
-        effect: Effect,
+    /// The message was accepted.
+    #[serde(rename = "taken")]
+    Accepted {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+        /// Whether its invocation may run more than once.
+        #[serde(rename = "effect")]
+        idempotency: Idempotency,
         /// The packet identifier of its delivery; `None` with QoS 0.
         packet: Option<u16>,
         /// Whether the delivery has QoS 2, with which the broker says what it has received.
         confirms: bool,
-        /// How often the message has been taken.
-        times: u32,
-        held: Rc<StoredMessage>,
+        /// How often the message has been delivered.
+        #[serde(rename = "times")]
+        delivery_count: u32,
+        /// The message itself.
+        #[serde(rename = "held")]
+        stored: Rc<StoredMessage>,
         /// The answer, where nothing is dispatched for the message.
         answer: Option<Answer>,
     },
-    /// The broker gives the message to nobody else.
-    Owned { n: u64 },
+    /// The broker delivers the message to nobody else.
+    Owned {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+    },
     /// The message is dispatched again after a crash.
-    Again { n: u64 },
+    #[serde(rename = "again")]
+    Retrying {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+    },
     /// The dispatch of a non-idempotent message follows.
-    Dispatching { n: u64 },
+    Dispatching {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+    },
     /// The message has its final answer.
-    Answered { n: u64, answer: Answer },
+    Answered {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+        /// The final answer.
+        answer: Answer,
+    },
     /// The answer is published under this packet identifier.
-    Publishing { n: u64, id: u16 },
+    Publishing {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+        /// The packet identifier of the answer.
+        id: u16,
+    },
     /// The broker has recorded the answer: only its release is sent again.
-    Released { n: u64 },
+    Released {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+    },
     /// Nothing is left to be done for the message.
-    Done { n: u64 },
+    Done {
+        /// The id of the message.
+        #[serde(rename = "n")]
+        message_id: u64,
+    },
 }
 
 impl Record {
-    /// The number of the message.
-    pub(super) fn number(&self) -> u64 {
-        let (Record::Taken { n, .. }
-        | Record::Owned { n }
-        | Record::Again { n }
-        | Record::Dispatching { n }
-        | Record::Answered { n, .. }
-        | Record::Publishing { n, .. }
-        | Record::Released { n }
-        | Record::Done { n }) = *self;
-        n
+    /// The id of the message.
+    pub(super) fn message_id(&self) -> u64 {
+        let (Record::Accepted { message_id, .. }
+        | Record::Owned { message_id }
+        | Record::Retrying { message_id }
+        | Record::Dispatching { message_id }
+        | Record::Answered { message_id, .. }
+        | Record::Publishing { message_id, .. }
+        | Record::Released { message_id }
+        | Record::Done { message_id }) = *self;
+        message_id
     }
 }
--- a/crates/mqtt-triggers/src/ledger/recovery.rs
+++ b/crates/mqtt-triggers/src/ledger/recovery.rs
@@ -1,6 +1,6 @@
 //! Taking up messages after a lost connection or a crash.
 
-use super::{Action, Answer, Effect, Ledger, Message, Record, Repeated};
+use super::{Action, Answer, Idempotency, Ledger, Message, Record, RedeliveredMessage};
 use bytes::Bytes;
 
 /// A delivery that the broker has sent again.
@@ -17,8 +17,8 @@
 impl Redelivery<'_> {
     fn is_of(&self, message: &Message) -> bool {
         message.packet == Some(self.packet)
-            && message.held.topic == self.topic
-            && message.held.payload == *self.payload
+            && message.stored.topic == self.topic
+            && message.stored.payload == *self.payload
     }
 }
 
@@ -37,81 +37,87 @@
         redelivered: &[Redelivery],
         hands_over: bool,
     ) -> Vec<Action> {
-        let is_unowned = |m: &Message| !m.owned && !m.owning;
+        let is_unowned = |message: &Message| !message.is_owned && !message.is_claiming;
         let unowned: Vec<u64> = self
             .messages
             .iter()
-            .filter(|(_, m)| is_unowned(m))
-            .map(|(&n, _)| n)
+            .filter(|(_, message)| is_unowned(message))
+            .map(|(&message_id, _)| message_id)
             .collect();
         let mut actions = vec![];
-        self.repeated.clear();
-        for n in unowned {
-            let Some(m) = self.messages.get_mut(&n) else {
+        self.redelivered_messages.clear();
+        for message_id in unowned {
+            let Some(message) = self.messages.get_mut(&message_id) else {
                 continue;
             };
-            let is_repeated =
-                m.packet.is_none() || redelivered.iter().any(|delivery| delivery.is_of(m));
-            let was_heard = session_present && !is_repeated && m.taken;
-            if was_heard && m.confirms {
+            let is_repeated = message.packet.is_none()
+                || redelivered.iter().any(|delivery| delivery.is_of(message));
+            let was_acknowledged = session_present && !is_repeated && message.is_persisted;
+            if was_acknowledged && message.confirms {
                 continue;
             }
-            if was_heard && !hands_over {
-                m.owning = true;
-                actions.push(Action::Persist(Record::Owned { n }));
+            if was_acknowledged && !hands_over {
+                message.is_claiming = true;
+                actions.push(Action::Persist(Record::Owned { message_id }));
                 continue;
             }
-            actions.extend(self.forget(n));
+            actions.extend(self.forget(message_id));
         }
         actions
     }
 
     /// Leaves a message to the broker, which gives it again.
-    fn forget(&mut self, n: u64) -> Vec<Action> {
-        let Some(m) = self.messages.remove(&n) else {
+    fn forget(&mut self, message_id: u64) -> Vec<Action> {
+        let Some(message) = self.messages.remove(&message_id) else {
             return vec![];
         };
-        if let Some(packet) = m.packet {
-            self.repeated.insert(
+        if let Some(packet) = message.packet {
+            self.redelivered_messages.insert(
                 packet,
-                Repeated {
-                    topic: m.held.topic.clone(),
-                    times: m.times,
+                RedeliveredMessage {
+                    topic: message.stored.topic.clone(),
+                    delivery_count: message.delivery_count,
                 },
             );
         }
         let mut actions = vec![];
-        if m.dispatched && m.answer.is_none() {
-            actions.push(Action::Cancel(n));
+        if message.was_dispatched && message.answer.is_none() {
+            actions.push(Action::Cancel(message_id));
         }
-        actions.push(Action::Persist(Record::Done { n }));
+        actions.push(Action::Persist(Record::Done { message_id }));
         actions
     }
 
     /// The records that state what is known to be on the disk: a snapshot of the journal.
     pub fn snapshot(&self) -> Vec<Record> {
-        let on_disk = self.messages.iter().filter(|(_, m)| m.taken);
-        on_disk.flat_map(|(&n, m)| m.records(n)).collect()
+        let on_disk = self
+            .messages
+            .iter()
+            .filter(|(_, message)| message.is_persisted);
+        on_disk
+            .flat_map(|(&message_id, message)| message.records(message_id))
+            .collect()
     }
 
     /// The numbers and packet identifiers of QoS 2 deliveries that were taken, and of which the broker has not said
     /// yet that it has received the acknowledgement.
     pub fn unconfirmed(&self) -> impl Iterator<Item = (u64, u16)> {
-        let waits = |m: &&Message| m.taken && m.confirms && !m.owned;
+        let waits =
+            |message: &&Message| message.is_persisted && message.confirms && !message.is_owned;
         self.messages
             .iter()
-            .filter(move |(_, m)| waits(m))
-            .filter_map(|(&n, m)| Some((n, m.packet?)))
+            .filter(move |(_, message)| waits(message))
+            .filter_map(|(&message_id, message)| Some((message_id, message.packet?)))
     }
 
     /// Restores the ledger of a front end that crashed from the records of its journal. The actions have to be
     /// performed before the session is resumed: what the broker had not confirmed it gives again, or says so.
-    pub fn recover(records: &[Record], most_times: u32, now: f64) -> (Ledger, Vec<Action>) {
-        let mut ledger = Ledger::new(most_times);
+    pub fn recover(records: &[Record], max_deliveries: u32, now: f64) -> (Ledger, Vec<Action>) {
+        let mut ledger = Ledger::new(max_deliveries);
         records.iter().for_each(|record| ledger.apply(record));
         let mut actions = vec![];
-        for n in ledger.messages.keys().copied().collect::<Vec<u64>>() {
-            actions.extend(ledger.resume(n, now));
+        for message_id in ledger.messages.keys().copied().collect::<Vec<u64>>() {
+            actions.extend(ledger.resume(message_id, now));
         }
         // Guards a packet identifier that is in use against being reserved again: answers that have one come first.
         actions.sort_by_key(|action| {
@@ -121,66 +127,44 @@
     }
 
     /// The next step of a message after a crash.
-    fn resume(&mut self, n: u64, now: f64) -> Vec<Action> {
-        let Some(m) = self.messages.get_mut(&n) else {
+    fn resume(&mut self, message_id: u64, now: f64) -> Vec<Action> {
+        let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
         };
-        match m.reply_id {
-            Some(id) if m.released => return vec![Action::Release { n, id }],
-            Some(id) => return vec![Action::Publish { n, id, again: true }],
+        match message.reply_id {
+            Some(id) if message.is_reply_released => {
+                return vec![Action::Release { message_id, id }];
+            }
+            Some(id) => {
+                return vec![Action::Publish {
+                    message_id,
+                    id,
+                    is_republished: true,
+                }];
+            }
             None => {}
         }
         // The broker says next whose it is: it confirms the acknowledgement, or gives the message again.
-        if !m.owned {
+        if !message.is_owned {
             return vec![];
         }
-        let may_dispatch = match m.effect {
-            Effect::Idempotent => true,
-            Effect::Tokened { until } => now < until,
-            Effect::NonIdempotent => !m.dispatched,
+        let may_dispatch = match message.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { expires_at } => now < expires_at,
+            Idempotency::NonIdempotent => !message.was_dispatched,
         };
-        match (&m.answer, m.effect) {
-            (Some(_), _) => self.proceed(n),
-            (None, Effect::NonIdempotent) if may_dispatch => self.proceed(n),
+        match (&message.answer, message.idempotency) {
+            (Some(_), _) => self.proceed(message_id),
+            (None, Idempotency::NonIdempotent) if may_dispatch => self.proceed(message_id),
             // It may have been dispatched before.
-            (None, _) if may_dispatch => vec![Action::Persist(Record::Again { n })],
+            (None, _) if may_dispatch => vec![Action::Persist(Record::Retrying { message_id })],
             (None, _) => {
-                (m.answer, m.answering) = (Some(Answer::Unknown), true);
+                (message.answer, message.is_answer_pending) = (Some(Answer::Unknown), true);
                 vec![Action::Persist(Record::Answered {
-                    n,
+                    message_id,
                     answer: Answer::Unknown,
                 })]
             }
         }
     }
 }
-
-impl Message {
-    /// The records that lead to this state, in a valid order.
-    fn records(&self, n: u64) -> Vec<Record> {
-        let answer = || self.answer.clone();
-        let answered_at_once = answer().filter(|_| self.answered && !self.dispatched);
-        let set_aside = answer().filter(Answer::is_set_aside);
-        let taken = Record::Taken {
-            n,
-            effect: self.effect,
-            packet: self.packet,
-            confirms: self.confirms,
-            times: self.times,
-            held: self.held.clone(),
-            answer: answered_at_once.or(set_aside),
-        };
-        let is_non_idempotent = self.effect == Effect::NonIdempotent;
-        let records = [
-            Some(taken),
-            (self.owned && self.packet.is_some()).then_some(Record::Owned { n }),
-            (self.dispatched && is_non_idempotent).then_some(Record::Dispatching { n }),
-            answer()
-                .filter(|_| self.answered && self.owned)
-                .map(|answer| Record::Answered { n, answer }),
-            self.reply_id.map(|id| Record::Publishing { n, id }),
-            self.released.then_some(Record::Released { n }),
-        ];
-        records.into_iter().flatten().collect()
-    }
-}
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -3,9 +3,9 @@
 
 pub mod admission;
 pub mod consumer;
+pub mod durable_invocations;
 pub mod ledger;
 pub mod pattern;
-pub mod promises;
 pub mod rules;
 pub mod section;
 
--- a/crates/mqtt-triggers/tests/admission.rs
+++ b/crates/mqtt-triggers/tests/admission.rs
@@ -23,7 +23,7 @@
                     n += 1;
                     let key = (key > 0).then(|| key.to_string());
                     let m = Waiting { trigger_type: (n % 2) as usize, value: time, until: now + time, key: key.clone() };
-                    if a.offer(n, m) {
+                    if a.enqueue(n, m) {
                         offered.push(n);
                         keys.extend(key.map(|k| (n, k)));
                     }
@@ -37,7 +37,7 @@
             }
             prop_assert!(a.waiting() <= 20);
             for d in a.decide(now) {
-                let (Decision::Admit(n) | Decision::GiveUp(n)) = d;
+                let (Decision::Admit(n) | Decision::Reject(n)) = d;
                 decided.push(n);
                 if let Decision::Admit(n) = d {
                     if let Some(key) = keys.get(&n) {
@@ -54,7 +54,7 @@
             a.finished(now, n, false);
         }
         decided.extend(a.decide(now).into_iter().map(|d| match d {
-            Decision::Admit(n) | Decision::GiveUp(n) => n,
+            Decision::Admit(n) | Decision::Reject(n) => n,
         }));
         decided.sort_unstable();
         prop_assert_eq!(decided, offered, "each once");
@@ -114,7 +114,7 @@
         while admission.waiting() < 60
             && let Some((n, m)) = broker.pop_front()
         {
-            assert!(admission.offer(n, m));
+            assert!(admission.enqueue(n, m));
         }
         for d in admission.decide(now) {
             if let Decision::Admit(n) = d {
@@ -142,7 +142,7 @@
     let mut round = |a: &mut AdmissionQueue, now: f64, throttled: bool| {
         for _ in 0..20 {
             n += 1;
-            a.offer(
+            a.enqueue(
                 n,
                 Waiting {
                     trigger_type: 0,
--- a/crates/mqtt-triggers/tests/promises.rs
+++ b/crates/mqtt-triggers/tests/durable_invocations.rs
@@ -1,7 +1,9 @@
 //! Promises against a plain model, with front ends that die between any two records.
 
 use bytes::Bytes;
-use orchidtally_mqtt_triggers::promises::{DurableInvocations, InvocationState, Outcome, Record};
+use orchidtally_mqtt_triggers::durable_invocations::{
+    DurableInvocations, DurableOutcome, InvocationState, Record,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -17,7 +19,7 @@
 struct Name {
     runs: u32,
     running: bool,
-    over: Option<(f64, Outcome)>,
+    over: Option<(f64, DurableOutcome)>,
 }
 
 proptest! {
@@ -40,43 +42,43 @@
             let known = names.values().filter(|n| n.running || n.over.is_some()).count();
             let n = names.entry(name.clone()).or_default();
             match what {
-                0..=4 => match promises.offered(now, &name) {
+                0..=4 => match promises.begin(now, &name) {
                     InvocationState::New(record) => {
                         prop_assert!(!n.running && n.over.is_none() && known < 6);
                         // A disk that fails now and then.
                         if what == 4 {
-                            promises.not_kept(&name);
+                            promises.forget(&name);
                         } else {
                             journal.push(record);
                             (n.running, n.runs) = (true, n.runs + 1);
                         }
                     }
                     InvocationState::Running => prop_assert!(n.running),
-                    InvocationState::Over(outcome) => prop_assert_eq!(Some(&outcome), n.over.as_ref().map(|o| &o.1)),
+                    InvocationState::Ended(outcome) => prop_assert_eq!(Some(&outcome), n.over.as_ref().map(|o| &o.1)),
                     InvocationState::Full => prop_assert_eq!(known, 6),
                 },
                 5..=6 if n.running => {
                     let body = Bytes::from(vec![b'x'; name.len() + 4 * usize::from(what == 6)]);
-                    journal.push(promises.answered(now, &name, true, 200, &body));
+                    journal.push(promises.end(now, &name, true, 200, &body));
                     let whole = body.len() <= 4;
                     let body = if whole { body } else { Bytes::new() };
                     n.running = false;
-                    n.over = Some((now, Outcome::Answered { status: 200, body, whole }));
+                    n.over = Some((now, DurableOutcome::Answered { status: 200, body, is_complete: whole }));
                 }
                 7 if n.running => {
-                    journal.push(promises.answered(now, &name, false, 503, &Bytes::new()));
+                    journal.push(promises.end(now, &name, false, 503, &Bytes::new()));
                     *n = Name::default();
                 }
                 8 if n.running => {
-                    journal.extend(promises.left(now, &name));
-                    (n.running, n.over) = (false, Some((now, Outcome::Unknown)));
+                    journal.extend(promises.client_cancelled(now, &name));
+                    (n.running, n.over) = (false, Some((now, DurableOutcome::Unknown)));
                 }
                 9 => {
                     // Dies; every other time its journal had been folded.
                     let records = if time > 4.5 { promises.records() } else { journal.clone() };
                     promises = fresh().recover(&records, now);
                     for n in names.values_mut().filter(|n| n.running) {
-                        (n.running, n.over) = (false, Some((now, Outcome::Unknown)));
+                        (n.running, n.over) = (false, Some((now, DurableOutcome::Unknown)));
                     }
                     journal = promises.records();
                 }
--- a/crates/mqtt-triggers/tests/simulated.rs
+++ b/crates/mqtt-triggers/tests/simulated.rs
@@ -110,7 +110,7 @@
         let left: Vec<_> = w
             .front_ends
             .iter()
-            .map(|f| f.consumer.as_ref().unwrap().in_hand())
+            .map(|f| f.consumer.as_ref().unwrap().backlog())
             .collect();
         assert_eq!(
             left,
--- a/crates/mqtt-triggers/tests/stored_formats.rs
+++ b/crates/mqtt-triggers/tests/stored_formats.rs
@@ -2,8 +2,10 @@
 //! same. The examples were written by hand against the build of version 0.2.0 and must not be changed.
 
 use bytes::Bytes;
-use orchidtally_mqtt_triggers::ledger::{self, Answer, Effect, Ledger, Reply};
-use orchidtally_mqtt_triggers::promises::{self, DurableInvocations, InvocationState, Outcome};
+use orchidtally_mqtt_triggers::durable_invocations::{
+    self, DurableInvocations, DurableOutcome, InvocationState,
+};
+use orchidtally_mqtt_triggers::ledger::{self, Answer, Idempotency, Ledger, Reply};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -52,13 +54,13 @@
 #[test]
 fn a_taken_message_has_the_values_of_its_record() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
-    let ledger::Record::Taken {
-        n,
-        effect,
+    let ledger::Record::Accepted {
+        message_id: n,
+        idempotency: effect,
         packet,
         confirms,
-        times,
-        held,
+        delivery_count: times,
+        stored: held,
         answer,
     } = &records[0]
     else {
@@ -66,10 +68,10 @@
     };
     assert_eq!(
         (*n, *effect, *packet, *confirms, *times),
-        (1, Effect::Idempotent, Some(7), true, 1)
+        (1, Idempotency::Idempotent, Some(7), true, 1)
     );
     assert_eq!(
-        (held.name.as_str(), held.topic.as_str(), held.until),
+        (held.name.as_str(), held.topic.as_str(), held.expires_at),
         ("m-1", "orders/new", 1764600000.5)
     );
     assert_eq!(held.payload, Bytes::from_static(b"hello\0\xff"));
@@ -93,18 +95,21 @@
 fn effects_and_answers_have_the_values_of_their_records() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
     let effect = |record: &ledger::Record| match record {
-        ledger::Record::Taken { effect, .. } => Some(*effect),
+        ledger::Record::Accepted {
+            idempotency: effect,
+            ..
+        } => Some(*effect),
         _ => None,
     };
-    let effects: Vec<Effect> = records.iter().filter_map(effect).collect();
+    let effects: Vec<Idempotency> = records.iter().filter_map(effect).collect();
     assert_eq!(
         effects,
         [
-            Effect::Idempotent,
-            Effect::Tokened {
-                until: 1764600300.25
+            Idempotency::Idempotent,
+            Idempotency::Keyed {
+                expires_at: 1764600300.25
             },
-            Effect::NonIdempotent
+            Idempotency::NonIdempotent
         ]
     );
     let answer = |record: &ledger::Record| match record {
@@ -116,14 +121,14 @@
         Answer::Succeeded {
             payload: Bytes::from_static(&[0, 1, 2]),
         },
-        Answer::Throttled,
-        Answer::Errored {
-            why: "it failed".into(),
+        Answer::Rejected,
+        Answer::Failed {
+            reason: "it failed".into(),
             may_have_run: true,
         },
         Answer::Unknown,
         Answer::SetAside {
-            why: "taken too often".into(),
+            reason: "taken too often".into(),
         },
     ];
     assert_eq!(answers, expected);
@@ -149,45 +154,45 @@
 
 #[test]
 fn promises_are_read_and_written_again() {
-    let records: Vec<promises::Record> = read_and_rewrite(PROMISES);
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
     assert_eq!(records.len(), 5);
     assert_eq!(tags(PROMISES, "promise"), ["taken", "over", "dropped"]);
 }
 
 #[test]
 fn promises_have_the_values_of_their_records() {
-    let records: Vec<promises::Record> = read_and_rewrite(PROMISES);
-    let promises = DurableInvocations::new(600.0, 100, 1_000).noted(&records);
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
+    let promises = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
     let answered = |status, body: &'static [u8], whole| {
-        InvocationState::Over(Outcome::Answered {
+        InvocationState::Ended(DurableOutcome::Answered {
             status,
             body: Bytes::from_static(body),
-            whole,
+            is_complete: whole,
         })
     };
     assert_eq!(
-        promises.standing("invocation-1"),
+        promises.state("invocation-1"),
         Some(InvocationState::Running)
     );
     assert_eq!(
-        promises.standing("invocation-2"),
+        promises.state("invocation-2"),
         Some(answered(200, b"hello\0\xff", true))
     );
     assert_eq!(
-        promises.standing("invocation-3"),
+        promises.state("invocation-3"),
         Some(answered(504, b"", false))
     );
     assert_eq!(
-        promises.standing("invocation-4"),
-        Some(InvocationState::Over(Outcome::Unknown))
+        promises.state("invocation-4"),
+        Some(InvocationState::Ended(DurableOutcome::Unknown))
     );
-    assert_eq!(promises.standing("invocation-5"), None);
+    assert_eq!(promises.state("invocation-5"), None);
 }
 
 #[test]
 fn a_snapshot_of_promises_is_the_records_that_still_count() {
-    let records: Vec<promises::Record> = read_and_rewrite(PROMISES);
-    let promises = DurableInvocations::new(600.0, 100, 1_000).noted(&records);
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
+    let promises = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
     let written: Vec<String> = promises
         .records()
         .iter()
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -50,32 +50,59 @@
 /// Times are in seconds, sizes in bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Property {
+    /// Payload Format Indicator.
     PayloadFormat(u8),
+    /// Message Expiry Interval.
     MessageExpiry(u32),
+    /// Content Type.
     ContentType(String),
+    /// Response Topic.
     ResponseTopic(String),
+    /// Correlation Data.
     CorrelationData(Bytes),
+    /// Subscription Identifier.
     SubscriptionId(u32),
+    /// Session Expiry Interval.
     SessionExpiry(u32),
+    /// Assigned Client Identifier.
     AssignedClientId(String),
+    /// Server Keep Alive.
     ServerKeepAlive(u16),
+    /// Authentication Method.
     AuthMethod(String),
+    /// Authentication Data.
     AuthData(Bytes),
+    /// Request Problem Information.
     RequestProblemInfo(u8),
+    /// Will Delay Interval.
     WillDelay(u32),
+    /// Request Response Information.
     RequestResponseInfo(u8),
+    /// Response Information.
     ResponseInfo(String),
+    /// Server Reference.
     ServerReference(String),
+    /// Reason String.
     Reason(String),
+    /// Receive Maximum.
     ReceiveMaximum(u16),
+    /// Topic Alias Maximum.
     TopicAliasMaximum(u16),
+    /// Topic Alias.
     TopicAlias(u16),
+    /// Maximum QoS.
     MaximumQos(u8),
+    /// Retain Available.
     RetainAvailable(u8),
+    /// User Property: a name and a value.
     User(String, String),
+    /// Maximum Packet Size.
     MaximumPacketSize(u32),
+    /// Wildcard Subscription Available.
     WildcardAvailable(u8),
+    /// Subscription Identifiers Available.
     SubscriptionIdsAvailable(u8),
+    /// Shared Subscription Available.
     SharedAvailable(u8),
 }
 
@@ -85,10 +112,15 @@
 /// The message that a server publishes when a connection ends without a DISCONNECT.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Will {
+    /// The topic.
     pub topic: String,
+    /// The payload.
     pub payload: Bytes,
+    /// The quality of service.
     pub qos: Qos,
+    /// Whether the server retains the message.
     pub retain: bool,
+    /// The properties of version 5.
     pub properties: Properties,
 }
 
@@ -99,10 +131,15 @@
     pub clean: bool,
     /// Seconds without a packet after which the server closes the connection; 0 for never.
     pub keep_alive: u16,
+    /// The properties of version 5.
     pub properties: Properties,
+    /// The client identifier.
     pub client_id: String,
+    /// The will message, if there is one.
     pub will: Option<Will>,
+    /// The user name, if one is given.
     pub username: Option<String>,
+    /// The password, if one is given.
     pub password: Option<Bytes>,
 }
 
@@ -113,6 +150,7 @@
     pub session_present: bool,
     /// 0 where the connection is accepted.
     pub code: u8,
+    /// The properties of version 5.
     pub properties: Properties,
 }
 
@@ -121,30 +159,41 @@
 pub struct Publish {
     /// Whether this may be another delivery of a message that was sent before.
     pub dup: bool,
+    /// The quality of service.
     pub qos: Qos,
+    /// Whether the server retains the message.
     pub retain: bool,
     /// Empty where a topic alias of version 5 stands for it.
     pub topic: String,
     /// The packet identifier; 0 with QoS 0, and never otherwise.
     pub id: u16,
+    /// The properties of version 5.
     pub properties: Properties,
+    /// The payload.
     pub payload: Bytes,
 }
 
 /// PUBACK, PUBREC, PUBREL or PUBCOMP.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ack {
+    /// The packet identifier.
     pub id: u16,
+    /// The reason code.
     pub code: u8,
+    /// The properties of version 5.
     pub properties: Properties,
 }
 
 /// A topic filter of a SUBSCRIBE with its options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Subscription {
+    /// The topic filter.
     pub filter: String,
+    /// The quality of service.
     pub qos: Qos,
+    /// Whether the client's own messages are left out.
     pub no_local: bool,
+    /// Whether the retain flag is kept as published.
     pub retain_as_published: bool,
     /// When retained messages are sent: 0 at each subscription, 1 at a new one, 2 never.
     pub retain_handling: u8,
@@ -153,50 +202,76 @@
 /// SUBSCRIBE.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subscribe {
+    /// The packet identifier.
     pub id: u16,
+    /// The properties of version 5.
     pub properties: Properties,
+    /// The topic filters.
     pub filters: Vec<Subscription>,
 }
 
 /// UNSUBSCRIBE.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Unsubscribe {
+    /// The packet identifier.
     pub id: u16,
+    /// The properties of version 5.
     pub properties: Properties,
+    /// The topic filters.
     pub filters: Vec<String>,
 }
 
 /// SUBACK or UNSUBACK: a reason code for each filter; none in an UNSUBACK of version 3.1.1.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Codes {
+    /// The packet identifier.
     pub id: u16,
+    /// The properties of version 5.
     pub properties: Properties,
+    /// A reason code for each filter.
     pub codes: Vec<u8>,
 }
 
 /// DISCONNECT or AUTH.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Reason {
+    /// The reason code.
     pub code: u8,
+    /// The properties of version 5.
     pub properties: Properties,
 }
 
 /// A control packet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Packet {
+    /// CONNECT.
     Connect(Connect),
+    /// CONNACK.
     ConnAck(ConnAck),
+    /// PUBLISH.
     Publish(Publish),
+    /// PUBACK.
     PubAck(Ack),
+    /// PUBREC.
     PubRec(Ack),
+    /// PUBREL.
     PubRel(Ack),
+    /// PUBCOMP.
     PubComp(Ack),
+    /// SUBSCRIBE.
     Subscribe(Subscribe),
+    /// SUBACK.
     SubAck(Codes),
+    /// UNSUBSCRIBE.
     Unsubscribe(Unsubscribe),
+    /// UNSUBACK.
     UnsubAck(Codes),
+    /// PINGREQ.
     PingReq,
+    /// PINGRESP.
     PingResp,
+    /// DISCONNECT.
     Disconnect(Reason),
+    /// AUTH.
     Auth(Reason),
 }
