--- a/crates/mqtt/src/codec/encode.rs
+++ b/crates/mqtt/src/codec/encode.rs
@@ -1,10 +1,10 @@
 //! Encoding of control packets.
 
 use super::property::put_properties;
+use super::writer::{put_binary, put_varint};
 use super::{
-    CodecError, LEVEL_V5, LEVEL_V311, MAX_REMAINING_LENGTH, REQUEST_FLAGS, Result,
-    VARINT_CONTINUES, VARINT_VALUE, connect_flag, malformed, packet_type, publish_flag,
-    subscribe_option,
+    CodecError, LEVEL_V5, LEVEL_V311, MAX_REMAINING_LENGTH, REQUEST_FLAGS, Result, connect_flag,
+    malformed, packet_type, publish_flag, subscribe_option,
 };
 use crate::packet::*;
 use bytes::Bytes;
@@ -206,25 +206,3 @@
     }
     Ok(())
 }
-
-/// Appends a variable byte integer.
-pub(super) fn put_varint(out: &mut Vec<u8>, mut value: usize) {
-    loop {
-        let byte = value as u8 & VARINT_VALUE;
-        value >>= 7;
-        if value == 0 {
-            out.push(byte);
-            return;
-        }
-        out.push(byte | VARINT_CONTINUES);
-    }
-}
-
-/// Appends binary data after its length.
-pub(super) fn put_binary(out: &mut Vec<u8>, bytes: &[u8]) -> Result<()> {
-    let length = u16::try_from(bytes.len())
-        .map_err(|_| CodecError::Malformed("a field of over 65535 bytes"))?;
-    out.extend(length.to_be_bytes());
-    out.extend(bytes);
-    Ok(())
-}
--- a/crates/mqtt/src/codec/mod.rs
+++ b/crates/mqtt/src/codec/mod.rs
@@ -8,6 +8,7 @@
 mod encode;
 mod property;
 mod reader;
+mod writer;
 
 pub use decode::decode;
 pub use encode::encode;
--- a/crates/mqtt/src/codec/property.rs
+++ b/crates/mqtt/src/codec/property.rs
@@ -1,11 +1,11 @@
 //! Properties of version 5: their identifiers, the packets that may carry them, and their encoding.
 
-use super::encode::{put_binary, put_varint};
 use super::packet_type::{
     AUTH, CONNACK, CONNECT, DISCONNECT, PUBACK, PUBCOMP, PUBLISH, PUBREC, PUBREL, SUBACK,
     SUBSCRIBE, UNSUBACK,
 };
 use super::reader::Reader;
+use super::writer::{put_binary, put_varint};
 use super::{Result, malformed};
 use crate::filter::check_topic;
 use crate::packet::{Properties, Property, Version};
--- a/crates/mqtt/tests/session.rs
+++ b/crates/mqtt/tests/session/main.rs
@@ -1,12 +1,15 @@
 //! A session against a plain server that keeps its state, over connections that break at any packet boundary, in
 //! simulated time.
 
+mod server;
+
 use bytes::Bytes;
 use orchidtally_mqtt::packet::*;
 use orchidtally_mqtt::session::{ConnectionError, Delivery, Event, Session, SessionOptions};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use server::{Server, payload_number};
+use std::collections::{BTreeMap, VecDeque};
 
 fn options(version: Version) -> SessionOptions {
     SessionOptions {
@@ -32,124 +35,6 @@
     }
 }
 
-/// The server's side, kept as plain as can be.
-#[derive(Default)]
-struct Server {
-    known: bool,
-    /// Payloads that it took over, each once.
-    taken: Vec<u32>,
-    releasing: BTreeSet<u16>,
-    /// To be delivered: those out by packet id, with whether they were recorded, and those that wait.
-    out: BTreeMap<u16, (u32, Qos, bool)>,
-    waiting: VecDeque<(u32, Qos)>,
-    next_id: u16,
-    to_client: VecDeque<Packet>,
-}
-
-fn number(payload: &Bytes) -> u32 {
-    std::str::from_utf8(payload).unwrap().parse().unwrap()
-}
-
-impl Server {
-    fn publish(&self, id: u16, (n, qos): (u32, Qos), dup: bool) -> Packet {
-        let payload = n.to_string().into();
-        Packet::Publish(Publish {
-            dup,
-            qos,
-            topic: "in/x".into(),
-            id,
-            payload,
-            ..Publish::default()
-        })
-    }
-
-    fn pump(&mut self) {
-        while self.out.len() < 3 {
-            let Some((n, qos)) = self.waiting.pop_front() else {
-                return;
-            };
-            self.next_id += 1;
-            self.out.insert(self.next_id, (n, qos, false));
-            self.to_client
-                .push_back(self.publish(self.next_id, (n, qos), false));
-        }
-    }
-
-    fn hears(&mut self, packet: Packet) {
-        match packet {
-            Packet::Connect(c) => {
-                assert!(!c.clean);
-                let session_present = std::mem::replace(&mut self.known, true);
-                self.to_client.push_back(Packet::ConnAck(ConnAck {
-                    session_present,
-                    properties: vec![Property::ReceiveMaximum(2)],
-                    ..ConnAck::default()
-                }));
-                for (&id, &(n, qos, recorded)) in &self.out {
-                    let again = match recorded {
-                        true => Packet::PubRel(Ack {
-                            id,
-                            ..Ack::default()
-                        }),
-                        false => self.publish(id, (n, qos), true),
-                    };
-                    self.to_client.push_back(again);
-                }
-            }
-            Packet::Subscribe(s) => {
-                let codes = vec![2; s.filters.len()];
-                self.to_client.push_back(Packet::SubAck(Codes {
-                    id: s.id,
-                    properties: vec![],
-                    codes,
-                }));
-            }
-            Packet::Publish(p) => {
-                let n = number(&p.payload);
-                let ack = Ack {
-                    id: p.id,
-                    ..Ack::default()
-                };
-                match p.qos {
-                    Qos::AtMostOnce => self.taken.push(n),
-                    Qos::AtLeastOnce => {
-                        self.taken.push(n);
-                        self.to_client.push_back(Packet::PubAck(ack));
-                    }
-                    Qos::ExactlyOnce => {
-                        if self.releasing.insert(p.id) {
-                            self.taken.push(n);
-                        }
-                        self.to_client.push_back(Packet::PubRec(ack));
-                    }
-                }
-            }
-            Packet::PubRel(a) => {
-                self.releasing.remove(&a.id);
-                self.to_client.push_back(Packet::PubComp(Ack {
-                    id: a.id,
-                    ..Ack::default()
-                }));
-            }
-            Packet::PubAck(a) | Packet::PubComp(a) => {
-                self.out.remove(&a.id);
-            }
-            Packet::PubRec(a) => {
-                if let Some(o) = self.out.get_mut(&a.id) {
-                    o.2 = true;
-                }
-                self.to_client.push_back(Packet::PubRel(Ack {
-                    id: a.id,
-                    ..Ack::default()
-                }));
-            }
-            Packet::PingReq => self.to_client.push_back(Packet::PingResp),
-            other => panic!("{other:?}"),
-        }
-        self.pump();
-    }
-}
-
 #[derive(Clone, Debug)]
 enum Step {
     Publish(Qos),
@@ -188,7 +73,7 @@
             let Some(packet) = self.session.next_packet() else {
                 return;
             };
-            self.server.hears(packet);
+            self.server.receive(packet);
         }
     }
 
@@ -200,7 +85,10 @@
             for event in self.session.received(self.now, packet).unwrap() {
                 match event {
                     Event::Delivered(d) => {
-                        let seen = self.delivered.entry(number(&d.payload)).or_default();
+                        let seen = self
+                            .delivered
+                            .entry(payload_number(&d.payload))
+                            .or_default();
                         seen.0 += 1;
                         assert!(seen.0 == 1 || d.dup, "a redelivery of this server says so");
                         self.held.push_back(d);
@@ -266,7 +154,7 @@
                 Step::Acknowledge => {
                     if let Some(d) = p.held.pop_front() {
                         let said = p.session.acknowledge(p.now, d.number.unwrap(), 0);
-                        p.delivered.get_mut(&number(&d.payload)).unwrap().1 = said;
+                        p.delivered.get_mut(&payload_number(&d.payload)).unwrap().1 = said;
                     }
                 }
             }
@@ -280,10 +168,10 @@
                 prop_assert!(p.session.acknowledge(p.now, d.number.unwrap(), 0));
             }
         }
-        prop_assert_eq!((p.session.unpublished(), p.server.out.len(), p.server.waiting.len()), (0, 0, 0));
+        prop_assert_eq!((p.session.unpublished(), p.server.in_flight.len(), p.server.waiting.len()), (0, 0, 0));
         for (token, (n, qos)) in &p.sent {
             prop_assert_eq!(p.published.get(token), Some(&1), "each is told once");
-            let times = p.server.taken.iter().filter(|t| *t == n).count();
+            let times = p.server.accepted.iter().filter(|t| *t == n).count();
             prop_assert!(times == 1 || *qos == Qos::AtLeastOnce && times > 1, "{} was taken {} times", n, times);
         }
     }
