--- a/crates/executor-protocol/build.rs
+++ b/crates/executor-protocol/build.rs
@@ -1,3 +1,5 @@
+//! Compiles the protobuf messages.
+
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/orchidtally.proto");
     let files = protox::compile(["proto/orchidtally.proto"], ["proto"])?;
--- a/crates/executor-protocol/src/lib.rs
+++ b/crates/executor-protocol/src/lib.rs
@@ -1,54 +1,65 @@
-//! The protocol between front ends and executors: its messages and how they are framed. No sockets and no
-//! decisions. A stream's body is one message behind its length, then the payload up to the stream's end.
+//! The protocol between front ends and executors: its messages and their framing.
+//!
+//! The body of an HTTP/2 stream is one protobuf message behind its length (four bytes, big-endian), followed by the
+//! payload up to the end of the stream. This crate does no I/O.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 use std::collections::VecDeque;
-use std::fmt;
 
-/// The messages, as `proto/orchidtally.proto` gives them.
+/// The messages, generated from `proto/orchidtally.proto`.
+#[allow(
+    missing_docs,
+    reason = "the comments of the protobuf file are the documentation"
+)]
 pub mod v1 {
     include!(concat!(env!("OUT_DIR"), "/orchidtally.v1.rs"));
 }
 
+/// The path of a stream that carries a dispatch.
 pub const DISPATCH: &str = "/orchidtally.v1/dispatch";
+/// The path of a stream that carries a load command.
 pub const LOAD: &str = "/orchidtally.v1/order";
+/// The path of a stream that asks for health and load.
 pub const HEALTH_CHECK: &str = "/orchidtally.v1/probe";
+/// The path of a stream that subscribes to the endpoint list.
 pub const ENDPOINTS: &str = "/orchidtally.v1/roster";
-/// Each stream names it; one that names another is refused.
+/// The content type of every stream; a stream of another type is rejected.
 pub const CONTENT_TYPE: &str = "application/orchidtally.v1+proto";
-/// The longest message, without the payload behind it.
+/// The longest message, without the payload behind it, in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 64 * 1024;
-/// The longest roster update: some 200,000 rows.
+/// The longest update of the endpoint list, in bytes: some 200,000 endpoints.
 pub const MAX_ENDPOINT_LIST_LENGTH: usize = 16 * 1024 * 1024;
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum FramingError {
-    TooLong { length: usize, most: usize },
-    CutShort { missing: usize },
-    Malformed(String),
-}
+/// Bytes of the length in front of a message.
+const LENGTH_PREFIX: usize = 4;
 
-impl fmt::Display for FramingError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FramingError::TooLong { length, most } => {
-                write!(f, "a message of {length} bytes, {most} at most")
-            }
-            FramingError::CutShort { missing } => {
-                write!(f, "the stream ended {missing} bytes before its message")
-            }
-            FramingError::Malformed(what) => write!(f, "a malformed message: {what}"),
-        }
-    }
+/// Why a stream's bytes are no message.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FramingError {
+    /// The message is longer than allowed.
+    #[error("a message of {length} bytes, {max} at most")]
+    TooLong {
+        /// The length of the message, in bytes.
+        length: usize,
+        /// The longest that is allowed, in bytes.
+        max: usize,
+    },
+    /// The stream ended before the message did.
+    #[error("the stream ended {missing} bytes before its message")]
+    CutShort {
+        /// How many bytes are missing.
+        missing: usize,
+    },
+    /// The bytes are no message of the expected type.
+    #[error("a malformed message: {0}")]
+    Malformed(#[source] prost::DecodeError),
 }
 
-impl std::error::Error for FramingError {}
-
 /// A message with its length in front.
 pub fn frame(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
-    let mut bytes = BytesMut::with_capacity(4 + length);
+    let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX + length);
     bytes.put_u32(length as u32);
     message
         .encode(&mut bytes)
@@ -56,8 +67,8 @@
     bytes.freeze()
 }
 
-/// Takes a stream's bytes as they come. Chunks are kept as they are; only a message that lies in several of
-/// them is copied together.
+/// Splits a stream's bytes into its message and payload, however they arrive. Chunks are passed on as they are; only a
+/// message that lies in several of them is copied together.
 #[derive(Default)]
 pub struct Deframer {
     chunks: VecDeque<Bytes>,
@@ -65,6 +76,7 @@
 }
 
 impl Deframer {
+    /// Adds bytes that have arrived.
     pub fn push(&mut self, chunk: Bytes) {
         if !chunk.is_empty() {
             self.length += chunk.len();
@@ -72,41 +84,41 @@
         }
     }
 
-    /// Bytes taken in and not yet out.
+    /// Bytes that were added and not yet taken out.
     pub fn len(&self) -> usize {
         self.length
     }
 
+    /// Whether all bytes were taken out.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The next message once it is here whole.
-    pub fn message<M: Message + Default>(
-        &mut self,
-        most: usize,
-    ) -> Result<Option<M>, FramingError> {
+    /// The next message; `None` until all of it has arrived.
+    ///
+    /// # Errors
+    /// The message is longer than `max` bytes, or malformed.
+    pub fn message<M: Message + Default>(&mut self, max: usize) -> Result<Option<M>, FramingError> {
         let Some(length) = self.peek_length() else {
             return Ok(None);
         };
-        if length > most {
-            return Err(FramingError::TooLong { length, most });
+        if length > max {
+            return Err(FramingError::TooLong { length, max });
         }
-        if self.length < 4 + length {
+        if self.length < LENGTH_PREFIX + length {
             return Ok(None);
         }
-        self.take(4);
+        self.take(LENGTH_PREFIX);
         let bytes = self.take(length);
-        M::decode(bytes)
-            .map(Some)
-            .map_err(|e| FramingError::Malformed(e.to_string()))
+        M::decode(bytes).map(Some).map_err(FramingError::Malformed)
     }
 
-    /// What is missing where the stream has ended before a message.
+    /// The error of a stream that has ended before its message.
     pub fn cut_short(&self) -> FramingError {
-        let wanted = self.peek_length().map_or(4, |length| 4 + length);
+        let length = self.peek_length().unwrap_or(0);
+        let expected = LENGTH_PREFIX + length;
         FramingError::CutShort {
-            missing: wanted.saturating_sub(self.length),
+            missing: expected.saturating_sub(self.length),
         }
     }
 
@@ -118,7 +130,7 @@
     }
 
     fn peek_length(&self) -> Option<usize> {
-        let mut length = [0; 4];
+        let mut length = [0; LENGTH_PREFIX];
         let mut bytes = self.chunks.iter().flat_map(|c| c.iter().copied());
         for byte in &mut length {
             *byte = bytes.next()?;
@@ -126,24 +138,24 @@
         Some(u32::from_be_bytes(length) as usize)
     }
 
-    fn take(&mut self, n: usize) -> Bytes {
-        self.length -= n;
-        if let Some(first) = self.chunks.front_mut().filter(|c| c.len() > n) {
-            return first.split_to(n);
+    fn take(&mut self, count: usize) -> Bytes {
+        self.length -= count;
+        if let Some(first) = self.chunks.front_mut().filter(|c| c.len() > count) {
+            return first.split_to(count);
         }
-        let mut whole = BytesMut::with_capacity(n);
-        while whole.len() < n {
+        let mut message = BytesMut::with_capacity(count);
+        while message.len() < count {
             let chunk = self
                 .chunks
                 .front_mut()
                 .expect("the length was checked before");
-            let part = chunk.len().min(n - whole.len());
-            whole.extend_from_slice(&chunk[..part]);
+            let part = chunk.len().min(count - message.len());
+            message.extend_from_slice(&chunk[..part]);
             chunk.advance(part);
             if chunk.is_empty() {
                 self.chunks.pop_front();
             }
         }
-        whole.freeze()
+        message.freeze()
     }
 }
--- a/crates/executor-protocol/tests/codec.rs
+++ b/crates/executor-protocol/tests/codec.rs
@@ -78,8 +78,8 @@
                 prop_assert_eq!(deframer.cut_short(), FramingError::CutShort { missing });
             }
             (Ok(None), None) => prop_assert!(bytes.len() < 4),
-            (Err(FramingError::TooLong { length, most }), Some(told)) => {
-                prop_assert!(length == told && length > most);
+            (Err(FramingError::TooLong { length, max }), Some(stated)) => {
+                prop_assert!(length == stated && length > max);
             }
             (Err(FramingError::Malformed(_)), Some(length)) => {
                 prop_assert!(length <= MAX_MESSAGE_LENGTH)
