--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -106,7 +106,7 @@
     let catalogue: Catalogue = Rc::new(|name| {
         let (_, run) = FUNCTIONS.iter().find(|f| f.0 == name)?;
         Some(Program {
-            lanes: 8,
+            concurrency: 8,
             load_time: 0.1,
             work: 0.001,
             run: *run,
@@ -120,13 +120,13 @@
             queue: 200,
             keep_alive: 30.0,
             report_fields: vec!["backlog".into()],
-            ..ExecutorSpec::roomy(number)
+            ..ExecutorSpec::with_ample_capacity(number)
         };
         let around = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
-            tokens: Rc::default(),
-            token_window: 60.0,
+            token_cache: Rc::default(),
+            deduplication_window: 60.0,
         };
         Executor::start(
             stage,
--- a/crates/cli/src/measure.rs
+++ b/crates/cli/src/measure.rs
@@ -4,7 +4,7 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN};
 use clap::ValueEnum;
 use orchidtally_test_servers::TestEnvironment;
-use orchidtally_test_servers::bare::{self, Ask, Seen};
+use orchidtally_test_servers::baseline::{self, BaselineRequest, Observed};
 use serde::Serialize;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -190,13 +190,13 @@
             "relay" => {
                 let to = value.parse().map_err(|_| BAD_INPUT)?;
                 stage
-                    .spawn(bare::relay(stage.clone(), listener, to))
+                    .spawn(baseline::relay(stage.clone(), listener, to))
                     .detach();
             }
             "executor" => {
                 let delay = value.parse().map_err(|_| BAD_INPUT)?;
                 stage
-                    .spawn(bare::executor(stage.clone(), listener, delay))
+                    .spawn(baseline::executor(stage.clone(), listener, delay))
                     .detach();
             }
             _ => return Err(BAD_INPUT),
@@ -205,11 +205,16 @@
     async_io::block_on(tasks.run(std::future::pending()))
 }
 
-fn load(to: SocketAddr, ask: Ask, streams: usize, a: &Arguments) -> io::Result<Seen> {
+fn load(
+    to: SocketAddr,
+    ask: BaselineRequest,
+    streams: usize,
+    a: &Arguments,
+) -> io::Result<Observed> {
     let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
     let seen =
-        async_io::block_on(tasks.run(bare::load(&stage, to, ask, streams, a.time, a.payload)));
+        async_io::block_on(tasks.run(baseline::load(&stage, to, ask, streams, a.time, a.payload)));
     seen.map_err(|e| io::Error::other(e.to_string()))
 }
 
@@ -217,7 +222,7 @@
     name: &'static str,
     to: SocketAddr,
     middle: Option<&Part>,
-    ask: Ask,
+    ask: BaselineRequest,
     a: &Arguments,
 ) -> io::Result<Row> {
     eprintln!("measuring {name}");
@@ -279,18 +284,18 @@
     let work = async {
         sleep(0.3).await;
         let empty = front_end.memory();
-        let idle = bare::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered)
+        let idle = baseline::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered)
             .await
             .map_err(|e| e.to_string())?;
         sleep(0.3).await;
         let connected = front_end.memory();
         drop(idle);
-        let some = bare::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered)
+        let some = baseline::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered)
             .await
             .map_err(|e| e.to_string())?;
         sleep(0.5).await;
         let open = front_end.memory();
-        let many = bare::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered)
+        let many = baseline::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered)
             .await
             .map_err(|e| e.to_string())?;
         let mut most = 0.0f64;
@@ -333,12 +338,18 @@
     ];
     let front_end = Part::start(&serve)?;
     let random = Part::start(&[&serve[..], &["--random"]].concat())?;
-    let ask = Ask::Invocation {
+    let ask = BaselineRequest::Invocation {
         functions: a.functions,
     };
     let mut ways = vec![
-        way("direct", executor.at, None, Ask::Dispatch, a)?,
-        way("relay", relay.at, Some(&relay), Ask::Dispatch, a)?,
+        way("direct", executor.at, None, BaselineRequest::Dispatch, a)?,
+        way(
+            "relay",
+            relay.at,
+            Some(&relay),
+            BaselineRequest::Dispatch,
+            a,
+        )?,
         way("front end", front_end.at, Some(&front_end), ask, a)?,
         way("random choice", random.at, Some(&random), ask, a)?,
     ];
--- a/crates/cli/src/rehearse/evidence.rs
+++ b/crates/cli/src/rehearse/evidence.rs
@@ -2,7 +2,7 @@
 //! judge it: what holds here has to be found by them.
 
 use orchidtally_invariants::{EndpointState, Idempotency, Limits, TrafficRecord};
-use orchidtally_test_servers::rogue;
+use orchidtally_test_servers::misbehaving_front_end;
 use std::collections::{HashMap, HashSet};
 
 /// The client whose invocations nobody answers.
@@ -110,7 +110,9 @@
             executor,
             state: standing,
             ..
-        } if *life == rogue::INCARNATION && *executor == wanted => Some((*at, *standing)),
+        } if *life == misbehaving_front_end::INCARNATION && *executor == wanted => {
+            Some((*at, *standing))
+        }
         _ => None,
     }
 }
@@ -126,7 +128,7 @@
                 executor,
                 state: standing,
                 ..
-            } if *life == rogue::INCARNATION => {
+            } if *life == misbehaving_front_end::INCARNATION => {
                 if *standing == EndpointState::Ready {
                     told_since.remove(executor);
                 } else {
@@ -139,7 +141,7 @@
                 incarnation: life,
                 executor,
                 ..
-            } if *life == rogue::INCARNATION => {
+            } if *life == misbehaving_front_end::INCARNATION => {
                 let allowed = limits.drain_grace + limits.max_transit_time;
                 if told_since
                     .get(executor)
@@ -166,7 +168,7 @@
             executor,
             started_at: told,
             ..
-        } => *life == rogue::INCARNATION && *executor == wanted && *told >= since,
+        } => *life == misbehaving_front_end::INCARNATION && *executor == wanted && *told >= since,
         _ => false,
     })
 }
@@ -181,7 +183,7 @@
                 executor,
                 started_at: since,
                 ..
-            } if *life == rogue::INCARNATION => {
+            } if *life == misbehaving_front_end::INCARNATION => {
                 told_start.insert(*executor, *since);
             }
             TrafficRecord::DispatchArrived {
@@ -193,7 +195,7 @@
                 reached
                     .entry(*executor)
                     .or_default()
-                    .push((*at, *life == rogue::INCARNATION));
+                    .push((*at, *life == misbehaving_front_end::INCARNATION));
             }
             TrafficRecord::ExecutorOverloaded {
                 at,
@@ -247,7 +249,10 @@
                 incarnation: life,
                 replicas: copies,
                 ..
-            } if *life == rogue::INCARNATION && *copies > 0 && !deaf.contains(executor) => {
+            } if *life == misbehaving_front_end::INCARNATION
+                && *copies > 0
+                && !deaf.contains(executor) =>
+            {
                 orders.push(*at);
                 let from = at - limits.load_budget_window;
                 let given = orders
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -6,7 +6,7 @@
 use orchidtally_invariants::EndpointState;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::executor::Executor;
-use orchidtally_test_servers::rogue::MisbehavingFrontEnd;
+use orchidtally_test_servers::misbehaving_front_end::MisbehavingFrontEnd;
 use orchidtally_test_servers::unused_address;
 use std::rc::Rc;
 
@@ -75,7 +75,7 @@
             .iter()
             .filter(usable)
             .cloned()
-            .partition(|e| e.since() == f64::NEG_INFINITY);
+            .partition(|e| e.started_at() == f64::NEG_INFINITY);
         [untouched, restarted].concat()
     }
 
@@ -182,7 +182,7 @@
         executor.crash();
         self.stage.sleep(0.1).await;
         self.bring_up(executor);
-        let since = executor.since();
+        let since = executor.started_at();
         let patience = self.stage.now() + TELL_TIME;
         while !evidence::start_was_told(&self.stage.records(), executor.make.number, since) {
             if self.stage.now() > patience {
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -126,7 +126,7 @@
         }
         let streams = if name.starts_with("watch") { 3 } else { 0 };
         Some(Program {
-            lanes: 4,
+            concurrency: 4,
             memory: COPY_MB,
             load_time: 0.3,
             work: 0.02,
@@ -145,13 +145,13 @@
         memory: MEMORY_MB,
         queue: 40,
         keep_alive: 6.0,
-        answers_miss: false,
-        fail_is_miss: number.is_multiple_of(2),
-        cold: 4.0,
-        cold_from: 0.25,
+        rejects_unloaded: false,
+        reports_failed_load_as_miss: number.is_multiple_of(2),
+        slow_start_duration: 4.0,
+        slow_start_initial_weight: 0.25,
         overload_factor: 2.0,
-        fall: 0.5,
-        down: 2.0,
+        overload_window: 0.5,
+        downtime: 2.0,
         report_delay: 0.3,
         report_noise: 0.2,
         report_fields: vec!["backlog".into(), "memory".into()],
@@ -170,8 +170,8 @@
         let around = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
-            tokens: tokens.entry(cell(number, day)).or_default().clone(),
-            token_window: 3.0,
+            token_cache: tokens.entry(cell(number, day)).or_default().clone(),
+            deduplication_window: 3.0,
         };
         executors.push(Executor::start(
             stage,
@@ -193,8 +193,8 @@
         kind: "box".into(),
         cell: cell(number, day),
         weight: 1.0,
-        standing: EndpointState::Ready,
-        since: f64::NEG_INFINITY,
+        state: EndpointState::Ready,
+        started_at: f64::NEG_INFINITY,
     }
 }
 
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -28,10 +28,10 @@
     /// One of the functions, a few of them often.
     fn function(&self, now: f64) -> String {
         let s = &self.stage;
-        if self.hot.0.is_on(now) && self.drawn(self.hot.1.get()) {
+        if self.hot.0.is_active(now) && self.drawn(self.hot.1.get()) {
             return "hot".into();
         }
-        if self.one_offs.0.is_on(now) && self.drawn(self.one_offs.1.get()) {
+        if self.one_offs.0.is_active(now) && self.drawn(self.one_offs.1.get()) {
             return format!("once-{}", self.names.get());
         }
         let n = (self.day.functions as f64).powf(s.unit()) as usize - 1;
@@ -48,7 +48,7 @@
         let ty = ty.unwrap_or(0);
         let kind = &self.limits.trigger_types[ty];
         let timeout = self.deployment.policy.trigger_types[ty].client_timeout;
-        let short = self.short_patience.0.is_on(now) && self.drawn(self.short_patience.1.get());
+        let short = self.short_patience.0.is_active(now) && self.drawn(self.short_patience.1.get());
         let time_left = if short {
             0.35 + 0.5 * self.stage.unit()
         } else {
@@ -76,7 +76,7 @@
             token,
             time_left,
             payload: Bytes::from(vec![b'x'; size]),
-            leaves_after,
+            cancels_after: leaves_after,
             ..ClientRequest::default()
         };
         let effect = kind.idempotency;
@@ -89,7 +89,7 @@
     async fn invoke(&self, mut ask: ClientRequest, effect: Idempotency) {
         let began = self.stage.now();
         let patience = ask.time_left;
-        let abuses = self.repeating.0.is_on(began) && self.drawn(self.repeating.1.get());
+        let abuses = self.repeating.0.is_active(began) && self.drawn(self.repeating.1.get());
         let mut tries = if abuses { 8 } else { 2 };
         loop {
             let Some(caller) = self.caller() else { return };
@@ -99,16 +99,16 @@
                     answer: FinalAnswer::Succeeded | FinalAnswer::NotAdmitted,
                     ..
                 }
-                | ClientOutcome::Left => return,
+                | ClientOutcome::Cancelled => return,
                 ClientOutcome::Answered {
                     answer: FinalAnswer::Rejected,
-                    stay_away,
+                    retry_after: stay_away,
                     ..
                 } => (true, *stay_away),
                 ClientOutcome::Answered { may_have_run, .. } => {
                     (effect != Idempotency::NonIdempotent || !may_have_run, 0.1)
                 }
-                ClientOutcome::Lost | ClientOutcome::GaveUp => {
+                ClientOutcome::ConnectionLost | ClientOutcome::TimedOut => {
                     (effect != Idempotency::NonIdempotent, 0.1)
                 }
             };
@@ -120,7 +120,7 @@
             }
             self.stage.sleep(pause).await;
             ask.invocation = self.name();
-            ask.repeat = true;
+            ask.is_retry = true;
             ask.time_left = left;
         }
     }
@@ -129,7 +129,7 @@
     fn caller(&self) -> Option<Rc<TestClient>> {
         let used: Vec<_> = self.front_ends.iter().filter(|f| f.used.get()).collect();
         let mut among = used.clone();
-        if self.shifted.0.is_on(self.stage.now()) && self.drawn(self.shifted.1.get()) {
+        if self.shifted.0.is_active(self.stage.now()) && self.drawn(self.shifted.1.get()) {
             among.truncate(1.max(used.len() / 3));
         }
         let fe = among.get((self.stage.unit() * among.len() as f64) as usize)?;
--- a/crates/cli/src/rehearse/play/troubles.rs
+++ b/crates/cli/src/rehearse/play/troubles.rs
@@ -56,11 +56,11 @@
             Kind::FastErrors => {
                 self.some(&self.executors, t.size, up)
                     .iter()
-                    .for_each(|e| e.faults.errors.set(until));
+                    .for_each(|e| e.faults.fails_at_once.set(until));
             }
             Kind::HalfOpen => {
                 for e in self.some(&self.executors, t.size, up) {
-                    e.faults.deaf.set(until);
+                    e.faults.reads_paused.set(until);
                     let at = self.stage.now();
                     self.stage.record(TrafficRecord::ReadsPaused {
                         at,
@@ -77,7 +77,7 @@
             Kind::LateReports => self
                 .executors
                 .iter()
-                .for_each(|e| e.faults.late_reports.set(until)),
+                .for_each(|e| e.faults.delayed_reports.set(until)),
             Kind::Deploy => {
                 let some = self.some(&self.executors, t.size, up);
                 let each = t.lasts / some.len() as f64;
@@ -107,8 +107,8 @@
                     self.down_and_up(e.clone(), t.lasts);
                 }
             }
-            Kind::StaleRoster => self.publisher.keep_back(until),
-            Kind::RosterCut => self.publisher.cut_off(),
+            Kind::StaleRoster => self.publisher.hold_back_until(until),
+            Kind::RosterCut => self.publisher.disconnect_all(),
             Kind::Rerelease => self.executors.iter().for_each(|e| e.drop_copies()),
             Kind::StoreRefuses => self.store.refusing.set(until),
             Kind::ShortPatience => self.switch(&self.short_patience, t),
@@ -129,7 +129,8 @@
             roster.change(e, standing);
             return;
         }
-        self.publisher.change(e.make.number, standing, e.since());
+        self.publisher
+            .change(e.make.number, standing, e.started_at());
     }
 
     pub(super) fn bring_up(&self, e: &Executor) {
@@ -159,9 +160,9 @@
         }
         self.tell(e, EndpointState::Draining);
         e.draining.set(true);
-        e.say_goodbye();
+        e.send_go_away();
         let until = self.stage.now() + time;
-        while e.in_hand() > 0 && self.stage.now() < until {
+        while e.pending() > 0 && self.stage.now() < until {
             self.stage.sleep(0.02).await;
         }
         e.crash();
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -169,7 +169,7 @@
             (false, _) => OLD,
         };
         Some(Program {
-            lanes: 4,
+            concurrency: 4,
             memory: 100.0,
             load_time: 0.3,
             work: if is_new && self.new == NewVersion::Slow {
--- a/crates/cli/src/rehearse/roster.rs
+++ b/crates/cli/src/rehearse/roster.rs
@@ -94,7 +94,7 @@
         };
         let value = json!({
             "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": standing,
-            "since": self.stage.wall(e.since()),
+            "since": self.stage.wall(e.started_at()),
         });
         value.to_string()
     }
@@ -145,7 +145,7 @@
                 }
                 _ => EndpointState::Ready,
             };
-            let (at, since) = (stage.now(), all[executor].since());
+            let (at, since) = (stage.now(), all[executor].started_at());
             stage.record(TrafficRecord::EndpointNotified {
                 at,
                 front_end,
@@ -155,7 +155,7 @@
                 started_at: since,
             });
         };
-        *self.etcd.told.borrow_mut() = Some(Rc::new(hears));
+        *self.etcd.notified.borrow_mut() = Some(Rc::new(hears));
         let me = self.clone();
         let renewals = async move {
             loop {
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -176,7 +176,7 @@
             "name": format!("n{j}"), "listen": self.at[j as usize], "seed": format!("{:016x}", 77 + j),
             "dns": self.dns.borrow()[j as usize],
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 128},
-            "settings": settings(self.at.len() as u32, j, self.deadline.get()), "known": self.resolver.known(j),
+            "settings": settings(self.at.len() as u32, j, self.deadline.get()), "known": self.resolver.initial_list(j),
         });
         std::fs::write(self.file(j), told.to_string()).unwrap();
     }
@@ -240,7 +240,7 @@
                     f64::INFINITY
                 };
                 out.push(self.stage.spawn(async move {
-                    let answer = client.invoke_for(&ask, patience).await;
+                    let answer = client.invoke_with_timeout(&ask, patience).await;
                     if leaves && answer.is_none() {
                         return;
                     }
@@ -279,7 +279,7 @@
             if standing != EndpointState::Gone {
                 rows.push(ListedEndpoint {
                     executor: self.executors[executor].clone(),
-                    standing,
+                    state: standing,
                 });
             }
         });
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -24,7 +24,7 @@
 
 fn executor(stage: &TestEnvironment, number: usize) -> Rc<Executor> {
     let program = || Program {
-        lanes: 32,
+        concurrency: 32,
         load_time: 0.02,
         work: 0.002,
         run: echo,
@@ -33,10 +33,16 @@
     let around = SharedResources {
         store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| Some(program())),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    Executor::start(stage, ExecutorSpec::roomy(number), unused_address(), around).unwrap()
+    Executor::start(
+        stage,
+        ExecutorSpec::with_ample_capacity(number),
+        unused_address(),
+        around,
+    )
+    .unwrap()
 }
 
 async fn answered(stream: TcpStream) -> u16 {
@@ -143,8 +149,8 @@
         kind: String::new(),
         cell: 0,
         weight: 1.0,
-        standing: EndpointState::Ready,
-        since: f64::NEG_INFINITY,
+        state: EndpointState::Ready,
+        started_at: f64::NEG_INFINITY,
     };
     let publisher = Publisher::start(&stage, unused_address(), vec![row(0), row(1)]).unwrap();
     publisher.delay.set(0.0);
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -26,18 +26,18 @@
 #[test]
 fn spoilt_answers_and_broken_connections_keep_the_rules() {
     for (spoil, least) in [
-        (ResponseFault::Unread, 0.8),
-        (ResponseFault::Half, 0.8),
-        (ResponseFault::Noise, 0.8),
-        (ResponseFault::BadBody, 0.8),
-        (ResponseFault::Twice, 0.98),
-        (ResponseFault::Never, 0.8),
+        (ResponseFault::ResetUnread, 0.8),
+        (ResponseFault::CutShort, 0.8),
+        (ResponseFault::Garbage, 0.8),
+        (ResponseFault::InvalidBody, 0.8),
+        (ResponseFault::Duplicated, 0.98),
+        (ResponseFault::Dropped, 0.8),
     ] {
         let name = format!("{spoil:?}");
         let day = play(&name, 2, 1.6, |day| async move {
             day.executors
                 .iter()
-                .for_each(|e| e.faults.spoils.set(Some((spoil, 0.1))));
+                .for_each(|e| e.faults.response_fault.set(Some((spoil, 0.1))));
         });
         kept(&name, day, least);
     }
@@ -47,7 +47,7 @@
 fn a_machine_that_vanishes_and_comes_back_keeps_the_rules() {
     let day = play("silent", 2, 3.0, |day| async move {
         day.stage.sleep(0.8).await;
-        day.executors[2].fall_silent(1.5);
+        day.executors[2].go_silent(1.5);
     });
     kept("silent", day, 0.7);
 }
@@ -77,7 +77,7 @@
 
 /// Says lines to an executor under a front end's address, as one that breaks the rules would.
 async fn say(day: &Day, executor: usize, lines: impl IntoIterator<Item = Value>) {
-    let mut stream = Async::<TcpStream>::connect(day.executors[executor].at[0])
+    let mut stream = Async::<TcpStream>::connect(day.executors[executor].addresses[0])
         .await
         .unwrap();
     for line in lines {
@@ -118,7 +118,7 @@
 fn broken<F: Future<Output = ()>>(script: impl FnOnce(Rc<Day>) -> F) -> Vec<u8> {
     let day = Day::new("planted", 1, 5);
     day.lives.begin(0);
-    day.resolver.known(0);
+    day.resolver.initial_list(0);
     async_io::block_on(day.stage.tasks.run(script(day.clone())));
     day.verdict()
         .rules
@@ -166,7 +166,7 @@
     ] {
         let found_now = broken(|day| async move {
             day.change(0, standing);
-            day.resolver.known(0);
+            day.resolver.initial_list(0);
             day.stage.sleep(GRACE + 0.2).await;
             say(&day, 0, [invoked(1, "read")]).await;
         });
@@ -175,10 +175,10 @@
     for (dispatches, found) in [(20, &[][..]), (40, &[4])] {
         let found_now = broken(|day| async move {
             day.change(0, EndpointState::Gone);
-            day.resolver.known(0);
-            day.executors[0].since.set(day.stage.now());
+            day.resolver.initial_list(0);
+            day.executors[0].started_at.set(day.stage.now());
             day.change(0, EndpointState::Ready);
-            day.resolver.known(0);
+            day.resolver.initial_list(0);
             say(&day, 0, (0..dispatches).map(|n| invoked(n, "read"))).await;
         });
         assert_eq!(found_now, found, "{dispatches} sent to a cold one");
--- a/crates/cli/tests/platform_lists.rs
+++ b/crates/cli/tests/platform_lists.rs
@@ -17,7 +17,7 @@
         day.stage.sleep(0.8).await;
         // What the last ones held goes to those that are cold.
         for x in 1..3 {
-            day.executors[x].since.set(day.stage.now());
+            day.executors[x].started_at.set(day.stage.now());
             day.change(x, EndpointState::Ready);
         }
         (3..5).for_each(|x| day.change(x, EndpointState::Gone));
@@ -32,17 +32,17 @@
 #[test]
 fn an_odd_resolver_that_moves_keeps_the_rules() {
     for odd in [
-        AnswerFault::Lost,
-        AnswerFault::Foreign,
+        AnswerFault::Dropped,
+        AnswerFault::WrongId,
         AnswerFault::Truncated,
-        AnswerFault::Cut,
-        AnswerFault::Failed,
-        AnswerFault::Stale,
-        AnswerFault::Late,
+        AnswerFault::CutShort,
+        AnswerFault::ServerFailure,
+        AnswerFault::PreviousList,
+        AnswerFault::Delayed,
     ] {
         let name = format!("{odd:?}");
         let day = play(&name, 2, 3.0, |day| async move {
-            day.resolver.odd.set(Some((odd, 0.25)));
+            day.resolver.answer_fault.set(Some((odd, 0.25)));
             day.stage.sleep(0.3).await;
             day.change(0, EndpointState::Draining);
             day.stage.sleep(0.5).await;
@@ -64,7 +64,9 @@
 #[test]
 fn a_resolver_whose_answers_are_all_late_is_heard() {
     let day = play("all-late", 2, 3.0, |day| async move {
-        day.resolver.odd.set(Some((AnswerFault::Late, 1.0)));
+        day.resolver
+            .answer_fault
+            .set(Some((AnswerFault::Delayed, 1.0)));
         day.stage.sleep(0.5).await;
         day.change(0, EndpointState::Draining);
         day.stage.sleep(0.9).await;
@@ -82,7 +84,7 @@
 fn a_resolver_that_is_away_keeps_the_rules() {
     let day = play("away", 2, 6.5, |day| async move {
         day.stage.sleep(0.3).await;
-        day.resolver.go_away(4.6, 4.5, 2);
+        day.resolver.stop_answering(4.6, 4.5, 2);
         day.stage.sleep(0.3).await;
         day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
@@ -100,7 +102,7 @@
 fn little_reaches_executors_that_drain_while_the_resolver_is_away_for_longer() {
     let (verdict, succeeded) = play("away-longer", 2, 10.0, |day| async move {
         day.stage.sleep(0.3).await;
-        day.resolver.go_away(9.0, 4.5, 2);
+        day.resolver.stop_answering(9.0, 4.5, 2);
         day.stage.sleep(0.3).await;
         day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
--- a/crates/cli/tests/platform_shim.rs
+++ b/crates/cli/tests/platform_shim.rs
@@ -38,7 +38,7 @@
         let shim = |day: &Day| {
             day.shim(&[("FAULT_WALL", format!("0,{ahead}"))]);
             (2..6).for_each(|x| day.change(x, EndpointState::Gone));
-            day.executors[0].since.set(day.stage.now());
+            day.executors[0].started_at.set(day.stage.now());
         };
         let (verdict, _) = play_prepared(&name, 1, 2.0, shim, |day| async move {
             day.stage.sleep(0.75).await;
--- a/crates/cli/tests/platform_soak.rs
+++ b/crates/cli/tests/platform_soak.rs
@@ -71,27 +71,27 @@
 /// Draws a fault.
 fn draw(random: &mut SmallRng) -> Fault {
     let odd = [
-        AnswerFault::Lost,
-        AnswerFault::Foreign,
+        AnswerFault::Dropped,
+        AnswerFault::WrongId,
         AnswerFault::Truncated,
-        AnswerFault::Cut,
-        AnswerFault::Failed,
-        AnswerFault::Stale,
-        AnswerFault::OldRows,
-        AnswerFault::Ahead(1),
-        AnswerFault::Ahead(1_000),
-        AnswerFault::Late,
-        AnswerFault::Doubled,
-        AnswerFault::OddText,
-        AnswerFault::OddStanding,
+        AnswerFault::CutShort,
+        AnswerFault::ServerFailure,
+        AnswerFault::PreviousList,
+        AnswerFault::PreviousRows,
+        AnswerFault::SerialJump(1),
+        AnswerFault::SerialJump(1_000),
+        AnswerFault::Delayed,
+        AnswerFault::Duplicated,
+        AnswerFault::UnreadableText,
+        AnswerFault::WrongState,
     ];
     let spoils = [
-        ResponseFault::Unread,
-        ResponseFault::Half,
-        ResponseFault::Noise,
-        ResponseFault::BadBody,
-        ResponseFault::Twice,
-        ResponseFault::Never,
+        ResponseFault::ResetUnread,
+        ResponseFault::CutShort,
+        ResponseFault::Garbage,
+        ResponseFault::InvalidBody,
+        ResponseFault::Duplicated,
+        ResponseFault::Dropped,
     ];
     let (front_end, executor) = (
         random.random_range(0..FRONT_ENDS),
@@ -140,12 +140,12 @@
         // It comes back as one that has just started, after it was gone.
         day.change(x, EndpointState::Gone);
         day.stage.sleep(0.4).await;
-        day.executors[x].since.set(day.stage.now());
+        day.executors[x].started_at.set(day.stage.now());
     } else {
         day.executors[x].draining.set(true);
     }
     day.change(x, standing);
-    day.resolver.tell_later(TOLD_WITHIN, FRONT_ENDS);
+    day.resolver.notify_later(TOLD_WITHIN, FRONT_ENDS);
 }
 
 /// Waits for the end of a process that was told to end; kills it at the earliest that it may be.
@@ -191,15 +191,16 @@
 async fn inflict(day: Rc<Day>, fault: Fault, wrong: Wrong) {
     match fault {
         Fault::OddAnswers(odd, share, time) => {
-            day.resolver.odd.set(Some((odd, share)));
+            day.resolver.answer_fault.set(Some((odd, share)));
             day.stage.sleep(time).await;
-            day.resolver.odd.set(None);
+            day.resolver.answer_fault.set(None);
         }
-        Fault::Silence(time) => day.resolver.go_away(time, 4.5, FRONT_ENDS),
-        Fault::SpoiltAnswers(x, spoil, share) => {
-            day.executors[x].faults.spoils.set(Some((spoil, share)))
-        }
-        Fault::Vanish(x, time) => day.executors[x].fall_silent(time),
+        Fault::Silence(time) => day.resolver.stop_answering(time, 4.5, FRONT_ENDS),
+        Fault::SpoiltAnswers(x, spoil, share) => day.executors[x]
+            .faults
+            .response_fault
+            .set(Some((spoil, share))),
+        Fault::Vanish(x, time) => day.executors[x].go_silent(time),
         Fault::Reset(x) => day.executors[x]
             .links
             .borrow()
--- a/crates/cli/tests/platform_views.rs
+++ b/crates/cli/tests/platform_views.rs
@@ -13,10 +13,12 @@
 fn a_list_that_lacks_what_its_serial_stands_for_is_put_right_by_the_next() {
     let day = play("old-rows", 1, 4.0, |day| async move {
         day.stage.sleep(0.5).await;
-        day.resolver.odd.set(Some((AnswerFault::OldRows, 1.0)));
+        day.resolver
+            .answer_fault
+            .set(Some((AnswerFault::PreviousRows, 1.0)));
         day.change(0, EndpointState::Draining);
         day.stage.sleep(0.3).await;
-        day.resolver.odd.set(None);
+        day.resolver.answer_fault.set(None);
     });
     assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
     kept("old-rows", day, 0.95);
@@ -26,22 +28,24 @@
 #[test]
 fn a_serial_too_high_an_odd_row_or_an_odd_standing_hide_no_drain() {
     let odds = [
-        AnswerFault::Ahead(1),
-        AnswerFault::Ahead(1_000),
-        AnswerFault::Ahead(u32::MAX / 2),
-        AnswerFault::OddText,
-        AnswerFault::OddStanding,
-        AnswerFault::Doubled,
+        AnswerFault::SerialJump(1),
+        AnswerFault::SerialJump(1_000),
+        AnswerFault::SerialJump(u32::MAX / 2),
+        AnswerFault::UnreadableText,
+        AnswerFault::WrongState,
+        AnswerFault::Duplicated,
     ];
     for odd in odds {
         let name = format!("hides-{odd:?}");
         let day = play(&name, 1, 3.5, |day| async move {
             day.stage.sleep(0.5).await;
-            day.resolver.odd.set(Some((odd, 1.0)));
+            day.resolver.answer_fault.set(Some((odd, 1.0)));
             day.stage.sleep(0.3).await;
             // A row that can't be read, or a doubled answer, may go on for good.
-            let goes_on = matches!(odd, AnswerFault::OddText | AnswerFault::Doubled);
-            day.resolver.odd.set(Some((odd, 1.0)).filter(|_| goes_on));
+            let goes_on = matches!(odd, AnswerFault::UnreadableText | AnswerFault::Duplicated);
+            day.resolver
+                .answer_fault
+                .set(Some((odd, 1.0)).filter(|_| goes_on));
             day.change(0, EndpointState::Draining);
             day.executors[0].draining.set(true);
         });
@@ -61,10 +65,10 @@
             day.stage.sleep(0.1).await;
             // What happens while it is stopped counts as told by the time limit.
             day.change(0, EndpointState::Draining);
-            day.resolver.known(0);
+            day.resolver.initial_list(0);
             day.stage.sleep(2.4).await;
             if silent > 0.0 {
-                day.resolver.go_away(silent, 4.5, 1);
+                day.resolver.stop_answering(silent, 4.5, 1);
             }
             day.signal(0, "CONT");
         });
@@ -79,8 +83,8 @@
 fn answers_that_are_all_seconds_late_are_believed() {
     let (verdict, succeeded) = play("seconds-late", 1, 9.0, |day| async move {
         day.resolver
-            .odd
-            .set(Some((AnswerFault::LateBy(3_000), 1.0)));
+            .answer_fault
+            .set(Some((AnswerFault::DelayedBy(3_000), 1.0)));
         day.stage.sleep(4.0).await;
         day.change(0, EndpointState::Draining);
         day.executors[0].draining.set(true);
--- a/crates/cli/tests/serve_kit/mod.rs
+++ b/crates/cli/tests/serve_kit/mod.rs
@@ -31,7 +31,7 @@
                 0.001
             };
             Some(Program {
-                lanes: 64,
+                concurrency: 64,
                 load_time: 0.01,
                 work,
                 run: echo,
@@ -41,12 +41,12 @@
         let around = SharedResources {
             store: PackageStore::new(&stage, 8.0, 8),
             catalogue: Rc::new(program),
-            tokens: Rc::default(),
-            token_window: 5.0,
+            token_cache: Rc::default(),
+            deduplication_window: 5.0,
         };
         let executor = Executor::start(
             &stage,
-            ExecutorSpec::roomy(1),
+            ExecutorSpec::with_ample_capacity(1),
             orchidtally_test_servers::unused_address(),
             around,
         )
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -76,12 +76,12 @@
     let store = PackageStore::new(&stage, 8.0, 8);
     let executors: Vec<_> = (0..2)
         .map(|number| {
-            let make = ExecutorSpec::roomy(number);
+            let make = ExecutorSpec::with_ample_capacity(number);
             let load = load.clone();
             let catalogue = move |name: &str| {
                 let is_new = name.ends_with(&format!("@{}", digest(NEW)));
                 Some(Program {
-                    lanes: 32,
+                    concurrency: 32,
                     load_time: if is_new { load.get() } else { 0.05 },
                     work: 0.005,
                     package: Bytes::from_static(if is_new { NEW } else { OLD }),
@@ -91,8 +91,8 @@
             let around = SharedResources {
                 store: store.clone(),
                 catalogue: Rc::new(catalogue),
-                tokens: Rc::default(),
-                token_window: 5.0,
+                token_cache: Rc::default(),
+                deduplication_window: 5.0,
             };
             Executor::start(&stage, make, unused_address(), around).unwrap()
         })
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -71,18 +71,23 @@
         store: PackageStore::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
-                lanes: 64,
+                concurrency: 64,
                 load_time: 0.05,
                 work: 0.0005,
                 run: echo,
                 ..Program::default()
             })
         }),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    let executor = Executor::start(&stage, ExecutorSpec::roomy(0), unused_address(), around)
-        .unwrap_or_else(|e| panic!("{e}"));
+    let executor = Executor::start(
+        &stage,
+        ExecutorSpec::with_ample_capacity(0),
+        unused_address(),
+        around,
+    )
+    .unwrap_or_else(|e| panic!("{e}"));
     let broker =
         BrokerServer::start(&stage, unused_address(), None).unwrap_or_else(|e| panic!("{e}"));
     let text = text(
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -57,19 +57,24 @@
                 0.001
             };
             Some(Program {
-                lanes: 32,
+                concurrency: 32,
                 load_time: 0.01,
                 work,
                 run: echo,
                 ..Program::default()
             })
         }),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    Executor::start(stage, ExecutorSpec::roomy(1), unused_address(), around)
-        .unwrap()
-        .address
+    Executor::start(
+        stage,
+        ExecutorSpec::with_ample_capacity(1),
+        unused_address(),
+        around,
+    )
+    .unwrap()
+    .address
 }
 
 /// A folder of the test's own, empty.
--- a/crates/http-frontend/tests/departures.rs
+++ b/crates/http-frontend/tests/departures.rs
@@ -17,7 +17,7 @@
 fn slow_executor(stage: &TestEnvironment) -> Rc<Executor> {
     let program = |_: &str| {
         Some(Program {
-            lanes: 32,
+            concurrency: 32,
             load_time: 0.01,
             work: WORK,
             run: echo,
@@ -27,10 +27,16 @@
     let around = SharedResources {
         store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(program),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    Executor::start(stage, ExecutorSpec::roomy(0), unused_address(), around).unwrap()
+    Executor::start(
+        stage,
+        ExecutorSpec::with_ample_capacity(0),
+        unused_address(),
+        around,
+    )
+    .unwrap()
 }
 
 /// A front end with one stream to each executor.
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -29,17 +29,23 @@
         store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
-                lanes: 32,
+                concurrency: 32,
                 load_time: 0.02,
                 work: 0.002,
                 run: echo,
                 ..Program::default()
             })
         }),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    Executor::start(stage, ExecutorSpec::roomy(number), unused_address(), around).unwrap()
+    Executor::start(
+        stage,
+        ExecutorSpec::with_ample_capacity(number),
+        unused_address(),
+        around,
+    )
+    .unwrap()
 }
 
 struct World {
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -178,20 +178,20 @@
 
 /// Starts an executor whose functions take this long to load.
 pub fn executor(stage: &TestEnvironment, number: usize, load_time: f64) -> Rc<Executor> {
-    let make = ExecutorSpec::roomy(number);
+    let make = ExecutorSpec::with_ample_capacity(number);
     let around = SharedResources {
         store: PackageStore::new(stage, 8.0, 8),
         catalogue: Rc::new(move |_| {
             Some(Program {
-                lanes: 32,
+                concurrency: 32,
                 load_time,
                 work: 0.005,
                 run: echo,
                 ..Program::default()
             })
         }),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
     Executor::start(stage, make, unused_address(), around).unwrap()
 }
@@ -205,7 +205,7 @@
         kind: String::new(),
         cell: 0,
         weight: 1.0,
-        standing,
-        since: f64::NEG_INFINITY,
+        state: standing,
+        started_at: f64::NEG_INFINITY,
     }
 }
--- a/crates/http-frontend/tests/hard_cases.rs
+++ b/crates/http-frontend/tests/hard_cases.rs
@@ -382,7 +382,7 @@
             publisher.change(0, EndpointState::Gone, f64::NEG_INFINITY);
             stage.sleep(0.3).await;
             one.restart().unwrap();
-            publisher.change(0, EndpointState::Ready, one.since());
+            publisher.change(0, EndpointState::Ready, one.started_at());
             stage.sleep(0.1).await;
             loads_before
         };
--- a/crates/http-frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -69,10 +69,10 @@
             let function = format!("f-{plain}");
             let leaves = ClientRequest {
                 function: function.clone(),
-                leaves_after: Some(0.15),
+                cancels_after: Some(0.15),
                 ..ask("leaves", ACT)
             };
-            assert_eq!(caller.invoke(&leaves).await, ClientOutcome::Left);
+            assert_eq!(caller.invoke(&leaves).await, ClientOutcome::Cancelled);
             stage.sleep(0.6).await;
             let next = ClientRequest {
                 function,
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -57,18 +57,23 @@
         store: PackageStore::new(&stage, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
-                lanes: 32,
+                concurrency: 32,
                 load_time: 0.05,
                 work: 0.005,
                 run: echo,
                 ..Program::default()
             })
         }),
-        tokens: Rc::default(),
-        token_window: 5.0,
+        token_cache: Rc::default(),
+        deduplication_window: 5.0,
     };
-    let executor =
-        Executor::start(&stage, ExecutorSpec::roomy(0), unused_address(), around).unwrap();
+    let executor = Executor::start(
+        &stage,
+        ExecutorSpec::with_ample_capacity(0),
+        unused_address(),
+        around,
+    )
+    .unwrap();
     let broker = BrokerServer::start(&stage, unused_address(), wrap).unwrap();
     let text = format!(
         r#"{{
--- a/crates/test-servers/src/bare.rs
+++ b/crates/test-servers/src/baseline.rs
@@ -125,13 +125,13 @@
 
 /// What a client of a measurement sends: dispatches to an executor, or invocations to a front end.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Ask {
+pub enum BaselineRequest {
     Dispatch,
     Invocation { functions: usize },
 }
 
 /// What a closed loop of so many streams saw.
-pub struct Seen {
+pub struct Observed {
     pub succeeded: u64,
     pub failed: u64,
     pub seconds: f64,
@@ -143,11 +143,11 @@
 pub async fn load(
     stage: &TestEnvironment,
     to: SocketAddr,
-    ask: Ask,
+    ask: BaselineRequest,
     streams: usize,
     time: f64,
     payload: usize,
-) -> Result<Seen, Fault> {
+) -> Result<Observed, Fault> {
     let sender = connect(stage, to).await?;
     let head = frame(&v1::Dispatch {
         from: Some(v1::Sender {
@@ -174,8 +174,8 @@
                 turn += 1;
                 let began = Instant::now();
                 let request = match ask {
-                    Ask::Dispatch => dispatch(to)?,
-                    Ask::Invocation { functions } => http::Request::post(format!(
+                    BaselineRequest::Dispatch => dispatch(to)?,
+                    BaselineRequest::Invocation { functions } => http::Request::post(format!(
                         "http://{to}/v1/functions/f{}/invocations",
                         turn % functions
                     ))
@@ -184,7 +184,7 @@
                 };
                 let (response, mut out) =
                     sender.clone().ready().await?.send_request(request, false)?;
-                if ask == Ask::Dispatch {
+                if ask == BaselineRequest::Dispatch {
                     out.send_data(head.clone(), false)?;
                 }
                 out.send_data(body.clone(), true)?;
@@ -205,7 +205,7 @@
         task.await?;
     }
     let times = std::mem::take(&mut *seen.2.borrow_mut());
-    Ok(Seen {
+    Ok(Observed {
         succeeded: seen.0.get(),
         failed: seen.1.get(),
         seconds: started.elapsed().as_secs_f64(),
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -168,7 +168,7 @@
 
     async fn wait_while_silent(&self) {
         self.stage
-            .sleep(self.silent.ends() - self.stage.now())
+            .sleep(self.silent.ends_at() - self.stage.now())
             .await;
     }
 
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -24,10 +24,10 @@
     pub token: String,
     /// What the client has left, in seconds.
     pub time_left: f64,
-    pub repeat: bool,
+    pub is_retry: bool,
     pub payload: Bytes,
     /// It goes away after so long, answer or not.
-    pub leaves_after: Option<f64>,
+    pub cancels_after: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -36,13 +36,13 @@
         answer: FinalAnswer,
         status: u16,
         body: Bytes,
-        stay_away: f64,
+        retry_after: f64,
         may_have_run: bool,
     },
     /// The connection broke, or none came about.
-    Lost,
-    GaveUp,
-    Left,
+    ConnectionLost,
+    TimedOut,
+    Cancelled,
 }
 
 /// A client's way to one front end.
@@ -50,9 +50,9 @@
     stage: TestEnvironment,
     pub number: u32,
     pub front_end: u32,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Over HTTP/1.1, on a connection for each invocation; else all share one of HTTP/2.
-    pub plain: bool,
+    pub uses_http1: bool,
     shared: RefCell<Option<SendRequest<Bytes>>>,
 }
 
@@ -96,8 +96,8 @@
             stage: stage.clone(),
             number,
             front_end,
-            at,
-            plain,
+            address: at,
+            uses_http1: plain,
             shared: RefCell::default(),
         })
     }
@@ -117,41 +117,41 @@
         });
         let gave_up = async {
             self.stage.sleep(until - self.stage.now()).await;
-            ClientOutcome::GaveUp
+            ClientOutcome::TimedOut
         };
         let left = async {
-            match ask.leaves_after {
+            match ask.cancels_after {
                 Some(time) => self.stage.sleep(time).await,
                 None => future::pending().await,
             }
-            ClientOutcome::Left
+            ClientOutcome::Cancelled
         };
         let sent = async {
             match self.send(ask).await {
-                Ok((parts, body)) => heard(&parts, body),
+                Ok((parts, body)) => received(&parts, body),
                 Err(fault) if fault.is::<Cut>() => ClientOutcome::Answered {
                     answer: FinalAnswer::Failed,
                     status: 200,
                     body: Bytes::new(),
-                    stay_away: 0.0,
+                    retry_after: 0.0,
                     may_have_run: true,
                 },
-                Err(_) => ClientOutcome::Lost,
+                Err(_) => ClientOutcome::ConnectionLost,
             }
         };
-        let heard = future::or(sent, future::or(left, gave_up)).await;
+        let received = future::or(sent, future::or(left, gave_up)).await;
         let at = self.stage.now();
-        self.stage.record(match &heard {
+        self.stage.record(match &received {
             ClientOutcome::Answered { answer, .. } => TrafficRecord::AnswerReceived {
                 at,
                 invocation,
                 answer: *answer,
             },
-            ClientOutcome::Lost => TrafficRecord::ConnectionLost { at, invocation },
-            ClientOutcome::GaveUp => TrafficRecord::ClientTimedOut { at, invocation },
-            ClientOutcome::Left => TrafficRecord::ClientCancelled { at, invocation },
+            ClientOutcome::ConnectionLost => TrafficRecord::ConnectionLost { at, invocation },
+            ClientOutcome::TimedOut => TrafficRecord::ClientTimedOut { at, invocation },
+            ClientOutcome::Cancelled => TrafficRecord::ClientCancelled { at, invocation },
         });
-        heard
+        received
     }
 
     fn request(&self, ask: &ClientRequest, place: &str) -> http::Result<http::Request<()>> {
@@ -169,14 +169,14 @@
         if !ask.customer.is_empty() {
             request = request.header("orchidtally-customer", &ask.customer);
         }
-        if ask.repeat {
+        if ask.is_retry {
             request = request.header("orchidtally-repeat", "1");
         }
         request.body(())
     }
 
     async fn send(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
-        if self.plain {
+        if self.uses_http1 {
             self.send_plain(ask).await
         } else {
             self.send_shared(ask).await
@@ -184,14 +184,14 @@
     }
 
     async fn send_plain(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
-        let stream = orchidtally_socket_io::connect(self.at, Duration::from_secs(2)).await?;
+        let stream = orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
         let driver = self.stage.spawn(driver);
         let mut request = self
             .request(ask, "")?
             .map(|()| Full::new(ask.payload.clone()));
-        let host = http::HeaderValue::from_str(&self.at.to_string())?;
+        let host = http::HeaderValue::from_str(&self.address.to_string())?;
         request.headers_mut().insert(http::header::HOST, host);
         let (parts, body) = sender.send_request(request).await?.into_parts();
         let body = body
@@ -208,7 +208,7 @@
             return Ok(shared);
         }
         let stream: Stream =
-            orchidtally_socket_io::connect(self.at, Duration::from_secs(2)).await?;
+            orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (sender, driver) = h2::client::handshake(stream).await?;
         self.stage
             .spawn(async move {
@@ -229,23 +229,23 @@
                 self.connect().await?.ready().await?
             }
         };
-        let request = self.request(ask, &format!("http://{}", self.at))?;
+        let request = self.request(ask, &format!("http://{}", self.address))?;
         let (response, mut out) = sender.send_request(request, ask.payload.is_empty())?;
         if !ask.payload.is_empty() {
             out.send_data(ask.payload.clone(), true)?;
         }
         let (parts, mut body) = response.await?.into_parts();
-        let mut whole = vec![];
+        let mut complete = vec![];
         while let Some(chunk) = body.data().await {
             let chunk = chunk.map_err(|e| broke(&parts, e))?;
             body.flow_control().release_capacity(chunk.len())?;
-            whole.extend_from_slice(&chunk);
+            complete.extend_from_slice(&chunk);
         }
-        Ok((parts, whole.into()))
+        Ok((parts, complete.into()))
     }
 }
 
-fn heard(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
+fn received(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
     let stay_away = parts
@@ -263,7 +263,7 @@
         answer,
         status,
         body,
-        stay_away,
+        retry_after: stay_away,
         may_have_run,
     }
 }
--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -78,7 +78,7 @@
     pub(super) async fn wait_for_faults(&self) -> Result<(), Broken> {
         self.stage.sleep(self.faults.delay.get()).await;
         self.stage
-            .sleep(self.faults.stalled.ends() - self.stage.now())
+            .sleep(self.faults.stalled.ends_at() - self.stage.now())
             .await;
         self.messages.set(self.messages.get() + 1);
         let every = self.faults.breaks_every.get();
@@ -114,9 +114,9 @@
     }
 
     pub(super) fn tell(&self, agent: &str, event: &Event) {
-        let hears = self.told.borrow().clone();
-        if let Some(hears) = hears {
-            hears(agent, event);
+        let on_event = self.notified.borrow().clone();
+        if let Some(on_event) = on_event {
+            on_event(agent, event);
         }
     }
 
@@ -143,8 +143,8 @@
             requires_leader,
         };
         let body = request.into_body();
-        let wanted = self.faults.token.borrow().clone();
-        if wanted.is_some() && wanted != token && path != orchidtally_etcd::AUTHENTICATE {
+        let requested = self.faults.token.borrow().clone();
+        if requested.is_some() && requested != token && path != orchidtally_etcd::AUTHENTICATE {
             let message = "etcdserver: invalid auth token".into();
             return respond_with_status(
                 respond,
--- a/crates/test-servers/src/etcd/history.rs
+++ b/crates/test-servers/src/etcd/history.rs
@@ -144,8 +144,8 @@
             }
             !versions.is_empty()
         });
-        let kept = self.log.partition_point(|event| revision_of(event) < floor);
-        self.log.drain(..kept);
+        let held_back = self.log.partition_point(|event| revision_of(event) < floor);
+        self.log.drain(..held_back);
     }
 
     /// Drops what was written after `last`.
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -43,7 +43,7 @@
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_link: Cell<u64>,
     /// Hears of each entry that is told to a client.
-    pub told: RefCell<Option<EventListener>>,
+    pub notified: RefCell<Option<EventListener>>,
 }
 
 impl EtcdServer {
@@ -85,7 +85,7 @@
             messages: Cell::new(0),
             links: RefCell::default(),
             next_link: Cell::new(0),
-            told: RefCell::default(),
+            notified: RefCell::default(),
         });
         for (listener, member, client_region) in listeners {
             stage
@@ -219,7 +219,7 @@
         loop {
             self.stage.sleep(EXPIRY_INTERVAL).await;
             let now = self.stage.now();
-            if self.cluster.borrow().can_commit(now) && !self.faults.stalled.is_on(now) {
+            if self.cluster.borrow().can_commit(now) && !self.faults.stalled.is_active(now) {
                 self.store.borrow_mut().expire(now);
             }
         }
--- a/crates/test-servers/src/etcd/watch.rs
+++ b/crates/test-servers/src/etcd/watch.rs
@@ -252,7 +252,7 @@
         let server = self.server;
         server
             .stage
-            .sleep(server.faults.stalled.ends() - server.stage.now())
+            .sleep(server.faults.stalled.ends_at() - server.stage.now())
             .await;
         let mut at = 0;
         while at < self.watches.len() {
@@ -360,9 +360,9 @@
     /// Tells how far watches have heard, which may be less than the member sees by now.
     async fn deliver_progress(&mut self) -> Result<(), Broken> {
         if std::mem::take(&mut self.is_progress_asked)
-            && let Some(heard) = self.watches.iter().map(|watch| watch.next - 1).min()
+            && let Some(received) = self.watches.iter().map(|watch| watch.next - 1).min()
         {
-            self.send_progress(ALL_WATCHES, heard).await?;
+            self.send_progress(ALL_WATCHES, received).await?;
             let now = self.server.stage.now();
             self.watches
                 .iter_mut()
@@ -376,22 +376,22 @@
                 continue;
             }
             watch.answered_at = now;
-            let (id, heard) = (watch.id, watch.next - 1);
+            let (id, received) = (watch.id, watch.next - 1);
             // One that waits for a revision to come has no progress yet.
-            if heard <= self.view().revision {
-                self.send_progress(id, heard).await?;
+            if received <= self.view().revision {
+                self.send_progress(id, received).await?;
             }
         }
         Ok(())
     }
 
-    async fn send_progress(&mut self, id: i64, heard: i64) -> Result<(), Broken> {
+    async fn send_progress(&mut self, id: i64, received: i64) -> Result<(), Broken> {
         self.server.count(self.caller.member, |exchanges| {
             exchanges.progress_answers += 1
         });
         let view = self.view();
         let view = View {
-            revision: view.revision.min(heard),
+            revision: view.revision.min(received),
             ..view
         };
         let response = self.response(id, view);
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -18,9 +18,9 @@
 impl Executor {
     pub(super) async fn connection(self: Rc<Self>, stream: Stream, leaving: Receiver<()>) {
         let now = self.stage.now();
-        if self.faults.slow_handshakes.is_on(now) {
+        if self.faults.slow_handshakes.is_active(now) {
             self.stage
-                .sleep(self.faults.slow_handshakes.ends() - now)
+                .sleep(self.faults.slow_handshakes.ends_at() - now)
                 .await;
         }
         let mut builder = h2::server::Builder::new();
@@ -41,7 +41,7 @@
         let mut said_goodbye = false;
         let serve = async {
             loop {
-                while self.faults.deaf.is_on(self.stage.now()) {
+                while self.faults.reads_paused.is_active(self.stage.now()) {
                     self.stage.sleep(0.05).await;
                 }
                 let goodbye = async {
--- a/crates/test-servers/src/executor/copies.rs
+++ b/crates/test-servers/src/executor/copies.rs
@@ -1,7 +1,7 @@
 //! Copies of functions: loaded from the store once for all that wait, unloaded for room, run lane by lane.
 
 use super::Executor;
-use super::guards::{Held, Lane};
+use super::guards::{Held, Slot};
 use super::program::{Program, digest};
 use async_channel::{Receiver, Sender};
 use orchidtally_executor_protocol::v1;
@@ -16,7 +16,7 @@
     pub(super) held: usize,
     pub(super) used_at: f64,
     pub(super) lanes: Receiver<()>,
-    pub(super) free_lane: Sender<()>,
+    pub(super) free_slot: Sender<()>,
     pub(super) memory: f64,
     /// Of the bytes that were loaded.
     pub(super) digest: String,
@@ -27,7 +27,7 @@
     pub(super) async fn copy(
         self: &Rc<Self>,
         function: &str,
-        wanted: &str,
+        requested: &str,
         program: &Program,
         loads: bool,
     ) -> Result<v1::Found, Unloaded> {
@@ -65,10 +65,10 @@
             self.make_room(program.memory)?;
             found = v1::Found::Loaded;
             let (ended, loading) = async_channel::bounded(1);
-            let (free_lane, lanes) = async_channel::bounded(program.lanes.max(1));
-            for _ in 0..program.lanes.max(1) {
+            let (free_slot, lanes) = async_channel::bounded(program.concurrency.max(1));
+            for _ in 0..program.concurrency.max(1) {
                 // The channel has room for just these.
-                let _ = free_lane.try_send(());
+                let _ = free_slot.try_send(());
             }
             let copy = Copy {
                 loading: Some(loading),
@@ -77,17 +77,17 @@
                 held: 0,
                 used_at: self.stage.now(),
                 lanes,
-                free_lane,
+                free_slot,
                 memory: program.memory,
                 digest: String::new(),
             };
             self.copies.borrow_mut().insert(function.to_owned(), copy);
             let (me, name, time) = (self.clone(), function.to_owned(), program.load_time);
-            let (bytes, wanted) = (program.package.clone(), wanted.to_owned());
+            let (bytes, requested) = (program.package.clone(), requested.to_owned());
             let load = async move {
                 let fetched = me.store.fetch(time).await;
                 let found = digest(&bytes);
-                let came = fetched && (wanted.is_empty() || found == wanted);
+                let came = fetched && (requested.is_empty() || found == requested);
                 if fetched && !came {
                     me.other_bytes.borrow_mut().insert(name.clone());
                 }
@@ -121,7 +121,7 @@
                 .min_by(|a, b| a.1.used_at.total_cmp(&b.1.used_at))
                 .map(|(name, _)| name.clone());
             let Some(oldest) = oldest else {
-                return Err(Unloaded::NoRoom);
+                return Err(Unloaded::NoCapacity);
             };
             copies.remove(&oldest);
         }
@@ -129,14 +129,14 @@
     }
 
     /// A lane of a copy, once one is free.
-    pub(super) async fn lane(self: &Rc<Self>, function: &str) -> Option<Lane> {
+    pub(super) async fn slot(self: &Rc<Self>, function: &str) -> Option<Slot> {
         let (lanes, back, digest) = {
             let mut copies = self.copies.borrow_mut();
             let copy = copies.get_mut(function)?;
             copy.held += 1;
             (
                 copy.lanes.clone(),
-                copy.free_lane.clone(),
+                copy.free_slot.clone(),
                 copy.digest.clone(),
             )
         };
@@ -147,7 +147,7 @@
         lanes.recv().await.ok()?;
         drop(held);
         self.copies.borrow_mut().get_mut(function)?.running += 1;
-        Some(Lane {
+        Some(Slot {
             executor: self.clone(),
             function: function.to_owned(),
             back,
@@ -161,6 +161,6 @@
     Failed,
     /// What was fetched is not what the digest names.
     OtherBytes,
-    NoRoom,
+    NoCapacity,
     Missing,
 }
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -17,8 +17,8 @@
 impl Executor {
     fn index_taken(&self, from: v1::Sender) -> bool {
         let now = self.stage.now();
-        let mut heard = self.heard.borrow_mut();
-        let of = heard.entry(from.index).or_default();
+        let mut received = self.received.borrow_mut();
+        let of = received.entry(from.index).or_default();
         of.insert(from.incarnation, now);
         of.retain(|_, at| now < *at + 1.0);
         of.len() > 1
@@ -49,13 +49,13 @@
             number: dispatch.number,
             ended: false,
         };
-        let crowd = self
+        let function_concurrency = self
             .copies
             .borrow()
             .get(&package(&dispatch.function, &dispatch.digest))
             .map_or(0, |c| c.running + c.held);
         let mut answer = v1::Answer {
-            crowd: crowd.min(30) as u32,
+            crowd: function_concurrency.min(30) as u32,
             report: self.report(),
             index_taken: self.index_taken(from),
             ..v1::Answer::default()
@@ -85,8 +85,8 @@
             future::pending::<()>().await;
         }
         let stage = &self.stage;
-        while self.faults.hangs.is_on(stage.now()) {
-            stage.sleep(self.faults.hangs.ends() - stage.now()).await;
+        while self.faults.hangs.is_active(stage.now()) {
+            stage.sleep(self.faults.hangs.ends_at() - stage.now()).await;
         }
         let mut end = |ending: v1::Ending, detail: &str| {
             answer.set_ending(ending);
@@ -96,7 +96,7 @@
             end(v1::Ending::Error, "no such function");
             return (vec![], 0);
         };
-        if self.faults.errors.is_on(stage.now()) {
+        if self.faults.fails_at_once.is_active(stage.now()) {
             stage.sleep(0.002).await;
             end(v1::Ending::Error, "out of order");
             return (vec![], 0);
@@ -114,13 +114,18 @@
         }
         let payload = body.rest().await;
         let found = match self
-            .copy(&name, &dispatch.digest, &program, !self.make.answers_miss)
+            .copy(
+                &name,
+                &dispatch.digest,
+                &program,
+                !self.make.rejects_unloaded,
+            )
             .await
         {
             Ok(found) => found,
             Err(Unloaded::Failed) => {
                 answer.set_found(v1::Found::LoadFailed);
-                answer.set_ending(if self.make.fail_is_miss {
+                answer.set_ending(if self.make.reports_failed_load_as_miss {
                     v1::Ending::Miss
                 } else {
                     v1::Ending::Error
@@ -133,7 +138,7 @@
                 answer.digest_differs = true;
                 return (vec![], 0);
             }
-            Err(Unloaded::NoRoom) => {
+            Err(Unloaded::NoCapacity) => {
                 end(v1::Ending::Full, "no memory");
                 return (vec![], 0);
             }
@@ -142,7 +147,7 @@
                 return (vec![], 0);
             }
         };
-        let Some(lane) = self.lane(&name).await else {
+        let Some(slot) = self.slot(&name).await else {
             end(v1::Ending::Full, "unloaded meanwhile");
             return (vec![], 0);
         };
@@ -164,7 +169,7 @@
             },
         });
         if !dispatch.digest.is_empty() {
-            let loaded = lane.digest.clone();
+            let loaded = slot.digest.clone();
             stage.record(TrafficRecord::VersionExecuted {
                 at,
                 executor: number,
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -54,7 +54,7 @@
 }
 
 /// A lane of a copy, given back when dropped.
-pub(super) struct Lane {
+pub(super) struct Slot {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
     pub(super) back: Sender<()>,
@@ -62,7 +62,7 @@
     pub(super) digest: String,
 }
 
-impl Drop for Lane {
+impl Drop for Slot {
     fn drop(&mut self) {
         // The copy may be gone with its lanes.
         let _ = self.back.try_send(());
--- a/crates/test-servers/src/executor/orders.rs
+++ b/crates/test-servers/src/executor/load_commands.rs
@@ -24,14 +24,14 @@
         };
         answer.set_ending(v1::Ending::Ok);
         if hold {
-            while self.faults.hangs.is_on(self.stage.now()) {
+            while self.faults.hangs.is_active(self.stage.now()) {
                 self.stage
-                    .sleep(self.faults.hangs.ends() - self.stage.now())
+                    .sleep(self.faults.hangs.ends_at() - self.stage.now())
                     .await;
             }
             let name = package(&order.function, &order.digest);
             let loaded = match (self.catalogue)(&name) {
-                Some(_) if self.draining.get() => Err(Unloaded::NoRoom),
+                Some(_) if self.draining.get() => Err(Unloaded::NoCapacity),
                 Some(program) => self
                     .copy(&name, &order.digest, &program, true)
                     .await
@@ -42,7 +42,7 @@
             answer.set_ending(match loaded {
                 Ok(()) => v1::Ending::Ok,
                 Err(Unloaded::Failed | Unloaded::OtherBytes) => v1::Ending::Error,
-                Err(Unloaded::NoRoom | Unloaded::Missing) => v1::Ending::Full,
+                Err(Unloaded::NoCapacity | Unloaded::Missing) => v1::Ending::Full,
             });
         } else if order.kind() == v1::OrderKind::Unload {
             let name = package(&order.function, &order.digest);
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -2,17 +2,17 @@
 //! with its group, a cold start in which it can be pushed over, reports that come late and noisy; and the
 //! faults that a script puts on it.
 
-mod cold;
 mod connection;
 mod copies;
 mod dispatch;
 mod guards;
-mod make;
-mod orders;
+mod load_commands;
 mod program;
+mod slow_start;
+mod spec;
 
-pub use make::{ExecutorSpec, Faults, SharedResources, TokenCache};
 pub use program::{Catalogue, Program, digest, echo, package};
+pub use spec::{ExecutorSpec, Faults, SharedResources, TokenCache};
 
 use crate::TestEnvironment;
 use crate::store::PackageStore;
@@ -48,7 +48,7 @@
     /// Backlogs by time, for reports that are late.
     backlogs: RefCell<VecDeque<(f64, f32, f32)>>,
     /// Incarnations heard under each index, and when.
-    heard: RefCell<HashMap<u32, HashMap<u64, f64>>>,
+    received: RefCell<HashMap<u32, HashMap<u64, f64>>>,
     serving: RefCell<Option<Task<()>>>,
     open: RefCell<Vec<TcpStream>>,
     goodbye: RefCell<Option<Sender<()>>>,
@@ -76,8 +76,8 @@
             stage: stage.clone(),
             store: around.store,
             catalogue: around.catalogue,
-            tokens: around.tokens,
-            token_window: around.token_window,
+            tokens: around.token_cache,
+            token_window: around.deduplication_window,
             copies: RefCell::default(),
             other_bytes: RefCell::default(),
             in_hand: Cell::new(0),
@@ -86,7 +86,7 @@
             since: Cell::new(f64::NEG_INFINITY),
             arrived: RefCell::default(),
             backlogs: RefCell::default(),
-            heard: RefCell::default(),
+            received: RefCell::default(),
             serving: RefCell::default(),
             open: RefCell::default(),
             goodbye: RefCell::default(),
@@ -99,7 +99,7 @@
         Ok(executor)
     }
 
-    pub fn since(&self) -> f64 {
+    pub fn started_at(&self) -> f64 {
         self.since.get()
     }
 
@@ -107,7 +107,7 @@
         self.serving.borrow().is_some()
     }
 
-    pub fn in_hand(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.in_hand.get()
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Tells all peers that it goes: what is in hand is finished, nothing new is taken.
-    pub fn say_goodbye(&self) {
+    pub fn send_go_away(&self) {
         self.goodbye.borrow_mut().take();
     }
 
@@ -191,19 +191,19 @@
 
     fn report(&self) -> Vec<f32> {
         let now = self.stage.now();
-        let late = if self.faults.late_reports.is_on(now) {
+        let late = if self.faults.delayed_reports.is_active(now) {
             8.0
         } else {
             self.make.report_delay
         };
         let backlogs = self.backlogs.borrow();
-        let told = backlogs
+        let notified = backlogs
             .iter()
             .rev()
             .find(|b| b.0 <= now - late)
             .or(backlogs.front())
             .copied();
-        let (_, waiting, memory) = told.unwrap_or_default();
+        let (_, waiting, memory) = notified.unwrap_or_default();
         let noise = 1.0 + self.make.report_noise * (2.0 * self.stage.unit() - 1.0);
         let value = |field: &String| match field.as_str() {
             "backlog" => waiting * noise as f32,
--- a/crates/test-servers/src/executor/program.rs
+++ b/crates/test-servers/src/executor/program.rs
@@ -8,7 +8,7 @@
 #[derive(Clone)]
 pub struct Program {
     /// Invocations that a copy runs at a time.
-    pub lanes: usize,
+    pub concurrency: usize,
     /// Of a copy, in the unit of `Make::memory`.
     pub memory: f64,
     /// In seconds, where nobody else loads.
@@ -31,7 +31,7 @@
 impl Default for Program {
     fn default() -> Program {
         Program {
-            lanes: 1,
+            concurrency: 1,
             memory: 1.0,
             load_time: 0.01,
             work: 0.001,
--- a/crates/test-servers/src/executor/cold.rs
+++ b/crates/test-servers/src/executor/slow_start.rs
@@ -6,8 +6,9 @@
 
 impl Executor {
     pub(super) fn warmth(&self) -> f64 {
-        let age = (self.stage.now() - self.since.get()) / self.make.cold;
-        (self.make.cold_from + (1.0 - self.make.cold_from) * age).min(1.0)
+        let age = (self.stage.now() - self.since.get()) / self.make.slow_start_duration;
+        (self.make.slow_start_initial_weight + (1.0 - self.make.slow_start_initial_weight) * age)
+            .min(1.0)
     }
 
     /// Counts work that comes while it is cold; tells whether that was too much.
@@ -18,12 +19,16 @@
         }
         let mut arrived = self.arrived.borrow_mut();
         arrived.push_back((now, work));
-        while arrived.front().is_some_and(|a| a.0 < now - self.make.fall) {
+        while arrived
+            .front()
+            .is_some_and(|a| a.0 < now - self.make.overload_window)
+        {
             arrived.pop_front();
         }
         let sum: f64 = arrived.iter().map(|a| a.1).sum();
         // One invocation alone pushes nothing over, however long it runs.
-        let most = self.make.overload_factor * warmth * self.make.cores as f64 * self.make.fall;
+        let most =
+            self.make.overload_factor * warmth * self.make.cores as f64 * self.make.overload_window;
         arrived.len() > 2 && sum > most
     }
 
@@ -42,7 +47,7 @@
         self.stage
             .spawn(async move {
                 me.crash();
-                me.stage.sleep(me.make.down).await;
+                me.stage.sleep(me.make.downtime).await;
                 me.falling.set(false);
                 if let Err(e) = me.restart() {
                     warn!(executor = %me.address, fault = %e, "did not come up again");
--- a/crates/test-servers/src/executor/make.rs
+++ b/crates/test-servers/src/executor/spec.rs
@@ -18,16 +18,16 @@
     pub queue: usize,
     /// An idle copy is unloaded after this.
     pub keep_alive: f64,
-    pub answers_miss: bool,
+    pub rejects_unloaded: bool,
     /// What waits for a load that fails ends in 'miss', which proves that it never ran, else in an error.
-    pub fail_is_miss: bool,
+    pub reports_failed_load_as_miss: bool,
     /// A cold start: how long, from which part of its capacity on, and the load that pushes it over.
-    pub cold: f64,
-    pub cold_from: f64,
+    pub slow_start_duration: f64,
+    pub slow_start_initial_weight: f64,
     pub overload_factor: f64,
-    pub fall: f64,
+    pub overload_window: f64,
     /// Down for so long after it was pushed over.
-    pub down: f64,
+    pub downtime: f64,
     /// Reports are as old as this, and off by this part.
     pub report_delay: f64,
     pub report_noise: f64,
@@ -36,20 +36,20 @@
 
 impl ExecutorSpec {
     /// One with room that is warm at once and tells no reports.
-    pub fn roomy(number: usize) -> ExecutorSpec {
+    pub fn with_ample_capacity(number: usize) -> ExecutorSpec {
         ExecutorSpec {
             number,
             cores: 8,
             memory: 100.0,
             queue: 100,
             keep_alive: 10.0,
-            answers_miss: false,
-            fail_is_miss: true,
-            cold: 0.01,
-            cold_from: 1.0,
+            rejects_unloaded: false,
+            reports_failed_load_as_miss: true,
+            slow_start_duration: 0.01,
+            slow_start_initial_weight: 1.0,
             overload_factor: 100.0,
-            fall: 1.0,
-            down: 1.0,
+            overload_window: 1.0,
+            downtime: 1.0,
             report_delay: 0.0,
             report_noise: 0.0,
             report_fields: vec![],
@@ -80,13 +80,13 @@
     /// Nothing is answered, and nothing run.
     pub hangs: TimedFault,
     /// Every dispatch errors at once.
-    pub errors: TimedFault,
+    pub fails_at_once: TimedFault,
     /// Connections are accepted, and their handshake waits.
     pub slow_handshakes: TimedFault,
     /// Nothing is read from any socket.
-    pub deaf: TimedFault,
+    pub reads_paused: TimedFault,
     /// Reports come so much later.
-    pub late_reports: TimedFault,
+    pub delayed_reports: TimedFault,
 }
 
 /// What an executor shares with others.
@@ -94,6 +94,6 @@
     pub store: Rc<PackageStore>,
     pub catalogue: Catalogue,
     /// Shared by the executors of its group.
-    pub tokens: Rc<TokenCache>,
-    pub token_window: f64,
+    pub token_cache: Rc<TokenCache>,
+    pub deduplication_window: f64,
 }
--- a/crates/test-servers/src/fault_proxy.rs
+++ b/crates/test-servers/src/fault_proxy.rs
@@ -145,7 +145,7 @@
 
     /// Waits while the script lets nothing pass.
     async fn hold_back(&self, generation: u64, stalled: &TimedFault) {
-        while generation < self.frozen_before.get() || stalled.is_on(self.stage.now()) {
+        while generation < self.frozen_before.get() || stalled.is_active(self.stage.now()) {
             self.stage.sleep(POLL).await;
         }
     }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,16 +1,16 @@
 //! Stand-ins for what the program meets: executors that load functions from a shared store, the publisher of
 //! their roster, and clients. All of them live on one thread, keep one clock and write one list of records.
 
-pub mod bare;
+pub mod baseline;
 pub mod broker;
 pub mod client;
 pub mod etcd;
 pub mod executor;
 pub mod fault_proxy;
+pub mod misbehaving_front_end;
 pub mod platform;
 pub mod publisher;
 pub mod raw;
-pub mod rogue;
 pub mod store;
 
 use async_executor::LocalExecutor;
@@ -126,11 +126,11 @@
         self.0.set(self.0.get().max(at));
     }
 
-    pub fn is_on(&self, now: f64) -> bool {
+    pub fn is_active(&self, now: f64) -> bool {
         now < self.0.get()
     }
 
-    pub fn ends(&self) -> f64 {
+    pub fn ends_at(&self) -> f64 {
         self.0.get()
     }
 }
--- a/crates/test-servers/src/rogue.rs
+++ b/crates/test-servers/src/misbehaving_front_end.rs
@@ -81,10 +81,10 @@
             let ask = frame(&v1::RosterWatch {
                 from: Some(self.sender),
             });
-            if let Ok(mut told) = self.send(publisher, ENDPOINTS, ask).await {
-                while let Some(Ok(chunk)) = told.data().await {
+            if let Ok(mut notified) = self.send(publisher, ENDPOINTS, ask).await {
+                while let Some(Ok(chunk)) = notified.data().await {
                     // Fails only where the stream has ended, which the next read tells.
-                    let _ = told.flow_control().release_capacity(chunk.len());
+                    let _ = notified.flow_control().release_capacity(chunk.len());
                 }
             }
             self.connections.borrow_mut().remove(&publisher);
@@ -115,11 +115,11 @@
             .await?;
         let next = listed.header.map_or(0, |header| header.revision) + 1;
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), next);
-        let mut told = client
+        let mut notified = client
             .both::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME)
             .await?;
         loop {
-            if told.next().await?.canceled {
+            if notified.next().await?.canceled {
                 return Ok(());
             }
         }
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -104,11 +104,15 @@
 
     /// Sends an invocation and notes what comes of it; nothing where no connection came about.
     pub async fn invoke(&self, ask: &ClientRequest) -> Option<FinalAnswer> {
-        self.invoke_for(ask, f64::INFINITY).await
+        self.invoke_with_timeout(ask, f64::INFINITY).await
     }
 
     /// The same, and withdraws the invocation if it has no answer after some seconds.
-    pub async fn invoke_for(&self, ask: &ClientRequest, patience: f64) -> Option<FinalAnswer> {
+    pub async fn invoke_with_timeout(
+        &self,
+        ask: &ClientRequest,
+        timeout: f64,
+    ) -> Option<FinalAnswer> {
         let open = self.connection().await.ok()?;
         let stream = open.next.get();
         open.next.set(stream + 1);
@@ -151,7 +155,7 @@
             Some(&fields),
             &ask.body,
         );
-        let heard = async {
+        let received = async {
             (&*open.stream).write_all(&frame).await.ok()?;
             answers.recv().await.ok()
         };
@@ -160,14 +164,14 @@
             Some((0, vec![]))
         };
         let leaves = async {
-            if patience.is_finite() {
-                self.stage.sleep(patience).await;
+            if timeout.is_finite() {
+                self.stage.sleep(timeout).await;
             } else {
                 future::pending::<()>().await;
             }
         };
-        let answered = async { Some(future::or(heard, timed_out).await) };
-        let Some(heard) = future::or(answered, async {
+        let answered = async { Some(future::or(received, timed_out).await) };
+        let Some(received) = future::or(answered, async {
             leaves.await;
             None
         })
@@ -185,7 +189,7 @@
             return None;
         };
         let at = self.stage.now();
-        let answer = match heard {
+        let answer = match received {
             Some((frames::SUCCEEDED, body)) if body == ask.body => FinalAnswer::Succeeded,
             Some((frames::THROTTLED, _)) => FinalAnswer::Rejected,
             Some((frames::ERRORED, _)) => FinalAnswer::Failed,
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -19,14 +19,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
     /// The connection is reset before anything is begun.
-    Unread,
+    ResetUnread,
     /// It is reset within the answer.
-    Half,
-    Noise,
+    CutShort,
+    Garbage,
     /// A body that is no base64.
-    BadBody,
-    Twice,
-    Never,
+    InvalidBody,
+    Duplicated,
+    Dropped,
 }
 
 /// What a script may put on an executor.
@@ -34,7 +34,7 @@
 pub struct Faults {
     silent: TimedFault,
     /// What goes wrong with answers, and the chance that it does.
-    pub spoils: Cell<Option<(ResponseFault, f64)>>,
+    pub response_fault: Cell<Option<(ResponseFault, f64)>>,
 }
 
 pub struct Executor {
@@ -43,7 +43,7 @@
     /// Executors of a cell share the tokens they have seen.
     pub cell: u16,
     /// Where it listens for each front end.
-    pub at: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// What each front end's connections pass through, where a script wants that.
     pub links: RefCell<Vec<Rc<FaultProxy>>>,
     pub faults: Faults,
@@ -51,14 +51,14 @@
     pub load_time: f64,
     pub work: f64,
     /// When it last started; minus infinity for long ago.
-    pub since: Cell<f64>,
+    pub started_at: Cell<f64>,
     /// While it is cold, so many dispatches within a second push it over.
-    pub cold: f64,
-    pub bears: usize,
+    pub slow_start_duration: f64,
+    pub overload_limit: usize,
     arrived: RefCell<Vec<f64>>,
-    fell: Cell<bool>,
+    is_overloaded: Cell<bool>,
     stage: TestEnvironment,
-    lives: Rc<Incarnations>,
+    incarnations: Rc<Incarnations>,
     tokens: Rc<RefCell<HashMap<(u16, String), f64>>>,
     token_window: f64,
     /// When the copy of a function stands.
@@ -121,7 +121,7 @@
 /// Executors with an address for each front end, in cells of two; they serve as long as the stage's tasks run.
 pub fn executors(
     stage: &TestEnvironment,
-    lives: &Rc<Incarnations>,
+    incarnations: &Rc<Incarnations>,
     count: usize,
     front_ends: u32,
     token_window: f64,
@@ -140,19 +140,19 @@
             number,
             name: format!("s-{number:08x}"),
             cell: (number / 2) as u16,
-            at,
+            addresses: at,
             links: RefCell::default(),
             faults: Faults::default(),
             draining: Cell::default(),
             load_time: 0.05,
             work: 0.01,
-            since: Cell::new(f64::NEG_INFINITY),
-            cold: 1.0,
-            bears: 30,
+            started_at: Cell::new(f64::NEG_INFINITY),
+            slow_start_duration: 1.0,
+            overload_limit: 30,
             arrived: RefCell::default(),
-            fell: Cell::default(),
+            is_overloaded: Cell::default(),
             stage: stage.clone(),
-            lives: lives.clone(),
+            incarnations: incarnations.clone(),
             tokens: tokens.clone(),
             token_window,
             copies: RefCell::default(),
@@ -171,23 +171,26 @@
 impl Executor {
     /// Puts a proxy before each of its addresses.
     pub fn link(&self) -> std::io::Result<()> {
-        let links = self.at.iter().map(|&at| FaultProxy::start(&self.stage, at));
+        let links = self
+            .addresses
+            .iter()
+            .map(|&at| FaultProxy::start(&self.stage, at));
         *self.links.borrow_mut() = links.collect::<std::io::Result<_>>()?;
         Ok(())
     }
 
     /// Where a front end reaches it.
-    pub fn reached_at(&self, front_end: u32) -> SocketAddr {
+    pub fn address_for(&self, front_end: u32) -> SocketAddr {
         let link = self
             .links
             .borrow()
             .get(front_end as usize)
             .map(|link| link.address);
-        link.unwrap_or(self.at[front_end as usize])
+        link.unwrap_or(self.addresses[front_end as usize])
     }
 
     /// From here on it reads nothing and takes no connection, as a machine that has vanished.
-    pub fn fall_silent(&self, time: f64) {
+    pub fn go_silent(&self, time: f64) {
         let at = self.stage.now();
         self.faults.silent.set(at + time);
         self.stage.record(TrafficRecord::ReadsPaused {
@@ -198,7 +201,7 @@
     }
 
     async fn silence(&self) {
-        while self.faults.silent.is_on(self.stage.now()) {
+        while self.faults.silent.is_active(self.stage.now()) {
             self.stage.sleep(0.01).await;
         }
     }
@@ -269,7 +272,7 @@
             at,
             executor: self.number,
             front_end,
-            incarnation: self.lives.of(front_end),
+            incarnation: self.incarnations.of(front_end),
             invocation: id.to_owned(),
             number,
             token: text("nonce"),
@@ -278,14 +281,14 @@
         let mut arrived = self.arrived.borrow_mut();
         arrived.retain(|&t| t > at - 1.0);
         arrived.push(at);
-        if at < self.since.get() + self.cold
-            && arrived.len() > self.bears
-            && !self.fell.replace(true)
+        if at < self.started_at.get() + self.slow_start_duration
+            && arrived.len() > self.overload_limit
+            && !self.is_overloaded.replace(true)
         {
             self.stage.record(TrafficRecord::ExecutorOverloaded {
                 at,
                 executor: self.number,
-                started_at: self.since.get(),
+                started_at: self.started_at.get(),
             });
         }
         InHand {
@@ -320,11 +323,11 @@
         }
         let spoil = self
             .faults
-            .spoils
+            .response_fault
             .get()
             .filter(|s| self.stage.unit() < s.1)
             .map(|s| s.0);
-        if spoil == Some(ResponseFault::Unread) {
+        if spoil == Some(ResponseFault::ResetUnread) {
             return way.cut();
         }
         let tell = self.load(fields["item"].as_str().unwrap_or_default()).await;
@@ -346,21 +349,23 @@
             },
         );
         self.stage.sleep(self.work).await;
-        let told = json!({"tell": tell, "crowd": "1"});
-        let done = line("DONE", &id, told.clone(), &message["b"]);
+        let notified = json!({"tell": tell, "crowd": "1"});
+        let done = line("DONE", &id, notified.clone(), &message["b"]);
         match spoil {
             None => {}
-            Some(ResponseFault::Half) => {
+            Some(ResponseFault::CutShort) => {
                 way.put(done[..done.len() / 2].to_vec()).await;
                 self.stage.sleep(0.01).await;
                 return way.cut();
             }
-            Some(ResponseFault::Noise) => return way.put(b"\x01 noise\n".to_vec()).await,
-            Some(ResponseFault::BadBody) => {
-                return way.put(line("DONE", &id, told, &"%%%".into())).await;
+            Some(ResponseFault::Garbage) => return way.put(b"\x01 noise\n".to_vec()).await,
+            Some(ResponseFault::InvalidBody) => {
+                return way.put(line("DONE", &id, notified, &"%%%".into())).await;
+            }
+            Some(ResponseFault::Duplicated) => way.put(done.clone()).await,
+            Some(ResponseFault::Dropped | ResponseFault::ResetUnread) => {
+                return future::pending().await;
             }
-            Some(ResponseFault::Twice) => way.put(done.clone()).await,
-            Some(ResponseFault::Never | ResponseFault::Unread) => return future::pending().await,
         }
         in_hand.end(DispatchOutcome::Succeeded);
         way.put(done).await;
@@ -373,7 +378,7 @@
             at: self.stage.now(),
             executor: self.number,
             front_end: way.front_end,
-            incarnation: self.lives.of(way.front_end),
+            incarnation: self.incarnations.of(way.front_end),
             replicas: copies,
         });
         if self.draining.get() {
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -17,48 +17,48 @@
 #[derive(Clone)]
 pub struct ListedEndpoint {
     pub executor: Rc<Executor>,
-    pub standing: EndpointState,
+    pub state: EndpointState,
 }
 
 /// How an answer of the resolver goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
-    Lost,
-    Foreign,
+    Dropped,
+    WrongId,
     Truncated,
-    Cut,
-    Failed,
+    CutShort,
+    ServerFailure,
     /// The list before this one.
-    Stale,
+    PreviousList,
     /// The rows of the list before this one, under the present serial.
-    OldRows,
+    PreviousRows,
     /// This list under a serial that is so much higher.
-    Ahead(u32),
+    SerialJump(u32),
     /// Sent long after the next query, so that later ones overtake it.
-    Late,
+    Delayed,
     /// Sent so many milliseconds late.
-    LateBy(u32),
+    DelayedBy(u32),
     /// Sent twice.
-    Doubled,
+    Duplicated,
     /// One executor's text is unreadable.
-    OddText,
+    UnreadableText,
     /// One executor's standing is the other one.
-    OddStanding,
+    WrongState,
 }
 
 pub struct Resolver {
     stage: TestEnvironment,
-    lives: Rc<Incarnations>,
+    incarnations: Rc<Incarnations>,
     rows: RefCell<Vec<ListedEndpoint>>,
-    before: RefCell<(u32, Vec<ListedEndpoint>)>,
+    previous: RefCell<(u32, Vec<ListedEndpoint>)>,
     serial: Cell<u32>,
     /// What goes wrong with answers, and the chance that it does.
-    pub odd: Cell<Option<(AnswerFault, f64)>>,
+    pub answer_fault: Cell<Option<(AnswerFault, f64)>>,
     /// Nothing is answered until then; since when.
-    away: TimedFault,
-    told: RefCell<HashMap<(u64, usize), EndpointState>>,
+    outage: TimedFault,
+    notified: RefCell<HashMap<(u64, usize), EndpointState>>,
     /// The one address that answers, where the others no longer do.
-    only: Cell<Option<SocketAddr>>,
+    only_address: Cell<Option<SocketAddr>>,
 }
 
 const SERVICE: &str = "_data._tcp.farm.lan";
@@ -66,40 +66,40 @@
 impl Resolver {
     pub fn new(
         stage: &TestEnvironment,
-        lives: &Rc<Incarnations>,
+        incarnations: &Rc<Incarnations>,
         executors: &[Rc<Executor>],
     ) -> Rc<Resolver> {
         let ready = |e: &Rc<Executor>| ListedEndpoint {
             executor: e.clone(),
-            standing: EndpointState::Ready,
+            state: EndpointState::Ready,
         };
         let rows: Vec<ListedEndpoint> = executors.iter().map(ready).collect();
         Rc::new(Resolver {
             stage: stage.clone(),
-            lives: lives.clone(),
-            before: RefCell::new((1, rows.clone())),
+            incarnations: incarnations.clone(),
+            previous: RefCell::new((1, rows.clone())),
             rows: RefCell::new(rows),
             serial: Cell::new(1),
-            odd: Cell::default(),
-            away: TimedFault::default(),
-            told: RefCell::default(),
-            only: Cell::default(),
+            answer_fault: Cell::default(),
+            outage: TimedFault::default(),
+            notified: RefCell::default(),
+            only_address: Cell::default(),
         })
     }
 
     /// An event: some executors stand otherwise from now on.
     pub fn change(&self, change: impl FnOnce(&mut Vec<ListedEndpoint>)) {
-        *self.before.borrow_mut() = (self.serial.get(), self.rows.borrow().clone());
+        *self.previous.borrow_mut() = (self.serial.get(), self.rows.borrow().clone());
         change(&mut self.rows.borrow_mut());
         self.serial.set(self.serial.get() + 1);
     }
 
     /// What happened so long ago counts as told, unless nobody is answered at all.
-    pub fn tell_later(self: &Rc<Self>, after: f64, front_ends: u32) {
+    pub fn notify_later(self: &Rc<Self>, after: f64, front_ends: u32) {
         let me = self.clone();
         let telling = async move {
             me.stage.sleep(after).await;
-            if !me.away.is_on(me.stage.now()) {
+            if !me.outage.is_active(me.stage.now()) {
                 (0..front_ends).for_each(|j| me.tell(j));
             }
         };
@@ -108,17 +108,17 @@
 
     /// Nobody answers at the other addresses from now on.
     pub fn close_all_but(&self, at: SocketAddr) {
-        self.only.set(Some(at));
+        self.only_address.set(Some(at));
     }
 
     /// Answers nothing for a time. Whatever it would have told counts as told at the latest `counts_after` after that
     /// began.
-    pub fn go_away(self: &Rc<Self>, time: f64, counts_after: f64, front_ends: u32) {
-        self.away.set(self.stage.now() + time);
+    pub fn stop_answering(self: &Rc<Self>, time: f64, counts_after: f64, front_ends: u32) {
+        self.outage.set(self.stage.now() + time);
         let me = self.clone();
         let counting = async move {
             me.stage.sleep(counts_after).await;
-            while me.away.is_on(me.stage.now()) {
+            while me.outage.is_active(me.stage.now()) {
                 (0..front_ends).for_each(|j| me.tell(j));
                 me.stage.sleep(0.05).await;
             }
@@ -128,25 +128,29 @@
 
     /// What a front end is told now, as far as it is new to its present life.
     fn tell(&self, front_end: u32) {
-        let (at, life) = (self.stage.now(), self.lives.of(front_end));
+        let (at, incarnation) = (self.stage.now(), self.incarnations.of(front_end));
         let rows = self.rows.borrow();
-        let mut told = self.told.borrow_mut();
+        let mut notified = self.notified.borrow_mut();
         let listed = |n: usize| rows.iter().find(|r| r.executor.number == n);
-        let mut numbers: Vec<usize> = told.keys().filter(|k| k.0 == life).map(|k| k.1).collect();
+        let mut numbers: Vec<usize> = notified
+            .keys()
+            .filter(|k| k.0 == incarnation)
+            .map(|k| k.1)
+            .collect();
         numbers.extend(rows.iter().map(|r| r.executor.number));
         numbers.sort_unstable();
         numbers.dedup();
         for executor in numbers {
             let row = listed(executor);
-            let standing = row.map_or(EndpointState::Gone, |r| r.standing);
-            let since = row.map_or(f64::NEG_INFINITY, |r| r.executor.since.get());
-            if told.insert((life, executor), standing) != Some(standing) {
+            let state = row.map_or(EndpointState::Gone, |r| r.state);
+            let since = row.map_or(f64::NEG_INFINITY, |r| r.executor.started_at.get());
+            if notified.insert((incarnation, executor), state) != Some(state) {
                 self.stage.record(TrafficRecord::EndpointNotified {
                     at,
                     front_end,
-                    incarnation: life,
+                    incarnation,
                     executor,
-                    state: standing,
+                    state,
                     started_at: since,
                 });
             }
@@ -154,20 +158,20 @@
     }
 
     fn started(&self, executor: &Executor) -> u64 {
-        (self.stage.wall(executor.since.get()) * 1e3) as u64
+        (self.stage.wall(executor.started_at.get()) * 1e3) as u64
     }
 
     /// The list as a front end's configuration has it at its start.
-    pub fn known(&self, front_end: u32) -> Value {
+    pub fn initial_list(&self, front_end: u32) -> Value {
         self.tell(front_end);
         let host = |row: &ListedEndpoint| {
             let e = &row.executor;
-            let health = if row.standing == EndpointState::Ready {
+            let health = if row.state == EndpointState::Ready {
                 "SERVING"
             } else {
                 "DRAINING"
             };
-            json!({"host": e.name, "dial": e.reached_at(front_end), "site": "east", "class": "std",
+            json!({"host": e.name, "dial": e.address_for(front_end), "site": "east", "class": "std",
                 "block": e.cell, "health": health, "share": 4, "born_ms": self.started(e)})
         };
         let hosts: Vec<Value> = self.rows.borrow().iter().map(host).collect();
@@ -179,13 +183,13 @@
         &self,
         id: u16,
         front_end: u32,
-        odd: Option<AnswerFault>,
+        fault: Option<AnswerFault>,
     ) -> Result<Vec<u8>, simple_dns::SimpleDnsError> {
-        let before = self.before.borrow();
-        let (serial, rows) = match odd {
-            Some(AnswerFault::Stale) => (before.0, before.1.clone()),
-            Some(AnswerFault::OldRows) => (self.serial.get(), before.1.clone()),
-            Some(AnswerFault::Ahead(by)) => (
+        let before = self.previous.borrow();
+        let (serial, rows) = match fault {
+            Some(AnswerFault::PreviousList) => (before.0, before.1.clone()),
+            Some(AnswerFault::PreviousRows) => (self.serial.get(), before.1.clone()),
+            Some(AnswerFault::SerialJump(by)) => (
                 self.serial.get().wrapping_add(by),
                 self.rows.borrow().clone(),
             ),
@@ -195,23 +199,25 @@
             .iter()
             .map(|r| format!("{}.east.hosts", r.executor.name))
             .collect();
-        let mut packet = Packet::new_reply(if odd == Some(AnswerFault::Foreign) {
+        let mut packet = Packet::new_reply(if fault == Some(AnswerFault::WrongId) {
             !id
         } else {
             id
         });
         packet.set_flags(PacketFlag::RESPONSE);
-        match odd {
+        match fault {
             Some(AnswerFault::Truncated) => packet.set_flags(PacketFlag::TRUNCATION),
-            Some(AnswerFault::Failed) => *packet.rcode_mut() = simple_dns::RCODE::ServerFailure,
+            Some(AnswerFault::ServerFailure) => {
+                *packet.rcode_mut() = simple_dns::RCODE::ServerFailure
+            }
             _ => {}
         }
         for (n, (row, target)) in rows.iter().zip(&targets).enumerate() {
             let (e, target) = (&row.executor, Name::new(target)?);
-            let at = e.reached_at(front_end);
-            let is_odd = |kind| n == 0 && odd == Some(kind);
+            let at = e.address_for(front_end);
+            let is_faulty = |kind| n == 0 && fault == Some(kind);
             let priority = u16::from(
-                (row.standing != EndpointState::Ready) != is_odd(AnswerFault::OddStanding),
+                (row.state != EndpointState::Ready) != is_faulty(AnswerFault::WrongState),
             );
             let srv = SRV {
                 priority,
@@ -239,7 +245,7 @@
                 format!("cell={}", e.cell),
                 format!("started={}", self.started(e)),
             ];
-            for text in [if is_odd(AnswerFault::OddText) {
+            for text in [if is_faulty(AnswerFault::UnreadableText) {
                 "kin"
             } else {
                 "kind=std"
@@ -279,43 +285,47 @@
         let serving = async move {
             let mut query = [0; 512];
             while let Ok((n, from)) = socket.recv_from(&mut query).await {
-                let odd = me.odd.get().filter(|o| me.stage.unit() < o.1).map(|o| o.0);
+                let fault = me
+                    .answer_fault
+                    .get()
+                    .filter(|o| me.stage.unit() < o.1)
+                    .map(|o| o.0);
                 let id = u16::from_be_bytes([query[0], query[1]]);
-                let closed = me.only.get().is_some_and(|only| only != at);
-                if n < 12 || closed || me.away.is_on(me.stage.now()) {
+                let closed = me.only_address.get().is_some_and(|only| only != at);
+                if n < 12 || closed || me.outage.is_active(me.stage.now()) {
                     continue;
                 }
-                if odd == Some(AnswerFault::Lost) {
+                if fault == Some(AnswerFault::Dropped) {
                     // It was sent, so that what it holds is told.
                     me.tell(front_end);
                     continue;
                 }
-                let Ok(mut list) = me.list(id, front_end, odd) else {
+                let Ok(mut list) = me.list(id, front_end, fault) else {
                     continue;
                 };
-                if odd == Some(AnswerFault::Cut) {
+                if fault == Some(AnswerFault::CutShort) {
                     list.truncate(list.len() / 2);
                 }
                 let is_told = matches!(
-                    odd,
+                    fault,
                     None | Some(
-                        AnswerFault::Ahead(_)
-                            | AnswerFault::Late
-                            | AnswerFault::LateBy(_)
-                            | AnswerFault::Doubled
-                            | AnswerFault::OddText
+                        AnswerFault::SerialJump(_)
+                            | AnswerFault::Delayed
+                            | AnswerFault::DelayedBy(_)
+                            | AnswerFault::Duplicated
+                            | AnswerFault::UnreadableText
                     )
                 );
                 if is_told {
                     me.tell(front_end);
                 }
                 let (me, socket) = (me.clone(), socket.clone());
-                let late = match odd {
-                    Some(AnswerFault::Late) => 0.2 + 0.3 * me.stage.unit(),
-                    Some(AnswerFault::LateBy(ms)) => f64::from(ms) / 1e3,
+                let late = match fault {
+                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.stage.unit(),
+                    Some(AnswerFault::DelayedBy(ms)) => f64::from(ms) / 1e3,
                     _ => 0.0,
                 };
-                if odd == Some(AnswerFault::Doubled) {
+                if fault == Some(AnswerFault::Duplicated) {
                     let _ = socket.send_to(&list, from).await;
                 }
                 let sending = async move {
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -19,9 +19,9 @@
     pub kind: String,
     pub cell: u32,
     pub weight: f64,
-    pub standing: EndpointState,
+    pub state: EndpointState,
     /// On the stage's clock.
-    pub since: f64,
+    pub started_at: f64,
 }
 
 /// Changes that wait for one front end at the most; past that it is cut off and asks again.
@@ -38,7 +38,7 @@
     /// Changes are kept back until then, and new watchers get what stood before.
     pub stale: TimedFault,
     /// Where it is stale: the list as it stood.
-    kept: RefCell<Option<Vec<PublishedEndpoint>>>,
+    held_back: RefCell<Option<Vec<PublishedEndpoint>>>,
     cut: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
@@ -57,7 +57,7 @@
             watchers: RefCell::default(),
             delay: Cell::new(0.1),
             stale: TimedFault::default(),
-            kept: RefCell::default(),
+            held_back: RefCell::default(),
             cut: RefCell::new(async_channel::bounded(1)),
         });
         let me = publisher.clone();
@@ -72,41 +72,41 @@
     }
 
     /// Enters a change and tells it, later by chance within the delay.
-    pub fn change(&self, executor: usize, standing: EndpointState, since: f64) {
-        if self.stale.is_on(self.stage.now()) && self.kept.borrow().is_none() {
-            *self.kept.borrow_mut() = Some(self.rows.borrow().clone());
+    pub fn change(&self, executor: usize, state: EndpointState, since: f64) {
+        if self.stale.is_active(self.stage.now()) && self.held_back.borrow().is_none() {
+            *self.held_back.borrow_mut() = Some(self.rows.borrow().clone());
         }
         let row = {
             let mut rows = self.rows.borrow_mut();
             let Some(row) = rows.iter_mut().find(|r| r.executor == executor) else {
                 return;
             };
-            row.standing = standing;
-            row.since = row.since.max(since);
+            row.state = state;
+            row.started_at = row.started_at.max(since);
             row.clone()
         };
         self.revision.set(self.revision.get() + 1);
         let now = self.stage.now();
         self.watchers.borrow_mut().retain(|w| {
             let late = self.delay.get() * self.stage.unit();
-            w.try_send((now.max(self.stale.ends()) + late, row.clone()))
+            w.try_send((now.max(self.stale.ends_at()) + late, row.clone()))
                 .is_ok()
         });
     }
 
     /// Breaks all connections off.
-    pub fn cut_off(&self) {
+    pub fn disconnect_all(&self) {
         *self.cut.borrow_mut() = async_channel::bounded(1);
         self.watchers.borrow_mut().clear();
     }
 
     /// Keeps all changes back until then.
-    pub fn keep_back(&self, until: f64) {
+    pub fn hold_back_until(&self, until: f64) {
         self.stale.set(until);
     }
 
     fn wire(&self, row: &PublishedEndpoint) -> v1::RosterRow {
-        let standing = match row.standing {
+        let state = match row.state {
             EndpointState::Ready => v1::Standing::Ready,
             EndpointState::Draining => v1::Standing::Draining,
             EndpointState::Gone => v1::Standing::Gone,
@@ -116,20 +116,20 @@
             location: row.location.clone(),
             kind: row.kind.clone(),
             cell: row.cell,
-            standing: standing.into(),
+            standing: state.into(),
             weight: row.weight,
-            since: self.stage.wall(row.since),
+            since: self.stage.wall(row.started_at),
         }
     }
 
-    fn told(&self, to: v1::Sender, row: &PublishedEndpoint) {
+    fn notified(&self, to: v1::Sender, row: &PublishedEndpoint) {
         self.stage.record(TrafficRecord::EndpointNotified {
             at: self.stage.now(),
             front_end: to.index,
             incarnation: to.incarnation,
             executor: row.executor,
-            state: row.standing,
-            started_at: row.since,
+            state: row.state,
+            started_at: row.started_at,
         });
     }
 
@@ -177,9 +177,9 @@
         let to = watch.from.unwrap_or_default();
         let (tell, changes) = async_channel::bounded(MOST_WAITING);
         self.watchers.borrow_mut().push(tell);
-        let stale = self.stale.is_on(self.stage.now());
-        let rows = match self.kept.borrow().as_ref().filter(|_| stale) {
-            Some(kept) => kept.clone(),
+        let stale = self.stale.is_active(self.stage.now());
+        let rows = match self.held_back.borrow().as_ref().filter(|_| stale) {
+            Some(held_back) => held_back.clone(),
             None => self.rows.borrow().clone(),
         };
         let Ok(mut out) = respond.send_response(http::Response::new(()), false) else {
@@ -192,11 +192,11 @@
                 rows,
             })
         };
-        rows.iter().for_each(|row| self.told(to, row));
+        rows.iter().for_each(|row| self.notified(to, row));
         // What is gone is left out of a full list.
         let listed = rows
             .iter()
-            .filter(|r| r.standing != EndpointState::Gone)
+            .filter(|r| r.state != EndpointState::Gone)
             .map(|r| self.wire(r))
             .collect();
         if out
@@ -207,7 +207,7 @@
         }
         while let Ok((at, row)) = changes.recv().await {
             self.stage.sleep(at - self.stage.now()).await;
-            self.told(to, &row);
+            self.notified(to, &row);
             if out
                 .send_data(update(v1::RosterKind::Delta, vec![self.wire(&row)]), false)
                 .is_err()
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -39,7 +39,7 @@
 
     /// Fetches what takes `time` where nobody else does. Tells whether it came.
     pub async fn fetch(&self, time: f64) -> bool {
-        if self.refusing.is_on(self.stage.now()) || self.fetching.get() >= self.most {
+        if self.refusing.is_active(self.stage.now()) || self.fetching.get() >= self.most {
             self.refused.set(self.refused.get() + 1);
             self.stage.sleep(0.02).await;
             return false;
@@ -53,7 +53,7 @@
             let slowed = (self.fetching.get() as f64 / self.smooth).max(1.0);
             self.stage.sleep(step * slowed).await;
             left -= step;
-            if self.refusing.is_on(self.stage.now()) {
+            if self.refusing.is_active(self.stage.now()) {
                 self.refused.set(self.refused.get() + 1);
                 return false;
             }
