--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use clap::ValueEnum;
 use http::Method;
-use orchidtally_coordinator::StartRequest;
+use orchidtally_coordinator::OperatorRequest;
 use orchidtally_deployment::reader::Document;
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::coordinator::Event;
@@ -219,7 +219,7 @@
         let _ = std::fs::remove_dir_all(&self.state);
     }
 
-    async fn order(&self, order: &StartRequest) -> Result<(), String> {
+    async fn order(&self, order: &OperatorRequest) -> Result<(), String> {
         let body = serde_json::to_vec(order).map_err(|e| e.to_string())?;
         let asked = fetch(self.at, Method::POST, "/v1/rollouts/orders", body, PATIENCE).await;
         let (status, body) = asked.map_err(|e| e.to_string())?;
@@ -231,7 +231,7 @@
     }
 
     /// Until the coordinator takes it, for some seconds.
-    async fn insist(&self, order: StartRequest) {
+    async fn insist(&self, order: OperatorRequest) {
         let until = self.stage.now() + 5.0;
         loop {
             match self.order(&order).await {
@@ -258,7 +258,7 @@
     pub async fn perform(&self, from: f64, length: f64, deployment: &Path) {
         let moment = |part: f64| from + part * length;
         self.stage.sleep(moment(BEGINS) - self.stage.now()).await;
-        self.insist(StartRequest::Start {
+        self.insist(OperatorRequest::Start {
             plan: self.plan.clone(),
             dry: false,
         })
@@ -282,9 +282,9 @@
             .history
             .borrow()
             .last()
-            .is_some_and(|e| !e.phase.is_over());
+            .is_some_and(|e| !e.phase.has_ended());
         if on && self.new != NewVersion::Fine {
-            self.insist(StartRequest::Back {
+            self.insist(OperatorRequest::RollBack {
                 name: self.name.clone(),
                 why: "the rehearsal takes it back".into(),
             })
@@ -300,7 +300,7 @@
         // The coordinator's clock is the machine's; the records' began with the stage.
         let back = history
             .iter()
-            .find(|e| e.phase == orchidtally_rollout::Phase::TakenBack);
+            .find(|e| e.phase == orchidtally_rollout::Phase::RolledBack);
         let back = back.map(|e| e.at - self.stage.wall(0.0));
         let mut seen = Seen {
             state,
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -5,7 +5,7 @@
 use clap::{Subcommand, ValueEnum};
 use futures_lite::StreamExt;
 use http::{Method, StatusCode};
-use orchidtally_coordinator::{StartRequest, Status, StopReason};
+use orchidtally_coordinator::{OperatorRequest, Status, StopReason};
 use orchidtally_rollout::Counts;
 use orchidtally_rollout::coordinator::Event;
 use orchidtally_rollout::forecast::StepForecast;
@@ -152,7 +152,7 @@
     })
 }
 
-fn order(place: &Where, order: &StartRequest, file: &str) -> Result<Value, u8> {
+fn order(place: &Where, order: &OperatorRequest, file: &str) -> Result<Value, u8> {
     let body = serde_json::to_vec(order).map_err(|_| COULD_NOT_RUN)?;
     ask(place, Method::POST, "/v1/rollouts/orders", body, file)
 }
@@ -177,18 +177,20 @@
     );
     let mut total = 0.0;
     for s in &steps {
-        let evidence = s.evidence.map_or("-".into(), |e| format!("{e:.0}"));
+        let evidence = s
+            .sampling_duration
+            .map_or("-".into(), |e| format!("{e:.0}"));
         println!(
             "{:>4} {:>7.2} % {:>6} {:>7} {:>10.1} {evidence:>11} {:>13.0} {:>10}",
             s.step + 1,
             100.0 * s.share,
             s.copies,
-            s.orders,
-            s.loading,
-            s.time,
+            s.load_commands,
+            s.load_duration,
+            s.duration,
             s.answers_to_detect
         );
-        total += s.time;
+        total += s.duration;
     }
     println!("at least {total:.0} s in all, where nothing looks worse");
     println!(
@@ -234,10 +236,14 @@
     println!("  {}", status.reason);
     println!(
         "  gate           old         new         evidence it is worse (takes back at {:.0})",
-        status.takes_back
+        status.rollback_threshold
     );
     let events = |counts: &Counts, gate: Gate| {
-        format!("{}/{}", counts.events[gate.index()], counts.exposed(gate))
+        format!(
+            "{}/{}",
+            counts.events[gate.index()],
+            counts.sample_count(gate)
+        )
     };
     for gate in GATES {
         let Some(evidence) = status.evidence.get(gate.name()) else {
@@ -256,7 +262,7 @@
     let events: Vec<Event> = read(value)?;
     println!("seconds since 1970  run               number  phase       step  by      why");
     for e in events {
-        let by = if e.by_hand { "hand" } else { "rules" };
+        let by = if e.by_operator { "hand" } else { "rules" };
         let (run, phase) = (format!("{:016x}", e.run), e.phase.name());
         println!(
             "{:>18.3}  {run}  {:>6}  {phase:<10} {:>5}  {by:<6}  {}",
@@ -308,7 +314,7 @@
 }
 
 pub fn run(arguments: Arguments) -> Result<(), u8> {
-    let change = |place: &Where, name: &str, change: StartRequest| {
+    let change = |place: &Where, name: &str, change: OperatorRequest| {
         let value = order(place, &change, "")?;
         show_status(&value, Some(name), place.output)
     };
@@ -328,7 +334,7 @@
             let file = format!("{}:", plan.display());
             let value = order(
                 &place,
-                &StartRequest::Start {
+                &OperatorRequest::Start {
                     plan: text,
                     dry: dry_run,
                 },
@@ -345,19 +351,23 @@
             show_status(&value, name.as_deref(), place.output)
         }
         Command::Pause { name, place } => {
-            change(&place, &name.clone(), StartRequest::Pause { name })
+            change(&place, &name.clone(), OperatorRequest::Pause { name })
         }
         Command::Resume { name, place } => {
-            change(&place, &name.clone(), StartRequest::Resume { name })
-        }
-        Command::Back { name, why, place } => {
-            change(&place, &name.clone(), StartRequest::Back { name, why })
-        }
-        Command::Advance { name, why, place } => {
-            change(&place, &name.clone(), StartRequest::Advance { name, why })
+            change(&place, &name.clone(), OperatorRequest::Resume { name })
         }
+        Command::Back { name, why, place } => change(
+            &place,
+            &name.clone(),
+            OperatorRequest::RollBack { name, why },
+        ),
+        Command::Advance { name, why, place } => change(
+            &place,
+            &name.clone(),
+            OperatorRequest::Advance { name, why },
+        ),
         Command::Finish { name, place } => {
-            change(&place, &name.clone(), StartRequest::Finish { name })
+            change(&place, &name.clone(), OperatorRequest::Finish { name })
         }
         Command::History { name, place } => {
             let value = ask(
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,13 +1,13 @@
 //! What front ends and operators ask of a coordinator over HTTP.
 
 use crate::server::{CoordinatorServer, SENDER_TIME, now};
-use crate::{StartRequest, Status};
+use crate::{OperatorRequest, Status};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use orchidtally_rollout::coordinator::{Command, Run};
-use orchidtally_rollout::forecast::{StepForecast, forecast, orders_granted};
+use orchidtally_rollout::forecast::{StepForecast, forecast, load_command_rate_limit};
 use orchidtally_rollout::frontend::EvidenceReport;
 use orchidtally_rollout::plan::{GATES, Gate};
 use orchidtally_rollout::{Plan, Rollout};
@@ -33,14 +33,14 @@
 }
 
 /// Why a request is refused.
-struct Refusal {
+struct ApiError {
     status: StatusCode,
     faults: Vec<String>,
 }
 
-impl Refusal {
-    fn new(status: StatusCode, fault: impl Into<String>) -> Refusal {
-        Refusal {
+impl ApiError {
+    fn new(status: StatusCode, fault: impl Into<String>) -> ApiError {
+        ApiError {
             status,
             faults: vec![fault.into()],
         }
@@ -51,8 +51,8 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
-    serde_json::from_slice(body).map_err(|e| Refusal::new(StatusCode::BAD_REQUEST, e.to_string()))
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(body).map_err(|e| ApiError::new(StatusCode::BAD_REQUEST, e.to_string()))
 }
 
 impl CoordinatorServer {
@@ -63,7 +63,7 @@
             .unwrap_or_else(|refusal| refusal.reply()))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Reply, Refusal> {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Reply, ApiError> {
         let (parts, body) = request.into_parts();
         let read = orchidtally_socket_io::with_timeout(
             SENDER_TIME,
@@ -72,9 +72,11 @@
         .await;
         let body = match read {
             Some(Ok(body)) => body.to_bytes(),
-            Some(Err(e)) => return Err(Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string())),
+            Some(Err(e)) => {
+                return Err(ApiError::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string()));
+            }
             None => {
-                return Err(Refusal::new(
+                return Err(ApiError::new(
                     StatusCode::REQUEST_TIMEOUT,
                     "the body came too slowly",
                 ));
@@ -91,58 +93,58 @@
             (&Method::GET, _) if history.is_some() => self.history(history.unwrap_or_default()),
             _ => {
                 let what = format!("there is no {} {path}", parts.method);
-                Err(Refusal::new(StatusCode::NOT_FOUND, what))
+                Err(ApiError::new(StatusCode::NOT_FOUND, what))
             }
         }
     }
 
     /// A front end reports its evidence, and is told the state of all rollouts.
-    fn exchange(&self, body: &[u8]) -> Result<Reply, Refusal> {
+    fn exchange(&self, body: &[u8]) -> Result<Reply, ApiError> {
         let report: EvidenceReport = parse(body)?;
-        self.coordinator.borrow_mut().evidence(now(), &report);
+        self.coordinator.borrow_mut().record_report(now(), &report);
         let coordinator = self.coordinator.borrow();
         if let Some(epoch) = coordinator.superseded() {
             let what = format!("a coordinator of term {} has taken over", epoch.term);
-            return Err(Refusal::new(StatusCode::CONFLICT, what));
+            return Err(ApiError::new(StatusCode::CONFLICT, what));
         }
         Ok(reply(StatusCode::OK, coordinator.published()))
     }
 
     /// An operator's order.
-    fn order(&self, body: &[u8]) -> Result<Reply, Refusal> {
+    fn order(&self, body: &[u8]) -> Result<Reply, ApiError> {
         let command = match parse(body)? {
-            StartRequest::Start { plan, dry } => {
+            OperatorRequest::Start { plan, dry } => {
                 let plan = self.read_plan(&plan)?;
                 if dry {
                     return Ok(self.dry_run(&plan));
                 }
                 self.start(plan)?
             }
-            StartRequest::Pause { name } => Command::Pause { name },
-            StartRequest::Resume { name } => Command::Resume { name },
-            StartRequest::Back { name, why } => Command::Back { name, why },
-            StartRequest::Advance { name, why } => Command::Advance { name, why },
-            StartRequest::Finish { name } => Command::Finish { name },
+            OperatorRequest::Pause { name } => Command::Pause { name },
+            OperatorRequest::Resume { name } => Command::Resume { name },
+            OperatorRequest::RollBack { name, why } => Command::RollBack { name, why },
+            OperatorRequest::Advance { name, why } => Command::Advance { name, why },
+            OperatorRequest::Finish { name } => Command::Finish { name },
         };
         let done = self
             .coordinator
             .borrow_mut()
             .command(now(), &command, rand::random());
-        done.map_err(|error| Refusal::new(StatusCode::CONFLICT, error.to_string()))?;
+        done.map_err(|error| ApiError::new(StatusCode::CONFLICT, error.to_string()))?;
         if self.persist_changes() {
             Ok(reply(StatusCode::OK, &self.status()))
         } else {
-            Err(Refusal::new(
+            Err(ApiError::new(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 "the state can't be kept",
             ))
         }
     }
 
-    fn read_plan(&self, text: &str) -> Result<Plan, Refusal> {
+    fn read_plan(&self, text: &str) -> Result<Plan, ApiError> {
         Plan::read(text, &self.deployment).map_err(|faults| {
             let faults = faults.iter().map(ToString::to_string).collect();
-            Refusal {
+            ApiError {
                 status: StatusCode::BAD_REQUEST,
                 faults,
             }
@@ -153,20 +155,21 @@
     fn dry_run(&self, plan: &Plan) -> Reply {
         let steps: Vec<StepForecast> = forecast(plan, &self.deployment);
         // Without a ration there is no bound to report.
-        let granted = Some(orders_granted(&self.deployment)).filter(|granted| granted.is_finite());
+        let granted =
+            Some(load_command_rate_limit(&self.deployment)).filter(|granted| granted.is_finite());
         let body =
             json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": granted });
         reply(StatusCode::OK, &body)
     }
 
     /// The command that starts a plan between the versions that it names now.
-    fn start(&self, plan: Plan) -> Result<Command, Refusal> {
+    fn start(&self, plan: Plan) -> Result<Command, ApiError> {
         let versions = (
             self.digest(&plan.function, &plan.from),
             self.digest(&plan.function, &plan.to),
         );
         let (Some(from), Some(to)) = versions else {
-            return Err(Refusal::new(
+            return Err(ApiError::new(
                 StatusCode::BAD_REQUEST,
                 "a version of the plan is not known",
             ));
@@ -176,7 +179,7 @@
                 "'{}' and '{}' name the same version by now",
                 plan.from, plan.to
             );
-            return Err(Refusal::new(StatusCode::CONFLICT, what));
+            return Err(ApiError::new(StatusCode::CONFLICT, what));
         }
         Ok(Command::Start {
             plan: Box::new(plan),
@@ -195,11 +198,11 @@
         Some(version.digest.to_string())
     }
 
-    fn history(&self, name: &str) -> Result<Reply, Refusal> {
+    fn history(&self, name: &str) -> Result<Reply, ApiError> {
         let coordinator = self.coordinator.borrow();
         match coordinator.state().runs.get(name) {
             Some(run) => Ok(reply(StatusCode::OK, &run.history)),
-            None => Err(Refusal::new(
+            None => Err(ApiError::new(
                 StatusCode::NOT_FOUND,
                 format!("there is no rollout '{name}'"),
             )),
@@ -225,7 +228,7 @@
 
 fn status_of(name: &str, rollout: &Rollout, run: &Run) -> Status {
     let step = rollout
-        .split_at()
+        .active_step()
         .and_then(|step| rollout.plan.steps.get(step));
     let is_judged = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
     let evidence = |gate: &Gate| (gate.name().to_owned(), run.tests.evidence(*gate));
@@ -242,6 +245,6 @@
         old: run.step[0],
         new: run.step[1],
         evidence: GATES.iter().filter(is_judged).map(evidence).collect(),
-        takes_back: rollout.plan.threshold(),
+        rollback_threshold: rollout.plan.threshold(),
     }
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -16,7 +16,7 @@
 /// What an operator's tool sends.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
-pub enum StartRequest {
+pub enum OperatorRequest {
     /// Start a rollout.
     Start {
         /// The text of the plan, as its file has it.
@@ -29,7 +29,8 @@
     /// Go on after a pause.
     Resume { name: String },
     /// Take the rollout back.
-    Back { name: String, why: String },
+    #[serde(rename = "back")]
+    RollBack { name: String, why: String },
     /// Go to the next step whatever evidence is missing.
     Advance { name: String, why: String },
     /// End a rollout whose last step is on.
@@ -65,7 +66,8 @@
     /// By gate, the evidence that the new version is worse, as odds to 1.
     pub evidence: BTreeMap<String, f64>,
     /// The evidence that takes the rollout back.
-    pub takes_back: f64,
+    #[serde(rename = "takesBack")]
+    pub rollback_threshold: f64,
 }
 
 /// Why a coordinator ended.
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -135,7 +135,7 @@
             .published()
             .rollouts
             .values()
-            .all(|rollout| rollout.phase.is_over())
+            .all(|rollout| rollout.phase.has_ended())
     }
 
     async fn accept(
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use futures_lite::future;
 use http::Method;
-use orchidtally_coordinator::{StartRequest, StopReason};
+use orchidtally_coordinator::{OperatorRequest, StopReason};
 use orchidtally_deployment::Deployment;
 use orchidtally_http_frontend::Start;
 use orchidtally_invariants::TrafficRecord;
@@ -179,7 +179,7 @@
     CoordinatorThread { stop, thread }
 }
 
-pub async fn order(at: SocketAddr, order: StartRequest) -> (u16, String) {
+pub async fn order(at: SocketAddr, order: OperatorRequest) -> (u16, String) {
     let body = serde_json::to_vec(&order).unwrap();
     let (status, body) = http_fetch(
         at,
@@ -193,15 +193,15 @@
     (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
 }
 
-pub fn plan(steps: &str) -> StartRequest {
+pub fn plan(steps: &str) -> OperatorRequest {
     plan_of("r", "f", 0.1, steps)
 }
 
-pub fn plan_of(name: &str, function: &str, pace: f64, steps: &str) -> StartRequest {
+pub fn plan_of(name: &str, function: &str, pace: f64, steps: &str) -> OperatorRequest {
     let plan = format!(
         "{{ name: '{name}', function: '{function}', to: 'next', loadsPerSecond: {pace}, holdback: 0, keepFrom: '200ms', steps: [{steps}] }}"
     );
-    StartRequest::Start { plan, dry: false }
+    OperatorRequest::Start { plan, dry: false }
 }
 
 pub const ALL_AT_ONCE: &str = "{ share: 1, leastTime: '60s' }";
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -7,7 +7,7 @@
     ACT, ALL_AT_ONCE, LOOK, NEW, OLD, ask, folder, free, gateway, gateway_ahead, on, order, phase,
     plan, plan_of, start_coordinator, succeeded, world,
 };
-use orchidtally_coordinator::{StartRequest, StopReason, recover};
+use orchidtally_coordinator::{OperatorRequest, StopReason, recover};
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::Phase;
 use orchidtally_socket_io::http::fetch as http_fetch;
@@ -48,7 +48,7 @@
         assert_eq!(
             order(
                 at,
-                StartRequest::Back {
+                OperatorRequest::RollBack {
                     name: "r".into(),
                     why: "a test".into()
                 }
@@ -73,7 +73,7 @@
         assert_eq!(
             order(
                 at,
-                StartRequest::Back {
+                OperatorRequest::RollBack {
                     name: "r".into(),
                     why: "again".into()
                 }
@@ -252,7 +252,7 @@
         assert_eq!(
             order(
                 at,
-                StartRequest::Back {
+                OperatorRequest::RollBack {
                     name: "r3".into(),
                     why: "a test".into()
                 }
--- a/crates/coordinator/tests/stored_formats.rs
+++ b/crates/coordinator/tests/stored_formats.rs
@@ -2,7 +2,7 @@
 //! journal are a stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and
 //! must not be changed.
 
-use orchidtally_coordinator::{StartRequest, Status, recover};
+use orchidtally_coordinator::{OperatorRequest, Status, recover};
 use orchidtally_journal::Journal;
 use orchidtally_rollout::Phase;
 use serde::Serialize;
@@ -27,14 +27,14 @@
 
 #[test]
 fn orders_are_read_and_written_again() {
-    let orders: Vec<StartRequest> = read_and_rewrite(ORDERS);
-    let kind = |order: &StartRequest| match order {
-        StartRequest::Start { .. } => "start",
-        StartRequest::Pause { .. } => "pause",
-        StartRequest::Resume { .. } => "resume",
-        StartRequest::Back { .. } => "back",
-        StartRequest::Advance { .. } => "advance",
-        StartRequest::Finish { .. } => "finish",
+    let orders: Vec<OperatorRequest> = read_and_rewrite(ORDERS);
+    let kind = |order: &OperatorRequest| match order {
+        OperatorRequest::Start { .. } => "start",
+        OperatorRequest::Pause { .. } => "pause",
+        OperatorRequest::Resume { .. } => "resume",
+        OperatorRequest::RollBack { .. } => "back",
+        OperatorRequest::Advance { .. } => "advance",
+        OperatorRequest::Finish { .. } => "finish",
     };
     let kinds: Vec<&str> = orders.iter().map(kind).collect();
     assert_eq!(
@@ -51,7 +51,7 @@
         (Phase::Shifting, 1, 2, 0.05)
     );
     assert_eq!(
-        (status.time, status.rate, status.takes_back),
+        (status.time, status.rate, status.rollback_threshold),
         (61.5, 120.5, 300.0)
     );
     assert_eq!(
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/hub/exchange.rs
@@ -205,9 +205,11 @@
         };
         if matches!(found, CopyState::ColdLoad | CopyState::LoadFailed) {
             let succeeded = found == CopyState::ColdLoad;
-            self.shares
-                .borrow_mut()
-                .load_ended(dispatch.version, succeeded, answer.digest_differs);
+            self.shares.borrow_mut().record_load_result(
+                dispatch.version,
+                succeeded,
+                answer.digest_differs,
+            );
         }
         let timing = || Timing {
             took: began.elapsed().as_secs_f64(),
@@ -279,10 +281,12 @@
     /// A dispatch failed in a way that may count against its version.
     fn version_failed(&self, dispatch: &Dispatch, broke: bool) {
         let executor = number(dispatch.to);
-        let counts =
-            self.shares
-                .borrow_mut()
-                .dispatch_failed(self.now(), executor, dispatch.version, broke);
+        let counts = self.shares.borrow_mut().record_dispatch_failure(
+            self.now(),
+            executor,
+            dispatch.version,
+            broke,
+        );
         let failed = &dispatch.work.failed;
         failed.set(failed.get() | counts);
     }
@@ -354,7 +358,7 @@
             let ending = evidence::ending(seen);
             // An executor that is gone or full tells nothing of the version.
             if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
-                self.shares.borrow_mut().load_ended(
+                self.shares.borrow_mut().record_load_result(
                     function,
                     ending == DispatchStatus::Ok,
                     differs,
--- a/crates/http-frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/hub/invocation.rs
@@ -8,7 +8,7 @@
 use orchidtally_deployment::Function;
 use orchidtally_engine::{AdmissionError, FailureReason, InvocationRequest};
 use orchidtally_rollout::split::Caller;
-use orchidtally_rollout::{Invoked, Published, Resolved};
+use orchidtally_rollout::{Published, ResolvedVersion, RolloutAssignment};
 use std::cell::Cell;
 use std::rc::Rc;
 use tracing::info;
@@ -42,7 +42,7 @@
     /// The digest of its version; empty where the function has none.
     pub digest: Rc<str>,
     /// Set where a rollout chose its version.
-    pub invoked: Option<Invoked>,
+    pub invoked: Option<RolloutAssignment>,
     /// A dispatch of it failed in a way that counts against its version.
     pub failed: Cell<bool>,
     /// The number of the executor of its last dispatch; 0 before the first.
@@ -72,7 +72,7 @@
     /// The name of the invocation.
     pub name: String,
     pub function: Rc<str>,
-    pub resolved: Resolved,
+    pub resolved: ResolvedVersion,
     pub revision: Rc<Revision>,
     pub trigger_type: Rc<TriggerTypeInForce>,
     pub customer: NamedCustomer<'a>,
@@ -206,7 +206,10 @@
 
     fn take_asked(&self, asked: Asked) -> Result<Taken, NotTaken> {
         self.check_admission(&asked.revision, &asked.subject())?;
-        let Resolved { version, invoked } = asked.resolved;
+        let ResolvedVersion {
+            version,
+            assignment: invoked,
+        } = asked.resolved;
         let offer = InvocationRequest {
             trigger_type: asked.trigger_type.index,
             customer: asked.customer.index,
@@ -252,7 +255,7 @@
         trigger_type: usize,
         customer: usize,
         who: &Caller,
-    ) -> Option<Resolved> {
+    ) -> Option<ResolvedVersion> {
         self.shares
             .borrow_mut()
             .resolve(function, asked, trigger_type, customer, who)
@@ -266,7 +269,7 @@
         let find = |name: &str| revision.deployment.functions.get(name).cloned();
         let mut back = published.map_or_else(Vec::new, |p| shares.adopt(now, p, find));
         back.extend(shares.tick(now));
-        let due = shares.ahead(now);
+        let due = shares.prewarm_commands(now);
         drop(shares);
         for &run in &back {
             info!(run, "a rollout was taken back");
@@ -291,7 +294,9 @@
                     engine.counters().load_commands > before,
                 )
             });
-            self.shares.borrow_mut().prepared(&ahead, known, ordered);
+            self.shares
+                .borrow_mut()
+                .on_prewarm_result(&ahead, known, ordered);
         }
     }
 
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/hub/mod.rs
@@ -136,11 +136,11 @@
                 true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
                 false => Engine::new(policy, most, seed, now, &mut performer),
             };
-            let place = orchidtally_rollout::frontend::FrontEndLocation {
+            let place = orchidtally_rollout::frontend::FrontEndInfo {
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
-                orders: deployment.policy.allows_load_commands && !random,
+                sends_load_commands: deployment.policy.allows_load_commands && !random,
                 keep_alive: deployment.policy.keep_alive,
             };
             Hub {
--- a/crates/http-frontend/src/hub/performer.rs
+++ b/crates/http-frontend/src/hub/performer.rs
@@ -10,8 +10,8 @@
 use orchidtally_engine::{AdmissionError, Engine, FailureReason, Host};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{HEALTH_CHECK, frame};
-use orchidtally_rollout::frontend::{AnswerOutcome, may_move};
-use orchidtally_rollout::{Arm, Invoked};
+use orchidtally_rollout::frontend::{AnswerOutcome, may_migrate};
+use orchidtally_rollout::{Cohort, RolloutAssignment};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -125,13 +125,13 @@
         let Some(hub) = self.hub.upgrade() else {
             return;
         };
-        let Some(to) = hub.shares.borrow().goes_back_to(run) else {
+        let Some(to) = hub.shares.borrow().rollback_target(run) else {
             return;
         };
         let is_new = |c: &Client| {
             c.work
                 .invoked
-                .is_some_and(|i| i.run == run && i.arm == Arm::New)
+                .is_some_and(|i| i.run == run && i.cohort == Cohort::Canary)
         };
         let mut waiting: Vec<u32> = self
             .clients
@@ -258,7 +258,7 @@
 fn add_evidence(
     hub: &Hub,
     client: &Client,
-    invoked: &Invoked,
+    invoked: &RolloutAssignment,
     answer: &Final,
     timing: Option<Timing>,
 ) -> Option<Version> {
@@ -283,14 +283,15 @@
         && work.last.get() != 0
     {
         let counts =
-            shares.dispatch_failed(hub.now(), work.last.get(), client.offer.function, true);
+            shares.record_dispatch_failure(hub.now(), work.last.get(), client.offer.function, true);
         work.failed.set(work.failed.get() | counts);
     }
-    shares.answered(invoked, outcome, work.failed.get());
+    shares.record_outcome(invoked, outcome, work.failed.get());
     let has_failed = !matches!(outcome, AnswerOutcome::Succeeded { .. });
     let is_idempotent = work.trigger_type.policy.idempotency == Idempotency::Idempotent;
-    let moves = has_failed && may_move(is_idempotent, may_have_run) && invoked.arm == Arm::New;
-    shares.goes_back_to(invoked.run).filter(|_| moves)
+    let moves =
+        has_failed && may_migrate(is_idempotent, may_have_run) && invoked.cohort == Cohort::Canary;
+    shares.rollback_target(invoked.run).filter(|_| moves)
 }
 
 impl Host for Performer {
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -12,14 +12,14 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use orchidtally_deployment::Function;
-use orchidtally_rollout::Resolved;
-use orchidtally_rollout::plan::Key;
+use orchidtally_rollout::ResolvedVersion;
+use orchidtally_rollout::plan::StickyKey;
 use orchidtally_rollout::split::Caller;
 
 /// The function of an invocation, and the version that it gets.
 struct Target {
     function: Function,
-    resolved: Resolved,
+    resolved: ResolvedVersion,
 }
 
 pub(super) async fn invoke(
@@ -132,12 +132,12 @@
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
     let customer = asked_headers.customer;
     // The sticky key of the split, where a rollout is on.
-    let key = hub.shares.borrow().key(name).cloned();
+    let key = hub.shares.borrow().sticky_key(name).cloned();
     let key = match &key {
-        None | Some(Key::Invocation) => None,
-        Some(Key::Customer) => Some(customer.name),
-        Some(Key::Token) => asked_headers.token,
-        Some(Key::Header(name)) => header(headers, name)?,
+        None | Some(StickyKey::Invocation) => None,
+        Some(StickyKey::Customer) => Some(customer.name),
+        Some(StickyKey::Token) => asked_headers.token,
+        Some(StickyKey::Header(name)) => header(headers, name)?,
     };
     let who = Caller {
         customer: customer.name,
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use orchidtally_engine::FailureReason;
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
-use orchidtally_rollout::plan::Key;
+use orchidtally_rollout::plan::StickyKey;
 use orchidtally_rollout::split::Caller;
 use std::rc::Rc;
 
@@ -68,10 +68,10 @@
     if ready_by <= hub.now() {
         return Err(Answer::Throttled);
     }
-    let key = hub.shares.borrow().key(&target.function).cloned();
+    let key = hub.shares.borrow().sticky_key(&target.function).cloned();
     let key = match &key {
-        Some(Key::Customer) => &target.customer,
-        Some(Key::Token) if !target.token.is_empty() => &target.token,
+        Some(StickyKey::Customer) => &target.customer,
+        Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
         _ => &message.name,
     };
     let who = Caller {
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -47,7 +47,7 @@
         for task in tasks {
             match task.await {
                 (_, Ok(published)) => {
-                    hub.shares.borrow_mut().heard_of(published.epoch);
+                    hub.shares.borrow_mut().observe_epoch(published.epoch);
                     if newest.as_ref().is_none_or(|n| published.is_newer_than(n)) {
                         newest = Some(published);
                     }
@@ -62,7 +62,7 @@
         }
         reached = newest.is_some();
         if !reached {
-            hub.shares.borrow_mut().not_reported(told);
+            hub.shares.borrow_mut().restore_report(told);
         }
         hub.rollouts_turn(newest);
         future::yield_now().await;
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -4,8 +4,8 @@
 
 use orchidtally_deployment::Deployment;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::evidence::Arm;
-use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndLocation};
+use orchidtally_rollout::evidence::Cohort;
+use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndInfo};
 use orchidtally_rollout::split::Caller;
 use orchidtally_rollout::{Coordinator, Plan, TrafficSplit};
 use std::hint::black_box;
@@ -35,11 +35,11 @@
         functions.join(", ")
     );
     let deployment = Deployment::read(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
-    let place = FrontEndLocation {
+    let place = FrontEndInfo {
         index: 0,
         count: 1,
         location: 0,
-        orders: false,
+        sends_load_commands: false,
         keep_alive: 8.0,
     };
     let names: Vec<String> = (0..FUNCTIONS).map(|n| format!("f{n}")).collect();
@@ -82,7 +82,7 @@
                 let function = deployment
                     .function(&names[f])
                     .unwrap_or_else(|| panic!("no f{f}"));
-                let key = shares.key(&names[f]).is_some();
+                let key = shares.sticky_key(&names[f]).is_some();
                 let who = Caller {
                     customer: "",
                     location: "default",
@@ -91,9 +91,9 @@
                 let resolved = shares
                     .resolve(&function, None, 0, 0, &who)
                     .unwrap_or_else(|| panic!("no version"));
-                if let Some(invoked) = &resolved.invoked {
-                    new += u64::from(invoked.arm == Arm::New);
-                    shares.answered(
+                if let Some(invoked) = &resolved.assignment {
+                    new += u64::from(invoked.cohort == Cohort::Canary);
+                    shares.record_outcome(
                         invoked,
                         AnswerOutcome::Succeeded {
                             took: 0.02,
--- a/crates/rollout/benches/statistics.rs
+++ b/crates/rollout/benches/statistics.rs
@@ -5,9 +5,9 @@
 //! `cargo bench -p orchidtally-rollout --bench statistics [-- FOLDER]`
 
 use orchidtally_deployment::Deployment;
-use orchidtally_rollout::evidence::{Cell, Counts, Slot};
+use orchidtally_rollout::evidence::{Counts, Slot, StratumKey};
 use orchidtally_rollout::plan::{GATES, Gate, Plan};
-use orchidtally_rollout::sequential::Tests;
+use orchidtally_rollout::sequential::SequentialTests;
 use plotters::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -76,7 +76,7 @@
                 counts(rng, on_new, with(new)),
             );
             slots.push(Slot {
-                cell: Cell {
+                stratum: StratumKey {
                     trigger_type,
                     customer: 0,
                     location,
@@ -114,7 +114,7 @@
 /// slow answers.
 fn rollout(plan: &Plan, seed: u64, new: Version, troubled: bool) -> Found {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (mut tests, mut found) = (Tests::default(), Found::default());
+    let (mut tests, mut found) = (SequentialTests::default(), Found::default());
     let (mut harmed, mut whole) = (0, [Counts::default(); 2]);
     // One side at 0.005 over three steps and three gates: 0.00056 each.
     const Z: f64 = 3.26;
@@ -136,15 +136,15 @@
             whole = [Counts::default(); 2];
         }
         whole.iter_mut().zip(&step).for_each(|(w, s)| w.add(s));
-        tests.note(plan, t as f64, &slots);
+        tests.record(plan, t as f64, &slots);
         let failed = plan
             .gates
             .iter()
-            .any(|h| h.takes_back && tests.evidence(h.gate) >= plan.threshold());
+            .any(|h| h.rolls_back && tests.evidence(h.gate) >= plan.threshold());
         if failed && found.sequential.is_none() {
             found.sequential = Some((t + 1, harmed));
         }
-        let of = |c: &Counts, g: Gate| (c.events[g.index()], c.exposed(g));
+        let of = |c: &Counts, g: Gate| (c.events[g.index()], c.sample_count(g));
         let judged = [Gate::Errors, Gate::Slow, Gate::SlowTail];
         if t % STEP == STEP - 1 && found.fixed.is_none() {
             let worse = judged
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a coordinator.
+//! Commands of operators to a coordinator.
 
 use super::{Coordinator, Run};
 use crate::plan::Plan;
@@ -6,41 +6,64 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Rollouts that are over and kept.
-const MAX_OVER: usize = 100;
+/// The most rollouts that are kept after their end.
+const MAX_ENDED: usize = 100;
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
 pub enum Command {
-    /// Start a rollout between two versions, by their digests.
+    /// Start a rollout.
     Start {
+        /// The plan.
         plan: Box<Plan>,
+        /// Digest of the old version.
         from: String,
+        /// Digest of the new version.
         to: String,
     },
-    /// Hold the step that is on.
-    Pause { name: String },
-    /// Go on after a pause.
-    Resume { name: String },
-    /// Take the rollout back.
-    Back { name: String, why: String },
-    /// Go to the next step whatever evidence is missing; gates that failed are not overridden.
-    Advance { name: String, why: String },
-    /// End a rollout whose last step is on.
-    Finish { name: String },
+    /// Pause the present step.
+    Pause {
+        /// Name of the rollout.
+        name: String,
+    },
+    /// Resume after a pause.
+    Resume {
+        /// Name of the rollout.
+        name: String,
+    },
+    /// Roll back.
+    #[serde(rename = "back")]
+    RollBack {
+        /// Name of the rollout.
+        name: String,
+        /// The operator's reason.
+        why: String,
+    },
+    /// Advance to the next step even if samples are missing. Failed gates are not overridden.
+    Advance {
+        /// Name of the rollout.
+        name: String,
+        /// The operator's reason.
+        why: String,
+    },
+    /// Finish a rollout after its last step, without waiting.
+    Finish {
+        /// Name of the rollout.
+        name: String,
+    },
 }
 
-/// Why a command was refused. Nothing has changed.
+/// Why a command was rejected. Nothing has changed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// A newer coordinator has this term; ask that one.
+    /// A newer coordinator has taken over; send the command there.
     #[error("another coordinator, of term {term}, has taken over")]
     Superseded {
         /// The term of the newer coordinator.
         term: u64,
     },
-    /// The coordinator knows no rollout of this name.
+    /// There is no rollout with this name.
     #[error("there is no rollout '{0}'")]
     Unknown(String),
     /// The rollout has ended.
@@ -51,7 +74,7 @@
         /// How it ended.
         phase: Phase,
     },
-    /// The rollout is in a phase that can't be paused.
+    /// The rollout can't be paused in its phase.
     #[error("'{name}' can't be paused while it is {}", .phase.name())]
     NotPausable {
         /// The name of the rollout.
@@ -67,7 +90,7 @@
         /// Its phase.
         phase: Phase,
     },
-    /// The rollout is in a phase that has no next step.
+    /// The rollout can't advance in its phase.
     #[error("'{name}' can't go on while it is {}", .phase.name())]
     NotAdvancing {
         /// The name of the rollout.
@@ -75,7 +98,7 @@
         /// Its phase.
         phase: Phase,
     },
-    /// The last step of the rollout is not on yet.
+    /// The rollout hasn't reached its last step.
     #[error("'{name}' is {}: it finishes after its last step", .phase.name())]
     NotFinishable {
         /// The name of the rollout.
@@ -83,7 +106,7 @@
         /// Its phase.
         phase: Phase,
     },
-    /// Another rollout of the function is on.
+    /// Another rollout of the function is in progress.
     #[error("rollout '{rival}' of '{function}' is on ({})", .phase.name())]
     Rival {
         /// The name of the other rollout.
@@ -96,28 +119,34 @@
 }
 
 impl Coordinator {
-    /// Does what an operator asks for. `drawn` is a random number for the run that may be started.
+    /// Executes a command. `random` identifies the run that it may start.
     ///
     /// # Errors
-    /// Nothing is changed then.
-    pub fn command(&mut self, now: f64, command: &Command, drawn: u64) -> Result<(), CommandError> {
+    ///
+    /// If the command isn't possible at present; nothing changes then.
+    pub fn command(
+        &mut self,
+        now: f64,
+        command: &Command,
+        random: u64,
+    ) -> Result<(), CommandError> {
         self.now = now;
         if let Some(epoch) = self.superseded {
             return Err(CommandError::Superseded { term: epoch.term });
         }
         match command {
-            Command::Start { plan, from, to } => self.start(plan, from, to, drawn)?,
+            Command::Start { plan, from, to } => self.start(plan, from, to, random)?,
             Command::Pause { name } => self.pause(name)?,
             Command::Resume { name } => self.resume(name)?,
-            Command::Back { name, why } => {
+            Command::RollBack { name, why } => {
                 self.phase_of(name)?;
-                self.change(name, true, why.clone(), |rollout| {
-                    rollout.phase = Phase::TakenBack
+                self.update_rollout(name, true, why.clone(), |rollout| {
+                    rollout.phase = Phase::RolledBack
                 });
             }
             Command::Advance { name, why } => self.skip_step(name, why)?,
             Command::Finish { name } => match self.phase_of(name)? {
-                Phase::Keeping => self.finish(name, true, "finished by an operator".into()),
+                Phase::RetainingOld => self.finish(name, true, "finished by an operator".into()),
                 phase => {
                     return Err(CommandError::NotFinishable {
                         name: name.clone(),
@@ -130,13 +159,13 @@
         Ok(())
     }
 
-    /// The phase of a rollout that is on.
+    /// The phase of a rollout that hasn't ended.
     fn phase_of(&self, name: &str) -> Result<Phase, CommandError> {
         let found = self.state.published.rollouts.get(name);
         let phase = found
             .ok_or_else(|| CommandError::Unknown(name.to_owned()))?
             .phase;
-        if phase.is_over() {
+        if phase.has_ended() {
             return Err(CommandError::Over {
                 name: name.to_owned(),
                 phase,
@@ -148,7 +177,7 @@
     fn pause(&mut self, name: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
-                self.change(name, true, "paused".into(), |rollout| {
+                self.update_rollout(name, true, "paused".into(), |rollout| {
                     rollout.phase = Phase::Paused
                 });
                 Ok(())
@@ -163,7 +192,7 @@
     fn resume(&mut self, name: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Paused => {
-                self.change(name, true, "resumed".into(), |rollout| {
+                self.update_rollout(name, true, "resumed".into(), |rollout| {
                     rollout.phase = Phase::Shifting
                 });
                 Ok(())
@@ -179,7 +208,7 @@
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
                 let run = self.state.runs.entry(name.to_owned()).or_default();
-                run.skip = Some(format!("an operator went on: {why}"));
+                run.operator_advance = Some(format!("an operator went on: {why}"));
                 Ok(())
             }
             phase => Err(CommandError::NotAdvancing {
@@ -189,11 +218,17 @@
         }
     }
 
-    fn start(&mut self, plan: &Plan, from: &str, to: &str, drawn: u64) -> Result<(), CommandError> {
+    fn start(
+        &mut self,
+        plan: &Plan,
+        from: &str,
+        to: &str,
+        random: u64,
+    ) -> Result<(), CommandError> {
         let rollouts = &self.state.published.rollouts;
         let rival = rollouts
             .values()
-            .find(|r| !r.phase.is_over() && r.plan.function == plan.function);
+            .find(|r| !r.phase.has_ended() && r.plan.function == plan.function);
         if let Some(rival) = rival {
             return Err(CommandError::Rival {
                 rival: rival.plan.name.clone(),
@@ -201,11 +236,11 @@
                 phase: rival.phase,
             });
         }
-        self.forget_oldest();
+        self.remove_oldest_ended();
         let before = self.state.published.rollouts.get(&plan.name);
         let rollout = Rollout {
             plan: Arc::new(plan.clone()),
-            run: drawn,
+            run: random,
             number: before.map_or(0, |rollout| rollout.number),
             phase: Phase::Planned,
             step: 0,
@@ -226,26 +261,26 @@
         self.state
             .runs
             .insert(plan.name.clone(), Run::with_history(history));
-        self.change(&plan.name, true, "started".into(), |_| {});
+        self.update_rollout(&plan.name, true, "started".into(), |_| {});
         Ok(())
     }
 
-    /// Forgets the rollout that ended first, where as many are kept as may be.
-    fn forget_oldest(&mut self) {
+    /// Removes the rollout that ended first, if too many ended ones are kept.
+    fn remove_oldest_ended(&mut self) {
         let rollouts = &self.state.published.rollouts;
-        let over: Vec<&String> = rollouts
+        let ended: Vec<&String> = rollouts
             .iter()
-            .filter(|(_, rollout)| rollout.phase.is_over())
+            .filter(|(_, rollout)| rollout.phase.has_ended())
             .map(|(name, _)| name)
             .collect();
-        if over.len() < MAX_OVER {
+        if ended.len() < MAX_ENDED {
             return;
         }
         let ended_at = |name: &str| {
             let last = self.state.runs.get(name).and_then(|run| run.history.last());
             last.map_or(0.0, |event| event.at)
         };
-        let oldest = over
+        let oldest = ended
             .into_iter()
             .min_by(|a, b| ended_at(a).total_cmp(&ended_at(b)))
             .cloned();
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,6 +1,5 @@
-//! The coordinator's part of a rollout: it pools the evidence of all front ends, judges it by an ordered list of
-//! rules, and publishes the state of each rollout. Any one process can be the coordinator. Times are in seconds since
-//! 1970.
+//! The coordinator of rollouts: it pools the evidence of all front ends, evaluates it by an ordered list of rules, and
+//! publishes the state of each rollout. Any one process can be the coordinator. Times are in seconds since 1970.
 
 mod command;
 mod rules;
@@ -13,28 +12,28 @@
 use crate::state::{Epoch, Phase, Published, Rollout};
 use rules::{RULES, Verdict};
 
-/// A front end that has not reported for so many seconds is not waited for.
-const SILENCE: f64 = 3.0;
-/// Reports of front ends are forgotten after so many seconds.
-const FORGET_AFTER: f64 = 10.0 * SILENCE;
-/// Entries of history that are kept for each rollout.
+/// A front end that hasn't reported for this long doesn't hold a step, in seconds.
+const REPORT_TIMEOUT: f64 = 3.0;
+/// Reports are forgotten after this time, in seconds.
+const REPORT_EXPIRY: f64 = 10.0 * REPORT_TIMEOUT;
+/// The most events in the history of a rollout.
 const MAX_HISTORY: usize = 300;
-/// Front ends whose rounds are remembered.
+/// The most front ends whose report rounds are remembered.
 const MAX_ROUNDS: usize = 10_000;
 
 /// The coordinator of all rollouts, as a state machine without I/O.
 pub struct Coordinator {
     state: CoordinatorState,
-    /// The epoch of a newer coordinator. This one says so and does nothing more.
+    /// The epoch of a newer coordinator. This one then only reports that.
     superseded: Option<Epoch>,
     now: f64,
     changed: bool,
 }
 
 impl Coordinator {
-    /// Continues from a state that was kept, under a new term. `drawn` is a random number that tells coordinators of
-    /// one term apart.
-    pub fn new(state: CoordinatorState, drawn: u64, now: f64) -> Coordinator {
+    /// Continues from a persisted state, under a new term. The random `nonce` distinguishes coordinators of the same
+    /// term.
+    pub fn new(state: CoordinatorState, nonce: u64, now: f64) -> Coordinator {
         let mut coordinator = Coordinator {
             state,
             superseded: None,
@@ -42,43 +41,43 @@
             changed: true,
         };
         coordinator.state.published.epoch.term += 1;
-        coordinator.state.published.epoch.drawn = drawn;
+        coordinator.state.published.epoch.nonce = nonce;
         coordinator
     }
 
-    /// What front ends are told.
+    /// The state published to front ends.
     pub fn published(&self) -> &Published {
         &self.state.published
     }
 
-    /// What has to outlive the process.
+    /// The state to persist.
     pub fn state(&self) -> &CoordinatorState {
         &self.state
     }
 
-    /// The epoch of a newer coordinator that was heard of.
+    /// The epoch of a newer coordinator, if one is known.
     pub fn superseded(&self) -> Option<Epoch> {
         self.superseded
     }
 
-    /// Whether anything was published since the last call: it has to be persisted before it is told.
+    /// Whether the published state has changed since the last call. It has to be persisted before it is sent.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// A front end or another coordinator named an epoch.
-    pub fn heard_of(&mut self, epoch: Epoch) {
+    /// Records an epoch that a front end or another coordinator knows.
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         let is_newer = epoch > self.state.published.epoch;
         if is_newer && self.superseded.is_none_or(|known| known < epoch) {
             self.superseded = Some(epoch);
         }
     }
 
-    /// Changes a rollout, and adds the change to its history.
-    fn change(
+    /// Changes a rollout and adds an event to its history.
+    fn update_rollout(
         &mut self,
         name: &str,
-        by_hand: bool,
+        by_operator: bool,
         reason: String,
         change: impl FnOnce(&mut Rollout),
     ) {
@@ -97,7 +96,7 @@
             number: rollout.number,
             phase: rollout.phase,
             step: rollout.step,
-            by_hand,
+            by_operator,
             reason,
         };
         let run = self.state.runs.entry(name.to_owned()).or_default();
@@ -106,8 +105,8 @@
         run.history.drain(..excess);
     }
 
-    /// Ends a rollout with the new version: its alias moves.
-    fn finish(&mut self, name: &str, by_hand: bool, reason: String) {
+    /// Finishes a rollout: the alias moves to the new version.
+    fn finish(&mut self, name: &str, by_operator: bool, reason: String) {
         let Some(rollout) = self.state.published.rollouts.get(name) else {
             return;
         };
@@ -119,15 +118,15 @@
             .entry(function)
             .or_default()
             .insert(alias, digest);
-        self.change(name, by_hand, reason, |rollout| {
+        self.update_rollout(name, by_operator, reason, |rollout| {
             rollout.phase = Phase::Finished
         });
     }
 
-    /// Adds the report of a front end to the evidence. The front end is known by a number that it drew at its start.
-    /// A round that was reported before counts once, also across a restart: its number is kept with what it added.
-    pub fn evidence(&mut self, now: f64, report: &EvidenceReport) {
-        self.heard_of(report.epoch);
+    /// Records the report of a front end, which is identified by a random number. A round that is reported again counts
+    /// once, also across a restart, since its number is persisted with its evidence.
+    pub fn record_report(&mut self, now: f64, report: &EvidenceReport) {
+        self.observe_epoch(report.epoch);
         if !self.is_new_round(now, report) {
             return;
         }
@@ -136,7 +135,7 @@
             let Some((name, rollout)) = rollouts.iter().find(|(_, r)| r.run == delta.run) else {
                 continue;
             };
-            if !rollout.phase.is_over() {
+            if !rollout.phase.has_ended() {
                 let run = self.state.runs.entry(name.clone()).or_default();
                 run.add(now, report.front_end, delta);
             }
@@ -160,51 +159,53 @@
         true
     }
 
-    /// Judges each rollout that is on. To be called about once a second and after a command.
+    /// Evaluates each rollout. To be called about once a second and after a command.
     pub fn tick(&mut self, now: f64) {
-        let passed = (now - self.now).clamp(0.0, SILENCE);
+        let elapsed = (now - self.now).clamp(0.0, REPORT_TIMEOUT);
         self.now = now;
         if self.superseded.is_some() {
             return;
         }
         let names: Vec<String> = self.state.published.rollouts.keys().cloned().collect();
         for name in names {
-            self.judge(&name, passed);
+            self.evaluate(&name, elapsed);
         }
     }
 
-    fn judge(&mut self, name: &str, passed: f64) {
+    fn evaluate(&mut self, name: &str, elapsed: f64) {
         let now = self.now;
         let Some(rollout) = self.state.published.rollouts.get(name).cloned() else {
             return;
         };
         let run = self.state.runs.entry(name.to_owned()).or_default();
-        run.forget_silent(now);
+        run.forget_expired_reports(now);
         let slots = run.take_slots();
-        if rollout.phase.is_over() {
+        if rollout.phase.has_ended() {
             return;
         }
-        run.tests.note(&rollout.plan, now, &slots);
+        run.tests.record(&rollout.plan, now, &slots);
         if rollout.phase != Phase::Paused {
-            run.time += passed;
+            run.time += elapsed;
         }
         let verdict = RULES
             .iter()
             .map(|rule| rule(run, &rollout, now))
             .find(|verdict| !matches!(verdict, Verdict::Pass))
             .unwrap_or(Verdict::Pass);
-        run.held = matches!(verdict, Verdict::Hold(_));
-        self.follow(name, &rollout, verdict);
+        run.is_held = matches!(verdict, Verdict::Hold(_));
+        self.apply_verdict(name, &rollout, verdict);
     }
 
-    /// Does what the rules say of a rollout in its phase.
-    fn follow(&mut self, name: &str, rollout: &Rollout, verdict: Verdict) {
+    /// Applies the verdict of the rules to a rollout in its phase.
+    fn apply_verdict(&mut self, name: &str, rollout: &Rollout, verdict: Verdict) {
         match (verdict, rollout.phase) {
-            (Verdict::Back(why), _) => {
-                self.change(name, false, why, |rollout| rollout.phase = Phase::TakenBack);
+            (Verdict::RollBack(why), _) => {
+                self.update_rollout(name, false, why, |rollout| {
+                    rollout.phase = Phase::RolledBack
+                });
             }
             (_, Phase::Paused) => {}
-            // Front ends load for the first step once it is published.
+            // Front ends load copies for the first step once it is published.
             (_, Phase::Planned) => {
                 let share = rollout.plan.steps.first().map_or(0.0, |step| step.share);
                 self.begin_step(name, format!("step 1: a share of {share}"), |rollout| {
@@ -212,14 +213,14 @@
                 });
             }
             (Verdict::Hold(why), _) => {
-                // Why the next step has not come is published without being a change.
+                // The reason for a hold is published, but isn't a change.
                 if let Some(rollout) = self.state.published.rollouts.get_mut(name) {
                     rollout.reason = why;
                 }
             }
-            (Verdict::Pass | Verdict::Advance(_), Phase::Keeping) => {
-                let kept_for = self.state.runs.get(name).map_or(0.0, |run| run.time);
-                if kept_for >= rollout.plan.keep_from {
+            (Verdict::Pass | Verdict::Advance(_), Phase::RetainingOld) => {
+                let retained_for = self.state.runs.get(name).map_or(0.0, |run| run.time);
+                if retained_for >= rollout.plan.old_version_retention {
                     self.finish(name, false, "the old version was kept long enough".into());
                 }
             }
@@ -232,7 +233,7 @@
         match rollout.plan.steps.get(rollout.step + 1) {
             None => {
                 let reason = why.unwrap_or_else(|| "all steps passed".into());
-                self.begin_step(name, reason, |rollout| rollout.phase = Phase::Keeping);
+                self.begin_step(name, reason, |rollout| rollout.phase = Phase::RetainingOld);
             }
             Some(next) => {
                 let reason = format!("step {}: a share of {}", rollout.step + 2, next.share);
@@ -242,11 +243,11 @@
         }
     }
 
-    /// Begins a step: its time and evidence are counted anew. The tests go on over all steps.
+    /// Begins a step: its duration and counts restart. The sequential tests continue over all steps.
     fn begin_step(&mut self, name: &str, reason: String, change: impl FnOnce(&mut Rollout)) {
         if let Some(run) = self.state.runs.get_mut(name) {
             run.begin_step();
         }
-        self.change(name, false, reason, change);
+        self.update_rollout(name, false, reason, change);
     }
 }
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -1,52 +1,52 @@
-//! The rules by which a coordinator judges a rollout.
+//! The rules by which a coordinator evaluates a rollout.
 
 use super::Run;
-use crate::plan::{Gate, Plan, Unjudged};
+use crate::plan::{Gate, InconclusiveAction, Plan};
 use crate::sequential::Stratum;
 use crate::state::{Phase, Rollout};
 
-/// Evidence that holds a step, as a part of the logarithm of what takes the rollout back.
+/// Strength of the evidence that holds a step, relative to the one that rolls back (both as logarithms).
 const HOLD_THRESHOLD: f64 = 0.5;
-/// Evidence below which a step that is held goes on again, as a part of the same.
+/// Strength of the evidence below which a held step continues.
 const RELEASE_THRESHOLD: f64 = 0.25;
 
-/// What a rule says of a rollout.
+/// The verdict of a rule.
 pub(super) enum Verdict {
-    /// Nothing: the next rule is asked.
+    /// The rule doesn't apply: the next one decides.
     Pass,
-    /// The step is held, for this reason.
+    /// Hold the step, for this reason.
     Hold(String),
-    /// The rollout is taken back, for this reason.
-    Back(String),
-    /// The next step comes, for this reason.
+    /// Roll back, for this reason.
+    RollBack(String),
+    /// Advance to the next step, for this reason.
     Advance(String),
 }
 
 type Rule = fn(&Run, &Rollout, f64) -> Verdict;
 
-/// The rules in their order: the first that says anything counts.
+/// The rules in order: the first that applies decides.
 pub(super) const RULES: [Rule; 8] = [
     digest_differs,
     gate_fails,
-    front_end_took_it_back,
+    front_end_rolled_back,
     operator_advances,
     front_ends_are_not_ready,
     evidence_is_building,
-    time_or_evidence_is_missing,
-    gate_cannot_be_judged,
+    time_or_samples_are_missing,
+    gate_is_inconclusive,
 ];
 
 fn digest_differs(run: &Run, _: &Rollout, _: f64) -> Verdict {
     match run.digest_mismatches {
         0 => Verdict::Pass,
-        count => Verdict::Back(format!(
+        count => Verdict::RollBack(format!(
             "{count} loads found bytes that the digest doesn't name"
         )),
     }
 }
 
-fn group_name(group: Stratum) -> String {
-    match group {
+fn stratum_name(stratum: Stratum) -> String {
+    match stratum {
         Stratum::All => "all".into(),
         Stratum::TriggerType(index) => format!("trigger type {index}"),
         Stratum::Customer(index) => format!("customer {index}"),
@@ -54,20 +54,20 @@
     }
 }
 
-/// A gate and the strength of its evidence, as a part of the logarithm of what takes the rollout back.
-struct Strongest {
+/// The gate with the strongest evidence. A strength of 1 rolls back.
+struct StrongestEvidence {
     gate: Gate,
     strength: f64,
 }
 
-fn strongest(run: &Run, plan: &Plan, takes_back: bool) -> Option<Strongest> {
+fn strongest(run: &Run, plan: &Plan, only_rolling_back: bool) -> Option<StrongestEvidence> {
     let strength = |gate: Gate| run.tests.evidence(gate).ln() / plan.threshold().ln();
     let gates = plan
         .gates
         .iter()
-        .filter(|hold| !takes_back || hold.takes_back)
-        .map(|hold| hold.gate);
-    let gates = gates.map(|gate| Strongest {
+        .filter(|policy| !only_rolling_back || policy.rolls_back)
+        .map(|policy| policy.gate);
+    let gates = gates.map(|gate| StrongestEvidence {
         gate,
         strength: strength(gate),
     });
@@ -76,35 +76,35 @@
 
 fn gate_fails(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let failing = strongest(run, &rollout.plan, true).filter(|strongest| strongest.strength >= 1.0);
-    let Some(Strongest { gate, .. }) = failing else {
+    let Some(StrongestEvidence { gate, .. }) = failing else {
         return Verdict::Pass;
     };
-    let group = run
+    let stratum = run
         .tests
         .strongest(gate)
-        .map_or_else(|| "all".into(), |(group, _)| group_name(group));
+        .map_or_else(|| "all".into(), |(stratum, _)| stratum_name(stratum));
     let odds = run.tests.evidence(gate);
-    Verdict::Back(format!(
-        "'{}' is worse ({group}): evidence of {odds:.0} to 1",
+    Verdict::RollBack(format!(
+        "'{}' is worse ({stratum}): evidence of {odds:.0} to 1",
         gate.name()
     ))
 }
 
-fn front_end_took_it_back(run: &Run, _: &Rollout, _: f64) -> Verdict {
-    match &run.took_back {
+fn front_end_rolled_back(run: &Run, _: &Rollout, _: f64) -> Verdict {
+    match &run.local_rollback {
         None => Verdict::Pass,
-        Some(why) => Verdict::Back(format!("a front end out of reach: {why}")),
+        Some(why) => Verdict::RollBack(format!("a front end out of reach: {why}")),
     }
 }
 
 fn operator_advances(run: &Run, _: &Rollout, _: f64) -> Verdict {
-    run.skip
+    run.operator_advance
         .as_ref()
         .map_or(Verdict::Pass, |why| Verdict::Advance(why.clone()))
 }
 
 fn front_ends_are_not_ready(run: &Run, rollout: &Rollout, now: f64) -> Verdict {
-    if rollout.phase == Phase::Keeping {
+    if rollout.phase == Phase::RetainingOld {
         return Verdict::Pass;
     }
     let ready = run.readiness(now);
@@ -120,89 +120,89 @@
     }
 }
 
-/// Hysteresis: evidence that builds up holds the step until it has gone down by half.
+/// Holds the step while evidence builds up, with hysteresis: until it has decreased to half of the threshold.
 fn evidence_is_building(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
-    if rollout.phase == Phase::Keeping {
+    if rollout.phase == Phase::RetainingOld {
         return Verdict::Pass;
     }
-    let threshold = if run.held {
+    let threshold = if run.is_held {
         RELEASE_THRESHOLD
     } else {
         HOLD_THRESHOLD
     };
     match strongest(run, &rollout.plan, false).filter(|strongest| strongest.strength >= threshold) {
         None => Verdict::Pass,
-        Some(Strongest { gate, .. }) => {
+        Some(StrongestEvidence { gate, .. }) => {
             let odds = run.tests.evidence(gate);
             Verdict::Hold(format!("'{}' looks worse: {odds:.0} to 1", gate.name()))
         }
     }
 }
 
-fn time_or_evidence_is_missing(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
+fn time_or_samples_are_missing(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let step = rollout
         .plan
         .steps
         .get(rollout.step)
-        .filter(|_| rollout.phase != Phase::Keeping);
+        .filter(|_| rollout.phase != Phase::RetainingOld);
     let Some(step) = step else {
         return Verdict::Pass;
     };
     let answers = run.step[1].answers;
-    if answers < step.least_evidence {
+    if answers < step.min_samples {
         let missing = format!(
             "{answers} of {} answers of the new version are in",
-            step.least_evidence
+            step.min_samples
         );
-        let is_late = step.longest.is_some_and(|longest| run.time >= longest);
+        let is_late = step.max_duration.is_some_and(|longest| run.time >= longest);
         return if is_late {
-            Verdict::Back(format!("in the longest time of the step {missing}"))
+            Verdict::RollBack(format!("in the longest time of the step {missing}"))
         } else {
             Verdict::Hold(missing)
         };
     }
-    if run.time < step.least_time {
+    if run.time < step.min_duration {
         return Verdict::Hold(format!(
             "{:.0} of {:.0} s have passed",
-            run.time, step.least_time
+            run.time, step.min_duration
         ));
     }
     Verdict::Pass
 }
 
-fn gate_cannot_be_judged(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
+fn gate_is_inconclusive(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let plan = &rollout.plan;
-    // Where nothing is held back there is nothing left to compare with at the end.
-    let is_whole = plan
+    // Without a holdback there is nothing to compare with in the last step.
+    let is_last_step = plan
         .steps
         .get(rollout.step)
         .is_none_or(|step| step.share >= 1.0);
-    if is_whole && plan.holdback == 0.0 || rollout.phase == Phase::Keeping {
+    if is_last_step && plan.holdback == 0.0 || rollout.phase == Phase::RetainingOld {
         return Verdict::Pass;
     }
-    let Some(hold) = plan
+    let Some(policy) = plan
         .gates
         .iter()
-        .find(|hold| has_no_comparison(run, hold.gate))
+        .find(|policy| has_no_comparison(run, policy.gate))
     else {
         return Verdict::Pass;
     };
     let why = format!(
         "'{}' can't be judged: one of the versions gave nothing to compare",
-        hold.gate.name()
+        policy.gate.name()
     );
-    match plan.unjudged {
-        Unjudged::Advance => Verdict::Pass,
-        Unjudged::Hold => Verdict::Hold(why),
-        Unjudged::Back => Verdict::Back(why),
+    match plan.on_inconclusive {
+        InconclusiveAction::Advance => Verdict::Pass,
+        InconclusiveAction::Hold => Verdict::Hold(why),
+        InconclusiveAction::RollBack => Verdict::RollBack(why),
     }
 }
 
 fn has_no_comparison(run: &Run, gate: Gate) -> bool {
     let [old, new] = &run.step;
     match gate {
-        // No load is no failed load.
+        // A version without loads has no failed loads either.
         Gate::LoadFailures => new.loads > 0 && old.loads == 0 && new.events[gate.index()] > 0,
-        _ => run.step.iter().any(|arm| arm.exposed(gate) == 0),
+        _ => run.step.iter().any(|counts| counts.sample_count(gate) == 0),
     }
 }
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -1,13 +1,13 @@
-//! What a coordinator knows of its rollouts, and what of it outlives the process.
+//! The persistent state of a coordinator.
 
-use super::{FORGET_AFTER, SILENCE};
-use crate::evidence::{Counts, Delta, Slot};
-use crate::sequential::Tests;
+use super::{REPORT_EXPIRY, REPORT_TIMEOUT};
+use crate::evidence::{Counts, EvidenceDelta, Slot};
+use crate::sequential::SequentialTests;
 use crate::state::{Phase, Published};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A line of a rollout's history.
+/// An event in the history of a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Event {
@@ -17,63 +17,74 @@
     pub run: u64,
     /// The number of the rollout's state.
     pub number: u64,
-    /// The phase from then on.
+    /// The phase after the event.
     pub phase: Phase,
-    /// The step from then on.
+    /// Index of the step after the event.
     pub step: usize,
-    /// Whether an operator did it, and not the rules.
-    pub by_hand: bool,
-    /// Why.
+    /// Whether an operator caused the event; otherwise the rules did.
+    #[serde(rename = "byHand")]
+    pub by_operator: bool,
+    /// The reason.
     pub reason: String,
 }
 
-/// What the journal of a coordinator keeps.
+/// The state in the journal of a coordinator.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CoordinatorState {
-    /// What front ends are told.
+    /// The state published to front ends.
     pub published: Published,
     /// The evidence on each rollout, by its name.
     pub runs: BTreeMap<String, Run>,
-    /// The last round of each front end that counted, and when it came.
+    /// The last report round of each front end, and when it was received.
     pub rounds: BTreeMap<u64, (u64, f64)>,
 }
 
+/// What a front end last reported, apart from its counts.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct FrontEndReport {
+    at: f64,
+    /// Invocations of the function a second.
+    rate: f64,
+    /// Whether the front end applies the step's share.
+    is_ready: bool,
+}
+
 /// The evidence on one rollout.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Run {
     /// The sequential tests of all gates.
-    pub tests: Tests,
-    /// The counts of the step that is on: old and new version.
+    pub tests: SequentialTests,
+    /// The counts of the present step: old and new version.
     pub step: [Counts; 2],
     /// The counts of the whole run: old and new version.
-    pub whole: [Counts; 2],
-    /// Seconds for which the step has been on, without pauses.
+    #[serde(rename = "whole")]
+    pub total: [Counts; 2],
+    /// Duration of the present step in seconds, without pauses.
     pub time: f64,
     /// Whether a rule holds the step.
-    pub held: bool,
-    /// Loads that found other bytes than the digest names.
+    #[serde(rename = "held")]
+    pub is_held: bool,
+    /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why a front end took the rollout back by itself.
-    pub took_back: Option<String>,
-    /// When each front end last reported its traffic, and invocations a second.
+    /// Why a front end rolled back by itself.
+    #[serde(rename = "tookBack")]
+    pub local_rollback: Option<String>,
+    /// The last report of each front end.
     #[serde(skip)]
-    rates: BTreeMap<u64, (f64, f64)>,
-    /// When each front end last reported, and whether it gives the new version its share.
-    #[serde(skip)]
-    reported: BTreeMap<u64, (f64, bool)>,
+    reports: BTreeMap<u64, FrontEndReport>,
     #[serde(skip)]
     slots: Vec<Slot>,
-    /// Why an operator asked for the next step, until it has come.
+    /// The operator's reason to advance, until the next step begins.
     #[serde(skip)]
-    pub(super) skip: Option<String>,
-    /// Changes of the rollout, the oldest first.
+    pub(super) operator_advance: Option<String>,
+    /// The history of the rollout, oldest first.
     pub history: Vec<Event>,
 }
 
 impl Run {
-    /// A run without evidence, whose history goes on from an earlier run's.
+    /// A run without evidence that continues the history of an earlier run.
     pub(super) fn with_history(history: Vec<Event>) -> Run {
         Run {
             history,
@@ -81,37 +92,44 @@
         }
     }
 
-    /// Invocations of the function a second, over all front ends that reported lately.
+    /// Invocations of the function a second, over all front ends that reported recently.
     pub fn rate(&self) -> f64 {
-        self.rates.values().map(|(_, rate)| rate).sum()
+        self.reports.values().map(|report| report.rate).sum()
     }
 
-    /// For each front end that reported lately, whether it gives the new version its share.
+    /// For each front end that reported recently, whether it applies the step's share.
     pub(super) fn readiness(&self, now: f64) -> Vec<bool> {
-        self.reported
+        self.reports
             .values()
-            .filter(|(at, _)| now - *at < SILENCE)
-            .map(|(_, ready)| *ready)
+            .filter(|report| now - report.at < REPORT_TIMEOUT)
+            .map(|report| report.is_ready)
             .collect()
     }
 
-    pub(super) fn add(&mut self, now: f64, front_end: u64, delta: &Delta) {
-        self.reported.insert(front_end, (now, delta.ready));
-        self.rates.insert(front_end, (now, delta.rate));
+    pub(super) fn add(&mut self, now: f64, front_end: u64, delta: &EvidenceDelta) {
+        let report = FrontEndReport {
+            at: now,
+            rate: delta.rate,
+            is_ready: delta.ready,
+        };
+        self.reports.insert(front_end, report);
         self.digest_mismatches += delta.digest_mismatches;
-        self.took_back = self.took_back.take().or_else(|| delta.took_back.clone());
+        self.local_rollback = self
+            .local_rollback
+            .take()
+            .or_else(|| delta.local_rollback.clone());
         for slot in &delta.slots {
-            for (arm, counts) in [slot.old, slot.new].iter().enumerate() {
-                self.step[arm].add(counts);
-                self.whole[arm].add(counts);
+            for (cohort, counts) in [slot.old, slot.new].iter().enumerate() {
+                self.step[cohort].add(counts);
+                self.total[cohort].add(counts);
             }
         }
         self.slots.extend_from_slice(&delta.slots);
     }
 
-    pub(super) fn forget_silent(&mut self, now: f64) {
-        self.reported.retain(|_, (at, _)| now - *at < FORGET_AFTER);
-        self.rates.retain(|_, (at, _)| now - *at < FORGET_AFTER);
+    pub(super) fn forget_expired_reports(&mut self, now: f64) {
+        self.reports
+            .retain(|_, report| now - report.at < REPORT_EXPIRY);
     }
 
     pub(super) fn take_slots(&mut self) -> Vec<Slot> {
@@ -121,11 +139,11 @@
     pub(super) fn begin_step(&mut self) {
         self.step = Default::default();
         self.time = 0.0;
-        self.held = false;
-        self.skip = None;
-        // Front ends have yet to report whether they are ready for this step.
-        self.reported
-            .values_mut()
-            .for_each(|(_, ready)| *ready = false);
+        self.is_held = false;
+        self.operator_advance = None;
+        // Front ends haven't reported yet whether they are ready for this step.
+        for report in self.reports.values_mut() {
+            report.is_ready = false;
+        }
     }
 }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,41 +1,43 @@
-//! Evidence on the two versions of a rollout: what their invocations came to, counted where they were answered.
+//! Evidence on the two versions of a rollout: the outcomes of their invocations, counted at each front end.
 //!
-//! Counts are of the same trigger type, customer and location over the same short time, so that a trouble common to
-//! both versions shows in both.
+//! Versions are compared within strata: the same trigger type, customer and location over the same short time. A fault
+//! that affects both versions then shows in both.
 
 use crate::plan::{GATES, Gate};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One of the two versions that are compared.
+/// The cohort of an invocation: which of the two versions it got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub enum Arm {
-    /// The version that the rollout comes from.
-    Old,
-    /// The version that the rollout goes to.
-    New,
+pub enum Cohort {
+    /// The old version.
+    #[serde(rename = "old")]
+    Baseline,
+    /// The new version.
+    #[serde(rename = "new")]
+    Canary,
 }
 
-/// Where an invocation belongs, by indices of the deployment's lists.
+/// The finest stratum of an invocation, by indices of the deployment's lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Cell {
-    /// The index of its trigger type.
+pub struct StratumKey {
+    /// Index of the trigger type.
     pub trigger_type: u16,
-    /// The index of its customer.
+    /// Index of the customer.
     pub customer: u16,
-    /// The index of the front end's location.
+    /// Index of the front end's location.
     pub location: u16,
 }
 
-/// Counts of one version in one cell.
+/// Counts of one version in one stratum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Final answers.
     pub answers: u64,
-    /// Answers of copies that had been loaded before: they show the version's own latency.
+    /// Answers of warm copies, whose latency is compared.
     pub warm: u64,
-    /// Loads that came to an end; in the old arm those of any other version, as the same store gave them.
+    /// Loads that ended. For the baseline, those of all other versions, since they come from the same store.
     pub loads: u64,
     /// Events by gate.
     pub events: [u64; GATES.len()],
@@ -53,8 +55,8 @@
             .for_each(|(a, b)| *a += b);
     }
 
-    /// The number of answers or loads among which the events of a gate are counted.
-    pub fn exposed(&self, gate: Gate) -> u64 {
+    /// The number of answers or loads that a gate's events are counted among.
+    pub fn sample_count(&self, gate: Gate) -> u64 {
         match gate {
             Gate::Errors | Gate::Throttled => self.answers,
             Gate::Slow | Gate::SlowTail => self.warm,
@@ -62,19 +64,20 @@
         }
     }
 
-    /// Whether nothing was counted.
-    pub fn is_nothing(&self) -> bool {
+    /// Whether all counts are zero.
+    pub fn is_empty(&self) -> bool {
         *self == Counts::default()
     }
 }
 
-/// One cell's counts over one short time at one front end.
+/// The counts of one stratum over one short time at one front end.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Slot {
-    /// The cell.
-    pub cell: Cell,
-    /// The share of the cell's invocations that was given to the new version during it.
+    /// The stratum.
+    #[serde(rename = "cell")]
+    pub stratum: StratumKey,
+    /// Share of the stratum's invocations that were assigned to the new version.
     pub share: f64,
     /// Counts of the old version.
     pub old: Counts,
@@ -82,53 +85,54 @@
     pub new: Counts,
 }
 
-/// What a front end adds to the evidence on one run of a rollout.
+/// The evidence on one run of a rollout since a front end's last report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Delta {
+pub struct EvidenceDelta {
     /// The run of the rollout.
     pub run: u64,
     /// The counts since the last delta.
     pub slots: Vec<Slot>,
-    /// Loads that found other bytes than the digest names.
+    /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why the front end took the rollout back by itself, while it reached no coordinator.
-    pub took_back: Option<String>,
-    /// Whether it knows copies of the new version, so that it gives it the step's share.
+    /// Why the front end rolled back by itself, while it reached no coordinator.
+    #[serde(rename = "tookBack")]
+    pub local_rollback: Option<String>,
+    /// Whether the front end has copies of the new version, and therefore applies the step's share.
     pub ready: bool,
-    /// Invocations of the function that it took, a second.
+    /// Invocations of the function a second at this front end.
     pub rate: f64,
 }
 
-/// Collects slots. A share that changes begins new ones.
+/// Collects counts into slots. A change of the share starts new slots.
 #[derive(Clone, Debug, Default)]
 pub struct SlotCollector {
-    slots: BTreeMap<(Cell, u64), (Counts, Counts)>,
+    slots: BTreeMap<(StratumKey, u64), (Counts, Counts)>,
 }
 
-/// The most slots between two reports; beyond it answers are left out of the evidence.
+/// The most slots between two reports; beyond, answers aren't counted.
 const MAX_SLOTS: usize = 4_096;
 
 impl SlotCollector {
-    /// The counts of a version in a cell; `None` where there are too many slots.
-    pub fn at(&mut self, cell: Cell, share: f64, arm: Arm) -> Option<&mut Counts> {
+    /// The counts of a cohort in a stratum; `None` if there are too many slots.
+    pub fn counts_mut(&mut self, cell: StratumKey, share: f64, arm: Cohort) -> Option<&mut Counts> {
         let key = (cell, share.to_bits());
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&key) {
             return None;
         }
         let both = self.slots.entry(key).or_default();
-        Some(if arm == Arm::Old {
+        Some(if arm == Cohort::Baseline {
             &mut both.0
         } else {
             &mut both.1
         })
     }
 
-    /// Takes the slots that were collected.
+    /// Removes and returns the collected slots.
     pub fn take(&mut self) -> Vec<Slot> {
         let slots = std::mem::take(&mut self.slots);
-        let slot = |((cell, share), (old, new)): ((Cell, u64), (Counts, Counts))| Slot {
-            cell,
+        let slot = |((cell, share), (old, new)): ((StratumKey, u64), (Counts, Counts))| Slot {
+            stratum: cell,
             share: f64::from_bits(share),
             old,
             new,
@@ -137,38 +141,38 @@
     }
 }
 
-/// A quantile that is estimated step by step: each value moves it up by a part in proportion to the quantile, or down
-/// by the rest, relative to where it is. A value is compared with what was estimated before it.
+/// A quantile that is estimated incrementally: each value moves the estimate up in proportion to the quantile, or down in
+/// proportion to the rest, relative to the estimate. Compare a value with the estimate before recording it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuantileEstimate {
     /// The estimate.
     pub at: f64,
-    seen: u32,
+    count: u32,
 }
 
 impl QuantileEstimate {
-    /// Of so many first values it takes the largest.
-    const FIRST: u32 = 20;
-    /// After that it moves by a part that shrinks down to this one.
-    const LEAST: f64 = 0.02;
+    /// The estimate is the largest of this many first values.
+    const INITIAL_VALUES: u32 = 20;
+    /// After that, it moves by a fraction that shrinks to this one.
+    const MIN_STEP: f64 = 0.02;
 
     /// Adds a value.
-    pub fn note(&mut self, quantile: f64, value: f64) {
-        self.seen = self.seen.saturating_add(1);
-        if self.seen <= Self::FIRST {
+    pub fn record(&mut self, quantile: f64, value: f64) {
+        self.count = self.count.saturating_add(1);
+        if self.count <= Self::INITIAL_VALUES {
             self.at = self.at.max(value);
             return;
         }
-        let part = (1.0 / f64::from(self.seen - Self::FIRST).sqrt()).max(Self::LEAST);
+        let step = (1.0 / f64::from(self.count - Self::INITIAL_VALUES).sqrt()).max(Self::MIN_STEP);
         self.at *= if value > self.at {
-            1.0 + part * quantile
+            1.0 + step * quantile
         } else {
-            1.0 - part * (1.0 - quantile)
+            1.0 - step * (1.0 - quantile)
         };
     }
 
-    /// The estimate, once enough values were seen.
-    pub fn known(&self) -> Option<f64> {
-        (self.seen > Self::FIRST).then_some(self.at)
+    /// The estimate, once enough values were recorded.
+    pub fn value(&self) -> Option<f64> {
+        (self.count > Self::INITIAL_VALUES).then_some(self.at)
     }
 }
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -1,4 +1,4 @@
-//! How a front end takes what a coordinator published.
+//! Adopts the state that a coordinator published.
 
 use super::TrafficSplit;
 use super::local::LocalRollout;
@@ -6,28 +6,28 @@
 use orchidtally_deployment::Function;
 
 impl TrafficSplit {
-    /// An epoch that was heard of otherwise.
-    pub fn heard_of(&mut self, epoch: Epoch) {
+    /// Records an epoch that became known in another way.
+    pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.newest_epoch = self.newest_epoch.max(epoch);
     }
 
-    /// Takes what a coordinator published, unless it is older than what is known. Returns the runs that were taken
-    /// back by it. `find` looks functions up in the deployment.
+    /// Adopts a published state, unless it is older than the known one. Returns the runs that it rolls back. `find`
+    /// looks functions up in the deployment.
     pub fn adopt(
         &mut self,
         now: f64,
         published: Published,
         find: impl Fn(&str) -> Option<Function>,
     ) -> Vec<u64> {
-        self.heard_at = now;
-        self.heard_of(published.epoch);
+        self.last_contact_at = now;
+        self.observe_epoch(published.epoch);
         if !published.is_newer_than(&self.published) {
             return vec![];
         }
-        let mut taken_back = vec![];
+        let mut rolled_back = vec![];
         for rollout in published.rollouts.values() {
             if !is_superseded(rollout, &published) {
-                taken_back.extend(self.adopt_rollout(now, rollout, &find));
+                rolled_back.extend(self.adopt_rollout(now, rollout, &find));
             }
         }
         let is_published = |local: &LocalRollout| {
@@ -36,12 +36,12 @@
                 .values()
                 .any(|r| r.run == local.rollout.run)
         };
-        self.locals.retain(|_, local| is_published(local));
+        self.rollouts.retain(|_, local| is_published(local));
         self.published = published;
-        taken_back
+        rolled_back
     }
 
-    /// Takes one rollout; returns the runs that were taken back by it.
+    /// Adopts the state of one rollout; returns the runs that it rolls back.
     fn adopt_rollout(
         &mut self,
         now: f64,
@@ -49,48 +49,48 @@
         find: &impl Fn(&str) -> Option<Function>,
     ) -> Vec<u64> {
         let function = &rollout.plan.function;
-        let before = self.locals.get(function);
+        let before = self.rollouts.get(function);
         if before.is_some_and(|local| local.rollout == *rollout) {
             return vec![];
         }
-        let mut taken_back = vec![];
+        let mut rolled_back = vec![];
         let is_same_run = before.is_some_and(|local| local.rollout.run == rollout.run);
         if !is_same_run {
             let replaced = before.filter(|local| local.step_in_force().is_some());
-            taken_back.extend(replaced.map(|local| local.rollout.run));
+            rolled_back.extend(replaced.map(|local| local.rollout.run));
             let local = LocalRollout::new(rollout.clone(), find(function), now);
-            self.locals.insert(function.clone(), local);
+            self.rollouts.insert(function.clone(), local);
         }
-        let index = f64::from(self.place.index);
-        let Some(local) = self.locals.get_mut(function) else {
-            return taken_back;
+        let index = f64::from(self.front_end.index);
+        let Some(local) = self.rollouts.get_mut(function) else {
+            return rolled_back;
         };
-        let (step_before, step) = (local.rollout.split_at(), rollout.split_at());
+        let (step_before, step) = (local.rollout.active_step(), rollout.active_step());
         local.rollout = rollout.clone();
         if step != step_before || !is_same_run {
             local.begin_step();
-            // Front ends load one after the other.
+            // Front ends load one after the other, at the planned rate.
             local.next_load_at = now + index / rollout.plan.loads_per_second;
         }
         match step {
             None => {
-                if local.given.take().is_some() {
-                    taken_back.push(rollout.run);
+                if local.granted_step.take().is_some() {
+                    rolled_back.push(rollout.run);
                 }
             }
-            // It goes back to an earlier step at once, and to a later one when it is ready.
-            Some(step) => local.given = local.given.map(|given| given.min(step)),
+            // An earlier step applies at once, a later one when there are copies for it.
+            Some(step) => local.granted_step = local.granted_step.map(|granted| granted.min(step)),
         }
-        taken_back
+        rolled_back
     }
 }
 
-/// Of several rollouts of one function the one that is on counts, otherwise the last that was.
+/// Whether another rollout of the function is in progress after this one has ended.
 fn is_superseded(rollout: &Rollout, published: &Published) -> bool {
     let is_rival = |other: &Rollout| {
         other.plan.function == rollout.plan.function
-            && !other.phase.is_over()
+            && !other.phase.has_ended()
             && other.run != rollout.run
     };
-    rollout.phase.is_over() && published.rollouts.values().any(is_rival)
+    rollout.phase.has_ended() && published.rollouts.values().any(is_rival)
 }
--- a/crates/rollout/src/frontend/local.rs
+++ b/crates/rollout/src/frontend/local.rs
@@ -1,12 +1,12 @@
-//! One rollout as a front end has it.
+//! The state of one rollout at a front end.
 
 use crate::evidence::{QuantileEstimate, SlotCollector};
-use crate::sequential::Tests;
+use crate::sequential::SequentialTests;
 use crate::state::Rollout;
 use orchidtally_deployment::{Function, Version};
 use std::collections::{BTreeMap, HashMap};
 
-/// The quantiles of the old version's time that slow answers are compared with.
+/// Latency quantiles of the old version, against which slow answers are counted.
 #[derive(Debug, Default)]
 pub(super) struct SlowThresholds {
     /// 0.9, for the gate `slow`.
@@ -16,42 +16,42 @@
 }
 
 impl SlowThresholds {
-    /// Whether enough answers were seen to compare with.
+    /// Whether enough answers were recorded to compare with.
     pub(super) fn are_known(&self) -> bool {
-        self.slow.known().is_some() && self.slow_tail.known().is_some()
+        self.slow.value().is_some() && self.slow_tail.value().is_some()
     }
 }
 
-/// One rollout as a front end has it.
+/// The state of one rollout at a front end.
 #[derive(Debug)]
 pub(super) struct LocalRollout {
     pub(super) rollout: Rollout,
-    /// The old and the new version, where the deployment knows them.
+    /// The old and the new version, if the deployment has them.
     pub(super) from: Option<Version>,
     pub(super) to: Option<Version>,
-    /// The step whose share the new version is given.
-    pub(super) given: Option<usize>,
-    /// Copies of the new version are known for the step that is published.
-    pub(super) ready: bool,
-    pub(super) gathered: SlotCollector,
-    /// The front end's own test, for when no coordinator can be reached.
-    pub(super) own_tests: Tests,
-    /// Events that counted in this step, by the hash of a key.
+    /// Index of the step whose share is applied.
+    pub(super) granted_step: Option<usize>,
+    /// Whether there are enough copies of the new version for the published step.
+    pub(super) is_ready: bool,
+    pub(super) slots: SlotCollector,
+    /// The front end's own tests, for when no coordinator is reachable.
+    pub(super) own_tests: SequentialTests,
+    /// Number of events in this step, by the hash of the sticky key.
     pub(super) events_by_key: HashMap<u64, u8>,
-    /// Broken connections and time-outs that counted in this step, by executor.
-    pub(super) breaks_by_executor: HashMap<u64, u8>,
-    /// By trigger type.
+    /// Number of resets and time-outs in this step, by executor.
+    pub(super) disconnects_by_executor: HashMap<u64, u8>,
+    /// Latency thresholds by trigger type.
     pub(super) slow: BTreeMap<u16, SlowThresholds>,
     pub(super) digest_mismatches: u64,
-    /// Why the front end took it back by itself.
-    pub(super) took_back: Option<String>,
-    /// Invocations taken since a time.
-    pub(super) taken: u64,
-    pub(super) taken_since: f64,
-    /// Invocations of the function a second here, lately.
+    /// Why the front end rolled back by itself.
+    pub(super) local_rollback: Option<String>,
+    /// Invocations since `invocations_since`.
+    pub(super) invocations: u64,
+    pub(super) invocations_since: f64,
+    /// Moving average of the invocations of the function a second at this front end.
     pub(super) rate: f64,
-    /// Copies of the new version that the step needs.
-    pub(super) wanted: usize,
+    /// Number of copies of the new version that the step needs.
+    pub(super) wanted_copies: usize,
     pub(super) next_load_at: f64,
     pub(super) next_renewal_at: f64,
 }
@@ -63,41 +63,41 @@
             from: version(&rollout.from),
             to: version(&rollout.to),
             rollout,
-            given: None,
-            ready: false,
-            gathered: SlotCollector::default(),
-            own_tests: Tests::default(),
+            granted_step: None,
+            is_ready: false,
+            slots: SlotCollector::default(),
+            own_tests: SequentialTests::default(),
             events_by_key: HashMap::new(),
-            breaks_by_executor: HashMap::new(),
+            disconnects_by_executor: HashMap::new(),
             slow: BTreeMap::new(),
             digest_mismatches: 0,
-            took_back: None,
-            taken: 0,
-            taken_since: now,
+            local_rollback: None,
+            invocations: 0,
+            invocations_since: now,
             rate: 0.0,
-            wanted: 1,
+            wanted_copies: 1,
             next_load_at: now,
             next_renewal_at: now,
         }
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.rollout.phase.is_over()
+    pub(super) fn has_ended(&self) -> bool {
+        self.rollout.phase.has_ended()
     }
 
-    /// The step whose share invocations get.
+    /// Index of the step whose share is applied; `None` after a local rollback.
     pub(super) fn step_in_force(&self) -> Option<usize> {
-        if self.took_back.is_some() {
+        if self.local_rollback.is_some() {
             None
         } else {
-            self.given
+            self.granted_step
         }
     }
 
-    /// Begins the step that is published now.
+    /// Begins a newly published step.
     pub(super) fn begin_step(&mut self) {
-        self.ready = false;
+        self.is_ready = false;
         self.events_by_key.clear();
-        self.breaks_by_executor.clear();
+        self.disconnects_by_executor.clear();
     }
 }
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -1,38 +1,38 @@
-//! What invocations, dispatches and loads came to, and what of it counts as evidence.
+//! Counts the outcomes of invocations, dispatches and loads as evidence.
 
 use super::local::SlowThresholds;
-use super::{Invoked, LOADS_INDEX, TrafficSplit};
-use crate::evidence::{Arm, Cell};
+use super::{LOADS_STRATUM_INDEX, RolloutAssignment, TrafficSplit};
+use crate::evidence::{Cohort, StratumKey};
 use crate::plan::{Gate, Plan};
 use orchidtally_deployment::Version;
 use std::collections::{HashMap, VecDeque};
 
-/// Events of one key, or breaks at one executor, that count as evidence in a step: one customer's own trouble must not
-/// decide.
-const MAX_EVENTS: u8 = 3;
-/// Keys whose events are counted.
+/// The most events of one sticky key, and the most resets at one executor, that count in a step. A fault of one
+/// customer must not decide.
+const MAX_EVENTS_PER_KEY: u8 = 3;
+/// The most sticky keys whose events are counted.
 const MAX_KEYS: usize = 100_000;
-/// Failures of this many other versions at one executor lately make it the executor's trouble.
-const OTHERS_FAILING: usize = 2;
-/// Seconds for which failures at an executor count.
+/// If this many recent failures at an executor are of other versions, the fault is the executor's.
+const EXECUTOR_FAULT_THRESHOLD: usize = 2;
+/// How long failures at an executor count, in seconds.
 const FAILURE_WINDOW: f64 = 5.0;
-/// Failures that are remembered of one executor, and executors whose failures are.
+/// The most failures that are remembered of an executor, and the most executors.
 const MAX_FAILURES: usize = 32;
 const MAX_EXECUTORS: usize = 10_000;
 
-/// The final answer of an invocation.
+/// The outcome of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerOutcome {
-    /// It succeeded.
+    /// The invocation succeeded.
     Succeeded {
-        /// Seconds that the dispatch took which brought the answer.
+        /// Duration in seconds of the dispatch that gave the answer.
         took: f64,
-        /// Whether its copy had been loaded before.
+        /// Whether its copy was warm.
         warm: bool,
     },
-    /// There was no room in time.
+    /// The invocation was throttled.
     Throttled,
-    /// It failed.
+    /// The invocation failed.
     Errored,
 }
 
@@ -43,15 +43,15 @@
     version: u64,
 }
 
-/// Executors at which dispatches failed lately.
+/// Recent failures of dispatches by executor.
 #[derive(Debug, Default)]
 pub(super) struct FailingExecutors {
     failures: HashMap<u64, VecDeque<Failure>>,
 }
 
 impl FailingExecutors {
-    /// Adds a failure; returns how many of other versions failed there lately.
-    fn add(&mut self, now: f64, executor: u64, version: u64) -> usize {
+    /// Records a failure; returns the number of recent failures of other versions at the executor.
+    fn record(&mut self, now: f64, executor: u64, version: u64) -> usize {
         if self.failures.len() >= MAX_EXECUTORS && !self.failures.contains_key(&executor) {
             self.failures.clear();
         }
@@ -70,61 +70,77 @@
 }
 
 impl SlowThresholds {
-    /// The events of an answer, and what it adds to the quantiles.
-    fn note(&mut self, plan: &Plan, arm: Arm, took: f64) -> [Option<Gate>; 2] {
-        let ratio = |gate| plan.gate(gate).map_or(1.0, |hold| hold.ratio);
+    /// Records the latency of an answer; returns the events that it counts as.
+    fn record(&mut self, plan: &Plan, cohort: Cohort, took: f64) -> [Option<Gate>; 2] {
+        let ratio = |gate| plan.gate(gate).map_or(1.0, |policy| policy.ratio);
         let gates = [
             (Gate::Slow, 0.9, &mut self.slow),
             (Gate::SlowTail, 0.99, &mut self.slow_tail),
         ];
         let events = gates.map(|(gate, quantile, tracked)| {
-            let allowed = if arm == Arm::New { ratio(gate) } else { 1.0 };
+            let allowed = if cohort == Cohort::Canary {
+                ratio(gate)
+            } else {
+                1.0
+            };
             let event = tracked
-                .known()
+                .value()
                 .filter(|known| took > allowed * known)
                 .map(|_| gate);
-            if arm == Arm::Old {
-                tracked.note(quantile, took);
+            if cohort == Cohort::Baseline {
+                tracked.record(quantile, took);
             }
             event
         });
-        // Until the old version's quantiles are known nothing can be said of either version.
+        // No answer of either version counts until the old version's quantiles are known.
         if self.are_known() { events } else { [None; 2] }
     }
 }
 
 impl TrafficSplit {
-    /// A dispatch of a version failed at an executor, by its answer or, where it `broke`, by a reset or time-out.
-    /// Returns whether that counts against the version.
+    /// Records that a dispatch of a version failed at an executor: by a reset or time-out if `disconnected`, otherwise
+    /// by its answer. Returns whether the failure counts against the version.
     ///
-    /// Guards a version whose few copies stand at a bad executor: where others fail there too it is the executor's
-    /// trouble, and what breaks off counts a few times for each executor.
-    pub fn dispatch_failed(&mut self, now: f64, executor: u64, version: u64, broke: bool) -> bool {
-        let others = self.failing.add(now, executor, version);
+    /// Failure mode: an executor that has one of the version's few copies is faulty.
+    /// Risk: the version would be rolled back for a fault that isn't its own. Failures don't count if other versions
+    /// fail at the executor too, and resets count only a few times for each executor.
+    pub fn record_dispatch_failure(
+        &mut self,
+        now: f64,
+        executor: u64,
+        version: u64,
+        disconnected: bool,
+    ) -> bool {
+        let others = self.failing.record(now, executor, version);
         let is_version = |v: &Option<Version>| v.as_ref().is_some_and(|v| v.key == version);
         let local = self
-            .locals
+            .rollouts
             .values_mut()
             .find(|local| is_version(&local.from) || is_version(&local.to));
-        let Some(local) = local.filter(|_| others < OTHERS_FAILING) else {
+        let Some(local) = local.filter(|_| others < EXECUTOR_FAULT_THRESHOLD) else {
             return false;
         };
-        if !broke {
+        if !disconnected {
             return true;
         }
-        let breaks = local.breaks_by_executor.entry(executor).or_default();
-        *breaks = breaks.saturating_add(1);
-        *breaks <= MAX_EVENTS
+        let disconnects = local.disconnects_by_executor.entry(executor).or_default();
+        *disconnects = disconnects.saturating_add(1);
+        *disconnects <= MAX_EVENTS_PER_KEY
     }
 
-    /// An invocation has its final answer. `failed` says that a dispatch of it failed in a way that counts: one that
-    /// was dispatched again and succeeded shows what the version is like all the same.
-    pub fn answered(&mut self, invoked: &Invoked, outcome: AnswerOutcome, failed: bool) {
-        let Some(local) = self.local_of(invoked.run) else {
+    /// Records the outcome of an invocation. `failed` tells whether one of its dispatches failed in a way that counts,
+    /// even if a retry succeeded.
+    pub fn record_outcome(
+        &mut self,
+        assignment: &RolloutAssignment,
+        outcome: AnswerOutcome,
+        failed: bool,
+    ) {
+        let Some(local) = self.rollout_of_run(assignment.run) else {
             return;
         };
         let plan = local.rollout.plan.clone();
-        let trigger_type = invoked.cell.trigger_type;
+        let trigger_type = assignment.stratum.trigger_type;
         let own_events = match outcome {
             AnswerOutcome::Errored | AnswerOutcome::Succeeded { warm: false, .. } => [None; 2],
             AnswerOutcome::Throttled => [Some(Gate::Throttled), None],
@@ -132,16 +148,19 @@
                 .slow
                 .entry(trigger_type)
                 .or_default()
-                .note(&plan, invoked.arm, took),
+                .record(&plan, assignment.cohort, took),
         };
         let mut events = [own_events[0], own_events[1], failed.then_some(Gate::Errors)];
-        if let Some(key) = invoked.key.filter(|_| events.iter().any(Option::is_some)) {
+        if let Some(key) = assignment
+            .key
+            .filter(|_| events.iter().any(Option::is_some))
+        {
             if local.events_by_key.len() >= MAX_KEYS && !local.events_by_key.contains_key(&key) {
                 return;
             }
             let counted = local.events_by_key.entry(key).or_default();
             *counted = counted.saturating_add(1);
-            if *counted > MAX_EVENTS {
+            if *counted > MAX_EVENTS_PER_KEY {
                 events = [None; 3];
             }
         }
@@ -151,7 +170,11 @@
                 .slow
                 .get(&trigger_type)
                 .is_some_and(SlowThresholds::are_known);
-        let Some(counts) = local.gathered.at(invoked.cell, invoked.share, invoked.arm) else {
+        let Some(counts) =
+            local
+                .slots
+                .counts_mut(assignment.stratum, assignment.share, assignment.cohort)
+        else {
             return;
         };
         counts.answers += 1;
@@ -161,22 +184,30 @@
         }
     }
 
-    /// A load of some version came to its end. For a rollout those of all other versions are the comparison: they
-    /// come from the same store.
-    pub fn load_ended(&mut self, version: u64, succeeded: bool, digest_differed: bool) {
-        let location = self.place.location;
-        for local in self.locals.values_mut().filter(|local| !local.is_over()) {
+    /// Records the result of a load. A rollout compares its loads with those of all other versions, which come from the
+    /// same store.
+    pub fn record_load_result(&mut self, version: u64, succeeded: bool, digest_differed: bool) {
+        let location = self.front_end.location;
+        for local in self
+            .rollouts
+            .values_mut()
+            .filter(|local| !local.has_ended())
+        {
             let is_new = local.to.as_ref().is_some_and(|to| to.key == version);
             if is_new && digest_differed {
                 local.digest_mismatches += 1;
             }
-            let cell = Cell {
-                trigger_type: LOADS_INDEX,
-                customer: LOADS_INDEX,
+            let stratum = StratumKey {
+                trigger_type: LOADS_STRATUM_INDEX,
+                customer: LOADS_STRATUM_INDEX,
                 location,
             };
-            let arm = if is_new { Arm::New } else { Arm::Old };
-            if let Some(counts) = local.gathered.at(cell, 0.0, arm) {
+            let cohort = if is_new {
+                Cohort::Canary
+            } else {
+                Cohort::Baseline
+            };
+            if let Some(counts) = local.slots.counts_mut(stratum, 0.0, cohort) {
                 counts.loads += 1;
                 counts.events[Gate::LoadFailures.index()] += u64::from(!succeeded);
             }
--- /dev/null
+++ b/crates/rollout/src/frontend/prewarm.rs
@@ -0,0 +1,125 @@
+//! Prewarming: copies that are loaded or kept alive ahead of invocations.
+
+use super::local::LocalRollout;
+use super::{FrontEndInfo, TrafficSplit};
+use crate::forecast::copies_for;
+use orchidtally_deployment::Version;
+use std::cmp::Reverse;
+
+/// Interval at which copies of the old version are kept alive, as a fraction of the keep-alive time.
+const RENEWAL_SHARE: f64 = 0.4;
+/// The shortest keep-alive time that is assumed, in seconds.
+const MIN_KEEP_ALIVE: f64 = 1.0;
+
+/// A command to load copies or keep them alive ahead of invocations.
+#[derive(Clone, Debug)]
+pub struct PrewarmCommand {
+    /// The run of the rollout.
+    pub run: u64,
+    /// The name of the function.
+    pub function: String,
+    /// The version.
+    pub version: Version,
+    /// The number of copies wanted; 0 only queries how many are known.
+    pub copies: usize,
+    /// Whether the version is the new one of the rollout.
+    pub is_new: bool,
+}
+
+/// A command with the priority of its rollout.
+struct PrioritizedCommand {
+    priority: u32,
+    command: PrewarmCommand,
+}
+
+impl LocalRollout {
+    /// The number of copies of the new version to load now. Front ends take turns at the planned rate.
+    fn load_due(&mut self, front_end: FrontEndInfo, now: f64) -> Option<usize> {
+        let step = self
+            .rollout
+            .active_step()
+            .filter(|_| !self.is_ready && front_end.sends_load_commands)?;
+        let plan = &self.rollout.plan;
+        if let Some(to) = &self.to {
+            // Failure mode: the first share of a hot function fills more than one copy.
+            // Risk: a single copy would be overloaded and the version blamed for it. The rate is the planned one,
+            // or that of all front ends if they are like this one.
+            let rate = plan
+                .rate
+                .unwrap_or(0.0)
+                .max(self.rate * f64::from(front_end.count));
+            self.wanted_copies = copies_for(rate, plan.steps[step].share, to) as usize;
+        }
+        if now < self.next_load_at {
+            return Some(0);
+        }
+        self.next_load_at = now + f64::from(front_end.count) / plan.loads_per_second;
+        Some(self.wanted_copies)
+    }
+
+    /// Whether this front end keeps the copies of the old version alive now. They are kept for as long as the rollout
+    /// may be rolled back; front ends take turns, since all choose the same executors.
+    fn is_renewal_due(&mut self, front_end: FrontEndInfo, now: f64) -> bool {
+        if self.rollout.active_step().is_none()
+            || now < self.next_renewal_at
+            || !front_end.sends_load_commands
+        {
+            return false;
+        }
+        let interval = RENEWAL_SHARE * front_end.keep_alive.max(MIN_KEEP_ALIVE);
+        self.next_renewal_at = now + interval;
+        let turn = (now / interval) as u64 % u64::from(front_end.count.max(1));
+        turn == u64::from(front_end.index)
+    }
+}
+
+impl TrafficSplit {
+    /// The commands that are due, most urgent first. Report the result of each to
+    /// [`TrafficSplit::on_prewarm_result`].
+    pub fn prewarm_commands(&mut self, now: f64) -> Vec<PrewarmCommand> {
+        let front_end = self.front_end;
+        let mut due: Vec<PrioritizedCommand> = vec![];
+        for (function, local) in &mut self.rollouts {
+            if local.has_ended() || local.local_rollback.is_some() {
+                continue;
+            }
+            let new_copies = local.load_due(front_end, now);
+            let old_copies = local.is_renewal_due(front_end, now).then_some(1);
+            for (is_new, copies) in [(true, new_copies), (false, old_copies)] {
+                let version = if is_new { &local.to } else { &local.from };
+                let (Some(copies), Some(version)) = (copies, version) else {
+                    continue;
+                };
+                let command = PrewarmCommand {
+                    run: local.rollout.run,
+                    function: function.clone(),
+                    version: version.clone(),
+                    copies,
+                    is_new,
+                };
+                due.push(PrioritizedCommand {
+                    priority: local.rollout.plan.priority,
+                    command,
+                });
+            }
+        }
+        due.sort_by(|a, b| {
+            let urgency = |due: &PrioritizedCommand| Reverse((due.priority, due.command.is_new));
+            urgency(a)
+                .cmp(&urgency(b))
+                .then_with(|| a.command.function.cmp(&b.command.function))
+        });
+        due.into_iter().map(|due| due.command).collect()
+    }
+
+    /// Handles the result of a command: how many copies are known now, and whether a load command was `sent`.
+    ///
+    /// Failure mode: placements use up the load budget, so that no load command can be sent.
+    /// Risk: the rollout would wait forever. The first invocations load the copy instead, one placement at a time, in
+    /// this front end's turn.
+    pub fn on_prewarm_result(&mut self, command: &PrewarmCommand, known: usize, sent: bool) {
+        if let Some(local) = self.rollout_of_run(command.run).filter(|_| command.is_new) {
+            local.is_ready |= known >= local.wanted_copies || command.copies > 0 && !sent;
+        }
+    }
+}
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -1,47 +1,48 @@
-//! What a front end reports to coordinators, and its own judgement while it reaches none.
+//! Reports of a front end to coordinators, and local rollback while it reaches none.
 
 use super::TrafficSplit;
 use super::local::LocalRollout;
-use crate::evidence::Delta;
-use crate::plan::Hold;
+use crate::evidence::EvidenceDelta;
+use crate::plan::GatePolicy;
 use crate::state::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// Without word from a coordinator for so many seconds a front end judges by itself.
-const ISOLATED_AFTER: f64 = 3.0;
-/// Seconds between two judgements.
-const JUDGEMENT_INTERVAL: f64 = 1.0;
-/// The weight of the newest second in the rate of a function.
+/// A front end that hasn't heard from a coordinator for this long evaluates rollouts by itself, in seconds.
+const ISOLATION_TIMEOUT: f64 = 3.0;
+/// Interval of evaluations and reports of evidence, in seconds.
+const EVALUATION_INTERVAL: f64 = 1.0;
+/// Weight of the newest interval in the moving average of a function's rate.
 const NEWEST_RATE_WEIGHT: f64 = 0.2;
-/// The least time in seconds over which a rate is measured.
-const LEAST_RATE_TIME: f64 = 1e-3;
-/// Deltas that wait for a coordinator at the most.
+/// The shortest interval over which a rate is measured, in seconds.
+const MIN_RATE_INTERVAL: f64 = 1e-3;
+/// The most deltas that wait for a coordinator.
 const MAX_UNREPORTED: usize = 1_000;
 
-/// What a front end reports to a coordinator.
+/// The report of a front end to a coordinator.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EvidenceReport {
-    /// A number that the front end drew at its start.
+    /// A random number that identifies this start of the front end.
     pub front_end: u64,
-    /// The index of the front end in the deployment.
+    /// Index of the front end.
     pub index: u32,
-    /// Grows with each report; one that is repeated counts once.
+    /// Incremented with each report, so that a repeated one counts once.
     pub round: u64,
-    /// The newest epoch that it has heard of.
+    /// The newest epoch that the front end knows.
     pub epoch: Epoch,
     /// The evidence since the last report.
-    pub deltas: Vec<Delta>,
+    pub deltas: Vec<EvidenceDelta>,
 }
 
 impl LocalRollout {
-    /// Why this front end, which reaches no coordinator, takes the rollout back by its own evidence. Its threshold is
-    /// higher by the number of front ends, as each of them judges.
-    fn own_verdict(&self, front_ends: u32) -> Option<String> {
+    /// Why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is multiplied by
+    /// the number of front ends, since each of them evaluates.
+    fn rollback_reason(&self, front_ends: u32) -> Option<String> {
         let plan = &self.rollout.plan;
         let threshold = plan.threshold() * f64::from(front_ends);
-        let fails =
-            |hold: &&Hold| hold.takes_back && self.own_tests.evidence(hold.gate) >= threshold;
+        let fails = |policy: &&GatePolicy| {
+            policy.rolls_back && self.own_tests.evidence(policy.gate) >= threshold
+        };
         if let Some(failed) = plan.gates.iter().find(fails) {
             return Some(format!(
                 "'{}' is worse by its own evidence",
@@ -52,90 +53,100 @@
             .then(|| "a load found bytes that the digest doesn't name".into())
     }
 
-    /// The evidence since the last call. What it reports is in its own test as well.
+    /// The evidence since the last call, which is added to the front end's own tests as well.
     fn take_delta(
         &mut self,
         now: f64,
-        isolated: bool,
-        orders: bool,
+        is_isolated: bool,
+        sends_load_commands: bool,
         front_ends: u32,
-    ) -> TakenDelta {
-        let slots = self.gathered.take();
+    ) -> LocalEvaluation {
+        let slots = self.slots.take();
         let plan = self.rollout.plan.clone();
-        self.own_tests.note(&plan, now, &slots);
-        let mut taken_back = false;
-        if isolated && self.step_in_force().is_some() {
-            self.took_back = self.own_verdict(front_ends);
-            taken_back = self.took_back.is_some();
+        self.own_tests.record(&plan, now, &slots);
+        let mut rolled_back = false;
+        if is_isolated && self.step_in_force().is_some() {
+            self.local_rollback = self.rollback_reason(front_ends);
+            rolled_back = self.local_rollback.is_some();
         }
-        let passed = (now - self.taken_since).max(LEAST_RATE_TIME);
-        let rate = self.taken as f64 / passed;
+        let elapsed = (now - self.invocations_since).max(MIN_RATE_INTERVAL);
+        let rate = self.invocations as f64 / elapsed;
         self.rate += NEWEST_RATE_WEIGHT * (rate - self.rate);
-        (self.taken, self.taken_since) = (0, now);
-        let is_ready = self.ready || !orders;
-        let delta = Delta {
+        (self.invocations, self.invocations_since) = (0, now);
+        let is_ready = self.is_ready || !sends_load_commands;
+        let delta = EvidenceDelta {
             run: self.rollout.run,
             slots,
             digest_mismatches: std::mem::take(&mut self.digest_mismatches),
-            took_back: self.took_back.clone(),
-            ready: is_ready && self.given == self.rollout.split_at(),
+            local_rollback: self.local_rollback.clone(),
+            ready: is_ready && self.granted_step == self.rollout.active_step(),
             rate,
         };
-        TakenDelta { delta, taken_back }
+        LocalEvaluation { delta, rolled_back }
     }
 }
 
-struct TakenDelta {
-    delta: Delta,
-    /// Whether the front end took the rollout back by itself just now.
-    taken_back: bool,
+/// The evaluation of a rollout by the front end itself.
+struct LocalEvaluation {
+    delta: EvidenceDelta,
+    /// Whether the front end has rolled back by itself just now.
+    rolled_back: bool,
 }
 
 impl TrafficSplit {
-    /// Does what is due: steps that are ready are given, and a front end that reaches no coordinator judges by
-    /// itself. Returns the runs that it took back. To be called several times a second.
+    /// Applies steps that are ready, and evaluates rollouts if no coordinator is reachable. Returns the runs that it
+    /// rolled back. To be called several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<u64> {
-        let isolated = now - self.heard_at > ISOLATED_AFTER;
-        let is_judging = now - self.judged_at >= JUDGEMENT_INTERVAL;
-        if is_judging {
-            self.judged_at = now;
+        let is_isolated = now - self.last_contact_at > ISOLATION_TIMEOUT;
+        let is_evaluation_due = now - self.evaluated_at >= EVALUATION_INTERVAL;
+        if is_evaluation_due {
+            self.evaluated_at = now;
         }
-        let place = self.place;
-        let mut taken_back = vec![];
-        for local in self.locals.values_mut() {
-            let is_ready = (local.ready || !place.orders) && local.to.is_some();
-            if let Some(step) = local.rollout.split_at().filter(|_| is_ready && !isolated) {
-                local.given = Some(step);
+        let front_end = self.front_end;
+        let mut rolled_back = vec![];
+        for local in self.rollouts.values_mut() {
+            let is_ready = (local.is_ready || !front_end.sends_load_commands) && local.to.is_some();
+            if let Some(step) = local
+                .rollout
+                .active_step()
+                .filter(|_| is_ready && !is_isolated)
+            {
+                local.granted_step = Some(step);
             }
-            if !is_judging || local.is_over() {
+            if !is_evaluation_due || local.has_ended() {
                 continue;
             }
-            let taken = local.take_delta(now, isolated, place.orders, place.count);
-            if taken.taken_back {
-                taken_back.push(taken.delta.run);
+            let evaluation = local.take_delta(
+                now,
+                is_isolated,
+                front_end.sends_load_commands,
+                front_end.count,
+            );
+            if evaluation.rolled_back {
+                rolled_back.push(evaluation.delta.run);
             }
-            self.unreported.push(taken.delta);
+            self.unreported.push(evaluation.delta);
         }
-        // A coordinator that is out of reach for long misses the oldest.
+        // If no coordinator is reachable for long, the oldest evidence is lost.
         let excess = self.unreported.len().saturating_sub(MAX_UNREPORTED);
         self.unreported.drain(..excess);
-        taken_back
+        rolled_back
     }
 
-    /// What is to be reported, under the number of the next round.
+    /// The report of the next round.
     pub fn report(&mut self, front_end: u64) -> EvidenceReport {
         self.round += 1;
         EvidenceReport {
             front_end,
-            index: self.place.index,
+            index: self.front_end.index,
             round: self.round,
             epoch: self.newest_epoch,
             deltas: std::mem::take(&mut self.unreported),
         }
     }
 
-    /// A report reached no coordinator: its evidence goes with the next.
-    pub fn not_reported(&mut self, report: EvidenceReport) {
+    /// Puts back the evidence of a report that reached no coordinator.
+    pub fn restore_report(&mut self, report: EvidenceReport) {
         self.unreported.splice(0..0, report.deltas);
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,6 +1,8 @@
-//! Gradual rollouts without I/O: which version of a function an invocation gets, whether the new one is worse than the
-//! old, what the next step is and when it comes, and what a front end does with what a coordinator publishes. The time
-//! is passed in, and the split is a hash of the sticky key.
+//! Progressive delivery of function versions, without I/O.
+//!
+//! A coordinator pools the evidence of all front ends, tests whether the new version is worse than the old one, and
+//! publishes the step of each rollout. Front ends split traffic between the versions by a hash of a sticky key. Callers
+//! pass the time.
 
 pub mod coordinator;
 pub mod evidence;
@@ -12,7 +14,7 @@
 pub mod state;
 
 pub use coordinator::Coordinator;
-pub use evidence::{Arm, Cell, Counts, Delta};
-pub use frontend::{Invoked, Resolved, TrafficSplit};
+pub use evidence::{Cohort, Counts, EvidenceDelta, StratumKey};
+pub use frontend::{ResolvedVersion, RolloutAssignment, TrafficSplit};
 pub use plan::Plan;
 pub use state::{Epoch, Phase, Published, Rollout};
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -1,34 +1,34 @@
-//! A sequential test that stays valid however often it is looked at.
+//! An anytime-valid sequential test (e-process): it may be evaluated as often as wanted.
 //!
-//! Given that an event (an error, a slow answer) happened in a slot, and that the versions are alike, it fell on the
-//! new version with a known probability: the share. Against that hypothesis stand bets that the odds are some times
-//! higher. The wealth of a bet is multiplied by the likelihood ratio of each event. Where the versions are alike its
-//! expectation never grows, so that it ever exceeds 1/a with a probability of a at the most (Ville's inequality for
-//! nonnegative supermartingales). A trouble may begin at any time, so that the wealth is spread over beginnings: the
-//! bet that starts with block j has 1/(j(j+1)) of it. One number for each odds carries all beginnings, as a product
-//! over the slots since j is a quotient of products since the start.
-
-use crate::evidence::{Cell, Counts, Slot};
+//! Under the null hypothesis that the versions are alike, an event (an error, a slow answer) in a slot falls on the new
+//! version with a known probability: the share. The test bets against this hypothesis that the odds are some factor
+//! higher. Each event multiplies the wealth of a bet by its likelihood ratio. Under the null hypothesis the expected
+//! wealth never grows, so that it ever exceeds 1/a with probability of at most a (Ville's inequality for nonnegative
+//! supermartingales). A fault may begin at any time, so the wealth is spread over start times: the bet that starts with
+//! block j has 1/(j(j+1)) of it. One number for each factor represents all start times, since a product over the slots
+//! since j is a quotient of products since the start.
+
+use crate::evidence::{Counts, Slot, StratumKey};
 use crate::plan::{Gate, Plan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The odds that are bet on.
+/// The factors of the odds on which bets are placed.
 const ODDS: [f64; 6] = [1.25, 1.5, 2.0, 3.0, 5.0, 10.0];
-/// Seconds from one beginning of bets to the next.
-const BLOCK: f64 = 10.0;
-/// The least probability that a bet takes for either version.
-const LEAST_SHARE: f64 = 1e-4;
-/// The most groups of each kind that are tested by themselves.
-const MAX_GROUPS: usize = 64;
-
-/// The greatest wealth of a bet.
+/// Interval at which bets start, in seconds.
+const BLOCK_DURATION: f64 = 10.0;
+/// The least probability of either version in a bet.
+const MIN_SHARE: f64 = 1e-4;
+/// The most strata of each kind that are tested separately.
+const MAX_STRATA: usize = 64;
+
+/// The highest wealth of a bet.
 const MAX_WEALTH: f64 = 1e100;
 
 /// The events of one slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Events {
-    /// The probability with which each fell on the new version, if the versions are alike.
+    /// The probability that each event falls on the new version, if the versions are alike.
     pub p: f64,
     /// Events of the new version.
     pub new: u64,
@@ -36,69 +36,71 @@
     pub all: u64,
 }
 
-/// The e-process of one group: the wealth of all bets that have begun.
+/// The e-process of one stratum: the wealth of all bets that have started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EProcess {
-    /// The wealth of the bets that have begun, by odds.
-    played: [f64; ODDS.len()],
-    /// The number of beginnings.
-    begun: u64,
+    /// Wealth of the bets that have started, by factor of the odds.
+    #[serde(rename = "played")]
+    wealth: [f64; ODDS.len()],
+    /// Number of start times so far.
+    #[serde(rename = "begun")]
+    bets_started: u64,
 }
 
 impl EProcess {
-    /// Begins one more bet.
-    pub fn begin(&mut self) {
-        self.begun += 1;
-        let initial = 1.0 / (self.begun as f64 * (self.begun as f64 + 1.0));
-        self.played.iter_mut().for_each(|wealth| *wealth += initial);
+    /// Starts another bet.
+    pub fn start_bet(&mut self) {
+        self.bets_started += 1;
+        let initial = 1.0 / (self.bets_started as f64 * (self.bets_started as f64 + 1.0));
+        self.wealth.iter_mut().for_each(|wealth| *wealth += initial);
     }
 
-    /// Adds the events of a slot.
-    pub fn note(&mut self, events: Events) {
+    /// Records the events of a slot.
+    pub fn record(&mut self, events: Events) {
         if events.all == 0 {
             return;
         }
-        let p = events.p.clamp(LEAST_SHARE, 1.0 - LEAST_SHARE);
+        let p = events.p.clamp(MIN_SHARE, 1.0 - MIN_SHARE);
         let (new, old) = (
             events.new as f64,
             (events.all - events.new.min(events.all)) as f64,
         );
-        for (wealth, odds) in self.played.iter_mut().zip(ODDS) {
+        for (wealth, odds) in self.wealth.iter_mut().zip(ODDS) {
             let bet = odds * p / (odds * p + 1.0 - p);
             let gain = new * (bet / p).ln() + old * ((1.0 - bet) / (1.0 - p)).ln();
-            // Beyond this it is decided; it has to stay finite.
+            // The limit only keeps the wealth finite: the test is decided long before.
             *wealth = (*wealth * gain.exp()).min(MAX_WEALTH);
         }
     }
 
     /// The factor by which the wealth has grown: the evidence that the new version is worse, as odds to 1.
     pub fn evidence(&self) -> f64 {
-        let unstarted = 1.0 / (self.begun as f64 + 1.0);
-        self.played.iter().map(|p| p + unstarted).sum::<f64>() / ODDS.len() as f64
+        let unstarted = 1.0 / (self.bets_started as f64 + 1.0);
+        self.wealth.iter().map(|p| p + unstarted).sum::<f64>() / ODDS.len() as f64
     }
 }
 
-/// Invocations that are tested together.
+/// A stratum whose invocations are tested together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Stratum {
     /// All invocations.
     All,
-    /// Those of a trigger type, by index.
+    /// The invocations of a trigger type, by index.
     TriggerType(u16),
-    /// Those of a customer, by index.
+    /// The invocations of a customer, by index.
     Customer(u16),
-    /// Those taken at a location, by index.
+    /// The invocations at a location, by index.
     Location(u16),
 }
 
 impl Stratum {
-    fn of(cell: Cell) -> [Stratum; 4] {
+    fn containing(key: StratumKey) -> [Stratum; 4] {
         [
             Stratum::All,
-            Stratum::TriggerType(cell.trigger_type),
-            Stratum::Customer(cell.customer),
-            Stratum::Location(cell.location),
+            Stratum::TriggerType(key.trigger_type),
+            Stratum::Customer(key.customer),
+            Stratum::Location(key.location),
         ]
     }
 
@@ -112,29 +114,30 @@
     }
 }
 
-/// The weights of the kinds of groups: half of the wealth is on all together, the rest is spread evenly.
+/// The weights of the kinds of strata: half of the wealth is on all invocations, the rest is spread evenly.
 const KIND_WEIGHTS: [f64; 4] = [0.5, 1.0 / 6.0, 1.0 / 6.0, 1.0 / 6.0];
 
 /// One gate's test.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct Test {
-    /// By group, in the order in which they were first seen within their kind.
-    groups: Vec<(Stratum, EProcess)>,
+struct GateTest {
+    /// By stratum, in the order in which they first had events.
+    #[serde(rename = "groups")]
+    strata: Vec<(Stratum, EProcess)>,
 }
 
-impl Test {
-    /// The n-th group of a kind has 1/(n(n+1)) of its weight; the rest has not been bet.
+impl GateTest {
+    /// The weight of each stratum: the n-th of a kind has 1/(n(n+1)) of the kind's weight. The rest is not bet.
     fn weights(&self) -> impl Iterator<Item = (f64, &EProcess)> {
         let mut seen = [0u32; KIND_WEIGHTS.len()];
-        self.groups.iter().map(move |(group, process)| {
-            let n = &mut seen[group.kind()];
+        self.strata.iter().map(move |(stratum, process)| {
+            let n = &mut seen[stratum.kind()];
             *n += 1;
-            let part = if group.kind() == 0 {
+            let part = if stratum.kind() == 0 {
                 1.0
             } else {
                 1.0 / (f64::from(*n) * f64::from(*n + 1))
             };
-            (KIND_WEIGHTS[group.kind()] * part, process)
+            (KIND_WEIGHTS[stratum.kind()] * part, process)
         })
     }
 
@@ -147,65 +150,66 @@
         sum + (1.0 - weight)
     }
 
-    /// The group with the strongest evidence.
+    /// The stratum with the strongest evidence, and that evidence.
     fn strongest(&self) -> Option<(Stratum, f64)> {
-        let by_group = self
-            .groups
+        let by_stratum = self
+            .strata
             .iter()
             .zip(self.weights())
-            .map(|((g, s), (w, _))| (*g, w * s.evidence()));
-        by_group.max_by(|a, b| a.1.total_cmp(&b.1))
+            .map(|((stratum, process), (weight, _))| (*stratum, weight * process.evidence()));
+        by_stratum.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// The e-process of a group; `None` where too many groups of its kind are tested.
-    fn process(&mut self, group: Stratum, begun: u64) -> Option<&mut EProcess> {
-        if let Some(n) = self.groups.iter().position(|(g, _)| *g == group) {
-            return Some(&mut self.groups[n].1);
+    /// The e-process of a stratum; `None` if too many strata of its kind are tested.
+    fn process(&mut self, stratum: Stratum, blocks_started: u64) -> Option<&mut EProcess> {
+        if let Some(n) = self.strata.iter().position(|(known, _)| *known == stratum) {
+            return Some(&mut self.strata[n].1);
         }
         if self
-            .groups
+            .strata
             .iter()
-            .filter(|(g, _)| g.kind() == group.kind())
+            .filter(|(known, _)| known.kind() == stratum.kind())
             .count()
-            >= MAX_GROUPS
+            >= MAX_STRATA
         {
             return None;
         }
-        // The earlier beginnings of a group that comes late had no events, which leaves them as they were.
+        // A stratum that appears late had no events in earlier blocks, which leaves their bets unchanged.
         let mut process = EProcess::default();
-        (0..begun).for_each(|_| process.begin());
-        self.groups.push((group, process));
-        self.groups.last_mut().map(|g| &mut g.1)
+        (0..blocks_started).for_each(|_| process.start_bet());
+        self.strata.push((stratum, process));
+        self.strata.last_mut().map(|(_, process)| process)
     }
 }
 
 /// The tests of all gates of one rollout.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tests {
-    gates: BTreeMap<Gate, Test>,
-    begun: u64,
+pub struct SequentialTests {
+    gates: BTreeMap<Gate, GateTest>,
+    #[serde(rename = "begun")]
+    blocks_started: u64,
     next_at: f64,
 }
 
-/// The events of a slot that a gate counts. `None` where the slot can't tell the versions apart.
+/// The events of a slot that a gate counts; `None` if the slot has invocations of only one version.
 pub fn events(plan: &Plan, gate: Gate, slot: &Slot) -> Option<Events> {
-    let hold = plan.gate(gate)?;
+    let policy = plan.gate(gate)?;
     let (old, new) = (slot.old.events[gate.index()], slot.new.events[gate.index()]);
-    // Where many invocations share a key, and for loads, the share is that of what was seen.
-    let seen = |c: &Counts| c.exposed(gate) as f64;
+    // If invocations share keys, and for loads, the actual share is used.
+    let samples = |counts: &Counts| counts.sample_count(gate) as f64;
     let share = if plan.key.is_shared() || gate == Gate::LoadFailures {
-        seen(&slot.new) / (seen(&slot.new) + seen(&slot.old))
+        samples(&slot.new) / (samples(&slot.new) + samples(&slot.old))
     } else {
         slot.share
     };
     if !(share > 0.0 && share < 1.0) {
         return None;
     }
-    // The slow gates' ratio is in the threshold by which answers were counted.
+    // The ratio of latency gates is in the threshold by which front ends count slow answers.
     let ratio = if matches!(gate, Gate::Slow | Gate::SlowTail) {
         1.0
     } else {
-        hold.ratio
+        policy.ratio
     };
     Some(Events {
         p: ratio * share / (ratio * share + 1.0 - share),
@@ -214,26 +218,27 @@
     })
 }
 
-impl Tests {
-    /// Adds the slots of a time that has passed. Those of an earlier time have to be added first.
-    pub fn note(&mut self, plan: &Plan, now: f64, slots: &[Slot]) {
+impl SequentialTests {
+    /// Records the slots up to `now`, in the order of time.
+    pub fn record(&mut self, plan: &Plan, now: f64, slots: &[Slot]) {
         if now >= self.next_at {
-            self.next_at = now + BLOCK;
-            self.begun += 1;
+            self.next_at = now + BLOCK_DURATION;
+            self.blocks_started += 1;
             self.gates
                 .values_mut()
-                .flat_map(|t| &mut t.groups)
-                .for_each(|(_, s)| s.begin());
+                .flat_map(|test| &mut test.strata)
+                .for_each(|(_, process)| process.start_bet());
         }
-        for hold in &plan.gates {
-            let test = self.gates.entry(hold.gate).or_default();
+        for policy in &plan.gates {
+            let test = self.gates.entry(policy.gate).or_default();
             for slot in slots {
-                let Some(events) = events(plan, hold.gate, slot).filter(|e| e.all > 0) else {
+                let Some(events) = events(plan, policy.gate, slot).filter(|events| events.all > 0)
+                else {
                     continue;
                 };
-                for group in Stratum::of(slot.cell) {
-                    if let Some(process) = test.process(group, self.begun) {
-                        process.note(events);
+                for stratum in Stratum::containing(slot.stratum) {
+                    if let Some(process) = test.process(stratum, self.blocks_started) {
+                        process.record(events);
                     }
                 }
             }
@@ -242,10 +247,10 @@
 
     /// The evidence of a gate that the new version is worse, as odds to 1.
     pub fn evidence(&self, gate: Gate) -> f64 {
-        self.gates.get(&gate).map_or(1.0, Test::evidence)
+        self.gates.get(&gate).map_or(1.0, GateTest::evidence)
     }
 
-    /// The group with the strongest evidence of a gate, and that evidence.
+    /// The stratum with the strongest evidence of a gate, and that evidence.
     pub fn strongest(&self, gate: Gate) -> Option<(Stratum, f64)> {
         self.gates.get(&gate)?.strongest()
     }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -1,10 +1,10 @@
-//! The split of traffic: a hash of the sticky key is a place in the interval from 0 to 1, and the new version has the
-//! part of it below a step's share. Whoever has the new version at one share has it at any greater one.
+//! The traffic split. A hash of the sticky key gives a position from 0 to 1; keys below a step's share get the new
+//! version. A key that has the new version at one share has it at any higher share.
 
 use crate::plan::{Plan, Step};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is known of an invocation when it is resolved.
+/// The attributes of an invocation that decide its version.
 #[derive(Clone, Copy, Debug)]
 pub struct Caller<'a> {
     /// The name of the customer.
@@ -15,30 +15,31 @@
     pub key: &'a str,
 }
 
-/// The place of a key, from 0 up to 1. It differs between runs, so that the same few are not always the first to get a
-/// new version.
-pub fn place(run: u64, key: &str) -> f64 {
+/// The position of a key, from 0 to below 1. It differs between runs, so that the same keys aren't always the first to
+/// get a new version.
+pub fn position(run: u64, key: &str) -> f64 {
     // The 53 bits that an f64 holds exactly.
     (xxh3_64_with_seed(key.as_bytes(), run) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn is_for(step: &Step, who: &Caller) -> bool {
-    let among = |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
-    among(&step.customers, who.customer) && among(&step.locations, who.location)
+fn applies_to(step: &Step, caller: &Caller) -> bool {
+    let matches =
+        |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
+    matches(&step.customers, caller.customer) && matches(&step.locations, caller.location)
 }
 
-/// The probability that an invocation gets the new version at a step: the greatest share of the steps up to this one
-/// that are for it, without what is held back until the end.
-pub fn share(plan: &Plan, step: usize, who: &Caller) -> f64 {
+/// The probability that an invocation gets the new version at a step: the highest share of the steps up to this one that
+/// apply to it, limited by the holdback.
+pub fn share(plan: &Plan, step: usize, caller: &Caller) -> f64 {
     let reached = plan.steps.iter().take(step + 1);
     reached
-        .filter(|s| is_for(s, who))
-        .map(|s| s.share)
+        .filter(|step| applies_to(step, caller))
+        .map(|step| step.share)
         .fold(0.0, f64::max)
         .min(1.0 - plan.holdback)
 }
 
 /// Whether an invocation gets the new version.
-pub fn is_new(plan: &Plan, run: u64, step: usize, who: &Caller) -> bool {
-    place(run, who.key) < share(plan, step, who)
+pub fn gets_new_version(plan: &Plan, run: u64, step: usize, caller: &Caller) -> bool {
+    position(run, caller.key) < share(plan, step, caller)
 }
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -4,9 +4,9 @@
 
 use orchidtally_deployment::{Deployment, Function};
 use orchidtally_rollout::coordinator::{Command, CommandError, CoordinatorState};
-use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndLocation};
+use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndInfo};
 use orchidtally_rollout::split::Caller;
-use orchidtally_rollout::{Arm, Coordinator, Phase, Plan, TrafficSplit};
+use orchidtally_rollout::{Cohort, Coordinator, Phase, Plan, TrafficSplit};
 
 pub const OLD: &str = "1111111111111111111111111111111111111111111111111111111111111111";
 pub const NEW: &str = "2222222222222222222222222222222222222222222222222222222222222222";
@@ -75,11 +75,11 @@
 
 impl World {
     pub fn new(count: u32) -> World {
-        let place = |index| FrontEndLocation {
+        let place = |index| FrontEndInfo {
             index,
             count,
             location: (index % 2) as u16,
-            orders: false,
+            sends_load_commands: false,
             keep_alive: 8.0,
         };
         World {
@@ -132,10 +132,10 @@
             let resolved = self.shares[fe]
                 .resolve(&function, None, ty, customer, &who(&name))
                 .unwrap();
-            let Some(invoked) = resolved.invoked else {
+            let Some(invoked) = resolved.assignment else {
                 continue;
             };
-            let arm = usize::from(invoked.arm == Arm::New);
+            let arm = usize::from(invoked.cohort == Cohort::Canary);
             let (error, spread) = (self.unit(), 0.5 + self.unit());
             let meant = (self.only)(ty, customer, fe);
             let random = if meant {
@@ -154,7 +154,7 @@
             } else {
                 AnswerOutcome::Succeeded { took, warm: true }
             };
-            self.shares[fe].answered(&invoked, outcome, outcome == AnswerOutcome::Errored);
+            self.shares[fe].record_outcome(&invoked, outcome, outcome == AnswerOutcome::Errored);
         }
         self.now += 1.0;
         for fe in 0..self.shares.len() {
@@ -163,9 +163,9 @@
                 continue;
             }
             let told = self.shares[fe].report(fe as u64 + 1);
-            self.coordinator.evidence(self.now, &told);
+            self.coordinator.record_report(self.now, &told);
             // Told again, as after a lost answer, it counts once.
-            self.coordinator.evidence(self.now, &told);
+            self.coordinator.record_report(self.now, &told);
         }
         self.coordinator.tick(self.now);
         if self.reached {
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -5,7 +5,7 @@
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::frontend::FrontEndLocation;
+use orchidtally_rollout::frontend::FrontEndInfo;
 use orchidtally_rollout::{Coordinator, Plan, TrafficSplit};
 use std::collections::BTreeMap;
 
@@ -118,11 +118,11 @@
             };
             let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut orders);
             dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut orders);
-            let place = FrontEndLocation {
+            let place = FrontEndInfo {
                 index: n as u32,
                 count: FRONT_ENDS as u32,
                 location: 0,
-                orders: true,
+                sends_load_commands: true,
                 keep_alive: 30.0,
             };
             let mut shares = TrafficSplit::new(place, 100.0);
@@ -169,7 +169,7 @@
             if step % (ROUND * 10.0) as i32 != 0 {
                 continue;
             }
-            for ahead in fe.shares.ahead(now) {
+            for ahead in fe.shares.prewarm_commands(now) {
                 let v = &ahead.version;
                 let wish = PrewarmRequest {
                     function: v.key,
@@ -181,7 +181,8 @@
                 let count = fe.dispatcher.prewarm(now, &wish, &mut fe.orders);
                 let ordered = fe.orders.given.len() > before;
                 // Without a ration to spare the first invocations would bring it; here only orders do.
-                fe.shares.prepared(&ahead, count, ordered || count == 0);
+                fe.shares
+                    .on_prewarm_result(&ahead, count, ordered || count == 0);
                 if ahead.is_new && count > 0 {
                     let rollout = ahead.run as usize - 1;
                     known[rollout][n] = true;
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -7,7 +7,7 @@
 use orchidtally_rollout::evidence::QuantileEstimate;
 use orchidtally_rollout::forecast::forecast;
 use orchidtally_rollout::sequential::{EProcess, Events};
-use orchidtally_rollout::split::{Caller, is_new, place, share};
+use orchidtally_rollout::split::{Caller, gets_new_version, position, share};
 use proptest::prelude::*;
 
 proptest! {
@@ -36,8 +36,8 @@
             for step in 0..plan.steps.len() {
                 let s = &plan.steps[step];
                 let meant = (s.customers.is_empty() || customer == "trial") && (s.locations.is_empty() || location == "north");
-                ever |= meant && place(run, key) < s.share;
-                prop_assert_eq!(is_new(&plan, run, step, &who), ever);
+                ever |= meant && position(run, key) < s.share;
+                prop_assert_eq!(gets_new_version(&plan, run, step, &who), ever);
                 prop_assert!(share(&plan, step, &who) <= 1.0);
             }
         }
@@ -50,11 +50,11 @@
         let mut plain: Vec<(f64, [f64; 6])> = vec![];
         for &(p, new, old, begins) in &slots {
             if begins {
-                stakes.begin();
+                stakes.start_bet();
                 let n = plain.len() as f64 + 1.0;
                 plain.push((1.0 / (n * (n + 1.0)), [1.0; 6]));
             }
-            stakes.note(Events { p, new, all: new + old });
+            stakes.record(Events { p, new, all: new + old });
             for (_, product) in &mut plain {
                 for (product, odds) in product.iter_mut().zip([1.25, 1.5, 2.0, 3.0, 5.0, 10.0f64]) {
                     let bet = odds * p / (odds * p + 1.0 - p);
@@ -74,7 +74,7 @@
     let keys: Vec<String> = (0..20_000).map(|n| format!("key-{n}")).collect();
     let on = |run, step| {
         keys.iter()
-            .filter(|k| is_new(&plan, run, step, &who(k)))
+            .filter(|k| gets_new_version(&plan, run, step, &who(k)))
             .count() as f64
             / 20_000.0
     };
@@ -82,7 +82,9 @@
     assert_eq!(on(1, 2), 1.0);
     let both = keys
         .iter()
-        .filter(|k| is_new(&plan, 1, 0, &who(k)) && is_new(&plan, 2, 0, &who(k)))
+        .filter(|k| {
+            gets_new_version(&plan, 1, 0, &who(k)) && gets_new_version(&plan, 2, 0, &who(k))
+        })
         .count();
     assert!(
         (100..300).contains(&both),
@@ -100,11 +102,11 @@
             let mut random = 1.0;
             for n in 0..8 {
                 if n % 3 == 0 {
-                    stakes.begin();
+                    stakes.start_bet();
                 }
                 let new = outcome >> n & 1;
                 random *= if new == 1 { p } else { 1.0 - p };
-                stakes.note(Events {
+                stakes.record(Events {
                     p,
                     new: u64::from(new),
                     all: 1,
@@ -120,9 +122,9 @@
 fn a_quantile_is_tracked() {
     let mut q = QuantileEstimate::default();
     for n in 0..5_000u32 {
-        q.note(0.9, f64::from(n.wrapping_mul(7_919) % 1_000));
+        q.record(0.9, f64::from(n.wrapping_mul(7_919) % 1_000));
     }
-    let at = q.known().unwrap();
+    let at = q.value().unwrap();
     assert!((820.0..980.0).contains(&at), "{at}");
 }
 
@@ -172,8 +174,8 @@
         [1, 2, 4]
     );
     assert_eq!(
-        steps.iter().map(|s| s.orders).collect::<Vec<_>>(),
+        steps.iter().map(|s| s.load_commands).collect::<Vec<_>>(),
         [4, 4, 8]
     );
-    assert_eq!(steps[2].loading, 16.0);
+    assert_eq!(steps[2].load_duration, 16.0);
 }
--- a/crates/rollout/tests/stored_formats.rs
+++ b/crates/rollout/tests/stored_formats.rs
@@ -3,10 +3,10 @@
 //! build of version 0.2.0 and must not be changed.
 
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::evidence::{Cell, Counts};
+use orchidtally_rollout::evidence::{Counts, StratumKey};
 use orchidtally_rollout::forecast::StepForecast;
 use orchidtally_rollout::frontend::EvidenceReport;
-use orchidtally_rollout::plan::{GATES, Gate, Key, Unjudged};
+use orchidtally_rollout::plan::{GATES, Gate, InconclusiveAction, StickyKey};
 use orchidtally_rollout::{Epoch, Phase, Plan, Published};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -45,7 +45,7 @@
         Command::Start { .. } => "start",
         Command::Pause { .. } => "pause",
         Command::Resume { .. } => "resume",
-        Command::Back { .. } => "back",
+        Command::RollBack { .. } => "back",
         Command::Advance { .. } => "advance",
         Command::Finish { .. } => "finish",
     };
@@ -61,31 +61,31 @@
 fn a_plan_has_the_values_of_its_json() {
     let commands: Vec<Command> = read_and_rewrite(COMMANDS);
     let plans = plans(&commands);
-    let keys: Vec<Key> = plans.iter().map(|plan| plan.key.clone()).collect();
+    let keys: Vec<StickyKey> = plans.iter().map(|plan| plan.key.clone()).collect();
     assert_eq!(
         keys,
         [
-            Key::Header("x-session".into()),
-            Key::Invocation,
-            Key::Customer,
-            Key::Token
+            StickyKey::Header("x-session".into()),
+            StickyKey::Invocation,
+            StickyKey::Customer,
+            StickyKey::Token
         ]
     );
-    let unjudged: Vec<Unjudged> = plans.iter().map(|plan| plan.unjudged).collect();
+    let unjudged: Vec<InconclusiveAction> = plans.iter().map(|plan| plan.on_inconclusive).collect();
     assert_eq!(
         unjudged,
         [
-            Unjudged::Hold,
-            Unjudged::Advance,
-            Unjudged::Back,
-            Unjudged::Hold
+            InconclusiveAction::Hold,
+            InconclusiveAction::Advance,
+            InconclusiveAction::RollBack,
+            InconclusiveAction::Hold
         ]
     );
     let plan = plans[0];
     let gates: Vec<(Gate, f64, bool)> = plan
         .gates
         .iter()
-        .map(|terms| (terms.gate, terms.ratio, terms.takes_back))
+        .map(|terms| (terms.gate, terms.ratio, terms.rolls_back))
         .collect();
     let expected = [
         (Gate::Errors, 1.25, true),
@@ -96,20 +96,24 @@
     ];
     assert_eq!(gates, expected);
     assert_eq!(
-        (plan.false_alarm, plan.loads_per_second, plan.priority),
+        (
+            plan.false_positive_rate,
+            plan.loads_per_second,
+            plan.priority
+        ),
         (0.01, 2.5, 3)
     );
     assert_eq!(
-        (plan.holdback, plan.keep_from, plan.rate),
+        (plan.holdback, plan.old_version_retention, plan.rate),
         (0.0625, 600.0, Some(120.5))
     );
     let step = &plan.steps[0];
     assert_eq!(
         (
             step.share,
-            step.least_time,
-            step.least_evidence,
-            step.longest
+            step.min_duration,
+            step.min_samples,
+            step.max_duration
         ),
         (0.05, 60.0, 100, Some(3600.0))
     );
@@ -126,7 +130,7 @@
         published.epoch,
         Epoch {
             term: 7,
-            drawn: u64::MAX - 1
+            nonce: u64::MAX - 1
         }
     );
     let phases: Vec<Phase> = published
@@ -138,9 +142,9 @@
         Phase::Planned,
         Phase::Shifting,
         Phase::Paused,
-        Phase::Keeping,
+        Phase::RetainingOld,
         Phase::Finished,
-        Phase::TakenBack,
+        Phase::RolledBack,
     ];
     assert_eq!(phases, expected);
     assert_eq!(published.aliases["resize"]["canary"], "2f");
@@ -164,7 +168,7 @@
         }
     );
     assert_eq!(
-        run.whole[0],
+        run.total[0],
         Counts {
             answers: 30,
             warm: 29,
@@ -172,15 +176,18 @@
             events: [11, 12, 13, 14, 15]
         }
     );
-    assert_eq!((run.time, run.held, run.digest_mismatches), (61.5, true, 2));
     assert_eq!(
-        run.took_back.as_deref(),
+        (run.time, run.is_held, run.digest_mismatches),
+        (61.5, true, 2)
+    );
+    assert_eq!(
+        run.local_rollback.as_deref(),
         Some("'errors' is worse by its own evidence")
     );
     let event = &run.history[1];
     assert_eq!((event.at, event.run, event.number), (1764600060.25, 5, 2));
     assert_eq!(
-        (event.phase, event.step, event.by_hand),
+        (event.phase, event.step, event.by_operator),
         (Phase::Shifting, 1, false)
     );
     assert!(run.tests.evidence(Gate::Errors) > run.tests.evidence(Gate::Slow));
@@ -198,8 +205,8 @@
     );
     let slot = &delta.slots[0];
     assert_eq!(
-        slot.cell,
-        Cell {
+        slot.stratum,
+        StratumKey {
             trigger_type: 1,
             customer: 2,
             location: 3
@@ -216,13 +223,13 @@
         (
             first.step,
             first.copies,
-            first.orders,
+            first.load_commands,
             first.answers_to_detect
         ),
         (0, 3, 6, 900)
     );
     assert_eq!(
-        (first.loading, first.evidence, first.time),
+        (first.load_duration, first.sampling_duration, first.duration),
         (1.5, Some(120.5), 180.0)
     );
 }
