--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -1,6 +1,7 @@
-//! What front ends and operators ask of a coordinator over HTTP.
+//! The HTTP interface of a coordinator, for front ends and operators.
 
-use crate::server::{CoordinatorServer, SENDER_TIME, now};
+use crate::error::ApiError;
+use crate::server::{CoordinatorServer, REQUEST_TIMEOUT, now};
 use crate::{OperatorRequest, Status};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
@@ -16,8 +17,8 @@
 use serde_json::json;
 use std::convert::Infallible;
 
-/// The most bytes of a request's body.
-const MAX_BODY: usize = 16 * 1024 * 1024;
+/// The most bytes of a request body.
+const MAX_BODY_LENGTH: usize = 16 * 1024 * 1024;
 
 pub(crate) type Reply = Response<Full<Bytes>>;
 
@@ -32,27 +33,21 @@
     response
 }
 
-/// Why a request is refused.
-struct ApiError {
-    status: StatusCode,
-    faults: Vec<String>,
+fn error_reply(error: &ApiError) -> Reply {
+    reply(error.status(), &json!({ "faults": error.faults() }))
 }
 
-impl ApiError {
-    fn new(status: StatusCode, fault: impl Into<String>) -> ApiError {
-        ApiError {
-            status,
-            faults: vec![fault.into()],
-        }
-    }
-
-    fn reply(&self) -> Reply {
-        reply(self.status, &json!({ "faults": self.faults }))
-    }
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
+    serde_json::from_slice(body).map_err(ApiError::InvalidJson)
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
-    serde_json::from_slice(body).map_err(|e| ApiError::new(StatusCode::BAD_REQUEST, e.to_string()))
+async fn read_body(body: Incoming) -> Result<Bytes, ApiError> {
+    let collected = Limited::new(body, MAX_BODY_LENGTH).collect();
+    orchidtally_socket_io::with_timeout(REQUEST_TIMEOUT, collected)
+        .await
+        .ok_or(ApiError::BodyTimeout)?
+        .map(|body| body.to_bytes())
+        .map_err(ApiError::UnreadableBody)
 }
 
 impl CoordinatorServer {
@@ -60,58 +55,41 @@
         Ok(self
             .answer(request)
             .await
-            .unwrap_or_else(|refusal| refusal.reply()))
+            .unwrap_or_else(|error| error_reply(&error)))
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Result<Reply, ApiError> {
         let (parts, body) = request.into_parts();
-        let read = orchidtally_socket_io::with_timeout(
-            SENDER_TIME,
-            Limited::new(body, MAX_BODY).collect(),
-        )
-        .await;
-        let body = match read {
-            Some(Ok(body)) => body.to_bytes(),
-            Some(Err(e)) => {
-                return Err(ApiError::new(StatusCode::PAYLOAD_TOO_LARGE, e.to_string()));
-            }
-            None => {
-                return Err(ApiError::new(
-                    StatusCode::REQUEST_TIMEOUT,
-                    "the body came too slowly",
-                ));
-            }
-        };
+        let body = read_body(body).await?;
         let path = parts.uri.path();
         let history = path
             .strip_prefix("/v1/rollouts/")
-            .and_then(|p| p.strip_suffix("/history"));
+            .and_then(|rest| rest.strip_suffix("/history"));
         match (&parts.method, path) {
             (&Method::POST, "/v1/rollouts/exchange") => self.exchange(&body),
-            (&Method::POST, "/v1/rollouts/orders") => self.order(&body),
+            (&Method::POST, "/v1/rollouts/orders") => self.execute(&body),
             (&Method::GET, "/v1/rollouts") => Ok(reply(StatusCode::OK, &self.status())),
             (&Method::GET, _) if history.is_some() => self.history(history.unwrap_or_default()),
-            _ => {
-                let what = format!("there is no {} {path}", parts.method);
-                Err(ApiError::new(StatusCode::NOT_FOUND, what))
-            }
+            _ => Err(ApiError::UnknownRoute {
+                method: parts.method.clone(),
+                path: path.to_owned(),
+            }),
         }
     }
 
-    /// A front end reports its evidence, and is told the state of all rollouts.
+    /// Records the report of a front end, and responds with the state of all rollouts.
     fn exchange(&self, body: &[u8]) -> Result<Reply, ApiError> {
         let report: EvidenceReport = parse(body)?;
         self.coordinator.borrow_mut().record_report(now(), &report);
         let coordinator = self.coordinator.borrow();
         if let Some(epoch) = coordinator.superseded() {
-            let what = format!("a coordinator of term {} has taken over", epoch.term);
-            return Err(ApiError::new(StatusCode::CONFLICT, what));
+            return Err(ApiError::Superseded { term: epoch.term });
         }
         Ok(reply(StatusCode::OK, coordinator.published()))
     }
 
-    /// An operator's order.
-    fn order(&self, body: &[u8]) -> Result<Reply, ApiError> {
+    /// Executes an operator's request.
+    fn execute(&self, body: &[u8]) -> Result<Reply, ApiError> {
         let command = match parse(body)? {
             OperatorRequest::Start { plan, dry } => {
                 let plan = self.read_plan(&plan)?;
@@ -126,60 +104,43 @@
             OperatorRequest::Advance { name, why } => Command::Advance { name, why },
             OperatorRequest::Finish { name } => Command::Finish { name },
         };
-        let done = self
-            .coordinator
+        self.coordinator
             .borrow_mut()
-            .command(now(), &command, rand::random());
-        done.map_err(|error| ApiError::new(StatusCode::CONFLICT, error.to_string()))?;
-        if self.persist_changes() {
-            Ok(reply(StatusCode::OK, &self.status()))
-        } else {
-            Err(ApiError::new(
-                StatusCode::INTERNAL_SERVER_ERROR,
-                "the state can't be kept",
-            ))
+            .command(now(), &command, rand::random())?;
+        if !self.persist_changes() {
+            return Err(ApiError::NotPersisted);
         }
+        Ok(reply(StatusCode::OK, &self.status()))
     }
 
     fn read_plan(&self, text: &str) -> Result<Plan, ApiError> {
-        Plan::read(text, &self.deployment).map_err(|faults| {
-            let faults = faults.iter().map(ToString::to_string).collect();
-            ApiError {
-                status: StatusCode::BAD_REQUEST,
-                faults,
-            }
-        })
+        Plan::read(text, &self.deployment).map_err(ApiError::InvalidPlan)
     }
 
-    /// The steps of a plan, and its loads against the ration.
+    /// The forecast of a plan, and its rate of loads against the load budget.
     fn dry_run(&self, plan: &Plan) -> Reply {
         let steps: Vec<StepForecast> = forecast(plan, &self.deployment);
-        // Without a ration there is no bound to report.
-        let granted =
-            Some(load_command_rate_limit(&self.deployment)).filter(|granted| granted.is_finite());
-        let body =
-            json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": granted });
+        // Without a load budget there is no limit to report.
+        let rate_limit =
+            Some(load_command_rate_limit(&self.deployment)).filter(|limit| limit.is_finite());
+        let body = json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": rate_limit });
         reply(StatusCode::OK, &body)
     }
 
-    /// The command that starts a plan between the versions that it names now.
+    /// The command that starts a plan, with the digests that its aliases name now.
     fn start(&self, plan: Plan) -> Result<Command, ApiError> {
         let versions = (
             self.digest(&plan.function, &plan.from),
             self.digest(&plan.function, &plan.to),
         );
         let (Some(from), Some(to)) = versions else {
-            return Err(ApiError::new(
-                StatusCode::BAD_REQUEST,
-                "a version of the plan is not known",
-            ));
+            return Err(ApiError::UnknownVersion);
         };
         if from == to {
-            let what = format!(
-                "'{}' and '{}' name the same version by now",
-                plan.from, plan.to
-            );
-            return Err(ApiError::new(StatusCode::CONFLICT, what));
+            return Err(ApiError::SameVersion {
+                from: plan.from,
+                to: plan.to,
+            });
         }
         Ok(Command::Start {
             plan: Box::new(plan),
@@ -188,7 +149,7 @@
         })
     }
 
-    /// The digest of a version that is named by an alias or a digest. An alias names what it has moved to.
+    /// The digest of a version that is named by an alias, which may have moved since the deployment file, or by a digest.
     fn digest(&self, function: &str, name: &str) -> Option<String> {
         let coordinator = self.coordinator.borrow();
         let aliases = coordinator.published().aliases.get(function);
@@ -202,10 +163,7 @@
         let coordinator = self.coordinator.borrow();
         match coordinator.state().runs.get(name) {
             Some(run) => Ok(reply(StatusCode::OK, &run.history)),
-            None => Err(ApiError::new(
-                StatusCode::NOT_FOUND,
-                format!("there is no rollout '{name}'"),
-            )),
+            None => Err(ApiError::UnknownRollout(name.to_owned())),
         }
     }
 
@@ -230,7 +188,7 @@
     let step = rollout
         .active_step()
         .and_then(|step| rollout.plan.steps.get(step));
-    let is_judged = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
+    let is_enabled = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
     let evidence = |gate: &Gate| (gate.name().to_owned(), run.tests.evidence(*gate));
     Status {
         name: name.to_owned(),
@@ -244,7 +202,7 @@
         rate: run.rate(),
         old: run.step[0],
         new: run.step[1],
-        evidence: GATES.iter().filter(is_judged).map(evidence).collect(),
+        evidence: GATES.iter().filter(is_enabled).map(evidence).collect(),
         rollback_threshold: rollout.plan.threshold(),
     }
 }
--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of a coordinator. Each entry is its whole state.
+//! The journal of a coordinator. Each entry is the complete state.
 
 use orchidtally_journal::Journal;
 use orchidtally_rollout::coordinator::CoordinatorState;
@@ -6,10 +6,14 @@
 use std::path::Path;
 use tracing::warn;
 
-/// Bytes of entries from which on they are replaced by a snapshot.
+/// The journal is compacted into a snapshot once its entries have more bytes than this.
 const SNAPSHOT_THRESHOLD: u64 = 8 * 1024 * 1024;
 
-/// Reads the state from a journal: it is in the last whole entry.
+/// Opens a journal and reads the state in its last entry.
+///
+/// # Errors
+///
+/// If the journal can't be opened, or its last entry isn't a state.
 pub fn recover(folder: &Path) -> io::Result<(Journal, CoordinatorState)> {
     let (journal, recovered) = Journal::open(folder)?;
     if recovered.truncated_bytes > 0 {
@@ -21,18 +25,18 @@
     let last = recovered.entries.last().or(recovered.snapshot.as_ref());
     let state = match last {
         None => CoordinatorState::default(),
-        Some(bytes) => serde_json::from_slice(bytes).map_err(|e| {
-            let what = format!(
-                "{}: the journal's last entry can't be read: {e}",
+        Some(bytes) => serde_json::from_slice(bytes).map_err(|error| {
+            let message = format!(
+                "{}: the journal's last entry can't be read: {error}",
                 folder.display()
             );
-            io::Error::new(io::ErrorKind::InvalidData, what)
+            io::Error::new(io::ErrorKind::InvalidData, message)
         })?,
     };
     Ok((journal, state))
 }
 
-/// Persists the whole state.
+/// Persists the complete state.
 pub(crate) fn persist(journal: &mut Journal, state: &CoordinatorState) -> io::Result<()> {
     let bytes = serde_json::to_vec(state)?;
     if journal.length() > SNAPSHOT_THRESHOLD {
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,10 @@
-//! The coordinator of rollouts as a process: what it decides is in its journal before anyone is told, so that a process
-//! that is killed between the two publishes the same when it is back, under a higher term.
+//! The coordinator of rollouts as a process, with a journal and an HTTP interface.
+//!
+//! Every decision is persisted in the journal before it is published. A process that is killed in between publishes the
+//! same decision after its restart, under a higher term.
 
 mod api;
+mod error;
 mod journal;
 mod server;
 
@@ -13,31 +16,50 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an operator's tool sends.
+/// A request of an operator, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
 pub enum OperatorRequest {
     /// Start a rollout.
     Start {
-        /// The text of the plan, as its file has it.
+        /// The text of the plan's file.
         plan: String,
-        /// Only report the steps and what they take.
+        /// Whether only to forecast the steps, without starting the rollout.
         dry: bool,
     },
-    /// Hold the step that is on.
-    Pause { name: String },
-    /// Go on after a pause.
-    Resume { name: String },
-    /// Take the rollout back.
+    /// Pause the present step.
+    Pause {
+        /// Name of the rollout.
+        name: String,
+    },
+    /// Resume after a pause.
+    Resume {
+        /// Name of the rollout.
+        name: String,
+    },
+    /// Roll back.
     #[serde(rename = "back")]
-    RollBack { name: String, why: String },
-    /// Go to the next step whatever evidence is missing.
-    Advance { name: String, why: String },
-    /// End a rollout whose last step is on.
-    Finish { name: String },
+    RollBack {
+        /// Name of the rollout.
+        name: String,
+        /// The operator's reason.
+        why: String,
+    },
+    /// Advance to the next step even if samples are missing.
+    Advance {
+        /// Name of the rollout.
+        name: String,
+        /// The operator's reason.
+        why: String,
+    },
+    /// Finish a rollout after its last step, without waiting.
+    Finish {
+        /// Name of the rollout.
+        name: String,
+    },
 }
 
-/// The state of a rollout, for operators.
+/// The status of a rollout for operators, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Status {
@@ -47,17 +69,17 @@
     pub function: String,
     /// The phase.
     pub phase: Phase,
-    /// The step, counted from 1.
+    /// Number of the present step, from 1.
     pub step: usize,
     /// The number of steps.
     pub steps: usize,
     /// The share of the new version.
     pub share: f64,
-    /// Why the next step has not come, or why the rollout ended.
+    /// Why the rollout is held or has ended.
     pub reason: String,
-    /// Seconds for which the step has been on.
+    /// Duration of the present step in seconds, without pauses.
     pub time: f64,
-    /// Invocations of the function a second, as front ends report.
+    /// Invocations of the function a second over all front ends.
     pub rate: f64,
     /// Counts of the old version in this step.
     pub old: Counts,
@@ -65,16 +87,16 @@
     pub new: Counts,
     /// By gate, the evidence that the new version is worse, as odds to 1.
     pub evidence: BTreeMap<String, f64>,
-    /// The evidence that takes the rollout back.
+    /// The evidence, as odds to 1, at which the rollout is rolled back.
     #[serde(rename = "takesBack")]
     pub rollback_threshold: f64,
 }
 
-/// Why a coordinator ended.
+/// Why a coordinator stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It was stopped.
+    /// It was told to stop.
     Stopped,
-    /// Another coordinator has a higher term.
+    /// Another coordinator with a newer epoch has taken over.
     Superseded(Epoch),
 }
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -18,13 +18,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::{debug, error, info, warn};
 
-/// The time between two ticks.
+/// Interval of ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// After so many ticks evidence is persisted, where nothing was decided.
+/// Evidence is persisted after this many ticks without a change of the published state.
 const TICKS_PER_PERSIST: u32 = 2;
-/// How long a front end or an operator may take to send a request.
-pub(crate) const SENDER_TIME: Duration = Duration::from_secs(5);
-/// The most connections at a time.
+/// How long a client may take to send a request.
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The most concurrent connections.
 const MAX_CONNECTIONS: usize = 2_000;
 
 /// A coordinator with its journal and its connections.
@@ -32,7 +32,7 @@
     pub(crate) deployment: Deployment,
     pub(crate) coordinator: RefCell<Coordinator>,
     journal: RefCell<Journal>,
-    /// Why the journal can't be written any more: nothing may be published that it does not hold.
+    /// Why the journal can't be written any more. Nothing may be published that isn't persisted.
     failure: RefCell<Option<io::Error>>,
     ticks_since_persist: Cell<u32>,
     connections: Cell<usize>,
@@ -45,7 +45,12 @@
         .map_or(0.0, |time| time.as_secs_f64())
 }
 
-/// Runs a coordinator on this thread until it is stopped or superseded.
+/// Runs a coordinator on this thread until it is stopped or superseded. Its journal is in `folder`; a message on `stop`,
+/// or its closing, stops it.
+///
+/// # Errors
+///
+/// If the journal can't be read or written.
 pub fn run(
     deployment: Deployment,
     folder: &Path,
@@ -56,7 +61,7 @@
     let coordinator = Coordinator::new(state, rand::random(), now());
     info!(
         term = coordinator.published().epoch.term,
-        "a coordinator begins its term"
+        "coordinator started"
     );
     let server = Rc::new(CoordinatorServer {
         deployment,
@@ -69,12 +74,12 @@
     server.persist()?;
     let spawner = Rc::new(LocalExecutor::new());
     let stopped = async {
-        // A closed channel stops as a message does.
+        // A closed channel stops the coordinator as a message does.
         let _ = stop.recv().await;
         Ok(StopReason::Stopped)
     };
     let accepting = server.clone().accept(listener, spawner.clone());
-    let work = future::or(stopped, future::or(server.keep_time(), accepting));
+    let work = future::or(stopped, future::or(server.run_ticks(), accepting));
     async_io::block_on(spawner.run(work))
 }
 
@@ -89,28 +94,28 @@
         )
     }
 
-    /// Persists what was decided. To be called after every change and before anything is published of it. Returns
-    /// false where that failed, which ends the process.
+    /// Persists the state if it has changed. To be called after every change and before it is published. Returns false
+    /// if that failed, which ends the process.
     pub(crate) fn persist_changes(&self) -> bool {
         if self.coordinator.borrow_mut().take_changed()
-            && let Err(fault) = self.persist()
+            && let Err(error) = self.persist()
         {
-            error!(%fault, "the state can't be kept");
-            *self.failure.borrow_mut() = Some(fault);
+            error!(%error, "coordinator state can't be persisted, stopping");
+            *self.failure.borrow_mut() = Some(error);
         }
         self.failure.borrow().is_none()
     }
 
-    async fn keep_time(&self) -> io::Result<StopReason> {
+    async fn run_ticks(&self) -> io::Result<StopReason> {
         loop {
             Timer::after(TICK_INTERVAL).await;
             self.coordinator.borrow_mut().tick(now());
             if let Some(epoch) = self.coordinator.borrow().superseded() {
                 let own = self.coordinator.borrow().published().epoch.term;
                 warn!(
-                    own,
-                    other = epoch.term,
-                    "another coordinator has a higher term; this one stops"
+                    own_term = own,
+                    term = epoch.term,
+                    "superseded by a coordinator with a higher term, stopping"
                 );
                 return Ok(StopReason::Superseded(epoch));
             }
@@ -118,13 +123,13 @@
                 .set(self.ticks_since_persist.get() + 1);
             let is_due = self.ticks_since_persist.get() >= TICKS_PER_PERSIST;
             if self.persist_changes() && is_due && !self.is_idle() {
-                // Evidence alone: what is lost of it is counted anew.
-                if let Err(fault) = self.persist() {
-                    warn!(%fault, "evidence can't be kept");
+                // Only evidence is lost, which accumulates again.
+                if let Err(error) = self.persist() {
+                    warn!(%error, "evidence can't be persisted");
                 }
             }
-            if let Some(fault) = self.failure.borrow_mut().take() {
-                return Err(fault);
+            if let Some(error) = self.failure.borrow_mut().take() {
+                return Err(error);
             }
         }
     }
@@ -157,11 +162,11 @@
         let service = hyper::service::service_fn(|request| self.respond(request));
         let served = hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(SENDER_TIME)
+            .header_read_timeout(REQUEST_TIMEOUT)
             .serve_connection(stream, service)
             .await;
-        if let Err(fault) = served.map_err(|e| e.to_string()) {
-            debug!(?peer, fault, "a connection ended");
+        if let Err(error) = served {
+            debug!(?peer, %error, "connection closed with an error");
         }
         self.connections.set(self.connections.get() - 1);
     }
