--- a/crates/capacity-model/src/config/writer.rs
+++ b/crates/capacity-model/src/config/writer.rs
@@ -11,7 +11,7 @@
 use orchidtally_etcd::rpc::request_op::Request;
 use orchidtally_etcd::rpc::response_op::Response;
 use orchidtally_etcd::rpc::*;
-use orchidtally_etcd::{Client, Fault, TXN};
+use orchidtally_etcd::{Client, ClientError, TXN};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -150,7 +150,7 @@
     async fn try_write(
         &self,
         changes: &[EntryChange],
-    ) -> Result<Result<Option<i64>, WriteError>, Fault> {
+    ) -> Result<Result<Option<i64>, WriteError>, ClientError> {
         let read = self
             .read(&writer::keys_to_read(&self.keyspace, changes))
             .await?;
@@ -182,7 +182,7 @@
     }
 
     /// Reads keys at one revision.
-    async fn read(&self, keys: &[Vec<u8>]) -> Result<ReadValues, Fault> {
+    async fn read(&self, keys: &[Vec<u8>]) -> Result<ReadValues, ClientError> {
         let range = |key: &Vec<u8>| {
             let request = RangeRequest {
                 key: key.clone().into(),
@@ -214,7 +214,7 @@
     }
 
     /// Commits; `None` if a guard did not hold.
-    async fn commit(&self, transaction: &Transaction) -> Result<Option<i64>, Fault> {
+    async fn commit(&self, transaction: &Transaction) -> Result<Option<i64>, ClientError> {
         let answer: TxnResponse = self
             .client
             .unary(TXN, &request(transaction), REQUEST_TIMEOUT)
--- a/crates/capacity-model/src/hollow/configuration.rs
+++ b/crates/capacity-model/src/hollow/configuration.rs
@@ -73,7 +73,7 @@
             keeps_old_view: Cell::new(false),
         };
         let client = Client::new(options.endpoints.to_vec(), tasks.clone());
-        client.says(client_name(options.number));
+        client.set_user_agent(client_name(options.number));
         let mut settings = HostSettings::new(options.number.to_string());
         settings.snapshot = options.snapshot;
         let host = ConfigHost::new(
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -9,7 +9,7 @@
 use orchidtally_etcd::rpc::{
     DeleteRangeRequest, DeleteRangeResponse, PutRequest, PutResponse, RangeRequest, RangeResponse,
 };
-use orchidtally_etcd::{Client, DELETE_RANGE, Fault, PUT, RANGE, range_end};
+use orchidtally_etcd::{Client, ClientError, DELETE_RANGE, PUT, RANGE, range_end};
 use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -90,7 +90,7 @@
         for _ in 0..MAX_TRIES {
             match self.on(self.client.unary(path, question, REQUEST_TIMEOUT)) {
                 Ok(answer) => return Ok(answer),
-                Err(fault @ (Fault::Unreachable(_) | Fault::TimedOut)) => {
+                Err(fault @ (ClientError::Unreachable(_) | ClientError::TimedOut)) => {
                     last = Some(fault);
                     self.client.fail_over();
                 }
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,167 +1,166 @@
-//! A client of one endpoint at a time: unary exchanges with a deadline, and streams both ways, over HTTP/2.
+//! A client that uses one endpoint at a time: unary requests with a timeout, and bidirectional streams, over HTTP/2.
 
-use crate::grpc::{CONTENT_TYPE, Malformed, Status, deframe, frame, status};
-use crate::traffic::{Counted, Traffic};
+use crate::error::{ClientError, ConnectionError};
+use crate::grpc::{CONTENT_TYPE, decode_frame, encode_frame, status};
+use crate::traffic::{CountedStream, Traffic};
 use async_executor::{LocalExecutor, Task};
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
-use h2::client::SendRequest;
+use h2::client::{ResponseFuture, SendRequest};
+use h2::{RecvStream, SendStream};
+use http::HeaderMap;
 use prost::Message;
 use std::cell::{Cell, RefCell};
-use std::fmt;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A stream that asks for this is ended by a member that has lost its leader; else that goes on to tell of progress in
-/// what it knew before, which nobody can tell from a store in which nothing changes.
+/// Header by which a member ends a stream when it loses its leader. Without it the member goes on sending progress at
+/// its last revision, which looks the same as a store in which nothing changes.
 pub const REQUIRE_LEADER: &str = "hasleader";
-/// The longest answer: a roster of some 100,000 entries.
-pub const LONGEST: usize = 64 * 1024 * 1024;
-const CONNECT_TIME: Duration = Duration::from_secs(2);
-
-#[derive(Debug)]
-pub enum Fault {
-    /// No connection, or it broke.
-    Unreachable(String),
-    TimedOut,
-    /// The store refused, with its status.
-    Refused(Status),
-    Malformed(Malformed),
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Unreachable(why) => write!(f, "the store is not to be reached: {why}"),
-            Fault::TimedOut => f.write_str("the store did not answer in time"),
-            Fault::Refused(status) => write!(f, "the store refused: {status}"),
-            Fault::Malformed(what) => write!(f, "the store's answer can't be read: {what}"),
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
-fn broke(fault: impl fmt::Display) -> Fault {
-    Fault::Unreachable(fault.to_string())
-}
+/// The longest message in bytes; enough for a list of some 100,000 executors.
+pub const MAX_MESSAGE_LENGTH: usize = 64 * 1024 * 1024;
+/// Timeout of the TCP connection, and of the HTTP/2 handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// An open HTTP/2 connection. It is closed once the last reference is dropped.
 struct Connection {
     sender: SendRequest<Bytes>,
     _driver: Task<()>,
 }
 
-/// Of several endpoints the one that answered last is asked; after a failure the next.
+/// A client of the members of one store. It uses one endpoint until [`Client::fail_over`].
 pub struct Client {
     endpoints: Vec<SocketAddr>,
-    at: Cell<usize>,
+    /// Number of the endpoint in use, modulo the number of endpoints.
+    current: Cell<usize>,
     tasks: Rc<LocalExecutor<'static>>,
     connection: RefCell<Option<Rc<Connection>>>,
+    /// The authentication token, sent with each request.
     pub token: RefCell<Option<String>>,
-    /// What it says of itself in each exchange, for logs.
-    name: RefCell<String>,
+    /// Sent with each request, for the store's logs.
+    user_agent: RefCell<String>,
     traffic: Rc<Traffic>,
 }
 
-/// A stream of messages both ways.
-pub struct Both<M> {
-    out: h2::SendStream<Bytes>,
-    body: h2::RecvStream,
-    bytes: BytesMut,
-    _of: std::marker::PhantomData<M>,
+/// A request whose first message was sent.
+struct StartedRequest {
+    response: ResponseFuture,
+    outgoing: SendStream<Bytes>,
+    connection: Rc<Connection>,
+}
+
+/// A stream of messages in both directions.
+pub struct BidirectionalStream<M> {
+    outgoing: SendStream<Bytes>,
+    body: RecvStream,
+    /// Received bytes that aren't a complete message yet.
+    buffer: BytesMut,
+    _message: std::marker::PhantomData<M>,
     _connection: Rc<Connection>,
 }
 
-async fn next<M: Message + Default>(
-    body: &mut h2::RecvStream,
-    bytes: &mut BytesMut,
-) -> Result<Option<M>, Fault> {
+/// Receives the next message; `None` at the end of the stream.
+async fn next_message<M: Message + Default>(
+    body: &mut RecvStream,
+    buffer: &mut BytesMut,
+) -> Result<Option<M>, ClientError> {
     loop {
-        if let Some(message) = deframe(bytes, LONGEST).map_err(Fault::Malformed)? {
+        if let Some(message) =
+            decode_frame(buffer, MAX_MESSAGE_LENGTH).map_err(ClientError::InvalidResponse)?
+        {
             return Ok(Some(message));
         }
         match body.data().await {
             Some(Ok(chunk)) => {
-                // The window is given back as it is read; that the stream has ended is seen next.
+                // An error means that the stream has ended, which the next read returns.
                 let _ = body.flow_control().release_capacity(chunk.len());
-                bytes.extend_from_slice(&chunk);
+                buffer.extend_from_slice(&chunk);
             }
-            Some(Err(e)) => return Err(broke(e)),
+            Some(Err(error)) => return Err(error.into()),
             None => return Ok(None),
         }
     }
 }
 
-impl<M: Message + Default> Both<M> {
-    pub fn send(&mut self, message: &impl Message) -> Result<(), Fault> {
-        self.out.send_data(frame(message), false).map_err(broke)
+impl<M: Message + Default> BidirectionalStream<M> {
+    /// Sends a message.
+    ///
+    /// # Errors
+    ///
+    /// If the stream has ended.
+    pub fn send(&mut self, message: &impl Message) -> Result<(), ClientError> {
+        self.outgoing.send_data(encode_frame(message), false)?;
+        Ok(())
     }
 
-    /// The next message; an end of the stream is a fault, with its status where it has one.
-    pub async fn next(&mut self) -> Result<M, Fault> {
-        match next(&mut self.body, &mut self.bytes).await? {
-            Some(message) => Ok(message),
-            None => {
-                let trailers = self.body.trailers().await.map_err(broke)?;
-                let refused = trailers.as_ref().and_then(status).filter(|s| s.code != 0);
-                Err(refused.map_or_else(|| broke("the stream ended"), Fault::Refused))
-            }
+    /// Receives the next message.
+    ///
+    /// # Errors
+    ///
+    /// If the stream fails or ends, with its status if it has one.
+    pub async fn next(&mut self) -> Result<M, ClientError> {
+        if let Some(message) = next_message(&mut self.body, &mut self.buffer).await? {
+            return Ok(message);
         }
+        if let Some(trailers) = self.body.trailers().await? {
+            check_status(&trailers)?;
+        }
+        Err(ConnectionError::StreamEnded.into())
     }
 }
 
 impl Client {
+    /// A client without a connection yet. Connections are driven by `tasks`.
     pub fn new(endpoints: Vec<SocketAddr>, tasks: Rc<LocalExecutor<'static>>) -> Client {
         Client {
             endpoints,
-            at: Cell::new(0),
+            current: Cell::new(0),
             tasks,
             connection: RefCell::default(),
             token: RefCell::default(),
-            name: RefCell::default(),
+            user_agent: RefCell::default(),
             traffic: Rc::default(),
         }
     }
 
-    /// Bytes sent and received over all of this client's connections so far.
+    /// Bytes sent and received over all connections of this client.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    pub fn says(&self, name: String) {
-        *self.name.borrow_mut() = name;
+    /// Sets the user agent of all further requests.
+    pub fn set_user_agent(&self, name: String) {
+        *self.user_agent.borrow_mut() = name;
     }
 
+    /// The endpoint in use; `None` if there are no endpoints.
     pub fn endpoint(&self) -> Option<SocketAddr> {
         self.endpoints
-            .get(self.at.get() % self.endpoints.len().max(1))
+            .get(self.current.get() % self.endpoints.len().max(1))
             .copied()
     }
 
-    /// The next exchange goes to the next endpoint.
+    /// Closes the connection; further requests use the next endpoint.
     pub fn fail_over(&self) {
-        *self.connection.borrow_mut() = None;
-        self.at.set(self.at.get() + 1);
+        self.disconnect();
+        self.current.set(self.current.get() + 1);
     }
 
-    async fn connection(&self) -> Result<Rc<Connection>, Fault> {
+    async fn connection(&self) -> Result<Rc<Connection>, ClientError> {
         let known = self.connection.borrow().clone();
         if let Some(connection) = known {
             return Ok(connection);
         }
-        let at = self
-            .endpoint()
-            .ok_or_else(|| broke("no endpoint is known"))?;
-        let stream = orchidtally_socket_io::connect(at, CONNECT_TIME)
-            .await
-            .map_err(broke)?;
-        let stream = Counted::new(stream, self.traffic.clone());
-        let shaken =
-            orchidtally_socket_io::with_timeout(CONNECT_TIME, h2::client::handshake(stream)).await;
-        let (sender, driver) = shaken.ok_or(Fault::TimedOut)?.map_err(broke)?;
+        let endpoint = self.endpoint().ok_or(ConnectionError::NoEndpoint)?;
+        let stream = orchidtally_socket_io::connect(endpoint, CONNECT_TIMEOUT).await?;
+        let stream = CountedStream::new(stream, self.traffic.clone());
+        let handshake =
+            orchidtally_socket_io::with_timeout(CONNECT_TIMEOUT, h2::client::handshake(stream))
+                .await;
+        let (sender, driver) = handshake.ok_or(ClientError::TimedOut)??;
         let driver = self.tasks.spawn(async {
-            // What breaks it is seen by its streams.
+            // Errors of the connection are also returned by its streams.
             let _ = driver.await;
         });
         let connection = Rc::new(Connection {
@@ -172,96 +171,115 @@
         Ok(connection)
     }
 
-    async fn begin(
+    /// Starts a request with its first message; `is_last` if it is the only one.
+    async fn start_request(
         &self,
         path: &str,
         first: Bytes,
-        ends: bool,
-    ) -> Result<
-        (
-            h2::client::ResponseFuture,
-            h2::SendStream<Bytes>,
-            Rc<Connection>,
-        ),
-        Fault,
-    > {
+        is_last: bool,
+    ) -> Result<StartedRequest, ClientError> {
         let connection = self.connection().await?;
         let mut request = http::Request::post(format!("http://etcd{path}"))
             .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
             .header(http::header::TE, "trailers")
-            .header(http::header::USER_AGENT, self.name.borrow().as_str());
-        if !ends {
+            .header(http::header::USER_AGENT, self.user_agent.borrow().as_str());
+        if !is_last {
             request = request.header(REQUIRE_LEADER, "true");
         }
         if let Some(token) = self.token.borrow().as_ref() {
             request = request.header("token", token);
         }
-        let request = request.body(()).map_err(broke)?;
-        let mut sender = connection.sender.clone().ready().await.map_err(broke)?;
-        let (response, mut out) = sender.send_request(request, false).map_err(broke)?;
-        out.send_data(first, ends).map_err(broke)?;
-        Ok((response, out, connection))
+        let request = request.body(())?;
+        let mut sender = connection.sender.clone().ready().await?;
+        let (response, mut outgoing) = sender.send_request(request, false)?;
+        outgoing.send_data(first, is_last)?;
+        Ok(StartedRequest {
+            response,
+            outgoing,
+            connection,
+        })
     }
 
-    /// One question and its answer.
+    /// Sends a request and waits for its response, for at most `timeout`. `path` is one of the constants of this
+    /// crate, such as [`RANGE`](crate::RANGE).
+    ///
+    /// # Errors
+    ///
+    /// If the store is unreachable, doesn't respond in time, rejects the request, or sends an invalid response.
     pub async fn unary<M: Message + Default>(
         &self,
         path: &str,
-        question: &impl Message,
-        time: Duration,
-    ) -> Result<M, Fault> {
+        request: &impl Message,
+        timeout: Duration,
+    ) -> Result<M, ClientError> {
         let work = async {
-            let (response, _out, _connection) = self.begin(path, frame(question), true).await?;
-            let (parts, mut body) = response.await.map_err(broke)?.into_parts();
-            if let Some(refused) = status(&parts.headers).filter(|s| s.code != 0) {
-                return Err(Fault::Refused(refused));
+            let started = self
+                .start_request(path, encode_frame(request), true)
+                .await?;
+            let (parts, mut body) = started.response.await?.into_parts();
+            check_status(&parts.headers)?;
+            let mut buffer = BytesMut::new();
+            let message = next_message(&mut body, &mut buffer).await?;
+            if let Some(trailers) = body.trailers().await? {
+                check_status(&trailers)?;
             }
-            let mut bytes = BytesMut::new();
-            let answer = next(&mut body, &mut bytes).await?;
-            let trailers = body.trailers().await.map_err(broke)?;
-            if let Some(refused) = trailers.as_ref().and_then(status).filter(|s| s.code != 0) {
-                return Err(Fault::Refused(refused));
-            }
-            answer.ok_or_else(|| broke("an answer without a message"))
+            message.ok_or_else(|| ConnectionError::EmptyResponse.into())
         };
-        let done = orchidtally_socket_io::with_timeout(time, work)
+        let result = orchidtally_socket_io::with_timeout(timeout, work)
             .await
-            .unwrap_or(Err(Fault::TimedOut));
-        if matches!(done, Err(Fault::Unreachable(_) | Fault::TimedOut)) {
-            *self.connection.borrow_mut() = None;
+            .unwrap_or(Err(ClientError::TimedOut));
+        if matches!(
+            result,
+            Err(ClientError::Unreachable(_) | ClientError::TimedOut)
+        ) {
+            self.disconnect();
         }
-        done
+        result
     }
 
-    /// A stream both ways, begun with a message.
-    pub async fn both<M: Message + Default>(
+    /// Opens a stream in both directions with a first message, within `timeout`. The store ends the stream if it
+    /// loses its leader.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Client::unary`].
+    pub async fn open_stream<M: Message + Default>(
         &self,
         path: &str,
         first: &impl Message,
-        time: Duration,
-    ) -> Result<Both<M>, Fault> {
+        timeout: Duration,
+    ) -> Result<BidirectionalStream<M>, ClientError> {
         let work = async {
-            let (response, out, connection) = self.begin(path, frame(first), false).await?;
-            let (parts, body) = response.await.map_err(broke)?.into_parts();
-            if let Some(refused) = status(&parts.headers).filter(|s| s.code != 0) {
-                return Err(Fault::Refused(refused));
-            }
-            let _of = std::marker::PhantomData;
-            Ok(Both {
-                out,
+            let started = self.start_request(path, encode_frame(first), false).await?;
+            let (parts, body) = started.response.await?.into_parts();
+            check_status(&parts.headers)?;
+            Ok(BidirectionalStream {
+                outgoing: started.outgoing,
                 body,
-                bytes: BytesMut::new(),
-                _of,
-                _connection: connection,
+                buffer: BytesMut::new(),
+                _message: std::marker::PhantomData,
+                _connection: started.connection,
             })
         };
-        let done = orchidtally_socket_io::with_timeout(time, work)
+        let result = orchidtally_socket_io::with_timeout(timeout, work)
             .await
-            .unwrap_or(Err(Fault::TimedOut));
-        if done.is_err() {
-            *self.connection.borrow_mut() = None;
+            .unwrap_or(Err(ClientError::TimedOut));
+        if result.is_err() {
+            self.disconnect();
         }
         future::yield_now().await;
-        done
+        result
+    }
+
+    fn disconnect(&self) {
+        *self.connection.borrow_mut() = None;
+    }
+}
+
+/// Fails if headers or trailers have a status other than success.
+fn check_status(headers: &HeaderMap) -> Result<(), ClientError> {
+    match status(headers) {
+        Some(status) if status.code != 0 => Err(ClientError::Rejected(status)),
+        _ => Ok(()),
     }
 }
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -1,20 +1,26 @@
-//! gRPC's frames: a flag, a length, a message; and its status, which comes in trailers.
+//! gRPC's frames (a flag, a length and a message) and its status, which is in headers or trailers.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use http::HeaderMap;
 use prost::Message;
 use std::fmt;
 
+/// Content type of requests and responses.
 pub const CONTENT_TYPE: &str = "application/grpc";
 
-/// Codes of gRPC that are told apart here.
+/// Status code of a revision that is compacted or in the future.
 pub const OUT_OF_RANGE: u32 = 11;
+/// Status code of a member without a leader.
 pub const UNAVAILABLE: u32 = 14;
+/// Status code of an invalid token.
 pub const UNAUTHENTICATED: u32 = 16;
 
+/// The status of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
+    /// The code; 0 for success.
     pub code: u32,
+    /// The store's message.
     pub message: String,
 }
 
@@ -24,26 +30,27 @@
     }
 }
 
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Malformed {
-    TooLong { length: usize, most: usize },
+/// Why bytes aren't a valid frame.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FrameError {
+    /// The message is too long.
+    #[error("a message of {length} bytes, {max_length} at most")]
+    TooLong {
+        /// Length of the message in bytes.
+        length: usize,
+        /// The longest allowed message in bytes.
+        max_length: usize,
+    },
+    /// The message is compressed, which the client doesn't request.
+    #[error("a compressed message, which nobody asked for")]
     Compressed,
-    Message(String),
-}
-
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::TooLong { length, most } => {
-                write!(f, "a message of {length} bytes, {most} at most")
-            }
-            Malformed::Compressed => f.write_str("a compressed message, which nobody asked for"),
-            Malformed::Message(what) => write!(f, "a malformed message: {what}"),
-        }
-    }
+    /// The message can't be decoded.
+    #[error("a malformed message: {0}")]
+    Malformed(#[from] prost::DecodeError),
 }
 
-pub fn frame(message: &impl Message) -> Bytes {
+/// Encodes a message as a frame.
+pub fn encode_frame(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
     let mut bytes = BytesMut::with_capacity(5 + length);
     bytes.put_u8(0);
@@ -54,32 +61,34 @@
     bytes.freeze()
 }
 
-/// Takes the next message off what has come, once it is whole.
-pub fn deframe<M: Message + Default>(
+/// Removes the next message from the start of `bytes`; `None` if it isn't complete yet.
+///
+/// # Errors
+///
+/// If the message is longer than `max_length`, compressed or malformed.
+pub fn decode_frame<M: Message + Default>(
     bytes: &mut BytesMut,
-    most: usize,
-) -> Result<Option<M>, Malformed> {
-    let Some(head) = bytes.first_chunk::<5>() else {
+    max_length: usize,
+) -> Result<Option<M>, FrameError> {
+    let Some(header) = bytes.first_chunk::<5>() else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    if head[0] != 0 {
-        return Err(Malformed::Compressed);
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
+    if header[0] != 0 {
+        return Err(FrameError::Compressed);
     }
-    if length > most {
-        return Err(Malformed::TooLong { length, most });
+    if length > max_length {
+        return Err(FrameError::TooLong { length, max_length });
     }
     if bytes.len() < 5 + length {
         return Ok(None);
     }
     bytes.advance(5);
-    let message = M::decode(bytes.split_to(length).freeze());
-    message
-        .map(Some)
-        .map_err(|e| Malformed::Message(e.to_string()))
+    let message = M::decode(bytes.split_to(length).freeze())?;
+    Ok(Some(message))
 }
 
-/// The status among some headers, if they have one.
+/// The status in headers or trailers, if they have one.
 pub fn status(headers: &HeaderMap) -> Option<Status> {
     let text = |name| headers.get(name).and_then(|v| v.to_str().ok());
     let code = text("grpc-status")?.parse().ok()?;
@@ -89,10 +98,11 @@
     })
 }
 
+/// Encodes a status as trailers.
 pub fn trailers(status: &Status) -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert("grpc-status", status.code.into());
-    // Its letters are those of a header, or it is left out.
+    // A message with characters that headers can't have is omitted.
     if let Ok(message) = http::HeaderValue::from_str(&status.message) {
         headers.insert("grpc-message", message);
     }
--- a/crates/etcd/src/traffic.rs
+++ b/crates/etcd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of a connection, as TCP carries them: HTTP/2 frames and headers included, TCP and IP headers not.
+//! Counts the bytes of TCP payload of connections, including HTTP/2 frames and headers.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -7,7 +7,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Bytes that went over one connection or several; the counts only grow.
+/// Bytes sent and received over one or several connections; the counts only increase.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: Cell<u64>,
@@ -35,19 +35,19 @@
 }
 
 /// A stream whose bytes are counted.
-pub struct Counted<S> {
+pub struct CountedStream<S> {
     stream: S,
     traffic: Rc<Traffic>,
 }
 
-impl<S> Counted<S> {
-    /// Adds what goes over `stream` to `traffic`, which other streams may share.
-    pub fn new(stream: S, traffic: Rc<Traffic>) -> Counted<S> {
-        Counted { stream, traffic }
+impl<S> CountedStream<S> {
+    /// Counts the bytes of `stream` in `traffic`, which other streams may share.
+    pub fn new(stream: S, traffic: Rc<Traffic>) -> CountedStream<S> {
+        CountedStream { stream, traffic }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -60,7 +60,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -1,68 +1,78 @@
-//! A watch as a value: it knows from which revision it goes on, puts the parts of long answers together, and lets
-//! through nothing twice.
+//! The state of a watch, without I/O: its next revision, the assembly of fragments, and the removal of duplicates.
 
 use crate::range_end;
 use crate::rpc::watch_request::RequestUnion;
 use crate::rpc::{Event, ResponseHeader, WatchCreateRequest, WatchRequest, WatchResponse};
 use bytes::Bytes;
 
-/// The id of an answer to a question for progress: it holds for all watches of the stream.
+/// The watch id in responses to progress requests, which apply to all watches of the stream.
 const ALL_WATCHES: i64 = -1;
 
+/// What a watch response says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum WatchEvent {
+    /// The store created the watch.
     Created,
-    /// All events up to and with this revision that were not told before.
+    /// All new events up to and including the header's revision.
     Events {
+        /// The header, with the revision of the last event.
         header: ResponseHeader,
+        /// The events, in the order of revisions.
         events: Vec<Event>,
     },
-    /// Nothing happened up to this revision.
+    /// There are no further events up to the header's revision.
     Progress {
+        /// The header.
         header: ResponseHeader,
-        /// It answers a question for progress, and does not come of itself.
+        /// Whether this responds to a progress request; otherwise the store sent it by itself.
         is_answer: bool,
     },
-    /// What it wanted to go on from is no longer there: a list has to begin anew, at this revision or later.
+    /// The next revision of the watch is compacted: a list is needed, at this revision or later.
     Compacted {
+        /// The oldest revision that isn't compacted.
         revision: i64,
     },
+    /// The store cancelled the watch.
     Cancelled {
+        /// The store's reason.
         reason: String,
     },
 }
 
+/// A watch of all keys with a prefix.
 #[derive(Clone, Debug)]
 pub struct Watch {
     prefix: Bytes,
-    /// The next revision that is wanted.
-    next: i64,
+    /// The next revision to receive.
+    next_revision: i64,
     id: Option<i64>,
-    parts: Vec<Event>,
+    /// Events of fragments that were received so far.
+    fragments: Vec<Event>,
 }
 
 impl Watch {
-    /// Of all keys that begin with `prefix`, from a revision on.
-    pub fn new(prefix: impl Into<Bytes>, from: i64) -> Watch {
+    /// A watch of all keys with `prefix`, from a revision on.
+    pub fn new(prefix: impl Into<Bytes>, from_revision: i64) -> Watch {
         Watch {
             prefix: prefix.into(),
-            next: from,
+            next_revision: from_revision,
             id: None,
-            parts: vec![],
+            fragments: vec![],
         }
     }
 
-    pub fn next(&self) -> i64 {
-        self.next
+    /// The next revision to receive.
+    pub fn next_revision(&self) -> i64 {
+        self.next_revision
     }
 
-    /// What begins it, or goes on with it over another connection.
+    /// The request that starts the watch, or resumes it over another connection.
     pub fn request(&mut self) -> WatchRequest {
-        (self.id, self.parts) = (None, vec![]);
+        (self.id, self.fragments) = (None, vec![]);
         let create = WatchCreateRequest {
             key: self.prefix.clone(),
             range_end: range_end(&self.prefix).into(),
-            start_revision: self.next,
+            start_revision: self.next_revision,
             progress_notify: true,
             fragment: true,
             ..WatchCreateRequest::default()
@@ -72,7 +82,8 @@
         }
     }
 
-    pub fn received(&mut self, response: WatchResponse) -> Vec<Told> {
+    /// Processes a response and returns what it says.
+    pub fn on_response(&mut self, response: WatchResponse) -> Vec<WatchEvent> {
         let header = response.header.unwrap_or_default();
         if response.created {
             self.id = Some(response.watch_id);
@@ -82,41 +93,45 @@
             return vec![];
         }
         if response.compact_revision > 0 {
-            return vec![Told::Compacted {
+            return vec![WatchEvent::Compacted {
                 revision: response.compact_revision,
             }];
         }
         if response.canceled {
-            return vec![Told::Cancelled {
+            return vec![WatchEvent::Cancelled {
                 reason: response.cancel_reason,
             }];
         }
         if response.created {
-            return vec![Told::Created];
+            return vec![WatchEvent::Created];
         }
-        let next = self.next;
+        let next_revision = self.next_revision;
         let modified = |e: &Event| e.kv.as_ref().map_or(0, |kv| kv.mod_revision);
-        self.parts
-            .extend(response.events.into_iter().filter(|e| modified(e) >= next));
+        self.fragments.extend(
+            response
+                .events
+                .into_iter()
+                .filter(|e| modified(e) >= next_revision),
+        );
         if response.fragment {
             return vec![];
         }
-        let mut events = std::mem::take(&mut self.parts);
-        // A part may have come twice.
+        let mut events = std::mem::take(&mut self.fragments);
+        // A fragment may have been received twice.
         events.sort_by_key(modified);
         let key = |e: &Event| e.kv.as_ref().map(|kv| (kv.mod_revision, kv.key.clone()));
         events.dedup_by(|a, b| key(a) == key(b));
         let last = events.iter().map(modified).max().unwrap_or(0);
         if events.is_empty() {
-            self.next = self.next.max(header.revision + 1);
-            return vec![Told::Progress { header, is_answer }];
+            self.next_revision = self.next_revision.max(header.revision + 1);
+            return vec![WatchEvent::Progress { header, is_answer }];
         }
-        // The header may be ahead of the events: more of them may come.
-        self.next = self.next.max(last + 1);
+        // The header may be ahead of the events, as more of them may follow.
+        self.next_revision = self.next_revision.max(last + 1);
         let header = ResponseHeader {
             revision: last,
             ..header
         };
-        vec![Told::Events { header, events }]
+        vec![WatchEvent::Events { header, events }]
     }
 }
--- a/crates/etcd/tests/stored_formats.rs
+++ b/crates/etcd/tests/stored_formats.rs
@@ -2,7 +2,7 @@
 //! made from the published numbers of the fields and must not be changed.
 
 use bytes::{Bytes, BytesMut};
-use orchidtally_etcd::grpc::{CONTENT_TYPE, deframe, frame};
+use orchidtally_etcd::grpc::{CONTENT_TYPE, decode_frame, encode_frame};
 use orchidtally_etcd::rpc::compare::{CompareResult, CompareTarget, TargetUnion};
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::request_op::Request;
@@ -40,12 +40,12 @@
 fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
     let bytes = committed(name);
     assert_eq!(
-        hexadecimal(&frame(&message)),
+        hexadecimal(&encode_frame(&message)),
         hexadecimal(&bytes),
         "{name} as it is written now"
     );
     let mut bytes = BytesMut::from(&bytes[..]);
-    let read: Message = deframe(&mut bytes, 1 << 20)
+    let read: Message = decode_frame(&mut bytes, 1 << 20)
         .unwrap()
         .expect("the example is whole");
     assert_eq!(read, message, "{name}");
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -7,7 +7,7 @@
     BarrierAnswer, Header, RangeAnswer, RangeEntry, ReadRequest, RequestFailure, RequestId, Schema,
 };
 use orchidtally_etcd::rpc::{KeyValue, RangeRequest, RangeResponse, ResponseHeader};
-use orchidtally_etcd::{Fault, RANGE, grpc};
+use orchidtally_etcd::{ClientError, RANGE, grpc};
 use prost::Message;
 
 /// Bytes of an answer besides its message: its headers and trailers, and the frames round them.
@@ -22,8 +22,8 @@
 }
 
 /// What a refusal means to the core; `None` if the connection, or the member, is of no use.
-fn refused(fault: &Fault) -> Option<RequestFailure> {
-    let Fault::Refused(status) = fault else {
+fn refused(fault: &ClientError) -> Option<RequestFailure> {
+    let ClientError::Rejected(status) = fault else {
         return None;
     };
     match status.code {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn request_failed(&self, session: u64, id: RequestId, fault: &Fault) {
+    fn request_failed(&self, session: u64, id: RequestId, fault: &ClientError) {
         match refused(fault) {
             Some(failure) => self.feed(|core, now| core.request_failed(now, id, failure)),
             None => self.session_failed(session, fault),
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -11,7 +11,7 @@
 use orchidtally_config_sync::{
     Action, ConfigSync, Rejection, Report, Schema, SettingsError, SyncSettings, Verdict, View,
 };
-use orchidtally_etcd::{Client, Fault};
+use orchidtally_etcd::{Client, ClientError};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::{Rc, Weak};
@@ -323,7 +323,7 @@
     }
 
     /// The connection is of no use any more: the next member is asked after a pause.
-    pub(super) fn session_failed(&self, session: u64, fault: &Fault) {
+    pub(super) fn session_failed(&self, session: u64, fault: &ClientError) {
         if !self.is_in_session(session) {
             return;
         }
--- a/crates/http-frontend/src/config/hub_target.rs
+++ b/crates/http-frontend/src/config/hub_target.rs
@@ -129,7 +129,7 @@
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
     settings.lease = std::time::Duration::from_secs_f64(configuration.lease);
     let client = Client::new(configuration.endpoints.clone(), tasks.clone());
-    client.says(settings.front_end.clone());
+    client.set_user_agent(settings.front_end.clone());
     // Front ends spread over the members.
     (0..life % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
     let schema = DeploymentSchema {
--- a/crates/http-frontend/src/config/lease.rs
+++ b/crates/http-frontend/src/config/lease.rs
@@ -4,11 +4,11 @@
 use super::host::ConfigHost;
 use async_io::Timer;
 use orchidtally_config_sync::Schema;
-use orchidtally_etcd::client::Both;
+use orchidtally_etcd::BidirectionalStream;
 use orchidtally_etcd::rpc::{
     LeaseGrantRequest, LeaseGrantResponse, LeaseKeepAliveRequest, LeaseKeepAliveResponse,
 };
-use orchidtally_etcd::{Fault, LEASE_GRANT, LEASE_KEEP_ALIVE};
+use orchidtally_etcd::{ClientError, LEASE_GRANT, LEASE_KEEP_ALIVE};
 use std::time::Duration;
 use tracing::warn;
 
@@ -25,7 +25,7 @@
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// The lease that stands, or a new one.
-    pub(super) async fn lease(&self) -> Result<Lease, Fault> {
+    pub(super) async fn lease(&self) -> Result<Lease, ClientError> {
         if let Some(lease) = self.lease.get().filter(|lease| self.now() < lease.until) {
             return Ok(lease);
         }
@@ -35,7 +35,7 @@
     }
 
     /// A new lease of its own.
-    pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<Lease, Fault> {
+    pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<Lease, ClientError> {
         let asked_at = self.now();
         let question = LeaseGrantRequest {
             ttl: time_to_live.as_secs().max(1) as i64,
@@ -53,7 +53,7 @@
 
     /// Renews the lease for as long as the session lasts.
     pub(super) async fn keep_lease(&self, session: u64) {
-        let mut renewing: Option<Both<LeaseKeepAliveResponse>> = None;
+        let mut renewing: Option<BidirectionalStream<LeaseKeepAliveResponse>> = None;
         while self.is_in_session(session) {
             Timer::after(self.settings.lease / RENEWALS).await;
             let Some(lease) = self.lease.get().filter(|_| self.is_in_session(session)) else {
@@ -74,8 +74,8 @@
     async fn renew(
         &self,
         lease: Lease,
-        renewing: &mut Option<Both<LeaseKeepAliveResponse>>,
-    ) -> Result<Option<Lease>, Fault> {
+        renewing: &mut Option<BidirectionalStream<LeaseKeepAliveResponse>>,
+    ) -> Result<Option<Lease>, ClientError> {
         let asked_at = self.now();
         let question = LeaseKeepAliveRequest { id: lease.id };
         let stream = match renewing {
@@ -85,13 +85,13 @@
             }
             None => renewing.insert(
                 self.client
-                    .both(LEASE_KEEP_ALIVE, &question, self.settings.patience)
+                    .open_stream(LEASE_KEEP_ALIVE, &question, self.settings.patience)
                     .await?,
             ),
         };
         let answer =
             orchidtally_socket_io::with_timeout(self.settings.patience, stream.next()).await;
-        let answer = answer.unwrap_or(Err(Fault::TimedOut))?;
+        let answer = answer.unwrap_or(Err(ClientError::TimedOut))?;
         let renewed = Lease {
             id: lease.id,
             until: asked_at + answer.ttl as f64,
--- a/crates/http-frontend/src/config/leaving.rs
+++ b/crates/http-frontend/src/config/leaving.rs
@@ -5,7 +5,7 @@
 use super::lease::Lease;
 use orchidtally_config_sync::{Report, ReportedState, Schema};
 use orchidtally_etcd::rpc::{LeaseRevokeRequest, LeaseRevokeResponse};
-use orchidtally_etcd::{Fault, LEASE_REVOKE};
+use orchidtally_etcd::{ClientError, LEASE_REVOKE};
 use std::time::Duration;
 use tracing::{info, warn};
 
@@ -39,7 +39,7 @@
     }
 
     /// The lease goes first: a report that is still under way goes with it, or is refused.
-    async fn tell_end(&self, lease: Lease) -> Result<(), Fault> {
+    async fn tell_end(&self, lease: Lease) -> Result<(), ClientError> {
         let revoke = LeaseRevokeRequest { id: lease.id };
         self.client
             .unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, LEAVE_TIME)
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -6,7 +6,7 @@
 use super::status::PublishedReport;
 use orchidtally_config_sync::{Report, Schema};
 use orchidtally_etcd::rpc::{PutRequest, PutResponse};
-use orchidtally_etcd::{Fault, PUT};
+use orchidtally_etcd::{ClientError, ConnectionError, PUT};
 use tracing::debug;
 
 /// The store's status for a lease that isn't there.
@@ -22,7 +22,7 @@
         }
         match put {
             Ok(()) => self.feed(|core, now| core.reported(now, sequence)),
-            Err(Fault::Refused(status)) => {
+            Err(ClientError::Rejected(status)) => {
                 debug!(%status, "the store refused the report of the configuration");
                 if status.code == NOT_FOUND {
                     self.lease.set(None);
@@ -33,16 +33,20 @@
         }
     }
 
-    async fn try_put_report(&self, session: u64, report: Report) -> Result<(), Fault> {
+    async fn try_put_report(&self, session: u64, report: Report) -> Result<(), ClientError> {
         let lease = self.lease().await?;
         if !self.is_in_session(session) {
-            return Err(Fault::Unreachable("the connection was given up".into()));
+            return Err(ConnectionError::Abandoned.into());
         }
         self.store_report(report, lease).await
     }
 
     /// Puts a report into the store under a lease.
-    pub(super) async fn store_report(&self, report: Report, lease: Lease) -> Result<(), Fault> {
+    pub(super) async fn store_report(
+        &self,
+        report: Report,
+        lease: Lease,
+    ) -> Result<(), ClientError> {
         let key = self
             .core
             .borrow()
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -4,10 +4,10 @@
 use super::exchange::header;
 use super::host::ConfigHost;
 use orchidtally_config_sync::{Change, Schema, WatchBatch};
-use orchidtally_etcd::client::Both;
+use orchidtally_etcd::BidirectionalStream;
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::{Event, WatchProgressRequest, WatchRequest, WatchResponse, event};
-use orchidtally_etcd::{Fault, Told, WATCH, Watch};
+use orchidtally_etcd::{ClientError, WATCH, Watch, WatchEvent};
 
 fn progress_request() -> WatchRequest {
     WatchRequest {
@@ -46,12 +46,12 @@
         session: u64,
         from: i64,
         asks: &async_channel::Receiver<()>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), ClientError> {
         let prefix = self.core.borrow().keyspace().entries().start;
         let mut watch = Watch::new(prefix, from);
-        let mut both: Both<WatchResponse> = self
+        let mut both: BidirectionalStream<WatchResponse> = self
             .client
-            .both(WATCH, &watch.request(), self.settings.patience)
+            .open_stream(WATCH, &watch.request(), self.settings.patience)
             .await?;
         let mut is_quiet = false;
         loop {
@@ -72,14 +72,14 @@
             match next {
                 Some(Some(response)) => {
                     is_quiet = false;
-                    if !self.told(watch.received(response?)) {
+                    if !self.told(watch.on_response(response?)) {
                         return Ok(());
                     }
                 }
                 Some(None) => both.send(&progress_request())?,
                 // Other answers over the connection show that the store is there as well.
                 None if self.client.traffic().received() > received => is_quiet = false,
-                None if is_quiet => return Err(Fault::TimedOut),
+                None if is_quiet => return Err(ClientError::TimedOut),
                 None => {
                     is_quiet = true;
                     both.send(&progress_request())?;
@@ -89,11 +89,11 @@
     }
 
     /// Hands what the watch told to the core; `false` if the watch has ended.
-    fn told(&self, told: Vec<Told>) -> bool {
+    fn told(&self, told: Vec<WatchEvent>) -> bool {
         for part in told {
             match part {
-                Told::Created => {}
-                Told::Events { header: of, events } => {
+                WatchEvent::Created => {}
+                WatchEvent::Events { header: of, events } => {
                     let changes = events.into_iter().filter_map(change).collect();
                     let batch = WatchBatch {
                         header: header(Some(&of)),
@@ -102,14 +102,14 @@
                     };
                     self.feed(|core, now| core.watch_batch(now, batch));
                 }
-                Told::Progress { header: of, .. } => {
+                WatchEvent::Progress { header: of, .. } => {
                     self.feed(|core, now| core.watch_progress(now, header(Some(&of))));
                 }
-                Told::Compacted { revision } => {
+                WatchEvent::Compacted { revision } => {
                     self.feed(|core, now| core.watch_compacted(now, revision));
                     return false;
                 }
-                Told::Cancelled { reason } => {
+                WatchEvent::Cancelled { reason } => {
                     tracing::debug!(reason, "the store ended the watch of the configuration");
                     self.feed(|core, now| core.watch_cancelled(now));
                     return false;
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -5,7 +5,7 @@
     Event, KeyValue, RangeRequest, RangeResponse, ResponseHeader, WatchProgressRequest,
     WatchRequest, WatchResponse,
 };
-use orchidtally_etcd::{Client, Fault, RANGE, Told, WATCH, Watch, range_end};
+use orchidtally_etcd::{Client, ClientError, RANGE, WATCH, Watch, WatchEvent, range_end};
 use orchidtally_membership::NextRequest;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 }
 
 /// Reads all entries under a prefix.
-pub(super) async fn list(client: &Client, prefix: &str) -> Result<List, Fault> {
+pub(super) async fn list(client: &Client, prefix: &str) -> Result<List, ClientError> {
     let mut question = RangeRequest {
         key: prefix.as_bytes().to_vec().into(),
         range_end: range_end(prefix.as_bytes()).into(),
@@ -101,7 +101,11 @@
 }
 
 /// Lists, where the follower needs that, and watches until it needs another list or the watch ends.
-async fn follow_once(client: &Client, prefix: &str, follower: &impl Follower) -> Result<(), Fault> {
+async fn follow_once(
+    client: &Client,
+    prefix: &str,
+    follower: &impl Follower,
+) -> Result<(), ClientError> {
     if follower.next() == NextRequest::List {
         let began = follower.now();
         let list = list(client, prefix).await?;
@@ -112,14 +116,14 @@
     };
     let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
     let mut stream = client
-        .both::<WatchResponse>(WATCH, &watch.request(), REQUEST_TIMEOUT)
+        .open_stream::<WatchResponse>(WATCH, &watch.request(), REQUEST_TIMEOUT)
         .await?;
     let mut questions = ProgressQuestions::new(follower.now());
     loop {
         let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
         let response = orchidtally_socket_io::with_timeout(time_left, stream.next()).await;
         if let Some(response) = response {
-            for told in watch.received(response?) {
+            for told in watch.on_response(response?) {
                 if take(told, prefix, &mut questions, follower) == Watched::Ended {
                     return Ok(());
                 }
@@ -127,7 +131,7 @@
         }
         match questions.due(follower.now()) {
             Some(Due::Question) => stream.send(&progress_request())?,
-            Some(Due::Failure) => return Err(Fault::TimedOut),
+            Some(Due::Failure) => return Err(ClientError::TimedOut),
             None => {}
         }
         follower.turn();
@@ -203,15 +207,15 @@
 
 /// Hands one thing that a watch told to the follower.
 fn take(
-    told: Told,
+    told: WatchEvent,
     prefix: &str,
     questions: &mut ProgressQuestions,
     follower: &impl Follower,
 ) -> Watched {
     match told {
-        Told::Created => {}
-        Told::Events { header, events } => follower.changed(&header, &events),
-        Told::Progress { header, is_answer } => {
+        WatchEvent::Created => {}
+        WatchEvent::Events { header, events } => follower.changed(&header, &events),
+        WatchEvent::Progress { header, is_answer } => {
             let asked_at = if is_answer {
                 questions.answered()
             } else {
@@ -219,7 +223,7 @@
             };
             follower.progressed(asked_at, &header);
         }
-        Told::Compacted { revision } => {
+        WatchEvent::Compacted { revision } => {
             info!(
                 prefix,
                 revision, "the watch fell behind a compaction: listing anew"
@@ -227,7 +231,7 @@
             follower.compacted();
             return Watched::Ended;
         }
-        Told::Cancelled { reason } => {
+        WatchEvent::Cancelled { reason } => {
             warn!(prefix, reason, "the store cancelled a watch");
             return Watched::Ended;
         }
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -67,7 +67,7 @@
     ) -> StoreConnections {
         let client = || {
             let client = Client::new(etcd.endpoints.clone(), tasks.clone());
-            client.says(name.to_owned());
+            client.set_user_agent(name.to_owned());
             Rc::new(client)
         };
         StoreConnections {
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -12,7 +12,7 @@
     Compare, LeaseGrantRequest, LeaseGrantResponse, LeaseKeepAliveRequest, LeaseKeepAliveResponse,
     PutRequest, RequestOp, TxnRequest, TxnResponse,
 };
-use orchidtally_etcd::{Client, Fault, LEASE_GRANT, LEASE_KEEP_ALIVE, TXN};
+use orchidtally_etcd::{Client, ClientError, LEASE_GRANT, LEASE_KEEP_ALIVE, TXN};
 use orchidtally_membership::Members;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -72,13 +72,13 @@
         }
     }
 
-    fn failed(&self, fault: &Fault) {
+    fn failed(&self, fault: &ClientError) {
         warn!(endpoint = ?self.client.endpoint(), %fault, "this front end's lease can't be kept");
         self.client.fail_over();
     }
 
     /// Puts the entry under a free index; `None` if another front end was faster.
-    async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, Fault> {
+    async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, ClientError> {
         let entries = list(&self.client, &self.prefix).await?.entries;
         let taken: BTreeSet<u32> = entries
             .iter()
@@ -140,7 +140,7 @@
     }
 
     /// Renews a lease until it is over: by the store's word, or because the store did not answer for so long.
-    async fn keep_lease(&self, mut lease: Lease) -> Result<(), Fault> {
+    async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
         let interval = Duration::from_secs_f64(lease.ttl / RENEWALS);
         loop {
             async_io::Timer::after(interval).await;
@@ -170,14 +170,14 @@
         }
     }
 
-    async fn renew(&self, id: i64) -> Result<LeaseKeepAliveResponse, Fault> {
+    async fn renew(&self, id: i64) -> Result<LeaseKeepAliveResponse, ClientError> {
         let question = LeaseKeepAliveRequest { id };
         let mut stream = self
             .client
-            .both::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
+            .open_stream::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
             .await?;
         orchidtally_socket_io::with_timeout(REQUEST_TIMEOUT, stream.next())
             .await
-            .unwrap_or(Err(Fault::TimedOut))
+            .unwrap_or(Err(ClientError::TimedOut))
     }
 }
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -12,7 +12,7 @@
     Compare, DeleteRangeRequest, PutRequest, RangeRequest, RangeResponse, RequestOp, TxnRequest,
     TxnResponse,
 };
-use orchidtally_etcd::{Client, Fault, RANGE, TXN};
+use orchidtally_etcd::{Client, ClientError, RANGE, TXN};
 use orchidtally_http_frontend::Start;
 use orchidtally_test_servers::etcd::EtcdServer;
 use orchidtally_test_servers::executor::{
@@ -250,7 +250,7 @@
     }
 
     /// The revision, or `None` if another writer was faster.
-    async fn try_write(&self, changes: &[EntryChange]) -> Result<Option<i64>, Fault> {
+    async fn try_write(&self, changes: &[EntryChange]) -> Result<Option<i64>, ClientError> {
         let mut read = ReadValues::new();
         for key in writer::keys_to_read(&self.keyspace, changes) {
             let question = RangeRequest {
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -8,7 +8,7 @@
 use orchidtally_etcd::rpc::{
     DeleteRangeRequest, Event, KeyValue, PutRequest, RangeRequest, WatchResponse,
 };
-use orchidtally_etcd::{Told, Watch, range_end};
+use orchidtally_etcd::{Watch, WatchEvent, range_end};
 use orchidtally_membership::{
     EndpointCache, EndpointUpdate, EntryChange, EntryError, ExecutorCounts, NextRequest,
     StoreRevision,
@@ -117,7 +117,7 @@
     /// The watch is served: all events that it has not been sent.
     fn serve(&mut self) {
         let Some(watch) = &self.watch else { return };
-        let from = self.sent.max(watch.next());
+        let from = self.sent.max(watch.next_revision());
         let answer = WatchResponse {
             header: self.store.header(),
             watch_id: 1,
@@ -151,13 +151,13 @@
         let (Some(watch), Some(response)) = (&mut self.watch, self.down.pop_front()) else {
             return;
         };
-        for told in watch.received(response) {
+        for told in watch.on_response(response) {
             let stamp = |h: &orchidtally_etcd::rpc::ResponseHeader| StoreRevision {
                 cluster: h.cluster_id,
                 revision: h.revision,
             };
             let rows = match told {
-                Told::Events { header, events } => {
+                WatchEvent::Events { header, events } => {
                     let changes: Vec<EntryChange> = events
                         .iter()
                         .filter_map(|e| Some(change(e.kv.as_ref()?, e.r#type == 1)))
@@ -165,15 +165,15 @@
                     self.cache
                         .apply_events(self.now, stamp(&header), &changes, &read)
                 }
-                Told::Progress { header, .. } => {
+                WatchEvent::Progress { header, .. } => {
                     self.cache.on_progress(self.now, stamp(&header));
                     None
                 }
-                Told::Compacted { .. } => {
+                WatchEvent::Compacted { .. } => {
                     self.cache.on_compaction();
                     None
                 }
-                Told::Created | Told::Cancelled { .. } => None,
+                WatchEvent::Created | WatchEvent::Cancelled { .. } => None,
             };
             self.tell(rows);
             if self.cache.next_request() == NextRequest::List {
@@ -220,7 +220,7 @@
             created: true,
             ..Default::default()
         };
-        assert_eq!(watch.received(created), [Told::Created]);
+        assert_eq!(watch.on_response(created), [WatchEvent::Created]);
         (self.watch, self.sent) = (Some(watch), 0);
     }
 
--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use h2::server::SendResponse;
 use orchidtally_etcd::grpc::{
-    CONTENT_TYPE, Status, UNAUTHENTICATED, UNAVAILABLE, deframe, frame, trailers,
+    CONTENT_TYPE, Status, UNAUTHENTICATED, UNAVAILABLE, decode_frame, encode_frame, trailers,
 };
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::*;
@@ -36,7 +36,7 @@
 pub(super) struct Broken;
 
 fn read<M: Message + Default>(bytes: &mut BytesMut) -> Result<M, Status> {
-    match deframe(bytes, MAX_REQUEST_BYTES) {
+    match decode_frame(bytes, MAX_REQUEST_BYTES) {
         Ok(Some(message)) => Ok(message),
         _ => refuse(INVALID_ARGUMENT, "etcdserver: a malformed request"),
     }
@@ -228,7 +228,7 @@
             };
             self.tell(&caller.agent, &event);
         }
-        Ok(frame(&response))
+        Ok(encode_frame(&response))
     }
 
     /// A transaction, in which members may stop if the script wants it.
@@ -257,7 +257,7 @@
             self.crash(member, crash.members);
             return Err(Broken);
         }
-        Ok(answered.map(|response| frame(&response)))
+        Ok(answered.map(|response| encode_frame(&response)))
     }
 
     async fn answer_by_leader(
@@ -280,27 +280,27 @@
         let now = self.stage.now();
         let mut store = self.store.borrow_mut();
         Ok(match path {
-            orchidtally_etcd::PUT => frame(&store.put(&read(request)?)?),
+            orchidtally_etcd::PUT => encode_frame(&store.put(&read(request)?)?),
             orchidtally_etcd::DELETE_RANGE => {
                 let delete: DeleteRangeRequest = read(request)?;
                 check_key(&delete.key)?;
-                frame(&store.delete(&delete))
+                encode_frame(&store.delete(&delete))
             }
             orchidtally_etcd::COMPACT => {
-                frame(&store.compact(read::<CompactionRequest>(request)?.revision)?)
+                encode_frame(&store.compact(read::<CompactionRequest>(request)?.revision)?)
             }
             orchidtally_etcd::LEASE_GRANT => {
-                frame(&store.grant(now, read::<LeaseGrantRequest>(request)?.ttl))
+                encode_frame(&store.grant(now, read::<LeaseGrantRequest>(request)?.ttl))
             }
             orchidtally_etcd::LEASE_REVOKE => {
                 store.revoke(read::<LeaseRevokeRequest>(request)?.id);
-                frame(&LeaseRevokeResponse {
+                encode_frame(&LeaseRevokeResponse {
                     header: store.header(),
                 })
             }
             orchidtally_etcd::AUTHENTICATE => {
                 let token = self.faults.token.borrow().clone().unwrap_or_default();
-                frame(&AuthenticateResponse {
+                encode_frame(&AuthenticateResponse {
                     header: store.header(),
                     token,
                 })
@@ -320,7 +320,7 @@
         while let Some(chunk) = next_chunk(&mut body).await {
             bytes.extend_from_slice(&chunk);
             while let Ok(Some(request)) =
-                deframe::<LeaseKeepAliveRequest>(&mut bytes, LONGEST_RENEWAL)
+                decode_frame::<LeaseKeepAliveRequest>(&mut bytes, LONGEST_RENEWAL)
             {
                 if self.wait_for_faults().await.is_err() {
                     return;
@@ -336,7 +336,7 @@
                     .store
                     .borrow_mut()
                     .keep_alive(self.stage.now(), request.id);
-                if out.send_data(frame(&answer), false).is_err() {
+                if out.send_data(encode_frame(&answer), false).is_err() {
                     return;
                 }
             }
--- a/crates/test-servers/src/etcd/link.rs
+++ b/crates/test-servers/src/etcd/link.rs
@@ -2,7 +2,7 @@
 //! that loses every packet; what was under way arrives once it is healed.
 
 use super::cluster::Region;
-use orchidtally_etcd::Counted;
+use orchidtally_etcd::CountedStream;
 use orchidtally_socket_io::Stream;
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -70,12 +70,12 @@
 /// The stream of a connection, which passes nothing while its link is cut.
 pub(super) struct LinkStream {
     /// Counted for its member and for its client.
-    stream: Counted<Counted<Stream>>,
+    stream: CountedStream<CountedStream<Stream>>,
     link: Rc<Link>,
 }
 
 impl LinkStream {
-    pub fn new(stream: Counted<Counted<Stream>>, link: Rc<Link>) -> LinkStream {
+    pub fn new(stream: CountedStream<CountedStream<Stream>>, link: Rc<Link>) -> LinkStream {
         LinkStream { stream, link }
     }
 }
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use futures_lite::future;
 use orchidtally_etcd::rpc::Event;
-use orchidtally_etcd::{Counted, Traffic};
+use orchidtally_etcd::{CountedStream, Traffic};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -252,7 +252,10 @@
         let open = Open::new(&counters.connections_open);
         let traffic = Rc::new(Traffic::default());
         let client = self.clients.connection(traffic.clone());
-        let counted = Counted::new(Counted::new(stream, counters.traffic.clone()), traffic);
+        let counted = CountedStream::new(
+            CountedStream::new(stream, counters.traffic.clone()),
+            traffic,
+        );
         let stream = LinkStream::new(counted, link.clone());
         let serve = async {
             let Ok(mut connection) = h2::server::handshake(stream).await else {
--- a/crates/test-servers/src/etcd/watch.rs
+++ b/crates/test-servers/src/etcd/watch.rs
@@ -9,7 +9,7 @@
 use super::store::{View, check_watchable};
 use bytes::{Bytes, BytesMut};
 use futures_lite::future;
-use orchidtally_etcd::grpc::{Status, UNAVAILABLE, deframe, frame, trailers};
+use orchidtally_etcd::grpc::{Status, UNAVAILABLE, decode_frame, encode_frame, trailers};
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::*;
 
@@ -171,7 +171,7 @@
 
     async fn take_requests(&mut self, bytes: &mut BytesMut) -> Result<(), Broken> {
         while let Some(request) =
-            deframe::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| Broken)?
+            decode_frame::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| Broken)?
         {
             match request.request_union {
                 Some(RequestUnion::CreateRequest(create)) => self.create(create).await?,
@@ -410,7 +410,7 @@
 
     /// Sends an answer as the client's window allows it.
     async fn send(&mut self, response: WatchResponse) -> Result<(), Broken> {
-        let mut bytes = frame(&response);
+        let mut bytes = encode_frame(&response);
         while !bytes.is_empty() {
             self.out.reserve_capacity(bytes.len());
             let mut capacity = self.out.capacity();
--- a/crates/test-servers/src/rogue.rs
+++ b/crates/test-servers/src/rogue.rs
@@ -4,7 +4,7 @@
 use crate::TestEnvironment;
 use bytes::Bytes;
 use orchidtally_etcd::rpc::{RangeRequest, RangeResponse, WatchResponse};
-use orchidtally_etcd::{Client, Fault, Watch, range_end};
+use orchidtally_etcd::{Client, ClientError, Watch, range_end};
 use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, ENDPOINTS, LOAD, frame, v1};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -95,7 +95,7 @@
     /// Follows the roster from a store, and lists it again when the store breaks off.
     pub async fn follow_store(self: Rc<Self>, endpoints: Vec<SocketAddr>, prefix: &'static str) {
         let client = Client::new(endpoints, self.stage.tasks.clone());
-        client.says(format!("{}.{}", self.sender.index, self.sender.incarnation));
+        client.set_user_agent(format!("{}.{}", self.sender.index, self.sender.incarnation));
         loop {
             // Whatever ends it, the next endpoint is asked.
             let _ = self.follow_store_once(&client, prefix).await;
@@ -104,7 +104,7 @@
         }
     }
 
-    async fn follow_store_once(&self, client: &Client, prefix: &str) -> Result<(), Fault> {
+    async fn follow_store_once(&self, client: &Client, prefix: &str) -> Result<(), ClientError> {
         let list = RangeRequest {
             key: Bytes::copy_from_slice(prefix.as_bytes()),
             range_end: range_end(prefix.as_bytes()).into(),
@@ -116,7 +116,7 @@
         let next = listed.header.map_or(0, |header| header.revision) + 1;
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), next);
         let mut told = client
-            .both::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME)
+            .open_stream::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME)
             .await?;
         loop {
             if told.next().await?.canceled {
--- a/crates/test-servers/tests/etcd_cluster.rs
+++ b/crates/test-servers/tests/etcd_cluster.rs
@@ -8,7 +8,7 @@
 use orchidtally_etcd::rpc::compare::{CompareTarget, TargetUnion};
 use orchidtally_etcd::rpc::request_op::Request;
 use orchidtally_etcd::rpc::*;
-use orchidtally_etcd::{Client, Fault, LEASE_GRANT, PUT, TXN, Told};
+use orchidtally_etcd::{Client, ClientError, LEASE_GRANT, PUT, TXN, WatchEvent};
 use orchidtally_test_servers::etcd::CrashPoint;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
         assert_eq!(answered.header.unwrap().raft_term, 2);
         assert!(matches!(
             put(&clients[0], "k", "dead").await,
-            Err(Fault::Unreachable(_))
+            Err(ClientError::Unreachable(_))
         ));
         served.stop(1);
         for left in [3, 4] {
@@ -89,7 +89,7 @@
         // It catches up by a snapshot, in which the compaction has overtaken this watch.
         assert_eq!(
             watcher.next().await,
-            [Told::Compacted { revision: new + 1 }]
+            [WatchEvent::Compacted { revision: new + 1 }]
         );
         assert_eq!(
             Watcher::begin(&near, "p/", new + 1).await.progress().await,
@@ -153,7 +153,10 @@
             ..PutRequest::default()
         };
         let answered = abroad.unary::<PutResponse>(PUT, &put, short).await;
-        assert!(matches!(answered, Err(Fault::TimedOut)), "{answered:?}");
+        assert!(
+            matches!(answered, Err(ClientError::TimedOut)),
+            "{answered:?}"
+        );
         assert_eq!(served.counters(0).bytes_received, before, "nothing passes");
         let again = client(&stage, served.addresses_from(2)[0]);
         let healing = async {
@@ -197,7 +200,7 @@
             served.crash_in_next_transaction(point, 2);
             let answered = serving.unary::<TxnResponse>(TXN, &txn, ANSWER_TIME).await;
             assert!(
-                matches!(answered, Err(Fault::Unreachable(_))),
+                matches!(answered, Err(ClientError::Unreachable(_))),
                 "{point:?}: {answered:?}"
             );
             let (a, b) = (
--- a/crates/test-servers/tests/etcd_watch.rs
+++ b/crates/test-servers/tests/etcd_watch.rs
@@ -6,7 +6,7 @@
 use kit::*;
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::*;
-use orchidtally_etcd::{Client, Told, WATCH, client::Both};
+use orchidtally_etcd::{Client, WATCH, WatchEvent, client::BidirectionalStream};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -17,30 +17,36 @@
         let client = client(&stage, served.addresses[0]);
         let first = revision(put(&client, "p/a", "1").await.unwrap().header);
         let mut synced = Watcher::begin(&client, "p/", first).await;
-        assert!(matches!(&synced.next().await[..], [Told::Events { .. }]));
+        assert!(matches!(
+            &synced.next().await[..],
+            [WatchEvent::Events { .. }]
+        ));
         // Both happen before any watch is served.
         put_here(&served, "p/b");
         served.store.borrow_mut().compact(first + 1).unwrap();
         assert_eq!(
             synced.next().await,
-            [Told::Compacted {
+            [WatchEvent::Compacted {
                 revision: first + 2
             }]
         );
         let mut late = Watcher::begin(&client, "p/", first).await;
         assert_eq!(
             late.next().await,
-            [Told::Compacted {
+            [WatchEvent::Compacted {
                 revision: first + 2
             }]
         );
         let mut current = Watcher::begin(&client, "p/", first + 2).await;
         put_here(&served, "p/c");
-        assert!(matches!(&current.next().await[..], [Told::Events { .. }]));
+        assert!(matches!(
+            &current.next().await[..],
+            [WatchEvent::Events { .. }]
+        ));
         served.store.borrow_mut().compact(first + 2).unwrap();
         put_here(&served, "p/d");
         assert!(
-            matches!(&current.next().await[..], [Told::Events { .. }]),
+            matches!(&current.next().await[..], [WatchEvent::Events { .. }]),
             "it has heard of all before"
         );
     });
@@ -71,14 +77,14 @@
             watcher.stream.send(&ask).unwrap();
             for told in watcher.next().await {
                 match told {
-                    Told::Events { events, .. } => {
+                    WatchEvent::Events { events, .. } => {
                         for event in events {
                             let modified = event.kv.unwrap().mod_revision;
                             assert_eq!(modified, heard + 1, "none is left out");
                             heard = modified;
                         }
                     }
-                    Told::Progress { header, .. } => assert_eq!(header.revision, heard),
+                    WatchEvent::Progress { header, .. } => assert_eq!(header.revision, heard),
                     other => panic!("{other:?}"),
                 }
             }
@@ -100,8 +106,8 @@
                 ..WatchCreateRequest::default()
             })),
         };
-        let mut stream: Both<WatchResponse> = client
-            .both(WATCH, &create("a/"), ANSWER_TIME)
+        let mut stream: BidirectionalStream<WatchResponse> = client
+            .open_stream(WATCH, &create("a/"), ANSWER_TIME)
             .await
             .unwrap();
         let first = stream.next().await.unwrap();
--- a/crates/test-servers/tests/kit/mod.rs
+++ b/crates/test-servers/tests/kit/mod.rs
@@ -6,7 +6,9 @@
 use orchidtally_etcd::grpc::UNAVAILABLE;
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::*;
-use orchidtally_etcd::{Client, Fault, PUT, RANGE, Told, WATCH, Watch, client::Both};
+use orchidtally_etcd::{
+    Client, ClientError, PUT, RANGE, WATCH, Watch, WatchEvent, client::BidirectionalStream,
+};
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::etcd::EtcdServer;
 use std::future::Future;
@@ -40,7 +42,7 @@
     Client::new(vec![to], stage.tasks.clone())
 }
 
-pub async fn put(client: &Client, key: &str, value: &str) -> Result<PutResponse, Fault> {
+pub async fn put(client: &Client, key: &str, value: &str) -> Result<PutResponse, ClientError> {
     let key = Bytes::from(key.to_owned());
     let put = PutRequest {
         key,
@@ -50,7 +52,11 @@
     client.unary(PUT, &put, ANSWER_TIME).await
 }
 
-pub async fn get(client: &Client, key: &str, serializable: bool) -> Result<RangeResponse, Fault> {
+pub async fn get(
+    client: &Client,
+    key: &str,
+    serializable: bool,
+) -> Result<RangeResponse, ClientError> {
     let key = Bytes::from(key.to_owned());
     client
         .unary(
@@ -69,8 +75,8 @@
     Some(String::from_utf8(found.kvs.first()?.value.to_vec()).unwrap())
 }
 
-pub fn is_unavailable<T>(result: &Result<T, Fault>) -> bool {
-    matches!(result, Err(Fault::Refused(status)) if status.code == UNAVAILABLE)
+pub fn is_unavailable<T>(result: &Result<T, ClientError>) -> bool {
+    matches!(result, Err(ClientError::Rejected(status)) if status.code == UNAVAILABLE)
 }
 
 pub fn revision(header: Option<ResponseHeader>) -> i64 {
@@ -79,23 +85,23 @@
 
 pub struct Watcher {
     pub watch: Watch,
-    pub stream: Both<WatchResponse>,
+    pub stream: BidirectionalStream<WatchResponse>,
 }
 
 impl Watcher {
     pub async fn begin(client: &Client, prefix: &str, from: i64) -> Watcher {
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
         let stream = client
-            .both(WATCH, &watch.request(), ANSWER_TIME)
+            .open_stream(WATCH, &watch.request(), ANSWER_TIME)
             .await
             .unwrap();
         let mut watcher = Watcher { watch, stream };
-        assert_eq!(watcher.next().await, [Told::Created]);
+        assert_eq!(watcher.next().await, [WatchEvent::Created]);
         watcher
     }
 
-    pub async fn next(&mut self) -> Vec<Told> {
-        self.watch.received(self.stream.next().await.unwrap())
+    pub async fn next(&mut self) -> Vec<WatchEvent> {
+        self.watch.on_response(self.stream.next().await.unwrap())
     }
 
     /// Waits until so many events have come, and counts them.
@@ -103,7 +109,7 @@
         let mut heard = 0;
         while heard < wanted {
             for told in self.next().await {
-                if let Told::Events { events, .. } = told {
+                if let WatchEvent::Events { events, .. } = told {
                     heard += events.len();
                 }
             }
@@ -120,7 +126,7 @@
             })
             .unwrap();
         loop {
-            if let Some(Told::Progress { header, .. }) = self.next().await.first() {
+            if let Some(WatchEvent::Progress { header, .. }) = self.next().await.first() {
                 return header.revision;
             }
         }
