--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,3 +1,5 @@
+//! The program `orchidtally-sim-adapter`.
+
 use orchidtally_sim_adapter::run;
 use std::io::{stdin, stdout};
 use std::process::ExitCode;
@@ -24,8 +26,8 @@
     }
     match run(&mut stdin().lock(), &mut stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("orchidtally-sim-adapter: {fault}");
+        Err(error) => {
+            eprintln!("orchidtally-sim-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sim-adapter/tests/frames.rs
+++ b/crates/sim-adapter/tests/frames.rs
@@ -1,8 +1,8 @@
-//! Frames: answered whole, or refused with one line that names the record and the byte.
+//! Frames are answered whole, or rejected with one line that names the record and the byte.
 
 use orchidtally_sim_adapter::run;
 
-const TERMS: &str = r#"{"balancers": 1, "classes": [{"aim": 1000000000, "deadline": 5000000000, "semantics": "pure",
+const SETTINGS: &str = r#"{"balancers": 1, "classes": [{"aim": 1000000000, "deadline": 5000000000, "semantics": "pure",
  "surprise": 1}], "limits": {"cancel": true, "maxAttempts": 3, "secondCopies": false, "retryAfter": true,
  "maxRetryAfter": 1000000000}, "safety": {"cold": 9000000000, "coldFrom": 0.2, "fall": 1000000000,
  "overloadFactor": 2.0}, "specifics": {}, "tick": 2000000}"#;
@@ -21,7 +21,7 @@
     [&head[..], &now.to_le_bytes(), &body].concat()
 }
 
-fn boot(policy: &str) -> Vec<u8> {
+fn start(policy: &str) -> Vec<u8> {
     let text = [&(policy.len() as u32).to_le_bytes()[..], policy.as_bytes()].concat();
     record(
         4,
@@ -29,14 +29,14 @@
     )
 }
 
-fn roster() -> [Vec<u8>; 2] {
-    let row = [
+fn endpoint_list() -> [Vec<u8>; 2] {
+    let endpoint = [
         &[10, 1, 2, 3, 5, 0, 0, 0, 0, 0, 0][..],
         &1f32.to_le_bytes(),
         &0u64.to_le_bytes(),
     ]
     .concat();
-    let list = record(8, &[&[3, 0, 1, 0, 0, 0][..], &row].concat());
+    let list = record(8, &[&[3, 0, 1, 0, 0, 0][..], &endpoint].concat());
     [list, record(6, &[0, 0, 2, 1, 0, 0, 0, 3, 0])]
 }
 
@@ -58,15 +58,16 @@
     record(5, &[&ids[..], &times, &sizes, &[0], extra].concat())
 }
 
-fn played(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
+fn play(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = vec![];
-    (run(&mut &input[..], &mut output), output)
+    let ended = run(&mut &input[..], &mut output);
+    (ended.map_err(|error| error.to_string()), output)
 }
 
-fn day(extra: &[u8]) -> Vec<u8> {
-    let [list, told] = roster();
+fn session(extra: &[u8]) -> Vec<u8> {
+    let [list, update] = endpoint_list();
     [
-        frame(1_000_000_000, &[boot(TERMS), list, told]),
+        frame(1_000_000_000, &[start(SETTINGS), list, update]),
         frame(1_100_000_000, &[invocation(extra)]),
     ]
     .concat()
@@ -74,7 +75,7 @@
 
 #[test]
 fn an_invocation_is_dispatched_and_trailing_bytes_are_skipped() {
-    let (ended, output) = played(&day(&[]));
+    let (ended, output) = play(&session(&[]));
     assert_eq!(ended, Ok(()));
     let dispatch = output.iter().position(|&b| b == 66).expect("a dispatch");
     assert_eq!(output[dispatch + 7..dispatch + 11], 77u32.to_le_bytes());
@@ -83,26 +84,30 @@
         output[dispatch + 17..dispatch + 25],
         4_900_000_000u64.to_le_bytes()
     );
-    assert_eq!(played(&day(&[1, 2, 3])), (Ok(()), output));
+    assert_eq!(play(&session(&[1, 2, 3])), (Ok(()), output));
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(played(&frame(5, &[])), (Ok(()), vec![0; 4]));
-    assert_eq!(played(&[]), (Ok(()), vec![]));
+    assert_eq!(play(&frame(5, &[])), (Ok(()), vec![0; 4]));
+    assert_eq!(play(&[]), (Ok(()), vec![]));
 }
 
 #[test]
-fn every_cut_is_refused_and_leaves_whole_replies_only() {
-    let whole = day(&[]);
+fn truncated_input_is_rejected_after_whole_replies() {
+    let whole = session(&[]);
     let first = frame(
         1_000_000_000,
-        &[boot(TERMS), roster()[0].clone(), roster()[1].clone()],
+        &[
+            start(SETTINGS),
+            endpoint_list()[0].clone(),
+            endpoint_list()[1].clone(),
+        ],
     )
     .len();
-    let (_, answered) = played(&whole[..first]);
+    let (_, answered) = play(&whole[..first]);
     for cut in (1..whole.len()).filter(|&cut| cut != first) {
-        let (ended, output) = played(&whole[..cut]);
+        let (ended, output) = play(&whole[..cut]);
         assert!(ended.unwrap_err().contains("byte"), "cut at {cut}");
         assert_eq!(
             output,
@@ -117,26 +122,31 @@
 }
 
 #[test]
-fn faults_are_named_with_their_place() {
-    let fault = |records: &[Vec<u8>]| {
-        let (ended, output) = played(&frame(1, records));
+fn errors_name_the_record_and_the_byte() {
+    let error_of = |records: &[Vec<u8>]| {
+        let (ended, output) = play(&frame(1, records));
         assert!(output.is_empty());
         ended.unwrap_err()
     };
-    assert!(fault(&[invocation(&[])]).contains("record 0, byte 21: instance 0 was never started"));
     assert!(
-        fault(&[boot(TERMS), record(6, &[0, 0, 1, 0, 0, 0, 0, 9, 0])])
+        error_of(&[invocation(&[])]).contains("record 0, byte 21: instance 0 was never started")
+    );
+    assert!(
+        error_of(&[start(SETTINGS), record(6, &[0, 0, 1, 0, 0, 0, 0, 9, 0])])
             .contains("list 9 was never given")
     );
-    assert!(fault(&[boot(TERMS), record(1, &[0, 0, 1])]).contains("record 1, byte"));
-    assert!(fault(&[boot(TERMS), record(99, &[0, 0])]).contains("no event has code 99"));
-    assert!(fault(&[boot("{}")]).contains("settings lack 'classes'"));
-    assert!(fault(&[boot("nonsense")]).contains("settings are not JSON"));
+    assert!(error_of(&[start(SETTINGS), record(1, &[0, 0, 1])]).contains("record 1, byte"));
+    assert!(error_of(&[start(SETTINGS), record(99, &[0, 0])]).contains("no event has code 99"));
+    assert!(error_of(&[start("{}")]).contains("settings lack 'classes'"));
+    assert!(error_of(&[start("nonsense")]).contains("settings are not JSON"));
     assert!(
-        fault(&[boot(&TERMS.replace("\"tick\": 2000000", "\"tick\": \"x\""))]).contains("'tick'")
+        error_of(&[start(
+            &SETTINGS.replace("\"tick\": 2000000", "\"tick\": \"x\"")
+        )])
+        .contains("'tick'")
     );
     let mut long = frame(1, &[]);
     long[0] += 1;
     long.push(0);
-    assert!(played(&long).0.unwrap_err().contains("bytes left over"));
+    assert!(play(&long).0.unwrap_err().contains("bytes left over"));
 }
