--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -239,9 +239,7 @@
             .record_weight(priority.weight, recent_invocations);
         let baseline = self.baseline.of(invocation.trigger_type);
         self.traffic.record_work(baseline, now);
-        self.workload.functions[function]
-            .arrivals
-            .add(1.0, now, traffic::TRAFFIC_TIME);
+        self.workload.functions[function].record_arrival(now, traffic::TRAFFIC_TIME);
         let time_budget = objective.min(invocation.timeout_at - now);
         self.workload.admit(OpenInvocation::new(
             invocation,
--- a/crates/dispatch-policy/src/dispatch/placement.rs
+++ b/crates/dispatch-policy/src/dispatch/placement.rs
@@ -102,8 +102,8 @@
     ) {
         let record = &mut self.workload.functions[function];
         if let Some(failures) = record.end_placement(executor, is_load_command, has_succeeded) {
-            record.next_placement_at =
-                self.now + INITIAL_BACKOFF * BACKOFF_GROWTH.powi(failures - 1);
+            let backoff = INITIAL_BACKOFF * BACKOFF_GROWTH.powi(failures - 1);
+            record.delay_placement_until(self.now + backoff);
         }
     }
 
@@ -114,7 +114,7 @@
     /// Risk: a load for a single invocation.
     fn next_to_place(&self, function: FunctionIndex) -> Option<InvocationIndex> {
         let record = &self.workload.functions[function];
-        if self.now < record.next_placement_at {
+        if self.now < record.next_placement_at() {
             return None;
         }
         let is_free = |&&index: &&InvocationIndex| {
@@ -211,9 +211,8 @@
             self.executors.max_ejected()
         };
         let record = &mut self.workload.functions[function];
-        let count = candidates + record.warm_replicas.len() + 1 + max_unfit;
-        let key = record.key();
-        self.executors.rank(&mut record.ranking, key, count);
+        let count = candidates + record.warm_replicas().len() + 1 + max_unfit;
+        record.update_ranking(&self.executors, count);
     }
 
     fn last_warm_target(&self, request: &PlacementRequest) -> Option<ExecutorIndex> {
@@ -238,7 +237,7 @@
             .map_or(1.0, |index| self.capacity_fraction(index));
         let capacity = self.capacity(fraction);
         let with_capacity = self.workload.functions[request.function]
-            .ranking
+            .ranking()
             .iter()
             .filter(|&executor| self.fits(request, executor))
             .take(candidates)
--- a/crates/dispatch-policy/src/dispatch/prewarm.rs
+++ b/crates/dispatch-policy/src/dispatch/prewarm.rs
@@ -40,7 +40,7 @@
         if !has_budget
             || !self.config.allows_load_commands
             || record.placement().is_some()
-            || now < record.next_placement_at
+            || now < record.next_placement_at()
         {
             return warm;
         }
--- a/crates/dispatch-policy/src/dispatch/replica_selection.rs
+++ b/crates/dispatch-policy/src/dispatch/replica_selection.rs
@@ -55,7 +55,7 @@
         actions: &mut dyn Actions,
     ) -> bool {
         let record = &mut self.workload.functions[function];
-        record.warm_replicas.refresh(&self.executors);
+        record.refresh_warm_replicas(&self.executors);
         if needs_free_slot && !self.has_desired_replicas(function) {
             return false;
         }
@@ -97,7 +97,7 @@
                 && (!self.executors[executor].is_ejected() || self.may_try_ejected(index, executor))
                 && self.allows_dispatch(index, executor, None)
         };
-        let replicas = &self.workload.functions[function].warm_replicas;
+        let replicas = self.workload.functions[function].warm_replicas();
         replicas.min_by_score(
             |load| self.load_score.score(load, 1.0, self.now),
             |replica| fits(replica).then(|| self.load_score_of(replica.executor)),
@@ -131,9 +131,9 @@
         let is_near = |replica: &WarmReplica| {
             replica.expires_at > self.now && self.executors.is_in_own_region(replica.executor)
         };
-        record.warm_replicas.len() as f64 + 1.0 > self.desired_replicas(function)
+        record.warm_replicas().len() as f64 + 1.0 > self.desired_replicas(function)
             && record
-                .warm_replicas
+                .warm_replicas()
                 .iter()
                 .any(|replica| is_near(replica) || !self.prefers_own_region(function))
     }
@@ -142,7 +142,7 @@
     /// traffic seen here is a sample of that of all front ends, so one invocation alone says nothing.
     pub(super) fn desired_replicas(&self, function: FunctionIndex) -> f64 {
         let record = &self.workload.functions[function];
-        let seen = (record.arrivals.at(self.now, TRAFFIC_TIME) - 1.0).max(0.0);
+        let seen = (record.recent_arrivals(self.now, TRAFFIC_TIME) - 1.0).max(0.0);
         let ready = if self.prefers_own_region(function) {
             self.executors.ready_in_own_region().len()
         } else {
--- a/crates/dispatch-policy/src/dispatch/results.rs
+++ b/crates/dispatch-policy/src/dispatch/results.rs
@@ -126,7 +126,7 @@
                     function.record_fleet_concurrency(concurrency, NEWEST_CONCURRENCY_WEIGHT);
                 }
             }
-            DispatchStatus::Full => function.warm_replicas.set_full(executor),
+            DispatchStatus::Full => function.record_full(executor),
             // A client that left early says nothing about the replica.
             DispatchStatus::TimedOut if has_ended_early => {}
             DispatchStatus::TimedOut
@@ -148,9 +148,9 @@
     /// A function that failed at an executor before any was seen to serve it was served by another one: the failure
     /// counts for the first.
     fn prove_failure_elsewhere(&mut self, function: FunctionIndex, executor: ExecutorIndex) {
-        let failed_at = &mut self.workload.functions[function].unproven_failure_at;
-        if let Some(failed) = failed_at.take_if(|failed| *failed != executor) {
-            self.record_failure(failed);
+        let failed_at = self.workload.functions[function].take_failure_proven_by(executor);
+        if let Some(failed_at) = failed_at {
+            self.record_failure(failed_at);
         }
     }
 
@@ -183,8 +183,7 @@
             // a failure may be its own fault or its client's: it counts once another executor serves it.
             // Risk: a failing executor is found out later.
             DispatchStatus::Error if !self.workload.functions[ended.function].was_served() => {
-                let function = &mut self.workload.functions[ended.function];
-                function.unproven_failure_at = Some(executor);
+                self.workload.functions[ended.function].record_unproven_failure(executor);
                 None
             }
             DispatchStatus::Error => Some(Sample::Failed),
--- a/crates/dispatch-policy/src/dispatch/retry.rs
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -34,8 +34,7 @@
                 }
                 continue;
             }
-            let record = &mut self.workload.functions[function];
-            record.warm_replicas.refresh(&self.executors);
+            self.workload.functions[function].refresh_warm_replicas(&self.executors);
             let replica = self
                 .least_loaded_replica(function, index, true)
                 .filter(|&executor| !self.executors[executor].is_ejected());
--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -3,6 +3,7 @@
 mod endpoint_updates;
 mod executor;
 mod executor_table;
+mod function;
 mod function_table;
 mod groups;
 mod index;
@@ -10,6 +11,7 @@
 mod kind_stats;
 mod load_changes;
 mod load_tree;
+mod open_invocation;
 mod outlier_stats;
 mod ranking;
 mod ready_sets;
@@ -22,11 +24,11 @@
 pub use endpoint_updates::apply_endpoint_update;
 pub use executor::{DispatchAt, Executor, LoadEstimate};
 pub use executor_table::ExecutorTable;
-pub use function_table::{Function, FunctionTable, LastWarm, Placement};
+pub use function::{Function, LastWarm, Placement};
+pub use function_table::FunctionTable;
 pub use index::{ExecutorIndex, FunctionIndex, InvocationIndex};
-pub use invocation_table::{
-    InFlightDispatch, InvocationTable, OpenInvocation, PossibleExecution, Priority,
-};
+pub use invocation_table::InvocationTable;
+pub use open_invocation::{InFlightDispatch, OpenInvocation, PossibleExecution, Priority};
 pub use outlier_stats::SampleRequirements;
 pub use ranking::Ranking;
 pub use regions::Regions;
--- a/crates/dispatch-policy/src/state/workload.rs
+++ b/crates/dispatch-policy/src/state/workload.rs
@@ -70,7 +70,7 @@
     ) {
         self.dequeue(index);
         let invocation = self.invocations.get_mut(index);
-        invocation.is_answered = true;
+        invocation.set_answered();
         if allows_cancellation && !invocation.is_streaming() {
             invocation.cancel_dispatches(None, actions);
         }
