--- a/crates/dispatch-policy/src/dispatch/replica_selection.rs
+++ b/crates/dispatch-policy/src/dispatch/replica_selection.rs
@@ -77,16 +77,14 @@
         })
     }
 
-    /// The executor of the least loaded warm replica that an invocation may be dispatched to.
+    /// The executor of the least loaded warm replica that an invocation may be dispatched to. The loads of the replicas
+    /// have to be refreshed.
     pub(super) fn least_loaded_replica(
         &self,
         function: FunctionIndex,
         index: InvocationIndex,
         needs_free_slot: bool,
     ) -> Option<ExecutorIndex> {
-        if needs_free_slot && !self.has_desired_replicas(function) {
-            return None;
-        }
         let capacity = self.capacity(self.capacity_fraction(index));
         let in_flight = self.workload.invocations[index].in_flight();
         let fits = |replica: &WarmReplica| {
--- a/crates/dispatch-policy/src/dispatch/retry.rs
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -12,7 +12,8 @@
     /// Rule: gives an invocation in flight at an executor that is long silent another dispatch: a hedged request where
     /// that is allowed, else, if the executor is ejected too, a retry after a cancellation.
     ///
-    /// Failure mode: executors hang, or links to them are lost. Slowness is not meant: hedged requests feed a crowd.
+    /// Failure mode: executors hang, or links to them are lost. Slow executors are not meant: hedged requests would add to
+    /// their load.
     /// Risk: work that would have ended soon is done twice.
     pub(super) fn hedge_or_retry_slow(
         &mut self,
@@ -34,17 +35,28 @@
                 }
                 continue;
             }
-            self.workload.functions[function].refresh_warm_replicas(&self.executors);
-            let replica = self
-                .least_loaded_replica(function, index, true)
-                .filter(|&executor| !self.executors[executor].is_ejected());
-            if let Some(executor) = replica {
+            if let Some(executor) = self.replica_for_hedging(function, index) {
                 return self.dispatch(index, executor, false, actions);
             }
         }
         false
     }
 
+    /// The executor of the least loaded warm replica with a free slot, if it is not ejected and the function has its
+    /// replicas.
+    fn replica_for_hedging(
+        &mut self,
+        function: FunctionIndex,
+        index: InvocationIndex,
+    ) -> Option<ExecutorIndex> {
+        self.workload.functions[function].refresh_warm_replicas(&self.executors);
+        if !self.has_desired_replicas(function) {
+            return None;
+        }
+        self.least_loaded_replica(function, index, true)
+            .filter(|&executor| !self.executors[executor].is_ejected())
+    }
+
     /// The only dispatch in flight of an invocation, if its executor is long silent and the invocation may have
     /// another one.
     fn silent_dispatch(&self, index: InvocationIndex) -> Option<InFlightDispatch> {
