--- a/crates/engine/src/evidence.rs
+++ b/crates/engine/src/evidence.rs
@@ -1,46 +1,47 @@
-//! What the end of a dispatch proves. This is the one place that tells what never ran from what may have.
+//! What the end of a dispatch proves. This is the one place that separates dispatches that never ran from those that
+//! may have run.
 
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 
 /// How a dispatch ended on its connection, as the transport saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// The executor said it in an answer that was read whole.
+    /// The executor's response, which was read completely.
     Answered(DispatchStatus),
-    /// No connection stood in time: refused, unreachable, or no handshake.
+    /// No connection was made in time: refused, unreachable, or no handshake.
     NoConnection,
-    /// This machine could open no connection: it says nothing of the executor.
+    /// This machine could not open a connection, which says nothing about the executor.
     NoResource,
-    /// All connections that may be opened were full for as long as one waits for them.
+    /// All connections that may be opened stayed full for the time that a dispatch waits for them.
     Saturated,
     /// The connection broke before a byte of the dispatch was handed to the kernel.
     Unwritten,
-    /// The peer refused the stream as one it had not looked at.
+    /// The peer refused the stream without processing it (REFUSED_STREAM).
     Refused,
-    /// The closing peer named a lower stream as the last that it will have looked at.
+    /// The closing peer named a lower stream as the last that it processes (GOAWAY).
     AboveLast,
     /// The stream was reset for any other reason.
     Reset,
     /// The connection ended after bytes of the dispatch were handed to the kernel.
     Broken,
-    /// What came back could not be read as an answer. The executor is there, and may have run it.
+    /// The response could not be decoded. The executor is reachable, and may have run the dispatch.
     Malformed,
-    /// The connection was given up or broke for another dispatch's sake, while the executor's others stand.
+    /// The connection was closed because of another dispatch, while the executor's other connections are open.
     Cut,
-    /// Nothing came in time.
+    /// No response came in time.
     TimedOut,
-    /// It was withdrawn before it was given to a connection.
+    /// It was withdrawn before it was handed to a connection.
     Withheld,
 }
 
-/// Nothing but these proofs lets a dispatch count as never run: an answer that says so, and what the peer
-/// can't have looked at. An end of file proves nothing: the bytes may have been read before it.
+/// The status of a dispatch. Only two kinds of proof let it count as never run: a response that says so, and a dispatch
+/// that the peer can't have processed. An end of file proves nothing: the bytes may have been read before it.
 pub fn ending(seen: Transport) -> DispatchStatus {
     match seen {
         Transport::Answered(ending) => ending,
         Transport::NoConnection | Transport::Unwritten => DispatchStatus::ConnectFailed,
         Transport::Saturated | Transport::Refused | Transport::AboveLast => DispatchStatus::Full,
-        // Not a reset: that says of the executor that it may have just started anew.
+        // Not a reset, which would suggest that the executor has restarted.
         Transport::Malformed => DispatchStatus::Error,
         Transport::Cut => DispatchStatus::Cancelled,
         Transport::Reset | Transport::Broken => DispatchStatus::Reset,
