--- a/crates/cli/src/rehearse/roster.rs
+++ b/crates/cli/src/rehearse/endpoints.rs
@@ -37,7 +37,7 @@
 
 /// What the last line of the output says of the list of executors.
 #[derive(Debug, Default, Serialize)]
-pub struct Seen {
+pub struct Observed {
     pub drains: u64,
     pub worst_drain_s: f64,
     pub stale_dispatches: u64,
@@ -88,12 +88,12 @@
 
     fn value(&self, e: &Executor) -> String {
         let (location, cell) = (self.place)(e.make.number);
-        let standing = match self.entries.borrow()[e.make.number].1 {
+        let state = match self.entries.borrow()[e.make.number].1 {
             EndpointState::Draining => "draining",
             _ => "ready",
         };
         let value = json!({
-            "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": standing,
+            "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": state,
             "since": self.stage.wall(e.started_at()),
         });
         value.to_string()
@@ -128,17 +128,17 @@
             .collect();
         let (stage, all) = (self.stage.clone(), executors.to_vec());
         let hears = move |agent: &str, event: &Event| {
-            let Some((index, life)) = agent.split_once('.') else {
+            let Some((index, incarnation)) = agent.split_once('.') else {
                 return;
             };
-            let (Ok(front_end), Ok(life)) = (index.parse(), life.parse()) else {
+            let (Ok(front_end), Ok(incarnation)) = (index.parse(), incarnation.parse()) else {
                 return;
             };
             let Some(kv) = &event.kv else { return };
             let Some(&executor) = numbers.get(&*String::from_utf8_lossy(&kv.key)) else {
                 return;
             };
-            let standing = match event.r#type() {
+            let state = match event.r#type() {
                 EventType::Delete => EndpointState::Gone,
                 _ if String::from_utf8_lossy(&kv.value).contains("draining") => {
                     EndpointState::Draining
@@ -149,9 +149,9 @@
             stage.record(TrafficRecord::EndpointNotified {
                 at,
                 front_end,
-                incarnation: life,
+                incarnation,
                 executor,
-                state: standing,
+                state,
                 started_at: since,
             });
         };
@@ -182,7 +182,7 @@
             self.entries.borrow_mut()[e.make.number].0 =
                 self.etcd.store.borrow_mut().grant(now, LEASE).id;
         }
-        let wanted = self.value(e);
+        let expected = self.value(e);
         let question = RangeRequest {
             key: format!("{PREFIX}{}", e.address).into(),
             ..RangeRequest::default()
@@ -192,21 +192,25 @@
             .store
             .borrow()
             .range(&question)
-            .map(|r| r.kvs)
+            .map(|record| record.kvs)
             .unwrap_or_default();
-        if over || found.first().is_none_or(|kv| kv.value != wanted.as_bytes()) {
+        if over
+            || found
+                .first()
+                .is_none_or(|kv| kv.value != expected.as_bytes())
+        {
             self.put(e);
         }
     }
 
     /// What an executor, or whoever stops it, says of it.
-    pub fn change(&self, e: &Executor, standing: EndpointState) {
-        if standing == EndpointState::Gone {
+    pub fn change(&self, e: &Executor, state: EndpointState) {
+        if state == EndpointState::Gone {
             let lease = self.entries.borrow()[e.make.number].0;
             self.etcd.store.borrow_mut().revoke(lease);
             return;
         }
-        self.entries.borrow_mut()[e.make.number].1 = standing;
+        self.entries.borrow_mut()[e.make.number].1 = state;
         self.renew(e);
     }
 
@@ -255,45 +259,45 @@
         records: &[TrafficRecord],
         relists: u64,
         (stale, fallen): (u64, u64),
-    ) -> Seen {
-        let mut seen = Seen {
+    ) -> Observed {
+        let mut seen = Observed {
             relists,
             stale_dispatches: stale,
             cold_fallen: fallen,
-            ..Seen::default()
+            ..Observed::default()
         };
         let mut drains: HashMap<(u64, usize), f64> = HashMap::new();
         let mut records: Vec<&TrafficRecord> = records.iter().collect();
         records.sort_by(|a, b| a.at().total_cmp(&b.at()));
-        for r in records {
-            match r {
+        for record in records {
+            match record {
                 TrafficRecord::EndpointNotified {
                     at,
-                    incarnation: life,
+                    incarnation,
                     executor,
                     state: EndpointState::Draining,
                     ..
                 } => {
-                    drains.entry((*life, *executor)).or_insert_with(|| {
+                    drains.entry((*incarnation, *executor)).or_insert_with(|| {
                         seen.drains += 1;
                         *at
                     });
                 }
                 TrafficRecord::EndpointNotified {
-                    incarnation: life,
+                    incarnation,
                     executor,
                     ..
                 } => {
-                    drains.remove(&(*life, *executor));
+                    drains.remove(&(*incarnation, *executor));
                 }
                 TrafficRecord::DispatchArrived {
                     at,
-                    incarnation: life,
+                    incarnation,
                     executor,
                     ..
                 } => {
-                    if let Some(told) = drains.get(&(*life, *executor)) {
-                        seen.worst_drain_s = seen.worst_drain_s.max(at - told);
+                    if let Some(notified) = drains.get(&(*incarnation, *executor)) {
+                        seen.worst_drain_s = seen.worst_drain_s.max(at - notified);
                     }
                 }
                 _ => {}
--- a/crates/cli/src/rehearse/evidence.rs
+++ b/crates/cli/src/rehearse/evidence.rs
@@ -12,19 +12,19 @@
 
 /// What the records lack for a violation of a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Missing {
+pub enum MissingEvidence {
     #[error("no invocation was left without an answer")]
     Unanswered,
     #[error("no invocation of a non-idempotent type ran at two executors")]
     RanTwice,
     #[error("the injecting front end was never told that an executor drains")]
-    ToldOfDrain,
+    DrainNotification,
     #[error(
         "no dispatch reached a draining executor later than the grace and what messages may take"
     )]
     LateDispatch,
     #[error("the injecting front end was never told of an executor's cold start")]
-    ToldOfStart,
+    StartNotification,
     #[error(
         "no cold executor was pushed over by dispatches that were mostly the injecting front end's"
     )]
@@ -36,7 +36,11 @@
 }
 
 /// The evidence of a rule's injected violation, or what is missing for it.
-pub fn of_violation(rule: u8, limits: &Limits, records: &[TrafficRecord]) -> Result<(), Missing> {
+pub fn of_violation(
+    rule: u8,
+    limits: &Limits,
+    records: &[TrafficRecord],
+) -> Result<(), MissingEvidence> {
     let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
     match rule {
@@ -49,23 +53,23 @@
     }
 }
 
-fn found_or(found: bool, missing: Missing) -> Result<(), Missing> {
+fn found_or(found: bool, missing: MissingEvidence) -> Result<(), MissingEvidence> {
     if found { Ok(()) } else { Err(missing) }
 }
 
-fn unanswered(records: &[&TrafficRecord]) -> Result<(), Missing> {
-    let offered = |r: &&TrafficRecord| match r {
+fn unanswered(records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+    let sent = |record: &&TrafficRecord| match record {
         TrafficRecord::InvocationSent {
             client, invocation, ..
         } if *client == UNANSWERED_CLIENT => Some(invocation.clone()),
         _ => None,
     };
-    let offered: HashSet<String> = records.iter().filter_map(offered).collect();
-    let gave_up = |r: &&TrafficRecord| matches!(r, TrafficRecord::ClientTimedOut { invocation, .. } if offered.contains(invocation));
-    found_or(records.iter().any(gave_up), Missing::Unanswered)
+    let sent: HashSet<String> = records.iter().filter_map(sent).collect();
+    let timed_out = |record: &&TrafficRecord| matches!(record, TrafficRecord::ClientTimedOut { invocation, .. } if sent.contains(invocation));
+    found_or(records.iter().any(timed_out), MissingEvidence::Unanswered)
 }
 
-fn ran_twice(records: &[&TrafficRecord]) -> Result<(), Missing> {
+fn ran_twice(records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
     let mut ran_at: HashMap<&str, HashSet<usize>> = HashMap::new();
     for record in records {
         if let TrafficRecord::ExecutionStarted {
@@ -80,20 +84,20 @@
     }
     found_or(
         ran_at.values().any(|executors| executors.len() > 1),
-        Missing::RanTwice,
+        MissingEvidence::RanTwice,
     )
 }
 
 /// Since when the injecting front end has been told that an executor is not to be used.
-pub fn drain_told_at(records: &[TrafficRecord], executor: usize) -> Option<f64> {
-    let mut told: Vec<(f64, EndpointState)> = records
+pub fn drain_notified_at(records: &[TrafficRecord], executor: usize) -> Option<f64> {
+    let mut notified: Vec<(f64, EndpointState)> = records
         .iter()
-        .filter_map(|r| drain_told(r, executor))
+        .filter_map(|record| drain_notification(record, executor))
         .collect();
-    told.sort_by(|a, b| a.0.total_cmp(&b.0));
+    notified.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut since = None;
-    for (at, standing) in told {
-        since = if standing == EndpointState::Ready {
+    for (at, state) in notified {
+        since = if state == EndpointState::Ready {
             None
         } else {
             since.or(Some(at))
@@ -102,48 +106,51 @@
     since
 }
 
-fn drain_told(record: &TrafficRecord, wanted: usize) -> Option<(f64, EndpointState)> {
+fn drain_notification(record: &TrafficRecord, expected: usize) -> Option<(f64, EndpointState)> {
     match record {
         TrafficRecord::EndpointNotified {
             at,
-            incarnation: life,
+            incarnation,
             executor,
-            state: standing,
+            state,
             ..
-        } if *life == misbehaving_front_end::INCARNATION && *executor == wanted => {
-            Some((*at, *standing))
+        } if *incarnation == misbehaving_front_end::INCARNATION && *executor == expected => {
+            Some((*at, *state))
         }
         _ => None,
     }
 }
 
-fn dispatched_after_drain(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
-    let mut told_since: HashMap<usize, f64> = HashMap::new();
-    let mut was_told = false;
+fn dispatched_after_drain(
+    limits: &Limits,
+    records: &[&TrafficRecord],
+) -> Result<(), MissingEvidence> {
+    let mut notified_since: HashMap<usize, f64> = HashMap::new();
+    let mut was_notified = false;
     for record in records {
         match record {
             TrafficRecord::EndpointNotified {
                 at,
-                incarnation: life,
+                incarnation,
                 executor,
-                state: standing,
+                state,
                 ..
-            } if *life == misbehaving_front_end::INCARNATION => {
-                if *standing == EndpointState::Ready {
-                    told_since.remove(executor);
+            } if *incarnation == misbehaving_front_end::INCARNATION => {
+                if *state == EndpointState::Ready {
+                    notified_since.remove(executor);
                 } else {
-                    was_told = true;
-                    told_since.entry(*executor).or_insert(*at);
+                    was_notified = true;
+                    notified_since.entry(*executor).or_insert(*at);
                 }
             }
             TrafficRecord::DispatchArrived {
                 at,
-                incarnation: life,
+                incarnation,
                 executor,
                 ..
-            } if *life == misbehaving_front_end::INCARNATION => {
+            } if *incarnation == misbehaving_front_end::INCARNATION => {
                 let allowed = limits.drain_grace + limits.max_transit_time;
-                if told_since
+                if notified_since
                     .get(executor)
                     .is_some_and(|since| *at > since + allowed)
                 {
@@ -153,64 +160,68 @@
             _ => {}
         }
     }
-    Err(if was_told {
-        Missing::LateDispatch
+    Err(if was_notified {
+        MissingEvidence::LateDispatch
     } else {
-        Missing::ToldOfDrain
+        MissingEvidence::DrainNotification
     })
 }
 
 /// Whether the injecting front end was told of a start of an executor that is no earlier than `since`.
-pub fn start_was_told(records: &[TrafficRecord], wanted: usize, since: f64) -> bool {
-    records.iter().any(|r| match r {
+pub fn was_notified_of_start(records: &[TrafficRecord], expected: usize, since: f64) -> bool {
+    records.iter().any(|record| match record {
         TrafficRecord::EndpointNotified {
-            incarnation: life,
+            incarnation,
             executor,
-            started_at: told,
+            started_at: notified,
             ..
-        } => *life == misbehaving_front_end::INCARNATION && *executor == wanted && *told >= since,
+        } => {
+            *incarnation == misbehaving_front_end::INCARNATION
+                && *executor == expected
+                && *notified >= since
+        }
         _ => false,
     })
 }
 
-fn pushed_over(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
-    let mut told_start: HashMap<usize, f64> = HashMap::new();
+fn pushed_over(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+    let mut notified_of_start: HashMap<usize, f64> = HashMap::new();
     let mut reached: HashMap<usize, Vec<(f64, bool)>> = HashMap::new();
     for record in records {
         match record {
             TrafficRecord::EndpointNotified {
-                incarnation: life,
+                incarnation,
                 executor,
                 started_at: since,
                 ..
-            } if *life == misbehaving_front_end::INCARNATION => {
-                told_start.insert(*executor, *since);
+            } if *incarnation == misbehaving_front_end::INCARNATION => {
+                notified_of_start.insert(*executor, *since);
             }
             TrafficRecord::DispatchArrived {
                 at,
-                incarnation: life,
+                incarnation,
                 executor,
                 ..
             } => {
                 reached
                     .entry(*executor)
                     .or_default()
-                    .push((*at, *life == misbehaving_front_end::INCARNATION));
+                    .push((*at, *incarnation == misbehaving_front_end::INCARNATION));
             }
             TrafficRecord::ExecutorOverloaded {
                 at,
                 executor,
                 started_at: since,
-            } if told_start.get(executor).is_some_and(|t| t >= since) => {
+            } if notified_of_start.get(executor).is_some_and(|t| t >= since) => {
                 let began = since.max(at - limits.overload_window);
                 let lately = || {
                     reached
                         .get(executor)
                         .into_iter()
                         .flatten()
-                        .filter(|r| r.0 >= began)
+                        .filter(|record| record.0 >= began)
                 };
-                let injected = lately().filter(|r| r.1).count();
+                let injected = lately().filter(|record| record.1).count();
                 if 3 * injected > 2 * lately().count() {
                     return Ok(());
                 }
@@ -218,18 +229,18 @@
             _ => {}
         }
     }
-    let was_told = told_start.values().any(|since| since.is_finite());
-    Err(if was_told {
-        Missing::PushedOver
+    let was_notified = notified_of_start.values().any(|since| since.is_finite());
+    Err(if was_notified {
+        MissingEvidence::PushedOver
     } else {
-        Missing::ToldOfStart
+        MissingEvidence::StartNotification
     })
 }
 
 /// Counts what all front ends were offered in place of one, and leaves out executors that were deaf at any time.
-fn over_ration(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
-    let deaf = |r: &&TrafficRecord| {
-        if let TrafficRecord::ReadsPaused { executor, .. } = r {
+fn over_ration(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+    let deaf = |record: &&TrafficRecord| {
+        if let TrafficRecord::ReadsPaused { executor, .. } = record {
             Some(*executor)
         } else {
             None
@@ -237,19 +248,19 @@
     };
     let deaf: HashSet<usize> = records.iter().filter_map(deaf).collect();
     let mut orders: Vec<f64> = vec![];
-    let mut offers: Vec<f64> = vec![];
+    let mut requests: Vec<f64> = vec![];
     let mut published = 0;
     for record in records {
         match record {
-            TrafficRecord::InvocationSent { at, .. } => offers.push(*at),
+            TrafficRecord::InvocationSent { at, .. } => requests.push(*at),
             TrafficRecord::MessagePublished { .. } => published += 1,
             TrafficRecord::LoadCommandArrived {
                 at,
                 executor,
-                incarnation: life,
+                incarnation,
                 replicas: copies,
                 ..
-            } if *life == misbehaving_front_end::INCARNATION
+            } if *incarnation == misbehaving_front_end::INCARNATION
                 && *copies > 0
                 && !deaf.contains(executor) =>
             {
@@ -259,7 +270,7 @@
                     .iter()
                     .filter(|&&t| t > from + limits.max_transit_time)
                     .count();
-                let taken = offers
+                let taken = requests
                     .iter()
                     .filter(|&&t| t > from - limits.max_transit_time)
                     .count()
@@ -273,17 +284,17 @@
             _ => {}
         }
     }
-    Err(Missing::OrdersOverRation)
+    Err(MissingEvidence::OrdersOverRation)
 }
 
-fn message_ran_twice(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), Missing> {
+fn message_ran_twice(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
     let has_effect_once = |name: &str| {
         limits
             .trigger_types
             .iter()
             .any(|t| t.name == name && t.idempotency == Idempotency::NonIdempotent)
     };
-    let message = |r: &&TrafficRecord| match r {
+    let message = |record: &&TrafficRecord| match record {
         TrafficRecord::MessagePublished {
             invocation,
             trigger_type,
@@ -301,5 +312,5 @@
             return Ok(());
         }
     }
-    Err(Missing::MessageRanTwice)
+    Err(MissingEvidence::MessageRanTwice)
 }
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -106,12 +106,12 @@
         });
     }
 
-    fn hear(&self) {
+    fn receive(&self) {
         let published = std::mem::take(&mut self.broker.broker.borrow_mut().published);
         for message in published {
-            let user = |wanted: &str| {
+            let user = |expected: &str| {
                 let value = message.properties.iter().find_map(|p| match p {
-                    Property::User(name, value) if name == wanted => Some(value.clone()),
+                    Property::User(name, value) if name == expected => Some(value.clone()),
                     _ => None,
                 });
                 value.unwrap_or_default()
@@ -160,7 +160,7 @@
         let mut next = from;
         while next < from + length {
             while self.stage.now() < next {
-                self.hear();
+                self.receive();
                 self.stage.sleep((next - self.stage.now()).min(0.01)).await;
             }
             self.publish_one();
@@ -169,12 +169,12 @@
         network.await;
         let until = self.stage.now() + 15.0;
         while !self.open.borrow().is_empty() && self.stage.now() < until {
-            self.hear();
+            self.receive();
             self.stage.sleep(0.01).await;
         }
         // One too many would come about now.
         self.stage.sleep(0.5).await;
-        self.hear();
+        self.receive();
     }
 
     /// Removes what the rehearsal has left on the disk.
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -1,20 +1,20 @@
 //! `orchidtally rehearse`: a scripted day on loopback with real front-end processes, and the five rules
 //! checked from the traffic.
 
-mod day;
+mod endpoints;
 mod evidence;
 mod messages;
 mod play;
 mod rolling;
-mod roster;
+mod scenario;
 
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_text};
-use day::Day;
-use evidence::Missing;
+use evidence::MissingEvidence;
 use orchidtally_invariants::{
     FinalAnswer, MessageReport, TrafficRecord, Verdict, check_messages as judge_messages,
     check_rules,
 };
+use scenario::Scenario;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,8 @@
 #[derive(clap::Args)]
 pub struct Arguments {
     /// A day file in JSON5; without one the built-in bad day is played.
-    day: Option<PathBuf>,
+    #[arg(value_name = "DAY")]
+    scenario: Option<PathBuf>,
     /// Draws another day of the same kind, and all chance within it.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -35,7 +36,7 @@
     #[arg(long, alias = "sabotage", value_name = "RULE", value_parser = clap::value_parser!(u8).range(1..=6))]
     inject_violation: Option<u8>,
     /// A day as the users' bench prints it, scaled down to this machine.
-    #[arg(long, value_name = "FILE", conflicts_with = "day")]
+    #[arg(long, value_name = "FILE", conflicts_with = "scenario")]
     bench_day: Option<PathBuf>,
     /// Plays a rollout of the function 'mist' under the day, by this plan or a built-in one.
     #[arg(long, value_name = "PLAN", num_args = 0..=1, default_missing_value = BUILT_IN)]
@@ -57,9 +58,9 @@
     front_end_log: String,
 }
 
-fn day(arguments: &Arguments) -> Result<Day, u8> {
-    if let Some(file) = &arguments.day {
-        return Day::read(&read_text(file)?).map_err(|faults| {
+fn scenario(arguments: &Arguments) -> Result<Scenario, u8> {
+    if let Some(file) = &arguments.scenario {
+        return Scenario::read(&read_text(file)?).map_err(|faults| {
             for fault in &faults {
                 eprintln!("{}:{fault}", file.display());
             }
@@ -67,18 +68,18 @@
         });
     }
     if let Some(file) = &arguments.bench_day {
-        let (day, left_out) = day::from_bench(&read_text(file)?)
+        let (scenario, left_out) = scenario::from_bench(&read_text(file)?)
             .map_err(|e| fail(BAD_INPUT, format!("{}: {e}", file.display())))?;
         for what in left_out {
             println!("not carried over: {what}");
         }
-        return Ok(day);
+        return Ok(scenario);
     }
     if !(4.0..=600.0).contains(&arguments.length) {
         let reason = format!("--length {}: 4 to 600 seconds are wanted", arguments.length);
         return Err(fail(BAD_INPUT, reason));
     }
-    Ok(Day::bad(arguments.seed, arguments.length))
+    Ok(Scenario::with_all_faults(arguments.seed, arguments.length))
 }
 
 /// The rollout that the arguments ask for.
@@ -101,7 +102,7 @@
 fn write_records(file: &Path, records: &[TrafficRecord]) -> Result<(), u8> {
     let lines: Vec<String> = records
         .iter()
-        .filter_map(|r| serde_json::to_string(r).ok())
+        .filter_map(|record| serde_json::to_string(record).ok())
         .collect();
     std::fs::write(file, lines.join("\n") + "\n")
         .map_err(|e| fail(COULD_NOT_RUN, format!("{}: {e}", file.display())))
@@ -115,7 +116,7 @@
             "--inject-violation 6 is a broker's fault: --mqtt is wanted with it",
         ));
     }
-    let day = day(&arguments)?;
+    let scenario = scenario(&arguments)?;
     let options = play::Options {
         seed: arguments.seed,
         inject_violation: arguments.inject_violation,
@@ -124,7 +125,7 @@
         etcd: arguments.etcd,
         rollout: rollout(&arguments)?,
     };
-    let played = play::play(&day, &options)
+    let played = play::play(&scenario, &options)
         .map_err(|e| fail(COULD_NOT_RUN, format!("the day could not be played: {e}")))?;
     if let Some(file) = &arguments.records {
         write_records(file, &played.records)?;
@@ -137,7 +138,7 @@
         .inject_violation
         .map(|rule| evidence::of_violation(rule, &played.limits, &played.records));
     report(
-        &day,
+        &scenario,
         &played,
         &verdict,
         messages.as_ref(),
@@ -146,7 +147,10 @@
     if let (Some(rule), Some(injected)) = (arguments.inject_violation, injected) {
         check_injection(rule, injected, &verdict, messages.as_ref())?;
     }
-    let rolled_well = played.rollout.as_ref().is_none_or(rolling::Seen::is_well);
+    let rolled_well = played
+        .rollout
+        .as_ref()
+        .is_none_or(rolling::Observed::is_well);
     let carried_well = messages.as_ref().is_none_or(MessageReport::holds);
     if verdict.holds() && rolled_well && carried_well {
         Ok(())
@@ -158,7 +162,7 @@
 /// A violation that was asked for has to have taken place and to be found; else nothing is proved either way.
 fn check_injection(
     rule: u8,
-    injected: Result<(), Missing>,
+    injected: Result<(), MissingEvidence>,
     verdict: &Verdict,
     messages: Option<&MessageReport>,
 ) -> Result<(), u8> {
@@ -174,7 +178,7 @@
         _ => verdict
             .rules
             .iter()
-            .any(|r| r.rule == rule && r.violations > 0),
+            .any(|record| record.rule == rule && record.violations > 0),
     };
     if !is_found {
         eprintln!("a violation of rule {rule} was injected and not found: the check is at fault");
@@ -195,7 +199,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     mqtt: Option<&'a MessageReport>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    roster: Option<roster::Seen>,
+    roster: Option<endpoints::Observed>,
     /// Whether the violation that was asked for took place.
     #[serde(skip_serializing_if = "Option::is_none")]
     injected: Option<bool>,
@@ -204,7 +208,7 @@
 #[derive(Serialize)]
 struct Rolled<'a> {
     #[serde(flatten)]
-    seen: &'a rolling::Seen,
+    seen: &'a rolling::Observed,
     effects_twice: u64,
     orders_over_ration: u64,
 }
@@ -218,19 +222,19 @@
 }
 
 fn report(
-    day: &Day,
+    scenario: &Scenario,
     played: &play::Played,
     verdict: &Verdict,
     messages: Option<&MessageReport>,
     injected: Option<bool>,
 ) {
     println!("troubles:");
-    for t in &day.troubles {
+    for t in &scenario.faults {
         println!(
             "  {:>5.1} s  {:<16} for {:>4.1} s, size {:.2}",
             t.at,
             t.kind.name(),
-            t.lasts,
+            t.duration,
             t.size
         );
     }
@@ -267,12 +271,12 @@
         verdict
             .rules
             .iter()
-            .find(|r| r.rule == rule)
-            .map_or(0, |r| r.violations)
+            .find(|record| record.rule == rule)
+            .map_or(0, |record| record.violations)
     };
     let rollout = played.rollout.as_ref().map(|seen| {
         println!("rollout: {}", seen.state);
-        seen.told.iter().for_each(|line| println!("  {line}"));
+        seen.notified.iter().for_each(|line| println!("  {line}"));
         Rolled {
             seen,
             effects_twice: broken(2),
@@ -289,7 +293,7 @@
     let roster = played
         .roster
         .as_ref()
-        .map(|r| r.seen(&played.records, played.relists, (broken(3), broken(4))));
+        .map(|endpoints| endpoints.seen(&played.records, played.relists, (broken(3), broken(4))));
     let kept = verdict.holds() && messages.is_none_or(MessageReport::holds);
     let line = Line {
         verdict: if kept { "kept" } else { "broken" },
@@ -306,7 +310,7 @@
 /// What became of the invocations of one trigger type.
 #[derive(Default)]
 struct Service {
-    offered: u32,
+    sent: u32,
     in_time: u64,
     succeeded: u64,
     throttled: u64,
@@ -317,7 +321,7 @@
 
 impl Service {
     fn add(&mut self, objective: f64, offered_at: f64, end: Option<&(f64, FinalAnswer)>) {
-        self.offered += 1;
+        self.sent += 1;
         match end {
             Some((ended_at, FinalAnswer::Succeeded)) => {
                 let time = ended_at - offered_at;
@@ -333,10 +337,10 @@
 
     fn print(mut self, name: &str) {
         self.times.sort_by(f64::total_cmp);
-        let share = |count: u64| 100.0 * count as f64 / f64::from(self.offered.max(1));
+        let share = |count: u64| 100.0 * count as f64 / f64::from(self.sent.max(1));
         println!(
             "  {name:<15} {:>8} {:>11.1} % {:>8.1} % {:>8.1} % {:>6.1} % {:>5.0} ms {:>4.0} ms",
-            self.offered,
+            self.sent,
             share(self.in_time),
             share(self.succeeded),
             share(self.throttled),
--- a/crates/cli/src/rehearse/play/troubles.rs
+++ b/crates/cli/src/rehearse/play/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong through a day, as its script says.
 
 use super::Rehearsal;
-use crate::rehearse::day::{Kind, Trouble};
+use crate::rehearse::scenario::{FaultKind, ScheduledFault};
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::TimedFault;
 use orchidtally_test_servers::executor::Executor;
@@ -23,42 +23,42 @@
         fitting
     }
 
-    pub(super) fn perform_later(self: &Rc<Self>, from: f64, trouble: Trouble) {
+    pub(super) fn perform_later(self: &Rc<Self>, from: f64, fault: ScheduledFault) {
         let rehearsal = self.clone();
         self.in_background(async move {
             rehearsal
                 .stage
-                .sleep(from + trouble.at - rehearsal.stage.now())
+                .sleep(from + fault.at - rehearsal.stage.now())
                 .await;
-            rehearsal.trouble(&trouble).await;
+            rehearsal.fault(&fault).await;
         });
     }
 
-    fn switch(&self, which: &(TimedFault, Cell<f64>), t: &Trouble) {
+    fn switch(&self, which: &(TimedFault, Cell<f64>), t: &ScheduledFault) {
         which.1.set(t.size);
-        which.0.set(self.stage.now() + t.lasts);
+        which.0.set(self.stage.now() + t.duration);
     }
 
-    async fn trouble(self: &Rc<Self>, t: &Trouble) {
-        let until = self.stage.now() + t.lasts;
+    async fn fault(self: &Rc<Self>, t: &ScheduledFault) {
+        let until = self.stage.now() + t.duration;
         let up = |e: &Rc<Executor>| e.is_up() && !e.draining.get();
         match t.kind {
-            Kind::Crash => {
+            FaultKind::Crash => {
                 for e in self.some(&self.executors, t.size, up) {
-                    self.down_and_up(e, t.lasts);
+                    self.down_and_up(e, t.duration);
                 }
             }
-            Kind::Hang => {
+            FaultKind::Hang => {
                 self.some(&self.executors, t.size, up)
                     .iter()
                     .for_each(|e| e.faults.hangs.set(until));
             }
-            Kind::FastErrors => {
+            FaultKind::FastErrors => {
                 self.some(&self.executors, t.size, up)
                     .iter()
                     .for_each(|e| e.faults.fails_at_once.set(until));
             }
-            Kind::HalfOpen => {
+            FaultKind::ExecutorsStopReading => {
                 for e in self.some(&self.executors, t.size, up) {
                     e.faults.reads_paused.set(until);
                     let at = self.stage.now();
@@ -69,68 +69,67 @@
                     });
                 }
             }
-            Kind::SlowHandshakes => {
+            FaultKind::SlowHandshakes => {
                 self.some(&self.executors, t.size, up)
                     .iter()
                     .for_each(|e| e.faults.slow_handshakes.set(until));
             }
-            Kind::LateReports => self
+            FaultKind::LateReports => self
                 .executors
                 .iter()
                 .for_each(|e| e.faults.delayed_reports.set(until)),
-            Kind::Deploy => {
+            FaultKind::RollingDeploy => {
                 let some = self.some(&self.executors, t.size, up);
-                let each = t.lasts / some.len() as f64;
+                let each = t.duration / some.len() as f64;
                 for e in some {
                     self.roll(&e, each.clamp(0.3, 1.2)).await;
                 }
             }
-            Kind::Preempt => {
+            FaultKind::Preemption => {
                 for e in self.some(&self.executors, t.size, up) {
-                    self.tell(&e, EndpointState::Draining);
+                    self.notify(&e, EndpointState::Draining);
                     e.draining.set(true);
                     self.stage.sleep(0.4).await;
                     e.crash();
-                    self.tell(&e, EndpointState::Gone);
-                    self.stage.sleep(t.lasts).await;
+                    self.notify(&e, EndpointState::Gone);
+                    self.stage.sleep(t.duration).await;
                     self.bring_up(&e);
                 }
             }
-            Kind::LoseLocation => {
-                let lost = (self.stage.unit() * f64::from(self.day.locations)) as usize;
-                let locations = self.day.locations as usize;
+            FaultKind::LoseLocation => {
+                let lost = (self.stage.unit() * f64::from(self.scenario.locations)) as usize;
+                let locations = self.scenario.locations as usize;
                 for e in self
                     .executors
                     .iter()
                     .filter(|e| e.make.number % locations == lost && up(e))
                 {
-                    self.down_and_up(e.clone(), t.lasts);
+                    self.down_and_up(e.clone(), t.duration);
                 }
             }
-            Kind::StaleRoster => self.publisher.hold_back_until(until),
-            Kind::RosterCut => self.publisher.disconnect_all(),
-            Kind::Rerelease => self.executors.iter().for_each(|e| e.drop_copies()),
-            Kind::StoreRefuses => self.store.refusing.set(until),
-            Kind::ShortPatience => self.switch(&self.short_patience, t),
-            Kind::HotFunction => self.switch(&self.hot, t),
-            Kind::OneOffs => self.switch(&self.one_offs, t),
-            Kind::Shift => self.switch(&self.shifted, t),
-            Kind::RepeatingClients => self.switch(&self.repeating, t),
-            Kind::KillFrontEnds => self.kill_front_ends(t).await,
-            Kind::RollFrontEnds => self.roll_front_ends(t).await,
-            Kind::Garbage => self.garbage(until).await,
-            Kind::StopReading => self.stop_reading(until).await,
-            Kind::SlowSenders => self.slow_senders(until).await,
+            FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
+            FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
+            FaultKind::MassRelease => self.executors.iter().for_each(|e| e.drop_copies()),
+            FaultKind::StoreRefuses => self.store.refusing.set(until),
+            FaultKind::ImpatientClients => self.switch(&self.impatient, t),
+            FaultKind::HotFunction => self.switch(&self.hot, t),
+            FaultKind::OneTimeFunctions => self.switch(&self.one_offs, t),
+            FaultKind::TrafficShift => self.switch(&self.shifted, t),
+            FaultKind::RepeatingClients => self.switch(&self.repeating, t),
+            FaultKind::KillFrontEnds => self.kill_front_ends(t).await,
+            FaultKind::RollFrontEnds => self.roll_front_ends(t).await,
+            FaultKind::Garbage => self.garbage(until).await,
+            FaultKind::ClientsStopReading => self.stop_reading(until).await,
+            FaultKind::SlowClients => self.slow_senders(until).await,
         }
     }
 
-    pub(super) fn tell(&self, e: &Executor, standing: EndpointState) {
+    pub(super) fn notify(&self, e: &Executor, state: EndpointState) {
         if let Some(roster) = &self.roster {
-            roster.change(e, standing);
+            roster.change(e, state);
             return;
         }
-        self.publisher
-            .change(e.make.number, standing, e.started_at());
+        self.publisher.change(e.make.number, state, e.started_at());
     }
 
     pub(super) fn bring_up(&self, e: &Executor) {
@@ -138,17 +137,17 @@
             return;
         }
         match e.restart() {
-            Ok(()) => self.tell(e, EndpointState::Ready),
+            Ok(()) => self.notify(e, EndpointState::Ready),
             Err(fault) => eprintln!("executor {} did not come up: {fault}", e.make.number),
         }
     }
 
     /// A crash of which the publisher hears only once the executor is back.
-    fn down_and_up(self: &Rc<Self>, e: Rc<Executor>, lasts: f64) {
+    fn down_and_up(self: &Rc<Self>, e: Rc<Executor>, duration: f64) {
         e.crash();
         let rehearsal = self.clone();
         self.in_background(async move {
-            rehearsal.stage.sleep(lasts).await;
+            rehearsal.stage.sleep(duration).await;
             rehearsal.bring_up(&e);
         });
     }
@@ -158,7 +157,7 @@
         if !e.is_up() {
             return;
         }
-        self.tell(e, EndpointState::Draining);
+        self.notify(e, EndpointState::Draining);
         e.draining.set(true);
         e.send_go_away();
         let until = self.stage.now() + time;
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -29,17 +29,20 @@
 impl Rehearsal {
     /// Injects a violation of a rule from 1 to 5. Whether it took place is told by `evidence`.
     pub(super) async fn inject_violation(self: Rc<Self>, rule: u8, day_begins: f64) {
-        let until = day_begins + self.day.length + TIME_AFTER_DAY;
-        let rogue = MisbehavingFrontEnd::new(&self.stage, 0, self.day.front_ends);
-        let watching = (rule == 3 || rule == 4).then(|| self.follow_roster(&rogue));
+        let until = day_begins + self.scenario.length + TIME_AFTER_DAY;
+        let misbehaving = MisbehavingFrontEnd::new(&self.stage, 0, self.scenario.front_ends);
+        let watching = (rule == 3 || rule == 4).then(|| self.follow_roster(&misbehaving));
         let mut attempt = 0;
         while self.stage.now() < until && !self.is_violated(rule) {
             match rule {
                 1 => self.leave_unanswered().await,
-                2 => self.dispatch_twice(&rogue, attempt).await,
-                3 => self.dispatch_after_drain(&rogue, attempt, until).await,
-                4 => self.push_over_cold(&rogue, attempt).await,
-                _ => self.order_over_ration(&rogue).await,
+                2 => self.dispatch_twice(&misbehaving, attempt).await,
+                3 => {
+                    self.dispatch_after_drain(&misbehaving, attempt, until)
+                        .await
+                }
+                4 => self.push_over_cold(&misbehaving, attempt).await,
+                _ => self.order_over_ration(&misbehaving).await,
             }
             attempt += 1;
             self.stage.sleep(LOOK_INTERVAL).await;
@@ -54,16 +57,16 @@
     }
 
     /// The injecting front end hears of the roster as the others do.
-    fn follow_roster(&self, rogue: &Rc<MisbehavingFrontEnd>) -> async_executor::Task<()> {
+    fn follow_roster(&self, misbehaving: &Rc<MisbehavingFrontEnd>) -> async_executor::Task<()> {
         match &self.roster {
             Some(roster) => self.stage.spawn(
-                rogue
+                misbehaving
                     .clone()
                     .follow_store(roster.endpoints(), roster.prefix()),
             ),
             None => self
                 .stage
-                .spawn(rogue.clone().follow(self.publisher.address)),
+                .spawn(misbehaving.clone().follow(self.publisher.address)),
         }
     }
 
@@ -110,7 +113,7 @@
 
     /// Rule 2: one invocation that must not run twice, at two executors. Which ones changes each time: on a bad day
     /// one of the two may be full, hang or be gone.
-    async fn dispatch_twice(&self, rogue: &Rc<MisbehavingFrontEnd>, attempt: usize) {
+    async fn dispatch_twice(&self, misbehaving: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         for pair in 0..PAIRS {
             let number = attempt * PAIRS + pair;
             let usable = self.usable_executors();
@@ -121,10 +124,13 @@
                 usable[number % usable.len()].address,
                 usable[(number + 1) % usable.len()].address,
             ];
-            let (rogue, name) = (rogue.clone(), format!("{INVOCATION_PREFIX}2-{number}"));
+            let (misbehaving, name) = (
+                misbehaving.clone(),
+                format!("{INVOCATION_PREFIX}2-{number}"),
+            );
             let both = async move {
                 for (dispatch, at) in two.into_iter().enumerate() {
-                    rogue
+                    misbehaving
                         .dispatch(at, &name, dispatch as u32, "fn-1", "act")
                         .await;
                 }
@@ -137,7 +143,7 @@
     /// Rule 3: a dispatch to an executor long after its drain was told.
     async fn dispatch_after_drain(
         &self,
-        rogue: &Rc<MisbehavingFrontEnd>,
+        misbehaving: &Rc<MisbehavingFrontEnd>,
         attempt: usize,
         until: f64,
     ) {
@@ -146,35 +152,36 @@
             return;
         };
         let began = self.stage.now();
-        self.tell(executor, EndpointState::Draining);
-        let mut was_told = false;
+        self.notify(executor, EndpointState::Draining);
+        let mut was_notified = false;
         while self.stage.now() < until && executor.is_up() && !executor.draining.get() {
             self.stage.sleep(LOOK_INTERVAL).await;
-            let told_at = evidence::drain_told_at(&self.stage.records(), executor.make.number);
-            if was_told && told_at.is_none() {
+            let notified_at =
+                evidence::drain_notified_at(&self.stage.records(), executor.make.number);
+            if was_notified && notified_at.is_none() {
                 // The script has given it back.
                 return;
             }
-            was_told |= told_at.is_some();
+            was_notified |= notified_at.is_some();
             let allowed = self.limits.drain_grace + TRANSIT + self.lag.get() + DRAIN_MARGIN;
-            let Some(told_at) = told_at.filter(|at| self.stage.now() > at + allowed) else {
+            let Some(notified_at) = notified_at.filter(|at| self.stage.now() > at + allowed) else {
                 continue;
             };
             let name = format!(
                 "{INVOCATION_PREFIX}3-{attempt}-{:.0}",
-                1e3 * (told_at - began)
+                1e3 * (notified_at - began)
             );
-            self.dispatch_in_time(rogue, executor, &name).await;
+            self.dispatch_in_time(misbehaving, executor, &name).await;
             break;
         }
         // Where a script has drained or ended it meanwhile, that is what counts.
         if executor.is_up() && !executor.draining.get() {
-            self.tell(executor, EndpointState::Ready);
+            self.notify(executor, EndpointState::Ready);
         }
     }
 
     /// Rule 4: more work than a cold executor can take, from a front end that was told of its start.
-    async fn push_over_cold(&self, rogue: &Rc<MisbehavingFrontEnd>, attempt: usize) {
+    async fn push_over_cold(&self, misbehaving: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         let usable = self.usable_executors();
         let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
             return;
@@ -183,36 +190,36 @@
         self.stage.sleep(0.1).await;
         self.bring_up(executor);
         let since = executor.started_at();
-        let patience = self.stage.now() + TELL_TIME;
-        while !evidence::start_was_told(&self.stage.records(), executor.make.number, since) {
-            if self.stage.now() > patience {
+        let timeout = self.stage.now() + TELL_TIME;
+        while !evidence::was_notified_of_start(&self.stage.records(), executor.make.number, since) {
+            if self.stage.now() > timeout {
                 return;
             }
             self.stage.sleep(LOOK_INTERVAL).await;
         }
         // The first one opens the connection, so that the rest comes all at once.
         self.dispatch_in_time(
-            rogue,
+            misbehaving,
             executor,
             &format!("{INVOCATION_PREFIX}4-{attempt}-first"),
         )
         .await;
         for number in 0..BURST {
-            let (rogue, at) = (rogue.clone(), executor.address);
+            let (misbehaving, at) = (misbehaving.clone(), executor.address);
             let name = format!("{INVOCATION_PREFIX}4-{attempt}-{number}");
-            let dispatch = async move { rogue.dispatch(at, &name, 0, "fn-1", "look").await };
+            let dispatch = async move { misbehaving.dispatch(at, &name, 0, "fn-1", "look").await };
             self.stage.spawn(dispatch).detach();
         }
         self.stage.sleep(self.limits.overload_window).await;
     }
 
     /// Rule 5: more orders to load than any share of the day's invocations grants.
-    async fn order_over_ration(&self, rogue: &Rc<MisbehavingFrontEnd>) {
+    async fn order_over_ration(&self, misbehaving: &Rc<MisbehavingFrontEnd>) {
         for number in 0..BURST {
             let executor = &self.executors[number % self.executors.len()];
-            let (rogue, at) = (rogue.clone(), executor.address);
+            let (misbehaving, at) = (misbehaving.clone(), executor.address);
             self.stage
-                .spawn(async move { rogue.hold(at, "fn-1").await })
+                .spawn(async move { misbehaving.hold(at, "fn-1").await })
                 .detach();
             if number % 20 == 0 {
                 self.stage.sleep(0.01).await;
@@ -220,8 +227,13 @@
         }
     }
 
-    async fn dispatch_in_time(&self, rogue: &MisbehavingFrontEnd, executor: &Executor, name: &str) {
-        let dispatch = rogue.dispatch(executor.address, name, 0, "fn-1", "look");
+    async fn dispatch_in_time(
+        &self,
+        misbehaving: &MisbehavingFrontEnd,
+        executor: &Executor,
+        name: &str,
+    ) {
+        let dispatch = misbehaving.dispatch(executor.address, name, 0, "fn-1", "look");
         // What became of it is on record at the executor, or is not.
         futures_lite::future::or(dispatch, self.stage.sleep(DISPATCH_TIME)).await;
     }
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -1,16 +1,16 @@
 //! Plays a day: front ends as processes of their own, everything else on one thread beside them.
 
-mod hostile;
+mod faults;
 mod injection;
+mod misbehaving_clients;
 mod processes;
 mod setup;
 mod traffic;
-mod troubles;
 
-use super::day::Day;
+use super::endpoints::Roster;
 use super::messages::Messages;
 use super::rolling::{self, Rolling};
-use super::roster::Roster;
+use super::scenario::Scenario;
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{self as invariants, Limits, TrafficRecord};
 use orchidtally_test_servers::client::TestClient;
@@ -18,7 +18,7 @@
 use orchidtally_test_servers::publisher::Publisher;
 use orchidtally_test_servers::store::PackageStore;
 use orchidtally_test_servers::{TestEnvironment, TimedFault};
-use processes::standing;
+use processes::state;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     /// Remarks for the reader.
     pub notes: Vec<String>,
     /// What became of the rollout.
-    pub rollout: Option<rolling::Seen>,
+    pub rollout: Option<rolling::Observed>,
     /// The list of executors in etcd.
     pub roster: Option<Rc<Roster>>,
     /// Lists that front ends had to ask for again.
@@ -90,7 +90,7 @@
 
 struct Rehearsal {
     stage: TestEnvironment,
-    day: Day,
+    scenario: Scenario,
     seed: u64,
     log: String,
     file: PathBuf,
@@ -101,7 +101,7 @@
     executors: Vec<Rc<Executor>>,
     front_ends: Vec<Rc<FrontEnd>>,
     /// Clients wait a fraction of their time; how many of them.
-    short_patience: (TimedFault, Cell<f64>),
+    impatient: (TimedFault, Cell<f64>),
     hot: (TimedFault, Cell<f64>),
     one_offs: (TimedFault, Cell<f64>),
     shifted: (TimedFault, Cell<f64>),
@@ -121,10 +121,10 @@
 ///
 /// # Errors
 /// A front end or a test server could not be started.
-pub fn play(day: &Day, options: &Options) -> io::Result<Played> {
+pub fn play(scenario: &Scenario, options: &Options) -> io::Result<Played> {
     let stage = TestEnvironment::new(options.seed);
     let tasks = stage.tasks.clone();
-    let rehearsal = setup::set_up(stage, day, options)?;
+    let rehearsal = setup::set_up(stage, scenario, options)?;
     let played = async_io::block_on(tasks.run(rehearsal.clone().perform(options.inject_violation)));
     for fe in &rehearsal.front_ends {
         if let Some(mut child) = fe.child.borrow_mut().take() {
@@ -142,15 +142,18 @@
     // It lies in the temporary folder, where nobody misses it.
     let _ = std::fs::remove_file(&rehearsal.file);
     let notes = played?;
-    let per_location = |n: usize| n as u32 % day.locations;
-    let fleet = (0..day.executors)
+    let per_location = |n: usize| n as u32 % scenario.locations;
+    let fleet = (0..scenario.executors)
         .map(|n| invariants::Executor {
             location: per_location(n),
-            cell: setup::cell(n, day),
+            cell: setup::cell(n, scenario),
         })
         .collect();
     let records = rehearsal.stage.records();
-    let rollout = rehearsal.rolling.as_ref().map(|r| r.seen(&records));
+    let rollout = rehearsal
+        .rolling
+        .as_ref()
+        .map(|record| record.seen(&records));
     let mut limits = rehearsal.limits.clone();
     limits.max_transit_time += rehearsal.lag.get();
     let (roster, relists) = (rehearsal.roster.clone(), rehearsal.relists.get());
@@ -206,7 +209,7 @@
     async fn start_all(&self) -> io::Result<()> {
         eprintln!(
             "starting {} front ends and {} executors",
-            self.day.front_ends, self.day.executors
+            self.scenario.front_ends, self.scenario.executors
         );
         if let Some(rolling) = &self.rolling {
             rolling.start(&self.file)?;
@@ -227,9 +230,9 @@
 
     /// Starts all parts of the script of a day that begins at a time.
     fn start_script(self: &Rc<Self>, from: f64, violation: Option<u8>) {
-        let (length, rate) = (self.day.length, self.day.rate);
-        for trouble in self.day.troubles.clone() {
-            self.perform_later(from, trouble);
+        let (length, rate) = (self.scenario.length, self.scenario.rate);
+        for fault in self.scenario.faults.clone() {
+            self.perform_later(from, fault);
         }
         if let Some(rule) = violation.filter(|rule| *rule <= 5) {
             let rehearsal = self.clone();
@@ -281,7 +284,7 @@
             self.store.refused.get()
         )];
         for fe in &self.front_ends {
-            match standing(fe.at).await {
+            match state(fe.at).await {
                 Ok(text) => {
                     let v: serde_json::Value = serde_json::from_str(&text).unwrap_or_default();
                     let relists = v
@@ -320,11 +323,15 @@
         loop {
             self.stage.sleep(2.0).await;
             let now = self.stage.now() - from;
-            let on: Vec<_> = (self.day.troubles.iter())
-                .filter(|t| t.at <= now && now < t.at + t.lasts)
+            let on: Vec<_> = (self.scenario.faults.iter())
+                .filter(|t| t.at <= now && now < t.at + t.duration)
                 .map(|t| t.kind.name())
                 .collect();
-            eprintln!("{now:>5.1} of {:.0} s: {}", self.day.length, on.join(", "));
+            eprintln!(
+                "{now:>5.1} of {:.0} s: {}",
+                self.scenario.length,
+                on.join(", ")
+            );
         }
     }
 }
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -1,7 +1,7 @@
 //! Front ends as processes of their own: started, killed, ended and replaced.
 
 use super::{FrontEnd, NOTICE, Rehearsal, START_TIME};
-use crate::rehearse::day::Trouble;
+use crate::rehearse::scenario::ScheduledFault;
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_invariants::TrafficRecord;
@@ -30,7 +30,7 @@
         if fe.step != 0.0 {
             command.args([
                 "--clock-step",
-                &format!("{},{}", self.day.length / 2.0, fe.step),
+                &format!("{},{}", self.scenario.length / 2.0, fe.step),
             ]);
         }
         *fe.child.borrow_mut() = Some(command.spawn()?);
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(super) async fn kill_front_ends(self: &Rc<Self>, t: &Trouble) {
+    pub(super) async fn kill_front_ends(self: &Rc<Self>, t: &ScheduledFault) {
         let some = self.some(&self.front_ends, t.size, |f| f.used.get());
         for fe in &some {
             self.stage.record(TrafficRecord::FrontEndKilled {
@@ -84,7 +84,7 @@
         }
         self.stage.sleep(NOTICE).await;
         some.iter().for_each(|fe| fe.used.set(false));
-        self.stage.sleep((t.lasts - NOTICE).max(0.1)).await;
+        self.stage.sleep((t.duration - NOTICE).max(0.1)).await;
         for fe in &some {
             self.again(fe).await;
         }
@@ -101,7 +101,7 @@
         }
     }
 
-    pub(super) async fn roll_front_ends(self: &Rc<Self>, t: &Trouble) {
+    pub(super) async fn roll_front_ends(self: &Rc<Self>, t: &ScheduledFault) {
         let some = self.some(&self.front_ends, t.size, |f| f.used.get());
         for fe in some {
             if self.front_ends.iter().filter(|f| f.used.get()).count() < 2 {
@@ -113,10 +113,10 @@
                 continue;
             };
             // By the tool that every system has, since the standard library sends no other signal.
-            let told = Command::new("kill")
+            let notified = Command::new("kill")
                 .args(["-TERM", &child.id().to_string()])
                 .status();
-            if !told.is_ok_and(|s| s.success()) {
+            if !notified.is_ok_and(|s| s.success()) {
                 eprintln!("front end {} could not be told to end", fe.index);
             }
             let until = self.stage.now() + 8.0;
@@ -138,7 +138,7 @@
 }
 
 /// What a front end says of itself, as JSON.
-pub(super) async fn standing(at: SocketAddr) -> Result<String, Box<dyn std::error::Error>> {
+pub(super) async fn state(at: SocketAddr) -> Result<String, Box<dyn std::error::Error>> {
     use http_body_util::{BodyExt, Empty};
     let stream = orchidtally_socket_io::connect(at, Duration::from_secs(1)).await?;
     let (mut sender, driver) =
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -1,10 +1,10 @@
 //! Sets a rehearsal up: the deployment file that front ends read, executors, the roster's source and front ends.
 
 use super::{FrontEnd, Options, Rehearsal, TRANSIT};
-use crate::rehearse::day::Day;
+use crate::rehearse::endpoints::Roster;
 use crate::rehearse::messages::Messages;
 use crate::rehearse::rolling::Rolling;
-use crate::rehearse::roster::Roster;
+use crate::rehearse::scenario::Scenario;
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{DeduplicationScope, EndpointState, Idempotency, Limits, TriggerType};
 use orchidtally_test_servers::client::TestClient;
@@ -26,8 +26,8 @@
 const COPY_MB: f64 = 100.0;
 
 /// The deployment file that front ends read.
-fn description(day: &Day, source: &str, sections: &str) -> String {
-    let locations: Vec<String> = (0..day.locations)
+fn description(scenario: &Scenario, source: &str, sections: &str) -> String {
+    let locations: Vec<String> = (0..scenario.locations)
         .map(|n| format!("\"room-{n}\""))
         .collect();
     format!(
@@ -56,8 +56,8 @@
 }}
 "#,
         locations = locations.join(", "),
-        count = day.front_ends,
-        skew = (day.clock_skew * 1e3).ceil(),
+        count = scenario.front_ends,
+        skew = (scenario.clock_skew * 1e3).ceil(),
     )
 }
 
@@ -113,8 +113,8 @@
 }
 
 /// The cell of an executor. Executors are dealt to locations in turn; cells are pairs within a location.
-pub(super) fn cell(n: usize, day: &Day) -> u32 {
-    let locations = day.locations as usize;
+pub(super) fn cell(n: usize, scenario: &Scenario) -> u32 {
+    let locations = scenario.locations as usize;
     ((n / locations / 2) * locations + n % locations) as u32
 }
 
@@ -160,17 +160,17 @@
 
 fn start_executors(
     stage: &TestEnvironment,
-    day: &Day,
+    scenario: &Scenario,
     store: &Rc<PackageStore>,
     catalogue: &Catalogue,
 ) -> io::Result<Vec<Rc<Executor>>> {
     let mut tokens: HashMap<u32, Rc<TokenCache>> = HashMap::new();
     let mut executors = vec![];
-    for number in 0..day.executors {
+    for number in 0..scenario.executors {
         let around = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
-            token_cache: tokens.entry(cell(number, day)).or_default().clone(),
+            token_cache: tokens.entry(cell(number, scenario)).or_default().clone(),
             deduplication_window: 3.0,
         };
         executors.push(Executor::start(
@@ -184,14 +184,14 @@
 }
 
 /// An executor's row in the publisher's list.
-fn row(executor: &Executor, day: &Day) -> PublishedEndpoint {
+fn row(executor: &Executor, scenario: &Scenario) -> PublishedEndpoint {
     let number = executor.make.number;
     PublishedEndpoint {
         executor: number,
         address: executor.address,
-        location: format!("room-{}", number as u32 % day.locations),
+        location: format!("room-{}", number as u32 % scenario.locations),
         kind: "box".into(),
-        cell: cell(number, day),
+        cell: cell(number, scenario),
         weight: 1.0,
         state: EndpointState::Ready,
         started_at: f64::NEG_INFINITY,
@@ -199,15 +199,15 @@
 }
 
 /// Front ends that are not started yet, with their clients. Their wall clocks are spread over the day's skew.
-fn front_ends(stage: &TestEnvironment, day: &Day) -> io::Result<Vec<Rc<FrontEnd>>> {
+fn front_ends(stage: &TestEnvironment, scenario: &Scenario) -> io::Result<Vec<Rc<FrontEnd>>> {
     let mut front_ends = vec![];
-    for n in 0..day.front_ends as usize {
+    for n in 0..scenario.front_ends as usize {
         let (index, at) = (n as u32, reserve_address()?);
         let callers = (0..4)
             .map(|c| TestClient::new(stage, 10 * index + c, index, at, c == 3))
             .collect();
-        let spread = if day.front_ends > 1 {
-            n as f64 / f64::from(day.front_ends - 1)
+        let spread = if scenario.front_ends > 1 {
+            n as f64 / f64::from(scenario.front_ends - 1)
         } else {
             0.0
         };
@@ -217,17 +217,19 @@
             child: RefCell::default(),
             used: Cell::new(true),
             callers,
-            ahead: day.clock_skew * (spread - 0.5),
-            step: if n == 0 { day.clock_step } else { 0.0 },
+            ahead: scenario.clock_skew * (spread - 0.5),
+            step: if n == 0 { scenario.clock_step } else { 0.0 },
         }));
     }
     Ok(front_ends)
 }
 
 /// The list of executors in etcd.
-fn etcd_roster(stage: &TestEnvironment, day: &Day) -> io::Result<Rc<Roster>> {
-    let day = day.clone();
-    Roster::new(stage, move |n| (n as u32 % day.locations, cell(n, &day)))
+fn etcd_roster(stage: &TestEnvironment, scenario: &Scenario) -> io::Result<Rc<Roster>> {
+    let scenario = scenario.clone();
+    Roster::new(stage, move |n| {
+        (n as u32 % scenario.locations, cell(n, &scenario))
+    })
 }
 
 /// Where the deployment file of a rehearsal is written.
@@ -239,7 +241,7 @@
 /// Sets a rehearsal up; front ends are not started yet.
 pub(super) fn set_up(
     stage: TestEnvironment,
-    day: &Day,
+    scenario: &Scenario,
     options: &Options,
 ) -> io::Result<Rc<Rehearsal>> {
     let store = PackageStore::new(&stage, 12.0, 48);
@@ -253,14 +255,14 @@
     } else {
         None
     };
-    let executors = start_executors(&stage, day, &store, &catalogue(rolling.clone()))?;
+    let executors = start_executors(&stage, scenario, &store, &catalogue(rolling.clone()))?;
     let rows = executors
         .iter()
-        .map(|executor| row(executor, day))
+        .map(|executor| row(executor, scenario))
         .collect();
     let publisher = Publisher::start(&stage, unused_address(), rows)?;
     let roster = if options.etcd {
-        Some(etcd_roster(&stage, day)?)
+        Some(etcd_roster(&stage, scenario)?)
     } else {
         None
     };
@@ -276,14 +278,14 @@
         .as_ref()
         .map(|messages| messages.description())
         .unwrap_or_default();
-    let text = description(day, &source, &sections);
+    let text = description(scenario, &source, &sections);
     let deployment = Deployment::parse(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
     let file = deployment_path(options.seed);
     std::fs::write(&file, text)?;
     Ok(Rc::new(Rehearsal {
-        front_ends: front_ends(&stage, day)?,
+        front_ends: front_ends(&stage, scenario)?,
         stage,
-        day: day.clone(),
+        scenario: scenario.clone(),
         seed: options.seed,
         log: options.front_end_log.clone(),
         file,
@@ -292,7 +294,7 @@
         store,
         publisher,
         executors,
-        short_patience: Default::default(),
+        impatient: Default::default(),
         hot: Default::default(),
         one_offs: Default::default(),
         shifted: Default::default(),
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -11,12 +11,12 @@
     /// The traffic rises before the day begins, so that it finds copies loaded; then it is even.
     pub(super) async fn traffic(self: Rc<Self>, from: f64) {
         let mut next = self.stage.now();
-        let end = from + self.day.length;
+        let end = from + self.scenario.length;
         while next < end {
             self.stage.sleep(next - self.stage.now()).await;
             self.offer_one();
             let risen = (1.0 - (from - next) / WARM_UP).clamp(0.1, 1.0);
-            next += -(1.0 - self.stage.unit()).ln() / (risen * self.day.rate);
+            next += -(1.0 - self.stage.unit()).ln() / (risen * self.scenario.rate);
         }
     }
 
@@ -34,7 +34,7 @@
         if self.one_offs.0.is_active(now) && self.drawn(self.one_offs.1.get()) {
             return format!("once-{}", self.names.get());
         }
-        let n = (self.day.functions as f64).powf(s.unit()) as usize - 1;
+        let n = (self.scenario.functions as f64).powf(s.unit()) as usize - 1;
         format!("fn-{n}")
     }
 
@@ -48,7 +48,7 @@
         let ty = ty.unwrap_or(0);
         let kind = &self.limits.trigger_types[ty];
         let timeout = self.deployment.policy.trigger_types[ty].client_timeout;
-        let short = self.short_patience.0.is_active(now) && self.drawn(self.short_patience.1.get());
+        let short = self.impatient.0.is_active(now) && self.drawn(self.impatient.1.get());
         let time_left = if short {
             0.35 + 0.5 * self.stage.unit()
         } else {
@@ -88,13 +88,13 @@
     /// some clients do without end.
     async fn invoke(&self, mut ask: ClientRequest, effect: Idempotency) {
         let began = self.stage.now();
-        let patience = ask.time_left;
+        let timeout = ask.time_left;
         let abuses = self.repeating.0.is_active(began) && self.drawn(self.repeating.1.get());
         let mut tries = if abuses { 8 } else { 2 };
         loop {
             let Some(caller) = self.caller() else { return };
-            let heard = caller.invoke(&ask).await;
-            let (again, pause) = match &heard {
+            let received = caller.invoke(&ask).await;
+            let (again, pause) = match &received {
                 ClientOutcome::Answered {
                     answer: FinalAnswer::Succeeded | FinalAnswer::NotAdmitted,
                     ..
@@ -113,7 +113,7 @@
                 }
             };
             let pause = if abuses { 0.01 } else { pause };
-            let left = began + patience - self.stage.now() - pause;
+            let left = began + timeout - self.stage.now() - pause;
             tries -= 1;
             if !again || tries == 0 || left < 0.3 {
                 return;
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -24,7 +24,7 @@
 pub const FUNCTION: &str = "mist";
 const OLD: &[u8] = b"mist, first version";
 const NEW: &[u8] = b"mist, second version";
-const PATIENCE: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 const NEVER: &str = "never started";
 /// Within this a rollout that is taken back has to be at an end everywhere, in seconds.
 const BACK_WITHIN: f64 = 5.0;
@@ -72,7 +72,7 @@
 
 /// What came of the rollout.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Seen {
+pub struct Observed {
     pub state: String,
     /// From the moment at which it was taken back until the last invocation offered after it that came to the
     /// new version; none where it was not taken back.
@@ -81,10 +81,10 @@
     /// Dispatches of the new version that ran.
     pub ran_new: u64,
     #[serde(skip)]
-    pub told: Vec<String>,
+    pub notified: Vec<String>,
 }
 
-impl Seen {
+impl Observed {
     /// Whether it came to the end that it should.
     pub fn is_well(&self) -> bool {
         // A rehearsal whose rollout never began has tried nothing.
@@ -221,7 +221,7 @@
 
     async fn order(&self, order: &OperatorRequest) -> Result<(), String> {
         let body = serde_json::to_vec(order).map_err(|e| e.to_string())?;
-        let asked = fetch(self.at, Method::POST, "/v1/rollouts/orders", body, PATIENCE).await;
+        let asked = fetch(self.at, Method::POST, "/v1/rollouts/orders", body, TIMEOUT).await;
         let (status, body) = asked.map_err(|e| e.to_string())?;
         if status.is_success() {
             Ok(())
@@ -247,7 +247,7 @@
 
     async fn look(&self) {
         let path = format!("/v1/rollouts/{}/history", self.name);
-        if let Ok((status, body)) = fetch(self.at, Method::GET, &path, vec![], PATIENCE).await
+        if let Ok((status, body)) = fetch(self.at, Method::GET, &path, vec![], TIMEOUT).await
             && status.is_success()
             && let Ok(history) = serde_json::from_slice::<Vec<Event>>(&body)
         {
@@ -294,7 +294,7 @@
         self.look().await;
     }
 
-    pub fn seen(&self, records: &[TrafficRecord]) -> Seen {
+    pub fn seen(&self, records: &[TrafficRecord]) -> Observed {
         let history = self.history.borrow();
         let state = history.last().map_or(NEVER, |e| e.phase.name()).to_owned();
         // The coordinator's clock is the machine's; the records' began with the stage.
@@ -302,13 +302,13 @@
             .iter()
             .find(|e| e.phase == orchidtally_rollout::Phase::RolledBack);
         let back = back.map(|e| e.at - self.stage.wall(0.0));
-        let mut seen = Seen {
+        let mut seen = Observed {
             state,
-            ..Seen::default()
+            ..Observed::default()
         };
-        let offered: HashMap<&str, f64> = records
+        let sent: HashMap<&str, f64> = records
             .iter()
-            .filter_map(|r| match r {
+            .filter_map(|record| match record {
                 TrafficRecord::InvocationSent { at, invocation, .. } => {
                     Some((invocation.as_str(), *at))
                 }
@@ -316,30 +316,30 @@
             })
             .collect();
         let (new, mut last) = (digest(NEW), 0.0f64);
-        for r in records {
+        for record in records {
             let TrafficRecord::VersionExecuted {
                 invocation,
                 requested_digest: named,
                 loaded_digest: loaded,
                 ..
-            } = r
+            } = record
             else {
                 continue;
             };
             seen.digest_mismatches += u64::from(named != loaded);
             if *named == new {
                 seen.ran_new += 1;
-                last = last.max(offered.get(invocation.as_str()).copied().unwrap_or(0.0));
+                last = last.max(sent.get(invocation.as_str()).copied().unwrap_or(0.0));
             }
         }
         seen.back_in_s = back.map(|back| (last - back).max(0.0));
         let first = history.first().map_or(0.0, |e| e.at);
-        seen.told = history
+        seen.notified = history
             .iter()
             .map(|e| format!("{:>6.2} s  {}: {}", e.at - first, e.phase.name(), e.reason))
             .collect();
-        seen.told.extend(self.faults.borrow().iter().cloned());
-        seen.told.push(format!(
+        seen.notified.extend(self.faults.borrow().iter().cloned());
+        seen.notified.push(format!(
             "{} dispatches of the new version ran",
             seen.ran_new
         ));
