--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -208,7 +208,7 @@
         ("tags", "memory_mb:512;lanes:2;load_ms:20"),
     ];
     let mut out = vec![];
-    frames::put(&mut out, frames::INVOKE, stream, None, Some(&fields), body);
+    frames::write_frame(&mut out, frames::INVOKE, stream, None, Some(&fields), body);
     out
 }
 
@@ -222,7 +222,7 @@
     if frame.len() == 5 {
         return Some((frame[0], stream, 0, vec![]));
     }
-    let (_, body) = frames::fields(&frame[6..]).unwrap();
+    let (_, body) = frames::parse_fields(&frame[6..]).unwrap();
     Some((frame[0], stream, frame[5], body.to_vec()))
 }
 
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -18,10 +18,10 @@
     let front = start("calm");
     let mut client = front.client();
     let mut ready = vec![];
-    frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
+    frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     assert_eq!(
         ask(&mut client, &ready),
-        (frames::READY, 0, frames::IS_READY, vec![])
+        (frames::READINESS, 0, frames::READY_CODE, vec![])
     );
     for (n, body) in [
         (1, &b""[..]),
@@ -34,7 +34,7 @@
         );
         assert_eq!(
             answer,
-            (frames::ANSWER, n, frames::SUCCEEDED, body.to_vec())
+            (frames::RESPONSE, n, frames::SUCCEEDED, body.to_vec())
         );
         let [sent] = front
             .dispatches(&id(n.into()))
@@ -57,7 +57,7 @@
     ];
     for (n, bad) in (4..).zip(unusable) {
         let (kind, stream, code, _) = ask(&mut client, &bad);
-        assert_eq!((kind, stream, code), (frames::ANSWER, n, frames::ERRORED));
+        assert_eq!((kind, stream, code), (frames::RESPONSE, n, frames::ERRORED));
         assert!(
             front.dispatches(&id(n.into())).is_empty(),
             "nothing unusable reaches an executor"
@@ -127,13 +127,13 @@
     );
     assert_eq!(answer.2, frames::ERRORED);
     let mut withdrawal = vec![];
-    frames::put(&mut withdrawal, frames::WITHDRAW, 1, None, None, &[]);
+    frames::write_frame(&mut withdrawal, frames::CANCEL, 1, None, None, &[]);
     one.write_all(&withdrawal).unwrap();
     // No answer is owed for it; the next is that of another stream, and the id is free again.
     let answer = ask(&mut one, &invocation(2, &id(1), "command", CALM, b"again"));
     assert_eq!(
         answer,
-        (frames::ANSWER, 2, frames::SUCCEEDED, b"again".to_vec())
+        (frames::RESPONSE, 2, frames::SUCCEEDED, b"again".to_vec())
     );
 }
 
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -147,9 +147,9 @@
     idle.extend((0..100).map(|_| front.client()));
     let begun = Instant::now();
     let mut ready = vec![];
-    frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
+    frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     let mut new = front.client();
-    assert_eq!(ask(&mut new, &ready).2, frames::IS_READY);
+    assert_eq!(ask(&mut new, &ready).2, frames::READY_CODE);
     assert_eq!(
         ask(&mut new, &invocation(1, &id(3), "read", CALM, b"")).2,
         frames::SUCCEEDED
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -100,9 +100,9 @@
     let _ = stream.read(&mut invocation).await.unwrap();
     let mut out = vec![];
     (0..times).for_each(|_| {
-        frames::put(
+        frames::write_frame(
             &mut out,
-            frames::ANSWER,
+            frames::RESPONSE,
             1,
             Some(frames::ERRORED),
             Some(&[]),
--- a/crates/cli/tests/platform_end.rs
+++ b/crates/cli/tests/platform_end.rs
@@ -24,22 +24,22 @@
     );
     front.signal("TERM");
     let mut ready = vec![];
-    frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
+    frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     let begun = Instant::now();
-    while ask(&mut client, &ready).2 == frames::IS_READY {
+    while ask(&mut client, &ready).2 == frames::READY_CODE {
         assert!(
             begun.elapsed() < Duration::from_secs(5),
             "it heard nothing of the signal"
         );
     }
     let mut late = front.client();
-    assert_eq!(ask(&mut late, &ready).2, frames::NOT_READY);
+    assert_eq!(ask(&mut late, &ready).2, frames::NOT_READY_CODE);
     assert_eq!(
         ask(&mut late, &invocation(1, &id(2), "read", CALM, b"")).2,
         frames::SUCCEEDED,
         "served for a while"
     );
-    assert_eq!(next(&mut late), Some((frames::NO_MORE, 0, 0, vec![])));
+    assert_eq!(next(&mut late), Some((frames::GO_AWAY, 0, 0, vec![])));
     assert_eq!(front.process.wait().unwrap().code(), Some(0));
 }
 
@@ -80,11 +80,11 @@
         );
         assert_eq!(
             answer,
-            (frames::ANSWER, 1, frames::SUCCEEDED, b"early".to_vec()),
+            (frames::RESPONSE, 1, frames::SUCCEEDED, b"early".to_vec()),
             "{signals:?}"
         );
         if ends {
-            assert_eq!(next(&mut client), Some((frames::NO_MORE, 0, 0, vec![])));
+            assert_eq!(next(&mut client), Some((frames::GO_AWAY, 0, 0, vec![])));
             assert_eq!(front.process.wait().unwrap().code(), Some(0), "{signals:?}");
         } else {
             std::thread::sleep(Duration::from_millis(1_000));
@@ -111,14 +111,14 @@
     front.signal("HUP");
     front.signal("TERM");
     let answer = next(&mut client).expect("an answer");
-    let answer = if answer.0 == frames::NO_MORE {
+    let answer = if answer.0 == frames::GO_AWAY {
         next(&mut client).expect("an answer")
     } else {
         answer
     };
     assert_eq!(
         answer,
-        (frames::ANSWER, 1, frames::SUCCEEDED, b"out".to_vec())
+        (frames::RESPONSE, 1, frames::SUCCEEDED, b"out".to_vec())
     );
     assert_eq!(front.process.wait().unwrap().code(), Some(0));
 }
@@ -138,7 +138,7 @@
     std::thread::sleep(Duration::from_millis(705));
     let asked = Instant::now();
     let late = ask(&mut other, &invocation(2, &id(2), "read", SLOW, b""));
-    let late = if late.0 == frames::NO_MORE {
+    let late = if late.0 == frames::GO_AWAY {
         next(&mut other).expect("an answer")
     } else {
         late
@@ -152,7 +152,7 @@
         asked.elapsed() < Duration::from_millis(600),
         "at once, though it would take 0.9 s"
     );
-    assert_eq!(next(&mut client), Some((frames::NO_MORE, 0, 0, vec![])));
+    assert_eq!(next(&mut client), Some((frames::GO_AWAY, 0, 0, vec![])));
     for n in 1..=40 {
         let quiet = Instant::now();
         std::thread::sleep(Duration::from_millis(15));
--- a/crates/platform-client-protocol/src/lib.rs
+++ b/crates/platform-client-protocol/src/lib.rs
@@ -13,23 +13,23 @@
 const MAX_BUFFERED_LENGTH: usize = 2 * MAX_BODY_LENGTH;
 
 pub const INVOKE: u8 = 7;
-pub const ANSWER: u8 = 8;
-pub const WITHDRAW: u8 = 9;
-pub const ASK_READY: u8 = 1;
-pub const READY: u8 = 2;
-pub const NO_MORE: u8 = 3;
+pub const RESPONSE: u8 = 8;
+pub const CANCEL: u8 = 9;
+pub const READINESS_QUERY: u8 = 1;
+pub const READINESS: u8 = 2;
+pub const GO_AWAY: u8 = 3;
 
 pub const SUCCEEDED: u8 = 1;
 pub const THROTTLED: u8 = 2;
 pub const ERRORED: u8 = 3;
-pub const IS_READY: u8 = 1;
-pub const NOT_READY: u8 = 2;
+pub const READY_CODE: u8 = 1;
+pub const NOT_READY_CODE: u8 = 2;
 
 /// Why bytes can't be read; nothing on that connection can be from here on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.0)
     }
@@ -66,22 +66,22 @@
     }
 
     /// A frame has begun that is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_frame(&self) -> bool {
         self.over > 0 || self.at < self.bytes.len()
     }
 
     /// The next frame that has come whole; one too long to keep as soon as its head has.
-    pub fn read(&mut self) -> Result<Option<Frame<'_>>, Unreadable> {
+    pub fn next_frame(&mut self) -> Result<Option<Frame<'_>>, ProtocolError> {
         let left = self.bytes.len() - self.at;
         if left < 4 {
             return Ok(self.starve());
         }
         let length = word(&self.bytes[self.at..]) as usize;
         if length < MIN_FRAME_LENGTH {
-            return Err(Unreadable("the length of a frame is under 5"));
+            return Err(ProtocolError("the length of a frame is under 5"));
         }
         if length > MAX_FRAME_LENGTH {
-            return Err(Unreadable("the length of a frame is over 262144"));
+            return Err(ProtocolError("the length of a frame is over 262144"));
         }
         if left < 4 + MIN_FRAME_LENGTH {
             return Ok(self.starve());
@@ -122,20 +122,20 @@
 pub type Fields<'a> = Vec<(&'a str, &'a str)>;
 
 /// The fields at the front of a payload, and what follows them.
-pub fn fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), Unreadable> {
-    let cut = Unreadable("the fields are cut short");
+pub fn parse_fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), ProtocolError> {
+    let cut = ProtocolError("the fields are cut short");
     let (&count, mut rest) = payload.split_first().ok_or(cut)?;
     let mut text = |width: usize| {
         let (size, behind) = rest.split_at_checked(width).ok_or(cut)?;
         let (text, behind) = behind.split_at_checked(word(size) as usize).ok_or(cut)?;
         rest = behind;
-        std::str::from_utf8(text).map_err(|_| Unreadable("a field is not text"))
+        std::str::from_utf8(text).map_err(|_| ProtocolError("a field is not text"))
     };
     let all = (0..count)
         .map(|_| Ok((text(1)?, text(2)?)))
         .collect::<Result<Vec<_>, _>>()?;
     if (1..all.len()).any(|n| all[..n].iter().any(|f| f.0 == all[n].0)) {
-        return Err(Unreadable("a field stands twice"));
+        return Err(ProtocolError("a field stands twice"));
     }
     Ok((all, rest))
 }
@@ -152,7 +152,7 @@
 }
 
 /// Writes a frame: a code where it has one, fields where it has them, then a body.
-pub fn put(
+pub fn write_frame(
     out: &mut Vec<u8>,
     kind: u8,
     stream: u32,
--- a/crates/platform-client-protocol/tests/frames.rs
+++ b/crates/platform-client-protocol/tests/frames.rs
@@ -3,7 +3,7 @@
 
 /// What a decoder reads when the bytes come in these pieces: kind, stream and payload of each frame, then the
 /// fault that ended it.
-type Read = (Vec<(u8, u32, Option<Vec<u8>>)>, Option<Unreadable>);
+type Read = (Vec<(u8, u32, Option<Vec<u8>>)>, Option<ProtocolError>);
 
 fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Read {
     let mut decoder = Decoder::default();
@@ -11,7 +11,7 @@
     for piece in pieces {
         decoder.push(piece);
         loop {
-            match decoder.read() {
+            match decoder.next_frame() {
                 Ok(Some(f)) => frames.push((f.kind, f.stream, f.payload.map(<[u8]>::to_vec))),
                 Ok(None) => break,
                 Err(fault) => return (frames, Some(fault)),
@@ -23,7 +23,7 @@
 
 fn invoke(stream: u32, body: &[u8]) -> Vec<u8> {
     let mut out = vec![];
-    put(
+    write_frame(
         &mut out,
         INVOKE,
         stream,
@@ -42,7 +42,7 @@
         let (kind, stream, payload) = &frames[0];
         assert_eq!((*kind, *stream), (INVOKE, 5));
         let payload = payload.as_deref().expect("it is short enough");
-        let (fields, rest) = fields(payload).expect("its fields are sound");
+        let (fields, rest) = parse_fields(payload).expect("its fields are sound");
         assert_eq!(
             fields,
             [("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]
@@ -54,9 +54,9 @@
 #[test]
 fn the_bytes_are_those_of_the_protocol() {
     let mut out = vec![];
-    put(
+    write_frame(
         &mut out,
-        ANSWER,
+        RESPONSE,
         0x0102_0304,
         Some(THROTTLED),
         Some(&[("cooldown", "250")]),
@@ -67,7 +67,7 @@
         b"\x00\x00\x00\x15\x08\x01\x02\x03\x04\x02\x01\x08cooldown\x00\x03250"[..].to_vec()
     );
     out.clear();
-    put(&mut out, NO_MORE, 0, None, None, b"");
+    write_frame(&mut out, GO_AWAY, 0, None, None, b"");
     assert_eq!(out, b"\x00\x00\x00\x05\x03\x00\x00\x00\x00");
 }
 
@@ -104,7 +104,7 @@
     let mut decoder = Decoder::default();
     decoder.push(&bytes);
     assert_eq!(
-        decoder.read(),
+        decoder.next_frame(),
         Ok(Some(Frame {
             kind: INVOKE,
             stream: 3,
@@ -112,23 +112,26 @@
         }))
     );
     for _ in 0..MAX_FRAME_LENGTH - 5 {
-        assert!(decoder.is_within());
+        assert!(decoder.has_partial_frame());
         decoder.push(&[0xee]);
-        assert_eq!(decoder.read(), Ok(None));
+        assert_eq!(decoder.next_frame(), Ok(None));
     }
-    assert!(!decoder.is_within());
+    assert!(!decoder.has_partial_frame());
     decoder.push(&invoke(4, b"next"));
-    assert_eq!(decoder.read().map(|f| f.map(|f| f.stream)), Ok(Some(4)));
+    assert_eq!(
+        decoder.next_frame().map(|f| f.map(|f| f.stream)),
+        Ok(Some(4))
+    );
 }
 
 #[test]
 fn fields_that_are_not_whole_or_not_text_are_told() {
     let sound = &invoke(1, b"")[9..];
     for cut in 0..sound.len() {
-        assert!(fields(&sound[..cut]).is_err(), "cut at {cut}");
+        assert!(parse_fields(&sound[..cut]).is_err(), "cut at {cut}");
     }
-    assert!(fields(b"\x01\x01\xff\x00\x00").is_err());
-    assert!(fields(b"\x02\x01a\x00\x00\x01a\x00\x00").is_err());
+    assert!(parse_fields(b"\x01\x01\xff\x00\x00").is_err());
+    assert!(parse_fields(b"\x02\x01a\x00\x00\x01a\x00\x00").is_err());
 }
 
 proptest! {
@@ -136,6 +139,6 @@
     fn no_bytes_in_no_pieces_upset_it(bytes in prop::collection::vec(any::<u8>(), 0..600), size in 1usize..50) {
         let whole = read([bytes.as_slice()]);
         prop_assert_eq!(read(bytes.chunks(size)), whole);
-        let _ = fields(&bytes);
+        let _ = parse_fields(&bytes);
     }
 }
--- a/crates/platform-client-protocol/tests/stored_formats.rs
+++ b/crates/platform-client-protocol/tests/stored_formats.rs
@@ -2,8 +2,8 @@
 //! must not be changed.
 
 use orchidtally_platform_client_protocol::{
-    ANSWER, ASK_READY, Decoder, ERRORED, INVOKE, IS_READY, NO_MORE, NOT_READY, READY, SUCCEEDED,
-    THROTTLED, WITHDRAW, fields, put,
+    CANCEL, Decoder, ERRORED, GO_AWAY, INVOKE, NOT_READY_CODE, READINESS, READINESS_QUERY,
+    READY_CODE, RESPONSE, SUCCEEDED, THROTTLED, parse_fields, write_frame,
 };
 
 /// A frame, and what it is written from.
@@ -26,7 +26,7 @@
         bytes: b"\x00\x00\x00\x30\x07\x00\x00\x00\x01\x03\x07service\x00\x08setpoint\x03ref\x00\x049b1f\x05empty\x00\x00body\x00\xff",
     },
     Example {
-        kind: ANSWER,
+        kind: RESPONSE,
         stream: 0x0102_0304,
         code: Some(SUCCEEDED),
         fields: Some(&[]),
@@ -34,7 +34,7 @@
         bytes: b"\x00\x00\x00\x0b\x08\x01\x02\x03\x04\x01\x00done",
     },
     Example {
-        kind: ANSWER,
+        kind: RESPONSE,
         stream: 2,
         code: Some(THROTTLED),
         fields: Some(&[("cooldown", "250")]),
@@ -42,7 +42,7 @@
         bytes: b"\x00\x00\x00\x15\x08\x00\x00\x00\x02\x02\x01\x08cooldown\x00\x03250",
     },
     Example {
-        kind: ANSWER,
+        kind: RESPONSE,
         stream: 3,
         code: Some(ERRORED),
         fields: Some(&[]),
@@ -50,7 +50,7 @@
         bytes: b"\x00\x00\x00\x07\x08\x00\x00\x00\x03\x03\x00",
     },
     Example {
-        kind: WITHDRAW,
+        kind: CANCEL,
         stream: u32::MAX,
         code: None,
         fields: None,
@@ -58,7 +58,7 @@
         bytes: b"\x00\x00\x00\x05\x09\xff\xff\xff\xff",
     },
     Example {
-        kind: ASK_READY,
+        kind: READINESS_QUERY,
         stream: 0,
         code: None,
         fields: None,
@@ -66,23 +66,23 @@
         bytes: b"\x00\x00\x00\x05\x01\x00\x00\x00\x00",
     },
     Example {
-        kind: READY,
+        kind: READINESS,
         stream: 0,
-        code: Some(IS_READY),
+        code: Some(READY_CODE),
         fields: Some(&[]),
         body: b"",
         bytes: b"\x00\x00\x00\x07\x02\x00\x00\x00\x00\x01\x00",
     },
     Example {
-        kind: READY,
+        kind: READINESS,
         stream: 0,
-        code: Some(NOT_READY),
+        code: Some(NOT_READY_CODE),
         fields: Some(&[]),
         body: b"",
         bytes: b"\x00\x00\x00\x07\x02\x00\x00\x00\x00\x02\x00",
     },
     Example {
-        kind: NO_MORE,
+        kind: GO_AWAY,
         stream: 0,
         code: None,
         fields: None,
@@ -95,7 +95,7 @@
 fn each_frame_is_written_as_its_bytes() {
     for example in &EXAMPLES {
         let mut written = vec![];
-        put(
+        write_frame(
             &mut written,
             example.kind,
             example.stream,
@@ -112,7 +112,10 @@
     for example in &EXAMPLES {
         let mut decoder = Decoder::default();
         decoder.push(example.bytes);
-        let frame = decoder.read().expect("it is sound").expect("it is whole");
+        let frame = decoder
+            .next_frame()
+            .expect("it is sound")
+            .expect("it is whole");
         assert_eq!((frame.kind, frame.stream), (example.kind, example.stream));
         let mut payload = frame.payload.expect("it is short enough");
         if let Some(code) = example.code {
@@ -120,7 +123,7 @@
             payload = &payload[1..];
         }
         if let Some(expected) = example.fields {
-            let (read, rest) = fields(payload).expect("its fields are sound");
+            let (read, rest) = parse_fields(payload).expect("its fields are sound");
             assert_eq!(read, expected);
             payload = rest;
         }
--- a/crates/platform-config/src/fault.rs
+++ b/crates/platform-config/src/fault.rs
@@ -7,9 +7,9 @@
     #[error("settings are not JSON: {0}; write them as one JSON object")]
     NotJson(String),
     #[error("settings lack '{key}'; add it")]
-    Lacking { key: String },
+    Missing { key: String },
     #[error("setting '{key}' is not {wanted}; write one")]
-    WrongForm { key: String, wanted: &'static str },
+    WrongType { key: String, wanted: &'static str },
     #[error("setting '{key}' is {value}; {bounds} is wanted")]
     OutOfRange {
         key: String,
@@ -26,7 +26,7 @@
 
 impl SettingsError {
     pub(crate) fn form(key: &str, wanted: &'static str) -> SettingsError {
-        SettingsError::WrongForm {
+        SettingsError::WrongType {
             key: key.into(),
             wanted,
         }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -12,7 +12,7 @@
 fn need<'a>(value: &'a Value, key: &str) -> Result<&'a Value, SettingsError> {
     key.split('.')
         .try_fold(value, |v, k| v.get(k))
-        .ok_or_else(|| SettingsError::Lacking { key: key.into() })
+        .ok_or_else(|| SettingsError::Missing { key: key.into() })
 }
 
 fn number(value: &Value, key: &str) -> Result<f64, SettingsError> {
@@ -225,15 +225,15 @@
     /// Those that have shares; none on some deployments.
     pub customers: Vec<String>,
     pub zones: Vec<String>,
-    pub kinds: Vec<String>,
-    pub report: Vec<String>,
-    pub most_open: usize,
-    pub streams: usize,
-    pub connect_time: f64,
+    pub executor_kinds: Vec<String>,
+    pub load_report_fields: Vec<String>,
+    pub max_open_invocations: usize,
+    pub max_streams_per_connection: usize,
+    pub connect_timeout: f64,
     /// Executors close what was idle for so long.
-    pub idle_close: f64,
+    pub idle_timeout: f64,
     /// An order to load without an answer by then has timed out.
-    pub order_time: f64,
+    pub load_command_timeout: f64,
 }
 
 fn names(value: &Value, key: &str) -> Result<Vec<String>, SettingsError> {
@@ -258,16 +258,17 @@
             .map(|c| text(c, "name").map(str::to_owned))
             .collect::<Result<_, _>>()?,
         zones: names(v, "zones")?,
-        kinds: names(v, "shapes")?,
-        report: if need(v, "feedback.fields").is_ok() {
+        executor_kinds: names(v, "shapes")?,
+        load_report_fields: if need(v, "feedback.fields").is_ok() {
             names(v, "feedback.fields")?
         } else {
             vec![]
         },
-        most_open: within(v, "limits.maxOpen", 1.0, f64::INFINITY)?.min(1e6) as usize,
-        streams: within(v, "limits.streamsPerConn", 1.0, f64::INFINITY)?.min(1e4) as usize,
-        connect_time: seconds(v, "limits.connectTimeout")?,
-        idle_close: seconds(v, "limits.idleClose")?,
-        order_time: amount_or(v, "specifics.answerWithin", f64::INFINITY)? / 1e9,
+        max_open_invocations: within(v, "limits.maxOpen", 1.0, f64::INFINITY)?.min(1e6) as usize,
+        max_streams_per_connection: within(v, "limits.streamsPerConn", 1.0, f64::INFINITY)?.min(1e4)
+            as usize,
+        connect_timeout: seconds(v, "limits.connectTimeout")?,
+        idle_timeout: seconds(v, "limits.idleClose")?,
+        load_command_timeout: amount_or(v, "specifics.answerWithin", f64::INFINITY)? / 1e9,
     })
 }
--- a/crates/platform-config/tests/stored_formats.rs
+++ b/crates/platform-config/tests/stored_formats.rs
@@ -144,19 +144,25 @@
     );
     assert_eq!(settings.customers, ["one", "two"]);
     assert_eq!(
-        (settings.zones, settings.kinds),
+        (settings.zones, settings.executor_kinds),
         (
             vec!["a".into(), "b".into()],
             vec!["std".into(), "big".into()]
         )
     );
-    assert_eq!(settings.report, ["x1", "backlog", "x2"]);
-    assert_eq!((settings.most_open, settings.streams), (1_000, 32));
+    assert_eq!(settings.load_report_fields, ["x1", "backlog", "x2"]);
     assert_eq!(
         (
-            settings.connect_time,
-            settings.idle_close,
-            settings.order_time
+            settings.max_open_invocations,
+            settings.max_streams_per_connection
+        ),
+        (1_000, 32)
+    );
+    assert_eq!(
+        (
+            settings.connect_timeout,
+            settings.idle_timeout,
+            settings.load_command_timeout
         ),
         (0.25, 15.0, 11.0)
     );
--- a/crates/platform-discovery/benches/lists.rs
+++ b/crates/platform-discovery/benches/lists.rs
@@ -6,7 +6,9 @@
 #[path = "../tests/told/mod.rs"]
 mod told;
 
-use orchidtally_platform_discovery::{EndpointView, LocationTable, answer, initial_endpoints};
+use orchidtally_platform_discovery::{
+    EndpointView, LocationTable, initial_endpoints, parse_answer,
+};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -45,8 +47,8 @@
         let start = serde_json::json!({"index": 3, "updates": [{"endpoints": {"whole": true, "hosts": hosts}}]});
         let mut places = LocationTable::default();
         let mut read = |bytes: &[u8]| {
-            let list = answer(black_box(bytes), 7, &mut places).expect("a sound list");
-            assert_eq!(list.entries.len(), executors);
+            let list = parse_answer(black_box(bytes), 7, &mut places).expect("a sound list");
+            assert_eq!(list.endpoints.len(), executors);
             list
         };
         let (held, mut view) = (read(&plain), EndpointView::new(0.0, 0, &[]));
@@ -61,7 +63,7 @@
             ("taken again", compressed.len(), {
                 least(rounds, || {
                     now += 0.2;
-                    _ = black_box(view.take(now, now, &held));
+                    _ = black_box(view.apply_list(now, now, &held));
                 })
             }),
             ("of a start", start.to_string().len(), {
--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -14,7 +14,7 @@
     /// The serial of the SOA record.
     pub serial: u32,
     /// Every executor on the list.
-    pub entries: Vec<DiscoveredEndpoint>,
+    pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
 /// An executor's standing, where the rest of its row could not be read.
@@ -23,7 +23,7 @@
     /// The executor's id.
     pub name: String,
     /// Ready or draining.
-    pub standing: EndpointState,
+    pub state: EndpointState,
 }
 
 /// A list that names every executor and its standing, some of them with rows that could not be read.
@@ -32,19 +32,19 @@
     /// The serial of the SOA record.
     pub serial: u32,
     /// The executors whose rows could be read.
-    pub entries: Vec<DiscoveredEndpoint>,
+    pub endpoints: Vec<DiscoveredEndpoint>,
     /// The others.
-    pub odd: Vec<EndpointStateOnly>,
+    pub state_only: Vec<EndpointStateOnly>,
     /// Locations and kinds with those that the entries name; to be taken over together with these.
-    pub places: LocationTable,
+    pub locations: LocationTable,
 }
 
 /// Why an answer is no whole list.
 #[derive(Clone, Debug, Error)]
-pub enum AnswerFault {
+pub enum AnswerError {
     /// The bytes are no DNS message.
     #[error("unreadable: {0}; see what lies between here and the resolver")]
-    Unreadable(String),
+    Malformed(String),
     /// It has another id, asks instead of answering, or answers another question.
     #[error("not the answer to what was asked; see who else sends from the resolver's address")]
     Foreign,
@@ -62,7 +62,7 @@
     NoLocation,
     /// The standing of every executor could be read, but not every row.
     #[error("{why}; correct that row at the resolver")]
-    OddRow {
+    InvalidRecord {
         /// What is wrong with the first such row.
         why: String,
         /// What could be read.
@@ -74,8 +74,8 @@
 ///
 /// # Errors
 /// The name of the service is none.
-pub fn query(id: u16) -> Result<Vec<u8>, AnswerFault> {
-    let unreadable = |e: simple_dns::SimpleDnsError| AnswerFault::Unreadable(e.to_string());
+pub fn build_query(id: u16) -> Result<Vec<u8>, AnswerError> {
+    let unreadable = |e: simple_dns::SimpleDnsError| AnswerError::Malformed(e.to_string());
     let name = Name::new(SERVICE).map_err(unreadable)?;
     let mut packet = Packet::new_query(id);
     packet.questions.push(Question::new(
@@ -100,24 +100,24 @@
 ///
 /// # Errors
 /// As `AnswerFault` tells.
-pub fn answer(
+pub fn parse_answer(
     bytes: &[u8],
     id_asked: u16,
     places: &mut LocationTable,
-) -> Result<Answer, AnswerFault> {
-    let packet = Packet::parse(bytes).map_err(|e| AnswerFault::Unreadable(e.to_string()))?;
+) -> Result<Answer, AnswerError> {
+    let packet = Packet::parse(bytes).map_err(|e| AnswerError::Malformed(e.to_string()))?;
     if packet.id() != id_asked || !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(AnswerFault::Foreign);
+        return Err(AnswerError::Foreign);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
-        return Err(AnswerFault::Truncated);
+        return Err(AnswerError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(AnswerFault::Failed(format!("{:?}", packet.rcode())));
+        return Err(AnswerError::Failed(format!("{:?}", packet.rcode())));
     }
     let service: Vec<String> = SERVICE.split('.').map(str::to_owned).collect();
     if packet.questions.iter().any(|q| labels(&q.qname) != service) {
-        return Err(AnswerFault::Foreign);
+        return Err(AnswerError::Foreign);
     }
     let serials = packet
         .name_servers
@@ -127,22 +127,25 @@
             RData::SOA(soa) => Some(soa.serial),
             _ => None,
         });
-    let serial = serials.max().ok_or(AnswerFault::NoSerial)?;
+    let serial = serials.max().ok_or(AnswerError::NoSerial)?;
     let mut named = places.clone();
     let (entries, odd, why) = rows(&packet, &mut named)?;
     match why {
         None => {
             *places = named;
-            Ok(Answer { serial, entries })
+            Ok(Answer {
+                serial,
+                endpoints: entries,
+            })
         }
         Some(why) => {
             let list = Box::new(PartialList {
                 serial,
-                entries,
-                odd,
-                places: named,
+                endpoints: entries,
+                state_only: odd,
+                locations: named,
             });
-            Err(AnswerFault::OddRow { why, list })
+            Err(AnswerError::InvalidRecord { why, list })
         }
     }
 }
@@ -238,7 +241,7 @@
         Ok(Some(DiscoveredEndpoint {
             name: name.to_owned(),
             address: SocketAddr::new(ip, srv.port),
-            row,
+            endpoint: row,
         }))
     }
 }
@@ -250,12 +253,12 @@
     Option<String>,
 );
 
-fn rows(packet: &Packet, places: &mut LocationTable) -> Result<Rows, AnswerFault> {
+fn rows(packet: &Packet, places: &mut LocationTable) -> Result<Rows, AnswerError> {
     let details = Details::new(packet);
     let (mut entries, mut odd, mut first_fault) = (vec![], vec![], None);
     for (srv, target) in details.targets() {
         let [name, zone, ..] = target.as_slice() else {
-            return Err(AnswerFault::NoLocation);
+            return Err(AnswerError::NoLocation);
         };
         match details.entry(srv, &target, name, zone, places) {
             Ok(entry) => entries.extend(entry),
@@ -263,7 +266,7 @@
                 first_fault.get_or_insert(why);
                 odd.push(EndpointStateOnly {
                     name: name.clone(),
-                    standing: standing(srv),
+                    state: standing(srv),
                 });
             }
         }
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -4,7 +4,7 @@
 mod answer;
 mod view;
 
-pub use answer::{Answer, AnswerFault, EndpointStateOnly, PartialList, answer, query};
+pub use answer::{Answer, AnswerError, EndpointStateOnly, PartialList, build_query, parse_answer};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 pub struct DiscoveredEndpoint {
     pub name: String,
     pub address: SocketAddr,
-    pub row: Endpoint,
+    pub endpoint: Endpoint,
 }
 
 /// The module's id for an executor: of its name alone, since its address may be another's later and is not
@@ -43,7 +43,7 @@
     zones: Vec<String>,
     kinds: Vec<String>,
     /// Rows that were left out, for being in a location past those that can be told apart.
-    pub left_out: u64,
+    pub ignored_endpoints: u64,
 }
 
 /// Names told apart, by an index of one byte.
@@ -54,12 +54,12 @@
         LocationTable {
             zones,
             kinds,
-            left_out: 0,
+            ignored_endpoints: 0,
         }
     }
 
     /// How many names there are by now, of locations and of kinds.
-    pub fn named(&self) -> (usize, usize) {
+    pub fn name_counts(&self) -> (usize, usize) {
         (self.zones.len(), self.kinds.len())
     }
 
@@ -76,7 +76,7 @@
     /// Two locations must not be taken for one: a row for which there is none left is passed over.
     fn zone(&mut self, name: &str) -> Option<u8> {
         let zone = Self::index(&mut self.zones, name);
-        self.left_out += u64::from(zone.is_none());
+        self.ignored_endpoints += u64::from(zone.is_none());
         zone
     }
 
@@ -167,7 +167,7 @@
                 let entry = DiscoveredEndpoint {
                     name: host.host.clone(),
                     address: host.dial,
-                    row,
+                    endpoint: row,
                 };
                 entries.insert(host.host, entry);
             }
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -80,12 +80,12 @@
     /// and taken for broken; could harm one that moves, by 0.2 s.
     fn retold(&self, told: &DiscoveredEndpoint) -> Held {
         let mut told_before = self.entry.clone();
-        told_before.row.state = told.row.state;
+        told_before.endpoint.state = told.endpoint.state;
         if told_before == *told {
             return Held::new(told_before, self.since);
         }
         let mut besides = told.clone();
-        besides.row.state = EndpointState::Ready;
+        besides.endpoint.state = EndpointState::Ready;
         if self.differs.as_ref() == Some(&besides) {
             return Held::new(told.clone(), self.since);
         }
@@ -113,7 +113,7 @@
 fn youngest(entries: &[DiscoveredEndpoint]) -> f64 {
     entries
         .iter()
-        .map(|e| e.row.started_at)
+        .map(|e| e.endpoint.started_at)
         .fold(f64::NEG_INFINITY, f64::max)
 }
 
@@ -149,7 +149,7 @@
     pub fn new(now: f64, serial: u32, entries: &[DiscoveredEndpoint]) -> EndpointView {
         let draining = entries
             .iter()
-            .filter(|e| e.row.state != EndpointState::Ready);
+            .filter(|e| e.endpoint.state != EndpointState::Ready);
         let draining: Vec<String> = draining.map(|e| e.name.clone()).collect();
         let mut view = EndpointView {
             serial,
@@ -171,7 +171,7 @@
         let held = |e: &DiscoveredEndpoint| {
             (
                 e.name.clone(),
-                Held::new(e.clone(), since(e.row.started_at)),
+                Held::new(e.clone(), since(e.endpoint.started_at)),
             )
         };
         view.entries = entries.iter().map(held).collect();
@@ -199,12 +199,12 @@
     }
 
     /// The rows as they count. One told away and ready again before its time is draining.
-    pub fn rows(&self) -> Vec<DiscoveredEndpoint> {
+    pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
         let row = |held: &Held| {
             let mut entry = held.entry.clone();
-            entry.row.started_at = held.since;
+            entry.endpoint.started_at = held.since;
             if self.withdrawn.contains_key(&entry.name) {
-                entry.row.state = EndpointState::Draining;
+                entry.endpoint.state = EndpointState::Draining;
             }
             entry
         };
@@ -212,22 +212,22 @@
     }
 
     /// The last answer came again, byte for byte, to a question that went out at a time.
-    pub fn repeat(&mut self, asked_at: f64) {
+    pub fn confirm_unchanged(&mut self, asked_at: f64) {
         self.asked_at = self.asked_at.max(asked_at);
     }
 
     /// Takes a whole list that answers a question which went out at a time.
-    pub fn take(&mut self, now: f64, asked_at: f64, answer: &Answer) -> ListOutcome {
+    pub fn apply_list(&mut self, now: f64, asked_at: f64, answer: &Answer) -> ListOutcome {
         let order = compare(answer.serial, self.serial);
         let overtaken = asked_at < self.asked_at;
         if order == Ordering::Less && !overtaken {
             self.older_in_a_row += 1;
         }
-        let before = self.rows();
+        let before = self.endpoints();
         if order == Ordering::Greater || !overtaken && self.is_believed(order) {
             self.adopt(now, answer, order);
             self.asked_at = self.asked_at.max(asked_at);
-            return if self.rows() == before {
+            return if self.endpoints() == before {
                 ListOutcome::Confirmed
             } else {
                 ListOutcome::Changed
@@ -235,27 +235,32 @@
         }
         self.take_drains(now, answer);
         ListOutcome::Older {
-            changed: self.rows() != before,
+            changed: self.endpoints() != before,
         }
     }
 
     /// Takes a list with rows that could not be read: of those the standing counts, the rest stays as it was.
-    pub fn take_partial(&mut self, now: f64, asked_at: f64, list: &PartialList) -> ListOutcome {
-        let mut entries = list.entries.clone();
-        for odd in &list.odd {
+    pub fn apply_partial_list(
+        &mut self,
+        now: f64,
+        asked_at: f64,
+        list: &PartialList,
+    ) -> ListOutcome {
+        let mut entries = list.endpoints.clone();
+        for odd in &list.state_only {
             // Nothing can be done with one of which nothing else is known.
             let Some(mut entry) = self.entries.get(&odd.name).map(|held| held.entry.clone()) else {
                 continue;
             };
-            entry.row.state = odd.standing;
+            entry.endpoint.state = odd.state;
             entries.push(entry);
         }
-        self.take(
+        self.apply_list(
             now,
             asked_at,
             &Answer {
                 serial: list.serial,
-                entries,
+                endpoints: entries,
             },
         )
     }
@@ -267,10 +272,10 @@
 
     /// Takes a list in the place of the one that is held.
     fn adopt(&mut self, now: f64, answer: &Answer, order: Ordering) {
-        let new = self.listed(now, &answer.entries);
+        let new = self.listed(now, &answer.endpoints);
         let is_away = |name: &String| {
             new.get(name)
-                .is_none_or(|n| n.entry.row.state != EndpointState::Ready)
+                .is_none_or(|n| n.entry.endpoint.state != EndpointState::Ready)
         };
         let away: Vec<String> = self
             .entries
@@ -282,7 +287,7 @@
             .for_each(|name| self.withdraw(now, answer.serial, name));
         for held in new
             .values()
-            .filter(|held| held.entry.row.state == EndpointState::Ready)
+            .filter(|held| held.entry.endpoint.state == EndpointState::Ready)
         {
             self.vote_ready(&held.entry, answer.serial, order);
         }
@@ -298,19 +303,19 @@
         let absent_at = self.asked_at.max(self.began_at);
         let mut listed: BTreeMap<String, Held> = BTreeMap::new();
         for entry in entries {
-            let told = entry.row.started_at;
+            let told = entry.endpoint.started_at;
             let before = self
                 .entries
                 .get(&entry.name)
-                .filter(|before| before.entry.row.started_at == told);
+                .filter(|before| before.entry.endpoint.started_at == told);
             let new = || Held::new(entry.clone(), listed_start(told, absent_at, now));
             let mut held = before.map_or_else(new, |before| before.retold(entry));
             // Listed twice it stands as the worse of the two.
             if let Some(twice) = listed
                 .get(&entry.name)
-                .filter(|t| t.entry.row.state != EndpointState::Ready)
+                .filter(|t| t.entry.endpoint.state != EndpointState::Ready)
             {
-                held.entry.row.state = twice.entry.row.state;
+                held.entry.endpoint.state = twice.entry.endpoint.state;
             }
             listed.insert(entry.name.clone(), held);
         }
@@ -330,7 +335,7 @@
         } else {
             READY_IN_A_ROW
         };
-        if entry.row.started_at > withdrawal.since || withdrawal.ready_votes >= wanted {
+        if entry.endpoint.started_at > withdrawal.since || withdrawal.ready_votes >= wanted {
             self.withdrawn.remove(&entry.name);
         }
     }
@@ -341,7 +346,7 @@
             return;
         };
         let first = Withdrawal {
-            since: held.entry.row.started_at,
+            since: held.entry.endpoint.started_at,
             serial,
             at: now,
             ready_votes: 0,
@@ -362,12 +367,12 @@
     /// What a list that is not taken as a whole tells of executors that drain, unless it is of an earlier start.
     fn take_drains(&mut self, now: f64, answer: &Answer) {
         for told in answer
-            .entries
+            .endpoints
             .iter()
-            .filter(|e| e.row.state != EndpointState::Ready)
+            .filter(|e| e.endpoint.state != EndpointState::Ready)
         {
             let held = self.entries.get(&told.name);
-            if held.is_some_and(|held| told.row.started_at >= held.entry.row.started_at) {
+            if held.is_some_and(|held| told.endpoint.started_at >= held.entry.endpoint.started_at) {
                 self.withdraw(now, answer.serial, &told.name);
             }
         }
--- a/crates/platform-discovery/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -17,11 +17,11 @@
     bytes: &[u8],
     id: u16,
     places: &mut LocationTable,
-) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerFault> {
-    answer(bytes, id, places).map(|answer| (answer.serial, answer.entries))
+) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerError> {
+    parse_answer(bytes, id, places).map(|answer| (answer.serial, answer.endpoints))
 }
 
-fn read(bytes: &[u8], id: u16) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerFault> {
+fn read(bytes: &[u8], id: u16) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerError> {
     let (zones, kinds) = (names(&["west", "east"]), names(&["big", "std"]));
     newer(bytes, id, &mut LocationTable::new(zones, kinds))
 }
@@ -38,7 +38,7 @@
             (one.name.as_str(), one.address.to_string()),
             ("s-1", "10.1.0.9:4100".into())
         );
-        let row = &one.row;
+        let row = &one.endpoint;
         assert_eq!(
             (row.executor, row.zone, row.kind, row.cell),
             (executor_id("s-1"), 1, 1, 2)
@@ -47,9 +47,12 @@
             (row.state, row.weight, row.started_at),
             (EndpointState::Ready, 4.0, 1.5)
         );
-        assert_eq!((two.row.state, two.row.zone), (EndpointState::Draining, 0));
+        assert_eq!(
+            (two.endpoint.state, two.endpoint.zone),
+            (EndpointState::Draining, 0)
+        );
         assert_ne!(
-            one.row.executor, two.row.executor,
+            one.endpoint.executor, two.endpoint.executor,
             "their address is one, they are not"
         );
     }
@@ -60,8 +63,9 @@
 fn rows_are_read_whatever_the_serial_and_an_unusable_list_names_no_places() {
     let mut places = LocationTable::default();
     for serial in [0, 41, u32::MAX] {
-        let told = answer(&list(7, serial, &TWO, true), 7, &mut places.clone()).expect("sound");
-        assert_eq!((told.serial, told.entries.len()), (serial, 2));
+        let told =
+            parse_answer(&list(7, serial, &TWO, true), 7, &mut places.clone()).expect("sound");
+        assert_eq!((told.serial, told.endpoints.len()), (serial, 2));
     }
     let mut packet = list(7, 41, &TWO, true);
     let mut spoilt = Packet::parse(&packet).expect("it is sound");
@@ -69,23 +73,26 @@
         .additional_records
         .retain(|r| !r.name.to_string().starts_with("s-2"));
     let spoilt = spoilt.build_bytes_vec().expect("it can be built");
-    let fault = answer(&spoilt, 7, &mut places).expect_err("the second row has no address");
-    let AnswerFault::OddRow { why, list: partial } = fault else {
+    let fault = parse_answer(&spoilt, 7, &mut places).expect_err("the second row has no address");
+    let AnswerError::InvalidRecord { why, list: partial } = fault else {
         panic!("{fault}")
     };
     assert!(why.contains("s-2"), "{why}");
-    assert_eq!((partial.serial, partial.entries.len()), (41, 1));
+    assert_eq!((partial.serial, partial.endpoints.len()), (41, 1));
     assert_eq!(
-        partial.odd,
+        partial.state_only,
         [EndpointStateOnly {
             name: "s-2".into(),
-            standing: EndpointState::Draining
+            state: EndpointState::Draining
         }]
     );
-    assert_eq!((places.named(), partial.places.named()), ((0, 0), (1, 1)));
+    assert_eq!(
+        (places.name_counts(), partial.locations.name_counts()),
+        ((0, 0), (1, 1))
+    );
     packet[3] |= 3;
     assert!(
-        answer(&packet, 7, &mut places).is_err(),
+        parse_answer(&packet, 7, &mut places).is_err(),
         "a failure is told whatever its number"
     );
     assert_eq!(
@@ -95,12 +102,12 @@
             .len(),
         2
     );
-    assert_eq!(places.named(), (2, 1));
+    assert_eq!(places.name_counts(), (2, 1));
 }
 
 #[test]
 fn a_query_asks_for_the_service_under_its_id() {
-    let bytes = query(0xbeef).expect("it can be built");
+    let bytes = build_query(0xbeef).expect("it can be built");
     let packet = Packet::parse(&bytes).expect("it can be read");
     assert_eq!((packet.id(), packet.questions.len()), (0xbeef, 1));
     assert_eq!(packet.questions[0].qname.to_string(), SERVICE);
@@ -153,10 +160,11 @@
         ("s-4.south.hosts", 0),
     ];
     let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
-    let zones =
-        |entries: &[DiscoveredEndpoint]| entries.iter().map(|e| e.row.zone).collect::<Vec<_>>();
+    let zones = |entries: &[DiscoveredEndpoint]| {
+        entries.iter().map(|e| e.endpoint.zone).collect::<Vec<_>>()
+    };
     assert_eq!(
-        (zones(&entries), entries[0].row.kind),
+        (zones(&entries), entries[0].endpoint.kind),
         (vec![1, 0, 2, 1], 1)
     );
     let host = |site: &str| {
@@ -167,7 +175,7 @@
     let told = serde_json::json!({"index": 1, "updates": [{"endpoints": all}]});
     let (_, entries) = initial_endpoints(&told, &mut places).expect("a start goes on");
     assert_eq!(
-        (zones(&entries), entries[0].row.kind),
+        (zones(&entries), entries[0].endpoint.kind),
         (vec![2, 3], 2),
         "by name"
     );
@@ -178,7 +186,7 @@
     let mut told_apart = zones(&entries);
     told_apart.dedup();
     assert_eq!(
-        (told_apart.len(), entries.len(), places.left_out),
+        (told_apart.len(), entries.len(), places.ignored_endpoints),
         (252, 252, 48)
     );
 }
@@ -234,7 +242,7 @@
     let (serial, entries) = initial_endpoints(&told, &mut places).expect("it is sound");
     let all: Vec<_> = entries
         .iter()
-        .map(|e| (e.name.as_str(), e.row.state, e.row.started_at))
+        .map(|e| (e.name.as_str(), e.endpoint.state, e.endpoint.started_at))
         .collect();
     assert_eq!(serial, 3);
     let expected = [
--- a/crates/platform-discovery/tests/stored_formats.rs
+++ b/crates/platform-discovery/tests/stored_formats.rs
@@ -3,7 +3,8 @@
 
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use orchidtally_platform_discovery::{
-    DiscoveredEndpoint, LocationTable, SERVICE, answer, executor_id, initial_endpoints, query,
+    DiscoveredEndpoint, LocationTable, SERVICE, build_query, executor_id, initial_endpoints,
+    parse_answer,
 };
 use std::net::{IpAddr, Ipv6Addr};
 
@@ -29,7 +30,7 @@
     DiscoveredEndpoint {
         name: name.into(),
         address: address.parse().unwrap(),
-        row,
+        endpoint: row,
     }
 }
 
@@ -47,13 +48,13 @@
 
 #[test]
 fn a_query_has_the_bytes_that_resolvers_know() {
-    assert_eq!(query(QUERY_ID).unwrap(), bytes(QUERY));
+    assert_eq!(build_query(QUERY_ID).unwrap(), bytes(QUERY));
     assert_eq!(SERVICE, "_data._tcp.farm.lan");
 }
 
 #[test]
 fn an_answer_is_read_with_its_values() {
-    let list = answer(&bytes(ANSWER), QUERY_ID, &mut places()).expect("it is sound");
+    let list = parse_answer(&bytes(ANSWER), QUERY_ID, &mut places()).expect("it is sound");
     assert_eq!(list.serial, 41);
     let expected = [
         entry(
@@ -67,7 +68,7 @@
             row("s-2", 0, EndpointState::Draining, 4.0, 1.5),
         ),
     ];
-    assert_eq!(list.entries, expected);
+    assert_eq!(list.endpoints, expected);
 }
 
 #[test]
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -23,7 +23,7 @@
     DiscoveredEndpoint {
         name,
         address: ([10, 1, 0, n as u8], 4100).into(),
-        row,
+        endpoint: row,
     }
 }
 
@@ -38,7 +38,7 @@
     };
     Answer {
         serial,
-        entries: (0..count)
+        endpoints: (0..count)
             .map(|n| entry(n, standing(n), f64::NEG_INFINITY))
             .collect(),
     }
@@ -53,22 +53,22 @@
 impl Told {
     fn new(first: &Answer) -> Told {
         Told {
-            view: EndpointView::new(0.0, first.serial, &first.entries),
+            view: EndpointView::new(0.0, first.serial, &first.endpoints),
             now: 0.0,
         }
     }
 
     fn take(&mut self, answer: &Answer) -> ListOutcome {
         self.now += ASKED_EVERY;
-        self.view.take(self.now, self.now, answer)
+        self.view.apply_list(self.now, self.now, answer)
     }
 
     fn ready(&self) -> Vec<u32> {
         let ready = self
             .view
-            .rows()
+            .endpoints()
             .into_iter()
-            .filter(|e| e.row.state == EndpointState::Ready);
+            .filter(|e| e.endpoint.state == EndpointState::Ready);
         ready
             .map(|e| e.name[2..].parse().expect("a number"))
             .collect()
@@ -142,7 +142,7 @@
     }
     told.take(&list(4, 1, &[]));
     let mut anew = list(5, 2, &[]);
-    anew.entries[1].row.started_at = 9.0;
+    anew.endpoints[1].endpoint.started_at = 9.0;
     told.take(&anew);
     assert_eq!(told.ready(), [0, 1]);
 }
@@ -165,50 +165,56 @@
 /// What it answers was asked before: it is as old as its question, whenever it comes.
 #[test]
 fn the_view_is_as_fresh_as_its_question() {
-    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).entries);
+    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).endpoints);
     assert_eq!(view.fresh_at(), f64::NEG_INFINITY);
-    view.take(9.0, 5.0, &list(1, 3, &[]));
+    view.apply_list(9.0, 5.0, &list(1, 3, &[]));
     assert_eq!(view.fresh_at(), 5.0);
     // Overtaken: who drains counts, who is missing or new does not.
-    let outcome = view.take(9.1, 4.0, &list(1, 2, &[0]));
+    let outcome = view.apply_list(9.1, 4.0, &list(1, 2, &[0]));
     assert_eq!(
         (outcome, view.fresh_at()),
         (ListOutcome::Older { changed: true }, 5.0)
     );
-    assert_eq!(view.rows().len(), 3);
-    view.repeat(8.0);
-    view.repeat(6.0);
+    assert_eq!(view.endpoints().len(), 3);
+    view.confirm_unchanged(8.0);
+    view.confirm_unchanged(6.0);
     assert_eq!(view.fresh_at(), 8.0);
     // One with a newer serial counts however late it comes.
-    assert_eq!(view.take(9.2, 7.0, &list(2, 4, &[0])), ListOutcome::Changed);
+    assert_eq!(
+        view.apply_list(9.2, 7.0, &list(2, 4, &[0])),
+        ListOutcome::Changed
+    );
     assert_eq!(view.fresh_at(), 8.0);
 }
 
 /// One row that can't be read cost every later list, drains and all.
 #[test]
 fn a_row_that_can_not_be_read_keeps_its_place_and_loses_its_standing() {
-    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).entries);
+    let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).endpoints);
     let mut whole = list(2, 4, &[0]);
-    let _unreadable = whole.entries.remove(1);
+    let _unreadable = whole.endpoints.remove(1);
     let odd = vec![
         EndpointStateOnly {
             name: "s-1".into(),
-            standing: EndpointState::Draining,
+            state: EndpointState::Draining,
         },
         EndpointStateOnly {
             name: "s-9".into(),
-            standing: EndpointState::Ready,
+            state: EndpointState::Ready,
         },
     ];
     let partial = PartialList {
         serial: 2,
-        entries: whole.entries,
-        odd,
-        places: LocationTable::default(),
+        endpoints: whole.endpoints,
+        state_only: odd,
+        locations: LocationTable::default(),
     };
-    assert_eq!(view.take_partial(1.0, 0.9, &partial), ListOutcome::Changed);
-    let standing = |e: DiscoveredEndpoint| (e.name, e.row.state == EndpointState::Ready);
-    let rows: BTreeMap<String, bool> = view.rows().into_iter().map(standing).collect();
+    assert_eq!(
+        view.apply_partial_list(1.0, 0.9, &partial),
+        ListOutcome::Changed
+    );
+    let standing = |e: DiscoveredEndpoint| (e.name, e.endpoint.state == EndpointState::Ready);
+    let rows: BTreeMap<String, bool> = view.endpoints().into_iter().map(standing).collect();
     let expected = [("s-0", false), ("s-1", false), ("s-2", true), ("s-3", true)];
     assert_eq!(
         rows,
@@ -223,8 +229,8 @@
 fn one_spoilt_record_moves_nobody_and_two_in_a_row_do() {
     let mut told = Told::new(&list(1, 2, &[]));
     let mut moved = list(1, 2, &[]);
-    moved.entries[0].address = ([10, 9, 9, 9], 1).into();
-    let address = |told: &Told| told.view.rows()[0].address.to_string();
+    moved.endpoints[0].address = ([10, 9, 9, 9], 1).into();
+    let address = |told: &Told| told.view.endpoints()[0].address.to_string();
     let first = address(&told);
     told.take(&moved);
     assert_eq!(address(&told), first, "told once");
@@ -239,8 +245,8 @@
     assert_eq!(address(&told), "10.9.9.9:1");
     assert!(told.view.is_settled());
     // Its standing counts at once all the same.
-    moved.entries[0].address = ([10, 8, 8, 8], 1).into();
-    moved.entries[0].row.state = EndpointState::Draining;
+    moved.endpoints[0].address = ([10, 8, 8, 8], 1).into();
+    moved.endpoints[0].endpoint.state = EndpointState::Draining;
     told.take(&moved);
     assert_eq!(
         (address(&told).as_str(), told.ready()),
@@ -257,8 +263,8 @@
         let mut told = Told::new(&list(1, 2, &[]));
         let mut twice = list(2, 2, &[]);
         let [first, second] = order.map(|standing| entry(0, standing, f64::NEG_INFINITY));
-        twice.entries[0] = first;
-        twice.entries.push(second);
+        twice.endpoints[0] = first;
+        twice.endpoints.push(second);
         told.take(&twice);
         assert_eq!(told.ready(), [1], "{order:?}");
     }
@@ -273,54 +279,58 @@
         let new = entry(1, EndpointState::Ready, 200.0 + told);
         let old = entry(0, EndpointState::Ready, 100.0 + told);
         // It was on no list a moment before.
-        view.take(
+        view.apply_list(
             199.9,
             199.9,
             &Answer {
                 serial: 1,
-                entries: vec![old.clone()],
+                endpoints: vec![old.clone()],
             },
         );
-        view.take(
+        view.apply_list(
             200.0,
             200.0,
             &Answer {
                 serial: 2,
-                entries: vec![old.clone(), new.clone()],
+                endpoints: vec![old.clone(), new.clone()],
             },
         );
-        let since: Vec<f64> = view.rows().iter().map(|e| e.row.started_at).collect();
+        let since: Vec<f64> = view
+            .endpoints()
+            .iter()
+            .map(|e| e.endpoint.started_at)
+            .collect();
         assert!(
             (98.5..=100.0).contains(&since[0]) && (198.5..=200.0).contains(&since[1]),
             "{told}: {since:?}"
         );
         // It stays so, until it starts anew.
-        view.take(
+        view.apply_list(
             300.0,
             300.0,
             &Answer {
                 serial: 3,
-                entries: vec![old, new],
+                endpoints: vec![old, new],
             },
         );
         assert_eq!(
-            view.rows()
+            view.endpoints()
                 .iter()
-                .map(|e| e.row.started_at)
+                .map(|e| e.endpoint.started_at)
                 .collect::<Vec<_>>(),
             since,
             "{told}"
         );
-        view.take(
+        view.apply_list(
             400.0,
             400.0,
             &Answer {
                 serial: 4,
-                entries: vec![entry(0, EndpointState::Ready, 400.0 + told)],
+                endpoints: vec![entry(0, EndpointState::Ready, 400.0 + told)],
             },
         );
         assert!(
-            (398.5..=400.0).contains(&view.rows()[0].row.started_at),
+            (398.5..=400.0).contains(&view.endpoints()[0].endpoint.started_at),
             "{told}"
         );
     }
@@ -332,9 +342,9 @@
             .map(|(n, since)| entry(n, EndpointState::Ready, since))
             .collect();
         let taken: Vec<f64> = EndpointView::new(100.0, 1, &entries)
-            .rows()
+            .endpoints()
             .iter()
-            .map(|e| e.row.started_at)
+            .map(|e| e.endpoint.started_at)
             .collect();
         assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{told}");
     }
@@ -343,7 +353,10 @@
         1,
         &[entry(0, EndpointState::Ready, f64::NEG_INFINITY)],
     );
-    assert_eq!(long_ago.rows()[0].row.started_at, f64::NEG_INFINITY);
+    assert_eq!(
+        long_ago.endpoints()[0].endpoint.started_at,
+        f64::NEG_INFINITY
+    );
 }
 
 proptest! {
--- a/crates/platform-executor-protocol/src/lib.rs
+++ b/crates/platform-executor-protocol/src/lib.rs
@@ -13,9 +13,9 @@
 
 /// Why a line can't be read; nothing behind it on that connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct ProtocolError(pub String);
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for ProtocolError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
@@ -24,12 +24,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
     Done,
-    Lack,
-    Wait,
-    Broke,
-    Past,
-    Fit,
-    Unfit,
+    Miss,
+    Full,
+    Error,
+    AlreadyOver,
+    Healthy,
+    Unhealthy,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,13 +44,13 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    pub word: ResponseKind,
+    pub kind: ResponseKind,
     pub id: String,
-    pub tell: LoadNote,
-    pub crowd: u32,
-    pub count: u32,
+    pub load_note: LoadNote,
+    pub function_concurrency: u32,
+    pub replica_count: u32,
     /// A load report, as `name:value;name:value`; empty where there is none.
-    pub meter: String,
+    pub load_report: String,
     pub body: Vec<u8>,
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// A figure, written as a number or as a string.
-fn figure(value: Option<Value>, name: &str) -> Result<u32, Unreadable> {
+fn figure(value: Option<Value>, name: &str) -> Result<u32, ProtocolError> {
     let read = match &value {
         None | Some(Value::Null) => return Ok(0),
         Some(Value::Number(n)) => n.as_f64(),
@@ -85,22 +85,22 @@
     };
     let fits = read.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n));
     fits.map(|n| n as u32)
-        .ok_or_else(|| Unreadable(format!("'{name}' is no figure")))
+        .ok_or_else(|| ProtocolError(format!("'{name}' is no figure")))
 }
 
 /// One line, without its line feed.
-pub fn answer(line: &[u8]) -> Result<Response, Unreadable> {
+pub fn parse_response(line: &[u8]) -> Result<Response, ProtocolError> {
     let raw: Raw = serde_json::from_slice(line)
-        .map_err(|e| Unreadable(format!("a line is no answer: {e}")))?;
+        .map_err(|e| ProtocolError(format!("a line is no answer: {e}")))?;
     let word = match raw.t.as_ref() {
         "DONE" => ResponseKind::Done,
-        "LACK" => ResponseKind::Lack,
-        "WAIT" => ResponseKind::Wait,
-        "BROKE" => ResponseKind::Broke,
-        "PAST" => ResponseKind::Past,
-        "FIT" => ResponseKind::Fit,
-        "UNFIT" => ResponseKind::Unfit,
-        _ => return Err(Unreadable("an answer's word is unknown".into())),
+        "LACK" => ResponseKind::Miss,
+        "WAIT" => ResponseKind::Full,
+        "BROKE" => ResponseKind::Error,
+        "PAST" => ResponseKind::AlreadyOver,
+        "FIT" => ResponseKind::Healthy,
+        "UNFIT" => ResponseKind::Unhealthy,
+        _ => return Err(ProtocolError("an answer's word is unknown".into())),
     };
     let f = raw.f.unwrap_or_default();
     let tell = match f.tell.as_deref() {
@@ -113,22 +113,22 @@
     let body = match raw.b {
         Some(text) => STANDARD
             .decode(text.as_bytes())
-            .map_err(|e| Unreadable(format!("a body is no base64: {e}")))?,
+            .map_err(|e| ProtocolError(format!("a body is no base64: {e}")))?,
         None => vec![],
     };
     Ok(Response {
-        word,
+        kind: word,
         id: raw.i.into_owned(),
-        tell,
-        crowd: figure(f.crowd, "crowd")?,
-        count: figure(f.count, "count")?,
-        meter: f.meter.unwrap_or_default(),
+        load_note: tell,
+        function_concurrency: figure(f.crowd, "crowd")?,
+        replica_count: figure(f.count, "count")?,
+        load_report: f.meter.unwrap_or_default(),
         body,
     })
 }
 
 /// Values of a load report in the order of `names`; empty where it lacks one of them or holds no number.
-pub fn report(meter: &str, names: &[String]) -> Vec<f32> {
+pub fn parse_load_report(meter: &str, names: &[String]) -> Vec<f32> {
     let value = |name: &String| {
         let mut pairs = meter.split(';').filter_map(|pair| pair.split_once(':'));
         let (_, value) = pairs.find(|(key, _)| key.trim() == name)?;
@@ -157,11 +157,11 @@
     }
 
     /// A line has begun that is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_line(&self) -> bool {
         self.at < self.bytes.len()
     }
 
-    pub fn read(&mut self) -> Result<Option<Response>, Unreadable> {
+    pub fn next_response(&mut self) -> Result<Option<Response>, ProtocolError> {
         let rest = &self.bytes[self.at..];
         let end = rest[self.looked..]
             .iter()
@@ -169,7 +169,7 @@
             .map(|n| n + self.looked);
         match end {
             Some(end) if end <= MAX_LINE_LENGTH => {
-                let read = answer(&rest[..end]);
+                let read = parse_response(&rest[..end]);
                 self.at += end + 1;
                 self.looked = 0;
                 read.map(Some)
@@ -181,7 +181,7 @@
                 }
                 Ok(None)
             }
-            _ => Err(Unreadable(format!(
+            _ => Err(ProtocolError(format!(
                 "a line is over {MAX_LINE_LENGTH} bytes"
             ))),
         }
@@ -194,7 +194,7 @@
     pub trigger_type: &'a str,
     pub function: &'a str,
     pub limit_ms: u64,
-    pub token: Option<&'a str>,
+    pub idempotency_key: Option<&'a str>,
     pub body: &'a [u8],
 }
 
@@ -206,7 +206,7 @@
 
 pub fn dispatch(d: &Dispatch) -> Vec<u8> {
     let mut f = serde_json::json!({"cls": d.trigger_type, "item": d.function, "limit": d.limit_ms});
-    if let Some(token) = d.token {
+    if let Some(token) = d.idempotency_key {
         f["nonce"] = token.into();
     }
     ended(serde_json::json!({"t": "DO", "i": d.id, "f": f, "b": STANDARD.encode(d.body)}))
--- a/crates/platform-executor-protocol/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -10,7 +10,7 @@
     for piece in pieces {
         decoder.push(piece);
         loop {
-            match decoder.read() {
+            match decoder.next_response() {
                 Ok(Some(answer)) => answers.push(answer),
                 Ok(None) => break,
                 Err(_) => return (answers, true),
@@ -33,16 +33,21 @@
         panic!("three answers, not {}", answers.len())
     };
     assert_eq!(
-        (done.word, done.tell, done.crowd, done.body.as_slice()),
+        (
+            done.kind,
+            done.load_note,
+            done.function_concurrency,
+            done.body.as_slice()
+        ),
         (ResponseKind::Done, LoadNote::Joined, 3, &[0, 255][..])
     );
     let names = ["x1", "backlog"].map(str::to_owned);
-    assert_eq!(report(&done.meter, &names), [0.61, 7.0]);
+    assert_eq!(parse_load_report(&done.load_report, &names), [0.61, 7.0]);
     assert_eq!(
-        (wait.word, wait.id.as_str(), wait.count),
-        (ResponseKind::Wait, "order-7", 2)
+        (wait.kind, wait.id.as_str(), wait.replica_count),
+        (ResponseKind::Full, "order-7", 2)
     );
-    assert_eq!((past.word, past.body.len()), (ResponseKind::Past, 0));
+    assert_eq!((past.kind, past.body.len()), (ResponseKind::AlreadyOver, 0));
 }
 
 #[test]
@@ -82,7 +87,7 @@
     let chunk = [b'a'; 1024];
     let fault = (0..).find(|_| {
         decoder.push(&chunk);
-        decoder.read().is_err()
+        decoder.next_response().is_err()
     });
     assert_eq!(fault, Some(MAX_LINE_LENGTH / 1024));
 }
@@ -97,7 +102,7 @@
         "backlog:1;x1:NaN",
         "backlog 1;x1:2",
     ] {
-        assert!(report(meter, &names).is_empty(), "{meter}");
+        assert!(parse_load_report(meter, &names).is_empty(), "{meter}");
     }
 }
 
@@ -108,7 +113,7 @@
         trigger_type: "set\"point",
         function: "7f3a9c21e0b4d655",
         limit_ms: 1500,
-        token: Some("5c0f6e1a"),
+        idempotency_key: Some("5c0f6e1a"),
         body: b"\n\x00",
     };
     let line = dispatch(&d);
--- a/crates/platform-executor-protocol/tests/stored_formats.rs
+++ b/crates/platform-executor-protocol/tests/stored_formats.rs
@@ -2,8 +2,8 @@
 //! They must not be changed.
 
 use orchidtally_platform_executor_protocol::{
-    Decoder, Dispatch, LoadNote, Response, ResponseKind, answer, cancel, dispatch, health_check,
-    load, report, unload,
+    Decoder, Dispatch, LoadNote, Response, ResponseKind, cancel, dispatch, health_check, load,
+    parse_load_report, parse_response, unload,
 };
 
 /// Lines to executors.
@@ -18,11 +18,11 @@
         trigger_type: "update",
         function: "resize",
         limit_ms: 2500,
-        token: Some("token-1"),
+        idempotency_key: Some("token-1"),
         body: b"body\x00\xff",
     };
     let without_token = Dispatch {
-        token: None,
+        idempotency_key: None,
         body: b"",
         ..with_token
     };
@@ -41,21 +41,21 @@
 /// An answer without figures and body.
 fn plain(word: ResponseKind, id: &str) -> Response {
     Response {
-        word,
+        kind: word,
         id: id.into(),
-        tell: LoadNote::Nothing,
-        crowd: 0,
-        count: 0,
-        meter: String::new(),
+        load_note: LoadNote::Nothing,
+        function_concurrency: 0,
+        replica_count: 0,
+        load_report: String::new(),
         body: vec![],
     }
 }
 
 fn expected() -> Vec<Response> {
     let told = |tell, crowd, meter: &str, body: &[u8]| Response {
-        tell,
-        crowd,
-        meter: meter.into(),
+        load_note: tell,
+        function_concurrency: crowd,
+        load_report: meter.into(),
         body: body.to_vec(),
         ..plain(ResponseKind::Done, "1")
     };
@@ -64,15 +64,15 @@
         told(LoadNote::Cold, 4, "", b"body"),
         told(LoadNote::Joined, 0, "", b""),
         told(LoadNote::LoadFailed, 0, "", b""),
-        plain(ResponseKind::Lack, "2"),
+        plain(ResponseKind::Miss, "2"),
         Response {
-            count: 2,
-            ..plain(ResponseKind::Wait, "3")
+            replica_count: 2,
+            ..plain(ResponseKind::Full, "3")
         },
-        plain(ResponseKind::Broke, "4"),
-        plain(ResponseKind::Past, "5"),
-        plain(ResponseKind::Fit, "6"),
-        plain(ResponseKind::Unfit, "7"),
+        plain(ResponseKind::Error, "4"),
+        plain(ResponseKind::AlreadyOver, "5"),
+        plain(ResponseKind::Healthy, "6"),
+        plain(ResponseKind::Unhealthy, "7"),
     ]
 }
 
@@ -80,7 +80,7 @@
 fn lines_from_executors_are_read_with_their_values() {
     let read: Vec<Response> = RECEIVED
         .lines()
-        .map(|line| answer(line.as_bytes()).expect(line))
+        .map(|line| parse_response(line.as_bytes()).expect(line))
         .collect();
     assert_eq!(read, expected());
 }
@@ -89,12 +89,15 @@
 fn lines_in_a_stream_are_read_with_their_values() {
     let mut decoder = Decoder::default();
     decoder.push(RECEIVED.as_bytes());
-    let read: Vec<Response> = std::iter::from_fn(|| decoder.read().unwrap()).collect();
+    let read: Vec<Response> = std::iter::from_fn(|| decoder.next_response().unwrap()).collect();
     assert_eq!(read, expected());
 }
 
 #[test]
 fn a_load_report_is_read_by_the_names_of_its_values() {
     let names = ["x1", "backlog"].map(str::to_owned);
-    assert_eq!(report(&expected()[0].meter, &names), [0.61, 7.0]);
+    assert_eq!(
+        parse_load_report(&expected()[0].load_report, &names),
+        [0.61, 7.0]
+    );
 }
--- a/crates/platform-frontend/src/accepting.rs
+++ b/crates/platform-frontend/src/accepting.rs
@@ -67,7 +67,7 @@
     /// now makes it no idle one.
     fn make_way(&mut self, now: f64) -> bool {
         for _ in 0..MAKE_WAY {
-            let connect_time = self.settings.connect_time;
+            let connect_time = self.settings.connect_timeout;
             let Some(slot) = clients::least_missed(&self.host.clients, now, connect_time) else {
                 return false;
             };
--- a/crates/platform-frontend/src/clients.rs
+++ b/crates/platform-frontend/src/clients.rs
@@ -88,7 +88,7 @@
             self.idle_since = now;
             self.waiting_since = None;
         }
-        if self.decoder.is_within() {
+        if self.decoder.has_partial_frame() {
             self.waiting_since.get_or_insert(now);
         }
     }
@@ -109,7 +109,7 @@
 
     /// A part of a frame has come.
     pub fn is_within(&self) -> bool {
-        self.decoder.is_within()
+        self.decoder.has_partial_frame()
     }
 
     /// More is not taken from it than a client may have open whose answers it reads.
@@ -160,9 +160,9 @@
     }
 
     pub fn answer(&mut self, stream: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
-        frames::put(
+        frames::write_frame(
             self.socket.out(),
-            frames::ANSWER,
+            frames::RESPONSE,
             stream,
             Some(code),
             Some(fields),
--- a/crates/platform-frontend/src/connections.rs
+++ b/crates/platform-frontend/src/connections.rs
@@ -267,7 +267,7 @@
 
     pub fn heard(&mut self, now: f64) {
         self.heard_at = now;
-        self.line_since = if self.decoder.is_within() {
+        self.line_since = if self.decoder.has_partial_line() {
             self.line_since.or(Some(now))
         } else {
             None
--- a/crates/platform-frontend/src/egress.rs
+++ b/crates/platform-frontend/src/egress.rs
@@ -15,12 +15,12 @@
 fn ending(word: ResponseKind) -> Transport {
     match word {
         ResponseKind::Done => Transport::Answered(DispatchStatus::Ok),
-        ResponseKind::Lack => Transport::Answered(DispatchStatus::Miss),
-        ResponseKind::Wait => Transport::Answered(DispatchStatus::Full),
-        ResponseKind::Broke => Transport::Answered(DispatchStatus::Error),
-        ResponseKind::Past => Transport::Answered(DispatchStatus::NeverSent),
+        ResponseKind::Miss => Transport::Answered(DispatchStatus::Miss),
+        ResponseKind::Full => Transport::Answered(DispatchStatus::Full),
+        ResponseKind::Error => Transport::Answered(DispatchStatus::Error),
+        ResponseKind::AlreadyOver => Transport::Answered(DispatchStatus::NeverSent),
         // No answer to a dispatch or an order.
-        ResponseKind::Fit | ResponseKind::Unfit => Transport::Malformed,
+        ResponseKind::Healthy | ResponseKind::Unhealthy => Transport::Malformed,
     }
 }
 
@@ -70,7 +70,7 @@
                         let Some(connection) = self.host.connections.get_mut(slot) else {
                             return false;
                         };
-                        match connection.decoder.read() {
+                        match connection.decoder.next_response() {
                             Ok(None) => break connection.heard(now),
                             Ok(Some(answer)) => self.answered(now, slot, answer),
                             Err(fault) => {
@@ -104,7 +104,7 @@
             connection.answered,
         ) = (now, now, true);
         if let Some(tag) = answer.id.strip_prefix(ORDER).and_then(|t| t.parse().ok()) {
-            return self.ordered(now, tag, ending(answer.word), answer.count);
+            return self.ordered(now, tag, ending(answer.kind), answer.replica_count);
         }
         let there = connection
             .open
@@ -119,30 +119,32 @@
         };
         connection.said(now, answer.id.as_str().into());
         self.host.outs.remove(&(out.inv, out.dispatch));
-        if answer.word != ResponseKind::Done {
+        if answer.kind != ResponseKind::Done {
             let executor = self
                 .host
                 .executors
                 .get(&connection.to)
                 .map(|e| e.name.as_str());
-            debug!(executor, word = ?answer.word, tell = ?answer.tell, after = now - out.at, "no success");
+            debug!(executor, word = ?answer.kind, tell = ?answer.load_note, after = now - out.at, "no success");
         }
         self.host.brought = answer.body;
-        let found = match answer.tell {
+        let found = match answer.load_note {
             LoadNote::Nothing => CopyState::Unknown,
             LoadNote::Warm => CopyState::Warm,
             LoadNote::Cold => CopyState::ColdLoad,
             LoadNote::Joined => CopyState::JoinedLoad,
             LoadNote::LoadFailed => CopyState::LoadFailed,
         };
-        let report =
-            orchidtally_platform_executor_protocol::report(&answer.meter, &self.settings.report);
+        let report = orchidtally_platform_executor_protocol::parse_load_report(
+            &answer.load_report,
+            &self.settings.load_report_fields,
+        );
         let told = ResponseMetadata {
             copy_state: found,
-            function_concurrency: answer.crowd,
+            function_concurrency: answer.function_concurrency,
             load_report: &report,
         };
-        let ending = evidence::ending(ending(answer.word));
+        let ending = evidence::ending(ending(answer.kind));
         self.engine
             .on_dispatch_result(now, out.inv, out.dispatch, ending, told, &mut self.host);
         self.host.brought = vec![];
@@ -200,7 +202,7 @@
             self.host.note_given_up(id, connection.to);
         }
         // An answer that breaks off was begun: the executor is there, as it is where it sent what can't be read.
-        let seen = if seen == Transport::Broken && connection.decoder.is_within() {
+        let seen = if seen == Transport::Broken && connection.decoder.has_partial_line() {
             Transport::Malformed
         } else {
             seen
--- a/crates/platform-frontend/src/ending.rs
+++ b/crates/platform-frontend/src/ending.rs
@@ -149,9 +149,9 @@
         );
         let all: Vec<usize> = self.host.clients.iter().map(|(slot, _)| slot).collect();
         for slot in all {
-            frames::put(
+            frames::write_frame(
                 self.host.clients[slot].socket.out(),
-                frames::NO_MORE,
+                frames::GO_AWAY,
                 0,
                 None,
                 None,
--- a/crates/platform-frontend/src/front.rs
+++ b/crates/platform-frontend/src/front.rs
@@ -147,7 +147,7 @@
         host.view.serial = start.serial;
         let mut engine = Engine::new(
             settings.policy.clone(),
-            settings.most_open,
+            settings.max_open_invocations,
             start.seed,
             now,
             &mut host,
@@ -161,7 +161,7 @@
             engine,
             host,
             settings,
-            places: start.places,
+            places: start.locations,
             most_clients,
             // Bodies may take a quarter of the memory; the rest is for buffers and tables.
             most_held: start.memory / 4,
@@ -181,7 +181,7 @@
         };
         info!(name = start.name, listen = %start.listen, resolver = %start.resolver,
             executors = start.known.len(), sockets = start.sockets, memory = start.memory, "serving");
-        let rows = front.resolver.view().rows();
+        let rows = front.resolver.view().endpoints();
         front.list(now, rows);
         front.settle(now);
         Ok(front)
@@ -309,7 +309,7 @@
             self.accept(now);
         }
         self.host.given_up.retain(|_, until| *until > now);
-        let idle_close = self.settings.idle_close;
+        let idle_close = self.settings.idle_timeout;
         let overdue = |(slot, l): (usize, &connections::Connection)| {
             Some((slot, l.overdue(now, idle_close)?))
         };
@@ -317,7 +317,7 @@
         for (slot, (seen, why)) in late {
             self.dissolve(now, slot, seen, why);
         }
-        let order_time = self.settings.order_time;
+        let order_time = self.settings.load_command_timeout;
         while let Some((&tag, _)) = self
             .host
             .orders
--- a/crates/platform-frontend/src/ingress.rs
+++ b/crates/platform-frontend/src/ingress.rs
@@ -95,13 +95,13 @@
         self.again.push_back(clients::token(slot));
     }
 
-    fn frames(&mut self, now: f64, slot: usize) -> Result<(), frames::Unreadable> {
+    fn frames(&mut self, now: f64, slot: usize) -> Result<(), frames::ProtocolError> {
         let mut whole = false;
         loop {
             let Some(client) = self.host.clients.get_mut(slot) else {
                 return Ok(());
             };
-            let Some(frame) = client.decoder.read()? else {
+            let Some(frame) = client.decoder.next_frame()? else {
                 break;
             };
             whole = true;
@@ -109,7 +109,7 @@
             match frame.kind {
                 frames::INVOKE => {
                     if stream <= client.last_stream {
-                        return Err(frames::Unreadable("a stream's number was used before"));
+                        return Err(frames::ProtocolError("a stream's number was used before"));
                     }
                     client.last_stream = stream;
                     let payload = frame.payload.map(<[u8]>::to_vec);
@@ -120,25 +120,25 @@
                         payload,
                     });
                 }
-                frames::WITHDRAW => {
+                frames::CANCEL => {
                     client.pending.retain(|f| f.stream != stream);
                     if let Some(&inv) = client.open.get(&stream) {
                         self.host.drop_invocation(inv);
                         self.engine.on_client_cancel(now, inv, &mut self.host);
                     }
                 }
-                frames::ASK_READY => {
+                frames::READINESS_QUERY => {
                     // With nobody who could tell of any executor it serves what comes all the same.
                     let known = !self.host.executors.is_empty() || self.resolver.is_quiet();
                     let ready = self.leaving_since.is_none() && known;
                     let code = if ready {
-                        frames::IS_READY
+                        frames::READY_CODE
                     } else {
-                        frames::NOT_READY
+                        frames::NOT_READY_CODE
                     };
-                    frames::put(
+                    frames::write_frame(
                         client.socket.out(),
-                        frames::READY,
+                        frames::READINESS,
                         stream,
                         Some(code),
                         Some(&[]),
@@ -147,7 +147,7 @@
                     self.host.touch_client(slot);
                 }
                 _ => {
-                    return Err(frames::Unreadable(
+                    return Err(frames::ProtocolError(
                         "a frame of a type that clients don't send",
                     ));
                 }
@@ -223,7 +223,7 @@
         stream: u32,
         payload: &[u8],
     ) -> Result<(InvocationRequest, OpenInvocation), &'static str> {
-        let (fields, body) = frames::fields(payload).map_err(|e| e.0)?;
+        let (fields, body) = frames::parse_fields(payload).map_err(|e| e.0)?;
         if body.len() > frames::MAX_BODY_LENGTH {
             return Err("the body is over 16 KiB");
         }
--- a/crates/platform-frontend/src/listing.rs
+++ b/crates/platform-frontend/src/listing.rs
@@ -9,7 +9,7 @@
 
 impl Front {
     pub fn resolve(&mut self, now: f64) {
-        let (named, left_out) = (self.places.named(), self.places.left_out);
+        let (named, left_out) = (self.places.name_counts(), self.places.ignored_endpoints);
         let reading = self.resolver.read(now, &mut self.places);
         if reading.more {
             self.again.push_back(RESOLVER);
@@ -23,11 +23,12 @@
             self.engine.on_view_confirmed(now, fresh_at, &mut self.host);
         }
         if reading.changed {
-            let rows = self.resolver.view().rows();
+            let rows = self.resolver.view().endpoints();
             self.list(now, rows);
         }
-        if named != self.places.named() || left_out != self.places.left_out {
-            let ((locations, kinds), left_out) = (self.places.named(), self.places.left_out);
+        if named != self.places.name_counts() || left_out != self.places.ignored_endpoints {
+            let ((locations, kinds), left_out) =
+                (self.places.name_counts(), self.places.ignored_endpoints);
             warn!(
                 locations,
                 kinds, left_out, "lists name locations or kinds that the settings don't"
@@ -58,12 +59,12 @@
             .values_mut()
             .for_each(|e| e.listed = false);
         let mut moved: Vec<usize> = vec![];
-        let rows: Vec<Endpoint> = entries.iter().map(|e| e.row.clone()).collect();
+        let rows: Vec<Endpoint> = entries.iter().map(|e| e.endpoint.clone()).collect();
         for entry in entries {
             let known = self
                 .host
                 .executors
-                .entry(entry.row.executor)
+                .entry(entry.endpoint.executor)
                 .or_insert_with(|| Executor {
                     name: entry.name,
                     address: entry.address,
--- a/crates/platform-frontend/src/roster.rs
+++ b/crates/platform-frontend/src/roster.rs
@@ -4,7 +4,7 @@
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
 use orchidtally_platform_discovery::{
-    AnswerFault, EndpointView, ListOutcome, LocationTable, MAX_ANSWER_LENGTH,
+    AnswerError, EndpointView, ListOutcome, LocationTable, MAX_ANSWER_LENGTH,
 };
 use std::collections::VecDeque;
 use std::io;
@@ -96,7 +96,7 @@
             self.queries.pop_front();
         }
         // One that can't be sent is asked again like one whose answer got lost.
-        if let Ok(query) = orchidtally_platform_discovery::query(id) {
+        if let Ok(query) = orchidtally_platform_discovery::build_query(id) {
             let _ = self.socket.send(&query);
         }
     }
@@ -270,19 +270,24 @@
         };
         let digest = xxh3_64(bytes.get(ID_BYTES..).unwrap_or_default());
         if self.digest == Some(digest) && self.view.is_settled() {
-            self.view.repeat(asked_at);
+            self.view.confirm_unchanged(asked_at);
             channel.answered(id);
             return reading.add_outcome(ListOutcome::Confirmed);
         }
         let (held, age) = (self.view.serial(), now - asked_at);
-        let (serial, outcome) = match orchidtally_platform_discovery::answer(bytes, id, places) {
-            Ok(answer) => (answer.serial, self.view.take(now, asked_at, &answer)),
-            Err(AnswerFault::OddRow { why, list }) => {
+        let (serial, outcome) = match orchidtally_platform_discovery::parse_answer(
+            bytes, id, places,
+        ) {
+            Ok(answer) => (answer.serial, self.view.apply_list(now, asked_at, &answer)),
+            Err(AnswerError::InvalidRecord { why, list }) => {
                 if let Some(left_out) = self.log.admit(now) {
                     warn!(resolver = %channel.at, why, age, left_out, "a row could not be read and stays as it was");
                 }
-                *places = list.places.clone();
-                (list.serial, self.view.take_partial(now, asked_at, &list))
+                *places = list.locations.clone();
+                (
+                    list.serial,
+                    self.view.apply_partial_list(now, asked_at, &list),
+                )
             }
             Err(fault) => {
                 if let Some(left_out) = self.log.admit(now) {
--- a/crates/platform-frontend/src/sending.rs
+++ b/crates/platform-frontend/src/sending.rs
@@ -343,7 +343,7 @@
                             trigger_type: &self.trigger_types[work.trigger_type],
                             function: &work.function,
                             limit_ms: (left * 1e3).ceil() as u64,
-                            token: work.token.as_deref(),
+                            idempotency_key: work.token.as_deref(),
                             body: &work.body,
                         })
                     }
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -41,13 +41,13 @@
     pub resolver: SocketAddr,
     pub serial: u32,
     pub known: Vec<DiscoveredEndpoint>,
-    pub places: LocationTable,
+    pub locations: LocationTable,
     pub settings: FrontEndSettings,
 }
 
 /// Why a front end can't start from its file, and what to do about it.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum StartError {
     #[error("{file}: {source}; it has to be a file that can be read")]
     Unreadable {
         file: String,
@@ -83,9 +83,9 @@
 }
 
 /// Reads the file whole; a fault names it and the key.
-pub fn read(path: &Path) -> Result<Start, Fault> {
+pub fn read(path: &Path) -> Result<Start, StartError> {
     let file = path.display().to_string();
-    let text = std::fs::read(path).map_err(|source| Fault::Unreadable {
+    let text = std::fs::read(path).map_err(|source| StartError::Unreadable {
         file: file.clone(),
         source,
     })?;
@@ -94,9 +94,8 @@
 
 /// The same at a start, where there is no earlier file to go on with: a read that fails for want of something on this
 /// machine is tried again for a while.
-pub fn read_at_start(path: &Path) -> Result<Start, Fault> {
-    let may_pass =
-        |fault: &Fault| matches!(fault, Fault::Unreadable { source, .. } if is_local_fault(source));
+pub fn read_at_start(path: &Path) -> Result<Start, StartError> {
+    let may_pass = |fault: &StartError| matches!(fault, StartError::Unreadable { source, .. } if is_local_fault(source));
     for _ in 1..START_TRIES {
         match read(path) {
             Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
@@ -106,30 +105,30 @@
     read(path)
 }
 
-pub(crate) fn parse(file: &str, text: &[u8]) -> Result<Start, Fault> {
+pub(crate) fn parse(file: &str, text: &[u8]) -> Result<Start, StartError> {
     let file = || file.to_owned();
-    let written: StartFile = serde_json::from_slice(text).map_err(|e| Fault::NotJson {
+    let written: StartFile = serde_json::from_slice(text).map_err(|e| StartError::NotJson {
         file: file(),
         why: e.to_string(),
     })?;
     let settings =
         orchidtally_platform_config::front_end_settings(&written.settings).map_err(|source| {
-            Fault::Settings {
+            StartError::Settings {
                 file: file(),
                 source,
             }
         })?;
-    let mut places = LocationTable::new(settings.zones.clone(), settings.kinds.clone());
+    let mut places = LocationTable::new(settings.zones.clone(), settings.executor_kinds.clone());
     let (serial, known) =
         orchidtally_platform_discovery::initial_endpoints(&written.known, &mut places)
-            .map_err(|why| Fault::Known { file: file(), why })?;
-    let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| Fault::Seed {
+            .map_err(|why| StartError::Known { file: file(), why })?;
+    let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| StartError::Seed {
         file: file(),
         why: e.to_string(),
     })?;
     let least = |value: f64, least: f64, key| match value >= least {
         true => Ok(value as usize),
-        false => Err(Fault::Limit {
+        false => Err(StartError::Limit {
             file: file(),
             key,
             value,
@@ -145,16 +144,16 @@
         resolver: written.dns,
         serial,
         known,
-        places,
+        locations: places,
         settings,
     })
 }
 
 impl Start {
     /// The environment tells some of it too; it has to tell the same.
-    pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), Fault> {
+    pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), StartError> {
         let disagrees = |variable, told: &str, key, written| {
-            Err(Fault::Disagrees {
+            Err(StartError::Disagrees {
                 variable,
                 told: told.to_owned(),
                 key,
--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -32,7 +32,7 @@
             client.shutdown(Shutdown::Write).expect("it stands");
         } else {
             let mut frame = vec![];
-            frames::put(&mut frame, frames::WITHDRAW, 1, None, None, &[]);
+            frames::write_frame(&mut frame, frames::CANCEL, 1, None, None, &[]);
             client.write_all(&frame).expect("it stands");
         }
         stage.until("cancelled", |s| s.peers[x].lines("UNDO", &id(1)) == [end]);
@@ -58,7 +58,7 @@
         .expect("it stands");
     stage.until("read", |s| s.front.host.clients[0].pending.len() == 2);
     let mut frame = vec![];
-    frames::put(&mut frame, frames::WITHDRAW, 1, None, None, &[]);
+    frames::write_frame(&mut frame, frames::CANCEL, 1, None, None, &[]);
     client.write_all(&frame).expect("it stands");
     stage.until("taken back", |s| s.front.host.clients[0].pending.len() == 1);
     assert_eq!(
@@ -114,7 +114,7 @@
     });
     assert_eq!(
         heard,
-        (vec![(frames::ANSWER, 0, frames::ERRORED)], Some(Ok(())))
+        (vec![(frames::RESPONSE, 0, frames::ERRORED)], Some(Ok(())))
     );
     // What it sends after that resets nothing, and it is let go of.
     client.write_all(&[0xff; 1024]).expect("it is read over");
@@ -194,7 +194,7 @@
     new.write_all(&invocation(1, &id(99), "read"))
         .expect("it stands");
     let mut ready = vec![];
-    frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
+    frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     new.write_all(&ready).expect("it stands");
     let mut heard = (vec![], None);
     stage.until("an end", |_| {
@@ -207,8 +207,8 @@
     assert_eq!(
         heard.0,
         [
-            (frames::READY, 0, frames::IS_READY),
-            (frames::ANSWER, 1, frames::THROTTLED)
+            (frames::READINESS, 0, frames::READY_CODE),
+            (frames::RESPONSE, 1, frames::THROTTLED)
         ]
     );
     assert_eq!(heard.1, Some(Ok(())));
@@ -223,18 +223,18 @@
     let mut stage = Stage::new(0, 128, |_| {});
     let mut client = stage.client();
     let mut ready = vec![];
-    frames::put(&mut ready, frames::ASK_READY, 0, None, Some(&[]), &[]);
+    frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     client.write_all(&ready).expect("it stands");
     let begun = Instant::now();
     let mut codes = vec![];
     stage.until("ready", |_| {
         for (_, _, code) in got(&mut client).0 {
             codes.push(code);
-            if code == frames::NOT_READY {
+            if code == frames::NOT_READY_CODE {
                 client.write_all(&ready).expect("it stands");
             }
         }
-        codes.last() == Some(&frames::IS_READY)
+        codes.last() == Some(&frames::READY_CODE)
     });
     assert!(
         begun.elapsed() < Duration::from_secs(10),
@@ -243,6 +243,6 @@
     );
     assert_eq!(
         (codes[0], codes.last()),
-        (frames::NOT_READY, Some(&frames::IS_READY))
+        (frames::NOT_READY_CODE, Some(&frames::READY_CODE))
     );
 }
--- a/crates/platform-frontend/src/tests/gone.rs
+++ b/crates/platform-frontend/src/tests/gone.rs
@@ -120,7 +120,7 @@
     stage.until("answered", |_| !got(&mut client).0.is_empty());
     stage.out(&mut client, 2, "read");
     let mut both = vec![];
-    frames::put(&mut both, frames::WITHDRAW, 2, None, None, &[]);
+    frames::write_frame(&mut both, frames::CANCEL, 2, None, None, &[]);
     both.extend(invocation(3, &id(2), "read"));
     client.write_all(&both).expect("it stands");
     stage.until("held", |s| !s.front.host.held.is_empty());
@@ -157,7 +157,7 @@
     let mut client = stage.client();
     let (x, end) = stage.out(&mut client, 1, "read");
     let mut frame = vec![];
-    frames::put(&mut frame, frames::WITHDRAW, 1, None, None, &[]);
+    frames::write_frame(&mut frame, frames::CANCEL, 1, None, None, &[]);
     stage.peers[x].say(end, "DONE", &id(1));
     client.write_all(&frame).expect("it stands");
     let mut heard = vec![];
@@ -167,7 +167,7 @@
         heard.extend(got(&mut client).0);
     }
     assert!(
-        heard.is_empty() || heard == [(frames::ANSWER, 1, frames::SUCCEEDED)],
+        heard.is_empty() || heard == [(frames::RESPONSE, 1, frames::SUCCEEDED)],
         "{heard:?}"
     );
     nothing_begins(&mut stage, 1);
--- a/crates/platform-frontend/src/tests/leaving.rs
+++ b/crates/platform-frontend/src/tests/leaving.rs
@@ -35,8 +35,8 @@
     assert_eq!(
         answers,
         [
-            (frames::NO_MORE, 0, 0),
-            (frames::ANSWER, 1, frames::THROTTLED)
+            (frames::GO_AWAY, 0, 0),
+            (frames::RESPONSE, 1, frames::THROTTLED)
         ]
     );
 }
@@ -58,7 +58,7 @@
     );
     for client in &mut waiting {
         client.set_nonblocking(true).expect("it can be");
-        assert_eq!(got(client), (vec![(frames::NO_MORE, 0, 0)], None));
+        assert_eq!(got(client), (vec![(frames::GO_AWAY, 0, 0)], None));
     }
 }
 
@@ -79,8 +79,8 @@
     assert_eq!(
         got(&mut client).0,
         [
-            (frames::NO_MORE, 0, 0),
-            (frames::ANSWER, 1, frames::THROTTLED)
+            (frames::GO_AWAY, 0, 0),
+            (frames::RESPONSE, 1, frames::THROTTLED)
         ]
     );
 }
@@ -135,8 +135,8 @@
     assert_eq!(
         answers,
         [
-            (frames::NO_MORE, 0, 0),
-            (frames::ANSWER, 1, frames::THROTTLED)
+            (frames::GO_AWAY, 0, 0),
+            (frames::RESPONSE, 1, frames::THROTTLED)
         ]
     );
     assert_eq!(stage.peers[x].lines("UNDO", &id(1)), [end]);
--- a/crates/platform-frontend/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -224,7 +224,11 @@
                 weight: 4.0,
                 started_at: since,
             };
-            orchidtally_platform_discovery::DiscoveredEndpoint { row, name, address }
+            orchidtally_platform_discovery::DiscoveredEndpoint {
+                endpoint: row,
+                name,
+                address,
+            }
         };
         let entries = rows.iter().map(entry).collect();
         let now = self.front.now();
@@ -243,7 +247,7 @@
         ("tags", "memory_mb:512;lanes:8;load_ms:20"),
     ];
     let mut out = vec![];
-    frames::put(
+    frames::write_frame(
         &mut out,
         frames::INVOKE,
         stream,
@@ -271,7 +275,7 @@
     let mut decoder = frames::Decoder::default();
     decoder.push(&all);
     let mut found = vec![];
-    while let Ok(Some(frame)) = decoder.read() {
+    while let Ok(Some(frame)) = decoder.next_frame() {
         let code = frame
             .payload
             .and_then(|p| p.first())
--- a/crates/platform-frontend/src/tests/on_the_way.rs
+++ b/crates/platform-frontend/src/tests/on_the_way.rs
@@ -157,7 +157,7 @@
         answers.extend(got(&mut client).0);
         !answers.is_empty()
     });
-    assert_eq!(answers, [(frames::ANSWER, 2, frames::SUCCEEDED)]);
+    assert_eq!(answers, [(frames::RESPONSE, 2, frames::SUCCEEDED)]);
     assert_eq!(
         stage.peers[x].lines("DO", &id(1)).len(),
         2,
@@ -190,7 +190,7 @@
         answers.extend(got(&mut client).0);
         !answers.is_empty()
     });
-    assert_eq!(answers, [(frames::ANSWER, 1, frames::SUCCEEDED)]);
+    assert_eq!(answers, [(frames::RESPONSE, 1, frames::SUCCEEDED)]);
 }
 
 /// It was not known any more that its cancel might be under way.
@@ -202,7 +202,7 @@
         .expect("it stands");
     stage.dispatched(&id(1));
     let mut both = vec![];
-    frames::put(&mut both, frames::WITHDRAW, 2, None, None, &[]);
+    frames::write_frame(&mut both, frames::CANCEL, 2, None, None, &[]);
     both.extend(invocation(101, &id(1), "read"));
     client.write_all(&both).expect("it stands");
     stage.until("taken", |s| s.front.engine.counters().admitted == 3);
--- a/crates/platform-frontend/src/tests/settings.rs
+++ b/crates/platform-frontend/src/tests/settings.rs
@@ -12,7 +12,7 @@
     ];
     fields.extend(customer.map(|c| ("project", c)));
     let mut out = vec![];
-    frames::put(&mut out, frames::INVOKE, 1, None, Some(&fields), b"body");
+    frames::write_frame(&mut out, frames::INVOKE, 1, None, Some(&fields), b"body");
     out.split_off(9)
 }
 
@@ -112,7 +112,7 @@
         answers.extend(got(&mut client).0);
         !answers.is_empty()
     });
-    assert_eq!(answers, [(frames::ANSWER, 1, frames::THROTTLED)]);
+    assert_eq!(answers, [(frames::RESPONSE, 1, frames::THROTTLED)]);
     (0..3).for_each(|_| _ = stage.turn());
     assert!(stage.peers[x].lines("UNDO", "").is_empty());
 }
--- a/crates/platform-frontend/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -43,11 +43,11 @@
         .map(|entry| entry.name.as_str())
         .collect();
     assert_eq!(
-        (names, start.settings.most_open),
+        (names, start.settings.max_open_invocations),
         (vec!["s-1", "s-2"], 1_000)
     );
     assert_eq!(
-        start.places.named(),
+        start.locations.name_counts(),
         (4, 2),
         "the settings name two locations, the list two others"
     );
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -72,16 +72,16 @@
                 'reading: while let Ok(n @ 1..) = (&*listening.stream).read(&mut buffer).await {
                     decoder.push(&buffer[..n]);
                     loop {
-                        let frame = match decoder.read() {
+                        let frame = match decoder.next_frame() {
                             Ok(Some(frame)) => frame,
                             Ok(None) => break,
                             Err(_) => break 'reading,
                         };
                         let payload = frame.payload.unwrap_or_default();
                         match (frame.kind, payload.split_first()) {
-                            (frames::NO_MORE, _) => listening.over.set(true),
-                            (frames::ANSWER, Some((&code, rest))) => {
-                                let body = frames::fields(rest)
+                            (frames::GO_AWAY, _) => listening.over.set(true),
+                            (frames::RESPONSE, Some((&code, rest))) => {
+                                let body = frames::parse_fields(rest)
                                     .map(|f| f.1.to_vec())
                                     .unwrap_or_default();
                                 let to = listening.waiting.borrow().get(&frame.stream).cloned();
@@ -143,7 +143,7 @@
             ("tags", "memory_mb:64;lanes:4;load_ms:50"),
         ];
         let mut frame = vec![];
-        frames::put(
+        frames::write_frame(
             &mut frame,
             frames::INVOKE,
             stream,
@@ -174,7 +174,7 @@
         .await
         else {
             let mut frame = vec![];
-            frames::put(&mut frame, frames::WITHDRAW, stream, None, None, &[]);
+            frames::write_frame(&mut frame, frames::CANCEL, stream, None, None, &[]);
             // The front end may have gone.
             let _ = (&*open.stream).write_all(&frame).await;
             self.stage.record(TrafficRecord::Left {
