--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -38,7 +38,7 @@
     std::fs::write(&front.file, &new[..new.len() / 2]).unwrap();
     front.signal("HUP");
     assert!(
-        log.any(|line| line.unwrap().contains("it is read again")),
+        log.any(|line| line.unwrap().contains("settings file cannot be used yet")),
         "it was read half"
     );
     let mut client = front.client();
--- a/crates/platform-client-protocol/tests/frames.rs
+++ b/crates/platform-client-protocol/tests/frames.rs
@@ -1,3 +1,5 @@
+//! The frame decoder and encoder.
+
 use orchidtally_platform_client_protocol::*;
 use proptest::prelude::*;
 
--- a/crates/platform-config/src/fault.rs
+++ b/crates/platform-config/src/error.rs
@@ -2,30 +2,50 @@
 
 use thiserror::Error;
 
-#[derive(Clone, Debug, PartialEq, Error)]
+/// Why settings can't be used; the text names the key and the remedy.
+#[derive(Debug, Error)]
 pub enum SettingsError {
+    /// The bytes are not JSON.
     #[error("settings are not JSON: {0}; write them as one JSON object")]
-    NotJson(String),
+    NotJson(#[source] serde_json::Error),
+    /// A key is missing.
     #[error("settings lack '{key}'; add it")]
-    Missing { key: String },
+    Missing {
+        /// The key.
+        key: String,
+    },
+    /// A value has another type.
     #[error("setting '{key}' is not {wanted}; write one")]
-    WrongType { key: String, wanted: &'static str },
+    WrongType {
+        /// The key.
+        key: String,
+        /// The type that is wanted.
+        wanted: &'static str,
+    },
+    /// A number is out of range.
     #[error("setting '{key}' is {value}; {bounds} is wanted")]
     OutOfRange {
+        /// The key.
         key: String,
+        /// Its value.
         value: f64,
+        /// The range.
         bounds: String,
     },
+    /// A name is none of those that are known.
     #[error("setting '{key}' has an unknown value '{value}'; {known} are known")]
     Unknown {
+        /// The key.
         key: String,
+        /// Its value.
         value: String,
+        /// The values that are known.
         known: String,
     },
 }
 
 impl SettingsError {
-    pub(crate) fn form(key: &str, wanted: &'static str) -> SettingsError {
+    pub(crate) fn wrong_type(key: &str, wanted: &'static str) -> SettingsError {
         SettingsError::WrongType {
             key: key.into(),
             wanted,
--- a/crates/platform-discovery/benches/lists.rs
+++ b/crates/platform-discovery/benches/lists.rs
@@ -69,9 +69,9 @@
             ("of a start", start.to_string().len(), {
                 let mut places = LocationTable::default();
                 least(rounds, || {
-                    let (_, entries) =
+                    let initial =
                         initial_endpoints(black_box(&start), &mut places).expect("a sound list");
-                    assert_eq!(entries.len(), executors);
+                    assert_eq!(initial.endpoints.len(), executors);
                 })
             }),
         ];
--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -1,6 +1,6 @@
-//! Answers of the resolver over DNS: what is asked, and what an answer tells.
+//! The resolver's DNS messages: the query for the endpoint list, and its answer.
 
-use crate::{DiscoveredEndpoint, LocationTable, SERVICE, executor_id, since};
+use crate::{DiscoveredEndpoint, LocationTable, SERVICE, executor_id, started_at};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use simple_dns::rdata::{RData, SRV};
 use simple_dns::{CLASS, Name, Packet, PacketFlag, QCLASS, QTYPE, Question, RCODE, TYPE};
@@ -8,7 +8,10 @@
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// A whole list, and the number of the last event in it.
+/// The weight of an SRV record for a weight of one.
+const WEIGHT_SCALE: f64 = 10.0;
+
+/// A whole endpoint list, and the number of the last event in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     /// The serial of the SOA record.
@@ -17,7 +20,7 @@
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// An executor's standing, where the rest of its row could not be read.
+/// The state of an endpoint of which nothing else could be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointStateOnly {
     /// The executor's id.
@@ -26,45 +29,70 @@
     pub state: EndpointState,
 }
 
-/// A list that names every executor and its standing, some of them with rows that could not be read.
+/// An endpoint list that tells the state of every executor, but not all of the rest.
 #[derive(Clone, Debug)]
 pub struct PartialList {
     /// The serial of the SOA record.
     pub serial: u32,
-    /// The executors whose rows could be read.
+    /// The endpoints that could be read.
     pub endpoints: Vec<DiscoveredEndpoint>,
     /// The others.
     pub state_only: Vec<EndpointStateOnly>,
-    /// Locations and kinds with those that the entries name; to be taken over together with these.
+    /// The table of locations with those that the endpoints name; to be taken over together with these.
     pub locations: LocationTable,
 }
 
+/// What is wrong with the records of one executor; the text names it.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidRecord {
+    /// There is no address.
+    #[error("'{0}' has no address")]
+    MissingAddress(String),
+    /// There is no text record.
+    #[error("'{0}' has no text")]
+    MissingText(String),
+    /// The text record lacks an attribute.
+    #[error("'{name}' has no '{key}'")]
+    MissingAttribute {
+        /// The executor.
+        name: String,
+        /// The attribute.
+        key: &'static str,
+    },
+    /// The start is no finite number.
+    #[error("'started' of '{0}' is no number")]
+    InvalidStart(String),
+    /// The cell is no number that fits.
+    #[error("'cell' of '{0}' is no number of a cell")]
+    InvalidCell(String),
+}
+
 /// Why an answer is no whole list.
-#[derive(Clone, Debug, Error)]
+#[derive(Debug, Error)]
 pub enum AnswerError {
     /// The bytes are no DNS message.
     #[error("unreadable: {0}; see what lies between here and the resolver")]
-    Malformed(String),
-    /// It has another id, asks instead of answering, or answers another question.
+    Malformed(#[source] simple_dns::SimpleDnsError),
+    /// It has another id, is a query, or answers another question.
     #[error("not the answer to what was asked; see who else sends from the resolver's address")]
     Foreign,
     /// The resolver left something out.
     #[error("truncated; the list is longer than the resolver's answers may be")]
     Truncated,
     /// The resolver failed.
-    #[error("failed: {0}; see the resolver's log")]
-    Failed(String),
+    #[error("failed: {0:?}; see the resolver's log")]
+    Failed(RCODE),
     /// There is no SOA record.
     #[error("without a serial; the authority section needs a SOA record")]
     NoSerial,
     /// A target's name does not tell an id and a location.
     #[error("a target without a location; names are ID.LOCATION.hosts")]
     NoLocation,
-    /// The standing of every executor could be read, but not every row.
-    #[error("{why}; correct that row at the resolver")]
+    /// The state of every executor could be read, but not all of the rest.
+    #[error("{reason}; correct that row at the resolver")]
     InvalidRecord {
-        /// What is wrong with the first such row.
-        why: String,
+        /// What is wrong with the first such executor.
+        reason: InvalidRecord,
         /// What could be read.
         list: Box<PartialList>,
     },
@@ -73,10 +101,9 @@
 /// Builds a query for the whole list under an id.
 ///
 /// # Errors
-/// The name of the service is none.
+/// The message can't be encoded.
 pub fn build_query(id: u16) -> Result<Vec<u8>, AnswerError> {
-    let unreadable = |e: simple_dns::SimpleDnsError| AnswerError::Malformed(e.to_string());
-    let name = Name::new(SERVICE).map_err(unreadable)?;
+    let name = Name::new(SERVICE).map_err(AnswerError::Malformed)?;
     let mut packet = Packet::new_query(id);
     packet.questions.push(Question::new(
         name,
@@ -84,10 +111,10 @@
         QCLASS::CLASS(CLASS::IN),
         false,
     ));
-    packet.build_bytes_vec().map_err(unreadable)
+    packet.build_bytes_vec().map_err(AnswerError::Malformed)
 }
 
-/// The labels of a name as text.
+/// The labels of a name in lower case.
 fn labels(name: &Name) -> Vec<String> {
     name.get_labels()
         .iter()
@@ -95,17 +122,16 @@
         .collect()
 }
 
-/// Reads an answer to the query with an id. An answer that is not whole in every row is no list: what it left out
-/// would be taken to be gone. It names no places then either.
+/// Parses the answer to the query with an id.
 ///
 /// # Errors
-/// As `AnswerFault` tells.
+/// The answer is not a whole list: what it leaves out would count as gone. `locations` is unchanged then.
 pub fn parse_answer(
     bytes: &[u8],
     id_asked: u16,
-    places: &mut LocationTable,
+    locations: &mut LocationTable,
 ) -> Result<Answer, AnswerError> {
-    let packet = Packet::parse(bytes).map_err(|e| AnswerError::Malformed(e.to_string()))?;
+    let packet = Packet::parse(bytes).map_err(AnswerError::Malformed)?;
     if packet.id() != id_asked || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(AnswerError::Foreign);
     }
@@ -113,7 +139,7 @@
         return Err(AnswerError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(AnswerError::Failed(format!("{:?}", packet.rcode())));
+        return Err(AnswerError::Failed(packet.rcode()));
     }
     let service: Vec<String> = SERVICE.split('.').map(str::to_owned).collect();
     if packet.questions.iter().any(|q| labels(&q.qname) != service) {
@@ -128,29 +154,30 @@
             _ => None,
         });
     let serial = serials.max().ok_or(AnswerError::NoSerial)?;
-    let mut named = places.clone();
-    let (entries, odd, why) = rows(&packet, &mut named)?;
-    match why {
+    let mut named = locations.clone();
+    let parsed = parse_records(&packet, &mut named)?;
+    match parsed.first_error {
         None => {
-            *places = named;
+            *locations = named;
             Ok(Answer {
                 serial,
-                endpoints: entries,
+                endpoints: parsed.endpoints,
             })
         }
-        Some(why) => {
+        Some(reason) => {
             let list = Box::new(PartialList {
                 serial,
-                endpoints: entries,
-                state_only: odd,
+                endpoints: parsed.endpoints,
+                state_only: parsed.state_only,
                 locations: named,
             });
-            Err(AnswerError::InvalidRecord { why, list })
+            Err(AnswerError::InvalidRecord { reason, list })
         }
     }
 }
 
-fn standing(srv: &SRV) -> EndpointState {
+/// Executors with priority 0 are ready, the others drain.
+fn state(srv: &SRV) -> EndpointState {
     if srv.priority == 0 {
         EndpointState::Ready
     } else {
@@ -158,30 +185,31 @@
     }
 }
 
-/// Addresses and texts of the targets.
-struct Details<'a> {
+/// The addresses and attributes of the targets of a list.
+struct TargetDetails<'a> {
     addresses: HashMap<Vec<String>, IpAddr>,
-    texts: HashMap<Vec<String>, HashMap<String, Option<String>>>,
+    attributes: HashMap<Vec<String>, HashMap<String, Option<String>>>,
     packet: &'a Packet<'a>,
 }
 
-impl<'a> Details<'a> {
-    fn new(packet: &'a Packet<'a>) -> Details<'a> {
-        let (mut addresses, mut texts) = (HashMap::new(), HashMap::new());
+impl<'a> TargetDetails<'a> {
+    fn new(packet: &'a Packet<'a>) -> TargetDetails<'a> {
+        let mut addresses = HashMap::new();
+        let mut attributes = HashMap::new();
         for record in packet.answers.iter().chain(&packet.additional_records) {
             match &record.rdata {
                 RData::A(a) => {
                     addresses.insert(labels(&record.name), IpAddr::from(a.address.to_be_bytes()));
                 }
                 RData::TXT(txt) => {
-                    texts.insert(labels(&record.name), txt.attributes());
+                    attributes.insert(labels(&record.name), txt.attributes());
                 }
                 _ => {}
             }
         }
-        Details {
+        TargetDetails {
             addresses,
-            texts,
+            attributes,
             packet,
         }
     }
@@ -196,80 +224,93 @@
             })
     }
 
-    /// An executor's entry; none where its location is one too many, and what is wrong where it can't be read.
-    fn entry(
+    /// The endpoint of a target whose name begins with an executor's id and its zone; `None` if the zone can't be told
+    /// apart from others.
+    fn endpoint(
         &self,
         srv: &SRV,
         target: &Vec<String>,
         name: &str,
         zone: &str,
-        places: &mut LocationTable,
-    ) -> Result<Option<DiscoveredEndpoint>, String> {
+        locations: &mut LocationTable,
+    ) -> Result<Option<DiscoveredEndpoint>, InvalidRecord> {
+        let name_of_record = || name.to_owned();
         let ip = *self
             .addresses
             .get(target)
-            .ok_or_else(|| format!("'{name}' has no address"))?;
-        let text = self
-            .texts
+            .ok_or_else(|| InvalidRecord::MissingAddress(name_of_record()))?;
+        let attributes = self
+            .attributes
             .get(target)
-            .ok_or_else(|| format!("'{name}' has no text"))?;
-        let field = |key: &str| {
-            let found = text.get(key).and_then(|v| v.as_deref());
-            found.ok_or_else(|| format!("'{name}' has no '{key}'"))
+            .ok_or_else(|| InvalidRecord::MissingText(name_of_record()))?;
+        let attribute = |key: &'static str| {
+            attributes
+                .get(key)
+                .and_then(|value| value.as_deref())
+                .ok_or_else(|| InvalidRecord::MissingAttribute {
+                    name: name_of_record(),
+                    key,
+                })
         };
-        let started = field("started")?
+        let started_ms = attribute("started")?
             .parse::<f64>()
             .ok()
-            .filter(|n| n.is_finite());
-        let started = started.ok_or_else(|| format!("'started' of '{name}' is no number"))?;
-        let cell = field("cell")?
+            .filter(|started| started.is_finite())
+            .ok_or_else(|| InvalidRecord::InvalidStart(name_of_record()))?;
+        let cell = attribute("cell")?
             .parse()
-            .map_err(|_| format!("'cell' of '{name}' is no number of a cell"))?;
-        let kind = field("kind")?;
-        let Some(zone) = places.zone(zone) else {
+            .map_err(|_| InvalidRecord::InvalidCell(name_of_record()))?;
+        let kind = attribute("kind")?;
+        let Some(zone) = locations.zone(zone) else {
             return Ok(None);
         };
-        let row = Endpoint {
+        let endpoint = Endpoint {
             executor: executor_id(name),
             zone,
-            kind: places.kind(kind),
+            kind: locations.kind(kind),
             cell,
-            state: standing(srv),
-            weight: f64::from(srv.weight) / 10.0,
-            started_at: since(started),
+            state: state(srv),
+            weight: f64::from(srv.weight) / WEIGHT_SCALE,
+            started_at: started_at(started_ms),
         };
         Ok(Some(DiscoveredEndpoint {
             name: name.to_owned(),
             address: SocketAddr::new(ip, srv.port),
-            endpoint: row,
+            endpoint,
         }))
     }
 }
 
-/// Entries, rows of which only the standing could be read, and what is wrong with the first of these.
-type Rows = (
-    Vec<DiscoveredEndpoint>,
-    Vec<EndpointStateOnly>,
-    Option<String>,
-);
+/// What the records of a list tell.
+#[derive(Default)]
+struct ParsedRecords {
+    endpoints: Vec<DiscoveredEndpoint>,
+    /// Endpoints of which only the state could be read.
+    state_only: Vec<EndpointStateOnly>,
+    /// What is wrong with the first of these.
+    first_error: Option<InvalidRecord>,
+}
 
-fn rows(packet: &Packet, places: &mut LocationTable) -> Result<Rows, AnswerError> {
-    let details = Details::new(packet);
-    let (mut entries, mut odd, mut first_fault) = (vec![], vec![], None);
+fn parse_records(
+    packet: &Packet,
+    locations: &mut LocationTable,
+) -> Result<ParsedRecords, AnswerError> {
+    let details = TargetDetails::new(packet);
+    let mut parsed = ParsedRecords::default();
     for (srv, target) in details.targets() {
         let [name, zone, ..] = target.as_slice() else {
             return Err(AnswerError::NoLocation);
         };
-        match details.entry(srv, &target, name, zone, places) {
-            Ok(entry) => entries.extend(entry),
-            Err(why) => {
-                first_fault.get_or_insert(why);
-                odd.push(EndpointStateOnly {
+        match details.endpoint(srv, &target, name, zone, locations) {
+            Ok(endpoint) => parsed.endpoints.extend(endpoint),
+            Err(error) => {
+                parsed.first_error.get_or_insert(error);
+                parsed.state_only.push(EndpointStateOnly {
                     name: name.clone(),
-                    state: standing(srv),
+                    state: state(srv),
                 });
             }
         }
     }
-    Ok((entries, odd, first_fault))
+    Ok(parsed)
 }
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -1,32 +1,41 @@
-//! The platform's lists of executors: what was known at the start in its JSON, later ones as answers of DNS.
-//! Both become rows of the roster, and `RosterView` decides which of them to believe. No sockets.
+//! The platform's endpoint lists: that of the start in JSON, later ones as DNS answers of the resolver.
+//!
+//! Both become endpoints of the dispatch policy. [`EndpointView`] decides which lists to believe. No sockets.
 
 mod answer;
+mod serial;
+mod transitions;
 mod view;
 
-pub use answer::{Answer, AnswerError, EndpointStateOnly, PartialList, build_query, parse_answer};
+pub use answer::{
+    Answer, AnswerError, EndpointStateOnly, InvalidRecord, PartialList, build_query, parse_answer,
+};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
+use thiserror::Error;
 pub use view::{EndpointView, ListOutcome};
 
 /// The service whose targets are the executors.
 pub const SERVICE: &str = "_data._tcp.farm.lan";
-/// An answer's bytes at the most: what a UDP datagram carries over IPv4. Hundreds of executors take more than
-/// the 8,000 that the platform's page names.
+/// The longest answer in bytes: what a UDP datagram carries over IPv4. Hundreds of executors take more than the 8,000
+/// that the platform's page names.
 pub const MAX_ANSWER_LENGTH: usize = 65_507;
 
-/// A row of the roster, and where its executor is reached.
+/// An executor of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
+    /// Its id on the list.
     pub name: String,
+    /// Where it is reached.
     pub address: SocketAddr,
+    /// What the policy knows of it.
     pub endpoint: Endpoint,
 }
 
-/// The module's id for an executor: of its name alone, since its address may be another's later and is not
-/// the same for every front end. The same at all of them.
+/// The policy's id for an executor, the same at every front end. It is derived from the name alone: the address may be
+/// another executor's later, and is not the same for every front end.
 pub fn executor_id(name: &str) -> ExecutorId {
     ExecutorId(
         IpAddr::V6(Ipv6Addr::from_bits(xxhash_rust::xxh3::xxh3_128(
@@ -36,20 +45,30 @@
     )
 }
 
-/// Names of locations and kinds, by the index that the module knows. Lists may name more than the settings do;
-/// those are added as they come.
+/// The names of zones and executor kinds, by the policy's index. Lists may name more than the settings declare; these are
+/// added as they come.
 #[derive(Clone, Debug, Default)]
 pub struct LocationTable {
     zones: Vec<String>,
     kinds: Vec<String>,
-    /// Rows that were left out, for being in a location past those that can be told apart.
+    /// Endpoints that were ignored because no index was left for their zone.
     pub ignored_endpoints: u64,
 }
 
-/// Names told apart, by an index of one byte.
-const MOST_NAMES: usize = 256;
+/// How many names a `LocationTable` holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NameCounts {
+    /// Names of zones.
+    pub zones: usize,
+    /// Names of executor kinds.
+    pub kinds: usize,
+}
+
+/// Names that an index of one byte tells apart.
+const MAX_NAMES: usize = 256;
 
 impl LocationTable {
+    /// The names that the settings declare, in their order.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> LocationTable {
         LocationTable {
             zones,
@@ -58,36 +77,42 @@
         }
     }
 
-    /// How many names there are by now, of locations and of kinds.
-    pub fn name_counts(&self) -> (usize, usize) {
-        (self.zones.len(), self.kinds.len())
+    /// How many names there are by now.
+    pub fn name_counts(&self) -> NameCounts {
+        NameCounts {
+            zones: self.zones.len(),
+            kinds: self.kinds.len(),
+        }
     }
 
     fn index(names: &mut Vec<String>, name: &str) -> Option<u8> {
-        let known = names.iter().position(|n| n == name);
-        let at = known.or_else(|| {
-            let room = names.len() < MOST_NAMES;
-            room.then(|| names.push(name.to_owned()))
-                .map(|()| names.len() - 1)
-        });
-        at.and_then(|at| u8::try_from(at).ok())
+        let known = names.iter().position(|known| known == name);
+        let index = match known {
+            Some(index) => index,
+            None if names.len() < MAX_NAMES => {
+                names.push(name.to_owned());
+                names.len() - 1
+            }
+            None => return None,
+        };
+        u8::try_from(index).ok()
     }
 
-    /// Two locations must not be taken for one: a row for which there is none left is passed over.
+    /// The index of a zone. Two zones must not share one: without an index left the endpoint is ignored.
     fn zone(&mut self, name: &str) -> Option<u8> {
         let zone = Self::index(&mut self.zones, name);
         self.ignored_endpoints += u64::from(zone.is_none());
         zone
     }
 
-    /// Kinds past those that can be told apart are held for one.
+    /// The index of an executor kind; kinds without an index of their own share the last.
     fn kind(&mut self, name: &str) -> u8 {
         Self::index(&mut self.kinds, name).unwrap_or(u8::MAX)
     }
 }
 
-/// Seconds of a start told in milliseconds; 0 means long ago.
-fn since(started_ms: f64) -> f64 {
+/// The start of an executor in seconds, from milliseconds; 0 means long ago.
+fn started_at(started_ms: f64) -> f64 {
     if started_ms > 0.0 {
         started_ms / 1e3
     } else {
@@ -133,45 +158,67 @@
     Deleted,
 }
 
-/// The list of the start, by name, and the number of the last event in it.
+/// The endpoint list of the start.
+#[derive(Clone, Debug, PartialEq)]
+pub struct InitialEndpoints {
+    /// The number of the last event in it.
+    pub serial: u32,
+    /// The executors, ordered by name.
+    pub endpoints: Vec<DiscoveredEndpoint>,
+}
+
+/// Why the endpoint list of the start can't be used.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct InitialEndpointsError(#[from] serde_json::Error);
+
+/// Reads the endpoint list of the start: the updates are applied one after the other.
+///
+/// # Errors
+/// The value has another form; the error names the key.
 pub fn initial_endpoints(
     value: &serde_json::Value,
-    places: &mut LocationTable,
-) -> Result<(u32, Vec<DiscoveredEndpoint>), String> {
-    let known = Known::deserialize(value).map_err(|e| e.to_string())?;
-    let mut entries: BTreeMap<String, DiscoveredEndpoint> = BTreeMap::new();
+    locations: &mut LocationTable,
+) -> Result<InitialEndpoints, InitialEndpointsError> {
+    let known = Known::deserialize(value)?;
+    let mut endpoints: BTreeMap<String, DiscoveredEndpoint> = BTreeMap::new();
     for update in known.updates {
         if update.endpoints.whole {
-            entries.clear();
+            endpoints.clear();
         }
         for host in update.endpoints.hosts {
-            let standing = match host.health {
-                Health::Serving => EndpointState::Ready,
-                Health::Draining => EndpointState::Draining,
-                Health::Deleted => EndpointState::Gone,
-            };
-            entries.remove(&host.host);
-            let Some(zone) = places.zone(&host.site) else {
-                continue;
-            };
-            let row = Endpoint {
-                executor: executor_id(&host.host),
-                zone,
-                kind: places.kind(&host.class),
-                cell: host.block,
-                state: standing,
-                weight: host.share,
-                started_at: since(host.born_ms),
-            };
-            if standing != EndpointState::Gone {
-                let entry = DiscoveredEndpoint {
-                    name: host.host.clone(),
-                    address: host.dial,
-                    endpoint: row,
-                };
-                entries.insert(host.host, entry);
+            endpoints.remove(&host.host);
+            if let Some(discovered) = discovered_endpoint(&host, locations)
+                && discovered.endpoint.state != EndpointState::Gone
+            {
+                endpoints.insert(host.host, discovered);
             }
         }
     }
-    Ok((known.index, entries.into_values().collect()))
+    Ok(InitialEndpoints {
+        serial: known.index,
+        endpoints: endpoints.into_values().collect(),
+    })
+}
+
+/// The endpoint of a host; `None` if its zone can't be told apart from others.
+fn discovered_endpoint(host: &Host, locations: &mut LocationTable) -> Option<DiscoveredEndpoint> {
+    let state = match host.health {
+        Health::Serving => EndpointState::Ready,
+        Health::Draining => EndpointState::Draining,
+        Health::Deleted => EndpointState::Gone,
+    };
+    Some(DiscoveredEndpoint {
+        name: host.host.clone(),
+        address: host.dial,
+        endpoint: Endpoint {
+            executor: executor_id(&host.host),
+            zone: locations.zone(&host.site)?,
+            kind: locations.kind(&host.class),
+            cell: host.block,
+            state,
+            weight: host.share,
+            started_at: started_at(host.born_ms),
+        },
+    })
 }
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -1,107 +1,115 @@
-//! Which lists of executors to believe: every whole answer is read, whatever its serial, and what it tells of an
-//! executor that drains or is gone counts at once. A serial alone proves nothing about the rows that came with it: one
-//! datagram with a serial that is not its list's would hide every true list after it.
+//! Decides which endpoint lists to believe.
+//!
+//! Every whole answer is read, whatever its serial, and what it tells of an executor that drains or is gone counts at
+//! once. A serial alone proves nothing about the records that came with it: one datagram with a serial that is not its
+//! list's would hide every true list after it.
 
+use crate::serial::compare_serials;
+use crate::transitions::PendingTransitions;
 use crate::{Answer, DiscoveredEndpoint, PartialList};
 use orchidtally_dispatch_policy::interface::EndpointState;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Answers in a row with an older serial after which the held serial is taken for the wrong one. Guards against a
-/// serial that jumped ahead, which would leave the view as it is for good; could harm by a list that lags, which is
-/// why such a list makes nobody ready that was told away.
-const OLDER_IN_A_ROW: u32 = 3;
-/// Answers in a row that tell an executor ready after it was told draining or gone, until it is ready again. Guards
-/// against one answer that is spoilt or late; could harm an executor whose drain was taken back, by 0.6 s.
-const READY_IN_A_ROW: u32 = 3;
-/// The same where the answers' serial is older than the one that told it away. A resolver lags by 1.5 s at the most;
-/// at five answers a second these take twice as long.
-const READY_IN_A_ROW_OLDER: u32 = 16;
-/// An executor told away is remembered for so many seconds after it was last on a list.
-const REMEMBERED: f64 = 120.0;
-/// And so many of them; past that the one told first is forgotten.
-const MOST_REMEMBERED: usize = 4_096;
-
-/// An executor is on a list so many seconds after its start: a change is told within 1.5 s, and it has to get ready
-/// before. Guards executors that were slow to get ready against being taken for new at their listing (2 to 3 s were
-/// seen); could harm by that much where the wall clock is ahead by no more.
-const LISTED_WITHIN: f64 = 4.0;
+/// Answers in a row with an older serial after which the serial of the view counts as wrong.
+///
+/// Failure mode: a serial that jumped ahead would leave the view as it is for good.
+/// Risk: a list that lags, which is why such a list makes no executor ready that was told draining or gone.
+const OLDER_CONFIRMATIONS: u32 = 3;
+/// Seconds from an executor's start within which it is listed: a change is told within 1.5 s, and the executor has to get
+/// ready before.
+///
+/// Failure mode: executors that were slow to get ready (2 to 3 s were seen) count as new when they are listed.
+/// Risk: starts are wrong by this much if the wall clock is ahead by no more.
+const MAX_LISTING_DELAY: f64 = 4.0;
 
 /// What came of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOutcome {
-    /// It tells what is held: the view is as fresh as the question.
+    /// It tells what the view holds: the view is as fresh as the query.
     Confirmed,
-    /// The rows changed, and the view is as fresh as the question.
+    /// The endpoints changed, and the view is as fresh as the query.
     Changed,
-    /// It is older than what is held. What it tells of executors that drain was taken.
+    /// It is older than the view. What it tells of executors that drain was taken over.
     Older {
-        /// Whether that changed any row.
+        /// Whether that changed any endpoint.
         changed: bool,
     },
 }
 
 impl ListOutcome {
-    /// Whether rows changed.
-    pub fn changed(self) -> bool {
+    /// Whether endpoints changed.
+    pub fn has_changes(self) -> bool {
         matches!(
             self,
             ListOutcome::Changed | ListOutcome::Older { changed: true }
         )
     }
 
-    /// Whether the view is as fresh as the question.
+    /// Whether the view is as fresh as the query.
     pub fn confirms(self) -> bool {
         !matches!(self, ListOutcome::Older { .. })
     }
 }
 
-/// An executor on the list that is held.
+/// An executor of the view.
 #[derive(Clone, Debug)]
-struct Held {
-    entry: DiscoveredEndpoint,
+struct HeldEndpoint {
+    /// As it was listed.
+    listed: DiscoveredEndpoint,
     /// When it started at the latest, on the caller's clock.
-    since: f64,
-    /// What the last list told of it besides its standing, where that differs from the entry.
-    differs: Option<DiscoveredEndpoint>,
+    started_at: f64,
+    /// What the last list told besides its state, if that differs: it counts once it is repeated.
+    unconfirmed: Option<DiscoveredEndpoint>,
 }
 
-impl Held {
-    fn new(entry: DiscoveredEndpoint, since: f64) -> Held {
-        Held {
-            entry,
-            since,
-            differs: None,
+impl HeldEndpoint {
+    fn new(listed: DiscoveredEndpoint, started_at: f64) -> HeldEndpoint {
+        HeldEndpoint {
+            listed,
+            started_at,
+            unconfirmed: None,
         }
     }
 
-    /// Takes what a list tells of the same start: its standing at once, and whatever else differs when it is told twice
-    /// in a row. Guards against one spoilt record, by which an executor would be looked for elsewhere, found unreachable
-    /// and taken for broken; could harm one that moves, by 0.2 s.
-    fn retold(&self, told: &DiscoveredEndpoint) -> Held {
-        let mut told_before = self.entry.clone();
-        told_before.endpoint.state = told.endpoint.state;
-        if told_before == *told {
-            return Held::new(told_before, self.since);
+    /// Takes over what a list tells of the same start: the state at once, other differences when they are told twice in
+    /// a row.
+    ///
+    /// Failure mode: by one damaged record an executor is looked for at another address, found unreachable and taken
+    /// for broken.
+    /// Risk: an executor that moves is found 0.2 s later.
+    fn confirmed_by_repeat(&self, told: &DiscoveredEndpoint) -> HeldEndpoint {
+        let mut listed = self.listed.clone();
+        listed.endpoint.state = told.endpoint.state;
+        if listed == *told {
+            return HeldEndpoint::new(listed, self.started_at);
         }
-        let mut besides = told.clone();
-        besides.endpoint.state = EndpointState::Ready;
-        if self.differs.as_ref() == Some(&besides) {
-            return Held::new(told.clone(), self.since);
+        // The state is not part of the comparison.
+        let mut differing = told.clone();
+        differing.endpoint.state = EndpointState::Ready;
+        if self.unconfirmed.as_ref() == Some(&differing) {
+            return HeldEndpoint::new(told.clone(), self.started_at);
         }
-        Held {
-            entry: told_before,
-            since: self.since,
-            differs: Some(besides),
+        HeldEndpoint {
+            listed,
+            started_at: self.started_at,
+            unconfirmed: Some(differing),
         }
     }
+
+    fn is_ready(&self) -> bool {
+        self.listed.endpoint.state == EndpointState::Ready
+    }
 }
 
-/// When an executor started that was first listed at a time, and on no list as late as another. Starts are told by the
-/// wall clocks of other machines, and this one's may have been stepped: a start lies between these two, or hardly before.
-/// Guards executors that have just started against work for warm ones; could harm by too little work for a while.
-fn listed_start(told: f64, absent_at: f64, listed_at: f64) -> f64 {
-    let is_plausible = (absent_at - LISTED_WITHIN..=listed_at).contains(&told);
+/// When an executor started that was first listed at a time, and absent from a list as late as another.
+///
+/// Starts are told by the wall clocks of other machines, and this one's may have been stepped: a start lies between
+/// these two times, or hardly before.
+/// Failure mode: executors that have just started get the load of warm ones.
+/// Risk: too little load for a while.
+fn plausible_start(told: f64, absent_at: f64, listed_at: f64) -> f64 {
+    let is_plausible = (absent_at - MAX_LISTING_DELAY..=listed_at).contains(&told);
     if told == f64::NEG_INFINITY || is_plausible {
         told
     } else {
@@ -109,271 +117,224 @@
     }
 }
 
-/// The latest of some starts that may be compared with each other.
-fn youngest(entries: &[DiscoveredEndpoint]) -> f64 {
-    entries
+/// The latest start of some endpoints.
+fn latest_start(endpoints: &[DiscoveredEndpoint]) -> f64 {
+    endpoints
         .iter()
-        .map(|e| e.endpoint.started_at)
+        .map(|discovered| discovered.endpoint.started_at)
         .fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// When an executor was told draining or gone.
-#[derive(Clone, Copy, Debug)]
-struct Withdrawal {
-    /// The start that it had then.
-    since: f64,
-    serial: u32,
-    at: f64,
-    /// Answers in a row that told it ready since.
-    ready_votes: u32,
-}
-
-/// The executors as last told, and how fresh that is. All times are seconds on the clock of the caller.
+/// The current view of the executors, and how fresh it is. All times are seconds on the clock of the caller.
 #[derive(Clone, Debug)]
 pub struct EndpointView {
     serial: u32,
-    began_at: f64,
-    asked_at: f64,
-    entries: BTreeMap<String, Held>,
-    withdrawn: BTreeMap<String, Withdrawal>,
-    older_in_a_row: u32,
-}
-
-/// Serials wrap around (RFC 1982).
-fn compare(serial: u32, other: u32) -> Ordering {
-    (serial.wrapping_sub(other) as i32).cmp(&0)
+    created_at: f64,
+    /// When the query was sent that the view answers.
+    queried_at: f64,
+    endpoints: BTreeMap<String, HeldEndpoint>,
+    transitions: PendingTransitions,
+    /// Answers in a row with an older serial.
+    older_confirmations: u32,
 }
 
 impl EndpointView {
-    /// The view of a start at a time: what the configuration lists. Nobody knows how old it is.
-    pub fn new(now: f64, serial: u32, entries: &[DiscoveredEndpoint]) -> EndpointView {
-        let draining = entries
-            .iter()
-            .filter(|e| e.endpoint.state != EndpointState::Ready);
-        let draining: Vec<String> = draining.map(|e| e.name.clone()).collect();
-        let mut view = EndpointView {
-            serial,
-            began_at: now,
-            asked_at: f64::NEG_INFINITY,
-            entries: BTreeMap::new(),
-            withdrawn: BTreeMap::new(),
-            older_in_a_row: 0,
-        };
-        // The youngest may have started just now, and the others so much earlier: whatever the wall clock here tells.
-        let youngest = youngest(entries);
-        let since = |told: f64| {
+    /// The view of a start now: what the configuration lists. Nobody knows how old that is.
+    pub fn new(now: f64, serial: u32, endpoints: &[DiscoveredEndpoint]) -> EndpointView {
+        // The latest to start may have started just now, and the others so much earlier, whatever the wall clock tells.
+        let latest_start = latest_start(endpoints);
+        let estimated_start = |told: f64| {
             if told == f64::NEG_INFINITY {
                 told
             } else {
-                now - (youngest - told)
+                now - (latest_start - told)
             }
         };
-        let held = |e: &DiscoveredEndpoint| {
+        let held = |discovered: &DiscoveredEndpoint| {
+            let started_at = estimated_start(discovered.endpoint.started_at);
             (
-                e.name.clone(),
-                Held::new(e.clone(), since(e.endpoint.started_at)),
+                discovered.name.clone(),
+                HeldEndpoint::new(discovered.clone(), started_at),
             )
         };
-        view.entries = entries.iter().map(held).collect();
-        draining
-            .iter()
-            .for_each(|name| view.withdraw(f64::NEG_INFINITY, serial, name));
+        let mut view = EndpointView {
+            serial,
+            created_at: now,
+            queried_at: f64::NEG_INFINITY,
+            endpoints: endpoints.iter().map(held).collect(),
+            transitions: PendingTransitions::default(),
+            older_confirmations: 0,
+        };
+        for discovered in endpoints {
+            if discovered.endpoint.state != EndpointState::Ready {
+                view.record_transition(f64::NEG_INFINITY, serial, &discovered.name);
+            }
+        }
         view
     }
 
-    /// The serial of the list that is held.
+    /// The serial of the list that the view holds.
     pub fn serial(&self) -> u32 {
         self.serial
     }
 
-    /// When the question went out that the view answers: what happened later may be missing.
+    /// When the query was sent that the view answers: what happened later may be missing.
     pub fn fresh_at(&self) -> f64 {
-        self.asked_at
+        self.queried_at
     }
 
-    /// Whether an answer that repeats the last one byte for byte could change nothing but the view's freshness.
+    /// Whether an answer that repeats the last one byte for byte could change nothing but the freshness.
     pub fn is_settled(&self) -> bool {
-        self.older_in_a_row == 0
-            && self.withdrawn.values().all(|w| w.ready_votes == 0)
-            && self.entries.values().all(|held| held.differs.is_none())
+        self.older_confirmations == 0
+            && self.transitions.is_settled()
+            && self
+                .endpoints
+                .values()
+                .all(|held| held.unconfirmed.is_none())
     }
 
-    /// The rows as they count. One told away and ready again before its time is draining.
+    /// The endpoints as they count. One whose return to ready is not confirmed counts as draining.
     pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
-        let row = |held: &Held| {
-            let mut entry = held.entry.clone();
-            entry.endpoint.started_at = held.since;
-            if self.withdrawn.contains_key(&entry.name) {
-                entry.endpoint.state = EndpointState::Draining;
+        let discovered = |held: &HeldEndpoint| {
+            let mut discovered = held.listed.clone();
+            discovered.endpoint.started_at = held.started_at;
+            if self.transitions.contains(&discovered.name) {
+                discovered.endpoint.state = EndpointState::Draining;
             }
-            entry
+            discovered
         };
-        self.entries.values().map(row).collect()
+        self.endpoints.values().map(discovered).collect()
     }
 
-    /// The last answer came again, byte for byte, to a question that went out at a time.
-    pub fn confirm_unchanged(&mut self, asked_at: f64) {
-        self.asked_at = self.asked_at.max(asked_at);
+    /// The last answer was repeated, byte for byte, for a query that was sent at a time.
+    pub fn confirm_unchanged(&mut self, queried_at: f64) {
+        self.queried_at = self.queried_at.max(queried_at);
     }
 
-    /// Takes a whole list that answers a question which went out at a time.
-    pub fn apply_list(&mut self, now: f64, asked_at: f64, answer: &Answer) -> ListOutcome {
-        let order = compare(answer.serial, self.serial);
-        let overtaken = asked_at < self.asked_at;
-        if order == Ordering::Less && !overtaken {
-            self.older_in_a_row += 1;
+    /// Applies a whole list that answers a query which was sent at a time.
+    pub fn apply_list(&mut self, now: f64, queried_at: f64, answer: &Answer) -> ListOutcome {
+        let order = compare_serials(answer.serial, self.serial);
+        let is_overtaken = queried_at < self.queried_at;
+        if order == Ordering::Less && !is_overtaken {
+            self.older_confirmations += 1;
         }
         let before = self.endpoints();
-        if order == Ordering::Greater || !overtaken && self.is_believed(order) {
-            self.adopt(now, answer, order);
-            self.asked_at = self.asked_at.max(asked_at);
+        if order == Ordering::Greater || !is_overtaken && self.is_credible(order) {
+            self.replace(now, answer, order);
+            self.queried_at = self.queried_at.max(queried_at);
             return if self.endpoints() == before {
                 ListOutcome::Confirmed
             } else {
                 ListOutcome::Changed
             };
         }
-        self.take_drains(now, answer);
+        self.apply_drains(now, answer);
         ListOutcome::Older {
             changed: self.endpoints() != before,
         }
     }
 
-    /// Takes a list with rows that could not be read: of those the standing counts, the rest stays as it was.
+    /// Applies a list that tells only the state of some executors: the rest of these stays as it was.
     pub fn apply_partial_list(
         &mut self,
         now: f64,
-        asked_at: f64,
+        queried_at: f64,
         list: &PartialList,
     ) -> ListOutcome {
-        let mut entries = list.endpoints.clone();
-        for odd in &list.state_only {
-            // Nothing can be done with one of which nothing else is known.
-            let Some(mut entry) = self.entries.get(&odd.name).map(|held| held.entry.clone()) else {
+        let mut endpoints = list.endpoints.clone();
+        for told in &list.state_only {
+            // Nothing can be done with an executor of which nothing else is known.
+            let Some(held) = self.endpoints.get(&told.name) else {
                 continue;
             };
-            entry.endpoint.state = odd.state;
-            entries.push(entry);
+            let mut discovered = held.listed.clone();
+            discovered.endpoint.state = told.state;
+            endpoints.push(discovered);
         }
-        self.apply_list(
-            now,
-            asked_at,
-            &Answer {
-                serial: list.serial,
-                endpoints: entries,
-            },
-        )
+        let answer = Answer {
+            serial: list.serial,
+            endpoints,
+        };
+        self.apply_list(now, queried_at, &answer)
     }
 
-    /// Whether a list is taken in the place of the one that is held.
-    fn is_believed(&self, order: Ordering) -> bool {
-        order != Ordering::Less || self.older_in_a_row >= OLDER_IN_A_ROW
+    /// Whether a list may replace the one that the view holds.
+    fn is_credible(&self, order: Ordering) -> bool {
+        order != Ordering::Less || self.older_confirmations >= OLDER_CONFIRMATIONS
     }
 
-    /// Takes a list in the place of the one that is held.
-    fn adopt(&mut self, now: f64, answer: &Answer, order: Ordering) {
-        let new = self.listed(now, &answer.endpoints);
-        let is_away = |name: &String| {
-            new.get(name)
-                .is_none_or(|n| n.entry.endpoint.state != EndpointState::Ready)
-        };
-        let away: Vec<String> = self
-            .entries
+    /// Replaces the list that the view holds.
+    fn replace(&mut self, now: f64, answer: &Answer, order: Ordering) {
+        let replacement = self.merge(now, &answer.endpoints);
+        let is_ready = |name: &String| replacement.get(name).is_some_and(HeldEndpoint::is_ready);
+        let withdrawn: Vec<String> = self
+            .endpoints
             .keys()
-            .filter(|name| is_away(name))
+            .filter(|name| !is_ready(name))
             .cloned()
             .collect();
-        away.iter()
-            .for_each(|name| self.withdraw(now, answer.serial, name));
-        for held in new
-            .values()
-            .filter(|held| held.entry.endpoint.state == EndpointState::Ready)
-        {
-            self.vote_ready(&held.entry, answer.serial, order);
+        for name in &withdrawn {
+            self.record_transition(now, answer.serial, name);
         }
-        self.entries = new;
-        (self.serial, self.older_in_a_row) = (answer.serial, 0);
-        let entries = &self.entries;
-        self.withdrawn
-            .retain(|name, w| entries.contains_key(name) || now < w.at + REMEMBERED);
-    }
-
-    /// The rows of a list that has come now, with when each of them started.
-    fn listed(&self, now: f64, entries: &[DiscoveredEndpoint]) -> BTreeMap<String, Held> {
-        let absent_at = self.asked_at.max(self.began_at);
-        let mut listed: BTreeMap<String, Held> = BTreeMap::new();
-        for entry in entries {
-            let told = entry.endpoint.started_at;
-            let before = self
-                .entries
-                .get(&entry.name)
-                .filter(|before| before.entry.endpoint.started_at == told);
-            let new = || Held::new(entry.clone(), listed_start(told, absent_at, now));
-            let mut held = before.map_or_else(new, |before| before.retold(entry));
-            // Listed twice it stands as the worse of the two.
-            if let Some(twice) = listed
-                .get(&entry.name)
-                .filter(|t| t.entry.endpoint.state != EndpointState::Ready)
-            {
-                held.entry.endpoint.state = twice.entry.endpoint.state;
-            }
-            listed.insert(entry.name.clone(), held);
+        for held in replacement.values().filter(|held| held.is_ready()) {
+            self.transitions.confirm_ready(
+                &held.listed.name,
+                held.listed.endpoint.started_at,
+                answer.serial,
+                order == Ordering::Less,
+            );
         }
-        listed
+        self.endpoints = replacement;
+        self.serial = answer.serial;
+        self.older_confirmations = 0;
+        self.transitions
+            .forget_old(now, |name| self.endpoints.contains_key(name));
     }
 
-    /// A list tells an executor ready; where it was told away, that takes several, or another start.
-    fn vote_ready(&mut self, entry: &DiscoveredEndpoint, serial: u32, order: Ordering) {
-        let Some(withdrawal) = self.withdrawn.get_mut(&entry.name) else {
-            return;
-        };
-        withdrawal.ready_votes += 1;
-        let is_older =
-            order == Ordering::Less || compare(serial, withdrawal.serial) == Ordering::Less;
-        let wanted = if is_older {
-            READY_IN_A_ROW_OLDER
-        } else {
-            READY_IN_A_ROW
-        };
-        if entry.endpoint.started_at > withdrawal.since || withdrawal.ready_votes >= wanted {
-            self.withdrawn.remove(&entry.name);
+    /// The endpoints of a list that arrives now, merged with what the view holds of the same starts.
+    fn merge(&self, now: f64, listed: &[DiscoveredEndpoint]) -> BTreeMap<String, HeldEndpoint> {
+        let absent_at = self.queried_at.max(self.created_at);
+        let mut merged: BTreeMap<String, HeldEndpoint> = BTreeMap::new();
+        for discovered in listed {
+            let told_start = discovered.endpoint.started_at;
+            let same_start = self
+                .endpoints
+                .get(&discovered.name)
+                .filter(|held| held.listed.endpoint.started_at == told_start);
+            let mut held = match same_start {
+                Some(held) => held.confirmed_by_repeat(discovered),
+                None => HeldEndpoint::new(
+                    discovered.clone(),
+                    plausible_start(told_start, absent_at, now),
+                ),
+            };
+            // An executor that is listed twice has the worse of the two states.
+            if let Some(duplicate) = merged.get(&discovered.name).filter(|held| !held.is_ready()) {
+                held.listed.endpoint.state = duplicate.listed.endpoint.state;
+            }
+            merged.insert(discovered.name.clone(), held);
         }
+        merged
     }
 
-    /// An executor on the held list was told draining or gone.
-    fn withdraw(&mut self, now: f64, serial: u32, name: &str) {
-        let Some(held) = self.entries.get(name) else {
-            return;
-        };
-        let first = Withdrawal {
-            since: held.entry.endpoint.started_at,
-            serial,
-            at: now,
-            ready_votes: 0,
-        };
-        let withdrawal = self.withdrawn.entry(name.to_owned()).or_insert(first);
-        (withdrawal.at, withdrawal.ready_votes) = (now, 0);
-        if self.withdrawn.len() > MOST_REMEMBERED {
-            let first = self
-                .withdrawn
-                .iter()
-                .min_by(|a, b| a.1.at.total_cmp(&b.1.at));
-            if let Some(name) = first.map(|(name, _)| name.clone()) {
-                self.withdrawn.remove(&name);
-            }
+    /// Records that an executor of the view was told draining or gone.
+    fn record_transition(&mut self, now: f64, serial: u32, name: &str) {
+        if let Some(held) = self.endpoints.get(name) {
+            let started_at = held.listed.endpoint.started_at;
+            self.transitions.record(now, serial, name, started_at);
         }
     }
 
-    /// What a list that is not taken as a whole tells of executors that drain, unless it is of an earlier start.
-    fn take_drains(&mut self, now: f64, answer: &Answer) {
-        for told in answer
-            .endpoints
-            .iter()
-            .filter(|e| e.endpoint.state != EndpointState::Ready)
-        {
-            let held = self.entries.get(&told.name);
-            if held.is_some_and(|held| told.endpoint.started_at >= held.entry.endpoint.started_at) {
-                self.withdraw(now, answer.serial, &told.name);
+    /// Takes over what a list that does not replace the view tells of executors that drain, unless it is of an earlier
+    /// start.
+    fn apply_drains(&mut self, now: f64, answer: &Answer) {
+        for told in &answer.endpoints {
+            let is_same_or_later_start = self
+                .endpoints
+                .get(&told.name)
+                .is_some_and(|held| told.endpoint.started_at >= held.listed.endpoint.started_at);
+            if told.endpoint.state != EndpointState::Ready && is_same_or_later_start {
+                self.record_transition(now, answer.serial, &told.name);
             }
         }
     }
--- a/crates/platform-discovery/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -1,3 +1,5 @@
+//! The endpoint lists of the start and of the resolver.
+
 mod told;
 
 use orchidtally_dispatch_policy::interface::EndpointState;
@@ -11,6 +13,10 @@
     all.iter().map(|&n| n.to_owned()).collect()
 }
 
+fn counts(zones: usize, kinds: usize) -> NameCounts {
+    NameCounts { zones, kinds }
+}
+
 const TWO: [(&str, u16); 2] = [("s-1.east.hosts", 0), ("s-2.west.hosts", 1)];
 
 fn newer(
@@ -74,10 +80,14 @@
         .retain(|r| !r.name.to_string().starts_with("s-2"));
     let spoilt = spoilt.build_bytes_vec().expect("it can be built");
     let fault = parse_answer(&spoilt, 7, &mut places).expect_err("the second row has no address");
-    let AnswerError::InvalidRecord { why, list: partial } = fault else {
+    let AnswerError::InvalidRecord {
+        reason: why,
+        list: partial,
+    } = fault
+    else {
         panic!("{fault}")
     };
-    assert!(why.contains("s-2"), "{why}");
+    assert!(why.to_string().contains("s-2"), "{why}");
     assert_eq!((partial.serial, partial.endpoints.len()), (41, 1));
     assert_eq!(
         partial.state_only,
@@ -88,7 +98,7 @@
     );
     assert_eq!(
         (places.name_counts(), partial.locations.name_counts()),
-        ((0, 0), (1, 1))
+        (counts(0, 0), counts(1, 1))
     );
     packet[3] |= 3;
     assert!(
@@ -102,7 +112,7 @@
             .len(),
         2
     );
-    assert_eq!(places.name_counts(), (2, 1));
+    assert_eq!(places.name_counts(), counts(2, 1));
 }
 
 #[test]
@@ -173,7 +183,9 @@
     };
     let all = serde_json::json!({"seq": 1, "whole": true, "hosts": [host("west"), host("north")]});
     let told = serde_json::json!({"index": 1, "updates": [{"endpoints": all}]});
-    let (_, entries) = initial_endpoints(&told, &mut places).expect("a start goes on");
+    let entries = initial_endpoints(&told, &mut places)
+        .expect("a start goes on")
+        .endpoints;
     assert_eq!(
         (zones(&entries), entries[0].endpoint.kind),
         (vec![2, 3], 2),
@@ -239,7 +251,10 @@
         ],
     );
     let told = serde_json::json!({"index": 3, "updates": [first, then]});
-    let (serial, entries) = initial_endpoints(&told, &mut places).expect("it is sound");
+    let InitialEndpoints {
+        serial,
+        endpoints: entries,
+    } = initial_endpoints(&told, &mut places).expect("it is sound");
     let all: Vec<_> = entries
         .iter()
         .map(|e| (e.name.as_str(), e.endpoint.state, e.endpoint.started_at))
@@ -256,7 +271,7 @@
         &mut places,
     )
     .expect_err("no such state");
-    assert!(fault.contains("ODD"), "{fault}");
+    assert!(fault.to_string().contains("ODD"), "{fault}");
 }
 
 proptest! {
--- a/crates/platform-discovery/tests/stored_formats.rs
+++ b/crates/platform-discovery/tests/stored_formats.rs
@@ -74,7 +74,8 @@
 #[test]
 fn the_list_of_the_start_is_read_with_its_values() {
     let value = serde_json::from_str(KNOWN).expect("the fixture is JSON");
-    let (index, entries) = initial_endpoints(&value, &mut places()).expect("it is sound");
+    let initial = initial_endpoints(&value, &mut places()).expect("it is sound");
+    let (index, entries) = (initial.serial, initial.endpoints);
     assert_eq!(index, 17);
     let long_ago = Endpoint {
         kind: 0,
--- a/crates/platform-executor-protocol/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -1,3 +1,5 @@
+//! The line decoder and encoder.
+
 use orchidtally_platform_executor_protocol::*;
 use proptest::prelude::*;
 
--- /dev/null
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -0,0 +1,189 @@
+//! Reads the connections to executors and reports their answers to the engine.
+
+use super::{EventLoop, MAX_READS_PER_POLL};
+use crate::engine_host::{EngineHost, ExecutorAnswer};
+use crate::executor_pool::connect_evidence;
+use crate::source::Source;
+use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_engine::ResponseMetadata;
+use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_platform_executor_protocol::{LoadNote, Response, ResponseKind, parse_load_report};
+use orchidtally_socket_io::buffered::ReadOutcome;
+use tracing::debug;
+
+/// What an answer is evidence of.
+fn response_evidence(kind: ResponseKind) -> Transport {
+    match kind {
+        ResponseKind::Done => Transport::Answered(DispatchStatus::Ok),
+        ResponseKind::Miss => Transport::Answered(DispatchStatus::Miss),
+        ResponseKind::Full => Transport::Answered(DispatchStatus::Full),
+        ResponseKind::Error => Transport::Answered(DispatchStatus::Error),
+        ResponseKind::AlreadyOver => Transport::Answered(DispatchStatus::NeverSent),
+        // These answer health checks, never a dispatch or a load command.
+        ResponseKind::Healthy | ResponseKind::Unhealthy => Transport::Malformed,
+    }
+}
+
+fn copy_state(note: LoadNote) -> CopyState {
+    match note {
+        LoadNote::Nothing => CopyState::Unknown,
+        LoadNote::Warm => CopyState::Warm,
+        LoadNote::Cold => CopyState::ColdLoad,
+        LoadNote::Joined => CopyState::JoinedLoad,
+        LoadNote::LoadFailed => CopyState::LoadFailed,
+    }
+}
+
+impl EventLoop {
+    /// Reads a connection to an executor; returns whether it still stands.
+    pub(super) fn read_executor(&mut self, now: f64, slot: usize) -> bool {
+        let Some(connection) = self.host.pool.connection(slot) else {
+            return false;
+        };
+        if !connection.is_connected {
+            match connection.socket.is_connected() {
+                Ok(false) => return true,
+                Ok(true) => self.on_executor_connected(now, slot),
+                Err(error) => {
+                    let evidence = connect_evidence(&error);
+                    self.close_executor_connection(now, slot, evidence, &error.to_string());
+                    return false;
+                }
+            }
+        }
+        for _ in 0..MAX_READS_PER_POLL {
+            let Some(connection) = self.host.pool.connection_mut(slot) else {
+                return false;
+            };
+            match connection.socket.read(&mut self.read_buffer) {
+                Ok(ReadOutcome::Nothing) => {
+                    if connection.socket.waiting() > 0 || !connection.queue.is_empty() {
+                        self.host.pool.mark_dirty(slot);
+                    }
+                    return true;
+                }
+                Ok(ReadOutcome::Bytes(n)) => {
+                    connection.decoder.push(&self.read_buffer[..n]);
+                    if !self.handle_responses(now, slot) {
+                        return false;
+                    }
+                }
+                Ok(ReadOutcome::End) => {
+                    let reason = "closed by the executor";
+                    self.close_executor_connection(now, slot, Transport::Broken, reason);
+                    return false;
+                }
+                Err(error) => {
+                    let reason = error.to_string();
+                    self.close_executor_connection(now, slot, Transport::Broken, &reason);
+                    return false;
+                }
+            }
+        }
+        self.unfinished_reads.push_back(Source::Executor(slot));
+        true
+    }
+
+    fn on_executor_connected(&mut self, now: f64, slot: usize) {
+        let Some(connection) = self.host.pool.connection_mut(slot) else {
+            return;
+        };
+        connection.is_connected = true;
+        connection.record_read(now);
+        let connect_time = now - connection.begun_at;
+        let to = connection.to;
+        if let Some(executor) = self.host.pool.executor_mut(to) {
+            executor.min_connect_time = executor.min_connect_time.min(connect_time);
+        }
+        self.counters.executor_connections_made += 1;
+        self.host.pool.mark_dirty(slot);
+    }
+
+    /// Handles the whole lines that the decoder holds; returns whether the connection still stands.
+    fn handle_responses(&mut self, now: f64, slot: usize) -> bool {
+        loop {
+            let Some(connection) = self.host.pool.connection_mut(slot) else {
+                return false;
+            };
+            match connection.decoder.next_response() {
+                Ok(None) => {
+                    connection.record_read(now);
+                    return true;
+                }
+                Ok(Some(response)) => self.handle_response(now, slot, response),
+                Err(error) => {
+                    let reason = error.to_string();
+                    self.close_executor_connection(now, slot, Transport::Malformed, &reason);
+                    return false;
+                }
+            }
+        }
+    }
+
+    fn handle_response(&mut self, now: f64, slot: usize, response: Response) {
+        let Some(connection) = self.host.pool.connection_mut(slot) else {
+            return;
+        };
+        connection.last_read_at = now;
+        connection.idle_since = now;
+        connection.has_answered = true;
+        let evidence = response_evidence(response.kind);
+        if let Some(tag) = EngineHost::load_command_tag(&response.id) {
+            return self.finish_load_command(now, tag, evidence, response.replica_count);
+        }
+        let is_written = connection
+            .open
+            .get(response.id.as_str())
+            .is_some_and(|dispatch| dispatch.line_start.is_some());
+        let Some(dispatch) = is_written
+            .then(|| connection.open.remove(response.id.as_str()))
+            .flatten()
+        else {
+            // The answer to an abandoned dispatch, a duplicate, or to nothing that was sent.
+            return connection.forget_abandoned(&response.id);
+        };
+        connection.record_answered(now, response.id.as_str().into());
+        let to = connection.to;
+        self.host.remove_in_flight(dispatch.key);
+        if response.kind != ResponseKind::Done {
+            let executor = self.host.pool.executor_name(to);
+            let after = now - dispatch.sent_at;
+            debug!(executor, kind = ?response.kind, load_note = ?response.load_note, after, "dispatch did not succeed");
+        }
+        let load_report =
+            parse_load_report(&response.load_report, &self.settings.load_report_fields);
+        let answer = ExecutorAnswer {
+            key: dispatch.key,
+            status: evidence::ending(evidence),
+            metadata: ResponseMetadata {
+                copy_state: copy_state(response.load_note),
+                function_concurrency: response.function_concurrency,
+                load_report: &load_report,
+            },
+            body: response.body,
+        };
+        self.host.report_answer(&mut self.engine, now, answer);
+    }
+
+    /// Reports the result of a load command; `replica_count` is what the executor told.
+    pub(super) fn finish_load_command(
+        &mut self,
+        now: f64,
+        tag: u64,
+        evidence: Transport,
+        replica_count: u32,
+    ) {
+        let Some(command) = self.host.remove_load_command(tag) else {
+            return;
+        };
+        let status = match evidence::ending(evidence) {
+            // A query that found no replica.
+            DispatchStatus::Ok if command.replicas == 0 && replica_count == 0 => {
+                DispatchStatus::Miss
+            }
+            status => status,
+        };
+        self.engine
+            .on_load_result(now, command.to, command.function, status, &mut self.host);
+    }
+}
--- /dev/null
+++ b/crates/platform-frontend/src/event_loop/lost_connections.rs
@@ -0,0 +1,150 @@
+//! Closes connections to executors and reports to the engine what their end proves.
+
+use super::EventLoop;
+use crate::executor_connection::ExecutorConnection;
+use crate::log_budget::LogBudget;
+use orchidtally_engine::evidence::{self, Transport};
+use std::collections::VecDeque;
+use tracing::info;
+
+/// Seconds within which all connections of a process are reset when it ends.
+const PROCESS_RESET_WINDOW: f64 = 0.02;
+
+struct LostConnection {
+    closed_at: f64,
+    /// What the close is evidence of.
+    evidence: Transport,
+    connection: ExecutorConnection,
+}
+
+/// Connections that were closed and whose open dispatches are not reported yet.
+#[derive(Default)]
+pub(super) struct LostConnections {
+    unreported: VecDeque<LostConnection>,
+    log: LogBudget,
+}
+
+impl LostConnections {
+    /// When the earliest one is reported at the latest, in seconds.
+    pub(super) fn next_report_at(&self) -> f64 {
+        self.unreported
+            .front()
+            .map_or(f64::INFINITY, |lost| lost.closed_at + PROCESS_RESET_WINDOW)
+    }
+
+    /// Whether every one is reported.
+    #[cfg(test)]
+    pub(super) fn is_empty(&self) -> bool {
+        self.unreported.is_empty()
+    }
+}
+
+impl EventLoop {
+    /// Closes a connection to an executor, and with it all that is open on it.
+    pub(super) fn close_executor_connection(
+        &mut self,
+        now: f64,
+        slot: usize,
+        evidence: Transport,
+        reason: &str,
+    ) {
+        let Some(mut connection) = self.host.pool.remove_connection(slot) else {
+            return;
+        };
+        // A socket that is gone already is not registered any more.
+        let _ = self
+            .poll
+            .registry()
+            .deregister(&mut connection.socket.stream);
+        if !connection.is_idle() {
+            self.record_lost_connection(now, &connection, reason);
+        }
+        self.host.pool.forget_if_unlisted(connection.to);
+        let may_retry = connection.is_connected
+            || evidence == Transport::NoResource
+            || self
+                .host
+                .pool
+                .has_connection_begun_before(connection.to, now);
+        let unwritten = connection.take_unwritten();
+        self.host.resend(connection.to, unwritten, may_retry);
+        for (id, dispatch) in &connection.open {
+            self.host.remove_in_flight(dispatch.key);
+            self.host.record_abandoned(id, connection.to);
+        }
+        // A partial answer shows that the executor is there, as unreadable bytes do.
+        let evidence = if evidence == Transport::Broken && connection.decoder.has_partial_line() {
+            Transport::Malformed
+        } else {
+            evidence
+        };
+        self.lost_connections.unreported.push_back(LostConnection {
+            closed_at: now,
+            evidence,
+            connection,
+        });
+    }
+
+    fn record_lost_connection(&mut self, now: f64, connection: &ExecutorConnection, reason: &str) {
+        let Some(executor) = self.host.pool.executor_name(connection.to) else {
+            return;
+        };
+        self.counters.executor_connections_lost += 1;
+        if let Some(suppressed) = self.lost_connections.log.admit(now) {
+            let open = connection.open.len();
+            let connected = connection.is_connected;
+            info!(
+                executor,
+                open, connected, reason, suppressed, "executor connection lost"
+            );
+        }
+    }
+
+    /// Reports what lost connections leave. If another connection to the executor stands, its process did not end.
+    pub(super) fn report_lost_connections(&mut self, now: f64) {
+        for _ in 0..self.lost_connections.unreported.len() {
+            let Some(lost) = self.lost_connections.unreported.pop_front() else {
+                return;
+            };
+            let is_reachable = self
+                .host
+                .pool
+                .has_connection_begun_before(lost.connection.to, lost.closed_at);
+            if lost.evidence == Transport::Broken
+                && is_reachable
+                && now < lost.closed_at + PROCESS_RESET_WINDOW
+            {
+                self.lost_connections.unreported.push_back(lost);
+                continue;
+            }
+            self.report_lost_connection(now, &lost, is_reachable);
+        }
+    }
+
+    fn report_lost_connection(&mut self, now: f64, lost: &LostConnection, is_reachable: bool) {
+        let process_is_alive = lost.evidence == Transport::Malformed || is_reachable;
+        for (dispatch, attributed) in lost.connection.attribute_failures(lost.evidence) {
+            let evidence = if process_is_alive {
+                attributed
+            } else {
+                lost.evidence
+            };
+            self.engine.on_dispatch_result(
+                now,
+                dispatch.key.invocation,
+                dispatch.key.number,
+                evidence::ending(evidence),
+                orchidtally_engine::NO_METADATA,
+                &mut self.host,
+            );
+        }
+        let evidence = if process_is_alive {
+            Transport::Cut
+        } else {
+            lost.evidence
+        };
+        for &tag in lost.connection.load_commands.keys() {
+            self.finish_load_command(now, tag, evidence, 0);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -0,0 +1,160 @@
+//! Periodic work: timeouts of connections and load commands, the clock, the status log.
+
+use super::EventLoop;
+use crate::executor_connection::CloseReason;
+use orchidtally_engine::evidence::Transport;
+use orchidtally_platform_client_protocol as protocol;
+use tracing::info;
+
+/// Seconds between two sweeps, in which connections are checked for timeouts.
+pub(super) const SWEEP_INTERVAL: f64 = 0.025;
+/// Seconds between two adjustments to the wall clock.
+const CLOCK_INTERVAL: f64 = 1.0;
+/// Seconds between two status lines in the log.
+const STATUS_INTERVAL: f64 = 10.0;
+
+/// When each kind of periodic work is due, in seconds.
+pub(super) struct MaintenanceSchedule {
+    next_sweep_at: f64,
+    next_clock_adjustment_at: f64,
+    next_status_at: f64,
+}
+
+impl MaintenanceSchedule {
+    /// The schedule of a front end that starts now.
+    pub(super) fn new(now: f64) -> MaintenanceSchedule {
+        MaintenanceSchedule {
+            next_sweep_at: now,
+            next_clock_adjustment_at: now + CLOCK_INTERVAL,
+            next_status_at: now + STATUS_INTERVAL,
+        }
+    }
+
+    /// Puts sweeps off for good.
+    #[cfg(test)]
+    pub(super) fn postpone_sweeps(&mut self) {
+        self.next_sweep_at = f64::INFINITY;
+    }
+
+    /// When the next sweep is due, in seconds.
+    pub(super) fn next_sweep_at(&self) -> f64 {
+        self.next_sweep_at
+    }
+
+    /// Whether a sweep is due; if so, the next one is scheduled.
+    fn take_sweep(&mut self, now: f64) -> bool {
+        let is_due = now >= self.next_sweep_at;
+        if is_due {
+            self.next_sweep_at = now + SWEEP_INTERVAL;
+        }
+        is_due
+    }
+
+    /// Whether the clock is to be adjusted; if so, the next time is scheduled.
+    fn take_clock_adjustment(&mut self, now: f64) -> bool {
+        let is_due = now > self.next_clock_adjustment_at;
+        if is_due {
+            self.next_clock_adjustment_at = now + CLOCK_INTERVAL;
+        }
+        is_due
+    }
+
+    /// Whether a status line is due; if so, the next one is scheduled.
+    fn take_status(&mut self, now: f64) -> bool {
+        let is_due = now > self.next_status_at;
+        if is_due {
+            self.next_status_at = now + STATUS_INTERVAL;
+        }
+        is_due
+    }
+}
+
+impl EventLoop {
+    /// Does the periodic work that is due.
+    pub(super) fn run_maintenance(&mut self, now: f64) {
+        self.discovery.query_if_due(now);
+        self.report_resolver_reachability(now);
+        if !self.maintenance.take_sweep(now) {
+            return;
+        }
+        if self.maintenance.take_clock_adjustment(now) {
+            self.host.follow_wall_clock();
+        }
+        if self.maintenance.take_status(now) {
+            self.log_status();
+        }
+        self.close_overdue_clients(now);
+        if self.listener.must_retry() {
+            self.accept(now);
+        }
+        self.host.forget_arrived_cancels(now);
+        self.close_overdue_executor_connections(now);
+        while let Some(tag) = self
+            .host
+            .expired_load_command(now, self.settings.load_command_timeout)
+        {
+            self.finish_load_command(now, tag, Transport::TimedOut, 0);
+        }
+        self.reload_settings(now);
+        self.stop_accepting(now);
+    }
+
+    fn log_status(&self) {
+        info!(
+            counters = ?self.engine.counters(),
+            connections = ?self.counters,
+            open = self.engine.open_invocations(),
+            tables = ?self.engine.table_sizes(),
+            clients = self.host.clients.len(),
+            executor_connections = self.host.pool.connection_count(),
+            "status"
+        );
+    }
+
+    /// Begins the close of clients whose timeouts have run out, and completes closes that are due.
+    fn close_overdue_clients(&mut self, now: f64) {
+        let overdue: Vec<(usize, &'static str)> = self
+            .host
+            .clients
+            .iter()
+            .filter_map(|(slot, client)| Some((slot, client.timeout_reason(now)?)))
+            .collect();
+        for (slot, reason) in overdue {
+            self.counters.protocol_errors += 1;
+            if let Some(client) = self
+                .host
+                .clients
+                .get_mut(slot)
+                .filter(|client| client.socket.waiting() == 0)
+            {
+                client.respond(0, protocol::ERRORED, &[], reason.as_bytes());
+            }
+            self.close_client_after_flush(now, slot);
+        }
+        let due: Vec<usize> = self
+            .host
+            .clients
+            .iter()
+            .filter(|(_, client)| client.close_is_due(now))
+            .map(|(slot, _)| slot)
+            .collect();
+        for slot in due {
+            self.close_client(now, slot);
+        }
+    }
+
+    fn close_overdue_executor_connections(&mut self, now: f64) {
+        let idle_timeout = self.settings.idle_timeout;
+        let overdue: Vec<(usize, CloseReason)> = self
+            .host
+            .pool
+            .connections()
+            .filter_map(|(slot, connection)| {
+                Some((slot, connection.close_reason(now, idle_timeout)?))
+            })
+            .collect();
+        for (slot, reason) in overdue {
+            self.close_executor_connection(now, slot, reason.evidence, reason.text);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -0,0 +1,96 @@
+//! Writes what there is to write, and reports to the engine what could not be sent.
+
+use super::EventLoop;
+use crate::client_connection::MAX_BACKLOG_BYTES;
+use crate::source::Source;
+use orchidtally_engine::evidence::{self, Transport};
+use std::net::Shutdown;
+
+impl EventLoop {
+    /// Reports what could not be sent and writes what there is to write, until nothing is left.
+    pub(super) fn flush_all(&mut self, now: f64) {
+        loop {
+            self.report_lost_connections(now);
+            self.report_unsent_commands(now);
+            self.flush_executor_connections(now);
+            self.close_cut_connections(now);
+            for slot in self.host.take_dirty_clients() {
+                self.flush_client(now, slot);
+            }
+            if !self.host.has_pending_output() {
+                self.query_resolver_after_stall();
+                return;
+            }
+        }
+    }
+
+    fn report_unsent_commands(&mut self, now: f64) {
+        for unsent in self.host.take_unsent_dispatches() {
+            self.engine.on_dispatch_result(
+                now,
+                unsent.key.invocation,
+                unsent.key.number,
+                evidence::ending(unsent.evidence),
+                orchidtally_engine::NO_METADATA,
+                &mut self.host,
+            );
+        }
+        for unsent in self.host.take_unsent_load_commands() {
+            self.finish_load_command(now, unsent.tag, unsent.evidence, 0);
+        }
+    }
+
+    fn flush_executor_connections(&mut self, now: f64) {
+        for slot in self.host.pool.take_dirty() {
+            if let Some(connection) = self.host.pool.connection_mut(slot) {
+                connection.is_dirty = false;
+            }
+            let flushed = self.host.flush_connection(slot, &mut self.engine);
+            if let Err(error) = flushed
+                && self.read_executor(now, slot)
+            {
+                // The answers that it sent before it broke were read.
+                let reason = error.to_string();
+                self.close_executor_connection(now, slot, Transport::Broken, &reason);
+            }
+        }
+    }
+
+    fn close_cut_connections(&mut self, now: f64) {
+        for cut in self.host.take_cut_connections() {
+            let is_cut = self
+                .host
+                .pool
+                .connection(cut.slot)
+                .is_some_and(|connection| connection.is_cut);
+            if is_cut && self.read_executor(now, cut.slot) {
+                self.close_executor_connection(now, cut.slot, Transport::Broken, &cut.reason);
+            }
+        }
+    }
+
+    fn flush_client(&mut self, now: f64, slot: usize) {
+        let Some(client) = self.host.clients.get_mut(slot) else {
+            return;
+        };
+        client.is_dirty = false;
+        let flushed = client.socket.flush();
+        client.record_flush(now);
+        if client.is_backpressured && client.socket.waiting() <= MAX_BACKLOG_BYTES {
+            self.unfinished_reads.push_back(Source::Client(slot));
+        }
+        let is_written = client.socket.waiting() == 0;
+        if let Some(closing) = client
+            .closing
+            .as_mut()
+            .filter(|closing| is_written && !closing.is_shut_down)
+        {
+            closing.is_shut_down = true;
+            // A client that is gone already needs no notice.
+            let _ = client.socket.stream.shutdown(Shutdown::Write);
+        }
+        if flushed.is_err() {
+            self.close_client(now, slot);
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-frontend/src/invocation_request.rs
@@ -0,0 +1,251 @@
+//! Checks the payload of an invocation frame and turns it into a request for the engine.
+
+use crate::invocation_table::OpenInvocation;
+use orchidtally_dispatch_policy::interface::{Idempotency, TriggerType};
+use orchidtally_engine::InvocationRequest;
+use orchidtally_platform_client_protocol::{Fields, MAX_BODY_LENGTH, ProtocolError, parse_fields};
+use orchidtally_platform_config::FrontEndSettings;
+use thiserror::Error;
+
+/// The longest wait of a client in milliseconds that is accepted: a day would only occupy a place.
+const MAX_CLIENT_TIMEOUT_MS: f64 = 600_000.0;
+/// The longest idempotency key in bytes.
+const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 256;
+/// The greatest `memory_mb` of a request.
+const MAX_MEMORY_MB: f64 = 1e7;
+/// The greatest `lanes` of a request.
+const MAX_CONCURRENCY: f64 = 1e4;
+/// The greatest `load_ms` of a request.
+const MAX_LOAD_MS: f64 = 3.6e6;
+
+/// Why an invocation can't be accepted. The text is sent to the client as the body of the answer, so it is part of
+/// the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum InvalidInvocation {
+    /// The frame exceeds what is buffered.
+    #[error("the frame is too long for an invocation")]
+    FrameTooLong,
+    /// The fields can't be parsed.
+    #[error(transparent)]
+    Protocol(#[from] ProtocolError),
+    /// The body exceeds the limit.
+    #[error("the body is over 16 KiB")]
+    BodyTooLong,
+    /// No trigger type is named.
+    #[error("no 'service'")]
+    MissingService,
+    /// The trigger type is not configured.
+    #[error("'service' names nothing that is served")]
+    UnknownService,
+    /// The client's id has another form.
+    #[error("'ref' is not 16 hex digits")]
+    InvalidId,
+    /// The client's id is in use.
+    #[error("'ref' is that of an open invocation")]
+    DuplicateId,
+    /// No function is named.
+    #[error("no 'lookup'")]
+    MissingFunction,
+    /// The function has another form.
+    #[error("'lookup' is not 16 hex digits")]
+    InvalidFunction,
+    /// The client's timeout is missing or out of range.
+    #[error("'allow' is no number of milliseconds that can be waited")]
+    InvalidTimeout,
+    /// The mark of a retry has another value.
+    #[error("'dup' is neither 1 nor absent")]
+    InvalidRetryMark,
+    /// The customer is not configured.
+    #[error("'project' names no customer")]
+    UnknownCustomer,
+    /// The idempotency key is empty or too long.
+    #[error("'replay' is empty or too long")]
+    InvalidIdempotencyKey,
+    /// The trigger type needs an idempotency key.
+    #[error("no 'replay', which this 'service' needs")]
+    MissingIdempotencyKey,
+    /// The tags have another form.
+    #[error("'tags' has no form that can be read")]
+    InvalidTags,
+    /// The number of a tag is out of range, or no number.
+    #[error("'{0}' is out of range")]
+    TagOutOfRange(&'static str),
+}
+
+/// An invocation that passed all checks.
+pub struct ParsedInvocation {
+    /// What the engine decides on.
+    pub request: InvocationRequest,
+    /// What the front end keeps while the invocation is open.
+    pub invocation: OpenInvocation,
+}
+
+/// Where an invocation came from, and when.
+#[derive(Clone, Copy, Debug)]
+pub struct InvocationOrigin {
+    /// When its last byte may have arrived at the earliest, in seconds.
+    pub arrived_at: f64,
+    /// The slot of the client's connection.
+    pub client: usize,
+    /// The stream on that connection.
+    pub stream: u32,
+}
+
+/// Parses and checks the payload of an invocation frame; `is_open` tells whether a client's id is in use.
+///
+/// # Errors
+/// The first check that the payload fails.
+pub fn parse_invocation(
+    settings: &FrontEndSettings,
+    origin: InvocationOrigin,
+    payload: &[u8],
+    is_open: impl Fn(&str) -> bool,
+) -> Result<ParsedInvocation, InvalidInvocation> {
+    let (fields, body) = parse_fields(payload)?;
+    if body.len() > MAX_BODY_LENGTH {
+        return Err(InvalidInvocation::BodyTooLong);
+    }
+    let service = field(&fields, "service").ok_or(InvalidInvocation::MissingService)?;
+    let trigger_type = settings
+        .trigger_types
+        .iter()
+        .position(|name| name == service)
+        .ok_or(InvalidInvocation::UnknownService)?;
+    let policy = &settings.policy.trigger_types[trigger_type];
+    let id = parse_client_id(&fields, is_open)?;
+    let function_text = field(&fields, "lookup").ok_or(InvalidInvocation::MissingFunction)?;
+    let function = parse_hex(function_text).ok_or(InvalidInvocation::InvalidFunction)?;
+    let client_timeout_ms = field(&fields, "allow")
+        .and_then(|text| parse_number(text, 1.0, MAX_CLIENT_TIMEOUT_MS))
+        .ok_or(InvalidInvocation::InvalidTimeout)?;
+    let is_retry = parse_retry_mark(&fields)?;
+    let customer = parse_customer(&fields, &settings.customers)?;
+    let idempotency_key = parse_idempotency_key(&fields, policy)?;
+    let tags = parse_tags(field(&fields, "tags").unwrap_or_default())?;
+    let timeout_at = origin.arrived_at + (client_timeout_ms / 1e3).min(policy.client_timeout);
+    Ok(ParsedInvocation {
+        request: InvocationRequest {
+            trigger_type,
+            customer,
+            function,
+            is_retry,
+            is_migrated: false,
+            timeout_at,
+            expected_work: None,
+            concurrency: tags.concurrency,
+            load_time: tags.load_time,
+        },
+        invocation: OpenInvocation {
+            client: origin.client,
+            stream: origin.stream,
+            id: id.into(),
+            trigger_type,
+            function: function_text.into(),
+            idempotency_key: idempotency_key.map(str::to_owned),
+            body: body.to_vec(),
+            timeout_at,
+        },
+    })
+}
+
+fn field<'a>(fields: &Fields<'a>, name: &str) -> Option<&'a str> {
+    fields
+        .iter()
+        .find(|(key, _)| *key == name)
+        .map(|(_, value)| *value)
+}
+
+fn parse_hex(text: &str) -> Option<u64> {
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+}
+
+/// A number within bounds.
+fn parse_number(text: &str, min: f64, max: f64) -> Option<f64> {
+    text.parse::<f64>()
+        .ok()
+        .filter(|number| (min..=max).contains(number))
+}
+
+fn parse_client_id<'a>(
+    fields: &Fields<'a>,
+    is_open: impl Fn(&str) -> bool,
+) -> Result<&'a str, InvalidInvocation> {
+    let id = field(fields, "ref")
+        .filter(|id| parse_hex(id).is_some())
+        .ok_or(InvalidInvocation::InvalidId)?;
+    if is_open(id) {
+        return Err(InvalidInvocation::DuplicateId);
+    }
+    Ok(id)
+}
+
+fn parse_retry_mark(fields: &Fields) -> Result<bool, InvalidInvocation> {
+    match field(fields, "dup") {
+        None | Some("0") => Ok(false),
+        Some("1") => Ok(true),
+        Some(_) => Err(InvalidInvocation::InvalidRetryMark),
+    }
+}
+
+/// The index of the customer. A request that names none counts against no quota: its index is one past the last.
+fn parse_customer(fields: &Fields, customers: &[String]) -> Result<usize, InvalidInvocation> {
+    match field(fields, "project").filter(|_| !customers.is_empty()) {
+        None => Ok(customers.len()),
+        Some(name) => customers
+            .iter()
+            .position(|customer| customer == name)
+            .ok_or(InvalidInvocation::UnknownCustomer),
+    }
+}
+
+fn parse_idempotency_key<'a>(
+    fields: &Fields<'a>,
+    trigger_type: &TriggerType,
+) -> Result<Option<&'a str>, InvalidInvocation> {
+    match field(fields, "replay") {
+        Some(key) if key.is_empty() || key.len() > MAX_IDEMPOTENCY_KEY_LENGTH => {
+            Err(InvalidInvocation::InvalidIdempotencyKey)
+        }
+        None if trigger_type.idempotency == Idempotency::Keyed => {
+            Err(InvalidInvocation::MissingIdempotencyKey)
+        }
+        key => Ok(key),
+    }
+}
+
+/// What the tags of a request tell.
+struct Tags {
+    concurrency: f64,
+    /// Seconds that a load of the function takes, if the client knows.
+    load_time: Option<f64>,
+}
+
+fn parse_tags(text: &str) -> Result<Tags, InvalidInvocation> {
+    let mut tags = Tags {
+        concurrency: 1.0,
+        load_time: None,
+    };
+    for tag in text.split(';').filter(|tag| !tag.is_empty()) {
+        let (name, value) = tag.split_once(':').ok_or(InvalidInvocation::InvalidTags)?;
+        match name {
+            "memory_mb" => _ = parse_tag_number(value, "memory_mb", 0.0, MAX_MEMORY_MB)?,
+            "lanes" => tags.concurrency = parse_tag_number(value, "lanes", 1.0, MAX_CONCURRENCY)?,
+            "load_ms" => {
+                let milliseconds = parse_tag_number(value, "load_ms", 0.0, MAX_LOAD_MS)?;
+                tags.load_time = Some(milliseconds / 1e3);
+            }
+            _ => {}
+        }
+    }
+    Ok(tags)
+}
+
+fn parse_tag_number(
+    value: &str,
+    name: &'static str,
+    min: f64,
+    max: f64,
+) -> Result<f64, InvalidInvocation> {
+    parse_number(value, min, max).ok_or(InvalidInvocation::TagOutOfRange(name))
+}
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -1,59 +1,60 @@
-//! The process's time, and whether the process stood still.
+//! The clock of the process, and the detection of process stalls.
 
 use orchidtally_engine::clock::Clock;
 use orchidtally_engine::stall_detector::StallDetector;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-fn wall() -> f64 {
+/// Seconds since the Unix epoch by the wall clock.
+fn wall_clock() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |d| d.as_secs_f64())
 }
 
-/// Monotonic time, anchored to wall time; spans of it are real time whatever the wall clock does.
+/// Monotonic time in seconds, anchored to the wall clock: its spans are real time whatever the wall clock does.
 pub struct ProcessClock {
     clock: Clock,
     began: Instant,
-    standstills: StallDetector,
+    stalls: StallDetector,
 }
 
 impl ProcessClock {
-    /// Begins at the wall clock's time.
+    /// A clock that begins at the wall clock's time.
     pub fn new() -> ProcessClock {
-        ProcessClock::starting_at(wall())
+        ProcessClock::starting_at(wall_clock())
     }
 
-    /// Begins at a time in seconds.
+    /// A clock that begins at a time in seconds.
     pub fn starting_at(now: f64) -> ProcessClock {
-        let standstills = StallDetector::new(now);
+        let stalls = StallDetector::new(now);
         ProcessClock {
             clock: Clock::new(0.0, now),
             began: Instant::now(),
-            standstills,
+            stalls,
         }
     }
 
-    /// The time in seconds.
+    /// The time in seconds. Each reading is observed by the stall detector.
     pub fn read(&mut self) -> f64 {
         let now = self.clock.read(self.began.elapsed().as_secs_f64());
-        self.standstills.observe(now);
+        self.stalls.observe(now);
         now
     }
 
-    /// When bytes that are read now may have come.
-    pub fn arrived_by(&self, now: f64) -> f64 {
-        self.standstills.arrival_bound(now)
+    /// The earliest time at which bytes that are read now may have arrived.
+    pub fn arrival_bound(&self, now: f64) -> f64 {
+        self.stalls.arrival_bound(now)
     }
 
-    /// For how long the process did not run, where it did not since this was asked last.
-    pub fn take_standstill(&mut self) -> Option<f64> {
-        self.standstills.take_stall()
+    /// The length in seconds of a process stall that was detected since the last call, if any.
+    pub fn take_stall(&mut self) -> Option<f64> {
+        self.stalls.take_stall()
     }
 
-    /// Follows the wall clock slowly.
-    pub fn follow_wall(&mut self) {
+    /// Moves the clock towards the wall clock, slowly.
+    pub fn follow_wall_clock(&mut self) {
         self.clock
-            .anchor(self.began.elapsed().as_secs_f64(), wall());
+            .anchor(self.began.elapsed().as_secs_f64(), wall_clock());
     }
 }
 
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -1,14 +1,26 @@
-//! What a front end is told at its start, and again when its file is replaced.
+//! The start file: what a front end is given at its start, and again when the file is replaced.
 
-use orchidtally_platform_config::FrontEndSettings;
-use orchidtally_platform_discovery::{DiscoveredEndpoint, LocationTable};
+use orchidtally_platform_config::{FrontEndSettings, SettingsError};
+use orchidtally_platform_discovery::{DiscoveredEndpoint, InitialEndpointsError, LocationTable};
 use orchidtally_socket_io::is_local_fault;
 use serde::Deserialize;
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 use thiserror::Error;
 
+/// Pause between two attempts of a call that the start needs. What the machine lacks may be there a moment later, and
+/// the address may still be held by the previous process.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Attempts of such a call.
+const MAX_ATTEMPTS: usize = 100;
+
+/// The least memory in MiB that a front end can be granted.
+const MIN_MEMORY_MB: f64 = 8.0;
+/// The fewest descriptors that a front end can be granted.
+const MIN_SOCKETS: f64 = 48.0;
+
 /// The file as it is written.
 #[derive(Deserialize)]
 struct StartFile {
@@ -21,68 +33,111 @@
     settings: serde_json::Value,
 }
 
-/// Calls that a start needs are tried again after this pause, so many times: what the machine lacks may be there then,
-/// and the address may still be held by the process before.
-pub(crate) const START_PAUSE: Duration = Duration::from_millis(50);
-pub(crate) const START_TRIES: usize = 100;
-
 #[derive(Deserialize)]
 struct Limits {
     memory_mb: f64,
     sockets: f64,
 }
 
+/// What a front end is started from.
 pub struct Start {
+    /// The name of this front end.
     pub name: String,
+    /// The address on which clients are accepted.
     pub listen: SocketAddr,
+    /// The seed of the policy's random numbers.
     pub seed: u64,
+    /// The memory granted, in bytes.
     pub memory: usize,
+    /// The descriptors granted.
     pub sockets: usize,
+    /// The resolver's address.
     pub resolver: SocketAddr,
+    /// The serial of the endpoint list of the start.
     pub serial: u32,
+    /// The endpoint list of the start.
     pub known: Vec<DiscoveredEndpoint>,
+    /// The zones and executor kinds of the settings and that list.
     pub locations: LocationTable,
+    /// The settings.
     pub settings: FrontEndSettings,
 }
 
 /// Why a front end can't start from its file, and what to do about it.
 #[derive(Debug, Error)]
 pub enum StartError {
+    /// The file can't be read.
     #[error("{file}: {source}; it has to be a file that can be read")]
     Unreadable {
+        /// The file.
         file: String,
-        source: std::io::Error,
+        /// The failure of the read.
+        source: io::Error,
     },
-    #[error("{file}: {why}; write it whole, as one JSON object")]
-    NotJson { file: String, why: String },
+    /// The file does not hold the JSON object that is wanted.
+    #[error("{file}: {source}; write it whole, as one JSON object")]
+    NotJson {
+        /// The file.
+        file: String,
+        /// What is wrong with the JSON.
+        source: serde_json::Error,
+    },
+    /// The settings can't be used.
     #[error("{file}: key 'settings': {source}")]
     Settings {
+        /// The file.
+        file: String,
+        /// The setting and what is wrong with it.
+        source: SettingsError,
+    },
+    /// The endpoint list of the start can't be used.
+    #[error("{file}: key 'known': {source}; write the updates as the resolver told them")]
+    Known {
+        /// The file.
         file: String,
-        source: orchidtally_platform_config::SettingsError,
+        /// What is wrong with the list.
+        source: InitialEndpointsError,
     },
-    #[error("{file}: key 'known': {why}; write the updates as the resolver told them")]
-    Known { file: String, why: String },
-    #[error("{file}: key 'seed': {why}; write hex digits, 16 at the most")]
-    Seed { file: String, why: String },
-    #[error("{file}: key 'limits.{key}': {value} is under {least}; grant at least so much")]
+    /// The seed is no number.
+    #[error("{file}: key 'seed': {source}; write hex digits, 16 at the most")]
+    Seed {
+        /// The file.
+        file: String,
+        /// What is wrong with the number.
+        source: std::num::ParseIntError,
+    },
+    /// A limit is too low.
+    #[error("{file}: key 'limits.{key}': {value} is under {min}; grant at least so much")]
     Limit {
+        /// The file.
         file: String,
+        /// The limit.
         key: &'static str,
+        /// Its value.
         value: f64,
-        least: f64,
+        /// The least value.
+        min: f64,
     },
+    /// The environment contradicts the file.
     #[error(
-        "{variable} is '{told}', key '{key}' is '{written}'; make them the same, or leave the variable out"
+        "{variable} is '{environment}', key '{key}' is '{written}'; make them the same, or leave the variable out"
     )]
     Disagrees {
+        /// The environment variable.
         variable: &'static str,
-        told: String,
+        /// Its value.
+        environment: String,
+        /// The key of the file.
         key: &'static str,
+        /// The value of that key.
         written: String,
     },
 }
 
-/// Reads the file whole; a fault names it and the key.
+/// Reads a start file.
+///
+/// # Errors
+/// The file can't be read or used; the error names the file and the key.
 pub fn read(path: &Path) -> Result<Start, StartError> {
     let file = path.display().to_string();
     let text = std::fs::read(path).map_err(|source| StartError::Unreadable {
@@ -92,25 +147,45 @@
     parse(&file, &text)
 }
 
-/// The same at a start, where there is no earlier file to go on with: a read that fails for want of something on this
-/// machine is tried again for a while.
+/// Reads the start file at the start of the process, where there is no earlier one to go on with: a read that fails for
+/// want of something on this machine is retried for some seconds.
+///
+/// # Errors
+/// As for `read`.
 pub fn read_at_start(path: &Path) -> Result<Start, StartError> {
-    let may_pass = |fault: &StartError| matches!(fault, StartError::Unreadable { source, .. } if is_local_fault(source));
-    for _ in 1..START_TRIES {
-        match read(path) {
-            Err(fault) if may_pass(&fault) => std::thread::sleep(START_PAUSE),
+    retry(
+        || read(path),
+        |error| matches!(error, StartError::Unreadable { source, .. } if is_local_fault(source)),
+    )
+}
+
+/// Retries a call that fails for want of something on this machine, or because its address is in use.
+pub(crate) fn retry_local_failures<T>(call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    retry(call, |error| {
+        is_local_fault(error) || error.kind() == io::ErrorKind::AddrInUse
+    })
+}
+
+fn retry<T, E>(
+    mut call: impl FnMut() -> Result<T, E>,
+    is_transient: impl Fn(&E) -> bool,
+) -> Result<T, E> {
+    for _ in 1..MAX_ATTEMPTS {
+        match call() {
+            Err(error) if is_transient(&error) => std::thread::sleep(RETRY_PAUSE),
             other => return other,
         }
     }
-    read(path)
+    call()
 }
 
 pub(crate) fn parse(file: &str, text: &[u8]) -> Result<Start, StartError> {
     let file = || file.to_owned();
-    let written: StartFile = serde_json::from_slice(text).map_err(|e| StartError::NotJson {
-        file: file(),
-        why: e.to_string(),
-    })?;
+    let written: StartFile =
+        serde_json::from_slice(text).map_err(|source| StartError::NotJson {
+            file: file(),
+            source,
+        })?;
     let settings =
         orchidtally_platform_config::front_end_settings(&written.settings).map_err(|source| {
             StartError::Settings {
@@ -118,54 +193,65 @@
                 source,
             }
         })?;
-    let mut places = LocationTable::new(settings.zones.clone(), settings.executor_kinds.clone());
-    let (serial, known) =
-        orchidtally_platform_discovery::initial_endpoints(&written.known, &mut places)
-            .map_err(|why| StartError::Known { file: file(), why })?;
-    let seed = u64::from_str_radix(&written.seed, 16).map_err(|e| StartError::Seed {
+    let mut locations = LocationTable::new(settings.zones.clone(), settings.executor_kinds.clone());
+    let initial = orchidtally_platform_discovery::initial_endpoints(&written.known, &mut locations)
+        .map_err(|source| StartError::Known {
+            file: file(),
+            source,
+        })?;
+    let seed = u64::from_str_radix(&written.seed, 16).map_err(|source| StartError::Seed {
         file: file(),
-        why: e.to_string(),
+        source,
     })?;
-    let least = |value: f64, least: f64, key| match value >= least {
-        true => Ok(value as usize),
-        false => Err(StartError::Limit {
-            file: file(),
-            key,
-            value,
-            least,
-        }),
+    let at_least = |value: f64, min: f64, key| {
+        if value >= min {
+            Ok(value as usize)
+        } else {
+            Err(StartError::Limit {
+                file: file(),
+                key,
+                value,
+                min,
+            })
+        }
     };
     Ok(Start {
         name: written.name,
         listen: written.listen,
         seed,
-        memory: least(written.limits.memory_mb, 8.0, "memory_mb")? << 20,
-        sockets: least(written.limits.sockets, 48.0, "sockets")?,
+        memory: at_least(written.limits.memory_mb, MIN_MEMORY_MB, "memory_mb")? << 20,
+        sockets: at_least(written.limits.sockets, MIN_SOCKETS, "sockets")?,
         resolver: written.dns,
-        serial,
-        known,
-        locations: places,
+        serial: initial.serial,
+        known: initial.endpoints,
+        locations,
         settings,
     })
 }
 
 impl Start {
-    /// The environment tells some of it too; it has to tell the same.
+    /// Checks the name and the listen address of the environment, which have to be those of the file if they are set.
+    ///
+    /// # Errors
+    /// One of them differs.
     pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), StartError> {
-        let disagrees = |variable, told: &str, key, written| {
-            Err(StartError::Disagrees {
-                variable,
-                told: told.to_owned(),
-                key,
-                written,
-            })
-        };
-        if let Some(told) = name.filter(|&n| n != self.name) {
-            return disagrees("LB_NAME", told, "name", self.name.clone());
+        if let Some(environment) = name.filter(|&name| name != self.name) {
+            return Err(StartError::Disagrees {
+                variable: "LB_NAME",
+                environment: environment.to_owned(),
+                key: "name",
+                written: self.name.clone(),
+            });
         }
-        match listen.filter(|l| l.parse::<SocketAddr>().ok() != Some(self.listen)) {
-            None => Ok(()),
-            Some(told) => disagrees("LB_LISTEN", told, "listen", self.listen.to_string()),
+        let is_other = |listen: &&str| listen.parse::<SocketAddr>().ok() != Some(self.listen);
+        if let Some(environment) = listen.filter(is_other) {
+            return Err(StartError::Disagrees {
+                variable: "LB_LISTEN",
+                environment: environment.to_owned(),
+                key: "listen",
+                written: self.listen.to_string(),
+            });
         }
+        Ok(())
     }
 }
--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -7,14 +7,15 @@
 /// Gives a client more to read than its socket takes.
 fn fill(stage: &mut Stage, slot: usize) {
     let filler = vec![0; 16 << 20];
-    stage.front.host.clients[slot]
+    stage.event_loop.host.clients[slot]
         .socket
         .out()
         .extend_from_slice(&filler);
-    stage.front.host.touch_client(slot);
-    stage.turn();
+    stage.event_loop.host.mark_client_dirty(slot);
+    stage.poll_once();
     assert!(
-        stage.front.host.clients[slot].socket.waiting() > crate::clients::BACKLOG,
+        stage.event_loop.host.clients[slot].socket.waiting()
+            > crate::client_connection::MAX_BACKLOG_BYTES,
         "it reads nothing"
     );
 }
@@ -56,13 +57,15 @@
     client
         .write_all(&invocation(2, &id(2), "read"))
         .expect("it stands");
-    stage.until("read", |s| s.front.host.clients[0].pending.len() == 2);
+    stage.until("read", |s| s.event_loop.host.clients[0].pending.len() == 2);
     let mut frame = vec![];
     frames::write_frame(&mut frame, frames::CANCEL, 1, None, None, &[]);
     client.write_all(&frame).expect("it stands");
-    stage.until("taken back", |s| s.front.host.clients[0].pending.len() == 1);
+    stage.until("taken back", |s| {
+        s.event_loop.host.clients[0].pending.len() == 1
+    });
     assert_eq!(
-        stage.front.engine.open_invocations(),
+        stage.event_loop.engine.open_invocations(),
         0,
         "nothing is taken yet"
     );
@@ -72,9 +75,9 @@
         while let Ok(n @ 1..) = client.read(&mut bytes) {
             all += n;
         }
-        s.front.engine.open_invocations() > 0
+        s.event_loop.engine.open_invocations() > 0
     });
-    assert!(all >= (16 << 20) - crate::clients::BACKLOG);
+    assert!(all >= (16 << 20) - crate::client_connection::MAX_BACKLOG_BYTES);
     stage.dispatched(&id(2));
     assert!(stage.peers[0].lines("DO", &id(1)).is_empty());
 }
@@ -90,13 +93,13 @@
             .expect("it stands");
     }
     stage.until("ended", |s| {
-        s.front
+        s.event_loop
             .host
             .clients
             .get(0)
-            .is_none_or(|c| c.ending.is_some())
+            .is_none_or(|c| c.closing.is_some())
     });
-    assert_eq!(stage.front.engine.open_invocations(), 0);
+    assert_eq!(stage.event_loop.engine.open_invocations(), 0);
 }
 
 /// Closed with bytes unread it was reset, which can destroy the answer that tells what was wrong.
@@ -118,7 +121,7 @@
     );
     // What it sends after that resets nothing, and it is let go of.
     client.write_all(&[0xff; 1024]).expect("it is read over");
-    stage.until("closed", |s| s.front.host.clients.is_empty());
+    stage.until("closed", |s| s.event_loop.host.clients.is_empty());
 }
 
 /// What it has open is nobody's any more at once, not when it is closed.
@@ -143,7 +146,7 @@
 fn a_connection_with_an_invocation_in_it_does_not_make_way_as_idle() {
     let mut stage = Stage::new(1, 48, |_| {});
     let mut first = stage.client();
-    let rest: Vec<TcpStream> = (1..stage.front.most_clients)
+    let rest: Vec<TcpStream> = (1..stage.event_loop.listener.max_clients())
         .map(|_| stage.client())
         .collect();
     first
@@ -151,9 +154,9 @@
         .expect("it stands");
     // The listener comes before the client in this turn.
     let one_more = TcpStream::connect(stage.at).expect("it listens");
-    let now = stage.front.now();
-    stage.front.accept(now);
-    assert_eq!(stage.front.counts.evicted, 1);
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.accept(now);
+    assert_eq!(stage.event_loop.counters.evicted, 1);
     stage.dispatched(&id(1));
     assert_eq!(got(&mut first), (vec![], None), "it stands");
     drop((rest, one_more));
@@ -170,7 +173,7 @@
     let silent: Vec<TcpStream> = (0..100)
         .map(|_| TcpStream::connect(stage.at).expect("it listens"))
         .collect();
-    stage.until("taken", |s| s.front.counts.accepted == 101);
+    stage.until("taken", |s| s.event_loop.counters.accepted == 101);
     assert_eq!(got(&mut usual), (vec![], None), "it stands");
     drop(silent);
 }
@@ -180,13 +183,13 @@
 fn where_every_connection_is_busy_a_new_one_hears_that_there_is_no_room() {
     let mut stage = Stage::new(1, 48, |_| {});
     let mut busy = vec![];
-    for n in 0..stage.front.most_clients as u64 {
+    for n in 0..stage.event_loop.listener.max_clients() as u64 {
         let mut client = stage.client();
         client
             .write_all(&invocation(1, &id(n + 1), "read"))
             .expect("it stands");
         stage.until("taken", |s| {
-            s.front.engine.open_invocations() as u64 == n + 1
+            s.event_loop.engine.open_invocations() as u64 == n + 1
         });
         busy.push(client);
     }
--- a/crates/platform-frontend/src/tests/gone.rs
+++ b/crates/platform-frontend/src/tests/disconnects.rs
@@ -16,17 +16,20 @@
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(400) {
         stage.load_all();
-        stage.turn();
+        stage.poll_once();
     }
     assert_eq!(all_dispatches(stage), before);
-    assert_eq!(stage.front.engine.open_invocations(), 0);
-    assert!(stage.front.host.invocations.is_empty() && stage.front.host.held.is_empty());
+    assert_eq!(stage.event_loop.engine.open_invocations(), 0);
+    assert!(
+        stage.event_loop.host.invocations.is_empty()
+            && !stage.event_loop.host.has_delayed_dispatches()
+    );
     assert!(
         stage
-            .front
+            .event_loop
             .host
-            .connections
-            .iter()
+            .pool
+            .connections()
             .all(|(_, l)| l.queue.is_empty() && l.open.is_empty())
     );
 }
@@ -46,7 +49,7 @@
         s.peers.iter_mut().any(|p| !p.lines("PIN", "").is_empty())
     });
     drop(client);
-    stage.until("gone", |s| s.front.host.clients.is_empty());
+    stage.until("gone", |s| s.event_loop.host.clients.is_empty());
     nothing_begins(&mut stage, 0);
 }
 
@@ -58,16 +61,16 @@
         .write_all(&invocation(1, &id(1), "read"))
         .expect("it stands");
     stage.until("queued", |s| {
-        s.front
+        s.event_loop
             .host
-            .connections
-            .iter()
-            .any(|(_, l)| !l.connected && !l.queue.is_empty())
+            .pool
+            .connections()
+            .any(|(_, l)| !l.is_connected && !l.queue.is_empty())
     });
     // Its end is read before the connection is seen to stand.
     client.shutdown(Shutdown::Write).expect("it stands");
-    let now = stage.front.now();
-    stage.front.read_client(now, 0);
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.read_client(now, 0);
     nothing_begins(&mut stage, 0);
 }
 
@@ -77,9 +80,9 @@
     let mut client = stage.client();
     let (x, end) = stage.out(&mut client, 1, "command");
     stage.peers[x].say(end, "WAIT", &id(1));
-    stage.until("turned away", |s| s.front.host.outs.is_empty());
+    stage.until("turned away", |s| s.event_loop.host.has_none_in_flight());
     drop(client);
-    stage.until("gone", |s| s.front.host.clients.is_empty());
+    stage.until("gone", |s| s.event_loop.host.clients.is_empty());
     nothing_begins(&mut stage, 1);
 }
 
@@ -92,22 +95,36 @@
     stage.until("two of them", |s| {
         s.peers[x].read();
         let to = orchidtally_platform_discovery::executor_id(&s.peers[x].name);
-        let _ = s.front.host.connection_for(to, "another");
-        s.front.host.executors[&to]
+        let _ = s
+            .event_loop
+            .host
+            .pool
+            .connection_for(s.event_loop.host.now(), to, "another");
+        s.event_loop
+            .host
+            .pool
+            .executor(to)
+            .expect("it is known")
             .connections
             .iter()
-            .filter(|&&l| s.front.host.connections[l].connected)
+            .filter(|&&l| {
+                s.event_loop
+                    .host
+                    .pool
+                    .connection(l)
+                    .is_some_and(|l| l.is_connected)
+            })
             .count()
             > 1
     });
     let (socket, come) = stage.peers[x].ends.remove(end);
     orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
-    stage.until("severed", |s| !s.front.severed.is_empty());
+    stage.until("severed", |s| !s.event_loop.lost_connections.is_empty());
     drop(client);
-    let now = stage.front.now();
-    stage.front.read_client(now, 0);
-    assert!(come.contains("DO") && stage.front.host.clients.is_empty());
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.read_client(now, 0);
+    assert!(come.contains("DO") && stage.event_loop.host.clients.is_empty());
     nothing_begins(&mut stage, 0);
 }
 
@@ -123,11 +140,11 @@
     frames::write_frame(&mut both, frames::CANCEL, 2, None, None, &[]);
     both.extend(invocation(3, &id(2), "read"));
     client.write_all(&both).expect("it stands");
-    stage.until("held", |s| !s.front.host.held.is_empty());
+    stage.until("held", |s| s.event_loop.host.has_delayed_dispatches());
     let before = all_dispatches(&mut stage);
     client.shutdown(Shutdown::Both).expect("it stands");
-    let now = stage.front.now();
-    stage.front.read_client(now, 0);
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.read_client(now, 0);
     nothing_begins(&mut stage, before);
 }
 
@@ -163,7 +180,7 @@
     let mut heard = vec![];
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(200) {
-        stage.turn();
+        stage.poll_once();
         heard.extend(got(&mut client).0);
     }
     assert!(
--- a/crates/platform-frontend/src/tests/host_state.rs
+++ b/crates/platform-frontend/src/tests/engine_host.rs
@@ -1,6 +1,8 @@
 //! What goes over the sockets, and in which order, without a front end round it.
 
 use super::*;
+use crate::executor_connection::{ExecutorConnection, InFlightDispatch};
+use crate::executor_pool::Executor;
 use orchidtally_engine::Host;
 use std::io::Read;
 use std::net::TcpListener;
@@ -16,12 +18,12 @@
     "specifics": {"loadControl": true, "notLoaded": "load", "staysLoaded": 8e9}}"#;
 
 /// A host's state with some executors, each reached over one connection that stands, and the executors' ends of these.
-fn set(executors: usize) -> (HostState, Vec<ExecutorId>, Vec<std::net::TcpStream>) {
+fn set(executors: usize) -> (EngineHost, Vec<ExecutorId>, Vec<std::net::TcpStream>) {
     let settings = serde_json::from_str(SETTINGS).expect("it is JSON");
     let settings =
         orchidtally_platform_config::front_end_settings(&settings).expect("they are sound");
     let poll = mio::Poll::new().expect("a poll");
-    let mut host = HostState::new(
+    let mut host = EngineHost::new(
         0.0,
         poll.registry().try_clone().expect("it can be"),
         &settings,
@@ -36,50 +38,59 @@
             listener.local_addr().expect("it is bound"),
         );
         let id = orchidtally_platform_discovery::executor_id(&name);
-        host.executors.insert(
-            id,
-            Executor {
-                name,
-                address,
-                connections: vec![],
-                listed: true,
-                reach: f64::INFINITY,
-            },
-        );
-        let slot = host.connection_for(id, "").expect("there is room");
+        host.pool.add_executor(id, Executor::new(name, address));
+        let slot = host
+            .pool
+            .connection_for(0.0, id, "")
+            .expect("there is room");
         ends.push(listener.accept().expect("it comes").0);
         ends[n]
             .set_read_timeout(Some(Duration::from_millis(200)))
             .expect("a time");
-        host.connections[slot].connected = true;
-        host.executors.get_mut(&id).expect("it is known").reach = 0.001;
+        connection(&mut host, slot).is_connected = true;
+        host.pool
+            .executor_mut(id)
+            .expect("it is known")
+            .min_connect_time = 0.001;
         ids.push(id);
     }
     (host, ids, ends)
 }
 
-fn take(host: &mut HostState, inv: u32) {
+fn connection(host: &mut EngineHost, slot: usize) -> &mut ExecutorConnection {
+    host.pool.connection_mut(slot).expect("it stands")
+}
+
+fn first_connection(host: &EngineHost, id: ExecutorId) -> usize {
+    host.pool.executor(id).expect("it is known").connections[0]
+}
+
+fn take(host: &mut EngineHost, inv: u32) {
+    take_with_body(host, inv, vec![]);
+}
+
+fn take_with_body(host: &mut EngineHost, inv: u32, body: Vec<u8>) {
     let id: Rc<str> = format!("{inv:016x}").into();
-    host.taking = Some(OpenInvocation {
+    host.admitting = Some(OpenInvocation {
         client: usize::MAX,
         stream: 1,
         id,
         trigger_type: 0,
         function: "0000000000000001".into(),
-        token: None,
-        body: vec![],
+        idempotency_key: None,
+        body,
         timeout_at: 3.0,
     });
     host.admitted(inv);
 }
 
 /// Lets everything leave, or nothing, and counts what it was asked.
-struct Gate {
+struct RevalidationStub {
     open: bool,
     asked: usize,
 }
 
-impl SendRevalidation for Gate {
+impl SendRevalidation for RevalidationStub {
     fn on_process_stall(&mut self, _: f64) {}
 
     fn revalidate_dispatch(&mut self, _: f64, _: u32, _: u8) -> bool {
@@ -93,19 +104,19 @@
     }
 }
 
-fn flush(host: &mut HostState) {
+fn flush(host: &mut EngineHost) {
     flush_by(
         host,
-        &mut Gate {
+        &mut RevalidationStub {
             open: true,
             asked: 0,
         },
     );
 }
 
-fn flush_by(host: &mut HostState, gate: &mut Gate) {
-    for slot in std::mem::take(&mut host.dirty_connections) {
-        host.connections[slot].dirty = false;
+fn flush_by(host: &mut EngineHost, gate: &mut RevalidationStub) {
+    for slot in host.pool.take_dirty() {
+        connection(host, slot).is_dirty = false;
         host.flush_connection(slot, gate).expect("it is taken");
     }
 }
@@ -132,11 +143,16 @@
         host.cancel(inv, 0);
         host.dispatch(inv, 1, ids[1 - inv as usize], 3.0);
     }
-    let first = host.dirty_connections.remove(0);
-    host.connections[first].dirty = false;
+    let mut dirty = host.pool.take_dirty();
+    let first = dirty.remove(0);
+    connection(&mut host, first).is_dirty = false;
+    for slot in dirty {
+        connection(&mut host, slot).is_dirty = false;
+        host.pool.mark_dirty(slot);
+    }
     host.flush_connection(
         first,
-        &mut Gate {
+        &mut RevalidationStub {
             open: true,
             asked: 0,
         },
@@ -153,7 +169,7 @@
     // It waits for a moment from the next turn on.
     for (now, there) in [(0.001, false), (0.002, false), (0.003, true)] {
         host.now = now;
-        host.release();
+        host.send_due_dispatches();
         flush(&mut host);
         ends.iter_mut()
             .for_each(|end| assert_eq!(come(end).contains(r#""DO""#), there, "at {now}"));
@@ -172,10 +188,10 @@
     host.cancel(0, 1);
     for now in [0.001, 0.01] {
         host.now = now;
-        host.release();
+        host.send_due_dispatches();
         flush(&mut host);
     }
-    assert!(host.held.is_empty() && come(&mut ends[0]).contains("UNDO"));
+    assert!(host.delayed.is_empty() && come(&mut ends[0]).contains("UNDO"));
     assert_eq!(come(&mut ends[1]), "");
 }
 
@@ -187,24 +203,30 @@
     take(&mut host, 0);
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
-    let slot = host.executors[&ids[0]].connections[0];
-    while host.connections[slot].socket.waiting() == 0 {
-        host.connections[slot].socket.out().resize(1 << 20, b' ');
-        host.connections[slot].socket.flush().expect("it stands");
+    let slot = first_connection(&host, ids[0]);
+    while connection(&mut host, slot).socket.waiting() == 0 {
+        connection(&mut host, slot)
+            .socket
+            .out()
+            .resize(1 << 20, b' ');
+        connection(&mut host, slot)
+            .socket
+            .flush()
+            .expect("it stands");
     }
     host.cancel(0, 0);
     host.dispatch(0, 1, ids[1], 3.0);
-    let elsewhere = host.executors[&ids[1]].connections[0];
+    let elsewhere = first_connection(&host, ids[1]);
     host.flush_connection(
         elsewhere,
-        &mut Gate {
+        &mut RevalidationStub {
             open: true,
             asked: 0,
         },
     )
     .expect("it is taken");
     assert!(
-        host.connections[slot].is_cut && host.cut.len() == 1,
+        connection(&mut host, slot).is_cut && host.cut_connections.len() == 1,
         "to be dissolved"
     );
     let mut rest = vec![];
@@ -218,28 +240,34 @@
 #[test]
 fn no_line_stays_made_of_which_the_kernel_took_nothing() {
     let (mut host, ids, mut ends) = set(1);
-    let slot = host.executors[&ids[0]].connections[0];
-    while host.connections[slot].socket.waiting() == 0 {
-        host.connections[slot].socket.out().resize(1 << 20, b' ');
-        host.connections[slot].socket.flush().expect("it stands");
+    let slot = first_connection(&host, ids[0]);
+    while connection(&mut host, slot).socket.waiting() == 0 {
+        connection(&mut host, slot)
+            .socket
+            .out()
+            .resize(1 << 20, b' ');
+        connection(&mut host, slot)
+            .socket
+            .flush()
+            .expect("it stands");
     }
     for inv in 0..30 {
-        take(&mut host, inv);
-        host.invocations.get_mut(&inv).expect("it is open").body = vec![7; 16 * 1024];
+        take_with_body(&mut host, inv, vec![7; 16 * 1024]);
         host.dispatch(inv, 0, ids[0], 3.0);
     }
-    let mut gate = Gate {
+    let mut gate = RevalidationStub {
         open: true,
         asked: 0,
     };
     let mut bytes = vec![0; 20 * 1024];
     let mut stuck = 0;
-    while !host.connections[slot].queue.is_empty() {
+    while !connection(&mut host, slot).queue.is_empty() {
         ends[0].read_exact(&mut bytes).expect("there is more");
         host.flush_connection(slot, &mut gate).expect("it is taken");
-        let connection = &host.connections[slot];
-        let begun = |o: &crate::connections::Out| {
-            o.from.is_none_or(|from| from < connection.socket.written())
+        let connection = connection(&mut host, slot);
+        let begun = |o: &InFlightDispatch| {
+            o.line_start
+                .is_none_or(|from| from < connection.socket.written())
         };
         assert!(connection.open.values().all(begun));
         stuck += usize::from(connection.socket.waiting() > 0);
@@ -255,7 +283,10 @@
 #[test]
 fn what_is_moved_waits_for_as_long_as_a_connection_to_the_first_took_to_be_made() {
     let (mut host, ids, mut ends) = set(2);
-    host.executors.get_mut(&ids[0]).expect("it is known").reach = 0.02;
+    host.pool
+        .executor_mut(ids[0])
+        .expect("it is known")
+        .min_connect_time = 0.02;
     take(&mut host, 0);
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
@@ -263,7 +294,7 @@
     host.dispatch(0, 1, ids[1], 3.0);
     for (now, there) in [(0.001, false), (0.020, false), (0.022, true)] {
         host.now = now;
-        host.release();
+        host.send_due_dispatches();
         flush(&mut host);
         assert_eq!(come(&mut ends[1]).contains(r#""DO""#), there, "at {now}");
     }
--- a/crates/platform-frontend/src/tests/connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -4,33 +4,35 @@
 use std::io::Read;
 use std::net::TcpListener;
 
-fn connection() -> (Connection, std::net::TcpStream) {
+fn connection() -> (ExecutorConnection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("it is bound")).expect("begun");
     let (peer, _) = listener.accept().expect("it comes");
-    let mut connection = Connection::new(
+    let mut connection = ExecutorConnection::new(
         orchidtally_platform_discovery::executor_id("s-1"),
         stream,
         0.0,
         0.25,
     );
-    connection.connected = true;
+    connection.is_connected = true;
     (connection, peer)
 }
 
-fn takes(connection: &Connection, id: &str) -> bool {
-    connection.takes(id, 32, 1.0, 15.0)
+fn takes(connection: &ExecutorConnection, id: &str) -> bool {
+    connection.can_carry(id, 32, 1.0, 15.0)
 }
 
-fn put(connection: &mut Connection, id: &str, from: Option<u64>) -> Rc<str> {
+fn put(connection: &mut ExecutorConnection, id: &str, from: Option<u64>) -> Rc<str> {
     let id: Rc<str> = id.into();
     connection.open.insert(
         id.clone(),
-        Out {
-            inv: 1,
-            dispatch: 0,
-            at: 1.0,
-            from,
+        InFlightDispatch {
+            key: DispatchKey {
+                invocation: 1,
+                number: 0,
+            },
+            sent_at: 1.0,
+            line_start: from,
         },
     );
     id
@@ -42,33 +44,35 @@
     let (mut connection, _peer) = connection();
     let id = put(&mut connection, "a", Some(0));
     assert!(!takes(&connection, "a"), "it is open there");
-    assert!(connection.give_up(&id));
+    assert!(connection.abandon(&id));
     assert!(!takes(&connection, "a") && takes(&connection, "b"));
-    connection.settled("a");
+    connection.forget_abandoned("a");
     assert!(takes(&connection, "a"));
     let id = put(&mut connection, "a", None);
-    connection.queue.push_back(Queued::Dispatch(id.clone()));
-    assert!(!connection.give_up(&id), "a queued one is just taken back");
+    connection
+        .queue
+        .push_back(QueuedCommand::Dispatch(id.clone()));
+    assert!(!connection.abandon(&id), "a queued one is just taken back");
     assert!(connection.queue.is_empty() && takes(&connection, "a"));
-    for n in 0..MOST_GIVEN_UP {
+    for n in 0..MAX_ABANDONED_IDS {
         let id = put(&mut connection, &format!("{n}"), Some(0));
-        assert!(!connection.retired);
-        connection.give_up(&id);
+        assert!(!connection.is_retired);
+        connection.abandon(&id);
     }
-    assert!(connection.retired, "ids given up are bounded");
+    assert!(connection.is_retired, "ids given up are bounded");
 }
 
 #[test]
 fn a_connection_used_lately_comes_before_one_long_idle_and_a_busier_one_after_both() {
     let ((mut late, _a), (mut idle, _b), (mut busy, _c), (mut begun, _d)) =
         (connection(), connection(), connection(), connection());
-    (late.idle_since, idle.idle_since, begun.connected) = (5.0, 1.0, false);
+    (late.idle_since, idle.idle_since, begun.is_connected) = (5.0, 1.0, false);
     put(&mut busy, "a", Some(0));
     let mut all = [
-        ("begun", begun.rank()),
-        ("busy", busy.rank()),
-        ("idle", idle.rank()),
-        ("late", late.rank()),
+        ("begun", begun.preference()),
+        ("busy", busy.preference()),
+        ("idle", idle.preference()),
+        ("late", late.preference()),
     ];
     all.sort_by_key(|r| r.1);
     assert_eq!(all.map(|r| r.0), ["late", "idle", "busy", "begun"]);
@@ -82,12 +86,12 @@
     connection
         .open
         .values_mut()
-        .filter(|o| o.from == Some(9))
-        .for_each(|o| o.at = 2.0);
-    let verdicts = |connection: &Connection, seen| {
+        .filter(|o| o.line_start == Some(9))
+        .for_each(|o| o.sent_at = 2.0);
+    let verdicts = |connection: &ExecutorConnection, seen| {
         connection
-            .verdicts(seen)
-            .map(|(o, v)| (o.from, v))
+            .attribute_failures(seen)
+            .map(|(o, v)| (o.line_start, v))
             .collect::<Vec<_>>()
     };
     let at_fault = [(Some(0), Transport::Malformed), (Some(9), Transport::Cut)];
@@ -97,7 +101,7 @@
         at_fault,
         "nothing ever came"
     );
-    connection.answered = true;
+    connection.has_answered = true;
     assert_eq!(verdicts(&connection, Transport::Broken), lost);
     assert_eq!(verdicts(&connection, Transport::Malformed), at_fault);
 }
@@ -112,7 +116,7 @@
     let mut there = [0; 6];
     peer.read_exact(&mut there).expect("it came");
     assert_eq!(&there, b"first\n");
-    connection.connected = false;
+    connection.is_connected = false;
     assert!(
         connection.is_unwritten(Some(0)),
         "without a connection nothing is"
@@ -123,28 +127,31 @@
 fn half_a_line_and_idleness_end_a_connection_and_work_does_not() {
     let (mut connection, _peer) = connection();
     assert_eq!(
-        connection.overdue(13.0, 15.0),
+        connection.close_reason(13.0, 15.0),
         None,
         "one in use every ten seconds or so is kept"
     );
     assert_eq!(
-        connection.overdue(14.0, 15.0),
-        Some((Transport::Broken, "idle"))
+        connection.close_reason(14.0, 15.0),
+        Some(CloseReason {
+            evidence: Transport::Broken,
+            text: "idle",
+        })
     );
     put(&mut connection, "a", Some(0));
-    assert_eq!(connection.overdue(100.0, 15.0), None);
+    assert_eq!(connection.close_reason(100.0, 15.0), None);
     connection.decoder.push(b"{\"t\":");
-    connection.heard(100.0);
-    assert_eq!(connection.overdue(100.4, 15.0), None);
+    connection.record_read(100.0);
+    assert_eq!(connection.close_reason(100.4, 15.0), None);
     connection.decoder.push(b"\"DO");
-    connection.heard(100.4);
+    connection.record_read(100.4);
     assert!(
-        connection.overdue(100.6, 15.0).is_some(),
+        connection.close_reason(100.6, 15.0).is_some(),
         "the time runs from its first byte"
     );
-    connection.connected = false;
-    assert_eq!(connection.overdue(0.2, 15.0), None);
-    assert!(connection.overdue(0.3, 15.0).is_some());
+    connection.is_connected = false;
+    assert_eq!(connection.close_reason(0.2, 15.0), None);
+    assert!(connection.close_reason(0.3, 15.0).is_some());
 }
 
 /// Lines of which the kernel got no byte go back, in their order; one that has begun to leave stays.
@@ -162,19 +169,19 @@
     for (n, id) in ["b", "a"].into_iter().enumerate() {
         put(&mut connection, id, Some(at + 10 * n as u64));
     }
-    connection.orders.insert(7, Some(at + 20));
+    connection.load_commands.insert(7, Some(at + 20));
     connection.socket.out().extend_from_slice(&[b'x'; 30]);
-    connection.take_back();
+    connection.requeue_unwritten();
     assert_eq!(connection.socket.waiting(), kept);
     let queued = connection.queue.iter().map(|q| match q {
-        Queued::Dispatch(id) => id.to_string(),
-        Queued::Order(tag) => tag.to_string(),
-        Queued::Line(_) => panic!("no line was there"),
+        QueuedCommand::Dispatch(id) => id.to_string(),
+        QueuedCommand::LoadCommand(tag) => tag.to_string(),
+        QueuedCommand::Line(_) => panic!("no line was there"),
     });
     assert_eq!(queued.collect::<Vec<_>>(), ["b", "a", "7"]);
     assert!(
-        connection.open[&begun].from.is_some()
-            && connection.open["a"].from.is_none()
-            && connection.orders[&7].is_none()
+        connection.open[&begun].line_start.is_some()
+            && connection.open["a"].line_start.is_none()
+            && connection.load_commands[&7].is_none()
     );
 }
--- a/crates/platform-frontend/src/tests/leaving.rs
+++ b/crates/platform-frontend/src/tests/graceful_shutdown.rs
@@ -4,10 +4,10 @@
 use signal_hook::consts::SIGTERM;
 
 fn told_to_end(stage: &mut Stage) {
-    let now = stage.front.now();
-    stage.front.signalled(now, SIGTERM);
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.handle_signal(now, SIGTERM);
     // As if it had been told so long ago that nothing more is taken.
-    stage.front.leaving_since = Some(now - 0.7);
+    stage.event_loop.shutdown.set_begun_at(now - 0.7);
 }
 
 /// The process had ended before the rest of it came.
@@ -17,17 +17,19 @@
     let mut client = stage.client();
     let whole = invocation(1, &id(1), "read");
     client.write_all(&whole[..20]).expect("it stands");
-    stage.until("half of it", |s| s.front.host.clients[0].is_within());
+    stage.until("half of it", |s| {
+        s.event_loop.host.clients[0].has_partial_frame()
+    });
     told_to_end(&mut stage);
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_millis(300) {
-        assert!(!stage.turn(), "the rest is waited for");
+        assert!(!stage.poll_once(), "the rest is waited for");
     }
     client.write_all(&whole[20..]).expect("it stands");
     let mut answers = vec![];
     let mut over = false;
     stage.until("over", |s| {
-        over |= s.turn();
+        over |= s.poll_once();
         answers.extend(got(&mut client).0);
         over
     });
@@ -49,11 +51,14 @@
         .map(|_| TcpStream::connect(stage.at).expect("it listens"))
         .collect();
     told_to_end(&mut stage);
-    let now = stage.front.now();
-    stage.front.stop_taking(now);
-    stage.front.settle(now);
+    let now = stage.event_loop.read_clock();
+    stage.event_loop.stop_accepting(now);
+    stage.event_loop.flush_all(now);
     assert_eq!(
-        (stage.front.counts.accepted, stage.front.listener.is_none()),
+        (
+            stage.event_loop.counters.accepted,
+            !stage.event_loop.listener.is_open()
+        ),
         (100, true)
     );
     for client in &mut waiting {
@@ -68,14 +73,14 @@
     let mut stage = Stage::new(1, 128, |_| {});
     let mut client = stage.client();
     told_to_end(&mut stage);
-    stage.until("quiet", |s| s.front.quiet_since.is_some());
+    stage.until("quiet", |s| s.event_loop.shutdown.is_idle());
     // The look at whether it is over comes after this turn's reading.
     client
         .write_all(&invocation(1, &id(1), "read"))
         .expect("it stands");
-    stage.front.quiet_since = Some(f64::NEG_INFINITY);
-    let now = stage.front.now();
-    assert!(!stage.front.is_over(now));
+    stage.event_loop.shutdown.set_idle_since(f64::NEG_INFINITY);
+    let now = stage.event_loop.read_clock();
+    assert!(!stage.event_loop.is_finished(now));
     assert_eq!(
         got(&mut client).0,
         [
@@ -90,16 +95,19 @@
 fn a_client_that_reads_nothing_does_not_hold_up_the_end() {
     let mut stage = Stage::new(1, 128, |_| {});
     let _client = stage.client();
-    stage.front.host.clients[0].socket.out().resize(16 << 20, 0);
-    stage.front.host.touch_client(0);
+    stage.event_loop.host.clients[0]
+        .socket
+        .out()
+        .resize(16 << 20, 0);
+    stage.event_loop.host.mark_client_dirty(0);
     told_to_end(&mut stage);
-    stage.until("closed", |s| s.front.listener.is_none());
-    let now = stage.front.now();
-    assert!(!stage.front.is_over(now), "it has some time");
-    stage.front.leaving_since = Some(now - 3.6);
-    assert!(!stage.front.is_over(now));
-    stage.front.leaving_since = Some(now - 3.67);
-    assert!(stage.front.is_over(now), "before it may be killed");
+    stage.until("closed", |s| !s.event_loop.listener.is_open());
+    let now = stage.event_loop.read_clock();
+    assert!(!stage.event_loop.is_finished(now), "it has some time");
+    stage.event_loop.shutdown.set_begun_at(now - 3.6);
+    assert!(!stage.event_loop.is_finished(now));
+    stage.event_loop.shutdown.set_begun_at(now - 3.67);
+    assert!(stage.event_loop.is_finished(now), "before it may be killed");
 }
 
 /// What would be waited for until after the process may be killed was lost with it.
@@ -112,13 +120,13 @@
         .expect("it stands");
     let (x, end) = stage.dispatched(&id(1));
     told_to_end(&mut stage);
-    stage.until("closed", |s| s.front.listener.is_none());
-    let since = stage.front.leaving_since.expect("it was told");
+    stage.until("closed", |s| !s.event_loop.listener.is_open());
+    let since = stage.event_loop.shutdown.begun_at().expect("it was told");
     let by = stage
-        .front
+        .event_loop
         .host
         .invocations
-        .values()
+        .iter()
         .map(|w| w.timeout_at)
         .fold(0.0, f64::max);
     assert!(
@@ -140,5 +148,5 @@
         ]
     );
     assert_eq!(stage.peers[x].lines("UNDO", &id(1)), [end]);
-    stage.until("over", Stage::turn);
+    stage.until("over", Stage::poll_once);
 }
--- a/crates/platform-frontend/src/tests/on_the_way.rs
+++ b/crates/platform-frontend/src/tests/in_transit.rs
@@ -9,11 +9,11 @@
         .write_all(&invocation(1, &id(1), "read"))
         .expect("it stands");
     let connections = |s: &Stage| {
-        s.front
+        s.event_loop
             .host
-            .connections
-            .iter()
-            .find(|(_, l)| !l.connected)
+            .pool
+            .connections()
+            .find(|(_, l)| !l.is_connected)
             .map(|(_, l)| (l.to, l.queue.len()))
     };
     stage.until("queued", |s| {
@@ -37,6 +37,11 @@
     (stage, client)
 }
 
+fn connections_to(stage: &Stage, to: ExecutorId) -> Vec<usize> {
+    let executor = stage.event_loop.host.pool.executor(to);
+    executor.expect("it is known").connections.clone()
+}
+
 fn number(stage: &Stage, to: ExecutorId) -> usize {
     stage
         .peers
@@ -103,18 +108,24 @@
 fn what_the_kernel_does_not_take_is_asked_about_again_as_it_leaves() {
     let (mut stage, mut client) = warm(2);
     let to = stage
-        .front
+        .event_loop
         .host
-        .connections
-        .iter()
+        .pool
+        .connections()
         .next()
         .expect("one that stands")
         .1
         .to;
     let x = number(&stage, to);
     // Nobody reads there until the kernel takes no byte more.
-    for slot in stage.front.host.executors[&to].connections.clone() {
-        let socket = &mut stage.front.host.connections[slot].socket;
+    for slot in connections_to(&stage, to) {
+        let socket = &mut stage
+            .event_loop
+            .host
+            .pool
+            .connection_mut(slot)
+            .expect("it stands")
+            .socket;
         while socket.waiting() == 0 {
             socket.out().extend_from_slice(&[b' '; 4096]);
             socket.flush().expect("it stands");
@@ -123,7 +134,7 @@
     client
         .write_all(&invocation(2, &id(2), "read"))
         .expect("it stands");
-    stage.until("queued", |s| s.front.engine.counters().dispatches == 2);
+    stage.until("queued", |s| s.event_loop.engine.counters().dispatches == 2);
     let all = [
         (x, Draining, stage.peers[x].at),
         (1 - x, Ready, stage.peers[1 - x].at),
@@ -177,14 +188,21 @@
     drop(socket);
     // Something is written there before anything is read.
     let to = orchidtally_platform_discovery::executor_id(&stage.peers[x].name);
-    let now = stage.front.now();
-    for slot in stage.front.host.executors[&to].connections.clone() {
-        stage.front.host.connections[slot]
+    let now = stage.event_loop.read_clock();
+    for slot in connections_to(&stage, to) {
+        stage
+            .event_loop
+            .host
+            .pool
+            .connection_mut(slot)
+            .expect("it stands")
             .queue
-            .push_back(crate::connections::Queued::Line(b"\n".to_vec()));
-        stage.front.host.touch_connection(slot);
+            .push_back(crate::executor_connection::QueuedCommand::Line(
+                b"\n".to_vec(),
+            ));
+        stage.event_loop.host.pool.mark_dirty(slot);
     }
-    stage.front.settle(now);
+    stage.event_loop.flush_all(now);
     let mut answers = vec![];
     stage.until("answered", |_| {
         answers.extend(got(&mut client).0);
@@ -205,9 +223,9 @@
     frames::write_frame(&mut both, frames::CANCEL, 2, None, None, &[]);
     both.extend(invocation(101, &id(1), "read"));
     client.write_all(&both).expect("it stands");
-    stage.until("taken", |s| s.front.engine.counters().admitted == 3);
+    stage.until("taken", |s| s.event_loop.engine.counters().admitted == 3);
     assert!(
-        !stage.front.host.held.is_empty(),
+        stage.event_loop.host.has_delayed_dispatches(),
         "the turn that gives the first up sends no second"
     );
     let sent = |s: &mut Stage| {
@@ -228,14 +246,13 @@
     stage.peers[x].say(end, "DONE", &id(1));
     stage.until("answered", |_| !got(&mut client).0.is_empty());
     // As if it had stood there idle; the look at what is overdue comes later.
-    let before = stage.front.now() - 14.0;
-    stage
-        .front
-        .host
-        .connections
-        .iter_mut()
-        .for_each(|(_, l)| l.idle_since = before);
-    stage.front.sweep_at = f64::INFINITY;
+    let before = stage.event_loop.read_clock() - 14.0;
+    let pool = &mut stage.event_loop.host.pool;
+    let slots: Vec<usize> = pool.connections().map(|(slot, _)| slot).collect();
+    for slot in slots {
+        pool.connection_mut(slot).expect("it stands").idle_since = before;
+    }
+    stage.event_loop.maintenance.postpone_sweeps();
     let (_, other) = stage.out(&mut client, 2, "read");
     assert_ne!(other, end);
 }
--- a/crates/platform-frontend/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -2,14 +2,15 @@
 //! executors on loopback sockets that say and read just what a test wants.
 
 mod clients;
-mod gone;
-mod leaving;
-mod on_the_way;
+mod disconnects;
+mod graceful_shutdown;
+mod in_transit;
+mod process_stall;
 mod settings;
-mod standstill;
 
 use super::*;
 use orchidtally_dispatch_policy::interface::*;
+use orchidtally_platform_client_protocol as frames;
 use serde_json::{Value, json};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -78,7 +79,7 @@
 }
 
 pub struct Stage {
-    pub front: Front,
+    pub event_loop: EventLoop,
     events: Events,
     pub peers: Vec<Peer>,
     /// It says nothing, and keeps its port from others.
@@ -127,10 +128,10 @@
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
         });
         let start = crate::start::parse("told", told.to_string().as_bytes()).expect("it is sound");
-        let front =
-            Front::new(start, PathBuf::new(), Poll::new().expect("a poll")).expect("it starts");
+        let event_loop =
+            EventLoop::new(start, PathBuf::new(), Poll::new().expect("a poll")).expect("it starts");
         Stage {
-            front,
+            event_loop,
             events: Events::with_capacity(1024),
             peers,
             _resolver: resolver,
@@ -139,8 +140,10 @@
     }
 
     /// Tells whether the front end has ended.
-    pub fn turn(&mut self) -> bool {
-        self.front.turn(&mut self.events, Vec::new).expect("a turn")
+    pub fn poll_once(&mut self) -> bool {
+        self.event_loop
+            .poll_once(&mut self.events, Vec::new)
+            .expect("a turn")
     }
 
     /// Turns until something is so.
@@ -148,15 +151,15 @@
         let begun = Instant::now();
         while !is_so(self) {
             assert!(begun.elapsed() < Duration::from_secs(20), "never: {what}");
-            self.turn();
+            self.poll_once();
         }
     }
 
     pub fn client(&mut self) -> TcpStream {
         let client = TcpStream::connect(self.at).expect("it listens");
         client.set_nonblocking(true).expect("it can be");
-        let before = self.front.counts.accepted;
-        self.until("accepted", |s| s.front.counts.accepted > before);
+        let before = self.event_loop.counters.accepted;
+        self.until("accepted", |s| s.event_loop.counters.accepted > before);
         client
     }
 
@@ -231,9 +234,8 @@
             }
         };
         let entries = rows.iter().map(entry).collect();
-        let now = self.front.now();
-        self.front.host.now = now;
-        self.front.list(now, entries);
+        let now = self.event_loop.read_clock();
+        self.event_loop.apply_endpoint_list(now, entries);
     }
 }
 
--- a/crates/platform-frontend/src/tests/process_clock.rs
+++ b/crates/platform-frontend/src/tests/process_clock.rs
@@ -9,20 +9,16 @@
     let mut clock = ProcessClock::starting_at(5.0);
     let first = clock.read();
     assert!((5.0..6.0).contains(&first));
-    clock.take_standstill();
+    clock.take_stall();
     std::thread::sleep(Duration::from_secs_f64(STALL_THRESHOLD + 0.05));
     let second = clock.read();
     assert!(second >= first + STALL_THRESHOLD);
+    assert!(clock.take_stall().is_some_and(|gap| gap > STALL_THRESHOLD));
     assert!(
-        clock
-            .take_standstill()
-            .is_some_and(|gap| gap > STALL_THRESHOLD)
-    );
-    assert!(
-        clock.arrived_by(second) <= second - STALL_THRESHOLD,
+        clock.arrival_bound(second) <= second - STALL_THRESHOLD,
         "bytes may have waited for as long"
     );
-    assert_eq!(clock.arrived_by(second + 0.1), second + 0.1);
+    assert_eq!(clock.arrival_bound(second + 0.1), second + 0.1);
     clock.read();
-    assert_eq!(clock.take_standstill(), None);
+    assert_eq!(clock.take_stall(), None);
 }
--- a/crates/platform-frontend/src/tests/standstill.rs
+++ b/crates/platform-frontend/src/tests/process_stall.rs
@@ -54,23 +54,23 @@
     let mut stage = Stage::new(1, 128, without_orders);
     let mut client = stage.client();
     std::thread::sleep(Duration::from_millis(1_300));
-    let went_on = stage.front.now();
+    let went_on = stage.event_loop.read_clock();
     // What is read right after it counts as if it had waited for all of it.
-    stage.until("caught up", |s| s.front.now() > went_on + 0.1);
+    stage.until("caught up", |s| s.event_loop.read_clock() > went_on + 0.1);
     client
         .write_all(&invocation(1, &id(1), "read"))
         .expect("it stands");
-    while stage.front.now() < went_on + 0.6 {
-        stage.turn();
+    while stage.event_loop.read_clock() < went_on + 0.6 {
+        stage.poll_once();
         assert!(
             stage.peers[0].lines("DO", "").is_empty(),
             "nothing was heard since"
         );
     }
-    let now = stage.front.now();
+    let now = stage.event_loop.read_clock();
     stage
-        .front
+        .event_loop
         .engine
-        .on_view_confirmed(now, now, &mut stage.front.host);
+        .on_view_confirmed(now, now, &mut stage.event_loop.host);
     stage.dispatched(&id(1));
 }
--- a/crates/platform-frontend/src/tests/roster.rs
+++ b/crates/platform-frontend/src/tests/resolver.rs
@@ -15,12 +15,12 @@
 }
 
 /// A resolver's end, and what asks it.
-fn asking() -> (std::net::UdpSocket, mio::Poll, Resolver) {
+fn asking() -> (std::net::UdpSocket, mio::Poll, ResolverClient) {
     let there = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let at = there.local_addr().expect("it is bound");
     let poll = mio::Poll::new().expect("a poll");
     let view = EndpointView::new(0.0, 1, &[]);
-    let resolver = Resolver::new(at, view, poll.registry(), mio::Token(0)).expect("a socket");
+    let resolver = ResolverClient::new(at, view, poll.registry(), mio::Token(0)).expect("a socket");
     (there, poll, resolver)
 }
 
@@ -37,13 +37,13 @@
     let mut places = LocationTable::new(vec![], vec![]);
     let mut queries = vec![];
     for n in 0..3 {
-        resolver.turn(0.15 * f64::from(n));
+        resolver.query_if_due(0.15 * f64::from(n));
         queries.push(query(&there));
     }
     let mut read = |query: usize, serial: u32| {
         let (query, from) = &queries[query];
         there.send_to(&answer(query, serial), from).expect("sent");
-        let confirmed = resolver.read(0.31, &mut places).confirmed;
+        let confirmed = resolver.read(0.31, &mut places).is_confirmed;
         (
             confirmed,
             resolver.view().serial(),
@@ -62,8 +62,8 @@
         (true, 2, 0.3),
         "nothing new, and as fresh as its question"
     );
-    resolver.turn(1.0);
-    resolver.turn(1.15);
+    resolver.query_if_due(1.0);
+    resolver.query_if_due(1.15);
     let next = || {
         let mut query = [0; 512];
         let (size, from) = there.recv_from(&mut query).expect("a query");
@@ -73,7 +73,7 @@
     for ((query, from), serial) in [(second, 3), (first, 4)] {
         there.send_to(&answer(&query, serial), from).expect("sent");
         assert!(
-            resolver.read(1.2, &mut places).confirmed,
+            resolver.read(1.2, &mut places).is_confirmed,
             "{serial}, overtaken"
         );
         assert_eq!(
@@ -81,7 +81,7 @@
             (serial, 1.15)
         );
     }
-    assert_eq!(resolver.due_at(), 1.2 + ASK_EVERY);
+    assert_eq!(resolver.next_query_at(), 1.2 + POLL_INTERVAL);
 }
 
 /// A list that the earlier resolver had sent was told, and was dropped with its socket, unread.
@@ -99,7 +99,7 @@
         (query[..size].to_vec(), from)
     };
     let poll = mio::Poll::new().expect("a poll");
-    let mut asking = Resolver::new(
+    let mut asking = ResolverClient::new(
         at,
         EndpointView::new(0.0, 1, &[]),
         poll.registry(),
@@ -107,22 +107,22 @@
     )
     .expect("a socket");
     let mut places = LocationTable::new(vec![], vec![]);
-    asking.turn(0.0);
-    asking.turn(0.15);
+    asking.query_if_due(0.0);
+    asking.query_if_due(0.15);
     let (one, two) = (query(&first), query(&first));
     first.send_to(&answer(&one.0, 2), one.1).expect("sent");
     asking
-        .turn_to(other, poll.registry(), mio::Token(0))
+        .switch_to(other, poll.registry(), mio::Token(0))
         .expect("a socket");
-    asking.turn(0.2);
-    assert!(asking.read(0.2, &mut places).confirmed, "it was told");
+    asking.query_if_due(0.2);
+    assert!(asking.read(0.2, &mut places).is_confirmed, "it was told");
     assert_eq!(asking.view().serial(), 2);
     // Once the new one has answered, the earlier one is heard no more.
     let third = query(&second);
     second.send_to(&answer(&third.0, 3), third.1).expect("sent");
-    assert!(asking.read(0.25, &mut places).confirmed);
+    assert!(asking.read(0.25, &mut places).is_confirmed);
     first.send_to(&answer(&two.0, 4), two.1).expect("sent");
-    assert!(!asking.read(0.3, &mut places).confirmed);
+    assert!(!asking.read(0.3, &mut places).is_confirmed);
     assert_eq!(asking.view().serial(), 3);
 }
 
@@ -131,17 +131,17 @@
 fn what_a_turn_does_not_read_is_read_in_the_next() {
     let (there, _poll, mut asking) = asking();
     let mut places = LocationTable::new(vec![], vec![]);
-    asking.turn(0.0);
+    asking.query_if_due(0.0);
     let mut query = [0; 512];
     let (size, from) = there.recv_from(&mut query).expect("a query");
-    (0..READS).for_each(|_| _ = there.send_to(&[0; 12], from).expect("sent"));
+    (0..MAX_READS_PER_POLL).for_each(|_| _ = there.send_to(&[0; 12], from).expect("sent"));
     there
         .send_to(&answer(&query[..size], 2), from)
         .expect("sent");
     let first = asking.read(0.1, &mut places);
-    assert!(first.more && !first.confirmed);
+    assert!(first.has_more && !first.is_confirmed);
     let second = asking.read(0.1, &mut places);
-    assert!(second.confirmed && !second.more);
+    assert!(second.is_confirmed && !second.has_more);
 }
 
 /// Answers that come seconds late count, and the view is as old as their questions.
@@ -151,13 +151,13 @@
     let mut places = LocationTable::new(vec![], vec![]);
     let mut queries = vec![];
     for n in 0..60 {
-        asking.turn(0.2 * f64::from(n));
+        asking.query_if_due(0.2 * f64::from(n));
         queries.push(query(&there));
     }
     there
         .send_to(&answer(&queries[0].0, 2), queries[0].1)
         .expect("sent");
-    assert!(asking.read(12.0, &mut places).confirmed);
+    assert!(asking.read(12.0, &mut places).is_confirmed);
     assert_eq!((asking.view().serial(), asking.view().fresh_at()), (2, 0.0));
 }
 
@@ -165,10 +165,10 @@
 #[test]
 fn a_silence_is_counted_anew_after_a_standstill() {
     let (_there, _poll, mut asking) = asking();
-    (0..QUIET_AFTER).for_each(|n| asking.turn(n as f64));
-    assert!(asking.is_quiet());
-    asking.ask_anew();
-    assert!(!asking.is_quiet() && asking.due_at() == 0.0);
+    (0..UNREACHABLE_AFTER).for_each(|n| asking.query_if_due(n as f64));
+    assert!(asking.is_unreachable());
+    asking.restart_queries();
+    assert!(!asking.is_unreachable() && asking.next_query_at() == 0.0);
 }
 
 /// Answers lost now and then add up to no silence; sixteen in a row do, and one that comes ends it.
@@ -177,7 +177,7 @@
     let there = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     let poll = mio::Poll::new().expect("a poll");
     let at = there.local_addr().expect("it is bound");
-    let mut asking = Resolver::new(
+    let mut asking = ResolverClient::new(
         at,
         EndpointView::new(0.0, 1, &[]),
         poll.registry(),
@@ -187,7 +187,7 @@
     let mut places = LocationTable::new(vec![], vec![]);
     let (mut now, mut quiet) = (0.0, vec![]);
     for n in 0..60 {
-        asking.turn(now);
+        asking.query_if_due(now);
         let mut query = [0; 512];
         let (size, from) = there.recv_from(&mut query).expect("a query");
         // Every third is answered at first; then none, but for one.
@@ -197,7 +197,7 @@
                 .expect("sent");
             _ = asking.read(now, &mut places);
         }
-        quiet.push(asking.is_quiet());
+        quiet.push(asking.is_unreachable());
         now += 0.3;
     }
     let from = quiet.iter().position(|&q| q);
--- a/crates/platform-frontend/src/tests/settings.rs
+++ b/crates/platform-frontend/src/tests/settings.rs
@@ -1,6 +1,7 @@
 //! Settings of one deployment, and of one customer, that must not bleed into another's.
 
 use super::*;
+use crate::invocation_request::{InvocationOrigin, parse_invocation};
 
 fn payload(customer: Option<&str>) -> Vec<u8> {
     let mut fields = vec![
@@ -16,6 +17,20 @@
     out.split_off(9)
 }
 
+/// The index of the customer that an invocation is of, or what its client is told.
+fn customer_of(stage: &Stage, payload: &[u8]) -> Result<usize, String> {
+    let origin = InvocationOrigin {
+        arrived_at: 1.0,
+        client: 0,
+        stream: 1,
+    };
+    let host = &stage.event_loop.host;
+    let is_open = |id: &str| host.invocations.contains_client_id(id);
+    parse_invocation(&stage.event_loop.settings, origin, payload, is_open)
+        .map(|parsed| parsed.request.customer)
+        .map_err(|error| error.to_string())
+}
+
 /// Every invocation was the first customer's, so that its share was used up by all of them.
 #[test]
 fn an_invocation_is_of_the_customer_that_it_names() {
@@ -23,21 +38,13 @@
     let stage = Stage::new(1, 128, |s| {
         s["customers"] = json!([customer("a", 1.0), customer("b.x-1", 2.0)])
     });
-    let of = |name| {
-        stage
-            .front
-            .offer(1.0, 0, 1, &payload(name))
-            .map(|(offer, _)| offer.customer)
-    };
+    let of = |name| customer_of(&stage, &payload(name));
     assert_eq!((of(Some("a")), of(Some("b.x-1"))), (Ok(0), Ok(1)));
     assert_eq!(of(None), Ok(2), "it takes of nobody's share");
-    assert_eq!(of(Some("c")), Err("'project' names no customer"));
+    assert_eq!(of(Some("c")), Err("'project' names no customer".to_owned()));
     let stage = Stage::new(1, 128, |_| {});
     assert_eq!(
-        stage
-            .front
-            .offer(1.0, 0, 1, &payload(Some("c")))
-            .map(|(o, _)| o.customer),
+        customer_of(&stage, &payload(Some("c"))),
         Ok(0),
         "none has a share"
     );
@@ -62,13 +69,13 @@
             .expect("it stands");
         stage.dispatched(&id(1));
         let work = stage
-            .front
+            .event_loop
             .host
             .invocations
-            .values()
+            .iter()
             .next()
             .expect("it is open");
-        let left = work.timeout_at - stage.front.now();
+        let left = work.timeout_at - stage.event_loop.read_clock();
         (
             stage.peers.iter().map(|p| p.orders).sum::<usize>(),
             left < 0.5,
@@ -113,6 +120,6 @@
         !answers.is_empty()
     });
     assert_eq!(answers, [(frames::RESPONSE, 1, frames::THROTTLED)]);
-    (0..3).for_each(|_| _ = stage.turn());
+    (0..3).for_each(|_| _ = stage.poll_once());
     assert!(stage.peers[x].lines("UNDO", "").is_empty());
 }
--- a/crates/platform-frontend/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -1,5 +1,6 @@
 //! The file that a front end of the platform starts from is a format of others: its keys are read under their names.
 
+use orchidtally_platform_discovery::NameCounts;
 use orchidtally_platform_frontend::start::{Start, read};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -48,7 +49,7 @@
     );
     assert_eq!(
         start.locations.name_counts(),
-        (4, 2),
+        NameCounts { zones: 4, kinds: 2 },
         "the settings name two locations, the list two others"
     );
 }
--- a/crates/socket-io/src/turn.rs
+++ b/crates/socket-io/src/buffered.rs
@@ -1,42 +1,51 @@
-//! Sockets for a single thread that goes through whatever is ready, a turn at a time: they never block, count
-//! what was handed to the kernel and keep what it did not take yet.
+//! Buffered sockets for an event loop: they never block, count the bytes handed to the kernel and keep those that it did
+//! not take yet.
 
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// A connection and what is waiting to be written on it. Its owner bounds that.
+/// A connection and the bytes that wait to be written on it. Their number is bounded by the owner.
 pub struct BufferedSocket {
+    /// The socket.
     pub stream: TcpStream,
     out: Vec<u8>,
-    at: usize,
+    /// Bytes at the front of `out` that were handed to the kernel.
+    flushed: usize,
+    /// Bytes handed to the kernel since the start.
     written: u64,
 }
 
-/// What a read brought.
+/// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
+    /// So many bytes were read.
     Bytes(usize),
-    /// Nothing is there now.
+    /// Nothing can be read now.
     Nothing,
+    /// The peer has closed its side.
     End,
 }
 
 impl BufferedSocket {
+    /// Wraps a socket and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> BufferedSocket {
-        // One that was reset already needs no option; the next read tells.
+        // The option fails on a socket that was reset already; the next read tells so.
         let _ = stream.set_nodelay(true);
         BufferedSocket {
             stream,
             out: vec![],
-            at: 0,
+            flushed: 0,
             written: 0,
         }
     }
 
-    /// Whether a connection that was begun stands now; an error if there will be none.
+    /// Whether a connection attempt has succeeded by now.
+    ///
+    /// # Errors
+    /// The attempt has failed.
     pub fn is_connected(&self) -> io::Result<bool> {
-        if let Some(fault) = self.stream.take_error()? {
-            return Err(fault);
+        if let Some(error) = self.stream.take_error()? {
+            return Err(error);
         }
         match self.stream.peer_addr() {
             Ok(_) => Ok(true),
@@ -45,6 +54,10 @@
         }
     }
 
+    /// Reads once.
+    ///
+    /// # Errors
+    /// The connection broke.
     pub fn read(&mut self, into: &mut [u8]) -> io::Result<ReadOutcome> {
         loop {
             return match self.stream.read(into) {
@@ -57,46 +70,49 @@
         }
     }
 
-    /// Where to append what is to be written.
+    /// The buffer to which bytes to be written are appended.
     pub fn out(&mut self) -> &mut Vec<u8> {
         &mut self.out
     }
 
-    /// Bytes that wait to be handed to the kernel.
+    /// The number of bytes that wait to be handed to the kernel.
     pub fn waiting(&self) -> usize {
-        self.out.len() - self.at
+        self.out.len() - self.flushed
     }
 
-    /// Bytes handed to the kernel so far.
+    /// The number of bytes handed to the kernel so far.
     pub fn written(&self) -> u64 {
         self.written
     }
 
-    /// Takes back what was appended from a byte of the connection on, as `written` counts them, of which nothing was
-    /// handed over.
+    /// Removes the waiting bytes from a position of the connection on, as `written` counts them.
     pub fn take_back(&mut self, from: u64) {
         let kept = from.saturating_sub(self.written) as usize;
-        self.out.truncate(self.at + kept);
+        self.out.truncate(self.flushed + kept);
     }
 
-    /// Hands over what the kernel takes.
+    /// Hands over as many waiting bytes as the kernel takes.
+    ///
+    /// # Errors
+    /// The connection broke.
     pub fn flush(&mut self) -> io::Result<()> {
-        while self.at < self.out.len() {
-            match self.stream.write(&self.out[self.at..]) {
+        while self.flushed < self.out.len() {
+            match self.stream.write(&self.out[self.flushed..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    self.at += n;
+                    self.flushed += n;
                     self.written += n as u64;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.out.drain(..std::mem::take(&mut self.at));
+                    self.out.drain(..std::mem::take(&mut self.flushed));
                     return Ok(());
                 }
                 Err(e) => return Err(e),
             }
         }
-        (self.out, self.at) = (Vec::new(), 0);
+        self.out = Vec::new();
+        self.flushed = 0;
         Ok(())
     }
 }
--- a/crates/socket-io/src/http.rs
+++ b/crates/socket-io/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for what one process asks another now and then: one connection a time.
+//! A small HTTP/1.1 client for occasional requests between processes: one connection for each request.
 
 use crate::{connect, with_timeout};
 use bytes::Bytes;
@@ -8,10 +8,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest answer.
-const LONGEST: usize = 64 * 1024 * 1024;
+/// The longest response body in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Asks and reads the whole answer: its status and body.
+/// Sends a request and reads the whole response; returns its status and body.
+///
+/// # Errors
+/// The exchange failed, or the time ran out (`TimedOut`).
 pub async fn fetch(
     at: SocketAddr,
     method: http::Method,
@@ -38,14 +41,14 @@
                 .await
                 .map_err(io::Error::other)?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), LONGEST)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await
                 .map_err(io::Error::other)?;
             Ok((status, body.to_bytes()))
         };
         let drive = async {
-            // What ends the connection ends the exchange as well.
+            // An error that ends the connection ends the exchange as well.
             let _ = driver.await;
             future::pending().await
         };
--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -1,11 +1,13 @@
-//! Sockets on async-io in the form that the HTTP libraries take, with a count of what was handed to the
-//! kernel, and the time-outs that go with them.
+//! Sockets: asynchronous ones on async-io in the form that the HTTP libraries take, and buffered ones for an event loop.
+//!
+//! Both count the bytes handed to the kernel. Also timeouts, a small HTTP client, and the classification of errors that are
+//! this machine's own.
 
+pub mod buffered;
 pub mod http;
-mod own_fault;
-pub mod turn;
+mod local_failure;
 
-pub use own_fault::{is_local_fault, is_out_of_descriptors, is_out_of_resources};
+pub use local_failure::{is_local_fault, is_out_of_descriptors, is_out_of_resources};
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -19,23 +21,27 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// Bytes that are read at a time at the most.
-const READ: usize = 16 * 1024;
+/// Bytes that are read at a time at most.
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
-    /// The libraries' buffers may be uninitialised; to read by way of this one costs less than to clear them.
-    static READ_INTO: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ].into());
+    /// The libraries' buffers may be uninitialised; a copy from this one costs less than clearing them.
+    static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_BUFFER_BYTES].into());
 }
 
-/// A connection. It counts the bytes that it has handed to the kernel.
+/// A connection that counts the bytes it has handed to the kernel.
 pub struct Stream {
     socket: Async<TcpStream>,
     written: Rc<Cell<u64>>,
-    /// The last read left nothing behind, so that the next one waits for word instead of trying in vain.
+    /// The last read left nothing behind: the next one waits for readiness instead of trying in vain.
     drained: bool,
 }
 
 impl Stream {
+    /// Wraps a socket and disables Nagle's algorithm.
+    ///
+    /// # Errors
+    /// The socket is closed already.
     pub fn new(socket: Async<TcpStream>) -> io::Result<Stream> {
         socket.get_ref().set_nodelay(true)?;
         Ok(Stream {
@@ -45,25 +51,30 @@
         })
     }
 
-    /// Bytes handed to the kernel so far; it goes on counting.
+    /// The count of bytes handed to the kernel, which goes on counting.
     pub fn written(&self) -> Rc<Cell<u64>> {
         self.written.clone()
     }
 
-    /// Something can be read, or the end.
+    /// Waits until something, or the end, can be read.
+    ///
+    /// # Errors
+    /// The socket can't be polled.
     pub async fn readable(&self) -> io::Result<()> {
         self.socket.readable().await
     }
 
+    /// The socket.
     pub fn socket(&mut self) -> &mut Async<TcpStream> {
         &mut self.socket
     }
 
+    /// The peer's address, if the socket is connected.
     pub fn peer(&self) -> Option<SocketAddr> {
         self.socket.get_ref().peer_addr().ok()
     }
 
-    /// Another handle of the socket, to break it off with.
+    /// Another handle of the socket, to abort the connection with.
     pub fn breaker(&self) -> Option<TcpStream> {
         self.socket.get_ref().try_clone().ok()
     }
@@ -71,18 +82,18 @@
     fn poll_read_to(
         &mut self,
         cx: &mut Context<'_>,
-        most: usize,
-        take: impl FnOnce(&[u8]),
+        max_bytes: usize,
+        consume: impl FnOnce(&[u8]),
     ) -> Poll<io::Result<()>> {
         if self.drained {
             ready!(self.socket.poll_readable(cx))?;
             self.drained = false;
         }
-        READ_INTO.with_borrow_mut(|bytes| {
-            let most = most.min(READ);
-            let n = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut bytes[..most]))?;
-            self.drained = 0 < n && n < most;
-            take(&bytes[..n]);
+        READ_BUFFER.with_borrow_mut(|bytes| {
+            let max_bytes = max_bytes.min(READ_BUFFER_BYTES);
+            let n = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut bytes[..max_bytes]))?;
+            self.drained = 0 < n && n < max_bytes;
+            consume(&bytes[..n]);
             Poll::Ready(Ok(()))
         })
     }
@@ -114,36 +125,6 @@
     }
 }
 
-impl tokio::io::AsyncWrite for Stream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_from(cx, buf)
-    }
-
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_slices(cx, bufs)
-    }
-
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
-
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_flush(cx)
-    }
-
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_close(cx)
-    }
-}
-
 impl hyper::rt::Read for Stream {
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -154,36 +135,47 @@
     }
 }
 
-impl hyper::rt::Write for Stream {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buf: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_from(cx, buf)
-    }
+/// Implements a write trait of one of the HTTP libraries; the traits have the same methods.
+macro_rules! impl_vectored_write {
+    ($write:path) => {
+        impl $write for Stream {
+            fn poll_write(
+                mut self: Pin<&mut Self>,
+                cx: &mut Context<'_>,
+                buf: &[u8],
+            ) -> Poll<io::Result<usize>> {
+                self.poll_write_from(cx, buf)
+            }
 
-    fn poll_write_vectored(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        bufs: &[io::IoSlice<'_>],
-    ) -> Poll<io::Result<usize>> {
-        self.poll_write_slices(cx, bufs)
-    }
+            fn poll_write_vectored(
+                mut self: Pin<&mut Self>,
+                cx: &mut Context<'_>,
+                bufs: &[io::IoSlice<'_>],
+            ) -> Poll<io::Result<usize>> {
+                self.poll_write_slices(cx, bufs)
+            }
 
-    fn is_write_vectored(&self) -> bool {
-        true
-    }
+            fn is_write_vectored(&self) -> bool {
+                true
+            }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_flush(cx)
-    }
+            fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+                Pin::new(&mut self.socket).poll_flush(cx)
+            }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.socket).poll_close(cx)
-    }
+            fn poll_shutdown(
+                mut self: Pin<&mut Self>,
+                cx: &mut Context<'_>,
+            ) -> Poll<io::Result<()>> {
+                Pin::new(&mut self.socket).poll_close(cx)
+            }
+        }
+    };
 }
 
+impl_vectored_write!(tokio::io::AsyncWrite);
+impl_vectored_write!(hyper::rt::Write);
+
 impl AsyncRead for Stream {
     fn poll_read(
         mut self: Pin<&mut Self>,
@@ -212,33 +204,41 @@
     }
 }
 
-/// Makes the close of a socket a reset, so that its peer sees a broken connection rather than an end.
+/// Makes the close of a socket a reset, so that its peer sees a broken connection rather than an end of file.
 pub fn break_on_close(socket: &TcpStream) {
-    // A socket that is closed already needs no option.
+    // A socket that is closed already needs no such option.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-/// `None` where the time runs out first.
+/// Runs a future for a time; `None` if the time runs out first.
 pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timeout = async {
         Timer::after(time).await;
         None
     };
-    future::or(async { Some(work.await) }, late).await
+    future::or(async { Some(work.await) }, timeout).await
 }
 
+/// Connects to an address within a time.
+///
+/// # Errors
+/// The connection failed, or the time ran out (`TimedOut`).
 pub async fn connect(to: SocketAddr, time: Duration) -> io::Result<Stream> {
     let connected = with_timeout(time, Async::<TcpStream>::connect(to)).await;
     Stream::new(connected.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??)
 }
 
+/// Listens at an address.
+///
+/// # Errors
+/// The address can't be bound.
 pub fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(at)
 }
 
-/// The next connection. Trouble that passes, such as a lack of descriptors, is waited out.
+/// Accepts the next connection. Transient failures, such as a lack of descriptors, are retried.
 pub async fn accept(listener: &Async<TcpListener>) -> Stream {
-    const PAUSE: Duration = Duration::from_millis(20);
+    const RETRY_PAUSE: Duration = Duration::from_millis(20);
     loop {
         match listener.accept().await {
             Ok((socket, _)) => {
@@ -247,7 +247,7 @@
                 }
             }
             Err(_) => {
-                Timer::after(PAUSE).await;
+                Timer::after(RETRY_PAUSE).await;
             }
         }
     }
