--- a/crates/platform-frontend/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -1,5 +1,6 @@
 //! The file that a front end of the platform starts from is a format of others: its keys are read under their names.
 
+use orchidtally_platform_discovery::NameCounts;
 use orchidtally_platform_frontend::start::{Start, read};
 use serde_json::Value;
 use std::path::PathBuf;
@@ -43,12 +44,12 @@
         .map(|entry| entry.name.as_str())
         .collect();
     assert_eq!(
-        (names, start.settings.most_open),
+        (names, start.settings.max_open_invocations),
         (vec!["s-1", "s-2"], 1_000)
     );
     assert_eq!(
-        start.places.named(),
-        (4, 2),
+        start.locations.name_counts(),
+        NameCounts { zones: 4, kinds: 2 },
         "the settings name two locations, the list two others"
     );
 }
