--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -154,29 +154,29 @@
 
     fn own_entry(&self) -> OwnEntry {
         OwnEntry {
-            life: self.life,
+            incarnation: self.life,
             location: self.deployment.locations[0].clone(),
-            at: Some(LISTENS_AT),
+            listen_address: Some(LISTENS_AT),
         }
     }
 
-    fn roster_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
         if kind == EndpointUpdateKind::Full {
             self.list_bytes
-                .set(self.connections.roster.traffic().received());
+                .set(self.connections.executors.traffic().received());
         }
         self.engine
             .borrow_mut()
             .on_endpoint_update(self.now(), kind, rows, &mut NoCalls);
     }
 
-    fn roster_confirmed(&self, asked_at: f64) {
+    fn endpoints_confirmed(&self, asked_at: f64) {
         self.engine
             .borrow_mut()
             .on_view_confirmed(self.now(), asked_at, &mut NoCalls);
     }
 
-    fn roster_lost(&self, asked_at: f64) {
+    fn endpoints_lost(&self, asked_at: f64) {
         self.engine.borrow_mut().on_view_lost(self.now(), asked_at);
     }
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,8 +3,8 @@
 use crate::{BAD_INPUT, COULD_NOT_RUN, check_text, fail, local, read_text, signals};
 use orchidtally_deployment::Deployment;
 use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
 use orchidtally_http_frontend::mqtt::Triggers;
-use orchidtally_http_frontend::promise_store::PromiseStore;
 use orchidtally_http_frontend::reload::Reloads;
 use orchidtally_mqtt_triggers::TriggerSettings;
 use std::io::Write;
@@ -179,12 +179,13 @@
                 format!("the journal of triggers can't be used: {e}"),
             )
         })?;
-    let promise_store = PromiseStore::open(&deployment, now()).map_err(|e| {
-        fail(
-            COULD_NOT_RUN,
-            format!("the journal of promises can't be used: {e}"),
-        )
-    })?;
+    let durable_invocation_store =
+        DurableInvocationStore::open(&deployment, now()).map_err(|e| {
+            fail(
+                COULD_NOT_RUN,
+                format!("the journal of promises can't be used: {e}"),
+            )
+        })?;
     let at = arguments.listen.unwrap_or(deployment.listen);
     let listener = orchidtally_http_frontend::listen(at)
         .map_err(|e| fail(COULD_NOT_RUN, format!("can't listen at {at}: {e}")))?;
@@ -209,7 +210,7 @@
         stop: stopped,
         random: arguments.random,
         triggers,
-        promise_store,
+        durable_invocation_store,
         reloads,
     };
     let tally = orchidtally_http_frontend::run(start, listener);
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -159,7 +159,7 @@
             stop: stopped,
             random: false,
             triggers: None,
-            promise_store: None,
+            durable_invocation_store: None,
             reloads: None,
         };
         let tally = orchidtally_http_frontend::run(start, listener);
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -153,7 +153,7 @@
                 stop: stopped,
                 random: false,
                 triggers: Some(triggers),
-                promise_store: None,
+                durable_invocation_store: None,
                 reloads: None,
             };
             orchidtally_http_frontend::run(start, listener);
--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -1,8 +1,8 @@
 //! Whether the configuration in force lets an invocation through: asked when it is taken, and again right before the
 //! bytes of a dispatch go out. A process that was paused wakes with an old view, and time has gone on.
 
-use super::hub_target::HubConfig;
 use super::overlay::{ConfigView, FUNCTIONS, QUOTAS, TRIGGER_TYPES};
+use super::router_target::RouterConfigHost;
 use orchidtally_config_sync::Verdict;
 use orchidtally_deployment::UnsyncedBehavior;
 use std::rc::Rc;
@@ -63,14 +63,14 @@
 
 /// Asks the core's verdict on invocations.
 pub struct Admission {
-    pub(super) host: Rc<HubConfig>,
+    pub(super) host: Rc<RouterConfigHost>,
     pub(super) without_view: UnsyncedBehavior,
     /// When a client may ask again, in seconds.
     pub(super) retry_after: f64,
 }
 
 impl Admission {
-    pub fn host(&self) -> &Rc<HubConfig> {
+    pub fn host(&self) -> &Rc<RouterConfigHost> {
         &self.host
     }
 
--- a/crates/http-frontend/src/config/mod.rs
+++ b/crates/http-frontend/src/config/mod.rs
@@ -2,18 +2,18 @@
 //! protocol, keeps its snapshot on disk, and puts its views in force at a [`ConfigTarget`].
 //!
 //! [`ConfigHost`] needs no front end: whoever has an executor, a client of the store and a target can run one.
-//! [`attach`] ties one to a front end's hub, [`detach`] ends it with the front end.
+//! [`attach`] ties one to a front end's router, [`detach`] ends it with the front end.
 
 mod admission;
 mod backoff;
 mod clock;
 mod exchange;
 mod host;
-mod hub_target;
 mod lease;
 mod leaving;
 mod overlay;
 mod report;
+mod router_target;
 mod settings;
 mod snapshot_file;
 mod snapshot_writes;
@@ -23,8 +23,8 @@
 pub use admission::{Admission, Refusal, Subject};
 pub use clock::boot_time;
 pub use host::ConfigHost;
-pub use hub_target::{DeploymentSchema, HubConfig, attach, detach, sync_settings};
 pub use overlay::{ConfigView, Overlay};
+pub use router_target::{DeploymentSchema, RouterConfigHost, attach, detach, sync_settings};
 pub use settings::HostSettings;
 pub use snapshot_file::SnapshotFile;
 pub use status::{ConfigStatus, PublishedReport};
--- a/crates/http-frontend/src/config/hub_target.rs
+++ b/crates/http-frontend/src/config/router_target.rs
@@ -1,10 +1,10 @@
-//! Ties a host to a front end's hub.
+//! Ties a host to a front end's router.
 
 use super::admission::Admission;
 use super::host::ConfigHost;
 use super::overlay::{ConfigView, FUNCTIONS};
 use super::{ApplyError, ConfigTarget, HostSettings, SnapshotFile};
-use crate::hub::Hub;
+use crate::router::Router;
 use async_executor::LocalExecutor;
 use orchidtally_config_sync::schema::{
     FunctionSpec, GatewayEntry, InvalidEntry, TriggerTypeSpec, Violation,
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// The host of a front end.
-pub type HubConfig = ConfigHost<DeploymentSchema, Weak<Hub>>;
+pub type RouterConfigHost = ConfigHost<DeploymentSchema, Weak<Router>>;
 
 /// The gateway's schema with what the deployment file asks of the same values.
 #[derive(Clone, Copy, Debug)]
@@ -83,10 +83,10 @@
     Ok(())
 }
 
-impl ConfigTarget<GatewayEntry> for Weak<Hub> {
+impl ConfigTarget<GatewayEntry> for Weak<Router> {
     fn apply(&self, view: &Arc<ConfigView>) -> Result<(), ApplyError> {
-        if let Some(hub) = self.upgrade() {
-            hub.put_view_in_force(view.clone())?;
+        if let Some(router) = self.upgrade() {
+            router.put_view_in_force(view.clone())?;
         }
         Ok(())
     }
@@ -111,18 +111,18 @@
     }
 }
 
-/// Has a hub follow the store of configuration: from its snapshot at once, from the store as soon as that answers.
+/// Has a router follow the store of configuration: from its snapshot at once, from the store as soon as that answers.
 ///
 /// # Errors
 /// The settings are out of the core's ranges.
 pub fn attach(
-    hub: &Rc<Hub>,
+    router: &Rc<Router>,
     configuration: &Configuration,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), SettingsError> {
     let (index, life) = (
-        hub.deployment.policy.front_end_index as u32,
-        hub.sender.get().incarnation,
+        router.deployment.policy.front_end_index as u32,
+        router.sender.get().incarnation,
     );
     // Two processes with one index, or one after the other, are two front ends to the store.
     let mut settings = HostSettings::new(format!("{index}-{life:016x}"));
@@ -133,9 +133,9 @@
     // Front ends spread over the members.
     (0..life % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
     let schema = DeploymentSchema {
-        answer_margin: hub.deployment.limits.response_margin,
+        answer_margin: router.deployment.limits.response_margin,
     };
-    let target = Rc::downgrade(hub);
+    let target = Rc::downgrade(router);
     let sync = sync_settings(configuration);
     let host = ConfigHost::new(sync, schema, life, settings, client, tasks, target)?;
     let admission = Admission {
@@ -143,7 +143,7 @@
         without_view: configuration.without_view,
         retry_after: configuration.proof_interval,
     };
-    if hub.admission.set(admission).is_err() {
+    if router.admission.set(admission).is_err() {
         // It is tied to a host already.
         return Ok(());
     }
@@ -152,9 +152,9 @@
     Ok(())
 }
 
-/// Has the store of configuration know that a hub's front end has ended; to be called once it serves nothing any more.
-pub async fn detach(hub: &Hub) {
-    if let Some(admission) = hub.admission.get() {
+/// Has the store of configuration know that a router's front end has ended; to be called once it serves nothing any more.
+pub async fn detach(router: &Router) {
+    if let Some(admission) = router.admission.get() {
         admission.host.leave().await;
     }
 }
--- a/crates/http-frontend/src/promise_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -21,8 +21,8 @@
 const ENTRY_OVERHEAD: u64 = 12;
 
 /// The promises of a front end and their journal.
-pub struct PromiseStore {
-    promises: RefCell<DurableInvocations>,
+pub struct DurableInvocationStore {
+    invocations: RefCell<DurableInvocations>,
     journal: GroupCommit,
     /// Bytes of the entries since the last snapshot.
     entry_bytes: Cell<u64>,
@@ -34,7 +34,7 @@
 /// Nothing can be promised now, because the journal can't be written.
 #[derive(Debug, thiserror::Error)]
 #[error("the journal can't be written")]
-pub struct NotKept;
+pub struct JournalUnavailable;
 
 /// The records that a journal holds, in their order.
 fn read_records(folder: &Path, found: &Recovered) -> io::Result<Vec<Record>> {
@@ -55,25 +55,26 @@
     Ok(records)
 }
 
-impl PromiseStore {
+impl DurableInvocationStore {
     /// Opens the journal of a front end, where its deployment has one, and restores its promises.
-    pub fn open(deployment: &Deployment, now: f64) -> io::Result<Option<PromiseStore>> {
+    pub fn open(deployment: &Deployment, now: f64) -> io::Result<Option<DurableInvocationStore>> {
         let Some(settings) = &deployment.journal else {
             return Ok(None);
         };
         let folder = settings.folder(deployment.policy.front_end_index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
-        let promises = DurableInvocations::new(settings.retention, settings.max_retained, MAX_BODY)
-            .recover(&records, now);
-        if !promises.is_empty() {
+        let invocations =
+            DurableInvocations::new(settings.retention, settings.max_retained, MAX_BODY)
+                .recover(&records, now);
+        if !invocations.is_empty() {
             info!(
-                names = promises.len(),
+                names = invocations.len(),
                 "promises of a life before were read"
             );
         }
-        Ok(Some(PromiseStore {
-            promises: RefCell::new(promises),
+        Ok(Some(DurableInvocationStore {
+            invocations: RefCell::new(invocations),
             entry_bytes: Cell::new(journal.length()),
             journal: GroupCommit::new(journal, MAX_WAITING),
             max_bytes: settings.max_bytes,
@@ -83,7 +84,7 @@
 
     /// The state of an invocation by its name.
     pub fn standing(&self, name: &str) -> Option<InvocationState> {
-        self.promises.borrow().state(name)
+        self.invocations.borrow().state(name)
     }
 
     /// Persists a record; returns whether it is on the disk.
@@ -108,7 +109,7 @@
 
     /// Replaces the journal's content by a snapshot; returns whether that succeeded.
     async fn write_snapshot(&self) -> bool {
-        let snapshot = serde_json::to_vec(&self.promises.borrow().records()).unwrap_or_default();
+        let snapshot = serde_json::to_vec(&self.invocations.borrow().records()).unwrap_or_default();
         let (sender, result) = oneshot::channel();
         let queued = self.journal.replace(snapshot, move |replaced| {
             if let Err(fault) = &replaced {
@@ -130,69 +131,69 @@
     }
 
     /// Offers an invocation under a name. A new one is promised and on the disk when this returns.
-    pub async fn offered(
+    pub async fn begin(
         self: &Rc<Self>,
         now: f64,
         name: &str,
-    ) -> Result<(InvocationState, Option<Promised>), NotKept> {
+    ) -> Result<(InvocationState, Option<PersistedInvocation>), JournalUnavailable> {
         if self.needs_snapshot() && !self.write_snapshot().await {
-            return Err(NotKept);
+            return Err(JournalUnavailable);
         }
-        let standing = self.promises.borrow_mut().begin(now, name);
+        let standing = self.invocations.borrow_mut().begin(now, name);
         let InvocationState::New(record) = &standing else {
             return Ok((standing, None));
         };
-        let mut promised = Promised {
-            promise_store: self.clone(),
+        let mut persisted = PersistedInvocation {
+            durable_invocation_store: self.clone(),
             name: name.to_owned(),
             now,
             open: true,
         };
         if !self.persist(record).await {
-            promised.open = false;
-            self.promises.borrow_mut().forget(name);
-            return Err(NotKept);
+            persisted.open = false;
+            self.invocations.borrow_mut().forget(name);
+            return Err(JournalUnavailable);
         }
-        Ok((standing, Some(promised)))
+        Ok((standing, Some(persisted)))
     }
 }
 
 /// An invocation that was promised. It is dropped before its answer where its client has left.
-pub struct Promised {
-    promise_store: Rc<PromiseStore>,
+pub struct PersistedInvocation {
+    durable_invocation_store: Rc<DurableInvocationStore>,
     name: String,
     now: f64,
     open: bool,
 }
 
-impl Promised {
+impl PersistedInvocation {
     /// Adds the final answer. It is on the disk when this returns, unless the journal can't be written; it is known
     /// all the same.
     pub async fn answered(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
         self.open = false;
         let record = self
-            .promise_store
-            .promises
+            .durable_invocation_store
+            .invocations
             .borrow_mut()
             .end(now, &self.name, ran, status, body);
-        self.promise_store.persist(&record).await;
+        self.durable_invocation_store.persist(&record).await;
     }
 }
 
-impl Drop for Promised {
+impl Drop for PersistedInvocation {
     fn drop(&mut self) {
         if !self.open {
             return;
         }
         let left = self
-            .promise_store
-            .promises
+            .durable_invocation_store
+            .invocations
             .borrow_mut()
             .client_cancelled(self.now, &self.name);
         // After a crash its outcome is unknown without this entry too.
         let entry = left.and_then(|record| serde_json::to_vec(&record).ok());
         if let Some(entry) = entry {
-            let _ = self.promise_store.journal.append(entry, |_| {});
+            let _ = self.durable_invocation_store.journal.append(entry, |_| {});
         }
     }
 }
--- a/crates/http-frontend/src/roster.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -2,8 +2,8 @@
 //! over its connection tell when that was up to date. What to do when it ends is the module's to say, which asks for
 //! it again.
 
-use crate::hub::Hub;
-use crate::pool::{Caps, Incoming, Pinger, Pool};
+use crate::pool::{ConnectionLimits, Incoming, Pinger, Pool};
+use crate::router::Router;
 use async_io::Timer;
 use futures_lite::future;
 use orchidtally_deployment::Deployment;
@@ -75,28 +75,31 @@
 }
 
 /// Follows a publisher to the end of its connection, and tells the module of that.
-pub async fn watch(hub: Rc<Hub>, address: SocketAddr) {
-    let Err(ended) = follow(&hub, address).await;
+pub async fn watch(router: Rc<Router>, address: SocketAddr) {
+    let Err(ended) = follow(&router, address).await;
     warn!(%address, why = %ended, "the roster's publisher is not there");
-    hub.play(|engine, now, performer| {
-        engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], performer)
+    router.run_engine(|engine, now, action_executor| {
+        engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], action_executor)
     });
 }
 
-async fn follow(hub: &Rc<Hub>, address: SocketAddr) -> Result<std::convert::Infallible, Ended> {
-    let bounds = &hub.deployment.limits;
-    let caps = Caps {
+async fn follow(
+    router: &Rc<Router>,
+    address: SocketAddr,
+) -> Result<std::convert::Infallible, Ended> {
+    let bounds = &router.deployment.limits;
+    let limits = ConnectionLimits {
         streams_per_connection: 1,
         connections: 1,
         connect_time: Duration::from_secs_f64(bounds.connect_timeout),
         idle_close: Duration::ZERO,
         header_bytes: bounds.max_header_bytes,
     };
-    let pool = Pool::new(address, caps, hub.spawner());
+    let pool = Pool::new(address, limits, router.spawner());
     let question = frame(&v1::RosterWatch {
-        from: Some(hub.sender.get()),
+        from: Some(router.sender.get()),
     });
-    let asked_at = hub.now();
+    let asked_at = router.now();
     let first = async {
         let mut incoming = pool.begin(ENDPOINTS, || Some(question), &[]).await?;
         Ok((
@@ -111,22 +114,26 @@
         .ok_or(Ended::Silent)?;
     let (list, incoming) = first.map_err(Ended::Connection)?;
     info!(%address, executors = list.rows.len(), "the roster is here");
-    take(hub, &list)?;
-    hub.roster_confirmed(asked_at);
+    take(router, &list)?;
+    router.endpoints_confirmed(asked_at);
     let pinger = incoming.pinger();
     // What came before the answer to a ping is taken before it.
-    future::or(take_changes(hub, incoming), keep_pinging(hub, &pinger)).await
+    future::or(
+        take_changes(router, incoming),
+        ping_publisher(router, &pinger),
+    )
+    .await
 }
 
 /// Tells the module what the publisher tells.
-fn take(hub: &Hub, update: &v1::RosterUpdate) -> Result<(), Ended> {
+fn take(router: &Router, update: &v1::RosterUpdate) -> Result<(), Ended> {
     let kind = match update.kind() {
         v1::RosterKind::FullList => EndpointUpdateKind::Full,
         v1::RosterKind::Delta => EndpointUpdateKind::Delta,
         v1::RosterKind::RosterUnspecified => return Err(Ended::UnknownKind),
     };
-    let now = hub.now();
-    let read = |told: &v1::RosterRow| match row(&hub.deployment, told, now) {
+    let now = router.now();
+    let read = |told: &v1::RosterRow| match row(&router.deployment, told, now) {
         Ok(row) => Some(row),
         Err(error) => {
             warn!(executor = told.address, %error, "executor rejected");
@@ -134,28 +141,33 @@
         }
     };
     let rows: Vec<Endpoint> = update.rows.iter().filter_map(read).collect();
-    hub.play(|engine, now, performer| engine.on_endpoint_update(now, kind, &rows, performer));
+    router.run_engine(|engine, now, action_executor| {
+        engine.on_endpoint_update(now, kind, &rows, action_executor)
+    });
     Ok(())
 }
 
 async fn take_changes(
-    hub: &Hub,
+    router: &Router,
     mut incoming: Incoming,
 ) -> Result<std::convert::Infallible, Ended> {
     loop {
         let update = incoming
             .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
             .await;
-        take(hub, &update.map_err(Ended::Connection)?)?;
+        take(router, &update.map_err(Ended::Connection)?)?;
     }
 }
 
-async fn keep_pinging(hub: &Hub, pinger: &Pinger) -> Result<std::convert::Infallible, Ended> {
+async fn ping_publisher(
+    router: &Router,
+    pinger: &Pinger,
+) -> Result<std::convert::Infallible, Ended> {
     loop {
         Timer::after(PING_INTERVAL).await;
-        let asked_at = hub.now();
+        let asked_at = router.now();
         let answered = orchidtally_socket_io::with_timeout(PING_TIMEOUT, pinger.ping()).await;
         answered.ok_or(Ended::Silent)?.map_err(Ended::Connection)?;
-        hub.roster_confirmed(asked_at);
+        router.endpoints_confirmed(asked_at);
     }
 }
--- a/crates/http-frontend/src/roster_source.rs
+++ b/crates/http-frontend/src/endpoint_source.rs
@@ -1,7 +1,7 @@
 //! Where the list of executors comes from.
 
-use crate::hub::Hub;
-use crate::{etcd, roster};
+use crate::router::Router;
+use crate::{endpoint_publisher, etcd};
 use async_executor::Task;
 use orchidtally_deployment::EndpointSource;
 use std::rc::Rc;
@@ -9,17 +9,17 @@
 
 /// Starts to follow the list of executors that the deployment names. A list in the deployment itself needs no
 /// following, and the one in etcd is followed for as long as the front end lives.
-pub fn watch(hub: &Rc<Hub>) -> Option<Task<()>> {
-    match &hub.deployment.endpoint_source {
+pub fn watch(router: &Rc<Router>) -> Option<Task<()>> {
+    match &router.deployment.endpoint_source {
         EndpointSource::Listed(_) => None,
         EndpointSource::Etcd(settings) => {
             info!(endpoints = ?settings.endpoints, "following the roster in etcd");
-            etcd::keep(hub, settings);
+            etcd::follow_membership(router, settings);
             None
         }
         EndpointSource::Publisher(publisher) => {
             info!(%publisher, "asking for the roster");
-            hub.spawn(roster::watch(hub.clone(), *publisher))
+            router.spawn(endpoint_publisher::watch(router.clone(), *publisher))
         }
     }
 }
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -1,6 +1,6 @@
 //! Entries of the store as the cores of membership take them.
 
-use crate::roster::row;
+use crate::endpoint_publisher::row;
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface::Endpoint;
 use orchidtally_etcd::rpc::event::EventType;
--- a/crates/http-frontend/src/etcd/roster.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -9,23 +9,23 @@
 use tracing::debug;
 
 /// Feeds a host's cache and tells the host what changed.
-pub(super) struct RosterFollower<H> {
+pub(super) struct EndpointFollower<H> {
     host: Rc<H>,
 }
 
-impl<H: MembershipHost> RosterFollower<H> {
-    pub fn new(host: Rc<H>) -> RosterFollower<H> {
-        RosterFollower { host }
+impl<H: MembershipHost> EndpointFollower<H> {
+    pub fn new(host: Rc<H>) -> EndpointFollower<H> {
+        EndpointFollower { host }
     }
 
     fn tell(&self, update: Option<EndpointUpdate>) {
         if let Some(update) = update {
-            self.host.roster_changed(update.kind, &update.endpoints);
+            self.host.endpoints_changed(update.kind, &update.endpoints);
         }
     }
 }
 
-impl<H: MembershipHost> Follower for RosterFollower<H> {
+impl<H: MembershipHost> Follower for EndpointFollower<H> {
     fn now(&self) -> f64 {
         self.host.now()
     }
@@ -45,7 +45,7 @@
                 .borrow_mut()
                 .apply_list(now, entries::stamp(header), &list, &read);
         self.tell(told);
-        self.host.roster_confirmed(began);
+        self.host.endpoints_confirmed(began);
     }
 
     fn changed(&self, header: &ResponseHeader, events: &[Event]) {
@@ -72,12 +72,12 @@
             .on_progress(self.host.now(), entries::stamp(header));
         // Where a list has to come first, what is known is not what the store has.
         if let Some(began) = began.filter(|_| self.next() != NextRequest::List) {
-            self.host.roster_confirmed(began);
+            self.host.endpoints_confirmed(began);
         }
     }
 
     fn lost(&self, began: f64) {
-        self.host.roster_lost(began);
+        self.host.endpoints_lost(began);
     }
 
     fn compacted(&self) {
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -1,4 +1,4 @@
-//! What follows a store: the cores of membership, and who hears of what they decide.
+//! The host of the membership state machines: what they read from a front end, and what they notify it of.
 
 use async_executor::LocalExecutor;
 use orchidtally_deployment::{Deployment, EtcdSettings};
@@ -10,56 +10,64 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A front end that has its executors and the other front ends from a store. It lives on one thread. None of its
-/// cores is borrowed while it is told of a change.
+/// A front end that learns of its executors and of the other front ends from a store. It lives on one thread. Neither
+/// the cache nor the members are borrowed while it is notified of a change.
 pub trait MembershipHost {
     /// Seconds by its own clock.
     fn now(&self) -> f64;
 
-    /// The deployment that entries of executors are read by.
+    /// The deployment against which executor entries are validated.
     fn deployment(&self) -> &Deployment;
 
+    /// The endpoint cache that the followers feed.
     fn cache(&self) -> &RefCell<EndpointCache>;
 
+    /// The membership that the followers feed.
     fn members(&self) -> &RefCell<Members>;
 
-    /// What its own entry says.
+    /// The front end's own entry.
     fn own_entry(&self) -> OwnEntry;
 
-    /// Executors have changed, or the first whole list is here.
-    fn roster_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
+    /// Executors have changed, or the first complete list has arrived.
+    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
 
-    /// The roster as it was told was true when the store was asked at a time, which has answered that.
-    fn roster_confirmed(&self, asked_at: f64);
+    /// The store has answered a request sent at `asked_at`: the endpoint list was current then.
+    fn endpoints_confirmed(&self, asked_at: f64);
 
-    /// The store can't be followed: what was asked at a time has no answer.
-    fn roster_lost(&self, asked_at: f64);
+    /// The store can't be followed: the request sent at `asked_at` has no answer.
+    fn endpoints_lost(&self, asked_at: f64);
 
-    /// The front ends that share budgets, or this one's part in them, may have changed.
+    /// The front ends that share budgets, or this front end's share, may have changed.
     fn members_changed(&self);
 }
 
-/// What a front end says of itself in the store, as JSON.
+/// A front end's own entry in the store, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OwnEntry {
-    /// Tells one start of a front end from another.
-    pub life: u64,
+    /// Distinguishes one start of a front end from another.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The name of its location.
     pub location: String,
-    /// Where it takes invocations.
-    pub at: Option<SocketAddr>,
+    /// The address at which it accepts invocations.
+    #[serde(rename = "at")]
+    pub listen_address: Option<SocketAddr>,
 }
 
-/// The connections to a store: one each for the executors, the front ends and the own entry, so that none holds up
+/// The connections to a store: one each for the executors, the front ends and the own entry, so that none delays
 /// another.
 #[derive(Clone)]
 pub struct StoreConnections {
-    pub roster: Rc<Client>,
+    /// Follows the executors.
+    pub executors: Rc<Client>,
+    /// Follows the front ends.
     pub front_ends: Rc<Client>,
+    /// Keeps the front end's own entry.
     pub registration: Rc<Client>,
 }
 
 impl StoreConnections {
-    /// Connections to a deployment's store, which are not open yet. The store hears that they belong to `name`.
+    /// Connections to a deployment's store, not open yet. `name` is their user agent.
     pub fn new(
         etcd: &EtcdSettings,
         name: &str,
@@ -71,14 +79,14 @@
             Rc::new(client)
         };
         StoreConnections {
-            roster: client(),
+            executors: client(),
             front_ends: client(),
             registration: client(),
         }
     }
 
-    /// All of them.
+    /// All connections.
     pub fn all(&self) -> [&Client; 3] {
-        [&self.roster, &self.front_ends, &self.registration]
+        [&self.executors, &self.front_ends, &self.registration]
     }
 }
--- a/crates/http-frontend/src/etcd/mod.rs
+++ b/crates/http-frontend/src/etcd/mod.rs
@@ -1,26 +1,27 @@
-//! The roster and the front ends' own membership from etcd: lists and watches go to the cores of
-//! `orchidtally-membership`, which decide; what they say goes to a [`MembershipHost`].
+//! The endpoint list and the front ends' own membership from etcd. The results of lists and watches go to the state
+//! machines of `orchidtally-membership`, and their updates go to a [`MembershipHost`].
 //!
-//! A front end's hub is one such host. [`follow_store`] needs no front end: whoever has a deployment, an executor and
-//! connections to the store can run one.
+//! The router of a front end is one such host. [`follow_store`] also runs without a front end: it only needs a
+//! deployment, an async executor and connections to the store.
 
 mod entries;
+mod executors;
 mod follow;
 mod front_ends;
 mod host;
-mod hub_host;
 mod registration;
-mod roster;
+mod router_membership;
 
 pub use host::{MembershipHost, OwnEntry, StoreConnections};
-pub use hub_host::keep;
+pub use router_membership::follow_membership;
 
 use async_executor::{LocalExecutor, Task};
 use orchidtally_deployment::EtcdSettings;
 use std::rc::Rc;
 
-/// Executors and front ends have their entries under these names, behind the deployment's prefix.
+/// Where executors have their entries, behind the deployment's prefix.
 pub const EXECUTORS: &str = "executors/";
+/// Where front ends have their entries, behind the deployment's prefix.
 pub const FRONT_ENDS: &str = "front-ends/";
 
 /// Follows executors and front ends for a host, and keeps its own entry, until the tasks are dropped.
@@ -30,22 +31,22 @@
     etcd: &EtcdSettings,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Vec<Task<()>> {
-    let executors = format!("{}{EXECUTORS}", etcd.prefix);
-    let front_ends = format!("{}{FRONT_ENDS}", etcd.prefix);
-    let roster = roster::RosterFollower::new(host.clone());
-    let others = front_ends::FrontEndsFollower::new(host.clone());
+    let executors_prefix = format!("{}{EXECUTORS}", etcd.prefix);
+    let front_ends_prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
+    let executors = executors::EndpointFollower::new(host.clone());
+    let front_ends = front_ends::FrontEndsFollower::new(host.clone());
     let registration =
         registration::Registration::new(host.clone(), connections.registration.clone(), etcd);
     vec![
         tasks.spawn(follow::follow(
-            connections.roster.clone(),
+            connections.executors.clone(),
+            executors_prefix,
             executors,
-            roster,
         )),
         tasks.spawn(follow::follow(
             connections.front_ends.clone(),
+            front_ends_prefix,
             front_ends,
-            others,
         )),
         tasks.spawn(registration.keep()),
     ]
--- /dev/null
+++ b/crates/http-frontend/src/etcd/router_membership.rs
@@ -0,0 +1,73 @@
+//! The router of a front end as the host of the membership state machines.
+
+use super::{MembershipHost, OwnEntry, StoreConnections, follow_store};
+use crate::router::Router;
+use orchidtally_deployment::{Deployment, EtcdSettings};
+use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
+use orchidtally_membership::{EndpointCache, Members};
+use std::cell::RefCell;
+use std::rc::Rc;
+use tracing::info;
+
+impl MembershipHost for Router {
+    fn now(&self) -> f64 {
+        Router::now(self)
+    }
+
+    fn deployment(&self) -> &Deployment {
+        &self.deployment
+    }
+
+    fn cache(&self) -> &RefCell<EndpointCache> {
+        &self.cache
+    }
+
+    fn members(&self) -> &RefCell<Members> {
+        &self.members
+    }
+
+    fn own_entry(&self) -> OwnEntry {
+        OwnEntry {
+            incarnation: self.sender.get().incarnation,
+            location: self.location().to_owned(),
+            listen_address: self.listen_address.get(),
+        }
+    }
+
+    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+        if kind == EndpointUpdateKind::Full {
+            info!(executors = rows.len(), "first endpoint list received");
+        }
+        self.run_engine(|engine, now, action_executor| {
+            engine.on_endpoint_update(now, kind, rows, action_executor)
+        });
+    }
+
+    fn endpoints_confirmed(&self, asked_at: f64) {
+        Router::endpoints_confirmed(self, asked_at);
+    }
+
+    fn endpoints_lost(&self, asked_at: f64) {
+        Router::endpoints_lost(self, asked_at);
+    }
+
+    fn members_changed(&self) {
+        self.update_membership_view();
+    }
+}
+
+/// Follows the endpoint list and the membership for as long as the front end lives.
+pub fn follow_membership(router: &Rc<Router>, etcd: &EtcdSettings) {
+    let Some(tasks) = router.spawner().upgrade() else {
+        return;
+    };
+    let name = format!(
+        "{}.{}",
+        router.deployment.policy.front_end_index as u32,
+        router.sender.get().incarnation
+    );
+    let connections = StoreConnections::new(etcd, &name, &tasks);
+    follow_store(router, &connections, etcd, &tasks)
+        .into_iter()
+        .for_each(|task| task.detach());
+}
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -1,7 +1,7 @@
 //! Bodies of responses, and what is said of faults.
 
 use super::STAY_AWAY;
-use crate::hub::CutOff;
+use crate::router::ResponseTruncated;
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, Response, StatusCode};
@@ -14,17 +14,17 @@
 /// The body of a response.
 pub enum Answer {
     Chunks(VecDeque<Bytes>),
-    Streamed(Pin<Box<async_channel::Receiver<Result<Bytes, CutOff>>>>),
+    Streamed(Pin<Box<async_channel::Receiver<Result<Bytes, ResponseTruncated>>>>),
 }
 
 impl Body for Answer {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = ResponseTruncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
         use futures_lite::stream::Stream;
         Poll::Ready(match self.get_mut() {
             Answer::Chunks(chunks) => chunks.pop_front().map(|c| Ok(Frame::data(c))),
--- a/crates/http-frontend/src/ingress/promise.rs
+++ b/crates/http-frontend/src/ingress/durable_invocation.rs
@@ -1,44 +1,46 @@
-//! Promises: what an earlier invocation of a name came to.
+//! Durable invocations over HTTP: the recorded outcome of an earlier invocation with the same idempotency key.
 
 use super::answer::{Answer, Problem, problem};
 use super::{BODY_LEFT_OUT, RECORDED};
-use crate::hub::Hub;
-use crate::promise_store::{NotKept, PromiseStore, Promised};
+use crate::durable_invocation_store::{
+    DurableInvocationStore, JournalUnavailable, PersistedInvocation,
+};
+use crate::router::Router;
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue};
 use http::{Response, StatusCode};
 use orchidtally_mqtt_triggers::durable_invocations::{DurableOutcome, InvocationState};
 use std::rc::Rc;
 
-/// What comes of an invocation that is offered under a name.
-pub(super) enum Offered {
-    /// It is new, and persisted.
-    Promised(Promised),
-    /// There was one of this name: this is its answer.
+/// How a durable invocation begins.
+pub(super) enum DurableStart {
+    /// It is new, and its start is persisted.
+    New(PersistedInvocation),
+    /// An earlier one has the same name: this is the response to it.
     Known(Response<Answer>),
 }
 
-/// Promises an invocation under a name.
-pub(super) async fn promise(
-    hub: &Hub,
-    promise_store: &Rc<PromiseStore>,
+/// Begins a durable invocation under a name.
+pub(super) async fn begin_durable(
+    router: &Router,
+    durable_invocation_store: &Rc<DurableInvocationStore>,
     name: &str,
-) -> Result<Offered, Problem> {
-    match promise_store.offered(hub.now(), name).await {
-        Ok((InvocationState::New(_), Some(promised))) => Ok(Offered::Promised(promised)),
-        Ok((standing, _)) => Ok(Offered::Known(recorded(standing))),
-        Err(NotKept) => {
+) -> Result<DurableStart, Problem> {
+    match durable_invocation_store.begin(router.now(), name).await {
+        Ok((InvocationState::New(_), Some(persisted))) => Ok(DurableStart::New(persisted)),
+        Ok((state, _)) => Ok(DurableStart::Known(recorded(state))),
+        Err(JournalUnavailable) => {
             let detail = "the journal can't be written; nothing has run";
             let mut problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail);
-            problem.retry_after = Some(hub.deployment.policy.max_retry_after);
+            problem.retry_after = Some(router.deployment.policy.max_retry_after);
             Err(problem)
         }
     }
 }
 
-/// The response to a request for an invocation that was promised before.
-pub(super) fn recorded(standing: InvocationState) -> Response<Answer> {
-    match standing {
+/// The response for a durable invocation that was begun before.
+pub(super) fn recorded(state: InvocationState) -> Response<Answer> {
+    match state {
         InvocationState::Ended(DurableOutcome::Answered {
             status,
             body,
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -2,7 +2,7 @@
 
 use super::answer::Problem;
 use super::{CUSTOMER, INVOCATION, REPEAT, TIME_LEFT, TOKEN, TRIGGER_TYPE};
-use crate::hub::{NamedCustomer, Revision, TriggerTypeInForce};
+use crate::router::{NamedCustomer, Revision, TriggerTypeInForce};
 use http::{HeaderMap, StatusCode};
 use orchidtally_dispatch_policy::interface::Idempotency;
 use std::rc::Rc;
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -2,11 +2,11 @@
 
 use super::INVOCATION;
 use super::answer::{Answer, Problem};
+use super::durable_invocation::{DurableStart, begin_durable};
 use super::headers::{InvocationHeaders, header};
-use super::promise::{Offered, promise};
 use super::request::{body, function_of};
-use super::response::{FinalResponse, not_taken};
-use crate::hub::{Asked, Hub, Revision};
+use super::response::{FinalResponse, rejection_problem};
+use crate::router::{IngressRequest, Revision, Router};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, HeaderName, HeaderValue};
 use http::{HeaderMap, Method, Request, Response, StatusCode};
@@ -23,11 +23,11 @@
 }
 
 pub(super) async fn invoke(
-    hub: &Hub,
+    router: &Router,
     request: Request<Incoming>,
 ) -> Result<Response<Answer>, Problem> {
-    let arrived = hub.arrived_by();
-    let revision = hub.revision();
+    let arrived = router.arrived_by();
+    let revision = router.revision();
     let (parts, incoming) = request.into_parts();
     let path_name = function_of(parts.uri.path())?;
     if parts.method != Method::POST {
@@ -44,7 +44,7 @@
         .invocation
         .map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
     let Target { function, resolved } = target(
-        hub,
+        router,
         &revision,
         &path_name,
         &parts.headers,
@@ -59,9 +59,9 @@
         repeat,
         ..
     } = asked_headers;
-    let (payload, payload_bytes) = body(hub, incoming, content_length(&parts.headers)).await?;
-    let bounds = &hub.deployment.limits;
-    let asked = Asked {
+    let (payload, payload_bytes) = body(router, incoming, content_length(&parts.headers)).await?;
+    let bounds = &router.deployment.limits;
+    let asked = IngressRequest {
         name: invocation.clone(),
         function: function.name,
         resolved,
@@ -72,37 +72,46 @@
         repeat,
         timeout_at: arrived + time_left
             - bounds.response_margin
-            - hub.open() as f64 * bounds.response_margin_per_open,
+            - router.open() as f64 * bounds.response_margin_per_open,
         payload,
         payload_bytes,
     };
     // Before it is promised: what is refused leaves no record.
-    hub.check_admission(&revision, &asked.subject())
-        .map_err(|why| not_taken(hub, why))?;
-    let promised = match &hub.promise_store {
-        Some(promise_store) if trigger_type.trigger.is_durable => {
+    router
+        .check_admission(&revision, &asked.subject())
+        .map_err(|why| rejection_problem(router, why))?;
+    let persisted = match &router.durable_invocation_store {
+        Some(durable_invocation_store) if trigger_type.trigger.is_durable => {
             if !is_named {
                 let detail = format!(
                     "header '{INVOCATION}' is missing; this trigger type is journalled by it"
                 );
                 return Err(Problem::bad(detail));
             }
-            match promise(hub, promise_store, &invocation).await? {
-                Offered::Promised(promised) => Some(promised),
-                Offered::Known(response) => return Ok(response),
+            match begin_durable(router, durable_invocation_store, &invocation).await? {
+                DurableStart::New(persisted) => Some(persisted),
+                DurableStart::Known(response) => return Ok(response),
             }
         }
         _ => None,
     };
-    let answer = hub.invoke(asked).await.map_err(|why| not_taken(hub, why))?;
+    let answer = router
+        .invoke(asked)
+        .await
+        .map_err(|why| rejection_problem(router, why))?;
     let FinalResponse {
         mut response,
         may_have_run,
     } = FinalResponse::of(answer);
-    if let (Some(promised), Answer::Chunks(chunks)) = (promised, response.body()) {
+    if let (Some(persisted), Answer::Chunks(chunks)) = (persisted, response.body()) {
         let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
-        promised
-            .answered(hub.now(), may_have_run, response.status().as_u16(), &body)
+        persisted
+            .answered(
+                router.now(),
+                may_have_run,
+                response.status().as_u16(),
+                &body,
+            )
             .await;
     }
     if let Ok(value) = HeaderValue::from_str(&invocation) {
@@ -115,7 +124,7 @@
 
 /// The function that a path names, perhaps with a version after '@', and the version that the invocation gets.
 fn target(
-    hub: &Hub,
+    router: &Router,
     revision: &Revision,
     path_name: &str,
     headers: &HeaderMap,
@@ -132,7 +141,7 @@
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
     let customer = asked_headers.customer;
     // The sticky key of the split, where a rollout is on.
-    let key = hub.shares.borrow().sticky_key(name).cloned();
+    let key = router.shares.borrow().sticky_key(name).cloned();
     let key = match &key {
         None | Some(StickyKey::Invocation) => None,
         Some(StickyKey::Customer) => Some(customer.name),
@@ -141,10 +150,10 @@
     };
     let who = Caller {
         customer: customer.name,
-        location: hub.location(),
+        location: router.location(),
         key: key.unwrap_or(invocation),
     };
-    let resolved = hub
+    let resolved = router
         .resolve(
             &function,
             version,
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -4,18 +4,19 @@
 //! invocation, so that a slow sender holds neither a stream nor a decision.
 
 mod answer;
+mod durable_invocation;
 mod headers;
 mod invoke;
-mod promise;
 mod request;
 mod response;
 mod status;
 
 pub use answer::Answer;
 
-use crate::hub::Hub;
+use crate::router::Router;
 use answer::{Problem, problem};
 use async_executor::LocalExecutor;
+use durable_invocation::recorded;
 use futures_lite::future;
 use futures_lite::io::AsyncWriteExt;
 use http::{Method, Request, Response, StatusCode};
@@ -23,7 +24,6 @@
 use hyper_util::server::conn::auto;
 use invoke::invoke;
 use orchidtally_socket_io::{Stream, with_timeout};
-use promise::recorded;
 use smol_hyper::rt::SmolTimer;
 use status::status;
 use std::cell::Cell;
@@ -57,16 +57,20 @@
 /// The header with the milliseconds to stay away; `Retry-After` has whole seconds only.
 pub const STAY_AWAY: &str = "orchidtally-stay-away";
 
-async fn respond(hub: Rc<Hub>, request: Request<Incoming>) -> Result<Response<Answer>, Infallible> {
+async fn respond(
+    router: Rc<Router>,
+    request: Request<Incoming>,
+) -> Result<Response<Answer>, Infallible> {
     if request.method() == Method::GET && request.uri().path() == "/v1/front-end" {
-        return Ok(status(&hub));
+        return Ok(status(&router));
     }
     let asked = request
         .uri()
         .path()
         .strip_prefix("/v1/invocations/")
         .filter(|_| request.method() == Method::GET);
-    if let (Some(name), Some(promise_store)) = (asked, &hub.promise_store) {
+    if let (Some(name), Some(durable_invocation_store)) = (asked, &router.durable_invocation_store)
+    {
         let unknown = || {
             problem(
                 StatusCode::NOT_FOUND,
@@ -75,9 +79,11 @@
                 false,
             )
         };
-        return Ok(promise_store.standing(name).map_or_else(unknown, recorded));
+        return Ok(durable_invocation_store
+            .standing(name)
+            .map_or_else(unknown, recorded));
     }
-    Ok(invoke(&hub, request)
+    Ok(invoke(&router, request)
         .await
         .unwrap_or_else(Problem::response))
 }
@@ -112,7 +118,7 @@
 }
 
 /// Answers a connection over the bound, and closes it.
-pub async fn turn_away(mut stream: Stream) {
+pub async fn reject_connection(mut stream: Stream) {
     const FULL: &[u8] =
         b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
     let say = async {
@@ -126,24 +132,24 @@
 
 /// Serves one connection until it ends, or until `leaving` closes and what is open on it is answered.
 pub async fn serve(
-    hub: Rc<Hub>,
+    router: Rc<Router>,
     stream: Stream,
     leaving: async_channel::Receiver<()>,
     _open: ConnectionGuard,
 ) {
-    let time = Duration::from_secs_f64(hub.deployment.limits.request_read_timeout);
+    let time = Duration::from_secs_f64(router.deployment.limits.request_read_timeout);
     let peer = stream.peer();
     if with_timeout(time, stream.readable()).await.is_none() {
         debug!(?peer, "closed a connection over which nothing came");
         return;
     }
-    let builder = connection_builder(&hub, time);
+    let builder = connection_builder(&router, time);
     let has_asked = Rc::new(Cell::new(false));
     let service = {
-        let (hub, has_asked) = (hub.clone(), has_asked.clone());
+        let (router, has_asked) = (router.clone(), has_asked.clone());
         hyper::service::service_fn(move |request| {
             has_asked.set(true);
-            respond(hub.clone(), request)
+            respond(router.clone(), request)
         })
     };
     let mut connection = pin!(builder.serve_connection(stream, service));
@@ -185,9 +191,9 @@
 }
 
 /// The limits of a connection, which a client has this time to keep.
-fn connection_builder(hub: &Hub, time: Duration) -> auto::Builder<Spawner> {
-    let bounds = &hub.deployment.limits;
-    let mut builder = auto::Builder::new(Spawner(hub.spawner()));
+fn connection_builder(router: &Router, time: Duration) -> auto::Builder<Spawner> {
+    let bounds = &router.deployment.limits;
+    let mut builder = auto::Builder::new(Spawner(router.spawner()));
     builder
         .http1()
         .timer(SmolTimer::new())
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -1,7 +1,7 @@
 //! Reads the path and the body of a request.
 
 use super::answer::Problem;
-use crate::hub::Hub;
+use crate::router::Router;
 use bytes::Bytes;
 use http::StatusCode;
 use http_body_util::BodyExt;
@@ -44,11 +44,11 @@
 
 /// Reads the body of a request in chunks, with its length in bytes. `content_length` is what its header says.
 pub(super) async fn body(
-    hub: &Hub,
+    router: &Router,
     incoming: Incoming,
     content_length: Option<u64>,
 ) -> Result<(Vec<Bytes>, u64), Problem> {
-    let bounds = &hub.deployment.limits;
+    let bounds = &router.deployment.limits;
     let too_large = || {
         let detail = format!("{} bytes at most are taken", bounds.max_body_bytes);
         Problem::new(
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -2,7 +2,7 @@
 
 use super::answer::{Answer, Problem, problem, stay_away};
 use crate::config::Refusal;
-use crate::hub::{AnswerLost, Brought, Final, Hub, NotTaken};
+use crate::router::{AnswerLost, ExecutorResponse, FinalAnswer, RejectionReason, Router};
 use http::{Response, StatusCode};
 use orchidtally_engine::FailureReason;
 
@@ -14,19 +14,19 @@
 }
 
 impl FinalResponse {
-    pub(super) fn of(answer: Result<Final, AnswerLost>) -> FinalResponse {
+    pub(super) fn of(answer: Result<FinalAnswer, AnswerLost>) -> FinalResponse {
         match answer {
-            Ok(Final::Succeeded(brought)) => {
-                let response = Response::new(match brought {
-                    Brought::Whole(chunks) => Answer::Chunks(chunks.into()),
-                    Brought::Streamed(parts) => Answer::Streamed(Box::pin(parts)),
+            Ok(FinalAnswer::Succeeded(executor_response)) => {
+                let response = Response::new(match executor_response {
+                    ExecutorResponse::Whole(chunks) => Answer::Chunks(chunks.into()),
+                    ExecutorResponse::Streamed(parts) => Answer::Streamed(Box::pin(parts)),
                 });
                 FinalResponse {
                     response,
                     may_have_run: true,
                 }
             }
-            Ok(Final::Throttled {
+            Ok(FinalAnswer::Throttled {
                 retry_after,
                 past_share,
             }) => {
@@ -43,7 +43,7 @@
                 };
                 FinalResponse::problem(status, "throttled", detail, false).retry_after(retry_after)
             }
-            Ok(Final::Errored {
+            Ok(FinalAnswer::Errored {
                 cause,
                 may_have_run,
             }) => {
@@ -58,7 +58,7 @@
                 };
                 FinalResponse::problem(status, "errored", detail, may_have_run)
             }
-            Ok(Final::Refused {
+            Ok(FinalAnswer::Refused {
                 refusal,
                 may_have_run,
             }) => {
@@ -101,19 +101,19 @@
 }
 
 /// The response to an invocation that was not taken.
-pub(super) fn not_taken(hub: &Hub, why: NotTaken) -> Problem {
+pub(super) fn rejection_problem(router: &Router, why: RejectionReason) -> Problem {
     let throttled = |detail: &str, time: f64| {
         let mut problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail);
         problem.retry_after = Some(time);
         problem
     };
     match why {
-        NotTaken::Full => throttled(
+        RejectionReason::Full => throttled(
             "as many invocations are open as may be",
-            hub.deployment.policy.max_retry_after,
+            router.deployment.policy.max_retry_after,
         ),
-        NotTaken::Leaving => throttled("this front end is ending; ask another", 0.0),
-        NotTaken::Refused(refusal) => {
+        RejectionReason::Leaving => throttled("this front end is ending; ask another", 0.0),
+        RejectionReason::Refused(refusal) => {
             let (status, title) = refusal_status(&refusal);
             let mut problem = Problem::new(status, title, refusal.to_string());
             problem.retry_after = refusal.retry_after();
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -1,15 +1,15 @@
 //! `GET /v1/front-end`: what the front end says of itself.
 
 use super::answer::Answer;
-use crate::hub::Hub;
+use crate::router::Router;
 use bytes::Bytes;
 use http::Response;
 use http::header::{CONTENT_TYPE, HeaderValue};
 use serde_json::json;
 
 /// The rollouts as this front end has them.
-fn rollouts(hub: &Hub) -> serde_json::Value {
-    let shares = hub.shares.borrow();
+fn rollouts(router: &Router) -> serde_json::Value {
+    let shares = router.shares.borrow();
     let published = shares.published();
     let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
@@ -21,16 +21,16 @@
 }
 
 /// The roster and the front ends, where they come from etcd.
-fn roster(hub: &Hub) -> serde_json::Value {
+fn roster(router: &Router) -> serde_json::Value {
     if !matches!(
-        hub.deployment.endpoint_source,
+        router.deployment.endpoint_source,
         orchidtally_deployment::EndpointSource::Etcd(_)
     ) {
         return serde_json::Value::Null;
     }
-    let (cache, now) = (hub.cache.borrow(), hub.now());
+    let (cache, now) = (router.cache.borrow(), router.now());
     let executors = cache.executor_counts();
-    let estimate = hub.members.borrow().estimate(now);
+    let estimate = router.members.borrow().estimate(now);
     let entry_errors: serde_json::Map<_, _> = cache
         .entry_errors()
         .map(|(key, error)| {
@@ -52,8 +52,8 @@
 }
 
 /// The state of triggers by messages.
-fn triggers(hub: &Hub) -> serde_json::Value {
-    let Some(status) = hub.triggers.get() else {
+fn triggers(router: &Router) -> serde_json::Value {
+    let Some(status) = router.triggers.get() else {
         return serde_json::Value::Null;
     };
     json!({
@@ -66,16 +66,16 @@
 }
 
 /// What the front end says of itself.
-pub(super) fn status(hub: &Hub) -> Response<Answer> {
-    let t = hub.tally();
+pub(super) fn status(router: &Router) -> Response<Answer> {
+    let t = router.tally();
     let body = json!({
-        "deployment": hub.deployment.name,
-        "revision": hub.revision().number,
-        "index": hub.sender.get().index,
-        "frontEnds": hub.sender.get().count,
-        "configuration": hub.admission.get().map(|admission| admission.host().status()),
-        "roster": roster(hub),
-        "open": hub.open(),
+        "deployment": router.deployment.name,
+        "revision": router.revision().number,
+        "index": router.sender.get().index,
+        "frontEnds": router.sender.get().count,
+        "configuration": router.admission.get().map(|admission| admission.host().status()),
+        "roster": roster(router),
+        "open": router.open(),
         "taken": t.admitted,
         "refused": t.not_admitted,
         "succeeded": t.succeeded,
@@ -85,9 +85,9 @@
         "dispatches": t.dispatches,
         "orders": t.load_commands,
         "overdue": t.overdue,
-        "indexTaken": hub.index_taken.get(),
-        "rollouts": rollouts(hub),
-        "mqtt": triggers(hub),
+        "indexTaken": router.index_taken.get(),
+        "rollouts": rollouts(router),
+        "mqtt": triggers(router),
     });
     let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
     response
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -2,24 +2,24 @@
 //! with other front ends.
 
 pub mod config;
+pub mod durable_invocation_store;
+pub mod endpoint_publisher;
+mod endpoint_source;
 pub mod etcd;
-mod hub;
 pub mod ingress;
 pub mod mqtt;
 mod pool;
-pub mod promise_store;
 pub mod reload;
 mod rollouts;
-pub mod roster;
-mod roster_source;
+mod router;
 
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::future;
-use hub::Hub;
-use ingress::{ConnectionGuard, serve, turn_away};
+use ingress::{ConnectionGuard, reject_connection, serve};
 use orchidtally_deployment::Deployment;
 use orchidtally_engine::Counters;
+use router::Router;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 use tracing::{error, info, warn};
 
 /// An ending front end waits for so long past the longest client timeout, then ends anyway.
-const LEAVE_MARGIN: Duration = Duration::from_secs(1);
+const DRAIN_MARGIN: Duration = Duration::from_secs(1);
 
 pub struct Start {
     pub deployment: Deployment,
@@ -43,7 +43,7 @@
     /// What comes by messages, where the deployment file has a broker.
     pub triggers: Option<mqtt::Triggers>,
     /// Promises to HTTP clients, where the deployment file has a journal.
-    pub promise_store: Option<promise_store::PromiseStore>,
+    pub durable_invocation_store: Option<durable_invocation_store::DurableInvocationStore>,
     /// Where the deployment file may be read again.
     pub reloads: Option<reload::Reloads>,
 }
@@ -56,40 +56,46 @@
 /// Runs a front end on this thread until it is stopped and what was open is answered.
 pub fn run(start: Start, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
-    let promise_store = start.promise_store.map(Rc::new);
-    let hub = Hub::new(
+    let durable_invocation_store = start.durable_invocation_store.map(Rc::new);
+    let router = Router::new(
         start.deployment,
         start.seed,
         start.ahead,
         start.random,
-        promise_store,
-        roster_source::watch,
+        durable_invocation_store,
+        endpoint_source::watch,
         &spawner,
     );
-    hub.at.set(listener.get_ref().local_addr().ok());
-    spawner.spawn(hub.clone().keep_time()).detach();
-    spawner.spawn(hub.clone().watch_clock()).detach();
+    router
+        .listen_address
+        .set(listener.get_ref().local_addr().ok());
+    spawner.spawn(router.clone().run_timers()).detach();
+    spawner.spawn(router.clone().watch_clock()).detach();
     spawner
-        .spawn(hub.clone().keep_house(start.ahead, start.step))
+        .spawn(router.clone().run_maintenance(start.ahead, start.step))
         .detach();
-    if !hub.deployment.coordinators.is_empty() {
-        spawner.spawn(rollouts::keep_up(hub.clone())).detach();
+    if !router.deployment.coordinators.is_empty() {
+        spawner
+            .spawn(rollouts::poll_coordinators(router.clone()))
+            .detach();
     }
-    if let Some(configuration) = &hub.deployment.configuration
-        && let Err(fault) = config::attach(&hub, configuration, &spawner)
+    if let Some(configuration) = &router.deployment.configuration
+        && let Err(fault) = config::attach(&router, configuration, &spawner)
     {
         error!(%fault, "the configuration's settings can't be used; mend the section 'configuration'");
-        return hub.tally();
+        return router.tally();
     }
     if let Some(reloads) = start.reloads {
-        spawner.spawn(reload::follow(hub.clone(), reloads)).detach();
+        spawner
+            .spawn(reload::follow(router.clone(), reloads))
+            .detach();
     }
     let (leave, leaving) = async_channel::bounded::<()>(1);
     let consuming = start
         .triggers
-        .and_then(|triggers| hub.spawn(mqtt::consume(hub.clone(), triggers, leaving)));
-    let work = attend(
-        hub,
+        .and_then(|triggers| router.spawn(mqtt::consume(router.clone(), triggers, leaving)));
+    let work = serve_connections(
+        router,
         spawner.clone(),
         listener,
         start.stop,
@@ -98,17 +104,17 @@
     async_io::block_on(spawner.run(work))
 }
 
-async fn attend(
-    hub: Rc<Hub>,
+async fn serve_connections(
+    router: Rc<Router>,
     spawner: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
     stop: async_channel::Receiver<()>,
     (consuming, stop_consuming): (Option<Task<()>>, async_channel::Sender<()>),
 ) -> Counters {
-    let most = hub.deployment.limits.max_connections;
+    let most = router.deployment.limits.max_connections;
     let open = Rc::new(Cell::new(0));
     let (leave, leaving) = async_channel::bounded::<()>(1);
-    let mut turned_away = 0u64;
+    let mut rejected_connections = 0u64;
     loop {
         let stopped = async {
             // A closed channel stops as a message does.
@@ -126,20 +132,20 @@
         if open.get() < most {
             spawner
                 .spawn(serve(
-                    hub.clone(),
+                    router.clone(),
                     stream,
                     leaving.clone(),
                     ConnectionGuard::new(&open),
                 ))
                 .detach();
         } else if open.get() < most + most / 4 + 16 {
-            turned_away += 1;
-            if turned_away.is_power_of_two() {
-                warn!(turned_away, most, "connections over the bound");
+            rejected_connections += 1;
+            if rejected_connections.is_power_of_two() {
+                warn!(rejected_connections, most, "connections over the bound");
             }
             let counted = ConnectionGuard::new(&open);
             let say = async move {
-                turn_away(stream).await;
+                reject_connection(stream).await;
                 drop(counted);
             };
             spawner.spawn(say).detach();
@@ -147,7 +153,8 @@
     }
     drop(listener);
     drop(stop_consuming);
-    let deadline = Instant::now() + Duration::from_secs_f64(hub.longest_timeout()) + LEAVE_MARGIN;
+    let deadline =
+        Instant::now() + Duration::from_secs_f64(router.longest_timeout()) + DRAIN_MARGIN;
     if let Some(consuming) = consuming {
         // Messages in hand may have to be dispatched yet.
         let left = orchidtally_socket_io::with_timeout(deadline - Instant::now(), consuming).await;
@@ -155,23 +162,23 @@
             warn!("left with messages in hand: the journal has them");
         }
     }
-    hub.leave();
+    router.leave();
     info!(
-        open = hub.open(),
+        open = router.open(),
         connections = open.get(),
         "leaving: nothing new is taken"
     );
     drop(leave);
-    while (hub.open() > 0 || open.get() > 0) && Instant::now() < deadline {
+    while (router.open() > 0 || open.get() > 0) && Instant::now() < deadline {
         Timer::after(Duration::from_millis(5)).await;
     }
-    if hub.open() > 0 || open.get() > 0 {
+    if router.open() > 0 || open.get() > 0 {
         warn!(
-            open = hub.open(),
+            open = router.open(),
             connections = open.get(),
             "left with clients still there"
         );
     }
-    config::detach(&hub).await;
-    hub.tally()
+    config::detach(&router).await;
+    router.tally()
 }
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -24,11 +24,11 @@
 const CONNECT_TIME: Duration = Duration::from_secs(5);
 
 /// A stream to the broker, plain or encrypted.
-pub(super) trait Wire: AsyncRead + AsyncWrite + Unpin {}
-impl<T: AsyncRead + AsyncWrite + Unpin> Wire for T {}
+pub(super) trait BrokerStream: AsyncRead + AsyncWrite + Unpin {}
+impl<T: AsyncRead + AsyncWrite + Unpin> BrokerStream for T {}
 
 pub(super) enum Input {
-    Connected(io::Result<Box<dyn Wire>>),
+    Connected(io::Result<Box<dyn BrokerStream>>),
     /// Of a connection, by number.
     Packet(u64, Packet),
     Lost(u64, String),
@@ -68,7 +68,7 @@
     Ok(TlsConnector::from(Arc::new(config)))
 }
 
-pub(super) async fn connect(section: &TriggerSettings) -> io::Result<Box<dyn Wire>> {
+pub(super) async fn connect(section: &TriggerSettings) -> io::Result<Box<dyn BrokerStream>> {
     let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIME).await?;
     let Some(wanted) = &section.tls else {
         return Ok(Box::new(stream));
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -4,7 +4,7 @@
 use super::connection::Input;
 use super::host::{ConsumerHost, JournalResult};
 use super::tls_files::CHECK_INTERVAL;
-use crate::hub::Hub;
+use crate::router::Router;
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_journal::GroupCommit;
@@ -34,7 +34,7 @@
 }
 
 /// Serves triggers until the front end ends and what was in hand is answered.
-pub async fn consume(hub: Rc<Hub>, triggers: Triggers, leaving: async_channel::Receiver<()>) {
+pub async fn consume(router: Rc<Router>, triggers: Triggers, leaving: async_channel::Receiver<()>) {
     let Triggers {
         section,
         journal,
@@ -50,33 +50,33 @@
     }
     let section = Rc::new(section);
     let (index, password) = (
-        hub.deployment.policy.front_end_index as u32,
+        router.deployment.policy.front_end_index as u32,
         read_password(&section),
     );
     let consumer = Consumer::new(
         &section,
-        &hub.deployment,
+        &router.deployment,
         index,
         password,
         &records,
-        hub.now(),
+        router.now(),
     );
     let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
     let journal = GroupCommit::with_max_batch(journal, most_entries, sharing);
     let mut host = ConsumerHost::new(
-        hub.clone(),
+        router.clone(),
         section,
         consumer,
         journal,
         input_sender,
         result_sender,
     );
-    let mut is_leaving = false;
+    let mut is_draining = false;
     loop {
         host.tick();
-        if is_leaving && host.consumer.backlog().0 == 0 {
+        if is_draining && host.consumer.backlog().0 == 0 {
             break;
         }
         let longest = if host.uses_tls() {
@@ -84,11 +84,12 @@
         } else {
             MAX_SLEEP
         };
-        let sleep = Duration::from_secs_f64((host.next_tick_at() - hub.now()).clamp(0.0, longest));
+        let sleep =
+            Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, longest));
         let input = async { inputs.recv().await.ok().map(Wake::Input) };
         let journal_result = async { journal_results.recv().await.ok().map(Wake::JournalResult) };
         let leave = async {
-            if is_leaving {
+            if is_draining {
                 future::pending::<()>().await;
             }
             // Nothing is ever sent: the channel closes.
@@ -103,7 +104,7 @@
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
             Some(Wake::Leave) => {
-                is_leaving = true;
+                is_draining = true;
                 host.consumer.drain();
             }
             None => {}
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,9 +1,9 @@
 //! Performs what a consumer commands: packets, entries of the journal and invocations.
 
-use super::connection::{Connection, Input, MOST_OUT, Outbox, Wire, connect, read, write};
+use super::connection::{BrokerStream, Connection, Input, MOST_OUT, Outbox, connect, read, write};
 use super::invoke::invoke;
 use super::tls_files::TlsFiles;
-use crate::hub::{Hub, TriggerStatus};
+use crate::router::{Router, TriggerStatus};
 use async_executor::Task;
 use orchidtally_deployment::Deployment;
 use orchidtally_journal::GroupCommit;
@@ -37,7 +37,7 @@
 
 /// A consumer with what it commands.
 pub(super) struct ConsumerHost {
-    hub: Rc<Hub>,
+    router: Rc<Router>,
     section: Rc<TriggerSettings>,
     pub(super) consumer: Consumer,
     journal: GroupCommit,
@@ -56,21 +56,21 @@
 
 impl ConsumerHost {
     pub(super) fn new(
-        hub: Rc<Hub>,
+        router: Rc<Router>,
         section: Rc<TriggerSettings>,
         consumer: Consumer,
         journal: GroupCommit,
         inputs: async_channel::Sender<Input>,
         journal_results: async_channel::Sender<JournalResult>,
     ) -> ConsumerHost {
-        let now = hub.now();
+        let now = router.now();
         ConsumerHost {
             tls_files: TlsFiles::new(&section, now),
             in_force: DeploymentInForce {
                 revision: 1,
-                deployment: hub.deployment.clone(),
+                deployment: router.deployment.clone(),
             },
-            hub,
+            router,
             section,
             consumer,
             journal,
@@ -104,7 +104,7 @@
 
     /// Does what is due.
     pub(super) fn tick(&mut self) {
-        let now = self.hub.now();
+        let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
             self.lost(&ended.to_string());
         }
@@ -137,22 +137,22 @@
             // Nobody listens where the front end has ended.
             let _ = inputs.send(Input::Connected(connected)).await;
         };
-        self.connecting = self.hub.spawn(work);
+        self.connecting = self.router.spawn(work);
     }
 
-    fn connected(&mut self, stream: Box<dyn Wire>) {
+    fn connected(&mut self, stream: Box<dyn BrokerStream>) {
         self.connection_count += 1;
         let number = self.connection_count;
         let (reader, writer) = futures_lite::io::split(stream);
         let (wake, woken) = async_channel::bounded(1);
         let outbox = Rc::new(Outbox::default());
-        let read = self.hub.spawn(read(
+        let read = self.router.spawn(read(
             reader,
             number,
             self.section.clone(),
             self.inputs.clone(),
         ));
-        let write = self.hub.spawn(write(
+        let write = self.router.spawn(write(
             writer,
             number,
             outbox.clone(),
@@ -165,7 +165,7 @@
             wake,
             _tasks: [read, write],
         });
-        self.consumer.connect(self.hub.now());
+        self.consumer.connect(self.router.now());
     }
 
     fn lost(&mut self, why: &str) {
@@ -178,13 +178,13 @@
     }
 
     fn connect_later(&mut self) {
-        self.connect_at = self.hub.now() + self.retry_after * (0.5 + rand::random::<f64>());
+        self.connect_at = self.router.now() + self.retry_after * (0.5 + rand::random::<f64>());
         self.retry_after = (2.0 * self.retry_after).min(LONGEST_RETRY);
     }
 
     /// Passes on what has come from a connection or an invocation.
     pub(super) fn apply(&mut self, input: Input) {
-        let now = self.hub.now();
+        let now = self.router.now();
         let is_present = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
         match input {
             Input::Connected(stream) => {
@@ -214,7 +214,7 @@
 
     /// Passes on a result of the journal.
     pub(super) fn apply_journal_result(&mut self, result: JournalResult) {
-        let now = self.hub.now();
+        let now = self.router.now();
         match result {
             JournalResult::Appended(succeeded) => self.consumer.journal_appended(now, succeeded),
             JournalResult::Replaced(succeeded) => self.consumer.journal_replaced(now, succeeded),
@@ -223,9 +223,9 @@
 
     /// The deployment of the revision in force, with trigger types at the places that the rules know.
     fn deployment_in_force(&mut self) -> Rc<Deployment> {
-        let revision = self.hub.revision();
+        let revision = self.router.revision();
         if self.in_force.revision != revision.number {
-            let deployment = Rc::new(revision.aligned_to(&self.hub.deployment));
+            let deployment = Rc::new(revision.aligned_to(&self.router.deployment));
             self.in_force = DeploymentInForce {
                 revision: revision.number,
                 deployment,
@@ -262,7 +262,7 @@
         };
         if self.journal.append(entry, done).is_err() {
             // Its thread has died: its queue is as long as all that can be in hand.
-            self.consumer.journal_appended(self.hub.now(), false);
+            self.consumer.journal_appended(self.router.now(), false);
         }
     }
 
@@ -275,7 +275,7 @@
             let _ = results.send_blocking(JournalResult::Replaced(replaced.is_ok()));
         };
         if self.journal.replace(snapshot, done).is_err() {
-            self.consumer.journal_replaced(self.hub.now(), false);
+            self.consumer.journal_replaced(self.router.now(), false);
         }
     }
 
@@ -284,13 +284,13 @@
             return;
         };
         let ready_by = self.consumer.ready_by(n);
-        let (hub, inputs) = (self.hub.clone(), self.inputs.clone());
+        let (router, inputs) = (self.router.clone(), self.inputs.clone());
         let work = async move {
-            let answer = invoke(hub, message, ready_by).await;
+            let answer = invoke(router, message, ready_by).await;
             let _ = inputs.send(Input::InvocationEnded(n, answer)).await;
         };
         self.invocations
-            .extend(self.hub.spawn(work).map(|task| (n, task)));
+            .extend(self.router.spawn(work).map(|task| (n, task)));
     }
 
     fn log(&mut self, notice: Notice) {
@@ -336,7 +336,7 @@
 
     fn report(&self) {
         let (in_hand, waiting) = self.consumer.backlog();
-        self.hub.triggers.set(Some(TriggerStatus {
+        self.router.triggers.set(Some(TriggerStatus {
             counters: self.consumer.counters(),
             connected: self.consumer.is_connected(),
             in_hand,
@@ -347,7 +347,7 @@
 
     /// Ends the connection in order.
     pub(super) async fn close(mut self) {
-        self.consumer.disconnect(self.hub.now());
+        self.consumer.disconnect(self.router.now());
         self.perform();
         let Some(connection) = self.connection.take() else {
             return;
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -1,7 +1,10 @@
 //! Invokes for a message.
 
 use crate::config::Refusal;
-use crate::hub::{AnswerLost, Asked, Brought, Final, Hub, NamedCustomer, NotTaken};
+use crate::router::{
+    AnswerLost, ExecutorResponse, FinalAnswer, IngressRequest, NamedCustomer, RejectionReason,
+    Router,
+};
 use bytes::Bytes;
 use orchidtally_engine::FailureReason;
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
@@ -22,25 +25,29 @@
 }
 
 /// Invokes for a message; returns its final answer.
-pub(super) async fn invoke(hub: Rc<Hub>, message: StoredMessage, ready_by: f64) -> Answer {
-    let asked = match ask(&hub, &message, ready_by) {
+pub(super) async fn invoke(router: Rc<Router>, message: StoredMessage, ready_by: f64) -> Answer {
+    let asked = match ask(&router, &message, ready_by) {
         Ok(asked) => asked,
         Err(answer) => return answer,
     };
-    match hub.invoke(asked).await {
+    match router.invoke(asked).await {
         Ok(answer) => final_answer(answer),
-        Err(NotTaken::Full | NotTaken::Leaving) => Answer::Rejected,
-        Err(NotTaken::Refused(refusal)) => refused(&refusal, false),
+        Err(RejectionReason::Full | RejectionReason::Leaving) => Answer::Rejected,
+        Err(RejectionReason::Refused(refusal)) => refused(&refusal, false),
     }
 }
 
 /// What a message asks for, or its answer where that can't be invoked.
-fn ask<'m>(hub: &Hub, message: &'m StoredMessage, ready_by: f64) -> Result<Asked<'m>, Answer> {
+fn ask<'m>(
+    router: &Router,
+    message: &'m StoredMessage,
+    ready_by: f64,
+) -> Result<IngressRequest<'m>, Answer> {
     let errored = |why: String| Answer::Failed {
         reason: why,
         may_have_run: false,
     };
-    let revision = hub.revision();
+    let revision = router.revision();
     let target = &message.target;
     let (trigger_place, trigger_type) =
         revision.trigger_type(&target.trigger_type).ok_or_else(|| {
@@ -65,10 +72,10 @@
             target.function
         ))
     })?;
-    if ready_by <= hub.now() {
+    if ready_by <= router.now() {
         return Err(Answer::Rejected);
     }
-    let key = hub.shares.borrow().sticky_key(&target.function).cloned();
+    let key = router.shares.borrow().sticky_key(&target.function).cloned();
     let key = match &key {
         Some(StickyKey::Customer) => &target.customer,
         Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
@@ -76,10 +83,10 @@
     };
     let who = Caller {
         customer: &target.customer,
-        location: hub.location(),
+        location: router.location(),
         key,
     };
-    let resolved = hub
+    let resolved = router
         .resolve(&function, None, trigger_place, customer, &who)
         .ok_or_else(|| {
             errored(format!(
@@ -87,7 +94,7 @@
                 target.function
             ))
         })?;
-    Ok(Asked {
+    Ok(IngressRequest {
         name: message.name.clone(),
         function: function.name.clone(),
         resolved,
@@ -106,24 +113,24 @@
 }
 
 /// The answer to a message.
-fn final_answer(answer: Result<Final, AnswerLost>) -> Answer {
+fn final_answer(answer: Result<FinalAnswer, AnswerLost>) -> Answer {
     match answer {
-        Ok(Final::Succeeded(Brought::Whole(chunks))) => Answer::Succeeded {
+        Ok(FinalAnswer::Succeeded(ExecutorResponse::Whole(chunks))) => Answer::Succeeded {
             payload: match chunks.as_slice() {
                 [one] => one.clone(),
                 many => Bytes::from(many.concat()),
             },
         },
-        Ok(Final::Succeeded(Brought::Streamed(_))) => Answer::Failed {
+        Ok(FinalAnswer::Succeeded(ExecutorResponse::Streamed(_))) => Answer::Failed {
             reason: "its answer was streamed, which a message can't be".into(),
             may_have_run: true,
         },
-        Ok(Final::Throttled { .. }) => Answer::Rejected,
-        Ok(Final::Refused {
+        Ok(FinalAnswer::Throttled { .. }) => Answer::Rejected,
+        Ok(FinalAnswer::Refused {
             refusal,
             may_have_run,
         }) => refused(&refusal, may_have_run),
-        Ok(Final::Errored {
+        Ok(FinalAnswer::Errored {
             cause,
             may_have_run,
         }) => {
--- a/crates/http-frontend/src/pool.rs
+++ b/crates/http-frontend/src/pool.rs
@@ -17,7 +17,7 @@
 use tracing::{debug, warn};
 
 #[derive(Clone, Copy)]
-pub struct Caps {
+pub struct ConnectionLimits {
     pub streams_per_connection: usize,
     pub connections: usize,
     pub connect_time: Duration,
@@ -47,7 +47,7 @@
 
 pub struct Pool {
     to: SocketAddr,
-    caps: Caps,
+    limits: ConnectionLimits,
     spawner: Weak<LocalExecutor<'static>>,
     state: RefCell<State>,
 }
@@ -76,10 +76,14 @@
 }
 
 impl Pool {
-    pub fn new(to: SocketAddr, caps: Caps, spawner: Weak<LocalExecutor<'static>>) -> Rc<Pool> {
+    pub fn new(
+        to: SocketAddr,
+        limits: ConnectionLimits,
+        spawner: Weak<LocalExecutor<'static>>,
+    ) -> Rc<Pool> {
         Rc::new(Pool {
             to,
-            caps,
+            limits,
             spawner,
             state: RefCell::default(),
         })
@@ -89,7 +93,7 @@
     pub fn sweep(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let idle = |c: &Rc<Connection>| {
-            c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.caps.idle_close
+            c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.limits.idle_close
         };
         state.connections.retain(|c| !c.closed.get() && !idle(c));
         state.connections.is_empty() && state.connecting == 0 && state.waiters.is_empty()
@@ -115,7 +119,7 @@
     fn free(self: &Rc<Self>) -> Option<Lease> {
         let state = self.state.borrow();
         let free = |c: &&Rc<Connection>| {
-            !c.closed.get() && c.streams.get() < self.caps.streams_per_connection
+            !c.closed.get() && c.streams.get() < self.limits.streams_per_connection
         };
         let connection = state.connections.iter().find(free)?.clone();
         connection.streams.set(connection.streams.get() + 1);
@@ -126,7 +130,7 @@
     }
 
     async fn lease(self: &Rc<Self>) -> Result<Lease, Transport> {
-        let deadline = Instant::now() + self.caps.connect_time;
+        let deadline = Instant::now() + self.limits.connect_time;
         loop {
             while let Some(lease) = self.free() {
                 // A connection that the peer is closing takes no new stream.
@@ -140,9 +144,10 @@
                 let mut state = self.state.borrow_mut();
                 state.connections.retain(|c| !c.closed.get());
                 state.waiters.push_back(wake);
-                let promised = state.connecting * self.caps.streams_per_connection;
+                let expected_streams = state.connecting * self.limits.streams_per_connection;
                 let open = state.connections.len() + state.connecting;
-                let opens = open < self.caps.connections && state.waiters.len() > promised;
+                let opens =
+                    open < self.limits.connections && state.waiters.len() > expected_streams;
                 state.connecting += usize::from(opens);
                 opens
             };
@@ -172,11 +177,11 @@
     /// Opens a connection and drives it to its end.
     async fn open(self: Rc<Self>) {
         let handshake = async {
-            let stream = orchidtally_socket_io::connect(self.to, self.caps.connect_time).await?;
+            let stream = orchidtally_socket_io::connect(self.to, self.limits.connect_time).await?;
             let written = stream.written();
             let mut builder = h2::client::Builder::new();
             builder
-                .max_header_list_size(self.caps.header_bytes)
+                .max_header_list_size(self.limits.header_bytes)
                 .enable_push(false);
             builder
                 .initial_window_size(1 << 20)
@@ -188,10 +193,11 @@
             let ping = driver.ping_pong();
             Ok::<_, std::io::Error>((sender, driver, written, ping))
         };
-        let shaken = orchidtally_socket_io::with_timeout(self.caps.connect_time, handshake).await;
+        let handshaken =
+            orchidtally_socket_io::with_timeout(self.limits.connect_time, handshake).await;
         self.state.borrow_mut().connecting -= 1;
-        let (sender, driver, written, ping) = match shaken {
-            Some(Ok(shaken)) => shaken,
+        let (sender, driver, written, ping) = match handshaken {
+            Some(Ok(parts)) => parts,
             failed => {
                 let why = failed.map_or_else(
                     || "no handshake in time".into(),
@@ -220,10 +226,10 @@
         });
         self.state.borrow_mut().connections.push(connection.clone());
         self.wake_all(None);
-        let held = Rc::downgrade(&connection);
+        let weak_connection = Rc::downgrade(&connection);
         drop(connection);
         let ended = driver.await;
-        if let Some(connection) = held.upgrade() {
+        if let Some(connection) = weak_connection.upgrade() {
             connection.closed.set(true);
         }
         self.state
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -1,7 +1,7 @@
 //! Reads the deployment file again while the front end runs: what can change without a restart is put in force,
 //! whole or not at all.
 
-use crate::hub::{Hub, ReconfigureError};
+use crate::router::{ReconfigureError, Router};
 use orchidtally_deployment::{DeploymentFault, restart_needed};
 use std::io;
 use std::path::PathBuf;
@@ -42,19 +42,19 @@
 }
 
 /// Puts a file's text in force. `before` is the text that is in force.
-fn reload(hub: &Hub, before: &str, read: io::Result<String>) -> Result<String, ReloadError> {
+fn reload(router: &Router, before: &str, read: io::Result<String>) -> Result<String, ReloadError> {
     let text = read?;
     let (deployment, _) = orchidtally_mqtt_triggers::read(&text).map_err(ReloadError::Faults)?;
     let needed = restart_needed(before, &text);
     if !needed.is_empty() {
         return Err(ReloadError::NeedsRestart(needed));
     }
-    hub.reconfigure(Rc::new(deployment))?;
+    router.reconfigure(Rc::new(deployment))?;
     Ok(text)
 }
 
 /// Follows what is read again, for as long as the front end lives.
-pub async fn follow(hub: Rc<Hub>, reloads: Reloads) {
+pub async fn follow(router: Rc<Router>, reloads: Reloads) {
     let Reloads {
         path,
         mut text,
@@ -62,14 +62,14 @@
     } = reloads;
     let file = path.display();
     while let Ok(newest) = read.recv().await {
-        if hub.is_leaving() {
+        if router.is_draining() {
             warn!(%file, "the deployment file is not read again: this front end is ending");
             continue;
         }
-        match reload(&hub, &text, newest) {
+        match reload(&router, &text, newest) {
             Ok(applied) => {
                 text = applied;
-                let revision = hub.revision();
+                let revision = router.revision();
                 let functions = revision.deployment.functions.len();
                 info!(%file, revision = revision.number, functions, "the deployment file was read again and is in force");
             }
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -1,6 +1,6 @@
 //! Asks the coordinators for the state of rollouts and tells them the evidence.
 
-use crate::hub::Hub;
+use crate::router::Router;
 use futures_lite::future;
 use http::{Method, StatusCode};
 use orchidtally_rollout::Published;
@@ -28,12 +28,15 @@
 }
 
 /// Round after round, for as long as the front end lives.
-pub async fn keep_up(hub: Rc<Hub>) {
-    let pause = Duration::from_secs_f64(hub.deployment.rollout_poll_interval);
+pub async fn poll_coordinators(router: Rc<Router>) {
+    let pause = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
     let mut reached = true;
     loop {
-        let told = hub.shares.borrow_mut().report(hub.sender.get().incarnation);
-        let rounds: Vec<_> = hub
+        let told = router
+            .shares
+            .borrow_mut()
+            .report(router.sender.get().incarnation);
+        let rounds: Vec<_> = router
             .deployment
             .coordinators
             .iter()
@@ -41,13 +44,13 @@
             .collect();
         let tasks: Vec<_> = rounds
             .into_iter()
-            .filter_map(|(at, told)| hub.spawn(async move { (at, exchange(at, &told).await) }))
+            .filter_map(|(at, told)| router.spawn(async move { (at, exchange(at, &told).await) }))
             .collect();
         let (mut newest, mut faults) = (None::<Published>, vec![]);
         for task in tasks {
             match task.await {
                 (_, Ok(published)) => {
-                    hub.shares.borrow_mut().observe_epoch(published.epoch);
+                    router.shares.borrow_mut().observe_epoch(published.epoch);
                     if newest.as_ref().is_none_or(|n| published.is_newer_than(n)) {
                         newest = Some(published);
                     }
@@ -62,9 +65,9 @@
         }
         reached = newest.is_some();
         if !reached {
-            hub.shares.borrow_mut().restore_report(told);
+            router.shares.borrow_mut().restore_report(told);
         }
-        hub.rollouts_turn(newest);
+        router.apply_rollouts(newest);
         future::yield_now().await;
         async_io::Timer::after(pause).await;
     }
--- a/crates/http-frontend/src/hub/performer.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -1,9 +1,9 @@
 //! Performs what the engine commands: dispatches, orders, probes and final answers.
 
 use super::exchange::{Dispatch, Timing};
-use super::invocation::{Brought, Client, Final, Work};
-use super::{Hub, number, seconds};
-use crate::pool::{Caps, Pool};
+use super::invocation::{Client, ExecutorResponse, FinalAnswer, Work};
+use super::{Router, number, seconds};
+use crate::pool::{ConnectionLimits, Pool};
 use async_executor::Task;
 use orchidtally_deployment::Version;
 use orchidtally_dispatch_policy::interface::*;
@@ -20,79 +20,79 @@
 use tracing::{debug, info, warn};
 
 /// An invocation with less time left than this, in seconds, is not moved to another version.
-const LEAST_TIME_TO_MOVE: f64 = 0.05;
+const MIN_TIME_TO_MIGRATE: f64 = 0.05;
 /// Numbers that an invocation's dispatches may have had before it was moved; those after it go on from here.
-const MOST_DISPATCHES: u32 = 256;
+const MAX_DISPATCHES: u32 = 256;
 
 /// An invocation of a version that was taken back, on its way to the old one.
-pub(super) struct Moving {
+pub(super) struct Migration {
     client: Client,
     to: Version,
     dispatched: u32,
 }
 
 /// A function's version by name, for orders.
-pub(super) struct Named {
+pub(super) struct VersionName {
     function: Rc<str>,
     digest: Rc<str>,
     pub(super) at: Instant,
 }
 
 /// Performs what the engine commands.
-pub struct Performer {
-    hub: Weak<Hub>,
+pub struct ActionExecutor {
+    router: Weak<Router>,
     pub(super) clients: HashMap<u32, Client>,
     /// Dispatches that are out; dropping one abandons its stream.
     pub(super) out: HashMap<(u32, u8), Task<()>>,
     pub(super) pools: HashMap<ExecutorId, Rc<Pool>>,
     /// Names of versions that were invoked lately, by key: orders name them.
-    pub(super) names: HashMap<u64, Named>,
+    pub(super) names: HashMap<u64, VersionName>,
     /// The client whose invocation is being taken.
-    taking: Option<Client>,
+    admitting: Option<Client>,
     /// The payload of the dispatch that is being reported as ended.
-    pub(super) brought: Option<Brought>,
+    pub(super) executor_response: Option<ExecutorResponse>,
     /// How long that dispatch took.
     pub(super) timing: Option<Timing>,
-    pub(super) moving: Vec<Moving>,
-    roster: Option<Task<()>>,
+    pub(super) migrations: Vec<Migration>,
+    endpoint_subscription: Option<Task<()>>,
     /// The time of the engine's present call.
     pub(super) now: f64,
 }
 
-impl Performer {
-    pub(super) fn new(hub: Weak<Hub>) -> Performer {
-        Performer {
-            hub,
+impl ActionExecutor {
+    pub(super) fn new(router: Weak<Router>) -> ActionExecutor {
+        ActionExecutor {
+            router,
             clients: HashMap::new(),
             out: HashMap::new(),
             pools: HashMap::new(),
             names: HashMap::new(),
-            taking: None,
-            brought: None,
+            admitting: None,
+            executor_response: None,
             timing: None,
-            moving: vec![],
-            roster: None,
+            migrations: vec![],
+            endpoint_subscription: None,
             now: 0.0,
         }
     }
 
-    fn pool(&mut self, hub: &Rc<Hub>, to: ExecutorId) -> Rc<Pool> {
-        let bounds = &hub.deployment.limits;
-        let caps = Caps {
+    fn pool(&mut self, router: &Rc<Router>, to: ExecutorId) -> Rc<Pool> {
+        let bounds = &router.deployment.limits;
+        let limits = ConnectionLimits {
             streams_per_connection: bounds.max_streams_per_connection,
             connections: bounds.max_connections_per_executor,
             connect_time: seconds(bounds.connect_timeout),
             idle_close: seconds(bounds.idle_timeout),
             header_bytes: bounds.max_header_bytes,
         };
-        let new = || Pool::new(SocketAddr::new(to.0, to.1), caps, hub.spawner());
+        let new = || Pool::new(SocketAddr::new(to.0, to.1), limits, router.spawner());
         self.pools.entry(to).or_insert_with(new).clone()
     }
 
     pub(super) fn name(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
         self.names.insert(
             key,
-            Named {
+            VersionName {
                 function,
                 digest,
                 at: Instant::now(),
@@ -112,20 +112,20 @@
             client.work.digest.clone(),
         );
         let offer = client.offer.clone();
-        self.taking = Some(client);
+        self.admitting = Some(client);
         let taken = engine.admit(now, &offer, self);
         if taken.is_ok() {
-            self.taking = None;
+            self.admitting = None;
         }
         taken
     }
 
     /// What waits and was never dispatched goes to the old version, whatever its effect: nothing has run.
-    pub(super) fn move_waiting(&mut self, engine: &mut Engine, now: f64, run: u64) {
-        let Some(hub) = self.hub.upgrade() else {
+    pub(super) fn migrate_waiting(&mut self, engine: &mut Engine, now: f64, run: u64) {
+        let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(to) = hub.shares.borrow().rollback_target(run) else {
+        let Some(to) = router.shares.borrow().rollback_target(run) else {
             return;
         };
         let is_new = |c: &Client| {
@@ -136,14 +136,14 @@
         let mut waiting: Vec<u32> = self
             .clients
             .iter()
-            .filter(|(inv, c)| is_new(c) && engine.dispatch_count(**inv) == 0)
-            .map(|(&inv, _)| inv)
+            .filter(|(invocation, c)| is_new(c) && engine.dispatch_count(**invocation) == 0)
+            .map(|(&invocation, _)| invocation)
             .collect();
         waiting.sort_unstable();
-        for inv in waiting {
-            engine.on_client_cancel(now, inv, self);
-            if let Some(client) = self.clients.remove(&inv) {
-                self.moving.push(Moving {
+        for invocation in waiting {
+            engine.on_client_cancel(now, invocation, self);
+            if let Some(client) = self.clients.remove(&invocation) {
+                self.migrations.push(Migration {
                     client,
                     to: to.clone(),
                     dispatched: 0,
@@ -153,18 +153,18 @@
     }
 
     /// Takes an invocation anew, for another version. The change is in the log, and in the names of its dispatches.
-    pub(super) fn offer_again(&mut self, engine: &mut Engine, now: f64, moving: Moving) {
-        let Moving {
+    pub(super) fn readmit(&mut self, engine: &mut Engine, now: f64, migrations: Migration) {
+        let Migration {
             client:
                 Client {
                     work,
                     mut offer,
-                    inv,
+                    invocation,
                     reply,
                 },
             to,
             dispatched,
-        } = moving;
+        } = migrations;
         info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "moved to the old version");
         (offer.function, offer.is_migrated) = (to.key, true);
         (offer.concurrency, offer.load_time, offer.expected_work) =
@@ -191,15 +191,15 @@
                 Client {
                     work,
                     offer,
-                    inv,
+                    invocation,
                     reply,
                 },
             )
             .is_err()
-            && let Some(client) = self.taking.take()
+            && let Some(client) = self.admitting.take()
         {
             // The front end is ending or full; asking again is harmless, or it would not have been moved.
-            let _ = client.reply.send(Final::Throttled {
+            let _ = client.reply.send(FinalAnswer::Throttled {
                 retry_after: 0.0,
                 past_share: false,
             });
@@ -208,19 +208,19 @@
 
     /// Sends the final answer of an invocation to its client; no other function does. What it came to is evidence on
     /// its version.
-    fn answer(&mut self, inv: u32, answer: Final) {
-        let Some(client) = self.clients.remove(&inv) else {
+    fn answer(&mut self, invocation: u32, answer: FinalAnswer) {
+        let Some(client) = self.clients.remove(&invocation) else {
             return;
         };
         let timing = self.timing.take();
-        if let (Some(invoked), Some(hub)) = (client.work.invoked, self.hub.upgrade())
-            && let Some(to) = add_evidence(&hub, &client, &invoked, &answer, timing)
-            && client.offer.timeout_at - hub.now() > LEAST_TIME_TO_MOVE
+        if let (Some(invoked), Some(router)) = (client.work.invoked, self.router.upgrade())
+            && let Some(to) = add_evidence(&router, &client, &invoked, &answer, timing)
+            && client.offer.timeout_at - router.now() > MIN_TIME_TO_MIGRATE
         {
-            self.moving.push(Moving {
+            self.migrations.push(Migration {
                 client,
                 to,
-                dispatched: MOST_DISPATCHES,
+                dispatched: MAX_DISPATCHES,
             });
             return;
         }
@@ -229,7 +229,7 @@
     }
 
     fn order(&mut self, to: ExecutorId, function: u64, kind: v1::OrderKind, copies: u8) {
-        let Some(hub) = self.hub.upgrade() else {
+        let Some(router) = self.router.upgrade() else {
             return;
         };
         let Some(named) = self.names.get(&function) else {
@@ -240,14 +240,15 @@
             return;
         };
         let order = v1::Order {
-            from: Some(hub.sender.get()),
+            from: Some(router.sender.get()),
             kind: kind.into(),
             function: named.function.to_string(),
             digest: named.digest.to_string(),
             copies: copies.into(),
         };
-        let pool = self.pool(&hub, to);
-        if let Some(task) = hub.spawn(hub.clone().order(to, pool, order, function, self.now)) {
+        let pool = self.pool(&router, to);
+        if let Some(task) = router.spawn(router.clone().order(to, pool, order, function, self.now))
+        {
             task.detach();
         }
     }
@@ -256,34 +257,38 @@
 /// Adds the final answer of an invocation to the evidence on its version. Returns the old version where the invocation
 /// may go to it: its own was taken back and the answer is a failure.
 fn add_evidence(
-    hub: &Hub,
+    router: &Router,
     client: &Client,
     invoked: &RolloutAssignment,
-    answer: &Final,
+    answer: &FinalAnswer,
     timing: Option<Timing>,
 ) -> Option<Version> {
-    let mut shares = hub.shares.borrow_mut();
+    let mut shares = router.shares.borrow_mut();
     let work = &client.work;
     let (outcome, may_have_run) = match answer {
-        Final::Succeeded(_) => {
+        FinalAnswer::Succeeded(_) => {
             let Timing { took, warm } = timing.unwrap_or(Timing {
                 took: 0.0,
                 warm: false,
             });
             (AnswerOutcome::Succeeded { took, warm }, true)
         }
-        Final::Throttled { .. } => (AnswerOutcome::Throttled, false),
-        Final::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
-        Final::Errored { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
+        FinalAnswer::Throttled { .. } => (AnswerOutcome::Throttled, false),
+        FinalAnswer::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
+        FinalAnswer::Errored { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
     };
-    if let Final::Errored {
+    if let FinalAnswer::Errored {
         cause: FailureReason::TimedOut,
         ..
     } = answer
         && work.last.get() != 0
     {
-        let counts =
-            shares.record_dispatch_failure(hub.now(), work.last.get(), client.offer.function, true);
+        let counts = shares.record_dispatch_failure(
+            router.now(),
+            work.last.get(),
+            client.offer.function,
+            true,
+        );
         work.failed.set(work.failed.get() | counts);
     }
     shares.record_outcome(invoked, outcome, work.failed.get());
@@ -294,27 +299,27 @@
     shares.rollback_target(invoked.run).filter(|_| moves)
 }
 
-impl Host for Performer {
-    fn admitted(&mut self, inv: u32) {
-        if let Some(client) = self.taking.take() {
-            client.inv.set(inv);
-            self.clients.insert(inv, client);
+impl Host for ActionExecutor {
+    fn admitted(&mut self, invocation: u32) {
+        if let Some(client) = self.admitting.take() {
+            client.invocation.set(invocation);
+            self.clients.insert(invocation, client);
         }
     }
 
-    fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let Some(hub) = self.hub.upgrade() else {
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, _within: f64) {
+        let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(client) = self.clients.get(&inv) else {
+        let Some(client) = self.clients.get(&invocation) else {
             return;
         };
         let (work, version) = (client.work.clone(), client.offer.function);
         let timeout_at = client.offer.timeout_at;
         work.last.set(number(to));
-        let pool = self.pool(&hub, to);
+        let pool = self.pool(&router, to);
         let work = Dispatch {
-            inv,
+            invocation,
             number: dispatch,
             to,
             pool,
@@ -322,35 +327,38 @@
             version,
             timeout_at,
         };
-        if let Some(task) = hub.spawn(hub.clone().dispatch(work)) {
-            self.out.insert((inv, dispatch), task);
+        if let Some(task) = router.spawn(router.clone().dispatch(work)) {
+            self.out.insert((invocation, dispatch), task);
         }
     }
 
-    fn cancel(&mut self, inv: u32, dispatch: u8) {
+    fn cancel(&mut self, invocation: u32, dispatch: u8) {
         // Dropping the task drops its stream, which resets it.
-        self.out.remove(&(inv, dispatch));
+        self.out.remove(&(invocation, dispatch));
     }
 
-    fn succeeded(&mut self, inv: u32, _dispatch: u8) {
-        let brought = self.brought.take().unwrap_or(Brought::Whole(vec![]));
-        self.answer(inv, Final::Succeeded(brought));
+    fn succeeded(&mut self, invocation: u32, _dispatch: u8) {
+        let executor_response = self
+            .executor_response
+            .take()
+            .unwrap_or(ExecutorResponse::Whole(vec![]));
+        self.answer(invocation, FinalAnswer::Succeeded(executor_response));
     }
 
-    fn rejected(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+    fn rejected(&mut self, invocation: u32, retry_after: f64, past_share: bool) {
         self.answer(
-            inv,
-            Final::Throttled {
+            invocation,
+            FinalAnswer::Throttled {
                 retry_after,
                 past_share,
             },
         );
     }
 
-    fn failed(&mut self, inv: u32, cause: FailureReason, may_have_run: bool) {
+    fn failed(&mut self, invocation: u32, cause: FailureReason, may_have_run: bool) {
         self.answer(
-            inv,
-            Final::Errored {
+            invocation,
+            FinalAnswer::Errored {
                 cause,
                 may_have_run,
             },
@@ -370,12 +378,12 @@
     }
 
     fn health_check(&mut self, to: ExecutorId) {
-        let Some(hub) = self.hub.upgrade() else {
+        let Some(router) = self.router.upgrade() else {
             return;
         };
-        let pool = self.pool(&hub, to);
+        let pool = self.pool(&router, to);
         let probe = frame(&v1::Probe {
-            from: Some(hub.sender.get()),
+            from: Some(router.sender.get()),
         });
         let work = async move {
             let answered = pool
@@ -383,17 +391,17 @@
                 .await;
             debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "probed");
         };
-        if let Some(task) = hub.spawn(work) {
+        if let Some(task) = router.spawn(work) {
             task.detach();
         }
     }
 
     fn subscribe_to_endpoints(&mut self) {
-        let Some(hub) = self.hub.upgrade() else {
+        let Some(router) = self.router.upgrade() else {
             return;
         };
-        if let Some(task) = (hub.watch_roster)(&hub) {
-            self.roster = Some(task);
+        if let Some(task) = (router.watch_endpoints)(&router) {
+            self.endpoint_subscription = Some(task);
         }
     }
 }
--- a/crates/http-frontend/src/hub/refusing.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -1,24 +1,28 @@
 //! Asks whether the configuration in force lets an invocation through, when it is taken and right before the bytes of
 //! a dispatch go out.
 
-use super::Hub;
-use super::invocation::{Final, NotTaken, Work};
+use super::Router;
+use super::invocation::{FinalAnswer, RejectionReason, Work};
 use super::revision::Revision;
 use crate::config::{Refusal, Subject};
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 use orchidtally_engine::NO_METADATA;
 
-impl Hub {
+impl Router {
     /// Whether an invocation under a revision may be taken now.
     ///
     /// # Errors
     /// The configuration doesn't let it through.
-    pub fn check_admission(&self, revision: &Revision, subject: &Subject) -> Result<(), NotTaken> {
+    pub fn check_admission(
+        &self,
+        revision: &Revision,
+        subject: &Subject,
+    ) -> Result<(), RejectionReason> {
         let refusal = self
             .admission
             .get()
             .and_then(|admission| admission.refusal(revision.view.as_deref(), subject));
-        refusal.map_or(Ok(()), |refusal| Err(NotTaken::Refused(refusal)))
+        refusal.map_or(Ok(()), |refusal| Err(RejectionReason::Refused(refusal)))
     }
 
     /// Why the bytes of a dispatch may not go out now.
@@ -36,20 +40,21 @@
 
     /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is out, whose answer
     /// is the client's.
-    pub(super) fn refused(&self, (inv, n): (u32, u8), refusal: Refusal) {
-        self.play(|engine, now, performer| {
-            if let Some(task) = performer.out.remove(&(inv, n)) {
+    pub(super) fn refused(&self, (invocation, n): (u32, u8), refusal: Refusal) {
+        self.run_engine(|engine, now, action_executor| {
+            if let Some(task) = action_executor.out.remove(&(invocation, n)) {
                 task.detach();
             }
-            let sent = engine.dispatch_count(inv);
-            let another_is_out = (0..sent).any(|m| performer.out.contains_key(&(inv, m as u8)));
+            let sent = engine.dispatch_count(invocation);
+            let another_is_out =
+                (0..sent).any(|m| action_executor.out.contains_key(&(invocation, m as u8)));
             if !another_is_out {
                 // An earlier one may have run; it isn't known here how it ended.
                 let may_have_run = sent > 1;
-                engine.on_client_cancel(now, inv, performer);
-                if let Some(client) = performer.clients.remove(&inv) {
+                engine.on_client_cancel(now, invocation, action_executor);
+                if let Some(client) = action_executor.clients.remove(&invocation) {
                     // A client that went away meanwhile needs no answer.
-                    let _ = client.reply.send(Final::Refused {
+                    let _ = client.reply.send(FinalAnswer::Refused {
                         refusal,
                         may_have_run,
                     });
@@ -57,11 +62,11 @@
             }
             engine.on_dispatch_result(
                 now,
-                inv,
+                invocation,
                 n,
                 DispatchStatus::NeverSent,
                 NO_METADATA,
-                performer,
+                action_executor,
             );
         });
     }
--- a/crates/http-frontend/src/hub/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -1,7 +1,7 @@
 //! Exchanges with executors: dispatches and orders, from their first byte to what their end proves.
 
-use super::invocation::{Brought, CutOff, Work};
-use super::{Hub, number, seconds};
+use super::invocation::{ExecutorResponse, ResponseTruncated, Work};
+use super::{Router, number, seconds};
 use crate::pool::{Incoming, Pool};
 use bytes::Bytes;
 use orchidtally_deployment::EndpointSource;
@@ -25,7 +25,7 @@
 /// A dispatch of an invocation.
 pub(super) struct Dispatch {
     /// The engine's id of the invocation.
-    pub(super) inv: u32,
+    pub(super) invocation: u32,
     /// The number of the dispatch among those of the invocation.
     pub(super) number: u8,
     pub(super) to: ExecutorId,
@@ -50,26 +50,33 @@
 struct DispatchEnd<'a> {
     ending: DispatchStatus,
     told: ResponseMetadata<'a>,
-    brought: Option<Brought>,
+    executor_response: Option<ExecutorResponse>,
     timing: Option<Timing>,
 }
 
-impl Hub {
-    fn dispatch_ended(&self, dispatch: &Dispatch, end: DispatchEnd) {
-        let (inv, number) = (dispatch.inv, dispatch.number);
-        self.play(|engine, now, performer| {
-            performer.timing = end.timing;
-            if let Some(task) = performer.out.remove(&(inv, number)) {
+impl Router {
+    fn report_dispatch_result(&self, dispatch: &Dispatch, end: DispatchEnd) {
+        let (invocation, number) = (dispatch.invocation, dispatch.number);
+        self.run_engine(|engine, now, action_executor| {
+            action_executor.timing = end.timing;
+            if let Some(task) = action_executor.out.remove(&(invocation, number)) {
                 task.detach();
             }
-            performer.brought = end.brought;
-            engine.on_dispatch_result(now, inv, number, end.ending, end.told, performer);
-            performer.brought = None;
+            action_executor.executor_response = end.executor_response;
+            engine.on_dispatch_result(
+                now,
+                invocation,
+                number,
+                end.ending,
+                end.told,
+                action_executor,
+            );
+            action_executor.executor_response = None;
         });
     }
 
     /// Notes what the end of an exchange says of whether the executor is there.
-    fn heard_of(&self, executor: ExecutorId, seen: Option<Transport>) {
+    fn record_reachability(&self, executor: ExecutorId, seen: Option<Transport>) {
         if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
         }
@@ -81,8 +88,13 @@
             Some(Transport::NoConnection) => {
                 let update = self.cache.borrow_mut().on_connection_failure(&executor);
                 if let Some(update) = update {
-                    self.play(|engine, now, performer| {
-                        engine.on_endpoint_update(now, update.kind, &update.endpoints, performer)
+                    self.run_engine(|engine, now, action_executor| {
+                        engine.on_endpoint_update(
+                            now,
+                            update.kind,
+                            &update.endpoints,
+                            action_executor,
+                        )
                     });
                 }
             }
@@ -91,7 +103,7 @@
     }
 
     /// Two front ends with one index share a turn at each cold executor.
-    fn another_has_index(&self, executor: ExecutorId) {
+    fn on_duplicate_index(&self, executor: ExecutorId) {
         self.index_taken.set(self.index_taken.get() + 1);
         let warned_lately = self
             .warned_of_index
@@ -109,7 +121,7 @@
         let refusal = Cell::new(None);
         let head = || {
             let refused = self.dispatch_refusal(&dispatch.work);
-            let may_leave = refused.is_none() && self.still_holds(&dispatch);
+            let may_leave = refused.is_none() && self.is_dispatch_still_valid(&dispatch);
             refusal.set(refused);
             may_leave.then(|| frame(&self.dispatch_head(&dispatch)))
         };
@@ -119,30 +131,30 @@
             .exchange_if::<v1::Answer>(DISPATCH, head, payload)
             .await;
         if let Some(refusal) = refusal.take() {
-            return self.refused((dispatch.inv, dispatch.number), refusal);
+            return self.refused((dispatch.invocation, dispatch.number), refusal);
         }
-        self.heard_of(dispatch.to, exchanged.as_ref().err().copied());
+        self.record_reachability(dispatch.to, exchanged.as_ref().err().copied());
         match exchanged {
             Ok((answer, incoming)) => {
-                self.dispatch_answered(&dispatch, began, answer, incoming)
+                self.on_dispatch_answer(&dispatch, began, answer, incoming)
                     .await
             }
-            Err(seen) => self.dispatch_broke_off(&dispatch, seen),
+            Err(seen) => self.on_dispatch_broken(&dispatch, seen),
         }
     }
 
     /// Asks the module again, as bytes go out that may have waited for a connection: the executor may drain by now, the
     /// client's time or the window of its token be over.
-    fn still_holds(&self, dispatch: &Dispatch) -> bool {
-        let now = self.look();
+    fn is_dispatch_still_valid(&self, dispatch: &Dispatch) -> bool {
+        let now = self.observe_clock();
         self.engine
             .borrow_mut()
-            .revalidate_dispatch(now, dispatch.inv, dispatch.number)
+            .revalidate_dispatch(now, dispatch.invocation, dispatch.number)
     }
 
     /// The same of an order to load that was given at a time.
-    fn order_still_holds(&self, to: ExecutorId, given_at: f64) -> bool {
-        let now = self.look();
+    fn is_load_still_valid(&self, to: ExecutorId, given_at: f64) -> bool {
+        let now = self.observe_clock();
         self.engine.borrow_mut().revalidate_load(now, to, given_at)
     }
 
@@ -168,25 +180,25 @@
         }
     }
 
-    fn dispatch_broke_off(&self, dispatch: &Dispatch, seen: Transport) {
+    fn on_dispatch_broken(&self, dispatch: &Dispatch, seen: Transport) {
         let ending = evidence::ending(seen);
-        debug!(inv = dispatch.inv, n = dispatch.number, executor = %dispatch.to.0, ?seen, "a dispatch ended without an answer");
+        debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?seen, "a dispatch ended without an answer");
         // One that provably never ran says nothing of the version.
         if !ending.never_ran() {
-            self.version_failed(dispatch, true);
+            self.record_version_failure(dispatch, true);
         }
-        self.dispatch_ended(
+        self.report_dispatch_result(
             dispatch,
             DispatchEnd {
                 ending,
                 told: NO_METADATA,
-                brought: None,
+                executor_response: None,
                 timing: None,
             },
         );
     }
 
-    async fn dispatch_answered(
+    async fn on_dispatch_answer(
         &self,
         dispatch: &Dispatch,
         began: Instant,
@@ -194,7 +206,7 @@
         mut incoming: Incoming,
     ) {
         if answer.index_taken {
-            self.another_has_index(dispatch.to);
+            self.on_duplicate_index(dispatch.to);
         }
         let found = match answer.found() {
             v1::Found::Untold => CopyState::Unknown,
@@ -216,7 +228,7 @@
             warm: matches!(found, CopyState::Warm | CopyState::Unknown),
         };
         let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
-        let (seen, brought) = match answer.ending() {
+        let (seen, executor_response) = match answer.ending() {
             v1::Ending::Ok if answer.streams && may_stream => (
                 self.stream_answer(dispatch, timing(), &mut incoming).await,
                 None,
@@ -227,13 +239,13 @@
             {
                 Ok(chunks) => (
                     Transport::Answered(DispatchStatus::Ok),
-                    Some(Brought::Whole(chunks)),
+                    Some(ExecutorResponse::Whole(chunks)),
                 ),
                 Err(seen) => (seen, None),
             },
             v1::Ending::Error => {
                 if found != CopyState::LoadFailed {
-                    self.version_failed(dispatch, false);
+                    self.record_version_failure(dispatch, false);
                 }
                 (Transport::Answered(DispatchStatus::Error), None)
             }
@@ -247,12 +259,12 @@
             load_report: &answer.report,
         };
         let ending = evidence::ending(seen);
-        self.dispatch_ended(
+        self.report_dispatch_result(
             dispatch,
             DispatchEnd {
                 ending,
                 told,
-                brought,
+                executor_response,
                 timing: Some(timing()),
             },
         );
@@ -266,23 +278,27 @@
         incoming: &mut Incoming,
     ) -> Transport {
         let (parts, body) = async_channel::bounded(STREAM_PARTS);
-        let is_first = self.play(|engine, now, performer| {
-            performer.brought = Some(Brought::Streamed(body));
-            performer.timing = Some(timing);
-            let is_first =
-                engine.on_response_started(now, dispatch.inv, dispatch.number, performer);
-            performer.brought = None;
+        let is_first = self.run_engine(|engine, now, action_executor| {
+            action_executor.executor_response = Some(ExecutorResponse::Streamed(body));
+            action_executor.timing = Some(timing);
+            let is_first = engine.on_response_started(
+                now,
+                dispatch.invocation,
+                dispatch.number,
+                action_executor,
+            );
+            action_executor.executor_response = None;
             is_first
         });
         if is_first {
-            self.pass_on(incoming, parts).await
+            self.forward_stream(incoming, parts).await
         } else {
             Transport::Reset
         }
     }
 
     /// A dispatch failed in a way that may count against its version.
-    fn version_failed(&self, dispatch: &Dispatch, broke: bool) {
+    fn record_version_failure(&self, dispatch: &Dispatch, broke: bool) {
         let executor = number(dispatch.to);
         let counts = self.shares.borrow_mut().record_dispatch_failure(
             self.now(),
@@ -295,10 +311,10 @@
     }
 
     /// Passes on the parts of a streamed answer. A client that does not read for the sender's time is given up.
-    async fn pass_on(
+    async fn forward_stream(
         &self,
         incoming: &mut Incoming,
-        parts: async_channel::Sender<Result<Bytes, CutOff>>,
+        parts: async_channel::Sender<Result<Bytes, ResponseTruncated>>,
     ) -> Transport {
         let time = seconds(self.deployment.limits.request_read_timeout);
         loop {
@@ -306,13 +322,19 @@
                 Some(Ok(Some(part))) => Ok(part),
                 Some(Ok(None)) => return Transport::Answered(DispatchStatus::Ok),
                 Some(Err(seen)) => {
-                    let _ =
-                        orchidtally_socket_io::with_timeout(time, parts.send(Err(CutOff))).await;
+                    let _ = orchidtally_socket_io::with_timeout(
+                        time,
+                        parts.send(Err(ResponseTruncated)),
+                    )
+                    .await;
                     return seen;
                 }
                 None => {
-                    let _ =
-                        orchidtally_socket_io::with_timeout(time, parts.send(Err(CutOff))).await;
+                    let _ = orchidtally_socket_io::with_timeout(
+                        time,
+                        parts.send(Err(ResponseTruncated)),
+                    )
+                    .await;
                     return Transport::TimedOut;
                 }
             };
@@ -337,7 +359,7 @@
         // One that loads nothing may always go.
         let head = || {
             let may_leave =
-                order.kind() != v1::OrderKind::Hold || self.order_still_holds(to, given_at);
+                order.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, given_at);
             may_leave.then(|| frame(&order))
         };
         let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
@@ -367,8 +389,8 @@
                     differs,
                 );
             }
-            self.play(|engine, now, performer| {
-                engine.on_load_result(now, to, function, ending, performer)
+            self.run_engine(|engine, now, action_executor| {
+                engine.on_load_result(now, to, function, ending, action_executor)
             });
         }
     }
--- a/crates/http-frontend/src/hub/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -1,6 +1,6 @@
 //! Invocations: what they carry, how one is taken, and their final answers.
 
-use super::Hub;
+use super::Router;
 use super::revision::{Revision, TriggerTypeInForce};
 use crate::config::{Refusal, Subject};
 use bytes::Bytes;
@@ -14,23 +14,23 @@
 use tracing::info;
 
 /// An invocation that was taken.
-struct Taken {
+struct AdmittedInvocation {
     /// The engine's id for it, which changes where it is moved to another version.
-    inv: Rc<Cell<u32>>,
-    answer: oneshot::Receiver<Final>,
+    invocation: Rc<Cell<u32>>,
+    answer: oneshot::Receiver<FinalAnswer>,
 }
 
 /// Withdraws an invocation whose client goes away before it is answered.
-struct WithdrawGuard<'a> {
-    hub: &'a Hub,
-    inv: Rc<Cell<u32>>,
+struct CancelGuard<'a> {
+    router: &'a Router,
+    invocation: Rc<Cell<u32>>,
     is_answered: bool,
 }
 
-impl Drop for WithdrawGuard<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.hub.withdraw(self.inv.get());
+            self.router.cancel_invocation(self.invocation.get());
         }
     }
 }
@@ -68,7 +68,7 @@
 }
 
 /// What an ingress asks for.
-pub struct Asked<'a> {
+pub struct IngressRequest<'a> {
     /// The name of the invocation.
     pub name: String,
     pub function: Rc<str>,
@@ -86,7 +86,7 @@
     pub payload_bytes: u64,
 }
 
-impl Asked<'_> {
+impl IngressRequest<'_> {
     /// What it uses, by name.
     pub fn subject(&self) -> Subject<'_> {
         let trigger_type = &self.trigger_type.trigger.name;
@@ -100,7 +100,7 @@
 
 /// Why an invocation was not taken; nothing of it was dispatched.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum RejectionReason {
     /// As many invocations are open as may be.
     Full,
     /// The front end is ending.
@@ -109,11 +109,11 @@
     Refused(Refusal),
 }
 
-impl From<AdmissionError> for NotTaken {
-    fn from(refused: AdmissionError) -> NotTaken {
+impl From<AdmissionError> for RejectionReason {
+    fn from(refused: AdmissionError) -> RejectionReason {
         match refused {
-            AdmissionError::AtCapacity => NotTaken::Full,
-            AdmissionError::ShuttingDown => NotTaken::Leaving,
+            AdmissionError::AtCapacity => RejectionReason::Full,
+            AdmissionError::ShuttingDown => RejectionReason::Leaving,
         }
     }
 }
@@ -121,7 +121,7 @@
 /// A streamed answer was cut off by its executor.
 #[derive(Debug, thiserror::Error)]
 #[error("the executor broke off in the middle of its answer")]
-pub struct CutOff;
+pub struct ResponseTruncated;
 
 /// The front end lost track of an invocation, which may have run.
 #[derive(Debug, thiserror::Error)]
@@ -129,17 +129,17 @@
 pub struct AnswerLost;
 
 /// The body of an answer.
-pub enum Brought {
+pub enum ExecutorResponse {
     /// All of it.
     Whole(Vec<Bytes>),
     /// Parts that are still to come.
-    Streamed(async_channel::Receiver<Result<Bytes, CutOff>>),
+    Streamed(async_channel::Receiver<Result<Bytes, ResponseTruncated>>),
 }
 
 /// The final answer, on its way to the client.
-pub enum Final {
+pub enum FinalAnswer {
     /// The function has answered.
-    Succeeded(Brought),
+    Succeeded(ExecutorResponse),
     /// There was no room in time; nothing has run.
     Throttled {
         /// Seconds to stay away.
@@ -168,23 +168,27 @@
     pub(super) work: Rc<Work>,
     pub(super) offer: InvocationRequest,
     /// The engine's id for it, which changes where it is moved to another version.
-    pub(super) inv: Rc<Cell<u32>>,
-    pub(super) reply: oneshot::Sender<Final>,
+    pub(super) invocation: Rc<Cell<u32>>,
+    pub(super) reply: oneshot::Sender<FinalAnswer>,
 }
 
-impl Hub {
+impl Router {
     /// Takes an invocation. The receiver gets its final answer.
-    fn take(&self, offer: InvocationRequest, work: Work) -> Result<Taken, AdmissionError> {
+    fn take(
+        &self,
+        offer: InvocationRequest,
+        work: Work,
+    ) -> Result<AdmittedInvocation, AdmissionError> {
         let (reply, answer) = oneshot::channel();
-        let inv = Rc::new(Cell::new(0));
+        let invocation = Rc::new(Cell::new(0));
         let client = Client {
             work: Rc::new(work),
             offer,
-            inv: inv.clone(),
+            invocation: invocation.clone(),
             reply,
         };
-        self.play(|engine, now, performer| performer.offer(engine, now, client))?;
-        Ok(Taken { inv, answer })
+        self.run_engine(|engine, now, action_executor| action_executor.offer(engine, now, client))?;
+        Ok(AdmittedInvocation { invocation, answer })
     }
 
     /// Invokes what an ingress asks for, and waits for the final answer. Whoever stops waiting withdraws the
@@ -192,11 +196,14 @@
     ///
     /// # Errors
     /// The invocation was not taken: nothing of it was dispatched.
-    pub async fn invoke(&self, asked: Asked<'_>) -> Result<Result<Final, AnswerLost>, NotTaken> {
-        let Taken { inv, answer } = self.take_asked(asked)?;
-        let mut guard = WithdrawGuard {
-            hub: self,
-            inv,
+    pub async fn invoke(
+        &self,
+        asked: IngressRequest<'_>,
+    ) -> Result<Result<FinalAnswer, AnswerLost>, RejectionReason> {
+        let AdmittedInvocation { invocation, answer } = self.admit_request(asked)?;
+        let mut guard = CancelGuard {
+            router: self,
+            invocation,
             is_answered: false,
         };
         let answer = answer.await;
@@ -204,7 +211,7 @@
         Ok(answer.map_err(|_| AnswerLost))
     }
 
-    fn take_asked(&self, asked: Asked) -> Result<Taken, NotTaken> {
+    fn admit_request(&self, asked: IngressRequest) -> Result<AdmittedInvocation, RejectionReason> {
         self.check_admission(&asked.revision, &asked.subject())?;
         let ResolvedVersion {
             version,
@@ -262,7 +269,7 @@
     }
 
     /// What the coordinators said, and what is due by the time: runs that were taken back give up what waits.
-    pub fn rollouts_turn(&self, published: Option<Published>) {
+    pub fn apply_rollouts(&self, published: Option<Published>) {
         let now = self.now();
         let revision = self.revision();
         let mut shares = self.shares.borrow_mut();
@@ -273,7 +280,9 @@
         drop(shares);
         for &run in &back {
             info!(run, "a rollout was taken back");
-            self.play(|engine, now, performer| performer.move_waiting(engine, now, run));
+            self.run_engine(|engine, now, action_executor| {
+                action_executor.migrate_waiting(engine, now, run)
+            });
         }
         for ahead in due {
             let wish = orchidtally_dispatch_policy::interface::PrewarmRequest {
@@ -282,15 +291,15 @@
                 load_time: ahead.version.load_time,
                 replicas: ahead.copies,
             };
-            let (known, ordered) = self.play(|engine, now, performer| {
-                performer.name(
+            let (known, ordered) = self.run_engine(|engine, now, action_executor| {
+                action_executor.name(
                     ahead.version.key,
                     ahead.function.as_str().into(),
                     ahead.version.digest.clone(),
                 );
                 let before = engine.counters().load_commands;
                 (
-                    engine.prewarm(now, &wish, performer),
+                    engine.prewarm(now, &wish, action_executor),
                     engine.counters().load_commands > before,
                 )
             });
@@ -300,10 +309,10 @@
         }
     }
 
-    fn withdraw(&self, inv: u32) {
-        self.play(|engine, now, performer| {
-            engine.on_client_cancel(now, inv, performer);
-            performer.clients.remove(&inv);
+    fn cancel_invocation(&self, invocation: u32) {
+        self.run_engine(|engine, now, action_executor| {
+            engine.on_client_cancel(now, invocation, action_executor);
+            action_executor.clients.remove(&invocation);
         });
     }
 }
--- a/crates/http-frontend/src/hub/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -1,22 +1,26 @@
 //! One front end: its engine, and what performs the engine's commands on sockets. All of it lives on one thread;
 //! nothing is shared with other front ends.
 
+mod action_executor;
+mod dispatch_admission;
 mod exchange;
 mod invocation;
-mod performer;
 mod reconfigure;
-mod refusing;
 mod revision;
 mod trigger_status;
 mod view_age;
 
-pub use invocation::{AnswerLost, Asked, Brought, CutOff, Final, NamedCustomer, NotTaken};
+pub use invocation::{
+    AnswerLost, ExecutorResponse, FinalAnswer, IngressRequest, NamedCustomer, RejectionReason,
+    ResponseTruncated,
+};
 pub use reconfigure::ReconfigureError;
 pub use revision::{Revision, TriggerTypeInForce};
 pub use trigger_status::TriggerStatus;
 
 use crate::config::Admission;
-use crate::promise_store::PromiseStore;
+use crate::durable_invocation_store::DurableInvocationStore;
+use action_executor::ActionExecutor;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use orchidtally_deployment::{Deployment, EndpointSource};
@@ -29,7 +33,6 @@
 use orchidtally_membership::members::MAX_VIEW_DELAY;
 use orchidtally_membership::{EndpointCache, Members};
 use orchidtally_rollout::TrafficSplit;
-use performer::Performer;
 use reconfigure::Revisions;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::future::Future;
@@ -40,18 +43,18 @@
 use tracing::warn;
 
 /// Starts to follow the list of executors, and returns the task that does it if it is to be replaced at the next call.
-pub type RosterWatcher = fn(&Rc<Hub>) -> Option<Task<()>>;
+pub type EndpointWatcher = fn(&Rc<Router>) -> Option<Task<()>>;
 
 /// How often the wall clock is read and idle connections are closed.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 /// How long the name of a version is kept after its last invocation.
-const KEEP_NAMES: Duration = Duration::from_secs(120);
+const VERSION_NAME_RETENTION: Duration = Duration::from_secs(120);
 /// The longest time that a timer sleeps, in seconds.
 const MAX_SLEEP: f64 = 86_400.0;
 
 /// One front end.
-pub struct Hub {
-    /// The deployment with which the front end started. What may have changed since is in [`Hub::revision`].
+pub struct Router {
+    /// The deployment with which the front end started. What may have changed since is in [`Router::revision`].
     pub deployment: Rc<Deployment>,
     revisions: Revisions,
     /// How the front end names itself to executors. Its index changes where it claims one in etcd.
@@ -65,9 +68,9 @@
     engine: RefCell<Engine>,
     /// What the front end knows of rollouts.
     pub shares: RefCell<TrafficSplit>,
-    performer: RefCell<Performer>,
+    action_executor: RefCell<ActionExecutor>,
     clock: RefCell<Clock>,
-    standstills: RefCell<StallDetector>,
+    stall_detector: RefCell<StallDetector>,
     started: Instant,
     spawner: Weak<LocalExecutor<'static>>,
     armed_for: Cell<f64>,
@@ -78,13 +81,13 @@
     /// The state of triggers by messages, where there are any.
     pub triggers: Cell<Option<TriggerStatus>>,
     /// Promises to HTTP clients, where the deployment has a journal.
-    pub promise_store: Option<Rc<PromiseStore>>,
+    pub durable_invocation_store: Option<Rc<DurableInvocationStore>>,
     /// Whether the configuration in force lets invocations through, where it comes from a store.
     pub admission: OnceCell<Admission>,
-    is_leaving: Cell<bool>,
-    watch_roster: RosterWatcher,
+    is_draining: Cell<bool>,
+    watch_endpoints: EndpointWatcher,
     /// The address at which it takes invocations.
-    pub at: Cell<Option<SocketAddr>>,
+    pub listen_address: Cell<Option<SocketAddr>>,
 }
 
 /// A number that tells executors apart. It is never 0.
@@ -95,7 +98,7 @@
 }
 
 /// Seconds since 1970 by the system's clock.
-fn wall() -> f64 {
+fn wall_clock_seconds() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |d| d.as_secs_f64())
@@ -105,7 +108,7 @@
     Duration::try_from_secs_f64(time.clamp(0.0, MAX_SLEEP)).unwrap_or_default()
 }
 
-impl Hub {
+impl Router {
     /// A front end that follows nothing yet. `ahead` are seconds by which its wall clock is taken to be ahead, for tests
     /// of skew; `random` replaces the dispatch module by random choice, for comparisons.
     pub fn new(
@@ -113,28 +116,28 @@
         seed: u64,
         ahead: f64,
         random: bool,
-        promise_store: Option<Rc<PromiseStore>>,
-        watch_roster: RosterWatcher,
+        durable_invocation_store: Option<Rc<DurableInvocationStore>>,
+        watch_endpoints: EndpointWatcher,
         spawner: &Rc<LocalExecutor<'static>>,
-    ) -> Rc<Hub> {
+    ) -> Rc<Router> {
         let deployment = Rc::new(deployment);
         let started = Instant::now();
-        let clock = RefCell::new(Clock::new(0.0, wall() + ahead));
+        let clock = RefCell::new(Clock::new(0.0, wall_clock_seconds() + ahead));
         let now = clock.borrow_mut().read(0.0);
         let sender = v1::Sender {
             index: deployment.policy.front_end_index as u32,
             count: deployment.policy.front_ends as u32,
             incarnation: seed,
         };
-        let hub = Rc::new_cyclic(|hub: &Weak<Hub>| {
-            let mut performer = Performer::new(hub.clone());
+        let router = Rc::new_cyclic(|router: &Weak<Router>| {
+            let mut action_executor = ActionExecutor::new(router.clone());
             let (policy, most) = (
                 deployment.policy.clone(),
                 deployment.limits.max_open_invocations,
             );
             let engine = match random {
                 true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
-                false => Engine::new(policy, most, seed, now, &mut performer),
+                false => Engine::new(policy, most, seed, now, &mut action_executor),
             };
             let place = orchidtally_rollout::frontend::FrontEndInfo {
                 index: sender.index,
@@ -143,7 +146,7 @@
                 sends_load_commands: deployment.policy.allows_load_commands && !random,
                 keep_alive: deployment.policy.keep_alive,
             };
-            Hub {
+            Router {
                 shares: RefCell::new(TrafficSplit::new(place, now)),
                 revisions: Revisions::new(deployment.clone()),
                 deployment,
@@ -152,9 +155,9 @@
                 members: RefCell::new(Members::new(sender.count)),
                 slot_count: Cell::new((0, f64::INFINITY)),
                 engine: RefCell::new(engine),
-                performer: RefCell::new(performer),
+                action_executor: RefCell::new(action_executor),
                 clock,
-                standstills: RefCell::new(StallDetector::new(now)),
+                stall_detector: RefCell::new(StallDetector::new(now)),
                 started,
                 spawner: Rc::downgrade(spawner),
                 armed_for: Cell::new(f64::INFINITY),
@@ -162,19 +165,19 @@
                 warned_of_index: Cell::new(None),
                 index_taken: Cell::new(0),
                 triggers: Cell::new(None),
-                promise_store,
+                durable_invocation_store,
                 admission: OnceCell::new(),
-                is_leaving: Cell::new(false),
-                watch_roster,
-                at: Cell::new(None),
+                is_draining: Cell::new(false),
+                watch_endpoints,
+                listen_address: Cell::new(None),
             }
         });
-        if let EndpointSource::Listed(rows) = &hub.deployment.endpoint_source {
-            hub.play(|engine, now, performer| {
-                engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, performer)
+        if let EndpointSource::Listed(rows) = &router.deployment.endpoint_source {
+            router.run_engine(|engine, now, action_executor| {
+                engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, action_executor)
             });
         }
-        hub
+        router
     }
 
     /// Seconds since 1970, by a clock that never goes back.
@@ -183,7 +186,7 @@
             .clock
             .borrow_mut()
             .read(self.started.elapsed().as_secs_f64());
-        self.standstills.borrow_mut().observe(now);
+        self.stall_detector.borrow_mut().observe(now);
         now
     }
 
@@ -198,16 +201,19 @@
     }
 
     /// Calls the engine; every call passes here.
-    pub fn play<T>(&self, input: impl FnOnce(&mut Engine, f64, &mut Performer) -> T) -> T {
-        let now = self.look();
+    pub fn run_engine<T>(
+        &self,
+        input: impl FnOnce(&mut Engine, f64, &mut ActionExecutor) -> T,
+    ) -> T {
+        let now = self.observe_clock();
         let mut engine = self.engine.borrow_mut();
-        let mut performer = self.performer.borrow_mut();
-        performer.now = now;
-        let result = input(&mut engine, now, &mut performer);
-        while let Some(moving) = performer.moving.pop() {
-            performer.offer_again(&mut engine, now, moving);
+        let mut action_executor = self.action_executor.borrow_mut();
+        action_executor.now = now;
+        let result = input(&mut engine, now, &mut action_executor);
+        while let Some(migrations) = action_executor.migrations.pop() {
+            action_executor.readmit(&mut engine, now, migrations);
         }
-        drop(performer);
+        drop(action_executor);
         if engine.next_deadline() < self.armed_for.get() {
             // A full channel has woken the timer already.
             let _ = self.rearm.0.try_send(());
@@ -216,14 +222,14 @@
     }
 
     /// Calls the engine when it is due, for as long as the front end lives.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.engine.borrow().next_deadline();
             self.armed_for.set(due);
             let left = due - self.now();
             if left > 0.0 {
                 let woken = async {
-                    // The hub itself holds the other end.
+                    // The router itself holds the other end.
                     let _ = self.rearm.1.recv().await;
                 };
                 if due.is_finite() {
@@ -232,7 +238,9 @@
                     woken.await;
                 }
             } else {
-                self.play(|engine, now, performer| engine.run_due_timers(now, performer));
+                self.run_engine(|engine, now, action_executor| {
+                    engine.run_due_timers(now, action_executor)
+                });
                 futures_lite::future::yield_now().await;
             }
         }
@@ -240,7 +248,7 @@
 
     /// Follows the wall clock, closes idle connections and forgets names, for as long as the front end lives. `step` is
     /// a time in seconds and how far the wall clock is stepped then, for tests.
-    pub async fn keep_house(self: Rc<Self>, ahead: f64, step: Option<(f64, f64)>) {
+    pub async fn run_maintenance(self: Rc<Self>, ahead: f64, step: Option<(f64, f64)>) {
         let mut warned = false;
         loop {
             Timer::after(HOUSEKEEPING_INTERVAL).await;
@@ -249,7 +257,7 @@
             let stepped = step
                 .filter(|(at, _)| monotonic >= *at)
                 .map_or(0.0, |(_, by)| by);
-            clock.anchor(monotonic, wall() + ahead + stepped);
+            clock.anchor(monotonic, wall_clock_seconds() + ahead + stepped);
             let astray = clock.astray();
             drop(clock);
             let far = astray.abs() > self.deployment.policy.max_clock_skew / 2.0;
@@ -260,23 +268,23 @@
                 );
             }
             warned = far;
-            let mut performer = self.performer.borrow_mut();
-            performer.pools.retain(|_, pool| !pool.sweep());
-            performer
+            let mut action_executor = self.action_executor.borrow_mut();
+            action_executor.pools.retain(|_, pool| !pool.sweep());
+            action_executor
                 .names
-                .retain(|_, named| named.at.elapsed() < KEEP_NAMES);
+                .retain(|_, named| named.at.elapsed() < VERSION_NAME_RETENTION);
         }
     }
 
     /// From now on nothing new is taken.
     pub fn leave(&self) {
-        self.is_leaving.set(true);
+        self.is_draining.set(true);
         self.engine.borrow_mut().start_draining();
     }
 
     /// Whether nothing new is taken any more.
-    pub fn is_leaving(&self) -> bool {
-        self.is_leaving.get()
+    pub fn is_draining(&self) -> bool {
+        self.is_draining.get()
     }
 
     /// The number of open invocations.
@@ -291,7 +299,7 @@
 
     /// Tells the dispatch module how many front ends share the fleet. The number of slots is a power of two, so that it
     /// changes seldom; a front end joins a new number once all must have seen it.
-    pub fn count_front_ends(&self) {
+    pub fn update_membership_view(&self) {
         let now = self.now();
         let estimate = self.members.borrow().estimate(now);
         let slot_count = estimate.count.next_power_of_two();
@@ -311,6 +319,8 @@
             front_end_index: f64::from(index),
             has_budget_share: shares,
         };
-        self.play(|engine, now, performer| engine.on_membership_change(now, living, performer));
+        self.run_engine(|engine, now, action_executor| {
+            engine.on_membership_change(now, living, action_executor)
+        });
     }
 }
--- a/crates/http-frontend/src/hub/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -1,6 +1,6 @@
 //! Replaces the revision in force, whole or not at all.
 
-use super::Hub;
+use super::Router;
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
 use crate::config::{ConfigView, Overlay};
 use orchidtally_deployment::Deployment;
@@ -166,7 +166,7 @@
     }
 }
 
-impl Hub {
+impl Router {
     /// The revision in force. Whoever looks up more than one thing for an invocation takes it once.
     pub fn revision(&self) -> Rc<Revision> {
         self.revisions.current()
@@ -224,7 +224,7 @@
                 .any(|known| Rc::ptr_eq(known, wanted))
         };
         // What the engine takes before it refuses is under indices that no invocation can name.
-        self.play(|engine, now, _| {
+        self.run_engine(|engine, now, _| {
             for added in trigger_types.iter().filter(is_new) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
             }
--- a/crates/http-frontend/src/hub/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -1,34 +1,36 @@
 //! How old the list of executors is, as the engine has to know it: when its source was asked that has answered, and
 //! whether the process stood still since.
 
-use super::Hub;
+use super::Router;
 use async_io::Timer;
 use orchidtally_engine::stall_detector::MAX_OBSERVATION_INTERVAL;
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::warn;
 
-impl Hub {
+impl Router {
     /// The list was true when its source was asked at a time, which has answered that.
-    pub fn roster_confirmed(&self, asked_at: f64) {
-        self.play(|engine, now, performer| engine.on_view_confirmed(now, asked_at, performer));
+    pub fn endpoints_confirmed(&self, asked_at: f64) {
+        self.run_engine(|engine, now, action_executor| {
+            engine.on_view_confirmed(now, asked_at, action_executor)
+        });
     }
 
     /// What the source was asked at a time has no answer.
-    pub fn roster_lost(&self, asked_at: f64) {
-        self.play(|engine, now, _| engine.on_view_lost(now, asked_at));
+    pub fn endpoints_lost(&self, asked_at: f64) {
+        self.run_engine(|engine, now, _| engine.on_view_lost(now, asked_at));
     }
 
     /// When bytes that are read now may have come: they may have waited while the process stood still.
     pub fn arrived_by(&self) -> f64 {
         let now = self.now();
-        self.standstills.borrow().arrival_bound(now)
+        self.stall_detector.borrow().arrival_bound(now)
     }
 
     /// The time; the engine hears of it if the process stood still until now.
-    pub(super) fn look(&self) -> f64 {
+    pub(super) fn observe_clock(&self) -> f64 {
         let now = self.now();
-        if let Some(seconds) = self.standstills.borrow_mut().take_stall() {
+        if let Some(seconds) = self.stall_detector.borrow_mut().take_stall() {
             warn!(
                 seconds,
                 "the process stood still: nothing goes out on an old list until its source has answered"
@@ -42,7 +44,7 @@
     pub async fn watch_clock(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_secs_f64(MAX_OBSERVATION_INTERVAL)).await;
-            self.look();
+            self.observe_clock();
         }
     }
 }
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -145,7 +145,7 @@
                 stop: stopped,
                 random: false,
                 triggers: None,
-                promise_store: None,
+                durable_invocation_store: None,
                 reloads: None,
             };
             orchidtally_http_frontend::run(start, listener);
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -177,7 +177,7 @@
             stop: stopped,
             random: false,
             triggers: None,
-            promise_store: None,
+            durable_invocation_store: None,
             reloads: None,
         };
         orchidtally_http_frontend::run(start, listener);
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -100,7 +100,7 @@
                 stop: stopped,
                 random: false,
                 triggers: None,
-                promise_store: None,
+                durable_invocation_store: None,
                 reloads: None,
             },
             listener,
--- a/crates/http-frontend/tests/stored_formats.rs
+++ b/crates/http-frontend/tests/stored_formats.rs
@@ -37,17 +37,20 @@
 #[test]
 fn a_front_ends_entry_in_etcd_has_the_text_of_the_format() {
     let entry = OwnEntry {
-        life: u64::MAX,
+        incarnation: u64::MAX,
         location: "east".into(),
-        at: Some("127.0.0.1:7300".parse().expect("an address")),
+        listen_address: Some("127.0.0.1:7300".parse().expect("an address")),
     };
     let text = serde_json::to_string(&entry).expect("it can be written");
     assert_eq!(
         text,
         r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#
     );
-    let unknown =
-        serde_json::to_string(&OwnEntry { at: None, ..entry }).expect("it can be written");
+    let unknown = serde_json::to_string(&OwnEntry {
+        listen_address: None,
+        ..entry
+    })
+    .expect("it can be written");
     assert_eq!(
         unknown,
         r#"{"life":18446744073709551615,"location":"east","at":null}"#
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -6,8 +6,8 @@
 use futures_rustls::pki_types::PrivateKeyDer;
 use futures_rustls::rustls::ServerConfig;
 use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
 use orchidtally_http_frontend::mqtt::Triggers;
-use orchidtally_http_frontend::promise_store::PromiseStore;
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_test_servers::broker::{BrokerServer, ByteStream, Message, StreamWrapper};
@@ -120,7 +120,7 @@
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_secs_f64();
-        let promise_store = PromiseStore::open(&deployment, now).unwrap();
+        let durable_invocation_store = DurableInvocationStore::open(&deployment, now).unwrap();
         let start = Start {
             deployment,
             seed: 7,
@@ -129,7 +129,7 @@
             stop: stopped,
             random: false,
             triggers,
-            promise_store,
+            durable_invocation_store,
             reloads: None,
         };
         orchidtally_http_frontend::run(start, listener);
