--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -1,4 +1,5 @@
-//! The pages that a newcomer reads first name only files that exist.
+//! The pages that a newcomer reads first name only files that exist, and the page for whoever is on call has every
+//! message that the programs warn with.
 
 use std::path::{Path, PathBuf};
 
@@ -21,6 +22,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
+/// Crates whose messages operators see.
+const LOGGING_CRATES: [&str; 4] = [
+    "crates/cli",
+    "crates/coordinator",
+    "crates/http-frontend",
+    "crates/platform-frontend",
+];
+
 /// Texts between backticks, outside of fenced and indented blocks.
 fn code_spans(page: &str) -> Vec<String> {
     let mut spans = vec![];
@@ -72,3 +81,73 @@
     assert!(missing.is_empty(), "{missing:#?}");
     assert!(checked > 50, "{checked} paths were found");
 }
+
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
+    let mut files = vec![];
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            files.extend(rust_files(&path));
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            files.push(path);
+        }
+    }
+    files
+}
+
+/// The string literals of a macro's arguments, which `code` begins with.
+fn string_literals(code: &str) -> Vec<String> {
+    let mut literals = vec![];
+    let mut current: Option<String> = None;
+    let mut depth = 1;
+    let mut characters = code.chars().peekable();
+    while let Some(character) = characters.next() {
+        match (&mut current, character) {
+            (Some(_), '\\') if characters.peek() == Some(&'\n') => {
+                // A line that is continued without its indentation.
+                while characters.next_if(|next| next.is_whitespace()).is_some() {}
+            }
+            (Some(literal), '\\') => literal.extend(characters.next()),
+            (Some(_), '"') => literals.extend(current.take()),
+            (Some(literal), _) => literal.push(character),
+            (None, '"') => current = Some(String::new()),
+            (None, '(') => depth += 1,
+            (None, ')') => depth -= 1,
+            (None, _) => {}
+        }
+        if depth == 0 {
+            break;
+        }
+    }
+    literals
+}
+
+/// The texts of the calls of `warn!` and `error!` in a source file; those without a text of their own are left out.
+fn logged_messages(source: &str) -> Vec<String> {
+    ["warn!(", "error!("]
+        .iter()
+        .flat_map(|macro_name| source.split(macro_name).skip(1))
+        .filter_map(|arguments| string_literals(arguments).pop())
+        .filter(|message| !message.contains('{'))
+        .collect()
+}
+
+#[test]
+fn on_call_page_has_every_warning_and_error() {
+    let page = std::fs::read_to_string(root().join("docs/on-call.md")).unwrap();
+    let mut missing = vec![];
+    let mut checked = 0;
+    for folder in LOGGING_CRATES {
+        for file in rust_files(&root().join(folder).join("src")) {
+            let source = std::fs::read_to_string(&file).unwrap();
+            for message in logged_messages(&source) {
+                checked += 1;
+                if !page.contains(&format!("\"{message}\"")) {
+                    missing.push(format!("{}: {message}", file.display()));
+                }
+            }
+        }
+    }
+    assert!(missing.is_empty(), "{missing:#?}");
+    assert!(checked > 40, "{checked} messages were found");
+}
