--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -1,8 +1,8 @@
 //! Whether the configuration in force lets an invocation through: asked when it is taken, and again right before the
 //! bytes of a dispatch go out. A process that was paused wakes with an old view, and time has gone on.
 
+use super::front_end::FrontEndConfigHost;
 use super::overlay::{ConfigView, FUNCTIONS, QUOTAS, TRIGGER_TYPES};
-use super::router_target::RouterConfigHost;
 use orchidtally_config_sync::Verdict;
 use orchidtally_deployment::UnsyncedBehavior;
 use std::rc::Rc;
@@ -63,17 +63,23 @@
 
 /// Asks the core's verdict on invocations.
 pub struct Admission {
-    pub(super) host: Rc<RouterConfigHost>,
+    pub(super) host: Rc<FrontEndConfigHost>,
     pub(super) without_view: UnsyncedBehavior,
     /// When a client may ask again, in seconds.
     pub(super) retry_after: f64,
 }
 
 impl Admission {
-    pub fn host(&self) -> &Rc<RouterConfigHost> {
+    /// The configuration host that is asked.
+    pub fn host(&self) -> &Rc<FrontEndConfigHost> {
         &self.host
     }
 
+    /// Ends the configuration host and marks the front end as ended in the store; to be called once it serves nothing.
+    pub async fn detach(&self) {
+        self.host.leave().await;
+    }
+
     /// Why an invocation that was admitted under a view, or under none, may not be dispatched now.
     pub fn refusal(&self, admitted: Option<&ConfigView>, subject: &Subject) -> Option<Refusal> {
         subject.keys().find_map(|key| {
--- a/crates/http-frontend/src/config/leaving.rs
+++ b/crates/http-frontend/src/config/deregistration.rs
@@ -27,13 +27,13 @@
         };
         match orchidtally_socket_io::with_timeout(LEAVE_TIME, self.tell_end(lease)).await {
             Some(Ok(())) => {
-                info!("the store of the configuration knows that this front end has ended")
+                info!("deregistered from the configuration store")
             }
             Some(Err(fault)) => {
-                warn!(%fault, "writers see this front end as missing: its end was not told")
+                warn!(%fault, "deregistration failed: writers see this front end as missing")
             }
             None => {
-                warn!("writers see this front end as missing: the store did not answer in time")
+                warn!("deregistration timed out: writers see this front end as missing")
             }
         }
     }
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -14,10 +14,10 @@
 const ENVELOPE_BYTES: usize = 60;
 
 pub(super) fn header(header: Option<&ResponseHeader>) -> Header {
-    let told = header.copied().unwrap_or_default();
+    let header = header.copied().unwrap_or_default();
     Header {
-        cluster: told.cluster_id,
-        revision: told.revision,
+        cluster: header.cluster_id,
+        revision: header.revision,
     }
 }
 
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -3,59 +3,47 @@
 use super::backoff::Backoff;
 use super::clock::boot_time;
 use super::lease::Lease;
+use super::pending_view::PendingView;
 use super::settings::HostSettings;
-use super::snapshot_writes::SnapshotWrites;
-use super::status::ConfigStatus;
+use super::snapshot_queue::SnapshotQueue;
 use super::{ConfigTarget, SnapshotFile};
 use async_executor::{LocalExecutor, Task};
 use orchidtally_config_sync::{
-    Action, ConfigSync, Rejection, Report, Schema, SettingsError, SyncSettings, Verdict, View,
+    Action, ConfigSync, Rejection, Report, Schema, SettingsError, SyncSettings,
 };
-use orchidtally_etcd::{Client, ClientError};
+use orchidtally_etcd::Client;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::{Rc, Weak};
-use std::sync::Arc;
 use std::time::Duration;
-use tracing::{debug, error, info, warn};
+use tracing::{error, info};
 
-/// Views that come sooner one after the other are put in force together, in seconds. What a newer view takes away
-/// counts at once: the core is asked for it.
-const APPLY_INTERVAL: f64 = 0.05;
-/// A view that the target didn't take is offered again after this time, in seconds.
-const APPLY_RETRY: f64 = 1.0;
 /// The host looks at its timers at least this often, in seconds.
 const LONGEST_WAIT: f64 = 60.0;
 
-/// A view that the target hasn't got yet, or didn't take.
-struct PendingView<E> {
-    view: Arc<View<E>>,
-    retry_at: f64,
-}
-
 /// One front end's side of configuration distribution, on sockets. It lives on one thread.
 pub struct ConfigHost<S: Schema, T> {
     pub(super) core: RefCell<ConfigSync<S>>,
     pub(super) settings: HostSettings,
     pub(super) client: Client,
-    target: T,
+    pub(super) target: T,
     tasks: Weak<LocalExecutor<'static>>,
     /// Counts connections; what was begun over an earlier one is not heard any more.
-    session: Cell<u64>,
-    is_connected: Cell<bool>,
-    connect_at: Cell<f64>,
+    pub(super) session: Cell<u64>,
+    pub(super) is_connected: Cell<bool>,
+    pub(super) connect_at: Cell<f64>,
     /// No member has answered since the connection to one failed.
-    is_away: Cell<bool>,
-    backoff: Backoff,
+    pub(super) is_away: Cell<bool>,
+    pub(super) backoff: Backoff,
     watch: RefCell<Option<Watching>>,
     pub(super) lease: Cell<Option<Lease>>,
-    pending_view: RefCell<Option<PendingView<S::Entry>>>,
-    applied_at: Cell<f64>,
-    apply_fault: RefCell<Option<String>>,
-    pub(super) snapshots: RefCell<SnapshotWrites>,
+    pub(super) pending_view: RefCell<Option<PendingView<S::Entry>>>,
+    pub(super) applied_at: Cell<f64>,
+    pub(super) apply_fault: RefCell<Option<String>>,
+    pub(super) snapshots: RefCell<SnapshotQueue>,
     pub(super) snapshot_fault: RefCell<Option<String>>,
-    logged_rejections: RefCell<Vec<Rejection>>,
-    wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    pub(super) logged_rejections: RefCell<Vec<Rejection>>,
+    pub(super) wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
 /// The open watch; dropping it ends it.
@@ -112,7 +100,7 @@
         };
         let (found, errors) = file.read();
         for error in errors {
-            error!(%error, "a snapshot of the configuration can't be read; make it readable for this user");
+            error!(%error, "configuration snapshot unreadable; make it readable for this user");
         }
         let newest_first: Vec<&[u8]> = found.iter().map(Vec::as_slice).collect();
         self.restore_from(&newest_first);
@@ -123,10 +111,10 @@
         let restored = self.core.borrow_mut().restore(self.now(), newest_first);
         for error in &restored.passed_over {
             let path = self.settings.snapshot.as_ref().map(SnapshotFile::path);
-            error!(?path, %error, "a snapshot of the configuration was passed over");
+            error!(?path, %error, "configuration snapshot ignored");
         }
         if let Some(revision) = restored.revision {
-            info!(revision, "the configuration begins from its snapshot");
+            info!(revision, "configuration restored from its snapshot");
         }
         self.perform();
     }
@@ -138,7 +126,7 @@
                 self.connect();
             }
             self.perform();
-            self.offer_pending_view();
+            self.apply_pending_view();
             self.write_next_snapshot();
             let wait = (self.next_timer() - self.now()).clamp(0.0, LONGEST_WAIT);
             // What wakes it holds the other end: the host itself.
@@ -242,181 +230,9 @@
         self.spawn(async move { host.put_report(session, report).await });
     }
 
-    /// Puts a view in force, at once or together with those that follow it closely.
-    fn schedule(&self, view: Arc<View<S::Entry>>) {
-        let due = self.applied_at.get() + APPLY_INTERVAL;
-        if self.now() >= due {
-            self.apply(view);
-        } else {
-            self.pending_view.replace(Some(PendingView {
-                view,
-                retry_at: due,
-            }));
-        }
-    }
-
-    fn apply(&self, view: Arc<View<S::Entry>>) {
-        self.applied_at.set(self.now());
-        match self.target.apply(&view) {
-            Ok(()) => {
-                debug!(
-                    revision = view.revision(),
-                    "a revision of the configuration is in force"
-                );
-                self.pending_view.replace(None);
-                self.apply_fault.replace(None);
-            }
-            Err(fault) => {
-                let fault = fault.to_string();
-                if self.apply_fault.borrow().as_ref() != Some(&fault) {
-                    error!(
-                        revision = view.revision(),
-                        fault, "a revision can't be put in force; it is tried again"
-                    );
-                }
-                self.apply_fault.replace(Some(fault));
-                let retry_at = self.now() + APPLY_RETRY;
-                self.pending_view
-                    .replace(Some(PendingView { view, retry_at }));
-            }
-        }
-    }
-
-    fn offer_pending_view(&self) {
-        let is_due = |pending: &mut PendingView<S::Entry>| self.now() >= pending.retry_at;
-        let due = self.pending_view.borrow_mut().take_if(is_due);
-        if let Some(pending) = due {
-            self.apply(pending.view);
-        }
-    }
-
     pub(super) fn spawn(&self, work: impl Future<Output = ()> + 'static) {
         if let Some(tasks) = self.tasks.upgrade() {
             tasks.spawn(work).detach();
         }
     }
 }
-
-impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    pub(super) fn now(&self) -> f64 {
-        boot_time()
-    }
-
-    /// Feeds the core and has its actions performed.
-    pub(super) fn feed(&self, input: impl FnOnce(&mut ConfigSync<S>, f64)) {
-        input(&mut self.core.borrow_mut(), self.now());
-        // A full channel has woken the host already.
-        let _ = self.wake.0.try_send(());
-    }
-
-    /// Whether a connection is still the one that is used.
-    pub(super) fn is_in_session(&self, session: u64) -> bool {
-        self.is_connected.get() && self.session.get() == session
-    }
-
-    /// The store has answered a question that needs its majority.
-    pub(super) fn store_answered(&self) {
-        self.backoff.reset();
-        if self.is_away.replace(false) {
-            info!(endpoint = ?self.client.endpoint(), "the store of the configuration answers again");
-        }
-    }
-
-    /// The connection is of no use any more: the next member is asked after a pause.
-    pub(super) fn session_failed(&self, session: u64, fault: &ClientError) {
-        if !self.is_in_session(session) {
-            return;
-        }
-        let endpoint = self.client.endpoint();
-        if !self.is_away.replace(true) {
-            warn!(?endpoint, %fault, "the store of the configuration is not to be reached; the next member is asked");
-        } else {
-            debug!(?endpoint, %fault, "the store of the configuration is still not to be reached");
-        }
-        self.is_connected.set(false);
-        self.client.fail_over();
-        self.connect_at
-            .set(self.now() + self.backoff.pause(rand::random()));
-        self.feed(|core, now| core.disconnected(now));
-    }
-
-    /// Logs rejections that weren't logged before.
-    fn log_rejections(&self, report: &Report) {
-        let mut logged = self.logged_rejections.borrow_mut();
-        for rejection in report
-            .rejected
-            .iter()
-            .filter(|rejection| !logged.contains(rejection))
-        {
-            let Rejection {
-                key,
-                revision,
-                reason,
-                remedy,
-            } = rejection;
-            warn!(
-                key,
-                revision,
-                reason,
-                remedy,
-                "a change of the configuration was rejected; the last good one holds"
-            );
-        }
-        logged.clone_from(&report.rejected);
-    }
-
-    /// Whether an invocation that comes now may use an entry.
-    pub fn admits(&self, key: &str) -> Verdict {
-        self.core.borrow().admits(self.now(), key)
-    }
-
-    /// Whether an invocation that was admitted under a view may still use an entry.
-    pub fn still_admits(&self, admitted: &View<S::Entry>, key: &str) -> Verdict {
-        self.core.borrow().still_admitted(self.now(), admitted, key)
-    }
-
-    /// Whether a view is in force.
-    pub fn is_loaded(&self) -> bool {
-        self.core.borrow().is_loaded()
-    }
-
-    /// Every transaction up to this revision is applied or rejected.
-    pub fn applied_revision(&self) -> i64 {
-        self.core.borrow().applied_revision()
-    }
-
-    /// What views are put in force at.
-    pub fn target(&self) -> &T {
-        &self.target
-    }
-
-    /// The client of the store; it counts bytes.
-    pub fn client(&self) -> &Client {
-        &self.client
-    }
-
-    /// Where the snapshot stands.
-    pub fn snapshot(&self) -> Option<&SnapshotFile> {
-        self.settings.snapshot.as_ref()
-    }
-
-    /// How it stands.
-    pub fn status(&self) -> ConfigStatus {
-        let core = self.core.borrow();
-        let age = self.now() - core.fresh_as_of();
-        ConfigStatus {
-            state: core.state(),
-            connected: self.is_connected.get(),
-            loaded: core.is_loaded(),
-            generation: core.view().generation(),
-            applied_revision: core.applied_revision(),
-            entries: core.view().len(),
-            age: age.is_finite().then_some(age),
-            rejected: core.rejections(),
-            snapshot_fault: self.snapshot_fault.borrow().clone(),
-            apply_fault: self.apply_fault.borrow().clone(),
-            bytes_sent: self.client.traffic().sent(),
-            bytes_received: self.client.traffic().received(),
-        }
-    }
-}
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -23,7 +23,7 @@
         match put {
             Ok(()) => self.feed(|core, now| core.reported(now, sequence)),
             Err(ClientError::Rejected(status)) => {
-                debug!(%status, "the store refused the report of the configuration");
+                debug!(%status, "the store rejected the configuration report");
                 if status.code == NOT_FOUND {
                     self.lease.set(None);
                 }
--- a/crates/http-frontend/src/config/snapshot_writes.rs
+++ b/crates/http-frontend/src/config/snapshot_writer.rs
@@ -2,6 +2,7 @@
 
 use super::ConfigTarget;
 use super::host::ConfigHost;
+use super::snapshot_queue::SnapshotQueue;
 use orchidtally_config_sync::Schema;
 use std::io;
 use std::rc::Rc;
@@ -11,15 +12,6 @@
 /// A snapshot that could not be written is tried again after this time, in seconds.
 const SNAPSHOT_RETRY: f64 = 30.0;
 
-/// Snapshots are written one at a time; of those that wait only the newest is kept.
-#[derive(Default)]
-pub(super) struct SnapshotWrites {
-    is_writing: bool,
-    next: Option<Vec<u8>>,
-    /// Not before this time, after one that could not be written.
-    retry_at: f64,
-}
-
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T>
 where
     S::Entry: 'static,
@@ -33,23 +25,23 @@
             self.snapshots.borrow_mut().next = Some(bytes);
             return;
         }
-        self.snapshots.replace(SnapshotWrites {
+        self.snapshots.replace(SnapshotQueue {
             is_writing: true,
-            ..SnapshotWrites::default()
+            ..SnapshotQueue::default()
         });
-        let (tell, told) = async_channel::bounded(1);
+        let (result_sender, results) = async_channel::bounded(1);
         let bytes = Arc::new(bytes);
         let written = bytes.clone();
         let started = std::thread::Builder::new()
             .name("snapshot".into())
             .spawn(move || {
                 // The host may be gone by then.
-                let _ = tell.send_blocking(file.replace(&written));
+                let _ = result_sender.send_blocking(file.replace(&written));
             });
         let host = self.clone();
         self.spawn(async move {
             let written = match started {
-                Ok(_) => told
+                Ok(_) => results
                     .recv()
                     .await
                     .unwrap_or_else(|_| Err(io::Error::other("its thread ended"))),
@@ -65,7 +57,7 @@
         if let Some(fault) = &fault {
             error!(
                 fault,
-                "the snapshot of the configuration can't be written; make room, or its folder writable"
+                "configuration snapshot can't be written; free space, or make its directory writable"
             );
         }
         let (has_failed, has_changed) = (fault.is_some(), *self.snapshot_fault.borrow() != fault);
--- /dev/null
+++ b/crates/http-frontend/src/config/view_application.rs
@@ -0,0 +1,61 @@
+//! Applies configuration views to the target, together where they follow each other closely, and again after an error.
+
+use super::ConfigTarget;
+use super::host::ConfigHost;
+use super::pending_view::PendingView;
+use orchidtally_config_sync::{Schema, View};
+use std::sync::Arc;
+use tracing::{debug, error};
+
+/// Views that come sooner one after the other are put in force together, in seconds. What a newer view takes away
+/// counts at once: the core is asked for it.
+const APPLY_INTERVAL: f64 = 0.05;
+/// A view that the target didn't take is offered again after this time, in seconds.
+const APPLY_RETRY: f64 = 1.0;
+impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
+    /// Puts a view in force, at once or together with those that follow it closely.
+    pub(super) fn schedule(&self, view: Arc<View<S::Entry>>) {
+        let due = self.applied_at.get() + APPLY_INTERVAL;
+        if self.now() >= due {
+            self.apply(view);
+        } else {
+            self.pending_view.replace(Some(PendingView {
+                view,
+                retry_at: due,
+            }));
+        }
+    }
+
+    pub(super) fn apply(&self, view: Arc<View<S::Entry>>) {
+        self.applied_at.set(self.now());
+        match self.target.apply(&view) {
+            Ok(()) => {
+                debug!(revision = view.revision(), "configuration revision applied");
+                self.pending_view.replace(None);
+                self.apply_fault.replace(None);
+            }
+            Err(fault) => {
+                let fault = fault.to_string();
+                if self.apply_fault.borrow().as_ref() != Some(&fault) {
+                    error!(
+                        revision = view.revision(),
+                        fault, "configuration revision can't be applied; retrying"
+                    );
+                }
+                self.apply_fault.replace(Some(fault));
+                let retry_at = self.now() + APPLY_RETRY;
+                self.pending_view
+                    .replace(Some(PendingView { view, retry_at }));
+            }
+        }
+    }
+
+    /// Applies the waiting view if it is due.
+    pub(super) fn apply_pending_view(&self) {
+        let is_due = |pending: &mut PendingView<S::Entry>| self.now() >= pending.retry_at;
+        let due = self.pending_view.borrow_mut().take_if(is_due);
+        if let Some(pending) = due {
+            self.apply(pending.view);
+        }
+    }
+}
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -72,7 +72,7 @@
             match next {
                 Some(Some(response)) => {
                     is_quiet = false;
-                    if !self.told(watch.on_response(response?)) {
+                    if !self.on_watch_events(watch.on_response(response?)) {
                         return Ok(());
                     }
                 }
@@ -89,9 +89,9 @@
     }
 
     /// Hands what the watch told to the core; `false` if the watch has ended.
-    fn told(&self, told: Vec<WatchEvent>) -> bool {
-        for part in told {
-            match part {
+    fn on_watch_events(&self, events: Vec<WatchEvent>) -> bool {
+        for event in events {
+            match event {
                 WatchEvent::Created => {}
                 WatchEvent::Events { header: of, events } => {
                     let changes = events.into_iter().filter_map(change).collect();
@@ -110,7 +110,7 @@
                     return false;
                 }
                 WatchEvent::Cancelled { reason } => {
-                    tracing::debug!(reason, "the store ended the watch of the configuration");
+                    tracing::debug!(reason, "configuration watch cancelled by the store");
                     self.feed(|core, now| core.watch_cancelled(now));
                     return false;
                 }
--- a/crates/http-frontend/src/durable_invocation_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -70,7 +70,7 @@
         if !invocations.is_empty() {
             info!(
                 names = invocations.len(),
-                "promises of a life before were read"
+                "durable invocations of the previous incarnation restored"
             );
         }
         Ok(Some(DurableInvocationStore {
@@ -83,7 +83,7 @@
     }
 
     /// The state of an invocation by its name.
-    pub fn standing(&self, name: &str) -> Option<InvocationState> {
+    pub fn state(&self, name: &str) -> Option<InvocationState> {
         self.invocations.borrow().state(name)
     }
 
@@ -95,7 +95,7 @@
         let (sender, result) = oneshot::channel();
         let queued = self.journal.append(entry, move |appended| {
             if let Err(fault) = &appended {
-                error!(%fault, "the journal did not keep a promise");
+                error!(%fault, "durable invocation not persisted");
             }
             // Its client may have left.
             let _ = sender.send(appended.is_ok());
@@ -113,7 +113,7 @@
         let (sender, result) = oneshot::channel();
         let queued = self.journal.replace(snapshot, move |replaced| {
             if let Err(fault) = &replaced {
-                error!(%fault, "the journal's state could not be replaced");
+                error!(%fault, "journal snapshot failed");
             }
             let _ = sender.send(replaced.is_ok());
         });
@@ -139,9 +139,9 @@
         if self.needs_snapshot() && !self.write_snapshot().await {
             return Err(JournalUnavailable);
         }
-        let standing = self.invocations.borrow_mut().begin(now, name);
-        let InvocationState::New(record) = &standing else {
-            return Ok((standing, None));
+        let state = self.invocations.borrow_mut().begin(now, name);
+        let InvocationState::New(record) = &state else {
+            return Ok((state, None));
         };
         let mut persisted = PersistedInvocation {
             durable_invocation_store: self.clone(),
@@ -154,7 +154,7 @@
             self.invocations.borrow_mut().forget(name);
             return Err(JournalUnavailable);
         }
-        Ok((standing, Some(persisted)))
+        Ok((state, Some(persisted)))
     }
 }
 
@@ -169,7 +169,7 @@
 impl PersistedInvocation {
     /// Adds the final answer. It is on the disk when this returns, unless the journal can't be written; it is known
     /// all the same.
-    pub async fn answered(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
+    pub async fn record_answer(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
         self.open = false;
         let record = self
             .durable_invocation_store
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -24,11 +24,11 @@
 
 /// Why a publisher is not followed any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-enum Ended {
+enum WatchError {
     /// No connection, or it broke, or a message could not be read.
     #[error("its connection ended: {0:?}")]
     Connection(Transport),
-    /// It told something that is neither a list nor a change.
+    /// It sent something that is neither a list nor a change.
     #[error("it sent a message of an unknown kind; it may be newer than this front end")]
     UnknownKind,
     /// It has not answered a ping in time.
@@ -37,7 +37,11 @@
 }
 
 /// The endpoint that a row of an endpoint list stands for in a deployment.
-pub fn row(deployment: &Deployment, row: &v1::RosterRow, now: f64) -> Result<Endpoint, EntryError> {
+pub fn endpoint_from_row(
+    deployment: &Deployment,
+    row: &v1::RosterRow,
+    now: f64,
+) -> Result<Endpoint, EntryError> {
     let address: SocketAddr = row.address.parse().map_err(EntryError::InvalidAddress)?;
     if !deployment.allows_address(address) {
         return Err(EntryError::AddressNotAllowed);
@@ -52,7 +56,7 @@
                 name: name.to_owned(),
             })
     };
-    let standing = match row.standing() {
+    let state = match row.standing() {
         v1::Standing::Ready => EndpointState::Ready,
         v1::Standing::Draining => EndpointState::Draining,
         v1::Standing::Gone => EndpointState::Gone,
@@ -68,7 +72,7 @@
         zone: place(&deployment.locations, &row.location, "location")?,
         kind: place(&deployment.kinds, &row.kind, "kind")?,
         cell: u16::try_from(row.cell).map_err(|_| EntryError::CellOutOfRange(row.cell))?,
-        state: standing,
+        state,
         weight: row.weight,
         started_at: since,
     })
@@ -76,8 +80,8 @@
 
 /// Follows a publisher to the end of its connection, and tells the module of that.
 pub async fn watch(router: Rc<Router>, address: SocketAddr) {
-    let Err(ended) = follow(&router, address).await;
-    warn!(%address, why = %ended, "the roster's publisher is not there");
+    let Err(error) = follow(&router, address).await;
+    warn!(%address, why = %error, "endpoint publisher unreachable");
     router.run_engine(|engine, now, action_executor| {
         engine.on_endpoint_update(now, EndpointUpdateKind::Failed, &[], action_executor)
     });
@@ -86,7 +90,7 @@
 async fn follow(
     router: &Rc<Router>,
     address: SocketAddr,
-) -> Result<std::convert::Infallible, Ended> {
+) -> Result<std::convert::Infallible, WatchError> {
     let bounds = &router.deployment.limits;
     let limits = ConnectionLimits {
         streams_per_connection: 1,
@@ -111,35 +115,36 @@
     };
     let first = orchidtally_socket_io::with_timeout(PING_TIMEOUT, first)
         .await
-        .ok_or(Ended::Silent)?;
-    let (list, incoming) = first.map_err(Ended::Connection)?;
-    info!(%address, executors = list.rows.len(), "the roster is here");
-    take(router, &list)?;
+        .ok_or(WatchError::Silent)?;
+    let (list, incoming) = first.map_err(WatchError::Connection)?;
+    info!(%address, executors = list.rows.len(), "first endpoint list received");
+    apply_update(router, &list)?;
     router.endpoints_confirmed(asked_at);
     let pinger = incoming.pinger();
     // What came before the answer to a ping is taken before it.
     future::or(
-        take_changes(router, incoming),
+        apply_changes(router, incoming),
         ping_publisher(router, &pinger),
     )
     .await
 }
 
 /// Tells the module what the publisher tells.
-fn take(router: &Router, update: &v1::RosterUpdate) -> Result<(), Ended> {
+fn apply_update(router: &Router, update: &v1::RosterUpdate) -> Result<(), WatchError> {
     let kind = match update.kind() {
         v1::RosterKind::FullList => EndpointUpdateKind::Full,
         v1::RosterKind::Delta => EndpointUpdateKind::Delta,
-        v1::RosterKind::RosterUnspecified => return Err(Ended::UnknownKind),
+        v1::RosterKind::RosterUnspecified => return Err(WatchError::UnknownKind),
     };
     let now = router.now();
-    let read = |told: &v1::RosterRow| match row(&router.deployment, told, now) {
-        Ok(row) => Some(row),
-        Err(error) => {
-            warn!(executor = told.address, %error, "executor rejected");
-            None
-        }
-    };
+    let read =
+        |roster_row: &v1::RosterRow| match endpoint_from_row(&router.deployment, roster_row, now) {
+            Ok(row) => Some(row),
+            Err(error) => {
+                warn!(executor = roster_row.address, %error, "executor rejected");
+                None
+            }
+        };
     let rows: Vec<Endpoint> = update.rows.iter().filter_map(read).collect();
     router.run_engine(|engine, now, action_executor| {
         engine.on_endpoint_update(now, kind, &rows, action_executor)
@@ -147,27 +152,29 @@
     Ok(())
 }
 
-async fn take_changes(
+async fn apply_changes(
     router: &Router,
     mut incoming: Incoming,
-) -> Result<std::convert::Infallible, Ended> {
+) -> Result<std::convert::Infallible, WatchError> {
     loop {
         let update = incoming
             .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
             .await;
-        take(router, &update.map_err(Ended::Connection)?)?;
+        apply_update(router, &update.map_err(WatchError::Connection)?)?;
     }
 }
 
 async fn ping_publisher(
     router: &Router,
     pinger: &Pinger,
-) -> Result<std::convert::Infallible, Ended> {
+) -> Result<std::convert::Infallible, WatchError> {
     loop {
         Timer::after(PING_INTERVAL).await;
         let asked_at = router.now();
         let answered = orchidtally_socket_io::with_timeout(PING_TIMEOUT, pinger.ping()).await;
-        answered.ok_or(Ended::Silent)?.map_err(Ended::Connection)?;
+        answered
+            .ok_or(WatchError::Silent)?
+            .map_err(WatchError::Connection)?;
         router.endpoints_confirmed(asked_at);
     }
 }
--- a/crates/http-frontend/src/endpoint_source.rs
+++ b/crates/http-frontend/src/endpoint_source.rs
@@ -13,12 +13,12 @@
     match &router.deployment.endpoint_source {
         EndpointSource::Listed(_) => None,
         EndpointSource::Etcd(settings) => {
-            info!(endpoints = ?settings.endpoints, "following the roster in etcd");
+            info!(endpoints = ?settings.endpoints, "following the endpoint list in etcd");
             etcd::follow_membership(router, settings);
             None
         }
         EndpointSource::Publisher(publisher) => {
-            info!(%publisher, "asking for the roster");
+            info!(%publisher, "subscribing to the endpoint publisher");
             router.spawn(endpoint_publisher::watch(router.clone(), *publisher))
         }
     }
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -1,6 +1,6 @@
 //! Entries of the store as the cores of membership take them.
 
-use crate::endpoint_publisher::row;
+use crate::endpoint_publisher::endpoint_from_row;
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface::Endpoint;
 use orchidtally_etcd::rpc::event::EventType;
@@ -76,19 +76,19 @@
             .map_or(Some(absent), serde_json::Value::as_f64)
             .ok_or(EntryError::NotANumber { field })
     };
-    let standing = match text("standing").as_str() {
+    let state = match text("standing").as_str() {
         "ready" => v1::Standing::Ready,
         "draining" => v1::Standing::Draining,
         other => return Err(EntryError::UnknownState(other.into())),
     };
-    let told = v1::RosterRow {
+    let roster_row = v1::RosterRow {
         address: address.into(),
         location: text("location"),
         kind: text("kind"),
         cell: number("cell", 0.0)? as u32,
-        standing: standing.into(),
+        standing: state.into(),
         weight: number("weight", 1.0)?,
         since: number("since", 0.0)?,
     };
-    row(deployment, &told, now)
+    endpoint_from_row(deployment, &roster_row, now)
 }
--- a/crates/http-frontend/src/etcd/executors.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -18,7 +18,7 @@
         EndpointFollower { host }
     }
 
-    fn tell(&self, update: Option<EndpointUpdate>) {
+    fn notify_host(&self, update: Option<EndpointUpdate>) {
         if let Some(update) = update {
             self.host.endpoints_changed(update.kind, &update.endpoints);
         }
@@ -30,30 +30,30 @@
         self.host.now()
     }
 
-    fn next(&self) -> NextRequest {
+    fn next_request(&self) -> NextRequest {
         self.host.cache().borrow().next_request()
     }
 
-    fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
+    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
         let now = self.host.now();
         let list: Vec<EntryChange> = list.iter().map(entries::listed).collect();
         let read =
             |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told =
+        let update =
             self.host
                 .cache()
                 .borrow_mut()
                 .apply_list(now, entries::stamp(header), &list, &read);
-        self.tell(told);
+        self.notify_host(update);
         self.host.endpoints_confirmed(began);
     }
 
-    fn changed(&self, header: &ResponseHeader, events: &[Event]) {
+    fn on_events(&self, header: &ResponseHeader, events: &[Event]) {
         let now = self.host.now();
         let changes = entries::changes(events);
         let read =
             |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let told = self.host.cache().borrow_mut().apply_events(
+        let update = self.host.cache().borrow_mut().apply_events(
             now,
             entries::stamp(header),
             &changes,
@@ -62,34 +62,34 @@
         for (key, error) in self.host.cache().borrow().entry_errors() {
             debug!(key = %String::from_utf8_lossy(key), %error, "executor entry can't be read, keeping its last valid value");
         }
-        self.tell(told);
+        self.notify_host(update);
     }
 
-    fn progressed(&self, began: Option<f64>, header: &ResponseHeader) {
+    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader) {
         self.host
             .cache()
             .borrow_mut()
             .on_progress(self.host.now(), entries::stamp(header));
         // Where a list has to come first, what is known is not what the store has.
-        if let Some(began) = began.filter(|_| self.next() != NextRequest::List) {
+        if let Some(began) = began.filter(|_| self.next_request() != NextRequest::List) {
             self.host.endpoints_confirmed(began);
         }
     }
 
-    fn lost(&self, began: f64) {
+    fn on_failure(&self, began: f64) {
         self.host.endpoints_lost(began);
     }
 
-    fn compacted(&self) {
+    fn on_compaction(&self) {
         self.host.cache().borrow_mut().on_compaction();
     }
 
-    fn turn(&self) {
-        let told = self
+    fn on_tick(&self) {
+        let update = self
             .host
             .cache()
             .borrow_mut()
             .remove_expired(self.host.now());
-        self.tell(told);
+        self.notify_host(update);
     }
 }
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -29,25 +29,25 @@
     fn now(&self) -> f64;
 
     /// What it needs next.
-    fn next(&self) -> NextRequest;
+    fn next_request(&self) -> NextRequest;
 
     /// A list whose question was sent at `began`.
-    fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]);
+    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]);
 
-    fn changed(&self, header: &ResponseHeader, events: &[Event]);
+    fn on_events(&self, header: &ResponseHeader, events: &[Event]);
 
     /// Nothing else had happened when the store was asked at `began`; without that it was not asked, and how old its
     /// word is nobody knows.
-    fn progressed(&self, began: Option<f64>, header: &ResponseHeader);
+    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader);
 
     /// The store can't be followed: a try that began at `began` has failed.
-    fn lost(&self, began: f64);
+    fn on_failure(&self, began: f64);
 
     /// What a watch would go on from is gone.
-    fn compacted(&self);
+    fn on_compaction(&self);
 
     /// Time has passed.
-    fn turn(&self);
+    fn on_tick(&self);
 }
 
 /// All entries under a prefix, at one revision.
@@ -88,15 +88,15 @@
         match follow_once(&client, &prefix, &follower).await {
             Ok(()) => delay = FIRST_RETRY_DELAY,
             Err(fault) => {
-                warn!(endpoint = ?client.endpoint(), prefix, %fault, "the store can't be followed");
-                follower.lost(began);
+                warn!(endpoint = ?client.endpoint(), prefix, %fault, "store watch failed, retrying");
+                follower.on_failure(began);
                 client.fail_over();
                 let drawn = delay * 2.0 * rand::random::<f64>();
                 async_io::Timer::after(Duration::from_secs_f64(drawn)).await;
                 delay = (2.0 * delay).min(LONGEST_RETRY_DELAY);
             }
         }
-        follower.turn();
+        follower.on_tick();
     }
 }
 
@@ -106,12 +106,12 @@
     prefix: &str,
     follower: &impl Follower,
 ) -> Result<(), ClientError> {
-    if follower.next() == NextRequest::List {
+    if follower.next_request() == NextRequest::List {
         let began = follower.now();
         let list = list(client, prefix).await?;
-        follower.listed(began, &list.header, &list.entries);
+        follower.on_list(began, &list.header, &list.entries);
     }
-    let NextRequest::Watch(from) = follower.next() else {
+    let NextRequest::Watch(from) = follower.next_request() else {
         return Ok(());
     };
     let mut watch = Watch::new(prefix.as_bytes().to_vec(), from);
@@ -123,8 +123,8 @@
         let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
         let response = orchidtally_socket_io::with_timeout(time_left, stream.next()).await;
         if let Some(response) = response {
-            for told in watch.on_response(response?) {
-                if take(told, prefix, &mut questions, follower) == Watched::Ended {
+            for event in watch.on_response(response?) {
+                if apply_event(event, prefix, &mut questions, follower) == Watched::Ended {
                     return Ok(());
                 }
             }
@@ -134,8 +134,8 @@
             Some(Due::Failure) => return Err(ClientError::TimedOut),
             None => {}
         }
-        follower.turn();
-        if follower.next() == NextRequest::List {
+        follower.on_tick();
+        if follower.next_request() == NextRequest::List {
             return Ok(());
         }
     }
@@ -205,34 +205,31 @@
     Ended,
 }
 
-/// Hands one thing that a watch told to the follower.
-fn take(
-    told: WatchEvent,
+/// Passes an event of a watch to the follower.
+fn apply_event(
+    event: WatchEvent,
     prefix: &str,
     questions: &mut ProgressQuestions,
     follower: &impl Follower,
 ) -> Watched {
-    match told {
+    match event {
         WatchEvent::Created => {}
-        WatchEvent::Events { header, events } => follower.changed(&header, &events),
+        WatchEvent::Events { header, events } => follower.on_events(&header, &events),
         WatchEvent::Progress { header, is_answer } => {
             let asked_at = if is_answer {
                 questions.answered()
             } else {
                 None
             };
-            follower.progressed(asked_at, &header);
+            follower.on_progress(asked_at, &header);
         }
         WatchEvent::Compacted { revision } => {
-            info!(
-                prefix,
-                revision, "the watch fell behind a compaction: listing anew"
-            );
-            follower.compacted();
+            info!(prefix, revision, "watch compacted, listing again");
+            follower.on_compaction();
             return Watched::Ended;
         }
         WatchEvent::Cancelled { reason } => {
-            warn!(prefix, reason, "the store cancelled a watch");
+            warn!(prefix, reason, "watch cancelled by the store");
             return Watched::Ended;
         }
     }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -46,14 +46,14 @@
         self.host.now()
     }
 
-    fn next(&self) -> NextRequest {
+    fn next_request(&self) -> NextRequest {
         match self.stamp.get() {
             Some(stamp) if !self.is_stale.get() => NextRequest::Watch(stamp.revision + 1),
             _ => NextRequest::List,
         }
     }
 
-    fn listed(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
+    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
         *self.indices.borrow_mut() = list
             .iter()
             .filter_map(|entry| entries::index(&entry.key))
@@ -63,7 +63,7 @@
         self.saw(began);
     }
 
-    fn changed(&self, header: &ResponseHeader, events: &[Event]) {
+    fn on_events(&self, header: &ResponseHeader, events: &[Event]) {
         for change in entries::changes(events) {
             let Some(index) = entries::index(change.key) else {
                 continue;
@@ -78,7 +78,7 @@
         self.saw(self.current_as_of.get());
     }
 
-    fn progressed(&self, began: Option<f64>, header: &ResponseHeader) {
+    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader) {
         let stamp = entries::stamp(header);
         let is_other = |known: StoreRevision| {
             known.cluster != stamp.cluster || known.revision > stamp.revision
@@ -94,13 +94,13 @@
     }
 
     /// How old the view is, is known from when it was seen last.
-    fn lost(&self, _began: f64) {}
+    fn on_failure(&self, _began: f64) {}
 
-    fn compacted(&self) {
+    fn on_compaction(&self) {
         self.is_stale.set(true);
     }
 
-    fn turn(&self) {
+    fn on_tick(&self) {
         self.host.members_changed();
     }
 }
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -73,18 +73,18 @@
     }
 
     fn failed(&self, fault: &ClientError) {
-        warn!(endpoint = ?self.client.endpoint(), %fault, "this front end's lease can't be kept");
+        warn!(endpoint = ?self.client.endpoint(), %fault, "membership lease can't be renewed");
         self.client.fail_over();
     }
 
     /// Puts the entry under a free index; `None` if another front end was faster.
     async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, ClientError> {
         let entries = list(&self.client, &self.prefix).await?.entries;
-        let taken: BTreeSet<u32> = entries
+        let used_indices: BTreeSet<u32> = entries
             .iter()
             .filter_map(|entry| entries::index(&entry.key))
             .collect();
-        let index = Members::choose_index(&taken, rand::random(), lost_claims);
+        let index = Members::choose_index(&used_indices, rand::random(), lost_claims);
         let began = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.wanted_ttl,
@@ -105,7 +105,7 @@
             members.on_claimed(self.host.now(), index, 0.0);
             members.on_lease_renewed(began, ttl);
         }
-        info!(index, "this front end is in the store");
+        info!(index, "registered in the store");
         self.host.members_changed();
         Ok(Some(Lease {
             id: granted.id,
@@ -154,7 +154,7 @@
                         .on_lease_renewed(began, answer.ttl as f64);
                 }
                 Ok(_) => {
-                    warn!("this front end's lease was over though it lives");
+                    warn!("membership lease expired while this front end runs");
                     self.host.members().borrow_mut().on_entry_lost();
                     return Ok(());
                 }
@@ -163,7 +163,7 @@
                     return Err(fault);
                 }
                 Err(fault) => {
-                    debug!(%fault, "the lease was not renewed");
+                    debug!(%fault, "lease renewal failed");
                     self.client.fail_over();
                 }
             }
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -61,7 +61,7 @@
     } = asked_headers;
     let (payload, payload_bytes) = body(router, incoming, content_length(&parts.headers)).await?;
     let bounds = &router.deployment.limits;
-    let asked = IngressRequest {
+    let ingress_request = IngressRequest {
         name: invocation.clone(),
         function: function.name,
         resolved,
@@ -78,7 +78,7 @@
     };
     // Before it is promised: what is refused leaves no record.
     router
-        .check_admission(&revision, &asked.subject())
+        .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
     let persisted = match &router.durable_invocation_store {
         Some(durable_invocation_store) if trigger_type.trigger.is_durable => {
@@ -96,7 +96,7 @@
         _ => None,
     };
     let answer = router
-        .invoke(asked)
+        .invoke(ingress_request)
         .await
         .map_err(|why| rejection_problem(router, why))?;
     let FinalResponse {
@@ -106,7 +106,7 @@
     if let (Some(persisted), Answer::Chunks(chunks)) = (persisted, response.body()) {
         let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
         persisted
-            .answered(
+            .record_answer(
                 router.now(),
                 may_have_run,
                 response.status().as_u16(),
@@ -141,7 +141,7 @@
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
     let customer = asked_headers.customer;
     // The sticky key of the split, where a rollout is on.
-    let key = router.shares.borrow().sticky_key(name).cloned();
+    let key = router.traffic_split.borrow().sticky_key(name).cloned();
     let key = match &key {
         None | Some(StickyKey::Invocation) => None,
         Some(StickyKey::Customer) => Some(customer.name),
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -80,7 +80,7 @@
             )
         };
         return Ok(durable_invocation_store
-            .standing(name)
+            .state(name)
             .map_or_else(unknown, recorded));
     }
     Ok(invoke(&router, request)
@@ -140,7 +140,7 @@
     let time = Duration::from_secs_f64(router.deployment.limits.request_read_timeout);
     let peer = stream.peer();
     if with_timeout(time, stream.readable()).await.is_none() {
-        debug!(?peer, "closed a connection over which nothing came");
+        debug!(?peer, "connection closed: no request received");
         return;
     }
     let builder = connection_builder(&router, time);
@@ -178,10 +178,7 @@
             connection.as_mut().await
         }
         None => {
-            warn!(
-                ?peer,
-                "closed a connection whose first headers came too slowly"
-            );
+            warn!(?peer, "connection closed: request headers timed out");
             return;
         }
     };
@@ -214,8 +211,8 @@
         .downcast_ref::<hyper::Error>()
         .is_some_and(|error| error.is_incomplete_message() || error.is_canceled());
     if broke_off {
-        debug!(?peer, %fault, "a client broke off")
+        debug!(?peer, %fault, "client disconnected")
     } else {
-        warn!(?peer, %fault, "closed a connection")
+        warn!(?peer, %fault, "connection closed")
     }
 }
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -26,7 +26,7 @@
                     may_have_run: true,
                 }
             }
-            Ok(FinalAnswer::Throttled {
+            Ok(FinalAnswer::Rejected {
                 retry_after,
                 past_share,
             }) => {
@@ -43,7 +43,7 @@
                 };
                 FinalResponse::problem(status, "throttled", detail, false).retry_after(retry_after)
             }
-            Ok(FinalAnswer::Errored {
+            Ok(FinalAnswer::Failed {
                 cause,
                 may_have_run,
             }) => {
@@ -108,11 +108,11 @@
         problem
     };
     match why {
-        RejectionReason::Full => throttled(
+        RejectionReason::AtCapacity => throttled(
             "as many invocations are open as may be",
             router.deployment.policy.max_retry_after,
         ),
-        RejectionReason::Leaving => throttled("this front end is ending; ask another", 0.0),
+        RejectionReason::ShuttingDown => throttled("this front end is ending; ask another", 0.0),
         RejectionReason::Refused(refusal) => {
             let (status, title) = refusal_status(&refusal);
             let mut problem = Problem::new(status, title, refusal.to_string());
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -9,7 +9,7 @@
 
 /// The rollouts as this front end has them.
 fn rollouts(router: &Router) -> serde_json::Value {
-    let shares = router.shares.borrow();
+    let shares = router.traffic_split.borrow();
     let published = shares.published();
     let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
@@ -67,7 +67,7 @@
 
 /// What the front end says of itself.
 pub(super) fn status(router: &Router) -> Response<Answer> {
-    let t = router.tally();
+    let t = router.counters();
     let body = json!({
         "deployment": router.deployment.name,
         "revision": router.revision().number,
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -1,5 +1,7 @@
-//! One front end on sockets: a thread that owns one engine, with it one decision module, and shares nothing
-//! with other front ends.
+//! The HTTP front end: accepts invocations over HTTP and from MQTT messages, and dispatches them to executors.
+//!
+//! A front end is one thread that owns one engine and with it one dispatch policy; it shares nothing with other front
+//! ends. [`run`] serves until it is stopped; [`Start`] is what it starts with.
 
 pub mod config;
 pub mod durable_invocation_store;
@@ -19,6 +21,7 @@
 use ingress::{ConnectionGuard, reject_connection, serve};
 use orchidtally_deployment::Deployment;
 use orchidtally_engine::Counters;
+use orchidtally_socket_io::Stream;
 use router::Router;
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener};
@@ -26,34 +29,44 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// An ending front end waits for so long past the longest client timeout, then ends anyway.
+/// A front end that shuts down waits this long beyond the longest client timeout, then ends in any case.
 const DRAIN_MARGIN: Duration = Duration::from_secs(1);
+/// How often a front end that shuts down checks whether everything is answered.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Connections that may be rejected at a time, besides a quarter of the connection limit.
+const SPARE_REJECTIONS: usize = 16;
 
+/// What a front end starts with.
 pub struct Start {
+    /// The deployment file.
     pub deployment: Deployment,
+    /// Seeds the random choices; also the front end's incarnation, so each start needs another one.
     pub seed: u64,
     /// Seconds by which the wall clock is taken to be ahead, for tests of skew.
     pub ahead: f64,
-    /// After so many seconds that clock is stepped by so many, for tests.
+    /// When the wall clock is stepped and by how much, both in seconds, for tests.
     pub step: Option<(f64, f64)>,
-    /// Whatever comes or closes here ends the front end gracefully.
+    /// A message or the end of this channel shuts the front end down gracefully.
     pub stop: async_channel::Receiver<()>,
-    /// Decide by random choice instead of the module, for comparisons.
+    /// Whether executors are chosen at random instead of by the dispatch policy, for comparisons.
     pub random: bool,
-    /// What comes by messages, where the deployment file has a broker.
+    /// What message triggers need, where the deployment file has a broker.
     pub triggers: Option<mqtt::Triggers>,
-    /// Promises to HTTP clients, where the deployment file has a journal.
+    /// The store of durable HTTP invocations, where the deployment file has a journal.
     pub durable_invocation_store: Option<durable_invocation_store::DurableInvocationStore>,
     /// Where the deployment file may be read again.
     pub reloads: Option<reload::Reloads>,
 }
 
-/// Binds the address that the deployment states.
+/// Binds the listen address.
+///
+/// # Errors
+/// The address can't be bound.
 pub fn listen(at: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     orchidtally_socket_io::listen(at)
 }
 
-/// Runs a front end on this thread until it is stopped and what was open is answered.
+/// Runs a front end on this thread until it is stopped and all open invocations are answered. Returns its counters.
 pub fn run(start: Start, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
     let durable_invocation_store = start.durable_invocation_store.map(Rc::new);
@@ -79,106 +92,156 @@
             .spawn(rollouts::poll_coordinators(router.clone()))
             .detach();
     }
-    if let Some(configuration) = &router.deployment.configuration
-        && let Err(fault) = config::attach(&router, configuration, &spawner)
-    {
-        error!(%fault, "the configuration's settings can't be used; mend the section 'configuration'");
-        return router.tally();
+    if let Some(configuration) = &router.deployment.configuration {
+        let front_end: Rc<dyn config::ConfigurableFrontEnd> = router.clone();
+        match config::attach(&front_end, configuration, &spawner) {
+            Ok(admission) => router.set_admission(admission),
+            Err(fault) => {
+                error!(%fault, "the configuration's settings can't be used; mend the section 'configuration'");
+                return router.counters();
+            }
+        }
     }
     if let Some(reloads) = start.reloads {
         spawner
             .spawn(reload::follow(router.clone(), reloads))
             .detach();
     }
-    let (leave, leaving) = async_channel::bounded::<()>(1);
-    let consuming = start
-        .triggers
-        .and_then(|triggers| router.spawn(mqtt::consume(router.clone(), triggers, leaving)));
-    let work = serve_connections(
-        router,
-        spawner.clone(),
-        listener,
-        start.stop,
-        (consuming, leave),
-    );
+    let (stop_consumer, consumer_stopped) = async_channel::bounded::<()>(1);
+    let consumer = MessageConsumer {
+        task: start.triggers.and_then(|triggers| {
+            router.spawn(mqtt::consume(router.clone(), triggers, consumer_stopped))
+        }),
+        stop: stop_consumer,
+    };
+    let work = serve_connections(router, spawner.clone(), listener, start.stop, consumer);
     async_io::block_on(spawner.run(work))
 }
 
+/// The task that consumes messages, and what ends it when dropped.
+struct MessageConsumer {
+    task: Option<Task<()>>,
+    stop: async_channel::Sender<()>,
+}
+
+/// Client connections, and what they need to be served.
+struct ClientConnections {
+    router: Rc<Router>,
+    spawner: Rc<LocalExecutor<'static>>,
+    max_connections: usize,
+    /// How many are open.
+    open: Rc<Cell<usize>>,
+    rejected: Cell<u64>,
+}
+
+impl ClientConnections {
+    /// Serves a connection, or answers that there are too many. The rejections in progress have a limit as well; beyond
+    /// it a connection is closed without an answer.
+    fn add(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
+        let max_connections = self.max_connections;
+        let max_rejections = max_connections / 4 + SPARE_REJECTIONS;
+        if self.open.get() < max_connections {
+            let guard = ConnectionGuard::new(&self.open);
+            let work = serve(self.router.clone(), stream, draining.clone(), guard);
+            self.spawner.spawn(work).detach();
+        } else if self.open.get() < max_connections + max_rejections {
+            self.count_rejection();
+            let guard = ConnectionGuard::new(&self.open);
+            let work = async move {
+                reject_connection(stream).await;
+                drop(guard);
+            };
+            self.spawner.spawn(work).detach();
+        }
+    }
+
+    /// Logs rejected connections ever more rarely.
+    fn count_rejection(&self) {
+        let rejected = self.rejected.get() + 1;
+        self.rejected.set(rejected);
+        if rejected.is_power_of_two() {
+            warn!(
+                rejected,
+                max_connections = self.max_connections,
+                "connection limit reached, rejecting connections"
+            );
+        }
+    }
+
+    /// Whether an invocation or a connection is open.
+    fn is_busy(&self) -> bool {
+        self.router.open() > 0 || self.open.get() > 0
+    }
+}
+
+/// Accepts connections until the front end is stopped, then drains it.
 async fn serve_connections(
     router: Rc<Router>,
     spawner: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
     stop: async_channel::Receiver<()>,
-    (consuming, stop_consuming): (Option<Task<()>>, async_channel::Sender<()>),
+    consumer: MessageConsumer,
 ) -> Counters {
-    let most = router.deployment.limits.max_connections;
-    let open = Rc::new(Cell::new(0));
-    let (leave, leaving) = async_channel::bounded::<()>(1);
-    let mut rejected_connections = 0u64;
+    let connections = ClientConnections {
+        max_connections: router.deployment.limits.max_connections,
+        router,
+        spawner,
+        open: Rc::new(Cell::new(0)),
+        rejected: Cell::new(0),
+    };
+    let (drain, draining) = async_channel::bounded::<()>(1);
     loop {
         let stopped = async {
             // A closed channel stops as a message does.
             let _ = stop.recv().await;
             None
         };
-        let Some(stream) = future::or(stopped, async {
-            Some(orchidtally_socket_io::accept(&listener).await)
-        })
-        .await
-        else {
+        let accepted = async { Some(orchidtally_socket_io::accept(&listener).await) };
+        let Some(stream) = future::or(stopped, accepted).await else {
             break;
         };
-        // Those being turned away have a bound as well; past it a connection is just closed.
-        if open.get() < most {
-            spawner
-                .spawn(serve(
-                    router.clone(),
-                    stream,
-                    leaving.clone(),
-                    ConnectionGuard::new(&open),
-                ))
-                .detach();
-        } else if open.get() < most + most / 4 + 16 {
-            rejected_connections += 1;
-            if rejected_connections.is_power_of_two() {
-                warn!(rejected_connections, most, "connections over the bound");
-            }
-            let counted = ConnectionGuard::new(&open);
-            let say = async move {
-                reject_connection(stream).await;
-                drop(counted);
-            };
-            spawner.spawn(say).detach();
-        }
+        connections.add(stream, &draining);
     }
     drop(listener);
-    drop(stop_consuming);
+    shut_down(&connections, consumer, drain).await;
+    connections.router.counters()
+}
+
+/// Answers what is open, up to the longest client timeout, and deregisters the front end.
+async fn shut_down(
+    connections: &ClientConnections,
+    consumer: MessageConsumer,
+    drain: async_channel::Sender<()>,
+) {
+    let router = &connections.router;
+    drop(consumer.stop);
     let deadline =
         Instant::now() + Duration::from_secs_f64(router.longest_timeout()) + DRAIN_MARGIN;
-    if let Some(consuming) = consuming {
-        // Messages in hand may have to be dispatched yet.
-        let left = orchidtally_socket_io::with_timeout(deadline - Instant::now(), consuming).await;
-        if left.is_none() {
-            warn!("left with messages in hand: the journal has them");
+    if let Some(task) = consumer.task {
+        // Messages in flight may have to be dispatched yet.
+        let drained = orchidtally_socket_io::with_timeout(deadline - Instant::now(), task).await;
+        if drained.is_none() {
+            warn!("shutdown deadline reached with messages in flight; the journal keeps them");
         }
     }
-    router.leave();
+    router.start_draining();
     info!(
         open = router.open(),
-        connections = open.get(),
-        "leaving: nothing new is taken"
+        connections = connections.open.get(),
+        "termination signal received, draining"
     );
-    drop(leave);
-    while (router.open() > 0 || open.get() > 0) && Instant::now() < deadline {
-        Timer::after(Duration::from_millis(5)).await;
+    drop(drain);
+    while connections.is_busy() && Instant::now() < deadline {
+        Timer::after(DRAIN_POLL_INTERVAL).await;
     }
-    if router.open() > 0 || open.get() > 0 {
+    if connections.is_busy() {
         warn!(
             open = router.open(),
-            connections = open.get(),
-            "left with clients still there"
+            connections = connections.open.get(),
+            "shutdown deadline reached with open connections"
         );
     }
-    config::detach(&router).await;
-    router.tally()
+    if let Some(admission) = router.admission.get() {
+        admission.detach().await;
+    }
 }
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -4,11 +4,11 @@
 use bytes::BytesMut;
 use futures_lite::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use futures_rustls::TlsConnector;
-use futures_rustls::pki_types::pem::PemObject;
-use futures_rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
+use futures_rustls::pki_types::pem::{self, PemObject};
+use futures_rustls::pki_types::{CertificateDer, InvalidDnsNameError, PrivateKeyDer, ServerName};
 use futures_rustls::rustls::{ClientConfig, RootCertStore};
-use orchidtally_mqtt::decode;
 use orchidtally_mqtt::packet::Packet;
+use orchidtally_mqtt::{CodecError, decode};
 use orchidtally_mqtt_triggers::TriggerSettings;
 use orchidtally_mqtt_triggers::ledger::Answer;
 use orchidtally_mqtt_triggers::section::TlsSettings;
@@ -17,23 +17,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Bytes that wait to be written to the broker.
-pub(super) const MOST_OUT: usize = 512 * 1024;
+pub(super) const MAX_OUTBOX_BYTES: usize = 512 * 1024;
 /// For a connection, with its TLS.
-const CONNECT_TIME: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A stream to the broker, plain or encrypted.
 pub(super) trait BrokerStream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> BrokerStream for T {}
 
 pub(super) enum Input {
-    Connected(io::Result<Box<dyn BrokerStream>>),
+    Connected(Result<Box<dyn BrokerStream>, ConnectError>),
     /// Of a connection, by number.
     Packet(u64, Packet),
-    Lost(u64, String),
+    /// The connection of this number ended.
+    Lost(u64, ConnectionLost),
     /// What waits to be written has been, or a part of it.
-    Room,
+    OutboxDrained,
     /// The final answer of an invocation, by the number of its message.
     InvocationEnded(u64, Answer),
 }
@@ -52,7 +54,41 @@
     pub(super) _tasks: [Option<Task<()>>; 2],
 }
 
-fn tls(section: &TlsSettings) -> Result<TlsConnector, Box<dyn std::error::Error>> {
+/// Why there is no connection to the broker.
+#[derive(Debug, Error)]
+pub(super) enum ConnectError {
+    /// The TCP connection or the TLS handshake failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// A certificate or key file can't be read.
+    #[error("TLS: {0}")]
+    Pem(#[from] pem::Error),
+    /// A certificate or key is invalid.
+    #[error("TLS: {0}")]
+    Certificate(#[from] futures_rustls::rustls::Error),
+    /// The name in the settings is no server name.
+    #[error("{0}")]
+    ServerName(#[from] InvalidDnsNameError),
+    /// The handshake took too long.
+    #[error("timed out")]
+    TimedOut,
+}
+
+/// Why a connection to the broker ended.
+#[derive(Debug, Error)]
+pub(super) enum ConnectionLost {
+    /// The broker closed it.
+    #[error("the broker closed the connection")]
+    Closed,
+    /// Reading or writing failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// A packet is malformed.
+    #[error("{0}")]
+    Codec(#[from] CodecError),
+}
+
+fn tls_connector(section: &TlsSettings) -> Result<TlsConnector, ConnectError> {
     let mut roots = RootCertStore::empty();
     for certificate in CertificateDer::pem_file_iter(&section.authorities)? {
         roots.add(certificate?)?;
@@ -68,19 +104,19 @@
     Ok(TlsConnector::from(Arc::new(config)))
 }
 
-pub(super) async fn connect(section: &TriggerSettings) -> io::Result<Box<dyn BrokerStream>> {
-    let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIME).await?;
-    let Some(wanted) = &section.tls else {
+pub(super) async fn connect(
+    section: &TriggerSettings,
+) -> Result<Box<dyn BrokerStream>, ConnectError> {
+    let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIMEOUT).await?;
+    let Some(tls) = &section.tls else {
         return Ok(Box::new(stream));
     };
     // The files are read for each connection, so that those that were replaced count from the next on.
-    let connector = tls(wanted).map_err(|e| io::Error::other(format!("TLS: {e}")))?;
-    let name = ServerName::try_from(wanted.name.clone()).map_err(io::Error::other)?;
-    let shaken =
-        orchidtally_socket_io::with_timeout(CONNECT_TIME, connector.connect(name, stream)).await;
-    Ok(Box::new(shaken.ok_or_else(|| {
-        io::Error::from(io::ErrorKind::TimedOut)
-    })??))
+    let connector = tls_connector(tls)?;
+    let name = ServerName::try_from(tls.name.clone())?;
+    let handshake =
+        orchidtally_socket_io::with_timeout(CONNECT_TIMEOUT, connector.connect(name, stream)).await;
+    Ok(Box::new(handshake.ok_or(ConnectError::TimedOut)??))
 }
 
 /// Reads packets until the connection ends.
@@ -93,8 +129,8 @@
     let (mut buffer, mut bytes) = (BytesMut::new(), vec![0; 16 * 1024]);
     let ended = 'all: loop {
         match stream.read(&mut bytes).await {
-            Ok(0) => break "the broker closed the connection".into(),
-            Err(e) => break e.to_string(),
+            Ok(0) => break ConnectionLost::Closed,
+            Err(fault) => break fault.into(),
             Ok(n) => buffer.extend_from_slice(&bytes[..n]),
         }
         loop {
@@ -109,7 +145,7 @@
                     }
                 }
                 Ok(None) => break,
-                Err(fault) => break 'all fault.to_string(),
+                Err(fault) => break 'all fault.into(),
             }
         }
     };
@@ -131,16 +167,16 @@
             if bytes.is_empty() {
                 break;
             }
-            let full = bytes.len() >= MOST_OUT;
+            let full = bytes.len() >= MAX_OUTBOX_BYTES;
             let written = async {
                 stream.write_all(&bytes).await?;
                 stream.flush().await
             };
-            if let Err(e) = written.await {
-                let _ = inputs.send(Input::Lost(number, e.to_string())).await;
+            if let Err(fault) = written.await {
+                let _ = inputs.send(Input::Lost(number, fault.into())).await;
                 return;
             }
-            if full && inputs.send(Input::Room).await.is_err() {
+            if full && inputs.send(Input::OutboxDrained).await.is_err() {
                 return;
             }
         }
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -34,18 +34,22 @@
 }
 
 /// Serves triggers until the front end ends and what was in hand is answered.
-pub async fn consume(router: Rc<Router>, triggers: Triggers, leaving: async_channel::Receiver<()>) {
+pub async fn consume(
+    router: Rc<Router>,
+    triggers: Triggers,
+    draining: async_channel::Receiver<()>,
+) {
     let Triggers {
         section,
         journal,
         records,
-        cut,
-        sharing,
+        truncated_bytes,
+        max_batch,
     } = triggers;
-    if cut > 0 || !records.is_empty() {
+    if truncated_bytes > 0 || !records.is_empty() {
         info!(
             entries = records.len(),
-            cut, "the journal of a life before was read"
+            truncated_bytes, "journal of the previous incarnation read"
         );
     }
     let section = Rc::new(section);
@@ -64,7 +68,7 @@
     let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
-    let journal = GroupCommit::with_max_batch(journal, most_entries, sharing);
+    let journal = GroupCommit::with_max_batch(journal, most_entries, max_batch);
     let mut host = ConsumerHost::new(
         router.clone(),
         section,
@@ -93,7 +97,7 @@
                 future::pending::<()>().await;
             }
             // Nothing is ever sent: the channel closes.
-            let _ = leaving.recv().await;
+            let _ = draining.recv().await;
             Some(Wake::Leave)
         };
         let wake = future::or(journal_result, future::or(input, leave));
@@ -122,7 +126,7 @@
         }
     }
     host.close().await;
-    debug!("no more messages are carried");
+    debug!("message triggers stopped");
 }
 
 fn read_password(section: &TriggerSettings) -> Option<Bytes> {
@@ -130,7 +134,7 @@
     match std::fs::read(file) {
         Ok(bytes) => Some(Bytes::from(bytes.trim_ascii_end().to_vec())),
         Err(fault) => {
-            error!(%fault, ?file, "the broker's password can't be read");
+            error!(%fault, ?file, "broker password unreadable");
             None
         }
     }
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,6 +1,8 @@
 //! Performs what a consumer commands: packets, entries of the journal and invocations.
 
-use super::connection::{BrokerStream, Connection, Input, MOST_OUT, Outbox, connect, read, write};
+use super::connection::{
+    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read, write,
+};
 use super::invoke::invoke;
 use super::tls_files::TlsFiles;
 use crate::router::{Router, TriggerStatus};
@@ -120,7 +122,7 @@
     fn check_tls_files(&mut self, now: f64) {
         let is_due = self.tls_files.is_check_due(now);
         if is_due && self.connection.is_some() && self.tls_files.have_changed() {
-            info!("the files of TLS have changed: connecting anew");
+            info!("TLS files changed, reconnecting");
             self.consumer.disconnect(now);
             self.perform();
             self.connection = None;
@@ -172,7 +174,7 @@
         let Some(_) = self.connection.take() else {
             return;
         };
-        warn!(broker = %self.section.broker, why, "the connection to the broker is gone");
+        warn!(broker = %self.section.broker, why, "broker connection lost");
         self.consumer.connection_lost();
         self.connect_later();
     }
@@ -192,7 +194,7 @@
                 match stream {
                     Ok(stream) => self.connected(stream),
                     Err(fault) => {
-                        warn!(broker = %self.section.broker, %fault, "the broker is not to be reached");
+                        warn!(broker = %self.section.broker, %fault, "broker unreachable");
                         self.connect_later();
                     }
                 }
@@ -203,8 +205,8 @@
                     self.lost(&ended.to_string());
                 }
             }
-            Input::Lost(number, why) if is_present(number) => self.lost(&why),
-            Input::Packet(..) | Input::Lost(..) | Input::Room => {}
+            Input::Lost(number, why) if is_present(number) => self.lost(&why.to_string()),
+            Input::Packet(..) | Input::Lost(..) | Input::OutboxDrained => {}
             Input::InvocationEnded(n, answer) => {
                 self.invocations.remove(&n);
                 self.consumer.invocation_ended(now, n, answer);
@@ -255,7 +257,7 @@
         let results = self.journal_results.clone();
         let done = move |appended: io::Result<()>| {
             if let Err(fault) = &appended {
-                error!(%fault, "the journal did not keep an entry");
+                error!(%fault, "journal append failed");
             }
             // Nobody listens where the front end has ended.
             let _ = results.send_blocking(JournalResult::Appended(appended.is_ok()));
@@ -270,7 +272,7 @@
         let results = self.journal_results.clone();
         let done = move |replaced: io::Result<()>| {
             if let Err(fault) = &replaced {
-                error!(%fault, "the journal's state could not be replaced");
+                error!(%fault, "journal snapshot failed");
             }
             let _ = results.send_blocking(JournalResult::Replaced(replaced.is_ok()));
         };
@@ -299,18 +301,20 @@
                 self.retry_after = FIRST_RETRY;
                 info!(broker = %self.section.broker, session_present, "connected to the broker");
             }
-            Notice::Refused(filters) => error!(?filters, "the broker refused subscriptions"),
-            Notice::SetAside { topic, why } => warn!(topic, why, "a message was set aside"),
+            Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
+            Notice::SetAside { topic, why } => {
+                warn!(topic, why, "message dead-lettered to the set-aside topic")
+            }
             Notice::NotPublished { topic, code } => {
-                warn!(topic, ?code, "the broker took no answer")
+                warn!(topic, ?code, "broker rejected a response")
             }
             Notice::JournalFailed => {
                 self.journal_works = false;
-                error!("the journal can't be written: no message is taken until it can");
+                error!("journal can't be written: no messages are accepted until it can");
             }
             Notice::JournalBack => {
                 self.journal_works = true;
-                info!("the journal can be written again");
+                info!("journal writable again");
             }
         }
     }
@@ -320,12 +324,12 @@
             return;
         };
         let mut bytes = connection.outbox.bytes.borrow_mut();
-        while bytes.len() < MOST_OUT
+        while bytes.len() < MAX_OUTBOX_BYTES
             && let Some(packet) = self.consumer.next_packet()
         {
             match encode(&packet, self.section.version) {
                 Ok(encoded) => bytes.extend_from_slice(&encoded),
-                Err(fault) => error!(%fault, "a packet could not be written"),
+                Err(fault) => error!(%fault, "packet can't be encoded"),
             }
         }
         if !bytes.is_empty() {
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -26,13 +26,13 @@
 
 /// Invokes for a message; returns its final answer.
 pub(super) async fn invoke(router: Rc<Router>, message: StoredMessage, ready_by: f64) -> Answer {
-    let asked = match ask(&router, &message, ready_by) {
-        Ok(asked) => asked,
+    let ingress_request = match ask(&router, &message, ready_by) {
+        Ok(ingress_request) => ingress_request,
         Err(answer) => return answer,
     };
-    match router.invoke(asked).await {
+    match router.invoke(ingress_request).await {
         Ok(answer) => final_answer(answer),
-        Err(RejectionReason::Full | RejectionReason::Leaving) => Answer::Rejected,
+        Err(RejectionReason::AtCapacity | RejectionReason::ShuttingDown) => Answer::Rejected,
         Err(RejectionReason::Refused(refusal)) => refused(&refusal, false),
     }
 }
@@ -75,7 +75,11 @@
     if ready_by <= router.now() {
         return Err(Answer::Rejected);
     }
-    let key = router.shares.borrow().sticky_key(&target.function).cloned();
+    let key = router
+        .traffic_split
+        .borrow()
+        .sticky_key(&target.function)
+        .cloned();
     let key = match &key {
         Some(StickyKey::Customer) => &target.customer,
         Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
@@ -125,12 +129,12 @@
             reason: "its answer was streamed, which a message can't be".into(),
             may_have_run: true,
         },
-        Ok(FinalAnswer::Throttled { .. }) => Answer::Rejected,
+        Ok(FinalAnswer::Rejected { .. }) => Answer::Rejected,
         Ok(FinalAnswer::Refused {
             refusal,
             may_have_run,
         }) => refused(&refusal, may_have_run),
-        Ok(FinalAnswer::Errored {
+        Ok(FinalAnswer::Failed {
             cause,
             may_have_run,
         }) => {
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -7,16 +7,16 @@
 use std::path::Path;
 
 /// Entries that share a sync.
-const SHARING: usize = 1_024;
+const MAX_BATCH: usize = 1_024;
 
 /// What a front end needs to serve triggers: the section, and its journal with what stood in it.
 pub struct Triggers {
     pub section: TriggerSettings,
     pub(super) journal: Journal,
     pub(super) records: Vec<Record>,
-    pub(super) cut: u64,
+    pub(super) truncated_bytes: u64,
     /// Entries that share a sync at the most.
-    pub(super) sharing: usize,
+    pub(super) max_batch: usize,
 }
 
 fn bad(folder: &Path, what: impl std::fmt::Display) -> io::Error {
@@ -56,8 +56,8 @@
             section,
             journal,
             records,
-            cut: found.truncated_bytes,
-            sharing: SHARING,
+            truncated_bytes: found.truncated_bytes,
+            max_batch: MAX_BATCH,
         })
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// With the journal as measurements want it: without syncs, or with one for each entry.
-    pub fn measured(self, synced: bool, sharing: usize) -> Triggers {
+    pub fn measured(self, synced: bool, max_batch: usize) -> Triggers {
         let journal = if synced {
             self.journal
         } else {
@@ -75,7 +75,7 @@
         };
         Triggers {
             journal,
-            sharing,
+            max_batch,
             ..self
         }
     }
--- /dev/null
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -0,0 +1,66 @@
+//! One connection to an executor, and what its failures show.
+
+use bytes::Bytes;
+use h2::client::SendRequest;
+use h2::{Ping, PingPong};
+use orchidtally_engine::evidence::Transport;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Instant;
+
+/// An open HTTP/2 connection to an executor.
+pub(super) struct Connection {
+    pub(super) sender: SendRequest<Bytes>,
+    pub(super) streams: Cell<usize>,
+    pub(super) closed: Cell<bool>,
+    pub(super) idle_since: Cell<Instant>,
+    /// Bytes passed to the kernel so far.
+    pub(super) written: Rc<Cell<u64>>,
+    /// `None` while a ping waits for its answer.
+    pub(super) ping: RefCell<Option<PingPong>>,
+}
+
+/// Sends pings on a connection.
+pub struct Pinger(pub(super) Rc<Connection>);
+
+impl Pinger {
+    /// Asks whether the peer is there. Whatever it sent before its answer has arrived by then.
+    ///
+    /// # Errors
+    /// The connection is broken, or another ping is waiting for its answer.
+    pub async fn ping(&self) -> Result<(), Transport> {
+        let mut ping = self
+            .0
+            .ping
+            .borrow_mut()
+            .take()
+            .ok_or(Transport::Saturated)?;
+        let answered = ping.ping(Ping::opaque()).await;
+        *self.0.ping.borrow_mut() = Some(ping);
+        answered.map(drop).map_err(|_| Transport::Broken)
+    }
+}
+
+/// Names what an error on a stream showed; `orchidtally_engine::evidence` derives from that whether the request may have run.
+pub(super) fn observed_failure(
+    e: &h2::Error,
+    sent_from: u64,
+    connection: &Connection,
+) -> Transport {
+    if e.is_remote() && e.is_go_away() {
+        return Transport::AboveLast;
+    }
+    if e.is_remote() && e.is_reset() {
+        let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
+        return if unseen {
+            Transport::Refused
+        } else {
+            Transport::Reset
+        };
+    }
+    if connection.written.get() == sent_from {
+        Transport::Unwritten
+    } else {
+        Transport::Broken
+    }
+}
--- /dev/null
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -0,0 +1,75 @@
+//! Requests to an executor: a message and a payload on a stream of their own.
+
+use super::connection::observed_failure;
+use super::{Incoming, Pool};
+use bytes::Bytes;
+use orchidtally_engine::evidence::Transport;
+use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, MAX_MESSAGE_LENGTH};
+use prost::Message;
+use std::rc::Rc;
+use tracing::warn;
+
+impl Pool {
+    /// Sends a message and a payload on a stream of their own and reads the message that comes back.
+    pub async fn exchange<M: Message + Default>(
+        self: &Rc<Self>,
+        path: &str,
+        head: Bytes,
+        payload: &[Bytes],
+    ) -> Result<(M, Incoming), Transport> {
+        self.exchange_if(path, || Some(head), payload).await
+    }
+
+    /// The same, with a message that is made right before the bytes go out, or none if they are not to.
+    pub async fn exchange_if<M: Message + Default>(
+        self: &Rc<Self>,
+        path: &str,
+        head: impl FnOnce() -> Option<Bytes>,
+        payload: &[Bytes],
+    ) -> Result<(M, Incoming), Transport> {
+        let mut incoming = self.begin(path, head, payload).await?;
+        let message = incoming.message(MAX_MESSAGE_LENGTH).await?;
+        Ok((message, incoming))
+    }
+
+    /// Sends the same, and reads nothing of what comes back.
+    pub async fn begin(
+        self: &Rc<Self>,
+        path: &str,
+        head: impl FnOnce() -> Option<Bytes>,
+        payload: &[Bytes],
+    ) -> Result<Incoming, Transport> {
+        let lease = self.lease().await?;
+        let Some(head) = head() else {
+            return Err(Transport::Withheld);
+        };
+        let sent_from = lease.connection.written.get();
+        let classify = |e: &h2::Error| observed_failure(e, sent_from, &lease.connection);
+        let request = http::Request::post(format!("http://{}{path}", self.to))
+            .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
+            .body(())
+            .map_err(|_| Transport::Withheld)?;
+        let mut sender = lease.connection.sender.clone();
+        let (response, mut out) = sender
+            .send_request(request, false)
+            .map_err(|e| classify(&e))?;
+        // The chunks are handed over as they are; they go out as the peer's window lets them.
+        let last = payload.len();
+        out.send_data(head, last == 0).map_err(|e| classify(&e))?;
+        for (n, chunk) in payload.iter().enumerate() {
+            out.send_data(chunk.clone(), n + 1 == last)
+                .map_err(|e| classify(&e))?;
+        }
+        let response = response.await.map_err(|e| classify(&e))?;
+        if response.status() != http::StatusCode::OK {
+            warn!(executor = %self.to, status = %response.status(), path, "executor rejected a message");
+            return Err(Transport::Malformed);
+        }
+        Ok(Incoming {
+            stream: response.into_body(),
+            deframer: Deframer::default(),
+            sent_from,
+            lease,
+        })
+    }
+}
--- /dev/null
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -0,0 +1,88 @@
+//! Reading an executor's response.
+
+use super::Lease;
+use super::connection::{Pinger, observed_failure};
+use bytes::Bytes;
+use orchidtally_engine::evidence::Transport;
+use orchidtally_executor_protocol::Deframer;
+use prost::Message;
+use tracing::warn;
+
+/// An executor's response, read message by message; the payload follows the messages.
+pub struct Incoming {
+    pub(super) stream: h2::RecvStream,
+    pub(super) deframer: Deframer,
+    pub(super) sent_from: u64,
+    pub(super) lease: Lease,
+}
+
+impl Incoming {
+    /// Sends pings on the connection of this response.
+    pub fn pinger(&self) -> Pinger {
+        Pinger(self.lease.connection.clone())
+    }
+
+    /// Reads further bytes; `false` at the end of the stream.
+    async fn read_more(&mut self) -> Result<bool, Transport> {
+        match self.stream.data().await {
+            None => Ok(false),
+            Some(Ok(chunk)) => {
+                // Flow control capacity is released at once: the callers bound what they buffer.
+                let _ = self.stream.flow_control().release_capacity(chunk.len());
+                self.deframer.push(chunk);
+                Ok(true)
+            }
+            Some(Err(e)) => Err(observed_failure(&e, self.sent_from, &self.lease.connection)),
+        }
+    }
+
+    /// The next message, up to `max_length` bytes.
+    ///
+    /// # Errors
+    /// The stream failed, or the message can't be decoded; no new stream is opened on that connection then.
+    pub async fn message<M: Message + Default>(
+        &mut self,
+        max_length: usize,
+    ) -> Result<M, Transport> {
+        loop {
+            let fault = match self.deframer.message(max_length) {
+                Ok(Some(message)) => return Ok(message),
+                Ok(None) if self.read_more().await? => continue,
+                Ok(None) => self.deframer.cut_short(),
+                Err(fault) => fault,
+            };
+            // No new streams are opened on it; those in flight may still succeed.
+            if !self.lease.connection.closed.replace(true) {
+                let executor = self.lease.pool.to;
+                warn!(%executor, %fault, "connection closed: a message can't be decoded");
+            }
+            return Err(Transport::Malformed);
+        }
+    }
+
+    /// The next chunk of the payload; `None` at its end.
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Transport> {
+        loop {
+            if let Some(chunk) = self.deframer.payload() {
+                return Ok(Some(chunk));
+            }
+            if !self.read_more().await? {
+                return Ok(None);
+            }
+        }
+    }
+
+    /// The complete payload, up to `max_length` bytes.
+    pub async fn read_payload(&mut self, max_length: usize) -> Result<Vec<Bytes>, Transport> {
+        let (mut chunks, mut length) = (vec![], 0);
+        while let Some(chunk) = self.next_chunk().await? {
+            length += chunk.len();
+            if length > max_length {
+                warn!(executor = %self.lease.pool.to, max_length, "response exceeds the length limit");
+                return Err(Transport::Malformed);
+            }
+            chunks.push(chunk);
+        }
+        Ok(chunks)
+    }
+}
--- /dev/null
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -0,0 +1,167 @@
+//! Connections to one executor: opened as streams are wanted, up to a limit, shared by many dispatches, and closed when
+//! idle. The end of a stream is reported as the transport saw it; `orchidtally_engine::evidence` derives from that
+//! whether a request may have run.
+
+mod connection;
+mod exchange;
+mod incoming;
+mod opening;
+
+pub use connection::Pinger;
+pub use incoming::Incoming;
+
+use async_executor::LocalExecutor;
+use connection::Connection;
+use futures_channel::oneshot;
+use orchidtally_engine::evidence::Transport;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::{Duration, Instant};
+
+/// Limits of the connections to one executor.
+#[derive(Clone, Copy)]
+pub struct ConnectionLimits {
+    /// Streams that one connection carries at a time.
+    pub streams_per_connection: usize,
+    /// Connections that are open or being opened at a time.
+    pub connections: usize,
+    /// The time for a connect with its handshake, and for the wait for a stream.
+    pub connect_time: Duration,
+    /// A connection without streams is closed after this time.
+    pub idle_close: Duration,
+    /// The longest list of response headers, in bytes; messages and payloads have limits of their own.
+    pub header_bytes: u32,
+}
+
+#[derive(Default)]
+struct State {
+    connections: Vec<Rc<Connection>>,
+    connecting: usize,
+    /// Those that wait for a stream; each is woken to look again, or gets the reason why there is none.
+    waiters: VecDeque<oneshot::Sender<Option<Transport>>>,
+}
+
+/// The connections to one executor.
+pub struct Pool {
+    to: SocketAddr,
+    limits: ConnectionLimits,
+    spawner: Weak<LocalExecutor<'static>>,
+    state: RefCell<State>,
+}
+
+/// A reserved stream on a connection, released when dropped.
+struct Lease {
+    pool: Rc<Pool>,
+    connection: Rc<Connection>,
+}
+
+impl Drop for Lease {
+    fn drop(&mut self) {
+        let c = &self.connection;
+        c.streams.set(c.streams.get() - 1);
+        c.idle_since.set(Instant::now());
+        self.pool.wake_one();
+    }
+}
+
+impl Pool {
+    pub fn new(
+        to: SocketAddr,
+        limits: ConnectionLimits,
+        spawner: Weak<LocalExecutor<'static>>,
+    ) -> Rc<Pool> {
+        Rc::new(Pool {
+            to,
+            limits,
+            spawner,
+            state: RefCell::default(),
+        })
+    }
+
+    /// Closes idle connections; returns whether the pool is empty and unused.
+    pub fn sweep(&self) -> bool {
+        let mut state = self.state.borrow_mut();
+        let idle = |c: &Rc<Connection>| {
+            c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.limits.idle_close
+        };
+        state.connections.retain(|c| !c.closed.get() && !idle(c));
+        state.connections.is_empty() && state.connecting == 0 && state.waiters.is_empty()
+    }
+
+    fn wake_one(&self) {
+        let mut state = self.state.borrow_mut();
+        while let Some(waiter) = state.waiters.pop_front() {
+            if waiter.send(None).is_ok() {
+                return;
+            }
+        }
+    }
+
+    fn wake_all(&self, why: Option<Transport>) {
+        let waiters = std::mem::take(&mut self.state.borrow_mut().waiters);
+        for waiter in waiters {
+            // One that has stopped waiting needs no answer.
+            let _ = waiter.send(why);
+        }
+    }
+
+    fn lease_free_stream(self: &Rc<Self>) -> Option<Lease> {
+        let state = self.state.borrow();
+        let has_free_stream = |c: &&Rc<Connection>| {
+            !c.closed.get() && c.streams.get() < self.limits.streams_per_connection
+        };
+        let connection = state.connections.iter().find(has_free_stream)?.clone();
+        connection.streams.set(connection.streams.get() + 1);
+        Some(Lease {
+            pool: self.clone(),
+            connection,
+        })
+    }
+
+    async fn lease(self: &Rc<Self>) -> Result<Lease, Transport> {
+        let deadline = Instant::now() + self.limits.connect_time;
+        loop {
+            while let Some(lease) = self.lease_free_stream() {
+                // A connection that the peer is closing accepts no new stream.
+                if lease.connection.sender.clone().ready().await.is_ok() {
+                    return Ok(lease);
+                }
+                lease.connection.closed.set(true);
+            }
+            let (wake, woken) = oneshot::channel();
+            let opens = {
+                let mut state = self.state.borrow_mut();
+                state.connections.retain(|c| !c.closed.get());
+                state.waiters.push_back(wake);
+                let expected_streams = state.connecting * self.limits.streams_per_connection;
+                let open = state.connections.len() + state.connecting;
+                let opens =
+                    open < self.limits.connections && state.waiters.len() > expected_streams;
+                state.connecting += usize::from(opens);
+                opens
+            };
+            if opens {
+                let Some(spawner) = self.spawner.upgrade() else {
+                    return Err(Transport::NoConnection);
+                };
+                // In a task of its own, which continues where the dispatch that started it is cancelled.
+                spawner.spawn(self.clone().open()).detach();
+            }
+            let left = deadline.saturating_duration_since(Instant::now());
+            match orchidtally_socket_io::with_timeout(left, woken).await {
+                Some(Ok(None)) => {}
+                Some(Ok(Some(why))) => return Err(why),
+                Some(Err(_)) | None => {
+                    let connecting = self.state.borrow().connecting > 0;
+                    return Err(if connecting {
+                        Transport::NoConnection
+                    } else {
+                        Transport::Saturated
+                    });
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -0,0 +1,104 @@
+//! Opens connections and drives them to their end.
+
+use super::Pool;
+use super::connection::Connection;
+use bytes::Bytes;
+use h2::PingPong;
+use h2::client::SendRequest;
+use orchidtally_engine::evidence::Transport;
+use orchidtally_socket_io::Stream;
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::rc::Rc;
+use std::time::Instant;
+use tracing::{debug, warn};
+
+/// HTTP/2 flow control windows of a stream and of a connection, in bytes.
+const STREAM_WINDOW: u32 = 1 << 20;
+const CONNECTION_WINDOW: u32 = 4 << 20;
+
+/// A connection whose handshake has succeeded.
+struct Handshake {
+    sender: SendRequest<Bytes>,
+    driver: h2::client::Connection<Stream>,
+    written: Rc<Cell<u64>>,
+    ping: Option<PingPong>,
+}
+
+impl Pool {
+    /// Opens a connection and drives it to its end.
+    pub(super) async fn open(self: Rc<Self>) {
+        let handshake =
+            orchidtally_socket_io::with_timeout(self.limits.connect_time, self.handshake()).await;
+        self.state.borrow_mut().connecting -= 1;
+        let handshake = match handshake {
+            Some(Ok(handshake)) => handshake,
+            Some(Err(fault)) => return self.on_connect_failure(&fault.to_string()),
+            None => return self.on_connect_failure("no handshake in time"),
+        };
+        let connection = Rc::new(Connection {
+            sender: handshake.sender,
+            streams: Cell::new(0),
+            closed: Cell::new(false),
+            idle_since: Cell::new(Instant::now()),
+            written: handshake.written,
+            ping: RefCell::new(handshake.ping),
+        });
+        self.state.borrow_mut().connections.push(connection.clone());
+        self.wake_all(None);
+        let weak_connection = Rc::downgrade(&connection);
+        drop(connection);
+        let ended = handshake.driver.await;
+        if let Some(connection) = weak_connection.upgrade() {
+            connection.closed.set(true);
+        }
+        self.state
+            .borrow_mut()
+            .connections
+            .retain(|c| !c.closed.get());
+        match ended {
+            Err(e) if !e.is_io() && !e.is_remote() => {
+                warn!(executor = %self.to, fault = %e, "connection closed: protocol violation by the executor");
+            }
+            Err(e) => debug!(executor = %self.to, fault = %e, "connection broken"),
+            Ok(()) => {}
+        }
+    }
+
+    async fn handshake(&self) -> io::Result<Handshake> {
+        let stream = orchidtally_socket_io::connect(self.to, self.limits.connect_time).await?;
+        let written = stream.written();
+        let mut builder = h2::client::Builder::new();
+        builder
+            .max_header_list_size(self.limits.header_bytes)
+            .enable_push(false);
+        builder
+            .initial_window_size(STREAM_WINDOW)
+            .initial_connection_window_size(CONNECTION_WINDOW);
+        let (sender, mut driver) = builder
+            .handshake::<_, Bytes>(stream)
+            .await
+            .map_err(io::Error::other)?;
+        let ping = driver.ping_pong();
+        Ok(Handshake {
+            sender,
+            driver,
+            written,
+            ping,
+        })
+    }
+
+    /// Waiting dispatches fail unless another connection stands.
+    fn on_connect_failure(&self, why: &str) {
+        debug!(executor = %self.to, why, "connect failed");
+        let all_closed = self
+            .state
+            .borrow()
+            .connections
+            .iter()
+            .all(|c| c.closed.get());
+        if all_closed {
+            self.wake_all(Some(Transport::NoConnection));
+        }
+    }
+}
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -1,7 +1,8 @@
 //! Reads the deployment file again while the front end runs: what can change without a restart is put in force,
 //! whole or not at all.
 
-use crate::router::{ReconfigureError, Router};
+use crate::config::ApplyError;
+use crate::router::Router;
 use orchidtally_deployment::{DeploymentFault, restart_needed};
 use std::io;
 use std::path::PathBuf;
@@ -28,7 +29,7 @@
     #[error("{} of its changes need a restart; restart this front end, or take them back", .0.len())]
     NeedsRestart(Vec<DeploymentFault>),
     #[error(transparent)]
-    Refused(#[from] ReconfigureError),
+    Refused(#[from] ApplyError),
 }
 
 impl ReloadError {
@@ -63,7 +64,7 @@
     let file = path.display();
     while let Ok(newest) = read.recv().await {
         if router.is_draining() {
-            warn!(%file, "the deployment file is not read again: this front end is ending");
+            warn!(%file, "the deployment file is not read again: this front end is shutting down");
             continue;
         }
         match reload(&router, &text, newest) {
@@ -77,7 +78,7 @@
                 for place in fault.places() {
                     error!("{file}:{place}");
                 }
-                error!(%file, %fault, "the deployment file is not applied: what was in force before goes on to hold");
+                error!(%file, %fault, "the deployment file is not applied: the previous configuration stays in force");
             }
         }
     }
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -9,22 +9,37 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tracing::{info, warn};
 
 pub const EXCHANGE: &str = "/v1/rollouts/exchange";
 /// A coordinator that has not answered by then is asked again with the next round.
 const PATIENCE: Duration = Duration::from_secs(1);
 
-/// One round with one coordinator.
-async fn exchange(at: SocketAddr, told: &EvidenceReport) -> Result<Published, String> {
-    let body = serde_json::to_vec(told).map_err(|e| e.to_string())?;
+/// Why a coordinator could not be polled.
+#[derive(Debug, Error)]
+enum ExchangeError {
+    #[error("{0}")]
+    Encode(#[source] serde_json::Error),
+    #[error("{0}")]
+    Request(#[source] std::io::Error),
+    #[error("{status}: {body}")]
+    Status { status: StatusCode, body: String },
+    #[error("its answer can't be read: {0}")]
+    Decode(#[source] serde_json::Error),
+}
+
+/// Exchanges a report for the published state with one coordinator.
+async fn exchange(at: SocketAddr, report: &EvidenceReport) -> Result<Published, ExchangeError> {
+    let body = serde_json::to_vec(report).map_err(ExchangeError::Encode)?;
     let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, PATIENCE)
         .await
-        .map_err(|e| e.to_string())?;
+        .map_err(ExchangeError::Request)?;
     if status != StatusCode::OK {
-        return Err(format!("{status}: {}", String::from_utf8_lossy(&answer)));
+        let body = String::from_utf8_lossy(&answer).into_owned();
+        return Err(ExchangeError::Status { status, body });
     }
-    serde_json::from_slice(&answer).map_err(|e| format!("its answer can't be read: {e}"))
+    serde_json::from_slice(&answer).map_err(ExchangeError::Decode)
 }
 
 /// Round after round, for as long as the front end lives.
@@ -32,25 +47,30 @@
     let pause = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
     let mut reached = true;
     loop {
-        let told = router
-            .shares
+        let report = router
+            .traffic_split
             .borrow_mut()
             .report(router.sender.get().incarnation);
         let rounds: Vec<_> = router
             .deployment
             .coordinators
             .iter()
-            .map(|&at| (at, told.clone()))
+            .map(|&at| (at, report.clone()))
             .collect();
         let tasks: Vec<_> = rounds
             .into_iter()
-            .filter_map(|(at, told)| router.spawn(async move { (at, exchange(at, &told).await) }))
+            .filter_map(|(at, report)| {
+                router.spawn(async move { (at, exchange(at, &report).await) })
+            })
             .collect();
         let (mut newest, mut faults) = (None::<Published>, vec![]);
         for task in tasks {
             match task.await {
                 (_, Ok(published)) => {
-                    router.shares.borrow_mut().observe_epoch(published.epoch);
+                    router
+                        .traffic_split
+                        .borrow_mut()
+                        .observe_epoch(published.epoch);
                     if newest.as_ref().is_none_or(|n| published.is_newer_than(n)) {
                         newest = Some(published);
                     }
@@ -59,13 +79,16 @@
             }
         }
         match (&newest, reached) {
-            (None, true) => warn!(?faults, "no coordinator is to be reached; steps are held"),
-            (Some(_), false) => info!("a coordinator is to be reached again"),
+            (None, true) => warn!(
+                ?faults,
+                "no coordinator reachable; rollout steps are paused"
+            ),
+            (Some(_), false) => info!("coordinator reachable again"),
             _ => {}
         }
         reached = newest.is_some();
         if !reached {
-            router.shares.borrow_mut().restore_report(told);
+            router.traffic_split.borrow_mut().restore_report(report);
         }
         router.apply_rollouts(newest);
         future::yield_now().await;
--- a/crates/http-frontend/src/router/action_executor.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -1,7 +1,7 @@
 //! Performs what the engine commands: dispatches, orders, probes and final answers.
 
 use super::exchange::{Dispatch, Timing};
-use super::invocation::{Client, ExecutorResponse, FinalAnswer, Work};
+use super::invocation::{Client, ExecutorResponse, FinalAnswer, InvocationContext};
 use super::{Router, number, seconds};
 use crate::pool::{ConnectionLimits, Pool};
 use async_executor::Task;
@@ -24,7 +24,7 @@
 /// Numbers that an invocation's dispatches may have had before it was moved; those after it go on from here.
 const MAX_DISPATCHES: u32 = 256;
 
-/// An invocation of a version that was taken back, on its way to the old one.
+/// An invocation of a rolled-back version, to be admitted again for the old one.
 pub(super) struct Migration {
     client: Client,
     to: Version,
@@ -43,11 +43,11 @@
     router: Weak<Router>,
     pub(super) clients: HashMap<u32, Client>,
     /// Dispatches that are out; dropping one abandons its stream.
-    pub(super) out: HashMap<(u32, u8), Task<()>>,
+    pub(super) dispatch_tasks: HashMap<(u32, u8), Task<()>>,
     pub(super) pools: HashMap<ExecutorId, Rc<Pool>>,
     /// Names of versions that were invoked lately, by key: orders name them.
-    pub(super) names: HashMap<u64, VersionName>,
-    /// The client whose invocation is being taken.
+    pub(super) version_names: HashMap<u64, VersionName>,
+    /// The client whose invocation is being admitted.
     admitting: Option<Client>,
     /// The payload of the dispatch that is being reported as ended.
     pub(super) executor_response: Option<ExecutorResponse>,
@@ -64,9 +64,9 @@
         ActionExecutor {
             router,
             clients: HashMap::new(),
-            out: HashMap::new(),
+            dispatch_tasks: HashMap::new(),
             pools: HashMap::new(),
-            names: HashMap::new(),
+            version_names: HashMap::new(),
             admitting: None,
             executor_response: None,
             timing: None,
@@ -89,8 +89,8 @@
         self.pools.entry(to).or_insert_with(new).clone()
     }
 
-    pub(super) fn name(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
-        self.names.insert(
+    pub(super) fn remember_version(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
+        self.version_names.insert(
             key,
             VersionName {
                 function,
@@ -100,24 +100,24 @@
         );
     }
 
-    pub(super) fn offer(
+    pub(super) fn admit(
         &mut self,
         engine: &mut Engine,
         now: f64,
         client: Client,
     ) -> Result<u32, AdmissionError> {
-        self.name(
-            client.offer.function,
+        self.remember_version(
+            client.request.function,
             client.work.function.clone(),
             client.work.digest.clone(),
         );
-        let offer = client.offer.clone();
+        let request = client.request.clone();
         self.admitting = Some(client);
-        let taken = engine.admit(now, &offer, self);
-        if taken.is_ok() {
+        let admitted_invocation = engine.admit(now, &request, self);
+        if admitted_invocation.is_ok() {
             self.admitting = None;
         }
-        taken
+        admitted_invocation
     }
 
     /// What waits and was never dispatched goes to the old version, whatever its effect: nothing has run.
@@ -125,7 +125,7 @@
         let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(to) = router.shares.borrow().rollback_target(run) else {
+        let Some(to) = router.traffic_split.borrow().rollback_target(run) else {
             return;
         };
         let is_new = |c: &Client| {
@@ -158,18 +158,21 @@
             client:
                 Client {
                     work,
-                    mut offer,
+                    mut request,
                     invocation,
                     reply,
                 },
             to,
             dispatched,
         } = migrations;
-        info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "moved to the old version");
-        (offer.function, offer.is_migrated) = (to.key, true);
-        (offer.concurrency, offer.load_time, offer.expected_work) =
-            (to.concurrency, to.load_time, to.expected_work);
-        let work = Rc::new(Work {
+        info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "invocation migrated to the old version");
+        (request.function, request.is_migrated) = (to.key, true);
+        (
+            request.concurrency,
+            request.load_time,
+            request.expected_work,
+        ) = (to.concurrency, to.load_time, to.expected_work);
+        let work = Rc::new(InvocationContext {
             name: work.name.clone(),
             function: work.function.clone(),
             digest: to.digest.clone(),
@@ -185,12 +188,12 @@
             payload_bytes: work.payload_bytes,
         });
         if self
-            .offer(
+            .admit(
                 engine,
                 now,
                 Client {
                     work,
-                    offer,
+                    request,
                     invocation,
                     reply,
                 },
@@ -199,7 +202,7 @@
             && let Some(client) = self.admitting.take()
         {
             // The front end is ending or full; asking again is harmless, or it would not have been moved.
-            let _ = client.reply.send(FinalAnswer::Throttled {
+            let _ = client.reply.send(FinalAnswer::Rejected {
                 retry_after: 0.0,
                 past_share: false,
             });
@@ -215,7 +218,7 @@
         let timing = self.timing.take();
         if let (Some(invoked), Some(router)) = (client.work.invoked, self.router.upgrade())
             && let Some(to) = add_evidence(&router, &client, &invoked, &answer, timing)
-            && client.offer.timeout_at - router.now() > MIN_TIME_TO_MIGRATE
+            && client.request.timeout_at - router.now() > MIN_TIME_TO_MIGRATE
         {
             self.migrations.push(Migration {
                 client,
@@ -228,14 +231,20 @@
         let _ = client.reply.send(answer);
     }
 
-    fn order(&mut self, to: ExecutorId, function: u64, kind: v1::OrderKind, copies: u8) {
+    fn send_load_command(
+        &mut self,
+        to: ExecutorId,
+        function: u64,
+        kind: v1::OrderKind,
+        copies: u8,
+    ) {
         let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(named) = self.names.get(&function) else {
+        let Some(named) = self.version_names.get(&function) else {
             warn!(
                 function,
-                "an order for a function that nobody invoked lately was left out"
+                "load command skipped: function not invoked recently"
             );
             return;
         };
@@ -247,15 +256,18 @@
             copies: copies.into(),
         };
         let pool = self.pool(&router, to);
-        if let Some(task) = router.spawn(router.clone().order(to, pool, order, function, self.now))
-        {
+        if let Some(task) = router.spawn(
+            router
+                .clone()
+                .send_load_command(to, pool, order, function, self.now),
+        ) {
             task.detach();
         }
     }
 }
 
 /// Adds the final answer of an invocation to the evidence on its version. Returns the old version where the invocation
-/// may go to it: its own was taken back and the answer is a failure.
+/// may migrate to it: its own was rolled back and the answer is a failure.
 fn add_evidence(
     router: &Router,
     client: &Client,
@@ -263,7 +275,7 @@
     answer: &FinalAnswer,
     timing: Option<Timing>,
 ) -> Option<Version> {
-    let mut shares = router.shares.borrow_mut();
+    let mut traffic_split = router.traffic_split.borrow_mut();
     let work = &client.work;
     let (outcome, may_have_run) = match answer {
         FinalAnswer::Succeeded(_) => {
@@ -273,30 +285,30 @@
             });
             (AnswerOutcome::Succeeded { took, warm }, true)
         }
-        FinalAnswer::Throttled { .. } => (AnswerOutcome::Throttled, false),
+        FinalAnswer::Rejected { .. } => (AnswerOutcome::Throttled, false),
         FinalAnswer::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
-        FinalAnswer::Errored { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
+        FinalAnswer::Failed { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
     };
-    if let FinalAnswer::Errored {
+    if let FinalAnswer::Failed {
         cause: FailureReason::TimedOut,
         ..
     } = answer
         && work.last.get() != 0
     {
-        let counts = shares.record_dispatch_failure(
+        let counts = traffic_split.record_dispatch_failure(
             router.now(),
             work.last.get(),
-            client.offer.function,
+            client.request.function,
             true,
         );
         work.failed.set(work.failed.get() | counts);
     }
-    shares.record_outcome(invoked, outcome, work.failed.get());
+    traffic_split.record_outcome(invoked, outcome, work.failed.get());
     let has_failed = !matches!(outcome, AnswerOutcome::Succeeded { .. });
     let is_idempotent = work.trigger_type.policy.idempotency == Idempotency::Idempotent;
     let moves =
         has_failed && may_migrate(is_idempotent, may_have_run) && invoked.cohort == Cohort::Canary;
-    shares.rollback_target(invoked.run).filter(|_| moves)
+    traffic_split.rollback_target(invoked.run).filter(|_| moves)
 }
 
 impl Host for ActionExecutor {
@@ -314,8 +326,8 @@
         let Some(client) = self.clients.get(&invocation) else {
             return;
         };
-        let (work, version) = (client.work.clone(), client.offer.function);
-        let timeout_at = client.offer.timeout_at;
+        let (work, version) = (client.work.clone(), client.request.function);
+        let timeout_at = client.request.timeout_at;
         work.last.set(number(to));
         let pool = self.pool(&router, to);
         let work = Dispatch {
@@ -328,13 +340,13 @@
             timeout_at,
         };
         if let Some(task) = router.spawn(router.clone().dispatch(work)) {
-            self.out.insert((invocation, dispatch), task);
+            self.dispatch_tasks.insert((invocation, dispatch), task);
         }
     }
 
     fn cancel(&mut self, invocation: u32, dispatch: u8) {
         // Dropping the task drops its stream, which resets it.
-        self.out.remove(&(invocation, dispatch));
+        self.dispatch_tasks.remove(&(invocation, dispatch));
     }
 
     fn succeeded(&mut self, invocation: u32, _dispatch: u8) {
@@ -348,7 +360,7 @@
     fn rejected(&mut self, invocation: u32, retry_after: f64, past_share: bool) {
         self.answer(
             invocation,
-            FinalAnswer::Throttled {
+            FinalAnswer::Rejected {
                 retry_after,
                 past_share,
             },
@@ -358,7 +370,7 @@
     fn failed(&mut self, invocation: u32, cause: FailureReason, may_have_run: bool) {
         self.answer(
             invocation,
-            FinalAnswer::Errored {
+            FinalAnswer::Failed {
                 cause,
                 may_have_run,
             },
@@ -366,15 +378,15 @@
     }
 
     fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.order(to, function, v1::OrderKind::Hold, copies);
+        self.send_load_command(to, function, v1::OrderKind::Hold, copies);
     }
 
     fn query_replicas(&mut self, to: ExecutorId, function: u64) {
-        self.order(to, function, v1::OrderKind::Ask, 0);
+        self.send_load_command(to, function, v1::OrderKind::Ask, 0);
     }
 
     fn unload(&mut self, to: ExecutorId, function: u64) {
-        self.order(to, function, v1::OrderKind::Unload, 0);
+        self.send_load_command(to, function, v1::OrderKind::Unload, 0);
     }
 
     fn health_check(&mut self, to: ExecutorId) {
@@ -389,7 +401,7 @@
             let answered = pool
                 .exchange::<v1::ProbeAnswer>(HEALTH_CHECK, probe, &[])
                 .await;
-            debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "probed");
+            debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "health check finished");
         };
         if let Some(task) = router.spawn(work) {
             task.detach();
--- a/crates/http-frontend/src/router/dispatch_admission.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -2,13 +2,19 @@
 //! a dispatch go out.
 
 use super::Router;
-use super::invocation::{FinalAnswer, RejectionReason, Work};
+use super::invocation::{FinalAnswer, InvocationContext, RejectionReason};
 use super::revision::Revision;
-use crate::config::{Refusal, Subject};
+use crate::config::{Admission, Refusal, Subject};
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 use orchidtally_engine::NO_METADATA;
 
 impl Router {
+    /// Sets what decides whether the configuration admits an invocation; only the first call has an effect.
+    pub fn set_admission(&self, admission: Admission) {
+        // A front end has one configuration host.
+        let _ = self.admission.set(admission);
+    }
+
     /// Whether an invocation under a revision may be taken now.
     ///
     /// # Errors
@@ -26,7 +32,7 @@
     }
 
     /// Why the bytes of a dispatch may not go out now.
-    pub(super) fn dispatch_refusal(&self, work: &Work) -> Option<Refusal> {
+    pub(super) fn dispatch_refusal(&self, work: &InvocationContext) -> Option<Refusal> {
         let trigger_type = &work.trigger_type.trigger.name;
         let subject = Subject {
             function: &work.function,
@@ -42,12 +48,15 @@
     /// is the client's.
     pub(super) fn refused(&self, (invocation, n): (u32, u8), refusal: Refusal) {
         self.run_engine(|engine, now, action_executor| {
-            if let Some(task) = action_executor.out.remove(&(invocation, n)) {
+            if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, n)) {
                 task.detach();
             }
             let sent = engine.dispatch_count(invocation);
-            let another_is_out =
-                (0..sent).any(|m| action_executor.out.contains_key(&(invocation, m as u8)));
+            let another_is_out = (0..sent).any(|m| {
+                action_executor
+                    .dispatch_tasks
+                    .contains_key(&(invocation, m as u8))
+            });
             if !another_is_out {
                 // An earlier one may have run; it isn't known here how it ended.
                 let may_have_run = sent > 1;
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -1,6 +1,6 @@
 //! Exchanges with executors: dispatches and orders, from their first byte to what their end proves.
 
-use super::invocation::{ExecutorResponse, ResponseTruncated, Work};
+use super::invocation::{ExecutorResponse, InvocationContext, ResponseTruncated};
 use super::{Router, number, seconds};
 use crate::pool::{Incoming, Pool};
 use bytes::Bytes;
@@ -30,7 +30,7 @@
     pub(super) number: u8,
     pub(super) to: ExecutorId,
     pub(super) pool: Rc<Pool>,
-    pub(super) work: Rc<Work>,
+    pub(super) work: Rc<InvocationContext>,
     /// The key of the version.
     pub(super) version: u64,
     /// When the client gives up.
@@ -49,7 +49,7 @@
 /// How a dispatch ended.
 struct DispatchEnd<'a> {
     ending: DispatchStatus,
-    told: ResponseMetadata<'a>,
+    metadata: ResponseMetadata<'a>,
     executor_response: Option<ExecutorResponse>,
     timing: Option<Timing>,
 }
@@ -59,7 +59,7 @@
         let (invocation, number) = (dispatch.invocation, dispatch.number);
         self.run_engine(|engine, now, action_executor| {
             action_executor.timing = end.timing;
-            if let Some(task) = action_executor.out.remove(&(invocation, number)) {
+            if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, number)) {
                 task.detach();
             }
             action_executor.executor_response = end.executor_response;
@@ -68,7 +68,7 @@
                 invocation,
                 number,
                 end.ending,
-                end.told,
+                end.metadata,
                 action_executor,
             );
             action_executor.executor_response = None;
@@ -76,11 +76,11 @@
     }
 
     /// Notes what the end of an exchange says of whether the executor is there.
-    fn record_reachability(&self, executor: ExecutorId, seen: Option<Transport>) {
+    fn record_reachability(&self, executor: ExecutorId, outcome: Option<Transport>) {
         if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
         }
-        match seen {
+        match outcome {
             None => self
                 .cache
                 .borrow_mut()
@@ -111,7 +111,7 @@
             .is_some_and(|at| at.elapsed() < INDEX_WARNING_INTERVAL);
         if !warned_lately {
             self.warned_of_index.set(Some(Instant::now()));
-            error!(index = self.sender.get().index, executor = %executor.0, "another front end has this one's index");
+            error!(index = self.sender.get().index, executor = %executor.0, "duplicate front-end index: another front end uses it");
         }
     }
 
@@ -139,7 +139,7 @@
                 self.on_dispatch_answer(&dispatch, began, answer, incoming)
                     .await
             }
-            Err(seen) => self.on_dispatch_broken(&dispatch, seen),
+            Err(outcome) => self.on_dispatch_broken(&dispatch, outcome),
         }
     }
 
@@ -180,9 +180,9 @@
         }
     }
 
-    fn on_dispatch_broken(&self, dispatch: &Dispatch, seen: Transport) {
-        let ending = evidence::ending(seen);
-        debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?seen, "a dispatch ended without an answer");
+    fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: Transport) {
+        let ending = evidence::ending(outcome);
+        debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?outcome, "dispatch ended without a response");
         // One that provably never ran says nothing of the version.
         if !ending.never_ran() {
             self.record_version_failure(dispatch, true);
@@ -191,7 +191,7 @@
             dispatch,
             DispatchEnd {
                 ending,
-                told: NO_METADATA,
+                metadata: NO_METADATA,
                 executor_response: None,
                 timing: None,
             },
@@ -217,7 +217,7 @@
         };
         if matches!(found, CopyState::ColdLoad | CopyState::LoadFailed) {
             let succeeded = found == CopyState::ColdLoad;
-            self.shares.borrow_mut().record_load_result(
+            self.traffic_split.borrow_mut().record_load_result(
                 dispatch.version,
                 succeeded,
                 answer.digest_differs,
@@ -228,20 +228,20 @@
             warm: matches!(found, CopyState::Warm | CopyState::Unknown),
         };
         let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
-        let (seen, executor_response) = match answer.ending() {
+        let (outcome, executor_response) = match answer.ending() {
             v1::Ending::Ok if answer.streams && may_stream => (
                 self.stream_answer(dispatch, timing(), &mut incoming).await,
                 None,
             ),
             v1::Ending::Ok => match incoming
-                .whole(self.deployment.limits.max_response_bytes)
+                .read_payload(self.deployment.limits.max_response_bytes)
                 .await
             {
                 Ok(chunks) => (
                     Transport::Answered(DispatchStatus::Ok),
                     Some(ExecutorResponse::Whole(chunks)),
                 ),
-                Err(seen) => (seen, None),
+                Err(outcome) => (outcome, None),
             },
             v1::Ending::Error => {
                 if found != CopyState::LoadFailed {
@@ -253,17 +253,17 @@
             v1::Ending::Miss => (Transport::Answered(DispatchStatus::Miss), None),
             v1::Ending::Unspecified => (Transport::Malformed, None),
         };
-        let told = ResponseMetadata {
+        let metadata = ResponseMetadata {
             copy_state: found,
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
-        let ending = evidence::ending(seen);
+        let ending = evidence::ending(outcome);
         self.report_dispatch_result(
             dispatch,
             DispatchEnd {
                 ending,
-                told,
+                metadata,
                 executor_response,
                 timing: Some(timing()),
             },
@@ -300,7 +300,7 @@
     /// A dispatch failed in a way that may count against its version.
     fn record_version_failure(&self, dispatch: &Dispatch, broke: bool) {
         let executor = number(dispatch.to);
-        let counts = self.shares.borrow_mut().record_dispatch_failure(
+        let counts = self.traffic_split.borrow_mut().record_dispatch_failure(
             self.now(),
             executor,
             dispatch.version,
@@ -318,16 +318,17 @@
     ) -> Transport {
         let time = seconds(self.deployment.limits.request_read_timeout);
         loop {
-            let part = match orchidtally_socket_io::with_timeout(time, incoming.payload()).await {
+            let part = match orchidtally_socket_io::with_timeout(time, incoming.next_chunk()).await
+            {
                 Some(Ok(Some(part))) => Ok(part),
                 Some(Ok(None)) => return Transport::Answered(DispatchStatus::Ok),
-                Some(Err(seen)) => {
+                Some(Err(outcome)) => {
                     let _ = orchidtally_socket_io::with_timeout(
                         time,
                         parts.send(Err(ResponseTruncated)),
                     )
                     .await;
-                    return seen;
+                    return outcome;
                 }
                 None => {
                     let _ = orchidtally_socket_io::with_timeout(
@@ -347,7 +348,7 @@
     }
 
     /// Sends an order and reports its end to the engine.
-    pub(super) async fn order(
+    pub(super) async fn send_load_command(
         self: Rc<Self>,
         to: ExecutorId,
         pool: Rc<Pool>,
@@ -365,9 +366,9 @@
         let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
         let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
         let mut differs = false;
-        let seen = match answered {
+        let outcome = match answered {
             None => Transport::TimedOut,
-            Some(Err(seen)) => seen,
+            Some(Err(outcome)) => outcome,
             Some(Ok((answer, _))) => match answer.ending() {
                 _ if answer.digest_differs => {
                     differs = true;
@@ -380,10 +381,10 @@
             },
         };
         if order.kind() == v1::OrderKind::Hold {
-            let ending = evidence::ending(seen);
+            let ending = evidence::ending(outcome);
             // An executor that is gone or full tells nothing of the version.
             if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
-                self.shares.borrow_mut().record_load_result(
+                self.traffic_split.borrow_mut().record_load_result(
                     function,
                     ending == DispatchStatus::Ok,
                     differs,
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -36,7 +36,7 @@
 }
 
 /// What each dispatch of an invocation carries.
-pub struct Work {
+pub struct InvocationContext {
     pub name: String,
     pub function: Rc<str>,
     /// The digest of its version; empty where the function has none.
@@ -102,9 +102,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum RejectionReason {
     /// As many invocations are open as may be.
-    Full,
+    AtCapacity,
     /// The front end is ending.
-    Leaving,
+    ShuttingDown,
     /// The configuration doesn't let it through.
     Refused(Refusal),
 }
@@ -112,8 +112,8 @@
 impl From<AdmissionError> for RejectionReason {
     fn from(refused: AdmissionError) -> RejectionReason {
         match refused {
-            AdmissionError::AtCapacity => RejectionReason::Full,
-            AdmissionError::ShuttingDown => RejectionReason::Leaving,
+            AdmissionError::AtCapacity => RejectionReason::AtCapacity,
+            AdmissionError::ShuttingDown => RejectionReason::ShuttingDown,
         }
     }
 }
@@ -141,14 +141,14 @@
     /// The function has answered.
     Succeeded(ExecutorResponse),
     /// There was no room in time; nothing has run.
-    Throttled {
+    Rejected {
         /// Seconds to stay away.
         retry_after: f64,
         /// Whether the customer has had its share.
         past_share: bool,
     },
     /// No executor has answered, or the function failed.
-    Errored {
+    Failed {
         /// Which of the two.
         cause: FailureReason,
         /// Whether the function may have run.
@@ -165,8 +165,8 @@
 
 /// Whoever waits for the final answer of an invocation.
 pub(super) struct Client {
-    pub(super) work: Rc<Work>,
-    pub(super) offer: InvocationRequest,
+    pub(super) work: Rc<InvocationContext>,
+    pub(super) request: InvocationRequest,
     /// The engine's id for it, which changes where it is moved to another version.
     pub(super) invocation: Rc<Cell<u32>>,
     pub(super) reply: oneshot::Sender<FinalAnswer>,
@@ -174,20 +174,20 @@
 
 impl Router {
     /// Takes an invocation. The receiver gets its final answer.
-    fn take(
+    fn admit(
         &self,
-        offer: InvocationRequest,
-        work: Work,
+        request: InvocationRequest,
+        work: InvocationContext,
     ) -> Result<AdmittedInvocation, AdmissionError> {
         let (reply, answer) = oneshot::channel();
         let invocation = Rc::new(Cell::new(0));
         let client = Client {
             work: Rc::new(work),
-            offer,
+            request,
             invocation: invocation.clone(),
             reply,
         };
-        self.run_engine(|engine, now, action_executor| action_executor.offer(engine, now, client))?;
+        self.run_engine(|engine, now, action_executor| action_executor.admit(engine, now, client))?;
         Ok(AdmittedInvocation { invocation, answer })
     }
 
@@ -198,9 +198,9 @@
     /// The invocation was not taken: nothing of it was dispatched.
     pub async fn invoke(
         &self,
-        asked: IngressRequest<'_>,
+        ingress_request: IngressRequest<'_>,
     ) -> Result<Result<FinalAnswer, AnswerLost>, RejectionReason> {
-        let AdmittedInvocation { invocation, answer } = self.admit_request(asked)?;
+        let AdmittedInvocation { invocation, answer } = self.admit_request(ingress_request)?;
         let mut guard = CancelGuard {
             router: self,
             invocation,
@@ -211,39 +211,42 @@
         Ok(answer.map_err(|_| AnswerLost))
     }
 
-    fn admit_request(&self, asked: IngressRequest) -> Result<AdmittedInvocation, RejectionReason> {
-        self.check_admission(&asked.revision, &asked.subject())?;
+    fn admit_request(
+        &self,
+        ingress_request: IngressRequest,
+    ) -> Result<AdmittedInvocation, RejectionReason> {
+        self.check_admission(&ingress_request.revision, &ingress_request.subject())?;
         let ResolvedVersion {
             version,
             assignment: invoked,
-        } = asked.resolved;
-        let offer = InvocationRequest {
-            trigger_type: asked.trigger_type.index,
-            customer: asked.customer.index,
+        } = ingress_request.resolved;
+        let request = InvocationRequest {
+            trigger_type: ingress_request.trigger_type.index,
+            customer: ingress_request.customer.index,
             function: version.key,
-            is_retry: asked.repeat,
+            is_retry: ingress_request.repeat,
             is_migrated: false,
-            timeout_at: asked.timeout_at,
+            timeout_at: ingress_request.timeout_at,
             expected_work: version.expected_work,
             concurrency: version.concurrency,
             load_time: version.load_time,
         };
-        let work = Work {
-            name: asked.name,
-            function: asked.function,
+        let work = InvocationContext {
+            name: ingress_request.name,
+            function: ingress_request.function,
             digest: version.digest,
             invoked,
             failed: Cell::new(false),
             last: Cell::new(0),
             dispatched: 0,
-            revision: asked.revision,
-            trigger_type: asked.trigger_type,
-            customer: asked.customer.name.to_owned(),
-            token: asked.token.to_owned(),
-            payload: asked.payload,
-            payload_bytes: asked.payload_bytes,
+            revision: ingress_request.revision,
+            trigger_type: ingress_request.trigger_type,
+            customer: ingress_request.customer.name.to_owned(),
+            token: ingress_request.token.to_owned(),
+            payload: ingress_request.payload,
+            payload_bytes: ingress_request.payload_bytes,
         };
-        Ok(self.take(offer, work)?)
+        Ok(self.admit(request, work)?)
     }
 
     /// The name of the front end's own location.
@@ -258,54 +261,59 @@
     pub fn resolve(
         &self,
         function: &Function,
-        asked: Option<&str>,
+        requested_version: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        who: &Caller,
+        caller: &Caller,
     ) -> Option<ResolvedVersion> {
-        self.shares
-            .borrow_mut()
-            .resolve(function, asked, trigger_type, customer, who)
+        self.traffic_split.borrow_mut().resolve(
+            function,
+            requested_version,
+            trigger_type,
+            customer,
+            caller,
+        )
     }
 
     /// What the coordinators said, and what is due by the time: runs that were taken back give up what waits.
     pub fn apply_rollouts(&self, published: Option<Published>) {
         let now = self.now();
         let revision = self.revision();
-        let mut shares = self.shares.borrow_mut();
+        let mut traffic_split = self.traffic_split.borrow_mut();
         let find = |name: &str| revision.deployment.functions.get(name).cloned();
-        let mut back = published.map_or_else(Vec::new, |p| shares.adopt(now, p, find));
-        back.extend(shares.tick(now));
-        let due = shares.prewarm_commands(now);
-        drop(shares);
-        for &run in &back {
-            info!(run, "a rollout was taken back");
+        let mut rolled_back =
+            published.map_or_else(Vec::new, |p| traffic_split.adopt(now, p, find));
+        rolled_back.extend(traffic_split.tick(now));
+        let due = traffic_split.prewarm_commands(now);
+        drop(traffic_split);
+        for &run in &rolled_back {
+            info!(run, "rollout rolled back");
             self.run_engine(|engine, now, action_executor| {
                 action_executor.migrate_waiting(engine, now, run)
             });
         }
-        for ahead in due {
-            let wish = orchidtally_dispatch_policy::interface::PrewarmRequest {
-                function: ahead.version.key,
-                concurrency: ahead.version.concurrency,
-                load_time: ahead.version.load_time,
-                replicas: ahead.copies,
+        for prewarm in due {
+            let prewarm_request = orchidtally_dispatch_policy::interface::PrewarmRequest {
+                function: prewarm.version.key,
+                concurrency: prewarm.version.concurrency,
+                load_time: prewarm.version.load_time,
+                replicas: prewarm.copies,
             };
             let (known, ordered) = self.run_engine(|engine, now, action_executor| {
-                action_executor.name(
-                    ahead.version.key,
-                    ahead.function.as_str().into(),
-                    ahead.version.digest.clone(),
+                action_executor.remember_version(
+                    prewarm.version.key,
+                    prewarm.function.as_str().into(),
+                    prewarm.version.digest.clone(),
                 );
                 let before = engine.counters().load_commands;
                 (
-                    engine.prewarm(now, &wish, action_executor),
+                    engine.prewarm(now, &prewarm_request, action_executor),
                     engine.counters().load_commands > before,
                 )
             });
-            self.shares
+            self.traffic_split
                 .borrow_mut()
-                .on_prewarm_result(&ahead, known, ordered);
+                .on_prewarm_result(&prewarm, known, ordered);
         }
     }
 
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -14,7 +14,6 @@
     AnswerLost, ExecutorResponse, FinalAnswer, IngressRequest, NamedCustomer, RejectionReason,
     ResponseTruncated,
 };
-pub use reconfigure::ReconfigureError;
 pub use revision::{Revision, TriggerTypeInForce};
 pub use trigger_status::TriggerStatus;
 
@@ -67,7 +66,7 @@
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
     /// What the front end knows of rollouts.
-    pub shares: RefCell<TrafficSplit>,
+    pub traffic_split: RefCell<TrafficSplit>,
     action_executor: RefCell<ActionExecutor>,
     clock: RefCell<Clock>,
     stall_detector: RefCell<StallDetector>,
@@ -147,7 +146,7 @@
                 keep_alive: deployment.policy.keep_alive,
             };
             Router {
-                shares: RefCell::new(TrafficSplit::new(place, now)),
+                traffic_split: RefCell::new(TrafficSplit::new(place, now)),
                 revisions: Revisions::new(deployment.clone()),
                 deployment,
                 sender: Cell::new(sender),
@@ -264,20 +263,20 @@
             if far && !warned {
                 warn!(
                     astray,
-                    "the wall clock was stepped; the time is put right by half a thousandth"
+                    "the wall clock was stepped; correcting at 0.05 % of elapsed time"
                 );
             }
             warned = far;
             let mut action_executor = self.action_executor.borrow_mut();
             action_executor.pools.retain(|_, pool| !pool.sweep());
             action_executor
-                .names
+                .version_names
                 .retain(|_, named| named.at.elapsed() < VERSION_NAME_RETENTION);
         }
     }
 
     /// From now on nothing new is taken.
-    pub fn leave(&self) {
+    pub fn start_draining(&self) {
         self.is_draining.set(true);
         self.engine.borrow_mut().start_draining();
     }
@@ -293,7 +292,7 @@
     }
 
     /// Counts of what has happened so far.
-    pub fn tally(&self) -> orchidtally_engine::Counters {
+    pub fn counters(&self) -> orchidtally_engine::Counters {
         self.engine.borrow().counters()
     }
 
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -2,29 +2,13 @@
 
 use super::Router;
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
-use crate::config::{ConfigView, Overlay};
+use crate::config::{ApplyError, ConfigView, ConfigurableFrontEnd, MAX_TRIGGER_TYPES, Overlay};
 use orchidtally_deployment::Deployment;
-use orchidtally_dispatch_policy::interface::{ConfigError, check_quotas};
+use orchidtally_dispatch_policy::interface::check_quotas;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::sync::Arc;
-use thiserror::Error;
-
-/// Trigger types that may be in force or held by open invocations at a time.
-const MAX_TRIGGER_TYPES: usize = 1_024;
-
-/// Why a revision was not put in force. The one before goes on to hold.
-#[derive(Debug, Error)]
-pub enum ReconfigureError {
-    #[error(
-        "{MAX_TRIGGER_TYPES} trigger types are in force or held by open invocations; list fewer, or try again when \
-         older invocations have ended"
-    )]
-    TooManyTriggerTypes,
-    #[error("the engine refused it: {0}")]
-    Refused(#[from] ConfigError),
-}
 
 /// The revision in force, and who holds which of the engine's indices.
 pub(super) struct Revisions {
@@ -79,8 +63,8 @@
     pub(super) fn longest_timeout(&self) -> f64 {
         self.trigger_types
             .borrow()
-            .held()
-            .map(|held| held.policy.client_timeout)
+            .in_use()
+            .map(|trigger_type| trigger_type.policy.client_timeout)
             .fold(0.0, f64::max)
     }
 
@@ -89,9 +73,9 @@
         &self,
         overlay: &Overlay,
         is_used: impl Fn(usize) -> bool,
-    ) -> Result<Vec<Rc<TriggerTypeInForce>>, ReconfigureError> {
+    ) -> Result<Vec<Rc<TriggerTypeInForce>>, ApplyError> {
         let (current, indices) = (self.current(), self.trigger_types.borrow());
-        let mut taken = BTreeSet::new();
+        let mut assigned = BTreeSet::new();
         let mut next = vec![];
         for (trigger, policy) in overlay.trigger_types() {
             let known = current.trigger_type(&trigger.name).map(|(_, known)| known);
@@ -101,11 +85,11 @@
                 next.push(known.clone());
                 continue;
             }
-            let index = indices.lowest_free(&taken, &is_used);
+            let index = indices.lowest_free(&assigned, &is_used);
             if index >= MAX_TRIGGER_TYPES {
-                return Err(ReconfigureError::TooManyTriggerTypes);
+                return Err(ApplyError::TooManyTriggerTypes);
             }
-            taken.insert(index);
+            assigned.insert(index);
             next.push(Rc::new(TriggerTypeInForce {
                 trigger,
                 policy,
@@ -118,7 +102,7 @@
     /// Customers of the next revision; one that was known keeps its index.
     fn next_customers(&self, overlay: &Overlay) -> HashMap<String, Rc<CustomerInForce>> {
         let (current, indices) = (self.current(), self.customers.borrow());
-        let mut taken = BTreeSet::new();
+        let mut assigned = BTreeSet::new();
         let mut next = HashMap::new();
         for (name, share) in overlay.customers() {
             let known = current.customer(&name).cloned();
@@ -126,8 +110,8 @@
                 .filter(|known| known.share == share)
                 .unwrap_or_else(|| {
                     let known = current.customer(&name).map(|known| known.index);
-                    let index = known.unwrap_or_else(|| indices.lowest_free(&taken, |_| false));
-                    taken.insert(index);
+                    let index = known.unwrap_or_else(|| indices.lowest_free(&assigned, |_| false));
+                    assigned.insert(index);
                     Rc::new(CustomerInForce { index, share })
                 });
             next.insert(name, customer);
@@ -141,8 +125,8 @@
         if next.is_empty() {
             return vec![];
         }
-        let held: Vec<_> = self.customers.borrow().held().collect();
-        let known = held.iter().chain(next.values());
+        let in_use: Vec<_> = self.customers.borrow().in_use().collect();
+        let known = in_use.iter().chain(next.values());
         let count = known
             .clone()
             .map(|customer| customer.index + 1)
@@ -182,10 +166,7 @@
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn reconfigure(
-        &self,
-        deployment: Rc<Deployment>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn reconfigure(&self, deployment: Rc<Deployment>) -> Result<Rc<Revision>, ApplyError> {
         let view = self.revision().view.clone();
         self.replace_revision(deployment, view)
     }
@@ -194,10 +175,7 @@
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn put_view_in_force(
-        &self,
-        view: Arc<ConfigView>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn put_view_in_force(&self, view: Arc<ConfigView>) -> Result<Rc<Revision>, ApplyError> {
         let deployment = self.revision().deployment.clone();
         self.replace_revision(deployment, Some(view))
     }
@@ -206,7 +184,7 @@
         &self,
         deployment: Rc<Deployment>,
         view: Option<Arc<ConfigView>>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    ) -> Result<Rc<Revision>, ApplyError> {
         let overlay = Overlay {
             deployment: &deployment,
             view: view.as_deref(),
@@ -241,3 +219,17 @@
         Ok(self.revision())
     }
 }
+
+impl ConfigurableFrontEnd for Router {
+    fn deployment(&self) -> &Deployment {
+        &self.deployment
+    }
+
+    fn incarnation(&self) -> u64 {
+        self.sender.get().incarnation
+    }
+
+    fn apply_view(&self, view: &Arc<ConfigView>) -> Result<(), ApplyError> {
+        self.put_view_in_force(view.clone()).map(drop)
+    }
+}
--- a/crates/http-frontend/src/router/revision.rs
+++ b/crates/http-frontend/src/router/revision.rs
@@ -122,19 +122,19 @@
 
 impl<T> Indices<T> {
     /// Those that are held from the start, in their order.
-    pub(super) fn new<'h>(held: impl Iterator<Item = &'h Rc<T>>) -> Indices<T>
+    pub(super) fn new<'h>(initial: impl Iterator<Item = &'h Rc<T>>) -> Indices<T>
     where
         T: 'h,
     {
         Indices {
-            holders: held.map(Rc::downgrade).collect(),
+            holders: initial.map(Rc::downgrade).collect(),
         }
     }
 
-    /// The lowest index that nobody holds, that isn't in `taken` and that the engine doesn't use.
+    /// The lowest index that nobody holds, that isn't in `assigned` and that the engine doesn't use.
     pub(super) fn lowest_free(
         &self,
-        taken: &BTreeSet<usize>,
+        assigned: &BTreeSet<usize>,
         is_used: impl Fn(usize) -> bool,
     ) -> usize {
         let is_unheld = |index: usize| {
@@ -143,7 +143,7 @@
                 .is_none_or(|h| h.strong_count() == 0)
         };
         let is_free =
-            |index: &usize| !taken.contains(index) && is_unheld(*index) && !is_used(*index);
+            |index: &usize| !assigned.contains(index) && is_unheld(*index) && !is_used(*index);
         (0..).find(is_free).unwrap_or(usize::MAX)
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// All that are held by someone.
-    pub(super) fn held(&self) -> impl Iterator<Item = Rc<T>> {
+    pub(super) fn in_use(&self) -> impl Iterator<Item = Rc<T>> {
         self.holders.iter().filter_map(Weak::upgrade)
     }
 }
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -33,7 +33,7 @@
         if let Some(seconds) = self.stall_detector.borrow_mut().take_stall() {
             warn!(
                 seconds,
-                "the process stood still: nothing goes out on an old list until its source has answered"
+                "process stall detected: nothing is dispatched on a stale endpoint list until its source has answered"
             );
             self.engine.borrow_mut().on_process_stall(now);
         }
--- a/crates/http-frontend/tests/config_hosts.rs
+++ b/crates/http-frontend/tests/config_hosts.rs
@@ -35,7 +35,7 @@
     fn apply(&self, view: &Arc<View<GatewayEntry>>) -> Result<(), ApplyError> {
         if self.refuses.get() > 0 {
             self.refuses.set(self.refuses.get() - 1);
-            return Err("it has no room now".into());
+            return Err(ApplyError::TooManyTriggerTypes);
         }
         self.revision.set(view.revision());
         Ok(())
--- a/crates/http-frontend/tests/hard_cases.rs
+++ b/crates/http-frontend/tests/hard_cases.rs
@@ -321,7 +321,7 @@
             assert!(closed.await.is_some(), "the connection is closed");
         }
         assert_eq!(
-            gateway.log.lines_with("closed a connection"),
+            gateway.log.lines_with("connection closed"),
             4,
             "a line for each"
         );
