--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -1,5 +1,7 @@
-//! Whether the configuration in force lets an invocation through: asked when it is taken, and again right before the
-//! bytes of a dispatch go out. A process that was paused wakes with an old view, and time has gone on.
+//! Whether the configuration in force admits an invocation. It is asked when an invocation is admitted, and again right
+//! before the first byte of a dispatch is sent.
+//!
+//! Failure mode: a process that was paused continues with an old view. Risk: it would run what is not allowed any more.
 
 use super::front_end::FrontEndConfigHost;
 use super::overlay::{ConfigView, FUNCTIONS, QUOTAS, TRIGGER_TYPES};
@@ -8,28 +10,40 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why the configuration doesn't let an invocation through. Nothing of it was dispatched.
+/// Why the configuration doesn't admit an invocation.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum Refusal {
+    /// An entry that the invocation uses is disabled.
     #[error("'{key}' is not allowed by the configuration in force; ask whoever writes it")]
-    NotAllowed { key: String },
+    NotAllowed {
+        /// The key of the entry.
+        key: String,
+    },
+    /// The view is too old to tell whether an entry is still allowed.
     #[error(
         "whether '{key}' is still allowed was last certain {age:.1} s ago, which is too long; ask again, or another \
          front end"
     )]
     Stale {
+        /// The key of the entry.
         key: String,
+        /// Seconds since the view was last proven current.
         age: f64,
+        /// Seconds after which a retry may help.
         retry_after: f64,
     },
+    /// There is no view yet.
     #[error(
         "no configuration is loaded yet: the store is not reached and there is no snapshot; ask another front end"
     )]
-    NotLoaded { retry_after: f64 },
+    NotLoaded {
+        /// Seconds after which a retry may help.
+        retry_after: f64,
+    },
 }
 
 impl Refusal {
-    /// Seconds after which asking again may help; `None` if it won't.
+    /// Seconds after which a retry may help; `None` if it won't.
     pub fn retry_after(&self) -> Option<f64> {
         match self {
             Refusal::NotAllowed { .. } => None,
@@ -40,12 +54,14 @@
     }
 }
 
-/// What an invocation uses, by name.
+/// The names of the entries that an invocation uses.
 #[derive(Clone, Copy, Debug)]
 pub struct Subject<'s> {
+    /// The function.
     pub function: &'s str,
+    /// The trigger type.
     pub trigger_type: &'s str,
-    /// Empty where invocations name none.
+    /// The customer; empty where invocations name none.
     pub customer: &'s str,
 }
 
@@ -61,11 +77,11 @@
     }
 }
 
-/// Asks the core's verdict on invocations.
+/// Decides whether invocations are admitted by the configuration in force.
 pub struct Admission {
     pub(super) host: Rc<FrontEndConfigHost>,
     pub(super) without_view: UnsyncedBehavior,
-    /// When a client may ask again, in seconds.
+    /// The Retry-After of clients, in seconds.
     pub(super) retry_after: f64,
 }
 
@@ -95,7 +111,7 @@
     fn refusal_of(&self, verdict: Verdict, key: String) -> Option<Refusal> {
         let retry_after = self.retry_after;
         match verdict {
-            // What the store doesn't have is the deployment file's to say.
+            // An entry that the store doesn't have is defined by the deployment file.
             Verdict::Serve | Verdict::Unknown => None,
             Verdict::RefuseNotAllowed => Some(Refusal::NotAllowed { key }),
             Verdict::RefuseStale { age } => Some(Refusal::Stale {
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -1,5 +1,5 @@
-//! What is in force: the deployment file, and over it the entries of the store. An entry replaces what the file has
-//! under its name; where the entry is deleted, the file counts again.
+//! The configuration in force: the deployment file, overlaid by the entries of the store. An entry replaces what the
+//! file has under its name; where the entry is deleted, the file applies again.
 
 use orchidtally_config_sync::View;
 use orchidtally_config_sync::schema::{FunctionSpec, GatewayEntry, TriggerTypeSpec, VersionSpec};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Kinds of entries, as they begin an entry's key.
+/// Kinds of entries: the first part of an entry's key.
 pub(super) const FUNCTIONS: &str = "functions";
 pub(super) const QUOTAS: &str = "quotas";
 pub(super) const TRIGGER_TYPES: &str = "trigger-types";
@@ -21,7 +21,9 @@
 /// A deployment file with the entries of a view over it.
 #[derive(Clone, Copy)]
 pub struct Overlay<'o> {
+    /// The deployment file.
     pub deployment: &'o Deployment,
+    /// The view of the store, where there is one.
     pub view: Option<&'o ConfigView>,
 }
 
@@ -108,7 +110,7 @@
     }
 }
 
-/// A trigger type that the file doesn't have. Nothing says that running twice is harmless, so it never does.
+/// A trigger type that is only in the store. It is non-idempotent, as nothing says that running twice is harmless.
 fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (TriggerTypeSettings, TriggerType) {
     let trigger = TriggerTypeSettings {
         name: name.into(),
--- a/crates/http-frontend/src/config/settings.rs
+++ b/crates/http-frontend/src/config/settings.rs
@@ -1,23 +1,23 @@
-//! What a host needs to know besides the core's settings.
+//! The settings of a configuration host, besides those of the state machine.
 
 use super::SnapshotFile;
 use std::time::Duration;
 
-/// A host's own settings.
+/// The settings of a configuration host.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
-    /// Names the front end in the store; no other that lives may have the same.
+    /// The name of the front end in the store, unique among running front ends.
     pub front_end: String,
-    /// Where its snapshot stands; `None` for no snapshot.
+    /// Where the snapshot is stored; `None` for no snapshot.
     pub snapshot: Option<SnapshotFile>,
     /// The time to live of the front end's lease in the store.
     pub lease: Duration,
-    /// A request without an answer, or a store without a word, has failed after this time.
+    /// The time after which a request without an answer, or a silent store, has failed.
     pub patience: Duration,
 }
 
 impl HostSettings {
-    /// The usual settings of a front end by this name, without a snapshot.
+    /// Default settings for a front end of this name, without a snapshot.
     pub fn new(front_end: impl Into<String>) -> HostSettings {
         HostSettings {
             front_end: front_end.into(),
--- a/crates/http-frontend/src/config/snapshot_file.rs
+++ b/crates/http-frontend/src/config/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The snapshot on disk: replaced by a rename, with the one before beside it.
+//! The snapshot on disk: replaced by a rename, with the previous one beside it.
 
 use std::ffi::OsString;
 use std::fs::{self, File};
@@ -8,23 +8,24 @@
 /// The longest file that is read as a snapshot, in bytes.
 const MAX_BYTES: u64 = 128 << 20;
 
-/// Where a front end's snapshot stands. `PATH.previous` is the one before, `PATH.new` is being written.
+/// The files of a front end's snapshot: `PATH`, the previous one at `PATH.previous`, and `PATH.new` while it is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotFile {
     path: PathBuf,
 }
 
 impl SnapshotFile {
+    /// The snapshot at a path.
     pub fn new(path: impl Into<PathBuf>) -> SnapshotFile {
         SnapshotFile { path: path.into() }
     }
 
+    /// The path of the newest snapshot.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// What stands on disk, the newest first. A file that can't be read is told and passed over; one that isn't
-    /// there is passed over.
+    /// The snapshots on disk, newest first, and the errors of files that can't be read. A missing file is no error.
     pub fn read(&self) -> (Vec<Vec<u8>>, Vec<io::Error>) {
         let (mut found, mut errors) = (vec![], vec![]);
         for path in [self.path.clone(), self.beside("previous")] {
@@ -37,10 +38,10 @@
         (found, errors)
     }
 
-    /// Replaces the snapshot: whatever happens meanwhile, a whole one stands under one of the two names.
+    /// Replaces the snapshot. A complete one exists under one of the two names at any time.
     ///
     /// # Errors
-    /// The one before still stands then, under one of the two names.
+    /// The previous snapshot still exists then, under one of the two names.
     pub fn replace(&self, bytes: &[u8]) -> io::Result<()> {
         self.try_replace(bytes)
             .map_err(|error| named(&self.path, &error))
--- a/crates/http-frontend/src/durable_invocation_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -1,4 +1,4 @@
-//! Promises to HTTP clients, persisted in a journal.
+//! Durable HTTP invocations: their starts and final answers are persisted in a journal.
 
 use bytes::Bytes;
 use futures_channel::oneshot;
@@ -11,32 +11,32 @@
 use std::rc::Rc;
 use tracing::{error, info};
 
-/// The most bytes of a body that is kept with its answer.
+/// The longest body that is retained with its answer, in bytes.
 const MAX_BODY: usize = 64 * 1024;
-/// The most entries that wait for the disk.
+/// The most entries that are queued for the disk.
 const MAX_WAITING: usize = 65_536;
-/// The part of the journal's bound from which on its entries are replaced by a snapshot.
+/// The fraction of the journal's length limit above which its entries are replaced by a snapshot.
 const SNAPSHOT_THRESHOLD: f64 = 0.5;
 /// Bytes that the journal adds to each entry.
 const ENTRY_OVERHEAD: u64 = 12;
 
-/// The promises of a front end and their journal.
+/// The durable invocations of a front end and their journal.
 pub struct DurableInvocationStore {
     invocations: RefCell<DurableInvocations>,
     journal: GroupCommit,
     /// Bytes of the entries since the last snapshot.
     entry_bytes: Cell<u64>,
     max_bytes: u64,
-    /// An entry was not persisted: a snapshot has to follow before anything is promised.
+    /// An entry was not persisted: a snapshot has to succeed before another invocation begins.
     failed: Cell<bool>,
 }
 
-/// Nothing can be promised now, because the journal can't be written.
+/// No durable invocation can begin, because the journal can't be written.
 #[derive(Debug, thiserror::Error)]
 #[error("the journal can't be written")]
 pub struct JournalUnavailable;
 
-/// The records that a journal holds, in their order.
+/// Decodes the records of a journal, in order.
 fn read_records(folder: &Path, found: &Recovered) -> io::Result<Vec<Record>> {
     let mut records: Vec<Record> = match &found.snapshot {
         Some(snapshot) => serde_json::from_slice(snapshot).map_err(io::Error::from)?,
@@ -56,7 +56,10 @@
 }
 
 impl DurableInvocationStore {
-    /// Opens the journal of a front end, where its deployment has one, and restores its promises.
+    /// Opens the journal of a front end, where its deployment has one, and restores its durable invocations.
+    ///
+    /// # Errors
+    /// The journal can't be opened, or a record in it is malformed.
     pub fn open(deployment: &Deployment, now: f64) -> io::Result<Option<DurableInvocationStore>> {
         let Some(settings) = &deployment.journal else {
             return Ok(None);
@@ -87,7 +90,7 @@
         self.invocations.borrow().state(name)
     }
 
-    /// Persists a record; returns whether it is on the disk.
+    /// Persists a record; returns whether that succeeded.
     async fn persist(&self, record: &Record) -> bool {
         let entry = serde_json::to_vec(record).unwrap_or_default();
         self.entry_bytes
@@ -97,7 +100,7 @@
             if let Err(fault) = &appended {
                 error!(%fault, "durable invocation not persisted");
             }
-            // Its client may have left.
+            // The client may have disconnected.
             let _ = sender.send(appended.is_ok());
         });
         let is_persisted = queued.is_ok() && result.await.unwrap_or(false);
@@ -130,7 +133,10 @@
         self.failed.get() || is_long
     }
 
-    /// Offers an invocation under a name. A new one is promised and on the disk when this returns.
+    /// Begins an invocation under a name. The start of a new one is persisted when this returns.
+    ///
+    /// # Errors
+    /// The journal can't be written; the invocation must not run.
     pub async fn begin(
         self: &Rc<Self>,
         now: f64,
@@ -158,7 +164,7 @@
     }
 }
 
-/// An invocation that was promised. It is dropped before its answer where its client has left.
+/// A durable invocation that has begun. Dropping it without an answer records that its client has disconnected.
 pub struct PersistedInvocation {
     durable_invocation_store: Rc<DurableInvocationStore>,
     name: String,
@@ -167,8 +173,8 @@
 }
 
 impl PersistedInvocation {
-    /// Adds the final answer. It is on the disk when this returns, unless the journal can't be written; it is known
-    /// all the same.
+    /// Records the final answer. It is persisted when this returns, unless the journal can't be written; it is kept in
+    /// memory in any case.
     pub async fn record_answer(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
         self.open = false;
         let record = self
@@ -190,7 +196,7 @@
             .invocations
             .borrow_mut()
             .client_cancelled(self.now, &self.name);
-        // After a crash its outcome is unknown without this entry too.
+        // Without this entry the outcome is unknown after a crash as well.
         let entry = left.and_then(|record| serde_json::to_vec(&record).ok());
         if let Some(entry) = entry {
             let _ = self.durable_invocation_store.journal.append(entry, |_| {});
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -1,6 +1,6 @@
-//! The roster from a publisher over the executors' protocol: a full list, then what changes, over one stream. Pings
-//! over its connection tell when that was up to date. What to do when it ends is the module's to say, which asks for
-//! it again.
+//! The endpoint list from a publisher over the executor protocol: a snapshot and then deltas, over one stream. Answered
+//! pings on its connection confirm that the list is current. When the stream ends, the dispatch policy decides when to
+//! subscribe again.
 
 use crate::pool::{ConnectionLimits, Incoming, Pinger, Pool};
 use crate::router::Router;
@@ -17,18 +17,18 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The publisher is asked so often whether it is there.
+/// The interval of pings to the publisher.
 const PING_INTERVAL: Duration = Duration::from_millis(700);
-/// A publisher that has not answered by then is not there.
+/// A publisher that has not answered a ping within this time is unreachable.
 const PING_TIMEOUT: Duration = Duration::from_millis(2_800);
 
-/// Why a publisher is not followed any more.
+/// Why the subscription to a publisher ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum WatchError {
-    /// No connection, or it broke, or a message could not be read.
+    /// There is no connection, or it broke, or a message can't be decoded.
     #[error("its connection ended: {0:?}")]
     Connection(Transport),
-    /// It sent something that is neither a list nor a change.
+    /// It sent something that is neither a snapshot nor a delta.
     #[error("it sent a message of an unknown kind; it may be newer than this front end")]
     UnknownKind,
     /// It has not answered a ping in time.
@@ -36,7 +36,10 @@
     Silent,
 }
 
-/// The endpoint that a row of an endpoint list stands for in a deployment.
+/// Converts a row of an endpoint list to an endpoint of the deployment.
+///
+/// # Errors
+/// The row is malformed, or its address, location or kind is unknown to the deployment.
 pub fn endpoint_from_row(
     deployment: &Deployment,
     row: &v1::RosterRow,
@@ -78,7 +81,7 @@
     })
 }
 
-/// Follows a publisher to the end of its connection, and tells the module of that.
+/// Follows a publisher to the end of its connection, and reports that end to the dispatch policy.
 pub async fn watch(router: Rc<Router>, address: SocketAddr) {
     let Err(error) = follow(&router, address).await;
     warn!(%address, why = %error, "endpoint publisher unreachable");
@@ -121,7 +124,7 @@
     apply_update(router, &list)?;
     router.endpoints_confirmed(asked_at);
     let pinger = incoming.pinger();
-    // What came before the answer to a ping is taken before it.
+    // Updates that arrived before the answer to a ping are applied before it.
     future::or(
         apply_changes(router, incoming),
         ping_publisher(router, &pinger),
@@ -129,7 +132,7 @@
     .await
 }
 
-/// Tells the module what the publisher tells.
+/// Passes an update of the publisher to the dispatch policy.
 fn apply_update(router: &Router, update: &v1::RosterUpdate) -> Result<(), WatchError> {
     let kind = match update.kind() {
         v1::RosterKind::FullList => EndpointUpdateKind::Full,
--- a/crates/http-frontend/src/endpoint_source.rs
+++ b/crates/http-frontend/src/endpoint_source.rs
@@ -1,4 +1,4 @@
-//! Where the list of executors comes from.
+//! Selects the source of the endpoint list.
 
 use crate::router::Router;
 use crate::{endpoint_publisher, etcd};
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Starts to follow the list of executors that the deployment names. A list in the deployment itself needs no
-/// following, and the one in etcd is followed for as long as the front end lives.
+/// Subscribes to the endpoint list of the deployment. Returns the task that has to be replaced at the next call: there
+/// is none for a list in the deployment itself, nor for etcd, which is followed for as long as the front end lives.
 pub fn watch(router: &Rc<Router>) -> Option<Task<()>> {
     match &router.deployment.endpoint_source {
         EndpointSource::Listed(_) => None,
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -1,4 +1,4 @@
-//! Entries of the store as the cores of membership take them.
+//! Conversion of etcd entries for the membership state machines.
 
 use crate::endpoint_publisher::endpoint_from_row;
 use orchidtally_deployment::Deployment;
@@ -8,7 +8,7 @@
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::{EntryChange, EntryError, StoreRevision};
 
-/// Which store answered, and how far it had come.
+/// The store and the revision of an answer.
 pub(super) fn stamp(header: &ResponseHeader) -> StoreRevision {
     StoreRevision {
         cluster: header.cluster_id,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What some events of a watch tell, in their order.
+/// The changes in events of a watch, in order.
 pub(super) fn changes(events: &[Event]) -> Vec<EntryChange<'_>> {
     events.iter().filter_map(changed).collect()
 }
@@ -50,7 +50,7 @@
         .ok()
 }
 
-/// What an executor's entry says of it, or why that can't be read.
+/// Decodes an executor's entry.
 pub(super) fn executor(
     deployment: &Deployment,
     key: &[u8],
--- a/crates/http-frontend/src/etcd/executors.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Feeds a host's cache and tells the host what changed.
+/// Feeds a host's endpoint cache and notifies the host of changes.
 pub(super) struct EndpointFollower<H> {
     host: Rc<H>,
 }
@@ -70,7 +70,7 @@
             .cache()
             .borrow_mut()
             .on_progress(self.host.now(), entries::stamp(header));
-        // Where a list has to come first, what is known is not what the store has.
+        // While a list is needed, the cache may differ from the store.
         if let Some(began) = began.filter(|_| self.next_request() != NextRequest::List) {
             self.host.endpoints_confirmed(began);
         }
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -11,39 +11,41 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// An exchange that has no answer by then has failed.
+/// The timeout of a request.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The store is asked for its progress so often, in seconds.
+/// The interval of progress requests, in seconds.
 const PROGRESS_INTERVAL: f64 = 0.7;
-/// A question for progress that has no answer by then, in seconds: the store has failed.
+/// The timeout of a progress request, in seconds.
 const PROGRESS_TIMEOUT: f64 = 2.8;
 /// Entries in one page of a list.
 const PAGE_SIZE: i64 = 2_000;
-/// Between tries, in seconds: the first delay and the longest. Each is drawn from nothing to twice its length, so that
-/// front ends that lose the store together don't come back together.
+/// The first and the longest retry delay, in seconds. Each delay is drawn between zero and twice its length.
+/// Failure mode: front ends lose the store at the same time. Risk: they would reconnect at the same time.
 pub(super) const FIRST_RETRY_DELAY: f64 = 0.1;
 const LONGEST_RETRY_DELAY: f64 = 5.0;
 
-/// What follows a prefix of the store. Times are seconds of the follower's clock.
+/// Follows a prefix of the store. Times are in seconds of the follower's clock.
 pub(super) trait Follower {
+    /// The time.
     fn now(&self) -> f64;
 
-    /// What it needs next.
+    /// What is needed next.
     fn next_request(&self) -> NextRequest;
 
-    /// A list whose question was sent at `began`.
+    /// A list has arrived whose request was sent at `began`.
     fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]);
 
+    /// Events of the watch have arrived.
     fn on_events(&self, header: &ResponseHeader, events: &[Event]);
 
-    /// Nothing else had happened when the store was asked at `began`; without that it was not asked, and how old its
-    /// word is nobody knows.
+    /// The watch is complete up to the revision of `header`: the store had nothing else when the request was sent at
+    /// `began`. Without a request the age of that statement is unknown.
     fn on_progress(&self, began: Option<f64>, header: &ResponseHeader);
 
-    /// The store can't be followed: a try that began at `began` has failed.
+    /// An attempt that began at `began` has failed.
     fn on_failure(&self, began: f64);
 
-    /// What a watch would go on from is gone.
+    /// The revision from which the watch would continue is compacted.
     fn on_compaction(&self);
 
     /// Time has passed.
@@ -58,7 +60,7 @@
 
 /// Reads all entries under a prefix.
 pub(super) async fn list(client: &Client, prefix: &str) -> Result<List, ClientError> {
-    let mut question = RangeRequest {
+    let mut request = RangeRequest {
         key: prefix.as_bytes().to_vec().into(),
         range_end: range_end(prefix.as_bytes()).into(),
         limit: PAGE_SIZE,
@@ -67,16 +69,16 @@
     let mut entries = vec![];
     let mut first_header = None;
     loop {
-        let page: RangeResponse = client.unary(RANGE, &question, REQUEST_TIMEOUT).await?;
+        let page: RangeResponse = client.unary(RANGE, &request, REQUEST_TIMEOUT).await?;
         let header = *first_header.get_or_insert(page.header.unwrap_or_default());
         let last = page.kvs.last().map(|entry| entry.key.clone());
         entries.extend(page.kvs);
         let Some(last) = last.filter(|_| page.more) else {
             return Ok(List { header, entries });
         };
-        // The next page begins behind that key, and has what stood at the first page's revision.
-        question.key = [&last[..], &[0]].concat().into();
-        question.revision = header.revision;
+        // The next page begins after that key, and is read at the first page's revision.
+        request.key = [&last[..], &[0]].concat().into();
+        request.revision = header.revision;
     }
 }
 
@@ -118,19 +120,19 @@
     let mut stream = client
         .open_stream::<WatchResponse>(WATCH, &watch.request(), REQUEST_TIMEOUT)
         .await?;
-    let mut questions = ProgressQuestions::new(follower.now());
+    let mut requests = ProgressRequests::new(follower.now());
     loop {
-        let time_left = Duration::from_secs_f64(questions.due_in(follower.now()));
+        let time_left = Duration::from_secs_f64(requests.due_in(follower.now()));
         let response = orchidtally_socket_io::with_timeout(time_left, stream.next()).await;
         if let Some(response) = response {
             for event in watch.on_response(response?) {
-                if apply_event(event, prefix, &mut questions, follower) == Watched::Ended {
+                if apply_event(event, prefix, &mut requests, follower) == Watched::Ended {
                     return Ok(());
                 }
             }
         }
-        match questions.due(follower.now()) {
-            Some(Due::Question) => stream.send(&progress_request())?,
+        match requests.due(follower.now()) {
+            Some(Due::Request) => stream.send(&progress_request())?,
             Some(Due::Failure) => return Err(ClientError::TimedOut),
             None => {}
         }
@@ -141,24 +143,24 @@
     }
 }
 
-/// Questions for a watch's progress, one at a time: an answer doesn't name its question.
-struct ProgressQuestions {
+/// Progress requests of a watch, one at a time: an answer doesn't name its request.
+struct ProgressRequests {
     asked_at: f64,
     is_answered: bool,
 }
 
-/// What is due with a question for progress.
+/// What is due.
 enum Due {
-    /// The next one is to be sent.
-    Question,
-    /// The last one had no answer in time.
+    /// The next request is to be sent.
+    Request,
+    /// The last request timed out.
     Failure,
 }
 
-impl ProgressQuestions {
-    /// Of a watch that begins now; the first question is due at once.
-    fn new(now: f64) -> ProgressQuestions {
-        ProgressQuestions {
+impl ProgressRequests {
+    /// For a watch that begins now; the first request is due at once.
+    fn new(now: f64) -> ProgressRequests {
+        ProgressRequests {
             asked_at: now - PROGRESS_INTERVAL,
             is_answered: true,
         }
@@ -174,7 +176,7 @@
         (self.asked_at + time - now).clamp(0.0, PROGRESS_TIMEOUT)
     }
 
-    /// What is due now; a question that is counts as sent.
+    /// What is due now; a request that is due counts as sent.
     fn due(&mut self, now: f64) -> Option<Due> {
         if self.due_in(now) > 0.0 {
             return None;
@@ -183,10 +185,10 @@
             return Some(Due::Failure);
         }
         (self.asked_at, self.is_answered) = (now, false);
-        Some(Due::Question)
+        Some(Due::Request)
     }
 
-    /// When the question was sent that is answered now; none if nothing was asked.
+    /// When the request was sent that is answered now; `None` if there was none.
     fn answered(&mut self) -> Option<f64> {
         (!std::mem::replace(&mut self.is_answered, true)).then_some(self.asked_at)
     }
@@ -198,10 +200,10 @@
     }
 }
 
-/// Whether a watch goes on.
+/// Whether a watch continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Watched {
-    GoesOn,
+    Continues,
     Ended,
 }
 
@@ -209,18 +211,14 @@
 fn apply_event(
     event: WatchEvent,
     prefix: &str,
-    questions: &mut ProgressQuestions,
+    requests: &mut ProgressRequests,
     follower: &impl Follower,
 ) -> Watched {
     match event {
         WatchEvent::Created => {}
         WatchEvent::Events { header, events } => follower.on_events(&header, &events),
         WatchEvent::Progress { header, is_answer } => {
-            let asked_at = if is_answer {
-                questions.answered()
-            } else {
-                None
-            };
+            let asked_at = if is_answer { requests.answered() } else { None };
             follower.on_progress(asked_at, &header);
         }
         WatchEvent::Compacted { revision } => {
@@ -233,5 +231,5 @@
             return Watched::Ended;
         }
     }
-    Watched::GoesOn
+    Watched::Continues
 }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Feeds a host's view of the front ends and has the host look at it.
+/// Feeds a host's membership and notifies the host of changes.
 pub(super) struct FrontEndsFollower<H> {
     host: Rc<H>,
     stamp: Cell<Option<StoreRevision>>,
@@ -74,7 +74,7 @@
             };
         }
         self.stamp.set(Some(entries::stamp(header)));
-        // How late an event came is not known: the view is as old as the last question that was answered.
+        // The delay of an event is unknown: the view is as old as the last answered request.
         self.saw(self.current_as_of.get());
     }
 
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -22,13 +22,13 @@
 /// Renewals within the time to live of a lease.
 const RENEWALS: f64 = 4.0;
 
-/// Keeps the entry of one host.
+/// Registers a host and keeps its entry's lease.
 pub(super) struct Registration<H> {
     host: Rc<H>,
     client: Rc<Client>,
-    /// All front ends' entries begin so.
+    /// The key prefix of front ends' entries.
     prefix: String,
-    /// The time to live that is asked for, in whole seconds.
+    /// The requested time to live, in whole seconds.
     wanted_ttl: i64,
 }
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: i64,
-    /// In seconds.
+    /// Its time to live in seconds.
     ttl: f64,
-    /// The store keeps it until then at least, by the host's clock.
+    /// The store keeps the lease at least until then, by the host's clock.
     until: f64,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Claims an index and keeps the entry's lease, again for as long as it is polled.
+    /// Claims an index and keeps the entry's lease, again and again for as long as it is polled.
     pub async fn keep(self) {
         let mut lost_claims = 0;
         loop {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Renews a lease until it is over: by the store's word, or because the store did not answer for so long.
+    /// Renews a lease until the store has ended it, or has not answered for the time to live.
     async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
         let interval = Duration::from_secs_f64(lease.ttl / RENEWALS);
         loop {
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses, and what is said of faults.
+//! Response bodies, and problem documents for errors.
 
 use super::STAY_AWAY;
 use crate::router::ResponseTruncated;
@@ -13,7 +13,9 @@
 
 /// The body of a response.
 pub enum Answer {
+    /// A complete body.
     Chunks(VecDeque<Bytes>),
+    /// The chunks of a streamed response, as they arrive.
     Streamed(Pin<Box<async_channel::Receiver<Result<Bytes, ResponseTruncated>>>>),
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// A fault in what a client sent, or the reason why it can't be taken.
+/// An error in a request, or the reason why its invocation is rejected.
 pub(super) struct Problem {
     status: StatusCode,
     title: &'static str,
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -19,34 +19,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Bytes that wait to be written to the broker.
+/// The most bytes that are queued for the broker.
 pub(super) const MAX_OUTBOX_BYTES: usize = 512 * 1024;
-/// For a connection, with its TLS.
+/// The timeout of a connect, and of the TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A stream to the broker, plain or encrypted.
 pub(super) trait BrokerStream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> BrokerStream for T {}
 
+/// An input of the consumer.
 pub(super) enum Input {
+    /// The result of a connection attempt.
     Connected(Result<Box<dyn BrokerStream>, ConnectError>),
-    /// Of a connection, by number.
+    /// A packet from the connection of this number.
     Packet(u64, Packet),
     /// The connection of this number ended.
     Lost(u64, ConnectionLost),
-    /// What waits to be written has been, or a part of it.
+    /// The outbox has space again.
     OutboxDrained,
     /// The final answer of an invocation, by the number of its message.
     InvocationEnded(u64, Answer),
 }
 
-/// What waits to be written to the broker.
+/// The bytes that wait to be written to the broker.
 #[derive(Default)]
 pub(super) struct Outbox {
     pub(super) bytes: RefCell<BytesMut>,
     pub(super) ended: Cell<bool>,
 }
 
+/// An open connection to the broker.
 pub(super) struct Connection {
     pub(super) number: u64,
     pub(super) outbox: Rc<Outbox>,
@@ -111,7 +114,7 @@
     let Some(tls) = &section.tls else {
         return Ok(Box::new(stream));
     };
-    // The files are read for each connection, so that those that were replaced count from the next on.
+    // The files are read for each connection, so that replaced files are used from the next connection on.
     let connector = tls_connector(tls)?;
     let name = ServerName::try_from(tls.name.clone())?;
     let handshake =
@@ -149,11 +152,11 @@
             }
         }
     };
-    // Nobody listens where the front end has ended.
+    // There is no receiver once the front end has ended.
     let _ = inputs.send(Input::Lost(number, ended)).await;
 }
 
-/// Writes what waits, until the connection ends.
+/// Writes the outbox until the connection ends.
 pub(super) async fn write(
     mut stream: impl AsyncWrite + Unpin,
     number: u64,
@@ -181,7 +184,7 @@
             }
         }
         if outbox.ended.get() {
-            // It was said goodbye to in order; that it is gone before matters to nobody.
+            // The disconnect packet is sent; whether closing succeeds makes no difference.
             let _ = stream.close().await;
             return;
         }
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -1,4 +1,4 @@
-//! Runs a consumer of messages.
+//! The main loop of the message triggers.
 
 use super::Triggers;
 use super::connection::Input;
@@ -17,7 +17,7 @@
 const MAX_INPUTS: usize = 1_024;
 /// The longest sleep in seconds.
 const MAX_SLEEP: f64 = 60.0;
-/// Entries of the journal that wait, for each message that may be in hand, and beyond that.
+/// Journal entries that may be queued for each message in flight, and in addition to those.
 const ENTRIES_PER_MESSAGE: usize = 8;
 const SPARE_ENTRIES: usize = 1_024;
 
@@ -29,11 +29,11 @@
 enum Wake {
     Input(Input),
     JournalResult(JournalResult),
-    /// The front end is ending.
+    /// The front end is shutting down.
     Leave,
 }
 
-/// Serves triggers until the front end ends and what was in hand is answered.
+/// Serves message triggers until the front end shuts down and all messages in flight are answered.
 pub async fn consume(
     router: Rc<Router>,
     triggers: Triggers,
@@ -113,7 +113,7 @@
             }
             None => {}
         }
-        // What has come together is processed together.
+        // Everything that is queued is processed before the next tick.
         for _ in 0..MAX_INPUTS {
             let Ok(result) = journal_results.try_recv() else {
                 break;
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,4 +1,4 @@
-//! Performs what a consumer commands: packets, entries of the journal and invocations.
+//! Performs the actions of a consumer: packets, journal entries and invocations.
 
 use super::connection::{
     BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read, write,
@@ -18,11 +18,11 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// Seconds until the first try to connect again; each try varies by half.
+/// Seconds until the first reconnect attempt; each delay varies by half of it.
 const FIRST_RETRY: f64 = 0.1;
-/// The longest time between two tries, in seconds.
+/// The longest delay between two attempts, in seconds.
 const LONGEST_RETRY: f64 = 5.0;
-/// How long the last packets may take at the end.
+/// How long sending the last packets may take at shutdown.
 const CLOSE_TIME: Duration = Duration::from_millis(500);
 
 /// A result of the journal's thread: whether it succeeded.
@@ -31,13 +31,13 @@
     Replaced(bool),
 }
 
-/// The deployment by which messages are judged.
+/// The deployment against which messages are validated.
 struct DeploymentInForce {
     revision: u64,
     deployment: Rc<Deployment>,
 }
 
-/// A consumer with what it commands.
+/// A consumer with the connection, journal and invocations that it controls.
 pub(super) struct ConsumerHost {
     router: Rc<Router>,
     section: Rc<TriggerSettings>,
@@ -93,7 +93,7 @@
         self.tls_files.are_used()
     }
 
-    /// When something is due without any input.
+    /// When the next tick is due without any input.
     pub(super) fn next_tick_at(&self) -> f64 {
         let is_idle = self.connection.is_none() && self.connecting.is_none();
         let connect_at = if is_idle {
@@ -104,7 +104,7 @@
         self.consumer.next_tick_at().min(connect_at)
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     pub(super) fn tick(&mut self) {
         let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
@@ -136,7 +136,7 @@
         let (section, inputs) = (self.section.clone(), self.inputs.clone());
         let work = async move {
             let connected = connect(&section).await;
-            // Nobody listens where the front end has ended.
+            // There is no receiver once the front end has ended.
             let _ = inputs.send(Input::Connected(connected)).await;
         };
         self.connecting = self.router.spawn(work);
@@ -184,7 +184,7 @@
         self.retry_after = (2.0 * self.retry_after).min(LONGEST_RETRY);
     }
 
-    /// Passes on what has come from a connection or an invocation.
+    /// Passes an input of a connection or an invocation to the consumer.
     pub(super) fn apply(&mut self, input: Input) {
         let now = self.router.now();
         let is_present = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Passes on a result of the journal.
+    /// Passes a result of the journal to the consumer.
     pub(super) fn apply_journal_result(&mut self, result: JournalResult) {
         let now = self.router.now();
         match result {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The deployment of the revision in force, with trigger types at the places that the rules know.
+    /// The deployment of the revision in force, with trigger types at the positions that the rules refer to.
     fn deployment_in_force(&mut self) -> Rc<Deployment> {
         let revision = self.router.revision();
         if self.in_force.revision != revision.number {
@@ -259,11 +259,11 @@
             if let Err(fault) = &appended {
                 error!(%fault, "journal append failed");
             }
-            // Nobody listens where the front end has ended.
+            // There is no receiver once the front end has ended.
             let _ = results.send_blocking(JournalResult::Appended(appended.is_ok()));
         };
         if self.journal.append(entry, done).is_err() {
-            // Its thread has died: its queue is as long as all that can be in hand.
+            // The thread has died: the queue can hold an entry of every message in flight, so it is never full.
             self.consumer.journal_appended(self.router.now(), false);
         }
     }
@@ -349,7 +349,7 @@
         }));
     }
 
-    /// Ends the connection in order.
+    /// Disconnects from the broker in order.
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.router.now());
         self.perform();
--- a/crates/http-frontend/src/mqtt/mod.rs
+++ b/crates/http-frontend/src/mqtt/mod.rs
@@ -1,5 +1,5 @@
-//! Triggers by messages on sockets: the connection to the broker, the journal's thread and the invocations around a
-//! `Consumer`, which decides.
+//! Message triggers on sockets: the connection to the MQTT broker, the journal's thread and the invocations. The state
+//! machine `Consumer` of `orchidtally-mqtt-triggers` decides what is done.
 
 mod connection;
 mod consume;
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -1,13 +1,13 @@
-//! Watches the files of TLS, so that a connection is made anew when its certificates were replaced.
+//! Watches the TLS files, so that the front end reconnects when certificates are replaced.
 
 use orchidtally_mqtt_triggers::TriggerSettings;
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-/// Seconds between two looks at the files.
+/// Seconds between two checks of the files.
 pub(super) const CHECK_INTERVAL: f64 = 3.0;
 
-/// When the files of TLS were changed.
+/// Modification times of the TLS files.
 pub(super) struct TlsFiles {
     paths: Vec<PathBuf>,
     /// When the newest file was changed, as of the present connection.
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -1,4 +1,4 @@
-//! What a front end needs to serve triggers by messages.
+//! What a front end needs to serve message triggers.
 
 use orchidtally_journal::Journal;
 use orchidtally_mqtt_triggers::TriggerSettings;
@@ -6,16 +6,17 @@
 use std::io;
 use std::path::Path;
 
-/// Entries that share a sync.
+/// Journal entries that share one sync to disk.
 const MAX_BATCH: usize = 1_024;
 
-/// What a front end needs to serve triggers: the section, and its journal with what stood in it.
+/// The settings of the message triggers, and their journal with its recovered records.
 pub struct Triggers {
+    /// The section of the deployment file.
     pub section: TriggerSettings,
     pub(super) journal: Journal,
     pub(super) records: Vec<Record>,
     pub(super) truncated_bytes: u64,
-    /// Entries that share a sync at the most.
+    /// The most journal entries that share one sync to disk.
     pub(super) max_batch: usize,
 }
 
@@ -26,7 +27,10 @@
     )
 }
 
-/// The records that a journal holds, in their order.
+/// Decodes the records of a journal, in order.
+///
+/// # Errors
+/// The snapshot or an entry is malformed.
 pub fn records(
     snapshot: Option<&[u8]>,
     entries: &[Vec<u8>],
@@ -42,7 +46,10 @@
 }
 
 impl Triggers {
-    /// Opens the journal of a front end.
+    /// Opens the journal of the front end with this index.
+    ///
+    /// # Errors
+    /// The journal can't be opened, or a record in it is malformed.
     pub fn open(section: TriggerSettings, index: u32) -> io::Result<Triggers> {
         let folder = section.folder(index);
         let (journal, found) = Journal::open(&folder)?;
@@ -61,12 +68,12 @@
         })
     }
 
-    /// What a life before had in hand.
+    /// The records that the previous incarnation left.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// With the journal as measurements want it: without syncs, or with one for each entry.
+    /// Changes the journal for measurements: whether it syncs to disk, and how many entries share a sync.
     pub fn measured(self, synced: bool, max_batch: usize) -> Triggers {
         let journal = if synced {
             self.journal
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reads the deployment file again while the front end runs: what can change without a restart is put in force,
-//! whole or not at all.
+//! Reloads the deployment file while the front end runs. What can change without a restart is put in force, as a whole
+//! or not at all.
 
 use crate::config::ApplyError;
 use crate::router::Router;
@@ -10,30 +10,35 @@
 use thiserror::Error;
 use tracing::{error, info, warn};
 
-/// The deployment file, and what is read of it again.
+/// The deployment file and its reloads.
 pub struct Reloads {
+    /// The path, for log messages.
     pub path: PathBuf,
-    /// The file's text as the front end started with it.
+    /// The text with which the front end started.
     pub text: String,
-    /// The file's text each time that it was read again. A bounded channel of one suffices: only the newest counts.
+    /// The text after each reload. A channel bounded to one element suffices, as only the newest text counts.
     pub read: async_channel::Receiver<io::Result<String>>,
 }
 
-/// Why a file that was read again is not in force. The configuration before goes on to hold.
+/// Why a reloaded file is not in force. The previous configuration stays in force.
 #[derive(Debug, Error)]
 pub enum ReloadError {
+    /// The file can't be read.
     #[error("it can't be read: {0}; put it back, readable for this user")]
     Unreadable(#[from] io::Error),
+    /// The file is invalid.
     #[error("it has {} faults; mend them, as `orchidtally check` tells them too", .0.len())]
     Faults(Vec<DeploymentFault>),
+    /// Some changes only take effect at a restart.
     #[error("{} of its changes need a restart; restart this front end, or take them back", .0.len())]
     NeedsRestart(Vec<DeploymentFault>),
+    /// The front end rejects the configuration.
     #[error(transparent)]
     Refused(#[from] ApplyError),
 }
 
 impl ReloadError {
-    /// Where in the file it lies, as far as that can be told.
+    /// The places in the file that cause the error, as far as they are known.
     fn places(&self) -> &[DeploymentFault] {
         match self {
             ReloadError::Faults(places) | ReloadError::NeedsRestart(places) => places,
@@ -42,7 +47,7 @@
     }
 }
 
-/// Puts a file's text in force. `before` is the text that is in force.
+/// Puts the text of a file in force; `before` is the text in force until then.
 fn reload(router: &Router, before: &str, read: io::Result<String>) -> Result<String, ReloadError> {
     let text = read?;
     let (deployment, _) = orchidtally_mqtt_triggers::read(&text).map_err(ReloadError::Faults)?;
@@ -54,7 +59,7 @@
     Ok(text)
 }
 
-/// Follows what is read again, for as long as the front end lives.
+/// Applies reloads for as long as the front end lives.
 pub async fn follow(router: Rc<Router>, reloads: Reloads) {
     let Reloads {
         path,
--- a/crates/http-frontend/src/router/dispatch_admission.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -1,5 +1,5 @@
-//! Asks whether the configuration in force lets an invocation through, when it is taken and right before the bytes of
-//! a dispatch go out.
+//! Checks whether the configuration in force admits an invocation, when it is admitted and right before the first byte
+//! of a dispatch is sent.
 
 use super::Router;
 use super::invocation::{FinalAnswer, InvocationContext, RejectionReason};
@@ -15,10 +15,10 @@
         let _ = self.admission.set(admission);
     }
 
-    /// Whether an invocation under a revision may be taken now.
+    /// Checks whether an invocation under a revision may be admitted now.
     ///
     /// # Errors
-    /// The configuration doesn't let it through.
+    /// The configuration doesn't admit it.
     pub fn check_admission(
         &self,
         revision: &Revision,
@@ -31,7 +31,7 @@
         refusal.map_or(Ok(()), |refusal| Err(RejectionReason::Refused(refusal)))
     }
 
-    /// Why the bytes of a dispatch may not go out now.
+    /// Why a dispatch may not be sent now.
     pub(super) fn dispatch_refusal(&self, work: &InvocationContext) -> Option<Refusal> {
         let trigger_type = &work.trigger_type.trigger.name;
         let subject = Subject {
@@ -44,21 +44,21 @@
             .refusal(work.revision.view.as_deref(), &subject)
     }
 
-    /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is out, whose answer
-    /// is the client's.
-    pub(super) fn refused(&self, (invocation, n): (u32, u8), refusal: Refusal) {
+    /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is in flight, whose
+    /// answer goes to the client.
+    pub(super) fn on_dispatch_refused(&self, invocation: u32, number: u8, refusal: Refusal) {
         self.run_engine(|engine, now, action_executor| {
-            if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, n)) {
+            if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, number)) {
                 task.detach();
             }
             let sent = engine.dispatch_count(invocation);
-            let another_is_out = (0..sent).any(|m| {
+            let another_in_flight = (0..sent).any(|m| {
                 action_executor
                     .dispatch_tasks
                     .contains_key(&(invocation, m as u8))
             });
-            if !another_is_out {
-                // An earlier one may have run; it isn't known here how it ended.
+            if !another_in_flight {
+                // An earlier one may have run: how it ended isn't known here.
                 let may_have_run = sent > 1;
                 engine.on_client_cancel(now, invocation, action_executor);
                 if let Some(client) = action_executor.clients.remove(&invocation) {
@@ -72,7 +72,7 @@
             engine.on_dispatch_result(
                 now,
                 invocation,
-                n,
+                number,
                 DispatchStatus::NeverSent,
                 NO_METADATA,
                 action_executor,
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -1,7 +1,7 @@
-//! Exchanges with executors: dispatches and orders, from their first byte to what their end proves.
+//! Dispatches to executors, from the first byte to the result that is reported to the engine.
 
 use super::invocation::{ExecutorResponse, InvocationContext, ResponseTruncated};
-use super::{Router, number, seconds};
+use super::{Router, executor_number, seconds};
 use crate::pool::{Incoming, Pool};
 use bytes::Bytes;
 use orchidtally_deployment::EndpointSource;
@@ -9,20 +9,20 @@
 use orchidtally_engine::evidence::{self, Transport};
 use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{DISPATCH, LOAD, frame};
+use orchidtally_executor_protocol::{DISPATCH, frame};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tracing::{debug, error};
 
-/// Parts of a streamed answer that wait for a client that reads slowly.
-const STREAM_PARTS: usize = 8;
-/// In a second.
+/// Chunks of a streamed response that are buffered for a client that reads slowly.
+const MAX_STREAM_CHUNKS: usize = 8;
+/// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
-/// The time between two warnings of another front end with this one's index.
+/// The interval between two warnings about a duplicate index.
 const INDEX_WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A dispatch of an invocation.
+/// A dispatch to an executor.
 pub(super) struct Dispatch {
     /// The engine's id of the invocation.
     pub(super) invocation: u32,
@@ -31,29 +31,40 @@
     pub(super) to: ExecutorId,
     pub(super) pool: Rc<Pool>,
     pub(super) work: Rc<InvocationContext>,
-    /// The key of the version.
+    /// The key of the function's version.
     pub(super) version: u64,
-    /// When the client gives up.
+    /// When the client's timeout ends.
     pub(super) timeout_at: f64,
 }
 
 /// How long a dispatch took.
 #[derive(Clone, Copy)]
 pub(super) struct Timing {
-    /// Seconds from its first byte to its answer.
+    /// Seconds from its start to its response.
     pub(super) took: f64,
-    /// Whether its copy had been loaded before.
+    /// Whether the executor had a warm replica.
     pub(super) warm: bool,
 }
 
 /// How a dispatch ended.
 struct DispatchEnd<'a> {
-    ending: DispatchStatus,
+    status: DispatchStatus,
     metadata: ResponseMetadata<'a>,
     executor_response: Option<ExecutorResponse>,
     timing: Option<Timing>,
 }
 
+/// In which state the executor found its copy of the function.
+fn copy_state(answer: &v1::Answer) -> CopyState {
+    match answer.found() {
+        v1::Found::Untold => CopyState::Unknown,
+        v1::Found::Warm => CopyState::Warm,
+        v1::Found::Loaded => CopyState::ColdLoad,
+        v1::Found::Waited => CopyState::JoinedLoad,
+        v1::Found::LoadFailed => CopyState::LoadFailed,
+    }
+}
+
 impl Router {
     fn report_dispatch_result(&self, dispatch: &Dispatch, end: DispatchEnd) {
         let (invocation, number) = (dispatch.invocation, dispatch.number);
@@ -67,7 +78,7 @@
                 now,
                 invocation,
                 number,
-                end.ending,
+                end.status,
                 end.metadata,
                 action_executor,
             );
@@ -75,7 +86,7 @@
         });
     }
 
-    /// Notes what the end of an exchange says of whether the executor is there.
+    /// Records whether the end of an exchange shows that the executor is reachable.
     fn record_reachability(&self, executor: ExecutorId, outcome: Option<Transport>) {
         if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
@@ -102,7 +113,7 @@
         }
     }
 
-    /// Two front ends with one index share a turn at each cold executor.
+    /// Another front end uses the index of this one, so that both use the same time slots at executors in slow start.
     fn on_duplicate_index(&self, executor: ExecutorId) {
         self.index_taken.set(self.index_taken.get() + 1);
         let warned_lately = self
@@ -131,7 +142,7 @@
             .exchange_if::<v1::Answer>(DISPATCH, head, payload)
             .await;
         if let Some(refusal) = refusal.take() {
-            return self.refused((dispatch.invocation, dispatch.number), refusal);
+            return self.on_dispatch_refused(dispatch.invocation, dispatch.number, refusal);
         }
         self.record_reachability(dispatch.to, exchanged.as_ref().err().copied());
         match exchanged {
@@ -143,8 +154,8 @@
         }
     }
 
-    /// Asks the module again, as bytes go out that may have waited for a connection: the executor may drain by now, the
-    /// client's time or the window of its token be over.
+    /// Asks the dispatch policy again right before the first byte is sent, which may have waited for a connection: the
+    /// executor may drain by now, or the client's time or the window of its idempotency key may be over.
     fn is_dispatch_still_valid(&self, dispatch: &Dispatch) -> bool {
         let now = self.observe_clock();
         self.engine
@@ -152,12 +163,6 @@
             .revalidate_dispatch(now, dispatch.invocation, dispatch.number)
     }
 
-    /// The same of an order to load that was given at a time.
-    fn is_load_still_valid(&self, to: ExecutorId, given_at: f64) -> bool {
-        let now = self.observe_clock();
-        self.engine.borrow_mut().revalidate_load(now, to, given_at)
-    }
-
     fn dispatch_head(&self, dispatch: &Dispatch) -> v1::Dispatch {
         let work = &dispatch.work;
         let effect = match work.trigger_type.policy.idempotency {
@@ -181,16 +186,16 @@
     }
 
     fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: Transport) {
-        let ending = evidence::ending(outcome);
+        let status = evidence::ending(outcome);
         debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?outcome, "dispatch ended without a response");
-        // One that provably never ran says nothing of the version.
-        if !ending.never_ran() {
+        // One that certainly never ran shows nothing about the version.
+        if !status.never_ran() {
             self.record_version_failure(dispatch, true);
         }
         self.report_dispatch_result(
             dispatch,
             DispatchEnd {
-                ending,
+                status,
                 metadata: NO_METADATA,
                 executor_response: None,
                 timing: None,
@@ -208,13 +213,7 @@
         if answer.index_taken {
             self.on_duplicate_index(dispatch.to);
         }
-        let found = match answer.found() {
-            v1::Found::Untold => CopyState::Unknown,
-            v1::Found::Warm => CopyState::Warm,
-            v1::Found::Loaded => CopyState::ColdLoad,
-            v1::Found::Waited => CopyState::JoinedLoad,
-            v1::Found::LoadFailed => CopyState::LoadFailed,
-        };
+        let found = copy_state(&answer);
         if matches!(found, CopyState::ColdLoad | CopyState::LoadFailed) {
             let succeeded = found == CopyState::ColdLoad;
             self.traffic_split.borrow_mut().record_load_result(
@@ -227,42 +226,19 @@
             took: began.elapsed().as_secs_f64(),
             warm: matches!(found, CopyState::Warm | CopyState::Unknown),
         };
-        let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
-        let (outcome, executor_response) = match answer.ending() {
-            v1::Ending::Ok if answer.streams && may_stream => (
-                self.stream_answer(dispatch, timing(), &mut incoming).await,
-                None,
-            ),
-            v1::Ending::Ok => match incoming
-                .read_payload(self.deployment.limits.max_response_bytes)
-                .await
-            {
-                Ok(chunks) => (
-                    Transport::Answered(DispatchStatus::Ok),
-                    Some(ExecutorResponse::Whole(chunks)),
-                ),
-                Err(outcome) => (outcome, None),
-            },
-            v1::Ending::Error => {
-                if found != CopyState::LoadFailed {
-                    self.record_version_failure(dispatch, false);
-                }
-                (Transport::Answered(DispatchStatus::Error), None)
-            }
-            v1::Ending::Full => (Transport::Answered(DispatchStatus::Full), None),
-            v1::Ending::Miss => (Transport::Answered(DispatchStatus::Miss), None),
-            v1::Ending::Unspecified => (Transport::Malformed, None),
-        };
+        let (outcome, executor_response) = self
+            .receive_response(dispatch, &answer, timing(), &mut incoming)
+            .await;
         let metadata = ResponseMetadata {
             copy_state: found,
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
-        let ending = evidence::ending(outcome);
+        let status = evidence::ending(outcome);
         self.report_dispatch_result(
             dispatch,
             DispatchEnd {
-                ending,
+                status,
                 metadata,
                 executor_response,
                 timing: Some(timing()),
@@ -270,14 +246,50 @@
         );
     }
 
-    /// Passes a streamed answer on, unless another dispatch of the invocation has answered.
+    /// Receives the payload of a response, if it has one.
+    async fn receive_response(
+        &self,
+        dispatch: &Dispatch,
+        answer: &v1::Answer,
+        timing: Timing,
+        incoming: &mut Incoming,
+    ) -> (Transport, Option<ExecutorResponse>) {
+        let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
+        let status = match answer.ending() {
+            v1::Ending::Ok if answer.streams && may_stream => {
+                return (self.stream_answer(dispatch, timing, incoming).await, None);
+            }
+            v1::Ending::Ok => {
+                let max_length = self.deployment.limits.max_response_bytes;
+                return match incoming.read_payload(max_length).await {
+                    Ok(chunks) => (
+                        Transport::Answered(DispatchStatus::Ok),
+                        Some(ExecutorResponse::Whole(chunks)),
+                    ),
+                    Err(outcome) => (outcome, None),
+                };
+            }
+            v1::Ending::Error => {
+                if answer.found() != v1::Found::LoadFailed {
+                    self.record_version_failure(dispatch, false);
+                }
+                DispatchStatus::Error
+            }
+            v1::Ending::Full => DispatchStatus::Full,
+            v1::Ending::Miss => DispatchStatus::Miss,
+            v1::Ending::Unspecified => return (Transport::Malformed, None),
+        };
+        (Transport::Answered(status), None)
+    }
+
+    /// Forwards a streamed response, unless another dispatch of the invocation has answered.
     async fn stream_answer(
         &self,
         dispatch: &Dispatch,
         timing: Timing,
         incoming: &mut Incoming,
     ) -> Transport {
-        let (parts, body) = async_channel::bounded(STREAM_PARTS);
+        let (parts, body) = async_channel::bounded(MAX_STREAM_CHUNKS);
         let is_first = self.run_engine(|engine, now, action_executor| {
             action_executor.executor_response = Some(ExecutorResponse::Streamed(body));
             action_executor.timing = Some(timing);
@@ -299,7 +311,7 @@
 
     /// A dispatch failed in a way that may count against its version.
     fn record_version_failure(&self, dispatch: &Dispatch, broke: bool) {
-        let executor = number(dispatch.to);
+        let executor = executor_number(dispatch.to);
         let counts = self.traffic_split.borrow_mut().record_dispatch_failure(
             self.now(),
             executor,
@@ -310,7 +322,7 @@
         failed.set(failed.get() | counts);
     }
 
-    /// Passes on the parts of a streamed answer. A client that does not read for the sender's time is given up.
+    /// Forwards the chunks of a streamed response. A client that does not read within the read timeout is dropped.
     async fn forward_stream(
         &self,
         incoming: &mut Incoming,
@@ -341,58 +353,9 @@
             };
             match orchidtally_socket_io::with_timeout(time, parts.send(part)).await {
                 Some(Ok(())) => {}
-                // The client went away, or stopped reading.
+                // The client disconnected, or stopped reading.
                 Some(Err(_)) | None => return Transport::Answered(DispatchStatus::Cancelled),
             }
         }
     }
-
-    /// Sends an order and reports its end to the engine.
-    pub(super) async fn send_load_command(
-        self: Rc<Self>,
-        to: ExecutorId,
-        pool: Rc<Pool>,
-        order: v1::Order,
-        function: u64,
-        given_at: f64,
-    ) {
-        let time = seconds(self.deployment.limits.load_command_timeout);
-        // One that loads nothing may always go.
-        let head = || {
-            let may_leave =
-                order.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, given_at);
-            may_leave.then(|| frame(&order))
-        };
-        let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
-        let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
-        let mut differs = false;
-        let outcome = match answered {
-            None => Transport::TimedOut,
-            Some(Err(outcome)) => outcome,
-            Some(Ok((answer, _))) => match answer.ending() {
-                _ if answer.digest_differs => {
-                    differs = true;
-                    Transport::Answered(DispatchStatus::Error)
-                }
-                v1::Ending::Ok => Transport::Answered(DispatchStatus::Ok),
-                v1::Ending::Full => Transport::Answered(DispatchStatus::Full),
-                v1::Ending::Error | v1::Ending::Miss => Transport::Answered(DispatchStatus::Error),
-                v1::Ending::Unspecified => Transport::Malformed,
-            },
-        };
-        if order.kind() == v1::OrderKind::Hold {
-            let ending = evidence::ending(outcome);
-            // An executor that is gone or full tells nothing of the version.
-            if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
-                self.traffic_split.borrow_mut().record_load_result(
-                    function,
-                    ending == DispatchStatus::Ok,
-                    differs,
-                );
-            }
-            self.run_engine(|engine, now, action_executor| {
-                engine.on_load_result(now, to, function, ending, action_executor)
-            });
-        }
-    }
 }
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -1,4 +1,4 @@
-//! Invocations: what they carry, how one is taken, and their final answers.
+//! Invocations: what they carry, their admission, and their final answers.
 
 use super::Router;
 use super::revision::{Revision, TriggerTypeInForce};
@@ -13,14 +13,14 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// An invocation that was taken.
+/// An invocation that was admitted.
 struct AdmittedInvocation {
-    /// The engine's id for it, which changes where it is moved to another version.
+    /// The engine's id of it, which changes when it migrates to another version.
     invocation: Rc<Cell<u32>>,
     answer: oneshot::Receiver<FinalAnswer>,
 }
 
-/// Withdraws an invocation whose client goes away before it is answered.
+/// Cancels an invocation whose client disconnects before the answer.
 struct CancelGuard<'a> {
     router: &'a Router,
     invocation: Rc<Cell<u32>>,
@@ -35,9 +35,11 @@
     }
 }
 
-/// What each dispatch of an invocation carries.
+/// What all dispatches of an invocation have in common.
 pub struct InvocationContext {
+    /// The name of the invocation.
     pub name: String,
+    /// The name of the function.
     pub function: Rc<str>,
     /// The digest of its version; empty where the function has none.
     pub digest: Rc<str>,
@@ -45,16 +47,21 @@
     pub invoked: Option<RolloutAssignment>,
     /// A dispatch of it failed in a way that counts against its version.
     pub failed: Cell<bool>,
-    /// The number of the executor of its last dispatch; 0 before the first.
+    /// Identifies the executor of the last dispatch; 0 before the first.
     pub last: Cell<u64>,
-    /// Dispatches that it had before it was moved to another version.
+    /// The number of dispatches before it migrated to another version.
     pub dispatched: u32,
     /// The revision that it was admitted under.
     pub revision: Rc<Revision>,
+    /// The trigger type, as that revision has it.
     pub trigger_type: Rc<TriggerTypeInForce>,
+    /// The name of the customer; empty where there is none.
     pub customer: String,
+    /// The idempotency key; empty where there is none.
     pub token: String,
+    /// The body, in chunks.
     pub payload: Vec<Bytes>,
+    /// The length of the body in bytes.
     pub payload_bytes: u64,
 }
 
@@ -67,27 +74,34 @@
     pub name: &'a str,
 }
 
-/// What an ingress asks for.
+/// An invocation as an ingress requests it.
 pub struct IngressRequest<'a> {
     /// The name of the invocation.
     pub name: String,
+    /// The name of the function.
     pub function: Rc<str>,
+    /// The version that it gets.
     pub resolved: ResolvedVersion,
+    /// The revision under which it was looked up.
     pub revision: Rc<Revision>,
+    /// Its trigger type in that revision.
     pub trigger_type: Rc<TriggerTypeInForce>,
+    /// Its customer in that revision.
     pub customer: NamedCustomer<'a>,
-    /// The idempotency token; empty where there is none.
+    /// The idempotency key; empty where there is none.
     pub token: &'a str,
-    /// Whether the client asks again.
+    /// Whether it is a client retry.
     pub repeat: bool,
-    /// When the final answer has to be there.
+    /// When the final answer is due, in seconds of [`Router::now`].
     pub timeout_at: f64,
+    /// The body, in chunks.
     pub payload: Vec<Bytes>,
+    /// The length of the body in bytes.
     pub payload_bytes: u64,
 }
 
 impl IngressRequest<'_> {
-    /// What it uses, by name.
+    /// The names of the configuration entries that it uses.
     pub fn subject(&self) -> Subject<'_> {
         let trigger_type = &self.trigger_type.trigger.name;
         Subject {
@@ -98,14 +112,14 @@
     }
 }
 
-/// Why an invocation was not taken; nothing of it was dispatched.
+/// Why an invocation was not admitted; it was not dispatched.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RejectionReason {
-    /// As many invocations are open as may be.
+    /// The limit of open invocations is reached.
     AtCapacity,
-    /// The front end is ending.
+    /// The front end is shutting down.
     ShuttingDown,
-    /// The configuration doesn't let it through.
+    /// The configuration doesn't admit it.
     Refused(Refusal),
 }
 
@@ -118,7 +132,7 @@
     }
 }
 
-/// A streamed answer was cut off by its executor.
+/// The executor broke off a streamed response.
 #[derive(Debug, thiserror::Error)]
 #[error("the executor broke off in the middle of its answer")]
 pub struct ResponseTruncated;
@@ -128,52 +142,52 @@
 #[error("the front end lost track of it")]
 pub struct AnswerLost;
 
-/// The body of an answer.
+/// The body of an executor's response.
 pub enum ExecutorResponse {
-    /// All of it.
+    /// The complete body.
     Whole(Vec<Bytes>),
-    /// Parts that are still to come.
+    /// The chunks as they arrive.
     Streamed(async_channel::Receiver<Result<Bytes, ResponseTruncated>>),
 }
 
-/// The final answer, on its way to the client.
+/// The final answer to the client.
 pub enum FinalAnswer {
-    /// The function has answered.
+    /// The function has succeeded.
     Succeeded(ExecutorResponse),
-    /// There was no room in time; nothing has run.
+    /// It was not dispatched in time; nothing has run.
     Rejected {
-        /// Seconds to stay away.
+        /// Seconds after which the client may retry.
         retry_after: f64,
-        /// Whether the customer has had its share.
+        /// Whether the customer is over its quota.
         past_share: bool,
     },
-    /// No executor has answered, or the function failed.
+    /// No executor has responded in time, or the function failed.
     Failed {
-        /// Which of the two.
+        /// The reason of the failure.
         cause: FailureReason,
         /// Whether the function may have run.
         may_have_run: bool,
     },
-    /// The configuration doesn't let it through any more.
+    /// The configuration doesn't admit it any more.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
         /// Whether the function may have run.
         may_have_run: bool,
     },
 }
 
-/// Whoever waits for the final answer of an invocation.
+/// The client that waits for the final answer of an invocation.
 pub(super) struct Client {
     pub(super) work: Rc<InvocationContext>,
     pub(super) request: InvocationRequest,
-    /// The engine's id for it, which changes where it is moved to another version.
+    /// The engine's id of it, which changes when it migrates to another version.
     pub(super) invocation: Rc<Cell<u32>>,
     pub(super) reply: oneshot::Sender<FinalAnswer>,
 }
 
 impl Router {
-    /// Takes an invocation. The receiver gets its final answer.
+    /// Admits an invocation. The receiver gets its final answer.
     fn admit(
         &self,
         request: InvocationRequest,
@@ -191,11 +205,10 @@
         Ok(AdmittedInvocation { invocation, answer })
     }
 
-    /// Invokes what an ingress asks for, and waits for the final answer. Whoever stops waiting withdraws the
-    /// invocation.
+    /// Invokes a function and waits for the final answer. Dropping the future cancels the invocation.
     ///
     /// # Errors
-    /// The invocation was not taken: nothing of it was dispatched.
+    /// The invocation was not admitted: nothing of it was dispatched.
     pub async fn invoke(
         &self,
         ingress_request: IngressRequest<'_>,
@@ -275,7 +288,8 @@
         )
     }
 
-    /// What the coordinators said, and what is due by the time: runs that were taken back give up what waits.
+    /// Applies the published rollouts and what is due: waiting invocations of a rolled-back version migrate, and versions
+    /// are prewarmed.
     pub fn apply_rollouts(&self, published: Option<Published>) {
         let now = self.now();
         let revision = self.revision();
--- /dev/null
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -0,0 +1,66 @@
+//! Load commands to executors.
+
+use super::{Router, seconds};
+use crate::pool::Pool;
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
+use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_executor_protocol::v1;
+use orchidtally_executor_protocol::{LOAD, frame};
+use std::rc::Rc;
+
+impl Router {
+    /// Asks the dispatch policy again right before a load command that was given at `given_at` is sent.
+    fn is_load_still_valid(&self, to: ExecutorId, given_at: f64) -> bool {
+        let now = self.observe_clock();
+        self.engine.borrow_mut().revalidate_load(now, to, given_at)
+    }
+
+    /// Sends a load command, query or unload command, and reports the result of a load to the engine.
+    pub(super) async fn send_load_command(
+        self: Rc<Self>,
+        to: ExecutorId,
+        pool: Rc<Pool>,
+        order: v1::Order,
+        function: u64,
+        given_at: f64,
+    ) {
+        let time = seconds(self.deployment.limits.load_command_timeout);
+        // One that loads nothing may always be sent.
+        let head = || {
+            let may_leave =
+                order.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, given_at);
+            may_leave.then(|| frame(&order))
+        };
+        let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
+        let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
+        let mut differs = false;
+        let outcome = match answered {
+            None => Transport::TimedOut,
+            Some(Err(outcome)) => outcome,
+            Some(Ok((answer, _))) => match answer.ending() {
+                _ if answer.digest_differs => {
+                    differs = true;
+                    Transport::Answered(DispatchStatus::Error)
+                }
+                v1::Ending::Ok => Transport::Answered(DispatchStatus::Ok),
+                v1::Ending::Full => Transport::Answered(DispatchStatus::Full),
+                v1::Ending::Error | v1::Ending::Miss => Transport::Answered(DispatchStatus::Error),
+                v1::Ending::Unspecified => Transport::Malformed,
+            },
+        };
+        if order.kind() == v1::OrderKind::Hold {
+            let ending = evidence::ending(outcome);
+            // An executor that is gone or full shows nothing about the version.
+            if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
+                self.traffic_split.borrow_mut().record_load_result(
+                    function,
+                    ending == DispatchStatus::Ok,
+                    differs,
+                );
+            }
+            self.run_engine(|engine, now, action_executor| {
+                engine.on_load_result(now, to, function, ending, action_executor)
+            });
+        }
+    }
+}
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -1,13 +1,16 @@
-//! One front end: its engine, and what performs the engine's commands on sockets. All of it lives on one thread;
-//! nothing is shared with other front ends.
+//! The router of a front end: its engine, and what performs the engine's actions on sockets. It lives on one thread and
+//! shares nothing with other front ends.
 
 mod action_executor;
 mod dispatch_admission;
 mod exchange;
 mod invocation;
+mod load_command;
 mod reconfigure;
 mod revision;
 mod trigger_status;
+mod version_evidence;
+mod version_migration;
 mod view_age;
 
 pub use invocation::{
@@ -41,31 +44,31 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tracing::warn;
 
-/// Starts to follow the list of executors, and returns the task that does it if it is to be replaced at the next call.
+/// Subscribes to the endpoint list. Returns the task that does so if the next call is to replace it.
 pub type EndpointWatcher = fn(&Rc<Router>) -> Option<Task<()>>;
 
 /// How often the wall clock is read and idle connections are closed.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the name of a version is kept after its last invocation.
+/// How long the name of a version is retained after its last invocation.
 const VERSION_NAME_RETENTION: Duration = Duration::from_secs(120);
 /// The longest time that a timer sleeps, in seconds.
 const MAX_SLEEP: f64 = 86_400.0;
 
-/// One front end.
+/// The state of one front end.
 pub struct Router {
-    /// The deployment with which the front end started. What may have changed since is in [`Router::revision`].
+    /// The deployment with which the front end started; what may have changed since is in [`Router::revision`].
     pub deployment: Rc<Deployment>,
     revisions: Revisions,
-    /// How the front end names itself to executors. Its index changes where it claims one in etcd.
+    /// The identity of the front end towards executors. Its index changes when it claims one in etcd.
     pub sender: Cell<v1::Sender>,
-    /// The list of executors, where it comes from etcd.
+    /// The endpoint cache, where the endpoint list comes from etcd.
     pub cache: RefCell<EndpointCache>,
-    /// The front ends, where they are known from etcd.
+    /// The membership, where it comes from etcd.
     pub members: RefCell<Members>,
-    /// Time slots of shared budgets, and since when.
+    /// The number of time slots of shared budgets, and since when it is that.
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
-    /// What the front end knows of rollouts.
+    /// The rollouts as this front end knows them.
     pub traffic_split: RefCell<TrafficSplit>,
     action_executor: RefCell<ActionExecutor>,
     clock: RefCell<Clock>,
@@ -73,30 +76,30 @@
     started: Instant,
     spawner: Weak<LocalExecutor<'static>>,
     armed_for: Cell<f64>,
-    rearm: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    timer_wakeup: (async_channel::Sender<()>, async_channel::Receiver<()>),
     warned_of_index: Cell<Option<Instant>>,
-    /// The number of answers that reported another front end with this one's index.
+    /// The number of responses that reported a duplicate of this front end's index.
     pub index_taken: Cell<u64>,
-    /// The state of triggers by messages, where there are any.
+    /// The status of the message triggers, where there are any.
     pub triggers: Cell<Option<TriggerStatus>>,
-    /// Promises to HTTP clients, where the deployment has a journal.
+    /// The store of durable HTTP invocations, where the deployment has a journal.
     pub durable_invocation_store: Option<Rc<DurableInvocationStore>>,
-    /// Whether the configuration in force lets invocations through, where it comes from a store.
+    /// Decides whether the configuration admits invocations, where it comes from a store.
     pub admission: OnceCell<Admission>,
     is_draining: Cell<bool>,
     watch_endpoints: EndpointWatcher,
-    /// The address at which it takes invocations.
+    /// The address at which it accepts invocations.
     pub listen_address: Cell<Option<SocketAddr>>,
 }
 
-/// A number that tells executors apart. It is never 0.
-fn number(executor: ExecutorId) -> u64 {
+/// A number that distinguishes executors; never 0.
+fn executor_number(executor: ExecutorId) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     executor.hash(&mut hasher);
     hasher.finish() | 1
 }
 
-/// Seconds since 1970 by the system's clock.
+/// Seconds since the Unix epoch by the system's clock.
 fn wall_clock_seconds() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -108,8 +111,8 @@
 }
 
 impl Router {
-    /// A front end that follows nothing yet. `ahead` are seconds by which its wall clock is taken to be ahead, for tests
-    /// of skew; `random` replaces the dispatch module by random choice, for comparisons.
+    /// A router that follows no endpoint list from outside yet. `ahead` are seconds by which its wall clock is taken to be ahead, for tests
+    /// of skew; `random` replaces the dispatch policy by random choice, for comparisons.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -160,7 +163,7 @@
                 started,
                 spawner: Rc::downgrade(spawner),
                 armed_for: Cell::new(f64::INFINITY),
-                rearm: async_channel::bounded(1),
+                timer_wakeup: async_channel::bounded(1),
                 warned_of_index: Cell::new(None),
                 index_taken: Cell::new(0),
                 triggers: Cell::new(None),
@@ -179,7 +182,7 @@
         router
     }
 
-    /// Seconds since 1970, by a clock that never goes back.
+    /// Seconds since the Unix epoch, by a monotonic clock.
     pub fn now(&self) -> f64 {
         let now = self
             .clock
@@ -189,17 +192,17 @@
         now
     }
 
-    /// Spawns work on the front end's thread; `None` where the front end has ended.
+    /// Spawns a task on the front end's thread; `None` where the front end has ended.
     pub fn spawn<T: 'static>(&self, work: impl Future<Output = T> + 'static) -> Option<Task<T>> {
         Some(self.spawner.upgrade()?.spawn(work))
     }
 
-    /// What spawns work on the front end's thread.
+    /// The async executor of the front end's thread.
     pub fn spawner(&self) -> Weak<LocalExecutor<'static>> {
         self.spawner.clone()
     }
 
-    /// Calls the engine; every call passes here.
+    /// Calls the engine, and performs its actions. Every input of the engine passes here.
     pub fn run_engine<T>(
         &self,
         input: impl FnOnce(&mut Engine, f64, &mut ActionExecutor) -> T,
@@ -209,18 +212,18 @@
         let mut action_executor = self.action_executor.borrow_mut();
         action_executor.now = now;
         let result = input(&mut engine, now, &mut action_executor);
-        while let Some(migrations) = action_executor.migrations.pop() {
-            action_executor.readmit(&mut engine, now, migrations);
+        while let Some(migration) = action_executor.migrations.pop() {
+            action_executor.readmit(&mut engine, now, migration);
         }
         drop(action_executor);
         if engine.next_deadline() < self.armed_for.get() {
-            // A full channel has woken the timer already.
-            let _ = self.rearm.0.try_send(());
+            // Where the channel is full, the timer is being woken already.
+            let _ = self.timer_wakeup.0.try_send(());
         }
         result
     }
 
-    /// Calls the engine when it is due, for as long as the front end lives.
+    /// Runs the engine's timers for as long as the front end lives.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.engine.borrow().next_deadline();
@@ -229,7 +232,7 @@
             if left > 0.0 {
                 let woken = async {
                     // The router itself holds the other end.
-                    let _ = self.rearm.1.recv().await;
+                    let _ = self.timer_wakeup.1.recv().await;
                 };
                 if due.is_finite() {
                     orchidtally_socket_io::with_timeout(seconds(left), woken).await;
@@ -245,8 +248,8 @@
         }
     }
 
-    /// Follows the wall clock, closes idle connections and forgets names, for as long as the front end lives. `step` is
-    /// a time in seconds and how far the wall clock is stepped then, for tests.
+    /// Follows the wall clock, closes idle connections and removes unused names, for as long as the front end lives.
+    /// `step` is when the wall clock is stepped and by how much, both in seconds, for tests.
     pub async fn run_maintenance(self: Rc<Self>, ahead: f64, step: Option<(f64, f64)>) {
         let mut warned = false;
         loop {
@@ -275,13 +278,13 @@
         }
     }
 
-    /// From now on nothing new is taken.
+    /// Stops admitting invocations.
     pub fn start_draining(&self) {
         self.is_draining.set(true);
         self.engine.borrow_mut().start_draining();
     }
 
-    /// Whether nothing new is taken any more.
+    /// Whether no further invocations are admitted.
     pub fn is_draining(&self) -> bool {
         self.is_draining.get()
     }
@@ -291,13 +294,13 @@
         self.engine.borrow().open_invocations()
     }
 
-    /// Counts of what has happened so far.
+    /// The counters since the start.
     pub fn counters(&self) -> orchidtally_engine::Counters {
         self.engine.borrow().counters()
     }
 
-    /// Tells the dispatch module how many front ends share the fleet. The number of slots is a power of two, so that it
-    /// changes seldom; a front end joins a new number once all must have seen it.
+    /// Notifies the dispatch policy of the number of front ends that share the fleet. The number of time slots is a power
+    /// of two, so that it changes rarely; a front end uses a new number once all others must have seen it.
     pub fn update_membership_view(&self) {
         let now = self.now();
         let estimate = self.members.borrow().estimate(now);
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Replaces the revision in force, whole or not at all.
+//! Replaces the revision in force, as a whole or not at all.
 
 use super::Router;
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The revision in force, and who holds which of the engine's indices.
+/// The revision in force, and the references to the engine's indices.
 pub(super) struct Revisions {
     current: RefCell<Rc<Revision>>,
     trigger_types: RefCell<Indices<TriggerTypeInForce>>,
@@ -18,7 +18,7 @@
 }
 
 impl Revisions {
-    /// The first revision: that of the deployment file, with the places of its lists as indices.
+    /// The first revision: that of the deployment file, with the positions in its lists as indices.
     pub(super) fn new(deployment: Rc<Deployment>) -> Revisions {
         let overlay = Overlay {
             deployment: &deployment,
@@ -59,7 +59,7 @@
         self.current.borrow().clone()
     }
 
-    /// The longest client timeout among trigger types that are in force or held, in seconds.
+    /// The longest client timeout among trigger types that are in force or used by open invocations, in seconds.
     pub(super) fn longest_timeout(&self) -> f64 {
         self.trigger_types
             .borrow()
@@ -68,7 +68,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Trigger types of the next revision; one that is unchanged is that of the present revision.
+    /// Trigger types of the next revision; one that is unchanged is that of the current revision.
     fn next_trigger_types(
         &self,
         overlay: &Overlay,
@@ -119,8 +119,8 @@
         next
     }
 
-    /// Shares by index: of customers of the next revision, and of those that are still held by an invocation's
-    /// admission. None where invocations name no customers.
+    /// Quotas by index: of customers of the next revision, and of those that an invocation still references. Empty where
+    /// invocations name no customers.
     fn shares_by_index(&self, next: &HashMap<String, Rc<CustomerInForce>>) -> Vec<f64> {
         if next.is_empty() {
             return vec![];
@@ -141,17 +141,17 @@
         let mut trigger_types = self.trigger_types.borrow_mut();
         next.trigger_types
             .iter()
-            .for_each(|known| trigger_types.hold(known.index, known));
+            .for_each(|known| trigger_types.assign(known.index, known));
         let mut customers = self.customers.borrow_mut();
         next.customers
             .values()
-            .for_each(|customer| customers.hold(customer.index, customer));
+            .for_each(|customer| customers.assign(customer.index, customer));
         self.current.replace(Rc::new(next));
     }
 }
 
 impl Router {
-    /// The revision in force. Whoever looks up more than one thing for an invocation takes it once.
+    /// The revision in force. Several look-ups for one invocation have to use the same revision.
     pub fn revision(&self) -> Rc<Revision> {
         self.revisions.current()
     }
@@ -161,8 +161,8 @@
         self.revisions.longest_timeout()
     }
 
-    /// Puts a deployment's functions, customers and trigger types in force. What is open keeps what it was admitted
-    /// with. All else of the deployment is passed over: it takes effect at a start only.
+    /// Puts a deployment's functions, customers and trigger types in force. Open invocations keep the revision under which
+    /// they were admitted. Everything else in the deployment is ignored: it takes effect at a restart.
     ///
     /// # Errors
     /// Nothing is changed then.
@@ -171,7 +171,7 @@
         self.replace_revision(deployment, view)
     }
 
-    /// Puts a view of the store of configuration in force, over the deployment file.
+    /// Puts a view of the configuration store in force, over the deployment file.
     ///
     /// # Errors
     /// Nothing is changed then.
@@ -201,7 +201,7 @@
                 .iter()
                 .any(|known| Rc::ptr_eq(known, wanted))
         };
-        // What the engine takes before it refuses is under indices that no invocation can name.
+        // What the engine accepts before it rejects something is under indices that no invocation can use.
         self.run_engine(|engine, now, _| {
             for added in trigger_types.iter().filter(is_new) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
--- a/crates/http-frontend/src/router/revision.rs
+++ b/crates/http-frontend/src/router/revision.rs
@@ -1,8 +1,8 @@
-//! Revisions of what can change while a front end runs: functions, customers' shares and trigger types.
+//! Revisions of what can change while a front end runs: functions, quotas and trigger types.
 //!
-//! An invocation sees one revision from its admission to its end. Whoever looks something up holds the
-//! [`Revision`], and what is taken holds its [`TriggerTypeInForce`]; the engine's index of a trigger type or a
-//! customer is given to another one only when nobody holds the old one any more.
+//! An invocation sees one revision from its admission to its end: it references the [`Revision`] while it is looked up,
+//! and its [`TriggerTypeInForce`] while it is open. The engine's index of a trigger type or a customer is reused only
+//! when there is no reference to the previous one.
 
 use crate::config::{ConfigView, Overlay};
 use orchidtally_deployment::{Deployment, Function, TriggerTypeSettings};
@@ -14,7 +14,9 @@
 /// A trigger type as one revision has it.
 #[derive(Debug)]
 pub struct TriggerTypeInForce {
+    /// Its settings for the ingress.
     pub trigger: TriggerTypeSettings,
+    /// Its settings for the dispatch policy.
     pub policy: TriggerType,
     /// Its index in the engine.
     pub index: usize,
@@ -25,18 +27,18 @@
 pub struct CustomerInForce {
     /// Its index in the engine.
     pub index: usize,
-    /// Invocations a second within its share, over all front ends.
+    /// Its quota: invocations a second over all front ends.
     pub share: f64,
 }
 
-/// One revision. It is immutable: a change makes another one.
+/// One revision. It is immutable: a change creates another one.
 #[derive(Debug)]
 pub struct Revision {
     /// 1 at the start, one more with each change.
     pub number: u64,
     /// The deployment file that it comes from.
     pub deployment: Rc<Deployment>,
-    /// What the store of configuration has over it, where there is one.
+    /// The view of the configuration store that overlays it, where there is one.
     pub view: Option<Arc<ConfigView>>,
     pub(super) trigger_types: Vec<Rc<TriggerTypeInForce>>,
     pub(super) customers: HashMap<String, Rc<CustomerInForce>>,
@@ -90,8 +92,8 @@
         }
     }
 
-    /// This revision as a deployment in which the trigger types of `start` keep their places; one that was taken
-    /// away stands there as it was. Rules of triggers by messages name trigger types by these places.
+    /// This revision as a deployment in which the trigger types of `start` keep their positions, removed ones included.
+    /// The rules of message triggers refer to trigger types by these positions.
     pub fn aligned_to(&self, start: &Deployment) -> Deployment {
         let mut aligned = Deployment {
             policy: start.policy.clone(),
@@ -114,14 +116,14 @@
     }
 }
 
-/// Who holds which of the engine's indices.
+/// The references to items by the engine's index.
 #[derive(Debug)]
 pub(super) struct Indices<T> {
     holders: Vec<Weak<T>>,
 }
 
 impl<T> Indices<T> {
-    /// Those that are held from the start, in their order.
+    /// The initial items, in index order.
     pub(super) fn new<'h>(initial: impl Iterator<Item = &'h Rc<T>>) -> Indices<T>
     where
         T: 'h,
@@ -131,30 +133,32 @@
         }
     }
 
-    /// The lowest index that nobody holds, that isn't in `assigned` and that the engine doesn't use.
+    /// The lowest index that has no reference, isn't in `assigned` and isn't used by the engine.
     pub(super) fn lowest_free(
         &self,
         assigned: &BTreeSet<usize>,
         is_used: impl Fn(usize) -> bool,
     ) -> usize {
-        let is_unheld = |index: usize| {
+        let is_unreferenced = |index: usize| {
             self.holders
                 .get(index)
                 .is_none_or(|h| h.strong_count() == 0)
         };
-        let is_free =
-            |index: &usize| !assigned.contains(index) && is_unheld(*index) && !is_used(*index);
+        let is_free = |index: &usize| {
+            !assigned.contains(index) && is_unreferenced(*index) && !is_used(*index)
+        };
         (0..).find(is_free).unwrap_or(usize::MAX)
     }
 
-    pub(super) fn hold(&mut self, index: usize, holder: &Rc<T>) {
+    /// Assigns an index to an item.
+    pub(super) fn assign(&mut self, index: usize, holder: &Rc<T>) {
         if self.holders.len() <= index {
             self.holders.resize_with(index + 1, Weak::new);
         }
         self.holders[index] = Rc::downgrade(holder);
     }
 
-    /// All that are held by someone.
+    /// All items that are referenced.
     pub(super) fn in_use(&self) -> impl Iterator<Item = Rc<T>> {
         self.holders.iter().filter_map(Weak::upgrade)
     }
--- a/crates/http-frontend/src/router/trigger_status.rs
+++ b/crates/http-frontend/src/router/trigger_status.rs
@@ -1,17 +1,17 @@
-//! The state of triggers by messages, for operators.
+//! The status of message triggers, for operators.
 
 use orchidtally_mqtt_triggers::consumer::Counters;
 
-/// The state of triggers by messages.
+/// The status of message triggers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TriggerStatus {
     /// Counts of what has happened to messages.
     pub counters: Counters,
     /// Whether the broker has accepted the connection.
     pub connected: bool,
-    /// Messages that were taken and are not done with.
+    /// Messages that were accepted and are not finished.
     pub in_hand: usize,
-    /// Messages that wait to be taken.
+    /// Messages that wait to be accepted.
     pub waiting: usize,
     /// Whether the journal can be written.
     pub journal_works: bool,
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -1,5 +1,5 @@
-//! How old the list of executors is, as the engine has to know it: when its source was asked that has answered, and
-//! whether the process stood still since.
+//! The age of the endpoint view: when the source was last known to have the same list, and whether the process stalled
+//! since.
 
 use super::Router;
 use async_io::Timer;
@@ -9,25 +9,25 @@
 use tracing::warn;
 
 impl Router {
-    /// The list was true when its source was asked at a time, which has answered that.
+    /// The source has answered a request sent at `asked_at`: the list was current then.
     pub fn endpoints_confirmed(&self, asked_at: f64) {
         self.run_engine(|engine, now, action_executor| {
             engine.on_view_confirmed(now, asked_at, action_executor)
         });
     }
 
-    /// What the source was asked at a time has no answer.
+    /// The request sent to the source at `asked_at` has no answer.
     pub fn endpoints_lost(&self, asked_at: f64) {
         self.run_engine(|engine, now, _| engine.on_view_lost(now, asked_at));
     }
 
-    /// When bytes that are read now may have come: they may have waited while the process stood still.
+    /// The earliest time at which bytes that are read now can have arrived: they may have waited during a process stall.
     pub fn arrived_by(&self) -> f64 {
         let now = self.now();
         self.stall_detector.borrow().arrival_bound(now)
     }
 
-    /// The time; the engine hears of it if the process stood still until now.
+    /// Reads the time, and notifies the engine of a process stall that ends now.
     pub(super) fn observe_clock(&self) -> f64 {
         let now = self.now();
         if let Some(seconds) = self.stall_detector.borrow_mut().take_stall() {
@@ -40,7 +40,7 @@
         now
     }
 
-    /// Looks at the clock often enough to tell a standstill from idleness, for as long as the front end lives.
+    /// Reads the clock often enough to distinguish a process stall from idleness, for as long as the front end lives.
     pub async fn watch_clock(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_secs_f64(MAX_OBSERVATION_INTERVAL)).await;
