--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -1,6 +1,6 @@
-//! Entries of the store as the cores of membership take them.
+//! Conversion of etcd entries for the membership state machines.
 
-use crate::endpoint_publisher::row;
+use crate::endpoint_publisher::endpoint_from_row;
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface::Endpoint;
 use orchidtally_etcd::rpc::event::EventType;
@@ -8,7 +8,7 @@
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::{EntryChange, EntryError, StoreRevision};
 
-/// Which store answered, and how far it had come.
+/// The store and the revision of an answer.
 pub(super) fn stamp(header: &ResponseHeader) -> StoreRevision {
     StoreRevision {
         cluster: header.cluster_id,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What some events of a watch tell, in their order.
+/// The changes in events of a watch, in order.
 pub(super) fn changes(events: &[Event]) -> Vec<EntryChange<'_>> {
     events.iter().filter_map(changed).collect()
 }
@@ -50,7 +50,7 @@
         .ok()
 }
 
-/// What an executor's entry says of it, or why that can't be read.
+/// Decodes an executor's entry.
 pub(super) fn executor(
     deployment: &Deployment,
     key: &[u8],
@@ -76,19 +76,19 @@
             .map_or(Some(absent), serde_json::Value::as_f64)
             .ok_or(EntryError::NotANumber { field })
     };
-    let standing = match text("standing").as_str() {
+    let state = match text("standing").as_str() {
         "ready" => v1::Standing::Ready,
         "draining" => v1::Standing::Draining,
         other => return Err(EntryError::UnknownState(other.into())),
     };
-    let told = v1::RosterRow {
+    let roster_row = v1::RosterRow {
         address: address.into(),
         location: text("location"),
         kind: text("kind"),
         cell: number("cell", 0.0)? as u32,
-        standing: standing.into(),
+        standing: state.into(),
         weight: number("weight", 1.0)?,
         since: number("since", 0.0)?,
     };
-    row(deployment, &told, now)
+    endpoint_from_row(deployment, &roster_row, now)
 }
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -22,13 +22,13 @@
 /// Renewals within the time to live of a lease.
 const RENEWALS: f64 = 4.0;
 
-/// Keeps the entry of one host.
+/// Registers a host and keeps its entry's lease.
 pub(super) struct Registration<H> {
     host: Rc<H>,
     client: Rc<Client>,
-    /// All front ends' entries begin so.
+    /// The key prefix of front ends' entries.
     prefix: String,
-    /// The time to live that is asked for, in whole seconds.
+    /// The requested time to live, in whole seconds.
     wanted_ttl: i64,
 }
 
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     id: i64,
-    /// In seconds.
+    /// Its time to live in seconds.
     ttl: f64,
-    /// The store keeps it until then at least, by the host's clock.
+    /// The store keeps the lease at least until then, by the host's clock.
     until: f64,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Claims an index and keeps the entry's lease, again for as long as it is polled.
+    /// Claims an index and keeps the entry's lease, again and again for as long as it is polled.
     pub async fn keep(self) {
         let mut lost_claims = 0;
         loop {
@@ -73,18 +73,18 @@
     }
 
     fn failed(&self, fault: &ClientError) {
-        warn!(endpoint = ?self.client.endpoint(), %fault, "this front end's lease can't be kept");
+        warn!(endpoint = ?self.client.endpoint(), %fault, "membership lease can't be renewed");
         self.client.fail_over();
     }
 
     /// Puts the entry under a free index; `None` if another front end was faster.
     async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, ClientError> {
         let entries = list(&self.client, &self.prefix).await?.entries;
-        let taken: BTreeSet<u32> = entries
+        let used_indices: BTreeSet<u32> = entries
             .iter()
             .filter_map(|entry| entries::index(&entry.key))
             .collect();
-        let index = Members::choose_index(&taken, rand::random(), lost_claims);
+        let index = Members::choose_index(&used_indices, rand::random(), lost_claims);
         let began = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.wanted_ttl,
@@ -105,7 +105,7 @@
             members.on_claimed(self.host.now(), index, 0.0);
             members.on_lease_renewed(began, ttl);
         }
-        info!(index, "this front end is in the store");
+        info!(index, "registered in the store");
         self.host.members_changed();
         Ok(Some(Lease {
             id: granted.id,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Renews a lease until it is over: by the store's word, or because the store did not answer for so long.
+    /// Renews a lease until the store has ended it, or has not answered for the time to live.
     async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
         let interval = Duration::from_secs_f64(lease.ttl / RENEWALS);
         loop {
@@ -154,7 +154,7 @@
                         .on_lease_renewed(began, answer.ttl as f64);
                 }
                 Ok(_) => {
-                    warn!("this front end's lease was over though it lives");
+                    warn!("membership lease expired while this front end runs");
                     self.host.members().borrow_mut().on_entry_lost();
                     return Ok(());
                 }
@@ -163,7 +163,7 @@
                     return Err(fault);
                 }
                 Err(fault) => {
-                    debug!(%fault, "the lease was not renewed");
+                    debug!(%fault, "lease renewal failed");
                     self.client.fail_over();
                 }
             }
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,6 +1,8 @@
-//! Performs what a consumer commands: packets, entries of the journal and invocations.
+//! Performs the actions of a consumer: packets, journal entries and invocations.
 
-use super::connection::{BrokerStream, Connection, Input, MOST_OUT, Outbox, connect, read, write};
+use super::connection::{
+    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read, write,
+};
 use super::invoke::invoke;
 use super::tls_files::TlsFiles;
 use crate::router::{Router, TriggerStatus};
@@ -16,11 +18,11 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// Seconds until the first try to connect again; each try varies by half.
+/// Seconds until the first reconnect attempt; each delay varies by half of it.
 const FIRST_RETRY: f64 = 0.1;
-/// The longest time between two tries, in seconds.
+/// The longest delay between two attempts, in seconds.
 const LONGEST_RETRY: f64 = 5.0;
-/// How long the last packets may take at the end.
+/// How long sending the last packets may take at shutdown.
 const CLOSE_TIME: Duration = Duration::from_millis(500);
 
 /// A result of the journal's thread: whether it succeeded.
@@ -29,13 +31,13 @@
     Replaced(bool),
 }
 
-/// The deployment by which messages are judged.
+/// The deployment against which messages are validated.
 struct DeploymentInForce {
     revision: u64,
     deployment: Rc<Deployment>,
 }
 
-/// A consumer with what it commands.
+/// A consumer with the connection, journal and invocations that it controls.
 pub(super) struct ConsumerHost {
     router: Rc<Router>,
     section: Rc<TriggerSettings>,
@@ -91,7 +93,7 @@
         self.tls_files.are_used()
     }
 
-    /// When something is due without any input.
+    /// When the next tick is due without any input.
     pub(super) fn next_tick_at(&self) -> f64 {
         let is_idle = self.connection.is_none() && self.connecting.is_none();
         let connect_at = if is_idle {
@@ -102,7 +104,7 @@
         self.consumer.next_tick_at().min(connect_at)
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     pub(super) fn tick(&mut self) {
         let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
@@ -120,7 +122,7 @@
     fn check_tls_files(&mut self, now: f64) {
         let is_due = self.tls_files.is_check_due(now);
         if is_due && self.connection.is_some() && self.tls_files.have_changed() {
-            info!("the files of TLS have changed: connecting anew");
+            info!("TLS files changed, reconnecting");
             self.consumer.disconnect(now);
             self.perform();
             self.connection = None;
@@ -134,7 +136,7 @@
         let (section, inputs) = (self.section.clone(), self.inputs.clone());
         let work = async move {
             let connected = connect(&section).await;
-            // Nobody listens where the front end has ended.
+            // There is no receiver once the front end has ended.
             let _ = inputs.send(Input::Connected(connected)).await;
         };
         self.connecting = self.router.spawn(work);
@@ -172,7 +174,7 @@
         let Some(_) = self.connection.take() else {
             return;
         };
-        warn!(broker = %self.section.broker, why, "the connection to the broker is gone");
+        warn!(broker = %self.section.broker, why, "broker connection lost");
         self.consumer.connection_lost();
         self.connect_later();
     }
@@ -182,7 +184,7 @@
         self.retry_after = (2.0 * self.retry_after).min(LONGEST_RETRY);
     }
 
-    /// Passes on what has come from a connection or an invocation.
+    /// Passes an input of a connection or an invocation to the consumer.
     pub(super) fn apply(&mut self, input: Input) {
         let now = self.router.now();
         let is_present = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
@@ -192,7 +194,7 @@
                 match stream {
                     Ok(stream) => self.connected(stream),
                     Err(fault) => {
-                        warn!(broker = %self.section.broker, %fault, "the broker is not to be reached");
+                        warn!(broker = %self.section.broker, %fault, "broker unreachable");
                         self.connect_later();
                     }
                 }
@@ -203,8 +205,8 @@
                     self.lost(&ended.to_string());
                 }
             }
-            Input::Lost(number, why) if is_present(number) => self.lost(&why),
-            Input::Packet(..) | Input::Lost(..) | Input::Room => {}
+            Input::Lost(number, why) if is_present(number) => self.lost(&why.to_string()),
+            Input::Packet(..) | Input::Lost(..) | Input::OutboxDrained => {}
             Input::InvocationEnded(n, answer) => {
                 self.invocations.remove(&n);
                 self.consumer.invocation_ended(now, n, answer);
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Passes on a result of the journal.
+    /// Passes a result of the journal to the consumer.
     pub(super) fn apply_journal_result(&mut self, result: JournalResult) {
         let now = self.router.now();
         match result {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The deployment of the revision in force, with trigger types at the places that the rules know.
+    /// The deployment of the revision in force, with trigger types at the positions that the rules refer to.
     fn deployment_in_force(&mut self) -> Rc<Deployment> {
         let revision = self.router.revision();
         if self.in_force.revision != revision.number {
@@ -255,13 +257,13 @@
         let results = self.journal_results.clone();
         let done = move |appended: io::Result<()>| {
             if let Err(fault) = &appended {
-                error!(%fault, "the journal did not keep an entry");
+                error!(%fault, "journal append failed");
             }
-            // Nobody listens where the front end has ended.
+            // There is no receiver once the front end has ended.
             let _ = results.send_blocking(JournalResult::Appended(appended.is_ok()));
         };
         if self.journal.append(entry, done).is_err() {
-            // Its thread has died: its queue is as long as all that can be in hand.
+            // The thread has died: the queue can hold an entry of every message in flight, so it is never full.
             self.consumer.journal_appended(self.router.now(), false);
         }
     }
@@ -270,7 +272,7 @@
         let results = self.journal_results.clone();
         let done = move |replaced: io::Result<()>| {
             if let Err(fault) = &replaced {
-                error!(%fault, "the journal's state could not be replaced");
+                error!(%fault, "journal snapshot failed");
             }
             let _ = results.send_blocking(JournalResult::Replaced(replaced.is_ok()));
         };
@@ -299,18 +301,20 @@
                 self.retry_after = FIRST_RETRY;
                 info!(broker = %self.section.broker, session_present, "connected to the broker");
             }
-            Notice::Refused(filters) => error!(?filters, "the broker refused subscriptions"),
-            Notice::SetAside { topic, why } => warn!(topic, why, "a message was set aside"),
+            Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
+            Notice::SetAside { topic, why } => {
+                warn!(topic, why, "message dead-lettered to the set-aside topic")
+            }
             Notice::NotPublished { topic, code } => {
-                warn!(topic, ?code, "the broker took no answer")
+                warn!(topic, ?code, "broker rejected a response")
             }
             Notice::JournalFailed => {
                 self.journal_works = false;
-                error!("the journal can't be written: no message is taken until it can");
+                error!("journal can't be written: no messages are accepted until it can");
             }
             Notice::JournalBack => {
                 self.journal_works = true;
-                info!("the journal can be written again");
+                info!("journal writable again");
             }
         }
     }
@@ -320,12 +324,12 @@
             return;
         };
         let mut bytes = connection.outbox.bytes.borrow_mut();
-        while bytes.len() < MOST_OUT
+        while bytes.len() < MAX_OUTBOX_BYTES
             && let Some(packet) = self.consumer.next_packet()
         {
             match encode(&packet, self.section.version) {
                 Ok(encoded) => bytes.extend_from_slice(&encoded),
-                Err(fault) => error!(%fault, "a packet could not be written"),
+                Err(fault) => error!(%fault, "packet can't be encoded"),
             }
         }
         if !bytes.is_empty() {
@@ -345,7 +349,7 @@
         }));
     }
 
-    /// Ends the connection in order.
+    /// Disconnects from the broker in order.
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.router.now());
         self.perform();
--- a/crates/http-frontend/src/router/dispatch_admission.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -1,18 +1,24 @@
-//! Asks whether the configuration in force lets an invocation through, when it is taken and right before the bytes of
-//! a dispatch go out.
+//! Checks whether the configuration in force admits an invocation, when it is admitted and right before the first byte
+//! of a dispatch is sent.
 
 use super::Router;
-use super::invocation::{FinalAnswer, RejectionReason, Work};
+use super::invocation::{FinalAnswer, InvocationContext, RejectionReason};
 use super::revision::Revision;
-use crate::config::{Refusal, Subject};
+use crate::config::{Admission, Refusal, Subject};
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 use orchidtally_engine::NO_METADATA;
 
 impl Router {
-    /// Whether an invocation under a revision may be taken now.
+    /// Sets what decides whether the configuration admits an invocation; only the first call has an effect.
+    pub fn set_admission(&self, admission: Admission) {
+        // A front end has one configuration host.
+        let _ = self.admission.set(admission);
+    }
+
+    /// Checks whether an invocation under a revision may be admitted now.
     ///
     /// # Errors
-    /// The configuration doesn't let it through.
+    /// The configuration doesn't admit it.
     pub fn check_admission(
         &self,
         revision: &Revision,
@@ -25,8 +31,8 @@
         refusal.map_or(Ok(()), |refusal| Err(RejectionReason::Refused(refusal)))
     }
 
-    /// Why the bytes of a dispatch may not go out now.
-    pub(super) fn dispatch_refusal(&self, work: &Work) -> Option<Refusal> {
+    /// Why a dispatch may not be sent now.
+    pub(super) fn dispatch_refusal(&self, work: &InvocationContext) -> Option<Refusal> {
         let trigger_type = &work.trigger_type.trigger.name;
         let subject = Subject {
             function: &work.function,
@@ -38,18 +44,21 @@
             .refusal(work.revision.view.as_deref(), &subject)
     }
 
-    /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is out, whose answer
-    /// is the client's.
-    pub(super) fn refused(&self, (invocation, n): (u32, u8), refusal: Refusal) {
+    /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is in flight, whose
+    /// answer goes to the client.
+    pub(super) fn on_dispatch_refused(&self, invocation: u32, number: u8, refusal: Refusal) {
         self.run_engine(|engine, now, action_executor| {
-            if let Some(task) = action_executor.out.remove(&(invocation, n)) {
+            if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, number)) {
                 task.detach();
             }
             let sent = engine.dispatch_count(invocation);
-            let another_is_out =
-                (0..sent).any(|m| action_executor.out.contains_key(&(invocation, m as u8)));
-            if !another_is_out {
-                // An earlier one may have run; it isn't known here how it ended.
+            let another_in_flight = (0..sent).any(|m| {
+                action_executor
+                    .dispatch_tasks
+                    .contains_key(&(invocation, m as u8))
+            });
+            if !another_in_flight {
+                // An earlier one may have run: how it ended isn't known here.
                 let may_have_run = sent > 1;
                 engine.on_client_cancel(now, invocation, action_executor);
                 if let Some(client) = action_executor.clients.remove(&invocation) {
@@ -63,7 +72,7 @@
             engine.on_dispatch_result(
                 now,
                 invocation,
-                n,
+                number,
                 DispatchStatus::NeverSent,
                 NO_METADATA,
                 action_executor,
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -1,4 +1,4 @@
-//! Invocations: what they carry, how one is taken, and their final answers.
+//! Invocations: what they carry, their admission, and their final answers.
 
 use super::Router;
 use super::revision::{Revision, TriggerTypeInForce};
@@ -13,14 +13,14 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// An invocation that was taken.
+/// An invocation that was admitted.
 struct AdmittedInvocation {
-    /// The engine's id for it, which changes where it is moved to another version.
+    /// The engine's id of it, which changes when it migrates to another version.
     invocation: Rc<Cell<u32>>,
     answer: oneshot::Receiver<FinalAnswer>,
 }
 
-/// Withdraws an invocation whose client goes away before it is answered.
+/// Cancels an invocation whose client disconnects before the answer.
 struct CancelGuard<'a> {
     router: &'a Router,
     invocation: Rc<Cell<u32>>,
@@ -35,9 +35,11 @@
     }
 }
 
-/// What each dispatch of an invocation carries.
-pub struct Work {
+/// What all dispatches of an invocation have in common.
+pub struct InvocationContext {
+    /// The name of the invocation.
     pub name: String,
+    /// The name of the function.
     pub function: Rc<str>,
     /// The digest of its version; empty where the function has none.
     pub digest: Rc<str>,
@@ -45,16 +47,21 @@
     pub invoked: Option<RolloutAssignment>,
     /// A dispatch of it failed in a way that counts against its version.
     pub failed: Cell<bool>,
-    /// The number of the executor of its last dispatch; 0 before the first.
+    /// Identifies the executor of the last dispatch; 0 before the first.
     pub last: Cell<u64>,
-    /// Dispatches that it had before it was moved to another version.
+    /// The number of dispatches before it migrated to another version.
     pub dispatched: u32,
     /// The revision that it was admitted under.
     pub revision: Rc<Revision>,
+    /// The trigger type, as that revision has it.
     pub trigger_type: Rc<TriggerTypeInForce>,
+    /// The name of the customer; empty where there is none.
     pub customer: String,
+    /// The idempotency key; empty where there is none.
     pub token: String,
+    /// The body, in chunks.
     pub payload: Vec<Bytes>,
+    /// The length of the body in bytes.
     pub payload_bytes: u64,
 }
 
@@ -67,27 +74,34 @@
     pub name: &'a str,
 }
 
-/// What an ingress asks for.
+/// An invocation as an ingress requests it.
 pub struct IngressRequest<'a> {
     /// The name of the invocation.
     pub name: String,
+    /// The name of the function.
     pub function: Rc<str>,
+    /// The version that it gets.
     pub resolved: ResolvedVersion,
+    /// The revision under which it was looked up.
     pub revision: Rc<Revision>,
+    /// Its trigger type in that revision.
     pub trigger_type: Rc<TriggerTypeInForce>,
+    /// Its customer in that revision.
     pub customer: NamedCustomer<'a>,
-    /// The idempotency token; empty where there is none.
+    /// The idempotency key; empty where there is none.
     pub token: &'a str,
-    /// Whether the client asks again.
+    /// Whether it is a client retry.
     pub repeat: bool,
-    /// When the final answer has to be there.
+    /// When the final answer is due, in seconds of [`Router::now`].
     pub timeout_at: f64,
+    /// The body, in chunks.
     pub payload: Vec<Bytes>,
+    /// The length of the body in bytes.
     pub payload_bytes: u64,
 }
 
 impl IngressRequest<'_> {
-    /// What it uses, by name.
+    /// The names of the configuration entries that it uses.
     pub fn subject(&self) -> Subject<'_> {
         let trigger_type = &self.trigger_type.trigger.name;
         Subject {
@@ -98,27 +112,27 @@
     }
 }
 
-/// Why an invocation was not taken; nothing of it was dispatched.
+/// Why an invocation was not admitted; it was not dispatched.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RejectionReason {
-    /// As many invocations are open as may be.
-    Full,
-    /// The front end is ending.
-    Leaving,
-    /// The configuration doesn't let it through.
+    /// The limit of open invocations is reached.
+    AtCapacity,
+    /// The front end is shutting down.
+    ShuttingDown,
+    /// The configuration doesn't admit it.
     Refused(Refusal),
 }
 
 impl From<AdmissionError> for RejectionReason {
     fn from(refused: AdmissionError) -> RejectionReason {
         match refused {
-            AdmissionError::AtCapacity => RejectionReason::Full,
-            AdmissionError::ShuttingDown => RejectionReason::Leaving,
+            AdmissionError::AtCapacity => RejectionReason::AtCapacity,
+            AdmissionError::ShuttingDown => RejectionReason::ShuttingDown,
         }
     }
 }
 
-/// A streamed answer was cut off by its executor.
+/// The executor broke off a streamed response.
 #[derive(Debug, thiserror::Error)]
 #[error("the executor broke off in the middle of its answer")]
 pub struct ResponseTruncated;
@@ -128,79 +142,78 @@
 #[error("the front end lost track of it")]
 pub struct AnswerLost;
 
-/// The body of an answer.
+/// The body of an executor's response.
 pub enum ExecutorResponse {
-    /// All of it.
+    /// The complete body.
     Whole(Vec<Bytes>),
-    /// Parts that are still to come.
+    /// The chunks as they arrive.
     Streamed(async_channel::Receiver<Result<Bytes, ResponseTruncated>>),
 }
 
-/// The final answer, on its way to the client.
+/// The final answer to the client.
 pub enum FinalAnswer {
-    /// The function has answered.
+    /// The function has succeeded.
     Succeeded(ExecutorResponse),
-    /// There was no room in time; nothing has run.
-    Throttled {
-        /// Seconds to stay away.
+    /// It was not dispatched in time; nothing has run.
+    Rejected {
+        /// Seconds after which the client may retry.
         retry_after: f64,
-        /// Whether the customer has had its share.
+        /// Whether the customer is over its quota.
         past_share: bool,
     },
-    /// No executor has answered, or the function failed.
-    Errored {
-        /// Which of the two.
+    /// No executor has responded in time, or the function failed.
+    Failed {
+        /// The reason of the failure.
         cause: FailureReason,
         /// Whether the function may have run.
         may_have_run: bool,
     },
-    /// The configuration doesn't let it through any more.
+    /// The configuration doesn't admit it any more.
     Refused {
-        /// Why.
+        /// The reason.
         refusal: Refusal,
         /// Whether the function may have run.
         may_have_run: bool,
     },
 }
 
-/// Whoever waits for the final answer of an invocation.
+/// The client that waits for the final answer of an invocation.
 pub(super) struct Client {
-    pub(super) work: Rc<Work>,
-    pub(super) offer: InvocationRequest,
-    /// The engine's id for it, which changes where it is moved to another version.
+    pub(super) work: Rc<InvocationContext>,
+    pub(super) request: InvocationRequest,
+    /// The engine's id of it, which changes when it migrates to another version.
     pub(super) invocation: Rc<Cell<u32>>,
     pub(super) reply: oneshot::Sender<FinalAnswer>,
 }
 
 impl Router {
-    /// Takes an invocation. The receiver gets its final answer.
-    fn take(
+    /// Admits an invocation. The receiver gets its final answer.
+    fn admit(
         &self,
-        offer: InvocationRequest,
-        work: Work,
+        request: InvocationRequest,
+        work: InvocationContext,
     ) -> Result<AdmittedInvocation, AdmissionError> {
         let (reply, answer) = oneshot::channel();
         let invocation = Rc::new(Cell::new(0));
         let client = Client {
             work: Rc::new(work),
-            offer,
+            request,
             invocation: invocation.clone(),
             reply,
         };
-        self.run_engine(|engine, now, action_executor| action_executor.offer(engine, now, client))?;
+        self.run_engine(|engine, now, action_executor| action_executor.admit(engine, now, client))?;
         Ok(AdmittedInvocation { invocation, answer })
     }
 
-    /// Invokes what an ingress asks for, and waits for the final answer. Whoever stops waiting withdraws the
-    /// invocation.
+    /// Invokes a function and waits for the final answer. Dropping the future cancels the invocation.
     ///
     /// # Errors
-    /// The invocation was not taken: nothing of it was dispatched.
+    /// The invocation was not admitted: nothing of it was dispatched.
     pub async fn invoke(
         &self,
-        asked: IngressRequest<'_>,
+        ingress_request: IngressRequest<'_>,
     ) -> Result<Result<FinalAnswer, AnswerLost>, RejectionReason> {
-        let AdmittedInvocation { invocation, answer } = self.admit_request(asked)?;
+        let AdmittedInvocation { invocation, answer } = self.admit_request(ingress_request)?;
         let mut guard = CancelGuard {
             router: self,
             invocation,
@@ -211,39 +224,42 @@
         Ok(answer.map_err(|_| AnswerLost))
     }
 
-    fn admit_request(&self, asked: IngressRequest) -> Result<AdmittedInvocation, RejectionReason> {
-        self.check_admission(&asked.revision, &asked.subject())?;
+    fn admit_request(
+        &self,
+        ingress_request: IngressRequest,
+    ) -> Result<AdmittedInvocation, RejectionReason> {
+        self.check_admission(&ingress_request.revision, &ingress_request.subject())?;
         let ResolvedVersion {
             version,
             assignment: invoked,
-        } = asked.resolved;
-        let offer = InvocationRequest {
-            trigger_type: asked.trigger_type.index,
-            customer: asked.customer.index,
+        } = ingress_request.resolved;
+        let request = InvocationRequest {
+            trigger_type: ingress_request.trigger_type.index,
+            customer: ingress_request.customer.index,
             function: version.key,
-            is_retry: asked.repeat,
+            is_retry: ingress_request.repeat,
             is_migrated: false,
-            timeout_at: asked.timeout_at,
+            timeout_at: ingress_request.timeout_at,
             expected_work: version.expected_work,
             concurrency: version.concurrency,
             load_time: version.load_time,
         };
-        let work = Work {
-            name: asked.name,
-            function: asked.function,
+        let work = InvocationContext {
+            name: ingress_request.name,
+            function: ingress_request.function,
             digest: version.digest,
             invoked,
             failed: Cell::new(false),
             last: Cell::new(0),
             dispatched: 0,
-            revision: asked.revision,
-            trigger_type: asked.trigger_type,
-            customer: asked.customer.name.to_owned(),
-            token: asked.token.to_owned(),
-            payload: asked.payload,
-            payload_bytes: asked.payload_bytes,
+            revision: ingress_request.revision,
+            trigger_type: ingress_request.trigger_type,
+            customer: ingress_request.customer.name.to_owned(),
+            token: ingress_request.token.to_owned(),
+            payload: ingress_request.payload,
+            payload_bytes: ingress_request.payload_bytes,
         };
-        Ok(self.take(offer, work)?)
+        Ok(self.admit(request, work)?)
     }
 
     /// The name of the front end's own location.
@@ -258,54 +274,60 @@
     pub fn resolve(
         &self,
         function: &Function,
-        asked: Option<&str>,
+        requested_version: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        who: &Caller,
+        caller: &Caller,
     ) -> Option<ResolvedVersion> {
-        self.shares
-            .borrow_mut()
-            .resolve(function, asked, trigger_type, customer, who)
+        self.traffic_split.borrow_mut().resolve(
+            function,
+            requested_version,
+            trigger_type,
+            customer,
+            caller,
+        )
     }
 
-    /// What the coordinators said, and what is due by the time: runs that were taken back give up what waits.
+    /// Applies the published rollouts and what is due: waiting invocations of a rolled-back version migrate, and versions
+    /// are prewarmed.
     pub fn apply_rollouts(&self, published: Option<Published>) {
         let now = self.now();
         let revision = self.revision();
-        let mut shares = self.shares.borrow_mut();
+        let mut traffic_split = self.traffic_split.borrow_mut();
         let find = |name: &str| revision.deployment.functions.get(name).cloned();
-        let mut back = published.map_or_else(Vec::new, |p| shares.adopt(now, p, find));
-        back.extend(shares.tick(now));
-        let due = shares.prewarm_commands(now);
-        drop(shares);
-        for &run in &back {
-            info!(run, "a rollout was taken back");
+        let mut rolled_back =
+            published.map_or_else(Vec::new, |p| traffic_split.adopt(now, p, find));
+        rolled_back.extend(traffic_split.tick(now));
+        let due = traffic_split.prewarm_commands(now);
+        drop(traffic_split);
+        for &run in &rolled_back {
+            info!(run, "rollout rolled back");
             self.run_engine(|engine, now, action_executor| {
                 action_executor.migrate_waiting(engine, now, run)
             });
         }
-        for ahead in due {
-            let wish = orchidtally_dispatch_policy::interface::PrewarmRequest {
-                function: ahead.version.key,
-                concurrency: ahead.version.concurrency,
-                load_time: ahead.version.load_time,
-                replicas: ahead.copies,
+        for prewarm in due {
+            let prewarm_request = orchidtally_dispatch_policy::interface::PrewarmRequest {
+                function: prewarm.version.key,
+                concurrency: prewarm.version.concurrency,
+                load_time: prewarm.version.load_time,
+                replicas: prewarm.copies,
             };
             let (known, ordered) = self.run_engine(|engine, now, action_executor| {
-                action_executor.name(
-                    ahead.version.key,
-                    ahead.function.as_str().into(),
-                    ahead.version.digest.clone(),
+                action_executor.remember_version(
+                    prewarm.version.key,
+                    prewarm.function.as_str().into(),
+                    prewarm.version.digest.clone(),
                 );
                 let before = engine.counters().load_commands;
                 (
-                    engine.prewarm(now, &wish, action_executor),
+                    engine.prewarm(now, &prewarm_request, action_executor),
                     engine.counters().load_commands > before,
                 )
             });
-            self.shares
+            self.traffic_split
                 .borrow_mut()
-                .on_prewarm_result(&ahead, known, ordered);
+                .on_prewarm_result(&prewarm, known, ordered);
         }
     }
 
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -1,32 +1,16 @@
-//! Replaces the revision in force, whole or not at all.
+//! Replaces the revision in force, as a whole or not at all.
 
 use super::Router;
 use super::revision::{CustomerInForce, Indices, Revision, TriggerTypeInForce};
-use crate::config::{ConfigView, Overlay};
+use crate::config::{ApplyError, ConfigView, ConfigurableFrontEnd, MAX_TRIGGER_TYPES, Overlay};
 use orchidtally_deployment::Deployment;
-use orchidtally_dispatch_policy::interface::{ConfigError, check_quotas};
+use orchidtally_dispatch_policy::interface::check_quotas;
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::sync::Arc;
-use thiserror::Error;
-
-/// Trigger types that may be in force or held by open invocations at a time.
-const MAX_TRIGGER_TYPES: usize = 1_024;
-
-/// Why a revision was not put in force. The one before goes on to hold.
-#[derive(Debug, Error)]
-pub enum ReconfigureError {
-    #[error(
-        "{MAX_TRIGGER_TYPES} trigger types are in force or held by open invocations; list fewer, or try again when \
-         older invocations have ended"
-    )]
-    TooManyTriggerTypes,
-    #[error("the engine refused it: {0}")]
-    Refused(#[from] ConfigError),
-}
 
-/// The revision in force, and who holds which of the engine's indices.
+/// The revision in force, and the references to the engine's indices.
 pub(super) struct Revisions {
     current: RefCell<Rc<Revision>>,
     trigger_types: RefCell<Indices<TriggerTypeInForce>>,
@@ -34,7 +18,7 @@
 }
 
 impl Revisions {
-    /// The first revision: that of the deployment file, with the places of its lists as indices.
+    /// The first revision: that of the deployment file, with the positions in its lists as indices.
     pub(super) fn new(deployment: Rc<Deployment>) -> Revisions {
         let overlay = Overlay {
             deployment: &deployment,
@@ -75,23 +59,23 @@
         self.current.borrow().clone()
     }
 
-    /// The longest client timeout among trigger types that are in force or held, in seconds.
+    /// The longest client timeout among trigger types that are in force or used by open invocations, in seconds.
     pub(super) fn longest_timeout(&self) -> f64 {
         self.trigger_types
             .borrow()
-            .held()
-            .map(|held| held.policy.client_timeout)
+            .in_use()
+            .map(|trigger_type| trigger_type.policy.client_timeout)
             .fold(0.0, f64::max)
     }
 
-    /// Trigger types of the next revision; one that is unchanged is that of the present revision.
+    /// Trigger types of the next revision; one that is unchanged is that of the current revision.
     fn next_trigger_types(
         &self,
         overlay: &Overlay,
         is_used: impl Fn(usize) -> bool,
-    ) -> Result<Vec<Rc<TriggerTypeInForce>>, ReconfigureError> {
+    ) -> Result<Vec<Rc<TriggerTypeInForce>>, ApplyError> {
         let (current, indices) = (self.current(), self.trigger_types.borrow());
-        let mut taken = BTreeSet::new();
+        let mut assigned = BTreeSet::new();
         let mut next = vec![];
         for (trigger, policy) in overlay.trigger_types() {
             let known = current.trigger_type(&trigger.name).map(|(_, known)| known);
@@ -101,11 +85,11 @@
                 next.push(known.clone());
                 continue;
             }
-            let index = indices.lowest_free(&taken, &is_used);
+            let index = indices.lowest_free(&assigned, &is_used);
             if index >= MAX_TRIGGER_TYPES {
-                return Err(ReconfigureError::TooManyTriggerTypes);
+                return Err(ApplyError::TooManyTriggerTypes);
             }
-            taken.insert(index);
+            assigned.insert(index);
             next.push(Rc::new(TriggerTypeInForce {
                 trigger,
                 policy,
@@ -118,7 +102,7 @@
     /// Customers of the next revision; one that was known keeps its index.
     fn next_customers(&self, overlay: &Overlay) -> HashMap<String, Rc<CustomerInForce>> {
         let (current, indices) = (self.current(), self.customers.borrow());
-        let mut taken = BTreeSet::new();
+        let mut assigned = BTreeSet::new();
         let mut next = HashMap::new();
         for (name, share) in overlay.customers() {
             let known = current.customer(&name).cloned();
@@ -126,8 +110,8 @@
                 .filter(|known| known.share == share)
                 .unwrap_or_else(|| {
                     let known = current.customer(&name).map(|known| known.index);
-                    let index = known.unwrap_or_else(|| indices.lowest_free(&taken, |_| false));
-                    taken.insert(index);
+                    let index = known.unwrap_or_else(|| indices.lowest_free(&assigned, |_| false));
+                    assigned.insert(index);
                     Rc::new(CustomerInForce { index, share })
                 });
             next.insert(name, customer);
@@ -135,14 +119,14 @@
         next
     }
 
-    /// Shares by index: of customers of the next revision, and of those that are still held by an invocation's
-    /// admission. None where invocations name no customers.
+    /// Quotas by index: of customers of the next revision, and of those that an invocation still references. Empty where
+    /// invocations name no customers.
     fn shares_by_index(&self, next: &HashMap<String, Rc<CustomerInForce>>) -> Vec<f64> {
         if next.is_empty() {
             return vec![];
         }
-        let held: Vec<_> = self.customers.borrow().held().collect();
-        let known = held.iter().chain(next.values());
+        let in_use: Vec<_> = self.customers.borrow().in_use().collect();
+        let known = in_use.iter().chain(next.values());
         let count = known
             .clone()
             .map(|customer| customer.index + 1)
@@ -157,17 +141,17 @@
         let mut trigger_types = self.trigger_types.borrow_mut();
         next.trigger_types
             .iter()
-            .for_each(|known| trigger_types.hold(known.index, known));
+            .for_each(|known| trigger_types.assign(known.index, known));
         let mut customers = self.customers.borrow_mut();
         next.customers
             .values()
-            .for_each(|customer| customers.hold(customer.index, customer));
+            .for_each(|customer| customers.assign(customer.index, customer));
         self.current.replace(Rc::new(next));
     }
 }
 
 impl Router {
-    /// The revision in force. Whoever looks up more than one thing for an invocation takes it once.
+    /// The revision in force. Several look-ups for one invocation have to use the same revision.
     pub fn revision(&self) -> Rc<Revision> {
         self.revisions.current()
     }
@@ -177,27 +161,21 @@
         self.revisions.longest_timeout()
     }
 
-    /// Puts a deployment's functions, customers and trigger types in force. What is open keeps what it was admitted
-    /// with. All else of the deployment is passed over: it takes effect at a start only.
+    /// Puts a deployment's functions, customers and trigger types in force. Open invocations keep the revision under which
+    /// they were admitted. Everything else in the deployment is ignored: it takes effect at a restart.
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn reconfigure(
-        &self,
-        deployment: Rc<Deployment>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn reconfigure(&self, deployment: Rc<Deployment>) -> Result<Rc<Revision>, ApplyError> {
         let view = self.revision().view.clone();
         self.replace_revision(deployment, view)
     }
 
-    /// Puts a view of the store of configuration in force, over the deployment file.
+    /// Puts a view of the configuration store in force, over the deployment file.
     ///
     /// # Errors
     /// Nothing is changed then.
-    pub fn put_view_in_force(
-        &self,
-        view: Arc<ConfigView>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    pub fn put_view_in_force(&self, view: Arc<ConfigView>) -> Result<Rc<Revision>, ApplyError> {
         let deployment = self.revision().deployment.clone();
         self.replace_revision(deployment, Some(view))
     }
@@ -206,7 +184,7 @@
         &self,
         deployment: Rc<Deployment>,
         view: Option<Arc<ConfigView>>,
-    ) -> Result<Rc<Revision>, ReconfigureError> {
+    ) -> Result<Rc<Revision>, ApplyError> {
         let overlay = Overlay {
             deployment: &deployment,
             view: view.as_deref(),
@@ -223,7 +201,7 @@
                 .iter()
                 .any(|known| Rc::ptr_eq(known, wanted))
         };
-        // What the engine takes before it refuses is under indices that no invocation can name.
+        // What the engine accepts before it rejects something is under indices that no invocation can use.
         self.run_engine(|engine, now, _| {
             for added in trigger_types.iter().filter(is_new) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
@@ -241,3 +219,17 @@
         Ok(self.revision())
     }
 }
+
+impl ConfigurableFrontEnd for Router {
+    fn deployment(&self) -> &Deployment {
+        &self.deployment
+    }
+
+    fn incarnation(&self) -> u64 {
+        self.sender.get().incarnation
+    }
+
+    fn apply_view(&self, view: &Arc<ConfigView>) -> Result<(), ApplyError> {
+        self.put_view_in_force(view.clone()).map(drop)
+    }
+}
