--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -4,7 +4,7 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::executor::{
-    Catalogue, Executor, ExecutorSpec, Program, SharedResources, echo,
+    Catalogue, Executor, ExecutorSpec, FunctionCode, FunctionError, Program, SharedResources, echo,
 };
 use orchidtally_test_servers::store::PackageStore;
 use sha2::{Digest, Sha256};
@@ -12,32 +12,43 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-type Run = fn(&[Bytes]) -> Result<Vec<Bytes>, String>;
+/// A function that every local executor has.
+pub struct BuiltInFunction {
+    /// The name in the path of an invocation.
+    pub name: &'static str,
+    code: FunctionCode,
+}
+
+impl BuiltInFunction {
+    const fn new(name: &'static str, code: FunctionCode) -> BuiltInFunction {
+        BuiltInFunction { name, code }
+    }
+}
 
 /// The built-in functions.
-pub const FUNCTIONS: [(&str, Run); 5] = [
-    ("echo", echo),
-    ("upper", upper),
-    ("reverse", reverse),
-    ("sha256", sha256),
-    ("count", count),
+pub const FUNCTIONS: [BuiltInFunction; 5] = [
+    BuiltInFunction::new("echo", echo),
+    BuiltInFunction::new("upper", upper),
+    BuiltInFunction::new("reverse", reverse),
+    BuiltInFunction::new("sha256", sha256),
+    BuiltInFunction::new("count", count),
 ];
 
-fn text(payload: &[Bytes]) -> Result<String, String> {
-    String::from_utf8(payload.concat()).map_err(|_| "the body is not UTF-8".into())
+fn text(payload: &[Bytes]) -> Result<String, FunctionError> {
+    String::from_utf8(payload.concat()).map_err(|_| FunctionError::NotUtf8)
 }
 
-fn upper(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
+fn upper(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     Ok(vec![text(payload)?.to_uppercase().into()])
 }
 
-fn reverse(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
+fn reverse(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     Ok(vec![
         text(payload)?.chars().rev().collect::<String>().into(),
     ])
 }
 
-fn sha256(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
+fn sha256(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     let mut digest = Sha256::new();
     payload.iter().for_each(|chunk| digest.update(chunk));
     let text: String = digest
@@ -48,16 +59,17 @@
     Ok(vec![format!("{text}\n").into()])
 }
 
-fn count(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
+fn count(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     let bytes: usize = payload.iter().map(Bytes::len).sum();
     Ok(vec![format!("{bytes} bytes\n").into()])
 }
 
+/// The number of local executors.
 const EXECUTORS: usize = 3;
 
 /// Starts the executors on a thread of their own and gives the deployment that holds them.
 pub fn deployment(listen: Option<SocketAddr>) -> io::Result<Deployment> {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (started_sender, started_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let stage = TestEnvironment::new(1);
         let started = start(&stage);
@@ -65,22 +77,23 @@
         match started {
             Ok(executors) => {
                 // The front end waits for this; it can't be gone.
-                let _ = tell.send(Ok(executors.iter().map(|e| e.address).collect::<Vec<_>>()));
+                let _ = started_sender
+                    .send(Ok(executors.iter().map(|e| e.address).collect::<Vec<_>>()));
                 async_io::block_on(tasks.run(futures_lite::future::pending::<()>()));
             }
             Err(e) => {
-                let _ = tell.send(Err(e));
+                let _ = started_sender.send(Err(e));
             }
         }
     });
-    let addresses = told.recv().map_err(io::Error::other)??;
+    let addresses = started_receiver.recv().map_err(io::Error::other)??;
     let list: Vec<_> = addresses
         .iter()
         .map(|a| format!("{{ address: \"{a}\" }}"))
         .collect();
     let functions: Vec<_> = FUNCTIONS
         .iter()
-        .map(|f| format!("{{ name: \"{}\", lanes: 8, loadTime: \"100ms\" }}", f.0))
+        .map(|f| format!("{{ name: \"{}\", lanes: 8, loadTime: \"100ms\" }}", f.name))
         .collect();
     let text = format!(
         r#"{{
@@ -104,17 +117,17 @@
 fn start(stage: &TestEnvironment) -> io::Result<Vec<Rc<Executor>>> {
     let store = PackageStore::new(stage, 4.0, 32);
     let catalogue: Catalogue = Rc::new(|name| {
-        let (_, run) = FUNCTIONS.iter().find(|f| f.0 == name)?;
+        let function = FUNCTIONS.iter().find(|f| f.name == name)?;
         Some(Program {
             concurrency: 8,
             load_time: 0.1,
             work: 0.001,
-            run: *run,
+            run: function.code,
             ..Program::default()
         })
     });
     let one = |number| {
-        let make = ExecutorSpec {
+        let spec = ExecutorSpec {
             cores: 4,
             memory: 64.0,
             queue: 200,
@@ -122,7 +135,7 @@
             report_fields: vec!["backlog".into()],
             ..ExecutorSpec::with_ample_capacity(number)
         };
-        let around = SharedResources {
+        let resources = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
             token_cache: Rc::default(),
@@ -130,9 +143,9 @@
         };
         Executor::start(
             stage,
-            make,
+            spec,
             orchidtally_test_servers::unused_address(),
-            around,
+            resources,
         )
     };
     (0..EXECUTORS).map(one).collect()
--- a/crates/cli/src/measure/memory.rs
+++ b/crates/cli/src/measure/memory.rs
@@ -1,8 +1,7 @@
 //! The memory that open invocations and idle connections take in a front end.
 
 use super::process::{Part, deployment};
-use orchidtally_test_servers::TestEnvironment;
-use orchidtally_test_servers::baseline;
+use orchidtally_test_servers::{ExchangeError, TestEnvironment, baseline};
 use serde::Serialize;
 use std::io;
 use std::time::Duration;
@@ -46,27 +45,22 @@
     let work = async {
         sleep(0.3).await;
         let empty = front_end.memory();
-        let idle = baseline::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered)
-            .await
-            .map_err(|e| e.to_string())?;
+        let idle = baseline::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered).await?;
         sleep(0.3).await;
         let connected = front_end.memory();
         drop(idle);
-        let some = baseline::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered)
-            .await
-            .map_err(|e| e.to_string())?;
+        let some = baseline::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered).await?;
         sleep(0.5).await;
         let open = front_end.memory();
-        let many = baseline::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered)
-            .await
-            .map_err(|e| e.to_string())?;
+        let many =
+            baseline::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered).await?;
         let mut most = 0.0f64;
         for _ in 0..(TIME * 10.0) as usize + 10 {
             sleep(0.1).await;
             most = most.max(front_end.memory().unwrap_or(0.0));
         }
         drop((some, many));
-        Ok::<_, String>((empty, connected, open, most))
+        Ok::<_, ExchangeError>((empty, connected, open, most))
     };
     let seen = async_io::block_on(tasks.run(work)).map_err(io::Error::other)?;
     // It lies in the temporary folder, where nobody misses it.
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -80,7 +80,7 @@
     let tasks = stage.tasks.clone();
     let seen =
         async_io::block_on(tasks.run(baseline::load(&stage, to, ask, streams, a.time, a.payload)));
-    seen.map_err(|e| io::Error::other(e.to_string()))
+    seen.map_err(io::Error::other)
 }
 
 fn way(
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -5,18 +5,14 @@
 mod evidence;
 mod messages;
 mod play;
+mod report;
 mod rolling;
 mod scenario;
 
 use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_text};
 use evidence::MissingEvidence;
-use orchidtally_invariants::{
-    FinalAnswer, MessageReport, TrafficRecord, Verdict, check_messages as judge_messages,
-    check_rules,
-};
+use orchidtally_invariants::{MessageReport, TrafficRecord, Verdict, check_messages, check_rules};
 use scenario::Scenario;
-use serde::Serialize;
-use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
 const BUILT_IN: &str = "built-in";
@@ -68,12 +64,12 @@
         });
     }
     if let Some(file) = &arguments.bench_day {
-        let (scenario, left_out) = scenario::from_bench(&read_text(file)?)
+        let bench = scenario::from_bench(&read_text(file)?)
             .map_err(|e| fail(BAD_INPUT, format!("{}: {e}", file.display())))?;
-        for what in left_out {
+        for what in bench.left_out {
             println!("not carried over: {what}");
         }
-        return Ok(scenario);
+        return Ok(bench.scenario);
     }
     if !(4.0..=600.0).contains(&arguments.length) {
         let reason = format!("--length {}: 4 to 600 seconds are wanted", arguments.length);
@@ -133,11 +129,11 @@
     let verdict = check_rules(&played.limits, &played.fleet, &played.records);
     let messages = arguments
         .mqtt
-        .then(|| judge_messages(&played.limits, &played.records));
+        .then(|| check_messages(&played.limits, &played.records));
     let injected = arguments
         .inject_violation
         .map(|rule| evidence::of_violation(rule, &played.limits, &played.records));
-    report(
+    report::print(
         &scenario,
         &played,
         &verdict,
@@ -187,198 +183,3 @@
     }
     Ok(())
 }
-
-/// The last line of the output.
-#[derive(Serialize)]
-struct Line<'a> {
-    verdict: &'static str,
-    #[serde(flatten)]
-    found: &'a Verdict,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    rollout: Option<Rolled<'a>>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    mqtt: Option<&'a MessageReport>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    roster: Option<endpoints::Observed>,
-    /// Whether the violation that was asked for took place.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    injected: Option<bool>,
-}
-
-#[derive(Serialize)]
-struct Rolled<'a> {
-    #[serde(flatten)]
-    seen: &'a rolling::Observed,
-    effects_twice: u64,
-    orders_over_ration: u64,
-}
-
-fn quantile(sorted: &[f64], share: f64) -> f64 {
-    let rank = (sorted.len() as f64 * share) as usize;
-    sorted
-        .get(rank.min(sorted.len().saturating_sub(1)))
-        .copied()
-        .unwrap_or(f64::NAN)
-}
-
-fn report(
-    scenario: &Scenario,
-    played: &play::Played,
-    verdict: &Verdict,
-    messages: Option<&MessageReport>,
-    injected: Option<bool>,
-) {
-    println!("troubles:");
-    for t in &scenario.faults {
-        println!(
-            "  {:>5.1} s  {:<16} for {:>4.1} s, size {:.2}",
-            t.at,
-            t.kind.name(),
-            t.duration,
-            t.size
-        );
-    }
-    for note in &played.notes {
-        println!("  {note}");
-    }
-    println!("service by trigger type:");
-    println!(
-        "  trigger type     offered  in objective  succeeded  throttled  errored   median    0.99"
-    );
-    print_service(played);
-    println!(
-        "  of {} invocations, {} were at front ends that were killed and {} clients left early",
-        verdict.invocations, verdict.lost_to_failures, verdict.cancelled_by_client
-    );
-    println!("rules:");
-    let what = [
-        "final answers",
-        "effects",
-        "drains",
-        "cold executors",
-        "orders to load",
-    ];
-    for (rule, what) in verdict.rules.iter().zip(what) {
-        println!(
-            "  {} {what:<15} {:>7} checked, {} broken",
-            rule.rule, rule.checked, rule.violations
-        );
-        for breach in &rule.examples {
-            println!("      {breach}");
-        }
-    }
-    let broken = |rule: u8| {
-        verdict
-            .rules
-            .iter()
-            .find(|record| record.rule == rule)
-            .map_or(0, |record| record.violations)
-    };
-    let rollout = played.rollout.as_ref().map(|seen| {
-        println!("rollout: {}", seen.state);
-        seen.notified.iter().for_each(|line| println!("  {line}"));
-        Rolled {
-            seen,
-            effects_twice: broken(2),
-            orders_over_ration: broken(5),
-        }
-    });
-    if let Some(m) = messages {
-        println!(
-            "messages: {} published, {} answers, {} of them of unknown outcome",
-            m.messages, m.answers, m.unknown_outcome
-        );
-        m.examples.iter().for_each(|breach| println!("  {breach}"));
-    }
-    let roster = played
-        .roster
-        .as_ref()
-        .map(|endpoints| endpoints.seen(&played.records, played.relists, (broken(3), broken(4))));
-    let kept = verdict.holds() && messages.is_none_or(MessageReport::holds);
-    let line = Line {
-        verdict: if kept { "kept" } else { "broken" },
-        found: verdict,
-        rollout,
-        mqtt: messages,
-        roster,
-        injected,
-    };
-    let line = serde_json::to_string(&line).unwrap_or_default();
-    println!("{line}");
-}
-
-/// What became of the invocations of one trigger type.
-#[derive(Default)]
-struct Service {
-    sent: u32,
-    in_time: u64,
-    succeeded: u64,
-    throttled: u64,
-    errored: u64,
-    /// Times of those that succeeded, in seconds.
-    times: Vec<f64>,
-}
-
-impl Service {
-    fn add(&mut self, objective: f64, offered_at: f64, end: Option<&(f64, FinalAnswer)>) {
-        self.sent += 1;
-        match end {
-            Some((ended_at, FinalAnswer::Succeeded)) => {
-                let time = ended_at - offered_at;
-                self.succeeded += 1;
-                self.in_time += u64::from(time <= objective);
-                self.times.push(time);
-            }
-            Some((_, FinalAnswer::Rejected)) => self.throttled += 1,
-            Some((_, FinalAnswer::Failed)) => self.errored += 1,
-            _ => {}
-        }
-    }
-
-    fn print(mut self, name: &str) {
-        self.times.sort_by(f64::total_cmp);
-        let share = |count: u64| 100.0 * count as f64 / f64::from(self.sent.max(1));
-        println!(
-            "  {name:<15} {:>8} {:>11.1} % {:>8.1} % {:>8.1} % {:>6.1} % {:>5.0} ms {:>4.0} ms",
-            self.sent,
-            share(self.in_time),
-            share(self.succeeded),
-            share(self.throttled),
-            share(self.errored),
-            1e3 * quantile(&self.times, 0.5),
-            1e3 * quantile(&self.times, 0.99),
-        );
-    }
-}
-
-/// Prints what became of invocations, by trigger type.
-fn print_service(played: &play::Played) {
-    let ends: HashMap<&str, (f64, FinalAnswer)> = played
-        .records
-        .iter()
-        .filter_map(|record| match record {
-            TrafficRecord::AnswerReceived {
-                at,
-                invocation,
-                answer,
-            } => Some((invocation.as_str(), (*at, *answer))),
-            _ => None,
-        })
-        .collect();
-    for (index, known) in played.limits.trigger_types.iter().enumerate() {
-        let mut service = Service::default();
-        for record in &played.records {
-            if let TrafficRecord::InvocationSent {
-                at,
-                invocation,
-                trigger_type,
-                ..
-            } = record
-                && *trigger_type == index
-            {
-                service.add(known.latency_objective, *at, ends.get(invocation.as_str()));
-            }
-        }
-        service.print(&known.name);
-    }
-}
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -137,8 +137,28 @@
     }
 }
 
-/// What a front end says of itself, as JSON.
-pub(super) async fn state(at: SocketAddr) -> Result<String, Box<dyn std::error::Error>> {
+/// Why a front end did not report its state. The text is that of the cause.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum StateError {
+    /// No connection could be opened.
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    /// The request can't be built.
+    #[error(transparent)]
+    Request(#[from] http::Error),
+    /// The exchange failed.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    /// There was no response in time.
+    #[error("no answer")]
+    TimedOut,
+    /// The response is not UTF-8.
+    #[error(transparent)]
+    NotUtf8(#[from] std::string::FromUtf8Error),
+}
+
+/// The state that a front end reports, as JSON.
+pub(super) async fn state(at: SocketAddr) -> Result<String, StateError> {
     use http_body_util::{BodyExt, Empty};
     let stream = orchidtally_socket_io::connect(at, Duration::from_secs(1)).await?;
     let (mut sender, driver) =
@@ -163,5 +183,7 @@
     };
     let body =
         orchidtally_socket_io::with_timeout(Duration::from_secs(2), future::or(work, drive)).await;
-    Ok(String::from_utf8(body.ok_or("no answer")??.to_vec())?)
+    Ok(String::from_utf8(
+        body.ok_or(StateError::TimedOut)??.to_vec(),
+    )?)
 }
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -94,6 +94,20 @@
     }
 }
 
+/// An order to the coordinator that it did not take. The text is that of the cause.
+#[derive(Debug, thiserror::Error)]
+enum OrderError {
+    /// The order can't be written as JSON.
+    #[error(transparent)]
+    Encode(#[from] serde_json::Error),
+    /// The coordinator gave no response.
+    #[error(transparent)]
+    NoResponse(#[from] io::Error),
+    /// The coordinator rejected the order.
+    #[error("{reason}")]
+    Rejected { reason: String },
+}
+
 /// The name that a plan gives; whether it is sound is the coordinator's to say.
 fn name(plan: &str) -> String {
     let document = Document::new(plan);
@@ -146,7 +160,6 @@
         })
     }
 
-    /// What the deployment file says of it.
     /// The sections of the deployment file.
     pub fn description(&self) -> String {
         let (old, new) = (digest(OLD), digest(NEW));
@@ -219,14 +232,16 @@
         let _ = std::fs::remove_dir_all(&self.state);
     }
 
-    async fn order(&self, order: &OperatorRequest) -> Result<(), String> {
-        let body = serde_json::to_vec(order).map_err(|e| e.to_string())?;
-        let asked = fetch(self.at, Method::POST, "/v1/rollouts/orders", body, TIMEOUT).await;
-        let (status, body) = asked.map_err(|e| e.to_string())?;
+    async fn order(&self, order: &OperatorRequest) -> Result<(), OrderError> {
+        let body = serde_json::to_vec(order)?;
+        let (status, body) =
+            fetch(self.at, Method::POST, "/v1/rollouts/orders", body, TIMEOUT).await?;
         if status.is_success() {
             Ok(())
         } else {
-            Err(String::from_utf8_lossy(&body).into_owned())
+            Err(OrderError::Rejected {
+                reason: String::from_utf8_lossy(&body).into_owned(),
+            })
         }
     }
 
@@ -237,7 +252,7 @@
             match self.order(&order).await {
                 Ok(()) => return,
                 Err(fault) if self.stage.now() > until => {
-                    self.faults.borrow_mut().push(fault);
+                    self.faults.borrow_mut().push(fault.to_string());
                     return;
                 }
                 Err(_) => self.stage.sleep(0.1).await,
--- /dev/null
+++ b/crates/cli/src/rehearse/scenario/bench.rs
@@ -0,0 +1,144 @@
+//! Scenarios of the users' bench, as far as a rehearsal can play them.
+
+use super::{FAULT_KINDS, Scenario, ScheduledFault};
+
+/// A time in microseconds, as the users' bench prints it, in seconds.
+fn from_micros(micros: f64) -> f64 {
+    micros / 1e6
+}
+
+/// Troubles of a day of the users' bench, with their times stretched to another length; `left_out` gets those that the
+/// rehearsal does not know.
+fn bench_faults(
+    scenario: &serde_json::Value,
+    stretch: f64,
+    length: f64,
+    left_out: &mut Vec<String>,
+) -> Vec<ScheduledFault> {
+    let mut faults = vec![];
+    for fault in scenario
+        .get("troubles")
+        .and_then(|list| list.as_array())
+        .into_iter()
+        .flatten()
+    {
+        let field = |key: &str| fault.get(key).and_then(serde_json::Value::as_f64);
+        let name = fault
+            .get("kind")
+            .and_then(|kind| kind.as_str())
+            .unwrap_or("unnamed");
+        let known = FAULT_KINDS
+            .iter()
+            .find(|known| known.bench_name == Some(name));
+        let Some(known) = known else {
+            left_out.push(format!("the trouble '{name}'"));
+            continue;
+        };
+        let size = field("size")
+            .filter(|size| *size > 0.0 && *size <= 1.0)
+            .unwrap_or(known.default_size);
+        let at = (from_micros(field("at").unwrap_or(0.0)) * stretch).clamp(0.0, length);
+        let duration = (from_micros(field("len").unwrap_or(1e6)) * stretch).clamp(0.2, length);
+        faults.push(ScheduledFault {
+            kind: known.kind,
+            at,
+            duration,
+            size,
+        });
+    }
+    faults
+}
+
+/// A scenario of the users' bench as it can be played here.
+pub struct BenchScenario {
+    /// The scenario, scaled down to this machine.
+    pub scenario: Scenario,
+    /// What of it could not be carried over, for the reader.
+    pub left_out: Vec<String>,
+}
+
+/// A file that is no scenario of the users' bench.
+#[derive(Debug, thiserror::Error)]
+pub enum BenchError {
+    /// It is no JSON.
+    #[error("not a day of the bench: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// It has no length.
+    #[error("not a day of the bench: it has no length")]
+    NoLength,
+}
+
+/// Sections of a bench file that a rehearsal does not follow, by JSON pointer, and what is said of each.
+const NOT_FOLLOWED: [(&str, &str); 4] = [
+    (
+        "/traffic/shape",
+        "the shape of the traffic over the day: it is even",
+    ),
+    (
+        "/classes",
+        "its trigger types: the rehearsal's own are used",
+    ),
+    ("/tenants/0", "its customers and their shares"),
+    (
+        "/fam",
+        "sizes, loads and popularity of its functions: the rehearsal's own are used",
+    ),
+];
+/// Invocations a second that one executor can run.
+const RATE_PER_EXECUTOR: f64 = 40.0;
+/// The highest rate that is played, in invocations a second.
+const MAX_RATE: f64 = 600.0;
+
+/// Reads a scenario as the users' bench prints it, scaled down to this machine.
+///
+/// # Errors
+/// The text is no JSON, or has no length.
+pub fn from_bench(text: &str) -> Result<BenchScenario, BenchError> {
+    let bench_day: serde_json::Value = serde_json::from_str(text)?;
+    let number = |key: &str| bench_day.pointer(key).and_then(serde_json::Value::as_f64);
+    let seconds = from_micros(number("/length").ok_or(BenchError::NoLength)?);
+    let mut left_out = vec![];
+    let length = seconds.clamp(5.0, 30.0);
+    let stretch = length / seconds;
+    if (stretch - 1.0).abs() > 1e-9 {
+        left_out.push(format!("{seconds:.1} s are played in {length:.1} s"));
+    }
+    let count = |key: &str| {
+        bench_day
+            .get(key)
+            .and_then(|list| list.as_array())
+            .map(Vec::len)
+    };
+    let (servers, balancers) = (
+        count("servers").unwrap_or(12),
+        count("balancers").unwrap_or(4),
+    );
+    let locations = count("zones").unwrap_or(1).clamp(1, 6);
+    let (executors, front_ends) = (servers.clamp(locations, 24), balancers.clamp(1, 6));
+    if (executors, front_ends) != (servers, balancers) {
+        left_out.push(format!(
+            "{servers} executors and {balancers} front ends are played by {executors} and {front_ends}"
+        ));
+    }
+    let faults = bench_faults(&bench_day, stretch, length, &mut left_out);
+    let not_followed = NOT_FOLLOWED
+        .iter()
+        .filter(|(key, _)| bench_day.pointer(key).is_some());
+    left_out.extend(not_followed.map(|(_, what)| (*what).to_owned()));
+    let load = number("/traffic/load").unwrap_or(0.7);
+    let rate = (load * executors as f64 * RATE_PER_EXECUTOR).min(MAX_RATE);
+    left_out.push(format!(
+        "its rate: {rate:.0} invocations a second, {load:.2} of what these executors can do"
+    ));
+    let scenario = Scenario {
+        length,
+        front_ends: front_ends as u32,
+        executors,
+        locations: locations as u32,
+        rate,
+        faults,
+        clock_step: 0.0,
+        ..Scenario::with_all_faults(1, length)
+    };
+    Ok(BenchScenario { scenario, left_out })
+}
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -39,7 +39,7 @@
     )]
     clock_ahead: f64,
     /// Step that clock after so many seconds by so many: `AFTER,BY`.
-    #[arg(long, hide = true, value_parser = step, allow_negative_numbers = true)]
+    #[arg(long, hide = true, value_parser = clock_step, allow_negative_numbers = true)]
     clock_step: Option<(f64, f64)>,
     /// End as told to when standard input ends, so that it does not outlive the process that started it.
     #[arg(long, hide = true)]
@@ -49,10 +49,30 @@
     random: bool,
 }
 
-/// Parses `AFTER,BY`.
-fn step(text: &str) -> Result<(f64, f64), String> {
-    let (after, by) = text.split_once(',').ok_or("AFTER,BY is wanted")?;
-    let number = |t: &str| t.parse::<f64>().map_err(|e| format!("'{t}': {e}"));
+/// A value of `--clock-step` that can't be read.
+#[derive(Debug, thiserror::Error)]
+enum ClockStepError {
+    /// It has no comma.
+    #[error("AFTER,BY is wanted")]
+    NoComma,
+    /// One of its parts is no number.
+    #[error("'{text}': {source}")]
+    NoNumber {
+        text: String,
+        source: std::num::ParseFloatError,
+    },
+}
+
+/// Parses `AFTER,BY`, both in seconds.
+fn clock_step(text: &str) -> Result<(f64, f64), ClockStepError> {
+    let (after, by) = text.split_once(',').ok_or(ClockStepError::NoComma)?;
+    let number = |text: &str| {
+        text.parse::<f64>()
+            .map_err(|source| ClockStepError::NoNumber {
+                text: text.to_owned(),
+                source,
+            })
+    };
     Ok((number(after)?, number(by)?))
 }
 
@@ -148,7 +168,7 @@
 fn greet(at: SocketAddr, is_local: bool) {
     let mut text = format!("listening on http://{at}\n");
     if is_local {
-        let functions = local::FUNCTIONS.map(|function| function.0).join(", ");
+        let functions = local::FUNCTIONS.map(|function| function.name).join(", ");
         text += &format!("try: curl -d 'hello' http://{at}/v1/functions/upper/invocations\n");
         text += &format!("functions: {functions}\n");
     }
@@ -213,6 +233,6 @@
         reloads,
     };
     let tally = orchidtally_http_frontend::run(start, listener);
-    info!(?tally, "ended");
+    info!(?tally, "front end stopped");
     Ok(())
 }
--- a/crates/test-servers/src/baseline.rs
+++ b/crates/test-servers/src/baseline.rs
@@ -1,7 +1,7 @@
 //! The least that speaks HTTP/2 on these sockets, to measure the gateway against: an executor that answers at
 //! once, a relay that decides nothing, and a client that keeps so many streams open.
 
-use crate::TestEnvironment;
+use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
 use h2::client::SendRequest;
 use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, frame, v1};
@@ -10,8 +10,6 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-type Fault = Box<dyn std::error::Error>;
-
 fn windows(builder: &mut h2::client::Builder) {
     builder
         .initial_window_size(1 << 20)
@@ -34,7 +32,7 @@
 async fn serve<F, W>(stage: TestEnvironment, listener: async_io::Async<TcpListener>, answer: F)
 where
     F: Fn(http::Request<h2::RecvStream>, h2::server::SendResponse<Bytes>) -> W + Clone + 'static,
-    W: Future<Output = Result<(), Fault>> + 'static,
+    W: Future<Output = Result<(), ExchangeError>> + 'static,
 {
     loop {
         let stream = orchidtally_socket_io::accept(&listener).await;
@@ -113,7 +111,10 @@
         .body(())
 }
 
-async fn connect(stage: &TestEnvironment, to: SocketAddr) -> Result<SendRequest<Bytes>, Fault> {
+async fn connect(
+    stage: &TestEnvironment,
+    to: SocketAddr,
+) -> Result<SendRequest<Bytes>, ExchangeError> {
     let stream = orchidtally_socket_io::connect(to, std::time::Duration::from_secs(2)).await?;
     let mut builder = h2::client::Builder::new();
     windows(&mut builder);
@@ -126,14 +127,22 @@
 /// What a client of a measurement sends: dispatches to an executor, or invocations to a front end.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BaselineRequest {
+    /// A dispatch to an executor.
     Dispatch,
-    Invocation { functions: usize },
+    /// An invocation of one of so many functions in turn.
+    Invocation {
+        /// How many functions take turns.
+        functions: usize,
+    },
 }
 
 /// What a closed loop of so many streams saw.
 pub struct Observed {
+    /// Responses with status 200.
     pub succeeded: u64,
+    /// Responses with another status.
     pub failed: u64,
+    /// How long the loop ran, in seconds.
     pub seconds: f64,
     /// Times of the succeeded ones, in seconds.
     pub times: Vec<f64>,
@@ -147,7 +156,7 @@
     streams: usize,
     time: f64,
     payload: usize,
-) -> Result<Observed, Fault> {
+) -> Result<Observed, ExchangeError> {
     let sender = connect(stage, to).await?;
     let head = frame(&v1::Dispatch {
         from: Some(v1::Sender {
@@ -197,7 +206,7 @@
                     seen.2.borrow_mut().push(began.elapsed().as_secs_f64());
                 }
             }
-            Ok::<(), Fault>(())
+            Ok::<(), ExchangeError>(())
         };
         tasks.push(stage.spawn(one));
     }
@@ -221,7 +230,7 @@
     streams: usize,
     time: f64,
     answered: &Rc<Cell<usize>>,
-) -> Result<Vec<SendRequest<Bytes>>, Fault> {
+) -> Result<Vec<SendRequest<Bytes>>, ExchangeError> {
     let mut held = vec![];
     for _ in 0..connections {
         let sender = connect(stage, to).await?;
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,7 +1,7 @@
 //! Clients: they offer invocations to front ends over HTTP/2 or HTTP/1.1, wait as long as they said, and note
 //! what they hear.
 
-use crate::TestEnvironment;
+use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
 use futures_lite::future;
 use h2::client::SendRequest;
@@ -16,75 +16,80 @@
 /// One invocation as a client offers it.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
+    /// The id of the invocation.
     pub invocation: String,
+    /// The name of the function.
     pub function: String,
     /// Its place among the deployment's, and its name.
     pub trigger_type: (usize, String),
+    /// The customer; empty for none.
     pub customer: String,
+    /// The idempotency key; empty for none.
     pub token: String,
     /// What the client has left, in seconds.
     pub time_left: f64,
+    /// Whether the client sends it again after an earlier answer.
     pub is_retry: bool,
+    /// The body.
     pub payload: Bytes,
     /// It goes away after so long, answer or not.
     pub cancels_after: Option<f64>,
 }
 
+/// What came of an invocation at its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
+    /// The front end answered.
     Answered {
+        /// What the status means.
         answer: FinalAnswer,
+        /// The HTTP status.
         status: u16,
+        /// The body of the response.
         body: Bytes,
+        /// How long the client should stay away, in seconds; 0 where the response does not say.
         retry_after: f64,
+        /// Whether the response says that the function may have run.
         may_have_run: bool,
     },
     /// The connection broke, or none came about.
     ConnectionLost,
+    /// There was no answer within the client's time.
     TimedOut,
+    /// The client left before an answer.
     Cancelled,
 }
 
 /// A client's way to one front end.
 pub struct TestClient {
     stage: TestEnvironment,
+    /// The client's number in records.
     pub number: u32,
+    /// The index of the front end.
     pub front_end: u32,
+    /// The address of the front end.
     pub address: SocketAddr,
     /// Over HTTP/1.1, on a connection for each invocation; else all share one of HTTP/2.
     pub uses_http1: bool,
     shared: RefCell<Option<SendRequest<Bytes>>>,
 }
 
-/// A streamed answer broke off after its beginning, which is how it tells that it errored.
-#[derive(Debug)]
-struct Cut;
-
-impl std::fmt::Display for Cut {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
-    }
-}
-
-impl std::error::Error for Cut {}
-
-/// What a break in the middle of a body means: an answer of known length was lost with its connection.
-fn broke(
-    parts: &http::response::Parts,
-    fault: impl std::error::Error + 'static,
-) -> Box<dyn std::error::Error> {
-    let streamed = parts.status == http::StatusCode::OK
+/// The meaning of a failure in the middle of a body: a response of known length was lost with its connection.
+fn body_failure(parts: &http::response::Parts, fault: impl Into<ExchangeError>) -> ExchangeError {
+    let is_streamed = parts.status == http::StatusCode::OK
         && !parts.headers.contains_key(http::header::CONTENT_LENGTH);
-    if streamed {
-        Box::new(Cut)
+    if is_streamed {
+        ExchangeError::StreamBrokenOff
     } else {
-        Box::new(fault)
+        fault.into()
     }
 }
 
-type Raw = (http::response::Parts, Bytes);
+/// The head and the body of a response.
+type RawResponse = (http::response::Parts, Bytes);
 
 impl TestClient {
+    /// A client without a connection yet. `plain` is for HTTP/1.1.
     pub fn new(
         stage: &TestEnvironment,
         number: u32,
@@ -129,7 +134,7 @@
         let sent = async {
             match self.send(ask).await {
                 Ok((parts, body)) => received(&parts, body),
-                Err(fault) if fault.is::<Cut>() => ClientOutcome::Answered {
+                Err(ExchangeError::StreamBrokenOff) => ClientOutcome::Answered {
                     answer: FinalAnswer::Failed,
                     status: 200,
                     body: Bytes::new(),
@@ -175,15 +180,15 @@
         request.body(())
     }
 
-    async fn send(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
         if self.uses_http1 {
-            self.send_plain(ask).await
+            self.send_over_http1(ask).await
         } else {
-            self.send_shared(ask).await
+            self.send_over_http2(ask).await
         }
     }
 
-    async fn send_plain(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send_over_http1(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
         let stream = orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
@@ -197,13 +202,13 @@
         let body = body
             .collect()
             .await
-            .map_err(|e| broke(&parts, e))?
+            .map_err(|e| body_failure(&parts, e))?
             .to_bytes();
         drop(driver);
         Ok((parts, body))
     }
 
-    async fn connect(&self) -> Result<SendRequest<Bytes>, Box<dyn std::error::Error>> {
+    async fn connect(&self) -> Result<SendRequest<Bytes>, ExchangeError> {
         if let Some(shared) = self.shared.borrow().clone() {
             return Ok(shared);
         }
@@ -220,7 +225,7 @@
         Ok(sender)
     }
 
-    async fn send_shared(&self, ask: &ClientRequest) -> Result<Raw, Box<dyn std::error::Error>> {
+    async fn send_over_http2(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
         let mut sender = match self.connect().await?.ready().await {
             Ok(sender) => sender,
             Err(_) => {
@@ -237,7 +242,7 @@
         let (parts, mut body) = response.await?.into_parts();
         let mut complete = vec![];
         while let Some(chunk) = body.data().await {
-            let chunk = chunk.map_err(|e| broke(&parts, e))?;
+            let chunk = chunk.map_err(|e| body_failure(&parts, e))?;
             body.flow_control().release_capacity(chunk.len())?;
             complete.extend_from_slice(&chunk);
         }
--- a/crates/test-servers/src/etcd/clients.rs
+++ b/crates/test-servers/src/etcd/clients.rs
@@ -13,6 +13,7 @@
 pub struct ClientCounters {
     /// The header `user-agent` of a connection's first request; empty where it had none.
     pub name: String,
+    /// Connections that are open.
     pub connections_open: u64,
     /// Bytes of the TCP streams, HTTP/2 included, from the clients.
     pub bytes_received: u64,
--- a/crates/test-servers/src/etcd/counters.rs
+++ b/crates/test-servers/src/etcd/counters.rs
@@ -10,18 +10,29 @@
     pub linearizable_ranges: u64,
     /// Ranges of a member's own state.
     pub serializable_ranges: u64,
+    /// Puts outside of transactions.
     pub puts: u64,
+    /// Deletions outside of transactions.
     pub deletes: u64,
+    /// Transactions.
     pub transactions: u64,
+    /// Compactions.
     pub compactions: u64,
+    /// Leases granted.
     pub lease_grants: u64,
+    /// Leases revoked.
     pub lease_revocations: u64,
+    /// Renewals of leases.
     pub lease_renewals: u64,
+    /// Sign-ins by name and password.
     pub sign_ins: u64,
+    /// Watches that clients created.
     pub watches_created: u64,
+    /// Requests for the progress of a stream's watches.
     pub progress_requests: u64,
-    /// Answers to watches with events in them, and those events.
+    /// Answers to watches with events in them.
     pub watch_answers: u64,
+    /// Events in answers to watches.
     pub watch_events: u64,
     /// Answers to watches that tell a revision alone.
     pub progress_answers: u64,
@@ -36,8 +47,11 @@
     pub bytes_received: u64,
     /// The same to clients.
     pub bytes_sent: u64,
+    /// Connections that are open.
     pub connections_open: u64,
+    /// Watches that are open.
     pub watches_open: u64,
+    /// Exchanges by kind.
     pub exchanges: Exchanges,
 }
 
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -34,7 +34,9 @@
     addresses_by_region: BTreeMap<Region, Vec<SocketAddr>>,
     /// The replicated state. What a script writes here is committed, whatever members run.
     pub store: RefCell<Store>,
+    /// Faults that a script sets.
     pub faults: Faults,
+    /// Times that a script sets.
     pub timing: Timing,
     pub(super) cluster: RefCell<Cluster>,
     pub(super) counters: Vec<MemberCounters>,
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -1,6 +1,7 @@
 //! Connections of front ends: their streams, what is asked over them, and answers in one piece or in parts.
 
 use super::Executor;
+use super::dispatch::DispatchResponse;
 use async_channel::Receiver;
 use bytes::Bytes;
 use futures_lite::future;
@@ -59,7 +60,7 @@
                     Some(None) => return,
                     Some(Some(Err(fault))) => {
                         if !fault.is_io() {
-                            warn!(executor = %self.address, %fault, "closed a connection for what came over it");
+                            warn!(executor = %self.address, %fault, "protocol error, connection closed");
                         }
                         return;
                     }
@@ -98,29 +99,8 @@
                 let Some(dispatch) = body.message::<v1::Dispatch>().await else {
                     return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
-                let work = self.clone().dispatch(dispatch, &mut body);
-                let worked = {
-                    let reset = async {
-                        future::poll_fn(|cx| respond.poll_reset(cx)).await.ok();
-                        None
-                    };
-                    future::or(async { Some(work.await) }, reset).await
-                };
-                match worked {
-                    Some((answer, payload, mut in_hand, ending, streams)) => {
-                        let sent = if streams > 0 {
-                            self.stream_out(&mut respond, &answer, payload, streams)
-                                .await
-                        } else {
-                            answer_with(&mut respond, &answer, payload)
-                        };
-                        in_hand.end(if sent.is_ok() {
-                            ending
-                        } else {
-                            DispatchOutcome::Abandoned
-                        });
-                        sent
-                    }
+                match self.serve_dispatch(dispatch, &mut body, &mut respond).await {
+                    Some(sent) => sent,
                     None => return,
                 }
             }
@@ -141,10 +121,43 @@
             _ => return refuse(&mut respond, http::StatusCode::NOT_FOUND),
         };
         if let Err(fault) = done {
-            debug!(executor = %self.address, %fault, "an answer did not go out");
+            debug!(executor = %self.address, %fault, "an answer could not be sent");
         }
     }
 
+    /// Runs a dispatch and sends its answer; `None` where the peer reset the stream before that.
+    async fn serve_dispatch(
+        self: &Rc<Self>,
+        dispatch: v1::Dispatch,
+        body: &mut Body,
+        respond: &mut SendResponse<Bytes>,
+    ) -> Option<Result<(), h2::Error>> {
+        let work = self.clone().dispatch(dispatch, body);
+        let reset = async {
+            future::poll_fn(|cx| respond.poll_reset(cx)).await.ok();
+            None
+        };
+        let response = future::or(async { Some(work.await) }, reset).await;
+        let DispatchResponse {
+            answer,
+            output,
+            mut in_hand,
+            outcome,
+        } = response?;
+        let sent = if output.streams > 0 {
+            self.stream_out(respond, &answer, output.payload, output.streams)
+                .await
+        } else {
+            answer_with(respond, &answer, output.payload)
+        };
+        in_hand.end(if sent.is_ok() {
+            outcome
+        } else {
+            DispatchOutcome::Abandoned
+        });
+        Some(sent)
+    }
+
     async fn stream_out(
         &self,
         respond: &mut SendResponse<Bytes>,
@@ -191,7 +204,7 @@
                 Ok(None) if self.more().await => {}
                 Ok(None) => return None,
                 Err(fault) => {
-                    warn!(%fault, "a message could not be read");
+                    warn!(%fault, "invalid message received");
                     return None;
                 }
             }
--- a/crates/test-servers/src/executor/copies.rs
+++ b/crates/test-servers/src/executor/copies.rs
@@ -64,50 +64,55 @@
             }
             self.make_room(program.memory)?;
             found = v1::Found::Loaded;
-            let (ended, loading) = async_channel::bounded(1);
-            let (free_slot, lanes) = async_channel::bounded(program.concurrency.max(1));
-            for _ in 0..program.concurrency.max(1) {
-                // The channel has room for just these.
-                let _ = free_slot.try_send(());
+            self.begin_load(function, requested, program);
+        }
+    }
+
+    /// Begins to load a copy; those who wait for it hear when its channel closes.
+    fn begin_load(self: &Rc<Self>, function: &str, requested: &str, program: &Program) {
+        let (ended, loading) = async_channel::bounded(1);
+        let (free_slot, lanes) = async_channel::bounded(program.concurrency.max(1));
+        for _ in 0..program.concurrency.max(1) {
+            // The channel has room for just these.
+            let _ = free_slot.try_send(());
+        }
+        let copy = Copy {
+            loading: Some(loading),
+            loaded: false,
+            running: 0,
+            held: 0,
+            used_at: self.stage.now(),
+            lanes,
+            free_slot,
+            memory: program.memory,
+            digest: String::new(),
+        };
+        self.copies.borrow_mut().insert(function.to_owned(), copy);
+        let (me, name, time) = (self.clone(), function.to_owned(), program.load_time);
+        let (bytes, requested) = (program.package.clone(), requested.to_owned());
+        let load = async move {
+            let fetched = me.store.fetch(time).await;
+            let found = digest(&bytes);
+            let came = fetched && (requested.is_empty() || found == requested);
+            if fetched && !came {
+                me.other_bytes.borrow_mut().insert(name.clone());
             }
-            let copy = Copy {
-                loading: Some(loading),
-                loaded: false,
-                running: 0,
-                held: 0,
-                used_at: self.stage.now(),
-                lanes,
-                free_slot,
-                memory: program.memory,
-                digest: String::new(),
-            };
-            self.copies.borrow_mut().insert(function.to_owned(), copy);
-            let (me, name, time) = (self.clone(), function.to_owned(), program.load_time);
-            let (bytes, requested) = (program.package.clone(), requested.to_owned());
-            let load = async move {
-                let fetched = me.store.fetch(time).await;
-                let found = digest(&bytes);
-                let came = fetched && (requested.is_empty() || found == requested);
-                if fetched && !came {
-                    me.other_bytes.borrow_mut().insert(name.clone());
+            let mut copies = me.copies.borrow_mut();
+            match copies.get_mut(&name) {
+                Some(copy) if came => {
+                    copy.loaded = true;
+                    copy.digest = found;
+                    copy.loading = None;
+                    copy.used_at = me.stage.now();
                 }
-                let mut copies = me.copies.borrow_mut();
-                match copies.get_mut(&name) {
-                    Some(copy) if came => {
-                        copy.loaded = true;
-                        copy.digest = found;
-                        copy.loading = None;
-                        copy.used_at = me.stage.now();
-                    }
-                    _ => {
-                        copies.remove(&name);
-                    }
+                _ => {
+                    copies.remove(&name);
                 }
-                drop(copies);
-                drop(ended);
-            };
-            self.stage.spawn(load).detach();
-        }
+            }
+            drop(copies);
+            drop(ended);
+        };
+        self.stage.spawn(load).detach();
     }
 
     /// Unloads idle copies, the longest unused first, until so much memory is free.
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -4,15 +4,17 @@
 use super::connection::Body;
 use super::copies::Unloaded;
 use super::guards::{InHand, Running};
-use super::program::package;
+use super::program::{FunctionError, Program, package};
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_executor_protocol::v1;
 use orchidtally_invariants::{DispatchOutcome, TrafficRecord};
 use std::rc::Rc;
 
-/// In a second.
+/// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
+/// How long a scripted failure at once takes, in seconds.
+const FAST_ERROR_TIME: f64 = 0.002;
 
 impl Executor {
     fn index_taken(&self, from: v1::Sender) -> bool {
@@ -28,7 +30,7 @@
         self: Rc<Self>,
         dispatch: v1::Dispatch,
         body: &mut Body,
-    ) -> (v1::Answer, Vec<Bytes>, InHand, DispatchOutcome, usize) {
+    ) -> DispatchResponse {
         let from = dispatch.from.unwrap_or_default();
         self.stage.record(TrafficRecord::DispatchArrived {
             at: self.stage.now(),
@@ -60,14 +62,19 @@
             index_taken: self.index_taken(from),
             ..v1::Answer::default()
         };
-        let (payload, streams) = self.run(&dispatch, body, &mut answer).await;
-        let ending = match answer.ending() {
+        let output = self.run(&dispatch, body, &mut answer).await;
+        let outcome = match answer.ending() {
             v1::Ending::Ok => DispatchOutcome::Succeeded,
             v1::Ending::Full | v1::Ending::Miss => DispatchOutcome::Rejected,
             v1::Ending::Error | v1::Ending::Unspecified => DispatchOutcome::Failed,
         };
-        answer.streams = streams > 0;
-        (answer, payload, in_hand, ending, streams)
+        answer.streams = output.streams > 0;
+        DispatchResponse {
+            answer,
+            output,
+            in_hand,
+            outcome,
+        }
     }
 
     /// Loads, waits and runs; leaves in the answer how it ended.
@@ -76,139 +83,221 @@
         dispatch: &v1::Dispatch,
         body: &mut Body,
         answer: &mut v1::Answer,
-    ) -> (Vec<Bytes>, usize) {
+    ) -> Output {
+        match self.try_run(dispatch, body, answer).await {
+            Ok(output) => {
+                answer.set_ending(v1::Ending::Ok);
+                output
+            }
+            Err(failure) => {
+                failure.describe(answer);
+                Output::default()
+            }
+        }
+    }
+
+    async fn try_run(
+        self: &Rc<Self>,
+        dispatch: &v1::Dispatch,
+        body: &mut Body,
+        answer: &mut v1::Answer,
+    ) -> Result<Output, DispatchFailure> {
         let name = package(&dispatch.function, &dispatch.digest);
         let program = (self.catalogue)(&name);
-        let work = program.as_ref().map_or(0.0, |p| p.work);
+        let work = program.as_ref().map_or(0.0, |program| program.work);
         if self.is_pushed_over(work) {
             self.fall();
             future::pending::<()>().await;
         }
-        let stage = &self.stage;
-        while self.faults.hangs.is_active(stage.now()) {
-            stage.sleep(self.faults.hangs.ends_at() - stage.now()).await;
-        }
-        let mut end = |ending: v1::Ending, detail: &str| {
-            answer.set_ending(ending);
-            answer.detail = detail.to_owned();
-        };
-        let Some(program) = program else {
-            end(v1::Ending::Error, "no such function");
-            return (vec![], 0);
-        };
-        if self.faults.fails_at_once.is_active(stage.now()) {
-            stage.sleep(0.002).await;
-            end(v1::Ending::Error, "out of order");
-            return (vec![], 0);
-        }
-        if self.draining.get() || self.in_hand.get() > self.make.queue + self.make.cores {
-            end(
-                v1::Ending::Full,
-                if self.draining.get() {
-                    "draining"
-                } else {
-                    "the queue is full"
-                },
-            );
-            return (vec![], 0);
-        }
+        self.wait_while_hanging().await;
+        let program = program.ok_or(DispatchFailure::UnknownFunction)?;
+        self.check_admission().await?;
         let payload = body.rest().await;
-        let found = match self
-            .copy(
-                &name,
-                &dispatch.digest,
-                &program,
-                !self.make.rejects_unloaded,
-            )
+        let loads = !self.make.rejects_unloaded;
+        let found = self
+            .copy(&name, &dispatch.digest, &program, loads)
             .await
-        {
-            Ok(found) => found,
-            Err(Unloaded::Failed) => {
-                answer.set_found(v1::Found::LoadFailed);
-                answer.set_ending(if self.make.reports_failed_load_as_miss {
-                    v1::Ending::Miss
-                } else {
-                    v1::Ending::Error
-                });
-                return (vec![], 0);
-            }
-            Err(Unloaded::OtherBytes) => {
-                answer.set_found(v1::Found::LoadFailed);
-                answer.set_ending(v1::Ending::Miss);
-                answer.digest_differs = true;
-                return (vec![], 0);
-            }
-            Err(Unloaded::NoCapacity) => {
-                end(v1::Ending::Full, "no memory");
-                return (vec![], 0);
-            }
-            Err(Unloaded::Missing) => {
-                end(v1::Ending::Miss, "not loaded");
-                return (vec![], 0);
-            }
-        };
-        let Some(slot) = self.slot(&name).await else {
-            end(v1::Ending::Full, "unloaded meanwhile");
-            return (vec![], 0);
-        };
+            .map_err(|unloaded| self.load_failure(unloaded))?;
+        let slot = self
+            .slot(&name)
+            .await
+            .ok_or(DispatchFailure::UnloadedMeanwhile)?;
         // From here on it runs: its effect counts as done.
-        let number = self.make.number;
-        let (at, invocation) = (stage.now(), dispatch.invocation.clone());
-        let known = !dispatch.token.is_empty()
+        self.record_execution(dispatch, &slot.digest);
+        self.running.set(self.running.get() + 1);
+        let _running = Running(&self.running);
+        self.stage.sleep(self.run_time(&program)).await;
+        if self.fails_by_chance(&program, &dispatch.trigger_type) {
+            answer.set_found(found);
+            return Err(DispatchFailure::ByChance);
+        }
+        let payload = (program.run)(&payload)?;
+        answer.set_found(found);
+        Ok(Output {
+            payload,
+            streams: program.streams,
+        })
+    }
+
+    async fn wait_while_hanging(&self) {
+        let hangs = &self.faults.hangs;
+        while hangs.is_active(self.stage.now()) {
+            self.stage.sleep(hangs.ends_at() - self.stage.now()).await;
+        }
+    }
+
+    /// Whether the executor takes a dispatch of a known function, before anything is loaded for it.
+    async fn check_admission(&self) -> Result<(), DispatchFailure> {
+        if self.faults.fails_at_once.is_active(self.stage.now()) {
+            self.stage.sleep(FAST_ERROR_TIME).await;
+            return Err(DispatchFailure::FailsAtOnce);
+        }
+        if self.draining.get() {
+            return Err(DispatchFailure::Draining);
+        }
+        if self.in_hand.get() > self.make.queue + self.make.cores {
+            return Err(DispatchFailure::QueueFull);
+        }
+        Ok(())
+    }
+
+    fn load_failure(&self, unloaded: Unloaded) -> DispatchFailure {
+        match unloaded {
+            Unloaded::Failed => DispatchFailure::LoadFailed {
+                is_miss: self.make.reports_failed_load_as_miss,
+            },
+            Unloaded::OtherBytes => DispatchFailure::DigestDiffers,
+            Unloaded::NoCapacity => DispatchFailure::NoMemory,
+            Unloaded::Missing => DispatchFailure::NotLoaded,
+        }
+    }
+
+    /// Records that the dispatch runs, or that its effect was deduplicated, and which version runs.
+    fn record_execution(&self, dispatch: &v1::Dispatch, loaded_digest: &str) {
+        let at = self.stage.now();
+        let executor = self.make.number;
+        let invocation = dispatch.invocation.clone();
+        let is_duplicate = !dispatch.token.is_empty()
             && !self.tokens.is_new(&dispatch.token, at, self.token_window);
-        stage.record(match known {
-            true => TrafficRecord::Deduplicated {
+        self.stage.record(if is_duplicate {
+            TrafficRecord::Deduplicated {
                 at,
-                executor: number,
+                executor,
                 invocation,
-            },
-            false => TrafficRecord::ExecutionStarted {
+            }
+        } else {
+            TrafficRecord::ExecutionStarted {
                 at,
-                executor: number,
+                executor,
                 invocation,
-            },
+            }
         });
         if !dispatch.digest.is_empty() {
-            let loaded = slot.digest.clone();
-            stage.record(TrafficRecord::VersionExecuted {
+            self.stage.record(TrafficRecord::VersionExecuted {
                 at,
-                executor: number,
+                executor,
                 invocation: dispatch.invocation.clone(),
                 requested_digest: dispatch.digest.clone(),
-                loaded_digest: loaded,
+                loaded_digest: loaded_digest.to_owned(),
             });
         }
-        self.running.set(self.running.get() + 1);
-        let _running = Running(&self.running);
-        let shared = (self.running.get() as f64 / self.make.cores as f64).max(1.0);
-        let slow = if stage.unit() < program.slow.0 {
-            program.slow.1
+    }
+
+    /// How long this run takes among those that share the cores, in seconds; drawn at random.
+    fn run_time(&self, program: &Program) -> f64 {
+        let runs_per_core = (self.running.get() as f64 / self.make.cores as f64).max(1.0);
+        let (slow_chance, slow_factor) = program.slow;
+        let slow = if self.stage.unit() < slow_chance {
+            slow_factor
         } else {
             1.0
         };
-        stage
-            .sleep(program.work * (0.7 + 0.6 * stage.unit()) * shared * slow / self.warmth())
-            .await;
-        let meant = program
+        program.work * (0.7 + 0.6 * self.stage.unit()) * runs_per_core * slow / self.warmth()
+    }
+
+    /// Draws whether this run fails, as the program wants it of some trigger type or of all.
+    fn fails_by_chance(&self, program: &Program, trigger_type: &str) -> bool {
+        let may_fail = program
             .fails_for
             .as_ref()
-            .is_none_or(|t| *t == dispatch.trigger_type);
-        if meant && stage.unit() < program.fails {
-            end(v1::Ending::Error, "this version fails");
-            answer.set_found(found);
-            return (vec![], 0);
-        }
-        match (program.run)(&payload) {
-            Ok(result) => {
-                answer.set_found(found);
-                answer.set_ending(v1::Ending::Ok);
-                (result, program.streams)
+            .is_none_or(|failing| failing == trigger_type);
+        may_fail && self.stage.unit() < program.fails
+    }
+}
+
+/// The answer to a dispatch, which is in hand until it is sent.
+pub(super) struct DispatchResponse {
+    pub(super) answer: v1::Answer,
+    pub(super) output: Output,
+    pub(super) in_hand: InHand,
+    /// How the dispatch ends once the answer is sent.
+    pub(super) outcome: DispatchOutcome,
+}
+
+/// What a dispatch gave back.
+#[derive(Default)]
+pub(super) struct Output {
+    /// The chunks of the result.
+    pub(super) payload: Vec<Bytes>,
+    /// Parts in which the result is streamed; none for a whole one.
+    pub(super) streams: usize,
+}
+
+/// Why a dispatch gave no result. Its text is the detail of the answer.
+#[derive(Debug, thiserror::Error)]
+enum DispatchFailure {
+    #[error("no such function")]
+    UnknownFunction,
+    /// A scripted fault.
+    #[error("out of order")]
+    FailsAtOnce,
+    #[error("draining")]
+    Draining,
+    #[error("the queue is full")]
+    QueueFull,
+    /// The store gave nothing; this counts as a miss where the executor is set so.
+    #[error("")]
+    LoadFailed { is_miss: bool },
+    /// The store gave other bytes than the digest names.
+    #[error("")]
+    DigestDiffers,
+    #[error("no memory")]
+    NoMemory,
+    #[error("not loaded")]
+    NotLoaded,
+    #[error("unloaded meanwhile")]
+    UnloadedMeanwhile,
+    /// The program is set to fail sometimes.
+    #[error("this version fails")]
+    ByChance,
+    #[error(transparent)]
+    Function(#[from] FunctionError),
+}
+
+impl DispatchFailure {
+    fn ending(&self) -> v1::Ending {
+        match self {
+            Self::UnknownFunction
+            | Self::FailsAtOnce
+            | Self::LoadFailed { is_miss: false }
+            | Self::ByChance
+            | Self::Function(_) => v1::Ending::Error,
+            Self::Draining | Self::QueueFull | Self::NoMemory | Self::UnloadedMeanwhile => {
+                v1::Ending::Full
             }
-            Err(fault) => {
-                answer.set_ending(v1::Ending::Error);
-                answer.detail = fault;
-                (vec![], 0)
+            Self::LoadFailed { is_miss: true } | Self::DigestDiffers | Self::NotLoaded => {
+                v1::Ending::Miss
             }
         }
     }
+
+    /// Writes the failure into the answer.
+    fn describe(&self, answer: &mut v1::Answer) {
+        answer.set_ending(self.ending());
+        answer.detail = self.to_string();
+        if matches!(self, Self::LoadFailed { .. } | Self::DigestDiffers) {
+            answer.set_found(v1::Found::LoadFailed);
+        }
+        answer.digest_differs = matches!(self, Self::DigestDiffers);
+    }
 }
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -11,7 +11,7 @@
 mod slow_start;
 mod spec;
 
-pub use program::{Catalogue, Program, digest, echo, package};
+pub use program::{Catalogue, FunctionCode, FunctionError, Program, digest, echo, package};
 pub use spec::{ExecutorSpec, Faults, SharedResources, TokenCache};
 
 use crate::TestEnvironment;
@@ -27,10 +27,14 @@
 
 /// An executor on a socket, with what it holds.
 pub struct Executor {
+    /// What the executor is like.
     pub make: ExecutorSpec,
+    /// Faults that a script sets.
     pub faults: Faults,
+    /// Where it listens.
     pub address: SocketAddr,
     stage: TestEnvironment,
+    /// The store from which it loads functions.
     pub store: Rc<PackageStore>,
     catalogue: Catalogue,
     tokens: Rc<TokenCache>,
@@ -40,6 +44,7 @@
     other_bytes: RefCell<HashSet<String>>,
     in_hand: Cell<usize>,
     running: Cell<usize>,
+    /// Whether it takes no new dispatches.
     pub draining: Cell<bool>,
     /// When it started; minus infinity for long ago.
     since: Cell<f64>,
@@ -53,6 +58,7 @@
     open: RefCell<Vec<TcpStream>>,
     goodbye: RefCell<Option<Sender<()>>>,
     me: Weak<Executor>,
+    /// How many times it was overloaded during slow start.
     pub fell: Cell<u32>,
     /// The time that clients had left, as the last dispatch told it, in seconds.
     pub last_time_left: Cell<f64>,
@@ -99,14 +105,17 @@
         Ok(executor)
     }
 
+    /// When it last started, in seconds of the environment's clock; minus infinity for long ago.
     pub fn started_at(&self) -> f64 {
         self.since.get()
     }
 
+    /// Whether it accepts connections.
     pub fn is_up(&self) -> bool {
         self.serving.borrow().is_some()
     }
 
+    /// Dispatches that are waiting or running.
     pub fn pending(&self) -> usize {
         self.in_hand.get()
     }
--- a/crates/test-servers/src/executor/program.rs
+++ b/crates/test-servers/src/executor/program.rs
@@ -4,25 +4,37 @@
 use sha2::{Digest, Sha256};
 use std::rc::Rc;
 
+/// Why a function gave no result. Its text is the detail of the executor's answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FunctionError {
+    /// The function works on text, and the payload is none.
+    #[error("the body is not UTF-8")]
+    NotUtf8,
+}
+
+/// The code of a function: from the chunks of the payload to those of the result.
+pub type FunctionCode = fn(&[Bytes]) -> Result<Vec<Bytes>, FunctionError>;
+
 /// What a function needs and does.
 #[derive(Clone)]
 pub struct Program {
     /// Invocations that a copy runs at a time.
     pub concurrency: usize,
-    /// Of a copy, in the unit of `Make::memory`.
+    /// Of a copy, in the unit of `ExecutorSpec::memory`.
     pub memory: f64,
     /// In seconds, where nobody else loads.
     pub load_time: f64,
     /// Work of an invocation on a free core, in seconds.
     pub work: f64,
     /// What it answers.
-    pub run: fn(&[Bytes]) -> Result<Vec<Bytes>, String>,
+    pub run: FunctionCode,
     /// Parts in which the answer is streamed; none for a whole one.
     pub streams: usize,
     /// What the store gives for it; its digest is that of the version.
     pub package: Bytes,
-    /// The chance that it fails, of this trigger type alone where one is named.
+    /// The chance that an invocation fails.
     pub fails: f64,
+    /// The one trigger type whose invocations fail; all of them where there is none.
     pub fails_for: Option<String>,
     /// Of its runs, those that take so many times longer.
     pub slow: (f64, f64),
@@ -63,7 +75,7 @@
 }
 
 /// Answers with what it was asked.
-pub fn echo(payload: &[Bytes]) -> Result<Vec<Bytes>, String> {
+pub fn echo(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     Ok(payload.to_vec())
 }
 
--- a/crates/test-servers/src/executor/slow_start.rs
+++ b/crates/test-servers/src/executor/slow_start.rs
@@ -50,7 +50,7 @@
                 me.stage.sleep(me.make.downtime).await;
                 me.falling.set(false);
                 if let Err(e) = me.restart() {
-                    warn!(executor = %me.address, fault = %e, "did not come up again");
+                    warn!(executor = %me.address, fault = %e, "restart failed");
                 }
             })
             .detach();
--- a/crates/test-servers/src/executor/spec.rs
+++ b/crates/test-servers/src/executor/spec.rs
@@ -12,25 +12,33 @@
 pub struct ExecutorSpec {
     /// Its place in the fleet.
     pub number: usize,
+    /// Invocations that run at a time without slowing each other.
     pub cores: usize,
+    /// Memory for copies of functions, in the unit of `Program::memory`.
     pub memory: f64,
-    /// Invocations that wait here at the most.
+    /// The most invocations that wait.
     pub queue: usize,
-    /// An idle copy is unloaded after this.
+    /// How long an idle copy stays loaded.
     pub keep_alive: f64,
+    /// Rejects a dispatch of a function that is not loaded, in place of loading it.
     pub rejects_unloaded: bool,
-    /// What waits for a load that fails ends in 'miss', which proves that it never ran, else in an error.
+    /// A dispatch whose load fails ends in `Ending::Miss`, which proves that it never ran, else in an error.
     pub reports_failed_load_as_miss: bool,
-    /// A cold start: how long, from which part of its capacity on, and the load that pushes it over.
+    /// How long slow start lasts.
     pub slow_start_duration: f64,
+    /// The part of its capacity that it has at its start, from 0 to 1.
     pub slow_start_initial_weight: f64,
+    /// The load, as a multiple of its capacity at that time, that overloads it during slow start.
     pub overload_factor: f64,
+    /// The time over which that load is counted.
     pub overload_window: f64,
-    /// Down for so long after it was pushed over.
+    /// How long it is down after it was overloaded.
     pub downtime: f64,
-    /// Reports are as old as this, and off by this part.
+    /// The age of what reports tell.
     pub report_delay: f64,
+    /// The greatest relative error of a report.
     pub report_noise: f64,
+    /// The names of the figures in a report: `backlog`, `memory` or `outstanding`.
     pub report_fields: Vec<String>,
 }
 
@@ -91,9 +99,12 @@
 
 /// What an executor shares with others.
 pub struct SharedResources {
+    /// The store from which they load functions.
     pub store: Rc<PackageStore>,
+    /// The functions that they know.
     pub catalogue: Catalogue,
     /// Shared by the executors of its group.
     pub token_cache: Rc<TokenCache>,
+    /// How long tokens are remembered, in seconds.
     pub deduplication_window: f64,
 }
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,10 +1,11 @@
-//! Stand-ins for what the program meets: executors that load functions from a shared store, the publisher of
-//! their roster, and clients. All of them live on one thread, keep one clock and write one list of records.
+//! Test servers for the gateway: executors that load functions from a shared store, the publisher of the endpoint
+//! list, etcd, brokers, and clients. All of them run on one thread, share one clock and append to one list of records.
 
 pub mod baseline;
 pub mod broker;
 pub mod client;
 pub mod etcd;
+mod exchange_error;
 pub mod executor;
 pub mod fault_proxy;
 pub mod misbehaving_front_end;
@@ -13,6 +14,8 @@
 pub mod raw;
 pub mod store;
 
+pub use exchange_error::ExchangeError;
+
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use orchidtally_invariants::TrafficRecord;
@@ -25,9 +28,10 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What all stand-ins of a rehearsal share: the thread's tasks, the clock, chance and the records.
+/// What all test servers of a rehearsal share: the thread's tasks, the clock, random numbers and the records.
 #[derive(Clone)]
 pub struct TestEnvironment {
+    /// The tasks of the thread.
     pub tasks: Rc<LocalExecutor<'static>>,
     started: Instant,
     started_wall: f64,
@@ -36,6 +40,7 @@
 }
 
 impl TestEnvironment {
+    /// An environment whose clock starts now and whose random numbers follow the seed.
     pub fn new(seed: u64) -> TestEnvironment {
         TestEnvironment {
             tasks: Rc::new(LocalExecutor::new()),
@@ -48,12 +53,12 @@
         }
     }
 
-    /// Seconds since the stage was set.
+    /// Seconds since the environment was created.
     pub fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// A moment of the stage in seconds since 1970, as rosters tell it.
+    /// A moment of the environment's clock in seconds since 1970, as endpoint lists have it.
     pub fn wall(&self, at: f64) -> f64 {
         if at.is_finite() {
             self.started_wall + at
@@ -62,10 +67,12 @@
         }
     }
 
+    /// Appends a record of the traffic.
     pub fn record(&self, record: TrafficRecord) {
         self.records.borrow_mut().push(record);
     }
 
+    /// All records so far, in the order in which they were appended.
     pub fn records(&self) -> Vec<TrafficRecord> {
         self.records.borrow().clone()
     }
@@ -75,6 +82,7 @@
         self.random.borrow_mut().random()
     }
 
+    /// Runs a task on the thread. Dropping the returned handle cancels it.
     pub fn spawn<T: 'static>(
         &self,
         work: impl Future<Output = T> + 'static,
@@ -82,6 +90,7 @@
         self.tasks.spawn(work)
     }
 
+    /// Waits for some seconds, at most a day; not at all where the time is not positive.
     pub async fn sleep(&self, time: f64) {
         if time > 0.0 {
             Timer::after(Duration::from_secs_f64(time.min(86_400.0))).await;
@@ -122,14 +131,17 @@
 pub struct TimedFault(Cell<f64>);
 
 impl TimedFault {
+    /// Switches on until this moment, in seconds of the environment's clock; an earlier one changes nothing.
     pub fn set(&self, at: f64) {
         self.0.set(self.0.get().max(at));
     }
 
+    /// Whether it is on at this moment.
     pub fn is_active(&self, now: f64) -> bool {
         now < self.0.get()
     }
 
+    /// The moment at which it switches off, in seconds of the environment's clock.
     pub fn ends_at(&self) -> f64 {
         self.0.get()
     }
--- a/crates/test-servers/src/misbehaving_front_end.rs
+++ b/crates/test-servers/src/misbehaving_front_end.rs
@@ -1,7 +1,7 @@
 //! A front end that breaks the rules on purpose, so that the checks can be seen to find it. It speaks the
 //! executors' protocol under the index of a real one.
 
-use crate::TestEnvironment;
+use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
 use orchidtally_etcd::rpc::{RangeRequest, RangeResponse, WatchResponse};
 use orchidtally_etcd::{Client, ClientError, Watch, range_end};
@@ -26,6 +26,7 @@
 }
 
 impl MisbehavingFrontEnd {
+    /// One that sends under this index among so many front ends.
     pub fn new(stage: &TestEnvironment, index: u32, count: u32) -> Rc<MisbehavingFrontEnd> {
         let sender = v1::Sender {
             index,
@@ -44,7 +45,7 @@
         to: SocketAddr,
         path: &str,
         head: Bytes,
-    ) -> Result<h2::RecvStream, Box<dyn std::error::Error>> {
+    ) -> Result<h2::RecvStream, ExchangeError> {
         let open = self.connections.borrow().get(&to).cloned();
         let sender = match open {
             Some(sender) => sender,
@@ -149,6 +150,7 @@
         }
     }
 
+    /// Sends a load command for one copy of a function, whatever the load budget is.
     pub async fn hold(&self, to: SocketAddr, function: &str) {
         let (kind, function) = (v1::OrderKind::Hold.into(), function.to_owned());
         let order = frame(&v1::Order {
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -14,11 +14,15 @@
 /// One invocation as a client sends it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
+    /// The id of the invocation, which is its idempotency key too.
     pub id: u64,
     /// Its place among the settings' and its name.
     pub trigger_type: (usize, &'static str),
+    /// The number of the function.
     pub function: u64,
+    /// The client's timeout in seconds.
     pub allow: f64,
+    /// The body, which the function echoes.
     pub body: Vec<u8>,
 }
 
@@ -42,6 +46,7 @@
 }
 
 impl Client {
+    /// A client without a connection yet.
     pub fn new(stage: &TestEnvironment, front_end: u32, at: SocketAddr) -> Rc<Client> {
         Rc::new(Client {
             stage: stage.clone(),
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -22,10 +22,13 @@
     ResetUnread,
     /// It is reset within the answer.
     CutShort,
+    /// Bytes that are no line of the protocol.
     Garbage,
     /// A body that is no base64.
     InvalidBody,
+    /// The answer is sent twice.
     Duplicated,
+    /// The answer is not sent.
     Dropped,
 }
 
@@ -37,8 +40,11 @@
     pub response_fault: Cell<Option<(ResponseFault, f64)>>,
 }
 
+/// An executor with an address for each front end.
 pub struct Executor {
+    /// Its number in the fleet.
     pub number: usize,
+    /// Its name in the list.
     pub name: String,
     /// Executors of a cell share the tokens they have seen.
     pub cell: u16,
@@ -46,14 +52,19 @@
     pub addresses: Vec<SocketAddr>,
     /// What each front end's connections pass through, where a script wants that.
     pub links: RefCell<Vec<Rc<FaultProxy>>>,
+    /// Faults that a script sets.
     pub faults: Faults,
+    /// Whether it takes no new dispatches.
     pub draining: Cell<bool>,
+    /// How long it takes to load a function, in seconds.
     pub load_time: f64,
+    /// The work of an invocation, in seconds.
     pub work: f64,
     /// When it last started; minus infinity for long ago.
     pub started_at: Cell<f64>,
-    /// While it is cold, so many dispatches within a second push it over.
+    /// How long slow start lasts, in seconds.
     pub slow_start_duration: f64,
+    /// Dispatches within a second that overload it during slow start.
     pub overload_limit: usize,
     arrived: RefCell<Vec<f64>>,
     is_overloaded: Cell<bool>,
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -17,6 +17,7 @@
 pub struct Incarnations(RefCell<HashMap<u32, u64>>);
 
 impl Incarnations {
+    /// Begins a new incarnation of a front end.
     pub fn begin(&self, front_end: u32) {
         *self.0.borrow_mut().entry(front_end).or_default() += 1;
     }
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -16,17 +16,24 @@
 /// An executor as the list tells it.
 #[derive(Clone)]
 pub struct ListedEndpoint {
+    /// The executor.
     pub executor: Rc<Executor>,
+    /// Its state in the list.
     pub state: EndpointState,
 }
 
 /// How an answer of the resolver goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
+    /// No answer is sent.
     Dropped,
+    /// The answer has another id than the query.
     WrongId,
+    /// The answer is marked as truncated.
     Truncated,
+    /// The answer ends in its middle.
     CutShort,
+    /// The answer has the code of a server's failure.
     ServerFailure,
     /// The list before this one.
     PreviousList,
@@ -46,6 +53,7 @@
     WrongState,
 }
 
+/// The resolver, with an address for each front end.
 pub struct Resolver {
     stage: TestEnvironment,
     incarnations: Rc<Incarnations>,
@@ -64,6 +72,7 @@
 const SERVICE: &str = "_data._tcp.farm.lan";
 
 impl Resolver {
+    /// A resolver that lists all executors as ready.
     pub fn new(
         stage: &TestEnvironment,
         incarnations: &Rc<Incarnations>,
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -11,14 +11,22 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// An executor as the publisher lists it.
 #[derive(Clone, Debug)]
 pub struct PublishedEndpoint {
+    /// The executor's number.
     pub executor: usize,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// The name of its location.
     pub location: String,
+    /// The kind of machine.
     pub kind: String,
+    /// The cell within which executors share the tokens they have seen.
     pub cell: u32,
+    /// Its weight for the front ends' choice.
     pub weight: f64,
+    /// Its state.
     pub state: EndpointState,
     /// On the stage's clock.
     pub started_at: f64,
@@ -27,8 +35,10 @@
 /// Changes that wait for one front end at the most; past that it is cut off and asks again.
 const MOST_WAITING: usize = 1_024;
 
+/// The publisher of the list, on a socket.
 pub struct Publisher {
     stage: TestEnvironment,
+    /// Where it listens.
     pub address: SocketAddr,
     rows: RefCell<Vec<PublishedEndpoint>>,
     revision: Cell<u64>,
@@ -43,6 +53,7 @@
 }
 
 impl Publisher {
+    /// Starts one; port 0 takes any free one.
     pub fn start(
         stage: &TestEnvironment,
         at: SocketAddr,
--- a/crates/test-servers/src/raw.rs
+++ b/crates/test-servers/src/raw.rs
@@ -1,30 +1,44 @@
-//! A scripted HTTP/2 peer in plain frames, for what no library would say: a last stream named in the middle
-//! of things, bytes that are no frames, answers that never end. It reads no header fields.
+//! A scripted HTTP/2 peer that writes frames by hand, for what no library would send: GOAWAY in the middle of
+//! streams, bytes that are no frames, responses that never end. It reads no header fields.
 
 use async_io::Async;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use std::net::{TcpListener, TcpStream};
 
+/// The type of a frame, as far as scripts tell them apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// DATA.
     Data,
+    /// HEADERS.
     Headers,
+    /// RST_STREAM.
     Reset,
+    /// SETTINGS.
     Settings,
+    /// PING.
     Ping,
+    /// GOAWAY.
     GoAway,
+    /// Any other type, by its number.
     Other(u8),
 }
 
+/// A frame as it was received.
 #[derive(Clone, Debug)]
 pub struct Frame {
+    /// The type.
     pub kind: Kind,
+    /// The flags.
     pub flags: u8,
+    /// The id of the stream; 0 for the connection.
     pub stream: u32,
+    /// The payload.
     pub payload: Vec<u8>,
 }
 
 impl Frame {
+    /// Whether the peer sends nothing more on the stream.
     pub fn ends_stream(&self) -> bool {
         matches!(self.kind, Kind::Data | Kind::Headers) && self.flags & 1 != 0
     }
@@ -32,6 +46,7 @@
 
 /// What the script does next.
 pub enum Next {
+    /// Send these bytes.
     Say(Vec<u8>),
     /// Say it, then end the connection.
     Close(Vec<u8>),
@@ -49,6 +64,7 @@
     bytes
 }
 
+/// An empty SETTINGS frame.
 pub fn settings() -> Vec<u8> {
     frame(4, 0, 0, &[])
 }
@@ -58,16 +74,20 @@
     frame(1, 4, stream, &[0x88])
 }
 
+/// A DATA frame; `ends` sets END_STREAM.
 pub fn data(stream: u32, payload: &[u8], ends: bool) -> Vec<u8> {
     frame(0, u8::from(ends), stream, payload)
 }
 
+/// A RST_STREAM frame with an error code.
 pub fn reset(stream: u32, code: u32) -> Vec<u8> {
     frame(3, 0, stream, &code.to_be_bytes())
 }
 
+/// The error code of a stream that was refused before any processing (RFC 9113, section 7).
 pub const REFUSED_STREAM: u32 = 7;
 
+/// A GOAWAY frame with the last stream id and an error code.
 pub fn go_away(last: u32, code: u32) -> Vec<u8> {
     let mut payload = last.to_be_bytes().to_vec();
     payload.extend(code.to_be_bytes());
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -5,14 +5,19 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// The store of packages.
 pub struct PackageStore {
     stage: TestEnvironment,
-    /// Fetches at a time that are not slowed, and that are not turned away.
+    /// Fetches at a time that do not slow each other.
     pub smooth: f64,
+    /// Fetches at a time past which further ones are refused.
     pub most: usize,
     fetching: Cell<usize>,
+    /// All fetches are refused while this is active.
     pub refusing: TimedFault,
+    /// Fetches that were refused.
     pub refused: Cell<u64>,
+    /// Fetches that succeeded.
     pub fetched: Cell<u64>,
 }
 
@@ -25,6 +30,7 @@
 }
 
 impl PackageStore {
+    /// A store without fetches; `smooth` and `most` as in the fields.
     pub fn new(stage: &TestEnvironment, smooth: f64, most: usize) -> Rc<PackageStore> {
         Rc::new(PackageStore {
             stage: stage.clone(),
