--- a/crates/capacity-model/src/config/front_ends.rs
+++ b/crates/capacity-model/src/config/front_ends.rs
@@ -5,11 +5,11 @@
 use super::tracker::Tracker;
 use crate::hollow::configuration::{Configuration, OnApply, Options};
 use crate::hollow::control::{Bytes, ControlFrontEnd};
+use crate::hollow::snapshot::{self, SnapshotError};
 use crate::store::{self, StoreError};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use orchidtally_config_sync::{SettingsError, SyncSettings};
-use orchidtally_http_frontend::config::SnapshotFile;
+use orchidtally_config_sync::SettingsError;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -38,8 +38,8 @@
         of: usize,
         seconds: f64,
     },
-    #[error("the first front end read no snapshot within {0} s")]
-    NoSnapshot(f64),
+    #[error(transparent)]
+    Snapshot(#[from] SnapshotError),
 }
 
 /// One front end with its tasks, which end when it is dropped.
@@ -68,49 +68,25 @@
     pub tracker: Rc<RefCell<Tracker>>,
 }
 
-/// Reads the configuration whole, at no pace, and gives the snapshot that front ends start from.
+/// Reads the complete configuration of the store without rate limit: the snapshot that front ends start from.
+///
+/// # Errors
+/// No snapshot was written within `timeout_s` seconds.
 pub async fn read_snapshot(
     endpoints: &[SocketAddr],
     tasks: &Rc<LocalExecutor<'static>>,
-    patience: f64,
+    timeout_s: f64,
 ) -> Result<Vec<u8>, RunError> {
-    let settings = SyncSettings {
-        read_bytes_per_second: 1e9,
-        read_burst: 1e9,
-        page_bytes: 1e6,
-        spread: 0.0,
-        snapshot_interval: 0.1,
-        ..entries::settings()
-    };
-    let file = SnapshotFile::new(snapshot_path());
-    let options = Options {
-        number: usize::MAX,
-        endpoints,
-        settings,
-        start_from: None,
-        snapshot: Some(file.clone()),
-        seed: 0,
-        on_apply: Rc::new(|_, _| {}),
-    };
-    let reader = Configuration::new(options, tasks)?;
-    let task = reader.start(tasks);
-    let began = Instant::now();
-    let mut found = None;
-    while found.is_none() && began.elapsed().as_secs_f64() < patience {
-        Timer::after(LOOK_INTERVAL).await;
-        // Only a whole file stands under its name.
-        found = file.read().0.into_iter().next();
-    }
-    drop(task);
-    reader.stop();
+    let path = temporary_snapshot_path();
+    let snapshot = snapshot::write_snapshot(path.clone(), endpoints, tasks, timeout_s).await;
     for name in ["", ".previous", ".new"] {
-        let _ = std::fs::remove_file(format!("{}{name}", file.path().display()));
+        let _ = std::fs::remove_file(format!("{}{name}", path.display()));
     }
-    found.ok_or(RunError::NoSnapshot(patience))
+    Ok(snapshot?)
 }
 
 /// A path that no other run uses.
-fn snapshot_path() -> PathBuf {
+fn temporary_snapshot_path() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!(
@@ -198,8 +174,8 @@
     }
 
     /// A snapshot of what the store holds now.
-    pub async fn read_snapshot(&self, patience: f64) -> Result<Vec<u8>, RunError> {
-        read_snapshot(&self.by_region[0], &self.tasks, patience).await
+    pub async fn read_snapshot(&self, timeout_s: f64) -> Result<Vec<u8>, RunError> {
+        read_snapshot(&self.by_region[0], &self.tasks, timeout_s).await
     }
 
     /// Restarts a front end's configuration from [`FrontEnds::snapshot`].
@@ -227,17 +203,17 @@
     }
 
     /// Waits until all follow the store and have their entries.
-    pub async fn until_ready(&self, patience: f64) -> Result<(), RunError> {
+    pub async fn until_ready(&self, timeout_s: f64) -> Result<(), RunError> {
         let began = Instant::now();
         let is_ready =
             |front_end: &&FrontEnd| front_end.control.is_ready() && front_end.host.follows();
         while !self.all.iter().all(|front_end| is_ready(&front_end)) {
-            if began.elapsed().as_secs_f64() > patience {
+            if began.elapsed().as_secs_f64() > timeout_s {
                 let ready = self.all.iter().filter(is_ready).count();
                 return Err(RunError::NotReady {
                     ready,
                     of: self.all.len(),
-                    seconds: patience,
+                    seconds: timeout_s,
                 });
             }
             Timer::after(LOOK_INTERVAL).await;
@@ -245,15 +221,15 @@
         Ok(())
     }
 
-    /// Waits until some front ends have all changes; the seconds that it took, or `None` after `patience`.
-    pub async fn until_in_force(&self, patience: f64, of: impl Fn(usize) -> bool) -> Option<f64> {
+    /// Waits until some front ends have all changes; the seconds that it took, or `None` after `timeout_s`.
+    pub async fn until_in_force(&self, timeout_s: f64, of: impl Fn(usize) -> bool) -> Option<f64> {
         let began = Instant::now();
         loop {
             let took = began.elapsed().as_secs_f64();
             if self.tracker.borrow().is_in_force(&of) {
                 return Some(took);
             }
-            if took > patience {
+            if took > timeout_s {
                 return None;
             }
             Timer::after(LOOK_INTERVAL).await;
--- a/crates/capacity-model/src/config/mod.rs
+++ b/crates/capacity-model/src/config/mod.rs
@@ -2,6 +2,7 @@
 //! what all of control costs a front end and the store meanwhile.
 
 pub mod entries;
+mod findings;
 mod front_ends;
 mod meter;
 mod phases;
@@ -20,8 +21,9 @@
 use crate::report::Row;
 use crate::store::{Command, StoreProcess};
 use async_executor::LocalExecutor;
+use findings::Findings;
 use front_ends::FrontEnds;
-use phases::{Findings, Run};
+use phases::Run;
 use std::rc::Rc;
 use writer::WriterThread;
 
--- a/crates/capacity-model/src/config/rows.rs
+++ b/crates/capacity-model/src/config/rows.rs
@@ -1,8 +1,8 @@
 //! The rows of a configuration run.
 
 use super::entries::Function;
+use super::findings::{Findings, READ_WINDOW_S};
 use super::meter::Spent;
-use super::phases::{Findings, READ_WINDOW_S};
 use super::{Memory, Plan};
 use crate::report::{Basis, Role, Row};
 
--- a/crates/capacity-model/src/fleet/mod.rs
+++ b/crates/capacity-model/src/fleet/mod.rs
@@ -9,17 +9,21 @@
 mod cpu;
 mod event;
 mod executor;
+mod finding;
 mod front_end;
 mod measure;
+mod plan;
 mod request;
 mod rows;
 mod scenario;
 mod simulation;
 mod topology;
 
+pub use finding::{Counts, Finding};
 pub use measure::Tally;
+pub use plan::Plan;
 pub use scenario::Scenario;
-pub use simulation::{Counts, Finding, Plan, Simulation};
+pub use simulation::Simulation;
 
 use crate::clock::resident_bytes;
 use crate::report::Row;
