--- a/crates/capacity-model/src/comparison/front_ends.rs
+++ b/crates/capacity-model/src/comparison/front_ends.rs
@@ -166,9 +166,8 @@
     pub async fn ready(&self, plan: &Plan) -> Result<usize, GatewayError> {
         let mut ready = 0;
         for gateway in &self.with_store {
-            let standing = gateway.standing().await?;
-            ready +=
-                usize::from(standing.follows(plan.executors, plan.front_ends(), plan.functions));
+            let status = gateway.status().await?;
+            ready += usize::from(status.follows(plan.executors, plan.front_ends(), plan.functions));
         }
         Ok(ready)
     }
--- a/crates/capacity-model/src/comparison/gateway.rs
+++ b/crates/capacity-model/src/comparison/gateway.rs
@@ -19,7 +19,7 @@
     "cargo build --release --locked -p orchidtally-cli"
 };
 /// A question about a front end's standing has failed without an answer by then.
-const STANDING_TIMEOUT: Duration = Duration::from_secs(2);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 /// A process that was told to end is killed after so many looks.
 const END_LOOKS: usize = 100;
 const END_LOOK_INTERVAL: Duration = Duration::from_millis(10);
@@ -39,10 +39,10 @@
     NotStarted { program: PathBuf, why: io::Error },
     #[error("a front end's process ended or did not listen; the last line of its log: {last}")]
     NotListening { last: String },
-    #[error("the standing of a front end could not be read: {0}")]
-    NoStanding(io::Error),
+    #[error("the status of a front end could not be read: {0}")]
+    NoStatus(io::Error),
     #[error(
-        "the standing of a front end is not that of this version: {0}; build both programs together: `{BUILD}`"
+        "the status of a front end is not that of this version: {0}; build both programs together: `{BUILD}`"
     )]
     OtherVersion(#[from] serde_json::Error),
 }
@@ -66,29 +66,29 @@
 
 /// What a front end says of itself, as far as it tells that it follows the store.
 #[derive(Debug, Deserialize)]
-pub struct Standing {
-    roster: Option<RosterStanding>,
-    configuration: Option<ConfigurationStanding>,
+pub struct FrontEndStatus {
+    roster: Option<RosterStatus>,
+    configuration: Option<ConfigurationStatus>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct RosterStanding {
+struct RosterStatus {
     executors: usize,
     front_ends: usize,
 }
 
 #[derive(Debug, Deserialize)]
-struct ConfigurationStanding {
+struct ConfigurationStatus {
     state: ReportedState,
     entries: usize,
     age: Option<f64>,
 }
 
-impl Standing {
+impl FrontEndStatus {
     /// Whether it knows all of these and its configuration is proven current.
     pub fn follows(&self, executors: usize, front_ends: usize, functions: usize) -> bool {
-        let Standing {
+        let FrontEndStatus {
             roster: Some(roster),
             configuration: Some(configuration),
         } = self
@@ -162,11 +162,11 @@
     }
 
     /// What it says of itself.
-    pub async fn standing(&self) -> Result<Standing, GatewayError> {
+    pub async fn status(&self) -> Result<FrontEndStatus, GatewayError> {
         let (get, path) = (http::Method::GET, "/v1/front-end");
         let asked =
-            orchidtally_socket_io::http::fetch(self.address, get, path, vec![], STANDING_TIMEOUT);
-        let (_, body) = asked.await.map_err(GatewayError::NoStanding)?;
+            orchidtally_socket_io::http::fetch(self.address, get, path, vec![], STATUS_TIMEOUT);
+        let (_, body) = asked.await.map_err(GatewayError::NoStatus)?;
         Ok(serde_json::from_slice(&body)?)
     }
 }
--- a/crates/capacity-model/src/comparison/mod.rs
+++ b/crates/capacity-model/src/comparison/mod.rs
@@ -99,7 +99,7 @@
     /// Both ways, at the store's sockets.
     pub bytes_per_s: f64,
     /// In cores.
-    pub cpu_share: f64,
+    pub cpu_cores: f64,
     pub memory_bytes: f64,
 }
 
@@ -143,7 +143,7 @@
         eprintln!(
             "comparison: {count} {name}: {:.0} bytes/s, {:.4} % of a core, {:.2} MB a front end",
             cost.bytes_per_s,
-            100.0 * cost.cpu_share,
+            100.0 * cost.cpu_cores,
             cost.memory_bytes / 1e6
         );
     }
--- a/crates/capacity-model/src/comparison/rows.rs
+++ b/crates/capacity-model/src/comparison/rows.rs
@@ -115,13 +115,13 @@
         alone_ratio_name: "hollow_alone_real_cpu_ratio",
         unit: "cores",
         limit: CONTROL_CPU,
-        hollow: found.hollow.cpu_share,
-        alone: found.alone.cpu_share,
-        real: found.real.cpu_share,
+        hollow: found.hollow.cpu_cores,
+        alone: found.alone.cpu_cores,
+        real: found.real.cpu_cores,
         note: format!(
             "by the processes' own clocks; the {:.5} cores of a process without a store are not in it; many in one process are \
              waked together",
-            found.without_store.cpu_share
+            found.without_store.cpu_cores
         ),
     }
 }
--- a/crates/capacity-model/src/comparison/run.rs
+++ b/crates/capacity-model/src/comparison/run.rs
@@ -263,26 +263,26 @@
         let resident = meter::anonymous_bytes(std::process::id())? - self.hollow.resident_before;
         let without_store = ControlCost {
             bytes_per_s: 0.0,
-            cpu_share: (after.without_store_cpu_s - before.without_store_cpu_s) / seconds,
+            cpu_cores: (after.without_store_cpu_s - before.without_store_cpu_s) / seconds,
             memory_bytes: meter::mean_anonymous_bytes(&ids(&self.real.without_store))?,
         };
         Ok(Comparison {
             hollow: ControlCost {
                 bytes_per_s: hollow_bytes_per_s(0..self.plan.hollow),
-                cpu_share: (after.hollow_cpu_s - before.hollow_cpu_s) / seconds / hollow_count,
+                cpu_cores: (after.hollow_cpu_s - before.hollow_cpu_s) / seconds / hollow_count,
                 memory_bytes: (clock::heap_bytes() - self.hollow.heap_before) / hollow_count,
             },
             alone: ControlCost {
                 bytes_per_s: hollow_bytes_per_s(self.plan.alone_numbers()),
-                cpu_share: (after.alone_cpu_s - before.alone_cpu_s) / seconds,
+                cpu_cores: (after.alone_cpu_s - before.alone_cpu_s) / seconds,
                 memory_bytes: meter::mean_anonymous_bytes(&self.alone_ids())?
                     - without_store.memory_bytes,
             },
             hollow_resident_bytes: resident / hollow_count,
             real: ControlCost {
                 bytes_per_s: bytes_per_s(&|name| is_real_client(self.plan, name), self.plan.real),
-                cpu_share: (after.real_cpu_s - before.real_cpu_s) / seconds
-                    - without_store.cpu_share,
+                cpu_cores: (after.real_cpu_s - before.real_cpu_s) / seconds
+                    - without_store.cpu_cores,
                 memory_bytes: meter::mean_anonymous_bytes(&ids(&self.real.with_store))?
                     - without_store.memory_bytes,
             },
--- a/crates/capacity-model/src/config/meter.rs
+++ b/crates/capacity-model/src/config/meter.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
     /// Of one front end, in cores.
-    pub cpu_share: f64,
+    pub cpu_cores: f64,
     /// Both ways, of one front end.
     pub bytes_per_s: f64,
     /// Of one member of the store, in cores.
-    pub store_cpu_share: f64,
+    pub store_cpu_cores: f64,
 }
 
 /// Measures what is spent from its start to its stop.
@@ -49,9 +49,9 @@
         // The measured seconds are too few for a list to fall into them.
         let lists_per_s = run.front_ends.mean_list_bytes() / LIST_INTERVAL_S;
         Ok(Spent {
-            cpu_share: cpu_s / seconds / count,
+            cpu_cores: cpu_s / seconds / count,
             bytes_per_s: both_ways as f64 / seconds / count + lists_per_s,
-            store_cpu_share: (store.cpu_s - self.store.cpu_s) / seconds / members,
+            store_cpu_cores: (store.cpu_s - self.store.cpu_s) / seconds / members,
         })
     }
 }
--- a/crates/capacity-model/src/config/mod.rs
+++ b/crates/capacity-model/src/config/mod.rs
@@ -55,15 +55,15 @@
         count: plan.executors,
     })?;
     store.run(&Command::PutConfiguration {
-        functions: plan.functions_held,
+        functions: plan.functions_loaded,
     })?;
     let by_region = store.addresses()?;
     let tasks = Rc::new(LocalExecutor::new());
     let work = async {
-        let snapshot = read_snapshot(&by_region[0], &tasks, plan.start_patience_s).await?;
+        let snapshot = read_snapshot(&by_region[0], &tasks, plan.start_timeout_s).await?;
         eprintln!(
             "config: {} front ends start with {} functions",
-            plan.front_ends, plan.functions_held
+            plan.front_ends, plan.functions_loaded
         );
         let heap = clock::heap_bytes();
         let front_ends = FrontEnds::start(
@@ -74,11 +74,12 @@
             &tasks,
         )
         .await?;
-        front_ends.until_ready(plan.start_patience_s).await?;
+        front_ends.until_ready(plan.start_timeout_s).await?;
         let each = (clock::heap_bytes() - heap) / plan.front_ends as f64;
-        let held = memory.configuration_bytes * plan.functions_held as f64 / plan.functions as f64;
+        let held =
+            memory.configuration_bytes * plan.functions_loaded as f64 / plan.functions as f64;
         memory.control_bytes = (each - held).max(0.0);
-        let writer = WriterThread::start(by_region[0].clone(), plan.patience_s);
+        let writer = WriterThread::start(by_region[0].clone(), plan.timeout_s);
         let mut run = Run::new(plan, &mut store, front_ends, writer);
         let played = run.play(findings).await;
         memory.false_claims = false_claims(&run.front_ends);
@@ -96,7 +97,7 @@
     let endpoints = store.addresses()?.swap_remove(0);
     let tasks = Rc::new(LocalExecutor::new());
     let work = async {
-        let snapshot = read_snapshot(&endpoints, &tasks, plan.start_patience_s).await?;
+        let snapshot = read_snapshot(&endpoints, &tasks, plan.start_timeout_s).await?;
         let heap = clock::heap_bytes();
         let front_end = FrontEnds::configuration_only(&endpoints, snapshot, &tasks)?;
         let bytes = clock::heap_bytes() - heap;
--- a/crates/capacity-model/src/config/phases.rs
+++ b/crates/capacity-model/src/config/phases.rs
@@ -63,7 +63,7 @@
         findings.burst_bytes_per_s = sampler.busiest(self.plan.burst_window_s).await;
         let after_burst = self
             .front_ends
-            .read_snapshot(self.plan.start_patience_s)
+            .read_snapshot(self.plan.start_timeout_s)
             .await?;
         let before_burst = std::mem::replace(&mut self.front_ends.snapshot, after_burst);
         findings.member_failure_in_force_s = self.lose_members().await?;
@@ -160,7 +160,7 @@
 
     fn next_changes_from(&mut self, first: usize, count: usize) -> Vec<EntryChange> {
         self.version += 1;
-        let (version, functions) = (self.version, self.plan.functions_held);
+        let (version, functions) = (self.version, self.plan.functions_loaded);
         self.next_function = (first + count) % functions;
         entries::changes(
             (first..first + count.min(functions)).map(|n| n % functions),
@@ -205,7 +205,7 @@
     /// Waits for all changes at all front ends; the slowest front end's time from before the write.
     async fn slowest(&self) -> Option<f64> {
         self.front_ends
-            .until_in_force(self.plan.patience_s, |_| true)
+            .until_in_force(self.plan.timeout_s, |_| true)
             .await?;
         Some(self.front_ends.tracker.borrow_mut().take_slowest())
     }
--- a/crates/capacity-model/src/config/phases/faults.rs
+++ b/crates/capacity-model/src/config/phases/faults.rs
@@ -48,7 +48,7 @@
         if self.slowest().await.is_none() {
             return Ok(());
         }
-        self.next_function = (number + 1) % self.plan.functions_held;
+        self.next_function = (number + 1) % self.plan.functions_loaded;
         self.store.run(&Command::CutRegion { region: CUT_REGION })?;
         let revoked = Function {
             allowed: false,
@@ -96,7 +96,7 @@
         let began = Instant::now();
         let from = self
             .next_function
-            .min(self.plan.functions_held.saturating_sub(CHANGES_AWAY));
+            .min(self.plan.functions_loaded.saturating_sub(CHANGES_AWAY));
         let changes = self.next_changes_from(from, CHANGES_AWAY);
         let version = self.version;
         let count = changes.len();
@@ -173,7 +173,7 @@
             if waited.is_some() {
                 return (Some(took), peak);
             }
-            if took > self.plan.patience_s {
+            if took > self.plan.timeout_s {
                 return (None, peak);
             }
         }
--- a/crates/capacity-model/src/config/plan.rs
+++ b/crates/capacity-model/src/config/plan.rs
@@ -17,7 +17,7 @@
     /// Functions of the design; the memory of one front end is measured with all of them.
     pub functions: usize,
     /// Functions that the front ends of the run hold: as many as fit into memory.
-    pub functions_held: usize,
+    pub functions_loaded: usize,
     /// Seconds without a change, in which the cost of rest is measured.
     pub idle_s: f64,
     /// Seconds of single changes.
@@ -35,9 +35,9 @@
     /// Front ends that start anew at once.
     pub returning: usize,
     /// How long a part waits for its changes, in seconds; then they count as not in force.
-    pub patience_s: f64,
+    pub timeout_s: f64,
     /// How long front ends may take to start, in seconds.
-    pub start_patience_s: f64,
+    pub start_timeout_s: f64,
     pub injection: Option<Injection>,
     pub seed: u64,
 }
@@ -45,12 +45,12 @@
 impl Plan {
     pub fn new(size: &Size, seed: u64, injection: Option<Injection>, short: bool) -> Plan {
         let fitting = (MEMORY_BUDGET / BYTES_PER_ENTRY / size.front_ends as f64) as usize;
-        let functions_held = size.functions.min(fitting.max(1));
+        let functions_loaded = size.functions.min(fitting.max(1));
         let full = Plan {
             front_ends: size.front_ends,
             executors: size.executors,
             functions: size.functions,
-            functions_held,
+            functions_loaded,
             idle_s: 12.0,
             daily_s: 20.0,
             daily_rate: 1.0,
@@ -59,8 +59,8 @@
             burst_window_s: 18.0,
             cut_s: 30.0,
             returning: RETURNING.min(size.front_ends),
-            patience_s: 45.0,
-            start_patience_s: 60.0,
+            timeout_s: 45.0,
+            start_timeout_s: 60.0,
             injection,
             seed,
         };
@@ -76,7 +76,7 @@
             burst_window_s: 2.0,
             cut_s: 2.0,
             returning: (size.front_ends / 3).max(1),
-            patience_s: if injection.is_some() { 6.0 } else { 18.0 },
+            timeout_s: if injection.is_some() { 6.0 } else { 18.0 },
             ..full
         }
     }
--- a/crates/capacity-model/src/config/received.rs
+++ b/crates/capacity-model/src/config/received.rs
@@ -57,7 +57,7 @@
     /// Takes samples of some front ends, none of which may be replaced meanwhile.
     pub fn start(front_ends: Vec<Rc<Configuration>>, tasks: &LocalExecutor<'static>) -> Sampler {
         let samples: Rc<RefCell<ReceivedSamples>> = Rc::default();
-        let taken = samples.clone();
+        let recorded = samples.clone();
         let began = Instant::now();
         let task = tasks.spawn(async move {
             loop {
@@ -65,7 +65,7 @@
                     .iter()
                     .map(|front_end| front_end.bytes().received)
                     .collect();
-                taken
+                recorded
                     .borrow_mut()
                     .add(began.elapsed().as_secs_f64(), received);
                 Timer::after(SAMPLE_INTERVAL).await;
--- a/crates/capacity-model/src/config/rows.rs
+++ b/crates/capacity-model/src/config/rows.rs
@@ -54,7 +54,7 @@
          changes {}, {} changes written within {:.2} s {}, two of five members stopped in the middle of a change {}, at \
          reachable front ends while a region is cut off for {} s {}{missing}",
         plan.front_ends,
-        plan.functions_held,
+        plan.functions_loaded,
         (plan.daily_s * plan.daily_rate).ceil(),
         seconds(findings.daily_in_force_s),
         plan.burst,
@@ -79,12 +79,12 @@
         plan.burst,
         super::entries::settings().read_bytes_per_second,
     );
-    let whole_bytes = (plan.functions_held * Function::version(0).document().len()) as f64;
+    let whole_bytes = (plan.functions_loaded * Function::version(0).document().len()) as f64;
     let whole = findings.store_heap_bytes > 0.0;
     let claims_note = "front ends that report a revision whose change their calls don't see";
     let reads_note = format!(
         "the most that any front end received in one catch-up, over the documents of all {} functions: a whole read is 1",
-        plan.functions_held
+        plan.functions_loaded
     );
     vec![
         filled(
@@ -150,7 +150,7 @@
 
 fn control(plan: &Plan, findings: &Findings, memory: &Memory) -> Vec<Row> {
     let Spent {
-        cpu_share,
+        cpu_cores,
         bytes_per_s,
         ..
     } = findings.daily;
@@ -160,7 +160,7 @@
          rate; at rest {:.5} cores and {:.0} bytes/s",
         plan.front_ends,
         rate * 86_400.0 / 1_700.0,
-        findings.idle.cpu_share,
+        findings.idle.cpu_cores,
         findings.idle.bytes_per_s,
     );
     let memory_note = format!(
@@ -188,7 +188,7 @@
                 CONTROL_CPU,
                 &note,
             ),
-            positive(cpu_share),
+            positive(cpu_cores),
         ),
         filled(
             Row::at_most(
@@ -241,7 +241,7 @@
     );
     let memory_note = format!(
         "heap of the stand-in's process at the end: {} functions, {} front ends and {} executors, one copy",
-        plan.functions_held, plan.front_ends, plan.executors
+        plan.functions_loaded, plan.front_ends, plan.executors
     );
     let positive = |figure: f64| (figure > 0.0).then_some(figure);
     vec![
@@ -253,7 +253,7 @@
                 STORE_CPU,
                 &note,
             ),
-            positive(findings.daily.store_cpu_share),
+            positive(findings.daily.store_cpu_cores),
         ),
         filled(
             Row::at_most(
--- a/crates/capacity-model/src/config/writer.rs
+++ b/crates/capacity-model/src/config/writer.rs
@@ -29,7 +29,7 @@
     #[error("the change can't be planned: {0}")]
     Unplanned(#[from] WriteError),
     #[error("the store did not take the change within {seconds} s; the last try: {last}")]
-    NotTaken { seconds: f64, last: String },
+    NotWritten { seconds: f64, last: String },
     #[error("the writer's thread has ended; see its messages above")]
     NoWriter,
 }
@@ -57,13 +57,13 @@
 
 impl WriterThread {
     /// Writes through these members; a write is given up after so many seconds.
-    pub fn start(endpoints: Vec<SocketAddr>, patience: f64) -> WriterThread {
-        let (jobs, taken) = async_channel::bounded::<Job>(MAX_JOBS);
+    pub fn start(endpoints: Vec<SocketAddr>, timeout_s: f64) -> WriterThread {
+        let (jobs, received) = async_channel::bounded::<Job>(MAX_JOBS);
         std::thread::spawn(move || {
             let tasks = Rc::new(LocalExecutor::new());
-            let writer = ChangeWriter::new(Client::new(endpoints, tasks.clone()), patience);
+            let writer = ChangeWriter::new(Client::new(endpoints, tasks.clone()), timeout_s);
             let work = async {
-                while let Ok(job) = taken.recv().await {
+                while let Ok(job) = received.recv().await {
                     // The run may have given up waiting.
                     let _ = job.answer.send(writer.write(&job.changes).await).await;
                 }
@@ -105,17 +105,17 @@
     keyspace: Keyspace,
     max_value_bytes: usize,
     /// A write is given up after this time, in seconds.
-    patience: f64,
+    timeout_s: f64,
 }
 
 impl ChangeWriter {
-    fn new(client: Client, patience: f64) -> ChangeWriter {
+    fn new(client: Client, timeout_s: f64) -> ChangeWriter {
         let max_value_bytes = entries::settings().max_value_bytes;
         ChangeWriter {
             client,
             keyspace: entries::keyspace(),
             max_value_bytes,
-            patience,
+            timeout_s,
         }
     }
 
@@ -123,7 +123,7 @@
     async fn write(&self, changes: &[EntryChange]) -> Result<Written, ChangeError> {
         let mut last = String::new();
         let began = Instant::now();
-        while began.elapsed().as_secs_f64() < self.patience {
+        while began.elapsed().as_secs_f64() < self.timeout_s {
             match self.try_write(changes).await {
                 Ok(Ok(Some(revision))) => {
                     return Ok(Written {
@@ -141,8 +141,8 @@
                 }
             }
         }
-        Err(ChangeError::NotTaken {
-            seconds: self.patience,
+        Err(ChangeError::NotWritten {
+            seconds: self.timeout_s,
             last,
         })
     }
--- a/crates/capacity-model/src/fleet/assumptions.rs
+++ b/crates/capacity-model/src/fleet/assumptions.rs
@@ -48,11 +48,11 @@
 pub const EXECUTOR_LEASE: f64 = 10.0;
 /// Executors that vanish by more than this part of the roster are kept for the time below, as in
 /// `orchidtally_membership::cache`.
-pub const MANY_VANISHED: f64 = 0.25;
-pub const VANISHED_HELD: f64 = 10.0;
+pub const MASS_EXPIRY_FRACTION: f64 = 0.25;
+pub const MASS_EXPIRY_RETENTION: f64 = 10.0;
 /// A front end that lost the store, or has just come back to it, has no part of the strictly shared budgets for this
 /// long: `orchidtally_membership::members::MAX_VIEW_DELAY`.
-pub const SHARE_PAUSE: f64 = 3.0;
+pub const BUDGET_SHARE_DELAY: f64 = 3.0;
 /// A restarted machine serves again after this time.
 pub const RESTART_TIME: f64 = 2.0;
 /// Machines that are restarted on a day; the run has them within its length, thousands of times denser.
--- a/crates/capacity-model/src/fleet/executor.rs
+++ b/crates/capacity-model/src/fleet/executor.rs
@@ -52,7 +52,7 @@
 pub struct Executor {
     pub state: State,
     /// Counts restarts.
-    pub life: u8,
+    pub incarnation: u8,
     /// When it started; minus infinity for long ago.
     pub since: f64,
     pub running: Vec<u32>,
@@ -67,7 +67,7 @@
     pub fn new() -> Executor {
         Executor {
             state: State::Up,
-            life: 0,
+            incarnation: 0,
             since: f64::NEG_INFINITY,
             running: vec![],
             waiting: VecDeque::new(),
@@ -93,7 +93,7 @@
     }
 
     /// Whether a further call would begin at once.
-    pub fn has_room(&self, capacity: &Capacity) -> bool {
+    pub fn has_capacity(&self, capacity: &Capacity) -> bool {
         self.state == State::Up && self.running.len() < capacity.lanes && self.waiting.is_empty()
     }
 
--- a/crates/capacity-model/src/fleet/front_end.rs
+++ b/crates/capacity-model/src/fleet/front_end.rs
@@ -20,12 +20,12 @@
 #[derive(Clone, Copy)]
 pub struct Connection {
     used_at: f32,
-    executor_life: u8,
+    executor_incarnation: u8,
 }
 
 const NO_CONNECTION: Connection = Connection {
     used_at: f32::NEG_INFINITY,
-    executor_life: 0,
+    executor_incarnation: 0,
 };
 
 /// A call without a final answer.
@@ -39,11 +39,11 @@
 /// What the host of one engine keeps.
 pub struct HostState {
     pub number: u16,
-    pub life: u8,
+    pub incarnation: u8,
     pub is_up: bool,
     pub place: Place,
     /// The call that the engine is about to take.
-    pub taking: OpenCall,
+    pub admitting: OpenCall,
     pub open: HashMap<u32, OpenCall>,
     /// Requests of dispatches that are out, by invocation and dispatch.
     pub sent: HashMap<(u32, u8), u32>,
@@ -53,13 +53,13 @@
 }
 
 impl HostState {
-    pub fn new(number: u16, life: u8, place: Place, executors: usize) -> HostState {
+    pub fn new(number: u16, incarnation: u8, place: Place, executors: usize) -> HostState {
         HostState {
             number,
-            life,
+            incarnation,
             is_up: true,
             place,
-            taking: OpenCall {
+            admitting: OpenCall {
                 call: 0,
                 function: 0,
                 came: 0.0,
@@ -85,7 +85,7 @@
     pub topology: Topology,
     pub ledger: Ledger,
     /// The lives of the executors, counted by restarts.
-    pub executor_lives: Vec<u8>,
+    pub executor_incarnations: Vec<u8>,
     pub fault: Option<Fault>,
     pub faults: u64,
 }
@@ -117,21 +117,21 @@
         let connection = &mut self.state.connections[executor];
         let is_connected = f64::from(connection.used_at) + CONNECTION_IDLE > now;
         if !is_connected {
-            connection.executor_life = self.shared.executor_lives[executor];
+            connection.executor_incarnation = self.shared.executor_incarnations[executor];
         }
         connection.used_at = now as f32;
         let request = Request {
             purpose,
             function,
             front_end: self.state.number,
-            front_end_life: self.state.life,
+            front_end_incarnation: self.state.incarnation,
             executor: executor as u16,
-            executor_life: connection.executor_life,
+            executor_incarnation: connection.executor_incarnation,
             is_connected,
             cancelled_at: f64::INFINITY,
             ending: DispatchStatus::Ok,
             found: CopyState::Unknown,
-            crowd: 0,
+            function_concurrency: 0,
             report: [0.0; 2],
         };
         let key = self.shared.requests.insert(request) as u32;
@@ -162,7 +162,7 @@
 
 impl Host for HollowHost<'_> {
     fn admitted(&mut self, invocation: u32) {
-        self.state.open.insert(invocation, self.state.taking);
+        self.state.open.insert(invocation, self.state.admitting);
     }
 
     fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, _within: f64) {
@@ -204,8 +204,8 @@
             return;
         };
         // The request may have been lost, and its key be another's by now.
-        let same =
-            (request.front_end, request.front_end_life) == (self.state.number, self.state.life);
+        let same = (request.front_end, request.front_end_incarnation)
+            == (self.state.number, self.state.incarnation);
         if same && (of, number) == (invocation, dispatch) {
             let place = self.shared.topology.executors[usize::from(request.executor)];
             request.cancelled_at = self.shared.now + self.state.place.delay(place);
@@ -216,7 +216,7 @@
         self.answer(invocation, FinalAnswer::Succeeded);
     }
 
-    fn rejected(&mut self, invocation: u32, _retry_after: f64, _past_share: bool) {
+    fn rejected(&mut self, invocation: u32, _retry_after: f64, _over_quota: bool) {
         self.answer(invocation, FinalAnswer::Throttled);
     }
 
--- a/crates/capacity-model/src/fleet/measure.rs
+++ b/crates/capacity-model/src/fleet/measure.rs
@@ -26,7 +26,7 @@
 /// Calls and their final answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    pub offered: u64,
+    pub arrived: u64,
     pub succeeded: u64,
     /// Succeeded within the latency objective.
     pub in_time: u64,
@@ -55,9 +55,9 @@
         self.succeeded + self.throttled + self.errored + self.refused + self.front_end_lost
     }
 
-    /// A part of the calls offered; not a number where there were none.
+    /// A part of the calls that arrived; not a number where there were none.
     pub fn share(&self, part: u64) -> f64 {
-        part as f64 / self.offered as f64
+        part as f64 / self.arrived as f64
     }
 }
 
@@ -143,8 +143,8 @@
     pub cold_starts: Vec<f64>,
     pub dispatches: u64,
     pub crossing: u64,
-    /// Requests that executors turned away as 'full', with and without memory for the copy.
-    pub turned_away: u64,
+    /// Requests that executors rejected as 'full', with and without memory for the copy.
+    pub rejected: u64,
     pub loads: u64,
     pub loads_beyond_need: u64,
     pub call_herd_count: u64,
@@ -179,7 +179,7 @@
             cold_starts: vec![],
             dispatches: 0,
             crossing: 0,
-            turned_away: 0,
+            rejected: 0,
             loads: 0,
             loads_beyond_need: 0,
             call_herd_count: 0,
@@ -214,10 +214,10 @@
             .filter_map(|(counts, tally)| counts.then_some(tally))
     }
 
-    /// A call has come; tells its number.
-    pub fn offered(&mut self, came: f64, region: u8) -> u32 {
+    /// Counts a call that has arrived, and returns its number.
+    pub fn record_arrival(&mut self, came: f64, region: u8) -> u32 {
         self.tallies(came, region)
-            .for_each(|tally| tally.offered += 1);
+            .for_each(|tally| tally.arrived += 1);
         self.begun.push(0);
         self.begun.len() as u32 - 1
     }
@@ -250,8 +250,8 @@
         }
     }
 
-    pub fn turned_away(&mut self, now: f64) {
-        self.turned_away += u64::from(self.is_measured(now));
+    pub fn record_rejection(&mut self, now: f64) {
+        self.rejected += u64::from(self.is_measured(now));
     }
 
     /// A request reaches an executor that takes it.
--- a/crates/capacity-model/src/fleet/mod.rs
+++ b/crates/capacity-model/src/fleet/mod.rs
@@ -104,7 +104,7 @@
         size: size.clone(),
         scenario,
         policy,
-        regions_told: true,
+        regions_known: true,
         warm_up_thinned: warm_up * WARM_UP_THINNED / WARM_UP,
         warm_up,
         seconds: seconds * scenario.length(),
--- a/crates/capacity-model/src/fleet/plan.rs
+++ b/crates/capacity-model/src/fleet/plan.rs
@@ -17,7 +17,7 @@
     pub scenario: Scenario,
     pub policy: Policy,
     /// Whether the front ends are told which zones form a region.
-    pub regions_told: bool,
+    pub regions_known: bool,
     /// Simulated seconds before the measurement: with popular functions thinned, and in all.
     pub warm_up_thinned: f64,
     pub warm_up: f64,
--- a/crates/capacity-model/src/fleet/request.rs
+++ b/crates/capacity-model/src/fleet/request.rs
@@ -24,10 +24,10 @@
     pub purpose: Purpose,
     pub function: u32,
     pub front_end: u16,
-    pub front_end_life: u8,
+    pub front_end_incarnation: u8,
     pub executor: u16,
     /// The life of the executor that the connection was made to; from its arrival on, the one that has it.
-    pub executor_life: u8,
+    pub executor_incarnation: u8,
     /// It goes over a connection that was there already.
     pub is_connected: bool,
     /// The executor drops it from then on, unless it has begun.
@@ -35,7 +35,7 @@
     pub ending: DispatchStatus,
     pub found: CopyState,
     /// Calls of the same function at the executor when it came.
-    pub crowd: u32,
+    pub function_concurrency: u32,
     /// Calls that wait, and loads under way or waiting.
     pub report: [f32; 2],
 }
--- a/crates/capacity-model/src/fleet/scenario.rs
+++ b/crates/capacity-model/src/fleet/scenario.rs
@@ -121,9 +121,9 @@
     Cut(u8),
     Healed,
     /// The store tells of executors; who is cut off from it is not told.
-    Tells(Vec<usize>, Listed),
+    EndpointUpdate(Vec<usize>, Listed),
     /// The front ends of a region have, or have not, a part of what is strictly shared.
-    Shares(u8, bool),
+    BudgetShare(u8, bool),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -161,7 +161,7 @@
     if expires_at < outage.end {
         steps.push(Step {
             at: expires_at,
-            change: Change::Tells(executors.clone(), Listed::Gone),
+            change: Change::EndpointUpdate(executors.clone(), Listed::Gone),
         });
     }
     if outage.end.is_finite() {
@@ -171,7 +171,7 @@
         });
         steps.push(Step {
             at: outage.end,
-            change: Change::Tells(executors, Listed::Ready),
+            change: Change::EndpointUpdate(executors, Listed::Ready),
         });
     }
     steps
@@ -181,8 +181,8 @@
     let of_region = |x: &usize| topology.executors[*x].region == CUT_REGION;
     let executors: Vec<usize> = (0..topology.executors.len()).filter(of_region).collect();
     let part = executors.len() as f64 / topology.executors.len() as f64;
-    let held = if part > MANY_VANISHED {
-        VANISHED_HELD
+    let held = if part > MASS_EXPIRY_FRACTION {
+        MASS_EXPIRY_RETENTION
     } else {
         0.0
     };
@@ -193,26 +193,26 @@
             change: Change::Cut(CUT_REGION),
         },
         Step {
-            at: outage.start + SHARE_PAUSE,
-            change: Change::Shares(CUT_REGION, false),
+            at: outage.start + BUDGET_SHARE_DELAY,
+            change: Change::BudgetShare(CUT_REGION, false),
         },
         Step {
             at: outage.end,
             change: Change::Healed,
         },
         Step {
-            at: outage.end + SHARE_PAUSE,
-            change: Change::Shares(CUT_REGION, true),
+            at: outage.end + BUDGET_SHARE_DELAY,
+            change: Change::BudgetShare(CUT_REGION, true),
         },
     ];
     if gone_at < outage.end {
         steps.push(Step {
             at: gone_at,
-            change: Change::Tells(executors.clone(), Listed::Gone),
+            change: Change::EndpointUpdate(executors.clone(), Listed::Gone),
         });
         steps.push(Step {
             at: outage.end,
-            change: Change::Tells(executors, Listed::Ready),
+            change: Change::EndpointUpdate(executors, Listed::Ready),
         });
     }
     steps
@@ -245,7 +245,7 @@
         if !executors.is_empty() {
             steps.push(Step {
                 at: back_at,
-                change: Change::Tells(executors, Listed::Ready),
+                change: Change::EndpointUpdate(executors, Listed::Ready),
             });
         }
     }
--- a/crates/capacity-model/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -27,17 +27,18 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What the store tells one front end.
+/// A message of the store to one front end.
 struct Notice {
     front_end: usize,
-    life: u8,
-    told: Told,
+    incarnation: u8,
+    content: NoticeContent,
 }
 
-enum Told {
-    Rows(Rc<[Endpoint]>),
-    /// It has its part of what is strictly shared.
-    Share,
+enum NoticeContent {
+    /// Changed entries of the endpoint list.
+    Endpoints(Rc<[Endpoint]>),
+    /// The front end has its share of the budgets again.
+    BudgetShare,
 }
 
 pub struct Simulation {
@@ -81,7 +82,7 @@
             requests: Slab::new(),
             topology,
             ledger,
-            executor_lives: vec![0; size.executors],
+            executor_incarnations: vec![0; size.executors],
             fault: plan.fault,
             faults: 0,
         };
@@ -110,18 +111,17 @@
     }
 
     /// A front end that has just started and knows nothing.
-    fn front_end(&mut self, number: usize, life: u8) -> FrontEnd {
+    fn front_end(&mut self, number: usize, incarnation: u8) -> FrontEnd {
         let place = self.shared.topology.front_ends[number];
-        let told = self.plan.regions_told;
-        let regions = if told {
+        let regions = if self.plan.regions_known {
             self.shared.topology.regions.clone()
         } else {
             vec![]
         };
         let policy = policy(self.plan.size.front_ends, number, place, regions);
-        let seed =
-            self.plan.seed.wrapping_mul(1_000_003) + (number * 256 + usize::from(life)) as u64;
-        let mut state = HostState::new(number as u16, life, place, self.plan.size.executors);
+        let seed = self.plan.seed.wrapping_mul(1_000_003)
+            + (number * 256 + usize::from(incarnation)) as u64;
+        let mut state = HostState::new(number as u16, incarnation, place, self.plan.size.executors);
         let now = self.shared.now;
         let engine = match self.plan.policy {
             Policy::Dispatcher => {
@@ -234,13 +234,13 @@
         } = *arrival;
         let state = &mut self.front_ends[front_end].state;
         let region = state.place.region;
-        let call = self.shared.ledger.offered(came, region);
-        state.taking = OpenCall {
+        let call = self.shared.ledger.record_arrival(came, region);
+        state.admitting = OpenCall {
             call,
             function,
             came,
         };
-        let offer = InvocationRequest {
+        let request = InvocationRequest {
             trigger_type: if is_idempotent(function) {
                 IDEMPOTENT
             } else {
@@ -255,11 +255,11 @@
             concurrency: FUNCTION_LANES,
             load_time: Some(LOAD_TIME),
         };
-        let taken = self.play(front_end, |engine, now, host| {
-            engine.admit(now, &offer, host)
+        let admission = self.play(front_end, |engine, now, host| {
+            engine.admit(now, &request, host)
         });
         self.cpu.calls += 1;
-        if taken.is_err() {
+        if admission.is_err() {
             self.shared
                 .ledger
                 .answered(came, came, region, FinalAnswer::Refused);
@@ -295,7 +295,7 @@
             ..
         } = request;
         let state = &mut self.front_ends[usize::from(front_end)].state;
-        if !state.is_up || state.life != request.front_end_life {
+        if !state.is_up || state.incarnation != request.front_end_incarnation {
             return;
         }
         if matches!(
@@ -316,12 +316,12 @@
                 }
                 let report = request.report;
                 self.play(usize::from(front_end), |engine, now, host| {
-                    let told = orchidtally_engine::ResponseMetadata {
+                    let metadata = orchidtally_engine::ResponseMetadata {
                         copy_state: request.found,
-                        function_concurrency: request.crowd,
+                        function_concurrency: request.function_concurrency,
                         load_report: &report,
                     };
-                    engine.on_dispatch_result(now, invocation, dispatch, ending, told, host);
+                    engine.on_dispatch_result(now, invocation, dispatch, ending, metadata, host);
                 });
             }
             Purpose::Order => {
--- a/crates/capacity-model/src/fleet/simulation/changes.rs
+++ b/crates/capacity-model/src/fleet/simulation/changes.rs
@@ -11,8 +11,12 @@
             Change::Up(machines) => machines.iter().for_each(|&machine| self.comes_up(machine)),
             Change::Cut(region) => self.cut = Some(*region),
             Change::Healed => self.cut = None,
-            Change::Tells(executors, listed) => self.tells(executors, *listed),
-            Change::Shares(region, shares) => self.shares(*region, *shares),
+            Change::EndpointUpdate(executors, listed) => {
+                self.send_endpoint_update(executors, *listed)
+            }
+            Change::BudgetShare(region, has_share) => {
+                self.set_region_budget_share(*region, *has_share)
+            }
         }
     }
 
@@ -49,23 +53,23 @@
     }
 
     fn front_end_up(&mut self, number: usize) {
-        let life = self.front_ends[number].state.life + 1;
-        self.front_ends[number] = self.front_end(number, life);
+        let incarnation = self.front_ends[number].state.incarnation + 1;
+        self.front_ends[number] = self.front_end(number, incarnation);
         self.list_all(number);
-        self.set_share(number, false);
-        // A share of its own comes once all others must have seen it.
+        self.set_budget_share(number, false);
+        // It gets its share once all the other front ends must have noticed it.
         let notice = Notice {
             front_end: number,
-            life,
-            told: Told::Share,
+            incarnation,
+            content: NoticeContent::BudgetShare,
         };
         let key = self.notices.insert(notice) as u32;
         self.shared
             .queue
-            .push(self.shared.now + SHARE_PAUSE, Event::Notice(key));
+            .push(self.shared.now + BUDGET_SHARE_DELAY, Event::Notice(key));
     }
 
-    /// Tells a front end the whole list as the store has it.
+    /// Sends a front end the full endpoint list as the store has it.
     pub(super) fn list_all(&mut self, front_end: usize) {
         let rows: Vec<Endpoint> = (0..self.executors.len())
             .map(|x| self.row(x, EndpointState::Ready))
@@ -75,10 +79,10 @@
         });
     }
 
-    fn row(&self, executor: usize, standing: EndpointState) -> Endpoint {
+    fn row(&self, executor: usize, state: EndpointState) -> Endpoint {
         self.shared
             .topology
-            .row(executor, standing, self.executors[executor].since)
+            .row(executor, state, self.executors[executor].since)
     }
 
     fn executor_down(&mut self, number: usize, down: Down) {
@@ -88,8 +92,8 @@
             Down::Silent => State::Silent,
         };
         let lost = executor.clear();
-        executor.life += 1;
-        self.shared.executor_lives[number] = executor.life;
+        executor.incarnation += 1;
+        self.shared.executor_incarnations[number] = executor.incarnation;
         self.executors_up -= 1;
         self.in_hand[number].set(0);
         for function in lost.copies {
@@ -113,23 +117,23 @@
     }
 
     /// Sends a change of executors to the front ends that are up and have the store, each at its own time.
-    fn tells(&mut self, executors: &[usize], listed: Listed) {
-        let standing = match listed {
+    fn send_endpoint_update(&mut self, executors: &[usize], listed: Listed) {
+        let state = match listed {
             Listed::Ready => EndpointState::Ready,
             Listed::Gone => EndpointState::Gone,
         };
-        let rows: Rc<[Endpoint]> = executors.iter().map(|&x| self.row(x, standing)).collect();
+        let rows: Rc<[Endpoint]> = executors.iter().map(|&x| self.row(x, state)).collect();
         for front_end in 0..self.front_ends.len() {
             let state = &self.front_ends[front_end].state;
             if !state.is_up || self.cut == Some(state.place.region) {
                 continue;
             }
-            let life = state.life;
+            let incarnation = state.incarnation;
             let delay = ROSTER_DELAY * self.random.random::<f64>();
             let key = self.notices.insert(Notice {
                 front_end,
-                life,
-                told: Told::Rows(rows.clone()),
+                incarnation,
+                content: NoticeContent::Endpoints(rows.clone()),
             }) as u32;
             self.shared
                 .queue
@@ -140,39 +144,39 @@
     pub(super) fn notice(&mut self, key: u32) {
         let Notice {
             front_end,
-            life,
-            told,
+            incarnation,
+            content,
         } = self.notices.remove(key as usize);
         let state = &self.front_ends[front_end].state;
-        if !state.is_up || state.life != life {
+        if !state.is_up || state.incarnation != incarnation {
             return;
         }
-        match told {
-            Told::Share => self.set_share(front_end, true),
-            Told::Rows(rows) => self.play(front_end, |engine, now, host| {
+        match content {
+            NoticeContent::BudgetShare => self.set_budget_share(front_end, true),
+            NoticeContent::Endpoints(rows) => self.play(front_end, |engine, now, host| {
                 engine.on_endpoint_update(now, EndpointUpdateKind::Delta, &rows, host);
             }),
         }
     }
 
-    fn shares(&mut self, region: u8, shares: bool) {
+    fn set_region_budget_share(&mut self, region: u8, has_share: bool) {
         for front_end in 0..self.front_ends.len() {
             let state = &self.front_ends[front_end].state;
             if state.is_up && state.place.region == region {
-                self.set_share(front_end, shares);
+                self.set_budget_share(front_end, has_share);
             }
         }
     }
 
-    /// Tells a front end whether it has a part of what all strictly share. The count stays as it is: indices of
-    /// front ends that are away leave holes, and slots go by the greatest.
-    fn set_share(&mut self, front_end: usize, shares: bool) {
+    /// Tells a front end whether it has a share of the budgets that all front ends divide. The count of front ends does
+    /// not change: front ends that are down keep their indices, and time slots are counted by the highest index.
+    fn set_budget_share(&mut self, front_end: usize, has_share: bool) {
         let front_ends = self.plan.size.front_ends;
         let view = MembershipView {
             front_ends: front_ends as f64,
             slot_count: front_ends.next_power_of_two() as f64,
             front_end_index: front_end as f64,
-            has_budget_share: shares,
+            has_budget_share: has_share,
         };
         self.play(front_end, |engine, now, host| {
             engine.on_membership_change(now, view, host)
--- a/crates/capacity-model/src/fleet/simulation/executor_events.rs
+++ b/crates/capacity-model/src/fleet/simulation/executor_events.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     executor: u16,
-    life: u8,
+    incarnation: u8,
     function: u32,
 }
 
@@ -29,8 +29,8 @@
         if self.executors[executor].state == State::Refusing {
             return self.answer(key, DispatchStatus::ConnectFailed);
         }
-        let life = self.executors[executor].life;
-        if request.executor_life != life {
+        let incarnation = self.executors[executor].incarnation;
+        if request.executor_incarnation != incarnation {
             // The connection led to the process before.
             let ending = if request.is_connected {
                 DispatchStatus::Reset
@@ -90,7 +90,7 @@
         let request = &mut self.shared.requests[key as usize];
         (request.ending, request.report) = (ending, report);
         if ending == DispatchStatus::Full {
-            self.shared.ledger.turned_away(self.shared.now);
+            self.shared.ledger.record_rejection(self.shared.now);
         }
         self.shared
             .queue
@@ -121,7 +121,7 @@
             return;
         };
         let request = &mut self.shared.requests[key as usize];
-        (request.found, request.crowd) = (found, copy.calls);
+        (request.found, request.function_concurrency) = (found, copy.calls);
         copy.calls += 1;
         e.waiting.push_back(key);
         self.change_in_hand(executor, 1);
@@ -153,7 +153,7 @@
         if let Some(evicted) = evicted {
             self.holders[evicted as usize].retain(|&holder| holder != executor);
         }
-        let is_beyond_need = self.has_room_elsewhere(function, front_end);
+        let is_beyond_need = self.has_capacity_elsewhere(function, front_end);
         self.shared
             .ledger
             .loads(now, function, front_end, is_beyond_need);
@@ -163,14 +163,14 @@
     }
 
     /// Whether a copy stands at an executor that the front end reaches and that would begin a call at once.
-    fn has_room_elsewhere(&self, function: u32, front_end: u16) -> bool {
-        let has_room = |&executor: &u16| {
+    fn has_capacity_elsewhere(&self, function: u32, front_end: u16) -> bool {
+        let has_capacity = |&executor: &u16| {
             let e = &self.executors[usize::from(executor)];
-            e.has_room(&self.capacity)
+            e.has_capacity(&self.capacity)
                 && e.has_loaded(function)
                 && !self.is_cut_off(front_end, executor)
         };
-        self.holders[function as usize].iter().any(has_room)
+        self.holders[function as usize].iter().any(has_capacity)
     }
 
     fn next_load(&mut self, executor: u16) {
@@ -184,7 +184,7 @@
         e.loading += 1;
         let key = self.loads.insert(Load {
             executor,
-            life: e.life,
+            incarnation: e.incarnation,
             function,
         });
         self.shared
@@ -196,7 +196,7 @@
         let load = self.loads.remove(key as usize);
         let executor = usize::from(load.executor);
         let e = &mut self.executors[executor];
-        if e.state != State::Up || e.life != load.life {
+        if e.state != State::Up || e.incarnation != load.incarnation {
             return;
         }
         e.loading -= 1;
@@ -256,7 +256,7 @@
         let request = self.shared.requests[key as usize];
         let executor = usize::from(request.executor);
         let e = &mut self.executors[executor];
-        if e.state != State::Up || e.life != request.executor_life {
+        if e.state != State::Up || e.incarnation != request.executor_incarnation {
             // It went down with its executor.
             self.shared.requests.remove(key as usize);
             return;
--- a/crates/capacity-model/src/fleet/topology.rs
+++ b/crates/capacity-model/src/fleet/topology.rs
@@ -65,13 +65,13 @@
     }
 
     /// The roster row of an executor that started at `since`.
-    pub fn row(&self, executor: usize, standing: EndpointState, since: f64) -> Endpoint {
+    pub fn row(&self, executor: usize, state: EndpointState, since: f64) -> Endpoint {
         Endpoint {
             executor: executor_id(executor),
             zone: self.executors[executor].zone,
             kind: 0,
             cell: self.racks[executor],
-            state: standing,
+            state,
             weight: 1.0,
             started_at: since,
         }
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -24,12 +24,12 @@
 struct NoCalls;
 
 impl Host for NoCalls {
-    fn admitted(&mut self, _inv: u32) {}
-    fn dispatch(&mut self, _inv: u32, _dispatch: u8, _to: ExecutorId, _within: f64) {}
-    fn cancel(&mut self, _inv: u32, _dispatch: u8) {}
-    fn succeeded(&mut self, _inv: u32, _dispatch: u8) {}
-    fn rejected(&mut self, _inv: u32, _retry_after: f64, _past_share: bool) {}
-    fn failed(&mut self, _inv: u32, _cause: FailureReason, _may_have_run: bool) {}
+    fn admitted(&mut self, _invocation: u32) {}
+    fn dispatch(&mut self, _invocation: u32, _dispatch: u8, _to: ExecutorId, _within: f64) {}
+    fn cancel(&mut self, _invocation: u32, _dispatch: u8) {}
+    fn succeeded(&mut self, _invocation: u32, _dispatch: u8) {}
+    fn rejected(&mut self, _invocation: u32, _retry_after: f64, _over_quota: bool) {}
+    fn failed(&mut self, _invocation: u32, _cause: FailureReason, _may_have_run: bool) {}
     fn load(&mut self, _to: ExecutorId, _function: u64, _copies: u8) {}
     fn query_replicas(&mut self, _to: ExecutorId, _function: u64) {}
     fn unload(&mut self, _to: ExecutorId, _function: u64) {}
@@ -42,7 +42,7 @@
     started: Instant,
     deployment: Deployment,
     etcd: EtcdSettings,
-    life: u64,
+    incarnation: u64,
     cache: RefCell<EndpointCache>,
     members: RefCell<Members>,
     engine: RefCell<Engine>,
@@ -52,8 +52,8 @@
 }
 
 /// The name by which the store knows the clients of a front end's membership and roster.
-pub fn client_name(life: u64) -> String {
-    format!("control.{life}")
+pub fn client_name(incarnation: u64) -> String {
+    format!("control.{incarnation}")
 }
 
 /// Bytes over a front end's connections to the store.
@@ -89,7 +89,7 @@
         Rc::new(ControlFrontEnd {
             started: Instant::now(),
             deployment,
-            life: seed,
+            incarnation: seed,
             cache: RefCell::new(EndpointCache::new(0.0)),
             members: RefCell::new(Members::new(front_ends as u32)),
             engine: RefCell::new(engine),
@@ -154,7 +154,7 @@
 
     fn own_entry(&self) -> OwnEntry {
         OwnEntry {
-            life: self.life,
+            life: self.incarnation,
             location: self.deployment.locations[0].clone(),
             at: Some(LISTENS_AT),
         }
--- a/crates/capacity-model/src/hollow/decisions.rs
+++ b/crates/capacity-model/src/hollow/decisions.rs
@@ -86,8 +86,15 @@
 /// What comes back to the front end, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Arrival {
-    Answered { inv: u32, dispatch: u8, warm: bool },
-    Held { to: ExecutorId, function: u64 },
+    Answered {
+        invocation: u32,
+        dispatch: u8,
+        warm: bool,
+    },
+    Loaded {
+        to: ExecutorId,
+        function: u64,
+    },
 }
 
 /// Executors as one front end meets them. A copy stands where this front end's calls or orders put it within the
@@ -98,7 +105,7 @@
     answer_time: f64,
     common_functions: u64,
     arrivals: BinaryHeap<Reverse<(u64, Arrival)>>,
-    taking: u64,
+    admitting_function: u64,
     functions: BTreeMap<u32, u64>,
     copies: BTreeMap<(ExecutorId, u64), f64>,
     finished: Finished,
@@ -139,11 +146,11 @@
 }
 
 impl Host for Executors {
-    fn admitted(&mut self, inv: u32) {
-        self.functions.insert(inv, self.taking);
+    fn admitted(&mut self, invocation: u32) {
+        self.functions.insert(invocation, self.admitting_function);
     }
-    fn dispatch(&mut self, inv: u32, dispatch: u8, to: ExecutorId, _within: f64) {
-        let Some(&function) = self.functions.get(&inv) else {
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, _within: f64) {
+        let Some(&function) = self.functions.get(&invocation) else {
             return;
         };
         let warm = self.touch(to, function);
@@ -152,30 +159,30 @@
         self.arrives(
             work + load,
             Arrival::Answered {
-                inv,
+                invocation,
                 dispatch,
                 warm,
             },
         );
     }
-    fn cancel(&mut self, _inv: u32, _dispatch: u8) {}
-    fn succeeded(&mut self, inv: u32, _dispatch: u8) {
-        self.functions.remove(&inv);
+    fn cancel(&mut self, _invocation: u32, _dispatch: u8) {}
+    fn succeeded(&mut self, invocation: u32, _dispatch: u8) {
+        self.functions.remove(&invocation);
         self.finished.succeeded += 1;
     }
-    fn rejected(&mut self, inv: u32, _retry_after: f64, _past_share: bool) {
-        self.functions.remove(&inv);
+    fn rejected(&mut self, invocation: u32, _retry_after: f64, _over_quota: bool) {
+        self.functions.remove(&invocation);
         self.finished.failed += 1;
     }
-    fn failed(&mut self, inv: u32, _cause: FailureReason, _may_have_run: bool) {
-        self.functions.remove(&inv);
+    fn failed(&mut self, invocation: u32, _cause: FailureReason, _may_have_run: bool) {
+        self.functions.remove(&invocation);
         self.finished.failed += 1;
     }
     fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         if copies > 0 {
             let warm = self.touch(to, function);
             let after = if warm { 0.001 } else { LOAD_TIME };
-            self.arrives(after, Arrival::Held { to, function });
+            self.arrives(after, Arrival::Loaded { to, function });
         }
     }
     fn query_replicas(&mut self, _to: ExecutorId, _function: u64) {}
@@ -207,7 +214,7 @@
             answer_time: traffic.answer_time,
             common_functions: popularity.called_at_least(1.0 / (fleet_calls * KEEP_ALIVE)) as u64,
             arrivals: BinaryHeap::new(),
-            taking: 0,
+            admitting_function: 0,
             functions: BTreeMap::new(),
             copies: BTreeMap::new(),
             finished: Finished::default(),
@@ -277,7 +284,7 @@
         let now = self.executors.now;
         match arrival {
             Arrival::Answered {
-                inv,
+                invocation,
                 dispatch,
                 warm,
             } => {
@@ -286,21 +293,21 @@
                 } else {
                     CopyState::ColdLoad
                 };
-                let told = ResponseMetadata {
+                let metadata = ResponseMetadata {
                     copy_state: found,
                     function_concurrency: 1,
                     load_report: &[0.5],
                 };
                 self.engine.on_dispatch_result(
                     now,
-                    inv,
+                    invocation,
                     dispatch,
                     DispatchStatus::Ok,
-                    told,
+                    metadata,
                     &mut self.executors,
                 );
             }
-            Arrival::Held { to, function } => {
+            Arrival::Loaded { to, function } => {
                 self.engine.on_load_result(
                     now,
                     to,
@@ -315,8 +322,8 @@
     fn call(&mut self, now: f64) {
         self.executors.now = now;
         let function = self.popularity.draw(&mut self.random) as u64;
-        self.executors.taking = function;
-        let offer = InvocationRequest {
+        self.executors.admitting_function = function;
+        let request = InvocationRequest {
             trigger_type: 0,
             customer: 0,
             function,
@@ -327,7 +334,7 @@
             concurrency: 4.0,
             load_time: Some(LOAD_TIME),
         };
-        match self.engine.admit(now, &offer, &mut self.executors) {
+        match self.engine.admit(now, &request, &mut self.executors) {
             Ok(_) => {}
             Err(AdmissionError::AtCapacity | AdmissionError::ShuttingDown) => {
                 self.executors.finished.failed += 1
--- a/crates/capacity-model/src/main.rs
+++ b/crates/capacity-model/src/main.rs
@@ -97,28 +97,28 @@
 }
 
 /// The size of a short run: a small one with the same calls at a front end and instances at an executor.
-fn shortened(whole: Size) -> Size {
-    let front_ends = whole.front_ends.min(SHORT_FRONT_ENDS);
-    let executors = whole.executors.min(SHORT_EXECUTORS);
+fn shortened(full: Size) -> Size {
+    let front_ends = full.front_ends.min(SHORT_FRONT_ENDS);
+    let executors = full.executors.min(SHORT_EXECUTORS);
     Size {
         front_ends,
         executors,
-        functions: whole.functions.min(SHORT_FUNCTIONS),
-        calls_per_s: whole.calls_per_front_end() * front_ends as f64,
-        instances: whole.instances * executors / whole.executors,
-        ..whole
+        functions: full.functions.min(SHORT_FUNCTIONS),
+        calls_per_s: full.calls_per_front_end() * front_ends as f64,
+        instances: full.instances * executors / full.executors,
+        ..full
     }
 }
 
 impl Arguments {
     fn size(&self) -> Size {
-        let whole = Size {
+        let full = Size {
             front_ends: self.front_ends as usize,
             executors: self.executors as usize,
             functions: self.functions as usize,
             ..Size::default()
         };
-        if self.short { shortened(whole) } else { whole }
+        if self.short { shortened(full) } else { full }
     }
 
     /// The arguments of a part of this run.
--- a/crates/capacity-model/src/report.rs
+++ b/crates/capacity-model/src/report.rs
@@ -55,7 +55,9 @@
     pub bound: Bound,
     /// `None` where it could not be measured, which counts as missed.
     pub measured: Option<f64>,
-    pub held: bool,
+    /// Whether the figure is on the right side of the limit.
+    #[serde(rename = "held")]
+    pub is_met: bool,
     pub basis: Basis,
     /// Measured over limit, or limit over measured for [`Bound::AtLeast`]: above 1 is missed.
     pub factor: Option<f64>,
@@ -80,7 +82,7 @@
             limit,
             bound,
             measured: None,
-            held: false,
+            is_met: false,
             basis: Basis::Measured,
             factor: None,
             note: note.into(),
@@ -92,14 +94,14 @@
         if !measured.is_finite() {
             return self;
         }
-        let (held, factor) = match self.bound {
+        let (is_met, factor) = match self.bound {
             Bound::AtMost => (measured <= self.limit, measured / self.limit),
             Bound::AtLeast => (measured >= self.limit, self.limit / measured),
         };
         let factor = factor.is_finite().then_some(factor);
         Row {
             measured: Some(measured),
-            held,
+            is_met,
             factor,
             basis,
             ..self
@@ -117,10 +119,14 @@
     }
 }
 
+/// The result over all rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    Held,
+    /// Every row is within its limit.
+    #[serde(rename = "held")]
+    Met,
+    /// A row exceeds its limit or was not measured, or there are no rows.
     Missed,
 }
 
@@ -147,8 +153,12 @@
         rows: Vec<Row>,
         slopes: Vec<Slope>,
     ) -> Report {
-        let held = !rows.is_empty() && rows.iter().all(|row| row.held);
-        let verdict = if held { Verdict::Held } else { Verdict::Missed };
+        let all_met = !rows.is_empty() && rows.iter().all(|row| row.is_met);
+        let verdict = if all_met {
+            Verdict::Met
+        } else {
+            Verdict::Missed
+        };
         Report {
             verdict,
             size,
@@ -162,7 +172,7 @@
     /// The exit code of the program: 0 if all rows are held, 1 if one is missed.
     pub fn exit_code(&self) -> u8 {
         match self.verdict {
-            Verdict::Held => 0,
+            Verdict::Met => 0,
             Verdict::Missed => 1,
         }
     }
--- a/crates/capacity-model/src/slopes/configuration.rs
+++ b/crates/capacity-model/src/slopes/configuration.rs
@@ -22,14 +22,14 @@
     front_ends: Vec<usize>,
     bursts: Vec<usize>,
     /// What the other dimensions have meanwhile.
-    usual: Setting,
+    baseline: Setting,
 }
 
 impl Sizes {
     fn new(size: &Size, seed: u64, short: bool) -> Sizes {
         let share = |part: usize| (size.front_ends * part / 100).max(1);
         if short {
-            let usual = Setting {
+            let baseline = Setting {
                 front_ends: 2,
                 entries: 100,
                 missed: 2,
@@ -42,11 +42,11 @@
                 entries: vec![50, 100, 200],
                 front_ends: vec![2, 4, 8],
                 bursts: vec![5, 10, 20],
-                usual,
+                baseline,
             };
         }
         let spread = entries::settings().spread;
-        let usual = Setting {
+        let baseline = Setting {
             front_ends: 5,
             entries: 500,
             missed: 20,
@@ -59,7 +59,7 @@
             entries: vec![1_000, 2_000, 4_000, 8_000, 16_000],
             front_ends: vec![share(5), share(10), share(20), share(50), size.front_ends],
             bursts: vec![20, 50, 100, 200, 500],
-            usual,
+            baseline,
         }
     }
 }
@@ -97,14 +97,14 @@
     for &front_ends in &sizes.front_ends {
         let setting = Setting {
             front_ends,
-            ..sizes.usual.clone()
+            ..sizes.baseline.clone()
         };
         costs.push((front_ends, measure(setting, tasks.clone()).await?));
     }
     Ok(costs)
 }
 
-fn tell(dimension: &str, costs: &Costs) {
+fn log_costs(dimension: &str, costs: &Costs) {
     for (size, cost) in costs {
         let burst = cost.bursts.first().map(|burst| burst.in_force_s);
         eprintln!(
@@ -122,12 +122,12 @@
 pub fn run(size: &Size, seed: u64, short: bool) -> Result<Vec<Slope>, RunError> {
     let sizes = Sizes::new(size, seed, short);
     let tasks = Rc::new(LocalExecutor::new());
-    let usual = || sizes.usual.clone();
+    let baseline = || sizes.baseline.clone();
     let began = Instant::now();
     let work = async {
         let missed = Setting {
             bursts: vec![],
-            ..usual()
+            ..baseline()
         };
         let missed = side_by_side(
             &sizes.missed,
@@ -139,14 +139,17 @@
         );
         let entries = side_by_side(
             &sizes.entries,
-            |entries| Setting { entries, ..usual() },
+            |entries| Setting {
+                entries,
+                ..baseline()
+            },
             &tasks,
         );
         let front_ends = by_front_ends(&sizes, &tasks).await?;
         let (missed, entries) = (finished(missed).await?, finished(entries).await?);
-        tell("changes missed", &missed);
-        tell("entries", &entries);
-        tell("front ends", &front_ends);
+        log_costs("changes missed", &missed);
+        log_costs("entries", &entries);
+        log_costs("front ends", &front_ends);
         // Alone, as processor time is the whole process's.
         let few = sizes.front_ends[0];
         let bursts = sizes.bursts.clone();
@@ -155,7 +158,7 @@
             missed: 1,
             spread: 0.0,
             bursts,
-            ..usual()
+            ..baseline()
         };
         let in_bursts = measure(setting, tasks.clone()).await?.bursts;
         eprintln!(
@@ -201,7 +204,7 @@
             .map(|(count, burst)| (*count as f64, value(burst)))
             .collect()
     };
-    let (changes, held, all, burst) = (
+    let (changes, entries_held, all, burst) = (
         "changes missed",
         "entries held",
         "front ends",
@@ -215,7 +218,7 @@
             changes,
             of(missed, &bytes_back),
         ),
-        line("time to return", "s", held, of(entries, &back)),
+        line("time to return", "s", entries_held, of(entries, &back)),
         line("time to return", "s", all, of(front_ends, &back)),
         line(
             "time in force",
@@ -223,7 +226,7 @@
             burst,
             by_burst(|burst| burst.in_force_s),
         ),
-        line("time in force", "s", held, of(entries, &in_force)),
+        line("time in force", "s", entries_held, of(entries, &in_force)),
         line("time in force", "s", all, of(front_ends, &in_force)),
         line(
             "bytes of changes",
--- a/crates/capacity-model/src/slopes/configuration/measurement.rs
+++ b/crates/capacity-model/src/slopes/configuration/measurement.rs
@@ -15,7 +15,7 @@
 /// Between looks at what calls see.
 const LOOK_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a measurement waits for its changes, in seconds.
-const PATIENCE_S: f64 = 45.0;
+const TIMEOUT_S: f64 = 45.0;
 /// Front ends that read at once report within this time; then they rest.
 const SETTLE: Duration = Duration::from_millis(500);
 
@@ -100,14 +100,14 @@
     }
 
     /// Waits until calls see a revision at all of them; the seconds since then.
-    async fn until_seen(&self, revision: i64, began: Instant) -> Result<f64, RunError> {
+    async fn wait_until_applied(&self, revision: i64, began: Instant) -> Result<f64, RunError> {
         let sees = |front_end: &&Rc<Configuration>| front_end.view().revision() >= revision;
         loop {
             let seconds = began.elapsed().as_secs_f64();
             if self.all.iter().all(|front_end| sees(&front_end)) {
                 return Ok(seconds);
             }
-            if seconds > PATIENCE_S {
+            if seconds > TIMEOUT_S {
                 let ready = self.all.iter().filter(sees).count();
                 return Err(RunError::NotReady {
                     ready,
@@ -176,7 +176,7 @@
         functions: setting.entries,
     })?;
     let by_region = store.addresses()?;
-    let snapshot = read_snapshot(&by_region[0], &tasks, PATIENCE_S).await?;
+    let snapshot = read_snapshot(&by_region[0], &tasks, TIMEOUT_S).await?;
     let mut changes = Changes {
         store,
         entries: setting.entries,
@@ -188,7 +188,7 @@
     let front_ends = FrontEnds::start(&setting, &by_region, &snapshot, &tasks)?;
     // Each has read its snapshot, on a core of its own in a fleet.
     let began = Instant::now();
-    let return_s = front_ends.until_seen(revision, began).await?;
+    let return_s = front_ends.wait_until_applied(revision, began).await?;
     let return_bytes = front_ends.mean_received();
     let mut bursts = vec![];
     for &count in &setting.bursts {
@@ -213,7 +213,7 @@
         Instant::now(),
     );
     let revision = changes.commit(count)?;
-    let in_force_s = front_ends.until_seen(revision, began).await?;
+    let in_force_s = front_ends.wait_until_applied(revision, began).await?;
     let cpu_us = (clock::process_cpu_s() - cpu_s) / front_ends.all.len() as f64 * 1e6;
     Ok(Burst {
         in_force_s,
--- a/crates/capacity-model/src/slopes/control.rs
+++ b/crates/capacity-model/src/slopes/control.rs
@@ -31,14 +31,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
     /// Of one front end, in cores.
-    pub cpu_share: f64,
+    pub cpu_cores: f64,
     pub sent_per_s: f64,
     pub received_per_s: f64,
     /// Bytes of one list of the executors.
     pub list_bytes: f64,
     pub heap_bytes: f64,
     /// Of one member of the store, in cores: the stand-in's process over its members.
-    pub store_cpu_share: f64,
+    pub store_cpu_cores: f64,
     /// Bytes both ways at all members together.
     pub store_bytes_per_s: f64,
     pub store_heap_bytes: f64,
@@ -149,12 +149,12 @@
         let count = setting.front_ends as f64;
         let members = MEMBER_REGIONS.len() as f64;
         let cost = Cost {
-            cpu_share: cpu / seconds / count,
+            cpu_cores: cpu / seconds / count,
             sent_per_s: (bytes_after.sent - bytes.sent) as f64 / seconds / count,
             received_per_s: (bytes_after.received - bytes.received) as f64 / seconds / count,
             list_bytes,
             heap_bytes: (clock::heap_bytes() - heap_before) / count,
-            store_cpu_share: (used_after.cpu_s - used.cpu_s) / seconds / members,
+            store_cpu_cores: (used_after.cpu_s - used.cpu_s) / seconds / members,
             store_bytes_per_s: (store_bytes(&used_after) - store_bytes(&used)) / seconds,
             store_heap_bytes: used_after.heap_bytes - store_heap_before,
         };
@@ -173,9 +173,9 @@
          core, {:.0} bytes/s at a member",
         cost.bytes_per_s(),
         cost.list_bytes,
-        100.0 * cost.cpu_share,
+        100.0 * cost.cpu_cores,
         cost.heap_bytes / 1e6,
-        100.0 * cost.store_cpu_share,
+        100.0 * cost.store_cpu_cores,
         cost.store_bytes_per_s / MEMBER_REGIONS.len() as f64
     );
 }
@@ -268,7 +268,7 @@
             "cores a front end",
             "front ends",
             &by_front_ends,
-            |cost| cost.cpu_share,
+            |cost| cost.cpu_cores,
         ),
         fitted(
             "control memory",
@@ -282,7 +282,7 @@
             "cores a member",
             "front ends",
             &by_front_ends,
-            |cost| cost.store_cpu_share,
+            |cost| cost.store_cpu_cores,
         ),
         fitted(
             "store bytes",
@@ -331,14 +331,14 @@
             "cores a front end",
             "roster changes a second",
             &by_changes,
-            |cost| cost.cpu_share,
+            |cost| cost.cpu_cores,
         ),
         fitted(
             "store CPU",
             "cores a member",
             "roster changes a second",
             &by_changes,
-            |cost| cost.store_cpu_share,
+            |cost| cost.store_cpu_cores,
         ),
     ];
     let largest = by_front_ends[by_front_ends.len() - 1];
--- a/crates/capacity-model/src/slopes/mod.rs
+++ b/crates/capacity-model/src/slopes/mod.rs
@@ -66,10 +66,10 @@
         return rows.into();
     }
     let figures = [
-        cost.cpu_share,
+        cost.cpu_cores,
         cost.heap_bytes / 1e6,
         cost.bytes_per_s(),
-        cost.store_cpu_share,
+        cost.store_cpu_cores,
         cost.store_heap_bytes / 1e6,
     ];
     rows.into_iter()
--- a/crates/capacity-model/src/store/serve.rs
+++ b/crates/capacity-model/src/store/serve.rs
@@ -227,10 +227,10 @@
 /// one would leave the machine in peace.
 fn executor_entry(number: usize, is_ready: bool) -> (Vec<u8>, Vec<u8>) {
     let address = Ipv4Addr::from(FIRST_EXECUTOR.to_bits() + number as u32);
-    let standing = if is_ready { "ready" } else { "draining" };
+    let state = if is_ready { "ready" } else { "draining" };
     let value = serde_json::json!({
         "location": format!("zone-{}", number % 8), "kind": "standard", "cell": number % 64,
-        "standing": standing, "weight": 1.0, "since": 1_790_000_000.0 + number as f64,
+        "standing": state, "weight": 1.0, "since": 1_790_000_000.0 + number as f64,
     });
     (
         format!("{PREFIX}executors/{address}:7000").into_bytes(),
--- a/crates/capacity-model/src/tables.rs
+++ b/crates/capacity-model/src/tables.rs
@@ -82,7 +82,7 @@
             row.measured.map_or("–".into(), figure),
             figure(row.limit),
             row.unit,
-            if row.held { "held" } else { "**missed**" },
+            if row.is_met { "held" } else { "**missed**" },
             row.factor.map_or("–".into(), figure),
         ));
     }
--- a/crates/capacity-model/tests/comparison.rs
+++ b/crates/capacity-model/tests/comparison.rs
@@ -32,10 +32,10 @@
         .unwrap_or_else(|| panic!("no row {name}"))
 }
 
-fn cost(bytes_per_s: f64, cpu_share: f64, memory_bytes: f64) -> ControlCost {
+fn cost(bytes_per_s: f64, cpu_cores: f64, memory_bytes: f64) -> ControlCost {
     ControlCost {
         bytes_per_s,
-        cpu_share,
+        cpu_cores,
         memory_bytes,
     }
 }
@@ -69,11 +69,11 @@
         "the smaller one is below the line"
     );
     assert!(
-        row(&rows, "hollow_real_bytes_ratio").held
-            && row(&rows, "hollow_alone_real_cpu_ratio").held
+        row(&rows, "hollow_real_bytes_ratio").is_met
+            && row(&rows, "hollow_alone_real_cpu_ratio").is_met
     );
-    assert!(!row(&rows, "hollow_alone_real_memory_ratio").held);
-    assert!(!row(&rows, "hollow_real_memory_ratio").held);
+    assert!(!row(&rows, "hollow_alone_real_memory_ratio").is_met);
+    assert!(!row(&rows, "hollow_real_memory_ratio").is_met);
     let limits = [
         "real_control_bytes_per_s",
         "real_control_cpu_share",
@@ -83,7 +83,7 @@
         limits.map(|name| row(&rows, name).limit),
         [12_000.0, 0.048, 64.0]
     );
-    assert!(limits.iter().all(|name| row(&rows, name).held));
+    assert!(limits.iter().all(|name| row(&rows, name).is_met));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let rows = rows(&full(), &Err(why));
     assert_eq!(rows.len(), ROWS.len());
     for row in &rows {
-        assert!(row.measured.is_none() && !row.held, "{row:?}");
+        assert!(row.measured.is_none() && !row.is_met, "{row:?}");
         assert!(row.note.contains("3 hollow and 2 real"), "{row:?}");
     }
 }
@@ -109,7 +109,7 @@
         ..Comparison::default()
     };
     for row in rows(&full(), &Ok(found)) {
-        assert!(row.measured.is_none() && !row.held, "{row:?}");
+        assert!(row.measured.is_none() && !row.is_met, "{row:?}");
     }
 }
 
--- a/crates/capacity-model/tests/fit.rs
+++ b/crates/capacity-model/tests/fit.rs
@@ -36,19 +36,19 @@
 #[test]
 fn rows_are_held_by_their_limits() {
     let cost = || Row::at_most("cost", Role::FrontEnd, "us", 2.0, "a test");
-    assert!(!cost().held && cost().measured.is_none());
+    assert!(!cost().is_met && cost().measured.is_none());
     let held = cost().with(2.0, Basis::Measured);
-    assert!(held.held && held.factor == Some(1.0));
+    assert!(held.is_met && held.factor == Some(1.0));
     let missed = cost().with(3.0, Basis::Extrapolated);
-    assert!(!missed.held && missed.factor == Some(1.5));
+    assert!(!missed.is_met && missed.factor == Some(1.5));
     assert!(cost().with(f64::NAN, Basis::Measured).measured.is_none());
     let served = || Row::at_least("served", Role::Region, "share", 0.9, "a test");
-    assert!(served().with(0.95, Basis::Measured).held);
+    assert!(served().with(0.95, Basis::Measured).is_met);
     let cut = served().with(0.45, Basis::Measured);
-    assert!(!cut.held && cut.factor == Some(2.0));
+    assert!(!cut.is_met && cut.factor == Some(2.0));
     // A limit of none at all is kept by none.
     let none = || Row::at_most("faults", Role::Fleet, "faults", 0.0, "a test");
-    assert!(none().with(0.0, Basis::Measured).held && !none().with(1.0, Basis::Measured).held);
+    assert!(none().with(0.0, Basis::Measured).is_met && !none().with(1.0, Basis::Measured).is_met);
 }
 
 #[test]
@@ -56,7 +56,7 @@
     let held = Row::at_most("a", Role::Fleet, "s", 1.0, "").with(0.5, Basis::Measured);
     let missed = Row::at_most("b", Role::Fleet, "s", 1.0, "");
     let verdict = |rows: Vec<Row>| Report::new(Size::default(), 1, None, rows, vec![]).verdict;
-    assert_eq!(verdict(vec![held.clone()]), Verdict::Held);
+    assert_eq!(verdict(vec![held.clone()]), Verdict::Met);
     assert_eq!(verdict(vec![held.clone(), missed.clone()]), Verdict::Missed);
     assert_eq!(verdict(vec![]), Verdict::Missed);
     let mut rows = vec![missed];
--- a/crates/capacity-model/tests/fleet.rs
+++ b/crates/capacity-model/tests/fleet.rs
@@ -16,7 +16,7 @@
         size,
         scenario,
         policy: Policy::Dispatcher,
-        regions_told: true,
+        regions_known: true,
         warm_up_thinned: 2.0,
         warm_up: 6.0,
         seconds: 14.0,
@@ -38,7 +38,7 @@
 fn every_call_gets_one_final_answer_and_runs_once_where_it_must() {
     for scenario in Scenario::ALL {
         let counts = counts(&plan(scenario, None));
-        assert!(counts.all.offered > 15_000, "{scenario:?}: {counts:?}");
+        assert!(counts.all.arrived > 15_000, "{scenario:?}: {counts:?}");
         assert_eq!(counts.unanswered, 0, "{scenario:?}: {counts:?}");
         assert_eq!(counts.answered_twice, 0, "{scenario:?}: {counts:?}");
         assert_eq!(counts.ran_twice, 0, "{scenario:?}: {counts:?}");
@@ -62,25 +62,25 @@
     let zone = counts(&plan(Scenario::ZoneLost, None));
     assert!(zone.all.front_end_lost > 0, "{zone:?}");
     // Where no regions are told, calls cross them and are lost with the way there.
-    let untold = |scenario| {
+    let without_regions = |scenario| {
         counts(&Plan {
-            regions_told: false,
+            regions_known: false,
             ..plan(scenario, None)
         })
     };
-    let cut = untold(Scenario::RegionCut);
+    let cut = without_regions(Scenario::RegionCut);
     assert!(
-        cut.cut_off.offered > 2_000 && cut.not_cut_off.offered > cut.cut_off.offered,
+        cut.cut_off.arrived > 2_000 && cut.not_cut_off.arrived > cut.cut_off.arrived,
         "{cut:?}"
     );
-    let settled = cut.cut_off_settled.offered * 2;
+    let settled = cut.cut_off_settled.arrived * 2;
     assert!(
-        settled.abs_diff(cut.cut_off.offered) * 10 < cut.cut_off.offered,
+        settled.abs_diff(cut.cut_off.arrived) * 10 < cut.cut_off.arrived,
         "{cut:?}"
     );
-    let calm = untold(Scenario::Calm);
+    let calm = without_regions(Scenario::Calm);
     assert!(calm.crossing * 4 > calm.dispatches, "{calm:?}");
-    assert_eq!((calm.cut_off.offered, calm.not_cut_off.offered), (0, 0));
+    assert_eq!((calm.cut_off.arrived, calm.not_cut_off.arrived), (0, 0));
     assert!(
         cut.all.errored + cut.all.throttled > calm.all.errored + calm.all.throttled,
         "{cut:?}, {calm:?}"
@@ -95,7 +95,7 @@
     }
     let cut = counts(&plan(Scenario::RegionCut, None)).cut_off;
     assert!(
-        cut.offered > 2_000 && cut.share(cut.in_time) > 0.97,
+        cut.arrived > 2_000 && cut.share(cut.in_time) > 0.97,
         "{cut:?}"
     );
 }
--- a/crates/capacity-model/tests/short.rs
+++ b/crates/capacity-model/tests/short.rs
@@ -19,9 +19,9 @@
         .unwrap_or_else(|| panic!("no line on standard output: {messages}"));
     let report: Report =
         serde_json::from_str(last).unwrap_or_else(|why| panic!("{why}: {last}\n{messages}"));
-    let all_held = report.rows.iter().all(|row| row.held);
-    assert_eq!(report.verdict == Verdict::Held, all_held, "{last}");
-    let code = if all_held { 0 } else { 1 };
+    let all_met = report.rows.iter().all(|row| row.is_met);
+    assert_eq!(report.verdict == Verdict::Met, all_met, "{last}");
+    let code = if all_met { 0 } else { 1 };
     assert_eq!(output.status.code(), Some(code), "{last}");
     report
 }
@@ -71,7 +71,7 @@
     for name in names {
         let row = row(&report, name);
         assert!(!row.unit.is_empty() && !row.note.is_empty(), "{row:?}");
-        assert!(row.measured.is_some() || !row.held, "{row:?}");
+        assert!(row.measured.is_some() || !row.is_met, "{row:?}");
     }
     assert_eq!(report.seed, 3);
     let mut seen: Vec<&str> = report.rows.iter().map(|row| row.name.as_str()).collect();
@@ -137,7 +137,7 @@
 fn a_lost_change_is_found() {
     let report = report(&run(&["config", "--short", "--inject", "lost-change"]));
     let row = row(&report, IN_FORCE);
-    assert!(!row.held && row.measured.is_none(), "{row:?}");
+    assert!(!row.is_met && row.measured.is_none(), "{row:?}");
     assert!(row.note.contains("front end 1 lacks"), "{row:?}");
 }
 
@@ -145,8 +145,8 @@
 fn a_front_end_that_claims_a_view_it_has_not_is_found() {
     let report = report(&run(&["config", "--short", "--inject", "stale-view"]));
     let claims = row(&report, "config_false_claims");
-    assert!(!claims.held && claims.measured == Some(1.0), "{claims:?}");
-    assert!(!row(&report, IN_FORCE).held);
+    assert!(!claims.is_met && claims.measured == Some(1.0), "{claims:?}");
+    assert!(!row(&report, IN_FORCE).is_met);
 }
 
 #[test]
@@ -154,7 +154,7 @@
     let report = report(&run(&["config", "--short", "--inject", "slow-store"]));
     let row = row(&report, IN_FORCE);
     assert!(
-        !row.held && row.note.contains("did not take the change"),
+        !row.is_met && row.note.contains("did not take the change"),
         "{row:?}"
     );
 }
