--- a/crates/http-frontend/src/config/backoff.rs
+++ b/crates/http-frontend/src/config/backoff.rs
@@ -1,13 +1,13 @@
-//! Pauses between tries to reach the store.
+//! The backoff between attempts to reach the store.
 
 use std::cell::Cell;
 
-/// The first and the longest pause, in seconds.
+/// The first and the longest delay, in seconds.
 const FIRST: f64 = 0.1;
 const LONGEST: f64 = 2.0;
 
-/// An exponential backoff. Each pause is drawn between half and one and a half of its length, so that front ends that
-/// lose the store together don't come back together.
+/// An exponential backoff with jitter: each delay is drawn between half and one and a half of its length.
+/// Failure mode: front ends lose the store at the same time. Risk: they would reconnect at the same time.
 #[derive(Debug)]
 pub struct Backoff {
     next: Cell<f64>,
@@ -22,14 +22,14 @@
 }
 
 impl Backoff {
-    /// The pause before the next try, in seconds; `drawn` lies between 0 and 1.
+    /// The delay before the next attempt, in seconds; `drawn` is a random number between 0 and 1.
     pub fn pause(&self, drawn: f64) -> f64 {
         let pause = self.next.get();
         self.next.set((2.0 * pause).min(LONGEST));
         pause * (0.5 + drawn)
     }
 
-    /// The store has answered.
+    /// Resets the delay after an answer of the store.
     pub fn reset(&self) {
         self.next.set(FIRST);
     }
--- a/crates/http-frontend/src/config/deregistration.rs
+++ b/crates/http-frontend/src/config/deregistration.rs
@@ -1,4 +1,4 @@
-//! The end of a front end: its lease is given back, and its last report says that it has ended.
+//! Deregistration of a front end: its lease is revoked, and its last report states that it has ended.
 
 use super::ConfigTarget;
 use super::host::ConfigHost;
@@ -9,23 +9,25 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// An end waits for the store no longer than this, in all.
-const LEAVE_TIME: Duration = Duration::from_secs(1);
-/// The last report stands for so many times the limit within which a change has to be in force: as long as a writer
-/// waits for a change that it wrote right before.
-const LAST_REPORT_LIMITS: f64 = 2.0;
+/// The longest time that deregistration takes.
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time to live of the last report, in multiples of the limit within which a change has to be in force: a writer
+/// waits that long for a change that it wrote right before.
+const LAST_REPORT_TTL_FACTOR: f64 = 2.0;
 
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T> {
-    /// Gives the connection up for good, as a front end that ends does once it serves nothing any more: writers learn
-    /// that it is gone, and not missing. A store that does not answer is not waited for longer than a second.
+    /// Disconnects for good, after the front end has stopped serving, and lets writers know that it has ended instead of
+    /// being missing. Takes at most a second where the store doesn't answer.
     pub async fn leave(&self) {
         let was_connected = self.status().connected;
         self.stop();
-        // Without a lease there is no report that anybody could wait for.
+        // Without a lease there is no report that a writer could wait for.
         let Some(lease) = self.lease.take().filter(|_| was_connected) else {
             return;
         };
-        match orchidtally_socket_io::with_timeout(LEAVE_TIME, self.tell_end(lease)).await {
+        match orchidtally_socket_io::with_timeout(DEREGISTRATION_TIMEOUT, self.announce_end(lease))
+            .await
+        {
             Some(Ok(())) => {
                 info!("deregistered from the configuration store")
             }
@@ -38,15 +40,15 @@
         }
     }
 
-    /// The lease goes first: a report that is still under way goes with it, or is refused.
-    async fn tell_end(&self, lease: Lease) -> Result<(), ClientError> {
+    /// Revokes the lease first: a report still in flight is deleted with it, or rejected.
+    async fn announce_end(&self, lease: Lease) -> Result<(), ClientError> {
         let revoke = LeaseRevokeRequest { id: lease.id };
         self.client
-            .unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, LEAVE_TIME)
+            .unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, DEREGISTRATION_TIMEOUT)
             .await?;
         let limit = self.core.borrow().settings().in_force_limit;
         let granted = self
-            .grant_lease(Duration::from_secs_f64(LAST_REPORT_LIMITS * limit))
+            .grant_lease(Duration::from_secs_f64(LAST_REPORT_TTL_FACTOR * limit))
             .await?;
         let last = Report {
             state: ReportedState::Ended,
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests to the store, and what their failures mean to the core.
+//! Requests to the store, and the effect of their failures on the state machine.
 
 use super::ConfigTarget;
 use super::host::ConfigHost;
@@ -10,7 +10,7 @@
 use orchidtally_etcd::{ClientError, RANGE, grpc};
 use prost::Message;
 
-/// Bytes of an answer besides its message: its headers and trailers, and the frames round them.
+/// Bytes of a response besides its message: headers, trailers and frame headers.
 const ENVELOPE_BYTES: usize = 60;
 
 pub(super) fn header(header: Option<&ResponseHeader>) -> Header {
@@ -21,7 +21,7 @@
     }
 }
 
-/// What a refusal means to the core; `None` if the connection, or the member, is of no use.
+/// The failure that an error means to the state machine; `None` if the connection or the member is unusable.
 fn refused(fault: &ClientError) -> Option<RequestFailure> {
     let ClientError::Rejected(status) = fault else {
         return None;
@@ -44,7 +44,7 @@
 }
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// Performs a read of the core.
+    /// Performs a read action.
     pub(super) async fn read(&self, session: u64, request: ReadRequest) {
         let question = RangeRequest {
             key: request.range.start.into(),
@@ -57,14 +57,14 @@
         };
         let answered = self
             .client
-            .unary::<RangeResponse>(RANGE, &question, self.settings.patience)
+            .unary::<RangeResponse>(RANGE, &question, self.settings.request_timeout)
             .await;
         if !self.is_in_session(session) {
             return;
         }
         match answered {
             Ok(answer) => {
-                // Others are under way over the same connection: its counter tells of all of them.
+                // Other responses share the connection, so its counter can't be used.
                 let bytes = answer.encoded_len() + ENVELOPE_BYTES;
                 let header = header(answer.header.as_ref());
                 let entries = answer.kvs.into_iter().map(entry).collect();
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Performs a barrier of the core.
+    /// Performs a barrier action: a linearizable read.
     pub(super) async fn barrier(&self, session: u64, id: RequestId) {
         let key = Bytes::from(self.core.borrow().keyspace().generation());
         let question = RangeRequest {
@@ -90,7 +90,7 @@
         };
         let answered = self
             .client
-            .unary::<RangeResponse>(RANGE, &question, self.settings.patience)
+            .unary::<RangeResponse>(RANGE, &question, self.settings.request_timeout)
             .await;
         if !self.is_in_session(session) {
             return;
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -1,4 +1,4 @@
-//! The host of the core: performs its actions, feeds it answers and time.
+//! The host of the configuration state machine: performs its actions, and feeds it answers and time.
 
 use super::backoff::Backoff;
 use super::clock::boot_time;
@@ -18,22 +18,22 @@
 use std::time::Duration;
 use tracing::{error, info};
 
-/// The host looks at its timers at least this often, in seconds.
+/// The longest time between two checks of the timers, in seconds.
 const LONGEST_WAIT: f64 = 60.0;
 
-/// One front end's side of configuration distribution, on sockets. It lives on one thread.
+/// Configuration distribution at one front end, on sockets. It lives on one thread.
 pub struct ConfigHost<S: Schema, T> {
     pub(super) core: RefCell<ConfigSync<S>>,
     pub(super) settings: HostSettings,
     pub(super) client: Client,
     pub(super) target: T,
     tasks: Weak<LocalExecutor<'static>>,
-    /// Counts connections; what was begun over an earlier one is not heard any more.
+    /// Counts connections; results that belong to an earlier one are ignored.
     pub(super) session: Cell<u64>,
     pub(super) is_connected: Cell<bool>,
     pub(super) connect_at: Cell<f64>,
     /// No member has answered since the connection to one failed.
-    pub(super) is_away: Cell<bool>,
+    pub(super) is_unreachable: Cell<bool>,
     pub(super) backoff: Backoff,
     watch: RefCell<Option<Watching>>,
     pub(super) lease: Cell<Option<Lease>>,
@@ -46,7 +46,7 @@
     pub(super) wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
-/// The open watch; dropping it ends it.
+/// The open watch, which ends when dropped.
 struct Watching {
     _task: Option<Task<()>>,
     asks: async_channel::Sender<()>,
@@ -56,10 +56,10 @@
 where
     S::Entry: 'static,
 {
-    /// A host that isn't running yet. `seed` draws the core's delays; it should differ between front ends.
+    /// A host that isn't running yet. `seed` determines the random delays; it should differ between front ends.
     ///
     /// # Errors
-    /// The core's settings are out of their ranges.
+    /// The settings are out of range.
     pub fn new(
         sync: SyncSettings,
         schema: S,
@@ -79,7 +79,7 @@
             session: Cell::new(0),
             is_connected: Cell::new(false),
             connect_at: Cell::new(f64::NEG_INFINITY),
-            is_away: Cell::new(false),
+            is_unreachable: Cell::new(false),
             backoff: Backoff::default(),
             watch: RefCell::default(),
             lease: Cell::new(None),
@@ -106,7 +106,7 @@
         self.restore_from(&newest_first);
     }
 
-    /// Starts from the first of some snapshots that can be used; to be called before [`ConfigHost::run`].
+    /// Starts from the first usable one of some snapshots; to be called before [`ConfigHost::run`].
     pub fn restore_from(self: &Rc<Self>, newest_first: &[&[u8]]) {
         let restored = self.core.borrow_mut().restore(self.now(), newest_first);
         for error in &restored.passed_over {
@@ -129,7 +129,7 @@
             self.apply_pending_view();
             self.write_next_snapshot();
             let wait = (self.next_timer() - self.now()).clamp(0.0, LONGEST_WAIT);
-            // What wakes it holds the other end: the host itself.
+            // The host itself owns the sender, so the channel stays open.
             let woken = async {
                 let _ = self.wake.1.recv().await;
             };
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Gives its connection up for good, as a process that dies. The store ends its lease when its time is over.
+    /// Disconnects for good, as a process that dies. The lease in the store expires.
     pub fn stop(&self) {
         self.is_connected.set(false);
         self.connect_at.set(f64::INFINITY);
@@ -173,7 +173,7 @@
         self.spawn(async move { host.keep_lease(session).await });
     }
 
-    /// Performs all that the core wants done now.
+    /// Performs all pending actions of the state machine.
     fn perform(self: &Rc<Self>) {
         loop {
             let action = self.core.borrow_mut().poll(self.now());
@@ -187,13 +187,13 @@
         match action {
             Action::Watch { from_revision } => self.watch(from_revision),
             Action::CancelWatch => {
-                // The next one goes to another member: this one may lag behind.
+                // The next watch uses another member: this one may lag behind.
                 drop(self.watch.take());
                 self.client.fail_over();
             }
             Action::RequestProgress => {
                 if let Some(watching) = &*self.watch.borrow() {
-                    // One that waits will ask as well.
+                    // A request that is queued already has the same effect.
                     let _ = watching.asks.try_send(());
                 }
             }
@@ -220,7 +220,7 @@
             self.apply(pending.view);
         }
         if self.pending_view.borrow().is_some() {
-            // The report would name a revision that isn't in force here.
+            // The report would contain a revision that isn't in force here.
             self.core
                 .borrow_mut()
                 .report_failed(self.now(), report.sequence);
--- a/crates/http-frontend/src/config/lease_renewal.rs
+++ b/crates/http-frontend/src/config/lease_renewal.rs
@@ -17,7 +17,7 @@
 const RENEWALS: u32 = 3;
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// The lease that stands, or a new one.
+    /// The current lease, or a new one.
     pub(super) async fn lease(&self) -> Result<Lease, ClientError> {
         if let Some(lease) = self.lease.get().filter(|lease| self.now() < lease.until) {
             return Ok(lease);
@@ -27,7 +27,7 @@
         Ok(lease)
     }
 
-    /// A new lease of its own.
+    /// Grants a new lease.
     pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<Lease, ClientError> {
         let asked_at = self.now();
         let question = LeaseGrantRequest {
@@ -36,7 +36,7 @@
         };
         let granted: LeaseGrantResponse = self
             .client
-            .unary(LEASE_GRANT, &question, self.settings.patience)
+            .unary(LEASE_GRANT, &question, self.settings.request_timeout)
             .await?;
         Ok(Lease {
             id: granted.id,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Renews a lease over the stream that is open, or a new one; `None` if the lease is over.
+    /// Renews a lease over the open stream, or a new one; `None` if the lease has expired.
     async fn renew(
         &self,
         lease: Lease,
@@ -78,12 +78,12 @@
             }
             None => renewing.insert(
                 self.client
-                    .open_stream(LEASE_KEEP_ALIVE, &question, self.settings.patience)
+                    .open_stream(LEASE_KEEP_ALIVE, &question, self.settings.request_timeout)
                     .await?,
             ),
         };
         let answer =
-            orchidtally_socket_io::with_timeout(self.settings.patience, stream.next()).await;
+            orchidtally_socket_io::with_timeout(self.settings.request_timeout, stream.next()).await;
         let answer = answer.unwrap_or(Err(ClientError::TimedOut))?;
         let renewed = Lease {
             id: lease.id,
@@ -92,7 +92,7 @@
         Ok((answer.ttl > 0).then_some(renewed))
     }
 
-    /// The store has ended the lease, and the report with it: it is told again under a new one.
+    /// The lease has expired, and the report with it: it is written again under a new lease.
     fn lease_lost(&self) {
         warn!(
             "lease of the configuration report expired while this front end runs: reporting again"
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -50,16 +50,16 @@
         all
     }
 
-    /// All customers with their shares: those of the file in its order, then those that only the store has, by name.
+    /// All customers with their quotas: those of the file in its order, then those that only the store has, by name.
     pub fn customers(&self) -> Vec<(String, f64)> {
         let listed = self.deployment.customers.iter().cloned();
         let mut all: Vec<(String, f64)> = listed
             .zip(self.deployment.policy.quotas.iter().copied())
             .collect();
-        for (name, share) in self.stored_quotas() {
-            match all.iter_mut().find(|(known, _)| known == name) {
-                Some((_, known)) => *known = share,
-                None => all.push((name.into(), share)),
+        for (name, quota) in self.stored_quotas() {
+            match all.iter_mut().find(|(existing, _)| existing == name) {
+                Some((_, existing)) => *existing = quota,
+                None => all.push((name.into(), quota)),
             }
         }
         all
--- a/crates/http-frontend/src/config/queries.rs
+++ b/crates/http-frontend/src/config/queries.rs
@@ -1,4 +1,4 @@
-//! What the front end asks of its configuration host.
+//! Queries of the front end to its configuration host.
 
 use super::host::ConfigHost;
 use super::status::ConfigStatus;
@@ -7,7 +7,7 @@
 use orchidtally_etcd::Client;
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// Whether an invocation that comes now may use an entry.
+    /// Whether a new invocation may use an entry.
     pub fn admits(&self, key: &str) -> Verdict {
         self.core.borrow().admits(self.now(), key)
     }
@@ -27,22 +27,22 @@
         self.core.borrow().applied_revision()
     }
 
-    /// What views are put in force at.
+    /// The target to which views are applied.
     pub fn target(&self) -> &T {
         &self.target
     }
 
-    /// The client of the store; it counts bytes.
+    /// The client of the store, which counts its traffic.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Where the snapshot stands.
+    /// Where the snapshot is stored.
     pub fn snapshot(&self) -> Option<&SnapshotFile> {
         self.settings.snapshot.as_ref()
     }
 
-    /// How it stands.
+    /// The status of the host.
     pub fn status(&self) -> ConfigStatus {
         let core = self.core.borrow();
         let age = self.now() - core.fresh_as_of();
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -9,11 +9,11 @@
 use orchidtally_etcd::{ClientError, ConnectionError, PUT};
 use tracing::debug;
 
-/// The store's status for a lease that isn't there.
+/// The gRPC status of a lease that doesn't exist.
 const NOT_FOUND: u32 = 5;
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// Puts a report into the store and tells the core whether it stands there.
+    /// Writes a report to the store, and passes the result to the state machine.
     pub(super) async fn put_report(&self, session: u64, report: Report) {
         let sequence = report.sequence;
         let put = self.try_put_report(session, report).await;
@@ -41,7 +41,7 @@
         self.store_report(report, lease).await
     }
 
-    /// Puts a report into the store under a lease.
+    /// Writes a report to the store under a lease.
     pub(super) async fn store_report(
         &self,
         report: Report,
@@ -64,7 +64,7 @@
             prev_kv: false,
         };
         self.client
-            .unary::<PutResponse>(PUT, &put, self.settings.patience)
+            .unary::<PutResponse>(PUT, &put, self.settings.request_timeout)
             .await
             .map(drop)
     }
--- a/crates/http-frontend/src/config/session.rs
+++ b/crates/http-frontend/src/config/session.rs
@@ -12,33 +12,33 @@
         boot_time()
     }
 
-    /// Feeds the core and has its actions performed.
+    /// Feeds the state machine, and wakes the main loop to perform its actions.
     pub(super) fn feed(&self, input: impl FnOnce(&mut ConfigSync<S>, f64)) {
         input(&mut self.core.borrow_mut(), self.now());
-        // A full channel has woken the host already.
+        // Where the channel is full, the host is being woken already.
         let _ = self.wake.0.try_send(());
     }
 
-    /// Whether a connection is still the one that is used.
+    /// Whether a session is still the current one.
     pub(super) fn is_in_session(&self, session: u64) -> bool {
         self.is_connected.get() && self.session.get() == session
     }
 
-    /// The store has answered a question that needs its majority.
+    /// The store has answered a request that needs its quorum.
     pub(super) fn store_answered(&self) {
         self.backoff.reset();
-        if self.is_away.replace(false) {
+        if self.is_unreachable.replace(false) {
             info!(endpoint = ?self.client.endpoint(), "configuration store reachable again");
         }
     }
 
-    /// The connection is of no use any more: the next member is asked after a pause.
+    /// Ends the session; the next member is tried after a backoff.
     pub(super) fn session_failed(&self, session: u64, fault: &ClientError) {
         if !self.is_in_session(session) {
             return;
         }
         let endpoint = self.client.endpoint();
-        if !self.is_away.replace(true) {
+        if !self.is_unreachable.replace(true) {
             warn!(?endpoint, %fault, "configuration store unreachable; trying the next member");
         } else {
             debug!(?endpoint, %fault, "configuration store still unreachable");
--- a/crates/http-frontend/src/config/settings.rs
+++ b/crates/http-frontend/src/config/settings.rs
@@ -13,7 +13,7 @@
     /// The time to live of the front end's lease in the store.
     pub lease: Duration,
     /// The time after which a request without an answer, or a silent store, has failed.
-    pub patience: Duration,
+    pub request_timeout: Duration,
 }
 
 impl HostSettings {
@@ -23,7 +23,7 @@
             front_end: front_end.into(),
             snapshot: None,
             lease: Duration::from_secs(10),
-            patience: Duration::from_millis(2_500),
+            request_timeout: Duration::from_millis(2_500),
         }
     }
 }
--- a/crates/http-frontend/src/config/snapshot_writer.rs
+++ b/crates/http-frontend/src/config/snapshot_writer.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use tracing::error;
 
-/// A snapshot that could not be written is tried again after this time, in seconds.
+/// The retry delay of a snapshot that could not be written, in seconds.
 const SNAPSHOT_RETRY: f64 = 30.0;
 
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T>
 where
     S::Entry: 'static,
 {
-    /// Writes a snapshot on a thread of its own: a slow disk holds up nothing else.
+    /// Writes a snapshot on a thread of its own, so that a slow disk delays nothing else.
     pub(super) fn write_snapshot(self: &Rc<Self>, bytes: Vec<u8>) {
         let Some(file) = self.settings.snapshot.clone() else {
             return;
@@ -51,7 +51,7 @@
         });
     }
 
-    /// What could not be written is tried again after a while, unless there is a newer one.
+    /// Handles the result of a write. A failed one is retried later, unless there is a newer snapshot.
     fn snapshot_written(self: &Rc<Self>, written: io::Result<()>, bytes: Arc<Vec<u8>>) {
         let fault = written.err().map(|error| error.to_string());
         if let Some(fault) = &fault {
@@ -73,7 +73,7 @@
             snapshots.retry_at = self.now() + SNAPSHOT_RETRY;
         }
         drop(snapshots);
-        // The main loop writes what waits.
+        // Wakes the main loop, which writes the next snapshot.
         self.feed(|_, _| {});
     }
 
--- a/crates/http-frontend/src/config/view_application.rs
+++ b/crates/http-frontend/src/config/view_application.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 use tracing::{debug, error};
 
-/// Views that come sooner one after the other are put in force together, in seconds. What a newer view takes away
-/// counts at once: the core is asked for it.
+/// Views that follow each other within this time, in seconds, are applied together. What a newer view disables takes
+/// effect at once in any case: the state machine is asked for each invocation.
 const APPLY_INTERVAL: f64 = 0.05;
-/// A view that the target didn't take is offered again after this time, in seconds.
+/// A view that the target rejected is applied again after this time, in seconds.
 const APPLY_RETRY: f64 = 1.0;
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// Puts a view in force, at once or together with those that follow it closely.
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of all entries, and whether the store still says anything.
+//! The watch of all entries, and the detection of a silent store.
 
 use super::ConfigTarget;
 use super::exchange::header;
@@ -27,7 +27,7 @@
 }
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// Follows a watch from a revision on until it ends; `asks` tells when its progress is to be asked for.
+    /// Follows a watch from a revision until it ends; a message on `asks` makes it request the progress.
     pub(super) async fn follow_watch(
         &self,
         session: u64,
@@ -51,7 +51,7 @@
         let mut watch = Watch::new(prefix, from);
         let mut both: BidirectionalStream<WatchResponse> = self
             .client
-            .open_stream(WATCH, &watch.request(), self.settings.patience)
+            .open_stream(WATCH, &watch.request(), self.settings.request_timeout)
             .await?;
         let mut is_quiet = false;
         loop {
@@ -62,7 +62,7 @@
                 let _ = asks.recv().await;
                 None
             };
-            let half = self.settings.patience / 2;
+            let half = self.settings.request_timeout / 2;
             let next =
                 orchidtally_socket_io::with_timeout(half, futures_lite::future::or(next, asked))
                     .await;
@@ -77,7 +77,7 @@
                     }
                 }
                 Some(None) => both.send(&progress_request())?,
-                // Other answers over the connection show that the store is there as well.
+                // Other responses on the connection show that the store is reachable as well.
                 None if self.client.traffic().received() > received => is_quiet = false,
                 None if is_quiet => return Err(ClientError::TimedOut),
                 None => {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Hands what the watch told to the core; `false` if the watch has ended.
+    /// Passes events of the watch to the state machine; returns `false` if the watch has ended.
     fn on_watch_events(&self, events: Vec<WatchEvent>) -> bool {
         for event in events {
             match event {
--- a/crates/http-frontend/src/etcd/mod.rs
+++ b/crates/http-frontend/src/etcd/mod.rs
@@ -48,6 +48,6 @@
             front_ends_prefix,
             front_ends,
         )),
-        tasks.spawn(registration.keep()),
+        tasks.spawn(registration.run()),
     ]
 }
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -29,7 +29,7 @@
     /// The key prefix of front ends' entries.
     prefix: String,
     /// The requested time to live, in whole seconds.
-    wanted_ttl: i64,
+    requested_ttl: i64,
 }
 
 /// A lease that the store granted.
@@ -49,12 +49,12 @@
             host,
             client,
             prefix,
-            wanted_ttl: etcd.lease.ceil() as i64,
+            requested_ttl: etcd.lease.ceil() as i64,
         }
     }
 
     /// Claims an index and keeps the entry's lease, again and again for as long as it is polled.
-    pub async fn keep(self) {
+    pub async fn run(self) {
         let mut lost_claims = 0;
         loop {
             match self.claim(lost_claims).await {
@@ -87,7 +87,7 @@
         let index = Members::choose_index(&used_indices, rand::random(), lost_claims);
         let began = self.host.now();
         let grant = LeaseGrantRequest {
-            ttl: self.wanted_ttl,
+            ttl: self.requested_ttl,
             id: 0,
         };
         let granted: LeaseGrantResponse = self
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -84,7 +84,7 @@
     pub(super) fn response(self) -> Response<Answer> {
         let mut response = problem(self.status, self.title, &self.detail, false);
         if let Some(time) = self.retry_after {
-            stay_away(response.headers_mut(), time);
+            set_retry_after(response.headers_mut(), time);
         }
         response
     }
@@ -112,7 +112,7 @@
     response
 }
 
-pub(super) fn stay_away(headers: &mut HeaderMap, time: f64) {
+pub(super) fn set_retry_after(headers: &mut HeaderMap, time: f64) {
     headers.insert(RETRY_AFTER, HeaderValue::from(time.ceil().max(1.0) as u64));
     headers.insert(
         HeaderName::from_static(STAY_AWAY),
--- a/crates/http-frontend/src/ingress/durable_invocation.rs
+++ b/crates/http-frontend/src/ingress/durable_invocation.rs
@@ -44,8 +44,8 @@
         InvocationState::Ended(DurableOutcome::Answered {
             status,
             body,
-            is_complete: whole,
-        }) => mark(recorded_answer(status, body, whole), RECORDED),
+            is_complete,
+        }) => mark(recorded_answer(status, body, is_complete), RECORDED),
         InvocationState::Ended(DurableOutcome::Unknown) => {
             let detail = "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
             mark(
@@ -71,7 +71,7 @@
     }
 }
 
-fn recorded_answer(status: u16, body: Bytes, whole: bool) -> Response<Answer> {
+fn recorded_answer(status: u16, body: Bytes, is_complete: bool) -> Response<Answer> {
     let chunks = if body.is_empty() {
         [].into()
     } else {
@@ -84,7 +84,7 @@
         response.headers_mut().insert(CONTENT_TYPE, problem);
     }
     *response.status_mut() = status;
-    if whole {
+    if is_complete {
         response
     } else {
         mark(response, BODY_LEFT_OUT)
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request ask for.
+//! Reads the headers of a request.
 
 use super::answer::Problem;
 use super::{CUSTOMER, INVOCATION, REPEAT, TIME_LEFT, TOKEN, TRIGGER_TYPE};
@@ -7,10 +7,10 @@
 use orchidtally_dispatch_policy::interface::Idempotency;
 use std::rc::Rc;
 
-/// The greatest length of a header that names something, in bytes.
+/// The maximum length of a header that contains a name, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
 
-/// A header that may be given once.
+/// The value of a header that may occur once.
 pub(super) fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else {
@@ -30,16 +30,16 @@
     Ok(Some(text))
 }
 
-/// What the headers of a request ask for.
+/// The settings of an invocation in the headers of a request.
 pub(super) struct InvocationHeaders<'r> {
-    /// The place of the trigger type among all of the revision.
+    /// The position of the trigger type in the revision.
     pub(super) trigger_place: usize,
     pub(super) trigger_type: Rc<TriggerTypeInForce>,
     pub(super) customer: NamedCustomer<'r>,
     pub(super) token: Option<&'r str>,
-    /// Seconds for which the client goes on waiting.
+    /// Seconds until the client times out.
     pub(super) time_left: f64,
-    /// Whether the client asks again.
+    /// Whether it is a client retry.
     pub(super) repeat: bool,
     /// The name of the invocation, where the client gives one.
     pub(super) invocation: Option<&'r str>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Seconds for which the client goes on waiting, where it says so.
+/// Seconds until the client times out, where the request contains them.
 fn time_left(headers: &HeaderMap) -> Result<Option<f64>, Problem> {
     let Some(text) = header(headers, TIME_LEFT)? else {
         return Ok(None);
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -1,4 +1,4 @@
-//! Invokes for a request, and gives its response.
+//! Performs the invocation of a request.
 
 use super::INVOCATION;
 use super::answer::{Answer, Problem};
@@ -76,7 +76,7 @@
         payload,
         payload_bytes,
     };
-    // Before it is promised: what is refused leaves no record.
+    // Checked before its start is persisted: a rejected invocation leaves no record.
     router
         .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
@@ -140,7 +140,7 @@
         .function(name)
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
     let customer = asked_headers.customer;
-    // The sticky key of the split, where a rollout is on.
+    // The sticky key of the traffic split, during a rollout.
     let key = router.traffic_split.borrow().sticky_key(name).cloned();
     let key = match &key {
         None | Some(StickyKey::Invocation) => None,
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 and HTTP/2 on one port: a request becomes an invocation, and its final answer a response.
 //!
-//! A body is taken in whole chunks, which are passed on as they are. It has arrived before the engine hears of the
-//! invocation, so that a slow sender holds neither a stream nor a decision.
+//! A body is read in chunks, which are forwarded without copying. It is complete before the invocation is admitted, so
+//! that a slow client occupies neither a stream nor a dispatch.
 
 mod answer;
 mod durable_invocation;
@@ -35,26 +35,26 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// The most requests at a time over one connection of HTTP/2.
+/// The most concurrent requests on one HTTP/2 connection.
 const MAX_CONCURRENT_STREAMS: u32 = 1_000;
 
 /// The header that names the trigger type.
 pub const TRIGGER_TYPE: &str = "orchidtally-trigger-type";
 /// The header that names the customer.
 pub const CUSTOMER: &str = "orchidtally-customer";
-/// The header with the milliseconds for which the client goes on waiting.
+/// The header with the milliseconds until the client times out.
 pub const TIME_LEFT: &str = "orchidtally-time-left";
-/// The header that is `1` where the client asks again.
+/// The header that is `1` for a client retry.
 pub const REPEAT: &str = "orchidtally-repeat";
-/// The header with the invocation's name in logs and traces; one is drawn where the client gives none.
+/// The header with the invocation's name in logs and traces; a random one is used where the client gives none.
 pub const INVOCATION: &str = "orchidtally-invocation";
-/// The header that is `1` where an answer was given before, or would have been.
+/// The header that is `1` where the answer is that of an earlier invocation with the same name.
 pub const RECORDED: &str = "orchidtally-recorded";
-/// The header that is `1` where the body of such an answer was too long to be kept.
+/// The header that is `1` where the body of such an answer was too long to be retained.
 pub const BODY_LEFT_OUT: &str = "orchidtally-body-left-out";
-/// The header with the idempotency token.
+/// The header with the idempotency key.
 pub const TOKEN: &str = "idempotency-key";
-/// The header with the milliseconds to stay away; `Retry-After` has whole seconds only.
+/// The header with the milliseconds after which to retry; `Retry-After` has whole seconds only.
 pub const STAY_AWAY: &str = "orchidtally-stay-away";
 
 async fn respond(
@@ -88,7 +88,7 @@
         .unwrap_or_else(Problem::response))
 }
 
-/// Spawns work of the HTTP library on this thread.
+/// Spawns tasks of the HTTP library on this thread.
 #[derive(Clone)]
 struct Spawner(Weak<LocalExecutor<'static>>);
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Answers a connection over the bound, and closes it.
+/// Answers a connection beyond the connection limit, and closes it.
 pub async fn reject_connection(mut stream: Stream) {
     const FULL: &[u8] =
         b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
@@ -126,15 +126,15 @@
         socket.write_all(FULL).await?;
         socket.close().await
     };
-    // It was told why, or went away before.
+    // The client has its answer, or has disconnected before.
     let _ = with_timeout(Duration::from_secs(1), say).await;
 }
 
-/// Serves one connection until it ends, or until `leaving` closes and what is open on it is answered.
+/// Serves one connection until it ends, or until `draining` closes and its open requests are answered.
 pub async fn serve(
     router: Rc<Router>,
     stream: Stream,
-    leaving: async_channel::Receiver<()>,
+    draining: async_channel::Receiver<()>,
     _open: ConnectionGuard,
 ) {
     let time = Duration::from_secs_f64(router.deployment.limits.request_read_timeout);
@@ -162,8 +162,8 @@
         }
     };
     let left = async {
-        // Nothing is ever sent: the channel closes.
-        let _ = leaving.recv().await;
+        // Nothing is ever sent; closing the channel is the signal.
+        let _ = draining.recv().await;
         None
     };
     let ended = future::or(
@@ -173,7 +173,7 @@
     .await;
     let ended = match ended {
         Some(ended) => ended,
-        None if leaving.is_closed() => {
+        None if draining.is_closed() => {
             connection.as_mut().graceful_shutdown();
             connection.as_mut().await
         }
@@ -187,7 +187,7 @@
     }
 }
 
-/// The limits of a connection, which a client has this time to keep.
+/// The limits of a connection; `time` is the timeout of request headers and of keep-alive pings.
 fn connection_builder(router: &Router, time: Duration) -> auto::Builder<Spawner> {
     let bounds = &router.deployment.limits;
     let mut builder = auto::Builder::new(Spawner(router.spawner()));
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -1,6 +1,6 @@
-//! The responses to final answers, and to invocations that are not taken.
+//! The responses to final answers, and to invocations that are not admitted.
 
-use super::answer::{Answer, Problem, problem, stay_away};
+use super::answer::{Answer, Problem, problem, set_retry_after};
 use crate::config::Refusal;
 use crate::router::{AnswerLost, ExecutorResponse, FinalAnswer, RejectionReason, Router};
 use http::{Response, StatusCode};
@@ -18,7 +18,7 @@
         match answer {
             Ok(FinalAnswer::Succeeded(executor_response)) => {
                 let response = Response::new(match executor_response {
-                    ExecutorResponse::Whole(chunks) => Answer::Chunks(chunks.into()),
+                    ExecutorResponse::Complete(chunks) => Answer::Chunks(chunks.into()),
                     ExecutorResponse::Streamed(parts) => Answer::Streamed(Box::pin(parts)),
                 });
                 FinalResponse {
@@ -85,12 +85,12 @@
     }
 
     fn retry_after(mut self, time: f64) -> FinalResponse {
-        stay_away(self.response.headers_mut(), time);
+        set_retry_after(self.response.headers_mut(), time);
         self
     }
 }
 
-/// The status and title of what the configuration doesn't let through.
+/// The status and title of an invocation that the configuration doesn't admit.
 fn refusal_status(refusal: &Refusal) -> (StatusCode, &'static str) {
     match refusal {
         Refusal::NotAllowed { .. } => (StatusCode::FORBIDDEN, "not allowed"),
@@ -100,7 +100,7 @@
     }
 }
 
-/// The response to an invocation that was not taken.
+/// The response to an invocation that was not admitted.
 pub(super) fn rejection_problem(router: &Router, why: RejectionReason) -> Problem {
     let throttled = |detail: &str, time: f64| {
         let mut problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail);
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/front-end`: what the front end says of itself.
+//! `GET /v1/front-end`: the status of the front end.
 
 use super::answer::Answer;
 use crate::router::Router;
@@ -20,7 +20,7 @@
     json!({ "term": published.epoch.term, "number": published.number, "rollouts": rollouts })
 }
 
-/// The roster and the front ends, where they come from etcd.
+/// The endpoint list and the front ends, where they come from etcd.
 fn roster(router: &Router) -> serde_json::Value {
     if !matches!(
         router.deployment.endpoint_source,
@@ -51,7 +51,7 @@
     })
 }
 
-/// The state of triggers by messages.
+/// The status of the message triggers.
 fn triggers(router: &Router) -> serde_json::Value {
     let Some(status) = router.triggers.get() else {
         return serde_json::Value::Null;
@@ -65,9 +65,9 @@
     })
 }
 
-/// What the front end says of itself.
+/// The status of the front end, as JSON.
 pub(super) fn status(router: &Router) -> Response<Answer> {
-    let t = router.counters();
+    let counters = router.counters();
     let body = json!({
         "deployment": router.deployment.name,
         "revision": router.revision().number,
@@ -76,16 +76,16 @@
         "configuration": router.admission.get().map(|admission| admission.host().status()),
         "roster": roster(router),
         "open": router.open(),
-        "taken": t.admitted,
-        "refused": t.not_admitted,
-        "succeeded": t.succeeded,
-        "throttled": t.rejected,
-        "errored": t.failed,
-        "withdrawn": t.cancelled_by_client,
-        "dispatches": t.dispatches,
-        "orders": t.load_commands,
-        "overdue": t.overdue,
-        "indexTaken": router.index_taken.get(),
+        "taken": counters.admitted,
+        "refused": counters.not_admitted,
+        "succeeded": counters.succeeded,
+        "throttled": counters.rejected,
+        "errored": counters.failed,
+        "withdrawn": counters.cancelled_by_client,
+        "dispatches": counters.dispatches,
+        "orders": counters.load_commands,
+        "overdue": counters.overdue,
+        "indexTaken": router.duplicate_index_reports.get(),
         "rollouts": rollouts(router),
         "mqtt": triggers(router),
     });
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -20,7 +20,7 @@
 use futures_lite::future;
 use ingress::{ConnectionGuard, reject_connection, serve};
 use orchidtally_deployment::Deployment;
-use orchidtally_engine::Counters;
+pub use orchidtally_engine::Counters;
 use orchidtally_socket_io::Stream;
 use router::Router;
 use std::cell::Cell;
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -207,9 +207,9 @@
             }
             Input::Lost(number, why) if is_present(number) => self.lost(&why.to_string()),
             Input::Packet(..) | Input::Lost(..) | Input::OutboxDrained => {}
-            Input::InvocationEnded(n, answer) => {
-                self.invocations.remove(&n);
-                self.consumer.invocation_ended(now, n, answer);
+            Input::InvocationEnded(message_number, answer) => {
+                self.invocations.remove(&message_number);
+                self.consumer.invocation_ended(now, message_number, answer);
             }
         }
     }
@@ -241,9 +241,9 @@
             match action {
                 HostAction::Append(entry) => self.append(entry),
                 HostAction::Replace(snapshot) => self.replace(snapshot),
-                HostAction::Invoke(n) => self.invoke(n),
-                HostAction::Cancel(n) => {
-                    self.invocations.remove(&n);
+                HostAction::Invoke(message_number) => self.invoke(message_number),
+                HostAction::Cancel(message_number) => {
+                    self.invocations.remove(&message_number);
                 }
             }
         }
@@ -281,18 +281,20 @@
         }
     }
 
-    fn invoke(&mut self, n: u64) {
-        let Some(message) = self.consumer.message(n).cloned() else {
+    fn invoke(&mut self, message_number: u64) {
+        let Some(message) = self.consumer.message(message_number).cloned() else {
             return;
         };
-        let ready_by = self.consumer.ready_by(n);
+        let ready_by = self.consumer.ready_by(message_number);
         let (router, inputs) = (self.router.clone(), self.inputs.clone());
         let work = async move {
             let answer = invoke(router, message, ready_by).await;
-            let _ = inputs.send(Input::InvocationEnded(n, answer)).await;
+            let _ = inputs
+                .send(Input::InvocationEnded(message_number, answer))
+                .await;
         };
         self.invocations
-            .extend(self.router.spawn(work).map(|task| (n, task)));
+            .extend(self.router.spawn(work).map(|task| (message_number, task)));
     }
 
     fn log(&mut self, notice: Notice) {
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -1,4 +1,4 @@
-//! Invokes for a message.
+//! Performs the invocation of a message.
 
 use crate::config::Refusal;
 use crate::router::{
@@ -12,8 +12,8 @@
 use orchidtally_rollout::split::Caller;
 use std::rc::Rc;
 
-/// The answer to a message that the configuration does not let through: one that may be let through later is throttled,
-/// unless it may have run.
+/// The answer to a message that the configuration doesn't admit: rejected if it may be admitted later and certainly
+/// hasn't run, failed otherwise.
 fn refused(refusal: &Refusal, may_have_run: bool) -> Answer {
     if refusal.retry_after().is_some() && !may_have_run {
         return Answer::Rejected;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Invokes for a message; returns its final answer.
+/// Invokes the function of a message; returns the final answer.
 pub(super) async fn invoke(router: Rc<Router>, message: StoredMessage, ready_by: f64) -> Answer {
     let ingress_request = match ask(&router, &message, ready_by) {
         Ok(ingress_request) => ingress_request,
@@ -37,7 +37,10 @@
     }
 }
 
-/// What a message asks for, or its answer where that can't be invoked.
+/// The invocation that a message requests.
+///
+/// # Errors
+/// The answer to a message that can't be invoked.
 fn ask<'m>(
     router: &Router,
     message: &'m StoredMessage,
@@ -119,7 +122,7 @@
 /// The answer to a message.
 fn final_answer(answer: Result<FinalAnswer, AnswerLost>) -> Answer {
     match answer {
-        Ok(FinalAnswer::Succeeded(ExecutorResponse::Whole(chunks))) => Answer::Succeeded {
+        Ok(FinalAnswer::Succeeded(ExecutorResponse::Complete(chunks))) => Answer::Succeeded {
             payload: match chunks.as_slice() {
                 [one] => one.clone(),
                 many => Bytes::from(many.concat()),
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -59,9 +59,9 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let c = &self.connection;
-        c.streams.set(c.streams.get() - 1);
-        c.idle_since.set(Instant::now());
+        let connection = &self.connection;
+        connection.streams.set(connection.streams.get() - 1);
+        connection.idle_since.set(Instant::now());
         self.pool.wake_one();
     }
 }
@@ -83,10 +83,13 @@
     /// Closes idle connections; returns whether the pool is empty and unused.
     pub fn sweep(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let idle = |c: &Rc<Connection>| {
-            c.streams.get() == 0 && c.idle_since.get().elapsed() >= self.limits.idle_close
+        let idle = |connection: &Rc<Connection>| {
+            connection.streams.get() == 0
+                && connection.idle_since.get().elapsed() >= self.limits.idle_close
         };
-        state.connections.retain(|c| !c.closed.get() && !idle(c));
+        state
+            .connections
+            .retain(|connection| !connection.closed.get() && !idle(connection));
         state.connections.is_empty() && state.connecting == 0 && state.waiters.is_empty()
     }
 
@@ -109,8 +112,9 @@
 
     fn lease_free_stream(self: &Rc<Self>) -> Option<Lease> {
         let state = self.state.borrow();
-        let has_free_stream = |c: &&Rc<Connection>| {
-            !c.closed.get() && c.streams.get() < self.limits.streams_per_connection
+        let has_free_stream = |connection: &&Rc<Connection>| {
+            !connection.closed.get()
+                && connection.streams.get() < self.limits.streams_per_connection
         };
         let connection = state.connections.iter().find(has_free_stream)?.clone();
         connection.streams.set(connection.streams.get() + 1);
@@ -133,7 +137,9 @@
             let (wake, woken) = oneshot::channel();
             let opens = {
                 let mut state = self.state.borrow_mut();
-                state.connections.retain(|c| !c.closed.get());
+                state
+                    .connections
+                    .retain(|connection| !connection.closed.get());
                 state.waiters.push_back(wake);
                 let expected_streams = state.connecting * self.limits.streams_per_connection;
                 let open = state.connections.len() + state.connecting;
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Asks the coordinators for the state of rollouts and tells them the evidence.
+//! Exchanges evidence for the published state of rollouts with the coordinators.
 
 use crate::router::Router;
 use futures_lite::future;
@@ -13,8 +13,8 @@
 use tracing::{info, warn};
 
 pub const EXCHANGE: &str = "/v1/rollouts/exchange";
-/// A coordinator that has not answered by then is asked again with the next round.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// The timeout of a request; a coordinator that has not answered by then is polled again in the next round.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a coordinator could not be polled.
 #[derive(Debug, Error)]
@@ -32,7 +32,7 @@
 /// Exchanges a report for the published state with one coordinator.
 async fn exchange(at: SocketAddr, report: &EvidenceReport) -> Result<Published, ExchangeError> {
     let body = serde_json::to_vec(report).map_err(ExchangeError::Encode)?;
-    let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, PATIENCE)
+    let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, REQUEST_TIMEOUT)
         .await
         .map_err(ExchangeError::Request)?;
     if status != StatusCode::OK {
@@ -42,10 +42,10 @@
     serde_json::from_slice(&answer).map_err(ExchangeError::Decode)
 }
 
-/// Round after round, for as long as the front end lives.
+/// Polls all coordinators, round after round, for as long as the front end lives.
 pub async fn poll_coordinators(router: Rc<Router>) {
     let pause = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
-    let mut reached = true;
+    let mut is_reachable = true;
     loop {
         let report = router
             .traffic_split
@@ -78,7 +78,7 @@
                 (at, Err(fault)) => faults.push(format!("{at}: {fault}")),
             }
         }
-        match (&newest, reached) {
+        match (&newest, is_reachable) {
             (None, true) => warn!(
                 ?faults,
                 "no coordinator reachable; rollout steps are paused"
@@ -86,8 +86,8 @@
             (Some(_), false) => info!("coordinator reachable again"),
             _ => {}
         }
-        reached = newest.is_some();
-        if !reached {
+        is_reachable = newest.is_some();
+        if !is_reachable {
             router.traffic_split.borrow_mut().restore_report(report);
         }
         router.apply_rollouts(newest);
--- a/crates/http-frontend/src/router/action_executor.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -210,7 +210,7 @@
         let executor_response = self
             .executor_response
             .take()
-            .unwrap_or(ExecutorResponse::Whole(vec![]));
+            .unwrap_or(ExecutorResponse::Complete(vec![]));
         self.answer(invocation, FinalAnswer::Succeeded(executor_response));
     }
 
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -115,7 +115,8 @@
 
     /// Another front end uses the index of this one, so that both use the same time slots at executors in slow start.
     fn on_duplicate_index(&self, executor: ExecutorId) {
-        self.index_taken.set(self.index_taken.get() + 1);
+        self.duplicate_index_reports
+            .set(self.duplicate_index_reports.get() + 1);
         let warned_lately = self
             .warned_of_index
             .get()
@@ -264,7 +265,7 @@
                 return match incoming.read_payload(max_length).await {
                     Ok(chunks) => (
                         Transport::Answered(DispatchStatus::Ok),
-                        Some(ExecutorResponse::Whole(chunks)),
+                        Some(ExecutorResponse::Complete(chunks)),
                     ),
                     Err(outcome) => (outcome, None),
                 };
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -145,7 +145,7 @@
 /// The body of an executor's response.
 pub enum ExecutorResponse {
     /// The complete body.
-    Whole(Vec<Bytes>),
+    Complete(Vec<Bytes>),
     /// The chunks as they arrive.
     Streamed(async_channel::Receiver<Result<Bytes, ResponseTruncated>>),
 }
@@ -313,7 +313,7 @@
                 load_time: prewarm.version.load_time,
                 replicas: prewarm.copies,
             };
-            let (known, ordered) = self.run_engine(|engine, now, action_executor| {
+            let (is_known, is_ordered) = self.run_engine(|engine, now, action_executor| {
                 action_executor.remember_version(
                     prewarm.version.key,
                     prewarm.function.as_str().into(),
@@ -327,7 +327,7 @@
             });
             self.traffic_split
                 .borrow_mut()
-                .on_prewarm_result(&prewarm, known, ordered);
+                .on_prewarm_result(&prewarm, is_known, is_ordered);
         }
     }
 
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -79,7 +79,7 @@
     timer_wakeup: (async_channel::Sender<()>, async_channel::Receiver<()>),
     warned_of_index: Cell<Option<Instant>>,
     /// The number of responses that reported a duplicate of this front end's index.
-    pub index_taken: Cell<u64>,
+    pub duplicate_index_reports: Cell<u64>,
     /// The status of the message triggers, where there are any.
     pub triggers: Cell<Option<TriggerStatus>>,
     /// The store of durable HTTP invocations, where the deployment has a journal.
@@ -133,13 +133,13 @@
         };
         let router = Rc::new_cyclic(|router: &Weak<Router>| {
             let mut action_executor = ActionExecutor::new(router.clone());
-            let (policy, most) = (
+            let (policy, max_open) = (
                 deployment.policy.clone(),
                 deployment.limits.max_open_invocations,
             );
             let engine = match random {
-                true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), most, now),
-                false => Engine::new(policy, most, seed, now, &mut action_executor),
+                true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), max_open, now),
+                false => Engine::new(policy, max_open, seed, now, &mut action_executor),
             };
             let place = orchidtally_rollout::frontend::FrontEndInfo {
                 index: sender.index,
@@ -165,7 +165,7 @@
                 armed_for: Cell::new(f64::INFINITY),
                 timer_wakeup: async_channel::bounded(1),
                 warned_of_index: Cell::new(None),
-                index_taken: Cell::new(0),
+                duplicate_index_reports: Cell::new(0),
                 triggers: Cell::new(None),
                 durable_invocation_store,
                 admission: OnceCell::new(),
@@ -260,16 +260,16 @@
                 .filter(|(at, _)| monotonic >= *at)
                 .map_or(0.0, |(_, by)| by);
             clock.anchor(monotonic, wall_clock_seconds() + ahead + stepped);
-            let astray = clock.astray();
+            let clock_error = clock.astray();
             drop(clock);
-            let far = astray.abs() > self.deployment.policy.max_clock_skew / 2.0;
-            if far && !warned {
+            let is_far_off = clock_error.abs() > self.deployment.policy.max_clock_skew / 2.0;
+            if is_far_off && !warned {
                 warn!(
-                    astray,
+                    clock_error,
                     "the wall clock was stepped; correcting at 0.05 % of elapsed time"
                 );
             }
-            warned = far;
+            warned = is_far_off;
             let mut action_executor = self.action_executor.borrow_mut();
             action_executor.pools.retain(|_, pool| !pool.sweep());
             action_executor
@@ -315,14 +315,14 @@
             count: slot_count,
             ..self.sender.get()
         });
-        let living = MembershipView {
+        let membership = MembershipView {
             front_ends: f64::from(estimate.count),
             slot_count: f64::from(slot_count),
             front_end_index: f64::from(index),
             has_budget_share: shares,
         };
         self.run_engine(|engine, now, action_executor| {
-            engine.on_membership_change(now, living, action_executor)
+            engine.on_membership_change(now, membership, action_executor)
         });
     }
 }
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -40,7 +40,7 @@
             .customers()
             .into_iter()
             .enumerate()
-            .map(|(index, (name, share))| (name, Rc::new(CustomerInForce { index, share })))
+            .map(|(index, (name, quota))| (name, Rc::new(CustomerInForce { index, quota })))
             .collect();
         Revisions {
             trigger_types: RefCell::new(Indices::new(trigger_types.iter())),
@@ -78,11 +78,13 @@
         let mut assigned = BTreeSet::new();
         let mut next = vec![];
         for (trigger, policy) in overlay.trigger_types() {
-            let known = current.trigger_type(&trigger.name).map(|(_, known)| known);
-            if let Some(known) =
-                known.filter(|known| known.trigger == trigger && known.policy == policy)
+            let existing = current
+                .trigger_type(&trigger.name)
+                .map(|(_, existing)| existing);
+            if let Some(existing) =
+                existing.filter(|existing| existing.trigger == trigger && existing.policy == policy)
             {
-                next.push(known.clone());
+                next.push(existing.clone());
                 continue;
             }
             let index = indices.lowest_free(&assigned, &is_used);
@@ -104,15 +106,16 @@
         let (current, indices) = (self.current(), self.customers.borrow());
         let mut assigned = BTreeSet::new();
         let mut next = HashMap::new();
-        for (name, share) in overlay.customers() {
-            let known = current.customer(&name).cloned();
-            let customer = known
-                .filter(|known| known.share == share)
+        for (name, quota) in overlay.customers() {
+            let existing = current.customer(&name).cloned();
+            let customer = existing
+                .filter(|existing| existing.quota == quota)
                 .unwrap_or_else(|| {
-                    let known = current.customer(&name).map(|known| known.index);
-                    let index = known.unwrap_or_else(|| indices.lowest_free(&assigned, |_| false));
+                    let existing = current.customer(&name).map(|existing| existing.index);
+                    let index =
+                        existing.unwrap_or_else(|| indices.lowest_free(&assigned, |_| false));
                     assigned.insert(index);
-                    Rc::new(CustomerInForce { index, share })
+                    Rc::new(CustomerInForce { index, quota })
                 });
             next.insert(name, customer);
         }
@@ -121,27 +124,27 @@
 
     /// Quotas by index: of customers of the next revision, and of those that an invocation still references. Empty where
     /// invocations name no customers.
-    fn shares_by_index(&self, next: &HashMap<String, Rc<CustomerInForce>>) -> Vec<f64> {
+    fn quotas_by_index(&self, next: &HashMap<String, Rc<CustomerInForce>>) -> Vec<f64> {
         if next.is_empty() {
             return vec![];
         }
         let in_use: Vec<_> = self.customers.borrow().in_use().collect();
-        let known = in_use.iter().chain(next.values());
-        let count = known
+        let all = in_use.iter().chain(next.values());
+        let count = all
             .clone()
             .map(|customer| customer.index + 1)
             .max()
             .unwrap_or(0);
-        let mut shares = vec![0.0; count];
-        known.for_each(|customer| shares[customer.index] = customer.share);
-        shares
+        let mut quotas = vec![0.0; count];
+        all.for_each(|customer| quotas[customer.index] = customer.quota);
+        quotas
     }
 
     fn put_in_force(&self, next: Revision) {
         let mut trigger_types = self.trigger_types.borrow_mut();
         next.trigger_types
             .iter()
-            .for_each(|known| trigger_types.assign(known.index, known));
+            .for_each(|existing| trigger_types.assign(existing.index, existing));
         let mut customers = self.customers.borrow_mut();
         next.customers
             .values()
@@ -192,21 +195,21 @@
         let is_used = |index| self.engine.borrow().uses_trigger_type(index);
         let trigger_types = self.revisions.next_trigger_types(&overlay, is_used)?;
         let customers = self.revisions.next_customers(&overlay);
-        let shares = self.revisions.shares_by_index(&customers);
-        check_quotas(&shares)?;
+        let quotas = self.revisions.quotas_by_index(&customers);
+        check_quotas(&quotas)?;
         let current = self.revision();
-        let is_new = |wanted: &&Rc<TriggerTypeInForce>| {
+        let is_new = |candidate: &&Rc<TriggerTypeInForce>| {
             !current
                 .trigger_types
                 .iter()
-                .any(|known| Rc::ptr_eq(known, wanted))
+                .any(|existing| Rc::ptr_eq(existing, candidate))
         };
         // What the engine accepts before it rejects something is under indices that no invocation can use.
         self.run_engine(|engine, now, _| {
             for added in trigger_types.iter().filter(is_new) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
             }
-            engine.set_quotas(now, shares)
+            engine.set_quotas(now, quotas)
         })?;
         let number = current.number + 1;
         self.revisions.put_in_force(Revision {
--- a/crates/http-frontend/src/router/revision.rs
+++ b/crates/http-frontend/src/router/revision.rs
@@ -28,7 +28,7 @@
     /// Its index in the engine.
     pub index: usize,
     /// Its quota: invocations a second over all front ends.
-    pub share: f64,
+    pub quota: f64,
 }
 
 /// One revision. It is immutable: a change creates another one.
@@ -50,7 +50,7 @@
         self.trigger_types
             .iter()
             .enumerate()
-            .find(|(_, known)| known.trigger.name == name)
+            .find(|(_, trigger_type)| trigger_type.trigger.name == name)
     }
 
     /// The trigger type of invocations that name none: there has to be just one.
@@ -65,7 +65,7 @@
     pub fn trigger_type_names(&self) -> Vec<&str> {
         self.trigger_types
             .iter()
-            .map(|known| known.trigger.name.as_str())
+            .map(|trigger_type| trigger_type.trigger.name.as_str())
             .collect()
     }
 
@@ -107,9 +107,9 @@
             .map(|function| (function.name.clone(), function));
         aligned.functions.extend(stored);
         for (place, trigger) in start.trigger_types.iter().enumerate() {
-            if let Some((_, known)) = self.trigger_type(&trigger.name) {
-                aligned.policy.trigger_types[place] = known.policy.clone();
-                aligned.trigger_types[place] = known.trigger.clone();
+            if let Some((_, trigger_type)) = self.trigger_type(&trigger.name) {
+                aligned.policy.trigger_types[place] = trigger_type.policy.clone();
+                aligned.trigger_types[place] = trigger_type.trigger.clone();
             }
         }
         aligned
--- a/crates/http-frontend/src/router/version_migration.rs
+++ b/crates/http-frontend/src/router/version_migration.rs
@@ -25,15 +25,18 @@
         let Some(to) = router.traffic_split.borrow().rollback_target(run) else {
             return;
         };
-        let is_new = |c: &Client| {
-            c.work
+        let is_new = |client: &Client| {
+            client
+                .work
                 .invoked
                 .is_some_and(|i| i.run == run && i.cohort == Cohort::Canary)
         };
         let mut waiting: Vec<u32> = self
             .clients
             .iter()
-            .filter(|(invocation, c)| is_new(c) && engine.dispatch_count(**invocation) == 0)
+            .filter(|(invocation, client)| {
+                is_new(client) && engine.dispatch_count(**invocation) == 0
+            })
             .map(|(&invocation, _)| invocation)
             .collect();
         waiting.sort_unstable();
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -2,6 +2,10 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
+#[path = "../front_end_kit/mod.rs"]
+pub mod front_end_kit;
+
+use front_end_kit::{FrontEndThread, run_within, start_executor, start_options};
 use http::{Method, StatusCode};
 use orchidtally_config_sync::writer::{self, EntryChange, Operation, ReadValue, ReadValues};
 use orchidtally_config_sync::{EntryKey, GatewaySchema, Keyspace, Report};
@@ -13,20 +17,16 @@
     TxnResponse,
 };
 use orchidtally_etcd::{Client, ClientError, RANGE, TXN};
-use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::Counters;
+use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::etcd::EtcdServer;
-use orchidtally_test_servers::executor::{
-    Executor, ExecutorSpec, Program, SharedResources, digest, echo,
-};
-use orchidtally_test_servers::store::PackageStore;
-use orchidtally_test_servers::{TestEnvironment, unused_address};
+use orchidtally_test_servers::executor::{Program, digest, echo};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::rc::Rc;
 use std::thread::JoinHandle;
 use std::time::Duration;
 
@@ -38,43 +38,27 @@
 const EXCHANGE_TIME: Duration = Duration::from_millis(700);
 
 /// Runs a case to its end.
-pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
-    let late = async {
-        stage.sleep(60.0).await;
-        panic!("the case did not end");
-    };
-    async_io::block_on(stage.tasks.run(futures_lite::future::or(work, late)))
+pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+    run_within(environment, 60.0, work)
 }
 
 /// An executor that serves any function.
-pub fn executor(stage: &TestEnvironment) -> SocketAddr {
-    let around = SharedResources {
-        store: PackageStore::new(stage, 8.0, 8),
-        catalogue: Rc::new(|name| {
-            let work = if name.starts_with("slow") {
-                SLOW
-            } else {
-                0.001
-            };
-            Some(Program {
-                concurrency: 32,
-                load_time: 0.01,
-                work,
-                run: echo,
-                ..Program::default()
-            })
-        }),
-        token_cache: Rc::default(),
-        deduplication_window: 5.0,
+pub fn executor(environment: &TestEnvironment) -> SocketAddr {
+    let program = |name: &str| {
+        let work = if name.starts_with("slow") {
+            SLOW
+        } else {
+            0.001
+        };
+        Some(Program {
+            concurrency: 32,
+            load_time: 0.01,
+            work,
+            run: echo,
+            ..Program::default()
+        })
     };
-    Executor::start(
-        stage,
-        ExecutorSpec::with_ample_capacity(1),
-        unused_address(),
-        around,
-    )
-    .unwrap()
-    .address
+    start_executor(environment, 1, program).address
 }
 
 /// A folder of the test's own, empty.
@@ -127,33 +111,20 @@
 pub struct FrontEnd {
     pub at: SocketAddr,
     stop: Option<async_channel::Sender<()>>,
-    thread: Option<JoinHandle<()>>,
+    thread: Option<JoinHandle<Counters>>,
 }
 
 impl FrontEnd {
     pub fn start(text: String, seed: u64) -> FrontEnd {
-        let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
-        let at = listener.get_ref().local_addr().unwrap();
-        let (stop, stopped) = async_channel::bounded(1);
-        let thread = std::thread::spawn(move || {
+        let front_end = FrontEndThread::spawn(move |listening| {
             let deployment = Deployment::parse(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
-            let start = Start {
-                deployment,
-                seed,
-                ahead: 0.0,
-                step: None,
-                stop: stopped,
-                random: false,
-                triggers: None,
-                durable_invocation_store: None,
-                reloads: None,
-            };
-            orchidtally_http_frontend::run(start, listener);
+            let start = start_options(deployment, seed, listening.stopped);
+            orchidtally_http_frontend::run(start, listening.listener)
         });
         FrontEnd {
-            at,
-            stop: Some(stop),
-            thread: Some(thread),
+            at: front_end.at,
+            stop: Some(front_end.stop),
+            thread: Some(front_end.thread),
         }
     }
 
--- a/crates/http-frontend/tests/departures.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -2,20 +2,20 @@
 
 mod gateway_kit;
 
+use gateway_kit::front_end_kit::start_executor;
 use gateway_kit::*;
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::client::TestClient;
-use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::executor::{Executor, Program, echo};
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::store::PackageStore;
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::rc::Rc;
 
 /// Seconds that an invocation takes; the next one waits for its stream for as long.
 const WORK: f64 = 0.6;
 
-fn slow_executor(stage: &TestEnvironment) -> Rc<Executor> {
-    let program = |_: &str| {
+fn slow_executor(environment: &TestEnvironment) -> Rc<Executor> {
+    start_executor(environment, 0, |_| {
         Some(Program {
             concurrency: 32,
             load_time: 0.01,
@@ -23,20 +23,7 @@
             run: echo,
             ..Program::default()
         })
-    };
-    let around = SharedResources {
-        store: PackageStore::new(stage, 8.0, 8),
-        catalogue: Rc::new(program),
-        token_cache: Rc::default(),
-        deduplication_window: 5.0,
-    };
-    Executor::start(
-        stage,
-        ExecutorSpec::with_ample_capacity(0),
-        unused_address(),
-        around,
-    )
-    .unwrap()
+    })
 }
 
 /// A front end with one stream to each executor.
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -1,51 +1,35 @@
 //! A front end that follows etcd on sockets: an operator's drain, another start, entries that can't be read.
 
+mod front_end_kit;
+
 use bytes::Bytes;
+use front_end_kit::{FrontEndThread, executors_of, run_within, start_executor, start_options};
 use orchidtally_deployment::Deployment;
 use orchidtally_etcd::rpc::{DeleteRangeRequest, PutRequest};
-use orchidtally_http_frontend::Start;
-use orchidtally_invariants::TrafficRecord;
+use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::etcd::EtcdServer;
-use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
-use orchidtally_test_servers::store::PackageStore;
-use orchidtally_test_servers::{TestEnvironment, unused_address};
+use orchidtally_test_servers::executor::{Executor, Program, echo};
 use serde_json::Value;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
-    let late = async {
-        stage.sleep(30.0).await;
-        panic!("the case did not end");
-    };
-    async_io::block_on(stage.tasks.run(futures_lite::future::or(work, late)))
+fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+    run_within(environment, 30.0, work)
 }
 
-fn executor(stage: &TestEnvironment, number: usize) -> Rc<Executor> {
-    let around = SharedResources {
-        store: PackageStore::new(stage, 8.0, 8),
-        catalogue: Rc::new(|_| {
-            Some(Program {
-                concurrency: 32,
-                load_time: 0.02,
-                work: 0.002,
-                run: echo,
-                ..Program::default()
-            })
-        }),
-        token_cache: Rc::default(),
-        deduplication_window: 5.0,
-    };
-    Executor::start(
-        stage,
-        ExecutorSpec::with_ample_capacity(number),
-        unused_address(),
-        around,
-    )
-    .unwrap()
+fn executor(environment: &TestEnvironment, number: usize) -> Rc<Executor> {
+    start_executor(environment, number, |_| {
+        Some(Program {
+            concurrency: 32,
+            load_time: 0.02,
+            work: 0.002,
+            run: echo,
+            ..Program::default()
+        })
+    })
 }
 
 struct World {
@@ -123,19 +107,7 @@
                 "{label}: {heard:?}"
             );
         }
-        let records = self.stage.records();
-        let of = |r: &TrafficRecord| match r {
-            TrafficRecord::ExecutionStarted {
-                executor,
-                invocation,
-                ..
-            } if invocation.starts_with(label) => Some(*executor),
-            _ => None,
-        };
-        let mut ran: Vec<usize> = records.iter().filter_map(of).collect();
-        ran.sort_unstable();
-        ran.dedup();
-        ran
+        executors_of(&self.stage, label)
     }
 }
 
@@ -164,24 +136,12 @@
             executors: {{ etcd: {{ endpoints: [{}], lease: "2s" }} }} }}"#,
         endpoints.join(", ")
     );
-    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
-    let at = listener.get_ref().local_addr().unwrap();
-    let (stop, stopped) = async_channel::bounded(1);
-    let thread = std::thread::spawn(move || {
+    let front_end = FrontEndThread::spawn(move |listening| {
         let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
-        let start = Start {
-            deployment,
-            seed: 5,
-            ahead: 0.0,
-            step: None,
-            stop: stopped,
-            random: false,
-            triggers: None,
-            durable_invocation_store: None,
-            reloads: None,
-        };
-        orchidtally_http_frontend::run(start, listener);
+        let start = start_options(deployment, 5, listening.stopped);
+        orchidtally_http_frontend::run(start, listening.listener)
     });
+    let at = front_end.at;
     let caller = TestClient::new(&w.stage, 0, 0, at, false);
     on(&w.stage, async {
         let heard = |revision: i64| {
@@ -223,6 +183,5 @@
         );
         w.until(at, |r| r["shares"] == true).await;
     });
-    drop(stop);
-    thread.join().unwrap();
+    front_end.end();
 }
--- a/crates/http-frontend/tests/etcd_age.rs
+++ b/crates/http-frontend/tests/etcd_leader_loss.rs
@@ -3,9 +3,9 @@
 mod gateway_kit;
 
 use bytes::Bytes;
+use gateway_kit::front_end_kit::executors_of;
 use gateway_kit::{LOOK, ask, description, executor, gateway, on, status};
 use orchidtally_etcd::rpc::PutRequest;
-use orchidtally_invariants::TrafficRecord;
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::etcd::EtcdServer;
@@ -28,22 +28,6 @@
         .unwrap();
 }
 
-/// Executors at which invocations ran whose names begin so.
-fn ran_at(stage: &TestEnvironment, label: &str) -> Vec<usize> {
-    let of = |record: &TrafficRecord| match record {
-        TrafficRecord::ExecutionStarted {
-            executor,
-            invocation,
-            ..
-        } if invocation.starts_with(label) => Some(*executor),
-        _ => None,
-    };
-    let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
-    ran.sort_unstable();
-    ran.dedup();
-    ran
-}
-
 async fn invoke_some(caller: &Rc<TestClient>, label: &str) {
     for n in 0..24 {
         let asked = ClientRequest {
@@ -72,7 +56,7 @@
     on(&stage, async {
         stage.sleep(1.0).await;
         invoke_some(&caller, "before").await;
-        assert_eq!(ran_at(&stage, "before"), [0, 1], "both serve");
+        assert_eq!(executors_of(&stage, "before"), [0, 1], "both serve");
         for region in 0..3 {
             // Whichever member it follows, one of these cuts parts that from its leader.
             etcd.cut(region);
@@ -84,7 +68,7 @@
             let label = format!("cut-{region}");
             invoke_some(&caller, &label).await;
             assert_eq!(
-                ran_at(&stage, &label),
+                executors_of(&stage, &label),
                 [1 - drains],
                 "cut {region}: one drains"
             );
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -2,16 +2,18 @@
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
+#[path = "../front_end_kit/mod.rs"]
+pub mod front_end_kit;
+
 use bytes::Bytes;
+use front_end_kit::{FrontEndThread, run_within, start_executor, start_options};
 use orchidtally_deployment::Deployment;
-use orchidtally_engine::Counters;
-use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::Counters;
 use orchidtally_invariants::EndpointState;
+use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
-use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
+use orchidtally_test_servers::executor::{Executor, Program, echo};
 use orchidtally_test_servers::publisher::PublishedEndpoint;
-use orchidtally_test_servers::store::PackageStore;
-use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -77,13 +79,9 @@
 
 /// Starts a front end.
 pub fn gateway(text: String) -> Gateway {
-    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
-    let at = listener.get_ref().local_addr().unwrap();
-    let (stop, stopped) = async_channel::bounded(1);
-    let seed = u64::from(at.port());
     let log = Log::default();
     let writer = log.clone();
-    let thread = std::thread::spawn(move || {
+    let front_end = FrontEndThread::spawn(move |listening| {
         let lines = tracing_subscriber::fmt()
             .with_ansi(false)
             .with_max_level(tracing_subscriber::filter::LevelFilter::WARN);
@@ -91,25 +89,14 @@
             lines.with_writer(move || writer.clone()).finish(),
         );
         let deployment = Deployment::parse(&text).unwrap();
-        orchidtally_http_frontend::run(
-            Start {
-                deployment,
-                seed,
-                ahead: 0.0,
-                step: None,
-                stop: stopped,
-                random: false,
-                triggers: None,
-                durable_invocation_store: None,
-                reloads: None,
-            },
-            listener,
-        )
+        let seed = u64::from(listening.at.port());
+        let start = start_options(deployment, seed, listening.stopped);
+        orchidtally_http_frontend::run(start, listening.listener)
     });
     Gateway {
-        at,
-        stop,
-        thread,
+        at: front_end.at,
+        stop: front_end.stop,
+        thread: front_end.thread,
         log,
     }
 }
@@ -124,13 +111,9 @@
     }
 }
 
-/// Runs work to its end, with what the stage has started.
-pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
-    let late = async {
-        stage.sleep(30.0).await;
-        panic!("the case did not end");
-    };
-    async_io::block_on(stage.tasks.run(futures_lite::future::or(work, late)))
+/// Runs work to its end, with what the environment has started.
+pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+    run_within(environment, 30.0, work)
 }
 
 /// A request by its name and trigger type.
@@ -177,23 +160,16 @@
 }
 
 /// Starts an executor whose functions take this long to load.
-pub fn executor(stage: &TestEnvironment, number: usize, load_time: f64) -> Rc<Executor> {
-    let make = ExecutorSpec::with_ample_capacity(number);
-    let around = SharedResources {
-        store: PackageStore::new(stage, 8.0, 8),
-        catalogue: Rc::new(move |_| {
-            Some(Program {
-                concurrency: 32,
-                load_time,
-                work: 0.005,
-                run: echo,
-                ..Program::default()
-            })
-        }),
-        token_cache: Rc::default(),
-        deduplication_window: 5.0,
-    };
-    Executor::start(stage, make, unused_address(), around).unwrap()
+pub fn executor(environment: &TestEnvironment, number: usize, load_time: f64) -> Rc<Executor> {
+    start_executor(environment, number, move |_| {
+        Some(Program {
+            concurrency: 32,
+            load_time,
+            work: 0.005,
+            run: echo,
+            ..Program::default()
+        })
+    })
 }
 
 /// An executor's row in the publisher's list.
--- /dev/null
+++ b/crates/http-frontend/tests/malformed_bytes.rs
@@ -0,0 +1,119 @@
+//! Executors and clients that send malformed bytes.
+
+mod gateway_kit;
+mod scripted_executor;
+
+use async_io::Async;
+use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
+use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, status};
+use orchidtally_test_servers::TestEnvironment;
+use orchidtally_test_servers::client::{ClientRequest, TestClient};
+use orchidtally_test_servers::raw::{self, Kind, Next};
+use scripted_executor::{NO_LOAD_COMMANDS, scripted};
+use std::cell::Cell;
+use std::net::TcpStream;
+use std::rc::Rc;
+
+#[test]
+fn bytes_that_are_no_messages_close_their_connection_alone() {
+    let stage = TestEnvironment::new(1);
+    // A peer agrees to settings once on a connection.
+    let opened = [(); 2].map(|()| Rc::new(Cell::new(0)));
+    let count = |opened: &Cell<usize>, f: &raw::Frame| {
+        opened.set(opened.get() + usize::from(f.kind == Kind::Settings));
+    };
+    let [one, two] = opened.clone();
+    let garbage = scripted(&stage, move |f| {
+        count(&one, f);
+        if f.kind == Kind::Headers {
+            Next::Say(vec![0xff; 300])
+        } else {
+            Next::Say(vec![])
+        }
+    });
+    let wrong = scripted(&stage, move |f| {
+        count(&two, f);
+        // An answer whose message runs past its end.
+        let bytes = [
+            raw::ok(f.stream),
+            raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true),
+        ]
+        .concat();
+        Next::Say(if f.ends_stream() { bytes } else { vec![] })
+    });
+    let one = executor(&stage, 0, 0.01);
+    // In locations of their own: where two of one broke, the module takes the rest of it for as cold.
+    let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
+    let five = [
+        (garbage, "a"),
+        (wrong, "b"),
+        (one.address, "c"),
+        (more[0], "d"),
+        (more[1], "e"),
+    ];
+    let list = five
+        .map(|(at, place)| format!("{{ address: \"{at}\", location: \"{place}\" }}"))
+        .join(", ");
+    let more = format!("locations: [\"a\", \"b\", \"c\", \"d\", \"e\"], {NO_LOAD_COMMANDS}");
+    let gateway = gateway(description(&format!("list: [{list}]"), &more));
+    on(&stage, async {
+        let mut preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec();
+        preface.extend(raw::settings());
+        // Headers of one stream id, sent twice: the second is a fault of the whole connection.
+        let path = b"/v1/functions/f/invocations";
+        let mut headers = vec![0x83, 0x86, 0x04, path.len() as u8];
+        headers.extend(path);
+        headers.extend([0x01, 1, b'x']);
+        let mut frame = (headers.len() as u32).to_be_bytes()[1..].to_vec();
+        frame.extend([1, 5, 0, 0, 0, 1]);
+        frame.extend(&headers);
+        let twice = [preface.clone(), frame.clone(), frame].concat();
+        let mut long = b"POST /v1/functions/f/invocations HTTP/1.1\r\nhost: x\r\nlong: ".to_vec();
+        long.resize(200_000, b'a');
+        let nonsense = [preface, vec![0xff; 200]].concat();
+        for bytes in [
+            twice,
+            long,
+            nonsense,
+            b"\x00\x01\x02 nonsense\r\n\r\n".to_vec(),
+        ] {
+            let mut socket = Async::<TcpStream>::connect(gateway.at).await.unwrap();
+            // It may be cut off while it still writes.
+            let _ = socket.write_all(&bytes).await;
+            let mut rest = vec![];
+            let closed = orchidtally_socket_io::with_timeout(
+                std::time::Duration::from_secs(3),
+                socket.read_to_end(&mut rest),
+            );
+            assert!(closed.await.is_some(), "the connection is closed");
+        }
+        assert_eq!(
+            gateway.log.lines_with("connection closed"),
+            4,
+            "a line for each"
+        );
+        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
+        // Where both executors drawn for a function are bad it may fail; which are drawn hangs on their ports.
+        for (round, least) in [("a", 18), ("b", 18)] {
+            let asks = (0..30)
+                .map(|n| ClientRequest {
+                    function: format!("{round}{n}"),
+                    ..ask(&format!("{round}{n}"), LOOK)
+                })
+                .collect();
+            let heard = all(&stage, &caller, asks).await;
+            let well = heard.iter().filter(|h| status(h) == 200).count();
+            assert!(well >= least, "{well} of 30 in round {round}: {heard:?}");
+        }
+        stage.sleep(0.1).await;
+        for (executor, opened) in [garbage, wrong].iter().zip(&opened) {
+            let lines = gateway.log.lines_with(&format!("executor={executor}"));
+            assert!(
+                (1..=opened.get()).contains(&lines),
+                "{lines} for {} connections",
+                opened.get()
+            );
+        }
+    });
+    gateway.end();
+}
--- a/crates/http-frontend/tests/publisher_age.rs
+++ b/crates/http-frontend/tests/publisher_loss.rs
@@ -2,8 +2,9 @@
 
 mod gateway_kit;
 
+use gateway_kit::front_end_kit::executors_of;
 use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, row, status};
-use orchidtally_invariants::{EndpointState, TrafficRecord};
+use orchidtally_invariants::EndpointState;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::fault_proxy::FaultProxy;
 use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
@@ -24,18 +25,7 @@
     });
     let heard = all(stage, caller, asks.collect()).await;
     assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
-    let of = |record: &TrafficRecord| match record {
-        TrafficRecord::ExecutionStarted {
-            executor,
-            invocation,
-            ..
-        } if invocation.starts_with(label) => Some(*executor),
-        _ => None,
-    };
-    let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
-    ran.sort_unstable();
-    ran.dedup();
-    ran
+    executors_of(stage, label)
 }
 
 #[test]
--- /dev/null
+++ b/crates/http-frontend/tests/scripted_executor/mod.rs
@@ -0,0 +1,52 @@
+//! An executor whose answers to HTTP/2 frames are scripted.
+
+#![allow(dead_code)] // Each test file uses a part of it.
+
+use async_io::Async;
+use orchidtally_executor_protocol::{frame, v1};
+use orchidtally_test_servers::raw::{self, Next};
+use orchidtally_test_servers::{TestEnvironment, unused_address};
+use std::cell::RefCell;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+/// The section of a deployment file that switches load commands off.
+pub const NO_LOAD_COMMANDS: &str = "loading: { orders: false },";
+
+/// The message of a successful response from a warm replica.
+pub fn warm() -> Vec<u8> {
+    let mut answer = v1::Answer::default();
+    answer.set_ending(v1::Ending::Ok);
+    answer.set_found(v1::Found::Warm);
+    frame(&answer).to_vec()
+}
+
+/// The frames of a successful response on a stream.
+pub fn answered(stream: u32) -> Vec<u8> {
+    [raw::ok(stream), raw::data(stream, &warm(), true)].concat()
+}
+
+/// A scripted executor: `script` gets each frame of each connection.
+pub fn scripted(
+    stage: &TestEnvironment,
+    script: impl FnMut(&raw::Frame) -> Next + 'static,
+) -> SocketAddr {
+    let listener = Async::<TcpListener>::bind(unused_address()).unwrap();
+    let at = listener.get_ref().local_addr().unwrap();
+    let script = Rc::new(RefCell::new(script));
+    let serve = stage.clone();
+    stage
+        .spawn(async move {
+            while let Ok(socket) = raw::accept(&listener).await {
+                let script = script.clone();
+                serve
+                    .spawn(async move {
+                        // It ends as the script wants it, or with its peer.
+                        let _ = raw::connection(socket, move |f| (script.borrow_mut())(f)).await;
+                    })
+                    .detach();
+            }
+        })
+        .detach();
+    at
+}
--- /dev/null
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -0,0 +1,154 @@
+//! A front end on loopback sockets that serves message triggers, with its broker and its executor.
+
+#[path = "../front_end_kit/mod.rs"]
+pub mod front_end_kit;
+
+use bytes::Bytes;
+use front_end_kit::{FrontEndThread, run_within, start_executor, start_options};
+use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
+use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_invariants::TrafficRecord;
+use orchidtally_mqtt::packet::{Property, Qos};
+use orchidtally_test_servers::broker::{BrokerServer, Message, StreamWrapper};
+use orchidtally_test_servers::executor::{Executor, Program, echo};
+use orchidtally_test_servers::{TestEnvironment, unused_address};
+use std::future::Future;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// A broker, an executor, and the deployment file of a front end that serves both.
+pub struct World {
+    pub stage: TestEnvironment,
+    pub broker: Rc<BrokerServer>,
+    _executor: Rc<Executor>,
+    pub text: String,
+}
+
+/// An empty folder of the test's own.
+pub fn folder(name: &str) -> PathBuf {
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("triggers-{name}"));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+/// Starts a broker and an executor; `at` is where the front end keeps its journals.
+pub fn world(at: &Path, version: &str, tls: &str, wrap: Option<StreamWrapper>) -> World {
+    let stage = TestEnvironment::new(1);
+    let executor = start_executor(&stage, 0, |_| {
+        Some(Program {
+            concurrency: 32,
+            load_time: 0.05,
+            work: 0.005,
+            run: echo,
+            ..Program::default()
+        })
+    });
+    let broker = BrokerServer::start(&stage, unused_address(), wrap).unwrap();
+    let text = format!(
+        r#"{{
+            triggerTypes: [
+                {{ name: "act", effect: "nonIdempotent", objective: "2s", timeout: "4s", journalled: true }},
+                {{ name: "look", effect: "idempotent", objective: "2s", timeout: "4s" }},
+            ],
+            functions: [{{ name: "mist", lanes: 32, loadTime: "200ms" }}],
+            executors: {{ list: [{{ address: "{}" }}] }},
+            safety: {{ cold: "50ms", fall: "10ms" }},
+            journal: {{ folder: "{}/promises-{{index}}" }},
+            mqtt: {{
+                broker: "{}", version: "{version}", {tls} keepAlive: "1s",
+                journal: {{ folder: "{}/journal-{{index}}" }}, setAside: {{ topic: "aside", after: 3 }},
+                triggers: [
+                    {{ topic: "act/{{n}}", function: "mist", triggerType: "act", answer: "done/{{n}}" }},
+                    {{ topic: "look/{{n}}", function: "mist", triggerType: "look", answer: "done/{{n}}", qos: 1, payload: "json" }},
+                ],
+            }},
+        }}"#,
+        executor.address,
+        at.display(),
+        broker.address,
+        at.display()
+    );
+    World {
+        stage,
+        broker,
+        _executor: executor,
+        text,
+    }
+}
+
+/// Starts a front end with the triggers of a deployment file.
+pub fn gateway(text: &str) -> FrontEndThread {
+    let text = text.to_owned();
+    FrontEndThread::spawn(move |listening| {
+        let (deployment, section) =
+            orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+        let triggers = Some(Triggers::open(section.unwrap(), 0).unwrap());
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap()
+            .as_secs_f64();
+        let durable_invocation_store = DurableInvocationStore::open(&deployment, now).unwrap();
+        let start = Start {
+            triggers,
+            durable_invocation_store,
+            ..start_options(deployment, 7, listening.stopped)
+        };
+        orchidtally_http_frontend::run(start, listening.listener)
+    })
+}
+
+/// Runs work to its end, with what the environment has started.
+pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+    run_within(environment, 40.0, work)
+}
+
+impl World {
+    /// Publishes a message to the front end's triggers.
+    pub fn publish(&self, topic: &str, payload: &str) {
+        self.broker.publish(Message {
+            topic: topic.into(),
+            payload: Bytes::copy_from_slice(payload.as_bytes()),
+            qos: Qos::ExactlyOnce,
+            retain: false,
+            properties: vec![],
+            until: f64::INFINITY,
+        });
+    }
+
+    /// The answers so far on a topic, with their outcome.
+    pub fn answers(&self, topic: &str) -> Vec<(String, String)> {
+        let broker = self.broker.broker.borrow();
+        let outcome = |m: &Message| {
+            let told = m.properties.iter().find_map(|p| match p {
+                Property::User(name, value) if name == "orchidtally-outcome" => Some(value.clone()),
+                _ => None,
+            });
+            told.unwrap_or_default()
+        };
+        let of = broker.published.iter().filter(|m| m.topic == topic);
+        of.map(|m| (outcome(m), String::from_utf8_lossy(&m.payload).into_owned()))
+            .collect()
+    }
+
+    /// Waits for the next answer on a topic.
+    pub async fn answer(&self, topic: &str) -> (String, String) {
+        loop {
+            if let Some(answer) = self.answers(topic).pop() {
+                return answer;
+            }
+            self.stage.sleep(0.01).await;
+        }
+    }
+
+    /// How often functions have run.
+    pub fn runs(&self) -> usize {
+        self.stage
+            .records()
+            .iter()
+            .filter(|r| matches!(r, TrafficRecord::ExecutionStarted { .. }))
+            .count()
+    }
+}
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -1,194 +1,20 @@
 //! Triggers on sockets: a front end, executors, and the broker stand-in with its faults.
 
+mod trigger_kit;
+
 use bytes::Bytes;
 use futures_lite::future::FutureExt;
 use futures_rustls::TlsAcceptor;
 use futures_rustls::pki_types::PrivateKeyDer;
 use futures_rustls::rustls::ServerConfig;
-use orchidtally_http_frontend::Start;
-use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
 use orchidtally_http_frontend::mqtt::Triggers;
-use orchidtally_invariants::TrafficRecord;
-use orchidtally_mqtt::packet::{Property, Qos};
-use orchidtally_test_servers::broker::{BrokerServer, ByteStream, Message, StreamWrapper};
+use orchidtally_test_servers::broker::{ByteStream, StreamWrapper};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
-use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
-use orchidtally_test_servers::store::PackageStore;
-use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::RefCell;
-use std::future::Future;
-use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
-use std::thread::JoinHandle;
-use std::time::{SystemTime, UNIX_EPOCH};
-
-struct World {
-    stage: TestEnvironment,
-    broker: Rc<BrokerServer>,
-    _executor: Rc<Executor>,
-    text: String,
-}
-
-struct Gateway {
-    at: SocketAddr,
-    stop: async_channel::Sender<()>,
-    thread: JoinHandle<()>,
-}
-
-impl Gateway {
-    fn end(self) {
-        drop(self.stop);
-        self.thread.join().unwrap();
-    }
-}
-
-fn folder(name: &str) -> PathBuf {
-    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("triggers-{name}"));
-    let _ = std::fs::remove_dir_all(&path);
-    std::fs::create_dir_all(&path).unwrap();
-    path
-}
-
-fn world(at: &Path, version: &str, tls: &str, wrap: Option<StreamWrapper>) -> World {
-    let stage = TestEnvironment::new(1);
-    let around = SharedResources {
-        store: PackageStore::new(&stage, 8.0, 8),
-        catalogue: Rc::new(|_| {
-            Some(Program {
-                concurrency: 32,
-                load_time: 0.05,
-                work: 0.005,
-                run: echo,
-                ..Program::default()
-            })
-        }),
-        token_cache: Rc::default(),
-        deduplication_window: 5.0,
-    };
-    let executor = Executor::start(
-        &stage,
-        ExecutorSpec::with_ample_capacity(0),
-        unused_address(),
-        around,
-    )
-    .unwrap();
-    let broker = BrokerServer::start(&stage, unused_address(), wrap).unwrap();
-    let text = format!(
-        r#"{{
-            triggerTypes: [
-                {{ name: "act", effect: "nonIdempotent", objective: "2s", timeout: "4s", journalled: true }},
-                {{ name: "look", effect: "idempotent", objective: "2s", timeout: "4s" }},
-            ],
-            functions: [{{ name: "mist", lanes: 32, loadTime: "200ms" }}],
-            executors: {{ list: [{{ address: "{}" }}] }},
-            safety: {{ cold: "50ms", fall: "10ms" }},
-            journal: {{ folder: "{}/promises-{{index}}" }},
-            mqtt: {{
-                broker: "{}", version: "{version}", {tls} keepAlive: "1s",
-                journal: {{ folder: "{}/journal-{{index}}" }}, setAside: {{ topic: "aside", after: 3 }},
-                triggers: [
-                    {{ topic: "act/{{n}}", function: "mist", triggerType: "act", answer: "done/{{n}}" }},
-                    {{ topic: "look/{{n}}", function: "mist", triggerType: "look", answer: "done/{{n}}", qos: 1, payload: "json" }},
-                ],
-            }},
-        }}"#,
-        executor.address,
-        at.display(),
-        broker.address,
-        at.display()
-    );
-    World {
-        stage,
-        broker,
-        _executor: executor,
-        text,
-    }
-}
-
-fn gateway(text: &str) -> Gateway {
-    let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
-    let at = listener.get_ref().local_addr().unwrap();
-    let (stop, stopped) = async_channel::bounded(1);
-    let text = text.to_owned();
-    let thread = std::thread::spawn(move || {
-        let (deployment, section) =
-            orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
-        let triggers = Some(Triggers::open(section.unwrap(), 0).unwrap());
-        let now = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap()
-            .as_secs_f64();
-        let durable_invocation_store = DurableInvocationStore::open(&deployment, now).unwrap();
-        let start = Start {
-            deployment,
-            seed: 7,
-            ahead: 0.0,
-            step: None,
-            stop: stopped,
-            random: false,
-            triggers,
-            durable_invocation_store,
-            reloads: None,
-        };
-        orchidtally_http_frontend::run(start, listener);
-    });
-    Gateway { at, stop, thread }
-}
-
-fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
-    let late = async {
-        stage.sleep(40.0).await;
-        panic!("the case did not end");
-    };
-    async_io::block_on(stage.tasks.run(futures_lite::future::or(work, late)))
-}
-
-impl World {
-    fn publish(&self, topic: &str, payload: &str) {
-        self.broker.publish(Message {
-            topic: topic.into(),
-            payload: Bytes::copy_from_slice(payload.as_bytes()),
-            qos: Qos::ExactlyOnce,
-            retain: false,
-            properties: vec![],
-            until: f64::INFINITY,
-        });
-    }
-
-    /// The answers so far on a topic, with their outcome.
-    fn answers(&self, topic: &str) -> Vec<(String, String)> {
-        let broker = self.broker.broker.borrow();
-        let outcome = |m: &Message| {
-            let told = m.properties.iter().find_map(|p| match p {
-                Property::User(name, value) if name == "orchidtally-outcome" => Some(value.clone()),
-                _ => None,
-            });
-            told.unwrap_or_default()
-        };
-        let of = broker.published.iter().filter(|m| m.topic == topic);
-        of.map(|m| (outcome(m), String::from_utf8_lossy(&m.payload).into_owned()))
-            .collect()
-    }
-
-    async fn answer(&self, topic: &str) -> (String, String) {
-        loop {
-            if let Some(answer) = self.answers(topic).pop() {
-                return answer;
-            }
-            self.stage.sleep(0.01).await;
-        }
-    }
-
-    fn runs(&self) -> usize {
-        self.stage
-            .records()
-            .iter()
-            .filter(|r| matches!(r, TrafficRecord::ExecutionStarted { .. }))
-            .count()
-    }
-}
+use trigger_kit::front_end_kit::FrontEndThread;
+use trigger_kit::{World, folder, gateway, on, world};
 
 fn succeeded(payload: &str) -> (String, String) {
     ("succeeded".into(), payload.into())
@@ -371,7 +197,7 @@
         .append(br#"{"promise":"taken","name":"lost","at":999999999.0}"#)
         .unwrap();
     drop(journal);
-    let invoke = async |gateway: &Gateway, name: &str, payload: &'static str| {
+    let invoke = async |gateway: &FrontEndThread, name: &str, payload: &'static str| {
         let caller = TestClient::new(&w.stage, 0, 0, gateway.at, true);
         let ask = ClientRequest {
             invocation: name.into(),
