--- a/crates/capacity-model/src/comparison/alone.rs
+++ b/crates/capacity-model/src/comparison/alone.rs
@@ -22,7 +22,7 @@
 /// What such a process prints once its front end follows the store.
 const READY: &str = "ready";
 
-/// What such a process is told by the first line of its standard input, as JSON.
+/// Parameters of such a process: the first line of its standard input, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AloneOrder {
     pub number: usize,
@@ -31,11 +31,11 @@
     pub endpoints: Vec<SocketAddr>,
     /// The snapshot that it starts from; it writes its own ones beside it.
     pub snapshot: PathBuf,
-    /// It ends if it does not follow the store after so many seconds.
+    /// The process ends if it does not follow the store within this time, in seconds.
     pub start_timeout_s: f64,
 }
 
-/// Runs the hollow front end that standard input tells of, until that ends.
+/// Runs the hollow front end that standard input describes, until standard input ends.
 ///
 /// # Errors
 /// There is no such order, or the front end does not follow the store in time.
@@ -85,7 +85,7 @@
 }
 
 impl AloneProcess {
-    /// Starts this program anew as one hollow front end.
+    /// Starts this program again as one hollow front end.
     pub fn start(order: &AloneOrder) -> Result<AloneProcess, ComparisonError> {
         let mut child = std::process::Command::new(std::env::current_exe()?)
             .arg("hollow")
--- a/crates/capacity-model/src/comparison/gateway.rs
+++ b/crates/capacity-model/src/comparison/gateway.rs
@@ -18,29 +18,46 @@
 } else {
     "cargo build --release --locked -p orchidtally-cli"
 };
-/// A question about a front end's standing has failed without an answer by then.
+/// Timeout of a request for a front end's status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
-/// A process that was told to end is killed after so many looks.
+/// A process that does not end by itself is killed after this many checks.
 const END_LOOKS: usize = 100;
 const END_LOOK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why real front ends could not be run.
 #[derive(Debug, Error)]
 pub enum GatewayError {
+    /// The gateway's program does not exist.
     #[error(
         "there is no program {program} to compare hollow front ends with; build it with `{BUILD}`, or name \
          another one by --gateway",
         program = program.display()
     )]
-    NotBuilt { program: PathBuf },
+    NotBuilt {
+        /// The program.
+        program: PathBuf,
+    },
+    /// The path of this program is unknown.
     #[error("the place of this program is not known: {0}; name the gateway's program by --gateway")]
     NoPlace(io::Error),
+    /// The process could not be started.
     #[error("{program} could not be started: {why}", program = program.display())]
-    NotStarted { program: PathBuf, why: io::Error },
+    NotStarted {
+        /// The program.
+        program: PathBuf,
+        /// Reason of the operating system.
+        why: io::Error,
+    },
+    /// The process ended or did not listen.
     #[error("a front end's process ended or did not listen; the last line of its log: {last}")]
-    NotListening { last: String },
+    NotListening {
+        /// Last line of its log.
+        last: String,
+    },
+    /// The status of a front end could not be read.
     #[error("the status of a front end could not be read: {0}")]
     NoStatus(io::Error),
+    /// The status of a front end has another format.
     #[error(
         "the status of a front end is not that of this version: {0}; build both programs together: `{BUILD}`"
     )]
@@ -64,7 +81,7 @@
     }
 }
 
-/// What a front end says of itself, as far as it tells that it follows the store.
+/// The part of a front end's status that shows whether it follows the store.
 #[derive(Debug, Deserialize)]
 pub struct FrontEndStatus {
     roster: Option<RosterStatus>,
@@ -161,7 +178,7 @@
         self.child.id()
     }
 
-    /// What it says of itself.
+    /// The status that the front end reports.
     pub async fn status(&self) -> Result<FrontEndStatus, GatewayError> {
         let (get, path) = (http::Method::GET, "/v1/front-end");
         let asked =
--- a/crates/capacity-model/src/comparison/meter.rs
+++ b/crates/capacity-model/src/comparison/meter.rs
@@ -1,11 +1,11 @@
-//! What other processes use, as the kernel tells it under `/proc`.
+//! Resource usage of other processes, from `/proc`.
 
 use std::io;
 use thiserror::Error;
 
 const NANOSECONDS_PER_S: f64 = 1e9;
 const BYTES_PER_KB: f64 = 1024.0;
-/// The line of `/proc/PID/status` that tells memory which stands in no file: heap and stacks.
+/// The line of `/proc/PID/status` with anonymous resident memory: heap and stacks.
 const ANONYMOUS_MEMORY: &str = "RssAnon:";
 
 /// Why a process could not be measured.
@@ -37,7 +37,7 @@
         .map_err(|why| MeterError::Cpu { process, why })
 }
 
-/// Resident memory of a process that stands in no file, in bytes.
+/// Anonymous resident memory of a process, in bytes.
 pub fn anonymous_bytes(process: u32) -> Result<f64, MeterError> {
     let why = |why| MeterError::Memory { process, why };
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).map_err(why)?;
@@ -59,12 +59,12 @@
     Ok(figures?.iter().sum::<f64>() / processes.len().max(1) as f64)
 }
 
-/// Processor time of some processes so far, in the mean, in seconds.
+/// Mean processor time of several processes so far, in seconds.
 pub fn mean_cpu_s(processes: &[u32]) -> Result<f64, MeterError> {
     mean(processes, cpu_s)
 }
 
-/// Resident memory of some processes that stands in no file, in the mean, in bytes.
+/// Mean anonymous resident memory of several processes, in bytes.
 pub fn mean_anonymous_bytes(processes: &[u32]) -> Result<f64, MeterError> {
     mean(processes, anonymous_bytes)
 }
--- a/crates/capacity-model/src/comparison/mod.rs
+++ b/crates/capacity-model/src/comparison/mod.rs
@@ -34,7 +34,9 @@
     pub real: usize,
     /// Processes of `orchidtally serve` without a store: what a front end costs besides control.
     pub without_store: usize,
+    /// Number of executors.
     pub executors: usize,
+    /// Number of functions.
     pub functions: usize,
     /// Seconds from the moment when all front ends follow the store to the measurement.
     pub settle_s: f64,
@@ -42,12 +44,14 @@
     pub measured_s: usize,
     /// How long the front ends may take to follow the store, in seconds.
     pub start_timeout_s: f64,
+    /// Seed of every random draw.
     pub seed: u64,
     /// Whether the figures stand for the design: a short run only shows that the comparison works.
     pub is_judged: bool,
 }
 
 impl Plan {
+    /// Plans a comparison at a size; a short one only shows that the comparison works.
     pub fn new(size: &Size, seed: u64, short: bool) -> Plan {
         let full = Plan {
             hollow: 20,
@@ -100,12 +104,14 @@
     pub bytes_per_s: f64,
     /// In cores.
     pub cpu_cores: f64,
+    /// Memory in bytes.
     pub memory_bytes: f64,
 }
 
 /// What a comparison found.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Comparison {
+    /// A hollow front end among others in one process.
     pub hollow: ControlCost,
     /// A hollow front end in a process of its own, by the clock and the memory of that; a process without a store is
     /// subtracted from its memory.
@@ -120,11 +126,11 @@
     pub list_bytes_per_s: f64,
 }
 
-/// Plays the plan with this program as the real front end, and tells its rows.
+/// Runs the plan with this program as the real front end, and returns its rows.
 pub fn run(plan: &Plan, gateway: &Path) -> Vec<Row> {
     let found = run::play(plan, gateway);
     match &found {
-        Ok(found) => tell(plan, found),
+        Ok(found) => log_comparison(plan, found),
         Err(why) => {
             eprintln!("comparison: hollow and real front ends could not be compared: {why}")
         }
@@ -132,7 +138,7 @@
     rows(plan, &found)
 }
 
-fn tell(plan: &Plan, found: &Comparison) {
+fn log_comparison(plan: &Plan, found: &Comparison) {
     let costs = [
         ("hollow", plan.hollow, &found.hollow),
         ("hollow alone", plan.alone, &found.alone),
--- a/crates/capacity-model/src/comparison/rows.rs
+++ b/crates/capacity-model/src/comparison/rows.rs
@@ -28,7 +28,7 @@
     note: String,
 }
 
-/// The rows, missed where nothing was measured. A short run has no figures, but tells what it saw.
+/// The rows; a row without a figure is missed. The rows of a short run have no figures, only notes.
 pub fn rows(plan: &Plan, found: &Result<Comparison, ComparisonError>) -> Vec<Row> {
     let measured = found.as_ref().ok().copied().unwrap_or_default();
     let figures = [bytes(&measured), cpu(&measured), memory(&measured)];
@@ -69,18 +69,19 @@
             &note,
         )
     };
-    let [together, apart] = [ratio_name, alone_ratio_name].map(|name| ratio(name));
-    let is_told = plan.is_judged
+    let [shared_process_ratio, own_process_ratio] =
+        [ratio_name, alone_ratio_name].map(|name| ratio(name));
+    let has_figures = plan.is_judged
         && found.is_ok()
         && [hollow, alone, real].iter().all(|figure| **figure > 0.0);
-    if !is_told {
-        return [cost, together, apart];
+    if !has_figures {
+        return [cost, shared_process_ratio, own_process_ratio];
     }
     let parted = |figure: f64| (figure / real).max(real / figure);
     [
         cost.with(*real, Basis::Measured),
-        together.with(parted(*hollow), Basis::Measured),
-        apart.with(parted(*alone), Basis::Measured),
+        shared_process_ratio.with(parted(*hollow), Basis::Measured),
+        own_process_ratio.with(parted(*alone), Basis::Measured),
     ]
 }
 
--- a/crates/capacity-model/src/comparison/run.rs
+++ b/crates/capacity-model/src/comparison/run.rs
@@ -20,32 +20,46 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// Interval at which the readiness of the front ends is checked.
 const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+
 /// Why a comparison gave no figures.
 #[derive(Debug, Error)]
 pub enum ComparisonError {
+    /// The store of the run failed.
     #[error(transparent)]
     Store(#[from] StoreError),
+    /// A process of the gateway failed.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
+    /// The cost of a process could not be read.
     #[error(transparent)]
     Meter(#[from] MeterError),
+    /// The settings of configuration distribution are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
+    /// There is no snapshot to start from.
     #[error(transparent)]
     Snapshot(#[from] SnapshotError),
+    /// Input or output failed.
     #[error(
         "deployment files, snapshots or processes can't be used: {0}; make room, or set TMPDIR"
     )]
     Io(#[from] std::io::Error),
+    /// A hollow front end in a process of its own found no snapshot.
     #[error("a hollow front end in a process of its own found no snapshot to start from")]
     NoSnapshot,
+    /// A hollow front end in a process of its own did not follow the store in time.
     #[error("a hollow front end in a process of its own did not follow the store in time")]
     AloneNotReady,
+    /// Not every front end followed the store in time.
     #[error("{hollow} hollow and {real} real front ends followed the store within {seconds} s")]
     NotReady {
+        /// Hollow front ends that followed the store.
         hollow: usize,
+        /// Real front ends that followed the store.
         real: usize,
+        /// Time that was waited, in seconds.
         seconds: f64,
     },
 }
@@ -125,7 +139,7 @@
     index.is_some_and(|index: usize| plan.real_numbers().contains(&index))
 }
 
-/// Bytes both ways of some clients so far.
+/// Bytes that the matching clients have sent and received so far.
 fn bytes_of(clients: &[ClientUsage], is_meant: impl Fn(&str) -> bool) -> f64 {
     let meant = clients.iter().filter(|client| is_meant(&client.name));
     meant
@@ -166,7 +180,7 @@
     without_store_cpu_s: f64,
 }
 
-/// A comparison as it goes on.
+/// A comparison in progress.
 struct Run<'r> {
     plan: &'r Plan,
     store: &'r mut StoreProcess,
--- a/crates/capacity-model/src/config/entries.rs
+++ b/crates/capacity-model/src/config/entries.rs
@@ -17,6 +17,7 @@
     }
 }
 
+/// The keys of configuration in the store.
 pub fn keyspace() -> Keyspace {
     Keyspace::new(settings().prefix)
 }
@@ -30,7 +31,9 @@
 /// What a function's document says.
 #[derive(Clone, Copy, Debug)]
 pub struct Function {
+    /// Version of the function.
     pub version: u64,
+    /// Whether the function may be called.
     pub allowed: bool,
     /// It is refused while the view is not known to be current.
     pub refused_when_stale: bool,
@@ -78,7 +81,7 @@
     functions.map(change).collect()
 }
 
-/// Keys and values of the whole configuration: entries, digests and generation.
+/// Keys and values of the complete configuration: entries, digests and generation.
 pub fn all(functions: usize) -> Vec<(Vec<u8>, Vec<u8>)> {
     let keyspace = keyspace();
     let entry = |number| {
--- a/crates/capacity-model/src/config/findings.rs
+++ b/crates/capacity-model/src/config/findings.rs
@@ -5,7 +5,7 @@
 /// The window over which the bytes of reads are averaged, in seconds.
 pub const READ_WINDOW_S: f64 = 5.0;
 
-/// What a run found. Times that stayed `None` were waited for in vain, or their part was not played.
+/// What a run measured. A time is `None` if the wait for it timed out or its phase was not run.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     pub idle: Spent,
--- a/crates/capacity-model/src/config/front_ends.rs
+++ b/crates/capacity-model/src/config/front_ends.rs
@@ -19,7 +19,7 @@
 use thiserror::Error;
 
 /// Front ends that start together, and the pause after them.
-const STARTED_TOGETHER: usize = 25;
+const START_BATCH: usize = 25;
 const START_INTERVAL: Duration = Duration::from_millis(100);
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -61,7 +61,7 @@
 pub struct FrontEnds {
     all: Vec<FrontEnd>,
     by_region: Vec<Vec<SocketAddr>>,
-    /// What a front end that starts anew has on its disk.
+    /// The snapshot on the disk of a front end that restarts.
     pub snapshot: Vec<u8>,
     seed: u64,
     tasks: Rc<LocalExecutor<'static>>,
@@ -85,7 +85,7 @@
     Ok(snapshot?)
 }
 
-/// A path that no other run uses.
+/// A path that no other run on this machine uses at the same time.
 fn temporary_snapshot_path() -> PathBuf {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -96,7 +96,7 @@
 }
 
 impl FrontEnds {
-    /// Starts so many front ends from a snapshot.
+    /// Starts front ends from a snapshot.
     pub async fn start(
         count: usize,
         by_region: Vec<Vec<SocketAddr>>,
@@ -116,14 +116,14 @@
         for number in 0..count {
             let front_end = front_ends.start_one(number, count)?;
             front_ends.all.push(front_end);
-            if number % STARTED_TOGETHER == STARTED_TOGETHER - 1 {
+            if number % START_BATCH == START_BATCH - 1 {
                 Timer::after(START_INTERVAL).await;
             }
         }
         Ok(front_ends)
     }
 
-    /// One front end's configuration alone, not connected, as it stands after its snapshot was read.
+    /// One front end's configuration after it has read its snapshot, without a connection to the store.
     pub fn configuration_only(
         endpoints: &[SocketAddr],
         snapshot: Vec<u8>,
--- a/crates/capacity-model/src/config/mod.rs
+++ b/crates/capacity-model/src/config/mod.rs
@@ -37,7 +37,7 @@
     false_claims: usize,
 }
 
-/// Plays the plan and tells its rows.
+/// Runs the plan and returns its rows.
 pub fn run(plan: &Plan) -> Vec<Row> {
     let (mut findings, mut memory) = (Findings::default(), Memory::default());
     let played = play(plan, &mut findings, &mut memory);
@@ -76,9 +76,9 @@
         .await?;
         front_ends.until_ready(plan.start_timeout_s).await?;
         let each = (clock::heap_bytes() - heap) / plan.front_ends as f64;
-        let held =
+        let configuration_bytes =
             memory.configuration_bytes * plan.functions_loaded as f64 / plan.functions as f64;
-        memory.control_bytes = (each - held).max(0.0);
+        memory.control_bytes = (each - configuration_bytes).max(0.0);
         let writer = WriterThread::start(by_region[0].clone(), plan.timeout_s);
         let mut run = Run::new(plan, &mut store, front_ends, writer);
         let played = run.play(findings).await;
--- a/crates/capacity-model/src/config/phases.rs
+++ b/crates/capacity-model/src/config/phases.rs
@@ -19,7 +19,7 @@
 const FAULTY: usize = 1;
 /// The delay of each answer of a slow store, in seconds: above the limit itself.
 const SLOW_STORE_DELAY: f64 = 20.0;
-/// The run as it goes on.
+/// A configuration run in progress.
 pub struct Run<'a> {
     pub plan: &'a Plan,
     pub store: &'a mut StoreProcess,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Plays all parts, or those until one in which changes did not come into force.
+    /// Runs the phases in order, up to the first in which changes did not come into force.
     pub async fn play(&mut self, findings: &mut Findings) -> Result<(), RunError> {
         self.plant()?;
         findings.daily_in_force_s = self.daily(findings).await?;
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Tells of a part on standard error, and whether the run ends with it.
+    /// Logs the result of a phase to standard error; whether the run ends with it.
     fn stops(&self, took: Option<f64>, part: &str, findings: &mut Findings) -> bool {
         match took {
             Some(took) => {
--- a/crates/capacity-model/src/config/phases/faults.rs
+++ b/crates/capacity-model/src/config/phases/faults.rs
@@ -14,11 +14,11 @@
 /// Between looks at what calls would be admitted, in seconds.
 const ADMISSION_LOOK: f64 = 0.25;
 /// How long all members are away while the history is dropped, in seconds, and what is changed meanwhile.
-const AWAY_S: f64 = 2.0;
-const CHANGES_AWAY: usize = 5;
+const OUTAGE_S: f64 = 2.0;
+const CHANGES_DURING_OUTAGE: usize = 5;
 
 impl Run<'_> {
-    /// Two members stop in the middle of a change; the writer tries again until it stands.
+    /// Two members stop in the middle of a change; the writer retries until it is committed.
     pub(super) async fn lose_members(&mut self) -> Result<Option<f64>, RunError> {
         self.store.run(&Command::CrashInNextTransaction {
             members: 2,
@@ -94,10 +94,12 @@
             self.store.run(&Command::StopMember { member })?;
         }
         let began = Instant::now();
-        let from = self
-            .next_function
-            .min(self.plan.functions_loaded.saturating_sub(CHANGES_AWAY));
-        let changes = self.next_changes_from(from, CHANGES_AWAY);
+        let from = self.next_function.min(
+            self.plan
+                .functions_loaded
+                .saturating_sub(CHANGES_DURING_OUTAGE),
+        );
+        let changes = self.next_changes_from(from, CHANGES_DURING_OUTAGE);
         let version = self.version;
         let count = changes.len();
         let answer = self.store.ask(&Command::ChangeFunctions {
@@ -117,7 +119,7 @@
             },
         );
         self.store.run(&Command::Compact)?;
-        self.sleep(AWAY_S).await;
+        self.sleep(OUTAGE_S).await;
         for member in 0..MEMBER_REGIONS.len() {
             self.store.run(&Command::RestartMember { member })?;
         }
@@ -127,7 +129,7 @@
         Ok(healed)
     }
 
-    /// Many front ends start anew from their old snapshots at once, whose history is compacted away.
+    /// Many front ends restart at once from old snapshots, whose history has been compacted.
     pub(super) async fn come_back(
         &mut self,
         findings: &mut Findings,
--- a/crates/capacity-model/src/config/plan.rs
+++ b/crates/capacity-model/src/config/plan.rs
@@ -12,7 +12,9 @@
 /// What is played.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Number of front ends.
     pub front_ends: usize,
+    /// Number of executors.
     pub executors: usize,
     /// Functions of the design; the memory of one front end is measured with all of them.
     pub functions: usize,
@@ -28,21 +30,24 @@
     pub burst: usize,
     /// Changes in one transaction of the burst.
     pub burst_transaction: usize,
-    /// Over so many seconds the bytes of a burst are averaged: those within which it has to be in force.
+    /// Window over which the bytes of a burst are averaged, in seconds: the time within which it has to be in force.
     pub burst_window_s: f64,
     /// Seconds for which a region is cut off.
     pub cut_s: f64,
-    /// Front ends that start anew at once.
+    /// Front ends that restart at once.
     pub returning: usize,
-    /// How long a part waits for its changes, in seconds; then they count as not in force.
+    /// How long a phase waits for its changes, in seconds; then they count as not in force.
     pub timeout_s: f64,
     /// How long front ends may take to start, in seconds.
     pub start_timeout_s: f64,
+    /// Fault that is injected, if any.
     pub injection: Option<Injection>,
+    /// Seed of every random draw.
     pub seed: u64,
 }
 
 impl Plan {
+    /// Plans a configuration run at a size.
     pub fn new(size: &Size, seed: u64, injection: Option<Injection>, short: bool) -> Plan {
         let fitting = (MEMORY_BUDGET / BYTES_PER_ENTRY / size.front_ends as f64) as usize;
         let functions_loaded = size.functions.min(fitting.max(1));
--- a/crates/capacity-model/src/config/received.rs
+++ b/crates/capacity-model/src/config/received.rs
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The most bytes a second that any front end received within so many seconds; `None` if the samples span less.
+    /// The highest mean rate in bytes a second at which any front end received within a window of `seconds`; `None` if the
+    /// samples span less.
     pub fn busiest(&self, seconds: f64) -> Option<f64> {
         let most_from = |place: usize| {
             let (began, before) = &self.samples[place];
@@ -54,7 +55,7 @@
 }
 
 impl Sampler {
-    /// Takes samples of some front ends, none of which may be replaced meanwhile.
+    /// Starts sampling front ends, none of which may be replaced before the sampler is dropped.
     pub fn start(front_ends: Vec<Rc<Configuration>>, tasks: &LocalExecutor<'static>) -> Sampler {
         let samples: Rc<RefCell<ReceivedSamples>> = Rc::default();
         let recorded = samples.clone();
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Waits until the samples span so many seconds; the most bytes a second that any front end received within as many.
+    /// Waits until the samples span `seconds`, and returns [`ReceivedSamples::busiest`] of them.
     pub async fn busiest(self, seconds: f64) -> Option<f64> {
         while self.samples.borrow().seconds() < seconds {
             Timer::after(SAMPLE_INTERVAL).await;
--- a/crates/capacity-model/src/config/rows.rs
+++ b/crates/capacity-model/src/config/rows.rs
@@ -25,7 +25,7 @@
     rows
 }
 
-/// The greatest of some times; `None` if one of them was not measured.
+/// The longest of several times; `None` if one of them was not measured.
 fn greatest(times: &[Option<f64>]) -> Option<f64> {
     times
         .iter()
@@ -79,8 +79,8 @@
         plan.burst,
         super::entries::settings().read_bytes_per_second,
     );
-    let whole_bytes = (plan.functions_loaded * Function::version(0).document().len()) as f64;
-    let whole = findings.store_heap_bytes > 0.0;
+    let document_bytes = (plan.functions_loaded * Function::version(0).document().len()) as f64;
+    let is_complete = findings.store_heap_bytes > 0.0;
     let claims_note = "front ends that report a revision whose change their calls don't see";
     let reads_note = format!(
         "the most that any front end received in one catch-up, over the documents of all {} functions: a whole read is 1",
@@ -143,7 +143,7 @@
                 0.5,
                 &reads_note,
             ),
-            whole.then_some(findings.most_caught_up_bytes as f64 / whole_bytes),
+            is_complete.then_some(findings.most_caught_up_bytes as f64 / document_bytes),
         ),
     ]
 }
--- a/crates/capacity-model/src/config/tracker.rs
+++ b/crates/capacity-model/src/config/tracker.rs
@@ -28,19 +28,25 @@
     next: u64,
     /// The longest time until a change was in force, by front end, since the last [`Tracker::take_slowest`].
     slowest: Vec<f64>,
+    /// Changes that were written.
     pub written: u64,
+    /// Changes that are in force at all front ends.
     pub in_force_everywhere: u64,
 }
 
 /// A change that a front end doesn't have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Missing {
+    /// Index of the front end.
     pub front_end: usize,
+    /// Key of the changed entry.
     pub key: String,
+    /// Revision of the change.
     pub revision: i64,
 }
 
 impl Tracker {
+    /// Creates a tracker for a number of front ends, without changes.
     pub fn new(front_ends: usize) -> Tracker {
         Tracker {
             front_ends,
@@ -121,7 +127,7 @@
         }
     }
 
-    /// A front end starts anew from an old snapshot: it has none of the changes, and its time counts from now.
+    /// A front end restarts from an old snapshot: it has none of the changes, and its time counts from now.
     pub fn forget(&mut self, front_end: usize) {
         let now = Instant::now();
         let closed = std::mem::take(&mut self.closed);
@@ -154,7 +160,7 @@
             .all(|change| !(0..self.front_ends).any(|n| of(n) && change.missing[n]))
     }
 
-    /// What is missing anywhere, at most so many.
+    /// Changes that are missing at a front end, at most `most` of them.
     pub fn missing(&self, most: usize) -> Vec<Missing> {
         let of = |change: &Change| -> Vec<Missing> {
             let front_ends = (0..self.front_ends).filter(|&n| change.missing[n]);
--- a/crates/capacity-model/src/config/writer.rs
+++ b/crates/capacity-model/src/config/writer.rs
@@ -56,7 +56,7 @@
 }
 
 impl WriterThread {
-    /// Writes through these members; a write is given up after so many seconds.
+    /// Starts a writer that uses these members and abandons a write after `timeout_s` seconds.
     pub fn start(endpoints: Vec<SocketAddr>, timeout_s: f64) -> WriterThread {
         let (jobs, received) = async_channel::bounded::<Job>(MAX_JOBS);
         std::thread::spawn(move || {
--- a/crates/capacity-model/src/fleet/assumptions.rs
+++ b/crates/capacity-model/src/fleet/assumptions.rs
@@ -8,7 +8,7 @@
 pub const LOADS_AT_A_TIME: usize = 4;
 /// Mean work of a call on a warm machine; work is exponentially distributed.
 pub const MEAN_WORK: f64 = 0.1;
-/// Calls that the whole fleet runs at a time, for each call a second that is offered: twice what the mean work needs.
+/// Calls that the whole fleet can run at a time, for each call a second that arrives: twice what the mean work needs.
 pub const LANES_PER_CALL_RATE: f64 = 2.0 * MEAN_WORK;
 /// Calls that an executor lets wait, for each of its lanes; past that it answers 'full'.
 pub const WAITING_PER_LANE: usize = 4;
@@ -18,17 +18,21 @@
 pub const KEEP_ALIVE: f64 = 60.0;
 /// A machine just started works slower for this long, and at first at this part of its speed.
 pub const COLD_TIME: f64 = 15.0;
+/// Speed of a machine that has just started, relative to its full speed.
 pub const COLD_SPEED: f64 = 0.15;
 
 /// Latency objective and client timeout of every call.
 pub const OBJECTIVE: f64 = 1.5;
+/// Client timeout of every call, in seconds.
 pub const CLIENT_TIMEOUT: f64 = 6.0;
-/// Of every so many functions one is not idempotent.
+/// One of this many functions is not idempotent.
 pub const NON_IDEMPOTENT_EVERY: u32 = 4;
 
 /// One-way delays: within a zone, between zones of a region, between regions.
 pub const DELAY_WITHIN_ZONE: f64 = 0.000_25;
+/// One-way delay between zones of a region, in seconds.
 pub const DELAY_WITHIN_REGION: f64 = 0.000_75;
+/// One-way delay between regions, in seconds.
 pub const DELAY_BETWEEN_REGIONS: f64 = 0.015;
 /// What a dispatch to another zone costs by the front ends' settings: the default of a deployment file.
 pub const CROSSING: f64 = 0.02;
@@ -49,6 +53,7 @@
 /// Executors that vanish by more than this part of the roster are kept for the time below, as in
 /// `orchidtally_membership::cache`.
 pub const MASS_EXPIRY_FRACTION: f64 = 0.25;
+/// How long executors of a mass expiry are kept, in seconds.
 pub const MASS_EXPIRY_RETENTION: f64 = 10.0;
 /// A front end that lost the store, or has just come back to it, has no part of the strictly shared budgets for this
 /// long: `orchidtally_membership::members::MAX_VIEW_DELAY`.
@@ -61,7 +66,9 @@
 /// Simulated time before the measurement, of which in the first part calls of popular functions are thinned: what
 /// has to settle there is which copies of rare functions stand, and these are called less than once a minute.
 pub const WARM_UP_THINNED: f64 = 30.0;
+/// Simulated seconds before the measurement.
 pub const WARM_UP: f64 = 36.0;
 /// The functions that are thinned, by rank, and the part of their calls that is kept.
 pub const THINNED_RANKS: usize = 100;
+/// Fraction of the calls of popular functions that is kept.
 pub const THINNED_PART: f64 = 0.05;
--- a/crates/capacity-model/src/fleet/cpu.rs
+++ b/crates/capacity-model/src/fleet/cpu.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::thread_cpu_s;
 
-/// Of so many calls one is measured.
+/// One of this many calls is measured.
 const SAMPLED: u64 = 61;
 
 /// Processor time spent in what is measured, extrapolated from every [`SAMPLED`]th time.
--- a/crates/capacity-model/src/fleet/executor.rs
+++ b/crates/capacity-model/src/fleet/executor.rs
@@ -97,7 +97,7 @@
         self.state == State::Up && self.running.len() < capacity.lanes && self.waiting.is_empty()
     }
 
-    /// Enters a copy that is to be loaded, and tells the function of the one that gave way to it.
+    /// Adds a copy that is to be loaded, and returns the function of the copy that was evicted for it.
     pub fn add_copy(
         &mut self,
         function: u32,
@@ -131,8 +131,7 @@
         COLD_SPEED + (1.0 - COLD_SPEED) * risen
     }
 
-    /// Forgets all it had in hand and in memory. Tells the requests that were lost with it: calls that waited,
-    /// orders, and calls that ran.
+    /// Drops all requests and copies, and returns them: calls that waited, load commands, and calls that ran.
     pub fn clear(&mut self) -> Lost {
         let mut unstarted: Vec<u32> = self.waiting.drain(..).collect();
         unstarted.extend(
--- a/crates/capacity-model/src/fleet/finding.rs
+++ b/crates/capacity-model/src/fleet/finding.rs
@@ -5,11 +5,12 @@
 /// What a run found; of which `counts` are the same for the same plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
+    /// What was counted.
     pub counts: Counts,
     /// Processor time of the engine and the policy a call, in microseconds.
     pub decision_cpu_us: f64,
     /// Functions that the tables of a front end hold at the end, in the mean.
-    pub functions_kept: f64,
+    pub functions_in_tables: f64,
     /// Resident memory of the process at the end of the run.
     pub resident_bytes: Option<u64>,
 }
@@ -17,28 +18,47 @@
 /// What is counted in a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
+    /// Simulated seconds that were measured.
     pub seconds: f64,
+    /// All calls.
     pub all: Tally,
+    /// Calls at the region that was cut off, during the cut.
     pub cut_off: Tally,
+    /// Those of them in the second half of the cut.
     pub cut_off_settled: Tally,
+    /// Calls at the other regions during the cut.
     pub not_cut_off: Tally,
+    /// Difference between the calls that arrived and their final answers.
     pub unanswered: u64,
+    /// Non-idempotent calls that were begun more than once.
     pub ran_twice: u64,
+    /// Final answers to calls that already had one.
     pub answered_twice: u64,
+    /// Calls that an executor began.
     pub calls_begun: u64,
+    /// Calls that waited for a load.
     pub cold_starts: u64,
-    /// From arrival to beginning of cold starts: the median and 99 in 100; not a number where there were none.
+    /// Median of the time from arrival to beginning of cold starts, in seconds; NaN if there were none.
     pub cold_start_p50_s: f64,
+    /// 99th percentile of the time from arrival to beginning of cold starts, in seconds; NaN if there were none.
     pub cold_start_p99_s: f64,
+    /// Dispatches to executors.
     pub dispatches: u64,
+    /// Dispatches to another region.
     pub crossing: u64,
+    /// Dispatches that executors rejected as full.
     pub rejected: u64,
+    /// Loads that executors began.
     pub loads: u64,
+    /// Loads that began while a loaded copy elsewhere had a free lane.
     pub loads_beyond_need: u64,
+    /// Times at which an executor got far more calls than its part.
     pub call_herds: u64,
+    /// Times at which several front ends had the same function loaded.
     pub load_herds: u64,
     /// Copies in all executors at the end.
     pub copies: u64,
+    /// Events of the simulation.
     pub events: u64,
 }
 
--- a/crates/capacity-model/src/fleet/front_end.rs
+++ b/crates/capacity-model/src/fleet/front_end.rs
@@ -13,10 +13,10 @@
 
 /// Calls that a front end may have open: the default of a deployment file.
 pub const MOST_OPEN: usize = 20_000;
-/// Of so many answers or dispatches one is touched by an injected fault.
+/// An injected fault affects one of this many answers or dispatches.
 const FAULT_EVERY: u64 = 97;
 
-/// A connection to an executor: when it was last used, and the life of the executor that it leads to.
+/// A connection to an executor: when it was last used, and the incarnation of the executor at its other end.
 #[derive(Clone, Copy)]
 pub struct Connection {
     used_at: f32,
@@ -42,7 +42,7 @@
     pub incarnation: u8,
     pub is_up: bool,
     pub place: Place,
-    /// The call that the engine is about to take.
+    /// The call that the engine is about to admit.
     pub admitting: OpenCall,
     pub open: HashMap<u32, OpenCall>,
     /// Requests of dispatches that are out, by invocation and dispatch.
@@ -84,7 +84,7 @@
     pub requests: Slab<Request>,
     pub topology: Topology,
     pub ledger: Ledger,
-    /// The lives of the executors, counted by restarts.
+    /// The incarnation of each executor: its number of restarts.
     pub executor_incarnations: Vec<u8>,
     pub fault: Option<Fault>,
     pub faults: u64,
--- a/crates/capacity-model/src/fleet/measure.rs
+++ b/crates/capacity-model/src/fleet/measure.rs
@@ -26,13 +26,19 @@
 /// Calls and their final answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
+    /// Calls that arrived.
     pub arrived: u64,
+    /// Calls that succeeded.
     pub succeeded: u64,
     /// Succeeded within the latency objective.
     pub in_time: u64,
+    /// Calls that were rejected with a Retry-After.
     pub throttled: u64,
+    /// Calls that failed.
     pub errored: u64,
+    /// Calls that a front end did not admit because it had too many open.
     pub refused: u64,
+    /// Calls whose front end went down.
     pub front_end_lost: u64,
 }
 
@@ -77,7 +83,7 @@
 }
 
 impl CallHerds {
-    /// Tells whether a herd begins with this request; one that goes on is the same herd.
+    /// Whether a herd begins with this request; a herd that continues is counted once.
     fn enter(&mut self, executor: usize, now: f64, executors_up: usize) -> bool {
         let fair = push_recent(&mut self.all, now) / executors_up.max(1) as f64;
         let (recent, until) = &mut self.of_executor[executor];
--- a/crates/capacity-model/src/fleet/mod.rs
+++ b/crates/capacity-model/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 
 /// Runs that go side by side at the most: each takes a thread and up to 1.3 GB of memory.
 const MOST_AT_ONCE: usize = 4;
-/// The second size has so many times the executors, each with as much less memory and as many fewer lanes.
+/// The second size has this many times the executors, each with a corresponding fraction of the memory and lanes.
 const MORE_EXECUTORS: usize = 3;
 
 /// The warm-up of short runs, in times of what is measured.
@@ -79,7 +79,9 @@
 /// A run and what it found.
 #[derive(Clone, Debug)]
 pub struct Played {
+    /// What was played.
     pub plan: Plan,
+    /// What the run found.
     pub finding: Finding,
 }
 
@@ -88,7 +90,7 @@
 pub const SECONDS: f64 = 4.0;
 
 /// Plays the fleet at two numbers of executors through the scenarios, with `seconds` of simulated time measured in the
-/// calm, and tells its rows. Short ones have a short warm-up.
+/// calm, and returns its rows. Short runs have a short warm-up.
 pub fn run(size: &Size, seed: u64, seconds: f64) -> Vec<Row> {
     let outcome = play(plans(size, seed, seconds));
     rows::of(&outcome)
--- a/crates/capacity-model/src/fleet/plan.rs
+++ b/crates/capacity-model/src/fleet/plan.rs
@@ -13,17 +13,23 @@
 /// What is run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Size of the fleet.
     pub size: Size,
+    /// The course of the run.
     pub scenario: Scenario,
+    /// Policy of the front ends.
     pub policy: Policy,
-    /// Whether the front ends are told which zones form a region.
+    /// Whether the settings of the front ends say which zones form a region.
     pub regions_known: bool,
-    /// Simulated seconds before the measurement: with popular functions thinned, and in all.
+    /// Simulated seconds at the start of the warm-up in which calls of popular functions are thinned.
     pub warm_up_thinned: f64,
+    /// Simulated seconds of the whole warm-up.
     pub warm_up: f64,
     /// Simulated seconds that are measured.
     pub seconds: f64,
+    /// Seed of every random draw.
     pub seed: u64,
+    /// Fault that is injected, if any.
     pub fault: Option<Fault>,
 }
 
--- a/crates/capacity-model/src/fleet/rows.rs
+++ b/crates/capacity-model/src/fleet/rows.rs
@@ -28,7 +28,7 @@
 /// could serve all of them on its own but for what was under way as it was cut off.
 const CUT_OFF_SERVED_SHARE: f64 = 0.99;
 
-/// The rows of all runs of the dispatch policy; the references are told on standard error alone.
+/// The rows of all runs of the dispatch policy; the reference policies only appear on standard error.
 pub fn of(outcome: &Outcome) -> Vec<Row> {
     let fewest = outcome
         .played
--- a/crates/capacity-model/src/fleet/scenario.rs
+++ b/crates/capacity-model/src/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet besides calls: failures, and what the store tells of them.
+//! Events of a scenario: failures, and the endpoint updates that follow from them.
 
 use super::assumptions::*;
 use super::topology::Topology;
@@ -13,6 +13,7 @@
 /// The course of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
+    /// Nothing fails.
     Calm,
     /// A rack loses its switch for good.
     RackLost,
@@ -25,6 +26,7 @@
 }
 
 impl Scenario {
+    /// All scenarios.
     pub const ALL: [Scenario; 5] = [
         Scenario::Calm,
         Scenario::RackLost,
@@ -72,8 +74,8 @@
             Scenario::Calm => vec![],
             Scenario::RackLost => {
                 let rack = topology.racks[0];
-                let executors =
-                    (0..topology.executors.len()).filter(|&x| topology.racks[x] == rack);
+                let executors = (0..topology.executors.len())
+                    .filter(|&executor| topology.racks[executor] == rack);
                 outage_steps(executors.map(Machine::Executor).collect(), &outage)
             }
             Scenario::ZoneLost => outage_steps(machines_of_zone(topology, LOST_ZONE), &outage),
@@ -105,7 +107,7 @@
     Silent,
 }
 
-/// What the store tells of executors.
+/// State of executors in an endpoint update of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
     Ready,
@@ -120,7 +122,7 @@
     /// A region is cut off from the others.
     Cut(u8),
     Healed,
-    /// The store tells of executors; who is cut off from it is not told.
+    /// The store sends an endpoint update; front ends that are cut off from it do not get it.
     EndpointUpdate(Vec<usize>, Listed),
     /// The front ends of a region have, or have not, a part of what is strictly shared.
     BudgetShare(u8, bool),
@@ -135,7 +137,8 @@
 fn machines_of_zone(topology: &Topology, zone: u8) -> Vec<Machine> {
     let front_ends =
         (0..topology.front_ends.len()).filter(|&n| topology.front_ends[n].zone == zone);
-    let executors = (0..topology.executors.len()).filter(|&x| topology.executors[x].zone == zone);
+    let executors =
+        (0..topology.executors.len()).filter(|&executor| topology.executors[executor].zone == zone);
     front_ends
         .map(Machine::FrontEnd)
         .chain(executors.map(Machine::Executor))
@@ -144,13 +147,14 @@
 
 fn executors_among(machines: &[Machine]) -> Vec<usize> {
     let executor = |machine: &Machine| match machine {
-        Machine::Executor(x) => Some(*x),
+        Machine::Executor(executor) => Some(*executor),
         Machine::FrontEnd(_) => None,
     };
     machines.iter().filter_map(executor).collect()
 }
 
-/// Machines that are silent for a time; the store tells of executors when their leases end, and when they are back.
+/// Machines that are silent for a time; the store sends endpoint updates when the leases of executors expire, and when
+/// they are back.
 fn outage_steps(machines: Vec<Machine>, outage: &Range<f64>) -> Vec<Step> {
     let executors = executors_among(&machines);
     let mut steps = vec![Step {
@@ -178,7 +182,7 @@
 }
 
 fn cut_steps(topology: &Topology, outage: &Range<f64>) -> Vec<Step> {
-    let of_region = |x: &usize| topology.executors[*x].region == CUT_REGION;
+    let of_region = |executor: &usize| topology.executors[*executor].region == CUT_REGION;
     let executors: Vec<usize> = (0..topology.executors.len()).filter(of_region).collect();
     let part = executors.len() as f64 / topology.executors.len() as f64;
     let held = if part > MASS_EXPIRY_FRACTION {
--- a/crates/capacity-model/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -41,6 +41,7 @@
     BudgetShare,
 }
 
+/// A run of the fleet in simulated time.
 pub struct Simulation {
     plan: Plan,
     capacity: Capacity,
@@ -51,7 +52,7 @@
     holders: Vec<Vec<u16>>,
     loads: Slab<Load>,
     shared: Shared,
-    /// Calls in hand at each executor, as a reference that knows the true state sees them.
+    /// Calls that wait or run at each executor, for the reference policy that knows the true load.
     in_hand: Rc<[Cell<u32>]>,
     random: StdRng,
     cut: Option<u8>,
@@ -61,6 +62,7 @@
 }
 
 impl Simulation {
+    /// Sets up a fleet whose front ends have their endpoint lists.
     pub fn new(plan: Plan) -> Simulation {
         let size = &plan.size;
         let topology = Topology::new(size.front_ends, size.executors, size.regions, size.zones);
@@ -147,7 +149,7 @@
         FrontEnd { engine, state }
     }
 
-    /// Plays it to its end, until each call must have its final answer.
+    /// Runs the simulation until each call must have its final answer.
     pub fn run(mut self) -> Finding {
         let window = self.plan.window();
         let size = &self.plan.size;
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Calls the engine of a front end, and sets its timer anew.
+    /// Calls the engine of a front end and reschedules its timer.
     fn play<T>(
         &mut self,
         front_end: usize,
@@ -346,7 +348,7 @@
             .iter()
             .map(|f| f.engine.table_sizes().functions)
             .sum();
-        let functions_kept = kept as f64 / front_ends.len() as f64;
+        let functions_in_tables = kept as f64 / front_ends.len() as f64;
         let copies = executors
             .iter()
             .map(|executor| executor.copies.len() as u64)
@@ -355,7 +357,7 @@
         Finding {
             counts,
             decision_cpu_us: cpu.us_a_call(),
-            functions_kept,
+            functions_in_tables,
             resident_bytes,
         }
     }
--- a/crates/capacity-model/src/fleet/simulation/changes.rs
+++ b/crates/capacity-model/src/fleet/simulation/changes.rs
@@ -1,4 +1,4 @@
-//! Steps of a scenario: machines that go down and come back, a cut, and what the store tells of it.
+//! Steps of a scenario: machines that go down and come back, a cut, and the endpoint updates of the store.
 
 use super::*;
 
@@ -72,7 +72,7 @@
     /// Sends a front end the full endpoint list as the store has it.
     pub(super) fn list_all(&mut self, front_end: usize) {
         let rows: Vec<Endpoint> = (0..self.executors.len())
-            .map(|x| self.row(x, EndpointState::Ready))
+            .map(|executor| self.row(executor, EndpointState::Ready))
             .collect();
         self.play(front_end, |engine, now, host| {
             engine.on_endpoint_update(now, EndpointUpdateKind::Full, &rows, host)
@@ -122,7 +122,10 @@
             Listed::Ready => EndpointState::Ready,
             Listed::Gone => EndpointState::Gone,
         };
-        let rows: Rc<[Endpoint]> = executors.iter().map(|&x| self.row(x, state)).collect();
+        let rows: Rc<[Endpoint]> = executors
+            .iter()
+            .map(|&executor| self.row(executor, state))
+            .collect();
         for front_end in 0..self.front_ends.len() {
             let state = &self.front_ends[front_end].state;
             if !state.is_up || self.cut == Some(state.place.region) {
--- a/crates/capacity-model/src/fleet/simulation/executor_events.rs
+++ b/crates/capacity-model/src/fleet/simulation/executor_events.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Nobody answers: a connection attempt or an order is given up by its front end after a time; the answer to a
-    /// call on a standing connection is waited for in vain.
+    /// Nobody answers: a connection attempt or a load command times out at its front end; a call on an established
+    /// connection gets no answer.
     fn unheard(&mut self, key: u32) {
         let request = &mut self.shared.requests[key as usize];
         let wait = match request.purpose {
@@ -82,10 +82,10 @@
         let topology = &self.shared.topology;
         let place = topology.executors[usize::from(executor)];
         let delay = place.delay(topology.front_ends[usize::from(front_end)]);
-        let e = &self.executors[usize::from(executor)];
+        let machine = &self.executors[usize::from(executor)];
         let report = [
-            e.waiting.len() as f32,
-            (e.loading + e.loads_waiting.len()) as f32,
+            machine.waiting.len() as f32,
+            (machine.loading + machine.loads_waiting.len()) as f32,
         ];
         let request = &mut self.shared.requests[key as usize];
         (request.ending, request.report) = (ending, report);
@@ -116,14 +116,14 @@
             }
             None => return self.answer(key, DispatchStatus::Full),
         };
-        let e = &mut self.executors[executor];
-        let Some(copy) = e.copy_mut(function) else {
+        let machine = &mut self.executors[executor];
+        let Some(copy) = machine.copy_mut(function) else {
             return;
         };
         let request = &mut self.shared.requests[key as usize];
         (request.found, request.function_concurrency) = (found, copy.calls);
         copy.calls += 1;
-        e.waiting.push_back(key);
+        machine.waiting.push_back(key);
         self.change_in_hand(executor, 1);
         self.start(executor);
     }
@@ -145,11 +145,11 @@
     /// Enters a copy and loads it; false where there is no memory for it.
     fn begin_load(&mut self, executor: u16, function: u32, front_end: u16) -> bool {
         let now = self.shared.now;
-        let e = &mut self.executors[usize::from(executor)];
-        let Ok(evicted) = e.add_copy(function, now, self.capacity.copies) else {
+        let machine = &mut self.executors[usize::from(executor)];
+        let Ok(evicted) = machine.add_copy(function, now, self.capacity.copies) else {
             return false;
         };
-        e.loads_waiting.push_back(function);
+        machine.loads_waiting.push_back(function);
         if let Some(evicted) = evicted {
             self.holders[evicted as usize].retain(|&holder| holder != executor);
         }
@@ -162,29 +162,29 @@
         true
     }
 
-    /// Whether a copy stands at an executor that the front end reaches and that would begin a call at once.
+    /// Whether an executor that the front end reaches has a loaded copy and would begin a call at once.
     fn has_capacity_elsewhere(&self, function: u32, front_end: u16) -> bool {
         let has_capacity = |&executor: &u16| {
-            let e = &self.executors[usize::from(executor)];
-            e.has_capacity(&self.capacity)
-                && e.has_loaded(function)
+            let machine = &self.executors[usize::from(executor)];
+            machine.has_capacity(&self.capacity)
+                && machine.has_loaded(function)
                 && !self.is_cut_off(front_end, executor)
         };
         self.holders[function as usize].iter().any(has_capacity)
     }
 
     fn next_load(&mut self, executor: u16) {
-        let e = &mut self.executors[usize::from(executor)];
-        if e.loading >= LOADS_AT_A_TIME {
+        let machine = &mut self.executors[usize::from(executor)];
+        if machine.loading >= LOADS_AT_A_TIME {
             return;
         }
-        let Some(function) = e.loads_waiting.pop_front() else {
+        let Some(function) = machine.loads_waiting.pop_front() else {
             return;
         };
-        e.loading += 1;
+        machine.loading += 1;
         let key = self.loads.insert(Load {
             executor,
-            incarnation: e.incarnation,
+            incarnation: machine.incarnation,
             function,
         });
         self.shared
@@ -195,13 +195,13 @@
     pub(super) fn loaded(&mut self, key: u32) {
         let load = self.loads.remove(key as usize);
         let executor = usize::from(load.executor);
-        let e = &mut self.executors[executor];
-        if e.state != State::Up || e.incarnation != load.incarnation {
+        let machine = &mut self.executors[executor];
+        if machine.state != State::Up || machine.incarnation != load.incarnation {
             return;
         }
-        e.loading -= 1;
+        machine.loading -= 1;
         let mut orders = vec![];
-        if let Some(copy) = e.copy_mut(load.function) {
+        if let Some(copy) = machine.copy_mut(load.function) {
             (copy.loaded_at, copy.used_at) = (Some(self.shared.now), self.shared.now);
             orders = std::mem::take(&mut copy.orders);
         }
@@ -216,20 +216,20 @@
     fn start(&mut self, executor: usize) {
         let now = self.shared.now;
         while self.executors[executor].running.len() < self.capacity.lanes {
-            let e = &mut self.executors[executor];
+            let machine = &mut self.executors[executor];
             let requests = &self.shared.requests;
             let can_begin = |&key: &u32| {
                 let request = &requests[key as usize];
-                now >= request.cancelled_at || e.has_loaded(request.function)
+                now >= request.cancelled_at || machine.has_loaded(request.function)
             };
-            let Some(position) = e.waiting.iter().position(can_begin) else {
+            let Some(position) = machine.waiting.iter().position(can_begin) else {
                 return;
             };
-            let Some(key) = e.waiting.remove(position) else {
+            let Some(key) = machine.waiting.remove(position) else {
                 return;
             };
             let request = self.shared.requests[key as usize];
-            let Some(copy) = e.copy_mut(request.function) else {
+            let Some(copy) = machine.copy_mut(request.function) else {
                 continue;
             };
             if now >= request.cancelled_at {
@@ -239,7 +239,7 @@
                 continue;
             }
             let loaded_at = copy.loaded_at.unwrap_or(now);
-            e.running.push(key);
+            machine.running.push(key);
             if let Purpose::Call { call, came, .. } = request.purpose {
                 let is_idempotent = is_idempotent(request.function);
                 self.shared
@@ -255,16 +255,16 @@
     pub(super) fn ends(&mut self, key: u32) {
         let request = self.shared.requests[key as usize];
         let executor = usize::from(request.executor);
-        let e = &mut self.executors[executor];
-        if e.state != State::Up || e.incarnation != request.executor_incarnation {
+        let machine = &mut self.executors[executor];
+        if machine.state != State::Up || machine.incarnation != request.executor_incarnation {
             // It went down with its executor.
             self.shared.requests.remove(key as usize);
             return;
         }
-        if let Some(position) = e.running.iter().position(|&running| running == key) {
-            e.running.swap_remove(position);
+        if let Some(position) = machine.running.iter().position(|&running| running == key) {
+            machine.running.swap_remove(position);
         }
-        if let Some(copy) = e.copy_mut(request.function) {
+        if let Some(copy) = machine.copy_mut(request.function) {
             copy.calls -= 1;
             copy.used_at = self.shared.now;
         }
--- a/crates/capacity-model/src/fleet/topology.rs
+++ b/crates/capacity-model/src/fleet/topology.rs
@@ -33,9 +33,9 @@
 pub struct Topology {
     pub front_ends: Vec<Place>,
     pub executors: Vec<Place>,
-    /// The rack of each executor; a rack stands in one zone.
+    /// The rack of each executor; a rack belongs to one zone.
     pub racks: Vec<u16>,
-    /// The region of each zone, as a deployment file tells it to the front ends.
+    /// The region of each zone, as in a deployment file of the front ends.
     pub regions: Vec<Option<u8>>,
 }
 
--- a/crates/capacity-model/src/hollow/configuration.rs
+++ b/crates/capacity-model/src/hollow/configuration.rs
@@ -24,7 +24,7 @@
     number: usize,
     view: RefCell<Arc<View<GatewayEntry>>>,
     on_apply: OnApply,
-    /// A fault on purpose: the view stays as it is, and the host is told that the new one is in force.
+    /// Injected fault: the old view stays in use although the host reports the new one as in force.
     keeps_old_view: Cell<bool>,
 }
 
@@ -40,14 +40,19 @@
 
 /// What a front end's configuration is made of.
 pub struct Options<'a> {
+    /// Index of the front end.
     pub number: usize,
+    /// Addresses of the store, in the order in which they are tried.
     pub endpoints: &'a [SocketAddr],
+    /// Settings of configuration distribution.
     pub settings: SyncSettings,
     /// A snapshot to start from.
     pub start_from: Option<&'a [u8]>,
     /// Where it writes its own.
     pub snapshot: Option<SnapshotFile>,
+    /// Seed of every random draw.
     pub seed: u64,
+    /// Called with each view that comes into force.
     pub on_apply: OnApply,
 }
 
@@ -62,6 +67,10 @@
 }
 
 impl Configuration {
+    /// Creates the configuration and restores its snapshot, if there is one. Nothing runs before [`Configuration::start`].
+    ///
+    /// # Errors
+    /// The settings are invalid.
     pub fn new(
         options: Options<'_>,
         tasks: &Rc<LocalExecutor<'static>>,
@@ -101,6 +110,7 @@
         self.host.stop();
     }
 
+    /// Index of the front end.
     pub fn number(&self) -> usize {
         self.host.target().number
     }
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A whole list of executors is read so often, in seconds, as the membership core asks for it.
+/// Interval at which the membership core reads the full list of executors, in seconds.
 pub use orchidtally_membership::cache::LIST_INTERVAL as LIST_INTERVAL_S;
 /// Where a hollow front end would take invocations.
 const LISTENS_AT: SocketAddr =
@@ -59,22 +59,24 @@
 /// Bytes over a front end's connections to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bytes {
+    /// Bytes sent.
     pub sent: u64,
+    /// Bytes received.
     pub received: u64,
 }
 
 impl std::iter::Sum for Bytes {
     fn sum<I: Iterator<Item = Bytes>>(all: I) -> Bytes {
-        let add = |a: Bytes, b: Bytes| Bytes {
-            sent: a.sent + b.sent,
-            received: a.received + b.received,
+        let add = |total: Bytes, more: Bytes| Bytes {
+            sent: total.sent + more.sent,
+            received: total.received + more.received,
         };
         all.fold(Bytes::default(), add)
     }
 }
 
 impl ControlFrontEnd {
-    /// One of so many front ends; its seed tells it from the others.
+    /// Creates one of `front_ends` front ends; its seed is also its incarnation.
     pub fn new(
         endpoints: &[SocketAddr],
         front_ends: usize,
--- a/crates/capacity-model/src/hollow/decisions.rs
+++ b/crates/capacity-model/src/hollow/decisions.rs
@@ -25,13 +25,17 @@
 /// What one hollow front end sees.
 #[derive(Clone, Debug)]
 pub struct Traffic {
+    /// Number of front ends.
     pub front_ends: usize,
+    /// Number of executors.
     pub executors: usize,
+    /// Number of functions.
     pub functions: usize,
     /// Calls a second at this front end.
     pub calls_per_s: f64,
     /// Mean time that an executor takes to answer a warm call, in seconds.
     pub answer_time: f64,
+    /// Seed of every random draw.
     pub seed: u64,
 }
 
@@ -114,7 +118,9 @@
 /// Final answers that the clients had.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Finished {
+    /// Calls that succeeded.
     pub succeeded: u64,
+    /// Calls that were rejected or failed.
     pub failed: u64,
 }
 
@@ -132,7 +138,7 @@
             .push(Reverse((microseconds(self.now + after), arrival)));
     }
 
-    /// Whether a copy stands there; it does from now on.
+    /// Whether the executor has a copy of the function; it has one from now on.
     fn touch(&mut self, to: ExecutorId, function: u64) -> bool {
         let until = self.now + KEEP_ALIVE;
         let before = self.copies.insert((to, function), until);
@@ -204,7 +210,7 @@
 }
 
 impl FrontEnd {
-    /// A front end that has its roster and has taken no call yet.
+    /// Creates a front end that has its endpoint list and has handled no call yet.
     pub fn new(traffic: &Traffic) -> FrontEnd {
         let fleet_calls = traffic.calls_per_s * traffic.front_ends as f64;
         let popularity = Popularity::new(traffic.functions);
@@ -238,7 +244,7 @@
         }
     }
 
-    /// Takes calls for so long, in simulated seconds, and tells how many.
+    /// Handles calls for a time in simulated seconds, and returns their number.
     pub fn play(&mut self, seconds: f64) -> u64 {
         let until = self.next_call + seconds;
         let mut calls = 0;
@@ -342,23 +348,24 @@
         }
     }
 
-    /// Takes one call at the moment of the last thing that happened.
+    /// Handles one call at the current simulated time.
     pub fn call_now(&mut self) {
         self.call(self.executors.now);
     }
 
-    /// Takes in rows of a roster now.
+    /// Applies an endpoint update now.
     pub fn roster(&mut self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
         self.engine
             .on_endpoint_update(self.executors.now, kind, rows, &mut self.executors);
     }
 
+    /// Final answers so far.
     pub fn finished(&self) -> Finished {
         self.executors.finished
     }
 
     /// Entries in the policy's tables.
-    pub fn kept(&self) -> TableSizes {
+    pub fn table_sizes(&self) -> TableSizes {
         self.engine.table_sizes()
     }
 }
--- a/crates/capacity-model/src/hollow/deployment.rs
+++ b/crates/capacity-model/src/hollow/deployment.rs
@@ -45,7 +45,7 @@
     file
 }
 
-/// The file of one of so many front ends that follows the store's executors and front ends.
+/// The deployment file of one of `front_ends` front ends that follows the store's executors and front ends.
 pub fn with_roster(front_ends: usize, endpoints: &[SocketAddr]) -> String {
     following_roster(front_ends, endpoints).to_string()
 }
--- a/crates/capacity-model/src/hollow/snapshot.rs
+++ b/crates/capacity-model/src/hollow/snapshot.rs
@@ -1,4 +1,4 @@
-//! A snapshot of a store's whole configuration, as front ends have it on their disks.
+//! A snapshot of a store's complete configuration, as front ends write it to disk.
 
 use super::configuration::{Configuration, Options};
 use crate::config::entries;
@@ -12,18 +12,21 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
+/// Interval at which the snapshot file is looked for.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why there is no snapshot.
 #[derive(Debug, Error)]
 pub enum SnapshotError {
+    /// The settings of configuration distribution are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
+    /// No snapshot was written within this time, in seconds.
     #[error("no snapshot of the store's configuration was written within {0} s")]
     NotInTime(f64),
 }
 
-/// Reads the configuration whole, at no pace, and has the snapshot written to `path`, where nothing stands yet.
+/// Reads the complete configuration without rate limit and has the snapshot written to `path`, which must not exist yet.
 ///
 /// # Errors
 /// Nothing was written within `timeout` seconds.
@@ -57,7 +60,7 @@
     let mut written = None;
     while written.is_none() && began.elapsed().as_secs_f64() < timeout {
         Timer::after(LOOK_INTERVAL).await;
-        // Only a whole file stands under its name.
+        // A file gets its name only once it is complete.
         written = file.read().0.into_iter().next();
     }
     drop(task);
--- a/crates/capacity-model/src/parts.rs
+++ b/crates/capacity-model/src/parts.rs
@@ -9,10 +9,20 @@
 /// Why a part gave no report.
 #[derive(Debug, Error)]
 pub enum PartError {
+    /// The process of the part could not be started.
     #[error("the part '{part}' could not be started: {why}")]
-    NotStarted { part: String, why: std::io::Error },
+    NotStarted {
+        /// Name of the part.
+        part: String,
+        /// Reason of the operating system.
+        why: std::io::Error,
+    },
+    /// The process ended without a report.
     #[error("the part '{part}' ended without a report; see its messages above")]
-    NoReport { part: String },
+    NoReport {
+        /// Name of the part.
+        part: String,
+    },
 }
 
 /// A part that runs. It ends when this is dropped, and when this process ends, however that does: its standard input is
--- a/crates/capacity-model/src/report.rs
+++ b/crates/capacity-model/src/report.rs
@@ -3,13 +3,17 @@
 use crate::size::{Injection, Size};
 use serde::{Deserialize, Serialize};
 
-/// Whose cost or service a row tells.
+/// Whose cost or service a row describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
+    /// One front end.
     FrontEnd,
+    /// One member of the control store.
     StoreMember,
+    /// The whole fleet.
     Fleet,
+    /// One region.
     Region,
 }
 
@@ -39,18 +43,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Bound {
+    /// The figure must not exceed the limit.
     #[default]
     AtMost,
+    /// The figure must not fall below the limit.
     AtLeast,
 }
 
 /// One limit of the design and what was measured against it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    /// Name of the row, unique within a report.
     pub name: String,
+    /// Whose cost or service the row describes.
     pub role: Role,
+    /// Unit of the figure.
     pub unit: String,
+    /// Limit of the figure, in `unit`.
     pub limit: f64,
+    /// Side of the limit on which the figure has to stay.
     #[serde(default)]
     pub bound: Bound,
     /// `None` where it could not be measured, which counts as missed.
@@ -58,6 +69,7 @@
     /// Whether the figure is on the right side of the limit.
     #[serde(rename = "held")]
     pub is_met: bool,
+    /// How the figure was obtained.
     pub basis: Basis,
     /// Measured over limit, or limit over measured for [`Bound::AtLeast`]: above 1 is missed.
     pub factor: Option<f64>,
@@ -133,12 +145,16 @@
 /// The last line on standard output.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// Result over all rows.
     pub verdict: Verdict,
+    /// Size of the run.
     pub size: Size,
+    /// Seed of the run.
     pub seed: u64,
     /// The fault that was planted, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub injected: Option<Injection>,
+    /// One row for each limit.
     pub rows: Vec<Row>,
     /// The fits behind extrapolated rows.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -146,6 +162,7 @@
 }
 
 impl Report {
+    /// Creates a report; its verdict follows from the rows.
     pub fn new(
         size: Size,
         seed: u64,
@@ -169,7 +186,7 @@
         }
     }
 
-    /// The exit code of the program: 0 if all rows are held, 1 if one is missed.
+    /// The exit code of the program: 0 if every row is within its limit, 1 otherwise.
     pub fn exit_code(&self) -> u8 {
         match self.verdict {
             Verdict::Met => 0,
@@ -193,11 +210,13 @@
 pub struct Slope {
     /// What was measured.
     pub figure: String,
+    /// Unit of the figure.
     pub unit: String,
     /// What was varied.
     pub dimension: String,
     /// Size and figure of each measurement.
     pub points: Vec<(f64, f64)>,
+    /// Figure at size zero.
     pub intercept: f64,
     /// Change of the figure for one more of the dimension.
     pub slope: f64,
--- a/crates/capacity-model/src/size.rs
+++ b/crates/capacity-model/src/size.rs
@@ -5,14 +5,19 @@
 /// What is simulated. The defaults are the size that the design has to carry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Size {
+    /// Number of front ends.
     pub front_ends: usize,
+    /// Number of executors.
     pub executors: usize,
+    /// Number of functions.
     pub functions: usize,
     /// Instances of functions in the whole fleet.
     pub instances: usize,
     /// Calls a second in the whole fleet.
     pub calls_per_s: f64,
+    /// Number of regions.
     pub regions: usize,
+    /// Number of zones.
     pub zones: usize,
     /// Changes of configuration a day.
     pub changes_per_day: f64,
--- a/crates/capacity-model/src/slopes/configuration/measurement.rs
+++ b/crates/capacity-model/src/slopes/configuration/measurement.rs
@@ -12,11 +12,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between looks at what calls see.
+/// Interval at which the views that calls see are checked.
 const LOOK_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a measurement waits for its changes, in seconds.
 const TIMEOUT_S: f64 = 45.0;
-/// Front ends that read at once report within this time; then they rest.
+/// Time after which front ends that have caught up have sent their reports.
 const SETTLE: Duration = Duration::from_millis(500);
 
 /// What is measured.
@@ -99,7 +99,7 @@
         Ok(front_ends)
     }
 
-    /// Waits until calls see a revision at all of them; the seconds since then.
+    /// Waits until calls see a revision at all front ends; the seconds since `began`.
     async fn wait_until_applied(&self, revision: i64, began: Instant) -> Result<f64, RunError> {
         let sees = |front_end: &&Rc<Configuration>| front_end.view().revision() >= revision;
         loop {
--- a/crates/capacity-model/src/slopes/control.rs
+++ b/crates/capacity-model/src/slopes/control.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Front ends that start together.
-const STARTED_TOGETHER: usize = 25;
+const START_BATCH: usize = 25;
 const START_INTERVAL: Duration = Duration::from_millis(100);
 /// Within what time all front ends have to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(45);
@@ -84,7 +84,7 @@
         );
         front_ends.tasks.extend(front_end.start(executor));
         front_ends.all.push(front_end);
-        if number % STARTED_TOGETHER == STARTED_TOGETHER - 1 {
+        if number % START_BATCH == START_BATCH - 1 {
             async_io::Timer::after(START_INTERVAL).await;
         }
     }
@@ -167,7 +167,7 @@
     async_io::block_on(executor.run(work))
 }
 
-fn tell(name: &str, value: usize, cost: &Cost) {
+fn log_cost(name: &str, value: usize, cost: &Cost) {
     eprintln!(
         "slopes: {value} {name}: {:.0} bytes/s (list {:.0} B), {:.3} % of a core, {:.2} MB a front end; {:.2} % of a \
          core, {:.0} bytes/s at a member",
@@ -189,7 +189,7 @@
     let mut costs = vec![];
     for &value in values {
         let cost = measure(setting(value), seed)?;
-        tell(name, value, &cost);
+        log_cost(name, value, &cost);
         costs.push((value, cost));
     }
     Ok(costs)
@@ -235,11 +235,11 @@
             &[0, 1, 2, 5, 10],
         ),
     };
-    let executors_held = if short { 36 } else { size.executors };
+    let executor_count = if short { 36 } else { size.executors };
     let few = if short { 6 } else { share(10) };
     let by_front_ends = sweep("front ends", &front_ends, seed, |front_ends| Setting {
         front_ends,
-        executors: executors_held,
+        executors: executor_count,
         changes_per_s: 0,
         seconds,
     })?;
@@ -251,7 +251,7 @@
     })?;
     let by_changes = sweep("changes a second", changes, seed, |changes_per_s| Setting {
         front_ends: few,
-        executors: executors_held,
+        executors: executor_count,
         changes_per_s,
         seconds,
     })?;
--- a/crates/capacity-model/src/slopes/decision.rs
+++ b/crates/capacity-model/src/slopes/decision.rs
@@ -7,7 +7,7 @@
 use crate::size::Size;
 use orchidtally_dispatch_policy::interface::{EndpointState, EndpointUpdateKind};
 
-/// Executors of the small fleet and of the large one that the growth is told over.
+/// Executors of the small and the large fleet whose decision costs are compared.
 const SMALL_FLEET: usize = 36;
 const LARGE_FLEET: usize = 3_000;
 /// The mean time that an answer takes, in seconds.
@@ -44,7 +44,7 @@
     heap_bytes: f64,
     list_us: f64,
     change_us: f64,
-    functions_kept: usize,
+    functions_in_tables: usize,
     succeeded_share: f64,
 }
 
@@ -60,18 +60,18 @@
     let succeeded = (after.succeeded - before.succeeded) as f64;
     let failed = (after.failed - before.failed) as f64;
     let heap_bytes = clock::heap_bytes() - heap_before;
-    let functions_kept = front_end.kept().functions;
+    let functions_in_tables = front_end.table_sizes().functions;
     Cost {
         cpu_us_per_call: 1e6 * cpu / calls,
         heap_bytes,
         list_us: list_us(&mut front_end, traffic.executors),
         change_us: change_us(&mut front_end, traffic.executors),
-        functions_kept,
+        functions_in_tables,
         succeeded_share: succeeded / (succeeded + failed).max(1.0),
     }
 }
 
-/// The time that a whole list takes, as at a relist where nothing is new, with the call after it.
+/// The processor time of a full endpoint list without changes, with the call after it.
 fn list_us(front_end: &mut FrontEnd, executors: usize) -> f64 {
     let rows: Vec<_> = (0..executors).map(|x| roster_row(x, 8)).collect();
     let started = clock::thread_cpu_s();
@@ -113,7 +113,7 @@
             "slopes: {value} {name}: {:.1} us a call, {:.2} MB, {} functions known, {:.1} % served",
             cost.cpu_us_per_call,
             cost.heap_bytes / 1e6,
-            cost.functions_kept,
+            cost.functions_in_tables,
             100.0 * cost.succeeded_share
         );
         (value, cost)
--- a/crates/capacity-model/src/slopes/fit.rs
+++ b/crates/capacity-model/src/slopes/fit.rs
@@ -8,8 +8,11 @@
 /// What a line is through.
 #[derive(Clone, Copy, Debug)]
 pub struct Axes<'a> {
+    /// What was measured.
     pub figure: &'a str,
+    /// Unit of the figure.
     pub unit: &'a str,
+    /// What was varied.
     pub dimension: &'a str,
 }
 
--- a/crates/capacity-model/src/slopes/mod.rs
+++ b/crates/capacity-model/src/slopes/mod.rs
@@ -10,9 +10,11 @@
 use crate::size::Size;
 use crate::store::StoreError;
 
-/// What the slopes tell.
+/// Rows and fitted lines of the slopes.
 pub struct Slopes {
+    /// Rows of the report.
     pub rows: Vec<Row>,
+    /// Fitted lines.
     pub slopes: Vec<Slope>,
 }
 
--- a/crates/capacity-model/src/store/process.rs
+++ b/crates/capacity-model/src/store/process.rs
@@ -9,12 +9,16 @@
 /// Why the store's process could not be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
+    /// The store's process could not be started or reached.
     #[error("the store's process could not be started or reached: {0}; see its messages above")]
     Io(#[from] std::io::Error),
+    /// An answer could not be decoded.
     #[error("the store's process answered with no JSON of ours: {0}")]
     Malformed(#[from] serde_json::Error),
+    /// The process ended.
     #[error("the store's process ended; see its messages above")]
     Ended,
+    /// The store could not do what the run asked.
     #[error("the store could not do what the run asked: {0}")]
     Failed(String),
 }
@@ -27,7 +31,7 @@
 }
 
 impl StoreProcess {
-    /// Starts this program anew as a store.
+    /// Starts this program again as a store.
     pub fn start() -> Result<StoreProcess, StoreError> {
         let mut child = std::process::Command::new(std::env::current_exe()?)
             .arg("store")
@@ -43,7 +47,7 @@
         })
     }
 
-    /// Has a command done and waits for the answer.
+    /// Sends a command and waits for the answer.
     pub fn ask(&mut self, command: &Command) -> Result<Answer, StoreError> {
         let mut line = serde_json::to_string(command)?;
         line.push('\n');
@@ -60,11 +64,12 @@
         }
     }
 
-    /// Has a command done whose answer tells nothing more.
+    /// Performs a command whose answer has no content.
     pub fn run(&mut self, command: &Command) -> Result<(), StoreError> {
         self.ask(command).map(drop)
     }
 
+    /// What the store's process has used so far.
     pub fn usage(&mut self) -> Result<Usage, StoreError> {
         match self.ask(&Command::Usage)? {
             Answer::Usage(usage) => Ok(usage),
--- a/crates/capacity-model/src/store/serve.rs
+++ b/crates/capacity-model/src/store/serve.rs
@@ -16,7 +16,7 @@
 
 /// Commands that wait at most; the run waits for each answer, so that one is enough.
 const COMMANDS: usize = 1;
-/// A member tells a watch of progress by itself only so seldom, as etcd does, in seconds.
+/// Interval of the progress notifications of a watch, in seconds; that of etcd.
 const PROGRESS_INTERVAL: f64 = 600.0;
 
 /// The address of the first executor; the next ones follow it.
--- a/crates/capacity-model/src/tables.rs
+++ b/crates/capacity-model/src/tables.rs
@@ -8,14 +8,27 @@
 /// Why the tables were not written.
 #[derive(Debug, Error)]
 pub enum TablesError {
+    /// The page could not be read or written.
     #[error("{file} could not be read or written: {why}", file = file.display())]
-    Io { file: PathBuf, why: std::io::Error },
+    Io {
+        /// The page.
+        file: PathBuf,
+        /// Reason of the operating system.
+        why: std::io::Error,
+    },
+    /// The page lacks the marks of a table.
     #[error("{file} lacks the marks '<!-- {name} -->' and '<!-- /{name} -->', each on a line of its own; add them", file = file.display())]
-    NoMarks { file: PathBuf, name: &'static str },
+    NoMarks {
+        /// The page.
+        file: PathBuf,
+        /// Name of the table in its marks.
+        name: &'static str,
+    },
 }
 
 /// The tables' names in their marks.
 pub const ROWS: &str = "scale:rows";
+/// Name of the table of slopes in its marks.
 pub const SLOPES: &str = "scale:slopes";
 
 /// Writes both tables of a report into a page that has their marks.
