--- a/crates/capacity-model/src/config/rows.rs
+++ b/crates/capacity-model/src/config/rows.rs
@@ -44,11 +44,24 @@
     time.map_or("not in force".into(), |time| format!("{time:.2} s"))
 }
 
-fn in_force(plan: &Plan, findings: &Findings, memory: &Memory) -> Vec<Row> {
-    let missing = match findings.missing.is_empty() {
+/// What the waits that timed out were waiting for, as the end of a note.
+fn missing_changes(findings: &Findings) -> String {
+    match findings.missing.is_empty() {
         true => String::new(),
         false => format!("; {}", findings.missing.join("; ")),
-    };
+    }
+}
+
+fn in_force(plan: &Plan, findings: &Findings, memory: &Memory) -> Vec<Row> {
+    let mut rows = time_in_force(plan, findings);
+    rows.extend(time_to_heal(plan, findings));
+    rows.extend(correctness(plan, findings, memory));
+    rows
+}
+
+/// How long changes take until they are in force.
+fn time_in_force(plan: &Plan, findings: &Findings) -> Vec<Row> {
+    let missing = missing_changes(findings);
     let note = format!(
         "{} hollow front ends with {} functions on one core over loopback sockets, by what calls see: {} single \
          changes {}, {} changes written within {:.2} s {}, two of five members stopped in the middle of a change {}, at \
@@ -64,6 +77,20 @@
         plan.cut_s,
         seconds(findings.cut_in_force_s),
     );
+    vec![filled(
+        Row::at_most("config_in_force_s", Role::Fleet, "s", IN_FORCE_S, &note),
+        greatest(&[
+            findings.daily_in_force_s,
+            findings.burst_in_force_s,
+            findings.member_failure_in_force_s,
+            findings.cut_in_force_s,
+        ]),
+    )]
+}
+
+/// How long front ends take to catch up after they were cut off, compacted past, or restarted.
+fn time_to_heal(plan: &Plan, findings: &Findings) -> Vec<Row> {
+    let missing = missing_changes(findings);
     let heal_note = format!(
         "after a region was cut off for {} s {}, after all members were away and the history was compacted past all \
          watches {}, {} front ends back at once from old snapshots {}{missing}",
@@ -79,23 +106,7 @@
         plan.burst,
         super::entries::settings().read_bytes_per_second,
     );
-    let document_bytes = (plan.functions_loaded * Function::version(0).document().len()) as f64;
-    let is_complete = findings.store_heap_bytes > 0.0;
-    let claims_note = "front ends that report a revision whose change their calls don't see";
-    let reads_note = format!(
-        "the most that any front end received in one catch-up, over the documents of all {} functions: a whole read is 1",
-        plan.functions_loaded
-    );
     vec![
-        filled(
-            Row::at_most("config_in_force_s", Role::Fleet, "s", IN_FORCE_S, &note),
-            greatest(&[
-                findings.daily_in_force_s,
-                findings.burst_in_force_s,
-                findings.member_failure_in_force_s,
-                findings.cut_in_force_s,
-            ]),
-        ),
         filled(
             Row::at_most("config_heal_s", Role::Region, "s", IN_FORCE_S, &heal_note),
             greatest(&[
@@ -114,6 +125,19 @@
             ),
             findings.return_after_burst_s,
         ),
+    ]
+}
+
+/// Calls admitted against a change, false claims of a view, and entries that are read again.
+fn correctness(plan: &Plan, findings: &Findings, memory: &Memory) -> Vec<Row> {
+    let document_bytes = (plan.functions_loaded * Function::version(0).document().len()) as f64;
+    let is_complete = findings.store_heap_bytes > 0.0;
+    let claims_note = "front ends that report a revision whose change their calls don't see";
+    let reads_note = format!(
+        "the most that any front end received in one catch-up, over the documents of all {} functions: a whole read is 1",
+        plan.functions_loaded
+    );
+    vec![
         filled(
             Row::at_most(
                 "config_revoked_used_s",
--- a/crates/capacity-model/src/slopes/control.rs
+++ b/crates/capacity-model/src/slopes/control.rs
@@ -255,95 +255,106 @@
         changes_per_s,
         seconds,
     })?;
-    let slopes = [
+    let largest = by_front_ends[by_front_ends.len() - 1];
+    let slopes = front_end_slopes(&by_front_ends)
+        .into_iter()
+        .chain(executor_slopes(&by_executors))
+        .chain(change_slopes(&by_changes))
+        .flatten()
+        .collect();
+    Ok(Control { largest, slopes })
+}
+
+/// The lines by front ends.
+fn front_end_slopes(costs: &[(usize, Cost)]) -> [Option<Slope>; 6] {
+    [
         fitted(
             "control bytes",
             "bytes/s a front end",
             "front ends",
-            &by_front_ends,
+            costs,
             Cost::bytes_per_s,
         ),
         fitted(
             "control CPU",
             "cores a front end",
             "front ends",
-            &by_front_ends,
+            costs,
             |cost| cost.cpu_cores,
         ),
         fitted(
             "control memory",
             "MB a front end",
             "front ends",
-            &by_front_ends,
+            costs,
             |c| c.heap_bytes / 1e6,
         ),
-        fitted(
-            "store CPU",
-            "cores a member",
-            "front ends",
-            &by_front_ends,
-            |cost| cost.store_cpu_cores,
-        ),
+        fitted("store CPU", "cores a member", "front ends", costs, |cost| {
+            cost.store_cpu_cores
+        }),
         fitted(
             "store bytes",
             "bytes/s, all members",
             "front ends",
-            &by_front_ends,
+            costs,
             |c| c.store_bytes_per_s,
         ),
         fitted(
             "store memory",
             "MB, the whole stand-in",
             "front ends",
-            &by_front_ends,
+            costs,
             |cost| cost.store_heap_bytes / 1e6,
         ),
+    ]
+}
+
+/// The lines by executors.
+fn executor_slopes(costs: &[(usize, Cost)]) -> [Option<Slope>; 3] {
+    [
         fitted(
             "control bytes",
             "bytes/s a front end",
             "executors",
-            &by_executors,
+            costs,
             Cost::bytes_per_s,
         ),
-        fitted(
-            "bytes of a list",
-            "bytes",
-            "executors",
-            &by_executors,
-            |cost| cost.list_bytes,
-        ),
+        fitted("bytes of a list", "bytes", "executors", costs, |cost| {
+            cost.list_bytes
+        }),
         fitted(
             "control memory",
             "MB a front end",
             "executors",
-            &by_executors,
+            costs,
             |c| c.heap_bytes / 1e6,
         ),
+    ]
+}
+
+/// The lines by changes of the roster a second.
+fn change_slopes(costs: &[(usize, Cost)]) -> [Option<Slope>; 3] {
+    [
         fitted(
             "control bytes",
             "bytes/s a front end",
             "roster changes a second",
-            &by_changes,
+            costs,
             |cost| cost.bytes_per_s(),
         ),
         fitted(
             "control CPU",
             "cores a front end",
             "roster changes a second",
-            &by_changes,
+            costs,
             |cost| cost.cpu_cores,
         ),
         fitted(
             "store CPU",
             "cores a member",
             "roster changes a second",
-            &by_changes,
+            costs,
             |cost| cost.store_cpu_cores,
         ),
-    ];
-    let largest = by_front_ends[by_front_ends.len() - 1];
-    Ok(Control {
-        largest,
-        slopes: slopes.into_iter().flatten().collect(),
-    })
+    ]
 }
