--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -60,7 +60,7 @@
 }
 
 #[derive(Serialize)]
-struct Result_ {
+struct Measurement {
     ways: Vec<Row>,
     memory: Option<Memory>,
 }
@@ -74,12 +74,18 @@
     to: SocketAddr,
     ask: BaselineRequest,
     streams: usize,
-    a: &Arguments,
+    arguments: &Arguments,
 ) -> io::Result<Observed> {
     let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
-    let seen =
-        async_io::block_on(tasks.run(baseline::load(&stage, to, ask, streams, a.time, a.payload)));
+    let seen = async_io::block_on(tasks.run(baseline::load(
+        &stage,
+        to,
+        ask,
+        streams,
+        arguments.time,
+        arguments.payload,
+    )));
     seen.map_err(io::Error::other)
 }
 
@@ -88,30 +94,30 @@
     to: SocketAddr,
     middle: Option<&Part>,
     ask: BaselineRequest,
-    a: &Arguments,
+    arguments: &Arguments,
 ) -> io::Result<Row> {
     eprintln!("measuring {name}");
     // Connections stand and copies are known before it counts.
     let warm = Arguments {
         time: 0.3,
         part: None,
-        ..*a
+        ..*arguments
     };
-    load(to, ask, a.streams, &warm)?;
+    load(to, ask, arguments.streams, &warm)?;
     let before = middle.and_then(Part::cpu);
-    let busy = load(to, ask, a.streams, a)?;
+    let busy = load(to, ask, arguments.streams, arguments)?;
     let after = middle.and_then(Part::cpu);
     let quiet = load(
         to,
         ask,
         1,
         &Arguments {
-            time: a.time / 2.0,
+            time: arguments.time / 2.0,
             part: None,
-            ..*a
+            ..*arguments
         },
     )?;
-    let used = before.zip(after).map(|(b, a)| a - b);
+    let used = before.zip(after).map(|(before, after)| after - before);
     Ok(Row {
         way: name,
         per_second: busy.succeeded as f64 / busy.seconds,
@@ -122,8 +128,12 @@
     })
 }
 
-fn measure(a: &Arguments) -> io::Result<Result_> {
-    let executor = Part::start(&["measure", "--part", &format!("executor=0x{}", a.executors)])?;
+fn measure(arguments: &Arguments) -> io::Result<Measurement> {
+    let executor = Part::start(&[
+        "measure",
+        "--part",
+        &format!("executor=0x{}", arguments.executors),
+    ])?;
     let relay = Part::start(&["measure", "--part", &format!("relay={}", executor.at)])?;
     let file = deployment(&executor.all, 20_001)?;
     let path = file.display().to_string();
@@ -140,29 +150,35 @@
     let front_end = Part::start(&serve)?;
     let random = Part::start(&[&serve[..], &["--random"]].concat())?;
     let ask = BaselineRequest::Invocation {
-        functions: a.functions,
+        functions: arguments.functions,
     };
     let mut ways = vec![
-        way("direct", executor.at, None, BaselineRequest::Dispatch, a)?,
+        way(
+            "direct",
+            executor.at,
+            None,
+            BaselineRequest::Dispatch,
+            arguments,
+        )?,
         way(
             "relay",
             relay.at,
             Some(&relay),
             BaselineRequest::Dispatch,
-            a,
+            arguments,
         )?,
-        way("front end", front_end.at, Some(&front_end), ask, a)?,
-        way("random choice", random.at, Some(&random), ask, a)?,
+        way("front end", front_end.at, Some(&front_end), ask, arguments)?,
+        way("random choice", random.at, Some(&random), ask, arguments)?,
     ];
     let direct = ways[0].per_second;
     ways.iter_mut()
-        .for_each(|w| w.of_direct = w.per_second / direct);
+        .for_each(|row| row.of_direct = row.per_second / direct);
     let _ = std::fs::remove_file(file);
-    if a.no_memory {
-        return Ok(Result_ { ways, memory: None });
+    if arguments.no_memory {
+        return Ok(Measurement { ways, memory: None });
     }
     eprintln!("measuring memory");
-    Ok(Result_ {
+    Ok(Measurement {
         ways,
         memory: memory()?,
     })
@@ -191,23 +207,23 @@
         return Ok(());
     }
     println!("way              a second  of direct  CPU us an inv.  median alone  failed");
-    for w in &result.ways {
-        let cpu = w.cpu_us.map_or("-".into(), |c| format!("{c:.1}"));
+    for row in &result.ways {
+        let cpu = row.cpu_us.map_or("-".into(), |c| format!("{c:.1}"));
         println!(
             "{:<15} {:>9.0} {:>10.2} {cpu:>15} {:>10.0} us {:>7}",
-            w.way, w.per_second, w.of_direct, w.median_us, w.failed
+            row.way, row.per_second, row.of_direct, row.median_us, row.failed
         );
     }
-    if let Some(m) = &result.memory {
+    if let Some(memory) = &result.memory {
         println!(
             "bytes an open invocation {:.0}, an idle connection {:.0}",
-            m.open_invocation, m.idle_connection
+            memory.open_invocation, memory.idle_connection
         );
         println!(
             "{} offered at once: {:.0} MB at the most, {} answered within their client timeout",
-            m.offered,
-            m.most_bytes / 1e6,
-            m.answered_in_time
+            memory.offered,
+            memory.most_bytes / 1e6,
+            memory.answered_in_time
         );
     }
     Ok(())
--- a/crates/cli/src/rehearse/endpoints.rs
+++ b/crates/cli/src/rehearse/endpoints.rs
@@ -87,8 +87,8 @@
     }
 
     fn value(&self, e: &Executor) -> String {
-        let (location, cell) = (self.place)(e.make.number);
-        let state = match self.entries.borrow()[e.make.number].1 {
+        let (location, cell) = (self.place)(e.spec.number);
+        let state = match self.entries.borrow()[e.spec.number].1 {
             EndpointState::Draining => "draining",
             _ => "ready",
         };
@@ -103,11 +103,11 @@
         let put = PutRequest {
             key: format!("{PREFIX}{}", e.address).into(),
             value: self.value(e).into(),
-            lease: self.entries.borrow()[e.make.number].0,
+            lease: self.entries.borrow()[e.spec.number].0,
             prev_kv: false,
         };
         if let Err(status) = self.etcd.store.borrow_mut().put(&put) {
-            eprintln!("executor {} has no entry: {status}", e.make.number);
+            eprintln!("executor {} has no entry: {status}", e.spec.number);
         }
     }
 
@@ -124,7 +124,7 @@
         }
         let numbers: HashMap<String, usize> = executors
             .iter()
-            .map(|e| (format!("{PREFIX}{}", e.address), e.make.number))
+            .map(|e| (format!("{PREFIX}{}", e.address), e.spec.number))
             .collect();
         let (stage, all) = (self.stage.clone(), executors.to_vec());
         let hears = move |agent: &str, event: &Event| {
@@ -176,10 +176,10 @@
     /// Keeps an entry: its lease, and what it says, which a store that was set back may have otherwise.
     fn renew(&self, e: &Executor) {
         let now = self.stage.now();
-        let lease = self.entries.borrow()[e.make.number].0;
+        let lease = self.entries.borrow()[e.spec.number].0;
         let over = self.etcd.store.borrow_mut().keep_alive(now, lease).ttl == 0;
         if over {
-            self.entries.borrow_mut()[e.make.number].0 =
+            self.entries.borrow_mut()[e.spec.number].0 =
                 self.etcd.store.borrow_mut().grant(now, LEASE).id;
         }
         let expected = self.value(e);
@@ -206,11 +206,11 @@
     /// What an executor, or whoever stops it, says of it.
     pub fn change(&self, e: &Executor, state: EndpointState) {
         if state == EndpointState::Gone {
-            let lease = self.entries.borrow()[e.make.number].0;
+            let lease = self.entries.borrow()[e.spec.number].0;
             self.etcd.store.borrow_mut().revoke(lease);
             return;
         }
-        self.entries.borrow_mut()[e.make.number].1 = state;
+        self.entries.borrow_mut()[e.spec.number].1 = state;
         self.renew(e);
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// How soon after it was told of a drain each front end had sent its last dispatch.
-    pub fn seen(
+    pub fn observed(
         &self,
         records: &[TrafficRecord],
         relists: u64,
--- a/crates/cli/src/rehearse/play/faults.rs
+++ b/crates/cli/src/rehearse/play/faults.rs
@@ -30,47 +30,47 @@
                 .stage
                 .sleep(from + fault.at - rehearsal.stage.now())
                 .await;
-            rehearsal.fault(&fault).await;
+            rehearsal.apply_fault(&fault).await;
         });
     }
 
-    fn switch(&self, which: &(TimedFault, Cell<f64>), t: &ScheduledFault) {
-        which.1.set(t.size);
-        which.0.set(self.stage.now() + t.duration);
+    fn switch(&self, which: &(TimedFault, Cell<f64>), fault: &ScheduledFault) {
+        which.1.set(fault.size);
+        which.0.set(self.stage.now() + fault.duration);
     }
 
-    async fn fault(self: &Rc<Self>, t: &ScheduledFault) {
-        let until = self.stage.now() + t.duration;
+    async fn apply_fault(self: &Rc<Self>, fault: &ScheduledFault) {
+        let until = self.stage.now() + fault.duration;
         let up = |e: &Rc<Executor>| e.is_up() && !e.draining.get();
-        match t.kind {
+        match fault.kind {
             FaultKind::Crash => {
-                for e in self.some(&self.executors, t.size, up) {
-                    self.down_and_up(e, t.duration);
+                for e in self.some(&self.executors, fault.size, up) {
+                    self.down_and_up(e, fault.duration);
                 }
             }
             FaultKind::Hang => {
-                self.some(&self.executors, t.size, up)
+                self.some(&self.executors, fault.size, up)
                     .iter()
                     .for_each(|e| e.faults.hangs.set(until));
             }
             FaultKind::FastErrors => {
-                self.some(&self.executors, t.size, up)
+                self.some(&self.executors, fault.size, up)
                     .iter()
                     .for_each(|e| e.faults.fails_at_once.set(until));
             }
             FaultKind::ExecutorsStopReading => {
-                for e in self.some(&self.executors, t.size, up) {
+                for e in self.some(&self.executors, fault.size, up) {
                     e.faults.reads_paused.set(until);
                     let at = self.stage.now();
                     self.stage.record(TrafficRecord::ReadsPaused {
                         at,
-                        executor: e.make.number,
+                        executor: e.spec.number,
                         until,
                     });
                 }
             }
             FaultKind::SlowHandshakes => {
-                self.some(&self.executors, t.size, up)
+                self.some(&self.executors, fault.size, up)
                     .iter()
                     .for_each(|e| e.faults.slow_handshakes.set(until));
             }
@@ -79,20 +79,20 @@
                 .iter()
                 .for_each(|e| e.faults.delayed_reports.set(until)),
             FaultKind::RollingDeploy => {
-                let some = self.some(&self.executors, t.size, up);
-                let each = t.duration / some.len() as f64;
+                let some = self.some(&self.executors, fault.size, up);
+                let each = fault.duration / some.len() as f64;
                 for e in some {
                     self.roll(&e, each.clamp(0.3, 1.2)).await;
                 }
             }
             FaultKind::Preemption => {
-                for e in self.some(&self.executors, t.size, up) {
+                for e in self.some(&self.executors, fault.size, up) {
                     self.notify(&e, EndpointState::Draining);
                     e.draining.set(true);
                     self.stage.sleep(0.4).await;
                     e.crash();
                     self.notify(&e, EndpointState::Gone);
-                    self.stage.sleep(t.duration).await;
+                    self.stage.sleep(fault.duration).await;
                     self.bring_up(&e);
                 }
             }
@@ -102,22 +102,22 @@
                 for e in self
                     .executors
                     .iter()
-                    .filter(|e| e.make.number % locations == lost && up(e))
+                    .filter(|e| e.spec.number % locations == lost && up(e))
                 {
-                    self.down_and_up(e.clone(), t.duration);
+                    self.down_and_up(e.clone(), fault.duration);
                 }
             }
             FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
             FaultKind::MassRelease => self.executors.iter().for_each(|e| e.drop_copies()),
             FaultKind::StoreRefuses => self.store.refusing.set(until),
-            FaultKind::ImpatientClients => self.switch(&self.impatient, t),
-            FaultKind::HotFunction => self.switch(&self.hot, t),
-            FaultKind::OneTimeFunctions => self.switch(&self.one_offs, t),
-            FaultKind::TrafficShift => self.switch(&self.shifted, t),
-            FaultKind::RepeatingClients => self.switch(&self.repeating, t),
-            FaultKind::KillFrontEnds => self.kill_front_ends(t).await,
-            FaultKind::RollFrontEnds => self.roll_front_ends(t).await,
+            FaultKind::ImpatientClients => self.switch(&self.impatient, fault),
+            FaultKind::HotFunction => self.switch(&self.hot, fault),
+            FaultKind::OneTimeFunctions => self.switch(&self.one_offs, fault),
+            FaultKind::TrafficShift => self.switch(&self.shifted, fault),
+            FaultKind::RepeatingClients => self.switch(&self.repeating, fault),
+            FaultKind::KillFrontEnds => self.kill_front_ends(fault).await,
+            FaultKind::RollFrontEnds => self.roll_front_ends(fault).await,
             FaultKind::Garbage => self.garbage(until).await,
             FaultKind::ClientsStopReading => self.stop_reading(until).await,
             FaultKind::SlowClients => self.slow_senders(until).await,
@@ -129,7 +129,7 @@
             roster.change(e, state);
             return;
         }
-        self.publisher.change(e.make.number, state, e.started_at());
+        self.publisher.change(e.spec.number, state, e.started_at());
     }
 
     pub(super) fn bring_up(&self, e: &Executor) {
@@ -138,7 +138,7 @@
         }
         match e.restart() {
             Ok(()) => self.notify(e, EndpointState::Ready),
-            Err(fault) => eprintln!("executor {} did not come up: {fault}", e.make.number),
+            Err(fault) => eprintln!("executor {} did not come up: {fault}", e.spec.number),
         }
     }
 
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -157,7 +157,7 @@
         while self.stage.now() < until && executor.is_up() && !executor.draining.get() {
             self.stage.sleep(LOOK_INTERVAL).await;
             let notified_at =
-                evidence::drain_notified_at(&self.stage.records(), executor.make.number);
+                evidence::drain_notified_at(&self.stage.records(), executor.spec.number);
             if was_notified && notified_at.is_none() {
                 // The script has given it back.
                 return;
@@ -191,7 +191,7 @@
         self.bring_up(executor);
         let since = executor.started_at();
         let timeout = self.stage.now() + TELL_TIME;
-        while !evidence::was_notified_of_start(&self.stage.records(), executor.make.number, since) {
+        while !evidence::was_notified_of_start(&self.stage.records(), executor.spec.number, since) {
             if self.stage.now() > timeout {
                 return;
             }
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -153,7 +153,7 @@
     let rollout = rehearsal
         .rolling
         .as_ref()
-        .map(|record| record.seen(&records));
+        .map(|record| record.observed(&records));
     let mut limits = rehearsal.limits.clone();
     limits.max_transit_time += rehearsal.lag.get();
     let (roster, relists) = (rehearsal.roster.clone(), rehearsal.relists.get());
@@ -189,7 +189,7 @@
         self.clone().traffic(from).await;
         self.wait_for_script().await;
         drop((progress, heartbeat));
-        let mut notes = self.last_words().await;
+        let mut notes = self.final_reports().await;
         let lag = self.lag.get();
         if lag > TRANSIT / 4.0 {
             notes.push(format!(
@@ -277,7 +277,7 @@
     }
 
     /// What front ends and the store report at the end of the day.
-    async fn last_words(&self) -> Vec<String> {
+    async fn final_reports(&self) -> Vec<String> {
         let mut notes = vec![format!(
             "the store gave {} loads and turned {} away",
             self.store.fetched.get(),
--- a/crates/cli/src/rehearse/play/processes.rs
+++ b/crates/cli/src/rehearse/play/processes.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    pub(super) async fn kill_front_ends(self: &Rc<Self>, t: &ScheduledFault) {
-        let some = self.some(&self.front_ends, t.size, |f| f.used.get());
+    pub(super) async fn kill_front_ends(self: &Rc<Self>, fault: &ScheduledFault) {
+        let some = self.some(&self.front_ends, fault.size, |f| f.used.get());
         for fe in &some {
             self.stage.record(TrafficRecord::FrontEndKilled {
                 at: self.stage.now(),
@@ -84,7 +84,7 @@
         }
         self.stage.sleep(NOTICE).await;
         some.iter().for_each(|fe| fe.used.set(false));
-        self.stage.sleep((t.duration - NOTICE).max(0.1)).await;
+        self.stage.sleep((fault.duration - NOTICE).max(0.1)).await;
         for fe in &some {
             self.again(fe).await;
         }
@@ -101,8 +101,8 @@
         }
     }
 
-    pub(super) async fn roll_front_ends(self: &Rc<Self>, t: &ScheduledFault) {
-        let some = self.some(&self.front_ends, t.size, |f| f.used.get());
+    pub(super) async fn roll_front_ends(self: &Rc<Self>, fault: &ScheduledFault) {
+        let some = self.some(&self.front_ends, fault.size, |f| f.used.get());
         for fe in some {
             if self.front_ends.iter().filter(|f| f.used.get()).count() < 2 {
                 return;
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -185,7 +185,7 @@
 
 /// An executor's row in the publisher's list.
 fn row(executor: &Executor, scenario: &Scenario) -> PublishedEndpoint {
-    let number = executor.make.number;
+    let number = executor.spec.number;
     PublishedEndpoint {
         executor: number,
         address: executor.address,
--- a/crates/cli/src/rehearse/report.rs
+++ b/crates/cli/src/rehearse/report.rs
@@ -85,7 +85,7 @@
         print_messages(messages);
     }
     let roster = played.roster.as_ref().map(|endpoints| {
-        endpoints.seen(
+        endpoints.observed(
             &played.records,
             played.relists,
             (violations(3), violations(4)),
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -309,7 +309,7 @@
         self.look().await;
     }
 
-    pub fn seen(&self, records: &[TrafficRecord]) -> Observed {
+    pub fn observed(&self, records: &[TrafficRecord]) -> Observed {
         let history = self.history.borrow();
         let state = history.last().map_or(NEVER, |e| e.phase.name()).to_owned();
         // The coordinator's clock is the machine's; the records' began with the stage.
--- a/crates/http-frontend/tests/hard_requests.rs
+++ b/crates/http-frontend/tests/hard_requests.rs
@@ -20,7 +20,7 @@
     let two = [executor(&stage, 0, 0.8), executor(&stage, 1, 0.8)];
     let rows = two
         .iter()
-        .map(|e| row(e.make.number, e.address, EndpointState::Ready))
+        .map(|e| row(e.spec.number, e.address, EndpointState::Ready))
         .collect();
     let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
     publisher.delay.set(0.0);
--- a/crates/test-servers/src/executor/copies.rs
+++ b/crates/test-servers/src/executor/copies.rs
@@ -1,7 +1,7 @@
 //! Copies of functions: loaded from the store once for all that wait, unloaded for room, run lane by lane.
 
 use super::Executor;
-use super::guards::{Held, Slot};
+use super::guards::{Slot, WaitingForCopy};
 use super::program::{Program, digest};
 use async_channel::{Receiver, Sender};
 use orchidtally_executor_protocol::v1;
@@ -117,7 +117,7 @@
 
     /// Unloads idle copies, the longest unused first, until so much memory is free.
     fn make_room(&self, memory: f64) -> Result<(), Unloaded> {
-        while self.memory_used() + memory > self.make.memory {
+        while self.memory_used() + memory > self.spec.memory {
             let mut copies = self.copies.borrow_mut();
             let idle = copies
                 .iter()
@@ -145,7 +145,7 @@
                 copy.digest.clone(),
             )
         };
-        let held = Held {
+        let held = WaitingForCopy {
             executor: self.clone(),
             function: function.to_owned(),
         };
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -34,7 +34,7 @@
         let from = dispatch.from.unwrap_or_default();
         self.stage.record(TrafficRecord::DispatchArrived {
             at: self.stage.now(),
-            executor: self.make.number,
+            executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
             invocation: dispatch.invocation.clone(),
@@ -105,15 +105,15 @@
         let name = package(&dispatch.function, &dispatch.digest);
         let program = (self.catalogue)(&name);
         let work = program.as_ref().map_or(0.0, |program| program.work);
-        if self.is_pushed_over(work) {
-            self.fall();
+        if self.would_overload(work) {
+            self.overload();
             future::pending::<()>().await;
         }
         self.wait_while_hanging().await;
         let program = program.ok_or(DispatchFailure::UnknownFunction)?;
         self.check_admission().await?;
         let payload = body.rest().await;
-        let loads = !self.make.rejects_unloaded;
+        let loads = !self.spec.rejects_unloaded;
         let found = self
             .copy(&name, &dispatch.digest, &program, loads)
             .await
@@ -155,7 +155,7 @@
         if self.draining.get() {
             return Err(DispatchFailure::Draining);
         }
-        if self.in_hand.get() > self.make.queue + self.make.cores {
+        if self.in_hand.get() > self.spec.queue + self.spec.cores {
             return Err(DispatchFailure::QueueFull);
         }
         Ok(())
@@ -164,7 +164,7 @@
     fn load_failure(&self, unloaded: Unloaded) -> DispatchFailure {
         match unloaded {
             Unloaded::Failed => DispatchFailure::LoadFailed {
-                is_miss: self.make.reports_failed_load_as_miss,
+                is_miss: self.spec.reports_failed_load_as_miss,
             },
             Unloaded::OtherBytes => DispatchFailure::DigestDiffers,
             Unloaded::NoCapacity => DispatchFailure::NoMemory,
@@ -175,7 +175,7 @@
     /// Records that the dispatch runs, or that its effect was deduplicated, and which version runs.
     fn record_execution(&self, dispatch: &v1::Dispatch, loaded_digest: &str) {
         let at = self.stage.now();
-        let executor = self.make.number;
+        let executor = self.spec.number;
         let invocation = dispatch.invocation.clone();
         let is_duplicate = !dispatch.token.is_empty()
             && !self.tokens.is_new(&dispatch.token, at, self.token_window);
@@ -205,7 +205,7 @@
 
     /// How long this run takes among those that share the cores, in seconds; drawn at random.
     fn run_time(&self, program: &Program) -> f64 {
-        let runs_per_core = (self.running.get() as f64 / self.make.cores as f64).max(1.0);
+        let runs_per_core = (self.running.get() as f64 / self.spec.cores as f64).max(1.0);
         let (slow_chance, slow_factor) = program.slow;
         let slow = if self.stage.unit() < slow_chance {
             slow_factor
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -20,7 +20,7 @@
             self.executor.in_hand.set(self.executor.in_hand.get() - 1);
             self.executor.stage.record(TrafficRecord::DispatchEnded {
                 at: self.executor.stage.now(),
-                executor: self.executor.make.number,
+                executor: self.executor.spec.number,
                 invocation: self.invocation.clone(),
                 number: self.number,
                 outcome: ending,
@@ -74,12 +74,12 @@
 }
 
 /// One of those that wait for a copy.
-pub(super) struct Held {
+pub(super) struct WaitingForCopy {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
 }
 
-impl Drop for Held {
+impl Drop for WaitingForCopy {
     fn drop(&mut self) {
         if let Some(copy) = self.executor.copies.borrow_mut().get_mut(&self.function) {
             copy.held = copy.held.saturating_sub(1);
--- a/crates/test-servers/src/executor/load_commands.rs
+++ b/crates/test-servers/src/executor/load_commands.rs
@@ -13,7 +13,7 @@
         let hold = order.kind() == v1::OrderKind::Hold;
         self.stage.record(TrafficRecord::LoadCommandArrived {
             at: self.stage.now(),
-            executor: self.make.number,
+            executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
             replicas: if hold { order.copies } else { 0 },
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -28,7 +28,7 @@
 /// An executor on a socket, with what it holds.
 pub struct Executor {
     /// What the executor is like.
-    pub make: ExecutorSpec,
+    pub spec: ExecutorSpec,
     /// Faults that a script sets.
     pub faults: Faults,
     /// Where it listens.
@@ -59,7 +59,7 @@
     goodbye: RefCell<Option<Sender<()>>>,
     me: Weak<Executor>,
     /// How many times it was overloaded during slow start.
-    pub fell: Cell<u32>,
+    pub overload_count: Cell<u32>,
     /// The time that clients had left, as the last dispatch told it, in seconds.
     pub last_time_left: Cell<f64>,
     falling: Cell<bool>,
@@ -69,14 +69,14 @@
     /// Starts one; port 0 takes any free one.
     pub fn start(
         stage: &TestEnvironment,
-        make: ExecutorSpec,
+        spec: ExecutorSpec,
         at: SocketAddr,
         around: SharedResources,
     ) -> std::io::Result<Rc<Executor>> {
         let listener = orchidtally_socket_io::listen(at)?;
         let address = listener.get_ref().local_addr()?;
         let executor = Rc::new_cyclic(|me| Executor {
-            make,
+            spec,
             faults: Faults::default(),
             address,
             stage: stage.clone(),
@@ -97,7 +97,7 @@
             open: RefCell::default(),
             goodbye: RefCell::default(),
             me: me.clone(),
-            fell: Cell::new(0),
+            overload_count: Cell::new(0),
             last_time_left: Cell::new(f64::INFINITY),
             falling: Cell::new(false),
         });
@@ -140,7 +140,7 @@
                 }
             };
             connections
-                .run(future::or(accepting, me.clone().keep_house()))
+                .run(future::or(accepting, me.clone().run_housekeeping()))
                 .await
         };
         *self.serving.borrow_mut() = Some(self.stage.spawn(work));
@@ -176,18 +176,18 @@
         self.goodbye.borrow_mut().take();
     }
 
-    async fn keep_house(self: Rc<Self>) {
+    async fn run_housekeeping(self: Rc<Self>) {
         loop {
             self.stage.sleep(0.1).await;
             let now = self.stage.now();
             let waiting = self.in_hand.get().saturating_sub(self.running.get()) as f32;
-            let memory = self.memory_used() / self.make.memory;
+            let memory = self.memory_used() / self.spec.memory;
             let mut backlogs = self.backlogs.borrow_mut();
             backlogs.push_back((now, waiting, memory as f32));
             while backlogs.front().is_some_and(|b| b.0 < now - 10.0) {
                 backlogs.pop_front();
             }
-            let keep = self.make.keep_alive;
+            let keep = self.spec.keep_alive;
             let idle =
                 |c: &Copy| c.loaded && c.running == 0 && c.held == 0 && now > c.used_at + keep;
             self.copies.borrow_mut().retain(|_, c| !idle(c));
@@ -203,7 +203,7 @@
         let late = if self.faults.delayed_reports.is_active(now) {
             8.0
         } else {
-            self.make.report_delay
+            self.spec.report_delay
         };
         let backlogs = self.backlogs.borrow();
         let notified = backlogs
@@ -213,13 +213,13 @@
             .or(backlogs.front())
             .copied();
         let (_, waiting, memory) = notified.unwrap_or_default();
-        let noise = 1.0 + self.make.report_noise * (2.0 * self.stage.unit() - 1.0);
+        let noise = 1.0 + self.spec.report_noise * (2.0 * self.stage.unit() - 1.0);
         let value = |field: &String| match field.as_str() {
             "backlog" => waiting * noise as f32,
             "memory" => memory,
             "outstanding" => self.in_hand.get() as f32,
             _ => 0.0,
         };
-        self.make.report_fields.iter().map(value).collect()
+        self.spec.report_fields.iter().map(value).collect()
     }
 }
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -11,6 +11,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
+/// By the platform's rules time limits are longer by this on sockets, in seconds.
+const SOCKET_ALLOWANCE: f64 = 0.05;
+/// How long a client waits for an answer after its time limit, in seconds.
+const LATE_ANSWER_TIME: f64 = 0.5;
+/// How long a client waits for a second answer, which would break the rules, in seconds.
+const SECOND_ANSWER_TIME: f64 = 0.3;
+
 /// One invocation as a client sends it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
@@ -27,12 +34,12 @@
 }
 
 /// What a client heard: the answer's code, and its body.
-type Heard = (u8, Vec<u8>);
+type ReceivedAnswer = (u8, Vec<u8>);
 
 struct Open {
     stream: Rc<Async<TcpStream>>,
     next: Cell<u32>,
-    waiting: RefCell<HashMap<u32, Sender<Heard>>>,
+    waiting: RefCell<HashMap<u32, Sender<ReceivedAnswer>>>,
     /// Told to send no more, or ended.
     over: Cell<bool>,
 }
@@ -122,50 +129,27 @@
         let stream = open.next.get();
         open.next.set(stream + 1);
         // Room for a second answer, so that one is seen.
-        let (to, answers) = async_channel::bounded(2);
-        open.waiting.borrow_mut().insert(stream, to);
+        let (answer_sender, answers) = async_channel::bounded(2);
+        open.waiting.borrow_mut().insert(stream, answer_sender);
         let (at, invocation) = (self.stage.now(), format!("{:016x}", ask.id));
-        // By the platform's rules time limits are longer by so much on sockets.
-        let until = at + ask.allow + 0.05;
-        let (client, trigger_type) = (self.front_end, ask.trigger_type.0);
-        let front_end = self.front_end;
-        let offered = TrafficRecord::InvocationSent {
+        let until = at + ask.allow + SOCKET_ALLOWANCE;
+        self.stage.record(TrafficRecord::InvocationSent {
             at,
-            client,
+            client: self.front_end,
             invocation: invocation.clone(),
-            front_end,
-            trigger_type,
+            front_end: self.front_end,
+            trigger_type: ask.trigger_type.0,
             timeout_at: until,
-        };
-        self.stage.record(offered);
-        let (allow, function) = (
-            format!("{}", (ask.allow * 1e3) as u64),
-            format!("{:016x}", ask.function),
-        );
-        let token = format!("{:032x}", ask.id);
-        let fields = [
-            ("service", ask.trigger_type.1),
-            ("ref", &invocation),
-            ("allow", &allow),
-            ("lookup", &function),
-            ("replay", &token),
-            ("tags", "memory_mb:64;lanes:4;load_ms:50"),
-        ];
-        let mut frame = vec![];
-        frames::write_frame(
-            &mut frame,
-            frames::INVOKE,
-            stream,
-            None,
-            Some(&fields),
-            &ask.body,
-        );
+        });
+        let frame = invoke_frame(stream, ask);
         let received = async {
             (&*open.stream).write_all(&frame).await.ok()?;
             answers.recv().await.ok()
         };
         let timed_out = async {
-            self.stage.sleep(until + 0.5 - self.stage.now()).await;
+            self.stage
+                .sleep(until + LATE_ANSWER_TIME - self.stage.now())
+                .await;
             Some((0, vec![]))
         };
         let leaves = async {
@@ -174,28 +158,50 @@
             } else {
                 future::pending::<()>().await;
             }
+            None
         };
         let answered = async { Some(future::or(received, timed_out).await) };
-        let Some(received) = future::or(answered, async {
-            leaves.await;
-            None
-        })
-        .await
-        else {
-            let mut frame = vec![];
-            frames::write_frame(&mut frame, frames::CANCEL, stream, None, None, &[]);
-            // The front end may have gone.
-            let _ = (&*open.stream).write_all(&frame).await;
-            self.stage.record(TrafficRecord::ClientCancelled {
+        let Some(received) = future::or(answered, leaves).await else {
+            self.withdraw(&open, stream, invocation).await;
+            return None;
+        };
+        let answer = self.record_answer(received, &ask.body, &invocation)?;
+        self.stage.sleep(SECOND_ANSWER_TIME).await;
+        if answers.try_recv().is_ok() {
+            self.stage.record(TrafficRecord::AnswerReceived {
                 at: self.stage.now(),
                 invocation,
+                answer,
             });
-            open.waiting.borrow_mut().remove(&stream);
-            return None;
-        };
+        }
+        open.waiting.borrow_mut().remove(&stream);
+        Some(answer)
+    }
+
+    /// Cancels an invocation for a client that has left.
+    async fn withdraw(&self, open: &Open, stream: u32, invocation: String) {
+        let mut frame = vec![];
+        frames::write_frame(&mut frame, frames::CANCEL, stream, None, None, &[]);
+        // The front end may have gone.
+        let _ = (&*open.stream).write_all(&frame).await;
+        self.stage.record(TrafficRecord::ClientCancelled {
+            at: self.stage.now(),
+            invocation,
+        });
+        open.waiting.borrow_mut().remove(&stream);
+    }
+
+    /// Records what was received, or that there was nothing; returns the final answer, where it is one.
+    fn record_answer(
+        &self,
+        received: Option<ReceivedAnswer>,
+        sent_body: &[u8],
+        invocation: &str,
+    ) -> Option<FinalAnswer> {
         let at = self.stage.now();
+        let invocation = invocation.to_owned();
         let answer = match received {
-            Some((frames::SUCCEEDED, body)) if body == ask.body => FinalAnswer::Succeeded,
+            Some((frames::SUCCEEDED, body)) if body == sent_body => FinalAnswer::Succeeded,
             Some((frames::THROTTLED, _)) => FinalAnswer::Rejected,
             Some((frames::ERRORED, _)) => FinalAnswer::Failed,
             // What no executor made, or nothing: as if there had been no answer.
@@ -212,18 +218,35 @@
         };
         self.stage.record(TrafficRecord::AnswerReceived {
             at,
-            invocation: invocation.clone(),
+            invocation,
             answer,
         });
-        self.stage.sleep(0.3).await;
-        if answers.try_recv().is_ok() {
-            self.stage.record(TrafficRecord::AnswerReceived {
-                at: self.stage.now(),
-                invocation,
-                answer,
-            });
-        }
-        open.waiting.borrow_mut().remove(&stream);
         Some(answer)
     }
 }
+
+/// The frame that sends an invocation.
+fn invoke_frame(stream: u32, ask: &ClientRequest) -> Vec<u8> {
+    let invocation = format!("{:016x}", ask.id);
+    let allow = format!("{}", (ask.allow * 1e3) as u64);
+    let function = format!("{:016x}", ask.function);
+    let token = format!("{:032x}", ask.id);
+    let fields = [
+        ("service", ask.trigger_type.1),
+        ("ref", &invocation),
+        ("allow", &allow),
+        ("lookup", &function),
+        ("replay", &token),
+        ("tags", "memory_mb:64;lanes:4;load_ms:50"),
+    ];
+    let mut frame = vec![];
+    frames::write_frame(
+        &mut frame,
+        frames::INVOKE,
+        stream,
+        None,
+        Some(&fields),
+        &ask.body,
+    );
+    frame
+}
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -1,8 +1,9 @@
 //! Executors on the platform's lines.
 
 use super::Incarnations;
+use super::executor_faults::{Faults, ResponseFault};
 use crate::fault_proxy::FaultProxy;
-use crate::{TestEnvironment, TimedFault, unused_address};
+use crate::{TestEnvironment, unused_address};
 use async_channel::Sender;
 use async_executor::Task;
 use async_io::Async;
@@ -15,31 +16,6 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// How an answer goes wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseFault {
-    /// The connection is reset before anything is begun.
-    ResetUnread,
-    /// It is reset within the answer.
-    CutShort,
-    /// Bytes that are no line of the protocol.
-    Garbage,
-    /// A body that is no base64.
-    InvalidBody,
-    /// The answer is sent twice.
-    Duplicated,
-    /// The answer is not sent.
-    Dropped,
-}
-
-/// What a script may put on an executor.
-#[derive(Default)]
-pub struct Faults {
-    silent: TimedFault,
-    /// What goes wrong with answers, and the chance that it does.
-    pub response_fault: Cell<Option<(ResponseFault, f64)>>,
-}
-
 /// An executor with an address for each front end.
 pub struct Executor {
     /// Its number in the fleet.
@@ -111,13 +87,13 @@
 
 /// The ends of one connection from a front end.
 #[derive(Clone)]
-struct Way {
+struct FrontEndConnection {
     front_end: u32,
     stream: Rc<Async<TcpStream>>,
     answers: Sender<Vec<u8>>,
 }
 
-impl Way {
+impl FrontEndConnection {
     fn cut(&self) {
         // One that is gone already needs no more.
         let _ = self.stream.get_ref().shutdown(Shutdown::Both);
@@ -228,7 +204,7 @@
 
     async fn attend(self: Rc<Self>, front_end: u32, stream: Async<TcpStream>) {
         let (answers, queue) = async_channel::bounded::<Vec<u8>>(1_024);
-        let way = Way {
+        let way = FrontEndConnection {
             front_end,
             stream: Rc::new(stream),
             answers,
@@ -326,7 +302,7 @@
         }
     }
 
-    async fn work(self: Rc<Self>, mut in_hand: InHand, message: Value, way: Way) {
+    async fn work(self: Rc<Self>, mut in_hand: InHand, message: Value, way: FrontEndConnection) {
         let (id, fields) = (in_hand.invocation.clone(), &message["f"]);
         if self.draining.get() {
             in_hand.end(DispatchOutcome::Rejected);
@@ -382,7 +358,7 @@
         way.put(done).await;
     }
 
-    async fn order(self: Rc<Self>, tag: String, message: Value, way: Way) {
+    async fn order(self: Rc<Self>, tag: String, message: Value, way: FrontEndConnection) {
         let fields = &message["f"];
         let copies = fields["count"].as_u64().unwrap_or_default() as u32;
         self.stage.record(TrafficRecord::LoadCommandArrived {
--- a/crates/test-servers/src/platform/mod.rs
+++ b/crates/test-servers/src/platform/mod.rs
@@ -4,15 +4,18 @@
 
 mod client;
 mod executor;
+mod executor_faults;
 mod resolver;
 
 pub use client::{Client, ClientRequest};
-pub use executor::{Executor, Faults, ResponseFault, executors};
+pub use executor::{Executor, executors};
+pub use executor_faults::{Faults, ResponseFault};
 pub use resolver::{AnswerFault, ListedEndpoint, Resolver};
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 
-/// Which life each front end is in; a new one with each start.
+/// The incarnation of each front end; a new one with each start.
 #[derive(Default)]
 pub struct Incarnations(RefCell<HashMap<u32, u64>>);
 
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -222,68 +222,58 @@
             _ => {}
         }
         for (n, (row, target)) in rows.iter().zip(&targets).enumerate() {
-            let (e, target) = (&row.executor, Name::new(target)?);
-            let at = e.address_for(front_end);
-            let is_faulty = |kind| n == 0 && fault == Some(kind);
-            let priority = u16::from(
-                (row.state != EndpointState::Ready) != is_faulty(AnswerFault::WrongState),
-            );
-            let srv = SRV {
-                priority,
-                weight: 40,
-                port: at.port(),
-                target: target.clone(),
-            };
-            packet.answers.push(ResourceRecord::new(
-                Name::new(SERVICE)?,
-                CLASS::IN,
-                0,
-                RData::SRV(srv),
-            ));
-            if let IpAddr::V4(ip) = at.ip() {
-                let a = RData::A(A::from(ip));
-                packet.additional_records.push(ResourceRecord::new(
-                    target.clone(),
-                    CLASS::IN,
-                    0,
-                    a,
-                ));
-            }
-            let mut txt = TXT::new();
-            let figures = [
-                format!("cell={}", e.cell),
-                format!("started={}", self.started(e)),
-            ];
-            for text in [if is_faulty(AnswerFault::UnreadableText) {
-                "kin"
-            } else {
-                "kind=std"
-            }]
-            .into_iter()
-            .chain(figures.iter().map(String::as_str))
-            {
-                txt.add_string(text)?;
-            }
-            let txt = RData::TXT(txt.into_owned());
+            let row_fault = fault.filter(|_| n == 0);
+            self.push_endpoint(&mut packet, row, target, front_end, row_fault)?;
+        }
+        push_authority(&mut packet, serial)?;
+        packet.build_bytes_vec_compressed()
+    }
+
+    /// Adds the records of one executor: SRV, A and TXT.
+    fn push_endpoint<'a>(
+        &self,
+        packet: &mut Packet<'a>,
+        row: &ListedEndpoint,
+        target: &'a str,
+        front_end: u32,
+        fault: Option<AnswerFault>,
+    ) -> Result<(), simple_dns::SimpleDnsError> {
+        let executor = &row.executor;
+        let target = Name::new(target)?;
+        let address = executor.address_for(front_end);
+        let has_wrong_state = fault == Some(AnswerFault::WrongState);
+        let priority = u16::from((row.state != EndpointState::Ready) != has_wrong_state);
+        let srv = RData::SRV(SRV {
+            priority,
+            weight: 40,
+            port: address.port(),
+            target: target.clone(),
+        });
+        packet
+            .answers
+            .push(ResourceRecord::new(Name::new(SERVICE)?, CLASS::IN, 0, srv));
+        if let IpAddr::V4(ip) = address.ip() {
+            let a = RData::A(A::from(ip));
             packet
                 .additional_records
-                .push(ResourceRecord::new(target, CLASS::IN, 0, txt));
+                .push(ResourceRecord::new(target.clone(), CLASS::IN, 0, a));
         }
-        let name = || Name::new("farm.lan");
-        let (refresh, retry, expire, minimum) = (1, 1, 1, 0);
-        let soa = SOA {
-            mname: name()?,
-            rname: name()?,
-            serial,
-            refresh,
-            retry,
-            expire,
-            minimum,
+        let kind = if fault == Some(AnswerFault::UnreadableText) {
+            "kin"
+        } else {
+            "kind=std"
         };
+        let cell = format!("cell={}", executor.cell);
+        let started = format!("started={}", self.started(executor));
+        let mut txt = TXT::new();
+        for text in [kind, &cell, &started] {
+            txt.add_string(text)?;
+        }
+        let txt = RData::TXT(txt.into_owned());
         packet
-            .name_servers
-            .push(ResourceRecord::new(name()?, CLASS::IN, 0, RData::SOA(soa)));
-        packet.build_bytes_vec_compressed()
+            .additional_records
+            .push(ResourceRecord::new(target, CLASS::IN, 0, txt));
+        Ok(())
     }
 
     /// An address at which a front end may ask from now on.
@@ -353,3 +343,22 @@
         Ok(at)
     }
 }
+
+/// Adds the SOA record, which tells the serial of the list.
+fn push_authority(packet: &mut Packet<'_>, serial: u32) -> Result<(), simple_dns::SimpleDnsError> {
+    let name = || Name::new("farm.lan");
+    let (refresh, retry, expire, minimum) = (1, 1, 1, 0);
+    let soa = SOA {
+        mname: name()?,
+        rname: name()?,
+        serial,
+        refresh,
+        retry,
+        expire,
+        minimum,
+    };
+    packet
+        .name_servers
+        .push(ResourceRecord::new(name()?, CLASS::IN, 0, RData::SOA(soa)));
+    Ok(())
+}
