--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -6,6 +6,7 @@
 use super::headers::{InvocationHeaders, header};
 use super::request::{body, function_of};
 use super::response::{FinalResponse, rejection_problem};
+use crate::durable_invocation_store::PersistedInvocation;
 use crate::router::{IngressRequest, Revision, Router};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, HeaderName, HeaderValue};
@@ -22,6 +23,7 @@
     resolved: ResolvedVersion,
 }
 
+/// Performs the invocation of a request and returns its response.
 pub(super) async fn invoke(
     router: &Router,
     request: Request<Incoming>,
@@ -30,14 +32,7 @@
     let revision = router.revision();
     let (parts, incoming) = request.into_parts();
     let path_name = function_of(parts.uri.path())?;
-    if parts.method != Method::POST {
-        let detail = format!("{} is not taken here, POST is", parts.method);
-        return Err(Problem::new(
-            StatusCode::METHOD_NOT_ALLOWED,
-            "wrong method",
-            detail,
-        ));
-    }
+    check_method(&parts.method)?;
     let asked_headers = InvocationHeaders::read(&parts.headers, &revision)?;
     let is_named = asked_headers.invocation.is_some();
     let invocation = asked_headers
@@ -80,40 +75,24 @@
     router
         .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
-    let persisted = match &router.durable_invocation_store {
-        Some(durable_invocation_store) if trigger_type.trigger.is_durable => {
-            if !is_named {
-                let detail = format!(
-                    "header '{INVOCATION}' is missing; this trigger type is journalled by it"
-                );
-                return Err(Problem::bad(detail));
-            }
-            match begin_durable(router, durable_invocation_store, &invocation).await? {
-                DurableStart::New(persisted) => Some(persisted),
-                DurableStart::Known(response) => return Ok(response),
-            }
+    let persisted = if trigger_type.trigger.is_durable {
+        match begin_if_possible(router, is_named, &invocation).await? {
+            Some(DurableStart::New(persisted)) => Some(persisted),
+            Some(DurableStart::Known(response)) => return Ok(response),
+            None => None,
         }
-        _ => None,
+    } else {
+        None
     };
     let answer = router
         .invoke(ingress_request)
         .await
         .map_err(|why| rejection_problem(router, why))?;
-    let FinalResponse {
-        mut response,
-        may_have_run,
-    } = FinalResponse::of(answer);
-    if let (Some(persisted), Answer::Chunks(chunks)) = (persisted, response.body()) {
-        let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
-        persisted
-            .record_answer(
-                router.now(),
-                may_have_run,
-                response.status().as_u16(),
-                &body,
-            )
-            .await;
+    let final_response = FinalResponse::of(answer);
+    if let Some(persisted) = persisted {
+        record(router, persisted, &final_response).await;
     }
+    let mut response = final_response.response;
     if let Ok(value) = HeaderValue::from_str(&invocation) {
         response
             .headers_mut()
@@ -122,6 +101,47 @@
     Ok(response)
 }
 
+fn check_method(method: &Method) -> Result<(), Problem> {
+    if *method == Method::POST {
+        return Ok(());
+    }
+    let detail = format!("{method} is not taken here, POST is");
+    Err(Problem::new(
+        StatusCode::METHOD_NOT_ALLOWED,
+        "wrong method",
+        detail,
+    ))
+}
+
+/// Begins a durable invocation, which the client has to name; `None` where the deployment has no journal.
+async fn begin_if_possible(
+    router: &Router,
+    is_named: bool,
+    invocation: &str,
+) -> Result<Option<DurableStart>, Problem> {
+    let Some(store) = &router.durable_invocation_store else {
+        return Ok(None);
+    };
+    if !is_named {
+        let detail =
+            format!("header '{INVOCATION}' is missing; this trigger type is journalled by it");
+        return Err(Problem::bad(detail));
+    }
+    begin_durable(router, store, invocation).await.map(Some)
+}
+
+/// Records the final answer of a durable invocation. A streamed answer isn't recorded: its outcome stays unknown.
+async fn record(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
+    let Answer::Chunks(chunks) = answer.response.body() else {
+        return;
+    };
+    let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
+    let status = answer.response.status().as_u16();
+    persisted
+        .record_answer(router.now(), answer.may_have_run, status, &body)
+        .await;
+}
+
 /// The function that a path names, perhaps with a version after '@', and the version that the invocation gets.
 fn target(
     router: &Router,
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -14,6 +14,7 @@
 }
 
 impl FinalResponse {
+    /// The response to a final answer.
     pub(super) fn of(answer: Result<FinalAnswer, AnswerLost>) -> FinalResponse {
         match answer {
             Ok(FinalAnswer::Succeeded(executor_response)) => {
@@ -29,35 +30,11 @@
             Ok(FinalAnswer::Rejected {
                 retry_after,
                 past_share,
-            }) => {
-                let (status, detail) = if past_share {
-                    (
-                        StatusCode::TOO_MANY_REQUESTS,
-                        "the customer has had its share; nothing has run",
-                    )
-                } else {
-                    (
-                        StatusCode::SERVICE_UNAVAILABLE,
-                        "there is no room in time; asking again is harmless",
-                    )
-                };
-                FinalResponse::problem(status, "throttled", detail, false).retry_after(retry_after)
-            }
+            }) => FinalResponse::rejected(retry_after, past_share),
             Ok(FinalAnswer::Failed {
                 cause,
                 may_have_run,
-            }) => {
-                let status = match cause {
-                    FailureReason::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-                    FailureReason::Failed => StatusCode::BAD_GATEWAY,
-                };
-                let detail = if may_have_run {
-                    "it may have run"
-                } else {
-                    "it has not run"
-                };
-                FinalResponse::problem(status, "errored", detail, may_have_run)
-            }
+            }) => FinalResponse::failed(cause, may_have_run),
             Ok(FinalAnswer::Refused {
                 refusal,
                 may_have_run,
@@ -77,6 +54,34 @@
         }
     }
 
+    fn rejected(retry_after: f64, past_share: bool) -> FinalResponse {
+        let (status, detail) = if past_share {
+            (
+                StatusCode::TOO_MANY_REQUESTS,
+                "the customer has had its share; nothing has run",
+            )
+        } else {
+            (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "there is no room in time; asking again is harmless",
+            )
+        };
+        FinalResponse::problem(status, "throttled", detail, false).retry_after(retry_after)
+    }
+
+    fn failed(reason: FailureReason, may_have_run: bool) -> FinalResponse {
+        let status = match reason {
+            FailureReason::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            FailureReason::Failed => StatusCode::BAD_GATEWAY,
+        };
+        let detail = if may_have_run {
+            "it may have run"
+        } else {
+            "it has not run"
+        };
+        FinalResponse::problem(status, "errored", detail, may_have_run)
+    }
+
     fn problem(status: StatusCode, title: &str, detail: &str, may_have_run: bool) -> FinalResponse {
         FinalResponse {
             response: problem(status, title, detail, may_have_run),
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -30,7 +30,7 @@
     Input(Input),
     JournalResult(JournalResult),
     /// The front end is shutting down.
-    Leave,
+    Drain,
 }
 
 /// Serves message triggers until the front end shuts down and all messages in flight are answered.
@@ -77,11 +77,70 @@
         input_sender,
         result_sender,
     );
+    let queues = Queues {
+        inputs,
+        journal_results,
+        draining,
+    };
+    run(&mut host, &router, &queues).await;
+    host.close().await;
+    debug!("message triggers stopped");
+}
+
+/// The queues that wake the main loop.
+struct Queues {
+    inputs: async_channel::Receiver<Input>,
+    journal_results: async_channel::Receiver<JournalResult>,
+    /// Closed when the front end shuts down.
+    draining: async_channel::Receiver<()>,
+}
+
+impl Queues {
+    /// Waits for the next input, for at most `sleep`. Results of the journal come first.
+    async fn next(&self, sleep: Duration, is_draining: bool) -> Option<Wake> {
+        let input = async { self.inputs.recv().await.ok().map(Wake::Input) };
+        let journal_result = async {
+            let result = self.journal_results.recv().await;
+            result.ok().map(Wake::JournalResult)
+        };
+        let drain = async {
+            if is_draining {
+                future::pending::<()>().await;
+            }
+            // Nothing is ever sent; closing the channel is the signal.
+            let _ = self.draining.recv().await;
+            Some(Wake::Drain)
+        };
+        let wake = future::or(journal_result, future::or(input, drain));
+        orchidtally_socket_io::with_timeout(sleep, wake)
+            .await
+            .flatten()
+    }
+
+    /// Processes everything that is queued before the next tick.
+    fn apply_queued(&self, host: &mut ConsumerHost) {
+        for _ in 0..MAX_INPUTS {
+            let Ok(result) = self.journal_results.try_recv() else {
+                break;
+            };
+            host.apply_journal_result(result);
+        }
+        for _ in 0..MAX_INPUTS {
+            let Ok(input) = self.inputs.try_recv() else {
+                break;
+            };
+            host.apply(input);
+        }
+    }
+}
+
+/// Runs the main loop until the front end shuts down and all messages in flight are answered.
+async fn run(host: &mut ConsumerHost, router: &Router, queues: &Queues) {
     let mut is_draining = false;
     loop {
         host.tick();
         if is_draining && host.consumer.backlog().0 == 0 {
-            break;
+            return;
         }
         let longest = if host.uses_tls() {
             CHECK_INTERVAL
@@ -90,43 +149,17 @@
         };
         let sleep =
             Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, longest));
-        let input = async { inputs.recv().await.ok().map(Wake::Input) };
-        let journal_result = async { journal_results.recv().await.ok().map(Wake::JournalResult) };
-        let leave = async {
-            if is_draining {
-                future::pending::<()>().await;
-            }
-            // Nothing is ever sent: the channel closes.
-            let _ = draining.recv().await;
-            Some(Wake::Leave)
-        };
-        let wake = future::or(journal_result, future::or(input, leave));
-        match orchidtally_socket_io::with_timeout(sleep, wake)
-            .await
-            .flatten()
-        {
+        match queues.next(sleep, is_draining).await {
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
-            Some(Wake::Leave) => {
+            Some(Wake::Drain) => {
                 is_draining = true;
                 host.consumer.drain();
             }
             None => {}
         }
-        // Everything that is queued is processed before the next tick.
-        for _ in 0..MAX_INPUTS {
-            let Ok(result) = journal_results.try_recv() else {
-                break;
-            };
-            host.apply_journal_result(result);
-        }
-        for _ in 0..MAX_INPUTS {
-            let Ok(input) = inputs.try_recv() else { break };
-            host.apply(input);
-        }
+        queues.apply_queued(host);
     }
-    host.close().await;
-    debug!("message triggers stopped");
 }
 
 fn read_password(section: &TriggerSettings) -> Option<Bytes> {
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -6,8 +6,10 @@
     Router,
 };
 use bytes::Bytes;
+use orchidtally_deployment::Function;
 use orchidtally_engine::FailureReason;
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
+use orchidtally_rollout::ResolvedVersion;
 use orchidtally_rollout::plan::StickyKey;
 use orchidtally_rollout::split::Caller;
 use std::rc::Rc;
@@ -78,24 +80,8 @@
     if ready_by <= router.now() {
         return Err(Answer::Rejected);
     }
-    let key = router
-        .traffic_split
-        .borrow()
-        .sticky_key(&target.function)
-        .cloned();
-    let key = match &key {
-        Some(StickyKey::Customer) => &target.customer,
-        Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
-        _ => &message.name,
-    };
-    let who = Caller {
-        customer: &target.customer,
-        location: router.location(),
-        key,
-    };
-    let resolved = router
-        .resolve(&function, None, trigger_place, customer, &who)
-        .ok_or_else(|| {
+    let resolved =
+        resolve(router, message, &function, trigger_place, customer).ok_or_else(|| {
             errored(format!(
                 "function '{}' has no version 'stable'",
                 target.function
@@ -119,6 +105,33 @@
     })
 }
 
+/// The version that a message gets, by the sticky key of the traffic split; `None` if the function has none.
+fn resolve(
+    router: &Router,
+    message: &StoredMessage,
+    function: &Function,
+    trigger_position: usize,
+    customer: usize,
+) -> Option<ResolvedVersion> {
+    let target = &message.target;
+    let sticky_key = router
+        .traffic_split
+        .borrow()
+        .sticky_key(&target.function)
+        .cloned();
+    let key = match &sticky_key {
+        Some(StickyKey::Customer) => &target.customer,
+        Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
+        _ => &message.name,
+    };
+    let caller = Caller {
+        customer: &target.customer,
+        location: router.location(),
+        key,
+    };
+    router.resolve(function, None, trigger_position, customer, &caller)
+}
+
 /// The answer to a message.
 fn final_answer(answer: Result<FinalAnswer, AnswerLost>) -> Answer {
     match answer {
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -35,6 +35,7 @@
 use orchidtally_membership::members::MAX_VIEW_DELAY;
 use orchidtally_membership::{EndpointCache, Members};
 use orchidtally_rollout::TrafficSplit;
+use orchidtally_rollout::frontend::FrontEndInfo;
 use reconfigure::Revisions;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::future::Future;
@@ -111,8 +112,8 @@
 }
 
 impl Router {
-    /// A router that follows no endpoint list from outside yet. `ahead` are seconds by which its wall clock is taken to be ahead, for tests
-    /// of skew; `random` replaces the dispatch policy by random choice, for comparisons.
+    /// A router that doesn't follow a source of endpoints yet. `ahead` are seconds by which its wall clock is taken to be
+    /// ahead, for tests of skew; `random` replaces the dispatch policy by random choice, for comparisons.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -133,15 +134,14 @@
         };
         let router = Rc::new_cyclic(|router: &Weak<Router>| {
             let mut action_executor = ActionExecutor::new(router.clone());
-            let (policy, max_open) = (
-                deployment.policy.clone(),
-                deployment.limits.max_open_invocations,
-            );
-            let engine = match random {
-                true => Engine::with_baseline(Box::new(RandomPolicy::new(seed)), max_open, now),
-                false => Engine::new(policy, max_open, seed, now, &mut action_executor),
+            let max_open = deployment.limits.max_open_invocations;
+            let engine = if random {
+                Engine::with_baseline(Box::new(RandomPolicy::new(seed)), max_open, now)
+            } else {
+                let policy = deployment.policy.clone();
+                Engine::new(policy, max_open, seed, now, &mut action_executor)
             };
-            let place = orchidtally_rollout::frontend::FrontEndInfo {
+            let front_end_info = FrontEndInfo {
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
@@ -149,7 +149,7 @@
                 keep_alive: deployment.policy.keep_alive,
             };
             Router {
-                traffic_split: RefCell::new(TrafficSplit::new(place, now)),
+                traffic_split: RefCell::new(TrafficSplit::new(front_end_info, now)),
                 revisions: Revisions::new(deployment.clone()),
                 deployment,
                 sender: Cell::new(sender),
@@ -174,12 +174,17 @@
                 listen_address: Cell::new(None),
             }
         });
-        if let EndpointSource::Listed(rows) = &router.deployment.endpoint_source {
-            router.run_engine(|engine, now, action_executor| {
+        router.apply_listed_endpoints();
+        router
+    }
+
+    /// Applies the endpoint list of the deployment, where it contains one.
+    fn apply_listed_endpoints(&self) {
+        if let EndpointSource::Listed(rows) = &self.deployment.endpoint_source {
+            self.run_engine(|engine, now, action_executor| {
                 engine.on_endpoint_update(now, EndpointUpdateKind::Full, rows, action_executor)
             });
         }
-        router
     }
 
     /// Seconds since the Unix epoch, by a monotonic clock.
