--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -54,7 +54,7 @@
 
 /// An executor of the view.
 #[derive(Clone, Debug)]
-struct HeldEndpoint {
+struct CurrentEndpoint {
     /// As it was listed.
     listed: DiscoveredEndpoint,
     /// When it started at the latest, on the caller's clock.
@@ -63,9 +63,9 @@
     unconfirmed: Option<DiscoveredEndpoint>,
 }
 
-impl HeldEndpoint {
-    fn new(listed: DiscoveredEndpoint, started_at: f64) -> HeldEndpoint {
-        HeldEndpoint {
+impl CurrentEndpoint {
+    fn new(listed: DiscoveredEndpoint, started_at: f64) -> CurrentEndpoint {
+        CurrentEndpoint {
             listed,
             started_at,
             unconfirmed: None,
@@ -78,19 +78,19 @@
     /// Failure mode: by one damaged record an executor is looked for at another address, found unreachable and taken
     /// for broken.
     /// Risk: an executor that moves is found 0.2 s later.
-    fn confirmed_by_repeat(&self, told: &DiscoveredEndpoint) -> HeldEndpoint {
+    fn confirmed_by_repeat(&self, told: &DiscoveredEndpoint) -> CurrentEndpoint {
         let mut listed = self.listed.clone();
         listed.endpoint.state = told.endpoint.state;
         if listed == *told {
-            return HeldEndpoint::new(listed, self.started_at);
+            return CurrentEndpoint::new(listed, self.started_at);
         }
         // The state is not part of the comparison.
         let mut differing = told.clone();
         differing.endpoint.state = EndpointState::Ready;
         if self.unconfirmed.as_ref() == Some(&differing) {
-            return HeldEndpoint::new(told.clone(), self.started_at);
+            return CurrentEndpoint::new(told.clone(), self.started_at);
         }
-        HeldEndpoint {
+        CurrentEndpoint {
             listed,
             started_at: self.started_at,
             unconfirmed: Some(differing),
@@ -132,7 +132,7 @@
     created_at: f64,
     /// When the query was sent that the view answers.
     queried_at: f64,
-    endpoints: BTreeMap<String, HeldEndpoint>,
+    endpoints: BTreeMap<String, CurrentEndpoint>,
     transitions: PendingTransitions,
     /// Answers in a row with an older serial.
     older_confirmations: u32,
@@ -154,7 +154,7 @@
             let started_at = estimated_start(discovered.endpoint.started_at);
             (
                 discovered.name.clone(),
-                HeldEndpoint::new(discovered.clone(), started_at),
+                CurrentEndpoint::new(discovered.clone(), started_at),
             )
         };
         let mut view = EndpointView {
@@ -195,7 +195,7 @@
 
     /// The endpoints as they count. One whose return to ready is not confirmed counts as draining.
     pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
-        let discovered = |held: &HeldEndpoint| {
+        let discovered = |held: &CurrentEndpoint| {
             let mut discovered = held.listed.clone();
             discovered.endpoint.started_at = held.started_at;
             if self.transitions.contains(&discovered.name) {
@@ -266,7 +266,7 @@
     /// Replaces the list that the view holds.
     fn replace(&mut self, now: f64, answer: &Answer, order: Ordering) {
         let replacement = self.merge(now, &answer.endpoints);
-        let is_ready = |name: &String| replacement.get(name).is_some_and(HeldEndpoint::is_ready);
+        let is_ready = |name: &String| replacement.get(name).is_some_and(CurrentEndpoint::is_ready);
         let withdrawn: Vec<String> = self
             .endpoints
             .keys()
@@ -292,9 +292,9 @@
     }
 
     /// The endpoints of a list that arrives now, merged with what the view holds of the same starts.
-    fn merge(&self, now: f64, listed: &[DiscoveredEndpoint]) -> BTreeMap<String, HeldEndpoint> {
+    fn merge(&self, now: f64, listed: &[DiscoveredEndpoint]) -> BTreeMap<String, CurrentEndpoint> {
         let absent_at = self.queried_at.max(self.created_at);
-        let mut merged: BTreeMap<String, HeldEndpoint> = BTreeMap::new();
+        let mut merged: BTreeMap<String, CurrentEndpoint> = BTreeMap::new();
         for discovered in listed {
             let told_start = discovered.endpoint.started_at;
             let same_start = self
@@ -303,7 +303,7 @@
                 .filter(|held| held.listed.endpoint.started_at == told_start);
             let mut held = match same_start {
                 Some(held) => held.confirmed_by_repeat(discovered),
-                None => HeldEndpoint::new(
+                None => CurrentEndpoint::new(
                     discovered.clone(),
                     plausible_start(told_start, absent_at, now),
                 ),
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -45,14 +45,14 @@
 }
 
 /// A view that is told something every 0.2 s.
-struct Told {
+struct PolledView {
     view: EndpointView,
     now: f64,
 }
 
-impl Told {
-    fn new(first: &Answer) -> Told {
-        Told {
+impl PolledView {
+    fn new(first: &Answer) -> PolledView {
+        PolledView {
             view: EndpointView::new(0.0, first.serial, &first.endpoints),
             now: 0.0,
         }
@@ -78,88 +78,88 @@
 /// The incident: the old rows came under the serial of the drain, and the true list after it was not read.
 #[test]
 fn a_drain_counts_though_its_serial_is_held_already() {
-    let mut told = Told::new(&list(1, 3, &[]));
-    assert_eq!(told.take(&list(2, 3, &[])), ListOutcome::Confirmed);
-    assert_eq!(told.take(&list(2, 3, &[1])), ListOutcome::Changed);
-    assert_eq!(told.ready(), [0, 2]);
+    let mut polled = PolledView::new(&list(1, 3, &[]));
+    assert_eq!(polled.take(&list(2, 3, &[])), ListOutcome::Confirmed);
+    assert_eq!(polled.take(&list(2, 3, &[1])), ListOutcome::Changed);
+    assert_eq!(polled.ready(), [0, 2]);
 }
 
 #[test]
 fn a_serial_that_jumped_ahead_is_put_right_and_hides_no_drain_meanwhile() {
     for jump in [1, 1_000, i32::MAX as u32, u32::MAX] {
-        let mut told = Told::new(&list(7, 3, &[]));
-        told.take(&list(7 + jump % (u32::MAX - 7), 3, &[]));
-        told.take(&list(7, 3, &[0]));
-        assert_eq!(told.ready(), [1, 2], "{jump}: the drain counts at once");
-        told.take(&list(8, 4, &[0]));
-        told.take(&list(8, 4, &[0]));
+        let mut polled = PolledView::new(&list(7, 3, &[]));
+        polled.take(&list(7 + jump % (u32::MAX - 7), 3, &[]));
+        polled.take(&list(7, 3, &[0]));
+        assert_eq!(polled.ready(), [1, 2], "{jump}: the drain counts at once");
+        polled.take(&list(8, 4, &[0]));
+        polled.take(&list(8, 4, &[0]));
         assert_eq!(
-            (told.ready(), told.view.serial()),
+            (polled.ready(), polled.view.serial()),
             (vec![1, 2, 3], 8),
             "{jump}: after three"
         );
-        assert_eq!(told.view.fresh_at(), told.now);
+        assert_eq!(polled.view.fresh_at(), polled.now);
     }
 }
 
 #[test]
 fn serials_wrap_around() {
-    let mut told = Told::new(&list(u32::MAX, 2, &[]));
-    assert_eq!(told.take(&list(0, 3, &[])), ListOutcome::Changed);
-    assert_eq!((told.view.serial(), told.ready()), (0, vec![0, 1, 2]));
+    let mut polled = PolledView::new(&list(u32::MAX, 2, &[]));
+    assert_eq!(polled.take(&list(0, 3, &[])), ListOutcome::Changed);
+    assert_eq!((polled.view.serial(), polled.ready()), (0, vec![0, 1, 2]));
 }
 
 /// A list that lags is older than what is held, and as long as it comes now and then it changes nothing.
 #[test]
 fn a_list_that_lags_takes_nothing_back() {
-    let mut told = Told::new(&list(3, 3, &[1]));
+    let mut polled = PolledView::new(&list(3, 3, &[1]));
     for _ in 0..20 {
         assert_eq!(
-            told.take(&list(2, 3, &[])),
+            polled.take(&list(2, 3, &[])),
             ListOutcome::Older { changed: false }
         );
         assert_eq!(
-            told.take(&list(2, 2, &[])),
+            polled.take(&list(2, 2, &[])),
             ListOutcome::Older { changed: false }
         );
-        assert_eq!(told.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
-        assert_eq!(told.ready(), [0, 2]);
+        assert_eq!(polled.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
+        assert_eq!(polled.ready(), [0, 2]);
     }
     // Where nothing else comes it is the list, but who was told away stays so for longer than a resolver lags.
     for _ in 0..8 {
-        told.take(&list(2, 3, &[]));
+        polled.take(&list(2, 3, &[]));
     }
-    assert_eq!((told.view.serial(), told.ready()), (2, vec![0, 2]));
+    assert_eq!((polled.view.serial(), polled.ready()), (2, vec![0, 2]));
 }
 
 #[test]
 fn who_was_told_away_is_ready_again_after_three_lists_or_with_another_start() {
-    let mut told = Told::new(&list(1, 2, &[]));
-    told.take(&list(2, 2, &[0]));
+    let mut polled = PolledView::new(&list(1, 2, &[]));
+    polled.take(&list(2, 2, &[0]));
     for expected in [&[1][..], &[1], &[0, 1]] {
-        told.take(&list(3, 2, &[]));
-        assert_eq!(told.ready(), expected);
+        polled.take(&list(3, 2, &[]));
+        assert_eq!(polled.ready(), expected);
     }
-    told.take(&list(4, 1, &[]));
+    polled.take(&list(4, 1, &[]));
     let mut anew = list(5, 2, &[]);
     anew.endpoints[1].endpoint.started_at = 9.0;
-    told.take(&anew);
-    assert_eq!(told.ready(), [0, 1]);
+    polled.take(&anew);
+    assert_eq!(polled.ready(), [0, 1]);
 }
 
 #[test]
 fn one_spoilt_standing_is_put_right_by_the_answers_after_it() {
-    let mut told = Told::new(&list(1, 2, &[]));
-    told.take(&list(1, 2, &[0]));
-    assert_eq!(told.ready(), [1]);
+    let mut polled = PolledView::new(&list(1, 2, &[]));
+    polled.take(&list(1, 2, &[0]));
+    assert_eq!(polled.ready(), [1]);
     for _ in 0..3 {
-        told.take(&list(1, 2, &[]));
+        polled.take(&list(1, 2, &[]));
     }
-    assert_eq!(told.ready(), [0, 1]);
-    told.take(&list(2, 2, &[0]));
-    told.take(&list(2, 2, &[]));
-    told.take(&list(2, 2, &[0]));
-    assert_eq!(told.ready(), [1], "one spoilt answer makes nobody ready");
+    assert_eq!(polled.ready(), [0, 1]);
+    polled.take(&list(2, 2, &[0]));
+    polled.take(&list(2, 2, &[]));
+    polled.take(&list(2, 2, &[0]));
+    assert_eq!(polled.ready(), [1], "one spoilt answer makes nobody ready");
 }
 
 /// What it answers was asked before: it is as old as its question, whenever it comes.
@@ -227,29 +227,29 @@
 
 #[test]
 fn one_spoilt_record_moves_nobody_and_two_in_a_row_do() {
-    let mut told = Told::new(&list(1, 2, &[]));
+    let mut polled = PolledView::new(&list(1, 2, &[]));
     let mut moved = list(1, 2, &[]);
     moved.endpoints[0].address = ([10, 9, 9, 9], 1).into();
-    let address = |told: &Told| told.view.endpoints()[0].address.to_string();
-    let first = address(&told);
-    told.take(&moved);
-    assert_eq!(address(&told), first, "told once");
+    let address = |polled: &PolledView| polled.view.endpoints()[0].address.to_string();
+    let first = address(&polled);
+    polled.take(&moved);
+    assert_eq!(address(&polled), first, "told once");
     assert!(
-        !told.view.is_settled(),
+        !polled.view.is_settled(),
         "the same answer again tells something"
     );
-    told.take(&list(1, 2, &[]));
-    told.take(&moved);
-    assert_eq!(address(&told), first, "not in a row");
-    told.take(&moved);
-    assert_eq!(address(&told), "10.9.9.9:1");
-    assert!(told.view.is_settled());
+    polled.take(&list(1, 2, &[]));
+    polled.take(&moved);
+    assert_eq!(address(&polled), first, "not in a row");
+    polled.take(&moved);
+    assert_eq!(address(&polled), "10.9.9.9:1");
+    assert!(polled.view.is_settled());
     // Its standing counts at once all the same.
     moved.endpoints[0].address = ([10, 8, 8, 8], 1).into();
     moved.endpoints[0].endpoint.state = EndpointState::Draining;
-    told.take(&moved);
+    polled.take(&moved);
     assert_eq!(
-        (address(&told).as_str(), told.ready()),
+        (address(&polled).as_str(), polled.ready()),
         ("10.9.9.9:1", vec![1])
     );
 }
@@ -260,13 +260,13 @@
         [EndpointState::Ready, EndpointState::Draining],
         [EndpointState::Draining, EndpointState::Ready],
     ] {
-        let mut told = Told::new(&list(1, 2, &[]));
+        let mut polled = PolledView::new(&list(1, 2, &[]));
         let mut twice = list(2, 2, &[]);
         let [first, second] = order.map(|standing| entry(0, standing, f64::NEG_INFINITY));
         twice.endpoints[0] = first;
         twice.endpoints.push(second);
-        told.take(&twice);
-        assert_eq!(told.ready(), [1], "{order:?}");
+        polled.take(&twice);
+        assert_eq!(polled.ready(), [1], "{order:?}");
     }
 }
 
@@ -274,10 +274,11 @@
 #[test]
 fn an_executor_that_has_just_started_is_new_whatever_the_wall_clock_tells() {
     let hour = 3_600.0;
-    for told in [-hour, -1.0, 0.0, 1.0, hour] {
-        let mut view = EndpointView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + told)]);
-        let new = entry(1, EndpointState::Ready, 200.0 + told);
-        let old = entry(0, EndpointState::Ready, 100.0 + told);
+    for polled in [-hour, -1.0, 0.0, 1.0, hour] {
+        let mut view =
+            EndpointView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + polled)]);
+        let new = entry(1, EndpointState::Ready, 200.0 + polled);
+        let old = entry(0, EndpointState::Ready, 100.0 + polled);
         // It was on no list a moment before.
         view.apply_list(
             199.9,
@@ -302,7 +303,7 @@
             .collect();
         assert!(
             (98.5..=100.0).contains(&since[0]) && (198.5..=200.0).contains(&since[1]),
-            "{told}: {since:?}"
+            "{polled}: {since:?}"
         );
         // It stays so, until it starts anew.
         view.apply_list(
@@ -319,24 +320,24 @@
                 .map(|e| e.endpoint.started_at)
                 .collect::<Vec<_>>(),
             since,
-            "{told}"
+            "{polled}"
         );
         view.apply_list(
             400.0,
             400.0,
             &Answer {
                 serial: 4,
-                endpoints: vec![entry(0, EndpointState::Ready, 400.0 + told)],
+                endpoints: vec![entry(0, EndpointState::Ready, 400.0 + polled)],
             },
         );
         assert!(
             (398.5..=400.0).contains(&view.endpoints()[0].endpoint.started_at),
-            "{told}"
+            "{polled}"
         );
     }
     // Of several at a start the youngest may be new, and the others are so much older.
-    for told in [-hour, 0.0, hour] {
-        let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + told + since);
+    for polled in [-hour, 0.0, hour] {
+        let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + polled + since);
         let entries: Vec<DiscoveredEndpoint> = (0..)
             .zip(since)
             .map(|(n, since)| entry(n, EndpointState::Ready, since))
@@ -346,7 +347,7 @@
             .iter()
             .map(|e| e.endpoint.started_at)
             .collect();
-        assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{told}");
+        assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{polled}");
     }
     let long_ago = EndpointView::new(
         100.0,
@@ -367,17 +368,17 @@
         history in prop::collection::vec((any::<u32>(), 1u32..5, 0u32..4), 0..30),
         serial: u32,
     ) {
-        let mut told = Told::new(&list(1, 3, &[]));
+        let mut polled = PolledView::new(&list(1, 3, &[]));
         for (serial, count, draining) in history {
-            told.take(&list(serial, count, &[draining]));
+            polled.take(&list(serial, count, &[draining]));
         }
         for _ in 0..4 {
-            told.take(&list(serial, 4, &[2]));
+            polled.take(&list(serial, 4, &[2]));
         }
-        prop_assert!(!told.ready().contains(&2));
+        prop_assert!(!polled.ready().contains(&2));
         for _ in 0..20 {
-            told.take(&list(serial, 4, &[2]));
+            polled.take(&list(serial, 4, &[2]));
         }
-        prop_assert_eq!(told.ready(), [0, 1, 3]);
+        prop_assert_eq!(polled.ready(), [0, 1, 3]);
     }
 }
--- a/crates/rollout/tests/front_end.rs
+++ b/crates/rollout/tests/front_end.rs
@@ -11,16 +11,16 @@
 
 #[test]
 fn one_customers_own_trouble_does_not_decide_where_keys_are_shared() {
-    let mut w = World::new(1);
+    let mut world = World::new(1);
     let mut long = plan("key: 'customer',");
     long.steps[0].min_duration = 1_000.0;
-    w.start(long);
-    w.second();
-    w.second();
-    let function = w.function.clone();
+    world.start(long);
+    world.second();
+    world.second();
+    let function = world.function.clone();
     // A key that is on the new version, and errs whatever it runs; and many others that do not.
     let bad = (0..).map(|n| format!("c{n}")).find(|k| {
-        let run = w.coordinator.published().rollouts["misting"].run;
+        let run = world.coordinator.published().rollouts["misting"].run;
         position(run, k) < 0.1
     });
     let bad = bad.unwrap();
@@ -30,12 +30,12 @@
         } else {
             format!("k{n}")
         };
-        let resolved = w.shares[0]
+        let resolved = world.shares[0]
             .resolve(&function, None, 0, 1, &who(&key))
             .unwrap();
         let invoked = resolved
             .assignment
-            .unwrap_or_else(|| panic!("{}", w.reason()));
+            .unwrap_or_else(|| panic!("{}", world.reason()));
         let outcome = if key == bad {
             AnswerOutcome::Errored
         } else {
@@ -44,30 +44,30 @@
                 warm: true,
             }
         };
-        w.shares[0].record_outcome(&invoked, outcome, outcome == AnswerOutcome::Errored);
+        world.shares[0].record_outcome(&invoked, outcome, outcome == AnswerOutcome::Errored);
         if n % 100 == 0 {
-            w.rate = 0;
-            w.second();
+            world.rate = 0;
+            world.second();
         }
     }
-    assert_eq!(w.phase(), Phase::Shifting, "{}", w.reason());
-    let errors = w.coordinator.state().runs["misting"].total[1].events[Gate::Errors.index()];
+    assert_eq!(world.phase(), Phase::Shifting, "{}", world.reason());
+    let errors = world.coordinator.state().runs["misting"].total[1].events[Gate::Errors.index()];
     assert_eq!(errors, 3, "a key counts so often in a step");
 }
 
 #[test]
 fn a_front_end_by_itself_holds_the_step_and_takes_back_but_never_advances() {
-    let mut w = World::new(2);
-    w.start(plan(""));
-    w.until(4, |_| false);
-    w.reached = false;
-    w.until(40, |_| false);
-    let function = w.function.clone();
-    let on = |w: &mut World| {
+    let mut world = World::new(2);
+    world.start(plan(""));
+    world.until(4, |_| false);
+    world.reached = false;
+    world.until(40, |_| false);
+    let function = world.function.clone();
+    let on = |world: &mut World| {
         (0..1_000)
             .filter(|n| {
                 let name = format!("probe-{n}");
-                let r = w.shares[0]
+                let r = world.shares[0]
                     .resolve(&function, None, 0, 1, &who(&name))
                     .unwrap();
                 &*r.version.digest == NEW
@@ -75,17 +75,17 @@
             .count()
     };
     assert!(
-        (50..200).contains(&on(&mut w)),
+        (50..200).contains(&on(&mut world)),
         "the step of a tenth is held"
     );
-    w.errors = [0.02, 0.5];
-    w.until(40, |_| false);
-    assert_eq!(on(&mut w), 0, "by its own evidence it went back");
-    w.reached = true;
-    w.second();
-    w.second();
-    assert_eq!(w.phase(), Phase::RolledBack);
-    let why = w.coordinator.state().runs["misting"]
+    world.errors = [0.02, 0.5];
+    world.until(40, |_| false);
+    assert_eq!(on(&mut world), 0, "by its own evidence it went back");
+    world.reached = true;
+    world.second();
+    world.second();
+    assert_eq!(world.phase(), Phase::RolledBack);
+    let why = world.coordinator.state().runs["misting"]
         .local_rollback
         .clone()
         .unwrap();
@@ -103,11 +103,14 @@
 
 #[test]
 fn a_bad_executor_is_not_the_versions_fault() {
-    let mut w = World::new(1);
-    w.start(plan(""));
-    w.second();
-    let (old, new) = (w.function.versions[0].key, w.function.versions[1].key);
-    let shares = &mut w.shares[0];
+    let mut world = World::new(1);
+    world.start(plan(""));
+    world.second();
+    let (old, new) = (
+        world.function.versions[0].key,
+        world.function.versions[1].key,
+    );
+    let shares = &mut world.shares[0];
     // It breaks off: that counts a few times, and at another executor again.
     let counted = |shares: &mut TrafficSplit, executor| {
         (0..10)
@@ -137,40 +140,45 @@
 #[test]
 fn a_store_that_refuses_all_blames_no_version() {
     for (others_fail, blamed) in [(true, false), (false, true)] {
-        let mut w = World::new(2);
+        let mut world = World::new(2);
         let mut long = plan("");
         long.steps[0].min_duration = 1_000.0;
-        w.start(long);
-        let new = w.function.versions[1].key;
+        world.start(long);
+        let new = world.function.versions[1].key;
         for _ in 0..40 {
-            for shares in &mut w.shares {
+            for shares in &mut world.shares {
                 shares.record_load_result(new, false, false);
                 (0..4).for_each(|_| shares.record_load_result(77, !others_fail, false));
             }
-            w.second();
+            world.second();
         }
-        assert_eq!(w.phase() == Phase::RolledBack, blamed, "{}", w.reason());
+        assert_eq!(
+            world.phase() == Phase::RolledBack,
+            blamed,
+            "{}",
+            world.reason()
+        );
     }
 }
 
 #[test]
 fn a_front_end_two_steps_behind_goes_by_its_own_step_and_catches_up() {
-    let mut w = World::new(2);
+    let mut world = World::new(2);
     let mut long = plan("");
     long.steps.iter_mut().for_each(|s| s.min_duration = 4.0);
-    w.start(long);
-    w.until(3, |_| false);
-    let behind = w.coordinator.published().clone();
-    w.until(14, |w| {
-        w.coordinator.published().rollouts["misting"].step == 2
+    world.start(long);
+    world.until(3, |_| false);
+    let behind = world.coordinator.published().clone();
+    world.until(14, |world| {
+        world.coordinator.published().rollouts["misting"].step == 2
     });
     assert_eq!(
-        w.coordinator.published().rollouts["misting"].step,
+        world.coordinator.published().rollouts["misting"].step,
         2,
         "{}",
-        w.reason()
+        world.reason()
     );
-    let function = w.function.clone();
+    let function = world.function.clone();
     let place = FrontEndInfo {
         index: 1,
         count: 2,
@@ -178,11 +186,11 @@
         sends_load_commands: false,
         keep_alive: 8.0,
     };
-    let mut late = TrafficSplit::new(place, w.now);
+    let mut late = TrafficSplit::new(place, world.now);
     let mut on = |state: &Published| {
         let function = function.clone();
-        late.adopt(w.now, state.clone(), |_| Some(function.clone()));
-        late.tick(w.now);
+        late.adopt(world.now, state.clone(), |_| Some(function.clone()));
+        late.tick(world.now);
         let is_new = |n: &u32| {
             let r = late
                 .resolve(&function, None, 0, 1, &who(&n.to_string()))
@@ -191,7 +199,7 @@
         };
         (0..500).filter(is_new).collect::<Vec<u32>>()
     };
-    let (first, last) = (on(&behind), on(w.coordinator.published()));
+    let (first, last) = (on(&behind), on(world.coordinator.published()));
     assert!(
         (20..100).contains(&first.len()) && last.len() == 500,
         "{} {}",
