--- a/crates/cli/src/rehearse/play/faults.rs
+++ b/crates/cli/src/rehearse/play/faults.rs
@@ -8,6 +8,14 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// Seconds between the notice of a preemption and the end of the executor.
+const PREEMPTION_NOTICE: f64 = 0.4;
+
+/// Whether an executor is up and not draining.
+fn is_available(executor: &Rc<Executor>) -> bool {
+    executor.is_up() && !executor.draining.get()
+}
+
 impl Rehearsal {
     pub(super) fn drawn(&self, share: f64) -> bool {
         self.stage.unit() < share
@@ -39,74 +47,39 @@
         which.0.set(self.stage.now() + fault.duration);
     }
 
+    /// Executors that are up and not draining, as many as the size of a fault says.
+    fn victims(&self, fault: &ScheduledFault) -> Vec<Rc<Executor>> {
+        self.some(&self.executors, fault.size, is_available)
+    }
+
     async fn apply_fault(self: &Rc<Self>, fault: &ScheduledFault) {
         let until = self.stage.now() + fault.duration;
-        let up = |e: &Rc<Executor>| e.is_up() && !e.draining.get();
         match fault.kind {
-            FaultKind::Crash => {
-                for e in self.some(&self.executors, fault.size, up) {
-                    self.down_and_up(e, fault.duration);
-                }
-            }
+            FaultKind::Crash => self.crash_executors(fault),
             FaultKind::Hang => {
-                self.some(&self.executors, fault.size, up)
-                    .iter()
-                    .for_each(|e| e.faults.hangs.set(until));
+                for executor in self.victims(fault) {
+                    executor.faults.hangs.set(until);
+                }
             }
             FaultKind::FastErrors => {
-                self.some(&self.executors, fault.size, up)
-                    .iter()
-                    .for_each(|e| e.faults.fails_at_once.set(until));
-            }
-            FaultKind::ExecutorsStopReading => {
-                for e in self.some(&self.executors, fault.size, up) {
-                    e.faults.reads_paused.set(until);
-                    let at = self.stage.now();
-                    self.stage.record(TrafficRecord::ReadsPaused {
-                        at,
-                        executor: e.spec.number,
-                        until,
-                    });
+                for executor in self.victims(fault) {
+                    executor.faults.fails_at_once.set(until);
                 }
             }
+            FaultKind::ExecutorsStopReading => self.pause_reads(fault, until),
             FaultKind::SlowHandshakes => {
-                self.some(&self.executors, fault.size, up)
-                    .iter()
-                    .for_each(|e| e.faults.slow_handshakes.set(until));
-            }
-            FaultKind::LateReports => self
-                .executors
-                .iter()
-                .for_each(|e| e.faults.delayed_reports.set(until)),
-            FaultKind::RollingDeploy => {
-                let some = self.some(&self.executors, fault.size, up);
-                let each = fault.duration / some.len() as f64;
-                for e in some {
-                    self.roll(&e, each.clamp(0.3, 1.2)).await;
+                for executor in self.victims(fault) {
+                    executor.faults.slow_handshakes.set(until);
                 }
             }
-            FaultKind::Preemption => {
-                for e in self.some(&self.executors, fault.size, up) {
-                    self.notify(&e, EndpointState::Draining);
-                    e.draining.set(true);
-                    self.stage.sleep(0.4).await;
-                    e.crash();
-                    self.notify(&e, EndpointState::Gone);
-                    self.stage.sleep(fault.duration).await;
-                    self.bring_up(&e);
-                }
-            }
-            FaultKind::LoseLocation => {
-                let lost = (self.stage.unit() * f64::from(self.scenario.locations)) as usize;
-                let locations = self.scenario.locations as usize;
-                for e in self
-                    .executors
-                    .iter()
-                    .filter(|e| e.spec.number % locations == lost && up(e))
-                {
-                    self.down_and_up(e.clone(), fault.duration);
+            FaultKind::LateReports => {
+                for executor in &self.executors {
+                    executor.faults.delayed_reports.set(until);
                 }
             }
+            FaultKind::RollingDeploy => self.roll_executors(fault).await,
+            FaultKind::Preemption => self.preempt_executors(fault).await,
+            FaultKind::LoseLocation => self.lose_location(fault),
             FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
             FaultKind::MassRelease => self.executors.iter().for_each(|e| e.drop_copies()),
@@ -124,6 +97,56 @@
         }
     }
 
+    fn crash_executors(self: &Rc<Self>, fault: &ScheduledFault) {
+        for executor in self.victims(fault) {
+            self.down_and_up(executor, fault.duration);
+        }
+    }
+
+    fn pause_reads(&self, fault: &ScheduledFault, until: f64) {
+        for executor in self.victims(fault) {
+            executor.faults.reads_paused.set(until);
+            self.stage.record(TrafficRecord::ReadsPaused {
+                at: self.stage.now(),
+                executor: executor.spec.number,
+                until,
+            });
+        }
+    }
+
+    /// Drains and restarts executors one after the other.
+    async fn roll_executors(&self, fault: &ScheduledFault) {
+        let executors = self.victims(fault);
+        let time_each = fault.duration / executors.len() as f64;
+        for executor in executors {
+            self.roll(&executor, time_each.clamp(0.3, 1.2)).await;
+        }
+    }
+
+    /// Takes executors away at short notice, one after the other, and brings each back.
+    async fn preempt_executors(&self, fault: &ScheduledFault) {
+        for executor in self.victims(fault) {
+            self.notify(&executor, EndpointState::Draining);
+            executor.draining.set(true);
+            self.stage.sleep(PREEMPTION_NOTICE).await;
+            executor.crash();
+            self.notify(&executor, EndpointState::Gone);
+            self.stage.sleep(fault.duration).await;
+            self.bring_up(&executor);
+        }
+    }
+
+    /// Crashes all executors of a location that is drawn by chance.
+    fn lose_location(self: &Rc<Self>, fault: &ScheduledFault) {
+        let lost = (self.stage.unit() * f64::from(self.scenario.locations)) as usize;
+        let locations = self.scenario.locations as usize;
+        for executor in &self.executors {
+            if executor.spec.number % locations == lost && is_available(executor) {
+                self.down_and_up(executor.clone(), fault.duration);
+            }
+        }
+    }
+
     pub(super) fn notify(&self, e: &Executor, state: EndpointState) {
         if let Some(roster) = &self.roster {
             roster.change(e, state);
--- a/crates/test-servers/src/baseline.rs
+++ b/crates/test-servers/src/baseline.rs
@@ -171,57 +171,104 @@
         payload_bytes: payload as u64,
         ..v1::Dispatch::default()
     });
-    let body = Bytes::from(vec![b'x'; payload]);
-    let started = Instant::now();
-    let seen = Rc::new((Cell::new(0u64), Cell::new(0u64), RefCell::new(vec![])));
+    let tally = Rc::new(Tally::default());
+    let load_stream = LoadStream {
+        sender,
+        to,
+        ask,
+        head,
+        body: Bytes::from(vec![b'x'; payload]),
+        started: Instant::now(),
+        time,
+        tally: tally.clone(),
+    };
+    let started = load_stream.started;
     let mut tasks = vec![];
-    for n in 0..streams {
-        let (sender, head, body, seen) = (sender.clone(), head.clone(), body.clone(), seen.clone());
-        let one = async move {
-            let mut turn = n;
-            while started.elapsed().as_secs_f64() < time {
-                turn += 1;
-                let began = Instant::now();
-                let request = match ask {
-                    BaselineRequest::Dispatch => dispatch(to)?,
-                    BaselineRequest::Invocation { functions } => http::Request::post(format!(
-                        "http://{to}/v1/functions/f{}/invocations",
-                        turn % functions
-                    ))
-                    .header("orchidtally-time-left", "4000")
-                    .body(())?,
-                };
-                let (response, mut out) =
-                    sender.clone().ready().await?.send_request(request, false)?;
-                if ask == BaselineRequest::Dispatch {
-                    out.send_data(head.clone(), false)?;
-                }
-                out.send_data(body.clone(), true)?;
-                let response = response.await?;
-                let well = response.status() == http::StatusCode::OK;
-                drain(response.into_body()).await?;
-                let count = if well { &seen.0 } else { &seen.1 };
-                count.set(count.get() + 1);
-                if well {
-                    seen.2.borrow_mut().push(began.elapsed().as_secs_f64());
-                }
-            }
-            Ok::<(), ExchangeError>(())
-        };
-        tasks.push(stage.spawn(one));
+    for first_turn in 0..streams {
+        tasks.push(stage.spawn(load_stream.clone().run(first_turn)));
     }
     for task in tasks {
         task.await?;
     }
-    let times = std::mem::take(&mut *seen.2.borrow_mut());
     Ok(Observed {
-        succeeded: seen.0.get(),
-        failed: seen.1.get(),
+        succeeded: tally.succeeded.get(),
+        failed: tally.failed.get(),
         seconds: started.elapsed().as_secs_f64(),
-        times,
+        times: tally.times.take(),
     })
 }
 
+/// What the streams of a closed loop have counted.
+#[derive(Default)]
+struct Tally {
+    succeeded: Cell<u64>,
+    failed: Cell<u64>,
+    /// Times of the succeeded ones, in seconds.
+    times: RefCell<Vec<f64>>,
+}
+
+/// One stream of a closed loop: it sends again once it is answered.
+#[derive(Clone)]
+struct LoadStream {
+    sender: SendRequest<Bytes>,
+    to: SocketAddr,
+    ask: BaselineRequest,
+    /// The message that begins a dispatch.
+    head: Bytes,
+    body: Bytes,
+    started: Instant,
+    /// How long requests are sent, in seconds.
+    time: f64,
+    tally: Rc<Tally>,
+}
+
+impl LoadStream {
+    async fn run(self, first_turn: usize) -> Result<(), ExchangeError> {
+        let mut turn = first_turn;
+        while self.started.elapsed().as_secs_f64() < self.time {
+            turn += 1;
+            self.exchange(turn).await?;
+        }
+        Ok(())
+    }
+
+    fn request(&self, turn: usize) -> http::Result<http::Request<()>> {
+        match self.ask {
+            BaselineRequest::Dispatch => dispatch(self.to),
+            BaselineRequest::Invocation { functions } => http::Request::post(format!(
+                "http://{}/v1/functions/f{}/invocations",
+                self.to,
+                turn % functions
+            ))
+            .header("orchidtally-time-left", "4000")
+            .body(()),
+        }
+    }
+
+    /// Sends one request and counts its response.
+    async fn exchange(&self, turn: usize) -> Result<(), ExchangeError> {
+        let sent_at = Instant::now();
+        let request = self.request(turn)?;
+        let mut sender = self.sender.clone().ready().await?;
+        let (response, mut out) = sender.send_request(request, false)?;
+        if self.ask == BaselineRequest::Dispatch {
+            out.send_data(self.head.clone(), false)?;
+        }
+        out.send_data(self.body.clone(), true)?;
+        let response = response.await?;
+        let is_success = response.status() == http::StatusCode::OK;
+        drain(response.into_body()).await?;
+        if is_success {
+            self.tally.succeeded.set(self.tally.succeeded.get() + 1);
+            let time = sent_at.elapsed().as_secs_f64();
+            self.tally.times.borrow_mut().push(time);
+        } else {
+            self.tally.failed.set(self.tally.failed.get() + 1);
+        }
+        Ok(())
+    }
+}
+
 /// Opens so many connections and streams at once and holds them. Final answers within `time` are counted.
 pub async fn hold(
     stage: &TestEnvironment,
