--- a/crates/engine/src/action_executor.rs
+++ b/crates/engine/src/action_executor.rs
@@ -1,6 +1,6 @@
 //! Carries out the policy's actions on the registry and passes them to the host.
 
-use crate::evidence::{self, Transport};
+use crate::evidence::{self, TransportOutcome};
 use crate::invocation_registry::{InvocationRegistry, SentDispatch};
 use crate::{FailureReason, Host};
 use orchidtally_dispatch_policy::interface::{Actions, DispatchStatus, ExecutorId};
@@ -24,7 +24,7 @@
         open.dispatches.push(SentDispatch {
             executor,
             sent_at: now,
-            status: is_withheld.then(|| evidence::ending(Transport::Withheld)),
+            status: is_withheld.then(|| evidence::dispatch_status(TransportOutcome::Withheld)),
         });
         if is_withheld {
             self.registry.ended_locally.push_back((invocation, number));
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -42,7 +42,7 @@
     }
 
     /// How far the time is behind the wall clock as last anchored, in seconds.
-    pub fn astray(&self) -> f64 {
+    pub fn wall_clock_lag(&self) -> f64 {
         self.target_offset - self.offset
     }
 }
--- a/crates/engine/src/evidence.rs
+++ b/crates/engine/src/evidence.rs
@@ -5,7 +5,7 @@
 
 /// How a dispatch ended on its connection, as the transport saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Transport {
+pub enum TransportOutcome {
     /// The executor's response, which was read completely.
     Answered(DispatchStatus),
     /// No connection was made in time: refused, unreachable, or no handshake.
@@ -36,16 +36,20 @@
 
 /// The status of a dispatch. Only two kinds of proof let it count as never run: a response that says so, and a dispatch
 /// that the peer can't have processed. An end of file proves nothing: the bytes may have been read before it.
-pub fn ending(seen: Transport) -> DispatchStatus {
+pub fn dispatch_status(seen: TransportOutcome) -> DispatchStatus {
     match seen {
-        Transport::Answered(ending) => ending,
-        Transport::NoConnection | Transport::Unwritten => DispatchStatus::ConnectFailed,
-        Transport::Saturated | Transport::Refused | Transport::AboveLast => DispatchStatus::Full,
+        TransportOutcome::Answered(ending) => ending,
+        TransportOutcome::NoConnection | TransportOutcome::Unwritten => {
+            DispatchStatus::ConnectFailed
+        }
+        TransportOutcome::Saturated | TransportOutcome::Refused | TransportOutcome::AboveLast => {
+            DispatchStatus::Full
+        }
         // Not a reset, which would suggest that the executor has restarted.
-        Transport::Malformed => DispatchStatus::Error,
-        Transport::Cut => DispatchStatus::Cancelled,
-        Transport::Reset | Transport::Broken => DispatchStatus::Reset,
-        Transport::TimedOut => DispatchStatus::TimedOut,
-        Transport::Withheld | Transport::NoResource => DispatchStatus::NeverSent,
+        TransportOutcome::Malformed => DispatchStatus::Error,
+        TransportOutcome::Cut => DispatchStatus::Cancelled,
+        TransportOutcome::Reset | TransportOutcome::Broken => DispatchStatus::Reset,
+        TransportOutcome::TimedOut => DispatchStatus::TimedOut,
+        TransportOutcome::Withheld | TransportOutcome::NoResource => DispatchStatus::NeverSent,
     }
 }
--- a/crates/engine/tests/clock.rs
+++ b/crates/engine/tests/clock.rs
@@ -20,6 +20,6 @@
             (last - 1_000_600.0).abs() < 0.31,
             "put right by half a thousandth: {last}"
         );
-        assert!(clock.astray().abs() > 59.0);
+        assert!(clock.wall_clock_lag().abs() > 59.0);
     }
 }
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{ENDPOINTS, MAX_ENDPOINT_LIST_LENGTH, frame};
 use orchidtally_membership::EntryError;
@@ -27,7 +27,7 @@
 enum WatchError {
     /// There is no connection, or it broke, or a message can't be decoded.
     #[error("its connection ended: {0:?}")]
-    Connection(Transport),
+    Connection(TransportOutcome),
     /// It sent something that is neither a snapshot nor a delta.
     #[error("it sent a message of an unknown kind; it may be newer than this front end")]
     UnknownKind,
--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use h2::client::SendRequest;
 use h2::{Ping, PingPong};
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -28,16 +28,16 @@
     ///
     /// # Errors
     /// The connection is broken, or another ping is waiting for its answer.
-    pub async fn ping(&self) -> Result<(), Transport> {
+    pub async fn ping(&self) -> Result<(), TransportOutcome> {
         let mut ping = self
             .0
             .ping
             .borrow_mut()
             .take()
-            .ok_or(Transport::Saturated)?;
+            .ok_or(TransportOutcome::Saturated)?;
         let answered = ping.ping(Ping::opaque()).await;
         *self.0.ping.borrow_mut() = Some(ping);
-        answered.map(drop).map_err(|_| Transport::Broken)
+        answered.map(drop).map_err(|_| TransportOutcome::Broken)
     }
 }
 
@@ -46,21 +46,21 @@
     e: &h2::Error,
     sent_from: u64,
     connection: &Connection,
-) -> Transport {
+) -> TransportOutcome {
     if e.is_remote() && e.is_go_away() {
-        return Transport::AboveLast;
+        return TransportOutcome::AboveLast;
     }
     if e.is_remote() && e.is_reset() {
         let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
         return if unseen {
-            Transport::Refused
+            TransportOutcome::Refused
         } else {
-            Transport::Reset
+            TransportOutcome::Reset
         };
     }
     if connection.written.get() == sent_from {
-        Transport::Unwritten
+        TransportOutcome::Unwritten
     } else {
-        Transport::Broken
+        TransportOutcome::Broken
     }
 }
--- a/crates/http-frontend/src/pool/exchange.rs
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -3,7 +3,7 @@
 use super::connection::observed_failure;
 use super::{Incoming, Pool};
 use bytes::Bytes;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, MAX_MESSAGE_LENGTH};
 use prost::Message;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
         path: &str,
         head: Bytes,
         payload: &[Bytes],
-    ) -> Result<(M, Incoming), Transport> {
+    ) -> Result<(M, Incoming), TransportOutcome> {
         self.exchange_if(path, || Some(head), payload).await
     }
 
@@ -26,7 +26,7 @@
         path: &str,
         head: impl FnOnce() -> Option<Bytes>,
         payload: &[Bytes],
-    ) -> Result<(M, Incoming), Transport> {
+    ) -> Result<(M, Incoming), TransportOutcome> {
         let mut incoming = self.begin(path, head, payload).await?;
         let message = incoming.message(MAX_MESSAGE_LENGTH).await?;
         Ok((message, incoming))
@@ -38,17 +38,17 @@
         path: &str,
         head: impl FnOnce() -> Option<Bytes>,
         payload: &[Bytes],
-    ) -> Result<Incoming, Transport> {
+    ) -> Result<Incoming, TransportOutcome> {
         let lease = self.lease().await?;
         let Some(head) = head() else {
-            return Err(Transport::Withheld);
+            return Err(TransportOutcome::Withheld);
         };
         let sent_from = lease.connection.written.get();
         let classify = |e: &h2::Error| observed_failure(e, sent_from, &lease.connection);
         let request = http::Request::post(format!("http://{}{path}", self.to))
             .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
             .body(())
-            .map_err(|_| Transport::Withheld)?;
+            .map_err(|_| TransportOutcome::Withheld)?;
         let mut sender = lease.connection.sender.clone();
         let (response, mut out) = sender
             .send_request(request, false)
@@ -63,7 +63,7 @@
         let response = response.await.map_err(|e| classify(&e))?;
         if response.status() != http::StatusCode::OK {
             warn!(executor = %self.to, status = %response.status(), path, "executor rejected a message");
-            return Err(Transport::Malformed);
+            return Err(TransportOutcome::Malformed);
         }
         Ok(Incoming {
             stream: response.into_body(),
--- a/crates/http-frontend/src/pool/incoming.rs
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -3,7 +3,7 @@
 use super::Lease;
 use super::connection::{Pinger, observed_failure};
 use bytes::Bytes;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_executor_protocol::Deframer;
 use prost::Message;
 use tracing::warn;
@@ -23,7 +23,7 @@
     }
 
     /// Reads further bytes; `false` at the end of the stream.
-    async fn read_more(&mut self) -> Result<bool, Transport> {
+    async fn read_more(&mut self) -> Result<bool, TransportOutcome> {
         match self.stream.data().await {
             None => Ok(false),
             Some(Ok(chunk)) => {
@@ -43,7 +43,7 @@
     pub async fn message<M: Message + Default>(
         &mut self,
         max_length: usize,
-    ) -> Result<M, Transport> {
+    ) -> Result<M, TransportOutcome> {
         loop {
             let fault = match self.deframer.message(max_length) {
                 Ok(Some(message)) => return Ok(message),
@@ -56,12 +56,12 @@
                 let executor = self.lease.pool.to;
                 warn!(%executor, %fault, "connection closed: a message can't be decoded");
             }
-            return Err(Transport::Malformed);
+            return Err(TransportOutcome::Malformed);
         }
     }
 
     /// The next chunk of the payload; `None` at its end.
-    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, Transport> {
+    pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, TransportOutcome> {
         loop {
             if let Some(chunk) = self.deframer.payload() {
                 return Ok(Some(chunk));
@@ -73,13 +73,16 @@
     }
 
     /// The complete payload, up to `max_length` bytes.
-    pub async fn read_payload(&mut self, max_length: usize) -> Result<Vec<Bytes>, Transport> {
+    pub async fn read_payload(
+        &mut self,
+        max_length: usize,
+    ) -> Result<Vec<Bytes>, TransportOutcome> {
         let (mut chunks, mut length) = (vec![], 0);
         while let Some(chunk) = self.next_chunk().await? {
             length += chunk.len();
             if length > max_length {
                 warn!(executor = %self.lease.pool.to, max_length, "response exceeds the length limit");
-                return Err(Transport::Malformed);
+                return Err(TransportOutcome::Malformed);
             }
             chunks.push(chunk);
         }
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use connection::Connection;
 use futures_channel::oneshot;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     connections: Vec<Rc<Connection>>,
     connecting: usize,
     /// Those that wait for a stream; each is woken to look again, or gets the reason why there is none.
-    waiters: VecDeque<oneshot::Sender<Option<Transport>>>,
+    waiters: VecDeque<oneshot::Sender<Option<TransportOutcome>>>,
 }
 
 /// The connections to one executor.
@@ -102,7 +102,7 @@
         }
     }
 
-    fn wake_all(&self, why: Option<Transport>) {
+    fn wake_all(&self, why: Option<TransportOutcome>) {
         let waiters = std::mem::take(&mut self.state.borrow_mut().waiters);
         for waiter in waiters {
             // One that has stopped waiting needs no answer.
@@ -124,7 +124,7 @@
         })
     }
 
-    async fn lease(self: &Rc<Self>) -> Result<Lease, Transport> {
+    async fn lease(self: &Rc<Self>) -> Result<Lease, TransportOutcome> {
         let deadline = Instant::now() + self.limits.connect_time;
         loop {
             while let Some(lease) = self.lease_free_stream() {
@@ -150,7 +150,7 @@
             };
             if opens {
                 let Some(spawner) = self.spawner.upgrade() else {
-                    return Err(Transport::NoConnection);
+                    return Err(TransportOutcome::NoConnection);
                 };
                 // In a task of its own, which continues where the dispatch that started it is cancelled.
                 spawner.spawn(self.clone().open()).detach();
@@ -162,9 +162,9 @@
                 Some(Err(_)) | None => {
                     let connecting = self.state.borrow().connecting > 0;
                     return Err(if connecting {
-                        Transport::NoConnection
+                        TransportOutcome::NoConnection
                     } else {
-                        Transport::Saturated
+                        TransportOutcome::Saturated
                     });
                 }
             }
--- a/crates/http-frontend/src/pool/opening.rs
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use h2::PingPong;
 use h2::client::SendRequest;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_socket_io::Stream;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -98,7 +98,7 @@
             .iter()
             .all(|c| c.closed.get());
         if all_closed {
-            self.wake_all(Some(Transport::NoConnection));
+            self.wake_all(Some(TransportOutcome::NoConnection));
         }
     }
 }
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use orchidtally_deployment::EndpointSource;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{DISPATCH, frame};
@@ -87,7 +87,7 @@
     }
 
     /// Records whether the end of an exchange shows that the executor is reachable.
-    fn record_reachability(&self, executor: ExecutorId, outcome: Option<Transport>) {
+    fn record_reachability(&self, executor: ExecutorId, outcome: Option<TransportOutcome>) {
         if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
         }
@@ -96,7 +96,7 @@
                 .cache
                 .borrow_mut()
                 .record_response(self.now(), &executor),
-            Some(Transport::NoConnection) => {
+            Some(TransportOutcome::NoConnection) => {
                 let update = self.cache.borrow_mut().on_connection_failure(&executor);
                 if let Some(update) = update {
                     self.run_engine(|engine, now, action_executor| {
@@ -186,8 +186,8 @@
         }
     }
 
-    fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: Transport) {
-        let status = evidence::ending(outcome);
+    fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: TransportOutcome) {
+        let status = evidence::dispatch_status(outcome);
         debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?outcome, "dispatch ended without a response");
         // One that certainly never ran shows nothing about the version.
         if !status.never_ran() {
@@ -235,7 +235,7 @@
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
-        let status = evidence::ending(outcome);
+        let status = evidence::dispatch_status(outcome);
         self.report_dispatch_result(
             dispatch,
             DispatchEnd {
@@ -254,7 +254,7 @@
         answer: &v1::Answer,
         timing: Timing,
         incoming: &mut Incoming,
-    ) -> (Transport, Option<ExecutorResponse>) {
+    ) -> (TransportOutcome, Option<ExecutorResponse>) {
         let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
         let status = match answer.ending() {
             v1::Ending::Ok if answer.streams && may_stream => {
@@ -264,7 +264,7 @@
                 let max_length = self.deployment.limits.max_response_bytes;
                 return match incoming.read_payload(max_length).await {
                     Ok(chunks) => (
-                        Transport::Answered(DispatchStatus::Ok),
+                        TransportOutcome::Answered(DispatchStatus::Ok),
                         Some(ExecutorResponse::Complete(chunks)),
                     ),
                     Err(outcome) => (outcome, None),
@@ -278,9 +278,9 @@
             }
             v1::Ending::Full => DispatchStatus::Full,
             v1::Ending::Miss => DispatchStatus::Miss,
-            v1::Ending::Unspecified => return (Transport::Malformed, None),
+            v1::Ending::Unspecified => return (TransportOutcome::Malformed, None),
         };
-        (Transport::Answered(status), None)
+        (TransportOutcome::Answered(status), None)
     }
 
     /// Forwards a streamed response, unless another dispatch of the invocation has answered.
@@ -289,7 +289,7 @@
         dispatch: &Dispatch,
         timing: Timing,
         incoming: &mut Incoming,
-    ) -> Transport {
+    ) -> TransportOutcome {
         let (parts, body) = async_channel::bounded(MAX_STREAM_CHUNKS);
         let is_first = self.run_engine(|engine, now, action_executor| {
             action_executor.executor_response = Some(ExecutorResponse::Streamed(body));
@@ -306,7 +306,7 @@
         if is_first {
             self.forward_stream(incoming, parts).await
         } else {
-            Transport::Reset
+            TransportOutcome::Reset
         }
     }
 
@@ -328,13 +328,13 @@
         &self,
         incoming: &mut Incoming,
         parts: async_channel::Sender<Result<Bytes, ResponseTruncated>>,
-    ) -> Transport {
+    ) -> TransportOutcome {
         let time = seconds(self.deployment.limits.request_read_timeout);
         loop {
             let part = match orchidtally_socket_io::with_timeout(time, incoming.next_chunk()).await
             {
                 Some(Ok(Some(part))) => Ok(part),
-                Some(Ok(None)) => return Transport::Answered(DispatchStatus::Ok),
+                Some(Ok(None)) => return TransportOutcome::Answered(DispatchStatus::Ok),
                 Some(Err(outcome)) => {
                     let _ = orchidtally_socket_io::with_timeout(
                         time,
@@ -349,13 +349,15 @@
                         parts.send(Err(ResponseTruncated)),
                     )
                     .await;
-                    return Transport::TimedOut;
+                    return TransportOutcome::TimedOut;
                 }
             };
             match orchidtally_socket_io::with_timeout(time, parts.send(part)).await {
                 Some(Ok(())) => {}
                 // The client disconnected, or stopped reading.
-                Some(Err(_)) | None => return Transport::Answered(DispatchStatus::Cancelled),
+                Some(Err(_)) | None => {
+                    return TransportOutcome::Answered(DispatchStatus::Cancelled);
+                }
             }
         }
     }
--- a/crates/http-frontend/src/router/load_command.rs
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -3,7 +3,7 @@
 use super::{Router, seconds};
 use crate::pool::Pool;
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
-use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{LOAD, frame};
 use std::rc::Rc;
@@ -35,21 +35,23 @@
         let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
         let mut differs = false;
         let outcome = match answered {
-            None => Transport::TimedOut,
+            None => TransportOutcome::TimedOut,
             Some(Err(outcome)) => outcome,
             Some(Ok((answer, _))) => match answer.ending() {
                 _ if answer.digest_differs => {
                     differs = true;
-                    Transport::Answered(DispatchStatus::Error)
+                    TransportOutcome::Answered(DispatchStatus::Error)
                 }
-                v1::Ending::Ok => Transport::Answered(DispatchStatus::Ok),
-                v1::Ending::Full => Transport::Answered(DispatchStatus::Full),
-                v1::Ending::Error | v1::Ending::Miss => Transport::Answered(DispatchStatus::Error),
-                v1::Ending::Unspecified => Transport::Malformed,
+                v1::Ending::Ok => TransportOutcome::Answered(DispatchStatus::Ok),
+                v1::Ending::Full => TransportOutcome::Answered(DispatchStatus::Full),
+                v1::Ending::Error | v1::Ending::Miss => {
+                    TransportOutcome::Answered(DispatchStatus::Error)
+                }
+                v1::Ending::Unspecified => TransportOutcome::Malformed,
             },
         };
         if order.kind() == v1::OrderKind::Hold {
-            let ending = evidence::ending(outcome);
+            let ending = evidence::dispatch_status(outcome);
             // An executor that is gone or full shows nothing about the version.
             if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
                 self.traffic_split.borrow_mut().record_load_result(
--- a/crates/platform-frontend/src/engine_host/mod.rs
+++ b/crates/platform-frontend/src/engine_host/mod.rs
@@ -15,7 +15,7 @@
 pub use flushing::SendRevalidation;
 use mio::Registry;
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_engine::{AdmissionError, Engine, InvocationRequest, ResponseMetadata};
 use orchidtally_platform_config::FrontEndSettings;
 use slab::Slab;
@@ -57,7 +57,7 @@
     /// The dispatch.
     pub key: DispatchKey,
     /// What that is evidence of.
-    pub evidence: Transport,
+    pub evidence: TransportOutcome,
 }
 
 /// A load command that could not be sent.
@@ -65,7 +65,7 @@
     /// Its tag.
     pub tag: u64,
     /// What that is evidence of.
-    pub evidence: Transport,
+    pub evidence: TransportOutcome,
 }
 
 /// A connection that was cut off because it did not take a cancel.
--- a/crates/platform-frontend/src/engine_host/sending.rs
+++ b/crates/platform-frontend/src/engine_host/sending.rs
@@ -4,7 +4,7 @@
 use crate::delayed_dispatches::DispatchKey;
 use crate::executor_connection::{InFlightDispatch, QueuedCommand, UnwrittenCommands};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 
 /// Seconds until a dispatch is retried for which this machine could open no connection.
 const LOCAL_FAILURE_RETRY_DELAY: f64 = 0.02;
@@ -24,7 +24,7 @@
             .get(key.invocation)
             .map(|open| open.id.clone())
         else {
-            return self.report_unsent(key, Transport::Withheld);
+            return self.report_unsent(key, TransportOutcome::Withheld);
         };
         match self.pool.connection_for(self.now, to, &id) {
             Ok(slot) => {
@@ -41,7 +41,7 @@
                 self.pool.mark_dirty(slot);
             }
             // This machine may have what it lacks a moment later; the executor is not to blame.
-            Err(Transport::NoResource)
+            Err(TransportOutcome::NoResource)
                 if self.now + LOCAL_FAILURE_RETRY_DELAY < sent_at + self.connect_timeout =>
             {
                 self.delayed
@@ -51,12 +51,12 @@
         }
     }
 
-    pub(super) fn report_unsent(&mut self, key: DispatchKey, evidence: Transport) {
+    pub(super) fn report_unsent(&mut self, key: DispatchKey, evidence: TransportOutcome) {
         self.unsent_dispatches
             .push(UnsentDispatch { key, evidence });
     }
 
-    pub(super) fn report_unsent_load_command(&mut self, tag: u64, evidence: Transport) {
+    pub(super) fn report_unsent_load_command(&mut self, tag: u64, evidence: TransportOutcome) {
         self.unsent_load_commands
             .push(UnsentLoadCommand { tag, evidence });
     }
@@ -71,7 +71,7 @@
             if may_retry && self.now < dispatch.sent_at + self.connect_timeout {
                 self.send(dispatch.key, to, dispatch.sent_at);
             } else {
-                self.report_unsent(dispatch.key, Transport::NoConnection);
+                self.report_unsent(dispatch.key, TransportOutcome::NoConnection);
             }
         }
         for tag in unwritten.load_commands {
@@ -82,7 +82,7 @@
             if may_retry && self.now < begun_at + self.connect_timeout {
                 self.send_load_command(tag, to);
             } else {
-                self.report_unsent_load_command(tag, Transport::NoConnection);
+                self.report_unsent_load_command(tag, TransportOutcome::NoConnection);
             }
         }
     }
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -6,21 +6,21 @@
 use crate::source::Source;
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_engine::ResponseMetadata;
-use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_platform_executor_protocol::{LoadNote, Response, ResponseKind, parse_load_report};
 use orchidtally_socket_io::buffered::ReadOutcome;
 use tracing::debug;
 
 /// What an answer is evidence of.
-fn response_evidence(kind: ResponseKind) -> Transport {
+fn response_evidence(kind: ResponseKind) -> TransportOutcome {
     match kind {
-        ResponseKind::Done => Transport::Answered(DispatchStatus::Ok),
-        ResponseKind::Miss => Transport::Answered(DispatchStatus::Miss),
-        ResponseKind::Full => Transport::Answered(DispatchStatus::Full),
-        ResponseKind::Error => Transport::Answered(DispatchStatus::Error),
-        ResponseKind::AlreadyOver => Transport::Answered(DispatchStatus::NeverSent),
+        ResponseKind::Done => TransportOutcome::Answered(DispatchStatus::Ok),
+        ResponseKind::Miss => TransportOutcome::Answered(DispatchStatus::Miss),
+        ResponseKind::Full => TransportOutcome::Answered(DispatchStatus::Full),
+        ResponseKind::Error => TransportOutcome::Answered(DispatchStatus::Error),
+        ResponseKind::AlreadyOver => TransportOutcome::Answered(DispatchStatus::NeverSent),
         // These answer health checks, never a dispatch or a load command.
-        ResponseKind::Healthy | ResponseKind::Unhealthy => Transport::Malformed,
+        ResponseKind::Healthy | ResponseKind::Unhealthy => TransportOutcome::Malformed,
     }
 }
 
@@ -70,12 +70,12 @@
                 }
                 Ok(ReadOutcome::End) => {
                     let reason = "closed by the executor";
-                    self.close_executor_connection(now, slot, Transport::Broken, reason);
+                    self.close_executor_connection(now, slot, TransportOutcome::Broken, reason);
                     return false;
                 }
                 Err(error) => {
                     let reason = error.to_string();
-                    self.close_executor_connection(now, slot, Transport::Broken, &reason);
+                    self.close_executor_connection(now, slot, TransportOutcome::Broken, &reason);
                     return false;
                 }
             }
@@ -113,7 +113,7 @@
                 Ok(Some(response)) => self.handle_response(now, slot, response),
                 Err(error) => {
                     let reason = error.to_string();
-                    self.close_executor_connection(now, slot, Transport::Malformed, &reason);
+                    self.close_executor_connection(now, slot, TransportOutcome::Malformed, &reason);
                     return false;
                 }
             }
@@ -154,7 +154,7 @@
             parse_load_report(&response.load_report, &self.settings.load_report_fields);
         let answer = ExecutorAnswer {
             key: dispatch.key,
-            status: evidence::ending(evidence),
+            status: evidence::dispatch_status(evidence),
             metadata: ResponseMetadata {
                 copy_state: copy_state(response.load_note),
                 function_concurrency: response.function_concurrency,
@@ -170,13 +170,13 @@
         &mut self,
         now: f64,
         tag: u64,
-        evidence: Transport,
+        evidence: TransportOutcome,
         replica_count: u32,
     ) {
         let Some(command) = self.host.remove_load_command(tag) else {
             return;
         };
-        let status = match evidence::ending(evidence) {
+        let status = match evidence::dispatch_status(evidence) {
             // A query that found no replica.
             DispatchStatus::Ok if command.replicas == 0 && replica_count == 0 => {
                 DispatchStatus::Miss
--- a/crates/platform-frontend/src/event_loop/lost_connections.rs
+++ b/crates/platform-frontend/src/event_loop/lost_connections.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crate::executor_connection::ExecutorConnection;
 use crate::log_budget::LogBudget;
-use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_engine::evidence::{self, TransportOutcome};
 use std::collections::VecDeque;
 use tracing::info;
 
@@ -13,7 +13,7 @@
 struct LostConnection {
     closed_at: f64,
     /// What the close is evidence of.
-    evidence: Transport,
+    evidence: TransportOutcome,
     connection: ExecutorConnection,
 }
 
@@ -45,7 +45,7 @@
         &mut self,
         now: f64,
         slot: usize,
-        evidence: Transport,
+        evidence: TransportOutcome,
         reason: &str,
     ) {
         let Some(mut connection) = self.host.pool.remove_connection(slot) else {
@@ -61,7 +61,7 @@
         }
         self.host.pool.forget_if_unlisted(connection.to);
         let may_retry = connection.is_connected
-            || evidence == Transport::NoResource
+            || evidence == TransportOutcome::NoResource
             || self
                 .host
                 .pool
@@ -73,11 +73,12 @@
             self.host.record_abandoned(id, connection.to);
         }
         // A partial answer shows that the executor is there, as unreadable bytes do.
-        let evidence = if evidence == Transport::Broken && connection.decoder.has_partial_line() {
-            Transport::Malformed
-        } else {
-            evidence
-        };
+        let evidence =
+            if evidence == TransportOutcome::Broken && connection.decoder.has_partial_line() {
+                TransportOutcome::Malformed
+            } else {
+                evidence
+            };
         self.lost_connections.unreported.push_back(LostConnection {
             closed_at: now,
             evidence,
@@ -110,7 +111,7 @@
                 .host
                 .pool
                 .has_connection_begun_before(lost.connection.to, lost.closed_at);
-            if lost.evidence == Transport::Broken
+            if lost.evidence == TransportOutcome::Broken
                 && is_reachable
                 && now < lost.closed_at + PROCESS_RESET_WINDOW
             {
@@ -122,7 +123,7 @@
     }
 
     fn report_lost_connection(&mut self, now: f64, lost: &LostConnection, is_reachable: bool) {
-        let process_is_alive = lost.evidence == Transport::Malformed || is_reachable;
+        let process_is_alive = lost.evidence == TransportOutcome::Malformed || is_reachable;
         for (dispatch, attributed) in lost.connection.attribute_failures(lost.evidence) {
             let evidence = if process_is_alive {
                 attributed
@@ -133,13 +134,13 @@
                 now,
                 dispatch.key.invocation,
                 dispatch.key.number,
-                evidence::ending(evidence),
+                evidence::dispatch_status(evidence),
                 orchidtally_engine::NO_METADATA,
                 &mut self.host,
             );
         }
         let evidence = if process_is_alive {
-            Transport::Cut
+            TransportOutcome::Cut
         } else {
             lost.evidence
         };
--- a/crates/platform-frontend/src/event_loop/maintenance.rs
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::executor_connection::CloseReason;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_platform_client_protocol as protocol;
 use tracing::info;
 
@@ -93,7 +93,7 @@
             .host
             .expired_load_command(now, self.settings.load_command_timeout)
         {
-            self.finish_load_command(now, tag, Transport::TimedOut, 0);
+            self.finish_load_command(now, tag, TransportOutcome::TimedOut, 0);
         }
         self.reload_settings(now);
         self.stop_accepting(now);
--- a/crates/platform-frontend/src/event_loop/output.rs
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crate::client_connection::MAX_BACKLOG_BYTES;
 use crate::source::Source;
-use orchidtally_engine::evidence::{self, Transport};
+use orchidtally_engine::evidence::{self, TransportOutcome};
 use std::net::Shutdown;
 
 impl EventLoop {
@@ -30,7 +30,7 @@
                 now,
                 unsent.key.invocation,
                 unsent.key.number,
-                evidence::ending(unsent.evidence),
+                evidence::dispatch_status(unsent.evidence),
                 orchidtally_engine::NO_METADATA,
                 &mut self.host,
             );
@@ -51,7 +51,7 @@
             {
                 // The answers that it sent before it broke were read.
                 let reason = error.to_string();
-                self.close_executor_connection(now, slot, Transport::Broken, &reason);
+                self.close_executor_connection(now, slot, TransportOutcome::Broken, &reason);
             }
         }
     }
@@ -64,7 +64,12 @@
                 .connection(cut.slot)
                 .is_some_and(|connection| connection.is_cut);
             if is_cut && self.read_executor(now, cut.slot) {
-                self.close_executor_connection(now, cut.slot, Transport::Broken, &cut.reason);
+                self.close_executor_connection(
+                    now,
+                    cut.slot,
+                    TransportOutcome::Broken,
+                    &cut.reason,
+                );
             }
         }
     }
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -4,7 +4,7 @@
 use mio::net::TcpStream;
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_dispatch_policy::state::Ordered;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_platform_executor_protocol::Decoder;
 use orchidtally_socket_io::buffered::BufferedSocket;
 use std::cmp::Reverse;
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseReason {
     /// What the close is evidence of.
-    pub evidence: Transport,
+    pub evidence: TransportOutcome,
     /// The reason, for the log.
     pub text: &'static str,
 }
@@ -168,9 +168,9 @@
     /// Risk: none for a connection that was lost on the path.
     pub fn attribute_failures(
         &self,
-        evidence: Transport,
-    ) -> impl Iterator<Item = (&InFlightDispatch, Transport)> {
-        let has_culprit = evidence == Transport::Malformed || !self.has_answered;
+        evidence: TransportOutcome,
+    ) -> impl Iterator<Item = (&InFlightDispatch, TransportOutcome)> {
+        let has_culprit = evidence == TransportOutcome::Malformed || !self.has_answered;
         let earliest = self
             .open
             .values()
@@ -179,9 +179,9 @@
             .filter(|_| has_culprit);
         let attribute = move |sent_at| {
             if Some(Ordered(sent_at)) == earliest {
-                Transport::Malformed
+                TransportOutcome::Malformed
             } else {
-                Transport::Cut
+                TransportOutcome::Cut
             }
         };
         self.open
@@ -316,7 +316,7 @@
         let reason = |evidence, text| Some(CloseReason { evidence, text });
         if !self.is_connected {
             return if now > self.connect_deadline {
-                reason(Transport::NoConnection, "connect timeout")
+                reason(TransportOutcome::NoConnection, "connect timeout")
             } else {
                 None
             };
@@ -325,11 +325,14 @@
             .partial_line_since
             .is_some_and(|since| now > since + PARTIAL_LINE_TIMEOUT)
         {
-            return reason(Transport::Malformed, "partial line was not completed");
+            return reason(
+                TransportOutcome::Malformed,
+                "partial line was not completed",
+            );
         }
         // Before the executor does, so that nothing is sent into a connection that it is closing.
         if self.is_idle() && (self.is_retired || self.is_idle_too_long(now, idle_timeout)) {
-            return reason(Transport::Broken, "idle");
+            return reason(TransportOutcome::Broken, "idle");
         }
         None
     }
--- a/crates/platform-frontend/src/executor_pool.rs
+++ b/crates/platform-frontend/src/executor_pool.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::evidence::Transport;
+use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_platform_config::FrontEndSettings;
 use orchidtally_platform_discovery::DiscoveredEndpoint;
 use orchidtally_socket_io::is_local_fault;
@@ -157,8 +157,11 @@
         now: f64,
         to: ExecutorId,
         id: &str,
-    ) -> Result<usize, Transport> {
-        let executor = self.executors.get(&to).ok_or(Transport::NoConnection)?;
+    ) -> Result<usize, TransportOutcome> {
+        let executor = self
+            .executors
+            .get(&to)
+            .ok_or(TransportOutcome::NoConnection)?;
         let best = executor
             .connections
             .iter()
@@ -186,7 +189,7 @@
         match (best, opened) {
             (Some(best), _) => Ok(best),
             (None, Some(opened)) => opened,
-            (None, None) => Err(Transport::Saturated),
+            (None, None) => Err(TransportOutcome::Saturated),
         }
     }
 
@@ -219,15 +222,18 @@
         Some(connection)
     }
 
-    fn open_connection(&mut self, now: f64, to: ExecutorId) -> Result<usize, Transport> {
-        let executor = self.executors.get_mut(&to).ok_or(Transport::NoConnection)?;
+    fn open_connection(&mut self, now: f64, to: ExecutorId) -> Result<usize, TransportOutcome> {
+        let executor = self
+            .executors
+            .get_mut(&to)
+            .ok_or(TransportOutcome::NoConnection)?;
         let mut stream =
             TcpStream::connect(executor.address).map_err(|error| connect_evidence(&error))?;
         let slot = self.connections.vacant_key();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry
             .register(&mut stream, Source::Executor(slot).token(), interest)
-            .map_err(|_| Transport::NoResource)?;
+            .map_err(|_| TransportOutcome::NoResource)?;
         self.connections.insert(ExecutorConnection::new(
             to,
             stream,
@@ -299,10 +305,10 @@
 }
 
 /// What a failed connection attempt is evidence of.
-pub fn connect_evidence(error: &std::io::Error) -> Transport {
+pub fn connect_evidence(error: &std::io::Error) -> TransportOutcome {
     if is_local_fault(error) {
-        Transport::NoResource
+        TransportOutcome::NoResource
     } else {
-        Transport::NoConnection
+        TransportOutcome::NoConnection
     }
 }
--- a/crates/platform-frontend/src/tests/executor_connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -94,16 +94,22 @@
             .map(|(o, v)| (o.line_start, v))
             .collect::<Vec<_>>()
     };
-    let at_fault = [(Some(0), Transport::Malformed), (Some(9), Transport::Cut)];
-    let lost = [(Some(0), Transport::Cut), (Some(9), Transport::Cut)];
+    let at_fault = [
+        (Some(0), TransportOutcome::Malformed),
+        (Some(9), TransportOutcome::Cut),
+    ];
+    let lost = [
+        (Some(0), TransportOutcome::Cut),
+        (Some(9), TransportOutcome::Cut),
+    ];
     assert_eq!(
-        verdicts(&connection, Transport::Broken),
+        verdicts(&connection, TransportOutcome::Broken),
         at_fault,
         "nothing ever came"
     );
     connection.has_answered = true;
-    assert_eq!(verdicts(&connection, Transport::Broken), lost);
-    assert_eq!(verdicts(&connection, Transport::Malformed), at_fault);
+    assert_eq!(verdicts(&connection, TransportOutcome::Broken), lost);
+    assert_eq!(verdicts(&connection, TransportOutcome::Malformed), at_fault);
 }
 
 #[test]
@@ -134,7 +140,7 @@
     assert_eq!(
         connection.close_reason(14.0, 15.0),
         Some(CloseReason {
-            evidence: Transport::Broken,
+            evidence: TransportOutcome::Broken,
             text: "idle",
         })
     );
