--- a/crates/platform-frontend/src/lib.rs
+++ b/crates/platform-frontend/src/lib.rs
@@ -4,7 +4,7 @@
 //! and buffer is bounded by the limits given at the start. No decision is made here: bytes become calls of the engine,
 //! and the engine's callbacks become messages.
 //!
-//! [`event_loop`] holds the parts and fixes the order of work; [`engine_host`] performs the engine's callbacks.
+//! `event_loop` holds the parts and fixes the order of work; `engine_host` performs the engine's callbacks.
 
 mod client_connection;
 mod delayed_dispatches;
