--- a/crates/cli/tests/reload.rs
+++ b/crates/cli/tests/reload.rs
@@ -198,7 +198,10 @@
     let open = serve.send("slow", &[]);
     std::thread::sleep(Duration::from_millis(200));
     serve.signal("TERM");
-    serve.logs("leaving", 1);
+    serve.logs(
+        "orchidtally_http_frontend: termination signal received, draining",
+        1,
+    );
     replace(&path, &deployment(executor, &["other"], "5s", ""));
     serve.signal("HUP");
     serve.logs("is not read again", 1);
