--- a/crates/capacity-model/src/fleet/front_end.rs
+++ b/crates/capacity-model/src/fleet/front_end.rs
@@ -130,7 +130,7 @@
             is_connected,
             cancelled_at: f64::INFINITY,
             ending: DispatchStatus::Ok,
-            found: CopyState::Unknown,
+            found: ReplicaState::Unknown,
             function_concurrency: 0,
             report: [0.0; 2],
         };
--- a/crates/capacity-model/src/fleet/request.rs
+++ b/crates/capacity-model/src/fleet/request.rs
@@ -1,6 +1,6 @@
 //! What a front end sends to an executor.
 
-use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ReplicaState};
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
     /// The executor drops it from then on, unless it has begun.
     pub cancelled_at: f64,
     pub ending: DispatchStatus,
-    pub found: CopyState,
+    pub found: ReplicaState,
     /// Calls of the same function at the executor when it came.
     pub function_concurrency: u32,
     /// Calls that wait, and loads under way or waiting.
--- a/crates/capacity-model/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -319,7 +319,7 @@
                 let report = request.report;
                 self.play(usize::from(front_end), |engine, now, host| {
                     let metadata = orchidtally_engine::ResponseMetadata {
-                        copy_state: request.found,
+                        replica_state: request.found,
                         function_concurrency: request.function_concurrency,
                         load_report: &report,
                     };
--- a/crates/capacity-model/src/fleet/simulation/executor_events.rs
+++ b/crates/capacity-model/src/fleet/simulation/executor_events.rs
@@ -6,7 +6,7 @@
 use crate::fleet::executor::State;
 use crate::fleet::is_idempotent;
 use crate::fleet::request::{Purpose, Request};
-use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ReplicaState};
 use rand::RngExt;
 
 /// A load that is under way.
@@ -109,10 +109,10 @@
             .copy(function)
             .map(|copy| copy.loaded_at)
         {
-            Some(Some(_)) => CopyState::Warm,
-            Some(None) => CopyState::JoinedLoad,
+            Some(Some(_)) => ReplicaState::Warm,
+            Some(None) => ReplicaState::JoinedLoad,
             None if self.begin_load(request.executor, function, request.front_end) => {
-                CopyState::ColdLoad
+                ReplicaState::ColdStart
             }
             None => return self.answer(key, DispatchStatus::Full),
         };
--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -179,7 +179,9 @@
     }
 
     fn endpoints_lost(&self, asked_at: f64) {
-        self.engine.borrow_mut().on_view_lost(self.now(), asked_at);
+        self.engine
+            .borrow_mut()
+            .on_view_request_unanswered(self.now(), asked_at);
     }
 
     fn members_changed(&self) {
--- a/crates/capacity-model/src/hollow/decisions.rs
+++ b/crates/capacity-model/src/hollow/decisions.rs
@@ -295,12 +295,12 @@
                 warm,
             } => {
                 let found = if warm {
-                    CopyState::Warm
+                    ReplicaState::Warm
                 } else {
-                    CopyState::ColdLoad
+                    ReplicaState::ColdStart
                 };
                 let metadata = ResponseMetadata {
-                    copy_state: found,
+                    replica_state: found,
                     function_concurrency: 1,
                     load_report: &[0.5],
                 };
--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -190,7 +190,7 @@
     }
 
     /// A request for the endpoint list sent at a time is not answered. Whoever reports this goes on asking.
-    pub fn on_view_lost(&mut self, now: f64, requested_at: f64) {
+    pub fn on_view_request_unanswered(&mut self, now: f64, requested_at: f64) {
         self.now = now;
         self.endpoint_view.lose(requested_at);
     }
--- a/crates/dispatch-policy/src/dispatch/results.rs
+++ b/crates/dispatch-policy/src/dispatch/results.rs
@@ -4,7 +4,7 @@
 use super::concurrency_limit::{FULL_BACKOFF, MAX_FULL_DOUBLINGS};
 use super::outlier_detection::Sample;
 use super::retry::SILENCE_FRACTION;
-use crate::interface::{Actions, CopyState, DispatchResult, DispatchStatus, ExecutorId};
+use crate::interface::{Actions, DispatchResult, DispatchStatus, ExecutorId, ReplicaState};
 use crate::state::{ExecutorIndex, FunctionIndex, InFlightDispatch};
 
 /// Weight of the newest report in the mean of a function's concurrency.
@@ -132,7 +132,7 @@
             DispatchStatus::TimedOut
             | DispatchStatus::ConnectFailed
             | DispatchStatus::Reset
-            | DispatchStatus::Miss => function.evict(executor),
+            | DispatchStatus::NotLoaded => function.evict(executor),
             DispatchStatus::Ok
             | DispatchStatus::Error
             | DispatchStatus::Cancelled
@@ -178,7 +178,7 @@
                 let latency = self.baseline.relative(trigger_type, result.duration);
                 Some(Sample::Answered(latency))
             }
-            DispatchStatus::Error if result.copy_state == CopyState::LoadFailed => None,
+            DispatchStatus::Error if result.replica_state == ReplicaState::LoadFailed => None,
             // Failure mode: clients invoke functions that no executor knows. Where a function was never seen served,
             // a failure may be its own fault or its client's: it counts once another executor serves it.
             // Risk: a failing executor is found out later.
@@ -216,7 +216,9 @@
                 let latency = self.baseline.relative(trigger_type, result.duration);
                 Some(Sample::Unanswered(latency))
             }
-            DispatchStatus::Cancelled | DispatchStatus::NeverSent | DispatchStatus::Miss => None,
+            DispatchStatus::Cancelled | DispatchStatus::NeverSent | DispatchStatus::NotLoaded => {
+                None
+            }
         }
     }
 
@@ -243,10 +245,10 @@
 
 /// Whether the dispatch had to wait for a load.
 fn was_loaded(ended: &EndedDispatch, result: &DispatchResult) -> bool {
-    match result.copy_state {
-        CopyState::Unknown => ended.dispatch.is_placement,
-        CopyState::Warm => false,
-        CopyState::ColdLoad | CopyState::JoinedLoad | CopyState::LoadFailed => true,
+    match result.replica_state {
+        ReplicaState::Unknown => ended.dispatch.is_placement,
+        ReplicaState::Warm => false,
+        ReplicaState::ColdStart | ReplicaState::JoinedLoad | ReplicaState::LoadFailed => true,
     }
 }
 
--- a/crates/dispatch-policy/src/dispatch_result.rs
+++ b/crates/dispatch-policy/src/dispatch_result.rs
@@ -22,7 +22,7 @@
     /// The dispatch was withdrawn before any of it was sent.
     NeverSent,
     /// The executor had not loaded the function and rejected the invocation.
-    Miss,
+    NotLoaded,
 }
 
 impl DispatchStatus {
@@ -33,20 +33,20 @@
             DispatchStatus::Full
                 | DispatchStatus::ConnectFailed
                 | DispatchStatus::NeverSent
-                | DispatchStatus::Miss
+                | DispatchStatus::NotLoaded
         )
     }
 }
 
 /// In which state the executor found its replica of the function when the dispatch arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyState {
+pub enum ReplicaState {
     /// The executor does not say.
     Unknown,
     /// The replica was loaded.
     Warm,
     /// The dispatch started a load.
-    ColdLoad,
+    ColdStart,
     /// The dispatch waited for a load that was under way.
     JoinedLoad,
     /// The load failed.
@@ -69,7 +69,7 @@
     /// The invocation has had its final answer.
     pub is_answered: bool,
     /// In which state the executor found its replica.
-    pub copy_state: CopyState,
+    pub replica_state: ReplicaState,
     /// Invocations of the same function at the executor, where reported; else 0.
     pub function_concurrency: u32,
     /// Fields of the executor's load report; empty where there is none.
--- a/crates/dispatch-policy/src/interface.rs
+++ b/crates/dispatch-policy/src/interface.rs
@@ -1,7 +1,7 @@
 //! The inputs and outputs of the dispatch policy. All times are seconds on a clock of the caller.
 
 pub use crate::actions::{Actions, TableSizes};
-pub use crate::dispatch_result::{CopyState, DispatchResult, DispatchStatus};
+pub use crate::dispatch_result::{DispatchResult, DispatchStatus, ReplicaState};
 pub use crate::endpoint::{
     Endpoint, EndpointState, EndpointUpdateKind, ExecutorId, MembershipView,
 };
--- a/crates/dispatch-policy/src/state/executor.rs
+++ b/crates/dispatch-policy/src/state/executor.rs
@@ -219,7 +219,7 @@
             | DispatchStatus::Error
             | DispatchStatus::Full
             | DispatchStatus::NeverSent
-            | DispatchStatus::Miss => self.last_heard_at = now,
+            | DispatchStatus::NotLoaded => self.last_heard_at = now,
         }
     }
 
--- a/crates/dispatch-policy/tests/decision_trace/fleet.rs
+++ b/crates/dispatch-policy/tests/decision_trace/fleet.rs
@@ -3,7 +3,7 @@
 use crate::scenarios::Scenario;
 use crate::seeded::Seeded;
 use orchidtally_dispatch_policy::interface::{
-    CopyState, DispatchStatus, Endpoint, EndpointState, ExecutorId,
+    DispatchStatus, Endpoint, EndpointState, ExecutorId, ReplicaState,
 };
 use std::collections::BTreeMap;
 
@@ -19,7 +19,7 @@
     pub is_answered: bool,
     pub delay: f64,
     pub ending: DispatchStatus,
-    pub found: CopyState,
+    pub found: ReplicaState,
 }
 
 struct Executor {
@@ -142,7 +142,7 @@
                 is_answered: false,
                 delay: 0.0,
                 ending: DispatchStatus::TimedOut,
-                found: CopyState::Unknown,
+                found: ReplicaState::Unknown,
             };
         }
         if executor.row.state == EndpointState::Gone {
@@ -150,7 +150,7 @@
                 is_answered: true,
                 delay: 0.002,
                 ending: DispatchStatus::Reset,
-                found: CopyState::Unknown,
+                found: ReplicaState::Unknown,
             };
         }
         if let Some((ending, found, delay)) = fault {
@@ -165,10 +165,10 @@
             .copies
             .insert(function, now + load + work + IDLE_TIME);
         let found = match (is_warm, random.below(3)) {
-            (_, 0) => CopyState::Unknown,
-            (true, _) => CopyState::Warm,
-            (false, 1) => CopyState::JoinedLoad,
-            (false, _) => CopyState::ColdLoad,
+            (_, 0) => ReplicaState::Unknown,
+            (true, _) => ReplicaState::Warm,
+            (false, 1) => ReplicaState::JoinedLoad,
+            (false, _) => ReplicaState::ColdStart,
         };
         RunResult {
             is_answered: true,
@@ -205,14 +205,14 @@
 }
 
 /// A fault with its delay in seconds, each kind with the same probability.
-fn fault(probability: f64, random: &mut Seeded) -> Option<(DispatchStatus, CopyState, f64)> {
-    const FAULTS: [(DispatchStatus, CopyState, f64); 6] = [
-        (DispatchStatus::Error, CopyState::Unknown, 0.05),
-        (DispatchStatus::Error, CopyState::LoadFailed, 0.4),
-        (DispatchStatus::Full, CopyState::Unknown, 0.004),
-        (DispatchStatus::Reset, CopyState::Unknown, 0.08),
-        (DispatchStatus::ConnectFailed, CopyState::Unknown, 0.001),
-        (DispatchStatus::Miss, CopyState::Unknown, 0.003),
+fn fault(probability: f64, random: &mut Seeded) -> Option<(DispatchStatus, ReplicaState, f64)> {
+    const FAULTS: [(DispatchStatus, ReplicaState, f64); 6] = [
+        (DispatchStatus::Error, ReplicaState::Unknown, 0.05),
+        (DispatchStatus::Error, ReplicaState::LoadFailed, 0.4),
+        (DispatchStatus::Full, ReplicaState::Unknown, 0.004),
+        (DispatchStatus::Reset, ReplicaState::Unknown, 0.08),
+        (DispatchStatus::ConnectFailed, ReplicaState::Unknown, 0.001),
+        (DispatchStatus::NotLoaded, ReplicaState::Unknown, 0.003),
     ];
     let drawn = random.unit() / probability.max(1e-12);
     FAULTS.get(drawn as usize).copied()
--- a/crates/dispatch-policy/tests/decision_trace/play.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play.rs
@@ -56,7 +56,7 @@
         invocation: u32,
         dispatch: u8,
         ending: DispatchStatus,
-        found: CopyState,
+        found: ReplicaState,
     },
     Withdrawal {
         invocation: u32,
@@ -328,7 +328,7 @@
                 dispatch,
             } => {
                 self.dropped.insert((invocation, dispatch));
-                let (ending, found) = (DispatchStatus::Cancelled, CopyState::Unknown);
+                let (ending, found) = (DispatchStatus::Cancelled, ReplicaState::Unknown);
                 self.schedule(
                     0.001,
                     Event::DispatchEnds {
--- a/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
@@ -89,7 +89,7 @@
         let now = self.now();
         let asked_at = now - 0.3 * self.random.unit();
         if self.random.chance(0.25) {
-            self.dispatcher.on_view_lost(now, asked_at);
+            self.dispatcher.on_view_request_unanswered(now, asked_at);
         } else {
             self.dispatcher
                 .on_view_confirmed(now, asked_at, &mut self.recorder);
--- a/crates/dispatch-policy/tests/decision_trace/play/executions.rs
+++ b/crates/dispatch-policy/tests/decision_trace/play/executions.rs
@@ -51,7 +51,7 @@
                 },
             );
         } else {
-            let (ending, found) = (DispatchStatus::TimedOut, CopyState::Unknown);
+            let (ending, found) = (DispatchStatus::TimedOut, ReplicaState::Unknown);
             self.schedule(
                 time_out,
                 Event::DispatchEnds {
@@ -75,7 +75,7 @@
                 invocation,
                 dispatch,
                 DispatchStatus::NeverSent,
-                CopyState::Unknown,
+                ReplicaState::Unknown,
             );
         }
     }
@@ -85,7 +85,7 @@
         invocation: u32,
         dispatch: u8,
         ending: DispatchStatus,
-        found: CopyState,
+        found: ReplicaState,
     ) {
         let now = self.now();
         let withheld = matches!(
@@ -125,7 +125,7 @@
             status: ending,
             duration: took,
             is_answered: closed,
-            copy_state: found,
+            replica_state: found,
             function_concurrency: crowd,
             load_report: report,
         };
--- a/crates/dispatch-policy/tests/dispatch_policy.rs
+++ b/crates/dispatch-policy/tests/dispatch_policy.rs
@@ -18,7 +18,7 @@
     DispatchStatus::ConnectFailed,
     DispatchStatus::Reset,
     DispatchStatus::Ok,
-    DispatchStatus::Miss,
+    DispatchStatus::NotLoaded,
     DispatchStatus::Ok,
 ];
 
@@ -129,7 +129,8 @@
             - 1) as u8;
         world.model.accepted[invocation as usize].dispatches[0].status = Some(DispatchStatus::Ok);
         world.model.accepted[invocation as usize].answered_at = Some(now);
-        let (executor, copy_state) = (reference_model::executor_id(executor), CopyState::Warm);
+        let (executor, replica_state) =
+            (reference_model::executor_id(executor), ReplicaState::Warm);
         let status = DispatchStatus::Ok;
         let result = DispatchResult {
             invocation,
@@ -138,7 +139,7 @@
             status,
             duration: 4.0,
             is_answered: true,
-            copy_state,
+            replica_state,
             function_concurrency: 0,
             load_report: &[],
         };
--- a/crates/dispatch-policy/tests/fleet_scale.rs
+++ b/crates/dispatch-policy/tests/fleet_scale.rs
@@ -126,7 +126,7 @@
     dispatch: u8,
     executor: ExecutorId,
     latency: f64,
-    copy_state: CopyState,
+    replica_state: ReplicaState,
 }
 
 /// Executors that answer every dispatch, shared by front ends.
@@ -232,7 +232,7 @@
                 dispatch: result.dispatch,
                 executor: result.executor,
                 duration: result.latency,
-                copy_state: result.copy_state,
+                replica_state: result.replica_state,
                 ..reference_model::succeeded()
             };
             dispatcher.on_dispatch_result(self.now, &dispatch_result, recorder);
@@ -275,12 +275,12 @@
                 .loaded_at
                 .entry((executor, accepted.function))
                 .or_insert(new_load);
-            let copy_state = if loaded_at <= self.now {
-                CopyState::Warm
+            let replica_state = if loaded_at <= self.now {
+                ReplicaState::Warm
             } else if loaded_at == new_load {
-                CopyState::ColdLoad
+                ReplicaState::ColdStart
             } else {
-                CopyState::JoinedLoad
+                ReplicaState::JoinedLoad
             };
             let latency = (loaded_at - self.now).max(0.0) + Self::SERVICE_TIME;
             self.pending.push(PendingResult {
@@ -290,7 +290,7 @@
                 dispatch: accepted.dispatches,
                 executor,
                 latency,
-                copy_state,
+                replica_state,
             });
             accepted.dispatches += 1;
         }
--- a/crates/dispatch-policy/tests/reference_model/fixtures.rs
+++ b/crates/dispatch-policy/tests/reference_model/fixtures.rs
@@ -53,7 +53,7 @@
         status: DispatchStatus::Ok,
         duration: 0.25,
         is_answered: true,
-        copy_state: CopyState::Unknown,
+        replica_state: ReplicaState::Unknown,
         function_concurrency: 0,
         load_report: &[],
     }
--- a/crates/dispatch-policy/tests/staleness.rs
+++ b/crates/dispatch-policy/tests/staleness.rs
@@ -65,7 +65,7 @@
     reject(&mut world, 1);
     assert!(!may_load(&mut world), "the source answers late");
     let now = world.model.now;
-    world.dispatcher.on_view_lost(now, now);
+    world.dispatcher.on_view_request_unanswered(now, now);
     assert!(may_load(&mut world), "it is known to be silent");
     world.advance(2.0);
     assert!(!may_load(&mut world), "it is silent for too long");
@@ -112,11 +112,13 @@
     world.dispatcher.on_process_stall(resumed_at);
     world
         .dispatcher
-        .on_view_lost(resumed_at + 0.5, resumed_at - 0.1);
+        .on_view_request_unanswered(resumed_at + 0.5, resumed_at - 0.1);
     assert!(
         !may_load(&mut world),
         "the request is from before the stall"
     );
-    world.dispatcher.on_view_lost(resumed_at + 0.5, resumed_at);
+    world
+        .dispatcher
+        .on_view_request_unanswered(resumed_at + 0.5, resumed_at);
     assert!(may_load(&mut world));
 }
--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -135,7 +135,7 @@
                     };
                     host.now_us = at;
                     let metadata = ResponseMetadata {
-                        copy_state: CopyState::Warm,
+                        replica_state: ReplicaState::Warm,
                         function_concurrency: 1,
                         load_report: &[0.5],
                     };
--- a/crates/engine/examples/decision_cost/simulation.rs
+++ b/crates/engine/examples/decision_cost/simulation.rs
@@ -1,7 +1,7 @@
 //! Executors in simulated time: they carry out what the engine decides, and a digest of it is kept.
 
 use crate::scenario::Day;
-use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus, ExecutorId};
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId, ReplicaState};
 use orchidtally_dispatch_policy::random::{SeededRandom, rendezvous_hash};
 use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_engine::{Engine, FailureReason, Host, ResponseMetadata};
@@ -19,7 +19,7 @@
         executor: usize,
         function: u64,
         status: DispatchStatus,
-        copy_state: CopyState,
+        replica_state: ReplicaState,
     },
     LoadEnds {
         to: ExecutorId,
@@ -90,11 +90,11 @@
                 executor,
                 function,
                 status,
-                copy_state,
+                replica_state,
             } => {
                 self.use_copy(executor, function);
                 let metadata = ResponseMetadata {
-                    copy_state,
+                    replica_state,
                     function_concurrency: 0,
                     load_report: &[self.reported_backlog(executor)],
                 };
@@ -192,10 +192,10 @@
             return;
         }
         let (stands_at, warm) = self.use_copy(executor, function);
-        let copy_state = if warm {
-            CopyState::Warm
+        let replica_state = if warm {
+            ReplicaState::Warm
         } else {
-            CopyState::ColdLoad
+            ReplicaState::ColdStart
         };
         let at = stands_at + ANSWER_TIME * (0.5 + self.random.unit());
         self.at(
@@ -206,7 +206,7 @@
                 executor,
                 function,
                 status,
-                copy_state,
+                replica_state,
             },
         );
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -169,7 +169,7 @@
             status,
             duration: now - ended.sent_at,
             is_answered: open.is_answered,
-            copy_state: metadata.copy_state,
+            replica_state: metadata.replica_state,
             function_concurrency: metadata.function_concurrency,
             load_report: metadata.load_report,
         };
--- a/crates/engine/src/engine/control_inputs.rs
+++ b/crates/engine/src/engine/control_inputs.rs
@@ -44,9 +44,9 @@
     }
 
     /// The source of the endpoint list does not answer a query sent at `queried_at`. The host goes on querying.
-    pub fn on_view_lost(&mut self, now: f64, queried_at: f64) {
+    pub fn on_view_request_unanswered(&mut self, now: f64, queried_at: f64) {
         let now = self.registry.advance_to(now);
-        self.policy.on_view_lost(now, queried_at);
+        self.policy.on_view_request_unanswered(now, queried_at);
     }
 
     /// The process did not run for a while: nothing is sent by the endpoint list that it had until that is confirmed.
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -1,6 +1,6 @@
 //! What the host process does for the engine, and what it reports of an executor's response.
 
-use orchidtally_dispatch_policy::interface::{CopyState, ExecutorId};
+use orchidtally_dispatch_policy::interface::{ExecutorId, ReplicaState};
 
 /// Why an invocation failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseMetadata<'a> {
     /// What the executor found loaded.
-    pub copy_state: CopyState,
+    pub replica_state: ReplicaState,
     /// Invocations of the same function that the executor had when the dispatch arrived.
     pub function_concurrency: u32,
     /// The fields of the executor's load report, in the order of the settings; empty where there is none.
@@ -63,7 +63,7 @@
 
 /// The metadata of a dispatch that ended without a response.
 pub const NO_METADATA: ResponseMetadata<'static> = ResponseMetadata {
-    copy_state: CopyState::Unknown,
+    replica_state: ReplicaState::Unknown,
     function_concurrency: 0,
     load_report: &[],
 };
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -55,7 +55,7 @@
     fn on_process_stall(&mut self, _now: f64) {}
 
     /// The source of the endpoint list does not answer a query sent at `queried_at`.
-    fn on_view_lost(&mut self, _now: f64, _queried_at: f64) {}
+    fn on_view_request_unanswered(&mut self, _now: f64, _queried_at: f64) {}
 
     /// An invocation was admitted.
     fn on_invocation(&mut self, now: f64, invocation: &Invocation, actions: &mut dyn Actions);
@@ -146,8 +146,8 @@
         Dispatcher::on_process_stall(self, now);
     }
 
-    fn on_view_lost(&mut self, now: f64, queried_at: f64) {
-        Dispatcher::on_view_lost(self, now, queried_at);
+    fn on_view_request_unanswered(&mut self, now: f64, queried_at: f64) {
+        Dispatcher::on_view_request_unanswered(self, now, queried_at);
     }
 
     fn on_invocation(&mut self, now: f64, invocation: &Invocation, actions: &mut dyn Actions) {
--- a/crates/engine/tests/evidence.rs
+++ b/crates/engine/tests/evidence.rs
@@ -9,7 +9,7 @@
         (TransportOutcome::Answered(DispatchStatus::Ok), false),
         (TransportOutcome::Answered(DispatchStatus::Error), false),
         (TransportOutcome::Answered(DispatchStatus::Full), true),
-        (TransportOutcome::Answered(DispatchStatus::Miss), true),
+        (TransportOutcome::Answered(DispatchStatus::NotLoaded), true),
         (TransportOutcome::NoConnection, true),
         (TransportOutcome::Saturated, true),
         (TransportOutcome::Unwritten, true),
--- a/crates/engine/tests/fleet/host.rs
+++ b/crates/engine/tests/fleet/host.rs
@@ -2,7 +2,7 @@
 
 use super::world::{Event, Job, World};
 use super::{OBJECTIVE, TRANSIT};
-use orchidtally_dispatch_policy::interface::{CopyState, ExecutorId};
+use orchidtally_dispatch_policy::interface::{ExecutorId, ReplicaState};
 use orchidtally_engine::{FailureReason, Host};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -46,7 +46,7 @@
             invocation,
             dispatch,
             function,
-            copy_state: CopyState::Unknown,
+            replica_state: ReplicaState::Unknown,
             function_concurrency: 0,
         };
         let executor = self.executor(to);
--- a/crates/engine/tests/fleet/simulation.rs
+++ b/crates/engine/tests/fleet/simulation.rs
@@ -7,7 +7,7 @@
     policy,
 };
 use orchidtally_dispatch_policy::interface::{
-    CopyState, DispatchStatus, EndpointUpdateKind, ExecutorId,
+    DispatchStatus, EndpointUpdateKind, ExecutorId, ReplicaState,
 };
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_engine::{Engine, InvocationRequest, ResponseMetadata};
@@ -212,7 +212,7 @@
                 let FrontEnd { engine, host, .. } = &mut self.front_ends[job.front_end];
                 if host.incarnation == job.incarnation {
                     let metadata = ResponseMetadata {
-                        copy_state: job.copy_state,
+                        replica_state: job.replica_state,
                         function_concurrency: job.function_concurrency,
                         load_report: &[waiting],
                     };
@@ -259,7 +259,7 @@
         // One that was replaced meanwhile accepts no connection.
         let response = Event::ResponseArrives {
             job: Job {
-                copy_state: CopyState::Unknown,
+                replica_state: ReplicaState::Unknown,
                 ..job
             },
             status: DispatchStatus::ConnectFailed,
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -1,7 +1,7 @@
 //! Executors in simulated time, and the queue of events.
 
 use super::{CONCURRENCY, IDLE_TIME, LOAD_TIME, QUEUE_LIMIT, TRANSIT, TrueLoads, WORK};
-use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ReplicaState};
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_dispatch_policy::state::Ordered;
 use orchidtally_invariants as invariants;
@@ -39,7 +39,7 @@
     pub invocation: u32,
     pub dispatch: u8,
     pub function: u64,
-    pub copy_state: CopyState,
+    pub replica_state: ReplicaState,
     pub function_concurrency: u32,
 }
 
@@ -145,22 +145,22 @@
             record.copies.remove(&job.function);
         }
         let stands_at = record.copies.get(&job.function).map(|c| c.0);
-        let copy_state = match stands_at {
-            None => CopyState::ColdLoad,
-            Some(at) if at > now => CopyState::JoinedLoad,
-            Some(_) => CopyState::Warm,
+        let replica_state = match stands_at {
+            None => ReplicaState::ColdStart,
+            Some(at) if at > now => ReplicaState::JoinedLoad,
+            Some(_) => ReplicaState::Warm,
         };
         let stands_at = stands_at.unwrap_or(now + LOAD_TIME);
         record
             .copies
             .insert(job.function, (stands_at, now.max(stands_at)));
         record.waiting.push_back(Job {
-            copy_state,
+            replica_state,
             function_concurrency,
             ..job
         });
         let incarnation = record.incarnation;
-        if copy_state == CopyState::ColdLoad {
+        if replica_state == ReplicaState::ColdStart {
             let name = format!("{}", job.function);
             if is_expired {
                 self.records.push(invariants::TrafficRecord::CopyUnloaded {
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -55,13 +55,13 @@
 }
 
 /// In which state the executor found its copy of the function.
-fn copy_state(answer: &v1::Answer) -> CopyState {
+fn replica_state(answer: &v1::Answer) -> ReplicaState {
     match answer.found() {
-        v1::Found::Untold => CopyState::Unknown,
-        v1::Found::Warm => CopyState::Warm,
-        v1::Found::Loaded => CopyState::ColdLoad,
-        v1::Found::Waited => CopyState::JoinedLoad,
-        v1::Found::LoadFailed => CopyState::LoadFailed,
+        v1::Found::Untold => ReplicaState::Unknown,
+        v1::Found::Warm => ReplicaState::Warm,
+        v1::Found::Loaded => ReplicaState::ColdStart,
+        v1::Found::Waited => ReplicaState::JoinedLoad,
+        v1::Found::LoadFailed => ReplicaState::LoadFailed,
     }
 }
 
@@ -214,9 +214,9 @@
         if answer.index_taken {
             self.on_duplicate_index(dispatch.to);
         }
-        let found = copy_state(&answer);
-        if matches!(found, CopyState::ColdLoad | CopyState::LoadFailed) {
-            let succeeded = found == CopyState::ColdLoad;
+        let found = replica_state(&answer);
+        if matches!(found, ReplicaState::ColdStart | ReplicaState::LoadFailed) {
+            let succeeded = found == ReplicaState::ColdStart;
             self.traffic_split.borrow_mut().record_load_result(
                 dispatch.version,
                 succeeded,
@@ -225,13 +225,13 @@
         }
         let timing = || Timing {
             took: began.elapsed().as_secs_f64(),
-            warm: matches!(found, CopyState::Warm | CopyState::Unknown),
+            warm: matches!(found, ReplicaState::Warm | ReplicaState::Unknown),
         };
         let (outcome, executor_response) = self
             .receive_response(dispatch, &answer, timing(), &mut incoming)
             .await;
         let metadata = ResponseMetadata {
-            copy_state: found,
+            replica_state: found,
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
@@ -277,7 +277,7 @@
                 DispatchStatus::Error
             }
             v1::Ending::Full => DispatchStatus::Full,
-            v1::Ending::Miss => DispatchStatus::Miss,
+            v1::Ending::Miss => DispatchStatus::NotLoaded,
             v1::Ending::Unspecified => return (TransportOutcome::Malformed, None),
         };
         (TransportOutcome::Answered(status), None)
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -18,7 +18,7 @@
 
     /// The request sent to the source at `asked_at` has no answer.
     pub fn endpoints_lost(&self, asked_at: f64) {
-        self.run_engine(|engine, now, _| engine.on_view_lost(now, asked_at));
+        self.run_engine(|engine, now, _| engine.on_view_request_unanswered(now, asked_at));
     }
 
     /// The earliest time at which bytes that are read now can have arrived: they may have waited during a process stall.
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -4,7 +4,7 @@
 use crate::engine_host::{EngineHost, ExecutorAnswer};
 use crate::executor_pool::connect_evidence;
 use crate::source::Source;
-use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
+use orchidtally_dispatch_policy::interface::{DispatchStatus, ReplicaState};
 use orchidtally_engine::ResponseMetadata;
 use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_platform_executor_protocol::{LoadNote, Response, ResponseKind, parse_load_report};
@@ -15,7 +15,7 @@
 fn response_evidence(kind: ResponseKind) -> TransportOutcome {
     match kind {
         ResponseKind::Done => TransportOutcome::Answered(DispatchStatus::Ok),
-        ResponseKind::Miss => TransportOutcome::Answered(DispatchStatus::Miss),
+        ResponseKind::Miss => TransportOutcome::Answered(DispatchStatus::NotLoaded),
         ResponseKind::Full => TransportOutcome::Answered(DispatchStatus::Full),
         ResponseKind::Error => TransportOutcome::Answered(DispatchStatus::Error),
         ResponseKind::AlreadyOver => TransportOutcome::Answered(DispatchStatus::NeverSent),
@@ -24,13 +24,13 @@
     }
 }
 
-fn copy_state(note: LoadNote) -> CopyState {
+fn replica_state(note: LoadNote) -> ReplicaState {
     match note {
-        LoadNote::Nothing => CopyState::Unknown,
-        LoadNote::Warm => CopyState::Warm,
-        LoadNote::Cold => CopyState::ColdLoad,
-        LoadNote::Joined => CopyState::JoinedLoad,
-        LoadNote::LoadFailed => CopyState::LoadFailed,
+        LoadNote::Nothing => ReplicaState::Unknown,
+        LoadNote::Warm => ReplicaState::Warm,
+        LoadNote::Cold => ReplicaState::ColdStart,
+        LoadNote::Joined => ReplicaState::JoinedLoad,
+        LoadNote::LoadFailed => ReplicaState::LoadFailed,
     }
 }
 
@@ -156,7 +156,7 @@
             key: dispatch.key,
             status: evidence::dispatch_status(evidence),
             metadata: ResponseMetadata {
-                copy_state: copy_state(response.load_note),
+                replica_state: replica_state(response.load_note),
                 function_concurrency: response.function_concurrency,
                 load_report: &load_report,
             },
@@ -179,7 +179,7 @@
         let status = match evidence::dispatch_status(evidence) {
             // A query that found no replica.
             DispatchStatus::Ok if command.replicas == 0 && replica_count == 0 => {
-                DispatchStatus::Miss
+                DispatchStatus::NotLoaded
             }
             status => status,
         };
--- a/crates/sim-adapter/src/codes.rs
+++ b/crates/sim-adapter/src/codes.rs
@@ -80,7 +80,7 @@
 
 /// The state of a replica when a dispatch arrived: the lowest bits of a result's info word; the others are the
 /// concurrency of the function.
-pub(crate) mod copy_state {
+pub(crate) mod replica_state {
     /// Number of bits.
     pub(crate) const BITS: u32 = 3;
     pub(crate) const MASK: u32 = (1 << BITS) - 1;
--- a/crates/sim-adapter/src/fields.rs
+++ b/crates/sim-adapter/src/fields.rs
@@ -116,7 +116,7 @@
     pub(crate) fn status(&mut self) -> Result<DispatchStatus, MalformedFrame> {
         Ok(match self.u8()? {
             status::OK => DispatchStatus::Ok,
-            status::MISS => DispatchStatus::Miss,
+            status::MISS => DispatchStatus::NotLoaded,
             status::NEVER_SENT => DispatchStatus::NeverSent,
             status::CANCELLED => DispatchStatus::Cancelled,
             status::RESET => DispatchStatus::Reset,
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,12 +1,12 @@
 //! The instances of the dispatch policy that a process hosts, and the frames of events that they are given.
 
-use crate::codes::{copy_state, event, invocation_option, update_mode};
+use crate::codes::{event, invocation_option, replica_state, update_mode};
 use crate::error::{FrameError, MalformedFrame};
 use crate::fields::Fields;
 use crate::reply::Reply;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::{
-    CopyState, DispatchResult, Endpoint, EndpointUpdateKind, Invocation,
+    DispatchResult, Endpoint, EndpointUpdateKind, Invocation, ReplicaState,
 };
 
 /// Bytes of a frame's length, which stands in front of it.
@@ -235,21 +235,21 @@
         status,
         duration,
         is_answered,
-        copy_state: decode_copy_state(info),
-        function_concurrency: info >> copy_state::BITS,
+        replica_state: decode_replica_state(info),
+        function_concurrency: info >> replica_state::BITS,
         load_report: &load_report,
     };
     dispatcher.on_dispatch_result(now, &result, reply);
     Ok(())
 }
 
-fn decode_copy_state(info: u32) -> CopyState {
-    match info & copy_state::MASK {
-        copy_state::WARM => CopyState::Warm,
-        copy_state::COLD_LOAD => CopyState::ColdLoad,
-        copy_state::JOINED_LOAD => CopyState::JoinedLoad,
-        copy_state::LOAD_FAILED => CopyState::LoadFailed,
-        _ => CopyState::Unknown,
+fn decode_replica_state(info: u32) -> ReplicaState {
+    match info & replica_state::MASK {
+        replica_state::WARM => ReplicaState::Warm,
+        replica_state::COLD_LOAD => ReplicaState::ColdStart,
+        replica_state::JOINED_LOAD => ReplicaState::JoinedLoad,
+        replica_state::LOAD_FAILED => ReplicaState::LoadFailed,
+        _ => ReplicaState::Unknown,
     }
 }
 
