--- a/crates/dispatch-policy/src/dispatch/admission.rs
+++ b/crates/dispatch-policy/src/dispatch/admission.rs
@@ -135,7 +135,7 @@
 
     /// A Retry-After in seconds.
     pub(super) fn retry_after(&self, random: &mut SeededRandom) -> f64 {
-        let random_fraction = (1.0 - MIN_RETRY_AFTER_FRACTION) * random.unit();
+        let random_fraction = (1.0 - MIN_RETRY_AFTER_FRACTION) * random.next_f64();
         (MIN_RETRY_AFTER_FRACTION + random_fraction) * self.max_retry_after
     }
 }
--- a/crates/dispatch-policy/src/dispatch/placement.rs
+++ b/crates/dispatch-policy/src/dispatch/placement.rs
@@ -243,7 +243,7 @@
             .take(candidates)
             .filter(|&executor| self.can_take_placement(request, executor, capacity))
             .collect();
-        let drawn = draw_two(with_capacity, || self.random.unit());
+        let drawn = draw_two(with_capacity, || self.random.next_f64());
         let pending_loads = self.load_score.mean_pending_loads(self.now);
         let ratio = MIN_SECOND_RATIO + SECOND_RATIO_PER_LOAD * pending_loads;
         drawn.into_iter().reduce(|first, second| {
--- a/crates/dispatch-policy/src/dispatch/staleness.rs
+++ b/crates/dispatch-policy/src/dispatch/staleness.rs
@@ -24,7 +24,7 @@
 
 /// The delay of the next subscription after a failed one, in seconds: half to one and a half of the mean.
 pub(super) fn subscription_retry_delay(random: &mut SeededRandom) -> f64 {
-    SUBSCRIPTION_RETRY_DELAY * (0.5 + random.unit())
+    SUBSCRIPTION_RETRY_DELAY * (0.5 + random.next_f64())
 }
 
 /// How far a view can be relied on.
--- a/crates/dispatch-policy/src/random.rs
+++ b/crates/dispatch-policy/src/random.rs
@@ -13,11 +13,11 @@
     /// A generator whose sequence depends on nothing but the seed.
     pub fn new(seed: u64) -> Self {
         let mut generator = SeededRandom(seed.wrapping_add(INCREMENT));
-        generator.draw();
+        generator.next_u32();
         generator
     }
 
-    fn draw(&mut self) -> u32 {
+    fn next_u32(&mut self) -> u32 {
         let old = self.0;
         self.0 = old.wrapping_mul(MULTIPLIER).wrapping_add(INCREMENT);
         let mixed = (((old >> 18) ^ old) >> 27) as u32;
@@ -25,8 +25,8 @@
     }
 
     /// A number from 0 up to, but not including, 1.
-    pub fn unit(&mut self) -> f64 {
-        f64::from(self.draw()) / 4_294_967_296.0
+    pub fn next_f64(&mut self) -> f64 {
+        f64::from(self.next_u32()) / 4_294_967_296.0
     }
 }
 
@@ -35,5 +35,5 @@
     let mut generator = SeededRandom::new(
         a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xd6e8_feb8_6659_fd93),
     );
-    generator.draw()
+    generator.next_u32()
 }
--- a/crates/dispatch-policy/tests/fleet_scale.rs
+++ b/crates/dispatch-policy/tests/fleet_scale.rs
@@ -190,8 +190,8 @@
     /// Invokes a function at a front end. Popularity falls as one over the rank, of front ends as of functions.
     fn invoke(&mut self) {
         let count = self.front_ends.len();
-        let front_end = ((count as f64).powf(self.random.unit()) as usize - 1).min(count - 1);
-        let function = Self::FUNCTIONS.powf(self.random.unit()) as u64;
+        let front_end = ((count as f64).powf(self.random.next_f64()) as usize - 1).min(count - 1);
+        let function = Self::FUNCTIONS.powf(self.random.next_f64()) as u64;
         let FrontEnd {
             dispatcher,
             recorder,
--- a/crates/dispatch-policy/tests/table_indices.rs
+++ b/crates/dispatch-policy/tests/table_indices.rs
@@ -327,12 +327,16 @@
     for len in 0..60 {
         let (mut one, mut other) = (SeededRandom::new(len), SeededRandom::new(len));
         let mut one_by_one: Vec<usize> = (0..len as usize).map(|element| 3 * element).collect();
-        let drawn = draw_two(one_by_one.clone(), || one.unit());
+        let drawn = draw_two(one_by_one.clone(), || one.next_f64());
         while one_by_one.len() > 2 {
-            one_by_one.remove((other.unit() * one_by_one.len() as f64) as usize);
+            one_by_one.remove((other.next_f64() * one_by_one.len() as f64) as usize);
         }
         assert_eq!(drawn, one_by_one);
-        assert_eq!(one.unit(), other.unit(), "as many numbers were drawn");
+        assert_eq!(
+            one.next_f64(),
+            other.next_f64(),
+            "as many numbers were drawn"
+        );
     }
 }
 
--- a/crates/engine/benches/scale.rs
+++ b/crates/engine/benches/scale.rs
@@ -166,7 +166,7 @@
         }
         host.now_us = arrival;
         // Popularity falls as one over the rank.
-        let function = (functions as f64).powf(random.unit()) as u64;
+        let function = (functions as f64).powf(random.next_f64()) as u64;
         let now = now_at(arrival);
         let request = InvocationRequest {
             trigger_type: 0,
--- a/crates/engine/examples/decision_cost/fleet.rs
+++ b/crates/engine/examples/decision_cost/fleet.rs
@@ -83,8 +83,8 @@
     simulation: &mut Simulation,
 ) {
     let now = simulation.now;
-    let executor = (simulation.random.unit() * endpoints.len() as f64) as usize;
-    let drawn = simulation.random.unit();
+    let executor = (simulation.random.next_f64() * endpoints.len() as f64) as usize;
+    let drawn = simulation.random.next_f64();
     let change = match drawn {
         d if d < 0.3 => Endpoint {
             started_at: now,
--- a/crates/engine/examples/decision_cost/main.rs
+++ b/crates/engine/examples/decision_cost/main.rs
@@ -110,10 +110,10 @@
 
     /// An invocation arrives, of a function drawn by the shares.
     fn admit(&mut self, arrivals: &mut SeededRandom, cumulative_shares: &[f64]) {
-        let drawn = arrivals.unit();
+        let drawn = arrivals.next_f64();
         let function = cumulative_shares.partition_point(|&share| share <= drawn) as u64;
         self.simulation.admitting = function;
-        let trigger_type = (arrivals.unit() * 4.0) as usize;
+        let trigger_type = (arrivals.next_f64() * 4.0) as usize;
         let request = InvocationRequest {
             trigger_type: if self.scenario.day == Day::Calm {
                 0
@@ -169,7 +169,7 @@
     let mut arrival = START;
     loop {
         let previous = arrival;
-        arrival += -(1.0 - arrivals.unit()).ln() / scenario.rate;
+        arrival += -(1.0 - arrivals.next_f64()).ln() / scenario.rate;
         if arrival > end {
             break;
         }
--- a/crates/engine/examples/decision_cost/simulation.rs
+++ b/crates/engine/examples/decision_cost/simulation.rs
@@ -174,7 +174,7 @@
         ]);
         let (executor, function) = (index(to), self.functions[&invocation]);
         let drawn = if self.day == Day::Faults {
-            self.random.unit()
+            self.random.next_f64()
         } else {
             1.0
         };
@@ -197,7 +197,7 @@
         } else {
             ReplicaState::ColdStart
         };
-        let at = stands_at + ANSWER_TIME * (0.5 + self.random.unit());
+        let at = stands_at + ANSWER_TIME * (0.5 + self.random.next_f64());
         self.at(
             at,
             Event::DispatchEnds {
@@ -227,7 +227,7 @@
     fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
         self.note_decision(&[5, number(to), function, copies.into()]);
         let (stands_at, _) = self.use_copy(index(to), function);
-        let failed = self.day == Day::Faults && self.random.unit() < 0.01;
+        let failed = self.day == Day::Faults && self.random.next_f64() < 0.01;
         let status = if failed {
             DispatchStatus::ConnectFailed
         } else {
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -50,7 +50,7 @@
     }
 
     fn random_index(&mut self) -> usize {
-        (self.random.unit() * self.ready.len() as f64) as usize
+        (self.random.next_f64() * self.ready.len() as f64) as usize
     }
 
     fn select(&mut self) -> Option<ExecutorId> {
--- a/crates/engine/tests/fleet/simulation.rs
+++ b/crates/engine/tests/fleet/simulation.rs
@@ -98,9 +98,9 @@
         let rate = scenario.load * scenario.executors as f64 * f64::from(CONCURRENCY) / WORK;
         let mut at = 0.0;
         while at < scenario.length {
-            at += -(1.0 - self.arrivals.unit()).ln() / rate;
+            at += -(1.0 - self.arrivals.next_f64()).ln() / rate;
             // A few functions are invoked often.
-            let function = (scenario.functions as f64).powf(self.arrivals.unit()) as u64;
+            let function = (scenario.functions as f64).powf(self.arrivals.next_f64()) as u64;
             let arrival = Event::InvocationArrives(function);
             self.world.borrow_mut().at(at, arrival);
         }
@@ -232,7 +232,7 @@
 
     /// An invocation arrives at a front end drawn at random.
     fn admit(&mut self, now: f64, function: u64) -> usize {
-        let front_end = (self.arrivals.unit() * self.scenario.front_ends as f64) as usize;
+        let front_end = (self.arrivals.next_f64() * self.scenario.front_ends as f64) as usize;
         let FrontEnd { engine, host, .. } = &mut self.front_ends[front_end];
         host.admitting = (function, now);
         let request = InvocationRequest {
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -87,7 +87,7 @@
     }
 
     fn exponential(&mut self, mean: f64) -> f64 {
-        -(1.0 - self.random.unit()).ln() * mean
+        -(1.0 - self.random.next_f64()).ln() * mean
     }
 
     /// Starts an executor, cold; what the one before had in hand is reset.
