--- a/crates/dispatch-policy/src/dispatch/admission.rs
+++ b/crates/dispatch-policy/src/dispatch/admission.rs
@@ -7,16 +7,16 @@
 
 /// What a customer may save up of its quota at a front end: seconds of it, and square roots of its rate.
 const QUOTA_BURST_SECONDS: f64 = 2.0;
-const QUOTA_BURST_ROOTS: f64 = 5.0;
+const QUOTA_BURST_SQRT_FACTOR: f64 = 5.0;
 /// What a client's retry takes of the quota, in invocations.
 const RETRY_COST: f64 = 0.33;
 /// Weight of the newest invocation in the mean priority weight.
-const NEWEST_WEIGHT: f64 = 0.015;
+const SMOOTHING_FACTOR: f64 = 0.015;
 /// Least fraction of the longest Retry-After; the rest is random, so that clients don't return in step.
 const MIN_RETRY_AFTER_FRACTION: f64 = 0.25;
 /// Fraction of the time budget that the expected latency takes at most: an estimate that had everything rejected would
 /// never be corrected.
-const MAX_EXPECTED_FRACTION: f64 = 0.5;
+const MAX_EXPECTED_LATENCY_FRACTION: f64 = 0.5;
 
 /// A customer's quota, and what is left of it at this front end.
 struct CustomerQuota {
@@ -26,8 +26,8 @@
 }
 
 /// The most that a customer may save up of its quota at a front end, in invocations.
-fn burst(rate: f64) -> f64 {
-    QUOTA_BURST_SECONDS * rate + QUOTA_BURST_ROOTS * rate.sqrt()
+fn burst_size(rate: f64) -> f64 {
+    QUOTA_BURST_SECONDS * rate + QUOTA_BURST_SQRT_FACTOR * rate.sqrt()
 }
 
 /// Quotas of customers, and what invocations are worth.
@@ -58,7 +58,7 @@
     pub(super) fn set_quotas(&mut self, rates: &[f64], now: f64, front_ends: f64) {
         for quota in &mut self.quotas {
             let rate = quota.rate / front_ends;
-            quota.bucket.fill(now, rate, burst(rate));
+            quota.bucket.fill(now, rate, burst_size(rate));
         }
         self.quotas.resize_with(rates.len(), || CustomerQuota {
             rate: 0.0,
@@ -89,7 +89,7 @@
         // A few invocations say little about a rate: the less of a quota a front end has, the more may be saved up.
         let is_within_quota = quota.is_none_or(|quota| {
             let rate = quota.rate / front_ends;
-            let burst = burst(rate);
+            let burst = burst_size(rate);
             let (cost, required) = if invocation.is_retry {
                 (RETRY_COST, burst / 2.0)
             } else {
@@ -110,8 +110,8 @@
 
     /// Takes a priority weight into the mean; `recent_invocations` includes its invocation.
     pub(super) fn record_weight(&mut self, weight: f64, recent_invocations: f64) {
-        let newest_weight = NEWEST_WEIGHT.max(1.0 / recent_invocations);
-        self.mean_weight += newest_weight * (weight - self.mean_weight);
+        let smoothing_factor = SMOOTHING_FACTOR.max(1.0 / recent_invocations);
+        self.mean_weight += smoothing_factor * (weight - self.mean_weight);
     }
 
     /// The fraction of the concurrency limit that an invocation may fill: that of its priority weight now in the mean.
@@ -150,7 +150,7 @@
     }
 
     /// Rule: answers a waiting invocation that can no longer be served, or not in time where a rejection is safe.
-    pub(super) fn shed_expired(
+    pub(super) fn shed_unservable(
         &mut self,
         function: FunctionIndex,
         actions: &mut dyn Actions,
@@ -160,7 +160,7 @@
         let is_settled =
             record.placement().is_none() || record.unexpired_replicas(self.now).next().is_some();
         let mut waiting = record.waiting().iter().copied();
-        let Some(invocation) = waiting.find(|&waiting| self.is_hopeless(waiting, is_settled))
+        let Some(invocation) = waiting.find(|&waiting| self.should_shed(waiting, is_settled))
         else {
             return false;
         };
@@ -168,12 +168,12 @@
         true
     }
 
-    fn is_hopeless(&self, index: InvocationIndex, is_settled: bool) -> bool {
+    fn should_shed(&self, index: InvocationIndex, is_settled: bool) -> bool {
         let invocation = &self.workload.invocations[index];
         let expected_latency = self
             .baseline
-            .of(invocation.trigger_type())
-            .min(MAX_EXPECTED_FRACTION * invocation.time_budget());
+            .latency(invocation.trigger_type())
+            .min(MAX_EXPECTED_LATENCY_FRACTION * invocation.time_budget());
         let is_late = is_settled && self.now + expected_latency > invocation.objective_ends_at();
         invocation.dispatch_count() >= self.config.max_dispatches
             || self.now + 2.0 * self.tick_interval >= invocation.timeout_at()
--- a/crates/dispatch-policy/src/dispatch/concurrency_limit.rs
+++ b/crates/dispatch-policy/src/dispatch/concurrency_limit.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatcher;
 use super::time_slots::slot_offset;
-use super::traffic::TRAFFIC_TIME;
+use super::traffic::TRAFFIC_TIME_CONSTANT;
 use crate::state::ExecutorIndex;
 
 /// Limit at the start, and the highest one, in dispatches in flight of one front end at one executor.
@@ -11,7 +11,7 @@
 /// Lowest limit of all front ends together, in dispatches in flight at one executor.
 const MIN_SHARED_LIMIT: f64 = 9.0;
 /// Factor of a cut.
-const CUT_FACTOR: f64 = 0.6;
+const DECREASE_FACTOR: f64 = 0.6;
 /// Growth rate, each second.
 const GROWTH_RATE: f64 = 0.15;
 /// Typical latency above which the limit is cut, in latency objectives.
@@ -39,7 +39,7 @@
     limit: f64,
     /// Estimate of the median latency, in latency objectives.
     typical_latency: f64,
-    cut_at: f64,
+    decreased_at: f64,
     updated_at: f64,
 }
 
@@ -64,7 +64,7 @@
         ConcurrencyLimit {
             limit: MAX_LIMIT,
             typical_latency: INITIAL_TYPICAL_LATENCY,
-            cut_at: 0.0,
+            decreased_at: 0.0,
             updated_at: 0.0,
         }
     }
@@ -89,9 +89,9 @@
         if self.typical_latency <= MAX_TYPICAL_LATENCY {
             let growth = (GROWTH_RATE * (now - self.updated_at)).exp();
             self.limit *= growth.min(MAX_LIMIT / self.limit);
-        } else if sent_at > self.cut_at {
-            self.limit = (self.limit * CUT_FACTOR).max(MIN_SHARED_LIMIT / front_ends);
-            self.cut_at = now;
+        } else if sent_at > self.decreased_at {
+            self.limit = (self.limit * DECREASE_FACTOR).max(MIN_SHARED_LIMIT / front_ends);
+            self.decreased_at = now;
         }
         self.updated_at = now;
     }
@@ -104,7 +104,7 @@
     /// traffic, and its few answers let the limit grow slowly.
     /// Risk: full executors get more where answers are quick.
     fn capacity(&self, fraction: f64, own_work: f64, ready: f64, front_ends: f64) -> Capacity {
-        let own_traffic = OWN_TRAFFIC_FACTOR * own_work / TRAFFIC_TIME / ready;
+        let own_traffic = OWN_TRAFFIC_FACTOR * own_work / TRAFFIC_TIME_CONSTANT / ready;
         let limit = (self.limit.max(own_traffic) * fraction).max(1.0 / front_ends);
         // Failure mode: a front end with little traffic waits for its turn at the few executors that it knows.
         // Risk: all of its traffic may go to one executor.
--- a/crates/dispatch-policy/src/dispatch/constraints.rs
+++ b/crates/dispatch-policy/src/dispatch/constraints.rs
@@ -9,9 +9,9 @@
 
 impl Dispatcher {
     /// Whether an executor may get work: it is ready, as far as the view of executors can be relied on (rule 3).
-    pub(super) fn is_open(&self, executor: ExecutorIndex) -> bool {
+    pub(super) fn accepts_work(&self, executor: ExecutorIndex) -> bool {
         self.endpoint_view
-            .is_open(&self.executors[executor], self.now)
+            .accepts_work(&self.executors[executor], self.now)
     }
 
     /// Whether an invocation may be dispatched to an executor. `unsent` is the number of its dispatch that was decided
@@ -25,12 +25,12 @@
         let invocation = &self.workload.invocations[index];
         let dispatch_count = invocation.dispatch_count() - u8::from(unsent.is_some());
         let in_flight = invocation.in_flight_except(unsent).count();
-        let work = self.baseline.of(invocation.trigger_type());
+        let work = self.baseline.latency(invocation.trigger_type());
         !invocation.is_answered()
             && dispatch_count < self.config.max_dispatches
             && in_flight <= usize::from(self.config.allows_hedging)
             && self.now + self.config.clock_tick < invocation.timeout_at()
-            && self.is_open(executor)
+            && self.accepts_work(executor)
             && self.may_repeat(index, executor, unsent)
             && self.has_slow_start_budget(executor, work)
     }
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Whether an invocation may be repeated at any executor that fits. Only executors are looked at where it can be.
+    /// Whether an invocation may be repeated at any eligible executor. Checks only executors in its deduplication scope.
     pub(super) fn may_repeat_anywhere(
         &self,
         index: InvocationIndex,
-        fits: impl Fn(ExecutorIndex) -> bool,
+        is_eligible: impl Fn(ExecutorIndex) -> bool,
     ) -> bool {
         let invocation = &self.workload.invocations[index];
         let trigger_type = &self.config.trigger_types[invocation.trigger_type()];
@@ -78,7 +78,9 @@
             .ready_in_scope(scope, first.map(|first| first.executor))
             .iter()
             .any(|&executor| {
-                fits(executor) && self.is_open(executor) && self.may_repeat(index, executor, None)
+                is_eligible(executor)
+                    && self.accepts_work(executor)
+                    && self.may_repeat(index, executor, None)
             })
     }
 
@@ -130,7 +132,7 @@
             executor,
             index,
             self.now,
-            self.baseline.of(trigger_type),
+            self.baseline.latency(trigger_type),
             self.slow_start.sent_work_lifetime(),
         );
         self.workload
@@ -145,7 +147,7 @@
         executor: ExecutorIndex,
         actions: &mut dyn Actions,
     ) -> bool {
-        if !self.is_open(executor) || !self.load_budget.allows_command(1.0, self.now) {
+        if !self.accepts_work(executor) || !self.load_budget.allows_command(1.0, self.now) {
             return false;
         }
         self.load_budget.record_command(self.now);
--- a/crates/dispatch-policy/src/dispatch/load_score.rs
+++ b/crates/dispatch-policy/src/dispatch/load_score.rs
@@ -5,9 +5,9 @@
 use crate::state::{DecayingMean, ExecutorIndex, LoadEstimate};
 
 /// Time constant in which a report loses its weight, in seconds.
-const REPORT_TIME: f64 = 10.0;
+const REPORT_TIME_CONSTANT: f64 = 10.0;
 /// Weight of the newest report in the mean backlog.
-const NEWEST_WEIGHT: f64 = 0.015;
+const SMOOTHING_FACTOR: f64 = 0.015;
 /// How much more loaded an executor in another zone counts, in costs of a dispatch to another zone.
 const CROSS_ZONE_FACTOR: f64 = 20.0;
 
@@ -33,17 +33,17 @@
 
     /// Takes a report of invocations waiting at an executor.
     pub(super) fn record_backlog(&mut self, invocations: f64) {
-        self.mean_backlog += NEWEST_WEIGHT * (invocations - self.mean_backlog);
+        self.mean_backlog += SMOOTHING_FACTOR * (invocations - self.mean_backlog);
     }
 
     /// Takes a report of loads under way or waiting at an executor.
     pub(super) fn record_pending_loads(&mut self, loads: f64, now: f64) {
-        self.pending_loads.add(loads, now, REPORT_TIME);
+        self.pending_loads.add(loads, now, REPORT_TIME_CONSTANT);
     }
 
     /// Mean of the loads under way or waiting at an executor.
     pub(super) fn mean_pending_loads(&self, now: f64) -> f64 {
-        self.pending_loads.at(now, REPORT_TIME)
+        self.pending_loads.at(now, REPORT_TIME_CONSTANT)
     }
 
     /// The score of an executor of some load and slow-start weight; the least is preferred. It goes by the own
@@ -55,7 +55,7 @@
         } else {
             load.latest_report_at
         };
-        let freshness = (-(now - reported_at) / REPORT_TIME).exp();
+        let freshness = (-(now - reported_at) / REPORT_TIME_CONSTANT).exp();
         let in_flight =
             load.in_flight + self.mean_backlog + freshness * (load.backlog - self.mean_backlog);
         let zone_factor = if load.is_local {
--- a/crates/dispatch-policy/src/dispatch/maintenance.rs
+++ b/crates/dispatch-policy/src/dispatch/maintenance.rs
@@ -37,8 +37,8 @@
     fn run_maintenance(&mut self) {
         self.detect_outliers();
         self.load_budget.expire(self.now);
-        let is_crowded = self.workload.functions.used() > MAX_FUNCTIONS;
-        let unused_since = if is_crowded {
+        let is_over_capacity = self.workload.functions.used() > MAX_FUNCTIONS;
+        let unused_since = if is_over_capacity {
             self.now
         } else {
             self.now - FORGET_AFTER
--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -179,7 +179,7 @@
     /// The view of executors was true at a time: a request for the endpoint list sent then was answered.
     pub fn on_view_confirmed(&mut self, now: f64, requested_at: f64, actions: &mut dyn Actions) {
         self.now = now;
-        self.endpoint_view.confirm(requested_at);
+        self.endpoint_view.record_confirmation(requested_at);
         self.run_rules(actions);
     }
 
@@ -192,7 +192,7 @@
     /// A request for the endpoint list sent at a time is not answered. Whoever reports this goes on asking.
     pub fn on_view_request_unanswered(&mut self, now: f64, requested_at: f64) {
         self.now = now;
-        self.endpoint_view.lose(requested_at);
+        self.endpoint_view.record_unanswered_request(requested_at);
     }
 
     /// The set of live front ends changed. What is strictly shared has to wait while a front end can't know it.
@@ -237,9 +237,9 @@
         let recent_invocations = self.traffic.record_invocation(now);
         self.admission
             .record_weight(priority.weight, recent_invocations);
-        let baseline = self.baseline.of(invocation.trigger_type);
+        let baseline = self.baseline.latency(invocation.trigger_type);
         self.traffic.record_work(baseline, now);
-        self.workload.functions[function].record_arrival(now, traffic::TRAFFIC_TIME);
+        self.workload.functions[function].record_arrival(now, traffic::TRAFFIC_TIME_CONSTANT);
         let time_budget = objective.min(invocation.timeout_at - now);
         self.workload.admit(OpenInvocation::new(
             invocation,
@@ -317,7 +317,7 @@
         self.now = now;
         self.load_budget.withdraw_command(commanded_at);
         let executor = self.executors.find(executor);
-        let is_allowed = executor.is_some_and(|executor| self.is_open(executor))
+        let is_allowed = executor.is_some_and(|executor| self.accepts_work(executor))
             && self.load_budget.allows_command(1.0, now);
         if is_allowed {
             self.load_budget.record_command(now);
--- a/crates/dispatch-policy/src/dispatch/outlier_detection.rs
+++ b/crates/dispatch-policy/src/dispatch/outlier_detection.rs
@@ -106,13 +106,13 @@
                 Some((candidate, high))
             })
             .collect();
-        let of_ready = quantiles
+        let ready_quantiles = quantiles
             .iter()
             .filter(|(candidate, _)| self.executors[*candidate].is_ready())
             .map(|(_, high)| *high)
             .collect();
-        let of_peers = quantile(of_ready, PEER_QUANTILE).unwrap_or(1.0);
-        let max_quantile = EJECTION_RATIO * of_peers.max(1.0);
+        let peer_quantile = quantile(ready_quantiles, PEER_QUANTILE).unwrap_or(1.0);
+        let max_quantile = EJECTION_RATIO * peer_quantile.max(1.0);
         let outliers = quantiles
             .iter()
             .filter(|(_, high)| *high > max_quantile)
@@ -123,8 +123,8 @@
     }
 
     fn has_ready_peer(&self, executor: ExecutorIndex) -> bool {
-        let itself = usize::from(self.executors[executor].is_ready());
-        self.executors.ready_count() > itself
+        let own_count = usize::from(self.executors[executor].is_ready());
+        self.executors.ready_count() > own_count
     }
 }
 
--- a/crates/dispatch-policy/src/dispatch/placement.rs
+++ b/crates/dispatch-policy/src/dispatch/placement.rs
@@ -43,7 +43,7 @@
         if self.workload.functions[function].placement().is_some() {
             return self.expire_placement(function);
         }
-        let Some(invocation) = self.next_to_place(function) else {
+        let Some(invocation) = self.next_invocation_to_place(function) else {
             return false;
         };
         let Some(target) = self.placement_target(function, Some(invocation)) else {
@@ -52,7 +52,7 @@
         if self.has_replica_to_wait_for(function, invocation, target) {
             return false;
         }
-        let Some(is_load_command) = self.load(function, invocation, target, actions) else {
+        let Some(is_load_command) = self.load_replica(function, invocation, target, actions) else {
             return false;
         };
         self.begin_placement(function, target, is_load_command);
@@ -112,17 +112,17 @@
     ///
     /// Failure mode: an invocation waits within its scope for a replica that nobody loads.
     /// Risk: a load for a single invocation.
-    fn next_to_place(&self, function: FunctionIndex) -> Option<InvocationIndex> {
+    fn next_invocation_to_place(&self, function: FunctionIndex) -> Option<InvocationIndex> {
         let record = &self.workload.functions[function];
         if self.now < record.next_placement_at() {
             return None;
         }
-        let is_free = |&&index: &&InvocationIndex| {
+        let is_unbound = |&&index: &&InvocationIndex| {
             let has_run = self.workload.invocations[index].possible_execution();
             has_run.is_none() || self.is_idempotent(index)
         };
         let waiting = record.waiting();
-        waiting.iter().find(is_free).or(waiting.first()).copied()
+        waiting.iter().find(is_unbound).or(waiting.first()).copied()
     }
 
     /// Whether a function that has its replicas has one with a free slot that is not much more loaded than the
@@ -141,7 +141,7 @@
         }
         let max_score = MAX_LOAD_RATIO * self.load_score_of(target);
         let trigger_type = self.workload.invocations[invocation].trigger_type();
-        let work = self.baseline.of(trigger_type);
+        let work = self.baseline.latency(trigger_type);
         let is_usable = |replica: &WarmReplica| {
             let executor = replica.executor;
             !self.executors[executor].is_ejected()
@@ -156,7 +156,7 @@
 
     /// Has a function loaded for an invocation, by a load command where that is worth it, else by dispatching the
     /// invocation. Returns whether it was by a load command; `None` if nothing was sent.
-    fn load(
+    fn load_replica(
         &mut self,
         function: FunctionIndex,
         invocation: InvocationIndex,
@@ -204,21 +204,21 @@
     /// don't fit. For an invocation that is bound that can be any number: all are ranked. That has to stay rare, and
     /// does: replicas known in its scope come first.
     fn rank_candidates(&mut self, function: FunctionIndex, candidates: usize, is_bound: bool) {
-        let any_may_be_unfit = is_bound || !self.endpoint_view.is_fresh(self.now);
-        let max_unfit = if any_may_be_unfit {
+        let any_may_be_ineligible = is_bound || !self.endpoint_view.is_fresh(self.now);
+        let max_ineligible = if any_may_be_ineligible {
             self.executors.ready_count()
         } else {
             self.executors.max_ejected()
         };
         let record = &mut self.workload.functions[function];
-        let count = candidates + record.warm_replicas().len() + 1 + max_unfit;
+        let count = candidates + record.warm_replicas().len() + 1 + max_ineligible;
         record.update_ranking(&self.executors, count);
     }
 
     fn last_warm_target(&self, request: &PlacementRequest) -> Option<ExecutorIndex> {
         let last = self.workload.functions[request.function].last_warm()?;
         let is_loaded = self.now < last.seen_at + self.config.keep_alive;
-        (is_loaded && self.fits(request, last.executor)).then_some(last.executor)
+        (is_loaded && self.is_eligible(request, last.executor)).then_some(last.executor)
     }
 
     /// The less loaded of two executors drawn from those that fit and have capacity.
@@ -239,7 +239,7 @@
         let with_capacity = self.workload.functions[request.function]
             .ranking()
             .iter()
-            .filter(|&executor| self.fits(request, executor))
+            .filter(|&executor| self.is_eligible(request, executor))
             .take(candidates)
             .filter(|&executor| self.can_take_placement(request, executor, capacity))
             .collect();
@@ -256,7 +256,7 @@
     }
 
     /// Whether a request may be placed at an executor, whatever its load.
-    fn fits(&self, request: &PlacementRequest, executor: ExecutorIndex) -> bool {
+    fn is_eligible(&self, request: &PlacementRequest, executor: ExecutorIndex) -> bool {
         (!request.is_regional || self.executors.is_in_own_region(executor))
             && self.may_place(request.function, executor)
             && !self.workload.functions[request.function].is_warm(executor, self.now)
@@ -279,7 +279,7 @@
             || self.has_capacity(executor, capacity)
                 && request.invocation.is_none_or(|index| {
                     let trigger_type = self.workload.invocations[index].trigger_type();
-                    self.has_slow_start_budget(executor, self.baseline.of(trigger_type))
+                    self.has_slow_start_budget(executor, self.baseline.latency(trigger_type))
                 })
     }
 
@@ -292,18 +292,18 @@
     fn may_place(&self, function: FunctionIndex, executor: ExecutorIndex) -> bool {
         let has_failed_last =
             self.workload.functions[function].last_placement_failed_at() == Some(executor);
-        self.is_open(executor)
+        self.accepts_work(executor)
             && !self.executors[executor].is_ejected()
-            && !(has_failed_last && self.has_better_than(executor))
+            && !(has_failed_last && self.has_better_candidate(executor))
     }
 
-    fn has_better_than(&self, executor: ExecutorIndex) -> bool {
+    fn has_better_candidate(&self, executor: ExecutorIndex) -> bool {
         self.executors.indices().any(|other| {
             let record = &self.executors[other];
             other != executor
-                && self.is_open(other)
+                && self.accepts_work(other)
                 && !record.is_ejected()
-                && !self.slow_start.has_failed_lately(record, self.now)
+                && !self.slow_start.has_failed_recently(record, self.now)
         })
     }
 
--- a/crates/dispatch-policy/src/dispatch/prewarm.rs
+++ b/crates/dispatch-policy/src/dispatch/prewarm.rs
@@ -45,14 +45,14 @@
             return warm;
         }
         if warm < request.replicas {
-            self.load_ahead(function, actions);
+            self.prewarm_replica(function, actions);
         } else if request.replicas > 0 {
-            self.renew_oldest(function, actions);
+            self.renew_next_expiring(function, actions);
         }
         warm
     }
 
-    fn load_ahead(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
+    fn prewarm_replica(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
         if let Some(target) = self.placement_target(function, None)
             && self.command_load(function, target, actions)
         {
@@ -61,15 +61,17 @@
     }
 
     /// Renews the replica that expires first, if it does so soon.
-    fn renew_oldest(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
-        let oldest = self.workload.functions[function]
+    fn renew_next_expiring(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
+        let next_expiring = self.workload.functions[function]
             .unexpired_replicas(self.now)
             .filter(|replica| self.executors[replica.executor].is_ready())
             .min_by(|one, other| one.expires_at.total_cmp(&other.expires_at))
             .copied();
         let renews_before = self.now + RENEWAL_FRACTION * self.replica_lifetime;
-        if let Some(oldest) = oldest.filter(|oldest| oldest.expires_at < renews_before) {
-            self.command_load(function, oldest.executor, actions);
+        if let Some(next_expiring) =
+            next_expiring.filter(|next_expiring| next_expiring.expires_at < renews_before)
+        {
+            self.command_load(function, next_expiring.executor, actions);
         }
     }
 }
--- a/crates/dispatch-policy/src/dispatch/replica_selection.rs
+++ b/crates/dispatch-policy/src/dispatch/replica_selection.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use super::concurrency_limit::Capacity;
-use super::traffic::TRAFFIC_TIME;
+use super::traffic::TRAFFIC_TIME_CONSTANT;
 use crate::interface::{Actions, PolicyConfig};
 use crate::state::{ExecutorIndex, FunctionIndex, InvocationIndex, WarmReplica};
 
@@ -87,7 +87,7 @@
     ) -> Option<ExecutorIndex> {
         let capacity = self.capacity(self.capacity_fraction(index));
         let in_flight = self.workload.invocations[index].in_flight();
-        let fits = |replica: &WarmReplica| {
+        let is_eligible = |replica: &WarmReplica| {
             let executor = replica.executor;
             replica.expires_at > self.now
                 && !in_flight.iter().any(|other| other.executor == executor)
@@ -98,7 +98,7 @@
         let replicas = self.workload.functions[function].warm_replicas();
         replicas.min_by_score(
             |load| self.load_score.score(load, 1.0, self.now),
-            |replica| fits(replica).then(|| self.load_score_of(replica.executor)),
+            |replica| is_eligible(replica).then(|| self.load_score_of(replica.executor)),
         )
     }
 
@@ -126,29 +126,29 @@
     /// Risk: a load that only brings it nearer.
     pub(super) fn has_desired_replicas(&self, function: FunctionIndex) -> bool {
         let record = &self.workload.functions[function];
-        let is_near = |replica: &WarmReplica| {
+        let is_unexpired_in_own_region = |replica: &WarmReplica| {
             replica.expires_at > self.now && self.executors.is_in_own_region(replica.executor)
         };
         record.warm_replicas().len() as f64 + 1.0 > self.desired_replicas(function)
-            && record
-                .warm_replicas()
-                .iter()
-                .any(|replica| is_near(replica) || !self.prefers_own_region(function))
+            && record.warm_replicas().iter().any(|replica| {
+                is_unexpired_in_own_region(replica) || !self.prefers_own_region(function)
+            })
     }
 
     /// The number of executors that a function's part of the traffic would fill, with space for others, and one. The
     /// traffic seen here is a sample of that of all front ends, so one invocation alone says nothing.
     pub(super) fn desired_replicas(&self, function: FunctionIndex) -> f64 {
         let record = &self.workload.functions[function];
-        let seen = (record.recent_arrivals(self.now, TRAFFIC_TIME) - 1.0).max(0.0);
+        let sampled_arrivals =
+            (record.recent_arrivals(self.now, TRAFFIC_TIME_CONSTANT) - 1.0).max(0.0);
         let ready = if self.prefers_own_region(function) {
             self.executors.ready_in_own_region().len()
         } else {
             self.executors.ready_count()
         } as f64;
         let traffic = self.traffic.invocations(self.now) + SAMPLE_MARGIN;
-        let by_traffic = REPLICAS_PER_EXECUTOR * ready * seen / traffic;
-        let by_concurrency = record.fleet_concurrency() / CONCURRENCY_PER_REPLICA;
-        (1.0 + by_traffic.max(by_concurrency)).min(ready)
+        let replicas_for_traffic = REPLICAS_PER_EXECUTOR * ready * sampled_arrivals / traffic;
+        let replicas_for_concurrency = record.fleet_concurrency() / CONCURRENCY_PER_REPLICA;
+        (1.0 + replicas_for_traffic.max(replicas_for_concurrency)).min(ready)
     }
 }
--- a/crates/dispatch-policy/src/dispatch/results.rs
+++ b/crates/dispatch-policy/src/dispatch/results.rs
@@ -8,7 +8,7 @@
 use crate::state::{ExecutorIndex, FunctionIndex, InFlightDispatch};
 
 /// Weight of the newest report in the mean of a function's concurrency.
-const NEWEST_CONCURRENCY_WEIGHT: f64 = 0.3;
+const CONCURRENCY_SMOOTHING_FACTOR: f64 = 0.3;
 /// Latency of a rejection for the concurrency limit, in latency objectives.
 const REJECTION_LATENCY: f64 = 1.0;
 
@@ -53,7 +53,7 @@
             self.finish_placement(ended.function, executor, false, has_succeeded);
         }
         if result.status == DispatchStatus::Ok {
-            self.prove_failure_elsewhere(ended.function, executor);
+            self.attribute_earlier_failure(ended.function, executor);
         }
         self.workload
             .invocations
@@ -123,7 +123,7 @@
                 function.record_warm(executor, self.now, self.now + self.replica_lifetime);
                 if self.config.reports_concurrency {
                     let concurrency = f64::from(result.function_concurrency) * desired_replicas;
-                    function.record_fleet_concurrency(concurrency, NEWEST_CONCURRENCY_WEIGHT);
+                    function.record_fleet_concurrency(concurrency, CONCURRENCY_SMOOTHING_FACTOR);
                 }
             }
             DispatchStatus::Full => function.record_full(executor),
@@ -147,7 +147,7 @@
 
     /// A function that failed at an executor before any was seen to serve it was served by another one: the failure
     /// counts for the first.
-    fn prove_failure_elsewhere(&mut self, function: FunctionIndex, executor: ExecutorIndex) {
+    fn attribute_earlier_failure(&mut self, function: FunctionIndex, executor: ExecutorIndex) {
         let failed_at = self.workload.functions[function].take_failure_proven_by(executor);
         if let Some(failed_at) = failed_at {
             self.record_failure(failed_at);
@@ -169,7 +169,7 @@
         let objective = self.config.trigger_types[trigger_type].latency_objective;
         let latency_in_objectives = result.duration / objective;
         match result.status {
-            DispatchStatus::Ok if was_loaded(ended, result) => None,
+            DispatchStatus::Ok if waited_for_load(ended, result) => None,
             DispatchStatus::Ok => {
                 self.executors.reset_full_backoff(executor);
                 self.baseline.record_latency(trigger_type, result.duration);
@@ -236,7 +236,7 @@
             self.slow_start.record_completed_work(
                 &mut self.executors,
                 executor,
-                self.baseline.of(trigger_type),
+                self.baseline.latency(trigger_type),
                 self.now,
             );
         }
@@ -244,7 +244,7 @@
 }
 
 /// Whether the dispatch had to wait for a load.
-fn was_loaded(ended: &EndedDispatch, result: &DispatchResult) -> bool {
+fn waited_for_load(ended: &EndedDispatch, result: &DispatchResult) -> bool {
     match result.replica_state {
         ReplicaState::Unknown => ended.dispatch.is_placement,
         ReplicaState::Warm => false,
--- a/crates/dispatch-policy/src/dispatch/retry.rs
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -70,11 +70,11 @@
         let is_silent = executor.last_heard_at() < dispatch.sent_at
             && self.now - dispatch.sent_at > max_silence;
         let may_hedge = self.config.allows_hedging && !dispatch.is_placement;
-        let may_have_another = !invocation.is_answered()
+        let may_dispatch_again = !invocation.is_answered()
             && !invocation.is_streaming()
             && !dispatch.is_cancelled
             && trigger_type.idempotency != Idempotency::NonIdempotent;
-        let is_due = is_silent && (may_hedge || executor.is_ejected()) && may_have_another;
+        let is_due = is_silent && (may_hedge || executor.is_ejected()) && may_dispatch_again;
         is_due.then_some(dispatch)
     }
 
--- a/crates/dispatch-policy/src/dispatch/rules.rs
+++ b/crates/dispatch-policy/src/dispatch/rules.rs
@@ -12,7 +12,7 @@
 
 /// For each function, the first rule that applies is taken again and again until none does.
 const RULES: [Rule; 5] = [
-    Dispatcher::shed_expired,
+    Dispatcher::shed_unservable,
     Dispatcher::dispatch_to_free_replica,
     Dispatcher::start_placement,
     Dispatcher::dispatch_to_busy_replica,
@@ -34,13 +34,13 @@
         self.set_next_timer(actions);
     }
 
-    /// Has the timer fire soon for what waits, later for what is in flight, else not at all.
+    /// Sets the timer to the next tick while invocations wait, to the next maintenance while dispatches are in flight.
     fn set_next_timer(&mut self, actions: &mut dyn Actions) {
-        let soon = self.now + self.tick_interval;
+        let next_tick_at = self.now + self.tick_interval;
         let due_at = if !self.workload.functions.with_waiting().is_empty() {
-            soon
+            next_tick_at
         } else if self.executors.in_flight_count() > 0 {
-            self.next_maintenance_at.max(soon)
+            self.next_maintenance_at.max(next_tick_at)
         } else {
             f64::INFINITY
         };
--- a/crates/dispatch-policy/src/dispatch/slow_start.rs
+++ b/crates/dispatch-policy/src/dispatch/slow_start.rs
@@ -12,9 +12,9 @@
 /// What an executor that warms up can take over its budget, in square roots of it.
 const BUDGET_SLACK: f64 = 2.0;
 /// Time constant of the work that executors complete, in seconds.
-const COMPLETED_WORK_TIME: f64 = 10.0;
+const COMPLETED_WORK_TIME_CONSTANT: f64 = 10.0;
 /// Least fraction of the completed work that counts as seen after a start of this front end.
-const MIN_SEEN_FRACTION: f64 = 0.1;
+const MIN_OBSERVED_FRACTION: f64 = 0.1;
 
 /// Slow-start weights, and the budgets of executors that warm up. Times are in seconds.
 pub(super) struct SlowStart {
@@ -47,14 +47,14 @@
     }
 
     /// Whether a connection to an executor failed so recently that it may just have started.
-    pub(super) fn has_failed_lately(&self, executor: &Executor, now: f64) -> bool {
+    pub(super) fn has_failed_recently(&self, executor: &Executor, now: f64) -> bool {
         now < executor.last_failure_at() + COLD_AFTER_FAILURE
     }
 
     /// An executor's capacity as a fraction of a warm one's.
     pub(super) fn weight(&self, executor: &Executor, now: f64) -> f64 {
         let age = now - self.max_clock_skew - executor.started_at();
-        let progress = if self.has_failed_lately(executor, now) {
+        let progress = if self.has_failed_recently(executor, now) {
             0.0
         } else if age >= self.duration {
             1.0
@@ -89,7 +89,13 @@
             |executor| self.weight(executor, now) < 1.0,
             |executor| self.warm_at(executor),
         ) as f64;
-        executors.record_completed_work(executor, warm_executors, work, now, COMPLETED_WORK_TIME);
+        executors.record_completed_work(
+            executor,
+            warm_executors,
+            work,
+            now,
+            COMPLETED_WORK_TIME_CONSTANT,
+        );
     }
 
     /// Whether an executor that warms up may get another dispatch of so much work, in seconds. Its budget over the
@@ -132,13 +138,15 @@
     ) -> f64 {
         let kind = executor.kind();
         // A front end that just started has seen a part of the time only.
-        let seen = COMPLETED_WORK_TIME
-            * (1.0 - (-(now - self.started_at) / COMPLETED_WORK_TIME).exp()).max(MIN_SEEN_FRACTION);
+        let observed_time = COMPLETED_WORK_TIME_CONSTANT
+            * (1.0 - (-(now - self.started_at) / COMPLETED_WORK_TIME_CONSTANT).exp())
+                .max(MIN_OBSERVED_FRACTION);
         let warm_executors = executors
-            .warm_executors(kind, now, COMPLETED_WORK_TIME)
+            .warm_executors(kind, now, COMPLETED_WORK_TIME_CONSTANT)
             .max(1.0);
-        let work_rate =
-            executors.completed_work(kind, now, COMPLETED_WORK_TIME) / seen / warm_executors;
+        let work_rate = executors.completed_work(kind, now, COMPLETED_WORK_TIME_CONSTANT)
+            / observed_time
+            / warm_executors;
         let budget =
             work_rate * self.weight(executor, now) * self.overload_factor * self.overload_window
                 / work;
--- a/crates/dispatch-policy/src/dispatch/staleness.rs
+++ b/crates/dispatch-policy/src/dispatch/staleness.rs
@@ -20,11 +20,11 @@
 /// The same while nothing is known any more.
 const MAX_REJECTIONS_UNKNOWN: usize = 1;
 /// Mean seconds from a failed subscription to the endpoint list to the next one.
-const SUBSCRIPTION_RETRY_DELAY: f64 = 1.0;
+const MEAN_SUBSCRIPTION_RETRY_DELAY: f64 = 1.0;
 
 /// The delay of the next subscription after a failed one, in seconds: half to one and a half of the mean.
 pub(super) fn subscription_retry_delay(random: &mut SeededRandom) -> f64 {
-    SUBSCRIPTION_RETRY_DELAY * (0.5 + random.next_f64())
+    MEAN_SUBSCRIPTION_RETRY_DELAY * (0.5 + random.next_f64())
 }
 
 /// How far a view can be relied on.
@@ -51,7 +51,7 @@
     /// When the process resumed after a stall, until a request sent after it is answered or known to be lost.
     resumed_at: Option<f64>,
     /// The source of the list is known to be silent.
-    is_silent: bool,
+    is_source_silent: bool,
 }
 
 impl EndpointView {
@@ -61,21 +61,21 @@
             drain_grace,
             confirmed_at: None,
             resumed_at: None,
-            is_silent: false,
+            is_source_silent: false,
         }
     }
 
     /// A request for the list sent at a time was answered: the view was true then.
-    pub(super) fn confirm(&mut self, requested_at: f64) {
+    pub(super) fn record_confirmation(&mut self, requested_at: f64) {
         let last = self.confirmed_at.unwrap_or(requested_at);
         self.confirmed_at = Some(last.max(requested_at));
-        self.is_silent = false;
+        self.is_source_silent = false;
         self.end_suspension(requested_at);
     }
 
     /// A request for the list sent at a time is not answered.
-    pub(super) fn lose(&mut self, requested_at: f64) {
-        self.is_silent = true;
+    pub(super) fn record_unanswered_request(&mut self, requested_at: f64) {
+        self.is_source_silent = true;
         self.end_suspension(requested_at);
     }
 
@@ -92,7 +92,7 @@
 
     /// The list was received, or can't be had. That nobody answers is known from requests sent while the process ran.
     pub(super) fn on_endpoint_update(&mut self, has_failed: bool) {
-        self.is_silent = has_failed;
+        self.is_source_silent = has_failed;
         if has_failed {
             self.resumed_at = None;
         }
@@ -100,7 +100,7 @@
 
     fn staleness(&self, now: f64) -> Staleness {
         let Some(confirmed_at) = self.confirmed_at else {
-            return if self.is_silent {
+            return if self.is_source_silent {
                 Staleness::Ageing
             } else {
                 Staleness::Fresh
@@ -116,7 +116,7 @@
             Staleness::Fresh
         } else if self.resumed_at.is_some() {
             Staleness::Suspended
-        } else if age > UNKNOWN_AFTER || !self.is_silent && age > LATE_AFTER {
+        } else if age > UNKNOWN_AFTER || !self.is_source_silent && age > LATE_AFTER {
             Staleness::Unknown
         } else {
             Staleness::Ageing
@@ -133,7 +133,7 @@
     ///
     /// Failure mode: a stalled process resumes and decides by a list from before the stall.
     /// Risk: work is delayed by the time of one answer, or of finding out that none comes.
-    pub(super) fn is_open(&self, executor: &Executor, now: f64) -> bool {
+    pub(super) fn accepts_work(&self, executor: &Executor, now: f64) -> bool {
         let rejections = executor.consecutive_rejections();
         executor.is_ready()
             && match self.staleness(now) {
--- a/crates/dispatch-policy/src/dispatch/time_slots.rs
+++ b/crates/dispatch-policy/src/dispatch/time_slots.rs
@@ -14,6 +14,7 @@
     executor: ExecutorIndex,
     slot: u64,
 ) -> f64 {
-    let drawn = (membership.front_end_index + executors.rendezvous_number(executor, slot)) as u64;
-    (drawn % membership.slot_count as u64) as f64 / membership.slot_count + ROUNDING_MARGIN
+    let position =
+        (membership.front_end_index + executors.rendezvous_number(executor, slot)) as u64;
+    (position % membership.slot_count as u64) as f64 / membership.slot_count + ROUNDING_MARGIN
 }
