--- a/crates/engine/tests/fleet/simulation.rs
+++ b/crates/engine/tests/fleet/simulation.rs
@@ -7,7 +7,7 @@
     policy,
 };
 use orchidtally_dispatch_policy::interface::{
-    CopyState, DispatchStatus, EndpointUpdateKind, ExecutorId,
+    DispatchStatus, EndpointUpdateKind, ExecutorId, ReplicaState,
 };
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_engine::{Engine, InvocationRequest, ResponseMetadata};
@@ -98,9 +98,9 @@
         let rate = scenario.load * scenario.executors as f64 * f64::from(CONCURRENCY) / WORK;
         let mut at = 0.0;
         while at < scenario.length {
-            at += -(1.0 - self.arrivals.unit()).ln() / rate;
+            at += -(1.0 - self.arrivals.next_f64()).ln() / rate;
             // A few functions are invoked often.
-            let function = (scenario.functions as f64).powf(self.arrivals.unit()) as u64;
+            let function = (scenario.functions as f64).powf(self.arrivals.next_f64()) as u64;
             let arrival = Event::InvocationArrives(function);
             self.world.borrow_mut().at(at, arrival);
         }
@@ -212,7 +212,7 @@
                 let FrontEnd { engine, host, .. } = &mut self.front_ends[job.front_end];
                 if host.incarnation == job.incarnation {
                     let metadata = ResponseMetadata {
-                        copy_state: job.copy_state,
+                        replica_state: job.replica_state,
                         function_concurrency: job.function_concurrency,
                         load_report: &[waiting],
                     };
@@ -232,7 +232,7 @@
 
     /// An invocation arrives at a front end drawn at random.
     fn admit(&mut self, now: f64, function: u64) -> usize {
-        let front_end = (self.arrivals.unit() * self.scenario.front_ends as f64) as usize;
+        let front_end = (self.arrivals.next_f64() * self.scenario.front_ends as f64) as usize;
         let FrontEnd { engine, host, .. } = &mut self.front_ends[front_end];
         host.admitting = (function, now);
         let request = InvocationRequest {
@@ -259,7 +259,7 @@
         // One that was replaced meanwhile accepts no connection.
         let response = Event::ResponseArrives {
             job: Job {
-                copy_state: CopyState::Unknown,
+                replica_state: ReplicaState::Unknown,
                 ..job
             },
             status: DispatchStatus::ConnectFailed,
