--- a/crates/dispatch-policy/src/dispatch/admission.rs
+++ b/crates/dispatch-policy/src/dispatch/admission.rs
@@ -58,7 +58,7 @@
     pub(super) fn set_quotas(&mut self, rates: &[f64], now: f64, front_ends: f64) {
         for quota in &mut self.quotas {
             let rate = quota.rate / front_ends;
-            quota.bucket.fill(now, rate, burst(rate));
+            quota.bucket.refill(now, rate, burst(rate));
         }
         self.quotas.resize_with(rates.len(), || CustomerQuota {
             rate: 0.0,
@@ -95,7 +95,7 @@
             } else {
                 (1.0, 1.0)
             };
-            quota.bucket.take(now, rate, burst, cost, required)
+            quota.bucket.try_take(now, rate, burst, cost, required)
         });
         let factor = if is_within_quota {
             1.0
--- a/crates/dispatch-policy/src/dispatch/maintenance.rs
+++ b/crates/dispatch-policy/src/dispatch/maintenance.rs
@@ -37,7 +37,7 @@
     fn run_maintenance(&mut self) {
         self.detect_outliers();
         self.load_budget.expire(self.now);
-        let is_crowded = self.workload.functions.used() > MAX_FUNCTIONS;
+        let is_crowded = self.workload.functions.function_count() > MAX_FUNCTIONS;
         let unused_since = if is_crowded {
             self.now
         } else {
--- a/crates/dispatch-policy/src/dispatch/outlier_detection.rs
+++ b/crates/dispatch-policy/src/dispatch/outlier_detection.rs
@@ -76,7 +76,7 @@
         let first = self
             .executors
             .first_failure_in_zone(executor, self.now, ZONE_FAILURE_WINDOW);
-        if first < self.now && !self.executors.zone_heard_after(executor, first) {
+        if first < self.now && !self.executors.zone_responded_after(executor, first) {
             self.executors.record_zone_failure(executor, self.now);
         }
         self.executors
--- a/crates/dispatch-policy/src/dispatch/placement.rs
+++ b/crates/dispatch-policy/src/dispatch/placement.rs
@@ -208,7 +208,7 @@
         let max_unfit = if any_may_be_unfit {
             self.executors.ready_count()
         } else {
-            self.executors.max_ejected()
+            self.executors.ejected_upper_bound()
         };
         let record = &mut self.workload.functions[function];
         let count = candidates + record.warm_replicas().len() + 1 + max_unfit;
@@ -291,7 +291,7 @@
     /// Risk: it is asked again, which the backoff between placements delays.
     fn may_place(&self, function: FunctionIndex, executor: ExecutorIndex) -> bool {
         let has_failed_last =
-            self.workload.functions[function].last_placement_failed_at() == Some(executor);
+            self.workload.functions[function].last_failed_placement() == Some(executor);
         self.is_open(executor)
             && !self.executors[executor].is_ejected()
             && !(has_failed_last && self.has_better_than(executor))
--- a/crates/dispatch-policy/src/dispatch/replica_selection.rs
+++ b/crates/dispatch-policy/src/dispatch/replica_selection.rs
@@ -116,7 +116,7 @@
     /// Whether a replica has a free slot: the own dispatches in flight there are fewer than it runs at a time.
     pub(super) fn has_free_slot(&self, function: FunctionIndex, replica: &WarmReplica) -> bool {
         let function = &self.workload.functions[function];
-        !replica.is_full && function.in_flight_at(replica.executor) < function.concurrency()
+        !replica.is_full && function.in_flight_count_at(replica.executor) < function.concurrency()
     }
 
     /// Whether a function has as many warm replicas as it should, less one, and one in the own region where that has
--- a/crates/dispatch-policy/src/dispatch/results.rs
+++ b/crates/dispatch-policy/src/dispatch/results.rs
@@ -148,7 +148,7 @@
     /// A function that failed at an executor before any was seen to serve it was served by another one: the failure
     /// counts for the first.
     fn prove_failure_elsewhere(&mut self, function: FunctionIndex, executor: ExecutorIndex) {
-        let failed_at = self.workload.functions[function].take_failure_proven_by(executor);
+        let failed_at = self.workload.functions[function].take_unattributed_failure(executor);
         if let Some(failed_at) = failed_at {
             self.record_failure(failed_at);
         }
@@ -183,7 +183,7 @@
             // a failure may be its own fault or its client's: it counts once another executor serves it.
             // Risk: a failing executor is found out later.
             DispatchStatus::Error if !self.workload.functions[ended.function].was_served() => {
-                self.workload.functions[ended.function].record_unproven_failure(executor);
+                self.workload.functions[ended.function].record_unattributed_failure(executor);
                 None
             }
             DispatchStatus::Error => Some(Sample::Failed),
--- a/crates/dispatch-policy/src/dispatch/retry.rs
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -67,7 +67,7 @@
         let trigger_type = &self.config.trigger_types[invocation.trigger_type()];
         let executor = &self.executors[dispatch.executor];
         let max_silence = SILENCE_FRACTION * trigger_type.latency_objective;
-        let is_silent = executor.last_heard_at() < dispatch.sent_at
+        let is_silent = executor.last_response_at() < dispatch.sent_at
             && self.now - dispatch.sent_at > max_silence;
         let may_hedge = self.config.allows_hedging && !dispatch.is_placement;
         let may_have_another = !invocation.is_answered()
--- a/crates/dispatch-policy/src/state/endpoint_updates.rs
+++ b/crates/dispatch-policy/src/state/endpoint_updates.rs
@@ -19,7 +19,7 @@
     let invalidated = executors.apply_endpoints(now, is_full, endpoints);
     workload.functions.evict_executors(&invalidated);
     for executor in invalidated {
-        executors.forget_beliefs(executor);
+        executors.clear_observations(executor);
     }
     let mut departed = executors.departed(forget_before);
     departed.retain(|&executor| !workload.invocations.may_have_run_at(executor));
@@ -139,7 +139,7 @@
     }
 
     /// Drops what was believed of an executor. What is in flight there still counts, and so does what was sent.
-    pub fn forget_beliefs(&mut self, index: ExecutorIndex) {
+    pub fn clear_observations(&mut self, index: ExecutorIndex) {
         let executor = &mut self.executors[index.position()];
         executor.backlog = BacklogReport::NONE;
         executor.full_backoff = Backoff::default();
--- a/crates/dispatch-policy/src/state/executor.rs
+++ b/crates/dispatch-policy/src/state/executor.rs
@@ -6,7 +6,7 @@
 
 /// A dispatch in flight at an executor.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct DispatchAt {
+pub struct ExecutorDispatch {
     /// The invocation that was dispatched.
     pub invocation: InvocationIndex,
     /// When it was dispatched, in seconds.
@@ -66,8 +66,8 @@
     pub(super) is_ready: bool,
     pub(super) weight: f64,
     pub(super) started_at: f64,
-    pub(super) in_flight: Vec<DispatchAt>,
-    pub(super) last_heard_at: f64,
+    pub(super) in_flight: Vec<ExecutorDispatch>,
+    pub(super) last_response_at: f64,
     pub(super) last_failure_at: f64,
     /// Results `Full` in a row.
     pub(super) consecutive_rejections: usize,
@@ -93,7 +93,7 @@
             weight: 1.0,
             started_at: f64::NEG_INFINITY,
             in_flight: vec![],
-            last_heard_at: f64::NEG_INFINITY,
+            last_response_at: f64::NEG_INFINITY,
             last_failure_at: f64::NEG_INFINITY,
             consecutive_rejections: 0,
             is_idle: true,
@@ -146,7 +146,7 @@
     }
 
     /// This front end's dispatches in flight there.
-    pub fn in_flight(&self) -> &[DispatchAt] {
+    pub fn in_flight(&self) -> &[ExecutorDispatch] {
         &self.in_flight
     }
 
@@ -156,8 +156,8 @@
     }
 
     /// When it last answered itself, in seconds.
-    pub fn last_heard_at(&self) -> f64 {
-        self.last_heard_at
+    pub fn last_response_at(&self) -> f64 {
+        self.last_response_at
     }
 
     /// When a connection to it last broke or could not be made, in seconds.
@@ -201,15 +201,15 @@
     }
 
     /// Dispatches in flight since after it was last heard.
-    pub fn unanswered_dispatches(&self) -> impl Iterator<Item = DispatchAt> + '_ {
+    pub fn unanswered_dispatches(&self) -> impl Iterator<Item = ExecutorDispatch> + '_ {
         self.in_flight
             .iter()
             .copied()
-            .filter(|dispatch| dispatch.sent_at > self.last_heard_at)
+            .filter(|dispatch| dispatch.sent_at > self.last_response_at)
     }
 
     /// Notes that the executor itself ended a dispatch, if the status says so.
-    pub(super) fn record_contact(&mut self, status: DispatchStatus, now: f64) {
+    pub(super) fn record_response(&mut self, status: DispatchStatus, now: f64) {
         match status {
             DispatchStatus::TimedOut
             | DispatchStatus::Cancelled
@@ -219,7 +219,7 @@
             | DispatchStatus::Error
             | DispatchStatus::Full
             | DispatchStatus::NeverSent
-            | DispatchStatus::Miss => self.last_heard_at = now,
+            | DispatchStatus::Miss => self.last_response_at = now,
         }
     }
 
--- a/crates/dispatch-policy/src/state/executor_table.rs
+++ b/crates/dispatch-policy/src/state/executor_table.rs
@@ -6,7 +6,7 @@
 use super::outlier_stats::{OutlierIndex, SampleRequirements};
 use super::ranking::RankingPools;
 use super::ready_sets::ReadySets;
-use super::{DispatchAt, ExecutorIndex, InvocationIndex, LoadEstimate, Regions};
+use super::{ExecutorDispatch, ExecutorIndex, InvocationIndex, LoadEstimate, Regions};
 use crate::interface::{DeduplicationScope, DispatchStatus, ExecutorId};
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Index;
@@ -170,7 +170,7 @@
         work_lifetime: f64,
     ) {
         let record = &mut self.executors[executor.position()];
-        record.in_flight.push(DispatchAt {
+        record.in_flight.push(ExecutorDispatch {
             invocation,
             sent_at: now,
         });
@@ -210,7 +210,7 @@
         sent_at: f64,
         now: f64,
     ) {
-        let ended = DispatchAt {
+        let ended = ExecutorDispatch {
             invocation,
             sent_at,
         };
@@ -233,7 +233,7 @@
         now: f64,
     ) {
         let record = &mut self.executors[executor.position()];
-        record.record_contact(status, now);
+        record.record_response(status, now);
         record.count_rejection(status);
     }
 
@@ -251,7 +251,7 @@
         max_doublings: i32,
     ) {
         let record = &mut self.executors[executor.position()];
-        record.full_backoff.grow(now, first, max_doublings);
+        record.full_backoff.start(now, first, max_doublings);
         record.is_idle = false;
     }
 
--- a/crates/dispatch-policy/src/state/function.rs
+++ b/crates/dispatch-policy/src/state/function.rs
@@ -39,7 +39,7 @@
     /// Invocations with a dispatch in flight.
     pub(super) in_flight: Vec<InvocationIndex>,
     /// How many dispatches are in flight at each executor.
-    pub(super) in_flight_at: BTreeMap<ExecutorIndex, u32>,
+    pub(super) in_flight_counts: BTreeMap<ExecutorIndex, u32>,
     placement: Option<Placement>,
     /// Where the last placement failed.
     failed_at: Option<ExecutorIndex>,
@@ -51,7 +51,7 @@
     /// Whether an executor was ever seen to serve it.
     was_served: bool,
     /// Where it failed before any executor was seen to serve it.
-    unproven_failure_at: Option<ExecutorIndex>,
+    unattributed_failure: Option<ExecutorIndex>,
     /// Mean of the reported concurrency over the fleet, and the number of reports.
     fleet_concurrency: f64,
     concurrency_reports: f64,
@@ -94,8 +94,8 @@
     }
 
     /// This front end's dispatches of the function in flight at an executor.
-    pub fn in_flight_at(&self, executor: ExecutorIndex) -> f64 {
-        let count = self.in_flight_at.get(&executor).copied();
+    pub fn in_flight_count_at(&self, executor: ExecutorIndex) -> f64 {
+        let count = self.in_flight_counts.get(&executor).copied();
         count.unwrap_or_default().into()
     }
 
@@ -182,7 +182,7 @@
             .take_if(|placement| forgotten.contains(&placement.executor));
         self.failed_at
             .take_if(|executor| forgotten.contains(executor));
-        self.unproven_failure_at
+        self.unattributed_failure
             .take_if(|executor| forgotten.contains(executor));
         self.last_warm
             .take_if(|last| forgotten.contains(&last.executor));
@@ -199,13 +199,13 @@
     }
 
     /// Notes that it failed at an executor before any was seen to serve it.
-    pub fn record_unproven_failure(&mut self, executor: ExecutorIndex) {
-        self.unproven_failure_at = Some(executor);
+    pub fn record_unattributed_failure(&mut self, executor: ExecutorIndex) {
+        self.unattributed_failure = Some(executor);
     }
 
     /// Takes out where it failed before any executor was seen to serve it, if that is not at `server`, which serves it.
-    pub fn take_failure_proven_by(&mut self, server: ExecutorIndex) -> Option<ExecutorIndex> {
-        self.unproven_failure_at
+    pub fn take_unattributed_failure(&mut self, server: ExecutorIndex) -> Option<ExecutorIndex> {
+        self.unattributed_failure
             .take_if(|failed_at| *failed_at != server)
     }
 
@@ -227,7 +227,7 @@
     }
 
     /// Where the last placement failed.
-    pub fn last_placement_failed_at(&self) -> Option<ExecutorIndex> {
+    pub fn last_failed_placement(&self) -> Option<ExecutorIndex> {
         self.failed_at
     }
 
--- a/crates/dispatch-policy/src/state/function_table.rs
+++ b/crates/dispatch-policy/src/state/function_table.rs
@@ -45,7 +45,7 @@
     }
 
     /// Number of functions.
-    pub fn used(&self) -> usize {
+    pub fn function_count(&self) -> usize {
         self.by_key.len()
     }
 
--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -22,7 +22,7 @@
 mod workload;
 
 pub use endpoint_updates::apply_endpoint_update;
-pub use executor::{DispatchAt, Executor, LoadEstimate};
+pub use executor::{Executor, ExecutorDispatch, LoadEstimate};
 pub use executor_table::ExecutorTable;
 pub use function::{Function, LastWarm, Placement};
 pub use function_table::FunctionTable;
--- a/crates/dispatch-policy/src/state/outlier_stats.rs
+++ b/crates/dispatch-policy/src/state/outlier_stats.rs
@@ -123,7 +123,7 @@
     }
 
     /// An upper bound of the number of executors that are ejected.
-    pub fn max_ejected(&self) -> usize {
+    pub fn ejected_upper_bound(&self) -> usize {
         self.outliers.ejected.len()
     }
 
@@ -163,11 +163,11 @@
     }
 
     /// Whether any executor in an executor's zone was heard after a moment.
-    pub fn zone_heard_after(&self, executor: ExecutorIndex, moment: f64) -> bool {
+    pub fn zone_responded_after(&self, executor: ExecutorIndex, moment: f64) -> bool {
         let zone = self[executor].zone();
         self.executors
             .iter()
-            .any(|other| other.zone() == zone && other.last_heard_at > moment)
+            .any(|other| other.zone() == zone && other.last_response_at > moment)
     }
 
     /// Notes a connection failure now of all executors in an executor's zone.
--- a/crates/dispatch-policy/src/state/statistics.rs
+++ b/crates/dispatch-policy/src/state/statistics.rs
@@ -17,7 +17,7 @@
     }
 
     /// Starts a pause: `first` seconds long, doubled for each earlier rejection, `max_doublings` times at most.
-    pub fn grow(&mut self, now: f64, first: f64, max_doublings: i32) {
+    pub fn start(&mut self, now: f64, first: f64, max_doublings: i32) {
         self.until = now + first * 2f64.powi(self.rejections.min(max_doublings));
         self.rejections += 1;
     }
@@ -44,14 +44,21 @@
     }
 
     /// Adds the tokens of the time since the last use, `rate` a second, up to `capacity`.
-    pub fn fill(&mut self, now: f64, rate: f64, capacity: f64) {
+    pub fn refill(&mut self, now: f64, rate: f64, capacity: f64) {
         self.tokens = (self.tokens + (now - self.filled_at) * rate).min(capacity);
         self.filled_at = now;
     }
 
     /// Fills the bucket, then takes `cost` tokens if there are `required` of them; tells whether it did.
-    pub fn take(&mut self, now: f64, rate: f64, capacity: f64, cost: f64, required: f64) -> bool {
-        self.fill(now, rate, capacity);
+    pub fn try_take(
+        &mut self,
+        now: f64,
+        rate: f64,
+        capacity: f64,
+        cost: f64,
+        required: f64,
+    ) -> bool {
+        self.refill(now, rate, capacity);
         let is_granted = self.tokens >= required;
         self.tokens -= if is_granted { cost } else { 0.0 };
         is_granted
--- a/crates/dispatch-policy/src/state/workload.rs
+++ b/crates/dispatch-policy/src/state/workload.rs
@@ -36,7 +36,7 @@
         let invocation = self.invocations.get_mut(index);
         invocation.add_dispatch(executor, now, is_placement);
         let function = &mut self.functions[invocation.function()];
-        *function.in_flight_at.entry(executor).or_default() += 1;
+        *function.in_flight_counts.entry(executor).or_default() += 1;
         if !function.in_flight.contains(&index) {
             function.in_flight.push(index);
         }
@@ -51,7 +51,7 @@
         let invocation = self.invocations.get_mut(index);
         let ended = invocation.remove_dispatch(dispatch)?;
         let function = &mut self.functions[invocation.function()];
-        if let Entry::Occupied(mut count) = function.in_flight_at.entry(ended.executor) {
+        if let Entry::Occupied(mut count) = function.in_flight_counts.entry(ended.executor) {
             *count.get_mut() -= 1;
             if *count.get() == 0 {
                 count.remove();
--- a/crates/dispatch-policy/tests/statistics.rs
+++ b/crates/dispatch-policy/tests/statistics.rs
@@ -14,7 +14,7 @@
 fn backoff_doubles_up_to_a_bound_and_begins_anew_after_a_reset() {
     let mut backoff = Backoff::default();
     let mut pause = |now: f64| {
-        backoff.grow(now, 0.1, 2);
+        backoff.start(now, 0.1, 2);
         backoff.until() - now
     };
     assert_close(pause(10.0), 0.1);
@@ -23,14 +23,15 @@
     assert_close(pause(13.0), 0.4);
     backoff.reset();
     assert_close(backoff.until(), 13.4);
-    backoff.grow(20.0, 0.1, 2);
+    backoff.start(20.0, 0.1, 2);
     assert_close(backoff.until(), 20.1);
 }
 
 #[test]
 fn token_bucket_starts_full_and_fills_at_its_rate() {
     let mut bucket = TokenBucket::full(0.0);
-    let mut take = |now: f64, cost: f64, required: f64| bucket.take(now, 2.0, 3.0, cost, required);
+    let mut take =
+        |now: f64, cost: f64, required: f64| bucket.try_take(now, 2.0, 3.0, cost, required);
     assert!((0..3).all(|_| take(0.0, 1.0, 1.0)), "its capacity");
     assert!(!take(0.0, 1.0, 1.0));
     assert!(!take(0.4, 1.0, 1.0), "0.8 tokens");
--- a/crates/dispatch-policy/tests/table_indices.rs
+++ b/crates/dispatch-policy/tests/table_indices.rs
@@ -115,7 +115,7 @@
 
     fn apply(&mut self, is_full: bool, endpoints: &[Endpoint]) {
         for executor in self.executors.apply_endpoints(self.now, is_full, endpoints) {
-            self.executors.forget_beliefs(executor);
+            self.executors.clear_observations(executor);
             self.evict(|warm| warm.0 == executor);
         }
     }
@@ -148,13 +148,13 @@
             }
             4 if !self.sent.is_empty() => {
                 let (executor, sent_at) = self.sent.swap_remove(a % self.sent.len());
-                let ended: Vec<DispatchAt> = self.executors[executor]
+                let ended: Vec<ExecutorDispatch> = self.executors[executor]
                     .in_flight()
                     .iter()
                     .filter(|dispatch| dispatch.sent_at == sent_at)
                     .copied()
                     .collect();
-                for DispatchAt {
+                for ExecutorDispatch {
                     invocation,
                     sent_at,
                 } in ended
