--- a/crates/dispatch-policy/src/state/endpoint_updates.rs
+++ b/crates/dispatch-policy/src/state/endpoint_updates.rs
@@ -1,12 +1,13 @@
-//! What an endpoint update changes in the tables.
+//! Applies endpoint updates to the tables.
 
-use super::executor::{BacklogReport, Executor, put_at};
+use super::executor::{BacklogReport, Executor, set_or_push};
 use super::ready_sets::ReadySets;
 use super::{Backoff, ExecutorIndex, ExecutorTable, Workload};
 use crate::interface::{Endpoint, EndpointState, EndpointUpdateKind};
 
-/// Applies an endpoint update and drops what was believed of executors that restarted, drain or are gone. Executors
-/// that are in no list since `forget_before`, in seconds, and that nothing refers to any more are forgotten.
+/// Applies an endpoint update and clears what was observed of executors that restarted, started to drain or are gone.
+/// Executors that have been in no list since before `forget_before`, in seconds, are removed from the tables unless
+/// something still refers to them.
 pub fn apply_endpoint_update(
     executors: &mut ExecutorTable,
     workload: &mut Workload,
@@ -21,21 +22,22 @@
     for executor in invalidated {
         executors.clear_observations(executor);
     }
-    let mut departed = executors.departed(forget_before);
-    departed.retain(|&executor| !workload.invocations.may_have_run_at(executor));
-    workload.functions.forget_executors(&departed);
-    for executor in departed {
+    let mut removed = executors.removed_before(forget_before);
+    removed.retain(|&executor| !workload.invocations.may_have_run_at(executor));
+    workload.functions.forget_executors(&removed);
+    for executor in removed {
         executors.release(executor);
     }
 }
 
 impl ExecutorTable {
-    /// The index of an endpoint's executor, which is added where it is new. An address that now stands in another
-    /// place is another executor's: that one is as cold and as doubtful as the first, and the work sent there
-    /// still weighs on it.
+    /// Returns the index of an endpoint's executor; a new executor is added. If the zone, kind or cell of a known
+    /// address changed, another executor uses the address now. It starts with the start time, the last connection
+    /// failure and the recent work of the executor that it replaces.
     fn find_or_insert(&mut self, endpoint: &Endpoint, now: f64) -> ExecutorIndex {
         let known = self.find(endpoint.executor);
-        if let Some(executor) = known.filter(|&executor| self[executor].is_at(endpoint)) {
+        if let Some(executor) = known.filter(|&executor| self[executor].matches_location(endpoint))
+        {
             return executor;
         }
         let index = self
@@ -44,7 +46,7 @@
             .unwrap_or_else(|| ExecutorIndex::new(self.executors.len()));
         self.by_id.insert(endpoint.executor, index);
         let mut executor = Executor::new(endpoint);
-        // The list of candidates refers to the slot, whoever has it.
+        // The list of candidates refers to the slot, so the flag stays with the slot when it is reused.
         if let Some(previous) = self.executors.get(index.position()) {
             executor.outlier.is_candidate = previous.outlier.is_candidate;
         }
@@ -58,13 +60,13 @@
             self.outliers.add_failed(index);
         }
         let kind = executor.kind();
-        put_at(&mut self.executors, index, executor);
+        set_or_push(&mut self.executors, index, executor);
         self.add_kind(kind);
         index
     }
 
-    /// Applies the endpoints of an update, and returns the executors of which all that was believed is void: those
-    /// that restarted, drain or are gone. From a full list, executors that are gone are missing.
+    /// Applies the endpoints of an update and returns the executors whose observations are no longer valid: those that
+    /// restarted, started to drain or are gone. A full list removes every executor that it does not contain.
     pub fn apply_endpoints(
         &mut self,
         now: f64,
@@ -109,25 +111,25 @@
             self.update_ranking_pools();
         }
         if has_changed || !invalidated.is_empty() {
-            // Every load may be another one: what was known of changes is of no use.
+            // Any load may have changed, so the log of changes is no longer complete.
             self.load_changes.invalidate();
             self.restart_all_warmups();
         }
         invalidated
     }
 
-    /// Executors that are in no list since before a moment, with nothing in flight.
-    fn departed(&self, since: f64) -> Vec<ExecutorIndex> {
-        let is_departed = |&executor: &ExecutorIndex| {
+    /// Returns the executors that have been in no list since before a time and that have nothing in flight.
+    fn removed_before(&self, before: f64) -> Vec<ExecutorIndex> {
+        let is_removed = |&executor: &ExecutorIndex| {
             let executor = &self[executor];
             executor.removed_at.is_finite()
-                && executor.removed_at < since
+                && executor.removed_at < before
                 && executor.in_flight.is_empty()
         };
-        self.indices().filter(is_departed).collect()
+        self.indices().filter(is_removed).collect()
     }
 
-    /// Drops an executor; its index is another's from then on.
+    /// Removes an executor. Its index may be reused for another executor.
     fn release(&mut self, index: ExecutorIndex) {
         let executor = &mut self.executors[index.position()];
         executor.removed_at = f64::NEG_INFINITY;
@@ -138,7 +140,8 @@
         self.free.push(index);
     }
 
-    /// Drops what was believed of an executor. What is in flight there still counts, and so does what was sent.
+    /// Clears an executor's backlog report, backoff, rejections and latency samples. Its dispatches in flight and the
+    /// record of recently sent work are kept.
     pub fn clear_observations(&mut self, index: ExecutorIndex) {
         let executor = &mut self.executors[index.position()];
         executor.backlog = BacklogReport::NONE;
--- a/crates/dispatch-policy/src/state/executor.rs
+++ b/crates/dispatch-policy/src/state/executor.rs
@@ -1,4 +1,4 @@
-//! The record of one executor: what the endpoint list says of it, and what this front end saw of it.
+//! The record of one executor: its entry in the endpoint list and what this front end observed of it.
 
 use super::{Backoff, ExecutorIndex, InvocationIndex};
 use crate::interface::{DispatchStatus, Endpoint, ExecutorId};
@@ -13,51 +13,51 @@
     pub sent_at: f64,
 }
 
-/// Work that was sent to an executor.
+/// The expected work of one dispatch.
 #[derive(Clone, Copy)]
 pub(super) struct SentWork {
     pub(super) sent_at: f64,
-    /// Expected seconds.
+    /// Expected work, in seconds.
     pub(super) work: f64,
 }
 
-/// The invocations that an executor reported waiting.
+/// An executor's latest report of how many invocations wait there.
 #[derive(Clone, Copy)]
 pub(super) struct BacklogReport {
     pub(super) invocations: f64,
-    /// When it was reported, in seconds; minus infinity for never.
+    /// When it was reported, in seconds; minus infinity if there was no report.
     pub(super) reported_at: f64,
 }
 
 impl BacklogReport {
-    /// No report yet.
+    /// The value for an executor without a report.
     pub(super) const NONE: BacklogReport = BacklogReport {
         invocations: 0.0,
         reported_at: f64::NEG_INFINITY,
     };
 }
 
-/// How long a result took, relative to the baseline latency.
+/// The latency of one result, relative to the baseline latency.
 #[derive(Clone, Copy)]
 pub(super) struct LatencySample {
     pub(super) recorded_at: f64,
-    /// In baseline latencies; infinity for a failure.
+    /// A multiple of the baseline latency; infinity for a failure.
     pub(super) latency: f64,
 }
 
-/// What outlier detection knows of an executor.
+/// The state of outlier detection for one executor.
 #[derive(Default)]
 pub(super) struct OutlierStats {
-    /// The latest results, in the order in which they came.
+    /// The latest samples, oldest first.
     pub(super) samples: VecDeque<LatencySample>,
     pub(super) is_ejected: bool,
-    /// Whether it stands in the table's list of executors with enough samples.
+    /// Whether the executor is in the table's list of executors with enough samples.
     pub(super) is_candidate: bool,
-    /// While it is ejected, no trial dispatch is made before, in seconds.
+    /// The earliest time of the next trial dispatch to an ejected executor, in seconds.
     pub(super) next_trial_at: f64,
 }
 
-/// An executor. The [`ExecutorTable`](super::ExecutorTable) changes it and keeps its indices in step.
+/// An executor. Only the [`ExecutorTable`](super::ExecutorTable) changes it, so that its indices stay consistent.
 pub struct Executor {
     id: ExecutorId,
     zone: u8,
@@ -69,20 +69,20 @@
     pub(super) in_flight: Vec<ExecutorDispatch>,
     pub(super) last_response_at: f64,
     pub(super) last_failure_at: f64,
-    /// Results `Full` in a row.
+    /// Number of consecutive `Full` results.
     pub(super) consecutive_rejections: usize,
-    /// Nothing is in flight, and no backoff can be under way.
+    /// True only if nothing is in flight and no backoff is under way. May be false for an idle executor.
     pub(super) is_idle: bool,
     pub(super) full_backoff: Backoff,
     pub(super) backlog: BacklogReport,
     pub(super) outlier: OutlierStats,
     pub(super) recent_work: VecDeque<SentWork>,
-    /// Since when it is in no endpoint list: infinity while it is in one, minus infinity where the slot is free.
+    /// When it left the endpoint list: infinity while it is listed, minus infinity if the slot is free.
     pub(super) removed_at: f64,
 }
 
 impl Executor {
-    /// An executor of which nothing but its place is known.
+    /// Creates the record of an executor of which only the address, zone, kind and cell are known.
     pub(super) fn new(endpoint: &Endpoint) -> Executor {
         Executor {
             id: endpoint.executor,
@@ -105,93 +105,95 @@
         }
     }
 
-    /// Whether an endpoint of the same address is this executor, and not another one in its stead.
-    pub(super) fn is_at(&self, endpoint: &Endpoint) -> bool {
+    /// Returns whether an endpoint has the executor's zone, kind and cell. An endpoint with the same address for which
+    /// this is false belongs to another executor.
+    pub(super) fn matches_location(&self, endpoint: &Endpoint) -> bool {
         (self.zone, self.kind, self.cell) == (endpoint.zone, endpoint.kind, endpoint.cell)
     }
 
-    /// Address and port.
+    /// Returns its address and port.
     pub fn id(&self) -> ExecutorId {
         self.id
     }
 
-    /// Its zone.
+    /// Returns its zone.
     pub fn zone(&self) -> u8 {
         self.zone
     }
 
-    /// Its hardware kind.
+    /// Returns its hardware kind.
     pub fn kind(&self) -> usize {
         self.kind.into()
     }
 
-    /// Its cell.
+    /// Returns its cell.
     pub fn cell(&self) -> u16 {
         self.cell
     }
 
-    /// Whether the endpoint list says that it is ready.
+    /// Returns whether the endpoint list has it as ready.
     pub fn is_ready(&self) -> bool {
         self.is_ready
     }
 
-    /// Its capacity relative to others.
+    /// Returns its capacity relative to other executors.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// When it last started, in seconds.
+    /// Returns when it last started, in seconds.
     pub fn started_at(&self) -> f64 {
         self.started_at
     }
 
-    /// This front end's dispatches in flight there.
+    /// Returns this front end's dispatches in flight there.
     pub fn in_flight(&self) -> &[ExecutorDispatch] {
         &self.in_flight
     }
 
-    /// The number of this front end's dispatches in flight there.
+    /// Returns the number of this front end's dispatches in flight there.
     pub fn in_flight_count(&self) -> f64 {
         self.in_flight.len() as f64
     }
 
-    /// When it last answered itself, in seconds.
+    /// Returns when it last ended a dispatch itself, in seconds.
     pub fn last_response_at(&self) -> f64 {
         self.last_response_at
     }
 
-    /// When a connection to it last broke or could not be made, in seconds.
+    /// Returns when a connection to it last broke or could not be made, in seconds.
     pub fn last_failure_at(&self) -> f64 {
         self.last_failure_at
     }
 
-    /// Dispatches and load commands in a row that it rejected as `Full`.
+    /// Returns the number of consecutive dispatches and load commands that it rejected as `Full`.
     pub fn consecutive_rejections(&self) -> usize {
         self.consecutive_rejections
     }
 
-    /// Whether it surely has nothing in flight and no backoff: it has capacity wherever it may have one
-    /// dispatch at a time.
+    /// Returns true only if nothing is in flight there and no backoff is under way; may return false for an idle
+    /// executor. An idle executor has capacity under any concurrency limit of at least one.
     pub fn is_idle(&self) -> bool {
         self.is_idle
     }
 
-    /// Until when it takes no dispatch after a result `Full`, in seconds.
+    /// Returns when its backoff after a `Full` result ends, in seconds.
     pub fn backoff_until(&self) -> f64 {
         self.full_backoff.until()
     }
 
-    /// Whether outlier detection has ejected it.
+    /// Returns whether outlier detection has ejected it.
     pub fn is_ejected(&self) -> bool {
         self.outlier.is_ejected
     }
 
-    /// No trial dispatch is made before while it is ejected, in seconds.
+    /// Returns the earliest time of the next trial dispatch while it is ejected, in seconds.
     pub fn next_trial_at(&self) -> f64 {
         self.outlier.next_trial_at
     }
 
-    /// Work sent to it after a moment, in seconds, as far as it is still kept.
+    /// Returns the expected work, in seconds, of the dispatches sent to it after a time. Entries older than the
+    /// `work_lifetime` given to [`ExecutorTable::record_dispatch`](super::ExecutorTable::record_dispatch) are missing.
     pub fn work_sent_since(&self, since: f64) -> f64 {
         self.recent_work
             .iter()
@@ -200,7 +202,7 @@
             .sum()
     }
 
-    /// Dispatches in flight since after it was last heard.
+    /// Returns the dispatches in flight that were sent after its last response.
     pub fn unanswered_dispatches(&self) -> impl Iterator<Item = ExecutorDispatch> + '_ {
         self.in_flight
             .iter()
@@ -208,7 +210,7 @@
             .filter(|dispatch| dispatch.sent_at > self.last_response_at)
     }
 
-    /// Notes that the executor itself ended a dispatch, if the status says so.
+    /// Updates the time of the last response if the status shows that the executor itself ended the dispatch.
     pub(super) fn record_response(&mut self, status: DispatchStatus, now: f64) {
         match status {
             DispatchStatus::TimedOut
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Counts rejections in a row.
+    /// Counts consecutive `Full` results; a success resets the count.
     pub(super) fn count_rejection(&mut self, status: DispatchStatus) {
         match status {
             DispatchStatus::Full => self.consecutive_rejections += 1,
@@ -233,26 +235,26 @@
     }
 }
 
-/// The load by which executors are compared; of several executors, the best of each, so that none of them is less
-/// loaded than this.
+/// The load by which executors are compared. For several executors, each field has the best value among them, so that
+/// none of them is less loaded than the estimate.
 #[derive(Clone, Copy, PartialEq)]
 pub struct LoadEstimate {
     /// This front end's dispatches in flight.
     pub in_flight: f64,
-    /// Invocations reported waiting.
+    /// Number of invocations that the executor reported as waiting.
     pub backlog: f64,
-    /// The first time at which one of them reported, in seconds.
+    /// The earliest report of the executors, in seconds.
     pub earliest_report_at: f64,
-    /// The last time at which one of them reported, in seconds.
+    /// The latest report of the executors, in seconds.
     pub latest_report_at: f64,
-    /// Capacity relative to others.
+    /// Capacity relative to other executors.
     pub weight: f64,
-    /// Whether it is in the front end's own zone.
+    /// Whether one of the executors is in the front end's own zone.
     pub is_local: bool,
 }
 
 impl LoadEstimate {
-    /// The load of no executor.
+    /// The estimate for an empty set of executors.
     pub(super) const NONE: LoadEstimate = LoadEstimate {
         in_flight: f64::INFINITY,
         backlog: f64::INFINITY,
@@ -262,7 +264,7 @@
         is_local: false,
     };
 
-    /// The best of both.
+    /// Combines two estimates: each field gets the better value.
     pub(super) fn best(&self, other: &LoadEstimate) -> LoadEstimate {
         LoadEstimate {
             in_flight: self.in_flight.min(other.in_flight),
@@ -275,8 +277,8 @@
     }
 }
 
-/// Sets the entry at a position, or appends it at the next one.
-pub(super) fn put_at(executors: &mut Vec<Executor>, index: ExecutorIndex, executor: Executor) {
+/// Replaces the entry at an index, or appends it if the index is one past the end.
+pub(super) fn set_or_push(executors: &mut Vec<Executor>, index: ExecutorIndex, executor: Executor) {
     if index.position() == executors.len() {
         executors.push(executor);
     } else {
--- a/crates/dispatch-policy/src/state/executor_table.rs
+++ b/crates/dispatch-policy/src/state/executor_table.rs
@@ -1,4 +1,5 @@
-//! All executors, by their dense indices, and the indices over them that dispatches keep in step.
+//! The table of all executors, addressed by dense indices, and the lookup structures that every change keeps up to
+//! date.
 
 use super::executor::{Executor, SentWork};
 use super::kind_stats::KindStats;
@@ -19,16 +20,16 @@
     pub(super) free: Vec<ExecutorIndex>,
     pub(super) ready: ReadySets,
     pub(super) ranking_pools: RankingPools,
-    /// Executors with dispatches in flight.
+    /// The executors with dispatches in flight.
     busy: BTreeSet<ExecutorIndex>,
-    /// Dispatches in flight at all executors together.
+    /// Total number of dispatches in flight.
     in_flight_count: usize,
     pub(super) load_changes: LoadChanges,
     /// By hardware kind.
     pub(super) kinds: Vec<KindStats>,
     pub(super) all_are_warm: bool,
     pub(super) outliers: OutlierIndex,
-    /// Zone of the front end.
+    /// The zone of the front end.
     own_zone: u8,
     pub(super) regions: Regions,
 }
@@ -42,7 +43,7 @@
 }
 
 impl ExecutorTable {
-    /// An empty table, seen from a front end in a zone.
+    /// Creates an empty table for a front end in `own_zone`.
     pub fn new(own_zone: u8, requirements: SampleRequirements) -> ExecutorTable {
         ExecutorTable {
             own_zone,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The same table with the regions of zones, by the zones' numbers. It has to be empty.
+    /// Returns the table with the region of each zone, indexed by zone number. The table has to be empty.
     pub fn with_regions(self, region_of_zone: Vec<Option<u8>>) -> ExecutorTable {
         ExecutorTable {
             regions: Regions::new(region_of_zone, self.own_zone),
@@ -59,42 +60,43 @@
         }
     }
 
-    /// Slots of executors, the free ones included.
+    /// Returns the number of slots, including free ones.
     pub fn len(&self) -> usize {
         self.executors.len()
     }
 
-    /// Whether there is no slot.
+    /// Returns whether there are no slots.
     pub fn is_empty(&self) -> bool {
         self.executors.is_empty()
     }
 
-    /// The indices of all slots.
+    /// Returns the indices of all slots, including free ones.
     pub fn indices(&self) -> impl Iterator<Item = ExecutorIndex> + use<> {
         (0..self.executors.len()).map(ExecutorIndex::new)
     }
 
-    /// The executor at an address.
+    /// Returns the index of the executor at an address.
     pub fn find(&self, id: ExecutorId) -> Option<ExecutorIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// The ready executors.
+    /// Returns the ready executors.
     pub fn ready(&self) -> &[ExecutorIndex] {
         self.ready.all()
     }
 
-    /// The number of ready executors.
+    /// Returns the number of ready executors.
     pub fn ready_count(&self) -> usize {
         self.ready.all().len()
     }
 
-    /// The ready executors of the front end's own region.
+    /// Returns the ready executors in the front end's own region.
     pub fn ready_in_own_region(&self) -> &[ExecutorIndex] {
         self.ready.in_own_region()
     }
 
-    /// The ready executors that share a deduplication scope with an executor, or all of them.
+    /// Returns the ready executors that share a deduplication scope with `member`, or all ready executors if it is
+    /// `None`.
     pub fn ready_in_scope(
         &self,
         scope: DeduplicationScope,
@@ -106,12 +108,12 @@
         }
     }
 
-    /// Whether an executor is in the front end's own region.
+    /// Returns whether an executor is in the front end's own region.
     pub fn is_in_own_region(&self, executor: ExecutorIndex) -> bool {
-        self.regions.is_own(self[executor].zone())
+        self.regions.is_own_region(self[executor].zone())
     }
 
-    /// Whether two executors recognize each other's idempotency keys.
+    /// Returns whether two executors recognize each other's idempotency keys.
     pub fn share_scope(
         &self,
         scope: DeduplicationScope,
@@ -126,7 +128,7 @@
         }
     }
 
-    /// The load of an executor.
+    /// Returns the load of an executor.
     pub fn load_of(&self, executor: ExecutorIndex) -> LoadEstimate {
         let executor = &self[executor];
         LoadEstimate {
@@ -139,12 +141,12 @@
         }
     }
 
-    /// Dispatches in flight at all executors together.
+    /// Returns the total number of dispatches in flight.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight_count
     }
 
-    /// The invocations with a dispatch in flight, in the order of the executors.
+    /// Returns the invocation of each dispatch in flight, ordered by executor index.
     pub fn invocations_in_flight(&self) -> impl Iterator<Item = InvocationIndex> + '_ {
         self.busy
             .iter()
@@ -152,7 +154,7 @@
             .map(|dispatch| dispatch.invocation)
     }
 
-    /// Notes the invocations that an executor reports waiting.
+    /// Records how many invocations an executor reports as waiting.
     pub fn record_backlog(&mut self, executor: ExecutorIndex, invocations: f64, now: f64) {
         let backlog = &mut self.executors[executor.position()].backlog;
         backlog.invocations = invocations;
@@ -160,7 +162,8 @@
         self.load_changes.record(executor);
     }
 
-    /// Notes a dispatch of so much expected work, which is kept for `work_lifetime` seconds.
+    /// Records a dispatch with `work` seconds of expected work, which stays recorded for at least `work_lifetime`
+    /// seconds.
     pub fn record_dispatch(
         &mut self,
         executor: ExecutorIndex,
@@ -189,20 +192,20 @@
         self.in_flight_count += 1;
     }
 
-    /// Takes the expected work of a dispatch off what was sent to an executor, and returns it.
+    /// Removes the expected work of the dispatch sent at `sent_at` from an executor's recent work and returns it.
     pub fn take_sent_work(&mut self, executor: ExecutorIndex, sent_at: f64) -> Option<f64> {
         let recent = &mut self.executors[executor.position()].recent_work;
         let position = recent.iter().position(|sent| sent.sent_at == sent_at)?;
         recent.remove(position).map(|sent| sent.work)
     }
 
-    /// Adds expected work to what was sent to an executor.
+    /// Adds expected work, in seconds, to an executor's recent work.
     pub fn add_sent_work(&mut self, executor: ExecutorIndex, sent_at: f64, work: f64) {
         let recent = &mut self.executors[executor.position()].recent_work;
         recent.push_back(SentWork { sent_at, work });
     }
 
-    /// Notes the end of a dispatch, by when it was sent.
+    /// Records the end of an invocation's dispatch that was sent at `sent_at`.
     pub fn record_dispatch_end(
         &mut self,
         executor: ExecutorIndex,
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Notes the status of a dispatch as a sign of life and as a rejection.
+    /// Updates an executor's last response and its count of consecutive rejections from the status of a dispatch.
     pub fn record_dispatch_status(
         &mut self,
         executor: ExecutorIndex,
@@ -237,12 +240,13 @@
         record.count_rejection(status);
     }
 
-    /// Notes the status of a load command as a rejection.
+    /// Updates an executor's count of consecutive rejections from the status of a load command.
     pub fn record_load_status(&mut self, executor: ExecutorIndex, status: DispatchStatus) {
         self.executors[executor.position()].count_rejection(status);
     }
 
-    /// Has an executor that answered `Full` take no dispatch for a time that grows with each such answer in a row.
+    /// Starts a backoff after a `Full` result: `first` seconds, doubled for each consecutive one up to `max_doublings`
+    /// times.
     pub fn start_full_backoff(
         &mut self,
         executor: ExecutorIndex,
@@ -255,7 +259,7 @@
         record.is_idle = false;
     }
 
-    /// Has the next backoff of an executor be a short one again.
+    /// Resets the duration of an executor's next backoff to the initial one.
     pub fn reset_full_backoff(&mut self, executor: ExecutorIndex) {
         self.executors[executor.position()].full_backoff.reset();
     }
--- a/crates/dispatch-policy/src/state/function.rs
+++ b/crates/dispatch-policy/src/state/function.rs
@@ -1,4 +1,4 @@
-//! The record of one function: its warm replicas, its queue, its placement, and what was seen of its traffic.
+//! The record of one function: its warm replicas, its queue, its placement and its recent traffic.
 
 use super::{
     DecayingSum, ExecutorIndex, ExecutorTable, InvocationIndex, Ranking, WarmReplica,
@@ -6,23 +6,23 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A placement that is under way: the load of a further replica.
+/// A placement under way: one more replica is being loaded.
 #[derive(Clone, Copy)]
 pub struct Placement {
     /// Where the replica is loaded.
     pub executor: ExecutorIndex,
-    /// Whether it is loaded by a load command; else by the dispatch of an invocation.
+    /// Whether a load command loads it. If false, the dispatch of an invocation does.
     pub is_load_command: bool,
-    /// When it counts as failed, in seconds.
+    /// When the placement counts as failed, in seconds.
     pub expires_at: f64,
 }
 
-/// The executor last seen to have a function loaded.
+/// The executor on which a warm replica of a function was observed last.
 #[derive(Clone, Copy)]
 pub struct LastWarm {
     /// The executor.
     pub executor: ExecutorIndex,
-    /// When it was seen, in seconds.
+    /// When it was observed, in seconds.
     pub seen_at: f64,
 }
 
@@ -30,40 +30,40 @@
 #[derive(Default)]
 pub struct Function {
     key: u64,
-    /// Invocations that one replica runs at a time; a whole number of at least one.
+    /// Number of invocations that one replica runs at a time; a whole number of at least one.
     concurrency: f64,
     load_time: f64,
-    /// The executors known to have it loaded.
+    /// The executors known to have the function loaded.
     warm_replicas: WarmReplicaSet,
     pub(super) waiting: Vec<InvocationIndex>,
-    /// Invocations with a dispatch in flight.
+    /// The invocations with a dispatch in flight.
     pub(super) in_flight: Vec<InvocationIndex>,
-    /// How many dispatches are in flight at each executor.
+    /// Number of dispatches in flight at each executor.
     pub(super) in_flight_counts: BTreeMap<ExecutorIndex, u32>,
     placement: Option<Placement>,
-    /// Where the last placement failed.
-    failed_at: Option<ExecutorIndex>,
-    /// Placements that failed in a row.
-    failed_placements: i32,
-    /// No placement is started before.
+    /// The executor of the last placement, if that failed.
+    last_failed_placement: Option<ExecutorIndex>,
+    /// Number of consecutive failed placements.
+    consecutive_placement_failures: i32,
+    /// The earliest start of the next placement.
     next_placement_at: f64,
     last_warm: Option<LastWarm>,
-    /// Whether an executor was ever seen to serve it.
+    /// Whether any executor has served the function.
     was_served: bool,
-    /// Where it failed before any executor was seen to serve it.
+    /// The executor at which the function failed before any executor had served it.
     unattributed_failure: Option<ExecutorIndex>,
-    /// Mean of the reported concurrency over the fleet, and the number of reports.
+    /// Mean concurrency that executors report for the function, and the number of reports.
     fleet_concurrency: f64,
     concurrency_reports: f64,
-    /// This front end's recent invocations of it.
+    /// This front end's recent invocations of the function.
     arrivals: DecayingSum,
-    /// The executors that come first for it.
+    /// The highest-ranked executors for the function.
     ranking: Ranking,
 }
 
 impl Function {
-    /// A function that was never invoked. Its concurrency is rounded down, to one at least; its load time is in
-    /// seconds.
+    /// Creates a function that was never invoked. The concurrency is rounded down, to one at least; the load time is
+    /// in seconds.
     pub(super) fn new(key: u64, concurrency: f64, load_time: f64) -> Function {
         Function {
             key,
@@ -73,75 +73,76 @@
         }
     }
 
-    /// Key of the function.
+    /// Returns the key of the function.
     pub fn key(&self) -> u64 {
         self.key
     }
 
-    /// Invocations that one replica runs at a time.
+    /// Returns how many invocations one replica runs at a time.
     pub fn concurrency(&self) -> f64 {
         self.concurrency
     }
 
-    /// The invocations that wait for a dispatch, oldest first.
+    /// Returns the invocations that wait for a dispatch, in the order in which they were queued.
     pub fn waiting(&self) -> &[InvocationIndex] {
         &self.waiting
     }
 
-    /// The invocations with a dispatch in flight.
+    /// Returns the invocations with a dispatch in flight.
     pub fn in_flight(&self) -> &[InvocationIndex] {
         &self.in_flight
     }
 
-    /// This front end's dispatches of the function in flight at an executor.
+    /// Returns the number of this front end's dispatches of the function in flight at an executor.
     pub fn in_flight_count_at(&self, executor: ExecutorIndex) -> f64 {
         let count = self.in_flight_counts.get(&executor).copied();
         count.unwrap_or_default().into()
     }
 
-    /// Adds an invocation of it to the recent ones.
+    /// Counts an invocation as a recent arrival.
     pub fn record_arrival(&mut self, now: f64, time_constant: f64) {
         self.arrivals.add(1.0, now, time_constant);
     }
 
-    /// This front end's recent invocations of it.
+    /// Returns the exponentially decayed number of this front end's invocations of the function.
     pub fn recent_arrivals(&self, now: f64, time_constant: f64) -> f64 {
         self.arrivals.at(now, time_constant)
     }
 
-    /// The executors that come first for it, as many as were ranked.
+    /// Returns the highest-ranked executors for the function, as many as were ranked so far.
     pub fn ranking(&self) -> &Ranking {
         &self.ranking
     }
 
-    /// Makes sure that the ranking has the first `count` ready executors, or all there are.
+    /// Extends the ranking to the first `count` ready executors, or to all if there are fewer.
     pub fn update_ranking(&mut self, executors: &ExecutorTable, count: usize) {
         executors.rank(&mut self.ranking, self.key, count);
     }
 
-    /// The executors known to have it loaded, the expired ones included.
+    /// Returns the executors known to have the function loaded, including expired replicas.
     pub fn warm_replicas(&self) -> &WarmReplicaSet {
         &self.warm_replicas
     }
 
-    /// Takes the loads of executors that changed into the warm replicas. It has to be called before a search.
+    /// Updates the warm replicas with the executor loads that changed. Has to be called before
+    /// [`WarmReplicaSet::min_by_score`].
     pub fn refresh_warm_replicas(&mut self, executors: &ExecutorTable) {
         self.warm_replicas.refresh(executors);
     }
 
-    /// Notes that an executor has no capacity for it.
+    /// Marks the warm replica of an executor as having no capacity.
     pub fn record_full(&mut self, executor: ExecutorIndex) {
-        self.warm_replicas.set_full(executor);
+        self.warm_replicas.mark_full(executor);
     }
 
-    /// The warm replicas that are relied on at a time.
+    /// Returns the warm replicas that have not expired at `now`.
     pub fn unexpired_replicas(&self, now: f64) -> impl Iterator<Item = &WarmReplica> + Clone {
         self.warm_replicas
             .iter()
             .filter(move |replica| replica.expires_at > now)
     }
 
-    /// Adds or renews a warm replica.
+    /// Adds the warm replica of an executor, or renews the one that it has.
     pub fn record_warm(&mut self, executor: ExecutorIndex, now: f64, expires_at: f64) {
         self.last_warm = Some(LastWarm {
             executor,
@@ -151,24 +152,24 @@
         self.warm_replicas.add(executor, expires_at);
     }
 
-    /// Whether an executor is known to have the function loaded.
+    /// Returns whether an executor has a warm replica that has not expired at `now`.
     pub fn is_warm(&self, executor: ExecutorIndex, now: f64) -> bool {
         self.warm_replicas.is_warm(executor, now)
     }
 
-    /// Drops the warm replica of an executor.
+    /// Removes the warm replica of an executor.
     pub fn evict(&mut self, executor: ExecutorIndex) {
         self.warm_replicas.remove(executor);
         self.last_warm.take_if(|last| last.executor == executor);
     }
 
-    /// Drops the warm replicas that have expired.
+    /// Removes the warm replicas that have expired.
     pub(super) fn drop_expired(&mut self, now: f64) {
         self.warm_replicas
             .retain(|replica| replica.expires_at > now);
     }
 
-    /// Drops the warm replicas of some executors.
+    /// Removes the warm replicas of some executors.
     pub(super) fn evict_executors(&mut self, evicted: &BTreeSet<ExecutorIndex>) {
         self.warm_replicas
             .retain(|replica| !evicted.contains(&replica.executor));
@@ -176,11 +177,12 @@
             .take_if(|last| evicted.contains(&last.executor));
     }
 
-    /// Drops whatever refers to executors that are forgotten.
+    /// Removes the references to executors that are about to be removed from the executor table, except for warm
+    /// replicas, which [`evict_executors`](Function::evict_executors) removes.
     pub(super) fn forget_executors(&mut self, forgotten: &BTreeSet<ExecutorIndex>) {
         self.placement
             .take_if(|placement| forgotten.contains(&placement.executor));
-        self.failed_at
+        self.last_failed_placement
             .take_if(|executor| forgotten.contains(executor));
         self.unattributed_failure
             .take_if(|executor| forgotten.contains(executor));
@@ -188,60 +190,63 @@
             .take_if(|last| forgotten.contains(&last.executor));
     }
 
-    /// The executor last seen to have it loaded.
+    /// Returns the executor on which a warm replica was observed last.
     pub fn last_warm(&self) -> Option<LastWarm> {
         self.last_warm
     }
 
-    /// Whether an executor was ever seen to serve it.
+    /// Returns whether any executor has served the function.
     pub fn was_served(&self) -> bool {
         self.was_served
     }
 
-    /// Notes that it failed at an executor before any was seen to serve it.
+    /// Records a failure at an executor before any executor has served the function. The function may be at fault as
+    /// well as the executor.
     pub fn record_unattributed_failure(&mut self, executor: ExecutorIndex) {
         self.unattributed_failure = Some(executor);
     }
 
-    /// Takes out where it failed before any executor was seen to serve it, if that is not at `server`, which serves it.
-    pub fn take_unattributed_failure(&mut self, server: ExecutorIndex) -> Option<ExecutorIndex> {
+    /// Removes the recorded unattributed failure and returns its executor, unless that is `served_by`, the executor
+    /// that has now served the function.
+    pub fn take_unattributed_failure(&mut self, served_by: ExecutorIndex) -> Option<ExecutorIndex> {
         self.unattributed_failure
-            .take_if(|failed_at| *failed_at != server)
+            .take_if(|failed| *failed != served_by)
     }
 
-    /// Mean of the reported concurrency over the fleet; 0 without reports.
+    /// Returns the mean concurrency that executors report for the function; 0 without reports.
     pub fn fleet_concurrency(&self) -> f64 {
         self.fleet_concurrency
     }
 
-    /// Takes a report into that mean by a weight; the first reports weigh more.
+    /// Adds a report to the mean concurrency with a weight from 0 to 1, or with 1/n for the n-th report if that is
+    /// more.
     pub fn record_fleet_concurrency(&mut self, concurrency: f64, weight: f64) {
         self.concurrency_reports += 1.0;
         let weight = weight.max(1.0 / self.concurrency_reports);
         self.fleet_concurrency += weight * (concurrency - self.fleet_concurrency);
     }
 
-    /// The placement under way.
+    /// Returns the placement under way.
     pub fn placement(&self) -> Option<Placement> {
         self.placement
     }
 
-    /// Where the last placement failed.
+    /// Returns the executor of the last placement if that failed.
     pub fn last_failed_placement(&self) -> Option<ExecutorIndex> {
-        self.failed_at
+        self.last_failed_placement
     }
 
-    /// No placement is started before.
+    /// Returns the earliest start of the next placement.
     pub fn next_placement_at(&self) -> f64 {
         self.next_placement_at
     }
 
-    /// Has no placement start before a time.
+    /// Sets the earliest start of the next placement.
     pub fn delay_placement_until(&mut self, at: f64) {
         self.next_placement_at = at;
     }
 
-    /// Notes that a placement is under way, which may take as long as so many loads.
+    /// Starts a placement, which counts as failed after `load_times` times the function's load time.
     pub fn begin_placement(
         &mut self,
         executor: ExecutorIndex,
@@ -256,8 +261,8 @@
         });
     }
 
-    /// Ends the placement of that kind at an executor, if one is under way. Returns the number of placements that
-    /// failed in a row, if this one failed.
+    /// Ends the placement of that kind at an executor, if one is under way. Returns the number of consecutive failed
+    /// placements if this one failed.
     pub fn end_placement(
         &mut self,
         executor: ExecutorIndex,
@@ -268,16 +273,16 @@
             placement.executor == executor && placement.is_load_command == is_load_command
         })?;
         if has_succeeded {
-            self.failed_at = None;
-            self.failed_placements = 0;
+            self.last_failed_placement = None;
+            self.consecutive_placement_failures = 0;
             return None;
         }
-        self.failed_at = Some(executor);
-        self.failed_placements += 1;
-        Some(self.failed_placements)
+        self.last_failed_placement = Some(executor);
+        self.consecutive_placement_failures += 1;
+        Some(self.consecutive_placement_failures)
     }
 
-    /// Whether nothing refers to it and it was not invoked since a moment.
+    /// Returns whether the function has no invocations, placement or warm replicas and was last invoked before `since`.
     pub(super) fn is_unused(&self, since: f64) -> bool {
         self.waiting.is_empty()
             && self.in_flight.is_empty()
--- a/crates/dispatch-policy/src/state/function_table.rs
+++ b/crates/dispatch-policy/src/state/function_table.rs
@@ -1,11 +1,11 @@
-//! The functions that this front end serves.
+//! The table of the functions that this front end serves.
 
 use super::{ExecutorIndex, Function, FunctionIndex};
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Index, IndexMut};
 
-/// A sweep looks at one of so many functions, and at a minimum of functions.
-const SWEEP_FRACTION: usize = 64;
+/// A sweep examines this fraction of the functions (one in `SWEEP_DIVISOR`), but at least `MIN_SWEPT`.
+const SWEEP_DIVISOR: usize = 64;
 const MIN_SWEPT: usize = 16;
 
 /// The functions, by their dense indices.
@@ -15,7 +15,7 @@
     by_key: HashMap<u64, FunctionIndex>,
     free: Vec<FunctionIndex>,
     pub(super) with_waiting: BTreeSet<FunctionIndex>,
-    /// Where the next sweep goes on.
+    /// The position that was swept last.
     sweep_position: usize,
 }
 
@@ -34,28 +34,28 @@
 }
 
 impl FunctionTable {
-    /// Slots of functions, the free ones included.
+    /// Returns the number of slots, including free ones.
     pub fn len(&self) -> usize {
         self.functions.len()
     }
 
-    /// Whether there is no slot.
+    /// Returns whether there are no slots.
     pub fn is_empty(&self) -> bool {
         self.functions.is_empty()
     }
 
-    /// Number of functions.
+    /// Returns the number of functions, without free slots.
     pub fn function_count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// The function of a key.
+    /// Returns the index of the function with a key.
     pub fn find(&self, key: u64) -> Option<FunctionIndex> {
         self.by_key.get(&key).copied()
     }
 
-    /// The function of a key, which is added where it is new, with the invocations that one replica runs at a time and
-    /// its load time in seconds.
+    /// Returns the index of the function with a key. A new function is added with the number of invocations that one
+    /// replica runs at a time and its load time in seconds.
     pub fn find_or_insert(&mut self, key: u64, concurrency: f64, load_time: f64) -> FunctionIndex {
         *self.by_key.entry(key).or_insert_with(|| {
             let function = Function::new(key, concurrency, load_time);
@@ -72,15 +72,15 @@
         })
     }
 
-    /// The functions with invocations waiting.
+    /// Returns the functions with waiting invocations.
     pub fn with_waiting(&self) -> &BTreeSet<FunctionIndex> {
         &self.with_waiting
     }
 
-    /// Drops expired replicas, and functions that were not used since a moment, of a part of the functions at a
-    /// time.
+    /// Examines the next part of the table: removes expired replicas, and functions that were not used since
+    /// `unused_since`.
     pub fn sweep(&mut self, unused_since: f64, now: f64) {
-        let swept = (self.functions.len() / SWEEP_FRACTION)
+        let swept = (self.functions.len() / SWEEP_DIVISOR)
             .max(MIN_SWEPT)
             .min(self.functions.len());
         for _ in 0..swept {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Drops the warm replicas of some executors.
+    /// Removes the warm replicas of some executors from all functions.
     pub fn evict_executors(&mut self, evicted: &[ExecutorIndex]) {
         if evicted.is_empty() {
             return;
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Drops whatever refers to executors that are forgotten.
+    /// Removes the references to executors that are about to be removed from the executor table, except for warm
+    /// replicas, which [`evict_executors`](FunctionTable::evict_executors) removes.
     pub fn forget_executors(&mut self, forgotten: &[ExecutorIndex]) {
         if forgotten.is_empty() {
             return;
--- a/crates/dispatch-policy/src/state/groups.rs
+++ b/crates/dispatch-policy/src/state/groups.rs
@@ -1,17 +1,17 @@
-//! Executors by the group that they are in.
+//! Executors sorted by group.
 
 use super::ExecutorIndex;
 
-/// Executors sorted by group, and within it in the order in which they were given.
+/// Executors sorted by group. Within a group they keep the order in which they were given.
 #[derive(Default)]
 pub(super) struct Groups {
     members: Vec<ExecutorIndex>,
-    /// Where each group begins; one more than there are groups, for the end of the last.
+    /// Start of each group in `members`, followed by the end of the last group.
     starts: Vec<usize>,
 }
 
 impl Groups {
-    /// Sorts executors by their groups, which are small numbers.
+    /// Sorts executors by group with a counting sort. Memory is proportional to the largest group number.
     pub(super) fn new(
         executors: &[ExecutorIndex],
         group_of: impl Fn(ExecutorIndex) -> usize,
@@ -34,7 +34,7 @@
         Groups { members, starts }
     }
 
-    /// The executors of a group.
+    /// Returns the executors of a group.
     pub(super) fn members(&self, group: usize) -> &[ExecutorIndex] {
         match self.starts.get(group..group + 2) {
             Some(&[start, end]) => &self.members[start..end],
--- a/crates/dispatch-policy/src/state/index.rs
+++ b/crates/dispatch-policy/src/state/index.rs
@@ -1,4 +1,4 @@
-//! Dense indices into the tables of this module. An index stays with its entry until the entry is released.
+//! Dense indices into the tables of this module. An index stays valid until the entry is released.
 
 macro_rules! dense_index {
     ($(#[$documentation:meta])* $name:ident) => {
@@ -7,13 +7,13 @@
         pub struct $name(u32);
 
         impl $name {
-            /// The index of the entry at a position of its table.
+            /// Creates the index of the entry at a position of its table.
             pub fn new(position: usize) -> Self {
                 debug_assert!(u32::try_from(position).is_ok());
                 Self(position as u32)
             }
 
-            /// The position of the entry in its table.
+            /// Returns the position of the entry in its table.
             pub fn position(self) -> usize {
                 self.0 as usize
             }
--- a/crates/dispatch-policy/src/state/invocation_table.rs
+++ b/crates/dispatch-policy/src/state/invocation_table.rs
@@ -1,4 +1,4 @@
-//! The open invocations: accepted, and without a final answer or with a dispatch still in flight.
+//! The table of open invocations: those without a final answer and those with a dispatch still in flight.
 
 use super::{ExecutorIndex, InFlightDispatch, InvocationIndex, OpenInvocation};
 use crate::interface::ConfigError;
@@ -22,27 +22,28 @@
 }
 
 impl InvocationTable {
-    /// Slots of invocations, the free ones included.
+    /// Returns the number of slots, including free ones.
     pub fn len(&self) -> usize {
         self.invocations.len()
     }
 
-    /// Whether there is no slot.
+    /// Returns whether there are no slots.
     pub fn is_empty(&self) -> bool {
         self.invocations.is_empty()
     }
 
-    /// The open invocation with an identifier.
+    /// Returns the index of the open invocation with an identifier.
     pub fn find(&self, id: u32) -> Option<InvocationIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// The invocation for changes of its own.
+    /// Returns an invocation for changes that leave the indices of the tables as they are.
     pub fn get_mut(&mut self, invocation: InvocationIndex) -> &mut OpenInvocation {
         &mut self.invocations[invocation.position()]
     }
 
-    /// A dispatch in flight that is not cancelled, with its invocation, by identifier and number.
+    /// Returns the dispatch with a number of the invocation with an identifier, and the index of that invocation, if
+    /// the dispatch is in flight and not cancelled.
     pub fn find_dispatch(
         &self,
         id: u32,
@@ -56,10 +57,10 @@
         found.map(|dispatch| (invocation, *dispatch))
     }
 
-    /// Checks that no open invocation is of a trigger type.
+    /// Checks that no open invocation has a trigger type.
     ///
     /// # Errors
-    /// `InUse` if one is.
+    /// Returns `InUse` if one has.
     pub fn check_unused(&self, trigger_type: usize) -> Result<(), ConfigError> {
         let mut open = self.by_id.values();
         if open.any(|&invocation| self[invocation].trigger_type() == trigger_type) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether an invocation without a final answer may have run at an executor.
+    /// Returns whether an invocation without a final answer may have run at an executor in a dispatch that has ended.
     pub fn may_have_run_at(&self, executor: ExecutorIndex) -> bool {
         self.invocations.iter().any(|invocation| {
             !invocation.is_answered()
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Has no invocation wait past a moment.
+    /// Lowers the timeout of every invocation to `at` if it is later.
     pub fn cap_timeouts(&mut self, at: f64) {
         for invocation in &mut self.invocations {
             invocation.cap_timeout(at);
@@ -102,10 +103,10 @@
         index
     }
 
-    /// Releases an invocation that has its final answer and nothing in flight; tells whether it did.
+    /// Releases the slot of an invocation that has its final answer and nothing in flight. Returns whether it did so.
     pub(super) fn release(&mut self, index: InvocationIndex) -> bool {
         let invocation = &self.invocations[index.position()];
-        if !invocation.is_over() || self.by_id.remove(&invocation.id()).is_none() {
+        if !invocation.is_complete() || self.by_id.remove(&invocation.id()).is_none() {
             return false;
         }
         self.free.push(index);
--- a/crates/dispatch-policy/src/state/kind_stats.rs
+++ b/crates/dispatch-policy/src/state/kind_stats.rs
@@ -1,26 +1,26 @@
-//! What the ready executors of a hardware kind do together, and which of them may be warming up.
+//! Statistics of the ready executors of each hardware kind: the work that they complete, and how many are warm.
 
 use super::executor::Executor;
 use super::{DecayingSum, ExecutorIndex, ExecutorTable};
 
-/// The ready executors of a kind, split into those seen to be warm and those that may be warming up.
+/// Counts the ready executors of a kind, split into those known to be warm and those that may be warming up.
 #[derive(Clone, Default)]
 pub(super) struct WarmupCount {
     ready: usize,
-    /// Those not seen to be warm, each once.
+    /// The executors that are not known to be warm, each once.
     warming: Vec<ExecutorIndex>,
-    /// None of these becomes warm before, in seconds.
+    /// The earliest time at which one of `warming` can become warm, in seconds.
     next_check_at: f64,
 }
 
 impl WarmupCount {
-    /// Adds a ready executor, which counts as warming up until it is looked at.
+    /// Adds a ready executor, which counts as warming up until the next check.
     fn add(&mut self, executor: ExecutorIndex) {
         self.ready += 1;
         self.warming.push(executor);
     }
 
-    /// Has an executor count as warming up again.
+    /// Counts a ready executor as warming up until the next check.
     fn restart(&mut self, executor: ExecutorIndex) {
         if !self.warming.contains(&executor) {
             self.warming.push(executor);
@@ -35,21 +35,22 @@
 /// Statistics of the executors of one hardware kind.
 #[derive(Clone, Default)]
 pub(super) struct KindStats {
-    /// Work that warm executors completed lately, in seconds.
+    /// Work that warm executors completed recently, in seconds.
     completed_work: DecayingSum,
-    /// How many warm executors shared that.
+    /// Number of warm executors among which that work was shared.
     warm_executors: DecayingSum,
     warmup: WarmupCount,
 }
 
 impl ExecutorTable {
-    /// Whether all ready executors were seen to be warm. Where this is false they may be, too.
+    /// Returns true only if all ready executors are known to be warm. May return false although all are warm.
     pub fn all_are_warm(&self) -> bool {
         self.all_are_warm
     }
 
-    /// The number of ready executors of a kind that are warm. Those that are warming up are looked at again once
-    /// one of them can have become warm.
+    /// Returns the number of ready executors of a kind that are warm. `is_warming` tells whether an executor still
+    /// warms up, and `warm_at` when it will be warm, in seconds. Executors that warm up are checked again only once one
+    /// of them can have become warm.
     pub fn count_warm(
         &mut self,
         kind: usize,
@@ -75,7 +76,8 @@
         warm
     }
 
-    /// Notes work in seconds that a warm executor completed, and the number of warm executors of its kind.
+    /// Records `work` seconds of work that a warm executor completed, and the number of warm executors of its kind.
+    /// Both decay with the time constant, in seconds.
     pub fn record_completed_work(
         &mut self,
         executor: ExecutorIndex,
@@ -90,23 +92,23 @@
         kind.completed_work.add(work, now, time_constant);
     }
 
-    /// Work that warm executors of a kind completed lately, in seconds.
+    /// Returns the decayed sum of the work that warm executors of a kind completed, in seconds.
     pub fn completed_work(&self, kind: usize, now: f64, time_constant: f64) -> f64 {
         self.kinds[kind].completed_work.at(now, time_constant)
     }
 
-    /// How many warm executors of a kind shared that.
+    /// Returns the decayed maximum of the number of warm executors of a kind.
     pub fn warm_executors(&self, kind: usize, now: f64, time_constant: f64) -> f64 {
         self.kinds[kind].warm_executors.at(now, time_constant)
     }
 
-    /// Makes sure that there are statistics of a kind.
+    /// Adds the statistics of a kind if there are none.
     pub(super) fn add_kind(&mut self, kind: usize) {
         let kinds = self.kinds.len().max(kind + 1);
         self.kinds.resize(kinds, KindStats::default());
     }
 
-    /// Has an executor count as warming up again.
+    /// Counts an executor as warming up until the next check, if it is ready.
     pub(super) fn restart_warmup(&mut self, executor: ExecutorIndex) {
         self.all_are_warm = false;
         let record = &self.executors[executor.position()];
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Has every ready executor count as warming up until it is looked at.
+    /// Counts every ready executor as warming up until the next check.
     pub(super) fn restart_all_warmups(&mut self) {
         self.all_are_warm = false;
         for kind in &mut self.kinds {
--- a/crates/dispatch-policy/src/state/load_changes.rs
+++ b/crates/dispatch-policy/src/state/load_changes.rs
@@ -1,21 +1,21 @@
-//! A log of the executors whose load changed, so that indices over loads can follow.
+//! A bounded log of the executors whose load changed, from which indices over loads are updated.
 
 use super::ExecutorIndex;
 use std::collections::VecDeque;
 
-/// Changes that are kept; who has seen fewer has to look at all loads.
+/// Number of changes that are kept. A reader that has missed more than these has to read all loads.
 const MAX_CHANGES: usize = 4_096;
 
-/// The latest changes of loads.
+/// The latest load changes.
 #[derive(Default)]
 pub(super) struct LoadChanges {
     latest: VecDeque<ExecutorIndex>,
-    /// Number of changes before the latest ones.
+    /// Number of changes before the first one in `latest`.
     dropped: u64,
 }
 
 impl LoadChanges {
-    /// Adds a change of an executor's load.
+    /// Records that an executor's load changed.
     pub(super) fn record(&mut self, executor: ExecutorIndex) {
         self.latest.push_back(executor);
         if self.latest.len() > MAX_CHANGES {
@@ -24,18 +24,19 @@
         }
     }
 
-    /// Declares every load changed.
+    /// Records that any load may have changed.
     pub(super) fn invalidate(&mut self) {
         self.dropped = self.count() + 1;
         self.latest.clear();
     }
 
-    /// Number of changes so far.
+    /// Returns the total number of changes so far.
     pub(super) fn count(&self) -> u64 {
         self.dropped + self.latest.len() as u64
     }
 
-    /// The executors whose loads changed after so many changes; `None` where that is no longer known.
+    /// Returns the executors whose load changed after the first `count` changes, or `None` if the log no longer has all
+    /// of these changes.
     pub(super) fn since(
         &self,
         count: u64,
--- a/crates/dispatch-policy/src/state/load_tree.rs
+++ b/crates/dispatch-policy/src/state/load_tree.rs
@@ -1,13 +1,14 @@
-//! A tree over the loads of a function's warm replicas, which finds the least loaded one without a look at all.
+//! A binary tree over the loads of a function's warm replicas. It finds the least loaded replica without scoring all
+//! of them.
 
 use super::{ExecutorIndex, ExecutorTable, LoadEstimate, WarmReplica};
 
-/// Free leaves of a new tree, for replicas to come.
+/// Number of free leaves in a new tree, for replicas that are added later.
 const SPARE_LEAVES: usize = 16;
-/// No replica has this position.
+/// Marks an executor without a replica in the set.
 const NO_POSITION: u32 = u32::MAX;
 
-/// Where an executor's replica stands in the set, and until when it is relied on.
+/// The position of an executor's replica in the set, and its expiry time.
 #[derive(Clone, Copy)]
 struct Leaf {
     position: u32,
@@ -21,25 +22,26 @@
     };
 }
 
-/// A binary tree over the positions of a set of replicas: each node has the best load below it. The root is
-/// node 1, the leaf of a position is node `leaf_count + position`.
+/// A binary tree over the positions of a set of replicas. Each node holds the combined
+/// [best](LoadEstimate::best) load of its leaves. The root is node 1; the leaf of a position is node
+/// `leaf_count + position`.
 pub(super) struct LoadTree {
     leaf_count: usize,
     nodes: Vec<LoadEstimate>,
-    /// By the position of the executor in its table.
+    /// Indexed by the position of the executor in its table.
     leaves: Vec<Leaf>,
     /// The number of load changes that the nodes include; `None` before the first refresh.
     changes_seen: Option<u64>,
-    /// Executors added since.
+    /// Executors added since the last refresh.
     added: Vec<ExecutorIndex>,
 }
 
-/// A subtree that is still to be searched.
+/// A subtree that remains to be searched.
 struct Subtree {
     node: usize,
-    /// No executor in it has a lower score.
+    /// A lower bound of the scores in the subtree.
     bound: f64,
-    /// Its first position, and the number of positions.
+    /// Its first position and its number of positions.
     first: usize,
     width: usize,
 }
@@ -62,12 +64,12 @@
         tree
     }
 
-    /// Whether there is a leaf for a position.
+    /// Returns whether there is a leaf for a position.
     pub(super) fn has_leaf_for(&self, position: usize) -> bool {
         position < self.leaf_count
     }
 
-    /// The position of an executor's replica.
+    /// Returns the position of an executor's replica.
     pub(super) fn position(&self, executor: ExecutorIndex) -> Option<usize> {
         self.leaves
             .get(executor.position())
@@ -75,14 +77,14 @@
             .map(|leaf| leaf.position as usize)
     }
 
-    /// Whether an executor's replica is relied on at a time.
+    /// Returns whether an executor has a replica that has not expired at `now`.
     pub(super) fn is_warm(&self, executor: ExecutorIndex, now: f64) -> bool {
         self.leaves
             .get(executor.position())
             .is_some_and(|leaf| leaf.expires_at > now)
     }
 
-    /// Adds the replica of an executor that has none. Its load comes with the next refresh.
+    /// Adds the replica of an executor that has none. The next refresh sets its load.
     pub(super) fn add(&mut self, executor: ExecutorIndex, position: usize, expires_at: f64) {
         self.set_leaf(executor, position, expires_at);
         self.added.push(executor);
@@ -120,7 +122,8 @@
         self.nodes[2 * node].best(&self.nodes[2 * node + 1])
     }
 
-    /// Takes in the loads that changed since the last refresh, or all of them where that is fewer or unknown.
+    /// Updates the loads that changed since the last refresh. Rebuilds the tree instead if the changes are unknown or
+    /// not fewer than the entries.
     pub(super) fn refresh(&mut self, entries: &[Option<WarmReplica>], executors: &ExecutorTable) {
         let changed = self
             .changes_seen
@@ -135,12 +138,12 @@
                     }
                 }
             }
-            None => self.reload(entries, executors),
+            None => self.rebuild(entries, executors),
         }
         self.changes_seen = Some(executors.load_changes.count());
     }
 
-    fn reload(&mut self, entries: &[Option<WarmReplica>], executors: &ExecutorTable) {
+    fn rebuild(&mut self, entries: &[Option<WarmReplica>], executors: &ExecutorTable) {
         for (position, entry) in entries.iter().enumerate() {
             self.nodes[self.leaf_count + position] = entry.map_or(LoadEstimate::NONE, |replica| {
                 executors.load_of(replica.executor)
@@ -152,7 +155,7 @@
         self.added.clear();
     }
 
-    /// The position with the least score, the first of equal ones; see [`WarmReplicaSet::min_by_score`].
+    /// Returns the position with the lowest score, or the first of several; see [`WarmReplicaSet::min_by_score`].
     ///
     /// [`WarmReplicaSet::min_by_score`]: super::WarmReplicaSet::min_by_score
     pub(super) fn min_position(
@@ -167,7 +170,7 @@
             width,
         };
         let mut best: Option<(f64, usize)> = None;
-        // The most promising subtree is last.
+        // A stack: the child with the lower bound is pushed last and searched first.
         let mut pending = vec![subtree(1, 0, self.leaf_count)];
         while let Some(Subtree {
             node,
--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the dispatch policy keeps between inputs: records and the indices over them. Nothing here takes a decision.
+//! The state that the dispatch policy keeps between inputs: records and the indices over them. Decisions are made in
+//! [`dispatch`](crate::dispatch).
 
 mod endpoint_updates;
 mod executor;
--- a/crates/dispatch-policy/src/state/open_invocation.rs
+++ b/crates/dispatch-policy/src/state/open_invocation.rs
@@ -1,4 +1,4 @@
-//! The record of one open invocation, with its dispatches.
+//! The record of one open invocation and its dispatches.
 
 use super::{ExecutorIndex, FunctionIndex};
 use crate::interface::{Actions, DispatchStatus, Invocation};
@@ -6,33 +6,33 @@
 /// A dispatch in flight.
 #[derive(Clone, Copy)]
 pub struct InFlightDispatch {
-    /// Its number among the dispatches of its invocation.
+    /// Its number among the dispatches of its invocation, from 0.
     pub dispatch: u8,
-    /// Where it was sent.
+    /// The executor that it was sent to.
     pub executor: ExecutorIndex,
     /// When it was sent, in seconds.
     pub sent_at: f64,
-    /// It is the placement of its function.
+    /// Whether it is the placement of its function.
     pub is_placement: bool,
-    /// It was cancelled, and its end is awaited.
+    /// Whether it was cancelled; its result is still outstanding.
     pub is_cancelled: bool,
 }
 
 /// A dispatch that may have run.
 #[derive(Clone, Copy)]
 pub struct PossibleExecution {
-    /// Where it was sent.
+    /// The executor that it was sent to.
     pub executor: ExecutorIndex,
     /// When it was sent, in seconds.
     pub sent_at: f64,
 }
 
-/// What an invocation is worth when capacity is short.
+/// The priority of an invocation when capacity is short.
 #[derive(Clone, Copy)]
 pub struct Priority {
-    /// Billed value of a unit of work, within the latency objective.
+    /// Billed value of a unit of work if the invocation is answered within its latency objective.
     pub weight: f64,
-    /// Its customer has used up its quota.
+    /// Whether its customer has used up its quota.
     pub is_over_quota: bool,
 }
 
@@ -43,7 +43,7 @@
     function: FunctionIndex,
     priority: Priority,
     arrived_at: f64,
-    /// From its arrival to the end of the latency objective or to the client's timeout, whichever is first.
+    /// Time from its arrival to the end of the latency objective or to the client's timeout, whichever is first.
     time_budget: f64,
     timeout_at: f64,
     dispatch_count: u8,
@@ -55,7 +55,7 @@
 }
 
 impl OpenInvocation {
-    /// An invocation that arrives now.
+    /// Creates an invocation that arrives at `now`.
     pub fn new(
         invocation: &Invocation,
         function: FunctionIndex,
@@ -79,82 +79,81 @@
         }
     }
 
-    /// Identifier given by the caller.
+    /// Returns the identifier given by the caller.
     pub fn id(&self) -> u32 {
         self.id
     }
 
-    /// Index of its trigger type.
+    /// Returns the index of its trigger type.
     pub fn trigger_type(&self) -> usize {
         self.trigger_type
     }
 
-    /// The function that it invokes.
+    /// Returns the function that it invokes.
     pub fn function(&self) -> FunctionIndex {
         self.function
     }
 
-    /// What it is worth when capacity is short.
+    /// Returns its priority when capacity is short.
     pub fn priority(&self) -> Priority {
         self.priority
     }
 
-    /// When it arrived.
+    /// Returns when it arrived.
     pub fn arrived_at(&self) -> f64 {
         self.arrived_at
     }
 
-    /// Seconds from its arrival to the end of the latency objective or to the client's timeout, whichever is first.
+    /// Returns the time from its arrival to the end of the latency objective or to the client's timeout, whichever is
+    /// first.
     pub fn time_budget(&self) -> f64 {
         self.time_budget
     }
 
-    /// When its latency objective ends, or the client's timeout if that is first.
+    /// Returns when its latency objective ends, or the client's timeout if that is first.
     pub fn objective_ends_at(&self) -> f64 {
         self.arrived_at + self.time_budget
     }
 
-    /// When the client gives up.
+    /// Returns when the client gives up.
     pub fn timeout_at(&self) -> f64 {
         self.timeout_at
     }
 
-    /// Number of dispatches made so far.
+    /// Returns the number of dispatches so far.
     pub fn dispatch_count(&self) -> u8 {
         self.dispatch_count
     }
 
-    /// Its dispatches in flight.
+    /// Returns its dispatches in flight.
     pub fn in_flight(&self) -> &[InFlightDispatch] {
         &self.in_flight
     }
 
-    /// Its dispatches in flight but for one, by its number.
-    pub fn in_flight_except(
-        &self,
-        excepted: Option<u8>,
-    ) -> impl Iterator<Item = &InFlightDispatch> {
+    /// Returns its dispatches in flight, without the one with the number `except`.
+    pub fn in_flight_except(&self, except: Option<u8>) -> impl Iterator<Item = &InFlightDispatch> {
         self.in_flight
             .iter()
-            .filter(move |dispatch| Some(dispatch.dispatch) != excepted)
+            .filter(move |dispatch| Some(dispatch.dispatch) != except)
     }
 
-    /// The earliest ended dispatch that may have run.
+    /// Returns the earliest ended dispatch that may have run.
     pub fn possible_execution(&self) -> Option<PossibleExecution> {
         self.possible_execution
     }
 
-    /// Whether it has had its final answer.
+    /// Returns whether it has its final answer.
     pub fn is_answered(&self) -> bool {
         self.is_answered
     }
 
-    /// Whether its response has started.
+    /// Returns whether its response has started.
     pub fn is_streaming(&self) -> bool {
         self.is_streaming
     }
 
-    /// The first dispatch that may have run, in flight or ended, but for one that has not been sent yet.
+    /// Returns the earliest dispatch that may have run, in flight or ended. `unsent` is the number of a dispatch that
+    /// has not been sent yet and is left out.
     pub fn first_possible_execution(&self, unsent: Option<u8>) -> Option<PossibleExecution> {
         self.in_flight_except(unsent)
             .map(|dispatch| PossibleExecution {
@@ -177,7 +176,7 @@
         self.dispatch_count += 1;
     }
 
-    /// Takes a dispatch that ended off those in flight.
+    /// Removes a dispatch that ended from those in flight.
     pub(super) fn remove_dispatch(&mut self, dispatch: u8) -> Option<InFlightDispatch> {
         let position = self
             .in_flight
@@ -186,7 +185,8 @@
         Some(self.in_flight.remove(position))
     }
 
-    /// Notes that an ended dispatch may have run, if its status allows it and no earlier one may have.
+    /// Records that an ended dispatch may have run, unless its status excludes that or an earlier dispatch may have
+    /// run.
     pub fn record_possible_execution(&mut self, ended: &InFlightDispatch, status: DispatchStatus) {
         let is_first = self
             .possible_execution
@@ -199,30 +199,30 @@
         }
     }
 
-    /// Has the invocation wait no longer than to a moment.
+    /// Lowers the timeout to `at` if it is later.
     pub(super) fn cap_timeout(&mut self, at: f64) {
         self.timeout_at = self.timeout_at.min(at);
     }
 
-    /// Notes that the response has started.
+    /// Records that the response has started.
     pub fn start_streaming(&mut self) {
         self.is_streaming = true;
     }
 
-    /// Notes that it has its final answer.
+    /// Records that it has its final answer.
     pub(super) fn set_answered(&mut self) {
         self.is_answered = true;
     }
 
-    /// Whether it has its final answer and nothing in flight.
-    pub(super) fn is_over(&self) -> bool {
+    /// Returns whether it has its final answer and nothing in flight.
+    pub(super) fn is_complete(&self) -> bool {
         self.is_answered && self.in_flight.is_empty()
     }
 
-    /// Cancels the dispatches in flight but for one, by its number.
-    pub fn cancel_dispatches(&mut self, excepted: Option<u8>, actions: &mut dyn Actions) {
+    /// Cancels its dispatches in flight, except for the one with the number `except`.
+    pub fn cancel_dispatches(&mut self, except: Option<u8>, actions: &mut dyn Actions) {
         for dispatch in &mut self.in_flight {
-            if !dispatch.is_cancelled && Some(dispatch.dispatch) != excepted {
+            if !dispatch.is_cancelled && Some(dispatch.dispatch) != except {
                 dispatch.is_cancelled = true;
                 actions.cancel(self.id, dispatch.dispatch);
             }
--- a/crates/dispatch-policy/src/state/outlier_stats.rs
+++ b/crates/dispatch-policy/src/state/outlier_stats.rs
@@ -1,28 +1,29 @@
-//! The records of outlier detection: latency samples, ejected executors, connection failures.
+//! The state of outlier detection: latency samples, ejected executors and connection failures.
 
 use super::executor::{Executor, LatencySample};
 use super::{ExecutorIndex, ExecutorTable};
 
-/// How many latency samples outlier detection needs, and how long they count.
+/// The number of latency samples that outlier detection needs, and the time for which they count.
 #[derive(Clone, Copy, Default)]
 pub struct SampleRequirements {
-    /// Samples and dispatches in flight that an executor needs to be compared with others.
+    /// Number of samples and dispatches in flight together that an executor needs to be compared with others.
     pub min_samples: usize,
-    /// Samples kept of an executor.
+    /// Number of samples that are kept of an executor.
     pub max_samples: usize,
-    /// Seconds that a sample counts.
+    /// Time for which a sample counts, in seconds.
     pub sample_lifetime: f64,
 }
 
-/// Executors that outlier detection has to look at.
+/// The executors that outlier detection has to examine. Each list may contain entries that no longer belong there;
+/// these are removed when the list is next filtered or replaced.
 #[derive(Default)]
 pub(super) struct OutlierIndex {
     requirements: SampleRequirements,
-    /// Executors with enough samples and dispatches in flight, and perhaps some that no longer have them.
+    /// Executors with enough samples and dispatches in flight.
     candidates: Vec<ExecutorIndex>,
-    /// All that are ejected, and perhaps some that no longer are.
+    /// Executors that are ejected.
     ejected: Vec<ExecutorIndex>,
-    /// Executors with a recent connection failure, and perhaps some whose failure is long ago.
+    /// Executors with a recent connection failure.
     failed: Vec<ExecutorIndex>,
 }
 
@@ -34,18 +35,18 @@
         }
     }
 
-    /// Notes that an executor may have a recent connection failure.
+    /// Adds an executor that may have a recent connection failure.
     pub(super) fn add_failed(&mut self, executor: ExecutorIndex) {
         self.failed.push(executor);
     }
 }
 
 impl SampleRequirements {
-    /// Whether an executor has enough samples. Without a new dispatch or sample that can only cease.
+    /// Returns whether an executor has enough samples. This can become true only by a new dispatch or sample.
     fn are_met(&self, executor: &Executor, now: f64) -> bool {
         let missing = self.min_samples.saturating_sub(executor.in_flight.len());
         let samples = &executor.outlier.samples;
-        // The samples are in the order in which they came: those that count are the last ones.
+        // Samples are in chronological order, so the ones that still count are the last ones.
         missing == 0
             || samples.len() >= missing
                 && now < samples[samples.len() - missing].recorded_at + self.sample_lifetime
@@ -53,7 +54,8 @@
 }
 
 impl ExecutorTable {
-    /// The executors with enough samples, and perhaps some that no longer have them.
+    /// Returns the executors with enough samples. Until the next call of
+    /// [`retain_outlier_candidates`](Self::retain_outlier_candidates) some may no longer have them.
     pub fn outlier_candidates(&self) -> &[ExecutorIndex] {
         &self.outliers.candidates
     }
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Drops the candidates that no longer have enough samples.
+    /// Removes the candidates that no longer have enough samples.
     pub fn retain_outlier_candidates(&mut self, now: f64) {
         let requirements = self.outliers.requirements;
         let executors = &mut self.executors;
@@ -78,7 +80,7 @@
         });
     }
 
-    /// The latencies of an executor's samples that count, in baseline latencies.
+    /// Returns the latencies of an executor's samples that have not expired, as multiples of the baseline latency.
     pub fn latency_samples(
         &self,
         executor: ExecutorIndex,
@@ -93,7 +95,7 @@
             .map(|sample| sample.latency)
     }
 
-    /// Adds a latency sample, in baseline latencies; infinity for a failure.
+    /// Adds a latency sample, as a multiple of the baseline latency; infinity for a failure.
     pub fn record_latency_sample(&mut self, executor: ExecutorIndex, now: f64, latency: f64) {
         let samples = &mut self.executors[executor.position()].outlier.samples;
         samples.push_back(LatencySample {
@@ -106,7 +108,7 @@
         self.add_outlier_candidate(executor, now);
     }
 
-    /// Sets which executors are ejected; all others are not.
+    /// Replaces the set of ejected executors.
     pub fn set_ejected(&mut self, ejected: Vec<ExecutorIndex>) {
         for executor in &self.outliers.ejected {
             self.executors[executor.position()].outlier.is_ejected = false;
@@ -117,17 +119,18 @@
         self.outliers.ejected = ejected;
     }
 
-    /// Sets when an ejected executor may next have a trial dispatch, in seconds.
+    /// Sets the earliest time of the next trial dispatch to an ejected executor, in seconds.
     pub fn set_next_trial(&mut self, executor: ExecutorIndex, at: f64) {
         self.executors[executor.position()].outlier.next_trial_at = at;
     }
 
-    /// An upper bound of the number of executors that are ejected.
+    /// Returns an upper bound of the number of ejected executors.
     pub fn ejected_upper_bound(&self) -> usize {
         self.outliers.ejected.len()
     }
 
-    /// Notes that a connection to an executor broke or could not be made: its samples are all failures.
+    /// Records that a connection to an executor broke or could not be made. The executor's samples are replaced by the
+    /// minimum number of failures, so that this one failure is enough to eject it.
     pub fn record_connection_failure(&mut self, executor: ExecutorIndex, now: f64) {
         let failure = LatencySample {
             recorded_at: now,
@@ -146,8 +149,8 @@
         self.restart_warmup(executor);
     }
 
-    /// When the first connection failure of the last `window` seconds happened in an executor's zone; now if there
-    /// was none.
+    /// Returns the earliest of the executors' latest connection failures in an executor's zone within the last `window`
+    /// seconds, or `now` if there was none.
     pub fn first_failure_in_zone(&mut self, executor: ExecutorIndex, now: f64, window: f64) -> f64 {
         let executors = &self.executors;
         let failure_at = |other: &ExecutorIndex| executors[other.position()].last_failure_at;
@@ -162,15 +165,15 @@
             .fold(now, |first, other| first.min(failure_at(other)))
     }
 
-    /// Whether any executor in an executor's zone was heard after a moment.
-    pub fn zone_responded_after(&self, executor: ExecutorIndex, moment: f64) -> bool {
+    /// Returns whether any executor in an executor's zone responded after a time.
+    pub fn zone_responded_after(&self, executor: ExecutorIndex, time: f64) -> bool {
         let zone = self[executor].zone();
         self.executors
             .iter()
-            .any(|other| other.zone() == zone && other.last_response_at > moment)
+            .any(|other| other.zone() == zone && other.last_response_at > time)
     }
 
-    /// Notes a connection failure now of all executors in an executor's zone.
+    /// Records a connection failure at `now` for all executors in an executor's zone.
     pub fn record_zone_failure(&mut self, executor: ExecutorIndex, now: f64) {
         let zone = self[executor].zone();
         for other in self.indices() {
--- a/crates/dispatch-policy/src/state/ranking.rs
+++ b/crates/dispatch-policy/src/state/ranking.rs
@@ -1,4 +1,4 @@
-//! Weighted rendezvous hashing: which executors come first for a function, alike at every front end.
+//! Weighted rendezvous hashing: ranks the executors for each function, identically at every front end.
 
 use super::{ExecutorIndex, ExecutorTable};
 use crate::interface::ExecutorId;
@@ -6,59 +6,59 @@
 use std::cmp::Ordering;
 use std::net::IpAddr;
 
-/// The fewest ranks that are computed at a time: most functions never need more.
+/// Minimum number of ranks that are computed at a time. Most functions never need more.
 const MIN_RANKED: usize = 16;
 
-/// One more than there are hashes.
+/// Number of possible hashes, plus one.
 const HASH_COUNT: f64 = 4_294_967_297.0;
 
-/// The executors that come first for one function, as many as were asked for.
+/// The highest-ranked executors for one function, as many as were requested so far.
 #[derive(Default)]
 pub struct Ranking {
-    /// Version of the pools that it was computed from.
+    /// The version of the pools from which the ranking was computed.
     version: u64,
-    first: Vec<ExecutorIndex>,
+    executors: Vec<ExecutorIndex>,
 }
 
 impl Ranking {
-    /// The executors in the order of their ranks; a prefix of the ranking of all ready executors.
+    /// Returns the executors in ranking order. They are a prefix of the ranking of all ready executors.
     pub fn iter(&self) -> impl Iterator<Item = ExecutorIndex> + '_ {
-        self.first.iter().copied()
+        self.executors.iter().copied()
     }
 }
 
-/// A ready executor as ranking needs it.
+/// The properties of a ready executor that ranking needs.
 #[derive(Clone, Copy)]
 struct RankedExecutor {
     executor: ExecutorIndex,
     zone: u8,
-    /// The number that stands for it in hashes.
+    /// The key by which the executor enters hashes.
     hash_key: u64,
     weight: f64,
 }
 
-/// Executors that are ranked among themselves.
+/// A set of executors that are ranked together.
 #[derive(Default)]
 struct Pool {
     members: Vec<RankedExecutor>,
     /// Sum of the members' weights.
     weight: f64,
-    /// Whether the first two have to be from different zones, and there are several zones.
+    /// Whether the first two executors have to be in different zones. False if all members are in one zone.
     spreads_zones: bool,
 }
 
-/// The ready executors, as ranking needs them.
+/// The ready executors, split into the pools that are ranked one after the other.
 #[derive(Default)]
 pub(super) struct RankingPools {
-    /// Counts changes of the ready executors and of their weights: a ranking is valid for one version.
+    /// Incremented with every change of the ready executors or their weights. A ranking is valid for one version.
     version: u64,
-    /// The executors of the front end's own region.
+    /// The executors in the front end's own region.
     own_region: Pool,
-    /// All others.
+    /// All other executors.
     others: Pool,
 }
 
-/// The number that stands for an executor in hashes.
+/// Returns the key by which an executor enters hashes.
 fn hash_key(ExecutorId(address, port): ExecutorId) -> u64 {
     let number = match address {
         IpAddr::V4(a) => u64::from(u32::from_le_bytes(a.octets())) << 16,
@@ -70,8 +70,8 @@
     number ^ u64::from(port)
 }
 
-/// The rank that a hash gives to an executor of a weight; the smallest comes first. On average the ranks of an
-/// executor of twice the weight are half as large.
+/// Returns the rank that a hash gives to an executor; the smallest rank comes first. Ranks are exponentially
+/// distributed with the weight as their rate, so doubling the weight halves the mean rank.
 fn rank(hash: u32, weight: f64) -> f64 {
     -((f64::from(hash) + 1.0) / HASH_COUNT).ln() / weight
 }
@@ -87,16 +87,17 @@
         }
     }
 
-    /// The first `count` executors for a key, or all there are. Equal ranks are in the order of the indices.
-    fn first(&self, key: u64, count: usize) -> Vec<ExecutorIndex> {
+    /// Returns the first `count` executors for a key, or all if there are fewer. Equal ranks are ordered by index.
+    fn top_ranked(&self, key: u64, count: usize) -> Vec<ExecutorIndex> {
         let count = count.min(self.members.len());
         if count == 0 {
             return vec![];
         }
-        // About twice as many as are wanted have a rank below this one; where these are too few, all are ranked.
-        let enough = (2 * count + MIN_RANKED) as f64;
-        let limit = if enough < self.members.len() as f64 {
-            enough / self.weight
+        // On average `expected_count` executors have a rank below this limit, about twice as many as needed. If fewer
+        // than `count` have one, all executors are ranked.
+        let expected_count = (2 * count + MIN_RANKED) as f64;
+        let limit = if expected_count < self.members.len() as f64 {
+            expected_count / self.weight
         } else {
             f64::INFINITY
         };
@@ -112,7 +113,7 @@
         ranks.iter().map(|(_, member)| member.executor).collect()
     }
 
-    /// Moves the first executor that is in another zone than the first of all to the second place.
+    /// Moves the first executor that is in another zone than the top-ranked one to the second place.
     fn spread_zones(&self, key: u64, ranks: &mut Vec<(f64, RankedExecutor)>) {
         let zone = ranks[0].1.zone;
         let position = ranks
@@ -130,11 +131,11 @@
         ranks[1..=position].rotate_right(1);
     }
 
-    /// The executors whose ranks are at most a limit, with their ranks.
+    /// Returns the executors whose ranks are at most `limit`, with their ranks.
     fn ranks_below(&self, key: u64, limit: f64) -> Vec<(f64, RankedExecutor)> {
         let ranks = self.members.iter().filter_map(|member| {
             let hash = rendezvous_hash(key, member.hash_key);
-            // Most are excluded by this bound, without a logarithm: e^-t is never less than 1 - t.
+            // Since e^-t >= 1 - t, this bound excludes most executors without computing a logarithm.
             let min_hash = HASH_COUNT * (1.0 - limit * member.weight) - 2.0;
             let rank = (f64::from(hash) >= min_hash).then(|| rank(hash, member.weight))?;
             (rank <= limit).then_some((rank, *member))
@@ -156,7 +157,7 @@
 }
 
 impl ExecutorTable {
-    /// Collects what ranking needs, after a change of the ready executors or of their weights.
+    /// Rebuilds the ranking pools after a change of the ready executors or their weights.
     pub(super) fn update_ranking_pools(&mut self) {
         let ranked = |executor: ExecutorIndex| RankedExecutor {
             executor,
@@ -168,8 +169,8 @@
             .ready()
             .iter()
             .map(|&executor| ranked(executor))
-            .partition(|member| self.regions.is_own(member.zone));
-        let spreads_zones = self.regions.has_own();
+            .partition(|member| self.regions.is_own_region(member.zone));
+        let spreads_zones = self.regions.has_own_region();
         self.ranking_pools = RankingPools {
             version: self.ranking_pools.version + 1,
             own_region: Pool::new(own_region, spreads_zones),
@@ -177,31 +178,36 @@
         };
     }
 
-    /// Makes sure that a function's ranking holds the first `count` ready executors, or all there are: those of
-    /// the front end's own region before all others, and of either the first two from different zones.
+    /// Extends a function's ranking to the first `count` ready executors, or to all if there are fewer. Executors in
+    /// the front end's own region come before all others. If that region is known, the first two of each of the two
+    /// groups are in different zones where possible.
     pub fn rank(&self, ranking: &mut Ranking, key: u64, count: usize) {
         let pools = &self.ranking_pools;
         let is_current = ranking.version == pools.version;
         let count = count.max(MIN_RANKED).min(self.ready_count());
-        if is_current && ranking.first.len() >= count {
+        if is_current && ranking.executors.len() >= count {
             return;
         }
-        // A ranking that is asked for more and more has all after a few times.
+        // Doubling bounds the number of recomputations for a ranking that is extended again and again.
         let doubled = if is_current {
-            2 * ranking.first.len()
+            2 * ranking.executors.len()
         } else {
             0
         };
         let count = count.max(doubled).min(self.ready_count());
-        let mut first = pools.own_region.first(key, count);
-        first.extend(pools.others.first(key, count.saturating_sub(first.len())));
+        let mut executors = pools.own_region.top_ranked(key, count);
+        executors.extend(
+            pools
+                .others
+                .top_ranked(key, count.saturating_sub(executors.len())),
+        );
         *ranking = Ranking {
             version: pools.version,
-            first,
+            executors,
         };
     }
 
-    /// An executor's hash for a key, as a number from 0 up to 2^32; the same at every front end.
+    /// Returns an executor's hash for a key, from 0 up to but not including 2^32. It is the same at every front end.
     pub fn rendezvous_number(&self, executor: ExecutorIndex, key: u64) -> f64 {
         f64::from(rendezvous_hash(key, hash_key(self[executor].id())))
     }
--- a/crates/dispatch-policy/src/state/ready_sets.rs
+++ b/crates/dispatch-policy/src/state/ready_sets.rs
@@ -1,11 +1,11 @@
-//! The ready executors, by the groups that the policy asks for.
+//! The ready executors, grouped by region, zone and cell.
 
 use super::executor::Executor;
 use super::groups::Groups;
 use super::{ExecutorIndex, Regions};
 use crate::interface::DeduplicationScope;
 
-/// The ready executors in the order of their indices: all of them, and those of each group.
+/// The ready executors, ordered by index: all of them and those of each group.
 #[derive(Default)]
 pub(super) struct ReadySets {
     all: Vec<ExecutorIndex>,
@@ -15,10 +15,11 @@
 }
 
 impl ReadySets {
-    /// Collects the sets from the records of all executors.
+    /// Builds the sets from the records of all executors.
     pub(super) fn new(executors: &[Executor], regions: &Regions) -> ReadySets {
         let mut ready = ReadySets::default();
-        // Small arrays of their own: a pass over all records costs much more in a large fleet.
+        // Zones and cells are copied to compact arrays: in a large fleet, repeated passes over the full records cost
+        // much more.
         let (mut zones, mut cells) = (vec![], vec![]);
         for (position, executor) in executors.iter().enumerate() {
             zones.push(executor.zone());
@@ -28,7 +29,7 @@
             }
             let index = ExecutorIndex::new(position);
             ready.all.push(index);
-            if regions.is_own(executor.zone()) {
+            if regions.is_own_region(executor.zone()) {
                 ready.in_own_region.push(index);
             }
         }
@@ -37,17 +38,17 @@
         ready
     }
 
-    /// All ready executors.
+    /// Returns all ready executors.
     pub(super) fn all(&self) -> &[ExecutorIndex] {
         &self.all
     }
 
-    /// The ready executors of the front end's own region.
+    /// Returns the ready executors in the front end's own region.
     pub(super) fn in_own_region(&self) -> &[ExecutorIndex] {
         &self.in_own_region
     }
 
-    /// The ready executors that share a deduplication scope with an executor.
+    /// Returns the ready executors that share a deduplication scope with `member`.
     pub(super) fn in_scope_of(
         &self,
         scope: DeduplicationScope,
--- a/crates/dispatch-policy/src/state/sampling.rs
+++ b/crates/dispatch-policy/src/state/sampling.rs
@@ -1,13 +1,14 @@
-//! Random samples.
+//! Random sampling without replacement.
 
-/// Draws two of the elements at random, in their order, or takes all of fewer: as if elements were removed at
-/// random until two are left. `next_unit` draws numbers from 0 up to 1, one for each element removed.
+/// Draws two elements at random and returns them in their original order; returns all elements if there are at most
+/// two. The result equals that of removing random elements until two are left. `next_unit` returns random numbers from
+/// 0 up to 1 and is called once for each element that is not returned.
 pub fn draw_two<T: Copy>(elements: Vec<T>, mut next_unit: impl FnMut() -> f64) -> Vec<T> {
     let removed: Vec<usize> = (3..=elements.len())
         .rev()
         .map(|remaining| (next_unit() * remaining as f64) as usize)
         .collect();
-    // From the last removal back: where the two that are left stood before each of them.
+    // Undoes the removals, last one first, to find the original positions of the two remaining elements.
     let position_before =
         |position: usize, removed: usize| position + usize::from(position >= removed);
     let (first, second) = removed
--- a/crates/dispatch-policy/src/state/statistics.rs
+++ b/crates/dispatch-policy/src/state/statistics.rs
@@ -1,9 +1,9 @@
-//! Small statistics over time: backoff, token buckets, decaying sums and means, sliding windows, quantiles.
-//! Times and time constants are in seconds.
+//! Statistics over time: backoff, token buckets, decaying sums and means, sliding windows, quantiles. Times and time
+//! constants are in seconds.
 
 use std::collections::VecDeque;
 
-/// A pause that doubles with each rejection in a row.
+/// A pause that doubles with each consecutive rejection.
 #[derive(Clone, Copy, Default)]
 pub struct Backoff {
     rejections: i32,
@@ -11,31 +11,31 @@
 }
 
 impl Backoff {
-    /// When the pause ends.
+    /// Returns when the pause ends.
     pub fn until(&self) -> f64 {
         self.until
     }
 
-    /// Starts a pause: `first` seconds long, doubled for each earlier rejection, `max_doublings` times at most.
+    /// Starts a pause of `first` seconds, doubled for each rejection since the last reset, up to `max_doublings` times.
     pub fn start(&mut self, now: f64, first: f64, max_doublings: i32) {
         self.until = now + first * 2f64.powi(self.rejections.min(max_doublings));
         self.rejections += 1;
     }
 
-    /// Has the next pause begin with the first length again. A pause under way goes on.
+    /// Resets the length of the next pause to the initial one. A pause under way is not shortened.
     pub fn reset(&mut self) {
         self.rejections = 0;
     }
 }
 
-/// An allowance that fills at a rate, up to a capacity.
+/// A token bucket: tokens accumulate at a rate up to a capacity.
 pub struct TokenBucket {
     tokens: f64,
     filled_at: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket; its capacity is that of the first use.
+    /// Creates a full bucket: the first use finds as many tokens as its `capacity`.
     pub fn full(now: f64) -> TokenBucket {
         TokenBucket {
             tokens: f64::INFINITY,
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Adds the tokens of the time since the last use, `rate` a second, up to `capacity`.
+    /// Adds the tokens for the time since the last use, `rate` per second, up to `capacity`.
     pub fn refill(&mut self, now: f64, rate: f64, capacity: f64) {
         self.tokens = (self.tokens + (now - self.filled_at) * rate).min(capacity);
         self.filled_at = now;
     }
 
-    /// Fills the bucket, then takes `cost` tokens if there are `required` of them; tells whether it did.
+    /// Refills the bucket, then takes `cost` tokens if at least `required` are available. Returns whether it took them.
     pub fn try_take(
         &mut self,
         now: f64,
@@ -80,24 +80,24 @@
         self.sum
     }
 
-    /// Raises the sum to an amount, if it is below.
+    /// Raises the sum to an amount if it is lower.
     pub fn raise_to(&mut self, amount: f64, now: f64, time_constant: f64) {
         self.sum = self.at(now, time_constant).max(amount);
         self.updated_at = now;
     }
 
-    /// When the sum was last changed.
+    /// Returns when the sum was last changed.
     pub fn updated_at(&self) -> f64 {
         self.updated_at
     }
 
-    /// The sum at a time.
+    /// Returns the decayed sum at a time.
     pub fn at(&self, now: f64, time_constant: f64) -> f64 {
         self.sum * (-(now - self.updated_at) / time_constant).exp()
     }
 }
 
-/// A mean whose values decay exponentially over time.
+/// A mean in which the weights of values decay exponentially over time.
 #[derive(Clone, Copy, Default)]
 pub struct DecayingMean {
     sum: DecayingSum,
@@ -111,30 +111,30 @@
         self.count.add(1.0, now, time_constant);
     }
 
-    /// The mean at a time; 0 where nothing was added.
+    /// Returns the mean at a time; 0 if no value was added.
     pub fn at(&self, now: f64, time_constant: f64) -> f64 {
         self.sum.at(now, time_constant) / self.count.at(now, time_constant).max(1e-6)
     }
 }
 
-/// Moments within a sliding window of the past, in ascending order.
+/// The times of events within a sliding window of the past, in ascending order.
 #[derive(Default)]
 pub struct SlidingWindow(VecDeque<f64>);
 
 impl SlidingWindow {
-    /// Adds a moment, which is not before the last one.
+    /// Adds an event at `now`, which must not be before the last one.
     pub fn add(&mut self, now: f64) {
         self.0.push_back(now);
     }
 
-    /// Takes a moment out again.
-    pub fn remove(&mut self, moment: f64) {
-        if let Ok(position) = self.0.binary_search_by(|at| at.total_cmp(&moment)) {
+    /// Removes an event at `time`, if there is one.
+    pub fn remove(&mut self, time: f64) {
+        if let Ok(position) = self.0.binary_search_by(|at| at.total_cmp(&time)) {
             self.0.remove(position);
         }
     }
 
-    /// The number of moments after `since`; earlier ones are dropped.
+    /// Returns the number of events after `since` and removes the earlier ones.
     pub fn count_after(&mut self, since: f64) -> f64 {
         while self.0.front().is_some_and(|&at| at <= since) {
             self.0.pop_front();
@@ -161,7 +161,7 @@
     }
 }
 
-/// The value below which a fraction of the values lies; `None` of no values.
+/// Returns the value below which `fraction` of the values lie, or `None` if there are no values.
 pub fn quantile(mut values: Vec<f64>, fraction: f64) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let rank = (values.len() as f64 * fraction) as usize;
--- a/crates/dispatch-policy/src/state/warm_replicas.rs
+++ b/crates/dispatch-policy/src/state/warm_replicas.rs
@@ -1,44 +1,44 @@
-//! The executors known to have a function loaded, in the order in which they were last seen to.
+//! The executors known to have a function loaded, in the order in which this was last observed.
 
 use super::load_tree::LoadTree;
 use super::{ExecutorIndex, ExecutorTable, LoadEstimate};
 
-/// Sets up to this size are searched one by one, larger ones by a tree.
-const MAX_SCANNED: usize = 16;
+/// Sets up to this size are searched linearly, larger ones with a [`LoadTree`].
+const MAX_LINEAR_SCAN: usize = 16;
 
 /// An executor known to have a function loaded.
 #[derive(Clone, Copy)]
 pub struct WarmReplica {
     /// The executor.
     pub executor: ExecutorIndex,
-    /// The moment from which on the replica is not relied on, in seconds.
+    /// When the replica expires, in seconds. From then on it is no longer assumed to be loaded.
     pub expires_at: f64,
-    /// The executor answered that it has no capacity for the function.
+    /// Whether the executor rejected a dispatch because it had no capacity for the function.
     pub is_full: bool,
 }
 
 /// The warm replicas of a function, one for each executor.
 #[derive(Default)]
 pub struct WarmReplicaSet {
-    /// Removed entries leave a gap until there are too many of them.
+    /// Removed entries become `None` until the entries are compacted.
     entries: Vec<Option<WarmReplica>>,
     count: usize,
-    /// For a large set, once it was refreshed.
+    /// Present for a large set from its first refresh on.
     tree: Option<Box<LoadTree>>,
 }
 
 impl WarmReplicaSet {
-    /// Number of replicas, the expired ones included.
+    /// Returns the number of replicas, including expired ones.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there is no replica.
+    /// Returns whether there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// The replicas in the order in which they were last added, the expired ones included.
+    /// Returns the replicas in the order in which they were last added, including expired ones.
     pub fn iter(&self) -> impl Iterator<Item = &WarmReplica> + Clone {
         self.entries.iter().flatten()
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether an executor has a replica that is relied on at a time.
+    /// Returns whether an executor has a replica that has not expired at `now`.
     pub fn is_warm(&self, executor: ExecutorIndex, now: f64) -> bool {
         match &self.tree {
             Some(tree) => tree.is_warm(executor, now),
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Notes that an executor has no capacity for the function.
-    pub fn set_full(&mut self, executor: ExecutorIndex) {
+    /// Marks an executor's replica as having no capacity.
+    pub fn mark_full(&mut self, executor: ExecutorIndex) {
         if let Some(position) = self.position(executor)
             && let Some(replica) = &mut self.entries[position]
         {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Adds a replica as the last, in place of the one that the executor had.
+    /// Appends a replica, in place of the one that the executor had.
     pub fn add(&mut self, executor: ExecutorIndex, expires_at: f64) {
         self.remove(executor);
         let position = self.entries.len();
@@ -98,30 +98,30 @@
         if let Some(tree) = &mut self.tree {
             tree.remove(executor, position);
         }
-        if self.entries.len() >= 2 * self.count + MAX_SCANNED {
-            self.close_gaps();
+        if self.entries.len() >= 2 * self.count + MAX_LINEAR_SCAN {
+            self.compact();
         }
     }
 
-    /// Removes all replicas but those that are to stay.
-    pub fn retain(&mut self, stays: impl Fn(&WarmReplica) -> bool) {
-        if !self.iter().all(&stays) {
+    /// Removes all replicas for which `is_kept` returns false.
+    pub fn retain(&mut self, is_kept: impl Fn(&WarmReplica) -> bool) {
+        if !self.iter().all(&is_kept) {
             for entry in &mut self.entries {
-                *entry = entry.filter(&stays);
+                *entry = entry.filter(&is_kept);
             }
-            self.close_gaps();
+            self.compact();
         }
     }
 
-    fn close_gaps(&mut self) {
+    fn compact(&mut self) {
         self.entries.retain(Option::is_some);
         self.count = self.entries.len();
         self.tree = None;
     }
 
-    /// Takes in the loads that changed. It has to be called before a search.
+    /// Updates the set with the loads that changed. Has to be called before [`min_by_score`](Self::min_by_score).
     pub fn refresh(&mut self, executors: &ExecutorTable) {
-        if self.count <= MAX_SCANNED {
+        if self.count <= MAX_LINEAR_SCAN {
             self.tree = None;
             return;
         }
@@ -131,9 +131,8 @@
             .refresh(entries, executors);
     }
 
-    /// The executor with the least score, the first of equal ones; replicas without a score are passed over.
-    /// `bound` must never exceed the score of an executor with that load, or of any with loads that it is the
-    /// best of.
+    /// Returns the executor with the lowest score, or the first of several; replicas without a score are skipped.
+    /// `bound` has to return a lower bound of the scores of all executors that a [`LoadEstimate`] combines.
     pub fn min_by_score(
         &self,
         bound: impl Fn(&LoadEstimate) -> f64,
--- a/crates/dispatch-policy/src/state/workload.rs
+++ b/crates/dispatch-policy/src/state/workload.rs
@@ -1,4 +1,4 @@
-//! Functions and invocations together, with the changes that keep both in step.
+//! Functions and their invocations, with the operations that keep both tables consistent.
 
 use super::{
     ExecutorIndex, FunctionTable, InFlightDispatch, InvocationIndex, InvocationTable,
@@ -7,8 +7,8 @@
 use crate::interface::Actions;
 use std::collections::btree_map::Entry;
 
-/// The functions that this front end serves and their open invocations. An invocation that has no final answer
-/// either waits in its function's queue or has a dispatch in flight.
+/// The functions that this front end serves and their open invocations. An invocation without a final answer either
+/// waits in its function's queue or has a dispatch in flight.
 #[derive(Default)]
 pub struct Workload {
     /// The functions.
@@ -18,13 +18,13 @@
 }
 
 impl Workload {
-    /// Adds an invocation, which waits.
+    /// Adds an invocation to the queue of its function.
     pub fn admit(&mut self, invocation: OpenInvocation) {
         let index = self.invocations.insert(invocation);
         self.enqueue(index);
     }
 
-    /// Adds a dispatch of an invocation, which then no longer waits.
+    /// Records a dispatch of an invocation and removes the invocation from its queue.
     pub fn record_dispatch(
         &mut self,
         index: InvocationIndex,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes a dispatch that ended off those in flight, by its number.
+    /// Removes a dispatch that ended, by its number, from those in flight and returns it.
     pub fn record_dispatch_end(
         &mut self,
         index: InvocationIndex,
@@ -60,8 +60,8 @@
         Some(ended)
     }
 
-    /// Notes that an invocation has its final answer, and releases it if nothing is in flight. What is in flight is
-    /// cancelled if that is allowed, unless the response has started.
+    /// Records that an invocation has its final answer, and releases it if nothing is in flight. Dispatches in flight
+    /// are cancelled if that is allowed, unless the response has started.
     pub fn close(
         &mut self,
         index: InvocationIndex,
@@ -77,7 +77,7 @@
         self.release(index);
     }
 
-    /// Has an invocation wait again, if it has no final answer and nothing in flight.
+    /// Returns an invocation to its queue if it has no final answer and nothing in flight.
     pub fn requeue(&mut self, index: InvocationIndex) {
         let invocation = &self.invocations[index];
         if invocation.in_flight().is_empty() && !invocation.is_answered() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Releases an invocation that has its final answer and nothing in flight.
+    /// Releases an invocation if it has its final answer and nothing in flight.
     pub fn release(&mut self, index: InvocationIndex) {
         if self.invocations.release(index) {
             let function = self.invocations[index].function();
