--- a/crates/dispatch-policy/src/state/mod.rs
+++ b/crates/dispatch-policy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the dispatch policy keeps between inputs: records and the indices over them. Nothing here takes a decision.
+//! The state that the dispatch policy keeps between inputs: records and the indices over them. Decisions are made in
+//! [`dispatch`](crate::dispatch).
 
 mod endpoint_updates;
 mod executor;
@@ -22,7 +23,7 @@
 mod workload;
 
 pub use endpoint_updates::apply_endpoint_update;
-pub use executor::{DispatchAt, Executor, LoadEstimate};
+pub use executor::{Executor, ExecutorDispatch, LoadEstimate};
 pub use executor_table::ExecutorTable;
 pub use function::{Function, LastWarm, Placement};
 pub use function_table::FunctionTable;
