--- a/crates/executor-protocol/src/lib.rs
+++ b/crates/executor-protocol/src/lib.rs
@@ -17,13 +17,13 @@
 }
 
 /// The path of a stream that carries a dispatch.
-pub const DISPATCH: &str = "/orchidtally.v1/dispatch";
+pub const DISPATCH_PATH: &str = "/orchidtally.v1/dispatch";
 /// The path of a stream that carries a load command.
-pub const LOAD: &str = "/orchidtally.v1/order";
+pub const LOAD_PATH: &str = "/orchidtally.v1/order";
 /// The path of a stream that asks for health and load.
-pub const HEALTH_CHECK: &str = "/orchidtally.v1/probe";
+pub const HEALTH_CHECK_PATH: &str = "/orchidtally.v1/probe";
 /// The path of a stream that subscribes to the endpoint list.
-pub const ENDPOINTS: &str = "/orchidtally.v1/roster";
+pub const ENDPOINT_LIST_PATH: &str = "/orchidtally.v1/roster";
 /// The content type of every stream; a stream of another type is rejected.
 pub const CONTENT_TYPE: &str = "application/orchidtally.v1+proto";
 /// The longest message, without the payload behind it, in bytes.
@@ -32,7 +32,7 @@
 pub const MAX_ENDPOINT_LIST_LENGTH: usize = 16 * 1024 * 1024;
 
 /// Bytes of the length in front of a message.
-const LENGTH_PREFIX: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Why a stream's bytes are no message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -47,7 +47,7 @@
     },
     /// The stream ended before the message did.
     #[error("the stream ended {missing} bytes before its message")]
-    CutShort {
+    Truncated {
         /// How many bytes are missing.
         missing: usize,
     },
@@ -59,7 +59,7 @@
 /// A message with its length in front.
 pub fn frame(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
-    let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX + length);
+    let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + length);
     bytes.put_u32(length as u32);
     message
         .encode(&mut bytes)
@@ -98,39 +98,42 @@
     ///
     /// # Errors
     /// The message is longer than `max` bytes, or malformed.
-    pub fn message<M: Message + Default>(&mut self, max: usize) -> Result<Option<M>, FramingError> {
+    pub fn next_message<M: Message + Default>(
+        &mut self,
+        max: usize,
+    ) -> Result<Option<M>, FramingError> {
         let Some(length) = self.peek_length() else {
             return Ok(None);
         };
         if length > max {
             return Err(FramingError::TooLong { length, max });
         }
-        if self.length < LENGTH_PREFIX + length {
+        if self.length < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
         }
-        self.take(LENGTH_PREFIX);
-        let bytes = self.take(length);
+        self.take_bytes(LENGTH_PREFIX_BYTES);
+        let bytes = self.take_bytes(length);
         M::decode(bytes).map(Some).map_err(FramingError::Malformed)
     }
 
     /// The error of a stream that has ended before its message.
-    pub fn cut_short(&self) -> FramingError {
+    pub fn truncation_error(&self) -> FramingError {
         let length = self.peek_length().unwrap_or(0);
-        let expected = LENGTH_PREFIX + length;
-        FramingError::CutShort {
+        let expected = LENGTH_PREFIX_BYTES + length;
+        FramingError::Truncated {
             missing: expected.saturating_sub(self.length),
         }
     }
 
     /// The next chunk of the payload.
-    pub fn payload(&mut self) -> Option<Bytes> {
+    pub fn next_payload_chunk(&mut self) -> Option<Bytes> {
         let chunk = self.chunks.pop_front()?;
         self.length -= chunk.len();
         Some(chunk)
     }
 
     fn peek_length(&self) -> Option<usize> {
-        let mut length = [0; LENGTH_PREFIX];
+        let mut length = [0; LENGTH_PREFIX_BYTES];
         let mut bytes = self.chunks.iter().flat_map(|c| c.iter().copied());
         for byte in &mut length {
             *byte = bytes.next()?;
@@ -138,7 +141,7 @@
         Some(u32::from_be_bytes(length) as usize)
     }
 
-    fn take(&mut self, count: usize) -> Bytes {
+    fn take_bytes(&mut self, count: usize) -> Bytes {
         self.length -= count;
         if let Some(first) = self.chunks.front_mut().filter(|c| c.len() > count) {
             return first.split_to(count);
--- a/crates/executor-protocol/tests/codec.rs
+++ b/crates/executor-protocol/tests/codec.rs
@@ -46,11 +46,13 @@
         for chunk in bytes.chunks(step) {
             deframer.push(Bytes::copy_from_slice(chunk));
             if got.is_none() {
-                got = deframer.message::<Dispatch>(MAX_MESSAGE_LENGTH).unwrap();
+                got = deframer
+                    .next_message::<Dispatch>(MAX_MESSAGE_LENGTH)
+                    .unwrap();
             }
         }
         prop_assert_eq!(got, Some(sent));
-        let rest: Vec<u8> = std::iter::from_fn(|| deframer.payload())
+        let rest: Vec<u8> = std::iter::from_fn(|| deframer.next_payload_chunk())
             .flatten()
             .collect();
         prop_assert_eq!(rest, payload);
@@ -70,12 +72,15 @@
         let length = bytes
             .get(..4)
             .map(|b| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize);
-        match (deframer.message::<Answer>(MAX_MESSAGE_LENGTH), length) {
+        match (deframer.next_message::<Answer>(MAX_MESSAGE_LENGTH), length) {
             (Ok(Some(_)), Some(length)) => prop_assert!(length + 4 <= bytes.len()),
             (Ok(None), Some(length)) => {
                 prop_assert!(length + 4 > bytes.len());
                 let missing = length + 4 - bytes.len();
-                prop_assert_eq!(deframer.cut_short(), FramingError::CutShort { missing });
+                prop_assert_eq!(
+                    deframer.truncation_error(),
+                    FramingError::Truncated { missing }
+                );
             }
             (Ok(None), None) => prop_assert!(bytes.len() < 4),
             (Err(FramingError::TooLong { length, max }), Some(stated)) => {
@@ -92,7 +97,7 @@
     let mut wrong = Deframer::default();
     wrong.push(Bytes::from_static(&[0, 0, 0, 2, 0x0a, 0xff]));
     faults += usize::from(matches!(
-        wrong.message::<Answer>(MAX_MESSAGE_LENGTH),
+        wrong.next_message::<Answer>(MAX_MESSAGE_LENGTH),
         Err(FramingError::Malformed(_))
     ));
     assert_eq!(
--- a/crates/executor-protocol/tests/stored_formats.rs
+++ b/crates/executor-protocol/tests/stored_formats.rs
@@ -7,8 +7,8 @@
     RosterKind, RosterRow, RosterUpdate, RosterWatch, Sender, Standing,
 };
 use orchidtally_executor_protocol::{
-    CONTENT_TYPE, DISPATCH, Deframer, ENDPOINTS, HEALTH_CHECK, LOAD, MAX_ENDPOINT_LIST_LENGTH,
-    frame,
+    CONTENT_TYPE, DISPATCH_PATH, Deframer, ENDPOINT_LIST_PATH, HEALTH_CHECK_PATH, LOAD_PATH,
+    MAX_ENDPOINT_LIST_LENGTH, frame,
 };
 use std::fmt::Debug;
 
@@ -49,7 +49,7 @@
     let mut deframer = Deframer::default();
     deframer.push(Bytes::from(bytes));
     let read: Message = deframer
-        .message(MAX_ENDPOINT_LIST_LENGTH)
+        .next_message(MAX_ENDPOINT_LIST_LENGTH)
         .unwrap()
         .expect("the example is whole");
     assert_eq!(read, message, "{name}");
@@ -158,7 +158,12 @@
 
 #[test]
 fn paths_and_content_type_are_those_of_the_protocol() {
-    let paths = [DISPATCH, LOAD, HEALTH_CHECK, ENDPOINTS];
+    let paths = [
+        DISPATCH_PATH,
+        LOAD_PATH,
+        HEALTH_CHECK_PATH,
+        ENDPOINT_LIST_PATH,
+    ];
     let expected = [
         "/orchidtally.v1/dispatch",
         "/orchidtally.v1/order",
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -10,7 +10,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{ENDPOINTS, MAX_ENDPOINT_LIST_LENGTH, frame};
+use orchidtally_executor_protocol::{ENDPOINT_LIST_PATH, MAX_ENDPOINT_LIST_LENGTH, frame};
 use orchidtally_membership::EntryError;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -108,7 +108,9 @@
     });
     let asked_at = router.now();
     let first = async {
-        let mut incoming = pool.begin(ENDPOINTS, || Some(question), &[]).await?;
+        let mut incoming = pool
+            .begin(ENDPOINT_LIST_PATH, || Some(question), &[])
+            .await?;
         Ok((
             incoming
                 .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
--- a/crates/http-frontend/src/pool/incoming.rs
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -45,10 +45,10 @@
         max_length: usize,
     ) -> Result<M, TransportOutcome> {
         loop {
-            let fault = match self.deframer.message(max_length) {
+            let fault = match self.deframer.next_message(max_length) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) if self.read_more().await? => continue,
-                Ok(None) => self.deframer.cut_short(),
+                Ok(None) => self.deframer.truncation_error(),
                 Err(fault) => fault,
             };
             // No new streams are opened on it; those in flight may still succeed.
@@ -63,7 +63,7 @@
     /// The next chunk of the payload; `None` at its end.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, TransportOutcome> {
         loop {
-            if let Some(chunk) = self.deframer.payload() {
+            if let Some(chunk) = self.deframer.next_payload_chunk() {
                 return Ok(Some(chunk));
             }
             if !self.read_more().await? {
--- a/crates/http-frontend/src/router/action_executor.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -10,7 +10,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{AdmissionError, Engine, FailureReason, Host};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{HEALTH_CHECK, frame};
+use orchidtally_executor_protocol::{HEALTH_CHECK_PATH, frame};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
@@ -256,7 +256,7 @@
         });
         let work = async move {
             let answered = pool
-                .exchange::<v1::ProbeAnswer>(HEALTH_CHECK, probe, &[])
+                .exchange::<v1::ProbeAnswer>(HEALTH_CHECK_PATH, probe, &[])
                 .await;
             debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "health check finished");
         };
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -9,7 +9,7 @@
 use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{DISPATCH, frame};
+use orchidtally_executor_protocol::{DISPATCH_PATH, frame};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -140,7 +140,7 @@
         let payload = &dispatch.work.payload;
         let exchanged = dispatch
             .pool
-            .exchange_if::<v1::Answer>(DISPATCH, head, payload)
+            .exchange_if::<v1::Answer>(DISPATCH_PATH, head, payload)
             .await;
         if let Some(refusal) = refusal.take() {
             return self.on_dispatch_refused(dispatch.invocation, dispatch.number, refusal);
--- a/crates/http-frontend/src/router/load_command.rs
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -5,7 +5,7 @@
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
 use orchidtally_engine::evidence::{self, TransportOutcome};
 use orchidtally_executor_protocol::v1;
-use orchidtally_executor_protocol::{LOAD, frame};
+use orchidtally_executor_protocol::{LOAD_PATH, frame};
 use std::rc::Rc;
 
 impl Router {
@@ -31,7 +31,7 @@
                 order.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, given_at);
             may_leave.then(|| frame(&order))
         };
-        let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD, head, &[]);
+        let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD_PATH, head, &[]);
         let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
         let mut differs = false;
         let outcome = match answered {
--- a/crates/test-servers/src/baseline.rs
+++ b/crates/test-servers/src/baseline.rs
@@ -4,7 +4,7 @@
 use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
 use h2::client::SendRequest;
-use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, frame, v1};
+use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH_PATH, frame, v1};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -106,7 +106,7 @@
 }
 
 fn dispatch(to: SocketAddr) -> http::Result<http::Request<()>> {
-    http::Request::post(format!("http://{to}{DISPATCH}"))
+    http::Request::post(format!("http://{to}{DISPATCH_PATH}"))
         .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
         .body(())
 }
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -7,7 +7,8 @@
 use futures_lite::future;
 use h2::server::SendResponse;
 use orchidtally_executor_protocol::{
-    CONTENT_TYPE, DISPATCH, Deframer, HEALTH_CHECK, LOAD, MAX_MESSAGE_LENGTH, frame, v1,
+    CONTENT_TYPE, DISPATCH_PATH, Deframer, HEALTH_CHECK_PATH, LOAD_PATH, MAX_MESSAGE_LENGTH, frame,
+    v1,
 };
 use orchidtally_invariants::DispatchOutcome;
 use orchidtally_socket_io::Stream;
@@ -95,7 +96,7 @@
         }
         // A peer that resets its stream ends the work.
         let done = match path.as_str() {
-            DISPATCH => {
+            DISPATCH_PATH => {
                 let Some(dispatch) = body.message::<v1::Dispatch>().await else {
                     return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
@@ -104,14 +105,14 @@
                     None => return,
                 }
             }
-            LOAD => {
+            LOAD_PATH => {
                 let Some(order) = body.message::<v1::Order>().await else {
                     return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
                 let answer = self.clone().order(order).await;
                 answer_with(&mut respond, &answer, vec![])
             }
-            HEALTH_CHECK => answer_with(
+            HEALTH_CHECK_PATH => answer_with(
                 &mut respond,
                 &v1::ProbeAnswer {
                     report: self.report(),
@@ -199,7 +200,7 @@
 
     async fn message<M: Message + Default>(&mut self) -> Option<M> {
         loop {
-            match self.deframer.message(MAX_MESSAGE_LENGTH) {
+            match self.deframer.next_message(MAX_MESSAGE_LENGTH) {
                 Ok(Some(message)) => return Some(message),
                 Ok(None) if self.more().await => {}
                 Ok(None) => return None,
@@ -213,7 +214,7 @@
 
     pub(super) async fn rest(&mut self) -> Vec<Bytes> {
         while self.more().await {}
-        std::iter::from_fn(|| self.deframer.payload()).collect()
+        std::iter::from_fn(|| self.deframer.next_payload_chunk()).collect()
     }
 }
 
--- a/crates/test-servers/src/misbehaving_front_end.rs
+++ b/crates/test-servers/src/misbehaving_front_end.rs
@@ -5,7 +5,9 @@
 use bytes::Bytes;
 use orchidtally_etcd::rpc::{RangeRequest, RangeResponse, WatchResponse};
 use orchidtally_etcd::{Client, ClientError, Watch, range_end};
-use orchidtally_executor_protocol::{CONTENT_TYPE, DISPATCH, ENDPOINTS, LOAD, frame, v1};
+use orchidtally_executor_protocol::{
+    CONTENT_TYPE, DISPATCH_PATH, ENDPOINT_LIST_PATH, LOAD_PATH, frame, v1,
+};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -82,7 +84,7 @@
             let ask = frame(&v1::RosterWatch {
                 from: Some(self.sender),
             });
-            if let Ok(mut notified) = self.send(publisher, ENDPOINTS, ask).await {
+            if let Ok(mut notified) = self.send(publisher, ENDPOINT_LIST_PATH, ask).await {
                 while let Some(Ok(chunk)) = notified.data().await {
                     // Fails only where the stream has ended, which the next read tells.
                     let _ = notified.flow_control().release_capacity(chunk.len());
@@ -145,7 +147,7 @@
             ..v1::Dispatch::default()
         });
         // Whatever comes of it is on record at the executor.
-        if let Ok(mut answer) = self.send(to, DISPATCH, head).await {
+        if let Ok(mut answer) = self.send(to, DISPATCH_PATH, head).await {
             while let Some(Ok(_)) = answer.data().await {}
         }
     }
@@ -160,7 +162,7 @@
             copies: 1,
             ..v1::Order::default()
         });
-        if let Ok(mut answer) = self.send(to, LOAD, order).await {
+        if let Ok(mut answer) = self.send(to, LOAD_PATH, order).await {
             while let Some(Ok(_)) = answer.data().await {}
         }
     }
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use bytes::Bytes;
 use futures_lite::future;
-use orchidtally_executor_protocol::{Deframer, ENDPOINTS, MAX_MESSAGE_LENGTH, frame, v1};
+use orchidtally_executor_protocol::{Deframer, ENDPOINT_LIST_PATH, MAX_MESSAGE_LENGTH, frame, v1};
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -170,13 +170,13 @@
         request: http::Request<h2::RecvStream>,
         mut respond: h2::server::SendResponse<Bytes>,
     ) {
-        if request.uri().path() != ENDPOINTS {
+        if request.uri().path() != ENDPOINT_LIST_PATH {
             return;
         }
         let mut body = request.into_body();
         let mut deframer = Deframer::default();
         let watch = loop {
-            match deframer.message::<v1::RosterWatch>(MAX_MESSAGE_LENGTH) {
+            match deframer.next_message::<v1::RosterWatch>(MAX_MESSAGE_LENGTH) {
                 Ok(Some(watch)) => break watch,
                 Ok(None) => match body.data().await {
                     Some(Ok(chunk)) => deframer.push(chunk),
