--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -158,7 +158,7 @@
 
     async fn serve(self: Rc<Self>, stream: Stream) {
         self.connections.set(self.connections.get() + 1);
-        let peer = stream.peer();
+        let peer = stream.peer_addr();
         let service = hyper::service::service_fn(|request| self.respond(request));
         let served = hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -138,7 +138,7 @@
     _open: ConnectionGuard,
 ) {
     let time = Duration::from_secs_f64(router.deployment.limits.request_read_timeout);
-    let peer = stream.peer();
+    let peer = stream.peer_addr();
     if with_timeout(time, stream.readable()).await.is_none() {
         debug!(?peer, "connection closed: no request received");
         return;
--- a/crates/http-frontend/src/pool/opening.rs
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -67,7 +67,7 @@
 
     async fn handshake(&self) -> io::Result<Handshake> {
         let stream = orchidtally_socket_io::connect(self.to, self.limits.connect_time).await?;
-        let written = stream.written();
+        let written = stream.bytes_written();
         let mut builder = h2::client::Builder::new();
         builder
             .max_header_list_size(self.limits.header_bytes)
--- a/crates/platform-frontend/src/client_connection.rs
+++ b/crates/platform-frontend/src/client_connection.rs
@@ -108,9 +108,9 @@
 
     /// Records a flush, for the detection of clients that read nothing.
     pub fn record_flush(&mut self, now: f64) {
-        let written = self.socket.written();
+        let written = self.socket.bytes_written();
         match self.stalled_since {
-            _ if self.socket.waiting() == 0 => self.stalled_since = None,
+            _ if self.socket.pending_bytes() == 0 => self.stalled_since = None,
             Some((_, before)) if before == written => {}
             _ => self.stalled_since = Some((now, written)),
         }
@@ -128,7 +128,7 @@
 
     /// Whether every answer is written and nothing is open or arriving.
     pub fn is_quiescent(&self) -> bool {
-        self.socket.waiting() == 0 && self.is_idle() && !self.has_partial_frame()
+        self.socket.pending_bytes() == 0 && self.is_idle() && !self.has_partial_frame()
     }
 
     /// Whether more waits for admission than a client that reads its answers may have open.
@@ -186,7 +186,7 @@
     /// Appends an answer to the backlog.
     pub fn respond(&mut self, stream: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
         protocol::write_frame(
-            self.socket.out(),
+            self.socket.write_buffer(),
             protocol::RESPONSE,
             stream,
             Some(code),
--- a/crates/platform-frontend/src/engine_host/callbacks.rs
+++ b/crates/platform-frontend/src/engine_host/callbacks.rs
@@ -122,7 +122,7 @@
                 // Ahead of what is queued, and after its dispatch, which is encoded already.
                 connection
                     .socket
-                    .out()
+                    .write_buffer()
                     .extend_from_slice(&executor_protocol::cancel(&id));
                 self.unflushed_cancels.push(slot);
             }
--- a/crates/platform-frontend/src/engine_host/flushing.rs
+++ b/crates/platform-frontend/src/engine_host/flushing.rs
@@ -69,7 +69,7 @@
         }
         while let Some(connection) = self.pool.connection_mut(slot) {
             connection.socket.flush()?;
-            if connection.socket.waiting() > 0 {
+            if connection.socket.pending_bytes() > 0 {
                 connection.requeue_unwritten();
                 return Ok(());
             }
@@ -92,7 +92,7 @@
                 continue;
             };
             let reason = match connection.socket.flush() {
-                Ok(()) if connection.socket.waiting() == 0 => continue,
+                Ok(()) if connection.socket.pending_bytes() == 0 => continue,
                 Ok(()) => "executor does not read a cancel".to_owned(),
                 Err(error) => error.to_string(),
             };
@@ -117,7 +117,7 @@
     /// Encodes commands from the queue of a connection until enough bytes wait to be handed over.
     fn encode_queue(&mut self, slot: usize, revalidation: &mut dyn SendRevalidation) {
         while let Some(connection) = self.pool.connection_mut(slot) {
-            if connection.socket.waiting() >= MAX_UNFLUSHED_BYTES {
+            if connection.socket.pending_bytes() >= MAX_UNFLUSHED_BYTES {
                 return;
             }
             let Some(command) = connection.queue.pop_front() else {
@@ -133,7 +133,7 @@
             if let Some(line) = line
                 && let Some(connection) = self.pool.connection_mut(slot)
             {
-                connection.socket.out().extend_from_slice(&line);
+                connection.socket.write_buffer().extend_from_slice(&line);
             }
         }
     }
--- a/crates/platform-frontend/src/event_loop/client_requests.rs
+++ b/crates/platform-frontend/src/event_loop/client_requests.rs
@@ -79,10 +79,10 @@
             let Some(client) = self.host.clients.get_mut(slot) else {
                 return;
             };
-            client.is_backpressured = client.socket.waiting() > MAX_BACKLOG_BYTES;
+            client.is_backpressured = client.socket.pending_bytes() > MAX_BACKLOG_BYTES;
             match client.socket.read(&mut self.read_buffer) {
-                Ok(ReadOutcome::Nothing) => {
-                    if client.socket.waiting() > 0 {
+                Ok(ReadOutcome::WouldBlock) => {
+                    if client.socket.pending_bytes() > 0 {
                         self.host.mark_client_dirty(slot);
                     }
                     return;
@@ -98,7 +98,7 @@
                         return self.close_after_protocol_error(now, slot, error);
                     }
                 }
-                Ok(ReadOutcome::End) | Err(_) => return self.close_client(now, slot),
+                Ok(ReadOutcome::EndOfStream) | Err(_) => return self.close_client(now, slot),
             }
         }
         self.unfinished_reads.push_back(Source::Client(slot));
@@ -173,7 +173,7 @@
         };
         if let Some(client) = self.host.clients.get_mut(slot) {
             protocol::write_frame(
-                client.socket.out(),
+                client.socket.write_buffer(),
                 protocol::READINESS,
                 stream,
                 Some(code),
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -56,8 +56,8 @@
                 return false;
             };
             match connection.socket.read(&mut self.read_buffer) {
-                Ok(ReadOutcome::Nothing) => {
-                    if connection.socket.waiting() > 0 || !connection.queue.is_empty() {
+                Ok(ReadOutcome::WouldBlock) => {
+                    if connection.socket.pending_bytes() > 0 || !connection.queue.is_empty() {
                         self.host.pool.mark_dirty(slot);
                     }
                     return true;
@@ -68,7 +68,7 @@
                         return false;
                     }
                 }
-                Ok(ReadOutcome::End) => {
+                Ok(ReadOutcome::EndOfStream) => {
                     let reason = "closed by the executor";
                     self.close_executor_connection(now, slot, TransportOutcome::Broken, reason);
                     return false;
--- a/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
@@ -135,7 +135,14 @@
         );
         for slot in self.client_slots() {
             let client = &mut self.host.clients[slot];
-            protocol::write_frame(client.socket.out(), protocol::GO_AWAY, 0, None, None, &[]);
+            protocol::write_frame(
+                client.socket.write_buffer(),
+                protocol::GO_AWAY,
+                0,
+                None,
+                None,
+                &[],
+            );
             self.host.mark_client_dirty(slot);
         }
     }
--- a/crates/platform-frontend/src/event_loop/maintenance.rs
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -125,7 +125,7 @@
                 .host
                 .clients
                 .get_mut(slot)
-                .filter(|client| client.socket.waiting() == 0)
+                .filter(|client| client.socket.pending_bytes() == 0)
             {
                 client.respond(0, protocol::ERRORED, &[], reason.as_bytes());
             }
--- a/crates/platform-frontend/src/event_loop/output.rs
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -81,10 +81,10 @@
         client.is_dirty = false;
         let flushed = client.socket.flush();
         client.record_flush(now);
-        if client.is_backpressured && client.socket.waiting() <= MAX_BACKLOG_BYTES {
+        if client.is_backpressured && client.socket.pending_bytes() <= MAX_BACKLOG_BYTES {
             self.unfinished_reads.push_back(Source::Client(slot));
         }
-        let is_written = client.socket.waiting() == 0;
+        let is_written = client.socket.pending_bytes() == 0;
         if let Some(closing) = client
             .closing
             .as_mut()
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -194,7 +194,7 @@
         self.open.is_empty()
             && self.load_commands.is_empty()
             && self.queue.is_empty()
-            && self.socket.waiting() == 0
+            && self.socket.pending_bytes() == 0
     }
 
     /// Abandons a dispatch; returns whether the executor may have begun to read it.
@@ -240,12 +240,12 @@
 
     /// The position at which the next line begins among the bytes of the connection.
     pub fn next_line_start(&self) -> u64 {
-        self.socket.written() + self.socket.waiting() as u64
+        self.socket.bytes_written() + self.socket.pending_bytes() as u64
     }
 
     /// Whether the kernel got no byte of the line at this position.
     fn is_unwritten(&self, line_start: Option<u64>) -> bool {
-        !self.is_connected || line_start.is_none_or(|start| start >= self.socket.written())
+        !self.is_connected || line_start.is_none_or(|start| start >= self.socket.bytes_written())
     }
 
     /// Removes every command of which the kernel got no byte.
@@ -276,7 +276,7 @@
 
     /// Puts lines of which the kernel took no byte back into the queue, to be revalidated when it takes more.
     pub fn requeue_unwritten(&mut self) {
-        let written = self.socket.written();
+        let written = self.socket.bytes_written();
         let is_unwritten = |line_start: &mut u64| *line_start >= written;
         let mut unwritten: Vec<(u64, QueuedCommand)> = vec![];
         for (id, dispatch) in &mut self.open {
@@ -293,7 +293,7 @@
         let Some(&(first, _)) = unwritten.first() else {
             return;
         };
-        self.socket.take_back(first);
+        self.socket.discard_unsent(first);
         // Lines between them that nobody waits for are not missed. A cancel is never among them: it leaves at once, or
         // its connection is cut off.
         for (_, command) in unwritten.into_iter().rev() {
--- a/crates/platform-frontend/src/executor_pool.rs
+++ b/crates/platform-frontend/src/executor_pool.rs
@@ -8,7 +8,7 @@
 use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_platform_config::FrontEndSettings;
 use orchidtally_platform_discovery::DiscoveredEndpoint;
-use orchidtally_socket_io::is_local_fault;
+use orchidtally_socket_io::is_local_error;
 use slab::Slab;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -306,7 +306,7 @@
 
 /// What a failed connection attempt is evidence of.
 pub fn connect_evidence(error: &std::io::Error) -> TransportOutcome {
-    if is_local_fault(error) {
+    if is_local_error(error) {
         TransportOutcome::NoResource
     } else {
         TransportOutcome::NoConnection
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -2,7 +2,7 @@
 
 use orchidtally_platform_config::{FrontEndSettings, SettingsError};
 use orchidtally_platform_discovery::{DiscoveredEndpoint, InitialEndpointsError, LocationTable};
-use orchidtally_socket_io::is_local_fault;
+use orchidtally_socket_io::is_local_error;
 use serde::Deserialize;
 use std::io;
 use std::net::SocketAddr;
@@ -155,14 +155,14 @@
 pub fn read_at_start(path: &Path) -> Result<Start, StartError> {
     retry(
         || read(path),
-        |error| matches!(error, StartError::Unreadable { source, .. } if is_local_fault(source)),
+        |error| matches!(error, StartError::Unreadable { source, .. } if is_local_error(source)),
     )
 }
 
 /// Retries a call that fails for want of something on this machine, or because its address is in use.
 pub(crate) fn retry_local_failures<T>(call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     retry(call, |error| {
-        is_local_fault(error) || error.kind() == io::ErrorKind::AddrInUse
+        is_local_error(error) || error.kind() == io::ErrorKind::AddrInUse
     })
 }
 
--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -9,12 +9,12 @@
     let filler = vec![0; 16 << 20];
     stage.event_loop.host.clients[slot]
         .socket
-        .out()
+        .write_buffer()
         .extend_from_slice(&filler);
     stage.event_loop.host.mark_client_dirty(slot);
     stage.poll_once();
     assert!(
-        stage.event_loop.host.clients[slot].socket.waiting()
+        stage.event_loop.host.clients[slot].socket.pending_bytes()
             > crate::client_connection::MAX_BACKLOG_BYTES,
         "it reads nothing"
     );
--- a/crates/platform-frontend/src/tests/disconnects.rs
+++ b/crates/platform-frontend/src/tests/disconnects.rs
@@ -118,7 +118,7 @@
             > 1
     });
     let (socket, come) = stage.peers[x].ends.remove(end);
-    orchidtally_socket_io::break_on_close(&socket);
+    orchidtally_socket_io::reset_on_close(&socket);
     drop(socket);
     stage.until("severed", |s| !s.event_loop.lost_connections.is_empty());
     drop(client);
@@ -159,7 +159,7 @@
             .write_all(&invocation(2, &id(2), "read")[..30])
             .expect("it stands");
         if resets {
-            orchidtally_socket_io::break_on_close(&client);
+            orchidtally_socket_io::reset_on_close(&client);
         }
         drop(client);
         stage.until("cancelled", |s| s.peers[x].lines("UNDO", &id(1)) == [end]);
--- a/crates/platform-frontend/src/tests/engine_host.rs
+++ b/crates/platform-frontend/src/tests/engine_host.rs
@@ -204,10 +204,10 @@
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
     let slot = first_connection(&host, ids[0]);
-    while connection(&mut host, slot).socket.waiting() == 0 {
+    while connection(&mut host, slot).socket.pending_bytes() == 0 {
         connection(&mut host, slot)
             .socket
-            .out()
+            .write_buffer()
             .resize(1 << 20, b' ');
         connection(&mut host, slot)
             .socket
@@ -241,10 +241,10 @@
 fn no_line_stays_made_of_which_the_kernel_took_nothing() {
     let (mut host, ids, mut ends) = set(1);
     let slot = first_connection(&host, ids[0]);
-    while connection(&mut host, slot).socket.waiting() == 0 {
+    while connection(&mut host, slot).socket.pending_bytes() == 0 {
         connection(&mut host, slot)
             .socket
-            .out()
+            .write_buffer()
             .resize(1 << 20, b' ');
         connection(&mut host, slot)
             .socket
@@ -267,10 +267,10 @@
         let connection = connection(&mut host, slot);
         let begun = |o: &InFlightDispatch| {
             o.line_start
-                .is_none_or(|from| from < connection.socket.written())
+                .is_none_or(|from| from < connection.socket.bytes_written())
         };
         assert!(connection.open.values().all(begun));
-        stuck += usize::from(connection.socket.waiting() > 0);
+        stuck += usize::from(connection.socket.pending_bytes() > 0);
     }
     assert!(
         stuck > 0 && gate.asked > 30,
--- a/crates/platform-frontend/src/tests/executor_connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -115,7 +115,10 @@
 #[test]
 fn only_what_the_kernel_never_got_is_unwritten() {
     let (mut connection, mut peer) = connection();
-    connection.socket.out().extend_from_slice(b"first\n");
+    connection
+        .socket
+        .write_buffer()
+        .extend_from_slice(b"first\n");
     connection.socket.flush().expect("it takes six bytes");
     assert!(!connection.is_unwritten(Some(0)) && !connection.is_unwritten(Some(5)));
     assert!(connection.is_unwritten(Some(6)) && connection.is_unwritten(None));
@@ -164,21 +167,27 @@
 #[test]
 fn what_the_kernel_took_nothing_of_is_taken_back_in_its_order() {
     let (mut connection, _peer) = connection();
-    while connection.socket.waiting() == 0 {
-        connection.socket.out().extend_from_slice(&[b' '; 1 << 20]);
+    while connection.socket.pending_bytes() == 0 {
+        connection
+            .socket
+            .write_buffer()
+            .extend_from_slice(&[b' '; 1 << 20]);
         connection.socket.flush().expect("it stands");
     }
-    let written = connection.socket.written();
+    let written = connection.socket.bytes_written();
     let begun = put(&mut connection, "z", Some(written - 1));
-    let at = connection.socket.written() + connection.socket.waiting() as u64;
-    let kept = connection.socket.waiting();
+    let at = connection.socket.bytes_written() + connection.socket.pending_bytes() as u64;
+    let kept = connection.socket.pending_bytes();
     for (n, id) in ["b", "a"].into_iter().enumerate() {
         put(&mut connection, id, Some(at + 10 * n as u64));
     }
     connection.load_commands.insert(7, Some(at + 20));
-    connection.socket.out().extend_from_slice(&[b'x'; 30]);
+    connection
+        .socket
+        .write_buffer()
+        .extend_from_slice(&[b'x'; 30]);
     connection.requeue_unwritten();
-    assert_eq!(connection.socket.waiting(), kept);
+    assert_eq!(connection.socket.pending_bytes(), kept);
     let queued = connection.queue.iter().map(|q| match q {
         QueuedCommand::Dispatch(id) => id.to_string(),
         QueuedCommand::LoadCommand(tag) => tag.to_string(),
--- a/crates/platform-frontend/src/tests/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/tests/graceful_shutdown.rs
@@ -97,7 +97,7 @@
     let _client = stage.client();
     stage.event_loop.host.clients[0]
         .socket
-        .out()
+        .write_buffer()
         .resize(16 << 20, 0);
     stage.event_loop.host.mark_client_dirty(0);
     told_to_end(&mut stage);
--- a/crates/platform-frontend/src/tests/in_transit.rs
+++ b/crates/platform-frontend/src/tests/in_transit.rs
@@ -126,8 +126,8 @@
             .connection_mut(slot)
             .expect("it stands")
             .socket;
-        while socket.waiting() == 0 {
-            socket.out().extend_from_slice(&[b' '; 4096]);
+        while socket.pending_bytes() == 0 {
+            socket.write_buffer().extend_from_slice(&[b' '; 4096]);
             socket.flush().expect("it stands");
         }
     }
@@ -184,7 +184,7 @@
     let (x, end) = stage.out(&mut client, 1, "command");
     stage.peers[x].say(end, "DONE", &id(1));
     let (socket, _) = stage.peers[x].ends.remove(end);
-    orchidtally_socket_io::break_on_close(&socket);
+    orchidtally_socket_io::reset_on_close(&socket);
     drop(socket);
     // Something is written there before anything is read.
     let to = orchidtally_platform_discovery::executor_id(&stage.peers[x].name);
--- a/crates/socket-io/src/buffered.rs
+++ b/crates/socket-io/src/buffered.rs
@@ -8,11 +8,11 @@
 pub struct BufferedSocket {
     /// The socket.
     pub stream: TcpStream,
-    out: Vec<u8>,
+    write_buffer: Vec<u8>,
     /// Bytes at the front of `out` that were handed to the kernel.
     flushed: usize,
     /// Bytes handed to the kernel since the start.
-    written: u64,
+    bytes_written: u64,
 }
 
 /// The outcome of a read.
@@ -21,9 +21,9 @@
     /// So many bytes were read.
     Bytes(usize),
     /// Nothing can be read now.
-    Nothing,
+    WouldBlock,
     /// The peer has closed its side.
-    End,
+    EndOfStream,
 }
 
 impl BufferedSocket {
@@ -33,9 +33,9 @@
         let _ = stream.set_nodelay(true);
         BufferedSocket {
             stream,
-            out: vec![],
+            write_buffer: vec![],
             flushed: 0,
-            written: 0,
+            bytes_written: 0,
         }
     }
 
@@ -61,34 +61,34 @@
     pub fn read(&mut self, into: &mut [u8]) -> io::Result<ReadOutcome> {
         loop {
             return match self.stream.read(into) {
-                Ok(0) => Ok(ReadOutcome::End),
+                Ok(0) => Ok(ReadOutcome::EndOfStream),
                 Ok(n) => Ok(ReadOutcome::Bytes(n)),
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
-                Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(ReadOutcome::Nothing),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(ReadOutcome::WouldBlock),
                 Err(e) => Err(e),
             };
         }
     }
 
     /// The buffer to which bytes to be written are appended.
-    pub fn out(&mut self) -> &mut Vec<u8> {
-        &mut self.out
+    pub fn write_buffer(&mut self) -> &mut Vec<u8> {
+        &mut self.write_buffer
     }
 
     /// The number of bytes that wait to be handed to the kernel.
-    pub fn waiting(&self) -> usize {
-        self.out.len() - self.flushed
+    pub fn pending_bytes(&self) -> usize {
+        self.write_buffer.len() - self.flushed
     }
 
     /// The number of bytes handed to the kernel so far.
-    pub fn written(&self) -> u64 {
-        self.written
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written
     }
 
     /// Removes the waiting bytes from a position of the connection on, as `written` counts them.
-    pub fn take_back(&mut self, from: u64) {
-        let kept = from.saturating_sub(self.written) as usize;
-        self.out.truncate(self.flushed + kept);
+    pub fn discard_unsent(&mut self, from: u64) {
+        let kept = from.saturating_sub(self.bytes_written) as usize;
+        self.write_buffer.truncate(self.flushed + kept);
     }
 
     /// Hands over as many waiting bytes as the kernel takes.
@@ -96,22 +96,22 @@
     /// # Errors
     /// The connection broke.
     pub fn flush(&mut self) -> io::Result<()> {
-        while self.flushed < self.out.len() {
-            match self.stream.write(&self.out[self.flushed..]) {
+        while self.flushed < self.write_buffer.len() {
+            match self.stream.write(&self.write_buffer[self.flushed..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     self.flushed += n;
-                    self.written += n as u64;
+                    self.bytes_written += n as u64;
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                    self.out.drain(..std::mem::take(&mut self.flushed));
+                    self.write_buffer.drain(..std::mem::take(&mut self.flushed));
                     return Ok(());
                 }
                 Err(e) => return Err(e),
             }
         }
-        self.out = Vec::new();
+        self.write_buffer = Vec::new();
         self.flushed = 0;
         Ok(())
     }
--- a/crates/socket-io/src/http.rs
+++ b/crates/socket-io/src/http.rs
@@ -16,22 +16,22 @@
 /// # Errors
 /// The exchange failed, or the time ran out (`TimedOut`).
 pub async fn fetch(
-    at: SocketAddr,
+    address: SocketAddr,
     method: http::Method,
     path: &str,
     body: impl Into<Bytes>,
-    time: Duration,
+    timeout: Duration,
 ) -> io::Result<(http::StatusCode, Bytes)> {
     let body = Full::new(body.into());
-    let work = async {
-        let stream = connect(at, time).await?;
+    let round_trip = async {
+        let stream = connect(address, timeout).await?;
         let (mut sender, driver) = hyper::client::conn::http1::handshake(stream)
             .await
             .map_err(io::Error::other)?;
         let request = http::Request::builder()
             .method(method)
             .uri(path)
-            .header(http::header::HOST, at.to_string())
+            .header(http::header::HOST, address.to_string())
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(body)
             .map_err(io::Error::other)?;
@@ -54,7 +54,7 @@
         };
         future::or(exchange, drive).await
     };
-    with_timeout(time, work)
+    with_timeout(timeout, round_trip)
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -5,9 +5,9 @@
 
 pub mod buffered;
 pub mod http;
-mod local_failure;
+mod local_error;
 
-pub use local_failure::{is_local_fault, is_out_of_descriptors, is_out_of_resources};
+pub use local_error::{is_local_error, is_out_of_descriptors, is_out_of_resources};
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -32,7 +32,7 @@
 /// A connection that counts the bytes it has handed to the kernel.
 pub struct Stream {
     socket: Async<TcpStream>,
-    written: Rc<Cell<u64>>,
+    bytes_written: Rc<Cell<u64>>,
     /// The last read left nothing behind: the next one waits for readiness instead of trying in vain.
     drained: bool,
 }
@@ -46,14 +46,14 @@
         socket.get_ref().set_nodelay(true)?;
         Ok(Stream {
             socket,
-            written: Rc::default(),
+            bytes_written: Rc::default(),
             drained: false,
         })
     }
 
     /// The count of bytes handed to the kernel, which goes on counting.
-    pub fn written(&self) -> Rc<Cell<u64>> {
-        self.written.clone()
+    pub fn bytes_written(&self) -> Rc<Cell<u64>> {
+        self.bytes_written.clone()
     }
 
     /// Waits until something, or the end, can be read.
@@ -70,12 +70,12 @@
     }
 
     /// The peer's address, if the socket is connected.
-    pub fn peer(&self) -> Option<SocketAddr> {
+    pub fn peer_addr(&self) -> Option<SocketAddr> {
         self.socket.get_ref().peer_addr().ok()
     }
 
     /// Another handle of the socket, to abort the connection with.
-    pub fn breaker(&self) -> Option<TcpStream> {
+    pub fn abort_handle(&self) -> Option<TcpStream> {
         self.socket.get_ref().try_clone().ok()
     }
 
@@ -91,17 +91,18 @@
         }
         READ_BUFFER.with_borrow_mut(|bytes| {
             let max_bytes = max_bytes.min(READ_BUFFER_BYTES);
-            let n = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut bytes[..max_bytes]))?;
-            self.drained = 0 < n && n < max_bytes;
-            consume(&bytes[..n]);
+            let count = ready!(Pin::new(&mut self.socket).poll_read(cx, &mut bytes[..max_bytes]))?;
+            self.drained = 0 < count && count < max_bytes;
+            consume(&bytes[..count]);
             Poll::Ready(Ok(()))
         })
     }
 
     fn poll_write_from(&mut self, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let n = ready!(Pin::new(&mut self.socket).poll_write(cx, buf))?;
-        self.written.set(self.written.get() + n as u64);
-        Poll::Ready(Ok(n))
+        let count = ready!(Pin::new(&mut self.socket).poll_write(cx, buf))?;
+        self.bytes_written
+            .set(self.bytes_written.get() + count as u64);
+        Poll::Ready(Ok(count))
     }
 
     fn poll_write_slices(
@@ -109,9 +110,10 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let n = ready!(Pin::new(&mut self.socket).poll_write_vectored(cx, bufs))?;
-        self.written.set(self.written.get() + n as u64);
-        Poll::Ready(Ok(n))
+        let count = ready!(Pin::new(&mut self.socket).poll_write_vectored(cx, bufs))?;
+        self.bytes_written
+            .set(self.bytes_written.get() + count as u64);
+        Poll::Ready(Ok(count))
     }
 }
 
@@ -205,26 +207,26 @@
 }
 
 /// Makes the close of a socket a reset, so that its peer sees a broken connection rather than an end of file.
-pub fn break_on_close(socket: &TcpStream) {
+pub fn reset_on_close(socket: &TcpStream) {
     // A socket that is closed already needs no such option.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
 /// Runs a future for a time; `None` if the time runs out first.
-pub async fn with_timeout<T>(time: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let timeout = async {
-        Timer::after(time).await;
+pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = T>) -> Option<T> {
+    let timer = async {
+        Timer::after(timeout).await;
         None
     };
-    future::or(async { Some(work.await) }, timeout).await
+    future::or(async { Some(operation.await) }, timer).await
 }
 
 /// Connects to an address within a time.
 ///
 /// # Errors
 /// The connection failed, or the time ran out (`TimedOut`).
-pub async fn connect(to: SocketAddr, time: Duration) -> io::Result<Stream> {
-    let connected = with_timeout(time, Async::<TcpStream>::connect(to)).await;
+pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Stream> {
+    let connected = with_timeout(timeout, Async::<TcpStream>::connect(address)).await;
     Stream::new(connected.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??)
 }
 
@@ -232,8 +234,8 @@
 ///
 /// # Errors
 /// The address can't be bound.
-pub fn listen(at: SocketAddr) -> io::Result<Async<TcpListener>> {
-    Async::<TcpListener>::bind(at)
+pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    Async::<TcpListener>::bind(address)
 }
 
 /// Accepts the next connection. Transient failures, such as a lack of descriptors, are retried.
--- a/crates/socket-io/tests/local_failure.rs
+++ b/crates/socket-io/tests/local_error.rs
@@ -1,12 +1,12 @@
 //! Which failures of calls are this machine's own.
 
-use orchidtally_socket_io::{is_local_fault, is_out_of_resources};
+use orchidtally_socket_io::{is_local_error, is_out_of_resources};
 use rustix::io::Errno;
 use std::io;
 
 #[test]
 fn faults_of_this_machine_are_told_from_those_of_the_peer() {
-    let own = |errno: Errno| is_local_fault(&errno.into());
+    let own = |errno: Errno| is_local_error(&errno.into());
     assert!(
         [Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
             .into_iter()
@@ -22,7 +22,7 @@
         .into_iter()
         .any(own)
     );
-    assert!(!is_local_fault(&io::Error::other("no errno")));
+    assert!(!is_local_error(&io::Error::other("no errno")));
     assert!(
         is_out_of_resources(&Errno::NFILE.into())
             && !is_out_of_resources(&Errno::NETUNREACH.into())
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -174,7 +174,7 @@
 
     /// Serves one connection until it ends.
     async fn serve(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
-        let breaker = stream.breaker();
+        let breaker = stream.abort_handle();
         let stream: Box<dyn ByteStream> = match &self.wrapper {
             Some(wrapper) => match wrapper(stream).await {
                 Some(stream) => stream,
@@ -194,7 +194,7 @@
         let writing = self.stage.spawn(async move {
             server.write(socket, packets).await;
             if let Some(socket) = breaker {
-                orchidtally_socket_io::break_on_close(&socket);
+                orchidtally_socket_io::reset_on_close(&socket);
                 let _ = socket.shutdown(Shutdown::Both);
             }
         });
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -132,7 +132,7 @@
                     let stream = orchidtally_socket_io::accept(&listener).await;
                     let mut open = me.open.borrow_mut();
                     open.retain(|s| s.peer_addr().is_ok());
-                    open.extend(stream.breaker());
+                    open.extend(stream.abort_handle());
                     drop(open);
                     connections
                         .spawn(me.clone().connection(stream, leaving.clone()))
@@ -150,7 +150,7 @@
     pub fn crash(&self) {
         let serving = self.serving.borrow_mut().take();
         for stream in self.open.borrow_mut().drain(..) {
-            orchidtally_socket_io::break_on_close(&stream);
+            orchidtally_socket_io::reset_on_close(&stream);
         }
         drop(serving);
         self.copies.borrow_mut().clear();
--- a/crates/test-servers/src/raw.rs
+++ b/crates/test-servers/src/raw.rs
@@ -143,7 +143,7 @@
                 }
                 Next::Break(bytes) => {
                     socket.write_all(&bytes).await?;
-                    orchidtally_socket_io::break_on_close(socket.get_ref());
+                    orchidtally_socket_io::reset_on_close(socket.get_ref());
                     return Ok(());
                 }
                 Next::StopReading => futures_lite::future::pending().await,
