--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -96,7 +96,7 @@
     let start = orchidtally_platform_frontend::start::read_at_start(&file)
         .map_err(|e| bad(e.to_string()))?;
     start
-        .agrees(
+        .check_environment(
             variable("LB_NAME").as_deref(),
             variable("LB_LISTEN").as_deref(),
         )
--- a/crates/platform-frontend/src/event_loop/mod.rs
+++ b/crates/platform-frontend/src/event_loop/mod.rs
@@ -16,7 +16,7 @@
 use crate::process_clock::ProcessClock;
 use crate::signals::PendingSignals;
 use crate::source::Source;
-use crate::start::{Start, retry_local_failures};
+use crate::start::{StartConfig, retry_local_failures};
 use client_listener::ClientListener;
 use endpoint_discovery::EndpointDiscovery;
 use graceful_shutdown::GracefulShutdown;
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// The poll, the listener or the resolver's socket could not be set up, or the poll failed.
-pub fn run(start: Start, file: PathBuf, mut signals: PendingSignals) -> io::Result<Counters> {
+pub fn run(start: StartConfig, file: PathBuf, mut signals: PendingSignals) -> io::Result<Counters> {
     let poll = retry_local_failures(Poll::new)?;
     signals.register(poll.registry(), Source::Signals.token())?;
     let mut event_loop = EventLoop::new(start, file, poll)?;
@@ -106,14 +106,14 @@
 }
 
 impl EventLoop {
-    fn new(start: Start, file: PathBuf, poll: Poll) -> io::Result<EventLoop> {
+    fn new(start: StartConfig, file: PathBuf, poll: Poll) -> io::Result<EventLoop> {
         // Usual clients hold a third of the descriptors; the rest of their half is for those that misbehave.
-        let max_clients = start.sockets / 2;
-        let max_executor_connections = start.sockets - max_clients - RESERVED_DESCRIPTORS;
+        let max_clients = start.max_descriptors / 2;
+        let max_executor_connections = start.max_descriptors - max_clients - RESERVED_DESCRIPTORS;
         let listener = ClientListener::bind(start.listen, poll.registry(), max_clients)?;
         let mut clock = ProcessClock::new();
         let now = clock.read();
-        let view = EndpointView::new(now, start.serial, &start.known);
+        let view = EndpointView::new(now, start.initial_serial, &start.initial_endpoints);
         let discovery =
             EndpointDiscovery::new(start.resolver, view, start.locations, poll.registry())?;
         let settings = start.settings;
@@ -125,7 +125,7 @@
         );
         host.set_clock(clock);
         host.set_view(crate::engine_host::ViewStamp {
-            serial: start.serial,
+            serial: start.initial_serial,
             fresh_at: now,
         });
         let mut engine = Engine::new(
@@ -149,13 +149,14 @@
             maintenance: MaintenanceSchedule::new(now),
             settings,
             // Bodies may take a quarter of the memory; the rest is for buffers and tables.
-            max_body_bytes: start.memory / 4,
+            max_body_bytes: start.memory_bytes / 4,
             unfinished_reads: VecDeque::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES].into(),
             counters: ConnectionCounters::default(),
         };
         info!(name = start.name, listen = %start.listen, resolver = %start.resolver,
-            executors = start.known.len(), sockets = start.sockets, memory = start.memory, "serving");
+            executors = start.initial_endpoints.len(), sockets = start.max_descriptors,
+            memory = start.memory_bytes, "serving");
         let endpoints = event_loop.discovery.endpoints();
         event_loop.apply_endpoint_list(now, endpoints);
         event_loop.flush_all(now);
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -19,7 +19,7 @@
 /// The least memory in MiB that a front end can be granted.
 const MIN_MEMORY_MB: f64 = 8.0;
 /// The fewest descriptors that a front end can be granted.
-const MIN_SOCKETS: f64 = 48.0;
+const MIN_DESCRIPTORS: f64 = 48.0;
 
 /// The file as it is written.
 #[derive(Deserialize)]
@@ -40,7 +40,7 @@
 }
 
 /// What a front end is started from.
-pub struct Start {
+pub struct StartConfig {
     /// The name of this front end.
     pub name: String,
     /// The address on which clients are accepted.
@@ -48,15 +48,15 @@
     /// The seed of the policy's random numbers.
     pub seed: u64,
     /// The memory granted, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The descriptors granted.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The resolver's address.
     pub resolver: SocketAddr,
     /// The serial of the endpoint list of the start.
-    pub serial: u32,
+    pub initial_serial: u32,
     /// The endpoint list of the start.
-    pub known: Vec<DiscoveredEndpoint>,
+    pub initial_endpoints: Vec<DiscoveredEndpoint>,
     /// The zones and executor kinds of the settings and that list.
     pub locations: LocationTable,
     /// The settings.
@@ -76,7 +76,7 @@
     },
     /// The file does not hold the JSON object that is wanted.
     #[error("{file}: {source}; write it whole, as one JSON object")]
-    NotJson {
+    InvalidJson {
         /// The file.
         file: String,
         /// What is wrong with the JSON.
@@ -92,7 +92,7 @@
     },
     /// The endpoint list of the start can't be used.
     #[error("{file}: key 'known': {source}; write the updates as the resolver told them")]
-    Known {
+    InitialEndpoints {
         /// The file.
         file: String,
         /// What is wrong with the list.
@@ -108,7 +108,7 @@
     },
     /// A limit is too low.
     #[error("{file}: key 'limits.{key}': {value} is under {min}; grant at least so much")]
-    Limit {
+    LimitTooLow {
         /// The file.
         file: String,
         /// The limit.
@@ -120,9 +120,9 @@
     },
     /// The environment contradicts the file.
     #[error(
-        "{variable} is '{environment}', key '{key}' is '{written}'; make them the same, or leave the variable out"
+        "{variable} is '{environment}', key '{key}' is '{configured}'; make them the same, or leave the variable out"
     )]
-    Disagrees {
+    EnvironmentMismatch {
         /// The environment variable.
         variable: &'static str,
         /// Its value.
@@ -130,7 +130,7 @@
         /// The key of the file.
         key: &'static str,
         /// The value of that key.
-        written: String,
+        configured: String,
     },
 }
 
@@ -138,7 +138,7 @@
 ///
 /// # Errors
 /// The file can't be read or used; the error names the file and the key.
-pub fn read(path: &Path) -> Result<Start, StartError> {
+pub fn read(path: &Path) -> Result<StartConfig, StartError> {
     let file = path.display().to_string();
     let text = std::fs::read(path).map_err(|source| StartError::Unreadable {
         file: file.clone(),
@@ -152,7 +152,7 @@
 ///
 /// # Errors
 /// As for `read`.
-pub fn read_at_start(path: &Path) -> Result<Start, StartError> {
+pub fn read_at_start(path: &Path) -> Result<StartConfig, StartError> {
     retry(
         || read(path),
         |error| matches!(error, StartError::Unreadable { source, .. } if is_local_fault(source)),
@@ -179,10 +179,10 @@
     call()
 }
 
-pub(crate) fn parse(file: &str, text: &[u8]) -> Result<Start, StartError> {
+pub(crate) fn parse(file: &str, text: &[u8]) -> Result<StartConfig, StartError> {
     let file = || file.to_owned();
     let written: StartFile =
-        serde_json::from_slice(text).map_err(|source| StartError::NotJson {
+        serde_json::from_slice(text).map_err(|source| StartError::InvalidJson {
             file: file(),
             source,
         })?;
@@ -195,7 +195,7 @@
         })?;
     let mut locations = LocationTable::new(settings.zones.clone(), settings.executor_kinds.clone());
     let initial = orchidtally_platform_discovery::initial_endpoints(&written.known, &mut locations)
-        .map_err(|source| StartError::Known {
+        .map_err(|source| StartError::InitialEndpoints {
             file: file(),
             source,
         })?;
@@ -207,7 +207,7 @@
         if value >= min {
             Ok(value as usize)
         } else {
-            Err(StartError::Limit {
+            Err(StartError::LimitTooLow {
                 file: file(),
                 key,
                 value,
@@ -215,41 +215,45 @@
             })
         }
     };
-    Ok(Start {
+    Ok(StartConfig {
         name: written.name,
         listen: written.listen,
         seed,
-        memory: at_least(written.limits.memory_mb, MIN_MEMORY_MB, "memory_mb")? << 20,
-        sockets: at_least(written.limits.sockets, MIN_SOCKETS, "sockets")?,
+        memory_bytes: at_least(written.limits.memory_mb, MIN_MEMORY_MB, "memory_mb")? << 20,
+        max_descriptors: at_least(written.limits.sockets, MIN_DESCRIPTORS, "sockets")?,
         resolver: written.dns,
-        serial: initial.serial,
-        known: initial.endpoints,
+        initial_serial: initial.serial,
+        initial_endpoints: initial.endpoints,
         locations,
         settings,
     })
 }
 
-impl Start {
+impl StartConfig {
     /// Checks the name and the listen address of the environment, which have to be those of the file if they are set.
     ///
     /// # Errors
     /// One of them differs.
-    pub fn agrees(&self, name: Option<&str>, listen: Option<&str>) -> Result<(), StartError> {
+    pub fn check_environment(
+        &self,
+        name: Option<&str>,
+        listen: Option<&str>,
+    ) -> Result<(), StartError> {
         if let Some(environment) = name.filter(|&name| name != self.name) {
-            return Err(StartError::Disagrees {
+            return Err(StartError::EnvironmentMismatch {
                 variable: "LB_NAME",
                 environment: environment.to_owned(),
                 key: "name",
-                written: self.name.clone(),
+                configured: self.name.clone(),
             });
         }
         let is_other = |listen: &&str| listen.parse::<SocketAddr>().ok() != Some(self.listen);
         if let Some(environment) = listen.filter(is_other) {
-            return Err(StartError::Disagrees {
+            return Err(StartError::EnvironmentMismatch {
                 variable: "LB_LISTEN",
                 environment: environment.to_owned(),
                 key: "listen",
-                written: self.listen.to_string(),
+                configured: self.listen.to_string(),
             });
         }
         Ok(())
--- a/crates/platform-frontend/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -1,7 +1,7 @@
 //! The file that a front end of the platform starts from is a format of others: its keys are read under their names.
 
 use orchidtally_platform_discovery::NameCounts;
-use orchidtally_platform_frontend::start::{Start, read};
+use orchidtally_platform_frontend::start::{StartConfig, read};
 use serde_json::Value;
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     file
 }
 
-fn read_file(name: &str, file: &Value) -> Result<Start, String> {
+fn read_file(name: &str, file: &Value) -> Result<StartConfig, String> {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}.json"));
     std::fs::write(&path, file.to_string()).expect("the folder can be written to");
@@ -31,15 +31,15 @@
         ("lb-3", "127.0.0.1:7300".into())
     );
     assert_eq!(
-        (start.seed, start.memory, start.sockets),
+        (start.seed, start.memory_bytes, start.max_descriptors),
         (0x9b1f_03aa, 64 << 20, 200)
     );
     assert_eq!(
-        (start.resolver.to_string(), start.serial),
+        (start.resolver.to_string(), start.initial_serial),
         ("127.0.0.1:5353".into(), 17)
     );
     let names: Vec<&str> = start
-        .known
+        .initial_endpoints
         .iter()
         .map(|entry| entry.name.as_str())
         .collect();
