--- a/crates/platform-frontend/src/client_connection.rs
+++ b/crates/platform-frontend/src/client_connection.rs
@@ -35,7 +35,7 @@
 }
 
 /// The state of a connection that is being closed.
-pub struct Closing {
+pub struct CloseState {
     /// When it is closed at the latest, in seconds.
     deadline: f64,
     /// Bytes that are still read and discarded.
@@ -51,13 +51,13 @@
     /// The decoder of the frames that are read.
     pub decoder: Decoder,
     /// The engine's ids of the open invocations, by stream.
-    pub open: BTreeMap<u32, u32>,
+    pub open_invocations: BTreeMap<u32, u32>,
     /// The highest stream that was used.
     pub last_stream: u32,
     /// Invocations that were read and not yet admitted.
     pub pending: Vec<PendingInvocation>,
     /// When it connected, or when its partial frame began.
-    waiting_since: Option<f64>,
+    awaiting_frame_since: Option<f64>,
     /// When the client last read some of its backlog, and the bytes written by then.
     stalled_since: Option<(f64, u64)>,
     /// When it was last used.
@@ -71,7 +71,7 @@
     /// It was accepted over the limit and is closed once it is answered.
     pub is_over_limit: bool,
     /// Set while the connection is being closed.
-    pub closing: Option<Closing>,
+    pub closing: Option<CloseState>,
 }
 
 impl ClientConnection {
@@ -80,10 +80,10 @@
         ClientConnection {
             socket: BufferedSocket::new(stream),
             decoder: Decoder::default(),
-            open: BTreeMap::new(),
+            open_invocations: BTreeMap::new(),
             last_stream: 0,
             pending: vec![],
-            waiting_since: Some(now),
+            awaiting_frame_since: Some(now),
             stalled_since: None,
             idle_since: now,
             is_dirty: false,
@@ -99,10 +99,10 @@
         if had_frame {
             self.has_sent_frame = true;
             self.idle_since = now;
-            self.waiting_since = None;
+            self.awaiting_frame_since = None;
         }
         if self.decoder.has_partial_frame() {
-            self.waiting_since.get_or_insert(now);
+            self.awaiting_frame_since.get_or_insert(now);
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// Whether nothing is open on it or waits for admission.
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.pending.is_empty()
+        self.open_invocations.is_empty() && self.pending.is_empty()
     }
 
     /// Whether a frame has arrived in part.
@@ -145,7 +145,7 @@
     /// Begins the close: it is completed once the backlog is written and the peer has had time to read it.
     pub fn begin_close(&mut self, now: f64) {
         self.pending.clear();
-        self.closing.get_or_insert(Closing {
+        self.closing.get_or_insert(CloseState {
             deadline: now + CLOSE_LINGER,
             bytes_left: CLOSE_LINGER_BYTES,
             is_shut_down: false,
@@ -173,7 +173,7 @@
             return None;
         }
         if self
-            .waiting_since
+            .awaiting_frame_since
             .is_some_and(|since| now > since + FRAME_TIMEOUT)
         {
             return Some("no whole frame in time");
@@ -207,15 +207,15 @@
     now: f64,
     connect_timeout: f64,
 ) -> Option<usize> {
-    let is_late = |client: &ClientConnection| {
+    let frame_is_overdue = |client: &ClientConnection| {
         client
-            .waiting_since
+            .awaiting_frame_since
             .is_some_and(|since| now > since + connect_timeout)
     };
     let order = |client: &ClientConnection| {
         (
             client.closing.is_none(),
-            !is_late(client),
+            !frame_is_overdue(client),
             client.has_sent_frame,
             Ordered(client.idle_since),
         )
--- a/crates/platform-frontend/src/delayed_dispatches.rs
+++ b/crates/platform-frontend/src/delayed_dispatches.rs
@@ -13,13 +13,13 @@
 
 struct DelayedDispatch {
     key: DispatchKey,
-    to: ExecutorId,
+    executor_id: ExecutorId,
     /// Seconds to wait.
     delay: f64,
     /// When it was sent first, if this is a retry.
     first_sent_at: Option<f64>,
     /// The poll after the one in which it was delayed: the cancels of that poll are handed over by then.
-    waiting_since: Option<f64>,
+    delay_started_at: Option<f64>,
 }
 
 /// A dispatch whose delay is over.
@@ -27,7 +27,7 @@
     /// The dispatch.
     pub key: DispatchKey,
     /// The executor that it goes to.
-    pub to: ExecutorId,
+    pub executor_id: ExecutorId,
     /// When it was sent first, if this is a retry.
     pub first_sent_at: Option<f64>,
 }
@@ -50,16 +50,16 @@
     pub fn push(
         &mut self,
         key: DispatchKey,
-        to: ExecutorId,
+        executor_id: ExecutorId,
         delay: f64,
         first_sent_at: Option<f64>,
     ) {
         self.0.push(DelayedDispatch {
             key,
-            to,
+            executor_id,
             delay,
             first_sent_at,
-            waiting_since: None,
+            delay_started_at: None,
         });
     }
 
@@ -73,18 +73,18 @@
     /// Takes the dispatches whose delay, counted from the poll after their own, is over, in their order of arrival.
     pub fn take_due(&mut self, now: f64) -> Vec<DueDispatch> {
         for delayed in &mut self.0 {
-            delayed.waiting_since.get_or_insert(now);
+            delayed.delay_started_at.get_or_insert(now);
         }
         let is_due = |delayed: &mut DelayedDispatch| {
             delayed
-                .waiting_since
+                .delay_started_at
                 .is_some_and(|since| now >= since + delayed.delay)
         };
         self.0
             .extract_if(.., is_due)
             .map(|delayed| DueDispatch {
                 key: delayed.key,
-                to: delayed.to,
+                executor_id: delayed.executor_id,
                 first_sent_at: delayed.first_sent_at,
             })
             .collect()
--- a/crates/platform-frontend/src/engine_host/callbacks.rs
+++ b/crates/platform-frontend/src/engine_host/callbacks.rs
@@ -10,16 +10,16 @@
 
 impl Host for EngineHost {
     fn admitted(&mut self, invocation: u32) {
-        let Some(open) = self.admitting.take() else {
+        let Some(open) = self.pending_admission.take() else {
             return;
         };
         if let Some(client) = self.clients.get_mut(open.client) {
-            client.open.insert(open.stream, invocation);
+            client.open_invocations.insert(open.stream, invocation);
         }
         self.invocations.insert(invocation, open);
     }
 
-    fn dispatch(&mut self, invocation: u32, number: u8, to: ExecutorId, _within: f64) {
+    fn dispatch(&mut self, invocation: u32, number: u8, executor_id: ExecutorId, _within: f64) {
         let key = DispatchKey { invocation, number };
         let delay = self
             .invocations
@@ -28,14 +28,14 @@
             .map(|until| until - self.now)
             .filter(|&delay| delay > 0.0);
         match delay {
-            Some(delay) => self.delayed.push(key, to, delay, None),
-            None => self.send(key, to, self.now),
+            Some(delay) => self.delayed_dispatches.push(key, executor_id, delay, None),
+            None => self.send(key, executor_id, self.now),
         }
     }
 
     fn cancel(&mut self, invocation: u32, number: u8) {
         let key = DispatchKey { invocation, number };
-        if self.delayed.remove(key) {
+        if self.delayed_dispatches.remove(key) {
             return;
         }
         let Some(slot) = self.in_flight.remove(&key) else {
@@ -50,7 +50,7 @@
     }
 
     fn rejected(&mut self, invocation: u32, retry_after: f64, over_quota: bool) {
-        if let Some(suppressed) = self.answer_log.admit(self.now) {
+        if let Some(suppressed) = self.result_log_limiter.try_acquire(self.now) {
             let id = self.invocations.get(invocation).map(|open| &*open.id);
             info!(
                 invocation = id,
@@ -64,7 +64,7 @@
     }
 
     fn failed(&mut self, invocation: u32, reason: FailureReason, may_have_run: bool) {
-        if let Some(suppressed) = self.answer_log.admit(self.now) {
+        if let Some(suppressed) = self.result_log_limiter.try_acquire(self.now) {
             let id = self.invocations.get(invocation).map(|open| &*open.id);
             info!(
                 invocation = id,
@@ -77,23 +77,23 @@
         self.respond(invocation, client_protocol::ERRORED, &[], &[]);
     }
 
-    fn load(&mut self, to: ExecutorId, function: u64, replicas: u8) {
-        self.give_load_command(to, function, replicas);
+    fn load(&mut self, executor_id: ExecutorId, function: u64, replicas: u8) {
+        self.issue_load_command(executor_id, function, replicas);
     }
 
-    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
-        self.give_load_command(to, function, 0);
+    fn query_replicas(&mut self, executor_id: ExecutorId, function: u64) {
+        self.issue_load_command(executor_id, function, 0);
     }
 
-    fn unload(&mut self, to: ExecutorId, function: u64) {
+    fn unload(&mut self, executor_id: ExecutorId, function: u64) {
         let line = executor_protocol::unload(&format!("{function:016x}"));
-        self.send_line(to, line);
+        self.send_line(executor_id, line);
     }
 
-    fn health_check(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, executor_id: ExecutorId) {
         self.next_tag += 1;
         let tag = format!("{HEALTH_CHECK_PREFIX}{}", self.next_tag);
-        self.send_line(to, executor_protocol::health_check(&tag));
+        self.send_line(executor_id, executor_protocol::health_check(&tag));
     }
 
     /// The resolver is polled all the time, so there is nothing to begin.
@@ -107,7 +107,7 @@
             return;
         };
         let found = connection
-            .open
+            .in_flight
             .iter()
             .find(|(_, dispatch)| dispatch.key == key)
             .map(|(id, dispatch)| (id.clone(), dispatch.sent_at));
@@ -126,8 +126,8 @@
                     .extend_from_slice(&executor_protocol::cancel(&id));
                 self.unflushed_cancels.push(slot);
             }
-            let to = connection.to;
-            self.record_abandoned(&id, to);
+            let executor_id = connection.executor_id;
+            self.record_abandoned(&id, executor_id);
         }
         if let Some(connection) = self.pool.connection_mut(slot) {
             connection.idle_since = self.now;
--- a/crates/platform-frontend/src/engine_host/flushing.rs
+++ b/crates/platform-frontend/src/engine_host/flushing.rs
@@ -1,9 +1,9 @@
 //! Encodes queued commands and hands them to the kernel, after the engine has confirmed each of them.
 
-use super::{CutConnection, EngineHost, LOAD_COMMAND_PREFIX, ViewStamp};
+use super::{AbortedConnection, EngineHost, LOAD_COMMAND_PREFIX, ViewVersion};
 use crate::delayed_dispatches::DispatchKey;
 use crate::executor_connection::{MAX_UNFLUSHED_BYTES, QueuedCommand};
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::Engine;
 use orchidtally_engine::evidence::TransportOutcome;
@@ -18,16 +18,16 @@
 const MIN_TIME_LEFT: f64 = 0.001;
 
 /// Asked as bytes leave whether an earlier decision still holds.
-pub trait SendRevalidation {
+pub trait SendRevalidator {
     /// A process stall ended now.
     fn on_process_stall(&mut self, now: f64);
     /// Whether a dispatch may still be sent.
     fn revalidate_dispatch(&mut self, now: f64, invocation: u32, number: u8) -> bool;
     /// Whether a load command that was given at a time may still be sent.
-    fn revalidate_load(&mut self, now: f64, to: ExecutorId, begun_at: f64) -> bool;
+    fn revalidate_load(&mut self, now: f64, executor_id: ExecutorId, issued_at: f64) -> bool;
 }
 
-impl SendRevalidation for Engine {
+impl SendRevalidator for Engine {
     fn on_process_stall(&mut self, now: f64) {
         Engine::on_process_stall(self, now);
     }
@@ -36,8 +36,8 @@
         Engine::revalidate_dispatch(self, now, invocation, number)
     }
 
-    fn revalidate_load(&mut self, now: f64, to: ExecutorId, begun_at: f64) -> bool {
-        Engine::revalidate_load(self, now, to, begun_at)
+    fn revalidate_load(&mut self, now: f64, executor_id: ExecutorId, issued_at: f64) -> bool {
+        Engine::revalidate_load(self, now, executor_id, issued_at)
     }
 }
 
@@ -55,15 +55,15 @@
     pub fn flush_connection(
         &mut self,
         slot: usize,
-        revalidation: &mut dyn SendRevalidation,
+        revalidator: &mut dyn SendRevalidator,
     ) -> io::Result<()> {
-        self.read_clock(revalidation);
+        self.read_clock(revalidator);
         self.flush_cancels();
         self.resend_from_retired(slot);
         let is_writable = self
             .pool
             .connection(slot)
-            .is_some_and(|connection| connection.is_connected && !connection.is_cut);
+            .is_some_and(|connection| connection.is_connected && !connection.is_aborted);
         if !is_writable {
             return Ok(());
         }
@@ -76,7 +76,7 @@
             if connection.queue.is_empty() {
                 return Ok(());
             }
-            self.encode_queue(slot, revalidation);
+            self.encode_queue(slot, revalidator);
         }
         Ok(())
     }
@@ -96,8 +96,9 @@
                 Ok(()) => "executor does not read a cancel".to_owned(),
                 Err(error) => error.to_string(),
             };
-            connection.cut_off();
-            self.cut_connections.push(CutConnection { slot, reason });
+            connection.abort();
+            self.aborted_connections
+                .push(AbortedConnection { slot, reason });
         }
     }
 
@@ -107,15 +108,15 @@
         let Some(connection) = self.pool.connection_mut(slot) else {
             return;
         };
-        if connection.is_retired && !connection.is_cut && !connection.queue.is_empty() {
-            let to = connection.to;
+        if connection.is_retired && !connection.is_aborted && !connection.queue.is_empty() {
+            let executor_id = connection.executor_id;
             let unwritten = connection.take_unwritten();
-            self.resend(to, unwritten, true);
+            self.resend(executor_id, unwritten, true);
         }
     }
 
     /// Encodes commands from the queue of a connection until enough bytes wait to be handed over.
-    fn encode_queue(&mut self, slot: usize, revalidation: &mut dyn SendRevalidation) {
+    fn encode_queue(&mut self, slot: usize, revalidator: &mut dyn SendRevalidator) {
         while let Some(connection) = self.pool.connection_mut(slot) {
             if connection.socket.waiting() >= MAX_UNFLUSHED_BYTES {
                 return;
@@ -125,10 +126,8 @@
             };
             let line = match command {
                 QueuedCommand::Line(line) => Some(line),
-                QueuedCommand::LoadCommand(tag) => {
-                    self.encode_load_command(slot, tag, revalidation)
-                }
-                QueuedCommand::Dispatch(id) => self.encode_dispatch(slot, &id, revalidation),
+                QueuedCommand::LoadCommand(tag) => self.encode_load_command(slot, tag, revalidator),
+                QueuedCommand::Dispatch(id) => self.encode_dispatch(slot, &id, revalidator),
             };
             if let Some(line) = line
                 && let Some(connection) = self.pool.connection_mut(slot)
@@ -143,12 +142,12 @@
         &mut self,
         slot: usize,
         tag: u64,
-        revalidation: &mut dyn SendRevalidation,
+        revalidator: &mut dyn SendRevalidator,
     ) -> Option<Vec<u8>> {
         let command = *self.load_commands.get(&tag)?;
         // A query loads nothing, so it always holds.
         let is_valid = command.replicas == 0
-            || revalidation.revalidate_load(self.now, command.to, command.begun_at);
+            || revalidator.revalidate_load(self.now, command.executor_id, command.issued_at);
         let connection = self.pool.connection_mut(slot)?;
         if !is_valid {
             connection.load_commands.remove(&tag);
@@ -169,20 +168,20 @@
         &mut self,
         slot: usize,
         id: &Rc<str>,
-        revalidation: &mut dyn SendRevalidation,
+        revalidator: &mut dyn SendRevalidator,
     ) -> Option<Vec<u8>> {
         let connection = self.pool.connection_mut(slot)?;
         let line_start = connection.next_line_start();
-        let to = connection.to;
-        let key = connection.open.get(id)?.key;
-        let is_valid = revalidation.revalidate_dispatch(self.now, key.invocation, key.number);
+        let executor_id = connection.executor_id;
+        let key = connection.in_flight.get(id)?.key;
+        let is_valid = revalidator.revalidate_dispatch(self.now, key.invocation, key.number);
         let Some(open) = self.invocations.get(key.invocation).filter(|_| is_valid) else {
-            connection.open.remove(id);
+            connection.in_flight.remove(id);
             self.in_flight.remove(&key);
-            self.report_unsent(key, TransportOutcome::Withheld);
+            self.report_unsent_dispatch(key, TransportOutcome::Withheld);
             return None;
         };
-        connection.open.get_mut(id)?.line_start = Some(line_start);
+        connection.in_flight.get_mut(id)?.line_start = Some(line_start);
         let time_left = (open.timeout_at - self.now).max(MIN_TIME_LEFT);
         let line = protocol::dispatch(&protocol::Dispatch {
             id,
@@ -192,9 +191,9 @@
             idempotency_key: open.idempotency_key.as_deref(),
             body: &open.body,
         });
-        let executor = self.pool.executor_name(to);
+        let executor = self.pool.executor_name(executor_id);
         log_dispatch(
-            &mut self.dispatch_log,
+            &mut self.dispatch_log_limiter,
             self.now,
             self.view,
             id,
@@ -207,9 +206,9 @@
 
 /// Logs a dispatch with the serial and the age of the endpoint list that it rests on.
 fn log_dispatch(
-    budget: &mut LogBudget,
+    limiter: &mut LogRateLimiter,
     now: f64,
-    view: ViewStamp,
+    view: ViewVersion,
     invocation: &str,
     key: DispatchKey,
     executor: Option<&str>,
@@ -218,7 +217,7 @@
     let serial = view.serial;
     let age = now - view.fresh_at;
     if age > STALE_VIEW_AGE
-        && let Some(suppressed) = budget.admit(now)
+        && let Some(suppressed) = limiter.try_acquire(now)
     {
         info!(
             invocation,
--- a/crates/platform-frontend/src/engine_host/mod.rs
+++ b/crates/platform-frontend/src/engine_host/mod.rs
@@ -10,9 +10,9 @@
 use crate::delayed_dispatches::{DelayedDispatches, DispatchKey};
 use crate::executor_pool::ExecutorPool;
 use crate::invocation_table::{InvocationTable, OpenInvocation};
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::process_clock::ProcessClock;
-pub use flushing::SendRevalidation;
+pub use flushing::SendRevalidator;
 use mio::Registry;
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
 use orchidtally_engine::evidence::TransportOutcome;
@@ -30,7 +30,7 @@
 
 /// The endpoint list that decisions rest on.
 #[derive(Clone, Copy, Debug)]
-pub struct ViewStamp {
+pub struct ViewVersion {
     /// The serial of the list.
     pub serial: u32,
     /// When the list was true, in seconds.
@@ -41,13 +41,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LoadCommand {
     /// The executor.
-    pub to: ExecutorId,
+    pub executor_id: ExecutorId,
     /// The function.
     pub function: u64,
     /// The replicas wanted; 0 only queries them.
     pub replicas: u8,
     /// When it was given, in seconds.
-    pub begun_at: f64,
+    pub issued_at: f64,
     /// The slot of its connection, once it has one.
     pub connection: Option<usize>,
 }
@@ -69,7 +69,7 @@
 }
 
 /// A connection that was cut off because it did not take a cancel.
-pub struct CutConnection {
+pub struct AbortedConnection {
     /// Its slot.
     pub slot: usize,
     /// The reason, for the log.
@@ -77,7 +77,7 @@
 }
 
 /// A dispatch that ended with an answer of its executor.
-pub struct ExecutorAnswer<'a> {
+pub struct ExecutorResponse<'a> {
     /// The dispatch.
     pub key: DispatchKey,
     /// How it ended.
@@ -109,7 +109,7 @@
     allows_cancellation: bool,
     /// The connection of each dispatch in flight.
     in_flight: HashMap<DispatchKey, usize>,
-    delayed: DelayedDispatches,
+    delayed_dispatches: DelayedDispatches,
     /// Invocations with a cancelled dispatch, by the clients' ids, and until when that cancel may be on its way.
     cancels_in_transit: BTreeMap<Rc<str>, f64>,
     load_commands: BTreeMap<u64, LoadCommand>,
@@ -120,14 +120,14 @@
     dirty_clients: Vec<usize>,
     /// Connections with cancels that are not written yet.
     unflushed_cancels: Vec<usize>,
-    cut_connections: Vec<CutConnection>,
+    aborted_connections: Vec<AbortedConnection>,
     /// The invocation that is being admitted.
-    admitting: Option<OpenInvocation>,
+    pending_admission: Option<OpenInvocation>,
     /// The body of the response that is being reported to the engine.
     response_body: Vec<u8>,
-    view: ViewStamp,
-    dispatch_log: LogBudget,
-    answer_log: LogBudget,
+    view: ViewVersion,
+    dispatch_log_limiter: LogRateLimiter,
+    result_log_limiter: LogRateLimiter,
 }
 
 impl EngineHost {
@@ -151,7 +151,7 @@
             max_retry_after: settings.policy.max_retry_after,
             allows_cancellation: settings.policy.allows_cancellation,
             in_flight: HashMap::new(),
-            delayed: DelayedDispatches::default(),
+            delayed_dispatches: DelayedDispatches::default(),
             cancels_in_transit: BTreeMap::new(),
             load_commands: BTreeMap::new(),
             next_tag: 1,
@@ -159,15 +159,15 @@
             unsent_load_commands: vec![],
             dirty_clients: vec![],
             unflushed_cancels: vec![],
-            cut_connections: vec![],
-            admitting: None,
+            aborted_connections: vec![],
+            pending_admission: None,
             response_body: vec![],
-            view: ViewStamp {
+            view: ViewVersion {
                 serial: 0,
                 fresh_at: now,
             },
-            dispatch_log: LogBudget::default(),
-            answer_log: LogBudget::default(),
+            dispatch_log_limiter: LogRateLimiter::default(),
+            result_log_limiter: LogRateLimiter::default(),
         }
     }
 
@@ -182,14 +182,14 @@
     }
 
     /// Reads the clock. After a process stall the engine is notified before anything is sent.
-    pub fn read_clock(&mut self, revalidation: &mut dyn SendRevalidation) {
+    pub fn read_clock(&mut self, revalidator: &mut dyn SendRevalidator) {
         self.now = self.clock.read().max(self.now);
         let Some(seconds) = self.clock.take_stall() else {
             return;
         };
         let view_age = self.now - self.view.fresh_at;
         warn!(seconds, view_age, "process stall detected");
-        revalidation.on_process_stall(self.now);
+        revalidator.on_process_stall(self.now);
         self.has_stalled = true;
     }
 
@@ -199,22 +199,22 @@
     }
 
     /// The earliest time at which bytes that are read now may have arrived.
-    pub fn arrival_bound(&self, now: f64) -> f64 {
-        self.clock.arrival_bound(now)
+    pub fn earliest_arrival(&self, now: f64) -> f64 {
+        self.clock.earliest_arrival(now)
     }
 
     /// Moves the clock towards the wall clock, slowly.
-    pub fn follow_wall_clock(&mut self) {
-        self.clock.follow_wall_clock();
+    pub fn adjust_to_wall_clock(&mut self) {
+        self.clock.adjust_to_wall_clock();
     }
 
     /// The endpoint list that decisions rest on.
-    pub fn view(&self) -> ViewStamp {
+    pub fn view(&self) -> ViewVersion {
         self.view
     }
 
     /// Sets the endpoint list that decisions rest on.
-    pub fn set_view(&mut self, view: ViewStamp) {
+    pub fn set_view(&mut self, view: ViewVersion) {
         self.view = view;
     }
 
@@ -233,14 +233,14 @@
         request: &InvocationRequest,
         invocation: OpenInvocation,
     ) -> Result<(), AdmissionError> {
-        self.admitting = Some(invocation);
+        self.pending_admission = Some(invocation);
         let admitted = engine.admit(self.now, request, self);
-        self.admitting = None;
+        self.pending_admission = None;
         admitted.map(drop)
     }
 
     /// Reports an executor's answer to the engine.
-    pub fn report_answer(&mut self, engine: &mut Engine, now: f64, answer: ExecutorAnswer) {
+    pub fn report_response(&mut self, engine: &mut Engine, now: f64, answer: ExecutorResponse) {
         let DispatchKey { invocation, number } = answer.key;
         self.response_body = answer.body;
         engine.on_dispatch_result(
@@ -281,8 +281,8 @@
     }
 
     /// Takes the connections that were cut off and wait to be closed.
-    pub fn take_cut_connections(&mut self) -> Vec<CutConnection> {
-        std::mem::take(&mut self.cut_connections)
+    pub fn take_aborted_connections(&mut self) -> Vec<AbortedConnection> {
+        std::mem::take(&mut self.aborted_connections)
     }
 
     /// Whether anything is left to report or to write.
@@ -295,14 +295,14 @@
 
     /// Whether dispatches are delayed.
     pub fn has_delayed_dispatches(&self) -> bool {
-        !self.delayed.is_empty()
+        !self.delayed_dispatches.is_empty()
     }
 
     /// Removes an invocation that is over for its client.
     pub fn remove_invocation(&mut self, invocation: u32) -> Option<OpenInvocation> {
         let open = self.invocations.remove(invocation)?;
         if let Some(client) = self.clients.get_mut(open.client) {
-            client.open.remove(&open.stream);
+            client.open_invocations.remove(&open.stream);
         }
         Some(open)
     }
@@ -320,7 +320,7 @@
 
     /// Whether no dispatch is in flight.
     #[cfg(test)]
-    pub fn has_none_in_flight(&self) -> bool {
+    pub fn has_no_dispatch_in_flight(&self) -> bool {
         self.in_flight.is_empty()
     }
 
@@ -344,7 +344,7 @@
     /// The oldest load command, if it was given so many seconds ago or earlier.
     pub fn expired_load_command(&self, now: f64, timeout: f64) -> Option<u64> {
         let (&tag, command) = self.load_commands.first_key_value()?;
-        (command.begun_at + timeout <= now).then_some(tag)
+        (command.issued_at + timeout <= now).then_some(tag)
     }
 
     /// The tag of a load command in the id of an answer, if it is that of one.
@@ -354,10 +354,10 @@
 
     /// Records that a dispatch to an executor was abandoned now. The next dispatch of its invocation is delayed: a
     /// cancel and the next dispatch use two connections, on which nothing keeps their order.
-    pub fn record_abandoned(&mut self, id: &Rc<str>, to: ExecutorId) {
+    pub fn record_abandoned(&mut self, id: &Rc<str>, executor_id: ExecutorId) {
         let transit_time = self
             .pool
-            .executor(to)
+            .executor(executor_id)
             .map_or(0.0, |executor| executor.min_connect_time)
             .min(self.connect_timeout);
         let until = self.now + transit_time.max(self.clock_tick);
@@ -365,7 +365,7 @@
     }
 
     /// Forgets cancels that have arrived by a time.
-    pub fn forget_arrived_cancels(&mut self, now: f64) {
+    pub fn remove_delivered_cancels(&mut self, now: f64) {
         self.cancels_in_transit.retain(|_, until| *until > now);
     }
 }
--- a/crates/platform-frontend/src/engine_host/sending.rs
+++ b/crates/platform-frontend/src/engine_host/sending.rs
@@ -12,21 +12,25 @@
 impl EngineHost {
     /// Sends the delayed dispatches that are due.
     pub fn send_due_dispatches(&mut self) {
-        for due in self.delayed.take_due(self.now) {
-            self.send(due.key, due.to, due.first_sent_at.unwrap_or(self.now));
+        for due in self.delayed_dispatches.take_due(self.now) {
+            self.send(
+                due.key,
+                due.executor_id,
+                due.first_sent_at.unwrap_or(self.now),
+            );
         }
     }
 
     /// Queues a dispatch on a connection. `sent_at` tells when it was first sent.
-    pub(super) fn send(&mut self, key: DispatchKey, to: ExecutorId, sent_at: f64) {
+    pub(super) fn send(&mut self, key: DispatchKey, executor_id: ExecutorId, sent_at: f64) {
         let Some(id) = self
             .invocations
             .get(key.invocation)
             .map(|open| open.id.clone())
         else {
-            return self.report_unsent(key, TransportOutcome::Withheld);
+            return self.report_unsent_dispatch(key, TransportOutcome::Withheld);
         };
-        match self.pool.connection_for(self.now, to, &id) {
+        match self.pool.connection_for(self.now, executor_id, &id) {
             Ok(slot) => {
                 if let Some(connection) = self.pool.connection_mut(slot) {
                     let dispatch = InFlightDispatch {
@@ -34,7 +38,7 @@
                         sent_at,
                         line_start: None,
                     };
-                    connection.open.insert(id.clone(), dispatch);
+                    connection.in_flight.insert(id.clone(), dispatch);
                     connection.queue.push_back(QueuedCommand::Dispatch(id));
                 }
                 self.in_flight.insert(key, slot);
@@ -44,14 +48,18 @@
             Err(TransportOutcome::NoResource)
                 if self.now + LOCAL_FAILURE_RETRY_DELAY < sent_at + self.connect_timeout =>
             {
-                self.delayed
-                    .push(key, to, LOCAL_FAILURE_RETRY_DELAY, Some(sent_at));
+                self.delayed_dispatches.push(
+                    key,
+                    executor_id,
+                    LOCAL_FAILURE_RETRY_DELAY,
+                    Some(sent_at),
+                );
             }
-            Err(evidence) => self.report_unsent(key, evidence),
+            Err(evidence) => self.report_unsent_dispatch(key, evidence),
         }
     }
 
-    pub(super) fn report_unsent(&mut self, key: DispatchKey, evidence: TransportOutcome) {
+    pub(super) fn report_unsent_dispatch(&mut self, key: DispatchKey, evidence: TransportOutcome) {
         self.unsent_dispatches
             .push(UnsentDispatch { key, evidence });
     }
@@ -65,22 +73,27 @@
     ///
     /// They use another connection within the time that a connection may take to be made, if `may_retry` tells that
     /// the executor is not known to be unreachable; else they are reported as unsent.
-    pub fn resend(&mut self, to: ExecutorId, unwritten: UnwrittenCommands, may_retry: bool) {
+    pub fn resend(
+        &mut self,
+        executor_id: ExecutorId,
+        unwritten: UnwrittenCommands,
+        may_retry: bool,
+    ) {
         for dispatch in unwritten.dispatches {
             self.in_flight.remove(&dispatch.key);
             if may_retry && self.now < dispatch.sent_at + self.connect_timeout {
-                self.send(dispatch.key, to, dispatch.sent_at);
+                self.send(dispatch.key, executor_id, dispatch.sent_at);
             } else {
-                self.report_unsent(dispatch.key, TransportOutcome::NoConnection);
+                self.report_unsent_dispatch(dispatch.key, TransportOutcome::NoConnection);
             }
         }
         for tag in unwritten.load_commands {
-            let begun_at = self
+            let issued_at = self
                 .load_commands
                 .get(&tag)
-                .map_or(0.0, |command| command.begun_at);
-            if may_retry && self.now < begun_at + self.connect_timeout {
-                self.send_load_command(tag, to);
+                .map_or(0.0, |command| command.issued_at);
+            if may_retry && self.now < issued_at + self.connect_timeout {
+                self.send_load_command(tag, executor_id);
             } else {
                 self.report_unsent_load_command(tag, TransportOutcome::NoConnection);
             }
@@ -88,22 +101,27 @@
     }
 
     /// Gives a load command; 0 replicas only query.
-    pub(super) fn give_load_command(&mut self, to: ExecutorId, function: u64, replicas: u8) {
+    pub(super) fn issue_load_command(
+        &mut self,
+        executor_id: ExecutorId,
+        function: u64,
+        replicas: u8,
+    ) {
         let tag = self.next_tag;
         self.next_tag += 1;
         let command = LoadCommand {
-            to,
+            executor_id,
             function,
             replicas,
-            begun_at: self.now,
+            issued_at: self.now,
             connection: None,
         };
         self.load_commands.insert(tag, command);
-        self.send_load_command(tag, to);
+        self.send_load_command(tag, executor_id);
     }
 
-    fn send_load_command(&mut self, tag: u64, to: ExecutorId) {
-        match self.pool.connection_for(self.now, to, "") {
+    fn send_load_command(&mut self, tag: u64, executor_id: ExecutorId) {
+        match self.pool.connection_for(self.now, executor_id, "") {
             Ok(slot) => {
                 if let Some(connection) = self.pool.connection_mut(slot) {
                     connection.load_commands.insert(tag, None);
@@ -119,8 +137,8 @@
     }
 
     /// Queues a line whose loss needs no report.
-    pub(super) fn send_line(&mut self, to: ExecutorId, line: Vec<u8>) {
-        let Ok(slot) = self.pool.connection_for(self.now, to, "") else {
+    pub(super) fn send_line(&mut self, executor_id: ExecutorId, line: Vec<u8>) {
+        let Ok(slot) = self.pool.connection_for(self.now, executor_id, "") else {
             return;
         };
         if let Some(connection) = self.pool.connection_mut(slot) {
--- a/crates/platform-frontend/src/event_loop/client_listener.rs
+++ b/crates/platform-frontend/src/event_loop/client_listener.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::client_connection::{ClientConnection, MAX_OVER_LIMIT, eviction_candidate};
-use crate::source::Source;
+use crate::source::EventSource;
 use crate::start::retry_local_failures;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry};
@@ -33,7 +33,11 @@
         max_clients: usize,
     ) -> io::Result<ClientListener> {
         let mut socket = retry_local_failures(|| TcpListener::bind(address))?;
-        registry.register(&mut socket, Source::Listener.token(), Interest::READABLE)?;
+        registry.register(
+            &mut socket,
+            EventSource::Listener.token(),
+            Interest::READABLE,
+        )?;
         Ok(ClientListener {
             socket: Some(socket),
             max_clients,
@@ -58,7 +62,7 @@
     }
 
     /// Takes the listener out of the poll, if it is open. It is closed when the caller drops it.
-    pub(super) fn take(&mut self, registry: &Registry) -> Option<TcpListener> {
+    pub(super) fn take_socket(&mut self, registry: &Registry) -> Option<TcpListener> {
         let mut socket = self.socket.take()?;
         // The process ends anyway.
         let _ = registry.deregister(&mut socket);
@@ -88,8 +92,8 @@
                     // is retried with the next sweep: retrying at once would take the whole core, and evicting on and on
                     // would close every idle client.
                     debug!(%error, "accept failed");
-                    let evicts = is_out_of_descriptors(&error) && !has_evicted;
-                    if !evicts || !self.evict_idle_client(now) {
+                    let should_evict = is_out_of_descriptors(&error) && !has_evicted;
+                    if !should_evict || !self.evict_idle_client(now) {
                         self.listener.must_retry = true;
                         return;
                     }
@@ -98,7 +102,7 @@
                 }
             }
         }
-        self.unfinished_reads.push_back(Source::Listener);
+        self.unfinished_reads.push_back(EventSource::Listener);
     }
 
     fn add_client(&mut self, now: f64, stream: TcpStream) {
@@ -112,7 +116,7 @@
             }
         }
         self.counters.accepted += 1;
-        let token = Source::Client(self.host.clients.vacant_key()).token();
+        let token = EventSource::Client(self.host.clients.vacant_key()).token();
         let interest = Interest::READABLE | Interest::WRITABLE;
         let registered = self
             .poll
@@ -150,7 +154,7 @@
         let Some(client) = self.host.clients.get_mut(slot) else {
             return;
         };
-        for invocation in std::mem::take(&mut client.open).into_values() {
+        for invocation in std::mem::take(&mut client.open_invocations).into_values() {
             self.host.remove_invocation(invocation);
             self.engine
                 .on_client_cancel(now, invocation, &mut self.host);
--- a/crates/platform-frontend/src/event_loop/client_requests.rs
+++ b/crates/platform-frontend/src/event_loop/client_requests.rs
@@ -3,7 +3,7 @@
 use super::{EventLoop, MAX_READS_PER_POLL};
 use crate::client_connection::{MAX_BACKLOG_BYTES, MAX_OPEN_INVOCATIONS, PendingInvocation};
 use crate::invocation_request::{InvalidInvocation, InvocationOrigin, parse_invocation};
-use crate::source::Source;
+use crate::source::EventSource;
 use orchidtally_engine::AdmissionError;
 use orchidtally_platform_client_protocol::{self as protocol, ProtocolError};
 use orchidtally_socket_io::buffered::ReadOutcome;
@@ -101,7 +101,7 @@
                 Ok(ReadOutcome::End) | Err(_) => return self.close_client(now, slot),
             }
         }
-        self.unfinished_reads.push_back(Source::Client(slot));
+        self.unfinished_reads.push_back(EventSource::Client(slot));
     }
 
     fn close_after_protocol_error(&mut self, now: f64, slot: usize, error: ProtocolError) {
@@ -131,7 +131,7 @@
                         return Err(ProtocolError::ReusedStream);
                     }
                     let payload = frame.payload.map(<[u8]>::to_vec);
-                    let arrived_at = self.host.arrival_bound(now);
+                    let arrived_at = self.host.earliest_arrival(now);
                     if let Some(client) = self.host.clients.get_mut(slot) {
                         client.last_stream = stream;
                         client.pending.push(PendingInvocation {
@@ -153,7 +153,7 @@
             return;
         };
         client.pending.retain(|pending| pending.stream != stream);
-        if let Some(&invocation) = client.open.get(&stream) {
+        if let Some(&invocation) = client.open_invocations.get(&stream) {
             self.host.remove_invocation(invocation);
             self.engine
                 .on_client_cancel(now, invocation, &mut self.host);
@@ -165,7 +165,7 @@
     fn answer_readiness_query(&mut self, slot: usize, stream: u32) {
         let can_serve =
             !self.host.pool.has_no_executors() || self.discovery.resolver_is_unreachable();
-        let is_ready = can_serve && !self.shutdown.has_begun();
+        let is_ready = can_serve && !self.shutdown.has_started();
         let code = if is_ready {
             protocol::READY_CODE
         } else {
@@ -201,13 +201,13 @@
             stream: pending.stream,
         };
         let parsed = parse_invocation(&self.settings, origin, payload, |id| {
-            self.host.invocations.contains_client_id(id)
+            self.host.invocations.contains_client_invocation_id(id)
         })?;
         let has_no_stream = self
             .host
             .clients
             .get(slot)
-            .is_none_or(|client| client.open.len() >= MAX_OPEN_INVOCATIONS);
+            .is_none_or(|client| client.open_invocations.len() >= MAX_OPEN_INVOCATIONS);
         let body_bytes = self.host.invocations.body_bytes() + parsed.invocation.body.len();
         if is_over_limit || has_no_stream || body_bytes > self.max_body_bytes {
             return Err(Rejection::AtCapacity);
--- a/crates/platform-frontend/src/event_loop/endpoint_discovery.rs
+++ b/crates/platform-frontend/src/event_loop/endpoint_discovery.rs
@@ -1,9 +1,9 @@
 //! Discovery of the executors: polls the resolver and applies its endpoint lists.
 
 use super::EventLoop;
-use crate::engine_host::ViewStamp;
-use crate::resolver::{Reading, ResolverClient};
-use crate::source::Source;
+use crate::engine_host::ViewVersion;
+use crate::resolver::{ReadSummary, ResolverClient};
+use crate::source::EventSource;
 use crate::start::retry_local_failures;
 use mio::Registry;
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, EndpointUpdateKind};
@@ -28,7 +28,7 @@
         locations: LocationTable,
         registry: &Registry,
     ) -> io::Result<EndpointDiscovery> {
-        let token = Source::Resolver.token();
+        let token = EventSource::Resolver.token();
         let resolver =
             retry_local_failures(|| ResolverClient::new(address, view.clone(), registry, token))?;
         Ok(EndpointDiscovery {
@@ -76,22 +76,22 @@
         registry: &Registry,
     ) -> io::Result<()> {
         self.resolver
-            .switch_to(address, registry, Source::Resolver.token())
+            .switch_resolver(address, registry, EventSource::Resolver.token())
     }
 
     /// The serial and the time of the current view.
-    fn view_stamp(&self) -> ViewStamp {
-        ViewStamp {
+    fn view_version(&self) -> ViewVersion {
+        ViewVersion {
             serial: self.resolver.view().serial(),
             fresh_at: self.resolver.view().fresh_at(),
         }
     }
 
     /// Reads the answers that have arrived, and warns of names that the settings do not declare.
-    fn read(&mut self, now: f64) -> Reading {
+    fn read(&mut self, now: f64) -> ReadSummary {
         let names_before = self.locations.name_counts();
         let ignored_before = self.locations.ignored_endpoints;
-        let reading = self.resolver.read(now, &mut self.locations);
+        let summary = self.resolver.read(now, &mut self.locations);
         let names = self.locations.name_counts();
         let ignored_endpoints = self.locations.ignored_endpoints;
         if names_before != names || ignored_before != ignored_endpoints {
@@ -102,7 +102,7 @@
                 "endpoint lists name zones or executor kinds that the settings do not declare"
             );
         }
-        reading
+        summary
     }
 
     /// Whether the resolver is unreachable, if that has changed since the last call.
@@ -116,17 +116,17 @@
 impl EventLoop {
     /// Reads the answers of the resolver and applies them.
     pub(super) fn read_resolver(&mut self, now: f64) {
-        let reading = self.discovery.read(now);
-        if reading.has_more {
-            self.unfinished_reads.push_back(Source::Resolver);
+        let summary = self.discovery.read(now);
+        if summary.has_more {
+            self.unfinished_reads.push_back(EventSource::Resolver);
         }
-        if reading.is_confirmed {
-            let view = self.discovery.view_stamp();
+        if summary.is_confirmed {
+            let view = self.discovery.view_version();
             self.host.set_view(view);
             self.engine
                 .on_view_confirmed(now, view.fresh_at, &mut self.host);
         }
-        if reading.is_changed {
+        if summary.is_changed {
             let endpoints = self.discovery.endpoints();
             self.apply_endpoint_list(now, endpoints);
         }
@@ -157,7 +157,7 @@
             .iter()
             .filter(|endpoint| endpoint.state == EndpointState::Ready)
             .count();
-        let serial = self.discovery.view_stamp().serial;
+        let serial = self.discovery.view_version().serial;
         let view_age = now - self.host.view().fresh_at;
         let youngest_age = endpoints
             .iter()
@@ -169,6 +169,6 @@
         );
         self.engine
             .on_endpoint_update(now, EndpointUpdateKind::Full, &endpoints, &mut self.host);
-        self.host.pool.forget_unlisted();
+        self.host.pool.remove_unlisted();
     }
 }
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -1,9 +1,9 @@
 //! Reads the connections to executors and reports their answers to the engine.
 
 use super::{EventLoop, MAX_READS_PER_POLL};
-use crate::engine_host::{EngineHost, ExecutorAnswer};
+use crate::engine_host::{EngineHost, ExecutorResponse};
 use crate::executor_pool::connect_evidence;
-use crate::source::Source;
+use crate::source::EventSource;
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_engine::ResponseMetadata;
 use orchidtally_engine::evidence::{self, TransportOutcome};
@@ -80,7 +80,7 @@
                 }
             }
         }
-        self.unfinished_reads.push_back(Source::Executor(slot));
+        self.unfinished_reads.push_back(EventSource::Executor(slot));
         true
     }
 
@@ -90,9 +90,9 @@
         };
         connection.is_connected = true;
         connection.record_read(now);
-        let connect_time = now - connection.begun_at;
-        let to = connection.to;
-        if let Some(executor) = self.host.pool.executor_mut(to) {
+        let connect_time = now - connection.connect_started_at;
+        let executor_id = connection.executor_id;
+        if let Some(executor) = self.host.pool.executor_mut(executor_id) {
             executor.min_connect_time = executor.min_connect_time.min(connect_time);
         }
         self.counters.executor_connections_made += 1;
@@ -126,33 +126,33 @@
         };
         connection.last_read_at = now;
         connection.idle_since = now;
-        connection.has_answered = true;
+        connection.has_responded = true;
         let evidence = response_evidence(response.kind);
         if let Some(tag) = EngineHost::load_command_tag(&response.id) {
             return self.finish_load_command(now, tag, evidence, response.replica_count);
         }
         let is_written = connection
-            .open
+            .in_flight
             .get(response.id.as_str())
             .is_some_and(|dispatch| dispatch.line_start.is_some());
         let Some(dispatch) = is_written
-            .then(|| connection.open.remove(response.id.as_str()))
+            .then(|| connection.in_flight.remove(response.id.as_str()))
             .flatten()
         else {
             // The answer to an abandoned dispatch, a duplicate, or to nothing that was sent.
-            return connection.forget_abandoned(&response.id);
+            return connection.remove_abandoned_id(&response.id);
         };
-        connection.record_answered(now, response.id.as_str().into());
-        let to = connection.to;
+        connection.record_response(now, response.id.as_str().into());
+        let executor_id = connection.executor_id;
         self.host.remove_in_flight(dispatch.key);
         if response.kind != ResponseKind::Done {
-            let executor = self.host.pool.executor_name(to);
+            let executor = self.host.pool.executor_name(executor_id);
             let after = now - dispatch.sent_at;
             debug!(executor, kind = ?response.kind, load_note = ?response.load_note, after, "dispatch did not succeed");
         }
         let load_report =
             parse_load_report(&response.load_report, &self.settings.load_report_fields);
-        let answer = ExecutorAnswer {
+        let answer = ExecutorResponse {
             key: dispatch.key,
             status: evidence::dispatch_status(evidence),
             metadata: ResponseMetadata {
@@ -162,7 +162,7 @@
             },
             body: response.body,
         };
-        self.host.report_answer(&mut self.engine, now, answer);
+        self.host.report_response(&mut self.engine, now, answer);
     }
 
     /// Reports the result of a load command; `replica_count` is what the executor told.
@@ -183,7 +183,12 @@
             }
             status => status,
         };
-        self.engine
-            .on_load_result(now, command.to, command.function, status, &mut self.host);
+        self.engine.on_load_result(
+            now,
+            command.executor_id,
+            command.function,
+            status,
+            &mut self.host,
+        );
     }
 }
--- a/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
@@ -24,7 +24,7 @@
 /// The state of the shutdown.
 pub(super) struct GracefulShutdown {
     /// When the termination signal arrived, in seconds.
-    begun_at: Option<f64>,
+    started_at: Option<f64>,
     /// Since when nothing is open and no client has sent anything.
     idle_since: Option<f64>,
     /// The client timeout in seconds that the process is granted.
@@ -39,26 +39,26 @@
             .map(|trigger_type| trigger_type.client_timeout)
             .fold(0.0, f64::max);
         GracefulShutdown {
-            begun_at: None,
+            started_at: None,
             idle_since: None,
             counted_client_timeout: longest.min(MAX_COUNTED_CLIENT_TIMEOUT),
         }
     }
 
     /// A termination signal has arrived; only the first one counts.
-    pub(super) fn begin(&mut self, now: f64) {
-        self.begun_at.get_or_insert(now);
+    pub(super) fn start(&mut self, now: f64) {
+        self.started_at.get_or_insert(now);
     }
 
     /// Whether a termination signal has arrived.
-    pub(super) fn has_begun(&self) -> bool {
-        self.begun_at.is_some()
+    pub(super) fn has_started(&self) -> bool {
+        self.started_at.is_some()
     }
 
     /// Moves the arrival of the termination signal.
     #[cfg(test)]
-    pub(super) fn set_begun_at(&mut self, begun_at: f64) {
-        self.begun_at = Some(begun_at);
+    pub(super) fn set_started_at(&mut self, started_at: f64) {
+        self.started_at = Some(started_at);
     }
 
     /// Moves the time since when nothing is open.
@@ -69,31 +69,31 @@
 
     /// When the termination signal arrived, in seconds.
     #[cfg(test)]
-    pub(super) fn begun_at(&self) -> Option<f64> {
-        self.begun_at
+    pub(super) fn started_at(&self) -> Option<f64> {
+        self.started_at
     }
 
     /// Whether clients are not accepted any more.
     fn must_stop_accepting(&self, now: f64) -> bool {
-        self.begun_at
-            .is_some_and(|begun_at| now > begun_at + ACCEPT_AFTER_SIGTERM)
+        self.started_at
+            .is_some_and(|started_at| now > started_at + ACCEPT_AFTER_SIGTERM)
     }
 
     /// When the process may be killed, in seconds.
-    fn killed_at(&self) -> f64 {
-        self.begun_at.map_or(f64::INFINITY, |begun_at| {
-            begun_at + self.counted_client_timeout + KILL_DELAY
+    fn kill_time(&self) -> f64 {
+        self.started_at.map_or(f64::INFINITY, |started_at| {
+            started_at + self.counted_client_timeout + KILL_DELAY
         })
     }
 
     /// By when every open invocation has to be answered, in seconds.
     fn response_deadline(&self) -> f64 {
-        self.killed_at() - SHUTDOWN_MARGIN
+        self.kill_time() - SHUTDOWN_MARGIN
     }
 
     /// Whether the process exits now, whatever is open.
     fn must_exit(&self, now: f64) -> bool {
-        now > self.killed_at() - EXIT_MARGIN
+        now > self.kill_time() - EXIT_MARGIN
     }
 
     /// Something is open, or a client has sent something.
@@ -121,7 +121,7 @@
         // Clients that wait to be accepted are notified with the others: no more can wait than one call accepts.
         self.accept(now);
         // Closed as this function returns.
-        let Some(_listener) = self.listener.take(self.poll.registry()) else {
+        let Some(_listener) = self.listener.take_socket(self.poll.registry()) else {
             return;
         };
         self.engine.start_draining();
--- a/crates/platform-frontend/src/event_loop/lost_connections.rs
+++ b/crates/platform-frontend/src/event_loop/lost_connections.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::executor_connection::ExecutorConnection;
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 use orchidtally_engine::evidence::{self, TransportOutcome};
 use std::collections::VecDeque;
 use tracing::info;
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(super) struct LostConnections {
     unreported: VecDeque<LostConnection>,
-    log: LogBudget,
+    log_limiter: LogRateLimiter,
 }
 
 impl LostConnections {
@@ -59,18 +59,19 @@
         if !connection.is_idle() {
             self.record_lost_connection(now, &connection, reason);
         }
-        self.host.pool.forget_if_unlisted(connection.to);
+        self.host.pool.remove_if_unlisted(connection.executor_id);
         let may_retry = connection.is_connected
             || evidence == TransportOutcome::NoResource
             || self
                 .host
                 .pool
-                .has_connection_begun_before(connection.to, now);
+                .has_connection_started_before(connection.executor_id, now);
         let unwritten = connection.take_unwritten();
-        self.host.resend(connection.to, unwritten, may_retry);
-        for (id, dispatch) in &connection.open {
+        self.host
+            .resend(connection.executor_id, unwritten, may_retry);
+        for (id, dispatch) in &connection.in_flight {
             self.host.remove_in_flight(dispatch.key);
-            self.host.record_abandoned(id, connection.to);
+            self.host.record_abandoned(id, connection.executor_id);
         }
         // A partial answer shows that the executor is there, as unreadable bytes do.
         let evidence =
@@ -87,12 +88,12 @@
     }
 
     fn record_lost_connection(&mut self, now: f64, connection: &ExecutorConnection, reason: &str) {
-        let Some(executor) = self.host.pool.executor_name(connection.to) else {
+        let Some(executor) = self.host.pool.executor_name(connection.executor_id) else {
             return;
         };
         self.counters.executor_connections_lost += 1;
-        if let Some(suppressed) = self.lost_connections.log.admit(now) {
-            let open = connection.open.len();
+        if let Some(suppressed) = self.lost_connections.log_limiter.try_acquire(now) {
+            let open = connection.in_flight.len();
             let connected = connection.is_connected;
             info!(
                 executor,
@@ -110,7 +111,7 @@
             let is_reachable = self
                 .host
                 .pool
-                .has_connection_begun_before(lost.connection.to, lost.closed_at);
+                .has_connection_started_before(lost.connection.executor_id, lost.closed_at);
             if lost.evidence == TransportOutcome::Broken
                 && is_reachable
                 && now < lost.closed_at + PROCESS_RESET_WINDOW
--- a/crates/platform-frontend/src/event_loop/maintenance.rs
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -78,7 +78,7 @@
             return;
         }
         if self.maintenance.take_clock_adjustment(now) {
-            self.host.follow_wall_clock();
+            self.host.adjust_to_wall_clock();
         }
         if self.maintenance.take_status(now) {
             self.log_status();
@@ -87,7 +87,7 @@
         if self.listener.must_retry() {
             self.accept(now);
         }
-        self.host.forget_arrived_cancels(now);
+        self.host.remove_delivered_cancels(now);
         self.close_overdue_executor_connections(now);
         while let Some(tag) = self
             .host
--- a/crates/platform-frontend/src/event_loop/mod.rs
+++ b/crates/platform-frontend/src/event_loop/mod.rs
@@ -15,7 +15,7 @@
 use crate::engine_host::EngineHost;
 use crate::process_clock::ProcessClock;
 use crate::signals::PendingSignals;
-use crate::source::Source;
+use crate::source::EventSource;
 use crate::start::{StartConfig, retry_local_failures};
 use client_listener::ClientListener;
 use endpoint_discovery::EndpointDiscovery;
@@ -78,7 +78,7 @@
     /// Bytes of request bodies that may be held.
     max_body_bytes: usize,
     /// Sources that may have more to read than one poll reads.
-    unfinished_reads: VecDeque<Source>,
+    unfinished_reads: VecDeque<EventSource>,
     read_buffer: Box<[u8]>,
     counters: ConnectionCounters,
 }
@@ -92,7 +92,7 @@
 /// The poll, the listener or the resolver's socket could not be set up, or the poll failed.
 pub fn run(start: StartConfig, file: PathBuf, mut signals: PendingSignals) -> io::Result<Counters> {
     let poll = retry_local_failures(Poll::new)?;
-    signals.register(poll.registry(), Source::Signals.token())?;
+    signals.register(poll.registry(), EventSource::Signals.token())?;
     let mut event_loop = EventLoop::new(start, file, poll)?;
     let mut events = Events::with_capacity(EVENTS_PER_POLL);
     loop {
@@ -124,7 +124,7 @@
             max_executor_connections,
         );
         host.set_clock(clock);
-        host.set_view(crate::engine_host::ViewStamp {
+        host.set_view(crate::engine_host::ViewVersion {
             serial: start.initial_serial,
             fresh_at: now,
         });
@@ -175,16 +175,16 @@
         let mut take_signals = Some(take_signals);
         for source in self.ready_sources(events) {
             match source {
-                Source::Listener => self.accept(now),
-                Source::Resolver => self.read_resolver(now),
-                Source::Signals => {
+                EventSource::Listener => self.accept(now),
+                EventSource::Resolver => self.read_resolver(now),
+                EventSource::Signals => {
                     let signals = take_signals.take().map_or(vec![], |take| take());
                     for signal in signals {
                         self.handle_signal(now, signal);
                     }
                 }
-                Source::Client(slot) => self.read_client(now, slot),
-                Source::Executor(slot) => _ = self.read_executor(now, slot),
+                EventSource::Client(slot) => self.read_client(now, slot),
+                EventSource::Executor(slot) => _ = self.read_executor(now, slot),
             }
         }
         self.engine.run_due_timers(now, &mut self.host);
@@ -195,12 +195,12 @@
 
     /// The sources of the events, and those with unfinished reads. Executors come first: their answers free capacity
     /// for the requests of clients.
-    fn ready_sources(&mut self, events: &Events) -> Vec<Source> {
-        let mut sources: Vec<Source> = events
+    fn ready_sources(&mut self, events: &Events) -> Vec<EventSource> {
+        let mut sources: Vec<EventSource> = events
             .iter()
-            .map(|event| Source::of(event.token()))
+            .map(|event| EventSource::from_token(event.token()))
             .collect();
-        sources.sort_by_key(|source| !matches!(source, Source::Executor(_)));
+        sources.sort_by_key(|source| !matches!(source, EventSource::Executor(_)));
         sources.extend(self.unfinished_reads.drain(..));
         sources
     }
@@ -255,7 +255,7 @@
             self.reload_settings(now);
         } else {
             info!(signal, "termination signal received, draining");
-            self.shutdown.begin(now);
+            self.shutdown.start(now);
         }
     }
 }
--- a/crates/platform-frontend/src/event_loop/output.rs
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::client_connection::MAX_BACKLOG_BYTES;
-use crate::source::Source;
+use crate::source::EventSource;
 use orchidtally_engine::evidence::{self, TransportOutcome};
 use std::net::Shutdown;
 
@@ -13,7 +13,7 @@
             self.report_lost_connections(now);
             self.report_unsent_commands(now);
             self.flush_executor_connections(now);
-            self.close_cut_connections(now);
+            self.close_aborted_connections(now);
             for slot in self.host.take_dirty_clients() {
                 self.flush_client(now, slot);
             }
@@ -56,14 +56,14 @@
         }
     }
 
-    fn close_cut_connections(&mut self, now: f64) {
-        for cut in self.host.take_cut_connections() {
-            let is_cut = self
+    fn close_aborted_connections(&mut self, now: f64) {
+        for cut in self.host.take_aborted_connections() {
+            let is_aborted = self
                 .host
                 .pool
                 .connection(cut.slot)
-                .is_some_and(|connection| connection.is_cut);
-            if is_cut && self.read_executor(now, cut.slot) {
+                .is_some_and(|connection| connection.is_aborted);
+            if is_aborted && self.read_executor(now, cut.slot) {
                 self.close_executor_connection(
                     now,
                     cut.slot,
@@ -82,7 +82,7 @@
         let flushed = client.socket.flush();
         client.record_flush(now);
         if client.is_backpressured && client.socket.waiting() <= MAX_BACKLOG_BYTES {
-            self.unfinished_reads.push_back(Source::Client(slot));
+            self.unfinished_reads.push_back(EventSource::Client(slot));
         }
         let is_written = client.socket.waiting() == 0;
         if let Some(closing) = client
--- a/crates/platform-frontend/src/event_loop/settings_reload.rs
+++ b/crates/platform-frontend/src/event_loop/settings_reload.rs
@@ -1,7 +1,7 @@
 //! Reads the settings file again after SIGHUP, for the address of another resolver.
 
 use super::EventLoop;
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 use crate::start::{self, StartError};
 use std::io;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     /// When the file is read next; infinity for never.
     next_at: f64,
     backoff: f64,
-    log: LogBudget,
+    log_limiter: LogRateLimiter,
 }
 
 impl SettingsReload {
@@ -46,7 +46,7 @@
             window_ends_at: f64::NEG_INFINITY,
             next_at: f64::INFINITY,
             backoff: RELOAD_INTERVAL,
-            log: LogBudget::default(),
+            log_limiter: LogRateLimiter::default(),
         }
     }
 
@@ -82,7 +82,7 @@
         }
         let applied = self.apply_resolver_address();
         if let Err(error) = &applied
-            && let Some(suppressed) = self.reload.log.admit(now)
+            && let Some(suppressed) = self.reload.log_limiter.try_acquire(now)
         {
             let resolver = self.discovery.resolver_address();
             warn!(%error, %resolver, suppressed,
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -64,24 +64,24 @@
 /// A connection to an executor.
 pub struct ExecutorConnection {
     /// The executor.
-    pub to: ExecutorId,
+    pub executor_id: ExecutorId,
     /// The socket, with the bytes that wait to be written.
     pub socket: BufferedSocket,
     /// The connection is established.
     pub is_connected: bool,
     /// When the connection attempt began, in seconds.
-    pub begun_at: f64,
+    pub connect_started_at: f64,
     /// When the connection has to be established, in seconds.
     connect_deadline: f64,
     /// The decoder of the lines that are read.
     pub decoder: Decoder,
     /// Dispatches by their id on the wire.
-    pub open: BTreeMap<Rc<str>, InFlightDispatch>,
+    pub in_flight: BTreeMap<Rc<str>, InFlightDispatch>,
     /// Load commands by tag, with the position of their lines once they are encoded.
     pub load_commands: BTreeMap<u64, Option<u64>>,
     abandoned: BTreeSet<Rc<str>>,
     /// Ids that were answered within the window for duplicates, and when.
-    answered_ids: VecDeque<(f64, Rc<str>)>,
+    responded_ids: VecDeque<(f64, Rc<str>)>,
     /// Commands that wait to be encoded.
     pub queue: VecDeque<QueuedCommand>,
     /// It takes nothing new and is closed once nothing is open.
@@ -89,43 +89,43 @@
     /// When something was last read, in seconds.
     pub last_read_at: f64,
     /// It has brought an answer.
-    pub has_answered: bool,
+    pub has_responded: bool,
     /// When it was last used, in seconds.
     pub idle_since: f64,
     partial_line_since: Option<f64>,
     /// It is in the list of connections with something to write.
     pub is_dirty: bool,
     /// It was shut down by this side and waits to be closed.
-    pub is_cut: bool,
+    pub is_aborted: bool,
 }
 
 impl ExecutorConnection {
     /// A connection whose attempt begins now and has some seconds to be established.
     pub fn new(
-        to: ExecutorId,
+        executor_id: ExecutorId,
         stream: TcpStream,
         now: f64,
         connect_timeout: f64,
     ) -> ExecutorConnection {
         ExecutorConnection {
-            to,
+            executor_id,
             socket: BufferedSocket::new(stream),
             is_connected: false,
-            begun_at: now,
+            connect_started_at: now,
             connect_deadline: now + connect_timeout,
             decoder: Decoder::default(),
-            open: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             load_commands: BTreeMap::new(),
             abandoned: BTreeSet::new(),
-            answered_ids: VecDeque::new(),
+            responded_ids: VecDeque::new(),
             queue: VecDeque::new(),
             is_retired: false,
             last_read_at: now,
-            has_answered: false,
+            has_responded: false,
             idle_since: now,
             partial_line_since: None,
             is_dirty: false,
-            is_cut: false,
+            is_aborted: false,
         }
     }
 
@@ -133,15 +133,15 @@
     ///
     /// An id that was abandoned or answered on it a moment ago may not: a late or duplicate answer could be the
     /// earlier dispatch's. Nor may any once the idle timeout is near: the executor may be closing the connection.
-    pub fn can_carry(&self, id: &str, max_streams: usize, now: f64, idle_timeout: f64) -> bool {
-        let was_just_answered = |(at, answered): &(f64, Rc<str>)| {
+    pub fn can_accept(&self, id: &str, max_streams: usize, now: f64, idle_timeout: f64) -> bool {
+        let was_recently_answered = |(at, answered): &(f64, Rc<str>)| {
             &**answered == id && now < at + DUPLICATE_RESPONSE_WINDOW
         };
         !self.is_retired
-            && self.open.len() < max_streams
-            && !self.open.contains_key(id)
+            && self.in_flight.len() < max_streams
+            && !self.in_flight.contains_key(id)
             && !self.abandoned.contains(id)
-            && !self.answered_ids.iter().any(was_just_answered)
+            && !self.responded_ids.iter().any(was_recently_answered)
             && !(self.is_connected && self.is_idle() && self.is_idle_too_long(now, idle_timeout))
     }
 
@@ -155,7 +155,7 @@
     pub fn preference(&self) -> (bool, usize, Reverse<Ordered>) {
         (
             !self.is_connected,
-            self.open.len(),
+            self.in_flight.len(),
             Reverse(Ordered(self.idle_since)),
         )
     }
@@ -170,28 +170,28 @@
         &self,
         evidence: TransportOutcome,
     ) -> impl Iterator<Item = (&InFlightDispatch, TransportOutcome)> {
-        let has_culprit = evidence == TransportOutcome::Malformed || !self.has_answered;
-        let earliest = self
-            .open
+        let is_executor_fault = evidence == TransportOutcome::Malformed || !self.has_responded;
+        let faulty_sent_at = self
+            .in_flight
             .values()
             .map(|dispatch| Ordered(dispatch.sent_at))
             .min()
-            .filter(|_| has_culprit);
+            .filter(|_| is_executor_fault);
         let attribute = move |sent_at| {
-            if Some(Ordered(sent_at)) == earliest {
+            if Some(Ordered(sent_at)) == faulty_sent_at {
                 TransportOutcome::Malformed
             } else {
                 TransportOutcome::Cut
             }
         };
-        self.open
+        self.in_flight
             .values()
             .map(move |dispatch| (dispatch, attribute(dispatch.sent_at)))
     }
 
     /// Whether nothing is open, queued or unwritten.
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty()
+        self.in_flight.is_empty()
             && self.load_commands.is_empty()
             && self.queue.is_empty()
             && self.socket.waiting() == 0
@@ -199,7 +199,7 @@
 
     /// Abandons a dispatch; returns whether the executor may have begun to read it.
     pub fn abandon(&mut self, id: &Rc<str>) -> bool {
-        let Some(dispatch) = self.open.remove(id) else {
+        let Some(dispatch) = self.in_flight.remove(id) else {
             return false;
         };
         if dispatch.line_start.is_none() {
@@ -214,27 +214,27 @@
     }
 
     /// Ends the connection for the executor at once. What is open on it is reported when it is closed.
-    pub fn cut_off(&mut self) {
+    pub fn abort(&mut self) {
         self.is_retired = true;
-        self.is_cut = true;
+        self.is_aborted = true;
         // A socket that is gone already needs no shutdown.
         let _ = self.socket.stream.shutdown(std::net::Shutdown::Both);
     }
 
     /// Records that an id was answered. It may use this connection again once no duplicate answer can arrive.
-    pub fn record_answered(&mut self, now: f64, id: Rc<str>) {
+    pub fn record_response(&mut self, now: f64, id: Rc<str>) {
         while self
-            .answered_ids
+            .responded_ids
             .front()
             .is_some_and(|(at, _)| now >= at + DUPLICATE_RESPONSE_WINDOW)
         {
-            self.answered_ids.pop_front();
+            self.responded_ids.pop_front();
         }
-        self.answered_ids.push_back((now, id));
+        self.responded_ids.push_back((now, id));
     }
 
     /// Records an answer under an id that is not open; an abandoned id may be used again.
-    pub fn forget_abandoned(&mut self, id: &str) {
+    pub fn remove_abandoned_id(&mut self, id: &str) {
         self.abandoned.remove(id);
     }
 
@@ -251,13 +251,15 @@
     /// Removes every command of which the kernel got no byte.
     pub fn take_unwritten(&mut self) -> UnwrittenCommands {
         let ids: Vec<Rc<str>> = self
-            .open
+            .in_flight
             .iter()
             .filter(|(_, dispatch)| self.is_unwritten(dispatch.line_start))
             .map(|(id, _)| id.clone())
             .collect();
-        let mut dispatches: Vec<InFlightDispatch> =
-            ids.iter().filter_map(|id| self.open.remove(id)).collect();
+        let mut dispatches: Vec<InFlightDispatch> = ids
+            .iter()
+            .filter_map(|id| self.in_flight.remove(id))
+            .collect();
         dispatches.sort_by_key(|dispatch| (Ordered(dispatch.sent_at), dispatch.key.invocation));
         let load_commands: Vec<u64> = self
             .load_commands
@@ -279,7 +281,7 @@
         let written = self.socket.written();
         let is_unwritten = |line_start: &mut u64| *line_start >= written;
         let mut unwritten: Vec<(u64, QueuedCommand)> = vec![];
-        for (id, dispatch) in &mut self.open {
+        for (id, dispatch) in &mut self.in_flight {
             if let Some(start) = dispatch.line_start.take_if(is_unwritten) {
                 unwritten.push((start, QueuedCommand::Dispatch(id.clone())));
             }
--- a/crates/platform-frontend/src/executor_pool.rs
+++ b/crates/platform-frontend/src/executor_pool.rs
@@ -1,7 +1,7 @@
 //! The executors that are known, and the pool of connections to them.
 
 use crate::executor_connection::ExecutorConnection;
-use crate::source::Source;
+use crate::source::EventSource;
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use orchidtally_dispatch_policy::interface::ExecutorId;
@@ -16,9 +16,9 @@
 
 /// Connections over which the dispatches to one executor are spread, since a connection that breaks takes with it
 /// all that is open on it.
-pub const SPREAD_CONNECTIONS: usize = 4;
+pub const TARGET_CONNECTIONS_PER_EXECUTOR: usize = 4;
 /// Connections kept to one executor at least: if one breaks and another stands, the executor's process did not end.
-pub const MIN_CONNECTIONS: usize = 2;
+pub const MIN_CONNECTIONS_PER_EXECUTOR: usize = 2;
 
 /// An executor as it is reached.
 pub struct Executor {
@@ -155,19 +155,19 @@
     pub fn connection_for(
         &mut self,
         now: f64,
-        to: ExecutorId,
+        executor_id: ExecutorId,
         id: &str,
     ) -> Result<usize, TransportOutcome> {
         let executor = self
             .executors
-            .get(&to)
+            .get(&executor_id)
             .ok_or(TransportOutcome::NoConnection)?;
         let best = executor
             .connections
             .iter()
             .copied()
             .filter(|&slot| {
-                self.connections[slot].can_carry(id, self.max_streams, now, self.idle_timeout)
+                self.connections[slot].can_accept(id, self.max_streams, now, self.idle_timeout)
             })
             .min_by_key(|&slot| self.connections[slot].preference());
         let active = executor
@@ -175,17 +175,17 @@
             .iter()
             .filter(|&&slot| !self.connections[slot].is_retired)
             .count();
-        let wanted = match best {
-            Some(best) if self.connections[best].is_idle() => MIN_CONNECTIONS,
-            Some(_) => SPREAD_CONNECTIONS,
+        let target = match best {
+            Some(best) if self.connections[best].is_idle() => MIN_CONNECTIONS_PER_EXECUTOR,
+            Some(_) => TARGET_CONNECTIONS_PER_EXECUTOR,
             None => usize::MAX,
         };
-        let share = (self.max_connections / self.executors.len().max(1)).max(1);
-        let may_open = active < wanted && executor.connections.len() < share;
-        let has_room = may_open
+        let max_for_executor = (self.max_connections / self.executors.len().max(1)).max(1);
+        let may_open = active < target && executor.connections.len() < max_for_executor;
+        let has_capacity = may_open
             && (self.connections.len() < self.max_connections
                 || best.is_none() && self.evict_idle_connection());
-        let opened = has_room.then(|| self.open_connection(now, to));
+        let opened = has_capacity.then(|| self.open_connection(now, executor_id));
         match (best, opened) {
             (Some(best), _) => Ok(best),
             (None, Some(opened)) => opened,
@@ -216,26 +216,30 @@
     /// Removes a connection from the pool. It stays registered with the poll.
     pub fn remove_connection(&mut self, slot: usize) -> Option<ExecutorConnection> {
         let connection = self.connections.try_remove(slot)?;
-        if let Some(executor) = self.executors.get_mut(&connection.to) {
+        if let Some(executor) = self.executors.get_mut(&connection.executor_id) {
             executor.connections.retain(|&other| other != slot);
         }
         Some(connection)
     }
 
-    fn open_connection(&mut self, now: f64, to: ExecutorId) -> Result<usize, TransportOutcome> {
+    fn open_connection(
+        &mut self,
+        now: f64,
+        executor_id: ExecutorId,
+    ) -> Result<usize, TransportOutcome> {
         let executor = self
             .executors
-            .get_mut(&to)
+            .get_mut(&executor_id)
             .ok_or(TransportOutcome::NoConnection)?;
         let mut stream =
             TcpStream::connect(executor.address).map_err(|error| connect_evidence(&error))?;
         let slot = self.connections.vacant_key();
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry
-            .register(&mut stream, Source::Executor(slot).token(), interest)
+            .register(&mut stream, EventSource::Executor(slot).token(), interest)
             .map_err(|_| TransportOutcome::NoResource)?;
         self.connections.insert(ExecutorConnection::new(
-            to,
+            executor_id,
             stream,
             now,
             self.connect_timeout,
@@ -245,13 +249,13 @@
     }
 
     /// Whether a connection to an executor stands whose attempt began before a moment.
-    pub fn has_connection_begun_before(&self, to: ExecutorId, moment: f64) -> bool {
-        let Some(executor) = self.executors.get(&to) else {
+    pub fn has_connection_started_before(&self, executor_id: ExecutorId, moment: f64) -> bool {
+        let Some(executor) = self.executors.get(&executor_id) else {
             return false;
         };
         executor.connections.iter().any(|&slot| {
             let connection = &self.connections[slot];
-            connection.is_connected && connection.begun_at < moment
+            connection.is_connected && connection.connect_started_at < moment
         })
     }
 
@@ -287,18 +291,18 @@
     }
 
     /// Forgets executors that are not listed and have no connection left.
-    pub fn forget_unlisted(&mut self) {
+    pub fn remove_unlisted(&mut self) {
         self.executors
             .retain(|_, executor| executor.is_listed || !executor.connections.is_empty());
     }
 
     /// Forgets an executor if it is not listed and has no connection left.
-    pub fn forget_if_unlisted(&mut self, id: ExecutorId) {
-        let is_gone = self
+    pub fn remove_if_unlisted(&mut self, id: ExecutorId) {
+        let is_unused = self
             .executors
             .get(&id)
             .is_some_and(|executor| !executor.is_listed && executor.connections.is_empty());
-        if is_gone {
+        if is_unused {
             self.executors.remove(&id);
         }
     }
--- a/crates/platform-frontend/src/invocation_request.rs
+++ b/crates/platform-frontend/src/invocation_request.rs
@@ -33,16 +33,16 @@
     BodyTooLong,
     /// No trigger type is named.
     #[error("no 'service'")]
-    MissingService,
+    MissingTriggerType,
     /// The trigger type is not configured.
     #[error("'service' names nothing that is served")]
-    UnknownService,
+    UnknownTriggerType,
     /// The client's id has another form.
     #[error("'ref' is not 16 hex digits")]
-    InvalidId,
+    InvalidInvocationId,
     /// The client's id is in use.
     #[error("'ref' is that of an open invocation")]
-    DuplicateId,
+    DuplicateInvocationId,
     /// No function is named.
     #[error("no 'lookup'")]
     MissingFunction,
@@ -54,7 +54,7 @@
     InvalidTimeout,
     /// The mark of a retry has another value.
     #[error("'dup' is neither 1 nor absent")]
-    InvalidRetryMark,
+    InvalidRetryFlag,
     /// The customer is not configured.
     #[error("'project' names no customer")]
     UnknownCustomer,
@@ -99,26 +99,27 @@
     settings: &FrontEndSettings,
     origin: InvocationOrigin,
     payload: &[u8],
-    is_open: impl Fn(&str) -> bool,
+    is_id_in_use: impl Fn(&str) -> bool,
 ) -> Result<ParsedInvocation, InvalidInvocation> {
     let (fields, body) = parse_fields(payload)?;
     if body.len() > MAX_BODY_LENGTH {
         return Err(InvalidInvocation::BodyTooLong);
     }
-    let service = field(&fields, "service").ok_or(InvalidInvocation::MissingService)?;
+    let trigger_type_name =
+        field(&fields, "service").ok_or(InvalidInvocation::MissingTriggerType)?;
     let trigger_type = settings
         .trigger_types
         .iter()
-        .position(|name| name == service)
-        .ok_or(InvalidInvocation::UnknownService)?;
+        .position(|name| name == trigger_type_name)
+        .ok_or(InvalidInvocation::UnknownTriggerType)?;
     let policy = &settings.policy.trigger_types[trigger_type];
-    let id = parse_client_id(&fields, is_open)?;
+    let id = parse_client_invocation_id(&fields, is_id_in_use)?;
     let function_text = field(&fields, "lookup").ok_or(InvalidInvocation::MissingFunction)?;
     let function = parse_hex(function_text).ok_or(InvalidInvocation::InvalidFunction)?;
     let client_timeout_ms = field(&fields, "allow")
         .and_then(|text| parse_number(text, 1.0, MAX_CLIENT_TIMEOUT_MS))
         .ok_or(InvalidInvocation::InvalidTimeout)?;
-    let is_retry = parse_retry_mark(&fields)?;
+    let is_retry = parse_retry_flag(&fields)?;
     let customer = parse_customer(&fields, &settings.customers)?;
     let idempotency_key = parse_idempotency_key(&fields, policy)?;
     let tags = parse_tags(field(&fields, "tags").unwrap_or_default())?;
@@ -167,24 +168,24 @@
         .filter(|number| (min..=max).contains(number))
 }
 
-fn parse_client_id<'a>(
+fn parse_client_invocation_id<'a>(
     fields: &Fields<'a>,
-    is_open: impl Fn(&str) -> bool,
+    is_id_in_use: impl Fn(&str) -> bool,
 ) -> Result<&'a str, InvalidInvocation> {
     let id = field(fields, "ref")
         .filter(|id| parse_hex(id).is_some())
-        .ok_or(InvalidInvocation::InvalidId)?;
-    if is_open(id) {
-        return Err(InvalidInvocation::DuplicateId);
+        .ok_or(InvalidInvocation::InvalidInvocationId)?;
+    if is_id_in_use(id) {
+        return Err(InvalidInvocation::DuplicateInvocationId);
     }
     Ok(id)
 }
 
-fn parse_retry_mark(fields: &Fields) -> Result<bool, InvalidInvocation> {
+fn parse_retry_flag(fields: &Fields) -> Result<bool, InvalidInvocation> {
     match field(fields, "dup") {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
-        Some(_) => Err(InvalidInvocation::InvalidRetryMark),
+        Some(_) => Err(InvalidInvocation::InvalidRetryFlag),
     }
 }
 
--- a/crates/platform-frontend/src/invocation_table.rs
+++ b/crates/platform-frontend/src/invocation_table.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub struct InvocationTable {
     open: HashMap<u32, OpenInvocation>,
-    client_ids: HashSet<Rc<str>>,
+    client_invocation_ids: HashSet<Rc<str>>,
     body_bytes: usize,
 }
 
@@ -35,7 +35,7 @@
     /// Adds an invocation under the engine's id for it.
     pub fn insert(&mut self, invocation: u32, open: OpenInvocation) {
         self.body_bytes += open.body.len();
-        self.client_ids.insert(open.id.clone());
+        self.client_invocation_ids.insert(open.id.clone());
         self.open.insert(invocation, open);
     }
 
@@ -43,7 +43,7 @@
     pub fn remove(&mut self, invocation: u32) -> Option<OpenInvocation> {
         let open = self.open.remove(&invocation)?;
         self.body_bytes -= open.body.len();
-        self.client_ids.remove(&open.id);
+        self.client_invocation_ids.remove(&open.id);
         Some(open)
     }
 
@@ -53,8 +53,8 @@
     }
 
     /// Whether an invocation with this client's id is open.
-    pub fn contains_client_id(&self, id: &str) -> bool {
-        self.client_ids.contains(id)
+    pub fn contains_client_invocation_id(&self, id: &str) -> bool {
+        self.client_invocation_ids.contains(id)
     }
 
     /// The size of all request bodies in bytes.
--- a/crates/platform-frontend/src/lib.rs
+++ b/crates/platform-frontend/src/lib.rs
@@ -14,7 +14,7 @@
 mod executor_pool;
 mod invocation_request;
 mod invocation_table;
-mod log_budget;
+mod log_rate_limiter;
 mod process_clock;
 mod resolver;
 mod signals;
--- a/crates/platform-frontend/src/log_budget.rs
+++ b/crates/platform-frontend/src/log_rate_limiter.rs
@@ -5,17 +5,17 @@
 
 /// A budget of log lines, refilled every second.
 #[derive(Debug, Default)]
-pub struct LogBudget {
-    second_began_at: f64,
+pub struct LogRateLimiter {
+    window_started_at: f64,
     written: u32,
     suppressed: u64,
 }
 
-impl LogBudget {
+impl LogRateLimiter {
     /// Whether a line may be written at a time in seconds; if so, how many were suppressed since the last one.
-    pub fn admit(&mut self, now: f64) -> Option<u64> {
-        if now >= self.second_began_at + 1.0 {
-            self.second_began_at = now;
+    pub fn try_acquire(&mut self, now: f64) -> Option<u64> {
+        if now >= self.window_started_at + 1.0 {
+            self.window_started_at = now;
             self.written = 0;
         }
         if self.written >= LINES_PER_SECOND {
@@ -28,5 +28,5 @@
 }
 
 #[cfg(test)]
-#[path = "tests/log_budget.rs"]
+#[path = "tests/log_rate_limiter.rs"]
 mod tests;
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -14,8 +14,8 @@
 /// Monotonic time in seconds, anchored to the wall clock: its spans are real time whatever the wall clock does.
 pub struct ProcessClock {
     clock: Clock,
-    began: Instant,
-    stalls: StallDetector,
+    started_at: Instant,
+    stall_detector: StallDetector,
 }
 
 impl ProcessClock {
@@ -26,35 +26,35 @@
 
     /// A clock that begins at a time in seconds.
     pub fn starting_at(now: f64) -> ProcessClock {
-        let stalls = StallDetector::new(now);
+        let stall_detector = StallDetector::new(now);
         ProcessClock {
             clock: Clock::new(0.0, now),
-            began: Instant::now(),
-            stalls,
+            started_at: Instant::now(),
+            stall_detector,
         }
     }
 
     /// The time in seconds. Each reading is observed by the stall detector.
     pub fn read(&mut self) -> f64 {
-        let now = self.clock.read(self.began.elapsed().as_secs_f64());
-        self.stalls.observe(now);
+        let now = self.clock.read(self.started_at.elapsed().as_secs_f64());
+        self.stall_detector.observe(now);
         now
     }
 
     /// The earliest time at which bytes that are read now may have arrived.
-    pub fn arrival_bound(&self, now: f64) -> f64 {
-        self.stalls.arrival_bound(now)
+    pub fn earliest_arrival(&self, now: f64) -> f64 {
+        self.stall_detector.arrival_bound(now)
     }
 
     /// The length in seconds of a process stall that was detected since the last call, if any.
     pub fn take_stall(&mut self) -> Option<f64> {
-        self.stalls.take_stall()
+        self.stall_detector.take_stall()
     }
 
     /// Moves the clock towards the wall clock, slowly.
-    pub fn follow_wall_clock(&mut self) {
+    pub fn adjust_to_wall_clock(&mut self) {
         self.clock
-            .anchor(self.began.elapsed().as_secs_f64(), wall_clock());
+            .anchor(self.started_at.elapsed().as_secs_f64(), wall_clock());
     }
 }
 
--- a/crates/platform-frontend/src/resolver.rs
+++ b/crates/platform-frontend/src/resolver.rs
@@ -1,6 +1,6 @@
 //! The client of the resolver: it polls for the endpoint list over DNS and keeps the view that comes of the answers.
 
-use crate::log_budget::LogBudget;
+use crate::log_rate_limiter::LogRateLimiter;
 use mio::net::UdpSocket;
 use mio::{Interest, Registry};
 use orchidtally_platform_discovery::{
@@ -30,7 +30,7 @@
 /// Datagrams read from one socket within a poll: a bound on the delay by a flood of answers.
 const MAX_READS_PER_POLL: usize = 32;
 /// Bytes at the front of an answer that hold the query's id.
-const ID_BYTES: usize = 2;
+const QUERY_ID_BYTES: usize = 2;
 
 /// A query without an answer yet.
 struct Query {
@@ -47,7 +47,7 @@
 
 /// What came of reading the answers that have arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reading {
+pub struct ReadSummary {
     /// The view is as fresh as one of the queries.
     pub is_confirmed: bool,
     /// Endpoints changed.
@@ -64,7 +64,7 @@
     next_query_at: f64,
     reader: AnswerReader,
     /// Queries since the last good answer.
-    unanswered: usize,
+    unanswered_queries: usize,
 }
 
 fn connect_socket(
@@ -116,7 +116,7 @@
     }
 
     /// Closes the query with an id.
-    fn record_answered(&mut self, id: u16) {
+    fn close_query(&mut self, id: u16) {
         self.queries.retain(|query| query.id != id);
     }
 }
@@ -134,12 +134,12 @@
             previous: VecDeque::new(),
             next_query_at: 0.0,
             reader: AnswerReader::new(view),
-            unanswered: 0,
+            unanswered_queries: 0,
         })
     }
 
     /// Polls another resolver from now on. The answers of the previous one are read until the new one has answered.
-    pub fn switch_to(
+    pub fn switch_resolver(
         &mut self,
         address: SocketAddr,
         registry: &Registry,
@@ -162,14 +162,14 @@
 
     /// Whether many queries in a row have had no good answer.
     pub fn is_unreachable(&self) -> bool {
-        self.unanswered >= UNREACHABLE_AFTER
+        self.unanswered_queries >= UNREACHABLE_AFTER
     }
 
     /// Makes a query due now and counts unanswered queries anew, after a process stall: answers may have waited or
     /// got lost meanwhile.
     pub fn restart_queries(&mut self) {
         self.next_query_at = 0.0;
-        self.unanswered = 0;
+        self.unanswered_queries = 0;
     }
 
     /// The address that is polled.
@@ -188,38 +188,38 @@
             return;
         }
         self.next_query_at = now + RETRY_INTERVAL;
-        self.unanswered += 1;
+        self.unanswered_queries += 1;
         self.current.send_query(now);
     }
 
     /// Reads the answers that have arrived into the view.
-    pub fn read(&mut self, now: f64, locations: &mut LocationTable) -> Reading {
-        let mut reading = Reading::default();
+    pub fn read(&mut self, now: f64, locations: &mut LocationTable) -> ReadSummary {
+        let mut summary = ReadSummary::default();
         // Previous resolvers come first: what the current one tells is newer.
         for channel in &mut self.previous {
-            reading.add(self.reader.read(now, channel, locations));
+            summary.merge(self.reader.read(now, channel, locations));
         }
         let current = self.reader.read(now, &mut self.current, locations);
-        reading.add(current);
+        summary.merge(current);
         if current.is_confirmed {
             self.next_query_at = now + POLL_INTERVAL;
             self.previous.clear();
         }
-        if reading.is_confirmed {
-            self.unanswered = 0;
+        if summary.is_confirmed {
+            self.unanswered_queries = 0;
         }
-        reading
+        summary
     }
 }
 
-impl Reading {
-    fn add(&mut self, other: Reading) {
+impl ReadSummary {
+    fn merge(&mut self, other: ReadSummary) {
         self.is_confirmed |= other.is_confirmed;
         self.is_changed |= other.is_changed;
         self.has_more |= other.has_more;
     }
 
-    fn add_outcome(&mut self, outcome: ListOutcome) {
+    fn merge_outcome(&mut self, outcome: ListOutcome) {
         self.is_confirmed |= outcome.confirms();
         self.is_changed |= outcome.has_changes();
     }
@@ -230,7 +230,7 @@
     view: EndpointView,
     /// The digest of the last answer, if it confirmed the view.
     confirmed_digest: Option<u64>,
-    log: LogBudget,
+    log_limiter: LogRateLimiter,
     buffer: Box<[u8]>,
 }
 
@@ -239,28 +239,33 @@
         AnswerReader {
             view,
             confirmed_digest: None,
-            log: LogBudget::default(),
+            log_limiter: LogRateLimiter::default(),
             buffer: vec![0; MAX_ANSWER_LENGTH].into(),
         }
     }
 
     /// Reads what a resolver has sent, up to a bound.
-    fn read(&mut self, now: f64, channel: &mut Channel, locations: &mut LocationTable) -> Reading {
-        let mut reading = Reading::default();
+    fn read(
+        &mut self,
+        now: f64,
+        channel: &mut Channel,
+        locations: &mut LocationTable,
+    ) -> ReadSummary {
+        let mut summary = ReadSummary::default();
         for _ in 0..MAX_READS_PER_POLL {
             match channel.socket.recv(&mut self.buffer) {
                 Ok(size) => {
                     if let Some(outcome) = self.apply_datagram(now, size, channel, locations) {
-                        reading.add_outcome(outcome);
+                        summary.merge_outcome(outcome);
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return reading,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => return summary,
                 // Nobody listens at that address, for now.
                 Err(_) => {}
             }
         }
-        reading.has_more = true;
-        reading
+        summary.has_more = true;
+        summary
     }
 
     /// Applies the datagram in the buffer; returns the outcome for the view, if it was an answer that could be used.
@@ -275,15 +280,15 @@
         let bytes = &self.buffer[..size];
         let id = bytes.first_chunk().map_or(0, |&id| u16::from_be_bytes(id));
         let Some(queried_at) = channel.sent_at(id) else {
-            if let Some(suppressed) = self.log.admit(now) {
+            if let Some(suppressed) = self.log_limiter.try_acquire(now) {
                 warn!(%resolver, id, suppressed, "ignored a resolver answer that matches no open query");
             }
             return None;
         };
-        let digest = xxh3_64(bytes.get(ID_BYTES..).unwrap_or_default());
+        let digest = xxh3_64(bytes.get(QUERY_ID_BYTES..).unwrap_or_default());
         if self.confirmed_digest == Some(digest) && self.view.is_settled() {
             self.view.confirm_unchanged(queried_at);
-            channel.record_answered(id);
+            channel.close_query(id);
             return Some(ListOutcome::Confirmed);
         }
         let held_serial = self.view.serial();
@@ -294,7 +299,7 @@
                 (answer.serial, outcome)
             }
             Err(AnswerError::InvalidRecord { reason, list }) => {
-                if let Some(suppressed) = self.log.admit(now) {
+                if let Some(suppressed) = self.log_limiter.try_acquire(now) {
                     warn!(%resolver, %reason, age, suppressed,
                         "ignored an unreadable record of the endpoint list, keeping its previous values");
                 }
@@ -303,17 +308,17 @@
                 (list.serial, outcome)
             }
             Err(error) => {
-                if let Some(suppressed) = self.log.admit(now) {
+                if let Some(suppressed) = self.log_limiter.try_acquire(now) {
                     warn!(%resolver, %error, age, suppressed, "ignored a resolver answer");
                 }
                 return None;
             }
         };
-        channel.record_answered(id);
+        channel.close_query(id);
         self.confirmed_digest = outcome.confirms().then_some(digest);
         let is_contradictory =
             !outcome.confirms() || serial == held_serial && outcome.has_changes();
-        if is_contradictory && let Some(suppressed) = self.log.admit(now) {
+        if is_contradictory && let Some(suppressed) = self.log_limiter.try_acquire(now) {
             warn!(%resolver, serial, held_serial, age, ?outcome, suppressed,
                 "resolver answer contradicts the current endpoint list");
         }
--- a/crates/platform-frontend/src/source.rs
+++ b/crates/platform-frontend/src/source.rs
@@ -7,7 +7,7 @@
 
 /// What an event of the poll, or an unfinished read, belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The listener for clients.
     Listener,
     /// The pipe of process signals.
@@ -20,26 +20,26 @@
     Executor(usize),
 }
 
-impl Source {
+impl EventSource {
     /// The token under which this source is registered.
     pub fn token(self) -> Token {
         match self {
-            Source::Listener => Token(0),
-            Source::Signals => Token(1),
-            Source::Resolver => Token(2),
-            Source::Client(slot) => Token(FIRST_CONNECTION_TOKEN + 2 * slot),
-            Source::Executor(slot) => Token(FIRST_CONNECTION_TOKEN + 2 * slot + 1),
+            EventSource::Listener => Token(0),
+            EventSource::Signals => Token(1),
+            EventSource::Resolver => Token(2),
+            EventSource::Client(slot) => Token(FIRST_CONNECTION_TOKEN + 2 * slot),
+            EventSource::Executor(slot) => Token(FIRST_CONNECTION_TOKEN + 2 * slot + 1),
         }
     }
 
     /// The source of a token that `token` returned.
-    pub fn of(token: Token) -> Source {
+    pub fn from_token(token: Token) -> EventSource {
         match token {
-            Token(0) => Source::Listener,
-            Token(1) => Source::Signals,
-            Token(2) => Source::Resolver,
-            Token(n) if n % 2 == 0 => Source::Client((n - FIRST_CONNECTION_TOKEN) / 2),
-            Token(n) => Source::Executor((n - FIRST_CONNECTION_TOKEN) / 2),
+            Token(0) => EventSource::Listener,
+            Token(1) => EventSource::Signals,
+            Token(2) => EventSource::Resolver,
+            Token(n) if n % 2 == 0 => EventSource::Client((n - FIRST_CONNECTION_TOKEN) / 2),
+            Token(n) => EventSource::Executor((n - FIRST_CONNECTION_TOKEN) / 2),
         }
     }
 }
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -181,25 +181,25 @@
 
 pub(crate) fn parse(file: &str, text: &[u8]) -> Result<StartConfig, StartError> {
     let file = || file.to_owned();
-    let written: StartFile =
+    let raw: StartFile =
         serde_json::from_slice(text).map_err(|source| StartError::InvalidJson {
             file: file(),
             source,
         })?;
     let settings =
-        orchidtally_platform_config::front_end_settings(&written.settings).map_err(|source| {
+        orchidtally_platform_config::front_end_settings(&raw.settings).map_err(|source| {
             StartError::Settings {
                 file: file(),
                 source,
             }
         })?;
     let mut locations = LocationTable::new(settings.zones.clone(), settings.executor_kinds.clone());
-    let initial = orchidtally_platform_discovery::initial_endpoints(&written.known, &mut locations)
+    let initial = orchidtally_platform_discovery::initial_endpoints(&raw.known, &mut locations)
         .map_err(|source| StartError::InitialEndpoints {
             file: file(),
             source,
         })?;
-    let seed = u64::from_str_radix(&written.seed, 16).map_err(|source| StartError::Seed {
+    let seed = u64::from_str_radix(&raw.seed, 16).map_err(|source| StartError::Seed {
         file: file(),
         source,
     })?;
@@ -216,12 +216,12 @@
         }
     };
     Ok(StartConfig {
-        name: written.name,
-        listen: written.listen,
+        name: raw.name,
+        listen: raw.listen,
         seed,
-        memory_bytes: at_least(written.limits.memory_mb, MIN_MEMORY_MB, "memory_mb")? << 20,
-        max_descriptors: at_least(written.limits.sockets, MIN_DESCRIPTORS, "sockets")?,
-        resolver: written.dns,
+        memory_bytes: at_least(raw.limits.memory_mb, MIN_MEMORY_MB, "memory_mb")? << 20,
+        max_descriptors: at_least(raw.limits.sockets, MIN_DESCRIPTORS, "sockets")?,
+        resolver: raw.dns,
         initial_serial: initial.serial,
         initial_endpoints: initial.endpoints,
         locations,
@@ -247,8 +247,8 @@
                 configured: self.name.clone(),
             });
         }
-        let is_other = |listen: &&str| listen.parse::<SocketAddr>().ok() != Some(self.listen);
-        if let Some(environment) = listen.filter(is_other) {
+        let differs = |listen: &&str| listen.parse::<SocketAddr>().ok() != Some(self.listen);
+        if let Some(environment) = listen.filter(differs) {
             return Err(StartError::EnvironmentMismatch {
                 variable: "LB_LISTEN",
                 environment: environment.to_owned(),
--- a/crates/platform-frontend/src/tests/disconnects.rs
+++ b/crates/platform-frontend/src/tests/disconnects.rs
@@ -30,7 +30,7 @@
             .host
             .pool
             .connections()
-            .all(|(_, l)| l.queue.is_empty() && l.open.is_empty())
+            .all(|(_, l)| l.queue.is_empty() && l.in_flight.is_empty())
     );
 }
 
@@ -80,7 +80,9 @@
     let mut client = stage.client();
     let (x, end) = stage.out(&mut client, 1, "command");
     stage.peers[x].say(end, "WAIT", &id(1));
-    stage.until("turned away", |s| s.event_loop.host.has_none_in_flight());
+    stage.until("turned away", |s| {
+        s.event_loop.host.has_no_dispatch_in_flight()
+    });
     drop(client);
     stage.until("gone", |s| s.event_loop.host.clients.is_empty());
     nothing_begins(&mut stage, 1);
@@ -94,16 +96,16 @@
     // The executor has two connections; one breaks, which is judged a moment later.
     stage.until("two of them", |s| {
         s.peers[x].read();
-        let to = orchidtally_platform_discovery::executor_id(&s.peers[x].name);
-        let _ = s
-            .event_loop
-            .host
-            .pool
-            .connection_for(s.event_loop.host.now(), to, "another");
+        let executor_id = orchidtally_platform_discovery::executor_id(&s.peers[x].name);
+        let _ =
+            s.event_loop
+                .host
+                .pool
+                .connection_for(s.event_loop.host.now(), executor_id, "another");
         s.event_loop
             .host
             .pool
-            .executor(to)
+            .executor(executor_id)
             .expect("it is known")
             .connections
             .iter()
--- a/crates/platform-frontend/src/tests/engine_host.rs
+++ b/crates/platform-frontend/src/tests/engine_host.rs
@@ -71,7 +71,7 @@
 
 fn take_with_body(host: &mut EngineHost, inv: u32, body: Vec<u8>) {
     let id: Rc<str> = format!("{inv:016x}").into();
-    host.admitting = Some(OpenInvocation {
+    host.pending_admission = Some(OpenInvocation {
         client: usize::MAX,
         stream: 1,
         id,
@@ -90,7 +90,7 @@
     asked: usize,
 }
 
-impl SendRevalidation for RevalidationStub {
+impl SendRevalidator for RevalidationStub {
     fn on_process_stall(&mut self, _: f64) {}
 
     fn revalidate_dispatch(&mut self, _: f64, _: u32, _: u8) -> bool {
@@ -191,7 +191,7 @@
         host.send_due_dispatches();
         flush(&mut host);
     }
-    assert!(host.delayed.is_empty() && come(&mut ends[0]).contains("UNDO"));
+    assert!(host.delayed_dispatches.is_empty() && come(&mut ends[0]).contains("UNDO"));
     assert_eq!(come(&mut ends[1]), "");
 }
 
@@ -226,7 +226,7 @@
     )
     .expect("it is taken");
     assert!(
-        connection(&mut host, slot).is_cut && host.cut_connections.len() == 1,
+        connection(&mut host, slot).is_aborted && host.aborted_connections.len() == 1,
         "to be dissolved"
     );
     let mut rest = vec![];
@@ -269,7 +269,7 @@
             o.line_start
                 .is_none_or(|from| from < connection.socket.written())
         };
-        assert!(connection.open.values().all(begun));
+        assert!(connection.in_flight.values().all(begun));
         stuck += usize::from(connection.socket.waiting() > 0);
     }
     assert!(
--- a/crates/platform-frontend/src/tests/executor_connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -19,12 +19,12 @@
 }
 
 fn takes(connection: &ExecutorConnection, id: &str) -> bool {
-    connection.can_carry(id, 32, 1.0, 15.0)
+    connection.can_accept(id, 32, 1.0, 15.0)
 }
 
 fn put(connection: &mut ExecutorConnection, id: &str, from: Option<u64>) -> Rc<str> {
     let id: Rc<str> = id.into();
-    connection.open.insert(
+    connection.in_flight.insert(
         id.clone(),
         InFlightDispatch {
             key: DispatchKey {
@@ -46,7 +46,7 @@
     assert!(!takes(&connection, "a"), "it is open there");
     assert!(connection.abandon(&id));
     assert!(!takes(&connection, "a") && takes(&connection, "b"));
-    connection.forget_abandoned("a");
+    connection.remove_abandoned_id("a");
     assert!(takes(&connection, "a"));
     let id = put(&mut connection, "a", None);
     connection
@@ -84,7 +84,7 @@
     put(&mut connection, "a", Some(0));
     put(&mut connection, "b", Some(9));
     connection
-        .open
+        .in_flight
         .values_mut()
         .filter(|o| o.line_start == Some(9))
         .for_each(|o| o.sent_at = 2.0);
@@ -107,7 +107,7 @@
         at_fault,
         "nothing ever came"
     );
-    connection.has_answered = true;
+    connection.has_responded = true;
     assert_eq!(verdicts(&connection, TransportOutcome::Broken), lost);
     assert_eq!(verdicts(&connection, TransportOutcome::Malformed), at_fault);
 }
@@ -186,8 +186,8 @@
     });
     assert_eq!(queued.collect::<Vec<_>>(), ["b", "a", "7"]);
     assert!(
-        connection.open[&begun].line_start.is_some()
-            && connection.open["a"].line_start.is_none()
+        connection.in_flight[&begun].line_start.is_some()
+            && connection.in_flight["a"].line_start.is_none()
             && connection.load_commands[&7].is_none()
     );
 }
--- a/crates/platform-frontend/src/tests/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/tests/graceful_shutdown.rs
@@ -7,7 +7,7 @@
     let now = stage.event_loop.read_clock();
     stage.event_loop.handle_signal(now, SIGTERM);
     // As if it had been told so long ago that nothing more is taken.
-    stage.event_loop.shutdown.set_begun_at(now - 0.7);
+    stage.event_loop.shutdown.set_started_at(now - 0.7);
 }
 
 /// The process had ended before the rest of it came.
@@ -104,9 +104,9 @@
     stage.until("closed", |s| !s.event_loop.listener.is_open());
     let now = stage.event_loop.read_clock();
     assert!(!stage.event_loop.is_finished(now), "it has some time");
-    stage.event_loop.shutdown.set_begun_at(now - 3.6);
+    stage.event_loop.shutdown.set_started_at(now - 3.6);
     assert!(!stage.event_loop.is_finished(now));
-    stage.event_loop.shutdown.set_begun_at(now - 3.67);
+    stage.event_loop.shutdown.set_started_at(now - 3.67);
     assert!(stage.event_loop.is_finished(now), "before it may be killed");
 }
 
@@ -121,7 +121,7 @@
     let (x, end) = stage.dispatched(&id(1));
     told_to_end(&mut stage);
     stage.until("closed", |s| !s.event_loop.listener.is_open());
-    let since = stage.event_loop.shutdown.begun_at().expect("it was told");
+    let since = stage.event_loop.shutdown.started_at().expect("it was told");
     let by = stage
         .event_loop
         .host
--- a/crates/platform-frontend/src/tests/in_transit.rs
+++ b/crates/platform-frontend/src/tests/in_transit.rs
@@ -14,7 +14,7 @@
             .pool
             .connections()
             .find(|(_, l)| !l.is_connected)
-            .map(|(_, l)| (l.to, l.queue.len()))
+            .map(|(_, l)| (l.executor_id, l.queue.len()))
     };
     stage.until("queued", |s| {
         connections(s).is_some_and(|(_, queued)| queued > 0)
@@ -37,16 +37,16 @@
     (stage, client)
 }
 
-fn connections_to(stage: &Stage, to: ExecutorId) -> Vec<usize> {
-    let executor = stage.event_loop.host.pool.executor(to);
+fn connections_to(stage: &Stage, executor_id: ExecutorId) -> Vec<usize> {
+    let executor = stage.event_loop.host.pool.executor(executor_id);
     executor.expect("it is known").connections.clone()
 }
 
-fn number(stage: &Stage, to: ExecutorId) -> usize {
+fn number(stage: &Stage, executor_id: ExecutorId) -> usize {
     stage
         .peers
         .iter()
-        .position(|p| orchidtally_platform_discovery::executor_id(&p.name) == to)
+        .position(|p| orchidtally_platform_discovery::executor_id(&p.name) == executor_id)
         .expect("it is one of them")
 }
 
@@ -107,7 +107,7 @@
 #[test]
 fn what_the_kernel_does_not_take_is_asked_about_again_as_it_leaves() {
     let (mut stage, mut client) = warm(2);
-    let to = stage
+    let executor_id = stage
         .event_loop
         .host
         .pool
@@ -115,10 +115,10 @@
         .next()
         .expect("one that stands")
         .1
-        .to;
-    let x = number(&stage, to);
+        .executor_id;
+    let x = number(&stage, executor_id);
     // Nobody reads there until the kernel takes no byte more.
-    for slot in connections_to(&stage, to) {
+    for slot in connections_to(&stage, executor_id) {
         let socket = &mut stage
             .event_loop
             .host
@@ -187,9 +187,9 @@
     orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
     // Something is written there before anything is read.
-    let to = orchidtally_platform_discovery::executor_id(&stage.peers[x].name);
+    let executor_id = orchidtally_platform_discovery::executor_id(&stage.peers[x].name);
     let now = stage.event_loop.read_clock();
-    for slot in connections_to(&stage, to) {
+    for slot in connections_to(&stage, executor_id) {
         stage
             .event_loop
             .host
--- a/crates/platform-frontend/src/tests/process_clock.rs
+++ b/crates/platform-frontend/src/tests/process_clock.rs
@@ -15,10 +15,10 @@
     assert!(second >= first + STALL_THRESHOLD);
     assert!(clock.take_stall().is_some_and(|gap| gap > STALL_THRESHOLD));
     assert!(
-        clock.arrival_bound(second) <= second - STALL_THRESHOLD,
+        clock.earliest_arrival(second) <= second - STALL_THRESHOLD,
         "bytes may have waited for as long"
     );
-    assert_eq!(clock.arrival_bound(second + 0.1), second + 0.1);
+    assert_eq!(clock.earliest_arrival(second + 0.1), second + 0.1);
     clock.read();
     assert_eq!(clock.take_stall(), None);
 }
--- a/crates/platform-frontend/src/tests/resolver.rs
+++ b/crates/platform-frontend/src/tests/resolver.rs
@@ -112,7 +112,7 @@
     let (one, two) = (query(&first), query(&first));
     first.send_to(&answer(&one.0, 2), one.1).expect("sent");
     asking
-        .switch_to(other, poll.registry(), mio::Token(0))
+        .switch_resolver(other, poll.registry(), mio::Token(0))
         .expect("a socket");
     asking.query_if_due(0.2);
     assert!(asking.read(0.2, &mut places).is_confirmed, "it was told");
--- a/crates/platform-frontend/src/tests/settings.rs
+++ b/crates/platform-frontend/src/tests/settings.rs
@@ -25,7 +25,7 @@
         stream: 1,
     };
     let host = &stage.event_loop.host;
-    let is_open = |id: &str| host.invocations.contains_client_id(id);
+    let is_open = |id: &str| host.invocations.contains_client_invocation_id(id);
     parse_invocation(&stage.event_loop.settings, origin, payload, is_open)
         .map(|parsed| parsed.request.customer)
         .map_err(|error| error.to_string())
