--- a/crates/platform-executor-protocol/src/lib.rs
+++ b/crates/platform-executor-protocol/src/lib.rs
@@ -242,7 +242,7 @@
     /// The function.
     pub function: &'a str,
     /// For how long the front end waits, in milliseconds.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
     /// The client's idempotency key, if there is one.
     pub idempotency_key: Option<&'a str>,
     /// The request body.
@@ -257,11 +257,11 @@
 }
 
 /// The line of a dispatch.
-pub fn dispatch(dispatch: &Dispatch) -> Vec<u8> {
+pub fn encode_dispatch(dispatch: &Dispatch) -> Vec<u8> {
     let mut fields = serde_json::json!({
         "cls": dispatch.trigger_type,
         "item": dispatch.function,
-        "limit": dispatch.limit_ms,
+        "limit": dispatch.timeout_ms,
     });
     if let Some(key) = dispatch.idempotency_key {
         fields["nonce"] = key.into();
@@ -275,23 +275,23 @@
 }
 
 /// The line that cancels a dispatch; it gets no answer.
-pub fn cancel(id: &str) -> Vec<u8> {
+pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "UNDO", "i": id}))
 }
 
 /// The line of a load command: hold so many replicas of a function at least; 0 only queries their number.
-pub fn load(tag: &str, function: &str, replicas: u8) -> Vec<u8> {
+pub fn encode_load_command(tag: &str, function: &str, replicas: u8) -> Vec<u8> {
     encode_line(
         serde_json::json!({"t": "PIN", "i": tag, "f": {"item": function, "count": replicas}}),
     )
 }
 
 /// The line that unloads the idle replicas of a function; it gets no answer.
-pub fn unload(function: &str) -> Vec<u8> {
+pub fn encode_unload_command(function: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "UNPIN", "i": function}))
 }
 
 /// The line of a health check that asks for the load report.
-pub fn health_check(tag: &str) -> Vec<u8> {
+pub fn encode_health_check(tag: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "METER", "i": tag}))
 }
--- a/crates/platform-executor-protocol/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -114,11 +114,11 @@
         id: "9b1f03aa5c7e2d41",
         trigger_type: "set\"point",
         function: "7f3a9c21e0b4d655",
-        limit_ms: 1500,
+        timeout_ms: 1500,
         idempotency_key: Some("5c0f6e1a"),
         body: b"\n\x00",
     };
-    let line = dispatch(&d);
+    let line = encode_dispatch(&d);
     assert_eq!(line.iter().position(|&b| b == b'\n'), Some(line.len() - 1));
     let read: serde_json::Value = serde_json::from_slice(&line).expect("it is JSON");
     let f = serde_json::json!({"cls": "set\"point", "item": "7f3a9c21e0b4d655", "limit": 1500, "nonce": "5c0f6e1a"});
--- a/crates/platform-executor-protocol/tests/stored_formats.rs
+++ b/crates/platform-executor-protocol/tests/stored_formats.rs
@@ -2,8 +2,9 @@
 //! They must not be changed.
 
 use orchidtally_platform_executor_protocol::{
-    Decoder, Dispatch, LoadNote, Response, ResponseKind, cancel, dispatch, health_check, load,
-    parse_load_report, parse_response, unload,
+    Decoder, Dispatch, LoadNote, Response, ResponseKind, encode_cancel, encode_dispatch,
+    encode_health_check, encode_load_command, encode_unload_command, parse_load_report,
+    parse_response,
 };
 
 /// Lines to executors.
@@ -17,7 +18,7 @@
         id: "9b1f03aa5c7e2d41",
         trigger_type: "update",
         function: "resize",
-        limit_ms: 2500,
+        timeout_ms: 2500,
         idempotency_key: Some("token-1"),
         body: b"body\x00\xff",
     };
@@ -27,12 +28,12 @@
         ..with_token
     };
     let written = [
-        dispatch(&with_token),
-        dispatch(&without_token),
-        cancel("9b1f03aa5c7e2d41"),
-        load("order-7", "resize", 2),
-        unload("resize"),
-        health_check("probe-1"),
+        encode_dispatch(&with_token),
+        encode_dispatch(&without_token),
+        encode_cancel("9b1f03aa5c7e2d41"),
+        encode_load_command("order-7", "resize", 2),
+        encode_unload_command("resize"),
+        encode_health_check("probe-1"),
     ];
     let text = String::from_utf8(written.concat()).unwrap();
     assert_eq!(text, SENT);
--- a/crates/platform-frontend/src/engine_host/callbacks.rs
+++ b/crates/platform-frontend/src/engine_host/callbacks.rs
@@ -86,14 +86,14 @@
     }
 
     fn unload(&mut self, to: ExecutorId, function: u64) {
-        let line = executor_protocol::unload(&format!("{function:016x}"));
+        let line = executor_protocol::encode_unload_command(&format!("{function:016x}"));
         self.send_line(to, line);
     }
 
     fn health_check(&mut self, to: ExecutorId) {
         self.next_tag += 1;
         let tag = format!("{HEALTH_CHECK_PREFIX}{}", self.next_tag);
-        self.send_line(to, executor_protocol::health_check(&tag));
+        self.send_line(to, executor_protocol::encode_health_check(&tag));
     }
 
     /// The resolver is polled all the time, so there is nothing to begin.
@@ -123,7 +123,7 @@
                 connection
                     .socket
                     .out()
-                    .extend_from_slice(&executor_protocol::cancel(&id));
+                    .extend_from_slice(&executor_protocol::encode_cancel(&id));
                 self.unflushed_cancels.push(slot);
             }
             let to = connection.to;
--- a/crates/platform-frontend/src/engine_host/flushing.rs
+++ b/crates/platform-frontend/src/engine_host/flushing.rs
@@ -157,7 +157,7 @@
         }
         let line_start = connection.next_line_start();
         connection.load_commands.insert(tag, Some(line_start));
-        Some(protocol::load(
+        Some(protocol::encode_load_command(
             &format!("{LOAD_COMMAND_PREFIX}{tag}"),
             &format!("{:016x}", command.function),
             command.replicas,
@@ -184,11 +184,11 @@
         };
         connection.open.get_mut(id)?.line_start = Some(line_start);
         let time_left = (open.timeout_at - self.now).max(MIN_TIME_LEFT);
-        let line = protocol::dispatch(&protocol::Dispatch {
+        let line = protocol::encode_dispatch(&protocol::Dispatch {
             id,
             trigger_type: &self.trigger_types[open.trigger_type],
             function: &open.function,
-            limit_ms: (time_left * 1e3).ceil() as u64,
+            timeout_ms: (time_left * 1e3).ceil() as u64,
             idempotency_key: open.idempotency_key.as_deref(),
             body: &open.body,
         });
