--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -10,20 +10,20 @@
     NotJson(#[source] serde_json::Error),
     /// A key is missing.
     #[error("settings lack '{key}'; add it")]
-    Missing {
+    MissingKey {
         /// The key.
         key: String,
     },
     /// A value has another type.
-    #[error("setting '{key}' is not {wanted}; write one")]
+    #[error("setting '{key}' is not {expected}; write one")]
     WrongType {
         /// The key.
         key: String,
-        /// The type that is wanted.
-        wanted: &'static str,
+        /// The type that is expected.
+        expected: &'static str,
     },
     /// A number is out of range.
-    #[error("setting '{key}' is {value}; {bounds} is wanted")]
+    #[error("setting '{key}' is {value}; {bounds} is expected")]
     OutOfRange {
         /// The key.
         key: String,
@@ -34,7 +34,7 @@
     },
     /// A name is none of those that are known.
     #[error("setting '{key}' has an unknown value '{value}'; {known} are known")]
-    Unknown {
+    UnknownValue {
         /// The key.
         key: String,
         /// Its value.
@@ -45,15 +45,15 @@
 }
 
 impl SettingsError {
-    pub(crate) fn wrong_type(key: &str, wanted: &'static str) -> SettingsError {
+    pub(crate) fn wrong_type(key: &str, expected: &'static str) -> SettingsError {
         SettingsError::WrongType {
             key: key.into(),
-            wanted,
+            expected,
         }
     }
 
-    pub(crate) fn unknown(key: &str, value: &str, known: &[&str]) -> SettingsError {
-        SettingsError::Unknown {
+    pub(crate) fn unknown_value(key: &str, value: &str, known: &[&str]) -> SettingsError {
+        SettingsError::UnknownValue {
             key: key.into(),
             value: value.into(),
             known: known.join(", "),
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -9,4 +9,4 @@
 
 pub use error::SettingsError;
 pub use front_end::{FrontEndSettings, front_end_settings};
-pub use policy::read;
+pub use policy::parse_policy_config;
--- a/crates/platform-config/src/policy.rs
+++ b/crates/platform-config/src/policy.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// It is no JSON, or a key is missing, of another type or out of range; the error names the key.
-pub fn read(bytes: &[u8]) -> Result<PolicyConfig, SettingsError> {
+pub fn parse_policy_config(bytes: &[u8]) -> Result<PolicyConfig, SettingsError> {
     let settings = serde_json::from_slice(bytes).map_err(SettingsError::NotJson)?;
     policy_config(&settings)
 }
@@ -117,7 +117,7 @@
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::Keyed),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(SettingsError::unknown(
+        other => Err(SettingsError::unknown_value(
             "classes[].semantics",
             other,
             &["pure", "token", "side_effect"],
@@ -130,7 +130,7 @@
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        other => Err(SettingsError::unknown(
+        other => Err(SettingsError::unknown_value(
             "classes[].dedupScope",
             other,
             &["all", "zone", "cell"],
--- a/crates/platform-config/src/value.rs
+++ b/crates/platform-config/src/value.rs
@@ -10,7 +10,7 @@
 pub(crate) fn required<'a>(value: &'a Value, key: &str) -> Result<&'a Value, SettingsError> {
     key.split('.')
         .try_fold(value, |value, part| value.get(part))
-        .ok_or_else(|| SettingsError::Missing { key: key.into() })
+        .ok_or_else(|| SettingsError::MissingKey { key: key.into() })
 }
 
 /// Whether a key is present.
@@ -87,7 +87,7 @@
         .iter()
         .position(|value| *value == found)
         .map(|index| index == 1)
-        .ok_or_else(|| SettingsError::unknown(key, found, &values))
+        .ok_or_else(|| SettingsError::unknown_value(key, found, &values))
 }
 
 /// A truth value; false where the key is absent.
--- a/crates/platform-config/tests/settings.rs
+++ b/crates/platform-config/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Each setting at its edges, absent and malformed: read, or named in what is told.
 
 use orchidtally_dispatch_policy::interface::PolicyConfig;
-use orchidtally_platform_config::{front_end_settings, read};
+use orchidtally_platform_config::{front_end_settings, parse_policy_config};
 use serde_json::{Value, json};
 
 fn settings() -> Value {
@@ -36,7 +36,7 @@
 }
 
 fn policy(settings: &Value) -> Result<PolicyConfig, String> {
-    read(settings.to_string().as_bytes()).map_err(|fault| fault.to_string())
+    parse_policy_config(settings.to_string().as_bytes()).map_err(|fault| fault.to_string())
 }
 
 #[test]
@@ -192,6 +192,6 @@
         );
     }
     for text in ["", "[]", "{", "7"] {
-        read(text.as_bytes()).expect_err(text);
+        parse_policy_config(text.as_bytes()).expect_err(text);
     }
 }
--- a/crates/platform-config/tests/stored_formats.rs
+++ b/crates/platform-config/tests/stored_formats.rs
@@ -4,7 +4,7 @@
 use orchidtally_dispatch_policy::interface::{
     DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
 };
-use orchidtally_platform_config::{FrontEndSettings, front_end_settings, read};
+use orchidtally_platform_config::{FrontEndSettings, front_end_settings, parse_policy_config};
 use serde_json::Value;
 
 const SETTINGS: &str = include_str!("stored_formats/settings.json");
@@ -36,7 +36,7 @@
 
 #[test]
 fn trigger_types_have_the_values_of_their_keys() {
-    let policy = read(SETTINGS.as_bytes()).expect("the settings are sound");
+    let policy = parse_policy_config(SETTINGS.as_bytes()).expect("the settings are sound");
     let plain = |seconds: f64, effect, group, window| TriggerType {
         latency_objective: seconds,
         objective_work_factor: 0.0,
@@ -103,7 +103,7 @@
         load_budget_window: ration_window,
         backlog_field,
         pending_loads_field: loads_field,
-    } = read(SETTINGS.as_bytes()).expect("the settings are sound");
+    } = parse_policy_config(SETTINGS.as_bytes()).expect("the settings are sound");
     assert_eq!(
         (trigger_types.len(), quotas, regions),
         (5, vec![5.5, 6.5], vec![])
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -100,7 +100,7 @@
         let length = fields.u32()? as usize;
         let settings_start = fields.clone();
         let settings = fields.bytes(length)?;
-        let config = orchidtally_platform_config::read(settings)
+        let config = orchidtally_platform_config::parse_policy_config(settings)
             .map_err(|error| settings_start.error(error.into()))?;
         if self.instances.len() <= slot {
             self.instances.resize_with(slot + 1, || None);
