--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -13,7 +13,7 @@
 
 /// A whole endpoint list, and the number of the last event in it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct EndpointList {
     /// The serial of the SOA record.
     pub serial: u32,
     /// Every executor on the list.
@@ -31,7 +31,7 @@
 
 /// An endpoint list that tells the state of every executor, but not all of the rest.
 #[derive(Clone, Debug)]
-pub struct PartialList {
+pub struct PartialEndpointList {
     /// The serial of the SOA record.
     pub serial: u32,
     /// The endpoints that could be read.
@@ -75,26 +75,26 @@
     Malformed(#[source] simple_dns::SimpleDnsError),
     /// It has another id, is a query, or answers another question.
     #[error("not the answer to what was asked; see who else sends from the resolver's address")]
-    Foreign,
+    Unrelated,
     /// The resolver left something out.
     #[error("truncated; the list is longer than the resolver's answers may be")]
     Truncated,
     /// The resolver failed.
     #[error("failed: {0:?}; see the resolver's log")]
-    Failed(RCODE),
+    ResolverError(RCODE),
     /// There is no SOA record.
     #[error("without a serial; the authority section needs a SOA record")]
-    NoSerial,
+    MissingSerial,
     /// A target's name does not tell an id and a location.
     #[error("a target without a location; names are ID.LOCATION.hosts")]
-    NoLocation,
+    MissingLocation,
     /// The state of every executor could be read, but not all of the rest.
     #[error("{reason}; correct that row at the resolver")]
     InvalidRecord {
         /// What is wrong with the first such executor.
         reason: InvalidRecord,
         /// What could be read.
-        list: Box<PartialList>,
+        list: Box<PartialEndpointList>,
     },
 }
 
@@ -130,20 +130,20 @@
     bytes: &[u8],
     id_asked: u16,
     locations: &mut LocationTable,
-) -> Result<Answer, AnswerError> {
+) -> Result<EndpointList, AnswerError> {
     let packet = Packet::parse(bytes).map_err(AnswerError::Malformed)?;
     if packet.id() != id_asked || !packet.has_flags(PacketFlag::RESPONSE) {
-        return Err(AnswerError::Foreign);
+        return Err(AnswerError::Unrelated);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
         return Err(AnswerError::Truncated);
     }
     if packet.rcode() != RCODE::NoError {
-        return Err(AnswerError::Failed(packet.rcode()));
+        return Err(AnswerError::ResolverError(packet.rcode()));
     }
     let service: Vec<String> = SERVICE.split('.').map(str::to_owned).collect();
     if packet.questions.iter().any(|q| labels(&q.qname) != service) {
-        return Err(AnswerError::Foreign);
+        return Err(AnswerError::Unrelated);
     }
     let serials = packet
         .name_servers
@@ -153,19 +153,19 @@
             RData::SOA(soa) => Some(soa.serial),
             _ => None,
         });
-    let serial = serials.max().ok_or(AnswerError::NoSerial)?;
+    let serial = serials.max().ok_or(AnswerError::MissingSerial)?;
     let mut named = locations.clone();
     let parsed = parse_records(&packet, &mut named)?;
     match parsed.first_error {
         None => {
             *locations = named;
-            Ok(Answer {
+            Ok(EndpointList {
                 serial,
                 endpoints: parsed.endpoints,
             })
         }
         Some(reason) => {
-            let list = Box::new(PartialList {
+            let list = Box::new(PartialEndpointList {
                 serial,
                 endpoints: parsed.endpoints,
                 state_only: parsed.state_only,
@@ -299,7 +299,7 @@
     let mut parsed = ParsedRecords::default();
     for (srv, target) in details.targets() {
         let [name, zone, ..] = target.as_slice() else {
-            return Err(AnswerError::NoLocation);
+            return Err(AnswerError::MissingLocation);
         };
         match details.endpoint(srv, &target, name, zone, locations) {
             Ok(endpoint) => parsed.endpoints.extend(endpoint),
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -8,7 +8,8 @@
 mod view;
 
 pub use answer::{
-    Answer, AnswerError, EndpointStateOnly, InvalidRecord, PartialList, build_query, parse_answer,
+    AnswerError, EndpointList, EndpointStateOnly, InvalidRecord, PartialEndpointList, build_query,
+    parse_answer,
 };
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, ExecutorId};
 use serde::Deserialize;
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -6,7 +6,7 @@
 
 use crate::serial::compare_serials;
 use crate::transitions::PendingTransitions;
-use crate::{Answer, DiscoveredEndpoint, PartialList};
+use crate::{DiscoveredEndpoint, EndpointList, PartialEndpointList};
 use orchidtally_dispatch_policy::interface::EndpointState;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     /// The endpoints changed, and the view is as fresh as the query.
     Changed,
     /// It is older than the view. What it tells of executors that drain was taken over.
-    Older {
+    Outdated {
         /// Whether that changed any endpoint.
         changed: bool,
     },
@@ -42,13 +42,13 @@
     pub fn has_changes(self) -> bool {
         matches!(
             self,
-            ListOutcome::Changed | ListOutcome::Older { changed: true }
+            ListOutcome::Changed | ListOutcome::Outdated { changed: true }
         )
     }
 
     /// Whether the view is as fresh as the query.
     pub fn confirms(self) -> bool {
-        !matches!(self, ListOutcome::Older { .. })
+        !matches!(self, ListOutcome::Outdated { .. })
     }
 }
 
@@ -212,7 +212,7 @@
     }
 
     /// Applies a whole list that answers a query which was sent at a time.
-    pub fn apply_list(&mut self, now: f64, queried_at: f64, answer: &Answer) -> ListOutcome {
+    pub fn apply_list(&mut self, now: f64, queried_at: f64, answer: &EndpointList) -> ListOutcome {
         let order = compare_serials(answer.serial, self.serial);
         let is_overtaken = queried_at < self.queried_at;
         if order == Ordering::Less && !is_overtaken {
@@ -229,7 +229,7 @@
             };
         }
         self.apply_drains(now, answer);
-        ListOutcome::Older {
+        ListOutcome::Outdated {
             changed: self.endpoints() != before,
         }
     }
@@ -239,7 +239,7 @@
         &mut self,
         now: f64,
         queried_at: f64,
-        list: &PartialList,
+        list: &PartialEndpointList,
     ) -> ListOutcome {
         let mut endpoints = list.endpoints.clone();
         for told in &list.state_only {
@@ -251,7 +251,7 @@
             discovered.endpoint.state = told.state;
             endpoints.push(discovered);
         }
-        let answer = Answer {
+        let answer = EndpointList {
             serial: list.serial,
             endpoints,
         };
@@ -264,7 +264,7 @@
     }
 
     /// Replaces the list that the view holds.
-    fn replace(&mut self, now: f64, answer: &Answer, order: Ordering) {
+    fn replace(&mut self, now: f64, answer: &EndpointList, order: Ordering) {
         let replacement = self.merge(now, &answer.endpoints);
         let is_ready = |name: &String| replacement.get(name).is_some_and(CurrentEndpoint::is_ready);
         let withdrawn: Vec<String> = self
@@ -327,7 +327,7 @@
 
     /// Takes over what a list that does not replace the view tells of executors that drain, unless it is of an earlier
     /// start.
-    fn apply_drains(&mut self, now: f64, answer: &Answer) {
+    fn apply_drains(&mut self, now: f64, answer: &EndpointList) {
         for told in &answer.endpoints {
             let is_same_or_later_start = self
                 .endpoints
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -28,7 +28,7 @@
 }
 
 /// A list of executors 0 up to a count, some of them draining.
-fn list(serial: u32, count: u32, draining: &[u32]) -> Answer {
+fn list(serial: u32, count: u32, draining: &[u32]) -> EndpointList {
     let standing = |n| {
         if draining.contains(&n) {
             EndpointState::Draining
@@ -36,7 +36,7 @@
             EndpointState::Ready
         }
     };
-    Answer {
+    EndpointList {
         serial,
         endpoints: (0..count)
             .map(|n| entry(n, standing(n), f64::NEG_INFINITY))
@@ -51,14 +51,14 @@
 }
 
 impl PolledView {
-    fn new(first: &Answer) -> PolledView {
+    fn new(first: &EndpointList) -> PolledView {
         PolledView {
             view: EndpointView::new(0.0, first.serial, &first.endpoints),
             now: 0.0,
         }
     }
 
-    fn take(&mut self, answer: &Answer) -> ListOutcome {
+    fn take(&mut self, answer: &EndpointList) -> ListOutcome {
         self.now += ASKED_EVERY;
         self.view.apply_list(self.now, self.now, answer)
     }
@@ -116,11 +116,11 @@
     for _ in 0..20 {
         assert_eq!(
             polled.take(&list(2, 3, &[])),
-            ListOutcome::Older { changed: false }
+            ListOutcome::Outdated { changed: false }
         );
         assert_eq!(
             polled.take(&list(2, 2, &[])),
-            ListOutcome::Older { changed: false }
+            ListOutcome::Outdated { changed: false }
         );
         assert_eq!(polled.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
         assert_eq!(polled.ready(), [0, 2]);
@@ -173,7 +173,7 @@
     let outcome = view.apply_list(9.1, 4.0, &list(1, 2, &[0]));
     assert_eq!(
         (outcome, view.fresh_at()),
-        (ListOutcome::Older { changed: true }, 5.0)
+        (ListOutcome::Outdated { changed: true }, 5.0)
     );
     assert_eq!(view.endpoints().len(), 3);
     view.confirm_unchanged(8.0);
@@ -203,7 +203,7 @@
             state: EndpointState::Ready,
         },
     ];
-    let partial = PartialList {
+    let partial = PartialEndpointList {
         serial: 2,
         endpoints: whole.endpoints,
         state_only: odd,
@@ -283,7 +283,7 @@
         view.apply_list(
             199.9,
             199.9,
-            &Answer {
+            &EndpointList {
                 serial: 1,
                 endpoints: vec![old.clone()],
             },
@@ -291,7 +291,7 @@
         view.apply_list(
             200.0,
             200.0,
-            &Answer {
+            &EndpointList {
                 serial: 2,
                 endpoints: vec![old.clone(), new.clone()],
             },
@@ -309,7 +309,7 @@
         view.apply_list(
             300.0,
             300.0,
-            &Answer {
+            &EndpointList {
                 serial: 3,
                 endpoints: vec![old, new],
             },
@@ -325,7 +325,7 @@
         view.apply_list(
             400.0,
             400.0,
-            &Answer {
+            &EndpointList {
                 serial: 4,
                 endpoints: vec![entry(0, EndpointState::Ready, 400.0 + polled)],
             },
