--- a/crates/platform-client-protocol/src/lib.rs
+++ b/crates/platform-client-protocol/src/lib.rs
@@ -55,7 +55,7 @@
     TruncatedFields,
     /// The name or the value of a field is not UTF-8.
     #[error("a field is not text")]
-    FieldNotText,
+    FieldNotUtf8,
     /// Two fields have the same name.
     #[error("a field stands twice")]
     DuplicateField,
@@ -64,7 +64,7 @@
     ReusedStream,
     /// Clients don't send frames of this type.
     #[error("a frame of a type that clients don't send")]
-    UnexpectedKind,
+    UnexpectedFrameType,
 }
 
 /// A frame that was decoded.
@@ -176,7 +176,7 @@
             .split_at_checked(big_endian(length) as usize)
             .ok_or(truncated)?;
         rest = after;
-        std::str::from_utf8(text).map_err(|_| ProtocolError::FieldNotText)
+        std::str::from_utf8(text).map_err(|_| ProtocolError::FieldNotUtf8)
     };
     let fields = (0..count)
         .map(|_| Ok((next_text(1)?, next_text(2)?)))
--- a/crates/platform-executor-protocol/src/lib.rs
+++ b/crates/platform-executor-protocol/src/lib.rs
@@ -18,10 +18,10 @@
 pub enum ProtocolError {
     /// The line is not the JSON object of an answer.
     #[error("a line is no answer: {0}")]
-    NotAnAnswer(#[source] serde_json::Error),
+    InvalidResponse(#[source] serde_json::Error),
     /// The kind of the answer is unknown.
     #[error("an answer's kind is unknown: '{0}'")]
-    UnknownKind(String),
+    UnknownResponseKind(String),
     /// A field holds no number that fits.
     #[error("'{0}' is no number from 0 to 4294967295")]
     InvalidNumber(&'static str),
@@ -128,7 +128,7 @@
 /// # Errors
 /// The line is no valid answer.
 pub fn parse_response(line: &[u8]) -> Result<Response, ProtocolError> {
-    let line: Line = serde_json::from_slice(line).map_err(ProtocolError::NotAnAnswer)?;
+    let line: Line = serde_json::from_slice(line).map_err(ProtocolError::InvalidResponse)?;
     let kind = match line.t.as_ref() {
         "DONE" => ResponseKind::Done,
         "LACK" => ResponseKind::Miss,
@@ -137,7 +137,7 @@
         "PAST" => ResponseKind::AlreadyOver,
         "FIT" => ResponseKind::Healthy,
         "UNFIT" => ResponseKind::Unhealthy,
-        other => return Err(ProtocolError::UnknownKind(other.to_owned())),
+        other => return Err(ProtocolError::UnknownResponseKind(other.to_owned())),
     };
     let fields = line.f.unwrap_or_default();
     let load_note = match fields.tell.as_deref() {
--- a/crates/platform-frontend/src/event_loop/client_requests.rs
+++ b/crates/platform-frontend/src/event_loop/client_requests.rs
@@ -143,7 +143,7 @@
                 }
                 protocol::CANCEL => self.handle_cancel(now, slot, stream),
                 protocol::READINESS_QUERY => self.answer_readiness_query(slot, stream),
-                _ => return Err(ProtocolError::UnexpectedKind),
+                _ => return Err(ProtocolError::UnexpectedFrameType),
             }
         }
     }
