--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -31,7 +31,7 @@
     /// The endpoints changed, and the view is as fresh as the query.
     Changed,
     /// It is older than the view. What it tells of executors that drain was taken over.
-    Outdated {
+    Older {
         /// Whether that changed any endpoint.
         changed: bool,
     },
@@ -42,13 +42,13 @@
     pub fn has_changes(self) -> bool {
         matches!(
             self,
-            ListOutcome::Changed | ListOutcome::Outdated { changed: true }
+            ListOutcome::Changed | ListOutcome::Older { changed: true }
         )
     }
 
     /// Whether the view is as fresh as the query.
     pub fn confirms(self) -> bool {
-        !matches!(self, ListOutcome::Outdated { .. })
+        !matches!(self, ListOutcome::Older { .. })
     }
 }
 
@@ -229,7 +229,7 @@
             };
         }
         self.apply_drains(now, answer);
-        ListOutcome::Outdated {
+        ListOutcome::Older {
             changed: self.endpoints() != before,
         }
     }
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -116,11 +116,11 @@
     for _ in 0..20 {
         assert_eq!(
             polled.take(&list(2, 3, &[])),
-            ListOutcome::Outdated { changed: false }
+            ListOutcome::Older { changed: false }
         );
         assert_eq!(
             polled.take(&list(2, 2, &[])),
-            ListOutcome::Outdated { changed: false }
+            ListOutcome::Older { changed: false }
         );
         assert_eq!(polled.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
         assert_eq!(polled.ready(), [0, 2]);
@@ -173,7 +173,7 @@
     let outcome = view.apply_list(9.1, 4.0, &list(1, 2, &[0]));
     assert_eq!(
         (outcome, view.fresh_at()),
-        (ListOutcome::Outdated { changed: true }, 5.0)
+        (ListOutcome::Older { changed: true }, 5.0)
     );
     assert_eq!(view.endpoints().len(), 3);
     view.confirm_unchanged(8.0);
