--- a/crates/platform-client-protocol/src/lib.rs
+++ b/crates/platform-client-protocol/src/lib.rs
@@ -1,47 +1,47 @@
-//! The platform's frames between clients and front ends: `length:4 type:1 stream:4 payload`, big-endian.
+//! Framing of the platform's protocol between clients and front ends: `length:4 type:1 stream:4 payload`, big-endian.
 //!
-//! An incremental decoder and an encoder; no sockets. The protocol is that of the platform's page PROTOCOL.md.
+//! Provides an incremental decoder and an encoder; opens no sockets. The platform's PROTOCOL.md specifies the protocol.
 
 use thiserror::Error;
 
-/// The greatest length of a frame; it counts all that follows the length field.
+/// The maximum length of a frame in bytes, not counting the length field itself.
 pub const MAX_FRAME_LENGTH: usize = 262_144;
-/// The least length of a frame: its type and stream.
+/// The minimum length of a frame in bytes: that of its type and stream.
 const MIN_FRAME_LENGTH: usize = 5;
-/// Bytes of the length field.
+/// The size of the length field in bytes.
 const LENGTH_BYTES: usize = 4;
-/// The longest request body in bytes.
+/// The maximum length of a request body in bytes.
 pub const MAX_BODY_LENGTH: usize = 16 * 1024;
-/// The payloads of longer frames are skipped: no invocation that can be admitted has one. It is a body and as much
-/// again for its fields.
+/// The maximum length of a frame that is buffered: that of a body, and as many bytes again for the fields. The payloads
+/// of longer frames are skipped, because no invocation that can be admitted is that long.
 const MAX_BUFFERED_LENGTH: usize = 2 * MAX_BODY_LENGTH;
 
-/// Type of a frame from a client: an invocation on a new stream.
+/// Frame type from clients: starts an invocation on a new stream.
 pub const INVOKE: u8 = 7;
-/// Type of a frame to a client: the answer on a stream, or on stream 0 an error that belongs to no invocation.
+/// Frame type to clients: the response on a stream, or on stream 0 an error that belongs to no invocation.
 pub const RESPONSE: u8 = 8;
-/// Type of a frame from a client: it waits for this stream no longer.
+/// Frame type from clients: the client no longer waits for the response on this stream.
 pub const CANCEL: u8 = 9;
-/// Type of a frame from a client: whether the front end is ready.
+/// Frame type from clients: asks whether the front end is ready.
 pub const READINESS_QUERY: u8 = 1;
-/// Type of a frame to a client: the answer to a readiness query.
+/// Frame type to clients: the response to a readiness query.
 pub const READINESS: u8 = 2;
-/// Type of a frame to a client, on stream 0: no new invocation may use this connection.
+/// Frame type to clients, on stream 0: the connection accepts no new invocations.
 pub const GO_AWAY: u8 = 3;
 
-/// Code of a response: the executor's answer is in the body.
+/// Response code: the invocation succeeded, and the body is the executor's.
 pub const SUCCEEDED: u8 = 1;
-/// Code of a response: not run, a retry does no harm.
+/// Response code: the invocation did not run, so a retry is safe.
 pub const THROTTLED: u8 = 2;
-/// Code of a response: failed; it may have run.
+/// Response code: the invocation failed and may have run.
 pub const ERRORED: u8 = 3;
-/// Code of a readiness answer: ready.
+/// Readiness code: the front end is ready.
 pub const READY_CODE: u8 = 1;
-/// Code of a readiness answer: not ready.
+/// Readiness code: the front end is not ready.
 pub const NOT_READY_CODE: u8 = 2;
 
-/// Why a client's bytes are no valid protocol; nothing on that connection can be trusted from here on. The text is sent
-/// to the client, so it is part of the protocol.
+/// A client's violation of the protocol. The rest of the connection's bytes can't be trusted. The message is sent to the
+/// client, so its wording is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProtocolError {
     /// The length of a frame does not cover its type and stream.
@@ -59,42 +59,42 @@
     /// Two fields have the same name.
     #[error("a field stands twice")]
     DuplicateField,
-    /// The stream of an invocation is not higher than all before it.
+    /// The stream of an invocation is not greater than those of all invocations before it on the connection.
     #[error("a stream's number was used before")]
     ReusedStream,
-    /// Clients don't send frames of this type.
+    /// The type of a frame is unknown, or only front ends send it.
     #[error("a frame of a type that clients don't send")]
     UnexpectedFrameType,
 }
 
-/// A frame that was decoded.
+/// A decoded frame.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// Its type.
+    /// The frame type.
     pub kind: u8,
-    /// Its stream; 0 belongs to the connection.
+    /// The stream; 0 refers to the connection itself.
     pub stream: u32,
-    /// Its payload; `None` if it exceeds what is buffered.
+    /// The payload; `None` if it is too long to be buffered and is skipped.
     pub payload: Option<&'a [u8]>,
 }
 
-/// An incremental decoder. It buffers one frame at most, besides the bytes that were pushed last.
+/// An incremental frame decoder. It buffers at most one frame besides the bytes that were pushed last.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
     /// The position of the next frame in `bytes`.
     position: usize,
-    /// Bytes of a skipped payload that are still to come.
+    /// Bytes of a skipped payload that have not arrived yet.
     skip: usize,
 }
 
-/// The big-endian number in the first bytes, four at most.
+/// Decodes the big-endian number in the first four bytes, or in all of them if there are fewer.
 fn big_endian(bytes: &[u8]) -> u32 {
     bytes.iter().take(4).fold(0, |n, &b| n << 8 | u32::from(b))
 }
 
 impl Decoder {
-    /// Adds bytes that were read.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         let skipped = self.skip.min(bytes.len());
         self.skip -= skipped;
@@ -102,18 +102,19 @@
         self.bytes.extend_from_slice(&bytes[skipped..]);
     }
 
-    /// Whether a frame has arrived in part.
+    /// Whether a frame has arrived only in part.
     pub fn has_partial_frame(&self) -> bool {
         self.skip > 0 || self.position < self.bytes.len()
     }
 
-    /// The next frame that has arrived whole, or the head of one whose payload is skipped.
+    /// Returns the next complete frame, or the header of a frame whose payload is skipped; `None` until more bytes are
+    /// pushed.
     ///
     /// # Errors
     /// The length of the frame is out of range.
     pub fn next_frame(&mut self) -> Result<Option<Frame<'_>>, ProtocolError> {
-        let left = self.bytes.len() - self.position;
-        if left < LENGTH_BYTES {
+        let available = self.bytes.len() - self.position;
+        if available < LENGTH_BYTES {
             return Ok(self.release_if_empty());
         }
         let length = big_endian(&self.bytes[self.position..]) as usize;
@@ -123,14 +124,14 @@
         if length > MAX_FRAME_LENGTH {
             return Err(ProtocolError::FrameTooLong);
         }
-        if left < LENGTH_BYTES + MIN_FRAME_LENGTH {
+        if available < LENGTH_BYTES + MIN_FRAME_LENGTH {
             return Ok(self.release_if_empty());
         }
-        let head = self.position + LENGTH_BYTES;
-        let kind = self.bytes[head];
-        let stream = big_endian(&self.bytes[head + 1..]);
+        let header_start = self.position + LENGTH_BYTES;
+        let kind = self.bytes[header_start];
+        let stream = big_endian(&self.bytes[header_start + 1..]);
         if length > MAX_BUFFERED_LENGTH {
-            let arrived = left.min(LENGTH_BYTES + length);
+            let arrived = available.min(LENGTH_BYTES + length);
             self.position += arrived;
             self.skip = LENGTH_BYTES + length - arrived;
             return Ok(Some(Frame {
@@ -139,18 +140,18 @@
                 payload: None,
             }));
         }
-        if left < LENGTH_BYTES + length {
+        if available < LENGTH_BYTES + length {
             return Ok(self.release_if_empty());
         }
         self.position += LENGTH_BYTES + length;
         Ok(Some(Frame {
             kind,
             stream,
-            payload: Some(&self.bytes[head + MIN_FRAME_LENGTH..self.position]),
+            payload: Some(&self.bytes[header_start + MIN_FRAME_LENGTH..self.position]),
         }))
     }
 
-    /// Releases the buffer if it is empty, so that idle connections hold none.
+    /// Frees the buffer if it is empty, so that idle connections hold no memory. Always returns `None`.
     fn release_if_empty(&mut self) -> Option<Frame<'_>> {
         if self.position == self.bytes.len() {
             self.bytes = Vec::new();
@@ -160,13 +161,13 @@
     }
 }
 
-/// The names and values of fields.
+/// The names and values of fields, in the order in which they are encoded.
 pub type Fields<'a> = Vec<(&'a str, &'a str)>;
 
-/// Parses the fields at the front of a payload; returns them with the body that follows.
+/// Parses the fields at the start of a payload; returns them and the body that follows.
 ///
 /// # Errors
-/// The fields are truncated, not text, or one stands twice.
+/// The fields are truncated or not UTF-8, or two fields have the same name.
 pub fn parse_fields(payload: &[u8]) -> Result<(Fields<'_>, &[u8]), ProtocolError> {
     let truncated = ProtocolError::TruncatedFields;
     let (&count, mut rest) = payload.split_first().ok_or(truncated)?;
@@ -189,7 +190,7 @@
 }
 
 fn write_fields(out: &mut Vec<u8>, fields: &[(&str, &str)]) {
-    // Names and values are the program's own, or were parsed from fields: their lengths fit.
+    // The casts don't truncate: names and values are constants of the program or were parsed from fields.
     out.push(fields.len() as u8);
     for (name, value) in fields {
         out.push(name.len() as u8);
@@ -199,7 +200,7 @@
     }
 }
 
-/// Appends a frame to `out`: its code and fields, if its type has them, then its body.
+/// Encodes a frame and appends it to `out`. `code` and `fields` are `None` for frame types that have none.
 pub fn write_frame(
     out: &mut Vec<u8>,
     kind: u8,
--- a/crates/platform-client-protocol/tests/frames.rs
+++ b/crates/platform-client-protocol/tests/frames.rs
@@ -1,22 +1,22 @@
-//! The frame decoder and encoder.
+//! Tests of the frame decoder and encoder.
 
 use orchidtally_platform_client_protocol::*;
 use proptest::prelude::*;
 
-/// What a decoder reads when the bytes come in these pieces: kind, stream and payload of each frame, then the
-/// fault that ended it.
-type Read = (Vec<(u8, u32, Option<Vec<u8>>)>, Option<ProtocolError>);
+/// The type, stream and payload of each decoded frame, and the error that ended decoding.
+type Decoded = (Vec<(u8, u32, Option<Vec<u8>>)>, Option<ProtocolError>);
 
-fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Read {
+/// Decodes bytes that arrive in chunks.
+fn decode<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Decoded {
     let mut decoder = Decoder::default();
     let mut frames = vec![];
-    for piece in pieces {
-        decoder.push(piece);
+    for chunk in chunks {
+        decoder.push(chunk);
         loop {
             match decoder.next_frame() {
                 Ok(Some(f)) => frames.push((f.kind, f.stream, f.payload.map(<[u8]>::to_vec))),
                 Ok(None) => break,
-                Err(fault) => return (frames, Some(fault)),
+                Err(error) => return (frames, Some(error)),
             }
         }
     }
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_frame_is_read_as_it_was_written() {
+fn an_encoded_frame_decodes_to_its_fields_and_body() {
     for body in [&b""[..], b"\x00\xff", &[7; MAX_BODY_LENGTH]] {
-        let (frames, fault) = read([invoke(5, body).as_slice()]);
-        assert_eq!((frames.len(), fault), (1, None));
+        let (frames, error) = decode([invoke(5, body).as_slice()]);
+        assert_eq!((frames.len(), error), (1, None));
         let (kind, stream, payload) = &frames[0];
         assert_eq!((*kind, *stream), (INVOKE, 5));
-        let payload = payload.as_deref().expect("it is short enough");
-        let (fields, rest) = parse_fields(payload).expect("its fields are sound");
+        let payload = payload.as_deref().expect("a buffered payload");
+        let (fields, rest) = parse_fields(payload).expect("valid fields");
         assert_eq!(
             fields,
             [("service", "setpoint"), ("ref", "9b1f03aa5c7e2d41")]
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_bytes_are_those_of_the_protocol() {
+fn frames_are_encoded_as_the_protocol_specifies() {
     let mut out = vec![];
     write_frame(
         &mut out,
@@ -74,18 +74,22 @@
 }
 
 #[test]
-fn each_cut_gives_the_same_frames() {
+fn decoding_does_not_depend_on_chunk_boundaries() {
     let bytes = [invoke(1, b"one"), invoke(2, b""), invoke(9, &[1; 300])].concat();
-    let whole = read([bytes.as_slice()]);
-    assert_eq!(whole.0.len(), 3);
-    for cut in 0..=bytes.len() {
-        assert_eq!(read([&bytes[..cut], &bytes[cut..]]), whole, "cut at {cut}");
+    let expected = decode([bytes.as_slice()]);
+    assert_eq!(expected.0.len(), 3);
+    for split in 0..=bytes.len() {
+        assert_eq!(
+            decode([&bytes[..split], &bytes[split..]]),
+            expected,
+            "split at {split}"
+        );
     }
-    assert_eq!(read(bytes.chunks(1)), whole);
+    assert_eq!(decode(bytes.chunks(1)), expected);
 }
 
 #[test]
-fn lengths_out_of_bounds_end_the_reading() {
+fn lengths_out_of_range_are_rejected() {
     for length in [
         0u32,
         1,
@@ -94,13 +98,13 @@
         60_000_000,
         u32::MAX,
     ] {
-        let (frames, fault) = read([&length.to_be_bytes()[..]]);
-        assert!(frames.is_empty() && fault.is_some(), "length {length}");
+        let (frames, error) = decode([&length.to_be_bytes()[..]]);
+        assert!(frames.is_empty() && error.is_some(), "length {length}");
     }
 }
 
 #[test]
-fn a_frame_too_long_to_keep_is_told_at_once_and_read_over() {
+fn the_payload_of_a_frame_too_long_to_buffer_is_skipped() {
     let mut bytes = ((MAX_FRAME_LENGTH) as u32).to_be_bytes().to_vec();
     bytes.extend([INVOKE, 0, 0, 0, 3]);
     let mut decoder = Decoder::default();
@@ -127,10 +131,13 @@
 }
 
 #[test]
-fn fields_that_are_not_whole_or_not_text_are_told() {
-    let sound = &invoke(1, b"")[9..];
-    for cut in 0..sound.len() {
-        assert!(parse_fields(&sound[..cut]).is_err(), "cut at {cut}");
+fn truncated_non_utf8_and_duplicate_fields_are_rejected() {
+    let valid = &invoke(1, b"")[9..];
+    for length in 0..valid.len() {
+        assert!(
+            parse_fields(&valid[..length]).is_err(),
+            "truncated to {length}"
+        );
     }
     assert!(parse_fields(b"\x01\x01\xff\x00\x00").is_err());
     assert!(parse_fields(b"\x02\x01a\x00\x00\x01a\x00\x00").is_err());
@@ -138,9 +145,9 @@
 
 proptest! {
     #[test]
-    fn no_bytes_in_no_pieces_upset_it(bytes in prop::collection::vec(any::<u8>(), 0..600), size in 1usize..50) {
-        let whole = read([bytes.as_slice()]);
-        prop_assert_eq!(read(bytes.chunks(size)), whole);
+    fn arbitrary_bytes_decode_alike_in_chunks_of_any_size(bytes in prop::collection::vec(any::<u8>(), 0..600), size in 1usize..50) {
+        let expected = decode([bytes.as_slice()]);
+        prop_assert_eq!(decode(bytes.chunks(size)), expected);
         let _ = parse_fields(&bytes);
     }
 }
--- a/crates/platform-client-protocol/tests/stored_formats.rs
+++ b/crates/platform-client-protocol/tests/stored_formats.rs
@@ -1,12 +1,12 @@
-//! One example of each frame of the platform, as bytes that clients and front ends of other builds exchange. They
-//! must not be changed.
+//! Byte-exact examples of the platform's frames. Clients and front ends of other builds exchange these bytes, so the
+//! examples must not be changed.
 
 use orchidtally_platform_client_protocol::{
     CANCEL, Decoder, ERRORED, GO_AWAY, INVOKE, NOT_READY_CODE, READINESS, READINESS_QUERY,
     READY_CODE, RESPONSE, SUCCEEDED, THROTTLED, parse_fields, write_frame,
 };
 
-/// A frame, and what it is written from.
+/// An encoded frame and its parts.
 struct Example {
     kind: u8,
     stream: u32,
@@ -92,39 +92,39 @@
 ];
 
 #[test]
-fn each_frame_is_written_as_its_bytes() {
+fn each_example_is_encoded_to_its_bytes() {
     for example in &EXAMPLES {
-        let mut written = vec![];
+        let mut encoded = vec![];
         write_frame(
-            &mut written,
+            &mut encoded,
             example.kind,
             example.stream,
             example.code,
             example.fields,
             example.body,
         );
-        assert_eq!(written, example.bytes, "kind {}", example.kind);
+        assert_eq!(encoded, example.bytes, "frame type {}", example.kind);
     }
 }
 
 #[test]
-fn each_frame_is_read_from_its_bytes() {
+fn each_example_is_decoded_from_its_bytes() {
     for example in &EXAMPLES {
         let mut decoder = Decoder::default();
         decoder.push(example.bytes);
         let frame = decoder
             .next_frame()
-            .expect("it is sound")
-            .expect("it is whole");
+            .expect("a valid frame")
+            .expect("a complete frame");
         assert_eq!((frame.kind, frame.stream), (example.kind, example.stream));
-        let mut payload = frame.payload.expect("it is short enough");
+        let mut payload = frame.payload.expect("a buffered payload");
         if let Some(code) = example.code {
             assert_eq!(payload[0], code);
             payload = &payload[1..];
         }
         if let Some(expected) = example.fields {
-            let (read, rest) = parse_fields(payload).expect("its fields are sound");
-            assert_eq!(read, expected);
+            let (fields, rest) = parse_fields(payload).expect("valid fields");
+            assert_eq!(fields, expected);
             payload = rest;
         }
         assert_eq!(payload, example.body);
