--- a/crates/platform-executor-protocol/src/lib.rs
+++ b/crates/platform-executor-protocol/src/lib.rs
@@ -1,7 +1,8 @@
-//! The platform's lines between front ends and executors: a JSON object each, ended by a line feed, bodies in base64.
+//! The platform's line protocol between front ends and executors: each line is a JSON object followed by a line feed;
+//! bodies are in base64.
 //!
-//! An incremental decoder of answers and an encoder of commands; no sockets. The protocol is that of the platform's page
-//! PROTOCOL.md.
+//! Provides an incremental decoder of responses and encoders of dispatches and commands; opens no sockets. The
+//! platform's PROTOCOL.md specifies the protocol.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -10,41 +11,41 @@
 use std::borrow::Cow;
 use thiserror::Error;
 
-/// The longest line in bytes: a body of 16 KiB takes 22 KiB in base64, the rest is for the fields.
+/// The maximum length of a line in bytes. A body of 16 KiB takes 22 KiB in base64; the rest is for the fields.
 pub const MAX_LINE_LENGTH: usize = 64 * 1024;
 
-/// Why a line is no valid answer; nothing after it on that connection can be trusted.
+/// Why a line is not a valid response. Nothing after it on the connection can be trusted.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
-    /// The line is not the JSON object of an answer.
-    #[error("a line is no answer: {0}")]
+    /// The line is not a JSON object with the keys of a response.
+    #[error("line is not a valid response: {0}")]
     InvalidResponse(#[source] serde_json::Error),
-    /// The kind of the answer is unknown.
-    #[error("an answer's kind is unknown: '{0}'")]
+    /// The kind of the response is unknown.
+    #[error("unknown response kind '{0}'")]
     UnknownResponseKind(String),
-    /// A field holds no number that fits.
-    #[error("'{0}' is no number from 0 to 4294967295")]
+    /// The value of a field is not a number, or is out of range.
+    #[error("field '{0}' is not a number from 0 to 4294967295")]
     InvalidNumber(&'static str),
-    /// The body is not base64.
-    #[error("a body is no base64: {0}")]
+    /// The body is not valid base64.
+    #[error("body is not valid base64: {0}")]
     InvalidBody(#[source] base64::DecodeError),
     /// The line exceeds `MAX_LINE_LENGTH`.
-    #[error("a line is over {MAX_LINE_LENGTH} bytes")]
+    #[error("line exceeds {MAX_LINE_LENGTH} bytes")]
     LineTooLong,
 }
 
-/// The kind of an answer.
+/// The kind of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// `DONE`: it ran, or the replicas stand.
+    /// `DONE`: the dispatch ran, or the replicas of the load command are loaded.
     Done,
-    /// `LACK`: the function is not loaded; it never ran.
+    /// `LACK`: the function is not loaded; the dispatch did not run.
     Miss,
-    /// `WAIT`: the executor has no capacity; it never ran.
+    /// `WAIT`: the executor has no capacity; the dispatch did not run.
     Full,
-    /// `BROKE`: it failed and may have run.
+    /// `BROKE`: the dispatch failed and may have run.
     Error,
-    /// `PAST`: the invocation was over already; it never ran.
+    /// `PAST`: the invocation had already ended; the dispatch did not run.
     AlreadyOver,
     /// `FIT`: the health check passed.
     Healthy,
@@ -52,64 +53,68 @@
     Unhealthy,
 }
 
-/// What the executor notes of the replica that it used.
+/// How the dispatch obtained its replica, as the executor reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadNote {
-    /// No note.
+    /// The response reports nothing, or an unknown value.
     #[default]
     Nothing,
-    /// A replica stood loaded.
+    /// A replica was already loaded.
     Warm,
-    /// The dispatch began a load.
+    /// The dispatch started a load.
     Cold,
-    /// The dispatch waited for a load that had begun earlier.
+    /// The dispatch waited for a load that was already in progress.
     Joined,
     /// The load failed.
     LoadFailed,
 }
 
-/// An answer of an executor.
+/// A response of an executor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// Its kind.
+    /// The kind of the response.
     pub kind: ResponseKind,
-    /// The id of the dispatch, or the tag of the command, that it answers.
+    /// The id of the dispatch, or the tag of the command, that the response belongs to.
     pub id: String,
-    /// What the executor notes of the replica.
+    /// How the dispatch obtained its replica.
     pub load_note: LoadNote,
-    /// Invocations of the same function at the executor when the dispatch arrived.
+    /// How many invocations of the same function the executor had when the dispatch arrived; 0 if not reported.
     pub function_concurrency: u32,
-    /// Replicas of the function, in the answer to a load command.
+    /// How many replicas of the function are loaded, in the response to a load command; 0 if not reported.
     pub replica_count: u32,
-    /// A load report, as `name:value;name:value`; empty if there is none.
+    /// The load report as `name:value;name:value`; empty if there is none.
     pub load_report: String,
     /// The response body.
     pub body: Vec<u8>,
 }
 
-/// The line as it is written.
+/// The JSON object of a response.
 #[derive(Deserialize)]
-struct Line<'a> {
-    #[serde(borrow)]
-    t: Cow<'a, str>,
-    #[serde(borrow)]
-    i: Cow<'a, str>,
-    #[serde(default)]
-    f: Option<LineFields>,
-    #[serde(borrow, default)]
-    b: Option<Cow<'a, str>>,
+struct ResponseLine<'a> {
+    #[serde(borrow, rename = "t")]
+    kind: Cow<'a, str>,
+    #[serde(borrow, rename = "i")]
+    id: Cow<'a, str>,
+    #[serde(default, rename = "f")]
+    fields: Option<ResponseFields>,
+    #[serde(borrow, default, rename = "b")]
+    body: Option<Cow<'a, str>>,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct LineFields {
-    tell: Option<String>,
-    crowd: Option<Value>,
-    count: Option<Value>,
-    meter: Option<String>,
+struct ResponseFields {
+    #[serde(rename = "tell")]
+    load_note: Option<String>,
+    #[serde(rename = "crowd")]
+    function_concurrency: Option<Value>,
+    #[serde(rename = "count")]
+    replica_count: Option<Value>,
+    #[serde(rename = "meter")]
+    load_report: Option<String>,
 }
 
-/// A number that is written as a number or as a string; 0 if it is absent.
+/// Parses a field whose value is a JSON number or a string that holds a number; an absent or null field is 0.
 fn parse_number(value: Option<Value>, name: &'static str) -> Result<u32, ProtocolError> {
     let number = match &value {
         None | Some(Value::Null) => return Ok(0),
@@ -123,13 +128,14 @@
         .ok_or(ProtocolError::InvalidNumber(name))
 }
 
-/// Parses an answer from a line without its line feed.
+/// Parses a response from a line without its line feed.
 ///
 /// # Errors
-/// The line is no valid answer.
+/// The line is not a valid response.
 pub fn parse_response(line: &[u8]) -> Result<Response, ProtocolError> {
-    let line: Line = serde_json::from_slice(line).map_err(ProtocolError::InvalidResponse)?;
-    let kind = match line.t.as_ref() {
+    let line: ResponseLine =
+        serde_json::from_slice(line).map_err(ProtocolError::InvalidResponse)?;
+    let kind = match line.kind.as_ref() {
         "DONE" => ResponseKind::Done,
         "LACK" => ResponseKind::Miss,
         "WAIT" => ResponseKind::Full,
@@ -139,15 +145,15 @@
         "UNFIT" => ResponseKind::Unhealthy,
         other => return Err(ProtocolError::UnknownResponseKind(other.to_owned())),
     };
-    let fields = line.f.unwrap_or_default();
-    let load_note = match fields.tell.as_deref() {
+    let fields = line.fields.unwrap_or_default();
+    let load_note = match fields.load_note.as_deref() {
         Some("warm") => LoadNote::Warm,
         Some("cold") => LoadNote::Cold,
         Some("joined") => LoadNote::Joined,
         Some("load_failed") => LoadNote::LoadFailed,
         _ => LoadNote::Nothing,
     };
-    let body = match line.b {
+    let body = match line.body {
         Some(text) => STANDARD
             .decode(text.as_bytes())
             .map_err(ProtocolError::InvalidBody)?,
@@ -155,16 +161,16 @@
     };
     Ok(Response {
         kind,
-        id: line.i.into_owned(),
+        id: line.id.into_owned(),
         load_note,
-        function_concurrency: parse_number(fields.crowd, "crowd")?,
-        replica_count: parse_number(fields.count, "count")?,
-        load_report: fields.meter.unwrap_or_default(),
+        function_concurrency: parse_number(fields.function_concurrency, "crowd")?,
+        replica_count: parse_number(fields.replica_count, "count")?,
+        load_report: fields.load_report.unwrap_or_default(),
         body,
     })
 }
 
-/// The values of a load report in the order of `names`; empty if it lacks one of them or one is no finite number.
+/// Returns the values of a load report in the order of `names`; empty if one of them is missing or not a finite number.
 pub fn parse_load_report(load_report: &str, names: &[String]) -> Vec<f32> {
     let value = |name: &String| {
         let mut pairs = load_report
@@ -180,32 +186,32 @@
         .unwrap_or_default()
 }
 
-/// An incremental decoder. It buffers one line at most, besides the bytes that were pushed last.
+/// An incremental decoder of responses. It buffers at most one line besides the bytes that were pushed last.
 #[derive(Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
     /// The position of the next line in `bytes`.
     position: usize,
-    /// Bytes from there on that are known to hold no line feed.
+    /// How many bytes from `position` on are known to contain no line feed.
     searched: usize,
 }
 
 impl Decoder {
-    /// Adds bytes that were read.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..std::mem::take(&mut self.position));
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether a line has arrived in part.
+    /// Whether a line has arrived only in part.
     pub fn has_partial_line(&self) -> bool {
         self.position < self.bytes.len()
     }
 
-    /// The next answer whose line has arrived whole.
+    /// Returns the response in the next complete line; `None` until more bytes are pushed.
     ///
     /// # Errors
-    /// The line is no valid answer, or too long.
+    /// The line is not a valid response, or exceeds `MAX_LINE_LENGTH`.
     pub fn next_response(&mut self) -> Result<Option<Response>, ProtocolError> {
         let rest = &self.bytes[self.position..];
         let end = rest[self.searched..]
@@ -222,7 +228,7 @@
             None if rest.len() <= MAX_LINE_LENGTH => {
                 self.searched = rest.len();
                 if rest.is_empty() {
-                    // Idle connections hold no buffer.
+                    // Frees the buffer, so that idle connections hold no memory.
                     self.bytes = Vec::new();
                     self.position = 0;
                 }
@@ -233,7 +239,7 @@
     }
 }
 
-/// A dispatch, as it is sent.
+/// A dispatch to an executor.
 pub struct Dispatch<'a> {
     /// The client's id of the invocation.
     pub id: &'a str,
@@ -241,7 +247,7 @@
     pub trigger_type: &'a str,
     /// The function.
     pub function: &'a str,
-    /// For how long the front end waits, in milliseconds.
+    /// How long the front end waits for the response, in milliseconds.
     pub timeout_ms: u64,
     /// The client's idempotency key, if there is one.
     pub idempotency_key: Option<&'a str>,
@@ -249,14 +255,14 @@
     pub body: &'a [u8],
 }
 
-/// The line of an object, with its line feed.
+/// Encodes a JSON object as a line, with its line feed.
 fn encode_line(object: Value) -> Vec<u8> {
     let mut line = object.to_string().into_bytes();
     line.push(b'\n');
     line
 }
 
-/// The line of a dispatch.
+/// Encodes a dispatch as a line.
 pub fn encode_dispatch(dispatch: &Dispatch) -> Vec<u8> {
     let mut fields = serde_json::json!({
         "cls": dispatch.trigger_type,
@@ -274,24 +280,25 @@
     }))
 }
 
-/// The line that cancels a dispatch; it gets no answer.
+/// Encodes the cancellation of a dispatch; the executor sends no response to it.
 pub fn encode_cancel(id: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "UNDO", "i": id}))
 }
 
-/// The line of a load command: hold so many replicas of a function at least; 0 only queries their number.
+/// Encodes a load command: the executor keeps at least this number of replicas of a function loaded. A number of 0 only
+/// queries how many are loaded.
 pub fn encode_load_command(tag: &str, function: &str, replicas: u8) -> Vec<u8> {
     encode_line(
         serde_json::json!({"t": "PIN", "i": tag, "f": {"item": function, "count": replicas}}),
     )
 }
 
-/// The line that unloads the idle replicas of a function; it gets no answer.
+/// Encodes a command to unload the idle replicas of a function; the executor sends no response to it.
 pub fn encode_unload_command(function: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "UNPIN", "i": function}))
 }
 
-/// The line of a health check that asks for the load report.
+/// Encodes a health check, whose response contains the load report.
 pub fn encode_health_check(tag: &str) -> Vec<u8> {
     encode_line(serde_json::json!({"t": "METER", "i": tag}))
 }
--- a/crates/platform-executor-protocol/tests/lines.rs
+++ b/crates/platform-executor-protocol/tests/lines.rs
@@ -1,38 +1,39 @@
-//! The line decoder and encoder.
+//! Tests of the line decoder and encoder.
 
 use orchidtally_platform_executor_protocol::*;
 use proptest::prelude::*;
 
-type Read = (Vec<Response>, bool);
+/// The decoded responses, and whether an error ended decoding.
+type Decoded = (Vec<Response>, bool);
 
-/// What is read when the bytes come in these pieces, and whether a fault ended it.
-fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Read {
+/// Decodes bytes that arrive in chunks.
+fn decode<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Decoded {
     let mut decoder = Decoder::default();
-    let mut answers = vec![];
-    for piece in pieces {
-        decoder.push(piece);
+    let mut responses = vec![];
+    for chunk in chunks {
+        decoder.push(chunk);
         loop {
             match decoder.next_response() {
-                Ok(Some(answer)) => answers.push(answer),
+                Ok(Some(response)) => responses.push(response),
                 Ok(None) => break,
-                Err(_) => return (answers, true),
+                Err(_) => return (responses, true),
             }
         }
     }
-    (answers, false)
+    (responses, false)
 }
 
-const SOUND: &[u8] = br#"{"t":"DONE","i":"9b1f03aa5c7e2d41","f":{"tell":"joined","crowd":"3","meter":"backlog:7;x1:0.61"},"b":"AP8="}
+const VALID_LINES: &[u8] = br#"{"t":"DONE","i":"9b1f03aa5c7e2d41","f":{"tell":"joined","crowd":"3","meter":"backlog:7;x1:0.61"},"b":"AP8="}
 {"t":"WAIT","i":"order-7","f":{"count":2}}
 {"i":"x","t":"PAST"}
 "#;
 
 #[test]
-fn answers_are_read_whole_with_figures_as_numbers_or_strings() {
-    let (answers, fault) = read([SOUND]);
-    assert!(!fault);
-    let [done, wait, past] = answers.as_slice() else {
-        panic!("three answers, not {}", answers.len())
+fn numeric_fields_are_read_from_numbers_and_strings() {
+    let (responses, has_failed) = decode([VALID_LINES]);
+    assert!(!has_failed);
+    let [done, wait, past] = responses.as_slice() else {
+        panic!("expected three responses, got {}", responses.len())
     };
     assert_eq!(
         (
@@ -53,17 +54,21 @@
 }
 
 #[test]
-fn each_cut_gives_the_same_answers() {
-    let whole = read([SOUND]);
-    for cut in 0..=SOUND.len() {
-        assert_eq!(read([&SOUND[..cut], &SOUND[cut..]]), whole, "cut at {cut}");
+fn decoding_does_not_depend_on_chunk_boundaries() {
+    let expected = decode([VALID_LINES]);
+    for split in 0..=VALID_LINES.len() {
+        assert_eq!(
+            decode([&VALID_LINES[..split], &VALID_LINES[split..]]),
+            expected,
+            "split at {split}"
+        );
     }
-    assert_eq!(read(SOUND.chunks(1)), whole);
+    assert_eq!(decode(VALID_LINES.chunks(1)), expected);
 }
 
 #[test]
-fn what_is_no_answer_ends_the_reading_but_not_what_came_before() {
-    for bad in [
+fn an_invalid_line_ends_decoding_after_the_responses_before_it() {
+    for invalid in [
         &b"noise"[..],
         b"{}",
         br#"{"t":"DONE","i":7}"#,
@@ -73,44 +78,47 @@
         br#"{"t":"GONE","i":"a"}"#,
         b"\xff\xfe",
     ] {
-        let bytes = [SOUND, bad, b"\n", SOUND].concat();
+        let bytes = [VALID_LINES, invalid, b"\n", VALID_LINES].concat();
         assert_eq!(
-            read([bytes.as_slice()]),
-            (read([SOUND]).0, true),
+            decode([bytes.as_slice()]),
+            (decode([VALID_LINES]).0, true),
             "{}",
-            String::from_utf8_lossy(bad)
+            String::from_utf8_lossy(invalid)
         );
     }
 }
 
 #[test]
-fn a_line_without_end_is_given_up_at_its_bound() {
+fn a_line_without_line_feed_is_rejected_at_the_maximum_length() {
     let mut decoder = Decoder::default();
     let chunk = [b'a'; 1024];
-    let fault = (0..).find(|_| {
+    let failed_chunk = (0..).find(|_| {
         decoder.push(&chunk);
         decoder.next_response().is_err()
     });
-    assert_eq!(fault, Some(MAX_LINE_LENGTH / 1024));
+    assert_eq!(failed_chunk, Some(MAX_LINE_LENGTH / 1024));
 }
 
 #[test]
-fn a_report_that_lacks_a_figure_is_none() {
+fn a_load_report_with_a_missing_or_invalid_value_is_empty() {
     let names = ["backlog", "x1"].map(str::to_owned);
-    for meter in [
+    for load_report in [
         "",
         "backlog:1",
         "backlog:1;x1:much",
         "backlog:1;x1:NaN",
         "backlog 1;x1:2",
     ] {
-        assert!(parse_load_report(meter, &names).is_empty(), "{meter}");
+        assert!(
+            parse_load_report(load_report, &names).is_empty(),
+            "{load_report}"
+        );
     }
 }
 
 #[test]
-fn a_dispatch_is_one_line_with_its_parts_unchanged() {
-    let d = Dispatch {
+fn a_dispatch_is_encoded_as_one_line_of_json() {
+    let to_encode = Dispatch {
         id: "9b1f03aa5c7e2d41",
         trigger_type: "set\"point",
         function: "7f3a9c21e0b4d655",
@@ -118,19 +126,19 @@
         idempotency_key: Some("5c0f6e1a"),
         body: b"\n\x00",
     };
-    let line = encode_dispatch(&d);
+    let line = encode_dispatch(&to_encode);
     assert_eq!(line.iter().position(|&b| b == b'\n'), Some(line.len() - 1));
-    let read: serde_json::Value = serde_json::from_slice(&line).expect("it is JSON");
-    let f = serde_json::json!({"cls": "set\"point", "item": "7f3a9c21e0b4d655", "limit": 1500, "nonce": "5c0f6e1a"});
+    let decoded: serde_json::Value = serde_json::from_slice(&line).expect("valid JSON");
+    let fields = serde_json::json!({"cls": "set\"point", "item": "7f3a9c21e0b4d655", "limit": 1500, "nonce": "5c0f6e1a"});
     assert_eq!(
-        read,
-        serde_json::json!({"t": "DO", "i": "9b1f03aa5c7e2d41", "f": f, "b": "CgA="})
+        decoded,
+        serde_json::json!({"t": "DO", "i": "9b1f03aa5c7e2d41", "f": fields, "b": "CgA="})
     );
 }
 
 proptest! {
     #[test]
-    fn no_bytes_in_no_pieces_upset_it(bytes in prop::collection::vec(any::<u8>(), 0..600), size in 1usize..50) {
-        prop_assert_eq!(read(bytes.chunks(size)), read([bytes.as_slice()]));
+    fn arbitrary_bytes_decode_alike_in_chunks_of_any_size(bytes in prop::collection::vec(any::<u8>(), 0..600), size in 1usize..50) {
+        prop_assert_eq!(decode(bytes.chunks(size)), decode([bytes.as_slice()]));
     }
 }
--- a/crates/platform-executor-protocol/tests/stored_formats.rs
+++ b/crates/platform-executor-protocol/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! One example of each line between front ends and executors of the platform, as other builds write and read it.
-//! They must not be changed.
+//! Examples of each line of the platform's protocol between front ends and executors. Other builds write and read these
+//! lines, so the examples must not be changed.
 
 use orchidtally_platform_executor_protocol::{
     Decoder, Dispatch, LoadNote, Response, ResponseKind, encode_cancel, encode_dispatch,
@@ -7,14 +7,14 @@
     parse_response,
 };
 
-/// Lines to executors.
+/// Lines that front ends send to executors.
 const SENT: &str = include_str!("stored_formats/sent.jsonl");
-/// Lines from executors.
+/// Lines that executors send to front ends.
 const RECEIVED: &str = include_str!("stored_formats/received.jsonl");
 
 #[test]
-fn lines_to_executors_are_written_as_earlier_builds_write_them() {
-    let with_token = Dispatch {
+fn commands_are_encoded_as_earlier_builds_encode_them() {
+    let with_key = Dispatch {
         id: "9b1f03aa5c7e2d41",
         trigger_type: "update",
         function: "resize",
@@ -22,27 +22,27 @@
         idempotency_key: Some("token-1"),
         body: b"body\x00\xff",
     };
-    let without_token = Dispatch {
+    let without_key = Dispatch {
         idempotency_key: None,
         body: b"",
-        ..with_token
+        ..with_key
     };
-    let written = [
-        encode_dispatch(&with_token),
-        encode_dispatch(&without_token),
+    let encoded = [
+        encode_dispatch(&with_key),
+        encode_dispatch(&without_key),
         encode_cancel("9b1f03aa5c7e2d41"),
         encode_load_command("order-7", "resize", 2),
         encode_unload_command("resize"),
         encode_health_check("probe-1"),
     ];
-    let text = String::from_utf8(written.concat()).unwrap();
+    let text = String::from_utf8(encoded.concat()).unwrap();
     assert_eq!(text, SENT);
 }
 
-/// An answer without figures and body.
-fn plain(word: ResponseKind, id: &str) -> Response {
+/// A response without optional fields and without a body.
+fn minimal(kind: ResponseKind, id: &str) -> Response {
     Response {
-        kind: word,
+        kind,
         id: id.into(),
         load_note: LoadNote::Nothing,
         function_concurrency: 0,
@@ -53,49 +53,50 @@
 }
 
 fn expected() -> Vec<Response> {
-    let told = |tell, crowd, meter: &str, body: &[u8]| Response {
-        load_note: tell,
-        function_concurrency: crowd,
-        load_report: meter.into(),
+    let done = |load_note, function_concurrency, load_report: &str, body: &[u8]| Response {
+        load_note,
+        function_concurrency,
+        load_report: load_report.into(),
         body: body.to_vec(),
-        ..plain(ResponseKind::Done, "1")
+        ..minimal(ResponseKind::Done, "1")
     };
     vec![
-        told(LoadNote::Warm, 3, "backlog:7;x1:0.61", &[0, 255]),
-        told(LoadNote::Cold, 4, "", b"body"),
-        told(LoadNote::Joined, 0, "", b""),
-        told(LoadNote::LoadFailed, 0, "", b""),
-        plain(ResponseKind::Miss, "2"),
+        done(LoadNote::Warm, 3, "backlog:7;x1:0.61", &[0, 255]),
+        done(LoadNote::Cold, 4, "", b"body"),
+        done(LoadNote::Joined, 0, "", b""),
+        done(LoadNote::LoadFailed, 0, "", b""),
+        minimal(ResponseKind::Miss, "2"),
         Response {
             replica_count: 2,
-            ..plain(ResponseKind::Full, "3")
+            ..minimal(ResponseKind::Full, "3")
         },
-        plain(ResponseKind::Error, "4"),
-        plain(ResponseKind::AlreadyOver, "5"),
-        plain(ResponseKind::Healthy, "6"),
-        plain(ResponseKind::Unhealthy, "7"),
+        minimal(ResponseKind::Error, "4"),
+        minimal(ResponseKind::AlreadyOver, "5"),
+        minimal(ResponseKind::Healthy, "6"),
+        minimal(ResponseKind::Unhealthy, "7"),
     ]
 }
 
 #[test]
-fn lines_from_executors_are_read_with_their_values() {
-    let read: Vec<Response> = RECEIVED
+fn responses_are_parsed_from_single_lines() {
+    let responses: Vec<Response> = RECEIVED
         .lines()
         .map(|line| parse_response(line.as_bytes()).expect(line))
         .collect();
-    assert_eq!(read, expected());
+    assert_eq!(responses, expected());
 }
 
 #[test]
-fn lines_in_a_stream_are_read_with_their_values() {
+fn responses_are_decoded_from_a_stream() {
     let mut decoder = Decoder::default();
     decoder.push(RECEIVED.as_bytes());
-    let read: Vec<Response> = std::iter::from_fn(|| decoder.next_response().unwrap()).collect();
-    assert_eq!(read, expected());
+    let responses: Vec<Response> =
+        std::iter::from_fn(|| decoder.next_response().unwrap()).collect();
+    assert_eq!(responses, expected());
 }
 
 #[test]
-fn a_load_report_is_read_by_the_names_of_its_values() {
+fn a_load_report_is_returned_in_the_order_of_the_names() {
     let names = ["x1", "backlog"].map(str::to_owned);
     assert_eq!(
         parse_load_report(&expected()[0].load_report, &names),
