--- a/crates/platform-frontend/src/engine_host/callbacks.rs
+++ b/crates/platform-frontend/src/engine_host/callbacks.rs
@@ -86,14 +86,14 @@
     }
 
     fn unload(&mut self, executor_id: ExecutorId, function: u64) {
-        let line = executor_protocol::unload(&format!("{function:016x}"));
+        let line = executor_protocol::encode_unload_command(&format!("{function:016x}"));
         self.send_line(executor_id, line);
     }
 
     fn health_check(&mut self, executor_id: ExecutorId) {
         self.next_tag += 1;
         let tag = format!("{HEALTH_CHECK_PREFIX}{}", self.next_tag);
-        self.send_line(executor_id, executor_protocol::health_check(&tag));
+        self.send_line(executor_id, executor_protocol::encode_health_check(&tag));
     }
 
     /// The resolver is polled all the time, so there is nothing to begin.
@@ -123,7 +123,7 @@
                 connection
                     .socket
                     .write_buffer()
-                    .extend_from_slice(&executor_protocol::cancel(&id));
+                    .extend_from_slice(&executor_protocol::encode_cancel(&id));
                 self.unflushed_cancels.push(slot);
             }
             let executor_id = connection.executor_id;
