--- a/crates/sim-adapter/src/codes.rs
+++ b/crates/sim-adapter/src/codes.rs
@@ -1,4 +1,4 @@
-//! Codes of the simulator's protocol.
+//! Codes in the simulator's protocol.
 
 /// Codes of records that the simulator sends.
 pub(crate) mod event {
@@ -12,29 +12,29 @@
     pub(crate) const START: u8 = 4;
     /// An invocation arrives.
     pub(crate) const INVOCATION: u8 = 5;
-    /// An endpoint list takes effect at an instance.
+    /// An endpoint list is delivered to an instance.
     pub(crate) const ENDPOINT_UPDATE: u8 = 6;
     /// The result of a dispatch.
     pub(crate) const DISPATCH_RESULT: u8 = 7;
-    /// The contents of an endpoint list, for all instances.
+    /// The entries of an endpoint list, to which later updates of any instance refer.
     pub(crate) const ENDPOINT_LIST: u8 = 8;
-    /// An event that concerns no decision.
+    /// An event that the policy does not use.
     pub(crate) const IGNORED: u8 = 9;
     /// The result of a load command.
     pub(crate) const LOAD_RESULT: u8 = 10;
-    /// A client withdraws its invocation.
+    /// A client cancels its invocation.
     pub(crate) const CLIENT_CANCEL: u8 = 11;
-    /// An instance is gone.
+    /// An instance stops.
     pub(crate) const STOP: u8 = 12;
 }
 
-/// Codes of records that the adapter answers with.
+/// Codes of records that the adapter sends in its replies.
 pub(crate) mod action {
     /// Subscribes to the endpoint list.
     pub(crate) const SUBSCRIBE: u8 = b'A';
     /// Sends an invocation to an executor.
     pub(crate) const DISPATCH: u8 = b'B';
-    /// Sends an executor a health check.
+    /// Sends a health check to an executor.
     pub(crate) const HEALTH_CHECK: u8 = b'C';
     /// Answers an invocation with an error.
     pub(crate) const FAIL: u8 = b'D';
@@ -50,7 +50,7 @@
     pub(crate) const REJECT: u8 = b'N';
 }
 
-/// How a dispatch, a load command or a health check ended.
+/// Statuses with which a dispatch, a load command or a health check ends.
 pub(crate) mod status {
     pub(crate) const OK: u8 = 0;
     pub(crate) const MISS: u8 = 1;
@@ -70,7 +70,7 @@
     pub(crate) const DRAINING: u8 = 3;
 }
 
-/// What an endpoint list is to an instance that gets it.
+/// Modes of an endpoint update.
 pub(crate) mod update_mode {
     pub(crate) const DELTA: u8 = 0;
     pub(crate) const FULL: u8 = 1;
@@ -78,8 +78,8 @@
     pub(crate) const FAILED: u8 = 3;
 }
 
-/// The state of a replica when a dispatch arrived: the lowest bits of a result's info word; the others are the
-/// concurrency of the function.
+/// The state of a replica when a dispatch arrived. It occupies the lowest bits of a result's info word; the remaining
+/// bits are the concurrency of the function.
 pub(crate) mod copy_state {
     /// Number of bits.
     pub(crate) const BITS: u32 = 3;
@@ -90,10 +90,10 @@
     pub(crate) const LOAD_FAILED: u32 = 4;
 }
 
-/// Bits of an invocation's options.
+/// Bits of an invocation's options field.
 pub(crate) mod invocation_option {
-    /// The hint of expected work is valid.
+    /// The field with the expected work is valid.
     pub(crate) const HAS_EXPECTED_WORK: u8 = 1;
-    /// The client marks it as a retry.
+    /// The client marks the invocation as a retry.
     pub(crate) const IS_RETRY: u8 = 2;
 }
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Why the adapter ended before its input did.
+/// An error that ends the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input could not be read or the output could not be written.
@@ -15,7 +15,7 @@
         /// What went wrong.
         source: io::Error,
     },
-    /// A batch is malformed; nothing of it was answered.
+    /// A batch is malformed. No reply to it was written.
     #[error("batch {batch}, {source}")]
     Malformed {
         /// Number of the batch, from 0.
@@ -25,7 +25,7 @@
     },
 }
 
-/// What is wrong with a frame, and where.
+/// An error in a frame, with its position.
 #[derive(Debug, Error)]
 #[error("record {record}, byte {byte}: {reason}")]
 pub struct MalformedFrame {
@@ -38,51 +38,51 @@
     pub reason: FrameError,
 }
 
-/// What is wrong with a frame.
+/// An error in a frame.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The input ends within the frame.
-    #[error("the frame is cut short")]
-    CutShort,
-    /// A field or record is longer than what is left of its record or frame.
-    #[error("{wanted} bytes wanted, {left} left")]
+    #[error("the input ends within the frame")]
+    Truncated,
+    /// A field or record is longer than the rest of its record or frame.
+    #[error("{needed} bytes needed, {remaining} remaining")]
     TooShort {
         /// Length of the field or record.
-        wanted: usize,
-        /// Bytes that are left.
-        left: usize,
+        needed: usize,
+        /// Number of bytes that remain.
+        remaining: usize,
     },
     /// The frame is longer than its records.
-    #[error("bytes left over after {records} records")]
+    #[error("trailing bytes after {records} records")]
     TrailingBytes {
         /// Number of records.
         records: usize,
     },
-    /// No event has the code.
-    #[error("no event has code {0}")]
+    /// An event has an unknown code.
+    #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// An event is for an instance that was not started.
+    /// An event refers to an instance that was not started.
     #[error("instance {0} was never started")]
     UnknownInstance(u16),
     /// The settings of an instance are invalid.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// No trigger type has the index.
-    #[error("no trigger type has number {0}")]
+    /// An invocation has an unknown trigger type.
+    #[error("unknown trigger type {0}")]
     UnknownTriggerType(usize),
-    /// No status has the code.
-    #[error("no status has code {0}")]
+    /// A result has an unknown status.
+    #[error("unknown status {0}")]
     UnknownStatus(u8),
-    /// No state of an executor has the code.
-    #[error("no endpoint state has code {0}")]
+    /// An entry of an endpoint list has an unknown state.
+    #[error("unknown endpoint state {0}")]
     UnknownEndpointState(u8),
-    /// No endpoint update has the mode.
-    #[error("no endpoint update has mode {0}")]
+    /// An endpoint update has an unknown mode.
+    #[error("unknown endpoint update mode {0}")]
     UnknownUpdateMode(u8),
     /// The number of an endpoint list is too large.
-    #[error("no list can have number {0}")]
-    UnknownList(usize),
-    /// An endpoint list takes effect that was not received.
-    #[error("list {0} was never given")]
+    #[error("endpoint list number {0} is too large")]
+    ListOutOfRange(usize),
+    /// An endpoint update refers to a list that was not received.
+    #[error("endpoint list {0} was never received")]
     MissingList(usize),
 }
--- a/crates/sim-adapter/src/fields.rs
+++ b/crates/sim-adapter/src/fields.rs
@@ -1,78 +1,78 @@
-//! Reading the fields of a frame: little-endian, without padding.
+//! Decoding of the fields of a frame, which are little-endian and without padding.
 
 use crate::codes::{endpoint_state, status};
 use crate::error::{FrameError, MalformedFrame};
 use orchidtally_dispatch_policy::interface::{DispatchStatus, Endpoint, EndpointState, ExecutorId};
 
-/// Nanoseconds in a second.
-const NANOSECONDS: f64 = 1e9;
+/// Nanoseconds per second.
+const NANOS_PER_SECOND: f64 = 1e9;
 
-/// A cursor over part of a frame.
+/// Reads fields one after the other from a part of a frame.
 #[derive(Clone)]
-pub(crate) struct Fields<'a> {
+pub(crate) struct FieldReader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Position of the part in its frame.
-    base: usize,
-    /// Number of the record.
+    /// Offset of the part in its frame.
+    frame_offset: usize,
+    /// Number of the record that errors report.
     record: usize,
 }
 
-impl<'a> Fields<'a> {
-    /// A cursor over bytes that begin at `base` of their frame and belong to a record.
-    pub(crate) fn new(bytes: &'a [u8], base: usize, record: usize) -> Self {
-        Fields {
+impl<'a> FieldReader<'a> {
+    /// Creates a reader of bytes that start at `frame_offset` of their frame and belong to a record.
+    pub(crate) fn new(bytes: &'a [u8], frame_offset: usize, record: usize) -> Self {
+        FieldReader {
             bytes,
             position: 0,
-            base,
+            frame_offset,
             record,
         }
     }
 
-    /// An error at the cursor.
+    /// Creates an error at the current position.
     pub(crate) fn error(&self, reason: FrameError) -> MalformedFrame {
         MalformedFrame {
             record: self.record,
-            byte: self.base + self.position,
+            byte: self.frame_offset + self.position,
             reason,
         }
     }
 
-    /// An error at the first byte of the part.
+    /// Creates an error at the first byte of the part.
     pub(crate) fn error_at_start(&self, reason: FrameError) -> MalformedFrame {
         MalformedFrame {
             record: self.record,
-            byte: self.base,
+            byte: self.frame_offset,
             reason,
         }
     }
 
-    /// Whether nothing is left.
+    /// Returns whether all bytes were read.
     pub(crate) fn is_empty(&self) -> bool {
         self.position == self.bytes.len()
     }
 
-    /// The next `length` bytes.
+    /// Reads the next `length` bytes.
     pub(crate) fn bytes(&mut self, length: usize) -> Result<&'a [u8], MalformedFrame> {
         let rest = &self.bytes[self.position..];
         let Some(bytes) = rest.get(..length) else {
             return Err(self.error(FrameError::TooShort {
-                wanted: length,
-                left: rest.len(),
+                needed: length,
+                remaining: rest.len(),
             }));
         };
         self.position += length;
         Ok(bytes)
     }
 
-    /// The next `length` bytes as a cursor of their own, for a record.
-    pub(crate) fn part(
+    /// Returns a reader of the next `length` bytes, which belong to a record, and skips them.
+    pub(crate) fn sub_reader(
         &mut self,
         length: usize,
         record: usize,
-    ) -> Result<Fields<'a>, MalformedFrame> {
-        let base = self.base + self.position;
-        Ok(Fields::new(self.bytes(length)?, base, record))
+    ) -> Result<FieldReader<'a>, MalformedFrame> {
+        let frame_offset = self.frame_offset + self.position;
+        Ok(FieldReader::new(self.bytes(length)?, frame_offset, record))
     }
 
     fn array<const N: usize>(&mut self) -> Result<[u8; N], MalformedFrame> {
@@ -101,18 +101,18 @@
         self.array().map(f32::from_le_bytes)
     }
 
-    /// A time in seconds, sent in nanoseconds.
+    /// Reads a time in nanoseconds and converts it to seconds.
     pub(crate) fn seconds(&mut self) -> Result<f64, MalformedFrame> {
-        Ok(self.u64()? as f64 / NANOSECONDS)
+        Ok(self.u64()? as f64 / NANOS_PER_SECOND)
     }
 
-    /// Address and port of an executor.
+    /// Reads the address and port of an executor.
     pub(crate) fn executor(&mut self) -> Result<ExecutorId, MalformedFrame> {
         let address: [u8; 4] = self.array()?;
         Ok(ExecutorId(address.into(), self.u16()?))
     }
 
-    /// How a dispatch, a load command or a health check ended.
+    /// Reads the status of a dispatch, a load command or a health check.
     pub(crate) fn status(&mut self) -> Result<DispatchStatus, MalformedFrame> {
         Ok(match self.u8()? {
             status::OK => DispatchStatus::Ok,
@@ -128,13 +128,13 @@
         })
     }
 
-    /// The fields of a load report.
+    /// Reads the fields of a load report.
     pub(crate) fn load_report(&mut self) -> Result<Vec<f32>, MalformedFrame> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32()).collect()
     }
 
-    /// An entry of an endpoint list.
+    /// Reads an entry of an endpoint list.
     pub(crate) fn endpoint(&mut self) -> Result<Endpoint, MalformedFrame> {
         let executor = self.executor()?;
         let zone = self.u8()?;
@@ -155,7 +155,7 @@
             cell,
             state,
             weight,
-            // 0 stands for long ago.
+            // 0 means that the executor started long ago.
             started_at: if started_at > 0.0 {
                 started_at
             } else {
--- a/crates/sim-adapter/src/host.rs
+++ b/crates/sim-adapter/src/host.rs
@@ -1,50 +1,54 @@
-//! The instances of the dispatch policy that a process hosts, and the frames of events that they are given.
+//! Hosts instances of the dispatch policy and passes them the events of each frame.
 
 use crate::codes::{copy_state, event, invocation_option, update_mode};
 use crate::error::{FrameError, MalformedFrame};
-use crate::fields::Fields;
+use crate::fields::FieldReader;
 use crate::reply::Reply;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::{
     CopyState, DispatchResult, Endpoint, EndpointUpdateKind, Invocation,
 };
 
-/// Bytes of a frame's length, which stands in front of it.
+/// Size of the length prefix of a frame, in bytes.
 pub(crate) const FRAME_LENGTH_BYTES: usize = 4;
-/// Bytes of a record's code and length.
+/// Size of a record's code and length, in bytes.
 const RECORD_HEADER_BYTES: usize = 5;
-/// Endpoint lists that are kept at a time.
-const ENDPOINT_LISTS: usize = 16;
-/// Milliseconds in a second.
-const MILLISECONDS: f64 = 1e3;
+/// Number of endpoint lists that are kept at a time.
+const MAX_ENDPOINT_LISTS: usize = 16;
+/// Milliseconds per second.
+const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// The instances and the endpoint lists received. Instances share nothing else.
+/// The instances and the endpoint lists received. Instances share only the lists.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: Vec<Option<Box<Dispatcher>>>,
     lists: EndpointLists,
 }
 
-/// The endpoint lists received, by their numbers.
+/// The endpoint lists received, indexed by their numbers.
 #[derive(Default)]
-struct EndpointLists([Option<Vec<Endpoint>>; ENDPOINT_LISTS]);
+struct EndpointLists([Option<Vec<Endpoint>>; MAX_ENDPOINT_LISTS]);
 
 impl Host {
-    /// Gives the instances the events of a frame (without its length) and writes their actions to `reply`.
+    /// Passes the events of a frame (without its length prefix) to the instances and writes their actions to `reply`.
     ///
     /// # Errors
-    /// The first thing that is wrong with the frame; the events before it have taken effect.
-    pub(crate) fn play(&mut self, frame: &[u8], reply: &mut Reply) -> Result<(), MalformedFrame> {
-        let mut batch = Fields::new(frame, FRAME_LENGTH_BYTES, 0);
+    /// Returns the first error in the frame. The events before it have been processed.
+    pub(crate) fn process_frame(
+        &mut self,
+        frame: &[u8],
+        reply: &mut Reply,
+    ) -> Result<(), MalformedFrame> {
+        let mut batch = FieldReader::new(frame, FRAME_LENGTH_BYTES, 0);
         let records = batch.u32()? as usize;
         let now = batch.seconds()?;
         reply.begin();
         for record in 0..records {
-            let mut header = batch.part(RECORD_HEADER_BYTES, record)?;
+            let mut header = batch.sub_reader(RECORD_HEADER_BYTES, record)?;
             let code = header.u8()?;
             let length = header.u32()? as usize;
-            let fields = batch.part(length, record)?;
-            self.play_record(code, fields, now, reply)?;
+            let fields = batch.sub_reader(length, record)?;
+            self.process_record(code, fields, now, reply)?;
         }
         if !batch.is_empty() {
             return Err(batch.error(FrameError::TrailingBytes { records }));
@@ -52,10 +56,10 @@
         Ok(())
     }
 
-    fn play_record(
+    fn process_record(
         &mut self,
         code: u8,
-        mut fields: Fields,
+        mut fields: FieldReader,
         now: f64,
         reply: &mut Reply,
     ) -> Result<(), MalformedFrame> {
@@ -92,7 +96,7 @@
     fn start(
         &mut self,
         slot: usize,
-        fields: &mut Fields,
+        fields: &mut FieldReader,
         now: f64,
         reply: &mut Reply,
     ) -> Result<(), MalformedFrame> {
@@ -111,7 +115,7 @@
 }
 
 impl EndpointLists {
-    fn store(&mut self, fields: &mut Fields) -> Result<(), MalformedFrame> {
+    fn store(&mut self, fields: &mut FieldReader) -> Result<(), MalformedFrame> {
         let number = usize::from(fields.u16()?);
         let count = fields.u32()?;
         let endpoints = (0..count)
@@ -119,7 +123,7 @@
             .collect::<Result<_, _>>()?;
         match self.0.get_mut(number) {
             Some(list) => *list = Some(endpoints),
-            None => return Err(fields.error(FrameError::UnknownList(number))),
+            None => return Err(fields.error(FrameError::ListOutOfRange(number))),
         }
         Ok(())
     }
@@ -131,7 +135,7 @@
 
 fn response_started(
     dispatcher: &mut Dispatcher,
-    fields: &mut Fields,
+    fields: &mut FieldReader,
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), MalformedFrame> {
@@ -143,8 +147,8 @@
     Ok(())
 }
 
-/// The policy sends no health checks; a result is checked for its form only.
-fn skip_health_check_result(fields: &mut Fields) -> Result<(), MalformedFrame> {
+/// Reads a health check result and ignores it: the policy sends no health checks, so only the encoding is checked.
+fn skip_health_check_result(fields: &mut FieldReader) -> Result<(), MalformedFrame> {
     let _executor = fields.executor()?;
     let _status = fields.status()?;
     let _duration = fields.seconds()?;
@@ -154,7 +158,7 @@
 
 fn invocation(
     dispatcher: &mut Dispatcher,
-    fields: &mut Fields,
+    fields: &mut FieldReader,
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), MalformedFrame> {
@@ -183,7 +187,7 @@
         timeout_at,
         expected_work: has_expected_work.then_some(expected_work),
         concurrency,
-        load_time: has_load_time.then(|| f64::from(load_time) / MILLISECONDS),
+        load_time: has_load_time.then(|| f64::from(load_time) / MILLIS_PER_SECOND),
     };
     dispatcher.on_invocation(now, &invocation, reply);
     Ok(())
@@ -192,7 +196,7 @@
 fn endpoint_update(
     dispatcher: &mut Dispatcher,
     lists: &EndpointLists,
-    fields: &mut Fields,
+    fields: &mut FieldReader,
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), MalformedFrame> {
@@ -216,7 +220,7 @@
 
 fn dispatch_result(
     dispatcher: &mut Dispatcher,
-    fields: &mut Fields,
+    fields: &mut FieldReader,
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), MalformedFrame> {
@@ -255,7 +259,7 @@
 
 fn load_result(
     dispatcher: &mut Dispatcher,
-    fields: &mut Fields,
+    fields: &mut FieldReader,
     now: f64,
     reply: &mut Reply,
 ) -> Result<(), MalformedFrame> {
--- a/crates/sim-adapter/src/lib.rs
+++ b/crates/sim-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The adapter between the simulator and the dispatch policy: frames of events on one side, calls of the policy on
-//! the other.
+//! The adapter between the simulator and the dispatch policy. It decodes the simulator's frames of events, calls the
+//! policy and encodes the actions.
 
 mod codes;
 mod error;
@@ -13,11 +13,11 @@
 use reply::Reply;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Answers batches of events until the input ends or nobody reads the output any more.
+/// Reads batches of events and writes a reply to each, until the input ends or the output is closed.
 ///
 /// # Errors
-/// `Io` if the input can't be read or the output can't be written; `Malformed` with the first thing that is wrong with
-/// a batch, of which nothing is answered.
+/// Returns `Io` if the input can't be read or the output can't be written, and `Malformed` with the first error in a
+/// batch, to which no reply is written.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut reply = Reply::default();
@@ -26,7 +26,7 @@
         if !read_frame(input, &mut frame, batch)? {
             return Ok(());
         }
-        host.play(&frame, &mut reply)
+        host.process_frame(&frame, &mut reply)
             .map_err(|source| AdapterError::Malformed { batch, source })?;
         match write_reply(output, &mut reply) {
             Err(error) if error.kind() == ErrorKind::BrokenPipe => return Ok(()),
@@ -36,19 +36,19 @@
     Ok(())
 }
 
-/// Reads a frame without its length; returns whether there was one.
+/// Reads a frame without its length prefix. Returns false at the end of the input.
 fn read_frame(
     input: &mut impl Read,
     frame: &mut Vec<u8>,
     batch: usize,
 ) -> Result<bool, AdapterError> {
     let io_error = |source| AdapterError::Io { batch, source };
-    let cut_short = |byte| AdapterError::Malformed {
+    let truncated = |byte| AdapterError::Malformed {
         batch,
         source: MalformedFrame {
             record: 0,
             byte,
-            reason: FrameError::CutShort,
+            reason: FrameError::Truncated,
         },
     };
     let mut length = Vec::with_capacity(FRAME_LENGTH_BYTES);
@@ -59,17 +59,17 @@
     let length: [u8; FRAME_LENGTH_BYTES] = length
         .as_slice()
         .try_into()
-        .map_err(|_| cut_short(length.len()))?;
+        .map_err(|_| truncated(length.len()))?;
     let length = u32::from_le_bytes(length) as usize;
     frame.clear();
     read_up_to(input, length, frame).map_err(io_error)?;
     if frame.len() < length {
-        return Err(cut_short(FRAME_LENGTH_BYTES + frame.len()));
+        return Err(truncated(FRAME_LENGTH_BYTES + frame.len()));
     }
     Ok(true)
 }
 
-/// Appends the next bytes of the input, fewer than `length` only if it ends.
+/// Appends the next `length` bytes of the input, or fewer if the input ends.
 fn read_up_to(input: &mut impl Read, length: usize, bytes: &mut Vec<u8>) -> io::Result<()> {
     input.by_ref().take(length as u64).read_to_end(bytes)?;
     Ok(())
--- a/crates/sim-adapter/tests/frames.rs
+++ b/crates/sim-adapter/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames are answered whole, or rejected with one line that names the record and the byte.
+//! A valid frame gets a complete reply; a malformed one is rejected with an error that names the record and the byte.
 
 use orchidtally_sim_adapter::run;
 
@@ -13,16 +13,20 @@
 
 fn frame(now: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
-    let head = [
+    let header = [
         &(body.len() as u32 + 12).to_le_bytes()[..],
         &(records.len() as u32).to_le_bytes(),
     ]
     .concat();
-    [&head[..], &now.to_le_bytes(), &body].concat()
+    [&header[..], &now.to_le_bytes(), &body].concat()
 }
 
-fn start(policy: &str) -> Vec<u8> {
-    let text = [&(policy.len() as u32).to_le_bytes()[..], policy.as_bytes()].concat();
+fn start(settings: &str) -> Vec<u8> {
+    let text = [
+        &(settings.len() as u32).to_le_bytes()[..],
+        settings.as_bytes(),
+    ]
+    .concat();
     record(
         4,
         &[&0u16.to_le_bytes()[..], &9u64.to_le_bytes(), &text].concat(),
@@ -40,8 +44,8 @@
     [list, record(6, &[0, 0, 2, 1, 0, 0, 0, 3, 0])]
 }
 
-fn invocation(extra: &[u8]) -> Vec<u8> {
-    let ids = [
+fn invocation(trailing: &[u8]) -> Vec<u8> {
+    let identifiers = [
         &[0, 0][..],
         &77u32.to_le_bytes(),
         &[0, 0, 0],
@@ -55,28 +59,33 @@
         900f32.to_le_bytes(),
     ]
     .concat();
-    record(5, &[&ids[..], &times, &sizes, &[0], extra].concat())
+    record(
+        5,
+        &[&identifiers[..], &times, &sizes, &[0], trailing].concat(),
+    )
 }
 
-fn play(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
+fn run_adapter(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
     let mut output = vec![];
-    let ended = run(&mut &input[..], &mut output);
-    (ended.map_err(|error| error.to_string()), output)
+    let result = run(&mut &input[..], &mut output);
+    (result.map_err(|error| error.to_string()), output)
 }
 
-fn session(extra: &[u8]) -> Vec<u8> {
+/// A frame that starts an instance and delivers an endpoint list, and a frame with an invocation record that ends in
+/// `trailing` bytes.
+fn valid_input(trailing: &[u8]) -> Vec<u8> {
     let [list, update] = endpoint_list();
     [
         frame(1_000_000_000, &[start(SETTINGS), list, update]),
-        frame(1_100_000_000, &[invocation(extra)]),
+        frame(1_100_000_000, &[invocation(trailing)]),
     ]
     .concat()
 }
 
 #[test]
 fn an_invocation_is_dispatched_and_trailing_bytes_are_skipped() {
-    let (ended, output) = play(&session(&[]));
-    assert_eq!(ended, Ok(()));
+    let (result, output) = run_adapter(&valid_input(&[]));
+    assert_eq!(result, Ok(()));
     let dispatch = output.iter().position(|&b| b == 66).expect("a dispatch");
     assert_eq!(output[dispatch + 7..dispatch + 11], 77u32.to_le_bytes());
     assert_eq!(output[dispatch + 11..dispatch + 17], [10, 1, 2, 3, 5, 0]);
@@ -84,19 +93,19 @@
         output[dispatch + 17..dispatch + 25],
         4_900_000_000u64.to_le_bytes()
     );
-    assert_eq!(play(&session(&[1, 2, 3])), (Ok(()), output));
+    assert_eq!(run_adapter(&valid_input(&[1, 2, 3])), (Ok(()), output));
 }
 
 #[test]
 fn an_empty_batch_has_an_empty_reply() {
-    assert_eq!(play(&frame(5, &[])), (Ok(()), vec![0; 4]));
-    assert_eq!(play(&[]), (Ok(()), vec![]));
+    assert_eq!(run_adapter(&frame(5, &[])), (Ok(()), vec![0; 4]));
+    assert_eq!(run_adapter(&[]), (Ok(()), vec![]));
 }
 
 #[test]
 fn truncated_input_is_rejected_after_whole_replies() {
-    let whole = session(&[]);
-    let first = frame(
+    let input = valid_input(&[]);
+    let first_length = frame(
         1_000_000_000,
         &[
             start(SETTINGS),
@@ -105,16 +114,16 @@
         ],
     )
     .len();
-    let (_, answered) = play(&whole[..first]);
-    for cut in (1..whole.len()).filter(|&cut| cut != first) {
-        let (ended, output) = play(&whole[..cut]);
-        assert!(ended.unwrap_err().contains("byte"), "cut at {cut}");
+    let (_, first_reply) = run_adapter(&input[..first_length]);
+    for cut in (1..input.len()).filter(|&cut| cut != first_length) {
+        let (result, output) = run_adapter(&input[..cut]);
+        assert!(result.unwrap_err().contains("byte"), "cut at {cut}");
         assert_eq!(
             output,
-            if cut < first {
+            if cut < first_length {
                 vec![]
             } else {
-                answered.clone()
+                first_reply.clone()
             },
             "cut at {cut}"
         );
@@ -124,19 +133,19 @@
 #[test]
 fn errors_name_the_record_and_the_byte() {
     let error_of = |records: &[Vec<u8>]| {
-        let (ended, output) = play(&frame(1, records));
+        let (result, output) = run_adapter(&frame(1, records));
         assert!(output.is_empty());
-        ended.unwrap_err()
+        result.unwrap_err()
     };
     assert!(
         error_of(&[invocation(&[])]).contains("record 0, byte 21: instance 0 was never started")
     );
     assert!(
         error_of(&[start(SETTINGS), record(6, &[0, 0, 1, 0, 0, 0, 0, 9, 0])])
-            .contains("list 9 was never given")
+            .contains("endpoint list 9 was never received")
     );
     assert!(error_of(&[start(SETTINGS), record(1, &[0, 0, 1])]).contains("record 1, byte"));
-    assert!(error_of(&[start(SETTINGS), record(99, &[0, 0])]).contains("no event has code 99"));
+    assert!(error_of(&[start(SETTINGS), record(99, &[0, 0])]).contains("unknown event code 99"));
     assert!(error_of(&[start("{}")]).contains("settings lack 'classes'"));
     assert!(error_of(&[start("nonsense")]).contains("settings are not JSON"));
     assert!(
@@ -145,8 +154,13 @@
         )])
         .contains("'tick'")
     );
-    let mut long = frame(1, &[]);
-    long[0] += 1;
-    long.push(0);
-    assert!(play(&long).0.unwrap_err().contains("bytes left over"));
+    let mut too_long = frame(1, &[]);
+    too_long[0] += 1;
+    too_long.push(0);
+    assert!(
+        run_adapter(&too_long)
+            .0
+            .unwrap_err()
+            .contains("trailing bytes")
+    );
 }
