--- a/crates/dispatch-policy/tests/concurrency_limit.rs
+++ b/crates/dispatch-policy/tests/concurrency_limit.rs
@@ -3,13 +3,13 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{RecordedAction, World, policy, warm_world};
+use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
 /// Found with 300 front ends: cut to its lowest, the limit let a front end use an executor in one of thirty turns, long
 /// after answers were quick again.
 #[test]
 fn little_traffic_needs_no_turns_after_slow_answers() {
-    let (mut world, executor) = warm_world(
+    let (mut harness, executor) = warm_harness(
         PolicyConfig {
             front_ends: 300.0,
             ..policy()
@@ -17,12 +17,12 @@
         36,
     );
     let mut play = |latency: f64| {
-        world.latency = latency;
-        let before = world.dispatches_to(executor);
-        world.invoke(0, 1, 2.0);
-        let at_once = world.dispatches_to(executor) > before;
-        world.finish_all_in_flight();
-        world.advance(0.3);
+        harness.latency = latency;
+        let before = harness.dispatches_to(executor);
+        harness.invoke(0, 1, 2.0);
+        let at_once = harness.dispatches_to(executor) > before;
+        harness.finish_all_in_flight();
+        harness.advance(0.3);
         at_once
     };
     (0..40).for_each(|_| _ = play(0.6));
@@ -33,7 +33,7 @@
 /// lowest, and rejected what an idle fleet could have served.
 #[test]
 fn busy_front_end_keeps_capacity_after_a_cut() {
-    let (mut world, _) = warm_world(
+    let (mut harness, _) = warm_harness(
         PolicyConfig {
             front_ends: 300.0,
             reports_concurrency: true,
@@ -42,21 +42,21 @@
         36,
     );
     let mut play = |latency: f64, rounds: usize| {
-        world.latency = latency;
+        harness.latency = latency;
         let mut at_once = 0;
         for _ in 0..rounds {
-            let all: Vec<u32> = (0..4).map(|_| world.invoke(0, 1, 2.0)).collect();
+            let all: Vec<u32> = (0..4).map(|_| harness.invoke(0, 1, 2.0)).collect();
             at_once += all
                 .iter()
                 .filter(|&&invocation| {
-                    !world.model.accepted[invocation as usize]
+                    !harness.model.accepted[invocation as usize]
                         .dispatches
                         .is_empty()
                 })
                 .count();
-            world.finish_loads(DispatchStatus::Ok);
-            world.advance(0.2);
-            world.finish_all_in_flight();
+            harness.finish_loads(DispatchStatus::Ok);
+            harness.advance(0.2);
+            harness.finish_all_in_flight();
         }
         at_once
     };
@@ -73,19 +73,19 @@
 /// no longer be in time.
 #[test]
 fn late_invocation_without_a_placement_is_shed() {
-    let mut world = World::new(policy(), 1);
-    let invocation = world.invoke(0, 1, 5.0);
-    world.advance(1.2);
+    let mut harness = Harness::new(policy(), 1);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.advance(1.2);
     assert!(
-        world.model.accepted[invocation as usize]
+        harness.model.accepted[invocation as usize]
             .answered_at
             .is_none(),
         "its placement is waited for"
     );
-    world.finish_loads(DispatchStatus::Full);
-    world.advance(0.05);
+    harness.finish_loads(DispatchStatus::Full);
+    harness.advance(0.05);
     assert!(
-        world.model.accepted[invocation as usize]
+        harness.model.accepted[invocation as usize]
             .answered_at
             .is_some()
     );
@@ -99,15 +99,15 @@
         ..policy()
     };
     policy.trigger_types[2].billed_value = 0.001;
-    let (mut world, executor) = warm_world(policy, 4);
+    let (mut harness, executor) = warm_harness(policy, 4);
     for _ in 0..20 {
-        let invocation = world.invoke(0, 1, 5.0);
-        world.finish(invocation, 0, DispatchStatus::Ok);
-        world.advance(0.1);
+        let invocation = harness.invoke(0, 1, 5.0);
+        harness.finish(invocation, 0, DispatchStatus::Ok);
+        harness.advance(0.1);
     }
-    let lowest = world.invoke(2, 1, 5.0);
+    let lowest = harness.invoke(2, 1, 5.0);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(lowest, executor))
     );
 }
--- a/crates/dispatch-policy/tests/decision_trace/fleet.rs
+++ b/crates/dispatch-policy/tests/decision_trace/fleet.rs
@@ -1,39 +1,40 @@
-//! Executors of a play: what is loaded where, who answers how, and what the endpoint list tells of them.
+//! The simulated executors: their replicas, how they answer, and their entries in the endpoint list.
 
+use crate::random::SeededRandom;
 use crate::scenarios::Scenario;
-use crate::seeded::Seeded;
 use orchidtally_dispatch_policy::interface::{
     CopyState, DispatchStatus, Endpoint, EndpointState, ExecutorId,
 };
 use std::collections::BTreeMap;
 
-/// Usual time of a load, in seconds.
+/// Mean time of a load, in seconds.
 pub const LOAD_TIME: f64 = 0.8;
-/// How long an idle copy stays.
+/// Time for which an idle replica stays loaded, in seconds.
 const IDLE_TIME: f64 = 8.0;
 const SERVICE_TIME: f64 = 0.15;
 const SLOW_FACTOR: f64 = 12.0;
 
-/// How a dispatch ends, and when.
+/// The outcome of a dispatch.
 pub struct RunResult {
     pub is_answered: bool,
+    /// Seconds until the dispatch ends.
     pub delay: f64,
-    pub ending: DispatchStatus,
-    pub found: CopyState,
+    pub status: DispatchStatus,
+    pub copy_state: CopyState,
 }
 
 struct Executor {
-    row: Endpoint,
-    hangs: bool,
+    endpoint: Endpoint,
+    will_hang: bool,
     is_slow: bool,
-    /// Until when a copy of each function stays.
-    copies: BTreeMap<u64, f64>,
+    /// The time until which the replica of each function stays loaded.
+    replicas: BTreeMap<u64, f64>,
 }
 
 pub struct Fleet {
     executors: Vec<Executor>,
-    /// Since when those that hang do: before it they have come to serve functions.
-    hangs_from: f64,
+    /// The time from which the hanging executors hang. Before it they serve functions like the others.
+    hang_start: f64,
 }
 
 fn executor_id(number: usize) -> ExecutorId {
@@ -42,9 +43,9 @@
 }
 
 impl Fleet {
-    pub fn new(scenario: &Scenario, random: &mut Seeded, now: f64) -> Fleet {
+    pub fn new(scenario: &Scenario, random: &mut SeededRandom, now: f64) -> Fleet {
         let executor = |number: usize| Executor {
-            row: Endpoint {
+            endpoint: Endpoint {
                 executor: executor_id(number),
                 zone: (number % scenario.zones) as u8,
                 kind: (number / 2 % scenario.kinds) as u8,
@@ -57,76 +58,76 @@
                     f64::NEG_INFINITY
                 },
             },
-            hangs: random.chance(scenario.hangs),
+            will_hang: random.chance(scenario.hanging),
             is_slow: random.chance(scenario.slow),
-            copies: BTreeMap::new(),
+            replicas: BTreeMap::new(),
         };
         let executors = (0..scenario.executors).map(executor).collect();
         Fleet {
             executors,
-            hangs_from: now + scenario.duration / 4.0,
+            hang_start: now + scenario.duration / 4.0,
         }
     }
 
-    /// Every executor that is not gone.
-    pub fn rows(&self) -> Vec<Endpoint> {
+    /// Returns the endpoint list: all executors that are not gone.
+    pub fn endpoints(&self) -> Vec<Endpoint> {
         let listed = self
             .executors
             .iter()
-            .filter(|executor| executor.row.state != EndpointState::Gone);
-        listed.map(|executor| executor.row.clone()).collect()
+            .filter(|executor| executor.endpoint.state != EndpointState::Gone);
+        listed.map(|executor| executor.endpoint.clone()).collect()
     }
 
-    /// Changes an executor drawn at random; answers with what the list now tells of it.
-    pub fn change(&mut self, scenario: &Scenario, random: &mut Seeded, now: f64) -> Endpoint {
+    /// Changes a random executor and returns its new entry in the endpoint list.
+    pub fn change(&mut self, scenario: &Scenario, random: &mut SeededRandom, now: f64) -> Endpoint {
         let number = random.below(self.executors.len());
         let executor = &mut self.executors[number];
-        executor.row.state = match executor.row.state {
+        executor.endpoint.state = match executor.endpoint.state {
             EndpointState::Ready if random.chance(0.6) => EndpointState::Draining,
             EndpointState::Ready => EndpointState::Gone,
             EndpointState::Draining if random.chance(0.7) => EndpointState::Gone,
             _ => EndpointState::Ready,
         };
-        if executor.row.state == EndpointState::Ready && random.chance(scenario.restarts) {
-            executor.row.started_at = now - random.unit();
-            executor.copies.clear();
+        if executor.endpoint.state == EndpointState::Ready && random.chance(scenario.restarts) {
+            executor.endpoint.started_at = now - random.unit();
+            executor.replicas.clear();
         }
         if random.chance(0.1) {
-            executor.row.weight = 0.5 + 2.0 * random.unit();
+            executor.endpoint.weight = 0.5 + 2.0 * random.unit();
         }
-        if executor.row.state == EndpointState::Ready && random.chance(0.1) {
-            executor.row.cell += 1;
+        if executor.endpoint.state == EndpointState::Ready && random.chance(0.1) {
+            executor.endpoint.cell += 1;
         }
-        executor.row.clone()
+        executor.endpoint.clone()
     }
 
     fn get(&mut self, id: ExecutorId) -> &mut Executor {
-        let found = self
+        let executor = self
             .executors
             .iter_mut()
-            .find(|executor| executor.row.executor == id);
-        found.expect("an executor that no list told")
+            .find(|executor| executor.endpoint.executor == id);
+        executor.expect("the executor is in no endpoint list")
     }
 
-    /// How many invocations an executor reports waiting.
-    pub fn waiting(&mut self, id: ExecutorId, random: &mut Seeded) -> f32 {
-        let most = if self.get(id).is_slow { 30.0 } else { 2.0 };
-        (most * random.unit()) as f32
+    /// Returns the number of invocations that an executor reports as waiting.
+    pub fn reported_backlog(&mut self, id: ExecutorId, random: &mut SeededRandom) -> f32 {
+        let max = if self.get(id).is_slow { 30.0 } else { 2.0 };
+        (max * random.unit()) as f32
     }
 
-    /// Runs a dispatch that arrives at an executor now.
+    /// Runs a dispatch that arrives at an executor at `now`.
     pub fn run(
         &mut self,
         scenario: &Scenario,
-        random: &mut Seeded,
+        random: &mut SeededRandom,
         to: ExecutorId,
         function: u64,
         now: f64,
     ) -> RunResult {
-        let hangs_now = now >= self.hangs_from;
+        let hang_started = now >= self.hang_start;
         let executor = self.get(to);
         let is_warm = executor
-            .copies
+            .replicas
             .get(&function)
             .is_some_and(|&until| until > now);
         let factor = if executor.is_slow { SLOW_FACTOR } else { 1.0 };
@@ -137,34 +138,34 @@
             LOAD_TIME * (0.5 + random.unit())
         };
         let fault = fault(scenario.fault, random);
-        if executor.hangs && hangs_now {
+        if executor.will_hang && hang_started {
             return RunResult {
                 is_answered: false,
                 delay: 0.0,
-                ending: DispatchStatus::TimedOut,
-                found: CopyState::Unknown,
+                status: DispatchStatus::TimedOut,
+                copy_state: CopyState::Unknown,
             };
         }
-        if executor.row.state == EndpointState::Gone {
+        if executor.endpoint.state == EndpointState::Gone {
             return RunResult {
                 is_answered: true,
                 delay: 0.002,
-                ending: DispatchStatus::Reset,
-                found: CopyState::Unknown,
+                status: DispatchStatus::Reset,
+                copy_state: CopyState::Unknown,
             };
         }
-        if let Some((ending, found, delay)) = fault {
+        if let Some((status, copy_state, delay)) = fault {
             return RunResult {
                 is_answered: true,
                 delay,
-                ending,
-                found,
+                status,
+                copy_state,
             };
         }
         executor
-            .copies
+            .replicas
             .insert(function, now + load + work + IDLE_TIME);
-        let found = match (is_warm, random.below(3)) {
+        let copy_state = match (is_warm, random.below(3)) {
             (_, 0) => CopyState::Unknown,
             (true, _) => CopyState::Warm,
             (false, 1) => CopyState::JoinedLoad,
@@ -173,39 +174,39 @@
         RunResult {
             is_answered: true,
             delay: load + work,
-            ending: DispatchStatus::Ok,
-            found,
+            status: DispatchStatus::Ok,
+            copy_state,
         }
     }
 
-    /// Carries out a command to load at its end.
+    /// Completes a load command at `now` and returns its status.
     pub fn load(
         &mut self,
         scenario: &Scenario,
-        random: &mut Seeded,
+        random: &mut SeededRandom,
         to: ExecutorId,
         function: u64,
         now: f64,
     ) -> DispatchStatus {
         let fault = fault(scenario.fault, random);
-        let hangs_now = now >= self.hangs_from;
+        let hang_started = now >= self.hang_start;
         let executor = self.get(to);
-        if executor.hangs && hangs_now {
+        if executor.will_hang && hang_started {
             return DispatchStatus::TimedOut;
         }
-        if executor.row.state == EndpointState::Gone {
+        if executor.endpoint.state == EndpointState::Gone {
             return DispatchStatus::ConnectFailed;
         }
-        if let Some((ending, ..)) = fault {
-            return ending;
+        if let Some((status, ..)) = fault {
+            return status;
         }
-        executor.copies.insert(function, now + IDLE_TIME);
+        executor.replicas.insert(function, now + IDLE_TIME);
         DispatchStatus::Ok
     }
 }
 
-/// A fault with its delay in seconds, each kind with the same probability.
-fn fault(probability: f64, random: &mut Seeded) -> Option<(DispatchStatus, CopyState, f64)> {
+/// Draws a fault with its delay in seconds. Each kind has the given probability.
+fn fault(probability: f64, random: &mut SeededRandom) -> Option<(DispatchStatus, CopyState, f64)> {
     const FAULTS: [(DispatchStatus, CopyState, f64); 6] = [
         (DispatchStatus::Error, CopyState::Unknown, 0.05),
         (DispatchStatus::Error, CopyState::LoadFailed, 0.4),
--- a/crates/dispatch-policy/tests/decision_trace/recorder.rs
+++ b/crates/dispatch-policy/tests/decision_trace/recorder.rs
@@ -1,10 +1,10 @@
-//! Actions of the module, hashed as they come and kept for the play to carry out.
+//! Hashes the policy's actions as they are taken and keeps them for the simulation to perform.
 
 use orchidtally_dispatch_policy::interface::{Actions, ExecutorId};
 use std::net::IpAddr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// How many actions of each kind there were.
+/// Number of actions of each kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ActionCounts {
     pub dispatches: u64,
@@ -12,7 +12,7 @@
     pub rejections: u64,
     pub errors: u64,
     pub load_commands: u64,
-    pub wake_ups: u64,
+    pub timers: u64,
     pub subscriptions: u64,
 }
 
@@ -23,19 +23,20 @@
         self.rejections += other.rejections;
         self.errors += other.errors;
         self.load_commands += other.load_commands;
-        self.wake_ups += other.wake_ups;
+        self.timers += other.timers;
         self.subscriptions += other.subscriptions;
     }
 }
 
-/// An action that the play has to carry out.
+/// An action that the simulation has to perform.
 #[derive(Clone, Copy, Debug)]
-pub enum Pending {
+pub enum PendingAction {
     Dispatch {
         invocation: u32,
         to: ExecutorId,
-        time_out: f64,
+        timeout: f64,
     },
+    /// A rejection or an error.
     Final {
         invocation: u32,
     },
@@ -47,18 +48,18 @@
         to: ExecutorId,
         function: u64,
     },
-    Wake {
+    SetTimer {
         delay: f64,
     },
     Subscribe,
 }
 
-/// Hashes every action with the time at which it was taken.
+/// Hashes every action with the time at which it is taken.
 #[derive(Default)]
 pub struct Recorder {
     pub now: f64,
     pub counts: ActionCounts,
-    pub pending: Vec<Pending>,
+    pub pending: Vec<PendingAction>,
     hash: Xxh3,
 }
 
@@ -74,7 +75,7 @@
         self.hash.digest()
     }
 
-    /// Hashes a number that the module answered with.
+    /// Hashes a value that the policy returned.
     pub fn note(&mut self, kind: u8, value: u64) {
         self.hash.update(&[kind]);
         self.hash.update(&value.to_le_bytes());
@@ -94,50 +95,50 @@
 }
 
 impl Actions for Recorder {
-    fn dispatch(&mut self, inv: u32, to: ExecutorId, time_out: f64) {
+    fn dispatch(&mut self, invocation: u32, to: ExecutorId, timeout: f64) {
         self.begin(1);
-        self.note(0, inv.into());
+        self.note(0, invocation.into());
         self.note_executor(to);
-        self.note(0, time_out.to_bits());
+        self.note(0, timeout.to_bits());
         self.counts.dispatches += 1;
-        self.pending.push(Pending::Dispatch {
-            invocation: inv,
+        self.pending.push(PendingAction::Dispatch {
+            invocation,
             to,
-            time_out,
+            timeout,
         });
     }
 
-    fn reject(&mut self, inv: u32, retry_after: f64, past_share: bool) {
+    fn reject(&mut self, invocation: u32, retry_after: f64, over_quota: bool) {
         self.begin(2);
-        self.note(0, inv.into());
-        self.note(u8::from(past_share), retry_after.to_bits());
+        self.note(0, invocation.into());
+        self.note(u8::from(over_quota), retry_after.to_bits());
         self.counts.rejections += 1;
-        self.pending.push(Pending::Final { invocation: inv });
+        self.pending.push(PendingAction::Final { invocation });
     }
 
-    fn fail(&mut self, inv: u32) {
+    fn fail(&mut self, invocation: u32) {
         self.begin(3);
-        self.note(0, inv.into());
+        self.note(0, invocation.into());
         self.counts.errors += 1;
-        self.pending.push(Pending::Final { invocation: inv });
+        self.pending.push(PendingAction::Final { invocation });
     }
 
-    fn cancel(&mut self, inv: u32, dispatch: u8) {
+    fn cancel(&mut self, invocation: u32, dispatch: u8) {
         self.begin(4);
-        self.note(dispatch, inv.into());
+        self.note(dispatch, invocation.into());
         self.counts.cancels += 1;
-        self.pending.push(Pending::Cancel {
-            invocation: inv,
+        self.pending.push(PendingAction::Cancel {
+            invocation,
             dispatch,
         });
     }
 
-    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
+    fn load(&mut self, to: ExecutorId, function: u64, replicas: u8) {
         self.begin(5);
         self.note_executor(to);
-        self.note(copies, function);
+        self.note(replicas, function);
         self.counts.load_commands += 1;
-        self.pending.push(Pending::Load { to, function });
+        self.pending.push(PendingAction::Load { to, function });
     }
 
     fn query_replicas(&mut self, to: ExecutorId, function: u64) {
@@ -161,13 +162,13 @@
         self.begin(9);
         self.note(0, delay.to_bits());
         self.note(0, mark);
-        self.counts.wake_ups += 1;
-        self.pending.push(Pending::Wake { delay });
+        self.counts.timers += 1;
+        self.pending.push(PendingAction::SetTimer { delay });
     }
 
     fn subscribe_to_endpoints(&mut self) {
         self.begin(10);
         self.counts.subscriptions += 1;
-        self.pending.push(Pending::Subscribe);
+        self.pending.push(PendingAction::Subscribe);
     }
 }
--- a/crates/dispatch-policy/tests/decision_trace/scenarios.rs
+++ b/crates/dispatch-policy/tests/decision_trace/scenarios.rs
@@ -1,10 +1,10 @@
-//! What is played: settings, the fleet, and how often each kind of thing happens.
+//! The scenarios: settings, the fleet, and the rate of each kind of event.
 
 use orchidtally_dispatch_policy::interface::{
     DeduplicationScope, Idempotency, PolicyConfig, TriggerType,
 };
 
-/// A play. Rates are events a second, probabilities are from 0 to 1, times are seconds.
+/// A scenario. Rates are events per second, probabilities are from 0 to 1, times are in seconds.
 #[derive(Clone, Copy)]
 pub struct Scenario {
     pub name: &'static str,
@@ -15,27 +15,28 @@
     pub zones: usize,
     pub kinds: usize,
     pub arrivals: f64,
-    /// How likely a dispatch ends in an error, 'full', a reset, a failed connection or a miss, each.
+    /// Probability of each kind of fault: errors, `Full`, resets, failed connections and misses.
     pub fault: f64,
-    /// Share of the executors that never answer, and share that are many times slower than the others.
-    pub hangs: f64,
+    /// Probability that an executor hangs, and that it is many times slower than the others.
+    pub hanging: f64,
     pub slow: f64,
-    /// Changes of the endpoint list, and how many of its messages are whole lists, fail, or tell a restart.
+    /// Rate of changes of the endpoint list, and the probabilities that an update is a full list, that it fails, and
+    /// that an executor that becomes ready has restarted.
     pub list_changes: f64,
     pub full_lists: f64,
     pub failed_lists: f64,
     pub restarts: f64,
-    /// How likely a client withdraws, and an answer is streamed.
-    pub withdrawals: f64,
-    pub streamed: f64,
+    /// Probability that a client cancels its invocation, and that a response is streamed.
+    pub client_cancels: f64,
+    pub streamed_responses: f64,
     pub prewarms: f64,
     pub membership_changes: f64,
     pub view_reports: f64,
     pub stalls: f64,
     pub reconfigurations: f64,
-    /// Whether dispatches and load commands are asked again as their bytes leave.
+    /// Whether dispatches and load commands are revalidated before they are sent.
     pub revalidates: bool,
-    /// When the front end begins to end.
+    /// When the front end begins its shutdown, in seconds from the start.
     pub shutdown_at: f64,
     pub policy: fn(&mut PolicyConfig),
 }
@@ -50,14 +51,14 @@
     kinds: 1,
     arrivals: 40.0,
     fault: 0.002,
-    hangs: 0.0,
+    hanging: 0.0,
     slow: 0.0,
     list_changes: 0.0,
     full_lists: 0.0,
     failed_lists: 0.0,
     restarts: 0.0,
-    withdrawals: 0.0,
-    streamed: 0.0,
+    client_cancels: 0.0,
+    streamed_responses: 0.0,
     prewarms: 0.0,
     membership_changes: 0.0,
     view_reports: 0.0,
@@ -68,20 +69,20 @@
     policy: |_| {},
 };
 
-fn trigger_type(effect: Idempotency, group: DeduplicationScope) -> TriggerType {
+fn trigger_type(idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> TriggerType {
     TriggerType {
         latency_objective: 1.0,
         objective_work_factor: 0.5,
         client_timeout: 5.0,
         billed_value: 1.0,
         late_value_fraction: 0.2,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: 2.0,
     }
 }
 
-/// The settings that a scenario's `policy` starts from.
+/// The settings to which a scenario's `policy` is applied.
 pub fn base_policy() -> PolicyConfig {
     PolicyConfig {
         trigger_types: vec![
@@ -124,7 +125,7 @@
     }
 }
 
-/// Every play, in the order of the digests.
+/// All scenarios, in the order of the digests.
 pub const SCENARIOS: [Scenario; 22] = [
     BASE,
     Scenario {
@@ -137,14 +138,14 @@
     Scenario {
         name: "hanging executors",
         seed: 3,
-        hangs: 0.4,
+        hanging: 0.4,
         arrivals: 80.0,
         ..BASE
     },
     Scenario {
         name: "hedging",
         seed: 4,
-        hangs: 0.4,
+        hanging: 0.4,
         arrivals: 80.0,
         slow: 0.1,
         fault: 0.01,
@@ -152,9 +153,9 @@
         ..BASE
     },
     Scenario {
-        name: "no cancelling",
+        name: "no cancellation",
         seed: 5,
-        hangs: 0.2,
+        hanging: 0.2,
         fault: 0.02,
         policy: |p| p.allows_cancellation = false,
         ..BASE
@@ -179,7 +180,7 @@
         ..BASE
     },
     Scenario {
-        name: "endpoints come, drain and go",
+        name: "endpoints join, drain and leave",
         seed: 8,
         list_changes: 4.0,
         restarts: 0.3,
@@ -189,7 +190,7 @@
         ..BASE
     },
     Scenario {
-        name: "whole lists, failed lists, subscriptions",
+        name: "full lists, failed lists, subscriptions",
         seed: 9,
         list_changes: 2.0,
         full_lists: 0.5,
@@ -221,7 +222,7 @@
         ..BASE
     },
     Scenario {
-        name: "dear load commands, misses",
+        name: "expensive load commands, misses",
         seed: 12,
         functions: 100,
         fault: 0.01,
@@ -245,7 +246,7 @@
         ..BASE
     },
     Scenario {
-        name: "stalls and an old view",
+        name: "stalls and a stale view",
         seed: 15,
         view_reports: 0.7,
         stalls: 0.15,
@@ -255,7 +256,7 @@
         ..BASE
     },
     Scenario {
-        name: "revalidation as bytes leave",
+        name: "revalidation before sending",
         seed: 16,
         revalidates: true,
         list_changes: 2.0,
@@ -264,16 +265,16 @@
         ..BASE
     },
     Scenario {
-        name: "clients withdraw, answers stream",
+        name: "client cancellations, streamed responses",
         seed: 17,
-        withdrawals: 0.15,
-        streamed: 0.4,
+        client_cancels: 0.15,
+        streamed_responses: 0.4,
         ..BASE
     },
     Scenario {
         name: "shutdown",
         seed: 18,
-        hangs: 0.2,
+        hanging: 0.2,
         shutdown_at: 36.0,
         ..BASE
     },
@@ -311,7 +312,7 @@
         ..BASE
     },
     Scenario {
-        name: "everything at once",
+        name: "all features combined",
         seed: 22,
         duration: 60.0,
         executors: 40,
@@ -320,14 +321,14 @@
         kinds: 2,
         arrivals: 90.0,
         fault: 0.01,
-        hangs: 0.08,
+        hanging: 0.08,
         slow: 0.08,
         list_changes: 1.5,
         full_lists: 0.1,
         failed_lists: 0.05,
         restarts: 0.3,
-        withdrawals: 0.04,
-        streamed: 0.1,
+        client_cancels: 0.04,
+        streamed_responses: 0.1,
         prewarms: 1.0,
         membership_changes: 0.2,
         view_reports: 0.8,
--- a/crates/dispatch-policy/tests/decision_trace/play.rs
+++ b/crates/dispatch-policy/tests/decision_trace/simulation.rs
@@ -1,21 +1,21 @@
-//! Plays a scenario: clients, executors and the endpoint list around one dispatcher, on a clock of its own.
+//! Runs a scenario: simulates clients, executors and the endpoint list around one dispatcher, with a virtual clock.
 
-mod disturbances;
+mod environment;
 mod executions;
 
 use crate::fleet::{Fleet, LOAD_TIME};
-use crate::recorder::{ActionCounts, Pending, Recorder};
+use crate::random::SeededRandom;
+use crate::recorder::{ActionCounts, PendingAction, Recorder};
 use crate::scenarios::{Scenario, base_policy};
-use crate::seeded::Seeded;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const START: f64 = 1_000.0;
-/// How long bytes take to leave where dispatches are asked again.
+/// Seconds from a decision until its bytes are sent, in scenarios with revalidation.
 const SEND_DELAY: f64 = 0.003;
 
-/// What a play comes to.
+/// The results of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Summary {
     pub digest: u64,
@@ -27,7 +27,7 @@
 enum Event {
     Arrival,
     Timer,
-    Subscribed,
+    FullListArrives,
     ListChange,
     Prewarm,
     MembershipChange,
@@ -35,30 +35,30 @@
     Stall,
     Reconfiguration,
     Shutdown,
-    BytesLeave {
+    SendDispatch {
         invocation: u32,
         dispatch: u8,
     },
-    LoadLeaves {
+    SendLoad {
         to: ExecutorId,
         function: u64,
-        ordered_at: f64,
+        decided_at: f64,
     },
     LoadEnds {
         to: ExecutorId,
         function: u64,
     },
-    Streams {
+    ResponseStarts {
         invocation: u32,
         dispatch: u8,
     },
     DispatchEnds {
         invocation: u32,
         dispatch: u8,
-        ending: DispatchStatus,
-        found: CopyState,
+        status: DispatchStatus,
+        copy_state: CopyState,
     },
-    Withdrawal {
+    ClientCancel {
         invocation: u32,
     },
 }
@@ -77,13 +77,13 @@
     dispatches: Vec<SentDispatch>,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
-    random: Seeded,
+    random: SeededRandom,
     dispatcher: Dispatcher,
     recorder: Recorder,
     fleet: Fleet,
-    /// By time in bits (times are positive) and the order in which they were added.
+    /// Ordered by the bits of the time (times are positive) and the order of insertion.
     events: BTreeMap<(u64, u64), Event>,
     event_count: u64,
     invocations: BTreeMap<u32, OpenInvocation>,
@@ -91,20 +91,20 @@
     succeeded: u64,
     trigger_types: usize,
     customers: usize,
-    /// Dispatches to which nobody answers any more.
+    /// Dispatches that were cancelled or never sent. Their results are not delivered.
     dropped: BTreeSet<(u32, u8)>,
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end.
 pub fn run(scenario: &Scenario) -> Summary {
     let mut policy = base_policy();
     (scenario.policy)(&mut policy);
     let (trigger_types, customers) = (policy.trigger_types.len(), policy.quotas.len().max(1));
     let mut recorder = Recorder::new(START);
     let dispatcher = Dispatcher::new(policy, scenario.seed, START, &mut recorder);
-    let mut random = Seeded::new(scenario.seed);
+    let mut random = SeededRandom::new(scenario.seed);
     let fleet = Fleet::new(scenario, &mut random, START);
-    let mut play = Play {
+    let mut simulation = Simulation {
         scenario,
         random,
         dispatcher,
@@ -119,22 +119,22 @@
         customers,
         dropped: BTreeSet::new(),
     };
-    play.begin();
-    play.run_to_the_end();
+    simulation.start();
+    simulation.run_until_idle();
     Summary {
-        digest: play.recorder.digest(),
-        counts: play.recorder.counts,
-        succeeded: play.succeeded,
+        digest: simulation.recorder.digest(),
+        counts: simulation.recorder.counts,
+        succeeded: simulation.succeeded,
     }
 }
 
-impl Play<'_> {
-    fn begin(&mut self) {
-        let rows = self.fleet.rows();
+impl Simulation<'_> {
+    fn start(&mut self) {
+        let endpoints = self.fleet.endpoints();
         self.dispatcher.on_endpoint_update(
             START,
             EndpointUpdateKind::Full,
-            &rows,
+            &endpoints,
             &mut self.recorder,
         );
         let scenario = self.scenario;
@@ -153,14 +153,14 @@
         if scenario.shutdown_at.is_finite() {
             self.schedule(scenario.shutdown_at, Event::Shutdown);
         }
-        self.carry_out();
+        self.perform_pending_actions();
     }
 
-    fn run_to_the_end(&mut self) {
+    fn run_until_idle(&mut self) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             self.recorder.now = f64::from_bits(at);
-            self.happen(event);
-            self.carry_out();
+            self.handle_event(event);
+            self.perform_pending_actions();
         }
         let kept = self.dispatcher.table_sizes();
         self.recorder.note(20, kept.executors as u64);
@@ -182,7 +182,7 @@
         self.events.insert((at.to_bits(), self.event_count), event);
     }
 
-    /// Schedules the next event of a stream with exponential gaps.
+    /// Schedules the next event of a Poisson process.
     fn schedule_next(&mut self, rate: f64, event: Event) {
         if rate > 0.0 && !self.is_over() {
             let gap = -(1.0 - self.random.unit()).ln() / rate;
@@ -190,12 +190,12 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now();
         match event {
             Event::Arrival => self.arrive(),
             Event::Timer => self.dispatcher.on_timer(now, 0, &mut self.recorder),
-            Event::Subscribed => self.tell_full_list(),
+            Event::FullListArrives => self.send_full_list(),
             Event::ListChange => self.change_list(),
             Event::Prewarm => self.prewarm(),
             Event::MembershipChange => self.change_membership(),
@@ -205,22 +205,22 @@
             Event::Shutdown => self
                 .dispatcher
                 .begin_shutdown(now, now + 1.5, &mut self.recorder),
-            Event::BytesLeave {
+            Event::SendDispatch {
                 invocation,
                 dispatch,
-            } => self.bytes_leave(invocation, dispatch),
-            Event::LoadLeaves {
+            } => self.revalidate_dispatch(invocation, dispatch),
+            Event::SendLoad {
                 to,
                 function,
-                ordered_at,
-            } => self.load_leaves(to, function, ordered_at),
+                decided_at,
+            } => self.revalidate_load(to, function, decided_at),
             Event::LoadEnds { to, function } => self.end_load(to, function),
-            Event::Streams {
+            Event::ResponseStarts {
                 invocation,
                 dispatch,
             } => {
-                let is_out = !self.dropped.contains(&(invocation, dispatch));
-                if is_out
+                let is_in_flight = !self.dropped.contains(&(invocation, dispatch));
+                if is_in_flight
                     && self
                         .invocations
                         .get(&invocation)
@@ -237,12 +237,12 @@
             Event::DispatchEnds {
                 invocation,
                 dispatch,
-                ending,
-                found,
+                status,
+                copy_state,
             } => {
-                self.end_dispatch(invocation, dispatch, ending, found);
+                self.end_dispatch(invocation, dispatch, status, copy_state);
             }
-            Event::Withdrawal { invocation } => self.withdraw(invocation),
+            Event::ClientCancel { invocation } => self.cancel_by_client(invocation),
         }
     }
 
@@ -250,7 +250,7 @@
         let (now, id) = (self.now(), self.next_invocation);
         self.next_invocation += 1;
         let function = self.random.skewed_below(self.scenario.functions) as u64 * 7_919 + 13;
-        let allowance = if self.random.chance(0.1) {
+        let time_limit = if self.random.chance(0.1) {
             0.2 + self.random.unit()
         } else {
             5.0
@@ -262,7 +262,7 @@
             function,
             is_retry: self.random.chance(0.1),
             is_migrated: self.random.chance(0.02),
-            timeout_at: now + allowance,
+            timeout_at: now + time_limit,
             expected_work: self
                 .random
                 .chance(0.5)
@@ -282,14 +282,14 @@
         );
         self.dispatcher
             .on_invocation(now, &invocation, &mut self.recorder);
-        if self.random.chance(self.scenario.withdrawals) {
-            let delay = self.random.unit() * allowance;
-            self.schedule(delay, Event::Withdrawal { invocation: id });
+        if self.random.chance(self.scenario.client_cancels) {
+            let delay = self.random.unit() * time_limit;
+            self.schedule(delay, Event::ClientCancel { invocation: id });
         }
         self.schedule_next(self.scenario.arrivals, Event::Arrival);
     }
 
-    fn withdraw(&mut self, invocation: u32) {
+    fn cancel_by_client(&mut self, invocation: u32) {
         let now = self.now();
         let Some(open) = self.invocations.get_mut(&invocation) else {
             return;
@@ -301,59 +301,59 @@
         }
     }
 
-    /// Carries out what the module answered since the last time.
-    fn carry_out(&mut self) {
+    /// Performs the actions that the policy has taken since the last call.
+    fn perform_pending_actions(&mut self) {
         while !self.recorder.pending.is_empty() {
             for action in std::mem::take(&mut self.recorder.pending) {
-                self.carry_out_one(action);
+                self.perform_action(action);
             }
         }
     }
 
-    fn carry_out_one(&mut self, action: Pending) {
+    fn perform_action(&mut self, action: PendingAction) {
         let now = self.now();
         match action {
-            Pending::Dispatch {
+            PendingAction::Dispatch {
                 invocation,
                 to,
-                time_out,
-            } => self.send(invocation, to, time_out),
-            Pending::Final { invocation } => {
+                timeout,
+            } => self.send(invocation, to, timeout),
+            PendingAction::Final { invocation } => {
                 if let Some(open) = self.invocations.get_mut(&invocation) {
                     open.closed = true;
                 }
             }
-            Pending::Cancel {
+            PendingAction::Cancel {
                 invocation,
                 dispatch,
             } => {
                 self.dropped.insert((invocation, dispatch));
-                let (ending, found) = (DispatchStatus::Cancelled, CopyState::Unknown);
+                let (status, copy_state) = (DispatchStatus::Cancelled, CopyState::Unknown);
                 self.schedule(
                     0.001,
                     Event::DispatchEnds {
                         invocation,
                         dispatch,
-                        ending,
-                        found,
+                        status,
+                        copy_state,
                     },
                 );
             }
-            Pending::Load { to, function } if self.scenario.revalidates => {
+            PendingAction::Load { to, function } if self.scenario.revalidates => {
                 self.schedule(
                     SEND_DELAY,
-                    Event::LoadLeaves {
+                    Event::SendLoad {
                         to,
                         function,
-                        ordered_at: now,
+                        decided_at: now,
                     },
                 );
             }
-            Pending::Load { to, function } => self.schedule_load(to, function),
-            Pending::Wake { delay } => self.schedule(delay, Event::Timer),
-            Pending::Subscribe => {
+            PendingAction::Load { to, function } => self.schedule_load(to, function),
+            PendingAction::SetTimer { delay } => self.schedule(delay, Event::Timer),
+            PendingAction::Subscribe => {
                 let delay = 0.01 + 0.1 * self.random.unit();
-                self.schedule(delay, Event::Subscribed);
+                self.schedule(delay, Event::FullListArrives);
             }
         }
     }
--- a/crates/dispatch-policy/tests/decision_trace/play/disturbances.rs
+++ b/crates/dispatch-policy/tests/decision_trace/simulation/environment.rs
@@ -1,12 +1,12 @@
-//! What happens around the invocations: lists, prewarming, membership, stalls and new settings.
+//! Events besides invocations: endpoint lists, prewarming, membership changes, stalls and new settings.
 
-use super::{Event, Play};
+use super::{Event, Simulation};
 use crate::fleet::LOAD_TIME;
 use crate::scenarios::base_policy;
 use orchidtally_dispatch_policy::interface::*;
 
-impl Play<'_> {
-    pub(super) fn tell_full_list(&mut self) {
+impl Simulation<'_> {
+    pub(super) fn send_full_list(&mut self) {
         let now = self.now();
         if self.random.chance(self.scenario.failed_lists) {
             self.dispatcher.on_endpoint_update(
@@ -17,18 +17,18 @@
             );
             return;
         }
-        let rows = self.fleet.rows();
+        let endpoints = self.fleet.endpoints();
         self.dispatcher.on_endpoint_update(
             now,
             EndpointUpdateKind::Full,
-            &rows,
+            &endpoints,
             &mut self.recorder,
         );
     }
 
     pub(super) fn change_list(&mut self) {
         let now = self.now();
-        let row = self.fleet.change(self.scenario, &mut self.random, now);
+        let endpoint = self.fleet.change(self.scenario, &mut self.random, now);
         if self.random.chance(self.scenario.failed_lists) {
             self.dispatcher.on_endpoint_update(
                 now,
@@ -37,18 +37,18 @@
                 &mut self.recorder,
             );
         } else if self.random.chance(self.scenario.full_lists) {
-            let rows = self.fleet.rows();
+            let endpoints = self.fleet.endpoints();
             self.dispatcher.on_endpoint_update(
                 now,
                 EndpointUpdateKind::Full,
-                &rows,
+                &endpoints,
                 &mut self.recorder,
             );
         } else {
             self.dispatcher.on_endpoint_update(
                 now,
                 EndpointUpdateKind::Delta,
-                &[row],
+                &[endpoint],
                 &mut self.recorder,
             );
         }
@@ -59,14 +59,14 @@
         let now = self.now();
         let function = self.random.skewed_below(self.scenario.functions) as u64 * 7_919 + 13;
         let load_time = self.random.chance(0.5).then_some(LOAD_TIME);
-        let copies = self.random.below(4);
-        let wish = PrewarmRequest {
+        let replicas = self.random.below(4);
+        let request = PrewarmRequest {
             function,
             concurrency: 2.0,
             load_time,
-            replicas: copies,
+            replicas,
         };
-        let warm = self.dispatcher.prewarm(now, &wish, &mut self.recorder);
+        let warm = self.dispatcher.prewarm(now, &request, &mut self.recorder);
         self.recorder.note(32, warm as u64);
         self.schedule_next(self.scenario.prewarms, Event::Prewarm);
     }
@@ -97,7 +97,7 @@
         self.schedule_next(self.scenario.view_reports, Event::ViewReport);
     }
 
-    /// The process does not run for a while: all that was due meanwhile happens afterwards.
+    /// Simulates a process stall: all events that were due meanwhile happen when the process resumes.
     pub(super) fn stall(&mut self) {
         let resumed_at = self.now() + 0.2 + 3.0 * self.random.unit();
         let due: Vec<(u64, u64)> = self
--- a/crates/dispatch-policy/tests/decision_trace/play/executions.rs
+++ b/crates/dispatch-policy/tests/decision_trace/simulation/executions.rs
@@ -1,16 +1,16 @@
-//! Dispatches and load commands after they were decided on: as their bytes leave, and how they end.
+//! Dispatches and load commands after the decision: sending them, running them and reporting their results.
 
-use super::{Event, Play, SEND_DELAY, SentDispatch};
+use super::{Event, SEND_DELAY, SentDispatch, Simulation};
 use crate::fleet::LOAD_TIME;
 use orchidtally_dispatch_policy::interface::*;
 
-impl Play<'_> {
-    pub(super) fn send(&mut self, invocation: u32, to: ExecutorId, time_out: f64) {
+impl Simulation<'_> {
+    pub(super) fn send(&mut self, invocation: u32, to: ExecutorId, timeout: f64) {
         let now = self.now();
         let open = self
             .invocations
             .get_mut(&invocation)
-            .expect("a dispatch of an invocation never taken");
+            .expect("the dispatched invocation was never accepted");
         let dispatch = open.dispatches.len() as u8;
         open.dispatches.push(SentDispatch {
             to,
@@ -21,7 +21,7 @@
         if self.scenario.revalidates {
             self.schedule(
                 SEND_DELAY,
-                Event::BytesLeave {
+                Event::SendDispatch {
                     invocation,
                     dispatch,
                 },
@@ -30,47 +30,47 @@
         let result = self
             .fleet
             .run(self.scenario, &mut self.random, to, function, now);
-        if result.is_answered && result.delay < time_out {
-            if self.random.chance(self.scenario.streamed) {
+        if result.is_answered && result.delay < timeout {
+            if self.random.chance(self.scenario.streamed_responses) {
                 self.schedule(
                     0.7 * result.delay,
-                    Event::Streams {
+                    Event::ResponseStarts {
                         invocation,
                         dispatch,
                     },
                 );
             }
-            let (ending, found) = (result.ending, result.found);
+            let (status, copy_state) = (result.status, result.copy_state);
             self.schedule(
                 result.delay,
                 Event::DispatchEnds {
                     invocation,
                     dispatch,
-                    ending,
-                    found,
+                    status,
+                    copy_state,
                 },
             );
         } else {
-            let (ending, found) = (DispatchStatus::TimedOut, CopyState::Unknown);
+            let (status, copy_state) = (DispatchStatus::TimedOut, CopyState::Unknown);
             self.schedule(
-                time_out,
+                timeout,
                 Event::DispatchEnds {
                     invocation,
                     dispatch,
-                    ending,
-                    found,
+                    status,
+                    copy_state,
                 },
             );
         }
     }
 
-    pub(super) fn bytes_leave(&mut self, invocation: u32, dispatch: u8) {
+    pub(super) fn revalidate_dispatch(&mut self, invocation: u32, dispatch: u8) {
         let now = self.now();
-        let leaves = self
+        let may_send = self
             .dispatcher
             .revalidate_dispatch(now, invocation, dispatch);
-        self.recorder.note(30, leaves.into());
-        if !leaves && self.dropped.insert((invocation, dispatch)) {
+        self.recorder.note(30, may_send.into());
+        if !may_send && self.dropped.insert((invocation, dispatch)) {
             self.end_dispatch(
                 invocation,
                 dispatch,
@@ -84,12 +84,12 @@
         &mut self,
         invocation: u32,
         dispatch: u8,
-        ending: DispatchStatus,
-        found: CopyState,
+        status: DispatchStatus,
+        copy_state: CopyState,
     ) {
         let now = self.now();
         let withheld = matches!(
-            ending,
+            status,
             DispatchStatus::Cancelled | DispatchStatus::NeverSent
         );
         if !withheld && self.dropped.contains(&(invocation, dispatch)) {
@@ -104,40 +104,40 @@
         if std::mem::replace(&mut sent.ended, true) {
             return;
         }
-        let (executor, took) = (sent.to, now - sent.sent_at);
-        let is_success = ending == DispatchStatus::Ok;
+        let (executor, duration) = (sent.to, now - sent.sent_at);
+        let is_success = status == DispatchStatus::Ok;
         if is_success && !open.closed && now <= open.timeout_at {
             self.succeeded += 1;
         }
         open.closed |= is_success;
         let closed = open.closed;
         let report = [
-            self.fleet.waiting(executor, &mut self.random),
+            self.fleet.reported_backlog(executor, &mut self.random),
             (self.random.unit() * 3.0) as f32,
         ];
         let has_report = self.random.chance(0.7);
         let report: &[f32] = if has_report { &report } else { &[] };
-        let crowd = self.random.below(6) as u32;
+        let function_concurrency = self.random.below(6) as u32;
         let result = DispatchResult {
             invocation,
             dispatch,
             executor,
-            status: ending,
-            duration: took,
+            status,
+            duration,
             is_answered: closed,
-            copy_state: found,
-            function_concurrency: crowd,
+            copy_state,
+            function_concurrency,
             load_report: report,
         };
         self.dispatcher
             .on_dispatch_result(now, &result, &mut self.recorder);
     }
 
-    pub(super) fn load_leaves(&mut self, to: ExecutorId, function: u64, ordered_at: f64) {
+    pub(super) fn revalidate_load(&mut self, to: ExecutorId, function: u64, decided_at: f64) {
         let now = self.now();
-        let leaves = self.dispatcher.revalidate_load(now, to, ordered_at);
-        self.recorder.note(31, leaves.into());
-        if leaves {
+        let may_send = self.dispatcher.revalidate_load(now, to, decided_at);
+        self.recorder.note(31, may_send.into());
+        if may_send {
             self.schedule_load(to, function);
         } else {
             self.dispatcher.on_load_result(
@@ -157,10 +157,10 @@
 
     pub(super) fn end_load(&mut self, to: ExecutorId, function: u64) {
         let now = self.now();
-        let ending = self
+        let status = self
             .fleet
             .load(self.scenario, &mut self.random, to, function, now);
         self.dispatcher
-            .on_load_result(now, to, function, ending, &mut self.recorder);
+            .on_load_result(now, to, function, status, &mut self.recorder);
     }
 }
--- a/crates/dispatch-policy/tests/dispatch_policy.rs
+++ b/crates/dispatch-policy/tests/dispatch_policy.rs
@@ -5,7 +5,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reference_model::{RecordedAction, World, policy, warm_world};
+use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
 /// One thing that happens: what, two parameters, and the seconds that pass after it.
 type Step = (u8, usize, usize, f64);
@@ -23,24 +23,24 @@
 ];
 
 fn play(policy: PolicyConfig, steps: &[Step]) {
-    let mut world = World::new(policy, 6);
+    let mut harness = Harness::new(policy, 6);
     for &(what, a, b, later) in steps {
         match what {
             0..=3 => {
-                world.invoke(b % 3, a as u64 % 5, 0.3 + later * 20.0);
+                harness.invoke(b % 3, a as u64 % 5, 0.3 + later * 20.0);
             }
             4..=6 => {
-                let in_flight: Vec<(u32, usize)> = world
+                let in_flight: Vec<(u32, usize)> = harness
                     .model
                     .accepted
                     .iter()
                     .filter_map(|accepted| Some((accepted.invocation.id, accepted.in_flight()?)))
                     .collect();
                 if let Some(&(invocation, dispatch)) = in_flight.get(a % in_flight.len().max(1)) {
-                    world.finish(invocation, dispatch, STATUSES[b % STATUSES.len()]);
+                    harness.finish(invocation, dispatch, STATUSES[b % STATUSES.len()]);
                 }
             }
-            7 => world.finish_loads(STATUSES[b % STATUSES.len()]),
+            7 => harness.finish_loads(STATUSES[b % STATUSES.len()]),
             8 => {
                 let state = [
                     EndpointState::Ready,
@@ -49,21 +49,21 @@
                     EndpointState::Ready,
                 ][b % 4];
                 let started_at = if b >= 4 {
-                    world.model.now - later
+                    harness.model.now - later
                 } else {
                     f64::NEG_INFINITY
                 };
-                world.update_endpoint(a % 6, state, started_at);
+                harness.update_endpoint(a % 6, state, started_at);
             }
-            9 => _ = world.prewarm(a as u64 % 5, b % 3),
+            9 => _ = harness.prewarm(a as u64 % 5, b % 3),
             _ => {
-                world.model.executors[a % 6].cell = b as u16 % 4;
-                world.update_endpoint(a % 6, EndpointState::Ready, f64::NEG_INFINITY);
+                harness.model.executors[a % 6].cell = b as u16 % 4;
+                harness.update_endpoint(a % 6, EndpointState::Ready, f64::NEG_INFINITY);
             }
         }
-        world.advance(later);
+        harness.advance(later);
     }
-    world.assert_all_answered();
+    harness.assert_all_answered();
 }
 
 #[test]
@@ -104,31 +104,31 @@
 
 #[test]
 fn full_results_start_a_backoff() {
-    let (mut world, executor) = warm_world(policy(), 1);
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish(invocation, 1 - 1, DispatchStatus::Full);
-    world.advance(0.05);
+    let (mut harness, executor) = warm_harness(policy(), 1);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish(invocation, 1 - 1, DispatchStatus::Full);
+    harness.advance(0.05);
     assert_eq!(
-        world.dispatches_to(executor),
+        harness.dispatches_to(executor),
         2,
         "nothing is sent during the backoff"
     );
-    world.advance(0.1);
-    assert_eq!(world.dispatches_to(executor), 3);
+    harness.advance(0.1);
+    assert_eq!(harness.dispatches_to(executor), 3);
 }
 
 #[test]
 fn slow_answers_never_reject_everything_for_good() {
-    let (mut world, executor) = warm_world(policy(), 1);
+    let (mut harness, executor) = warm_harness(policy(), 1);
     for _ in 0..60 {
-        let (invocation, now) = (world.invoke(0, 1, 5.0), world.model.now);
-        let dispatch = (world.model.accepted[invocation as usize]
+        let (invocation, now) = (harness.invoke(0, 1, 5.0), harness.model.now);
+        let dispatch = (harness.model.accepted[invocation as usize]
             .dispatches
             .len()
             .max(1)
             - 1) as u8;
-        world.model.accepted[invocation as usize].dispatches[0].status = Some(DispatchStatus::Ok);
-        world.model.accepted[invocation as usize].answered_at = Some(now);
+        harness.model.accepted[invocation as usize].dispatches[0].status = Some(DispatchStatus::Ok);
+        harness.model.accepted[invocation as usize].answered_at = Some(now);
         let (executor, copy_state) = (reference_model::executor_id(executor), CopyState::Warm);
         let status = DispatchStatus::Ok;
         let result = DispatchResult {
@@ -142,88 +142,88 @@
             function_concurrency: 0,
             load_report: &[],
         };
-        world
+        harness
             .dispatcher
-            .on_dispatch_result(now, &result, &mut world.model);
+            .on_dispatch_result(now, &result, &mut harness.model);
     }
-    let invocation = world.invoke(0, 1, 5.0);
+    let invocation = harness.invoke(0, 1, 5.0);
     assert!(
-        matches!(world.model.actions.last(), Some(&RecordedAction::Dispatch(i, _)) if i == invocation)
+        matches!(harness.model.actions.last(), Some(&RecordedAction::Dispatch(i, _)) if i == invocation)
     );
 }
 
 #[test]
 fn restart_drops_the_warm_replicas_of_an_executor() {
-    let (mut world, executor) = warm_world(policy(), 4);
-    let now = world.model.now;
-    world.update_endpoint(executor, EndpointState::Ready, now);
-    world.invoke(0, 1, 5.0);
+    let (mut harness, executor) = warm_harness(policy(), 4);
+    let now = harness.model.now;
+    harness.update_endpoint(executor, EndpointState::Ready, now);
+    harness.invoke(0, 1, 5.0);
     assert!(
-        matches!(world.model.actions.last(), Some(RecordedAction::Load(..))),
+        matches!(harness.model.actions.last(), Some(RecordedAction::Load(..))),
         "the replica there is gone"
     );
 }
 
 #[test]
 fn streams_and_unexpected_inputs_are_tolerated() {
-    let (mut world, _) = warm_world(policy(), 2);
-    let invocation = world.invoke(0, 1, 5.0);
-    world
+    let (mut harness, _) = warm_harness(policy(), 2);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness
         .dispatcher
-        .on_response_started(world.model.now, invocation, 0, &mut world.model);
-    world.advance(2.0);
+        .on_response_started(harness.model.now, invocation, 0, &mut harness.model);
+    harness.advance(2.0);
     assert_eq!(
-        world.model.accepted[invocation as usize].dispatches.len(),
+        harness.model.accepted[invocation as usize].dispatches.len(),
         1
     );
-    world.finish(invocation, 0, DispatchStatus::Ok);
-    world
+    harness.finish(invocation, 0, DispatchStatus::Ok);
+    harness
         .dispatcher
-        .on_client_cancel(world.model.now, invocation, &mut world.model);
-    world
+        .on_client_cancel(harness.model.now, invocation, &mut harness.model);
+    harness
         .dispatcher
-        .on_client_cancel(world.model.now, 999, &mut world.model);
-    world.dispatcher.on_endpoint_update(
-        world.model.now,
+        .on_client_cancel(harness.model.now, 999, &mut harness.model);
+    harness.dispatcher.on_endpoint_update(
+        harness.model.now,
         EndpointUpdateKind::Failed,
         &[],
-        &mut world.model,
+        &mut harness.model,
     );
-    world.dispatcher.on_load_result(
-        world.model.now,
+    harness.dispatcher.on_load_result(
+        harness.model.now,
         reference_model::executor_id(9),
         77,
         DispatchStatus::Ok,
-        &mut world.model,
+        &mut harness.model,
     );
-    let past = world.invoke(2, 1, 0.0);
+    let past = harness.invoke(2, 1, 0.0);
     assert!(
-        world.model.accepted[past as usize].answered_at.is_some(),
+        harness.model.accepted[past as usize].answered_at.is_some(),
         "a client timeout already past is answered at once"
     );
-    let mut empty = World::new(policy(), 0);
+    let mut empty = Harness::new(policy(), 0);
     empty.invoke(0, 1, 1.0);
     empty.assert_all_answered();
 }
 
 #[test]
 fn early_client_timeout_ejects_none_and_an_idle_front_end_sets_no_timer() {
-    let (mut world, executor) = warm_world(policy(), 4);
-    world.invoke(0, 1, 0.2);
-    world.advance(1.0);
+    let (mut harness, executor) = warm_harness(policy(), 4);
+    harness.invoke(0, 1, 0.2);
+    harness.advance(1.0);
     assert!(
-        world.model.timers.is_empty(),
+        harness.model.timers.is_empty(),
         "no timer with nothing waiting or in flight"
     );
-    world.invoke(0, 1, 5.0);
+    harness.invoke(0, 1, 5.0);
     assert!(
-        matches!(world.model.actions.last(), Some(&RecordedAction::Dispatch(_, to)) if to == executor)
+        matches!(harness.model.actions.last(), Some(&RecordedAction::Dispatch(_, to)) if to == executor)
     );
 }
 
 #[test]
 fn function_with_most_waiting_is_served_first() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             load_budget_floor: 1.0,
             load_budget_fraction: 0.0,
@@ -231,21 +231,21 @@
         },
         4,
     );
-    world.invoke(0, 1, 5.0);
+    harness.invoke(0, 1, 5.0);
     for function in [2, 3, 3, 3, 4] {
-        world.invoke(0, function, 5.0);
+        harness.invoke(0, function, 5.0);
     }
     // Only one load command is granted in a window, and the first function has it; the executors reject the rest.
-    let sent = world.model.accepted[1..]
+    let sent = harness.model.accepted[1..]
         .iter()
         .filter(|accepted| !accepted.dispatches.is_empty());
     let rejected: Vec<u32> = sent.map(|accepted| accepted.invocation.id).collect();
     for invocation in rejected {
-        world.finish(invocation, 0, DispatchStatus::Full);
+        harness.finish(invocation, 0, DispatchStatus::Full);
     }
-    world.model.actions.clear();
-    world.advance(5.1);
-    let first = world.model.actions.iter().find(|action| {
+    harness.model.actions.clear();
+    harness.advance(5.1);
+    let first = harness.model.actions.iter().find(|action| {
         matches!(
             action,
             RecordedAction::Load(..) | RecordedAction::Dispatch(..)
--- a/crates/dispatch-policy/tests/fleet_scale.rs
+++ b/crates/dispatch-policy/tests/fleet_scale.rs
@@ -75,7 +75,7 @@
                 &DispatchResult {
                     invocation,
                     executor,
-                    ..reference_model::succeeded()
+                    ..reference_model::successful_result()
                 },
                 &mut recorder,
             );
@@ -233,7 +233,7 @@
                 executor: result.executor,
                 duration: result.latency,
                 copy_state: result.copy_state,
-                ..reference_model::succeeded()
+                ..reference_model::successful_result()
             };
             dispatcher.on_dispatch_result(self.now, &dispatch_result, recorder);
             let arrived_at = accepted[result.invocation as usize].arrived_at;
--- a/crates/dispatch-policy/tests/idempotency.rs
+++ b/crates/dispatch-policy/tests/idempotency.rs
@@ -3,66 +3,66 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{World, policy};
+use reference_model::{Harness, policy};
 
-/// A world whose placements are dispatches, with a keyed invocation that may have run at an executor, and the other
+/// A harness whose placements are dispatches, with a keyed invocation that may have run at an executor, and the other
 /// executor of that one's scope.
-fn world_with_possible_execution(function: u64) -> (World, u32, usize) {
-    let mut world = World::new(
+fn harness_with_possible_execution(function: u64) -> (Harness, u32, usize) {
+    let mut harness = Harness::new(
         PolicyConfig {
             allows_load_commands: false,
             ..policy()
         },
         8,
     );
-    let invocation = world.invoke(1, function, 5.0);
-    let first = world.model.accepted[invocation as usize].dispatches[0].executor;
-    (world, invocation, first ^ 1)
+    let invocation = harness.invoke(1, function, 5.0);
+    let first = harness.model.accepted[invocation as usize].dispatches[0].executor;
+    (harness, invocation, first ^ 1)
 }
 
 /// Found in scenarios over sockets: without a warm replica in its scope the invocation waited until its client left.
 #[test]
 fn keyed_invocation_is_retried_within_its_scope() {
     for function in 0..40 {
-        let (mut world, invocation, peer) = world_with_possible_execution(function);
-        world.finish(invocation, 0, DispatchStatus::Error);
-        world.advance(0.5);
+        let (mut harness, invocation, peer) = harness_with_possible_execution(function);
+        harness.finish(invocation, 0, DispatchStatus::Error);
+        harness.advance(0.5);
         assert_eq!(
-            world.executors_of(invocation),
+            harness.executors_of(invocation),
             [peer ^ 1, peer],
             "function {function}"
         );
-        world.finish(invocation, 1, DispatchStatus::Ok);
-        world.assert_all_answered();
+        harness.finish(invocation, 1, DispatchStatus::Ok);
+        harness.assert_all_answered();
     }
 }
 
 #[test]
 fn keyed_invocation_is_retried_within_its_scope_despite_warm_replicas_outside() {
     for function in 0..40 {
-        let (mut world, invocation, peer) = world_with_possible_execution(function);
+        let (mut harness, invocation, peer) = harness_with_possible_execution(function);
         let outside: Vec<usize> = (0..8).filter(|executor| executor / 2 != peer / 2).collect();
         outside[1..].iter().for_each(|&executor| {
-            world.update_endpoint(executor, EndpointState::Draining, f64::NEG_INFINITY)
+            harness.update_endpoint(executor, EndpointState::Draining, f64::NEG_INFINITY)
         });
-        world.update_endpoint(peer, EndpointState::Draining, f64::NEG_INFINITY);
-        world.finish(invocation, 0, DispatchStatus::Error);
-        world.advance(0.2);
-        let other = world.invoke(0, function, 5.0);
+        harness.update_endpoint(peer, EndpointState::Draining, f64::NEG_INFINITY);
+        harness.finish(invocation, 0, DispatchStatus::Error);
+        harness.advance(0.2);
+        let other = harness.invoke(0, function, 5.0);
         assert_eq!(
-            world.executors_of(other),
+            harness.executors_of(other),
             outside[..1],
             "function {function}"
         );
-        world.finish(other, 0, DispatchStatus::Ok);
-        world.advance(0.1);
+        harness.finish(other, 0, DispatchStatus::Ok);
+        harness.advance(0.1);
         assert_eq!(
-            world.executors_of(invocation),
+            harness.executors_of(invocation),
             [peer ^ 1, peer ^ 1],
             "function {function}"
         );
-        world.finish(invocation, 1, DispatchStatus::Ok);
-        world.assert_all_answered();
+        harness.finish(invocation, 1, DispatchStatus::Ok);
+        harness.assert_all_answered();
     }
 }
 
@@ -71,23 +71,23 @@
     for function in 0..40 {
         // The executors remember a key for 2 s.
         for (back_after, sent) in [(1.9, 2), (2.1, 1)] {
-            let (mut world, invocation, peer) = world_with_possible_execution(function);
-            world.update_endpoint(peer, EndpointState::Draining, f64::NEG_INFINITY);
-            world.finish(invocation, 0, DispatchStatus::Error);
-            world.advance(back_after);
+            let (mut harness, invocation, peer) = harness_with_possible_execution(function);
+            harness.update_endpoint(peer, EndpointState::Draining, f64::NEG_INFINITY);
+            harness.finish(invocation, 0, DispatchStatus::Error);
+            harness.advance(back_after);
             assert_eq!(
-                world.executors_of(invocation),
+                harness.executors_of(invocation),
                 [peer ^ 1],
                 "function {function}, with no other in its scope"
             );
-            world.update_endpoint(peer, EndpointState::Ready, f64::NEG_INFINITY);
-            world.advance(0.1);
+            harness.update_endpoint(peer, EndpointState::Ready, f64::NEG_INFINITY);
+            harness.advance(0.1);
             assert_eq!(
-                world.executors_of(invocation).len(),
+                harness.executors_of(invocation).len(),
                 sent,
                 "function {function}, back after {back_after} s"
             );
-            world.assert_all_answered();
+            harness.assert_all_answered();
         }
     }
 }
@@ -96,7 +96,7 @@
 /// scope of the first only.
 #[test]
 fn reused_address_keeps_the_scope_of_the_earlier_executor() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             load_budget_window: 0.0,
             ..policy()
@@ -104,20 +104,20 @@
         2,
     );
     for _ in 0..2 {
-        world.prewarm(1, 2);
-        world.finish_loads(DispatchStatus::Ok);
+        harness.prewarm(1, 2);
+        harness.finish_loads(DispatchStatus::Ok);
     }
-    let (invocation, other) = (world.invoke(1, 1, 5.0), world.invoke(0, 1, 5.0));
+    let (invocation, other) = (harness.invoke(1, 1, 5.0), harness.invoke(0, 1, 5.0));
     let (first, second) = (
-        world.executors_of(invocation)[0],
-        world.executors_of(other)[0],
+        harness.executors_of(invocation)[0],
+        harness.executors_of(other)[0],
     );
     assert_ne!(first, second, "each executor has one of them");
-    world.model.executors[first].cell = 9;
-    world.update_endpoint(first, EndpointState::Ready, f64::NEG_INFINITY);
-    world.finish(invocation, 0, DispatchStatus::Error);
+    harness.model.executors[first].cell = 9;
+    harness.update_endpoint(first, EndpointState::Ready, f64::NEG_INFINITY);
+    harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
-        world.executors_of(invocation),
+        harness.executors_of(invocation),
         [first, second],
         "not at the idle executor, which is in another cell now"
     );
--- a/crates/dispatch-policy/tests/load_budget.rs
+++ b/crates/dispatch-policy/tests/load_budget.rs
@@ -3,11 +3,11 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{World, policy};
+use reference_model::{Harness, policy};
 
 #[test]
 fn prewarming_uses_half_of_the_load_budget_and_renews_replicas() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             load_budget_floor: 4.0,
             load_budget_fraction: 0.0,
@@ -15,34 +15,34 @@
         },
         6,
     );
-    let commands = |world: &World| world.model.load_commands.len();
+    let commands = |harness: &Harness| harness.model.load_commands.len();
     for function in 1..=4 {
-        assert_eq!(world.prewarm(function, 1), 0);
+        assert_eq!(harness.prewarm(function, 1), 0);
     }
     assert_eq!(
-        commands(&world),
+        commands(&harness),
         2,
         "the rest of the budget is for placements"
     );
-    world.invoke(0, 9, 5.0);
-    assert_eq!(commands(&world), 3);
-    world.finish_loads(DispatchStatus::Ok);
-    assert_eq!(world.prewarm(1, 1), 1, "the replica is warm");
-    world.advance(5.5);
+    harness.invoke(0, 9, 5.0);
+    assert_eq!(commands(&harness), 3);
+    harness.finish_loads(DispatchStatus::Ok);
+    assert_eq!(harness.prewarm(1, 1), 1, "the replica is warm");
+    harness.advance(5.5);
     assert_eq!(
-        (world.prewarm(1, 1), commands(&world)),
+        (harness.prewarm(1, 1), commands(&harness)),
         (1, 4),
         "it is renewed before it expires"
     );
-    world.finish_loads(DispatchStatus::Ok);
-    world.advance(5.0);
-    assert_eq!(world.prewarm(1, 0), 1, "and warm for longer than without");
-    assert_eq!(world.prewarm(2, 0), 0, "unlike the other");
+    harness.finish_loads(DispatchStatus::Ok);
+    harness.advance(5.0);
+    assert_eq!(harness.prewarm(1, 0), 1, "and warm for longer than without");
+    assert_eq!(harness.prewarm(2, 0), 0, "unlike the other");
 }
 
 #[test]
 fn withdrawn_invocations_grant_no_load_command() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             load_budget_floor: 1.0,
             ..policy()
@@ -50,14 +50,14 @@
         6,
     );
     for _ in 0..20 {
-        let invocation = world.invoke(0, 1, 5.0);
-        world.cancel(invocation);
+        let invocation = harness.invoke(0, 1, 5.0);
+        harness.cancel(invocation);
     }
     for function in 2..6 {
-        world.invoke(0, function, 5.0);
+        harness.invoke(0, function, 5.0);
     }
     assert_eq!(
-        world.model.load_commands.len(),
+        harness.model.load_commands.len(),
         1,
         "the floor, and no fraction of what was withdrawn"
     );
--- a/crates/dispatch-policy/tests/load_score.rs
+++ b/crates/dispatch-policy/tests/load_score.rs
@@ -3,18 +3,18 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{World, policy};
+use reference_model::{Harness, policy};
 
-/// A world in which function 1 is warm at executors in these zones. Invocations are few enough to leave every limit
+/// A harness in which function 1 is warm at executors in these zones. Invocations are few enough to leave every limit
 /// aside.
-fn world_with_replicas(zones: &[u8], policy: PolicyConfig) -> World {
-    let mut world = World::in_zones(policy, zones);
+fn harness_with_replicas(zones: &[u8], policy: PolicyConfig) -> Harness {
+    let mut harness = Harness::in_zones(policy, zones);
     for _ in zones {
-        world.prewarm(1, zones.len());
-        world.finish_loads(DispatchStatus::Ok);
+        harness.prewarm(1, zones.len());
+        harness.finish_loads(DispatchStatus::Ok);
     }
-    assert_eq!(world.prewarm(1, zones.len()), zones.len());
-    world
+    assert_eq!(harness.prewarm(1, zones.len()), zones.len());
+    harness
 }
 
 fn unlimited_loads() -> PolicyConfig {
@@ -25,29 +25,29 @@
 }
 
 /// Invokes function 1 and returns where it is dispatched to.
-fn dispatched_to(world: &mut World) -> usize {
-    let invocation = world.invoke(0, 1, 5.0);
-    world.executors_of(invocation)[0]
+fn dispatched_to(harness: &mut Harness) -> usize {
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.executors_of(invocation)[0]
 }
 
 #[test]
 fn replica_with_fewer_dispatches_in_flight_is_preferred() {
-    let mut world = world_with_replicas(&[0, 0, 0], unlimited_loads());
-    let mut used: Vec<usize> = (0..3).map(|_| dispatched_to(&mut world)).collect();
+    let mut harness = harness_with_replicas(&[0, 0, 0], unlimited_loads());
+    let mut used: Vec<usize> = (0..3).map(|_| dispatched_to(&mut harness)).collect();
     used.sort_unstable();
     assert_eq!(used, [0, 1, 2]);
 }
 
 #[test]
 fn replica_in_another_zone_counts_as_more_loaded() {
-    let mut world = world_with_replicas(&[1, 0, 1], unlimited_loads());
-    assert_eq!(dispatched_to(&mut world), 1);
+    let mut harness = harness_with_replicas(&[1, 0, 1], unlimited_loads());
+    assert_eq!(dispatched_to(&mut harness), 1);
     let config = PolicyConfig {
         zone: 1,
         ..unlimited_loads()
     };
-    let mut world = world_with_replicas(&[0, 1, 0], config);
-    assert_eq!(dispatched_to(&mut world), 1);
+    let mut harness = harness_with_replicas(&[0, 1, 0], config);
+    assert_eq!(dispatched_to(&mut harness), 1);
 }
 
 #[test]
@@ -56,11 +56,11 @@
         backlog_field: Some(0),
         ..unlimited_loads()
     };
-    let mut world = world_with_replicas(&[0, 0], config);
-    let reporting = dispatched_to(&mut world);
-    world.load_report = vec![9.0];
-    world.finish(0, 0, DispatchStatus::Ok);
-    world.load_report = vec![];
-    let in_flight: Vec<usize> = (0..2).map(|_| dispatched_to(&mut world)).collect();
+    let mut harness = harness_with_replicas(&[0, 0], config);
+    let reporting = dispatched_to(&mut harness);
+    harness.load_report = vec![9.0];
+    harness.finish(0, 0, DispatchStatus::Ok);
+    harness.load_report = vec![];
+    let in_flight: Vec<usize> = (0..2).map(|_| dispatched_to(&mut harness)).collect();
     assert!(!in_flight.contains(&reporting), "{in_flight:?}");
 }
--- a/crates/dispatch-policy/tests/placement.rs
+++ b/crates/dispatch-policy/tests/placement.rs
@@ -3,39 +3,43 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{RecordedAction, World, policy, warm_world};
+use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
 #[test]
 fn invocations_of_a_cold_function_share_one_placement() {
-    let mut world = World::new(policy(), 6);
+    let mut harness = Harness::new(policy(), 6);
     for _ in 0..4 {
-        world.invoke(0, 1, 5.0);
+        harness.invoke(0, 1, 5.0);
     }
     assert_eq!(
-        world.model.actions.len(),
+        harness.model.actions.len(),
         1,
         "one load command, no dispatch: {:?}",
-        world.model.actions
+        harness.model.actions
     );
-    world.finish_loads(DispatchStatus::Ok);
-    let sent = world
+    harness.finish_loads(DispatchStatus::Ok);
+    let sent = harness
         .model
         .actions
         .iter()
         .filter(|action| matches!(action, RecordedAction::Dispatch(..)))
         .count();
-    assert_eq!(sent, 4, "all follow its result: {:?}", world.model.actions);
+    assert_eq!(
+        sent, 4,
+        "all follow its result: {:?}",
+        harness.model.actions
+    );
 }
 
 #[test]
 fn all_front_ends_choose_the_same_placement_target() {
     let target = |timers: u64| {
-        let mut world = World::new(policy(), 6);
+        let mut harness = Harness::new(policy(), 6);
         for _ in 0..timers {
-            world.dispatcher.on_timer(100.0, 0, &mut world.model);
+            harness.dispatcher.on_timer(100.0, 0, &mut harness.model);
         }
-        world.invoke(0, 42, 5.0);
-        world.model.actions[0].clone()
+        harness.invoke(0, 42, 5.0);
+        harness.model.actions[0].clone()
     };
     assert_eq!(target(0), target(3));
 }
@@ -45,8 +49,8 @@
 #[test]
 fn front_ends_choose_the_same_executor_while_loads_are_pending() {
     let pending_loads = std::cell::Cell::new(0.0);
-    let new_world = || {
-        let mut world = World::new(
+    let new_harness = || {
+        let mut harness = Harness::new(
             PolicyConfig {
                 front_ends: 300.0,
                 load_budget_floor: 9.0,
@@ -55,26 +59,26 @@
             },
             6,
         );
-        world.load_report = vec![pending_loads.get()];
-        let invocation = world.invoke(0, 1, 5.0);
-        world.finish_loads(DispatchStatus::Ok);
-        world.finish(invocation, 0, DispatchStatus::Ok);
-        world
+        harness.load_report = vec![pending_loads.get()];
+        let invocation = harness.invoke(0, 1, 5.0);
+        harness.finish_loads(DispatchStatus::Ok);
+        harness.finish(invocation, 0, DispatchStatus::Ok);
+        harness
     };
-    let drawn = |mut world: World| {
-        world.invoke(0, 42, 5.0);
-        let Some(&RecordedAction::Load(executor, 42)) = world.model.actions.last() else {
-            panic!("{:?}", world.model.actions)
+    let drawn = |mut harness: Harness| {
+        harness.invoke(0, 42, 5.0);
+        let Some(&RecordedAction::Load(executor, 42)) = harness.model.actions.last() else {
+            panic!("{:?}", harness.model.actions)
         };
-        (executor, world)
+        (executor, harness)
     };
-    let first = drawn(new_world()).0;
+    let first = drawn(new_harness()).0;
     let elsewhere_count = || {
         let elsewhere = |other: &u64| {
-            let mut world = new_world();
-            world.invoke(0, *other, 5.0);
-            world.finish_loads(DispatchStatus::Ok);
-            drawn(world).0 != first
+            let mut harness = new_harness();
+            harness.invoke(0, *other, 5.0);
+            harness.finish_loads(DispatchStatus::Ok);
+            drawn(harness).0 != first
         };
         (100..160).filter(elsewhere).count()
     };
@@ -87,7 +91,7 @@
 #[test]
 fn invocation_is_the_placement_where_load_commands_are_expensive() {
     let placed = |load_command_cost: f64, rejects_unloaded: bool| {
-        let mut world = World::new(
+        let mut harness = Harness::new(
             PolicyConfig {
                 load_command_cost,
                 rejects_unloaded,
@@ -95,8 +99,8 @@
             },
             6,
         );
-        world.invoke(0, 1, 5.0);
-        world.model.actions[0].clone()
+        harness.invoke(0, 1, 5.0);
+        harness.model.actions[0].clone()
     };
     assert!(matches!(
         placed(0.08, false),
@@ -111,23 +115,23 @@
 
 #[test]
 fn function_with_high_reported_concurrency_gets_more_replicas() {
-    let (mut world, _) = warm_world(
+    let (mut harness, _) = warm_harness(
         PolicyConfig {
             reports_concurrency: true,
             ..policy()
         },
         6,
     );
-    world.function_concurrency = 24;
+    harness.function_concurrency = 24;
     for _ in 0..8 {
-        let invocation = world.invoke(0, 1, 5.0);
-        world.finish_loads(DispatchStatus::Ok);
-        world.finish(invocation, 0, DispatchStatus::Ok);
-        world.advance(3.0);
+        let invocation = harness.invoke(0, 1, 5.0);
+        harness.finish_loads(DispatchStatus::Ok);
+        harness.finish(invocation, 0, DispatchStatus::Ok);
+        harness.advance(3.0);
     }
     assert!(
         (0..6)
-            .filter(|&executor| world.dispatches_to(executor) > 0)
+            .filter(|&executor| harness.dispatches_to(executor) > 0)
             .count()
             > 2
     );
@@ -136,14 +140,17 @@
 /// Found with 100,000 functions: an expired replica that was not swept yet delayed the next placement.
 #[test]
 fn expired_replica_delays_no_placement() {
-    let (mut world, _) = warm_world(policy(), 6);
-    world.advance(9.0);
-    let before = world.model.actions.len();
-    world.invoke(0, 1, 5.0);
+    let (mut harness, _) = warm_harness(policy(), 6);
+    harness.advance(9.0);
+    let before = harness.model.actions.len();
+    harness.invoke(0, 1, 5.0);
     assert!(
-        matches!(world.model.actions[before..], [RecordedAction::Load(_, 1)]),
+        matches!(
+            harness.model.actions[before..],
+            [RecordedAction::Load(_, 1)]
+        ),
         "{:?}",
-        &world.model.actions[before..]
+        &harness.model.actions[before..]
     );
 }
 
@@ -151,49 +158,49 @@
 /// there again, even without any other.
 #[test]
 fn only_executor_is_tried_again_after_it_was_full() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             allows_load_commands: false,
             ..policy()
         },
         1,
     );
-    let invocation = world.invoke(0, 1, 5.0);
+    let invocation = harness.invoke(0, 1, 5.0);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, 0))
     );
-    world.finish(invocation, 0, DispatchStatus::Full);
-    world.advance(0.6);
-    assert_eq!(world.dispatches_to(0), 2, "{:?}", world.model.actions);
+    harness.finish(invocation, 0, DispatchStatus::Full);
+    harness.advance(0.6);
+    assert_eq!(harness.dispatches_to(0), 2, "{:?}", harness.model.actions);
 }
 
 /// The same with another executor that takes no connection: one dispatch is enough to find that out.
 #[test]
 fn full_executor_is_preferred_to_one_without_connection() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             allows_load_commands: false,
             ..policy()
         },
         2,
     );
-    let invocation = world.invoke(0, 1, 5.0);
-    let gone = usize::from(world.dispatches_to(1) > 0);
-    world.finish(invocation, 0, DispatchStatus::ConnectFailed);
-    world.advance(0.2);
+    let invocation = harness.invoke(0, 1, 5.0);
+    let gone = usize::from(harness.dispatches_to(1) > 0);
+    harness.finish(invocation, 0, DispatchStatus::ConnectFailed);
+    harness.advance(0.2);
     assert_eq!(
-        (world.dispatches_to(gone), world.dispatches_to(1 - gone)),
+        (harness.dispatches_to(gone), harness.dispatches_to(1 - gone)),
         (1, 1),
         "{:?}",
-        world.model.actions
+        harness.model.actions
     );
-    world.finish(invocation, 1, DispatchStatus::Full);
-    world.advance(0.6);
+    harness.finish(invocation, 1, DispatchStatus::Full);
+    harness.advance(0.6);
     assert_eq!(
-        (world.dispatches_to(gone), world.dispatches_to(1 - gone)),
+        (harness.dispatches_to(gone), harness.dispatches_to(1 - gone)),
         (1, 2),
         "{:?}",
-        world.model.actions
+        harness.model.actions
     );
 }
--- a/crates/dispatch-policy/tests/reconfiguration.rs
+++ b/crates/dispatch-policy/tests/reconfiguration.rs
@@ -4,7 +4,7 @@
 
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{RecordedAction, World, policy, warm_world};
+use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
 fn trigger_type(objective: f64) -> TriggerType {
     TriggerType {
@@ -15,57 +15,57 @@
 
 #[test]
 fn an_appended_trigger_type_is_served() {
-    let (mut world, executor) = warm_world(policy(), 4);
-    assert!(!world.dispatcher.has_trigger_type(3));
+    let (mut harness, executor) = warm_harness(policy(), 4);
+    assert!(!harness.dispatcher.has_trigger_type(3));
     let non_idempotent = TriggerType {
         idempotency: Idempotency::NonIdempotent,
         ..trigger_type(1.0)
     };
-    world
+    harness
         .model
         .policy
         .trigger_types
         .push(non_idempotent.clone());
     assert_eq!(
-        world
+        harness
             .dispatcher
-            .set_trigger_type(world.model.now, 3, non_idempotent),
+            .set_trigger_type(harness.model.now, 3, non_idempotent),
         Ok(())
     );
-    assert!(world.dispatcher.has_trigger_type(3));
-    let invocation = world.invoke(3, 1, 5.0);
+    assert!(harness.dispatcher.has_trigger_type(3));
+    let invocation = harness.invoke(3, 1, 5.0);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, executor))
     );
     // It is non-idempotent: what may have run is not retried.
-    world.finish(invocation, 0, DispatchStatus::Error);
+    harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Fail(invocation))
     );
 }
 
 #[test]
 fn trigger_type_in_use_cannot_be_replaced() {
-    let (mut world, _) = warm_world(policy(), 4);
-    let invocation = world.invoke(0, 1, 5.0);
-    let change = |world: &mut World| {
-        world
+    let (mut harness, _) = warm_harness(policy(), 4);
+    let invocation = harness.invoke(0, 1, 5.0);
+    let change = |harness: &mut Harness| {
+        harness
             .dispatcher
-            .set_trigger_type(world.model.now, 0, policy().trigger_types[2].clone())
+            .set_trigger_type(harness.model.now, 0, policy().trigger_types[2].clone())
     };
-    assert_eq!(change(&mut world), Err(ConfigError::InUse { index: 0 }));
+    assert_eq!(change(&mut harness), Err(ConfigError::InUse { index: 0 }));
     // A withdrawn invocation is cancelled, and open until that is confirmed.
-    world.cancel(invocation);
-    assert_eq!(change(&mut world), Err(ConfigError::InUse { index: 0 }));
-    world.finish(invocation, 0, DispatchStatus::Cancelled);
-    assert_eq!(change(&mut world), Ok(()));
-    world.model.policy.trigger_types[0] = policy().trigger_types[2].clone();
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish(invocation, 0, DispatchStatus::Error);
+    harness.cancel(invocation);
+    assert_eq!(change(&mut harness), Err(ConfigError::InUse { index: 0 }));
+    harness.finish(invocation, 0, DispatchStatus::Cancelled);
+    assert_eq!(change(&mut harness), Ok(()));
+    harness.model.policy.trigger_types[0] = policy().trigger_types[2].clone();
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Fail(invocation)),
         "it is non-idempotent now"
     );
@@ -73,9 +73,13 @@
 
 #[test]
 fn invalid_trigger_type_is_rejected_and_changes_nothing() {
-    let mut world = World::new(policy(), 4);
-    let now = world.model.now;
-    let mut set = |index, trigger_type| world.dispatcher.set_trigger_type(now, index, trigger_type);
+    let mut harness = Harness::new(policy(), 4);
+    let now = harness.model.now;
+    let mut set = |index, trigger_type| {
+        harness
+            .dispatcher
+            .set_trigger_type(now, index, trigger_type)
+    };
     assert_eq!(
         set(5, trigger_type(1.0)),
         Err(ConfigError::OutOfOrder { index: 5, next: 3 })
@@ -94,7 +98,7 @@
         set(0, no_timeout),
         Err(ConfigError::InvalidTime { index: 0 })
     );
-    assert!(!world.dispatcher.has_trigger_type(3));
+    assert!(!harness.dispatcher.has_trigger_type(3));
     let text = ConfigError::OutOfOrder { index: 5, next: 3 }.to_string();
     assert!(text.contains("the next one to append is 3"), "{text}");
 }
@@ -136,33 +140,42 @@
         quotas: quotas.to_vec(),
         ..policy()
     };
-    let mut world = World::new(quotas(&[9.0]), 0);
+    let mut harness = Harness::new(quotas(&[9.0]), 0);
     // Two seconds of the quota and five times its root: 18 + 15 may be saved up.
-    assert_eq!(count_over_quota(&mut world.dispatcher, 100.0, 0), 200 - 33);
-    assert_eq!(count_over_quota(&mut world.dispatcher, 101.0, 0), 200 - 9);
+    assert_eq!(
+        count_over_quota(&mut harness.dispatcher, 100.0, 0),
+        200 - 33
+    );
+    assert_eq!(count_over_quota(&mut harness.dispatcher, 101.0, 0), 200 - 9);
     // One second at the old rate counts before the change, and one at the new rate after it.
-    assert_eq!(world.dispatcher.set_quotas(102.0, vec![25.0, 4.0]), Ok(()));
     assert_eq!(
-        count_over_quota(&mut world.dispatcher, 103.0, 0),
+        harness.dispatcher.set_quotas(102.0, vec![25.0, 4.0]),
+        Ok(())
+    );
+    assert_eq!(
+        count_over_quota(&mut harness.dispatcher, 103.0, 0),
         200 - 9 - 25
     );
     assert_eq!(
-        count_over_quota(&mut world.dispatcher, 103.0, 1),
+        count_over_quota(&mut harness.dispatcher, 103.0, 1),
         200 - 18,
         "8 + 10"
     );
     // What is saved is bounded by the new quota: 75 were saved by then, 4.5 are the most.
-    assert_eq!(world.dispatcher.set_quotas(203.0, vec![0.5]), Ok(()));
-    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 0), 200 - 4);
+    assert_eq!(harness.dispatcher.set_quotas(203.0, vec![0.5]), Ok(()));
+    assert_eq!(count_over_quota(&mut harness.dispatcher, 203.0, 0), 200 - 4);
     // A customer without a quota has no bound, and one that comes back starts full.
-    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 1), 0);
-    assert_eq!(world.dispatcher.set_quotas(203.0, vec![0.5, 4.0]), Ok(()));
-    assert_eq!(count_over_quota(&mut world.dispatcher, 203.0, 1), 200 - 18);
+    assert_eq!(count_over_quota(&mut harness.dispatcher, 203.0, 1), 0);
+    assert_eq!(harness.dispatcher.set_quotas(203.0, vec![0.5, 4.0]), Ok(()));
+    assert_eq!(
+        count_over_quota(&mut harness.dispatcher, 203.0, 1),
+        200 - 18
+    );
 }
 
 #[test]
 fn invalid_quota_is_rejected_and_changes_nothing() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             front_ends: 1.0,
             quotas: vec![9.0],
@@ -171,8 +184,11 @@
         0,
     );
     for quota in [-1.0, f64::NAN, f64::INFINITY] {
-        let set = world.dispatcher.set_quotas(100.0, vec![1.0, quota]);
+        let set = harness.dispatcher.set_quotas(100.0, vec![1.0, quota]);
         assert_eq!(set, Err(ConfigError::InvalidQuota { customer: 1 }));
     }
-    assert_eq!(count_over_quota(&mut world.dispatcher, 100.0, 0), 200 - 33);
+    assert_eq!(
+        count_over_quota(&mut harness.dispatcher, 100.0, 0),
+        200 - 33
+    );
 }
--- a/crates/dispatch-policy/tests/reference_model/fixtures.rs
+++ b/crates/dispatch-policy/tests/reference_model/fixtures.rs
@@ -45,7 +45,7 @@
 }
 
 /// The result of a dispatch that succeeded.
-pub fn succeeded() -> DispatchResult<'static> {
+pub fn successful_result() -> DispatchResult<'static> {
     DispatchResult {
         invocation: 0,
         dispatch: 0,
--- a/crates/dispatch-policy/tests/reference_model/world.rs
+++ b/crates/dispatch-policy/tests/reference_model/harness.rs
@@ -1,11 +1,11 @@
 //! A front end with its executors, to which things happen one by one.
 
 use super::model::{AcceptedInvocation, Executor, RecordedAction, ReferenceModel};
-use super::{endpoint, executor_id, invocation, succeeded};
+use super::{endpoint, executor_id, invocation, successful_result};
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 
-pub struct World {
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub model: ReferenceModel,
     /// The concurrency of the function that executors report.
@@ -16,34 +16,34 @@
     pub latency: f64,
 }
 
-/// A world in which function 1 is warm at one executor, and that executor.
-pub fn warm_world(policy: PolicyConfig, executors: usize) -> (World, usize) {
-    let mut world = World::new(policy, executors);
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish_loads(DispatchStatus::Ok);
-    let Some(&RecordedAction::Dispatch(_, executor)) = world.model.actions.last() else {
+/// A harness in which function 1 is warm at one executor, and that executor.
+pub fn warm_harness(policy: PolicyConfig, executors: usize) -> (Harness, usize) {
+    let mut harness = Harness::new(policy, executors);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish_loads(DispatchStatus::Ok);
+    let Some(&RecordedAction::Dispatch(_, executor)) = harness.model.actions.last() else {
         panic!("nothing was dispatched")
     };
-    world.finish(invocation, 0, DispatchStatus::Ok);
-    (world, executor)
+    harness.finish(invocation, 0, DispatchStatus::Ok);
+    (harness, executor)
 }
 
-impl World {
-    pub fn new(policy: PolicyConfig, executors: usize) -> World {
-        World::new_at(policy, executors, 100.0)
+impl Harness {
+    pub fn new(policy: PolicyConfig, executors: usize) -> Harness {
+        Harness::new_at(policy, executors, 100.0)
     }
 
-    /// A world that starts at a time.
-    pub fn new_at(policy: PolicyConfig, executors: usize, now: f64) -> World {
-        World::in_zones_at(policy, &vec![0; executors], now)
+    /// A harness that starts at a time.
+    pub fn new_at(policy: PolicyConfig, executors: usize, now: f64) -> Harness {
+        Harness::in_zones_at(policy, &vec![0; executors], now)
     }
 
-    /// A world with an executor in each of these zones.
-    pub fn in_zones(policy: PolicyConfig, zones: &[u8]) -> World {
-        World::in_zones_at(policy, zones, 100.0)
+    /// A harness with an executor in each of these zones.
+    pub fn in_zones(policy: PolicyConfig, zones: &[u8]) -> Harness {
+        Harness::in_zones_at(policy, zones, 100.0)
     }
 
-    fn in_zones_at(policy: PolicyConfig, zones: &[u8], now: f64) -> World {
+    fn in_zones_at(policy: PolicyConfig, zones: &[u8], now: f64) -> Harness {
         let executor = |(number, &zone): (usize, &u8)| Executor {
             is_ready: false,
             started_at: f64::NEG_INFINITY,
@@ -62,7 +62,7 @@
             actions: vec![],
         };
         let dispatcher = Dispatcher::new(policy, 7, now, &mut model);
-        let mut world = World {
+        let mut harness = Harness {
             dispatcher,
             model,
             function_concurrency: 0,
@@ -70,9 +70,9 @@
             latency: 0.25,
         };
         for executor in 0..zones.len() {
-            world.update_endpoint(executor, EndpointState::Ready, f64::NEG_INFINITY);
+            harness.update_endpoint(executor, EndpointState::Ready, f64::NEG_INFINITY);
         }
-        world
+        harness
     }
 
     pub fn update_endpoint(&mut self, number: usize, state: EndpointState, started_at: f64) {
@@ -157,7 +157,7 @@
             is_answered: accepted.answered_at.is_some(),
             function_concurrency: self.function_concurrency,
             load_report: &self.load_report[..],
-            ..succeeded()
+            ..successful_result()
         };
         self.dispatcher
             .on_dispatch_result(self.model.now, &result, &mut self.model);
--- a/crates/dispatch-policy/tests/reference_model/mod.rs
+++ b/crates/dispatch-policy/tests/reference_model/mod.rs
@@ -4,13 +4,13 @@
 #![allow(dead_code)]
 
 mod fixtures;
+mod harness;
 mod model;
-mod world;
 
 // Each test program uses a part.
 #[allow(unused_imports)]
 pub use fixtures::*;
 #[allow(unused_imports)]
-pub use model::{AcceptedInvocation, RecordedAction, ReferenceModel};
+pub use harness::{Harness, warm_harness};
 #[allow(unused_imports)]
-pub use world::{World, warm_world};
+pub use model::{AcceptedInvocation, RecordedAction, ReferenceModel};
--- a/crates/dispatch-policy/tests/regional_placement/failures.rs
+++ b/crates/dispatch-policy/tests/regional_placement/failures.rs
@@ -1,7 +1,7 @@
 //! Regions and zones that drain, fail, or are cut off.
 
-use crate::kit::*;
-use crate::reference_model::{RecordedAction, World};
+use crate::fixtures::*;
+use crate::reference_model::{Harness, RecordedAction};
 use orchidtally_dispatch_policy::interface::*;
 
 #[test]
@@ -22,7 +22,7 @@
             zone_regions: regions,
             ..regional()
         };
-        placed(World::in_zones(policy, &ZONES))
+        placed(Harness::in_zones(policy, &ZONES))
     };
     let there = front_end(0.0);
     assert_eq!(there, front_end(1.0), "alike at each of its front ends");
@@ -34,17 +34,17 @@
 
 #[test]
 fn draining_region_is_left_and_used_again() {
-    let mut world = regional_world();
+    let mut harness = regional_harness();
     let here: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
-    set_states(&mut world, 0..6, EndpointState::Draining);
+    set_states(&mut harness, 0..6, EndpointState::Draining);
     for function in FUNCTIONS {
-        assert!(!in_own_region(serve(&mut world, function)));
+        assert!(!in_own_region(serve(&mut harness, function)));
     }
-    set_states(&mut world, 0..6, EndpointState::Ready);
+    set_states(&mut harness, 0..6, EndpointState::Ready);
     let back: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
     assert_eq!(back, here, "though there are warm replicas elsewhere");
 }
@@ -52,7 +52,7 @@
 /// The replica elsewhere serves on until one in the own region is loaded.
 #[test]
 fn nothing_waits_for_the_replica_in_the_own_region() {
-    let mut world = World::in_zones(
+    let mut harness = Harness::in_zones(
         PolicyConfig {
             allows_load_commands: true,
             load_budget_floor: 99.0,
@@ -60,46 +60,46 @@
         },
         &ZONES,
     );
-    set_states(&mut world, 0..6, EndpointState::Draining);
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish_loads(DispatchStatus::Ok);
-    world.finish(invocation, 0, DispatchStatus::Ok);
-    set_states(&mut world, 0..6, EndpointState::Ready);
-    let there = world.executors_of(invocation)[0];
-    let invocation = world.invoke(0, 1, 5.0);
-    let Some(&RecordedAction::Load(executor, 1)) = world.model.actions.iter().rev().nth(1) else {
-        panic!("{:?}", world.model.actions)
+    set_states(&mut harness, 0..6, EndpointState::Draining);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish_loads(DispatchStatus::Ok);
+    harness.finish(invocation, 0, DispatchStatus::Ok);
+    set_states(&mut harness, 0..6, EndpointState::Ready);
+    let there = harness.executors_of(invocation)[0];
+    let invocation = harness.invoke(0, 1, 5.0);
+    let Some(&RecordedAction::Load(executor, 1)) = harness.model.actions.iter().rev().nth(1) else {
+        panic!("{:?}", harness.model.actions)
     };
     assert!(in_own_region(executor));
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, there))
     );
 }
 
 #[test]
 fn region_of_ejected_executors_is_left_and_used_again() {
-    let mut world = regional_world();
+    let mut harness = regional_harness();
     // Executors are compared with their peers: the others have to be seen sound, on warm replicas.
-    set_states(&mut world, 0..6, EndpointState::Draining);
+    set_states(&mut harness, 0..6, EndpointState::Draining);
     (1000..1200)
         .chain(1000..1200)
-        .for_each(|function| _ = serve(&mut world, function));
-    set_states(&mut world, 0..6, EndpointState::Ready);
-    FUNCTIONS.for_each(|function| _ = serve(&mut world, function));
+        .for_each(|function| _ = serve(&mut harness, function));
+    set_states(&mut harness, 0..6, EndpointState::Ready);
+    FUNCTIONS.for_each(|function| _ = serve(&mut harness, function));
     let mut elsewhere = 0;
     for function in FUNCTIONS.cycle().take(600) {
-        let invocation = world.invoke(2, function, 5.0);
-        if world.executors_of(invocation).is_empty() {
+        let invocation = harness.invoke(2, function, 5.0);
+        if harness.executors_of(invocation).is_empty() {
             // Its last placement failed a moment ago.
-            world.advance(0.11);
+            harness.advance(0.11);
         }
-        let is_near = world
+        let is_near = harness
             .executors_of(invocation)
             .iter()
             .all(|&executor| in_own_region(executor));
         elsewhere = if is_near { 0 } else { elsewhere + 1 };
-        world.finish(
+        harness.finish(
             invocation,
             0,
             if is_near {
@@ -113,13 +113,13 @@
         elsewhere >= 60,
         "all functions go elsewhere in the end, not the last {elsewhere} calls alone"
     );
-    world.advance(10.0);
+    harness.advance(10.0);
     // Outliers are detected anew while invocations are in flight.
-    serve(&mut world, 9_999);
-    world.advance(0.2);
+    serve(&mut harness, 9_999);
+    harness.advance(0.2);
     assert!(
         FUNCTIONS
-            .map(|function| serve(&mut world, function))
+            .map(|function| serve(&mut harness, function))
             .all(in_own_region),
         "though warm elsewhere"
     );
@@ -127,7 +127,7 @@
 
 #[test]
 fn lost_zone_moves_only_its_own_functions() {
-    let before = placed(regional_world());
+    let before = placed(regional_harness());
     let after = placed_without(|executor| zone(executor) == 1);
     for (n, function) in FUNCTIONS.enumerate() {
         if zone(before[n]) != 1 {
@@ -145,30 +145,30 @@
 
 #[test]
 fn zone_that_returns_cold_is_not_overloaded() {
-    let mut world = regional_world();
+    let mut harness = regional_harness();
     let before: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
     set_states(
-        &mut world,
+        &mut harness,
         (0..12).filter(|&executor| zone(executor) == 1),
         EndpointState::Gone,
     );
     let meanwhile: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
-    world.advance(0.5);
-    let now = world.model.now;
+    harness.advance(0.5);
+    let now = harness.model.now;
     (0..12)
         .filter(|&executor| zone(executor) == 1)
-        .for_each(|executor| world.update_endpoint(executor, EndpointState::Ready, now));
+        .for_each(|executor| harness.update_endpoint(executor, EndpointState::Ready, now));
     let returned: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
     assert_eq!(returned, meanwhile, "a function with a replica stays there");
     // The reference model checks each dispatch to a cold executor; what has no turn there goes to another zone.
     let others: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, 5000 + function))
+        .map(|function| serve(&mut harness, 5000 + function))
         .collect();
     assert!(
         others.iter().all(|&executor| in_own_region(executor)),
@@ -187,12 +187,12 @@
 
 #[test]
 fn partitioned_regions_serve_themselves() {
-    let mut world = regional_world();
-    FUNCTIONS.for_each(|function| _ = serve(&mut world, function));
+    let mut harness = regional_harness();
+    FUNCTIONS.for_each(|function| _ = serve(&mut harness, function));
     for function in FUNCTIONS.chain(5000..5060) {
-        let invocation = world.invoke(2, function, 5.0);
-        let executor = world.executors_of(invocation)[0];
-        world.finish(
+        let invocation = harness.invoke(2, function, 5.0);
+        let executor = harness.executors_of(invocation)[0];
+        harness.finish(
             invocation,
             0,
             if in_own_region(executor) {
@@ -203,7 +203,7 @@
         );
     }
     assert!(
-        (6..12).all(|executor| world.dispatches_to(executor) == 0),
+        (6..12).all(|executor| harness.dispatches_to(executor) == 0),
         "nothing goes where it can't be reached"
     );
 }
@@ -211,48 +211,48 @@
 /// However loaded it is, with idle ones elsewhere.
 #[test]
 fn last_executor_of_a_region_serves_it_alone() {
-    let mut world = regional_world();
-    set_states(&mut world, 1..6, EndpointState::Draining);
+    let mut harness = regional_harness();
+    set_states(&mut harness, 1..6, EndpointState::Draining);
     for function in FUNCTIONS.take(8) {
-        let invocation = world.invoke(0, function, 5.0);
-        assert_eq!(world.executors_of(invocation), [0], "function {function}");
+        let invocation = harness.invoke(0, function, 5.0);
+        assert_eq!(harness.executors_of(invocation), [0], "function {function}");
     }
 }
 
 /// The only executor of the region has just failed to load the function.
 #[test]
 fn function_leaves_a_region_whose_only_executor_fails() {
-    let mut world = regional_world();
-    set_states(&mut world, 1..6, EndpointState::Gone);
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish(invocation, 0, DispatchStatus::Error);
-    world.advance(0.3);
+    let mut harness = regional_harness();
+    set_states(&mut harness, 1..6, EndpointState::Gone);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish(invocation, 0, DispatchStatus::Error);
+    harness.advance(0.3);
     assert!(
-        world.executors_of(invocation).len() == 2
-            && !in_own_region(world.executors_of(invocation)[1]),
+        harness.executors_of(invocation).len() == 2
+            && !in_own_region(harness.executors_of(invocation)[1]),
         "{:?}",
-        world.executors_of(invocation)
+        harness.executors_of(invocation)
     );
 }
 
 #[test]
 fn keyed_invocation_is_retried_in_the_region_where_it_may_have_run() {
     for function in FUNCTIONS {
-        let mut world = regional_world();
-        set_states(&mut world, 0..6, EndpointState::Draining);
-        let invocation = world.invoke(1, function, 5.0);
-        let first = world.executors_of(invocation)[0];
+        let mut harness = regional_harness();
+        set_states(&mut harness, 0..6, EndpointState::Draining);
+        let invocation = harness.invoke(1, function, 5.0);
+        let first = harness.executors_of(invocation)[0];
         assert!(!in_own_region(first));
-        set_states(&mut world, 0..6, EndpointState::Ready);
-        world.finish(invocation, 0, DispatchStatus::Error);
-        world.advance(0.5);
+        set_states(&mut harness, 0..6, EndpointState::Ready);
+        harness.finish(invocation, 0, DispatchStatus::Error);
+        harness.advance(0.5);
         // Scopes are cells of two executors.
         assert_eq!(
-            world.executors_of(invocation),
+            harness.executors_of(invocation),
             [first, first ^ 1],
             "function {function}"
         );
-        world.finish(invocation, 1, DispatchStatus::Ok);
-        world.assert_all_answered();
+        harness.finish(invocation, 1, DispatchStatus::Ok);
+        harness.assert_all_answered();
     }
 }
--- a/crates/dispatch-policy/tests/regional_placement/kit.rs
+++ b/crates/dispatch-policy/tests/regional_placement/fixtures.rs
@@ -1,6 +1,6 @@
 //! A front end in a region of three zones beside another region of three zones.
 
-use crate::reference_model::{World, policy};
+use crate::reference_model::{Harness, policy};
 use orchidtally_dispatch_policy::interface::*;
 
 /// Zones 0 to 2 are a region, zones 3 to 5 another one; each has two executors.
@@ -21,8 +21,8 @@
     }
 }
 
-pub fn regional_world() -> World {
-    World::in_zones(regional(), &ZONES)
+pub fn regional_harness() -> Harness {
+    Harness::in_zones(regional(), &ZONES)
 }
 
 pub fn in_own_region(executor: usize) -> bool {
@@ -34,48 +34,52 @@
 }
 
 /// Invokes a function, and has it succeed where it is dispatched to at once; returns that executor.
-pub fn serve(world: &mut World, function: u64) -> usize {
-    let invocation = world.invoke(0, function, 5.0);
-    let &[executor] = world.executors_of(invocation).as_slice() else {
+pub fn serve(harness: &mut Harness, function: u64) -> usize {
+    let invocation = harness.invoke(0, function, 5.0);
+    let &[executor] = harness.executors_of(invocation).as_slice() else {
         panic!(
             "{function} was dispatched to {:?}",
-            world.executors_of(invocation)
+            harness.executors_of(invocation)
         )
     };
-    world.finish(invocation, 0, DispatchStatus::Ok);
+    harness.finish(invocation, 0, DispatchStatus::Ok);
     executor
 }
 
 /// Where a front end without any warm replica places the functions.
-pub fn placed(mut world: World) -> Vec<usize> {
+pub fn placed(mut harness: Harness) -> Vec<usize> {
     FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect()
 }
 
 /// The first two candidates of a function: the second gets the dispatch when the first is full.
 pub fn first_two(function: u64) -> (usize, usize) {
-    let mut world = regional_world();
-    let invocation = world.invoke(0, function, 5.0);
-    world.finish(invocation, 0, DispatchStatus::Full);
-    world.advance(0.3);
-    let &[first, second] = world.executors_of(invocation).as_slice() else {
-        panic!("{:?}", world.executors_of(invocation))
+    let mut harness = regional_harness();
+    let invocation = harness.invoke(0, function, 5.0);
+    harness.finish(invocation, 0, DispatchStatus::Full);
+    harness.advance(0.3);
+    let &[first, second] = harness.executors_of(invocation).as_slice() else {
+        panic!("{:?}", harness.executors_of(invocation))
     };
     (first, second)
 }
 
-pub fn set_states(world: &mut World, executors: impl Iterator<Item = usize>, state: EndpointState) {
-    executors.for_each(|executor| world.update_endpoint(executor, state, LONG_AGO));
+pub fn set_states(
+    harness: &mut Harness,
+    executors: impl Iterator<Item = usize>,
+    state: EndpointState,
+) {
+    executors.for_each(|executor| harness.update_endpoint(executor, state, LONG_AGO));
 }
 
 /// Where the functions are placed while some executors are gone.
 pub fn placed_without(is_gone: impl Fn(usize) -> bool) -> Vec<usize> {
-    let mut world = regional_world();
+    let mut harness = regional_harness();
     set_states(
-        &mut world,
+        &mut harness,
         (0..12).filter(|&executor| is_gone(executor)),
         EndpointState::Gone,
     );
-    placed(world)
+    placed(harness)
 }
--- a/crates/dispatch-policy/tests/regional_placement/large_region.rs
+++ b/crates/dispatch-policy/tests/regional_placement/large_region.rs
@@ -1,6 +1,6 @@
 //! A region of 1,024 executors.
 
-use crate::kit::*;
+use crate::fixtures::*;
 use crate::reference_model;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
--- a/crates/dispatch-policy/tests/regional_placement/main.rs
+++ b/crates/dispatch-policy/tests/regional_placement/main.rs
@@ -4,6 +4,6 @@
 mod reference_model;
 
 mod failures;
-mod kit;
+mod fixtures;
 mod large_region;
 mod placement;
--- a/crates/dispatch-policy/tests/regional_placement/placement.rs
+++ b/crates/dispatch-policy/tests/regional_placement/placement.rs
@@ -1,12 +1,12 @@
 //! Placement within the front end's own region, in different zones.
 
-use crate::kit::*;
-use crate::reference_model::World;
+use crate::fixtures::*;
+use crate::reference_model::Harness;
 use orchidtally_dispatch_policy::interface::*;
 
 #[test]
 fn functions_are_placed_in_the_front_ends_own_region() {
-    let here = placed(regional_world());
+    let here = placed(regional_harness());
     assert!(
         here.iter().all(|&executor| in_own_region(executor)),
         "{here:?}"
@@ -15,7 +15,7 @@
         (0..6).all(|executor| here.contains(&executor)),
         "all of it is used: {here:?}"
     );
-    let anywhere = placed(World::in_zones(
+    let anywhere = placed(Harness::in_zones(
         PolicyConfig {
             zone_regions: vec![],
             ..regional()
@@ -36,15 +36,15 @@
         ..regional()
     };
     assert_eq!(
-        placed(World::in_zones(other, &ZONES)),
-        placed(regional_world())
+        placed(Harness::in_zones(other, &ZONES)),
+        placed(regional_harness())
     );
     let elsewhere = PolicyConfig {
         zone: 4,
         ..regional()
     };
     assert!(
-        placed(World::in_zones(elsewhere, &ZONES))
+        placed(Harness::in_zones(elsewhere, &ZONES))
             .iter()
             .all(|&executor| !in_own_region(executor))
     );
@@ -64,16 +64,16 @@
 #[test]
 fn zone_without_region_is_used_where_the_own_region_has_none() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
-    let mut world = World::in_zones(regional(), &zones);
+    let mut harness = Harness::in_zones(regional(), &zones);
     assert!(
         FUNCTIONS
-            .map(|function| serve(&mut world, function))
+            .map(|function| serve(&mut harness, function))
             .all(in_own_region)
     );
-    set_states(&mut world, 0..12, EndpointState::Draining);
+    set_states(&mut harness, 0..12, EndpointState::Draining);
     assert!(
         FUNCTIONS
-            .map(|function| serve(&mut world, function))
+            .map(|function| serve(&mut harness, function))
             .all(|executor| executor >= 12)
     );
 }
@@ -82,7 +82,7 @@
 fn front_end_in_a_zone_without_region_places_anywhere() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
     let there = |regions| {
-        placed(World::in_zones(
+        placed(Harness::in_zones(
             PolicyConfig {
                 zone: 9,
                 zone_regions: regions,
@@ -97,21 +97,22 @@
 #[test]
 fn region_with_one_zone_has_two_candidates() {
     for function in FUNCTIONS {
-        let mut world = World::in_zones(
+        let mut harness = Harness::in_zones(
             PolicyConfig {
                 zone_regions: vec![Some(0)],
                 ..regional()
             },
             &[0; 6],
         );
-        let invocation = world.invoke(0, function, 5.0);
-        let first = world.executors_of(invocation)[0];
-        world.finish(invocation, 0, DispatchStatus::Full);
-        world.advance(0.3);
+        let invocation = harness.invoke(0, function, 5.0);
+        let first = harness.executors_of(invocation)[0];
+        harness.finish(invocation, 0, DispatchStatus::Full);
+        harness.advance(0.3);
         assert!(
-            world.executors_of(invocation).len() == 2 && world.executors_of(invocation)[1] != first,
+            harness.executors_of(invocation).len() == 2
+                && harness.executors_of(invocation)[1] != first,
             "{:?}",
-            world.executors_of(invocation)
+            harness.executors_of(invocation)
         );
     }
 }
@@ -120,15 +121,15 @@
 fn second_candidate_is_the_only_executor_of_another_zone() {
     let zones: Vec<u8> = (0..40).map(|_| 0).chain([1]).collect();
     for function in FUNCTIONS {
-        let mut world = World::in_zones(regional(), &zones);
-        let invocation = world.invoke(0, function, 5.0);
-        world.finish(invocation, 0, DispatchStatus::Full);
-        world.advance(0.3);
+        let mut harness = Harness::in_zones(regional(), &zones);
+        let invocation = harness.invoke(0, function, 5.0);
+        harness.finish(invocation, 0, DispatchStatus::Full);
+        harness.advance(0.3);
         assert!(
-            world.executors_of(invocation).len() == 2
-                && world.executors_of(invocation).contains(&40),
+            harness.executors_of(invocation).len() == 2
+                && harness.executors_of(invocation).contains(&40),
             "{:?}",
-            world.executors_of(invocation)
+            harness.executors_of(invocation)
         );
     }
 }
@@ -137,7 +138,7 @@
 #[test]
 fn region_is_served_like_a_whole_fleet() {
     let served = |regions: Vec<Option<u8>>, zones: &[u8]| {
-        let mut world = World::in_zones(
+        let mut harness = Harness::in_zones(
             PolicyConfig {
                 zone_regions: regions,
                 ..regional()
@@ -145,16 +146,16 @@
             zones,
         );
         for n in 0..400 {
-            let invocation = world.invoke(0, 1 + n % 7 / 4, 5.0);
+            let invocation = harness.invoke(0, 1 + n % 7 / 4, 5.0);
             if let Some(early) = invocation
                 .checked_sub(20)
-                .filter(|&early| !world.executors_of(early).is_empty())
+                .filter(|&early| !harness.executors_of(early).is_empty())
             {
-                world.finish(early, 0, DispatchStatus::Ok);
+                harness.finish(early, 0, DispatchStatus::Ok);
             }
-            world.advance(0.01);
+            harness.advance(0.01);
         }
-        world.model.actions
+        harness.model.actions
     };
     let alone = served(vec![], &[0; 8]);
     assert_eq!(
@@ -165,31 +166,31 @@
 
 #[test]
 fn executor_moved_to_another_region_serves_that_region() {
-    let mut world = regional_world();
-    let moving = serve(&mut world, 1);
-    let place = |world: &mut World, zone: u8| {
-        world.model.executors[moving].zone = zone;
-        world.update_endpoint(moving, EndpointState::Ready, LONG_AGO);
+    let mut harness = regional_harness();
+    let moving = serve(&mut harness, 1);
+    let place = |harness: &mut Harness, zone: u8| {
+        harness.model.executors[moving].zone = zone;
+        harness.update_endpoint(moving, EndpointState::Ready, LONG_AGO);
     };
-    place(&mut world, 3);
+    place(&mut harness, 3);
     let left: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+        .map(|function| serve(&mut harness, function))
         .collect();
     assert!(
         left.iter()
             .all(|&executor| in_own_region(executor) && executor != moving),
         "{left:?}"
     );
-    assert_ne!(left, placed(regional_world()));
-    let mut world = World::in_zones(regional(), &ZONES);
-    place(&mut world, 3);
-    place(&mut world, ZONES[moving]);
-    assert_eq!(placed(world), placed(regional_world()), "and back");
+    assert_ne!(left, placed(regional_harness()));
+    let mut harness = Harness::in_zones(regional(), &ZONES);
+    place(&mut harness, 3);
+    place(&mut harness, ZONES[moving]);
+    assert_eq!(placed(harness), placed(regional_harness()), "and back");
 }
 
 #[test]
 fn prewarming_stays_within_the_region() {
-    let mut world = World::in_zones(
+    let mut harness = Harness::in_zones(
         PolicyConfig {
             allows_load_commands: true,
             load_budget_window: 0.0,
@@ -198,10 +199,10 @@
         &ZONES,
     );
     for _ in 0..12 {
-        world.prewarm(1, 6);
-        world.finish_loads(DispatchStatus::Ok);
+        harness.prewarm(1, 6);
+        harness.finish_loads(DispatchStatus::Ok);
     }
-    let mut loaded: Vec<usize> = world
+    let mut loaded: Vec<usize> = harness
         .model
         .load_commands
         .iter()
@@ -210,5 +211,5 @@
     loaded.sort_unstable();
     loaded.dedup();
     assert_eq!(loaded, [0, 1, 2, 3, 4, 5]);
-    assert_eq!(world.prewarm(1, 6), 6);
+    assert_eq!(harness.prewarm(1, 6), 6);
 }
--- a/crates/dispatch-policy/tests/revalidation.rs
+++ b/crates/dispatch-policy/tests/revalidation.rs
@@ -3,105 +3,109 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{RecordedAction, World, executor_id, policy, warm_world};
+use reference_model::{Harness, RecordedAction, executor_id, policy, warm_harness};
 
-fn may_send_dispatch(world: &mut World, invocation: u32, dispatch: u8) -> bool {
-    world
+fn may_send_dispatch(harness: &mut Harness, invocation: u32, dispatch: u8) -> bool {
+    harness
         .dispatcher
-        .revalidate_dispatch(world.model.now, invocation, dispatch)
+        .revalidate_dispatch(harness.model.now, invocation, dispatch)
 }
 
 /// Whether a load command that is given now may be sent now.
-fn may_send_load(world: &mut World, executor: usize) -> bool {
-    world
+fn may_send_load(harness: &mut Harness, executor: usize) -> bool {
+    harness
         .dispatcher
-        .revalidate_load(world.model.now, executor_id(executor), world.model.now)
+        .revalidate_load(harness.model.now, executor_id(executor), harness.model.now)
 }
 
-/// A world with a dispatch in flight, its invocation and its executor.
-fn world_with_dispatch(policy: PolicyConfig) -> (World, u32, usize) {
-    let (mut world, executor) = warm_world(policy, 4);
-    let invocation = world.invoke(0, 1, 5.0);
+/// A harness with a dispatch in flight, its invocation and its executor.
+fn harness_with_dispatch(policy: PolicyConfig) -> (Harness, u32, usize) {
+    let (mut harness, executor) = warm_harness(policy, 4);
+    let invocation = harness.invoke(0, 1, 5.0);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, executor))
     );
-    (world, invocation, executor)
+    (harness, invocation, executor)
 }
 
 #[test]
 fn nothing_is_sent_to_an_executor_that_drains_or_is_gone_by_then() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
-        let (mut world, invocation, executor) = world_with_dispatch(policy());
+        let (mut harness, invocation, executor) = harness_with_dispatch(policy());
         assert!(
-            may_send_dispatch(&mut world, invocation, 0) && may_send_load(&mut world, executor)
+            may_send_dispatch(&mut harness, invocation, 0) && may_send_load(&mut harness, executor)
         );
-        world.update_endpoint(executor, state, f64::NEG_INFINITY);
+        harness.update_endpoint(executor, state, f64::NEG_INFINITY);
         assert!(
-            !may_send_dispatch(&mut world, invocation, 0) && !may_send_load(&mut world, executor),
+            !may_send_dispatch(&mut harness, invocation, 0)
+                && !may_send_load(&mut harness, executor),
             "{state:?}"
         );
     }
-    let (mut world, ..) = world_with_dispatch(policy());
-    assert!(!may_send_load(&mut world, 200), "there is no such executor");
+    let (mut harness, ..) = harness_with_dispatch(policy());
+    assert!(
+        !may_send_load(&mut harness, 200),
+        "there is no such executor"
+    );
 }
 
 /// The window runs from the first dispatch that may have run; the retry may be delayed for as long as a connection takes.
 #[test]
 fn retry_is_not_sent_after_the_deduplication_window() {
-    let (mut world, executor) = warm_world(policy(), 4);
-    let invocation = world.invoke(1, 1, 5.0);
+    let (mut harness, executor) = warm_harness(policy(), 4);
+    let invocation = harness.invoke(1, 1, 5.0);
     assert_eq!(
-        world.model.actions.last(),
+        harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, executor))
     );
     assert!(
-        may_send_dispatch(&mut world, invocation, 0),
+        may_send_dispatch(&mut harness, invocation, 0),
         "the first has no window"
     );
-    world.advance(1.5);
-    assert!(may_send_dispatch(&mut world, invocation, 0));
-    world.finish(invocation, 0, DispatchStatus::Error);
+    harness.advance(1.5);
+    assert!(may_send_dispatch(&mut harness, invocation, 0));
+    harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
-        world.model.accepted[invocation as usize].dispatches.len(),
+        harness.model.accepted[invocation as usize].dispatches.len(),
         2,
         "it may be retried"
     );
-    assert!(may_send_dispatch(&mut world, invocation, 1));
-    world.advance(0.49);
-    assert!(may_send_dispatch(&mut world, invocation, 1));
-    world.advance(0.02);
+    assert!(may_send_dispatch(&mut harness, invocation, 1));
+    harness.advance(0.49);
+    assert!(may_send_dispatch(&mut harness, invocation, 1));
+    harness.advance(0.02);
     assert!(
-        !may_send_dispatch(&mut world, invocation, 1),
+        !may_send_dispatch(&mut harness, invocation, 1),
         "2 s after the first"
     );
 }
 
 #[test]
 fn nothing_is_sent_after_the_timeout_or_the_answer() {
-    let (mut world, invocation, _) = world_with_dispatch(policy());
-    world.model.now += 4.997;
-    assert!(may_send_dispatch(&mut world, invocation, 0));
-    world.model.now += 0.002;
+    let (mut harness, invocation, _) = harness_with_dispatch(policy());
+    harness.model.now += 4.997;
+    assert!(may_send_dispatch(&mut harness, invocation, 0));
+    harness.model.now += 0.002;
     assert!(
-        !may_send_dispatch(&mut world, invocation, 0),
+        !may_send_dispatch(&mut harness, invocation, 0),
         "less than a clock tick is left"
     );
-    let (mut world, invocation, _) = world_with_dispatch(policy());
-    world.cancel(invocation);
+    let (mut harness, invocation, _) = harness_with_dispatch(policy());
+    harness.cancel(invocation);
     assert!(
-        !may_send_dispatch(&mut world, invocation, 0) && !may_send_dispatch(&mut world, 999, 0)
+        !may_send_dispatch(&mut harness, invocation, 0) && !may_send_dispatch(&mut harness, 999, 0)
     );
-    let (mut world, invocation, _) = world_with_dispatch(policy());
-    world.finish(invocation, 0, DispatchStatus::Ok);
-    assert!(!may_send_dispatch(&mut world, invocation, 0));
+    let (mut harness, invocation, _) = harness_with_dispatch(policy());
+    harness.finish(invocation, 0, DispatchStatus::Ok);
+    assert!(!may_send_dispatch(&mut harness, invocation, 0));
 }
 
 /// An executor that restarted while a connection to it was being made is as cold as any, and a late dispatch counts when
 /// it is sent.
 #[test]
 fn late_dispatch_counts_in_the_slow_start_budget_when_it_is_sent() {
-    let (mut world, executor) = warm_world(
+    let (mut harness, executor) = warm_harness(
         PolicyConfig {
             allows_load_commands: false,
             front_ends: 1.0,
@@ -109,16 +113,21 @@
         },
         1,
     );
-    world.advance(3.0);
-    let first = world.invoke(0, 1, 4.0);
-    assert_eq!(world.model.accepted[first as usize].dispatches.len(), 1);
-    world.advance(2.0);
-    world.update_endpoint(executor, EndpointState::Ready, world.model.now);
-    assert!(may_send_dispatch(&mut world, first, 0), "its budget of one");
-    let second = world.invoke(0, 2, 4.0);
-    world.advance(0.5);
+    harness.advance(3.0);
+    let first = harness.invoke(0, 1, 4.0);
+    assert_eq!(harness.model.accepted[first as usize].dispatches.len(), 1);
+    harness.advance(2.0);
+    harness.update_endpoint(executor, EndpointState::Ready, harness.model.now);
+    assert!(
+        may_send_dispatch(&mut harness, first, 0),
+        "its budget of one"
+    );
+    let second = harness.invoke(0, 2, 4.0);
+    harness.advance(0.5);
     assert!(
-        world.model.accepted[second as usize].dispatches.is_empty(),
+        harness.model.accepted[second as usize]
+            .dispatches
+            .is_empty(),
         "the first was just sent"
     );
 }
@@ -127,25 +136,25 @@
 /// nothing until the list is available again.
 #[test]
 fn rejecting_executor_gets_nothing_while_the_endpoint_list_is_unavailable() {
-    let is_rejected = |world: &mut World, pause: f64| {
-        let invocation = world.invoke(0, 1, 5.0);
-        let sent = !world.model.accepted[invocation as usize]
+    let is_rejected = |harness: &mut Harness, pause: f64| {
+        let invocation = harness.invoke(0, 1, 5.0);
+        let sent = !harness.model.accepted[invocation as usize]
             .dispatches
             .is_empty();
         if sent {
-            world.finish(invocation, 0, DispatchStatus::Full);
+            harness.finish(invocation, 0, DispatchStatus::Full);
         }
-        world.cancel(invocation);
-        world.advance(pause);
+        harness.cancel(invocation);
+        harness.advance(pause);
         sent
     };
-    let update_list = |world: &mut World, kind| {
-        world
+    let update_list = |harness: &mut Harness, kind| {
+        harness
             .dispatcher
-            .on_endpoint_update(world.model.now, kind, &[], &mut world.model)
+            .on_endpoint_update(harness.model.now, kind, &[], &mut harness.model)
     };
     let pauses = [0.15, 0.25, 0.45, 0.85];
-    let (mut world, executor) = warm_world(
+    let (mut harness, executor) = warm_harness(
         PolicyConfig {
             allows_load_commands: false,
             ..policy()
@@ -155,41 +164,41 @@
     assert!(
         pauses
             .into_iter()
-            .all(|pause| is_rejected(&mut world, pause)),
+            .all(|pause| is_rejected(&mut harness, pause)),
         "with a list it is tried again"
     );
-    update_list(&mut world, EndpointUpdateKind::Failed);
-    assert!(!is_rejected(&mut world, 0.1) && !may_send_load(&mut world, executor));
-    update_list(&mut world, EndpointUpdateKind::Delta);
-    assert!(may_send_load(&mut world, executor) && is_rejected(&mut world, 0.1));
+    update_list(&mut harness, EndpointUpdateKind::Failed);
+    assert!(!is_rejected(&mut harness, 0.1) && !may_send_load(&mut harness, executor));
+    update_list(&mut harness, EndpointUpdateKind::Delta);
+    assert!(may_send_load(&mut harness, executor) && is_rejected(&mut harness, 0.1));
     // One that serves in between is crowded, not draining.
-    let (mut world, executor) = warm_world(
+    let (mut harness, executor) = warm_harness(
         PolicyConfig {
             allows_load_commands: false,
             ..policy()
         },
         1,
     );
-    update_list(&mut world, EndpointUpdateKind::Failed);
+    update_list(&mut harness, EndpointUpdateKind::Failed);
     assert!(
         pauses[..3]
             .iter()
-            .all(|&pause| is_rejected(&mut world, pause))
+            .all(|&pause| is_rejected(&mut harness, pause))
     );
-    let invocation = world.invoke(0, 1, 5.0);
-    world.finish(invocation, 0, DispatchStatus::Ok);
+    let invocation = harness.invoke(0, 1, 5.0);
+    harness.finish(invocation, 0, DispatchStatus::Ok);
     assert!(
         pauses[..3]
             .iter()
-            .all(|&pause| is_rejected(&mut world, pause))
-            && may_send_load(&mut world, executor)
+            .all(|&pause| is_rejected(&mut harness, pause))
+            && may_send_load(&mut harness, executor)
     );
 }
 
 /// A load command that is sent late counts in the window in which it is sent.
 #[test]
 fn load_command_counts_in_the_budget_when_it_is_sent() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             load_budget_floor: 1.0,
             load_budget_fraction: 0.0,
@@ -197,28 +206,28 @@
         },
         4,
     );
-    world.invoke(0, 1, 4.0);
-    let command = &world.model.load_commands[0];
+    harness.invoke(0, 1, 4.0);
+    let command = &harness.model.load_commands[0];
     let (commanded_at, executor) = (command.sent_at, command.executor);
-    world.advance(0.3);
-    assert!(
-        world
-            .dispatcher
-            .revalidate_load(world.model.now, executor_id(executor), commanded_at)
-    );
-    world.advance(4.8);
-    world.invoke(0, 2, 4.0);
+    harness.advance(0.3);
+    assert!(harness.dispatcher.revalidate_load(
+        harness.model.now,
+        executor_id(executor),
+        commanded_at
+    ));
+    harness.advance(4.8);
+    harness.invoke(0, 2, 4.0);
     assert_eq!(
-        world.model.load_commands.len(),
+        harness.model.load_commands.len(),
         1,
         "within 5 s of its sending"
     );
-    world.advance(0.3);
-    world.invoke(0, 3, 4.0);
-    assert_eq!(world.model.load_commands.len(), 2, "and not after that");
+    harness.advance(0.3);
+    harness.invoke(0, 3, 4.0);
+    assert_eq!(harness.model.load_commands.len(), 2, "and not after that");
     // Another one that waited for a connection meanwhile has no budget left.
-    assert!(!world.dispatcher.revalidate_load(
-        world.model.now,
+    assert!(!harness.dispatcher.revalidate_load(
+        harness.model.now,
         executor_id(executor),
         commanded_at
     ));
--- a/crates/dispatch-policy/tests/slow_start.rs
+++ b/crates/dispatch-policy/tests/slow_start.rs
@@ -3,12 +3,12 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{World, policy};
+use reference_model::{Harness, policy};
 
 /// Without slow start, an executor that started this moment counts as warm.
 #[test]
 fn new_executor_is_used_at_once_without_slow_start() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             slow_start_duration: 0.0,
             allows_load_commands: false,
@@ -17,10 +17,10 @@
         },
         1,
     );
-    let started = world.model.now;
-    world.update_endpoint(0, EndpointState::Ready, started);
-    (0..5).for_each(|function| _ = world.invoke(0, function, 5.0));
-    assert_eq!(world.dispatches_to(0), 5);
+    let started = harness.model.now;
+    harness.update_endpoint(0, EndpointState::Ready, started);
+    (0..5).for_each(|function| _ = harness.invoke(0, function, 5.0));
+    assert_eq!(harness.dispatches_to(0), 5);
 }
 
 /// Found with 300 front ends: while most executors were cold, invocations waited for a turn at the one with a warm
@@ -28,7 +28,7 @@
 #[test]
 fn another_executor_is_used_without_a_turn_at_a_warming_one() {
     let at_once = |trial: u32| {
-        let mut world = World::new(
+        let mut harness = Harness::new(
             PolicyConfig {
                 slow_start_duration: 1e4,
                 allows_load_commands: false,
@@ -37,18 +37,18 @@
             },
             2,
         );
-        let now = world.model.now;
-        (0..2).for_each(|executor| world.update_endpoint(executor, EndpointState::Ready, now));
-        world.advance(trial.into());
+        let now = harness.model.now;
+        (0..2).for_each(|executor| harness.update_endpoint(executor, EndpointState::Ready, now));
+        harness.advance(trial.into());
         let mut is_sent = |finishes: bool| {
-            let invocation = world.invoke(0, 1, 5.0);
-            let sent = !world.model.accepted[invocation as usize]
+            let invocation = harness.invoke(0, 1, 5.0);
+            let sent = !harness.model.accepted[invocation as usize]
                 .dispatches
                 .is_empty();
             if finishes && sent {
-                world.finish(invocation, 0, DispatchStatus::Ok);
+                harness.finish(invocation, 0, DispatchStatus::Ok);
             }
-            world.advance(1.0);
+            harness.advance(1.0);
             sent
         };
         while !is_sent(true) {}
@@ -62,7 +62,7 @@
 /// A front end that was killed has forgotten what it sent: it waits for the end of the window under way.
 #[test]
 fn restarted_front_end_waits_for_the_window_under_way() {
-    let mut world = World::new(
+    let mut harness = Harness::new(
         PolicyConfig {
             allows_load_commands: false,
             front_ends: 1.0,
@@ -70,13 +70,13 @@
         },
         1,
     );
-    world.update_endpoint(0, EndpointState::Ready, world.model.now - 5.0);
-    world.invoke(0, 1, 5.0);
-    world.advance(1.0);
-    assert_eq!(world.dispatches_to(0), 0);
-    world.advance(0.1);
-    world.invoke(0, 1, 5.0);
-    assert_eq!(world.dispatches_to(0), 1, "the window is over");
+    harness.update_endpoint(0, EndpointState::Ready, harness.model.now - 5.0);
+    harness.invoke(0, 1, 5.0);
+    harness.advance(1.0);
+    assert_eq!(harness.dispatches_to(0), 0);
+    harness.advance(0.1);
+    harness.invoke(0, 1, 5.0);
+    assert_eq!(harness.dispatches_to(0), 1, "the window is over");
 }
 
 /// Front ends may learn late that others come and go: one that can't know its part of the budget sends a cold executor
@@ -84,30 +84,30 @@
 #[test]
 fn front_end_without_budget_share_sends_nothing_to_warming_executors() {
     let sent_to_cold = |has_budget_share: bool| {
-        let mut world = World::new(
+        let mut harness = Harness::new(
             PolicyConfig {
                 allows_load_commands: false,
                 ..policy()
             },
             2,
         );
-        let began = world.model.now;
+        let began = harness.model.now;
         let membership = MembershipView {
             front_ends: 3.0,
             slot_count: 4.0,
             front_end_index: 1.0,
             has_budget_share,
         };
-        world
+        harness
             .dispatcher
-            .on_membership_change(world.model.now, membership, &mut world.model);
-        world.update_endpoint(0, EndpointState::Gone, f64::NEG_INFINITY);
-        world.update_endpoint(1, EndpointState::Ready, world.model.now);
+            .on_membership_change(harness.model.now, membership, &mut harness.model);
+        harness.update_endpoint(0, EndpointState::Gone, f64::NEG_INFINITY);
+        harness.update_endpoint(1, EndpointState::Ready, harness.model.now);
         for n in 0..100 {
-            world.invoke(0, n % 3, 0.5);
-            world.advance(0.1);
+            harness.invoke(0, n % 3, 0.5);
+            harness.advance(0.1);
         }
-        world
+        harness
             .model
             .accepted
             .iter()
--- a/crates/dispatch-policy/tests/slow_start_overload.rs
+++ b/crates/dispatch-policy/tests/slow_start_overload.rs
@@ -5,7 +5,7 @@
 use orchidtally_dispatch_policy::interface::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use reference_model::{World, policy};
+use reference_model::{Harness, policy};
 
 /// Seconds of a step, and their number.
 const STEP: f64 = 0.05;
@@ -79,18 +79,18 @@
 
     /// When dispatches went to the cold executor, in the same clock, and when it started.
     fn play(&self) -> (Vec<f64>, f64) {
-        let mut all: Vec<World> = (0..self.front_ends)
-            .map(|j| World::new(self.policy(j), 5))
+        let mut all: Vec<Harness> = (0..self.front_ends)
+            .map(|j| Harness::new(self.policy(j), 5))
             .collect();
         all.iter_mut()
             .enumerate()
-            .for_each(|(j, world)| world.advance(self.clock_offset(j)));
+            .for_each(|(j, harness)| harness.advance(self.clock_offset(j)));
         all.iter_mut()
-            .for_each(|world| world.update_endpoint(4, EndpointState::Gone, f64::NEG_INFINITY));
+            .for_each(|harness| harness.update_endpoint(4, EndpointState::Gone, f64::NEG_INFINITY));
         let started = all[0].model.now + STARTED as f64 * STEP;
         let mut cold = vec![];
-        let mut to_cold = |j: usize, world: &World| {
-            let sent = world
+        let mut to_cold = |j: usize, harness: &Harness| {
+            let sent = harness
                 .model
                 .accepted
                 .iter()
@@ -99,33 +99,33 @@
             cold.extend(sent.map(|dispatch| dispatch.sent_at - self.clock_offset(j)));
         };
         for n in 0..STEPS {
-            for (j, world) in all.iter_mut().enumerate() {
-                world.advance(STEP);
+            for (j, harness) in all.iter_mut().enumerate() {
+                harness.advance(STEP);
                 let killed = n == KILLED
                     && ((j * 11 % self.front_ends) as f64) < self.killed * self.front_ends as f64;
                 if killed {
-                    to_cold(j, world);
-                    *world = World::new_at(self.policy(j), 5, world.model.now);
+                    to_cold(j, harness);
+                    *harness = Harness::new_at(self.policy(j), 5, harness.model.now);
                 }
                 if n == STARTED || killed {
                     (self.left..4).for_each(|executor| {
-                        world.update_endpoint(executor, EndpointState::Gone, f64::NEG_INFINITY)
+                        harness.update_endpoint(executor, EndpointState::Gone, f64::NEG_INFINITY)
                     });
-                    world.update_endpoint(4, EndpointState::Ready, started);
+                    harness.update_endpoint(4, EndpointState::Ready, started);
                 }
                 let rate = self.rate(j) * if n >= STARTED { self.surge } else { 1.0 };
                 let arrivals_before = |n: usize| {
                     ((n as f64 * STEP + j as f64 / self.front_ends as f64) * rate) as u64
                 };
                 for k in arrivals_before(n)..arrivals_before(n + 1) {
-                    world.invoke(0, k % self.functions, 0.5);
+                    harness.invoke(0, k % self.functions, 0.5);
                 }
-                world.finish_all_in_flight();
+                harness.finish_all_in_flight();
             }
         }
         all.iter()
             .enumerate()
-            .for_each(|(j, world)| to_cold(j, world));
+            .for_each(|(j, harness)| to_cold(j, harness));
         (cold, started)
     }
 
--- a/crates/dispatch-policy/tests/staleness.rs
+++ b/crates/dispatch-policy/tests/staleness.rs
@@ -3,120 +3,122 @@
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
-use reference_model::{World, executor_id, policy, warm_world};
+use reference_model::{Harness, executor_id, policy, warm_harness};
 
-/// A world with one executor, whose endpoint list was confirmed at its start. The drain grace is one second.
-fn confirmed_world() -> World {
-    let (mut world, _) = warm_world(
+/// A harness with one executor, whose endpoint list was confirmed at its start. The drain grace is one second.
+fn confirmed_harness() -> Harness {
+    let (mut harness, _) = warm_harness(
         PolicyConfig {
             load_budget_window: 0.0,
             ..policy()
         },
         1,
     );
-    let now = world.model.now;
-    world
+    let now = harness.model.now;
+    harness
         .dispatcher
-        .on_view_confirmed(now, now, &mut world.model);
-    world
+        .on_view_confirmed(now, now, &mut harness.model);
+    harness
 }
 
-fn may_load(world: &mut World) -> bool {
-    let now = world.model.now;
-    world.dispatcher.revalidate_load(now, executor_id(0), now)
+fn may_load(harness: &mut Harness) -> bool {
+    let now = harness.model.now;
+    harness.dispatcher.revalidate_load(now, executor_id(0), now)
 }
 
 /// Has the executor reject so many load commands in a row.
-fn reject(world: &mut World, count: usize) {
+fn reject(harness: &mut Harness, count: usize) {
     for _ in 0..count {
-        world.dispatcher.on_load_result(
-            world.model.now,
+        harness.dispatcher.on_load_result(
+            harness.model.now,
             executor_id(0),
             1,
             DispatchStatus::Full,
-            &mut world.model,
+            &mut harness.model,
         );
     }
 }
 
 #[test]
 fn fresh_view_trusts_an_executor_that_rejects() {
-    let mut world = confirmed_world();
-    reject(&mut world, 10);
-    world.advance(0.9);
-    assert!(may_load(&mut world));
+    let mut harness = confirmed_harness();
+    reject(&mut harness, 10);
+    harness.advance(0.9);
+    assert!(may_load(&mut harness));
 }
 
 #[test]
 fn ageing_view_leaves_out_an_executor_after_four_rejections() {
-    let mut world = confirmed_world();
-    world.advance(1.1);
-    reject(&mut world, 3);
-    assert!(may_load(&mut world));
-    reject(&mut world, 1);
-    assert!(!may_load(&mut world));
+    let mut harness = confirmed_harness();
+    harness.advance(1.1);
+    reject(&mut harness, 3);
+    assert!(may_load(&mut harness));
+    reject(&mut harness, 1);
+    assert!(!may_load(&mut harness));
 }
 
 #[test]
 fn unknown_view_leaves_out_an_executor_after_one_rejection() {
-    let mut world = confirmed_world();
-    world.advance(2.7);
-    assert!(may_load(&mut world), "without a rejection");
-    reject(&mut world, 1);
-    assert!(!may_load(&mut world), "the source answers late");
-    let now = world.model.now;
-    world.dispatcher.on_view_lost(now, now);
-    assert!(may_load(&mut world), "it is known to be silent");
-    world.advance(2.0);
-    assert!(!may_load(&mut world), "it is silent for too long");
+    let mut harness = confirmed_harness();
+    harness.advance(2.7);
+    assert!(may_load(&mut harness), "without a rejection");
+    reject(&mut harness, 1);
+    assert!(!may_load(&mut harness), "the source answers late");
+    let now = harness.model.now;
+    harness.dispatcher.on_view_lost(now, now);
+    assert!(may_load(&mut harness), "it is known to be silent");
+    harness.advance(2.0);
+    assert!(!may_load(&mut harness), "it is silent for too long");
 }
 
 #[test]
 fn confirmation_makes_the_view_fresh_again() {
-    let mut world = confirmed_world();
-    world.advance(5.0);
-    reject(&mut world, 1);
-    assert!(!may_load(&mut world));
-    let now = world.model.now;
-    world
+    let mut harness = confirmed_harness();
+    harness.advance(5.0);
+    reject(&mut harness, 1);
+    assert!(!may_load(&mut harness));
+    let now = harness.model.now;
+    harness
         .dispatcher
-        .on_view_confirmed(now, now, &mut world.model);
-    assert!(may_load(&mut world));
+        .on_view_confirmed(now, now, &mut harness.model);
+    assert!(may_load(&mut harness));
 }
 
 #[test]
 fn stalled_process_sends_nothing_until_it_has_heard_again() {
-    let mut world = confirmed_world();
-    world.model.now += 3.0;
-    let resumed_at = world.model.now;
-    world.dispatcher.on_process_stall(resumed_at);
-    assert!(!may_load(&mut world));
-    world
+    let mut harness = confirmed_harness();
+    harness.model.now += 3.0;
+    let resumed_at = harness.model.now;
+    harness.dispatcher.on_process_stall(resumed_at);
+    assert!(!may_load(&mut harness));
+    harness
         .dispatcher
-        .on_view_confirmed(resumed_at, resumed_at - 2.5, &mut world.model);
+        .on_view_confirmed(resumed_at, resumed_at - 2.5, &mut harness.model);
     assert!(
-        !may_load(&mut world),
+        !may_load(&mut harness),
         "the request is from before the stall"
     );
-    world
+    harness
         .dispatcher
-        .on_view_confirmed(resumed_at, resumed_at, &mut world.model);
-    assert!(may_load(&mut world));
+        .on_view_confirmed(resumed_at, resumed_at, &mut harness.model);
+    assert!(may_load(&mut harness));
 }
 
 #[test]
 fn stalled_process_goes_on_once_its_requests_are_known_to_be_lost() {
-    let mut world = confirmed_world();
-    world.model.now += 3.0;
-    let resumed_at = world.model.now;
-    world.dispatcher.on_process_stall(resumed_at);
-    world
+    let mut harness = confirmed_harness();
+    harness.model.now += 3.0;
+    let resumed_at = harness.model.now;
+    harness.dispatcher.on_process_stall(resumed_at);
+    harness
         .dispatcher
         .on_view_lost(resumed_at + 0.5, resumed_at - 0.1);
     assert!(
-        !may_load(&mut world),
+        !may_load(&mut harness),
         "the request is from before the stall"
     );
-    world.dispatcher.on_view_lost(resumed_at + 0.5, resumed_at);
-    assert!(may_load(&mut world));
+    harness
+        .dispatcher
+        .on_view_lost(resumed_at + 0.5, resumed_at);
+    assert!(may_load(&mut harness));
 }
--- a/crates/dispatch-policy/tests/table_indices.rs
+++ b/crates/dispatch-policy/tests/table_indices.rs
@@ -68,7 +68,7 @@
 type Warm = (ExecutorIndex, f64);
 
 /// Executors and warm replicas beside plain records of what was done to them.
-struct World {
+struct Harness {
     executors: ExecutorTable,
     now: f64,
     replicas: WarmReplicaSet,
@@ -77,8 +77,8 @@
     sent: Vec<(ExecutorIndex, f64)>,
 }
 
-impl World {
-    fn new(weights: &[f64]) -> World {
+impl Harness {
+    fn new(weights: &[f64]) -> Harness {
         let mut executors = no_executors();
         let endpoints: Vec<Endpoint> = (0..EXECUTORS)
             .map(|number| {
@@ -90,7 +90,7 @@
         let rankings = [3, 0x9e37_79b9_7f4a_7c15]
             .map(|key| (key, Ranking::default()))
             .into();
-        World {
+        Harness {
             executors,
             now: 100.0,
             replicas: WarmReplicaSet::default(),
@@ -312,10 +312,10 @@
     let scenario = (0usize..3, prop::collection::vec(step, 1..200));
     let outcome = runner.run(&scenario, |(kinds, steps)| {
         let weights: &[f64] = [&[1.0][..], &[1.0, 0.5, 2.0], &[0.3]][kinds];
-        let mut world = World::new(weights);
+        let mut harness = Harness::new(weights);
         for step in steps {
-            world.step(step, weights);
-            world.check()?;
+            harness.step(step, weights);
+            harness.check()?;
         }
         Ok(())
     });
