--- a/crates/dispatch-policy/tests/concurrency_limit.rs
+++ b/crates/dispatch-policy/tests/concurrency_limit.rs
@@ -5,10 +5,10 @@
 use orchidtally_dispatch_policy::interface::*;
 use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
-/// Found with 300 front ends: cut to its lowest, the limit let a front end use an executor in one of thirty turns, long
-/// after answers were quick again.
+/// Regression test for a fleet of 300 front ends: a concurrency limit that slow responses had reduced to its minimum
+/// left a front end with little traffic one turn in thirty at an executor, long after latencies had recovered.
 #[test]
-fn little_traffic_needs_no_turns_after_slow_answers() {
+fn low_traffic_needs_no_turns_after_slow_responses() {
     let (mut harness, executor) = warm_harness(
         PolicyConfig {
             front_ends: 300.0,
@@ -16,23 +16,24 @@
         },
         36,
     );
-    let mut play = |latency: f64| {
+    let mut serve_one = |latency: f64| {
         harness.latency = latency;
         let before = harness.dispatches_to(executor);
         harness.invoke(0, 1, 2.0);
-        let at_once = harness.dispatches_to(executor) > before;
+        let dispatched_at_once = harness.dispatches_to(executor) > before;
         harness.finish_all_in_flight();
         harness.advance(0.3);
-        at_once
+        dispatched_at_once
     };
-    (0..40).for_each(|_| _ = play(0.6));
-    assert_eq!((0..30).filter(|_| play(0.05)).count(), 30);
+    (0..40).for_each(|_| _ = serve_one(0.6));
+    assert_eq!((0..30).filter(|_| serve_one(0.05)).count(), 30);
 }
 
-/// Found with 300 front ends: one with several times the mean traffic had an equal part of a limit that was cut to its
-/// lowest, and rejected what an idle fleet could have served.
+/// Regression test for a fleet of 300 front ends: when the concurrency limit had been reduced to its minimum, a front
+/// end with several times the mean traffic had only an equal share of it and rejected invocations that an idle fleet
+/// could have served.
 #[test]
-fn busy_front_end_keeps_capacity_after_a_cut() {
+fn busy_front_end_keeps_capacity_after_the_limit_is_reduced() {
     let (mut harness, _) = warm_harness(
         PolicyConfig {
             front_ends: 300.0,
@@ -41,12 +42,12 @@
         },
         36,
     );
-    let mut play = |latency: f64, rounds: usize| {
+    let mut run_rounds = |latency: f64, rounds: usize| {
         harness.latency = latency;
-        let mut at_once = 0;
+        let mut dispatched_at_once = 0;
         for _ in 0..rounds {
             let all: Vec<u32> = (0..4).map(|_| harness.invoke(0, 1, 2.0)).collect();
-            at_once += all
+            dispatched_at_once += all
                 .iter()
                 .filter(|&&invocation| {
                     !harness.model.accepted[invocation as usize]
@@ -58,19 +59,19 @@
             harness.advance(0.2);
             harness.finish_all_in_flight();
         }
-        at_once
+        dispatched_at_once
     };
-    play(0.6, 40);
-    play(0.2, 10);
+    run_rounds(0.6, 40);
+    run_rounds(0.2, 10);
     assert_eq!(
-        play(0.2, 10),
+        run_rounds(0.2, 10),
         40,
         "twenty a second, four in flight at a time, each with a baseline latency of 0.2 s"
     );
 }
 
-/// Found with 300 front ends: an invocation without capacity anywhere waited until its client gave up, though it could
-/// no longer be in time.
+/// Regression test for a fleet of 300 front ends: an invocation for which no executor had capacity waited until its
+/// client gave up, although it could no longer meet its latency objective.
 #[test]
 fn late_invocation_without_a_placement_is_shed() {
     let mut harness = Harness::new(policy(), 1);
@@ -91,7 +92,8 @@
     );
 }
 
-/// Found by a rollout's test over sockets: low priorities had no capacity even at an idle executor.
+/// Regression test for a failure in a socket test of rollouts: invocations of low priority had no capacity even at an
+/// idle executor.
 #[test]
 fn idle_fleet_serves_the_lowest_priority() {
     let mut policy = PolicyConfig {
--- a/crates/dispatch-policy/tests/dispatch_policy.rs
+++ b/crates/dispatch-policy/tests/dispatch_policy.rs
@@ -1,4 +1,4 @@
-//! The policy beside the reference model in random scenarios, and its behavior at a single front end.
+//! The policy checked against the reference model in random scenarios, and its behavior at a single front end.
 
 mod reference_model;
 
@@ -7,7 +7,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use reference_model::{Harness, RecordedAction, policy, warm_harness};
 
-/// One thing that happens: what, two parameters, and the seconds that pass after it.
+/// An event: its kind, two parameters, and the seconds that pass after it.
 type Step = (u8, usize, usize, f64);
 
 const STATUSES: [DispatchStatus; 9] = [
@@ -22,12 +22,12 @@
     DispatchStatus::Ok,
 ];
 
-fn play(policy: PolicyConfig, steps: &[Step]) {
+fn run_steps(policy: PolicyConfig, steps: &[Step]) {
     let mut harness = Harness::new(policy, 6);
-    for &(what, a, b, later) in steps {
-        match what {
+    for &(kind, a, b, pause) in steps {
+        match kind {
             0..=3 => {
-                harness.invoke(b % 3, a as u64 % 5, 0.3 + later * 20.0);
+                harness.invoke(b % 3, a as u64 % 5, 0.3 + pause * 20.0);
             }
             4..=6 => {
                 let in_flight: Vec<(u32, usize)> = harness
@@ -49,7 +49,7 @@
                     EndpointState::Ready,
                 ][b % 4];
                 let started_at = if b >= 4 {
-                    harness.model.now - later
+                    harness.model.now - pause
                 } else {
                     f64::NEG_INFINITY
                 };
@@ -61,7 +61,7 @@
                 harness.update_endpoint(a % 6, EndpointState::Ready, f64::NEG_INFINITY);
             }
         }
-        harness.advance(later);
+        harness.advance(pause);
     }
     harness.assert_all_answered();
 }
@@ -95,7 +95,7 @@
                 load_budget_window: if has_load_budget { 5.0 } else { 0.0 },
                 ..policy()
             };
-            play(policy, &steps);
+            run_steps(policy, &steps);
             Ok(())
         },
     );
--- a/crates/dispatch-policy/tests/fleet_scale.rs
+++ b/crates/dispatch-policy/tests/fleet_scale.rs
@@ -1,4 +1,4 @@
-//! Many front ends, functions and executors, each of which sees little.
+//! Large fleets: many front ends, functions and executors with little traffic each.
 
 mod reference_model;
 
@@ -8,7 +8,7 @@
 use reference_model::policy;
 use std::collections::HashMap;
 
-/// Records dispatches, final answers other than successes, and the timer; nothing is checked.
+/// Records dispatches, the number of rejections and errors, and the timer.
 #[derive(Default)]
 struct Recorder {
     now: f64,
@@ -39,7 +39,8 @@
     fn subscribe_to_endpoints(&mut self) {}
 }
 
-/// The largest sizes of the tables of executors, functions and invocations while each round brings new ones.
+/// Returns the largest sizes of the tables of executors, functions and invocations while each round uses new
+/// executors, functions and invocations.
 fn max_table_sizes(rounds: u32, executors: u32, invocations: u32, step: f64) -> [usize; 3] {
     let mut recorder = Recorder::default();
     let mut dispatcher = Dispatcher::new(
@@ -91,14 +92,15 @@
 }
 
 #[test]
-fn tables_level_off_with_ever_new_identifiers() {
+fn table_sizes_stay_bounded_with_new_identifiers() {
     let all = max_table_sizes(1_000, 100, 100, 2.0);
-    // What two minutes bring, and for functions the 64 sweeps after that, one a round here; of 100,000 each.
+    // Entries are kept for two minutes, and functions for up to 64 further sweeps, here one per round. 100,000 of each
+    // were added.
     assert!(
         (6_000..=6_300).contains(&all[0]) && all[1] <= 13_000 && (50..=200).contains(&all[2]),
         "{all:?}"
     );
-    // 950 new functions a second for two minutes would be 40 MB and more; the unused give way sooner.
+    // 950 new functions per second for two minutes would take 40 MB or more, so unused functions are removed earlier.
     let many = max_table_sizes(1_200, 10, 95, 0.1)[1];
     assert!((16_384..=30_000).contains(&many), "{many} of 114,000");
 }
@@ -118,7 +120,7 @@
     accepted: Vec<Accepted>,
 }
 
-/// A result that is due.
+/// A result that is delivered at `due_at`.
 struct PendingResult {
     due_at: f64,
     front_end: usize,
@@ -129,7 +131,7 @@
     copy_state: CopyState,
 }
 
-/// Executors that answer every dispatch, shared by front ends.
+/// Executors that answer every dispatch, and the front ends that share them.
 struct IdleFleet {
     now: f64,
     front_ends: Vec<FrontEnd>,
@@ -137,7 +139,7 @@
     /// When the replica of each function at an executor is loaded.
     loaded_at: HashMap<(ExecutorId, u64), f64>,
     pending: Vec<PendingResult>,
-    /// Answers within the objective to invocations after the first ten seconds.
+    /// Number of invocations after the first ten seconds that were answered within the objective.
     in_time: u32,
 }
 
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Invokes a function at a front end. Popularity falls as one over the rank, of front ends as of functions.
+    /// Invokes a function at a front end. Both are drawn with a probability inversely proportional to their rank.
     fn invoke(&mut self) {
         let count = self.front_ends.len();
         let front_end = ((count as f64).powf(self.random.unit()) as usize - 1).min(count - 1);
@@ -213,8 +215,8 @@
         self.run_dispatches(front_end);
     }
 
-    /// Ends the dispatches that are due.
-    fn finish_due(&mut self) {
+    /// Delivers the results that are due.
+    fn deliver_due_results(&mut self) {
         let due: Vec<PendingResult> = self
             .pending
             .extract_if(.., |result| result.due_at <= self.now)
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Has the executors run what a front end dispatched.
+    /// Schedules the results of a front end's new dispatches.
     fn run_dispatches(&mut self, front_end: usize) {
         let FrontEnd {
             recorder, accepted, ..
@@ -297,9 +299,9 @@
     }
 }
 
-/// An idle fleet under 60 invocations a second, however many front ends share them, some with many times the mean:
-/// the fraction answered within the objective after the first ten seconds, and the loads of all.
-fn idle_fleet(front_ends: u32) -> (f64, usize) {
+/// Runs an idle fleet under 60 invocations per second in total, distributed unevenly over the front ends. Returns the
+/// fraction answered within the objective after the first ten seconds, and the number of loads.
+fn run_idle_fleet(front_ends: u32) -> (f64, usize) {
     let mut fleet = IdleFleet::new(front_ends);
     let mut accepted = 0;
     for step in 0..4_000 {
@@ -308,10 +310,10 @@
             fleet.invoke();
             accepted += u32::from(step >= 1_000);
         }
-        fleet.finish_due();
+        fleet.deliver_due_results();
         fleet.fire_timers();
     }
-    // The last quarter of a second's could not be answered yet.
+    // The 15 invocations of the last quarter of a second have not been answered yet.
     let served = f64::from(fleet.in_time) / f64::from(accepted - 15);
     (served, fleet.loaded_at.len())
 }
@@ -319,7 +321,7 @@
 #[test]
 fn idle_fleet_serves_sparse_and_uneven_traffic_of_many_front_ends() {
     for front_ends in [1, 30, 350] {
-        let (served, loads) = idle_fleet(front_ends);
+        let (served, loads) = run_idle_fleet(front_ends);
         assert!(served > 0.95, "{served} served at {front_ends} front ends");
         assert!(
             loads <= 140,
--- a/crates/dispatch-policy/tests/idempotency.rs
+++ b/crates/dispatch-policy/tests/idempotency.rs
@@ -1,12 +1,13 @@
-//! Retries of keyed invocations, within the deduplication scope and window of the first dispatch that may have run.
+//! Retries of keyed invocations are limited to the deduplication scope and window of the first dispatch that may have
+//! run.
 
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
 use reference_model::{Harness, policy};
 
-/// A harness whose placements are dispatches, with a keyed invocation that may have run at an executor, and the other
-/// executor of that one's scope.
+/// Creates a harness without load commands, with a keyed invocation in flight. Returns also the invocation and the
+/// other executor in the deduplication scope of its dispatch.
 fn harness_with_possible_execution(function: u64) -> (Harness, u32, usize) {
     let mut harness = Harness::new(
         PolicyConfig {
@@ -20,7 +21,8 @@
     (harness, invocation, first ^ 1)
 }
 
-/// Found in scenarios over sockets: without a warm replica in its scope the invocation waited until its client left.
+/// Regression test for a failure in socket tests: an invocation without a warm replica in its scope waited until its
+/// client timed out.
 #[test]
 fn keyed_invocation_is_retried_within_its_scope() {
     for function in 0..40 {
@@ -69,7 +71,7 @@
 #[test]
 fn keyed_invocation_is_never_retried_outside_its_scope_or_window() {
     for function in 0..40 {
-        // The executors remember a key for 2 s.
+        // Executors remember a key for 2 s.
         for (back_after, sent) in [(1.9, 2), (2.1, 1)] {
             let (mut harness, invocation, peer) = harness_with_possible_execution(function);
             harness.update_endpoint(peer, EndpointState::Draining, f64::NEG_INFINITY);
@@ -78,7 +80,7 @@
             assert_eq!(
                 harness.executors_of(invocation),
                 [peer ^ 1],
-                "function {function}, with no other in its scope"
+                "function {function}, without another executor in its scope"
             );
             harness.update_endpoint(peer, EndpointState::Ready, f64::NEG_INFINITY);
             harness.advance(0.1);
@@ -92,8 +94,8 @@
     }
 }
 
-/// An address that now stands in another cell is another executor: what may have run at the first is retried in the
-/// scope of the first only.
+/// An executor whose cell changes counts as another executor. An invocation that may have run at the former one is
+/// retried only in the former one's scope.
 #[test]
 fn reused_address_keeps_the_scope_of_the_earlier_executor() {
     let mut harness = Harness::new(
@@ -112,13 +114,13 @@
         harness.executors_of(invocation)[0],
         harness.executors_of(other)[0],
     );
-    assert_ne!(first, second, "each executor has one of them");
+    assert_ne!(first, second, "each executor has one dispatch");
     harness.model.executors[first].cell = 9;
     harness.update_endpoint(first, EndpointState::Ready, f64::NEG_INFINITY);
     harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
         harness.executors_of(invocation),
         [first, second],
-        "not at the idle executor, which is in another cell now"
+        "the idle executor is in another cell now"
     );
 }
--- a/crates/dispatch-policy/tests/load_budget.rs
+++ b/crates/dispatch-policy/tests/load_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of load commands, and prewarming.
+//! The budget of load commands and its use by prewarming.
 
 mod reference_model;
 
@@ -22,7 +22,7 @@
     assert_eq!(
         commands(&harness),
         2,
-        "the rest of the budget is for placements"
+        "the rest of the budget is reserved for placements"
     );
     harness.invoke(0, 9, 5.0);
     assert_eq!(commands(&harness), 3);
@@ -36,12 +36,16 @@
     );
     harness.finish_loads(DispatchStatus::Ok);
     harness.advance(5.0);
-    assert_eq!(harness.prewarm(1, 0), 1, "and warm for longer than without");
-    assert_eq!(harness.prewarm(2, 0), 0, "unlike the other");
+    assert_eq!(
+        harness.prewarm(1, 0),
+        1,
+        "the renewed replica is still warm"
+    );
+    assert_eq!(harness.prewarm(2, 0), 0, "the other replica has expired");
 }
 
 #[test]
-fn withdrawn_invocations_grant_no_load_command() {
+fn cancelled_invocations_grant_no_load_command() {
     let mut harness = Harness::new(
         PolicyConfig {
             load_budget_floor: 1.0,
@@ -59,6 +63,6 @@
     assert_eq!(
         harness.model.load_commands.len(),
         1,
-        "the floor, and no fraction of what was withdrawn"
+        "only the budget's floor is granted"
     );
 }
--- a/crates/dispatch-policy/tests/load_score.rs
+++ b/crates/dispatch-policy/tests/load_score.rs
@@ -1,12 +1,12 @@
-//! Which of several warm replicas gets an invocation.
+//! The choice among several warm replicas.
 
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
 use reference_model::{Harness, policy};
 
-/// A harness in which function 1 is warm at executors in these zones. Invocations are few enough to leave every limit
-/// aside.
+/// Creates a harness in which function 1 is warm at one executor in each of the zones. The tests send too few
+/// invocations to reach any limit.
 fn harness_with_replicas(zones: &[u8], policy: PolicyConfig) -> Harness {
     let mut harness = Harness::in_zones(policy, zones);
     for _ in zones {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Invokes function 1 and returns where it is dispatched to.
+/// Invokes function 1 and returns the executor to which it is dispatched.
 fn dispatched_to(harness: &mut Harness) -> usize {
     let invocation = harness.invoke(0, 1, 5.0);
     harness.executors_of(invocation)[0]
--- a/crates/dispatch-policy/tests/outlier_detection.rs
+++ b/crates/dispatch-policy/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Executors that hang, fail or can't be reached are ejected, and what is in flight there is retried or hedged.
+//! Executors that hang, fail or can't be reached are ejected, and their dispatches in flight are retried or hedged.
 
 mod reference_model;
 
@@ -24,7 +24,7 @@
     let sent = &harness.model.accepted[stuck as usize].dispatches;
     assert!(
         sent.len() == 2 && sent[0].executor == executor && sent[1].executor != executor,
-        "a hedged request went elsewhere"
+        "a hedged dispatch goes to another executor"
     );
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(
         harness.dispatches_to(executor),
         before,
-        "no non-idempotent invocation is tried there"
+        "no non-idempotent invocation is used as a trial"
     );
     harness.advance(6.0);
     harness.invoke(0, 9, 5.0);
@@ -109,7 +109,7 @@
     for function in 100..160 {
         let first = harness.invoke(2, function, 5.0);
         if harness.model.accepted[first as usize].dispatches[0].executor == executor {
-            // A client invokes a function that no executor knows.
+            // The client invoked a function that no executor knows.
             harness.finish(first, 0, DispatchStatus::Error);
             continue;
         }
@@ -121,7 +121,7 @@
     assert_eq!(
         harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(last, executor)),
-        "the function that it serves still goes there"
+        "the executor is not ejected"
     );
 }
 
@@ -142,7 +142,8 @@
     );
 }
 
-/// Found with 300 front ends: an invocation that was retried from an executor that hung was the next to try it again.
+/// Regression test for a fleet of 300 front ends: an invocation retried from an executor that hung was dispatched there
+/// again as the next trial.
 #[test]
 fn retried_invocation_does_not_return_to_the_silent_executor() {
     let (mut harness, executor) = warm_harness(policy(), 4);
--- a/crates/dispatch-policy/tests/placement.rs
+++ b/crates/dispatch-policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where a further replica is placed, and when.
+//! Placement of further replicas: the choice of the executor and the time.
 
 mod reference_model;
 
@@ -26,7 +26,7 @@
         .count();
     assert_eq!(
         sent, 4,
-        "all follow its result: {:?}",
+        "all are dispatched after its result: {:?}",
         harness.model.actions
     );
 }
@@ -44,8 +44,9 @@
     assert_eq!(target(0), target(3));
 }
 
-/// Found with 300 front ends: small differences in what each had in flight divided them over both executors drawn, and
-/// each of the two loaded a replica, while executors reported that they load all they can.
+/// Regression test for a fleet of 300 front ends: small differences in their dispatches in flight made front ends
+/// choose different executors of the two drawn. Both executors loaded a replica while all executors reported as many
+/// pending loads as they can run.
 #[test]
 fn front_ends_choose_the_same_executor_while_loads_are_pending() {
     let pending_loads = std::cell::Cell::new(0.0);
@@ -82,12 +83,16 @@
         };
         (100..160).filter(elsewhere).count()
     };
-    assert!(elsewhere_count() > 0, "an idle fleet is used evenly");
+    assert!(
+        elsewhere_count() > 0,
+        "an idle fleet spreads the placements"
+    );
     pending_loads.set(8.0);
     assert_eq!(elsewhere_count(), 0);
 }
 
-/// Found with 300 front ends: load commands cost 0.08 of an invocation each, and most found the replica loaded.
+/// Regression test for a fleet of 300 front ends: load commands cost 0.08 of an invocation each, and most arrived at an
+/// executor that already had the function loaded.
 #[test]
 fn invocation_is_the_placement_where_load_commands_are_expensive() {
     let placed = |load_command_cost: f64, rejects_unloaded: bool| {
@@ -109,7 +114,7 @@
     assert!(matches!(placed(0.011, false), RecordedAction::Load(_, 1)));
     assert!(
         matches!(placed(0.08, true), RecordedAction::Load(_, 1)),
-        "nothing else loads a replica there"
+        "executors that reject unloaded functions load only on command"
     );
 }
 
@@ -137,7 +142,8 @@
     );
 }
 
-/// Found with 100,000 functions: an expired replica that was not swept yet delayed the next placement.
+/// Regression test for a fault with 100,000 functions: an expired replica that had not been swept yet delayed the next
+/// placement.
 #[test]
 fn expired_replica_delays_no_placement() {
     let (mut harness, _) = warm_harness(policy(), 6);
@@ -154,8 +160,8 @@
     );
 }
 
-/// Found by a flaky test of the HTTP front end: a function whose placement had failed at an executor was never placed
-/// there again, even without any other.
+/// Regression test for a flaky test of the HTTP front end: a function whose placement had failed at an executor was
+/// never placed there again, even if there was no other executor.
 #[test]
 fn only_executor_is_tried_again_after_it_was_full() {
     let mut harness = Harness::new(
@@ -175,7 +181,8 @@
     assert_eq!(harness.dispatches_to(0), 2, "{:?}", harness.model.actions);
 }
 
-/// The same with another executor that takes no connection: one dispatch is enough to find that out.
+/// As above, with a second executor that accepts no connections: after one failed dispatch the full executor is
+/// preferred.
 #[test]
 fn full_executor_is_preferred_to_one_without_connection() {
     let mut harness = Harness::new(
--- a/crates/dispatch-policy/tests/reconfiguration.rs
+++ b/crates/dispatch-policy/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Trigger types and customers' quotas that change while a front end runs.
+//! Changes of trigger types and customers' quotas while a front end runs.
 
 mod reference_model;
 
@@ -38,7 +38,7 @@
         harness.model.actions.last(),
         Some(&RecordedAction::Dispatch(invocation, executor))
     );
-    // It is non-idempotent: what may have run is not retried.
+    // The type is non-idempotent: an invocation that may have run is not retried.
     harness.finish(invocation, 0, DispatchStatus::Error);
     assert_eq!(
         harness.model.actions.last(),
@@ -56,7 +56,7 @@
             .set_trigger_type(harness.model.now, 0, policy().trigger_types[2].clone())
     };
     assert_eq!(change(&mut harness), Err(ConfigError::InUse { index: 0 }));
-    // A withdrawn invocation is cancelled, and open until that is confirmed.
+    // A cancelled invocation stays open until the executor confirms the cancellation.
     harness.cancel(invocation);
     assert_eq!(change(&mut harness), Err(ConfigError::InUse { index: 0 }));
     harness.finish(invocation, 0, DispatchStatus::Cancelled);
@@ -67,7 +67,7 @@
     assert_eq!(
         harness.model.actions.last(),
         Some(&RecordedAction::Fail(invocation)),
-        "it is non-idempotent now"
+        "the trigger type is non-idempotent now"
     );
 }
 
@@ -103,7 +103,8 @@
     assert!(text.contains("the next one to append is 3"), "{text}");
 }
 
-/// How many of 200 invocations at one moment are over their customer's quota; all are rejected, as there is no executor.
+/// Returns how many of 200 simultaneous invocations exceed their customer's quota. All are rejected because there is no
+/// executor.
 fn count_over_quota(dispatcher: &mut Dispatcher, now: f64, customer: usize) -> usize {
     #[derive(Default)]
     struct OverQuotaCount(usize);
@@ -134,20 +135,20 @@
 }
 
 #[test]
-fn quota_change_keeps_saved_tokens_and_new_customers_start_full() {
+fn quota_change_keeps_accumulated_tokens_and_new_customers_start_full() {
     let quotas = |quotas: &[f64]| PolicyConfig {
         front_ends: 1.0,
         quotas: quotas.to_vec(),
         ..policy()
     };
     let mut harness = Harness::new(quotas(&[9.0]), 0);
-    // Two seconds of the quota and five times its root: 18 + 15 may be saved up.
+    // The bucket holds two seconds of the quota plus five times its square root: 18 + 15 tokens.
     assert_eq!(
         count_over_quota(&mut harness.dispatcher, 100.0, 0),
         200 - 33
     );
     assert_eq!(count_over_quota(&mut harness.dispatcher, 101.0, 0), 200 - 9);
-    // One second at the old rate counts before the change, and one at the new rate after it.
+    // One second at the old rate, then one second at the new rate.
     assert_eq!(
         harness.dispatcher.set_quotas(102.0, vec![25.0, 4.0]),
         Ok(())
@@ -161,10 +162,10 @@
         200 - 18,
         "8 + 10"
     );
-    // What is saved is bounded by the new quota: 75 were saved by then, 4.5 are the most.
+    // The new quota limits the accumulated tokens: of 75 tokens, 4.5 remain.
     assert_eq!(harness.dispatcher.set_quotas(203.0, vec![0.5]), Ok(()));
     assert_eq!(count_over_quota(&mut harness.dispatcher, 203.0, 0), 200 - 4);
-    // A customer without a quota has no bound, and one that comes back starts full.
+    // A customer without a quota is unlimited, and one that is given a quota again starts with a full bucket.
     assert_eq!(count_over_quota(&mut harness.dispatcher, 203.0, 1), 0);
     assert_eq!(harness.dispatcher.set_quotas(203.0, vec![0.5, 4.0]), Ok(()));
     assert_eq!(
--- a/crates/dispatch-policy/tests/reference_model/fixtures.rs
+++ b/crates/dispatch-policy/tests/reference_model/fixtures.rs
@@ -1,21 +1,21 @@
-//! Settings, endpoints, invocations and results that tests start from.
+//! Default settings, endpoints, invocations and results for tests.
 
 use orchidtally_dispatch_policy::interface::*;
 
-/// The address of an executor, by its number.
+/// Returns the address of the executor with a number.
 pub fn executor_id(executor: usize) -> ExecutorId {
     ExecutorId([10, 0, 0, executor as u8].into(), 7000)
 }
 
-/// The number of the executor at an address.
+/// Returns the number of the executor with an address.
 pub fn executor_number(executor: ExecutorId) -> usize {
     match executor.0 {
         std::net::IpAddr::V4(a) => usize::from(a.octets()[3]),
-        std::net::IpAddr::V6(a) => panic!("no executor {a}"),
+        std::net::IpAddr::V6(a) => panic!("no executor has address {a}"),
     }
 }
 
-/// A ready executor that started long ago.
+/// Returns the endpoint of a ready executor that started long ago.
 pub fn endpoint(executor: usize) -> Endpoint {
     Endpoint {
         executor: executor_id(executor),
@@ -28,7 +28,7 @@
     }
 }
 
-/// An idempotent invocation.
+/// Returns an idempotent invocation.
 pub fn invocation(timeout_at: f64) -> Invocation {
     Invocation {
         id: 0,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The result of a dispatch that succeeded.
+/// Returns the result of a dispatch that succeeded.
 pub fn successful_result() -> DispatchResult<'static> {
     DispatchResult {
         invocation: 0,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Settings with an idempotent, a keyed and a non-idempotent trigger type, in this order.
+/// Returns settings with an idempotent, a keyed and a non-idempotent trigger type, in this order.
 pub fn policy() -> PolicyConfig {
     let trigger_type = |idempotency, deduplication_scope| TriggerType {
         latency_objective: 1.0,
--- a/crates/dispatch-policy/tests/reference_model/harness.rs
+++ b/crates/dispatch-policy/tests/reference_model/harness.rs
@@ -1,4 +1,4 @@
-//! A front end with its executors, to which things happen one by one.
+//! A test harness: a dispatcher with simulated executors, a virtual clock and the reference model.
 
 use super::model::{AcceptedInvocation, Executor, RecordedAction, ReferenceModel};
 use super::{endpoint, executor_id, invocation, successful_result};
@@ -8,15 +8,16 @@
 pub struct Harness {
     pub dispatcher: Dispatcher,
     pub model: ReferenceModel,
-    /// The concurrency of the function that executors report.
+    /// The concurrency of the function that executors report with each result.
     pub function_concurrency: u32,
-    /// The load report of each result.
+    /// The load report that executors send with each result.
     pub load_report: Vec<f32>,
-    /// Seconds that each result takes. A quarter of the objective leaves the baseline latency as it was at the start.
+    /// The duration of each dispatch, in seconds. A quarter of the objective equals the initial baseline latency and
+    /// leaves it unchanged.
     pub latency: f64,
 }
 
-/// A harness in which function 1 is warm at one executor, and that executor.
+/// Creates a harness in which function 1 is warm at one executor. Returns also the number of that executor.
 pub fn warm_harness(policy: PolicyConfig, executors: usize) -> (Harness, usize) {
     let mut harness = Harness::new(policy, executors);
     let invocation = harness.invoke(0, 1, 5.0);
@@ -33,12 +34,12 @@
         Harness::new_at(policy, executors, 100.0)
     }
 
-    /// A harness that starts at a time.
+    /// Creates a harness whose clock starts at `now`.
     pub fn new_at(policy: PolicyConfig, executors: usize, now: f64) -> Harness {
         Harness::in_zones_at(policy, &vec![0; executors], now)
     }
 
-    /// A harness with an executor in each of these zones.
+    /// Creates a harness with one executor in each of the zones.
     pub fn in_zones(policy: PolicyConfig, zones: &[u8]) -> Harness {
         Harness::in_zones_at(policy, zones, 100.0)
     }
@@ -94,7 +95,7 @@
         );
     }
 
-    /// Invokes a function with a client timeout in seconds; returns the identifier of the invocation.
+    /// Invokes a function with a client timeout in seconds. Returns the identifier of the invocation.
     pub fn invoke(&mut self, trigger_type: usize, function: u64, timeout: f64) -> u32 {
         let (id, now) = (self.model.accepted.len() as u32, self.model.now);
         let invocation = Invocation {
@@ -114,7 +115,7 @@
         id
     }
 
-    /// The client withdraws an invocation; it grants no load command from then on.
+    /// Cancels an invocation on behalf of its client. It no longer grants load commands.
     pub fn cancel(&mut self, invocation: u32) {
         let now = self.model.now;
         let accepted = &mut self.model.accepted[invocation as usize];
@@ -124,7 +125,7 @@
             .on_client_cancel(now, invocation, &mut self.model);
     }
 
-    /// Requests replicas before invocations arrive; returns how many are warm.
+    /// Requests replicas before invocations arrive. Returns how many are warm.
     pub fn prewarm(&mut self, function: u64, replicas: usize) -> usize {
         let request = PrewarmRequest {
             function,
@@ -136,7 +137,7 @@
             .prewarm(self.model.now, &request, &mut self.model)
     }
 
-    /// Has a dispatch end, by its number, if it is in flight.
+    /// Ends a dispatch, by its number, if it is in flight.
     pub fn finish(&mut self, invocation: u32, dispatch: usize, status: DispatchStatus) {
         let accepted = &mut self.model.accepted[invocation as usize];
         let sent = &mut accepted.dispatches[dispatch];
@@ -163,7 +164,7 @@
             .on_dispatch_result(self.model.now, &result, &mut self.model);
     }
 
-    /// Has every invocation's first dispatch in flight succeed.
+    /// Ends every invocation's first dispatch in flight with a success.
     pub fn finish_all_in_flight(&mut self) {
         for invocation in 0..self.model.accepted.len() {
             if let Some(dispatch) = self.model.accepted[invocation].in_flight() {
@@ -187,14 +188,14 @@
         }
     }
 
-    /// Has every load command end whose result is awaited.
+    /// Ends every load command whose result is outstanding.
     pub fn finish_loads(&mut self, status: DispatchStatus) {
         for number in 0..self.model.load_commands.len() {
             self.finish_load(number, status);
         }
     }
 
-    /// Lets time pass; timers fire, and dispatches end with their client's timeout.
+    /// Advances the clock. Timers fire, and dispatches end when their client times out.
     pub fn advance(&mut self, seconds: f64) {
         let until = self.model.now + seconds;
         loop {
@@ -231,7 +232,7 @@
         self.model.now = until;
     }
 
-    /// How many dispatches went to an executor.
+    /// Returns the number of dispatches that were sent to an executor.
     pub fn dispatches_to(&self, executor: usize) -> usize {
         self.model
             .accepted
@@ -241,7 +242,7 @@
             .count()
     }
 
-    /// The executors that an invocation was dispatched to, in order.
+    /// Returns the executors to which an invocation was dispatched, in order.
     pub fn executors_of(&self, invocation: u32) -> Vec<usize> {
         self.model.accepted[invocation as usize]
             .dispatches
@@ -250,7 +251,7 @@
             .collect()
     }
 
-    /// Asserts that every invocation has had its final answer in time.
+    /// Asserts that every invocation has its final answer in time.
     pub fn assert_all_answered(&mut self) {
         self.advance(6.0);
         for accepted in &self.model.accepted {
@@ -261,7 +262,7 @@
                 .unwrap_or_else(|| panic!("rule 1: {id} was never answered"));
             assert!(
                 at <= timeout_at + 0.008 || at <= timeout_at.max(100.0) + 0.008,
-                "rule 1: {id} late"
+                "rule 1: {id} was answered late"
             );
         }
     }
--- a/crates/dispatch-policy/tests/reference_model/mod.rs
+++ b/crates/dispatch-policy/tests/reference_model/mod.rs
@@ -1,13 +1,13 @@
-//! A slow, simple model of the five rules beside the policy: it hears every action and checks each on its own.
+//! A simple reference model of the five rules. It receives every action of the policy and checks it independently.
 
-// Each test program uses a part.
+// Each test program uses only some of the items.
 #![allow(dead_code)]
 
 mod fixtures;
 mod harness;
 mod model;
 
-// Each test program uses a part.
+// Each test program uses only some of the items.
 #[allow(unused_imports)]
 pub use fixtures::*;
 #[allow(unused_imports)]
--- a/crates/dispatch-policy/tests/reference_model/model.rs
+++ b/crates/dispatch-policy/tests/reference_model/model.rs
@@ -1,9 +1,10 @@
-//! The model: records of what was accepted, dispatched and commanded, and a check of each action against the rules.
+//! The reference model: records of accepted invocations, dispatches and load commands, and a check of each action
+//! against the five rules.
 
 use super::executor_number;
 use orchidtally_dispatch_policy::interface::*;
 
-/// An action of the policy; executors are named by their numbers.
+/// An action of the policy, with executors identified by their numbers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordedAction {
     /// Invocation and executor.
@@ -20,7 +21,7 @@
 
 pub struct SentDispatch {
     pub executor: usize,
-    /// The executor's cell at that time.
+    /// The executor's cell when it was sent.
     pub cell: u16,
     pub sent_at: f64,
     /// `None` while it is in flight.
@@ -34,7 +35,7 @@
 }
 
 impl AcceptedInvocation {
-    /// The number of its first dispatch in flight.
+    /// Returns the number of its first dispatch in flight.
     pub fn in_flight(&self) -> Option<usize> {
         self.dispatches
             .iter()
@@ -47,7 +48,7 @@
     pub started_at: f64,
     pub zone: u8,
     pub cell: u16,
-    /// Dispatches that succeeded there.
+    /// Number of dispatches that succeeded there.
     pub succeeded: u32,
 }
 
@@ -55,20 +56,20 @@
     pub sent_at: f64,
     pub executor: usize,
     pub function: u64,
-    /// Its result is awaited.
+    /// Whether its result is outstanding.
     pub is_open: bool,
 }
 
-/// The records of the rules, kept without any help of the policy.
+/// The model's records, which are kept independently of the policy.
 pub struct ReferenceModel {
     pub policy: PolicyConfig,
     pub now: f64,
     pub executors: Vec<Executor>,
     pub accepted: Vec<AcceptedInvocation>,
     pub load_commands: Vec<LoadCommand>,
-    /// When invocations arrived that grant load commands.
+    /// Arrival times of the invocations that grant load commands.
     pub arrivals: Vec<f64>,
-    /// When timers fire.
+    /// Times at which timers fire.
     pub timers: Vec<f64>,
     pub actions: Vec<RecordedAction>,
 }
@@ -79,10 +80,10 @@
             .accepted
             .iter()
             .find(|accepted| accepted.invocation.id == invocation)
-            .expect("an action for an invocation that was never accepted");
+            .expect("an action refers to an invocation that was never accepted");
         assert!(
             accepted.answered_at.is_none(),
-            "rule 1: {invocation} had its final answer"
+            "rule 1: {invocation} already has its final answer"
         );
         accepted
     }
@@ -126,12 +127,12 @@
         );
         assert!(
             accepted.dispatches.len() < usize::from(self.policy.max_dispatches),
-            "the dispatch limit"
+            "more dispatches than max_dispatches"
         );
         self.check_repeat(accepted, executor);
         assert!(
             self.executors[executor].is_ready,
-            "rule 3: a dispatch to an executor that drains or is gone"
+            "rule 3: dispatch to an executor that is draining or gone"
         );
         self.check_slow_start_budget(executor);
     }
@@ -164,8 +165,9 @@
     fn check_slow_start_budget(&self, executor: usize) {
         let weight = self.slow_start_weight(executor);
         if weight < 1.0 {
-            // All invocations here weigh the same, so counts will do. No peer completed more than all the answers
-            // there were, over the shortest time in which a rate is taken; a turn is one more.
+            // All invocations have the same expected work, so dispatches are counted. The number of all successes is an
+            // upper bound of the work that a peer completes, over the shortest time in which a rate is measured. One
+            // further dispatch is allowed for a turn.
             let succeeded: u32 = self.executors.iter().map(|other| other.succeeded).sum();
             let budget = self.policy.overload_factor
                 * weight
@@ -179,7 +181,7 @@
                 .count();
             assert!(
                 sent as f64 <= budget,
-                "rule 4: {sent} sent to an executor that warms up, {budget} granted"
+                "rule 4: {sent} sent to a warming executor, {budget} granted"
             );
         }
     }
@@ -193,7 +195,7 @@
         let accepted = self.get_mut(invocation);
         assert!(
             timeout > 0.0 && now + timeout <= accepted.invocation.timeout_at + 1e-6,
-            "a timeout past the client's"
+            "the timeout ends after the client's"
         );
         accepted.dispatches.push(SentDispatch {
             executor,
@@ -230,7 +232,7 @@
     fn cancel(&mut self, invocation: u32, dispatch: u8) {
         assert!(
             usize::from(dispatch) < self.get_mut(invocation).dispatches.len(),
-            "a cancellation of a dispatch that was never made"
+            "cancellation of a dispatch that was never sent"
         );
         self.actions
             .push(RecordedAction::Cancel(invocation, dispatch));
@@ -240,7 +242,7 @@
         let executor = executor_number(executor);
         assert!(
             self.executors[executor].is_ready,
-            "rule 3: a load command to an executor that drains or is gone"
+            "rule 3: load command to an executor that is draining or gone"
         );
         let window = self.policy.load_budget_window;
         if replicas > 0 && window > 0.0 {
--- a/crates/dispatch-policy/tests/regional_placement/failures.rs
+++ b/crates/dispatch-policy/tests/regional_placement/failures.rs
@@ -1,4 +1,4 @@
-//! Regions and zones that drain, fail, or are cut off.
+//! Regions and zones that drain, fail, or are partitioned.
 
 use crate::fixtures::*;
 use crate::reference_model::{Harness, RecordedAction};
@@ -22,20 +22,27 @@
             zone_regions: regions,
             ..regional()
         };
-        placed(Harness::in_zones(policy, &ZONES))
+        place_all(Harness::in_zones(policy, &ZONES))
     };
-    let there = front_end(0.0);
-    assert_eq!(there, front_end(1.0), "alike at each of its front ends");
+    let placements = front_end(0.0);
+    assert_eq!(
+        placements,
+        front_end(1.0),
+        "the same at each of its front ends"
+    );
     assert!(
-        (0..12).filter(|executor| there.contains(executor)).count() > 8,
-        "all of them are used: {there:?}"
+        (0..12)
+            .filter(|executor| placements.contains(executor))
+            .count()
+            > 8,
+        "all of them are used: {placements:?}"
     );
 }
 
 #[test]
-fn draining_region_is_left_and_used_again() {
+fn draining_region_is_avoided_and_used_again() {
     let mut harness = regional_harness();
-    let here: Vec<usize> = FUNCTIONS
+    let before: Vec<usize> = FUNCTIONS
         .map(|function| serve(&mut harness, function))
         .collect();
     set_states(&mut harness, 0..6, EndpointState::Draining);
@@ -43,15 +50,15 @@
         assert!(!in_own_region(serve(&mut harness, function)));
     }
     set_states(&mut harness, 0..6, EndpointState::Ready);
-    let back: Vec<usize> = FUNCTIONS
+    let after: Vec<usize> = FUNCTIONS
         .map(|function| serve(&mut harness, function))
         .collect();
-    assert_eq!(back, here, "though there are warm replicas elsewhere");
+    assert_eq!(after, before, "although there are warm replicas elsewhere");
 }
 
-/// The replica elsewhere serves on until one in the own region is loaded.
+/// The replica in another region serves invocations until one in the own region is loaded.
 #[test]
-fn nothing_waits_for_the_replica_in_the_own_region() {
+fn invocations_do_not_wait_for_the_replica_in_the_own_region() {
     let mut harness = Harness::in_zones(
         PolicyConfig {
             allows_load_commands: true,
@@ -78,9 +85,9 @@
 }
 
 #[test]
-fn region_of_ejected_executors_is_left_and_used_again() {
+fn region_of_ejected_executors_is_avoided_and_used_again() {
     let mut harness = regional_harness();
-    // Executors are compared with their peers: the others have to be seen sound, on warm replicas.
+    // Executors are compared with their peers, so the executors of the other region need successes on warm replicas.
     set_states(&mut harness, 0..6, EndpointState::Draining);
     (1000..1200)
         .chain(1000..1200)
@@ -91,7 +98,7 @@
     for function in FUNCTIONS.cycle().take(600) {
         let invocation = harness.invoke(2, function, 5.0);
         if harness.executors_of(invocation).is_empty() {
-            // Its last placement failed a moment ago.
+            // The function's last placement failed less than 0.11 s ago.
             harness.advance(0.11);
         }
         let is_near = harness
@@ -111,32 +118,35 @@
     }
     assert!(
         elsewhere >= 60,
-        "all functions go elsewhere in the end, not the last {elsewhere} calls alone"
+        "only the last {elsewhere} invocations left the region, fewer than one for each function"
     );
     harness.advance(10.0);
-    // Outliers are detected anew while invocations are in flight.
+    // Outliers are detected again only while invocations are in flight.
     serve(&mut harness, 9_999);
     harness.advance(0.2);
     assert!(
         FUNCTIONS
             .map(|function| serve(&mut harness, function))
             .all(in_own_region),
-        "though warm elsewhere"
+        "although the functions are warm elsewhere"
     );
 }
 
 #[test]
 fn lost_zone_moves_only_its_own_functions() {
-    let before = placed(regional_harness());
-    let after = placed_without(|executor| zone(executor) == 1);
+    let before = place_all(regional_harness());
+    let after = place_all_without(|executor| zone(executor) == 1);
     for (n, function) in FUNCTIONS.enumerate() {
         if zone(before[n]) != 1 {
-            assert_eq!(after[n], before[n], "function {function} was elsewhere");
+            assert_eq!(
+                after[n], before[n],
+                "function {function} was in another zone"
+            );
             continue;
         }
         assert_eq!(
             (before[n], after[n]),
-            first_two(function),
+            first_two_candidates(function),
             "function {function} moves to its second candidate"
         );
     }
@@ -166,7 +176,7 @@
         .map(|function| serve(&mut harness, function))
         .collect();
     assert_eq!(returned, meanwhile, "a function with a replica stays there");
-    // The reference model checks each dispatch to a cold executor; what has no turn there goes to another zone.
+    // The reference model checks each dispatch to a cold executor. Invocations without a turn there go to another zone.
     let others: Vec<usize> = FUNCTIONS
         .map(|function| serve(&mut harness, 5000 + function))
         .collect();
@@ -204,11 +214,11 @@
     }
     assert!(
         (6..12).all(|executor| harness.dispatches_to(executor) == 0),
-        "nothing goes where it can't be reached"
+        "nothing is sent to the unreachable region"
     );
 }
 
-/// However loaded it is, with idle ones elsewhere.
+/// This holds however loaded the executor is and although executors of the other region are idle.
 #[test]
 fn last_executor_of_a_region_serves_it_alone() {
     let mut harness = regional_harness();
@@ -219,7 +229,7 @@
     }
 }
 
-/// The only executor of the region has just failed to load the function.
+/// The placement on the only executor of the region has just failed, so the retry goes to the other region.
 #[test]
 fn function_leaves_a_region_whose_only_executor_fails() {
     let mut harness = regional_harness();
--- a/crates/dispatch-policy/tests/regional_placement/large_region.rs
+++ b/crates/dispatch-policy/tests/regional_placement/large_region.rs
@@ -5,8 +5,8 @@
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::*;
 
-/// Where a new front end with a large endpoint list places a function.
-fn placed_in_large(endpoints: &[Endpoint], function: u64) -> ExecutorId {
+/// Returns the executor on which a new front end with a large endpoint list places a function.
+fn place_in_large_region(endpoints: &[Endpoint], function: u64) -> ExecutorId {
     let mut out = Dispatched::default();
     let mut dispatcher = Dispatcher::new(regional(), 7, 100.0, &mut out);
     dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, endpoints, &mut out);
@@ -21,7 +21,7 @@
     out.0[0]
 }
 
-/// Where dispatches went.
+/// Records the executors of all dispatches.
 #[derive(Default)]
 struct Dispatched(Vec<ExecutorId>);
 
@@ -40,7 +40,7 @@
     fn subscribe_to_endpoints(&mut self) {}
 }
 
-/// A list with 1,024 executors of the own region and as many of another one.
+/// The endpoint list has 1,024 executors of the own region and as many of another one.
 #[test]
 fn region_of_1024_executors_is_used_whole_and_alone() {
     let address = |executor: u32| {
@@ -70,17 +70,17 @@
         .cloned()
         .collect();
     let first: Vec<ExecutorId> = (0..300)
-        .map(|function| placed_in_large(&all, function))
+        .map(|function| place_in_large_region(&all, function))
         .collect();
     for (function, before) in (0..).zip(&first) {
-        let after = placed_in_large(&without, function);
+        let after = place_in_large_region(&without, function);
         assert!(
             zone(before) < 3 && zone(&after) < 3,
             "{before:?}, {after:?}"
         );
         assert!(
             zone(before) == 1 || *before == after,
-            "{before:?} was not lost, and moved to {after:?}"
+            "moved from {before:?}, which is still there, to {after:?}"
         );
     }
     let distinct: std::collections::BTreeSet<&ExecutorId> = first.iter().collect();
--- a/crates/dispatch-policy/tests/regional_placement/main.rs
+++ b/crates/dispatch-policy/tests/regional_placement/main.rs
@@ -1,4 +1,4 @@
-//! Placement where the regions of zones are known: within the front end's own region, in different zones.
+//! Placement where the regions of zones are known: within the front end's own region and across its zones.
 
 #[path = "../reference_model/mod.rs"]
 mod reference_model;
--- a/crates/dispatch-policy/tests/regional_placement/placement.rs
+++ b/crates/dispatch-policy/tests/regional_placement/placement.rs
@@ -1,4 +1,4 @@
-//! Placement within the front end's own region, in different zones.
+//! Placement within the front end's own region and across its zones.
 
 use crate::fixtures::*;
 use crate::reference_model::Harness;
@@ -6,16 +6,16 @@
 
 #[test]
 fn functions_are_placed_in_the_front_ends_own_region() {
-    let here = placed(regional_harness());
+    let placements = place_all(regional_harness());
     assert!(
-        here.iter().all(|&executor| in_own_region(executor)),
-        "{here:?}"
+        placements.iter().all(|&executor| in_own_region(executor)),
+        "{placements:?}"
     );
     assert!(
-        (0..6).all(|executor| here.contains(&executor)),
-        "all of it is used: {here:?}"
+        (0..6).all(|executor| placements.contains(&executor)),
+        "all executors of the region are used: {placements:?}"
     );
-    let anywhere = placed(Harness::in_zones(
+    let without_regions = place_all(Harness::in_zones(
         PolicyConfig {
             zone_regions: vec![],
             ..regional()
@@ -23,8 +23,10 @@
         &ZONES,
     ));
     assert!(
-        anywhere.iter().any(|&executor| !in_own_region(executor)),
-        "without known regions it may be any"
+        without_regions
+            .iter()
+            .any(|&executor| !in_own_region(executor)),
+        "without known regions, other regions are used too"
     );
 }
 
@@ -36,15 +38,15 @@
         ..regional()
     };
     assert_eq!(
-        placed(Harness::in_zones(other, &ZONES)),
-        placed(regional_harness())
+        place_all(Harness::in_zones(other, &ZONES)),
+        place_all(regional_harness())
     );
     let elsewhere = PolicyConfig {
         zone: 4,
         ..regional()
     };
     assert!(
-        placed(Harness::in_zones(elsewhere, &ZONES))
+        place_all(Harness::in_zones(elsewhere, &ZONES))
             .iter()
             .all(|&executor| !in_own_region(executor))
     );
@@ -53,7 +55,7 @@
 #[test]
 fn first_two_candidates_are_in_different_zones() {
     for function in FUNCTIONS {
-        let (first, second) = first_two(function);
+        let (first, second) = first_two_candidates(function);
         assert!(
             in_own_region(second) && zone(second) != zone(first),
             "{function}: {first}, {second}"
@@ -81,8 +83,8 @@
 #[test]
 fn front_end_in_a_zone_without_region_places_anywhere() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
-    let there = |regions| {
-        placed(Harness::in_zones(
+    let place_with_regions = |regions| {
+        place_all(Harness::in_zones(
             PolicyConfig {
                 zone: 9,
                 zone_regions: regions,
@@ -91,7 +93,10 @@
             &zones,
         ))
     };
-    assert_eq!(there(REGIONS.into()), there(vec![]));
+    assert_eq!(
+        place_with_regions(REGIONS.into()),
+        place_with_regions(vec![])
+    );
 }
 
 #[test]
@@ -134,7 +139,8 @@
     }
 }
 
-/// Replicas are wanted for the region's traffic and not for that of all regions.
+/// The number of replicas depends on the traffic of the region only, so a region beside another one is served like a
+/// fleet of its own.
 #[test]
 fn region_is_served_like_a_whole_fleet() {
     let served = |regions: Vec<Option<u8>>, zones: &[u8]| {
@@ -167,25 +173,30 @@
 #[test]
 fn executor_moved_to_another_region_serves_that_region() {
     let mut harness = regional_harness();
-    let moving = serve(&mut harness, 1);
-    let place = |harness: &mut Harness, zone: u8| {
-        harness.model.executors[moving].zone = zone;
-        harness.update_endpoint(moving, EndpointState::Ready, LONG_AGO);
+    let moved = serve(&mut harness, 1);
+    let move_to_zone = |harness: &mut Harness, zone: u8| {
+        harness.model.executors[moved].zone = zone;
+        harness.update_endpoint(moved, EndpointState::Ready, LONG_AGO);
     };
-    place(&mut harness, 3);
-    let left: Vec<usize> = FUNCTIONS
+    move_to_zone(&mut harness, 3);
+    let after_move: Vec<usize> = FUNCTIONS
         .map(|function| serve(&mut harness, function))
         .collect();
     assert!(
-        left.iter()
-            .all(|&executor| in_own_region(executor) && executor != moving),
-        "{left:?}"
+        after_move
+            .iter()
+            .all(|&executor| in_own_region(executor) && executor != moved),
+        "{after_move:?}"
     );
-    assert_ne!(left, placed(regional_harness()));
+    assert_ne!(after_move, place_all(regional_harness()));
     let mut harness = Harness::in_zones(regional(), &ZONES);
-    place(&mut harness, 3);
-    place(&mut harness, ZONES[moving]);
-    assert_eq!(placed(harness), placed(regional_harness()), "and back");
+    move_to_zone(&mut harness, 3);
+    move_to_zone(&mut harness, ZONES[moved]);
+    assert_eq!(
+        place_all(harness),
+        place_all(regional_harness()),
+        "after it has moved back"
+    );
 }
 
 #[test]
--- a/crates/dispatch-policy/tests/revalidation.rs
+++ b/crates/dispatch-policy/tests/revalidation.rs
@@ -1,4 +1,4 @@
-//! What was decided is checked again as its bytes are sent, which may be long after.
+//! Dispatches and load commands are checked again when their bytes are sent, which may be long after the decision.
 
 mod reference_model;
 
@@ -11,14 +11,14 @@
         .revalidate_dispatch(harness.model.now, invocation, dispatch)
 }
 
-/// Whether a load command that is given now may be sent now.
+/// Returns whether a load command that is decided now may be sent now.
 fn may_send_load(harness: &mut Harness, executor: usize) -> bool {
     harness
         .dispatcher
         .revalidate_load(harness.model.now, executor_id(executor), harness.model.now)
 }
 
-/// A harness with a dispatch in flight, its invocation and its executor.
+/// Creates a harness with a dispatch in flight. Returns also its invocation and its executor.
 fn harness_with_dispatch(policy: PolicyConfig) -> (Harness, u32, usize) {
     let (mut harness, executor) = warm_harness(policy, 4);
     let invocation = harness.invoke(0, 1, 5.0);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_an_executor_that_drains_or_is_gone_by_then() {
+fn nothing_is_sent_to_an_executor_that_is_draining_or_gone_by_then() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let (mut harness, invocation, executor) = harness_with_dispatch(policy());
         assert!(
@@ -44,13 +44,11 @@
         );
     }
     let (mut harness, ..) = harness_with_dispatch(policy());
-    assert!(
-        !may_send_load(&mut harness, 200),
-        "there is no such executor"
-    );
+    assert!(!may_send_load(&mut harness, 200), "the executor is unknown");
 }
 
-/// The window runs from the first dispatch that may have run; the retry may be delayed for as long as a connection takes.
+/// The window starts with the first dispatch that may have run. Sending the retry may be delayed while a connection is
+/// established.
 #[test]
 fn retry_is_not_sent_after_the_deduplication_window() {
     let (mut harness, executor) = warm_harness(policy(), 4);
@@ -61,7 +59,7 @@
     );
     assert!(
         may_send_dispatch(&mut harness, invocation, 0),
-        "the first has no window"
+        "the window does not limit the first dispatch"
     );
     harness.advance(1.5);
     assert!(may_send_dispatch(&mut harness, invocation, 0));
@@ -77,7 +75,7 @@
     harness.advance(0.02);
     assert!(
         !may_send_dispatch(&mut harness, invocation, 1),
-        "2 s after the first"
+        "more than 2 s after the first dispatch"
     );
 }
 
@@ -101,8 +99,8 @@
     assert!(!may_send_dispatch(&mut harness, invocation, 0));
 }
 
-/// An executor that restarted while a connection to it was being made is as cold as any, and a late dispatch counts when
-/// it is sent.
+/// An executor that restarted while a connection to it was being established is cold. A delayed dispatch counts in its
+/// budget from the time when it is sent.
 #[test]
 fn late_dispatch_counts_in_the_slow_start_budget_when_it_is_sent() {
     let (mut harness, executor) = warm_harness(
@@ -120,7 +118,7 @@
     harness.update_endpoint(executor, EndpointState::Ready, harness.model.now);
     assert!(
         may_send_dispatch(&mut harness, first, 0),
-        "its budget of one"
+        "within the budget of one"
     );
     let second = harness.invoke(0, 2, 4.0);
     harness.advance(0.5);
@@ -132,8 +130,8 @@
     );
 }
 
-/// While the endpoint list is unavailable nothing says which executor drains: one that rejects whatever comes gets
-/// nothing until the list is available again.
+/// While the endpoint list is unavailable, a draining executor can only be recognized by its rejections. An executor
+/// that rejects everything gets nothing until the list is available again.
 #[test]
 fn rejecting_executor_gets_nothing_while_the_endpoint_list_is_unavailable() {
     let is_rejected = |harness: &mut Harness, pause: f64| {
@@ -165,13 +163,13 @@
         pauses
             .into_iter()
             .all(|pause| is_rejected(&mut harness, pause)),
-        "with a list it is tried again"
+        "with an endpoint list it is tried again"
     );
     update_list(&mut harness, EndpointUpdateKind::Failed);
     assert!(!is_rejected(&mut harness, 0.1) && !may_send_load(&mut harness, executor));
     update_list(&mut harness, EndpointUpdateKind::Delta);
     assert!(may_send_load(&mut harness, executor) && is_rejected(&mut harness, 0.1));
-    // One that serves in between is crowded, not draining.
+    // An executor that serves an invocation between rejections is busy, not draining.
     let (mut harness, executor) = warm_harness(
         PolicyConfig {
             allows_load_commands: false,
@@ -195,7 +193,7 @@
     );
 }
 
-/// A load command that is sent late counts in the window in which it is sent.
+/// A load command that is sent late counts in the budget of the window in which it is sent.
 #[test]
 fn load_command_counts_in_the_budget_when_it_is_sent() {
     let mut harness = Harness::new(
@@ -220,12 +218,16 @@
     assert_eq!(
         harness.model.load_commands.len(),
         1,
-        "within 5 s of its sending"
+        "less than 5 s after it was sent"
     );
     harness.advance(0.3);
     harness.invoke(0, 3, 4.0);
-    assert_eq!(harness.model.load_commands.len(), 2, "and not after that");
-    // Another one that waited for a connection meanwhile has no budget left.
+    assert_eq!(
+        harness.model.load_commands.len(),
+        2,
+        "more than 5 s after it was sent"
+    );
+    // No budget remains for another command that waited for a connection meanwhile.
     assert!(!harness.dispatcher.revalidate_load(
         harness.model.now,
         executor_id(executor),
--- a/crates/dispatch-policy/tests/slow_start.rs
+++ b/crates/dispatch-policy/tests/slow_start.rs
@@ -1,11 +1,11 @@
-//! Executors that warm up, seen from one front end.
+//! Slow start of executors, with one front end.
 
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
 use reference_model::{Harness, policy};
 
-/// Without slow start, an executor that started this moment counts as warm.
+/// Without slow start, an executor that has just started counts as warm.
 #[test]
 fn new_executor_is_used_at_once_without_slow_start() {
     let mut harness = Harness::new(
@@ -23,8 +23,8 @@
     assert_eq!(harness.dispatches_to(0), 5);
 }
 
-/// Found with 300 front ends: while most executors were cold, invocations waited for a turn at the one with a warm
-/// replica, and the turns at others were left unused.
+/// Regression test for a fleet of 300 front ends: while most executors were cold, invocations waited for a turn at the
+/// executor with a warm replica, and turns at other executors stayed unused.
 #[test]
 fn another_executor_is_used_without_a_turn_at_a_warming_one() {
     let at_once = |trial: u32| {
@@ -54,12 +54,14 @@
         while !is_sent(true) {}
         is_sent(false)
     };
-    // The earlier dispatch still counts at the first executor; there is a turn at the other half of the time.
+    // The earlier dispatch still counts at the first executor. The front end has a turn at the other one half of the
+    // time.
     let served = (0..200).filter(|&trial| at_once(trial)).count();
     assert!(served > 70, "{served} of 200");
 }
 
-/// A front end that was killed has forgotten what it sent: it waits for the end of the window under way.
+/// A front end that restarts has lost the record of what it sent, so it waits for the end of the current overload
+/// window.
 #[test]
 fn restarted_front_end_waits_for_the_window_under_way() {
     let mut harness = Harness::new(
@@ -79,8 +81,8 @@
     assert_eq!(harness.dispatches_to(0), 1, "the window is over");
 }
 
-/// Front ends may learn late that others come and go: one that can't know its part of the budget sends a cold executor
-/// nothing, and goes on once it can.
+/// Changes of the membership may become known late. A front end that can't know its share of the budget sends nothing
+/// to a cold executor until it knows its share.
 #[test]
 fn front_end_without_budget_share_sends_nothing_to_warming_executors() {
     let sent_to_cold = |has_budget_share: bool| {
--- a/crates/dispatch-policy/tests/staleness.rs
+++ b/crates/dispatch-policy/tests/staleness.rs
@@ -1,11 +1,11 @@
-//! What is sent at which age of the view of executors.
+//! What may be sent depending on the age of the view of the executors.
 
 mod reference_model;
 
 use orchidtally_dispatch_policy::interface::*;
 use reference_model::{Harness, executor_id, policy, warm_harness};
 
-/// A harness with one executor, whose endpoint list was confirmed at its start. The drain grace is one second.
+/// Creates a harness with one executor and a view that is confirmed at the start. The drain grace is one second.
 fn confirmed_harness() -> Harness {
     let (mut harness, _) = warm_harness(
         PolicyConfig {
@@ -26,7 +26,7 @@
     harness.dispatcher.revalidate_load(now, executor_id(0), now)
 }
 
-/// Has the executor reject so many load commands in a row.
+/// Makes the executor reject `count` consecutive load commands.
 fn reject(harness: &mut Harness, count: usize) {
     for _ in 0..count {
         harness.dispatcher.on_load_result(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn ageing_view_leaves_out_an_executor_after_four_rejections() {
+fn ageing_view_excludes_an_executor_after_four_rejections() {
     let mut harness = confirmed_harness();
     harness.advance(1.1);
     reject(&mut harness, 3);
@@ -58,17 +58,20 @@
 }
 
 #[test]
-fn unknown_view_leaves_out_an_executor_after_one_rejection() {
+fn unknown_view_excludes_an_executor_after_one_rejection() {
     let mut harness = confirmed_harness();
     harness.advance(2.7);
     assert!(may_load(&mut harness), "without a rejection");
     reject(&mut harness, 1);
-    assert!(!may_load(&mut harness), "the source answers late");
+    assert!(!may_load(&mut harness), "the source of the list is late");
     let now = harness.model.now;
     harness.dispatcher.on_view_lost(now, now);
-    assert!(may_load(&mut harness), "it is known to be silent");
+    assert!(may_load(&mut harness), "the source is known to be silent");
     harness.advance(2.0);
-    assert!(!may_load(&mut harness), "it is silent for too long");
+    assert!(
+        !may_load(&mut harness),
+        "the source has been silent for too long"
+    );
 }
 
 #[test]
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn stalled_process_sends_nothing_until_it_has_heard_again() {
+fn stalled_process_sends_nothing_until_its_view_is_confirmed() {
     let mut harness = confirmed_harness();
     harness.model.now += 3.0;
     let resumed_at = harness.model.now;
@@ -96,7 +99,7 @@
         .on_view_confirmed(resumed_at, resumed_at - 2.5, &mut harness.model);
     assert!(
         !may_load(&mut harness),
-        "the request is from before the stall"
+        "the request was sent before the stall"
     );
     harness
         .dispatcher
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn stalled_process_goes_on_once_its_requests_are_known_to_be_lost() {
+fn stalled_process_resumes_once_its_requests_are_known_to_be_lost() {
     let mut harness = confirmed_harness();
     harness.model.now += 3.0;
     let resumed_at = harness.model.now;
@@ -115,7 +118,7 @@
         .on_view_lost(resumed_at + 0.5, resumed_at - 0.1);
     assert!(
         !may_load(&mut harness),
-        "the request is from before the stall"
+        "the request was sent before the stall"
     );
     harness
         .dispatcher
--- a/crates/dispatch-policy/tests/statistics.rs
+++ b/crates/dispatch-policy/tests/statistics.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn backoff_doubles_up_to_a_bound_and_begins_anew_after_a_reset() {
+fn backoff_doubles_up_to_a_bound_and_restarts_after_a_reset() {
     let mut backoff = Backoff::default();
     let mut pause = |now: f64| {
         backoff.start(now, 0.1, 2);
@@ -32,20 +32,23 @@
     let mut bucket = TokenBucket::full(0.0);
     let mut take =
         |now: f64, cost: f64, required: f64| bucket.try_take(now, 2.0, 3.0, cost, required);
-    assert!((0..3).all(|_| take(0.0, 1.0, 1.0)), "its capacity");
+    assert!(
+        (0..3).all(|_| take(0.0, 1.0, 1.0)),
+        "a full bucket has 3 tokens"
+    );
     assert!(!take(0.0, 1.0, 1.0));
     assert!(!take(0.4, 1.0, 1.0), "0.8 tokens");
     assert!(take(0.5, 1.0, 1.0));
     assert!(
         !take(1.0, 0.5, 1.5),
-        "it has the cost, not what is required"
+        "1 token covers the cost but not the required 1.5"
     );
     assert!(take(1.25, 0.5, 1.5));
     assert!((0..3).all(|_| take(100.0, 1.0, 1.0)) && !take(100.0, 1.0, 1.0));
 }
 
 #[test]
-fn decaying_sum_loses_its_weight_with_the_time_constant() {
+fn decaying_sum_decays_with_the_time_constant() {
     let mut sum = DecayingSum::default();
     assert_close(sum.add(1.0, 10.0, 2.0), 1.0);
     assert_close(sum.at(12.0, 2.0), 1.0 / E);
@@ -68,7 +71,7 @@
 }
 
 #[test]
-fn sliding_window_counts_what_came_after_its_start() {
+fn sliding_window_counts_events_after_its_start() {
     let mut window = SlidingWindow::default();
     for at in [1.0, 2.0, 2.0, 3.0] {
         window.add(at);
--- a/crates/dispatch-policy/tests/table_indices.rs
+++ b/crates/dispatch-policy/tests/table_indices.rs
@@ -1,5 +1,5 @@
-//! The indices of the executor table and of sets of warm replicas, each compared with a scan of the records over
-//! random changes; and how much of a large fleet they look at.
+//! The indices of the executor table and of warm replica sets are compared with scans of the records after random
+//! changes. A further test bounds the number of replicas that a search in a large set examines.
 
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_dispatch_policy::random::SeededRandom;
@@ -33,7 +33,7 @@
     ExecutorTable::new(0, REQUIREMENTS)
 }
 
-/// All ready executors by their ranks, as each front end has to see them.
+/// Returns all ready executors ordered by rank, computed by a full scan.
 fn ranked_by_scan(executors: &ExecutorTable, key: u64) -> Vec<ExecutorIndex> {
     let rank = |executor: ExecutorIndex| {
         -((executors.rendezvous_number(executor, key) + 1.0) / 4_294_967_297.0).ln()
@@ -51,7 +51,8 @@
         .collect()
 }
 
-/// A score like the one by which the policy compares executors: never below that of a better load.
+/// A score like the one by which the policy compares executors. It is monotonic: a better load never has a higher
+/// score.
 fn score(load: &LoadEstimate, now: f64, mean_backlog: f64) -> f64 {
     let reported_at = if load.backlog > mean_backlog {
         load.earliest_report_at
@@ -64,15 +65,15 @@
     zone_factor * (load.in_flight + backlog + 1.0) / load.weight
 }
 
-/// An executor known to be warm, and until when.
-type Warm = (ExecutorIndex, f64);
+/// A warm executor and the time at which its replica expires.
+type WarmEntry = (ExecutorIndex, f64);
 
-/// Executors and warm replicas beside plain records of what was done to them.
+/// The tables under test, next to plain lists of the same data.
 struct Harness {
     executors: ExecutorTable,
     now: f64,
     replicas: WarmReplicaSet,
-    replicas_by_scan: Vec<Warm>,
+    replicas_by_scan: Vec<WarmEntry>,
     rankings: Vec<(u64, Ranking)>,
     sent: Vec<(ExecutorIndex, f64)>,
 }
@@ -107,7 +108,7 @@
         self.replicas_by_scan.push((executor, expires_at));
     }
 
-    fn evict(&mut self, is_evicted: impl Fn(&Warm) -> bool) {
+    fn evict(&mut self, is_evicted: impl Fn(&WarmEntry) -> bool) {
         self.replicas
             .retain(|replica| !is_evicted(&(replica.executor, replica.expires_at)));
         self.replicas_by_scan.retain(|warm| !is_evicted(warm));
@@ -120,10 +121,10 @@
         }
     }
 
-    fn step(&mut self, (what, a, b, later): (u8, usize, usize, f64), weights: &[f64]) {
+    fn step(&mut self, (kind, a, b, pause): (u8, usize, usize, f64), weights: &[f64]) {
         let executor = ExecutorIndex::new(a % self.executors.len());
         let weight = weights[b % weights.len()];
-        match what {
+        match kind {
             0 => {
                 let state = [
                     EndpointState::Ready,
@@ -181,14 +182,14 @@
                 self.record_warm(ExecutorIndex::new((a + 7 * n) % self.executors.len()));
             }),
         }
-        self.now += later;
+        self.now += pause;
     }
 
     fn check(&mut self) -> Result<(), TestCaseError> {
         self.check_rankings()?;
         self.check_ready_sets()?;
         self.check_in_flight_and_samples()?;
-        let replicas: Vec<Warm> = self
+        let replicas: Vec<WarmEntry> = self
             .replicas
             .iter()
             .map(|replica| (replica.executor, replica.expires_at))
@@ -208,7 +209,7 @@
         let executors = &self.executors;
         for (n, (key, ranking)) in self.rankings.iter_mut().enumerate() {
             let all = ranked_by_scan(executors, *key);
-            // Asked for ever more, so that what is kept has to grow.
+            // The count varies, so that the cached prefix has to grow.
             let count = (3 * n + (self.now * 10.0) as usize % 150).min(all.len());
             executors.rank(ranking, *key, count);
             let ranked: Vec<ExecutorIndex> = ranking.iter().take(count).collect();
@@ -276,7 +277,7 @@
         let (executors, now) = (&self.executors, self.now);
         self.replicas.refresh(executors);
         for mean_backlog in [0.0, 1e-16, 0.3, 5.0] {
-            // Some have no score, and some are cold, which makes them more loaded than their load says.
+            // Some executors have no score, and some are cold, which raises their score above that of their load.
             let score_of = |executor: ExecutorIndex| {
                 let number = executor.position();
                 let weight = if number.is_multiple_of(13) { 0.2 } else { 1.0 };
@@ -332,16 +333,20 @@
             one_by_one.remove((other.unit() * one_by_one.len() as f64) as usize);
         }
         assert_eq!(drawn, one_by_one);
-        assert_eq!(one.unit(), other.unit(), "as many numbers were drawn");
+        assert_eq!(
+            one.unit(),
+            other.unit(),
+            "both draw the same number of values"
+        );
     }
 }
 
-/// A search among 3,000 warm replicas looks at no more of them than among 60, whether all are alike, all differ in
-/// when they reported, or some are in use.
+/// A search among 3,000 warm replicas examines no more of them than one among 60, whatever their report times and
+/// whether some of them are in use.
 #[test]
-fn a_search_for_the_least_loaded_looks_at_few_of_many_replicas() {
+fn search_for_the_least_loaded_examines_few_of_many_replicas() {
     for (mean_backlog, busy_part) in [(0.0, 0), (0.0, 3), (0.2, 0), (0.2, 3), (0.2, 50)] {
-        let looked_at = |count: usize| {
+        let examined = |count: usize| {
             let mut executors = no_executors();
             let endpoints: Vec<Endpoint> = (0..count)
                 .map(|number| endpoint(number, 0, EndpointState::Ready, 1.0))
@@ -371,15 +376,15 @@
             assert!(replicas.min_by_score(bound, score_of).is_some());
             (bounds.get(), scores.get())
         };
-        let (bounds, scores) = looked_at(3_000);
-        let (_, scores_of_few) = looked_at(60);
+        let (bounds, scores) = examined(3_000);
+        let (_, scores_of_few) = examined(60);
         assert!(
             bounds <= 60,
             "{bounds} bounds computed, mean {mean_backlog}, busy {busy_part}"
         );
         assert!(
             scores <= scores_of_few.min(12),
-            "{scores} looked at, {scores_of_few} of 60, mean {mean_backlog}, busy {busy_part}"
+            "{scores} scores computed, {scores_of_few} of 60, mean {mean_backlog}, busy {busy_part}"
         );
     }
 }
