--- a/crates/dispatch-policy/src/state/endpoint_updates.rs
+++ b/crates/dispatch-policy/src/state/endpoint_updates.rs
@@ -6,15 +6,15 @@
 use crate::interface::{Endpoint, EndpointState, EndpointUpdateKind};
 
 /// Applies an endpoint update and clears what was observed of executors that restarted, started to drain or are gone.
-/// Executors that have been in no list since before `forget_before`, in seconds, are removed from the tables unless
-/// something still refers to them.
+/// Executors that have been in no list since before `removed_before`, in seconds, are removed from the tables unless
+/// they have dispatches in flight or an invocation without a final answer may have run there.
 pub fn apply_endpoint_update(
     executors: &mut ExecutorTable,
     workload: &mut Workload,
     now: f64,
     kind: EndpointUpdateKind,
     endpoints: &[Endpoint],
-    forget_before: f64,
+    removed_before: f64,
 ) {
     let is_full = kind == EndpointUpdateKind::Full;
     let invalidated = executors.apply_endpoints(now, is_full, endpoints);
@@ -22,9 +22,9 @@
     for executor in invalidated {
         executors.clear_observations(executor);
     }
-    let mut removed = executors.removed_before(forget_before);
+    let mut removed = executors.removed_before(removed_before);
     removed.retain(|&executor| !workload.invocations.may_have_run_at(executor));
-    workload.functions.forget_executors(&removed);
+    workload.functions.remove_references(&removed);
     for executor in removed {
         executors.release(executor);
     }
@@ -32,8 +32,9 @@
 
 impl ExecutorTable {
     /// Returns the index of an endpoint's executor; a new executor is added. If the zone, kind or cell of a known
-    /// address changed, another executor uses the address now. It starts with the start time, the last connection
-    /// failure and the recent work of the executor that it replaces.
+    /// address changed, another executor uses the address now. It takes over the start time, the last connection
+    /// failure and the recent work of the executor that it replaces, because it may be as cold and as unreliable, and
+    /// work that was sent to the address still loads it.
     fn find_or_insert(&mut self, endpoint: &Endpoint, now: f64) -> ExecutorIndex {
         let known = self.find(endpoint.executor);
         if let Some(executor) = known.filter(|&executor| self[executor].matches_location(endpoint))
--- a/crates/dispatch-policy/src/state/function.rs
+++ b/crates/dispatch-policy/src/state/function.rs
@@ -179,15 +179,15 @@
 
     /// Removes the references to executors that are about to be removed from the executor table, except for warm
     /// replicas, which [`evict_executors`](Function::evict_executors) removes.
-    pub(super) fn forget_executors(&mut self, forgotten: &BTreeSet<ExecutorIndex>) {
+    pub(super) fn remove_references(&mut self, removed: &BTreeSet<ExecutorIndex>) {
         self.placement
-            .take_if(|placement| forgotten.contains(&placement.executor));
+            .take_if(|placement| removed.contains(&placement.executor));
         self.last_failed_placement
-            .take_if(|executor| forgotten.contains(executor));
+            .take_if(|executor| removed.contains(executor));
         self.unattributed_failure
-            .take_if(|executor| forgotten.contains(executor));
+            .take_if(|executor| removed.contains(executor));
         self.last_warm
-            .take_if(|last| forgotten.contains(&last.executor));
+            .take_if(|last| removed.contains(&last.executor));
     }
 
     /// Returns the executor on which a warm replica was observed last.
--- a/crates/dispatch-policy/src/state/function_table.rs
+++ b/crates/dispatch-policy/src/state/function_table.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::ops::{Index, IndexMut};
 
-/// A sweep examines this fraction of the functions (one in `SWEEP_DIVISOR`), but at least `MIN_SWEPT`.
+/// A sweep examines one in `SWEEP_DIVISOR` functions, but at least `MIN_SWEPT` of them.
 const SWEEP_DIVISOR: usize = 64;
 const MIN_SWEPT: usize = 16;
 
@@ -110,13 +110,13 @@
 
     /// Removes the references to executors that are about to be removed from the executor table, except for warm
     /// replicas, which [`evict_executors`](FunctionTable::evict_executors) removes.
-    pub fn forget_executors(&mut self, forgotten: &[ExecutorIndex]) {
-        if forgotten.is_empty() {
+    pub fn remove_references(&mut self, removed: &[ExecutorIndex]) {
+        if removed.is_empty() {
             return;
         }
-        let forgotten: BTreeSet<ExecutorIndex> = forgotten.iter().copied().collect();
+        let removed: BTreeSet<ExecutorIndex> = removed.iter().copied().collect();
         for function in &mut self.functions {
-            function.forget_executors(&forgotten);
+            function.remove_references(&removed);
         }
     }
 }
--- a/crates/dispatch-policy/src/state/statistics.rs
+++ b/crates/dispatch-policy/src/state/statistics.rs
@@ -35,7 +35,7 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket: the first use finds as many tokens as its `capacity`.
+    /// Creates a full bucket: its first use finds `capacity` tokens.
     pub fn full(now: f64) -> TokenBucket {
         TokenBucket {
             tokens: f64::INFINITY,
