--- a/crates/dispatch-policy/tests/regional_placement/placement.rs
+++ b/crates/dispatch-policy/tests/regional_placement/placement.rs
@@ -1,21 +1,21 @@
-//! Placement within the front end's own region, in different zones.
+//! Placement within the front end's own region and across its zones.
 
-use crate::kit::*;
-use crate::reference_model::World;
+use crate::fixtures::*;
+use crate::reference_model::Harness;
 use orchidtally_dispatch_policy::interface::*;
 
 #[test]
 fn functions_are_placed_in_the_front_ends_own_region() {
-    let here = placed(regional_world());
+    let placements = place_all(regional_harness());
     assert!(
-        here.iter().all(|&executor| in_own_region(executor)),
-        "{here:?}"
+        placements.iter().all(|&executor| in_own_region(executor)),
+        "{placements:?}"
     );
     assert!(
-        (0..6).all(|executor| here.contains(&executor)),
-        "all of it is used: {here:?}"
+        (0..6).all(|executor| placements.contains(&executor)),
+        "all executors of the region are used: {placements:?}"
     );
-    let anywhere = placed(World::in_zones(
+    let without_regions = place_all(Harness::in_zones(
         PolicyConfig {
             zone_regions: vec![],
             ..regional()
@@ -23,8 +23,10 @@
         &ZONES,
     ));
     assert!(
-        anywhere.iter().any(|&executor| !in_own_region(executor)),
-        "without known regions it may be any"
+        without_regions
+            .iter()
+            .any(|&executor| !in_own_region(executor)),
+        "without known regions, other regions are used too"
     );
 }
 
@@ -36,15 +38,15 @@
         ..regional()
     };
     assert_eq!(
-        placed(World::in_zones(other, &ZONES)),
-        placed(regional_world())
+        place_all(Harness::in_zones(other, &ZONES)),
+        place_all(regional_harness())
     );
     let elsewhere = PolicyConfig {
         zone: 4,
         ..regional()
     };
     assert!(
-        placed(World::in_zones(elsewhere, &ZONES))
+        place_all(Harness::in_zones(elsewhere, &ZONES))
             .iter()
             .all(|&executor| !in_own_region(executor))
     );
@@ -53,7 +55,7 @@
 #[test]
 fn first_two_candidates_are_in_different_zones() {
     for function in FUNCTIONS {
-        let (first, second) = first_two(function);
+        let (first, second) = first_two_candidates(function);
         assert!(
             in_own_region(second) && zone(second) != zone(first),
             "{function}: {first}, {second}"
@@ -64,16 +66,16 @@
 #[test]
 fn zone_without_region_is_used_where_the_own_region_has_none() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
-    let mut world = World::in_zones(regional(), &zones);
+    let mut harness = Harness::in_zones(regional(), &zones);
     assert!(
         FUNCTIONS
-            .map(|function| serve(&mut world, function))
+            .map(|function| serve(&mut harness, function))
             .all(in_own_region)
     );
-    set_states(&mut world, 0..12, EndpointState::Draining);
+    set_states(&mut harness, 0..12, EndpointState::Draining);
     assert!(
         FUNCTIONS
-            .map(|function| serve(&mut world, function))
+            .map(|function| serve(&mut harness, function))
             .all(|executor| executor >= 12)
     );
 }
@@ -81,8 +83,8 @@
 #[test]
 fn front_end_in_a_zone_without_region_places_anywhere() {
     let zones: Vec<u8> = ZONES.iter().copied().chain([9, 9]).collect();
-    let there = |regions| {
-        placed(World::in_zones(
+    let place_with_regions = |regions| {
+        place_all(Harness::in_zones(
             PolicyConfig {
                 zone: 9,
                 zone_regions: regions,
@@ -91,27 +93,31 @@
             &zones,
         ))
     };
-    assert_eq!(there(REGIONS.into()), there(vec![]));
+    assert_eq!(
+        place_with_regions(REGIONS.into()),
+        place_with_regions(vec![])
+    );
 }
 
 #[test]
 fn region_with_one_zone_has_two_candidates() {
     for function in FUNCTIONS {
-        let mut world = World::in_zones(
+        let mut harness = Harness::in_zones(
             PolicyConfig {
                 zone_regions: vec![Some(0)],
                 ..regional()
             },
             &[0; 6],
         );
-        let invocation = world.invoke(0, function, 5.0);
-        let first = world.executors_of(invocation)[0];
-        world.finish(invocation, 0, DispatchStatus::Full);
-        world.advance(0.3);
+        let invocation = harness.invoke(0, function, 5.0);
+        let first = harness.executors_of(invocation)[0];
+        harness.finish(invocation, 0, DispatchStatus::Full);
+        harness.advance(0.3);
         assert!(
-            world.executors_of(invocation).len() == 2 && world.executors_of(invocation)[1] != first,
+            harness.executors_of(invocation).len() == 2
+                && harness.executors_of(invocation)[1] != first,
             "{:?}",
-            world.executors_of(invocation)
+            harness.executors_of(invocation)
         );
     }
 }
@@ -120,24 +126,25 @@
 fn second_candidate_is_the_only_executor_of_another_zone() {
     let zones: Vec<u8> = (0..40).map(|_| 0).chain([1]).collect();
     for function in FUNCTIONS {
-        let mut world = World::in_zones(regional(), &zones);
-        let invocation = world.invoke(0, function, 5.0);
-        world.finish(invocation, 0, DispatchStatus::Full);
-        world.advance(0.3);
+        let mut harness = Harness::in_zones(regional(), &zones);
+        let invocation = harness.invoke(0, function, 5.0);
+        harness.finish(invocation, 0, DispatchStatus::Full);
+        harness.advance(0.3);
         assert!(
-            world.executors_of(invocation).len() == 2
-                && world.executors_of(invocation).contains(&40),
+            harness.executors_of(invocation).len() == 2
+                && harness.executors_of(invocation).contains(&40),
             "{:?}",
-            world.executors_of(invocation)
+            harness.executors_of(invocation)
         );
     }
 }
 
-/// Replicas are wanted for the region's traffic and not for that of all regions.
+/// The number of replicas depends on the traffic of the region only, so a region beside another one is served like a
+/// fleet of its own.
 #[test]
 fn region_is_served_like_a_whole_fleet() {
     let served = |regions: Vec<Option<u8>>, zones: &[u8]| {
-        let mut world = World::in_zones(
+        let mut harness = Harness::in_zones(
             PolicyConfig {
                 zone_regions: regions,
                 ..regional()
@@ -145,16 +152,16 @@
             zones,
         );
         for n in 0..400 {
-            let invocation = world.invoke(0, 1 + n % 7 / 4, 5.0);
+            let invocation = harness.invoke(0, 1 + n % 7 / 4, 5.0);
             if let Some(early) = invocation
                 .checked_sub(20)
-                .filter(|&early| !world.executors_of(early).is_empty())
+                .filter(|&early| !harness.executors_of(early).is_empty())
             {
-                world.finish(early, 0, DispatchStatus::Ok);
+                harness.finish(early, 0, DispatchStatus::Ok);
             }
-            world.advance(0.01);
+            harness.advance(0.01);
         }
-        world.model.actions
+        harness.model.actions
     };
     let alone = served(vec![], &[0; 8]);
     assert_eq!(
@@ -165,31 +172,36 @@
 
 #[test]
 fn executor_moved_to_another_region_serves_that_region() {
-    let mut world = regional_world();
-    let moving = serve(&mut world, 1);
-    let place = |world: &mut World, zone: u8| {
-        world.model.executors[moving].zone = zone;
-        world.update_endpoint(moving, EndpointState::Ready, LONG_AGO);
+    let mut harness = regional_harness();
+    let moved = serve(&mut harness, 1);
+    let move_to_zone = |harness: &mut Harness, zone: u8| {
+        harness.model.executors[moved].zone = zone;
+        harness.update_endpoint(moved, EndpointState::Ready, LONG_AGO);
     };
-    place(&mut world, 3);
-    let left: Vec<usize> = FUNCTIONS
-        .map(|function| serve(&mut world, function))
+    move_to_zone(&mut harness, 3);
+    let after_move: Vec<usize> = FUNCTIONS
+        .map(|function| serve(&mut harness, function))
         .collect();
     assert!(
-        left.iter()
-            .all(|&executor| in_own_region(executor) && executor != moving),
-        "{left:?}"
+        after_move
+            .iter()
+            .all(|&executor| in_own_region(executor) && executor != moved),
+        "{after_move:?}"
+    );
+    assert_ne!(after_move, place_all(regional_harness()));
+    let mut harness = Harness::in_zones(regional(), &ZONES);
+    move_to_zone(&mut harness, 3);
+    move_to_zone(&mut harness, ZONES[moved]);
+    assert_eq!(
+        place_all(harness),
+        place_all(regional_harness()),
+        "after it has moved back"
     );
-    assert_ne!(left, placed(regional_world()));
-    let mut world = World::in_zones(regional(), &ZONES);
-    place(&mut world, 3);
-    place(&mut world, ZONES[moving]);
-    assert_eq!(placed(world), placed(regional_world()), "and back");
 }
 
 #[test]
 fn prewarming_stays_within_the_region() {
-    let mut world = World::in_zones(
+    let mut harness = Harness::in_zones(
         PolicyConfig {
             allows_load_commands: true,
             load_budget_window: 0.0,
@@ -198,10 +210,10 @@
         &ZONES,
     );
     for _ in 0..12 {
-        world.prewarm(1, 6);
-        world.finish_loads(DispatchStatus::Ok);
+        harness.prewarm(1, 6);
+        harness.finish_loads(DispatchStatus::Ok);
     }
-    let mut loaded: Vec<usize> = world
+    let mut loaded: Vec<usize> = harness
         .model
         .load_commands
         .iter()
@@ -210,5 +222,5 @@
     loaded.sort_unstable();
     loaded.dedup();
     assert_eq!(loaded, [0, 1, 2, 3, 4, 5]);
-    assert_eq!(world.prewarm(1, 6), 6);
+    assert_eq!(harness.prewarm(1, 6), 6);
 }
