--- a/crates/platform-frontend/src/client_connection.rs
+++ b/crates/platform-frontend/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its open invocations, its timeouts and its close.
+//! A client connection: its open invocations, its timeouts and its orderly close.
 
 use mio::net::TcpStream;
 use orchidtally_dispatch_policy::state::Ordered;
@@ -7,75 +7,79 @@
 use slab::Slab;
 use std::collections::BTreeMap;
 
-/// Invocations that may be open on one connection.
+/// Invocations that may be open on one connection at the same time.
 pub const MAX_OPEN_INVOCATIONS: usize = 32;
-/// Seconds within which a connection has to send its first frame, and each frame that it has begun: a client that
-/// sends unreadable bytes is owed a close within 3 s.
+/// Seconds within which a connection has to complete its first frame, and every frame of which a part has arrived. The
+/// platform requires that a client that sends unreadable bytes is disconnected within 3 s.
 const FRAME_TIMEOUT: f64 = 2.0;
-/// Seconds after which a client that reads none of its answers is closed.
+/// Seconds after which the connection of a client that reads none of its responses is closed.
 const READ_STALL_TIMEOUT: f64 = 3.0;
-/// With more than this many bytes to be written no invocation is admitted. It bounds what a client can occupy that
-/// sends and never reads: this much, as much again of pending invocations, and the answers to its open ones.
+/// Unwritten bytes above which no further invocation is admitted. This bounds the memory that a client can occupy by
+/// sending without reading: this many bytes of responses, as many of pending invocations, and the responses to its open
+/// invocations.
 pub const MAX_BACKLOG_BYTES: usize = 64 * 1024;
-/// Seconds, and bytes, for which a closing connection is read after its last byte is written: a close with unread
-/// bytes would reset the connection, and with it the answer on its way.
+/// Seconds for which input on a closing connection is still read and discarded. Closing a socket with unread input
+/// resets the connection, which can destroy a response that the client has not read yet.
 const CLOSE_LINGER: f64 = 0.5;
+/// Bytes of input that are discarded on a closing connection before it is closed at once.
 const CLOSE_LINGER_BYTES: usize = 256 * 1024;
-/// Connections accepted over the limit, out of the reserved descriptors, only to be rejected with an answer.
+/// Connections accepted above the limit, using reserved descriptors, so that their invocations can be rejected with a
+/// response.
 pub const MAX_OVER_LIMIT: usize = 2;
 
-/// An invocation that was read and not yet admitted.
+/// An invocation that was read and is not admitted yet.
 pub struct PendingInvocation {
-    /// When it may have arrived at the earliest, in seconds.
+    /// The earliest time at which it may have arrived, in seconds.
     pub arrived_at: f64,
-    /// Its stream.
+    /// The stream on the connection.
     pub stream: u32,
-    /// Its payload; `None` if it exceeds what is buffered.
+    /// The payload; `None` if the frame is longer than the decoder buffers.
     pub payload: Option<Vec<u8>>,
 }
 
 /// The state of a connection that is being closed.
 pub struct CloseState {
-    /// When it is closed at the latest, in seconds.
+    /// When the connection is closed at the latest, in seconds.
     deadline: f64,
-    /// Bytes that are still read and discarded.
+    /// Bytes of input that may still be discarded.
     bytes_left: usize,
-    /// The peer was notified that nothing more comes.
+    /// The sending direction was shut down.
     pub is_shut_down: bool,
 }
 
-/// A client's connection.
+/// A connection from a client.
 pub struct ClientConnection {
-    /// The socket, with the bytes that wait to be written.
+    /// The socket with its output buffer.
     pub socket: BufferedSocket,
-    /// The decoder of the frames that are read.
+    /// The decoder of incoming frames.
     pub decoder: Decoder,
     /// The engine's ids of the open invocations, by stream.
     pub open_invocations: BTreeMap<u32, u32>,
-    /// The highest stream that was used.
+    /// The highest stream used so far.
     pub last_stream: u32,
-    /// Invocations that were read and not yet admitted.
+    /// Invocations that were read and are not admitted yet.
     pub pending: Vec<PendingInvocation>,
-    /// When it connected, or when its partial frame began.
+    /// When the client connected or its current partial frame began; `None` while no frame is awaited.
     awaiting_frame_since: Option<f64>,
-    /// When the client last read some of its backlog, and the bytes written by then.
+    /// When the client last read some of the unwritten output, and the total of bytes written by then; `None` if
+    /// everything is written.
     stalled_since: Option<(f64, u64)>,
-    /// When it was last used.
+    /// When it was last active, in seconds: connected, received a frame, or had output to write.
     pub idle_since: f64,
-    /// It is in the list of connections with bytes to write.
+    /// The connection is in the host's list of those with output to flush.
     pub is_dirty: bool,
-    /// No invocation is admitted because of the backlog.
+    /// No invocation is admitted because too much output is unwritten.
     pub is_backpressured: bool,
-    /// It has sent a whole frame.
+    /// The client has sent at least one complete frame.
     pub has_sent_frame: bool,
-    /// It was accepted over the limit and is closed once it is answered.
+    /// The connection was accepted above the limit and is closed once its first frame is answered.
     pub is_over_limit: bool,
     /// Set while the connection is being closed.
     pub closing: Option<CloseState>,
 }
 
 impl ClientConnection {
-    /// A connection that was accepted now.
+    /// Creates the state of a connection that was accepted at `now`.
     pub fn new(stream: TcpStream, now: f64) -> ClientConnection {
         ClientConnection {
             socket: BufferedSocket::new(stream),
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Records a read; `had_frame` tells whether a whole frame was among the bytes.
+    /// Records a read. `had_frame` is whether it completed a frame.
     pub fn record_read(&mut self, now: f64, had_frame: bool) {
         if had_frame {
             self.has_sent_frame = true;
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Records a flush, for the detection of clients that read nothing.
+    /// Records a flush, in order to detect clients that stopped reading.
     pub fn record_flush(&mut self, now: f64) {
         let written = self.socket.written();
         match self.stalled_since {
@@ -116,22 +120,23 @@
         }
     }
 
-    /// Whether nothing is open on it or waits for admission.
+    /// Whether no invocation is open or pending.
     pub fn is_idle(&self) -> bool {
         self.open_invocations.is_empty() && self.pending.is_empty()
     }
 
-    /// Whether a frame has arrived in part.
+    /// Whether a part of a frame has arrived.
     pub fn has_partial_frame(&self) -> bool {
         self.decoder.has_partial_frame()
     }
 
-    /// Whether every answer is written and nothing is open or arriving.
+    /// Whether all output is written, no invocation is open or pending, and no partial frame has arrived.
     pub fn is_quiescent(&self) -> bool {
         self.socket.waiting() == 0 && self.is_idle() && !self.has_partial_frame()
     }
 
-    /// Whether more waits for admission than a client that reads its answers may have open.
+    /// Whether the pending invocations exceed, in number or bytes, what a client that reads its responses could have
+    /// open.
     pub fn exceeds_pending_limit(&self) -> bool {
         let bytes: usize = self
             .pending
@@ -142,7 +147,8 @@
         self.pending.len() > MAX_OPEN_INVOCATIONS || bytes > MAX_BACKLOG_BYTES
     }
 
-    /// Begins the close: it is completed once the backlog is written and the peer has had time to read it.
+    /// Begins an orderly close, which ends once the output is written and the client has had time to read it. Pending
+    /// invocations are dropped.
     pub fn begin_close(&mut self, now: f64) {
         self.pending.clear();
         self.closing.get_or_insert(CloseState {
@@ -152,7 +158,7 @@
         });
     }
 
-    /// Discards bytes that arrived during the close; returns whether more may be read.
+    /// Accounts for input that is discarded during the close, and returns whether more may be read.
     pub fn discard_while_closing(&mut self, bytes: usize) -> bool {
         self.closing.as_mut().is_some_and(|closing| {
             closing.bytes_left = closing.bytes_left.saturating_sub(bytes);
@@ -160,14 +166,14 @@
         })
     }
 
-    /// Whether the time for the close is over.
+    /// Whether the deadline of the close has passed.
     pub fn close_is_due(&self, now: f64) -> bool {
         self.closing
             .as_ref()
             .is_some_and(|closing| now > closing.deadline)
     }
 
-    /// Which timeout has run out, if any. The text is sent to the client.
+    /// Returns the timeout that has expired, if any. The text is sent to the client, so it is part of the protocol.
     pub fn timeout_reason(&self, now: f64) -> Option<&'static str> {
         if self.closing.is_some() {
             return None;
@@ -183,7 +189,7 @@
             .then_some("takes none of its answers")
     }
 
-    /// Appends an answer to the backlog.
+    /// Appends a response to the output.
     pub fn respond(&mut self, stream: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
         protocol::write_frame(
             self.socket.out(),
@@ -196,12 +202,14 @@
     }
 }
 
-/// The idle connection to close in favour of a new one: first one that is closing, then one whose frame is overdue
-/// for longer than a connection may take to be made, then one that never sent a frame, else the longest idle.
+/// Returns the idle connection to close in favor of a new one, if there is one.
 ///
-/// Failure mode: misbehaving clients that connect by the hundred and stay silent displace usual clients, which are
+/// The order of preference is: connections that are closing, those that have waited for a frame for longer than the
+/// connect timeout, those that never sent a frame, and then the one that has been idle for the longest time.
+///
+/// Failure mode: misbehaving clients that open hundreds of silent connections displace well-behaved clients, which are
 /// idle between two invocations.
-/// Risk: a client that is very slow with its first frame is closed.
+/// Risk: a client that is very slow to send its first frame is disconnected.
 pub fn eviction_candidate(
     clients: &Slab<ClientConnection>,
     now: f64,
--- a/crates/platform-frontend/src/delayed_dispatches.rs
+++ b/crates/platform-frontend/src/delayed_dispatches.rs
@@ -1,8 +1,8 @@
-//! Dispatches that wait until an earlier cancel of the same invocation has surely reached its executor.
+//! Dispatches that wait until an earlier cancel of the same invocation has reached its executor.
 
 use orchidtally_dispatch_policy::interface::ExecutorId;
 
-/// A dispatch: an invocation and the number of the dispatch within it.
+/// Identifies a dispatch by its invocation and its number within the invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DispatchKey {
     /// The engine's id of the invocation.
@@ -14,39 +14,41 @@
 struct DelayedDispatch {
     key: DispatchKey,
     executor_id: ExecutorId,
-    /// Seconds to wait.
+    /// How long to wait, in seconds.
     delay: f64,
-    /// When it was sent first, if this is a retry.
+    /// When it was first sent, if this is a retry.
     first_sent_at: Option<f64>,
-    /// The poll after the one in which it was delayed: the cancels of that poll are handed over by then.
+    /// When the delay began to run: in the poll after the one that queued the dispatch, because the cancels of that
+    /// poll have been handed to the kernel by then.
     delay_started_at: Option<f64>,
 }
 
-/// A dispatch whose delay is over.
+/// A dispatch whose delay has elapsed.
 pub struct DueDispatch {
     /// The dispatch.
     pub key: DispatchKey,
-    /// The executor that it goes to.
+    /// The executor to send it to.
     pub executor_id: ExecutorId,
-    /// When it was sent first, if this is a retry.
+    /// When it was first sent, if this is a retry.
     pub first_sent_at: Option<f64>,
 }
 
-/// Delayed dispatches, at most one for each open invocation.
+/// Delayed dispatches, at most one per open invocation.
 ///
-/// Failure mode: a cancel and the next dispatch use two connections, on which nothing keeps their order, so that two
-/// dispatches could run at once for a moment.
-/// Risk: the dispatch starts later by that moment.
+/// Failure mode: a cancel and the next dispatch of an invocation travel over different connections, which don't
+/// preserve their order, so both dispatches could run at the same time for a moment.
+/// Risk: the delay postpones the start of the next dispatch.
 #[derive(Default)]
 pub struct DelayedDispatches(Vec<DelayedDispatch>);
 
 impl DelayedDispatches {
-    /// Whether no dispatch is delayed.
+    /// Whether no dispatch is being delayed.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Delays a dispatch by some seconds. `first_sent_at` tells when it was first sent, if this is a retry.
+    /// Delays a dispatch by `delay` seconds. `first_sent_at` is the time of the first attempt to send it if this is a
+    /// retry.
     pub fn push(
         &mut self,
         key: DispatchKey,
@@ -63,14 +65,15 @@
         });
     }
 
-    /// Removes a dispatch; returns whether it was delayed.
+    /// Removes a dispatch, and returns whether it was being delayed.
     pub fn remove(&mut self, key: DispatchKey) -> bool {
         let before = self.0.len();
         self.0.retain(|delayed| delayed.key != key);
         self.0.len() < before
     }
 
-    /// Takes the dispatches whose delay, counted from the poll after their own, is over, in their order of arrival.
+    /// Removes and returns the dispatches whose delay has elapsed, in the order in which they were added. A delay
+    /// starts to run at the first call of this function.
     pub fn take_due(&mut self, now: f64) -> Vec<DueDispatch> {
         for delayed in &mut self.0 {
             delayed.delay_started_at.get_or_insert(now);
--- a/crates/platform-frontend/src/engine_host/callbacks.rs
+++ b/crates/platform-frontend/src/engine_host/callbacks.rs
@@ -1,4 +1,4 @@
-//! Performs the engine's callbacks: lines to executors, frames to clients.
+//! Implements the engine's callbacks: lines to executors and frames to clients.
 
 use super::{EngineHost, HEALTH_CHECK_PREFIX};
 use crate::delayed_dispatches::DispatchKey;
@@ -96,12 +96,12 @@
         self.send_line(executor_id, executor_protocol::health_check(&tag));
     }
 
-    /// The resolver is polled all the time, so there is nothing to begin.
+    /// Does nothing, because the event loop polls the resolver continuously.
     fn subscribe_to_endpoints(&mut self) {}
 }
 
 impl EngineHost {
-    /// Abandons a dispatch on its connection and writes a cancel if the executor may have begun to read it.
+    /// Abandons a dispatch on its connection, and queues a cancel if the executor may have received a part of it.
     fn cancel_on_connection(&mut self, slot: usize, key: DispatchKey) {
         let Some(connection) = self.pool.connection_mut(slot) else {
             return;
@@ -115,11 +115,12 @@
             return;
         };
         if connection.abandon(&id) {
-            // A connection that was silent since, for longer than a new one takes to be made, may be dead.
+            // The connection may be dead if nothing was read since the dispatch was sent and twice the connect timeout
+            // has passed.
             connection.is_retired |= connection.last_read_at < sent_at
                 && self.now > sent_at + 2.0 * self.connect_timeout;
             if self.allows_cancellation {
-                // Ahead of what is queued, and after its dispatch, which is encoded already.
+                // The cancel is written before the queued commands, and after its dispatch, which is already encoded.
                 connection
                     .socket
                     .out()
--- a/crates/platform-frontend/src/engine_host/flushing.rs
+++ b/crates/platform-frontend/src/engine_host/flushing.rs
@@ -1,4 +1,4 @@
-//! Encodes queued commands and hands them to the kernel, after the engine has confirmed each of them.
+//! Encodes queued commands and writes them to the sockets, after the engine has revalidated each of them.
 
 use super::{AbortedConnection, EngineHost, LOAD_COMMAND_PREFIX, ViewVersion};
 use crate::delayed_dispatches::DispatchKey;
@@ -12,18 +12,18 @@
 use std::rc::Rc;
 use tracing::{debug, info};
 
-/// The age of the endpoint list in seconds past which each dispatch is logged.
+/// The age of the endpoint list in seconds above which each dispatch is logged.
 const STALE_VIEW_AGE: f64 = 1.0;
-/// The shortest time limit in seconds that an executor is given.
+/// The shortest time limit in seconds that is sent to an executor.
 const MIN_TIME_LEFT: f64 = 0.001;
 
-/// Asked as bytes leave whether an earlier decision still holds.
+/// Decides, immediately before a command is written, whether it is still valid.
 pub trait SendRevalidator {
-    /// A process stall ended now.
+    /// Called when a process stall has ended.
     fn on_process_stall(&mut self, now: f64);
     /// Whether a dispatch may still be sent.
     fn revalidate_dispatch(&mut self, now: f64, invocation: u32, number: u8) -> bool;
-    /// Whether a load command that was given at a time may still be sent.
+    /// Whether a load command that was issued at `issued_at` may still be sent.
     fn revalidate_load(&mut self, now: f64, executor_id: ExecutorId, issued_at: f64) -> bool;
 }
 
@@ -42,13 +42,13 @@
 }
 
 impl EngineHost {
-    /// Encodes what is queued on a connection, as long as the kernel takes it, and hands it over.
+    /// Encodes and writes the commands that are queued on a connection, until the kernel accepts no more.
     ///
-    /// This is the only way out for dispatches and load commands. Each is revalidated as its first byte leaves: a line
-    /// of which the kernel took no byte goes back into the queue.
+    /// Dispatches and load commands are written nowhere else. Each is revalidated right before its first byte is
+    /// written: a line of which the kernel accepted no byte returns to the queue.
     ///
-    /// Failure mode: connections that are slow to be made, and executors that read nothing, deliver commands after
-    /// their time.
+    /// Failure mode: a connection that is slow to be established, or an executor that stops reading, receives commands
+    /// that are no longer valid.
     ///
     /// # Errors
     /// The connection broke.
@@ -81,11 +81,12 @@
         Ok(())
     }
 
-    /// Hands every cancel over. A connection that does not take them whole is cut off, which abandons all that is open
-    /// on it.
+    /// Writes all pending cancels. A connection that does not accept them completely is aborted, which abandons
+    /// everything in flight on it.
     ///
-    /// Failure mode: a dispatch reaches an executor before the cancel of the one before it has left, so that two run.
-    /// Risk: what else is open at an executor that is slow to read is lost.
+    /// Failure mode: a dispatch reaches its executor before the cancel of the previous dispatch of the same invocation
+    /// is written, so both run.
+    /// Risk: the other dispatches to an executor that is slow to read are lost.
     fn flush_cancels(&mut self) {
         for slot in std::mem::take(&mut self.unflushed_cancels) {
             let Some(connection) = self.pool.connection_mut(slot) else {
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Moves what is queued on a retired connection to another: its executor may have moved, and another may have
-    /// taken over its address.
+    /// Moves the queued commands of a retired connection to another one, because the executor may have moved and a
+    /// different executor may use its previous address.
     fn resend_from_retired(&mut self, slot: usize) {
         let Some(connection) = self.pool.connection_mut(slot) else {
             return;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Encodes commands from the queue of a connection until enough bytes wait to be handed over.
+    /// Encodes commands from the queue of a connection until `MAX_UNFLUSHED_BYTES` wait to be written.
     fn encode_queue(&mut self, slot: usize, revalidator: &mut dyn SendRevalidator) {
         while let Some(connection) = self.pool.connection_mut(slot) {
             if connection.socket.waiting() >= MAX_UNFLUSHED_BYTES {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The line of a load command, if the command still holds.
+    /// Encodes a load command. Returns `None`, and reports it as unsent, if it is no longer valid.
     fn encode_load_command(
         &mut self,
         slot: usize,
@@ -145,7 +146,7 @@
         revalidator: &mut dyn SendRevalidator,
     ) -> Option<Vec<u8>> {
         let command = *self.load_commands.get(&tag)?;
-        // A query loads nothing, so it always holds.
+        // A replica query loads nothing, so it is always valid.
         let is_valid = command.replicas == 0
             || revalidator.revalidate_load(self.now, command.executor_id, command.issued_at);
         let connection = self.pool.connection_mut(slot)?;
@@ -163,7 +164,7 @@
         ))
     }
 
-    /// The line of a dispatch, if the dispatch still holds.
+    /// Encodes a dispatch. Returns `None`, and reports it as unsent, if it is no longer valid.
     fn encode_dispatch(
         &mut self,
         slot: usize,
@@ -204,7 +205,7 @@
     }
 }
 
-/// Logs a dispatch with the serial and the age of the endpoint list that it rests on.
+/// Logs a dispatch with the serial and the age of the endpoint list that it is based on.
 fn log_dispatch(
     limiter: &mut LogRateLimiter,
     now: f64,
--- a/crates/platform-frontend/src/engine_host/mod.rs
+++ b/crates/platform-frontend/src/engine_host/mod.rs
@@ -1,6 +1,7 @@
-//! The engine's host: it owns the connections to clients and executors and performs the engine's callbacks.
+//! The engine's host: owns the client and executor connections and implements the engine's callbacks.
 //!
-//! A dispatch or load command that can't be sent is reported to the engine after the present call, by the event loop.
+//! A dispatch or load command that can't be sent is not reported from within the callback. The event loop reports it to
+//! the engine after the current engine call.
 
 mod callbacks;
 mod flushing;
@@ -23,32 +24,32 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Prefix of the tags of load commands. No id of an invocation, 16 hex digits, begins like this.
+/// Prefix of the tags of load commands on the wire. It can't begin an invocation id, which is 16 hexadecimal digits.
 const LOAD_COMMAND_PREFIX: &str = "order-";
-/// Prefix of the tags of health checks.
+/// Prefix of the tags of health checks on the wire.
 const HEALTH_CHECK_PREFIX: &str = "probe-";
 
-/// The endpoint list that decisions rest on.
+/// The version of the endpoint list that decisions are based on.
 #[derive(Clone, Copy, Debug)]
 pub struct ViewVersion {
     /// The serial of the list.
     pub serial: u32,
-    /// When the list was true, in seconds.
+    /// The time at which the list was last known to be current, in seconds.
     pub fresh_at: f64,
 }
 
-/// A load command without a result yet.
+/// A load command whose result is not known yet.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadCommand {
-    /// The executor.
+    /// The executor that it is for.
     pub executor_id: ExecutorId,
-    /// The function.
+    /// The function to load.
     pub function: u64,
-    /// The replicas wanted; 0 only queries them.
+    /// The number of replicas to load; 0 only queries how many are loaded.
     pub replicas: u8,
-    /// When it was given, in seconds.
+    /// When it was issued, in seconds.
     pub issued_at: f64,
-    /// The slot of its connection, once it has one.
+    /// The slot of the connection that carries it, if it has one.
     pub connection: Option<usize>,
 }
 
@@ -56,41 +57,41 @@
 pub struct UnsentDispatch {
     /// The dispatch.
     pub key: DispatchKey,
-    /// What that is evidence of.
+    /// The transport outcome that the failure is evidence of.
     pub evidence: TransportOutcome,
 }
 
 /// A load command that could not be sent.
 pub struct UnsentLoadCommand {
-    /// Its tag.
+    /// The tag of the command.
     pub tag: u64,
-    /// What that is evidence of.
+    /// The transport outcome that the failure is evidence of.
     pub evidence: TransportOutcome,
 }
 
-/// A connection that was cut off because it did not take a cancel.
+/// A connection that was aborted because it did not accept a cancel at once.
 pub struct AbortedConnection {
-    /// Its slot.
+    /// The slot of the connection.
     pub slot: usize,
     /// The reason, for the log.
     pub reason: String,
 }
 
-/// A dispatch that ended with an answer of its executor.
+/// An executor's response to a dispatch.
 pub struct ExecutorResponse<'a> {
     /// The dispatch.
     pub key: DispatchKey,
-    /// How it ended.
+    /// The result of the dispatch.
     pub status: DispatchStatus,
-    /// What the answer tells besides.
+    /// Further information from the executor.
     pub metadata: ResponseMetadata<'a>,
     /// The response body.
     pub body: Vec<u8>,
 }
 
-/// The engine's host.
+/// The host of the engine on the platform's protocols.
 pub struct EngineHost {
-    /// The clients' connections.
+    /// The client connections, by slot.
     pub clients: Slab<ClientConnection>,
     /// The executors and the connections to them.
     pub pool: ExecutorPool,
@@ -98,30 +99,30 @@
     pub invocations: InvocationTable,
     now: f64,
     clock: ProcessClock,
-    /// A process stall was detected and the resolver not asked about it yet.
+    /// A process stall was detected since the last call of `take_stall`.
     has_stalled: bool,
     trigger_types: Vec<String>,
     connect_timeout: f64,
-    /// Times in seconds that are closer than this count as one.
+    /// The resolution of the engine's clock in seconds: times closer than this are treated as equal.
     clock_tick: f64,
     max_retry_after: f64,
-    /// Whether executors take cancels.
+    /// Whether cancels may be sent to executors.
     allows_cancellation: bool,
-    /// The connection of each dispatch in flight.
+    /// The slot of the connection that carries each dispatch in flight.
     in_flight: HashMap<DispatchKey, usize>,
     delayed_dispatches: DelayedDispatches,
-    /// Invocations with a cancelled dispatch, by the clients' ids, and until when that cancel may be on its way.
+    /// For each invocation id with an abandoned dispatch, the time in seconds until which its cancel may be in transit.
     cancels_in_transit: BTreeMap<Rc<str>, f64>,
     load_commands: BTreeMap<u64, LoadCommand>,
     next_tag: u64,
     unsent_dispatches: Vec<UnsentDispatch>,
     unsent_load_commands: Vec<UnsentLoadCommand>,
-    /// Clients with something to write.
+    /// The slots of clients with output to flush.
     dirty_clients: Vec<usize>,
-    /// Connections with cancels that are not written yet.
+    /// The slots of executor connections with unwritten cancels.
     unflushed_cancels: Vec<usize>,
     aborted_connections: Vec<AbortedConnection>,
-    /// The invocation that is being admitted.
+    /// The invocation that the engine is deciding whether to admit.
     pending_admission: Option<OpenInvocation>,
     /// The body of the response that is being reported to the engine.
     response_body: Vec<u8>,
@@ -131,7 +132,7 @@
 }
 
 impl EngineHost {
-    /// A host without connections, at a time in seconds, with a bound on connections to executors.
+    /// Creates a host without connections. `now` is in seconds.
     pub fn new(
         now: f64,
         registry: Registry,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Takes over a clock that the host's time was read from.
+    /// Sets the clock. It has to be the one from which the `now` of `new` was read.
     pub fn set_clock(&mut self, clock: ProcessClock) {
         self.clock = clock;
     }
@@ -181,7 +182,7 @@
         self.now
     }
 
-    /// Reads the clock. After a process stall the engine is notified before anything is sent.
+    /// Reads the clock. If it shows a process stall, notifies `revalidator` before anything else is sent.
     pub fn read_clock(&mut self, revalidator: &mut dyn SendRevalidator) {
         self.now = self.clock.read().max(self.now);
         let Some(seconds) = self.clock.take_stall() else {
@@ -198,27 +199,27 @@
         std::mem::take(&mut self.has_stalled)
     }
 
-    /// The earliest time at which bytes that are read now may have arrived.
+    /// The earliest time at which bytes that are read at `now` may have arrived.
     pub fn earliest_arrival(&self, now: f64) -> f64 {
         self.clock.earliest_arrival(now)
     }
 
-    /// Moves the clock towards the wall clock, slowly.
+    /// Slews the clock gradually towards the wall clock.
     pub fn adjust_to_wall_clock(&mut self) {
         self.clock.adjust_to_wall_clock();
     }
 
-    /// The endpoint list that decisions rest on.
+    /// The version of the endpoint list that decisions are based on.
     pub fn view(&self) -> ViewVersion {
         self.view
     }
 
-    /// Sets the endpoint list that decisions rest on.
+    /// Sets the version of the endpoint list that decisions are based on.
     pub fn set_view(&mut self, view: ViewVersion) {
         self.view = view;
     }
 
-    /// The longest time in seconds that clients are told to stay away.
+    /// The longest retry delay in seconds that is sent to clients.
     pub fn max_retry_after(&self) -> f64 {
         self.max_retry_after
     }
@@ -239,7 +240,7 @@
         admitted.map(drop)
     }
 
-    /// Reports an executor's answer to the engine.
+    /// Reports an executor's response to the engine.
     pub fn report_response(&mut self, engine: &mut Engine, now: f64, answer: ExecutorResponse) {
         let DispatchKey { invocation, number } = answer.key;
         self.response_body = answer.body;
@@ -254,7 +255,7 @@
         self.response_body = vec![];
     }
 
-    /// Notes that a client has something to write.
+    /// Adds a client to the list of those with output to flush.
     pub fn mark_client_dirty(&mut self, slot: usize) {
         let Some(client) = self.clients.get_mut(slot) else {
             return;
@@ -265,7 +266,7 @@
         }
     }
 
-    /// Takes the slots of the clients with something to write; they stay marked.
+    /// Takes the list of clients with output to flush. Their `is_dirty` flags stay set until the caller clears them.
     pub fn take_dirty_clients(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.dirty_clients)
     }
@@ -280,12 +281,12 @@
         std::mem::take(&mut self.unsent_load_commands)
     }
 
-    /// Takes the connections that were cut off and wait to be closed.
+    /// Takes the connections that were aborted and have to be closed.
     pub fn take_aborted_connections(&mut self) -> Vec<AbortedConnection> {
         std::mem::take(&mut self.aborted_connections)
     }
 
-    /// Whether anything is left to report or to write.
+    /// Whether unsent commands are left to report or output is left to flush.
     pub fn has_pending_output(&self) -> bool {
         !self.unsent_dispatches.is_empty()
             || !self.unsent_load_commands.is_empty()
@@ -293,12 +294,12 @@
             || !self.dirty_clients.is_empty()
     }
 
-    /// Whether dispatches are delayed.
+    /// Whether any dispatch is being delayed.
     pub fn has_delayed_dispatches(&self) -> bool {
         !self.delayed_dispatches.is_empty()
     }
 
-    /// Removes an invocation that is over for its client.
+    /// Removes an invocation that got its final response or was cancelled by its client.
     pub fn remove_invocation(&mut self, invocation: u32) -> Option<OpenInvocation> {
         let open = self.invocations.remove(invocation)?;
         if let Some(client) = self.clients.get_mut(open.client) {
@@ -307,7 +308,8 @@
         Some(open)
     }
 
-    /// Sends the final answer of an invocation; no other function does.
+    /// Removes an invocation and sends its final response. No other function sends one for an admitted invocation, so
+    /// there is at most one.
     fn respond(&mut self, invocation: u32, code: u8, fields: &[(&str, &str)], body: &[u8]) {
         let Some(open) = self.remove_invocation(invocation) else {
             return;
@@ -329,7 +331,7 @@
         self.in_flight.remove(&key);
     }
 
-    /// Removes a load command that has come to its end.
+    /// Removes and returns a load command, so that it gets no further result.
     pub fn remove_load_command(&mut self, tag: u64) -> Option<LoadCommand> {
         let command = self.load_commands.remove(&tag)?;
         if let Some(connection) = command
@@ -341,19 +343,19 @@
         Some(command)
     }
 
-    /// The oldest load command, if it was given so many seconds ago or earlier.
+    /// Returns the tag of the oldest load command if it was issued at least `timeout` seconds ago.
     pub fn expired_load_command(&self, now: f64, timeout: f64) -> Option<u64> {
         let (&tag, command) = self.load_commands.first_key_value()?;
         (command.issued_at + timeout <= now).then_some(tag)
     }
 
-    /// The tag of a load command in the id of an answer, if it is that of one.
+    /// Parses the tag from the id of a response to a load command. Returns `None` for other responses.
     pub fn load_command_tag(id: &str) -> Option<u64> {
         id.strip_prefix(LOAD_COMMAND_PREFIX)?.parse().ok()
     }
 
-    /// Records that a dispatch to an executor was abandoned now. The next dispatch of its invocation is delayed: a
-    /// cancel and the next dispatch use two connections, on which nothing keeps their order.
+    /// Records that a dispatch to an executor was abandoned now, so that the next dispatch of its invocation is delayed
+    /// until the cancel has arrived. The two travel over different connections, which don't preserve their order.
     pub fn record_abandoned(&mut self, id: &Rc<str>, executor_id: ExecutorId) {
         let transit_time = self
             .pool
@@ -364,7 +366,7 @@
         self.cancels_in_transit.insert(id.clone(), until);
     }
 
-    /// Forgets cancels that have arrived by a time.
+    /// Removes the records of cancels that have arrived by `now`.
     pub fn remove_delivered_cancels(&mut self, now: f64) {
         self.cancels_in_transit.retain(|_, until| *until > now);
     }
--- a/crates/platform-frontend/src/engine_host/sending.rs
+++ b/crates/platform-frontend/src/engine_host/sending.rs
@@ -1,4 +1,4 @@
-//! Puts commands for executors into the queues of connections.
+//! Queues commands for executors on connections.
 
 use super::{EngineHost, LoadCommand, UnsentDispatch, UnsentLoadCommand};
 use crate::delayed_dispatches::DispatchKey;
@@ -6,11 +6,11 @@
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::evidence::TransportOutcome;
 
-/// Seconds until a dispatch is retried for which this machine could open no connection.
+/// Seconds until a dispatch is retried after this machine could not open a connection for lack of a resource.
 const LOCAL_FAILURE_RETRY_DELAY: f64 = 0.02;
 
 impl EngineHost {
-    /// Sends the delayed dispatches that are due.
+    /// Sends the delayed dispatches whose delay has elapsed.
     pub fn send_due_dispatches(&mut self) {
         for due in self.delayed_dispatches.take_due(self.now) {
             self.send(
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Queues a dispatch on a connection. `sent_at` tells when it was first sent.
+    /// Queues a dispatch on a connection, or reports it as unsent. `sent_at` is the time in seconds at which it was
+    /// first sent.
     pub(super) fn send(&mut self, key: DispatchKey, executor_id: ExecutorId, sent_at: f64) {
         let Some(id) = self
             .invocations
@@ -44,7 +45,7 @@
                 self.in_flight.insert(key, slot);
                 self.pool.mark_dirty(slot);
             }
-            // This machine may have what it lacks a moment later; the executor is not to blame.
+            // The missing local resource may become available a moment later, and says nothing about the executor.
             Err(TransportOutcome::NoResource)
                 if self.now + LOCAL_FAILURE_RETRY_DELAY < sent_at + self.connect_timeout =>
             {
@@ -69,10 +70,10 @@
             .push(UnsentLoadCommand { tag, evidence });
     }
 
-    /// Sends commands again that were never handed over by a connection which ended or takes nothing new.
+    /// Sends again, over another connection, the unwritten commands of a connection that ended or was retired.
     ///
-    /// They use another connection within the time that a connection may take to be made, if `may_retry` tells that
-    /// the executor is not known to be unreachable; else they are reported as unsent.
+    /// Commands older than the connect timeout are reported as unsent instead, and so are all of them if `may_retry` is
+    /// false, which means that the executor is known to be unreachable.
     pub fn resend(
         &mut self,
         executor_id: ExecutorId,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Gives a load command; 0 replicas only query.
+    /// Issues a load command, or a replica query if `replicas` is 0.
     pub(super) fn issue_load_command(
         &mut self,
         executor_id: ExecutorId,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Queues a line whose loss needs no report.
+    /// Queues an encoded line whose loss need not be reported.
     pub(super) fn send_line(&mut self, executor_id: ExecutorId, line: Vec<u8>) {
         let Ok(slot) = self.pool.connection_for(self.now, executor_id, "") else {
             return;
--- a/crates/platform-frontend/src/event_loop/client_listener.rs
+++ b/crates/platform-frontend/src/event_loop/client_listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of clients and closes them; the limit on their number.
+//! Accepts and closes client connections, and limits their number.
 
 use super::EventLoop;
 use crate::client_connection::{ClientConnection, MAX_OVER_LIMIT, eviction_candidate};
@@ -11,22 +11,25 @@
 use std::net::SocketAddr;
 use tracing::debug;
 
-/// Connections accepted within a poll.
+/// The largest number of connections accepted per poll.
 const ACCEPTS_PER_POLL: usize = 256;
-/// Idle connections considered for an eviction.
+/// The largest number of idle connections considered per eviction.
 const EVICTION_ATTEMPTS: usize = 4;
 
-/// The listener for clients.
+/// The listening socket for clients.
 pub(super) struct ClientListener {
     /// The socket; `None` once the front end has stopped accepting.
     socket: Option<TcpListener>,
     max_clients: usize,
-    /// Connections wait for which there was no descriptor or memory.
+    /// Connections wait in the backlog because a descriptor or memory was missing.
     must_retry: bool,
 }
 
 impl ClientListener {
-    /// Binds and registers the listener.
+    /// Binds the socket and registers it with the poll.
+    ///
+    /// # Errors
+    /// The address can't be bound, also after retries, or the socket can't be registered.
     pub(super) fn bind(
         address: SocketAddr,
         registry: &Registry,
@@ -50,28 +53,28 @@
         self.socket.is_some()
     }
 
-    /// Whether connections wait for which there was no descriptor or memory.
+    /// Whether accepting has to be retried because a descriptor or memory was missing.
     pub(super) fn must_retry(&self) -> bool {
         self.must_retry
     }
 
-    /// Clients that may be connected.
+    /// The largest number of connected clients.
     #[cfg(test)]
     pub(super) fn max_clients(&self) -> usize {
         self.max_clients
     }
 
-    /// Takes the listener out of the poll, if it is open. It is closed when the caller drops it.
+    /// Deregisters and returns the socket, if it is open. Dropping it closes it.
     pub(super) fn take_socket(&mut self, registry: &Registry) -> Option<TcpListener> {
         let mut socket = self.socket.take()?;
-        // The process ends anyway.
+        // A failure is harmless, since the caller closes the socket.
         let _ = registry.deregister(&mut socket);
         Some(socket)
     }
 }
 
 impl EventLoop {
-    /// Accepts the clients that wait.
+    /// Accepts the connections that wait in the backlog.
     pub(super) fn accept(&mut self, now: f64) {
         self.listener.must_retry = false;
         let mut has_evicted = false;
@@ -85,12 +88,12 @@
                     self.add_client(now, stream);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The connection broke before it was accepted, which is reported in many ways.
+                // The connection broke before it was accepted, for which there are many error codes.
                 Err(error) if !is_out_of_resources(&error) => {}
                 Err(error) => {
-                    // Without a descriptor an idle connection is evicted. If there is none, or that did not help, accepting
-                    // is retried with the next sweep: retrying at once would take the whole core, and evicting on and on
-                    // would close every idle client.
+                    // Without a free descriptor, an idle connection is evicted. If there is none, or the eviction did
+                    // not help, accepting is retried in the next sweep: an immediate retry would use a whole core, and
+                    // repeated evictions would close every idle client.
                     debug!(%error, "accept failed");
                     let should_evict = is_out_of_descriptors(&error) && !has_evicted;
                     if !should_evict || !self.evict_idle_client(now) {
@@ -127,8 +130,8 @@
         }
     }
 
-    /// Closes an idle client in favour of another; returns whether there was one. It is read once more before: bytes
-    /// that arrived meanwhile make it busy.
+    /// Closes an idle client in favor of a new one, and returns whether there was one. A candidate is read once more
+    /// first: if an invocation has arrived meanwhile, it is not idle and another candidate is tried.
     fn evict_idle_client(&mut self, now: f64) -> bool {
         for _ in 0..EVICTION_ATTEMPTS {
             let connect_timeout = self.settings.connect_timeout;
@@ -161,7 +164,7 @@
         }
     }
 
-    /// Closes a client's connection at once and cancels its open invocations.
+    /// Closes a client connection at once and cancels its open invocations.
     pub(super) fn close_client(&mut self, now: f64, slot: usize) {
         self.cancel_open_invocations(now, slot);
         let Some(mut client) = self.host.clients.try_remove(slot) else {
@@ -171,7 +174,8 @@
         let _ = self.poll.registry().deregister(&mut client.socket.stream);
     }
 
-    /// Closes a client's connection once the client has had time to read what is written to it.
+    /// Cancels the open invocations of a client, and closes its connection once the output is written and the client
+    /// has had time to read it.
     pub(super) fn close_client_after_flush(&mut self, now: f64, slot: usize) {
         self.cancel_open_invocations(now, slot);
         if let Some(client) = self.host.clients.get_mut(slot) {
--- a/crates/platform-frontend/src/event_loop/client_requests.rs
+++ b/crates/platform-frontend/src/event_loop/client_requests.rs
@@ -1,4 +1,4 @@
-//! Reads the frames of clients: admits invocations, or answers why not.
+//! Handles client frames: admits invocations or rejects them, and handles cancels and readiness queries.
 
 use super::{EventLoop, MAX_READS_PER_POLL};
 use crate::client_connection::{MAX_BACKLOG_BYTES, MAX_OPEN_INVOCATIONS, PendingInvocation};
@@ -10,14 +10,14 @@
 use thiserror::Error;
 use tracing::debug;
 
-/// Why an invocation is answered at once. The text is sent to the client as the body of the answer, so it is part of
-/// the protocol.
+/// Why an invocation is rejected without being admitted. The text is sent to the client as the response body, so it is
+/// part of the protocol.
 #[derive(Debug, Error)]
 enum Rejection {
-    /// A check failed.
+    /// The invocation is invalid.
     #[error(transparent)]
     Invalid(#[from] InvalidInvocation),
-    /// No capacity is left.
+    /// A limit on open invocations or request bodies is reached.
     #[error("too much is open")]
     AtCapacity,
     /// The front end is shutting down.
@@ -35,7 +35,7 @@
 }
 
 impl EventLoop {
-    /// Reads a client's connection and admits the invocations that have arrived.
+    /// Reads a client connection and admits or rejects the invocations that have arrived.
     pub(super) fn read_client(&mut self, now: f64, slot: usize) {
         self.read_client_socket(now, slot);
         let Some(client) = self
@@ -70,10 +70,11 @@
         }
     }
 
-    /// Reads what there is, also under backpressure: the end of the connection and cancels are to be seen at once.
+    /// Reads the available input and handles its frames. Invocations are queued for admission.
     ///
-    /// Invocations are admitted after that, except those that were cancelled by then.
-    /// Failure mode: clients that cancel hundreds of invocations at once, each of which would have had its placement.
+    /// This also happens under backpressure, so that cancels and the end of the connection are noticed at once. Queued
+    /// invocations are admitted only after the read, so that those cancelled in the same batch never reach the engine.
+    /// Failure mode: a client cancels hundreds of invocations at once, each of which would have been placed first.
     fn read_client_socket(&mut self, now: f64, slot: usize) {
         for _ in 0..MAX_READS_PER_POLL {
             let Some(client) = self.host.clients.get_mut(slot) else {
@@ -112,7 +113,7 @@
         self.close_client_after_flush(now, slot);
     }
 
-    /// Handles the whole frames that the decoder holds.
+    /// Handles the complete frames in the decoder.
     fn handle_frames(&mut self, now: f64, slot: usize) -> Result<(), ProtocolError> {
         let mut had_frame = false;
         loop {
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Tells a client whether the front end is ready: it knows executors, or nobody is there who could list any, and it
-    /// does not shut down.
+    /// Answers a readiness query. The front end is ready unless it is shutting down, or knows no executors while the
+    /// resolver is reachable and could still list some.
     fn answer_readiness_query(&mut self, slot: usize, stream: u32) {
         let can_serve =
             !self.host.pool.has_no_executors() || self.discovery.resolver_is_unreachable();
@@ -184,7 +185,7 @@
         self.host.mark_client_dirty(slot);
     }
 
-    /// Checks an invocation and offers it to the engine.
+    /// Validates an invocation and offers it to the engine.
     fn admit(
         &mut self,
         slot: usize,
@@ -217,7 +218,7 @@
         Ok(())
     }
 
-    /// Answers an invocation that was not admitted.
+    /// Responds to an invocation that was not admitted.
     fn reject(&mut self, slot: usize, stream: u32, rejection: &Rejection) {
         let (code, retry_after) = match rejection {
             Rejection::Invalid(_) => {
--- a/crates/platform-frontend/src/event_loop/endpoint_discovery.rs
+++ b/crates/platform-frontend/src/event_loop/endpoint_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of the executors: polls the resolver and applies its endpoint lists.
+//! Executor discovery: polls the resolver and applies its endpoint lists.
 
 use super::EventLoop;
 use crate::engine_host::ViewVersion;
@@ -12,16 +12,19 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-/// The client of the resolver and what its lists name.
+/// The resolver client, with the zones and executor kinds that its lists name.
 pub(super) struct EndpointDiscovery {
     resolver: ResolverClient,
     locations: LocationTable,
-    /// The engine was told that the resolver is unreachable.
+    /// Whether the engine was last notified that the resolver is unreachable.
     reported_unreachable: bool,
 }
 
 impl EndpointDiscovery {
-    /// Begins with the view of the start.
+    /// Creates a resolver client for `address` that starts with `view`.
+    ///
+    /// # Errors
+    /// The socket can't be set up.
     pub(super) fn new(
         address: SocketAddr,
         view: EndpointView,
@@ -43,12 +46,12 @@
         self.resolver.view().endpoints()
     }
 
-    /// The address that is queried.
+    /// The address of the current resolver.
     pub(super) fn resolver_address(&self) -> SocketAddr {
         self.resolver.address()
     }
 
-    /// Whether many queries in a row have had no good answer.
+    /// Whether many consecutive queries have had no confirming answer.
     pub(super) fn resolver_is_unreachable(&self) -> bool {
         self.resolver.is_unreachable()
     }
@@ -63,13 +66,13 @@
         self.resolver.query_if_due(now);
     }
 
-    /// Sends a query now and counts unanswered queries anew.
+    /// Sends a query now and resets the count of unanswered queries.
     pub(super) fn query_after_stall(&mut self, now: f64) {
         self.resolver.restart_queries();
         self.resolver.query_if_due(now);
     }
 
-    /// Queries another resolver from now on.
+    /// Switches to another resolver.
     pub(super) fn switch_resolver(
         &mut self,
         address: SocketAddr,
@@ -79,7 +82,7 @@
             .switch_resolver(address, registry, EventSource::Resolver.token())
     }
 
-    /// The serial and the time of the current view.
+    /// The serial and the freshness of the current view.
     fn view_version(&self) -> ViewVersion {
         ViewVersion {
             serial: self.resolver.view().serial(),
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Reads the answers that have arrived, and warns of names that the settings do not declare.
+    /// Reads the answers that have arrived, and warns about zones and executor kinds that the settings don't declare.
     fn read(&mut self, now: f64) -> ReadSummary {
         let names_before = self.locations.name_counts();
         let ignored_before = self.locations.ignored_endpoints;
@@ -105,7 +108,7 @@
         summary
     }
 
-    /// Whether the resolver is unreachable, if that has changed since the last call.
+    /// Returns whether the resolver is unreachable if that has changed since the last call, otherwise `None`.
     fn take_reachability_change(&mut self) -> Option<bool> {
         let is_unreachable = self.resolver.is_unreachable();
         let was_reported = std::mem::replace(&mut self.reported_unreachable, is_unreachable);
@@ -114,7 +117,7 @@
 }
 
 impl EventLoop {
-    /// Reads the answers of the resolver and applies them.
+    /// Reads the resolver's answers, and reports confirmed and changed views to the engine.
     pub(super) fn read_resolver(&mut self, now: f64) {
         let summary = self.discovery.read(now);
         if summary.has_more {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Tells the engine that no list can be had, or that one can be had again.
+    /// Notifies the engine when the resolver becomes unreachable or reachable again.
     pub(super) fn report_resolver_reachability(&mut self, now: f64) {
         let Some(is_unreachable) = self.discovery.take_reachability_change() else {
             return;
@@ -149,7 +152,7 @@
             .on_endpoint_update(now, kind, &[], &mut self.host);
     }
 
-    /// Applies a whole list of executors: those not on it are gone.
+    /// Applies a complete endpoint list. Executors that are not on it are removed.
     pub(super) fn apply_endpoint_list(&mut self, now: f64, discovered: Vec<DiscoveredEndpoint>) {
         let endpoints: Vec<Endpoint> = discovered.iter().map(|d| d.endpoint.clone()).collect();
         self.host.pool.apply_endpoint_list(discovered);
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -1,4 +1,4 @@
-//! Reads the connections to executors and reports their answers to the engine.
+//! Reads executor connections and reports the responses to the engine.
 
 use super::{EventLoop, MAX_READS_PER_POLL};
 use crate::engine_host::{EngineHost, ExecutorResponse};
@@ -11,7 +11,7 @@
 use orchidtally_socket_io::buffered::ReadOutcome;
 use tracing::debug;
 
-/// What an answer is evidence of.
+/// Returns what a response is evidence of.
 fn response_evidence(kind: ResponseKind) -> TransportOutcome {
     match kind {
         ResponseKind::Done => TransportOutcome::Answered(DispatchStatus::Ok),
@@ -19,7 +19,7 @@
         ResponseKind::Full => TransportOutcome::Answered(DispatchStatus::Full),
         ResponseKind::Error => TransportOutcome::Answered(DispatchStatus::Error),
         ResponseKind::AlreadyOver => TransportOutcome::Answered(DispatchStatus::NeverSent),
-        // These answer health checks, never a dispatch or a load command.
+        // These are responses to health checks, never to a dispatch or a load command.
         ResponseKind::Healthy | ResponseKind::Unhealthy => TransportOutcome::Malformed,
     }
 }
@@ -35,7 +35,7 @@
 }
 
 impl EventLoop {
-    /// Reads a connection to an executor; returns whether it still stands.
+    /// Reads a connection to an executor, and returns whether it is still open.
     pub(super) fn read_executor(&mut self, now: f64, slot: usize) -> bool {
         let Some(connection) = self.host.pool.connection(slot) else {
             return false;
@@ -99,7 +99,7 @@
         self.host.pool.mark_dirty(slot);
     }
 
-    /// Handles the whole lines that the decoder holds; returns whether the connection still stands.
+    /// Handles the complete lines in the decoder, and returns whether the connection is still open.
     fn handle_responses(&mut self, now: f64, slot: usize) -> bool {
         loop {
             let Some(connection) = self.host.pool.connection_mut(slot) else {
@@ -139,7 +139,7 @@
             .then(|| connection.in_flight.remove(response.id.as_str()))
             .flatten()
         else {
-            // The answer to an abandoned dispatch, a duplicate, or to nothing that was sent.
+            // A response to an abandoned dispatch, a duplicate, or a response to an id that was never sent.
             return connection.remove_abandoned_id(&response.id);
         };
         connection.record_response(now, response.id.as_str().into());
@@ -165,7 +165,7 @@
         self.host.report_response(&mut self.engine, now, answer);
     }
 
-    /// Reports the result of a load command; `replica_count` is what the executor told.
+    /// Reports the result of a load command. `replica_count` is the number of replicas in the executor's response.
     pub(super) fn finish_load_command(
         &mut self,
         now: f64,
@@ -177,7 +177,7 @@
             return;
         };
         let status = match evidence::dispatch_status(evidence) {
-            // A query that found no replica.
+            // A replica query that found none.
             DispatchStatus::Ok if command.replicas == 0 && replica_count == 0 => {
                 DispatchStatus::Miss
             }
--- a/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
@@ -1,38 +1,38 @@
-//! The graceful shutdown after a termination signal: when to stop accepting, and when to exit.
+//! The graceful shutdown after a termination signal: decides when to stop accepting and when to exit.
 
 use super::EventLoop;
 use orchidtally_dispatch_policy::interface::TriggerType;
 use orchidtally_platform_client_protocol as protocol;
 use tracing::info;
 
-/// Seconds for which clients go on to be accepted after SIGTERM. They keep coming for up to 0.6 s; then they are
-/// notified to come no more. What comes later than 0.7 s has to be answered before the process is killed, which may be
-/// 0.7 s after the longest client timeout: from then on invocations are rejected at once.
+/// Seconds after SIGTERM for which connections and invocations are still accepted. Clients keep connecting for up to
+/// 0.6 s; after this time they are sent a GO_AWAY frame and invocations are rejected at once. An invocation accepted
+/// more than 0.7 s after SIGTERM could outlast the process, which may be killed 0.7 s after the longest client timeout.
 const ACCEPT_AFTER_SIGTERM: f64 = 0.65;
-/// Seconds that clients have to read their final responses before the process exits, and that it waits after what a
-/// client sent in spite of the notice; until shortly before it may be killed at the most.
+/// Seconds without activity after which the process exits, so that clients can read their final responses. Input from a
+/// client that ignores GO_AWAY restarts the wait, which ends at the latest `EXIT_MARGIN` before the kill.
 const FINAL_RESPONSE_LINGER: f64 = 0.1;
-/// The process may be killed so many seconds after SIGTERM and the longest client timeout.
+/// Seconds after SIGTERM, plus the longest client timeout, at which the process may be killed.
 const KILL_DELAY: f64 = 0.7;
-/// A longer client timeout counts as this many seconds.
+/// The longest client timeout in seconds that the platform takes into account before the kill.
 const MAX_COUNTED_CLIENT_TIMEOUT: f64 = 3.0;
-/// Seconds before the kill by which everything is answered.
+/// Seconds before the kill by which every open invocation is answered.
 const SHUTDOWN_MARGIN: f64 = 0.15;
-/// Seconds before the kill at which the process exits in any case.
+/// Seconds before the kill at which the process exits unconditionally.
 const EXIT_MARGIN: f64 = SHUTDOWN_MARGIN / 3.0;
 
-/// The state of the shutdown.
+/// The state of the graceful shutdown.
 pub(super) struct GracefulShutdown {
     /// When the termination signal arrived, in seconds.
     started_at: Option<f64>,
-    /// Since when nothing is open and no client has sent anything.
+    /// Since when no invocation is open and no client has sent anything; `None` while there is activity.
     idle_since: Option<f64>,
-    /// The client timeout in seconds that the process is granted.
+    /// The longest client timeout, limited to `MAX_COUNTED_CLIENT_TIMEOUT`, in seconds.
     counted_client_timeout: f64,
 }
 
 impl GracefulShutdown {
-    /// No shutdown so far.
+    /// Creates the state of a front end that is not shutting down.
     pub(super) fn new(trigger_types: &[TriggerType]) -> GracefulShutdown {
         let longest = trigger_types
             .iter()
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A termination signal has arrived; only the first one counts.
+    /// Records the arrival of a termination signal. Only the first one counts.
     pub(super) fn start(&mut self, now: f64) {
         self.started_at.get_or_insert(now);
     }
@@ -55,13 +55,13 @@
         self.started_at.is_some()
     }
 
-    /// Moves the arrival of the termination signal.
+    /// Overrides the time at which the termination signal arrived.
     #[cfg(test)]
     pub(super) fn set_started_at(&mut self, started_at: f64) {
         self.started_at = Some(started_at);
     }
 
-    /// Moves the time since when nothing is open.
+    /// Overrides the time since which the front end has been idle.
     #[cfg(test)]
     pub(super) fn set_idle_since(&mut self, idle_since: f64) {
         self.idle_since = Some(idle_since);
@@ -73,54 +73,56 @@
         self.started_at
     }
 
-    /// Whether clients are not accepted any more.
+    /// Whether the front end has to stop accepting clients.
     fn must_stop_accepting(&self, now: f64) -> bool {
         self.started_at
             .is_some_and(|started_at| now > started_at + ACCEPT_AFTER_SIGTERM)
     }
 
-    /// When the process may be killed, in seconds.
+    /// When the process may be killed, in seconds; infinity before the termination signal.
     fn kill_time(&self) -> f64 {
         self.started_at.map_or(f64::INFINITY, |started_at| {
             started_at + self.counted_client_timeout + KILL_DELAY
         })
     }
 
-    /// By when every open invocation has to be answered, in seconds.
+    /// The deadline in seconds for answering every open invocation.
     fn response_deadline(&self) -> f64 {
         self.kill_time() - SHUTDOWN_MARGIN
     }
 
-    /// Whether the process exits now, whatever is open.
+    /// Whether the process has to exit now, regardless of client activity.
     fn must_exit(&self, now: f64) -> bool {
         now > self.kill_time() - EXIT_MARGIN
     }
 
-    /// Something is open, or a client has sent something.
+    /// Records that an invocation is open or that a client has sent something.
     pub(super) fn record_activity(&mut self) {
         self.idle_since = None;
     }
 
-    /// Nothing is open; returns whether that has been so for long enough.
+    /// Records that there is no activity, and returns whether the idle time exceeds `FINAL_RESPONSE_LINGER`.
     pub(super) fn record_idle(&mut self, now: f64) -> bool {
         now > *self.idle_since.get_or_insert(now) + FINAL_RESPONSE_LINGER
     }
 
-    /// Whether nothing has been open since it was last recorded.
+    /// Whether no activity was recorded since the last `record_idle`.
     pub(super) fn is_idle(&self) -> bool {
         self.idle_since.is_some()
     }
 }
 
 impl EventLoop {
-    /// Some time after the termination signal: stops accepting and notifies the clients.
+    /// Stops accepting connections and invocations, and sends clients a GO_AWAY frame, once `ACCEPT_AFTER_SIGTERM` has
+    /// passed since the termination signal.
     pub(super) fn stop_accepting(&mut self, now: f64) {
         if !self.listener.is_open() || !self.shutdown.must_stop_accepting(now) {
             return;
         }
-        // Clients that wait to be accepted are notified with the others: no more can wait than one call accepts.
+        // Accepts the connections in the listener's backlog, so that they are notified too: one call accepts at least
+        // as many as the backlog holds.
         self.accept(now);
-        // Closed as this function returns.
+        // The listener is closed when this function returns.
         let Some(_listener) = self.listener.take_socket(self.poll.registry()) else {
             return;
         };
@@ -140,7 +142,8 @@
         }
     }
 
-    /// Whether the shutdown is complete: nothing is open, and clients had the time to read their final responses.
+    /// Whether the shutdown is complete: no invocation is open, and clients have had time to read their final
+    /// responses.
     pub(super) fn is_finished(&mut self, now: f64) -> bool {
         if self.listener.is_open() || self.engine.open_invocations() > 0 {
             self.shutdown.record_activity();
@@ -161,7 +164,7 @@
         if !self.shutdown.record_idle(now) {
             return false;
         }
-        // Invocations that arrived since this poll began are answered too.
+        // Invocations that arrived since this poll began are answered before the exit.
         for slot in self.client_slots() {
             self.read_client(now, slot);
         }
--- a/crates/platform-frontend/src/event_loop/lost_connections.rs
+++ b/crates/platform-frontend/src/event_loop/lost_connections.rs
@@ -1,4 +1,4 @@
-//! Closes connections to executors and reports to the engine what their end proves.
+//! Closes executor connections, and reports to the engine what their loss is evidence of.
 
 use super::EventLoop;
 use crate::executor_connection::ExecutorConnection;
@@ -7,17 +7,18 @@
 use std::collections::VecDeque;
 use tracing::info;
 
-/// Seconds within which all connections of a process are reset when it ends.
+/// Seconds within which all connections of a process are reset after it terminates.
 const PROCESS_RESET_WINDOW: f64 = 0.02;
 
+/// A closed connection and what its close is evidence of.
 struct LostConnection {
     closed_at: f64,
-    /// What the close is evidence of.
+    /// The transport outcome that the close is evidence of.
     evidence: TransportOutcome,
     connection: ExecutorConnection,
 }
 
-/// Connections that were closed and whose open dispatches are not reported yet.
+/// Closed connections whose commands in flight are not reported to the engine yet.
 #[derive(Default)]
 pub(super) struct LostConnections {
     unreported: VecDeque<LostConnection>,
@@ -25,14 +26,14 @@
 }
 
 impl LostConnections {
-    /// When the earliest one is reported at the latest, in seconds.
+    /// When the oldest one has to be reported at the latest, in seconds.
     pub(super) fn next_report_at(&self) -> f64 {
         self.unreported
             .front()
             .map_or(f64::INFINITY, |lost| lost.closed_at + PROCESS_RESET_WINDOW)
     }
 
-    /// Whether every one is reported.
+    /// Whether all of them are reported.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.unreported.is_empty()
@@ -40,7 +41,8 @@
 }
 
 impl EventLoop {
-    /// Closes a connection to an executor, and with it all that is open on it.
+    /// Closes a connection to an executor. Commands that were never written are sent again or reported as unsent; those
+    /// in flight are reported later.
     pub(super) fn close_executor_connection(
         &mut self,
         now: f64,
@@ -51,7 +53,7 @@
         let Some(mut connection) = self.host.pool.remove_connection(slot) else {
             return;
         };
-        // A socket that is gone already is not registered any more.
+        // Deregistering fails only if the socket is not registered, which is the desired state.
         let _ = self
             .poll
             .registry()
@@ -73,7 +75,7 @@
             self.host.remove_in_flight(dispatch.key);
             self.host.record_abandoned(id, connection.executor_id);
         }
-        // A partial answer shows that the executor is there, as unreadable bytes do.
+        // A partial line shows that the executor is alive, as unreadable bytes do.
         let evidence =
             if evidence == TransportOutcome::Broken && connection.decoder.has_partial_line() {
                 TransportOutcome::Malformed
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Reports what lost connections leave. If another connection to the executor stands, its process did not end.
+    /// Reports the commands of lost connections to the engine. A report is put off for the reset window while another
+    /// connection to the executor is open: if that one is still open afterwards, the executor's process is running.
     pub(super) fn report_lost_connections(&mut self, now: f64) {
         for _ in 0..self.lost_connections.unreported.len() {
             let Some(lost) = self.lost_connections.unreported.pop_front() else {
--- a/crates/platform-frontend/src/event_loop/maintenance.rs
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work: timeouts of connections and load commands, the clock, the status log.
+//! Periodic work: connection and load command timeouts, clock adjustment, and the status log.
 
 use super::EventLoop;
 use crate::executor_connection::CloseReason;
@@ -6,11 +6,11 @@
 use orchidtally_platform_client_protocol as protocol;
 use tracing::info;
 
-/// Seconds between two sweeps, in which connections are checked for timeouts.
+/// Seconds between two sweeps, each of which checks all connections for timeouts.
 pub(super) const SWEEP_INTERVAL: f64 = 0.025;
-/// Seconds between two adjustments to the wall clock.
+/// Seconds between two adjustments of the process clock to the wall clock.
 const CLOCK_INTERVAL: f64 = 1.0;
-/// Seconds between two status lines in the log.
+/// Seconds between two status log lines.
 const STATUS_INTERVAL: f64 = 10.0;
 
 /// When each kind of periodic work is due, in seconds.
@@ -21,7 +21,7 @@
 }
 
 impl MaintenanceSchedule {
-    /// The schedule of a front end that starts now.
+    /// Creates the schedule of a front end that starts at `now`.
     pub(super) fn new(now: f64) -> MaintenanceSchedule {
         MaintenanceSchedule {
             next_sweep_at: now,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Puts sweeps off for good.
+    /// Disables sweeps.
     #[cfg(test)]
     pub(super) fn postpone_sweeps(&mut self) {
         self.next_sweep_at = f64::INFINITY;
@@ -41,7 +41,7 @@
         self.next_sweep_at
     }
 
-    /// Whether a sweep is due; if so, the next one is scheduled.
+    /// Returns whether a sweep is due. If so, schedules the next one.
     fn take_sweep(&mut self, now: f64) -> bool {
         let is_due = now >= self.next_sweep_at;
         if is_due {
@@ -50,7 +50,7 @@
         is_due
     }
 
-    /// Whether the clock is to be adjusted; if so, the next time is scheduled.
+    /// Returns whether a clock adjustment is due. If so, schedules the next one.
     fn take_clock_adjustment(&mut self, now: f64) -> bool {
         let is_due = now > self.next_clock_adjustment_at;
         if is_due {
@@ -59,7 +59,7 @@
         is_due
     }
 
-    /// Whether a status line is due; if so, the next one is scheduled.
+    /// Returns whether a status line is due. If so, schedules the next one.
     fn take_status(&mut self, now: f64) -> bool {
         let is_due = now > self.next_status_at;
         if is_due {
@@ -70,7 +70,7 @@
 }
 
 impl EventLoop {
-    /// Does the periodic work that is due.
+    /// Performs the periodic work that is due.
     pub(super) fn run_maintenance(&mut self, now: f64) {
         self.discovery.query_if_due(now);
         self.report_resolver_reachability(now);
@@ -111,7 +111,7 @@
         );
     }
 
-    /// Begins the close of clients whose timeouts have run out, and completes closes that are due.
+    /// Begins to close client connections whose timeouts have expired, and completes closes that are due.
     fn close_overdue_clients(&mut self, now: f64) {
         let overdue: Vec<(usize, &'static str)> = self
             .host
--- a/crates/platform-frontend/src/event_loop/mod.rs
+++ b/crates/platform-frontend/src/event_loop/mod.rs
@@ -1,6 +1,6 @@
-//! The event loop of the front end: it holds the parts and fixes the order of work within a poll.
+//! The event loop of the front end. It owns the components and defines the order of work within a poll.
 //!
-//! Each submodule has a part with its own state, and the steps of the loop in which that part leads.
+//! Each submodule holds one component's state and the steps of the event loop that belong to it.
 
 mod client_listener;
 mod client_requests;
@@ -34,36 +34,37 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Bytes that are read at a time.
+/// Size of the buffer for one read, in bytes.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Times that one connection is read within a poll; then the others have their turn.
+/// Reads from one connection per poll, so that a busy connection doesn't starve the others.
 const MAX_READS_PER_POLL: usize = 4;
-/// Events that one poll returns at most.
+/// The largest number of events that one poll returns.
 const EVENTS_PER_POLL: usize = 1024;
-/// Descriptors for the listener, the sockets of present and previous resolvers, signals, logs, the settings file, the
-/// poll itself, and connections over the limit.
+/// File descriptors reserved for the listener, the sockets of the current and previous resolvers, the signal pipe, log
+/// output, the start file, the poll itself, and client connections above the limit.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// What happened on the connections since the start, for the log.
+/// Counters since the start of the process, for the status log.
 #[derive(Debug, Default)]
 struct ConnectionCounters {
-    /// Clients that were accepted.
+    /// Client connections that were accepted.
     accepted: u64,
-    /// Clients that were closed in favour of others.
+    /// Idle client connections that were closed in favor of new ones, and attempts at the connection limit that found
+    /// none to close.
     evicted: u64,
-    /// Invocations that failed a check.
+    /// Invocations that were rejected as invalid.
     invalid: u64,
-    /// Invocations that were answered as throttled at once.
+    /// Invocations that were throttled without being admitted.
     rejected: u64,
-    /// Clients closed for unreadable bytes or a timeout.
+    /// Client connections that were closed because of a protocol error or a timeout.
     protocol_errors: u64,
-    /// Connections to executors that were established.
+    /// Executor connections that were established.
     executor_connections_made: u64,
-    /// Connections to executors that were lost while in use.
+    /// Executor connections that were lost while in use.
     executor_connections_lost: u64,
 }
 
-/// The front end's only thread.
+/// The state of the front end's only thread.
 struct EventLoop {
     poll: Poll,
     engine: Engine,
@@ -75,21 +76,21 @@
     reload: SettingsReload,
     maintenance: MaintenanceSchedule,
     settings: FrontEndSettings,
-    /// Bytes of request bodies that may be held.
+    /// The limit on the total size of request bodies, in bytes.
     max_body_bytes: usize,
-    /// Sources that may have more to read than one poll reads.
+    /// Sources that may have more input than was read in this poll.
     unfinished_reads: VecDeque<EventSource>,
     read_buffer: Box<[u8]>,
     counters: ConnectionCounters,
 }
 
-/// Serves until a termination signal has arrived and every admitted invocation is answered; returns the engine's
+/// Serves clients until a termination signal arrives and the graceful shutdown completes. Returns the engine's
 /// counters.
 ///
-/// `file` is read again at SIGHUP for another resolver.
+/// On SIGHUP, `file` is read again for the resolver's address.
 ///
 /// # Errors
-/// The poll, the listener or the resolver's socket could not be set up, or the poll failed.
+/// The poll, the listener or the resolver's socket can't be set up, or polling fails.
 pub fn run(start: StartConfig, file: PathBuf, mut signals: PendingSignals) -> io::Result<Counters> {
     let poll = retry_local_failures(Poll::new)?;
     signals.register(poll.registry(), EventSource::Signals.token())?;
@@ -107,7 +108,8 @@
 
 impl EventLoop {
     fn new(start: StartConfig, file: PathBuf, poll: Poll) -> io::Result<EventLoop> {
-        // Usual clients hold a third of the descriptors; the rest of their half is for those that misbehave.
+        // Well-behaved clients use about a third of the descriptors. The rest of the clients' half absorbs misbehaving
+        // ones.
         let max_clients = start.max_descriptors / 2;
         let max_executor_connections = start.max_descriptors - max_clients - RESERVED_DESCRIPTORS;
         let listener = ClientListener::bind(start.listen, poll.registry(), max_clients)?;
@@ -135,7 +137,7 @@
             now,
             &mut host,
         );
-        // The protocol defines that the list of the start is that of this moment.
+        // The platform defines the initial endpoint list as valid at the time of the start.
         engine.on_view_confirmed(now, now, &mut host);
         let mut event_loop = EventLoop {
             poll,
@@ -148,7 +150,7 @@
             reload: SettingsReload::new(file),
             maintenance: MaintenanceSchedule::new(now),
             settings,
-            // Bodies may take a quarter of the memory; the rest is for buffers and tables.
+            // Request bodies may use a quarter of the memory. The rest is for buffers and tables.
             max_body_bytes: start.memory_bytes / 4,
             unfinished_reads: VecDeque::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES].into(),
@@ -163,7 +165,7 @@
         Ok(event_loop)
     }
 
-    /// Waits, and handles what is ready or due. Returns whether the front end is finished.
+    /// Waits for events, and handles those and all work that is due. Returns whether the shutdown is complete.
     fn poll_once(
         &mut self,
         events: &mut Events,
@@ -193,8 +195,8 @@
         Ok(self.is_finished(now))
     }
 
-    /// The sources of the events, and those with unfinished reads. Executors come first: their answers free capacity
-    /// for the requests of clients.
+    /// Returns the sources of the events, followed by those with unfinished reads. Executors come first among the
+    /// events, because their responses free capacity for client requests.
     fn ready_sources(&mut self, events: &Events) -> Vec<EventSource> {
         let mut sources: Vec<EventSource> = events
             .iter()
@@ -205,8 +207,8 @@
         sources
     }
 
-    /// Reads the clock. After a process stall nothing is sent until the resolver, which is queried at once, has
-    /// answered.
+    /// Reads the clock. If it shows a process stall, the engine is notified, so that it dispatches nothing on a stale
+    /// endpoint list until the resolver has answered, and the resolver is queried at once.
     fn read_clock(&mut self) -> f64 {
         self.host.read_clock(&mut self.engine);
         self.query_resolver_after_stall();
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Waits until something is ready or due.
+    /// Waits until a source is ready or work is due.
     fn wait(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.read_clock();
         let delayed_dispatches_at = if self.host.has_delayed_dispatches() {
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Begins the shutdown, or at SIGHUP the reload of the settings file.
+    /// Starts the reload of the start file on SIGHUP, and the graceful shutdown on any other signal.
     fn handle_signal(&mut self, now: f64, signal: i32) {
         if signal == SIGHUP {
             self.reload.begin(now);
--- a/crates/platform-frontend/src/event_loop/output.rs
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -1,4 +1,4 @@
-//! Writes what there is to write, and reports to the engine what could not be sent.
+//! Flushes output to clients and executors, and reports unsent commands to the engine.
 
 use super::EventLoop;
 use crate::client_connection::MAX_BACKLOG_BYTES;
@@ -7,7 +7,7 @@
 use std::net::Shutdown;
 
 impl EventLoop {
-    /// Reports what could not be sent and writes what there is to write, until nothing is left.
+    /// Reports lost connections and unsent commands and flushes output, until this produces no further work.
     pub(super) fn flush_all(&mut self, now: f64) {
         loop {
             self.report_lost_connections(now);
@@ -49,7 +49,7 @@
             if let Err(error) = flushed
                 && self.read_executor(now, slot)
             {
-                // The answers that it sent before it broke were read.
+                // `read_executor` has read the responses that the executor sent before the connection broke.
                 let reason = error.to_string();
                 self.close_executor_connection(now, slot, TransportOutcome::Broken, &reason);
             }
@@ -57,18 +57,18 @@
     }
 
     fn close_aborted_connections(&mut self, now: f64) {
-        for cut in self.host.take_aborted_connections() {
+        for aborted in self.host.take_aborted_connections() {
             let is_aborted = self
                 .host
                 .pool
-                .connection(cut.slot)
+                .connection(aborted.slot)
                 .is_some_and(|connection| connection.is_aborted);
-            if is_aborted && self.read_executor(now, cut.slot) {
+            if is_aborted && self.read_executor(now, aborted.slot) {
                 self.close_executor_connection(
                     now,
-                    cut.slot,
+                    aborted.slot,
                     TransportOutcome::Broken,
-                    &cut.reason,
+                    &aborted.reason,
                 );
             }
         }
@@ -91,7 +91,7 @@
             .filter(|closing| is_written && !closing.is_shut_down)
         {
             closing.is_shut_down = true;
-            // A client that is gone already needs no notice.
+            // The shutdown fails only if the connection has already ended.
             let _ = client.socket.stream.shutdown(Shutdown::Write);
         }
         if flushed.is_err() {
--- a/crates/platform-frontend/src/event_loop/settings_reload.rs
+++ b/crates/platform-frontend/src/event_loop/settings_reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again after SIGHUP, for the address of another resolver.
+//! Reloads the start file after SIGHUP and applies a changed resolver address.
 
 use super::EventLoop;
 use crate::log_rate_limiter::LogRateLimiter;
@@ -9,16 +9,18 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// After SIGHUP the file is read at this interval for some time, both in seconds: it may be half replaced when the
-/// signal comes, and nothing tells when it is complete. What the new resolver tells counts as told 4 s after the
-/// signal.
+/// Seconds between two reads of the file after SIGHUP.
 const RELOAD_INTERVAL: f64 = 0.25;
+/// Seconds after SIGHUP for which the file is read at that interval. It may be partially replaced when the signal
+/// arrives, and nothing signals its completion. The platform expects the front end to know what the new resolver lists
+/// 4 s after the signal.
 const RELOAD_WINDOW: f64 = 3.5;
-/// A file that can't be used by then is read again after pauses that double up to this many seconds, until it can be
-/// used: given up, the previous resolver would be queried for good.
+/// The longest pause in seconds between two reads of a file that is still unusable after `RELOAD_WINDOW`. The pauses
+/// double up to this value, and the retries never end: otherwise the front end would query the previous resolver
+/// forever.
 const MAX_RELOAD_BACKOFF: f64 = 4.0;
 
-/// Why the file can't be used.
+/// Why the file can't be applied.
 #[derive(Debug, Error)]
 enum ReloadError {
     #[error(transparent)]
@@ -27,19 +29,20 @@
     Socket(#[from] io::Error),
 }
 
-/// The reads of the file after SIGHUP.
+/// The schedule for reading the start file after SIGHUP.
 pub(super) struct SettingsReload {
     file: PathBuf,
-    /// The file is read at the interval until then, and on while it can't be used.
+    /// Until then the file is read at `RELOAD_INTERVAL`; afterwards only while it is unusable.
     window_ends_at: f64,
-    /// When the file is read next; infinity for never.
+    /// When the file is read next, in seconds; infinity if no read is due.
     next_at: f64,
+    /// The last pause between two reads, in seconds.
     backoff: f64,
     log_limiter: LogRateLimiter,
 }
 
 impl SettingsReload {
-    /// No signal has arrived so far.
+    /// Creates a schedule without any reads.
     pub(super) fn new(file: PathBuf) -> SettingsReload {
         SettingsReload {
             file,
@@ -50,14 +53,14 @@
         }
     }
 
-    /// A signal has arrived.
+    /// Starts reading the file, as a SIGHUP has arrived.
     pub(super) fn begin(&mut self, now: f64) {
         self.window_ends_at = now + RELOAD_WINDOW;
         self.next_at = now;
         self.backoff = RELOAD_INTERVAL;
     }
 
-    /// Sets when the file is read next; `was_usable` tells of the read just done.
+    /// Schedules the next read. `was_usable` is whether the file could be applied this time.
     fn schedule_next(&mut self, now: f64, was_usable: bool) {
         if now < self.window_ends_at {
             self.next_at = now + RELOAD_INTERVAL;
@@ -75,7 +78,7 @@
 }
 
 impl EventLoop {
-    /// Takes the resolver's address from the file if a read is due.
+    /// Reads the file if that is due, and switches to its resolver.
     pub(super) fn reload_settings(&mut self, now: f64) {
         if now < self.reload.next_at {
             return;
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -1,4 +1,5 @@
-//! A connection to an executor. It belongs to the executor's id, never to an address, and ends with it.
+//! A connection to an executor. It is bound to the executor's id rather than its address, and is retired when the
+//! executor moves or leaves the endpoint list.
 
 use crate::delayed_dispatches::DispatchKey;
 use mio::net::TcpStream;
@@ -11,51 +12,53 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// Abandoned ids whose answers may still arrive. A connection with this many takes nothing new.
+/// Abandoned ids whose responses may still arrive. A connection with this many is retired.
 const MAX_ABANDONED_IDS: usize = 256;
-/// Bytes that may wait to be handed to the kernel. What is queued beyond stays where it can be withdrawn.
+/// Encoded bytes that may wait for the kernel. Further commands stay in the queue, where they can still be withdrawn.
 pub const MAX_UNFLUSHED_BYTES: usize = 64 * 1024;
-/// Seconds within which a partial line has to be completed: executors write an answer at once.
+/// Seconds within which a partial line has to be completed. Executors write each response in one go.
 const PARTIAL_LINE_TIMEOUT: f64 = 0.5;
-/// The part of the executors' idle timeout after which a connection is closed here. Each of hundreds of front ends
-/// uses an executor every few seconds, and an early close costs a handshake; the rest is many round trips.
+/// The fraction of the executors' idle timeout after which this side closes an idle connection. Each of hundreds of
+/// front ends uses an executor every few seconds, so a smaller fraction would cost extra handshakes; the remaining
+/// tenth still covers many round trips.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.9;
-/// Seconds within which a duplicate answer may follow the first.
+/// Seconds within which a duplicate response may follow the first one.
 const DUPLICATE_RESPONSE_WINDOW: f64 = 0.5;
 
-/// Commands of which the kernel got no byte, in their order.
+/// Commands of which the kernel accepted no byte, in their original order.
 #[derive(Default)]
 pub struct UnwrittenCommands {
-    /// Dispatches, in the order in which they were sent.
+    /// Dispatches, in the order in which they were first sent.
     pub dispatches: Vec<InFlightDispatch>,
     /// The tags of load commands.
     pub load_commands: Vec<u64>,
 }
 
-/// A dispatch on a connection.
+/// A dispatch that is queued or written on a connection.
 pub struct InFlightDispatch {
     /// The dispatch.
     pub key: DispatchKey,
     /// When it was first sent, in seconds.
     pub sent_at: f64,
-    /// The position of its line among the bytes of the connection; `None` while it is queued.
+    /// The offset of its line in the connection's output stream; `None` while it is queued.
     pub line_start: Option<u64>,
 }
 
-/// A command that waits to be written. A dispatch is encoded only then, so that it carries the time truly left.
+/// A command that waits to be written. Dispatches are encoded when they are written, so that they carry the time that
+/// is actually left.
 pub enum QueuedCommand {
     /// A dispatch, by its id on the wire.
     Dispatch(Rc<str>),
     /// A load command, by its tag.
     LoadCommand(u64),
-    /// A line that needs no revalidation.
+    /// An encoded line that needs no revalidation.
     Line(Vec<u8>),
 }
 
 /// Why a connection is closed by a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseReason {
-    /// What the close is evidence of.
+    /// The transport outcome that the close is evidence of.
     pub evidence: TransportOutcome,
     /// The reason, for the log.
     pub text: &'static str,
@@ -63,44 +66,47 @@
 
 /// A connection to an executor.
 pub struct ExecutorConnection {
-    /// The executor.
+    /// The executor at the other end.
     pub executor_id: ExecutorId,
-    /// The socket, with the bytes that wait to be written.
+    /// The socket with its output buffer.
     pub socket: BufferedSocket,
     /// The connection is established.
     pub is_connected: bool,
     /// When the connection attempt began, in seconds.
     pub connect_started_at: f64,
-    /// When the connection has to be established, in seconds.
+    /// When the connection has to be established at the latest, in seconds.
     connect_deadline: f64,
-    /// The decoder of the lines that are read.
+    /// The decoder of incoming lines.
     pub decoder: Decoder,
-    /// Dispatches by their id on the wire.
+    /// Dispatches without a response yet, by their id on the wire.
     pub in_flight: BTreeMap<Rc<str>, InFlightDispatch>,
-    /// Load commands by tag, with the position of their lines once they are encoded.
+    /// Load commands by tag, with the offsets of their lines once they are encoded.
     pub load_commands: BTreeMap<u64, Option<u64>>,
+    /// Ids of abandoned dispatches whose responses may still arrive.
     abandoned: BTreeSet<Rc<str>>,
-    /// Ids that were answered within the window for duplicates, and when.
+    /// Ids that got a response within the window for duplicates, and when.
     responded_ids: VecDeque<(f64, Rc<str>)>,
     /// Commands that wait to be encoded.
     pub queue: VecDeque<QueuedCommand>,
-    /// It takes nothing new and is closed once nothing is open.
+    /// The connection accepts no new commands and is closed once it is idle.
     pub is_retired: bool,
-    /// When something was last read, in seconds.
+    /// When data was last read, in seconds.
     pub last_read_at: f64,
-    /// It has brought an answer.
+    /// The executor has sent a response on this connection.
     pub has_responded: bool,
-    /// When it was last used, in seconds.
+    /// When it was last active, in seconds: created, received a response, or had a dispatch cancelled.
     pub idle_since: f64,
+    /// When the current partial line began; `None` if there is none.
     partial_line_since: Option<f64>,
-    /// It is in the list of connections with something to write.
+    /// The connection is in the pool's list of those with output to flush.
     pub is_dirty: bool,
-    /// It was shut down by this side and waits to be closed.
+    /// This side has shut the socket down; the event loop still has to close the connection.
     pub is_aborted: bool,
 }
 
 impl ExecutorConnection {
-    /// A connection whose attempt begins now and has some seconds to be established.
+    /// Creates the state of a connection attempt that starts at `now` and has to succeed within `connect_timeout`
+    /// seconds.
     pub fn new(
         executor_id: ExecutorId,
         stream: TcpStream,
@@ -129,10 +135,11 @@
         }
     }
 
-    /// Whether a dispatch with this id may use the connection.
+    /// Whether the connection accepts a dispatch with this id, or another command if the id is empty.
     ///
-    /// An id that was abandoned or answered on it a moment ago may not: a late or duplicate answer could be the
-    /// earlier dispatch's. Nor may any once the idle timeout is near: the executor may be closing the connection.
+    /// Ids that were abandoned, or recently got a response, on this connection are refused, because a late or duplicate
+    /// response to the earlier dispatch would be taken for that of the new one. An idle connection near its idle
+    /// timeout is refused, because the executor may already be closing it.
     pub fn can_accept(&self, id: &str, max_streams: usize, now: f64, idle_timeout: f64) -> bool {
         let was_recently_answered = |(at, answered): &(f64, Rc<str>)| {
             &**answered == id && now < at + DUPLICATE_RESPONSE_WINDOW
@@ -149,9 +156,11 @@
         now > self.idle_since + IDLE_TIMEOUT_FRACTION * idle_timeout
     }
 
-    /// The order of preference; the least comes first: established ones, then by what is open, then the last used.
+    /// Returns a sort key; the connection with the smallest is preferred. Established connections come first, then
+    /// those with fewer dispatches in flight, then the most recently used.
     ///
-    /// Failure mode: a peer, or a device on the path, drops connections that are idle for longer than anybody told.
+    /// Failure mode: a peer or a middlebox silently drops idle connections earlier than the documented idle timeout.
+    /// The most recently used connection is the least likely to be affected.
     pub fn preference(&self) -> (bool, usize, Reverse<Ordered>) {
         (
             !self.is_connected,
@@ -160,12 +169,12 @@
         )
     }
 
-    /// How each open dispatch ended with the connection while the executor is still there.
+    /// Returns the outcome of each dispatch that was in flight on a lost connection whose executor is still alive.
     ///
-    /// The earliest dispatch is at fault, whose answer most likely went wrong, if something unreadable arrived or no
-    /// answer ever did.
-    /// Failure mode: an executor that always answers noise or breaks off.
-    /// Risk: none for a connection that was lost on the path.
+    /// If unreadable bytes arrived, or no response ever did, the earliest dispatch counts as malformed, since its
+    /// response is the one that most likely failed. All others count as cut.
+    /// Failure mode: an executor that always sends unreadable bytes or breaks the connection.
+    /// Risk: none for a connection that was lost in the network.
     pub fn attribute_failures(
         &self,
         evidence: TransportOutcome,
@@ -189,7 +198,7 @@
             .map(move |dispatch| (dispatch, attribute(dispatch.sent_at)))
     }
 
-    /// Whether nothing is open, queued or unwritten.
+    /// Whether no command is in flight, queued or unwritten.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
             && self.load_commands.is_empty()
@@ -197,7 +206,7 @@
             && self.socket.waiting() == 0
     }
 
-    /// Abandons a dispatch; returns whether the executor may have begun to read it.
+    /// Abandons a dispatch, and returns whether the executor may have received a part of it.
     pub fn abandon(&mut self, id: &Rc<str>) -> bool {
         let Some(dispatch) = self.in_flight.remove(id) else {
             return false;
@@ -213,15 +222,16 @@
         true
     }
 
-    /// Ends the connection for the executor at once. What is open on it is reported when it is closed.
+    /// Shuts the socket down at once. The commands in flight are reported when the connection is closed.
     pub fn abort(&mut self) {
         self.is_retired = true;
         self.is_aborted = true;
-        // A socket that is gone already needs no shutdown.
+        // The shutdown fails only if the connection has already ended.
         let _ = self.socket.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Records that an id was answered. It may use this connection again once no duplicate answer can arrive.
+    /// Records that an id got its response. The id may use this connection again once no duplicate response is
+    /// expected.
     pub fn record_response(&mut self, now: f64, id: Rc<str>) {
         while self
             .responded_ids
@@ -233,22 +243,22 @@
         self.responded_ids.push_back((now, id));
     }
 
-    /// Records an answer under an id that is not open; an abandoned id may be used again.
+    /// Records a response to an id that is not in flight. If the id was abandoned, it may use this connection again.
     pub fn remove_abandoned_id(&mut self, id: &str) {
         self.abandoned.remove(id);
     }
 
-    /// The position at which the next line begins among the bytes of the connection.
+    /// The offset in the connection's output stream at which the next line begins.
     pub fn next_line_start(&self) -> u64 {
         self.socket.written() + self.socket.waiting() as u64
     }
 
-    /// Whether the kernel got no byte of the line at this position.
+    /// Whether the kernel accepted no byte of the line at this offset.
     fn is_unwritten(&self, line_start: Option<u64>) -> bool {
         !self.is_connected || line_start.is_none_or(|start| start >= self.socket.written())
     }
 
-    /// Removes every command of which the kernel got no byte.
+    /// Removes and returns the commands of which the kernel accepted no byte. The queue is empty afterwards.
     pub fn take_unwritten(&mut self) -> UnwrittenCommands {
         let ids: Vec<Rc<str>> = self
             .in_flight
@@ -276,7 +286,8 @@
         }
     }
 
-    /// Puts lines of which the kernel took no byte back into the queue, to be revalidated when it takes more.
+    /// Moves lines of which the kernel accepted no byte back to the front of the queue, so that they are revalidated
+    /// before they are written.
     pub fn requeue_unwritten(&mut self) {
         let written = self.socket.written();
         let is_unwritten = |line_start: &mut u64| *line_start >= written;
@@ -296,14 +307,14 @@
             return;
         };
         self.socket.take_back(first);
-        // Lines between them that nobody waits for are not missed. A cancel is never among them: it leaves at once, or
-        // its connection is cut off.
+        // Lines in between that need no report, such as unload commands, are dropped. Cancels are never among them:
+        // they are written at once, or their connection is aborted.
         for (_, command) in unwritten.into_iter().rev() {
             self.queue.push_front(command);
         }
     }
 
-    /// Records that something was read.
+    /// Records that data was read.
     pub fn record_read(&mut self, now: f64) {
         self.last_read_at = now;
         self.partial_line_since = if self.decoder.has_partial_line() {
@@ -313,7 +324,7 @@
         };
     }
 
-    /// Why the connection has to be closed now, if it has.
+    /// Returns why the connection has to be closed now, if it has to be.
     pub fn close_reason(&self, now: f64, idle_timeout: f64) -> Option<CloseReason> {
         let reason = |evidence, text| Some(CloseReason { evidence, text });
         if !self.is_connected {
@@ -332,7 +343,8 @@
                 "partial line was not completed",
             );
         }
-        // Before the executor does, so that nothing is sent into a connection that it is closing.
+        // Closes an idle connection before the executor does, so that no command is written to a connection that the
+        // executor is closing.
         if self.is_idle() && (self.is_retired || self.is_idle_too_long(now, idle_timeout)) {
             return reason(TransportOutcome::Broken, "idle");
         }
--- a/crates/platform-frontend/src/executor_pool.rs
+++ b/crates/platform-frontend/src/executor_pool.rs
@@ -1,4 +1,4 @@
-//! The executors that are known, and the pool of connections to them.
+//! The known executors and the pool of connections to them.
 
 use crate::executor_connection::ExecutorConnection;
 use crate::source::EventSource;
@@ -14,28 +14,30 @@
 use std::net::SocketAddr;
 use tracing::info;
 
-/// Connections over which the dispatches to one executor are spread, since a connection that breaks takes with it
-/// all that is open on it.
+/// Connections over which the dispatches to one executor are spread, since a broken connection fails every dispatch
+/// that is in flight on it.
 pub const TARGET_CONNECTIONS_PER_EXECUTOR: usize = 4;
-/// Connections kept to one executor at least: if one breaks and another stands, the executor's process did not end.
+/// The smallest number of connections to keep to an executor. If one breaks while another stays open, the executor's
+/// process is still running.
 pub const MIN_CONNECTIONS_PER_EXECUTOR: usize = 2;
 
-/// An executor as it is reached.
+/// The address of an executor and the connections to it.
 pub struct Executor {
-    /// Its name on the endpoint list.
+    /// The name on the endpoint list.
     pub name: String,
-    /// Its address.
+    /// The current address.
     pub address: SocketAddr,
     /// The slots of the connections to it.
     pub connections: Vec<usize>,
-    /// It is on the current endpoint list.
+    /// The executor is on the current endpoint list.
     pub is_listed: bool,
-    /// The shortest time in seconds in which a connection to it was made: no less than a message takes to arrive.
+    /// The shortest time in seconds in which a connection was established: an upper bound on the transit time of a
+    /// message. Infinity before the first connection.
     pub min_connect_time: f64,
 }
 
 impl Executor {
-    /// An executor of the current endpoint list, without connections.
+    /// Creates a listed executor without connections.
     pub fn new(name: String, address: SocketAddr) -> Executor {
         Executor {
             name,
@@ -47,12 +49,12 @@
     }
 }
 
-/// The executors and the connections to them, bounded in number.
+/// The executors and a bounded number of connections to them.
 pub struct ExecutorPool {
     registry: Registry,
     executors: BTreeMap<ExecutorId, Executor>,
     connections: Slab<ExecutorConnection>,
-    /// Connections with something to write.
+    /// The slots of connections with output to flush.
     dirty: Vec<usize>,
     max_connections: usize,
     max_streams: usize,
@@ -61,7 +63,7 @@
 }
 
 impl ExecutorPool {
-    /// An empty pool that holds so many connections at most.
+    /// Creates an empty pool of at most `max_connections` connections.
     pub fn new(
         registry: Registry,
         settings: &FrontEndSettings,
@@ -84,12 +86,12 @@
         self.executors.is_empty()
     }
 
-    /// A known executor.
+    /// Returns an executor, if it is known.
     pub fn executor(&self, id: ExecutorId) -> Option<&Executor> {
         self.executors.get(&id)
     }
 
-    /// A known executor, to be changed.
+    /// Returns a mutable reference to an executor, if it is known.
     pub fn executor_mut(&mut self, id: ExecutorId) -> Option<&mut Executor> {
         self.executors.get_mut(&id)
     }
@@ -100,24 +102,24 @@
         self.executors.insert(id, executor);
     }
 
-    /// The name of a known executor.
+    /// Returns the name of an executor, if it is known.
     pub fn executor_name(&self, id: ExecutorId) -> Option<&str> {
         self.executors
             .get(&id)
             .map(|executor| executor.name.as_str())
     }
 
-    /// The connection in a slot.
+    /// Returns the connection in a slot, if there is one.
     pub fn connection(&self, slot: usize) -> Option<&ExecutorConnection> {
         self.connections.get(slot)
     }
 
-    /// The connection in a slot, to be changed.
+    /// Returns a mutable reference to the connection in a slot, if there is one.
     pub fn connection_mut(&mut self, slot: usize) -> Option<&mut ExecutorConnection> {
         self.connections.get_mut(slot)
     }
 
-    /// All connections with their slots.
+    /// Iterates over all connections with their slots.
     pub fn connections(&self) -> impl Iterator<Item = (usize, &ExecutorConnection)> {
         self.connections.iter()
     }
@@ -127,7 +129,7 @@
         self.connections.len()
     }
 
-    /// Notes that a connection has something to write.
+    /// Adds a connection to the list of those with output to flush.
     pub fn mark_dirty(&mut self, slot: usize) {
         let Some(connection) = self.connections.get_mut(slot) else {
             return;
@@ -137,21 +139,25 @@
         }
     }
 
-    /// Takes the slots of the connections with something to write; they stay marked.
+    /// Takes the list of connections with output to flush. Their `is_dirty` flags stay set until the caller clears
+    /// them.
     pub fn take_dirty(&mut self) -> Vec<usize> {
         std::mem::take(&mut self.dirty)
     }
 
-    /// Whether any connection has something to write.
+    /// Whether any connection has output to flush.
     pub fn has_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// The connection for a command to an executor, under an id if it has one: the preferred one that stands, unless
-    /// the executor has too few; else one that is being made.
+    /// Returns the slot of the connection for a command to an executor. `id` is the id on the wire, or empty for a
+    /// command other than a dispatch.
+    ///
+    /// This is the preferred connection that accepts the command, else a new one. A new connection is also opened for
+    /// later commands if the executor has fewer than its target number.
     ///
     /// # Errors
-    /// Why there is none, as evidence for the engine.
+    /// Why there is no connection, as evidence for the engine.
     pub fn connection_for(
         &mut self,
         now: f64,
@@ -193,10 +199,10 @@
         }
     }
 
-    /// Closes the connection that was idle for longest; returns whether there was one.
+    /// Closes the connection that has been idle for the longest time, and returns whether there was one.
     ///
-    /// Failure mode: with more executors than descriptors, those without a connection never get one.
-    /// Risk: a handshake for each dispatch.
+    /// Failure mode: with more executors than descriptors, executors without a connection would never get one.
+    /// Risk: every dispatch may need a new handshake.
     fn evict_idle_connection(&mut self) -> bool {
         let longest_idle = self
             .connections
@@ -208,12 +214,12 @@
         else {
             return false;
         };
-        // A socket that is gone already is not registered any more.
+        // Deregistering fails only if the socket is not registered, which is the desired state.
         let _ = self.registry.deregister(&mut connection.socket.stream);
         true
     }
 
-    /// Removes a connection from the pool. It stays registered with the poll.
+    /// Removes and returns a connection. The caller has to deregister its socket from the poll.
     pub fn remove_connection(&mut self, slot: usize) -> Option<ExecutorConnection> {
         let connection = self.connections.try_remove(slot)?;
         if let Some(executor) = self.executors.get_mut(&connection.executor_id) {
@@ -248,7 +254,7 @@
         Ok(slot)
     }
 
-    /// Whether a connection to an executor stands whose attempt began before a moment.
+    /// Whether an established connection to an executor exists whose attempt began before `moment`, in seconds.
     pub fn has_connection_started_before(&self, executor_id: ExecutorId, moment: f64) -> bool {
         let Some(executor) = self.executors.get(&executor_id) else {
             return false;
@@ -259,8 +265,10 @@
         })
     }
 
-    /// Takes over a whole endpoint list. Connections to an executor that moved, or is not on the list, take nothing
-    /// new: what is queued on them is sent over another connection, or fails.
+    /// Applies a complete endpoint list.
+    ///
+    /// Connections to an executor that moved or is not on the list are retired. Commands queued on them are sent over
+    /// another connection or reported as unsent.
     pub fn apply_endpoint_list(&mut self, endpoints: Vec<DiscoveredEndpoint>) {
         for executor in self.executors.values_mut() {
             executor.is_listed = false;
@@ -290,13 +298,13 @@
         }
     }
 
-    /// Forgets executors that are not listed and have no connection left.
+    /// Removes the executors that are not listed and have no connections.
     pub fn remove_unlisted(&mut self) {
         self.executors
             .retain(|_, executor| executor.is_listed || !executor.connections.is_empty());
     }
 
-    /// Forgets an executor if it is not listed and has no connection left.
+    /// Removes an executor if it is not listed and has no connections.
     pub fn remove_if_unlisted(&mut self, id: ExecutorId) {
         let is_unused = self
             .executors
@@ -308,7 +316,7 @@
     }
 }
 
-/// What a failed connection attempt is evidence of.
+/// Returns the evidence from a failed connection attempt: a local fault says nothing about the executor.
 pub fn connect_evidence(error: &std::io::Error) -> TransportOutcome {
     if is_local_fault(error) {
         TransportOutcome::NoResource
--- a/crates/platform-frontend/src/invocation_request.rs
+++ b/crates/platform-frontend/src/invocation_request.rs
@@ -1,4 +1,4 @@
-//! Checks the payload of an invocation frame and turns it into a request for the engine.
+//! Validates the payload of an invocation frame and converts it into an engine request.
 
 use crate::invocation_table::OpenInvocation;
 use orchidtally_dispatch_policy::interface::{Idempotency, TriggerType};
@@ -7,91 +7,92 @@
 use orchidtally_platform_config::FrontEndSettings;
 use thiserror::Error;
 
-/// The longest wait of a client in milliseconds that is accepted: a day would only occupy a place.
+/// The longest accepted client timeout in milliseconds. A longer one, such as a day, would only occupy an open
+/// invocation.
 const MAX_CLIENT_TIMEOUT_MS: f64 = 600_000.0;
-/// The longest idempotency key in bytes.
+/// The longest accepted idempotency key in bytes.
 const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 256;
-/// The greatest `memory_mb` of a request.
+/// The largest accepted `memory_mb` tag.
 const MAX_MEMORY_MB: f64 = 1e7;
-/// The greatest `lanes` of a request.
+/// The largest accepted `lanes` tag.
 const MAX_CONCURRENCY: f64 = 1e4;
-/// The greatest `load_ms` of a request.
+/// The largest accepted `load_ms` tag, in milliseconds.
 const MAX_LOAD_MS: f64 = 3.6e6;
 
-/// Why an invocation can't be accepted. The text is sent to the client as the body of the answer, so it is part of
-/// the protocol.
+/// Why an invocation is invalid. The text is sent to the client as the response body, so it is part of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidInvocation {
-    /// The frame exceeds what is buffered.
+    /// The frame is longer than the decoder buffers.
     #[error("the frame is too long for an invocation")]
     FrameTooLong,
-    /// The fields can't be parsed.
+    /// The payload does not start with well-formed fields.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The body exceeds the limit.
+    /// The body is longer than `MAX_BODY_LENGTH`.
     #[error("the body is over 16 KiB")]
     BodyTooLong,
-    /// No trigger type is named.
+    /// The request names no trigger type.
     #[error("no 'service'")]
     MissingTriggerType,
     /// The trigger type is not configured.
     #[error("'service' names nothing that is served")]
     UnknownTriggerType,
-    /// The client's id has another form.
+    /// The invocation id is missing or not 16 hexadecimal digits.
     #[error("'ref' is not 16 hex digits")]
-    InvalidInvocationId,
-    /// The client's id is in use.
+    InvalidId,
+    /// The invocation id is that of an open invocation.
     #[error("'ref' is that of an open invocation")]
-    DuplicateInvocationId,
-    /// No function is named.
+    DuplicateId,
+    /// The request names no function.
     #[error("no 'lookup'")]
     MissingFunction,
-    /// The function has another form.
+    /// The function id is not 16 hexadecimal digits.
     #[error("'lookup' is not 16 hex digits")]
     InvalidFunction,
     /// The client's timeout is missing or out of range.
     #[error("'allow' is no number of milliseconds that can be waited")]
     InvalidTimeout,
-    /// The mark of a retry has another value.
+    /// The retry flag is neither 0 nor 1.
     #[error("'dup' is neither 1 nor absent")]
     InvalidRetryFlag,
-    /// The customer is not configured.
+    /// The request names a customer that is not configured.
     #[error("'project' names no customer")]
     UnknownCustomer,
     /// The idempotency key is empty or too long.
     #[error("'replay' is empty or too long")]
     InvalidIdempotencyKey,
-    /// The trigger type needs an idempotency key.
+    /// The trigger type requires an idempotency key, but the request has none.
     #[error("no 'replay', which this 'service' needs")]
     MissingIdempotencyKey,
-    /// The tags have another form.
+    /// A tag is not of the form `name:value`.
     #[error("'tags' has no form that can be read")]
     InvalidTags,
-    /// The number of a tag is out of range, or no number.
+    /// The value of this tag is not a number or is out of range.
     #[error("'{0}' is out of range")]
     TagOutOfRange(&'static str),
 }
 
-/// An invocation that passed all checks.
+/// A valid invocation.
 pub struct ParsedInvocation {
-    /// What the engine decides on.
+    /// The request for the engine.
     pub request: InvocationRequest,
-    /// What the front end keeps while the invocation is open.
+    /// The data that the front end keeps while the invocation is open.
     pub invocation: OpenInvocation,
 }
 
-/// Where an invocation came from, and when.
+/// Where and when an invocation arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct InvocationOrigin {
-    /// When its last byte may have arrived at the earliest, in seconds.
+    /// The earliest time at which its last byte may have arrived, in seconds.
     pub arrived_at: f64,
-    /// The slot of the client's connection.
+    /// The slot of the client connection.
     pub client: usize,
-    /// The stream on that connection.
+    /// The stream on the client connection.
     pub stream: u32,
 }
 
-/// Parses and checks the payload of an invocation frame; `is_open` tells whether a client's id is in use.
+/// Parses and validates the payload of an invocation frame. `is_id_in_use` returns whether an invocation with that id,
+/// as chosen by its client, is open.
 ///
 /// # Errors
 /// The first check that the payload fails.
@@ -161,7 +162,7 @@
     is_hex.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// A number within bounds.
+/// Parses a number within inclusive bounds.
 fn parse_number(text: &str, min: f64, max: f64) -> Option<f64> {
     text.parse::<f64>()
         .ok()
@@ -174,9 +175,9 @@
 ) -> Result<&'a str, InvalidInvocation> {
     let id = field(fields, "ref")
         .filter(|id| parse_hex(id).is_some())
-        .ok_or(InvalidInvocation::InvalidInvocationId)?;
+        .ok_or(InvalidInvocation::InvalidId)?;
     if is_id_in_use(id) {
-        return Err(InvalidInvocation::DuplicateInvocationId);
+        return Err(InvalidInvocation::DuplicateId);
     }
     Ok(id)
 }
@@ -189,7 +190,8 @@
     }
 }
 
-/// The index of the customer. A request that names none counts against no quota: its index is one past the last.
+/// Returns the index of the customer. A request that names none, or arrives where no customers are configured, counts
+/// against no quota: its index is one past the last.
 fn parse_customer(fields: &Fields, customers: &[String]) -> Result<usize, InvalidInvocation> {
     match field(fields, "project").filter(|_| !customers.is_empty()) {
         None => Ok(customers.len()),
@@ -215,10 +217,10 @@
     }
 }
 
-/// What the tags of a request tell.
+/// The tags of a request that affect the policy.
 struct Tags {
     concurrency: f64,
-    /// Seconds that a load of the function takes, if the client knows.
+    /// How long a load of the function takes in seconds, if the client declares it.
     load_time: Option<f64>,
 }
 
--- a/crates/platform-frontend/src/lib.rs
+++ b/crates/platform-frontend/src/lib.rs
@@ -1,10 +1,10 @@
-//! The platform's front end: the engine, and with it the dispatch policy, on the platform's protocol.
+//! The platform's front end: runs the engine and its dispatch policy behind the platform's wire protocols.
 //!
-//! One thread polls its sockets, passes what it reads to the engine and writes what the engine asks for. Every table
-//! and buffer is bounded by the limits given at the start. No decision is made here: bytes become calls of the engine,
-//! and the engine's callbacks become messages.
+//! A single thread polls its sockets, passes what it reads to the engine and writes what the engine requests. Every
+//! table and buffer is bounded by the limits in the start file. This crate makes no dispatch decisions: it turns bytes
+//! into engine calls and engine callbacks into messages.
 //!
-//! `event_loop` holds the parts and fixes the order of work; `engine_host` performs the engine's callbacks.
+//! `event_loop` owns the components and defines the order of work; `engine_host` implements the engine's callbacks.
 
 mod client_connection;
 mod delayed_dispatches;
--- a/crates/platform-frontend/src/log_rate_limiter.rs
+++ b/crates/platform-frontend/src/log_rate_limiter.rs
@@ -1,9 +1,9 @@
-//! Bounds how many log lines of one kind are written, and counts those that were suppressed.
+//! Limits the rate of log lines of one kind and counts the suppressed ones.
 
-/// Log lines of one kind that may be written within a second.
+/// Lines of one kind that may be written per second.
 const LINES_PER_SECOND: u32 = 20;
 
-/// A budget of log lines, refilled every second.
+/// A rate limiter for log lines with a fixed window of one second.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     window_started_at: f64,
@@ -12,7 +12,8 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a line may be written at a time in seconds; if so, how many were suppressed since the last one.
+    /// Returns the number of lines that were suppressed since the last written one, or `None` if the line must not be
+    /// written. `now` is in seconds.
     pub fn try_acquire(&mut self, now: f64) -> Option<u64> {
         if now >= self.window_started_at + 1.0 {
             self.window_started_at = now;
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the process, and the detection of process stalls.
+//! The process clock with stall detection.
 
 use orchidtally_engine::clock::Clock;
 use orchidtally_engine::stall_detector::StallDetector;
@@ -11,7 +11,8 @@
         .map_or(0.0, |d| d.as_secs_f64())
 }
 
-/// Monotonic time in seconds, anchored to the wall clock: its spans are real time whatever the wall clock does.
+/// A monotonic clock in seconds that starts at the wall clock's time. Steps of the wall clock don't affect the spans
+/// that it measures.
 pub struct ProcessClock {
     clock: Clock,
     started_at: Instant,
@@ -19,12 +20,12 @@
 }
 
 impl ProcessClock {
-    /// A clock that begins at the wall clock's time.
+    /// Creates a clock that starts at the wall clock's time.
     pub fn new() -> ProcessClock {
         ProcessClock::starting_at(wall_clock())
     }
 
-    /// A clock that begins at a time in seconds.
+    /// Creates a clock that starts at `now`, in seconds.
     pub fn starting_at(now: f64) -> ProcessClock {
         let stall_detector = StallDetector::new(now);
         ProcessClock {
@@ -34,24 +35,25 @@
         }
     }
 
-    /// The time in seconds. Each reading is observed by the stall detector.
+    /// Returns the time in seconds, and passes it to the stall detector.
     pub fn read(&mut self) -> f64 {
         let now = self.clock.read(self.started_at.elapsed().as_secs_f64());
         self.stall_detector.observe(now);
         now
     }
 
-    /// The earliest time at which bytes that are read now may have arrived.
+    /// The earliest time at which bytes that are read at `now` may have arrived: after a stall they may have waited in
+    /// the socket for as long as it lasted.
     pub fn earliest_arrival(&self, now: f64) -> f64 {
         self.stall_detector.arrival_bound(now)
     }
 
-    /// The length in seconds of a process stall that was detected since the last call, if any.
+    /// Returns the duration in seconds of a process stall that was detected since the last call, if any.
     pub fn take_stall(&mut self) -> Option<f64> {
         self.stall_detector.take_stall()
     }
 
-    /// Moves the clock towards the wall clock, slowly.
+    /// Slews the clock gradually towards the wall clock.
     pub fn adjust_to_wall_clock(&mut self) {
         self.clock
             .anchor(self.started_at.elapsed().as_secs_f64(), wall_clock());
--- a/crates/platform-frontend/src/resolver.rs
+++ b/crates/platform-frontend/src/resolver.rs
@@ -1,4 +1,4 @@
-//! The client of the resolver: it polls for the endpoint list over DNS and keeps the view that comes of the answers.
+//! DNS client that polls the resolver for the endpoint list and maintains the endpoint view.
 
 use crate::log_rate_limiter::LogRateLimiter;
 use mio::net::UdpSocket;
@@ -13,57 +13,59 @@
 use tracing::warn;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Seconds from an answer to the next query. An event counts as told 1.5 s after it happened: at this interval several
-/// answers may be lost by then.
+/// Seconds from an answer to the next query. The platform expects a front end to know of an event 1.5 s after it
+/// happened; this interval allows for several lost answers within that time.
 const POLL_INTERVAL: f64 = 0.2;
-/// Seconds without a good answer after which another query is sent; an answer to the first one still counts.
+/// Seconds without a confirming answer after which another query is sent. A late answer to the earlier query is still
+/// used.
 const RETRY_INTERVAL: f64 = 0.15;
-/// Queries whose answers are still read: those of ten seconds.
+/// Queries whose answers are still accepted: those of the last ten seconds.
 ///
-/// Failure mode: a resolver that takes longer than the retry interval, by seconds even. An answer under an id that is
-/// forgotten tells nothing.
+/// Failure mode: a resolver that answers seconds after the retry interval. An answer whose query id is no longer
+/// remembered has to be ignored, so the view would never be confirmed.
 const MAX_OPEN_QUERIES: usize = 66;
-/// Queries in a row without a good answer after which the resolver counts as unreachable.
+/// Consecutive queries without a confirming answer after which the resolver is considered unreachable.
 const UNREACHABLE_AFTER: usize = 16;
-/// Previous resolvers whose answers are still read.
+/// Previous resolvers whose answers are still accepted.
 const MAX_PREVIOUS_RESOLVERS: usize = 2;
-/// Datagrams read from one socket within a poll: a bound on the delay by a flood of answers.
+/// Datagrams read from one socket per poll, so that a flood of answers can't block the event loop.
 const MAX_READS_PER_POLL: usize = 32;
-/// Bytes at the front of an answer that hold the query's id.
+/// Length in bytes of the query id at the start of an answer.
 const QUERY_ID_BYTES: usize = 2;
 
-/// A query without an answer yet.
+/// A query that has not been answered yet.
 struct Query {
     id: u16,
     sent_at: f64,
 }
 
-/// A socket to one resolver, and the open queries in their order.
+/// A socket connected to one resolver, with its open queries in the order in which they were sent.
 struct Channel {
     socket: UdpSocket,
     address: SocketAddr,
     queries: VecDeque<Query>,
 }
 
-/// What came of reading the answers that have arrived.
+/// The combined result of reading the answers that have arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadSummary {
-    /// The view is as fresh as one of the queries.
+    /// An answer confirmed the view as of the time of its query.
     pub is_confirmed: bool,
-    /// Endpoints changed.
+    /// An answer changed the endpoints of the view.
     pub is_changed: bool,
-    /// More may be there to read.
+    /// Unread datagrams may be left in a socket.
     pub has_more: bool,
 }
 
-/// The resolver that is polled, previous ones, and the view that comes of their answers.
+/// Polls the current resolver, and applies its answers and those of previous resolvers to the endpoint view.
 pub struct ResolverClient {
     current: Channel,
-    /// Previous resolvers, until the current one has answered: what they sent by then counts as told.
+    /// Previous resolvers, kept until the current one has answered: the front end is expected to know what they sent
+    /// until then.
     previous: VecDeque<Channel>,
     next_query_at: f64,
     reader: AnswerReader,
-    /// Queries since the last good answer.
+    /// Queries since the last confirming answer.
     unanswered_queries: usize,
 }
 
@@ -78,7 +80,7 @@
         std::net::Ipv6Addr::UNSPECIFIED.into()
     };
     let mut socket = UdpSocket::bind(SocketAddr::new(any, 0))?;
-    // A connected socket receives nothing from other addresses.
+    // A connected UDP socket only receives datagrams from its peer.
     socket.connect(address)?;
     registry.register(&mut socket, token, Interest::READABLE)?;
     Ok(socket)
@@ -93,21 +95,21 @@
         })
     }
 
-    /// Sends a query under a new id.
+    /// Sends a query with a new id.
     fn send_query(&mut self, now: f64) {
-        // Ids are random, so that no answer to another query fits this one.
+        // Ids are random, so that answers to other queries don't match this one.
         let id = rand::random();
         self.queries.push_back(Query { id, sent_at: now });
         if self.queries.len() > MAX_OPEN_QUERIES {
             self.queries.pop_front();
         }
-        // A query that can't be sent is retried like one whose answer got lost.
+        // The retry interval covers a query that can't be sent, as it does a lost answer.
         if let Ok(query) = build_query(id) {
             let _ = self.socket.send(&query);
         }
     }
 
-    /// When the query with an id was sent, if it is open.
+    /// When the open query with this id was sent; `None` if there is none.
     fn sent_at(&self, id: u16) -> Option<f64> {
         self.queries
             .iter()
@@ -115,14 +117,14 @@
             .map(|query| query.sent_at)
     }
 
-    /// Closes the query with an id.
+    /// Closes the query with this id, so that further answers to it are ignored.
     fn close_query(&mut self, id: u16) {
         self.queries.retain(|query| query.id != id);
     }
 }
 
 impl ResolverClient {
-    /// Polls the resolver at an address, beginning with the view of the start.
+    /// Creates a client that polls the resolver at `address` and starts with `view`.
     pub fn new(
         address: SocketAddr,
         view: EndpointView,
@@ -138,7 +140,7 @@
         })
     }
 
-    /// Polls another resolver from now on. The answers of the previous one are read until the new one has answered.
+    /// Switches to another resolver. Answers of the previous one are still read until the new one has answered.
     pub fn switch_resolver(
         &mut self,
         address: SocketAddr,
@@ -160,19 +162,19 @@
         &self.reader.view
     }
 
-    /// Whether many queries in a row have had no good answer.
+    /// Whether `UNREACHABLE_AFTER` consecutive queries have had no confirming answer.
     pub fn is_unreachable(&self) -> bool {
         self.unanswered_queries >= UNREACHABLE_AFTER
     }
 
-    /// Makes a query due now and counts unanswered queries anew, after a process stall: answers may have waited or
-    /// got lost meanwhile.
+    /// Makes a query due now and resets the count of unanswered queries. Called after a process stall, during which
+    /// answers may have been delayed or lost.
     pub fn restart_queries(&mut self) {
         self.next_query_at = 0.0;
         self.unanswered_queries = 0;
     }
 
-    /// The address that is polled.
+    /// The address of the current resolver.
     pub fn address(&self) -> SocketAddr {
         self.current.address
     }
@@ -192,10 +194,10 @@
         self.current.send_query(now);
     }
 
-    /// Reads the answers that have arrived into the view.
+    /// Reads the answers that have arrived and applies them to the view.
     pub fn read(&mut self, now: f64, locations: &mut LocationTable) -> ReadSummary {
         let mut summary = ReadSummary::default();
-        // Previous resolvers come first: what the current one tells is newer.
+        // The current resolver is read last, because its answers are newer than those of the previous ones.
         for channel in &mut self.previous {
             summary.merge(self.reader.read(now, channel, locations));
         }
@@ -225,10 +227,10 @@
     }
 }
 
-/// Reads answers into the view.
+/// Reads answers and applies them to the view.
 struct AnswerReader {
     view: EndpointView,
-    /// The digest of the last answer, if it confirmed the view.
+    /// The hash of the last answer if it confirmed the view. An identical answer is not parsed again.
     confirmed_digest: Option<u64>,
     log_limiter: LogRateLimiter,
     buffer: Box<[u8]>,
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Reads what a resolver has sent, up to a bound.
+    /// Reads up to `MAX_READS_PER_POLL` datagrams from a resolver.
     fn read(
         &mut self,
         now: f64,
@@ -260,7 +262,7 @@
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return summary,
-                // Nobody listens at that address, for now.
+                // Nothing listens at the resolver's address at the moment. Queries go on as usual.
                 Err(_) => {}
             }
         }
@@ -268,7 +270,7 @@
         summary
     }
 
-    /// Applies the datagram in the buffer; returns the outcome for the view, if it was an answer that could be used.
+    /// Applies the datagram in the buffer to the view. Returns `None` if it is not a usable answer to an open query.
     fn apply_datagram(
         &mut self,
         now: f64,
--- a/crates/platform-frontend/src/signals.rs
+++ b/crates/platform-frontend/src/signals.rs
@@ -1,4 +1,4 @@
-//! Process signals, collected from the first moment of the process on.
+//! Collects process signals from the start of the process.
 
 use crate::start::retry_local_failures;
 use mio::Registry;
@@ -7,16 +7,16 @@
 use signal_hook_mio::v1_0::Signals;
 use std::io;
 
-/// Signals that have arrived since this value was created; they wait until the front end serves.
+/// Signals that have arrived since this value was created. They stay queued until the event loop takes them.
 ///
-/// Without a handler a signal ends the process, so this value has to be created before anything is read.
+/// Without a handler a signal terminates the process, so create this value before reading any configuration.
 pub struct PendingSignals(Signals);
 
 impl PendingSignals {
     /// Starts collecting SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// The handlers or their pipe could not be set up, also after retries.
+    /// The handlers or their pipe could not be set up after several attempts.
     pub fn new() -> io::Result<PendingSignals> {
         retry_local_failures(|| Signals::new([SIGTERM, SIGINT, SIGHUP])).map(PendingSignals)
     }
@@ -25,7 +25,7 @@
         registry.register(&mut self.0, token, Interest::READABLE)
     }
 
-    /// Takes the signals that have arrived.
+    /// Returns the signals that have arrived since the last call.
     pub(crate) fn take(&mut self) -> Vec<i32> {
         self.0.pending().collect()
     }
--- a/crates/platform-frontend/src/source.rs
+++ b/crates/platform-frontend/src/source.rs
@@ -1,27 +1,27 @@
-//! Sources of events, and the poll token of each.
+//! Sources of readiness events, and the poll token of each.
 
 use mio::Token;
 
-/// The first token of a connection; those below it belong to the fixed sources.
+/// The lowest token of a connection. Lower tokens are reserved for the sources that exist once per process.
 const FIRST_CONNECTION_TOKEN: usize = 16;
 
-/// What an event of the poll, or an unfinished read, belongs to.
+/// The object that a readiness event or an unfinished read belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
     /// The listener for clients.
     Listener,
-    /// The pipe of process signals.
+    /// The pipe through which process signals arrive.
     Signals,
-    /// The sockets of the resolver.
+    /// The sockets of the current and the previous resolvers.
     Resolver,
-    /// A client's connection, by its slot.
+    /// A client connection, by slot.
     Client(usize),
-    /// A connection to an executor, by its slot.
+    /// An executor connection, by slot.
     Executor(usize),
 }
 
 impl EventSource {
-    /// The token under which this source is registered.
+    /// The poll token under which this source is registered.
     pub fn token(self) -> Token {
         match self {
             EventSource::Listener => Token(0),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The source of a token that `token` returned.
+    /// The source for a token that `token` returned.
     pub fn from_token(token: Token) -> EventSource {
         match token {
             Token(0) => EventSource::Listener,
--- a/crates/platform-frontend/src/start.rs
+++ b/crates/platform-frontend/src/start.rs
@@ -1,4 +1,4 @@
-//! The start file: what a front end is given at its start, and again when the file is replaced.
+//! The start file: the configuration that a front end reads at startup and again when the file is replaced.
 
 use orchidtally_platform_config::{FrontEndSettings, SettingsError};
 use orchidtally_platform_discovery::{DiscoveredEndpoint, InitialEndpointsError, LocationTable};
@@ -10,18 +10,18 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Pause between two attempts of a call that the start needs. What the machine lacks may be there a moment later, and
-/// the address may still be held by the previous process.
+/// Pause between two attempts of a system call during startup. A missing local resource may become available a moment
+/// later, and the previous process may still hold the listen address.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Attempts of such a call.
+/// Attempts of such a call before its error is returned.
 const MAX_ATTEMPTS: usize = 100;
 
-/// The least memory in MiB that a front end can be granted.
+/// The smallest accepted memory limit in MiB.
 const MIN_MEMORY_MB: f64 = 8.0;
-/// The fewest descriptors that a front end can be granted.
+/// The smallest accepted limit on file descriptors.
 const MIN_DESCRIPTORS: f64 = 48.0;
 
-/// The file as it is written.
+/// The start file as stored, before validation.
 #[derive(Deserialize)]
 struct StartFile {
     name: String,
@@ -39,105 +39,105 @@
     sockets: f64,
 }
 
-/// What a front end is started from.
+/// The validated configuration of a front end.
 pub struct StartConfig {
     /// The name of this front end.
     pub name: String,
-    /// The address on which clients are accepted.
+    /// The address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// The seed of the policy's random numbers.
+    /// The seed of the policy's random number generator.
     pub seed: u64,
-    /// The memory granted, in bytes.
+    /// The memory limit in bytes.
     pub memory_bytes: usize,
-    /// The descriptors granted.
+    /// The limit on open file descriptors.
     pub max_descriptors: usize,
     /// The resolver's address.
     pub resolver: SocketAddr,
-    /// The serial of the endpoint list of the start.
+    /// The serial of the initial endpoint list.
     pub initial_serial: u32,
-    /// The endpoint list of the start.
+    /// The endpoints of the initial endpoint list.
     pub initial_endpoints: Vec<DiscoveredEndpoint>,
-    /// The zones and executor kinds of the settings and that list.
+    /// The zones and executor kinds that the settings and the initial endpoint list name.
     pub locations: LocationTable,
-    /// The settings.
+    /// The settings of the engine, the dispatch policy and the connections.
     pub settings: FrontEndSettings,
 }
 
-/// Why a front end can't start from its file, and what to do about it.
+/// Why a start file can't be used. The text says how to correct it.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The file can't be read.
-    #[error("{file}: {source}; it has to be a file that can be read")]
+    #[error("cannot read {file}: {source}; it must be a readable file")]
     Unreadable {
         /// The file.
         file: String,
-        /// The failure of the read.
+        /// The error of the read.
         source: io::Error,
     },
-    /// The file does not hold the JSON object that is wanted.
-    #[error("{file}: {source}; write it whole, as one JSON object")]
+    /// The content is not a JSON object with the required keys.
+    #[error("{file}: invalid start file: {source}; it must hold one complete JSON object")]
     InvalidJson {
         /// The file.
         file: String,
-        /// What is wrong with the JSON.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// The settings can't be used.
+    /// A setting is missing or invalid.
     #[error("{file}: key 'settings': {source}")]
     Settings {
         /// The file.
         file: String,
-        /// The setting and what is wrong with it.
+        /// The setting and why it is invalid.
         source: SettingsError,
     },
-    /// The endpoint list of the start can't be used.
-    #[error("{file}: key 'known': {source}; write the updates as the resolver told them")]
+    /// The initial endpoint list is invalid.
+    #[error("{file}: key 'known': {source}; it must hold the updates in the resolver's format")]
     InitialEndpoints {
         /// The file.
         file: String,
-        /// What is wrong with the list.
+        /// Why the list is invalid.
         source: InitialEndpointsError,
     },
-    /// The seed is no number.
-    #[error("{file}: key 'seed': {source}; write hex digits, 16 at the most")]
+    /// The seed is not a hexadecimal number of at most 64 bits.
+    #[error("{file}: key 'seed': {source}; it must be 1 to 16 hexadecimal digits")]
     Seed {
         /// The file.
         file: String,
-        /// What is wrong with the number.
+        /// The error of the number parser.
         source: std::num::ParseIntError,
     },
-    /// A limit is too low.
-    #[error("{file}: key 'limits.{key}': {value} is under {min}; grant at least so much")]
+    /// A limit is below its minimum.
+    #[error("{file}: key 'limits.{key}': {value} is below the minimum of {min}")]
     LimitTooLow {
         /// The file.
         file: String,
-        /// The limit.
+        /// The key of the limit.
         key: &'static str,
-        /// Its value.
+        /// The configured value.
         value: f64,
-        /// The least value.
+        /// The smallest accepted value.
         min: f64,
     },
-    /// The environment contradicts the file.
+    /// An environment variable differs from the corresponding key of the file.
     #[error(
-        "{variable} is '{environment}', key '{key}' is '{configured}'; make them the same, or leave the variable out"
+        "{variable} is '{environment}', key '{key}' is '{configured}'; make them equal, or unset the variable"
     )]
     EnvironmentMismatch {
         /// The environment variable.
         variable: &'static str,
-        /// Its value.
+        /// The value of the variable.
         environment: String,
-        /// The key of the file.
+        /// The key in the file.
         key: &'static str,
         /// The value of that key.
         configured: String,
     },
 }
 
-/// Reads a start file.
+/// Reads and validates a start file.
 ///
 /// # Errors
-/// The file can't be read or used; the error names the file and the key.
+/// The file can't be read or is invalid. The error names the file and, for an invalid value, its key.
 pub fn read(path: &Path) -> Result<StartConfig, StartError> {
     let file = path.display().to_string();
     let text = std::fs::read(path).map_err(|source| StartError::Unreadable {
@@ -147,11 +147,12 @@
     parse(&file, &text)
 }
 
-/// Reads the start file at the start of the process, where there is no earlier one to go on with: a read that fails for
-/// want of something on this machine is retried for some seconds.
+/// Reads and validates the start file at startup, when there is no earlier configuration to fall back on.
+///
+/// A read that fails because this machine lacks a resource is retried for about five seconds.
 ///
 /// # Errors
-/// As for `read`.
+/// Those of `read`, after the retries.
 pub fn read_at_start(path: &Path) -> Result<StartConfig, StartError> {
     retry(
         || read(path),
@@ -159,7 +160,8 @@
     )
 }
 
-/// Retries a call that fails for want of something on this machine, or because its address is in use.
+/// Retries a call that fails because this machine lacks a resource or because the address is in use, for about five
+/// seconds.
 pub(crate) fn retry_local_failures<T>(call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     retry(call, |error| {
         is_local_fault(error) || error.kind() == io::ErrorKind::AddrInUse
@@ -230,10 +232,10 @@
 }
 
 impl StartConfig {
-    /// Checks the name and the listen address of the environment, which have to be those of the file if they are set.
+    /// Checks that the environment's name and listen address, where they are set, equal those of the file.
     ///
     /// # Errors
-    /// One of them differs.
+    /// `StartError::EnvironmentMismatch` for the first one that differs.
     pub fn check_environment(
         &self,
         name: Option<&str>,
