--- a/crates/platform-frontend/src/engine_host/mod.rs
+++ b/crates/platform-frontend/src/engine_host/mod.rs
@@ -241,15 +241,15 @@
     }
 
     /// Reports an executor's response to the engine.
-    pub fn report_response(&mut self, engine: &mut Engine, now: f64, answer: ExecutorResponse) {
-        let DispatchKey { invocation, number } = answer.key;
-        self.response_body = answer.body;
+    pub fn report_response(&mut self, engine: &mut Engine, now: f64, response: ExecutorResponse) {
+        let DispatchKey { invocation, number } = response.key;
+        self.response_body = response.body;
         engine.on_dispatch_result(
             now,
             invocation,
             number,
-            answer.status,
-            answer.metadata,
+            response.status,
+            response.metadata,
             self,
         );
         self.response_body = vec![];
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -152,7 +152,7 @@
         }
         let load_report =
             parse_load_report(&response.load_report, &self.settings.load_report_fields);
-        let answer = ExecutorResponse {
+        let executor_response = ExecutorResponse {
             key: dispatch.key,
             status: evidence::dispatch_status(evidence),
             metadata: ResponseMetadata {
@@ -162,7 +162,8 @@
             },
             body: response.body,
         };
-        self.host.report_response(&mut self.engine, now, answer);
+        self.host
+            .report_response(&mut self.engine, now, executor_response);
     }
 
     /// Reports the result of a load command. `replica_count` is the number of replicas in the executor's response.
