--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -1,10 +1,10 @@
-//! Clients that leave, fill the descriptors, or read nothing, while something of theirs is under way.
+//! Clients that disconnect, exhaust the descriptors or stop reading while their invocations are open.
 
 use super::*;
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// Gives a client more to read than its socket takes.
+/// Queues more output for a client than its socket accepts.
 fn fill_output_buffer(front_end: &mut TestFrontEnd, slot: usize) {
     let filler = vec![0; 16 << 20];
     front_end.event_loop.host.clients[slot]
@@ -16,13 +16,14 @@
     assert!(
         front_end.event_loop.host.clients[slot].socket.waiting()
             > crate::client_connection::MAX_BACKLOG_BYTES,
-        "it reads nothing"
+        "the client reads nothing"
     );
 }
 
-/// A client with unread answers was not read, so that nobody saw it leave for 3 s.
+/// The front end used not to read from a client with unread responses, so a cancel or a disconnect went unnoticed until
+/// the read stall timeout of 3 s.
 #[test]
-fn a_client_that_reads_nothing_is_still_seen_to_take_back_and_to_leave() {
+fn cancels_and_disconnects_are_noticed_while_a_client_reads_nothing() {
     for closes in [false, true] {
         let mut front_end = TestFrontEnd::new(1, 128, |_| {});
         let mut client = front_end.connect_client();
@@ -30,52 +31,55 @@
         fill_output_buffer(&mut front_end, 0);
         let started = Instant::now();
         if closes {
-            client.shutdown(Shutdown::Write).expect("it stands");
+            client
+                .shutdown(Shutdown::Write)
+                .expect("the connection is open");
         } else {
             let mut frame = vec![];
             protocol::write_frame(&mut frame, protocol::CANCEL, 1, None, None, &[]);
-            client.write_all(&frame).expect("it stands");
+            client.write_all(&frame).expect("the connection is open");
         }
-        front_end.poll_until("cancelled", |front_end| {
+        front_end.poll_until("the cancel", |front_end| {
             front_end.executors[executor].lines_received("UNDO", &invocation_id(1)) == [connection]
         });
         assert!(
             started.elapsed() < Duration::from_secs(2),
-            "long before it counts as stalled: {:?}",
+            "well before the read stall timeout: {:?}",
             started.elapsed()
         );
     }
 }
 
-/// What it asks meanwhile is not taken before it reads, and taken back is never sent.
+/// An invocation that arrives under backpressure is admitted only once the client reads again, and is never dispatched
+/// if the client cancels it before.
 #[test]
-fn what_a_client_asks_while_it_reads_nothing_waits_and_may_be_taken_back() {
+fn invocations_under_backpressure_are_not_admitted_and_can_be_cancelled() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
     fill_output_buffer(&mut front_end, 0);
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     client
         .write_all(&invocation_frame(2, &invocation_id(2), "read"))
-        .expect("it stands");
-    front_end.poll_until("read", |front_end| {
+        .expect("the connection is open");
+    front_end.poll_until("both invocations to be pending", |front_end| {
         front_end.event_loop.host.clients[0].pending.len() == 2
     });
     let mut frame = vec![];
     protocol::write_frame(&mut frame, protocol::CANCEL, 1, None, None, &[]);
-    client.write_all(&frame).expect("it stands");
-    front_end.poll_until("taken back", |front_end| {
+    client.write_all(&frame).expect("the connection is open");
+    front_end.poll_until("the cancel", |front_end| {
         front_end.event_loop.host.clients[0].pending.len() == 1
     });
     assert_eq!(
         front_end.event_loop.engine.open_invocations(),
         0,
-        "nothing is taken yet"
+        "nothing is admitted yet"
     );
     let mut bytes_read = 0;
     let mut bytes = vec![0; 1 << 20];
-    front_end.poll_until("taken", |front_end| {
+    front_end.poll_until("an admitted invocation", |front_end| {
         while let Ok(n @ 1..) = client.read(&mut bytes) {
             bytes_read += n;
         }
@@ -91,16 +95,16 @@
 }
 
 #[test]
-fn a_client_that_asks_on_and_on_and_reads_nothing_is_ended() {
+fn a_client_that_keeps_sending_without_reading_is_disconnected() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
     fill_output_buffer(&mut front_end, 0);
     for n in 1..=40 {
         client
             .write_all(&invocation_frame(n, &invocation_id(n.into()), "read"))
-            .expect("it stands");
+            .expect("the connection is open");
     }
-    front_end.poll_until("ended", |front_end| {
+    front_end.poll_until("the close", |front_end| {
         front_end
             .event_loop
             .host
@@ -111,14 +115,16 @@
     assert_eq!(front_end.event_loop.engine.open_invocations(), 0);
 }
 
-/// Closed with bytes unread it was reset, which can destroy the answer that tells what was wrong.
+/// Closing a socket with unread input resets the connection, which could destroy the response with the protocol error.
 #[test]
-fn a_client_that_sends_on_after_what_cannot_be_read_hears_why_and_an_end() {
+fn a_client_that_keeps_sending_after_a_protocol_error_gets_the_error_and_a_clean_close() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
-    client.write_all(&[0xff; 200 * 1024]).expect("it stands");
+    client
+        .write_all(&[0xff; 200 * 1024])
+        .expect("the connection is open");
     let mut received = (vec![], None);
-    front_end.poll_until("an end", |_| {
+    front_end.poll_until("the end of the connection", |_| {
         let (frames, closed) = read_frames(&mut client);
         received.0.extend(frames);
         received.1 = closed;
@@ -131,23 +137,27 @@
             Some(Ok(()))
         )
     );
-    // What it sends after that resets nothing, and it is let go of.
-    client.write_all(&[0xff; 1024]).expect("it is read over");
-    front_end.poll_until("closed", |front_end| {
+    // Further input does not reset the connection, which is closed after the linger time.
+    client
+        .write_all(&[0xff; 1024])
+        .expect("the input is discarded");
+    front_end.poll_until("the connection to be closed", |front_end| {
         front_end.event_loop.host.clients.is_empty()
     });
 }
 
-/// What it has open is nobody's any more at once, not when it is closed.
+/// The open invocations have to be cancelled at the protocol error, not when the connection is closed later.
 #[test]
-fn an_invocation_of_a_client_that_then_sends_noise_is_cancelled() {
+fn a_protocol_error_cancels_the_open_invocations_of_the_client() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "read");
     fill_output_buffer(&mut front_end, 0);
-    client.write_all(&[0xff; 16]).expect("it stands");
+    client
+        .write_all(&[0xff; 16])
+        .expect("the connection is open");
     let started = Instant::now();
-    front_end.poll_until("cancelled", |front_end| {
+    front_end.poll_until("the cancel", |front_end| {
         front_end.executors[executor].lines_received("UNDO", &invocation_id(1)) == [connection]
     });
     assert!(
@@ -157,9 +167,9 @@
     );
 }
 
-/// Its invocation had come, and nobody had read it yet, when its connection was taken for the longest idle.
+/// A connection with an invocation that had arrived but was not read yet used to be evicted as the longest idle one.
 #[test]
-fn a_connection_with_an_invocation_in_it_does_not_make_way_as_idle() {
+fn a_connection_with_an_unread_invocation_is_not_evicted_as_idle() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
     let mut first_client = front_end.connect_client();
     let other_clients: Vec<TcpStream> = (1..front_end.event_loop.listener.max_clients())
@@ -167,52 +177,56 @@
         .collect();
     first_client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
-    // The listener comes before the client in this turn.
-    let extra_client = TcpStream::connect(front_end.address).expect("it listens");
+        .expect("the connection is open");
+    // Handles the listener before the client's input is read.
+    let extra_client = TcpStream::connect(front_end.address).expect("the front end listens");
     let now = front_end.event_loop.read_clock();
     front_end.event_loop.accept(now);
     assert_eq!(front_end.event_loop.counters.evicted, 1);
     front_end.await_dispatch(&invocation_id(1));
-    assert_eq!(read_frames(&mut first_client), (vec![], None), "it stands");
+    assert_eq!(
+        read_frames(&mut first_client),
+        (vec![], None),
+        "the connection stays open"
+    );
     drop((other_clients, extra_client));
 }
 
-/// Hundreds of silent connections at once drove out usual clients that were idle between two invocations.
+/// Hundreds of silent connections used to displace well-behaved clients that were idle between two invocations.
 #[test]
-fn silent_connections_make_way_for_one_another_before_a_usual_client_does() {
+fn silent_connections_are_evicted_before_an_idle_client_that_has_sent_frames() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
     let mut regular_client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut regular_client, 1, "read");
     front_end.executors[executor].respond(connection, "DONE", &invocation_id(1));
-    front_end.poll_until("answered", |_| {
+    front_end.poll_until("the response", |_| {
         !read_frames(&mut regular_client).0.is_empty()
     });
     let silent_clients: Vec<TcpStream> = (0..100)
-        .map(|_| TcpStream::connect(front_end.address).expect("it listens"))
+        .map(|_| TcpStream::connect(front_end.address).expect("the front end listens"))
         .collect();
-    front_end.poll_until("taken", |front_end| {
+    front_end.poll_until("all connections to be accepted", |front_end| {
         front_end.event_loop.counters.accepted == 101
     });
     assert_eq!(
         read_frames(&mut regular_client),
         (vec![], None),
-        "it stands"
+        "the connection stays open"
     );
     drop(silent_clients);
 }
 
-/// A new connection was closed without a word, which counts as lost.
+/// A new connection used to be closed without a response, which clients count as a lost invocation.
 #[test]
-fn where_every_connection_is_busy_a_new_one_hears_that_there_is_no_room() {
+fn a_new_client_is_throttled_if_every_connection_is_busy() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
     let mut busy_clients = vec![];
     for n in 0..front_end.event_loop.listener.max_clients() as u64 {
         let mut client = front_end.connect_client();
         client
             .write_all(&invocation_frame(1, &invocation_id(n + 1), "read"))
-            .expect("it stands");
-        front_end.poll_until("taken", |front_end| {
+            .expect("the connection is open");
+        front_end.poll_until("the invocation to be admitted", |front_end| {
             front_end.event_loop.engine.open_invocations() as u64 == n + 1
         });
         busy_clients.push(client);
@@ -220,7 +234,7 @@
     let mut new_client = front_end.connect_client();
     new_client
         .write_all(&invocation_frame(1, &invocation_id(99), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     let mut readiness_query = vec![];
     protocol::write_frame(
         &mut readiness_query,
@@ -230,9 +244,11 @@
         Some(&[]),
         &[],
     );
-    new_client.write_all(&readiness_query).expect("it stands");
+    new_client
+        .write_all(&readiness_query)
+        .expect("the connection is open");
     let mut received = (vec![], None);
-    front_end.poll_until("an end", |_| {
+    front_end.poll_until("the end of the connection", |_| {
         let (frames, closed) = read_frames(&mut new_client);
         received.0.extend(frames);
         received.1 = closed;
@@ -248,13 +264,17 @@
     );
     assert_eq!(received.1, Some(Ok(())));
     for client in &mut busy_clients {
-        assert_eq!(read_frames(client), (vec![], None), "who is busy stays");
+        assert_eq!(
+            read_frames(client),
+            (vec![], None),
+            "busy connections stay open"
+        );
     }
 }
 
-/// With nobody to tell of any executor it said that it was not ready, for good.
+/// A front end without executors and without a reachable resolver used to report that it was not ready forever.
 #[test]
-fn with_nothing_known_and_no_resolver_it_is_ready_after_a_while() {
+fn a_front_end_without_executors_becomes_ready_once_the_resolver_is_unreachable() {
     let mut front_end = TestFrontEnd::new(0, 128, |_| {});
     let mut client = front_end.connect_client();
     let mut readiness_query = vec![];
@@ -266,14 +286,18 @@
         Some(&[]),
         &[],
     );
-    client.write_all(&readiness_query).expect("it stands");
+    client
+        .write_all(&readiness_query)
+        .expect("the connection is open");
     let started = Instant::now();
     let mut codes = vec![];
-    front_end.poll_until("ready", |_| {
+    front_end.poll_until("readiness", |_| {
         for (_, _, code) in read_frames(&mut client).0 {
             codes.push(code);
             if code == protocol::NOT_READY_CODE {
-                client.write_all(&readiness_query).expect("it stands");
+                client
+                    .write_all(&readiness_query)
+                    .expect("the connection is open");
             }
         }
         codes.last() == Some(&protocol::READY_CODE)
--- a/crates/platform-frontend/src/tests/disconnects.rs
+++ b/crates/platform-frontend/src/tests/disconnects.rs
@@ -1,8 +1,9 @@
-//! Nothing begins for a client that has gone, wherever its invocation waits.
+//! No work is started for a disconnected client, whatever its invocation is waiting for.
 
 use super::*;
 use std::net::Shutdown;
 
+/// The total number of dispatches that the executors have received.
 fn dispatch_count(front_end: &mut TestFrontEnd) -> usize {
     front_end
         .executors
@@ -11,7 +12,7 @@
         .sum()
 }
 
-/// The client has gone: whatever happens for a while, nothing more is dispatched or ordered for it.
+/// Polls for a while after the client has disconnected, and checks that nothing more is dispatched or queued for it.
 fn assert_no_new_work(front_end: &mut TestFrontEnd, before: usize) {
     let started = Instant::now();
     while started.elapsed() < Duration::from_millis(400) {
@@ -39,33 +40,33 @@
 }
 
 #[test]
-fn while_it_waits_for_a_load() {
+fn disconnect_while_the_invocation_waits_for_a_load() {
     let mut front_end = TestFrontEnd::new(2, 128, |_| {});
     let mut client = front_end.connect_client();
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
-    front_end.poll_until("ordered", |front_end| {
+        .expect("the connection is open");
+    front_end.poll_until("a load command", |front_end| {
         front_end
             .executors
             .iter_mut()
             .any(|executor| !executor.lines_received("PIN", "").is_empty())
     });
     drop(client);
-    front_end.poll_until("gone", |front_end| {
+    front_end.poll_until("the disconnect", |front_end| {
         front_end.event_loop.host.clients.is_empty()
     });
     assert_no_new_work(&mut front_end, 0);
 }
 
 #[test]
-fn while_its_dispatch_is_queued_on_a_connection_being_made() {
+fn disconnect_while_the_dispatch_is_queued_on_a_pending_connection() {
     let mut front_end = TestFrontEnd::new(2, 128, disable_load_control);
     let mut client = front_end.connect_client();
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
-    front_end.poll_until("queued", |front_end| {
+        .expect("the connection is open");
+    front_end.poll_until("a queued dispatch", |front_end| {
         front_end
             .event_loop
             .host
@@ -73,36 +74,38 @@
             .connections()
             .any(|(_, connection)| !connection.is_connected && !connection.queue.is_empty())
     });
-    // Its end is read before the connection is seen to stand.
-    client.shutdown(Shutdown::Write).expect("it stands");
+    // Reads the client's disconnect before the executor connection is found to be established.
+    client
+        .shutdown(Shutdown::Write)
+        .expect("the connection is open");
     let now = front_end.event_loop.read_clock();
     front_end.event_loop.read_client(now, 0);
     assert_no_new_work(&mut front_end, 0);
 }
 
 #[test]
-fn while_it_waits_to_be_sent_again() {
+fn disconnect_while_the_invocation_waits_for_a_retry() {
     let mut front_end = TestFrontEnd::new(1, 128, disable_load_control);
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "command");
     front_end.executors[executor].respond(connection, "WAIT", &invocation_id(1));
-    front_end.poll_until("turned away", |front_end| {
+    front_end.poll_until("the dispatch to be refused", |front_end| {
         front_end.event_loop.host.has_no_dispatch_in_flight()
     });
     drop(client);
-    front_end.poll_until("gone", |front_end| {
+    front_end.poll_until("the disconnect", |front_end| {
         front_end.event_loop.host.clients.is_empty()
     });
     assert_no_new_work(&mut front_end, 1);
 }
 
 #[test]
-fn while_it_is_judged_whether_a_broken_connection_was_the_process() {
+fn disconnect_while_a_lost_executor_connection_is_not_yet_reported() {
     let mut front_end = TestFrontEnd::new(2, 128, disable_load_control);
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "read");
-    // The executor has two connections; one breaks, which is judged a moment later.
-    front_end.poll_until("two of them", |front_end| {
+    // One of two connections to the executor breaks. The loss is reported only after the reset window.
+    front_end.poll_until("two established connections", |front_end| {
         front_end.executors[executor].read();
         let executor_id =
             orchidtally_platform_discovery::executor_id(&front_end.executors[executor].name);
@@ -116,7 +119,7 @@
             .host
             .pool
             .executor(executor_id)
-            .expect("it is known")
+            .expect("the executor is known")
             .connections
             .iter()
             .filter(|&&slot| {
@@ -133,7 +136,7 @@
     let (socket, received) = front_end.executors[executor].connections.remove(connection);
     orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
-    front_end.poll_until("severed", |front_end| {
+    front_end.poll_until("the lost connection", |front_end| {
         !front_end.event_loop.lost_connections.is_empty()
     });
     drop(client);
@@ -144,12 +147,12 @@
 }
 
 #[test]
-fn while_it_is_held_until_an_earlier_cancel_has_arrived() {
+fn disconnect_while_the_dispatch_is_delayed_by_an_earlier_cancel() {
     let mut front_end = TestFrontEnd::new(2, 128, disable_load_control);
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "read");
     front_end.executors[executor].respond(connection, "DONE", &invocation_id(1));
-    front_end.poll_until("answered", |_| !read_frames(&mut client).0.is_empty());
+    front_end.poll_until("the response", |_| !read_frames(&mut client).0.is_empty());
     front_end.invoke(&mut client, 2, "read");
     let mut cancel_and_invocation = vec![];
     protocol::write_frame(
@@ -161,48 +164,53 @@
         &[],
     );
     cancel_and_invocation.extend(invocation_frame(3, &invocation_id(2), "read"));
-    client.write_all(&cancel_and_invocation).expect("it stands");
-    front_end.poll_until("held", |front_end| {
+    client
+        .write_all(&cancel_and_invocation)
+        .expect("the connection is open");
+    front_end.poll_until("a delayed dispatch", |front_end| {
         front_end.event_loop.host.has_delayed_dispatches()
     });
     let before = dispatch_count(&mut front_end);
-    client.shutdown(Shutdown::Both).expect("it stands");
+    client
+        .shutdown(Shutdown::Both)
+        .expect("the connection is open");
     let now = front_end.event_loop.read_clock();
     front_end.event_loop.read_client(now, 0);
     assert_no_new_work(&mut front_end, before);
 }
 
-/// A reset, and an end within a frame, are ends as well.
+/// A reset, and an end of stream within a frame, count as a disconnect too.
 #[test]
-fn where_it_resets_or_ends_within_a_frame() {
+fn disconnect_by_a_reset_or_within_a_frame() {
     for resets in [true, false] {
         let mut front_end = TestFrontEnd::new(1, 128, disable_load_control);
         let mut client = front_end.connect_client();
         let (executor, connection) = front_end.invoke(&mut client, 1, "read");
         client
             .write_all(&invocation_frame(2, &invocation_id(2), "read")[..30])
-            .expect("it stands");
+            .expect("the connection is open");
         if resets {
             orchidtally_socket_io::break_on_close(&client);
         }
         drop(client);
-        front_end.poll_until("cancelled", |front_end| {
+        front_end.poll_until("the cancel", |front_end| {
             front_end.executors[executor].lines_received("UNDO", &invocation_id(1)) == [connection]
         });
         assert_no_new_work(&mut front_end, 1);
     }
 }
 
-/// Withdrawn in the turn in which its answer comes: the answer was first, and there is one at the most.
+/// The cancel and the executor's response arrive in the same poll: the client gets the response or nothing, never two
+/// responses.
 #[test]
-fn where_it_is_taken_back_as_its_answer_comes_there_is_one_answer_at_the_most() {
+fn a_cancel_that_races_with_the_response_yields_at_most_one_response() {
     let mut front_end = TestFrontEnd::new(1, 128, disable_load_control);
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "read");
     let mut frame = vec![];
     protocol::write_frame(&mut frame, protocol::CANCEL, 1, None, None, &[]);
     front_end.executors[executor].respond(connection, "DONE", &invocation_id(1));
-    client.write_all(&frame).expect("it stands");
+    client.write_all(&frame).expect("the connection is open");
     let mut received = vec![];
     let started = Instant::now();
     while started.elapsed() < Duration::from_millis(200) {
--- a/crates/platform-frontend/src/tests/engine_host.rs
+++ b/crates/platform-frontend/src/tests/engine_host.rs
@@ -1,4 +1,4 @@
-//! What goes over the sockets, and in which order, without a front end round it.
+//! The order in which the host writes commands to its sockets, without an event loop.
 
 use super::*;
 use crate::executor_connection::{ExecutorConnection, InFlightDispatch};
@@ -17,60 +17,70 @@
     "safety": {"cold": 1e9, "coldFrom": 0.2, "overloadFactor": 2, "fall": 1e9},
     "specifics": {"loadControl": true, "notLoaded": "load", "staysLoaded": 8e9}}"#;
 
-/// A host's state with some executors, each reached over one connection that stands, and the executors' ends of these.
-fn set(executors: usize) -> (EngineHost, Vec<ExecutorId>, Vec<std::net::TcpStream>) {
-    let settings = serde_json::from_str(SETTINGS).expect("it is JSON");
+/// Creates a host with an established connection to each of some executors. Also returns the executors' ends of the
+/// connections.
+fn host_with_connections(
+    executors: usize,
+) -> (EngineHost, Vec<ExecutorId>, Vec<std::net::TcpStream>) {
+    let settings = serde_json::from_str(SETTINGS).expect("the settings are JSON");
     let settings =
-        orchidtally_platform_config::front_end_settings(&settings).expect("they are sound");
-    let poll = mio::Poll::new().expect("a poll");
+        orchidtally_platform_config::front_end_settings(&settings).expect("the settings are valid");
+    let poll = mio::Poll::new().expect("the poll can be created");
     let mut host = EngineHost::new(
         0.0,
-        poll.registry().try_clone().expect("it can be"),
+        poll.registry()
+            .try_clone()
+            .expect("the registry can be cloned"),
         &settings,
         executors,
     );
-    let mut ends = vec![];
+    let mut sockets = vec![];
     let mut ids = vec![];
     for n in 0..executors {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
         let (name, address) = (
             format!("s-{n}"),
-            listener.local_addr().expect("it is bound"),
+            listener.local_addr().expect("the socket is bound"),
         );
         let id = orchidtally_platform_discovery::executor_id(&name);
         host.pool.add_executor(id, Executor::new(name, address));
         let slot = host
             .pool
             .connection_for(0.0, id, "")
-            .expect("there is room");
-        ends.push(listener.accept().expect("it comes").0);
-        ends[n]
+            .expect("the pool has capacity");
+        sockets.push(listener.accept().expect("the connection is accepted").0);
+        sockets[n]
             .set_read_timeout(Some(Duration::from_millis(200)))
-            .expect("a time");
+            .expect("the timeout can be set");
         connection(&mut host, slot).is_connected = true;
         host.pool
             .executor_mut(id)
-            .expect("it is known")
+            .expect("the executor is known")
             .min_connect_time = 0.001;
         ids.push(id);
     }
-    (host, ids, ends)
+    (host, ids, sockets)
 }
 
 fn connection(host: &mut EngineHost, slot: usize) -> &mut ExecutorConnection {
-    host.pool.connection_mut(slot).expect("it stands")
+    host.pool
+        .connection_mut(slot)
+        .expect("the connection is open")
 }
 
 fn first_connection(host: &EngineHost, id: ExecutorId) -> usize {
-    host.pool.executor(id).expect("it is known").connections[0]
+    host.pool
+        .executor(id)
+        .expect("the executor is known")
+        .connections[0]
 }
 
-fn take(host: &mut EngineHost, inv: u32) {
-    take_with_body(host, inv, vec![]);
+fn admit_invocation(host: &mut EngineHost, invocation: u32) {
+    admit_with_body(host, invocation, vec![]);
 }
 
-fn take_with_body(host: &mut EngineHost, inv: u32, body: Vec<u8>) {
-    let id: Rc<str> = format!("{inv:016x}").into();
+fn admit_with_body(host: &mut EngineHost, invocation: u32, body: Vec<u8>) {
+    let id: Rc<str> = format!("{invocation:016x}").into();
     host.pending_admission = Some(OpenInvocation {
         client: usize::MAX,
         stream: 1,
@@ -81,67 +91,69 @@
         body,
         timeout_at: 3.0,
     });
-    host.admitted(inv);
+    host.admitted(invocation);
 }
 
-/// Lets everything leave, or nothing, and counts what it was asked.
+/// Accepts or refuses every command, and counts the calls.
 struct RevalidationStub {
-    open: bool,
-    asked: usize,
+    allows: bool,
+    calls: usize,
 }
 
 impl SendRevalidator for RevalidationStub {
     fn on_process_stall(&mut self, _: f64) {}
 
     fn revalidate_dispatch(&mut self, _: f64, _: u32, _: u8) -> bool {
-        self.asked += 1;
-        self.open
+        self.calls += 1;
+        self.allows
     }
 
     fn revalidate_load(&mut self, _: f64, _: ExecutorId, _: f64) -> bool {
-        self.asked += 1;
-        self.open
+        self.calls += 1;
+        self.allows
     }
 }
 
 fn flush(host: &mut EngineHost) {
-    flush_by(
+    flush_with(
         host,
         &mut RevalidationStub {
-            open: true,
-            asked: 0,
+            allows: true,
+            calls: 0,
         },
     );
 }
 
-fn flush_by(host: &mut EngineHost, gate: &mut RevalidationStub) {
+fn flush_with(host: &mut EngineHost, revalidator: &mut RevalidationStub) {
     for slot in host.pool.take_dirty() {
         connection(host, slot).is_dirty = false;
-        host.flush_connection(slot, gate).expect("it is taken");
+        host.flush_connection(slot, revalidator)
+            .expect("the flush succeeds");
     }
 }
 
-/// What has come to an executor's end by now.
-fn come(end: &mut std::net::TcpStream) -> String {
+/// Reads the data that has arrived at an executor's end of a connection.
+fn read_available(socket: &mut std::net::TcpStream) -> String {
     let mut bytes = vec![0; 64 * 1024];
-    let n = end.read(&mut bytes).unwrap_or(0);
+    let n = socket.read(&mut bytes).unwrap_or(0);
     String::from_utf8_lossy(&bytes[..n]).into_owned()
 }
 
-/// Two invocations are moved in one turn, crosswise: whichever connection is written first, both cancels leave
-/// before either is sent again.
+/// Two invocations swap executors in one poll. Whichever connection is flushed first, both cancels are written before
+/// either invocation is dispatched again.
 #[test]
-fn a_cancel_leaves_before_the_next_dispatch_of_the_same_invocation() {
-    let (mut host, ids, mut ends) = set(2);
-    (0..2).for_each(|inv| take(&mut host, inv));
+fn cancels_are_written_before_the_next_dispatch_of_the_same_invocation() {
+    let (mut host, ids, mut sockets) = host_with_connections(2);
+    (0..2).for_each(|invocation| admit_invocation(&mut host, invocation));
     host.dispatch(0, 0, ids[0], 3.0);
     host.dispatch(1, 0, ids[1], 3.0);
     flush(&mut host);
-    ends.iter_mut()
-        .for_each(|end| assert!(come(end).contains("DO")));
-    for inv in 0..2 {
-        host.cancel(inv, 0);
-        host.dispatch(inv, 1, ids[1 - inv as usize], 3.0);
+    sockets
+        .iter_mut()
+        .for_each(|socket| assert!(read_available(socket).contains("DO")));
+    for invocation in 0..2 {
+        host.cancel(invocation, 0);
+        host.dispatch(invocation, 1, ids[1 - invocation as usize], 3.0);
     }
     let mut dirty = host.pool.take_dirty();
     let first = dirty.remove(0);
@@ -153,34 +165,39 @@
     host.flush_connection(
         first,
         &mut RevalidationStub {
-            open: true,
-            asked: 0,
+            allows: true,
+            calls: 0,
         },
     )
-    .expect("it is taken");
-    for end in &mut ends {
-        let line = come(end);
+    .expect("the flush succeeds");
+    for socket in &mut sockets {
+        let line = read_available(socket);
         assert!(
             line.contains("UNDO") && !line.contains(r#""DO""#),
-            "the cancel alone: {line}"
+            "only the cancel: {line}"
         );
     }
     flush(&mut host);
-    // It waits for a moment from the next turn on.
-    for (now, there) in [(0.001, false), (0.002, false), (0.003, true)] {
+    // The delay starts with the next poll.
+    for (now, is_sent) in [(0.001, false), (0.002, false), (0.003, true)] {
         host.now = now;
         host.send_due_dispatches();
         flush(&mut host);
-        ends.iter_mut()
-            .for_each(|end| assert_eq!(come(end).contains(r#""DO""#), there, "at {now}"));
+        sockets.iter_mut().for_each(|socket| {
+            assert_eq!(
+                read_available(socket).contains(r#""DO""#),
+                is_sent,
+                "at {now}"
+            )
+        });
     }
 }
 
-/// What is held back and taken back then never goes out, and no cancel is owed for it.
+/// A dispatch that is cancelled while it is delayed is never sent, and neither is a cancel for it.
 #[test]
-fn what_is_cancelled_while_it_is_held_never_goes_out() {
-    let (mut host, ids, mut ends) = set(2);
-    take(&mut host, 0);
+fn a_delayed_dispatch_that_is_cancelled_is_never_sent() {
+    let (mut host, ids, mut sockets) = host_with_connections(2);
+    admit_invocation(&mut host, 0);
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
     host.cancel(0, 0);
@@ -191,16 +208,16 @@
         host.send_due_dispatches();
         flush(&mut host);
     }
-    assert!(host.delayed_dispatches.is_empty() && come(&mut ends[0]).contains("UNDO"));
-    assert_eq!(come(&mut ends[1]), "");
+    assert!(host.delayed_dispatches.is_empty() && read_available(&mut sockets[0]).contains("UNDO"));
+    assert_eq!(read_available(&mut sockets[1]), "");
 }
 
-/// An executor that reads nothing: the cancel stays behind what the kernel holds. Its connection ends, so that what
-/// is open on it is given up before it goes out elsewhere.
+/// If an executor has stopped reading, the cancel can't be written. The connection is aborted, so that its dispatches
+/// are abandoned before they are sent to another executor.
 #[test]
-fn a_connection_that_takes_no_cancel_is_cut_off() {
-    let (mut host, ids, mut ends) = set(2);
-    take(&mut host, 0);
+fn a_connection_that_does_not_accept_a_cancel_is_aborted() {
+    let (mut host, ids, mut sockets) = host_with_connections(2);
+    admit_invocation(&mut host, 0);
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
     let slot = first_connection(&host, ids[0]);
@@ -212,34 +229,34 @@
         connection(&mut host, slot)
             .socket
             .flush()
-            .expect("it stands");
+            .expect("the connection is open");
     }
     host.cancel(0, 0);
     host.dispatch(0, 1, ids[1], 3.0);
-    let elsewhere = first_connection(&host, ids[1]);
+    let other_slot = first_connection(&host, ids[1]);
     host.flush_connection(
-        elsewhere,
+        other_slot,
         &mut RevalidationStub {
-            open: true,
-            asked: 0,
+            allows: true,
+            calls: 0,
         },
     )
-    .expect("it is taken");
+    .expect("the flush succeeds");
     assert!(
         connection(&mut host, slot).is_aborted && host.aborted_connections.len() == 1,
-        "to be dissolved"
+        "the connection is aborted and waits to be closed"
     );
-    let mut rest = vec![];
-    ends[0]
-        .read_to_end(&mut rest)
-        .expect("an end, not a silence");
-    assert!(!rest.is_empty());
+    let mut remaining = vec![];
+    sockets[0]
+        .read_to_end(&mut remaining)
+        .expect("the connection ends before the read timeout");
+    assert!(!remaining.is_empty());
 }
 
-/// Whatever the kernel takes of a batch of lines, none that has not begun to leave stays made.
+/// Whatever part of a batch the kernel accepts, no line of which it accepted nothing stays encoded.
 #[test]
-fn no_line_stays_made_of_which_the_kernel_took_nothing() {
-    let (mut host, ids, mut ends) = set(1);
+fn lines_of_which_the_kernel_accepted_no_byte_are_requeued() {
+    let (mut host, ids, mut sockets) = host_with_connections(1);
     let slot = first_connection(&host, ids[0]);
     while connection(&mut host, slot).socket.waiting() == 0 {
         connection(&mut host, slot)
@@ -249,53 +266,66 @@
         connection(&mut host, slot)
             .socket
             .flush()
-            .expect("it stands");
+            .expect("the connection is open");
     }
-    for inv in 0..30 {
-        take_with_body(&mut host, inv, vec![7; 16 * 1024]);
-        host.dispatch(inv, 0, ids[0], 3.0);
+    for invocation in 0..30 {
+        admit_with_body(&mut host, invocation, vec![7; 16 * 1024]);
+        host.dispatch(invocation, 0, ids[0], 3.0);
     }
-    let mut gate = RevalidationStub {
-        open: true,
-        asked: 0,
+    let mut revalidator = RevalidationStub {
+        allows: true,
+        calls: 0,
     };
     let mut bytes = vec![0; 20 * 1024];
-    let mut stuck = 0;
+    let mut partial_flushes = 0;
     while !connection(&mut host, slot).queue.is_empty() {
-        ends[0].read_exact(&mut bytes).expect("there is more");
-        host.flush_connection(slot, &mut gate).expect("it is taken");
+        sockets[0]
+            .read_exact(&mut bytes)
+            .expect("more bytes arrive");
+        host.flush_connection(slot, &mut revalidator)
+            .expect("the flush succeeds");
         let connection = connection(&mut host, slot);
-        let begun = |o: &InFlightDispatch| {
-            o.line_start
-                .is_none_or(|from| from < connection.socket.written())
+        let is_queued_or_partially_written = |dispatch: &InFlightDispatch| {
+            dispatch
+                .line_start
+                .is_none_or(|start| start < connection.socket.written())
         };
-        assert!(connection.in_flight.values().all(begun));
-        stuck += usize::from(connection.socket.waiting() > 0);
+        assert!(
+            connection
+                .in_flight
+                .values()
+                .all(is_queued_or_partially_written)
+        );
+        partial_flushes += usize::from(connection.socket.waiting() > 0);
     }
     assert!(
-        stuck > 0 && gate.asked > 30,
-        "lines were taken back and asked about again: {}",
-        gate.asked
+        partial_flushes > 0 && revalidator.calls > 30,
+        "lines are requeued and revalidated: {}",
+        revalidator.calls
     );
 }
 
-/// An executor that is far: its cancel is under way for longer than a tick, and the next dispatch may be faster.
+/// The cancel to a distant executor is in transit for longer than a clock tick, so the next dispatch could overtake it.
 #[test]
-fn what_is_moved_waits_for_as_long_as_a_connection_to_the_first_took_to_be_made() {
-    let (mut host, ids, mut ends) = set(2);
+fn the_next_dispatch_waits_for_the_connect_time_of_the_previous_executor() {
+    let (mut host, ids, mut sockets) = host_with_connections(2);
     host.pool
         .executor_mut(ids[0])
-        .expect("it is known")
+        .expect("the executor is known")
         .min_connect_time = 0.02;
-    take(&mut host, 0);
+    admit_invocation(&mut host, 0);
     host.dispatch(0, 0, ids[0], 3.0);
     flush(&mut host);
     host.cancel(0, 0);
     host.dispatch(0, 1, ids[1], 3.0);
-    for (now, there) in [(0.001, false), (0.020, false), (0.022, true)] {
+    for (now, is_sent) in [(0.001, false), (0.020, false), (0.022, true)] {
         host.now = now;
         host.send_due_dispatches();
         flush(&mut host);
-        assert_eq!(come(&mut ends[1]).contains(r#""DO""#), there, "at {now}");
+        assert_eq!(
+            read_available(&mut sockets[1]).contains(r#""DO""#),
+            is_sent,
+            "at {now}"
+        );
     }
 }
--- a/crates/platform-frontend/src/tests/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/tests/graceful_shutdown.rs
@@ -1,41 +1,49 @@
-//! The end, with clients that are within a frame, wait to be accepted, or read nothing.
+//! Graceful shutdown with clients that have sent a partial frame, wait to be accepted, or read nothing.
 
 use super::*;
 use signal_hook::consts::SIGTERM;
 
+/// Delivers SIGTERM, dated back by the time after which nothing more is accepted.
 fn begin_shutdown(front_end: &mut TestFrontEnd) {
     let now = front_end.event_loop.read_clock();
     front_end.event_loop.handle_signal(now, SIGTERM);
-    // As if it had been told so long ago that nothing more is taken.
+    // 0.7 s after SIGTERM the front end no longer accepts connections or invocations.
     front_end.event_loop.shutdown.set_started_at(now - 0.7);
 }
 
-/// The process had ended before the rest of it came.
+/// The process used to exit before the rest of a partially received invocation arrived.
 #[test]
-fn an_invocation_half_read_when_nothing_more_is_taken_is_answered() {
+fn a_partially_received_invocation_is_answered_after_the_listener_closes() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
     let frame = invocation_frame(1, &invocation_id(1), "read");
-    client.write_all(&frame[..20]).expect("it stands");
-    front_end.poll_until("half of it", |front_end| {
+    client
+        .write_all(&frame[..20])
+        .expect("the connection is open");
+    front_end.poll_until("the partial frame", |front_end| {
         front_end.event_loop.host.clients[0].has_partial_frame()
     });
     begin_shutdown(&mut front_end);
     let started = Instant::now();
     while started.elapsed() < Duration::from_millis(300) {
-        assert!(!front_end.poll_once(), "the rest is waited for");
+        assert!(
+            !front_end.poll_once(),
+            "the exit waits for the rest of the frame"
+        );
     }
-    client.write_all(&frame[20..]).expect("it stands");
-    let mut answers = vec![];
+    client
+        .write_all(&frame[20..])
+        .expect("the connection is open");
+    let mut responses = vec![];
     let mut finished = false;
-    front_end.poll_until("over", |front_end| {
+    front_end.poll_until("the exit", |front_end| {
         finished |= front_end.poll_once();
-        answers.extend(read_frames(&mut client).0);
+        responses.extend(read_frames(&mut client).0);
         finished
     });
-    answers.extend(read_frames(&mut client).0);
+    responses.extend(read_frames(&mut client).0);
     assert_eq!(
-        answers,
+        responses,
         [
             (protocol::GO_AWAY, 0, 0),
             (protocol::RESPONSE, 1, protocol::THROTTLED)
@@ -43,12 +51,13 @@
     );
 }
 
-/// Nearly as many as can wait, all since the last look: each is told, none is reset with the listener.
+/// Nearly fills the accept backlog between two polls: each connection gets a GO_AWAY frame, and none is reset when the
+/// listener closes.
 #[test]
-fn all_that_wait_to_be_accepted_are_told_of_the_end() {
+fn connections_in_the_accept_backlog_get_a_go_away_frame() {
     let mut front_end = TestFrontEnd::new(1, 512, |_| {});
-    let mut waiting: Vec<TcpStream> = (0..100)
-        .map(|_| TcpStream::connect(front_end.address).expect("it listens"))
+    let mut waiting_clients: Vec<TcpStream> = (0..100)
+        .map(|_| TcpStream::connect(front_end.address).expect("the front end listens"))
         .collect();
     begin_shutdown(&mut front_end);
     let now = front_end.event_loop.read_clock();
@@ -61,23 +70,27 @@
         ),
         (100, true)
     );
-    for client in &mut waiting {
-        client.set_nonblocking(true).expect("it can be");
+    for client in &mut waiting_clients {
+        client
+            .set_nonblocking(true)
+            .expect("the socket can be nonblocking");
         assert_eq!(read_frames(client), (vec![(protocol::GO_AWAY, 0, 0)], None));
     }
 }
 
-/// What comes in the last moment is read once more before the process ends.
+/// Input is read once more right before the process exits.
 #[test]
-fn what_comes_with_the_last_turn_is_answered() {
+fn an_invocation_that_arrives_in_the_last_poll_is_answered() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let mut client = front_end.connect_client();
     begin_shutdown(&mut front_end);
-    front_end.poll_until("quiet", |front_end| front_end.event_loop.shutdown.is_idle());
-    // The look at whether it is over comes after this turn's reading.
+    front_end.poll_until("the front end to be idle", |front_end| {
+        front_end.event_loop.shutdown.is_idle()
+    });
+    // `is_finished` runs after this poll's reads.
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     front_end
         .event_loop
         .shutdown
@@ -93,9 +106,10 @@
     );
 }
 
-/// A client that never reads does not hold the process for longer than the longest client timeout.
+/// A client that never reads its responses does not keep the process running past the kill, which may come 0.7 s after
+/// the longest counted client timeout.
 #[test]
-fn a_client_that_reads_nothing_does_not_hold_up_the_end() {
+fn a_client_that_reads_nothing_does_not_delay_the_exit_past_the_kill() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
     let _client = front_end.connect_client();
     front_end.event_loop.host.clients[0]
@@ -104,38 +118,41 @@
         .resize(16 << 20, 0);
     front_end.event_loop.host.mark_client_dirty(0);
     begin_shutdown(&mut front_end);
-    front_end.poll_until("closed", |front_end| {
+    front_end.poll_until("the listener to close", |front_end| {
         !front_end.event_loop.listener.is_open()
     });
     let now = front_end.event_loop.read_clock();
-    assert!(!front_end.event_loop.is_finished(now), "it has some time");
+    assert!(
+        !front_end.event_loop.is_finished(now),
+        "the client still has time to read"
+    );
     front_end.event_loop.shutdown.set_started_at(now - 3.6);
     assert!(!front_end.event_loop.is_finished(now));
     front_end.event_loop.shutdown.set_started_at(now - 3.67);
     assert!(
         front_end.event_loop.is_finished(now),
-        "before it may be killed"
+        "exits before it may be killed"
     );
 }
 
-/// What would be waited for until after the process may be killed was lost with it.
+/// An invocation whose client timeout ended after the kill used to be lost with the process.
 #[test]
-fn what_is_open_at_the_end_is_answered_before_the_process_may_be_killed() {
+fn open_invocations_are_answered_before_the_process_may_be_killed() {
     let mut front_end = TestFrontEnd::new(2, 128, |_| {});
     let mut client = front_end.connect_client();
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     let (executor, connection) = front_end.await_dispatch(&invocation_id(1));
     begin_shutdown(&mut front_end);
-    front_end.poll_until("closed", |front_end| {
+    front_end.poll_until("the listener to close", |front_end| {
         !front_end.event_loop.listener.is_open()
     });
     let signaled_at = front_end
         .event_loop
         .shutdown
         .started_at()
-        .expect("it was told");
+        .expect("a termination signal arrived");
     let latest_deadline = front_end
         .event_loop
         .host
@@ -148,14 +165,14 @@
         "{} s after SIGTERM",
         latest_deadline - signaled_at
     );
-    let mut answers = vec![];
-    front_end.poll_until("answered", |_| {
-        answers.extend(read_frames(&mut client).0);
-        answers.len() > 1
+    let mut responses = vec![];
+    front_end.poll_until("the response", |_| {
+        responses.extend(read_frames(&mut client).0);
+        responses.len() > 1
     });
-    // The executor never answered; it may be repeated, so that its client is told so.
+    // The executor never responded. The invocation is idempotent, so the client is told to retry.
     assert_eq!(
-        answers,
+        responses,
         [
             (protocol::GO_AWAY, 0, 0),
             (protocol::RESPONSE, 1, protocol::THROTTLED)
@@ -165,5 +182,5 @@
         front_end.executors[executor].lines_received("UNDO", &invocation_id(1)),
         [connection]
     );
-    front_end.poll_until("over", TestFrontEnd::poll_once);
+    front_end.poll_until("the exit", TestFrontEnd::poll_once);
 }
--- a/crates/platform-frontend/src/tests/in_transit.rs
+++ b/crates/platform-frontend/src/tests/in_transit.rs
@@ -1,13 +1,17 @@
-//! Lists, answers, ends of connections, while a dispatch or an order is on its way.
+//! Endpoint lists, responses and lost connections that arrive while a dispatch or load command is in transit.
 
 use super::*;
 use EndpointState::{Draining, Ready};
 
-/// Sends an invocation and turns until its dispatch, or its order, is queued on a connection that is being made.
-fn queued(front_end: &mut TestFrontEnd, client: &mut TcpStream) -> ExecutorId {
+/// Sends an invocation and polls until its dispatch or load command is queued on a connection that is being
+/// established. Returns the executor.
+fn invoke_on_pending_connection(
+    front_end: &mut TestFrontEnd,
+    client: &mut TcpStream,
+) -> ExecutorId {
     client
         .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     let connections = |front_end: &TestFrontEnd| {
         front_end
             .event_loop
@@ -17,30 +21,32 @@
             .find(|(_, connection)| !connection.is_connected)
             .map(|(_, connection)| (connection.executor_id, connection.queue.len()))
     };
-    front_end.poll_until("queued", |front_end| {
+    front_end.poll_until("a queued command", |front_end| {
         connections(front_end).is_some_and(|(_, queued)| queued > 0)
     });
-    connections(front_end).expect("it is there").0
+    connections(front_end)
+        .expect("a connection is being established")
+        .0
 }
 
-/// An executor is known to serve the function.
-fn warm(executors: usize) -> (TestFrontEnd, TcpStream) {
-    let mut front_end = TestFrontEnd::new(executors, 128, |settings| {
+/// Starts a front end, without load control, that has a connection to one executor which has served the function.
+fn front_end_with_warm_executor(executor_count: usize) -> (TestFrontEnd, TcpStream) {
+    let mut front_end = TestFrontEnd::new(executor_count, 128, |settings| {
         settings["specifics"]["loadControl"] = false.into()
     });
     let mut client = front_end.connect_client();
     client
         .write_all(&invocation_frame(1, &invocation_id(100), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     let (executor, connection) = front_end.await_dispatch(&invocation_id(100));
     front_end.executors[executor].respond(connection, "DONE", &invocation_id(100));
-    front_end.poll_until("answered", |_| !read_frames(&mut client).0.is_empty());
+    front_end.poll_until("the response", |_| !read_frames(&mut client).0.is_empty());
     (front_end, client)
 }
 
 fn connections_to(front_end: &TestFrontEnd, executor_id: ExecutorId) -> Vec<usize> {
     let executor = front_end.event_loop.host.pool.executor(executor_id);
-    executor.expect("it is known").connections.clone()
+    executor.expect("the executor is known").connections.clone()
 }
 
 fn index_of_executor(front_end: &TestFrontEnd, executor_id: ExecutorId) -> usize {
@@ -50,16 +56,16 @@
         .position(|executor| {
             orchidtally_platform_discovery::executor_id(&executor.name) == executor_id
         })
-        .expect("it is one of them")
+        .expect("the executor exists")
 }
 
-/// What was allowed when it was decided left for an executor told draining by then, as long as its connection took
-/// to be made.
+/// A load command that was valid when it was issued used to be sent to an executor that was draining by the time its
+/// connection was established.
 #[test]
-fn an_order_on_a_connection_being_made_does_not_leave_once_its_executor_drains() {
+fn a_load_command_on_a_pending_connection_is_withheld_once_its_executor_drains() {
     let mut front_end = TestFrontEnd::new(2, 128, |_| {});
     let mut client = front_end.connect_client();
-    let first_executor_id = queued(&mut front_end, &mut client);
+    let first_executor_id = invoke_on_pending_connection(&mut front_end, &mut client);
     let executor = index_of_executor(&front_end, first_executor_id);
     let endpoints = [
         (executor, Draining, front_end.executors[executor].address),
@@ -82,17 +88,17 @@
     );
     assert!(
         front_end.executors[1 - executor].load_commands_answered > 0,
-        "it was an order that waited"
+        "a load command was queued first"
     );
 }
 
 #[test]
-fn a_dispatch_on_a_connection_being_made_does_not_leave_once_its_executor_drains() {
+fn a_dispatch_on_a_pending_connection_is_withheld_once_its_executor_drains() {
     let mut front_end = TestFrontEnd::new(2, 128, |settings| {
         settings["specifics"]["loadControl"] = false.into()
     });
     let mut client = front_end.connect_client();
-    let first_executor_id = queued(&mut front_end, &mut client);
+    let first_executor_id = invoke_on_pending_connection(&mut front_end, &mut client);
     let executor = index_of_executor(&front_end, first_executor_id);
     let endpoints = [
         (executor, Draining, front_end.executors[executor].address),
@@ -111,23 +117,23 @@
     );
 }
 
-/// It went to whoever had taken over the address.
+/// Queued commands used to go to the executor that had taken over the address.
 #[test]
-fn what_is_queued_for_an_executor_that_moves_goes_to_its_new_address() {
+fn commands_queued_for_an_executor_that_moves_go_to_its_new_address() {
     let mut front_end = TestFrontEnd::new(2, 128, |settings| {
         settings["specifics"]["loadControl"] = false.into()
     });
     let mut client = front_end.connect_client();
-    let first_executor_id = queued(&mut front_end, &mut client);
+    let first_executor_id = invoke_on_pending_connection(&mut front_end, &mut client);
     let executor = index_of_executor(&front_end, first_executor_id);
-    // The other stands at the first one's address from now on, and the other way round.
+    // The two executors swap their addresses.
     let endpoints = [
         (executor, Ready, front_end.executors[1 - executor].address),
         (1 - executor, Ready, front_end.executors[executor].address),
     ];
     front_end.apply_list(&endpoints);
     let (target, _) = front_end.await_dispatch(&invocation_id(1));
-    assert_eq!(target, 1 - executor, "the peer at its new address");
+    assert_eq!(target, 1 - executor, "the listener at its new address");
     assert!(
         front_end.executors[executor]
             .lines_received("DO", "")
@@ -135,38 +141,38 @@
     );
 }
 
-/// An executor that reads nothing: lines made long before left for it whenever it read again.
+/// Lines encoded long ago used to be sent to an executor that had stopped reading as soon as it read again.
 #[test]
-fn what_the_kernel_does_not_take_is_asked_about_again_as_it_leaves() {
-    let (mut front_end, mut client) = warm(2);
+fn commands_that_the_kernel_did_not_accept_are_revalidated_before_they_are_written() {
+    let (mut front_end, mut client) = front_end_with_warm_executor(2);
     let executor_id = front_end
         .event_loop
         .host
         .pool
         .connections()
         .next()
-        .expect("one that stands")
+        .expect("a connection is open")
         .1
         .executor_id;
     let executor = index_of_executor(&front_end, executor_id);
-    // Nobody reads there until the kernel takes no byte more.
+    // Fills the kernel's buffers of connections that the executor does not read.
     for slot in connections_to(&front_end, executor_id) {
         let socket = &mut front_end
             .event_loop
             .host
             .pool
             .connection_mut(slot)
-            .expect("it stands")
+            .expect("the connection is open")
             .socket;
         while socket.waiting() == 0 {
             socket.out().extend_from_slice(&[b' '; 4096]);
-            socket.flush().expect("it stands");
+            socket.flush().expect("the connection is open");
         }
     }
     client
         .write_all(&invocation_frame(2, &invocation_id(2), "read"))
-        .expect("it stands");
-    front_end.poll_until("queued", |front_end| {
+        .expect("the connection is open");
+    front_end.poll_until("the second dispatch", |front_end| {
         front_end.event_loop.engine.counters().dispatches == 2
     });
     let endpoints = [
@@ -178,7 +184,7 @@
         ),
     ];
     front_end.apply_list(&endpoints);
-    // It reads again; the invocation goes to the other.
+    // The executor reads again, and the invocation goes to the other one.
     assert_eq!(front_end.await_dispatch(&invocation_id(2)).0, 1 - executor);
     assert!(
         front_end.executors[executor]
@@ -187,47 +193,48 @@
     );
 }
 
-/// A second answer to the first dispatch was taken for one to the next, which then counted as never run.
+/// A duplicate response to the first dispatch used to be attributed to the next one, which then counted as never run.
 #[test]
-fn a_second_answer_is_not_taken_for_one_to_the_next_dispatch() {
-    let (mut front_end, mut client) = warm(1);
+fn a_duplicate_response_is_not_attributed_to_the_next_dispatch() {
+    let (mut front_end, mut client) = front_end_with_warm_executor(1);
     client
         .write_all(&invocation_frame(2, &invocation_id(1), "command"))
-        .expect("it stands");
+        .expect("the connection is open");
     let (executor, connection) = front_end.await_dispatch(&invocation_id(1));
     front_end.executors[executor].respond(connection, "WAIT", &invocation_id(1));
-    front_end.poll_until("sent again", |front_end| {
+    front_end.poll_until("the second dispatch", |front_end| {
         front_end.executors[executor]
             .lines_received("DO", &invocation_id(1))
             .len()
             == 2
     });
-    // The second one comes late, by whichever connection the first went over.
+    // The duplicate arrives late, over the connection of the first dispatch.
     front_end.executors[executor].respond(connection, "WAIT", &invocation_id(1));
     let sent = front_end.executors[executor].lines_received("DO", &invocation_id(1));
     let second_connection = sent
         .into_iter()
         .find(|&other| other != connection)
-        .expect("over another connection");
+        .expect("the dispatch is sent on another connection");
     front_end.executors[executor].respond(second_connection, "DONE", &invocation_id(1));
-    let mut answers = vec![];
-    front_end.poll_until("answered", |_| {
-        answers.extend(read_frames(&mut client).0);
-        !answers.is_empty()
+    let mut responses = vec![];
+    front_end.poll_until("the response", |_| {
+        responses.extend(read_frames(&mut client).0);
+        !responses.is_empty()
     });
-    assert_eq!(answers, [(protocol::RESPONSE, 2, protocol::SUCCEEDED)]);
+    assert_eq!(responses, [(protocol::RESPONSE, 2, protocol::SUCCEEDED)]);
     assert_eq!(
         front_end.executors[executor]
             .lines_received("DO", &invocation_id(1))
             .len(),
         2,
-        "a non-idempotent one is out once at a time"
+        "a non-idempotent invocation has one dispatch in flight at a time"
     );
 }
 
-/// Writing met the reset first, and what the executor had answered before it was never read.
+/// A write that failed because of a reset used to close the connection, and the response that the executor had sent
+/// before the reset was never read.
 #[test]
-fn an_answer_before_a_reset_is_read_where_writing_meets_the_reset_first() {
+fn a_response_sent_before_a_reset_is_read_if_a_write_fails_first() {
     let mut front_end = TestFrontEnd::new(1, 128, |settings| {
         settings["specifics"]["loadControl"] = false.into()
     });
@@ -237,7 +244,7 @@
     let (socket, _) = front_end.executors[executor].connections.remove(connection);
     orchidtally_socket_io::break_on_close(&socket);
     drop(socket);
-    // Something is written there before anything is read.
+    // Queues output, so that the connection is written before it is read.
     let executor_id =
         orchidtally_platform_discovery::executor_id(&front_end.executors[executor].name);
     let now = front_end.event_loop.read_clock();
@@ -247,7 +254,7 @@
             .host
             .pool
             .connection_mut(slot)
-            .expect("it stands")
+            .expect("the connection is open")
             .queue
             .push_back(crate::executor_connection::QueuedCommand::Line(
                 b"\n".to_vec(),
@@ -255,21 +262,21 @@
         front_end.event_loop.host.pool.mark_dirty(slot);
     }
     front_end.event_loop.flush_all(now);
-    let mut answers = vec![];
-    front_end.poll_until("answered", |_| {
-        answers.extend(read_frames(&mut client).0);
-        !answers.is_empty()
+    let mut responses = vec![];
+    front_end.poll_until("the response", |_| {
+        responses.extend(read_frames(&mut client).0);
+        !responses.is_empty()
     });
-    assert_eq!(answers, [(protocol::RESPONSE, 1, protocol::SUCCEEDED)]);
+    assert_eq!(responses, [(protocol::RESPONSE, 1, protocol::SUCCEEDED)]);
 }
 
-/// It was not known any more that its cancel might be under way.
+/// The front end used to forget that the cancel of the earlier invocation with this id might still be in transit.
 #[test]
-fn an_id_taken_back_and_asked_again_at_once_waits_for_its_cancel() {
-    let (mut front_end, mut client) = warm(2);
+fn an_invocation_id_reused_right_after_a_cancel_waits_for_the_cancel() {
+    let (mut front_end, mut client) = front_end_with_warm_executor(2);
     client
         .write_all(&invocation_frame(2, &invocation_id(1), "read"))
-        .expect("it stands");
+        .expect("the connection is open");
     front_end.await_dispatch(&invocation_id(1));
     let mut cancel_and_invocation = vec![];
     protocol::write_frame(
@@ -281,13 +288,15 @@
         &[],
     );
     cancel_and_invocation.extend(invocation_frame(101, &invocation_id(1), "read"));
-    client.write_all(&cancel_and_invocation).expect("it stands");
-    front_end.poll_until("taken", |front_end| {
+    client
+        .write_all(&cancel_and_invocation)
+        .expect("the connection is open");
+    front_end.poll_until("the third admission", |front_end| {
         front_end.event_loop.engine.counters().admitted == 3
     });
     assert!(
         front_end.event_loop.host.has_delayed_dispatches(),
-        "the turn that gives the first up sends no second"
+        "no dispatch is sent in the poll that abandons the first one"
     );
     let sent = |front_end: &mut TestFrontEnd| {
         front_end
@@ -296,25 +305,27 @@
             .map(|executor| executor.lines_received("DO", &invocation_id(1)).len())
             .sum::<usize>()
     };
-    front_end.poll_until("sent again", |front_end| sent(front_end) == 2);
+    front_end.poll_until("the second dispatch", |front_end| sent(front_end) == 2);
 }
 
-/// Whether a connection is taken that the executor may be closing by now.
+/// A connection past its idle timeout is not used, because the executor may already be closing it.
 #[test]
-fn a_connection_idle_for_its_time_takes_nothing_though_it_was_not_closed_yet() {
+fn a_connection_past_its_idle_timeout_accepts_no_dispatch_before_it_is_closed() {
     let mut front_end = TestFrontEnd::new(1, 128, |settings| {
         settings["specifics"]["loadControl"] = false.into()
     });
     let mut client = front_end.connect_client();
     let (executor, connection) = front_end.invoke(&mut client, 1, "read");
     front_end.executors[executor].respond(connection, "DONE", &invocation_id(1));
-    front_end.poll_until("answered", |_| !read_frames(&mut client).0.is_empty());
-    // As if it had stood there idle; the look at what is overdue comes later.
+    front_end.poll_until("the response", |_| !read_frames(&mut client).0.is_empty());
+    // Dates the last use back by 14 s, and disables the sweep that would close the idle connection.
     let before = front_end.event_loop.read_clock() - 14.0;
     let pool = &mut front_end.event_loop.host.pool;
     let slots: Vec<usize> = pool.connections().map(|(slot, _)| slot).collect();
     for slot in slots {
-        pool.connection_mut(slot).expect("it stands").idle_since = before;
+        pool.connection_mut(slot)
+            .expect("the connection is open")
+            .idle_since = before;
     }
     front_end.event_loop.maintenance.postpone_sweeps();
     let (_, other) = front_end.invoke(&mut client, 2, "read");
--- a/crates/platform-frontend/src/tests/log_rate_limiter.rs
+++ b/crates/platform-frontend/src/tests/log_rate_limiter.rs
@@ -1,9 +1,9 @@
-//! Log lines within their budget.
+//! Rate limiting of log lines.
 
 use super::*;
 
 #[test]
-fn lines_past_the_budget_are_counted_and_told_with_the_next() {
+fn suppressed_lines_are_counted_and_reported_with_the_next_line() {
     let mut limiter = LogRateLimiter::default();
     let written = (0..30)
         .filter(|n| limiter.try_acquire(10.0 + f64::from(*n) / 100.0).is_some())
--- a/crates/platform-frontend/src/tests/mod.rs
+++ b/crates/platform-frontend/src/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, forced by the order of turns and of bytes: a front end in this thread, its clients and
-//! executors on loopback sockets that say and read just what a test wants.
+//! Race conditions, reproduced by controlling the order of polls and of bytes. The front end runs in the test's thread,
+//! and its clients and executors are loopback sockets that a test reads and writes explicitly.
 
 mod clients;
 mod disconnects;
@@ -16,21 +16,24 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::Instant;
 
-/// An executor's end: what came over each of its connections.
+/// A listening executor, with the data received over each of its connections.
 pub struct FakeExecutor {
     pub name: String,
     pub address: SocketAddr,
     listener: std::net::TcpListener,
     pub connections: Vec<(TcpStream, String)>,
-    /// Orders to load that were answered.
+    /// The number of load commands answered.
     pub load_commands_answered: usize,
 }
 
 impl FakeExecutor {
     fn new(n: usize) -> FakeExecutor {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        listener.set_nonblocking(true).expect("it can be");
-        let address = listener.local_addr().expect("it is bound");
+        let listener =
+            std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is available");
+        listener
+            .set_nonblocking(true)
+            .expect("the socket can be nonblocking");
+        let address = listener.local_addr().expect("the socket is bound");
         FakeExecutor {
             name: format!("s-{n}"),
             address,
@@ -40,22 +43,26 @@
         }
     }
 
-    /// Reads what has come by now.
+    /// Accepts connections and reads the data that has arrived.
     pub fn read(&mut self) {
         while let Ok((socket, _)) = self.listener.accept() {
-            socket.set_nonblocking(true).expect("it can be");
+            socket
+                .set_nonblocking(true)
+                .expect("the socket can be nonblocking");
             self.connections.push((socket, String::new()));
         }
         let mut bytes = vec![0; 256 * 1024];
         for (socket, received) in &mut self.connections {
             while let Ok(n @ 1..) = socket.read(&mut bytes) {
-                // Blanks that only fill the kernel's buffers are not kept: reading them over and over takes long.
+                // Drops the spaces that some tests send to fill the kernel's buffers, since parsing them repeatedly is
+                // slow.
                 received.push_str(String::from_utf8_lossy(&bytes[..n]).trim_matches(' '));
             }
         }
     }
 
-    /// Whole lines with a word and an id, and over which connection each came.
+    /// Returns the connection index of each complete line with this kind and id. An empty id matches every line of the
+    /// kind.
     pub fn lines_received(&mut self, kind: &str, id: &str) -> Vec<usize> {
         self.read();
         let matches = |line: &&str| {
@@ -75,20 +82,22 @@
             .collect()
     }
 
+    /// Sends a response line over one of the connections.
     pub fn respond(&mut self, connection: usize, kind: &str, id: &str) {
         let line = json!({"t": kind, "i": id, "f": {"tell": "warm"}, "b": ""}).to_string() + "\n";
         self.connections[connection]
             .0
             .write_all(line.as_bytes())
-            .expect("it stands");
+            .expect("the connection is open");
     }
 }
 
+/// A front end that is polled by the test, with its executors.
 pub struct TestFrontEnd {
     pub event_loop: EventLoop,
     events: Events,
     pub executors: Vec<FakeExecutor>,
-    /// It says nothing, and keeps its port from others.
+    /// A resolver that never answers. The socket keeps its port reserved.
     _resolver: UdpSocket,
     address: SocketAddr,
 }
@@ -105,7 +114,9 @@
 fn settings() -> Value {
     json!({
         "balancers": 1, "index": 0, "zone": 0, "zones": ["east"], "shapes": ["std"], "tick": 2e6,
-        "classes": [trigger_type("read", "pure"), trigger_type("update", "token"), trigger_type("command", "side_effect")],
+        "classes": [
+            trigger_type("read", "pure"), trigger_type("update", "token"), trigger_type("command", "side_effect"),
+        ],
         "limits": {"maxAttempts": 4, "cancel": true, "retryAfter": true, "maxRetryAfter": 1e9, "secondCopies": false,
             "maxOpen": 1000, "streamsPerConn": 32, "connectTimeout": 2e9, "idleClose": 1.5e10},
         "safety": {"cold": 1e9, "coldFrom": 0.2, "overloadFactor": 2.0, "fall": 1e9},
@@ -114,33 +125,38 @@
 }
 
 impl TestFrontEnd {
-    /// A front end that knows some executors, all ready.
+    /// Starts a front end whose initial endpoint list holds `executor_count` ready executors.
     pub fn new(
         executor_count: usize,
         max_descriptors: usize,
         change_settings: impl FnOnce(&mut Value),
     ) -> TestFrontEnd {
         let executors: Vec<FakeExecutor> = (0..executor_count).map(FakeExecutor::new).collect();
-        let resolver = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        let resolver = UdpSocket::bind("127.0.0.1:0").expect("a loopback port is available");
         let address = std::net::TcpListener::bind("127.0.0.1:0")
             .and_then(|listener| listener.local_addr())
-            .expect("a port");
+            .expect("a loopback port is available");
         let host = |executor: &FakeExecutor| {
-            json!({"host": executor.name, "dial": executor.address, "site": "east", "class": "std", "block": 1, "health": "SERVING",
-                "share": 4, "born_ms": 0})
+            json!({"host": executor.name, "dial": executor.address, "site": "east", "class": "std", "block": 1,
+                "health": "SERVING", "share": 4, "born_ms": 0})
         };
         let hosts: Vec<Value> = executors.iter().map(host).collect();
         let mut settings = settings();
         change_settings(&mut settings);
         let start_file = json!({
-            "name": "n0", "listen": address, "seed": "8c1f30d27a5be964", "dns": resolver.local_addr().expect("bound"),
+            "name": "n0", "listen": address, "seed": "8c1f30d27a5be964",
+            "dns": resolver.local_addr().expect("the socket is bound"),
             "limits": {"cores": 1.0, "memory_mb": 32, "sockets": max_descriptors}, "settings": settings,
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
         });
         let start = crate::start::parse("start.json", start_file.to_string().as_bytes())
-            .expect("it is sound");
-        let event_loop =
-            EventLoop::new(start, PathBuf::new(), Poll::new().expect("a poll")).expect("it starts");
+            .expect("the start file is valid");
+        let event_loop = EventLoop::new(
+            start,
+            PathBuf::new(),
+            Poll::new().expect("the poll can be created"),
+        )
+        .expect("the front end starts");
         TestFrontEnd {
             event_loop,
             events: Events::with_capacity(1024),
@@ -150,43 +166,52 @@
         }
     }
 
-    /// Tells whether the front end has ended.
+    /// Polls once, and returns whether the shutdown is complete.
     pub fn poll_once(&mut self) -> bool {
         self.event_loop
             .poll_once(&mut self.events, Vec::new)
-            .expect("a turn")
+            .expect("the poll succeeds")
     }
 
-    /// Turns until something is so.
+    /// Polls until a condition holds. `what` describes it in the failure message.
     pub fn poll_until(&mut self, what: &str, mut condition: impl FnMut(&mut TestFrontEnd) -> bool) {
         let started = Instant::now();
         while !condition(self) {
-            assert!(started.elapsed() < Duration::from_secs(20), "never: {what}");
+            assert!(
+                started.elapsed() < Duration::from_secs(20),
+                "timed out waiting for: {what}"
+            );
             self.poll_once();
         }
     }
 
+    /// Connects a client and polls until it is accepted.
     pub fn connect_client(&mut self) -> TcpStream {
-        let client = TcpStream::connect(self.address).expect("it listens");
-        client.set_nonblocking(true).expect("it can be");
+        let client = TcpStream::connect(self.address).expect("the front end listens");
+        client
+            .set_nonblocking(true)
+            .expect("the socket can be nonblocking");
         let before = self.event_loop.counters.accepted;
-        self.poll_until("accepted", |front_end| {
+        self.poll_until("the client to be accepted", |front_end| {
             front_end.event_loop.counters.accepted > before
         });
         client
     }
 
-    /// Sends an invocation and turns until an executor has its dispatch; tells which, and over which connection.
+    /// Sends an invocation and polls until an executor receives its dispatch. Returns the indexes of the executor and
+    /// of its connection.
     pub fn invoke(&mut self, client: &mut TcpStream, n: u64, trigger_type: &str) -> (usize, usize) {
         client
             .write_all(&invocation_frame(n as u32, &invocation_id(n), trigger_type))
-            .expect("it stands");
+            .expect("the connection is open");
         self.await_dispatch(&invocation_id(n))
     }
 
+    /// Polls until an executor receives a dispatch with this id, answering load commands. Returns the indexes of the
+    /// executor and of its connection.
     pub fn await_dispatch(&mut self, id: &str) -> (usize, usize) {
         let mut found = None;
-        self.poll_until("dispatched", |front_end| {
+        self.poll_until("a dispatch", |front_end| {
             front_end.answer_load_commands();
             let dispatch_at = |(index, executor): (usize, &mut FakeExecutor)| {
                 executor
@@ -201,10 +226,10 @@
                 .find_map(dispatch_at);
             found.is_some()
         });
-        found.expect("it was found")
+        found.expect("a dispatch was found")
     }
 
-    /// Answers each order to load that has come.
+    /// Answers the load commands that have arrived, and removes them from the received lines.
     pub fn answer_load_commands(&mut self) {
         for executor in &mut self.executors {
             executor.read();
@@ -225,17 +250,19 @@
                     .collect();
                 executor.load_commands_answered += load_commands.len();
                 for command in load_commands {
-                    let command: Value = serde_json::from_str(&command).expect("a line");
+                    let command: Value = serde_json::from_str(&command).expect("the line is JSON");
                     let response = json!({"t": "DONE", "i": command["i"], "f": {"count": 1}})
                         .to_string()
                         + "\n";
-                    socket.write_all(response.as_bytes()).expect("it stands");
+                    socket
+                        .write_all(response.as_bytes())
+                        .expect("the connection is open");
                 }
             }
         }
     }
 
-    /// A list as the resolver tells it: of these executors, draining or not, at these addresses.
+    /// Applies an endpoint list with these executors, their states and their addresses.
     pub fn apply_list(&mut self, rows: &[(usize, EndpointState, SocketAddr)]) {
         let discovered = |&(index, state, address): &(usize, EndpointState, SocketAddr)| {
             let name = self.executors[index].name.clone();
@@ -262,6 +289,7 @@
     }
 }
 
+/// Encodes an invocation frame for a stream.
 pub fn invocation_frame(stream: u32, id: &str, trigger_type: &str) -> Vec<u8> {
     let fields = [
         ("service", trigger_type),
@@ -283,10 +311,10 @@
     out
 }
 
-/// A frame's type, stream and code.
+/// The kind, stream and code of a frame.
 pub type ReceivedFrame = (u8, u32, u8);
 
-/// All frames that a client has got by now, and whether its connection has ended, and how.
+/// Reads the frames that have arrived at a client. Also returns how the connection ended, if it has ended.
 pub fn read_frames(client: &mut TcpStream) -> (Vec<ReceivedFrame>, Option<Result<(), ErrorKind>>) {
     let (mut bytes, mut received) = (vec![0; 256 * 1024], vec![]);
     let closed = loop {
--- a/crates/platform-frontend/src/tests/settings.rs
+++ b/crates/platform-frontend/src/tests/settings.rs
@@ -1,8 +1,9 @@
-//! Settings of one deployment, and of one customer, that must not bleed into another's.
+//! Settings of one deployment or customer must not affect another.
 
 use super::*;
 use crate::invocation_request::{InvocationOrigin, parse_invocation};
 
+/// Encodes the payload of an invocation frame, without its header.
 fn payload(customer: Option<&str>) -> Vec<u8> {
     let mut fields = vec![
         ("service", "read"),
@@ -17,7 +18,7 @@
     out.split_off(9)
 }
 
-/// The index of the customer that an invocation is of, or what its client is told.
+/// Returns the index of an invocation's customer, or the error text for its client.
 fn parsed_customer(front_end: &TestFrontEnd, payload: &[u8]) -> Result<usize, String> {
     let origin = InvocationOrigin {
         arrived_at: 1.0,
@@ -31,9 +32,9 @@
         .map_err(|error| error.to_string())
 }
 
-/// Every invocation was the first customer's, so that its share was used up by all of them.
+/// Every invocation used to count for the first customer, which used up that customer's quota.
 #[test]
-fn an_invocation_is_of_the_customer_that_it_names() {
+fn an_invocation_counts_for_the_customer_that_it_names() {
     let customer = |name: &str, quota: f64| json!({"name": name, "quotaRps": quota});
     let front_end = TestFrontEnd::new(1, 128, |settings| {
         settings["customers"] = json!([customer("a", 1.0), customer("b.x-1", 2.0)])
@@ -43,7 +44,11 @@
         (customer_index(Some("a")), customer_index(Some("b.x-1"))),
         (Ok(0), Ok(1))
     );
-    assert_eq!(customer_index(None), Ok(2), "it takes of nobody's share");
+    assert_eq!(
+        customer_index(None),
+        Ok(2),
+        "an invocation without a customer counts against no quota"
+    );
     assert_eq!(
         customer_index(Some("c")),
         Err("'project' names no customer".to_owned())
@@ -52,13 +57,13 @@
     assert_eq!(
         parsed_customer(&front_end, &payload(Some("c"))),
         Ok(0),
-        "none has a share"
+        "no customer is configured"
     );
 }
 
-/// Two deployments in one process, whichever comes first, decide as each does alone.
+/// Two front ends in one process behave as each does alone, whichever starts first.
 #[test]
-fn two_deployments_in_one_process_decide_as_each_does_alone() {
+fn front_ends_with_different_settings_in_one_process_are_independent() {
     let short_deadline_settings = |settings: &mut Value| {
         settings["classes"] = json!([
             trigger_type("read", "pure"),
@@ -70,12 +75,12 @@
         settings["limits"]["cancel"] = false.into();
         settings["specifics"]["loadControl"] = false.into();
     };
-    // What is decided on an invocation that nobody answers, and how long it may take.
+    // The number of load commands for an invocation that no executor answers, and whether its deadline is short.
     let load_commands_and_deadline = |front_end: &mut TestFrontEnd| {
         let mut client = front_end.connect_client();
         client
             .write_all(&invocation_frame(1, &invocation_id(1), "read"))
-            .expect("it stands");
+            .expect("the connection is open");
         front_end.await_dispatch(&invocation_id(1));
         let open_invocation = front_end
             .event_loop
@@ -83,7 +88,7 @@
             .invocations
             .iter()
             .next()
-            .expect("it is open");
+            .expect("the invocation is open");
         let time_left = open_invocation.timeout_at - front_end.event_loop.read_clock();
         (
             front_end
@@ -101,7 +106,7 @@
     ];
     assert_eq!(expected, [(1, false), (0, true)]);
     for unchanged_first in [true, false] {
-        let (mut a, mut b) = match unchanged_first {
+        let (mut first, mut second) = match unchanged_first {
             true => (
                 TestFrontEnd::new(2, 128, unchanged_settings),
                 TestFrontEnd::new(2, 128, short_deadline_settings),
@@ -111,12 +116,12 @@
                 TestFrontEnd::new(2, 128, unchanged_settings),
             ),
         };
-        let both = [
-            load_commands_and_deadline(&mut a),
-            load_commands_and_deadline(&mut b),
+        let outcomes = [
+            load_commands_and_deadline(&mut first),
+            load_commands_and_deadline(&mut second),
         ];
         assert_eq!(
-            both,
+            outcomes,
             if unchanged_first {
                 expected
             } else {
@@ -126,9 +131,9 @@
     }
 }
 
-/// What they say of cancels is kept: none is written where they are off, and nothing goes out twice at once.
+/// With cancellation disabled no cancel is written, and an invocation never has two dispatches in flight.
 #[test]
-fn where_cancels_are_off_none_is_written() {
+fn no_cancel_is_sent_if_cancellation_is_disabled() {
     let mut front_end = TestFrontEnd::new(1, 128, |settings| {
         settings["limits"]["cancel"] = false.into();
         settings["specifics"]["loadControl"] = false.into();
@@ -136,12 +141,12 @@
     });
     let mut client = front_end.connect_client();
     let (executor, _) = front_end.invoke(&mut client, 1, "read");
-    let mut answers = vec![];
-    front_end.poll_until("answered", |_| {
-        answers.extend(read_frames(&mut client).0);
-        !answers.is_empty()
+    let mut responses = vec![];
+    front_end.poll_until("the response", |_| {
+        responses.extend(read_frames(&mut client).0);
+        !responses.is_empty()
     });
-    assert_eq!(answers, [(protocol::RESPONSE, 1, protocol::THROTTLED)]);
+    assert_eq!(responses, [(protocol::RESPONSE, 1, protocol::THROTTLED)]);
     (0..3).for_each(|_| _ = front_end.poll_once());
     assert!(
         front_end.executors[executor]
--- a/crates/platform-frontend/tests/stored_formats.rs
+++ b/crates/platform-frontend/tests/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The file that a front end of the platform starts from is a format of others: its keys are read under their names.
+//! The platform writes the start file, so its keys and values have to be read under exactly these names.
 
 use orchidtally_platform_discovery::NameCounts;
 use orchidtally_platform_frontend::start::{StartConfig, read};
@@ -6,26 +6,27 @@
 use std::path::PathBuf;
 
 const SETTINGS: &str = include_str!("../../platform-config/tests/stored_formats/settings.json");
-const KNOWN: &str = include_str!("../../platform-discovery/tests/stored_formats/known.json");
+const INITIAL_ENDPOINTS: &str =
+    include_str!("../../platform-discovery/tests/stored_formats/known.json");
 
 fn start_file() -> Value {
     let parse = |text: &str| -> Value { serde_json::from_str(text).expect("the fixture is JSON") };
     let mut file = parse(include_str!("stored_formats/start.json"));
     file["settings"] = parse(SETTINGS);
-    file["known"] = parse(KNOWN);
+    file["known"] = parse(INITIAL_ENDPOINTS);
     file
 }
 
 fn read_file(name: &str, file: &Value) -> Result<StartConfig, String> {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}.json"));
-    std::fs::write(&path, file.to_string()).expect("the folder can be written to");
-    read(&path).map_err(|fault| fault.to_string())
+    std::fs::write(&path, file.to_string()).expect("the directory is writable");
+    read(&path).map_err(|error| error.to_string())
 }
 
 #[test]
-fn a_start_file_is_read_with_its_values() {
-    let start = read_file("whole", &start_file()).expect("it is sound");
+fn every_value_of_a_start_file_is_read() {
+    let start = read_file("whole", &start_file()).expect("the start file is valid");
     assert_eq!(
         (start.name.as_str(), start.listen.to_string()),
         ("lb-3", "127.0.0.1:7300".into())
@@ -41,7 +42,7 @@
     let names: Vec<&str> = start
         .initial_endpoints
         .iter()
-        .map(|entry| entry.name.as_str())
+        .map(|endpoint| endpoint.name.as_str())
         .collect();
     assert_eq!(
         (names, start.settings.max_open_invocations),
@@ -50,27 +51,29 @@
     assert_eq!(
         start.locations.name_counts(),
         NameCounts { zones: 4, kinds: 2 },
-        "the settings name two locations, the list two others"
+        "two zones from the settings and two from the endpoint list"
     );
 }
 
 #[test]
-fn each_key_of_a_start_file_is_needed() {
+fn every_key_of_a_start_file_is_required() {
     for key in [
         "name", "listen", "seed", "limits", "dns", "known", "settings",
     ] {
         let mut file = start_file();
-        file.as_object_mut().expect("an object").remove(key);
-        let fault = read_file(key, &file).err().expect(key);
-        assert!(fault.contains(&format!("missing field `{key}`")), "{fault}");
+        file.as_object_mut()
+            .expect("the value is an object")
+            .remove(key);
+        let error = read_file(key, &file).err().expect(key);
+        assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
     for key in ["memory_mb", "sockets"] {
         let mut file = start_file();
         file["limits"]
             .as_object_mut()
-            .expect("an object")
+            .expect("the value is an object")
             .remove(key);
-        let fault = read_file(key, &file).err().expect(key);
-        assert!(fault.contains(&format!("missing field `{key}`")), "{fault}");
+        let error = read_file(key, &file).err().expect(key);
+        assert!(error.contains(&format!("missing field `{key}`")), "{error}");
     }
 }
