--- a/crates/platform-frontend/src/event_loop/client_listener.rs
+++ b/crates/platform-frontend/src/event_loop/client_listener.rs
@@ -170,7 +170,7 @@
         let Some(mut client) = self.host.clients.try_remove(slot) else {
             return;
         };
-        // A socket that is gone already is not registered any more.
+        // Deregistering fails only if the socket is not registered, which is the desired state.
         let _ = self.poll.registry().deregister(&mut client.socket.stream);
     }
 
--- a/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/event_loop/graceful_shutdown.rs
@@ -6,15 +6,15 @@
 use tracing::info;
 
 /// Seconds after SIGTERM for which connections and invocations are still accepted. Clients keep connecting for up to
-/// 0.6 s; after this time they are sent a GO_AWAY frame and invocations are rejected at once. An invocation accepted
-/// more than 0.7 s after SIGTERM could outlast the process, which may be killed 0.7 s after the longest client timeout.
+/// 0.6 s. Then they are sent a GO_AWAY frame, and invocations are rejected at once, because one that arrives more than
+/// 0.7 s after SIGTERM could outlast the process, which may be killed 0.7 s after the longest client timeout.
 const ACCEPT_AFTER_SIGTERM: f64 = 0.65;
 /// Seconds without activity after which the process exits, so that clients can read their final responses. Input from a
 /// client that ignores GO_AWAY restarts the wait, which ends at the latest `EXIT_MARGIN` before the kill.
 const FINAL_RESPONSE_LINGER: f64 = 0.1;
-/// Seconds after SIGTERM, plus the longest client timeout, at which the process may be killed.
+/// The process may be killed this many seconds after SIGTERM plus the longest counted client timeout.
 const KILL_DELAY: f64 = 0.7;
-/// The longest client timeout in seconds that the platform takes into account before the kill.
+/// The upper bound in seconds on the client timeout that is counted for the kill.
 const MAX_COUNTED_CLIENT_TIMEOUT: f64 = 3.0;
 /// Seconds before the kill by which every open invocation is answered.
 const SHUTDOWN_MARGIN: f64 = 0.15;
--- a/crates/platform-frontend/src/tests/clients.rs
+++ b/crates/platform-frontend/src/tests/clients.rs
@@ -20,8 +20,8 @@
     );
 }
 
-/// The front end used not to read from a client with unread responses, so a cancel or a disconnect went unnoticed until
-/// the read stall timeout of 3 s.
+/// Guards against not reading from a client with unread responses, which leaves its cancels and its disconnect
+/// unnoticed until the read stall timeout of 3 s.
 #[test]
 fn cancels_and_disconnects_are_noticed_while_a_client_reads_nothing() {
     for closes in [false, true] {
@@ -115,7 +115,8 @@
     assert_eq!(front_end.event_loop.engine.open_invocations(), 0);
 }
 
-/// Closing a socket with unread input resets the connection, which could destroy the response with the protocol error.
+/// Guards against closing a socket with unread input, which resets the connection and can destroy the response with the
+/// protocol error.
 #[test]
 fn a_client_that_keeps_sending_after_a_protocol_error_gets_the_error_and_a_clean_close() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
@@ -167,7 +168,7 @@
     );
 }
 
-/// A connection with an invocation that had arrived but was not read yet used to be evicted as the longest idle one.
+/// Guards against evicting, as the longest idle one, a connection whose invocation has arrived but is not read yet.
 #[test]
 fn a_connection_with_an_unread_invocation_is_not_evicted_as_idle() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
@@ -192,7 +193,8 @@
     drop((other_clients, extra_client));
 }
 
-/// Hundreds of silent connections used to displace well-behaved clients that were idle between two invocations.
+/// Guards against hundreds of silent connections that displace well-behaved clients, which are idle between two
+/// invocations.
 #[test]
 fn silent_connections_are_evicted_before_an_idle_client_that_has_sent_frames() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
@@ -216,7 +218,7 @@
     drop(silent_clients);
 }
 
-/// A new connection used to be closed without a response, which clients count as a lost invocation.
+/// Guards against closing a new connection without a response, which counts as a lost invocation.
 #[test]
 fn a_new_client_is_throttled_if_every_connection_is_busy() {
     let mut front_end = TestFrontEnd::new(1, 48, |_| {});
@@ -272,7 +274,7 @@
     }
 }
 
-/// A front end without executors and without a reachable resolver used to report that it was not ready forever.
+/// Guards against a front end that never becomes ready because it has no executors and no reachable resolver.
 #[test]
 fn a_front_end_without_executors_becomes_ready_once_the_resolver_is_unreachable() {
     let mut front_end = TestFrontEnd::new(0, 128, |_| {});
--- a/crates/platform-frontend/src/tests/graceful_shutdown.rs
+++ b/crates/platform-frontend/src/tests/graceful_shutdown.rs
@@ -11,7 +11,7 @@
     front_end.event_loop.shutdown.set_started_at(now - 0.7);
 }
 
-/// The process used to exit before the rest of a partially received invocation arrived.
+/// Guards against exiting before the rest of a partially received invocation arrives.
 #[test]
 fn a_partially_received_invocation_is_answered_after_the_listener_closes() {
     let mut front_end = TestFrontEnd::new(1, 128, |_| {});
@@ -135,7 +135,7 @@
     );
 }
 
-/// An invocation whose client timeout ended after the kill used to be lost with the process.
+/// Guards against losing an invocation whose client timeout would expire only after the process may be killed.
 #[test]
 fn open_invocations_are_answered_before_the_process_may_be_killed() {
     let mut front_end = TestFrontEnd::new(2, 128, |_| {});
--- a/crates/platform-frontend/src/tests/in_transit.rs
+++ b/crates/platform-frontend/src/tests/in_transit.rs
@@ -59,8 +59,8 @@
         .expect("the executor exists")
 }
 
-/// A load command that was valid when it was issued used to be sent to an executor that was draining by the time its
-/// connection was established.
+/// Guards against sending a load command that was valid when it was issued, but whose executor is draining by the time
+/// the connection is established.
 #[test]
 fn a_load_command_on_a_pending_connection_is_withheld_once_its_executor_drains() {
     let mut front_end = TestFrontEnd::new(2, 128, |_| {});
@@ -117,7 +117,7 @@
     );
 }
 
-/// Queued commands used to go to the executor that had taken over the address.
+/// Guards against sending queued commands to a different executor that has taken over the address.
 #[test]
 fn commands_queued_for_an_executor_that_moves_go_to_its_new_address() {
     let mut front_end = TestFrontEnd::new(2, 128, |settings| {
@@ -141,7 +141,7 @@
     );
 }
 
-/// Lines encoded long ago used to be sent to an executor that had stopped reading as soon as it read again.
+/// Guards against outdated lines: an executor that has stopped reading would receive them as soon as it reads again.
 #[test]
 fn commands_that_the_kernel_did_not_accept_are_revalidated_before_they_are_written() {
     let (mut front_end, mut client) = front_end_with_warm_executor(2);
@@ -193,7 +193,7 @@
     );
 }
 
-/// A duplicate response to the first dispatch used to be attributed to the next one, which then counted as never run.
+/// Guards against attributing a duplicate response to the next dispatch, which would then count as never run.
 #[test]
 fn a_duplicate_response_is_not_attributed_to_the_next_dispatch() {
     let (mut front_end, mut client) = front_end_with_warm_executor(1);
@@ -231,8 +231,8 @@
     );
 }
 
-/// A write that failed because of a reset used to close the connection, and the response that the executor had sent
-/// before the reset was never read.
+/// Guards against losing a response that the executor sent before a reset, if a write meets the reset before the
+/// response is read.
 #[test]
 fn a_response_sent_before_a_reset_is_read_if_a_write_fails_first() {
     let mut front_end = TestFrontEnd::new(1, 128, |settings| {
@@ -270,7 +270,7 @@
     assert_eq!(responses, [(protocol::RESPONSE, 1, protocol::SUCCEEDED)]);
 }
 
-/// The front end used to forget that the cancel of the earlier invocation with this id might still be in transit.
+/// Guards against forgetting that the cancel of an earlier invocation with the same id may still be in transit.
 #[test]
 fn an_invocation_id_reused_right_after_a_cancel_waits_for_the_cancel() {
     let (mut front_end, mut client) = front_end_with_warm_executor(2);
--- a/crates/platform-frontend/src/tests/resolver.rs
+++ b/crates/platform-frontend/src/tests/resolver.rs
@@ -94,8 +94,8 @@
     assert_eq!(client.next_query_at(), 1.2 + POLL_INTERVAL);
 }
 
-/// A list that the previous resolver had sent before the switch used to be dropped unread with its socket, although the
-/// front end is expected to know it.
+/// Guards against dropping the socket of the previous resolver with an unread list, which the front end is expected to
+/// know.
 #[test]
 fn answers_of_the_previous_resolver_are_used_until_the_new_one_answers() {
     let bind_resolver = || {
--- a/crates/platform-frontend/src/tests/settings.rs
+++ b/crates/platform-frontend/src/tests/settings.rs
@@ -32,7 +32,7 @@
         .map_err(|error| error.to_string())
 }
 
-/// Every invocation used to count for the first customer, which used up that customer's quota.
+/// Guards against counting every invocation for the first customer, which uses up that customer's quota.
 #[test]
 fn an_invocation_counts_for_the_customer_that_it_names() {
     let customer = |name: &str, quota: f64| json!({"name": name, "quotaRps": quota});
