--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -1,45 +1,45 @@
-//! Why settings can't be used, and what to do about it.
+//! The error type of this crate.
 
 use thiserror::Error;
 
-/// Why settings can't be used; the text names the key and the remedy.
+/// Why settings can't be used. The message names the key and what to write there.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The bytes are not JSON.
-    #[error("settings are not JSON: {0}; write them as one JSON object")]
+    #[error("settings are not JSON: {0}; expected one JSON object")]
     NotJson(#[source] serde_json::Error),
-    /// A key is missing.
-    #[error("settings lack '{key}'; add it")]
+    /// A required key is missing.
+    #[error("setting '{key}' is missing; add it")]
     MissingKey {
         /// The key.
         key: String,
     },
-    /// A value has another type.
-    #[error("setting '{key}' is not {expected}; write one")]
+    /// A value has the wrong type.
+    #[error("setting '{key}' must be {expected}")]
     WrongType {
         /// The key.
         key: String,
-        /// The type that is expected.
+        /// The expected type, with its article.
         expected: &'static str,
     },
     /// A number is out of range.
-    #[error("setting '{key}' is {value}; {bounds} is expected")]
+    #[error("setting '{key}' is {value}; expected {bounds}")]
     OutOfRange {
         /// The key.
         key: String,
-        /// Its value.
+        /// The value.
         value: f64,
-        /// The range.
+        /// The allowed range, in words.
         bounds: String,
     },
-    /// A name is none of those that are known.
-    #[error("setting '{key}' has an unknown value '{value}'; {known} are known")]
+    /// A value is not one of the allowed names.
+    #[error("setting '{key}' has an unknown value '{value}'; expected one of {known}")]
     UnknownValue {
         /// The key.
         key: String,
-        /// Its value.
+        /// The value.
         value: String,
-        /// The values that are known.
+        /// The allowed values, separated by commas.
         known: String,
     },
 }
--- a/crates/platform-config/src/front_end.rs
+++ b/crates/platform-config/src/front_end.rs
@@ -1,55 +1,57 @@
-//! The settings of a front end on sockets.
+//! The settings of the platform's front end, the process that serves clients over sockets.
 
 use crate::SettingsError;
 use crate::policy::policy_config;
-use crate::value::{customers, is_present, list, names, number_within, seconds, seconds_or, texts};
+use crate::value::{
+    customers, is_present, list, names, number_within, seconds, seconds_or, strings,
+};
 use orchidtally_dispatch_policy::interface::PolicyConfig;
 use serde_json::Value;
 
-/// The most invocations that may be open, whatever the settings tell.
+/// The upper bound on open invocations, whatever the settings allow.
 const MAX_OPEN_INVOCATIONS: f64 = 1e6;
-/// The most streams of a connection, whatever the settings tell.
-const MAX_STREAMS: f64 = 1e4;
+/// The upper bound on streams per connection, whatever the settings allow.
+const MAX_STREAMS_PER_CONNECTION: f64 = 1e4;
 
-/// What the platform's front end reads from the settings.
+/// The settings that the platform's front end uses.
 #[derive(Clone, Debug)]
 pub struct FrontEndSettings {
     /// The configuration of the dispatch policy.
     pub policy: PolicyConfig,
     /// The names of the trigger types, by the policy's index.
     pub trigger_types: Vec<String>,
-    /// The names of the customers with a quota, by the policy's index; some deployments have none.
+    /// The names of the customers with a quota, by the policy's index; empty if the settings name none.
     pub customers: Vec<String>,
     /// The names of the zones, by the policy's index.
     pub zones: Vec<String>,
     /// The names of the executor kinds, by the policy's index.
     pub executor_kinds: Vec<String>,
-    /// The fields of the executors' load reports, in the policy's order.
+    /// The names of the fields of load reports, in the policy's order; empty if the settings name none.
     pub load_report_fields: Vec<String>,
-    /// Invocations that may be open at once.
+    /// The maximum number of invocations that are open at the same time.
     pub max_open_invocations: usize,
-    /// Dispatches that may be open at once on a connection to an executor.
+    /// The maximum number of dispatches that are open at the same time on a connection to an executor.
     pub max_streams_per_connection: usize,
-    /// Seconds within which a connection to an executor has to be made.
+    /// The timeout of connection attempts to executors, in seconds.
     pub connect_timeout: f64,
-    /// Seconds after which executors close an idle connection.
+    /// The time in seconds after which executors close an idle connection.
     pub idle_timeout: f64,
-    /// Seconds after which a load command without an answer has timed out.
+    /// The timeout of load commands, in seconds; infinite if the settings have none.
     pub load_command_timeout: f64,
 }
 
-/// Reads the settings of a front end on sockets.
+/// Reads the settings of a front end from the platform's settings object.
 ///
 /// # Errors
-/// A key is missing, of another type or out of range; the error names the key.
+/// A key is missing, or a value has the wrong type or is out of range; the error names the key.
 pub fn front_end_settings(settings: &Value) -> Result<FrontEndSettings, SettingsError> {
     let classes = list(settings, "classes")?;
     Ok(FrontEndSettings {
         policy: policy_config(settings)?,
         trigger_types: names(classes)?,
         customers: names(customers(settings)?)?,
-        zones: texts(settings, "zones")?,
-        executor_kinds: texts(settings, "shapes")?,
+        zones: strings(settings, "zones")?,
+        executor_kinds: strings(settings, "shapes")?,
         load_report_fields: load_report_fields(settings)?,
         max_open_invocations: number_within(settings, "limits.maxOpen", 1.0, f64::INFINITY)?
             .min(MAX_OPEN_INVOCATIONS) as usize,
@@ -59,7 +61,7 @@
             1.0,
             f64::INFINITY,
         )?
-        .min(MAX_STREAMS) as usize,
+        .min(MAX_STREAMS_PER_CONNECTION) as usize,
         connect_timeout: seconds(settings, "limits.connectTimeout")?,
         idle_timeout: seconds(settings, "limits.idleClose")?,
         load_command_timeout: seconds_or(settings, "specifics.answerWithin", f64::INFINITY)?,
@@ -68,7 +70,7 @@
 
 fn load_report_fields(settings: &Value) -> Result<Vec<String>, SettingsError> {
     if is_present(settings, "feedback.fields") {
-        texts(settings, "feedback.fields")
+        strings(settings, "feedback.fields")
     } else {
         Ok(vec![])
     }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's settings object, read into the `PolicyConfig` of the dispatch policy and the settings of a front end.
+//! Reads the platform's settings object into the `PolicyConfig` of the dispatch policy and the settings of a front end.
 //!
-//! The simulator's adapter and the front end on sockets read their settings here. Durations become seconds.
+//! Used by the simulator adapter and by the platform's front end. Durations are converted to seconds.
 
 mod error;
 mod front_end;
--- a/crates/platform-config/src/value.rs
+++ b/crates/platform-config/src/value.rs
@@ -1,12 +1,12 @@
-//! Typed access to the values of the settings object, by keys with dots between their parts.
+//! Typed access to the values of the settings object. A key is a path whose parts are separated by dots.
 
 use crate::SettingsError;
 use serde_json::Value;
 
-/// Nanoseconds in a second: the settings tell durations in nanoseconds.
-const NANOSECONDS: f64 = 1e9;
+/// The settings give durations in nanoseconds.
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// The value of a key.
+/// The value of a key; an error if the key is missing.
 pub(crate) fn required<'a>(value: &'a Value, key: &str) -> Result<&'a Value, SettingsError> {
     key.split('.')
         .try_fold(value, |value, part| value.get(part))
@@ -24,7 +24,7 @@
         .ok_or_else(|| SettingsError::wrong_type(key, "a number"))
 }
 
-/// A number within bounds.
+/// A number between `min` and `max`, both inclusive.
 pub(crate) fn number_within(
     value: &Value,
     key: &str,
@@ -48,33 +48,38 @@
 }
 
 /// A number that is not negative.
-pub(crate) fn amount(value: &Value, key: &str) -> Result<f64, SettingsError> {
+pub(crate) fn non_negative(value: &Value, key: &str) -> Result<f64, SettingsError> {
     number_within(value, key, 0.0, f64::INFINITY)
 }
 
 /// A duration in seconds.
 pub(crate) fn seconds(value: &Value, key: &str) -> Result<f64, SettingsError> {
-    Ok(amount(value, key)? / NANOSECONDS)
+    Ok(non_negative(value, key)? / NANOSECONDS_PER_SECOND)
 }
 
-/// A number that is not negative, or a default where the key is absent.
-pub(crate) fn amount_or(value: &Value, key: &str, default: f64) -> Result<f64, SettingsError> {
+/// A number that is not negative; `default` if the key is absent.
+pub(crate) fn non_negative_or(
+    value: &Value,
+    key: &str,
+    default: f64,
+) -> Result<f64, SettingsError> {
     if is_present(value, key) {
-        amount(value, key)
+        non_negative(value, key)
     } else {
         Ok(default)
     }
 }
 
-/// A duration in seconds, or a default in nanoseconds where the key is absent.
+/// A duration in seconds. If the key is absent, `default` applies, which is in nanoseconds.
 pub(crate) fn seconds_or(value: &Value, key: &str, default: f64) -> Result<f64, SettingsError> {
-    Ok(amount_or(value, key, default)? / NANOSECONDS)
+    Ok(non_negative_or(value, key, default)? / NANOSECONDS_PER_SECOND)
 }
 
-/// Whether a setting with two values has the second; it has the first where the key is absent.
+/// Whether a setting with two possible values has the second one. An absent key counts as the first value. Any other
+/// value is an error.
 ///
-/// Failure mode: a third value would count as the first.
-pub(crate) fn is_second(
+/// Failure mode: without that check, a misspelt second value would count as the first.
+pub(crate) fn has_second_value(
     value: &Value,
     key: &str,
     values: [&str; 2],
@@ -82,7 +87,7 @@
     if !is_present(value, key) {
         return Ok(false);
     }
-    let found = text(value, key)?;
+    let found = string(value, key)?;
     values
         .iter()
         .position(|value| *value == found)
@@ -90,8 +95,8 @@
         .ok_or_else(|| SettingsError::unknown_value(key, found, &values))
 }
 
-/// A truth value; false where the key is absent.
-pub(crate) fn flag(value: &Value, key: &str) -> Result<bool, SettingsError> {
+/// A boolean; false if the key is absent.
+pub(crate) fn boolean_or_false(value: &Value, key: &str) -> Result<bool, SettingsError> {
     match required(value, key) {
         Err(_) => Ok(false),
         Ok(found) => found
@@ -100,11 +105,11 @@
     }
 }
 
-/// A text.
-pub(crate) fn text<'a>(value: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
+/// A string.
+pub(crate) fn string<'a>(value: &'a Value, key: &str) -> Result<&'a str, SettingsError> {
     required(value, key)?
         .as_str()
-        .ok_or_else(|| SettingsError::wrong_type(key, "a text"))
+        .ok_or_else(|| SettingsError::wrong_type(key, "a string"))
 }
 
 /// A list.
@@ -115,16 +120,16 @@
     Ok(found)
 }
 
-/// A list of texts.
-pub(crate) fn texts(value: &Value, key: &str) -> Result<Vec<String>, SettingsError> {
+/// A list of strings.
+pub(crate) fn strings(value: &Value, key: &str) -> Result<Vec<String>, SettingsError> {
     list(value, key)?
         .iter()
         .map(|item| item.as_str().map(str::to_owned))
         .collect::<Option<_>>()
-        .ok_or_else(|| SettingsError::wrong_type(key, "a list of texts"))
+        .ok_or_else(|| SettingsError::wrong_type(key, "a list of strings"))
 }
 
-/// The customers, if the settings have any.
+/// The customers; empty if the settings have none.
 pub(crate) fn customers(settings: &Value) -> Result<&[Value], SettingsError> {
     if is_present(settings, "customers") {
         list(settings, "customers")
@@ -133,10 +138,10 @@
     }
 }
 
-/// The names of the objects in a list.
+/// The values of `name` in a list of objects.
 pub(crate) fn names(objects: &[Value]) -> Result<Vec<String>, SettingsError> {
     objects
         .iter()
-        .map(|object| text(object, "name").map(str::to_owned))
+        .map(|object| string(object, "name").map(str::to_owned))
         .collect()
 }
--- a/crates/platform-config/tests/settings.rs
+++ b/crates/platform-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Each setting at its edges, absent and malformed: read, or named in what is told.
+//! Settings at the bounds of their ranges, absent or malformed: they are read, or the error names the key.
 
 use orchidtally_dispatch_policy::interface::PolicyConfig;
 use orchidtally_platform_config::{front_end_settings, parse_policy_config};
@@ -20,28 +20,28 @@
     })
 }
 
-/// The settings with one of them changed, or without it.
-fn with(pointer: &str, value: Option<Value>) -> Value {
-    let mut all = settings();
-    let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-    let place = all
-        .pointer_mut(place)
+/// The settings with the value at a JSON pointer replaced, or removed if `value` is `None`.
+fn settings_with(pointer: &str, value: Option<Value>) -> Value {
+    let mut settings = settings();
+    let (parent, key) = pointer.rsplit_once('/').expect("a JSON pointer");
+    let parent = settings
+        .pointer_mut(parent)
         .and_then(Value::as_object_mut)
-        .expect("a place in the settings");
+        .expect("an object in the settings");
     match value {
-        Some(value) => place.insert(key.to_owned(), value),
-        None => place.remove(key),
+        Some(value) => parent.insert(key.to_owned(), value),
+        None => parent.remove(key),
     };
-    all
+    settings
 }
 
 fn policy(settings: &Value) -> Result<PolicyConfig, String> {
-    parse_policy_config(settings.to_string().as_bytes()).map_err(|fault| fault.to_string())
+    parse_policy_config(settings.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
 #[test]
-fn what_is_out_of_range_or_of_the_wrong_form_is_named() {
-    let amounts = [
+fn errors_name_keys_that_are_out_of_range_or_of_the_wrong_type() {
+    let non_negative = [
         "/tick",
         "/balancers",
         "/index",
@@ -69,26 +69,26 @@
         ("/limits/maxAttempts", 0.0),
         ("/safety/coldFrom", 1.01),
     ];
-    let far = bounded.map(|(pointer, value)| (pointer, json!(value)));
-    let under = amounts
+    let out_of_bounds = bounded.map(|(pointer, value)| (pointer, json!(value)));
+    let negative = non_negative
         .iter()
         .chain(bounded.iter().map(|b| &b.0))
         .map(|&pointer| (pointer, json!(-1e-9)));
-    let odd = amounts.iter().map(|&pointer| (pointer, json!("5")));
-    for (pointer, value) in far.into_iter().chain(under).chain(odd) {
-        let fault = policy(&with(pointer, Some(value.clone()))).expect_err(pointer);
+    let strings = non_negative.iter().map(|&pointer| (pointer, json!("5")));
+    for (pointer, value) in out_of_bounds.into_iter().chain(negative).chain(strings) {
+        let error = policy(&settings_with(pointer, Some(value.clone()))).expect_err(pointer);
         let key = pointer.rsplit('/').next().expect("a key");
-        assert!(fault.contains(key), "{pointer} as {value}: {fault}");
+        assert!(error.contains(key), "{pointer} as {value}: {error}");
     }
-    for pointer in amounts {
-        policy(&with(pointer, Some(json!(0)))).expect(pointer);
+    for pointer in non_negative {
+        policy(&settings_with(pointer, Some(json!(0)))).expect(pointer);
     }
     for (pointer, value) in [
         ("/zone", 255),
         ("/limits/maxAttempts", 1),
         ("/limits/maxAttempts", 1_000),
     ] {
-        policy(&with(pointer, Some(json!(value)))).expect(pointer);
+        policy(&settings_with(pointer, Some(json!(value)))).expect(pointer);
     }
     for pointer in [
         "/limits/maxOpen",
@@ -96,30 +96,30 @@
         "/limits/connectTimeout",
         "/limits/idleClose",
     ] {
-        let fault = front_end_settings(&with(pointer, Some(json!(-1))))
+        let error = front_end_settings(&settings_with(pointer, Some(json!(-1))))
             .expect_err(pointer)
             .to_string();
-        assert!(fault.contains(&pointer[8..]), "{fault}");
+        assert!(error.contains(&pointer[8..]), "{error}");
     }
 }
 
 #[test]
-fn unknown_kinds_are_named_and_not_held_for_the_usual_ones() {
-    let kinds = [
+fn unknown_values_are_rejected_instead_of_counting_as_the_default() {
+    let two_valued = [
         ("/registryMode", "push", "ask"),
         ("/valueBy", "request", "work"),
         ("/specifics/notLoaded", "load", "miss"),
     ];
-    for (pointer, first, second) in kinds {
+    for (pointer, first, second) in two_valued {
         for value in [json!("other"), json!(7), json!(null)] {
-            let fault = policy(&with(pointer, Some(value))).expect_err(pointer);
+            let error = policy(&settings_with(pointer, Some(value))).expect_err(pointer);
             assert!(
-                fault.contains(pointer.rsplit('/').next().expect("a key")),
-                "{fault}"
+                error.contains(pointer.rsplit('/').next().expect("a key")),
+                "{error}"
             );
         }
-        let of = |value: Option<Value>| {
-            let policy = policy(&with(pointer, value)).expect(pointer);
+        let has_second_value = |value: Option<Value>| {
+            let policy = policy(&settings_with(pointer, value)).expect(pointer);
             [
                 policy.polls_endpoints,
                 policy.bills_by_work,
@@ -128,7 +128,9 @@
             .contains(&true)
         };
         assert!(
-            !of(Some(first.into())) && of(Some(second.into())) && !of(None),
+            !has_second_value(Some(first.into()))
+                && has_second_value(Some(second.into()))
+                && !has_second_value(None),
             "{pointer}"
         );
     }
@@ -137,7 +139,7 @@
         ("/classes/0/dedupScope", "other"),
     ] {
         assert!(
-            policy(&with(pointer, Some(value.into())))
+            policy(&settings_with(pointer, Some(value.into())))
                 .expect_err(pointer)
                 .contains("unknown value")
         );
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn what_may_be_absent_may_and_what_is_not_known_is_passed_over() {
+fn optional_keys_may_be_absent_and_unknown_keys_are_ignored() {
     let optional = [
         "/balancers",
         "/index",
@@ -163,7 +165,7 @@
         "/specifics",
     ];
     for pointer in optional {
-        policy(&with(pointer, None)).expect(pointer);
+        policy(&settings_with(pointer, None)).expect(pointer);
     }
     for pointer in [
         "/tick",
@@ -173,14 +175,14 @@
         "/safety/cold",
         "/limits/maxAttempts",
     ] {
-        let fault = policy(&with(pointer, None)).expect_err(pointer);
+        let error = policy(&settings_with(pointer, None)).expect_err(pointer);
         assert!(
-            fault.contains(pointer.rsplit('/').next().expect("a key")),
-            "{fault}"
+            error.contains(pointer.rsplit('/').next().expect("a key")),
+            "{error}"
         );
     }
-    for pointer in ["/surprise", "/classes/0/surprise", "/specifics/surprise"] {
-        let policy = policy(&with(pointer, Some(json!({"a": []})))).expect(pointer);
+    for pointer in ["/unknown", "/classes/0/unknown", "/specifics/unknown"] {
+        let policy = policy(&settings_with(pointer, Some(json!({"a": []})))).expect(pointer);
         assert_eq!(
             (
                 policy.front_ends,
--- a/crates/sim-adapter/tests/frames.rs
+++ b/crates/sim-adapter/tests/frames.rs
@@ -137,7 +137,7 @@
     );
     assert!(error_of(&[start(SETTINGS), record(1, &[0, 0, 1])]).contains("record 1, byte"));
     assert!(error_of(&[start(SETTINGS), record(99, &[0, 0])]).contains("no event has code 99"));
-    assert!(error_of(&[start("{}")]).contains("settings lack 'classes'"));
+    assert!(error_of(&[start("{}")]).contains("setting 'classes' is missing"));
     assert!(error_of(&[start("nonsense")]).contains("settings are not JSON"));
     assert!(
         error_of(&[start(
