--- a/crates/platform-discovery/src/answer.rs
+++ b/crates/platform-discovery/src/answer.rs
@@ -1,4 +1,4 @@
-//! The resolver's DNS messages: the query for the endpoint list, and its answer.
+//! Encodes the DNS query for the endpoint list and parses the resolver's answer.
 
 use crate::{DiscoveredEndpoint, LocationTable, SERVICE, executor_id, started_at};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
@@ -8,100 +8,100 @@
 use std::net::{IpAddr, SocketAddr};
 use thiserror::Error;
 
-/// The weight of an SRV record for a weight of one.
+/// The weight of an SRV record that corresponds to an endpoint weight of 1.
 const WEIGHT_SCALE: f64 = 10.0;
 
-/// A whole endpoint list, and the number of the last event in it.
+/// A complete endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The serial of the SOA record.
+    /// The serial of the SOA record: the number of the last event that the list reflects.
     pub serial: u32,
-    /// Every executor on the list.
+    /// All executors on the list.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// The state of an endpoint of which nothing else could be read.
+/// The state of an executor whose other attributes could not be read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointStateOnly {
-    /// The executor's id.
+    /// The executor's name.
     pub name: String,
-    /// Ready or draining.
+    /// The state: ready or draining.
     pub state: EndpointState,
 }
 
-/// An endpoint list that tells the state of every executor, but not all of the rest.
+/// An endpoint list of which the state of every executor could be read, but not all other attributes.
 #[derive(Clone, Debug)]
 pub struct PartialEndpointList {
     /// The serial of the SOA record.
     pub serial: u32,
-    /// The endpoints that could be read.
+    /// The endpoints that could be read completely.
     pub endpoints: Vec<DiscoveredEndpoint>,
-    /// The others.
+    /// The executors of which only the state could be read.
     pub state_only: Vec<EndpointStateOnly>,
-    /// The table of locations with those that the endpoints name; to be taken over together with these.
+    /// The location table to which the indices of `endpoints` refer. A caller that uses the endpoints must use it too.
     pub locations: LocationTable,
 }
 
-/// What is wrong with the records of one executor; the text names it.
+/// What is wrong with the records of an executor. The message names the executor.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidRecord {
-    /// There is no address.
-    #[error("'{0}' has no address")]
+    /// The executor has no A record.
+    #[error("'{0}' has no A record")]
     MissingAddress(String),
-    /// There is no text record.
-    #[error("'{0}' has no text")]
+    /// The executor has no TXT record.
+    #[error("'{0}' has no TXT record")]
     MissingText(String),
-    /// The text record lacks an attribute.
-    #[error("'{name}' has no '{key}'")]
+    /// The TXT record lacks an attribute.
+    #[error("'{name}' has no attribute '{key}' in its TXT record")]
     MissingAttribute {
-        /// The executor.
+        /// The executor's name.
         name: String,
-        /// The attribute.
+        /// The attribute's key.
         key: &'static str,
     },
-    /// The start is no finite number.
-    #[error("'started' of '{0}' is no number")]
+    /// The start time is not a finite number.
+    #[error("'started' of '{0}' is not a finite number")]
     InvalidStart(String),
-    /// The cell is no number that fits.
-    #[error("'cell' of '{0}' is no number of a cell")]
+    /// The cell is not a number, or is out of range.
+    #[error("'cell' of '{0}' is not a number from 0 to 65535")]
     InvalidCell(String),
 }
 
-/// Why an answer is no whole list.
+/// Why an answer is not a complete endpoint list. The message says what to check.
 #[derive(Debug, Error)]
 pub enum AnswerError {
-    /// The bytes are no DNS message.
-    #[error("unreadable: {0}; see what lies between here and the resolver")]
+    /// The bytes are not a DNS message, or a query can't be encoded.
+    #[error("not a valid DNS message: {0}; check the network path to the resolver")]
     Malformed(#[source] simple_dns::SimpleDnsError),
-    /// It has another id, is a query, or answers another question.
-    #[error("not the answer to what was asked; see who else sends from the resolver's address")]
+    /// The message has another id, is a query, or answers another question.
+    #[error("does not answer the query; check what else sends from the resolver's address")]
     Unrelated,
-    /// The resolver left something out.
-    #[error("truncated; the list is longer than the resolver's answers may be")]
+    /// The resolver truncated the answer.
+    #[error("truncated; the list exceeds the resolver's maximum answer length")]
     Truncated,
-    /// The resolver failed.
-    #[error("failed: {0:?}; see the resolver's log")]
+    /// The resolver reported an error.
+    #[error("the resolver reported {0:?}; check its log")]
     ResolverError(RCODE),
     /// There is no SOA record.
-    #[error("without a serial; the authority section needs a SOA record")]
+    #[error("no serial; the authority section must contain an SOA record")]
     MissingSerial,
-    /// A target's name does not tell an id and a location.
-    #[error("a target without a location; names are ID.LOCATION.hosts")]
+    /// The name of a target does not contain an id and a location.
+    #[error("target without a location; target names have the form ID.LOCATION.hosts")]
     MissingLocation,
-    /// The state of every executor could be read, but not all of the rest.
-    #[error("{reason}; correct that row at the resolver")]
+    /// The state of every executor could be read, but not all other attributes.
+    #[error("{reason}; correct the executor's records at the resolver")]
     InvalidRecord {
-        /// What is wrong with the first such executor.
+        /// What is wrong with the first executor whose records are invalid.
         reason: InvalidRecord,
-        /// What could be read.
+        /// The part of the list that could be read.
         list: Box<PartialEndpointList>,
     },
 }
 
-/// Builds a query for the whole list under an id.
+/// Encodes the query for the endpoint list, with the given query id.
 ///
 /// # Errors
-/// The message can't be encoded.
+/// The query can't be encoded.
 pub fn build_query(id: u16) -> Result<Vec<u8>, AnswerError> {
     let name = Name::new(SERVICE).map_err(AnswerError::Malformed)?;
     let mut packet = Packet::new_query(id);
@@ -114,25 +114,26 @@
     packet.build_bytes_vec().map_err(AnswerError::Malformed)
 }
 
-/// The labels of a name in lower case.
+/// The labels of a domain name, in lower case.
 fn labels(name: &Name) -> Vec<String> {
     name.get_labels()
         .iter()
-        .map(|l| l.to_string().to_ascii_lowercase())
+        .map(|label| label.to_string().to_ascii_lowercase())
         .collect()
 }
 
-/// Parses the answer to the query with an id.
+/// Parses the answer to the query with the id `query_id`, and adds the names of new zones and kinds to `locations`.
 ///
 /// # Errors
-/// The answer is not a whole list: what it leaves out would count as gone. `locations` is unchanged then.
+/// The answer is not a complete list. It can't be used as one, because executors that are missing from a list count as
+/// gone. `locations` is unchanged in this case.
 pub fn parse_answer(
     bytes: &[u8],
-    id_asked: u16,
+    query_id: u16,
     locations: &mut LocationTable,
 ) -> Result<EndpointList, AnswerError> {
     let packet = Packet::parse(bytes).map_err(AnswerError::Malformed)?;
-    if packet.id() != id_asked || !packet.has_flags(PacketFlag::RESPONSE) {
+    if packet.id() != query_id || !packet.has_flags(PacketFlag::RESPONSE) {
         return Err(AnswerError::Unrelated);
     }
     if packet.has_flags(PacketFlag::TRUNCATION) {
@@ -149,16 +150,16 @@
         .name_servers
         .iter()
         .chain(&packet.answers)
-        .filter_map(|r| match &r.rdata {
+        .filter_map(|record| match &record.rdata {
             RData::SOA(soa) => Some(soa.serial),
             _ => None,
         });
     let serial = serials.max().ok_or(AnswerError::MissingSerial)?;
-    let mut named = locations.clone();
-    let parsed = parse_records(&packet, &mut named)?;
+    let mut extended_locations = locations.clone();
+    let parsed = parse_records(&packet, &mut extended_locations)?;
     match parsed.first_error {
         None => {
-            *locations = named;
+            *locations = extended_locations;
             Ok(EndpointList {
                 serial,
                 endpoints: parsed.endpoints,
@@ -169,14 +170,14 @@
                 serial,
                 endpoints: parsed.endpoints,
                 state_only: parsed.state_only,
-                locations: named,
+                locations: extended_locations,
             });
             Err(AnswerError::InvalidRecord { reason, list })
         }
     }
 }
 
-/// Executors with priority 0 are ready, the others drain.
+/// The state of a target: a priority of 0 means ready, any other priority means draining.
 fn state(srv: &SRV) -> EndpointState {
     if srv.priority == 0 {
         EndpointState::Ready
@@ -185,7 +186,7 @@
     }
 }
 
-/// The addresses and attributes of the targets of a list.
+/// The addresses and attributes of the SRV targets of an answer, by target name.
 struct TargetDetails<'a> {
     addresses: HashMap<Vec<String>, IpAddr>,
     attributes: HashMap<Vec<String>, HashMap<String, Option<String>>>,
@@ -224,8 +225,8 @@
             })
     }
 
-    /// The endpoint of a target whose name begins with an executor's id and its zone; `None` if the zone can't be told
-    /// apart from others.
+    /// Builds the endpoint of a target, given the executor's name and zone from the target name; `None` if no index is
+    /// left for the zone.
     fn endpoint(
         &self,
         srv: &SRV,
@@ -234,21 +235,21 @@
         zone: &str,
         locations: &mut LocationTable,
     ) -> Result<Option<DiscoveredEndpoint>, InvalidRecord> {
-        let name_of_record = || name.to_owned();
+        let owned_name = || name.to_owned();
         let ip = *self
             .addresses
             .get(target)
-            .ok_or_else(|| InvalidRecord::MissingAddress(name_of_record()))?;
+            .ok_or_else(|| InvalidRecord::MissingAddress(owned_name()))?;
         let attributes = self
             .attributes
             .get(target)
-            .ok_or_else(|| InvalidRecord::MissingText(name_of_record()))?;
+            .ok_or_else(|| InvalidRecord::MissingText(owned_name()))?;
         let attribute = |key: &'static str| {
             attributes
                 .get(key)
                 .and_then(|value| value.as_deref())
                 .ok_or_else(|| InvalidRecord::MissingAttribute {
-                    name: name_of_record(),
+                    name: owned_name(),
                     key,
                 })
         };
@@ -256,10 +257,10 @@
             .parse::<f64>()
             .ok()
             .filter(|started| started.is_finite())
-            .ok_or_else(|| InvalidRecord::InvalidStart(name_of_record()))?;
+            .ok_or_else(|| InvalidRecord::InvalidStart(owned_name()))?;
         let cell = attribute("cell")?
             .parse()
-            .map_err(|_| InvalidRecord::InvalidCell(name_of_record()))?;
+            .map_err(|_| InvalidRecord::InvalidCell(owned_name()))?;
         let kind = attribute("kind")?;
         let Some(zone) = locations.zone(zone) else {
             return Ok(None);
@@ -281,13 +282,13 @@
     }
 }
 
-/// What the records of a list tell.
+/// The endpoints that the records of an answer describe.
 #[derive(Default)]
 struct ParsedRecords {
     endpoints: Vec<DiscoveredEndpoint>,
-    /// Endpoints of which only the state could be read.
+    /// The executors of which only the state could be read.
     state_only: Vec<EndpointStateOnly>,
-    /// What is wrong with the first of these.
+    /// What is wrong with the first of them.
     first_error: Option<InvalidRecord>,
 }
 
--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -1,6 +1,7 @@
-//! The platform's endpoint lists: that of the start in JSON, later ones as DNS answers of the resolver.
+//! The platform's endpoint lists: the initial list is JSON, later lists are DNS answers of the resolver.
 //!
-//! Both become endpoints of the dispatch policy. [`EndpointView`] decides which lists to believe. No sockets.
+//! Both are converted to endpoints of the dispatch policy. [`EndpointView`] decides which lists to believe. The crate
+//! opens no sockets.
 
 mod answer;
 mod serial;
@@ -18,25 +19,25 @@
 use thiserror::Error;
 pub use view::{EndpointView, ListOutcome};
 
-/// The service whose targets are the executors.
+/// The DNS service name whose SRV targets are the executors.
 pub const SERVICE: &str = "_data._tcp.farm.lan";
-/// The longest answer in bytes: what a UDP datagram carries over IPv4. Hundreds of executors take more than the 8,000
-/// that the platform's page names.
+/// The maximum length of an answer in bytes, which is the maximum payload of a UDP datagram over IPv4. The platform's
+/// specification names 8,000 bytes, but a list of hundreds of executors is longer than that.
 pub const MAX_ANSWER_LENGTH: usize = 65_507;
 
-/// An executor of an endpoint list.
+/// An executor on an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveredEndpoint {
-    /// Its id on the list.
+    /// The executor's name on the list.
     pub name: String,
-    /// Where it is reached.
+    /// The address at which the executor accepts connections.
     pub address: SocketAddr,
-    /// What the policy knows of it.
+    /// The endpoint as the dispatch policy uses it.
     pub endpoint: Endpoint,
 }
 
-/// The policy's id for an executor, the same at every front end. It is derived from the name alone: the address may be
-/// another executor's later, and is not the same for every front end.
+/// Returns the policy's id of an executor, which is the same at all front ends. It is a hash of the name alone, because
+/// the address may later belong to another executor and may differ between front ends.
 pub fn executor_id(name: &str) -> ExecutorId {
     ExecutorId(
         IpAddr::V6(Ipv6Addr::from_bits(xxhash_rust::xxh3::xxh3_128(
@@ -46,30 +47,30 @@
     )
 }
 
-/// The names of zones and executor kinds, by the policy's index. Lists may name more than the settings declare; these are
-/// added as they come.
+/// Assigns the policy's indices to the names of zones and executor kinds. Lists may contain names that the settings do
+/// not declare; these are added when they first occur.
 #[derive(Clone, Debug, Default)]
 pub struct LocationTable {
     zones: Vec<String>,
     kinds: Vec<String>,
-    /// Endpoints that were ignored because no index was left for their zone.
+    /// How often an endpoint was ignored because no index was left for its zone.
     pub ignored_endpoints: u64,
 }
 
-/// How many names a `LocationTable` holds.
+/// The number of names in a [`LocationTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameCounts {
-    /// Names of zones.
+    /// The number of zones.
     pub zones: usize,
-    /// Names of executor kinds.
+    /// The number of executor kinds.
     pub kinds: usize,
 }
 
-/// Names that an index of one byte tells apart.
+/// The maximum number of names of each sort, since an index is one byte.
 const MAX_NAMES: usize = 256;
 
 impl LocationTable {
-    /// The names that the settings declare, in their order.
+    /// Creates a table with the names that the settings declare, in the order of the settings.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> LocationTable {
         LocationTable {
             zones,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// How many names there are by now.
+    /// Returns how many names the table contains.
     pub fn name_counts(&self) -> NameCounts {
         NameCounts {
             zones: self.zones.len(),
@@ -86,6 +87,7 @@
         }
     }
 
+    /// The index of a name, which is added if it is new; `None` if no index is left for it.
     fn index(names: &mut Vec<String>, name: &str) -> Option<u8> {
         let known = names.iter().position(|known| known == name);
         let index = match known {
@@ -99,20 +101,21 @@
         u8::try_from(index).ok()
     }
 
-    /// The index of a zone. Two zones must not share one: without an index left the endpoint is ignored.
+    /// The index of a zone; `None` if no index is left. The endpoint is ignored in that case, because two zones must not
+    /// share an index.
     fn zone(&mut self, name: &str) -> Option<u8> {
         let zone = Self::index(&mut self.zones, name);
         self.ignored_endpoints += u64::from(zone.is_none());
         zone
     }
 
-    /// The index of an executor kind; kinds without an index of their own share the last.
+    /// The index of an executor kind. Kinds for which no index is left share the last one.
     fn kind(&mut self, name: &str) -> u8 {
         Self::index(&mut self.kinds, name).unwrap_or(u8::MAX)
     }
 }
 
-/// The start of an executor in seconds, from milliseconds; 0 means long ago.
+/// Converts an executor's start time from milliseconds to seconds. A start time of 0 means long ago: negative infinity.
 fn started_at(started_ms: f64) -> f64 {
     if started_ms > 0.0 {
         started_ms / 1e3
@@ -121,105 +124,116 @@
     }
 }
 
+/// The JSON object of the initial endpoint list.
 #[derive(Deserialize)]
-struct Known {
-    index: u32,
+struct InitialList {
+    #[serde(rename = "index")]
+    serial: u32,
     updates: Vec<Update>,
 }
 
 #[derive(Deserialize)]
 struct Update {
-    endpoints: Endpoints,
+    endpoints: HostUpdate,
 }
 
 #[derive(Deserialize)]
-struct Endpoints {
-    whole: bool,
+struct HostUpdate {
+    /// Whether the update replaces all hosts of the updates before it.
+    #[serde(rename = "whole")]
+    is_complete: bool,
     hosts: Vec<Host>,
 }
 
 #[derive(Deserialize)]
 struct Host {
-    host: String,
-    dial: SocketAddr,
-    site: String,
-    class: String,
-    block: u16,
-    health: Health,
-    share: f64,
-    #[serde(default)]
-    born_ms: f64,
+    #[serde(rename = "host")]
+    name: String,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
+    #[serde(rename = "site")]
+    zone: String,
+    #[serde(rename = "class")]
+    kind: String,
+    #[serde(rename = "block")]
+    cell: u16,
+    #[serde(rename = "health")]
+    state: HostState,
+    #[serde(rename = "share")]
+    weight: f64,
+    #[serde(default, rename = "born_ms")]
+    started_ms: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
-enum Health {
+enum HostState {
     Serving,
     Draining,
     Deleted,
 }
 
-/// The endpoint list of the start.
+/// The endpoint list that a front end starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InitialEndpoints {
-    /// The number of the last event in it.
+    /// The number of the last event that the list reflects.
     pub serial: u32,
     /// The executors, ordered by name.
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// Why the endpoint list of the start can't be used.
+/// Why the initial endpoint list can't be read.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct InitialEndpointsError(#[from] serde_json::Error);
 
-/// Reads the endpoint list of the start: the updates are applied one after the other.
+/// Reads the initial endpoint list by applying its updates in order.
 ///
 /// # Errors
-/// The value has another form; the error names the key.
+/// A key is missing or has an invalid value; the error names the key or the value.
 pub fn initial_endpoints(
     value: &serde_json::Value,
     locations: &mut LocationTable,
 ) -> Result<InitialEndpoints, InitialEndpointsError> {
-    let known = Known::deserialize(value)?;
+    let list = InitialList::deserialize(value)?;
     let mut endpoints: BTreeMap<String, DiscoveredEndpoint> = BTreeMap::new();
-    for update in known.updates {
-        if update.endpoints.whole {
+    for update in list.updates {
+        if update.endpoints.is_complete {
             endpoints.clear();
         }
         for host in update.endpoints.hosts {
-            endpoints.remove(&host.host);
+            endpoints.remove(&host.name);
             if let Some(discovered) = discovered_endpoint(&host, locations)
                 && discovered.endpoint.state != EndpointState::Gone
             {
-                endpoints.insert(host.host, discovered);
+                endpoints.insert(host.name, discovered);
             }
         }
     }
     Ok(InitialEndpoints {
-        serial: known.index,
+        serial: list.serial,
         endpoints: endpoints.into_values().collect(),
     })
 }
 
-/// The endpoint of a host; `None` if its zone can't be told apart from others.
+/// Builds the endpoint of a host; `None` if no index is left for its zone.
 fn discovered_endpoint(host: &Host, locations: &mut LocationTable) -> Option<DiscoveredEndpoint> {
-    let state = match host.health {
-        Health::Serving => EndpointState::Ready,
-        Health::Draining => EndpointState::Draining,
-        Health::Deleted => EndpointState::Gone,
+    let state = match host.state {
+        HostState::Serving => EndpointState::Ready,
+        HostState::Draining => EndpointState::Draining,
+        HostState::Deleted => EndpointState::Gone,
     };
     Some(DiscoveredEndpoint {
-        name: host.host.clone(),
-        address: host.dial,
+        name: host.name.clone(),
+        address: host.address,
         endpoint: Endpoint {
-            executor: executor_id(&host.host),
-            zone: locations.zone(&host.site)?,
-            kind: locations.kind(&host.class),
-            cell: host.block,
+            executor: executor_id(&host.name),
+            zone: locations.zone(&host.zone)?,
+            kind: locations.kind(&host.kind),
+            cell: host.cell,
             state,
-            weight: host.share,
-            started_at: started_at(host.born_ms),
+            weight: host.weight,
+            started_at: started_at(host.started_ms),
         },
     })
 }
