--- a/crates/platform-discovery/src/lib.rs
+++ b/crates/platform-discovery/src/lib.rs
@@ -5,8 +5,8 @@
 
 mod answer;
 mod serial;
-mod transitions;
 mod view;
+mod withdrawals;
 
 pub use answer::{
     AnswerError, EndpointList, EndpointStateOnly, InvalidRecord, PartialEndpointList, build_query,
--- a/crates/platform-discovery/src/view.rs
+++ b/crates/platform-discovery/src/view.rs
@@ -1,44 +1,47 @@
 //! Decides which endpoint lists to believe.
 //!
-//! Every whole answer is read, whatever its serial, and what it tells of an executor that drains or is gone counts at
-//! once. A serial alone proves nothing about the records that came with it: one datagram with a serial that is not its
-//! list's would hide every true list after it.
+//! Every complete answer is evaluated whatever its serial, and an executor that it reports as draining or gone is
+//! withdrawn at once. A serial alone is no proof of the age of the records: if lists with an older serial were ignored,
+//! a single datagram with a wrong, newer serial would hide every correct list after it.
 
 use crate::serial::compare_serials;
-use crate::transitions::PendingTransitions;
+use crate::withdrawals::Withdrawals;
 use crate::{DiscoveredEndpoint, EndpointList, PartialEndpointList};
 use orchidtally_dispatch_policy::interface::EndpointState;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Answers in a row with an older serial after which the serial of the view counts as wrong.
+/// The number of consecutive answers with an older serial after which the serial of the view is considered wrong.
 ///
-/// Failure mode: a serial that jumped ahead would leave the view as it is for good.
-/// Risk: a list that lags, which is why such a list makes no executor ready that was told draining or gone.
-const OLDER_CONFIRMATIONS: u32 = 3;
-/// Seconds from an executor's start within which it is listed: a change is told within 1.5 s, and the executor has to get
-/// ready before.
+/// Failure mode: after a serial that jumped ahead, the view would never change again.
+/// Risk: the answers may be correct but outdated. That is why a list with an older serial makes no executor ready that
+/// was reported as draining or gone.
+const REQUIRED_OLDER_ANSWERS: u32 = 3;
+/// The maximum time in seconds from an executor's start until it is listed: the executor has to become ready, and the
+/// resolver reports a change within 1.5 s.
 ///
-/// Failure mode: executors that were slow to get ready (2 to 3 s were seen) count as new when they are listed.
-/// Risk: starts are wrong by this much if the wall clock is ahead by no more.
+/// Failure mode: executors that take long to become ready (2 to 3 s were observed) would count as started only when
+/// they are listed.
+/// Risk: start times are wrong by up to this much if the wall clock is ahead by no more than this.
 const MAX_LISTING_DELAY: f64 = 4.0;
 
-/// What came of an answer.
+/// The effect of an answer on the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOutcome {
-    /// It tells what the view holds: the view is as fresh as the query.
+    /// The list agrees with the view, which is now as fresh as the query.
     Confirmed,
-    /// The endpoints changed, and the view is as fresh as the query.
+    /// The list changed endpoints, and the view is now as fresh as the query.
     Changed,
-    /// It is older than the view. What it tells of executors that drain was taken over.
+    /// The list is older than the view, by its serial or by the time of its query. Only the executors that it reports as
+    /// draining were updated.
     Older {
-        /// Whether that changed any endpoint.
+        /// Whether any endpoint changed.
         changed: bool,
     },
 }
 
 impl ListOutcome {
-    /// Whether endpoints changed.
+    /// Whether the answer changed endpoints.
     pub fn has_changes(self) -> bool {
         matches!(
             self,
@@ -46,7 +49,7 @@
         )
     }
 
-    /// Whether the view is as fresh as the query.
+    /// Whether the view is now as fresh as the query.
     pub fn confirms(self) -> bool {
         !matches!(self, ListOutcome::Older { .. })
     }
@@ -55,11 +58,11 @@
 /// An executor of the view.
 #[derive(Clone, Debug)]
 struct CurrentEndpoint {
-    /// As it was listed.
+    /// The endpoint as it was listed.
     listed: DiscoveredEndpoint,
-    /// When it started at the latest, on the caller's clock.
+    /// The latest time at which the executor can have started, on the caller's clock.
     started_at: f64,
-    /// What the last list told besides its state, if that differs: it counts once it is repeated.
+    /// The endpoint on the last list if it differs in more than the state. It is used once the next list repeats it.
     unconfirmed: Option<DiscoveredEndpoint>,
 }
 
@@ -72,23 +75,23 @@
         }
     }
 
-    /// Takes over what a list tells of the same start: the state at once, other differences when they are told twice in
-    /// a row.
+    /// Returns the endpoint updated from a later list that has it with the same start time. The state changes at once,
+    /// other attributes only when two consecutive lists agree on them.
     ///
-    /// Failure mode: by one damaged record an executor is looked for at another address, found unreachable and taken
-    /// for broken.
-    /// Risk: an executor that moves is found 0.2 s later.
-    fn confirmed_by_repeat(&self, told: &DiscoveredEndpoint) -> CurrentEndpoint {
+    /// Failure mode: because of one damaged record, the executor would be contacted at a wrong address, found
+    /// unreachable and considered broken.
+    /// Risk: a change of the executor's address takes effect 0.2 s later.
+    fn updated(&self, reported: &DiscoveredEndpoint) -> CurrentEndpoint {
         let mut listed = self.listed.clone();
-        listed.endpoint.state = told.endpoint.state;
-        if listed == *told {
+        listed.endpoint.state = reported.endpoint.state;
+        if listed == *reported {
             return CurrentEndpoint::new(listed, self.started_at);
         }
-        // The state is not part of the comparison.
-        let mut differing = told.clone();
+        // All candidates get the same state, so that the state is not part of the comparison.
+        let mut differing = reported.clone();
         differing.endpoint.state = EndpointState::Ready;
         if self.unconfirmed.as_ref() == Some(&differing) {
-            return CurrentEndpoint::new(told.clone(), self.started_at);
+            return CurrentEndpoint::new(reported.clone(), self.started_at);
         }
         CurrentEndpoint {
             listed,
@@ -102,22 +105,24 @@
     }
 }
 
-/// When an executor started that was first listed at a time, and absent from a list as late as another.
+/// Estimates when an executor started whose reported start time is `reported`. It was last known to be absent from the
+/// list at `absent_at`, and was first listed at `listed_at`.
 ///
-/// Starts are told by the wall clocks of other machines, and this one's may have been stepped: a start lies between
-/// these two times, or hardly before.
-/// Failure mode: executors that have just started get the load of warm ones.
-/// Risk: too little load for a while.
-fn plausible_start(told: f64, absent_at: f64, listed_at: f64) -> f64 {
-    let is_plausible = (absent_at - MAX_LISTING_DELAY..=listed_at).contains(&told);
-    if told == f64::NEG_INFINITY || is_plausible {
-        told
+/// Start times are taken from the wall clocks of other machines, and the wall clock of this machine may have been
+/// stepped. The true start is between `absent_at` and `listed_at` or at most `MAX_LISTING_DELAY` before. If the reported
+/// one is not, the executor counts as started at `listed_at`.
+/// Failure mode: an executor that has just started would get the load of a warm one.
+/// Risk: an executor may get too little load for a while.
+fn plausible_start(reported: f64, absent_at: f64, listed_at: f64) -> f64 {
+    let is_plausible = (absent_at - MAX_LISTING_DELAY..=listed_at).contains(&reported);
+    if reported == f64::NEG_INFINITY || is_plausible {
+        reported
     } else {
         listed_at
     }
 }
 
-/// The latest start of some endpoints.
+/// The latest reported start time of the endpoints; negative infinity if there is none.
 fn latest_start(endpoints: &[DiscoveredEndpoint]) -> f64 {
     endpoints
         .iter()
@@ -125,32 +130,34 @@
         .fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// The current view of the executors, and how fresh it is. All times are seconds on the clock of the caller.
+/// The current view of the executors and its freshness. All times are in seconds on the caller's clock.
 #[derive(Clone, Debug)]
 pub struct EndpointView {
     serial: u32,
     created_at: f64,
-    /// When the query was sent that the view answers.
+    /// When the query was sent whose answer the view reflects; negative infinity before the first answer.
     queried_at: f64,
     endpoints: BTreeMap<String, CurrentEndpoint>,
-    transitions: PendingTransitions,
-    /// Answers in a row with an older serial.
-    older_confirmations: u32,
+    withdrawals: Withdrawals,
+    /// The number of consecutive answers with an older serial.
+    older_answers: u32,
 }
 
 impl EndpointView {
-    /// The view of a start now: what the configuration lists. Nobody knows how old that is.
+    /// Creates the view from the initial endpoint list. The age of that list is unknown, so the view is not fresh until
+    /// the first answer.
     pub fn new(now: f64, serial: u32, endpoints: &[DiscoveredEndpoint]) -> EndpointView {
-        // The latest to start may have started just now, and the others so much earlier, whatever the wall clock tells.
+        // The executor that started last may have started just now, and the others that much earlier. The wall clock
+        // doesn't matter, because only differences between reported start times are used.
         let latest_start = latest_start(endpoints);
-        let estimated_start = |told: f64| {
-            if told == f64::NEG_INFINITY {
-                told
+        let estimated_start = |reported: f64| {
+            if reported == f64::NEG_INFINITY {
+                reported
             } else {
-                now - (latest_start - told)
+                now - (latest_start - reported)
             }
         };
-        let held = |discovered: &DiscoveredEndpoint| {
+        let current = |discovered: &DiscoveredEndpoint| {
             let started_at = estimated_start(discovered.endpoint.started_at);
             (
                 discovered.name.clone(),
@@ -161,44 +168,46 @@
             serial,
             created_at: now,
             queried_at: f64::NEG_INFINITY,
-            endpoints: endpoints.iter().map(held).collect(),
-            transitions: PendingTransitions::default(),
-            older_confirmations: 0,
+            endpoints: endpoints.iter().map(current).collect(),
+            withdrawals: Withdrawals::default(),
+            older_answers: 0,
         };
         for discovered in endpoints {
             if discovered.endpoint.state != EndpointState::Ready {
-                view.record_transition(f64::NEG_INFINITY, serial, &discovered.name);
+                view.record_withdrawal(f64::NEG_INFINITY, serial, &discovered.name);
             }
         }
         view
     }
 
-    /// The serial of the list that the view holds.
+    /// The serial of the list that the view reflects.
     pub fn serial(&self) -> u32 {
         self.serial
     }
 
-    /// When the query was sent that the view answers: what happened later may be missing.
+    /// When the query was sent whose answer the view reflects: later events may be missing from the view. Negative
+    /// infinity before the first answer.
     pub fn fresh_at(&self) -> f64 {
         self.queried_at
     }
 
     /// Whether an answer that repeats the last one byte for byte could change nothing but the freshness.
     pub fn is_settled(&self) -> bool {
-        self.older_confirmations == 0
-            && self.transitions.is_settled()
+        self.older_answers == 0
+            && self.withdrawals.is_settled()
             && self
                 .endpoints
                 .values()
-                .all(|held| held.unconfirmed.is_none())
+                .all(|current| current.unconfirmed.is_none())
     }
 
-    /// The endpoints as they count. One whose return to ready is not confirmed counts as draining.
+    /// The endpoints with the states that apply to dispatches. An executor whose return to ready is not confirmed yet is
+    /// draining.
     pub fn endpoints(&self) -> Vec<DiscoveredEndpoint> {
-        let discovered = |held: &CurrentEndpoint| {
-            let mut discovered = held.listed.clone();
-            discovered.endpoint.started_at = held.started_at;
-            if self.transitions.contains(&discovered.name) {
+        let discovered = |current: &CurrentEndpoint| {
+            let mut discovered = current.listed.clone();
+            discovered.endpoint.started_at = current.started_at;
+            if self.withdrawals.contains(&discovered.name) {
                 discovered.endpoint.state = EndpointState::Draining;
             }
             discovered
@@ -206,21 +215,21 @@
         self.endpoints.values().map(discovered).collect()
     }
 
-    /// The last answer was repeated, byte for byte, for a query that was sent at a time.
+    /// Records that the query sent at `queried_at` was answered by a byte-for-byte repetition of the last answer.
     pub fn confirm_unchanged(&mut self, queried_at: f64) {
         self.queried_at = self.queried_at.max(queried_at);
     }
 
-    /// Applies a whole list that answers a query which was sent at a time.
-    pub fn apply_list(&mut self, now: f64, queried_at: f64, answer: &EndpointList) -> ListOutcome {
-        let order = compare_serials(answer.serial, self.serial);
+    /// Applies a complete list that answers the query sent at `queried_at`.
+    pub fn apply_list(&mut self, now: f64, queried_at: f64, list: &EndpointList) -> ListOutcome {
+        let order = compare_serials(list.serial, self.serial);
         let is_overtaken = queried_at < self.queried_at;
         if order == Ordering::Less && !is_overtaken {
-            self.older_confirmations += 1;
+            self.older_answers += 1;
         }
         let before = self.endpoints();
-        if order == Ordering::Greater || !is_overtaken && self.is_credible(order) {
-            self.replace(now, answer, order);
+        if order == Ordering::Greater || !is_overtaken && self.may_be_replaced(order) {
+            self.replace(now, list, order);
             self.queried_at = self.queried_at.max(queried_at);
             return if self.endpoints() == before {
                 ListOutcome::Confirmed
@@ -228,44 +237,45 @@
                 ListOutcome::Changed
             };
         }
-        self.apply_drains(now, answer);
+        self.apply_drains(now, list);
         ListOutcome::Older {
             changed: self.endpoints() != before,
         }
     }
 
-    /// Applies a list that tells only the state of some executors: the rest of these stays as it was.
+    /// Applies a list that answers the query sent at `queried_at`, and that has only the state of some executors. Their
+    /// other attributes remain as they are in the view; executors that the view does not contain are ignored.
     pub fn apply_partial_list(
         &mut self,
         now: f64,
         queried_at: f64,
-        list: &PartialEndpointList,
+        partial: &PartialEndpointList,
     ) -> ListOutcome {
-        let mut endpoints = list.endpoints.clone();
-        for told in &list.state_only {
-            // Nothing can be done with an executor of which nothing else is known.
-            let Some(held) = self.endpoints.get(&told.name) else {
+        let mut endpoints = partial.endpoints.clone();
+        for reported in &partial.state_only {
+            // An executor whose address is unknown can't be used.
+            let Some(current) = self.endpoints.get(&reported.name) else {
                 continue;
             };
-            let mut discovered = held.listed.clone();
-            discovered.endpoint.state = told.state;
+            let mut discovered = current.listed.clone();
+            discovered.endpoint.state = reported.state;
             endpoints.push(discovered);
         }
-        let answer = EndpointList {
-            serial: list.serial,
+        let list = EndpointList {
+            serial: partial.serial,
             endpoints,
         };
-        self.apply_list(now, queried_at, &answer)
+        self.apply_list(now, queried_at, &list)
     }
 
-    /// Whether a list may replace the one that the view holds.
-    fn is_credible(&self, order: Ordering) -> bool {
-        order != Ordering::Less || self.older_confirmations >= OLDER_CONFIRMATIONS
+    /// Whether a list may replace the view, given how its serial compares to that of the view.
+    fn may_be_replaced(&self, order: Ordering) -> bool {
+        order != Ordering::Less || self.older_answers >= REQUIRED_OLDER_ANSWERS
     }
 
-    /// Replaces the list that the view holds.
-    fn replace(&mut self, now: f64, answer: &EndpointList, order: Ordering) {
-        let replacement = self.merge(now, &answer.endpoints);
+    /// Replaces the view by a list whose serial compares to that of the view as `order`.
+    fn replace(&mut self, now: f64, list: &EndpointList, order: Ordering) {
+        let replacement = self.merge(now, &list.endpoints);
         let is_ready = |name: &String| replacement.get(name).is_some_and(CurrentEndpoint::is_ready);
         let withdrawn: Vec<String> = self
             .endpoints
@@ -274,67 +284,70 @@
             .cloned()
             .collect();
         for name in &withdrawn {
-            self.record_transition(now, answer.serial, name);
+            self.record_withdrawal(now, list.serial, name);
         }
-        for held in replacement.values().filter(|held| held.is_ready()) {
-            self.transitions.confirm_ready(
-                &held.listed.name,
-                held.listed.endpoint.started_at,
-                answer.serial,
+        for current in replacement.values().filter(|current| current.is_ready()) {
+            self.withdrawals.confirm_ready(
+                &current.listed.name,
+                current.listed.endpoint.started_at,
+                list.serial,
                 order == Ordering::Less,
             );
         }
         self.endpoints = replacement;
-        self.serial = answer.serial;
-        self.older_confirmations = 0;
-        self.transitions
-            .forget_old(now, |name| self.endpoints.contains_key(name));
+        self.serial = list.serial;
+        self.older_answers = 0;
+        self.withdrawals
+            .remove_expired(now, |name| self.endpoints.contains_key(name));
     }
 
-    /// The endpoints of a list that arrives now, merged with what the view holds of the same starts.
+    /// Returns the endpoints of a list: those that the view has with the same start time are updated, the others are new.
     fn merge(&self, now: f64, listed: &[DiscoveredEndpoint]) -> BTreeMap<String, CurrentEndpoint> {
         let absent_at = self.queried_at.max(self.created_at);
         let mut merged: BTreeMap<String, CurrentEndpoint> = BTreeMap::new();
         for discovered in listed {
-            let told_start = discovered.endpoint.started_at;
+            let reported_start = discovered.endpoint.started_at;
             let same_start = self
                 .endpoints
                 .get(&discovered.name)
-                .filter(|held| held.listed.endpoint.started_at == told_start);
-            let mut held = match same_start {
-                Some(held) => held.confirmed_by_repeat(discovered),
+                .filter(|current| current.listed.endpoint.started_at == reported_start);
+            let mut current = match same_start {
+                Some(current) => current.updated(discovered),
                 None => CurrentEndpoint::new(
                     discovered.clone(),
-                    plausible_start(told_start, absent_at, now),
+                    plausible_start(reported_start, absent_at, now),
                 ),
             };
-            // An executor that is listed twice has the worse of the two states.
-            if let Some(duplicate) = merged.get(&discovered.name).filter(|held| !held.is_ready()) {
-                held.listed.endpoint.state = duplicate.listed.endpoint.state;
+            // An executor that is listed twice is ready only if both records say so.
+            if let Some(duplicate) = merged
+                .get(&discovered.name)
+                .filter(|current| !current.is_ready())
+            {
+                current.listed.endpoint.state = duplicate.listed.endpoint.state;
             }
-            merged.insert(discovered.name.clone(), held);
+            merged.insert(discovered.name.clone(), current);
         }
         merged
     }
 
-    /// Records that an executor of the view was told draining or gone.
-    fn record_transition(&mut self, now: f64, serial: u32, name: &str) {
-        if let Some(held) = self.endpoints.get(name) {
-            let started_at = held.listed.endpoint.started_at;
-            self.transitions.record(now, serial, name, started_at);
+    /// Records that a list reported an executor of the view as draining or gone.
+    fn record_withdrawal(&mut self, now: f64, serial: u32, name: &str) {
+        if let Some(current) = self.endpoints.get(name) {
+            let started_at = current.listed.endpoint.started_at;
+            self.withdrawals.record(now, serial, name, started_at);
         }
     }
 
-    /// Takes over what a list that does not replace the view tells of executors that drain, unless it is of an earlier
-    /// start.
-    fn apply_drains(&mut self, now: f64, answer: &EndpointList) {
-        for told in &answer.endpoints {
-            let is_same_or_later_start = self
-                .endpoints
-                .get(&told.name)
-                .is_some_and(|held| told.endpoint.started_at >= held.listed.endpoint.started_at);
-            if told.endpoint.state != EndpointState::Ready && is_same_or_later_start {
-                self.record_transition(now, answer.serial, &told.name);
+    /// Withdraws the executors that are draining on a list that does not replace the view. Records with an earlier start
+    /// time than in the view are ignored.
+    fn apply_drains(&mut self, now: f64, list: &EndpointList) {
+        for reported in &list.endpoints {
+            let is_same_or_later_start =
+                self.endpoints.get(&reported.name).is_some_and(|current| {
+                    reported.endpoint.started_at >= current.listed.endpoint.started_at
+                });
+            if reported.endpoint.state != EndpointState::Ready && is_same_or_later_start {
+                self.record_withdrawal(now, list.serial, &reported.name);
             }
         }
     }
