--- a/crates/platform-discovery/tests/told/mod.rs
+++ b/crates/platform-discovery/tests/dns_answers/mod.rs
@@ -1,4 +1,4 @@
-//! Answers as a resolver gives them.
+//! Encodes DNS answers like those of a resolver.
 
 use orchidtally_platform_discovery::SERVICE;
 use simple_dns::rdata::{A, RData, SOA, SRV, TXT};
@@ -6,11 +6,11 @@
 use std::net::Ipv4Addr;
 
 fn name(text: &str) -> Name<'_> {
-    Name::new(text).expect("a sound name")
+    Name::new(text).expect("a valid name")
 }
 
-/// A resolver's answer: executors by name, each with its priority.
-pub fn list(id: u16, serial: u32, executors: &[(&str, u16)], compressed: bool) -> Vec<u8> {
+/// Encodes an answer that lists SRV targets, each with its priority.
+pub fn encode_answer(id: u16, serial: u32, targets: &[(&str, u16)], compressed: bool) -> Vec<u8> {
     let mut packet = Packet::new_reply(id);
     packet.set_flags(PacketFlag::RESPONSE);
     packet.questions.push(Question::new(
@@ -19,7 +19,7 @@
         QCLASS::CLASS(CLASS::IN),
         false,
     ));
-    for &(target, priority) in executors {
+    for &(target, priority) in targets {
         let srv = SRV {
             priority,
             weight: 40,
@@ -41,7 +41,7 @@
         ));
         let mut txt = TXT::new();
         for text in ["kind=std", "cell=2", "started=1500"] {
-            txt.add_string(text).expect("a sound text");
+            txt.add_string(text).expect("a valid string");
         }
         packet.additional_records.push(ResourceRecord::new(
             name(target),
@@ -65,10 +65,10 @@
         0,
         RData::SOA(soa),
     ));
-    let built = if compressed {
+    let encoded = if compressed {
         packet.build_bytes_vec_compressed()
     } else {
         packet.build_bytes_vec()
     };
-    built.expect("it can be built")
+    encoded.expect("a valid packet")
 }
--- a/crates/platform-discovery/tests/lists.rs
+++ b/crates/platform-discovery/tests/lists.rs
@@ -1,93 +1,107 @@
-//! The endpoint lists of the start and of the resolver.
+//! Reads initial endpoint lists and the lists in DNS answers.
 
-mod told;
+mod dns_answers;
+
+use dns_answers::encode_answer;
 
 use orchidtally_dispatch_policy::interface::EndpointState;
 use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use simple_dns::rdata::RData;
 use simple_dns::{Packet, PacketFlag, QTYPE, RCODE, TYPE};
-use told::list;
 
-fn names(all: &[&str]) -> Vec<String> {
-    all.iter().map(|&n| n.to_owned()).collect()
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().map(|&name| name.to_owned()).collect()
 }
 
 fn counts(zones: usize, kinds: usize) -> NameCounts {
     NameCounts { zones, kinds }
 }
 
-const TWO: [(&str, u16); 2] = [("s-1.east.hosts", 0), ("s-2.west.hosts", 1)];
+/// A ready and a draining executor.
+const TWO_TARGETS: [(&str, u16); 2] = [("s-1.east.hosts", 0), ("s-2.west.hosts", 1)];
 
-fn newer(
+fn parse_with(
     bytes: &[u8],
     id: u16,
-    places: &mut LocationTable,
+    locations: &mut LocationTable,
 ) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerError> {
-    parse_answer(bytes, id, places).map(|answer| (answer.serial, answer.endpoints))
+    parse_answer(bytes, id, locations).map(|list| (list.serial, list.endpoints))
 }
 
-fn read(bytes: &[u8], id: u16) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerError> {
+fn parse(bytes: &[u8], id: u16) -> Result<(u32, Vec<DiscoveredEndpoint>), AnswerError> {
     let (zones, kinds) = (names(&["west", "east"]), names(&["big", "std"]));
-    newer(bytes, id, &mut LocationTable::new(zones, kinds))
+    parse_with(bytes, id, &mut LocationTable::new(zones, kinds))
 }
 
 #[test]
-fn a_list_is_read_whole_compressed_or_not() {
+fn an_answer_is_parsed_with_and_without_name_compression() {
     for compressed in [false, true] {
-        let (serial, entries) = read(&list(7, 41, &TWO, compressed), 7).expect("a sound answer");
-        assert_eq!((serial, entries.len()), (41, 2));
-        let [one, two] = entries.as_slice() else {
-            panic!("two of them")
+        let (serial, endpoints) =
+            parse(&encode_answer(7, 41, &TWO_TARGETS, compressed), 7).expect("a valid answer");
+        assert_eq!((serial, endpoints.len()), (41, 2));
+        let [first, second] = endpoints.as_slice() else {
+            panic!("expected two endpoints")
         };
         assert_eq!(
-            (one.name.as_str(), one.address.to_string()),
+            (first.name.as_str(), first.address.to_string()),
             ("s-1", "10.1.0.9:4100".into())
         );
-        let row = &one.endpoint;
+        let endpoint = &first.endpoint;
         assert_eq!(
-            (row.executor, row.zone, row.kind, row.cell),
+            (
+                endpoint.executor,
+                endpoint.zone,
+                endpoint.kind,
+                endpoint.cell
+            ),
             (executor_id("s-1"), 1, 1, 2)
         );
         assert_eq!(
-            (row.state, row.weight, row.started_at),
+            (endpoint.state, endpoint.weight, endpoint.started_at),
             (EndpointState::Ready, 4.0, 1.5)
         );
         assert_eq!(
-            (two.endpoint.state, two.endpoint.zone),
+            (second.endpoint.state, second.endpoint.zone),
             (EndpointState::Draining, 0)
         );
         assert_ne!(
-            one.endpoint.executor, two.endpoint.executor,
-            "their address is one, they are not"
+            first.endpoint.executor, second.endpoint.executor,
+            "executors at the same address have different ids"
         );
     }
 }
 
-/// A serial proves nothing about the rows: they are read whatever it is, or one that doesn't fit hides every list.
+/// The serial is no proof of the age of the records. If the parser rejected lists by their serial, one wrong serial would
+/// hide every later list.
 #[test]
-fn rows_are_read_whatever_the_serial_and_an_unusable_list_names_no_places() {
-    let mut places = LocationTable::default();
+fn any_serial_is_accepted_and_an_invalid_list_adds_no_locations() {
+    let mut locations = LocationTable::default();
     for serial in [0, 41, u32::MAX] {
-        let told =
-            parse_answer(&list(7, serial, &TWO, true), 7, &mut places.clone()).expect("sound");
-        assert_eq!((told.serial, told.endpoints.len()), (serial, 2));
+        let list = parse_answer(
+            &encode_answer(7, serial, &TWO_TARGETS, true),
+            7,
+            &mut locations.clone(),
+        )
+        .expect("a valid answer");
+        assert_eq!((list.serial, list.endpoints.len()), (serial, 2));
     }
-    let mut packet = list(7, 41, &TWO, true);
-    let mut spoilt = Packet::parse(&packet).expect("it is sound");
-    spoilt
+    let mut bytes = encode_answer(7, 41, &TWO_TARGETS, true);
+    let mut invalid = Packet::parse(&bytes).expect("a valid packet");
+    invalid
         .additional_records
-        .retain(|r| !r.name.to_string().starts_with("s-2"));
-    let spoilt = spoilt.build_bytes_vec().expect("it can be built");
-    let fault = parse_answer(&spoilt, 7, &mut places).expect_err("the second row has no address");
+        .retain(|record| !record.name.to_string().starts_with("s-2"));
+    let invalid = invalid.build_bytes_vec().expect("a valid packet");
+    let error =
+        parse_answer(&invalid, 7, &mut locations).expect_err("the second executor has no address");
     let AnswerError::InvalidRecord {
-        reason: why,
+        reason,
         list: partial,
-    } = fault
+    } = error
     else {
-        panic!("{fault}")
+        panic!("{error}")
     };
-    assert!(why.to_string().contains("s-2"), "{why}");
+    assert!(reason.to_string().contains("s-2"), "{reason}");
     assert_eq!((partial.serial, partial.endpoints.len()), (41, 1));
     assert_eq!(
         partial.state_only,
@@ -97,132 +111,154 @@
         }]
     );
     assert_eq!(
-        (places.name_counts(), partial.locations.name_counts()),
+        (locations.name_counts(), partial.locations.name_counts()),
         (counts(0, 0), counts(1, 1))
     );
-    packet[3] |= 3;
+    bytes[3] |= 3;
     assert!(
-        parse_answer(&packet, 7, &mut places).is_err(),
-        "a failure is told whatever its number"
+        parse_answer(&bytes, 7, &mut locations).is_err(),
+        "an answer with an error code is rejected"
     );
     assert_eq!(
-        newer(&list(7, 41, &TWO, true), 7, &mut places)
-            .expect("sound")
+        parse_with(&encode_answer(7, 41, &TWO_TARGETS, true), 7, &mut locations)
+            .expect("a valid answer")
             .1
             .len(),
         2
     );
-    assert_eq!(places.name_counts(), counts(2, 1));
+    assert_eq!(locations.name_counts(), counts(2, 1));
 }
 
 #[test]
-fn a_query_asks_for_the_service_under_its_id() {
-    let bytes = build_query(0xbeef).expect("it can be built");
-    let packet = Packet::parse(&bytes).expect("it can be read");
+fn a_query_contains_its_id_and_the_service() {
+    let bytes = build_query(0xbeef).expect("a valid query");
+    let packet = Packet::parse(&bytes).expect("a valid packet");
     assert_eq!((packet.id(), packet.questions.len()), (0xbeef, 1));
     assert_eq!(packet.questions[0].qname.to_string(), SERVICE);
     assert_eq!(packet.questions[0].qtype, QTYPE::TYPE(TYPE::SRV));
 }
 
-/// What is wrong with an answer, and how it gets so.
-type Spoilt = (&'static str, fn(&mut Packet));
+/// A description of an invalid answer, and the change that makes a valid answer invalid in this way.
+type InvalidAnswer = (&'static str, fn(&mut Packet));
 
-/// What is not a whole list in every row is none: what it left out would be taken to be gone.
+/// An answer that is not a complete list is rejected, because executors that are missing from a list count as gone.
 #[test]
-fn what_is_no_whole_list_is_refused() {
-    let sound = list(7, 41, &TWO, true);
-    assert!(read(&sound, 8).is_err(), "another query's");
-    for cut in 0..sound.len() {
-        assert!(read(&sound[..cut], 7).is_err(), "cut at {cut}");
+fn answers_that_are_not_a_complete_list_are_rejected() {
+    let valid = encode_answer(7, 41, &TWO_TARGETS, true);
+    assert!(parse(&valid, 8).is_err(), "id of another query");
+    for length in 0..valid.len() {
+        assert!(parse(&valid[..length], 7).is_err(), "cut to {length} bytes");
     }
     let changed = |change: fn(&mut Packet)| {
-        let mut packet = Packet::parse(&sound).expect("it is sound");
+        let mut packet = Packet::parse(&valid).expect("a valid packet");
         change(&mut packet);
-        packet.build_bytes_vec().expect("it can be built")
+        packet.build_bytes_vec().expect("a valid packet")
     };
-    let bad: [Spoilt; 6] = [
-        ("a query", |p| p.remove_flags(PacketFlag::RESPONSE)),
-        ("truncated", |p| p.set_flags(PacketFlag::TRUNCATION)),
-        ("failed", |p| *p.rcode_mut() = RCODE::ServerFailure),
-        ("without a serial", |p| p.name_servers.clear()),
-        ("without addresses", |p| {
-            p.additional_records
-                .retain(|r| !matches!(r.rdata, RData::A(_)))
+    let invalid: [InvalidAnswer; 6] = [
+        ("a query", |packet| {
+            packet.remove_flags(PacketFlag::RESPONSE)
+        }),
+        ("truncated", |packet| {
+            packet.set_flags(PacketFlag::TRUNCATION)
+        }),
+        ("an error code", |packet| {
+            *packet.rcode_mut() = RCODE::ServerFailure
         }),
-        ("without texts", |p| {
-            p.additional_records
-                .retain(|r| !matches!(r.rdata, RData::TXT(_)))
+        ("no SOA record", |packet| packet.name_servers.clear()),
+        ("no A records", |packet| {
+            packet
+                .additional_records
+                .retain(|record| !matches!(record.rdata, RData::A(_)))
+        }),
+        ("no TXT records", |packet| {
+            packet
+                .additional_records
+                .retain(|record| !matches!(record.rdata, RData::TXT(_)))
         }),
     ];
-    for (what, change) in bad {
-        assert!(read(&changed(change), 7).is_err(), "{what}");
+    for (description, change) in invalid {
+        assert!(parse(&changed(change), 7).is_err(), "{description}");
     }
 }
 
-/// Zones may be more than the settings name: one such row must not cost the list, nor a start.
+/// A list may contain zones that the settings do not declare. Such an executor must not make the list unusable, nor
+/// prevent a start.
 #[test]
-fn locations_and_kinds_that_the_settings_do_not_name_are_told_apart() {
-    let mut places = LocationTable::new(names(&["east"]), names(&["big"]));
+fn undeclared_zones_and_kinds_get_their_own_indices() {
+    let mut locations = LocationTable::new(names(&["east"]), names(&["big"]));
     let targets = [
         ("s-1.south.hosts", 0),
         ("s-2.east.hosts", 0),
         ("s-3.north.hosts", 0),
         ("s-4.south.hosts", 0),
     ];
-    let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
-    let zones = |entries: &[DiscoveredEndpoint]| {
-        entries.iter().map(|e| e.endpoint.zone).collect::<Vec<_>>()
+    let (_, endpoints) = parse_with(&encode_answer(7, 41, &targets, true), 7, &mut locations)
+        .expect("a valid answer");
+    let zones = |endpoints: &[DiscoveredEndpoint]| {
+        endpoints
+            .iter()
+            .map(|discovered| discovered.endpoint.zone)
+            .collect::<Vec<_>>()
     };
     assert_eq!(
-        (zones(&entries), entries[0].endpoint.kind),
+        (zones(&endpoints), endpoints[0].endpoint.kind),
         (vec![1, 0, 2, 1], 1)
     );
     let host = |site: &str| {
         serde_json::json!({"host": site, "dial": "10.1.0.9:4100", "site": site, "class": "odd",
         "block": 2, "health": "SERVING", "share": 4})
     };
-    let all = serde_json::json!({"seq": 1, "whole": true, "hosts": [host("west"), host("north")]});
-    let told = serde_json::json!({"index": 1, "updates": [{"endpoints": all}]});
-    let entries = initial_endpoints(&told, &mut places)
-        .expect("a start goes on")
+    let update =
+        serde_json::json!({"seq": 1, "whole": true, "hosts": [host("west"), host("north")]});
+    let list = serde_json::json!({"index": 1, "updates": [{"endpoints": update}]});
+    let endpoints = initial_endpoints(&list, &mut locations)
+        .expect("a valid list")
         .endpoints;
     assert_eq!(
-        (zones(&entries), entries[0].endpoint.kind),
+        (zones(&endpoints), endpoints[0].endpoint.kind),
         (vec![2, 3], 2),
-        "by name"
+        "ordered by name"
     );
-    // Past what an index of a byte tells apart a row is left out, and the others count.
+    // Endpoints in zones for which no one-byte index is left are ignored; the others are used.
     let many: Vec<String> = (0..300).map(|n| format!("s-{n}.z-{n}.hosts")).collect();
-    let targets: Vec<(&str, u16)> = many.iter().map(|t| (t.as_str(), 0)).collect();
-    let (_, entries) = newer(&list(7, 41, &targets, true), 7, &mut places).expect("a sound answer");
-    let mut told_apart = zones(&entries);
-    told_apart.dedup();
+    let targets: Vec<(&str, u16)> = many.iter().map(|target| (target.as_str(), 0)).collect();
+    let (_, endpoints) = parse_with(&encode_answer(7, 41, &targets, true), 7, &mut locations)
+        .expect("a valid answer");
+    let mut distinct_zones = zones(&endpoints);
+    distinct_zones.dedup();
     assert_eq!(
-        (told_apart.len(), entries.len(), places.ignored_endpoints),
+        (
+            distinct_zones.len(),
+            endpoints.len(),
+            locations.ignored_endpoints
+        ),
         (252, 252, 48)
     );
 }
 
-/// An answer with hundreds of executors is longer than the 8,000 bytes that the platform's page names.
+/// An answer with hundreds of executors is longer than the 8,000 bytes that the platform's specification names.
 #[test]
-fn a_list_as_long_as_a_datagram_is_read() {
+fn an_answer_as_long_as_a_datagram_is_parsed() {
     let many: Vec<String> = (0..1_024)
         .rev()
         .map(|n| format!("s-{n}.east.hosts"))
         .collect();
-    let targets: Vec<(&str, u16)> = many.iter().map(|t| (t.as_str(), 0)).collect();
-    let bytes = list(7, 41, &targets[..500], true);
+    let targets: Vec<(&str, u16)> = many.iter().map(|target| (target.as_str(), 0)).collect();
+    let bytes = encode_answer(7, 41, &targets[..500], true);
     assert!(
         bytes.len() > 8_000 && bytes.len() <= MAX_ANSWER_LENGTH,
         "{}",
         bytes.len()
     );
-    let (_, entries) = read(&bytes, 7).expect("a sound answer");
-    assert_eq!((entries.len(), entries[0].name.as_str()), (500, "s-1023"));
-    // Longer ones come by no datagram; they are read all the same.
+    let (_, endpoints) = parse(&bytes, 7).expect("a valid answer");
+    assert_eq!(
+        (endpoints.len(), endpoints[0].name.as_str()),
+        (500, "s-1023")
+    );
+    // A longer answer does not fit in a datagram, but the parser accepts it.
     assert_eq!(
-        read(&list(7, 41, &targets, true), 7)
-            .expect("a sound answer")
+        parse(&encode_answer(7, 41, &targets, true), 7)
+            .expect("a valid answer")
             .1
             .len(),
         1_024
@@ -230,19 +266,19 @@
 }
 
 #[test]
-fn known_is_a_whole_list_and_what_changed_since() {
+fn an_initial_list_is_a_complete_list_and_later_updates() {
     let (zones, kinds) = (names(&["east"]), names(&["std"]));
-    let mut places = LocationTable::new(zones, kinds);
-    let host = |host: &str, health: &str, born: u64| {
-        serde_json::json!({"host": host, "dial": "10.1.0.9:4100", "site": "east", "class": "std", "block": 2,
-            "health": health, "share": 4, "born_ms": born})
+    let mut locations = LocationTable::new(zones, kinds);
+    let host = |name: &str, health: &str, started_ms: u64| {
+        serde_json::json!({"host": name, "dial": "10.1.0.9:4100", "site": "east", "class": "std", "block": 2,
+            "health": health, "share": 4, "born_ms": started_ms})
     };
-    let update = |whole: bool, hosts: Vec<serde_json::Value>| serde_json::json!({"index": 1, "endpoints": {"seq": 7, "whole": whole, "hosts": hosts}});
-    let first = update(
+    let update = |is_complete: bool, hosts: Vec<serde_json::Value>| serde_json::json!({"index": 1, "endpoints": {"seq": 7, "whole": is_complete, "hosts": hosts}});
+    let complete = update(
         true,
         vec![host("s-1", "SERVING", 0), host("s-2", "SERVING", 0)],
     );
-    let then = update(
+    let changes = update(
         false,
         vec![
             host("s-1", "DELETED", 0),
@@ -250,39 +286,43 @@
             host("s-3", "SERVING", 2500),
         ],
     );
-    let told = serde_json::json!({"index": 3, "updates": [first, then]});
-    let InitialEndpoints {
-        serial,
-        endpoints: entries,
-    } = initial_endpoints(&told, &mut places).expect("it is sound");
-    let all: Vec<_> = entries
+    let list = serde_json::json!({"index": 3, "updates": [complete, changes]});
+    let InitialEndpoints { serial, endpoints } =
+        initial_endpoints(&list, &mut locations).expect("a valid list");
+    let actual: Vec<_> = endpoints
         .iter()
-        .map(|e| (e.name.as_str(), e.endpoint.state, e.endpoint.started_at))
+        .map(|discovered| {
+            (
+                discovered.name.as_str(),
+                discovered.endpoint.state,
+                discovered.endpoint.started_at,
+            )
+        })
         .collect();
     assert_eq!(serial, 3);
     let expected = [
         ("s-2", EndpointState::Draining, f64::NEG_INFINITY),
         ("s-3", EndpointState::Ready, 2.5),
     ];
-    assert_eq!(all, expected);
-    let bad = update(true, vec![host("s-1", "ODD", 0)]);
-    let fault = initial_endpoints(
-        &serde_json::json!({"index": 3, "updates": [bad]}),
-        &mut places,
+    assert_eq!(actual, expected);
+    let invalid = update(true, vec![host("s-1", "ODD", 0)]);
+    let error = initial_endpoints(
+        &serde_json::json!({"index": 3, "updates": [invalid]}),
+        &mut locations,
     )
-    .expect_err("no such state");
-    assert!(fault.to_string().contains("ODD"), "{fault}");
+    .expect_err("an unknown state");
+    assert!(error.to_string().contains("ODD"), "{error}");
 }
 
 proptest! {
     #[test]
-    fn no_bytes_upset_it(bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..200, byte: u8) {
-        let _ = read(&bytes, 7);
-        let mut list = list(7, 41, &TWO, true);
-        let at = at % list.len();
-        list[at] = byte;
-        if let Ok((_, entries)) = read(&list, 7) {
-            prop_assert!(entries.len() <= 2);
+    fn arbitrary_and_damaged_answers_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), at in 0usize..200, byte: u8) {
+        let _ = parse(&bytes, 7);
+        let mut damaged = encode_answer(7, 41, &TWO_TARGETS, true);
+        let at = at % damaged.len();
+        damaged[at] = byte;
+        if let Ok((_, endpoints)) = parse(&damaged, 7) {
+            prop_assert!(endpoints.len() <= 2);
         }
     }
 }
