--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -1,35 +1,35 @@
-//! Which of several lists is believed: serials that don't fit, answers overtaken, rows that can't be read.
+//! Which lists the view believes: lists with wrong serials, overtaken answers, records that can't be read.
 
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use orchidtally_platform_discovery::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Seconds between two questions.
-const ASKED_EVERY: f64 = 0.2;
+/// Seconds between two queries.
+const POLL_INTERVAL: f64 = 0.2;
 
-fn entry(n: u32, standing: EndpointState, since: f64) -> DiscoveredEndpoint {
+fn discovered(n: u32, state: EndpointState, started_at: f64) -> DiscoveredEndpoint {
     let name = format!("s-{n}");
     let executor = executor_id(&name);
-    let row = Endpoint {
+    let endpoint = Endpoint {
         executor,
         zone: 0,
         kind: 0,
         cell: 1,
-        state: standing,
+        state,
         weight: 4.0,
-        started_at: since,
+        started_at,
     };
     DiscoveredEndpoint {
         name,
         address: ([10, 1, 0, n as u8], 4100).into(),
-        endpoint: row,
+        endpoint,
     }
 }
 
-/// A list of executors 0 up to a count, some of them draining.
+/// A list of the executors from 0 to `count`, exclusive; those in `draining` are draining, the others ready.
 fn list(serial: u32, count: u32, draining: &[u32]) -> EndpointList {
-    let standing = |n| {
+    let state = |n| {
         if draining.contains(&n) {
             EndpointState::Draining
         } else {
@@ -39,64 +39,71 @@
     EndpointList {
         serial,
         endpoints: (0..count)
-            .map(|n| entry(n, standing(n), f64::NEG_INFINITY))
+            .map(|n| discovered(n, state(n), f64::NEG_INFINITY))
             .collect(),
     }
 }
 
-/// A view that is told something every 0.2 s.
+/// A view that receives an answer every 0.2 s.
 struct PolledView {
     view: EndpointView,
     now: f64,
 }
 
 impl PolledView {
-    fn new(first: &EndpointList) -> PolledView {
+    fn new(initial: &EndpointList) -> PolledView {
         PolledView {
-            view: EndpointView::new(0.0, first.serial, &first.endpoints),
+            view: EndpointView::new(0.0, initial.serial, &initial.endpoints),
             now: 0.0,
         }
     }
 
-    fn take(&mut self, answer: &EndpointList) -> ListOutcome {
-        self.now += ASKED_EVERY;
-        self.view.apply_list(self.now, self.now, answer)
+    /// Applies the answer to a query that was sent `POLL_INTERVAL` after the previous one.
+    fn apply(&mut self, list: &EndpointList) -> ListOutcome {
+        self.now += POLL_INTERVAL;
+        self.view.apply_list(self.now, self.now, list)
     }
 
+    /// The numbers of the executors that are ready.
     fn ready(&self) -> Vec<u32> {
         let ready = self
             .view
             .endpoints()
             .into_iter()
-            .filter(|e| e.endpoint.state == EndpointState::Ready);
+            .filter(|discovered| discovered.endpoint.state == EndpointState::Ready);
         ready
-            .map(|e| e.name[2..].parse().expect("a number"))
+            .map(|discovered| discovered.name[2..].parse().expect("a number"))
             .collect()
     }
 }
 
-/// The incident: the old rows came under the serial of the drain, and the true list after it was not read.
+/// Guards against a drain that is missed: an answer had the old records under the serial of the drain. The correct list
+/// after it had the serial of the view and was ignored.
 #[test]
-fn a_drain_counts_though_its_serial_is_held_already() {
+fn a_drain_takes_effect_although_its_serial_is_that_of_the_view() {
     let mut polled = PolledView::new(&list(1, 3, &[]));
-    assert_eq!(polled.take(&list(2, 3, &[])), ListOutcome::Confirmed);
-    assert_eq!(polled.take(&list(2, 3, &[1])), ListOutcome::Changed);
+    assert_eq!(polled.apply(&list(2, 3, &[])), ListOutcome::Confirmed);
+    assert_eq!(polled.apply(&list(2, 3, &[1])), ListOutcome::Changed);
     assert_eq!(polled.ready(), [0, 2]);
 }
 
 #[test]
-fn a_serial_that_jumped_ahead_is_put_right_and_hides_no_drain_meanwhile() {
+fn a_serial_that_jumped_ahead_is_corrected_and_hides_no_drain_until_then() {
     for jump in [1, 1_000, i32::MAX as u32, u32::MAX] {
         let mut polled = PolledView::new(&list(7, 3, &[]));
-        polled.take(&list(7 + jump % (u32::MAX - 7), 3, &[]));
-        polled.take(&list(7, 3, &[0]));
-        assert_eq!(polled.ready(), [1, 2], "{jump}: the drain counts at once");
-        polled.take(&list(8, 4, &[0]));
-        polled.take(&list(8, 4, &[0]));
+        polled.apply(&list(7 + jump % (u32::MAX - 7), 3, &[]));
+        polled.apply(&list(7, 3, &[0]));
+        assert_eq!(
+            polled.ready(),
+            [1, 2],
+            "{jump}: the drain takes effect at once"
+        );
+        polled.apply(&list(8, 4, &[0]));
+        polled.apply(&list(8, 4, &[0]));
         assert_eq!(
             (polled.ready(), polled.view.serial()),
             (vec![1, 2, 3], 8),
-            "{jump}: after three"
+            "{jump}: after three answers"
         );
         assert_eq!(polled.view.fresh_at(), polled.now);
     }
@@ -105,71 +112,76 @@
 #[test]
 fn serials_wrap_around() {
     let mut polled = PolledView::new(&list(u32::MAX, 2, &[]));
-    assert_eq!(polled.take(&list(0, 3, &[])), ListOutcome::Changed);
+    assert_eq!(polled.apply(&list(0, 3, &[])), ListOutcome::Changed);
     assert_eq!((polled.view.serial(), polled.ready()), (0, vec![0, 1, 2]));
 }
 
-/// A list that lags is older than what is held, and as long as it comes now and then it changes nothing.
+/// A list that lags has an older serial than the view. It changes nothing as long as current lists arrive in between.
 #[test]
-fn a_list_that_lags_takes_nothing_back() {
+fn a_list_that_lags_reverts_nothing() {
     let mut polled = PolledView::new(&list(3, 3, &[1]));
     for _ in 0..20 {
         assert_eq!(
-            polled.take(&list(2, 3, &[])),
+            polled.apply(&list(2, 3, &[])),
             ListOutcome::Older { changed: false }
         );
         assert_eq!(
-            polled.take(&list(2, 2, &[])),
+            polled.apply(&list(2, 2, &[])),
             ListOutcome::Older { changed: false }
         );
-        assert_eq!(polled.take(&list(3, 3, &[1])), ListOutcome::Confirmed);
+        assert_eq!(polled.apply(&list(3, 3, &[1])), ListOutcome::Confirmed);
         assert_eq!(polled.ready(), [0, 2]);
     }
-    // Where nothing else comes it is the list, but who was told away stays so for longer than a resolver lags.
+    // If only the older list arrives, the view adopts it. A withdrawn executor remains withdrawn for longer than a
+    // resolver lags.
     for _ in 0..8 {
-        polled.take(&list(2, 3, &[]));
+        polled.apply(&list(2, 3, &[]));
     }
     assert_eq!((polled.view.serial(), polled.ready()), (2, vec![0, 2]));
 }
 
 #[test]
-fn who_was_told_away_is_ready_again_after_three_lists_or_with_another_start() {
+fn a_withdrawn_executor_is_ready_again_after_three_lists_or_with_a_later_start() {
     let mut polled = PolledView::new(&list(1, 2, &[]));
-    polled.take(&list(2, 2, &[0]));
+    polled.apply(&list(2, 2, &[0]));
     for expected in [&[1][..], &[1], &[0, 1]] {
-        polled.take(&list(3, 2, &[]));
+        polled.apply(&list(3, 2, &[]));
         assert_eq!(polled.ready(), expected);
     }
-    polled.take(&list(4, 1, &[]));
-    let mut anew = list(5, 2, &[]);
-    anew.endpoints[1].endpoint.started_at = 9.0;
-    polled.take(&anew);
+    polled.apply(&list(4, 1, &[]));
+    let mut restarted = list(5, 2, &[]);
+    restarted.endpoints[1].endpoint.started_at = 9.0;
+    polled.apply(&restarted);
     assert_eq!(polled.ready(), [0, 1]);
 }
 
 #[test]
-fn one_spoilt_standing_is_put_right_by_the_answers_after_it() {
+fn one_damaged_state_is_corrected_by_the_answers_after_it() {
     let mut polled = PolledView::new(&list(1, 2, &[]));
-    polled.take(&list(1, 2, &[0]));
+    polled.apply(&list(1, 2, &[0]));
     assert_eq!(polled.ready(), [1]);
     for _ in 0..3 {
-        polled.take(&list(1, 2, &[]));
+        polled.apply(&list(1, 2, &[]));
     }
     assert_eq!(polled.ready(), [0, 1]);
-    polled.take(&list(2, 2, &[0]));
-    polled.take(&list(2, 2, &[]));
-    polled.take(&list(2, 2, &[0]));
-    assert_eq!(polled.ready(), [1], "one spoilt answer makes nobody ready");
+    polled.apply(&list(2, 2, &[0]));
+    polled.apply(&list(2, 2, &[]));
+    polled.apply(&list(2, 2, &[0]));
+    assert_eq!(
+        polled.ready(),
+        [1],
+        "one damaged answer makes no executor ready"
+    );
 }
 
-/// What it answers was asked before: it is as old as its question, whenever it comes.
+/// An answer is as old as its query, no matter when it arrives.
 #[test]
-fn the_view_is_as_fresh_as_its_question() {
+fn the_view_is_as_fresh_as_its_query() {
     let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).endpoints);
     assert_eq!(view.fresh_at(), f64::NEG_INFINITY);
     view.apply_list(9.0, 5.0, &list(1, 3, &[]));
     assert_eq!(view.fresh_at(), 5.0);
-    // Overtaken: who drains counts, who is missing or new does not.
+    // An overtaken answer withdraws the draining executors; missing and new executors are ignored.
     let outcome = view.apply_list(9.1, 4.0, &list(1, 2, &[0]));
     assert_eq!(
         (outcome, view.fresh_at()),
@@ -179,7 +191,7 @@
     view.confirm_unchanged(8.0);
     view.confirm_unchanged(6.0);
     assert_eq!(view.fresh_at(), 8.0);
-    // One with a newer serial counts however late it comes.
+    // A list with a newer serial is applied however late it arrives.
     assert_eq!(
         view.apply_list(9.2, 7.0, &list(2, 4, &[0])),
         ListOutcome::Changed
@@ -187,13 +199,13 @@
     assert_eq!(view.fresh_at(), 8.0);
 }
 
-/// One row that can't be read cost every later list, drains and all.
+/// Guards against one record that can't be read making every later list unusable, so that drains are missed.
 #[test]
-fn a_row_that_can_not_be_read_keeps_its_place_and_loses_its_standing() {
+fn an_executor_with_an_invalid_record_keeps_its_address_and_changes_its_state() {
     let mut view = EndpointView::new(0.0, 1, &list(1, 3, &[]).endpoints);
-    let mut whole = list(2, 4, &[0]);
-    let _unreadable = whole.endpoints.remove(1);
-    let odd = vec![
+    let mut complete = list(2, 4, &[0]);
+    let _unreadable = complete.endpoints.remove(1);
+    let state_only = vec![
         EndpointStateOnly {
             name: "s-1".into(),
             state: EndpointState::Draining,
@@ -205,19 +217,24 @@
     ];
     let partial = PartialEndpointList {
         serial: 2,
-        endpoints: whole.endpoints,
-        state_only: odd,
+        endpoints: complete.endpoints,
+        state_only,
         locations: LocationTable::default(),
     };
     assert_eq!(
         view.apply_partial_list(1.0, 0.9, &partial),
         ListOutcome::Changed
     );
-    let standing = |e: DiscoveredEndpoint| (e.name, e.endpoint.state == EndpointState::Ready);
-    let rows: BTreeMap<String, bool> = view.endpoints().into_iter().map(standing).collect();
+    let is_ready = |discovered: DiscoveredEndpoint| {
+        (
+            discovered.name,
+            discovered.endpoint.state == EndpointState::Ready,
+        )
+    };
+    let actual: BTreeMap<String, bool> = view.endpoints().into_iter().map(is_ready).collect();
     let expected = [("s-0", false), ("s-1", false), ("s-2", true), ("s-3", true)];
     assert_eq!(
-        rows,
+        actual,
         expected
             .map(|(name, ready)| (name.to_owned(), ready))
             .into()
@@ -226,28 +243,28 @@
 }
 
 #[test]
-fn one_spoilt_record_moves_nobody_and_two_in_a_row_do() {
+fn an_address_changes_only_after_two_consecutive_lists() {
     let mut polled = PolledView::new(&list(1, 2, &[]));
     let mut moved = list(1, 2, &[]);
     moved.endpoints[0].address = ([10, 9, 9, 9], 1).into();
     let address = |polled: &PolledView| polled.view.endpoints()[0].address.to_string();
     let first = address(&polled);
-    polled.take(&moved);
-    assert_eq!(address(&polled), first, "told once");
+    polled.apply(&moved);
+    assert_eq!(address(&polled), first, "reported once");
     assert!(
         !polled.view.is_settled(),
-        "the same answer again tells something"
+        "the same answer again changes the view"
     );
-    polled.take(&list(1, 2, &[]));
-    polled.take(&moved);
-    assert_eq!(address(&polled), first, "not in a row");
-    polled.take(&moved);
+    polled.apply(&list(1, 2, &[]));
+    polled.apply(&moved);
+    assert_eq!(address(&polled), first, "not consecutive");
+    polled.apply(&moved);
     assert_eq!(address(&polled), "10.9.9.9:1");
     assert!(polled.view.is_settled());
-    // Its standing counts at once all the same.
+    // A change of the state takes effect at once nevertheless.
     moved.endpoints[0].address = ([10, 8, 8, 8], 1).into();
     moved.endpoints[0].endpoint.state = EndpointState::Draining;
-    polled.take(&moved);
+    polled.apply(&moved);
     assert_eq!(
         (address(&polled).as_str(), polled.ready()),
         ("10.9.9.9:1", vec![1])
@@ -255,31 +272,35 @@
 }
 
 #[test]
-fn one_that_is_listed_twice_stands_as_the_worse_of_the_two() {
+fn an_executor_that_is_listed_twice_is_ready_only_if_both_records_are() {
     for order in [
         [EndpointState::Ready, EndpointState::Draining],
         [EndpointState::Draining, EndpointState::Ready],
     ] {
         let mut polled = PolledView::new(&list(1, 2, &[]));
-        let mut twice = list(2, 2, &[]);
-        let [first, second] = order.map(|standing| entry(0, standing, f64::NEG_INFINITY));
-        twice.endpoints[0] = first;
-        twice.endpoints.push(second);
-        polled.take(&twice);
+        let mut with_duplicate = list(2, 2, &[]);
+        let [first, second] = order.map(|state| discovered(0, state, f64::NEG_INFINITY));
+        with_duplicate.endpoints[0] = first;
+        with_duplicate.endpoints.push(second);
+        polled.apply(&with_duplicate);
         assert_eq!(polled.ready(), [1], "{order:?}");
     }
 }
 
-/// Starts are told by other machines' wall clocks; this one's may be an hour ahead or behind.
+/// Start times are taken from the wall clocks of other machines; the wall clock of this machine may be an hour ahead or
+/// behind.
 #[test]
-fn an_executor_that_has_just_started_is_new_whatever_the_wall_clock_tells() {
+fn an_executor_that_has_just_started_counts_as_new_whatever_the_wall_clock_shows() {
     let hour = 3_600.0;
-    for polled in [-hour, -1.0, 0.0, 1.0, hour] {
-        let mut view =
-            EndpointView::new(100.0, 1, &[entry(0, EndpointState::Ready, 100.0 + polled)]);
-        let new = entry(1, EndpointState::Ready, 200.0 + polled);
-        let old = entry(0, EndpointState::Ready, 100.0 + polled);
-        // It was on no list a moment before.
+    for clock_offset in [-hour, -1.0, 0.0, 1.0, hour] {
+        let mut view = EndpointView::new(
+            100.0,
+            1,
+            &[discovered(0, EndpointState::Ready, 100.0 + clock_offset)],
+        );
+        let new = discovered(1, EndpointState::Ready, 200.0 + clock_offset);
+        let old = discovered(0, EndpointState::Ready, 100.0 + clock_offset);
+        // The new executor is not on the list that was queried just before.
         view.apply_list(
             199.9,
             199.9,
@@ -296,16 +317,16 @@
                 endpoints: vec![old.clone(), new.clone()],
             },
         );
-        let since: Vec<f64> = view
+        let start_times: Vec<f64> = view
             .endpoints()
             .iter()
-            .map(|e| e.endpoint.started_at)
+            .map(|discovered| discovered.endpoint.started_at)
             .collect();
         assert!(
-            (98.5..=100.0).contains(&since[0]) && (198.5..=200.0).contains(&since[1]),
-            "{polled}: {since:?}"
+            (98.5..=100.0).contains(&start_times[0]) && (198.5..=200.0).contains(&start_times[1]),
+            "{clock_offset}: {start_times:?}"
         );
-        // It stays so, until it starts anew.
+        // The start times remain the same until an executor restarts.
         view.apply_list(
             300.0,
             300.0,
@@ -317,67 +338,72 @@
         assert_eq!(
             view.endpoints()
                 .iter()
-                .map(|e| e.endpoint.started_at)
+                .map(|discovered| discovered.endpoint.started_at)
                 .collect::<Vec<_>>(),
-            since,
-            "{polled}"
+            start_times,
+            "{clock_offset}"
         );
         view.apply_list(
             400.0,
             400.0,
             &EndpointList {
                 serial: 4,
-                endpoints: vec![entry(0, EndpointState::Ready, 400.0 + polled)],
+                endpoints: vec![discovered(0, EndpointState::Ready, 400.0 + clock_offset)],
             },
         );
         assert!(
             (398.5..=400.0).contains(&view.endpoints()[0].endpoint.started_at),
-            "{polled}"
+            "{clock_offset}"
         );
     }
-    // Of several at a start the youngest may be new, and the others are so much older.
-    for polled in [-hour, 0.0, hour] {
-        let since = [-50.0, -2.0, f64::NEG_INFINITY].map(|since| 100.0 + polled + since);
-        let entries: Vec<DiscoveredEndpoint> = (0..)
-            .zip(since)
-            .map(|(n, since)| entry(n, EndpointState::Ready, since))
+    // On the initial list, the executor that started last counts as new, and the others are older by the difference.
+    for clock_offset in [-hour, 0.0, hour] {
+        let reported =
+            [-50.0, -2.0, f64::NEG_INFINITY].map(|started_at| 100.0 + clock_offset + started_at);
+        let endpoints: Vec<DiscoveredEndpoint> = (0..)
+            .zip(reported)
+            .map(|(n, started_at)| discovered(n, EndpointState::Ready, started_at))
             .collect();
-        let taken: Vec<f64> = EndpointView::new(100.0, 1, &entries)
+        let estimated: Vec<f64> = EndpointView::new(100.0, 1, &endpoints)
             .endpoints()
             .iter()
-            .map(|e| e.endpoint.started_at)
+            .map(|discovered| discovered.endpoint.started_at)
             .collect();
-        assert_eq!(taken, [52.0, 100.0, f64::NEG_INFINITY], "{polled}");
+        assert_eq!(
+            estimated,
+            [52.0, 100.0, f64::NEG_INFINITY],
+            "{clock_offset}"
+        );
     }
-    let long_ago = EndpointView::new(
+    let started_long_ago = EndpointView::new(
         100.0,
         1,
-        &[entry(0, EndpointState::Ready, f64::NEG_INFINITY)],
+        &[discovered(0, EndpointState::Ready, f64::NEG_INFINITY)],
     );
     assert_eq!(
-        long_ago.endpoints()[0].endpoint.started_at,
+        started_long_ago.endpoints()[0].endpoint.started_at,
         f64::NEG_INFINITY
     );
 }
 
 proptest! {
-    /// Whatever comes under whatever serial: an executor that the last three true lists in a row told draining is not
-    /// ready, and one that they told ready for four seconds is.
+    /// After any lists with any serials, an executor that four consecutive correct lists report as draining is not ready,
+    /// and one that they report as ready for more than four seconds is.
     #[test]
-    fn a_true_list_counts_after_any_history(
+    fn correct_lists_take_effect_after_any_history(
         history in prop::collection::vec((any::<u32>(), 1u32..5, 0u32..4), 0..30),
         serial: u32,
     ) {
         let mut polled = PolledView::new(&list(1, 3, &[]));
         for (serial, count, draining) in history {
-            polled.take(&list(serial, count, &[draining]));
+            polled.apply(&list(serial, count, &[draining]));
         }
         for _ in 0..4 {
-            polled.take(&list(serial, 4, &[2]));
+            polled.apply(&list(serial, 4, &[2]));
         }
         prop_assert!(!polled.ready().contains(&2));
         for _ in 0..20 {
-            polled.take(&list(serial, 4, &[2]));
+            polled.apply(&list(serial, 4, &[2]));
         }
         prop_assert_eq!(polled.ready(), [0, 1, 3]);
     }
