--- a/crates/dispatch-policy/src/dispatch_result.rs
+++ b/crates/dispatch-policy/src/dispatch_result.rs
@@ -1,32 +1,32 @@
-//! How a dispatch or a load command ended.
+//! Results of dispatches and load commands.
 
 use crate::endpoint::ExecutorId;
 
-/// How a dispatch or a load command ended.
+/// Outcome of a dispatch or a load command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchStatus {
-    /// The function ran and answered.
+    /// The function ran and returned a response.
     Ok,
-    /// The function or the executor failed; it may have run.
+    /// The function or the executor failed. The function may have run.
     Error,
-    /// The executor had no capacity; nothing ran.
+    /// The executor had no capacity. The function did not run.
     Full,
-    /// No result came before the client's timeout.
+    /// No result arrived before the client timeout.
     TimedOut,
-    /// No connection to the executor could be made; nothing ran.
+    /// The connection to the executor could not be established. The function did not run.
     ConnectFailed,
-    /// The connection broke before the result; it may have run.
+    /// The connection broke before the result arrived. The function may have run.
     Reset,
-    /// The dispatch was cancelled; it may have run.
+    /// The dispatch was cancelled. The function may have run.
     Cancelled,
-    /// The dispatch was withdrawn before any of it was sent.
+    /// The dispatch was withdrawn before any of its bytes were sent.
     NeverSent,
-    /// The executor had not loaded the function and rejected the invocation.
+    /// The executor rejected the invocation because it had not loaded the function.
     NotLoaded,
 }
 
 impl DispatchStatus {
-    /// Whether the status proves that the dispatch never ran.
+    /// Whether the status proves that the function did not run.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -38,46 +38,47 @@
     }
 }
 
-/// In which state the executor found its replica of the function when the dispatch arrived.
+/// State of the function's replica at the executor when the dispatch arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaState {
-    /// The executor does not say.
+    /// The executor does not report the state.
     Unknown,
     /// The replica was loaded.
     Warm,
     /// The dispatch started a load.
     ColdStart,
-    /// The dispatch waited for a load that was under way.
+    /// The dispatch waited for a load that was already in progress.
     JoinedLoad,
     /// The load failed.
     LoadFailed,
 }
 
-/// The result of a dispatch.
+/// Result of a dispatch.
 #[derive(Clone, Debug)]
 pub struct DispatchResult<'a> {
     /// Identifier of the invocation.
     pub invocation: u32,
-    /// Number of the dispatch among those of its invocation, from 0.
+    /// Number of the dispatch among the dispatches of its invocation, from 0.
     pub dispatch: u8,
-    /// The executor that it was sent to.
+    /// Executor to which the dispatch was sent.
     pub executor: ExecutorId,
-    /// How it ended.
+    /// Outcome of the dispatch.
     pub status: DispatchStatus,
-    /// Seconds from the dispatch to the result.
+    /// Time from the dispatch to the result, in seconds.
     pub duration: f64,
-    /// The invocation has had its final answer.
+    /// Whether the invocation has received its final answer.
     pub is_answered: bool,
-    /// In which state the executor found its replica.
+    /// State of the replica when the dispatch arrived.
     pub replica_state: ReplicaState,
-    /// Invocations of the same function at the executor, where reported; else 0.
+    /// Concurrent invocations of the function at the executor; 0 if the executor does not report them.
     pub function_concurrency: u32,
-    /// Fields of the executor's load report; empty where there is none.
+    /// Fields of the executor's load report; empty if the result has no report.
     pub load_report: &'a [f32],
 }
 
 impl DispatchResult<'_> {
-    /// The value of a field of the load report, if it is there; negative values count as 0.
+    /// Returns the value of a field of the load report, or `None` if the report does not contain it. Negative values
+    /// are returned as 0.
     pub fn reported_value(&self, field: Option<usize>) -> Option<f64> {
         self.load_report
             .get(field?)
--- a/crates/dispatch-policy/src/endpoint.rs
+++ b/crates/dispatch-policy/src/endpoint.rs
@@ -1,19 +1,19 @@
-//! Executors as the endpoint list describes them, and the front ends that share them.
+//! Entries of the endpoint list, and the front ends that share the executors.
 
 use std::net::IpAddr;
 
-/// An executor's address and port.
+/// IP address and port of an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ExecutorId(pub IpAddr, pub u16);
 
 /// Life cycle state of an executor in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new work.
+    /// The executor accepts new work.
     Ready,
-    /// It finishes what it has and takes no new work.
+    /// The executor completes the work that it has and accepts no new work.
     Draining,
-    /// It has left the fleet.
+    /// The executor has left the fleet.
     Gone,
 }
 
@@ -22,40 +22,41 @@
 pub struct Endpoint {
     /// Address and port of the executor.
     pub executor: ExecutorId,
-    /// Its zone.
+    /// Zone of the executor.
     pub zone: u8,
-    /// Its hardware kind; executors of one kind are comparable.
+    /// Hardware kind. Executors of one kind have comparable performance.
     pub kind: u8,
-    /// Its cell, a group that shares idempotency keys.
+    /// Cell: a group of executors that recognize each other's idempotency keys.
     pub cell: u16,
-    /// Its life cycle state.
+    /// Life cycle state of the executor.
     pub state: EndpointState,
-    /// Its capacity relative to others; values that are not positive and finite count as 1.
+    /// Capacity relative to other executors. A value that is not positive and finite counts as 1.
     pub weight: f64,
-    /// When it last started, in seconds; minus infinity for long ago.
+    /// Time of the last start in seconds; negative infinity if the executor started long ago.
     pub started_at: f64,
 }
 
-/// What an endpoint update contains.
+/// Content of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Changed entries only.
+    /// Only the changed entries.
     Delta,
-    /// The whole list: an executor without an entry is gone.
+    /// The complete list. An executor without an entry has left the fleet.
     Full,
-    /// Nothing: the subscription to the endpoint list failed.
+    /// No entries: the subscription to the endpoint list failed.
     Failed,
 }
 
-/// The live front ends, as far as this one knows.
+/// The live front ends that this front end knows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipView {
-    /// Number of front ends by which shared quantities are divided.
+    /// Number of front ends among which shared quantities are divided.
     pub front_ends: f64,
-    /// Number of time slots into which a shared budget is divided; the same at all front ends that share it.
+    /// Number of time slots into which a shared budget is divided. All front ends that share the budget use the same
+    /// number.
     pub slot_count: f64,
-    /// Index of this front end, which no other has.
+    /// Index of this front end, unique among the front ends.
     pub front_end_index: f64,
-    /// Whether this front end may use its part of a strictly shared budget.
+    /// Whether this front end may use its share of a budget that the front ends must not exceed together.
     pub has_budget_share: bool,
 }
--- a/crates/dispatch-policy/src/interface.rs
+++ b/crates/dispatch-policy/src/interface.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the dispatch policy. All times are seconds on a clock of the caller.
+//! Inputs and outputs of the dispatch policy. All times are in seconds on the caller's clock.
 
 pub use crate::actions::{Actions, TableSizes};
 pub use crate::dispatch_result::{DispatchResult, DispatchStatus, ReplicaState};
--- a/crates/dispatch-policy/src/invocation.rs
+++ b/crates/dispatch-policy/src/invocation.rs
@@ -1,39 +1,40 @@
 //! Requests to the dispatch policy.
 
-/// An invocation of a function that is to be answered.
+/// An invocation of a function that needs an answer.
 #[derive(Clone, Debug)]
 pub struct Invocation {
     /// Identifier, unique among the open invocations of the front end.
     pub id: u32,
-    /// Index of its trigger type.
+    /// Index of the trigger type.
     pub trigger_type: usize,
-    /// Index of the customer that it is billed to.
+    /// Index of the customer that is billed.
     pub customer: usize,
     /// Key of the function.
     pub function: u64,
-    /// The client marks it as a retry of an earlier request.
+    /// Whether the client marks the invocation as a retry of an earlier request.
     pub is_retry: bool,
-    /// It was accepted earlier under another identifier and migrated here; it grants no further load command.
+    /// Whether the invocation was accepted earlier under another identifier and migrated to this front end. A migrated
+    /// invocation adds nothing to the load budget.
     pub is_migrated: bool,
-    /// When the client gives up, in seconds.
+    /// Time at which the client timeout expires, in seconds.
     pub timeout_at: f64,
-    /// Expected work in seconds, where the hint is valid.
+    /// Expected work in seconds; `None` without a valid hint.
     pub expected_work: Option<f64>,
-    /// Invocations of the function that one replica runs at a time.
+    /// Number of invocations of the function that one replica runs concurrently.
     pub concurrency: f64,
-    /// Usual time of a load in seconds, where known.
+    /// Typical load time of the function in seconds, if known.
     pub load_time: Option<f64>,
 }
 
-/// Replicas of a function that are wanted before its invocations arrive.
+/// A request to load replicas of a function before its invocations arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct PrewarmRequest {
     /// Key of the function.
     pub function: u64,
-    /// Invocations of the function that one replica runs at a time.
+    /// Number of invocations of the function that one replica runs concurrently.
     pub concurrency: f64,
-    /// Usual time of a load in seconds, where known.
+    /// Typical load time of the function in seconds, if known.
     pub load_time: Option<f64>,
-    /// Number of replicas wanted.
+    /// Number of replicas requested.
     pub replicas: usize,
 }
--- a/crates/dispatch-policy/src/lib.rs
+++ b/crates/dispatch-policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Dispatch policy of a front end: decides which executor of a shared fleet runs each invocation of a function
-//! that has to be loaded first.
+//! Dispatch policy of a front end. It selects the executor of a shared fleet that runs each invocation, and decides
+//! when executors load a function that they need before they can run it.
 //!
-//! [`dispatch::Dispatcher`] takes all decisions and holds every tuned value; [`state`] keeps records without
-//! deciding anything; [`interface`] has the inputs and outputs. The policy does no input or output of its own, reads
-//! no clock and draws from a seeded generator, so that equal inputs give equal decisions.
+//! [`dispatch::Dispatcher`] makes all decisions and contains every tuned value. [`state`] stores records and makes no
+//! decisions. [`interface`] defines the inputs and outputs. The policy performs no I/O, reads no clock and draws random
+//! numbers from a seeded generator, so equal inputs produce equal decisions.
 
 mod actions;
 pub mod dispatch;
--- a/crates/dispatch-policy/src/random.rs
+++ b/crates/dispatch-policy/src/random.rs
@@ -1,8 +1,8 @@
-//! Seeded pseudo-random numbers and rendezvous hashes.
+//! Seeded pseudo-random numbers and a rendezvous hash.
 
-/// Increment of the linear congruential step.
+/// Increment of the linear congruential generator.
 const INCREMENT: u64 = 1_442_695_040_888_963_407;
-/// Multiplier of the linear congruential step.
+/// Multiplier of the linear congruential generator.
 const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
 
 /// A permuted congruential generator (PCG-XSH-RR 64/32).
@@ -10,7 +10,7 @@
 pub struct SeededRandom(u64);
 
 impl SeededRandom {
-    /// A generator whose sequence depends on nothing but the seed.
+    /// Creates a generator. Equal seeds produce equal sequences.
     pub fn new(seed: u64) -> Self {
         let mut generator = SeededRandom(seed.wrapping_add(INCREMENT));
         generator.next_u32();
@@ -24,13 +24,13 @@
         mixed.rotate_right((old >> 59) as u32)
     }
 
-    /// A number from 0 up to, but not including, 1.
+    /// Returns a uniformly distributed number in `[0, 1)`.
     pub fn next_f64(&mut self) -> f64 {
         f64::from(self.next_u32()) / 4_294_967_296.0
     }
 }
 
-/// A hash of a pair of numbers, the same at every front end.
+/// Hashes a pair of numbers. All front ends compute the same value.
 pub fn rendezvous_hash(a: u64, b: u64) -> u32 {
     let mut generator = SeededRandom::new(
         a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b.wrapping_mul(0xd6e8_feb8_6659_fd93),
