--- a/crates/dispatch-policy/src/dispatch/concurrency_limit.rs
+++ b/crates/dispatch-policy/src/dispatch/concurrency_limit.rs
@@ -1,39 +1,40 @@
-//! Adaptive limit of the dispatches in flight at an executor: it grows exponentially while answers are quick, and is
-//! cut by a factor when the typical latency gets close to the latency objective.
+//! Adaptive limit of the dispatches in flight at an executor. It grows exponentially while latencies are low and is
+//! decreased by a factor when the median latency approaches the latency objective.
 
 use super::Dispatcher;
 use super::time_slots::slot_offset;
 use super::traffic::TRAFFIC_TIME_CONSTANT;
 use crate::state::ExecutorIndex;
 
-/// Limit at the start, and the highest one, in dispatches in flight of one front end at one executor.
+/// Initial and highest limit, in dispatches in flight of one front end at one executor.
 const MAX_LIMIT: f64 = 10.0;
 /// Lowest limit of all front ends together, in dispatches in flight at one executor.
 const MIN_SHARED_LIMIT: f64 = 9.0;
-/// Factor of a cut.
+/// Factor by which the limit is decreased.
 const DECREASE_FACTOR: f64 = 0.6;
-/// Growth rate, each second.
+/// Exponential growth rate per second.
 const GROWTH_RATE: f64 = 0.15;
-/// Typical latency above which the limit is cut, in latency objectives.
+/// Median latency above which the limit is decreased, in latency objectives.
 const MAX_TYPICAL_LATENCY: f64 = 0.3;
-/// Typical latency at the start, in latency objectives.
+/// Initial estimate of the median latency, in latency objectives.
 const INITIAL_TYPICAL_LATENCY: f64 = MAX_TYPICAL_LATENCY / 3.0;
-/// Factor by which the estimate of the median follows each latency, up or down.
+/// Factor by which each latency raises or lowers the estimate of the median.
 const MEDIAN_STEP: f64 = 1.1;
-/// The limit is never below the own traffic in flight at baseline latencies times this: as much waits for loads.
+/// Lower bound of the limit, as a multiple of the dispatches that the front end's own traffic has in flight at an
+/// executor at baseline latency. The margin covers dispatches that wait for loads.
 const OWN_TRAFFIC_FACTOR: f64 = 4.0;
-/// Seconds of a time slot in which a front end has its turn for a fraction of a dispatch.
+/// Length in seconds of the time slots in which front ends take turns to use the fractional part of the limit.
 const SLOT_DURATION: f64 = 0.1;
 
-/// Seconds of the first backoff after a result `Full`.
+/// Initial backoff after a `Full` result, in seconds.
 ///
-/// Failure mode: storms of dispatches into executors that reject everything, because they are crowded or drain.
-/// Risk: an executor that was full for a moment only is left out that long.
+/// Failure mode: front ends flood executors that reject everything because they are overloaded or draining.
+/// Risk: an executor that was full only for a moment receives no dispatches during the backoff.
 pub(super) const FULL_BACKOFF: f64 = 0.1;
-/// How often that backoff is doubled at most while no dispatch succeeds.
+/// Maximum number of times the backoff is doubled while no dispatch succeeds.
 pub(super) const MAX_FULL_DOUBLINGS: i32 = 4;
 
-/// The limit, and the latencies that set it. Times are in seconds.
+/// Concurrency limit and the median latency that controls it. Times are in seconds.
 pub(super) struct ConcurrencyLimit {
     /// Dispatches in flight at an executor.
     limit: f64,
@@ -43,23 +44,23 @@
     updated_at: f64,
 }
 
-/// Dispatches in flight that are allowed.
+/// Number of dispatches that may be in flight.
 #[derive(Clone, Copy)]
 pub(super) struct Capacity {
     limit: f64,
-    /// The limit is one of the dispatches in flight at all executors together; else of those at each.
+    /// Whether the limit applies to the dispatches in flight at all executors together instead of at each executor.
     is_fleet_wide: bool,
 }
 
 impl Capacity {
-    /// Whether an executor without dispatches in flight surely has capacity left.
+    /// Whether an executor without dispatches in flight always has capacity.
     pub(super) fn admits_idle(self) -> bool {
         !self.is_fleet_wide
     }
 }
 
 impl ConcurrencyLimit {
-    /// The highest limit, before any latency is known.
+    /// Creates the highest limit, before any latency is known.
     pub(super) fn new() -> ConcurrencyLimit {
         ConcurrencyLimit {
             limit: MAX_LIMIT,
@@ -69,17 +70,17 @@
         }
     }
 
-    /// Estimate of the median latency, in latency objectives.
+    /// Returns the estimate of the median latency, in latency objectives.
     pub(super) fn typical_latency(&self) -> f64 {
         self.typical_latency
     }
 
-    /// Takes a latency, in latency objectives, of a dispatch that was sent at a time. The limit goes by the median: a
-    /// heavy invocation or one that waited for a load says nothing about crowding. It is cut once for all that was
-    /// sent since the last cut.
+    /// Updates the limit with the latency, in latency objectives, of a dispatch sent at `sent_at`. The limit follows
+    /// the median because a heavy invocation or one that waited for a load does not indicate overload. A dispatch sent
+    /// before the last decrease does not decrease the limit again.
     ///
-    /// Failure mode: overload of the executors, whatever its cause.
-    /// Risk: less throughput where work takes long by nature.
+    /// Failure mode: executors are overloaded, for any reason.
+    /// Risk: throughput is lower if work takes long by nature.
     pub(super) fn record_latency(&mut self, latency: f64, sent_at: f64, now: f64, front_ends: f64) {
         self.typical_latency *= if latency > self.typical_latency {
             MEDIAN_STEP
@@ -96,17 +97,19 @@
         self.updated_at = now;
     }
 
-    /// The capacity for an invocation that may fill a fraction of the limit. All front ends together have one dispatch
-    /// at each executor, however small the fraction.
+    /// Returns the capacity for an invocation to which `fraction` of the limit is available. `own_work` is the recent
+    /// work of this front end in seconds, `ready` the number of ready executors. However small the fraction is, all
+    /// front ends together may have one dispatch in flight at each executor.
     ///
-    /// Failure mode: a trigger type that was never answered counts as slow, and so as worth little; it would never be
-    /// served. After a cut, an equal part of the limit is too little for a front end with several times the mean
-    /// traffic, and its few answers let the limit grow slowly.
-    /// Risk: full executors get more where answers are quick.
+    /// Failure mode: a trigger type without results has a high initial baseline latency and therefore a low priority
+    /// weight, so it would never be served. After a decrease, an equal share of the limit is too small for a front end
+    /// with several times the mean traffic, and the few results that it gets let the limit grow slowly.
+    /// Risk: executors at their limit receive more dispatches while latencies are low.
     fn capacity(&self, fraction: f64, own_work: f64, ready: f64, front_ends: f64) -> Capacity {
         let own_traffic = OWN_TRAFFIC_FACTOR * own_work / TRAFFIC_TIME_CONSTANT / ready;
         let limit = (self.limit.max(own_traffic) * fraction).max(1.0 / front_ends);
-        // Failure mode: a front end with little traffic waits for its turn at the few executors that it knows.
+        // Failure mode: a front end with little traffic waits for its turn at the few executors that have a replica it
+        // knows.
         // Risk: all of its traffic may go to one executor.
         let is_fleet_wide = limit < 1.0;
         Capacity {
@@ -117,7 +120,7 @@
 }
 
 impl Dispatcher {
-    /// The capacity for an invocation that may fill a fraction of the concurrency limit.
+    /// Returns the capacity for an invocation to which `fraction` of the concurrency limit is available.
     pub(super) fn capacity(&self, fraction: f64) -> Capacity {
         self.concurrency_limit.capacity(
             fraction,
@@ -127,7 +130,7 @@
         )
     }
 
-    /// Whether an executor has capacity left and is not in a backoff.
+    /// Whether an executor has capacity and is not in backoff.
     pub(super) fn has_capacity(&self, executor: ExecutorIndex, capacity: Capacity) -> bool {
         let Capacity {
             limit,
@@ -138,7 +141,7 @@
         } else {
             self.executors[executor].in_flight_count()
         };
-        // The turn is a fraction of a dispatch: it decides about the last one only.
+        // The time slot only decides about the fractional part of the limit, which is the last dispatch.
         let has_turn = || {
             let slot = (self.now / SLOT_DURATION) as u64;
             let offset = slot_offset(&self.membership, &self.executors, executor, slot);
--- a/crates/dispatch-policy/src/dispatch/constraints.rs
+++ b/crates/dispatch-policy/src/dispatch/constraints.rs
@@ -1,6 +1,6 @@
-//! The constraints that every action passes: each dispatch, load command and final answer is made here and nowhere
-//! else. They enforce the five rules of the platform: one final answer in time (1), no second effect (2), no work to
-//! an executor that drains or is gone (3), no overload of executors that warm up (4), the budget of load commands (5).
+//! Constraints on all actions. Every dispatch, load command and final answer is issued by this module, which enforces
+//! the five rules of the platform: one final answer in time (1), no second effect (2), no work for an executor that is
+//! draining or gone (3), no overload of executors that are warming up (4), the budget of load commands (5).
 
 use super::Dispatcher;
 use super::retry::SILENCE_FRACTION;
@@ -8,14 +8,14 @@
 use crate::state::{ExecutorIndex, FunctionIndex, InvocationIndex};
 
 impl Dispatcher {
-    /// Whether an executor may get work: it is ready, as far as the view of executors can be relied on (rule 3).
+    /// Whether an executor may receive work: it is ready, and the view of executors is recent enough to rely on (rule 3).
     pub(super) fn accepts_work(&self, executor: ExecutorIndex) -> bool {
         self.endpoint_view
             .accepts_work(&self.executors[executor], self.now)
     }
 
-    /// Whether an invocation may be dispatched to an executor. `unsent` is the number of its dispatch that was decided
-    /// but not sent yet, which is asked about again.
+    /// Whether an invocation may be dispatched to an executor. To check again a dispatch that was decided but has not
+    /// been sent, pass its number as `unsent`.
     pub(super) fn allows_dispatch(
         &self,
         index: InvocationIndex,
@@ -35,8 +35,9 @@
             && self.has_slow_start_budget(executor, work)
     }
 
-    /// Whether a dispatch to an executor could have no second effect (rule 2). It could have none if no earlier one
-    /// may have run, or if the executor recognizes the idempotency key of the first that may have.
+    /// Whether a dispatch to an executor cannot have a second effect (rule 2). This holds if the invocation is
+    /// idempotent, if no earlier dispatch may have run, or if the executor recognizes the idempotency key of the first
+    /// dispatch that may have run.
     pub(super) fn may_repeat(
         &self,
         index: InvocationIndex,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// Whether an invocation may be repeated at any eligible executor. Checks only executors in its deduplication scope.
+    /// Whether an invocation may be repeated at any eligible executor. Checks only executors in its deduplication
+    /// scope.
     pub(super) fn may_repeat_anywhere(
         &self,
         index: InvocationIndex,
@@ -84,7 +86,8 @@
             })
     }
 
-    /// Whether an invocation may be answered with a rejection, after which its client may ask again (rule 2).
+    /// Whether an invocation may be rejected. The client may then retry it, which must not cause a second effect (rule
+    /// 2).
     pub(super) fn may_reject(&self, index: InvocationIndex) -> bool {
         let invocation = &self.workload.invocations[index];
         let trigger_type = &self.config.trigger_types[invocation.trigger_type()];
@@ -98,13 +101,13 @@
         is_safe_anywhere || never_ran
     }
 
-    /// Whether an invocation may be repeated without any condition.
+    /// Whether an invocation may be repeated unconditionally.
     pub(super) fn is_idempotent(&self, index: InvocationIndex) -> bool {
         let trigger_type = self.workload.invocations[index].trigger_type();
         self.config.trigger_types[trigger_type].idempotency == Idempotency::Idempotent
     }
 
-    /// Dispatches an invocation to an executor, if the constraints allow it; tells whether it did.
+    /// Dispatches an invocation to an executor if the constraints allow it. Returns whether it was dispatched.
     pub(super) fn dispatch(
         &mut self,
         index: InvocationIndex,
@@ -140,7 +143,7 @@
         true
     }
 
-    /// Commands an executor to load a function, if the constraints allow it (rules 3 and 5); tells whether it did.
+    /// Sends a load command to an executor if the constraints allow it (rules 3 and 5). Returns whether it was sent.
     pub(super) fn command_load(
         &mut self,
         function: FunctionIndex,
@@ -156,7 +159,8 @@
         true
     }
 
-    /// Gives an invocation the final answer that it can't be served (rule 1).
+    /// Gives the final answer to an invocation that cannot be served (rule 1): a rejection if a retry is safe, else an
+    /// error.
     pub(super) fn answer_unserved(&mut self, index: InvocationIndex, actions: &mut dyn Actions) {
         let invocation = &self.workload.invocations[index];
         if self.may_reject(index) {
--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatch policy of one front end: every decision and every tuned value.
+//! Dispatch policy of one front end. All decisions are made and all tuned values are defined in this module.
 //!
-//! Each input updates the components that it concerns and then runs the rules, in order, for every function that it
-//! changed; what they decide passes the constraints and goes to [`Actions`].
+//! Each input updates the affected components and then runs the rules, in order, for every function that it changed.
+//! The resulting decisions are checked against the constraints and issued through [`Actions`].
 
 mod admission;
 mod baseline_latency;
@@ -37,7 +37,7 @@
 use staleness::EndpointView;
 use traffic::Traffic;
 
-/// The dispatch policy of one front end. Times are in seconds on the caller's clock and never go back.
+/// Dispatch policy of one front end. Times are in seconds on the caller's clock, which must not go back.
 pub struct Dispatcher {
     config: PolicyConfig,
     membership: MembershipView,
@@ -46,7 +46,7 @@
     now: f64,
     executors: ExecutorTable,
     workload: Workload,
-    /// Functions for which the rules have to be run.
+    /// Functions for which the rules have to run.
     dirty_functions: Vec<FunctionIndex>,
     endpoint_view: EndpointView,
     baseline: BaselineLatency,
@@ -56,9 +56,9 @@
     concurrency_limit: ConcurrencyLimit,
     slow_start: SlowStart,
     load_budget: LoadBudget,
-    /// For how long a warm replica is relied on.
+    /// Time for which a replica is assumed to stay warm after the last evidence of it.
     replica_lifetime: f64,
-    /// After which what waits is looked at again.
+    /// Interval at which waiting invocations are evaluated again.
     tick_interval: f64,
     next_subscription_at: f64,
     next_timer_at: f64,
@@ -66,7 +66,7 @@
 }
 
 impl Dispatcher {
-    /// The policy of a front end that starts now. All its random draws come from the seed.
+    /// Creates the policy of a front end that starts at `now`. `seed` determines all random draws.
     pub fn new(config: PolicyConfig, seed: u64, now: f64, actions: &mut dyn Actions) -> Self {
         let executors = ExecutorTable::new(config.zone, outlier_detection::SAMPLE_REQUIREMENTS)
             .with_regions(config.zone_regions.clone());
@@ -101,7 +101,7 @@
         dispatcher
     }
 
-    /// The sizes of the tables of executors, functions and invocations; all three level off.
+    /// Returns the sizes of the tables of executors, functions and invocations. None of them grows without bound.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             executors: self.executors.len(),
@@ -110,16 +110,16 @@
         }
     }
 
-    /// Whether there is a trigger type with an index.
+    /// Whether the trigger type with this index exists.
     pub fn has_trigger_type(&self, trigger_type: usize) -> bool {
         trigger_type < self.config.trigger_types.len()
     }
 
-    /// Appends a trigger type, or replaces one of which no invocation is open; it begins as at a start. Open
-    /// invocations keep the trigger type that they were accepted with.
+    /// Appends a trigger type, or replaces one that has no open invocation. Its statistics start from their initial
+    /// values. Open invocations keep the trigger type with which they were accepted.
     ///
     /// # Errors
-    /// `InUse` if an invocation of the replaced one is open, and those of [`TriggerType::check`].
+    /// `InUse` if the replaced trigger type has an open invocation, and the errors of [`TriggerType::check`].
     pub fn set_trigger_type(
         &mut self,
         now: f64,
@@ -138,8 +138,8 @@
         Ok(())
     }
 
-    /// Sets the customers' quotas, in invocations a second over all front ends. A customer that had one keeps what it
-    /// saved up, within the new bound.
+    /// Sets the customers' quotas, in invocations per second over all front ends. An existing customer keeps its unused
+    /// quota, up to the new burst size.
     ///
     /// # Errors
     /// `InvalidQuota` if a quota is negative or not finite.
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// Takes an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn on_endpoint_update(
         &mut self,
         now: f64,
@@ -176,26 +176,29 @@
         self.run_rules(actions);
     }
 
-    /// The view of executors was true at a time: a request for the endpoint list sent then was answered.
+    /// Confirms that the view of executors was current at `requested_at`: a request for the endpoint list sent at that
+    /// time was answered.
     pub fn on_view_confirmed(&mut self, now: f64, requested_at: f64, actions: &mut dyn Actions) {
         self.now = now;
         self.endpoint_view.record_confirmation(requested_at);
         self.run_rules(actions);
     }
 
-    /// The process did not run for a while: what it believes of executors may be long untrue.
+    /// Reports that the process did not run for a while, so that its view of executors may be long outdated.
     pub fn on_process_stall(&mut self, now: f64) {
         self.now = now;
         self.endpoint_view.on_process_stall(now);
     }
 
-    /// A request for the endpoint list sent at a time is not answered. Whoever reports this goes on asking.
+    /// Reports that a request for the endpoint list sent at `requested_at` has no answer. The caller keeps requesting
+    /// the list.
     pub fn on_view_request_unanswered(&mut self, now: f64, requested_at: f64) {
         self.now = now;
         self.endpoint_view.record_unanswered_request(requested_at);
     }
 
-    /// The set of live front ends changed. What is strictly shared has to wait while a front end can't know it.
+    /// Updates the set of live front ends. A front end that may have an outdated set must not use strictly shared
+    /// budgets, see [`MembershipView::has_budget_share`].
     pub fn on_membership_change(
         &mut self,
         now: f64,
@@ -211,7 +214,8 @@
         self.run_rules(actions);
     }
 
-    /// Accepts an invocation, which is answered by its timeout whatever happens. Its trigger type has to exist.
+    /// Accepts an invocation. It receives its final answer before its client timeout in any case. Its trigger type must
+    /// exist.
     pub fn on_invocation(&mut self, now: f64, invocation: &Invocation, actions: &mut dyn Actions) {
         self.now = now;
         if !invocation.is_migrated {
@@ -252,7 +256,8 @@
         self.run_rules(actions);
     }
 
-    /// The response of an invocation has started: this dispatch is the client's, any other is not wanted.
+    /// Reports that `dispatch` has started the response of an invocation. Other dispatches of the invocation are
+    /// cancelled if the deployment allows it.
     pub fn on_response_started(
         &mut self,
         now: f64,
@@ -270,12 +275,13 @@
         }
     }
 
-    /// The client withdrew an invocation, which gets no answer any more.
+    /// Reports that the client has cancelled an invocation. The invocation receives no answer.
     pub fn on_client_cancel(&mut self, now: f64, invocation: u32, actions: &mut dyn Actions) {
         self.now = now;
         if let Some(index) = self.workload.invocations.find(invocation) {
-            // Failure mode: clients that withdraw what they just asked for have ever more functions loaded.
-            // Risk: less load budget for those that stay.
+            // Failure mode: clients that cancel invocations immediately after sending them cause ever more functions to
+            // be loaded.
+            // Risk: the load budget of the remaining clients is smaller.
             let arrived_at = self.workload.invocations[index].arrived_at();
             self.load_budget.withdraw_invocation(arrived_at);
             self.workload
@@ -283,17 +289,18 @@
         }
     }
 
-    /// The front end is about to end: no invocation waits past a moment.
-    pub fn begin_shutdown(&mut self, now: f64, ends_at: f64, actions: &mut dyn Actions) {
+    /// Starts the shutdown of the front end: no invocation waits beyond `deadline`.
+    pub fn begin_shutdown(&mut self, now: f64, deadline: f64, actions: &mut dyn Actions) {
         self.now = now;
-        self.workload.invocations.cap_timeouts(ends_at);
+        self.workload.invocations.cap_timeouts(deadline);
         self.run_rules(actions);
     }
 
-    /// Whether a dispatch that was decided earlier may still be sent. Asked as its bytes go out.
+    /// Whether an earlier decided dispatch may still be sent. The caller asks when it is about to write the bytes.
     ///
-    /// Failure mode: a connection is slow to be made or to take bytes, and what is bounded in time arrives late.
-    /// Risk: a dispatch is decided over and over.
+    /// Failure mode: a connection is slow to be established or to accept bytes, and a dispatch with a time limit
+    /// arrives late.
+    /// Risk: a dispatch is decided repeatedly without being sent.
     pub fn revalidate_dispatch(&mut self, now: f64, invocation: u32, dispatch: u8) -> bool {
         self.now = now;
         let found = self
@@ -312,7 +319,8 @@
         is_allowed
     }
 
-    /// The same of a load command that was given at a moment. It counts against the load budget when it is sent.
+    /// Whether a load command decided at `commanded_at` may still be sent. The command counts against the load budget
+    /// from the time at which it is sent.
     pub fn revalidate_load(&mut self, now: f64, executor: ExecutorId, commanded_at: f64) -> bool {
         self.now = now;
         self.load_budget.withdraw_command(commanded_at);
