--- a/crates/dispatch-policy/src/dispatch/constraints.rs
+++ b/crates/dispatch-policy/src/dispatch/constraints.rs
@@ -8,7 +8,7 @@
 use crate::state::{ExecutorIndex, FunctionIndex, InvocationIndex};
 
 impl Dispatcher {
-    /// Whether an executor may receive work: it is ready, and the view of executors is recent enough to rely on (rule 3).
+    /// Whether an executor may receive work: it is ready, and the view of executors is recent enough (rule 3).
     pub(super) fn accepts_work(&self, executor: ExecutorIndex) -> bool {
         self.endpoint_view
             .accepts_work(&self.executors[executor], self.now)
--- a/crates/dispatch-policy/src/dispatch/load_budget.rs
+++ b/crates/dispatch-policy/src/dispatch/load_budget.rs
@@ -1,15 +1,15 @@
-//! The budget of load commands: a number in each window, and a fraction of the invocations accepted in it.
+//! Budget of load commands: a fixed number per window, plus a fraction of the invocations accepted in the window.
 
 use crate::interface::PolicyConfig;
 use crate::state::SlidingWindow;
 
 /// Accepted invocations and load commands within the window of the budget. Times are in seconds.
 pub(super) struct LoadBudget {
-    /// Commands granted in each window regardless of traffic.
+    /// Load commands granted in each window regardless of traffic.
     floor: f64,
-    /// Commands granted for each invocation in the window.
+    /// Load commands granted for each invocation in the window.
     fraction: f64,
-    /// 0 where load commands are unlimited.
+    /// Length of the window; 0 if load commands are unlimited.
     window: f64,
     clock_tick: f64,
     accepted_at: SlidingWindow,
@@ -17,7 +17,7 @@
 }
 
 impl LoadBudget {
-    /// The budget of a deployment.
+    /// Creates the load budget of a deployment.
     pub(super) fn new(config: &PolicyConfig) -> LoadBudget {
         LoadBudget {
             floor: config.load_budget_floor,
@@ -34,7 +34,7 @@
         self.accepted_at.add(now);
     }
 
-    /// Takes out an invocation that was accepted at a time: the client withdrew it.
+    /// Removes an invocation that was accepted at `accepted_at` and cancelled by its client.
     pub(super) fn withdraw_invocation(&mut self, accepted_at: f64) {
         self.accepted_at.remove(accepted_at);
     }
@@ -44,17 +44,19 @@
         self.commanded_at.add(now);
     }
 
-    /// Takes out a load command that was given at a time.
+    /// Removes a load command that was added at `commanded_at`.
     pub(super) fn withdraw_command(&mut self, commanded_at: f64) {
         self.commanded_at.remove(commanded_at);
     }
 
-    /// Drops invocations that are out of the window.
+    /// Drops invocations that are older than the window.
     pub(super) fn expire(&mut self, now: f64) {
         self.accepted_at.count_after(now - self.window);
     }
 
-    /// Whether a fraction of the budget has a load command left; either end of the window is a tick to the safe side.
+    /// Whether a fraction of the budget allows another load command. The window is one clock tick longer for load
+    /// commands and one shorter for invocations, so that the resolution of the clock never causes the budget to be
+    /// exceeded.
     pub(super) fn allows_command(&mut self, fraction: f64, now: f64) -> bool {
         let window_start = now - self.window;
         let commands = self
--- a/crates/dispatch-policy/src/dispatch/load_score.rs
+++ b/crates/dispatch-policy/src/dispatch/load_score.rs
@@ -1,28 +1,28 @@
-//! What "less loaded" means when executors are compared.
+//! Load score by which executors are compared.
 
 use super::Dispatcher;
 use crate::interface::PolicyConfig;
 use crate::state::{DecayingMean, ExecutorIndex, LoadEstimate};
 
-/// Time constant in which a report loses its weight, in seconds.
+/// Time constant with which the weight of a load report decays, in seconds.
 const REPORT_TIME_CONSTANT: f64 = 10.0;
-/// Weight of the newest report in the mean backlog.
+/// Smoothing factor of the moving average of reported backlogs.
 const SMOOTHING_FACTOR: f64 = 0.015;
-/// How much more loaded an executor in another zone counts, in costs of a dispatch to another zone.
+/// Penalty on the score of executors in other zones, per unit of the cross-zone cost.
 const CROSS_ZONE_FACTOR: f64 = 20.0;
 
-/// What load reports say in the mean, and the score that they are part of.
+/// Averages of load reports, and the load score that includes them.
 pub(super) struct LoadScore {
-    /// Mean of the invocations reported waiting at an executor.
+    /// Mean number of waiting invocations that executors report.
     mean_backlog: f64,
-    /// Mean of the loads reported under way or waiting at an executor.
+    /// Mean number of loads, in progress or waiting, that executors report.
     pending_loads: DecayingMean,
     /// Factor on the score of executors in other zones.
     cross_zone_factor: f64,
 }
 
 impl LoadScore {
-    /// A score without any report.
+    /// Creates the load score of a deployment, without any report.
     pub(super) fn new(config: &PolicyConfig) -> LoadScore {
         LoadScore {
             mean_backlog: 0.0,
@@ -31,24 +31,25 @@
         }
     }
 
-    /// Takes a report of invocations waiting at an executor.
+    /// Adds a reported number of waiting invocations to the mean backlog.
     pub(super) fn record_backlog(&mut self, invocations: f64) {
         self.mean_backlog += SMOOTHING_FACTOR * (invocations - self.mean_backlog);
     }
 
-    /// Takes a report of loads under way or waiting at an executor.
+    /// Adds a reported number of loads, in progress or waiting, to their mean.
     pub(super) fn record_pending_loads(&mut self, loads: f64, now: f64) {
         self.pending_loads.add(loads, now, REPORT_TIME_CONSTANT);
     }
 
-    /// Mean of the loads under way or waiting at an executor.
+    /// Returns the mean number of loads at an executor, in progress or waiting.
     pub(super) fn mean_pending_loads(&self, now: f64) -> f64 {
         self.pending_loads.at(now, REPORT_TIME_CONSTANT)
     }
 
-    /// The score of an executor of some load and slow-start weight; the least is preferred. It goes by the own
-    /// dispatches in flight and the backlog that the executor reported; a report fades to the mean, which also stands
-    /// for an executor without a report. Of the best of several loads, it is the least score that any can have.
+    /// Returns the score of an executor with the given load and slow-start weight. The lowest score is preferred. The
+    /// score depends on the front end's own dispatches in flight and on the backlog that the executor reported. A
+    /// report decays towards the mean backlog, which is also used for an executor without a report. If `load` combines
+    /// the best values of several executors, the result is a lower bound of their scores.
     pub(super) fn score(&self, load: &LoadEstimate, slow_start_weight: f64, now: f64) -> f64 {
         let reported_at = if load.backlog > self.mean_backlog {
             load.earliest_report_at
@@ -68,7 +69,7 @@
 }
 
 impl Dispatcher {
-    /// The load score of an executor.
+    /// Returns the load score of an executor.
     pub(super) fn load_score_of(&self, executor: ExecutorIndex) -> f64 {
         self.load_score.score(
             &self.executors.load_of(executor),
--- a/crates/dispatch-policy/src/dispatch/maintenance.rs
+++ b/crates/dispatch-policy/src/dispatch/maintenance.rs
@@ -1,23 +1,24 @@
-//! What the timer has done besides the rules: subscriptions, outlier detection, and the sweep of unused records.
+//! Work triggered by the timer besides the rules: subscriptions, outlier detection and the removal of unused records.
 
 use super::Dispatcher;
 use crate::interface::Actions;
 
-/// Ticks from one maintenance to the next.
+/// Ticks between two maintenance runs.
 const MAINTENANCE_TICKS: f64 = 4.0;
-/// Seconds after which an unused function, or an executor in no endpoint list, is forgotten.
+/// Seconds after which an unused function, or an executor that is in no endpoint list, is removed.
 ///
 /// Failure mode: functions and executors with ever new identifiers fill the memory.
-/// Risk: an executor that comes back later is cold without having announced it.
+/// Risk: an executor that returns later is cold although it has announced no start.
 pub(super) const FORGET_AFTER: f64 = 120.0;
-/// Functions above which unused ones are forgotten at once: some 10 MB of the 32 MB that a front end may have.
+/// Number of functions above which unused ones are removed immediately. This number takes about 10 MB of the 32 MB that
+/// a front end may use.
 const MAX_FUNCTIONS: usize = 16_384;
 /// Seconds by which a timer may fire early.
 const TIMER_TOLERANCE: f64 = 1e-6;
 
 impl Dispatcher {
-    /// The timer fired. A timer that was set before the latest one is ignored.
-    pub fn on_timer(&mut self, now: f64, _mark: u64, actions: &mut dyn Actions) {
+    /// Handles an expired timer. A timer that was set before the latest one is ignored.
+    pub fn on_timer(&mut self, now: f64, _token: u64, actions: &mut dyn Actions) {
         self.now = now;
         if now + TIMER_TOLERANCE < self.next_timer_at {
             return;
--- a/crates/dispatch-policy/src/dispatch/mod.rs
+++ b/crates/dispatch-policy/src/dispatch/mod.rs
@@ -101,7 +101,8 @@
         dispatcher
     }
 
-    /// Returns the sizes of the tables of executors, functions and invocations. None of them grows without bound.
+    /// Returns the sizes of the tables of executors, functions and invocations. Under a bounded load the tables stop
+    /// growing.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             executors: self.executors.len(),
--- a/crates/dispatch-policy/src/dispatch/outlier_detection.rs
+++ b/crates/dispatch-policy/src/dispatch/outlier_detection.rs
@@ -1,42 +1,43 @@
-//! Outlier detection: executors that hang, fail or have become slow are ejected, and tried again later.
+//! Outlier detection: executors that hang, fail or have become slow are ejected and later receive trial dispatches.
 
 use super::Dispatcher;
 use super::baseline_latency::BaselineLatency;
 use crate::state::{ExecutorIndex, ExecutorTable, InvocationTable, SampleRequirements, quantile};
 
-/// What an executor needs to be compared with its peers.
+/// Samples that an executor needs to be compared with its peers.
 pub(super) const SAMPLE_REQUIREMENTS: SampleRequirements = SampleRequirements {
     min_samples: 4,
     max_samples: 16,
     sample_lifetime: 5.0,
 };
-/// The quantile of an executor's latencies by which it is compared.
+/// Quantile of an executor's latencies that is compared with its peers.
 const COMPARED_QUANTILE: f64 = 0.85;
-/// The quantile of the peers' values that it is compared with.
+/// Quantile of the peers' values with which an executor is compared.
 const PEER_QUANTILE: f64 = 0.45;
-/// An executor is ejected above this many times the peers' value, and not below this many baseline latencies.
+/// An executor is ejected if its value exceeds this multiple of the peers' value. The threshold is at least this many
+/// baseline latencies.
 const EJECTION_RATIO: f64 = 12.0;
-/// An unanswered dispatch counts as this many baseline latencies at the most.
+/// Upper bound of the sample of an unanswered dispatch, in baseline latencies.
 const MAX_UNANSWERED_LATENCY: f64 = 20.0;
-/// Latency sample of a failure, which is above any other. Where most executors fail none is ejected.
+/// Latency sample of a failure, which exceeds any measured latency. If most executors fail, none is ejected.
 ///
-/// Failure mode: an executor that fails fast while the peers are slow; a bound that follows the peers would exceed any
-/// fixed weight.
+/// Failure mode: an executor fails fast while its peers are slow. The threshold follows the peers and would exceed any
+/// finite sample.
 /// Risk: a few failures eject an executor until its samples expire.
 const FAILURE_LATENCY: f64 = f64::INFINITY;
-/// Seconds after a connection failure in which an executor gets no trial dispatch.
+/// Seconds after a connection failure during which an executor receives no trial dispatch.
 const TRIAL_DELAY_AFTER_FAILURE: f64 = 1.0;
-/// Seconds for which a connection failure counts as one of its zone.
+/// Seconds during which a connection failure counts towards a failure of its zone.
 const ZONE_FAILURE_WINDOW: f64 = 8.0;
 
-/// How a dispatch shows up in the latency samples of its executor, in baseline latencies.
+/// Contribution of a dispatch to the latency samples of its executor, in baseline latencies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Sample {
-    /// It was answered after so long.
+    /// The dispatch was answered after this latency.
     Answered(f64),
-    /// It was given up after so long without an answer.
+    /// The dispatch was abandoned after this time without an answer.
     Unanswered(f64),
-    /// It failed.
+    /// The dispatch failed.
     Failed,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl Dispatcher {
-    /// Adds a sample, and looks for outliers if the executor is ejected or may become one.
+    /// Adds a sample. Runs outlier detection if the executor is ejected or the sample may cause an ejection.
     pub(super) fn record_sample(&mut self, executor: ExecutorIndex, sample: Sample) {
         let latency = sample.latency();
         self.executors
@@ -61,16 +62,18 @@
         }
     }
 
-    /// Adds a failure, and looks for outliers.
+    /// Adds a failure and runs outlier detection.
     pub(super) fn record_failure(&mut self, executor: ExecutorIndex) {
         self.record_sample(executor, Sample::Failed);
     }
 
-    /// Ejects an executor whose connection broke or could not be made, whatever the endpoint list says. Where two of a
-    /// zone failed and none of it was heard since, the rest of the zone is as doubtful.
+    /// Ejects an executor whose connection broke or could not be established, regardless of the endpoint list. If a
+    /// second executor of a zone fails within the window and no executor of the zone has responded since the first
+    /// failure, all executors of the zone are treated as if they had just started.
     ///
-    /// Failure mode: what answers next may have just started, and all front ends push it into overload.
-    /// Risk: a short network failure leaves an executor with less work for a while.
+    /// Failure mode: an executor that responds after a failure may have just started, and all front ends together
+    /// overload it.
+    /// Risk: a short network failure reduces the work of an executor for a while.
     pub(super) fn record_connection_failure(&mut self, executor: ExecutorIndex) {
         self.executors.record_connection_failure(executor, self.now);
         let first = self
@@ -84,10 +87,10 @@
         self.detect_outliers();
     }
 
-    /// Compares each executor's high quantile of latencies with those of its peers, and ejects those that are far
-    /// above. A dispatch in flight counts with its age.
+    /// Compares a high latency quantile of each executor with those of its peers, and ejects executors that are far
+    /// above. Dispatches in flight count with their age.
     ///
-    /// Failure mode: executors that hang, fail fast or have become slow.
+    /// Failure mode: executors hang, fail fast or have become slow.
     /// Risk: an executor with heavier work than its peers is ejected.
     pub(super) fn detect_outliers(&mut self) {
         self.executors.retain_outlier_candidates(self.now);
@@ -128,8 +131,8 @@
     }
 }
 
-/// The high quantile of an executor's latencies in baselines, with the ages of long unanswered dispatches; `None`
-/// where these are too few.
+/// Returns the high quantile of an executor's latencies in baseline latencies, including the ages of dispatches that
+/// have been unanswered for long. Returns `None` if there are too few samples.
 fn high_quantile(
     executors: &ExecutorTable,
     invocations: &InvocationTable,
--- a/crates/dispatch-policy/src/dispatch/placement.rs
+++ b/crates/dispatch-policy/src/dispatch/placement.rs
@@ -1,40 +1,42 @@
-//! Placement of a further replica: which executor loads a function, one placement at a time, with backoff after a
-//! failed one.
+//! Placement of additional replicas: selects the executor that loads a function. Each function has at most one
+//! placement in progress, and a failed placement is followed by a backoff.
 
 use super::Dispatcher;
 use super::concurrency_limit::Capacity;
 use crate::interface::Actions;
 use crate::state::{ExecutorIndex, FunctionIndex, InvocationIndex, WarmReplica, draw_two};
 
-/// No replica is placed while another one with a free slot is at most this many times as loaded as the target.
+/// No replica is placed while an existing one with a free slot has at most this multiple of the target's load score.
 const MAX_LOAD_RATIO: f64 = 3.0;
-/// How many times less loaded the second of two drawn executors has to be, at the least and for each load that
-/// executors have under way or waiting in the mean.
+/// The second of two drawn executors is selected if the load score of the first exceeds a multiple of its score. The
+/// multiple is this minimum, increased for each load that executors have in progress or waiting on average.
 const MIN_SECOND_RATIO: f64 = 1.5;
 const SECOND_RATIO_PER_LOAD: f64 = 0.5;
-/// Backoff after a failed placement in seconds, and its growth with each that fails in a row.
+/// Initial backoff after a failed placement in seconds, and its growth factor for each consecutive failure.
 const INITIAL_BACKOFF: f64 = 0.1;
 const BACKOFF_GROWTH: f64 = 1.1;
-/// A placement fails after so many load times of its function.
+/// Timeout of a placement, in load times of its function.
 const TIMEOUT_LOAD_TIMES: f64 = 5.0;
-/// Load time in seconds where none is known.
+/// Load time in seconds if none is known.
 pub(super) const DEFAULT_LOAD_TIME: f64 = 1.0;
-/// Load commands of at least this cost, in invocations, are not worth it: the invocation itself is the placement.
+/// Cost in invocations from which load commands are too expensive. The invocation itself is then dispatched to the
+/// target of the placement.
 const MAX_LOAD_COMMAND_COST: f64 = 0.02;
-/// Executors that are compared at the least.
+/// Minimum number of executors that are compared.
 const MIN_CANDIDATES: f64 = 2.0;
 
-/// What a placement is for, and what follows for its target.
+/// Purpose of a placement and the resulting restrictions on its target.
 struct PlacementRequest {
     function: FunctionIndex,
-    /// The invocation that waits for it; `None` for a prewarmed replica.
+    /// The invocation that waits for the replica; `None` for a prewarmed replica.
     invocation: Option<InvocationIndex>,
-    /// Only executors of the own region are taken.
+    /// Whether the target must be in the front end's own region.
     is_regional: bool,
 }
 
 impl Dispatcher {
-    /// Rule: with no free slot at a warm replica, places one further replica, one placement at a time.
+    /// Rule: places one additional replica if no warm replica has a free slot and no placement is in progress. Returns
+    /// whether a placement was started or has failed.
     pub(super) fn start_placement(
         &mut self,
         function: FunctionIndex,
@@ -59,7 +61,7 @@
         true
     }
 
-    /// Notes that a placement is under way.
+    /// Records that a placement is in progress.
     pub(super) fn begin_placement(
         &mut self,
         function: FunctionIndex,
@@ -74,7 +76,8 @@
         );
     }
 
-    /// Ends the placement under way as failed, if it took too long or its executor is no longer to be relied on.
+    /// Fails the placement in progress if it has timed out or its executor is not ready or is ejected. Returns whether
+    /// it failed.
     fn expire_placement(&mut self, function: FunctionIndex) -> bool {
         let Some(placement) = self.workload.functions[function].placement() else {
             return false;
@@ -92,7 +95,7 @@
         true
     }
 
-    /// Ends a placement. Only a failed one is tried again, after a backoff.
+    /// Ends a placement. A failed placement is retried after a backoff.
     pub(super) fn finish_placement(
         &mut self,
         function: FunctionIndex,
@@ -107,11 +110,11 @@
         }
     }
 
-    /// The waiting invocation that a replica is placed for: the oldest one that may run anywhere, else the oldest one
+    /// Returns the waiting invocation for which a replica is placed: the oldest that may run anywhere, else the oldest
     /// that is bound to its deduplication scope.
     ///
-    /// Failure mode: an invocation waits within its scope for a replica that nobody loads.
-    /// Risk: a load for a single invocation.
+    /// Failure mode: an invocation waits within its scope for a replica that no front end loads.
+    /// Risk: a function is loaded for a single invocation.
     fn next_invocation_to_place(&self, function: FunctionIndex) -> Option<InvocationIndex> {
         let record = &self.workload.functions[function];
         if self.now < record.next_placement_at() {
@@ -125,11 +128,12 @@
         waiting.iter().find(is_unbound).or(waiting.first()).copied()
     }
 
-    /// Whether a function that has its replicas has one with a free slot that is not much more loaded than the
-    /// target of a placement. An expired one doesn't count: with many functions it is long until they are swept.
+    /// Whether the invocation should wait for an existing replica: the function has its desired number of replicas, and
+    /// one with a free slot is not much more loaded than the target of the placement. Expired replicas do not count,
+    /// because with many functions it takes long until they are removed.
     ///
-    /// Failure mode: replicas are loaded for what only crowding delays.
-    /// Risk: an invocation waits at a replica that is slower than it looks.
+    /// Failure mode: replicas are loaded for invocations that are delayed only by overload.
+    /// Risk: an invocation waits for a replica that is slower than its load score indicates.
     fn has_replica_to_wait_for(
         &self,
         function: FunctionIndex,
@@ -154,8 +158,8 @@
         replicas.any(is_usable)
     }
 
-    /// Has a function loaded for an invocation, by a load command where that is worth it, else by dispatching the
-    /// invocation. Returns whether it was by a load command; `None` if nothing was sent.
+    /// Loads a function for an invocation, by a load command if that is cheap enough, else by dispatching the
+    /// invocation. Returns whether a load command was used; `None` if nothing was sent.
     fn load_replica(
         &mut self,
         function: FunctionIndex,
@@ -177,14 +181,15 @@
             .then_some(false)
     }
 
-    /// The executor for a further replica: the last one known to be warm, else the less loaded of two, drawn by the
-    /// function's key. All front ends draw the same and so share the replica that one has loaded.
+    /// Selects the executor for an additional replica: the one last known to be warm, else the less loaded of two drawn
+    /// from the first executors of the function's ranking. All front ends compute the same ranking and therefore share
+    /// the replicas that one of them has loaded.
     pub(super) fn placement_target(
         &mut self,
         function: FunctionIndex,
         invocation: Option<InvocationIndex>,
     ) -> Option<ExecutorIndex> {
-        // An invocation that may have run is bound to its deduplication scope, wherever that is.
+        // An invocation that may have run is bound to its deduplication scope, even outside the front end's own region.
         let is_bound = invocation.is_some_and(|index| {
             let has_run = self.workload.invocations[index].possible_execution();
             has_run.is_some() && !self.is_idempotent(index)
@@ -200,9 +205,11 @@
             .or_else(|| self.less_loaded_target(&request, candidates))
     }
 
-    /// Makes sure that the function's ranking has so many executors that fit. These are among as many and those that
-    /// don't fit. For an invocation that is bound that can be any number: all are ranked. That has to stay rare, and
-    /// does: replicas known in its scope come first.
+    /// Extends the function's ranking until it contains `candidates` eligible executors. To ensure this, it ranks that
+    /// many executors plus the largest possible number of ineligible ones. If the invocation is bound to its
+    /// deduplication scope, any number of executors may be ineligible, and all are ranked, as they are while the view
+    /// of executors is not fresh. Ranking all executors for a bound invocation must remain rare. It does, because known
+    /// replicas within the scope are used first.
     fn rank_candidates(&mut self, function: FunctionIndex, candidates: usize, is_bound: bool) {
         let any_may_be_ineligible = is_bound || !self.endpoint_view.is_fresh(self.now);
         let max_ineligible = if any_may_be_ineligible {
@@ -221,17 +228,18 @@
         (is_loaded && self.is_eligible(request, last.executor)).then_some(last.executor)
     }
 
-    /// The less loaded of two executors drawn from those that fit and have capacity.
+    /// Selects the less loaded of two executors drawn from the eligible ones that have capacity.
     ///
-    /// Failure mode: front ends whose executors' reports differ each have a replica loaded, while executors load all
-    /// they can.
-    /// Risk: the more loaded of two executors is taken.
+    /// Failure mode: front ends with different load reports each load their own replica while the executors are loading
+    /// as much as they can.
+    /// Risk: the more loaded of two executors is selected.
     fn less_loaded_target(
         &mut self,
         request: &PlacementRequest,
         candidates: usize,
     ) -> Option<ExecutorIndex> {
-        // Where all are at their limits the placement waits: a replica elsewhere serves one front end only.
+        // If all candidates are at their limits, the placement waits: a replica at any other executor would serve only
+        // one front end.
         let fraction = request
             .invocation
             .map_or(1.0, |index| self.capacity_fraction(index));
@@ -255,7 +263,7 @@
         })
     }
 
-    /// Whether a request may be placed at an executor, whatever its load.
+    /// Whether a request may be placed at an executor, regardless of the executor's load.
     fn is_eligible(&self, request: &PlacementRequest, executor: ExecutorIndex) -> bool {
         (!request.is_regional || self.executors.is_in_own_region(executor))
             && self.may_place(request.function, executor)
@@ -271,7 +279,7 @@
         executor: ExecutorIndex,
         capacity: Capacity,
     ) -> bool {
-        // Most of a large fleet are idle and warm: nothing else has to be looked at.
+        // Most executors of a large fleet are idle and warm and need no further checks.
         let is_idle_and_warm = capacity.admits_idle()
             && self.executors.all_are_warm()
             && self.executors[executor].is_idle();
@@ -283,12 +291,12 @@
                 })
     }
 
-    /// Whether a replica may be placed at an executor. The one where the last placement failed is left out while
-    /// another one can be expected to do better.
+    /// Whether a replica may be placed at an executor. The executor at which the last placement failed is excluded
+    /// while another one is likely to succeed.
     ///
-    /// Failure mode: an executor that rejected a placement for a moment is shut out for good, though it is the only
-    /// one.
-    /// Risk: it is asked again, which the backoff between placements delays.
+    /// Failure mode: an executor that rejected a placement because of a brief shortage is excluded permanently although
+    /// it is the only one.
+    /// Risk: placements are attempted there again, delayed by the backoff.
     fn may_place(&self, function: FunctionIndex, executor: ExecutorIndex) -> bool {
         let has_failed_last =
             self.workload.functions[function].last_placement_failed_at() == Some(executor);
@@ -307,9 +315,10 @@
         })
     }
 
-    /// Whether the own region has an executor to place a function at: none elsewhere is taken then.
+    /// Whether the front end's own region has an executor at which a function may be placed. Executors in other regions
+    /// are then not used.
     ///
-    /// Failure mode: regions are cut off from each other, and functions placed in another one.
+    /// Failure mode: regions lose their connections to each other, and functions are placed in another region.
     /// Risk: the region has less capacity than traffic.
     pub(super) fn prefers_own_region(&self, function: FunctionIndex) -> bool {
         self.executors
--- a/crates/dispatch-policy/src/dispatch/prewarm.rs
+++ b/crates/dispatch-policy/src/dispatch/prewarm.rs
@@ -1,4 +1,4 @@
-//! Prewarming: replicas loaded before the invocations arrive, from what the load budget leaves over.
+//! Prewarming: loads replicas before the invocations arrive, with a part of the load budget.
 
 use super::Dispatcher;
 use super::placement::DEFAULT_LOAD_TIME;
@@ -7,15 +7,16 @@
 
 /// Fraction of the load budget that prewarming may use.
 const BUDGET_FRACTION: f64 = 0.5;
-/// A replica is renewed with less than this fraction of its lifetime left.
+/// A replica is renewed when less than this fraction of its lifetime is left.
 const RENEWAL_FRACTION: f64 = 0.6;
 
 impl Dispatcher {
-    /// Has a replica loaded where a function has fewer warm replicas than requested, else renews the one that expires
-    /// first; one load command at a time. Returns the number of warm replicas at ready executors.
+    /// Loads a replica if a function has fewer warm replicas than requested, else renews the one that expires first. At
+    /// most one load command is in progress. Returns the number of warm replicas at ready executors.
     ///
-    /// Failure mode: a new version of a function gets all its traffic at once, and with it a rush of placements.
-    /// Risk: placements lack load commands where these are scarce, so a part of the budget is left to them.
+    /// Failure mode: a new version of a function receives all its traffic at once, which causes a burst of placements.
+    /// Risk: placements run out of load commands if these are scarce; a part of the budget is therefore reserved for
+    /// them.
     pub fn prewarm(
         &mut self,
         now: f64,
@@ -29,7 +30,7 @@
             request.load_time.unwrap_or(DEFAULT_LOAD_TIME),
         );
         self.dirty_functions.push(function);
-        // Ends a placement that took too long.
+        // Ends a placement that has timed out.
         self.run_rules(actions);
         let has_budget = self.load_budget.allows_command(BUDGET_FRACTION, now);
         let record = &self.workload.functions[function];
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Renews the replica that expires first, if it does so soon.
+    /// Renews the replica that expires first, if it expires soon.
     fn renew_next_expiring(&mut self, function: FunctionIndex, actions: &mut dyn Actions) {
         let next_expiring = self.workload.functions[function]
             .unexpired_replicas(self.now)
--- a/crates/dispatch-policy/src/dispatch/replica_selection.rs
+++ b/crates/dispatch-policy/src/dispatch/replica_selection.rs
@@ -1,4 +1,4 @@
-//! Dispatch to the least loaded warm replica, and how many replicas a function should have.
+//! Dispatch to the least loaded warm replica, and the desired number of replicas of a function.
 
 use super::Dispatcher;
 use super::concurrency_limit::Capacity;
@@ -6,18 +6,19 @@
 use crate::interface::{Actions, PolicyConfig};
 use crate::state::{ExecutorIndex, FunctionIndex, InvocationIndex, WarmReplica};
 
-/// How long a warm replica is relied on, as a fraction of the time that an idle one stays loaded.
+/// Time for which a replica is assumed to stay warm, as a fraction of the configured keep-alive of idle replicas.
 const LIFETIME_FRACTION: f64 = 0.85;
-/// The same in seconds, where that time is unknown.
+/// The same time in seconds if the keep-alive is unknown.
 const DEFAULT_LIFETIME: f64 = 5.0;
-/// Replicas wanted for each executor that a function's part of the traffic would fill.
+/// Desired replicas for each executor that a function's share of the traffic would fill.
 const REPLICAS_PER_EXECUTOR: f64 = 1.3;
-/// Invocations added to the traffic that the part is taken of, since it is a sample.
+/// Invocations added to the total traffic when a function's share is computed, because the observed traffic is a
+/// sample.
 const SAMPLE_MARGIN: f64 = 8.0;
-/// Invocations of one function that an executor should hold.
+/// Concurrent invocations of a function for which one replica is desired.
 const CONCURRENCY_PER_REPLICA: f64 = 3.0;
 
-/// Seconds for which a warm replica is relied on after it was last seen.
+/// Returns the seconds for which a replica is assumed to stay warm after the last evidence of it.
 pub(super) fn replica_lifetime(config: &PolicyConfig) -> f64 {
     if config.keep_alive > 0.0 {
         LIFETIME_FRACTION * config.keep_alive
@@ -27,8 +28,8 @@
 }
 
 impl Dispatcher {
-    /// Rule: dispatches the newest waiting invocation that a warm replica with a free slot can take, once the function
-    /// has its replicas.
+    /// Rule: dispatches the newest waiting invocation for which a warm replica has a free slot, if the function has its
+    /// desired number of replicas. Returns whether one was dispatched.
     pub(super) fn dispatch_to_free_replica(
         &mut self,
         function: FunctionIndex,
@@ -37,8 +38,8 @@
         self.dispatch_to_warm_replica(function, true, actions)
     }
 
-    /// Rule: dispatches the newest waiting invocation that any warm replica can take, while a further replica is
-    /// placed or can't be.
+    /// Rule: dispatches the newest waiting invocation that any warm replica can accept, while an additional replica is
+    /// being placed or cannot be placed. Returns whether one was dispatched.
     pub(super) fn dispatch_to_busy_replica(
         &mut self,
         function: FunctionIndex,
@@ -47,7 +48,7 @@
         self.dispatch_to_warm_replica(function, false, actions)
     }
 
-    /// The newest comes first: it has its whole latency objective before it.
+    /// The newest invocation comes first because it has the most time left in its latency objective.
     fn dispatch_to_warm_replica(
         &mut self,
         function: FunctionIndex,
@@ -59,7 +60,7 @@
         if needs_free_slot && !self.has_desired_replicas(function) {
             return false;
         }
-        // Where no replica has capacity for the best of them, none of the many that may wait need be looked at.
+        // If no replica has capacity at the full limit, the waiting invocations, possibly many, need not be examined.
         let capacity = self.capacity(1.0);
         let record = &self.workload.functions[function];
         let has_capacity = record
@@ -77,8 +78,8 @@
         })
     }
 
-    /// The executor of the least loaded warm replica that an invocation may be dispatched to. The loads of the replicas
-    /// have to be refreshed.
+    /// Returns the executor of the least loaded warm replica to which an invocation may be dispatched. The caller must
+    /// have refreshed the loads of the replicas.
     pub(super) fn least_loaded_replica(
         &self,
         function: FunctionIndex,
@@ -113,17 +114,18 @@
             && (!needs_free_slot || self.has_free_slot(function, replica))
     }
 
-    /// Whether a replica has a free slot: the own dispatches in flight there are fewer than it runs at a time.
+    /// Whether a replica has a free slot: this front end has fewer dispatches in flight there than the replica runs
+    /// concurrently.
     pub(super) fn has_free_slot(&self, function: FunctionIndex, replica: &WarmReplica) -> bool {
         let function = &self.workload.functions[function];
         !replica.is_full && function.in_flight_at(replica.executor) < function.concurrency()
     }
 
-    /// Whether a function has as many warm replicas as it should, less one, and one in the own region where that has
-    /// any executor for it.
+    /// Whether a function has at least the desired number of warm replicas, rounded down, and one of them in the own
+    /// region if a replica can be placed there.
     ///
-    /// Failure mode: a function that was placed elsewhere while the own region was out of reach stays there.
-    /// Risk: a load that only brings it nearer.
+    /// Failure mode: a function that was placed in another region while the own one was unreachable stays there.
+    /// Risk: a load only moves a replica closer.
     pub(super) fn has_desired_replicas(&self, function: FunctionIndex) -> bool {
         let record = &self.workload.functions[function];
         let is_unexpired_in_own_region = |replica: &WarmReplica| {
@@ -135,8 +137,9 @@
             })
     }
 
-    /// The number of executors that a function's part of the traffic would fill, with space for others, and one. The
-    /// traffic seen here is a sample of that of all front ends, so one invocation alone says nothing.
+    /// Returns the desired number of replicas: one, plus the number of executors that the function's share of the
+    /// traffic would fill, with a margin, or that its reported concurrency requires. This front end's traffic is a
+    /// sample of that of all front ends, so that a single invocation is not significant.
     pub(super) fn desired_replicas(&self, function: FunctionIndex) -> f64 {
         let record = &self.workload.functions[function];
         let sampled_arrivals =
--- a/crates/dispatch-policy/src/dispatch/results.rs
+++ b/crates/dispatch-policy/src/dispatch/results.rs
@@ -1,4 +1,4 @@
-//! What the results of dispatches and load commands teach: warm replicas, load, limits and outliers.
+//! Updates from the results of dispatches and load commands: warm replicas, loads, limits and outliers.
 
 use super::Dispatcher;
 use super::concurrency_limit::{FULL_BACKOFF, MAX_FULL_DOUBLINGS};
@@ -7,12 +7,12 @@
 use crate::interface::{Actions, DispatchResult, DispatchStatus, ExecutorId, ReplicaState};
 use crate::state::{ExecutorIndex, FunctionIndex, InFlightDispatch};
 
-/// Weight of the newest report in the mean of a function's concurrency.
+/// Smoothing factor of the moving average of a function's reported concurrency.
 const CONCURRENCY_SMOOTHING_FACTOR: f64 = 0.3;
-/// Latency of a rejection for the concurrency limit, in latency objectives.
+/// Latency that a rejection contributes to the concurrency limit, in latency objectives.
 const REJECTION_LATENCY: f64 = 1.0;
 
-/// A dispatch that ended, with what its result is about.
+/// A dispatch that ended, with its function and trigger type.
 struct EndedDispatch {
     dispatch: InFlightDispatch,
     function: FunctionIndex,
@@ -20,7 +20,7 @@
 }
 
 impl Dispatcher {
-    /// Takes the result of a dispatch.
+    /// Handles the result of a dispatch.
     pub fn on_dispatch_result(
         &mut self,
         now: f64,
@@ -70,7 +70,7 @@
         self.run_rules(actions);
     }
 
-    /// Takes the result of a load command.
+    /// Handles the result of a load command.
     pub fn on_load_result(
         &mut self,
         now: f64,
@@ -127,7 +127,7 @@
                 }
             }
             DispatchStatus::Full => function.record_full(executor),
-            // A client that left early says nothing about the replica.
+            // A client timeout this early is no evidence that the replica is gone.
             DispatchStatus::TimedOut if has_ended_early => {}
             DispatchStatus::TimedOut
             | DispatchStatus::ConnectFailed
@@ -145,8 +145,8 @@
         result.duration < SILENCE_FRACTION * trigger_type.latency_objective
     }
 
-    /// A function that failed at an executor before any was seen to serve it was served by another one: the failure
-    /// counts for the first.
+    /// Counts an earlier failure of a function against the executor at which it failed, now that another executor has
+    /// served the function. The failure occurred before any executor had served it.
     fn attribute_earlier_failure(&mut self, function: FunctionIndex, executor: ExecutorIndex) {
         let failed_at = self.workload.functions[function].take_failure_proven_by(executor);
         if let Some(failed_at) = failed_at {
@@ -154,15 +154,15 @@
         }
     }
 
-    /// Takes a result into the baseline latency, the concurrency limit and the samples of outlier detection.
+    /// Updates the baseline latency, the concurrency limit and the samples of outlier detection from a result.
     fn record_latency(&mut self, ended: &EndedDispatch, result: &DispatchResult) {
         if let Some(sample) = self.latency_sample(ended, result) {
             self.record_sample(ended.dispatch.executor, sample);
         }
     }
 
-    /// Takes a result into the baseline latency and the concurrency limit. Returns its sample for outlier detection, if
-    /// it says something about the executor.
+    /// Updates the baseline latency and the concurrency limit from a result. Returns its sample for outlier detection,
+    /// if the result is evidence about the executor.
     fn latency_sample(&mut self, ended: &EndedDispatch, result: &DispatchResult) -> Option<Sample> {
         let executor = ended.dispatch.executor;
         let trigger_type = ended.trigger_type;
@@ -179,9 +179,10 @@
                 Some(Sample::Answered(latency))
             }
             DispatchStatus::Error if result.replica_state == ReplicaState::LoadFailed => None,
-            // Failure mode: clients invoke functions that no executor knows. Where a function was never seen served,
-            // a failure may be its own fault or its client's: it counts once another executor serves it.
-            // Risk: a failing executor is found out later.
+            // Failure mode: clients invoke functions that no executor knows. Until a function has been served, the
+            // function or its client may have caused the failure, which counts only when another executor serves the
+            // function.
+            // Risk: a failing executor is detected later.
             DispatchStatus::Error if !self.workload.functions[ended.function].was_served() => {
                 self.workload.functions[ended.function].record_unproven_failure(executor);
                 None
@@ -191,7 +192,7 @@
                 self.record_connection_failure(executor);
                 None
             }
-            // That a client left early is not the executor's fault: the answer would have taken at least so long.
+            // A short client timeout is not the executor's fault. The elapsed time is a lower bound of the latency.
             DispatchStatus::TimedOut => {
                 if latency_in_objectives > self.concurrency_limit.typical_latency() {
                     self.record_limit_latency(latency_in_objectives, ended);
@@ -209,8 +210,8 @@
                 self.record_limit_latency(REJECTION_LATENCY, ended);
                 None
             }
-            // Failure mode: an invocation was retried from a silent executor, which looks sound again as soon as
-            // nothing is in flight there. What the dispatch took so far is known of it.
+            // Failure mode: a silent executor appears healthy once its invocations are retried elsewhere and none is in
+            // flight there. The time until the cancellation therefore counts as a sample.
             // Risk: an executor whose invocations are cancelled for another reason is ejected.
             DispatchStatus::Cancelled if !result.is_answered => {
                 let latency = self.baseline.relative(trigger_type, result.duration);
--- a/crates/dispatch-policy/src/dispatch/retry.rs
+++ b/crates/dispatch-policy/src/dispatch/retry.rs
@@ -1,20 +1,21 @@
-//! Retries and hedged requests for what is in flight at a silent executor, and trials of ejected executors.
+//! Retries and hedged requests for dispatches at silent executors, and trial dispatches to ejected executors.
 
 use super::Dispatcher;
 use crate::interface::{Actions, Idempotency};
 use crate::state::{ExecutorIndex, FunctionIndex, InFlightDispatch, InvocationIndex};
 
-/// Fraction of the latency objective after which a dispatch to an executor that was not heard since is retried or
-/// hedged, and an ejected executor gets another trial.
+/// Fraction of the latency objective after which a dispatch is retried or hedged if its executor has not responded
+/// since, and after which an ejected executor may receive another trial dispatch.
 pub(super) const SILENCE_FRACTION: f64 = 0.6;
 
 impl Dispatcher {
-    /// Rule: gives an invocation in flight at an executor that is long silent another dispatch: a hedged request where
-    /// that is allowed, else, if the executor is ejected too, a retry after a cancellation.
+    /// Rule: dispatches an invocation again if the executor of its dispatch in flight has been silent for too long. It
+    /// sends a hedged request if the deployment allows it. Otherwise, if the executor is also ejected, it cancels the
+    /// dispatch, and the invocation is retried.
     ///
-    /// Failure mode: executors hang, or links to them are lost. Slow executors are not meant: hedged requests would add to
-    /// their load.
-    /// Risk: work that would have ended soon is done twice.
+    /// Failure mode: executors hang or become unreachable. Slow executors that still respond are excluded because
+    /// hedged requests would add to their load.
+    /// Risk: work that would have completed soon is done twice.
     pub(super) fn hedge_or_retry_slow(
         &mut self,
         function: FunctionIndex,
@@ -42,8 +43,8 @@
         false
     }
 
-    /// The executor of the least loaded warm replica with a free slot, if it is not ejected and the function has its
-    /// replicas.
+    /// Returns the executor of the least loaded warm replica with a free slot, if the executor is not ejected and the
+    /// function has its desired number of replicas.
     fn replica_for_hedging(
         &mut self,
         function: FunctionIndex,
@@ -57,8 +58,8 @@
             .filter(|&executor| !self.executors[executor].is_ejected())
     }
 
-    /// The only dispatch in flight of an invocation, if its executor is long silent and the invocation may have
-    /// another one.
+    /// Returns the only dispatch in flight of an invocation, if its executor has been silent for too long and the
+    /// invocation may be dispatched again.
     fn silent_dispatch(&self, index: InvocationIndex) -> Option<InFlightDispatch> {
         let invocation = &self.workload.invocations[index];
         let &[dispatch] = invocation.in_flight() else {
@@ -88,8 +89,8 @@
             })
     }
 
-    /// Whether an ejected executor may be tried with an invocation: one idempotent invocation at a time, and none that
-    /// may have run there.
+    /// Whether an invocation may be a trial dispatch to an ejected executor. A trial requires an idempotent invocation
+    /// that cannot have run there, and an executor without other dispatches in flight.
     pub(super) fn may_try_ejected(&self, index: InvocationIndex, executor: ExecutorIndex) -> bool {
         let record = &self.executors[executor];
         let may_have_run_there = self.workload.invocations[index]
--- a/crates/dispatch-policy/src/dispatch/rules.rs
+++ b/crates/dispatch-policy/src/dispatch/rules.rs
@@ -1,16 +1,16 @@
-//! The rules by which waiting and slow invocations are served, in their order, and when they are run again.
+//! Rules that serve waiting and slow invocations, the order in which they apply, and the timer that runs them again.
 
 use super::Dispatcher;
 use crate::interface::Actions;
 use crate::state::FunctionIndex;
 
-/// Seconds after which whatever waits is looked at again, at the least.
+/// Interval in seconds at which waiting invocations are evaluated again, unless the clock is coarser.
 pub(super) const TICK_INTERVAL: f64 = 0.025;
 
-/// A rule: does one thing for a function if it applies, and tells whether it did.
+/// A rule performs one action for a function if it applies. Returns whether it did.
 type Rule = fn(&mut Dispatcher, FunctionIndex, &mut dyn Actions) -> bool;
 
-/// For each function, the first rule that applies is taken again and again until none does.
+/// For each function, the first applicable rule is run repeatedly until none applies.
 const RULES: [Rule; 5] = [
     Dispatcher::shed_unservable,
     Dispatcher::dispatch_to_free_replica,
@@ -20,12 +20,13 @@
 ];
 
 impl Dispatcher {
-    /// Goes through the rules for the functions that an input changed and those with invocations waiting, and sets the
-    /// timer for what is left.
+    /// Runs the rules for all functions that an input changed or that have waiting invocations, then sets the timer for
+    /// the remaining invocations.
     pub(super) fn run_rules(&mut self, actions: &mut dyn Actions) {
         let functions = &self.workload.functions;
         self.dirty_functions.extend(functions.with_waiting());
-        // The function with the most waiting comes first, so that scarce capacity and loads serve the most.
+        // The function with the most waiting invocations comes first, so that scarce capacity and loads serve the most
+        // invocations.
         self.dirty_functions
             .sort_by_key(|&function| functions[function].waiting().len());
         while let Some(function) = self.dirty_functions.pop() {
@@ -34,7 +35,8 @@
         self.set_next_timer(actions);
     }
 
-    /// Sets the timer to the next tick while invocations wait, to the next maintenance while dispatches are in flight.
+    /// Sets the timer to the next tick while invocations wait, or to the next maintenance while dispatches are in
+    /// flight. A subscription that is due earlier takes precedence.
     fn set_next_timer(&mut self, actions: &mut dyn Actions) {
         let next_tick_at = self.now + self.tick_interval;
         let due_at = if !self.workload.functions.with_waiting().is_empty() {
--- a/crates/dispatch-policy/src/dispatch/staleness.rs
+++ b/crates/dispatch-policy/src/dispatch/staleness.rs
@@ -1,28 +1,29 @@
-//! How old the view of executors is, and what may be done at which age. The constraints ask it of every dispatch and
-//! load command, when it is decided and again as its bytes are sent.
+//! Staleness of the view of executors, and the work that it permits. The constraints check it for every dispatch and
+//! load command, when it is decided and again when its bytes are sent.
 
 use crate::random::SeededRandom;
 use crate::state::Executor;
 
-/// Seconds for which a view counts as fresh where no drain grace is configured.
+/// Seconds for which a view is fresh if no drain grace is configured.
 const DEFAULT_FRESH_FOR: f64 = 1.0;
-/// Seconds after which whatever a silent source of the endpoint list would have announced counts as announced, by the
-/// platform's protocol.
+/// Age of the view in seconds above which, by the platform's protocol, every change that a silent source of the
+/// endpoint list would have announced counts as announced.
 const UNKNOWN_AFTER: f64 = 4.5;
-/// Seconds after which a source that answers, but with older answers only, counts as late: what it has announced was
-/// announced long ago. Less may be a few lost answers; a silent source is known to be silent by then.
+/// Age of the view in seconds above which a source that still responds, but only with outdated answers, counts as
+/// delayed: its announcements were made long ago. A lower age may be caused by a few lost answers. A source that has
+/// stopped responding is known to be silent before this age.
 const LATE_AFTER: f64 = 2.6;
-/// Rejections in a row after which an executor is taken to drain, while the view is ageing.
+/// Consecutive rejections after which an executor is assumed to be draining while the view is ageing.
 ///
-/// Failure mode: an executor drains while the source of the endpoint list can't announce it.
-/// Risk: an executor that is only crowded gets no work until a list comes.
+/// Failure mode: an executor drains while the source of the endpoint list cannot announce it.
+/// Risk: an executor that is only overloaded receives no work until an endpoint list arrives.
 const MAX_REJECTIONS_AGEING: usize = 4;
-/// The same while nothing is known any more.
+/// Consecutive rejections with the same effect while the state of the executors is unknown.
 const MAX_REJECTIONS_UNKNOWN: usize = 1;
-/// Mean seconds from a failed subscription to the endpoint list to the next one.
+/// Mean delay in seconds between a failed subscription to the endpoint list and the next attempt.
 const MEAN_SUBSCRIPTION_RETRY_DELAY: f64 = 1.0;
 
-/// The delay of the next subscription after a failed one, in seconds: half to one and a half of the mean.
+/// Returns the delay in seconds before the next subscription after a failed one: 0.5 to 1.5 times the mean.
 pub(super) fn subscription_retry_delay(random: &mut SeededRandom) -> f64 {
     MEAN_SUBSCRIPTION_RETRY_DELAY * (0.5 + random.next_f64())
 }
@@ -30,32 +31,34 @@
 /// How far a view can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Staleness {
-    /// Whatever is missing was announced within the drain grace, if at all.
+    /// Changes missing from the view were announced within the drain grace, if at all.
     Fresh,
-    /// Nothing new was heard for a while; what is missing most likely was not announced to anybody.
+    /// The view has not been confirmed for a while. Missing changes have most likely not been announced to any front
+    /// end.
     Ageing,
-    /// What is missing counts as announced.
+    /// Missing changes count as announced.
     Unknown,
-    /// The process stalled and has heard nothing since: it can't even know whether there is something to hear.
+    /// The process stalled and has received nothing since, so it cannot know whether changes were announced.
     Suspended,
 }
 
-/// When the view of executors was last true.
+/// Time at which the view of executors was last known to be current.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndpointView {
-    /// Seconds for which work may go to an executor after its draining was announced; 0 if that is not announced.
+    /// Seconds for which an executor may receive work after its draining was announced; 0 if draining is not announced.
     drain_grace: f64,
-    /// When the request was sent that the view answers, in seconds; `None` where the list is pushed, and its source
-    /// watches the connection.
+    /// When the latest answered request for the list was sent, in seconds; `None` if the list is pushed and its source
+    /// monitors the connection.
     confirmed_at: Option<f64>,
-    /// When the process resumed after a stall, until a request sent after it is answered or known to be lost.
+    /// When the process resumed after a stall; `None` once a request sent after that is answered or known to be
+    /// unanswered.
     resumed_at: Option<f64>,
-    /// The source of the list is known to be silent.
+    /// Whether the source of the list is known to be silent.
     is_source_silent: bool,
 }
 
 impl EndpointView {
-    /// A view that was never confirmed.
+    /// Creates a view that was never confirmed.
     pub(super) fn new(drain_grace: f64) -> EndpointView {
         EndpointView {
             drain_grace,
@@ -65,7 +68,7 @@
         }
     }
 
-    /// A request for the list sent at a time was answered: the view was true then.
+    /// Records that a request for the list sent at `requested_at` was answered: the view was current at that time.
     pub(super) fn record_confirmation(&mut self, requested_at: f64) {
         let last = self.confirmed_at.unwrap_or(requested_at);
         self.confirmed_at = Some(last.max(requested_at));
@@ -73,24 +76,25 @@
         self.end_suspension(requested_at);
     }
 
-    /// A request for the list sent at a time is not answered.
+    /// Records that a request for the list sent at `requested_at` has no answer.
     pub(super) fn record_unanswered_request(&mut self, requested_at: f64) {
         self.is_source_silent = true;
         self.end_suspension(requested_at);
     }
 
-    /// What became of a request sent at a time is known.
+    /// Ends the suspension if the request whose outcome is now known was sent after the stall.
     fn end_suspension(&mut self, requested_at: f64) {
         self.resumed_at
             .take_if(|resumed_at| requested_at >= *resumed_at);
     }
 
-    /// The process stalled until now.
+    /// Records that the process was stalled until `now`.
     pub(super) fn on_process_stall(&mut self, now: f64) {
         self.resumed_at = self.confirmed_at.and(Some(now));
     }
 
-    /// The list was received, or can't be had. That nobody answers is known from requests sent while the process ran.
+    /// Records that the list was received or that the subscription failed. A failure also ends a suspension, because it
+    /// follows from requests that were sent while the process ran.
     pub(super) fn on_endpoint_update(&mut self, has_failed: bool) {
         self.is_source_silent = has_failed;
         if has_failed {
@@ -123,16 +127,17 @@
         }
     }
 
-    /// Whether every executor that the view says is ready may get work.
+    /// Whether every executor that is ready according to the view may receive work.
     pub(super) fn is_fresh(&self, now: f64) -> bool {
         self.staleness(now) == Staleness::Fresh
     }
 
-    /// Whether an executor may get work: the view says that it is ready, and it was not seen to drain as far as the
-    /// view can be relied on. A process that stalled sends nothing until it has heard again.
+    /// Whether an executor may receive work: the view lists it as ready, and it has not rejected so many dispatches in
+    /// a row that it is assumed to be draining, given the staleness of the view. After a stall, the process sends
+    /// nothing until the outcome of a new request is known.
     ///
-    /// Failure mode: a stalled process resumes and decides by a list from before the stall.
-    /// Risk: work is delayed by the time of one answer, or of finding out that none comes.
+    /// Failure mode: a stalled process resumes and makes decisions from a list that predates the stall.
+    /// Risk: work is delayed until an answer arrives or is known to be missing.
     pub(super) fn accepts_work(&self, executor: &Executor, now: f64) -> bool {
         let rejections = executor.consecutive_rejections();
         executor.is_ready()
--- a/crates/dispatch-policy/src/dispatch/time_slots.rs
+++ b/crates/dispatch-policy/src/dispatch/time_slots.rs
@@ -1,13 +1,14 @@
-//! Time slots by which front ends take turns at an executor without talking to each other.
+//! Time slots in which front ends take turns at an executor without communicating.
 
 use crate::interface::MembershipView;
 use crate::state::{ExecutorIndex, ExecutorTable};
 
-/// Keeps a sum of a fraction and its complement from falling below a whole number by rounding.
+/// Prevents the sum of a fraction and its complement from being rounded below a whole number.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
-/// This front end's place among all that share an executor, from 0 up to 1, in a time slot. All front ends draw it
-/// alike and each has another place: of `n` front ends with a part of `1 / n` each, just one gets to a whole.
+/// Returns this front end's offset in a time slot, from 0 to below 1, among the front ends that share an executor. All
+/// front ends compute the offsets in the same way and each has a different one: of `n` front ends with a share of `1/n`
+/// each, exactly one reaches a whole number.
 pub(super) fn slot_offset(
     membership: &MembershipView,
     executors: &ExecutorTable,
--- a/crates/dispatch-policy/src/dispatch/traffic.rs
+++ b/crates/dispatch-policy/src/dispatch/traffic.rs
@@ -1,4 +1,4 @@
-//! How much this front end was invoked lately.
+//! Recent traffic of this front end.
 
 use crate::state::DecayingSum;
 
@@ -9,12 +9,12 @@
 #[derive(Default)]
 pub(super) struct Traffic {
     invocations: DecayingSum,
-    /// Baseline latencies of these, in seconds.
+    /// Sum of the baseline latencies of the recent invocations, in seconds.
     work: DecayingSum,
 }
 
 impl Traffic {
-    /// Adds an invocation; returns the recent invocations with it.
+    /// Adds an invocation. Returns the decayed number of recent invocations including it.
     pub(super) fn record_invocation(&mut self, now: f64) -> f64 {
         self.invocations.add(1.0, now, TRAFFIC_TIME_CONSTANT)
     }
@@ -24,12 +24,12 @@
         self.work.add(work, now, TRAFFIC_TIME_CONSTANT);
     }
 
-    /// Recent invocations.
+    /// Returns the decayed number of recent invocations.
     pub(super) fn invocations(&self, now: f64) -> f64 {
         self.invocations.at(now, TRAFFIC_TIME_CONSTANT)
     }
 
-    /// Expected work of the recent invocations, in seconds.
+    /// Returns the decayed sum of the expected work of recent invocations, in seconds.
     pub(super) fn work(&self, now: f64) -> f64 {
         self.work.at(now, TRAFFIC_TIME_CONSTANT)
     }
