--- a/crates/dispatch-policy/tests/reference_model/mod.rs
+++ b/crates/dispatch-policy/tests/reference_model/mod.rs
@@ -1,16 +1,16 @@
-//! A slow, simple model of the five rules beside the policy: it hears every action and checks each on its own.
+//! A simple reference model of the five rules. It receives every action of the policy and checks it independently.
 
-// Each test program uses a part.
+// Each test program uses only some of the items.
 #![allow(dead_code)]
 
 mod fixtures;
+mod harness;
 mod model;
-mod world;
 
-// Each test program uses a part.
+// Each test program uses only some of the items.
 #[allow(unused_imports)]
 pub use fixtures::*;
 #[allow(unused_imports)]
-pub use model::{AcceptedInvocation, RecordedAction, ReferenceModel};
+pub use harness::{Harness, warm_harness};
 #[allow(unused_imports)]
-pub use world::{World, warm_world};
+pub use model::{AcceptedInvocation, RecordedAction, ReferenceModel};
