--- a/crates/capacity-model/src/fleet/simulation.rs
+++ b/crates/capacity-model/src/fleet/simulation.rs
@@ -139,7 +139,7 @@
             Policy::TwoByTrueLoad => {
                 let in_hand = self.in_hand.clone();
                 let load = move |id| executor_number(id).map_or(u32::MAX, |x| in_hand[x].get());
-                let policy = BaselinePolicy::by(
+                let policy = BaselinePolicy::with_selection(
                     BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
                     seed,
                 );
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -12,7 +12,7 @@
 use orchidtally_invariants::measure_spread;
 
 fn baseline(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
-    Some(Box::new(BaselinePolicy::by(pick, seed)))
+    Some(Box::new(BaselinePolicy::with_selection(pick, seed)))
 }
 
 fn by_truth(
--- a/crates/engine/src/action_executor.rs
+++ b/crates/engine/src/action_executor.rs
@@ -1,7 +1,7 @@
 //! Carries out the policy's actions on the registry and passes them to the host.
 
-use crate::evidence::{self, TransportOutcome};
 use crate::invocation_registry::{InvocationRegistry, SentDispatch};
+use crate::transport_outcome::{self, TransportOutcome};
 use crate::{FailureReason, Host};
 use orchidtally_dispatch_policy::interface::{Actions, DispatchStatus, ExecutorId};
 
@@ -12,21 +12,22 @@
 }
 
 impl Actions for ActionExecutor<'_> {
-    fn dispatch(&mut self, invocation: u32, executor: ExecutorId, time_out: f64) {
+    fn dispatch(&mut self, invocation: u32, executor: ExecutorId, timeout: f64) {
         let now = self.registry.now;
         let Some(open) = self.registry.invocations.get_mut(&invocation) else {
             return;
         };
         let number = open.dispatches.len() as u8;
-        let timeout_at = (now + time_out.max(0.0)).min(open.timeout_at);
-        let is_withheld =
+        let timeout_at = (now + timeout.max(0.0)).min(open.timeout_at);
+        let is_never_sent =
             open.is_answered || open.streaming_dispatch.is_some() || timeout_at <= now;
         open.dispatches.push(SentDispatch {
             executor,
             sent_at: now,
-            status: is_withheld.then(|| evidence::dispatch_status(TransportOutcome::Withheld)),
+            status: is_never_sent
+                .then(|| transport_outcome::dispatch_status(TransportOutcome::NeverSent)),
         });
-        if is_withheld {
+        if is_never_sent {
             self.registry.ended_locally.push_back((invocation, number));
             return;
         }
@@ -38,14 +39,14 @@
     }
 
     fn reject(&mut self, invocation: u32, retry_after: f64, is_over_quota: bool) {
-        if self.registry.close(invocation).is_some() {
+        if self.registry.mark_answered(invocation).is_some() {
             self.registry.counters.rejected += 1;
             self.host.rejected(invocation, retry_after, is_over_quota);
         }
     }
 
     fn fail(&mut self, invocation: u32) {
-        let Some(open) = self.registry.close(invocation) else {
+        let Some(open) = self.registry.mark_answered(invocation) else {
             return;
         };
         let may_have_run = open.may_have_run();
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -35,11 +35,11 @@
 impl BaselinePolicy {
     /// A policy that selects at random.
     pub fn new(seed: u64) -> BaselinePolicy {
-        BaselinePolicy::by(BaselineSelection::Random, seed)
+        BaselinePolicy::with_selection(BaselineSelection::Random, seed)
     }
 
     /// A policy with a way of selection.
-    pub fn by(selection: BaselineSelection, seed: u64) -> BaselinePolicy {
+    pub fn with_selection(selection: BaselineSelection, seed: u64) -> BaselinePolicy {
         BaselinePolicy {
             selection,
             random: SeededRandom::new(seed),
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -36,12 +36,12 @@
     }
 
     /// Slews towards the wall clock's present reading from now on.
-    pub fn anchor(&mut self, monotonic: f64, wall: f64) {
+    pub fn synchronize(&mut self, monotonic: f64, wall: f64) {
         self.read(monotonic);
         self.target_offset = wall - self.read_at;
     }
 
-    /// How far the time is behind the wall clock as last anchored, in seconds.
+    /// How far the time is behind the wall clock as last synchronized, in seconds.
     pub fn wall_clock_lag(&self) -> f64 {
         self.target_offset - self.offset
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -269,7 +269,7 @@
         };
         in_flight.status = Some(status);
         let is_success = status == DispatchStatus::Ok && !is_streamed;
-        if is_success && self.registry.close(invocation).is_some() {
+        if is_success && self.registry.mark_answered(invocation).is_some() {
             self.registry.counters.succeeded += 1;
             host.succeeded(invocation, dispatch);
         }
@@ -295,7 +295,7 @@
             return false;
         }
         open.streaming_dispatch = Some(dispatch);
-        self.registry.close(invocation);
+        self.registry.mark_answered(invocation);
         self.registry.counters.succeeded += 1;
         host.succeeded(invocation, dispatch);
         self.run_policy(now, host, |policy, now, actions| {
@@ -306,7 +306,7 @@
 
     /// The client has gone away: no answer is owed any more.
     pub fn on_client_cancel(&mut self, now: f64, invocation: u32, host: &mut dyn Host) {
-        if self.registry.close(invocation).is_some() {
+        if self.registry.mark_answered(invocation).is_some() {
             self.registry.counters.cancelled_by_client += 1;
             self.run_policy(now, host, |policy, now, actions| {
                 policy.on_client_cancel(now, invocation, actions);
@@ -350,7 +350,7 @@
 
     /// Fails an invocation that the policy has left without a final answer.
     fn fail_overdue(&mut self, now: f64, invocation: u32, host: &mut dyn Host) {
-        let Some(open) = self.registry.close(invocation) else {
+        let Some(open) = self.registry.mark_answered(invocation) else {
             return;
         };
         let may_have_run = open.may_have_run();
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -18,7 +18,7 @@
     fn admitted(&mut self, invocation: u32);
 
     /// Sends a dispatch of an invocation to an executor, which has to respond within a time.
-    fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, time_out: f64);
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, timeout: f64);
 
     /// Stops waiting for a dispatch; its response is discarded.
     fn cancel(&mut self, invocation: u32, dispatch: u8);
--- a/crates/engine/src/invocation_registry.rs
+++ b/crates/engine/src/invocation_registry.rs
@@ -110,7 +110,7 @@
     }
 
     /// Marks an invocation as answered; `None` if it is not open or was answered before.
-    pub(crate) fn close(&mut self, invocation: u32) -> Option<&OpenInvocation> {
+    pub(crate) fn mark_answered(&mut self, invocation: u32) -> Option<&OpenInvocation> {
         let open = self
             .invocations
             .get_mut(&invocation)
--- a/crates/engine/src/stall_detector.rs
+++ b/crates/engine/src/stall_detector.rs
@@ -48,7 +48,7 @@
     ///
     /// Failure mode: after a stall nobody knows how long bytes have waited, and client deadlines would be counted from
     /// its end. Risk: a client whose bytes have just arrived gets less time.
-    pub fn arrival_bound(&self, now: f64) -> f64 {
+    pub fn earliest_arrival(&self, now: f64) -> f64 {
         match self.latest {
             Some(stall) if now < stall.until + CATCH_UP_TIME => stall.from,
             _ => now,
@@ -56,7 +56,7 @@
     }
 
     /// The longest stall since this was last called, in seconds, if there was one.
-    pub fn take_stall(&mut self) -> Option<f64> {
+    pub fn take_longest_stall(&mut self) -> Option<f64> {
         self.unreported.take()
     }
 }
--- a/crates/engine/src/evidence.rs
+++ b/crates/engine/src/transport_outcome.rs
@@ -11,45 +11,47 @@
     /// No connection was made in time: refused, unreachable, or no handshake.
     NoConnection,
     /// This machine could not open a connection, which says nothing about the executor.
-    NoResource,
+    NoLocalResource,
     /// All connections that may be opened stayed full for the time that a dispatch waits for them.
     Saturated,
     /// The connection broke before a byte of the dispatch was handed to the kernel.
-    Unwritten,
+    NothingWritten,
     /// The peer refused the stream without processing it (REFUSED_STREAM).
-    Refused,
+    StreamRefused,
     /// The closing peer named a lower stream as the last that it processes (GOAWAY).
-    AboveLast,
+    AboveLastStreamId,
     /// The stream was reset for any other reason.
-    Reset,
+    StreamReset,
     /// The connection ended after bytes of the dispatch were handed to the kernel.
-    Broken,
+    ConnectionLost,
     /// The response could not be decoded. The executor is reachable, and may have run the dispatch.
-    Malformed,
+    MalformedResponse,
     /// The connection was closed because of another dispatch, while the executor's other connections are open.
-    Cut,
+    ClosedForOtherDispatch,
     /// No response came in time.
     TimedOut,
     /// It was withdrawn before it was handed to a connection.
-    Withheld,
+    NeverSent,
 }
 
 /// The status of a dispatch. Only two kinds of proof let it count as never run: a response that says so, and a dispatch
 /// that the peer can't have processed. An end of file proves nothing: the bytes may have been read before it.
-pub fn dispatch_status(seen: TransportOutcome) -> DispatchStatus {
-    match seen {
-        TransportOutcome::Answered(ending) => ending,
-        TransportOutcome::NoConnection | TransportOutcome::Unwritten => {
+pub fn dispatch_status(outcome: TransportOutcome) -> DispatchStatus {
+    match outcome {
+        TransportOutcome::Answered(status) => status,
+        TransportOutcome::NoConnection | TransportOutcome::NothingWritten => {
             DispatchStatus::ConnectFailed
         }
-        TransportOutcome::Saturated | TransportOutcome::Refused | TransportOutcome::AboveLast => {
-            DispatchStatus::Full
-        }
+        TransportOutcome::Saturated
+        | TransportOutcome::StreamRefused
+        | TransportOutcome::AboveLastStreamId => DispatchStatus::Full,
         // Not a reset, which would suggest that the executor has restarted.
-        TransportOutcome::Malformed => DispatchStatus::Error,
-        TransportOutcome::Cut => DispatchStatus::Cancelled,
-        TransportOutcome::Reset | TransportOutcome::Broken => DispatchStatus::Reset,
+        TransportOutcome::MalformedResponse => DispatchStatus::Error,
+        TransportOutcome::ClosedForOtherDispatch => DispatchStatus::Cancelled,
+        TransportOutcome::StreamReset | TransportOutcome::ConnectionLost => DispatchStatus::Reset,
         TransportOutcome::TimedOut => DispatchStatus::TimedOut,
-        TransportOutcome::Withheld | TransportOutcome::NoResource => DispatchStatus::NeverSent,
+        TransportOutcome::NeverSent | TransportOutcome::NoLocalResource => {
+            DispatchStatus::NeverSent
+        }
     }
 }
--- a/crates/engine/tests/clock.rs
+++ b/crates/engine/tests/clock.rs
@@ -10,7 +10,7 @@
         for n in 1..=6_000 {
             let monotonic = 100.0 + f64::from(n) * 0.1;
             if n % 50 == 0 {
-                clock.anchor(monotonic, 1_000_000.0 + f64::from(n) * 0.1 + step);
+                clock.synchronize(monotonic, 1_000_000.0 + f64::from(n) * 0.1 + step);
             }
             let now = clock.read(monotonic);
             assert!(now > last && now - last < 0.100_1, "{} after {last}", now);
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -53,7 +53,7 @@
     let load = move |id: ExecutorId| {
         fleet::executor_number(id).map_or(u32::MAX, |x| true_loads.borrow()[x])
     };
-    Some(Box::new(BaselinePolicy::by(
+    Some(Box::new(BaselinePolicy::with_selection(
         BaselineSelection::TwoChoicesByTrueLoad(Box::new(load)),
         seed,
     )))
--- a/crates/engine/tests/evidence.rs
+++ b/crates/engine/tests/transport_outcome.rs
@@ -1,7 +1,7 @@
 //! Which ends of a dispatch prove that it never ran, and which may mean that the executor has restarted.
 
 use orchidtally_dispatch_policy::interface::DispatchStatus;
-use orchidtally_engine::evidence::{TransportOutcome, dispatch_status};
+use orchidtally_engine::transport_outcome::{TransportOutcome, dispatch_status};
 
 #[test]
 fn only_proofs_count_as_never_run() {
@@ -12,15 +12,15 @@
         (TransportOutcome::Answered(DispatchStatus::Miss), true),
         (TransportOutcome::NoConnection, true),
         (TransportOutcome::Saturated, true),
-        (TransportOutcome::Unwritten, true),
-        (TransportOutcome::Refused, true),
-        (TransportOutcome::AboveLast, true),
-        (TransportOutcome::Reset, false),
-        (TransportOutcome::Broken, false),
-        (TransportOutcome::Malformed, false),
-        (TransportOutcome::Cut, false),
+        (TransportOutcome::NothingWritten, true),
+        (TransportOutcome::StreamRefused, true),
+        (TransportOutcome::AboveLastStreamId, true),
+        (TransportOutcome::StreamReset, false),
+        (TransportOutcome::ConnectionLost, false),
+        (TransportOutcome::MalformedResponse, false),
+        (TransportOutcome::ClosedForOtherDispatch, false),
         (TransportOutcome::TimedOut, false),
-        (TransportOutcome::Withheld, true),
+        (TransportOutcome::NeverSent, true),
     ];
     for (seen, never_ran) in table {
         assert_eq!(dispatch_status(seen).never_ran(), never_ran, "{seen:?}");
@@ -28,9 +28,9 @@
         // that has other connections standing, is there.
         let may_be_new = [
             TransportOutcome::NoConnection,
-            TransportOutcome::Unwritten,
-            TransportOutcome::Reset,
-            TransportOutcome::Broken,
+            TransportOutcome::NothingWritten,
+            TransportOutcome::StreamReset,
+            TransportOutcome::ConnectionLost,
         ];
         let may_be_restarted = matches!(
             dispatch_status(seen),
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -8,7 +8,7 @@
 use futures_lite::future;
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{ENDPOINT_LIST_PATH, MAX_ENDPOINT_LIST_LENGTH, frame};
 use orchidtally_membership::EntryError;
--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use h2::client::SendRequest;
 use h2::{Ping, PingPong};
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -37,7 +37,9 @@
             .ok_or(TransportOutcome::Saturated)?;
         let answered = ping.ping(Ping::opaque()).await;
         *self.0.ping.borrow_mut() = Some(ping);
-        answered.map(drop).map_err(|_| TransportOutcome::Broken)
+        answered
+            .map(drop)
+            .map_err(|_| TransportOutcome::ConnectionLost)
     }
 }
 
@@ -48,19 +50,19 @@
     connection: &Connection,
 ) -> TransportOutcome {
     if e.is_remote() && e.is_go_away() {
-        return TransportOutcome::AboveLast;
+        return TransportOutcome::AboveLastStreamId;
     }
     if e.is_remote() && e.is_reset() {
         let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
         return if unseen {
-            TransportOutcome::Refused
+            TransportOutcome::StreamRefused
         } else {
-            TransportOutcome::Reset
+            TransportOutcome::StreamReset
         };
     }
     if connection.written.get() == sent_from {
-        TransportOutcome::Unwritten
+        TransportOutcome::NothingWritten
     } else {
-        TransportOutcome::Broken
+        TransportOutcome::ConnectionLost
     }
 }
--- a/crates/http-frontend/src/pool/exchange.rs
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -3,7 +3,7 @@
 use super::connection::observed_failure;
 use super::{Incoming, Pool};
 use bytes::Bytes;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_executor_protocol::{CONTENT_TYPE, Deframer, MAX_MESSAGE_LENGTH};
 use prost::Message;
 use std::rc::Rc;
@@ -41,14 +41,14 @@
     ) -> Result<Incoming, TransportOutcome> {
         let lease = self.lease().await?;
         let Some(head) = head() else {
-            return Err(TransportOutcome::Withheld);
+            return Err(TransportOutcome::NeverSent);
         };
         let sent_from = lease.connection.written.get();
         let classify = |e: &h2::Error| observed_failure(e, sent_from, &lease.connection);
         let request = http::Request::post(format!("http://{}{path}", self.to))
             .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
             .body(())
-            .map_err(|_| TransportOutcome::Withheld)?;
+            .map_err(|_| TransportOutcome::NeverSent)?;
         let mut sender = lease.connection.sender.clone();
         let (response, mut out) = sender
             .send_request(request, false)
@@ -63,7 +63,7 @@
         let response = response.await.map_err(|e| classify(&e))?;
         if response.status() != http::StatusCode::OK {
             warn!(executor = %self.to, status = %response.status(), path, "executor rejected a message");
-            return Err(TransportOutcome::Malformed);
+            return Err(TransportOutcome::MalformedResponse);
         }
         Ok(Incoming {
             stream: response.into_body(),
--- a/crates/http-frontend/src/pool/incoming.rs
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -3,7 +3,7 @@
 use super::Lease;
 use super::connection::{Pinger, observed_failure};
 use bytes::Bytes;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_executor_protocol::Deframer;
 use prost::Message;
 use tracing::warn;
@@ -56,7 +56,7 @@
                 let executor = self.lease.pool.to;
                 warn!(%executor, %fault, "connection closed: a message can't be decoded");
             }
-            return Err(TransportOutcome::Malformed);
+            return Err(TransportOutcome::MalformedResponse);
         }
     }
 
@@ -82,7 +82,7 @@
             length += chunk.len();
             if length > max_length {
                 warn!(executor = %self.lease.pool.to, max_length, "response exceeds the length limit");
-                return Err(TransportOutcome::Malformed);
+                return Err(TransportOutcome::MalformedResponse);
             }
             chunks.push(chunk);
         }
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use connection::Connection;
 use futures_channel::oneshot;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/http-frontend/src/pool/opening.rs
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use h2::PingPong;
 use h2::client::SendRequest;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_socket_io::Stream;
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use orchidtally_deployment::EndpointSource;
 use orchidtally_dispatch_policy::interface::*;
-use orchidtally_engine::evidence::{self, TransportOutcome};
+use orchidtally_engine::transport_outcome::{self, TransportOutcome};
 use orchidtally_engine::{NO_METADATA, ResponseMetadata};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{DISPATCH_PATH, frame};
@@ -187,7 +187,7 @@
     }
 
     fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: TransportOutcome) {
-        let status = evidence::dispatch_status(outcome);
+        let status = transport_outcome::dispatch_status(outcome);
         debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?outcome, "dispatch ended without a response");
         // One that certainly never ran shows nothing about the version.
         if !status.never_ran() {
@@ -235,7 +235,7 @@
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
-        let status = evidence::dispatch_status(outcome);
+        let status = transport_outcome::dispatch_status(outcome);
         self.report_dispatch_result(
             dispatch,
             DispatchEnd {
@@ -278,7 +278,7 @@
             }
             v1::Ending::Full => DispatchStatus::Full,
             v1::Ending::Miss => DispatchStatus::Miss,
-            v1::Ending::Unspecified => return (TransportOutcome::Malformed, None),
+            v1::Ending::Unspecified => return (TransportOutcome::MalformedResponse, None),
         };
         (TransportOutcome::Answered(status), None)
     }
@@ -306,7 +306,7 @@
         if is_first {
             self.forward_stream(incoming, parts).await
         } else {
-            TransportOutcome::Reset
+            TransportOutcome::StreamReset
         }
     }
 
--- a/crates/http-frontend/src/router/load_command.rs
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -3,7 +3,7 @@
 use super::{Router, seconds};
 use crate::pool::Pool;
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
-use orchidtally_engine::evidence::{self, TransportOutcome};
+use orchidtally_engine::transport_outcome::{self, TransportOutcome};
 use orchidtally_executor_protocol::v1;
 use orchidtally_executor_protocol::{LOAD_PATH, frame};
 use std::rc::Rc;
@@ -47,11 +47,11 @@
                 v1::Ending::Error | v1::Ending::Miss => {
                     TransportOutcome::Answered(DispatchStatus::Error)
                 }
-                v1::Ending::Unspecified => TransportOutcome::Malformed,
+                v1::Ending::Unspecified => TransportOutcome::MalformedResponse,
             },
         };
         if order.kind() == v1::OrderKind::Hold {
-            let ending = evidence::dispatch_status(outcome);
+            let ending = transport_outcome::dispatch_status(outcome);
             // An executor that is gone or full shows nothing about the version.
             if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
                 self.traffic_split.borrow_mut().record_load_result(
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -264,7 +264,7 @@
             let stepped = step
                 .filter(|(at, _)| monotonic >= *at)
                 .map_or(0.0, |(_, by)| by);
-            clock.anchor(monotonic, wall_clock_seconds() + ahead + stepped);
+            clock.synchronize(monotonic, wall_clock_seconds() + ahead + stepped);
             let clock_error = clock.wall_clock_lag();
             drop(clock);
             let is_far_off = clock_error.abs() > self.deployment.policy.max_clock_skew / 2.0;
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -24,13 +24,13 @@
     /// The earliest time at which bytes that are read now can have arrived: they may have waited during a process stall.
     pub fn arrived_by(&self) -> f64 {
         let now = self.now();
-        self.stall_detector.borrow().arrival_bound(now)
+        self.stall_detector.borrow().earliest_arrival(now)
     }
 
     /// Reads the time, and notifies the engine of a process stall that ends now.
     pub(super) fn observe_clock(&self) -> f64 {
         let now = self.now();
-        if let Some(seconds) = self.stall_detector.borrow_mut().take_stall() {
+        if let Some(seconds) = self.stall_detector.borrow_mut().take_longest_stall() {
             warn!(
                 seconds,
                 "process stall detected: nothing is dispatched on a stale endpoint list until its source has answered"
--- a/crates/platform-frontend/src/engine_host/flushing.rs
+++ b/crates/platform-frontend/src/engine_host/flushing.rs
@@ -6,7 +6,7 @@
 use crate::log_budget::LogBudget;
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_engine::Engine;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_platform_executor_protocol as protocol;
 use std::io;
 use std::rc::Rc;
@@ -152,7 +152,7 @@
         let connection = self.pool.connection_mut(slot)?;
         if !is_valid {
             connection.load_commands.remove(&tag);
-            self.report_unsent_load_command(tag, TransportOutcome::Withheld);
+            self.report_unsent_load_command(tag, TransportOutcome::NeverSent);
             return None;
         }
         let line_start = connection.next_line_start();
@@ -179,7 +179,7 @@
         let Some(open) = self.invocations.get(key.invocation).filter(|_| is_valid) else {
             connection.open.remove(id);
             self.in_flight.remove(&key);
-            self.report_unsent(key, TransportOutcome::Withheld);
+            self.report_unsent(key, TransportOutcome::NeverSent);
             return None;
         };
         connection.open.get_mut(id)?.line_start = Some(line_start);
--- a/crates/platform-frontend/src/engine_host/mod.rs
+++ b/crates/platform-frontend/src/engine_host/mod.rs
@@ -15,7 +15,7 @@
 pub use flushing::SendRevalidation;
 use mio::Registry;
 use orchidtally_dispatch_policy::interface::{DispatchStatus, ExecutorId};
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_engine::{AdmissionError, Engine, InvocationRequest, ResponseMetadata};
 use orchidtally_platform_config::FrontEndSettings;
 use slab::Slab;
--- a/crates/platform-frontend/src/engine_host/sending.rs
+++ b/crates/platform-frontend/src/engine_host/sending.rs
@@ -4,7 +4,7 @@
 use crate::delayed_dispatches::DispatchKey;
 use crate::executor_connection::{InFlightDispatch, QueuedCommand, UnwrittenCommands};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 
 /// Seconds until a dispatch is retried for which this machine could open no connection.
 const LOCAL_FAILURE_RETRY_DELAY: f64 = 0.02;
@@ -24,7 +24,7 @@
             .get(key.invocation)
             .map(|open| open.id.clone())
         else {
-            return self.report_unsent(key, TransportOutcome::Withheld);
+            return self.report_unsent(key, TransportOutcome::NeverSent);
         };
         match self.pool.connection_for(self.now, to, &id) {
             Ok(slot) => {
@@ -41,7 +41,7 @@
                 self.pool.mark_dirty(slot);
             }
             // This machine may have what it lacks a moment later; the executor is not to blame.
-            Err(TransportOutcome::NoResource)
+            Err(TransportOutcome::NoLocalResource)
                 if self.now + LOCAL_FAILURE_RETRY_DELAY < sent_at + self.connect_timeout =>
             {
                 self.delayed
--- a/crates/platform-frontend/src/event_loop/executor_responses.rs
+++ b/crates/platform-frontend/src/event_loop/executor_responses.rs
@@ -6,7 +6,7 @@
 use crate::source::Source;
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus};
 use orchidtally_engine::ResponseMetadata;
-use orchidtally_engine::evidence::{self, TransportOutcome};
+use orchidtally_engine::transport_outcome::{self, TransportOutcome};
 use orchidtally_platform_executor_protocol::{LoadNote, Response, ResponseKind, parse_load_report};
 use orchidtally_socket_io::buffered::ReadOutcome;
 use tracing::debug;
@@ -20,7 +20,7 @@
         ResponseKind::Error => TransportOutcome::Answered(DispatchStatus::Error),
         ResponseKind::AlreadyOver => TransportOutcome::Answered(DispatchStatus::NeverSent),
         // These answer health checks, never a dispatch or a load command.
-        ResponseKind::Healthy | ResponseKind::Unhealthy => TransportOutcome::Malformed,
+        ResponseKind::Healthy | ResponseKind::Unhealthy => TransportOutcome::MalformedResponse,
     }
 }
 
@@ -70,12 +70,22 @@
                 }
                 Ok(ReadOutcome::EndOfStream) => {
                     let reason = "closed by the executor";
-                    self.close_executor_connection(now, slot, TransportOutcome::Broken, reason);
+                    self.close_executor_connection(
+                        now,
+                        slot,
+                        TransportOutcome::ConnectionLost,
+                        reason,
+                    );
                     return false;
                 }
                 Err(error) => {
                     let reason = error.to_string();
-                    self.close_executor_connection(now, slot, TransportOutcome::Broken, &reason);
+                    self.close_executor_connection(
+                        now,
+                        slot,
+                        TransportOutcome::ConnectionLost,
+                        &reason,
+                    );
                     return false;
                 }
             }
@@ -113,7 +123,12 @@
                 Ok(Some(response)) => self.handle_response(now, slot, response),
                 Err(error) => {
                     let reason = error.to_string();
-                    self.close_executor_connection(now, slot, TransportOutcome::Malformed, &reason);
+                    self.close_executor_connection(
+                        now,
+                        slot,
+                        TransportOutcome::MalformedResponse,
+                        &reason,
+                    );
                     return false;
                 }
             }
@@ -154,7 +169,7 @@
             parse_load_report(&response.load_report, &self.settings.load_report_fields);
         let answer = ExecutorAnswer {
             key: dispatch.key,
-            status: evidence::dispatch_status(evidence),
+            status: transport_outcome::dispatch_status(evidence),
             metadata: ResponseMetadata {
                 copy_state: copy_state(response.load_note),
                 function_concurrency: response.function_concurrency,
@@ -176,7 +191,7 @@
         let Some(command) = self.host.remove_load_command(tag) else {
             return;
         };
-        let status = match evidence::dispatch_status(evidence) {
+        let status = match transport_outcome::dispatch_status(evidence) {
             // A query that found no replica.
             DispatchStatus::Ok if command.replicas == 0 && replica_count == 0 => {
                 DispatchStatus::Miss
--- a/crates/platform-frontend/src/event_loop/lost_connections.rs
+++ b/crates/platform-frontend/src/event_loop/lost_connections.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crate::executor_connection::ExecutorConnection;
 use crate::log_budget::LogBudget;
-use orchidtally_engine::evidence::{self, TransportOutcome};
+use orchidtally_engine::transport_outcome::{self, TransportOutcome};
 use std::collections::VecDeque;
 use tracing::info;
 
@@ -61,7 +61,7 @@
         }
         self.host.pool.forget_if_unlisted(connection.to);
         let may_retry = connection.is_connected
-            || evidence == TransportOutcome::NoResource
+            || evidence == TransportOutcome::NoLocalResource
             || self
                 .host
                 .pool
@@ -73,12 +73,13 @@
             self.host.record_abandoned(id, connection.to);
         }
         // A partial answer shows that the executor is there, as unreadable bytes do.
-        let evidence =
-            if evidence == TransportOutcome::Broken && connection.decoder.has_partial_line() {
-                TransportOutcome::Malformed
-            } else {
-                evidence
-            };
+        let evidence = if evidence == TransportOutcome::ConnectionLost
+            && connection.decoder.has_partial_line()
+        {
+            TransportOutcome::MalformedResponse
+        } else {
+            evidence
+        };
         self.lost_connections.unreported.push_back(LostConnection {
             closed_at: now,
             evidence,
@@ -111,7 +112,7 @@
                 .host
                 .pool
                 .has_connection_begun_before(lost.connection.to, lost.closed_at);
-            if lost.evidence == TransportOutcome::Broken
+            if lost.evidence == TransportOutcome::ConnectionLost
                 && is_reachable
                 && now < lost.closed_at + PROCESS_RESET_WINDOW
             {
@@ -123,7 +124,7 @@
     }
 
     fn report_lost_connection(&mut self, now: f64, lost: &LostConnection, is_reachable: bool) {
-        let process_is_alive = lost.evidence == TransportOutcome::Malformed || is_reachable;
+        let process_is_alive = lost.evidence == TransportOutcome::MalformedResponse || is_reachable;
         for (dispatch, attributed) in lost.connection.attribute_failures(lost.evidence) {
             let evidence = if process_is_alive {
                 attributed
@@ -134,13 +135,13 @@
                 now,
                 dispatch.key.invocation,
                 dispatch.key.number,
-                evidence::dispatch_status(evidence),
+                transport_outcome::dispatch_status(evidence),
                 orchidtally_engine::NO_METADATA,
                 &mut self.host,
             );
         }
         let evidence = if process_is_alive {
-            TransportOutcome::Cut
+            TransportOutcome::ClosedForOtherDispatch
         } else {
             lost.evidence
         };
--- a/crates/platform-frontend/src/event_loop/maintenance.rs
+++ b/crates/platform-frontend/src/event_loop/maintenance.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::executor_connection::CloseReason;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_platform_client_protocol as protocol;
 use tracing::info;
 
--- a/crates/platform-frontend/src/event_loop/output.rs
+++ b/crates/platform-frontend/src/event_loop/output.rs
@@ -3,7 +3,7 @@
 use super::EventLoop;
 use crate::client_connection::MAX_BACKLOG_BYTES;
 use crate::source::Source;
-use orchidtally_engine::evidence::{self, TransportOutcome};
+use orchidtally_engine::transport_outcome::{self, TransportOutcome};
 use std::net::Shutdown;
 
 impl EventLoop {
@@ -30,7 +30,7 @@
                 now,
                 unsent.key.invocation,
                 unsent.key.number,
-                evidence::dispatch_status(unsent.evidence),
+                transport_outcome::dispatch_status(unsent.evidence),
                 orchidtally_engine::NO_METADATA,
                 &mut self.host,
             );
@@ -51,7 +51,12 @@
             {
                 // The answers that it sent before it broke were read.
                 let reason = error.to_string();
-                self.close_executor_connection(now, slot, TransportOutcome::Broken, &reason);
+                self.close_executor_connection(
+                    now,
+                    slot,
+                    TransportOutcome::ConnectionLost,
+                    &reason,
+                );
             }
         }
     }
@@ -67,7 +72,7 @@
                 self.close_executor_connection(
                     now,
                     cut.slot,
-                    TransportOutcome::Broken,
+                    TransportOutcome::ConnectionLost,
                     &cut.reason,
                 );
             }
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -4,7 +4,7 @@
 use mio::net::TcpStream;
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_dispatch_policy::state::Ordered;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_platform_executor_protocol::Decoder;
 use orchidtally_socket_io::buffered::BufferedSocket;
 use std::cmp::Reverse;
@@ -170,7 +170,7 @@
         &self,
         evidence: TransportOutcome,
     ) -> impl Iterator<Item = (&InFlightDispatch, TransportOutcome)> {
-        let has_culprit = evidence == TransportOutcome::Malformed || !self.has_answered;
+        let has_culprit = evidence == TransportOutcome::MalformedResponse || !self.has_answered;
         let earliest = self
             .open
             .values()
@@ -179,9 +179,9 @@
             .filter(|_| has_culprit);
         let attribute = move |sent_at| {
             if Some(Ordered(sent_at)) == earliest {
-                TransportOutcome::Malformed
+                TransportOutcome::MalformedResponse
             } else {
-                TransportOutcome::Cut
+                TransportOutcome::ClosedForOtherDispatch
             }
         };
         self.open
@@ -326,13 +326,13 @@
             .is_some_and(|since| now > since + PARTIAL_LINE_TIMEOUT)
         {
             return reason(
-                TransportOutcome::Malformed,
+                TransportOutcome::MalformedResponse,
                 "partial line was not completed",
             );
         }
         // Before the executor does, so that nothing is sent into a connection that it is closing.
         if self.is_idle() && (self.is_retired || self.is_idle_too_long(now, idle_timeout)) {
-            return reason(TransportOutcome::Broken, "idle");
+            return reason(TransportOutcome::ConnectionLost, "idle");
         }
         None
     }
--- a/crates/platform-frontend/src/executor_pool.rs
+++ b/crates/platform-frontend/src/executor_pool.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 use mio::{Interest, Registry};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_platform_config::FrontEndSettings;
 use orchidtally_platform_discovery::DiscoveredEndpoint;
 use orchidtally_socket_io::is_local_error;
@@ -233,7 +233,7 @@
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.registry
             .register(&mut stream, Source::Executor(slot).token(), interest)
-            .map_err(|_| TransportOutcome::NoResource)?;
+            .map_err(|_| TransportOutcome::NoLocalResource)?;
         self.connections.insert(ExecutorConnection::new(
             to,
             stream,
@@ -307,7 +307,7 @@
 /// What a failed connection attempt is evidence of.
 pub fn connect_evidence(error: &std::io::Error) -> TransportOutcome {
     if is_local_error(error) {
-        TransportOutcome::NoResource
+        TransportOutcome::NoLocalResource
     } else {
         TransportOutcome::NoConnection
     }
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -43,18 +43,18 @@
 
     /// The earliest time at which bytes that are read now may have arrived.
     pub fn arrival_bound(&self, now: f64) -> f64 {
-        self.stalls.arrival_bound(now)
+        self.stalls.earliest_arrival(now)
     }
 
     /// The length in seconds of a process stall that was detected since the last call, if any.
     pub fn take_stall(&mut self) -> Option<f64> {
-        self.stalls.take_stall()
+        self.stalls.take_longest_stall()
     }
 
     /// Moves the clock towards the wall clock, slowly.
     pub fn follow_wall_clock(&mut self) {
         self.clock
-            .anchor(self.began.elapsed().as_secs_f64(), wall_clock());
+            .synchronize(self.began.elapsed().as_secs_f64(), wall_clock());
     }
 }
 
--- a/crates/platform-frontend/src/tests/executor_connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -95,21 +95,27 @@
             .collect::<Vec<_>>()
     };
     let at_fault = [
-        (Some(0), TransportOutcome::Malformed),
-        (Some(9), TransportOutcome::Cut),
+        (Some(0), TransportOutcome::MalformedResponse),
+        (Some(9), TransportOutcome::ClosedForOtherDispatch),
     ];
     let lost = [
-        (Some(0), TransportOutcome::Cut),
-        (Some(9), TransportOutcome::Cut),
+        (Some(0), TransportOutcome::ClosedForOtherDispatch),
+        (Some(9), TransportOutcome::ClosedForOtherDispatch),
     ];
     assert_eq!(
-        verdicts(&connection, TransportOutcome::Broken),
+        verdicts(&connection, TransportOutcome::ConnectionLost),
         at_fault,
         "nothing ever came"
     );
     connection.has_answered = true;
-    assert_eq!(verdicts(&connection, TransportOutcome::Broken), lost);
-    assert_eq!(verdicts(&connection, TransportOutcome::Malformed), at_fault);
+    assert_eq!(
+        verdicts(&connection, TransportOutcome::ConnectionLost),
+        lost
+    );
+    assert_eq!(
+        verdicts(&connection, TransportOutcome::MalformedResponse),
+        at_fault
+    );
 }
 
 #[test]
@@ -143,7 +149,7 @@
     assert_eq!(
         connection.close_reason(14.0, 15.0),
         Some(CloseReason {
-            evidence: TransportOutcome::Broken,
+            evidence: TransportOutcome::ConnectionLost,
             text: "idle",
         })
     );
