--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -11,8 +11,8 @@
 use orchidtally_engine::baseline::{BaselinePolicy, BaselineSelection};
 use orchidtally_invariants::measure_spread;
 
-fn baseline(pick: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
-    Some(Box::new(BaselinePolicy::with_selection(pick, seed)))
+fn baseline(selection: BaselineSelection, seed: u64) -> Option<Box<dyn DispatchPolicy>> {
+    Some(Box::new(BaselinePolicy::with_selection(selection, seed)))
 }
 
 fn by_truth(
--- a/crates/engine/tests/fleet/world.rs
+++ b/crates/engine/tests/fleet/world.rs
@@ -128,7 +128,7 @@
                 incarnation: job.incarnation.into(),
                 invocation: job.name(),
                 number: job.dispatch.into(),
-                token: String::new(),
+                idempotency_key: String::new(),
                 trigger_type: "look".into(),
             });
         self.true_loads.borrow_mut()[executor] += 1;
@@ -163,11 +163,12 @@
         if copy_state == CopyState::ColdLoad {
             let name = format!("{}", job.function);
             if is_expired {
-                self.records.push(invariants::TrafficRecord::CopyUnloaded {
-                    at,
-                    executor,
-                    function: name.clone(),
-                });
+                self.records
+                    .push(invariants::TrafficRecord::ReplicaUnloaded {
+                        at,
+                        executor,
+                        function: name.clone(),
+                    });
             }
             self.records.push(invariants::TrafficRecord::LoadStarted {
                 at,
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -193,7 +193,8 @@
         incarnation: u64,
         invocation: String,
         number: u32,
-        token: String,
+        #[serde(rename = "token")]
+        idempotency_key: String,
         trigger_type: String,
     },
     /// An executor began to run a dispatch: from then on its effect has taken place.
@@ -283,7 +284,7 @@
     },
     /// An executor unloaded its last copy of a function.
     #[serde(rename = "unloads")]
-    CopyUnloaded {
+    ReplicaUnloaded {
         at: f64,
         executor: usize,
         function: String,
@@ -340,7 +341,7 @@
             | TrafficRecord::ExecutorReady { at, .. }
             | TrafficRecord::ExecutorDown { at, .. }
             | TrafficRecord::LoadStarted { at, .. }
-            | TrafficRecord::CopyUnloaded { at, .. }
+            | TrafficRecord::ReplicaUnloaded { at, .. }
             | TrafficRecord::ReadsPaused { at, .. }
             | TrafficRecord::MessagePublished { at, .. }
             | TrafficRecord::MessageAnswered { at, .. }
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -35,7 +35,7 @@
         self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
     }
 
-    fn breach(&mut self, what: String) {
+    fn add_violation(&mut self, what: String) {
         if self.examples.len() < MAX_EXAMPLES {
             self.examples.push(what);
         }
@@ -46,14 +46,14 @@
         match outcomes {
             [] => {
                 self.unanswered += 1;
-                self.breach(format!("{invocation} had no answer"));
+                self.add_violation(format!("{invocation} had no answer"));
             }
             [_] => {}
-            many => {
+            several => {
                 self.answered_twice += 1;
-                self.breach(format!(
+                self.add_violation(format!(
                     "{invocation} was answered {}",
-                    many.join(", then ")
+                    several.join(", then ")
                 ));
             }
         }
@@ -63,19 +63,19 @@
         &mut self,
         invocation: &str,
         outcome: &str,
-        effect: Option<Idempotency>,
+        idempotency: Option<Idempotency>,
         runs: u64,
     ) {
         self.unknown_outcome += u64::from(outcome == "unknown");
-        let is_true = match outcome {
+        let is_consistent = match outcome {
             "succeeded" => runs > 0,
-            "throttled" => runs == 0 || effect == Some(Idempotency::Idempotent),
-            "unknown" => effect != Some(Idempotency::Idempotent),
+            "throttled" => runs == 0 || idempotency == Some(Idempotency::Idempotent),
+            "unknown" => idempotency != Some(Idempotency::Idempotent),
             _ => true,
         };
-        if !is_true {
+        if !is_consistent {
             self.untrue += 1;
-            self.breach(format!(
+            self.add_violation(format!(
                 "{invocation} was answered {outcome} and ran {runs} times"
             ));
         }
@@ -84,7 +84,7 @@
 
 /// Checks the messages among records.
 pub fn check_messages(limits: &Limits, records: &[TrafficRecord]) -> MessageReport {
-    let mut found = MessageReport::default();
+    let mut report = MessageReport::default();
     let mut outcomes: HashMap<&str, Vec<&str>> = HashMap::new();
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for record in records {
@@ -111,25 +111,25 @@
         else {
             continue;
         };
-        found.messages += 1;
+        report.messages += 1;
         let known = limits
             .trigger_types
             .iter()
             .find(|known| known.name == *trigger_type);
-        let effect = known.map(|known| known.idempotency);
+        let idempotency = known.map(|known| known.idempotency);
         let runs = runs.get(invocation.as_str()).copied().unwrap_or(0);
-        if effect == Some(Idempotency::NonIdempotent) && runs > 1 {
-            found.effects_twice += 1;
-            found.breach(format!("{invocation} ran {runs} times"));
+        if idempotency == Some(Idempotency::NonIdempotent) && runs > 1 {
+            report.effects_twice += 1;
+            report.add_violation(format!("{invocation} ran {runs} times"));
         }
         let outcomes = outcomes
             .get(invocation.as_str())
             .map(Vec::as_slice)
             .unwrap_or_default();
-        found.check_answer_count(invocation, outcomes);
+        report.check_answer_count(invocation, outcomes);
         for outcome in outcomes {
-            found.check_outcome(invocation, outcome, effect, runs);
+            report.check_outcome(invocation, outcome, idempotency, runs);
         }
     }
-    found
+    report
 }
--- a/crates/invariants/src/rules/idempotency.rs
+++ b/crates/invariants/src/rules/idempotency.rs
@@ -58,7 +58,7 @@
                 executor,
                 invocation,
                 number,
-                token,
+                idempotency_key,
                 trigger_type,
                 ..
             } => {
@@ -68,8 +68,8 @@
                     .find(|known| known.name == *trigger_type);
                 self.trigger_types
                     .extend(known.map(|known| (invocation.as_str(), known)));
-                if !token.is_empty() {
-                    self.token_of.insert(invocation, token);
+                if !idempotency_key.is_empty() {
+                    self.token_of.insert(invocation, idempotency_key);
                 }
                 if !self.dispatches.contains_key(invocation.as_str()) {
                     self.order.push(invocation);
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -46,7 +46,7 @@
     arrivals_this_second: f64,
     /// It was ready before the present second began.
     was_ready_all_second: bool,
-    copies: HashSet<String>,
+    replicas: HashSet<String>,
 }
 
 impl ExecutorState {
@@ -61,7 +61,7 @@
 }
 
 #[derive(Default)]
-struct Observer {
+struct SpreadAccumulator {
     executors: Vec<ExecutorState>,
     now: f64,
     /// When the present second began.
@@ -75,7 +75,7 @@
     report: SpreadReport,
 }
 
-impl Observer {
+impl SpreadAccumulator {
     fn executor(&mut self, index: usize) -> &mut ExecutorState {
         if index >= self.executors.len() {
             self.executors.resize(index + 1, ExecutorState::default());
@@ -119,12 +119,12 @@
         let concurrency = ready.clone().fold(0.0, |sum, executor| {
             sum + executor.concurrency.unwrap_or_default()
         });
-        let over_fair = ready.map(|executor| {
+        let over_fair_share = ready.map(|executor| {
             let own = executor.concurrency.unwrap_or(1.0);
             executor.arrivals_this_second * concurrency / (arrivals * own).max(1e-9)
         });
         if arrivals > 0.0 {
-            self.peak_sum += over_fair.fold(0.0, f64::max);
+            self.peak_sum += over_fair_share.fold(0.0, f64::max);
             self.peak_count += 1;
         }
         self.second += 1.0;
@@ -145,8 +145,9 @@
         executor.arrivals_this_second += 1.0;
         executor.recent.push_back(at);
         drop_until(&mut executor.recent, since);
-        let fair = all * executor.concurrency.unwrap_or_default() / concurrency.max(1e-9);
-        if executor.recent.len() as f64 > fair + HERD_EXCESS * fair.sqrt() + HERD_EXCESS {
+        let fair_share = all * executor.concurrency.unwrap_or_default() / concurrency.max(1e-9);
+        if executor.recent.len() as f64 > fair_share + HERD_EXCESS * fair_share.sqrt() + HERD_EXCESS
+        {
             // One that goes on is the same herd.
             let is_new = at > executor.herd_until;
             executor.herd_until = at + HERD_WINDOW;
@@ -158,8 +159,8 @@
     /// A load of a function begins; `is_measured` if it is in the measured time.
     fn load_started(&mut self, index: usize, function: &str, is_measured: bool) {
         let mut executors = self.executors.iter();
-        let is_elsewhere = executors.any(|executor| executor.copies.contains(function));
-        self.executor(index).copies.insert(function.to_owned());
+        let is_elsewhere = executors.any(|executor| executor.replicas.contains(function));
+        self.executor(index).replicas.insert(function.to_owned());
         if is_measured {
             self.report.copies += 1;
             self.report.copies_elsewhere += u64::from(is_elsewhere);
@@ -196,10 +197,10 @@
             TrafficRecord::LoadStarted {
                 executor, function, ..
             } => self.load_started(*executor, function, at >= from),
-            TrafficRecord::CopyUnloaded {
+            TrafficRecord::ReplicaUnloaded {
                 executor, function, ..
             } => {
-                self.executor(*executor).copies.remove(function);
+                self.executor(*executor).replicas.remove(function);
             }
             _ => {}
         }
@@ -217,19 +218,19 @@
 pub fn measure_spread(records: &[TrafficRecord], from: f64) -> SpreadReport {
     let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
-    let mut observer = Observer {
+    let mut accumulator = SpreadAccumulator {
         now: from,
         second: from,
-        ..Observer::default()
+        ..SpreadAccumulator::default()
     };
     for record in records {
         if record.at() > from {
-            observer.advance_to(record.at());
+            accumulator.advance_to(record.at());
         }
-        observer.observe(record, from);
+        accumulator.observe(record, from);
     }
-    let mut report = observer.report;
-    report.idle_beside_queue = observer.idle_seconds / observer.ready_seconds.max(1e-9);
-    report.peak_over_fair = observer.peak_sum / observer.peak_count.max(1) as f64;
+    let mut report = accumulator.report;
+    report.idle_beside_queue = accumulator.idle_seconds / accumulator.ready_seconds.max(1e-9);
+    report.peak_over_fair = accumulator.peak_sum / accumulator.peak_count.max(1) as f64;
     report
 }
--- a/crates/invariants/tests/rules/support.rs
+++ b/crates/invariants/tests/rules/support.rs
@@ -61,7 +61,7 @@
         incarnation: 7,
         invocation: name.into(),
         number,
-        token: token.into(),
+        idempotency_key: token.into(),
         trigger_type: trigger_type.into(),
     }
 }
--- a/crates/invariants/tests/spread.rs
+++ b/crates/invariants/tests/spread.rs
@@ -18,7 +18,7 @@
         incarnation: 1,
         invocation: format!("{at}-{executor}"),
         number: 1,
-        token: String::new(),
+        idempotency_key: String::new(),
         trigger_type: "look".into(),
     }
 }
@@ -114,7 +114,7 @@
         stands(1, 1),
         loads(1.0, 0),
         loads(2.0, 1),
-        TrafficRecord::CopyUnloaded {
+        TrafficRecord::ReplicaUnloaded {
             at: 3.0,
             executor: 0,
             function: "f".into(),
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -39,7 +39,7 @@
             incarnation: from.incarnation,
             invocation: dispatch.invocation.clone(),
             number: dispatch.number,
-            token: dispatch.token.clone(),
+            idempotency_key: dispatch.token.clone(),
             trigger_type: dispatch.trigger_type.clone(),
         });
         self.last_time_left
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -262,7 +262,7 @@
             incarnation: self.incarnations.of(front_end),
             invocation: id.to_owned(),
             number,
-            token: text("nonce"),
+            idempotency_key: text("nonce"),
             trigger_type: text("cls"),
         });
         let mut arrived = self.arrived.borrow_mut();
