--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -145,7 +145,7 @@
     let per_location = |n: usize| n as u32 % scenario.locations;
     let fleet = (0..scenario.executors)
         .map(|n| invariants::Executor {
-            location: per_location(n),
+            zone: per_location(n),
             cell: setup::cell(n, scenario),
         })
         .collect();
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -84,7 +84,7 @@
                     DeduplicationScope::All
                 }
                 orchidtally_dispatch_policy::interface::DeduplicationScope::Zone => {
-                    DeduplicationScope::Location
+                    DeduplicationScope::Zone
                 }
                 orchidtally_dispatch_policy::interface::DeduplicationScope::Cell => {
                     DeduplicationScope::Cell
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -263,7 +263,7 @@
 
     pub fn verdict(&self) -> Verdict {
         let stands = |e: &Rc<Executor>| orchidtally_invariants::Executor {
-            location: 0,
+            zone: 0,
             cell: e.cell.into(),
         };
         check_rules(
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -30,8 +30,9 @@
 pub enum DeduplicationScope {
     /// All executors.
     All,
-    /// Those of one location.
-    Location,
+    /// Executors of one zone.
+    #[serde(rename = "location")]
+    Zone,
     /// Those of one cell.
     Cell,
 }
@@ -91,8 +92,9 @@
 /// The place of an executor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Executor {
-    /// The index of its location.
-    pub location: u32,
+    /// The index of its zone.
+    #[serde(rename = "location")]
+    pub zone: u32,
     /// The index of its cell.
     pub cell: u32,
 }
--- a/crates/invariants/src/rules/idempotency.rs
+++ b/crates/invariants/src/rules/idempotency.rs
@@ -154,8 +154,8 @@
     fn is_same_group(&self, group: DeduplicationScope, a: usize, b: usize) -> bool {
         match group {
             DeduplicationScope::All => true,
-            DeduplicationScope::Location => {
-                self.executors[a].location == self.executors[b].location
+            DeduplicationScope::Zone => {
+                self.executors[a].zone == self.executors[b].zone
             }
             DeduplicationScope::Cell => self.executors[a].cell == self.executors[b].cell,
         }
--- a/crates/invariants/tests/rules/clean.rs
+++ b/crates/invariants/tests/rules/clean.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_clean_day_is_kept_and_was_looked_at() {
-    let fleet = [0, 0, 1].map(|cell| Executor { location: 0, cell });
+    let fleet = [0, 0, 1].map(|cell| Executor { zone: 0, cell });
     let verdict = check_rules(&limits(), &fleet, &clean());
     assert!(verdict.holds(), "{:?}", verdict.rules);
     assert_eq!((verdict.invocations, verdict.succeeded), (1, 1));
--- a/crates/invariants/tests/rules/support.rs
+++ b/crates/invariants/tests/rules/support.rs
@@ -124,7 +124,7 @@
 
 /// The rules that are broken when some records are added to a clean day.
 pub fn broken(added: Vec<TrafficRecord>) -> Vec<u8> {
-    let fleet = [0, 0, 1].map(|cell| Executor { location: 0, cell });
+    let fleet = [0, 0, 1].map(|cell| Executor { zone: 0, cell });
     let records: Vec<TrafficRecord> = clean().into_iter().chain(added).collect();
     let verdict = check_rules(&limits(), &fleet, &records);
     assert_eq!(
--- a/crates/invariants/tests/stored_formats.rs
+++ b/crates/invariants/tests/stored_formats.rs
@@ -49,7 +49,7 @@
         .collect();
     let expected = [
         (Idempotency::Idempotent, DeduplicationScope::All),
-        (Idempotency::Keyed, DeduplicationScope::Location),
+        (Idempotency::Keyed, DeduplicationScope::Zone),
         (Idempotency::NonIdempotent, DeduplicationScope::Cell),
     ];
     assert_eq!(kinds, expected);
@@ -78,7 +78,7 @@
         (0.25, Some(0.125), None)
     );
     let executor: Executor = read_and_rewrite(EXECUTOR).remove(0);
-    assert_eq!((executor.location, executor.cell), (1, 2));
+    assert_eq!((executor.zone, executor.cell), (1, 2));
 }
 
 #[test]
