--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,6 +1,8 @@
-//! The five rules, checked from records of what went over the sockets: what clients sent and received, what reached
-//! executors and what came of it there, and what front ends were told of executors. This crate knows neither the
-//! dispatch module nor the engine. All times are seconds on one clock.
+//! Checks the five rules of the dispatcher against recorded traffic.
+//!
+//! A record states what a client sent or received, what arrived at an executor and how it ended there, or which
+//! endpoint states a front end was notified of. The checks use these records alone and depend on neither the dispatch
+//! policy nor the engine. All times are seconds on one clock.
 
 mod messages;
 mod rules;
@@ -15,16 +17,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Idempotency {
-    /// Running again is harmless.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// Running again under the same idempotency key is harmless within a scope and a window of time.
+    /// Repeated execution under the same idempotency key is harmless within a scope and a window of time.
     #[serde(rename = "tokened")]
     Keyed,
-    /// It may run once.
+    /// It may run at most once.
     NonIdempotent,
 }
 
-/// The executors that remember an idempotency key together.
+/// The executors that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum DeduplicationScope {
@@ -33,7 +35,7 @@
     /// Executors of one zone.
     #[serde(rename = "location")]
     Zone,
-    /// Those of one cell.
+    /// Executors of one cell.
     Cell,
 }
 
@@ -43,28 +45,30 @@
 pub struct Limits {
     /// The trigger types.
     pub trigger_types: Vec<TriggerType>,
-    /// Whether an idempotent invocation may have two dispatches out at a time.
+    /// Whether an idempotent invocation may have two dispatches in flight at a time.
     #[serde(rename = "secondCopies")]
     pub allows_hedging: bool,
-    /// Seconds for which new work may still go to an executor after the front end was notified that it drains.
+    /// Seconds after the notification that an executor drains during which a front end may still send it new work.
     pub drain_grace: f64,
-    /// Seconds before a warming executor was overloaded in which dispatches count as its cause.
+    /// Length of the window, in seconds, before the overload of an executor in slow start; dispatches that arrived
+    /// within it count as the cause.
     #[serde(rename = "fall")]
     pub overload_window: f64,
-    /// Load commands that a front end may send in a window without any invocation.
+    /// Load commands that a front end may send in a window even if it admits no invocation.
     #[serde(rename = "rationFloor")]
     pub load_budget_floor: f64,
-    /// Further load commands in a window for each invocation.
+    /// Additional load commands that each invocation of the window allows.
     #[serde(rename = "rationShare")]
     pub load_budget_fraction: f64,
-    /// The length of that window in seconds; 0 for no budget.
+    /// The length of that window in seconds; 0 disables the load budget.
     #[serde(rename = "rationWindow")]
     pub load_budget_window: f64,
-    /// Seconds that a message may be in transit: two records of one event differ by that at the most.
+    /// The longest time in seconds that a message may be in transit. The sender's and the receiver's record of one
+    /// message differ by at most this.
     #[serde(rename = "transit")]
     pub max_transit_time: f64,
-    /// Seconds after a client has cancelled within which an attempt for it may still begin; none where nothing is
-    /// promised about that.
+    /// Seconds after a client's cancellation during which a dispatch of its invocation may still arrive at an executor;
+    /// `None` disables this check.
     #[serde(rename = "leaveMargin", default)]
     pub cancellation_margin: Option<f64>,
 }
@@ -78,18 +82,18 @@
     /// Whether its invocations may run more than once.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// The executors that remember an idempotency key together.
+    /// The executors that share their record of idempotency keys.
     #[serde(rename = "group")]
     pub deduplication_scope: DeduplicationScope,
-    /// Seconds for which they remember it.
+    /// Seconds for which they remember an idempotency key.
     #[serde(rename = "window")]
     pub deduplication_window: f64,
-    /// Seconds within which an answer is in time.
+    /// The latency objective in seconds.
     #[serde(rename = "objective")]
     pub latency_objective: f64,
 }
 
-/// The place of an executor.
+/// The zone and cell of an executor.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Executor {
     /// The index of its zone.
@@ -103,15 +107,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum FinalAnswer {
-    /// The function has answered.
+    /// The function succeeded.
     Succeeded,
-    /// It did not run, and may be retried.
+    /// The invocation did not run, and may be retried.
     #[serde(rename = "throttled")]
     Rejected,
     /// The invocation failed.
     #[serde(rename = "errored")]
     Failed,
-    /// The request was malformed or over a bound: it never was an invocation.
+    /// The request was malformed or exceeded a limit, and never became an invocation.
     #[serde(rename = "notTaken")]
     NotAdmitted,
 }
@@ -120,33 +124,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum DispatchOutcome {
-    /// The function has answered.
+    /// The function succeeded.
     Succeeded,
     /// The function failed.
     Failed,
-    /// It was rejected, or its function could not be loaded: it never ran.
+    /// The dispatch was rejected or its function could not be loaded; it never ran.
     #[serde(rename = "refused")]
     Rejected,
-    /// The front end reset it, or the connection broke.
+    /// The front end reset the stream, or the connection broke.
     Abandoned,
-    /// The executor crashed while it had the dispatch.
+    /// The executor crashed while the dispatch was queued or running.
     Crashed,
 }
 
-/// The state of an executor as front ends are told.
+/// The state of an executor in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum EndpointState {
-    /// It accepts new work.
+    /// The executor accepts new work.
     Ready,
-    /// It finishes its work and accepts none.
+    /// The executor finishes its work and accepts no more.
     Draining,
-    /// It is not there.
+    /// The executor no longer exists.
     Gone,
 }
 
-/// An event of the traffic, as a client, an executor or a fault script recorded it. `at` is the time in seconds at which
-/// it was seen; executors and front ends are indices. A front end's incarnation is the number of one run of its process.
+/// A traffic event as recorded by a client, an executor or a fault script.
+///
+/// `at` is the time of the observation in seconds; executors and front ends are given by index. A front end's
+/// incarnation identifies one run of its process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(
     rename_all = "camelCase",
@@ -155,10 +161,10 @@
 )]
 #[expect(
     missing_docs,
-    reason = "fields are named after what the variant's comment tells"
+    reason = "the documentation of each variant describes its fields"
 )]
 pub enum TrafficRecord {
-    /// A client sent an invocation, and waits until `timeout_at`.
+    /// A client sent an invocation and waits for the answer until `timeout_at`.
     #[serde(rename = "offered")]
     InvocationSent {
         at: f64,
@@ -176,13 +182,13 @@
         invocation: String,
         answer: FinalAnswer,
     },
-    /// The connection broke before an answer.
+    /// The client's connection broke before the answer arrived.
     #[serde(rename = "lost")]
     ConnectionLost { at: f64, invocation: String },
-    /// The client cancelled, or closed its connection by its own choice.
+    /// The client cancelled the invocation or closed its connection on its own initiative.
     #[serde(rename = "left")]
     ClientCancelled { at: f64, invocation: String },
-    /// The client gave up at its timeout.
+    /// The client timeout expired without an answer.
     #[serde(rename = "gaveUp")]
     ClientTimedOut { at: f64, invocation: String },
     /// A dispatch arrived at an executor.
@@ -199,14 +205,14 @@
         idempotency_key: String,
         trigger_type: String,
     },
-    /// An executor began to run a dispatch: from then on its effect has taken place.
+    /// An executor began to run a dispatch. From this moment on its side effect counts as having happened.
     #[serde(rename = "ran")]
     ExecutionStarted {
         at: f64,
         executor: usize,
         invocation: String,
     },
-    /// An executor ran the package of one digest for a dispatch that named another or the same.
+    /// An executor ran the package with the digest `loaded_digest` for a dispatch that requested `requested_digest`.
     #[serde(rename = "ranVersion")]
     VersionExecuted {
         at: f64,
@@ -217,14 +223,14 @@
         #[serde(rename = "loaded")]
         loaded_digest: String,
     },
-    /// An executor knew the idempotency key of a dispatch, which therefore had no second effect.
+    /// An executor recognised the idempotency key of a dispatch and did not run it again.
     #[serde(rename = "dropped")]
     Deduplicated {
         at: f64,
         executor: usize,
         invocation: String,
     },
-    /// A dispatch ended at its executor.
+    /// A dispatch ended at an executor.
     #[serde(rename = "ended")]
     DispatchEnded {
         at: f64,
@@ -245,7 +251,7 @@
         #[serde(rename = "copies")]
         replicas: u32,
     },
-    /// A front end was notified of an executor's state and start.
+    /// A front end was notified of an executor's state and start time.
     #[serde(rename = "told")]
     EndpointNotified {
         at: f64,
@@ -258,7 +264,7 @@
         #[serde(rename = "since")]
         started_at: f64,
     },
-    /// An executor was overloaded in its slow start, and fell over.
+    /// An executor became overloaded during its slow start and failed.
     #[serde(rename = "fell")]
     ExecutorOverloaded {
         at: f64,
@@ -266,7 +272,7 @@
         #[serde(rename = "since")]
         started_at: f64,
     },
-    /// An executor is ready from now on, without work or copies, and runs so many invocations at a time.
+    /// An executor became ready, without work or loaded replicas; it runs `concurrency` invocations at a time.
     #[serde(rename = "stands")]
     ExecutorReady {
         at: f64,
@@ -274,31 +280,31 @@
         #[serde(rename = "lanes")]
         concurrency: u32,
     },
-    /// An executor ended, or accepts nothing new.
+    /// An executor ended, or stopped accepting new work.
     #[serde(rename = "down")]
     ExecutorDown { at: f64, executor: usize },
-    /// An executor began to load a copy of a function.
+    /// An executor began to load a replica of a function.
     #[serde(rename = "loads")]
     LoadStarted {
         at: f64,
         executor: usize,
         function: String,
     },
-    /// An executor unloaded its last copy of a function.
+    /// An executor unloaded its last replica of a function.
     #[serde(rename = "unloads")]
     ReplicaUnloaded {
         at: f64,
         executor: usize,
         function: String,
     },
-    /// An executor reads nothing from its sockets until `until`.
+    /// An executor does not read from its sockets until `until`.
     #[serde(rename = "deaf")]
     ReadsPaused {
         at: f64,
         executor: usize,
         until: f64,
     },
-    /// A publisher sent a message that is to become an invocation.
+    /// A publisher sent a message that a front end turns into an invocation.
     #[serde(rename = "published")]
     MessagePublished {
         at: f64,
@@ -312,19 +318,19 @@
         invocation: String,
         outcome: String,
     },
-    /// A front end was paused (SIGSTOP) and resumed at `until`.
+    /// A front end was paused (SIGSTOP) and was resumed at `until`.
     #[serde(rename = "stopped")]
     FrontEndPaused { at: f64, front_end: u32, until: f64 },
     /// A front end was killed.
     #[serde(rename = "killed")]
     FrontEndKilled { at: f64, front_end: u32 },
-    /// A front end admits invocations, perhaps again after a restart.
+    /// A front end began to admit invocations, for the first time or after a restart.
     #[serde(rename = "up")]
     FrontEndReady { at: f64, front_end: u32 },
 }
 
 impl TrafficRecord {
-    /// When the event was seen.
+    /// The time of the observation, in seconds.
     pub fn at(&self) -> f64 {
         match *self {
             TrafficRecord::InvocationSent { at, .. }
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -1,13 +1,14 @@
-//! What became of messages: one answer each that is true, and no effect twice that must not be.
+//! Checks published messages: each gets exactly one answer that agrees with what the executors did, and no
+//! non-idempotent message runs twice.
 
 use crate::{Idempotency, Limits, TrafficRecord};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// Violations that are described in words.
+/// Violations that a report describes in words; any further ones are only counted.
 const MAX_EXAMPLES: usize = 8;
 
-/// The findings on messages.
+/// The result of [`check_messages`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageReport {
     /// Messages that were published.
@@ -20,24 +21,25 @@
     pub unanswered: u64,
     /// Non-idempotent messages that ran more than once.
     pub effects_twice: u64,
-    /// Answers that say that the outcome is not known.
+    /// Answers that report an unknown outcome.
     pub unknown_outcome: u64,
-    /// Answers that contradict the executors: succeeded and never run, or rejected and run.
+    /// Answers that contradict the executors' records: a success without an execution, a rejection although a message
+    /// that is not idempotent ran, or an unknown outcome for an idempotent message.
     pub untrue: u64,
-    /// The first violations in words.
+    /// Descriptions of the first violations.
     #[serde(skip)]
     pub examples: Vec<String>,
 }
 
 impl MessageReport {
-    /// Whether nothing was violated.
+    /// Whether no violation was found.
     pub fn holds(&self) -> bool {
         self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
     }
 
-    fn add_violation(&mut self, what: String) {
+    fn add_violation(&mut self, description: String) {
         if self.examples.len() < MAX_EXAMPLES {
-            self.examples.push(what);
+            self.examples.push(description);
         }
     }
 
@@ -46,13 +48,13 @@
         match outcomes {
             [] => {
                 self.unanswered += 1;
-                self.add_violation(format!("{invocation} had no answer"));
+                self.add_violation(format!("{invocation} was not answered"));
             }
             [_] => {}
             several => {
                 self.answered_twice += 1;
                 self.add_violation(format!(
-                    "{invocation} was answered {}",
+                    "{invocation} was answered more than once: {}",
                     several.join(", then ")
                 ));
             }
@@ -76,13 +78,13 @@
         if !is_consistent {
             self.untrue += 1;
             self.add_violation(format!(
-                "{invocation} was answered {outcome} and ran {runs} times"
+                "{invocation} was answered '{outcome}' but ran {runs} times"
             ));
         }
     }
 }
 
-/// Checks the messages among records.
+/// Checks all messages that the records contain.
 pub fn check_messages(limits: &Limits, records: &[TrafficRecord]) -> MessageReport {
     let mut report = MessageReport::default();
     let mut outcomes: HashMap<&str, Vec<&str>> = HashMap::new();
--- a/crates/invariants/src/rules/draining.rs
+++ b/crates/invariants/src/rules/draining.rs
@@ -1,10 +1,11 @@
-//! Rule 3: nothing new to an executor that is known to be draining or gone, past the grace.
+//! Rule 3: a front end sends no new work to an executor once the grace period after the notification that the executor
+//! drains or is gone has passed.
 
 use super::RuleReport;
 use crate::{EndpointState, Limits, TrafficRecord};
 use std::collections::HashMap;
 
-/// What a life of a front end was last told of an executor.
+/// The latest notification about an executor to one incarnation of a front end that counts for the grace period.
 struct LastNotification {
     at: f64,
     state: EndpointState,
@@ -14,7 +15,7 @@
     let mut rule = RuleReport::new(3);
     let mut notified: HashMap<(u64, usize), LastNotification> = HashMap::new();
     for &record in records {
-        let (at, executor, incarnation, what) = match record {
+        let (at, executor, incarnation, message) = match record {
             TrafficRecord::EndpointNotified {
                 at,
                 incarnation,
@@ -26,7 +27,7 @@
                 let was_unready = notified
                     .get(&key)
                     .is_some_and(|last| last.state != EndpointState::Ready);
-                // A front end that is told again what it knew has no new grace.
+                // A repeated notification does not restart the grace period.
                 if *state == EndpointState::Ready || !was_unready {
                     notified.insert(
                         key,
@@ -49,9 +50,9 @@
                 at,
                 executor,
                 incarnation,
-                replicas: copies,
+                replicas,
                 ..
-            } if *copies > 0 => (*at, *executor, *incarnation, "an order"),
+            } if *replicas > 0 => (*at, *executor, *incarnation, "a load command"),
             _ => continue,
         };
         if let Some(last) = notified.get(&(incarnation, executor)) {
@@ -59,7 +60,7 @@
             rule.check(last.state == EndpointState::Ready || in_grace, || {
                 let (after, state) = (at - last.at, last.state);
                 format!(
-                    "{what} came to executor {executor} {after:.3} s after it was told {state:?}"
+                    "{message} arrived at executor {executor} {after:.3} s after the notification that it is {state:?}"
                 )
             });
         }
--- a/crates/invariants/src/rules/idempotency.rs
+++ b/crates/invariants/src/rules/idempotency.rs
@@ -1,4 +1,5 @@
-//! Rule 2: no effect twice, and an answer that says that asking again is harmless is true.
+//! Rule 2: no side effect happens twice, and an invocation that is answered as rejected, which permits a retry, never
+//! ran.
 
 use super::RuleReport;
 use super::paused_reads::PausedReads;
@@ -18,28 +19,29 @@
 }
 
 impl Dispatch {
-    /// Whether it provably never ran.
-    fn was_refused(&self) -> bool {
+    /// Whether the executor's record proves that the dispatch never ran.
+    fn never_ran(&self) -> bool {
         matches!(self.ended, Some((_, DispatchOutcome::Rejected))) && !self.ran
     }
 }
 
-/// An effect of a token.
-struct TokenEffect {
+/// An execution of an invocation that has an idempotency key.
+struct KeyedExecution {
     at: f64,
     executor: usize,
 }
 
-/// What executors recorded.
+/// The executors' records, by invocation and by idempotency key.
 #[derive(Default)]
 struct Observations<'r> {
     dispatches: HashMap<&'r str, Vec<Dispatch>>,
-    /// Invocations in the order of their first dispatch.
+    /// The invocations in the order of their first dispatch.
     order: Vec<&'r str>,
     trigger_types: HashMap<&'r str, &'r TriggerType>,
-    /// The token of each invocation that has one, and the effects of each token.
-    token_of: HashMap<&'r str, &'r str>,
-    token_effects: HashMap<&'r str, Vec<TokenEffect>>,
+    /// The idempotency key of each invocation that has one.
+    idempotency_keys: HashMap<&'r str, &'r str>,
+    /// The executions under each idempotency key.
+    executions_by_key: HashMap<&'r str, Vec<KeyedExecution>>,
 }
 
 impl<'r> Observations<'r> {
@@ -69,7 +71,7 @@
                 self.trigger_types
                     .extend(known.map(|known| (invocation.as_str(), known)));
                 if !idempotency_key.is_empty() {
-                    self.token_of.insert(invocation, idempotency_key);
+                    self.idempotency_keys.insert(invocation, idempotency_key);
                 }
                 if !self.dispatches.contains_key(invocation.as_str()) {
                     self.order.push(invocation);
@@ -95,12 +97,15 @@
                 if let Some(dispatch) = dispatches.iter_mut().rfind(|d| d.executor == *executor) {
                     dispatch.ran = true;
                 }
-                if let Some(token) = self.token_of.get(invocation.as_str()) {
-                    let effect = TokenEffect {
+                if let Some(key) = self.idempotency_keys.get(invocation.as_str()) {
+                    let execution = KeyedExecution {
                         at: *at,
                         executor: *executor,
                     };
-                    self.token_effects.entry(token).or_default().push(effect);
+                    self.executions_by_key
+                        .entry(key)
+                        .or_default()
+                        .push(execution);
                 }
             }
             TrafficRecord::DispatchEnded {
@@ -108,14 +113,14 @@
                 executor,
                 invocation,
                 number,
-                outcome: ending,
+                outcome,
             } => {
                 let dispatches = self.dispatches.entry(invocation).or_default();
                 let is_same = |d: &&mut Dispatch| {
                     d.executor == *executor && d.number == *number && d.ended.is_none()
                 };
                 if let Some(dispatch) = dispatches.iter_mut().find(is_same) {
-                    dispatch.ended = Some((*at, *ending));
+                    dispatch.ended = Some((*at, *outcome));
                 }
             }
             _ => {}
@@ -123,7 +128,7 @@
     }
 }
 
-/// The check of the rule.
+/// The state of a check of rule 2.
 struct Check<'r> {
     rule: RuleReport,
     limits: &'r Limits,
@@ -144,24 +149,22 @@
         observations: Observations::of(limits, records),
         paused_reads: PausedReads::of(records),
     };
-    check.dispatches();
-    check.tokens();
-    check.throttled_answers(records);
+    check.check_invocations();
+    check.check_idempotency_keys();
+    check.check_rejections(records);
     check.rule
 }
 
 impl Check<'_> {
-    fn is_same_group(&self, group: DeduplicationScope, a: usize, b: usize) -> bool {
-        match group {
+    fn are_in_same_scope(&self, scope: DeduplicationScope, a: usize, b: usize) -> bool {
+        match scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => {
-                self.executors[a].zone == self.executors[b].zone
-            }
+            DeduplicationScope::Zone => self.executors[a].zone == self.executors[b].zone,
             DeduplicationScope::Cell => self.executors[a].cell == self.executors[b].cell,
         }
     }
 
-    fn dispatches(&mut self) {
+    fn check_invocations(&mut self) {
         for invocation in std::mem::take(&mut self.observations.order) {
             let Some(&trigger_type) = self.observations.trigger_types.get(invocation) else {
                 continue;
@@ -172,10 +175,10 @@
                 .remove(invocation)
                 .unwrap_or_default();
             for (index, dispatch) in dispatches.iter().enumerate() {
-                self.dispatch(invocation, trigger_type, dispatch, &dispatches[..index]);
+                self.check_dispatch(invocation, trigger_type, dispatch, &dispatches[..index]);
             }
             let runs = dispatches.iter().filter(|dispatch| dispatch.ran).count();
-            let may_have_run = dispatches.iter().any(|dispatch| !dispatch.was_refused());
+            let may_have_run = dispatches.iter().any(|dispatch| !dispatch.never_ran());
             if trigger_type.idempotency == Idempotency::NonIdempotent && may_have_run {
                 self.rule
                     .check(runs <= 1, || format!("{invocation} ran {runs} times"));
@@ -184,7 +187,7 @@
         }
     }
 
-    fn dispatch(
+    fn check_dispatch(
         &mut self,
         invocation: &str,
         trigger_type: &TriggerType,
@@ -192,12 +195,12 @@
         earlier: &[Dispatch],
     ) {
         let transit = self.limits.max_transit_time;
-        let may_have_run = earlier.iter().find(|earlier| !earlier.was_refused());
+        let may_have_run = earlier.iter().find(|earlier| !earlier.never_ran());
         let holds = match (trigger_type.idempotency, may_have_run) {
             (Idempotency::Idempotent, _) | (_, None) => true,
             (Idempotency::NonIdempotent, Some(_)) => false,
             (Idempotency::Keyed, Some(earlier)) => {
-                self.is_same_group(
+                self.are_in_same_scope(
                     trigger_type.deduplication_scope,
                     earlier.executor,
                     dispatch.executor,
@@ -206,7 +209,7 @@
         };
         self.rule.check(holds, || {
             format!(
-                "{invocation}: dispatch {} at executor {} after one that may have run",
+                "{invocation}: dispatch {} arrived at executor {} after an earlier one that may have run",
                 dispatch.number, dispatch.executor
             )
         });
@@ -214,28 +217,32 @@
             self.paused_reads
                 .may_have_delayed(executor, dispatch.at, transit)
         };
-        // A dispatch that was abandoned is seen to end a little later than it was.
-        let is_out = |earlier: &Dispatch| {
+        // The executor sees the end of an abandoned dispatch up to one transit time after the front end abandoned it.
+        let is_in_flight = |earlier: &Dispatch| {
             let until = earlier.ended.map_or(f64::INFINITY, |(at, _)| at);
             earlier.executor != dispatch.executor
                 && until > dispatch.at + transit
                 && !delayed(earlier.executor)
         };
-        // Nor is it known when a dispatch was sent that an executor reads after a pause.
-        let both = !delayed(dispatch.executor) && earlier.iter().any(is_out);
-        self.rule.check(self.limits.allows_hedging || !both, || {
-            format!("{invocation}: two dispatches out at {:.3}", dispatch.at)
-        });
+        // The time at which a dispatch was sent is unknown if the executor read it after a pause.
+        let overlaps = !delayed(dispatch.executor) && earlier.iter().any(is_in_flight);
+        self.rule
+            .check(self.limits.allows_hedging || !overlaps, || {
+                format!(
+                    "{invocation}: two dispatches in flight at {:.3}",
+                    dispatch.at
+                )
+            });
     }
 
-    /// No token has its effect twice within its group and window.
-    fn tokens(&mut self) {
-        for (token, effects) in std::mem::take(&mut self.observations.token_effects) {
+    /// Checks that no idempotency key is executed twice within its deduplication scope and window.
+    fn check_idempotency_keys(&mut self) {
+        for (key, executions) in std::mem::take(&mut self.observations.executions_by_key) {
             let invocation = self
                 .observations
-                .token_of
+                .idempotency_keys
                 .iter()
-                .find(|(_, other)| **other == token);
+                .find(|(_, other)| **other == key);
             let trigger_type =
                 invocation.and_then(|(name, _)| self.observations.trigger_types.get(name));
             let Some(&trigger_type) =
@@ -243,9 +250,9 @@
             else {
                 continue;
             };
-            for (index, later) in effects.iter().enumerate() {
-                let twice = effects[..index].iter().any(|earlier| {
-                    self.is_same_group(
+            for (index, later) in executions.iter().enumerate() {
+                let is_repeated = executions[..index].iter().any(|earlier| {
+                    self.are_in_same_scope(
                         trigger_type.deduplication_scope,
                         earlier.executor,
                         later.executor,
@@ -253,15 +260,15 @@
                         < earlier.at + trigger_type.deduplication_window
                             - self.limits.max_transit_time
                 });
-                self.rule.check(!twice, || {
-                    format!("token {token} had its effect twice within one group")
+                self.rule.check(!is_repeated, || {
+                    format!("idempotency key {key} was executed twice within its scope and window")
                 });
             }
         }
     }
 
-    /// A throttled answer says that asking again is harmless.
-    fn throttled_answers(&mut self, records: &[&TrafficRecord]) {
+    /// Checks that rejected invocations never ran. An invocation whose repetition is harmless anywhere is exempt.
+    fn check_rejections(&mut self, records: &[&TrafficRecord]) {
         for &record in records {
             let TrafficRecord::AnswerReceived {
                 at,
@@ -275,15 +282,15 @@
             else {
                 continue;
             };
-            let is_tokened_everywhere = trigger_type.idempotency == Idempotency::Keyed
+            let is_keyed_everywhere = trigger_type.idempotency == Idempotency::Keyed
                 && trigger_type.deduplication_scope == DeduplicationScope::All;
-            if trigger_type.idempotency == Idempotency::Idempotent || is_tokened_everywhere {
+            if trigger_type.idempotency == Idempotency::Idempotent || is_keyed_everywhere {
                 continue;
             }
             let dispatches = &self.observations.dispatches[invocation.as_str()];
-            let may_have_run = dispatches.iter().any(|dispatch| !dispatch.was_refused());
+            let may_have_run = dispatches.iter().any(|dispatch| !dispatch.never_ran());
             self.rule.check(!may_have_run, || {
-                format!("{invocation} was throttled at {at:.3} and may have run")
+                format!("{invocation} was rejected at {at:.3} but may have run")
             });
         }
     }
--- a/crates/invariants/src/rules/load_budget.rs
+++ b/crates/invariants/src/rules/load_budget.rs
@@ -1,17 +1,19 @@
-//! Rule 5: orders to load stay within the ration.
+//! Rule 5: load commands stay within the load budget.
 
 use super::RuleReport;
 use super::paused_reads::PausedReads;
 use crate::{Limits, TrafficRecord};
 use std::collections::{HashMap, HashSet};
 
-/// A message that became an invocation. When a front end took it is not seen from outside, only when it was published
-/// and when its first dispatch in a life came to an executor; of a message that was never dispatched not even where.
+/// A message that became an invocation.
+///
+/// The records don't show when a front end admitted it: only when it was published, and when its first dispatch from
+/// an incarnation arrived at an executor. For a message that was never dispatched the front end is unknown as well.
 struct AdmittedMessage {
     front_end: Option<u32>,
-    /// It was taken between these times.
-    from: f64,
-    to: f64,
+    /// The earliest and the latest time at which it may have been admitted.
+    earliest: f64,
+    latest: f64,
 }
 
 pub(super) fn check(limits: &Limits, records: &[&TrafficRecord]) -> RuleReport {
@@ -30,22 +32,22 @@
                 .entry(*front_end)
                 .or_default()
                 .push(*at),
-            // When an order was given that an executor read after a pause is not known.
+            // The time at which a load command was sent is unknown if the executor read it after a pause.
             TrafficRecord::LoadCommandArrived { at, executor, .. }
                 if paused_reads.may_have_delayed(*executor, *at, limits.max_transit_time) => {}
             TrafficRecord::LoadCommandArrived {
                 at,
                 front_end,
                 incarnation,
-                replicas: copies,
+                replicas,
                 ..
-            } if *copies > 0 => {
+            } if *replicas > 0 => {
                 let load_commands = load_commands.entry(*incarnation).or_default();
                 load_commands.push(*at);
                 let front_end = front_end_of.get(incarnation).unwrap_or(front_end);
-                // Orders may have come closer together on their way, and invocations be counted late.
+                // Transit may shorten the time between load commands, and delay the records of invocations.
                 let from = at - limits.load_budget_window;
-                let given = load_commands
+                let sent = load_commands
                     .iter()
                     .filter(|&&time| time > from + limits.max_transit_time)
                     .count() as f64;
@@ -61,14 +63,14 @@
                     message
                         .front_end
                         .is_none_or(|admitted_by| admitted_by == *front_end)
-                        && message.to > from - limits.max_transit_time
-                        && message.from <= *at
+                        && message.latest > from - limits.max_transit_time
+                        && message.earliest <= *at
                 };
                 let admitted = (requests + messages.iter().filter(is_recent).count()) as f64;
-                let granted = limits.load_budget_floor + limits.load_budget_fraction * admitted;
-                rule.check(given <= granted, || {
+                let budget = limits.load_budget_floor + limits.load_budget_fraction * admitted;
+                rule.check(sent <= budget, || {
                     format!(
-                        "front end {front_end} gave {given} orders by {at:.3}, {granted:.1} granted"
+                        "front end {front_end} sent {sent} load commands by {at:.3}, {budget:.1} allowed"
                     )
                 });
             }
@@ -78,7 +80,7 @@
     rule
 }
 
-/// Front ends may name themselves by an index that changes; their lives don't.
+/// The front end's index by its incarnation. A front end's index may change, its incarnation doesn't.
 fn front_ends_by_incarnation(records: &[&TrafficRecord]) -> HashMap<u64, u32> {
     let notified = records.iter().filter_map(|record| match record {
         TrafficRecord::EndpointNotified {
@@ -96,7 +98,7 @@
     front_end_of: &HashMap<u64, u32>,
 ) -> Vec<AdmittedMessage> {
     let mut published: HashMap<&str, f64> = HashMap::new();
-    let mut reached: HashMap<(&str, u64), (u32, f64)> = HashMap::new();
+    let mut first_arrivals: HashMap<(&str, u64), (u32, f64)> = HashMap::new();
     let mut dispatched: HashSet<&str> = HashSet::new();
     let mut answered: HashMap<&str, f64> = HashMap::new();
     for record in records {
@@ -113,7 +115,7 @@
             } => {
                 dispatched.insert(invocation);
                 let front_end = *front_end_of.get(incarnation).unwrap_or(front_end);
-                reached
+                first_arrivals
                     .entry((invocation, *incarnation))
                     .or_insert((front_end, *at));
             }
@@ -123,14 +125,14 @@
             _ => {}
         }
     }
-    let message = |invocation: &str, front_end, to| {
+    let message = |invocation: &str, front_end, latest| {
         Some(AdmittedMessage {
             front_end,
-            from: *published.get(invocation)?,
-            to,
+            earliest: *published.get(invocation)?,
+            latest,
         })
     };
-    let sent = reached
+    let sent = first_arrivals
         .iter()
         .filter_map(|((invocation, _), (front_end, at))| {
             message(invocation, Some(*front_end), *at)
--- a/crates/invariants/src/rules/mod.rs
+++ b/crates/invariants/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! The five rules, each checked in a pass of its own over the records.
+//! The five rules, each checked in its own pass over the records.
 
 mod draining;
 mod final_answers;
@@ -10,20 +10,20 @@
 use crate::{Executor, Limits, TrafficRecord};
 use serde::Serialize;
 
-/// Violations of a rule that are described in words.
+/// Violations that a report describes in words; any further ones are only counted.
 const MAX_EXAMPLES: usize = 8;
 
-/// What was checked of a rule, and the violations found.
+/// The number of checks of one rule and the violations found.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RuleReport {
     /// The number of the rule.
     pub rule: u8,
-    /// How often it was checked.
+    /// How often the rule was checked.
     pub checked: u64,
-    /// How often it was violated.
+    /// How often the rule was violated.
     #[serde(rename = "broken")]
     pub violations: u64,
-    /// The first violations in words.
+    /// Descriptions of the first violations.
     #[serde(skip)]
     pub examples: Vec<String>,
 }
@@ -47,37 +47,38 @@
     }
 }
 
-/// The findings on all rules, and how many invocations had which answer.
+/// The result of [`check_rules`]: the reports on all rules, and the number of invocations with each answer.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Verdict {
     /// Invocations that clients sent.
     pub invocations: u64,
-    /// Those that succeeded.
+    /// Invocations that succeeded.
     pub succeeded: u64,
-    /// Those that were rejected.
+    /// Invocations that were rejected.
     #[serde(rename = "throttled")]
     pub rejected: u64,
-    /// Those that failed.
+    /// Invocations that failed.
     #[serde(rename = "errored")]
     pub failed: u64,
-    /// The five rules in their order.
+    /// The reports on the five rules, in the order of their numbers.
     pub rules: Vec<RuleReport>,
-    /// Invocations without an answer whose front end was killed: they are owed none.
+    /// Invocations without an answer that rule 1 excuses: their front end was killed, or was paused for all of the time
+    /// in which it could have answered.
     #[serde(skip)]
     pub lost_to_failures: u64,
-    /// Invocations whose client cancelled: they are owed none.
+    /// Invocations whose client cancelled; rule 1 requires no answer to them.
     #[serde(skip)]
     pub cancelled_by_client: u64,
 }
 
 impl Verdict {
-    /// Whether no rule was violated.
+    /// Whether no violation was found.
     pub fn holds(&self) -> bool {
         self.rules.iter().all(|rule| rule.violations == 0)
     }
 }
 
-/// Checks all rules on records, which may be in any order.
+/// Checks all rules; the records may be in any order.
 pub fn check_rules(limits: &Limits, executors: &[Executor], records: &[TrafficRecord]) -> Verdict {
     let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
--- a/crates/invariants/src/rules/paused_reads.rs
+++ b/crates/invariants/src/rules/paused_reads.rs
@@ -1,9 +1,9 @@
-//! When executors read nothing from their sockets.
+//! The times during which executors do not read from their sockets.
 
 use crate::TrafficRecord;
 use std::collections::HashMap;
 
-/// The spans of time in which executors read nothing from their sockets.
+/// The start and end of each read pause, by executor.
 pub(super) struct PausedReads(HashMap<usize, Vec<(f64, f64)>>);
 
 impl PausedReads {
@@ -22,7 +22,8 @@
         PausedReads(spans)
     }
 
-    /// Whether what an executor records at a time may have waited in its sockets until then.
+    /// Whether a message that an executor records at `at` may have been delayed in its sockets by a read pause, which
+    /// makes the time at which it was sent unknown. `transit` is the longest time in transit.
     pub(super) fn may_have_delayed(&self, executor: usize, at: f64, transit: f64) -> bool {
         let spans = self.0.get(&executor).map(Vec::as_slice).unwrap_or_default();
         spans
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -1,50 +1,52 @@
-//! How evenly dispatches are spread over the executors, from the executors' own records alone: when each was ready and
-//! with which concurrency, which dispatches arrived and when they ended, and what was loaded.
+//! Measures how evenly dispatches are spread over the executors. The measures use the executors' records alone: their
+//! readiness and concurrency, the arrival and end of dispatches, and the loading and unloading of replicas.
 
 use crate::TrafficRecord;
 use serde::Serialize;
 use std::collections::{HashSet, VecDeque};
 
-/// Seconds within which dispatches to one executor may form a herd.
+/// The window, in seconds, over which dispatches to one executor are counted to detect a herd.
 const HERD_WINDOW: f64 = 0.25;
-/// A herd exceeds the fair part of the dispatches by so many roots of it, and as many more.
+/// Dispatches to one executor are a herd if they exceed its fair share by this many square roots of the share plus this
+/// many dispatches.
 const HERD_EXCESS: f64 = 4.0;
-/// An executor with more dispatches than this, in multiples of its concurrency, has a long queue.
+/// An executor has a long queue if it holds more dispatches than this multiple of its concurrency.
 const LONG_QUEUE: f64 = 2.0;
 
-/// What was measured. Shares and ratios are plain numbers; `docs/design/spread.md` defines each.
+/// The result of [`measure_spread`]. Shares and ratios are plain fractions; `docs/design/spread.md` defines each.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SpreadReport {
     /// Executors that became ready.
     pub executors: usize,
     /// Dispatches that arrived.
     pub dispatches: u64,
-    /// Herds: many more dispatches to one executor than its fair part, within a short time.
+    /// Herds: bursts in which one executor gets many more dispatches than its fair share.
     pub herds: u64,
-    /// When the last herd was.
+    /// The time of the last dispatch that was part of a herd.
     #[serde(skip)]
     pub last_herd: Option<f64>,
-    /// Of the seconds that executors were ready, those of an idle one while another had a long queue.
+    /// The fraction of the executors' ready time in which an executor was idle while another had a long queue.
     pub idle_beside_queue: f64,
-    /// The mean over seconds of the most that an executor got, over its fair part.
+    /// The highest ratio of an executor's dispatches to its fair share in each second, averaged over the seconds.
     pub peak_over_fair: f64,
-    /// Copies that were loaded.
+    /// Replicas that were loaded.
     pub copies: u64,
-    /// Copies of functions that were loaded, or being loaded, elsewhere at that moment.
+    /// Replicas that were loaded although another replica of the function was loaded, or being loaded, at that moment.
     pub copies_elsewhere: u64,
 }
 
 #[derive(Clone, Default)]
 struct ExecutorState {
-    /// Invocations that it runs at a time; none while it is not ready.
+    /// The number of invocations that it runs at a time; `None` while it is not ready.
     concurrency: Option<f64>,
-    /// Dispatches that arrived and have not ended.
+    /// The number of dispatches that arrived and have not ended.
     pending: f64,
-    /// When the latest dispatches arrived, within the herd window.
+    /// Arrival times of the dispatches within the herd window.
     recent: VecDeque<f64>,
+    /// An excess of dispatches up to this time belongs to the herd that was already counted.
     herd_until: f64,
     arrivals_this_second: f64,
-    /// It was ready before the present second began.
+    /// Whether it was ready when the current second began.
     was_ready_all_second: bool,
     replicas: HashSet<String>,
 }
@@ -64,9 +66,9 @@
 struct SpreadAccumulator {
     executors: Vec<ExecutorState>,
     now: f64,
-    /// When the present second began.
+    /// The start of the current second.
     second: f64,
-    /// When the latest dispatches arrived anywhere, within the herd window.
+    /// Arrival times of the dispatches to all executors within the herd window.
     recent: VecDeque<f64>,
     ready_seconds: f64,
     idle_seconds: f64,
@@ -90,7 +92,7 @@
             .sum()
     }
 
-    /// Lets time pass, in which every executor stays as it is.
+    /// Accounts for the time up to `at`, during which the state of every executor is constant.
     fn advance_to(&mut self, at: f64) {
         let elapsed = at - self.now;
         let count = |has: fn(&ExecutorState) -> bool| {
@@ -148,7 +150,7 @@
         let fair_share = all * executor.concurrency.unwrap_or_default() / concurrency.max(1e-9);
         if executor.recent.len() as f64 > fair_share + HERD_EXCESS * fair_share.sqrt() + HERD_EXCESS
         {
-            // One that goes on is the same herd.
+            // An excess that continues belongs to the same herd.
             let is_new = at > executor.herd_until;
             executor.herd_until = at + HERD_WINDOW;
             self.report.herds += u64::from(is_new);
@@ -156,7 +158,7 @@
         }
     }
 
-    /// A load of a function begins; `is_measured` if it is in the measured time.
+    /// Records the start of a load; `is_measured` states whether it is counted in the report.
     fn load_started(&mut self, index: usize, function: &str, is_measured: bool) {
         let mut executors = self.executors.iter();
         let is_elsewhere = executors.any(|executor| executor.replicas.contains(function));
@@ -207,14 +209,14 @@
     }
 }
 
-/// Drops times up to a moment.
-fn drop_until(times: &mut VecDeque<f64>, moment: f64) {
-    while times.front().is_some_and(|&time| time <= moment) {
+/// Removes the times up to and including `limit` from the front.
+fn drop_until(times: &mut VecDeque<f64>, limit: f64) {
+    while times.front().is_some_and(|&time| time <= limit) {
         times.pop_front();
     }
 }
 
-/// Measures the spread over the records from a moment on; earlier ones only tell the state at that moment.
+/// Measures the spread from the time `from` on; earlier records only determine the state of the executors at that time.
 pub fn measure_spread(records: &[TrafficRecord], from: f64) -> SpreadReport {
     let mut records: Vec<&TrafficRecord> = records.iter().collect();
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
