--- a/crates/invariants/tests/rules/executors.rs
+++ b/crates/invariants/tests/rules/executors.rs
@@ -4,31 +4,31 @@
 use orchidtally_invariants::*;
 
 #[test]
-fn rule_3_finds_what_is_sent_past_the_grace() {
-    let drain = |at| {
+fn rule_3_detects_work_sent_after_the_drain_grace() {
+    let drained = |at| {
         vec![
-            told(3.0, 0, EndpointState::Draining, 0.0),
-            offered(at, "b", 0),
-            reached(at, "b", 0, 0, "look"),
+            endpoint_notified(3.0, 0, EndpointState::Draining, 0.0),
+            invocation_sent(at, "b", 0),
+            dispatch_arrived(at, "b", 0, 0, "look"),
         ]
     };
-    let finish = |mut v: Vec<TrafficRecord>, at| {
-        v.extend([
-            ended(at, "b", 0, 0, DispatchOutcome::Succeeded),
-            answered(at, "b", FinalAnswer::Succeeded),
+    let with_answer = |mut records: Vec<TrafficRecord>, at| {
+        records.extend([
+            dispatch_ended(at, "b", 0, 0, DispatchOutcome::Succeeded),
+            answer_received(at, "b", FinalAnswer::Succeeded),
         ]);
-        v
+        records
     };
-    assert!(broken(finish(drain(3.9), 3.95)).is_empty());
-    assert_eq!(broken(finish(drain(4.5), 4.6)), [3]);
-    let mut again = drain(4.5);
-    again.push(told(4.0, 0, EndpointState::Gone, 0.0));
+    assert!(violated_rules(with_answer(drained(3.9), 3.95)).is_empty());
+    assert_eq!(violated_rules(with_answer(drained(4.5), 4.6)), [3]);
+    let mut repeated = drained(4.5);
+    repeated.push(endpoint_notified(4.0, 0, EndpointState::Gone, 0.0));
     assert_eq!(
-        broken(finish(again, 4.6)),
+        violated_rules(with_answer(repeated, 4.6)),
         [3],
-        "told again, it has no new grace"
+        "a repeated notification does not restart the grace period"
     );
-    let order = TrafficRecord::LoadCommandArrived {
+    let load_command = TrafficRecord::LoadCommandArrived {
         at: 4.5,
         executor: 0,
         front_end: 0,
@@ -36,53 +36,56 @@
         replicas: 1,
     };
     assert_eq!(
-        broken(vec![told(3.0, 0, EndpointState::Gone, 0.0), order]),
+        violated_rules(vec![
+            endpoint_notified(3.0, 0, EndpointState::Gone, 0.0),
+            load_command
+        ]),
         [3]
     );
 }
 
 #[test]
-fn rule_4_finds_a_cold_executor_pushed_over_by_those_who_knew() {
-    let fall = |since| {
-        let mut day = vec![
-            told(3.0, 2, EndpointState::Ready, since),
-            offered(3.5, "b", 0),
+fn rule_4_detects_a_cold_executor_overloaded_by_notified_front_ends() {
+    let overloaded = |notified_start| {
+        let mut records = vec![
+            endpoint_notified(3.0, 2, EndpointState::Ready, notified_start),
+            invocation_sent(3.5, "b", 0),
         ];
-        day.extend([
-            reached(3.5, "b", 0, 2, "look"),
-            ended(3.6, "b", 0, 2, DispatchOutcome::Crashed),
+        records.extend([
+            dispatch_arrived(3.5, "b", 0, 2, "look"),
+            dispatch_ended(3.6, "b", 0, 2, DispatchOutcome::Crashed),
         ]);
-        day.extend([
-            answered(3.7, "b", FinalAnswer::Failed),
+        records.extend([
+            answer_received(3.7, "b", FinalAnswer::Failed),
             TrafficRecord::ExecutorOverloaded {
                 at: 3.6,
                 executor: 2,
                 started_at: 2.9,
             },
         ]);
-        day
+        records
     };
-    assert_eq!(broken(fall(2.9)), [4]);
+    assert_eq!(violated_rules(overloaded(2.9)), [4]);
     assert!(
-        broken(fall(f64::NEG_INFINITY)).is_empty(),
-        "nobody was told of its start"
+        violated_rules(overloaded(f64::NEG_INFINITY)).is_empty(),
+        "no front end was notified of its start"
     );
 }
 
 #[test]
-fn rule_5_finds_orders_over_the_ration() {
-    let order = |n: usize| TrafficRecord::LoadCommandArrived {
+fn rule_5_detects_load_commands_over_the_budget() {
+    let load_command = |n: usize| TrafficRecord::LoadCommandArrived {
         at: 2.1 + n as f64 / 100.0,
         executor: 1,
         front_end: 0,
         incarnation: 7,
         replicas: 1,
     };
-    assert!(broken(vec![order(0)]).is_empty());
+    assert!(violated_rules(vec![load_command(0)]).is_empty());
     assert_eq!(
-        broken(vec![order(0), order(1), order(2)]),
+        violated_rules(vec![load_command(0), load_command(1), load_command(2)]),
         [5],
-        "two and a half are granted"
+        "the budget is two and a half"
     );
     let late = TrafficRecord::LoadCommandArrived {
         at: 7.5,
@@ -92,21 +95,32 @@
         replicas: 1,
     };
     assert!(
-        broken(vec![order(0), late]).is_empty(),
+        violated_rules(vec![load_command(0), late]).is_empty(),
         "the window has moved on"
     );
-    let deaf = |executor| TrafficRecord::ReadsPaused {
+    let reads_paused = |executor| TrafficRecord::ReadsPaused {
         at: 1.0,
         executor,
         until: 2.05,
     };
     assert!(
-        broken(vec![order(0), order(1), order(2), deaf(1)]).is_empty(),
-        "they were given before"
+        violated_rules(vec![
+            load_command(0),
+            load_command(1),
+            load_command(2),
+            reads_paused(1)
+        ])
+        .is_empty(),
+        "they may have been sent before the window"
     );
     assert_eq!(
-        broken(vec![order(0), order(1), order(2), deaf(2)]),
+        violated_rules(vec![
+            load_command(0),
+            load_command(1),
+            load_command(2),
+            reads_paused(2)
+        ]),
         [5],
-        "another one was deaf"
+        "another executor paused its reads"
     );
 }
--- a/crates/invariants/tests/rules/main.rs
+++ b/crates/invariants/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Each rule finds the breach that is planted, and nothing in a clean day.
+//! Each rule detects the violation added to the records, and none in clean records.
 
 mod clean;
 mod delivery;
--- a/crates/invariants/tests/rules/support.rs
+++ b/crates/invariants/tests/rules/support.rs
@@ -1,20 +1,20 @@
-//! Limits, traffic records and a clean day to which tests add violations.
+//! Limits, constructors of traffic records, and clean records to which the tests add violations.
 
 use orchidtally_invariants::*;
 
 pub fn limits() -> Limits {
-    let ty = |name: &str, effect, group| TriggerType {
+    let trigger_type = |name: &str, idempotency, deduplication_scope| TriggerType {
         name: name.into(),
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: 5.0,
         latency_objective: 1.0,
     };
     Limits {
         trigger_types: vec![
-            ty("look", Idempotency::Idempotent, DeduplicationScope::All),
-            ty("plan", Idempotency::Keyed, DeduplicationScope::Cell),
-            ty("act", Idempotency::NonIdempotent, DeduplicationScope::All),
+            trigger_type("look", Idempotency::Idempotent, DeduplicationScope::All),
+            trigger_type("plan", Idempotency::Keyed, DeduplicationScope::Cell),
+            trigger_type("act", Idempotency::NonIdempotent, DeduplicationScope::All),
         ],
         allows_hedging: false,
         drain_grace: 1.0,
@@ -27,7 +27,7 @@
     }
 }
 
-pub fn offered(at: f64, name: &str, trigger_type: usize) -> TrafficRecord {
+pub fn invocation_sent(at: f64, name: &str, trigger_type: usize) -> TrafficRecord {
     TrafficRecord::InvocationSent {
         at,
         client: 0,
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn answered(at: f64, name: &str, answer: FinalAnswer) -> TrafficRecord {
+pub fn answer_received(at: f64, name: &str, answer: FinalAnswer) -> TrafficRecord {
     TrafficRecord::AnswerReceived {
         at,
         invocation: name.into(),
@@ -46,14 +46,14 @@
     }
 }
 
-pub fn reached(
+pub fn dispatch_arrived(
     at: f64,
     name: &str,
     number: u32,
     executor: usize,
     trigger_type: &str,
 ) -> TrafficRecord {
-    let token = if trigger_type == "plan" { "token" } else { "" };
+    let idempotency_key = if trigger_type == "plan" { "token" } else { "" };
     TrafficRecord::DispatchArrived {
         at,
         executor,
@@ -61,12 +61,12 @@
         incarnation: 7,
         invocation: name.into(),
         number,
-        idempotency_key: token.into(),
+        idempotency_key: idempotency_key.into(),
         trigger_type: trigger_type.into(),
     }
 }
 
-pub fn ran(at: f64, name: &str, executor: usize) -> TrafficRecord {
+pub fn execution_started(at: f64, name: &str, executor: usize) -> TrafficRecord {
     TrafficRecord::ExecutionStarted {
         at,
         executor,
@@ -74,44 +74,49 @@
     }
 }
 
-pub fn ended(
+pub fn dispatch_ended(
     at: f64,
     name: &str,
     number: u32,
     executor: usize,
-    ending: DispatchOutcome,
+    outcome: DispatchOutcome,
 ) -> TrafficRecord {
     TrafficRecord::DispatchEnded {
         at,
         executor,
         invocation: name.into(),
         number,
-        outcome: ending,
+        outcome,
     }
 }
 
-pub fn told(at: f64, executor: usize, standing: EndpointState, since: f64) -> TrafficRecord {
+pub fn endpoint_notified(
+    at: f64,
+    executor: usize,
+    state: EndpointState,
+    started_at: f64,
+) -> TrafficRecord {
     TrafficRecord::EndpointNotified {
         at,
         front_end: 0,
         incarnation: 7,
         executor,
-        state: standing,
-        started_at: since,
+        state,
+        started_at,
     }
 }
 
-pub fn clean() -> Vec<TrafficRecord> {
+pub fn clean_records() -> Vec<TrafficRecord> {
     vec![
-        told(0.0, 0, EndpointState::Ready, f64::NEG_INFINITY),
-        told(0.0, 1, EndpointState::Ready, f64::NEG_INFINITY),
-        offered(1.0, "a", 2),
-        reached(1.1, "a", 0, 0, "act"),
-        ended(1.2, "a", 0, 0, DispatchOutcome::Rejected),
-        reached(1.3, "a", 1, 1, "act"),
-        ran(1.3, "a", 1),
-        ended(1.6, "a", 1, 1, DispatchOutcome::Succeeded),
-        answered(1.7, "a", FinalAnswer::Succeeded),
+        endpoint_notified(0.0, 0, EndpointState::Ready, f64::NEG_INFINITY),
+        endpoint_notified(0.0, 1, EndpointState::Ready, f64::NEG_INFINITY),
+        invocation_sent(1.0, "a", 2),
+        dispatch_arrived(1.1, "a", 0, 0, "act"),
+        dispatch_ended(1.2, "a", 0, 0, DispatchOutcome::Rejected),
+        dispatch_arrived(1.3, "a", 1, 1, "act"),
+        execution_started(1.3, "a", 1),
+        dispatch_ended(1.6, "a", 1, 1, DispatchOutcome::Succeeded),
+        answer_received(1.7, "a", FinalAnswer::Succeeded),
         TrafficRecord::LoadCommandArrived {
             at: 2.0,
             executor: 0,
@@ -122,16 +127,16 @@
     ]
 }
 
-/// The rules that are broken when some records are added to a clean day.
-pub fn broken(added: Vec<TrafficRecord>) -> Vec<u8> {
+/// The numbers of the rules that are violated once `added` is added to the clean records.
+pub fn violated_rules(added: Vec<TrafficRecord>) -> Vec<u8> {
     let fleet = [0, 0, 1].map(|cell| Executor { zone: 0, cell });
-    let records: Vec<TrafficRecord> = clean().into_iter().chain(added).collect();
+    let records: Vec<TrafficRecord> = clean_records().into_iter().chain(added).collect();
     let verdict = check_rules(&limits(), &fleet, &records);
     assert_eq!(
         verdict
             .rules
             .iter()
-            .map(|r| r.violations as usize)
+            .map(|rule| rule.violations as usize)
             .sum::<usize>()
             == 0,
         verdict.holds()
@@ -139,7 +144,7 @@
     verdict
         .rules
         .iter()
-        .filter(|r| r.violations > 0)
-        .map(|r| r.rule)
+        .filter(|rule| rule.violations > 0)
+        .map(|rule| rule.rule)
         .collect()
 }
--- a/crates/invariants/tests/stored_formats.rs
+++ b/crates/invariants/tests/stored_formats.rs
@@ -1,4 +1,4 @@
-//! Records of the traffic are written to files by `orchidtally rehearse --records`, and read again: their JSON is a
+//! `orchidtally rehearse --records` writes traffic records to files that later runs read, so that their JSON is a
 //! stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and must not be
 //! changed.
 
@@ -13,7 +13,7 @@
 const LIMITS: &str = include_str!("stored_formats/limits.jsonl");
 const EXECUTOR: &str = include_str!("stored_formats/executor.json");
 
-/// Reads one value a line, and checks that each is written again byte for byte.
+/// Reads one value per line and checks that each is written back byte for byte.
 fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
         let value: Value =
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn records_are_read_and_written_again() {
+fn records_round_trip() {
     let records: Vec<TrafficRecord> = read_and_rewrite(RECORDS);
     assert_eq!(records.len(), 32);
     assert!(records.iter().all(|record| record.at() == 1.5));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn limits_are_read_and_written_again() {
+fn limits_round_trip() {
     let limits: Vec<Limits> = read_and_rewrite(LIMITS);
     let first = &limits[0];
     let kinds: Vec<(Idempotency, DeduplicationScope)> = first
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn findings_are_written_with_the_same_keys() {
+fn reports_are_written_with_the_same_keys() {
     let limits: Limits = read_and_rewrite(LIMITS).remove(0);
     let verdict = serde_json::to_string(&check_rules(&limits, &[], &[])).unwrap();
     let messages = serde_json::to_string(&MessageReport::default()).unwrap();
