--- a/crates/executor-protocol/src/lib.rs
+++ b/crates/executor-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! The protocol between front ends and executors: its messages and their framing.
+//! The protocol between front ends and executors: messages and framing.
 //!
-//! The body of an HTTP/2 stream is one protobuf message behind its length (four bytes, big-endian), followed by the
-//! payload up to the end of the stream. This crate does no I/O.
+//! The body of an HTTP/2 stream is one protobuf message, prefixed with its length as a 32-bit big-endian integer, and
+//! followed by the payload up to the end of the stream. This crate does no I/O.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
@@ -10,53 +10,53 @@
 /// The messages, generated from `proto/orchidtally.proto`.
 #[allow(
     missing_docs,
-    reason = "the comments of the protobuf file are the documentation"
+    reason = "the comments in the protobuf file document the messages"
 )]
 pub mod v1 {
     include!(concat!(env!("OUT_DIR"), "/orchidtally.v1.rs"));
 }
 
-/// The path of a stream that carries a dispatch.
+/// The request path of a dispatch.
 pub const DISPATCH_PATH: &str = "/orchidtally.v1/dispatch";
-/// The path of a stream that carries a load command.
+/// The request path of a load command.
 pub const LOAD_PATH: &str = "/orchidtally.v1/order";
-/// The path of a stream that asks for health and load.
+/// The request path of a health check.
 pub const HEALTH_CHECK_PATH: &str = "/orchidtally.v1/probe";
-/// The path of a stream that subscribes to the endpoint list.
+/// The request path of a subscription to the endpoint list.
 pub const ENDPOINT_LIST_PATH: &str = "/orchidtally.v1/roster";
-/// The content type of every stream; a stream of another type is rejected.
+/// The content type of every stream; streams of another type are rejected.
 pub const CONTENT_TYPE: &str = "application/orchidtally.v1+proto";
-/// The longest message, without the payload behind it, in bytes.
+/// The maximum length of a message in bytes, without its length prefix and the payload.
 pub const MAX_MESSAGE_LENGTH: usize = 64 * 1024;
-/// The longest update of the endpoint list, in bytes: some 200,000 endpoints.
+/// The maximum length of an update of the endpoint list in bytes, which is enough for some 200,000 endpoints.
 pub const MAX_ENDPOINT_LIST_LENGTH: usize = 16 * 1024 * 1024;
 
-/// Bytes of the length in front of a message.
+/// The size of the length prefix in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Why a stream's bytes are no message.
+/// An error in the framing or encoding of a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
-    /// The message is longer than allowed.
-    #[error("a message of {length} bytes, {max} at most")]
+    /// The message exceeds the length limit.
+    #[error("message of {length} bytes exceeds the limit of {max} bytes")]
     TooLong {
         /// The length of the message, in bytes.
         length: usize,
-        /// The longest that is allowed, in bytes.
+        /// The maximum length, in bytes.
         max: usize,
     },
-    /// The stream ended before the message did.
-    #[error("the stream ended {missing} bytes before its message")]
+    /// The stream ended before the message was complete.
+    #[error("stream ended {missing} bytes before the end of its message")]
     Truncated {
-        /// How many bytes are missing.
+        /// The number of missing bytes.
         missing: usize,
     },
-    /// The bytes are no message of the expected type.
-    #[error("a malformed message: {0}")]
+    /// The bytes do not encode a message of the expected type.
+    #[error("malformed message: {0}")]
     Malformed(#[source] prost::DecodeError),
 }
 
-/// A message with its length in front.
+/// Encodes a message with its length prefix.
 pub fn frame(message: &impl Message) -> Bytes {
     let length = message.encoded_len();
     let mut bytes = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + length);
@@ -67,8 +67,9 @@
     bytes.freeze()
 }
 
-/// Splits a stream's bytes into its message and payload, however they arrive. Chunks are passed on as they are; only a
-/// message that lies in several of them is copied together.
+/// Splits the bytes of a stream, which arrive in chunks of any size, into message and payload.
+///
+/// Payload chunks are passed on without copying; a message is copied only if it spans several chunks.
 #[derive(Default)]
 pub struct Deframer {
     chunks: VecDeque<Bytes>,
@@ -76,7 +77,7 @@
 }
 
 impl Deframer {
-    /// Adds bytes that have arrived.
+    /// Appends a chunk of the stream.
     pub fn push(&mut self, chunk: Bytes) {
         if !chunk.is_empty() {
             self.length += chunk.len();
@@ -84,20 +85,20 @@
         }
     }
 
-    /// Bytes that were added and not yet taken out.
+    /// The number of buffered bytes.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether all bytes were taken out.
+    /// Whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// The next message; `None` until all of it has arrived.
+    /// Removes and decodes the next message; returns `None` until it is complete.
     ///
     /// # Errors
-    /// The message is longer than `max` bytes, or malformed.
+    /// Returns an error if the message is longer than `max` bytes or malformed.
     pub fn next_message<M: Message + Default>(
         &mut self,
         max: usize,
@@ -116,7 +117,7 @@
         M::decode(bytes).map(Some).map_err(FramingError::Malformed)
     }
 
-    /// The error of a stream that has ended before its message.
+    /// The error to report if the stream has ended before its message was complete.
     pub fn truncation_error(&self) -> FramingError {
         let length = self.peek_length().unwrap_or(0);
         let expected = LENGTH_PREFIX_BYTES + length;
@@ -125,13 +126,15 @@
         }
     }
 
-    /// The next chunk of the payload.
+    /// Removes the next buffered chunk. After [`Deframer::next_message`] has returned the message, the remaining chunks
+    /// are its payload.
     pub fn next_payload_chunk(&mut self) -> Option<Bytes> {
         let chunk = self.chunks.pop_front()?;
         self.length -= chunk.len();
         Some(chunk)
     }
 
+    /// The message length that the prefix states; `None` until the prefix is complete.
     fn peek_length(&self) -> Option<usize> {
         let mut length = [0; LENGTH_PREFIX_BYTES];
         let mut bytes = self.chunks.iter().flat_map(|c| c.iter().copied());
@@ -141,6 +144,7 @@
         Some(u32::from_be_bytes(length) as usize)
     }
 
+    /// Removes the first `count` bytes; the caller checks that so many are buffered.
     fn take_bytes(&mut self, count: usize) -> Bytes {
         self.length -= count;
         if let Some(first) = self.chunks.front_mut().filter(|c| c.len() > count) {
@@ -151,7 +155,7 @@
             let chunk = self
                 .chunks
                 .front_mut()
-                .expect("the length was checked before");
+                .expect("the caller has checked the number of buffered bytes");
             let part = chunk.len().min(count - message.len());
             message.extend_from_slice(&chunk[..part]);
             chunk.advance(part);
--- a/crates/executor-protocol/tests/codec.rs
+++ b/crates/executor-protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec under any cutting of the stream and any bytes.
+//! Property tests of the codec with arbitrary chunk sizes and arbitrary bytes.
 
 use bytes::Bytes;
 use orchidtally_executor_protocol::v1::{Answer, Dispatch, Sender};
@@ -31,27 +31,27 @@
 }
 
 #[test]
-fn a_message_and_its_payload_come_out_however_the_stream_is_cut() {
-    let cut = (
+fn message_and_payload_are_decoded_for_any_chunk_size() {
+    let inputs = (
         ".{0,300}",
         any::<u64>(),
         prop::collection::vec(any::<u8>(), 0..500),
         1usize..90,
     );
-    let outcome = runner(400).run(&cut, |(function, time_left, payload, step)| {
+    let outcome = runner(400).run(&inputs, |(function, time_left, payload, step)| {
         let sent = dispatch(function, time_left);
         let mut bytes = frame(&sent).to_vec();
         bytes.extend(&payload);
-        let (mut deframer, mut got) = (Deframer::default(), None);
+        let (mut deframer, mut decoded) = (Deframer::default(), None);
         for chunk in bytes.chunks(step) {
             deframer.push(Bytes::copy_from_slice(chunk));
-            if got.is_none() {
-                got = deframer
+            if decoded.is_none() {
+                decoded = deframer
                     .next_message::<Dispatch>(MAX_MESSAGE_LENGTH)
                     .unwrap();
             }
         }
-        prop_assert_eq!(got, Some(sent));
+        prop_assert_eq!(decoded, Some(sent));
         let rest: Vec<u8> = std::iter::from_fn(|| deframer.next_payload_chunk())
             .flatten()
             .collect();
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn any_bytes_give_a_message_or_a_fault_and_never_more_than_the_bound() {
+fn arbitrary_bytes_decode_to_a_message_or_an_error_within_the_length_limit() {
     let bytes = prop::collection::vec(any::<u8>(), 0..200);
-    let mut faults = 0;
+    let mut errors = 0;
     let outcome = runner(2_000).run(&bytes, |bytes| {
         let mut deframer = Deframer::default();
         deframer.push(Bytes::from(bytes.clone()));
@@ -96,12 +96,12 @@
     outcome.unwrap();
     let mut wrong = Deframer::default();
     wrong.push(Bytes::from_static(&[0, 0, 0, 2, 0x0a, 0xff]));
-    faults += usize::from(matches!(
+    errors += usize::from(matches!(
         wrong.next_message::<Answer>(MAX_MESSAGE_LENGTH),
         Err(FramingError::Malformed(_))
     ));
     assert_eq!(
-        faults, 1,
-        "a message whose field runs past its end is malformed"
+        errors, 1,
+        "a message whose field extends past its end is malformed"
     );
 }
--- a/crates/executor-protocol/tests/stored_formats.rs
+++ b/crates/executor-protocol/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! One example of each message between front ends, executors and publishers, as bytes that other builds exchange.
-//! `messages.txt` was written by the build of version 0.2.0 and must not be changed.
+//! Compares the encoding of one example of each message with the bytes that other builds exchange. `messages.txt` was
+//! written by the build of version 0.2.0 and must not be changed.
 
 use bytes::Bytes;
 use orchidtally_executor_protocol::v1::{
@@ -12,7 +12,7 @@
 };
 use std::fmt::Debug;
 
-/// A name and the bytes in hexadecimal digits on each line.
+/// One message per line: its name, and its bytes in hexadecimal digits.
 const MESSAGES: &str = include_str!("stored_formats/messages.txt");
 
 fn sender() -> Option<Sender> {
@@ -27,8 +27,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of an example.
-fn committed(name: &str) -> Vec<u8> {
+/// The stored bytes of an example.
+fn stored_bytes(name: &str) -> Vec<u8> {
     let line = MESSAGES
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -38,20 +38,20 @@
         .collect()
 }
 
-/// Checks that a message is written as its example, and read from it.
+/// Checks that a message encodes to the stored bytes and is decoded from them.
 fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
-    let bytes = committed(name);
+    let bytes = stored_bytes(name);
     assert_eq!(
         hexadecimal(&frame(&message)),
         hexadecimal(&bytes),
-        "{name} as it is written now"
+        "encoding of {name}"
     );
     let mut deframer = Deframer::default();
     deframer.push(Bytes::from(bytes));
     let read: Message = deframer
         .next_message(MAX_ENDPOINT_LIST_LENGTH)
         .unwrap()
-        .expect("the example is whole");
+        .expect("the example is complete");
     assert_eq!(read, message, "{name}");
     assert!(deframer.is_empty());
 }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn dispatches_and_their_answers_keep_their_bytes() {
+fn dispatches_and_their_answers_keep_their_encoding() {
     check("dispatch-unspecified", dispatch(Effect::Unspecified));
     check("dispatch-idempotent", dispatch(Effect::Idempotent));
     check("dispatch-tokened", dispatch(Effect::Tokened));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn orders_probes_and_their_answers_keep_their_bytes() {
+fn orders_probes_and_their_answers_keep_their_encoding() {
     let order = |kind: OrderKind| Order {
         from: sender(),
         kind: kind.into(),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn rosters_keep_their_bytes() {
+fn rosters_keep_their_encoding() {
     let row = |standing: Standing| RosterRow {
         address: "10.0.0.1:4100".into(),
         location: "east".into(),
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn paths_and_content_type_are_those_of_the_protocol() {
+fn paths_and_content_type_are_stable() {
     let paths = [
         DISPATCH_PATH,
         LOAD_PATH,
--- a/crates/socket-io/src/buffered.rs
+++ b/crates/socket-io/src/buffered.rs
@@ -1,35 +1,35 @@
-//! Buffered sockets for an event loop: they never block, count the bytes handed to the kernel and keep those that it did
-//! not take yet.
+//! Non-blocking sockets for an event loop. They count the bytes handed to the kernel and buffer those that it has not
+//! accepted yet.
 
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// A connection and the bytes that wait to be written on it. Their number is bounded by the owner.
+/// A connection and its write buffer. The owner has to bound the size of the buffer.
 pub struct BufferedSocket {
     /// The socket.
     pub stream: TcpStream,
     write_buffer: Vec<u8>,
-    /// Bytes at the front of `out` that were handed to the kernel.
+    /// The number of bytes at the front of `write_buffer` that were handed to the kernel.
     flushed: usize,
-    /// Bytes handed to the kernel since the start.
+    /// The number of bytes handed to the kernel since the connection was opened.
     bytes_written: u64,
 }
 
 /// The outcome of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes were read.
+    /// The number of bytes that were read.
     Bytes(usize),
-    /// Nothing can be read now.
+    /// No bytes can be read without blocking.
     WouldBlock,
-    /// The peer has closed its side.
+    /// The peer has closed its side of the connection.
     EndOfStream,
 }
 
 impl BufferedSocket {
     /// Wraps a socket and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> BufferedSocket {
-        // The option fails on a socket that was reset already; the next read tells so.
+        // The option fails on a socket that was already reset; the next read reports the reset.
         let _ = stream.set_nodelay(true);
         BufferedSocket {
             stream,
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Whether a connection attempt has succeeded by now.
+    /// Whether the connection is established; `false` while the attempt is in progress.
     ///
     /// # Errors
-    /// The attempt has failed.
+    /// Returns an error if the connection attempt failed.
     pub fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Reads once.
+    /// Reads available bytes with a single successful system call.
     ///
     /// # Errors
-    /// The connection broke.
+    /// Returns an error if the connection broke.
     pub fn read(&mut self, into: &mut [u8]) -> io::Result<ReadOutcome> {
         loop {
             return match self.stream.read(into) {
@@ -70,31 +70,32 @@
         }
     }
 
-    /// The buffer to which bytes to be written are appended.
+    /// The write buffer, to which the caller appends bytes; [`BufferedSocket::flush`] writes them.
     pub fn write_buffer(&mut self) -> &mut Vec<u8> {
         &mut self.write_buffer
     }
 
-    /// The number of bytes that wait to be handed to the kernel.
+    /// The number of buffered bytes that were not handed to the kernel yet.
     pub fn pending_bytes(&self) -> usize {
         self.write_buffer.len() - self.flushed
     }
 
-    /// The number of bytes handed to the kernel so far.
+    /// The number of bytes handed to the kernel since the connection was opened.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written
     }
 
-    /// Removes the waiting bytes from a position of the connection on, as `written` counts them.
+    /// Discards the pending bytes from the stream offset `from` on. Offsets count from the start of the connection, as
+    /// [`BufferedSocket::bytes_written`] does.
     pub fn discard_unsent(&mut self, from: u64) {
         let kept = from.saturating_sub(self.bytes_written) as usize;
         self.write_buffer.truncate(self.flushed + kept);
     }
 
-    /// Hands over as many waiting bytes as the kernel takes.
+    /// Hands as many pending bytes to the kernel as it accepts.
     ///
     /// # Errors
-    /// The connection broke.
+    /// Returns an error if the connection broke.
     pub fn flush(&mut self) -> io::Result<()> {
         while self.flushed < self.write_buffer.len() {
             match self.stream.write(&self.write_buffer[self.flushed..]) {
--- a/crates/socket-io/src/http.rs
+++ b/crates/socket-io/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for occasional requests between processes: one connection for each request.
+//! A small HTTP/1.1 client for occasional requests between processes; each request opens its own connection.
 
 use crate::{connect, with_timeout};
 use bytes::Bytes;
@@ -8,13 +8,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest response body in bytes.
+/// The maximum length of a response body in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Sends a request and reads the whole response; returns its status and body.
+/// Sends a request and returns the status and the complete body of the response. The timeout covers the whole exchange.
 ///
 /// # Errors
-/// The exchange failed, or the time ran out (`TimedOut`).
+/// Returns an error if the exchange fails or the body exceeds 64 MiB, and `TimedOut` if the timeout expires.
 pub async fn fetch(
     address: SocketAddr,
     method: http::Method,
@@ -48,7 +48,7 @@
             Ok((status, body.to_bytes()))
         };
         let drive = async {
-            // An error that ends the connection ends the exchange as well.
+            // An error of the connection also ends the exchange, which reports it.
             let _ = driver.await;
             future::pending().await
         };
--- a/crates/socket-io/src/lib.rs
+++ b/crates/socket-io/src/lib.rs
@@ -1,7 +1,8 @@
-//! Sockets: asynchronous ones on async-io in the form that the HTTP libraries take, and buffered ones for an event loop.
+//! Sockets: an asynchronous stream on async-io with the traits of the HTTP libraries, and a buffered socket for a mio
+//! event loop. Both count the bytes handed to the kernel.
 //!
-//! Both count the bytes handed to the kernel. Also timeouts, a small HTTP client, and the classification of errors that are
-//! this machine's own.
+//! The crate also provides timeouts, a small HTTP client, and the classification of errors that are local to this
+//! machine.
 
 pub mod buffered;
 pub mod http;
@@ -21,19 +22,21 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-/// Bytes that are read at a time at most.
+/// The maximum number of bytes per read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
-    /// The libraries' buffers may be uninitialised; a copy from this one costs less than clearing them.
+    /// Reads go through this buffer because the libraries' buffers may be uninitialised: copying the received bytes
+    /// costs less than zeroing a whole buffer.
     static READ_BUFFER: RefCell<Box<[u8]>> = RefCell::new(vec![0; READ_BUFFER_BYTES].into());
 }
 
-/// A connection that counts the bytes it has handed to the kernel.
+/// An asynchronous TCP connection that counts the bytes handed to the kernel.
 pub struct Stream {
     socket: Async<TcpStream>,
     bytes_written: Rc<Cell<u64>>,
-    /// The last read left nothing behind: the next one waits for readiness instead of trying in vain.
+    /// Whether the last read emptied the socket's receive buffer. If so, the next read waits for readiness first and
+    /// saves a system call that would return `EWOULDBLOCK`.
     drained: bool,
 }
 
@@ -41,7 +44,7 @@
     /// Wraps a socket and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// The socket is closed already.
+    /// Returns an error if the socket is already closed.
     pub fn new(socket: Async<TcpStream>) -> io::Result<Stream> {
         socket.get_ref().set_nodelay(true)?;
         Ok(Stream {
@@ -51,20 +54,20 @@
         })
     }
 
-    /// The count of bytes handed to the kernel, which goes on counting.
+    /// A shared counter of the bytes handed to the kernel; it stays up to date as the stream is written to.
     pub fn bytes_written(&self) -> Rc<Cell<u64>> {
         self.bytes_written.clone()
     }
 
-    /// Waits until something, or the end, can be read.
+    /// Waits until bytes or the end of the stream can be read.
     ///
     /// # Errors
-    /// The socket can't be polled.
+    /// Returns an error if the socket can't be polled.
     pub async fn readable(&self) -> io::Result<()> {
         self.socket.readable().await
     }
 
-    /// The socket.
+    /// The underlying socket.
     pub fn socket(&mut self) -> &mut Async<TcpStream> {
         &mut self.socket
     }
@@ -74,7 +77,8 @@
         self.socket.get_ref().peer_addr().ok()
     }
 
-    /// Another handle of the socket, to abort the connection with.
+    /// A duplicate handle of the socket, for aborting the connection while the stream is in use. `None` if the handle
+    /// can't be duplicated.
     pub fn abort_handle(&self) -> Option<TcpStream> {
         self.socket.get_ref().try_clone().ok()
     }
@@ -137,7 +141,7 @@
     }
 }
 
-/// Implements a write trait of one of the HTTP libraries; the traits have the same methods.
+/// Implements a write trait of one of the HTTP libraries, whose traits have the same methods.
 macro_rules! impl_vectored_write {
     ($write:path) => {
         impl $write for Stream {
@@ -206,13 +210,13 @@
     }
 }
 
-/// Makes the close of a socket a reset, so that its peer sees a broken connection rather than an end of file.
+/// Makes closing the socket reset the connection, so that the peer sees an error instead of an end of file.
 pub fn reset_on_close(socket: &TcpStream) {
-    // A socket that is closed already needs no such option.
+    // The option fails on a socket that is already closed and doesn't need it.
     let _ = socket2::SockRef::from(socket).set_linger(Some(Duration::ZERO));
 }
 
-/// Runs a future for a time; `None` if the time runs out first.
+/// Runs a future with a timeout; returns `None` if the timeout expires first.
 pub async fn with_timeout<T>(timeout: Duration, operation: impl Future<Output = T>) -> Option<T> {
     let timer = async {
         Timer::after(timeout).await;
@@ -221,24 +225,24 @@
     future::or(async { Some(operation.await) }, timer).await
 }
 
-/// Connects to an address within a time.
+/// Connects to an address.
 ///
 /// # Errors
-/// The connection failed, or the time ran out (`TimedOut`).
+/// Returns an error if the connection fails, and `TimedOut` if the timeout expires.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Stream> {
     let connected = with_timeout(timeout, Async::<TcpStream>::connect(address)).await;
     Stream::new(connected.ok_or_else(|| io::Error::from(io::ErrorKind::TimedOut))??)
 }
 
-/// Listens at an address.
+/// Listens on an address.
 ///
 /// # Errors
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Accepts the next connection. Transient failures, such as a lack of descriptors, are retried.
+/// Accepts the next connection. Retries after failures, such as a lack of file descriptors.
 pub async fn accept(listener: &Async<TcpListener>) -> Stream {
     const RETRY_PAUSE: Duration = Duration::from_millis(20);
     loop {
--- a/crates/socket-io/tests/local_error.rs
+++ b/crates/socket-io/tests/local_error.rs
@@ -1,16 +1,16 @@
-//! Which failures of calls are this machine's own.
+//! Tests the classification of local errors.
 
 use orchidtally_socket_io::{is_local_error, is_out_of_resources};
 use rustix::io::Errno;
 use std::io;
 
 #[test]
-fn faults_of_this_machine_are_told_from_those_of_the_peer() {
-    let own = |errno: Errno| is_local_error(&errno.into());
+fn local_errors_are_distinguished_from_errors_of_the_peer() {
+    let is_local = |errno: Errno| is_local_error(&errno.into());
     assert!(
         [Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NETUNREACH]
             .into_iter()
-            .all(own)
+            .all(is_local)
     );
     assert!(
         ![
@@ -20,7 +20,7 @@
             Errno::CONNRESET
         ]
         .into_iter()
-        .any(own)
+        .any(is_local)
     );
     assert!(!is_local_error(&io::Error::other("no errno")));
     assert!(
