--- a/crates/engine/src/action_executor.rs
+++ b/crates/engine/src/action_executor.rs
@@ -1,11 +1,11 @@
-//! Carries out the policy's actions on the registry and passes them to the host.
+//! Applies the policy's actions to the registry and passes them to the host.
 
 use crate::invocation_registry::{InvocationRegistry, SentDispatch};
 use crate::transport_outcome::{self, TransportOutcome};
 use crate::{FailureReason, Host};
 use orchidtally_dispatch_policy::interface::{Actions, DispatchStatus, ExecutorId};
 
-/// The `Actions` that the policy is called with.
+/// The implementation of `Actions` that is passed to the policy.
 pub(crate) struct ActionExecutor<'a> {
     pub(crate) registry: &'a mut InvocationRegistry,
     pub(crate) host: &'a mut dyn Host,
--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,32 +1,32 @@
-//! What a host asks the engine to admit, and why it may not.
+//! Requests for admission, and the reasons for refusing it.
 
-/// An invocation as a client requests it; the engine gives it its id.
+/// An invocation that a client requests; the engine assigns its id.
 #[derive(Clone, Debug)]
 pub struct InvocationRequest {
-    /// Index among the configured trigger types.
+    /// The index of its trigger type in the configuration.
     pub trigger_type: usize,
-    /// Index among the configured customers.
+    /// The index of its customer in the configuration.
     pub customer: usize,
     /// The key of the function version.
     pub function: u64,
-    /// The client marks it as its retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// It was admitted before, and now goes to another version of the function.
+    /// Whether it was admitted before and now migrates to another version of the function.
     pub is_migrated: bool,
-    /// When the client gives up, in seconds on the engine's clock.
+    /// The time at which the client times out, in seconds on the engine's clock.
     pub timeout_at: f64,
-    /// Expected work in seconds, where the client gives it.
+    /// The expected work in seconds, if the client states it.
     pub expected_work: Option<f64>,
-    /// Invocations that one loaded replica runs at a time.
+    /// The number of invocations that one replica runs at a time.
     pub concurrency: f64,
-    /// The usual duration of a load in seconds, where known.
+    /// The usual time to load a replica in seconds, if known.
     pub load_time: Option<f64>,
 }
 
-/// Why an invocation was not admitted. It is certain not to have run.
+/// The reason for refusing admission. The invocation did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionError {
-    /// As many invocations are open as the limit allows.
+    /// The limit of open invocations is reached.
     AtCapacity,
     /// The front end is shutting down.
     ShuttingDown,
--- a/crates/engine/src/baseline.rs
+++ b/crates/engine/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple policies to measure the dispatch policy against. They serve comparisons alone.
+//! Simple policies for comparisons with the dispatch policy.
 
 use crate::DispatchPolicy;
 use orchidtally_dispatch_policy::interface::{
@@ -8,37 +8,37 @@
 use orchidtally_dispatch_policy::random::SeededRandom;
 use std::collections::HashMap;
 
-/// How a baseline chooses among the ready executors.
+/// The selection rule of a baseline among the ready executors.
 pub enum BaselineSelection {
-    /// Any of them.
+    /// An executor chosen at random.
     Random,
-    /// The one with the fewest dispatches of this front end in flight; a random one of equals.
+    /// The executor with the fewest dispatches of this front end in flight; ties are broken at random.
     LeastInFlight,
-    /// The less loaded of two random ones, by the true load, which no real front end can know.
+    /// The less loaded of two random executors, by the true load, which no real front end can know.
     TwoChoicesByTrueLoad(Box<dyn Fn(ExecutorId) -> u32>),
 }
 
-/// Dispatches each invocation once, without retries, limits or load commands.
+/// A policy that dispatches each invocation once, without retries, limits or load commands.
 pub struct BaselinePolicy {
     selection: BaselineSelection,
     random: SeededRandom,
     ready: Vec<ExecutorId>,
     /// The executor of each open invocation.
     dispatched_to: HashMap<u32, ExecutorId>,
-    /// Own dispatches in flight at each executor.
+    /// The number of this front end's dispatches in flight at each executor.
     in_flight: HashMap<ExecutorId, u32>,
 }
 
-/// The baseline that a front end may be started with.
+/// The baseline that a front end can be started with.
 pub type RandomPolicy = BaselinePolicy;
 
 impl BaselinePolicy {
-    /// A policy that selects at random.
+    /// Creates a policy that selects executors at random.
     pub fn new(seed: u64) -> BaselinePolicy {
         BaselinePolicy::with_selection(BaselineSelection::Random, seed)
     }
 
-    /// A policy with a way of selection.
+    /// Creates a policy with the given selection rule.
     pub fn with_selection(selection: BaselineSelection, seed: u64) -> BaselinePolicy {
         BaselinePolicy {
             selection,
@@ -59,7 +59,7 @@
         let first = *self.ready.get(first_index)?;
         Some(match &self.selection {
             BaselineSelection::Random => first,
-            // From the one drawn on, so that equals are not chosen by the order of the list.
+            // The search starts at a random position, so that ties are not broken by the order of the list.
             BaselineSelection::LeastInFlight => {
                 let (before, from_first) = self.ready.split_at(first_index);
                 let rotated = from_first.iter().chain(before).copied();
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Removes an invocation that is over, and returns the executor that it was dispatched to.
+    /// Removes an invocation that has ended, and returns the executor that it was dispatched to.
     fn remove(&mut self, invocation: u32) -> Option<ExecutorId> {
         let executor = self.dispatched_to.remove(&invocation)?;
         if let Some(in_flight) = self.in_flight.get_mut(&executor) {
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,24 +1,24 @@
-//! Counters of one engine, for metrics.
+//! The counters of an engine, for metrics.
 
-/// How many invocations and actions there were since the start.
+/// The numbers of invocations and actions since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Invocations that were admitted.
     pub admitted: u64,
-    /// Invocations that were not admitted.
+    /// Invocations that were refused admission.
     pub not_admitted: u64,
     /// Invocations answered with a response.
     pub succeeded: u64,
-    /// Invocations rejected after they were admitted.
+    /// Invocations rejected after admission.
     pub rejected: u64,
     /// Invocations that failed.
     pub failed: u64,
-    /// Invocations whose client went away first.
+    /// Invocations cancelled by their client before a final answer.
     pub cancelled_by_client: u64,
     /// Dispatches handed to the host.
     pub dispatches: u64,
     /// Commands to load at least one replica.
     pub load_commands: u64,
-    /// Final answers that the engine gave because the policy had not. Each is a fault of the program.
+    /// Invocations that the engine failed because the policy did not answer them by their timeout. Each is a bug.
     pub overdue: u64,
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: admission, results of dispatches, shutdown and timers.
+//! The engine: admission, dispatch results, shutdown and timers.
 
 mod control_inputs;
 
@@ -14,11 +14,11 @@
 };
 use std::cmp::Reverse;
 
-/// The engine itself answers an invocation that the policy has left open for this long past its timeout, in seconds.
-/// The policy should never do so: each such answer is counted as a fault of the program.
+/// The time in seconds past an invocation's timeout after which the engine itself answers it. The policy is required to
+/// answer by the timeout, so that each such answer is counted as a bug in [`Counters::overdue`].
 const OVERDUE_GRACE: f64 = 0.005;
 
-/// The decisions of one front end and the invocations that are open at it. Times are seconds on the host's clock.
+/// The dispatch policy of one front end and its open invocations. All times are seconds on the host's clock.
 pub struct Engine {
     policy: Box<dyn DispatchPolicy>,
     registry: InvocationRegistry,
@@ -28,8 +28,8 @@
 }
 
 impl Engine {
-    /// An engine that decides by the dispatch policy. At most `max_open` invocations may be without a final answer at
-    /// a time; `seed` is for the policy's random choices.
+    /// Creates an engine with the dispatch policy. At most `max_open` invocations may be unanswered at a time; `seed`
+    /// initialises the policy's random choices.
     pub fn new(
         config: PolicyConfig,
         max_open: usize,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An engine that decides by another policy, for comparisons.
+    /// Creates an engine with another policy, for comparisons.
     pub fn with_baseline(policy: Box<dyn DispatchPolicy>, max_open: usize, now: f64) -> Engine {
         Engine {
             policy,
@@ -63,34 +63,34 @@
         }
     }
 
-    /// What was counted since the start.
+    /// The counters since the start.
     pub fn counters(&self) -> Counters {
         self.registry.counters
     }
 
-    /// Entries in the policy's tables.
+    /// The number of entries in each of the policy's tables.
     pub fn table_sizes(&self) -> TableSizes {
         self.policy.table_sizes()
     }
 
-    /// Invocations without a final answer.
+    /// The number of invocations without a final answer.
     pub fn open_invocations(&self) -> usize {
         self.registry.unanswered
     }
 
-    /// How many dispatches an open invocation has had.
+    /// The number of dispatches of an open invocation so far; 0 if it is not open.
     pub fn dispatch_count(&self, invocation: u32) -> usize {
         let open = self.registry.invocations.get(&invocation);
         open.map_or(0, |open| open.dispatches.len())
     }
 
-    /// Admits nothing new from now on.
+    /// Rejects all new invocations from now on.
     pub fn start_draining(&mut self) {
         self.is_draining = true;
     }
 
-    /// The process ends at `deadline`: every open invocation is answered by then, as if its client gave up at that
-    /// moment.
+    /// Prepares for the end of the process at `deadline`: limits the timeout of every open invocation to the deadline,
+    /// so that all are answered by then.
     pub fn begin_shutdown(&mut self, now: f64, deadline: f64, host: &mut dyn Host) {
         let later = self
             .registry
@@ -114,7 +114,7 @@
         });
     }
 
-    /// When [`Engine::run_due_timers`] is next to be called.
+    /// The time at which [`Engine::run_due_timers`] has to be called next; infinity if no timer is set.
     pub fn next_deadline(&self) -> f64 {
         let deadline = self
             .registry
@@ -125,7 +125,7 @@
         deadline.min(policy_timer)
     }
 
-    /// Calls the policy, then reports to it the dispatches that its own actions ended.
+    /// Calls the policy with an input, then reports to it the dispatches that its own actions ended.
     fn run_policy(
         &mut self,
         now: f64,
@@ -144,7 +144,7 @@
         self.registry.prune_deadlines();
     }
 
-    /// Reports the end of a dispatch to the policy.
+    /// Reports the result of a dispatch to the policy.
     fn report_result(
         &mut self,
         invocation: u32,
@@ -181,10 +181,11 @@
         self.registry.remove_if_complete(invocation);
     }
 
-    /// Admits an invocation and returns its id; from here on it is owed a final answer.
+    /// Admits an invocation and returns its id. Every admitted invocation gets a final answer, unless its client
+    /// cancels.
     ///
     /// # Errors
-    /// As many invocations are open as may be, or the front end drains.
+    /// Returns an error if the limit of open invocations is reached or the front end drains.
     pub fn admit(
         &mut self,
         now: f64,
@@ -225,7 +226,7 @@
         Err(refused)
     }
 
-    /// An id that no open invocation has.
+    /// Returns an id that no open invocation uses.
     fn unused_id(&mut self) -> u32 {
         while self.registry.invocations.contains_key(&self.next_id) {
             self.next_id = self.next_id.wrapping_add(1);
@@ -250,7 +251,7 @@
             .add_deadline(request.timeout_at + OVERDUE_GRACE, id, None);
     }
 
-    /// A dispatch has ended. One that was cancelled, timed out or ended before is ignored.
+    /// Handles the end of a dispatch. Ignores a dispatch that was cancelled, timed out or has already ended.
     pub fn on_dispatch_result(
         &mut self,
         now: f64,
@@ -278,8 +279,8 @@
         self.run_policy(now, host, |_, _, _| {});
     }
 
-    /// The response of a dispatch begins to stream. Returns whether it is the client's response: it is not where the
-    /// invocation is over or another dispatch was first.
+    /// Handles the start of a streamed response. Returns whether it becomes the client's response, which it doesn't if
+    /// the invocation was already answered or another dispatch started to stream first.
     pub fn on_response_started(
         &mut self,
         now: f64,
@@ -304,7 +305,7 @@
         true
     }
 
-    /// The client has gone away: no answer is owed any more.
+    /// Handles a cancellation by the client, which needs no final answer any more.
     pub fn on_client_cancel(&mut self, now: f64, invocation: u32, host: &mut dyn Host) {
         if self.registry.mark_answered(invocation).is_some() {
             self.registry.counters.cancelled_by_client += 1;
@@ -315,7 +316,7 @@
         }
     }
 
-    /// Times out dispatches, fails invocations that should have been answered, and runs the policy's timer.
+    /// Times out dispatches, fails overdue invocations and runs the policy's timer, as far as they are due at `now`.
     pub fn run_due_timers(&mut self, now: f64, host: &mut dyn Host) {
         while let Some(&Reverse(deadline)) = self.registry.deadlines.peek() {
             if deadline.at.0 > now {
@@ -335,7 +336,7 @@
         }
     }
 
-    /// Times out a dispatch, unless it ended or its response streams.
+    /// Times out a dispatch, unless it has ended or its response streams to the client.
     fn time_out(&mut self, now: f64, invocation: u32, dispatch: u8, host: &mut dyn Host) {
         let open = self.registry.invocations.get(&invocation);
         let is_waiting = open.is_some_and(|open| {
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Fails an invocation that the policy has left without a final answer.
+    /// Fails an invocation that the policy did not answer in time.
     fn fail_overdue(&mut self, now: f64, invocation: u32, host: &mut dyn Host) {
         let Some(open) = self.registry.mark_answered(invocation) else {
             return;
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -1,4 +1,4 @@
-//! What the host process does for the engine, and what it reports of an executor's response.
+//! The interface of the host process, and the metadata of an executor's response.
 
 use orchidtally_dispatch_policy::interface::{CopyState, ExecutorId};
 
@@ -7,34 +7,34 @@
 pub enum FailureReason {
     /// No response came within the client timeout.
     TimedOut,
-    /// An executor answered with an error or broke off, or the invocation could not be retried.
+    /// An executor responded with an error, its connection broke, or the invocation could not be retried.
     Failed,
 }
 
-/// Carries out the engine's actions. A call takes effect at once; its result is reported to the engine in a later
-/// call, never from within this one. Durations are in seconds.
+/// Carries out the engine's actions. An action takes effect immediately; its result is reported to the engine in a later
+/// call, never from within the callback. Durations are in seconds.
 pub trait Host {
-    /// An invocation was admitted under this id; no action was taken for it yet.
+    /// Notifies the host that an invocation was admitted under this id, before any action for it.
     fn admitted(&mut self, invocation: u32);
 
-    /// Sends a dispatch of an invocation to an executor, which has to respond within a time.
+    /// Sends a dispatch of an invocation to an executor. The engine times the dispatch out after `timeout`.
     fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, timeout: f64);
 
-    /// Stops waiting for a dispatch; its response is discarded.
+    /// Cancels a dispatch in flight; a response to it is ignored.
     fn cancel(&mut self, invocation: u32, dispatch: u8);
 
     /// Final answer: the response of a dispatch. Each admitted invocation gets exactly one of `succeeded`, `rejected`
-    /// and `failed`, unless its client went away.
+    /// and `failed`, unless its client cancels first.
     fn succeeded(&mut self, invocation: u32, dispatch: u8);
 
-    /// Final answer: the invocation did not run and may be retried after a time. `is_over_quota`: because its
-    /// customer has used up its quota.
+    /// Final answer: the invocation did not run and may be retried after `retry_after`. `is_over_quota` states that its
+    /// customer has exhausted its quota.
     fn rejected(&mut self, invocation: u32, retry_after: f64, is_over_quota: bool);
 
-    /// Final answer: the invocation failed, and whether it may have run.
+    /// Final answer: the invocation failed. `may_have_run` is false only if it provably never ran.
     fn failed(&mut self, invocation: u32, reason: FailureReason, may_have_run: bool);
 
-    /// Commands an executor to hold at least so many loaded replicas of a function.
+    /// Commands an executor to keep at least this number of replicas of a function loaded.
     fn load(&mut self, executor: ExecutorId, function: u64, replicas: u8);
 
     /// Asks an executor how many replicas of a function are loaded.
@@ -46,18 +46,18 @@
     /// Asks an executor for its health and load.
     fn health_check(&mut self, executor: ExecutorId);
 
-    /// Subscribes to the endpoint list, where it is not pushed.
+    /// Subscribes to the endpoint list, unless it is pushed to the host.
     fn subscribe_to_endpoints(&mut self);
 }
 
-/// What a response tells besides its status.
+/// What an executor's response reports besides its status.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseMetadata<'a> {
-    /// What the executor found loaded.
+    /// The state of the function's replica when the dispatch arrived.
     pub copy_state: CopyState,
-    /// Invocations of the same function that the executor had when the dispatch arrived.
+    /// The number of invocations of the same function at the executor when the dispatch arrived.
     pub function_concurrency: u32,
-    /// The fields of the executor's load report, in the order of the settings; empty where there is none.
+    /// The fields of the executor's load report, in the configured order; empty if there is no report.
     pub load_report: &'a [f32],
 }
 
--- a/crates/engine/src/invocation_registry.rs
+++ b/crates/engine/src/invocation_registry.rs
@@ -6,16 +6,16 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
-/// Deadlines of what has ended are dropped once the heap is longer than this, plus [`DEADLINES_PER_INVOCATION`] for
-/// each open invocation.
+/// Obsolete deadlines are removed once the heap holds more entries than this plus [`DEADLINES_PER_INVOCATION`] for each
+/// open invocation.
 const MIN_DEADLINES_TO_PRUNE: usize = 1_024;
 const DEADLINES_PER_INVOCATION: usize = 4;
 
-/// A dispatch that was handed to the host, or withheld.
+/// A dispatch that was passed to the host, or that ended because it was too late to send it.
 pub(crate) struct SentDispatch {
     pub(crate) executor: ExecutorId,
     pub(crate) sent_at: f64,
-    /// How it ended; `None` while it is in flight.
+    /// The final status; `None` while the dispatch is in flight.
     pub(crate) status: Option<DispatchStatus>,
 }
 
@@ -25,12 +25,12 @@
     }
 }
 
-/// An invocation that has no final answer yet, or still has a dispatch in flight.
+/// An invocation that has no final answer yet or still has a dispatch in flight.
 pub(crate) struct OpenInvocation {
     pub(crate) timeout_at: f64,
     pub(crate) trigger_type: usize,
     pub(crate) dispatches: Vec<SentDispatch>,
-    /// The dispatch whose response has begun to stream to the client.
+    /// The dispatch whose response streams to the client.
     pub(crate) streaming_dispatch: Option<u8>,
     pub(crate) is_answered: bool,
 }
@@ -40,7 +40,7 @@
         self.dispatches.get(usize::from(number))
     }
 
-    /// A dispatch by its number, if it is in flight.
+    /// Returns a dispatch by number if it is in flight.
     pub(crate) fn in_flight_mut(&mut self, number: u8) -> Option<&mut SentDispatch> {
         self.dispatches
             .get_mut(usize::from(number))
@@ -63,26 +63,28 @@
     }
 }
 
-/// A moment at which the engine looks at an invocation. Ordered by time, then invocation, then dispatch.
+/// A deadline of a dispatch or an invocation. Deadlines are ordered by time, then invocation, then dispatch.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Deadline {
     pub(crate) at: Ordered,
     pub(crate) invocation: u32,
-    /// The dispatch that times out; `None` for the engine's own check that the invocation was answered.
+    /// The dispatch that times out; `None` for the check that the policy has answered the invocation.
     pub(crate) dispatch: Option<u8>,
 }
 
-/// Everything of an engine but the policy, so that the policy can be called with it as its `Actions`.
+/// The state of an engine except for the policy. It is a separate struct so that the policy can be called while its
+/// `Actions` borrow the registry.
 #[derive(Default)]
 pub(crate) struct InvocationRegistry {
-    /// The time of the latest input; it never runs backwards.
+    /// The time of the latest input, which never decreases.
     pub(crate) now: f64,
     pub(crate) invocations: HashMap<u32, OpenInvocation>,
-    /// Invocations without a final answer.
+    /// The number of invocations without a final answer.
     pub(crate) unanswered: usize,
     pub(crate) deadlines: BinaryHeap<Reverse<Deadline>>,
     pub(crate) policy_timer_at: Option<f64>,
-    /// Dispatches that the policy's own actions ended; they are reported to it after the present call.
+    /// Dispatches that were ended by the policy's own actions. The engine reports them to the policy after the current
+    /// call.
     pub(crate) ended_locally: VecDeque<(u32, u8)>,
     pub(crate) counters: Counters,
 }
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Moves the time forward and returns it.
+    /// Advances the time to `now` unless it is already later, and returns it.
     pub(crate) fn advance_to(&mut self, now: f64) -> f64 {
         self.now = now.max(self.now);
         self.now
@@ -109,7 +111,8 @@
         }));
     }
 
-    /// Marks an invocation as answered; `None` if it is not open or was answered before.
+    /// Marks an invocation as answered or cancelled by its client, and returns it; `None` if it is not open or already
+    /// marked.
     pub(crate) fn mark_answered(&mut self, invocation: u32) -> Option<&OpenInvocation> {
         let open = self
             .invocations
@@ -120,7 +123,7 @@
         Some(open)
     }
 
-    /// Drops an invocation that is answered and has nothing in flight.
+    /// Removes an invocation that is answered and has no dispatch in flight.
     pub(crate) fn remove_if_complete(&mut self, invocation: u32) {
         let open = self.invocations.get(&invocation);
         if open.is_some_and(OpenInvocation::is_complete) {
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Drops the deadlines of what has ended, once they outnumber the others.
+    /// Removes the deadlines of ended dispatches and answered invocations once the heap exceeds its limit.
     pub(crate) fn prune_deadlines(&mut self) {
         let limit = MIN_DEADLINES_TO_PRUNE + DEADLINES_PER_INVOCATION * self.invocations.len();
         if self.deadlines.len() <= limit {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,11 +1,11 @@
-//! The engine between a host process and the decision module.
+//! The engine that connects a host process to the dispatch policy.
 //!
-//! It does what every host needs and the decision module does not do: it assigns invocation ids and dispatch
-//! numbers, keeps the bounded registry of open invocations and their deadlines, guarantees one final answer per
-//! invocation whatever races, and derives from the end of a dispatch whether it can have run ([`transport_outcome`]).
+//! The engine assigns invocation ids and dispatch numbers, keeps the bounded registry of open invocations and their
+//! deadlines, guarantees exactly one final answer per invocation under any race of results, timeouts and cancellations,
+//! and derives from the end of a dispatch whether it may have run ([`transport_outcome`]).
 //!
-//! The engine does no I/O and has no clock of its own (sans-I/O): the host passes the time, in seconds, with every
-//! input, and carries out the engine's actions through [`Host`]. The host calls [`Engine::run_due_timers`] at
+//! The engine does no I/O and has no clock of its own (sans-I/O). The host passes the time in seconds with every input,
+//! carries out the engine's actions through [`Host`], and calls [`Engine::run_due_timers`] at
 //! [`Engine::next_deadline`].
 
 mod action_executor;
--- a/crates/engine/src/policy.rs
+++ b/crates/engine/src/policy.rs
@@ -1,4 +1,4 @@
-//! The interface by which the engine calls what decides, and its implementation by the dispatch policy.
+//! The interface of dispatch policies, and its implementation by [`Dispatcher`].
 
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
 use orchidtally_dispatch_policy::interface::{
@@ -6,10 +6,12 @@
     Invocation, MembershipView, PrewarmRequest, TableSizes, TriggerType,
 };
 
-/// What decides on invocations: the dispatch policy, or a baseline to compare it with. Every method is an input, with
-/// the time in seconds; a policy answers by `actions`. Inputs that a simple policy need not know have a default.
+/// A policy that decides on invocations: the dispatch policy, or a baseline for comparison.
+///
+/// Every method is an input with the time in seconds, to which the policy responds with calls on `actions`. Inputs that
+/// a simple policy can ignore have a default implementation.
 pub trait DispatchPolicy {
-    /// The front ends that share the fleet have changed.
+    /// Handles a change of the front ends that share the fleet.
     fn on_membership_change(
         &mut self,
         _now: f64,
@@ -21,7 +23,7 @@
     /// Appends or replaces a trigger type.
     ///
     /// # Errors
-    /// See [`ConfigError`]; nothing is changed then.
+    /// See [`ConfigError`]; the configuration is unchanged after an error.
     fn set_trigger_type(
         &mut self,
         _now: f64,
@@ -31,15 +33,15 @@
         Ok(())
     }
 
-    /// Sets the customers' quotas.
+    /// Sets the customers' quotas, in invocations per second over all front ends.
     ///
     /// # Errors
-    /// See [`ConfigError`]; nothing is changed then.
+    /// See [`ConfigError`]; the configuration is unchanged after an error.
     fn set_quotas(&mut self, _now: f64, _quotas: Vec<f64>) -> Result<(), ConfigError> {
         Ok(())
     }
 
-    /// The endpoint list has changed, or could not be had.
+    /// Handles a change of the endpoint list, or a failure to obtain it.
     fn on_endpoint_update(
         &mut self,
         now: f64,
@@ -48,22 +50,22 @@
         actions: &mut dyn Actions,
     );
 
-    /// The endpoint list was current at `as_of`.
+    /// Handles the confirmation that the endpoint list was current at `as_of`.
     fn on_view_confirmed(&mut self, _now: f64, _as_of: f64, _actions: &mut dyn Actions) {}
 
-    /// The process did not run for a while.
+    /// Handles a process stall.
     fn on_process_stall(&mut self, _now: f64) {}
 
-    /// The source of the endpoint list does not answer a query sent at `queried_at`.
+    /// Handles the lack of an answer to a query for the endpoint list sent at `queried_at`.
     fn on_view_lost(&mut self, _now: f64, _queried_at: f64) {}
 
-    /// An invocation was admitted.
+    /// Handles an admitted invocation.
     fn on_invocation(&mut self, now: f64, invocation: &Invocation, actions: &mut dyn Actions);
 
-    /// A dispatch has ended.
+    /// Handles the result of a dispatch.
     fn on_dispatch_result(&mut self, now: f64, result: &DispatchResult, actions: &mut dyn Actions);
 
-    /// The response of a dispatch has begun to stream to the client.
+    /// Handles the start of a response that streams to the client.
     fn on_response_started(
         &mut self,
         now: f64,
@@ -72,10 +74,10 @@
         actions: &mut dyn Actions,
     );
 
-    /// The client of an invocation has gone away.
+    /// Handles a cancellation by the client. The engine also uses it for overdue invocations that it failed itself.
     fn on_client_cancel(&mut self, now: f64, invocation: u32, actions: &mut dyn Actions);
 
-    /// A load command has ended.
+    /// Handles the result of a load command.
     fn on_load_result(
         &mut self,
         now: f64,
@@ -85,26 +87,26 @@
         actions: &mut dyn Actions,
     );
 
-    /// Requests replicas ahead of invocations; returns how many executors are known to serve the function.
+    /// Requests replicas ahead of invocations; returns the number of executors that are known to serve the function.
     fn prewarm(&mut self, now: f64, request: &PrewarmRequest, actions: &mut dyn Actions) -> usize;
 
-    /// A timer that the policy has set is due.
+    /// Handles the expiry of a timer that the policy has set.
     fn on_timer(&mut self, now: f64, actions: &mut dyn Actions);
 
-    /// Every open invocation has to be answered by `deadline`.
+    /// Starts the shutdown: every open invocation has to be answered by `deadline`.
     fn begin_shutdown(&mut self, _now: f64, _deadline: f64, _actions: &mut dyn Actions) {}
 
-    /// Whether a dispatch may still be sent as its bytes leave.
+    /// Whether a dispatch may still be sent. The host asks immediately before it sends the bytes.
     fn revalidate_dispatch(&mut self, _now: f64, _invocation: u32, _dispatch: u8) -> bool {
         true
     }
 
-    /// Whether a load command that was decided on at `decided_at` may still be sent.
+    /// Whether a load command that the policy decided on at `decided_at` may still be sent.
     fn revalidate_load(&mut self, _now: f64, _executor: ExecutorId, _decided_at: f64) -> bool {
         true
     }
 
-    /// Entries in the policy's tables.
+    /// The number of entries in each of the policy's tables.
     fn table_sizes(&self) -> TableSizes {
         TableSizes::default()
     }
--- a/crates/engine/src/stall_detector.rs
+++ b/crates/engine/src/stall_detector.rs
@@ -1,31 +1,31 @@
-//! Detects process stalls: times in which the process did not run, because it was stopped or had no processor.
+//! Detects process stalls: periods in which the process did not run because it was stopped or got no CPU time.
 
-/// Two observations of the clock that are further apart than this, in seconds, mean that the process did not run. Its
-/// host observes the clock at least every [`MAX_OBSERVATION_INTERVAL`].
+/// Two consecutive clock observations further apart than this, in seconds, count as a stall. The host of a running
+/// process observes the clock at least every [`MAX_OBSERVATION_INTERVAL`].
 pub const STALL_THRESHOLD: f64 = 0.25;
-/// The longest time between two observations of a process that runs, in seconds.
+/// The maximum time between two clock observations of a running process, in seconds.
 pub const MAX_OBSERVATION_INTERVAL: f64 = 0.05;
-/// Bytes that are read within this time after a stall, in seconds, may have arrived at its beginning.
+/// Bytes read within this time after a stall, in seconds, may have arrived as early as the beginning of the stall.
 const CATCH_UP_TIME: f64 = 0.05;
 
-/// A stall, in seconds of the host's clock.
+/// The beginning and end of a stall, in seconds on the host's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Stall {
     from: f64,
     until: f64,
 }
 
-/// Detects stalls by the times at which the clock is observed.
+/// Detects stalls by the gaps between clock observations.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     observed_at: f64,
     latest: Option<Stall>,
-    /// The length of the longest stall that was not taken yet.
+    /// The duration of the longest stall since the last call of [`StallDetector::take_longest_stall`].
     unreported: Option<f64>,
 }
 
 impl StallDetector {
-    /// A detector whose first observation is now.
+    /// Creates a detector with a first observation at `now`.
     pub fn new(now: f64) -> StallDetector {
         StallDetector {
             observed_at: now,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The host observes its clock.
+    /// Records a clock observation.
     pub fn observe(&mut self, now: f64) {
         let from = std::mem::replace(&mut self.observed_at, now);
         let gap = now - from;
@@ -44,10 +44,11 @@
         }
     }
 
-    /// The earliest time at which bytes that are read now may have arrived.
+    /// The earliest time at which bytes that are read at `now` may have arrived: the beginning of a recent stall, or
+    /// `now`.
     ///
-    /// Failure mode: after a stall nobody knows how long bytes have waited, and client deadlines would be counted from
-    /// its end. Risk: a client whose bytes have just arrived gets less time.
+    /// Failure mode: after a stall it is unknown how long bytes have waited in the socket, and client timeouts would
+    /// count from the end of the stall. Risk: a client whose bytes arrived after the stall gets less time.
     pub fn earliest_arrival(&self, now: f64) -> f64 {
         match self.latest {
             Some(stall) if now < stall.until + CATCH_UP_TIME => stall.from,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The longest stall since this was last called, in seconds, if there was one.
+    /// Returns the duration of the longest stall since the last call, in seconds; `None` if there was no stall.
     pub fn take_longest_stall(&mut self) -> Option<f64> {
         self.unreported.take()
     }
--- a/crates/engine/src/transport_outcome.rs
+++ b/crates/engine/src/transport_outcome.rs
@@ -1,24 +1,25 @@
-//! What the end of a dispatch proves. This is the one place that separates dispatches that never ran from those that
-//! may have run.
+//! The outcomes of a dispatch on its connection, and their classification. [`dispatch_status`] alone decides which
+//! dispatches provably never ran and which may have run.
 
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 
-/// How a dispatch ended on its connection, as the transport saw it.
+/// The end of a dispatch as the transport observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransportOutcome {
-    /// The executor's response, which was read completely.
+    /// The executor's response was read completely.
     Answered(DispatchStatus),
-    /// No connection was made in time: refused, unreachable, or no handshake.
+    /// No connection could be established in time: it was refused, the host was unreachable, or the handshake did not
+    /// complete.
     NoConnection,
-    /// This machine could not open a connection, which says nothing about the executor.
+    /// This machine lacked the resources to open a connection, which says nothing about the executor.
     NoLocalResource,
-    /// All connections that may be opened stayed full for the time that a dispatch waits for them.
+    /// All permitted connections to the executor stayed full for as long as a dispatch may wait.
     Saturated,
     /// The connection broke before a byte of the dispatch was handed to the kernel.
     NothingWritten,
     /// The peer refused the stream without processing it (REFUSED_STREAM).
     StreamRefused,
-    /// The closing peer named a lower stream as the last that it processes (GOAWAY).
+    /// The peer closed the connection and named a lower last stream id (GOAWAY), so that it did not process the stream.
     AboveLastStreamId,
     /// The stream was reset for any other reason.
     StreamReset,
@@ -26,16 +27,19 @@
     ConnectionLost,
     /// The response could not be decoded. The executor is reachable, and may have run the dispatch.
     MalformedResponse,
-    /// The connection was closed because of another dispatch, while the executor's other connections are open.
+    /// This front end closed the connection because of another dispatch, while other connections to the executor stay
+    /// open.
     ClosedForOtherDispatch,
     /// No response came in time.
     TimedOut,
-    /// It was withdrawn before it was handed to a connection.
+    /// The dispatch was withdrawn before it was passed to a connection.
     NeverSent,
 }
 
-/// The status of a dispatch. Only two kinds of proof let it count as never run: a response that says so, and a dispatch
-/// that the peer can't have processed. An end of file proves nothing: the bytes may have been read before it.
+/// Returns the status of a dispatch with a given outcome.
+///
+/// A dispatch counts as never run only if the executor's response says so or the peer can't have processed it. An end
+/// of file proves neither, because the executor may have read the dispatch before it closed the connection.
 pub fn dispatch_status(outcome: TransportOutcome) -> DispatchStatus {
     match outcome {
         TransportOutcome::Answered(status) => status,
@@ -45,7 +49,7 @@
         TransportOutcome::Saturated
         | TransportOutcome::StreamRefused
         | TransportOutcome::AboveLastStreamId => DispatchStatus::Full,
-        // Not a reset, which would suggest that the executor has restarted.
+        // `Reset` would suggest that the executor has restarted.
         TransportOutcome::MalformedResponse => DispatchStatus::Error,
         TransportOutcome::ClosedForOtherDispatch => DispatchStatus::Cancelled,
         TransportOutcome::StreamReset | TransportOutcome::ConnectionLost => DispatchStatus::Reset,
