--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -11,8 +11,8 @@
     Failed,
 }
 
-/// Carries out the engine's actions. An action takes effect immediately; its result is reported to the engine in a later
-/// call, never from within the callback. Durations are in seconds.
+/// Carries out the engine's actions. An action takes effect immediately; its result is reported to the engine in a
+/// later call, never from within the callback. Durations are in seconds.
 pub trait Host {
     /// Notifies the host that an invocation was admitted under this id, before any action for it.
     fn admitted(&mut self, invocation: u32);
--- a/crates/engine/tests/clock.rs
+++ b/crates/engine/tests/clock.rs
@@ -1,9 +1,9 @@
-//! The engine's clock beside a wall clock that is stepped.
+//! The engine's clock when the wall clock is stepped.
 
 use orchidtally_engine::clock::Clock;
 
 #[test]
-fn a_wall_clock_stepped_by_a_minute_neither_steps_nor_stops_the_time() {
+fn the_clock_neither_steps_nor_stops_if_the_wall_clock_is_stepped_by_a_minute() {
     for step in [-60.0, 60.0] {
         let mut clock = Clock::new(100.0, 1_000_000.0);
         let mut last = clock.read(100.0);
@@ -18,7 +18,7 @@
         }
         assert!(
             (last - 1_000_600.0).abs() < 0.31,
-            "put right by half a thousandth: {last}"
+            "corrected by at most 0.05 % of the elapsed time: {last}"
         );
         assert!(clock.wall_clock_lag().abs() > 59.0);
     }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,11 +1,12 @@
-//! The engine under any order of results, deadlines and cancellations: one final answer per invocation, in time.
+//! The engine gives exactly one final answer per invocation, by its timeout, for any order of results, deadlines and
+//! cancellations.
 
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// Records the engine's actions and checks each as it comes.
+/// Records the engine's actions and checks each when it is taken.
 #[derive(Default)]
 struct RecordingHost {
     dispatches: Vec<(u32, u8, ExecutorId)>,
@@ -16,7 +17,7 @@
 }
 
 impl RecordingHost {
-    fn answer(&mut self, invocation: u32) {
+    fn record_answer(&mut self, invocation: u32) {
         assert!(
             !self.answered.contains(&invocation),
             "{invocation} was answered twice"
@@ -27,37 +28,40 @@
 
 impl Host for RecordingHost {
     fn admitted(&mut self, invocation: u32) {
-        assert!(!self.answered.contains(&invocation), "an id used twice");
+        assert!(
+            !self.answered.contains(&invocation),
+            "the id was used before"
+        );
     }
-    fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, within: f64) {
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, timeout: f64) {
         assert!(
-            within > 0.0 && !self.answered.contains(&invocation),
-            "{invocation} dispatched after its answer"
+            timeout > 0.0 && !self.answered.contains(&invocation),
+            "{invocation} was dispatched after its answer"
         );
         assert!(
             !self
                 .dispatches
                 .iter()
-                .any(|o| (o.0, o.1) == (invocation, dispatch)),
-            "a dispatch number used twice"
+                .any(|sent| (sent.0, sent.1) == (invocation, dispatch)),
+            "the dispatch number was used before"
         );
-        self.dispatches.push((invocation, dispatch, to));
+        self.dispatches.push((invocation, dispatch, executor));
     }
     fn cancel(&mut self, invocation: u32, dispatch: u8) {
         self.cancelled.push((invocation, dispatch));
     }
     fn succeeded(&mut self, invocation: u32, _: u8) {
-        self.answer(invocation);
+        self.record_answer(invocation);
     }
     fn rejected(&mut self, invocation: u32, _: f64, _: bool) {
-        self.answer(invocation);
+        self.record_answer(invocation);
     }
-    fn failed(&mut self, invocation: u32, cause: FailureReason, may_have_run: bool) {
-        self.answer(invocation);
-        self.failures.push((invocation, cause, may_have_run));
+    fn failed(&mut self, invocation: u32, reason: FailureReason, may_have_run: bool) {
+        self.record_answer(invocation);
+        self.failures.push((invocation, reason, may_have_run));
     }
-    fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
-        self.load_commands.push((to, function));
+    fn load(&mut self, executor: ExecutorId, function: u64, _: u8) {
+        self.load_commands.push((executor, function));
     }
     fn query_replicas(&mut self, _: ExecutorId, _: u64) {}
     fn unload(&mut self, _: ExecutorId, _: u64) {}
@@ -65,14 +69,14 @@
     fn subscribe_to_endpoints(&mut self) {}
 }
 
-fn policy(allows_hedging: bool) -> PolicyConfig {
-    let make_type = |effect| TriggerType {
+fn config(allows_hedging: bool) -> PolicyConfig {
+    let make_type = |idempotency| TriggerType {
         latency_objective: 1.0,
         objective_work_factor: 0.0,
         client_timeout: 4.0,
         billed_value: 1.0,
         late_value_fraction: 0.2,
-        idempotency: effect,
+        idempotency,
         deduplication_scope: DeduplicationScope::All,
         deduplication_window: 2.0,
     };
@@ -94,17 +98,17 @@
     }
 }
 
-fn executor(x: u8) -> ExecutorId {
+fn executor_id(number: u8) -> ExecutorId {
     ExecutorId(
-        std::net::Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 0, x.into()).into(),
+        std::net::Ipv6Addr::new(0xfd00, 0, 0, 0, 0, 0, 0, number.into()).into(),
         7000,
     )
 }
 
 fn engine(allows_hedging: bool, host: &mut RecordingHost) -> Engine {
-    let mut engine = Engine::new(policy(allows_hedging), 1_000, 5, 10.0, host);
-    let endpoint = |x| Endpoint {
-        executor: executor(x),
+    let mut engine = Engine::new(config(allows_hedging), 1_000, 5, 10.0, host);
+    let endpoint = |number| Endpoint {
+        executor: executor_id(number),
         zone: 0,
         kind: 0,
         cell: 0,
@@ -136,17 +140,19 @@
 }
 
 #[test]
-fn each_invocation_gets_one_answer_in_time_whatever_races() {
-    let config = Config {
+fn each_invocation_gets_one_answer_by_its_timeout_in_any_race() {
+    let runner_config = Config {
         cases: 300,
         failure_persistence: None,
         ..Config::default()
     };
-    let mut runner =
-        TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]));
+    let mut runner = TestRunner::new_with_rng(
+        runner_config,
+        TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]),
+    );
     let step = (0u8..8, any::<usize>(), any::<usize>(), 0.0f64..0.4);
-    let play = (any::<bool>(), prop::collection::vec(step, 1..150));
-    let outcome = runner.run(&play, |(allows_hedging, steps)| {
+    let inputs = (any::<bool>(), prop::collection::vec(step, 1..150));
+    let outcome = runner.run(&inputs, |(allows_hedging, steps)| {
         let mut host = RecordingHost::default();
         let mut engine = engine(allows_hedging, &mut host);
         let (mut now, mut timeouts, mut cancelled_by_client) = (10.0, vec![], vec![]);
@@ -158,10 +164,10 @@
             DispatchStatus::ConnectFailed,
             DispatchStatus::Ok,
         ];
-        for (what, a, b, later) in steps {
-            match what {
+        for (action, a, b, delay) in steps {
+            match action {
                 0..=2 => {
-                    let timeout_at = now + 0.1 + later * 5.0;
+                    let timeout_at = now + 0.1 + delay * 5.0;
                     let invocation = engine
                         .admit(now, &request(a % 2, timeout_at), &mut host)
                         .unwrap();
@@ -170,7 +176,7 @@
                 }
                 3..=5 if !host.dispatches.is_empty() => {
                     let (invocation, n, _) = host.dispatches[a % host.dispatches.len()];
-                    // Also for dispatches that ended, were cancelled, or whose invocation is over.
+                    // The dispatch may have ended, been cancelled, or belong to an answered invocation.
                     engine.on_dispatch_result(
                         now,
                         invocation,
@@ -189,7 +195,7 @@
                 }
                 _ => {}
             }
-            let until = now + later;
+            let until = now + delay;
             while engine.next_deadline() <= until {
                 now = engine.next_deadline().max(now);
                 engine.run_due_timers(now, &mut host);
@@ -205,15 +211,15 @@
         prop_assert_eq!(
             engine.counters().overdue,
             0,
-            "the module answers in time by itself"
+            "the policy answers in time by itself"
         );
-        let t = engine.counters();
+        let counters = engine.counters();
         prop_assert_eq!(
-            t.admitted,
-            t.succeeded
-                + t.rejected
-                + t.failed
-                + t.cancelled_by_client
+            counters.admitted,
+            counters.succeeded
+                + counters.rejected
+                + counters.failed
+                + counters.cancelled_by_client
                 + engine.open_invocations() as u64
         );
         Ok(())
@@ -222,7 +228,7 @@
 }
 
 #[test]
-fn an_answer_and_the_timeout_in_one_turn_give_one_answer() {
+fn a_result_and_a_timeout_at_the_same_time_give_one_answer() {
     for answer_first in [true, false] {
         let mut host = RecordingHost::default();
         let mut engine = engine(false, &mut host);
@@ -252,10 +258,10 @@
 }
 
 #[test]
-fn of_two_copies_that_succeed_the_first_answers_and_the_other_is_cancelled() {
+fn of_two_hedged_dispatches_the_first_success_answers_and_the_other_is_cancelled() {
     let mut host = RecordingHost::default();
     let mut engine = engine(true, &mut host);
-    // Warms two executors, so that a copy has somewhere to go.
+    // Warms two executors, so that a hedged dispatch has a second executor to go to.
     for n in 0..6 {
         let invocation = engine.admit(10.0, &request(0, 14.0), &mut host).unwrap();
         assert_eq!(invocation, n);
@@ -274,8 +280,8 @@
         let &(invocation, n, _) = host
             .dispatches
             .iter()
-            .rfind(|o| !host.answered.contains(&o.0))
-            .expect("all were sent");
+            .rfind(|dispatch| !host.answered.contains(&dispatch.0))
+            .expect("every open invocation was dispatched");
         engine.on_dispatch_result(
             10.3,
             invocation,
@@ -287,22 +293,29 @@
     }
     let invocation = engine.admit(11.0, &request(0, 14.0), &mut host).unwrap();
     let mut now = 11.0;
-    while host.dispatches.iter().filter(|o| o.0 == invocation).count() < 2 && now < 13.5 {
+    while host
+        .dispatches
+        .iter()
+        .filter(|dispatch| dispatch.0 == invocation)
+        .count()
+        < 2
+        && now < 13.5
+    {
         now = engine.next_deadline();
         engine.run_due_timers(now, &mut host);
     }
-    let copies: Vec<_> = host
+    let dispatches: Vec<_> = host
         .dispatches
         .iter()
-        .filter(|o| o.0 == invocation)
+        .filter(|dispatch| dispatch.0 == invocation)
         .copied()
         .collect();
     assert_eq!(
-        copies.len(),
+        dispatches.len(),
         2,
-        "a silent executor's work gets a second copy"
+        "an unresponsive executor's invocation is dispatched a second time"
     );
-    assert_ne!(copies[0].2, copies[1].2);
+    assert_ne!(dispatches[0].2, dispatches[1].2);
     engine.on_dispatch_result(
         now,
         invocation,
@@ -327,12 +340,12 @@
 }
 
 #[test]
-fn what_is_past_the_bound_is_refused_and_forgotten() {
+fn invocations_over_the_limit_are_refused_and_not_stored() {
     let mut host = RecordingHost::default();
     let mut engine = engine(false, &mut host);
     for n in 0..200_000 {
-        let taken = engine.admit(10.0, &request(0, 13.0), &mut host);
-        assert_eq!(taken.is_ok(), n < 1_000);
+        let admitted = engine.admit(10.0, &request(0, 13.0), &mut host);
+        assert_eq!(admitted.is_ok(), n < 1_000);
     }
     assert_eq!(
         (engine.open_invocations(), engine.counters().not_admitted),
@@ -343,7 +356,7 @@
         now = engine.next_deadline();
         engine.run_due_timers(now, &mut host);
     }
-    assert!(now <= 13.0, "all were answered by {now}");
+    assert!(now <= 13.0, "the last answer came at {now}");
     assert_eq!(host.answered.len(), 1_000);
     engine.start_draining();
     assert_eq!(
@@ -352,33 +365,36 @@
     );
 }
 
-/// A change of trigger types and shares goes through to what decides; the engine tells what is in use.
+/// The engine passes changes of trigger types and quotas to the policy, except for trigger types in use.
 #[test]
-fn trigger_types_change_only_while_no_invocation_is_of_them() {
+fn a_trigger_type_can_only_be_replaced_while_no_invocation_uses_it() {
     let mut host = RecordingHost::default();
     let mut engine = engine(false, &mut host);
-    let make_type = policy(false).trigger_types[1].clone();
+    let trigger_type = config(false).trigger_types[1].clone();
     let invocation = engine
         .admit(100.0, &request(0, 104.0), &mut host)
-        .expect("there is room");
+        .expect("the limit is not reached");
     assert!(engine.uses_trigger_type(0) && !engine.uses_trigger_type(1));
     assert_eq!(
-        engine.set_trigger_type(100.0, 0, make_type.clone()),
+        engine.set_trigger_type(100.0, 0, trigger_type.clone()),
         Err(ConfigError::InUse { index: 0 })
     );
-    assert_eq!(engine.set_trigger_type(100.0, 2, make_type.clone()), Ok(()));
     assert_eq!(
-        engine.set_trigger_type(100.0, 4, make_type.clone()),
+        engine.set_trigger_type(100.0, 2, trigger_type.clone()),
+        Ok(())
+    );
+    assert_eq!(
+        engine.set_trigger_type(100.0, 4, trigger_type.clone()),
         Err(ConfigError::OutOfOrder { index: 4, next: 3 })
     );
     engine.on_client_cancel(100.1, invocation, &mut host);
-    // Its dispatch, if there was one, was cancelled and told so to the module.
+    // The cancellation of its dispatch, if there was one, was reported to the policy.
     engine.run_due_timers(110.0, &mut host);
     assert!(
         !engine.uses_trigger_type(0),
-        "nothing is out and the client is gone"
+        "no dispatch is in flight and the client has cancelled"
     );
-    assert_eq!(engine.set_trigger_type(110.0, 0, make_type), Ok(()));
+    assert_eq!(engine.set_trigger_type(110.0, 0, trigger_type), Ok(()));
     assert_eq!(
         engine.set_quotas(110.0, vec![-1.0]),
         Err(ConfigError::InvalidQuota { customer: 0 })
--- a/crates/engine/tests/transport_outcome.rs
+++ b/crates/engine/tests/transport_outcome.rs
@@ -1,10 +1,10 @@
-//! Which ends of a dispatch prove that it never ran, and which may mean that the executor has restarted.
+//! Which outcomes prove that a dispatch never ran, and which suggest that the executor has restarted.
 
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 use orchidtally_engine::transport_outcome::{TransportOutcome, dispatch_status};
 
 #[test]
-fn only_proofs_count_as_never_run() {
+fn only_provably_unprocessed_dispatches_count_as_never_run() {
     let table = [
         (TransportOutcome::Answered(DispatchStatus::Ok), false),
         (TransportOutcome::Answered(DispatchStatus::Error), false),
@@ -22,20 +22,28 @@
         (TransportOutcome::TimedOut, false),
         (TransportOutcome::NeverSent, true),
     ];
-    for (seen, never_ran) in table {
-        assert_eq!(dispatch_status(seen).never_ran(), never_ran, "{seen:?}");
-        // Only these say that the executor may have just started anew, cold: one whose answer was spoilt, or
-        // that has other connections standing, is there.
-        let may_be_new = [
+    for (outcome, never_ran) in table {
+        assert_eq!(
+            dispatch_status(outcome).never_ran(),
+            never_ran,
+            "{outcome:?}"
+        );
+        // Only these outcomes suggest that the executor has restarted and is cold. An executor that sent a malformed
+        // response or keeps other connections open is still running.
+        let restart_outcomes = [
             TransportOutcome::NoConnection,
             TransportOutcome::NothingWritten,
             TransportOutcome::StreamReset,
             TransportOutcome::ConnectionLost,
         ];
         let may_be_restarted = matches!(
-            dispatch_status(seen),
+            dispatch_status(outcome),
             DispatchStatus::Reset | DispatchStatus::ConnectFailed
         );
-        assert_eq!(may_be_restarted, may_be_new.contains(&seen), "{seen:?}");
+        assert_eq!(
+            may_be_restarted,
+            restart_outcomes.contains(&outcome),
+            "{outcome:?}"
+        );
     }
 }
