--- a/crates/engine/examples/decision_cost/fleet.rs
+++ b/crates/engine/examples/decision_cost/fleet.rs
@@ -1,6 +1,6 @@
-//! Settings and endpoints of the measured front end, and how the endpoint list changes.
+//! The configuration and the endpoints of the measured front end, and the changes of the endpoint list.
 
-use crate::scenario::Day;
+use crate::scenario::Workload;
 use crate::simulation::{KEEP_ALIVE, Simulation};
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::Engine;
@@ -8,16 +8,16 @@
 const FRONT_ENDS: f64 = 550.0;
 pub const ZONES: u32 = 8;
 
-/// The settings of the measured front end.
-pub fn policy(day: Day, regions: u32) -> PolicyConfig {
-    let make_type = |effect, group| TriggerType {
+/// The configuration of the measured front end.
+pub fn config(workload: Workload, regions: u32) -> PolicyConfig {
+    let make_type = |idempotency, deduplication_scope| TriggerType {
         latency_objective: 1.0,
         objective_work_factor: 0.0,
         client_timeout: 5.0,
         billed_value: 1.0,
         late_value_fraction: 0.2,
-        idempotency: effect,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window: 2.0,
     };
     PolicyConfig {
@@ -42,7 +42,7 @@
         slow_start_initial_weight: 0.2,
         overload_factor: 2.0,
         overload_window: 1.0,
-        allows_load_commands: day != Day::Loaded,
+        allows_load_commands: workload != Workload::Loaded,
         keep_alive: KEEP_ALIVE,
         load_budget_floor: 20.0,
         load_budget_fraction: 0.5,
@@ -52,22 +52,22 @@
     }
 }
 
-/// An executor as the endpoint list tells of it.
-pub fn endpoint(day: Day, executor: u32, incarnation: u32, started_at: f64) -> Endpoint {
+/// The entry of an executor in the endpoint list.
+pub fn endpoint(workload: Workload, executor: u32, incarnation: u32, started_at: f64) -> Endpoint {
     Endpoint {
         executor: ExecutorId(
             std::net::Ipv4Addr::from(0x0a00_0000 + (incarnation << 16) + executor).into(),
             7000,
         ),
         zone: (executor % ZONES) as u8,
-        kind: if day == Day::Faults {
+        kind: if workload == Workload::Faults {
             (executor % 3) as u8
         } else {
             0
         },
         cell: (executor / 7) as u16,
         state: EndpointState::Ready,
-        weight: if day == Day::Faults {
+        weight: if workload == Workload::Faults {
             [1.0, 0.5, 2.0][(executor % 3) as usize]
         } else {
             1.0
@@ -76,7 +76,7 @@
     }
 }
 
-/// Changes the endpoint list, and tells the engine.
+/// Makes a random change to the endpoint list and reports it to the engine.
 pub fn change_endpoints(
     endpoints: &mut [Endpoint],
     engine: &mut Engine,
@@ -102,7 +102,12 @@
             cell: endpoints[executor].cell ^ 1,
             ..endpoints[executor].clone()
         },
-        d if d < 0.8 => endpoint(simulation.day, executor as u32, (now as u32) & 0xff, now),
+        d if d < 0.8 => endpoint(
+            simulation.workload,
+            executor as u32,
+            (now as u32) & 0xff,
+            now,
+        ),
         _ => Endpoint {
             state: EndpointState::Ready,
             ..endpoints[executor].clone()
--- a/crates/engine/examples/decision_cost/main.rs
+++ b/crates/engine/examples/decision_cost/main.rs
@@ -1,37 +1,45 @@
-//! CPU time of one front end's decisions by the number of executors, in simulated time, and a digest of all
-//! that was decided, by which two versions of the module are compared on the same seeds.
+//! Measures the CPU time of one front end's decisions by the number of executors, in simulated time. It also prints a
+//! digest of all decisions, by which two versions of the dispatch policy can be compared with the same seed.
 //!
 //! `cargo run --release -p orchidtally-engine --example decision_cost -- [NAME=VALUE ...]`
 //!
-//! Names are `seconds` (120), `seed` (1), `day` (`calm`, `loaded` or `faults`), `executors`
-//! (36,300,1000,3000), `rate` (182 calls a second), `exponent` (1.6, of Zipf's law over 21,000 functions) and
-//! `regions` (0: the front end is not told of any; else the eight zones are spread over so many).
-//! The front end is one of 550. CPU time is the thread's own (Linux only), of the second half, with the
-//! simulation's part in it.
+//! The names and their defaults are:
+//!
+//! - `seconds` (120): the simulated time
+//! - `seed` (1)
+//! - `day` (`calm`): the workload, which is `calm`, `loaded` or `faults`
+//! - `executors` (36,300,1000,3000)
+//! - `rate` (182): invocations per second
+//! - `exponent` (1.6): the exponent of Zipf's law over 21,000 functions
+//! - `regions` (0): the number of regions over which the eight zones are spread; 0 configures no regions
+//!
+//! The front end is one of 550. The CPU time is that of the thread in the second half of the run (Linux only) and
+//! includes the simulation.
 
 mod fleet;
 mod scenario;
 mod simulation;
 
-use fleet::{change_endpoints, endpoint, policy};
+use fleet::{change_endpoints, config, endpoint};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, EndpointUpdateKind};
 use orchidtally_dispatch_policy::random::SeededRandom;
 use orchidtally_engine::{Engine, InvocationRequest};
-use scenario::{Day, Scenario};
+use scenario::{Scenario, Workload};
 use simulation::{LOAD_TIME, Simulation};
 
 /// When the measurement begins, in seconds.
 const START: f64 = 1_000.0;
 const CLIENT_TIMEOUT: f64 = 5.0;
-/// Invocations that a replica runs at a time.
+/// The number of invocations that a replica runs at a time.
 const CONCURRENCY: f64 = 4.0;
-/// Invocations that may be open at a time.
+/// The number of invocations that may be open at a time.
 const MAX_OPEN: usize = 100_000;
-/// The time between two changes of the endpoint list, in seconds, on days with faults.
+/// The time between two changes of the endpoint list in seconds, with the workload [`Workload::Faults`].
 const CHANGE_INTERVAL: f64 = 0.5;
+/// The time of the first change after the start, in seconds.
 const FIRST_CHANGE: f64 = 2.0;
 
-/// The thread's CPU time, in seconds.
+/// The CPU time of the thread, in seconds.
 fn cpu_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanoseconds = stat
@@ -41,15 +49,15 @@
     nanoseconds.unwrap_or(f64::NAN) / 1e9
 }
 
-/// What was measured with one number of executors.
+/// The results for one number of executors.
 struct Measurement {
     microseconds_per_invocation: f64,
-    milliseconds_per_list: f64,
+    milliseconds_per_update: f64,
     simulation: Simulation,
     max_functions: usize,
 }
 
-/// One front end in simulated time.
+/// A simulation of one front end.
 struct Run<'a> {
     scenario: &'a Scenario,
     simulation: Simulation,
@@ -62,13 +70,16 @@
 impl Run<'_> {
     fn new(scenario: &Scenario, executors: u32) -> Run<'_> {
         let &Scenario {
-            day, seed, regions, ..
+            workload,
+            seed,
+            regions,
+            ..
         } = scenario;
-        let mut simulation = Simulation::new(day, START, seed);
-        let policy = policy(day, regions);
-        let mut engine = Engine::new(policy, MAX_OPEN, seed, START, &mut simulation);
+        let mut simulation = Simulation::new(workload, START, seed);
+        let config = config(workload, regions);
+        let mut engine = Engine::new(config, MAX_OPEN, seed, START, &mut simulation);
         let endpoints: Vec<Endpoint> = (0..executors)
-            .map(|executor| endpoint(day, executor, 0, f64::NEG_INFINITY))
+            .map(|executor| endpoint(workload, executor, 0, f64::NEG_INFINITY))
             .collect();
         engine.on_endpoint_update(START, EndpointUpdateKind::Full, &endpoints, &mut simulation);
         Run {
@@ -81,7 +92,7 @@
         }
     }
 
-    /// Plays all events and timers up to a time.
+    /// Handles all events and timers up to a time.
     fn advance_to(&mut self, until: f64) {
         loop {
             let event_at = self.simulation.next_event_at();
@@ -95,27 +106,27 @@
                 let now = self.simulation.now;
                 self.engine.run_due_timers(now, &mut self.simulation);
             } else if let Some(event) = self.simulation.pop_event() {
-                self.simulation.play(event, &mut self.engine);
+                self.simulation.handle_event(event, &mut self.engine);
             }
         }
         self.simulation.now = self.simulation.now.max(until);
     }
 
     fn change_endpoints_if_due(&mut self) {
-        if self.scenario.day == Day::Faults && self.simulation.now >= self.change_at {
+        if self.scenario.workload == Workload::Faults && self.simulation.now >= self.change_at {
             self.change_at = self.simulation.now + CHANGE_INTERVAL;
             change_endpoints(&mut self.endpoints, &mut self.engine, &mut self.simulation);
         }
     }
 
-    /// An invocation arrives, of a function drawn by the shares.
+    /// Admits an invocation of a random function, drawn according to the cumulative shares.
     fn admit(&mut self, arrivals: &mut SeededRandom, cumulative_shares: &[f64]) {
         let drawn = arrivals.unit();
         let function = cumulative_shares.partition_point(|&share| share <= drawn) as u64;
-        self.simulation.admitting = function;
+        self.simulation.admitting_function = function;
         let trigger_type = (arrivals.unit() * 4.0) as usize;
         let request = InvocationRequest {
-            trigger_type: if self.scenario.day == Day::Calm {
+            trigger_type: if self.scenario.workload == Workload::Calm {
                 0
             } else {
                 trigger_type
@@ -141,12 +152,12 @@
         self.max_functions = self.max_functions.max(functions);
     }
 
-    /// Milliseconds for a whole list in which one executor differs from the last.
-    fn measure_lists(&mut self) -> f64 {
-        const LISTS: u32 = 40;
+    /// The milliseconds for a full endpoint list in which one executor has changed.
+    fn measure_list_updates(&mut self) -> f64 {
+        const UPDATES: u32 = 40;
         let started = cpu_seconds();
-        for list in 0..LISTS {
-            let is_ready = list % 2 == 1;
+        for update in 0..UPDATES {
+            let is_ready = update % 2 == 1;
             self.endpoints[0].state = if is_ready {
                 EndpointState::Ready
             } else {
@@ -156,7 +167,7 @@
             self.engine
                 .on_endpoint_update(now, kind, &self.endpoints, &mut self.simulation);
         }
-        1e3 * (cpu_seconds() - started) / f64::from(LISTS)
+        1e3 * (cpu_seconds() - started) / f64::from(UPDATES)
     }
 }
 
@@ -184,20 +195,20 @@
     }
     Measurement {
         microseconds_per_invocation: 1e6 * (cpu_seconds() - started) / f64::from(invocations),
-        milliseconds_per_list: run.measure_lists(),
+        milliseconds_per_update: run.measure_list_updates(),
         simulation: run.simulation,
         max_functions: run.max_functions,
     }
 }
 
 fn main() {
-    let scenario = Scenario::from_arguments(std::env::args().skip(1)).unwrap_or_else(|fault| {
-        eprintln!("{fault}");
+    let scenario = Scenario::from_arguments(std::env::args().skip(1)).unwrap_or_else(|error| {
+        eprintln!("{error}");
         std::process::exit(2);
     });
     let cumulative_shares = scenario.cumulative_shares();
     println!(
-        "executors  us a call  growth  ms a list  decided  digest            succeeded  given up  loads  functions"
+        "executors   us/invoc  growth  ms/update  decided  digest            succeeded    failed  loads  functions"
     );
     let mut smallest = None;
     for &executors in &scenario.executors {
@@ -207,7 +218,7 @@
         let simulation = measured.simulation;
         println!(
             "{executors:>9}  {per_invocation:>9.2}  {growth:>6.2}  {:>9.2}  {:>7}  {:016x}  {:>9}  {:>8}  {:>5}  {:>9}",
-            measured.milliseconds_per_list,
+            measured.milliseconds_per_update,
             simulation.decisions,
             simulation.digest,
             simulation.succeeded,
--- a/crates/engine/examples/decision_cost/scenario.rs
+++ b/crates/engine/examples/decision_cost/scenario.rs
@@ -1,24 +1,25 @@
-//! What is measured, by the arguments.
+//! The scenario that the command line arguments describe.
 
 use crate::fleet::ZONES;
 
 const FUNCTIONS: usize = 21_000;
 
+/// The behaviour of the executors.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Day {
-    /// All executors alike, sound and idle.
+pub enum Workload {
+    /// All executors are identical, healthy and free of other load.
     Calm,
-    /// They report invocations of other front ends that wait.
+    /// Executors report waiting invocations of other front ends.
     Loaded,
-    /// They also differ in weight, drain, restart, fail and move.
+    /// In addition to the load, executors differ in weight, drain, restart, fail and change their cell.
     Faults,
 }
 
-/// What is measured.
+/// The parameters of a measurement.
 pub struct Scenario {
     pub seconds: f64,
     pub seed: u64,
-    pub day: Day,
+    pub workload: Workload,
     pub executors: Vec<u32>,
     pub rate: f64,
     pub exponent: f64,
@@ -26,13 +27,16 @@
 }
 
 impl Scenario {
-    /// Reads `NAME=VALUE` arguments.
+    /// Parses `NAME=VALUE` arguments.
+    ///
+    /// # Errors
+    /// Returns a message that names the invalid argument.
     pub fn from_arguments(arguments: impl Iterator<Item = String>) -> Result<Scenario, String> {
         let executors = vec![36, 300, 1_000, 3_000];
         let mut scenario = Scenario {
             seconds: 120.0,
             seed: 1,
-            day: Day::Calm,
+            workload: Workload::Calm,
             executors,
             rate: 182.0,
             exponent: 1.6,
@@ -41,7 +45,7 @@
         for argument in arguments {
             let (name, value) = argument
                 .split_once('=')
-                .ok_or(format!("{argument}: NAME=VALUE is wanted"))?;
+                .ok_or(format!("{argument}: expected NAME=VALUE"))?;
             let number = || value.parse::<f64>().map_err(|e| format!("{argument}: {e}"));
             match (name, value) {
                 ("seconds", _) => scenario.seconds = number()?,
@@ -49,22 +53,22 @@
                 ("rate", _) => scenario.rate = number()?,
                 ("exponent", _) => scenario.exponent = number()?,
                 ("regions", _) => scenario.regions = number()?.clamp(0.0, f64::from(ZONES)) as u32,
-                ("day", "calm") => scenario.day = Day::Calm,
-                ("day", "loaded") => scenario.day = Day::Loaded,
-                ("day", "faults") => scenario.day = Day::Faults,
+                ("day", "calm") => scenario.workload = Workload::Calm,
+                ("day", "loaded") => scenario.workload = Workload::Loaded,
+                ("day", "faults") => scenario.workload = Workload::Faults,
                 ("executors", _) => {
                     let all = value
                         .split(',')
                         .map(|n| n.parse().map_err(|e| format!("{argument}: {e}")));
                     scenario.executors = all.collect::<Result<_, _>>()?;
                 }
-                _ => return Err(format!("{argument}: there is no such name or value")),
+                _ => return Err(format!("{argument}: unknown name or value")),
             }
         }
         Ok(scenario)
     }
 
-    /// By the number of functions, the share that the first so many have in all invocations.
+    /// For each rank, the fraction of the invocations that the functions up to this rank have together.
     pub fn cumulative_shares(&self) -> Vec<f64> {
         let weights = (1..=FUNCTIONS).map(|n| (n as f64).powf(-self.exponent));
         let mut cumulative_shares: Vec<f64> = weights
--- a/crates/engine/examples/decision_cost/simulation.rs
+++ b/crates/engine/examples/decision_cost/simulation.rs
@@ -1,6 +1,6 @@
-//! Executors in simulated time: they carry out what the engine decides, and a digest of it is kept.
+//! Executors in simulated time, which carry out the engine's decisions.
 
-use crate::scenario::Day;
+use crate::scenario::Workload;
 use orchidtally_dispatch_policy::interface::{CopyState, DispatchStatus, ExecutorId};
 use orchidtally_dispatch_policy::random::{SeededRandom, rendezvous_hash};
 use orchidtally_dispatch_policy::state::Ordered;
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
-const ANSWER_TIME: f64 = 0.05;
+const MEAN_RESPONSE_TIME: f64 = 0.05;
 pub const LOAD_TIME: f64 = 0.3;
 pub const KEEP_ALIVE: f64 = 60.0;
 
@@ -22,25 +22,25 @@
         copy_state: CopyState,
     },
     LoadEnds {
-        to: ExecutorId,
+        executor: ExecutorId,
         function: u64,
         status: DispatchStatus,
     },
 }
 
-/// Performs what is decided, and keeps a digest of it.
+/// Carries out the decisions and computes a digest of them.
 pub struct Simulation {
-    pub day: Day,
+    pub workload: Workload,
     pub now: f64,
     pub digest: u64,
     pub decisions: u64,
-    next: u64,
-    due: BinaryHeap<Reverse<(Ordered, u64)>>,
+    next_key: u64,
+    event_queue: BinaryHeap<Reverse<(Ordered, u64)>>,
     pub events: BTreeMap<u64, Event>,
     pub functions: BTreeMap<u32, u64>,
-    pub admitting: u64,
-    /// When each copy stands and was last used.
-    copies: BTreeMap<(usize, u64), (f64, f64)>,
+    pub admitting_function: u64,
+    /// By executor and function, the time at which the replica is loaded and the time of its last use.
+    replicas: BTreeMap<(usize, u64), (f64, f64)>,
     pub random: SeededRandom,
     pub loads: u64,
     pub succeeded: u64,
@@ -48,18 +48,18 @@
 }
 
 impl Simulation {
-    pub fn new(day: Day, now: f64, seed: u64) -> Simulation {
+    pub fn new(workload: Workload, now: f64, seed: u64) -> Simulation {
         Simulation {
-            day,
+            workload,
             now,
             digest: 0xcbf2_9ce4_8422_2325,
             decisions: 0,
-            next: 0,
-            due: BinaryHeap::new(),
+            next_key: 0,
+            event_queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             functions: BTreeMap::new(),
-            admitting: 0,
-            copies: BTreeMap::new(),
+            admitting_function: 0,
+            replicas: BTreeMap::new(),
             random: SeededRandom::new(seed),
             loads: 0,
             succeeded: 0,
@@ -67,21 +67,21 @@
         }
     }
 
-    /// When the next event is due, in seconds; infinity if there is none.
+    /// The time of the next event in seconds; infinity if there is none.
     pub fn next_event_at(&self) -> f64 {
-        self.due
+        self.event_queue
             .peek()
             .map_or(f64::INFINITY, |Reverse((at, _))| at.0)
     }
 
-    /// Takes the next event.
+    /// Removes the next event.
     pub fn pop_event(&mut self) -> Option<Event> {
-        let Reverse((_, key)) = self.due.pop()?;
+        let Reverse((_, key)) = self.event_queue.pop()?;
         self.events.remove(&key)
     }
 
-    /// Ends a dispatch or a load, and reports it to the engine.
-    pub fn play(&mut self, event: Event, engine: &mut Engine) {
+    /// Ends a dispatch or a load and reports the result to the engine.
+    pub fn handle_event(&mut self, event: Event, engine: &mut Engine) {
         let now = self.now;
         match event {
             Event::DispatchEnds {
@@ -92,7 +92,7 @@
                 status,
                 copy_state,
             } => {
-                self.use_copy(executor, function);
+                self.use_replica(executor, function);
                 let metadata = ResponseMetadata {
                     copy_state,
                     function_concurrency: 0,
@@ -101,23 +101,23 @@
                 engine.on_dispatch_result(now, invocation, dispatch, status, metadata, self);
             }
             Event::LoadEnds {
-                to,
+                executor,
                 function,
                 status,
-            } => engine.on_load_result(now, to, function, status, self),
+            } => engine.on_load_result(now, executor, function, status, self),
         }
     }
 
-    /// Invocations of other front ends that an executor reports waiting.
+    /// The number of waiting invocations of other front ends that an executor reports.
     fn reported_backlog(&self, executor: usize) -> f32 {
-        if self.day == Day::Calm {
+        if self.workload == Workload::Calm {
             return 0.0;
         }
         let load = rendezvous_hash(executor as u64, (self.now / 3.0) as u64) % 8;
         load.saturating_sub(4) as f32
     }
 
-    fn note_decision(&mut self, values: &[u64]) {
+    fn record_decision(&mut self, values: &[u64]) {
         self.decisions += 1;
         for value in values {
             self.digest = (self.digest ^ value)
@@ -127,53 +127,54 @@
     }
 
     /// Schedules an event.
-    fn at(&mut self, at: f64, event: Event) {
-        self.next += 1;
-        self.due.push(Reverse((Ordered(at), self.next)));
-        self.events.insert(self.next, event);
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.next_key += 1;
+        self.event_queue.push(Reverse((Ordered(at), self.next_key)));
+        self.events.insert(self.next_key, event);
     }
 
-    /// When a copy stands at an executor, and whether that is now.
-    fn use_copy(&mut self, executor: usize, function: u64) -> (f64, bool) {
+    /// Uses the replica of a function at an executor, which is loaded if necessary. Returns the time from which it can
+    /// run an invocation, and whether it is loaded already.
+    fn use_replica(&mut self, executor: usize, function: u64) -> (f64, bool) {
         let now = self.now;
-        let copy = self
-            .copies
+        let replica = self
+            .replicas
             .entry((executor, function))
             .or_insert((0.0, f64::NEG_INFINITY));
-        if copy.1 + KEEP_ALIVE < now {
-            *copy = (now + LOAD_TIME, now);
+        if replica.1 + KEEP_ALIVE < now {
+            *replica = (now + LOAD_TIME, now);
             self.loads += 1;
         }
-        copy.1 = copy.0.max(now);
-        (copy.1, copy.0 <= now)
+        replica.1 = replica.0.max(now);
+        (replica.1, replica.0 <= now)
     }
 }
 
-fn number(ExecutorId(address, _): ExecutorId) -> u64 {
+fn address_as_number(ExecutorId(address, _): ExecutorId) -> u64 {
     match address {
         std::net::IpAddr::V4(a) => u64::from(u32::from(a)),
         std::net::IpAddr::V6(_) => 0,
     }
 }
 
-fn index(id: ExecutorId) -> usize {
-    (number(id) & 0xffff) as usize
+fn executor_index(id: ExecutorId) -> usize {
+    (address_as_number(id) & 0xffff) as usize
 }
 
 impl Host for Simulation {
     fn admitted(&mut self, invocation: u32) {
-        self.functions.insert(invocation, self.admitting);
+        self.functions.insert(invocation, self.admitting_function);
     }
-    fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, within: f64) {
-        self.note_decision(&[
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, timeout: f64) {
+        self.record_decision(&[
             1,
             invocation.into(),
             dispatch.into(),
-            number(to),
-            within.to_bits(),
+            address_as_number(executor),
+            timeout.to_bits(),
         ]);
-        let (executor, function) = (index(to), self.functions[&invocation]);
-        let drawn = if self.day == Day::Faults {
+        let (executor, function) = (executor_index(executor), self.functions[&invocation]);
+        let drawn = if self.workload == Workload::Faults {
             self.random.unit()
         } else {
             1.0
@@ -185,20 +186,20 @@
             d if d < 0.011 => DispatchStatus::ConnectFailed,
             _ => DispatchStatus::Ok,
         };
-        // Some hang.
-        if self.day == Day::Faults
+        // Some executors hang and never respond.
+        if self.workload == Workload::Faults
             && rendezvous_hash(executor as u64, (self.now / 20.0) as u64).is_multiple_of(97)
         {
             return;
         }
-        let (stands_at, warm) = self.use_copy(executor, function);
+        let (loaded_at, warm) = self.use_replica(executor, function);
         let copy_state = if warm {
             CopyState::Warm
         } else {
             CopyState::ColdLoad
         };
-        let at = stands_at + ANSWER_TIME * (0.5 + self.random.unit());
-        self.at(
+        let at = loaded_at + MEAN_RESPONSE_TIME * (0.5 + self.random.unit());
+        self.schedule(
             at,
             Event::DispatchEnds {
                 invocation,
@@ -211,32 +212,32 @@
         );
     }
     fn cancel(&mut self, invocation: u32, dispatch: u8) {
-        self.note_decision(&[2, invocation.into(), dispatch.into()]);
+        self.record_decision(&[2, invocation.into(), dispatch.into()]);
     }
     fn succeeded(&mut self, _: u32, _: u8) {
         self.succeeded += 1;
     }
     fn rejected(&mut self, invocation: u32, retry_after: f64, _: bool) {
-        self.note_decision(&[3, invocation.into(), retry_after.to_bits()]);
+        self.record_decision(&[3, invocation.into(), retry_after.to_bits()]);
         self.failed_invocations += 1;
     }
     fn failed(&mut self, invocation: u32, _: FailureReason, _: bool) {
-        self.note_decision(&[4, invocation.into()]);
+        self.record_decision(&[4, invocation.into()]);
         self.failed_invocations += 1;
     }
-    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.note_decision(&[5, number(to), function, copies.into()]);
-        let (stands_at, _) = self.use_copy(index(to), function);
-        let failed = self.day == Day::Faults && self.random.unit() < 0.01;
+    fn load(&mut self, executor: ExecutorId, function: u64, replicas: u8) {
+        self.record_decision(&[5, address_as_number(executor), function, replicas.into()]);
+        let (loaded_at, _) = self.use_replica(executor_index(executor), function);
+        let failed = self.workload == Workload::Faults && self.random.unit() < 0.01;
         let status = if failed {
             DispatchStatus::ConnectFailed
         } else {
             DispatchStatus::Ok
         };
-        self.at(
-            stands_at,
+        self.schedule(
+            loaded_at,
             Event::LoadEnds {
-                to,
+                executor,
                 function,
                 status,
             },
