--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -170,7 +170,7 @@
         return Err(COULD_NOT_RUN);
     }
     let is_found = match messages {
-        Some(messages) if rule == 6 => messages.effects_twice > 0,
+        Some(messages) if rule == 6 => messages.repeated_executions > 0,
         _ => verdict
             .rules
             .iter()
--- a/crates/cli/src/rehearse/report.rs
+++ b/crates/cli/src/rehearse/report.rs
@@ -142,7 +142,7 @@
 fn print_messages(messages: &MessageReport) {
     println!(
         "messages: {} published, {} answers, {} of them of unknown outcome",
-        messages.messages, messages.answers, messages.unknown_outcome
+        messages.messages, messages.answers, messages.unknown_outcomes
     );
     for violation in &messages.examples {
         println!("  {violation}");
--- a/crates/engine/benches/spread.rs
+++ b/crates/engine/benches/spread.rs
@@ -75,9 +75,9 @@
                 report.herds,
                 report.last_herd.unwrap_or(f64::NAN),
                 report.idle_beside_queue,
-                report.peak_over_fair,
-                report.copies,
-                report.copies_elsewhere,
+                report.peak_to_fair_share,
+                report.loaded_replicas,
+                report.replicas_loaded_elsewhere,
                 world.within_objective as f64 / invocations
             );
         }
--- a/crates/engine/tests/spread.rs
+++ b/crates/engine/tests/spread.rs
@@ -71,11 +71,11 @@
         "{in_time} in time, {policy_report:?}"
     );
     assert!(
-        policy_report.copies * 4 < random_report.copies,
+        policy_report.loaded_replicas * 4 < random_report.loaded_replicas,
         "{policy_report:?}, random: {random_report:?}"
     );
     assert!(
-        policy_report.peak_over_fair < 2.5 && policy_report.idle_beside_queue < 0.2,
+        policy_report.peak_to_fair_share < 2.5 && policy_report.idle_beside_queue < 0.2,
         "{policy_report:?}"
     );
 }
--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -16,16 +16,20 @@
     /// Answers that were received.
     pub answers: u64,
     /// Messages with more than one answer.
-    pub answered_twice: u64,
+    #[serde(rename = "answered_twice")]
+    pub repeated_answers: u64,
     /// Messages without an answer.
     pub unanswered: u64,
     /// Non-idempotent messages that ran more than once.
-    pub effects_twice: u64,
+    #[serde(rename = "effects_twice")]
+    pub repeated_executions: u64,
     /// Answers that report an unknown outcome.
-    pub unknown_outcome: u64,
+    #[serde(rename = "unknown_outcome")]
+    pub unknown_outcomes: u64,
     /// Answers that contradict the executors' records: a success without an execution, a rejection although a message
     /// that is not idempotent ran, or an unknown outcome for an idempotent message.
-    pub untrue: u64,
+    #[serde(rename = "untrue")]
+    pub contradictory_answers: u64,
     /// Descriptions of the first violations.
     #[serde(skip)]
     pub examples: Vec<String>,
@@ -34,7 +38,11 @@
 impl MessageReport {
     /// Whether no violation was found.
     pub fn holds(&self) -> bool {
-        self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
+        self.repeated_answers
+            + self.unanswered
+            + self.repeated_executions
+            + self.contradictory_answers
+            == 0
     }
 
     fn add_violation(&mut self, description: String) {
@@ -52,7 +60,7 @@
             }
             [_] => {}
             several => {
-                self.answered_twice += 1;
+                self.repeated_answers += 1;
                 self.add_violation(format!(
                     "{invocation} was answered more than once: {}",
                     several.join(", then ")
@@ -68,7 +76,7 @@
         idempotency: Option<Idempotency>,
         runs: u64,
     ) {
-        self.unknown_outcome += u64::from(outcome == "unknown");
+        self.unknown_outcomes += u64::from(outcome == "unknown");
         let is_consistent = match outcome {
             "succeeded" => runs > 0,
             "throttled" => runs == 0 || idempotency == Some(Idempotency::Idempotent),
@@ -76,7 +84,7 @@
             _ => true,
         };
         if !is_consistent {
-            self.untrue += 1;
+            self.contradictory_answers += 1;
             self.add_violation(format!(
                 "{invocation} was answered '{outcome}' but ran {runs} times"
             ));
@@ -121,7 +129,7 @@
         let idempotency = known.map(|known| known.idempotency);
         let runs = runs.get(invocation.as_str()).copied().unwrap_or(0);
         if idempotency == Some(Idempotency::NonIdempotent) && runs > 1 {
-            report.effects_twice += 1;
+            report.repeated_executions += 1;
             report.add_violation(format!("{invocation} ran {runs} times"));
         }
         let outcomes = outcomes
--- a/crates/invariants/src/rules/idempotency.rs
+++ b/crates/invariants/src/rules/idempotency.rs
@@ -36,7 +36,7 @@
 struct Observations<'r> {
     dispatches: HashMap<&'r str, Vec<Dispatch>>,
     /// The invocations in the order of their first dispatch.
-    order: Vec<&'r str>,
+    invocations: Vec<&'r str>,
     trigger_types: HashMap<&'r str, &'r TriggerType>,
     /// The idempotency key of each invocation that has one.
     idempotency_keys: HashMap<&'r str, &'r str>,
@@ -74,7 +74,7 @@
                     self.idempotency_keys.insert(invocation, idempotency_key);
                 }
                 if !self.dispatches.contains_key(invocation.as_str()) {
-                    self.order.push(invocation);
+                    self.invocations.push(invocation);
                 }
                 let dispatch = Dispatch {
                     at: *at,
@@ -165,7 +165,7 @@
     }
 
     fn check_invocations(&mut self) {
-        for invocation in std::mem::take(&mut self.observations.order) {
+        for invocation in std::mem::take(&mut self.observations.invocations) {
             let Some(&trigger_type) = self.observations.trigger_types.get(invocation) else {
                 continue;
             };
--- a/crates/invariants/src/spread.rs
+++ b/crates/invariants/src/spread.rs
@@ -28,11 +28,14 @@
     /// The fraction of the executors' ready time in which an executor was idle while another had a long queue.
     pub idle_beside_queue: f64,
     /// The highest ratio of an executor's dispatches to its fair share in each second, averaged over the seconds.
-    pub peak_over_fair: f64,
+    #[serde(rename = "peak_over_fair")]
+    pub peak_to_fair_share: f64,
     /// Replicas that were loaded.
-    pub copies: u64,
+    #[serde(rename = "copies")]
+    pub loaded_replicas: u64,
     /// Replicas that were loaded although another replica of the function was loaded, or being loaded, at that moment.
-    pub copies_elsewhere: u64,
+    #[serde(rename = "copies_elsewhere")]
+    pub replicas_loaded_elsewhere: u64,
 }
 
 #[derive(Clone, Default)]
@@ -164,8 +167,8 @@
         let is_elsewhere = executors.any(|executor| executor.replicas.contains(function));
         self.executor(index).replicas.insert(function.to_owned());
         if is_measured {
-            self.report.copies += 1;
-            self.report.copies_elsewhere += u64::from(is_elsewhere);
+            self.report.loaded_replicas += 1;
+            self.report.replicas_loaded_elsewhere += u64::from(is_elsewhere);
         }
     }
 
@@ -233,6 +236,6 @@
     }
     let mut report = accumulator.report;
     report.idle_beside_queue = accumulator.idle_seconds / accumulator.ready_seconds.max(1e-9);
-    report.peak_over_fair = accumulator.peak_sum / accumulator.peak_count.max(1) as f64;
+    report.peak_to_fair_share = accumulator.peak_sum / accumulator.peak_count.max(1) as f64;
     report
 }
--- a/crates/invariants/tests/spread.rs
+++ b/crates/invariants/tests/spread.rs
@@ -63,7 +63,7 @@
         (4, 400, 0)
     );
     assert_eq!(report.idle_beside_queue, 0.0);
-    assert!((report.peak_over_fair - 1.0).abs() < 0.05, "{report:?}");
+    assert!((report.peak_to_fair_share - 1.0).abs() < 0.05, "{report:?}");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let report = measure_spread(&records, 0.0);
     assert_eq!(report.herds, 1, "{report:?}");
     assert!(report.last_herd.is_some_and(|at| (2.0..2.3).contains(&at)));
-    assert!(report.peak_over_fair > 1.1, "{report:?}");
+    assert!(report.peak_to_fair_share > 1.1, "{report:?}");
     assert_eq!(
         measure_spread(&records, 2.5).herds,
         0,
@@ -143,8 +143,8 @@
         report,
         SpreadReport {
             executors: 2,
-            copies: 3,
-            copies_elsewhere: 1,
+            loaded_replicas: 3,
+            replicas_loaded_elsewhere: 1,
             ..report.clone()
         }
     );
