--- a/crates/invariants/src/messages.rs
+++ b/crates/invariants/src/messages.rs
@@ -1,13 +1,14 @@
-//! What became of messages: one answer each that is true, and no effect twice that must not be.
+//! Checks published messages: each gets exactly one answer that agrees with what the executors did, and no
+//! non-idempotent message runs twice.
 
 use crate::{Idempotency, Limits, TrafficRecord};
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// Violations that are described in words.
+/// Violations that a report describes in words; any further ones are only counted.
 const MAX_EXAMPLES: usize = 8;
 
-/// The findings on messages.
+/// The result of [`check_messages`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct MessageReport {
     /// Messages that were published.
@@ -15,29 +16,38 @@
     /// Answers that were received.
     pub answers: u64,
     /// Messages with more than one answer.
-    pub answered_twice: u64,
+    #[serde(rename = "answered_twice")]
+    pub repeated_answers: u64,
     /// Messages without an answer.
     pub unanswered: u64,
     /// Non-idempotent messages that ran more than once.
-    pub effects_twice: u64,
-    /// Answers that say that the outcome is not known.
-    pub unknown_outcome: u64,
-    /// Answers that contradict the executors: succeeded and never run, or rejected and run.
-    pub untrue: u64,
-    /// The first violations in words.
+    #[serde(rename = "effects_twice")]
+    pub repeated_executions: u64,
+    /// Answers that report an unknown outcome.
+    #[serde(rename = "unknown_outcome")]
+    pub unknown_outcomes: u64,
+    /// Answers that contradict the executors' records: a success without an execution, a rejection although a message
+    /// that is not idempotent ran, or an unknown outcome for an idempotent message.
+    #[serde(rename = "untrue")]
+    pub contradictory_answers: u64,
+    /// Descriptions of the first violations.
     #[serde(skip)]
     pub examples: Vec<String>,
 }
 
 impl MessageReport {
-    /// Whether nothing was violated.
+    /// Whether no violation was found.
     pub fn holds(&self) -> bool {
-        self.answered_twice + self.unanswered + self.effects_twice + self.untrue == 0
+        self.repeated_answers
+            + self.unanswered
+            + self.repeated_executions
+            + self.contradictory_answers
+            == 0
     }
 
-    fn breach(&mut self, what: String) {
+    fn add_violation(&mut self, description: String) {
         if self.examples.len() < MAX_EXAMPLES {
-            self.examples.push(what);
+            self.examples.push(description);
         }
     }
 
@@ -46,14 +56,14 @@
         match outcomes {
             [] => {
                 self.unanswered += 1;
-                self.breach(format!("{invocation} had no answer"));
+                self.add_violation(format!("{invocation} was not answered"));
             }
             [_] => {}
-            many => {
-                self.answered_twice += 1;
-                self.breach(format!(
-                    "{invocation} was answered {}",
-                    many.join(", then ")
+            several => {
+                self.repeated_answers += 1;
+                self.add_violation(format!(
+                    "{invocation} was answered more than once: {}",
+                    several.join(", then ")
                 ));
             }
         }
@@ -63,28 +73,28 @@
         &mut self,
         invocation: &str,
         outcome: &str,
-        effect: Option<Idempotency>,
+        idempotency: Option<Idempotency>,
         runs: u64,
     ) {
-        self.unknown_outcome += u64::from(outcome == "unknown");
-        let is_true = match outcome {
+        self.unknown_outcomes += u64::from(outcome == "unknown");
+        let is_consistent = match outcome {
             "succeeded" => runs > 0,
-            "throttled" => runs == 0 || effect == Some(Idempotency::Idempotent),
-            "unknown" => effect != Some(Idempotency::Idempotent),
+            "throttled" => runs == 0 || idempotency == Some(Idempotency::Idempotent),
+            "unknown" => idempotency != Some(Idempotency::Idempotent),
             _ => true,
         };
-        if !is_true {
-            self.untrue += 1;
-            self.breach(format!(
-                "{invocation} was answered {outcome} and ran {runs} times"
+        if !is_consistent {
+            self.contradictory_answers += 1;
+            self.add_violation(format!(
+                "{invocation} was answered '{outcome}' but ran {runs} times"
             ));
         }
     }
 }
 
-/// Checks the messages among records.
+/// Checks all messages that the records contain.
 pub fn check_messages(limits: &Limits, records: &[TrafficRecord]) -> MessageReport {
-    let mut found = MessageReport::default();
+    let mut report = MessageReport::default();
     let mut outcomes: HashMap<&str, Vec<&str>> = HashMap::new();
     let mut runs: HashMap<&str, u64> = HashMap::new();
     for record in records {
@@ -111,25 +121,25 @@
         else {
             continue;
         };
-        found.messages += 1;
+        report.messages += 1;
         let known = limits
             .trigger_types
             .iter()
             .find(|known| known.name == *trigger_type);
-        let effect = known.map(|known| known.idempotency);
+        let idempotency = known.map(|known| known.idempotency);
         let runs = runs.get(invocation.as_str()).copied().unwrap_or(0);
-        if effect == Some(Idempotency::NonIdempotent) && runs > 1 {
-            found.effects_twice += 1;
-            found.breach(format!("{invocation} ran {runs} times"));
+        if idempotency == Some(Idempotency::NonIdempotent) && runs > 1 {
+            report.repeated_executions += 1;
+            report.add_violation(format!("{invocation} ran {runs} times"));
         }
         let outcomes = outcomes
             .get(invocation.as_str())
             .map(Vec::as_slice)
             .unwrap_or_default();
-        found.check_answer_count(invocation, outcomes);
+        report.check_answer_count(invocation, outcomes);
         for outcome in outcomes {
-            found.check_outcome(invocation, outcome, effect, runs);
+            report.check_outcome(invocation, outcome, idempotency, runs);
         }
     }
-    found
+    report
 }
--- a/crates/platform-frontend/src/engine_host/sending.rs
+++ b/crates/platform-frontend/src/engine_host/sending.rs
@@ -4,7 +4,7 @@
 use crate::delayed_dispatches::DispatchKey;
 use crate::executor_connection::{InFlightDispatch, QueuedCommand, UnwrittenCommands};
 use orchidtally_dispatch_policy::interface::ExecutorId;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 
 /// Seconds until a dispatch is retried after this machine could not open a connection for lack of a resource.
 const LOCAL_FAILURE_RETRY_DELAY: f64 = 0.02;
@@ -29,7 +29,7 @@
             .get(key.invocation)
             .map(|open| open.id.clone())
         else {
-            return self.report_unsent_dispatch(key, TransportOutcome::Withheld);
+            return self.report_unsent_dispatch(key, TransportOutcome::NeverSent);
         };
         match self.pool.connection_for(self.now, executor_id, &id) {
             Ok(slot) => {
@@ -46,7 +46,7 @@
                 self.pool.mark_dirty(slot);
             }
             // The missing local resource may become available a moment later, and says nothing about the executor.
-            Err(TransportOutcome::NoResource)
+            Err(TransportOutcome::NoLocalResource)
                 if self.now + LOCAL_FAILURE_RETRY_DELAY < sent_at + self.connect_timeout =>
             {
                 self.delayed_dispatches.push(
--- a/crates/platform-frontend/src/tests/executor_connection.rs
+++ b/crates/platform-frontend/src/tests/executor_connection.rs
@@ -105,22 +105,25 @@
             .collect::<Vec<_>>()
     };
     let earliest_malformed = [
-        (Some(0), TransportOutcome::Malformed),
-        (Some(9), TransportOutcome::Cut),
+        (Some(0), TransportOutcome::MalformedResponse),
+        (Some(9), TransportOutcome::ClosedForOtherDispatch),
     ];
     let all_cut = [
-        (Some(0), TransportOutcome::Cut),
-        (Some(9), TransportOutcome::Cut),
+        (Some(0), TransportOutcome::ClosedForOtherDispatch),
+        (Some(9), TransportOutcome::ClosedForOtherDispatch),
     ];
     assert_eq!(
-        outcomes(&connection, TransportOutcome::Broken),
+        outcomes(&connection, TransportOutcome::ConnectionLost),
         earliest_malformed,
         "the executor never responded"
     );
     connection.has_responded = true;
-    assert_eq!(outcomes(&connection, TransportOutcome::Broken), all_cut);
     assert_eq!(
-        outcomes(&connection, TransportOutcome::Malformed),
+        outcomes(&connection, TransportOutcome::ConnectionLost),
+        all_cut
+    );
+    assert_eq!(
+        outcomes(&connection, TransportOutcome::MalformedResponse),
         earliest_malformed
     );
 }
@@ -160,7 +163,7 @@
     assert_eq!(
         connection.close_reason(14.0, 15.0),
         Some(CloseReason {
-            evidence: TransportOutcome::Broken,
+            evidence: TransportOutcome::ConnectionLost,
             text: "idle",
         })
     );
