--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -25,7 +25,7 @@
         /// The header.
         header: ResponseHeader,
         /// Whether this responds to a progress request; otherwise the store sent it by itself.
-        is_answer: bool,
+        requested: bool,
     },
     /// The next revision of the watch is compacted: a list is needed, at this revision or later.
     Compacted {
@@ -88,8 +88,8 @@
         if response.created {
             self.id = Some(response.watch_id);
         }
-        let is_answer = response.watch_id == ALL_WATCHES;
-        if !is_answer && self.id.is_some_and(|id| id != response.watch_id) {
+        let requested = response.watch_id == ALL_WATCHES;
+        if !requested && self.id.is_some_and(|id| id != response.watch_id) {
             return vec![];
         }
         if response.compact_revision > 0 {
@@ -124,7 +124,7 @@
         let last = events.iter().map(modified).max().unwrap_or(0);
         if events.is_empty() {
             self.next_revision = self.next_revision.max(header.revision + 1);
-            return vec![WatchEvent::Progress { header, is_answer }];
+            return vec![WatchEvent::Progress { header, requested }];
         }
         // The header may be ahead of the events, as more of them may follow.
         self.next_revision = self.next_revision.max(last + 1);
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -217,8 +217,8 @@
     match event {
         WatchEvent::Created => {}
         WatchEvent::Events { header, events } => follower.on_events(&header, &events),
-        WatchEvent::Progress { header, is_answer } => {
-            let asked_at = if is_answer { requests.answered() } else { None };
+        WatchEvent::Progress { header, requested } => {
+            let asked_at = if requested { requests.answered() } else { None };
             follower.on_progress(asked_at, &header);
         }
         WatchEvent::Compacted { revision } => {
