--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -190,7 +190,7 @@
             front_ends: f64::from(estimate.count),
             slot_count: f64::from(estimate.count.next_power_of_two()),
             front_end_index: f64::from(estimate.index.unwrap_or(0)),
-            has_budget_share: estimate.shares,
+            has_budget_share: estimate.has_budget_share,
         };
         self.engine
             .borrow_mut()
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -47,7 +47,7 @@
         "wentBack": cache.store_rollbacks(),
         "faults": entry_errors,
         "frontEnds": estimate.count,
-        "shares": estimate.shares,
+        "shares": estimate.has_budget_share,
     })
 }
 
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -313,7 +313,7 @@
         if self.slot_count.get().0 != slot_count {
             self.slot_count.set((slot_count, now));
         }
-        let shares = estimate.shares && now >= self.slot_count.get().1 + MAX_VIEW_DELAY;
+        let shares = estimate.has_budget_share && now >= self.slot_count.get().1 + MAX_VIEW_DELAY;
         let index = estimate.index.unwrap_or(0);
         self.sender.set(v1::Sender {
             index,
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -52,7 +52,7 @@
     /// The front end's own index; `None` while it is not registered.
     pub index: Option<u32>,
     /// Whether the front end may use its share of strictly shared budgets: those for executors that are warming up.
-    pub shares: bool,
+    pub has_budget_share: bool,
 }
 
 impl Members {
@@ -123,7 +123,7 @@
         MembershipEstimate {
             count: count.max(count_with_own).max(1),
             index,
-            shares: is_view_current && self.is_seen_by_all(now),
+            has_budget_share: is_view_current && self.is_seen_by_all(now),
         }
     }
 
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -131,10 +131,10 @@
         for m in &all {
             let estimate = m.members.estimate(now);
             let shares = match planted {
-                Planted::Nothing => estimate.shares,
+                Planted::Nothing => estimate.has_budget_share,
                 Planted::Eager => estimate.index.is_some(),
                 Planted::Stubborn => {
-                    estimate.shares || now < m.cut_off_until && estimate.index.is_some()
+                    estimate.has_budget_share || now < m.cut_off_until && estimate.index.is_some()
                 }
             };
             total += 1.0;
