--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -28,7 +28,7 @@
         keys: Vec<String>,
     },
     /// It reached the revision, but its report omits some rejections, which may include this transaction.
-    PerhapsRejected {
+    PossiblyRejected {
         /// Number of rejections that the report omits.
         omitted: usize,
     },
@@ -170,7 +170,7 @@
     if !keys.is_empty() {
         return Some(MissingReason::Rejected { keys });
     }
-    (report.rejected_omitted > 0).then_some(MissingReason::PerhapsRejected {
+    (report.rejected_omitted > 0).then_some(MissingReason::PossiblyRejected {
         omitted: report.rejected_omitted,
     })
 }
--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -30,7 +30,7 @@
 pub enum EntryKeyError {
     /// The text has no slash.
     #[error("'{0}' has no kind; write it as KIND/NAME, such as functions/resize")]
-    NoKind(String),
+    MissingKind(String),
     /// The kind or the name is empty.
     #[error("'{0}' has an empty kind or name; write it as KIND/NAME, such as functions/resize")]
     Empty(String),
@@ -54,7 +54,7 @@
     /// If the text isn't of this form.
     pub fn parse(text: &str) -> Result<EntryKey, EntryKeyError> {
         let Some((kind, name)) = text.split_once('/') else {
-            return Err(EntryKeyError::NoKind(
+            return Err(EntryKeyError::MissingKind(
                 text.chars().take(MAX_KEY_BYTES).collect(),
             ));
         };
--- a/crates/config-sync/src/report.rs
+++ b/crates/config-sync/src/report.rs
@@ -13,7 +13,8 @@
     CatchingUp,
     /// The store was rolled back, or is another one, without a higher generation. The last good view stays in force,
     /// and nothing proves it current.
-    StoreSetBack,
+    #[serde(rename = "store-set-back")]
+    StoreRolledBack,
     /// The store exceeds the front end's limits; the last good view stays in force.
     StoreTooLarge,
     /// The generation key can't be read by this version.
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -78,18 +78,18 @@
 pub enum SettingsError {
     /// The prefix is empty.
     #[error("the prefix is empty; choose one such as 'orchidtally/config/'")]
-    NoPrefix,
+    EmptyPrefix,
     /// A setting is out of its range.
-    #[error("{name} is {value}; it has to lie between {least} and {most}")]
+    #[error("{name} is {value}; it has to lie between {min} and {max}")]
     OutOfRange {
         /// Name of the setting.
         name: &'static str,
         /// Value of the setting.
         value: f64,
         /// The lowest allowed value.
-        least: f64,
+        min: f64,
         /// The highest allowed value.
-        most: f64,
+        max: f64,
     },
     /// The freshness bound leaves too little time for invocations that are admitted right before it.
     #[error(
@@ -117,9 +117,9 @@
 
 /// The least difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
 /// bound still has to be sent.
-const LEAST_SLACK: f64 = 1.0;
+const MIN_SLACK: f64 = 1.0;
 /// The least number of barrier intervals within the freshness bound.
-const LEAST_BARRIERS: f64 = 3.0;
+const MIN_BARRIER_INTERVALS: f64 = 3.0;
 
 impl SyncSettings {
     /// Checks all settings.
@@ -129,20 +129,20 @@
     /// The first setting that is invalid.
     pub fn checked(self) -> Result<SyncSettings, SettingsError> {
         if self.prefix.is_empty() {
-            return Err(SettingsError::NoPrefix);
+            return Err(SettingsError::EmptyPrefix);
         }
         for (name, value, range) in self.ranges() {
             check_range(name, value, range)?;
         }
         let (freshness_bound, in_force_limit) = (self.freshness_bound, self.in_force_limit);
-        if freshness_bound + LEAST_SLACK > in_force_limit {
+        if freshness_bound + MIN_SLACK > in_force_limit {
             return Err(SettingsError::NoSlack {
                 freshness_bound,
                 in_force_limit,
             });
         }
         let barrier_interval = self.barrier_interval;
-        if barrier_interval * LEAST_BARRIERS > freshness_bound {
+        if barrier_interval * MIN_BARRIER_INTERVALS > freshness_bound {
             return Err(SettingsError::TooFewBarriers {
                 freshness_bound,
                 barrier_interval,
@@ -196,14 +196,14 @@
     value: f64,
     range: RangeInclusive<f64>,
 ) -> Result<(), SettingsError> {
-    let (least, most) = (*range.start(), *range.end());
+    let (min, max) = (*range.start(), *range.end());
     if range.contains(&value) {
         return Ok(());
     }
     Err(SettingsError::OutOfRange {
         name,
         value,
-        least,
-        most,
+        min,
+        max,
     })
 }
--- a/crates/config-sync/src/snapshot.rs
+++ b/crates/config-sync/src/snapshot.rs
@@ -34,7 +34,7 @@
     Truncated(usize),
     /// The file doesn't start with the magic number.
     #[error("the file is no snapshot of the configuration; check the path")]
-    NoSnapshot,
+    NotASnapshot,
     /// The snapshot has another version of the format.
     #[error("the snapshot has version {0}, this program reads {VERSION}; it is passed over")]
     OtherVersion(u16),
@@ -155,7 +155,7 @@
         .take(MAGIC.len())
         .ok_or(SnapshotError::Truncated(bytes.len()))?;
     if magic != MAGIC {
-        return Err(SnapshotError::NoSnapshot);
+        return Err(SnapshotError::NotASnapshot);
     }
     let truncated = || SnapshotError::Truncated(bytes.len());
     let version = u16::from_be_bytes(header.array().ok_or_else(truncated)?);
--- a/crates/config-sync/src/sync/answers.rs
+++ b/crates/config-sync/src/sync/answers.rs
@@ -29,7 +29,7 @@
         match self.process_answer(open, answer) {
             StageOutcome::Continue => self.end_slow_start(now),
             StageOutcome::Complete { digest_faults } => self.finish_session(now, digest_faults),
-            StageOutcome::HistoryMismatch => self.halt(now, ReportedState::StoreSetBack),
+            StageOutcome::HistoryMismatch => self.halt(now, ReportedState::StoreRolledBack),
             StageOutcome::TooLarge => {
                 self.halt(now, ReportedState::StoreTooLarge);
                 if self.loaded == self.source {
--- a/crates/config-sync/src/sync/barrier.rs
+++ b/crates/config-sync/src/sync/barrier.rs
@@ -59,7 +59,7 @@
             StoreComparison::Unchanged => self.on_same_store(now, &open, answer.header.revision),
             StoreComparison::Adopt(source) => self.adopt_source(now, source),
             StoreComparison::RolledBack => {
-                self.halt(now, ReportedState::StoreSetBack);
+                self.halt(now, ReportedState::StoreRolledBack);
             }
         }
     }
--- a/crates/config-sync/src/sync/mod.rs
+++ b/crates/config-sync/src/sync/mod.rs
@@ -235,7 +235,7 @@
         self.session = None;
         self.freshness.clear_pending();
         self.fault = Some(state);
-        if state == ReportedState::StoreSetBack && self.loaded == self.source {
+        if state == ReportedState::StoreRolledBack && self.loaded == self.source {
             self.is_history_suspect = true;
             self.mode = SyncMode::Verification;
         }
--- a/crates/config-sync/src/sync/requests.rs
+++ b/crates/config-sync/src/sync/requests.rs
@@ -112,7 +112,7 @@
         match failure {
             RequestFailure::Unavailable => self.retry_read(now, open),
             RequestFailure::Compacted => self.on_read_compacted(now),
-            RequestFailure::FutureRevision => self.halt(now, ReportedState::StoreSetBack),
+            RequestFailure::FutureRevision => self.halt(now, ReportedState::StoreRolledBack),
         }
     }
 
@@ -145,7 +145,7 @@
         match self.phase {
             Phase::Following => self.schedule_audit(now),
             // Without the old revision nothing can show that the history is the same.
-            _ if self.is_history_suspect => self.halt(now, ReportedState::StoreSetBack),
+            _ if self.is_history_suspect => self.halt(now, ReportedState::StoreRolledBack),
             _ => {
                 self.close_watch();
                 self.start_session(now, SyncMode::CatchUp);
--- a/crates/config-sync/src/sync/restoring.rs
+++ b/crates/config-sync/src/sync/restoring.rs
@@ -12,7 +12,7 @@
     /// The revision that the front end starts from; `None` if no snapshot could be used.
     pub revision: Option<i64>,
     /// Why newer snapshots were skipped, in their order.
-    pub passed_over: Vec<SnapshotError>,
+    pub skipped: Vec<SnapshotError>,
 }
 
 impl<S: Schema> ConfigSync<S> {
@@ -31,7 +31,7 @@
                     self.start_from(now, snapshot);
                     return restored;
                 }
-                Err(error) => restored.passed_over.push(error),
+                Err(error) => restored.skipped.push(error),
             }
         }
         restored
--- a/crates/config-sync/src/sync/watching.rs
+++ b/crates/config-sync/src/sync/watching.rs
@@ -240,7 +240,7 @@
         {
             return true;
         }
-        self.halt(now, ReportedState::StoreSetBack);
+        self.halt(now, ReportedState::StoreRolledBack);
         false
     }
 }
--- a/crates/config-sync/src/writer.rs
+++ b/crates/config-sync/src/writer.rs
@@ -112,17 +112,17 @@
     },
     /// The transaction exceeds the store's limit.
     #[error(
-        "the transaction has {operations} operations and the store takes {most}; split it, or raise the store's limit"
+        "the transaction has {operations} operations and the store takes {max_operations}; split it, or raise the store's limit"
     )]
     TooManyOperations {
         /// Number of operations, including those on digests.
         operations: usize,
         /// The store's limit.
-        most: usize,
+        max_operations: usize,
     },
     /// The value of this digest key has a wrong length.
     #[error("the digests under '{0}' can't be read; repair them")]
-    BadDigest(String),
+    MalformedDigest(String),
 }
 
 /// The store keys that [`plan`] needs, to be read at one revision.
@@ -166,7 +166,7 @@
     if operations > max_operations {
         return Err(WriteError::TooManyOperations {
             operations,
-            most: max_operations,
+            max_operations,
         });
     }
     Ok(transaction)
@@ -271,7 +271,7 @@
         if let Some(known) = known
             && !digests.decode_group(group, &known.value)
         {
-            return Err(WriteError::BadDigest(
+            return Err(WriteError::MalformedDigest(
                 String::from_utf8_lossy(&key).into_owned(),
             ));
         }
--- a/crates/config-sync/tests/checks.rs
+++ b/crates/config-sync/tests/checks.rs
@@ -37,7 +37,7 @@
         prefix: String::new(),
         ..SyncSettings::default()
     };
-    assert_eq!(nameless.checked(), Err(SettingsError::NoPrefix));
+    assert_eq!(nameless.checked(), Err(SettingsError::EmptyPrefix));
 }
 
 #[test]
@@ -46,7 +46,7 @@
     assert_eq!((key.kind(), key.name()), ("functions", "a/b"));
     assert!(matches!(
         EntryKey::parse("functions"),
-        Err(EntryKeyError::NoKind(_))
+        Err(EntryKeyError::MissingKind(_))
     ));
     assert!(matches!(
         EntryKey::parse("functions/"),
--- a/crates/config-sync/tests/following.rs
+++ b/crates/config-sync/tests/following.rs
@@ -168,7 +168,7 @@
         fleet
             .front_ends
             .iter()
-            .all(|f| f.core.state() == ReportedState::StoreSetBack)
+            .all(|f| f.core.state() == ReportedState::StoreRolledBack)
     );
 }
 
--- a/crates/config-sync/tests/snapshots.rs
+++ b/crates/config-sync/tests/snapshots.rs
@@ -45,7 +45,7 @@
             restored.revision, earlier_revision,
             "cut off after {length} bytes"
         );
-        assert_eq!(restored.passed_over.len(), 1);
+        assert_eq!(restored.skipped.len(), 1);
         let mut alone = self::core();
         let restored = alone.restore(0.0, &[&newest[..length]]);
         assert_eq!(
@@ -67,7 +67,7 @@
             damaged[byte] ^= 1 << bit;
             let mut core = core();
             let restored = core.restore(0.0, &[&damaged, &earlier]);
-            assert_eq!(restored.passed_over.len(), 1, "bit {bit} of byte {byte}");
+            assert_eq!(restored.skipped.len(), 1, "bit {bit} of byte {byte}");
         }
     }
 }
@@ -78,8 +78,8 @@
     let garbage = vec![7u8; 4_000];
     let restored = core.restore(0.0, &[&garbage, &[]]);
     assert_eq!(
-        restored.passed_over,
-        [SnapshotError::NoSnapshot, SnapshotError::Truncated(0)]
+        restored.skipped,
+        [SnapshotError::NotASnapshot, SnapshotError::Truncated(0)]
     );
     let (_, newest) = two_snapshots();
     let settings = SyncSettings {
@@ -90,7 +90,7 @@
         ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
     let restored = small.restore(0.0, &[&newest]);
     assert!(matches!(
-        restored.passed_over[..],
+        restored.skipped[..],
         [SnapshotError::TooLarge { entries: 2, .. }]
     ));
 }
--- a/crates/config-sync/tests/store_faults.rs
+++ b/crates/config-sync/tests/store_faults.rs
@@ -90,10 +90,10 @@
         }
     });
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.state(), ReportedState::StoreSetBack);
+        assert_eq!(front_end.core.state(), ReportedState::StoreRolledBack);
         assert_eq!(
             front_end.report.as_ref().map(|r| r.state),
-            Some(ReportedState::StoreSetBack)
+            Some(ReportedState::StoreRolledBack)
         );
         assert!(front_end.core.fresh_as_of() <= set_back_at);
     }
@@ -154,7 +154,7 @@
         }
     });
     for front_end in &fleet.front_ends {
-        assert_eq!(front_end.core.state(), ReportedState::StoreSetBack);
+        assert_eq!(front_end.core.state(), ReportedState::StoreRolledBack);
     }
     fleet.set_generation(2);
     fleet.run(LIMIT);
--- a/crates/config-sync/tests/stored_formats.rs
+++ b/crates/config-sync/tests/stored_formats.rs
@@ -74,11 +74,7 @@
     let bytes = committed_snapshot();
     let mut core = core();
     let restored = core.restore(0.0, &[&bytes]);
-    assert!(
-        restored.passed_over.is_empty(),
-        "{:?}",
-        restored.passed_over
-    );
+    assert!(restored.skipped.is_empty(), "{:?}", restored.skipped);
     let view = core.view();
     let names: Vec<&str> = view.iter().map(|(key, _)| key.as_str()).collect();
     assert_eq!(names.len(), 3, "{names:?}");
@@ -125,7 +121,7 @@
     let expected = [
         ReportedState::Following,
         ReportedState::CatchingUp,
-        ReportedState::StoreSetBack,
+        ReportedState::StoreRolledBack,
         ReportedState::StoreTooLarge,
         ReportedState::UnknownFormat,
         ReportedState::Ended,
--- a/crates/config-sync/tests/writing.rs
+++ b/crates/config-sync/tests/writing.rs
@@ -139,7 +139,10 @@
         .collect();
     assert!(matches!(
         planned(&store, &many),
-        Err(WriteError::TooManyOperations { most: 128, .. })
+        Err(WriteError::TooManyOperations {
+            max_operations: 128,
+            ..
+        })
     ));
     let mut damaged = Store::default();
     let digest = keyspace().digest(orchidtally_config_sync::keys::group_of(
@@ -151,7 +154,7 @@
     }]);
     assert!(matches!(
         planned(&damaged, &[put("quotas/a", quota(1.0))]),
-        Err(WriteError::BadDigest(_))
+        Err(WriteError::MalformedDigest(_))
     ));
 }
 
@@ -286,7 +289,7 @@
         ),
         ("lost", &MissingReason::LeaseLost),
         ("new", &MissingReason::NotReported),
-        ("omits", &MissingReason::PerhapsRejected { omitted: 3 }),
+        ("omits", &MissingReason::PossiblyRejected { omitted: 3 }),
         (
             "rejects",
             &MissingReason::Rejected {
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -109,7 +109,7 @@
     /// Starts from the first usable one of some snapshots; to be called before [`ConfigHost::run`].
     pub fn restore_from(self: &Rc<Self>, newest_first: &[&[u8]]) {
         let restored = self.core.borrow_mut().restore(self.now(), newest_first);
-        for error in &restored.passed_over {
+        for error in &restored.skipped {
             let path = self.settings.snapshot.as_ref().map(SnapshotFile::path);
             error!(?path, %error, "configuration snapshot ignored");
         }
