--- a/crates/cli/tests/roster.rs
+++ b/crates/cli/tests/roster.rs
@@ -102,7 +102,7 @@
     let away = roster(&other, &["list"]);
     assert_eq!(away.status.code(), Some(3));
     assert!(
-        text(&away.stderr).contains("the store is not to be reached"),
+        text(&away.stderr).contains("the store is unreachable"),
         "{}",
         text(&away.stderr)
     );
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -15,12 +15,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Header by which a member ends a stream when it loses its leader. Without it the member goes on sending progress at
-/// its last revision, which looks the same as a store in which nothing changes.
+/// Header that makes a member end a stream when it loses its leader. Without it the member keeps sending progress at
+/// its last revision, which can't be distinguished from a store in which nothing changes.
 pub const REQUIRE_LEADER: &str = "hasleader";
-/// The longest message in bytes; enough for a list of some 100,000 executors.
+/// Maximum length of a message in bytes; large enough for a list of about 100,000 executors.
 pub const MAX_MESSAGE_LENGTH: usize = 64 * 1024 * 1024;
-/// Timeout of the TCP connection, and of the HTTP/2 handshake.
+/// Timeout of the TCP connection and, separately, of the HTTP/2 handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An open HTTP/2 connection. It is closed once the last reference is dropped.
@@ -32,7 +32,7 @@
 /// A client of the members of one store. It uses one endpoint until [`Client::fail_over`].
 pub struct Client {
     endpoints: Vec<SocketAddr>,
-    /// Number of the endpoint in use, modulo the number of endpoints.
+    /// Index of the endpoint in use, modulo the number of endpoints.
     current: Cell<usize>,
     tasks: Rc<LocalExecutor<'static>>,
     connection: RefCell<Option<Rc<Connection>>>,
@@ -73,7 +73,7 @@
         }
         match body.data().await {
             Some(Ok(chunk)) => {
-                // An error means that the stream has ended, which the next read returns.
+                // An error means that the stream has ended, which the next read reports.
                 let _ = body.flow_control().release_capacity(chunk.len());
                 buffer.extend_from_slice(&chunk);
             }
@@ -111,7 +111,7 @@
 }
 
 impl Client {
-    /// A client without a connection yet. Connections are driven by `tasks`.
+    /// Creates a client that connects with its first request. `tasks` drives its connections.
     pub fn new(endpoints: Vec<SocketAddr>, tasks: Rc<LocalExecutor<'static>>) -> Client {
         Client {
             endpoints,
@@ -171,7 +171,7 @@
         Ok(connection)
     }
 
-    /// Starts a request with its first message; `is_last` if it is the only one.
+    /// Starts a request and sends its first message. `is_last` ends the request after this message.
     async fn start_request(
         &self,
         path: &str,
@@ -237,8 +237,8 @@
         result
     }
 
-    /// Opens a stream in both directions with a first message, within `timeout`. The store ends the stream if it
-    /// loses its leader.
+    /// Opens a bidirectional stream, sends its first message and waits for the response headers, for at most
+    /// `timeout`. The store ends the stream if it loses its leader.
     ///
     /// # Errors
     ///
--- a/crates/etcd/src/error.rs
+++ b/crates/etcd/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The client has no endpoints.
-    #[error("no endpoint is known")]
+    #[error("no endpoint is configured")]
     NoEndpoint,
     /// The TCP connection couldn't be opened.
     #[error("{0}")]
@@ -19,13 +19,13 @@
     #[error("{0}")]
     InvalidRequest(#[from] http::Error),
     /// The store ended a stream without a status.
-    #[error("the stream ended")]
+    #[error("the stream ended without a status")]
     StreamEnded,
     /// The response of a unary request has no message.
-    #[error("an answer without a message")]
+    #[error("the response has no message")]
     EmptyResponse,
-    /// The caller gave the connection up while the request was in progress.
-    #[error("the connection was given up")]
+    /// The caller abandoned the connection while the request was in progress.
+    #[error("the connection was abandoned")]
     Abandoned,
 }
 
@@ -33,16 +33,16 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// There is no connection, or it broke. Another endpoint may be reachable.
-    #[error("the store is not to be reached: {0}")]
+    #[error("the store is unreachable: {0}")]
     Unreachable(#[source] ConnectionError),
-    /// The store didn't respond in time. Another endpoint may.
-    #[error("the store did not answer in time")]
+    /// The store didn't respond in time. Another endpoint may respond.
+    #[error("the store did not respond in time")]
     TimedOut,
     /// The store rejected the request with this status.
-    #[error("the store refused: {0}")]
+    #[error("the store rejected the request: {0}")]
     Rejected(Status),
     /// The response isn't a valid message.
-    #[error("the store's answer can't be read: {0}")]
+    #[error("invalid response from the store: {0}")]
     InvalidResponse(#[source] FrameError),
 }
 
--- a/crates/etcd/src/grpc.rs
+++ b/crates/etcd/src/grpc.rs
@@ -1,4 +1,4 @@
-//! gRPC's frames (a flag, a length and a message) and its status, which is in headers or trailers.
+//! gRPC framing (each frame has a compression flag, a length and a message) and the gRPC status in headers or trailers.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use http::HeaderMap;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// The message is too long.
-    #[error("a message of {length} bytes, {max_length} at most")]
+    #[error("the message has {length} bytes, over the limit of {max_length}")]
     TooLong {
         /// Length of the message in bytes.
         length: usize,
@@ -42,10 +42,10 @@
         max_length: usize,
     },
     /// The message is compressed, which the client doesn't request.
-    #[error("a compressed message, which nobody asked for")]
+    #[error("the message is compressed, although compression was not requested")]
     Compressed,
     /// The message can't be decoded.
-    #[error("a malformed message: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[from] prost::DecodeError),
 }
 
--- a/crates/etcd/src/traffic.rs
+++ b/crates/etcd/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of TCP payload of connections, including HTTP/2 frames and headers.
+//! Counts the TCP payload of connections in bytes, which includes HTTP/2 frames and headers.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -8,7 +8,7 @@
 /// The watch id in responses to progress requests, which apply to all watches of the stream.
 const ALL_WATCHES: i64 = -1;
 
-/// What a watch response says.
+/// An event of a watch, decoded from its responses.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// The store created the watch.
@@ -46,7 +46,7 @@
     /// The next revision to receive.
     next_revision: i64,
     id: Option<i64>,
-    /// Events of fragments that were received so far.
+    /// Events of the fragments received so far.
     fragments: Vec<Event>,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Processes a response and returns what it says.
+    /// Processes a response and returns the events that it completes. A fragment other than the last returns none.
     pub fn on_response(&mut self, response: WatchResponse) -> Vec<WatchEvent> {
         let header = response.header.unwrap_or_default();
         if response.created {
--- a/crates/etcd/tests/stored_formats.rs
+++ b/crates/etcd/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! One example of each message of etcd's protocol that is used, as bytes that etcd reads and writes. `messages.txt` was
-//! made from the published numbers of the fields and must not be changed.
+//! Compares the encoding of each etcd message that the client uses with the bytes that etcd reads and writes.
+//! `messages.txt` was created from etcd's published field numbers and must not be changed.
 
 use bytes::{Bytes, BytesMut};
 use orchidtally_etcd::grpc::{CONTENT_TYPE, decode_frame, encode_frame};
@@ -18,15 +18,15 @@
 };
 use std::fmt::Debug;
 
-/// A name and the bytes in hexadecimal digits on each line.
+/// Each line has the name of a message and its frame in hexadecimal.
 const MESSAGES: &str = include_str!("stored_formats/messages.txt");
 
-fn hexadecimal(bytes: &[u8]) -> String {
+fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of an example.
-fn committed(name: &str) -> Vec<u8> {
+/// The bytes of a message in `messages.txt`.
+fn fixture(name: &str) -> Vec<u8> {
     let line = MESSAGES
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -36,18 +36,21 @@
         .collect()
 }
 
-/// Checks that a message is written as its example, and read from it.
-fn check<Message: prost::Message + Default + PartialEq + Debug>(name: &str, message: Message) {
-    let bytes = committed(name);
+/// Checks that a message is encoded as in `messages.txt`, and decoded from there.
+fn assert_encoding<Message: prost::Message + Default + PartialEq + Debug>(
+    name: &str,
+    message: Message,
+) {
+    let bytes = fixture(name);
     assert_eq!(
-        hexadecimal(&encode_frame(&message)),
-        hexadecimal(&bytes),
-        "{name} as it is written now"
+        hex(&encode_frame(&message)),
+        hex(&bytes),
+        "{name}: the encoding differs from messages.txt"
     );
     let mut bytes = BytesMut::from(&bytes[..]);
     let read: Message = decode_frame(&mut bytes, 1 << 20)
         .unwrap()
-        .expect("the example is whole");
+        .expect("the frame is complete");
     assert_eq!(read, message, "{name}");
     assert!(bytes.is_empty());
 }
@@ -134,28 +137,28 @@
 }
 
 #[test]
-fn requests_for_keys_and_their_answers_keep_their_bytes() {
-    check("range-request", range());
-    check("range-response", range_response());
-    check("put-request", put());
-    check("put-response", put_response());
-    check("delete-range-request", delete_range());
-    check("delete-range-response", delete_range_response());
-    check(
+fn key_requests_and_responses_keep_their_encoding() {
+    assert_encoding("range-request", range());
+    assert_encoding("range-response", range_response());
+    assert_encoding("put-request", put());
+    assert_encoding("put-response", put_response());
+    assert_encoding("delete-range-request", delete_range());
+    assert_encoding("delete-range-response", delete_range_response());
+    assert_encoding(
         "compaction-request",
         CompactionRequest {
             revision: 1,
             physical: true,
         },
     );
-    check(
+    assert_encoding(
         "compaction-response",
         CompactionResponse { header: header() },
     );
 }
 
 #[test]
-fn transactions_and_their_answers_keep_their_bytes() {
+fn transactions_and_responses_keep_their_encoding() {
     let compare = |result: CompareResult, target: CompareTarget, union| Compare {
         result: result.into(),
         target: target.into(),
@@ -165,7 +168,7 @@
     let request = |request| RequestOp {
         request: Some(request),
     };
-    let transaction = TxnRequest {
+    let txn_request = TxnRequest {
         compare: vec![
             compare(
                 CompareResult::Equal,
@@ -199,11 +202,11 @@
         ],
         failure: vec![request(Request::RequestDeleteRange(delete_range()))],
     };
-    check("transaction-request", transaction);
+    assert_encoding("transaction-request", txn_request);
     let response = |response| ResponseOp {
         response: Some(response),
     };
-    let answer = TxnResponse {
+    let txn_response = TxnResponse {
         header: header(),
         succeeded: true,
         responses: vec![
@@ -212,11 +215,11 @@
             response(Response::ResponseDeleteRange(delete_range_response())),
         ],
     };
-    check("transaction-response", answer);
+    assert_encoding("transaction-response", txn_response);
 }
 
 #[test]
-fn watches_and_their_answers_keep_their_bytes() {
+fn watch_requests_and_responses_keep_their_encoding() {
     let request = |union| WatchRequest {
         request_union: Some(union),
     };
@@ -229,14 +232,14 @@
         watch_id: 2,
         fragment: true,
     };
-    check("watch-create", request(RequestUnion::CreateRequest(create)));
-    check(
+    assert_encoding("watch-create", request(RequestUnion::CreateRequest(create)));
+    assert_encoding(
         "watch-cancel",
         request(RequestUnion::CancelRequest(WatchCancelRequest {
             watch_id: 2,
         })),
     );
-    check(
+    assert_encoding(
         "watch-progress",
         request(RequestUnion::ProgressRequest(WatchProgressRequest {})),
     );
@@ -245,7 +248,7 @@
         kv: Some(key_value()),
         prev_kv: Some(key_value()),
     };
-    let answer = WatchResponse {
+    let response = WatchResponse {
         header: header(),
         watch_id: 2,
         created: true,
@@ -255,21 +258,21 @@
         fragment: true,
         events: vec![event(EventType::Put), event(EventType::Delete)],
     };
-    check("watch-response", answer);
+    assert_encoding("watch-response", response);
 }
 
 #[test]
-fn leases_and_their_answers_keep_their_bytes() {
-    check("lease-grant-request", LeaseGrantRequest { ttl: 10, id: 5 });
-    let granted = LeaseGrantResponse {
+fn lease_requests_and_responses_keep_their_encoding() {
+    assert_encoding("lease-grant-request", LeaseGrantRequest { ttl: 10, id: 5 });
+    let response = LeaseGrantResponse {
         header: header(),
         id: 5,
         ttl: 10,
         error: "why".into(),
     };
-    check("lease-grant-response", granted);
-    check("lease-keep-alive-request", LeaseKeepAliveRequest { id: 5 });
-    check(
+    assert_encoding("lease-grant-response", response);
+    assert_encoding("lease-keep-alive-request", LeaseKeepAliveRequest { id: 5 });
+    assert_encoding(
         "lease-keep-alive-response",
         LeaseKeepAliveResponse {
             header: header(),
@@ -277,23 +280,23 @@
             ttl: 10,
         },
     );
-    check("lease-revoke-request", LeaseRevokeRequest { id: 5 });
-    check(
+    assert_encoding("lease-revoke-request", LeaseRevokeRequest { id: 5 });
+    assert_encoding(
         "lease-revoke-response",
         LeaseRevokeResponse { header: header() },
     );
 }
 
 #[test]
-fn authentication_and_its_answer_keep_their_bytes() {
-    check(
+fn authentication_requests_and_responses_keep_their_encoding() {
+    assert_encoding(
         "authenticate-request",
         AuthenticateRequest {
             name: "ann".into(),
             password: "secret".into(),
         },
     );
-    check(
+    assert_encoding(
         "authenticate-response",
         AuthenticateResponse {
             header: header(),
@@ -303,7 +306,7 @@
 }
 
 #[test]
-fn paths_and_content_type_are_those_of_the_protocol() {
+fn paths_and_content_type_match_the_protocol() {
     use orchidtally_etcd::{
         AUTHENTICATE, COMPACT, DELETE_RANGE, LEASE_GRANT, LEASE_KEEP_ALIVE, LEASE_REVOKE, PUT,
         RANGE, TXN, WATCH,
