--- a/crates/membership/benches/cache.rs
+++ b/crates/membership/benches/cache.rs
@@ -1,4 +1,5 @@
-//! The cache at size: time to take a whole list and a single change, and its memory by what it keeps.
+//! Measures how long the cache takes to apply a first list, an unchanged list and a single change, by its number of
+//! entries.
 //!
 //! `cargo bench -p orchidtally-membership --bench cache`
 
@@ -7,7 +8,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Instant;
 
-fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
+fn parse_entry(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
     let text = std::str::from_utf8(key).map_err(|_| EntryError::MissingAddress)?;
     let n: u32 = text
         .rsplit('/')
@@ -45,32 +46,32 @@
             })
             .collect();
         let mut cache = EndpointCache::new(0.0);
-        let began = Instant::now();
-        let told = cache.apply_list(
+        let started_at = Instant::now();
+        let update = cache.apply_list(
             0.0,
             StoreRevision {
                 cluster: 1,
                 revision: 1,
             },
             &list,
-            &read,
+            &parse_entry,
         );
-        let first = began.elapsed().as_secs_f64();
-        assert_eq!(told.map(|t| t.endpoints.len()), Some(entries));
-        let began = Instant::now();
-        let told = cache.apply_list(
+        let first = started_at.elapsed().as_secs_f64();
+        assert_eq!(update.map(|update| update.endpoints.len()), Some(entries));
+        let started_at = Instant::now();
+        let update = cache.apply_list(
             1.0,
             StoreRevision {
                 cluster: 1,
                 revision: 2,
             },
             &list,
-            &read,
+            &parse_entry,
         );
-        let again = began.elapsed().as_secs_f64();
-        assert!(told.is_none(), "nothing has changed");
+        let unchanged = started_at.elapsed().as_secs_f64();
+        assert!(update.is_none(), "the list has not changed");
         const CHANGES: usize = 2_000;
-        let began = Instant::now();
+        let started_at = Instant::now();
         for n in 0..CHANGES {
             let revision = 3 + n as i64;
             let value = revision.to_string();
@@ -80,23 +81,23 @@
                 created: 1,
                 modified: revision,
             };
-            let told = cache.apply_events(
+            let update = cache.apply_events(
                 2.0,
                 StoreRevision {
                     cluster: 1,
                     revision,
                 },
                 &[change],
-                &read,
+                &parse_entry,
             );
-            assert_eq!(told.map(|t| t.endpoints.len()), Some(1));
+            assert_eq!(update.map(|update| update.endpoints.len()), Some(1));
         }
-        let each = began.elapsed().as_secs_f64() / CHANGES as f64;
+        let seconds_per_change = started_at.elapsed().as_secs_f64() / CHANGES as f64;
         println!(
             "{entries:>7} {:>10.2} {:>16.2} {:>16.2}",
             1e3 * first,
-            1e3 * again,
-            1e6 * each
+            1e3 * unchanged,
+            1e6 * seconds_per_change
         );
     }
 }
--- a/crates/membership/src/cache/drain_history.rs
+++ b/crates/membership/src/cache/drain_history.rs
@@ -3,7 +3,7 @@
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState};
 use std::collections::BTreeMap;
 
-/// Executors that are remembered; beyond this the lowest keys are forgotten.
+/// Maximum number of remembered executors; beyond it, those with the lowest keys are dropped.
 const MAX_REMEMBERED_DRAINS: usize = 100_000;
 
 /// Start times of executors that were reported as draining, by key.
--- a/crates/membership/src/cache/mass_expiry.rs
+++ b/crates/membership/src/cache/mass_expiry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// Entries that disappear within this time count together, in seconds.
+/// Entries that disappear within this time are counted together, in seconds.
 const MASS_EXPIRY_WINDOW: f64 = 5.0;
 /// Entries that disappear together are a mass expiry if they are more than this fraction of the known executors and
 /// more than `MASS_EXPIRY_MIN_COUNT`.
@@ -20,8 +20,8 @@
 }
 
 impl MassExpiryDetector {
-    /// Records that `count` ready executors disappear at `now` out of `known` entries that are still cached; whether
-    /// this is a mass expiry.
+    /// Records that `count` ready executors disappear at `now`, out of `known` entries that are still cached. Returns
+    /// whether this is a mass expiry.
     pub(super) fn record(&mut self, now: f64, count: usize, known: usize) -> bool {
         let window_start = now - MASS_EXPIRY_WINDOW;
         while self
--- a/crates/membership/src/cache/mod.rs
+++ b/crates/membership/src/cache/mod.rs
@@ -1,4 +1,4 @@
-//! The cache of executors that the store has, kept from its lists and watches.
+//! The cache of the executors in the store, maintained from its lists and watches.
 //!
 //! The cache guarantees that the dispatch policy is never given an older state of an executor after a newer one, that
 //! no deletion is missed, and that a faulty store (stalled, emptied or restored from a backup) doesn't remove
@@ -23,13 +23,13 @@
 pub const LIST_INTERVAL: f64 = 300.0;
 /// A retained executor is removed this long after it last responded, or after its entry disappeared, in seconds.
 const RETENTION_AFTER_EXPIRY: f64 = 10.0;
-/// Responses of executors are remembered for so long, in seconds.
+/// Time for which the responses of executors are remembered, in seconds.
 const RESPONSE_MEMORY: f64 = 10.0 * RETENTION_AFTER_EXPIRY;
-/// Entries that can't be read whose errors are remembered.
+/// Maximum number of unreadable entries whose errors are remembered.
 const MAX_REMEMBERED_ERRORS: usize = 1_000;
 
 /// Parses the key and value of an executor's entry.
-pub type EntryReader<'r> = dyn Fn(&[u8], &[u8]) -> Result<Endpoint, EntryError> + 'r;
+pub type EntryParser<'r> = dyn Fn(&[u8], &[u8]) -> Result<Endpoint, EntryError> + 'r;
 
 /// An update of the endpoint list for the dispatch policy.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,13 +56,13 @@
 /// How many executors the cache has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutorCounts {
-    /// All executors that are believed to be alive.
+    /// All executors that are considered alive.
     pub known: usize,
     /// Those of them that the store no longer has, retained because too many disappeared together.
     pub retained: usize,
 }
 
-/// The cached entries of the store and what has to be asked of it next.
+/// The cached entries of the store, and the request that it has to be sent next.
 #[derive(Debug, Default)]
 pub struct EndpointCache {
     /// The revision up to which the cache has followed the store.
@@ -91,7 +91,7 @@
 }
 
 impl EndpointCache {
-    /// An empty cache. The age of the store's last response counts from `now`.
+    /// Creates an empty cache. The age of the store's last response counts from `now`.
     pub fn new(now: f64) -> EndpointCache {
         EndpointCache {
             last_response_at: now,
@@ -175,7 +175,8 @@
         self.last_response_by_address.insert(address(executor), now);
     }
 
-    /// Handles a failed connection to an executor: if the store no longer has the executor either, it is gone.
+    /// Handles a failed connection to an executor. An executor that is only retained, because the store no longer has
+    /// it, is removed.
     pub fn on_connection_failure(&mut self, executor: &ExecutorId) -> Option<EndpointUpdate> {
         let (key, _) = self
             .entries
--- a/crates/membership/src/cache/updates.rs
+++ b/crates/membership/src/cache/updates.rs
@@ -1,13 +1,13 @@
 //! How lists and watch events change the cache.
 
 use super::entry::{CachedEntry, drained_executor_key, with_state};
-use super::{EndpointCache, EndpointUpdate, EntryReader, MAX_REMEMBERED_ERRORS};
+use super::{EndpointCache, EndpointUpdate, EntryParser, MAX_REMEMBERED_ERRORS};
 use crate::{EntryChange, StoreRevision};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointState, EndpointUpdateKind};
 use std::collections::BTreeSet;
 
 impl EndpointCache {
-    /// Applies a list of all entries, complete at one revision. `read` parses the entries.
+    /// Applies a list of all entries, complete at one revision. `parse` parses the entries.
     ///
     /// The first list gives a full update, later ones the difference, or `None` if there is none.
     pub fn apply_list(
@@ -15,7 +15,7 @@
         now: f64,
         revision: StoreRevision,
         list: &[EntryChange],
-        read: &EntryReader,
+        parse: &EntryParser,
     ) -> Option<EndpointUpdate> {
         self.last_response_at = now;
         self.relists += u64::from(self.has_list);
@@ -35,7 +35,7 @@
         let mut changed = vec![];
         for entry in list {
             if drained_executor_key(entry.key).is_none() {
-                self.apply_listed_entry(entry, is_rollback, read, &mut changed);
+                self.apply_listed_entry(entry, is_rollback, parse, &mut changed);
             }
         }
         let missing = self.keys_missing_from(list);
@@ -53,10 +53,10 @@
         &mut self,
         entry: &EntryChange,
         is_rollback: bool,
-        read: &EntryReader,
+        parse: &EntryParser,
         changed: &mut Vec<Endpoint>,
     ) {
-        let Some(endpoint) = self.read_entry(entry, read) else {
+        let Some(endpoint) = self.parse_entry(entry, parse) else {
             return;
         };
         let was_drained = self.drain_history.contains(entry.key, &endpoint);
@@ -83,14 +83,14 @@
             .collect()
     }
 
-    /// Applies the events of a watch response at `revision`. Events that were applied before are skipped. `read`
+    /// Applies the events of a watch response at `revision`. Events that were applied before are skipped. `parse`
     /// parses the entries. `None` if no endpoint changed.
     pub fn apply_events(
         &mut self,
         now: f64,
         revision: StoreRevision,
         events: &[EntryChange],
-        read: &EntryReader,
+        parse: &EntryParser,
     ) -> Option<EndpointUpdate> {
         let known = self
             .revision
@@ -119,7 +119,7 @@
                 let key = removed.swap_remove(position);
                 self.remove(now, vec![key], false, &mut changed);
             }
-            if let Some(endpoint) = self.read_entry(event, read) {
+            if let Some(endpoint) = self.parse_entry(event, parse) {
                 self.insert(event, endpoint, &mut changed);
             }
         }
@@ -160,9 +160,9 @@
         self.insert(&unchanged, registered, changed);
     }
 
-    /// Parses an entry; the error of one that can't be parsed is kept.
-    fn read_entry(&mut self, entry: &EntryChange, read: &EntryReader) -> Option<Endpoint> {
-        match read(entry.key, entry.value?) {
+    /// Parses an entry; if it can't be parsed, its error is remembered.
+    fn parse_entry(&mut self, entry: &EntryChange, parse: &EntryParser) -> Option<Endpoint> {
+        match parse(entry.key, entry.value?) {
             Ok(endpoint) => {
                 self.entry_errors.remove(entry.key);
                 Some(endpoint)
@@ -188,7 +188,7 @@
         let endpoint = with_state(&registered, state);
         self.drain_history.record(change.key, &endpoint);
         let previous = self.entries.get(change.key).map(|entry| &entry.endpoint);
-        // Another executor under the same key: the previous one is gone first.
+        // Another executor has registered under the key, so the previous one is reported as gone first.
         if let Some(previous) = previous.filter(|known| known.executor != endpoint.executor) {
             changed.push(with_state(previous, EndpointState::Gone));
         }
--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -6,25 +6,25 @@
 #[derive(Debug, thiserror::Error)]
 pub enum EntryError {
     /// The value isn't JSON.
-    #[error("no JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     InvalidJson(#[source] serde_json::Error),
     /// The key has no last segment that could be an address.
-    #[error("no address in its key")]
+    #[error("the key has no address")]
     MissingAddress,
     /// The address isn't `IP:PORT`.
     #[error("{0}")]
     InvalidAddress(#[source] AddrParseError),
     /// The deployment file doesn't allow the address.
-    #[error("its address is in none of the allowed networks")]
+    #[error("the address is in none of the allowed networks")]
     AddressNotAllowed,
-    /// The state is neither of those that an executor can register with.
-    #[error("the standing '{0}' is neither 'ready' nor 'draining'")]
+    /// The state is neither of the two that an executor can register with.
+    #[error("'standing' is '{0}'; it has to be 'ready' or 'draining'")]
     UnknownState(String),
     /// The state isn't set.
-    #[error("its standing is not told")]
+    #[error("'standing' is missing")]
     MissingState,
     /// A field that has to be a number is of another type.
-    #[error("'{field}' is no number")]
+    #[error("'{field}' is not a number")]
     NotANumber {
         /// Name of the field.
         field: &'static str,
@@ -32,12 +32,12 @@
     /// The deployment file doesn't have the location or executor kind.
     #[error("{category} '{name}' is not in the deployment file")]
     UnknownName {
-        /// What the name stands for: `location` or `kind`.
+        /// What the name refers to: `location` or `kind`.
         category: &'static str,
         /// The name in the entry.
         name: String,
     },
     /// The cell number is too large.
-    #[error("cell {0} is over 65535")]
+    #[error("cell {0} exceeds 65535")]
     CellOutOfRange(u32),
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,4 @@
-//! By how many front ends shared budgets are divided.
+//! The number of front ends among which shared budgets are divided.
 //!
 //! While front ends join and leave, their views of the count differ. The shares of all live front ends must never add
 //! up to more than one. A front end therefore divides by the highest count that it has seen within the time by which
@@ -7,18 +7,18 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// By how much views may differ, in seconds: the longest delay until a front end that divides by its view sees a
-/// change.
+/// The time by which views may differ, in seconds: the longest delay until a front end that divides by its view sees a
+/// change of the membership.
 pub const MAX_VIEW_DELAY: f64 = 3.0;
-/// A view that wasn't refreshed for longer than this is not used, in seconds.
+/// A view is no longer used if it wasn't refreshed for longer than this, in seconds.
 const VIEW_EXPIRY: f64 = MAX_VIEW_DELAY;
-/// The choice of an index after lost claims is spread over at most 2 to this power free indices.
+/// After lost claims, an index is chosen among at most 2 to this power free indices.
 const MAX_CLAIM_SPREAD_EXPONENT: u32 = 8;
 
 /// A view of the front ends in the store.
 #[derive(Clone, Copy, Debug)]
 struct CountView {
-    /// No earlier than this moment the store had these front ends.
+    /// The store had these front ends at this time or later.
     at: f64,
     count: u32,
 }
@@ -56,7 +56,8 @@
 }
 
 impl Members {
-    /// No registration and no view yet. `configured_count` is the count in the deployment file.
+    /// Creates the state of a front end that has neither a registration nor a view. `configured_count` is the count in
+    /// the deployment file.
     pub fn new(configured_count: u32) -> Members {
         Members {
             configured_count,
@@ -75,7 +76,7 @@
         free.nth(position).unwrap_or(0)
     }
 
-    /// The store accepted the claim of `index`, with a lease of `lease` seconds.
+    /// Records that the store accepted the claim of `index`, with a lease of `lease` seconds from `now`.
     pub fn on_claimed(&mut self, now: f64, index: u32, lease: f64) {
         self.own_entry = Some(OwnEntry {
             index,
@@ -84,19 +85,20 @@
         self.lease_until = now + lease;
     }
 
-    /// The lease was renewed by a request that was sent at `sent_at`, from when it is valid.
+    /// Records that the lease was renewed for `lease` seconds by a request that was sent at `sent_at`, from which on it
+    /// counts, since the store may have renewed it as early as then.
     pub fn on_lease_renewed(&mut self, sent_at: f64, lease: f64) {
         self.lease_until = self.lease_until.max(sent_at + lease);
     }
 
-    /// The store no longer has the front end's own entry, or has another's in its place.
+    /// Records that the store no longer has the front end's own entry, or has another front end's in its place.
     pub fn on_entry_lost(&mut self) {
         self.own_entry = None;
     }
 
-    /// Records the indices of the front ends in the store, as of a moment no earlier than `at`.
+    /// Records the indices of the front ends in the store, as of the time `at` or later.
     pub fn record_view(&mut self, at: f64, indices: impl IntoIterator<Item = u32>) {
-        // Indices may have gaps, and slots go by the highest one.
+        // Indices may have gaps, and slots are numbered up to the highest index.
         let count = indices.into_iter().max().map_or(0, |highest| highest + 1);
         self.highest_count = self.highest_count.max(count);
         self.last_view_at = Some(self.last_view_at.map_or(at, |last: f64| last.max(at)));
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The estimate at `now`.
+    /// The estimate at `now`, which is conservative if the last view is older than [`MAX_VIEW_DELAY`].
     pub fn estimate(&self, now: f64) -> MembershipEstimate {
         let index = self.own_entry.map(|entry| entry.index);
         let is_view_current = self.last_view_at.is_some_and(|at| now - at <= VIEW_EXPIRY);
@@ -118,8 +120,8 @@
             self.highest_count.max(self.configured_count)
         };
         let count_with_own = index.map_or(0, |index| index + 1);
-        // Every front end that uses its share has been in the store for as long as a view may be old, and still is, so
-        // a current view has all of them. Without one the divisor is unknown.
+        // A front end that uses its share has been in the store for at least the age that a view may have, and still
+        // is. A current view therefore has all of them; without a current view the divisor is unknown.
         MembershipEstimate {
             count: count.max(count_with_own).max(1),
             index,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Whether all others must have seen the own entry, and its lease can't have expired.
+    /// Whether all other front ends must have seen this front end's entry, and its lease can't have expired.
     fn is_seen_by_all(&self, now: f64) -> bool {
         let is_old_enough = self
             .own_entry
--- a/crates/membership/tests/cache.rs
+++ b/crates/membership/tests/cache.rs
@@ -1,9 +1,9 @@
-//! The cache against the store's own history, over a faulty watch.
+//! Compares the cache with the store after a watch with random faults.
 
 mod kit;
 
 use bytes::Bytes;
-use kit::{EXECUTORS, PREFIX, World, change, live, read};
+use kit::{EXECUTORS, PREFIX, Simulation, change, parse_entry, without_gone};
 use orchidtally_dispatch_policy::interface::{EndpointState, EndpointUpdateKind, ExecutorId};
 use orchidtally_etcd::range_end;
 use orchidtally_etcd::rpc::{DeleteRangeRequest, KeyValue, PutRequest, RangeRequest};
@@ -12,20 +12,23 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 #[test]
-fn the_cache_ends_equal_to_the_store_whatever_the_watch_goes_through() {
+fn the_cache_converges_to_the_store_despite_watch_faults() {
     let (mut lists, mut faults) = (0, 0);
     for seed in 0..3_000 {
-        let mut w = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..150 {
-            w.step(false);
+            simulation.step(false);
         }
-        // The last good one of what can't be read counts, so that all are written whole before they are compared.
+        // The cache keeps the last readable value of an unreadable entry, so unreadable entries are rewritten before
+        // the comparison.
         for n in 0..EXECUTORS {
             let key: Bytes = [PREFIX, n.to_string().as_bytes()].concat().into();
-            let bad = w.cache.entry_errors().any(|(k, _)| k == &key[..]) || n % 3 == 0;
-            if bad {
+            let is_unreadable =
+                simulation.cache.entry_errors().any(|(k, _)| k == &key[..]) || n % 3 == 0;
+            if is_unreadable {
                 faults += 1;
-                w.store
+                simulation
+                    .store
                     .put(&PutRequest {
                         key,
                         value: "ready 900".into(),
@@ -34,25 +37,25 @@
                     .unwrap();
             }
         }
-        w.settle();
-        lists += w.lists;
-        // A half-written entry that was never good is none; one that was is kept as it was.
-        let mut truth = w.truth();
-        let told = live(&w.told);
-        let unreadable: Vec<_> = told
+        simulation.settle();
+        lists += simulation.lists;
+        // An entry that is still unreadable is in the cache only if it was readable before.
+        let mut expected = simulation.expected();
+        let reported = without_gone(&simulation.reported);
+        let unreadable: Vec<_> = reported
             .keys()
-            .filter(|k| !truth.contains_key(*k))
+            .filter(|k| !expected.contains_key(*k))
             .copied()
             .collect();
         for k in unreadable {
             assert_eq!(
-                w.cache.entry_errors().count(),
-                1.max(w.cache.entry_errors().count()),
-                "seed {seed}: {k:?} is not there"
+                simulation.cache.entry_errors().count(),
+                1.max(simulation.cache.entry_errors().count()),
+                "seed {seed}: {k:?} is not in the store"
             );
-            truth.insert(k, told[&k].clone());
+            expected.insert(k, reported[&k].clone());
         }
-        assert_eq!(told, truth, "seed {seed}");
+        assert_eq!(reported, expected, "seed {seed}");
     }
     assert!(
         lists > 5_000 && faults > 3_000,
@@ -61,27 +64,27 @@
 }
 
 #[test]
-fn a_store_that_was_set_back_makes_nothing_ready_that_was_told_to_drain() {
-    let mut back = 0;
+fn a_store_rollback_makes_no_draining_executor_ready() {
+    let mut rollbacks = 0;
     for seed in 0..2_000 {
-        let mut w = World::new(seed);
-        // An executor that was told to drain is not told otherwise by its own registration.
+        let mut simulation = Simulation::new(seed);
+        // The registration in a restored backup must not make an executor ready that was reported as draining.
         for _ in 0..150 {
-            let before = w.undrained;
-            let was_back = w.cache.store_rollbacks();
-            w.step(true);
-            if w.cache.store_rollbacks() > was_back {
-                assert_eq!(w.undrained, before, "seed {seed}");
+            let before = simulation.ready_after_drain;
+            let rollbacks_before = simulation.cache.store_rollbacks();
+            simulation.step(true);
+            if simulation.cache.store_rollbacks() > rollbacks_before {
+                assert_eq!(simulation.ready_after_drain, before, "seed {seed}");
             }
         }
-        back += w.cache.store_rollbacks();
+        rollbacks += simulation.cache.store_rollbacks();
     }
-    assert!(back > 200, "{back}");
+    assert!(rollbacks > 200, "{rollbacks}");
 }
 
-fn fleet(n: usize) -> (Store, EndpointCache) {
+fn store_and_cache(count: usize) -> (Store, EndpointCache) {
     let mut store = Store::new(1);
-    for n in 0..n {
+    for n in 0..count {
         let key = [PREFIX, n.to_string().as_bytes()].concat().into();
         store
             .put(&PutRequest {
@@ -92,28 +95,28 @@
             .unwrap();
     }
     let mut cache = EndpointCache::new(0.0);
-    let kvs = listed(&store);
+    let kvs = list_entries(&store);
     let list: Vec<EntryChange> = kvs.iter().map(|kv| change(kv, false)).collect();
-    let told = cache.apply_list(
+    let update = cache.apply_list(
         0.0,
         StoreRevision {
             cluster: 1,
             revision: store.revision,
         },
         &list,
-        &read,
+        &parse_entry,
     );
-    assert_eq!(told.unwrap().endpoints.len(), n);
+    assert_eq!(update.unwrap().endpoints.len(), count);
     (store, cache)
 }
 
-fn listed(store: &Store) -> Vec<KeyValue> {
-    let question = RangeRequest {
+fn list_entries(store: &Store) -> Vec<KeyValue> {
+    let request = RangeRequest {
         key: PREFIX.to_vec().into(),
         range_end: range_end(PREFIX).into(),
         ..Default::default()
     };
-    store.range(&question).unwrap().kvs
+    store.range(&request).unwrap().kvs
 }
 
 fn counts(known: usize, retained: usize) -> ExecutorCounts {
@@ -121,27 +124,27 @@
 }
 
 #[test]
-fn an_empty_list_takes_nobody_away_whose_answers_say_otherwise() {
-    let (store, mut cache) = fleet(12);
-    let stamp = StoreRevision {
+fn an_empty_list_removes_no_executor_that_still_responds() {
+    let (store, mut cache) = store_and_cache(12);
+    let revision = StoreRevision {
         cluster: 1,
         revision: store.revision + 12,
     };
     assert_eq!(
-        cache.apply_list(1.0, stamp, &[], &read),
+        cache.apply_list(1.0, revision, &[], &parse_entry),
         None,
-        "all at once: nobody is gone"
+        "a mass expiry removes no executor"
     );
     assert_eq!(cache.executor_counts(), counts(12, 12));
     let executor = |n: u8| ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7);
-    // One is not there, half of the others answer all the time, the rest say nothing.
+    // The connection to one executor fails, five of the others keep responding, and the rest are silent.
     let failed = cache.on_connection_failure(&executor(0)).unwrap().endpoints;
     assert!(failed.len() == 1 && failed[0].state == EndpointState::Gone);
     let mut gone = vec![];
     for step in 0..400 {
         let now = 1.0 + 0.1 * f64::from(step);
         (1..6).for_each(|n| cache.record_response(now, &executor(n)));
-        cache.on_progress(now, stamp);
+        cache.on_progress(now, revision);
         gone.extend(
             cache
                 .remove_expired(now)
@@ -157,16 +160,16 @@
         "{gone:?}"
     );
     assert_eq!(cache.executor_counts(), counts(5, 5));
-    // What drains was to go, and a single one goes at once.
-    let (mut store, mut cache) = fleet(12);
+    // A single executor that disappears is removed at once.
+    let (mut store, mut cache) = store_and_cache(12);
     let key: Bytes = [PREFIX, b"3"].concat().into();
     store.delete(&DeleteRangeRequest {
         key,
         ..DeleteRangeRequest::default()
     });
-    let kvs = listed(&store);
+    let kvs = list_entries(&store);
     let list: Vec<EntryChange> = kvs.iter().map(|kv| change(kv, false)).collect();
-    let told = cache
+    let update = cache
         .apply_list(
             1.0,
             StoreRevision {
@@ -174,12 +177,12 @@
                 revision: store.revision,
             },
             &list,
-            &read,
+            &parse_entry,
         )
         .unwrap();
     assert!(
-        told.kind == EndpointUpdateKind::Delta
-            && told.endpoints.len() == 1
-            && told.endpoints[0].state == EndpointState::Gone
+        update.kind == EndpointUpdateKind::Delta
+            && update.endpoints.len() == 1
+            && update.endpoints[0].state == EndpointState::Gone
     );
 }
--- a/crates/membership/tests/kit/mod.rs
+++ b/crates/membership/tests/kit/mod.rs
@@ -1,5 +1,5 @@
-//! A store, a watch with faults (disconnected, duplicated, late, compacted, rolled back) and a cache that follows it, in
-//! random order.
+//! A simulation of a store, a watch with faults (disconnected, duplicated, late, compacted, rolled back) and a cache
+//! that follows it, with steps in random order.
 
 use bytes::Bytes;
 use orchidtally_dispatch_policy::interface::{
@@ -21,7 +21,7 @@
 pub const PREFIX: &[u8] = b"/executors/";
 pub const EXECUTORS: u8 = 12;
 
-pub fn read(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
+pub fn parse_entry(key: &[u8], value: &[u8]) -> Result<Endpoint, EntryError> {
     let n: u8 = std::str::from_utf8(&key[PREFIX.len()..])
         .unwrap()
         .parse()
@@ -54,37 +54,39 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     random: SmallRng,
     now: f64,
     pub store: Store,
     pub cache: EndpointCache,
     watch: Option<Watch>,
-    /// Responses in flight to the watcher.
-    down: VecDeque<WatchResponse>,
-    sent: i64,
+    /// Responses of the watch that the cache hasn't received yet.
+    in_flight: VecDeque<WatchResponse>,
+    /// The first revision that the watch hasn't been sent.
+    next_to_send: i64,
     /// The last reported endpoint of each executor.
-    pub told: BTreeMap<(IpAddr, u16), Endpoint>,
-    /// Executors that were reported as draining, by their start; and how many of them became ready again.
-    drained: BTreeSet<(IpAddr, u64)>,
-    pub undrained: u32,
+    pub reported: BTreeMap<(IpAddr, u16), Endpoint>,
+    /// Executors that were reported as draining, by address and start.
+    reported_draining: BTreeSet<(IpAddr, u64)>,
+    /// How often an executor was reported as ready after it was reported as draining.
+    pub ready_after_drain: u32,
     pub lists: u32,
     starts: BTreeMap<Bytes, u32>,
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        World {
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        Simulation {
             random: SmallRng::seed_from_u64(seed),
             now: 0.0,
             store: Store::new(1),
             cache: EndpointCache::new(0.0),
             watch: None,
-            down: VecDeque::new(),
-            sent: 0,
-            told: BTreeMap::new(),
-            drained: BTreeSet::new(),
-            undrained: 0,
+            in_flight: VecDeque::new(),
+            next_to_send: 0,
+            reported: BTreeMap::new(),
+            reported_draining: BTreeSet::new(),
+            ready_after_drain: 0,
             lists: 0,
             starts: BTreeMap::new(),
         }
@@ -98,74 +100,77 @@
     fn apply(&mut self, update: Option<EndpointUpdate>) {
         let Some(update) = update else { return };
         if update.kind == EndpointUpdateKind::Full {
-            self.told.clear();
+            self.reported.clear();
         }
-        for row in update.endpoints {
-            let start = (row.executor.0, row.started_at as u64);
-            match row.state {
+        for endpoint in update.endpoints {
+            let start = (endpoint.executor.0, endpoint.started_at as u64);
+            match endpoint.state {
                 EndpointState::Draining => {
-                    self.drained.insert(start);
+                    self.reported_draining.insert(start);
+                }
+                EndpointState::Ready if self.reported_draining.remove(&start) => {
+                    self.ready_after_drain += 1
                 }
-                EndpointState::Ready if self.drained.remove(&start) => self.undrained += 1,
                 _ => {}
             }
-            self.told.insert((row.executor.0, row.executor.1), row);
+            self.reported
+                .insert((endpoint.executor.0, endpoint.executor.1), endpoint);
         }
     }
 
-    /// The store sends all events that the watch hasn't been sent.
-    fn serve(&mut self) {
+    /// Sends the events that the watch hasn't been sent, in fragments of two.
+    fn send_events(&mut self) {
         let Some(watch) = &self.watch else { return };
-        let from = self.sent.max(watch.next_revision());
-        let answer = WatchResponse {
+        let from = self.next_to_send.max(watch.next_revision());
+        let response = WatchResponse {
             header: self.store.header(),
             watch_id: 1,
             ..Default::default()
         };
         match self.store.events(from, PREFIX, &range_end(PREFIX)) {
-            Err(least) => self.down.push_back(WatchResponse {
+            Err(compact_revision) => self.in_flight.push_back(WatchResponse {
                 canceled: true,
-                compact_revision: least,
-                ..answer
+                compact_revision,
+                ..response
             }),
             Ok(events) => {
-                let parts: Vec<Vec<Event>> = events.chunks(2).map(<[Event]>::to_vec).collect();
-                let last = parts.len();
-                for (n, events) in parts.into_iter().enumerate() {
-                    self.down.push_back(WatchResponse {
+                let fragments: Vec<Vec<Event>> = events.chunks(2).map(<[Event]>::to_vec).collect();
+                let count = fragments.len();
+                for (n, events) in fragments.into_iter().enumerate() {
+                    self.in_flight.push_back(WatchResponse {
                         events,
-                        fragment: n + 1 < last,
-                        ..answer.clone()
+                        fragment: n + 1 < count,
+                        ..response.clone()
                     });
                 }
-                if last == 0 {
-                    self.down.push_back(answer);
+                if count == 0 {
+                    self.in_flight.push_back(response);
                 }
-                self.sent = self.store.revision + 1;
+                self.next_to_send = self.store.revision + 1;
             }
         }
     }
 
     fn receive(&mut self) {
-        let (Some(watch), Some(response)) = (&mut self.watch, self.down.pop_front()) else {
+        let (Some(watch), Some(response)) = (&mut self.watch, self.in_flight.pop_front()) else {
             return;
         };
-        for told in watch.on_response(response) {
-            let stamp = |h: &orchidtally_etcd::rpc::ResponseHeader| StoreRevision {
+        for event in watch.on_response(response) {
+            let revision = |h: &orchidtally_etcd::rpc::ResponseHeader| StoreRevision {
                 cluster: h.cluster_id,
                 revision: h.revision,
             };
-            let rows = match told {
+            let update = match event {
                 WatchEvent::Events { header, events } => {
                     let changes: Vec<EntryChange> = events
                         .iter()
                         .filter_map(|e| Some(change(e.kv.as_ref()?, e.r#type == 1)))
                         .collect();
                     self.cache
-                        .apply_events(self.now, stamp(&header), &changes, &read)
+                        .apply_events(self.now, revision(&header), &changes, &parse_entry)
                 }
                 WatchEvent::Progress { header, .. } => {
-                    self.cache.on_progress(self.now, stamp(&header));
+                    self.cache.on_progress(self.now, revision(&header));
                     None
                 }
                 WatchEvent::Compacted { .. } => {
@@ -174,7 +179,7 @@
                 }
                 WatchEvent::Created | WatchEvent::Cancelled { .. } => None,
             };
-            self.apply(rows);
+            self.apply(update);
             if self.cache.next_request() == NextRequest::List {
                 self.disconnect();
                 return;
@@ -184,7 +189,7 @@
 
     fn disconnect(&mut self) {
         self.watch = None;
-        self.down.clear();
+        self.in_flight.clear();
     }
 
     fn connect(&mut self) {
@@ -193,23 +198,25 @@
         }
         if self.cache.next_request() == NextRequest::List {
             self.lists += 1;
-            let question = RangeRequest {
+            let request = RangeRequest {
                 key: PREFIX.to_vec().into(),
                 range_end: range_end(PREFIX).into(),
                 ..RangeRequest::default()
             };
-            let answer = self.store.range(&question).unwrap();
-            let list: Vec<EntryChange> = answer.kvs.iter().map(|kv| change(kv, false)).collect();
-            let header = answer.header.unwrap();
-            let stamp = StoreRevision {
+            let response = self.store.range(&request).unwrap();
+            let list: Vec<EntryChange> = response.kvs.iter().map(|kv| change(kv, false)).collect();
+            let header = response.header.unwrap();
+            let revision = StoreRevision {
                 cluster: header.cluster_id,
                 revision: header.revision,
             };
-            let told = self.cache.apply_list(self.now, stamp, &list, &read);
-            self.apply(told);
+            let update = self
+                .cache
+                .apply_list(self.now, revision, &list, &parse_entry);
+            self.apply(update);
         }
         let NextRequest::Watch(from) = self.cache.next_request() else {
-            panic!("a list was just given")
+            panic!("a list was just applied")
         };
         let mut watch = Watch::new(PREFIX, from);
         watch.request();
@@ -220,18 +227,18 @@
             ..Default::default()
         };
         assert_eq!(watch.on_response(created), [WatchEvent::Created]);
-        (self.watch, self.sent) = (Some(watch), 0);
+        (self.watch, self.next_to_send) = (Some(watch), 0);
     }
 
-    pub fn step(&mut self, restores: bool) {
+    pub fn step(&mut self, with_rollbacks: bool) {
         self.now += 0.05;
         match self.random.random_range(0..100) {
             0..=24 => {
                 let key = self.key();
-                // Sometimes it is another start of the executor.
-                let again = u32::from(self.random.random_range(0..5) == 0);
+                // One in five writes is a restart of the executor.
+                let restarts = u32::from(self.random.random_range(0..5) == 0);
                 let since = self.starts.entry(key.clone()).or_default();
-                *since += 100 * again;
+                *since += 100 * restarts;
                 let since = *since;
                 let value = match self.random.random_range(0..10) {
                     0 => "half".into(),
@@ -254,7 +261,7 @@
                 });
             }
             35..=38 => {
-                // An operator drains an executor, or withdraws that.
+                // An operator drains an executor, or withdraws the drain.
                 let key: Bytes = [&self.key()[..], b"/drain"].concat().into();
                 if self.random.random() {
                     self.store
@@ -271,77 +278,79 @@
                     });
                 }
             }
-            39..=54 => self.serve(),
+            39..=54 => self.send_events(),
             55..=79 => self.receive(),
             80..=84 => self.disconnect(),
             85..=92 => self.connect(),
             93 => {
-                let to = self.store.revision - self.random.random_range(0..3);
+                let revision = self.store.revision - self.random.random_range(0..3);
                 // There may be nothing to compact.
-                let _ = self.store.compact(to);
+                let _ = self.store.compact(revision);
             }
             94 => {
                 // A message is delivered twice.
-                if let Some(again) = self.down.front().cloned() {
-                    self.down.push_front(again);
+                if let Some(response) = self.in_flight.front().cloned() {
+                    self.in_flight.push_front(response);
                 }
             }
-            95 if restores => {
+            95 if with_rollbacks => {
                 self.store.restore(self.store.revision - 4);
                 self.disconnect();
                 self.cache.on_compaction();
             }
             _ => {
-                let told = self.cache.remove_expired(self.now);
-                self.apply(told);
+                let update = self.cache.remove_expired(self.now);
+                self.apply(update);
             }
         }
     }
 
-    /// Runs without faults until the cache equals the store.
+    /// Runs without faults for long enough that the cache equals the store.
     pub fn settle(&mut self) {
         for _ in 0..60 {
             self.now += 0.5;
             self.connect();
-            self.serve();
-            while !self.down.is_empty() {
+            self.send_events();
+            while !self.in_flight.is_empty() {
                 self.receive();
             }
-            let told = self.cache.remove_expired(self.now);
-            self.apply(told);
+            let update = self.cache.remove_expired(self.now);
+            self.apply(update);
         }
     }
 
-    /// The readable entries of the store, by executor.
-    pub fn truth(&self) -> BTreeMap<(IpAddr, u16), Endpoint> {
-        let question = RangeRequest {
+    /// The endpoints that the cache should have: the readable entries of the store, by executor.
+    pub fn expected(&self) -> BTreeMap<(IpAddr, u16), Endpoint> {
+        let request = RangeRequest {
             key: PREFIX.to_vec().into(),
             range_end: range_end(PREFIX).into(),
             ..Default::default()
         };
-        let kvs = self.store.range(&question).unwrap().kvs;
-        let is_marked = |key: &[u8]| kvs.iter().any(|kv| kv.key == [key, b"/drain"].concat());
-        let rows = kvs
+        let kvs = self.store.range(&request).unwrap().kvs;
+        let is_drained = |key: &[u8]| kvs.iter().any(|kv| kv.key == [key, b"/drain"].concat());
+        let endpoints = kvs
             .iter()
             .filter(|kv| !kv.key.ends_with(b"/drain"))
             .filter_map(|kv| {
-                let row = read(&kv.key, &kv.value).ok()?;
-                let standing = if is_marked(&kv.key) {
+                let endpoint = parse_entry(&kv.key, &kv.value).ok()?;
+                let state = if is_drained(&kv.key) {
                     EndpointState::Draining
                 } else {
-                    row.state
+                    endpoint.state
                 };
-                Some(Endpoint {
-                    state: standing,
-                    ..row
-                })
+                Some(Endpoint { state, ..endpoint })
             });
-        rows.map(|r| ((r.executor.0, r.executor.1), r)).collect()
+        endpoints
+            .map(|r| ((r.executor.0, r.executor.1), r))
+            .collect()
     }
 }
 
-pub fn live(told: &BTreeMap<(IpAddr, u16), Endpoint>) -> BTreeMap<(IpAddr, u16), Endpoint> {
-    told.iter()
+pub fn without_gone(
+    reported: &BTreeMap<(IpAddr, u16), Endpoint>,
+) -> BTreeMap<(IpAddr, u16), Endpoint> {
+    reported
+        .iter()
         .filter(|(_, r)| r.state != EndpointState::Gone)
         .map(|(k, r)| (*k, r.clone()))
         .collect()
