--- a/crates/config-sync/src/action.rs
+++ b/crates/config-sync/src/action.rs
@@ -1,4 +1,4 @@
-//! Actions that the core requests from its host.
+//! The actions that the core requests from its host.
 
 use crate::keys::KeyRange;
 use crate::message::RequestId;
@@ -30,17 +30,17 @@
     pub kind: ReadKind,
     /// The keys to read.
     pub range: KeyRange,
-    /// Only keys changed at this revision or later; 0 for all.
+    /// Read only keys that changed at this revision or later; 0 for all keys.
     pub min_mod_revision: i64,
     /// The revision to read at; 0 for the newest.
     pub at_revision: i64,
-    /// The most entries in the answer.
+    /// Maximum number of entries in the answer.
     pub limit: i64,
-    /// Whether values aren't needed (`keys_only`). Reading them all the same only costs bytes.
+    /// Whether values aren't needed (`keys_only`). A host may read them nevertheless, which only costs bytes.
     pub keys_only: bool,
 }
 
-/// An action for the host. The host starts each at once, in the order in which they are polled.
+/// An action for the host. The host starts each action at once, in the order in which the actions are polled.
 #[derive(Debug)]
 pub enum Action<E> {
     /// Watch [`Keyspace::entries`](crate::Keyspace::entries) from this revision on, fragments allowed. After a
@@ -49,7 +49,7 @@
         /// The first revision of the watch.
         from_revision: i64,
     },
-    /// Cancel the watch; the host passes on none of its responses any more.
+    /// Cancel the watch. The host must not pass on any of its responses afterwards.
     CancelWatch,
     /// Request progress on the watch's stream (`WatchProgressRequest`).
     RequestProgress,
--- a/crates/config-sync/src/applier/candidate.rs
+++ b/crates/config-sync/src/applier/candidate.rs
@@ -3,31 +3,31 @@
 use super::{BlockedKey, Transaction};
 use crate::keys::EntryKey;
 use crate::schema::{Envelope, InvalidEntry, Rejection, Schema, Violation};
-use crate::stored::Stored;
+use crate::store_copy::StoreCopy;
 use crate::view::{Record, View};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Characters of a reason or a remedy that are kept.
+/// Maximum number of characters of a reason or a remedy; the rest is cut off.
 const MAX_REASON_CHARS: usize = 300;
 
-/// The state of the store and the rules by which a transaction is validated.
+/// The state of the store and the schema with which a transaction is validated.
 pub(crate) struct Context<'c, S> {
     pub(crate) schema: &'c S,
-    pub(crate) stored: &'c Stored,
+    pub(crate) stored: &'c StoreCopy,
     pub(crate) max_value_bytes: usize,
     pub(crate) generation: u64,
     pub(crate) revision: i64,
-    /// As of when the view is proven current, before the present transaction.
+    /// The time as of which the view is proven current, before the present transaction.
     pub(crate) fresh_as_of: f64,
 }
 
-/// The view with some keys set to the store's entries.
+/// Builds a copy of the view in which `keys` are set to the store's entries.
 ///
 /// # Errors
 ///
 /// The rejections, if the view would be invalid.
-pub(super) fn candidate<S: Schema>(
+pub(super) fn build_candidate<S: Schema>(
     context: &Context<'_, S>,
     view: &View<S::Entry>,
     keys: &[EntryKey],
@@ -41,7 +41,7 @@
             candidate.set(key, None);
             continue;
         };
-        match read_record(context, key, &entry.document, entry.mod_revision) {
+        match parse_record(context, key, &entry.document, entry.mod_revision) {
             Ok(record) => candidate.set(key, Some(Arc::new(record))),
             Err(invalid) => {
                 rejections.push(rejection(key, revision, &invalid.reason, &invalid.remedy))
@@ -50,8 +50,9 @@
     }
     if rejections.is_empty() {
         let violations = context.schema.check(&candidate, keys);
-        let of = |v: &Violation| rejection(&v.key, revision, &v.invalid.reason, &v.invalid.remedy);
-        rejections.extend(violations.iter().map(of));
+        let to_rejection =
+            |v: &Violation| rejection(&v.key, revision, &v.invalid.reason, &v.invalid.remedy);
+        rejections.extend(violations.iter().map(to_rejection));
     }
     if rejections.is_empty() {
         Ok(candidate)
@@ -61,7 +62,7 @@
 }
 
 /// Parses a document into a record.
-pub(crate) fn read_record<S: Schema>(
+pub(crate) fn parse_record<S: Schema>(
     context: &Context<'_, S>,
     key: &EntryKey,
     document: &Arc<[u8]>,
--- a/crates/config-sync/src/applier/mod.rs
+++ b/crates/config-sync/src/applier/mod.rs
@@ -2,22 +2,22 @@
 //!
 //! A rejected transaction is *blocked*: its keys keep their last good entries. It is retried when a later transaction
 //! changes one of its keys, and periodically while the view changes. A view without blocked transactions equals the
-//! store, whichever way the front end reached it.
+//! store, regardless of the sequence of reads and changes by which the front end reached it.
 
 mod candidate;
 
-pub(crate) use candidate::{Context, read_record};
+pub(crate) use candidate::{Context, parse_record};
 
 use crate::keys::EntryKey;
 use crate::schema::{Rejection, Schema};
 use crate::view::{Record, View};
-use candidate::{candidate, differences};
+use candidate::{build_candidate, differences};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The most rejections that are kept; further ones are only counted.
+/// Maximum number of rejections that are kept; further ones are only counted.
 const MAX_REJECTIONS: usize = 1_024;
-/// The most blocked transactions that one retry tries individually.
+/// Maximum number of blocked transactions that one retry tries individually.
 const MAX_RETRIES: usize = 256;
 
 /// Keys that change together, and the revision of their transaction.
@@ -51,7 +51,7 @@
 pub(crate) struct BlockedKey {
     /// The revision of the transaction.
     pub(crate) revision: i64,
-    /// As of when the entry in force under the key was proven current.
+    /// The time as of which the entry in force under the key was proven current.
     pub(crate) as_of: f64,
 }
 
@@ -96,7 +96,7 @@
             .map(|(key, blocked)| (key, blocked.revision))
     }
 
-    /// As of when the entry in force under a blocked key was proven current; `None` if the key isn't blocked.
+    /// The time as of which the entry in force under a blocked key was proven current; `None` if the key isn't blocked.
     pub(crate) fn blocked_as_of(&self, key: &str) -> Option<f64> {
         self.blocked_keys.get(key).map(|blocked| blocked.as_of)
     }
@@ -115,7 +115,8 @@
         )
     }
 
-    /// Applies one transaction, whose values `context.stored` holds already.
+    /// Applies one transaction, or blocks it if the result would be invalid. `context.stored` has to contain its values
+    /// already.
     pub(crate) fn apply<S: Schema<Entry = E>>(
         &mut self,
         context: &Context<'_, S>,
@@ -142,11 +143,11 @@
             .iter()
             .flat_map(|t| t.keys.iter().cloned())
             .collect();
-        if let Ok(view) = candidate(context, &self.view, &keys, context.revision) {
+        if let Ok(view) = build_candidate(context, &self.view, &keys, context.revision) {
             self.commit(view);
             return;
         }
-        // Keys that were blocked before keep their age.
+        // Keys that were blocked before keep the time as of which they were proven current.
         for key in &keys {
             if let Some(blocked) = before.get(key) {
                 self.blocked_keys.insert(key.clone(), *blocked);
@@ -156,8 +157,10 @@
             self.apply_or_block(context, transaction);
         }
         let blocked = &self.blocked;
-        let still: BTreeSet<&EntryKey> = blocked.iter().flat_map(|b| &b.transaction.keys).collect();
-        self.blocked_keys.retain(|key, _| still.contains(key));
+        let still_blocked: BTreeSet<&EntryKey> =
+            blocked.iter().flat_map(|b| &b.transaction.keys).collect();
+        self.blocked_keys
+            .retain(|key, _| still_blocked.contains(key));
         self.retry(context);
     }
 
@@ -169,7 +172,7 @@
             .iter()
             .flat_map(|b| b.transaction.keys.iter().cloned())
             .collect();
-        if let Ok(view) = candidate(context, &self.view, &all, context.revision) {
+        if let Ok(view) = build_candidate(context, &self.view, &all, context.revision) {
             self.blocked.clear();
             self.blocked_keys.clear();
             self.commit(view);
@@ -190,7 +193,7 @@
         for index in indices {
             let transaction = &self.blocked[index].transaction;
             if let Ok(view) =
-                candidate(context, &self.view, &transaction.keys, transaction.revision)
+                build_candidate(context, &self.view, &transaction.keys, transaction.revision)
             {
                 self.commit(view);
                 applied.insert(index);
@@ -207,15 +210,15 @@
     ) {
         let mut view = View::default();
         view.set_position(context.generation, context.revision);
-        let mut unread = vec![];
+        let mut unreadable = vec![];
         for entry in context.stored.iter() {
-            match read_record(context, &entry.key, &entry.document, entry.mod_revision) {
+            match parse_record(context, &entry.key, &entry.document, entry.mod_revision) {
                 Ok(record) => view.set(&entry.key, Some(Arc::new(record))),
-                Err(_) => unread.push(entry.key.clone()),
+                Err(_) => unreadable.push(entry.key.clone()),
             }
         }
         let as_of = f64::NEG_INFINITY;
-        for key in unread {
+        for key in unreadable {
             self.blocked_keys.insert(
                 key,
                 BlockedKey {
@@ -282,7 +285,7 @@
                 .iter()
                 .flat_map(|remainder| remainder.keys.iter().cloned()),
         );
-        let Ok(view) = candidate(context, &self.view, &keys, transaction.revision) else {
+        let Ok(view) = build_candidate(context, &self.view, &keys, transaction.revision) else {
             return false;
         };
         for key in &keys {
@@ -297,7 +300,7 @@
         context: &Context<'_, S>,
         transaction: Transaction,
     ) {
-        match candidate(context, &self.view, &transaction.keys, transaction.revision) {
+        match build_candidate(context, &self.view, &transaction.keys, transaction.revision) {
             Ok(view) => {
                 for key in &transaction.keys {
                     self.blocked_keys.remove(key);
--- a/crates/config-sync/src/backlog.rs
+++ b/crates/config-sync/src/backlog.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// The queue is full. The queued changes are dropped, and the entries that changed are read at the configured pace.
+/// The queue is full. The queued changes are dropped, and the entries that changed are read within the rate limit.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("more changes wait than there is room for")]
+#[error("the backlog of changes is full")]
 pub(crate) struct BacklogFull;
 
-/// The changes of one transaction, by store key; without a value the key was deleted.
+/// The changes of one transaction, by store key; `None` for a deleted key.
 pub(crate) type ChangesByKey = BTreeMap<Vec<u8>, Option<Vec<u8>>>;
 
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
         self.incomplete = None;
         let incomplete = self.revisions.split_off(&(self.complete_through + 1));
         for changes in incomplete.values() {
-            self.forget(changes);
+            self.subtract_size(changes);
         }
     }
 
@@ -95,7 +95,7 @@
             return None;
         }
         let (revision, changes) = first.remove_entry();
-        self.forget(&changes);
+        self.subtract_size(&changes);
         Some((revision, changes))
     }
 
@@ -113,7 +113,7 @@
         self.bytes += bytes;
     }
 
-    fn forget(&mut self, changes: &ChangesByKey) {
+    fn subtract_size(&mut self, changes: &ChangesByKey) {
         self.changes -= changes.len();
         self.bytes -= changes
             .iter()
--- a/crates/config-sync/src/deletions.rs
+++ b/crates/config-sync/src/deletions.rs
@@ -1,27 +1,28 @@
 //! Infers from a bucket's digest which of its entries were deleted.
 //!
-//! A digest is the sum of its entries' hashes. A bucket that only lost entries differs by the sum of their hashes, which
-//! few subsets of the bucket have. The result is a guess: if a writer didn't update the digest, an entry that still
-//! exists looks deleted. Callers therefore confirm each key by a read.
+//! A digest is the sum of its entries' hashes. A bucket that only lost entries differs by the sum of their hashes,
+//! which few subsets of the bucket have. The result is a guess: if a writer didn't update the digest, an entry that
+//! still exists looks deleted. Callers therefore confirm each key by a read.
 
 use crate::keys::EntryKey;
-use crate::stored::StoredEntry;
+use crate::store_copy::StoredEntry;
 
-/// The most deleted entries that are searched for.
+/// Maximum number of deleted entries that are searched for.
 const MAX_DELETED: usize = 3;
-/// The most entries of a bucket that is searched: 64 entries have some 44,000 subsets of up to three.
+/// Maximum number of entries of a bucket that is searched: 64 entries have about 44,000 subsets of up to three.
 const MAX_ENTRIES: usize = 64;
 
-/// The smallest set of entries whose hashes sum up to `lacking`; `None` if no small set does.
-pub(crate) fn likely_deleted(bucket: &[StoredEntry], lacking: u64) -> Option<Vec<EntryKey>> {
-    if lacking == 0 || bucket.len() > MAX_ENTRIES {
+/// The smallest set of entries whose hashes sum up to `missing_sum`; `None` if no small set does.
+pub(crate) fn likely_deleted(bucket: &[StoredEntry], missing_sum: u64) -> Option<Vec<EntryKey>> {
+    if missing_sum == 0 || bucket.len() > MAX_ENTRIES {
         return None;
     }
     let hashes: Vec<u64> = bucket.iter().map(StoredEntry::hash).collect();
-    let mut chosen = vec![];
-    let is_found = (1..=MAX_DELETED).any(|count| choose(&hashes, 0, count, lacking, &mut chosen));
+    let mut subset = vec![];
+    let is_found =
+        (1..=MAX_DELETED).any(|count| find_subset(&hashes, 0, count, missing_sum, &mut subset));
     is_found.then(|| {
-        chosen
+        subset
             .iter()
             .map(|&index| bucket[index].key.clone())
             .collect()
@@ -29,22 +30,28 @@
 }
 
 /// Chooses `count` hashes, from the index `from` on, that sum up to `sum`.
-fn choose(hashes: &[u64], from: usize, count: usize, sum: u64, chosen: &mut Vec<usize>) -> bool {
+fn find_subset(
+    hashes: &[u64],
+    from: usize,
+    count: usize,
+    sum: u64,
+    subset: &mut Vec<usize>,
+) -> bool {
     if count == 0 {
         return sum == 0;
     }
     for (index, hash) in hashes.iter().enumerate().skip(from) {
-        chosen.push(index);
-        if choose(
+        subset.push(index);
+        if find_subset(
             hashes,
             index + 1,
             count - 1,
             sum.wrapping_sub(*hash),
-            chosen,
+            subset,
         ) {
             return true;
         }
-        chosen.pop();
+        subset.pop();
     }
     false
 }
--- a/crates/config-sync/src/digest.rs
+++ b/crates/config-sync/src/digest.rs
@@ -1,7 +1,7 @@
 //! Digests of buckets: an order-independent sum over the hashes of a bucket's entries.
 //!
-//! They detect accidental differences (missed deletions, a store that was rolled back). They don't protect against a
-//! malicious writer, who could write entries just as well.
+//! They detect accidental differences (missed deletions, a store that was rolled back). They give no protection against
+//! a malicious writer, who could also write entries.
 
 use crate::keys::{BUCKET_COUNT, BUCKETS_PER_GROUP, group_of};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -46,7 +46,7 @@
         self.0[bucket] = digest;
     }
 
-    /// Buckets in which the two differ, in ascending order.
+    /// The buckets whose digests differ from those in `other`, in ascending order.
     pub fn differing(&self, other: &Digests) -> Vec<usize> {
         (0..BUCKET_COUNT)
             .filter(|&bucket| self.0[bucket] != other.0[bucket])
--- a/crates/config-sync/src/freshness.rs
+++ b/crates/config-sync/src/freshness.rs
@@ -1,14 +1,14 @@
-//! As of when the view is proven current.
+//! The time as of which the view is proven current.
 //!
 //! Only a **linearizable** read proves anything: if it was sent at `sent_at` and answered at revision `R`, then
 //! everything that was committed before `sent_at` has a revision of at most `R`; once all changes up to `R` are
-//! applied, the view is current as of `sent_at`. Watch progress alone proves nothing: a member that is cut off from
-//! its quorum goes on sending it with its own old revision.
+//! applied, the view is current as of `sent_at`. Watch progress alone proves nothing: a member that is partitioned from
+//! its quorum keeps sending it with its own old revision.
 
 use std::collections::VecDeque;
 
-/// The most answered barriers that wait for the watch. When full, the newest is replaced, since the older ones are
-/// confirmed first.
+/// Maximum number of answered barriers that wait for the watch. Beyond it the newest is replaced, since the older ones
+/// are confirmed first.
 const MAX_PENDING_BARRIERS: usize = 8;
 
 /// An answered barrier whose revision isn't applied yet.
@@ -58,7 +58,8 @@
         self.pending.retain(|barrier| barrier.revision > revision);
     }
 
-    /// Since when a barrier waits for a revision beyond `received`; infinite if none does.
+    /// The time at which the oldest barrier that waits for a revision beyond `received` was sent; infinite if none
+    /// does.
     pub(crate) fn pending_since(&self, received: i64) -> f64 {
         let waiting = self
             .pending
@@ -69,12 +70,12 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// Forgets the barriers that wait for a revision beyond `received`.
-    pub(crate) fn forget_pending_beyond(&mut self, received: i64) {
+    /// Drops the barriers that wait for a revision beyond `received`.
+    pub(crate) fn drop_pending_beyond(&mut self, received: i64) {
         self.pending.retain(|barrier| barrier.revision <= received);
     }
 
-    /// Forgets the barriers that aren't confirmed yet.
+    /// Drops the barriers that aren't confirmed yet.
     pub(crate) fn clear_pending(&mut self) {
         self.pending.clear();
     }
--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -1,4 +1,4 @@
-//! Whether a revision is in force at every front end, from the front ends' reports; for writers.
+//! Determines for writers whether a revision is in force at every front end, from the front ends' reports.
 
 use crate::report::{Report, ReportedState};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -14,13 +14,13 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of buckets over which entries are distributed by a hash of their key. Part of the protocol: format 1.
+/// Number of buckets over which entries are distributed by a hash of their key. The number is part of [`FORMAT`] 1.
 pub const BUCKET_COUNT: usize = 1_024;
 /// Number of buckets whose digests share a key of the store.
 pub const BUCKETS_PER_GROUP: usize = 32;
 /// Number of keys that hold digests.
 pub const GROUP_COUNT: usize = BUCKET_COUNT / BUCKETS_PER_GROUP;
-/// The most bytes of a kind and name together, with their slash.
+/// Maximum length of a key in bytes: of its kind, slash and name together.
 pub const MAX_KEY_BYTES: usize = 256;
 /// The format of keys and values that this crate reads and writes.
 pub const FORMAT: u32 = 1;
@@ -38,7 +38,7 @@
     #[error("the key has {0} bytes; at most {MAX_KEY_BYTES} are allowed, choose a shorter name")]
     TooLong(usize),
     /// The text has a control character.
-    #[error("the key holds a control character; use printable characters only")]
+    #[error("the key contains a control character; use printable characters only")]
     ControlCharacter,
 }
 
@@ -149,7 +149,7 @@
         KeyRange { start: prefix, end }
     }
 
-    /// From the start of one range to the end of a later one.
+    /// The range from the start of this range to the end of `last`, which has to be a later range.
     pub fn through(self, last: KeyRange) -> KeyRange {
         KeyRange {
             start: self.start,
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -27,7 +27,7 @@
 mod deletions;
 mod freshness;
 mod pacing;
-mod stored;
+mod store_copy;
 
 pub use action::{Action, ReadKind, ReadRequest};
 pub use in_force::{InForce, MissingFrontEnd, MissingReason, RevocationState, in_force};
--- a/crates/config-sync/src/message.rs
+++ b/crates/config-sync/src/message.rs
@@ -1,4 +1,4 @@
-//! The store's responses, as the host passes them to the core. The host passes the time separately with each call.
+//! The store's responses, as the host passes them to the core. Each call takes the time as a separate argument.
 
 /// Identifies a request of the core, so that late answers can be ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -52,7 +52,7 @@
 pub struct RangeAnswer {
     /// Id of the read.
     pub id: RequestId,
-    /// The store's newest revision, also where an older one was read at.
+    /// The header, with the store's newest revision even if the read was at an older one.
     pub header: Header,
     /// The entries found, sorted by key.
     pub entries: Vec<RangeEntry>,
@@ -80,7 +80,7 @@
     Unavailable,
     /// The requested revision is compacted (`etcdserver: mvcc: required revision has been compacted`).
     Compacted,
-    /// The store hasn't reached the requested revision (`etcdserver: mvcc: required revision is a future revision`). For
-    /// a linearizable read this shows that the store was rolled back.
+    /// The store hasn't reached the requested revision (`etcdserver: mvcc: required revision is a future revision`).
+    /// For a linearizable read this shows that the store was rolled back.
     FutureRevision,
 }
--- a/crates/config-sync/src/pacing.rs
+++ b/crates/config-sync/src/pacing.rs
@@ -10,12 +10,12 @@
     burst: f64,
     tokens: f64,
     updated_at: f64,
-    /// Until then the bucket fills at a fraction of its rate.
+    /// The bucket fills at a fraction of its rate until this time.
     slow_until: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(crate) fn new(bytes_per_second: f64, burst: f64, now: f64) -> TokenBucket {
         TokenBucket {
             bytes_per_second,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Fills at half the rate for `seconds`, and starts with at most the fraction `part` of the burst. Front ends that
-    /// start together, each with another fraction, are then neither in step nor at their full rate.
+    /// Fills the bucket at half the rate for `seconds`, and starts with at most the fraction `part` of the burst. Front
+    /// ends that start at the same time with different fractions are then neither synchronized nor at their full rate.
     pub(crate) fn start_slowly(&mut self, now: f64, seconds: f64, part: f64) {
         self.fill(now);
         if seconds > 0.0 {
@@ -36,25 +36,25 @@
         }
     }
 
-    /// Fills at the full rate from now on.
+    /// Fills the bucket at its full rate from `now` on.
     pub(crate) fn end_slow_start(&mut self, now: f64) {
         self.fill(now);
         self.slow_until = now;
     }
 
-    /// When `wanted` bytes may be read; more than the burst counts as the burst.
+    /// The time at which `wanted` bytes may be read. More bytes than the burst count as the burst.
     pub(crate) fn ready_at(&self, wanted: f64) -> f64 {
-        let lacking = (wanted.min(self.burst) - self.tokens).max(0.0);
+        let missing = (wanted.min(self.burst) - self.tokens).max(0.0);
         let slow_seconds = (self.slow_until - self.updated_at).max(0.0);
         let slow_rate = self.bytes_per_second * SLOW_START_FRACTION;
         let by_slow_start = slow_seconds * slow_rate;
-        if lacking <= by_slow_start {
-            return self.updated_at + lacking / slow_rate;
+        if missing <= by_slow_start {
+            return self.updated_at + missing / slow_rate;
         }
-        self.updated_at + slow_seconds + (lacking - by_slow_start) / self.bytes_per_second
+        self.updated_at + slow_seconds + (missing - by_slow_start) / self.bytes_per_second
     }
 
-    /// Charges bytes; a negative number refunds them.
+    /// Removes `bytes` tokens; a negative number refunds them.
     pub(crate) fn charge(&mut self, now: f64, bytes: f64) {
         self.fill(now);
         self.tokens -= bytes;
--- a/crates/config-sync/src/report.rs
+++ b/crates/config-sync/src/report.rs
@@ -11,13 +11,13 @@
     Following,
     /// The front end reads the changes that it missed.
     CatchingUp,
-    /// The store was rolled back, or is another one, without a higher generation. The last good view stays in force,
-    /// and nothing proves it current.
+    /// The store was rolled back or replaced by another one, without a higher generation. The last good view stays in
+    /// force, but isn't proven current.
     #[serde(rename = "store-set-back")]
     StoreRolledBack,
     /// The store exceeds the front end's limits; the last good view stays in force.
     StoreTooLarge,
-    /// The generation key can't be read by this version.
+    /// The generation key has a format that this version can't read.
     UnknownFormat,
     /// The front end has ended and serves nothing any more. This last report expires after a while.
     Ended,
--- a/crates/config-sync/src/schema/envelope.rs
+++ b/crates/config-sync/src/schema/envelope.rs
@@ -33,7 +33,7 @@
             );
             return Err(InvalidEntry::new(
                 reason,
-                "make it shorter, or raise max_value_bytes everywhere",
+                "shorten it, or raise max_value_bytes at all front ends",
             ));
         }
         serde_json::from_slice(document)
@@ -41,20 +41,20 @@
     }
 }
 
-/// Parses a `spec`; `shape` is the example in the remedy.
-pub(super) fn read_spec<T: DeserializeOwned>(
+/// Parses a `spec`; `example` is shown in the remedy.
+pub(super) fn parse_spec<T: DeserializeOwned>(
     spec: serde_json::Value,
-    shape: &str,
+    example: &str,
 ) -> Result<T, InvalidEntry> {
     serde_json::from_value(spec).map_err(|error| {
         InvalidEntry::new(
             format!("spec: {error}"),
-            format!("write a spec such as {shape}"),
+            format!("write a spec such as {example}"),
         )
     })
 }
 
-/// Checks that a number lies within its bounds.
+/// Checks that a number is within its range.
 pub(super) fn check_range(
     field: &str,
     value: f64,
--- a/crates/config-sync/src/schema/function.rs
+++ b/crates/config-sync/src/schema/function.rs
@@ -1,15 +1,15 @@
 //! Entries `functions/<name>`: the versions of a function and whether it may be invoked.
 
 use super::InvalidEntry;
-use super::envelope::{check_range, read_spec};
+use super::envelope::{check_range, parse_spec};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most versions of a function.
+/// Maximum number of versions of a function.
 const MAX_VERSIONS: usize = 64;
-/// The most aliases, and the most trigger types, of a function.
+/// Maximum number of aliases of a function, and of its trigger types.
 const MAX_NAMES: usize = 64;
-const SHAPE: &str = r#"{"versions":[{"digest":"sha256:1f","lanes":4,"memory":2.56e8,"load_time":0.2,"work":0.01}]}"#;
+const EXAMPLE: &str = r#"{"versions":[{"digest":"sha256:1f","lanes":4,"memory":2.56e8,"load_time":0.2,"work":0.01}]}"#;
 
 /// One version of a function.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -67,7 +67,7 @@
     ///
     /// If it is malformed or a value is out of its range.
     pub fn parse(spec: serde_json::Value) -> Result<FunctionSpec, InvalidEntry> {
-        let function: FunctionSpec = read_spec(spec, SHAPE)?;
+        let function: FunctionSpec = parse_spec(spec, EXAMPLE)?;
         function.check_counts()?;
         function.check_versions()?;
         function.check_aliases()?;
@@ -120,10 +120,10 @@
                 .iter()
                 .any(|version| version.digest == *digest)
             {
-                let reason = format!("the alias '{alias}' names '{digest}', which is no version");
+                let reason = format!("the alias '{alias}' names '{digest}', which no version has");
                 return Err(InvalidEntry::new(
                     reason,
-                    "name the digest of one of the versions",
+                    "use the digest of one of the versions",
                 ));
             }
         }
@@ -136,7 +136,7 @@
         if self.digest.is_empty() {
             return Err(InvalidEntry::new(
                 "a version's digest is empty",
-                "give the digest of its image",
+                "set it to the digest of the image",
             ));
         }
         check_range("lanes", f64::from(self.lanes), 1.0..=100_000.0)?;
--- a/crates/config-sync/src/schema/gateway.rs
+++ b/crates/config-sync/src/schema/gateway.rs
@@ -36,7 +36,7 @@
             QUOTAS => QuotaSpec::parse(spec).map(GatewayEntry::Quota),
             TRIGGER_TYPES => TriggerTypeSpec::parse(spec).map(GatewayEntry::TriggerType),
             other => {
-                let reason = format!("there is no kind '{other}'");
+                let reason = format!("unknown kind '{other}'");
                 let remedy =
                     format!("use one of {FUNCTIONS}, {QUOTAS}, {TRIGGER_TYPES}; delete this key");
                 Err(InvalidEntry::new(reason, remedy))
@@ -56,9 +56,9 @@
                 .filter_map(|key| check_function(candidate, key))
                 .collect();
         }
-        // Trigger types rarely change, so all functions are searched for their names then.
+        // Trigger types rarely change, so all functions are searched when one does.
         let changed: BTreeSet<&EntryKey> = changed.iter().collect();
-        let touched = |key: &EntryKey, function: &FunctionSpec| {
+        let is_affected = |key: &EntryKey, function: &FunctionSpec| {
             changed.contains(key)
                 || function
                     .trigger_types
@@ -68,7 +68,7 @@
         candidate
             .iter()
             .filter(|(key, record)| match &record.entry {
-                GatewayEntry::Function(function) => touched(key, function),
+                GatewayEntry::Function(function) => is_affected(key, function),
                 GatewayEntry::Quota(_) | GatewayEntry::TriggerType(_) => false,
             })
             .filter_map(|(key, _)| check_function(candidate, key))
@@ -108,7 +108,7 @@
         .get(&format!("{TRIGGER_TYPES}/{name}"))
         .map(|record| &record.entry);
     let Some(GatewayEntry::TriggerType(trigger_type)) = known else {
-        let reason = format!("the function names the trigger type '{name}', which is not there");
+        let reason = format!("the function names the trigger type '{name}', which does not exist");
         return Some(InvalidEntry::new(
             reason,
             "write the trigger type first, or in the same transaction",
@@ -120,11 +120,11 @@
         .iter()
         .find(|version| version.work.is_some_and(works_too_long))?;
     let reason = format!(
-        "version '{}' works longer than the timeout of {} s of the trigger type '{name}'",
+        "version '{}' takes longer than the timeout of {} s of the trigger type '{name}'",
         version.digest, trigger_type.timeout
     );
     Some(InvalidEntry::new(
         reason,
-        "raise the timeout, or take the trigger type from the function",
+        "raise the timeout, or remove the trigger type from the function",
     ))
 }
--- a/crates/config-sync/src/schema/mod.rs
+++ b/crates/config-sync/src/schema/mod.rs
@@ -1,4 +1,4 @@
-//! The contents of entries. The host gives the core a [`Schema`]; [`GatewaySchema`] is that of this gateway.
+//! The contents of entries. The host passes a [`Schema`] to the core; [`GatewaySchema`] is the schema of this gateway.
 
 mod envelope;
 mod function;
@@ -28,7 +28,7 @@
 }
 
 impl InvalidEntry {
-    /// An error with its remedy.
+    /// Creates an error from its reason and remedy.
     pub fn new(reason: impl Into<String>, remedy: impl Into<String>) -> InvalidEntry {
         InvalidEntry {
             reason: reason.into(),
--- a/crates/config-sync/src/schema/trigger_type.rs
+++ b/crates/config-sync/src/schema/trigger_type.rs
@@ -1,10 +1,10 @@
 //! Entries `trigger-types/<name>`: the latency objective and timeout of a kind of invocation.
 
 use super::InvalidEntry;
-use super::envelope::{check_range, read_spec};
+use super::envelope::{check_range, parse_spec};
 use serde::{Deserialize, Serialize};
 
-const SHAPE: &str = r#"{"objective":0.5,"timeout":10}"#;
+const EXAMPLE: &str = r#"{"objective":0.5,"timeout":10}"#;
 
 /// A trigger type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     ///
     /// If it is malformed, or a time is out of its range.
     pub fn parse(spec: serde_json::Value) -> Result<TriggerTypeSpec, InvalidEntry> {
-        let trigger_type: TriggerTypeSpec = read_spec(spec, SHAPE)?;
+        let trigger_type: TriggerTypeSpec = parse_spec(spec, EXAMPLE)?;
         check_range("objective", trigger_type.objective, 0.001..=3_600.0)?;
         check_range("timeout", trigger_type.timeout, 0.001..=3_600.0)?;
         if trigger_type.timeout < trigger_type.objective {
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -8,7 +8,8 @@
 pub struct SyncSettings {
     /// Prefix of all keys in the store, `orchidtally/config/` by default.
     pub prefix: String,
-    /// Entries with `"when_stale":"refuse"` are refused once the view wasn't proven current for this long, in seconds.
+    /// Time without a proof that the view is current after which entries with `"when_stale":"refuse"` are refused, in
+    /// seconds.
     pub freshness_bound: f64,
     /// Time after which a revocation is in force everywhere, in seconds; above `freshness_bound`.
     pub in_force_limit: f64,
@@ -18,8 +19,8 @@
     pub audit_interval: f64,
     /// Rate limit of reads, in bytes a second.
     pub read_bytes_per_second: f64,
-    /// Burst of reads in bytes. In any second at most this and `read_bytes_per_second` are read, apart from answers that
-    /// are larger than expected.
+    /// Burst of reads in bytes. In any second at most the sum of this and `read_bytes_per_second` is read, apart from
+    /// answers that are larger than expected.
     pub read_burst: f64,
     /// Target size of an answer in bytes, from which the limits of reads are derived.
     pub page_bytes: f64,
@@ -33,17 +34,18 @@
     pub request_timeout: f64,
     /// A watch that doesn't reach the revision of a barrier within this time is opened again, in seconds.
     pub watch_timeout: f64,
-    /// The most entries in the store.
+    /// Maximum number of entries in the store.
     pub max_entries: usize,
-    /// The most bytes of keys and values in the store.
+    /// Maximum number of bytes of all keys and values in the store.
     pub max_bytes: usize,
-    /// The most bytes of a value.
+    /// Maximum number of bytes of a value.
     pub max_value_bytes: usize,
-    /// The most queued changes; beyond, they are dropped and read at the rate limit.
+    /// Maximum number of queued changes. If there are more, they are dropped, and the entries are read at the rate
+    /// limit.
     pub max_pending_changes: usize,
-    /// The most bytes of queued changes.
+    /// Maximum number of bytes of queued changes.
     pub max_pending_bytes: usize,
-    /// The most rejections in a report.
+    /// Maximum number of rejections in a report.
     pub max_reported_rejections: usize,
 }
 
@@ -77,10 +79,10 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// The prefix is empty.
-    #[error("the prefix is empty; choose one such as 'orchidtally/config/'")]
+    #[error("the prefix is empty; set one such as 'orchidtally/config/'")]
     EmptyPrefix,
     /// A setting is out of its range.
-    #[error("{name} is {value}; it has to lie between {min} and {max}")]
+    #[error("{name} is {value}; it has to be between {min} and {max}")]
     OutOfRange {
         /// Name of the setting.
         name: &'static str,
@@ -102,10 +104,10 @@
         /// In seconds.
         in_force_limit: f64,
     },
-    /// The freshness bound allows for too few barriers: one or two lost ones would refuse entries.
+    /// The freshness bound allows for too few barriers: the loss of one or two would already refuse entries.
     #[error(
-        "freshness_bound {freshness_bound} s leaves no room for three barriers of {barrier_interval} s; raise it, or \
-         ask more often"
+        "freshness_bound {freshness_bound} s is shorter than three times barrier_interval {barrier_interval} s; raise \
+         it, or lower the interval"
     )]
     TooFewBarriers {
         /// In seconds.
@@ -115,10 +117,10 @@
     },
 }
 
-/// The least difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
+/// The minimum difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
 /// bound still has to be sent.
 const MIN_SLACK: f64 = 1.0;
-/// The least number of barrier intervals within the freshness bound.
+/// The minimum number of barrier intervals within the freshness bound.
 const MIN_BARRIER_INTERVALS: f64 = 3.0;
 
 impl SyncSettings {
--- a/crates/config-sync/src/snapshot.rs
+++ b/crates/config-sync/src/snapshot.rs
@@ -6,13 +6,13 @@
 //! magic "OTCONFIG" | version u16 | cluster u64 | generation u64 | revision i64
 //! | entries u32 | overrides u32 | length of the body u64 | body | CRC-32 of all before it u32
 //! entry    = mod_revision i64 | key length u32 | document length u32 | key | document
-//! override = revision of the blocked transaction i64 | entry, document length u32::MAX standing for "not in force"
+//! override = revision of the blocked transaction i64 | entry, with document length u32::MAX if none is in force
 //! ```
 //!
 //! Entries are those of the store. Overrides are keys whose last good document differs from the store's.
 
 use crate::keys::EntryKey;
-use crate::stored::{Stored, StoredEntry};
+use crate::store_copy::{StoreCopy, StoredEntry};
 use crate::view::View;
 use std::sync::Arc;
 use thiserror::Error;
@@ -29,28 +29,28 @@
 pub enum SnapshotError {
     /// The file is truncated; its length in bytes.
     #[error(
-        "the snapshot was cut off after {0} bytes; it is passed over, an earlier one or the store is read"
+        "the snapshot is truncated after {0} bytes; an earlier snapshot or the store is used instead"
     )]
     Truncated(usize),
     /// The file doesn't start with the magic number.
-    #[error("the file is no snapshot of the configuration; check the path")]
+    #[error("the file is not a configuration snapshot; check the path")]
     NotASnapshot,
     /// The snapshot has another version of the format.
-    #[error("the snapshot has version {0}, this program reads {VERSION}; it is passed over")]
+    #[error(
+        "the snapshot has version {0}, but this program reads version {VERSION}; it is skipped"
+    )]
     OtherVersion(u16),
     /// The checksum is wrong.
     #[error(
-        "the snapshot's checksum doesn't fit; it is passed over, an earlier one or the store is read"
+        "the snapshot's checksum doesn't match; an earlier snapshot or the store is used instead"
     )]
     Checksum,
     /// The body doesn't match the header.
-    #[error(
-        "the snapshot's body is malformed; it is passed over, an earlier one or the store is read"
-    )]
+    #[error("the snapshot's body is malformed; an earlier snapshot or the store is used instead")]
     Malformed,
     /// The snapshot exceeds the limits in the settings.
     #[error(
-        "the snapshot holds {entries} entries and {bytes} bytes, over the limits of this front end"
+        "the snapshot has {entries} entries and {bytes} bytes, which exceeds the limits of this front end"
     )]
     TooLarge {
         /// Number of entries.
@@ -77,7 +77,7 @@
     pub(crate) cluster: u64,
     pub(crate) generation: u64,
     pub(crate) revision: i64,
-    pub(crate) stored: Stored,
+    pub(crate) stored: StoreCopy,
     pub(crate) overrides: Vec<Override>,
 }
 
@@ -92,7 +92,7 @@
 /// Encodes the store's entries, and the entries in force instead for blocked keys.
 pub(crate) fn encode<'k, E>(
     origin: SnapshotOrigin,
-    stored: &Stored,
+    stored: &StoreCopy,
     view: &View<E>,
     blocked: impl Iterator<Item = (&'k EntryKey, i64)>,
 ) -> Vec<u8> {
@@ -148,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// If the bytes are anything but a complete snapshot.
+/// If the bytes aren't exactly one complete snapshot of this version.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     let mut header = Reader(bytes);
     let magic = header
@@ -186,8 +186,10 @@
 
 /// The body, if its length and the checksum are right.
 fn checked_body(bytes: &[u8], length: u64) -> Result<&[u8], SnapshotError> {
-    let whole = (HEADER_BYTES + CHECKSUM_BYTES) as u64;
-    let expected = whole.checked_add(length).ok_or(SnapshotError::Malformed)?;
+    let overhead = (HEADER_BYTES + CHECKSUM_BYTES) as u64;
+    let expected = overhead
+        .checked_add(length)
+        .ok_or(SnapshotError::Malformed)?;
     if (bytes.len() as u64) < expected {
         return Err(SnapshotError::Truncated(bytes.len()));
     }
@@ -201,14 +203,14 @@
     Ok(&checked[HEADER_BYTES..])
 }
 
-fn read_stored(reader: &mut Reader<'_>, count: u32) -> Option<Stored> {
-    let mut stored = Stored::default();
+fn read_stored(reader: &mut Reader<'_>, count: u32) -> Option<StoreCopy> {
+    let mut stored = StoreCopy::default();
     for _ in 0..count {
         let RawEntry {
             key,
             mod_revision,
             document,
-        } = reader.entry()?;
+        } = reader.read_entry()?;
         stored.put(StoredEntry {
             key,
             document: document?,
@@ -219,7 +221,7 @@
 }
 
 fn read_overrides(reader: &mut Reader<'_>, count: u32) -> Option<Vec<Override>> {
-    (0..count).map(|_| reader.blocked()).collect()
+    (0..count).map(|_| reader.read_override()).collect()
 }
 
 /// An encoded entry. The document may be absent in an override.
@@ -243,13 +245,13 @@
         self.take(N)?.try_into().ok()
     }
 
-    fn blocked(&mut self) -> Option<Override> {
+    fn read_override(&mut self) -> Option<Override> {
         let blocked_revision = i64::from_be_bytes(self.array()?);
         let RawEntry {
             key,
             mod_revision,
             document,
-        } = self.entry()?;
+        } = self.read_entry()?;
         Some(Override {
             key,
             mod_revision,
@@ -258,7 +260,7 @@
         })
     }
 
-    fn entry(&mut self) -> Option<RawEntry> {
+    fn read_entry(&mut self) -> Option<RawEntry> {
         let mod_revision = i64::from_be_bytes(self.array()?);
         let key_length = u32::from_be_bytes(self.array()?);
         let document_length = u32::from_be_bytes(self.array()?);
--- a/crates/config-sync/src/stored.rs
+++ b/crates/config-sync/src/store_copy.rs
@@ -25,17 +25,17 @@
 
 /// All entries of the store, by bucket, each bucket sorted by key.
 #[derive(Clone, Debug)]
-pub(crate) struct Stored {
+pub(crate) struct StoreCopy {
     buckets: Vec<Arc<Vec<StoredEntry>>>,
     digests: Digests,
     len: usize,
     bytes: usize,
 }
 
-impl Default for Stored {
-    fn default() -> Stored {
+impl Default for StoreCopy {
+    fn default() -> StoreCopy {
         let empty = Arc::new(vec![]);
-        Stored {
+        StoreCopy {
             buckets: vec![empty; BUCKET_COUNT],
             digests: Digests::default(),
             len: 0,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Stored {
+impl StoreCopy {
     pub(crate) fn digests(&self) -> &Digests {
         &self.digests
     }
--- a/crates/config-sync/src/sync/answers.rs
+++ b/crates/config-sync/src/sync/answers.rs
@@ -1,5 +1,5 @@
-//! Handles the answers of reads: detects another history of the store, stages the entries that are missing, and
-//! brings them into force together, at one revision.
+//! Handles the answers to reads: detects that the store has another history, stages the entries that are missing, and
+//! puts them into force together, at one revision.
 
 use super::range_read::{OpenRead, PendingRange};
 use super::session::{MIN_READ_BYTES, StageOutcome, SyncSession, SyncStage};
@@ -8,7 +8,7 @@
 use crate::message::{RangeAnswer, RangeEntry};
 use crate::report::ReportedState;
 use crate::schema::Schema;
-use crate::stored::{Stored, StoredEntry};
+use crate::store_copy::{StoreCopy, StoredEntry};
 use std::collections::BTreeSet;
 
 /// A page of a bucket's keys or entries.
@@ -25,14 +25,14 @@
             return;
         };
         let bytes = (answer.bytes as f64).max(MIN_READ_BYTES);
-        self.read_pace.charge(now, bytes - open.charged);
+        self.read_limiter.charge(now, bytes - open.charged);
         match self.process_answer(open, answer) {
             StageOutcome::Continue => self.end_slow_start(now),
             StageOutcome::Complete { digest_faults } => self.finish_session(now, digest_faults),
             StageOutcome::HistoryMismatch => self.halt(now, ReportedState::StoreRolledBack),
             StageOutcome::TooLarge => {
                 self.halt(now, ReportedState::StoreTooLarge);
-                if self.loaded == self.source {
+                if self.view_source == self.source {
                     self.mode = SyncMode::CatchUp;
                 }
             }
@@ -44,7 +44,7 @@
         let reads_digests =
             |session: &SyncSession| matches!(session.stage, SyncStage::Digests { .. });
         if !self.session.as_ref().is_some_and(reads_digests) {
-            self.read_pace.end_slow_start(now);
+            self.read_limiter.end_slow_start(now);
         }
     }
 
@@ -143,7 +143,7 @@
         self.enter_changed(session)
     }
 
-    /// Handles the read of a key that digests showed as deleted. If the key is there, its bucket's digest misleads.
+    /// Handles the read of a key that digests showed as deleted. If the key exists, the digest of its bucket is wrong.
     fn process_deletion(
         &mut self,
         session: &mut SyncSession,
@@ -151,11 +151,11 @@
         entries: Vec<RangeEntry>,
     ) -> StageOutcome {
         if !entries.is_empty() {
-            session.misleading.insert(bucket);
+            session.false_deletions.insert(bucket);
         }
         let is_complete = session.is_stage_complete();
         let SyncStage::Deletions {
-            likely,
+            candidates,
             changes_are_read,
         } = &mut session.stage
         else {
@@ -165,8 +165,8 @@
             return StageOutcome::Continue;
         }
         let changes_are_read = *changes_are_read;
-        for (bucket, keys) in std::mem::take(likely) {
-            if !session.misleading.contains(&bucket) {
+        for (bucket, keys) in std::mem::take(candidates) {
+            if !session.false_deletions.contains(&bucket) {
                 keys.iter().for_each(|key| session.staged.delete(key));
             }
         }
@@ -260,10 +260,10 @@
         }
     }
 
-    /// Whether a bucket can't belong to the known history. Entries that were written up to the applied revision never
-    /// change: each of them is known with the same document, or the history is another one. At the applied revision
-    /// itself the whole bucket has to be as it is known. Revisions aren't compared: an entry that was written again
-    /// with the same value during a compacted time leaves the digest unchanged, and isn't read again.
+    /// Whether a bucket can't belong to the known history. In the same history, each entry that was written up to the
+    /// applied revision is known with the same document, and at the applied revision itself the whole bucket equals the
+    /// known one. Revisions aren't compared: an entry that was rewritten with the same value in a compacted range of
+    /// revisions leaves the digest unchanged, and therefore isn't read again.
     fn is_other_history(
         &self,
         session: &SyncSession,
@@ -273,7 +273,7 @@
         match session.mode {
             SyncMode::Rebase => false,
             SyncMode::Verification => !has_same_content(session.staged.bucket(bucket), received),
-            SyncMode::CatchUp if self.loaded.is_none() => false,
+            SyncMode::CatchUp if self.view_source.is_none() => false,
             SyncMode::CatchUp => {
                 let is_known = |entry: &StoredEntry| {
                     self.stored
@@ -290,7 +290,7 @@
 
     fn read_entry(&mut self, entry: RangeEntry) -> Option<StoredEntry> {
         let Some(key) = self.keyspace.parse_entry(&entry.key) else {
-            self.record_foreign_key(entry.key, true, entry.mod_revision);
+            self.record_invalid_key(entry.key, true, entry.mod_revision);
             return None;
         };
         Some(StoredEntry {
@@ -316,20 +316,20 @@
         self.follow(now);
     }
 
-    /// Brings the staged entries into force, all at once.
-    fn adopt(&mut self, now: f64, staged: Stored, revision: i64) {
+    /// Puts the staged entries into force, all at once.
+    fn adopt(&mut self, now: f64, staged: StoreCopy, revision: i64) {
         self.stored = staged;
         self.applied_revision = revision;
-        self.loaded = self.source;
+        self.view_source = self.source;
         self.with_applier(revision, |applier, context| applier.apply_all(context));
         self.publish_change(now);
     }
 
-    /// Follows the watch from now on.
+    /// Starts to follow the watch, and opens it if necessary.
     fn follow(&mut self, now: f64) {
         let was_following = self.phase == Phase::Following;
         self.phase = Phase::Following;
-        self.fault = None;
+        self.halt_reason = None;
         self.mode = SyncMode::Verification;
         if !self.watch_is_open && self.reopen_watch_at == f64::INFINITY {
             self.open_watch();
@@ -342,7 +342,7 @@
     }
 }
 
-/// Whether two buckets, both sorted by key, hold the same keys and documents.
+/// Whether two buckets, both sorted by key, have the same keys and documents.
 fn has_same_content(known: &[StoredEntry], received: &[StoredEntry]) -> bool {
     let is_same = |(known, received): (&StoredEntry, &StoredEntry)| {
         known.key == received.key && known.document == received.document
--- a/crates/config-sync/src/sync/barrier.rs
+++ b/crates/config-sync/src/sync/barrier.rs
@@ -14,7 +14,8 @@
 struct OpenBarrier {
     id: RequestId,
     sent_at: f64,
-    /// The revision received by the watch when the barrier was sent. In the same history the answer can't be below it.
+    /// The revision up to which the watch had received changes when the barrier was sent. In the same history, the
+    /// answer can't be below it.
     known_revision: i64,
 }
 
@@ -51,7 +52,7 @@
             return;
         };
         self.barriers.open = None;
-        let Some(generation) = read_generation(answer.generation.as_deref()) else {
+        let Some(generation) = parse_generation(answer.generation.as_deref()) else {
             self.halt(now, ReportedState::UnknownFormat);
             return;
         };
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Starts to send barriers.
+    /// Starts to send barriers, the first one at once.
     pub(super) fn start_barriers(&mut self, now: f64) {
         self.barriers = Barriers {
             open: None,
@@ -76,7 +77,7 @@
         self.barriers = Barriers::default();
     }
 
-    /// When a barrier is due or times out.
+    /// The time at which a barrier is due or times out.
     pub(super) fn barrier_timer(&self) -> f64 {
         match self.barriers.open {
             Some(open) => open.sent_at + self.settings.request_timeout,
@@ -91,7 +92,7 @@
         // A barrier that timed out is sent again at once, under another id.
         self.barriers.open = None;
         let id = self.request_id();
-        // The time is taken before the request is sent, since the answer proves freshness as of then.
+        // The time is recorded before the request is sent, since the answer proves freshness as of that time.
         let known_revision = self.known_revision();
         self.barriers.open = Some(OpenBarrier {
             id,
@@ -103,7 +104,8 @@
         self.actions.push_back(Action::Barrier { id });
     }
 
-    /// Whether the failed request was the barrier in flight, which is then sent again after a random delay.
+    /// Schedules another barrier after a random delay if the failed request was the barrier in flight. Returns whether
+    /// it was.
     pub(super) fn barrier_failed(&mut self, now: f64, id: RequestId) -> bool {
         if self.barriers.open.is_none_or(|open| open.id != id) {
             return false;
@@ -115,7 +117,7 @@
 
     /// The highest revision that was received in the history that is followed.
     fn known_revision(&self) -> i64 {
-        if self.loaded != self.source {
+        if self.view_source != self.source {
             return 0;
         }
         self.backlog.complete_through().max(self.applied_revision)
@@ -137,8 +139,8 @@
         if followed == source && header.revision >= known_revision {
             return StoreComparison::Unchanged;
         }
-        let is_wanted = generation > followed.generation || self.loaded.is_none();
-        if is_wanted {
+        let may_adopt = generation > followed.generation || self.view_source.is_none();
+        if may_adopt {
             StoreComparison::Adopt(source)
         } else {
             StoreComparison::RolledBack
@@ -152,7 +154,7 @@
                 state: ReportedState::UnknownFormat,
                 ..
             } => {
-                self.fault = None;
+                self.halt_reason = None;
                 self.resume(now);
             }
             Phase::Halted { .. } => return,
@@ -166,10 +168,10 @@
     }
 
     fn adopt_source(&mut self, now: f64, source: StoreIdentity) {
-        let is_first = self.loaded.is_none();
+        let is_first = self.view_source.is_none();
         self.source = Some(source);
         self.is_history_suspect = false;
-        self.fault = None;
+        self.halt_reason = None;
         self.close_watch();
         self.session = None;
         self.freshness.clear_pending();
@@ -186,7 +188,7 @@
 }
 
 /// The generation in the key's value, 0 without a key; `None` if it can't be read.
-fn read_generation(value: Option<&[u8]>) -> Option<u64> {
+fn parse_generation(value: Option<&[u8]>) -> Option<u64> {
     let Some(value) = value else { return Some(0) };
     let generation: Generation = serde_json::from_slice(value).ok()?;
     (generation.format == FORMAT).then_some(generation.generation)
--- a/crates/config-sync/src/sync/bucket_pages.rs
+++ b/crates/config-sync/src/sync/bucket_pages.rs
@@ -1,8 +1,8 @@
-//! Pages of buckets, collected until all pages of a bucket are there.
+//! Pages of buckets, collected until all pages of a bucket are received.
 
 use std::collections::BTreeMap;
 
-/// What was read of each bucket so far.
+/// The items of each bucket that were received so far.
 #[derive(Clone, Debug)]
 pub(super) struct BucketPages<T> {
     by_bucket: BTreeMap<usize, Vec<T>>,
@@ -17,14 +17,14 @@
 }
 
 impl<T> BucketPages<T> {
-    /// Adds a page; returns how many items of the bucket were collected so far.
+    /// Adds a page. Returns the number of items of the bucket that were received so far.
     pub(super) fn add(&mut self, bucket: usize, page: impl IntoIterator<Item = T>) -> usize {
         let collected = self.by_bucket.entry(bucket).or_default();
         collected.extend(page);
         collected.len()
     }
 
-    /// Removes and returns what was collected of a bucket.
+    /// Removes and returns the items of a bucket.
     pub(super) fn take(&mut self, bucket: usize) -> Vec<T> {
         self.by_bucket.remove(&bucket).unwrap_or_default()
     }
--- a/crates/config-sync/src/sync/mod.rs
+++ b/crates/config-sync/src/sync/mod.rs
@@ -1,9 +1,9 @@
 //! The core: one front end's side of configuration distribution (list-and-watch with anti-entropy by digests).
 //!
 //! After each connection the front end sends a barrier, then compares its digests with the store's at its own applied
-//! revision; changes from the watch are queued meanwhile. So nothing is applied on top of a history that isn't the
-//! store's. If the watch can't resume at the applied revision, the front end reads the entries that changed since, then
-//! only the buckets that still differ.
+//! revision; changes from the watch are queued meanwhile. This ensures that no change is applied on top of a history
+//! that isn't the store's. If the watch can't resume at the applied revision, the front end reads the entries that
+//! changed since then, and after that only the buckets that still differ.
 
 mod answers;
 mod barrier;
@@ -31,7 +31,7 @@
 use crate::report::ReportedState;
 use crate::schema::{Rejection, Schema};
 use crate::settings::{SettingsError, SyncSettings};
-use crate::stored::Stored;
+use crate::store_copy::StoreCopy;
 use crate::view::View;
 use barrier::Barriers;
 use publishing::Publishing;
@@ -65,7 +65,7 @@
     },
 }
 
-/// What a session has to achieve before the watch is followed.
+/// The task of a session, which has to be complete before the watch is followed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SyncMode {
     /// Compare digests at the applied revision.
@@ -76,8 +76,8 @@
     Rebase,
 }
 
-/// One front end's core. Times are seconds of one clock that never goes back and goes on while the machine is
-/// suspended (`CLOCK_BOOTTIME`).
+/// One front end's core. All times are in seconds of one monotonic clock that also counts the time for which the
+/// machine is suspended (`CLOCK_BOOTTIME`).
 #[derive(Debug)]
 pub struct ConfigSync<S: Schema> {
     settings: SyncSettings,
@@ -89,18 +89,18 @@
     /// The store that is followed; `None` before the first is known.
     source: Option<StoreIdentity>,
     /// The store that the view comes from; `None` before anything is loaded.
-    loaded: Option<StoreIdentity>,
-    /// The store's history appeared to be another one. Only matching digests or a higher generation clear this.
+    view_source: Option<StoreIdentity>,
+    /// Whether the store appeared to have another history. Only matching digests or a higher generation clear this.
     is_history_suspect: bool,
-    /// The reason of the last halt, until the store is followed again.
-    fault: Option<ReportedState>,
-    stored: Stored,
+    /// The reason for the last halt, until the store is followed again.
+    halt_reason: Option<ReportedState>,
+    stored: StoreCopy,
     applied_revision: i64,
     applier: Applier<S::Entry>,
     /// The view that was last announced to the host.
     announced: Arc<View<S::Entry>>,
     /// Keys in the range of entries that aren't those of entries, with their rejections; a bounded number.
-    foreign_keys: BTreeMap<Vec<u8>, Rejection>,
+    invalid_keys: BTreeMap<Vec<u8>, Rejection>,
     digest_faults: usize,
     backlog: Backlog,
     watch_is_open: bool,
@@ -110,7 +110,7 @@
     freshness: Freshness,
     barriers: Barriers,
     session: Option<SyncSession>,
-    read_pace: TokenBucket,
+    read_limiter: TokenBucket,
     next_request: u64,
     audit_at: f64,
     retry_blocked_at: f64,
@@ -119,7 +119,8 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// A core without any configuration. `seed` of the random delays should differ between front ends.
+    /// Creates a core without any configuration. `seed`, which determines the random delays, should differ between
+    /// front ends.
     ///
     /// # Errors
     ///
@@ -137,14 +138,14 @@
             phase: Phase::Disconnected,
             mode: SyncMode::CatchUp,
             source: None,
-            loaded: None,
+            view_source: None,
             is_history_suspect: false,
-            fault: None,
-            stored: Stored::default(),
+            halt_reason: None,
+            stored: StoreCopy::default(),
             applied_revision: 0,
             applier: Applier::default(),
             announced: Arc::default(),
-            foreign_keys: BTreeMap::new(),
+            invalid_keys: BTreeMap::new(),
             digest_faults: 0,
             backlog: Backlog::new(settings.max_pending_changes, settings.max_pending_bytes),
             watch_is_open: false,
@@ -153,7 +154,11 @@
             freshness: Freshness::default(),
             barriers: Barriers::default(),
             session: None,
-            read_pace: TokenBucket::new(settings.read_bytes_per_second, settings.read_burst, now),
+            read_limiter: TokenBucket::new(
+                settings.read_bytes_per_second,
+                settings.read_burst,
+                now,
+            ),
             next_request: 0,
             audit_at: f64::INFINITY,
             retry_blocked_at: f64::INFINITY,
@@ -171,7 +176,7 @@
 
     /// Whether a view was loaded from a snapshot or the store.
     pub fn is_loaded(&self) -> bool {
-        self.loaded.is_some()
+        self.view_source.is_some()
     }
 
     /// The time as of which the view is proven current; negative infinity if it wasn't since the start.
@@ -188,21 +193,21 @@
     pub fn state(&self) -> ReportedState {
         match self.phase {
             Phase::Following => ReportedState::Following,
-            _ => self.fault.unwrap_or(ReportedState::CatchingUp),
+            _ => self.halt_reason.unwrap_or(ReportedState::CatchingUp),
         }
     }
 
-    /// Entries whose transactions are rejected at present, oldest first, all that are kept.
+    /// Entries whose transactions are rejected at present, oldest first, followed by invalid keys. Both are bounded.
     pub fn rejections(&self) -> Vec<Rejection> {
         let (rejections, _) = self.applier.rejections();
         rejections
             .into_iter()
-            .chain(self.foreign_keys.values())
+            .chain(self.invalid_keys.values())
             .cloned()
             .collect()
     }
 
-    /// The settings, as they were checked.
+    /// The validated settings.
     pub fn settings(&self) -> &SyncSettings {
         &self.settings
     }
@@ -234,8 +239,8 @@
         self.close_watch();
         self.session = None;
         self.freshness.clear_pending();
-        self.fault = Some(state);
-        if state == ReportedState::StoreRolledBack && self.loaded == self.source {
+        self.halt_reason = Some(state);
+        if state == ReportedState::StoreRolledBack && self.view_source == self.source {
             self.is_history_suspect = true;
             self.mode = SyncMode::Verification;
         }
@@ -250,7 +255,7 @@
         self.schedule_report(now);
     }
 
-    /// Calls the applier with the present context. `stored` has to hold the new values already.
+    /// Calls the applier with the present context. `stored` has to contain the new values already.
     fn with_applier(
         &mut self,
         revision: i64,
@@ -260,14 +265,14 @@
             schema: &self.schema,
             stored: &self.stored,
             max_value_bytes: self.settings.max_value_bytes,
-            generation: self.loaded.map_or(0, |source| source.generation),
+            generation: self.view_source.map_or(0, |source| source.generation),
             revision,
             fresh_as_of: self.freshness.as_of(),
         };
         apply(&mut self.applier, &context);
     }
 
-    /// Announces the view in force to the host, once for all changes that came together.
+    /// Announces the view in force to the host, if it has changed. Replaces an announcement that wasn't polled yet.
     fn announce_view(&mut self) {
         if Arc::ptr_eq(&self.announced, self.applier.view()) {
             return;
--- a/crates/config-sync/src/sync/publishing.rs
+++ b/crates/config-sync/src/sync/publishing.rs
@@ -1,4 +1,4 @@
-//! What the core publishes: views to the host, reports to the writer, snapshots to the disk.
+//! Publishes views to the host, reports to the writer, and snapshots to the disk.
 
 use super::ConfigSync;
 use crate::action::Action;
@@ -43,7 +43,7 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// The report with this sequence number is in the store.
+    /// Handles that the report with this sequence number is in the store.
     pub fn reported(&mut self, _now: f64, sequence: u64) {
         if self
             .publishing
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The report with this sequence number couldn't be put, or its lease has expired: it is sent again.
+    /// Handles that the report with this sequence number couldn't be put, or that its lease has expired: a new report
+    /// is scheduled.
     pub fn report_failed(&mut self, now: f64, sequence: u64) {
         if sequence == self.publishing.sequence {
             self.publishing.open_report = None;
@@ -62,11 +63,11 @@
         }
     }
 
-    /// The report as of now.
+    /// The present report.
     pub fn report(&self) -> Report {
         let (rejections, omitted) = self.applier.rejections();
-        let all = rejections.len() + self.foreign_keys.len() + omitted;
-        let named = rejections.into_iter().chain(self.foreign_keys.values());
+        let all = rejections.len() + self.invalid_keys.len() + omitted;
+        let named = rejections.into_iter().chain(self.invalid_keys.values());
         let rejected: Vec<_> = named
             .take(self.settings.max_reported_rejections)
             .cloned()
@@ -74,8 +75,8 @@
         Report {
             sequence: self.publishing.sequence,
             applied_revision: self.applied_revision,
-            generation: self.loaded.map_or(0, |source| source.generation),
-            cluster: self.loaded.map_or(0, |source| source.cluster),
+            generation: self.view_source.map_or(0, |source| source.generation),
+            cluster: self.view_source.map_or(0, |source| source.cluster),
             state: self.state(),
             rejected_omitted: all - rejected.len(),
             rejected,
@@ -101,7 +102,7 @@
         self.schedule_report(now);
     }
 
-    /// Publishes that a view came into force, or that transactions were rejected.
+    /// Publishes a new view in force, or new rejections.
     pub(super) fn publish_change(&mut self, now: f64) {
         self.announce_view();
         self.schedule_report(now);
@@ -150,7 +151,9 @@
     }
 
     fn write_snapshot(&mut self, now: f64) {
-        let Some(source) = self.loaded else { return };
+        let Some(source) = self.view_source else {
+            return;
+        };
         self.publishing.snapshot_due = f64::INFINITY;
         self.publishing.snapshot_at = now;
         let revision = self.applied_revision;
--- a/crates/config-sync/src/sync/range_read.rs
+++ b/crates/config-sync/src/sync/range_read.rs
@@ -41,6 +41,6 @@
     /// The revision that was applied when the read was sent. A linearizable answer of the same history can't be older.
     pub(super) known_revision: i64,
     pub(super) range: PendingRange,
-    /// Bytes that were charged to the pace when the read was sent.
+    /// Bytes that were charged to the rate limit when the read was sent.
     pub(super) charged: f64,
 }
--- a/crates/config-sync/src/sync/requests.rs
+++ b/crates/config-sync/src/sync/requests.rs
@@ -1,4 +1,4 @@
-//! Sends the reads of a session at the configured pace, several at a time, and handles their failures.
+//! Sends the reads of a session within the rate limit, several at a time, and handles their failures.
 
 use super::range_read::OpenRead;
 use super::session::SyncSession;
@@ -8,11 +8,12 @@
 use crate::report::ReportedState;
 use crate::schema::Schema;
 
-/// The most reads in flight. The pace bounds their bytes; several of them hide the round trip to a distant store.
+/// Maximum number of reads in flight. The rate limit bounds their bytes; several concurrent reads hide the round trip
+/// to a distant store.
 const MAX_OPEN_READS: usize = 16;
 
 impl<S: Schema> ConfigSync<S> {
-    /// When a read is due or times out.
+    /// The time at which a read is due or times out.
     pub(super) fn read_timer(&self) -> f64 {
         self.read_deadline()
             .map_or(f64::INFINITY, |(_, deadline)| deadline)
@@ -43,7 +44,7 @@
             .min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// When the next read may be sent.
+    /// The time at which the next read may be sent; infinite if there is none.
     fn send_timer(&self) -> f64 {
         let Some(session) = self.active_session() else {
             return f64::INFINITY;
@@ -56,12 +57,12 @@
             return f64::INFINITY;
         };
         let expected = session.expected_bytes(next, self.settings.page_bytes);
-        self.read_pace.ready_at(expected).max(session.not_before)
+        self.read_limiter.ready_at(expected).max(session.not_before)
     }
 
     fn send_read(&mut self, now: f64) {
         let id = self.request_id();
-        let known_revision = if self.loaded == self.source {
+        let known_revision = if self.view_source == self.source {
             self.applied_revision
         } else {
             0
@@ -91,7 +92,7 @@
             range,
             charged,
         });
-        self.read_pace.charge(now, charged);
+        self.read_limiter.charge(now, charged);
         self.actions.push_back(Action::Read(request));
     }
 
--- a/crates/config-sync/src/sync/restoring.rs
+++ b/crates/config-sync/src/sync/restoring.rs
@@ -1,7 +1,7 @@
-//! Starting from a snapshot on disk.
+//! Starts from a snapshot on disk.
 
 use super::{ConfigSync, StoreIdentity, SyncMode};
-use crate::applier::{Context, LastGood, read_record};
+use crate::applier::{Context, LastGood, parse_record};
 use crate::schema::Schema;
 use crate::snapshot::{self, Override, Snapshot, SnapshotError};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 
 impl<S: Schema> ConfigSync<S> {
     /// Starts from the first usable snapshot; to be called before [`ConfigSync::connected`]. `newest_first` holds the
-    /// contents of the snapshot files. Nothing proves a snapshot current: entries that are refused when stale are
+    /// contents of the snapshot files. A snapshot isn't proven current, so entries that are refused when stale are
     /// refused until the store has answered.
     pub fn restore(&mut self, now: f64, newest_first: &[&[u8]]) -> Restored {
         let mut restored = Restored::default();
@@ -28,7 +28,7 @@
             match snapshot::decode(bytes).and_then(|snapshot| self.check_size(snapshot)) {
                 Ok(snapshot) => {
                     restored.revision = Some(snapshot.revision);
-                    self.start_from(now, snapshot);
+                    self.start_from_snapshot(now, snapshot);
                     return restored;
                 }
                 Err(error) => restored.skipped.push(error),
@@ -45,7 +45,7 @@
         Ok(snapshot)
     }
 
-    fn start_from(&mut self, now: f64, snapshot: Snapshot) {
+    fn start_from_snapshot(&mut self, now: f64, snapshot: Snapshot) {
         let Snapshot {
             cluster,
             generation,
@@ -57,14 +57,14 @@
             cluster,
             generation,
         };
-        (self.source, self.loaded) = (Some(source), Some(source));
+        (self.source, self.view_source) = (Some(source), Some(source));
         self.stored = stored;
         self.applied_revision = revision;
         self.mode = SyncMode::Verification;
         self.with_applier(revision, |applier, context: &Context<'_, S>| {
             let last_good = overrides
                 .into_iter()
-                .map(|known| read_override(context, known))
+                .map(|known| parse_override(context, known))
                 .collect();
             applier.load(context, last_good);
         });
@@ -73,8 +73,8 @@
     }
 }
 
-/// Parses a last good document; if this version of the program can't, nothing is in force under the key.
-fn read_override<S: Schema>(context: &Context<'_, S>, known: Override) -> LastGood<S::Entry> {
+/// Parses a last good document. If this version of the program can't parse it, nothing is in force under the key.
+fn parse_override<S: Schema>(context: &Context<'_, S>, known: Override) -> LastGood<S::Entry> {
     let Override {
         key,
         mod_revision,
@@ -82,7 +82,7 @@
         blocked_revision,
     } = known;
     let record =
-        document.and_then(|document| read_record(context, &key, &document, mod_revision).ok());
+        document.and_then(|document| parse_record(context, &key, &document, mod_revision).ok());
     LastGood {
         key,
         record: record.map(Arc::new),
--- a/crates/config-sync/src/sync/session.rs
+++ b/crates/config-sync/src/sync/session.rs
@@ -1,10 +1,11 @@
 //! A synchronization session: a sequence of reads that compares the local entries with the store's and fetches what
 //! differs (anti-entropy).
 //!
-//! A session reads digests first. A front end that has nothing then scans all entries once. One that has entries
-//! confirms the keys that digests show as deleted; then it reads, in the digest groups that differ, the entries that
-//! changed since its revision; then the keys of buckets that still differ; and last, whole buckets that differ even
-//! so. The ranges of one stage don't depend on each other, so several are read at a time.
+//! A session reads digests first. A front end without entries then scans all entries once. A front end with entries
+//! goes through these stages: it confirms the keys that digests show as deleted; it reads, in the digest groups that
+//! differ, the entries that changed since its revision; it reads the keys of buckets that still differ; and it reads
+//! whole buckets if they differ even then. The ranges of one stage don't depend on each other, so several are read at a
+//! time.
 
 use super::bucket_pages::BucketPages;
 use super::range_read::{OpenRead, PendingRange};
@@ -13,10 +14,10 @@
 use crate::digest::Digests;
 use crate::keys::{EntryKey, KeyRange};
 use crate::schema::Schema;
-use crate::stored::{Stored, StoredEntry};
+use crate::store_copy::{StoreCopy, StoredEntry};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Estimated bytes of an entry on the wire before any was received.
+/// Estimated bytes of an entry on the wire, before any was received.
 const INITIAL_ENTRY_BYTES: f64 = 400.0;
 /// Bytes of a digest group on the wire.
 const DIGEST_GROUP_BYTES: f64 = 330.0;
@@ -24,17 +25,17 @@
 const KEY_BYTES: f64 = 100.0;
 /// Bytes of an answer without entries.
 const EMPTY_ANSWER_BYTES: f64 = 100.0;
-/// The least that a read is charged, in bytes: its request is as long as a small answer.
+/// The minimum that a read is charged, in bytes: its request is as long as a small answer.
 pub(super) const MIN_READ_BYTES: f64 = 300.0;
 /// Weight of the newest answer in the moving average of the entry size.
 const ENTRY_SIZE_WEIGHT: f64 = 0.3;
-/// The highest limit of entries in one read.
+/// Maximum number of entries in one read.
 const MAX_READ_LIMIT: f64 = 1_000.0;
-/// The first and the longest backoff after a failed read, in seconds. A delay is drawn up to twice the backoff.
+/// The first and the longest backoff after a failed read, in seconds. The delay is random, up to twice the backoff.
 const INITIAL_BACKOFF: f64 = 0.25;
 const MAX_BACKOFF: f64 = 2.0;
 
-/// What a session reads at present.
+/// The stage of a session: what it reads at present.
 #[derive(Clone, Debug)]
 pub(super) enum SyncStage {
     /// The digests of all buckets.
@@ -44,10 +45,10 @@
     },
     /// All entries; only for the first load.
     Scan,
-    /// Keys that digests show as deleted, one a range.
+    /// Keys that digests show as deleted, each in a range of its own.
     Deletions {
         /// The keys of each bucket.
-        likely: BTreeMap<usize, Vec<EntryKey>>,
+        candidates: BTreeMap<usize, Vec<EntryKey>>,
         /// Whether changed entries were read before.
         changes_are_read: bool,
     },
@@ -65,7 +66,7 @@
     },
 }
 
-/// What follows an answer.
+/// The state of a session after an answer.
 pub(super) enum StageOutcome {
     /// The session continues.
     Continue,
@@ -76,7 +77,7 @@
     },
     /// The store's history isn't the one that the front end has followed.
     HistoryMismatch,
-    /// The store holds more than the front end's limits.
+    /// The store exceeds the front end's limits.
     TooLarge,
 }
 
@@ -87,21 +88,21 @@
     pub(super) stage: SyncStage,
     /// The revision at which the session reads; 0 until the first answer of a catch-up gives it.
     pub(super) revision: i64,
-    /// The first revision whose changes are missing; 0 if revisions say nothing about the local entries.
+    /// The first revision whose changes are missing; 0 if revisions don't identify the missing changes.
     pub(super) changed_from: i64,
     /// Progress of a first load; `None` if no scan is needed, or it is complete.
     pub(super) scan: Option<Scan>,
     /// The local entries at `revision` (verification), or the local entries with what was read so far (catch-up).
-    pub(super) staged: Stored,
+    pub(super) staged: StoreCopy,
     /// The store's digests at `revision`, once they are read.
     pub(super) digests: Digests,
     /// Buckets whose digests showed entries as deleted that the store still has.
-    pub(super) misleading: BTreeSet<usize>,
-    /// Ranges of the present stage that are still to be read.
+    pub(super) false_deletions: BTreeSet<usize>,
+    /// Ranges of the present stage that weren't requested yet.
     pub(super) pending: VecDeque<PendingRange>,
     /// Reads in flight.
     pub(super) open: Vec<OpenRead>,
-    /// No read is sent before this time, after a failure.
+    /// The earliest time of the next read, after a failure.
     pub(super) not_before: f64,
     backoff: f64,
     entry_bytes: f64,
@@ -121,7 +122,7 @@
         mode: SyncMode,
         revision: i64,
         changed_from: i64,
-        staged: Stored,
+        staged: StoreCopy,
         digests: KeyRange,
     ) -> SyncSession {
         let mut session = SyncSession {
@@ -132,7 +133,7 @@
             scan: None,
             staged,
             digests: Digests::default(),
-            misleading: BTreeSet::new(),
+            false_deletions: BTreeSet::new(),
             pending: VecDeque::new(),
             open: vec![],
             not_before: f64::NEG_INFINITY,
@@ -155,7 +156,7 @@
     /// Restarts at the newest revision and keeps what is staged.
     pub(super) fn restart(&mut self, digests: KeyRange) {
         self.revision = 0;
-        self.misleading.clear();
+        self.false_deletions.clear();
         self.enter_digests(digests);
     }
 
@@ -280,7 +281,7 @@
         self.mode = mode;
         self.phase = Phase::Synchronizing;
         let random = self.random_below(1.0);
-        self.read_pace
+        self.read_limiter
             .start_slowly(now, self.settings.spread, random);
         let digests = self.keyspace.digests();
         if let Some(session) = &mut self.session
@@ -298,12 +299,12 @@
             SyncMode::Verification => {
                 SyncSession::new(mode, self.applied_revision, 0, local, digests)
             }
-            SyncMode::CatchUp if self.loaded.is_some() => {
+            SyncMode::CatchUp if self.view_source.is_some() => {
                 SyncSession::new(mode, 0, self.applied_revision + 1, local, digests)
             }
             SyncMode::CatchUp => SyncSession {
                 scan: Some(Scan::default()),
-                ..SyncSession::new(mode, 0, 0, Stored::default(), digests)
+                ..SyncSession::new(mode, 0, 0, StoreCopy::default(), digests)
             },
             SyncMode::Rebase => SyncSession::new(mode, 0, 0, local, digests),
         }
--- a/crates/config-sync/src/sync/stages.rs
+++ b/crates/config-sync/src/sync/stages.rs
@@ -1,4 +1,5 @@
-//! Which stage of a session follows: from digests to deletions, changed entries, and buckets that differ even so.
+//! The transitions between the stages of a session: from digests to deletions, changed entries, keys of buckets, and
+//! whole buckets.
 
 use super::bucket_pages::BucketPages;
 use super::range_read::PendingRange;
@@ -25,22 +26,22 @@
         session: &mut SyncSession,
         changes_are_read: bool,
     ) -> StageOutcome {
-        // The buckets of another history are known to differ in their values.
-        let likely = match session.mode {
+        // The buckets of another history differ in their values, so their digests don't show deletions.
+        let candidates = match session.mode {
             SyncMode::CatchUp => likely_deletions(session),
             SyncMode::Verification | SyncMode::Rebase => BTreeMap::new(),
         };
-        if likely.is_empty() {
+        if candidates.is_empty() {
             return self.leave_deletions(session, changes_are_read);
         }
         let mut ranges = vec![];
-        for (&bucket, keys) in &likely {
+        for (&bucket, keys) in &candidates {
             for key in keys {
                 ranges.push(PendingRange::new(self.keyspace.entry_alone(key), bucket, 1));
             }
         }
         let stage = SyncStage::Deletions {
-            likely,
+            candidates,
             changes_are_read,
         };
         session.enter(stage, ranges);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Reads the entries that changed in the groups that differ, if revisions can tell them.
+    /// Reads the entries that changed in the groups that differ, if revisions show which entries these are.
     pub(super) fn enter_changed(&self, session: &mut SyncSession) -> StageOutcome {
         if session.changed_from == 0 || session.changed_from > session.revision {
             return self.enter_bucket_keys(session);
@@ -86,7 +87,7 @@
     /// Reads the keys of buckets that still differ, to find further deletions.
     fn enter_bucket_keys(&self, session: &mut SyncSession) -> StageOutcome {
         let differing = session.differing_buckets();
-        // The entries of another history are known to differ in their values.
+        // The entries of another history differ in their values, so keys alone aren't enough.
         if differing.is_empty() || session.mode != SyncMode::CatchUp {
             return self.enter_buckets(session);
         }
@@ -129,16 +130,16 @@
 
 /// The keys that digests show as deleted, by bucket.
 fn likely_deletions(session: &SyncSession) -> BTreeMap<usize, Vec<EntryKey>> {
-    let mut likely = BTreeMap::new();
+    let mut candidates = BTreeMap::new();
     for bucket in session.differing_buckets() {
-        if session.misleading.contains(&bucket) {
+        if session.false_deletions.contains(&bucket) {
             continue;
         }
         let local = session.staged.digests().bucket(bucket);
-        let lacking = local.wrapping_sub(session.digests.bucket(bucket));
-        if let Some(keys) = likely_deleted(session.staged.bucket(bucket), lacking) {
-            likely.insert(bucket, keys);
+        let missing_sum = local.wrapping_sub(session.digests.bucket(bucket));
+        if let Some(keys) = likely_deleted(session.staged.bucket(bucket), missing_sum) {
+            candidates.insert(bucket, keys);
         }
     }
-    likely
+    candidates
 }
--- a/crates/config-sync/src/sync/timers.rs
+++ b/crates/config-sync/src/sync/timers.rs
@@ -1,4 +1,4 @@
-//! Timers.
+//! The timers of the core.
 
 use super::{ConfigSync, Phase, SyncMode};
 use crate::action::Action;
@@ -80,9 +80,9 @@
         }
     }
 
-    /// When the watch is opened again at another member, because it hasn't reached the revision of a barrier: after the
-    /// watch timeout without any change, or, while it still delivers changes that would have to be sent again, after
-    /// the freshness bound.
+    /// The time at which the watch is opened again at another member because it hasn't reached the revision of a
+    /// barrier: after the watch timeout without any change, or, while it still delivers changes that would have to be
+    /// sent again, after the freshness bound.
     fn watch_timer(&self) -> f64 {
         if !self.watch_is_open {
             return self.reopen_watch_at;
@@ -99,9 +99,9 @@
         if now < self.watch_timer() {
             return;
         }
-        // The new watch has its full timeout.
+        // Dropping the barriers gives the new watch its full timeout.
         self.freshness
-            .forget_pending_beyond(self.backlog.complete_through());
+            .drop_pending_beyond(self.backlog.complete_through());
         self.reopen_watch();
     }
 
--- a/crates/config-sync/src/sync/verdict.rs
+++ b/crates/config-sync/src/sync/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether an invocation may use an entry, checked at admission and again right before its bytes are sent.
+//! Decides whether an invocation may use an entry, at admission and again right before its bytes are sent.
 
 use super::ConfigSync;
 use crate::schema::Schema;
@@ -7,12 +7,11 @@
 /// Whether an invocation may use an entry now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may.
+    /// It may use the entry.
     Serve,
-    /// The entry must not be used when stale, and was last proven current `age` seconds ago; infinite if it wasn't
-    /// since the start.
+    /// The entry must not be used when stale, and wasn't proven current recently enough.
     RefuseStale {
-        /// In seconds.
+        /// Seconds since the entry was last proven current; infinite if it never was since the start.
         age: f64,
     },
     /// The entry forbids its use, or was deleted since the invocation was admitted.
@@ -24,8 +23,8 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// Whether a new invocation may use an entry. `now` has to be read for this call: then a process that was paused
-    /// is refused before it has received anything from the store.
+    /// Whether a new invocation may use an entry. `now` has to be read right before this call, so that a process that
+    /// was paused refuses stale entries even before it has received anything from the store.
     pub fn admits(&self, now: f64, key: &str) -> Verdict {
         if !self.is_loaded() {
             return Verdict::NotLoaded;
@@ -37,8 +36,8 @@
     }
 
     /// Whether an invocation that was admitted under the view `admitted` may still use the entry, to be checked right
-    /// before its bytes are sent. The invocation otherwise keeps to the view under which it was admitted, but a
-    /// revocation since then applies, and so does staleness.
+    /// before its bytes are sent. The invocation keeps the view under which it was admitted, except that revocations
+    /// since then and staleness apply to it.
     pub fn still_admitted(&self, now: f64, admitted: &View<S::Entry>, key: &str) -> Verdict {
         let Some(known) = admitted.get(key) else {
             return Verdict::Unknown;
@@ -67,7 +66,8 @@
         }
     }
 
-    /// As of when the entry is proven current. An entry whose newest transaction was rejected is older than the view.
+    /// The time as of which the entry is proven current. An entry whose newest transaction was rejected is older than
+    /// the view.
     fn entry_fresh_as_of(&self, key: &str) -> f64 {
         let view = self.freshness.as_of();
         self.applier
--- a/crates/config-sync/src/sync/watching.rs
+++ b/crates/config-sync/src/sync/watching.rs
@@ -1,4 +1,4 @@
-//! The watch: started after the applied revision, its changes applied transaction by transaction.
+//! Follows the watch, which starts after the applied revision, and applies its changes transaction by transaction.
 
 use super::{ConfigSync, Phase, SyncMode};
 use crate::action::Action;
@@ -8,15 +8,15 @@
 use crate::message::{Header, WatchBatch};
 use crate::report::ReportedState;
 use crate::schema::{Rejection, Schema};
-use crate::stored::{Stored, StoredEntry};
+use crate::store_copy::{StoreCopy, StoredEntry};
 
-/// The most foreign keys, which are not those of entries, that are reported.
-const MAX_FOREIGN_KEYS: usize = 16;
+/// Maximum number of reported keys that are in the range of entries but aren't keys of entries.
+const MAX_INVALID_KEYS: usize = 16;
 /// The longest random delay before a watch that the store cancelled is opened again, in seconds.
 const MAX_REOPEN_DELAY: f64 = 1.0;
 
 impl<S: Schema> ConfigSync<S> {
-    /// The store is reachable: requests can be sent and watches opened.
+    /// Handles that the store is reachable: requests can be sent and watches opened.
     pub fn connected(&mut self, now: f64) {
         if self.is_connected() {
             self.disconnected(now);
@@ -29,8 +29,8 @@
         self.restart_reports(now);
     }
 
-    /// The store is unreachable, or the connection of the watch broke. Requests in flight are abandoned; what a
-    /// catch-up has read so far is kept.
+    /// Handles that the store is unreachable, or that the connection of the watch broke. Requests in flight are
+    /// abandoned; the entries that a catch-up has read so far are kept.
     pub fn disconnected(&mut self, now: f64) {
         self.phase = Phase::Disconnected;
         self.watch_is_open = false;
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Opens the watch after the applied revision.
+    /// Opens a watch that starts after the applied revision.
     pub(super) fn open_watch(&mut self) {
         self.backlog.restart(self.applied_revision);
         self.watch_is_open = true;
@@ -104,7 +104,7 @@
         });
     }
 
-    /// Opens the watch again, after the last revision that was received completely.
+    /// Opens the watch again, starting after the last revision that was received completely.
     pub(super) fn reopen_watch(&mut self) {
         self.close_watch();
         self.backlog.drop_incomplete();
@@ -182,12 +182,16 @@
     }
 
     /// The store's content after a transaction, and the entries that it changed.
-    fn store_changes(&mut self, revision: i64, changes: ChangesByKey) -> (Stored, Vec<EntryKey>) {
+    fn store_changes(
+        &mut self,
+        revision: i64,
+        changes: ChangesByKey,
+    ) -> (StoreCopy, Vec<EntryKey>) {
         let mut stored = self.stored.clone();
         let mut keys = vec![];
         for (store_key, document) in changes {
             let Some(key) = self.keyspace.parse_entry(&store_key) else {
-                self.record_foreign_key(store_key, document.is_some(), revision);
+                self.record_invalid_key(store_key, document.is_some(), revision);
                 continue;
             };
             match document {
@@ -206,30 +210,32 @@
         (stored, keys)
     }
 
-    pub(super) fn is_too_large(&self, stored: &Stored) -> bool {
+    pub(super) fn is_too_large(&self, stored: &StoreCopy) -> bool {
         stored.len() > self.settings.max_entries || stored.bytes() > self.settings.max_bytes
     }
 
     /// Records a key in the range of entries that isn't the key of an entry, or removes the record.
-    pub(super) fn record_foreign_key(&mut self, store_key: Vec<u8>, exists: bool, revision: i64) {
+    pub(super) fn record_invalid_key(&mut self, store_key: Vec<u8>, exists: bool, revision: i64) {
         if !exists {
-            self.foreign_keys.remove(&store_key);
+            self.invalid_keys.remove(&store_key);
             return;
         }
-        if self.foreign_keys.len() >= MAX_FOREIGN_KEYS
-            && !self.foreign_keys.contains_key(&store_key)
+        if self.invalid_keys.len() >= MAX_INVALID_KEYS
+            && !self.invalid_keys.contains_key(&store_key)
         {
             return;
         }
         let rejection = Rejection {
-            key: String::from_utf8_lossy(&store_key).chars().take(crate::keys::MAX_KEY_BYTES).collect(),
+            key: String::from_utf8_lossy(&store_key)
+                .chars()
+                .take(crate::keys::MAX_KEY_BYTES)
+                .collect(),
             revision,
-            reason:
-                "the key is no entry's: it has no kind and name, or stands in another bucket than its own"
-                    .into(),
-            remedy: "delete it, and write entries by the writer's tool".into(),
+            reason: "the key is not an entry's: it has no kind and name, or is in the wrong bucket"
+                .into(),
+            remedy: "delete it, and write entries with the writer's tool".into(),
         };
-        self.foreign_keys.insert(store_key, rejection);
+        self.invalid_keys.insert(store_key, rejection);
     }
 
     /// Whether a response of the watch comes from the cluster that is followed; if not, the front end halts.
--- a/crates/config-sync/src/view.rs
+++ b/crates/config-sync/src/view.rs
@@ -31,8 +31,7 @@
 /// The entries of one bucket, sorted by key.
 type Bucket<E> = Vec<(EntryKey, Arc<Record<E>>)>;
 
-/// The configuration at one revision. An invocation keeps the view under which it was admitted
-/// to its end.
+/// The configuration at one revision. An invocation keeps the view under which it was admitted until it ends.
 #[derive(Debug)]
 pub struct View<E> {
     generation: u64,
@@ -142,7 +141,7 @@
     }
 }
 
-/// Whether a key stands before all keys of a kind.
+/// Whether a key sorts before all keys of a kind.
 fn is_before_kind(key: &EntryKey, kind: &str) -> bool {
     let of_kind = kind.bytes().chain([b'/']);
     key.as_str().bytes().lt(of_kind)
--- a/crates/config-sync/src/writer.rs
+++ b/crates/config-sync/src/writer.rs
@@ -1,9 +1,9 @@
-//! Transactions for writers of configuration. They change entries and their digests together, with guards against
-//! concurrent writers. Without I/O: the caller reads and commits.
+//! Builds the transactions of configuration writers. A transaction changes entries and their digests together, with
+//! guards against concurrent writers. This module does no I/O: the caller reads and commits.
 //!
 //! 1. Read [`keys_to_read`] at one revision (one transaction of range requests).
 //! 2. [`plan`] the transaction.
-//! 3. Commit it if all its guards hold. If they don't, another writer was faster: start again at 1.
+//! 3. Commit it if all its guards hold. If they don't, another writer has committed meanwhile: start again at 1.
 
 use crate::digest::{Digests, entry_hash};
 use crate::keys::{EntryKey, FORMAT, GROUP_COUNT, Keyspace, group_of};
@@ -26,7 +26,7 @@
 }
 
 impl Generation {
-    /// A generation in this crate's format.
+    /// Creates a generation in this crate's format.
     pub fn new(generation: u64) -> Generation {
         Generation {
             format: FORMAT,
@@ -112,7 +112,8 @@
     },
     /// The transaction exceeds the store's limit.
     #[error(
-        "the transaction has {operations} operations and the store takes {max_operations}; split it, or raise the store's limit"
+        "the transaction has {operations} operations, over the store's limit of {max_operations}; split it, or raise \
+         the limit"
     )]
     TooManyOperations {
         /// Number of operations, including those on digests.
@@ -121,7 +122,7 @@
         max_operations: usize,
     },
     /// The value of this digest key has a wrong length.
-    #[error("the digests under '{0}' can't be read; repair them")]
+    #[error("the digests under '{0}' have a wrong length; repair them")]
     MalformedDigest(String),
 }
 
--- a/crates/config-sync/tests/checks.rs
+++ b/crates/config-sync/tests/checks.rs
@@ -110,7 +110,7 @@
         ),
         (
             json!({"versions": [{"digest": "a"}], "aliases": {"x": "b"}}),
-            "is no version",
+            "which no version has",
         ),
         (json!({"versions": [{"digest": ""}]}), "digest is empty"),
         (json!([1]), "spec:"),
