--- a/crates/config-sync/benches/core.rs
+++ b/crates/config-sync/benches/core.rs
@@ -1,4 +1,4 @@
-//! What the core costs at the size of 21,000 functions: time of a change, of a snapshot and of a start, and memory.
+//! Measures the core with 21,000 functions: the time of a change, a verdict, a snapshot and a start, and the memory.
 //!
 //! `cargo bench -p orchidtally-config-sync`
 
@@ -12,7 +12,7 @@
 const FUNCTIONS: usize = 21_000;
 const CHANGES: usize = 2_000;
 const CLUSTER: u64 = 7;
-/// Bytes of a page of memory, as `/proc/self/statm` counts it.
+/// Bytes of a page of memory, the unit of `/proc/self/statm`.
 const PAGE: f64 = 4_096.0;
 
 fn document(digest: usize) -> Vec<u8> {
@@ -24,7 +24,7 @@
 }
 
 fn key(n: usize) -> EntryKey {
-    EntryKey::new("functions", &format!("f{n}")).expect("the key is sound")
+    EntryKey::new("functions", &format!("f{n}")).expect("the key is valid")
 }
 
 fn resident_mb() -> f64 {
@@ -37,8 +37,8 @@
     pages * PAGE / 1e6
 }
 
-/// Answers whatever the core asks, from entries that stand at revision 1.
-fn answer(
+/// Performs the actions of the core, with a store whose entries are at revision 1.
+fn perform_actions(
     core: &mut ConfigSync<GatewaySchema>,
     now: f64,
     entries: &[RangeEntry],
@@ -62,14 +62,14 @@
                 let from = entries.partition_point(|entry| entry.key < request.range.start);
                 let until = entries.partition_point(|entry| entry.key < request.range.end);
                 let page = (from + request.limit as usize).min(until.max(from));
-                let answered = entries[from..page].to_vec();
+                let entries_of_page = entries[from..page].to_vec();
                 let more = page < until;
                 core.range_answer(
                     now,
                     RangeAnswer {
                         id: request.id,
                         header,
-                        entries: answered,
+                        entries: entries_of_page,
                         more,
                         bytes: 0,
                     },
@@ -94,14 +94,14 @@
     entries.sort_by(|a, b| a.key.cmp(&b.key));
     let before = resident_mb();
     let mut core =
-        ConfigSync::new(settings.clone(), GatewaySchema, 1, 0.0).expect("the settings are sound");
+        ConfigSync::new(settings.clone(), GatewaySchema, 1, 0.0).expect("the settings are valid");
     let (mut now, mut snapshots) = (0.0, vec![]);
     core.connected(now);
     while !core.is_loaded() {
-        answer(&mut core, now, &entries, &mut snapshots);
+        perform_actions(&mut core, now, &entries, &mut snapshots);
         now += 0.05;
     }
-    answer(&mut core, now, &entries, &mut snapshots);
+    perform_actions(&mut core, now, &entries, &mut snapshots);
     let bytes: usize = entries
         .iter()
         .map(|entry| entry.key.len() + entry.value.len())
@@ -116,7 +116,7 @@
         snapshots[0].len()
     );
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     for n in 0..CHANGES {
         let revision = n as i64 + 2;
         let key = keyspace.entry(&key(n * 7 % FUNCTIONS));
@@ -140,10 +140,10 @@
     }
     println!(
         "a change: {:.1} us",
-        began.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
+        started_at.elapsed().as_secs_f64() * 1e6 / CHANGES as f64
     );
 
-    let began = Instant::now();
+    let started_at = Instant::now();
     for n in 0..1_000_000usize {
         black_box(core.admits(
             now,
@@ -154,27 +154,27 @@
             },
         ));
     }
-    println!("a verdict: {:.3} us", began.elapsed().as_secs_f64());
+    println!("a verdict: {:.3} us", started_at.elapsed().as_secs_f64());
 
     now += 1_000.0;
-    let began = Instant::now();
+    let started_at = Instant::now();
     while let Some(action) = core.poll(now) {
         if let Action::WriteSnapshot { bytes, .. } = action {
             println!(
                 "a snapshot: {:.1} ms, {} bytes",
-                began.elapsed().as_secs_f64() * 1e3,
+                started_at.elapsed().as_secs_f64() * 1e3,
                 bytes.len()
             );
             snapshots.push(bytes);
         }
     }
     let mut restored =
-        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
-    let began = Instant::now();
+        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are valid");
+    let started_at = Instant::now();
     let from = restored.restore(0.0, &[&snapshots[snapshots.len() - 1]]);
     println!(
         "a start from it: {:.1} ms, at revision {:?}",
-        began.elapsed().as_secs_f64() * 1e3,
+        started_at.elapsed().as_secs_f64() * 1e3,
         from.revision
     );
 }
--- a/crates/config-sync/tests/checks.rs
+++ b/crates/config-sync/tests/checks.rs
@@ -1,4 +1,4 @@
-//! What is checked on the way in: settings, keys, documents.
+//! Validation of settings, keys and documents.
 
 use orchidtally_config_sync::keys::{BUCKET_COUNT, KeyRange};
 use orchidtally_config_sync::schema::{FunctionSpec, QuotaSpec, TriggerTypeSpec};
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn settings_are_checked() {
+fn settings_are_validated() {
     assert!(SyncSettings::default().checked().is_ok());
     let no_slack = SyncSettings {
         freshness_bound: 17.5,
@@ -16,33 +16,33 @@
         no_slack.checked(),
         Err(SettingsError::NoSlack { .. })
     ));
-    let slow = SyncSettings {
+    let slow_barriers = SyncSettings {
         barrier_interval: 6.0,
         ..SyncSettings::default()
     };
     assert!(matches!(
-        slow.checked(),
+        slow_barriers.checked(),
         Err(SettingsError::TooFewBarriers { .. })
     ));
     let nan = SyncSettings {
         spread: f64::NAN,
         ..SyncSettings::default()
     };
-    let error = nan.checked().expect_err("it is no number");
+    let error = nan.checked().expect_err("it is not a number");
     assert!(
         matches!(error, SettingsError::OutOfRange { name: "spread", .. }),
         "{error}"
     );
-    let nameless = SyncSettings {
+    let without_prefix = SyncSettings {
         prefix: String::new(),
         ..SyncSettings::default()
     };
-    assert_eq!(nameless.checked(), Err(SettingsError::EmptyPrefix));
+    assert_eq!(without_prefix.checked(), Err(SettingsError::EmptyPrefix));
 }
 
 #[test]
-fn keys_are_checked_and_stand_in_their_bucket() {
-    let key = EntryKey::parse("functions/a/b").expect("a name may hold slashes");
+fn keys_are_validated_and_belong_to_one_bucket() {
+    let key = EntryKey::parse("functions/a/b").expect("a name may contain slashes");
     assert_eq!((key.kind(), key.name()), ("functions", "a/b"));
     assert!(matches!(
         EntryKey::parse("functions"),
@@ -63,7 +63,7 @@
     let keyspace = Keyspace::new("p/");
     let within = |range: &KeyRange, key: &[u8]| key >= &range.start[..] && key < &range.end[..];
     for n in 0..500 {
-        let key = EntryKey::new("functions", &format!("f{n}")).expect("it is sound");
+        let key = EntryKey::new("functions", &format!("f{n}")).expect("the key is valid");
         let store_key = keyspace.entry(&key);
         assert!(within(&keyspace.entries(), &store_key));
         let buckets =
@@ -79,9 +79,9 @@
 }
 
 #[test]
-fn functions_are_checked() {
-    let good = json!({"versions": [{"digest": "a", "work": 0.1}], "aliases": {"stable": "a"}});
-    assert!(FunctionSpec::parse(good).is_ok_and(|function| function.allowed));
+fn functions_are_validated() {
+    let valid = json!({"versions": [{"digest": "a", "work": 0.1}], "aliases": {"stable": "a"}});
+    assert!(FunctionSpec::parse(valid).is_ok_and(|function| function.allowed));
     for (spec, reason) in [
         (json!({"versions": []}), "versions is empty"),
         (
@@ -126,15 +126,15 @@
 }
 
 #[test]
-fn quotas_and_trigger_types_are_checked() {
+fn quotas_and_trigger_types_are_validated() {
     assert!(
         QuotaSpec::parse(json!({"calls_per_second": 0})).is_ok_and(|quota| !quota.is_allowed())
     );
     assert!(QuotaSpec::parse(json!({"calls_per_second": -1})).is_err());
     assert!(QuotaSpec::parse(json!({})).is_err());
     assert!(TriggerTypeSpec::parse(json!({"objective": 0.5, "timeout": 0.5})).is_ok());
-    let below =
-        TriggerTypeSpec::parse(json!({"objective": 2, "timeout": 1})).expect_err("it is below");
+    let below = TriggerTypeSpec::parse(json!({"objective": 2, "timeout": 1}))
+        .expect_err("the timeout is below the objective");
     assert!(below.reason.contains("below the latency objective"));
     assert!(TriggerTypeSpec::parse(json!({"objective": 0, "timeout": 1})).is_err());
 }
--- a/crates/config-sync/tests/faults.rs
+++ b/crates/config-sync/tests/faults.rs
@@ -1,18 +1,19 @@
-//! Faults between a writer and its front ends, in simulated time.
+//! Faults between a writer and the front ends, in simulated time.
 
 mod kit;
 
 use kit::fleet::Fleet;
-use kit::loaded::{LIMIT, digest_of, loaded};
+use kit::loaded::{IN_FORCE_LIMIT, digest_of, loaded_fleet};
 use kit::{delete, function, put};
 use orchidtally_config_sync::Verdict;
 
-/// A transaction that takes longer to arrive than a watch may be silent is waited for, and not asked for again and again.
+/// A transaction whose fragments take longer to arrive than the watch timeout: the front end waits for it, and doesn't
+/// request it repeatedly.
 #[test]
-fn a_transaction_that_arrives_slowly_is_waited_for() {
-    let mut fleet = loaded(5, 120);
+fn a_transaction_that_arrives_slowly_is_not_requested_again() {
+    let mut fleet = loaded_fleet(5, 120);
     for front_end in &mut fleet.front_ends {
-        front_end.fragment = 1;
+        front_end.fragment_size = 1;
     }
     let changes: Vec<_> = (0..90)
         .map(|n| put(&format!("functions/f{n}"), function("b", "serve", true)))
@@ -21,13 +22,13 @@
         .iter()
         .map(|change| change.document.as_ref().map_or(0, Vec::len))
         .sum();
-    let began = fleet.now;
+    let started_at = fleet.now;
     let revision = fleet.write(&changes);
-    let took = fleet.run_until_applied(revision, LIMIT, |_| true);
+    let took = fleet.run_until_applied(revision, IN_FORCE_LIMIT, |_| true);
     let received = |f: &kit::front_end::FrontEnd| {
         f.traffic
             .by_second
-            .range(began as u64..)
+            .range(started_at as u64..)
             .map(|(_, bytes)| *bytes)
             .sum::<usize>()
     };
@@ -43,13 +44,13 @@
     );
 }
 
-/// Two of five members die when front ends have a part of a transaction: nobody shows a part of it, and all have it
-/// in time.
+/// Two of five members crash while front ends have received a part of a transaction: no front end shows a part of it,
+/// and all have it in force in time.
 #[test]
-fn two_members_die_in_the_middle_of_a_change() {
-    let mut fleet = loaded(20, 60);
+fn two_members_crash_in_the_middle_of_a_transaction() {
+    let mut fleet = loaded_fleet(20, 60);
     for front_end in &mut fleet.front_ends {
-        front_end.fragment = 5;
+        front_end.fragment_size = 5;
     }
     let keys: Vec<String> = (0..40).map(|n| format!("functions/f{n}")).collect();
     let changes: Vec<_> = keys
@@ -58,7 +59,7 @@
         .collect();
     let revision = fleet.write(&changes);
     let written_at = fleet.now;
-    let mixed = |fleet: &Fleet| {
+    let assert_atomic = |fleet: &Fleet| {
         for index in 0..20 {
             let digests: Vec<String> = keys
                 .iter()
@@ -66,26 +67,26 @@
                 .collect();
             assert!(
                 digests.iter().all(|d| *d == digests[0]),
-                "front end {index} shows a part: {digests:?}"
+                "front end {index} shows a part of the transaction: {digests:?}"
             );
         }
     };
-    fleet.run_with(0.2, mixed);
-    let on_dead = fleet.front_ends.iter().filter(|f| f.member < 2).count();
-    let early = fleet
+    fleet.run_with(0.2, assert_atomic);
+    let at_crashing_members = fleet.front_ends.iter().filter(|f| f.member < 2).count();
+    let applied_early = fleet
         .front_ends
         .iter()
         .filter(|f| f.core.applied_revision() >= revision)
         .count();
     assert!(
-        on_dead > 0 && early == 0,
-        "the members have to die in the middle: {on_dead} {early}"
+        at_crashing_members > 0 && applied_early == 0,
+        "the members have to crash in the middle of the transaction: {at_crashing_members} {applied_early}"
     );
     fleet.store.members[0].is_alive = false;
     fleet.store.members[1].is_alive = false;
     let mut all_at = None;
-    fleet.run_with(LIMIT, |fleet| {
-        mixed(fleet);
+    fleet.run_with(IN_FORCE_LIMIT, |fleet| {
+        assert_atomic(fleet);
         let all = fleet
             .front_ends
             .iter()
@@ -95,29 +96,29 @@
         }
     });
     println!("in force at all 20 front ends after {all_at:?} s");
-    assert!(all_at.is_some_and(|at| at <= LIMIT), "{all_at:?}");
+    assert!(all_at.is_some_and(|at| at <= IN_FORCE_LIMIT), "{all_at:?}");
     assert_eq!(fleet.serving("functions/guarded"), 20);
 }
 
-/// A region with its member of the store is cut off for three minutes while a permission is taken away.
+/// A region is partitioned together with its member of the store for three minutes, while a permission is revoked.
 #[test]
-fn a_region_is_cut_off_while_a_permission_is_taken_away() {
-    let mut fleet = loaded(9, 30);
-    // The region's front ends stay connected to the region's own member, which answers without its quorum.
-    fleet.store.members[4].side = 1;
+fn a_region_is_partitioned_while_a_permission_is_revoked() {
+    let mut fleet = loaded_fleet(9, 30);
+    // The region's front ends stay connected to the region's own member, which has lost its quorum.
+    fleet.store.members[4].partition = 1;
     for front_end in fleet.front_ends.iter_mut().filter(|f| f.region == 2) {
-        front_end.side = Some(1);
+        front_end.partition = Some(1);
         front_end.member = 4;
     }
     fleet.run(0.5);
     let revision = fleet.write(&[put("functions/guarded", function("a", "refuse", false))]);
     let written_at = fleet.now;
-    let took = fleet.run_until_applied(revision, LIMIT, |f| f.region != 2);
-    assert!(took.is_some(), "the others don't have it in time");
+    let took = fleet.run_until_applied(revision, IN_FORCE_LIMIT, |f| f.region != 2);
+    assert!(took.is_some(), "the other regions don't have it in time");
     assert_eq!(
         fleet.serving("functions/guarded"),
         3,
-        "the region can't know yet"
+        "the region doesn't know of the revocation yet"
     );
     let mut last_served = 0.0f64;
     fleet.run_with(180.0, |fleet| {
@@ -125,17 +126,21 @@
             last_served = fleet.now - written_at;
         }
     });
-    println!("served last {last_served:.2} s after it was taken away");
-    assert!(last_served <= LIMIT, "{last_served}");
-    assert_eq!(fleet.serving("functions/f1"), 9, "all else is served on");
-    // The region heals.
-    fleet.store.members[4].side = 0;
+    println!("served last {last_served:.2} s after the revocation");
+    assert!(last_served <= IN_FORCE_LIMIT, "{last_served}");
+    assert_eq!(
+        fleet.serving("functions/f1"),
+        9,
+        "other functions are still served"
+    );
+    // The partition ends.
+    fleet.store.members[4].partition = 0;
     for front_end in &mut fleet.front_ends {
-        front_end.side = Some(0);
+        front_end.partition = Some(0);
     }
-    let healed = fleet.run_until_applied(revision, LIMIT, |_| true);
-    println!("in force after {healed:?} s of the healed region");
-    assert!(healed.is_some());
+    let recovered_after = fleet.run_until_applied(revision, IN_FORCE_LIMIT, |_| true);
+    println!("in force {recovered_after:?} s after the end of the partition");
+    assert!(recovered_after.is_some());
     for front_end in &fleet.front_ends {
         assert_eq!(
             front_end.core.admits(fleet.now, "functions/guarded"),
@@ -144,14 +149,14 @@
     }
 }
 
-/// A front end is paused for 30 s, meanwhile a permission is taken away; it wakes with its old view and is asked
-/// before it has read anything.
+/// A front end is paused for 30 s while a permission is revoked. It resumes with its old view, and is asked for a
+/// verdict before it has received anything.
 #[test]
-fn a_paused_front_end_wakes_with_an_old_view() {
-    let mut fleet = loaded(3, 30);
+fn a_paused_front_end_resumes_with_an_old_view() {
+    let mut fleet = loaded_fleet(3, 30);
     let admitted = fleet.front_ends[0].core.view();
-    // The answer to a barrier waits for it all the time.
-    while !fleet.front_ends[0].waits_for_barrier() {
+    // An answer to a barrier is in flight for the whole pause.
+    while !fleet.front_ends[0].is_barrier_in_flight() {
         fleet.run(0.05);
     }
     fleet.front_ends[0].is_paused = true;
@@ -161,7 +166,7 @@
     let core = &fleet.front_ends[0].core;
     assert!(
         core.view().get("functions/guarded").is_some(),
-        "it still holds the old view"
+        "it still has the old view"
     );
     let verdict = core.admits(fleet.now, "functions/guarded");
     assert!(
@@ -174,7 +179,7 @@
         "{verdict:?}"
     );
     assert_eq!(core.admits(fleet.now, "functions/f1"), Verdict::Serve);
-    // The answer that waited for it while it was paused doesn't make its old view fresh.
+    // The answer that was in flight during the pause doesn't make the old view fresh.
     let now = fleet.now;
     fleet.front_ends[0].receive_barrier(now);
     let verdict = fleet.front_ends[0].core.admits(now, "functions/guarded");
@@ -184,38 +189,38 @@
     );
     fleet.front_ends[0].is_paused = false;
     let mut served = false;
-    fleet.run_with(LIMIT, |fleet| {
+    fleet.run_with(IN_FORCE_LIMIT, |fleet| {
         served |= fleet.front_ends[0]
             .core
             .admits(fleet.now, "functions/guarded")
             == Verdict::Serve;
     });
-    assert!(!served, "it was served after it was taken away");
+    assert!(!served, "it was served after the revocation");
     assert!(fleet.front_ends[0].core.applied_revision() >= revision);
 }
 
-/// The store was set back and has gone on past the front ends' revision before they come back: the revisions alone
-/// Compaction overtakes every watcher, with a deletion among what they missed: they read what changed and the bucket
-/// A change is overtaken by its own revocation, in whatever way it comes: nobody is ever served by it.
+/// A change is followed by its own revocation before some front ends have received it: no front end ever serves it,
+/// however the changes arrive.
 #[test]
-fn a_change_is_overtaken_by_its_own_revocation() {
-    let mut fleet = loaded(6, 30);
-    // Two front ends are away, two are paused.
+fn a_change_that_is_revoked_at_once_is_never_served() {
+    let mut fleet = loaded_fleet(6, 30);
+    // Two front ends are disconnected, and two are paused.
     for index in 0..2 {
-        fleet.front_ends[index].side = None;
+        fleet.front_ends[index].partition = None;
         fleet.front_ends[index + 2].is_paused = true;
     }
     fleet.run(1.0);
     fleet.write(&[put("functions/guest", function("g", "serve", true))]);
     let revision = fleet.write(&[put("functions/guest", function("g", "serve", false))]);
     let mut served = 0;
-    let look = |fleet: &Fleet, served: &mut usize| *served += fleet.serving("functions/guest");
-    fleet.run_with(5.0, |fleet| look(fleet, &mut served));
+    let count_serving =
+        |fleet: &Fleet, served: &mut usize| *served += fleet.serving("functions/guest");
+    fleet.run_with(5.0, |fleet| count_serving(fleet, &mut served));
     for index in 0..2 {
-        fleet.front_ends[index].side = Some(0);
+        fleet.front_ends[index].partition = Some(0);
         fleet.front_ends[index + 2].is_paused = false;
     }
-    fleet.run_with(LIMIT, |fleet| look(fleet, &mut served));
+    fleet.run_with(IN_FORCE_LIMIT, |fleet| count_serving(fleet, &mut served));
     assert!(
         fleet
             .front_ends
@@ -230,14 +235,15 @@
     }
     assert_eq!(
         served, 0,
-        "the change and its revocation came together, and it was used"
+        "the change was used although its revocation arrived together with it"
     );
 }
 
-/// The grant's transaction was rejected; its revocation heals it, and nothing of the grant comes back.
+/// A grant is in a rejected transaction, and is revoked before that transaction is repaired: the repair must not put
+/// the grant into force.
 #[test]
-fn a_rejected_change_is_overtaken_by_its_revocation() {
-    let mut fleet = loaded(2, 10);
+fn a_rejected_grant_is_not_restored_after_its_revocation() {
+    let mut fleet = loaded_fleet(2, 10);
     fleet.write_unchecked(&[
         put("functions/guest", function("g", "serve", true)),
         put("functions/f1", br#"{"spec":{}}"#.to_vec()),
--- a/crates/config-sync/tests/following.rs
+++ b/crates/config-sync/tests/following.rs
@@ -1,4 +1,4 @@
-//! A front end that loads, follows, and comes back, without faults.
+//! Front ends that load the configuration, follow it and restart, while the store has no faults.
 
 mod kit;
 
@@ -6,7 +6,7 @@
 use kit::{delete, function, key, put, quota, trigger_type};
 use orchidtally_config_sync::{ReportedState, SyncSettings, Verdict};
 
-fn loaded(count: usize) -> Fleet {
+fn loaded_fleet(count: usize) -> Fleet {
     let mut fleet = Fleet::new(count, SyncSettings::default());
     let changes: Vec<_> = (0..40)
         .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
@@ -18,7 +18,7 @@
 
 #[test]
 fn loads_everything_and_follows_changes() {
-    let mut fleet = loaded(3);
+    let mut fleet = loaded_fleet(3);
     for front_end in &fleet.front_ends {
         assert_eq!(front_end.core.state(), ReportedState::Following);
         assert_eq!(front_end.core.view().len(), 40);
@@ -40,7 +40,7 @@
 
 #[test]
 fn stays_fresh_while_the_store_answers() {
-    let mut fleet = loaded(3);
+    let mut fleet = loaded_fleet(3);
     fleet.write(&[put("functions/f1", function("b", "refuse", true))]);
     fleet.run(5.0);
     fleet.run_with(600.0, |fleet| {
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_call_keeps_its_view() {
-    let mut fleet = loaded(1);
+fn an_invocation_keeps_its_view() {
+    let mut fleet = loaded_fleet(1);
     let admitted = fleet.front_ends[0].core.view();
     fleet.write(&[put("functions/f1", function("b", "serve", true))]);
     fleet.run(2.0);
@@ -86,7 +86,7 @@
 
 #[test]
 fn resumes_by_revision_after_a_restart_and_reads_no_entries() {
-    let mut fleet = loaded(1);
+    let mut fleet = loaded_fleet(1);
     fleet.run(400.0);
     let settings = fleet.settings.clone();
     fleet.front_ends[0].restart(settings, 99, fleet.now);
@@ -98,8 +98,8 @@
 }
 
 #[test]
-fn kinds_are_told_apart() {
-    let mut fleet = loaded(1);
+fn kinds_are_distinguished() {
+    let mut fleet = loaded_fleet(1);
     let names = ["quotas/a", "quotas/b/c", "quotas/z"];
     fleet.write(&names.map(|name| put(name, quota(1.0))));
     fleet.run(2.0);
@@ -116,8 +116,8 @@
 }
 
 #[test]
-fn a_rejected_change_makes_no_new_view() {
-    let mut fleet = loaded(1);
+fn a_rejected_change_creates_no_view() {
+    let mut fleet = loaded_fleet(1);
     let views = fleet.front_ends[0].applied.len();
     fleet.write_unchecked(&[put("quotas/ann", b"{}".to_vec())]);
     fleet.run(5.0);
@@ -128,9 +128,9 @@
 }
 
 #[test]
-fn a_generation_that_cannot_be_read_halts_until_it_can() {
+fn an_unreadable_generation_halts_until_it_is_readable() {
     use orchidtally_config_sync::writer::Operation;
-    let mut fleet = loaded(2);
+    let mut fleet = loaded_fleet(2);
     let key = fleet.keyspace.generation();
     let generation = |value: &str| Operation::Put {
         key: key.clone(),
@@ -161,7 +161,7 @@
                 .all(|f| f.core.state() == ReportedState::Following)
         );
     }
-    // A generation that is lower than the one that is followed is no reason to go back.
+    // A generation that is lower than the followed one must not roll the view back.
     fleet.set_generation(0);
     fleet.run(10.0);
     assert!(
@@ -173,8 +173,8 @@
 }
 
 #[test]
-fn rules_between_entries_hold() {
-    let mut fleet = loaded(1);
+fn rules_between_entries_are_enforced() {
+    let mut fleet = loaded_fleet(1);
     fleet.write(&[put("trigger-types/web", trigger_type(0.5, 10.0))]);
     let document = br#"{"spec":{"versions":[{"digest":"d","work":5}],"trigger_types":["web"]}}"#;
     fleet.write(&[put("functions/slow", document.to_vec())]);
@@ -199,7 +199,7 @@
     let orchidtally_config_sync::schema::GatewayEntry::TriggerType(web) =
         &view.get(key("trigger-types/web").as_str()).unwrap().entry
     else {
-        panic!("no trigger type")
+        panic!("the entry is not a trigger type")
     };
     assert_eq!(web.timeout, 2.0);
 }
--- a/crates/config-sync/tests/kit/fleet.rs
+++ b/crates/config-sync/tests/kit/fleet.rs
@@ -19,7 +19,8 @@
 }
 
 impl Fleet {
-    /// Front ends of three regions; the third region's side of the store is member 4.
+    /// Creates front ends that are spread over three regions. Tests that partition the third region do so together with
+    /// member 4 of the store.
     pub fn new(count: usize, settings: SyncSettings) -> Fleet {
         let keyspace = Keyspace::new(settings.prefix.clone());
         let mut fleet = Fleet {
@@ -46,29 +47,29 @@
         }]);
     }
 
-    /// Writes by the writer's module; panics if another writer was faster.
+    /// Writes with the writer module; panics if there is no quorum, or another writer has committed meanwhile.
     pub fn write(&mut self, changes: &[EntryChange]) -> i64 {
-        self.try_write(changes).expect("a quorum takes the write")
+        self.try_write(changes).expect("the write is committed")
     }
 
     pub fn try_write(&mut self, changes: &[EntryChange]) -> Option<i64> {
         let read = self
             .store
             .read(&writer::keys_to_read(&self.keyspace, changes));
-        let most = DEFAULT_MAX_OPERATIONS * 100;
+        let max_operations = DEFAULT_MAX_OPERATIONS * 100;
         let transaction = writer::plan(
             &self.keyspace,
             &GatewaySchema,
             changes,
             &read,
             1 << 20,
-            most,
+            max_operations,
         )
-        .expect("the test's changes are sound");
+        .expect("the test's changes are valid");
         self.store.transact(&transaction)
     }
 
-    /// Writes documents that the writer's module would refuse, with digests in step.
+    /// Writes documents without validation, and updates the digests.
     pub fn write_unchecked(&mut self, changes: &[EntryChange]) -> i64 {
         let mut after = self.store.read_all();
         let mut operations = vec![];
@@ -97,16 +98,16 @@
         operations.extend(writer::repair(&self.keyspace, &after).operations);
         self.store
             .commit(&operations)
-            .expect("a quorum takes the write")
+            .expect("the write is committed")
     }
 
-    /// Runs for so many seconds.
+    /// Runs the simulation for `seconds`.
     pub fn run(&mut self, seconds: f64) {
         self.run_with(seconds, |_| {});
     }
 
-    /// Runs, and looks at the fleet after each step.
-    pub fn run_with(&mut self, seconds: f64, mut look: impl FnMut(&Fleet)) {
+    /// Runs the simulation for `seconds`, and calls `observe` after each step.
+    pub fn run_with(&mut self, seconds: f64, mut observe: impl FnMut(&Fleet)) {
         let until = self.now + seconds;
         while self.now < until {
             self.now += STEP;
@@ -114,32 +115,33 @@
             for front_end in &mut self.front_ends {
                 front_end.step(self.now, &mut self.store);
             }
-            look(self);
+            observe(self);
         }
     }
 
-    /// Runs until all of some front ends have applied a revision; the seconds it took, or `None`.
+    /// Runs until all front ends that `is_included` selects have applied the revision. Returns the seconds that this
+    /// took, or `None` if it took `max_seconds` or longer.
     pub fn run_until_applied(
         &mut self,
         revision: i64,
-        most: f64,
-        of: impl Fn(&FrontEnd) -> bool,
+        max_seconds: f64,
+        is_included: impl Fn(&FrontEnd) -> bool,
     ) -> Option<f64> {
-        let began = self.now;
-        while self.now - began < most {
-            let all = self.front_ends.iter().filter(|f| of(f));
-            if all
+        let started_at = self.now;
+        while self.now - started_at < max_seconds {
+            let included = self.front_ends.iter().filter(|f| is_included(f));
+            if included
                 .into_iter()
                 .all(|f| f.core.applied_revision() >= revision)
             {
-                return Some(self.now - began);
+                return Some(self.now - started_at);
             }
             self.run(STEP);
         }
         None
     }
 
-    /// How many front ends serve calls of a key now, paused ones not counted.
+    /// The number of front ends that admit invocations of a key now; paused ones aren't counted.
     pub fn serving(&self, key: &str) -> usize {
         let running = self.front_ends.iter().filter(|f| !f.is_paused);
         running
@@ -147,7 +149,7 @@
             .count()
     }
 
-    /// The greatest bytes of any front end in any second from this time on.
+    /// The most bytes of any front end in any second from this time on.
     pub fn peak_bytes(&self, from: f64) -> usize {
         let seconds = self
             .front_ends
@@ -156,7 +158,7 @@
         seconds.map(|(_, bytes)| *bytes).max().unwrap_or(0)
     }
 
-    /// The greatest bytes of all front ends together in any second from this time on.
+    /// The most bytes of all front ends together in any second between these times.
     pub fn fleet_peak_bytes(&self, from: f64, until: f64) -> usize {
         let seconds = from as u64..until as u64;
         let in_second = |second: u64| {
--- a/crates/config-sync/tests/kit/front_end/member.rs
+++ b/crates/config-sync/tests/kit/front_end/member.rs
@@ -1,4 +1,4 @@
-//! The member of the store at the other end of a front end's connection.
+//! The member of the store to which a front end is connected.
 
 use super::{FRAGMENT_DELAY, FrontEnd, Message, REQUEST_TIMEOUT, kind_name};
 use crate::kit::store::Store;
@@ -8,7 +8,7 @@
 };
 
 impl FrontEnd {
-    /// The member sends what its watch has to tell, whether the front end is paused or not.
+    /// Sends the new changes of the watch, even if the front end is paused.
     pub(super) fn push_events(&mut self, now: f64, store: &mut Store) {
         if !self.is_connected || !self.reaches(store, self.member) {
             return;
@@ -60,17 +60,19 @@
         cluster: u64,
     ) {
         let header = Header { cluster, revision };
-        let chunks: Vec<&[Change]> = changes.chunks(self.fragment.min(changes.len())).collect();
-        for (place, chunk) in chunks.iter().enumerate() {
-            let complete = place + 1 == chunks.len();
-            let each = |c: &Change| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 24;
-            let bytes = 60 + chunk.iter().map(each).sum::<usize>();
+        let chunks: Vec<&[Change]> = changes
+            .chunks(self.fragment_size.min(changes.len()))
+            .collect();
+        for (index, chunk) in chunks.iter().enumerate() {
+            let complete = index + 1 == chunks.len();
+            let change_bytes = |c: &Change| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 24;
+            let bytes = 60 + chunk.iter().map(change_bytes).sum::<usize>();
             let batch = WatchBatch {
                 header,
                 changes: chunk.to_vec(),
                 complete,
             };
-            let delay = if place == 0 { 0.0 } else { FRAGMENT_DELAY };
+            let delay = if index == 0 { 0.0 } else { FRAGMENT_DELAY };
             self.stream_until = self.stream_until.max(now) + delay;
             self.send(self.stream_until, bytes, Message::Batch { watch, batch });
         }
@@ -90,15 +92,15 @@
             request.min_mod_revision,
             request.limit as usize,
         );
-        self.count(now, 120);
+        self.count_bytes(now, 120);
         match answer {
             Ok((header, mut entries, more)) => {
                 if request.keys_only {
                     entries.iter_mut().for_each(|entry| entry.value.clear());
                 }
-                let each =
+                let entry_bytes =
                     |e: &orchidtally_config_sync::RangeEntry| e.key.len() + e.value.len() + 24;
-                let bytes = 60 + entries.iter().map(each).sum::<usize>();
+                let bytes = 60 + entries.iter().map(entry_bytes).sum::<usize>();
                 *self.traffic.reads_by_second.entry(now as u64).or_default() += bytes;
                 let of_kind = self
                     .traffic
@@ -120,7 +122,7 @@
     }
 
     pub(super) fn barrier(&mut self, now: f64, id: RequestId, store: &mut Store) {
-        self.count(now, 100);
+        self.count_bytes(now, 100);
         if !store.has_quorum(self.member) {
             self.fail(now, id, RequestFailure::Unavailable);
             return;
@@ -154,7 +156,7 @@
 
     pub(super) fn put_report(&mut self, now: f64, report: Report, store: &mut Store) {
         let bytes = report.to_json().len() + 100;
-        self.count(now, bytes);
+        self.count_bytes(now, bytes);
         if !store.has_quorum(self.member) {
             return;
         }
--- a/crates/config-sync/tests/kit/front_end/mod.rs
+++ b/crates/config-sync/tests/kit/front_end/mod.rs
@@ -1,4 +1,4 @@
-//! A front end in simulated time: the core with a host in memory, one connection to one member at a time.
+//! A front end in simulated time: the core with a host in memory, which is connected to one member at a time.
 
 mod member;
 
@@ -12,9 +12,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The usual time of one way between a front end and a member, in seconds.
+/// The default one-way latency between a front end and a member, in seconds.
 const LATENCY: f64 = 0.03;
-/// Between fragments of one transaction, in seconds.
+/// The delay between fragments of one transaction, in seconds.
 const FRAGMENT_DELAY: f64 = 0.1;
 /// A request without an answer fails after this time, in seconds.
 const REQUEST_TIMEOUT: f64 = 2.0;
@@ -37,14 +37,14 @@
     wants_progress: bool,
 }
 
-/// What went over a front end's wires.
+/// The traffic of a front end, in both directions.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     pub by_second: BTreeMap<u64, usize>,
     /// Bytes of read answers, by second.
     pub reads_by_second: BTreeMap<u64, usize>,
     pub reads: usize,
-    /// Read answers and their bytes, by what was read.
+    /// The number of read answers and their bytes, by the kind of read.
     pub reads_by_kind: BTreeMap<&'static str, (usize, usize)>,
     pub scans: usize,
     pub bucket_reads: usize,
@@ -52,29 +52,30 @@
 
 pub struct FrontEnd {
     pub core: ConfigSync<GatewaySchema>,
-    /// Members of the same region come first.
+    /// The region, by which tests select front ends.
     pub region: usize,
     pub is_paused: bool,
-    /// The store's side that it reaches; `None` for none at all.
-    pub side: Option<u8>,
+    /// The partition of the store that it reaches; `None` if it reaches no member.
+    pub partition: Option<u8>,
     pub member: usize,
     pub is_connected: bool,
-    pub disk: Vec<Vec<u8>>,
+    pub snapshots: Vec<Vec<u8>>,
     pub report: Option<Report>,
     pub applied: Vec<Arc<View<GatewayEntry>>>,
     pub traffic: Traffic,
-    /// One way between it and its member, in seconds.
+    /// One-way latency between the front end and its member, in seconds.
     pub latency: f64,
-    /// Changes in one message of the watch at most.
-    pub fragment: usize,
-    /// The greatest pause between tries to connect, in seconds.
-    pub reconnect_pause: f64,
+    /// Maximum number of changes in one message of the watch.
+    pub fragment_size: usize,
+    /// The longest delay between attempts to connect, in seconds.
+    pub max_reconnect_delay: f64,
     reconnect_at: f64,
-    reconnects: u64,
+    reconnect_random: u64,
     watch: Option<WatchState>,
     watches: u64,
     inbox: VecDeque<(f64, Message)>,
-    /// When the newest message of the watch's stream arrives: the stream keeps its order.
+    /// When the newest message of the watch's stream is sent. Later messages aren't sent earlier, so that the stream
+    /// keeps its order.
     stream_until: f64,
 }
 
@@ -91,23 +92,23 @@
 impl FrontEnd {
     pub fn new(settings: SyncSettings, seed: u64, region: usize, now: f64) -> FrontEnd {
         let core = ConfigSync::new(settings, GatewaySchema, seed, now)
-            .expect("the test's settings are sound");
+            .expect("the test's settings are valid");
         FrontEnd {
             core,
             region,
             is_paused: false,
-            side: Some(0),
+            partition: Some(0),
             member: (seed as usize) % MEMBERS,
             is_connected: false,
-            disk: vec![],
+            snapshots: vec![],
             report: None,
             applied: vec![],
             traffic: Traffic::default(),
             latency: LATENCY,
-            fragment: usize::MAX,
-            reconnect_pause: 2.0,
+            fragment_size: usize::MAX,
+            max_reconnect_delay: 2.0,
             reconnect_at: now,
-            reconnects: seed,
+            reconnect_random: seed,
             watch: None,
             watches: 0,
             inbox: VecDeque::new(),
@@ -115,21 +116,21 @@
         }
     }
 
-    /// Starts anew from what is on its disk.
+    /// Restarts from the snapshots on disk.
     pub fn restart(&mut self, settings: SyncSettings, seed: u64, now: f64) {
-        let fresh = FrontEnd::new(settings, seed, self.region, now);
-        let disk = std::mem::take(&mut self.disk);
+        let restarted = FrontEnd::new(settings, seed, self.region, now);
+        let snapshots = std::mem::take(&mut self.snapshots);
         *self = FrontEnd {
-            disk,
-            side: self.side,
+            snapshots,
+            partition: self.partition,
             latency: self.latency,
-            ..fresh
+            ..restarted
         };
-        let newest_first: Vec<&[u8]> = self.disk.iter().rev().map(Vec::as_slice).collect();
+        let newest_first: Vec<&[u8]> = self.snapshots.iter().rev().map(Vec::as_slice).collect();
         self.core.restore(now, &newest_first);
     }
 
-    /// One step of its host.
+    /// Runs one step of the host.
     pub fn step(&mut self, now: f64, store: &mut Store) {
         self.push_events(now, store);
         if self.is_paused {
@@ -148,7 +149,7 @@
     }
 
     fn reaches(&self, store: &Store, member: usize) -> bool {
-        store.members[member].is_alive && self.side == Some(store.members[member].side)
+        store.members[member].is_alive && self.partition == Some(store.members[member].partition)
     }
 
     fn check_connection(&mut self, now: f64, store: &Store) {
@@ -161,7 +162,7 @@
                 self.is_connected = true;
                 self.core.connected(now);
             } else {
-                self.pause_connecting(now);
+                self.delay_reconnect(now);
             }
         }
     }
@@ -172,51 +173,51 @@
         self.watch = None;
         self.stream_until = now;
         self.core.disconnected(now);
-        self.pause_connecting(now);
+        self.delay_reconnect(now);
     }
 
-    fn pause_connecting(&mut self, now: f64) {
-        // A cheap draw that is the same in each run.
-        self.reconnects = self
-            .reconnects
+    fn delay_reconnect(&mut self, now: f64) {
+        // A linear congruential generator, so that runs are reproducible.
+        self.reconnect_random = self
+            .reconnect_random
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1);
-        let drawn = (self.reconnects >> 33) as f64 / (1u64 << 31) as f64;
-        self.reconnect_at = now + self.reconnect_pause * drawn;
+        let fraction = (self.reconnect_random >> 33) as f64 / (1u64 << 31) as f64;
+        self.reconnect_at = now + self.max_reconnect_delay * fraction;
     }
 
-    /// Takes in nothing but the barrier's answer that is under way.
+    /// Receives only the answer to a barrier that is in flight.
     pub fn receive_barrier(&mut self, now: f64) {
         let is_barrier = |(_, message): &(f64, Message)| matches!(message, Message::Barrier(_));
-        let place = self
+        let position = self
             .inbox
             .iter()
             .position(is_barrier)
-            .expect("an answer is under way");
-        if let Some((_, message)) = self.inbox.remove(place) {
+            .expect("an answer is in flight");
+        if let Some((_, message)) = self.inbox.remove(position) {
             self.receive(now, message);
         }
     }
 
-    /// Whether a barrier's answer is under way.
-    pub fn waits_for_barrier(&self) -> bool {
+    /// Whether the answer to a barrier is in flight.
+    pub fn is_barrier_in_flight(&self) -> bool {
         self.inbox
             .iter()
             .any(|(_, message)| matches!(message, Message::Barrier(_)))
     }
 
     fn send(&mut self, now: f64, bytes: usize, message: Message) {
-        self.count(now, bytes);
+        self.count_bytes(now, bytes);
         let due = now + self.latency;
-        let place = self
+        let position = self
             .inbox
             .iter()
             .position(|(other, _)| *other > due)
             .unwrap_or(self.inbox.len());
-        self.inbox.insert(place, (due, message));
+        self.inbox.insert(position, (due, message));
     }
 
-    fn count(&mut self, now: f64, bytes: usize) {
+    fn count_bytes(&mut self, now: f64, bytes: usize) {
         *self.traffic.by_second.entry(now as u64).or_default() += bytes;
     }
 
@@ -263,9 +264,9 @@
             Action::Read(request) => self.read(now, &request, store),
             Action::Barrier { id } => self.barrier(now, id, store),
             Action::WriteSnapshot { bytes, .. } => {
-                self.disk.push(bytes);
-                if self.disk.len() > 2 {
-                    self.disk.remove(0);
+                self.snapshots.push(bytes);
+                if self.snapshots.len() > 2 {
+                    self.snapshots.remove(0);
                 }
             }
             Action::Report(report) => self.put_report(now, report, store),
@@ -273,7 +274,7 @@
         }
     }
 
-    /// After a watch was given up, another member that is reached is asked.
+    /// Switches to another reachable member after a watch was cancelled.
     fn switch_member(&mut self, store: &Store) {
         let others = (1..MEMBERS).map(|offset| (self.member + offset) % MEMBERS);
         if let Some(other) = others
--- a/crates/config-sync/tests/kit/mod.rs
+++ b/crates/config-sync/tests/kit/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated store and simulated front ends, in simulated time: every run replays from its seed.
-#![allow(dead_code)] // Each test uses a part of it.
+//! A simulated store and simulated front ends, in simulated time. Runs with the same seeds are identical.
+#![allow(dead_code)] // Each test file uses only a part of the kit.
 
 pub mod fleet;
 pub mod front_end;
@@ -10,7 +10,7 @@
 use orchidtally_config_sync::writer::EntryChange;
 
 pub fn key(text: &str) -> EntryKey {
-    EntryKey::parse(text).expect("the test's key is sound")
+    EntryKey::parse(text).expect("the test's key is valid")
 }
 
 /// A function's document, of about 300 bytes.
--- a/crates/config-sync/tests/kit/store.rs
+++ b/crates/config-sync/tests/kit/store.rs
@@ -1,5 +1,5 @@
-//! A store of five members as far as the core can tell it from etcd: revisions, ranges at a revision, transactions,
-//! compaction, a quorum, members that lag, and an operator who sets it back.
+//! A simulated store of five members, with the features of etcd that the core depends on: revisions, ranges at a
+//! revision, transactions, compaction, a quorum, members that lag, and rollback by an operator.
 
 use orchidtally_config_sync::keys::KeyRange;
 use orchidtally_config_sync::writer::{Operation, ReadValue, ReadValues, Transaction};
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     pub is_alive: bool,
-    /// Members of one side reach each other.
-    pub side: u8,
-    /// It answers, but applies nothing any more.
+    /// Only members of the same partition reach each other.
+    pub partition: u8,
+    /// Whether the member no longer applies the log, although it answers requests.
     pub is_stuck: bool,
-    /// How far it has applied the log.
+    /// The revision up to which the member has applied the log.
     pub revision: i64,
 }
 
@@ -40,7 +40,7 @@
     fn default() -> Store {
         let member = Member {
             is_alive: true,
-            side: 0,
+            partition: 0,
             is_stuck: false,
             revision: 1,
         };
@@ -58,15 +58,15 @@
 
 impl Store {
     pub fn has_quorum(&self, member: usize) -> bool {
-        let asked = &self.members[member];
+        let contacted = &self.members[member];
         let reached = self
             .members
             .iter()
-            .filter(|other| other.is_alive && other.side == asked.side);
-        asked.is_alive && reached.count() > MEMBERS / 2
+            .filter(|other| other.is_alive && other.partition == contacted.partition);
+        contacted.is_alive && reached.count() > MEMBERS / 2
     }
 
-    /// Members in the quorum come up to the log.
+    /// Lets the members of the quorum apply the whole log.
     pub fn replicate(&mut self) {
         for member in 0..MEMBERS {
             if self.has_quorum(member) && !self.members[member].is_stuck {
@@ -115,13 +115,13 @@
 
     /// Commits if all guards hold.
     pub fn transact(&mut self, transaction: &Transaction) -> Option<i64> {
-        let holds = |key: &[u8], mod_revision: i64| {
+        let is_met = |key: &[u8], mod_revision: i64| {
             self.get(key).map_or(0, |known| known.mod_revision) == mod_revision
         };
         if !transaction
             .guards
             .iter()
-            .all(|guard| holds(&guard.key, guard.mod_revision))
+            .all(|guard| is_met(&guard.key, guard.mod_revision))
         {
             return None;
         }
@@ -129,7 +129,7 @@
     }
 
     pub fn get(&self, key: &[u8]) -> Option<ReadValue> {
-        self.at(key, i64::MAX).map(|entry| ReadValue {
+        self.value_at(key, i64::MAX).map(|entry| ReadValue {
             value: entry.value,
             mod_revision: entry.mod_revision,
         })
@@ -146,7 +146,7 @@
         self.read(&keys)
     }
 
-    fn at(&self, key: &[u8], revision: i64) -> Option<RangeEntry> {
+    fn value_at(&self, key: &[u8], revision: i64) -> Option<RangeEntry> {
         let version = self
             .keys
             .get(key)?
@@ -190,7 +190,7 @@
             .range(range.start.clone()..range.end.clone())
             .map(|(key, _)| key);
         let mut entries: Vec<RangeEntry> = keys
-            .filter_map(|key| self.at(key, revision))
+            .filter_map(|key| self.value_at(key, revision))
             .filter(|entry| entry.mod_revision >= min_mod_revision)
             .take(limit + 1)
             .collect();
@@ -206,8 +206,8 @@
         ))
     }
 
-    /// What a watch at a member has to tell from a revision on, one batch a transaction; the error is the revision
-    /// up to which the log is compacted.
+    /// The changes that a watch at a member has to send from a revision on, with one batch for each transaction. The
+    /// error is the revision up to which the log is compacted.
     pub fn events(
         &self,
         member: usize,
@@ -222,13 +222,13 @@
             return Ok(vec![]);
         }
         let within = |change: &&Change| change.key >= range.start && change.key < range.end;
-        let told = self.log.range(from..=until).map(|(revision, changes)| {
+        let batches = self.log.range(from..=until).map(|(revision, changes)| {
             (
                 *revision,
                 changes.iter().filter(within).cloned().collect::<Vec<_>>(),
             )
         });
-        Ok(told.filter(|(_, changes)| !changes.is_empty()).collect())
+        Ok(batches.filter(|(_, changes)| !changes.is_empty()).collect())
     }
 
     pub fn compact(&mut self, revision: i64) {
@@ -236,8 +236,8 @@
         self.log = self.log.split_off(&(revision + 1));
     }
 
-    /// The operator restores an older state under the same cluster id.
-    pub fn set_back(&mut self, revision: i64) {
+    /// Restores an older state under the same cluster id, as an operator may do.
+    pub fn roll_back(&mut self, revision: i64) {
         for versions in self.keys.values_mut() {
             versions.retain(|version| version.mod_revision <= revision);
         }
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Other users of the store move its revision on.
+    /// Advances the revision by a write of another user of the store.
     pub fn touch(&mut self) {
         self.commit(&[Operation::Put {
             key: b"other/key".to_vec(),
--- a/crates/config-sync/tests/load.rs
+++ b/crates/config-sync/tests/load.rs
@@ -1,4 +1,4 @@
-//! What many front ends, or many changes, cost: paces and times in simulated time.
+//! The load of many front ends and of many changes: rates and delays, in simulated time.
 
 mod kit;
 
@@ -6,17 +6,17 @@
 use kit::{delete, function, put};
 use orchidtally_config_sync::{SyncSettings, Verdict};
 
-const LIMIT: f64 = 18.0;
-/// What a front end may spend on control, in bytes a second.
+const IN_FORCE_LIMIT: f64 = 18.0;
+/// Budget of a front end for control traffic, in bytes a second.
 const BYTES_PER_SECOND: usize = 12_000;
 
-fn loaded(count: usize, functions: usize) -> Fleet {
+fn loaded_fleet(count: usize, functions: usize) -> Fleet {
     let mut fleet = Fleet::new(count, SyncSettings::default());
     let changes: Vec<_> = (0..functions)
         .map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true)))
         .collect();
-    for some in changes.chunks(100) {
-        fleet.write(some);
+    for chunk in changes.chunks(100) {
+        fleet.write(chunk);
     }
     let revision = fleet.store.revision;
     assert!(
@@ -29,16 +29,16 @@
     fleet
 }
 
-/// 180 front ends of a region come back together after three minutes, past a compaction.
+/// 180 front ends of a region reconnect at the same time after three minutes and a compaction.
 #[test]
-fn front_ends_that_reconnect_together_keep_the_pace() {
-    let mut fleet = loaded(180, 1_000);
+fn front_ends_that_reconnect_together_stay_within_the_rate_limit() {
+    let mut fleet = loaded_fleet(180, 1_000);
     for front_end in &mut fleet.front_ends {
-        front_end.side = None;
+        front_end.partition = None;
     }
-    // Their tries end together too, so that nothing but the core spreads them.
+    // They also connect at the same time, so that only the core spreads their reads.
     for front_end in &mut fleet.front_ends {
-        front_end.reconnect_pause = 0.0;
+        front_end.max_reconnect_delay = 0.0;
     }
     fleet.run(180.0);
     fleet.write(&[
@@ -50,17 +50,17 @@
     fleet.store.touch();
     fleet.store.compact(fleet.store.revision);
     for front_end in &mut fleet.front_ends {
-        front_end.side = Some(0);
+        front_end.partition = Some(0);
     }
-    let healed_at = fleet.now.ceil();
-    let took = fleet.run_until_applied(revision, LIMIT, |_| true);
-    fleet.run(LIMIT);
-    let peak = fleet.peak_bytes(healed_at);
-    let fleet_peak = fleet.fleet_peak_bytes(healed_at, fleet.now);
+    let reconnected_at = fleet.now.ceil();
+    let took = fleet.run_until_applied(revision, IN_FORCE_LIMIT, |_| true);
+    fleet.run(IN_FORCE_LIMIT);
+    let peak = fleet.peak_bytes(reconnected_at);
+    let fleet_peak = fleet.fleet_peak_bytes(reconnected_at, fleet.now);
     let read = |f: &kit::front_end::FrontEnd| {
         f.traffic
             .reads_by_second
-            .range(healed_at as u64..)
+            .range(reconnected_at as u64..)
             .map(|(_, bytes)| *bytes)
             .sum::<usize>()
     };
@@ -69,9 +69,9 @@
         "in force after {took:?} s; peak {peak} B/s of one, {fleet_peak} B/s of all, {} bytes read by one",
         all / 180
     );
-    assert!(took.is_some_and(|took| took <= LIMIT), "{took:?}");
+    assert!(took.is_some_and(|took| took <= IN_FORCE_LIMIT), "{took:?}");
     assert!(peak <= BYTES_PER_SECOND, "{peak}");
-    // Without the spread all would read within the same second.
+    // Without the slow start, all of them would read within the same second.
     assert!(fleet_peak < 180 * BYTES_PER_SECOND / 2, "{fleet_peak}");
     assert_eq!(
         fleet
@@ -97,17 +97,17 @@
     }
 }
 
-/// A first load goes on through compactions and broken connections: what was read stays.
+/// A first load continues through compactions and broken connections: entries that were read aren't read again.
 #[test]
-fn a_first_load_is_not_begun_again() {
+fn a_first_load_is_not_restarted() {
     let mut fleet = Fleet::new(2, SyncSettings::default());
     let changes: Vec<_> = (0..800)
         .map(|n| put(&format!("functions/f{n}"), function("a", "serve", true)))
         .collect();
-    for some in changes.chunks(100) {
-        fleet.write(some);
+    for chunk in changes.chunks(100) {
+        fleet.write(chunk);
     }
-    let whole: usize = fleet
+    let total: usize = fleet
         .store
         .read_all()
         .iter()
@@ -131,8 +131,8 @@
     assert!(fleet.run_until_applied(revision, 120.0, |_| true).is_some());
     for front_end in &fleet.front_ends {
         let read: usize = front_end.traffic.reads_by_second.values().sum();
-        println!("{read} bytes read of {whole}");
-        assert!(read < 2 * whole, "{read} bytes read of {whole}");
+        println!("{read} bytes read of {total}");
+        assert!(read < 2 * total, "{read} bytes read of {total}");
         let view = front_end.core.view();
         assert_eq!(view.len(), 788);
         assert_eq!(
@@ -142,10 +142,10 @@
     }
 }
 
-/// A burst of 500 changes within a second.
+/// A burst of 500 changes within a second is in force within a second, and causes at most three reports.
 #[test]
 fn a_burst_of_changes_is_in_force_in_time() {
-    let mut fleet = loaded(20, 600);
+    let mut fleet = loaded_fleet(20, 600);
     let reports = |fleet: &Fleet| -> Vec<u64> {
         fleet
             .front_ends
@@ -163,11 +163,11 @@
         }
         fleet.run(0.05);
     }
-    let began = fleet.now;
-    let took = fleet.run_until_applied(revision, LIMIT, |_| true);
+    let started_at = fleet.now;
+    let took = fleet.run_until_applied(revision, IN_FORCE_LIMIT, |_| true);
     println!(
         "in force {took:?} s after the last of {:.2} s",
-        began - written_at
+        started_at - written_at
     );
     assert!(took.is_some_and(|took| took < 1.0), "{took:?}");
     let peak = fleet.peak_bytes(written_at);
@@ -192,9 +192,9 @@
     }
 }
 
-/// More changes than a front end keeps while it compares digests: it drops them and reads at the pace.
+/// More changes arrive than the backlog takes: the front end drops them, and reads the entries within the rate limit.
 #[test]
-fn a_full_backlog_is_dropped_and_read_at_the_pace() {
+fn a_full_backlog_is_dropped_and_read_within_the_rate_limit() {
     let settings = SyncSettings {
         max_pending_changes: 50,
         ..SyncSettings::default()
@@ -209,11 +209,11 @@
         .map(|n| put(&format!("functions/f{n}"), function("b", "serve", true)))
         .collect();
     let revision = fleet.write(&changes);
-    let began = fleet.now;
+    let started_at = fleet.now;
     let took = fleet.run_until_applied(revision, 60.0, |_| true);
     println!("200 changes past a backlog of 50 took {took:?} s");
     assert!(took.is_some());
-    assert!(fleet.peak_bytes(began + 2.0) <= BYTES_PER_SECOND);
+    assert!(fleet.peak_bytes(started_at + 2.0) <= BYTES_PER_SECOND);
     fleet.run(5.0);
     for front_end in &fleet.front_ends {
         assert!(
@@ -228,9 +228,9 @@
     }
 }
 
-/// A store that holds more than a front end takes: the last good view stays, and the front end says so.
+/// The store exceeds the limits of the front end: the last good view stays in force, and the front end reports this.
 #[test]
-fn a_store_that_is_too_large_leaves_the_last_good_view() {
+fn a_store_that_is_too_large_keeps_the_last_good_view_in_force() {
     let settings = SyncSettings {
         max_entries: 100,
         ..SyncSettings::default()
@@ -265,31 +265,31 @@
     assert_eq!(core.view().len(), 80);
 }
 
-/// The first load of all functions of the planned size, and what a region of front ends reads after three minutes
-/// behind a compaction: all at the pace, and the second within the limit.
+/// The first load of the planned number of functions, and the catch-up of front ends that were disconnected for three
+/// minutes and a compaction: both stay within the budget, and the catch-up within the time limit.
 #[test]
-fn the_planned_size_heals_in_time() {
+fn the_planned_size_catches_up_in_time() {
     let mut fleet = Fleet::new(3, SyncSettings::default());
     let changes: Vec<_> = (0..21_000)
         .map(|n| put(&format!("functions/f{n}"), function("a", "refuse", true)))
         .collect();
-    for some in changes.chunks(100) {
-        fleet.write(some);
+    for chunk in changes.chunks(100) {
+        fleet.write(chunk);
     }
-    let began = fleet.now;
+    let started_at = fleet.now;
     let revision = fleet.store.revision;
     let loaded = fleet.run_until_applied(revision, 3_000.0, |_| true);
     let loaded_bytes: usize = fleet.front_ends[0].traffic.by_second.values().sum();
     println!("first load of 21,000 functions: {loaded:?} s, {loaded_bytes} bytes");
     assert!(loaded.is_some());
     assert!(
-        fleet.peak_bytes(began) <= BYTES_PER_SECOND,
+        fleet.peak_bytes(started_at) <= BYTES_PER_SECOND,
         "{}",
-        fleet.peak_bytes(began)
+        fleet.peak_bytes(started_at)
     );
     for deletions in [1, 3, 8, 30] {
         for front_end in &mut fleet.front_ends {
-            front_end.side = None;
+            front_end.partition = None;
         }
         fleet.run(180.0);
         let changed = deletions * 100;
@@ -306,29 +306,29 @@
         fleet.store.touch();
         fleet.store.compact(fleet.store.revision);
         for front_end in &mut fleet.front_ends {
-            front_end.side = Some(0);
+            front_end.partition = Some(0);
         }
-        let healed_at = fleet.now;
-        let healed = fleet.run_until_applied(revision, 60.0, |_| true);
+        let reconnected_at = fleet.now;
+        let caught_up_after = fleet.run_until_applied(revision, 60.0, |_| true);
         let read = |f: &kit::front_end::FrontEnd| {
             f.traffic
                 .reads_by_second
-                .range(healed_at as u64..)
+                .range(reconnected_at as u64..)
                 .map(|(_, bytes)| *bytes)
                 .sum::<usize>()
         };
         let most = fleet.front_ends.iter().map(read).max();
         println!(
-            "4 changes and {deletions} deletions: in force after {healed:?} s, {most:?} bytes read"
+            "4 changes and {deletions} deletions: in force after {caught_up_after:?} s, {most:?} bytes read"
         );
         assert!(
-            healed.is_some_and(|healed| healed <= LIMIT),
-            "{deletions} deletions: {healed:?}"
+            caught_up_after.is_some_and(|caught_up_after| caught_up_after <= IN_FORCE_LIMIT),
+            "{deletions} deletions: {caught_up_after:?}"
         );
         assert!(
-            fleet.peak_bytes(healed_at) <= BYTES_PER_SECOND,
+            fleet.peak_bytes(reconnected_at) <= BYTES_PER_SECOND,
             "{}",
-            fleet.peak_bytes(healed_at)
+            fleet.peak_bytes(reconnected_at)
         );
         fleet.run(20.0);
     }
--- a/crates/config-sync/tests/snapshots.rs
+++ b/crates/config-sync/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots: cut off or damaged anywhere they are found out, and an earlier one, or none, is used.
+//! Truncated and damaged snapshots are detected, and an earlier one or none is used instead.
 
 mod kit;
 
@@ -22,16 +22,16 @@
     fleet.run(5.0);
     fleet.write_unchecked(&[put("quotas/ann", b"{}".to_vec())]);
     fleet.run(5.0);
-    let disk = &fleet.front_ends[0].disk;
-    (disk[0].clone(), disk[1].clone())
+    let snapshots = &fleet.front_ends[0].snapshots;
+    (snapshots[0].clone(), snapshots[1].clone())
 }
 
 fn core() -> ConfigSync<GatewaySchema> {
-    ConfigSync::new(SyncSettings::default(), GatewaySchema, 1, 0.0).expect("the settings are sound")
+    ConfigSync::new(SyncSettings::default(), GatewaySchema, 1, 0.0).expect("the settings are valid")
 }
 
 #[test]
-fn a_snapshot_cut_off_at_any_byte_is_found_out() {
+fn a_snapshot_truncated_at_any_byte_is_detected() {
     let (earlier, newest) = two_snapshots();
     let earlier_revision = {
         let mut core = core();
@@ -43,7 +43,7 @@
         let restored = core.restore(0.0, &[&newest[..length], &earlier]);
         assert_eq!(
             restored.revision, earlier_revision,
-            "cut off after {length} bytes"
+            "truncated after {length} bytes"
         );
         assert_eq!(restored.skipped.len(), 1);
         let mut alone = self::core();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_flipped_bit_is_found_out() {
+fn a_flipped_bit_is_detected() {
     let (earlier, newest) = two_snapshots();
     for byte in 0..newest.len() {
         for bit in 0..8 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_is_no_snapshot_has_its_own_error() {
+fn other_files_and_oversized_snapshots_have_their_own_errors() {
     let mut core = core();
     let garbage = vec![7u8; 4_000];
     let restored = core.restore(0.0, &[&garbage, &[]]);
@@ -87,7 +87,7 @@
         ..SyncSettings::default()
     };
     let mut small =
-        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are sound");
+        ConfigSync::new(settings, GatewaySchema, 1, 0.0).expect("the settings are valid");
     let restored = small.restore(0.0, &[&newest]);
     assert!(matches!(
         restored.skipped[..],
@@ -103,7 +103,7 @@
     assert_eq!(
         core.admits(50.0, "quotas/ann"),
         Verdict::Serve,
-        "the last good one"
+        "the last good entry"
     );
     assert_eq!(core.rejections().len(), 1);
     assert_eq!(
--- a/crates/config-sync/tests/stored_formats.rs
+++ b/crates/config-sync/tests/stored_formats.rs
@@ -24,8 +24,8 @@
 const GENERATION: &str = include_str!("stored_formats/generation.json");
 const KEYS: &str = include_str!("stored_formats/keys.txt");
 
-/// Reads one value a line, and checks that each is written again byte for byte.
-fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
+/// Decodes the value on each line, and checks that it is encoded to the same bytes.
+fn decode_and_encode<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
         let value: Value =
             serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
@@ -54,24 +54,24 @@
     ]);
     fleet.run(5.0);
     fleet.front_ends[0]
-        .disk
+        .snapshots
         .last()
-        .expect("it has written a snapshot")
+        .expect("the front end has written a snapshot")
         .clone()
 }
 
 fn core() -> ConfigSync<GatewaySchema> {
-    ConfigSync::new(SyncSettings::default(), GatewaySchema, 1, 0.0).expect("the settings are sound")
+    ConfigSync::new(SyncSettings::default(), GatewaySchema, 1, 0.0).expect("the settings are valid")
 }
 
-fn committed_snapshot() -> Vec<u8> {
+fn fixture_snapshot() -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_formats/snapshot.bin");
-    std::fs::read(path).expect("the fixture is committed")
+    std::fs::read(path).expect("the fixture exists")
 }
 
 #[test]
 fn a_snapshot_of_an_earlier_build_is_restored() {
-    let bytes = committed_snapshot();
+    let bytes = fixture_snapshot();
     let mut core = core();
     let restored = core.restore(0.0, &[&bytes]);
     assert!(restored.skipped.is_empty(), "{:?}", restored.skipped);
@@ -80,7 +80,7 @@
     assert_eq!(names.len(), 3, "{names:?}");
     let document = |name: &str| view.get(name).expect(name).document.to_vec();
     assert_eq!(document("functions/resize"), function("1f", "refuse", true));
-    assert_eq!(document("quotas/ann"), quota(1.5), "the last good one");
+    assert_eq!(document("quotas/ann"), quota(1.5), "the last good entry");
     assert_eq!(document("trigger-types/orders"), trigger_type(0.5, 10.0));
     assert_eq!(core.admits(0.0, "quotas/ann"), Verdict::Serve);
     let mut rejected: Vec<String> = core
@@ -98,15 +98,15 @@
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("stored-formats-snapshot.bin");
     std::fs::write(&path, &written).unwrap();
     assert!(
-        written == committed_snapshot(),
-        "what was written is in {}",
+        written == fixture_snapshot(),
+        "the snapshot differs; the new one is in {}",
         path.display()
     );
 }
 
 #[test]
 fn a_snapshot_begins_with_its_magic_version_and_position() {
-    let bytes = committed_snapshot();
+    let bytes = fixture_snapshot();
     assert_eq!(&bytes[..10], b"OTCONFIG\x00\x01");
     assert_eq!(bytes[10..18], 7u64.to_be_bytes(), "the cluster");
     assert_eq!(bytes[18..26], 1u64.to_be_bytes(), "the generation");
@@ -115,8 +115,8 @@
 }
 
 #[test]
-fn reports_are_read_and_written_again() {
-    let reports: Vec<Report> = read_and_rewrite(REPORTS);
+fn reports_keep_their_encoding() {
+    let reports: Vec<Report> = decode_and_encode(REPORTS);
     let states: Vec<ReportedState> = reports.iter().map(|report| report.state).collect();
     let expected = [
         ReportedState::Following,
@@ -154,14 +154,14 @@
 }
 
 #[test]
-fn the_generation_is_read_and_written_again() {
-    let generation: Generation = read_and_rewrite(GENERATION).remove(0);
+fn the_generation_keeps_its_encoding() {
+    let generation: Generation = decode_and_encode(GENERATION).remove(0);
     assert_eq!(generation, Generation::new(7));
     assert_eq!(generation.to_json(), GENERATION.trim_end().as_bytes());
 }
 
 #[test]
-fn documents_of_each_kind_are_read() {
+fn documents_of_each_kind_are_parsed() {
     let envelopes: Vec<Envelope> = DOCUMENTS
         .lines()
         .map(|line| Envelope::parse(line.as_bytes(), 1 << 20).expect(line))
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn specs_are_written_as_documents_have_them() {
+fn specs_are_encoded_as_in_documents() {
     let envelope = |line: &str| Envelope::parse(line.as_bytes(), 1 << 20).expect(line).spec;
     let lines: Vec<&str> = DOCUMENTS.lines().collect();
     let function = FunctionSpec::parse(envelope(lines[0])).unwrap();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn keys_stand_where_earlier_builds_look_for_them() {
+fn keys_are_those_of_earlier_builds() {
     let keyspace = Keyspace::new("/ot/");
     let mut keys = vec![];
     for name in ["functions/resize", "quotas/ann", "trigger-types/orders"] {
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_group_of_digests_has_the_bytes_of_the_format() {
+fn a_digest_group_keeps_its_encoding() {
     let name = "functions/resize";
     let bucket = bucket_of(name);
     let mut digests = Digests::default();
--- a/crates/config-sync/tests/transactions.rs
+++ b/crates/config-sync/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions are applied whole or not at all, and what was rejected can be read.
+//! Transactions are applied atomically, and rejected ones are reported.
 
 mod kit;
 
@@ -6,7 +6,7 @@
 use kit::{delete, function, put, quota, trigger_type};
 use orchidtally_config_sync::{SyncSettings, Verdict};
 
-fn loaded() -> Fleet {
+fn loaded_fleet() -> Fleet {
     let mut fleet = Fleet::new(2, SyncSettings::default());
     fleet.write(&[
         put("functions/f1", function("a", "serve", true)),
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_transaction_that_is_half_invalid_is_rejected_whole_and_healed() {
-    let mut fleet = loaded();
+fn a_partly_invalid_transaction_is_rejected_atomically_until_repaired() {
+    let mut fleet = loaded_fleet();
     let before = fleet.front_ends[0].core.view();
     let rejected = fleet.write_unchecked(&[
         put("functions/f1", function("b", "serve", true)),
@@ -45,21 +45,21 @@
         assert_eq!(
             Some(mod_revision(&fleet, key)),
             known,
-            "{key} is the last good one"
+            "{key} keeps its last good entry"
         );
     }
     assert_eq!(mod_revision(&fleet, "functions/new"), 0);
     assert_eq!(
         mod_revision(&fleet, "quotas/ann"),
         other,
-        "other transactions go on"
+        "other transactions are applied"
     );
     for front_end in &fleet.front_ends {
         assert_eq!(
             front_end.core.admits(fleet.now, "functions/f2"),
             Verdict::Serve
         );
-        let report = front_end.report.as_ref().expect("it reports");
+        let report = front_end.report.as_ref().expect("the front end reports");
         assert!(report.applied_revision >= other);
         assert_eq!(report.rejected.len(), 1, "{report:?}");
         let rejection = &report.rejected[0];
@@ -73,10 +73,10 @@
         );
         assert!(!rejection.remedy.is_empty());
     }
-    // The offending key is written anew: what else the transaction changed comes into force with it.
-    let healed = fleet.write(&[put("trigger-types/web", trigger_type(0.5, 2.0))]);
+    // Once the invalid key is rewritten, the other changes of the transaction come into force with it.
+    let repaired = fleet.write(&[put("trigger-types/web", trigger_type(0.5, 2.0))]);
     fleet.run(5.0);
-    assert_eq!(mod_revision(&fleet, "trigger-types/web"), healed);
+    assert_eq!(mod_revision(&fleet, "trigger-types/web"), repaired);
     assert_eq!(mod_revision(&fleet, "functions/f1"), rejected);
     assert_eq!(mod_revision(&fleet, "functions/new"), rejected);
     assert_eq!(mod_revision(&fleet, "functions/f2"), 0);
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn what_a_rejected_transaction_may_have_taken_away_is_refused_when_stale() {
-    let mut fleet = loaded();
+fn entries_that_a_rejected_transaction_may_revoke_are_refused_when_stale() {
+    let mut fleet = loaded_fleet();
     fleet.write_unchecked(&[
         put("functions/guarded", function("a", "refuse", false)),
         put(
@@ -119,8 +119,8 @@
 }
 
 #[test]
-fn a_transaction_that_needs_a_later_one_is_healed_by_it() {
-    let mut fleet = loaded();
+fn a_rejected_transaction_is_applied_once_a_later_one_makes_it_valid() {
+    let mut fleet = loaded_fleet();
     let document = br#"{"spec":{"versions":[{"digest":"d"}],"trigger_types":["mail"]}}"#;
     fleet.write(&[put("functions/mailer", document.to_vec())]);
     fleet.run(3.0);
@@ -137,9 +137,9 @@
 }
 
 #[test]
-fn a_restart_keeps_the_last_good_and_the_rejection() {
-    let mut fleet = loaded();
-    let good = mod_revision(&fleet, "functions/f1");
+fn a_restart_keeps_the_last_good_entries_and_the_rejection() {
+    let mut fleet = loaded_fleet();
+    let good_revision = mod_revision(&fleet, "functions/f1");
     fleet.write_unchecked(&[
         put("functions/f1", b"no json".to_vec()),
         delete("functions/f2"),
@@ -147,16 +147,16 @@
     fleet.run(400.0);
     let settings = fleet.settings.clone();
     for front_end in &mut fleet.front_ends {
-        front_end.side = None;
+        front_end.partition = None;
         front_end.restart(settings.clone(), 5, fleet.now);
     }
     fleet.run(1.0);
-    assert_eq!(mod_revision(&fleet, "functions/f1"), good);
+    assert_eq!(mod_revision(&fleet, "functions/f1"), good_revision);
     assert_eq!(
         fleet.front_ends[0].core.admits(fleet.now, "functions/f2"),
         Verdict::Serve
     );
-    // The store is away: what is refused when stale is refused, all else is served.
+    // While the store is unreachable, entries that must not be stale are refused and all others are served.
     let verdict = fleet.front_ends[0]
         .core
         .admits(fleet.now, "functions/guarded");
@@ -166,7 +166,7 @@
     );
     assert!(!fleet.front_ends[0].core.rejections().is_empty());
     for front_end in &mut fleet.front_ends {
-        front_end.side = Some(0);
+        front_end.partition = Some(0);
     }
     fleet.run(18.0);
     assert_eq!(
@@ -175,15 +175,15 @@
             .admits(fleet.now, "functions/guarded"),
         Verdict::Serve
     );
-    assert_eq!(mod_revision(&fleet, "functions/f1"), good);
-    let healed = fleet.write(&[put("functions/f1", function("c", "serve", true))]);
+    assert_eq!(mod_revision(&fleet, "functions/f1"), good_revision);
+    let repaired = fleet.write(&[put("functions/f1", function("c", "serve", true))]);
     fleet.run(3.0);
-    assert_eq!(mod_revision(&fleet, "functions/f1"), healed);
+    assert_eq!(mod_revision(&fleet, "functions/f1"), repaired);
 }
 
 #[test]
-fn reports_name_a_bounded_number_of_rejections_and_count_the_rest() {
-    let mut fleet = loaded();
+fn reports_list_a_bounded_number_of_rejections_and_count_the_rest() {
+    let mut fleet = loaded_fleet();
     for n in 0..50 {
         fleet.write_unchecked(&[put(
             &format!("functions/bad{n}"),
@@ -191,16 +191,19 @@
         )]);
     }
     fleet.run(5.0);
-    let report = fleet.front_ends[0].report.clone().expect("it reports");
+    let report = fleet.front_ends[0]
+        .report
+        .clone()
+        .expect("the front end reports");
     assert_eq!(report.rejected.len(), 16);
     assert_eq!(report.rejected_omitted, 34);
     assert!(report.to_json().len() < 8_000, "{}", report.to_json().len());
 }
 
 #[test]
-fn keys_that_are_no_entries_are_named_and_harm_nothing() {
+fn keys_that_are_not_of_entries_are_reported_and_ignored() {
     use orchidtally_config_sync::writer::Operation;
-    let mut fleet = loaded();
+    let mut fleet = loaded_fleet();
     let store_key = format!("{}entries/zzzz/functions/f1", fleet.keyspace.prefix()).into_bytes();
     fleet.store.commit(&[Operation::Put {
         key: store_key.clone(),
--- a/crates/config-sync/tests/writing.rs
+++ b/crates/config-sync/tests/writing.rs
@@ -1,4 +1,4 @@
-//! The writer's side: transactions that keep digests in step, repairs, and what can be told of a write.
+//! The writer: transactions that keep digests consistent, repairs of digests, and whether a write is in force.
 
 mod kit;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn digests_stay_in_step_with_entries() {
+fn digests_stay_consistent_with_entries() {
     let mut store = Store::default();
     let put_many: Vec<_> = (0..60)
         .map(|n| put(&format!("quotas/c{n}"), quota(f64::from(n))))
@@ -44,7 +44,7 @@
         ],
         vec![put("quotas/c3", quota(1.0))],
     ] {
-        let transaction = planned(&store, &changes).expect("it can be planned");
+        let transaction = planned(&store, &changes).expect("the changes are valid");
         assert!(store.transact(&transaction).is_some());
         let repair = writer::repair(&keyspace(), &store.read_all());
         assert!(repair.operations.is_empty(), "{repair:?}");
@@ -52,23 +52,23 @@
 }
 
 #[test]
-fn of_two_writers_of_one_digest_one_has_to_begin_anew() {
+fn one_of_two_concurrent_writers_of_a_digest_has_to_retry() {
     let mut store = Store::default();
-    // Two keys of one bucket group, by search.
+    // The second key is searched for, so that both are in the same digest group.
     let group = |name: &str| orchidtally_config_sync::keys::group_of(key(name).bucket());
     let first = "quotas/c0".to_string();
     let second = (1..)
         .map(|n| format!("quotas/c{n}"))
         .find(|name| group(name) == group(&first))
-        .expect("there is one");
-    let one = planned(&store, &[put(&first, quota(1.0))]).expect("it can be planned");
-    let other = planned(&store, &[put(&second, quota(1.0))]).expect("it can be planned");
+        .expect("some name is in the group");
+    let one = planned(&store, &[put(&first, quota(1.0))]).expect("the changes are valid");
+    let other = planned(&store, &[put(&second, quota(1.0))]).expect("the changes are valid");
     assert!(store.transact(&one).is_some());
     assert!(
         store.transact(&other).is_none(),
-        "its digest would be wrong"
+        "the digest would be wrong"
     );
-    let other = planned(&store, &[put(&second, quota(1.0))]).expect("it can be planned");
+    let other = planned(&store, &[put(&second, quota(1.0))]).expect("the changes are valid");
     assert!(store.transact(&other).is_some());
     assert!(
         writer::repair(&keyspace(), &store.read_all())
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn what_a_writer_went_past_the_digests_with_is_repaired() {
+fn digests_that_a_writer_did_not_update_are_repaired() {
     let mut fleet = Fleet::new(
         2,
         SyncSettings {
@@ -117,16 +117,16 @@
 }
 
 #[test]
-fn unsound_changes_are_refused_with_a_reason() {
+fn invalid_changes_are_rejected_with_a_reason() {
     let store = Store::default();
     let twice = [put("quotas/a", quota(1.0)), delete("quotas/a")];
     assert_eq!(
         planned(&store, &twice),
         Err(WriteError::ChangedTwice(key("quotas/a")))
     );
-    let bad = [put("quotas/a", b"{}".to_vec())];
+    let invalid = [put("quotas/a", b"{}".to_vec())];
     assert!(matches!(
-        planned(&store, &bad),
+        planned(&store, &invalid),
         Err(WriteError::Invalid { .. })
     ));
     let long = [put("quotas/a", vec![b' '; MAX_VALUE + 1])];
@@ -183,7 +183,7 @@
 };
 
 #[test]
-fn a_write_is_in_force_everywhere_when_all_have_it() {
+fn a_write_is_in_force_everywhere_once_all_front_ends_report_it() {
     let reports = BTreeMap::from([("a".into(), report(50)), ("b".into(), report(51))]);
     let (at_write, live) = (names(&["a"]), names(&["a", "b"]));
     assert_eq!(
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_front_end_that_ended_is_gone_and_not_missing() {
+fn a_front_end_that_has_ended_is_not_missing() {
     let last = Report {
         state: ReportedState::Ended,
         ..report(40)
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn who_is_missing_is_named_with_the_reason() {
+fn missing_front_ends_are_listed_with_the_reason() {
     let rejection = Rejection {
         key: "quotas/x".into(),
         revision: 50,
@@ -267,7 +267,7 @@
         revocations,
     } = answer(110.0)
     else {
-        panic!("they are missing")
+        panic!("front ends are missing")
     };
     assert_eq!(revocations, RevocationState::NotBefore(118.0));
     let found: Vec<(&str, &MissingReason)> = missing
@@ -299,17 +299,17 @@
     ];
     assert_eq!(found, expected);
     let InForce::Missing { revocations, .. } = answer(118.0) else {
-        panic!("they are missing")
+        panic!("front ends are missing")
     };
     assert_eq!(revocations, RevocationState::InForce);
 }
 
 #[test]
-fn reports_of_a_fleet_tell_when_a_write_is_in_force() {
+fn reports_of_a_fleet_show_when_a_write_is_in_force() {
     let mut fleet = Fleet::new(5, SyncSettings::default());
     fleet.write(&[put("functions/f1", function("a", "refuse", true))]);
     fleet.run(20.0);
-    fleet.front_ends[4].side = None;
+    fleet.front_ends[4].partition = None;
     let revision = fleet.write(&[put("functions/f1", function("a", "refuse", false))]);
     let written = Written {
         revision,
@@ -318,7 +318,7 @@
         at: fleet.now,
     };
     let at_write: BTreeSet<String> = (0..5).map(|n| format!("fe-{n}")).collect();
-    let ask = |fleet: &Fleet, live: usize| {
+    let check = |fleet: &Fleet, live: usize| {
         let reports = fleet.front_ends.iter().enumerate();
         let reports = reports
             .filter_map(|(n, f)| Some((format!("fe-{n}"), f.report.clone()?)))
@@ -326,15 +326,15 @@
         let live = (0..live).map(|n| format!("fe-{n}")).collect();
         in_force(&written, fleet.now, &at_write, &live, &reports, 18.0)
     };
-    assert!(matches!(ask(&fleet, 5), InForce::Missing { missing, .. } if missing.len() == 5));
+    assert!(matches!(check(&fleet, 5), InForce::Missing { missing, .. } if missing.len() == 5));
     fleet.run(6.0);
-    let InForce::Missing { missing, .. } = ask(&fleet, 5) else {
-        panic!("one is away")
+    let InForce::Missing { missing, .. } = check(&fleet, 5) else {
+        panic!("one front end is disconnected")
     };
     assert_eq!(missing.len(), 1, "{missing:?}");
     assert!(matches!(missing[0].reason, MissingReason::Behind { .. }));
     fleet.run(12.1);
-    let answer = ask(&fleet, 4);
+    let answer = check(&fleet, 4);
     assert!(
         matches!(
             answer,
@@ -345,8 +345,12 @@
         ),
         "{answer:?}"
     );
-    assert_eq!(fleet.serving("functions/f1"), 0, "what it says is so");
-    fleet.front_ends[4].side = Some(0);
+    assert_eq!(
+        fleet.serving("functions/f1"),
+        0,
+        "the revocation is in force at all front ends"
+    );
+    fleet.front_ends[4].partition = Some(0);
     fleet.run(18.0);
-    assert_eq!(ask(&fleet, 5), InForce::Everywhere);
+    assert_eq!(check(&fleet, 5), InForce::Everywhere);
 }
