--- a/crates/config-sync/benches/core.rs
+++ b/crates/config-sync/benches/core.rs
@@ -50,7 +50,7 @@
     };
     while let Some(action) = core.poll(now) {
         match action {
-            Action::Barrier { id } => core.barrier_answer(
+            Action::Barrier { id } => core.on_barrier_answer(
                 now,
                 BarrierAnswer {
                     id,
@@ -64,7 +64,7 @@
                 let page = (from + request.limit as usize).min(until.max(from));
                 let entries_of_page = entries[from..page].to_vec();
                 let more = page < until;
-                core.range_answer(
+                core.on_range_answer(
                     now,
                     RangeAnswer {
                         id: request.id,
@@ -96,7 +96,7 @@
     let mut core =
         ConfigSync::new(settings.clone(), GatewaySchema, 1, 0.0).expect("the settings are valid");
     let (mut now, mut snapshots) = (0.0, vec![]);
-    core.connected(now);
+    core.on_connected(now);
     while !core.is_loaded() {
         perform_actions(&mut core, now, &entries, &mut snapshots);
         now += 0.05;
@@ -129,7 +129,7 @@
             cluster: CLUSTER,
             revision,
         };
-        core.watch_batch(
+        core.on_watch_batch(
             now,
             WatchBatch {
                 header,
--- a/crates/config-sync/src/action.rs
+++ b/crates/config-sync/src/action.rs
@@ -69,7 +69,7 @@
         bytes: Vec<u8>,
     },
     /// Put the report under the front end's own lease, then call
-    /// [`ConfigSync::reported`](crate::ConfigSync::reported).
+    /// [`ConfigSync::on_reported`](crate::ConfigSync::on_reported).
     Report(Report),
     /// Use this view from now on.
     Apply(Arc<View<E>>),
--- a/crates/config-sync/src/report.rs
+++ b/crates/config-sync/src/report.rs
@@ -26,7 +26,7 @@
 /// The value of a report key, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Identifies this report in [`ConfigSync::reported`](crate::ConfigSync::reported).
+    /// Identifies this report in [`ConfigSync::on_reported`](crate::ConfigSync::on_reported).
     pub sequence: u64,
     /// Every transaction up to this revision is applied, or listed in `rejected`, or counted in `rejected_omitted`.
     pub applied_revision: i64,
--- a/crates/config-sync/src/sync/answers.rs
+++ b/crates/config-sync/src/sync/answers.rs
@@ -20,7 +20,7 @@
 
 impl<S: Schema> ConfigSync<S> {
     /// Handles the answer to an [`Action::Read`](crate::Action::Read).
-    pub fn range_answer(&mut self, now: f64, answer: RangeAnswer) {
+    pub fn on_range_answer(&mut self, now: f64, answer: RangeAnswer) {
         let Some(open) = self.take_open_read(answer.id) else {
             return;
         };
--- a/crates/config-sync/src/sync/barrier.rs
+++ b/crates/config-sync/src/sync/barrier.rs
@@ -47,7 +47,7 @@
 
 impl<S: Schema> ConfigSync<S> {
     /// Handles the answer to an [`Action::Barrier`].
-    pub fn barrier_answer(&mut self, now: f64, answer: BarrierAnswer) {
+    pub fn on_barrier_answer(&mut self, now: f64, answer: BarrierAnswer) {
         let Some(open) = self.barriers.open.filter(|open| open.id == answer.id) else {
             return;
         };
--- a/crates/config-sync/src/sync/publishing.rs
+++ b/crates/config-sync/src/sync/publishing.rs
@@ -44,7 +44,7 @@
 
 impl<S: Schema> ConfigSync<S> {
     /// Handles that the report with this sequence number is in the store.
-    pub fn reported(&mut self, _now: f64, sequence: u64) {
+    pub fn on_reported(&mut self, _now: f64, sequence: u64) {
         if self
             .publishing
             .open_report
@@ -56,7 +56,7 @@
 
     /// Handles that the report with this sequence number couldn't be put, or that its lease has expired: a new report
     /// is scheduled.
-    pub fn report_failed(&mut self, now: f64, sequence: u64) {
+    pub fn on_report_failed(&mut self, now: f64, sequence: u64) {
         if sequence == self.publishing.sequence {
             self.publishing.open_report = None;
             self.schedule_report(now);
--- a/crates/config-sync/src/sync/requests.rs
+++ b/crates/config-sync/src/sync/requests.rs
@@ -25,7 +25,7 @@
             .read_deadline()
             .filter(|(_, deadline)| now >= *deadline)
         {
-            self.request_failed(now, id, RequestFailure::Unavailable);
+            self.on_request_failed(now, id, RequestFailure::Unavailable);
         } else if now >= self.send_timer() {
             self.send_read(now);
         }
@@ -103,7 +103,7 @@
     }
 
     /// Handles the failure of a read or a barrier.
-    pub fn request_failed(&mut self, now: f64, id: RequestId, failure: RequestFailure) {
+    pub fn on_request_failed(&mut self, now: f64, id: RequestId, failure: RequestFailure) {
         if self.barrier_failed(now, id) {
             return;
         }
--- a/crates/config-sync/src/sync/restoring.rs
+++ b/crates/config-sync/src/sync/restoring.rs
@@ -16,8 +16,8 @@
 }
 
 impl<S: Schema> ConfigSync<S> {
-    /// Starts from the first usable snapshot; to be called before [`ConfigSync::connected`]. `newest_first` holds the
-    /// contents of the snapshot files. A snapshot isn't proven current, so entries that are refused when stale are
+    /// Starts from the first usable snapshot; to be called before [`ConfigSync::on_connected`]. `newest_first` holds
+    /// the contents of the snapshot files. A snapshot isn't proven current, so entries that are refused when stale are
     /// refused until the store has answered.
     pub fn restore(&mut self, now: f64, newest_first: &[&[u8]]) -> Restored {
         let mut restored = Restored::default();
--- a/crates/config-sync/src/sync/watching.rs
+++ b/crates/config-sync/src/sync/watching.rs
@@ -17,9 +17,9 @@
 
 impl<S: Schema> ConfigSync<S> {
     /// Handles that the store is reachable: requests can be sent and watches opened.
-    pub fn connected(&mut self, now: f64) {
+    pub fn on_connected(&mut self, now: f64) {
         if self.is_connected() {
-            self.disconnected(now);
+            self.on_disconnected(now);
         }
         self.phase = Phase::AwaitingBarrier;
         self.start_barriers(now);
@@ -31,7 +31,7 @@
 
     /// Handles that the store is unreachable, or that the connection of the watch broke. Requests in flight are
     /// abandoned; the entries that a catch-up has read so far are kept.
-    pub fn disconnected(&mut self, now: f64) {
+    pub fn on_disconnected(&mut self, now: f64) {
         self.phase = Phase::Disconnected;
         self.watch_is_open = false;
         self.reopen_watch_at = f64::INFINITY;
@@ -47,7 +47,7 @@
     }
 
     /// Handles changes from the watch, in the order of revisions.
-    pub fn watch_batch(&mut self, now: f64, batch: WatchBatch) {
+    pub fn on_watch_batch(&mut self, now: f64, batch: WatchBatch) {
         if !self.watch_is_open || !self.is_followed(now, &batch.header) {
             return;
         }
@@ -64,7 +64,7 @@
     }
 
     /// Handles a progress notification: the watch has sent all changes up to the header's revision.
-    pub fn watch_progress(&mut self, now: f64, header: Header) {
+    pub fn on_watch_progress(&mut self, now: f64, header: Header) {
         if !self.watch_is_open || !self.is_followed(now, &header) {
             return;
         }
@@ -73,7 +73,7 @@
     }
 
     /// Handles that the watch's next revision is compacted.
-    pub fn watch_compacted(&mut self, now: f64, _compact_revision: i64) {
+    pub fn on_watch_compacted(&mut self, now: f64, _compact_revision: i64) {
         if !self.watch_is_open {
             return;
         }
@@ -87,7 +87,7 @@
     }
 
     /// Handles that the store cancelled the watch for another reason than compaction.
-    pub fn watch_cancelled(&mut self, now: f64) {
+    pub fn on_watch_cancelled(&mut self, now: f64) {
         if self.watch_is_open {
             self.watch_is_open = false;
             self.reopen_watch_at = now + self.random_below(MAX_REOPEN_DELAY);
--- a/crates/config-sync/tests/kit/front_end/mod.rs
+++ b/crates/config-sync/tests/kit/front_end/mod.rs
@@ -160,7 +160,7 @@
             self.member = (self.member + 1) % MEMBERS;
             if self.reaches(store, self.member) {
                 self.is_connected = true;
-                self.core.connected(now);
+                self.core.on_connected(now);
             } else {
                 self.delay_reconnect(now);
             }
@@ -172,7 +172,7 @@
         self.inbox.clear();
         self.watch = None;
         self.stream_until = now;
-        self.core.disconnected(now);
+        self.core.on_disconnected(now);
         self.delay_reconnect(now);
     }
 
@@ -225,19 +225,19 @@
         let current = self.watch.map_or(self.watches, |watch| watch.number);
         match message {
             Message::Batch { watch, batch } if watch == current => {
-                self.core.watch_batch(now, batch)
+                self.core.on_watch_batch(now, batch)
             }
             Message::Progress { watch, header } if watch == current => {
-                self.core.watch_progress(now, header)
+                self.core.on_watch_progress(now, header)
             }
             Message::Compacted { watch, revision } if watch == current => {
-                self.core.watch_compacted(now, revision);
+                self.core.on_watch_compacted(now, revision);
             }
             Message::Batch { .. } | Message::Progress { .. } | Message::Compacted { .. } => {}
-            Message::Range(answer) => self.core.range_answer(now, answer),
-            Message::Barrier(answer) => self.core.barrier_answer(now, answer),
-            Message::Failed(id, failure) => self.core.request_failed(now, id, failure),
-            Message::Reported(sequence) => self.core.reported(now, sequence),
+            Message::Range(answer) => self.core.on_range_answer(now, answer),
+            Message::Barrier(answer) => self.core.on_barrier_answer(now, answer),
+            Message::Failed(id, failure) => self.core.on_request_failed(now, id, failure),
+            Message::Reported(sequence) => self.core.on_reported(now, sequence),
         }
     }
 
--- a/crates/config-sync/tests/store_faults.rs
+++ b/crates/config-sync/tests/store_faults.rs
@@ -20,7 +20,7 @@
     for second in 0..30 {
         fleet.front_ends[0]
             .core
-            .watch_progress(partitioned_at + 60.0 + f64::from(second), header);
+            .on_watch_progress(partitioned_at + 60.0 + f64::from(second), header);
     }
     let core = &fleet.front_ends[0].core;
     assert!(
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -75,7 +75,7 @@
                     more: answer.more,
                     bytes,
                 };
-                self.feed(|core, now| core.range_answer(now, answer));
+                self.feed(|core, now| core.on_range_answer(now, answer));
             }
             Err(fault) => self.request_failed(session, request.id, &fault),
         }
@@ -105,7 +105,7 @@
                     .next()
                     .map(|pair| pair.value.to_vec());
                 self.feed(|core, now| {
-                    core.barrier_answer(
+                    core.on_barrier_answer(
                         now,
                         BarrierAnswer {
                             id,
@@ -121,7 +121,7 @@
 
     fn request_failed(&self, session: u64, id: RequestId, fault: &ClientError) {
         match refused(fault) {
-            Some(failure) => self.feed(|core, now| core.request_failed(now, id, failure)),
+            Some(failure) => self.feed(|core, now| core.on_request_failed(now, id, failure)),
             None => self.session_failed(session, fault),
         }
     }
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -142,7 +142,7 @@
         self.is_connected.set(false);
         self.connect_at.set(f64::INFINITY);
         drop(self.watch.take());
-        self.core.borrow_mut().disconnected(self.now());
+        self.core.borrow_mut().on_disconnected(self.now());
     }
 
     fn next_timer(&self) -> f64 {
@@ -168,7 +168,7 @@
         self.is_connected.set(true);
         self.session.set(self.session.get() + 1);
         drop(self.watch.take());
-        self.core.borrow_mut().connected(self.now());
+        self.core.borrow_mut().on_connected(self.now());
         let (host, session) = (self.clone(), self.session.get());
         self.spawn(async move { host.keep_lease(session).await });
     }
@@ -223,7 +223,7 @@
             // The report would contain a revision that isn't in force here.
             self.core
                 .borrow_mut()
-                .report_failed(self.now(), report.sequence);
+                .on_report_failed(self.now(), report.sequence);
             return;
         }
         let (host, session) = (self.clone(), self.session.get());
--- a/crates/http-frontend/src/config/lease_renewal.rs
+++ b/crates/http-frontend/src/config/lease_renewal.rs
@@ -99,6 +99,6 @@
         );
         self.lease.set(None);
         let sequence = self.core.borrow().report().sequence;
-        self.feed(|core, now| core.report_failed(now, sequence));
+        self.feed(|core, now| core.on_report_failed(now, sequence));
     }
 }
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -21,13 +21,13 @@
             return;
         }
         match put {
-            Ok(()) => self.feed(|core, now| core.reported(now, sequence)),
+            Ok(()) => self.feed(|core, now| core.on_reported(now, sequence)),
             Err(ClientError::Rejected(status)) => {
                 debug!(%status, "the store rejected the configuration report");
                 if status.code == NOT_FOUND {
                     self.lease.set(None);
                 }
-                self.feed(|core, now| core.report_failed(now, sequence));
+                self.feed(|core, now| core.on_report_failed(now, sequence));
             }
             Err(fault) => self.session_failed(session, &fault),
         }
--- a/crates/http-frontend/src/config/session.rs
+++ b/crates/http-frontend/src/config/session.rs
@@ -47,7 +47,7 @@
         self.client.fail_over();
         self.connect_at
             .set(self.now() + self.backoff.pause(rand::random()));
-        self.feed(|core, now| core.disconnected(now));
+        self.feed(|core, now| core.on_disconnected(now));
     }
 
     /// Logs rejections that weren't logged before.
--- a/crates/http-frontend/src/config/snapshot_writer.rs
+++ b/crates/http-frontend/src/config/snapshot_writer.rs
@@ -64,7 +64,7 @@
         self.snapshot_fault.replace(fault);
         if has_changed {
             let sequence = self.core.borrow().report().sequence;
-            self.feed(|core, now| core.report_failed(now, sequence));
+            self.feed(|core, now| core.on_report_failed(now, sequence));
         }
         let mut snapshots = self.snapshots.borrow_mut();
         snapshots.is_writing = false;
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -100,18 +100,18 @@
                         changes,
                         complete: true,
                     };
-                    self.feed(|core, now| core.watch_batch(now, batch));
+                    self.feed(|core, now| core.on_watch_batch(now, batch));
                 }
                 WatchEvent::Progress { header: of, .. } => {
-                    self.feed(|core, now| core.watch_progress(now, header(Some(&of))));
+                    self.feed(|core, now| core.on_watch_progress(now, header(Some(&of))));
                 }
                 WatchEvent::Compacted { revision } => {
-                    self.feed(|core, now| core.watch_compacted(now, revision));
+                    self.feed(|core, now| core.on_watch_compacted(now, revision));
                     return false;
                 }
                 WatchEvent::Cancelled { reason } => {
                     tracing::debug!(reason, "configuration watch cancelled by the store");
-                    self.feed(|core, now| core.watch_cancelled(now));
+                    self.feed(|core, now| core.on_watch_cancelled(now));
                     return false;
                 }
             }
