--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -8,7 +8,7 @@
 use orchidtally_engine::{Engine, FailureReason, Host};
 use orchidtally_etcd::Client;
 use orchidtally_http_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
-use orchidtally_membership::{EndpointCache, Members};
+use orchidtally_membership::{EndpointCache, MembershipTracker};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     etcd: EtcdSettings,
     incarnation: u64,
     cache: RefCell<EndpointCache>,
-    members: RefCell<Members>,
+    members: RefCell<MembershipTracker>,
     engine: RefCell<Engine>,
     /// Bytes received by the roster's connection when its first list was there.
     list_bytes: Cell<u64>,
@@ -93,7 +93,7 @@
             deployment,
             incarnation: seed,
             cache: RefCell::new(EndpointCache::new(0.0)),
-            members: RefCell::new(Members::new(front_ends as u32)),
+            members: RefCell::new(MembershipTracker::new(front_ends as u32)),
             engine: RefCell::new(engine),
             list_bytes: Cell::new(0),
             connections: StoreConnections::new(&etcd, &client_name(seed), tasks),
@@ -150,7 +150,7 @@
         &self.cache
     }
 
-    fn members(&self) -> &RefCell<Members> {
+    fn members(&self) -> &RefCell<MembershipTracker> {
         &self.members
     }
 
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -4,7 +4,7 @@
 use orchidtally_deployment::{Deployment, EtcdSettings};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
 use orchidtally_etcd::Client;
-use orchidtally_membership::{EndpointCache, Members};
+use orchidtally_membership::{EndpointCache, MembershipTracker};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     fn cache(&self) -> &RefCell<EndpointCache>;
 
     /// The membership that the followers feed.
-    fn members(&self) -> &RefCell<Members>;
+    fn members(&self) -> &RefCell<MembershipTracker>;
 
     /// The front end's own entry.
     fn own_entry(&self) -> OwnEntry;
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -13,7 +13,7 @@
     PutRequest, RequestOp, TxnRequest, TxnResponse,
 };
 use orchidtally_etcd::{Client, ClientError, LEASE_GRANT, LEASE_KEEP_ALIVE, TXN};
-use orchidtally_membership::Members;
+use orchidtally_membership::MembershipTracker;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -84,7 +84,7 @@
             .iter()
             .filter_map(|entry| entries::index(&entry.key))
             .collect();
-        let index = Members::choose_index(&used_indices, rand::random(), lost_claims);
+        let index = MembershipTracker::choose_index(&used_indices, rand::random(), lost_claims);
         let began = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.requested_ttl,
--- a/crates/http-frontend/src/etcd/router_membership.rs
+++ b/crates/http-frontend/src/etcd/router_membership.rs
@@ -4,7 +4,7 @@
 use crate::router::Router;
 use orchidtally_deployment::{Deployment, EtcdSettings};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
-use orchidtally_membership::{EndpointCache, Members};
+use orchidtally_membership::{EndpointCache, MembershipTracker};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tracing::info;
@@ -22,7 +22,7 @@
         &self.cache
     }
 
-    fn members(&self) -> &RefCell<Members> {
+    fn members(&self) -> &RefCell<MembershipTracker> {
         &self.members
     }
 
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -39,7 +39,7 @@
         })
         .collect();
     json!({
-        "age": cache.age(now),
+        "age": cache.response_age(now),
         "revision": cache.revision(),
         "executors": executors.known,
         "held": executors.retained,
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -33,7 +33,7 @@
 use orchidtally_engine::stall_detector::StallDetector;
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::members::MAX_VIEW_DELAY;
-use orchidtally_membership::{EndpointCache, Members};
+use orchidtally_membership::{EndpointCache, MembershipTracker};
 use orchidtally_rollout::TrafficSplit;
 use orchidtally_rollout::frontend::FrontEndInfo;
 use reconfigure::Revisions;
@@ -65,7 +65,7 @@
     /// The endpoint cache, where the endpoint list comes from etcd.
     pub cache: RefCell<EndpointCache>,
     /// The membership, where it comes from etcd.
-    pub members: RefCell<Members>,
+    pub members: RefCell<MembershipTracker>,
     /// The number of time slots of shared budgets, and since when it is that.
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
@@ -154,7 +154,7 @@
                 deployment,
                 sender: Cell::new(sender),
                 cache: RefCell::new(EndpointCache::new(now)),
-                members: RefCell::new(Members::new(sender.count)),
+                members: RefCell::new(MembershipTracker::new(sender.count)),
                 slot_count: Cell::new((0, f64::INFINITY)),
                 engine: RefCell::new(engine),
                 action_executor: RefCell::new(action_executor),
--- a/crates/membership/src/cache/mod.rs
+++ b/crates/membership/src/cache/mod.rs
@@ -108,7 +108,7 @@
     }
 
     /// Seconds since the store last responded.
-    pub fn age(&self, now: f64) -> f64 {
+    pub fn response_age(&self, now: f64) -> f64 {
         now - self.last_response_at
     }
 
@@ -190,7 +190,7 @@
     /// Removes retained executors that haven't responded for long enough. Removes none while the store itself is
     /// silent.
     pub fn remove_expired(&mut self, now: f64) -> Option<EndpointUpdate> {
-        let is_store_silent = self.age(now) > RETENTION_AFTER_EXPIRY;
+        let is_store_silent = self.response_age(now) > RETENTION_AFTER_EXPIRY;
         let expired: Vec<Vec<u8>> = self
             .entries
             .iter()
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use cache::{EndpointCache, EndpointUpdate, EntryParser, ExecutorCounts};
 pub use error::EntryError;
-pub use members::{Members, MembershipEstimate};
+pub use members::{MembershipEstimate, MembershipTracker};
 pub use store::{EntryChange, NextRequest, StoreRevision};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -30,9 +30,9 @@
     claimed_at: f64,
 }
 
-/// What a front end knows of its own registration and of the other front ends.
+/// Tracks a front end's own registration and its views of the other front ends.
 #[derive(Clone, Debug, Default)]
-pub struct Members {
+pub struct MembershipTracker {
     /// The count in the deployment file, used while the store is unreachable.
     configured_count: u32,
     /// Recent views; any of their counts may still be in use by another front end.
@@ -55,14 +55,14 @@
     pub has_budget_share: bool,
 }
 
-impl Members {
+impl MembershipTracker {
     /// Creates the state of a front end that has neither a registration nor a view. `configured_count` is the count in
     /// the deployment file.
-    pub fn new(configured_count: u32) -> Members {
-        Members {
+    pub fn new(configured_count: u32) -> MembershipTracker {
+        MembershipTracker {
             configured_count,
             highest_count: configured_count,
-            ..Members::default()
+            ..MembershipTracker::default()
         }
     }
 
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -1,7 +1,7 @@
 //! Simulates front ends that join, leave, crash and see each other late, in random order, and checks that their shares
 //! of strictly shared budgets never add up to more than one.
 
-use orchidtally_membership::Members;
+use orchidtally_membership::MembershipTracker;
 use orchidtally_membership::members::MAX_VIEW_DELAY;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -10,7 +10,7 @@
 const LEASE_SECONDS: f64 = 4.0;
 
 struct Member {
-    members: Members,
+    members: MembershipTracker,
     id: u64,
     crashes_at: f64,
     /// The start and the end of a read of the view.
@@ -62,7 +62,7 @@
         all.retain(|m| m.crashes_at > now);
         while all.len() < target_count {
             id += 1;
-            let members = Members::new(3);
+            let members = MembershipTracker::new(3);
             let lifetime = if random.random_range(0..4) == 0 {
                 random.random_range(1.0..8.0)
             } else {
@@ -117,7 +117,7 @@
                     None => {
                         m.members.on_entry_lost();
                         let taken: BTreeSet<u32> = store.keys().copied().collect();
-                        let index = Members::choose_index(&taken, random.random(), 0);
+                        let index = MembershipTracker::choose_index(&taken, random.random(), 0);
                         store.insert(index, (m.id, now + LEASE_SECONDS));
                         m.members.on_claimed(now, index, LEASE_SECONDS);
                     }
