--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -85,10 +85,10 @@
 
 /// Determines whether a write is in force at every front end.
 ///
-/// `at_write` names the front ends that had a lease when the change was written, `live` those that have one now,
-/// `reports` holds the reports that were read last (linearizably), by front end. `limit` is
+/// `at_write` lists the front ends that had a lease when the change was written, `live` those that have one now,
+/// `reports` are the reports that were read last (linearizably), by front end. `limit` is
 /// [`SyncSettings::in_force_limit`](crate::SyncSettings::in_force_limit) in seconds. A front end whose report says that
-/// it has ended is gone: it serves nothing and is not missing; [`ended`] names them.
+/// it has ended serves nothing, so it is not missing; [`ended`] lists these front ends.
 pub fn in_force(
     written: &Written,
     now: f64,
--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -18,7 +18,7 @@
 pub const BUCKET_COUNT: usize = 1_024;
 /// Number of buckets whose digests share a key of the store.
 pub const BUCKETS_PER_GROUP: usize = 32;
-/// Number of keys that hold digests.
+/// Number of keys that contain digests.
 pub const GROUP_COUNT: usize = BUCKET_COUNT / BUCKETS_PER_GROUP;
 /// Maximum length of a key in bytes: of its kind, slash and name together.
 pub const MAX_KEY_BYTES: usize = 256;
@@ -130,7 +130,7 @@
     bucket / BUCKETS_PER_GROUP
 }
 
-/// A half-open range of store keys, `[start, end)`, as range requests and watches take it.
+/// A half-open range of store keys, `[start, end)`, as in range requests and watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRange {
     /// The first key.
@@ -207,7 +207,7 @@
         KeyRange::of_prefix(format!("{}entries/{bucket:04x}/", self.prefix).into_bytes())
     }
 
-    /// The key that holds the digests of a group of buckets.
+    /// The key of the digests of a group of buckets.
     pub fn digest(&self, group: usize) -> Vec<u8> {
         format!("{}digests/{group:02x}", self.prefix).into_bytes()
     }
@@ -217,7 +217,7 @@
         KeyRange::of_prefix(format!("{}digests/", self.prefix).into_bytes())
     }
 
-    /// The key that barriers read.
+    /// The key of the generation, which barriers read.
     pub fn generation(&self) -> Vec<u8> {
         format!("{}generation", self.prefix).into_bytes()
     }
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -96,7 +96,7 @@
     /// The freshness bound leaves too little time for invocations that are admitted right before it.
     #[error(
         "freshness_bound {freshness_bound} s is not at least 1 s below in_force_limit {in_force_limit} s; lower it, \
-         or raise the limit"
+         or raise in_force_limit"
     )]
     NoSlack {
         /// In seconds.
--- a/crates/config-sync/tests/kit/mod.rs
+++ b/crates/config-sync/tests/kit/mod.rs
@@ -13,7 +13,7 @@
     EntryKey::parse(text).expect("the test's key is valid")
 }
 
-/// A function's document, of about 300 bytes.
+/// The document of a function, with about 300 bytes.
 pub fn function(digest: &str, when_stale: &str, allowed: bool) -> Vec<u8> {
     let padding = "0".repeat(150);
     format!(
--- a/crates/membership/src/store.rs
+++ b/crates/membership/src/store.rs
@@ -5,7 +5,7 @@
 pub struct StoreRevision {
     /// Identifier of the cluster. Revisions of different clusters can't be compared.
     pub cluster: u64,
-    /// Revision within the cluster; it only goes back when the cluster is restored from a backup.
+    /// Revision within the cluster; it only decreases when the cluster is restored from a backup.
     pub revision: i64,
 }
 
--- a/crates/membership/tests/kit/mod.rs
+++ b/crates/membership/tests/kit/mod.rs
@@ -27,13 +27,13 @@
         .parse()
         .unwrap();
     let text = std::str::from_utf8(value).unwrap();
-    let (standing, since) = text.split_once(' ').ok_or(EntryError::MissingState)?;
+    let (state, since) = text.split_once(' ').ok_or(EntryError::MissingState)?;
     Ok(Endpoint {
         executor: ExecutorId(IpAddr::V4(Ipv4Addr::new(10, 0, 0, n)), 7),
         zone: 0,
         kind: 0,
         cell: 0,
-        state: if standing == "ready" {
+        state: if state == "ready" {
             EndpointState::Ready
         } else {
             EndpointState::Draining
