--- a/crates/config-sync/src/in_force.rs
+++ b/crates/config-sync/src/in_force.rs
@@ -1,4 +1,4 @@
-//! Whether a revision is in force at every front end, from the front ends' reports; for writers.
+//! Determines for writers whether a revision is in force at every front end, from the front ends' reports.
 
 use crate::report::{Report, ReportedState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,7 +28,7 @@
         keys: Vec<String>,
     },
     /// It reached the revision, but its report omits some rejections, which may include this transaction.
-    PerhapsRejected {
+    PossiblyRejected {
         /// Number of rejections that the report omits.
         omitted: usize,
     },
@@ -85,10 +85,10 @@
 
 /// Determines whether a write is in force at every front end.
 ///
-/// `at_write` names the front ends that had a lease when the change was written, `live` those that have one now,
-/// `reports` holds the reports that were read last (linearizably), by front end. `limit` is
+/// `at_write` lists the front ends that had a lease when the change was written, `live` those that have one now,
+/// `reports` are the reports that were read last (linearizably), by front end. `limit` is
 /// [`SyncSettings::in_force_limit`](crate::SyncSettings::in_force_limit) in seconds. A front end whose report says that
-/// it has ended is gone: it serves nothing and is not missing; [`ended`] names them.
+/// it has ended serves nothing, so it is not missing; [`ended`] lists these front ends.
 pub fn in_force(
     written: &Written,
     now: f64,
@@ -170,7 +170,7 @@
     if !keys.is_empty() {
         return Some(MissingReason::Rejected { keys });
     }
-    (report.rejected_omitted > 0).then_some(MissingReason::PerhapsRejected {
+    (report.rejected_omitted > 0).then_some(MissingReason::PossiblyRejected {
         omitted: report.rejected_omitted,
     })
 }
--- a/crates/config-sync/src/settings.rs
+++ b/crates/config-sync/src/settings.rs
@@ -8,7 +8,8 @@
 pub struct SyncSettings {
     /// Prefix of all keys in the store, `orchidtally/config/` by default.
     pub prefix: String,
-    /// Entries with `"when_stale":"refuse"` are refused once the view wasn't proven current for this long, in seconds.
+    /// Time without a proof that the view is current after which entries with `"when_stale":"refuse"` are refused, in
+    /// seconds.
     pub freshness_bound: f64,
     /// Time after which a revocation is in force everywhere, in seconds; above `freshness_bound`.
     pub in_force_limit: f64,
@@ -18,8 +19,8 @@
     pub audit_interval: f64,
     /// Rate limit of reads, in bytes a second.
     pub read_bytes_per_second: f64,
-    /// Burst of reads in bytes. In any second at most this and `read_bytes_per_second` are read, apart from answers that
-    /// are larger than expected.
+    /// Burst of reads in bytes. In any second at most the sum of this and `read_bytes_per_second` is read, apart from
+    /// answers that are larger than expected.
     pub read_burst: f64,
     /// Target size of an answer in bytes, from which the limits of reads are derived.
     pub page_bytes: f64,
@@ -33,17 +34,18 @@
     pub request_timeout: f64,
     /// A watch that doesn't reach the revision of a barrier within this time is opened again, in seconds.
     pub watch_timeout: f64,
-    /// The most entries in the store.
+    /// Maximum number of entries in the store.
     pub max_entries: usize,
-    /// The most bytes of keys and values in the store.
+    /// Maximum number of bytes of all keys and values in the store.
     pub max_bytes: usize,
-    /// The most bytes of a value.
+    /// Maximum number of bytes of a value.
     pub max_value_bytes: usize,
-    /// The most queued changes; beyond, they are dropped and read at the rate limit.
+    /// Maximum number of queued changes. If there are more, they are dropped, and the entries are read at the rate
+    /// limit.
     pub max_pending_changes: usize,
-    /// The most bytes of queued changes.
+    /// Maximum number of bytes of queued changes.
     pub max_pending_bytes: usize,
-    /// The most rejections in a report.
+    /// Maximum number of rejections in a report.
     pub max_reported_rejections: usize,
 }
 
@@ -77,24 +79,24 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// The prefix is empty.
-    #[error("the prefix is empty; choose one such as 'orchidtally/config/'")]
-    NoPrefix,
+    #[error("the prefix is empty; set one such as 'orchidtally/config/'")]
+    EmptyPrefix,
     /// A setting is out of its range.
-    #[error("{name} is {value}; it has to lie between {least} and {most}")]
+    #[error("{name} is {value}; it has to be between {min} and {max}")]
     OutOfRange {
         /// Name of the setting.
         name: &'static str,
         /// Value of the setting.
         value: f64,
         /// The lowest allowed value.
-        least: f64,
+        min: f64,
         /// The highest allowed value.
-        most: f64,
+        max: f64,
     },
     /// The freshness bound leaves too little time for invocations that are admitted right before it.
     #[error(
         "freshness_bound {freshness_bound} s is not at least 1 s below in_force_limit {in_force_limit} s; lower it, \
-         or raise the limit"
+         or raise in_force_limit"
     )]
     NoSlack {
         /// In seconds.
@@ -102,10 +104,10 @@
         /// In seconds.
         in_force_limit: f64,
     },
-    /// The freshness bound allows for too few barriers: one or two lost ones would refuse entries.
+    /// The freshness bound allows for too few barriers: the loss of one or two would already refuse entries.
     #[error(
-        "freshness_bound {freshness_bound} s leaves no room for three barriers of {barrier_interval} s; raise it, or \
-         ask more often"
+        "freshness_bound {freshness_bound} s is shorter than three times barrier_interval {barrier_interval} s; raise \
+         it, or lower the interval"
     )]
     TooFewBarriers {
         /// In seconds.
@@ -115,11 +117,11 @@
     },
 }
 
-/// The least difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
+/// The minimum difference between the freshness bound and the limit, in seconds: an invocation that is admitted at the
 /// bound still has to be sent.
-const LEAST_SLACK: f64 = 1.0;
-/// The least number of barrier intervals within the freshness bound.
-const LEAST_BARRIERS: f64 = 3.0;
+const MIN_SLACK: f64 = 1.0;
+/// The minimum number of barrier intervals within the freshness bound.
+const MIN_BARRIER_INTERVALS: f64 = 3.0;
 
 impl SyncSettings {
     /// Checks all settings.
@@ -129,20 +131,20 @@
     /// The first setting that is invalid.
     pub fn checked(self) -> Result<SyncSettings, SettingsError> {
         if self.prefix.is_empty() {
-            return Err(SettingsError::NoPrefix);
+            return Err(SettingsError::EmptyPrefix);
         }
         for (name, value, range) in self.ranges() {
             check_range(name, value, range)?;
         }
         let (freshness_bound, in_force_limit) = (self.freshness_bound, self.in_force_limit);
-        if freshness_bound + LEAST_SLACK > in_force_limit {
+        if freshness_bound + MIN_SLACK > in_force_limit {
             return Err(SettingsError::NoSlack {
                 freshness_bound,
                 in_force_limit,
             });
         }
         let barrier_interval = self.barrier_interval;
-        if barrier_interval * LEAST_BARRIERS > freshness_bound {
+        if barrier_interval * MIN_BARRIER_INTERVALS > freshness_bound {
             return Err(SettingsError::TooFewBarriers {
                 freshness_bound,
                 barrier_interval,
@@ -196,14 +198,14 @@
     value: f64,
     range: RangeInclusive<f64>,
 ) -> Result<(), SettingsError> {
-    let (least, most) = (*range.start(), *range.end());
+    let (min, max) = (*range.start(), *range.end());
     if range.contains(&value) {
         return Ok(());
     }
     Err(SettingsError::OutOfRange {
         name,
         value,
-        least,
-        most,
+        min,
+        max,
     })
 }
--- a/crates/etcd/src/watch.rs
+++ b/crates/etcd/src/watch.rs
@@ -8,7 +8,7 @@
 /// The watch id in responses to progress requests, which apply to all watches of the stream.
 const ALL_WATCHES: i64 = -1;
 
-/// What a watch response says.
+/// An event of a watch, decoded from its responses.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WatchEvent {
     /// The store created the watch.
@@ -25,7 +25,7 @@
         /// The header.
         header: ResponseHeader,
         /// Whether this responds to a progress request; otherwise the store sent it by itself.
-        is_answer: bool,
+        requested: bool,
     },
     /// The next revision of the watch is compacted: a list is needed, at this revision or later.
     Compacted {
@@ -46,7 +46,7 @@
     /// The next revision to receive.
     next_revision: i64,
     id: Option<i64>,
-    /// Events of fragments that were received so far.
+    /// Events of the fragments received so far.
     fragments: Vec<Event>,
 }
 
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Processes a response and returns what it says.
+    /// Processes a response and returns the events that it completes. A fragment other than the last returns none.
     pub fn on_response(&mut self, response: WatchResponse) -> Vec<WatchEvent> {
         let header = response.header.unwrap_or_default();
         if response.created {
             self.id = Some(response.watch_id);
         }
-        let is_answer = response.watch_id == ALL_WATCHES;
-        if !is_answer && self.id.is_some_and(|id| id != response.watch_id) {
+        let requested = response.watch_id == ALL_WATCHES;
+        if !requested && self.id.is_some_and(|id| id != response.watch_id) {
             return vec![];
         }
         if response.compact_revision > 0 {
@@ -124,7 +124,7 @@
         let last = events.iter().map(modified).max().unwrap_or(0);
         if events.is_empty() {
             self.next_revision = self.next_revision.max(header.revision + 1);
-            return vec![WatchEvent::Progress { header, is_answer }];
+            return vec![WatchEvent::Progress { header, requested }];
         }
         // The header may be ahead of the events, as more of them may follow.
         self.next_revision = self.next_revision.max(last + 1);
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -39,7 +39,7 @@
         })
         .collect();
     json!({
-        "age": cache.age(now),
+        "age": cache.response_age(now),
         "revision": cache.revision(),
         "executors": executors.known,
         "held": executors.retained,
@@ -47,7 +47,7 @@
         "wentBack": cache.store_rollbacks(),
         "faults": entry_errors,
         "frontEnds": estimate.count,
-        "shares": estimate.shares,
+        "shares": estimate.has_budget_share,
     })
 }
 
