--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -5,7 +5,7 @@
 use clap::{Subcommand, ValueEnum};
 use futures_lite::StreamExt;
 use http::{Method, StatusCode};
-use orchidtally_coordinator::{OperatorRequest, Status, StopReason};
+use orchidtally_coordinator::{OperatorRequest, RolloutStatus, StopReason};
 use orchidtally_rollout::Counts;
 use orchidtally_rollout::coordinator::Event;
 use orchidtally_rollout::forecast::StepForecast;
@@ -201,7 +201,7 @@
 }
 
 fn show_status(value: &Value, only: Option<&str>, output: Output) -> Result<(), u8> {
-    let list: Vec<Status> = read(&value["rollouts"])?;
+    let list: Vec<RolloutStatus> = read(&value["rollouts"])?;
     let shown: Vec<_> = list
         .iter()
         .filter(|s| only.is_none_or(|n| n == s.name))
@@ -221,7 +221,7 @@
     Ok(())
 }
 
-fn show_rollout(status: &Status) {
+fn show_rollout(status: &RolloutStatus) {
     println!(
         "{} ({}): {}, step {} of {}, share {:.1} %, on for {:.0} s, {:.1} invocations a second",
         status.name,
@@ -230,7 +230,7 @@
         status.step,
         status.steps,
         100.0 * status.share,
-        status.time,
+        status.step_duration,
         status.rate
     );
     println!("  {}", status.reason);
@@ -267,7 +267,7 @@
         println!(
             "{:>18.3}  {run}  {:>6}  {phase:<10} {:>5}  {by:<6}  {}",
             e.at,
-            e.number,
+            e.revision,
             e.step + 1,
             e.reason
         );
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ApiError;
 use crate::server::{CoordinatorServer, REQUEST_TIMEOUT, now};
-use crate::{OperatorRequest, Status};
+use crate::{OperatorRequest, RolloutStatus};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -170,27 +170,27 @@
     fn status(&self) -> serde_json::Value {
         let coordinator = self.coordinator.borrow();
         let (published, runs) = (coordinator.published(), &coordinator.state().runs);
-        let rollouts: Vec<Status> = published
+        let rollouts: Vec<RolloutStatus> = published
             .rollouts
             .iter()
             .filter_map(|(name, rollout)| Some(status_of(name, rollout, runs.get(name)?)))
             .collect();
         json!({
             "term": published.epoch.term,
-            "number": published.number,
+            "number": published.revision,
             "rollouts": rollouts,
             "aliases": published.aliases,
         })
     }
 }
 
-fn status_of(name: &str, rollout: &Rollout, run: &Run) -> Status {
+fn status_of(name: &str, rollout: &Rollout, run: &Run) -> RolloutStatus {
     let step = rollout
         .active_step()
         .and_then(|step| rollout.plan.steps.get(step));
     let is_enabled = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
     let evidence = |gate: &Gate| (gate.name().to_owned(), run.tests.evidence(*gate));
-    Status {
+    RolloutStatus {
         name: name.to_owned(),
         function: rollout.plan.function.clone(),
         phase: rollout.phase,
@@ -198,10 +198,10 @@
         steps: rollout.plan.steps.len(),
         share: step.map_or(0.0, |step| step.share),
         reason: rollout.reason.clone(),
-        time: run.time,
+        step_duration: run.step_duration,
         rate: run.rate(),
-        old: run.step[0],
-        new: run.step[1],
+        old: run.step_counts[0],
+        new: run.step_counts[1],
         evidence: GATES.iter().filter(is_enabled).map(evidence).collect(),
         rollback_threshold: rollout.plan.threshold(),
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -62,7 +62,7 @@
 /// The status of a rollout for operators, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Status {
+pub struct RolloutStatus {
     /// The name of the rollout.
     pub name: String,
     /// The name of the function.
@@ -78,7 +78,8 @@
     /// Why the rollout is held or has ended.
     pub reason: String,
     /// Duration of the present step in seconds, without pauses.
-    pub time: f64,
+    #[serde(rename = "time")]
+    pub step_duration: f64,
     /// Invocations of the function a second over all front ends.
     pub rate: f64,
     /// Counts of the old version in this step.
--- a/crates/coordinator/tests/stored_formats.rs
+++ b/crates/coordinator/tests/stored_formats.rs
@@ -2,7 +2,7 @@
 //! journal are a stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and
 //! must not be changed.
 
-use orchidtally_coordinator::{OperatorRequest, Status, recover};
+use orchidtally_coordinator::{OperatorRequest, RolloutStatus, recover};
 use orchidtally_journal::Journal;
 use orchidtally_rollout::Phase;
 use serde::Serialize;
@@ -45,13 +45,13 @@
 
 #[test]
 fn a_status_is_read_and_written_again() {
-    let status: Status = read_and_rewrite(STATUS).remove(0);
+    let status: RolloutStatus = read_and_rewrite(STATUS).remove(0);
     assert_eq!(
         (status.phase, status.step, status.steps, status.share),
         (Phase::Shifting, 1, 2, 0.05)
     );
     assert_eq!(
-        (status.time, status.rate, status.rollback_threshold),
+        (status.step_duration, status.rate, status.rollback_threshold),
         (61.5, 120.5, 300.0)
     );
     assert_eq!(
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -15,7 +15,7 @@
 use orchidtally_deployment::Function;
 use orchidtally_rollout::ResolvedVersion;
 use orchidtally_rollout::plan::StickyKey;
-use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::split::InvocationAttributes;
 
 /// The function of an invocation, and the version that it gets.
 struct Target {
@@ -168,7 +168,7 @@
         Some(StickyKey::Token) => asked_headers.token,
         Some(StickyKey::Header(name)) => header(headers, name)?,
     };
-    let who = Caller {
+    let who = InvocationAttributes {
         customer: customer.name,
         location: router.location(),
         key: key.unwrap_or(invocation),
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -13,11 +13,11 @@
     let published = shares.published();
     let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
-            json!({ "phase": r.phase, "step": r.step, "number": r.number, "reason": r.reason });
+            json!({ "phase": r.phase, "step": r.step, "number": r.revision, "reason": r.reason });
         (name.clone(), state)
     };
     let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(on).collect();
-    json!({ "term": published.epoch.term, "number": published.number, "rollouts": rollouts })
+    json!({ "term": published.epoch.term, "number": published.revision, "rollouts": rollouts })
 }
 
 /// The endpoint list and the front ends, where they come from etcd.
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -11,7 +11,7 @@
 use orchidtally_mqtt_triggers::ledger::{Answer, StoredMessage};
 use orchidtally_rollout::ResolvedVersion;
 use orchidtally_rollout::plan::StickyKey;
-use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::split::InvocationAttributes;
 use std::rc::Rc;
 
 /// The answer to a message that the configuration doesn't admit: rejected if it may be admitted later and certainly
@@ -124,7 +124,7 @@
         Some(StickyKey::Token) if !target.token.is_empty() => &target.token,
         _ => &message.name,
     };
-    let caller = Caller {
+    let caller = InvocationAttributes {
         customer: &target.customer,
         location: router.location(),
         key,
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -3,7 +3,7 @@
 use crate::router::Router;
 use futures_lite::future;
 use http::{Method, StatusCode};
-use orchidtally_rollout::Published;
+use orchidtally_rollout::PublishedState;
 use orchidtally_rollout::frontend::EvidenceReport;
 use orchidtally_socket_io::http::fetch;
 use std::net::SocketAddr;
@@ -30,7 +30,10 @@
 }
 
 /// Exchanges a report for the published state with one coordinator.
-async fn exchange(at: SocketAddr, report: &EvidenceReport) -> Result<Published, ExchangeError> {
+async fn exchange(
+    at: SocketAddr,
+    report: &EvidenceReport,
+) -> Result<PublishedState, ExchangeError> {
     let body = serde_json::to_vec(report).map_err(ExchangeError::Encode)?;
     let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, REQUEST_TIMEOUT)
         .await
@@ -63,7 +66,7 @@
                 router.spawn(async move { (at, exchange(at, &report).await) })
             })
             .collect();
-        let (mut newest, mut faults) = (None::<Published>, vec![]);
+        let (mut newest, mut faults) = (None::<PublishedState>, vec![]);
         for task in tasks {
             match task.await {
                 (_, Ok(published)) => {
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -7,8 +7,8 @@
 use futures_channel::oneshot;
 use orchidtally_deployment::Function;
 use orchidtally_engine::{AdmissionError, FailureReason, InvocationRequest};
-use orchidtally_rollout::split::Caller;
-use orchidtally_rollout::{Published, ResolvedVersion, RolloutAssignment};
+use orchidtally_rollout::split::InvocationAttributes;
+use orchidtally_rollout::{PublishedState, ResolvedVersion, RolloutAssignment};
 use std::cell::Cell;
 use std::rc::Rc;
 use tracing::info;
@@ -277,7 +277,7 @@
         requested_version: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        caller: &Caller,
+        caller: &InvocationAttributes,
     ) -> Option<ResolvedVersion> {
         self.traffic_split.borrow_mut().resolve(
             function,
@@ -290,7 +290,7 @@
 
     /// Applies the published rollouts and what is due: waiting invocations of a rolled-back version migrate, and versions
     /// are prewarmed.
-    pub fn apply_rollouts(&self, published: Option<Published>) {
+    pub fn apply_rollouts(&self, published: Option<PublishedState>) {
         let now = self.now();
         let revision = self.revision();
         let mut traffic_split = self.traffic_split.borrow_mut();
--- a/crates/http-frontend/src/router/version_evidence.rs
+++ b/crates/http-frontend/src/router/version_evidence.rs
@@ -6,7 +6,7 @@
 use orchidtally_deployment::Version;
 use orchidtally_dispatch_policy::interface::Idempotency;
 use orchidtally_engine::FailureReason;
-use orchidtally_rollout::frontend::{AnswerOutcome, may_migrate};
+use orchidtally_rollout::frontend::{InvocationOutcome, may_migrate};
 use orchidtally_rollout::{Cohort, RolloutAssignment};
 
 /// Adds the final answer of an invocation to the evidence on its version. Returns the old version where the invocation
@@ -26,11 +26,17 @@
                 took: 0.0,
                 warm: false,
             });
-            (AnswerOutcome::Succeeded { took, warm }, true)
+            (
+                InvocationOutcome::Succeeded {
+                    latency: took,
+                    warm,
+                },
+                true,
+            )
         }
-        FinalAnswer::Rejected { .. } => (AnswerOutcome::Throttled, false),
-        FinalAnswer::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
-        FinalAnswer::Failed { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
+        FinalAnswer::Rejected { .. } => (InvocationOutcome::Throttled, false),
+        FinalAnswer::Refused { may_have_run, .. } => (InvocationOutcome::Throttled, *may_have_run),
+        FinalAnswer::Failed { may_have_run, .. } => (InvocationOutcome::Errored, *may_have_run),
     };
     if let FinalAnswer::Failed {
         cause: FailureReason::TimedOut,
@@ -47,7 +53,7 @@
         work.failed.set(work.failed.get() | counts);
     }
     traffic_split.record_outcome(invoked, outcome, work.failed.get());
-    let has_failed = !matches!(outcome, AnswerOutcome::Succeeded { .. });
+    let has_failed = !matches!(outcome, InvocationOutcome::Succeeded { .. });
     let is_idempotent = work.trigger_type.policy.idempotency == Idempotency::Idempotent;
     let moves =
         has_failed && may_migrate(is_idempotent, may_have_run) && invoked.cohort == Cohort::Canary;
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -5,8 +5,8 @@
 use orchidtally_deployment::Deployment;
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
 use orchidtally_rollout::evidence::Cohort;
-use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndInfo};
-use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::frontend::{FrontEndInfo, InvocationOutcome};
+use orchidtally_rollout::split::InvocationAttributes;
 use orchidtally_rollout::{Coordinator, Plan, TrafficSplit};
 use std::hint::black_box;
 use std::time::Instant;
@@ -83,7 +83,7 @@
                     .function(&names[f])
                     .unwrap_or_else(|| panic!("no f{f}"));
                 let key = shares.sticky_key(&names[f]).is_some();
-                let who = Caller {
+                let who = InvocationAttributes {
                     customer: "",
                     location: "default",
                     key: &keys[n % keys.len()],
@@ -95,8 +95,8 @@
                     new += u64::from(invoked.cohort == Cohort::Canary);
                     shares.record_outcome(
                         invoked,
-                        AnswerOutcome::Succeeded {
-                            took: 0.02,
+                        InvocationOutcome::Succeeded {
+                            latency: 0.02,
                             warm: true,
                         },
                         false,
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -65,10 +65,10 @@
     },
     /// There is no rollout with this name.
     #[error("there is no rollout '{0}'")]
-    Unknown(String),
+    UnknownRollout(String),
     /// The rollout has ended.
     #[error("'{name}' is over: {}", .phase.name())]
-    Over {
+    Ended {
         /// The name of the rollout.
         name: String,
         /// How it ended.
@@ -92,7 +92,7 @@
     },
     /// The rollout can't advance in its phase.
     #[error("'{name}' can't go on while it is {}", .phase.name())]
-    NotAdvancing {
+    NotAdvanceable {
         /// The name of the rollout.
         name: String,
         /// Its phase.
@@ -107,10 +107,10 @@
         phase: Phase,
     },
     /// Another rollout of the function is in progress.
-    #[error("rollout '{rival}' of '{function}' is on ({})", .phase.name())]
-    Rival {
+    #[error("rollout '{other}' of '{function}' is on ({})", .phase.name())]
+    AlreadyInProgress {
         /// The name of the other rollout.
-        rival: String,
+        other: String,
         /// The name of the function.
         function: String,
         /// The phase of the other rollout.
@@ -163,10 +163,10 @@
     fn phase_of(&self, name: &str) -> Result<Phase, CommandError> {
         let found = self.state.published.rollouts.get(name);
         let phase = found
-            .ok_or_else(|| CommandError::Unknown(name.to_owned()))?
+            .ok_or_else(|| CommandError::UnknownRollout(name.to_owned()))?
             .phase;
         if phase.has_ended() {
-            return Err(CommandError::Over {
+            return Err(CommandError::Ended {
                 name: name.to_owned(),
                 phase,
             });
@@ -211,7 +211,7 @@
                 run.operator_advance = Some(format!("an operator went on: {why}"));
                 Ok(())
             }
-            phase => Err(CommandError::NotAdvancing {
+            phase => Err(CommandError::NotAdvanceable {
                 name: name.to_owned(),
                 phase,
             }),
@@ -226,14 +226,14 @@
         random: u64,
     ) -> Result<(), CommandError> {
         let rollouts = &self.state.published.rollouts;
-        let rival = rollouts
+        let other = rollouts
             .values()
             .find(|r| !r.phase.has_ended() && r.plan.function == plan.function);
-        if let Some(rival) = rival {
-            return Err(CommandError::Rival {
-                rival: rival.plan.name.clone(),
+        if let Some(other) = other {
+            return Err(CommandError::AlreadyInProgress {
+                other: other.plan.name.clone(),
                 function: plan.function.clone(),
-                phase: rival.phase,
+                phase: other.phase,
             });
         }
         self.remove_oldest_ended();
@@ -241,7 +241,7 @@
         let rollout = Rollout {
             plan: Arc::new(plan.clone()),
             run: random,
-            number: before.map_or(0, |rollout| rollout.number),
+            revision: before.map_or(0, |rollout| rollout.revision),
             phase: Phase::Planned,
             step: 0,
             from: from.to_owned(),
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -9,7 +9,7 @@
 pub use state::{CoordinatorState, Event, Run};
 
 use crate::frontend::EvidenceReport;
-use crate::state::{Epoch, Phase, Published, Rollout};
+use crate::state::{Epoch, Phase, PublishedState, Rollout};
 use rules::{RULES, Verdict};
 
 /// A front end that hasn't reported for this long doesn't hold a step, in seconds.
@@ -46,7 +46,7 @@
     }
 
     /// The state published to front ends.
-    pub fn published(&self) -> &Published {
+    pub fn published(&self) -> &PublishedState {
         &self.state.published
     }
 
@@ -87,13 +87,13 @@
         };
         change(rollout);
         rollout.reason = reason.clone();
-        rollout.number += 1;
-        published.number += 1;
+        rollout.revision += 1;
+        published.revision += 1;
         self.changed = true;
         let event = Event {
             at: self.now,
             run: rollout.run,
-            number: rollout.number,
+            revision: rollout.revision,
             phase: rollout.phase,
             step: rollout.step,
             by_operator,
@@ -185,7 +185,7 @@
         }
         run.tests.record(&rollout.plan, now, &slots);
         if rollout.phase != Phase::Paused {
-            run.time += elapsed;
+            run.step_duration += elapsed;
         }
         let verdict = RULES
             .iter()
@@ -219,7 +219,11 @@
                 }
             }
             (Verdict::Pass | Verdict::Advance(_), Phase::RetainingOld) => {
-                let retained_for = self.state.runs.get(name).map_or(0.0, |run| run.time);
+                let retained_for = self
+                    .state
+                    .runs
+                    .get(name)
+                    .map_or(0.0, |run| run.step_duration);
                 if retained_for >= rollout.plan.old_version_retention {
                     self.finish(name, false, "the old version was kept long enough".into());
                 }
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -148,23 +148,25 @@
     let Some(step) = step else {
         return Verdict::Pass;
     };
-    let answers = run.step[1].answers;
+    let answers = run.step_counts[1].answers;
     if answers < step.min_samples {
         let missing = format!(
             "{answers} of {} answers of the new version are in",
             step.min_samples
         );
-        let is_late = step.max_duration.is_some_and(|longest| run.time >= longest);
+        let is_late = step
+            .max_duration
+            .is_some_and(|longest| run.step_duration >= longest);
         return if is_late {
             Verdict::RollBack(format!("in the longest time of the step {missing}"))
         } else {
             Verdict::Hold(missing)
         };
     }
-    if run.time < step.min_duration {
+    if run.step_duration < step.min_duration {
         return Verdict::Hold(format!(
             "{:.0} of {:.0} s have passed",
-            run.time, step.min_duration
+            run.step_duration, step.min_duration
         ));
     }
     Verdict::Pass
@@ -199,10 +201,13 @@
 }
 
 fn has_no_comparison(run: &Run, gate: Gate) -> bool {
-    let [old, new] = &run.step;
+    let [old, new] = &run.step_counts;
     match gate {
         // A version without loads has no failed loads either.
         Gate::LoadFailures => new.loads > 0 && old.loads == 0 && new.events[gate.index()] > 0,
-        _ => run.step.iter().any(|counts| counts.sample_count(gate) == 0),
+        _ => run
+            .step_counts
+            .iter()
+            .any(|counts| counts.sample_count(gate) == 0),
     }
 }
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -3,7 +3,7 @@
 use super::{REPORT_EXPIRY, REPORT_TIMEOUT};
 use crate::evidence::{Counts, EvidenceDelta, Slot};
 use crate::sequential::SequentialTests;
-use crate::state::{Phase, Published};
+use crate::state::{Phase, PublishedState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -15,8 +15,9 @@
     pub at: f64,
     /// The run of the rollout.
     pub run: u64,
-    /// The number of the rollout's state.
-    pub number: u64,
+    /// The revision of the rollout after the event.
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// The phase after the event.
     pub phase: Phase,
     /// Index of the step after the event.
@@ -33,7 +34,7 @@
 #[serde(rename_all = "camelCase")]
 pub struct CoordinatorState {
     /// The state published to front ends.
-    pub published: Published,
+    pub published: PublishedState,
     /// The evidence on each rollout, by its name.
     pub runs: BTreeMap<String, Run>,
     /// The last report round of each front end, and when it was received.
@@ -57,12 +58,14 @@
     /// The sequential tests of all gates.
     pub tests: SequentialTests,
     /// The counts of the present step: old and new version.
-    pub step: [Counts; 2],
+    #[serde(rename = "step")]
+    pub step_counts: [Counts; 2],
     /// The counts of the whole run: old and new version.
     #[serde(rename = "whole")]
-    pub total: [Counts; 2],
+    pub total_counts: [Counts; 2],
     /// Duration of the present step in seconds, without pauses.
-    pub time: f64,
+    #[serde(rename = "time")]
+    pub step_duration: f64,
     /// Whether a rule holds the step.
     #[serde(rename = "held")]
     pub is_held: bool,
@@ -120,8 +123,8 @@
             .or_else(|| delta.local_rollback.clone());
         for slot in &delta.slots {
             for (cohort, counts) in [slot.old, slot.new].iter().enumerate() {
-                self.step[cohort].add(counts);
-                self.total[cohort].add(counts);
+                self.step_counts[cohort].add(counts);
+                self.total_counts[cohort].add(counts);
             }
         }
         self.slots.extend_from_slice(&delta.slots);
@@ -137,8 +140,8 @@
     }
 
     pub(super) fn begin_step(&mut self) {
-        self.step = Default::default();
-        self.time = 0.0;
+        self.step_counts = Default::default();
+        self.step_duration = 0.0;
         self.is_held = false;
         self.operator_advance = None;
         // Front ends haven't reported yet whether they are ready for this step.
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -2,7 +2,7 @@
 
 use super::TrafficSplit;
 use super::local::LocalRollout;
-use crate::state::{Epoch, Published, Rollout};
+use crate::state::{Epoch, PublishedState, Rollout};
 use orchidtally_deployment::Function;
 
 impl TrafficSplit {
@@ -16,7 +16,7 @@
     pub fn adopt(
         &mut self,
         now: f64,
-        published: Published,
+        published: PublishedState,
         find: impl Fn(&str) -> Option<Function>,
     ) -> Vec<u64> {
         self.last_contact_at = now;
@@ -86,7 +86,7 @@
 }
 
 /// Whether another rollout of the function is in progress after this one has ended.
-fn is_superseded(rollout: &Rollout, published: &Published) -> bool {
+fn is_superseded(rollout: &Rollout, published: &PublishedState) -> bool {
     let is_rival = |other: &Rollout| {
         other.plan.function == rollout.plan.function
             && !other.phase.has_ended()
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -10,14 +10,14 @@
 mod prewarm;
 mod report;
 
-pub use outcomes::AnswerOutcome;
+pub use outcomes::InvocationOutcome;
 pub use prewarm::PrewarmCommand;
 pub use report::EvidenceReport;
 
 use crate::evidence::{Cohort, EvidenceDelta, StratumKey};
 use crate::plan::StickyKey;
-use crate::split::{self, Caller};
-use crate::state::{Epoch, Phase, Published};
+use crate::split::{self, InvocationAttributes};
+use crate::state::{Epoch, Phase, PublishedState};
 use local::LocalRollout;
 use orchidtally_deployment::{Function, Version};
 use outcomes::FailingExecutors;
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub struct TrafficSplit {
     front_end: FrontEndInfo,
-    published: Published,
+    published: PublishedState,
     newest_epoch: Epoch,
     /// Rollouts by the name of their function.
     rollouts: HashMap<String, LocalRollout>,
@@ -94,7 +94,7 @@
     pub fn new(front_end: FrontEndInfo, now: f64) -> TrafficSplit {
         TrafficSplit {
             front_end,
-            published: Published::default(),
+            published: PublishedState::default(),
             newest_epoch: Epoch::default(),
             rollouts: HashMap::new(),
             last_contact_at: now,
@@ -106,7 +106,7 @@
     }
 
     /// The state that was last adopted from a coordinator.
-    pub fn published(&self) -> &Published {
+    pub fn published(&self) -> &PublishedState {
         &self.published
     }
 
@@ -135,7 +135,7 @@
         requested: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        caller: &Caller,
+        caller: &InvocationAttributes,
     ) -> Option<ResolvedVersion> {
         let alias = requested.unwrap_or("stable");
         let moved = self
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -22,11 +22,11 @@
 
 /// The outcome of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnswerOutcome {
+pub enum InvocationOutcome {
     /// The invocation succeeded.
     Succeeded {
         /// Duration in seconds of the dispatch that gave the answer.
-        took: f64,
+        latency: f64,
         /// Whether its copy was warm.
         warm: bool,
     },
@@ -71,7 +71,7 @@
 
 impl SlowThresholds {
     /// Records the latency of an answer; returns the events that it counts as.
-    fn record(&mut self, plan: &Plan, cohort: Cohort, took: f64) -> [Option<Gate>; 2] {
+    fn record(&mut self, plan: &Plan, cohort: Cohort, latency: f64) -> [Option<Gate>; 2] {
         let ratio = |gate| plan.gate(gate).map_or(1.0, |policy| policy.ratio);
         let gates = [
             (Gate::Slow, 0.9, &mut self.slow),
@@ -85,10 +85,10 @@
             };
             let event = tracked
                 .value()
-                .filter(|known| took > allowed * known)
+                .filter(|known| latency > allowed * known)
                 .map(|_| gate);
             if cohort == Cohort::Baseline {
-                tracked.record(quantile, took);
+                tracked.record(quantile, latency);
             }
             event
         });
@@ -133,7 +133,7 @@
     pub fn record_outcome(
         &mut self,
         assignment: &RolloutAssignment,
-        outcome: AnswerOutcome,
+        outcome: InvocationOutcome,
         failed: bool,
     ) {
         let Some(local) = self.rollout_of_run(assignment.run) else {
@@ -142,13 +142,18 @@
         let plan = local.rollout.plan.clone();
         let trigger_type = assignment.stratum.trigger_type;
         let own_events = match outcome {
-            AnswerOutcome::Errored | AnswerOutcome::Succeeded { warm: false, .. } => [None; 2],
-            AnswerOutcome::Throttled => [Some(Gate::Throttled), None],
-            AnswerOutcome::Succeeded { took, warm: true } => local
-                .slow
-                .entry(trigger_type)
-                .or_default()
-                .record(&plan, assignment.cohort, took),
+            InvocationOutcome::Errored | InvocationOutcome::Succeeded { warm: false, .. } => {
+                [None; 2]
+            }
+            InvocationOutcome::Throttled => [Some(Gate::Throttled), None],
+            InvocationOutcome::Succeeded {
+                latency,
+                warm: true,
+            } => local.slow.entry(trigger_type).or_default().record(
+                &plan,
+                assignment.cohort,
+                latency,
+            ),
         };
         let mut events = [own_events[0], own_events[1], failed.then_some(Gate::Errors)];
         if let Some(key) = assignment
@@ -164,7 +169,7 @@
                 events = [None; 3];
             }
         }
-        let is_warm = matches!(outcome, AnswerOutcome::Succeeded { warm: true, .. });
+        let is_warm = matches!(outcome, InvocationOutcome::Succeeded { warm: true, .. });
         let is_compared = is_warm
             && local
                 .slow
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -17,4 +17,4 @@
 pub use evidence::{Cohort, Counts, EvidenceDelta, StratumKey};
 pub use frontend::{ResolvedVersion, RolloutAssignment, TrafficSplit};
 pub use plan::Plan;
-pub use state::{Epoch, Phase, Published, Rollout};
+pub use state::{Epoch, Phase, PublishedState, Rollout};
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -6,7 +6,7 @@
 
 /// The attributes of an invocation that decide its version.
 #[derive(Clone, Copy, Debug)]
-pub struct Caller<'a> {
+pub struct InvocationAttributes<'a> {
     /// The name of the customer.
     pub customer: &'a str,
     /// The name of the front end's location.
@@ -22,7 +22,7 @@
     (xxh3_64_with_seed(key.as_bytes(), run) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn applies_to(step: &Step, caller: &Caller) -> bool {
+fn applies_to(step: &Step, caller: &InvocationAttributes) -> bool {
     let matches =
         |names: &[String], name: &str| names.is_empty() || names.iter().any(|n| n == name);
     matches(&step.customers, caller.customer) && matches(&step.locations, caller.location)
@@ -30,7 +30,7 @@
 
 /// The probability that an invocation gets the new version at a step: the highest share of the steps up to this one that
 /// apply to it, limited by the holdback.
-pub fn share(plan: &Plan, step: usize, caller: &Caller) -> f64 {
+pub fn share(plan: &Plan, step: usize, caller: &InvocationAttributes) -> f64 {
     let reached = plan.steps.iter().take(step + 1);
     reached
         .filter(|step| applies_to(step, caller))
@@ -40,6 +40,6 @@
 }
 
 /// Whether an invocation gets the new version.
-pub fn gets_new_version(plan: &Plan, run: u64, step: usize, caller: &Caller) -> bool {
+pub fn gets_new_version(plan: &Plan, run: u64, step: usize, caller: &InvocationAttributes) -> bool {
     position(run, caller.key) < share(plan, step, caller)
 }
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -63,7 +63,8 @@
     /// Random identifier of this run. A plan that is started again is another run.
     pub run: u64,
     /// Incremented with each change of this rollout.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// The phase.
     pub phase: Phase,
     /// Index of the present step, while shifting or paused.
@@ -90,20 +91,21 @@
 /// The state of all rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Published {
+pub struct PublishedState {
     /// The coordinator that published it.
     pub epoch: Epoch,
     /// Incremented with each change.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// Rollouts by name.
     pub rollouts: BTreeMap<String, Rollout>,
     /// Digests of aliases that differ from the deployment file, by function and alias.
     pub aliases: BTreeMap<String, BTreeMap<String, String>>,
 }
 
-impl Published {
+impl PublishedState {
     /// Whether this state is newer than another one.
-    pub fn is_newer_than(&self, other: &Published) -> bool {
-        (self.epoch, self.number) > (other.epoch, other.number)
+    pub fn is_newer_than(&self, other: &PublishedState) -> bool {
+        (self.epoch, self.revision) > (other.epoch, other.revision)
     }
 }
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use kit::{NEW, OLD, World, plan, who};
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::{Coordinator, Epoch, Phase, Published};
+use orchidtally_rollout::{Coordinator, Epoch, Phase, PublishedState};
 
 #[test]
 fn a_version_as_good_as_the_old_one_goes_to_all_and_its_alias_moves() {
@@ -152,8 +152,8 @@
     assert_eq!(next.published().epoch.term, old.epoch.term + 1);
     assert_eq!(next.published().rollouts, old.rollouts);
     assert_eq!(
-        next.state().runs["misting"].step,
-        w.coordinator.state().runs["misting"].step
+        next.state().runs["misting"].step_counts,
+        w.coordinator.state().runs["misting"].step_counts
     );
     w.coordinator.observe_epoch(next.published().epoch);
     assert_eq!(w.coordinator.superseded(), Some(next.published().epoch));
@@ -168,10 +168,10 @@
     w.shares[0].adopt(w.now, newer.clone(), |_| Some(function.clone()));
     w.shares[0].adopt(
         w.now,
-        Published {
+        PublishedState {
             epoch: Epoch { term: 1, nonce: 0 },
-            number: 999,
-            ..Published::default()
+            revision: 999,
+            ..PublishedState::default()
         },
         |_| None,
     );
@@ -231,7 +231,10 @@
     w.errors = [0.02; 2];
     w.order(twice).unwrap();
     assert_ne!(w.coordinator.published().rollouts["misting"].run, before);
-    assert_eq!(w.coordinator.state().runs["misting"].total[1].answers, 0);
+    assert_eq!(
+        w.coordinator.state().runs["misting"].total_counts[1].answers,
+        0
+    );
     assert!(
         w.coordinator.state().runs["misting"].history.len() >= 5,
         "the history goes on"
@@ -251,7 +254,7 @@
     assert_eq!(
         (
             w.phase(),
-            w.coordinator.state().runs["misting"].total[1].answers
+            w.coordinator.state().runs["misting"].total_counts[1].answers
         ),
         (Phase::RolledBack, 0)
     );
--- a/crates/rollout/tests/front_end.rs
+++ b/crates/rollout/tests/front_end.rs
@@ -4,10 +4,10 @@
 
 use kit::{NEW, OLD, World, deployment, plan, who};
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
-use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndInfo, may_migrate};
+use orchidtally_rollout::frontend::{FrontEndInfo, InvocationOutcome, may_migrate};
 use orchidtally_rollout::plan::Gate;
 use orchidtally_rollout::split::position;
-use orchidtally_rollout::{Coordinator, Phase, Published, TrafficSplit};
+use orchidtally_rollout::{Coordinator, Phase, PublishedState, TrafficSplit};
 
 #[test]
 fn one_customers_own_trouble_does_not_decide_where_keys_are_shared() {
@@ -37,21 +37,22 @@
             .assignment
             .unwrap_or_else(|| panic!("{}", world.reason()));
         let outcome = if key == bad {
-            AnswerOutcome::Errored
+            InvocationOutcome::Errored
         } else {
-            AnswerOutcome::Succeeded {
-                took: 0.02,
+            InvocationOutcome::Succeeded {
+                latency: 0.02,
                 warm: true,
             }
         };
-        world.shares[0].record_outcome(&invoked, outcome, outcome == AnswerOutcome::Errored);
+        world.shares[0].record_outcome(&invoked, outcome, outcome == InvocationOutcome::Errored);
         if n % 100 == 0 {
             world.rate = 0;
             world.second();
         }
     }
     assert_eq!(world.phase(), Phase::Shifting, "{}", world.reason());
-    let errors = world.coordinator.state().runs["misting"].total[1].events[Gate::Errors.index()];
+    let errors =
+        world.coordinator.state().runs["misting"].total_counts[1].events[Gate::Errors.index()];
     assert_eq!(errors, 3, "a key counts so often in a step");
 }
 
@@ -187,7 +188,7 @@
         keep_alive: 8.0,
     };
     let mut late = TrafficSplit::new(place, world.now);
-    let mut on = |state: &Published| {
+    let mut on = |state: &PublishedState| {
         let function = function.clone();
         late.adopt(world.now, state.clone(), |_| Some(function.clone()));
         late.tick(world.now);
@@ -236,9 +237,9 @@
     for step in 0..2 {
         let mut published = coordinator.published().clone();
         for r in published.rollouts.values_mut() {
-            (r.phase, r.step, r.number) = (Phase::Shifting, step, step as u64 + 10);
+            (r.phase, r.step, r.revision) = (Phase::Shifting, step, step as u64 + 10);
         }
-        published.number += step as u64 + 1;
+        published.revision += step as u64 + 1;
         shares.adopt(100.0 * step as f64, published, |name| d.function(name));
         let now = 100.0 * step as f64 + 50.0;
         let given = |shares: &mut TrafficSplit| {
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -4,8 +4,8 @@
 
 use orchidtally_deployment::{Deployment, Function};
 use orchidtally_rollout::coordinator::{Command, CommandError, CoordinatorState};
-use orchidtally_rollout::frontend::{AnswerOutcome, FrontEndInfo};
-use orchidtally_rollout::split::Caller;
+use orchidtally_rollout::frontend::{FrontEndInfo, InvocationOutcome};
+use orchidtally_rollout::split::InvocationAttributes;
 use orchidtally_rollout::{Cohort, Coordinator, Phase, Plan, TrafficSplit};
 
 pub const OLD: &str = "1111111111111111111111111111111111111111111111111111111111111111";
@@ -47,8 +47,8 @@
     Plan::read(&plan_text(more), &deployment()).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
-pub fn who(key: &str) -> Caller<'_> {
-    Caller {
+pub fn who(key: &str) -> InvocationAttributes<'_> {
+    InvocationAttributes {
         customer: "other",
         location: "north",
         key,
@@ -148,13 +148,20 @@
             } else {
                 1.0
             };
-            let took = self.latency[arm] * spread * slow;
+            let latency = self.latency[arm] * spread * slow;
             let outcome = if error < random {
-                AnswerOutcome::Errored
+                InvocationOutcome::Errored
             } else {
-                AnswerOutcome::Succeeded { took, warm: true }
+                InvocationOutcome::Succeeded {
+                    latency,
+                    warm: true,
+                }
             };
-            self.shares[fe].record_outcome(&invoked, outcome, outcome == AnswerOutcome::Errored);
+            self.shares[fe].record_outcome(
+                &invoked,
+                outcome,
+                outcome == InvocationOutcome::Errored,
+            );
         }
         self.now += 1.0;
         for fe in 0..self.shares.len() {
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -7,7 +7,7 @@
 use orchidtally_rollout::evidence::QuantileEstimate;
 use orchidtally_rollout::forecast::forecast;
 use orchidtally_rollout::sequential::{EProcess, Events};
-use orchidtally_rollout::split::{Caller, gets_new_version, position, share};
+use orchidtally_rollout::split::{InvocationAttributes, gets_new_version, position, share};
 use proptest::prelude::*;
 
 proptest! {
@@ -31,7 +31,7 @@
         for (n, key) in keys.iter().enumerate() {
             let customer = if n % 2 == 0 { "trial" } else { "other" };
             let location = if n % 3 == 0 { "north" } else { "south" };
-            let who = Caller { customer, location, key };
+            let who = InvocationAttributes { customer, location, key };
             let mut ever = false;
             for step in 0..plan.steps.len() {
                 let s = &plan.steps[step];
--- a/crates/rollout/tests/stored_formats.rs
+++ b/crates/rollout/tests/stored_formats.rs
@@ -7,7 +7,7 @@
 use orchidtally_rollout::forecast::StepForecast;
 use orchidtally_rollout::frontend::EvidenceReport;
 use orchidtally_rollout::plan::{GATES, Gate, InconclusiveAction, StickyKey};
-use orchidtally_rollout::{Epoch, Phase, Plan, Published};
+use orchidtally_rollout::{Epoch, Phase, Plan, PublishedState};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn what_is_published_is_read_and_written_again() {
-    let published: Published = read_and_rewrite(PUBLISHED).remove(0);
+    let published: PublishedState = read_and_rewrite(PUBLISHED).remove(0);
     assert_eq!(
         published.epoch,
         Epoch {
@@ -154,12 +154,12 @@
 fn the_state_in_a_coordinators_journal_is_read_and_written_again() {
     let state: CoordinatorState = read_and_rewrite(COORDINATOR_STATE).remove(0);
     assert_eq!(
-        (state.published.number, state.rounds[&13]),
+        (state.published.revision, state.rounds[&13]),
         (42, (4, 1764600002.5))
     );
     let run = &state.runs["r1"];
     assert_eq!(
-        run.step[1],
+        run.step_counts[1],
         Counts {
             answers: 20,
             warm: 19,
@@ -168,7 +168,7 @@
         }
     );
     assert_eq!(
-        run.total[0],
+        run.total_counts[0],
         Counts {
             answers: 30,
             warm: 29,
@@ -177,7 +177,7 @@
         }
     );
     assert_eq!(
-        (run.time, run.is_held, run.digest_mismatches),
+        (run.step_duration, run.is_held, run.digest_mismatches),
         (61.5, true, 2)
     );
     assert_eq!(
@@ -185,7 +185,7 @@
         Some("'errors' is worse by its own evidence")
     );
     let event = &run.history[1];
-    assert_eq!((event.at, event.run, event.number), (1764600060.25, 5, 2));
+    assert_eq!((event.at, event.run, event.revision), (1764600060.25, 5, 2));
     assert_eq!(
         (event.phase, event.step, event.by_operator),
         (Phase::Shifting, 1, false)
