--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -14,8 +14,8 @@
 /// # Errors
 ///
 /// If the journal can't be opened, or its last entry isn't a state.
-pub fn recover(folder: &Path) -> io::Result<(Journal, CoordinatorState)> {
-    let (journal, recovered) = Journal::open(folder)?;
+pub fn recover(directory: &Path) -> io::Result<(Journal, CoordinatorState)> {
+    let (journal, recovered) = Journal::open(directory)?;
     if recovered.truncated_bytes > 0 {
         warn!(
             bytes = recovered.truncated_bytes,
@@ -28,7 +28,7 @@
         Some(bytes) => serde_json::from_slice(bytes).map_err(|error| {
             let message = format!(
                 "{}: the journal's last entry can't be read: {error}",
-                folder.display()
+                directory.display()
             );
             io::Error::new(io::ErrorKind::InvalidData, message)
         })?,
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -45,7 +45,7 @@
         .map_or(0.0, |time| time.as_secs_f64())
 }
 
-/// Runs a coordinator on this thread until it is stopped or superseded. Its journal is in `folder`; a message on `stop`,
+/// Runs a coordinator on this thread until it is stopped or superseded. Its journal is in `directory`; a message on `stop`,
 /// or its closing, stops it.
 ///
 /// # Errors
@@ -53,11 +53,11 @@
 /// If the journal can't be read or written.
 pub fn run(
     deployment: Deployment,
-    folder: &Path,
+    directory: &Path,
     listener: Async<TcpListener>,
     stop: async_channel::Receiver<()>,
 ) -> io::Result<StopReason> {
-    let (journal, state) = recover(folder)?;
+    let (journal, state) = recover(directory)?;
     let coordinator = Coordinator::new(state, rand::random(), now());
     info!(
         term = coordinator.published().epoch.term,
--- a/crates/deployment/src/journal.rs
+++ b/crates/deployment/src/journal.rs
@@ -11,8 +11,8 @@
 /// The journal of durable invocations.
 #[derive(Clone, Debug)]
 pub struct JournalSettings {
-    /// The path of the folder, with a placeholder for the front end's index.
-    folder: String,
+    /// The path of the directory, with a placeholder for the front end's index.
+    directory: String,
     /// With more bytes of entries and state nothing new is accepted.
     pub max_bytes: u64,
     /// Seconds for which an answer is kept.
@@ -22,9 +22,9 @@
 }
 
 impl JournalSettings {
-    /// The folder of one front end.
-    pub fn folder(&self, front_end: u32) -> PathBuf {
-        self.folder
+    /// The directory of one front end.
+    pub fn directory(&self, front_end: u32) -> PathBuf {
+        self.directory
             .replace(INDEX_PLACEHOLDER, &front_end.to_string())
             .into()
     }
@@ -48,17 +48,17 @@
         return None;
     }
     let fields = place.object(&["folder", "maxBytes", "keep", "mostKept"]);
-    let folder = fields.at("folder").text();
+    let directory = fields.at("folder").text();
     let is_shared = |path: &String| front_ends > 1 && !path.contains(INDEX_PLACEHOLDER);
-    if folder.as_ref().is_some_and(is_shared) {
+    if directory.as_ref().is_some_and(is_shared) {
         fields.at("folder").fault(MISSING_INDEX_FAULT);
     }
-    let folder = folder?;
+    let directory = directory?;
     let max_bytes = fields.optional("maxBytes", |place| place.bytes(65_536.0..=1e12));
     let retention = fields.optional("keep", |place| place.seconds(1.0..=2_592_000.0));
     let max_retained = fields.optional("mostKept", |place| place.integer(1..=10_000_000));
     Some(JournalSettings {
-        folder,
+        directory,
         max_bytes: max_bytes.unwrap_or(DEFAULT_MAX_BYTES) as u64,
         retention: retention.unwrap_or(DEFAULT_RETENTION),
         max_retained: max_retained.unwrap_or(DEFAULT_MAX_RETAINED) as usize,
--- a/crates/http-frontend/src/durable_invocation_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -64,7 +64,7 @@
         let Some(settings) = &deployment.journal else {
             return Ok(None);
         };
-        let folder = settings.folder(deployment.policy.front_end_index as u32);
+        let folder = settings.directory(deployment.policy.front_end_index as u32);
         let (journal, found) = Journal::open(&folder)?;
         let records = read_records(&folder, &found)?;
         let invocations =
@@ -114,7 +114,7 @@
     async fn write_snapshot(&self) -> bool {
         let snapshot = serde_json::to_vec(&self.invocations.borrow().records()).unwrap_or_default();
         let (sender, result) = oneshot::channel();
-        let queued = self.journal.replace(snapshot, move |replaced| {
+        let queued = self.journal.snapshot(snapshot, move |replaced| {
             if let Err(fault) = &replaced {
                 error!(%fault, "journal snapshot failed");
             }
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -276,7 +276,7 @@
             }
             let _ = results.send_blocking(JournalResult::Replaced(replaced.is_ok()));
         };
-        if self.journal.replace(snapshot, done).is_err() {
+        if self.journal.snapshot(snapshot, done).is_err() {
             self.consumer.journal_replaced(self.router.now(), false);
         }
     }
--- a/crates/journal/benches/commit.rs
+++ b/crates/journal/benches/commit.rs
@@ -11,19 +11,19 @@
 const IN_FLIGHT: usize = 64;
 const BYTES: usize = 300;
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("bench-{name}"));
     // One of an earlier run.
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-fn open(folder: &Path) -> Journal {
-    Journal::open(folder).unwrap_or_else(|e| panic!("{e}")).0
+fn open(directory: &Path) -> Journal {
+    Journal::open(directory).unwrap_or_else(|e| panic!("{e}")).0
 }
 
 fn one_by_one() -> f64 {
-    let mut journal = open(&folder("single"));
+    let mut journal = open(&directory("single"));
     let began = Instant::now();
     for _ in 0..ENTRIES {
         journal
@@ -34,7 +34,7 @@
 }
 
 fn together() -> (f64, f64) {
-    let group = GroupCommit::new(open(&folder("group")), IN_FLIGHT);
+    let group = GroupCommit::new(open(&directory("group")), IN_FLIGHT);
     let (tell, told) = channel();
     let (mut sent, mut done, mut longest) = (0, 0, 0.0f64);
     let began = Instant::now();
@@ -73,7 +73,7 @@
     ratios.sort_by(f64::total_cmp);
     println!("middle of three: {:.1} times", ratios[1]);
     for megabytes in [1, 8, 64] {
-        let at = folder("recovery");
+        let at = directory("recovery");
         let mut journal = open(&at);
         let batch = vec![vec![7u8; BYTES]; 1_000];
         while journal.length() < megabytes * 1_000_000 {
--- a/crates/journal/src/folder.rs
+++ b/crates/journal/src/directory.rs
@@ -1,4 +1,4 @@
-//! The files of a journal's folder: numbered snapshots and logs.
+//! The files of a journal's directory: numbered snapshots and logs.
 
 use crate::record::{MAGIC, decode_log, decode_record, invalid_data};
 use std::fs::File;
@@ -8,26 +8,26 @@
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const LOG_PREFIX: &str = "log-";
 
-/// What a folder held when it was opened or inspected.
+/// What a directory held when it was opened or inspected.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot, if there is one.
     pub snapshot: Option<Vec<u8>>,
     /// The entries appended since the snapshot, in order.
     pub entries: Vec<Vec<u8>>,
-    /// Bytes of an interrupted append after the last complete record. Opening the folder truncates them.
+    /// Bytes of an interrupted append after the last complete record. Opening the directory truncates them.
     pub truncated_bytes: u64,
 }
 
-pub(crate) fn snapshot_path(folder: &Path, generation: u64) -> PathBuf {
-    folder.join(format!("{SNAPSHOT_PREFIX}{generation}"))
+pub(crate) fn snapshot_path(directory: &Path, generation: u64) -> PathBuf {
+    directory.join(format!("{SNAPSHOT_PREFIX}{generation}"))
 }
 
-pub(crate) fn log_path(folder: &Path, generation: u64) -> PathBuf {
-    folder.join(format!("{LOG_PREFIX}{generation}"))
+pub(crate) fn log_path(directory: &Path, generation: u64) -> PathBuf {
+    directory.join(format!("{LOG_PREFIX}{generation}"))
 }
 
-/// The generations of the snapshots and logs in a folder.
+/// The generations of the snapshots and logs in a directory.
 pub(crate) struct Generations {
     /// Generations with a snapshot, ascending.
     snapshots: Vec<u64>,
@@ -35,10 +35,10 @@
 }
 
 impl Generations {
-    pub(crate) fn list(folder: &Path) -> io::Result<Generations> {
+    pub(crate) fn list(directory: &Path) -> io::Result<Generations> {
         let mut snapshots = vec![];
         let mut logs = vec![];
-        for entry in std::fs::read_dir(folder)? {
+        for entry in std::fs::read_dir(directory)? {
             let name = entry?.file_name();
             let name = name.to_string_lossy();
             snapshots.extend(parse_generation(&name, SNAPSHOT_PREFIX));
@@ -54,13 +54,13 @@
     }
 
     /// Removes the files of all other generations, left by a process that was killed before it removed them.
-    pub(crate) fn remove_others(&self, folder: &Path) -> io::Result<()> {
+    pub(crate) fn remove_others(&self, directory: &Path) -> io::Result<()> {
         let current = self.current();
         for &generation in self.snapshots.iter().filter(|&&g| g != current) {
-            std::fs::remove_file(snapshot_path(folder, generation))?;
+            std::fs::remove_file(snapshot_path(directory, generation))?;
         }
         for &generation in self.logs.iter().filter(|&&g| g != current) {
-            std::fs::remove_file(log_path(folder, generation))?;
+            std::fs::remove_file(log_path(directory, generation))?;
         }
         Ok(())
     }
@@ -77,15 +77,15 @@
     pub(crate) log_length: u64,
 }
 
-/// Reads the current generation of a folder.
-pub(crate) fn read_current(folder: &Path, generations: &Generations) -> io::Result<Contents> {
+/// Reads the current generation of a directory.
+pub(crate) fn read_current(directory: &Path, generations: &Generations) -> io::Result<Contents> {
     let generation = generations.current();
     let snapshot = if generations.snapshots.is_empty() {
         None
     } else {
-        Some(read_snapshot(&snapshot_path(folder, generation))?)
+        Some(read_snapshot(&snapshot_path(directory, generation))?)
     };
-    let path = log_path(folder, generation);
+    let path = log_path(directory, generation);
     let bytes = read_if_exists(&path)?.unwrap_or_default();
     let body = bytes.strip_prefix(&MAGIC);
     if body.is_none() && bytes.len() >= MAGIC.len() {
@@ -127,17 +127,17 @@
     Ok(Some(bytes))
 }
 
-/// Reads what a folder holds without changing it. Another process may have it open.
+/// Reads what a directory holds without changing it. Another process may have it open.
 ///
 /// # Errors
 ///
-/// `NotFound` if there is no such folder, `InvalidData` if a file is damaged or of another format.
-pub fn inspect(folder: &Path) -> io::Result<Recovered> {
-    let generations = Generations::list(folder)?;
-    Ok(read_current(folder, &generations)?.recovered)
+/// `NotFound` if there is no such directory, `InvalidData` if a file is damaged or of another format.
+pub fn inspect(directory: &Path) -> io::Result<Recovered> {
+    let generations = Generations::list(directory)?;
+    Ok(read_current(directory, &generations)?.recovered)
 }
 
-/// Syncs a folder, so that new names in it survive a loss of power.
-pub(crate) fn sync_folder(folder: &Path) -> io::Result<()> {
-    File::open(folder)?.sync_all()
+/// Syncs a directory, so that new names in it survive a loss of power.
+pub(crate) fn sync_directory(directory: &Path) -> io::Result<()> {
+    File::open(directory)?.sync_all()
 }
--- a/crates/journal/src/group_commit.rs
+++ b/crates/journal/src/group_commit.rs
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// [`QueueFull`] if the snapshot was not queued; `callback` is not called then.
-    pub fn replace(
+    pub fn snapshot(
         &self,
         state: Vec<u8>,
         callback: impl FnOnce(io::Result<()>) + Send + 'static,
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,19 +1,19 @@
-//! Durable state in a folder: a snapshot, replaced as a whole, and a log of entries appended since.
+//! Durable state in a directory: a snapshot, replaced as a whole, and a log of entries appended since.
 //!
 //! [`Journal::append`] returns once the entry is synced to the disk. A process that is killed at any moment leaves a
-//! folder that opens at its last complete record; the rest of an interrupted append is truncated. Entries that share a
+//! directory that opens at its last complete record; the rest of an interrupted append is truncated. Entries that share a
 //! sync share a record, so only the last record can be incomplete. An incomplete record that is followed by complete
-//! ones is damage and an error. One process at a time can have a folder open.
+//! ones is damage and an error. One process at a time can have a directory open.
 
-mod folder;
+mod directory;
 mod group_commit;
 mod record;
 
-pub use folder::{Recovered, inspect};
+pub use directory::{Recovered, inspect};
 pub use group_commit::{GroupCommit, QueueFull};
 pub use record::MAX_RECORD_LENGTH;
 
-use folder::{Contents, Generations, log_path, read_current, snapshot_path, sync_folder};
+use directory::{Contents, Generations, log_path, read_current, snapshot_path, sync_directory};
 use record::{MAGIC, encode_record, join_entries};
 use std::fs::{File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -22,10 +22,10 @@
 const LOCK_FILE: &str = "lock";
 const TEMPORARY_SNAPSHOT: &str = "next-snapshot";
 
-/// An open journal. Its folder is locked until it is dropped.
+/// An open journal. Its directory is locked until it is dropped.
 #[derive(Debug)]
 pub struct Journal {
-    folder: PathBuf,
+    directory: PathBuf,
     /// Number of the current snapshot; each has a log of its own.
     generation: u64,
     log: File,
@@ -38,26 +38,26 @@
 }
 
 impl Journal {
-    /// Opens a folder and returns what it held. Creates the folder if it doesn't exist.
+    /// Opens a directory and returns what it held. Creates the directory if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// `WouldBlock` if another process has the folder open, `InvalidData` if a file is damaged or of another format,
+    /// `WouldBlock` if another process has the directory open, `InvalidData` if a file is damaged or of another format,
     /// and errors of the file system.
-    pub fn open(folder: &Path) -> io::Result<(Journal, Recovered)> {
-        std::fs::create_dir_all(folder)?;
-        let lock = lock_folder(folder)?;
-        let generations = Generations::list(folder)?;
+    pub fn open(directory: &Path) -> io::Result<(Journal, Recovered)> {
+        std::fs::create_dir_all(directory)?;
+        let lock = lock_directory(directory)?;
+        let generations = Generations::list(directory)?;
         let generation = generations.current();
         let Contents {
             recovered,
             log_length,
-        } = read_current(folder, &generations)?;
-        let log = open_log(&log_path(folder, generation), log_length)?;
-        sync_folder(folder)?;
-        generations.remove_others(folder)?;
+        } = read_current(directory, &generations)?;
+        let log = open_log(&log_path(directory, generation), log_length)?;
+        sync_directory(directory)?;
+        generations.remove_others(directory)?;
         let journal = Journal {
-            folder: folder.to_owned(),
+            directory: directory.to_owned(),
             generation,
             log,
             log_length: log_length.max(MAGIC.len() as u64),
@@ -77,7 +77,7 @@
     }
 
     /// Makes the journal refuse entries as after a failed sync, for tests.
-    pub fn fail(&mut self) {
+    pub fn simulate_sync_failure(&mut self) {
         self.is_broken = true;
     }
 
@@ -104,7 +104,7 @@
     pub fn append_all(&mut self, entries: &[impl AsRef<[u8]>]) -> io::Result<()> {
         if self.is_broken {
             return Err(io::Error::other(
-                "an earlier entry could not be synced or taken back; open the folder anew",
+                "an earlier entry could not be synced or taken back; open the directory anew",
             ));
         }
         let record = encode_record(&join_entries(entries)?)?;
@@ -139,36 +139,36 @@
     /// `InvalidInput` if the state is longer than [`MAX_RECORD_LENGTH`], and errors of the file system.
     pub fn snapshot(&mut self, state: &[u8]) -> io::Result<()> {
         let next = self.generation + 1;
-        let temporary = self.folder.join(TEMPORARY_SNAPSHOT);
+        let temporary = self.directory.join(TEMPORARY_SNAPSHOT);
         let mut snapshot = File::create(&temporary)?;
         snapshot.write_all(&MAGIC)?;
         snapshot.write_all(&encode_record(state)?)?;
         snapshot.sync_all()?;
         // The snapshot's log has to exist before the snapshot gets its name.
-        let mut log = File::create(log_path(&self.folder, next))?;
+        let mut log = File::create(log_path(&self.directory, next))?;
         log.write_all(&MAGIC)?;
         log.sync_all()?;
-        std::fs::rename(&temporary, snapshot_path(&self.folder, next))?;
-        sync_folder(&self.folder)?;
+        std::fs::rename(&temporary, snapshot_path(&self.directory, next))?;
+        sync_directory(&self.directory)?;
         let previous = std::mem::replace(&mut self.generation, next);
         self.log = log;
         self.log_length = MAGIC.len() as u64;
         self.is_broken = false;
-        remove_if_exists(&log_path(&self.folder, previous))?;
-        remove_if_exists(&snapshot_path(&self.folder, previous))
+        remove_if_exists(&log_path(&self.directory, previous))?;
+        remove_if_exists(&snapshot_path(&self.directory, previous))
     }
 }
 
-fn lock_folder(folder: &Path) -> io::Result<File> {
+fn lock_directory(directory: &Path) -> io::Result<File> {
     let lock = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
-        .open(folder.join(LOCK_FILE))?;
+        .open(directory.join(LOCK_FILE))?;
     lock.try_lock().map_err(|error| {
         let message = format!(
             "{}: another process has it open ({error})",
-            folder.display()
+            directory.display()
         );
         io::Error::new(io::ErrorKind::WouldBlock, message)
     })?;
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -5,15 +5,15 @@
 use std::fs;
 use std::path::PathBuf;
 
-fn folder(name: &str) -> PathBuf {
+fn directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("journal-{name}"));
     let _ = fs::remove_dir_all(&path);
     path
 }
 
-/// The one file of entries in a folder.
-fn log(folder: &PathBuf) -> PathBuf {
-    let names = fs::read_dir(folder).unwrap().map(|e| e.unwrap().path());
+/// The one file of entries in a directory.
+fn log(directory: &PathBuf) -> PathBuf {
+    let names = fs::read_dir(directory).unwrap().map(|e| e.unwrap().path());
     let mut logs: Vec<_> = names
         .filter(|p| p.file_name().unwrap().to_string_lossy().starts_with("log-"))
         .collect();
@@ -45,7 +45,7 @@
 
     #[test]
     fn what_was_appended_is_found_again(steps in proptest::collection::vec(step(), 1..40)) {
-        let at = folder("model");
+        let at = directory("model");
         let (mut journal, _) = Journal::open(&at).unwrap();
         let mut model = Recovered::default();
         for step in steps {
@@ -78,7 +78,7 @@
 
 #[test]
 fn cut_at_any_byte_it_opens_at_the_last_whole_entry_and_goes_on() {
-    let at = folder("cut");
+    let at = directory("cut");
     let (mut journal, _) = Journal::open(&at).unwrap();
     let written: Vec<Vec<u8>> = (1..5).map(|n| vec![n; 3 * usize::from(n)]).collect();
     let mut ends = vec![8];
@@ -124,7 +124,7 @@
 
 #[test]
 fn entries_that_share_a_sync_stand_or_fall_together() {
-    let at = folder("batch");
+    let at = directory("batch");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"first").unwrap();
     let before = 8 + journal.length() as usize;
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_group_tells_each_once_and_keeps_the_order_of_one_sender() {
-    let at = folder("group");
+    let at = directory("group");
     let (journal, _) = Journal::open(&at).unwrap();
     let group = std::sync::Arc::new(GroupCommit::new(journal, 64));
     let (tell, told) = std::sync::mpsc::channel();
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_kill_between_the_steps_of_a_snapshot_leaves_the_old_state_or_the_new() {
-    let at = folder("killed");
+    let at = directory("killed");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.snapshot(b"old").unwrap();
     journal.append(b"entry").unwrap();
@@ -230,10 +230,10 @@
 
 #[test]
 fn after_an_entry_that_was_not_kept_none_is_until_all_is_replaced() {
-    let at = folder("failed");
+    let at = directory("failed");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"before").unwrap();
-    journal.fail();
+    journal.simulate_sync_failure();
     let group = GroupCommit::new(journal, 64);
     let (tell, told) = std::sync::mpsc::channel();
     let append = |entry: &[u8]| {
@@ -246,7 +246,7 @@
     assert_eq!([append(b"a"), append(b"b")], [false, false]);
     let tell_replaced = tell.clone();
     group
-        .replace(b"all".to_vec(), move |done| {
+        .snapshot(b"all".to_vec(), move |done| {
             tell_replaced.send(done.is_ok()).unwrap()
         })
         .unwrap();
--- a/crates/journal/tests/stored_formats.rs
+++ b/crates/journal/tests/stored_formats.rs
@@ -1,5 +1,5 @@
 //! The files of a journal are a stored format: a new build has to read what an older one wrote, and to write the same
-//! bytes. The folder in `stored_formats` was written by the build of version 0.2.0.
+//! bytes. The directory in `stored_formats` was written by the build of version 0.2.0.
 
 use orchidtally_journal::{Journal, Recovered, inspect};
 use std::fs;
@@ -7,17 +7,18 @@
 
 /// The state that the snapshot holds.
 const STATE: &[u8] = br#"{"state":"as of the snapshot"}"#;
-/// The names of the files that a folder with one snapshot holds, without its lock.
+/// The names of the files that a directory with one snapshot holds, without its lock.
 const FILE_NAMES: [&str; 2] = ["log-1", "snapshot-1"];
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_formats")
 }
 
-fn empty_folder(name: &str) -> PathBuf {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}"));
-    let _ = fs::remove_dir_all(&folder);
-    folder
+fn empty_directory(name: &str) -> PathBuf {
+    let directory =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("stored-formats-{name}"));
+    let _ = fs::remove_dir_all(&directory);
+    directory
 }
 
 /// Entries in groups that share a record.
@@ -38,9 +39,9 @@
     }
 }
 
-/// Writes a folder: an entry that the snapshot replaces, the snapshot, and entries since.
-fn write_folder(folder: &Path) {
-    let (mut journal, found) = Journal::open(folder).unwrap();
+/// Writes a directory: an entry that the snapshot replaces, the snapshot, and entries since.
+fn write_directory(directory: &Path) {
+    let (mut journal, found) = Journal::open(directory).unwrap();
     assert_eq!(found, Recovered::default());
     journal.append(b"replaced by the snapshot").unwrap();
     journal.snapshot(STATE).unwrap();
@@ -49,10 +50,10 @@
     }
 }
 
-fn copy_fixture(folder: &Path) {
-    fs::create_dir_all(folder).unwrap();
+fn copy_fixture(directory: &Path) {
+    fs::create_dir_all(directory).unwrap();
     for name in FILE_NAMES {
-        fs::copy(fixture().join(name), folder.join(name)).unwrap();
+        fs::copy(fixture().join(name), directory.join(name)).unwrap();
     }
 }
 
@@ -63,31 +64,31 @@
 
 #[test]
 fn a_folder_of_an_earlier_build_is_opened_and_goes_on() {
-    let folder = empty_folder("goes-on");
-    copy_fixture(&folder);
-    let (mut journal, found) = Journal::open(&folder).unwrap();
+    let directory = empty_directory("goes-on");
+    copy_fixture(&directory);
+    let (mut journal, found) = Journal::open(&directory).unwrap();
     assert_eq!(found, expected());
     journal.append(b"one more").unwrap();
     drop(journal);
-    let grown = fs::read(folder.join("log-1")).unwrap();
+    let grown = fs::read(directory.join("log-1")).unwrap();
     let before = fs::read(fixture().join("log-1")).unwrap();
     assert_eq!(grown[..before.len()], before, "what stood there stays");
-    let found = inspect(&folder).unwrap();
+    let found = inspect(&directory).unwrap();
     assert_eq!(found.entries.last().unwrap(), b"one more");
 }
 
 #[test]
 fn the_same_entries_give_the_same_files() {
-    let folder = empty_folder("written");
-    write_folder(&folder);
-    let mut names: Vec<String> = fs::read_dir(&folder)
+    let directory = empty_directory("written");
+    write_directory(&directory);
+    let mut names: Vec<String> = fs::read_dir(&directory)
         .unwrap()
         .map(|entry| entry.unwrap().file_name().to_string_lossy().into_owned())
         .collect();
     names.sort();
     assert_eq!(names, ["lock", "log-1", "snapshot-1"]);
     for name in FILE_NAMES {
-        let written = fs::read(folder.join(name)).unwrap();
+        let written = fs::read(directory.join(name)).unwrap();
         let committed = fs::read(fixture().join(name)).unwrap();
         assert_eq!(written, committed, "{name}");
     }
