--- a/crates/capacity-model/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -23,7 +23,7 @@
     let section = read(&text).configuration.expect("the file has the section");
     assert_eq!(sync_settings(&section), entries::settings());
     assert_eq!(
-        section.lease,
+        section.lease_ttl,
         HostSettings::new("hollow").lease.as_secs_f64()
     );
     assert_eq!(section.endpoints, endpoints());
--- a/crates/deployment/src/configuration.rs
+++ b/crates/deployment/src/configuration.rs
@@ -26,7 +26,7 @@
 
 /// The store of configuration and how it is followed. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Configuration {
+pub struct ConfigStoreSettings {
     /// The members of the store.
     pub endpoints: Vec<SocketAddr>,
     /// The prefix of all keys.
@@ -36,7 +36,7 @@
     /// How old the view may be for entries that are refused when stale.
     pub freshness: f64,
     /// Within which a change that takes something away is in force everywhere.
-    pub in_force_within: f64,
+    pub max_revocation_delay: f64,
     /// Between two proofs of freshness.
     pub proof_interval: f64,
     /// Between two comparisons with the store while nothing else asks for one.
@@ -52,12 +52,12 @@
     /// What may be read at once after a pause, in bytes.
     pub burst: f64,
     /// The lease of the front end's report in the store.
-    pub lease: f64,
+    pub lease_ttl: f64,
     /// What holds before anything was read.
-    pub without_view: UnsyncedBehavior,
+    pub unsynced_behavior: UnsyncedBehavior,
 }
 
-impl Configuration {
+impl ConfigStoreSettings {
     /// The path of one front end's snapshot.
     pub fn snapshot(&self, front_end: u32) -> PathBuf {
         self.snapshot
@@ -67,7 +67,7 @@
 }
 
 /// Reads the section, if it is there.
-pub(crate) fn read_configuration(top: &Fields, front_ends: u32) -> Option<Configuration> {
+pub(crate) fn read_configuration(top: &Fields, front_ends: u32) -> Option<ConfigStoreSettings> {
     if !top.at("configuration").is_given() {
         return None;
     }
@@ -95,16 +95,16 @@
             .optional(key, |place| place.seconds(range))
             .unwrap_or(absent)
     };
-    let without_view = [
+    let unsynced_behavior = [
         ("refuse", UnsyncedBehavior::Refuse),
         ("serve", UnsyncedBehavior::Serve),
     ];
-    let configuration = Configuration {
+    let configuration = ConfigStoreSettings {
         endpoints: read_endpoints(&store.at("endpoints")),
         prefix: read_prefix(&store),
         snapshot: read_snapshot_path(&fields.at("snapshot"), front_ends).unwrap_or_default(),
         freshness: time("freshness", 1.0..=3_600.0, 15.0),
-        in_force_within: time("inForceWithin", 2.0..=3_600.0, 18.0),
+        max_revocation_delay: time("inForceWithin", 2.0..=3_600.0, 18.0),
         proof_interval: time("proveEvery", 0.1..=600.0, 3.0),
         comparison_interval: time("compareEvery", 1.0..=86_400.0, 300.0),
         report_interval: time("reportEvery", 0.1..=600.0, 2.0),
@@ -116,9 +116,9 @@
         burst: fields
             .optional("burst", |place| place.bytes(1_000.0..=1e9))
             .unwrap_or(2_500.0),
-        lease: time("lease", 2.0..=3_600.0, 10.0),
-        without_view: fields
-            .optional("withoutView", |place| place.choice(&without_view))
+        lease_ttl: time("lease", 2.0..=3_600.0, 10.0),
+        unsynced_behavior: fields
+            .optional("withoutView", |place| place.choice(&unsynced_behavior))
             .unwrap_or(UnsyncedBehavior::Refuse),
     };
     check_times(&fields, &configuration);
@@ -160,16 +160,16 @@
 }
 
 /// The times have to leave room for each other.
-fn check_times(fields: &Fields, configuration: &Configuration) {
-    let Configuration {
+fn check_times(fields: &Fields, configuration: &ConfigStoreSettings) {
+    let ConfigStoreSettings {
         freshness,
-        in_force_within,
+        max_revocation_delay,
         proof_interval,
         ..
     } = *configuration;
-    if freshness + MIN_SLACK > in_force_within {
+    if freshness + MIN_SLACK > max_revocation_delay {
         fields.at("freshness").fault(format!(
-            "{freshness} s is not {MIN_SLACK} s below 'inForceWithin' of {in_force_within} s; lower it, or raise that"
+            "{freshness} s is not {MIN_SLACK} s below 'inForceWithin' of {max_revocation_delay} s; lower it, or raise that"
         ));
     }
     if proof_interval * MIN_PROOFS > freshness {
--- a/crates/deployment/src/deployment.rs
+++ b/crates/deployment/src/deployment.rs
@@ -1,6 +1,6 @@
 //! A deployment as a whole, and its top level in the file.
 
-use crate::configuration::{Configuration, read_configuration};
+use crate::configuration::{ConfigStoreSettings, read_configuration};
 use crate::customers::read_customers;
 use crate::endpoint_source::{EndpointSource, Requirements, read_endpoint_source};
 use crate::front_ends::read_front_ends;
@@ -80,7 +80,7 @@
     /// Seconds between two questions to a coordinator.
     pub rollout_poll_interval: f64,
     /// The store that changes of configuration come from, where there is one.
-    pub configuration: Option<Configuration>,
+    pub configuration: Option<ConfigStoreSettings>,
     /// The journal of durable invocations, where there is one.
     pub journal: Option<JournalSettings>,
     /// Bounds of the front end.
--- a/crates/deployment/src/endpoint_source.rs
+++ b/crates/deployment/src/endpoint_source.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 const DEFAULT_PREFIX: &str = "/orchidtally/";
-const DEFAULT_LEASE: f64 = 10.0;
+const DEFAULT_LEASE_TTL: f64 = 10.0;
 
 /// Where the endpoint list comes from.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// The prefix of all keys.
     pub prefix: String,
     /// Seconds for which a front end's entry outlives its last renewal.
-    pub lease: f64,
+    pub lease_ttl: f64,
 }
 
 /// What the trigger types require of the executors that are listed.
@@ -130,7 +130,7 @@
     EtcdSettings {
         endpoints,
         prefix,
-        lease: lease.unwrap_or(DEFAULT_LEASE),
+        lease_ttl: lease.unwrap_or(DEFAULT_LEASE_TTL),
     }
 }
 
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -20,7 +20,7 @@
 mod trigger_types;
 
 pub use changes::restart_needed;
-pub use configuration::{Configuration, UnsyncedBehavior};
+pub use configuration::{ConfigStoreSettings, UnsyncedBehavior};
 pub use deployment::Deployment;
 pub use endpoint_source::{EndpointSource, EtcdSettings};
 pub use functions::{Function, Version, check_digest, check_function_name, function_key};
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -25,7 +25,7 @@
         ));
         return vec![];
     }
-    let mut reader = Reader {
+    let mut reader = RegionReader {
         locations,
         names: vec![],
         of_locations: vec![None; locations.len()],
@@ -42,7 +42,7 @@
 }
 
 /// Reads regions one by one.
-struct Reader<'a> {
+struct RegionReader<'a> {
     locations: &'a [String],
     /// Names of the regions read so far.
     names: Vec<String>,
@@ -50,7 +50,7 @@
     of_locations: Vec<Option<u8>>,
 }
 
-impl Reader<'_> {
+impl RegionReader<'_> {
     fn read_region(&mut self, place: &Place) {
         let fields = place.object(&["name", "locations"]);
         let number = self.names.len();
--- a/crates/deployment/tests/configuration.rs
+++ b/crates/deployment/tests/configuration.rs
@@ -33,14 +33,18 @@
         PathBuf::from("/var/lib/orchidtally/config-2.snapshot")
     );
     assert_eq!(
-        (read.freshness, read.in_force_within, read.proof_interval),
+        (
+            read.freshness,
+            read.max_revocation_delay,
+            read.proof_interval
+        ),
         (15.0, 18.0, 3.0)
     );
     assert_eq!(
-        (read.bytes_per_second, read.burst, read.lease),
+        (read.bytes_per_second, read.burst, read.lease_ttl),
         (9_000.0, 2_500.0, 10.0)
     );
-    assert_eq!(read.without_view, UnsyncedBehavior::Refuse);
+    assert_eq!(read.unsynced_behavior, UnsyncedBehavior::Refuse);
     let without = include_str!("../../../examples/deployments/one-machine.json5");
     assert!(
         Deployment::parse(without)
--- a/crates/http-frontend/src/config/attachment.rs
+++ b/crates/http-frontend/src/config/attachment.rs
@@ -6,18 +6,18 @@
 use super::{HostSettings, SnapshotFile};
 use async_executor::LocalExecutor;
 use orchidtally_config_sync::{SettingsError, SyncSettings};
-use orchidtally_deployment::Configuration;
+use orchidtally_deployment::ConfigStoreSettings;
 use orchidtally_etcd::Client;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 /// The settings of configuration distribution from a deployment file's section.
-pub fn sync_settings(configuration: &Configuration) -> SyncSettings {
+pub fn sync_settings(configuration: &ConfigStoreSettings) -> SyncSettings {
     let defaults = SyncSettings::default();
     SyncSettings {
         prefix: configuration.prefix.clone(),
         freshness_bound: configuration.freshness,
-        in_force_limit: configuration.in_force_within,
+        in_force_limit: configuration.max_revocation_delay,
         barrier_interval: configuration.proof_interval,
         audit_interval: configuration.comparison_interval,
         read_bytes_per_second: configuration.bytes_per_second,
@@ -37,7 +37,7 @@
 /// The settings are out of range.
 pub fn attach(
     front_end: &Rc<dyn ConfigurableFrontEnd>,
-    configuration: &Configuration,
+    configuration: &ConfigStoreSettings,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Result<Admission, SettingsError> {
     let deployment = front_end.deployment();
@@ -46,7 +46,7 @@
     // Two processes with one index, or one after the other, are two front ends to the store.
     let mut settings = HostSettings::new(format!("{index}-{incarnation:016x}"));
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
-    settings.lease = Duration::from_secs_f64(configuration.lease);
+    settings.lease = Duration::from_secs_f64(configuration.lease_ttl);
     let client = Client::new(configuration.endpoints.clone(), tasks.clone());
     client.set_user_agent(settings.front_end.clone());
     // Front ends spread over the members.
@@ -62,7 +62,7 @@
     tasks.spawn(host.clone().run()).detach();
     Ok(Admission {
         host,
-        without_view: configuration.without_view,
+        without_view: configuration.unsynced_behavior,
         retry_after: configuration.proof_interval,
     })
 }
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -49,7 +49,7 @@
             host,
             client,
             prefix,
-            requested_ttl: etcd.lease.ceil() as i64,
+            requested_ttl: etcd.lease_ttl.ceil() as i64,
         }
     }
 
--- a/crates/mqtt-triggers/tests/deployment_keys.rs
+++ b/crates/mqtt-triggers/tests/deployment_keys.rs
@@ -192,7 +192,11 @@
     let (deployment, section) = read(EVERY_KEY).expect("the fixture is sound");
     let store = deployment.configuration.expect("there is one");
     assert_eq!(
-        (store.freshness, store.in_force_within, store.proof_interval),
+        (
+            store.freshness,
+            store.max_revocation_delay,
+            store.proof_interval
+        ),
         (16.0, 19.0, 4.0)
     );
     assert_eq!(
@@ -208,7 +212,7 @@
             store.max_start_delay,
             store.bytes_per_second,
             store.burst,
-            store.lease
+            store.lease_ttl
         ),
         (6.0, 10e3, 20e3, 13.0)
     );
@@ -258,7 +262,7 @@
         panic!("{source:?}")
     };
     assert_eq!(
-        (etcd.endpoints.len(), etcd.prefix.as_str(), etcd.lease),
+        (etcd.endpoints.len(), etcd.prefix.as_str(), etcd.lease_ttl),
         (1, "/pinned/", 11.0)
     );
 }
