--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -275,7 +275,7 @@
         self.stage.sleep(moment(BEGINS) - self.stage.now()).await;
         self.insist(OperatorRequest::Start {
             plan: self.plan.clone(),
-            dry: false,
+            dry_run: false,
         })
         .await;
         self.stage.sleep(moment(KILLED) - self.stage.now()).await;
@@ -301,7 +301,7 @@
         if on && self.new != NewVersion::Fine {
             self.insist(OperatorRequest::RollBack {
                 name: self.name.clone(),
-                why: "the rehearsal takes it back".into(),
+                reason: "the rehearsal takes it back".into(),
             })
             .await;
         }
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -184,7 +184,7 @@
             "{:>4} {:>7.2} % {:>6} {:>7} {:>10.1} {evidence:>11} {:>13.0} {:>10}",
             s.step + 1,
             100.0 * s.share,
-            s.copies,
+            s.replicas,
             s.load_commands,
             s.load_duration,
             s.duration,
@@ -336,7 +336,7 @@
                 &place,
                 &OperatorRequest::Start {
                     plan: text,
-                    dry: dry_run,
+                    dry_run,
                 },
                 &file,
             )?;
@@ -359,12 +359,12 @@
         Command::Back { name, why, place } => change(
             &place,
             &name.clone(),
-            OperatorRequest::RollBack { name, why },
+            OperatorRequest::RollBack { name, reason: why },
         ),
         Command::Advance { name, why, place } => change(
             &place,
             &name.clone(),
-            OperatorRequest::Advance { name, why },
+            OperatorRequest::Advance { name, reason: why },
         ),
         Command::Finish { name, place } => {
             change(&place, &name.clone(), OperatorRequest::Finish { name })
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -91,17 +91,17 @@
     /// Executes an operator's request.
     fn execute(&self, body: &[u8]) -> Result<Reply, ApiError> {
         let command = match parse(body)? {
-            OperatorRequest::Start { plan, dry } => {
+            OperatorRequest::Start { plan, dry_run } => {
                 let plan = self.read_plan(&plan)?;
-                if dry {
+                if dry_run {
                     return Ok(self.dry_run(&plan));
                 }
                 self.start(plan)?
             }
             OperatorRequest::Pause { name } => Command::Pause { name },
             OperatorRequest::Resume { name } => Command::Resume { name },
-            OperatorRequest::RollBack { name, why } => Command::RollBack { name, why },
-            OperatorRequest::Advance { name, why } => Command::Advance { name, why },
+            OperatorRequest::RollBack { name, reason } => Command::RollBack { name, reason },
+            OperatorRequest::Advance { name, reason } => Command::Advance { name, reason },
             OperatorRequest::Finish { name } => Command::Finish { name },
         };
         self.coordinator
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -25,7 +25,8 @@
         /// The text of the plan's file.
         plan: String,
         /// Whether only to forecast the steps, without starting the rollout.
-        dry: bool,
+        #[serde(rename = "dry")]
+        dry_run: bool,
     },
     /// Pause the present step.
     Pause {
@@ -43,14 +44,16 @@
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Advance to the next step even if samples are missing.
     Advance {
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Finish a rollout after its last step, without waiting.
     Finish {
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -201,7 +201,10 @@
     let plan = format!(
         "{{ name: '{name}', function: '{function}', to: 'next', loadsPerSecond: {pace}, holdback: 0, keepFrom: '200ms', steps: [{steps}] }}"
     );
-    OperatorRequest::Start { plan, dry: false }
+    OperatorRequest::Start {
+        plan,
+        dry_run: false,
+    }
 }
 
 pub const ALL_AT_ONCE: &str = "{ share: 1, leastTime: '60s' }";
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -50,7 +50,7 @@
                 at,
                 OperatorRequest::RollBack {
                     name: "r".into(),
-                    why: "a test".into()
+                    reason: "a test".into()
                 }
             )
             .await
@@ -75,7 +75,7 @@
                 at,
                 OperatorRequest::RollBack {
                     name: "r".into(),
-                    why: "again".into()
+                    reason: "again".into()
                 }
             )
             .await
@@ -254,7 +254,7 @@
                 at,
                 OperatorRequest::RollBack {
                     name: "r3".into(),
-                    why: "a test".into()
+                    reason: "a test".into()
                 }
             )
             .await
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -311,7 +311,7 @@
                 function: prewarm.version.key,
                 concurrency: prewarm.version.concurrency,
                 load_time: prewarm.version.load_time,
-                replicas: prewarm.copies,
+                replicas: prewarm.replicas,
             };
             let (is_known, is_ordered) = self.run_engine(|engine, now, action_executor| {
                 action_executor.remember_version(
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -38,14 +38,16 @@
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Advance to the next step even if samples are missing. Failed gates are not overridden.
     Advance {
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Finish a rollout after its last step, without waiting.
     Finish {
@@ -138,13 +140,13 @@
             Command::Start { plan, from, to } => self.start(plan, from, to, random)?,
             Command::Pause { name } => self.pause(name)?,
             Command::Resume { name } => self.resume(name)?,
-            Command::RollBack { name, why } => {
+            Command::RollBack { name, reason } => {
                 self.phase_of(name)?;
-                self.update_rollout(name, true, why.clone(), |rollout| {
+                self.update_rollout(name, true, reason.clone(), |rollout| {
                     rollout.phase = Phase::RolledBack
                 });
             }
-            Command::Advance { name, why } => self.skip_step(name, why)?,
+            Command::Advance { name, reason } => self.skip_step(name, reason)?,
             Command::Finish { name } => match self.phase_of(name)? {
                 Phase::RetainingOld => self.finish(name, true, "finished by an operator".into()),
                 phase => {
@@ -204,11 +206,11 @@
         }
     }
 
-    fn skip_step(&mut self, name: &str, why: &str) -> Result<(), CommandError> {
+    fn skip_step(&mut self, name: &str, reason: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
                 let run = self.state.runs.entry(name.to_owned()).or_default();
-                run.operator_advance = Some(format!("an operator went on: {why}"));
+                run.operator_advance = Some(format!("an operator went on: {reason}"));
                 Ok(())
             }
             phase => Err(CommandError::NotAdvanceable {
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -199,8 +199,8 @@
     /// Applies the verdict of the rules to a rollout in its phase.
     fn apply_verdict(&mut self, name: &str, rollout: &Rollout, verdict: Verdict) {
         match (verdict, rollout.phase) {
-            (Verdict::RollBack(why), _) => {
-                self.update_rollout(name, false, why, |rollout| {
+            (Verdict::RollBack(reason), _) => {
+                self.update_rollout(name, false, reason, |rollout| {
                     rollout.phase = Phase::RolledBack
                 });
             }
@@ -212,10 +212,10 @@
                     rollout.phase = Phase::Shifting;
                 });
             }
-            (Verdict::Hold(why), _) => {
+            (Verdict::Hold(reason), _) => {
                 // The reason for a hold is published, but isn't a change.
                 if let Some(rollout) = self.state.published.rollouts.get_mut(name) {
-                    rollout.reason = why;
+                    rollout.reason = reason;
                 }
             }
             (Verdict::Pass | Verdict::Advance(_), Phase::RetainingOld) => {
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -93,14 +93,14 @@
 fn front_end_rolled_back(run: &Run, _: &Rollout, _: f64) -> Verdict {
     match &run.local_rollback {
         None => Verdict::Pass,
-        Some(why) => Verdict::RollBack(format!("a front end out of reach: {why}")),
+        Some(reason) => Verdict::RollBack(format!("a front end out of reach: {reason}")),
     }
 }
 
 fn operator_advances(run: &Run, _: &Rollout, _: f64) -> Verdict {
     run.operator_advance
         .as_ref()
-        .map_or(Verdict::Pass, |why| Verdict::Advance(why.clone()))
+        .map_or(Verdict::Pass, |reason| Verdict::Advance(reason.clone()))
 }
 
 fn front_ends_are_not_ready(run: &Run, rollout: &Rollout, now: f64) -> Verdict {
@@ -189,14 +189,14 @@
     else {
         return Verdict::Pass;
     };
-    let why = format!(
+    let reason = format!(
         "'{}' can't be judged: one of the versions gave nothing to compare",
         policy.gate.name()
     );
     match plan.on_inconclusive {
         InconclusiveAction::Advance => Verdict::Pass,
-        InconclusiveAction::Hold => Verdict::Hold(why),
-        InconclusiveAction::RollBack => Verdict::RollBack(why),
+        InconclusiveAction::Hold => Verdict::Hold(reason),
+        InconclusiveAction::RollBack => Verdict::RollBack(reason),
     }
 }
 
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -115,13 +115,18 @@
 
 impl SlotCollector {
     /// The counts of a cohort in a stratum; `None` if there are too many slots.
-    pub fn counts_mut(&mut self, cell: StratumKey, share: f64, arm: Cohort) -> Option<&mut Counts> {
-        let key = (cell, share.to_bits());
+    pub fn counts_mut(
+        &mut self,
+        stratum: StratumKey,
+        share: f64,
+        cohort: Cohort,
+    ) -> Option<&mut Counts> {
+        let key = (stratum, share.to_bits());
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&key) {
             return None;
         }
         let both = self.slots.entry(key).or_default();
-        Some(if arm == Cohort::Baseline {
+        Some(if cohort == Cohort::Baseline {
             &mut both.0
         } else {
             &mut both.1
@@ -131,8 +136,8 @@
     /// Removes and returns the collected slots.
     pub fn take(&mut self) -> Vec<Slot> {
         let slots = std::mem::take(&mut self.slots);
-        let slot = |((cell, share), (old, new)): ((StratumKey, u64), (Counts, Counts))| Slot {
-            stratum: cell,
+        let slot = |((stratum, share), (old, new)): ((StratumKey, u64), (Counts, Counts))| Slot {
+            stratum,
             share: f64::from_bits(share),
             old,
             new,
@@ -146,7 +151,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuantileEstimate {
     /// The estimate.
-    pub at: f64,
+    pub estimate: f64,
     count: u32,
 }
 
@@ -160,11 +165,11 @@
     pub fn record(&mut self, quantile: f64, value: f64) {
         self.count = self.count.saturating_add(1);
         if self.count <= Self::INITIAL_VALUES {
-            self.at = self.at.max(value);
+            self.estimate = self.estimate.max(value);
             return;
         }
         let step = (1.0 / f64::from(self.count - Self::INITIAL_VALUES).sqrt()).max(Self::MIN_STEP);
-        self.at *= if value > self.at {
+        self.estimate *= if value > self.estimate {
             1.0 + step * quantile
         } else {
             1.0 - step * (1.0 - quantile)
@@ -173,6 +178,6 @@
 
     /// The estimate, once enough values were recorded.
     pub fn value(&self) -> Option<f64> {
-        (self.count > Self::INITIAL_VALUES).then_some(self.at)
+        (self.count > Self::INITIAL_VALUES).then_some(self.estimate)
     }
 }
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -7,7 +7,7 @@
 
 /// Fraction of the load budget's floor that rollouts may use; the rest is for ordinary placements.
 const LOAD_BUDGET_SHARE: f64 = 0.5;
-/// The highest planned utilization of a copy's lanes.
+/// The highest planned utilization of a replica's lanes.
 const MAX_UTILIZATION: f64 = 0.7;
 /// The ratio of the odds of errors that a step should detect, for the advice on samples.
 const DETECTED_ODDS: f64 = 2.0;
@@ -23,7 +23,8 @@
     /// The share of the new version.
     pub share: f64,
     /// Copies of the new version that are needed.
-    pub copies: u64,
+    #[serde(rename = "copies")]
+    pub replicas: u64,
     /// Load commands that all front ends send.
     #[serde(rename = "orders")]
     pub load_commands: u64,
@@ -50,22 +51,22 @@
     policy.front_ends * LOAD_BUDGET_SHARE * policy.load_budget_floor / policy.load_budget_window
 }
 
-/// The number of copies needed for a share of a rate of invocations.
-pub fn copies_for(rate: f64, share: f64, version: &Version) -> u64 {
+/// The number of replicas needed for a share of a rate of invocations.
+pub fn replicas_for(rate: f64, share: f64, version: &Version) -> u64 {
     let work = version.expected_work.unwrap_or(0.0);
     (share * rate * work / (version.concurrency * MAX_UTILIZATION))
         .ceil()
         .max(1.0) as u64
 }
 
-fn copies(plan: &Plan, deployment: &Deployment, share: f64) -> u64 {
+fn replicas(plan: &Plan, deployment: &Deployment, share: f64) -> u64 {
     let version = deployment
         .function(&plan.function)
         .and_then(|f| f.version(&plan.to).cloned());
     let (Some(rate), Some(version)) = (plan.rate, version) else {
         return 1;
     };
-    copies_for(rate, share, &version)
+    replicas_for(rate, share, &version)
 }
 
 /// Invocations of the new version a second at a step.
@@ -89,19 +90,19 @@
 /// The forecast of each step of a plan.
 pub fn forecast(plan: &Plan, deployment: &Deployment) -> Vec<StepForecast> {
     let front_ends = deployment.policy.front_ends as u64;
-    let mut copies_before = 0;
+    let mut replicas_before = 0;
     let mut forecasts = vec![];
     for (index, step) in plan.steps.iter().enumerate() {
-        let copies = copies(plan, deployment, step.share);
-        // Each front end sends a command for each copy, as it has to know the copy itself.
-        let load_commands = copies.saturating_sub(copies_before) * front_ends;
-        copies_before = copies.max(copies_before);
+        let replicas = replicas(plan, deployment, step.share);
+        // Each front end sends a command for each replica, as it has to know the replica itself.
+        let load_commands = replicas.saturating_sub(replicas_before) * front_ends;
+        replicas_before = replicas.max(replicas_before);
         let load_duration = load_commands as f64 / plan.loads_per_second;
         let sampling_duration = new_rate(plan, index).map(|rate| step.min_samples as f64 / rate);
         forecasts.push(StepForecast {
             step: index,
             share: step.share,
-            copies,
+            replicas,
             load_commands,
             load_duration,
             sampling_duration,
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -56,7 +56,7 @@
         let mut rolled_back = vec![];
         let is_same_run = before.is_some_and(|local| local.rollout.run == rollout.run);
         if !is_same_run {
-            let replaced = before.filter(|local| local.step_in_force().is_some());
+            let replaced = before.filter(|local| local.effective_step().is_some());
             rolled_back.extend(replaced.map(|local| local.rollout.run));
             let local = LocalRollout::new(rollout.clone(), find(function), now);
             self.rollouts.insert(function.clone(), local);
@@ -74,12 +74,12 @@
         }
         match step {
             None => {
-                if local.granted_step.take().is_some() {
+                if local.applied_step.take().is_some() {
                     rolled_back.push(rollout.run);
                 }
             }
             // An earlier step applies at once, a later one when there are copies for it.
-            Some(step) => local.granted_step = local.granted_step.map(|granted| granted.min(step)),
+            Some(step) => local.applied_step = local.applied_step.map(|applied| applied.min(step)),
         }
         rolled_back
     }
--- a/crates/rollout/src/frontend/local.rs
+++ b/crates/rollout/src/frontend/local.rs
@@ -30,8 +30,8 @@
     pub(super) from: Option<Version>,
     pub(super) to: Option<Version>,
     /// Index of the step whose share is applied.
-    pub(super) granted_step: Option<usize>,
-    /// Whether there are enough copies of the new version for the published step.
+    pub(super) applied_step: Option<usize>,
+    /// Whether there are enough replicas of the new version for the published step.
     pub(super) is_ready: bool,
     pub(super) slots: SlotCollector,
     /// The front end's own tests, for when no coordinator is reachable.
@@ -50,8 +50,8 @@
     pub(super) invocations_since: f64,
     /// Moving average of the invocations of the function a second at this front end.
     pub(super) rate: f64,
-    /// Number of copies of the new version that the step needs.
-    pub(super) wanted_copies: usize,
+    /// Number of replicas of the new version that the step needs.
+    pub(super) needed_replicas: usize,
     pub(super) next_load_at: f64,
     pub(super) next_renewal_at: f64,
 }
@@ -63,7 +63,7 @@
             from: version(&rollout.from),
             to: version(&rollout.to),
             rollout,
-            granted_step: None,
+            applied_step: None,
             is_ready: false,
             slots: SlotCollector::default(),
             own_tests: SequentialTests::default(),
@@ -75,7 +75,7 @@
             invocations: 0,
             invocations_since: now,
             rate: 0.0,
-            wanted_copies: 1,
+            needed_replicas: 1,
             next_load_at: now,
             next_renewal_at: now,
         }
@@ -86,11 +86,11 @@
     }
 
     /// Index of the step whose share is applied; `None` after a local rollback.
-    pub(super) fn step_in_force(&self) -> Option<usize> {
+    pub(super) fn effective_step(&self) -> Option<usize> {
         if self.local_rollback.is_some() {
             None
         } else {
-            self.granted_step
+            self.applied_step
         }
     }
 
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -156,7 +156,7 @@
         let is_split = !local.has_ended() && plan.alias == alias;
         let versions = (&local.from, &local.to);
         let (Some(step), (Some(from), Some(to)), true) =
-            (local.step_in_force(), versions, is_split)
+            (local.effective_step(), versions, is_split)
         else {
             return unsplit();
         };
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -77,18 +77,18 @@
             (Gate::Slow, 0.9, &mut self.slow),
             (Gate::SlowTail, 0.99, &mut self.slow_tail),
         ];
-        let events = gates.map(|(gate, quantile, tracked)| {
+        let events = gates.map(|(gate, quantile, estimate)| {
             let allowed = if cohort == Cohort::Canary {
                 ratio(gate)
             } else {
                 1.0
             };
-            let event = tracked
+            let event = estimate
                 .value()
                 .filter(|known| latency > allowed * known)
                 .map(|_| gate);
             if cohort == Cohort::Baseline {
-                tracked.record(quantile, latency);
+                estimate.record(quantile, latency);
             }
             event
         });
--- a/crates/rollout/src/frontend/prewarm.rs
+++ b/crates/rollout/src/frontend/prewarm.rs
@@ -1,17 +1,17 @@
-//! Prewarming: copies that are loaded or kept alive ahead of invocations.
+//! Prewarming: replicas that are loaded or kept alive ahead of invocations.
 
 use super::local::LocalRollout;
 use super::{FrontEndInfo, TrafficSplit};
-use crate::forecast::copies_for;
+use crate::forecast::replicas_for;
 use orchidtally_deployment::Version;
 use std::cmp::Reverse;
 
-/// Interval at which copies of the old version are kept alive, as a fraction of the keep-alive time.
+/// Interval at which replicas of the old version are kept alive, as a fraction of the keep-alive time.
 const RENEWAL_SHARE: f64 = 0.4;
 /// The shortest keep-alive time that is assumed, in seconds.
 const MIN_KEEP_ALIVE: f64 = 1.0;
 
-/// A command to load copies or keep them alive ahead of invocations.
+/// A command to load replicas or keep them alive ahead of invocations.
 #[derive(Clone, Debug)]
 pub struct PrewarmCommand {
     /// The run of the rollout.
@@ -20,8 +20,8 @@
     pub function: String,
     /// The version.
     pub version: Version,
-    /// The number of copies wanted; 0 only queries how many are known.
-    pub copies: usize,
+    /// The number of replicas wanted; 0 only queries how many are known.
+    pub replicas: usize,
     /// Whether the version is the new one of the rollout.
     pub is_new: bool,
 }
@@ -33,7 +33,7 @@
 }
 
 impl LocalRollout {
-    /// The number of copies of the new version to load now. Front ends take turns at the planned rate.
+    /// The number of replicas of the new version to load now. Front ends take turns at the planned rate.
     fn load_due(&mut self, front_end: FrontEndInfo, now: f64) -> Option<usize> {
         let step = self
             .rollout
@@ -41,23 +41,23 @@
             .filter(|_| !self.is_ready && front_end.sends_load_commands)?;
         let plan = &self.rollout.plan;
         if let Some(to) = &self.to {
-            // Failure mode: the first share of a hot function fills more than one copy.
-            // Risk: a single copy would be overloaded and the version blamed for it. The rate is the planned one,
+            // Failure mode: the first share of a hot function fills more than one replica.
+            // Risk: a single replica would be overloaded and the version blamed for it. The rate is the planned one,
             // or that of all front ends if they are like this one.
             let rate = plan
                 .rate
                 .unwrap_or(0.0)
                 .max(self.rate * f64::from(front_end.count));
-            self.wanted_copies = copies_for(rate, plan.steps[step].share, to) as usize;
+            self.needed_replicas = replicas_for(rate, plan.steps[step].share, to) as usize;
         }
         if now < self.next_load_at {
             return Some(0);
         }
         self.next_load_at = now + f64::from(front_end.count) / plan.loads_per_second;
-        Some(self.wanted_copies)
+        Some(self.needed_replicas)
     }
 
-    /// Whether this front end keeps the copies of the old version alive now. They are kept for as long as the rollout
+    /// Whether this front end keeps the replicas of the old version alive now. They are kept for as long as the rollout
     /// may be rolled back; front ends take turns, since all choose the same executors.
     fn is_renewal_due(&mut self, front_end: FrontEndInfo, now: f64) -> bool {
         if self.rollout.active_step().is_none()
@@ -83,18 +83,18 @@
             if local.has_ended() || local.local_rollback.is_some() {
                 continue;
             }
-            let new_copies = local.load_due(front_end, now);
-            let old_copies = local.is_renewal_due(front_end, now).then_some(1);
-            for (is_new, copies) in [(true, new_copies), (false, old_copies)] {
+            let new_replicas = local.load_due(front_end, now);
+            let old_replicas = local.is_renewal_due(front_end, now).then_some(1);
+            for (is_new, replicas) in [(true, new_replicas), (false, old_replicas)] {
                 let version = if is_new { &local.to } else { &local.from };
-                let (Some(copies), Some(version)) = (copies, version) else {
+                let (Some(replicas), Some(version)) = (replicas, version) else {
                     continue;
                 };
                 let command = PrewarmCommand {
                     run: local.rollout.run,
                     function: function.clone(),
                     version: version.clone(),
-                    copies,
+                    replicas,
                     is_new,
                 };
                 due.push(PrioritizedCommand {
@@ -112,14 +112,14 @@
         due.into_iter().map(|due| due.command).collect()
     }
 
-    /// Handles the result of a command: how many copies are known now, and whether a load command was `sent`.
+    /// Handles the result of a command: how many replicas are known now, and whether a load command was `sent`.
     ///
     /// Failure mode: placements use up the load budget, so that no load command can be sent.
-    /// Risk: the rollout would wait forever. The first invocations load the copy instead, one placement at a time, in
+    /// Risk: the rollout would wait forever. The first invocations load the replica instead, one placement at a time, in
     /// this front end's turn.
     pub fn on_prewarm_result(&mut self, command: &PrewarmCommand, known: usize, sent: bool) {
         if let Some(local) = self.rollout_of_run(command.run).filter(|_| command.is_new) {
-            local.is_ready |= known >= local.wanted_copies || command.copies > 0 && !sent;
+            local.is_ready |= known >= local.needed_replicas || command.replicas > 0 && !sent;
         }
     }
 }
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -65,7 +65,7 @@
         let plan = self.rollout.plan.clone();
         self.own_tests.record(&plan, now, &slots);
         let mut rolled_back = false;
-        if is_isolated && self.step_in_force().is_some() {
+        if is_isolated && self.effective_step().is_some() {
             self.local_rollback = self.rollback_reason(front_ends);
             rolled_back = self.local_rollback.is_some();
         }
@@ -79,7 +79,7 @@
             slots,
             digest_mismatches: std::mem::take(&mut self.digest_mismatches),
             local_rollback: self.local_rollback.clone(),
-            ready: is_ready && self.granted_step == self.rollout.active_step(),
+            ready: is_ready && self.applied_step == self.rollout.active_step(),
             rate,
         };
         LocalEvaluation { delta, rolled_back }
@@ -111,7 +111,7 @@
                 .active_step()
                 .filter(|_| is_ready && !is_isolated)
             {
-                local.granted_step = Some(step);
+                local.applied_step = Some(step);
             }
             if !is_evaluation_due || local.has_ended() {
                 continue;
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -185,7 +185,7 @@
     let none = w
         .order(Command::RollBack {
             name: name(),
-            why: String::new(),
+            reason: String::new(),
         })
         .unwrap_err();
     assert_eq!(none.to_string(), "there is no rollout 'misting'");
@@ -247,7 +247,7 @@
     w.start(plan(""));
     w.order(Command::RollBack {
         name: "misting".into(),
-        why: "withdrawn".into(),
+        reason: "withdrawn".into(),
     })
     .unwrap();
     w.until(5, |_| false);
--- a/crates/rollout/tests/front_end.rs
+++ b/crates/rollout/tests/front_end.rs
@@ -260,15 +260,15 @@
             .into_iter()
             .find(|a| a.is_new)
             .unwrap();
-        wished.push(ahead.copies);
-        if ahead.copies > 1 {
-            shares.on_prewarm_result(&ahead, ahead.copies - 1, true);
+        wished.push(ahead.replicas);
+        if ahead.replicas > 1 {
+            shares.on_prewarm_result(&ahead, ahead.replicas - 1, true);
             assert!(
                 given(&mut shares) <= before + 20,
                 "one copy less than that is not enough"
             );
         }
-        shares.on_prewarm_result(&ahead, ahead.copies, true);
+        shares.on_prewarm_result(&ahead, ahead.replicas, true);
         shares.adopt(now, coordinator.published().clone(), |name| {
             d.function(name)
         });
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -175,7 +175,7 @@
                     function: v.key,
                     concurrency: v.concurrency,
                     load_time: v.load_time,
-                    replicas: ahead.copies,
+                    replicas: ahead.replicas,
                 };
                 let before = fe.orders.given.len();
                 let count = fe.dispatcher.prewarm(now, &wish, &mut fe.orders);
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -170,7 +170,7 @@
     let steps = forecast(&plan("rate: 100,"), &d);
     // 100 a second of 50 ms over 2 lanes filled to 0.7.
     assert_eq!(
-        steps.iter().map(|s| s.copies).collect::<Vec<_>>(),
+        steps.iter().map(|s| s.replicas).collect::<Vec<_>>(),
         [1, 2, 4]
     );
     assert_eq!(
--- a/crates/rollout/tests/stored_formats.rs
+++ b/crates/rollout/tests/stored_formats.rs
@@ -222,7 +222,7 @@
     assert_eq!(
         (
             first.step,
-            first.copies,
+            first.replicas,
             first.load_commands,
             first.answers_to_detect
         ),
