--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -127,7 +127,7 @@
         reply(StatusCode::OK, &body)
     }
 
-    /// The command that starts a plan, with the digests that its aliases name now.
+    /// Builds the command that starts a plan, with the digests to which its aliases currently point.
     fn start(&self, plan: Plan) -> Result<Command, ApiError> {
         let versions = (
             self.digest(&plan.function, &plan.from),
@@ -149,7 +149,7 @@
         })
     }
 
-    /// The digest of a version that is named by an alias, which may have moved since the deployment file, or by a digest.
+    /// Looks up the digest of a version by an alias, which may differ from the deployment file, or by a digest.
     fn digest(&self, function: &str, name: &str) -> Option<String> {
         let coordinator = self.coordinator.borrow();
         let aliases = coordinator.published().aliases.get(function);
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -4,7 +4,7 @@
 use orchidtally_deployment::reader::DeploymentFault;
 use orchidtally_rollout::coordinator::CommandError;
 
-/// A rejected request. The texts are sent in the body of the response.
+/// Why a request is rejected. The messages are sent in the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ApiError {
     /// The body isn't JSON of the expected form.
@@ -14,7 +14,7 @@
     #[error("{0}")]
     UnreadableBody(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// The body didn't arrive in time.
-    #[error("the body came too slowly")]
+    #[error("the request body did not arrive in time")]
     BodyTimeout,
     /// There is no such method and path.
     #[error("there is no {method} {path}")]
@@ -25,17 +25,17 @@
     /// The command isn't possible at present.
     #[error(transparent)]
     Command(#[from] CommandError),
-    /// The command was executed, but its effect couldn't be persisted. The process ends.
+    /// The command was executed, but its effect couldn't be persisted. The process exits.
     #[error("the state can't be kept")]
     NotPersisted,
     /// The plan has faults.
     #[error("the plan has {} faults", .0.len())]
     InvalidPlan(Vec<DeploymentFault>),
     /// The deployment has no version that the plan names.
-    #[error("a version of the plan is not known")]
+    #[error("the plan names an unknown version")]
     UnknownVersion,
-    /// Both names in the plan stand for the same version.
-    #[error("'{from}' and '{to}' name the same version by now")]
+    /// Both names in the plan refer to the same version.
+    #[error("'{from}' and '{to}' now name the same version")]
     SameVersion { from: String, to: String },
     /// There is no rollout with this name.
     #[error("there is no rollout '{0}'")]
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The texts for the operator: one a fault of a plan, otherwise a single one.
+    /// The messages in the body of the response: one for each fault of a plan, otherwise a single one.
     pub(crate) fn faults(&self) -> Vec<String> {
         match self {
             ApiError::InvalidPlan(faults) => faults.iter().map(ToString::to_string).collect(),
--- a/crates/coordinator/src/journal.rs
+++ b/crates/coordinator/src/journal.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use tracing::warn;
 
-/// The journal is compacted into a snapshot once its entries have more bytes than this.
+/// Size of the log in bytes above which the next state is written as a snapshot.
 const SNAPSHOT_THRESHOLD: u64 = 8 * 1024 * 1024;
 
 /// Opens a journal and reads the state in its last entry.
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -24,11 +24,11 @@
     Start {
         /// The text of the plan's file.
         plan: String,
-        /// Whether only to forecast the steps, without starting the rollout.
+        /// Whether to only forecast the steps, without starting the rollout.
         #[serde(rename = "dry")]
         dry_run: bool,
     },
-    /// Pause the present step.
+    /// Pause the current step.
     Pause {
         /// Name of the rollout.
         name: String,
@@ -72,15 +72,15 @@
     pub function: String,
     /// The phase.
     pub phase: Phase,
-    /// Number of the present step, from 1.
+    /// Number of the current step, from 1.
     pub step: usize,
     /// The number of steps.
     pub steps: usize,
     /// The share of the new version.
     pub share: f64,
-    /// Why the rollout is held or has ended.
+    /// The reason for the current phase and step, or for holding the step.
     pub reason: String,
-    /// Duration of the present step in seconds, without pauses.
+    /// Seconds spent in the current step, without pauses.
     #[serde(rename = "time")]
     pub step_duration: f64,
     /// Invocations of the function a second over all front ends.
@@ -99,7 +99,7 @@
 /// Why a coordinator stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It was told to stop.
+    /// The caller requested it.
     Stopped,
     /// Another coordinator with a newer epoch has taken over.
     Superseded(Epoch),
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -22,7 +22,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(500);
 /// Evidence is persisted after this many ticks without a change of the published state.
 const TICKS_PER_PERSIST: u32 = 2;
-/// How long a client may take to send a request.
+/// The time limit for receiving a request's headers, and its body.
 pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most concurrent connections.
 const MAX_CONNECTIONS: usize = 2_000;
@@ -32,7 +32,7 @@
     pub(crate) deployment: Deployment,
     pub(crate) coordinator: RefCell<Coordinator>,
     journal: RefCell<Journal>,
-    /// Why the journal can't be written any more. Nothing may be published that isn't persisted.
+    /// The error of a failed write to the journal. The process exits then, as only persisted states may be published.
     failure: RefCell<Option<io::Error>>,
     ticks_since_persist: Cell<u32>,
     connections: Cell<usize>,
@@ -45,8 +45,8 @@
         .map_or(0.0, |time| time.as_secs_f64())
 }
 
-/// Runs a coordinator on this thread until it is stopped or superseded. Its journal is in `directory`; a message on `stop`,
-/// or its closing, stops it.
+/// Runs a coordinator on this thread until it is stopped or superseded. Its journal is in `directory`. It stops on a
+/// message on `stop`, or when that channel is closed.
 ///
 /// # Errors
 ///
@@ -94,8 +94,8 @@
         )
     }
 
-    /// Persists the state if it has changed. To be called after every change and before it is published. Returns false
-    /// if that failed, which ends the process.
+    /// Persists the state if it has changed. Call it after every change and before publishing. Returns false if that
+    /// failed; the process then exits.
     pub(crate) fn persist_changes(&self) -> bool {
         if self.coordinator.borrow_mut().take_changed()
             && let Err(error) = self.persist()
@@ -123,7 +123,7 @@
                 .set(self.ticks_since_persist.get() + 1);
             let is_due = self.ticks_since_persist.get() >= TICKS_PER_PERSIST;
             if self.persist_changes() && is_due && !self.is_idle() {
-                // Only evidence is lost, which accumulates again.
+                // A failure loses only evidence, which accumulates again.
                 if let Err(error) = self.persist() {
                     warn!(%error, "evidence can't be persisted");
                 }
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -181,7 +181,10 @@
         w.until_runs(&late_caller, "later", NEW).await;
         assert_eq!(phase(at).await, Some(Phase::Shifting));
         let (status, told) = order(at, plan(ALL_AT_ONCE)).await;
-        assert!(status == 409 && told.contains("is on"), "{status} {told}");
+        assert!(
+            status == 409 && told.contains("is in progress"),
+            "{status} {told}"
+        );
     });
     late.end();
     one.end();
--- a/crates/deployment/src/changes.rs
+++ b/crates/deployment/src/changes.rs
@@ -1,14 +1,14 @@
-//! Changes of a deployment file that take effect at a restart only.
+//! Detects changes of a deployment file that take effect only at a restart.
 
 use crate::reader::{DeploymentFault, Document, Place};
 
 /// Sections that can be replaced while a front end runs.
 const REPLACEABLE: [&str; 4] = ["triggerTypes", "customers", "functions", "otherFunctions"];
 
-/// Every section that differs between two texts and takes effect at a restart only, with its place in `after`. Values
-/// are compared as text, without comments and spaces: `1s` and `1000ms` differ.
+/// Returns a fault, at its place in `after`, for each section that differs between two texts and takes effect only at a
+/// restart. Values are compared as text, without comments and spaces: `1s` and `1000ms` differ.
 ///
-/// Both texts should have been parsed without faults; of one that isn't a document the syntax fault is returned.
+/// Both texts should have been parsed without faults. If one has a syntax error, its syntax fault is returned.
 pub fn restart_needed(before: &str, after: &str) -> Vec<DeploymentFault> {
     let (old, new) = (Document::new(before), Document::new(after));
     let Some(old_value) = old.parse() else {
@@ -25,8 +25,9 @@
         if !REPLACEABLE.contains(&name.as_str())
             && before.is_none_or(|(_, before)| differ(before, place))
         {
-            place
-                .fault("has changed, which takes effect at a restart only; restart, or take the change back");
+            place.fault(
+                "has changed, which takes effect at a restart only; restart, or undo the change",
+            );
         }
     }
     for (name, _) in &old_sections {
@@ -34,7 +35,7 @@
             && !new_sections.iter().any(|(remaining, _)| remaining == name)
         {
             root.fault(format!(
-                "'{name}' was taken out, which takes effect at a restart only; restart, or put it back"
+                "'{name}' was removed, which takes effect at a restart only; restart, or put it back"
             ));
         }
     }
--- a/crates/deployment/src/configuration.rs
+++ b/crates/deployment/src/configuration.rs
@@ -1,30 +1,30 @@
-//! The `configuration` section: the store that functions, quotas and trigger types come from while the front end
-//! runs. Without the section there is none.
+//! The `configuration` section: the store from which a running front end receives functions, quotas and trigger types.
+//! Without the section, the deployment file is the only source.
 
 use crate::reader::{Fields, Place};
 use crate::{INDEX_PLACEHOLDER, MISSING_INDEX_FAULT};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Members of the store that may be listed.
+/// The most members of the store.
 const MAX_ENDPOINTS: usize = 16;
-/// How far the freshness bound has to lie below `inForceWithin`, in seconds: what was admitted at the bound still has
-/// to be sent.
+/// The least difference between `inForceWithin` and the freshness bound, in seconds: an invocation that is admitted at
+/// the bound still has to be dispatched.
 const MIN_SLACK: f64 = 1.0;
-/// Proofs of freshness that have to fit into the freshness bound.
+/// The least number of proof intervals that the freshness bound has to cover.
 const MIN_PROOFS: f64 = 3.0;
 const DEFAULT_PREFIX: &str = "orchidtally/config/";
 
-/// What holds while neither a snapshot nor the store's answer has been read.
+/// The behavior until a snapshot or the store's contents are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedBehavior {
     /// Invocations are rejected.
     Refuse,
-    /// The deployment file goes on to hold.
+    /// The deployment file applies.
     Serve,
 }
 
-/// The store of configuration and how it is followed. Times are in seconds.
+/// The configuration store, and how a front end synchronizes with it. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigStoreSettings {
     /// The members of the store.
@@ -33,27 +33,27 @@
     pub prefix: String,
     /// The path of the snapshot, with a placeholder for the front end's index.
     snapshot: String,
-    /// How old the view may be for entries that are refused when stale.
+    /// The greatest age of the view at which entries that are refused when stale still apply.
     pub freshness: f64,
-    /// Within which a change that takes something away is in force everywhere.
+    /// The time within which a revocation applies at all front ends.
     pub max_revocation_delay: f64,
-    /// Between two proofs of freshness.
+    /// Interval of proofs of freshness.
     pub proof_interval: f64,
-    /// Between two comparisons with the store while nothing else asks for one.
+    /// Interval of comparisons with the store when no other event triggers one.
     pub comparison_interval: f64,
-    /// Between two reports at least.
+    /// The shortest interval between two reports.
     pub report_interval: f64,
-    /// Between two snapshots at least.
+    /// The shortest interval between two snapshots.
     pub snapshot_interval: f64,
-    /// The longest random delay before reading after a connection, so that front ends don't read together.
+    /// The longest random delay between connecting and reading, so that front ends don't all read at once.
     pub max_start_delay: f64,
-    /// The rate of reads, in bytes a second.
+    /// The rate limit of reads, in bytes a second.
     pub bytes_per_second: f64,
-    /// What may be read at once after a pause, in bytes.
+    /// The burst size of the rate limit, in bytes.
     pub burst: f64,
-    /// The lease of the front end's report in the store.
+    /// Time to live of the lease of the front end's report.
     pub lease_ttl: f64,
-    /// What holds before anything was read.
+    /// The behavior until a snapshot or the store's contents are read.
     pub unsynced_behavior: UnsyncedBehavior,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads the section, if it is there.
+/// Reads the section, if it is given.
 pub(crate) fn read_configuration(top: &Fields, front_ends: u32) -> Option<ConfigStoreSettings> {
     if !top.at("configuration").is_given() {
         return None;
@@ -90,10 +90,10 @@
         ],
     );
     let store = fields.at("store").object(&["endpoints", "prefix"]);
-    let time = |key, range, absent| {
+    let time = |key, range, default| {
         fields
             .optional(key, |place| place.seconds(range))
-            .unwrap_or(absent)
+            .unwrap_or(default)
     };
     let unsynced_behavior = [
         ("refuse", UnsyncedBehavior::Refuse),
@@ -159,7 +159,7 @@
     Some(path)
 }
 
-/// The times have to leave room for each other.
+/// Records a fault for each interval that doesn't fit into the time limit that depends on it.
 fn check_times(fields: &Fields, configuration: &ConfigStoreSettings) {
     let ConfigStoreSettings {
         freshness,
--- a/crates/deployment/src/customers.rs
+++ b/crates/deployment/src/customers.rs
@@ -1,4 +1,4 @@
-//! The `customers` section: who has a quota.
+//! The `customers` section: the customers and their quotas.
 
 use crate::reader::Place;
 
--- a/crates/deployment/src/deployment.rs
+++ b/crates/deployment/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A deployment as a whole, and its top level in the file.
+//! The deployment, and the top level of its file.
 
 use crate::configuration::{ConfigStoreSettings, read_configuration};
 use crate::customers::read_customers;
@@ -18,9 +18,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Names of locations, and of kinds of executors, that can be told apart.
+/// The most locations, and the most kinds of executors.
 const MAX_NAMES: usize = 250;
-/// Where a front end listens unless the file says otherwise.
+/// The default listen address.
 const DEFAULT_LISTEN_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 7300);
 
 /// The keys at the top level.
@@ -50,56 +50,58 @@
     "configuration",
 ];
 
-/// A deployment as its file describes it.
+/// The contents of a deployment file.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// The name of the deployment.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the front end accepts clients.
     pub listen: SocketAddr,
     /// The configuration of the dispatch policy.
     pub policy: PolicyConfig,
-    /// What the program needs of each trigger type besides; in the order of `policy.trigger_types`.
+    /// Further settings of the trigger types, in the order of `policy.trigger_types`.
     pub trigger_types: Vec<TriggerTypeSettings>,
     /// Names of customers, in the order of `policy.quotas`.
     pub customers: Vec<String>,
-    /// The functions that are listed, by name.
+    /// The listed functions, by name.
     pub functions: HashMap<Rc<str>, Function>,
-    /// The template of any function that is not listed; without it such a function is unknown.
+    /// The template of unlisted functions; `None` if they are rejected.
     pub other_functions: Option<Function>,
-    /// Names of locations, by the index that the policy calls a zone.
+    /// Names of locations, by index. The policy calls this index a zone.
     pub locations: Vec<String>,
     /// Names of kinds of executors, by index.
     pub kinds: Vec<String>,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub endpoint_source: EndpointSource,
-    /// The networks in which executors may be; empty for any.
+    /// The networks in which executors are allowed; empty for any.
     pub allowed_networks: Vec<IpNet>,
-    /// The coordinators that are asked for rollouts; each is told of the others' terms.
+    /// The coordinators that are polled for rollouts. Reports pass the newest term on to each of them.
     pub coordinators: Vec<SocketAddr>,
-    /// Seconds between two questions to a coordinator.
+    /// The polling interval of coordinators in seconds.
     pub rollout_poll_interval: f64,
-    /// The store that changes of configuration come from, where there is one.
+    /// The configuration store, if there is one.
     pub configuration: Option<ConfigStoreSettings>,
-    /// The journal of durable invocations, where there is one.
+    /// The journal of durable invocations, if there is one.
     pub journal: Option<JournalSettings>,
-    /// Bounds of the front end.
+    /// The limits of the front end.
     pub limits: Limits,
 }
 
 impl Deployment {
-    /// Parses a description.
+    /// Parses a deployment file.
     ///
     /// # Errors
-    /// Every fault in it, in the order of the text.
+    ///
+    /// All faults, in the order of the text.
     pub fn parse(text: &str) -> Result<Deployment, Vec<DeploymentFault>> {
         Deployment::parse_with(text, |_, _| ()).map(|(deployment, ())| deployment)
     }
 
-    /// Parses a description, and its `mqtt` section by a function of another package, in one pass over the faults.
+    /// Parses a deployment file, and its `mqtt` section with `read_mqtt`; the faults of both are returned together.
     ///
     /// # Errors
-    /// Every fault in it, in the order of the text.
+    ///
+    /// All faults, in the order of the text.
     pub fn parse_with<T>(
         text: &str,
         read_mqtt: impl FnOnce(&Place, &Deployment) -> T,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// A function by its name, listed or not.
+    /// Finds a function by its name; an unlisted one is created from the template.
     pub fn function(&self, name: &str) -> Option<Function> {
         let listed = self.functions.get(name).cloned();
         listed.or_else(|| {
@@ -136,21 +138,21 @@
         })
     }
 
-    /// The index of a trigger type by its name.
+    /// Finds the index of a trigger type by its name.
     pub fn trigger_type(&self, name: &str) -> Option<usize> {
         self.trigger_types
             .iter()
             .position(|trigger_type| trigger_type.name == name)
     }
 
-    /// Whether an executor may be at an address.
+    /// Whether executors are allowed at an address.
     pub fn allows_address(&self, address: SocketAddr) -> bool {
         let mut networks = self.allowed_networks.iter();
         self.allowed_networks.is_empty() || networks.any(|network| network.contains(&address.ip()))
     }
 }
 
-/// Reads all sections but `mqtt`. What is missing or wrong has a stand-in, and a fault is recorded.
+/// Reads all sections but `mqtt`. For each missing or invalid value it records a fault and continues with a default.
 fn read_deployment(top: &Fields) -> Deployment {
     let name = top.optional("name", Place::text);
     let listen = top.optional("listen", |place| {
--- a/crates/deployment/src/endpoint_source.rs
+++ b/crates/deployment/src/endpoint_source.rs
@@ -1,4 +1,4 @@
-//! The `executors` section: where the endpoint list comes from, and in which networks executors may be.
+//! The `executors` section: the source of the endpoint list, and the networks in which executors are allowed.
 
 use crate::names::index_of_name;
 use crate::reader::{Fields, Place};
@@ -11,34 +11,34 @@
 const DEFAULT_PREFIX: &str = "/orchidtally/";
 const DEFAULT_LEASE_TTL: f64 = 10.0;
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointSource {
-    /// The executors that the file lists.
+    /// The executors listed in the deployment file.
     Listed(Vec<Endpoint>),
     /// A publisher that streams the endpoint list and its changes.
     Publisher(SocketAddr),
-    /// etcd, where executors and front ends have their entries.
+    /// etcd, in which executors and front ends are registered.
     Etcd(EtcdSettings),
 }
 
-/// How endpoints and front ends are found in etcd.
+/// The etcd cluster in which endpoints and front ends are registered.
 #[derive(Clone, Debug)]
 pub struct EtcdSettings {
     /// The members of the cluster.
     pub endpoints: Vec<SocketAddr>,
     /// The prefix of all keys.
     pub prefix: String,
-    /// Seconds for which a front end's entry outlives its last renewal.
+    /// Time to live of a front end's lease after its last renewal, in seconds.
     pub lease_ttl: f64,
 }
 
-/// What the trigger types require of the executors that are listed.
+/// The requirements of the trigger types on the executors that are listed.
 #[derive(Clone, Copy)]
 pub(crate) struct Requirements {
-    /// Keyed invocations are deduplicated within a cell: each executor has to state its own.
+    /// Whether keyed invocations are deduplicated within a cell, so that each executor has to have one.
     by_cell: bool,
-    /// Keyed invocations are deduplicated within a location: each has to have an executor.
+    /// Whether keyed invocations are deduplicated within a location, so that each location has to have an executor.
     by_zone: bool,
 }
 
@@ -140,7 +140,7 @@
     kinds: &'a [String],
     allowed: &'a [IpNet],
     requirements: Requirements,
-    /// What was read so far.
+    /// The executors read so far.
     endpoints: Vec<Endpoint>,
 }
 
@@ -156,7 +156,7 @@
         if self.requirements.by_zone && !self.endpoints.is_empty() {
             for location in self.empty_locations() {
                 list.fault(format!(
-                    "no executor is in '{location}', a location within which tokens are dropped"
+                    "no executor is in '{location}', but a trigger type deduplicates tokens within locations"
                 ));
             }
         }
@@ -173,7 +173,7 @@
         if self.requirements.by_cell && !fields.at("cell").is_given() {
             fields
                 .at("cell")
-                .fault("is missing; a trigger type's tokens are dropped within cells");
+                .fault("is missing; a trigger type deduplicates tokens within cells");
         }
         let weight = fields.optional("weight", |place| place.number(0.001..=1e6));
         let (Some(address), Some(zone), Some(kind)) = (address, zone, kind) else {
--- a/crates/deployment/src/front_ends.rs
+++ b/crates/deployment/src/front_ends.rs
@@ -1,4 +1,4 @@
-//! The `frontEnds` section: how many there are, which of them this is, and what their clocks may differ by.
+//! The `frontEnds` section: the number of front ends, the index of this one, and the largest skew of their clocks.
 
 use crate::reader::Fields;
 
@@ -14,7 +14,7 @@
     pub(crate) clock_tick: f64,
 }
 
-/// Reads the section; one front end where it is left out.
+/// Reads the section; there is one front end if it is left out.
 pub(crate) fn read_front_ends(top: &Fields) -> FrontEnds {
     let fields = top.optional_object("frontEnds", &["count", "index", "clockSkew", "tick"]);
     let count = fields.optional("count", |place| place.integer(1..=100_000));
@@ -23,7 +23,7 @@
     let index = index.unwrap_or(0);
     if index >= count {
         fields.at("index").fault(format!(
-            "{index} is no index among {count} front ends; 0 to {} is",
+            "{index} is not an index of {count} front ends, 0 to {} is wanted",
             count - 1
         ));
     }
--- a/crates/deployment/src/functions.rs
+++ b/crates/deployment/src/functions.rs
@@ -5,36 +5,36 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// What runs under a function's name. Replicas, placements and reports are of a version.
+/// A version of a function. Replicas, placements and load reports belong to a version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Version {
-    /// SHA-256 of its package in hexadecimal digits; empty where the file names none.
+    /// SHA-256 of its package in hexadecimal digits; empty if the file has no versions for the function.
     pub digest: Rc<str>,
-    /// The number by which all front ends know it.
+    /// The identifier of the version, the same at all front ends.
     pub key: u64,
-    /// Invocations that one replica runs at a time.
+    /// The most invocations that one replica runs at a time.
     pub concurrency: f64,
     /// Bytes of memory of a replica.
     pub memory: f64,
-    /// Usual seconds of a load, where given.
+    /// Expected duration of a load in seconds, if given.
     pub load_time: Option<f64>,
-    /// Usual seconds of work of an invocation, where given.
+    /// Expected work of an invocation in seconds, if given.
     pub expected_work: Option<f64>,
 }
 
 /// A function, its versions and their aliases.
 #[derive(Clone, Debug)]
 pub struct Function {
-    /// Its name.
+    /// The name of the function.
     pub name: Rc<str>,
-    /// Its versions; one without a digest where the file lists none.
+    /// The versions; one without a digest if the file lists none.
     pub versions: Rc<[Version]>,
     /// Names of versions, each with an index into `versions`.
     pub aliases: Rc<BTreeMap<String, usize>>,
 }
 
 impl Function {
-    /// A version by an alias, or by a digest with or without `sha256:` before it.
+    /// Finds a version by an alias, or by a digest with or without the prefix `sha256:`.
     pub fn version(&self, name: &str) -> Option<&Version> {
         let aliased = self.aliases.get(name);
         let by_alias = aliased.and_then(|&index| self.versions.get(index));
@@ -46,7 +46,7 @@
     }
 }
 
-/// The number by which all front ends know a function: the first bytes of its name's SHA-256.
+/// Returns the identifier of a function, the same at all front ends: the first 8 bytes of the SHA-256 of its name.
 pub fn function_key(name: &str) -> u64 {
     let digest = Sha256::digest(name.as_bytes());
     u64::from_be_bytes(digest[..8].try_into().expect("a digest has 32 bytes"))
@@ -56,13 +56,13 @@
 const MAX_NAME_BYTES: usize = 256;
 /// The longest alias.
 const MAX_ALIAS_BYTES: usize = 64;
-/// The alias of the version that invocations without one get.
+/// The alias of invocations that name none.
 const DEFAULT_ALIAS: &str = "stable";
 const VERSION_KEYS: [&str; 4] = ["lanes", "memory", "loadTime", "work"];
-/// Bytes of memory of a replica where the file gives none.
+/// Bytes of memory of a replica if the file gives none.
 const DEFAULT_MEMORY: f64 = 256e6;
 
-/// Reads a version. What it leaves out it has from its function, if that is given.
+/// Reads a version. Missing values are those of its function, if that is given.
 fn read_version(fields: &Fields, key: u64, digest: Rc<str>, function: Option<&Version>) -> Version {
     let concurrency = fields.optional("lanes", |place| place.integer(1..=100_000));
     let memory = fields.optional("memory", |place| place.bytes(1.0..=1e13));
@@ -83,10 +83,11 @@
     }
 }
 
-/// Checks a version's digest as it is written in configuration, and returns its digits.
+/// Checks a version's digest with its prefix `sha256:`, and returns its digits.
 ///
 /// # Errors
-/// What is wanted instead.
+///
+/// The expected form.
 pub fn check_digest(text: &str) -> Result<&str, &'static str> {
     let digits = text
         .strip_prefix("sha256:")
@@ -98,14 +99,15 @@
     if is_digest {
         Ok(digits)
     } else {
-        Err("64 hexadecimal digits in small letters are wanted")
+        Err("64 hexadecimal digits in lower case are wanted")
     }
 }
 
 /// Checks a function's name.
 ///
 /// # Errors
-/// What is wanted instead.
+///
+/// The expected form.
 pub fn check_function_name(name: &str) -> Result<(), &'static str> {
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains(is_forbidden) {
         return Err("1 to 256 bytes, without '/', '@' and spaces");
@@ -117,7 +119,7 @@
     check_digest(text).map(Rc::from)
 }
 
-/// Reads the functions that are listed, and the template of those that are not.
+/// Reads the listed functions, and the template of unlisted ones.
 pub(crate) fn read_functions(top: &Fields) -> (HashMap<Rc<str>, Function>, Option<Function>) {
     let mut functions = HashMap::new();
     for place in top.at("functions").list() {
@@ -134,7 +136,7 @@
     });
     if !top.at("functions").is_given() && !top.at("otherFunctions").is_given() {
         top.at("functions")
-            .fault("is missing; list functions, or say under 'otherFunctions' what any has");
+            .fault("is missing; list functions, or describe unlisted ones under 'otherFunctions'");
     }
     (functions, other_functions)
 }
@@ -162,7 +164,7 @@
     } else if !aliases.contains_key(DEFAULT_ALIAS) {
         fields
             .at("aliases")
-            .fault("'stable' is missing: it names the version that plain invocations get");
+            .fault("'stable' is missing; invocations without an alias get its version");
     }
     Function {
         name: name.into(),
@@ -195,7 +197,7 @@
         return aliases;
     }
     if versions.is_empty() {
-        place.fault("there are no versions for them to name; list some under 'versions'");
+        place.fault("aliases need versions; list some under 'versions'");
     }
     for (alias, place) in place.entries() {
         if !is_alias(&alias) {
--- a/crates/deployment/src/journal.rs
+++ b/crates/deployment/src/journal.rs
@@ -1,4 +1,4 @@
-//! The `journal` section: where durable invocations are kept, and for how long.
+//! The `journal` section: the directory and the retention of durable invocations.
 
 use crate::reader::Fields;
 use crate::{INDEX_PLACEHOLDER, MISSING_INDEX_FAULT, TriggerTypeSettings};
@@ -13,11 +13,11 @@
 pub struct JournalSettings {
     /// The path of the directory, with a placeholder for the front end's index.
     directory: String,
-    /// With more bytes of entries and state nothing new is accepted.
+    /// The size of entries and state, in bytes, above which no new invocations are accepted.
     pub max_bytes: u64,
-    /// Seconds for which an answer is kept.
+    /// Seconds for which an answer is retained.
     pub retention: f64,
-    /// Answers that are kept at most.
+    /// The most answers that are retained.
     pub max_retained: usize,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Reads the section; it has to be there where a trigger type is durable.
+/// Reads the section. It is required if a trigger type is durable.
 pub(crate) fn read_journal(
     top: &Fields,
     front_ends: u32,
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,7 +1,7 @@
 //! The description of a deployment, in JSON5.
 //!
-//! It is checked as a whole: every fault is reported in one pass, with line, column, key and what would be right. A
-//! sound description is decoded once, into the policy's `PolicyConfig` and into what the program needs besides.
+//! The description is checked as a whole: all faults are reported in one pass, with line, column, key and the expected
+//! value. A valid description is decoded into the dispatch policy's `PolicyConfig` and the settings of a front end.
 
 mod changes;
 mod configuration;
@@ -29,9 +29,8 @@
 pub use reader::DeploymentFault;
 pub use trigger_types::TriggerTypeSettings;
 
-/// Stands for the front end's index in the paths of files that each front end has for itself.
+/// The placeholder for the front end's index in paths of files that front ends can't share.
 const INDEX_PLACEHOLDER: &str = "{index}";
 
-/// The fault of a path that several front ends would share.
-const MISSING_INDEX_FAULT: &str =
-    "there are several front ends; '{index}' has to stand in it for each one's own";
+/// The fault of a path without the placeholder where there are several front ends.
+const MISSING_INDEX_FAULT: &str = "there are several front ends; the path has to contain '{index}'";
--- a/crates/deployment/src/limits.rs
+++ b/crates/deployment/src/limits.rs
@@ -1,4 +1,4 @@
-//! The `limits` section: what a front end grants its clients and opens to executors.
+//! The `limits` section: a front end's limits on clients and on connections to executors.
 
 use crate::TriggerTypeSettings;
 use crate::reader::Fields;
@@ -25,53 +25,53 @@
     "idleClose",
 ];
 
-/// HTTP libraries want header buffers of at least, and at most, so many bytes.
+/// The sizes of header buffers, in bytes, that the HTTP libraries support.
 const HEADER_BYTES_RANGE: RangeInclusive<f64> = 8_192.0..=1e6;
 
-/// Bounds of a front end. Times are in seconds.
+/// The limits of a front end. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Invocations without a final answer.
+    /// The most invocations without a final answer.
     pub max_open_invocations: usize,
-    /// Connections from clients.
+    /// The most connections from clients.
     pub max_connections: usize,
-    /// Bytes of a request's headers.
+    /// The most bytes of a request's headers.
     pub max_header_bytes: u32,
-    /// Bytes of a request's body.
+    /// The most bytes of a request's body.
     pub max_body_bytes: usize,
-    /// Bytes of a response's body.
+    /// The most bytes of a response's body.
     pub max_response_bytes: usize,
-    /// Within which a client has to have sent headers, and then the body.
+    /// The time limit for receiving a request's headers, and then its body.
     pub request_read_timeout: f64,
-    /// How much earlier than the client timeout a response is sent.
+    /// How long before the client timeout a response is sent at the latest.
     pub response_margin: f64,
-    /// How much earlier still for each open invocation, since responses that are due together are sent one by one.
+    /// The additional margin for each open invocation, since responses that are due together are sent one by one.
     pub response_margin_per_open: f64,
-    /// HTTP/2 streams on one connection to an executor.
+    /// The most HTTP/2 streams on one connection to an executor.
     pub max_streams_per_connection: usize,
-    /// Connections to one executor.
+    /// The most connections to one executor.
     pub max_connections_per_executor: usize,
-    /// Within which a connection to an executor has to be made.
+    /// The time limit for connecting to an executor.
     pub connect_timeout: f64,
-    /// After which an idle connection to an executor is closed.
+    /// The time after which an idle connection to an executor is closed.
     pub idle_timeout: f64,
-    /// After which a load command without an answer is given up.
+    /// The time after which a load command without an answer is considered failed.
     pub load_command_timeout: f64,
 }
 
-/// Reads the bounds.
+/// Reads the limits.
 pub(crate) fn read_limits(limits: &Fields, loading: &Fields) -> Limits {
-    let count = |key, range, absent: u32| {
+    let count = |key, range, default: u32| {
         let read = limits.optional(key, |place| place.integer(range));
-        read.unwrap_or(absent) as usize
+        read.unwrap_or(default) as usize
     };
-    let bytes = |key, absent| {
+    let bytes = |key, default| {
         let read = limits.optional(key, |place| place.bytes(1.0..=1e10));
-        read.unwrap_or(absent)
+        read.unwrap_or(default)
     };
-    let time = |key, max, absent| {
+    let time = |key, max, default| {
         let read = limits.optional(key, |place| place.seconds(0.001..=max));
-        read.unwrap_or(absent)
+        read.unwrap_or(default)
     };
     let header_bytes =
         |bytes: f64| bytes.clamp(*HEADER_BYTES_RANGE.start(), *HEADER_BYTES_RANGE.end()) as u32;
@@ -96,7 +96,7 @@
     }
 }
 
-/// Every client timeout has to leave time beside the margin.
+/// Checks that each client timeout is longer than twice the response margin.
 pub(crate) fn check_response_margin(
     fields: &Fields,
     limits: &Limits,
--- a/crates/deployment/src/names.rs
+++ b/crates/deployment/src/names.rs
@@ -2,8 +2,8 @@
 
 use crate::reader::{Fields, Place};
 
-/// Reads a list of distinct names; `absent` alone if none is given.
-pub(crate) fn read_names(place: &Place, absent: &str, max: usize) -> Vec<String> {
+/// Reads a list of distinct names; it consists of `default` if none is given.
+pub(crate) fn read_names(place: &Place, default: &str, max: usize) -> Vec<String> {
     let list = place.list();
     if list.len() > max {
         place.fault(format!("{} are too many, {max} at most", list.len()));
@@ -19,12 +19,12 @@
         }
     }
     if names.is_empty() {
-        names.push(absent.into());
+        names.push(default.into());
     }
     names
 }
 
-/// The index of the name that a key holds; the first where it is left out.
+/// Reads the index of the name at a key; 0 if the key is left out.
 pub(crate) fn index_of_name(fields: &Fields, key: &str, names: &[String]) -> Option<u8> {
     let place = fields.at(key);
     if !place.is_given() {
--- a/crates/deployment/src/policy.rs
+++ b/crates/deployment/src/policy.rs
@@ -20,12 +20,12 @@
     "answerWithin",
 ];
 
-/// The name of the load report's field that holds the invocations waiting.
+/// The name of the load report's field for the number of waiting invocations.
 const BACKLOG_FIELD: &str = "backlog";
-/// The name of the field that holds the loads under way or waiting.
+/// The name of the load report's field for the number of loads in progress or waiting.
 const PENDING_LOADS_FIELD: &str = "loads";
 
-/// What the policy's configuration is read from.
+/// The sections from which the policy's configuration is read.
 pub(crate) struct PolicySections<'s, 'a, 'd> {
     pub(crate) top: &'s Fields<'a, 'd>,
     pub(crate) limits: &'s Fields<'a, 'd>,
@@ -36,7 +36,7 @@
 }
 
 impl PolicySections<'_, '_, '_> {
-    /// Reads the configuration around what other sections gave.
+    /// Reads the configuration; the parameters are the values of sections that are read elsewhere.
     pub(crate) fn read(
         &self,
         trigger_types: Vec<TriggerType>,
@@ -48,13 +48,13 @@
         let reports = self.top.at("reports").list();
         let reports: Vec<String> = reports.iter().filter_map(Place::text).collect();
         let report_field = |name| reports.iter().position(|field| field == name);
-        let number = |fields: &Fields, key, range, absent| {
+        let number = |fields: &Fields, key, range, default| {
             let read = fields.optional(key, |place| place.number(range));
-            read.unwrap_or(absent)
+            read.unwrap_or(default)
         };
-        let seconds = |fields: &Fields, key, range, absent| {
+        let seconds = |fields: &Fields, key, range, default| {
             let read = fields.optional(key, |place| place.seconds(range));
-            read.unwrap_or(absent)
+            read.unwrap_or(default)
         };
         let Self {
             top,
@@ -84,7 +84,7 @@
             slow_start_initial_weight: number(safety, "coldFrom", 0.001..=1.0, 0.15),
             overload_factor: number(safety, "overloadFactor", 1.0..=100.0, 2.0),
             overload_window: seconds(safety, "fall", 0.01..=60.0, 1.0),
-            // Deployment files state no grace for drains: the policy takes its own.
+            // Deployment files have no setting for the drain grace; 0 selects the policy's default.
             drain_grace: 0.0,
             max_clock_skew: self.front_ends.max_clock_skew,
             allows_load_commands,
@@ -100,14 +100,15 @@
         }
     }
 
-    /// Whether load commands are allowed, and whether executors reject what they have not loaded.
+    /// Reads whether load commands are allowed, and whether executors reject invocations of functions that they haven't
+    /// loaded.
     fn read_load_commands(&self) -> (bool, bool) {
         let allows_load_commands = self.loading.at("orders").flag(true);
         let rejects_unloaded = self.loading.at("answersMiss").flag(false);
         if rejects_unloaded && !allows_load_commands {
-            self.loading
-                .at("answersMiss")
-                .fault("executors that answer 'miss' load by orders alone; orders are off");
+            self.loading.at("answersMiss").fault(
+                "executors that answer 'miss' load only on load commands, which 'orders' turns off",
+            );
         }
         (allows_load_commands, rejects_unloaded)
     }
--- a/crates/deployment/src/reader/canonical.rs
+++ b/crates/deployment/src/reader/canonical.rs
@@ -1,8 +1,8 @@
-//! Values as text that is the same however they were written.
+//! The canonical text of values.
 
 use jsonc_parser::ast::{ObjectProp, Value};
 
-/// A value as text, independent of its spaces, comments and order of keys.
+/// Returns a value as text that doesn't depend on spaces, comments and the order of keys.
 pub(super) fn canonical_text(value: &Value) -> String {
     match value {
         Value::StringLit(text) => format!("{:?}", text.value),
--- a/crates/deployment/src/reader/fields.rs
+++ b/crates/deployment/src/reader/fields.rs
@@ -4,7 +4,7 @@
 use jsonc_parser::ast::Object;
 use jsonc_parser::common::Ranged;
 
-/// The fields of an object; none where the object is missing.
+/// The fields of an object; empty if the object is missing.
 pub struct Fields<'a, 'd> {
     place: Place<'a, 'd>,
     object: Option<&'d Object<'a>>,
--- a/crates/deployment/src/reader/mod.rs
+++ b/crates/deployment/src/reader/mod.rs
@@ -1,4 +1,4 @@
-//! Walks a JSON5 document and records every fault with its place, so that one pass reports all of them.
+//! A reader of JSON5 documents that records each fault with its place, so that one pass reports all of them.
 
 mod canonical;
 mod fields;
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 use std::fmt;
 
-/// What is wrong in a deployment file, where, and what would be right.
+/// A fault in a deployment file, with its place and the expected value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeploymentFault {
     /// The line, from 1.
@@ -22,7 +22,7 @@
     pub column: usize,
     /// The path of the key, such as `triggerTypes[0].name`; empty for the document as a whole.
     pub key: String,
-    /// What is wrong and what is wanted.
+    /// A description of the fault and of the expected value.
     pub message: String,
 }
 
@@ -32,12 +32,12 @@
             line,
             column,
             key,
-            message: what,
+            message,
         } = self;
         if key.is_empty() {
-            write!(f, "{line}:{column}: {what}")
+            write!(f, "{line}:{column}: {message}")
         } else {
-            write!(f, "{line}:{column}: {key}: {what}")
+            write!(f, "{line}:{column}: {key}: {message}")
         }
     }
 }
@@ -56,7 +56,7 @@
 }
 
 impl<'a> Document<'a> {
-    /// A document that nothing was read of.
+    /// Creates a document that isn't parsed yet.
     pub fn new(text: &'a str) -> Document<'a> {
         Document {
             text,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The place of the whole value.
+    /// The place of the top-level value.
     pub fn root<'d>(&'d self, value: &'d Value<'a>) -> Place<'a, 'd> {
         Place {
             document: self,
@@ -98,7 +98,7 @@
         faults
     }
 
-    pub(super) fn record(&self, at: usize, key: &str, what: String) {
+    pub(super) fn record(&self, at: usize, key: &str, message: String) {
         let before = &self.text[..at.min(self.text.len())];
         let line = 1 + before.matches('\n').count();
         let column = 1 + before.chars().rev().take_while(|&c| c != '\n').count();
@@ -106,7 +106,7 @@
             line,
             column,
             key: key.into(),
-            message: what,
+            message,
         });
     }
 }
--- a/crates/deployment/src/reader/place.rs
+++ b/crates/deployment/src/reader/place.rs
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// A name at most so far from a known key is taken for a typing error.
+/// The largest edit distance at which a known key is suggested in place of an unknown one.
 const MAX_TYPO_DISTANCE: usize = 3;
 
 /// A place in a document: a value, if one is given there, and the key that leads to it.
@@ -35,8 +35,8 @@
 
 impl<'a, 'd> Place<'a, 'd> {
     /// Records a fault here.
-    pub fn fault(&self, what: impl Into<String>) {
-        self.document.record(self.at, &self.key, what.into());
+    pub fn fault(&self, message: impl Into<String>) {
+        self.document.record(self.at, &self.key, message.into());
     }
 
     /// Whether a value is given.
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The object here. Every key of it has to be among `keys`, and given once.
+    /// Reads an object. Each of its keys has to be one of `keys`, and given once.
     pub fn object(&self, keys: &[&str]) -> Fields<'a, 'd> {
         let object = match self.value {
             Some(Value::Object(object)) => Some(object),
@@ -78,7 +78,7 @@
         Fields::new(self.clone(), object)
     }
 
-    /// The entries of an object whose keys are free.
+    /// Reads the entries of an object with arbitrary keys.
     pub fn entries(&self) -> Vec<(String, Place<'a, 'd>)> {
         let Some(Value::Object(object)) = self.value else {
             self.report_type("an object");
@@ -110,7 +110,7 @@
         self.value.map_or_else(String::new, canonical_text)
     }
 
-    /// The elements of a list; none where it is left out.
+    /// Reads the elements of a list; none if it is left out.
     pub fn list(&self) -> Vec<Place<'a, 'd>> {
         match self.value {
             Some(Value::Array(list)) => {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// A text that is not empty.
+    /// Reads a text that is not empty.
     pub fn text(&self) -> Option<String> {
         match self.value {
             Some(Value::StringLit(s)) if !s.value.is_empty() => Some(s.value.to_string()),
@@ -145,7 +145,7 @@
         }
     }
 
-    /// A text parsed by `read`, whose error is reported.
+    /// Reads a text and parses it by `read`; an error is recorded as a fault.
     pub fn parsed<T, E: fmt::Display>(
         &self,
         wanted: &str,
@@ -157,7 +157,7 @@
             .ok()
     }
 
-    /// One of some names, and the value that it stands for.
+    /// Reads one of some names, and returns its value.
     pub fn choice<T: Copy>(&self, names: &[(&str, T)]) -> Option<T> {
         let text = self.text()?;
         let found = names.iter().find(|n| n.0 == text).map(|n| n.1);
@@ -168,14 +168,14 @@
         found
     }
 
-    /// True or false; `absent` if nothing is given.
-    pub fn flag(&self, absent: bool) -> bool {
+    /// Reads a flag; `default` if nothing is given.
+    pub fn flag(&self, default: bool) -> bool {
         match self.value {
-            None => absent,
+            None => default,
             Some(Value::BooleanLit(b)) => b.value,
             Some(_) => {
                 self.report_type("true or false");
-                absent
+                default
             }
         }
     }
@@ -197,7 +197,7 @@
         None
     }
 
-    /// A number within a range.
+    /// Reads a number within a range.
     pub fn number(&self, range: RangeInclusive<f64>) -> Option<f64> {
         let number = match self.value {
             Some(Value::NumberLit(n)) => n.value.trim_start_matches('+').parse::<f64>().ok(),
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A whole number within a range.
+    /// Reads a whole number within a range.
     pub fn integer(&self, range: RangeInclusive<u32>) -> Option<u32> {
         let number = self.number(f64::from(*range.start())..=f64::from(*range.end()))?;
         if number.fract() != 0.0 {
@@ -222,14 +222,14 @@
         Some(number as u32)
     }
 
-    /// A time such as `250ms`, in seconds, within a range.
+    /// Reads a time such as `250ms`; returns seconds within a range.
     pub fn seconds(&self, range: RangeInclusive<f64>) -> Option<f64> {
         self.quantity(range, "a time such as '250ms', '1.5s', '2m'", &TIMES, |n| {
             format!("{n} s")
         })
     }
 
-    /// A size such as `64MiB`, in bytes, within a range.
+    /// Reads a size such as `64MiB`; returns bytes within a range.
     pub fn bytes(&self, range: RangeInclusive<f64>) -> Option<f64> {
         self.quantity(range, "a size such as '64KiB', '1.5GB'", &SIZES, |n| {
             format!("{n} bytes")
@@ -257,7 +257,7 @@
     }
 }
 
-/// The fault of a key that an object does not have, with the name that was probably meant.
+/// The message for an unknown key, with the most similar known key as a suggestion.
 fn unknown_key(name: &str, keys: &[&str]) -> String {
     let nearest = keys
         .iter()
@@ -268,7 +268,7 @@
     format!("unknown key{hint} (known here: {})", keys.join(", "))
 }
 
-/// The Levenshtein distance: how many letters have to change to make one name the other.
+/// The Levenshtein distance: the least number of insertions, deletions and substitutions that turn `a` into `b`.
 fn edit_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.chars().count()).collect();
     for (i, left) in a.chars().enumerate() {
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -1,11 +1,11 @@
-//! The `regions` section: which locations are near each other. Without it functions are placed anywhere.
+//! The `regions` section: groups of nearby locations. Without it, functions are placed anywhere.
 
 use crate::reader::{Fields, Place};
 
-/// Regions at the most: as many as locations.
+/// The most regions: as many as locations.
 const MAX_REGIONS: usize = 250;
 
-/// Reads the region of each location, by the location's index; empty where the section is left out.
+/// Reads the region of each location, by the location's index; empty if the section is left out.
 pub(crate) fn read_regions(top: &Fields, locations: &[String]) -> Vec<Option<u8>> {
     let section = top.at("regions");
     if !section.is_given() {
@@ -87,7 +87,7 @@
         };
         match self.of_locations[location] {
             Some(other) => place.fault(format!(
-                "is in region '{}' already; a location stands in one",
+                "is in region '{}' already; a location belongs to one region",
                 self.names[usize::from(other)]
             )),
             None => self.of_locations[location] = Some(region as u8),
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -1,16 +1,16 @@
-//! The `triggerTypes` section: what is promised to each class of invocations.
+//! The `triggerTypes` section: the latency objective, client timeout and delivery semantics of each trigger type.
 
 use crate::reader::{Fields, Place};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 
-/// What the program needs of a trigger type besides what the policy needs.
+/// The settings of a trigger type that the dispatch policy doesn't use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TriggerTypeSettings {
-    /// Its name.
+    /// The name of the trigger type.
     pub name: String,
-    /// Responses are passed on from their first byte.
+    /// Whether responses are streamed to the client from their first byte.
     pub streams_responses: bool,
-    /// Invocations over HTTP are journalled under their idempotency keys before they are dispatched.
+    /// Whether invocations over HTTP are journalled under their idempotency keys before they are dispatched.
     pub is_durable: bool,
 }
 
@@ -87,7 +87,7 @@
     Some((settings, trigger_type))
 }
 
-/// Reads among which executors, and for how many seconds, idempotency keys are remembered.
+/// Reads the deduplication scope and the deduplication window in seconds.
 fn read_deduplication(
     fields: &Fields,
     idempotency: Option<Idempotency>,
@@ -118,10 +118,10 @@
     let durable = fields.at("journalled");
     let is_durable = durable.flag(false);
     if is_durable && idempotency.is_some_and(|effect| effect != Idempotency::NonIdempotent) {
-        durable.fault("only a non-idempotent trigger type gains by it");
+        durable.fault("only a non-idempotent trigger type can be journalled");
     }
     if is_durable && streams_responses {
-        durable.fault("a streamed answer can't be kept");
+        durable.fault("a streamed answer can't be journalled");
     }
     (streams_responses, is_durable)
 }
--- a/crates/deployment/tests/changes.rs
+++ b/crates/deployment/tests/changes.rs
@@ -57,7 +57,7 @@
         })
         .collect();
     let expected = [
-        "1:1: 'executors' was taken out",
+        "1:1: 'executors' was removed",
         "2:11: name: has changed",
         "2:26: crossing: has changed",
         "5:13: limits: has changed",
--- a/crates/deployment/tests/configuration.rs
+++ b/crates/deployment/tests/configuration.rs
@@ -67,7 +67,7 @@
         "7:26: configuration.store.endpoints[0]: 'nowhere' is not an address and port",
         "7:46: configuration.store.prefix: has to end with '/'",
         "7:56: configuration.store.member: unknown key",
-        "8:15: configuration.snapshot: there are several front ends; '{index}' has to stand in it",
+        "8:15: configuration.snapshot: there are several front ends; the path has to contain '{index}'",
         "8:41: configuration.freshness: 5 s is not 1 s below 'inForceWithin' of 5.5 s; lower it, or raise that",
         "8:84: configuration.proveEvery: 3 proofs every 2 s don't fit into 'freshness' of 5 s; ask more often",
         "9:21: configuration.bytesPerSecond: a size such as '64KiB', '1.5GB' is wanted, not a number",
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -83,7 +83,7 @@
         "8:40: functions[1]: there are two functions 'f'",
         "8:55: functions[2].name: is missing",
         "8:57: functions[2].nam: unknown key, is 'name' meant?",
-        "9:33: frontEnds.index: 2 is no index among 2 front ends",
+        "9:33: frontEnds.index: 2 is not an index of 2 front ends",
         "11:37: executors.allowedNetworks[1]: '10.0.0.0/99' is not a network",
         "12:23: executors.list[0].address: 127.0.0.1:1 is in none of the allowed networks",
         "12:87: executors.list[2].address: 10.0.0.1:1 is listed twice",
--- a/crates/deployment/tests/regions.rs
+++ b/crates/deployment/tests/regions.rs
@@ -54,7 +54,7 @@
         "7:12: regions: location 'south' is in no region; name it under one of them",
         "8:42: regions[0].locations[1]: 'nowhere' is none of 'east', 'west', 'south'",
         "9:13: regions[1].name: there are two regions 'coast'",
-        "9:42: regions[1].locations[1]: is in region 'coast' already; a location stands in one",
+        "9:42: regions[1].locations[1]: is in region 'coast' already; a location belongs to one region",
         "10:34: regions[2].locations: at least one location is wanted",
         "10:38: regions[2].zone: unknown key",
     ];
--- a/crates/journal/src/directory.rs
+++ b/crates/journal/src/directory.rs
@@ -8,7 +8,7 @@
 const SNAPSHOT_PREFIX: &str = "snapshot-";
 const LOG_PREFIX: &str = "log-";
 
-/// What a directory held when it was opened or inspected.
+/// The contents of a directory when it was opened or inspected.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot, if there is one.
@@ -48,7 +48,8 @@
         Ok(Generations { snapshots, logs })
     }
 
-    /// The generation in use. A snapshot only gets its name once it is complete and synced.
+    /// The generation in use: the newest snapshot's. A snapshot file is renamed to its final name only after it is
+    /// complete and synced.
     pub(crate) fn current(&self) -> u64 {
         self.snapshots.last().copied().unwrap_or(0)
     }
@@ -89,7 +90,7 @@
     let bytes = read_if_exists(&path)?.unwrap_or_default();
     let body = bytes.strip_prefix(&MAGIC);
     if body.is_none() && bytes.len() >= MAGIC.len() {
-        return Err(invalid_data(&path, "no journal of this format"));
+        return Err(invalid_data(&path, "not a journal of this format"));
     }
     let log = decode_log(body.unwrap_or_default(), &path)?;
     let log_length = if body.is_some() {
@@ -127,7 +128,7 @@
     Ok(Some(bytes))
 }
 
-/// Reads what a directory holds without changing it. Another process may have it open.
+/// Reads the contents of a directory without changing it. Another process may have it open.
 ///
 /// # Errors
 ///
@@ -137,7 +138,7 @@
     Ok(read_current(directory, &generations)?.recovered)
 }
 
-/// Syncs a directory, so that new names in it survive a loss of power.
+/// Syncs a directory, so that created and renamed files survive a power loss.
 pub(crate) fn sync_directory(directory: &Path) -> io::Result<()> {
     File::open(directory)?.sync_all()
 }
--- a/crates/journal/src/group_commit.rs
+++ b/crates/journal/src/group_commit.rs
@@ -1,4 +1,4 @@
-//! Group commit: entries that wait for the disk at the same time share a write and a sync.
+//! Group commit: concurrent entries share a write and a sync.
 
 use crate::Journal;
 use std::io;
@@ -15,23 +15,23 @@
 
 /// The queue of commit requests is full, or the writer's thread has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the journal takes no more entries now")]
+#[error("the commit queue is full or closed")]
 pub struct QueueFull;
 
 /// A request to the writer's thread.
 enum CommitRequest {
     /// Append an entry.
     Append(Vec<u8>, CommitCallback),
-    /// Replace everything by a snapshot.
+    /// Replace the contents of the journal by a snapshot.
     Snapshot(Vec<u8>, CommitCallback),
 }
 
-/// A journal behind a thread of its own.
+/// A journal with a writer thread, to which entries are queued.
 ///
 /// The writer never waits for a batch to fill. While one sync runs, the next entries queue up, so that an entry waits
 /// for at most two syncs: the one in progress and its own.
 pub struct GroupCommit {
-    /// `None` once the group is closed.
+    /// `None` once the queue is closed.
     requests: Option<SyncSender<CommitRequest>>,
     writer: Option<JoinHandle<Journal>>,
 }
@@ -139,7 +139,7 @@
         GroupCommit::with_max_batch(journal, max_queued, MAX_BATCH_ENTRIES)
     }
 
-    /// As [`GroupCommit::new`], with another limit of the entries that share a sync.
+    /// Starts the writer as [`GroupCommit::new`] does, with at most `max_batch_entries` entries in a sync.
     pub fn with_max_batch(
         journal: Journal,
         max_queued: usize,
@@ -171,8 +171,8 @@
         self.send(CommitRequest::Append(entry, Box::new(callback)))
     }
 
-    /// Queues a snapshot that replaces everything in the journal. A journal that refuses entries after a failure
-    /// takes them again once a snapshot succeeds, since the snapshot is in a file of its own.
+    /// Queues a snapshot that replaces the contents of the journal. A journal that rejects entries after a failure
+    /// accepts them again after a successful snapshot, since the snapshot is in a separate file.
     ///
     /// # Errors
     ///
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,9 +1,9 @@
-//! Durable state in a directory: a snapshot, replaced as a whole, and a log of entries appended since.
+//! Durable state in a directory: a snapshot, which is replaced as a whole, and a log of the entries appended since.
 //!
-//! [`Journal::append`] returns once the entry is synced to the disk. A process that is killed at any moment leaves a
-//! directory that opens at its last complete record; the rest of an interrupted append is truncated. Entries that share a
-//! sync share a record, so only the last record can be incomplete. An incomplete record that is followed by complete
-//! ones is damage and an error. One process at a time can have a directory open.
+//! [`Journal::append`] returns once the entry is synced to the disk. After a crash at any point, the directory opens at
+//! its last complete record, and the rest of an interrupted append is truncated. Entries that share a sync share a
+//! record, so only the last record can be incomplete. An incomplete record that is followed by complete ones is damage
+//! and an error. One process at a time can have a directory open.
 
 mod directory;
 mod group_commit;
@@ -31,14 +31,14 @@
     log: File,
     /// Length of the log in bytes, with the magic number.
     log_length: u64,
-    /// Whether an append failed and couldn't be undone, so that later entries might not be read again.
+    /// Whether an append failed and couldn't be undone, so that later entries might not be readable.
     is_broken: bool,
     syncs: bool,
     _lock: File,
 }
 
 impl Journal {
-    /// Opens a directory and returns what it held. Creates the directory if it doesn't exist.
+    /// Opens a directory and returns its contents. Creates the directory if it doesn't exist.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         Ok((journal, recovered))
     }
 
-    /// The journal without syncs, for measurements: entries may be lost with the machine.
+    /// Turns off syncs, for measurements: a power loss or system crash may lose entries.
     pub fn without_syncs(self) -> Journal {
         Journal {
             syncs: false,
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Makes the journal refuse entries as after a failed sync, for tests.
+    /// Makes the journal reject entries as after a failed sync, for tests.
     pub fn simulate_sync_failure(&mut self) {
         self.is_broken = true;
     }
 
-    /// Bytes of entries since the snapshot.
+    /// Returns the bytes of records in the log since the snapshot.
     pub fn length(&self) -> u64 {
         self.log_length - MAGIC.len() as u64
     }
@@ -100,23 +100,24 @@
     /// # Errors
     ///
     /// `InvalidInput` if the entries together are longer than [`MAX_RECORD_LENGTH`], and errors of the file system.
-    /// After an error the entries aren't in the journal, or the journal refuses all entries until the next snapshot.
+    /// After an error the entries aren't in the journal, or the journal rejects all entries until the next snapshot.
     pub fn append_all(&mut self, entries: &[impl AsRef<[u8]>]) -> io::Result<()> {
         if self.is_broken {
             return Err(io::Error::other(
-                "an earlier entry could not be synced or taken back; open the directory anew",
+                "an earlier append failed and could not be undone; reopen the journal",
             ));
         }
         let record = encode_record(&join_entries(entries)?)?;
         if let Err(error) = self.log.write_all(&record) {
-            // Records behind an incomplete one would never be read.
+            // Records after an incomplete one are never read, so the incomplete one has to be removed.
             self.is_broken = self.undo_append().is_err();
             return Err(error);
         }
         if self.syncs
             && let Err(error) = self.log.sync_data()
         {
-            // The system may have marked the pages as written: a later sync would prove nothing.
+            // After a failed sync the kernel may mark the pages as clean, so that a later sync succeeds without writing
+            // them.
             self.is_broken = true;
             return Err(error);
         }
@@ -131,8 +132,8 @@
         Ok(())
     }
 
-    /// Replaces everything in the journal by a snapshot. A process that is killed at any moment leaves the old state
-    /// or the new one.
+    /// Atomically replaces the contents of the journal by a snapshot: a crash at any point leaves the old state or the
+    /// new one.
     ///
     /// # Errors
     ///
@@ -144,7 +145,7 @@
         snapshot.write_all(&MAGIC)?;
         snapshot.write_all(&encode_record(state)?)?;
         snapshot.sync_all()?;
-        // The snapshot's log has to exist before the snapshot gets its name.
+        // The log has to exist before the rename, which makes the new generation current.
         let mut log = File::create(log_path(&self.directory, next))?;
         log.write_all(&MAGIC)?;
         log.sync_all()?;
@@ -175,7 +176,7 @@
     Ok(lock)
 }
 
-/// Opens a log for appending after `length` bytes; what follows them is truncated.
+/// Opens a log for appending, truncated to `length` bytes.
 fn open_log(path: &Path, length: u64) -> io::Result<File> {
     let mut log = OpenOptions::new()
         .create(true)
--- a/crates/journal/src/record.rs
+++ b/crates/journal/src/record.rs
@@ -17,7 +17,7 @@
     hasher.finalize()
 }
 
-/// The record with this body.
+/// Encodes a record with a body.
 ///
 /// # Errors
 ///
@@ -25,7 +25,7 @@
 pub(crate) fn encode_record(body: &[u8]) -> io::Result<Vec<u8>> {
     if body.len() > MAX_RECORD_LENGTH {
         let message = format!(
-            "an entry of {} bytes, {MAX_RECORD_LENGTH} at most",
+            "an entry of {} bytes exceeds the limit of {MAX_RECORD_LENGTH} bytes",
             body.len()
         );
         return Err(io::Error::new(io::ErrorKind::InvalidInput, message));
@@ -38,7 +38,7 @@
     Ok(record)
 }
 
-/// The body of the record at the start of `bytes`, if it is complete and its checksum is right.
+/// Decodes the record at the start of `bytes`; returns its body if it is complete and its checksum matches.
 pub(crate) fn decode_record(bytes: &[u8]) -> Option<&[u8]> {
     let (header, rest) = bytes.split_first_chunk::<RECORD_HEADER_LENGTH>()?;
     let [a, b, c, d, expected_checksum @ ..] = *header;
@@ -49,7 +49,7 @@
     (checksum(length, body) == u32::from_be_bytes(expected_checksum)).then_some(body)
 }
 
-/// The body of a record that holds these entries, each preceded by its length.
+/// Encodes the body of a record from its entries, each preceded by its length.
 ///
 /// # Errors
 ///
@@ -65,7 +65,7 @@
     Ok(body)
 }
 
-/// The entries of a record's body.
+/// Decodes the entries of a record's body.
 fn split_entries(mut body: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut entries = vec![];
     while !body.is_empty() {
@@ -110,7 +110,7 @@
         let next = MAGIC.len() + next;
         return Err(invalid_data(
             path,
-            &format!("damaged at byte {damaged_at}: whole records follow from byte {next} on"),
+            &format!("damaged at byte {damaged_at}: complete records follow from byte {next}"),
         ));
     }
     Ok(log)
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -114,7 +114,7 @@
         let fault = Journal::open(&at).unwrap_err().to_string();
         let start = ends.iter().rfind(|&&e| e <= at_byte).unwrap();
         assert!(
-            fault.contains(&format!("damaged at byte {start}: whole records follow")),
+            fault.contains(&format!("damaged at byte {start}: complete records follow")),
             "{fault}"
         );
         assert!(inspect(&at).is_err());
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The most rollouts that are kept after their end.
+/// The most ended rollouts that are stored.
 const MAX_ENDED: usize = 100;
 
 /// A command of an operator.
@@ -22,7 +22,7 @@
         /// Digest of the new version.
         to: String,
     },
-    /// Pause the present step.
+    /// Pause the current step.
     Pause {
         /// Name of the rollout.
         name: String,
@@ -69,7 +69,7 @@
     #[error("there is no rollout '{0}'")]
     UnknownRollout(String),
     /// The rollout has ended.
-    #[error("'{name}' is over: {}", .phase.name())]
+    #[error("'{name}' has ended: {}", .phase.name())]
     Ended {
         /// The name of the rollout.
         name: String,
@@ -93,7 +93,7 @@
         phase: Phase,
     },
     /// The rollout can't advance in its phase.
-    #[error("'{name}' can't go on while it is {}", .phase.name())]
+    #[error("'{name}' can't advance while it is {}", .phase.name())]
     NotAdvanceable {
         /// The name of the rollout.
         name: String,
@@ -109,7 +109,7 @@
         phase: Phase,
     },
     /// Another rollout of the function is in progress.
-    #[error("rollout '{other}' of '{function}' is on ({})", .phase.name())]
+    #[error("rollout '{other}' of '{function}' is in progress ({})", .phase.name())]
     AlreadyInProgress {
         /// The name of the other rollout.
         other: String,
@@ -210,7 +210,7 @@
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
                 let run = self.state.runs.entry(name.to_owned()).or_default();
-                run.operator_advance = Some(format!("an operator went on: {reason}"));
+                run.operator_advance = Some(format!("advanced by an operator: {reason}"));
                 Ok(())
             }
             phase => Err(CommandError::NotAdvanceable {
@@ -267,7 +267,7 @@
         Ok(())
     }
 
-    /// Removes the rollout that ended first, if too many ended ones are kept.
+    /// Removes the rollout that ended first, if too many ended ones are stored.
     fn remove_oldest_ended(&mut self) {
         let rollouts = &self.state.published.rollouts;
         let ended: Vec<&String> = rollouts
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator of rollouts: it pools the evidence of all front ends, evaluates it by an ordered list of rules, and
+//! The coordinator of rollouts. It pools the evidence of all front ends, evaluates it by an ordered list of rules, and
 //! publishes the state of each rollout. Any one process can be the coordinator. Times are in seconds since 1970.
 
 mod command;
@@ -14,17 +14,17 @@
 
 /// A front end that hasn't reported for this long doesn't hold a step, in seconds.
 const REPORT_TIMEOUT: f64 = 3.0;
-/// Reports are forgotten after this time, in seconds.
+/// Reports are discarded after this time, in seconds.
 const REPORT_EXPIRY: f64 = 10.0 * REPORT_TIMEOUT;
 /// The most events in the history of a rollout.
 const MAX_HISTORY: usize = 300;
-/// The most front ends whose report rounds are remembered.
+/// The most front ends whose last report round is stored.
 const MAX_ROUNDS: usize = 10_000;
 
 /// The coordinator of all rollouts, as a state machine without I/O.
 pub struct Coordinator {
     state: CoordinatorState,
-    /// The epoch of a newer coordinator. This one then only reports that.
+    /// The epoch of a newer coordinator. Once set, this one changes no rollout and rejects commands.
     superseded: Option<Epoch>,
     now: f64,
     changed: bool,
@@ -159,7 +159,7 @@
         true
     }
 
-    /// Evaluates each rollout. To be called about once a second and after a command.
+    /// Evaluates each rollout. Call it about once a second and after a command.
     pub fn tick(&mut self, now: f64) {
         let elapsed = (now - self.now).clamp(0.0, REPORT_TIMEOUT);
         self.now = now;
@@ -205,7 +205,7 @@
                 });
             }
             (_, Phase::Paused) => {}
-            // Front ends load copies for the first step once it is published.
+            // The first step is published at once, since front ends load replicas only for a published step.
             (_, Phase::Planned) => {
                 let share = rollout.plan.steps.first().map_or(0.0, |step| step.share);
                 self.begin_step(name, format!("step 1: a share of {share}"), |rollout| {
@@ -213,7 +213,7 @@
                 });
             }
             (Verdict::Hold(reason), _) => {
-                // The reason for a hold is published, but isn't a change.
+                // The reason for a hold is published without a new revision.
                 if let Some(rollout) = self.state.published.rollouts.get_mut(name) {
                     rollout.reason = reason;
                 }
@@ -225,7 +225,11 @@
                     .get(name)
                     .map_or(0.0, |run| run.step_duration);
                 if retained_for >= rollout.plan.old_version_retention {
-                    self.finish(name, false, "the old version was kept long enough".into());
+                    self.finish(
+                        name,
+                        false,
+                        "the retention of the old version has ended".into(),
+                    );
                 }
             }
             (Verdict::Pass, _) => self.advance(name, rollout, None),
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -5,9 +5,10 @@
 use crate::sequential::Stratum;
 use crate::state::{Phase, Rollout};
 
-/// Strength of the evidence that holds a step, relative to the one that rolls back (both as logarithms).
+/// Strength of evidence at or above which a step is held. The strength is the logarithm of the evidence, relative to the
+/// logarithm of the rollback threshold.
 const HOLD_THRESHOLD: f64 = 0.5;
-/// Strength of the evidence below which a held step continues.
+/// Strength of evidence below which a held step continues.
 const RELEASE_THRESHOLD: f64 = 0.25;
 
 /// The verdict of a rule.
@@ -24,7 +25,7 @@
 
 type Rule = fn(&Run, &Rollout, f64) -> Verdict;
 
-/// The rules in order: the first that applies decides.
+/// The rules in order of precedence: the first verdict other than `Pass` applies.
 pub(super) const RULES: [Rule; 8] = [
     digest_differs,
     gate_fails,
@@ -40,7 +41,7 @@
     match run.digest_mismatches {
         0 => Verdict::Pass,
         count => Verdict::RollBack(format!(
-            "{count} loads found bytes that the digest doesn't name"
+            "{count} loads returned bytes that don't match the digest"
         )),
     }
 }
@@ -93,7 +94,9 @@
 fn front_end_rolled_back(run: &Run, _: &Rollout, _: f64) -> Verdict {
     match &run.local_rollback {
         None => Verdict::Pass,
-        Some(reason) => Verdict::RollBack(format!("a front end out of reach: {reason}")),
+        Some(reason) => Verdict::RollBack(format!(
+            "rolled back by a front end that reached no coordinator: {reason}"
+        )),
     }
 }
 
@@ -114,13 +117,13 @@
     match ready.iter().filter(|ready| !**ready).count() {
         0 => Verdict::Pass,
         count => Verdict::Hold(format!(
-            "{count} of {} front ends have no copy of the new version yet",
+            "{count} of {} front ends have no replica of the new version yet",
             ready.len()
         )),
     }
 }
 
-/// Holds the step while evidence builds up, with hysteresis: until it has decreased to half of the threshold.
+/// Holds the step while evidence accumulates, with hysteresis: until its strength falls below `RELEASE_THRESHOLD`.
 fn evidence_is_building(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     if rollout.phase == Phase::RetainingOld {
         return Verdict::Pass;
@@ -134,7 +137,10 @@
         None => Verdict::Pass,
         Some(StrongestEvidence { gate, .. }) => {
             let odds = run.tests.evidence(gate);
-            Verdict::Hold(format!("'{}' looks worse: {odds:.0} to 1", gate.name()))
+            Verdict::Hold(format!(
+                "'{}' may be worse: evidence of {odds:.0} to 1",
+                gate.name()
+            ))
         }
     }
 }
@@ -151,14 +157,16 @@
     let answers = run.step_counts[1].answers;
     if answers < step.min_samples {
         let missing = format!(
-            "{answers} of {} answers of the new version are in",
+            "{answers} of {} answers of the new version have been recorded",
             step.min_samples
         );
         let is_late = step
             .max_duration
             .is_some_and(|longest| run.step_duration >= longest);
         return if is_late {
-            Verdict::RollBack(format!("in the longest time of the step {missing}"))
+            Verdict::RollBack(format!(
+                "the longest time of the step has passed: {missing}"
+            ))
         } else {
             Verdict::Hold(missing)
         };
@@ -174,7 +182,7 @@
 
 fn gate_is_inconclusive(run: &Run, rollout: &Rollout, _: f64) -> Verdict {
     let plan = &rollout.plan;
-    // Without a holdback there is nothing to compare with in the last step.
+    // In the last step without a holdback, the old version gets no traffic to compare with.
     let is_last_step = plan
         .steps
         .get(rollout.step)
@@ -190,7 +198,7 @@
         return Verdict::Pass;
     };
     let reason = format!(
-        "'{}' can't be judged: one of the versions gave nothing to compare",
+        "'{}' can't be evaluated: one of the versions has no samples",
         policy.gate.name()
     );
     match plan.on_inconclusive {
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -41,7 +41,7 @@
     pub rounds: BTreeMap<u64, (u64, f64)>,
 }
 
-/// What a front end last reported, apart from its counts.
+/// The last report of a front end, without its counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct FrontEndReport {
     at: f64,
@@ -57,13 +57,13 @@
 pub struct Run {
     /// The sequential tests of all gates.
     pub tests: SequentialTests,
-    /// The counts of the present step: old and new version.
+    /// The counts of the current step: old and new version.
     #[serde(rename = "step")]
     pub step_counts: [Counts; 2],
     /// The counts of the whole run: old and new version.
     #[serde(rename = "whole")]
     pub total_counts: [Counts; 2],
-    /// Duration of the present step in seconds, without pauses.
+    /// Seconds spent in the current step, without pauses.
     #[serde(rename = "time")]
     pub step_duration: f64,
     /// Whether a rule holds the step.
@@ -71,7 +71,7 @@
     pub is_held: bool,
     /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why a front end rolled back by itself.
+    /// The reason of a front end's local rollback.
     #[serde(rename = "tookBack")]
     pub local_rollback: Option<String>,
     /// The last report of each front end.
@@ -144,7 +144,7 @@
         self.step_duration = 0.0;
         self.is_held = false;
         self.operator_advance = None;
-        // Front ends haven't reported yet whether they are ready for this step.
+        // Reports so far are about the previous step.
         for report in self.reports.values_mut() {
             report.is_ready = false;
         }
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,7 +1,7 @@
 //! Evidence on the two versions of a rollout: the outcomes of their invocations, counted at each front end.
 //!
-//! Versions are compared within strata: the same trigger type, customer and location over the same short time. A fault
-//! that affects both versions then shows in both.
+//! Versions are compared within strata: the same trigger type, customer and location between the same two reports. A
+//! fault that affects both versions then shows in both.
 
 use crate::plan::{GATES, Gate};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 pub struct Counts {
     /// Final answers.
     pub answers: u64,
-    /// Answers of warm copies, whose latency is compared.
+    /// Answers of warm replicas, whose latency is compared.
     pub warm: u64,
     /// Loads that ended. For the baseline, those of all other versions, since they come from the same store.
     pub loads: u64,
@@ -55,7 +55,7 @@
             .for_each(|(a, b)| *a += b);
     }
 
-    /// The number of answers or loads that a gate's events are counted among.
+    /// The number of answers or loads among which a gate's events are counted.
     pub fn sample_count(&self, gate: Gate) -> u64 {
         match gate {
             Gate::Errors | Gate::Throttled => self.answers,
@@ -70,7 +70,7 @@
     }
 }
 
-/// The counts of one stratum over one short time at one front end.
+/// The counts of one stratum at one front end between two reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Slot {
@@ -95,10 +95,10 @@
     pub slots: Vec<Slot>,
     /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why the front end rolled back by itself, while it reached no coordinator.
+    /// The reason of a local rollback while the front end reached no coordinator.
     #[serde(rename = "tookBack")]
     pub local_rollback: Option<String>,
-    /// Whether the front end has copies of the new version, and therefore applies the step's share.
+    /// Whether the front end has replicas of the new version, and therefore applies the step's share.
     pub ready: bool,
     /// Invocations of the function a second at this front end.
     pub rate: f64,
@@ -110,7 +110,7 @@
     slots: BTreeMap<(StratumKey, u64), (Counts, Counts)>,
 }
 
-/// The most slots between two reports; beyond, answers aren't counted.
+/// The most slots between two reports. Answers that would need further slots aren't counted.
 const MAX_SLOTS: usize = 4_096;
 
 impl SlotCollector {
@@ -146,7 +146,7 @@
     }
 }
 
-/// A quantile that is estimated incrementally: each value moves the estimate up in proportion to the quantile, or down in
+/// An incremental estimate of a quantile: each value moves the estimate up in proportion to the quantile, or down in
 /// proportion to the rest, relative to the estimate. Compare a value with the estimate before recording it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuantileEstimate {
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -1,5 +1,5 @@
-//! Forecasts what a plan takes: load commands against the load budget, time, and whether its steps can get their
-//! samples. A plan that can't be fulfilled is rejected with these figures.
+//! Forecasts the cost of a plan: load commands against the load budget, duration, and whether its steps can get their
+//! samples. An infeasible plan is rejected with these figures.
 
 use crate::plan::{Gate, Plan};
 use orchidtally_deployment::{Deployment, Version};
@@ -22,7 +22,7 @@
     pub step: usize,
     /// The share of the new version.
     pub share: f64,
-    /// Copies of the new version that are needed.
+    /// Replicas of the new version that are needed.
     #[serde(rename = "copies")]
     pub replicas: u64,
     /// Load commands that all front ends send.
@@ -31,7 +31,7 @@
     /// Seconds until the load commands are sent.
     #[serde(rename = "loading")]
     pub load_duration: f64,
-    /// Seconds until the samples are there; `None` if the rate of invocations is unknown.
+    /// Seconds until the samples are collected; `None` if the rate of invocations is unknown.
     #[serde(rename = "evidence")]
     pub sampling_duration: Option<f64>,
     /// Shortest duration of the step in seconds, from the first load command on.
@@ -94,7 +94,7 @@
     let mut forecasts = vec![];
     for (index, step) in plan.steps.iter().enumerate() {
         let replicas = replicas(plan, deployment, step.share);
-        // Each front end sends a command for each replica, as it has to know the replica itself.
+        // Each front end sends a command for each replica, since it has to know the replica itself.
         let load_commands = replicas.saturating_sub(replicas_before) * front_ends;
         replicas_before = replicas.max(replicas_before);
         let load_duration = load_commands as f64 / plan.loads_per_second;
@@ -115,23 +115,23 @@
     forecasts
 }
 
-/// A part of a plan that can't be fulfilled.
+/// An infeasible part of a plan.
 pub(crate) struct Infeasible {
     /// Index of the step; `None` for the rate of loads.
     pub(crate) step: Option<usize>,
-    /// Why it can't be fulfilled.
+    /// Why it is infeasible.
     pub(crate) reason: String,
 }
 
-/// Everything in a plan that can't be fulfilled.
+/// Returns the infeasible parts of a plan.
 pub(crate) fn check(plan: &Plan, deployment: &Deployment) -> Vec<Infeasible> {
     let mut infeasible = vec![];
     let rate_limit = load_command_rate_limit(deployment);
     let policy = &deployment.policy;
     if plan.loads_per_second > rate_limit {
         let reason = format!(
-            "{} a second can't be kept: the ration grants each of {} front ends {} orders in {} s without traffic, \
-             and rollouts may use {} of it, which is {rate_limit:.2} a second in all",
+            "{} a second exceeds the load budget: each of {} front ends may send {} load commands in {} s without \
+             traffic, and rollouts may use {} of it, which is {rate_limit:.2} a second in all",
             plan.loads_per_second,
             policy.front_ends,
             policy.load_budget_floor,
@@ -151,13 +151,15 @@
         && !policy.allows_load_commands
         && policy.rejects_unloaded
     {
-        let reason = "load failures can't be judged where nothing loads".into();
+        let reason =
+            "load failures can't be evaluated: neither load commands nor invocations load replicas"
+                .into();
         infeasible.push(Infeasible { step: None, reason });
     }
     infeasible
 }
 
-/// Why a step can't end within its longest duration.
+/// Returns why a step can't end within its longest duration, if it can't.
 fn check_step(plan: &Plan, forecast: &StepForecast) -> Option<String> {
     let step = &plan.steps[forecast.step];
     let longest = step.max_duration?;
@@ -167,9 +169,9 @@
         ..
     } = forecast;
     if *load_duration > longest {
-        let pace = plan.loads_per_second;
+        let rate = plan.loads_per_second;
         return Some(format!(
-            "{load_commands} orders to load at {pace} a second take {load_duration:.0} s, longer than the longest of {longest} s"
+            "{load_commands} load commands at {rate} a second take {load_duration:.0} s, longer than the longest of {longest} s"
         ));
     }
     let evidence = forecast
@@ -180,7 +182,7 @@
         new_rate(plan, forecast.step).unwrap_or(0.0),
     );
     Some(format!(
-        "its evidence can't come in time: {answers} answers at {rate:.3} a second take {evidence:.0} s after \
+        "its samples can't be collected in time: {answers} answers at {rate:.3} a second take {evidence:.0} s after \
          {load_duration:.0} s of loading, longer than the longest of {longest} s"
     ))
 }
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -6,7 +6,7 @@
 use orchidtally_deployment::Function;
 
 impl TrafficSplit {
-    /// Records an epoch that became known in another way.
+    /// Records an epoch without adopting its state.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.newest_epoch = self.newest_epoch.max(epoch);
     }
@@ -69,7 +69,7 @@
         local.rollout = rollout.clone();
         if step != step_before || !is_same_run {
             local.begin_step();
-            // Front ends load one after the other, at the planned rate.
+            // Front ends send load commands one after the other, at the planned rate.
             local.next_load_at = now + index / rollout.plan.loads_per_second;
         }
         match step {
@@ -78,7 +78,7 @@
                     rolled_back.push(rollout.run);
                 }
             }
-            // An earlier step applies at once, a later one when there are copies for it.
+            // An earlier step applies at once, a later one once there are replicas for it.
             Some(step) => local.applied_step = local.applied_step.map(|applied| applied.min(step)),
         }
         rolled_back
@@ -87,10 +87,10 @@
 
 /// Whether another rollout of the function is in progress after this one has ended.
 fn is_superseded(rollout: &Rollout, published: &PublishedState) -> bool {
-    let is_rival = |other: &Rollout| {
+    let is_successor = |other: &Rollout| {
         other.plan.function == rollout.plan.function
             && !other.phase.has_ended()
             && other.run != rollout.run
     };
-    rollout.phase.has_ended() && published.rollouts.values().any(is_rival)
+    rollout.phase.has_ended() && published.rollouts.values().any(is_successor)
 }
--- a/crates/rollout/src/frontend/local.rs
+++ b/crates/rollout/src/frontend/local.rs
@@ -43,7 +43,7 @@
     /// Latency thresholds by trigger type.
     pub(super) slow: BTreeMap<u16, SlowThresholds>,
     pub(super) digest_mismatches: u64,
-    /// Why the front end rolled back by itself.
+    /// The reason of a front end's local rollback.
     pub(super) local_rollback: Option<String>,
     /// Invocations since `invocations_since`.
     pub(super) invocations: u64,
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -1,8 +1,7 @@
-//! The part of a rollout at a front end: traffic split, evidence, prewarming, and local rollback while no coordinator is
-//! reachable.
+//! Rollouts at a front end: traffic split, evidence, prewarming, and local rollback while no coordinator is reachable.
 //!
-//! A front end applies a step once it knows a copy of the new version, goes back to an earlier step at once, and never
-//! advances by itself.
+//! A front end applies a step once it knows enough replicas of the new version, returns to an earlier step at once, and
+//! never advances by itself.
 
 mod adopt;
 mod local;
@@ -50,8 +49,8 @@
     key: Option<u64>,
 }
 
-/// Whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run, or is
-/// idempotent by itself. Idempotency keys are remembered by version, so an invocation with a key doesn't count as
+/// Whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run, or its
+/// trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key doesn't count as
 /// idempotent here.
 pub fn may_migrate(is_idempotent: bool, may_have_run: bool) -> bool {
     is_idempotent || !may_have_run
@@ -66,9 +65,9 @@
     pub count: u32,
     /// Index of its location.
     pub location: u16,
-    /// Whether copies are loaded by commands; otherwise the first invocations load them.
+    /// Whether replicas are loaded by load commands; otherwise the first invocations load them.
     pub sends_load_commands: bool,
-    /// Keep-alive of an idle copy in seconds.
+    /// Keep-alive time of an idle replica in seconds.
     pub keep_alive: f64,
 }
 
@@ -119,7 +118,7 @@
         local.map(|local| &local.rollout.plan.key)
     }
 
-    /// The digest that an alias names, if it differs from the deployment file.
+    /// The digest to which an alias points, if it differs from the deployment file.
     pub fn moved_alias(&self, function: &str, alias: &str) -> Option<&str> {
         self.published
             .aliases
@@ -128,7 +127,7 @@
             .map(String::as_str)
     }
 
-    /// Chooses the version of an invocation, once, at its admission. `requested` is the alias or digest that it names.
+    /// Chooses the version of an invocation, once, at its admission. `requested` is the alias or digest in the request.
     pub fn resolve(
         &mut self,
         function: &Function,
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -7,8 +7,8 @@
 use orchidtally_deployment::Version;
 use std::collections::{HashMap, VecDeque};
 
-/// The most events of one sticky key, and the most resets at one executor, that count in a step. A fault of one
-/// customer must not decide.
+/// The most events of one sticky key, and the most resets at one executor, that count in a step, so that a fault of a
+/// single customer or executor doesn't cause a rollback.
 const MAX_EVENTS_PER_KEY: u8 = 3;
 /// The most sticky keys whose events are counted.
 const MAX_KEYS: usize = 100_000;
@@ -16,7 +16,7 @@
 const EXECUTOR_FAULT_THRESHOLD: usize = 2;
 /// How long failures at an executor count, in seconds.
 const FAILURE_WINDOW: f64 = 5.0;
-/// The most failures that are remembered of an executor, and the most executors.
+/// The most failures that are stored for an executor, and the most executors.
 const MAX_FAILURES: usize = 32;
 const MAX_EXECUTORS: usize = 10_000;
 
@@ -27,7 +27,7 @@
     Succeeded {
         /// Duration in seconds of the dispatch that gave the answer.
         latency: f64,
-        /// Whether its copy was warm.
+        /// Whether its replica was warm.
         warm: bool,
     },
     /// The invocation was throttled.
@@ -101,7 +101,7 @@
     /// Records that a dispatch of a version failed at an executor: by a reset or time-out if `disconnected`, otherwise
     /// by its answer. Returns whether the failure counts against the version.
     ///
-    /// Failure mode: an executor that has one of the version's few copies is faulty.
+    /// Failure mode: an executor that has one of the version's few replicas is faulty.
     /// Risk: the version would be rolled back for a fault that isn't its own. Failures don't count if other versions
     /// fail at the executor too, and resets count only a few times for each executor.
     pub fn record_dispatch_failure(
--- a/crates/rollout/src/frontend/prewarm.rs
+++ b/crates/rollout/src/frontend/prewarm.rs
@@ -42,8 +42,8 @@
         let plan = &self.rollout.plan;
         if let Some(to) = &self.to {
             // Failure mode: the first share of a hot function fills more than one replica.
-            // Risk: a single replica would be overloaded and the version blamed for it. The rate is the planned one,
-            // or that of all front ends if they are like this one.
+            // Risk: a single replica would be overloaded, which counts as a regression of the version. The rate is the
+            // planned one, or, if higher, an estimate that assumes equal traffic at all front ends.
             let rate = plan
                 .rate
                 .unwrap_or(0.0)
@@ -57,7 +57,7 @@
         Some(self.needed_replicas)
     }
 
-    /// Whether this front end keeps the replicas of the old version alive now. They are kept for as long as the rollout
+    /// Whether this front end renews the replicas of the old version now. They are kept alive for as long as the rollout
     /// may be rolled back; front ends take turns, since all choose the same executors.
     fn is_renewal_due(&mut self, front_end: FrontEndInfo, now: f64) -> bool {
         if self.rollout.active_step().is_none()
@@ -115,8 +115,8 @@
     /// Handles the result of a command: how many replicas are known now, and whether a load command was `sent`.
     ///
     /// Failure mode: placements use up the load budget, so that no load command can be sent.
-    /// Risk: the rollout would wait forever. The first invocations load the replica instead, one placement at a time, in
-    /// this front end's turn.
+    /// Risk: the rollout would wait forever. The front end then counts as ready without a replica, and the first
+    /// invocations load it, one placement at a time, in this front end's turn.
     pub fn on_prewarm_result(&mut self, command: &PrewarmCommand, known: usize, sent: bool) {
         if let Some(local) = self.rollout_of_run(command.run).filter(|_| command.is_new) {
             local.is_ready |= known >= local.needed_replicas || command.replicas > 0 && !sent;
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -7,7 +7,7 @@
 use crate::state::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// A front end that hasn't heard from a coordinator for this long evaluates rollouts by itself, in seconds.
+/// Seconds without a response of a coordinator after which a front end evaluates rollouts on its own.
 const ISOLATION_TIMEOUT: f64 = 3.0;
 /// Interval of evaluations and reports of evidence, in seconds.
 const EVALUATION_INTERVAL: f64 = 1.0;
@@ -15,7 +15,7 @@
 const NEWEST_RATE_WEIGHT: f64 = 0.2;
 /// The shortest interval over which a rate is measured, in seconds.
 const MIN_RATE_INTERVAL: f64 = 1e-3;
-/// The most deltas that wait for a coordinator.
+/// The most deltas that are kept while no coordinator is reachable.
 const MAX_UNREPORTED: usize = 1_000;
 
 /// The report of a front end to a coordinator.
@@ -36,7 +36,7 @@
 
 impl LocalRollout {
     /// Why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is multiplied by
-    /// the number of front ends, since each of them evaluates.
+    /// the number of front ends: each of them runs its own tests, so the false positive rate is divided among them.
     fn rollback_reason(&self, front_ends: u32) -> Option<String> {
         let plan = &self.rollout.plan;
         let threshold = plan.threshold() * f64::from(front_ends);
@@ -50,7 +50,7 @@
             ));
         }
         (self.digest_mismatches > 0)
-            .then(|| "a load found bytes that the digest doesn't name".into())
+            .then(|| "a load returned bytes that don't match the digest".into())
     }
 
     /// The evidence since the last call, which is added to the front end's own tests as well.
@@ -89,13 +89,13 @@
 /// The evaluation of a rollout by the front end itself.
 struct LocalEvaluation {
     delta: EvidenceDelta,
-    /// Whether the front end has rolled back by itself just now.
+    /// Whether this evaluation caused a local rollback.
     rolled_back: bool,
 }
 
 impl TrafficSplit {
     /// Applies steps that are ready, and evaluates rollouts if no coordinator is reachable. Returns the runs that it
-    /// rolled back. To be called several times a second.
+    /// rolled back. Call it several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<u64> {
         let is_isolated = now - self.last_contact_at > ISOLATION_TIMEOUT;
         let is_evaluation_due = now - self.evaluated_at >= EVALUATION_INTERVAL;
@@ -127,7 +127,7 @@
             }
             self.unreported.push(evaluation.delta);
         }
-        // If no coordinator is reachable for long, the oldest evidence is lost.
+        // If no coordinator is reachable for long, the oldest evidence is dropped.
         let excess = self.unreported.len().saturating_sub(MAX_UNREPORTED);
         self.unreported.drain(..excess);
         rolled_back
--- a/crates/rollout/src/plan/mod.rs
+++ b/crates/rollout/src/plan/mod.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum StickyKey {
-    /// The name of the invocation, so that each is assigned independently.
+    /// The identifier of the invocation, so that each is assigned independently.
     Invocation,
     /// The customer.
     Customer,
@@ -117,7 +117,7 @@
     pub rolls_back: bool,
 }
 
-/// What happens to a step if a gate has no data to compare.
+/// The action if a gate has no data to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum InconclusiveAction {
@@ -142,7 +142,7 @@
     pub from: String,
     /// The new version, by an alias or its digest.
     pub to: String,
-    /// The alias that moves to the new version at the end.
+    /// The alias that points to the new version after the rollout finishes.
     pub alias: String,
     /// The sticky key of the traffic split.
     pub key: StickyKey,
@@ -153,16 +153,16 @@
     /// The probability that a harmless rollout is rolled back, over its whole duration and all gates.
     #[serde(rename = "falseAlarm")]
     pub false_positive_rate: f64,
-    /// What happens to a step if a gate has no data to compare.
+    /// The action if a gate has no data to compare.
     #[serde(rename = "unjudged")]
     pub on_inconclusive: InconclusiveAction,
-    /// Loads of the new version a second, over all front ends.
+    /// The planned rate of loads of the new version a second, over all front ends.
     pub loads_per_second: f64,
     /// Rollouts with a higher priority load first.
     pub priority: u32,
     /// Share of the traffic that stays on the old version until the rollout finishes, for comparison.
     pub holdback: f64,
-    /// How long copies of the old version are retained after the last step.
+    /// How long replicas of the old version are kept alive after the last step.
     #[serde(rename = "keepFrom")]
     pub old_version_retention: f64,
     /// Invocations of the function a second over all front ends, if known in advance.
--- a/crates/rollout/src/plan/parse.rs
+++ b/crates/rollout/src/plan/parse.rs
@@ -47,7 +47,7 @@
 const DEFAULT_MIN_DURATION: f64 = 60.0;
 const DEFAULT_MIN_SAMPLES: u64 = 100;
 
-/// The plan, or `None` if a fault prevents that. Faults are recorded in the document.
+/// Parses the plan; returns `None` if a fault prevents that. Faults are recorded in the document.
 pub(super) fn plan(root: &Place, deployment: &Deployment) -> Option<Plan> {
     let fields = root.object(&KEYS);
     let name = name(&fields);
@@ -112,7 +112,7 @@
     Some(plan)
 }
 
-/// Records a fault for each part of a plan that can't be fulfilled.
+/// Records a fault for each infeasible part of a plan.
 fn check_feasibility(fields: &Fields, plan: &Plan, deployment: &Deployment) {
     for infeasible in forecast::check(plan, deployment) {
         match infeasible.step {
@@ -249,7 +249,7 @@
         .filter(|&longest| longest < step.min_duration)
     {
         fields.at("longest").fault(format!(
-            "{longest} s is under the least time of {} s",
+            "{longest} s is below the least time of {} s",
             step.min_duration
         ));
     }
@@ -258,7 +258,7 @@
     let previous = earlier.iter().rfind(is_for_same);
     if let Some(previous) = previous.filter(|previous| previous.share >= step.share) {
         fields.at("share").fault(format!(
-            "{} is no more than the {} of an earlier step for the same",
+            "{} doesn't exceed the {} of an earlier step for the same customers and locations",
             step.share, previous.share
         ));
     }
@@ -279,7 +279,7 @@
     ]
 }
 
-/// What a plan says of a gate.
+/// The action of a gate in a plan.
 #[derive(Clone, Copy)]
 enum GateAction {
     RollBack,
@@ -309,7 +309,7 @@
         }
     }
     if !gates.iter().any(|policy| policy.rolls_back) {
-        place.fault("no gate takes back: a version that is worse would go to everyone");
+        place.fault("no gate rolls back: a worse version would get all traffic");
     }
     gates
 }
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -1,12 +1,12 @@
-//! An anytime-valid sequential test (e-process): it may be evaluated as often as wanted.
+//! An anytime-valid sequential test (e-process): repeated evaluation doesn't raise its false positive rate.
 //!
-//! Under the null hypothesis that the versions are alike, an event (an error, a slow answer) in a slot falls on the new
-//! version with a known probability: the share. The test bets against this hypothesis that the odds are some factor
+//! Under the null hypothesis that the versions behave alike, an event (an error, a slow answer) in a slot falls on the
+//! new version with a known probability: the share. The test bets against this hypothesis that the odds are some factor
 //! higher. Each event multiplies the wealth of a bet by its likelihood ratio. Under the null hypothesis the expected
 //! wealth never grows, so that it ever exceeds 1/a with probability of at most a (Ville's inequality for nonnegative
-//! supermartingales). A fault may begin at any time, so the wealth is spread over start times: the bet that starts with
-//! block j has 1/(j(j+1)) of it. One number for each factor represents all start times, since a product over the slots
-//! since j is a quotient of products since the start.
+//! supermartingales). A regression may begin at any time, so the wealth is spread over start times: the bet that starts
+//! with block j has 1/(j(j+1)) of it. One number for each factor represents all start times, since a product over the
+//! slots since j is a quotient of products since the start.
 
 use crate::evidence::{Counts, Slot, StratumKey};
 use crate::plan::{Gate, Plan};
@@ -28,7 +28,7 @@
 /// The events of one slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Events {
-    /// The probability that each event falls on the new version, if the versions are alike.
+    /// The probability that each event falls on the new version, if the versions behave alike.
     pub p: f64,
     /// Events of the new version.
     pub new: u64,
@@ -68,7 +68,7 @@
         for (wealth, odds) in self.wealth.iter_mut().zip(ODDS) {
             let bet = odds * p / (odds * p + 1.0 - p);
             let gain = new * (bet / p).ln() + old * ((1.0 - bet) / (1.0 - p)).ln();
-            // The limit only keeps the wealth finite: the test is decided long before.
+            // The limit only keeps the wealth finite: any threshold is exceeded long before.
             *wealth = (*wealth * gain.exp()).min(MAX_WEALTH);
         }
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// The weights of the kinds of strata: half of the wealth is on all invocations, the rest is spread evenly.
+/// The weights of the kinds of strata: half of the wealth is bet on all invocations, the rest is split evenly.
 const KIND_WEIGHTS: [f64; 4] = [0.5, 1.0 / 6.0, 1.0 / 6.0, 1.0 / 6.0];
 
 /// One gate's test.
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -15,10 +15,10 @@
     pub key: &'a str,
 }
 
-/// The position of a key, from 0 to below 1. It differs between runs, so that the same keys aren't always the first to
+/// Returns the position of a key, in [0, 1). It differs between runs, so that the same keys aren't always the first to
 /// get a new version.
 pub fn position(run: u64, key: &str) -> f64 {
-    // The 53 bits that an f64 holds exactly.
+    // An f64 represents 53 bits exactly.
     (xxh3_64_with_seed(key.as_bytes(), run) >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -28,8 +28,8 @@
     matches(&step.customers, caller.customer) && matches(&step.locations, caller.location)
 }
 
-/// The probability that an invocation gets the new version at a step: the highest share of the steps up to this one that
-/// apply to it, limited by the holdback.
+/// Returns the probability that an invocation gets the new version at a step: the highest share of the steps up to this
+/// one that apply to it, limited by the holdback.
 pub fn share(plan: &Plan, step: usize, caller: &InvocationAttributes) -> f64 {
     let reached = plan.steps.iter().take(step + 1);
     reached
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -25,10 +25,11 @@
     Shifting,
     /// Paused by an operator.
     Paused,
-    /// All traffic except the holdback goes to the new version; copies of the old one are retained for a while.
+    /// All traffic except the holdback goes to the new version; replicas of the old one are kept alive until the
+    /// retention ends.
     #[serde(rename = "keeping")]
     RetainingOld,
-    /// Ended: the alias names the new version.
+    /// Ended: the alias points to the new version.
     Finished,
     /// Ended: all traffic goes to the old version.
     #[serde(rename = "takenBack")]
@@ -60,14 +61,14 @@
 pub struct Rollout {
     /// The plan.
     pub plan: Arc<Plan>,
-    /// Random identifier of this run. A plan that is started again is another run.
+    /// Random identifier of this run. Starting the same plan again creates another run.
     pub run: u64,
     /// Incremented with each change of this rollout.
     #[serde(rename = "number")]
     pub revision: u64,
     /// The phase.
     pub phase: Phase,
-    /// Index of the present step, while shifting or paused.
+    /// Index of the current step, while shifting or paused.
     pub step: usize,
     /// The digest of the old version.
     pub from: String,
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -199,7 +199,7 @@
         w.order(twice.clone())
             .unwrap_err()
             .to_string()
-            .contains("is on")
+            .contains("is in progress")
     );
     assert!(
         w.order(Command::Resume { name: name() })
@@ -269,7 +269,7 @@
     assert_eq!(w.coordinator.published().rollouts["misting"].step, 0);
     assert!(
         w.reason()
-            .contains("of 50 answers of the new version are in"),
+            .contains("of 50 answers of the new version have been recorded"),
         "{}",
         w.reason()
     );
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -141,7 +141,7 @@
     };
     let fast = faults(&plan_text("").replace("loadsPerSecond: 0.5", "loadsPerSecond: 5"));
     assert!(
-        fast.contains("loadsPerSecond: 5 a second can't be kept")
+        fast.contains("loadsPerSecond: 5 a second exceeds the load budget")
             && fast.contains("0.80 a second in all"),
         "{fast}"
     );
