--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -1,4 +1,4 @@
-//! Coordinators, front ends and executors in one process, on threads.
+//! Starts coordinators, front ends and executors in one process, on threads.
 
 use bytes::Bytes;
 use futures_lite::future;
@@ -24,17 +24,17 @@
 
 pub const OLD: &[u8] = b"old";
 pub const NEW: &[u8] = b"new";
-pub const LOOK: (usize, &str) = (0, "look");
-pub const ACT: (usize, &str) = (1, "act");
+pub const IDEMPOTENT: (usize, &str) = (0, "look");
+pub const NON_IDEMPOTENT: (usize, &str) = (1, "act");
 
-pub struct Gateway {
+pub struct FrontEndThread {
     pub at: SocketAddr,
     pub stop: async_channel::Sender<()>,
     pub thread: JoinHandle<()>,
 }
 
-impl Gateway {
-    pub fn end(self) {
+impl FrontEndThread {
+    pub fn stop_and_join(self) {
         drop(self.stop);
         self.thread.join().unwrap();
     }
@@ -46,34 +46,34 @@
 }
 
 impl CoordinatorThread {
-    pub fn end(self) -> StopReason {
+    pub fn stop_and_join(self) -> StopReason {
         drop(self.stop);
         self.thread.join().unwrap().unwrap()
     }
 }
 
-pub struct World {
-    pub stage: TestEnvironment,
+pub struct Cluster {
+    pub environment: TestEnvironment,
     pub executors: Vec<Rc<Executor>>,
-    /// Seconds that a load of the new version takes.
-    pub load: Rc<Cell<f64>>,
+    /// Duration of a load of the new version in seconds.
+    pub load_time: Rc<Cell<f64>>,
     pub text: String,
 }
 
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     reserve_address().unwrap()
 }
 
-pub fn folder(name: &str) -> PathBuf {
+pub fn empty_directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("coordinator-{name}"));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-pub fn world(coordinators: &[SocketAddr], loading: &str) -> World {
-    let stage = TestEnvironment::new(1);
+pub fn start_cluster(coordinators: &[SocketAddr], loading: &str) -> Cluster {
+    let environment = TestEnvironment::new(1);
     let load = Rc::new(Cell::new(0.05));
-    let store = PackageStore::new(&stage, 8.0, 8);
+    let store = PackageStore::new(&environment, 8.0, 8);
     let executors: Vec<_> = (0..2)
         .map(|number| {
             let make = ExecutorSpec::with_ample_capacity(number);
@@ -94,14 +94,14 @@
                 token_cache: Rc::default(),
                 deduplication_window: 5.0,
             };
-            Executor::start(&stage, make, unused_address(), around).unwrap()
+            Executor::start(&environment, make, unused_address(), around).unwrap()
         })
         .collect();
     let list: Vec<_> = executors
         .iter()
         .map(|e| format!("{{ address: \"{}\" }}", e.address))
         .collect();
-    let asked: Vec<_> = coordinators.iter().map(|a| format!("\"{a}\"")).collect();
+    let addresses: Vec<_> = coordinators.iter().map(|a| format!("\"{a}\"")).collect();
     let (old, new) = (digest(OLD), digest(NEW));
     let function = |name: &str| {
         format!(
@@ -129,22 +129,22 @@
             rollouts: {{ coordinators: [{}], every: "50ms" }},
         }}"#,
         list.join(", "),
-        asked.join(", ")
+        addresses.join(", ")
     );
-    World {
-        stage,
+    Cluster {
+        environment,
         executors,
-        load,
+        load_time: load,
         text,
     }
 }
 
-pub fn gateway(text: &str) -> Gateway {
-    gateway_ahead(text, 0.0)
+pub fn start_front_end(text: &str) -> FrontEndThread {
+    start_front_end_ahead(text, 0.0)
 }
 
-/// With a wall clock that is so far ahead.
-pub fn gateway_ahead(text: &str, ahead: f64) -> Gateway {
+/// Starts a front end whose wall clock is ahead by `ahead` seconds.
+pub fn start_front_end_ahead(text: &str, ahead: f64) -> FrontEndThread {
     let listener = orchidtally_http_frontend::listen(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let (stop, stopped) = async_channel::bounded(1);
@@ -165,22 +165,22 @@
         let tally = orchidtally_http_frontend::run(start, listener);
         assert_eq!(tally.overdue, 0);
     });
-    Gateway { at, stop, thread }
+    FrontEndThread { at, stop, thread }
 }
 
-pub fn start_coordinator(text: &str, at: SocketAddr, folder: &Path) -> CoordinatorThread {
+pub fn start_coordinator(text: &str, at: SocketAddr, directory: &Path) -> CoordinatorThread {
     let (stop, stopped) = async_channel::bounded(1);
-    let (text, folder) = (text.to_owned(), folder.to_owned());
+    let (text, directory) = (text.to_owned(), directory.to_owned());
     let listener = orchidtally_socket_io::listen(at).unwrap();
     let thread = std::thread::spawn(move || {
         let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
-        orchidtally_coordinator::run(deployment, &folder, listener, stopped)
+        orchidtally_coordinator::run(deployment, &directory, listener, stopped)
     });
     CoordinatorThread { stop, thread }
 }
 
-pub async fn order(at: SocketAddr, order: OperatorRequest) -> (u16, String) {
-    let body = serde_json::to_vec(&order).unwrap();
+pub async fn send_request(at: SocketAddr, request: OperatorRequest) -> (u16, String) {
+    let body = serde_json::to_vec(&request).unwrap();
     let (status, body) = http_fetch(
         at,
         Method::POST,
@@ -207,7 +207,7 @@
     }
 }
 
-pub const ALL_AT_ONCE: &str = "{ share: 1, leastTime: '60s' }";
+pub const FULL_SHARE_STEP: &str = "{ share: 1, leastTime: '60s' }";
 
 pub async fn phase(at: SocketAddr) -> Option<Phase> {
     let (_, body) = http_fetch(
@@ -223,15 +223,15 @@
     serde_json::from_value(value["rollouts"][0]["phase"].clone()).ok()
 }
 
-pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
+pub fn run_with_timeout<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
-        stage.sleep(30.0).await;
-        panic!("the case did not end");
+        environment.sleep(30.0).await;
+        panic!("the test did not end within 30 s");
     };
-    async_io::block_on(stage.tasks.run(future::or(work, late)))
+    async_io::block_on(environment.tasks.run(future::or(work, late)))
 }
 
-pub fn ask(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
+pub fn request(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
     ClientRequest {
         invocation: name.into(),
         function: "f".into(),
@@ -241,14 +241,14 @@
     }
 }
 
-pub fn succeeded(heard: &ClientOutcome) -> bool {
-    matches!(heard, ClientOutcome::Answered { status: 200, .. })
+pub fn succeeded(outcome: &ClientOutcome) -> bool {
+    matches!(outcome, ClientOutcome::Answered { status: 200, .. })
 }
 
-impl World {
-    /// The digest that each invocation ran, and how often.
-    pub fn ran(&self, invocation: &str) -> Vec<String> {
-        let records = self.stage.records();
+impl Cluster {
+    /// The digests of the versions that executed an invocation, one for each execution.
+    pub fn executed_digests(&self, invocation: &str) -> Vec<String> {
+        let records = self.environment.records();
         let of = |r: &TrafficRecord| match r {
             TrafficRecord::VersionExecuted {
                 invocation: i,
@@ -260,16 +260,21 @@
         records.iter().filter_map(of).collect()
     }
 
-    /// Offers one invocation after another until one runs this package.
-    pub async fn until_runs(&self, caller: &Rc<TestClient>, label: &str, package: &[u8]) {
+    /// Sends one invocation after another until one is executed by the version with this package.
+    pub async fn invoke_until_executed_by(
+        &self,
+        client: &Rc<TestClient>,
+        label: &str,
+        package: &[u8],
+    ) {
         for n in 0..400 {
             let name = format!("{label}-{n}");
-            assert!(succeeded(&caller.invoke(&ask(&name, LOOK)).await));
-            if self.ran(&name) == [digest(package)] {
+            assert!(succeeded(&client.invoke(&request(&name, IDEMPOTENT)).await));
+            if self.executed_digests(&name) == [digest(package)] {
                 return;
             }
-            self.stage.sleep(0.02).await;
+            self.environment.sleep(0.02).await;
         }
-        panic!("{label}: the version was never run");
+        panic!("{label}: no invocation was executed by the version");
     }
 }
--- a/crates/coordinator/tests/sockets.rs
+++ b/crates/coordinator/tests/sockets.rs
@@ -1,11 +1,13 @@
-//! Hard cases of rollouts on sockets: coordinators, front ends and executors in one process, on threads.
+//! Rollouts over sockets: rollback during loads, alias moves, and restarts and conflicts of coordinators. All processes
+//! run as threads of the test.
 
 mod kit;
 
 use http::Method;
 use kit::{
-    ACT, ALL_AT_ONCE, LOOK, NEW, OLD, ask, folder, free, gateway, gateway_ahead, on, order, phase,
-    plan, plan_of, start_coordinator, succeeded, world,
+    FULL_SHARE_STEP, IDEMPOTENT, NEW, NON_IDEMPOTENT, OLD, empty_directory, free_address, phase,
+    plan, plan_of, request, run_with_timeout, send_request, start_cluster, start_coordinator,
+    start_front_end, start_front_end_ahead, succeeded,
 };
 use orchidtally_coordinator::{OperatorRequest, StopReason, recover};
 use orchidtally_invariants::TrafficRecord;
@@ -18,35 +20,48 @@
 use std::time::Duration;
 
 #[test]
-fn taken_back_while_executors_still_load_what_waits_goes_to_the_old_version_at_once() {
-    let at = free();
-    // The ration has no order to spare for copies ahead, so that the first invocations bring them.
-    let w = world(&[at], "rationFloor: 1");
-    let coordinator = start_coordinator(&w.text, at, &folder("loading"));
-    let gateway = gateway(&w.text);
-    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
-    w.load.set(1.5);
-    let taken_back = Cell::new(0.0);
-    on(&w.stage, async {
-        w.until_runs(&caller, "before", OLD).await;
-        assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
-        w.stage.sleep(0.8).await;
-        // Both effects: nothing of what waits has run.
-        let asks: Vec<_> = (0..10)
-            .map(|n| ask(&format!("w{n}"), if n % 2 == 0 { LOOK } else { ACT }))
+fn invocations_that_wait_on_a_load_move_to_the_old_version_at_a_rollback() {
+    let at = free_address();
+    // The load budget leaves no load command for prewarming, so the first invocations load the new version.
+    let cluster = start_cluster(&[at], "rationFloor: 1");
+    let coordinator = start_coordinator(&cluster.text, at, &empty_directory("loading"));
+    let front_end = start_front_end(&cluster.text);
+    let client = TestClient::new(&cluster.environment, 0, 0, front_end.at, false);
+    cluster.load_time.set(1.5);
+    let rolled_back_at = Cell::new(0.0);
+    run_with_timeout(&cluster.environment, async {
+        cluster
+            .invoke_until_executed_by(&client, "before", OLD)
+            .await;
+        assert_eq!(send_request(at, plan(FULL_SHARE_STEP)).await.0, 200);
+        cluster.environment.sleep(0.8).await;
+        // Idempotent and non-idempotent invocations: none of them runs while it waits on the load.
+        let requests: Vec<_> = (0..10)
+            .map(|n| {
+                request(
+                    &format!("w{n}"),
+                    if n % 2 == 0 {
+                        IDEMPOTENT
+                    } else {
+                        NON_IDEMPOTENT
+                    },
+                )
+            })
             .collect();
-        let tasks: Vec<_> = asks
+        let tasks: Vec<_> = requests
             .into_iter()
-            .map(|ask| {
-                let caller = caller.clone();
-                w.stage.spawn(async move { caller.invoke(&ask).await })
+            .map(|request| {
+                let client = client.clone();
+                cluster
+                    .environment
+                    .spawn(async move { client.invoke(&request).await })
             })
             .collect();
-        w.stage.sleep(0.3).await;
-        let none = (0..10).all(|n| w.ran(&format!("w{n}")).is_empty());
-        assert!(none, "they wait on the load");
+        cluster.environment.sleep(0.3).await;
+        let none = (0..10).all(|n| cluster.executed_digests(&format!("w{n}")).is_empty());
+        assert!(none, "an invocation ran during the load");
         assert_eq!(
-            order(
+            send_request(
                 at,
                 OperatorRequest::RollBack {
                     name: "r".into(),
@@ -57,21 +72,21 @@
             .0,
             200
         );
-        taken_back.set(w.stage.now());
-        // The one whose dispatch loads the version ends there; those that waited on it don't wait any longer.
+        rolled_back_at.set(cluster.environment.now());
+        // The invocation whose dispatch loads the version may run there; those that wait on the load move at once.
         for task in tasks {
-            let heard = task.await;
-            assert!(succeeded(&heard), "{heard:?}");
+            let outcome = task.await;
+            assert!(succeeded(&outcome), "{outcome:?}");
         }
         let new = (0..10)
-            .filter(|n| w.ran(&format!("w{n}")) == [digest(NEW)])
+            .filter(|n| cluster.executed_digests(&format!("w{n}")) == [digest(NEW)])
             .count();
         assert!(new <= 1, "{new} ran the new version");
-        // Started again within seconds, and taken back again while the first load may still be under way.
-        assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
-        w.stage.sleep(0.2).await;
+        // Start and roll back again while the first load may still be in progress.
+        assert_eq!(send_request(at, plan(FULL_SHARE_STEP)).await.0, 200);
+        cluster.environment.sleep(0.2).await;
         assert_eq!(
-            order(
+            send_request(
                 at,
                 OperatorRequest::RollBack {
                     name: "r".into(),
@@ -82,8 +97,10 @@
             .0,
             200
         );
-        w.stage.sleep(0.3).await;
-        assert!(succeeded(&caller.invoke(&ask("after", ACT)).await));
+        cluster.environment.sleep(0.3).await;
+        assert!(succeeded(
+            &client.invoke(&request("after", NON_IDEMPOTENT)).await
+        ));
     });
     let ended = |n: usize| {
         let name = format!("w{n}");
@@ -91,169 +108,204 @@
             matches!(r, TrafficRecord::ExecutionStarted { invocation, .. } if *invocation == name)
                 .then(|| r.at())
         };
-        w.stage.records().iter().find_map(at).unwrap()
+        cluster.environment.records().iter().find_map(at).unwrap()
     };
-    let soon = (0..10)
-        .filter(|&n| ended(n) < taken_back.get() + 0.5)
+    let prompt = (0..10)
+        .filter(|&n| ended(n) < rolled_back_at.get() + 0.5)
         .count();
     assert!(
-        soon >= 9,
-        "{soon} of 10 ran within half a second of the word"
+        prompt >= 9,
+        "{prompt} of 10 ran within half a second of the rollback"
     );
     let moved = (0..10)
-        .filter(|n| w.ran(&format!("w{n}")) == [digest(OLD)])
+        .filter(|n| cluster.executed_digests(&format!("w{n}")) == [digest(OLD)])
         .count();
-    assert!(moved >= 9, "{moved} ran once, the old version");
-    assert_eq!(w.ran("after"), [digest(OLD)]);
-    gateway.end();
-    assert_eq!(coordinator.end(), StopReason::Stopped);
+    assert!(
+        moved >= 9,
+        "{moved} of 10 ran exactly once, on the old version"
+    );
+    assert_eq!(cluster.executed_digests("after"), [digest(OLD)]);
+    front_end.stop_and_join();
+    assert_eq!(coordinator.stop_and_join(), StopReason::Stopped);
 }
 
 #[test]
-fn an_alias_that_moves_changes_nothing_for_what_is_out_and_all_for_what_comes_after() {
-    let at = free();
-    let w = world(&[at], "rationFloor: 4");
-    let coordinator = start_coordinator(&w.text, at, &folder("alias"));
-    let gateway = gateway(&w.text);
-    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
-    on(&w.stage, async {
-        w.until_runs(&caller, "before", OLD).await;
+fn a_finished_rollout_moves_the_alias_without_repeating_invocations() {
+    let at = free_address();
+    let cluster = start_cluster(&[at], "rationFloor: 4");
+    let coordinator = start_coordinator(&cluster.text, at, &empty_directory("alias"));
+    let front_end = start_front_end(&cluster.text);
+    let client = TestClient::new(&cluster.environment, 0, 0, front_end.at, false);
+    run_with_timeout(&cluster.environment, async {
+        cluster
+            .invoke_until_executed_by(&client, "before", OLD)
+            .await;
         let steps = "{ share: 0.5, leastTime: '300ms', leastEvidence: 5 }, { share: 1, leastTime: '300ms', leastEvidence: 5 }";
-        assert_eq!(order(at, plan(steps)).await.0, 200);
+        assert_eq!(send_request(at, plan(steps)).await.0, 200);
         let mut n = 0;
         while phase(at).await != Some(Phase::Finished) {
             let name = format!("during-{n}");
-            assert!(succeeded(&caller.invoke(&ask(&name, ACT)).await));
-            assert_eq!(w.ran(&name).len(), 1, "each effect once");
+            assert!(succeeded(
+                &client.invoke(&request(&name, NON_IDEMPOTENT)).await
+            ));
+            assert_eq!(
+                cluster.executed_digests(&name).len(),
+                1,
+                "each invocation runs once"
+            );
             n += 1;
-            w.stage.sleep(0.005).await;
+            cluster.environment.sleep(0.005).await;
         }
-        assert!(n > 20, "{n} were offered during the rollout");
-        w.stage.sleep(0.3).await;
-        let heard = caller.invoke(&ask("after", LOOK)).await;
-        assert!(succeeded(&heard), "{heard:?}");
-        assert_eq!(w.ran("after"), [digest(NEW)]);
-        // A digest names what it names, whatever the aliases do.
+        assert!(n > 20, "only {n} invocations were sent during the rollout");
+        cluster.environment.sleep(0.3).await;
+        let outcome = client.invoke(&request("after", IDEMPOTENT)).await;
+        assert!(succeeded(&outcome), "{outcome:?}");
+        assert_eq!(cluster.executed_digests("after"), [digest(NEW)]);
+        // A digest selects its version regardless of aliases.
         let named = ClientRequest {
             function: format!("f@sha256:{}", digest(OLD)),
-            ..ask("named", LOOK)
+            ..request("named", IDEMPOTENT)
         };
-        assert!(succeeded(&caller.invoke(&named).await));
-        assert_eq!(w.ran("named"), [digest(OLD)]);
+        assert!(succeeded(&client.invoke(&named).await));
+        assert_eq!(cluster.executed_digests("named"), [digest(OLD)]);
     });
-    gateway.end();
-    coordinator.end();
-    let (_, kept) =
+    front_end.stop_and_join();
+    coordinator.stop_and_join();
+    let (_, recovered) =
         recover(&PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("coordinator-alias")).unwrap();
     assert_eq!(
-        kept.published.aliases["f"]["stable"],
+        recovered.published.aliases["f"]["stable"],
         digest(NEW),
-        "it outlives the process"
+        "the moved alias is persisted"
     );
 }
 
 #[test]
-fn a_coordinator_that_is_gone_holds_the_step_and_says_the_same_when_it_is_back() {
-    let (at, kept) = (free(), folder("gone"));
-    let w = world(&[at], "rationFloor: 4");
-    let first = start_coordinator(&w.text, at, &kept);
-    let one = gateway(&w.text);
-    let caller = TestClient::new(&w.stage, 0, 0, one.at, false);
-    on(&w.stage, async {
-        w.until_runs(&caller, "before", OLD).await;
-        assert_eq!(order(at, plan(ALL_AT_ONCE)).await.0, 200);
-        w.until_runs(&caller, "shifted", NEW).await;
+fn a_stopped_coordinator_holds_the_step_and_publishes_it_again_after_its_restart() {
+    let (at, directory) = (free_address(), empty_directory("gone"));
+    let cluster = start_cluster(&[at], "rationFloor: 4");
+    let first = start_coordinator(&cluster.text, at, &directory);
+    let one = start_front_end(&cluster.text);
+    let client = TestClient::new(&cluster.environment, 0, 0, one.at, false);
+    run_with_timeout(&cluster.environment, async {
+        cluster
+            .invoke_until_executed_by(&client, "before", OLD)
+            .await;
+        assert_eq!(send_request(at, plan(FULL_SHARE_STEP)).await.0, 200);
+        cluster
+            .invoke_until_executed_by(&client, "shifted", NEW)
+            .await;
     });
-    assert_eq!(first.end(), StopReason::Stopped);
-    // One that starts while nobody says how the rollout stands serves the old version.
-    let late = gateway(&w.text);
-    let late_caller = TestClient::new(&w.stage, 1, 0, late.at, false);
-    on(&w.stage, async {
-        assert!(succeeded(&caller.invoke(&ask("held", LOOK)).await));
-        assert!(succeeded(&late_caller.invoke(&ask("late", LOOK)).await));
+    assert_eq!(first.stop_and_join(), StopReason::Stopped);
+    // A front end that starts while no coordinator is reachable serves the old version.
+    let late = start_front_end(&cluster.text);
+    let late_client = TestClient::new(&cluster.environment, 1, 0, late.at, false);
+    run_with_timeout(&cluster.environment, async {
+        assert!(succeeded(
+            &client.invoke(&request("held", IDEMPOTENT)).await
+        ));
+        assert!(succeeded(
+            &late_client.invoke(&request("late", IDEMPOTENT)).await
+        ));
     });
     assert_eq!(
-        (w.ran("held"), w.ran("late")),
+        (
+            cluster.executed_digests("held"),
+            cluster.executed_digests("late")
+        ),
         (vec![digest(NEW)], vec![digest(OLD)])
     );
-    let second = start_coordinator(&w.text, at, &kept);
-    on(&w.stage, async {
-        w.until_runs(&late_caller, "later", NEW).await;
+    let second = start_coordinator(&cluster.text, at, &directory);
+    run_with_timeout(&cluster.environment, async {
+        cluster
+            .invoke_until_executed_by(&late_client, "later", NEW)
+            .await;
         assert_eq!(phase(at).await, Some(Phase::Shifting));
-        let (status, told) = order(at, plan(ALL_AT_ONCE)).await;
+        let (status, body) = send_request(at, plan(FULL_SHARE_STEP)).await;
         assert!(
-            status == 409 && told.contains("is in progress"),
-            "{status} {told}"
+            status == 409 && body.contains("is in progress"),
+            "{status} {body}"
         );
     });
-    late.end();
-    one.end();
-    second.end();
-    let (_, kept) = recover(&kept).unwrap();
-    assert_eq!(kept.published.epoch.term, 2);
+    late.stop_and_join();
+    one.stop_and_join();
+    second.stop_and_join();
+    let (_, recovered) = recover(&directory).unwrap();
+    assert_eq!(recovered.published.epoch.term, 2);
     assert_eq!(
-        kept.runs["r"].history.len(),
+        recovered.runs["r"].history.len(),
         2,
         "started, then the first step"
     );
 }
 
 #[test]
-fn of_two_coordinators_the_higher_term_wins_and_the_other_stops() {
-    let (a, b) = (free(), free());
-    let (first, second) = (folder("first"), folder("second"));
-    let w = world(&[a, b], "rationFloor: 4");
-    // The second one has had terms before.
+fn the_coordinator_with_the_lower_term_stops() {
+    let (a, b) = (free_address(), free_address());
+    let (first, second) = (empty_directory("first"), empty_directory("second"));
+    let cluster = start_cluster(&[a, b], "rationFloor: 4");
+    // The second coordinator starts with a higher term than the first.
     for _ in 0..3 {
-        start_coordinator(&w.text, b, &second).end();
+        start_coordinator(&cluster.text, b, &second).stop_and_join();
     }
-    let one = start_coordinator(&w.text, a, &first);
-    let gateway = gateway(&w.text);
-    let caller = TestClient::new(&w.stage, 0, 0, gateway.at, false);
-    on(&w.stage, async {
-        w.until_runs(&caller, "before", OLD).await;
-        assert_eq!(order(a, plan(ALL_AT_ONCE)).await.0, 200);
-        w.until_runs(&caller, "shifted", NEW).await;
+    let one = start_coordinator(&cluster.text, a, &first);
+    let front_end = start_front_end(&cluster.text);
+    let client = TestClient::new(&cluster.environment, 0, 0, front_end.at, false);
+    run_with_timeout(&cluster.environment, async {
+        cluster
+            .invoke_until_executed_by(&client, "before", OLD)
+            .await;
+        assert_eq!(send_request(a, plan(FULL_SHARE_STEP)).await.0, 200);
+        cluster
+            .invoke_until_executed_by(&client, "shifted", NEW)
+            .await;
     });
-    let two = start_coordinator(&w.text, b, &second);
+    let two = start_coordinator(&cluster.text, b, &second);
     match one.thread.join().unwrap().unwrap() {
         StopReason::Superseded(epoch) => assert_eq!(epoch.term, 4),
         other => panic!("{other:?}"),
     }
-    on(&w.stage, async {
-        // What the second one doesn't know is not given any more.
-        w.until_runs(&caller, "after", OLD).await;
-        assert_eq!(order(b, plan(ALL_AT_ONCE)).await.0, 200);
-        w.until_runs(&caller, "again", NEW).await;
+    run_with_timeout(&cluster.environment, async {
+        // The second coordinator doesn't know the rollout, so front ends return to the old version.
+        cluster
+            .invoke_until_executed_by(&client, "after", OLD)
+            .await;
+        assert_eq!(send_request(b, plan(FULL_SHARE_STEP)).await.0, 200);
+        cluster
+            .invoke_until_executed_by(&client, "again", NEW)
+            .await;
     });
-    assert_eq!(w.executors.len(), 2);
-    gateway.end();
-    two.end();
+    assert_eq!(cluster.executors.len(), 2);
+    front_end.stop_and_join();
+    two.stop_and_join();
 }
 
 #[test]
-fn ten_rollouts_at_once_on_front_ends_whose_clocks_are_a_second_apart_come_to_their_ends() {
-    let at = free();
-    let w = world(&[at], "rationFloor: 30, rationWindow: '5s'");
-    let coordinator = start_coordinator(&w.text, at, &folder("ten"));
-    let gateways = [gateway_ahead(&w.text, -0.5), gateway_ahead(&w.text, 0.5)];
-    let callers: Vec<_> = gateways
+fn ten_concurrent_rollouts_end_on_front_ends_with_a_clock_skew_of_a_second() {
+    let at = free_address();
+    let cluster = start_cluster(&[at], "rationFloor: 30, rationWindow: '5s'");
+    let coordinator = start_coordinator(&cluster.text, at, &empty_directory("ten"));
+    let front_ends = [
+        start_front_end_ahead(&cluster.text, -0.5),
+        start_front_end_ahead(&cluster.text, 0.5),
+    ];
+    let clients: Vec<_> = front_ends
         .iter()
         .enumerate()
-        .map(|(n, g)| TestClient::new(&w.stage, n as u32, n as u32, g.at, false))
+        .map(|(n, g)| TestClient::new(&cluster.environment, n as u32, n as u32, g.at, false))
         .collect();
     let steps = "{ share: 0.5, leastTime: '300ms', leastEvidence: 5 }, { share: 1, leastTime: '300ms', leastEvidence: 5 }";
-    on(&w.stage, async {
+    run_with_timeout(&cluster.environment, async {
         for n in 0..10 {
             assert_eq!(
-                order(at, plan_of(&format!("r{n}"), &format!("g{n}"), 3.0, steps))
+                send_request(at, plan_of(&format!("r{n}"), &format!("g{n}"), 3.0, steps))
                     .await
                     .0,
                 200
             );
         }
         assert_eq!(
-            order(
+            send_request(
                 at,
                 OperatorRequest::RollBack {
                     name: "r3".into(),
@@ -288,31 +340,35 @@
         };
         let mut n = 0;
         while over().await != (9, 1) {
-            for caller in &callers {
+            for client in &clients {
                 let name = format!("t{n}");
-                let asked = ClientRequest {
+                let request = ClientRequest {
                     function: format!("g{}", n % 10),
-                    ..ask(&name, ACT)
+                    ..request(&name, NON_IDEMPOTENT)
                 };
-                assert!(succeeded(&caller.invoke(&asked).await));
-                assert_eq!(w.ran(&name).len(), 1, "each effect once");
+                assert!(succeeded(&client.invoke(&request).await));
+                assert_eq!(
+                    cluster.executed_digests(&name).len(),
+                    1,
+                    "each invocation runs once"
+                );
                 n += 1;
             }
         }
-        w.stage.sleep(0.3).await;
-        for (g, caller) in (0..10).flat_map(|g| callers.iter().map(move |c| (g, c))) {
-            let name = format!("last-{g}-{}", caller.number);
-            let asked = ClientRequest {
+        cluster.environment.sleep(0.3).await;
+        for (g, client) in (0..10).flat_map(|g| clients.iter().map(move |c| (g, c))) {
+            let name = format!("last-{g}-{}", client.number);
+            let request = ClientRequest {
                 function: format!("g{g}"),
-                ..ask(&name, LOOK)
+                ..request(&name, IDEMPOTENT)
             };
-            assert!(succeeded(&caller.invoke(&asked).await));
+            assert!(succeeded(&client.invoke(&request).await));
             let wanted = if g == 3 { OLD } else { NEW };
-            assert_eq!(w.ran(&name), [digest(wanted)]);
+            assert_eq!(cluster.executed_digests(&name), [digest(wanted)]);
         }
     });
-    for gateway in gateways {
-        gateway.end();
+    for front_end in front_ends {
+        front_end.stop_and_join();
     }
-    coordinator.end();
+    coordinator.stop_and_join();
 }
--- a/crates/coordinator/tests/stored_formats.rs
+++ b/crates/coordinator/tests/stored_formats.rs
@@ -1,6 +1,5 @@
-//! The JSON that operators' tools and a coordinator exchange is a protocol, and the file names and entries of its
-//! journal are a stored format. The examples in `stored_formats` were checked against the build of version 0.2.0 and
-//! must not be changed.
+//! Guards the compatibility of the JSON that operators' tools exchange with a coordinator, and of the files of its
+//! journal. The examples in `stored_formats` were checked against the build of version 0.2.0 and must not be changed.
 
 use orchidtally_coordinator::{OperatorRequest, RolloutStatus, recover};
 use orchidtally_journal::Journal;
@@ -9,13 +8,13 @@
 use serde::de::DeserializeOwned;
 use std::path::PathBuf;
 
-const ORDERS: &str = include_str!("stored_formats/orders.jsonl");
+const OPERATOR_REQUESTS: &str = include_str!("stored_formats/orders.jsonl");
 const STATUS: &str = include_str!("stored_formats/status.json");
 const COORDINATOR_STATE: &str =
     include_str!("../../rollout/tests/stored_formats/coordinator_state.json");
 
-/// Reads one value a line, and checks that each is written again byte for byte.
-fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
+/// Deserializes one value a line, and checks that serializing it gives the same bytes.
+fn round_trip<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
         let value: Value =
             serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
@@ -26,9 +25,9 @@
 }
 
 #[test]
-fn orders_are_read_and_written_again() {
-    let orders: Vec<OperatorRequest> = read_and_rewrite(ORDERS);
-    let kind = |order: &OperatorRequest| match order {
+fn operator_requests_round_trip() {
+    let requests: Vec<OperatorRequest> = round_trip(OPERATOR_REQUESTS);
+    let kind = |request: &OperatorRequest| match request {
         OperatorRequest::Start { .. } => "start",
         OperatorRequest::Pause { .. } => "pause",
         OperatorRequest::Resume { .. } => "resume",
@@ -36,7 +35,7 @@
         OperatorRequest::Advance { .. } => "advance",
         OperatorRequest::Finish { .. } => "finish",
     };
-    let kinds: Vec<&str> = orders.iter().map(kind).collect();
+    let kinds: Vec<&str> = requests.iter().map(kind).collect();
     assert_eq!(
         kinds,
         ["start", "pause", "resume", "back", "advance", "finish"]
@@ -44,8 +43,8 @@
 }
 
 #[test]
-fn a_status_is_read_and_written_again() {
-    let status: RolloutStatus = read_and_rewrite(STATUS).remove(0);
+fn a_status_round_trips() {
+    let status: RolloutStatus = round_trip(STATUS).remove(0);
     assert_eq!(
         (status.phase, status.step, status.steps, status.share),
         (Phase::Shifting, 1, 2, 0.05)
@@ -65,16 +64,16 @@
 }
 
 #[test]
-fn the_last_entry_of_a_journal_is_the_state() {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("stored-formats");
-    let _ = std::fs::remove_dir_all(&folder);
-    let (mut journal, _) = Journal::open(&folder).unwrap();
+fn recovery_reads_the_last_entry_of_the_journal() {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("stored-formats");
+    let _ = std::fs::remove_dir_all(&directory);
+    let (mut journal, _) = Journal::open(&directory).unwrap();
     journal
         .append(b"{\"published\":\"an earlier entry is not looked at\"}")
         .unwrap();
     let text = COORDINATOR_STATE.trim_end();
     journal.append(text.as_bytes()).unwrap();
     drop(journal);
-    let (_, state) = recover(&folder).unwrap();
+    let (_, state) = recover(&directory).unwrap();
     assert_eq!(serde_json::to_string(&state).unwrap(), text);
 }
--- a/crates/deployment/tests/changes.rs
+++ b/crates/deployment/tests/changes.rs
@@ -10,7 +10,7 @@
     executors: { list: [{ address: "127.0.0.1:1" }] },
 }"#;
 
-fn told(before: &str, after: &str) -> Vec<String> {
+fn reported(before: &str, after: &str) -> Vec<String> {
     restart_needed(before, after)
         .iter()
         .map(ToString::to_string)
@@ -18,29 +18,29 @@
 }
 
 #[test]
-fn what_is_spelled_otherwise_has_not_changed() {
+fn spaces_comments_and_key_order_are_not_changes() {
     let spaced = BEFORE.replace("// a comment", "/* another */").replace(
         r#"{ connections: 5, bodyBytes: "1MiB" }"#,
         r#"{
             "bodyBytes": "1MiB", connections: 5 }"#,
     );
     assert_ne!(spaced, BEFORE);
-    assert_eq!(told(BEFORE, &spaced), Vec::<String>::new());
+    assert_eq!(reported(BEFORE, &spaced), Vec::<String>::new());
 }
 
 #[test]
-fn functions_customers_and_trigger_types_need_none() {
+fn functions_customers_and_trigger_types_need_no_restart() {
     let after = BEFORE
         .replace("timeout: \"2s\"", "timeout: \"3s\"")
         .replace(
             "otherFunctions: { lanes: 2 }",
             "functions: [{ name: 'f' }], customers: [{ name: 'c', share: 1 }]",
         );
-    assert_eq!(told(BEFORE, &after), Vec::<String>::new());
+    assert_eq!(reported(BEFORE, &after), Vec::<String>::new());
 }
 
 #[test]
-fn all_else_does_with_its_place() {
+fn other_sections_need_a_restart_and_are_reported_with_their_place() {
     let after = BEFORE
         .replace("connections: 5", "connections: 6")
         .replace("name: \"n\",", "name: \"m\", crossing: 0.5,")
@@ -48,8 +48,8 @@
             "    executors: { list: [{ address: \"127.0.0.1:1\" }] },\n",
             "",
         );
-    let told = told(BEFORE, &after);
-    let begins: Vec<&str> = told
+    let reported = reported(BEFORE, &after);
+    let begins: Vec<&str> = reported
         .iter()
         .map(|t| {
             t.split_once(", which takes effect")
--- a/crates/deployment/tests/configuration.rs
+++ b/crates/deployment/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The section of the store that configuration comes from.
+//! The `configuration` section.
 
 use orchidtally_deployment::{Deployment, UnsyncedBehavior};
 use std::path::PathBuf;
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn the_example_is_sound_and_without_the_section_there_is_no_store() {
-    let deployment = Deployment::parse(EXAMPLE).expect("the example is sound");
-    let read = deployment.configuration.expect("it has the section");
+fn the_example_has_the_section_and_a_file_without_it_has_no_store() {
+    let deployment = Deployment::parse(EXAMPLE).expect("the example is valid");
+    let read = deployment.configuration.expect("the section is given");
     assert_eq!(
         (read.endpoints.len(), read.prefix.as_str()),
         (5, "ferry-lines/config/")
@@ -48,15 +48,15 @@
     let without = include_str!("../../../examples/deployments/one-machine.json5");
     assert!(
         Deployment::parse(without)
-            .expect("sound")
+            .expect("valid")
             .configuration
             .is_none()
     );
 }
 
 #[test]
-fn every_fault_of_it_is_told_with_its_place_and_remedy() {
-    let told = faults(
+fn all_faults_are_reported_with_their_place_and_a_remedy() {
+    let reported = faults(
         r#"{
     store: { endpoints: ["nowhere"], prefix: "config", member: 3 },
     snapshot: "one-for-all", freshness: "5s", inForceWithin: "5500ms", proveEvery: "2s",
@@ -75,30 +75,33 @@
     ];
     for fault in expected {
         assert!(
-            told.iter().any(|t| t.starts_with(fault)),
-            "'{fault}' is missing from {told:#?}"
+            reported.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {reported:#?}"
         );
     }
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
 }
 
 #[test]
-fn store_and_snapshot_are_wanted() {
-    let told = faults("{}");
+fn the_store_and_the_snapshot_are_required() {
+    let reported = faults("{}");
     assert!(
-        told.iter()
+        reported
+            .iter()
             .any(|t| t.contains("configuration.store: is missing")),
-        "{told:#?}"
+        "{reported:#?}"
     );
     assert!(
-        told.iter()
+        reported
+            .iter()
             .any(|t| t.contains("configuration.snapshot: is missing")),
-        "{told:#?}"
+        "{reported:#?}"
     );
-    let told = faults(r#"{ store: { endpoints: [] }, snapshot: "{index}" }"#);
+    let reported = faults(r#"{ store: { endpoints: [] }, snapshot: "{index}" }"#);
     assert!(
-        told.iter()
+        reported
+            .iter()
             .any(|t| t.contains("configuration.store.endpoints: at least one is wanted")),
-        "{told:#?}"
+        "{reported:#?}"
     );
 }
--- a/crates/deployment/tests/read.rs
+++ b/crates/deployment/tests/read.rs
@@ -1,4 +1,4 @@
-//! Descriptions that are sound, and what is said of those that are not.
+//! Valid deployment files, and the faults of invalid ones.
 
 use orchidtally_deployment::{Deployment, EndpointSource, function_key};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency};
@@ -12,11 +12,11 @@
 ];
 
 #[test]
-fn the_examples_are_sound() {
+fn the_examples_are_valid() {
     let [one, cranes, print] =
-        EXAMPLES.map(|text| Deployment::parse(text).expect("an example is sound"));
+        EXAMPLES.map(|text| Deployment::parse(text).expect("an example is valid"));
     let EndpointSource::Listed(rows) = &one.endpoint_source else {
-        panic!("its executors are listed")
+        panic!("the executors are listed in the file")
     };
     assert!(rows[0].executor.0.is_ipv4() && rows[1].executor.0.is_ipv6());
     assert_eq!(
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn every_fault_is_told_in_one_pass_with_its_place() {
+fn all_faults_are_reported_in_one_pass_with_their_place() {
     let text = r#"{
   listen: "nowhere",
   triggerTypes: [
@@ -70,8 +70,8 @@
   safty: {},
   limits: { bodyBytes: "1 parsec", cancel: "yes" },
 }"#;
-    let faults = Deployment::parse(text).expect_err("it is full of faults");
-    let told: Vec<String> = faults.iter().map(|f| f.to_string()).collect();
+    let faults = Deployment::parse(text).expect_err("the text has faults");
+    let reported: Vec<String> = faults.iter().map(|f| f.to_string()).collect();
     let expected = [
         "2:11: listen: 'nowhere' is not an address and port",
         "4:26: triggerTypes[0].effect: 'twice' is none of 'idempotent', 'tokened', 'nonIdempotent'",
@@ -93,15 +93,18 @@
     ];
     for fault in expected {
         assert!(
-            told.iter().any(|t| t.starts_with(fault)),
-            "'{fault}' is missing from {told:#?}"
+            reported.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {reported:#?}"
         );
     }
-    assert!(told.iter().all(|t| !t.contains("unnamed")), "{told:#?}");
+    assert!(
+        reported.iter().all(|t| !t.contains("unnamed")),
+        "{reported:#?}"
+    );
 }
 
 #[test]
-fn a_token_group_that_nobody_is_in_is_a_fault() {
+fn a_deduplication_location_without_executors_is_a_fault() {
     let text = EXAMPLES[0]
         .replace(
             "effect: \"idempotent\"",
@@ -111,7 +114,7 @@
             "name: \"one-machine\"",
             "name: \"x\", locations: [\"here\", \"there\"]",
         );
-    let faults = Deployment::parse(&text).expect_err("nobody is there");
+    let faults = Deployment::parse(&text).expect_err("a location has no executor");
     assert_eq!(faults.len(), 1, "{faults:?}");
     assert!(
         faults[0].message.contains("no executor is in 'there'"),
@@ -120,7 +123,7 @@
 }
 
 #[test]
-fn any_text_is_read_or_faulted_within_its_lines() {
+fn any_text_is_parsed_or_has_faults_within_its_lines() {
     let config = Config {
         cases: 600,
         failure_persistence: None,
@@ -128,7 +131,7 @@
     };
     let mut runner =
         TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[1; 32]));
-    // An example with a part cut out or put in elsewhere.
+    // An example with a part moved to another place.
     let cut = (
         0usize..3,
         any::<prop::sample::Index>(),
--- a/crates/deployment/tests/regions.rs
+++ b/crates/deployment/tests/regions.rs
@@ -1,4 +1,4 @@
-//! The section that tells which locations stand near each other.
+//! The `regions` section.
 
 use orchidtally_deployment::{Deployment, restart_needed};
 
@@ -21,29 +21,29 @@
 }
 
 #[test]
-fn the_example_is_sound() {
-    let deployment = Deployment::parse(EXAMPLE).expect("the example is sound");
+fn the_example_is_valid() {
+    let deployment = Deployment::parse(EXAMPLE).expect("the example is valid");
     assert_eq!(deployment.locations, ["east-port", "west-port", "island"]);
     assert_eq!(deployment.policy.zone_regions, [Some(0), Some(0), Some(1)]);
     assert_eq!(deployment.policy.zone, 2);
 }
 
 #[test]
-fn it_may_be_left_out() {
-    let deployment = Deployment::parse(&with_section("")).expect("sound");
+fn the_section_is_optional() {
+    let deployment = Deployment::parse(&with_section("")).expect("valid");
     assert!(deployment.policy.zone_regions.is_empty());
 }
 
 #[test]
 fn locations_are_found_by_their_names() {
     let section = r#"regions: [{ name: "r", locations: ["south"] }, { name: "s", locations: ["west", "east"] }],"#;
-    let deployment = Deployment::parse(&with_section(section)).expect("sound");
+    let deployment = Deployment::parse(&with_section(section)).expect("valid");
     assert_eq!(deployment.policy.zone_regions, [Some(1), Some(1), Some(0)]);
 }
 
 #[test]
-fn every_fault_of_it_is_told_with_its_place_and_remedy() {
-    let told = faults(
+fn all_faults_are_reported_with_their_place_and_a_remedy() {
+    let reported = faults(
         r#"  regions: [
     { name: "coast", locations: ["east", "nowhere"] },
     { name: "coast", locations: ["west", "east"] },
@@ -60,28 +60,28 @@
     ];
     for fault in expected {
         assert!(
-            told.iter().any(|t| t.starts_with(fault)),
-            "'{fault}' is missing from {told:#?}"
+            reported.iter().any(|t| t.starts_with(fault)),
+            "'{fault}' is missing from {reported:#?}"
         );
     }
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
 }
 
 #[test]
-fn an_empty_one_is_a_fault() {
+fn an_empty_section_is_a_fault() {
     let expected = "7:10: regions: at least one region is wanted; leave 'regions' out to place functions anywhere";
     assert_eq!(faults("regions: [],"), [expected]);
 }
 
 #[test]
-fn a_change_of_it_takes_effect_at_a_restart() {
+fn a_change_takes_effect_at_a_restart() {
     let one = with_section(r#"regions: [{ name: "r", locations: ["east", "west", "south"] }],"#);
-    let told: Vec<String> = restart_needed(&with_section(""), &one)
+    let reported: Vec<String> = restart_needed(&with_section(""), &one)
         .iter()
         .map(ToString::to_string)
         .collect();
     assert!(
-        told.len() == 1 && told[0].starts_with("7:10: regions: has changed"),
-        "{told:?}"
+        reported.len() == 1 && reported[0].starts_with("7:10: regions: has changed"),
+        "{reported:?}"
     );
 }
--- a/crates/journal/benches/commit.rs
+++ b/crates/journal/benches/commit.rs
@@ -1,4 +1,5 @@
-//! Entries a second with a sync each, with 64 in flight that share syncs, and the time to open a journal by its size.
+//! Measures entries a second with a sync each and with 64 in flight that share syncs, and the time to open a journal by
+//! its size.
 //!
 //! `cargo bench -p orchidtally-journal --bench commit`
 
@@ -13,7 +14,7 @@
 
 fn directory(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("bench-{name}"));
-    // One of an earlier run.
+    // Removes the directory of an earlier run.
     let _ = std::fs::remove_dir_all(&path);
     path
 }
@@ -22,46 +23,46 @@
     Journal::open(directory).unwrap_or_else(|e| panic!("{e}")).0
 }
 
-fn one_by_one() -> f64 {
+fn measure_single_appends() -> f64 {
     let mut journal = open(&directory("single"));
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..ENTRIES {
         journal
             .append(&[7; BYTES])
             .unwrap_or_else(|e| panic!("{e}"));
     }
-    ENTRIES as f64 / began.elapsed().as_secs_f64()
+    ENTRIES as f64 / started.elapsed().as_secs_f64()
 }
 
-fn together() -> (f64, f64) {
+fn measure_group_commit() -> (f64, f64) {
     let group = GroupCommit::new(open(&directory("group")), IN_FLIGHT);
-    let (tell, told) = channel();
+    let (sender, results) = channel();
     let (mut sent, mut done, mut longest) = (0, 0, 0.0f64);
-    let began = Instant::now();
+    let started = Instant::now();
     while done < ENTRIES {
         while sent < ENTRIES && sent - done < IN_FLIGHT {
-            let (tell, at) = (tell.clone(), Instant::now());
+            let (sender, at) = (sender.clone(), Instant::now());
             let report = move |r: std::io::Result<()>| {
-                // The bench waits for all of them.
-                let _ = tell.send((r.is_ok(), at.elapsed().as_secs_f64()));
+                // The receiver lives until all results have arrived.
+                let _ = sender.send((r.is_ok(), at.elapsed().as_secs_f64()));
             };
             if group.append(vec![7; BYTES], report).is_err() {
                 break;
             }
             sent += 1;
         }
-        let (well, took) = told.recv().unwrap_or((false, 0.0));
-        assert!(well, "an entry was not kept");
+        let (succeeded, took) = results.recv().unwrap_or((false, 0.0));
+        assert!(succeeded, "an append failed");
         longest = longest.max(took);
         done += 1;
     }
-    (ENTRIES as f64 / began.elapsed().as_secs_f64(), longest)
+    (ENTRIES as f64 / started.elapsed().as_secs_f64(), longest)
 }
 
 fn main() {
     let mut ratios: Vec<f64> = vec![];
     for _ in 0..3 {
-        let (single, (grouped, longest)) = (one_by_one(), together());
+        let (single, (grouped, longest)) = (measure_single_appends(), measure_group_commit());
         ratios.push(grouped / single);
         println!(
             "a sync each {single:>8.0} a second; {IN_FLIGHT} in flight that share syncs {grouped:>8.0} a second, {:.1} times; \
@@ -81,12 +82,12 @@
         }
         let bytes = journal.length();
         drop(journal);
-        let began = Instant::now();
+        let started = Instant::now();
         drop(open(&at));
         println!(
             "opened {:.1} MB in {:.1} ms",
             bytes as f64 / 1e6,
-            1e3 * began.elapsed().as_secs_f64()
+            1e3 * started.elapsed().as_secs_f64()
         );
     }
 }
--- a/crates/journal/tests/journal.rs
+++ b/crates/journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal against a plain list, with files cut and damaged at any byte.
+//! The journal compared with a list of entries, and its recovery from truncated and damaged files.
 
 use orchidtally_journal::{GroupCommit, Journal, Recovered, inspect};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
     path
 }
 
-/// The one file of entries in a directory.
+/// The path of the only log in a directory.
 fn log(directory: &PathBuf) -> PathBuf {
     let names = fs::read_dir(directory).unwrap().map(|e| e.unwrap().path());
     let mut logs: Vec<_> = names
@@ -26,8 +26,8 @@
     Append(Vec<u8>),
     Snapshot(Vec<u8>),
     Reopen,
-    /// Killed in the middle of an append: so many bytes of it stand.
-    Torn(Vec<u8>),
+    /// Reopen after an append that was interrupted after these bytes.
+    InterruptedAppend(Vec<u8>),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -36,7 +36,7 @@
         5 => bytes().prop_map(Step::Append),
         1 => bytes().prop_map(Step::Snapshot),
         1 => Just(Step::Reopen),
-        1 => proptest::collection::vec(any::<u8>(), 1..7).prop_map(Step::Torn),
+        1 => proptest::collection::vec(any::<u8>(), 1..7).prop_map(Step::InterruptedAppend),
     ]
 }
 
@@ -44,7 +44,7 @@
     #![proptest_config(ProptestConfig { cases: 25, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_was_appended_is_found_again(steps in proptest::collection::vec(step(), 1..40)) {
+    fn reopening_returns_the_appended_entries(steps in proptest::collection::vec(step(), 1..40)) {
         let at = directory("model");
         let (mut journal, _) = Journal::open(&at).unwrap();
         let mut model = Recovered::default();
@@ -62,7 +62,7 @@
                     continue;
                 }
                 Step::Reopen => 0,
-                Step::Torn(bytes) => {
+                Step::InterruptedAppend(bytes) => {
                     let mut file = fs::OpenOptions::new().append(true).open(log(&at)).unwrap();
                     std::io::Write::write_all(&mut file, &bytes).unwrap();
                     bytes.len() as u64
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn cut_at_any_byte_it_opens_at_the_last_whole_entry_and_goes_on() {
+fn a_truncated_log_opens_at_the_last_complete_entry_and_accepts_appends() {
     let at = directory("cut");
     let (mut journal, _) = Journal::open(&at).unwrap();
     let written: Vec<Vec<u8>> = (1..5).map(|n| vec![n; 3 * usize::from(n)]).collect();
@@ -87,10 +87,10 @@
         ends.push(8 + journal.length() as usize);
     }
     drop(journal);
-    let whole = fs::read(log(&at)).unwrap();
-    assert_eq!(whole.len(), *ends.last().unwrap());
-    for length in 0..whole.len() {
-        fs::write(log(&at), &whole[..length]).unwrap();
+    let intact = fs::read(log(&at)).unwrap();
+    assert_eq!(intact.len(), *ends.last().unwrap());
+    for length in 0..intact.len() {
+        fs::write(log(&at), &intact[..length]).unwrap();
         let (mut journal, found) = Journal::open(&at).unwrap();
         let expected = ends
             .iter()
@@ -106,9 +106,9 @@
             (expected + 1, 0)
         );
     }
-    // A byte that is wrong in the middle is damage and not an append that was cut short: it is named.
+    // A wrong byte before complete records is damage, not an interrupted append: opening fails and names its position.
     for at_byte in [ends[1] + 9, ends[0] + 1, ends[2] + 5] {
-        let mut damaged = whole.clone();
+        let mut damaged = intact.clone();
         damaged[at_byte] ^= 1;
         fs::write(log(&at), &damaged).unwrap();
         let fault = Journal::open(&at).unwrap_err().to_string();
@@ -118,12 +118,16 @@
             "{fault}"
         );
         assert!(inspect(&at).is_err());
-        assert_eq!(fs::read(log(&at)).unwrap(), damaged, "nothing is cut off");
+        assert_eq!(
+            fs::read(log(&at)).unwrap(),
+            damaged,
+            "a damaged log is not truncated"
+        );
     }
 }
 
 #[test]
-fn entries_that_share_a_sync_stand_or_fall_together() {
+fn entries_that_share_a_sync_are_recovered_all_or_none() {
     let at = directory("batch");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"first").unwrap();
@@ -132,31 +136,31 @@
         .append_all(&[b"a".to_vec(), vec![], b"ccc".to_vec()])
         .unwrap();
     drop(journal);
-    let whole = fs::read(log(&at)).unwrap();
+    let intact = fs::read(log(&at)).unwrap();
     assert_eq!(
         inspect(&at).unwrap().entries,
         [&b"first"[..], b"a", b"", b"ccc"]
     );
-    for length in before..whole.len() {
-        fs::write(log(&at), &whole[..length]).unwrap();
+    for length in before..intact.len() {
+        fs::write(log(&at), &intact[..length]).unwrap();
         assert_eq!(inspect(&at).unwrap().entries, [b"first"], "cut at {length}");
     }
 }
 
 #[test]
-fn a_group_tells_each_once_and_keeps_the_order_of_one_sender() {
+fn group_commit_calls_each_callback_once_and_keeps_the_order_of_a_sender() {
     let at = directory("group");
     let (journal, _) = Journal::open(&at).unwrap();
     let group = std::sync::Arc::new(GroupCommit::new(journal, 64));
-    let (tell, told) = std::sync::mpsc::channel();
+    let (result_sender, results) = std::sync::mpsc::channel();
     let senders: Vec<_> = (0..4u8)
         .map(|sender| {
-            let (group, tell) = (group.clone(), tell.clone());
+            let (group, result_sender) = (group.clone(), result_sender.clone());
             std::thread::spawn(move || {
                 for n in 0..100u8 {
-                    let tell = tell.clone();
+                    let result_sender = result_sender.clone();
                     let report = move |done: std::io::Result<()>| {
-                        tell.send((sender, n, done.is_ok())).unwrap()
+                        result_sender.send((sender, n, done.is_ok())).unwrap()
                     };
                     while group.append(vec![sender, n], report.clone()).is_err() {
                         std::thread::yield_now();
@@ -167,12 +171,12 @@
         .collect();
     senders.into_iter().for_each(|s| s.join().unwrap());
     let journal = std::sync::Arc::into_inner(group).unwrap().close().unwrap();
-    drop((journal, tell));
-    let mut told: Vec<_> = told.iter().collect();
-    assert!(told.iter().all(|t| t.2));
-    told.sort_unstable();
-    told.dedup();
-    assert_eq!(told.len(), 400, "each was told");
+    drop((journal, result_sender));
+    let mut results: Vec<_> = results.iter().collect();
+    assert!(results.iter().all(|t| t.2));
+    results.sort_unstable();
+    results.dedup();
+    assert_eq!(results.len(), 400, "each callback is called once");
     let found = inspect(&at).unwrap().entries;
     assert_eq!(found.len(), 400);
     for sender in 0..4u8 {
@@ -181,18 +185,18 @@
             .filter(|e| e[0] == sender)
             .map(|e| e[1])
             .collect();
-        assert!(own.is_sorted(), "in its order");
+        assert!(own.is_sorted(), "entries of a sender keep their order");
     }
 }
 
 #[test]
-fn a_kill_between_the_steps_of_a_snapshot_leaves_the_old_state_or_the_new() {
+fn a_crash_during_a_snapshot_leaves_the_old_state_or_the_new_one() {
     let at = directory("killed");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.snapshot(b"old").unwrap();
     journal.append(b"entry").unwrap();
     drop(journal);
-    // Killed while the next snapshot was being written, and after its file of entries was made.
+    // A crash while the next snapshot is written, and one after its log is created.
     fs::write(at.join("next-snapshot"), b"orchjrn2 half").unwrap();
     fs::write(at.join("log-2"), b"orchjrn2").unwrap();
     let (mut journal, found) = Journal::open(&at).unwrap();
@@ -202,7 +206,7 @@
     );
     journal.snapshot(b"new").unwrap();
     drop(journal);
-    // Killed before the old files were removed.
+    // A crash before the old files are removed.
     fs::write(at.join("log-1"), b"orchjrn2 and more").unwrap();
     let (journal, found) = Journal::open(&at).unwrap();
     assert_eq!(
@@ -229,28 +233,30 @@
 }
 
 #[test]
-fn after_an_entry_that_was_not_kept_none_is_until_all_is_replaced() {
+fn after_a_failed_append_all_appends_fail_until_a_snapshot() {
     let at = directory("failed");
     let (mut journal, _) = Journal::open(&at).unwrap();
     journal.append(b"before").unwrap();
     journal.simulate_sync_failure();
     let group = GroupCommit::new(journal, 64);
-    let (tell, told) = std::sync::mpsc::channel();
+    let (result_sender, results) = std::sync::mpsc::channel();
     let append = |entry: &[u8]| {
-        let tell = tell.clone();
+        let result_sender = result_sender.clone();
         group
-            .append(entry.to_vec(), move |kept| tell.send(kept.is_ok()).unwrap())
+            .append(entry.to_vec(), move |result| {
+                result_sender.send(result.is_ok()).unwrap()
+            })
             .unwrap();
-        told.recv().unwrap()
+        results.recv().unwrap()
     };
     assert_eq!([append(b"a"), append(b"b")], [false, false]);
-    let tell_replaced = tell.clone();
+    let snapshot_sender = result_sender.clone();
     group
         .snapshot(b"all".to_vec(), move |done| {
-            tell_replaced.send(done.is_ok()).unwrap()
+            snapshot_sender.send(done.is_ok()).unwrap()
         })
         .unwrap();
-    assert!(told.recv().unwrap());
+    assert!(results.recv().unwrap());
     assert!(append(b"after"));
     drop(group.close().unwrap());
     let found = inspect(&at).unwrap();
--- a/crates/journal/tests/stored_formats.rs
+++ b/crates/journal/tests/stored_formats.rs
@@ -1,4 +1,4 @@
-//! The files of a journal are a stored format: a new build has to read what an older one wrote, and to write the same
+//! Guards the file format of the journal: a new build has to read the files of an older one, and to write the same
 //! bytes. The directory in `stored_formats` was written by the build of version 0.2.0.
 
 use orchidtally_journal::{Journal, Recovered, inspect};
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_read() {
+fn a_directory_of_an_earlier_build_is_readable() {
     assert_eq!(inspect(&fixture()).unwrap(), expected());
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_is_opened_and_goes_on() {
+fn a_directory_of_an_earlier_build_accepts_appends() {
     let directory = empty_directory("goes-on");
     copy_fixture(&directory);
     let (mut journal, found) = Journal::open(&directory).unwrap();
@@ -72,7 +72,11 @@
     drop(journal);
     let grown = fs::read(directory.join("log-1")).unwrap();
     let before = fs::read(fixture().join("log-1")).unwrap();
-    assert_eq!(grown[..before.len()], before, "what stood there stays");
+    assert_eq!(
+        grown[..before.len()],
+        before,
+        "earlier entries stay unchanged"
+    );
     let found = inspect(&directory).unwrap();
     assert_eq!(found.entries.last().unwrap(), b"one more");
 }
--- a/crates/rollout/benches/path.rs
+++ b/crates/rollout/benches/path.rs
@@ -1,4 +1,5 @@
-//! What resolving and splitting costs on the path of an invocation, against resolving where no rollout is on.
+//! Measures the cost of resolving a version and counting its outcome on the path of an invocation, with and without
+//! rollouts in progress.
 //!
 //! `cargo bench -p orchidtally-rollout --bench path`
 
@@ -35,7 +36,7 @@
         functions.join(", ")
     );
     let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{:?}", &f[..1]));
-    let place = FrontEndInfo {
+    let info = FrontEndInfo {
         index: 0,
         count: 1,
         location: 0,
@@ -46,11 +47,11 @@
     let keys: Vec<String> = (0..1_000u64)
         .map(|n| format!("{:016x}", n * 0x9e37_79b9))
         .collect();
-    let mut figures = vec![];
-    for on in [0, ROLLOUTS] {
+    let mut nanoseconds = vec![];
+    for rollouts in [0, ROLLOUTS] {
         let mut coordinator = Coordinator::new(CoordinatorState::default(), 1, 0.0);
-        for n in 0..on {
-            // Of the functions that are invoked most.
+        for n in 0..rollouts {
+            // The rollouts are of the most invoked functions.
             let plan = format!(
                 "{{ name: 'r{n}', function: 'f{n}', to: 'next', loadsPerSecond: 0.1, steps: [{{ share: 0.3 }}, {{ share: 1 }}] }}"
             );
@@ -64,16 +65,16 @@
                 .command(1.0, &command, n as u64 + 1)
                 .unwrap_or_else(|r| panic!("{r}"));
         }
-        let mut shares = TrafficSplit::new(place, 0.0);
-        shares.adopt(2.0, coordinator.published().clone(), |name| {
+        let mut traffic_split = TrafficSplit::new(info, 0.0);
+        traffic_split.adopt(2.0, coordinator.published().clone(), |name| {
             deployment.function(name)
         });
-        shares.tick(2.1);
+        traffic_split.tick(2.1);
         let (mut best, mut new) = (f64::INFINITY, 0);
         for _ in 0..3 {
-            let began = Instant::now();
+            let started = Instant::now();
             for n in 0..INVOCATIONS {
-                // Half of the invocations are of a hundredth of the functions.
+                // Half of the invocations are of 1 % of the functions.
                 let f = if n % 2 == 0 {
                     n / 2 % ROLLOUTS
                 } else {
@@ -82,19 +83,19 @@
                 let function = deployment
                     .function(&names[f])
                     .unwrap_or_else(|| panic!("no f{f}"));
-                let key = shares.sticky_key(&names[f]).is_some();
-                let who = InvocationAttributes {
+                let key = traffic_split.sticky_key(&names[f]).is_some();
+                let attributes = InvocationAttributes {
                     customer: "",
                     location: "default",
                     key: &keys[n % keys.len()],
                 };
-                let resolved = shares
-                    .resolve(&function, None, 0, 0, &who)
+                let resolved = traffic_split
+                    .resolve(&function, None, 0, 0, &attributes)
                     .unwrap_or_else(|| panic!("no version"));
-                if let Some(invoked) = &resolved.assignment {
-                    new += u64::from(invoked.cohort == Cohort::Canary);
-                    shares.record_outcome(
-                        invoked,
+                if let Some(assignment) = &resolved.assignment {
+                    new += u64::from(assignment.cohort == Cohort::Canary);
+                    traffic_split.record_outcome(
+                        assignment,
                         InvocationOutcome::Succeeded {
                             latency: 0.02,
                             warm: true,
@@ -104,15 +105,22 @@
                 }
                 black_box((key, resolved));
             }
-            best = began.elapsed().as_secs_f64().min(best);
+            best = started.elapsed().as_secs_f64().min(best);
         }
-        assert_eq!(on > 0, new > 0, "the split is on where rollouts are");
-        figures.push(1e9 * best / INVOCATIONS as f64);
+        assert_eq!(
+            rollouts > 0,
+            new > 0,
+            "the traffic is split if and only if there are rollouts"
+        );
+        nanoseconds.push(1e9 * best / INVOCATIONS as f64);
     }
     println!(
-        "{FUNCTIONS} functions, ns an invocation to find the function, resolve it and count what it outcome to"
+        "{FUNCTIONS} functions, ns an invocation to find the function, resolve its version and count its outcome"
+    );
+    println!("no rollout             {:>7.0}", nanoseconds[0]);
+    println!("{ROLLOUTS} rollouts, half of all {:>5.0}", nanoseconds[1]);
+    println!(
+        "difference             {:>7.0}",
+        nanoseconds[1] - nanoseconds[0]
     );
-    println!("no rollout             {:>7.0}", figures[0]);
-    println!("{ROLLOUTS} rollouts, half of all {:>5.0}", figures[1]);
-    println!("more by                {:>7.0}", figures[1] - figures[0]);
 }
--- a/crates/rollout/benches/statistics.rs
+++ b/crates/rollout/benches/statistics.rs
@@ -1,8 +1,8 @@
-//! How often a harmless rollout is taken back, and how soon a worse version is, by simulation on fixed seeds: the
-//! sequential test against a test of a fixed sample and a plain threshold. Writes a table, and a chart where a
-//! folder is named.
+//! Simulates, on fixed seeds, how often a harmless rollout is rolled back and how soon a worse version is, and compares
+//! the sequential test with a fixed-sample test and a plain threshold. Prints a table, and writes a chart if a directory
+//! is given.
 //!
-//! `cargo bench -p orchidtally-rollout --bench statistics [-- FOLDER]`
+//! `cargo bench -p orchidtally-rollout --bench statistics [-- DIRECTORY]`
 
 use orchidtally_deployment::Deployment;
 use orchidtally_rollout::evidence::{Counts, Slot, StratumKey};
@@ -17,12 +17,12 @@
 const RATE: u64 = 100;
 const ERRORS: f64 = 0.02;
 const SHARES: [f64; 3] = [0.05, 0.2, 0.5];
-const STEP: usize = 60;
-const HARMLESS: usize = 10_000;
-const WORSE: usize = 500;
-const LONGEST: usize = 3 * STEP;
+const STEP_DURATION: usize = 60;
+const HARMLESS_RUNS: usize = 10_000;
+const WORSE_RUNS: usize = 500;
+const DURATION: usize = 3 * STEP_DURATION;
 
-/// What a world is like in a second: chances of errors and of answers slower than the old 0.9 and 0.99 quantile.
+/// The probabilities of a version: of errors, and of answers slower than the old version's 0.9 and 0.99 quantiles.
 #[derive(Clone, Copy)]
 struct Version {
     errors: f64,
@@ -36,7 +36,7 @@
     tail: 0.01,
 };
 
-fn drawn(rng: &mut SmallRng, n: u64, p: f64) -> u64 {
+fn sample_binomial(rng: &mut SmallRng, n: u64, p: f64) -> u64 {
     if n == 0 {
         0
     } else {
@@ -45,10 +45,10 @@
 }
 
 fn counts(rng: &mut SmallRng, n: u64, v: Version) -> Counts {
-    let errors = drawn(rng, n, v.errors);
+    let errors = sample_binomial(rng, n, v.errors);
     let warm = n - errors;
-    let slow = drawn(rng, warm, v.slow);
-    let tail = drawn(rng, slow, v.tail / v.slow);
+    let slow = sample_binomial(rng, warm, v.slow);
+    let tail = sample_binomial(rng, slow, v.tail / v.slow);
     let mut c = Counts {
         answers: n,
         warm,
@@ -60,17 +60,17 @@
     c
 }
 
-/// One second of traffic. `trouble` multiplies the errors of both versions.
-fn second(rng: &mut SmallRng, share: f64, new: Version, trouble: f64) -> Vec<Slot> {
+/// Simulates one second of traffic. `error_factor` multiplies the error rates of both versions.
+fn second(rng: &mut SmallRng, share: f64, new: Version, error_factor: f64) -> Vec<Slot> {
     let with = |v: Version| Version {
-        errors: (v.errors * trouble).min(0.9),
+        errors: (v.errors * error_factor).min(0.9),
         ..v
     };
     let mut slots = vec![];
     for trigger_type in 0..2 {
         for location in 0..2 {
             let n = RATE / 4;
-            let on_new = drawn(rng, n, share);
+            let on_new = sample_binomial(rng, n, share);
             let (old, new) = (
                 counts(rng, n - on_new, with(GOOD)),
                 counts(rng, on_new, with(new)),
@@ -90,9 +90,9 @@
     slots
 }
 
-/// Seconds until each way takes back, and invocations of the new version by then; `None` if it never does.
+/// Seconds until each method rolls back, and the invocations of the new version by then; `None` if it never does.
 #[derive(Clone, Copy, Default)]
-struct Found {
+struct Detections {
     sequential: Option<(usize, u64)>,
     fixed: Option<(usize, u64)>,
     threshold: Option<(usize, u64)>,
@@ -109,30 +109,30 @@
     if spread > 0.0 { (q - p) / spread } else { 0.0 }
 }
 
-/// One rollout. The fixed test looks once, at the end of each step, with its part of the same false alarms; the
-/// plain threshold takes back as soon as the new version has had 20 answers and 1.5 times the old one's errors or
-/// slow answers.
-fn rollout(plan: &Plan, seed: u64, new: Version, troubled: bool) -> Found {
+/// Simulates one rollout. The fixed-sample test evaluates once, at the end of each step, with its part of the same
+/// false positive rate. The plain threshold rolls back as soon as the new version has 20 answers and 1.5 times the old
+/// version's rate of errors or slow answers.
+fn rollout(plan: &Plan, seed: u64, new: Version, both_degrade: bool) -> Detections {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (mut tests, mut found) = (SequentialTests::default(), Found::default());
-    let (mut harmed, mut whole) = (0, [Counts::default(); 2]);
-    // One side at 0.005 over three steps and three gates: 0.00056 each.
+    let (mut tests, mut detections) = (SequentialTests::default(), Detections::default());
+    let (mut exposed, mut whole) = (0, [Counts::default(); 2]);
+    // One-sided, a false positive rate of 0.005 over three steps and three gates: 0.00056 for each.
     const Z: f64 = 3.26;
-    for t in 0..LONGEST {
-        let share = SHARES[t / STEP];
-        let trouble = if troubled && (t / 20) % 3 == 1 {
+    for t in 0..DURATION {
+        let share = SHARES[t / STEP_DURATION];
+        let error_factor = if both_degrade && (t / 20) % 3 == 1 {
             10.0
         } else {
             1.0
         };
-        let slots = second(&mut rng, share, new, trouble);
+        let slots = second(&mut rng, share, new, error_factor);
         let mut step = [Counts::default(); 2];
         for s in &slots {
             step[0].add(&s.old);
             step[1].add(&s.new);
         }
-        harmed += step[1].answers;
-        if t % STEP == 0 {
+        exposed += step[1].answers;
+        if t % STEP_DURATION == 0 {
             whole = [Counts::default(); 2];
         }
         whole.iter_mut().zip(&step).for_each(|(w, s)| w.add(s));
@@ -141,29 +141,32 @@
             .gates
             .iter()
             .any(|h| h.rolls_back && tests.evidence(h.gate) >= plan.threshold());
-        if failed && found.sequential.is_none() {
-            found.sequential = Some((t + 1, harmed));
+        if failed && detections.sequential.is_none() {
+            detections.sequential = Some((t + 1, exposed));
         }
         let of = |c: &Counts, g: Gate| (c.events[g.index()], c.sample_count(g));
-        let judged = [Gate::Errors, Gate::Slow, Gate::SlowTail];
-        if t % STEP == STEP - 1 && found.fixed.is_none() {
-            let worse = judged
+        let tested_gates = [Gate::Errors, Gate::Slow, Gate::SlowTail];
+        if t % STEP_DURATION == STEP_DURATION - 1 && detections.fixed.is_none() {
+            let worse = tested_gates
                 .iter()
                 .any(|&g| z_of(of(&whole[0], g), of(&whole[1], g)) > Z);
-            found.fixed = worse.then_some((t + 1, harmed));
+            detections.fixed = worse.then_some((t + 1, exposed));
         }
-        if found.threshold.is_none() && whole[1].answers >= 20 {
-            let part = |c: &Counts, g| of(c, g).0 as f64 / of(c, g).1.max(1) as f64;
-            let worse = judged[..2]
+        if detections.threshold.is_none() && whole[1].answers >= 20 {
+            let event_rate = |c: &Counts, g| of(c, g).0 as f64 / of(c, g).1.max(1) as f64;
+            let worse = tested_gates[..2]
                 .iter()
-                .any(|&g| part(&whole[1], g) > 1.5 * part(&whole[0], g));
-            found.threshold = worse.then_some((t + 1, harmed));
+                .any(|&g| event_rate(&whole[1], g) > 1.5 * event_rate(&whole[0], g));
+            detections.threshold = worse.then_some((t + 1, exposed));
         }
-        if found.sequential.is_some() && found.fixed.is_some() && found.threshold.is_some() {
+        if detections.sequential.is_some()
+            && detections.fixed.is_some()
+            && detections.threshold.is_some()
+        {
             break;
         }
     }
-    found
+    detections
 }
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
@@ -173,7 +176,7 @@
         .unwrap_or(f64::NAN)
 }
 
-type Way = (&'static str, fn(&Found) -> Option<(usize, u64)>);
+type Method = (&'static str, fn(&Detections) -> Option<(usize, u64)>);
 
 fn main() {
     let (old, new) = ("1".repeat(64), "2".repeat(64));
@@ -187,7 +190,7 @@
         "{ name: 'r', function: 'f', to: 'next', loadsPerSecond: 0.1, steps: [{ share: 1 }] }";
     let plan = Plan::read(plan, &deployment).unwrap_or_else(|f| panic!("{f:?}"));
     assert_eq!(plan.gates.len(), GATES.len());
-    let ways: [Way; 3] = [
+    let methods: [Method; 3] = [
         ("sequential", |f| f.sequential),
         ("fixed sample", |f| f.fixed),
         ("threshold", |f| f.threshold),
@@ -197,9 +200,9 @@
         tail: 0.05,
         ..GOOD
     };
-    let worlds: [(&str, Version, bool, usize); 5] = [
-        ("harmless", GOOD, false, HARMLESS),
-        ("harmless, both in trouble", GOOD, true, HARMLESS),
+    let scenarios: [(&str, Version, bool, usize); 5] = [
+        ("harmless", GOOD, false, HARMLESS_RUNS),
+        ("harmless, both degraded", GOOD, true, HARMLESS_RUNS),
         (
             "twice the errors",
             Version {
@@ -207,7 +210,7 @@
                 ..GOOD
             },
             false,
-            WORSE,
+            WORSE_RUNS,
         ),
         (
             "five times the errors",
@@ -216,49 +219,49 @@
                 ..GOOD
             },
             false,
-            WORSE,
+            WORSE_RUNS,
         ),
-        ("0.9 quantile 1.5 times slower", slower, false, WORSE),
+        ("0.9 quantile 1.5 times slower", slower, false, WORSE_RUNS),
     ];
     println!(
-        "{RATE} invocations a second, steps of {STEP} s at {SHARES:?}, looks at every second; errors {ERRORS}"
+        "{RATE} invocations a second, steps of {STEP_DURATION} s at {SHARES:?}, evaluated every second; errors {ERRORS}"
     );
     println!(
-        "world                          way            taken back  median s  0.9 s  median harmed"
+        "scenario                       method       rolled back  median s  0.9 s  median exposed"
     );
     let mut curves = vec![];
-    for (n, (world, version, troubled, rollouts)) in worlds.into_iter().enumerate() {
-        let found: Vec<Found> = (0..rollouts)
-            .map(|r| rollout(&plan, (n * HARMLESS + r) as u64, version, troubled))
+    for (n, (scenario, version, both_degrade, rollouts)) in scenarios.into_iter().enumerate() {
+        let detections: Vec<Detections> = (0..rollouts)
+            .map(|r| rollout(&plan, (n * HARMLESS_RUNS + r) as u64, version, both_degrade))
             .collect();
-        for (name, way) in ways {
-            let hits: Vec<(usize, u64)> = found.iter().filter_map(way).collect();
+        for (name, method) in methods {
+            let hits: Vec<(usize, u64)> = detections.iter().filter_map(method).collect();
             let mut times: Vec<f64> = hits.iter().map(|h| h.0 as f64).collect();
-            let mut harmed: Vec<f64> = hits.iter().map(|h| h.1 as f64).collect();
+            let mut exposed: Vec<f64> = hits.iter().map(|h| h.1 as f64).collect();
             times.sort_by(f64::total_cmp);
-            harmed.sort_by(f64::total_cmp);
+            exposed.sort_by(f64::total_cmp);
             println!(
-                "{world:<30} {name:<13} {:>9.2} % {:>9.0} {:>6.0} {:>14.0}",
+                "{scenario:<30} {name:<13} {:>9.2} % {:>9.0} {:>6.0} {:>14.0}",
                 100.0 * hits.len() as f64 / rollouts as f64,
                 quantile(&times, 0.5),
                 quantile(&times, 0.9),
-                quantile(&harmed, 0.5)
+                quantile(&exposed, 0.5)
             );
             if name == "sequential" && version.errors == ERRORS && version.slow == GOOD.slow {
-                assert!(hits.len() * 100 < rollouts, "false alarms over 1 %");
+                assert!(hits.len() * 100 < rollouts, "false positives over 1 %");
             }
-            curves.push((world, name, rollouts, times));
+            curves.push((scenario, name, rollouts, times));
         }
     }
-    if let Some(folder) = std::env::args().nth(1).filter(|a| !a.starts_with("--")) {
-        chart(&format!("{folder}/rollout-detection.svg"), &curves)
+    if let Some(directory) = std::env::args().nth(1).filter(|a| !a.starts_with("--")) {
+        chart(&format!("{directory}/rollout-detection.svg"), &curves)
             .unwrap_or_else(|e| panic!("{e}"));
     }
 }
 
 type Curve = (&'static str, &'static str, usize, Vec<f64>);
 
-/// The part of rollouts taken back by each second, where errors are twice as many.
+/// Draws the fraction of rollouts that are rolled back by each second, for twice the errors.
 fn chart(path: &str, curves: &[Curve]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (800, 420)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -266,16 +269,16 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(50)
-        .build_cartesian_2d(0.0..LONGEST as f64, 0.0..100.0)?;
+        .build_cartesian_2d(0.0..DURATION as f64, 0.0..100.0)?;
     chart
         .configure_mesh()
         .x_desc("s since the first step")
-        .y_desc("% taken back, twice the errors")
+        .y_desc("% rolled back, twice the errors")
         .draw()?;
     let colours = [RED, BLUE, BLACK];
-    let meant = curves.iter().filter(|c| c.0 == "twice the errors");
-    for (colour, (_, name, rollouts, times)) in colours.into_iter().zip(meant) {
-        let points = (0..=LONGEST).map(|t| {
+    let selected = curves.iter().filter(|c| c.0 == "twice the errors");
+    for (colour, (_, name, rollouts, times)) in colours.into_iter().zip(selected) {
+        let points = (0..=DURATION).map(|t| {
             let by = times.iter().filter(|&&at| at <= t as f64).count();
             (t as f64, 100.0 * by as f64 / *rollouts as f64)
         });
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -50,8 +50,8 @@
 }
 
 /// Whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run, or its
-/// trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key doesn't count as
-/// idempotent here.
+/// trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key doesn't count
+/// as idempotent here.
 pub fn may_migrate(is_idempotent: bool, may_have_run: bool) -> bool {
     is_idempotent || !may_have_run
 }
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -2,54 +2,60 @@
 
 mod kit;
 
-use kit::{NEW, OLD, World, plan, who};
+use kit::{NEW, OLD, Simulation, attributes, plan};
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
 use orchidtally_rollout::{Coordinator, Epoch, Phase, PublishedState};
 
 #[test]
-fn a_version_as_good_as_the_old_one_goes_to_all_and_its_alias_moves() {
-    let mut w = World::new(4);
-    w.start(plan(""));
-    let took = w
-        .until(300, |w| w.phase() == Phase::Finished)
-        .unwrap_or_else(|| panic!("{}", w.reason()));
-    assert!(took > 15, "the steps take their least time: {took} s");
-    assert_eq!(w.coordinator.published().aliases["mist"]["stable"], NEW);
-    let function = w.function.clone();
-    let resolved = w.shares[0]
-        .resolve(&function, None, 0, 1, &who("x"))
+fn a_version_without_regressions_gets_all_traffic_and_its_alias_moves() {
+    let mut simulation = Simulation::new(4);
+    simulation.start(plan(""));
+    let elapsed = simulation
+        .run_until(300, |simulation| simulation.phase() == Phase::Finished)
+        .unwrap_or_else(|| panic!("{}", simulation.reason()));
+    assert!(
+        elapsed > 15,
+        "each step lasts its shortest duration: {elapsed} s"
+    );
+    assert_eq!(
+        simulation.coordinator.published().aliases["mist"]["stable"],
+        NEW
+    );
+    let function = simulation.function.clone();
+    let resolved = simulation.traffic_splits[0]
+        .resolve(&function, None, 0, 1, &attributes("x"))
         .unwrap();
     assert_eq!(
         (&*resolved.version.digest, resolved.assignment),
         (NEW, None)
     );
-    let named = w.shares[0]
-        .resolve(&function, Some(OLD), 0, 1, &who("x"))
+    let named = simulation.traffic_splits[0]
+        .resolve(&function, Some(OLD), 0, 1, &attributes("x"))
         .unwrap();
-    assert_eq!(&*named.version.digest, OLD, "a digest names what it names");
+    assert_eq!(&*named.version.digest, OLD, "a digest selects its version");
     assert!(
-        w.shares[0]
-            .resolve(&function, Some("nothing"), 0, 1, &who("x"))
+        simulation.traffic_splits[0]
+            .resolve(&function, Some("nothing"), 0, 1, &attributes("x"))
             .is_none()
     );
 }
 
 #[test]
-fn a_worse_version_is_taken_back_and_a_trouble_of_both_is_not() {
-    let mut worse = World::new(4);
+fn a_worse_version_is_rolled_back_but_not_if_both_degrade() {
+    let mut worse = Simulation::new(4);
     worse.errors = [0.02, 0.3];
     worse.start(plan(""));
-    let took = worse
-        .until(120, |w| w.phase() == Phase::RolledBack)
-        .expect("it is found out");
+    let elapsed = worse
+        .run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
+        .expect("the regression is detected");
     assert!(
-        took < 30 && worse.reason().contains("'errors' is worse"),
-        "{took}: {}",
+        elapsed < 30 && worse.reason().contains("'errors' is worse"),
+        "{elapsed}: {}",
         worse.reason()
     );
     let function = worse.function.clone();
-    let after = worse.shares.iter_mut().all(|s| {
-        &*s.resolve(&function, None, 0, 1, &who("x"))
+    let after = worse.traffic_splits.iter_mut().all(|s| {
+        &*s.resolve(&function, None, 0, 1, &attributes("x"))
             .unwrap()
             .version
             .digest
@@ -57,36 +63,36 @@
     });
     assert!(after);
 
-    let mut slow = World::new(4);
+    let mut slow = Simulation::new(4);
     slow.latency = [0.02, 0.04];
     slow.start(plan(""));
     assert!(
-        slow.until(120, |w| w.phase() == Phase::RolledBack)
+        slow.run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
             .is_some(),
         "{}",
         slow.reason()
     );
     assert!(slow.reason().contains("slow"), "{}", slow.reason());
 
-    // For one trigger type, one customer, one location alone; in the slow tail only.
+    // A regression of one trigger type, one customer or one location alone, and one in the slow tail only.
     let parts: [fn(usize, usize, usize) -> bool; 3] =
         [|t, _, _| t == 1, |_, c, _| c == 1, |_, _, fe| fe % 2 == 1];
     for only in parts {
-        let mut part = World::new(4);
-        (part.errors, part.only) = ([0.02, 0.3], only);
+        let mut part = Simulation::new(4);
+        (part.errors, part.is_affected) = ([0.02, 0.3], only);
         part.start(plan(""));
         assert!(
-            part.until(120, |w| w.phase() == Phase::RolledBack)
+            part.run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
                 .is_some(),
             "{}",
             part.reason()
         );
     }
-    let mut tail = World::new(4);
-    tail.tail = 0.06;
+    let mut tail = Simulation::new(4);
+    tail.slow_fraction = 0.06;
     tail.start(plan(""));
     assert!(
-        tail.until(120, |w| w.phase() == Phase::RolledBack)
+        tail.run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
             .is_some(),
         "{}",
         tail.reason()
@@ -97,77 +103,81 @@
         tail.reason()
     );
 
-    let mut both = World::new(4);
+    let mut both = Simulation::new(4);
     both.start(plan(""));
-    both.until(8, |_| false);
+    both.run_until(8, |_| false);
     (both.errors, both.latency) = ([0.5; 2], [0.2; 2]);
     assert!(
-        both.until(200, |w| w.phase() == Phase::RolledBack)
+        both.run_until(200, |simulation| simulation.phase() == Phase::RolledBack)
             .is_none(),
         "{}",
         both.reason()
     );
 
-    // Good until everyone but what is held back is on it.
-    let mut last = World::new(4);
+    // A regression that begins after the last step, while only the holdback is on the old version.
+    let mut last = Simulation::new(4);
     let mut held = plan("");
     (held.holdback, held.old_version_retention) = (0.05, 300.0);
     last.start(held);
     assert!(
-        last.until(100, |w| w.phase() == Phase::RetainingOld)
+        last.run_until(100, |simulation| simulation.phase() == Phase::RetainingOld)
             .is_some(),
         "{}",
         last.reason()
     );
     last.errors[1] = 0.4;
-    let took = last
-        .until(120, |w| w.phase() == Phase::RolledBack)
-        .expect("it is found out");
-    assert!(took < 60, "{took} s");
+    let elapsed = last
+        .run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
+        .expect("the regression is detected");
+    assert!(elapsed < 60, "{elapsed} s");
 
-    // Good for a minute, then it is not.
-    let mut late = World::new(4);
+    // A regression that begins a minute after the start.
+    let mut late = Simulation::new(4);
     let mut long = plan("");
     long.steps[0].min_duration = 1_000.0;
     late.start(long);
-    late.until(60, |_| false);
+    late.run_until(60, |_| false);
     assert_eq!(late.phase(), Phase::Shifting);
     late.errors[1] = 0.3;
-    let took = late
-        .until(120, |w| w.phase() == Phase::RolledBack)
-        .expect("it is found out");
-    assert!(took < 30, "{took} s");
+    let elapsed = late
+        .run_until(120, |simulation| simulation.phase() == Phase::RolledBack)
+        .expect("the regression is detected");
+    assert!(elapsed < 30, "{elapsed} s");
 }
 
 #[test]
-fn the_higher_term_wins_and_an_older_state_is_never_taken() {
-    let mut w = World::new(1);
-    w.start(plan(""));
-    w.until(12, |_| false);
-    let old = w.coordinator.published().clone();
-    // Killed between writing and publishing: what it kept says the same under the next term.
-    let kept: CoordinatorState =
-        serde_json::from_slice(&serde_json::to_vec(w.coordinator.state()).unwrap()).unwrap();
-    let next = Coordinator::new(kept, 1, w.now);
+fn the_higher_term_wins_and_older_states_are_not_adopted() {
+    let mut simulation = Simulation::new(1);
+    simulation.start(plan(""));
+    simulation.run_until(12, |_| false);
+    let old = simulation.coordinator.published().clone();
+    // A crash between persisting and publishing: after the restart, the same state is published under the next term.
+    let persisted: CoordinatorState =
+        serde_json::from_slice(&serde_json::to_vec(simulation.coordinator.state()).unwrap())
+            .unwrap();
+    let next = Coordinator::new(persisted, 1, simulation.now);
     assert_eq!(next.published().epoch.term, old.epoch.term + 1);
     assert_eq!(next.published().rollouts, old.rollouts);
     assert_eq!(
         next.state().runs["misting"].step_counts,
-        w.coordinator.state().runs["misting"].step_counts
+        simulation.coordinator.state().runs["misting"].step_counts
     );
-    w.coordinator.observe_epoch(next.published().epoch);
-    assert_eq!(w.coordinator.superseded(), Some(next.published().epoch));
-    let turned_down = w
-        .order(Command::Pause {
+    simulation.coordinator.observe_epoch(next.published().epoch);
+    assert_eq!(
+        simulation.coordinator.superseded(),
+        Some(next.published().epoch)
+    );
+    let error = simulation
+        .command(Command::Pause {
             name: "misting".into(),
         })
         .unwrap_err();
-    assert!(turned_down.to_string().contains("has taken over"));
-    let function = w.function.clone();
+    assert!(error.to_string().contains("has taken over"));
+    let function = simulation.function.clone();
     let newer = next.published().clone();
-    w.shares[0].adopt(w.now, newer.clone(), |_| Some(function.clone()));
-    w.shares[0].adopt(
-        w.now,
+    simulation.traffic_splits[0].adopt(simulation.now, newer.clone(), |_| Some(function.clone()));
+    simulation.traffic_splits[0].adopt(
+        simulation.now,
         PublishedState {
             epoch: Epoch { term: 1, nonce: 0 },
             revision: 999,
@@ -175,110 +185,125 @@
         },
         |_| None,
     );
-    assert_eq!(w.shares[0].published(), &newer);
+    assert_eq!(simulation.traffic_splits[0].published(), &newer);
 }
 
 #[test]
-fn commands_that_make_no_sense_are_turned_down() {
-    let mut w = World::new(1);
+fn commands_that_are_not_possible_are_rejected() {
+    let mut simulation = Simulation::new(1);
     let name = || "misting".to_string();
-    let none = w
-        .order(Command::RollBack {
+    let none = simulation
+        .command(Command::RollBack {
             name: name(),
             reason: String::new(),
         })
         .unwrap_err();
     assert_eq!(none.to_string(), "there is no rollout 'misting'");
-    w.start(plan(""));
+    simulation.start(plan(""));
     let twice = Command::Start {
         plan: Box::new(plan("")),
         from: OLD.into(),
         to: NEW.into(),
     };
     assert!(
-        w.order(twice.clone())
+        simulation
+            .command(twice.clone())
             .unwrap_err()
             .to_string()
             .contains("is in progress")
     );
     assert!(
-        w.order(Command::Resume { name: name() })
+        simulation
+            .command(Command::Resume { name: name() })
             .unwrap_err()
             .to_string()
             .contains("not paused")
     );
     assert!(
-        w.order(Command::Finish { name: name() })
+        simulation
+            .command(Command::Finish { name: name() })
             .unwrap_err()
             .to_string()
             .contains("after its last step")
     );
-    w.order(Command::Pause { name: name() }).unwrap();
-    let step = w.coordinator.published().rollouts["misting"].step;
-    w.until(60, |_| false);
+    simulation.command(Command::Pause { name: name() }).unwrap();
+    let step = simulation.coordinator.published().rollouts["misting"].step;
+    simulation.run_until(60, |_| false);
     assert_eq!(
         (
-            w.phase(),
-            w.coordinator.published().rollouts["misting"].step
+            simulation.phase(),
+            simulation.coordinator.published().rollouts["misting"].step
         ),
         (Phase::Paused, step)
     );
-    // While it is paused a version that is worse is taken back all the same.
-    w.errors = [0.02, 0.5];
-    assert!(w.until(60, |w| w.phase() == Phase::RolledBack).is_some());
-    // Started again at once it is another run, with evidence of its own.
-    let before = w.coordinator.published().rollouts["misting"].run;
-    w.errors = [0.02; 2];
-    w.order(twice).unwrap();
-    assert_ne!(w.coordinator.published().rollouts["misting"].run, before);
+    // A worse version is rolled back even while the rollout is paused.
+    simulation.errors = [0.02, 0.5];
+    assert!(
+        simulation
+            .run_until(60, |simulation| simulation.phase() == Phase::RolledBack)
+            .is_some()
+    );
+    // A restart of the rollout is another run, whose evidence starts at zero.
+    let before = simulation.coordinator.published().rollouts["misting"].run;
+    simulation.errors = [0.02; 2];
+    simulation.command(twice).unwrap();
+    assert_ne!(
+        simulation.coordinator.published().rollouts["misting"].run,
+        before
+    );
     assert_eq!(
-        w.coordinator.state().runs["misting"].total_counts[1].answers,
+        simulation.coordinator.state().runs["misting"].total_counts[1].answers,
         0
     );
     assert!(
-        w.coordinator.state().runs["misting"].history.len() >= 5,
-        "the history goes on"
+        simulation.coordinator.state().runs["misting"].history.len() >= 5,
+        "the history includes the earlier run"
     );
 }
 
 #[test]
-fn a_rollout_withdrawn_before_its_first_step_gives_nobody_the_new_version() {
-    let mut w = World::new(2);
-    w.start(plan(""));
-    w.order(Command::RollBack {
-        name: "misting".into(),
-        reason: "withdrawn".into(),
-    })
-    .unwrap();
-    w.until(5, |_| false);
+fn a_rollback_before_the_first_step_sends_no_traffic_to_the_new_version() {
+    let mut simulation = Simulation::new(2);
+    simulation.start(plan(""));
+    simulation
+        .command(Command::RollBack {
+            name: "misting".into(),
+            reason: "withdrawn".into(),
+        })
+        .unwrap();
+    simulation.run_until(5, |_| false);
     assert_eq!(
         (
-            w.phase(),
-            w.coordinator.state().runs["misting"].total_counts[1].answers
+            simulation.phase(),
+            simulation.coordinator.state().runs["misting"].total_counts[1].answers
         ),
         (Phase::RolledBack, 0)
     );
 }
 
 #[test]
-fn a_rare_function_holds_its_step_until_the_evidence_is_in() {
-    let mut w = World::new(1);
-    w.rate = 1;
-    w.start(plan(""));
-    w.until(200, |_| false);
-    assert_eq!(w.coordinator.published().rollouts["misting"].step, 0);
+fn a_rarely_invoked_function_holds_its_step_until_it_has_enough_samples() {
+    let mut simulation = Simulation::new(1);
+    simulation.rate = 1;
+    simulation.start(plan(""));
+    simulation.run_until(200, |_| false);
+    assert_eq!(
+        simulation.coordinator.published().rollouts["misting"].step,
+        0
+    );
     assert!(
-        w.reason()
+        simulation
+            .reason()
             .contains("of 50 answers of the new version have been recorded"),
         "{}",
-        w.reason()
+        simulation.reason()
     );
-    let step = w.until(3_000, |w| {
-        w.coordinator.published().rollouts["misting"].step == 1
+    let step = simulation.run_until(3_000, |simulation| {
+        simulation.coordinator.published().rollouts["misting"].step == 1
     });
     assert!(
         step.is_some(),
-        "a tenth of one a second brings 50 in the end: {}",
-        w.reason()
+        "0.1 invocations a second reach 50 samples eventually: {}",
+        simulation.reason()
     );
 }
--- a/crates/rollout/tests/kit/mod.rs
+++ b/crates/rollout/tests/kit/mod.rs
@@ -1,6 +1,6 @@
-//! A deployment and a plan, and rollouts over simulated time.
+//! A deployment, a plan, and a simulation of rollouts over virtual time.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use orchidtally_deployment::{Deployment, Function};
 use orchidtally_rollout::coordinator::{Command, CommandError, CoordinatorState};
@@ -47,7 +47,7 @@
     Plan::read(&plan_text(more), &deployment()).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
-pub fn who(key: &str) -> InvocationAttributes<'_> {
+pub fn attributes(key: &str) -> InvocationAttributes<'_> {
     InvocationAttributes {
         customer: "other",
         location: "north",
@@ -55,52 +55,53 @@
     }
 }
 
-/// A coordinator and some front ends over simulated time; a version has a chance of errors and a latency.
-pub struct World {
+/// A coordinator and front ends over virtual time. The two versions have their own error rates and latencies.
+pub struct Simulation {
     pub now: f64,
     pub coordinator: Coordinator,
-    pub shares: Vec<TrafficSplit>,
+    pub traffic_splits: Vec<TrafficSplit>,
     pub function: Function,
     pub seed: u64,
     pub rate: u32,
     pub errors: [f64; 2],
     pub latency: [f64; 2],
-    /// Of the new version's invocations only these have its errors: by trigger type, customer, front end.
-    pub only: fn(usize, usize, usize) -> bool,
-    /// Of the new version's, those that take ten times longer.
-    pub tail: f64,
-    pub reached: bool,
-    pub names: u32,
+    /// Whether the new version's error rate applies to an invocation, by trigger type, customer and front end. Other
+    /// invocations have the old version's error rate.
+    pub is_affected: fn(usize, usize, usize) -> bool,
+    /// Fraction of the new version's invocations that take ten times longer.
+    pub slow_fraction: f64,
+    pub coordinator_reachable: bool,
+    pub invocation_count: u32,
 }
 
-impl World {
-    pub fn new(count: u32) -> World {
-        let place = |index| FrontEndInfo {
+impl Simulation {
+    pub fn new(count: u32) -> Simulation {
+        let info = |index| FrontEndInfo {
             index,
             count,
             location: (index % 2) as u16,
             sends_load_commands: false,
             keep_alive: 8.0,
         };
-        World {
+        Simulation {
             now: 1_000.0,
             coordinator: Coordinator::new(CoordinatorState::default(), 7, 1_000.0),
-            shares: (0..count)
-                .map(|n| TrafficSplit::new(place(n), 1_000.0))
+            traffic_splits: (0..count)
+                .map(|n| TrafficSplit::new(info(n), 1_000.0))
                 .collect(),
             function: deployment().function("mist").unwrap(),
             seed: 1,
             rate: 100,
             errors: [0.02; 2],
             latency: [0.02; 2],
-            only: |_, _, _| true,
-            tail: 0.0,
-            reached: true,
-            names: 0,
+            is_affected: |_, _, _| true,
+            slow_fraction: 0.0,
+            coordinator_reachable: true,
+            invocation_count: 0,
         }
     }
 
-    pub fn unit(&mut self) -> f64 {
+    pub fn random_unit(&mut self) -> f64 {
         self.seed = self
             .seed
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -108,9 +109,9 @@
         (self.seed >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub fn order(&mut self, command: Command) -> Result<(), CommandError> {
+    pub fn command(&mut self, command: Command) -> Result<(), CommandError> {
         self.coordinator
-            .command(self.now, &command, u64::from(self.names) + 99)
+            .command(self.now, &command, u64::from(self.invocation_count) + 99)
     }
 
     pub fn start(&mut self, plan: Plan) {
@@ -119,37 +120,37 @@
             from: OLD.into(),
             to: NEW.into(),
         };
-        self.order(command).unwrap();
+        self.command(command).unwrap();
     }
 
-    pub fn second(&mut self) {
+    pub fn run_second(&mut self) {
         for n in 0..self.rate {
-            let fe = n as usize % self.shares.len();
+            let fe = n as usize % self.traffic_splits.len();
             let (ty, customer) = ((n / 3 % 2) as usize, (n / 5 % 2) as usize);
-            self.names += 1;
-            let name = self.names.to_string();
+            self.invocation_count += 1;
+            let name = self.invocation_count.to_string();
             let function = self.function.clone();
-            let resolved = self.shares[fe]
-                .resolve(&function, None, ty, customer, &who(&name))
+            let resolved = self.traffic_splits[fe]
+                .resolve(&function, None, ty, customer, &attributes(&name))
                 .unwrap();
-            let Some(invoked) = resolved.assignment else {
+            let Some(assignment) = resolved.assignment else {
                 continue;
             };
-            let arm = usize::from(invoked.cohort == Cohort::Canary);
-            let (error, spread) = (self.unit(), 0.5 + self.unit());
-            let meant = (self.only)(ty, customer, fe);
-            let random = if meant {
-                self.errors[arm]
+            let cohort = usize::from(assignment.cohort == Cohort::Canary);
+            let (error, spread) = (self.random_unit(), 0.5 + self.random_unit());
+            let is_affected = (self.is_affected)(ty, customer, fe);
+            let error_rate = if is_affected {
+                self.errors[cohort]
             } else {
                 self.errors[0]
             };
-            let slow = if arm == 1 && self.unit() < self.tail {
+            let slow = if cohort == 1 && self.random_unit() < self.slow_fraction {
                 10.0
             } else {
                 1.0
             };
-            let latency = self.latency[arm] * spread * slow;
-            let outcome = if error < random {
+            let latency = self.latency[cohort] * spread * slow;
+            let outcome = if error < error_rate {
                 InvocationOutcome::Errored
             } else {
                 InvocationOutcome::Succeeded {
@@ -157,40 +158,40 @@
                     warm: true,
                 }
             };
-            self.shares[fe].record_outcome(
-                &invoked,
+            self.traffic_splits[fe].record_outcome(
+                &assignment,
                 outcome,
                 outcome == InvocationOutcome::Errored,
             );
         }
         self.now += 1.0;
-        for fe in 0..self.shares.len() {
-            self.shares[fe].tick(self.now);
-            if !self.reached {
+        for fe in 0..self.traffic_splits.len() {
+            self.traffic_splits[fe].tick(self.now);
+            if !self.coordinator_reachable {
                 continue;
             }
-            let told = self.shares[fe].report(fe as u64 + 1);
-            self.coordinator.record_report(self.now, &told);
-            // Told again, as after a lost answer, it counts once.
-            self.coordinator.record_report(self.now, &told);
+            let report = self.traffic_splits[fe].report(fe as u64 + 1);
+            self.coordinator.record_report(self.now, &report);
+            // A report that is sent again, as after a lost response, counts once.
+            self.coordinator.record_report(self.now, &report);
         }
         self.coordinator.tick(self.now);
-        if self.reached {
+        if self.coordinator_reachable {
             let (now, published, function) = (
                 self.now,
                 self.coordinator.published().clone(),
                 self.function.clone(),
             );
-            for shares in &mut self.shares {
-                shares.adopt(now, published.clone(), |_| Some(function.clone()));
-                shares.tick(now);
+            for traffic_split in &mut self.traffic_splits {
+                traffic_split.adopt(now, published.clone(), |_| Some(function.clone()));
+                traffic_split.tick(now);
             }
         }
     }
 
-    pub fn until(&mut self, seconds: u32, done: impl Fn(&World) -> bool) -> Option<u32> {
+    pub fn run_until(&mut self, seconds: u32, done: impl Fn(&Simulation) -> bool) -> Option<u32> {
         (0..seconds).find(|_| {
-            self.second();
+            self.run_second();
             done(self)
         })
     }
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -1,5 +1,5 @@
-//! Ten rollouts at once on front ends with real decision modules over simulated time: what their loads come to at
-//! the executors' store, in pace and without, and against each front end's ration.
+//! Ten concurrent rollouts on front ends with real dispatchers over virtual time: the concurrent loads from the package
+//! store, with and without the plan's rate of loads, and the load commands against each front end's load budget.
 
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::dispatch::Dispatcher;
@@ -12,21 +12,21 @@
 const FRONT_ENDS: usize = 10;
 const EXECUTORS: u8 = 30;
 const ROLLOUTS: usize = 10;
-/// A load from the store, and one round with the coordinator.
-const LOAD: f64 = 1.0;
-const ROUND: f64 = 0.5;
+/// Duration of a load from the store, and interval of rounds with the coordinator, in seconds.
+const LOAD_DURATION: f64 = 1.0;
+const ROUND_INTERVAL: f64 = 0.5;
 
 #[derive(Default)]
-struct Orders {
+struct RecordedActions {
     now: f64,
-    given: Vec<(f64, ExecutorId, u64)>,
-    open: Vec<(ExecutorId, u64)>,
+    load_commands: Vec<(f64, ExecutorId, u64)>,
+    pending: Vec<(ExecutorId, u64)>,
 }
 
-impl Actions for Orders {
+impl Actions for RecordedActions {
     fn load(&mut self, to: ExecutorId, function: u64, _: u8) {
-        self.given.push((self.now, to, function));
-        self.open.push((to, function));
+        self.load_commands.push((self.now, to, function));
+        self.pending.push((to, function));
     }
     fn dispatch(&mut self, _: u32, _: ExecutorId, _: f64) {}
     fn reject(&mut self, _: u32, _: f64, _: bool) {}
@@ -41,8 +41,8 @@
 
 struct FrontEnd {
     dispatcher: Dispatcher,
-    orders: Orders,
-    shares: TrafficSplit,
+    actions: RecordedActions,
+    traffic_split: TrafficSplit,
 }
 
 fn digest(n: usize) -> String {
@@ -71,17 +71,17 @@
     Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"))
 }
 
-struct Seen {
-    /// Loads at a time at the store, at the most, and in all.
+struct LoadStatistics {
+    /// The most concurrent loads from the store, and the number of all loads.
     peak: usize,
     loads: usize,
-    /// When each rollout's copies were known at every front end.
+    /// Seconds until all front ends know a replica of each rollout.
     ready: Vec<f64>,
-    /// The most orders of one front end in any window of its ration.
+    /// The most load commands of one front end in any window of its load budget.
     in_window: usize,
 }
 
-fn shift(paced: bool, window: &str) -> Seen {
+fn run_rollouts(rate_limited: bool, window: &str) -> LoadStatistics {
     let deployment = deployment(window);
     let rows = match &deployment.endpoint_source {
         orchidtally_deployment::EndpointSource::Listed(rows) => rows.clone(),
@@ -94,7 +94,7 @@
              steps: [{{ share: 0.1, leastTime: '1000s' }}, {{ share: 1 }}] }}"
         );
         let mut plan = Plan::read(&text, &deployment).unwrap_or_else(|f| panic!("{f:?}"));
-        if !paced {
+        if !rate_limited {
             plan.loads_per_second = 1e9;
         }
         let command = Command::Start {
@@ -108,37 +108,37 @@
     }
     let mut front_ends: Vec<FrontEnd> = (0..FRONT_ENDS)
         .map(|n| {
-            let mut orders = Orders {
+            let mut actions = RecordedActions {
                 now: 100.0,
-                ..Orders::default()
+                ..RecordedActions::default()
             };
             let policy = PolicyConfig {
                 front_end_index: n as f64,
                 ..deployment.policy.clone()
             };
-            let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut orders);
-            dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut orders);
-            let place = FrontEndInfo {
+            let mut dispatcher = Dispatcher::new(policy, n as u64, 100.0, &mut actions);
+            dispatcher.on_endpoint_update(100.0, EndpointUpdateKind::Full, &rows, &mut actions);
+            let info = FrontEndInfo {
                 index: n as u32,
                 count: FRONT_ENDS as u32,
                 location: 0,
                 sends_load_commands: true,
                 keep_alive: 30.0,
             };
-            let mut shares = TrafficSplit::new(place, 100.0);
-            shares.adopt(100.0, coordinator.published().clone(), |name| {
+            let mut traffic_split = TrafficSplit::new(info, 100.0);
+            traffic_split.adopt(100.0, coordinator.published().clone(), |name| {
                 deployment.function(name)
             });
             FrontEnd {
                 dispatcher,
-                orders,
-                shares,
+                actions,
+                traffic_split,
             }
         })
         .collect();
-    // Copies at executors: loaded from then on.
-    let mut copies: BTreeMap<(ExecutorId, u64), f64> = BTreeMap::new();
-    let mut seen = Seen {
+    // The time from which a replica is loaded, by executor and function.
+    let mut replicas: BTreeMap<(ExecutorId, u64), f64> = BTreeMap::new();
+    let mut statistics = LoadStatistics {
         peak: 0,
         loads: 0,
         ready: vec![f64::NAN; ROLLOUTS],
@@ -148,11 +148,11 @@
     for step in 0..2_000 {
         let now = 100.0 + 0.1 * f64::from(step);
         for (n, fe) in front_ends.iter_mut().enumerate() {
-            fe.orders.now = now;
-            for (to, function) in std::mem::take(&mut fe.orders.open) {
-                let at = *copies.entry((to, function)).or_insert_with(|| {
-                    seen.loads += 1;
-                    now + LOAD
+            fe.actions.now = now;
+            for (to, function) in std::mem::take(&mut fe.actions.pending) {
+                let at = *replicas.entry((to, function)).or_insert_with(|| {
+                    statistics.loads += 1;
+                    now + LOAD_DURATION
                 });
                 if at <= now {
                     fe.dispatcher.on_load_result(
@@ -160,87 +160,95 @@
                         to,
                         function,
                         DispatchStatus::Ok,
-                        &mut fe.orders,
+                        &mut fe.actions,
                     );
                 } else {
-                    fe.orders.open.push((to, function));
+                    fe.actions.pending.push((to, function));
                 }
             }
-            if step % (ROUND * 10.0) as i32 != 0 {
+            if step % (ROUND_INTERVAL * 10.0) as i32 != 0 {
                 continue;
             }
-            for ahead in fe.shares.prewarm_commands(now) {
-                let v = &ahead.version;
-                let wish = PrewarmRequest {
+            for command in fe.traffic_split.prewarm_commands(now) {
+                let v = &command.version;
+                let request = PrewarmRequest {
                     function: v.key,
                     concurrency: v.concurrency,
                     load_time: v.load_time,
-                    replicas: ahead.replicas,
+                    replicas: command.replicas,
                 };
-                let before = fe.orders.given.len();
-                let count = fe.dispatcher.prewarm(now, &wish, &mut fe.orders);
-                let ordered = fe.orders.given.len() > before;
-                // Without a ration to spare the first invocations would bring it; here only orders do.
-                fe.shares
-                    .on_prewarm_result(&ahead, count, ordered || count == 0);
-                if ahead.is_new && count > 0 {
-                    let rollout = ahead.run as usize - 1;
+                let before = fe.actions.load_commands.len();
+                let count = fe.dispatcher.prewarm(now, &request, &mut fe.actions);
+                let is_sent = fe.actions.load_commands.len() > before;
+                // With an exhausted load budget the first invocations would load the replica; here only load commands do.
+                fe.traffic_split
+                    .on_prewarm_result(&command, count, is_sent || count == 0);
+                if command.is_new && count > 0 {
+                    let rollout = command.run as usize - 1;
                     known[rollout][n] = true;
-                    if known[rollout].iter().all(|&k| k) && seen.ready[rollout].is_nan() {
-                        seen.ready[rollout] = now - 100.0;
+                    if known[rollout].iter().all(|&k| k) && statistics.ready[rollout].is_nan() {
+                        statistics.ready[rollout] = now - 100.0;
                     }
                 }
             }
         }
-        seen.peak = seen
+        statistics.peak = statistics
             .peak
-            .max(copies.values().filter(|&&at| at > now).count());
+            .max(replicas.values().filter(|&&at| at > now).count());
     }
     for fe in &front_ends {
-        for (n, order) in fe.orders.given.iter().enumerate() {
-            let window = fe.orders.given[n..]
+        for (n, command) in fe.actions.load_commands.iter().enumerate() {
+            let window = fe.actions.load_commands[n..]
                 .iter()
-                .take_while(|o| o.0 < order.0 + 5.0)
+                .take_while(|o| o.0 < command.0 + 5.0)
                 .count();
-            seen.in_window = seen.in_window.max(window);
+            statistics.in_window = statistics.in_window.max(window);
         }
     }
-    seen
+    statistics
 }
 
 #[test]
-fn ten_rollouts_at_once_share_the_loads_by_priority_and_crowd_no_store() {
-    let (paced, unpaced, free) = (shift(true, "5s"), shift(false, "5s"), shift(false, "0s"));
+fn ten_concurrent_rollouts_load_by_priority_without_overloading_the_store() {
+    let (rate_limited, not_rate_limited, no_budget) = (
+        run_rollouts(true, "5s"),
+        run_rollouts(false, "5s"),
+        run_rollouts(false, "0s"),
+    );
     println!(
-        "paced: {} loads, {} at a time at the most, ready {:?}",
-        paced.loads, paced.peak, paced.ready
+        "rate-limited: {} loads, at most {} concurrent, ready {:?}",
+        rate_limited.loads, rate_limited.peak, rate_limited.ready
     );
     println!(
-        "unpaced: {} loads, {} at a time at the most, ready {:?}",
-        unpaced.loads, unpaced.peak, unpaced.ready
+        "not rate-limited: {} loads, at most {} concurrent, ready {:?}",
+        not_rate_limited.loads, not_rate_limited.peak, not_rate_limited.ready
     );
     println!(
-        "no ration either: {} loads, {} at a time at the most, ready {:?}",
-        free.loads, free.peak, free.ready
+        "no load budget either: {} loads, at most {} concurrent, ready {:?}",
+        no_budget.loads, no_budget.peak, no_budget.ready
     );
-    for seen in [&paced, &unpaced] {
-        // The ration's floor is 2 in 5 s, and rollouts have half of it.
+    for statistics in [&rate_limited, &not_rate_limited] {
+        // The load budget's floor is 2 load commands in 5 s, and rollouts may use half of it.
+        assert!(
+            statistics.in_window <= 1,
+            "{} load commands of one front end in a window",
+            statistics.in_window
+        );
         assert!(
-            seen.in_window <= 1,
-            "{} orders of one front end in a window",
-            seen.in_window
+            statistics.ready.iter().all(|r| r.is_finite()),
+            "{:?}",
+            statistics.ready
         );
-        assert!(seen.ready.iter().all(|r| r.is_finite()), "{:?}", seen.ready);
         assert!(
-            seen.ready[ROLLOUTS - 1] < seen.ready[0],
-            "the greatest priority comes first: {:?}",
-            seen.ready
+            statistics.ready[ROLLOUTS - 1] < statistics.ready[0],
+            "the highest priority is ready first: {:?}",
+            statistics.ready
         );
     }
     assert!(
-        paced.peak <= unpaced.peak && 3 * paced.peak <= free.peak,
+        rate_limited.peak <= not_rate_limited.peak && 3 * rate_limited.peak <= no_budget.peak,
         "{} against {}",
-        paced.peak,
-        free.peak
+        rate_limited.peak,
+        no_budget.peak
     );
 }
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -1,8 +1,8 @@
-//! The split of traffic, the sequential test, quantiles, and plans that can't be kept.
+//! The traffic split, the sequential test, quantile estimates, and infeasible plans.
 
 mod kit;
 
-use kit::{deployment, plan, plan_text, who};
+use kit::{attributes, deployment, plan, plan_text};
 use orchidtally_rollout::Plan;
 use orchidtally_rollout::evidence::QuantileEstimate;
 use orchidtally_rollout::forecast::forecast;
@@ -13,9 +13,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Beside it stands the plain model: the set of keys that any step so far gave the new version.
+    /// Compares the split with a model: a key gets the new version if any step so far assigned it to that version.
     #[test]
-    fn whoever_is_on_the_new_version_stays_there(
+    fn a_key_on_the_new_version_stays_on_it(
         run: u64,
         steps in proptest::collection::vec((0.001..1.0f64, any::<bool>(), any::<bool>()), 1..6),
         keys in proptest::collection::vec("[a-z]{1,8}", 1..30),
@@ -31,50 +31,51 @@
         for (n, key) in keys.iter().enumerate() {
             let customer = if n % 2 == 0 { "trial" } else { "other" };
             let location = if n % 3 == 0 { "north" } else { "south" };
-            let who = InvocationAttributes { customer, location, key };
-            let mut ever = false;
+            let attributes = InvocationAttributes { customer, location, key };
+            let mut expected = false;
             for step in 0..plan.steps.len() {
                 let s = &plan.steps[step];
-                let meant = (s.customers.is_empty() || customer == "trial") && (s.locations.is_empty() || location == "north");
-                ever |= meant && position(run, key) < s.share;
-                prop_assert_eq!(gets_new_version(&plan, run, step, &who), ever);
-                prop_assert!(share(&plan, step, &who) <= 1.0);
+                let applies = (s.customers.is_empty() || customer == "trial") && (s.locations.is_empty() || location == "north");
+                expected |= applies && position(run, key) < s.share;
+                prop_assert_eq!(gets_new_version(&plan, run, step, &attributes), expected);
+                prop_assert!(share(&plan, step, &attributes) <= 1.0);
             }
         }
     }
 
-    /// The stakes as one number for each odds equal those played by themselves from each beginning on.
+    /// Compares the wealth, kept as one number for each factor of the odds, with bets that are tracked separately for each
+    /// start time.
     #[test]
-    fn stakes_are_what_all_beginnings_come_to(slots in proptest::collection::vec((0.01..0.99f64, 0u64..4, 0u64..4, any::<bool>()), 1..40)) {
-        let mut stakes = EProcess::default();
-        let mut plain: Vec<(f64, [f64; 6])> = vec![];
-        for &(p, new, old, begins) in &slots {
-            if begins {
-                stakes.start_bet();
-                let n = plain.len() as f64 + 1.0;
-                plain.push((1.0 / (n * (n + 1.0)), [1.0; 6]));
+    fn the_wealth_equals_the_sum_over_all_start_times(slots in proptest::collection::vec((0.01..0.99f64, 0u64..4, 0u64..4, any::<bool>()), 1..40)) {
+        let mut process = EProcess::default();
+        let mut bets: Vec<(f64, [f64; 6])> = vec![];
+        for &(p, new, old, starts_bet) in &slots {
+            if starts_bet {
+                process.start_bet();
+                let n = bets.len() as f64 + 1.0;
+                bets.push((1.0 / (n * (n + 1.0)), [1.0; 6]));
             }
-            stakes.record(Events { p, new, all: new + old });
-            for (_, product) in &mut plain {
+            process.record(Events { p, new, all: new + old });
+            for (_, product) in &mut bets {
                 for (product, odds) in product.iter_mut().zip([1.25, 1.5, 2.0, 3.0, 5.0, 10.0f64]) {
                     let bet = odds * p / (odds * p + 1.0 - p);
                     *product *= (bet / p).powi(new as i32) * ((1.0 - bet) / (1.0 - p)).powi(old as i32);
                 }
             }
         }
-        let played: f64 = plain.iter().map(|(w, e)| w * e.iter().sum::<f64>() / 6.0).sum();
-        let expected = played + 1.0 - plain.iter().map(|(w, _)| w).sum::<f64>();
-        prop_assert!((stakes.evidence() / expected - 1.0).abs() < 1e-9, "{} {}", stakes.evidence(), expected);
+        let wealth: f64 = bets.iter().map(|(w, e)| w * e.iter().sum::<f64>() / 6.0).sum();
+        let expected = wealth + 1.0 - bets.iter().map(|(w, _)| w).sum::<f64>();
+        prop_assert!((process.evidence() / expected - 1.0).abs() < 1e-9, "{} {}", process.evidence(), expected);
     }
 }
 
 #[test]
-fn the_split_gives_each_step_its_share_and_each_run_another_few() {
+fn the_split_gives_each_step_its_share_and_each_run_other_keys() {
     let plan = plan("");
     let keys: Vec<String> = (0..20_000).map(|n| format!("key-{n}")).collect();
     let on = |run, step| {
         keys.iter()
-            .filter(|k| gets_new_version(&plan, run, step, &who(k)))
+            .filter(|k| gets_new_version(&plan, run, step, &attributes(k)))
             .count() as f64
             / 20_000.0
     };
@@ -83,43 +84,44 @@
     let both = keys
         .iter()
         .filter(|k| {
-            gets_new_version(&plan, 1, 0, &who(k)) && gets_new_version(&plan, 2, 0, &who(k))
+            gets_new_version(&plan, 1, 0, &attributes(k))
+                && gets_new_version(&plan, 2, 0, &attributes(k))
         })
         .count();
     assert!(
         (100..300).contains(&both),
-        "{both} of 20000 are first in both runs, 200 by random"
+        "{both} of 20000 keys get the new version first in both runs, 200 are expected"
     );
 }
 
 #[test]
-fn an_expectation_that_never_grows_where_the_versions_are_alike() {
-    // Exactly, over all outcomes of a few events.
+fn the_expected_wealth_does_not_grow_under_the_null_hypothesis() {
+    // The exact expectation over all outcomes of 8 events.
     for p in [0.05, 0.3, 0.9] {
         let mut mean = 0.0;
         for outcome in 0..1u32 << 8 {
-            let mut stakes = EProcess::default();
+            let mut process = EProcess::default();
             let mut random = 1.0;
             for n in 0..8 {
                 if n % 3 == 0 {
-                    stakes.start_bet();
+                    process.start_bet();
                 }
                 let new = outcome >> n & 1;
                 random *= if new == 1 { p } else { 1.0 - p };
-                stakes.record(Events {
+                process.record(Events {
                     p,
                     new: u64::from(new),
                     all: 1,
                 });
             }
-            mean += random * stakes.evidence();
+            mean += random * process.evidence();
         }
         assert!((mean - 1.0).abs() < 1e-9, "{mean} at a share of {p}");
     }
 }
 
 #[test]
-fn a_quantile_is_tracked() {
+fn a_quantile_is_estimated() {
     let mut q = QuantileEstimate::default();
     for n in 0..5_000u32 {
         q.record(0.9, f64::from(n.wrapping_mul(7_919) % 1_000));
@@ -129,10 +131,10 @@
 }
 
 #[test]
-fn plans_that_cannot_be_kept_are_refused_with_the_reckoning() {
+fn infeasible_plans_are_rejected_with_their_figures() {
     let d = deployment();
     let faults = |text: &str| match Plan::read(text, &d) {
-        Ok(_) => panic!("taken: {text}"),
+        Ok(_) => panic!("accepted: {text}"),
         Err(faults) => faults
             .iter()
             .map(ToString::to_string)
@@ -168,7 +170,7 @@
         assert!(wrong.contains(part), "{part} is not in:\n{wrong}");
     }
     let steps = forecast(&plan("rate: 100,"), &d);
-    // 100 a second of 50 ms over 2 lanes filled to 0.7.
+    // 100 invocations a second of 50 ms, on replicas with 2 lanes and a planned utilization of 0.7.
     assert_eq!(
         steps.iter().map(|s| s.replicas).collect::<Vec<_>>(),
         [1, 2, 4]
--- a/crates/rollout/tests/stored_formats.rs
+++ b/crates/rollout/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! The JSON of rollouts is a stored format and a protocol: the state in a coordinator's journal, operators' commands,
-//! what is published to front ends, and what these report. The examples in `stored_formats` were checked against the
+//! Guards the compatibility of the JSON of rollouts: the state in a coordinator's journal, operators' commands, the
+//! state that is published to front ends, and their reports. The examples in `stored_formats` were checked against the
 //! build of version 0.2.0 and must not be changed.
 
 use orchidtally_rollout::coordinator::{Command, CoordinatorState};
@@ -17,8 +17,8 @@
 const REPORTS: &str = include_str!("stored_formats/reports.jsonl");
 const FORECASTS: &str = include_str!("stored_formats/forecasts.jsonl");
 
-/// Reads one value a line, and checks that each is written again byte for byte.
-fn read_and_rewrite<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
+/// Deserializes one value a line, and checks that serializing it gives the same bytes.
+fn round_trip<Value: Serialize + DeserializeOwned>(lines: &str) -> Vec<Value> {
     let read_line = |line: &str| {
         let value: Value =
             serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"));
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn commands_are_read_and_written_again() {
-    let commands: Vec<Command> = read_and_rewrite(COMMANDS);
+fn commands_round_trip() {
+    let commands: Vec<Command> = round_trip(COMMANDS);
     let kind = |command: &Command| match command {
         Command::Start { .. } => "start",
         Command::Pause { .. } => "pause",
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_plan_has_the_values_of_its_json() {
-    let commands: Vec<Command> = read_and_rewrite(COMMANDS);
+    let commands: Vec<Command> = round_trip(COMMANDS);
     let plans = plans(&commands);
     let keys: Vec<StickyKey> = plans.iter().map(|plan| plan.key.clone()).collect();
     assert_eq!(
@@ -71,9 +71,10 @@
             StickyKey::Token
         ]
     );
-    let unjudged: Vec<InconclusiveAction> = plans.iter().map(|plan| plan.on_inconclusive).collect();
+    let inconclusive_actions: Vec<InconclusiveAction> =
+        plans.iter().map(|plan| plan.on_inconclusive).collect();
     assert_eq!(
-        unjudged,
+        inconclusive_actions,
         [
             InconclusiveAction::Hold,
             InconclusiveAction::Advance,
@@ -85,7 +86,7 @@
     let gates: Vec<(Gate, f64, bool)> = plan
         .gates
         .iter()
-        .map(|terms| (terms.gate, terms.ratio, terms.rolls_back))
+        .map(|policy| (policy.gate, policy.ratio, policy.rolls_back))
         .collect();
     let expected = [
         (Gate::Errors, 1.25, true),
@@ -124,8 +125,8 @@
 }
 
 #[test]
-fn what_is_published_is_read_and_written_again() {
-    let published: PublishedState = read_and_rewrite(PUBLISHED).remove(0);
+fn the_published_state_round_trips() {
+    let published: PublishedState = round_trip(PUBLISHED).remove(0);
     assert_eq!(
         published.epoch,
         Epoch {
@@ -151,8 +152,8 @@
 }
 
 #[test]
-fn the_state_in_a_coordinators_journal_is_read_and_written_again() {
-    let state: CoordinatorState = read_and_rewrite(COORDINATOR_STATE).remove(0);
+fn the_state_in_a_coordinators_journal_round_trips() {
+    let state: CoordinatorState = round_trip(COORDINATOR_STATE).remove(0);
     assert_eq!(
         (state.published.revision, state.rounds[&13]),
         (42, (4, 1764600002.5))
@@ -194,8 +195,8 @@
 }
 
 #[test]
-fn front_ends_reports_are_read_and_written_again() {
-    let reports: Vec<EvidenceReport> = read_and_rewrite(REPORTS);
+fn evidence_reports_round_trip() {
+    let reports: Vec<EvidenceReport> = round_trip(REPORTS);
     let report = &reports[0];
     assert_eq!((report.front_end, report.index, report.round), (99, 3, 17));
     let delta = &report.deltas[0];
@@ -216,8 +217,8 @@
 }
 
 #[test]
-fn forecasts_are_read_and_written_again() {
-    let forecasts: Vec<StepForecast> = read_and_rewrite(FORECASTS);
+fn forecasts_round_trip() {
+    let forecasts: Vec<StepForecast> = round_trip(FORECASTS);
     let first = &forecasts[0];
     assert_eq!(
         (
@@ -235,7 +236,7 @@
 }
 
 #[test]
-fn gates_have_the_names_and_the_order_of_plans_and_counts() {
+fn gates_keep_their_names_and_order() {
     assert_eq!(
         GATES.map(Gate::name),
         ["errors", "slow", "slowTail", "loadFailures", "throttled"]
