--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -20,9 +20,9 @@
 /// The most bytes of a request body.
 const MAX_BODY_LENGTH: usize = 16 * 1024 * 1024;
 
-pub(crate) type Reply = Response<Full<Bytes>>;
+pub(crate) type ApiResponse = Response<Full<Bytes>>;
 
-fn reply(status: StatusCode, body: &impl Serialize) -> Reply {
+fn json_response(status: StatusCode, body: &impl Serialize) -> ApiResponse {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -33,8 +33,8 @@
     response
 }
 
-fn error_reply(error: &ApiError) -> Reply {
-    reply(error.status(), &json!({ "faults": error.faults() }))
+fn error_response(error: &ApiError) -> ApiResponse {
+    json_response(error.status(), &json!({ "faults": error.faults() }))
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
@@ -51,14 +51,17 @@
 }
 
 impl CoordinatorServer {
-    pub(crate) async fn respond(&self, request: Request<Incoming>) -> Result<Reply, Infallible> {
+    pub(crate) async fn respond(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<ApiResponse, Infallible> {
         Ok(self
-            .answer(request)
+            .route(request)
             .await
-            .unwrap_or_else(|error| error_reply(&error)))
+            .unwrap_or_else(|error| error_response(&error)))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Reply, ApiError> {
+    async fn route(&self, request: Request<Incoming>) -> Result<ApiResponse, ApiError> {
         let (parts, body) = request.into_parts();
         let body = read_body(body).await?;
         let path = parts.uri.path();
@@ -68,7 +71,7 @@
         match (&parts.method, path) {
             (&Method::POST, "/v1/rollouts/exchange") => self.exchange(&body),
             (&Method::POST, "/v1/rollouts/orders") => self.execute(&body),
-            (&Method::GET, "/v1/rollouts") => Ok(reply(StatusCode::OK, &self.status())),
+            (&Method::GET, "/v1/rollouts") => Ok(json_response(StatusCode::OK, &self.status())),
             (&Method::GET, _) if history.is_some() => self.history(history.unwrap_or_default()),
             _ => Err(ApiError::UnknownRoute {
                 method: parts.method.clone(),
@@ -78,18 +81,18 @@
     }
 
     /// Records the report of a front end, and responds with the state of all rollouts.
-    fn exchange(&self, body: &[u8]) -> Result<Reply, ApiError> {
+    fn exchange(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let report: EvidenceReport = parse(body)?;
         self.coordinator.borrow_mut().record_report(now(), &report);
         let coordinator = self.coordinator.borrow();
         if let Some(epoch) = coordinator.superseded() {
             return Err(ApiError::Superseded { term: epoch.term });
         }
-        Ok(reply(StatusCode::OK, coordinator.published()))
+        Ok(json_response(StatusCode::OK, coordinator.published()))
     }
 
     /// Executes an operator's request.
-    fn execute(&self, body: &[u8]) -> Result<Reply, ApiError> {
+    fn execute(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let command = match parse(body)? {
             OperatorRequest::Start { plan, dry_run } => {
                 let plan = self.read_plan(&plan)?;
@@ -110,21 +113,21 @@
         if !self.persist_changes() {
             return Err(ApiError::NotPersisted);
         }
-        Ok(reply(StatusCode::OK, &self.status()))
+        Ok(json_response(StatusCode::OK, &self.status()))
     }
 
     fn read_plan(&self, text: &str) -> Result<Plan, ApiError> {
         Plan::read(text, &self.deployment).map_err(ApiError::InvalidPlan)
     }
 
-    /// The forecast of a plan, and its rate of loads against the load budget.
-    fn dry_run(&self, plan: &Plan) -> Reply {
+    /// Returns the forecast of a plan, and its rate of loads against the load budget.
+    fn dry_run(&self, plan: &Plan) -> ApiResponse {
         let steps: Vec<StepForecast> = forecast(plan, &self.deployment);
         // Without a load budget there is no limit to report.
         let rate_limit =
             Some(load_command_rate_limit(&self.deployment)).filter(|limit| limit.is_finite());
         let body = json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": rate_limit });
-        reply(StatusCode::OK, &body)
+        json_response(StatusCode::OK, &body)
     }
 
     /// Builds the command that starts a plan, with the digests to which its aliases currently point.
@@ -159,10 +162,10 @@
         Some(version.digest.to_string())
     }
 
-    fn history(&self, name: &str) -> Result<Reply, ApiError> {
+    fn history(&self, name: &str) -> Result<ApiResponse, ApiError> {
         let coordinator = self.coordinator.borrow();
         match coordinator.state().runs.get(name) {
-            Some(run) => Ok(reply(StatusCode::OK, &run.history)),
+            Some(run) => Ok(json_response(StatusCode::OK, &run.history)),
             None => Err(ApiError::UnknownRollout(name.to_owned())),
         }
     }
--- a/crates/coordinator/src/error.rs
+++ b/crates/coordinator/src/error.rs
@@ -43,7 +43,7 @@
 }
 
 impl ApiError {
-    /// The HTTP status of the response.
+    /// Returns the HTTP status of the response.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
             ApiError::InvalidJson(_) | ApiError::InvalidPlan(_) | ApiError::UnknownVersion => {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The messages in the body of the response: one for each fault of a plan, otherwise a single one.
+    /// Returns the messages in the body of the response: one for each fault of a plan, otherwise a single one.
     pub(crate) fn faults(&self) -> Vec<String> {
         match self {
             ApiError::InvalidPlan(faults) => faults.iter().map(ToString::to_string).collect(),
--- a/crates/coordinator/src/server.rs
+++ b/crates/coordinator/src/server.rs
@@ -38,7 +38,7 @@
     connections: Cell<usize>,
 }
 
-/// Seconds since 1970.
+/// Returns the current time in seconds since 1970.
 pub(crate) fn now() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -160,12 +160,12 @@
         self.connections.set(self.connections.get() + 1);
         let peer = stream.peer_addr();
         let service = hyper::service::service_fn(|request| self.respond(request));
-        let served = hyper::server::conn::http1::Builder::new()
+        let result = hyper::server::conn::http1::Builder::new()
             .timer(SmolTimer::new())
             .header_read_timeout(REQUEST_TIMEOUT)
             .serve_connection(stream, service)
             .await;
-        if let Err(error) = served {
+        if let Err(error) = result {
             debug!(?peer, %error, "connection closed with an error");
         }
         self.connections.set(self.connections.get() - 1);
--- a/crates/deployment/src/configuration.rs
+++ b/crates/deployment/src/configuration.rs
@@ -58,7 +58,7 @@
 }
 
 impl ConfigStoreSettings {
-    /// The path of one front end's snapshot.
+    /// Returns the path of one front end's snapshot.
     pub fn snapshot(&self, front_end: u32) -> PathBuf {
         self.snapshot
             .replace(INDEX_PLACEHOLDER, &front_end.to_string())
--- a/crates/deployment/src/deployment.rs
+++ b/crates/deployment/src/deployment.rs
@@ -145,7 +145,7 @@
             .position(|trigger_type| trigger_type.name == name)
     }
 
-    /// Whether executors are allowed at an address.
+    /// Returns whether executors are allowed at an address.
     pub fn allows_address(&self, address: SocketAddr) -> bool {
         let mut networks = self.allowed_networks.iter();
         self.allowed_networks.is_empty() || networks.any(|network| network.contains(&address.ip()))
--- a/crates/deployment/src/endpoint_source.rs
+++ b/crates/deployment/src/endpoint_source.rs
@@ -219,7 +219,7 @@
         }
     }
 
-    /// The locations without an executor.
+    /// Returns the locations without an executor.
     fn empty_locations(&self) -> impl Iterator<Item = &String> {
         let has_endpoint = |zone: usize| {
             let mut endpoints = self.endpoints.iter();
--- a/crates/deployment/src/journal.rs
+++ b/crates/deployment/src/journal.rs
@@ -22,7 +22,7 @@
 }
 
 impl JournalSettings {
-    /// The directory of one front end.
+    /// Returns the directory of one front end.
     pub fn directory(&self, front_end: u32) -> PathBuf {
         self.directory
             .replace(INDEX_PLACEHOLDER, &front_end.to_string())
--- a/crates/deployment/src/reader/fields.rs
+++ b/crates/deployment/src/reader/fields.rs
@@ -15,7 +15,7 @@
         Fields { place, object }
     }
 
-    /// The place of a key, whether it is given or not.
+    /// Returns the place of a key, whether it is given or not.
     pub fn at(&self, name: &str) -> Place<'a, 'd> {
         let property = self
             .object
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The fields of an object under `name` that is left out.
+    /// Returns the fields of an object under `name` that is left out.
     fn empty(&self, name: &str) -> Fields<'a, 'd> {
         Fields {
             place: self.at(name),
@@ -46,7 +46,7 @@
         if place.is_given() { read(&place) } else { None }
     }
 
-    /// The fields of an object under `name`, which may be left out as a whole.
+    /// Returns the fields of an object under `name`, which may be left out as a whole.
     pub fn optional_object(&self, name: &str, keys: &[&str]) -> Fields<'a, 'd> {
         let place = self.at(name);
         if place.is_given() {
--- a/crates/deployment/src/reader/mod.rs
+++ b/crates/deployment/src/reader/mod.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The place of the top-level value.
+    /// Returns the place of the top-level value.
     pub fn root<'d>(&'d self, value: &'d Value<'a>) -> Place<'a, 'd> {
         Place {
             document: self,
--- a/crates/deployment/src/reader/place.rs
+++ b/crates/deployment/src/reader/place.rs
@@ -21,7 +21,7 @@
     pub(super) key: String,
 }
 
-/// The type of a value, in words.
+/// Returns the type of a value, in words.
 fn type_name(value: &Value) -> &'static str {
     match value {
         Value::StringLit(_) => "a text",
@@ -39,7 +39,7 @@
         self.document.record(self.at, &self.key, message.into());
     }
 
-    /// Whether a value is given.
+    /// Returns whether a value is given.
     pub fn is_given(&self) -> bool {
         self.value.is_some()
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The value as text, independent of its spaces, comments and order of keys.
+    /// Returns the value as text, independent of its spaces, comments and order of keys.
     pub fn canonical_text(&self) -> String {
         self.value.map_or_else(String::new, canonical_text)
     }
@@ -257,7 +257,7 @@
     }
 }
 
-/// The message for an unknown key, with the most similar known key as a suggestion.
+/// Returns the message for an unknown key, with the most similar known key as a suggestion.
 fn unknown_key(name: &str, keys: &[&str]) -> String {
     let nearest = keys
         .iter()
@@ -268,7 +268,8 @@
     format!("unknown key{hint} (known here: {})", keys.join(", "))
 }
 
-/// The Levenshtein distance: the least number of insertions, deletions and substitutions that turn `a` into `b`.
+/// Returns the Levenshtein distance: the least number of insertions, deletions and substitutions that turn `a` into
+/// `b`.
 fn edit_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.chars().count()).collect();
     for (i, left) in a.chars().enumerate() {
--- a/crates/deployment/src/reader/units.rs
+++ b/crates/deployment/src/reader/units.rs
@@ -1,6 +1,6 @@
 //! Times and sizes with their units.
 
-/// The value in base units (seconds or bytes) of a text such as `1.5s`; `None` if it has no known unit.
+/// Returns the value in base units (seconds or bytes) of a text such as `1.5s`; `None` if it has no known unit.
 pub(super) fn scaled(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
     let number: f64 = text[..digits].parse().ok()?;
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -28,17 +28,17 @@
     let mut reader = RegionReader {
         locations,
         names: vec![],
-        of_locations: vec![None; locations.len()],
+        by_location: vec![None; locations.len()],
     };
     list.iter().for_each(|place| reader.read_region(place));
-    for (name, region) in locations.iter().zip(&reader.of_locations) {
+    for (name, region) in locations.iter().zip(&reader.by_location) {
         if region.is_none() {
             section.fault(format!(
                 "location '{name}' is in no region; name it under one of them"
             ));
         }
     }
-    reader.of_locations
+    reader.by_location
 }
 
 /// Reads regions one by one.
@@ -47,7 +47,7 @@
     /// Names of the regions read so far.
     names: Vec<String>,
     /// The region of each location.
-    of_locations: Vec<Option<u8>>,
+    by_location: Vec<Option<u8>>,
 }
 
 impl RegionReader<'_> {
@@ -85,12 +85,12 @@
         let Some(location) = place.choice(&names) else {
             return;
         };
-        match self.of_locations[location] {
+        match self.by_location[location] {
             Some(other) => place.fault(format!(
                 "is in region '{}' already; a location belongs to one region",
                 self.names[usize::from(other)]
             )),
-            None => self.of_locations[location] = Some(region as u8),
+            None => self.by_location[location] = Some(region as u8),
         }
     }
 }
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -68,7 +68,7 @@
     let billed_value = fields.optional("billedValue", |place| place.number(0.001..=1e6));
     let late_value_fraction = fields.optional("lateShare", |place| place.number(0.0..=1.0));
     let (scope, window) = read_deduplication(&fields, idempotency);
-    let (streams_responses, is_durable) = read_answer_handling(&fields, idempotency);
+    let (streams_responses, is_durable) = read_response_handling(&fields, idempotency);
     let settings = TriggerTypeSettings {
         name: name?,
         streams_responses,
@@ -113,7 +113,7 @@
 }
 
 /// Reads whether responses are streamed, and whether invocations are durable.
-fn read_answer_handling(fields: &Fields, idempotency: Option<Idempotency>) -> (bool, bool) {
+fn read_response_handling(fields: &Fields, idempotency: Option<Idempotency>) -> (bool, bool) {
     let streams_responses = fields.at("streams").flag(false);
     let durable = fields.at("journalled");
     let is_durable = durable.flag(false);
--- a/crates/journal/src/directory.rs
+++ b/crates/journal/src/directory.rs
@@ -48,8 +48,8 @@
         Ok(Generations { snapshots, logs })
     }
 
-    /// The generation in use: the newest snapshot's. A snapshot file is renamed to its final name only after it is
-    /// complete and synced.
+    /// Returns the generation in use: the newest snapshot's. A snapshot file is renamed to its final name only after it
+    /// is complete and synced.
     pub(crate) fn current(&self) -> u64 {
         self.snapshots.last().copied().unwrap_or(0)
     }
--- a/crates/rollout/benches/statistics.rs
+++ b/crates/rollout/benches/statistics.rs
@@ -1,6 +1,6 @@
 //! Simulates, on fixed seeds, how often a harmless rollout is rolled back and how soon a worse version is, and compares
-//! the sequential test with a fixed-sample test and a plain threshold. Prints a table, and writes a chart if a directory
-//! is given.
+//! the sequential test with a fixed-sample test and a plain threshold. Prints a table, and writes a chart if a
+//! directory is given.
 //!
 //! `cargo bench -p orchidtally-rollout --bench statistics [-- DIRECTORY]`
 
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -161,7 +161,7 @@
         Ok(())
     }
 
-    /// The phase of a rollout that hasn't ended.
+    /// Returns the phase of a rollout that hasn't ended.
     fn phase_of(&self, name: &str) -> Result<Phase, CommandError> {
         let found = self.state.published.rollouts.get(name);
         let phase = found
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -45,22 +45,22 @@
         coordinator
     }
 
-    /// The state published to front ends.
+    /// Returns the state published to front ends.
     pub fn published(&self) -> &PublishedState {
         &self.state.published
     }
 
-    /// The state to persist.
+    /// Returns the state to persist.
     pub fn state(&self) -> &CoordinatorState {
         &self.state
     }
 
-    /// The epoch of a newer coordinator, if one is known.
+    /// Returns the epoch of a newer coordinator, if one is known.
     pub fn superseded(&self) -> Option<Epoch> {
         self.superseded
     }
 
-    /// Whether the published state has changed since the last call. It has to be persisted before it is sent.
+    /// Returns whether the published state has changed since the last call. It has to be persisted before it is sent.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/rollout/src/coordinator/rules.rs
+++ b/crates/rollout/src/coordinator/rules.rs
@@ -5,15 +5,15 @@
 use crate::sequential::Stratum;
 use crate::state::{Phase, Rollout};
 
-/// Strength of evidence at or above which a step is held. The strength is the logarithm of the evidence, relative to the
-/// logarithm of the rollback threshold.
+/// Strength of evidence at or above which a step is held. The strength is the logarithm of the evidence, relative to
+/// the logarithm of the rollback threshold.
 const HOLD_THRESHOLD: f64 = 0.5;
 /// Strength of evidence below which a held step continues.
 const RELEASE_THRESHOLD: f64 = 0.25;
 
 /// The verdict of a rule.
 pub(super) enum Verdict {
-    /// The rule doesn't apply: the next one decides.
+    /// The rule doesn't apply; the next one is evaluated.
     Pass,
     /// Hold the step, for this reason.
     Hold(String),
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -87,7 +87,7 @@
 }
 
 impl Run {
-    /// A run without evidence that continues the history of an earlier run.
+    /// Creates a run without evidence that continues the history of an earlier run.
     pub(super) fn with_history(history: Vec<Event>) -> Run {
         Run {
             history,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Invocations of the function a second, over all front ends that reported recently.
+    /// Returns the invocations of the function a second, over all front ends that reported recently.
     pub fn rate(&self) -> f64 {
         self.reports.values().map(|report| report.rate).sum()
     }
 
-    /// For each front end that reported recently, whether it applies the step's share.
+    /// Returns, for each front end that reported recently, whether it applies the step's share.
     pub(super) fn readiness(&self, now: f64) -> Vec<bool> {
         self.reports
             .values()
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -55,7 +55,7 @@
             .for_each(|(a, b)| *a += b);
     }
 
-    /// The number of answers or loads among which a gate's events are counted.
+    /// Returns the number of answers or loads among which a gate's events are counted.
     pub fn sample_count(&self, gate: Gate) -> u64 {
         match gate {
             Gate::Errors | Gate::Throttled => self.answers,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether all counts are zero.
+    /// Returns whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         *self == Counts::default()
     }
@@ -114,7 +114,7 @@
 const MAX_SLOTS: usize = 4_096;
 
 impl SlotCollector {
-    /// The counts of a cohort in a stratum; `None` if there are too many slots.
+    /// Returns the counts of a cohort in a stratum; `None` if there are too many slots.
     pub fn counts_mut(
         &mut self,
         stratum: StratumKey,
@@ -176,7 +176,7 @@
         };
     }
 
-    /// The estimate, once enough values were recorded.
+    /// Returns the estimate, once enough values were recorded.
     pub fn value(&self) -> Option<f64> {
         (self.count > Self::INITIAL_VALUES).then_some(self.estimate)
     }
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -42,7 +42,8 @@
     pub answers_to_detect: u64,
 }
 
-/// Load commands a second that all front ends together may send for rollouts; infinite without a load budget.
+/// Returns the limit of load commands a second that all front ends together may send for rollouts; infinite without a
+/// load budget.
 pub fn load_command_rate_limit(deployment: &Deployment) -> f64 {
     let policy = &deployment.policy;
     if !policy.allows_load_commands || policy.load_budget_window <= 0.0 {
@@ -51,7 +52,7 @@
     policy.front_ends * LOAD_BUDGET_SHARE * policy.load_budget_floor / policy.load_budget_window
 }
 
-/// The number of replicas needed for a share of a rate of invocations.
+/// Returns the number of replicas needed for a share of a rate of invocations.
 pub fn replicas_for(rate: f64, share: f64, version: &Version) -> u64 {
     let work = version.expected_work.unwrap_or(0.0);
     (share * rate * work / (version.concurrency * MAX_UTILIZATION))
@@ -69,14 +70,14 @@
     replicas_for(rate, share, &version)
 }
 
-/// Invocations of the new version a second at a step.
+/// Returns the invocations of the new version a second at a step.
 fn new_rate(plan: &Plan, step: usize) -> Option<f64> {
     // An upper bound if the step applies to a part of the traffic.
     Some(plan.rate? * plan.steps[step].share)
 }
 
-/// The number of answers of the new version until the bet on twice the odds reaches the threshold, at the assumed rate
-/// of errors.
+/// Returns the number of answers of the new version until the bet on twice the odds reaches the threshold, at the
+/// assumed rate of errors.
 fn answers_to_detect(plan: &Plan, share: f64) -> u64 {
     let p = share.clamp(1e-4, 0.9999);
     let bet = DETECTED_ODDS * p / (DETECTED_ODDS * p + 1.0 - p);
@@ -87,7 +88,7 @@
     (events * bet / (DETECTED_ODDS * ASSUMED_ERROR_RATE)).ceil() as u64
 }
 
-/// The forecast of each step of a plan.
+/// Returns the forecast of each step of a plan.
 pub fn forecast(plan: &Plan, deployment: &Deployment) -> Vec<StepForecast> {
     let front_ends = deployment.policy.front_ends as u64;
     let mut replicas_before = 0;
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether another rollout of the function is in progress after this one has ended.
+/// Returns whether another rollout of the function is in progress after this one has ended.
 fn is_superseded(rollout: &Rollout, published: &PublishedState) -> bool {
     let is_successor = |other: &Rollout| {
         other.plan.function == rollout.plan.function
--- a/crates/rollout/src/frontend/local.rs
+++ b/crates/rollout/src/frontend/local.rs
@@ -16,7 +16,7 @@
 }
 
 impl SlowThresholds {
-    /// Whether enough answers were recorded to compare with.
+    /// Returns whether enough answers were recorded to compare with.
     pub(super) fn are_known(&self) -> bool {
         self.slow.value().is_some() && self.slow_tail.value().is_some()
     }
@@ -85,7 +85,7 @@
         self.rollout.phase.has_ended()
     }
 
-    /// Index of the step whose share is applied; `None` after a local rollback.
+    /// Returns the index of the step whose share is applied; `None` after a local rollback.
     pub(super) fn effective_step(&self) -> Option<usize> {
         if self.local_rollback.is_some() {
             None
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -49,9 +49,9 @@
     key: Option<u64>,
 }
 
-/// Whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run, or its
-/// trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key doesn't count
-/// as idempotent here.
+/// Returns whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run,
+/// or its trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key
+/// doesn't count as idempotent here.
 pub fn may_migrate(is_idempotent: bool, may_have_run: bool) -> bool {
     is_idempotent || !may_have_run
 }
@@ -89,7 +89,7 @@
 }
 
 impl TrafficSplit {
-    /// A front end without rollouts.
+    /// Creates the state of a front end without rollouts.
     pub fn new(front_end: FrontEndInfo, now: f64) -> TrafficSplit {
         TrafficSplit {
             front_end,
@@ -104,12 +104,12 @@
         }
     }
 
-    /// The state that was last adopted from a coordinator.
+    /// Returns the state that was last adopted from a coordinator.
     pub fn published(&self) -> &PublishedState {
         &self.published
     }
 
-    /// The sticky key of the rollout of a function, if one is in progress.
+    /// Returns the sticky key of the rollout of a function, if one is in progress.
     pub fn sticky_key(&self, function: &str) -> Option<&StickyKey> {
         let local = self
             .rollouts
@@ -118,7 +118,7 @@
         local.map(|local| &local.rollout.plan.key)
     }
 
-    /// The digest to which an alias points, if it differs from the deployment file.
+    /// Returns the digest to which an alias points, if it differs from the deployment file.
     pub fn moved_alias(&self, function: &str, alias: &str) -> Option<&str> {
         self.published
             .aliases
@@ -194,7 +194,7 @@
             .find(|local| local.rollout.run == run)
     }
 
-    /// The old version of a rollout that was rolled back.
+    /// Returns the old version of a rollout that was rolled back.
     pub fn rollback_target(&self, run: u64) -> Option<Version> {
         let local = self
             .rollouts
--- a/crates/rollout/src/frontend/prewarm.rs
+++ b/crates/rollout/src/frontend/prewarm.rs
@@ -33,7 +33,7 @@
 }
 
 impl LocalRollout {
-    /// The number of replicas of the new version to load now. Front ends take turns at the planned rate.
+    /// Returns the number of replicas of the new version to load now. Front ends take turns at the planned rate.
     fn load_due(&mut self, front_end: FrontEndInfo, now: f64) -> Option<usize> {
         let step = self
             .rollout
@@ -57,8 +57,8 @@
         Some(self.needed_replicas)
     }
 
-    /// Whether this front end renews the replicas of the old version now. They are kept alive for as long as the rollout
-    /// may be rolled back; front ends take turns, since all choose the same executors.
+    /// Returns whether this front end renews the replicas of the old version now. They are kept alive for as long as
+    /// the rollout may be rolled back; front ends take turns, since all choose the same executors.
     fn is_renewal_due(&mut self, front_end: FrontEndInfo, now: f64) -> bool {
         if self.rollout.active_step().is_none()
             || now < self.next_renewal_at
@@ -74,7 +74,7 @@
 }
 
 impl TrafficSplit {
-    /// The commands that are due, most urgent first. Report the result of each to
+    /// Returns the commands that are due, most urgent first. Report the result of each to
     /// [`TrafficSplit::on_prewarm_result`].
     pub fn prewarm_commands(&mut self, now: f64) -> Vec<PrewarmCommand> {
         let front_end = self.front_end;
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -35,8 +35,9 @@
 }
 
 impl LocalRollout {
-    /// Why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is multiplied by
-    /// the number of front ends: each of them runs its own tests, so the false positive rate is divided among them.
+    /// Returns why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is
+    /// multiplied by the number of front ends: each of them runs its own tests, so the false positive rate is divided
+    /// among them.
     fn rollback_reason(&self, front_ends: u32) -> Option<String> {
         let plan = &self.rollout.plan;
         let threshold = plan.threshold() * f64::from(front_ends);
@@ -53,7 +54,7 @@
             .then(|| "a load returned bytes that don't match the digest".into())
     }
 
-    /// The evidence since the last call, which is added to the front end's own tests as well.
+    /// Returns the evidence since the last call, which is added to the front end's own tests as well.
     fn take_delta(
         &mut self,
         now: f64,
@@ -133,7 +134,7 @@
         rolled_back
     }
 
-    /// The report of the next round.
+    /// Returns the report of the next round.
     pub fn report(&mut self, front_end: u64) -> EvidenceReport {
         self.round += 1;
         EvidenceReport {
--- a/crates/rollout/src/plan/mod.rs
+++ b/crates/rollout/src/plan/mod.rs
@@ -22,7 +22,7 @@
 }
 
 impl StickyKey {
-    /// Whether many invocations may have the same key, so that their failures are correlated.
+    /// Returns whether many invocations may have the same key, so that their failures are correlated.
     pub fn is_shared(&self) -> bool {
         !matches!(self, StickyKey::Invocation)
     }
@@ -86,7 +86,7 @@
 ];
 
 impl Gate {
-    /// The name of the gate in plans and reports.
+    /// Returns the name of the gate in plans and reports.
     pub fn name(self) -> &'static str {
         match self {
             Gate::Errors => "errors",
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The index of the gate in arrays by gate.
+    /// Returns the index of the gate in arrays by gate.
     pub fn index(self) -> usize {
         GATES.iter().position(|&g| g == self).unwrap_or(0)
     }
@@ -188,12 +188,13 @@
         }
     }
 
-    /// The policy of a gate, if it is enabled.
+    /// Returns the policy of a gate, if it is enabled.
     pub fn gate(&self, gate: Gate) -> Option<&GatePolicy> {
         self.gates.iter().find(|policy| policy.gate == gate)
     }
 
-    /// The evidence, as odds to 1, at which a gate rolls back: the inverse of its part of the false positive rate.
+    /// Returns the evidence, as odds to 1, at which a gate rolls back: the inverse of its part of the false positive
+    /// rate.
     pub fn threshold(&self) -> f64 {
         let gates = self
             .gates
--- a/crates/rollout/src/plan/parse.rs
+++ b/crates/rollout/src/plan/parse.rs
@@ -133,7 +133,7 @@
     Some(name)
 }
 
-/// Whether the deployment lists a function; records a fault if not.
+/// Returns whether the deployment lists a function; records a fault if not.
 fn check_function(fields: &Fields, function: &str, deployment: &Deployment) -> bool {
     let is_known = deployment.functions.contains_key(function);
     if !is_known {
@@ -191,7 +191,7 @@
     }
 }
 
-/// A list of names, each of which has to be among the `known` ones.
+/// Reads a list of names, each of which has to be among the `known` ones.
 fn names(place: &Place, known: &[String], category: &str) -> Vec<String> {
     let names: Vec<(Place, String)> = place
         .list()
@@ -314,7 +314,7 @@
     gates
 }
 
-/// The policy of a gate, from its default; `None` if the gate is disabled.
+/// Returns the policy of a gate, from its default; `None` if the gate is disabled.
 fn gate_policy(place: &Place, mut policy: GatePolicy) -> Option<GatePolicy> {
     let fields = place.object(&["ratio", "action"]);
     if let Some(ratio) = fields.optional("ratio", |place| place.number(1.0..=100.0)) {
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The factor by which the wealth has grown: the evidence that the new version is worse, as odds to 1.
+    /// Returns the factor by which the wealth has grown: the evidence that the new version is worse, as odds to 1.
     pub fn evidence(&self) -> f64 {
         let unstarted = 1.0 / (self.bets_started as f64 + 1.0);
         self.wealth.iter().map(|p| p + unstarted).sum::<f64>() / ODDS.len() as f64
@@ -126,7 +126,7 @@
 }
 
 impl GateTest {
-    /// The weight of each stratum: the n-th of a kind has 1/(n(n+1)) of the kind's weight. The rest is not bet.
+    /// Returns the weight of each stratum: the n-th of a kind has 1/(n(n+1)) of the kind's weight. The rest is not bet.
     fn weights(&self) -> impl Iterator<Item = (f64, &EProcess)> {
         let mut seen = [0u32; KIND_WEIGHTS.len()];
         self.strata.iter().map(move |(stratum, process)| {
@@ -150,7 +150,7 @@
         sum + (1.0 - weight)
     }
 
-    /// The stratum with the strongest evidence, and that evidence.
+    /// Returns the stratum with the strongest evidence, and that evidence.
     fn strongest(&self) -> Option<(Stratum, f64)> {
         let by_stratum = self
             .strata
@@ -160,7 +160,7 @@
         by_stratum.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// The e-process of a stratum; `None` if too many strata of its kind are tested.
+    /// Returns the e-process of a stratum; `None` if too many strata of its kind are tested.
     fn process(&mut self, stratum: Stratum, blocks_started: u64) -> Option<&mut EProcess> {
         if let Some(n) = self.strata.iter().position(|(known, _)| *known == stratum) {
             return Some(&mut self.strata[n].1);
@@ -191,7 +191,7 @@
     next_at: f64,
 }
 
-/// The events of a slot that a gate counts; `None` if the slot has invocations of only one version.
+/// Returns the events of a slot that a gate counts; `None` if the slot has invocations of only one version.
 pub fn events(plan: &Plan, gate: Gate, slot: &Slot) -> Option<Events> {
     let policy = plan.gate(gate)?;
     let (old, new) = (slot.old.events[gate.index()], slot.new.events[gate.index()]);
@@ -245,12 +245,12 @@
         }
     }
 
-    /// The evidence of a gate that the new version is worse, as odds to 1.
+    /// Returns the evidence of a gate that the new version is worse, as odds to 1.
     pub fn evidence(&self, gate: Gate) -> f64 {
         self.gates.get(&gate).map_or(1.0, GateTest::evidence)
     }
 
-    /// The stratum with the strongest evidence of a gate, and that evidence.
+    /// Returns the stratum with the strongest evidence of a gate, and that evidence.
     pub fn strongest(&self, gate: Gate) -> Option<(Stratum, f64)> {
         self.gates.get(&gate)?.strongest()
     }
--- a/crates/rollout/src/split.rs
+++ b/crates/rollout/src/split.rs
@@ -39,7 +39,7 @@
         .min(1.0 - plan.holdback)
 }
 
-/// Whether an invocation gets the new version.
+/// Returns whether an invocation gets the new version.
 pub fn gets_new_version(plan: &Plan, run: u64, step: usize, caller: &InvocationAttributes) -> bool {
     position(run, caller.key) < share(plan, step, caller)
 }
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -37,12 +37,12 @@
 }
 
 impl Phase {
-    /// Whether the rollout has ended.
+    /// Returns whether the rollout has ended.
     pub fn has_ended(self) -> bool {
         matches!(self, Phase::Finished | Phase::RolledBack)
     }
 
-    /// The name of the phase in messages to operators.
+    /// Returns the name of the phase in messages to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Planned => "planned",
@@ -79,7 +79,7 @@
 }
 
 impl Rollout {
-    /// Index of the step by which traffic is split; `None` while all of it goes to the old version.
+    /// Returns the index of the step by which traffic is split; `None` while all of it goes to the old version.
     pub fn active_step(&self) -> Option<usize> {
         match self.phase {
             Phase::Planned | Phase::RolledBack => None,
@@ -105,7 +105,7 @@
 }
 
 impl PublishedState {
-    /// Whether this state is newer than another one.
+    /// Returns whether this state is newer than another one.
     pub fn is_newer_than(&self, other: &PublishedState) -> bool {
         (self.epoch, self.revision) > (other.epoch, other.revision)
     }
--- a/crates/rollout/tests/loads.rs
+++ b/crates/rollout/tests/loads.rs
@@ -180,7 +180,7 @@
                 let before = fe.actions.load_commands.len();
                 let count = fe.dispatcher.prewarm(now, &request, &mut fe.actions);
                 let is_sent = fe.actions.load_commands.len() > before;
-                // With an exhausted load budget the first invocations would load the replica; here only load commands do.
+                // With an exhausted load budget, the first invocations load the replica; this test sends none.
                 fe.traffic_split
                     .on_prewarm_result(&command, count, is_sent || count == 0);
                 if command.is_new && count > 0 {
--- a/crates/rollout/tests/sequential.rs
+++ b/crates/rollout/tests/sequential.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Compares the wealth, kept as one number for each factor of the odds, with bets that are tracked separately for each
-    /// start time.
+    /// Compares the wealth, kept as one number for each factor of the odds, with bets that are tracked separately for
+    /// each start time.
     #[test]
     fn the_wealth_equals_the_sum_over_all_start_times(slots in proptest::collection::vec((0.01..0.99f64, 0u64..4, 0u64..4, any::<bool>()), 1..40)) {
         let mut process = EProcess::default();
