--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -5,7 +5,7 @@
 use clap::{Subcommand, ValueEnum};
 use futures_lite::StreamExt;
 use http::{Method, StatusCode};
-use orchidtally_coordinator::{OperatorRequest, Status, StopReason};
+use orchidtally_coordinator::{OperatorRequest, RolloutStatus, StopReason};
 use orchidtally_rollout::Counts;
 use orchidtally_rollout::coordinator::Event;
 use orchidtally_rollout::forecast::StepForecast;
@@ -184,7 +184,7 @@
             "{:>4} {:>7.2} % {:>6} {:>7} {:>10.1} {evidence:>11} {:>13.0} {:>10}",
             s.step + 1,
             100.0 * s.share,
-            s.copies,
+            s.replicas,
             s.load_commands,
             s.load_duration,
             s.duration,
@@ -201,7 +201,7 @@
 }
 
 fn show_status(value: &Value, only: Option<&str>, output: Output) -> Result<(), u8> {
-    let list: Vec<Status> = read(&value["rollouts"])?;
+    let list: Vec<RolloutStatus> = read(&value["rollouts"])?;
     let shown: Vec<_> = list
         .iter()
         .filter(|s| only.is_none_or(|n| n == s.name))
@@ -221,7 +221,7 @@
     Ok(())
 }
 
-fn show_rollout(status: &Status) {
+fn show_rollout(status: &RolloutStatus) {
     println!(
         "{} ({}): {}, step {} of {}, share {:.1} %, on for {:.0} s, {:.1} invocations a second",
         status.name,
@@ -230,7 +230,7 @@
         status.step,
         status.steps,
         100.0 * status.share,
-        status.time,
+        status.step_duration,
         status.rate
     );
     println!("  {}", status.reason);
@@ -267,7 +267,7 @@
         println!(
             "{:>18.3}  {run}  {:>6}  {phase:<10} {:>5}  {by:<6}  {}",
             e.at,
-            e.number,
+            e.revision,
             e.step + 1,
             e.reason
         );
@@ -336,7 +336,7 @@
                 &place,
                 &OperatorRequest::Start {
                     plan: text,
-                    dry: dry_run,
+                    dry_run,
                 },
                 &file,
             )?;
@@ -359,12 +359,12 @@
         Command::Back { name, why, place } => change(
             &place,
             &name.clone(),
-            OperatorRequest::RollBack { name, why },
+            OperatorRequest::RollBack { name, reason: why },
         ),
         Command::Advance { name, why, place } => change(
             &place,
             &name.clone(),
-            OperatorRequest::Advance { name, why },
+            OperatorRequest::Advance { name, reason: why },
         ),
         Command::Finish { name, place } => {
             change(&place, &name.clone(), OperatorRequest::Finish { name })
--- a/crates/coordinator/src/api.rs
+++ b/crates/coordinator/src/api.rs
@@ -2,7 +2,7 @@
 
 use crate::error::ApiError;
 use crate::server::{CoordinatorServer, REQUEST_TIMEOUT, now};
-use crate::{OperatorRequest, Status};
+use crate::{OperatorRequest, RolloutStatus};
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Full, Limited};
@@ -20,9 +20,9 @@
 /// The most bytes of a request body.
 const MAX_BODY_LENGTH: usize = 16 * 1024 * 1024;
 
-pub(crate) type Reply = Response<Full<Bytes>>;
+pub(crate) type ApiResponse = Response<Full<Bytes>>;
 
-fn reply(status: StatusCode, body: &impl Serialize) -> Reply {
+fn json_response(status: StatusCode, body: &impl Serialize) -> ApiResponse {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
@@ -33,8 +33,8 @@
     response
 }
 
-fn error_reply(error: &ApiError) -> Reply {
-    reply(error.status(), &json!({ "faults": error.faults() }))
+fn error_response(error: &ApiError) -> ApiResponse {
+    json_response(error.status(), &json!({ "faults": error.faults() }))
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, ApiError> {
@@ -51,14 +51,17 @@
 }
 
 impl CoordinatorServer {
-    pub(crate) async fn respond(&self, request: Request<Incoming>) -> Result<Reply, Infallible> {
+    pub(crate) async fn respond(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<ApiResponse, Infallible> {
         Ok(self
-            .answer(request)
+            .route(request)
             .await
-            .unwrap_or_else(|error| error_reply(&error)))
+            .unwrap_or_else(|error| error_response(&error)))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Reply, ApiError> {
+    async fn route(&self, request: Request<Incoming>) -> Result<ApiResponse, ApiError> {
         let (parts, body) = request.into_parts();
         let body = read_body(body).await?;
         let path = parts.uri.path();
@@ -68,7 +71,7 @@
         match (&parts.method, path) {
             (&Method::POST, "/v1/rollouts/exchange") => self.exchange(&body),
             (&Method::POST, "/v1/rollouts/orders") => self.execute(&body),
-            (&Method::GET, "/v1/rollouts") => Ok(reply(StatusCode::OK, &self.status())),
+            (&Method::GET, "/v1/rollouts") => Ok(json_response(StatusCode::OK, &self.status())),
             (&Method::GET, _) if history.is_some() => self.history(history.unwrap_or_default()),
             _ => Err(ApiError::UnknownRoute {
                 method: parts.method.clone(),
@@ -78,30 +81,30 @@
     }
 
     /// Records the report of a front end, and responds with the state of all rollouts.
-    fn exchange(&self, body: &[u8]) -> Result<Reply, ApiError> {
+    fn exchange(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let report: EvidenceReport = parse(body)?;
         self.coordinator.borrow_mut().record_report(now(), &report);
         let coordinator = self.coordinator.borrow();
         if let Some(epoch) = coordinator.superseded() {
             return Err(ApiError::Superseded { term: epoch.term });
         }
-        Ok(reply(StatusCode::OK, coordinator.published()))
+        Ok(json_response(StatusCode::OK, coordinator.published()))
     }
 
     /// Executes an operator's request.
-    fn execute(&self, body: &[u8]) -> Result<Reply, ApiError> {
+    fn execute(&self, body: &[u8]) -> Result<ApiResponse, ApiError> {
         let command = match parse(body)? {
-            OperatorRequest::Start { plan, dry } => {
+            OperatorRequest::Start { plan, dry_run } => {
                 let plan = self.read_plan(&plan)?;
-                if dry {
+                if dry_run {
                     return Ok(self.dry_run(&plan));
                 }
                 self.start(plan)?
             }
             OperatorRequest::Pause { name } => Command::Pause { name },
             OperatorRequest::Resume { name } => Command::Resume { name },
-            OperatorRequest::RollBack { name, why } => Command::RollBack { name, why },
-            OperatorRequest::Advance { name, why } => Command::Advance { name, why },
+            OperatorRequest::RollBack { name, reason } => Command::RollBack { name, reason },
+            OperatorRequest::Advance { name, reason } => Command::Advance { name, reason },
             OperatorRequest::Finish { name } => Command::Finish { name },
         };
         self.coordinator
@@ -110,24 +113,24 @@
         if !self.persist_changes() {
             return Err(ApiError::NotPersisted);
         }
-        Ok(reply(StatusCode::OK, &self.status()))
+        Ok(json_response(StatusCode::OK, &self.status()))
     }
 
     fn read_plan(&self, text: &str) -> Result<Plan, ApiError> {
         Plan::read(text, &self.deployment).map_err(ApiError::InvalidPlan)
     }
 
-    /// The forecast of a plan, and its rate of loads against the load budget.
-    fn dry_run(&self, plan: &Plan) -> Reply {
+    /// Returns the forecast of a plan, and its rate of loads against the load budget.
+    fn dry_run(&self, plan: &Plan) -> ApiResponse {
         let steps: Vec<StepForecast> = forecast(plan, &self.deployment);
         // Without a load budget there is no limit to report.
         let rate_limit =
             Some(load_command_rate_limit(&self.deployment)).filter(|limit| limit.is_finite());
         let body = json!({ "steps": steps, "loadsPerSecond": plan.loads_per_second, "granted": rate_limit });
-        reply(StatusCode::OK, &body)
+        json_response(StatusCode::OK, &body)
     }
 
-    /// The command that starts a plan, with the digests that its aliases name now.
+    /// Builds the command that starts a plan, with the digests to which its aliases currently point.
     fn start(&self, plan: Plan) -> Result<Command, ApiError> {
         let versions = (
             self.digest(&plan.function, &plan.from),
@@ -149,7 +152,7 @@
         })
     }
 
-    /// The digest of a version that is named by an alias, which may have moved since the deployment file, or by a digest.
+    /// Looks up the digest of a version by an alias, which may differ from the deployment file, or by a digest.
     fn digest(&self, function: &str, name: &str) -> Option<String> {
         let coordinator = self.coordinator.borrow();
         let aliases = coordinator.published().aliases.get(function);
@@ -159,10 +162,10 @@
         Some(version.digest.to_string())
     }
 
-    fn history(&self, name: &str) -> Result<Reply, ApiError> {
+    fn history(&self, name: &str) -> Result<ApiResponse, ApiError> {
         let coordinator = self.coordinator.borrow();
         match coordinator.state().runs.get(name) {
-            Some(run) => Ok(reply(StatusCode::OK, &run.history)),
+            Some(run) => Ok(json_response(StatusCode::OK, &run.history)),
             None => Err(ApiError::UnknownRollout(name.to_owned())),
         }
     }
@@ -170,27 +173,27 @@
     fn status(&self) -> serde_json::Value {
         let coordinator = self.coordinator.borrow();
         let (published, runs) = (coordinator.published(), &coordinator.state().runs);
-        let rollouts: Vec<Status> = published
+        let rollouts: Vec<RolloutStatus> = published
             .rollouts
             .iter()
             .filter_map(|(name, rollout)| Some(status_of(name, rollout, runs.get(name)?)))
             .collect();
         json!({
             "term": published.epoch.term,
-            "number": published.number,
+            "number": published.revision,
             "rollouts": rollouts,
             "aliases": published.aliases,
         })
     }
 }
 
-fn status_of(name: &str, rollout: &Rollout, run: &Run) -> Status {
+fn status_of(name: &str, rollout: &Rollout, run: &Run) -> RolloutStatus {
     let step = rollout
         .active_step()
         .and_then(|step| rollout.plan.steps.get(step));
     let is_enabled = |gate: &&Gate| rollout.plan.gate(**gate).is_some();
     let evidence = |gate: &Gate| (gate.name().to_owned(), run.tests.evidence(*gate));
-    Status {
+    RolloutStatus {
         name: name.to_owned(),
         function: rollout.plan.function.clone(),
         phase: rollout.phase,
@@ -198,10 +201,10 @@
         steps: rollout.plan.steps.len(),
         share: step.map_or(0.0, |step| step.share),
         reason: rollout.reason.clone(),
-        time: run.time,
+        step_duration: run.step_duration,
         rate: run.rate(),
-        old: run.step[0],
-        new: run.step[1],
+        old: run.step_counts[0],
+        new: run.step_counts[1],
         evidence: GATES.iter().filter(is_enabled).map(evidence).collect(),
         rollback_threshold: rollout.plan.threshold(),
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -24,10 +24,11 @@
     Start {
         /// The text of the plan's file.
         plan: String,
-        /// Whether only to forecast the steps, without starting the rollout.
-        dry: bool,
+        /// Whether to only forecast the steps, without starting the rollout.
+        #[serde(rename = "dry")]
+        dry_run: bool,
     },
-    /// Pause the present step.
+    /// Pause the current step.
     Pause {
         /// Name of the rollout.
         name: String,
@@ -43,14 +44,16 @@
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Advance to the next step even if samples are missing.
     Advance {
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Finish a rollout after its last step, without waiting.
     Finish {
@@ -62,23 +65,24 @@
 /// The status of a rollout for operators, as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Status {
+pub struct RolloutStatus {
     /// The name of the rollout.
     pub name: String,
     /// The name of the function.
     pub function: String,
     /// The phase.
     pub phase: Phase,
-    /// Number of the present step, from 1.
+    /// Number of the current step, from 1.
     pub step: usize,
     /// The number of steps.
     pub steps: usize,
     /// The share of the new version.
     pub share: f64,
-    /// Why the rollout is held or has ended.
+    /// The reason for the current phase and step, or for holding the step.
     pub reason: String,
-    /// Duration of the present step in seconds, without pauses.
-    pub time: f64,
+    /// Seconds spent in the current step, without pauses.
+    #[serde(rename = "time")]
+    pub step_duration: f64,
     /// Invocations of the function a second over all front ends.
     pub rate: f64,
     /// Counts of the old version in this step.
@@ -95,7 +99,7 @@
 /// Why a coordinator stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// It was told to stop.
+    /// The caller requested it.
     Stopped,
     /// Another coordinator with a newer epoch has taken over.
     Superseded(Epoch),
--- a/crates/deployment/src/regions.rs
+++ b/crates/deployment/src/regions.rs
@@ -1,11 +1,11 @@
-//! The `regions` section: which locations are near each other. Without it functions are placed anywhere.
+//! The `regions` section: groups of nearby locations. Without it, functions are placed anywhere.
 
 use crate::reader::{Fields, Place};
 
-/// Regions at the most: as many as locations.
+/// The most regions: as many as locations.
 const MAX_REGIONS: usize = 250;
 
-/// Reads the region of each location, by the location's index; empty where the section is left out.
+/// Reads the region of each location, by the location's index; empty if the section is left out.
 pub(crate) fn read_regions(top: &Fields, locations: &[String]) -> Vec<Option<u8>> {
     let section = top.at("regions");
     if !section.is_given() {
@@ -25,32 +25,32 @@
         ));
         return vec![];
     }
-    let mut reader = Reader {
+    let mut reader = RegionReader {
         locations,
         names: vec![],
-        of_locations: vec![None; locations.len()],
+        by_location: vec![None; locations.len()],
     };
     list.iter().for_each(|place| reader.read_region(place));
-    for (name, region) in locations.iter().zip(&reader.of_locations) {
+    for (name, region) in locations.iter().zip(&reader.by_location) {
         if region.is_none() {
             section.fault(format!(
                 "location '{name}' is in no region; name it under one of them"
             ));
         }
     }
-    reader.of_locations
+    reader.by_location
 }
 
 /// Reads regions one by one.
-struct Reader<'a> {
+struct RegionReader<'a> {
     locations: &'a [String],
     /// Names of the regions read so far.
     names: Vec<String>,
     /// The region of each location.
-    of_locations: Vec<Option<u8>>,
+    by_location: Vec<Option<u8>>,
 }
 
-impl Reader<'_> {
+impl RegionReader<'_> {
     fn read_region(&mut self, place: &Place) {
         let fields = place.object(&["name", "locations"]);
         let number = self.names.len();
@@ -85,12 +85,12 @@
         let Some(location) = place.choice(&names) else {
             return;
         };
-        match self.of_locations[location] {
+        match self.by_location[location] {
             Some(other) => place.fault(format!(
-                "is in region '{}' already; a location stands in one",
+                "is in region '{}' already; a location belongs to one region",
                 self.names[usize::from(other)]
             )),
-            None => self.of_locations[location] = Some(region as u8),
+            None => self.by_location[location] = Some(region as u8),
         }
     }
 }
--- a/crates/rollout/src/coordinator/command.rs
+++ b/crates/rollout/src/coordinator/command.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The most rollouts that are kept after their end.
+/// The most ended rollouts that are stored.
 const MAX_ENDED: usize = 100;
 
 /// A command of an operator.
@@ -22,7 +22,7 @@
         /// Digest of the new version.
         to: String,
     },
-    /// Pause the present step.
+    /// Pause the current step.
     Pause {
         /// Name of the rollout.
         name: String,
@@ -38,14 +38,16 @@
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Advance to the next step even if samples are missing. Failed gates are not overridden.
     Advance {
         /// Name of the rollout.
         name: String,
         /// The operator's reason.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Finish a rollout after its last step, without waiting.
     Finish {
@@ -65,10 +67,10 @@
     },
     /// There is no rollout with this name.
     #[error("there is no rollout '{0}'")]
-    Unknown(String),
+    UnknownRollout(String),
     /// The rollout has ended.
-    #[error("'{name}' is over: {}", .phase.name())]
-    Over {
+    #[error("'{name}' has ended: {}", .phase.name())]
+    Ended {
         /// The name of the rollout.
         name: String,
         /// How it ended.
@@ -91,8 +93,8 @@
         phase: Phase,
     },
     /// The rollout can't advance in its phase.
-    #[error("'{name}' can't go on while it is {}", .phase.name())]
-    NotAdvancing {
+    #[error("'{name}' can't advance while it is {}", .phase.name())]
+    NotAdvanceable {
         /// The name of the rollout.
         name: String,
         /// Its phase.
@@ -107,10 +109,10 @@
         phase: Phase,
     },
     /// Another rollout of the function is in progress.
-    #[error("rollout '{rival}' of '{function}' is on ({})", .phase.name())]
-    Rival {
+    #[error("rollout '{other}' of '{function}' is in progress ({})", .phase.name())]
+    AlreadyInProgress {
         /// The name of the other rollout.
-        rival: String,
+        other: String,
         /// The name of the function.
         function: String,
         /// The phase of the other rollout.
@@ -138,13 +140,13 @@
             Command::Start { plan, from, to } => self.start(plan, from, to, random)?,
             Command::Pause { name } => self.pause(name)?,
             Command::Resume { name } => self.resume(name)?,
-            Command::RollBack { name, why } => {
+            Command::RollBack { name, reason } => {
                 self.phase_of(name)?;
-                self.update_rollout(name, true, why.clone(), |rollout| {
+                self.update_rollout(name, true, reason.clone(), |rollout| {
                     rollout.phase = Phase::RolledBack
                 });
             }
-            Command::Advance { name, why } => self.skip_step(name, why)?,
+            Command::Advance { name, reason } => self.skip_step(name, reason)?,
             Command::Finish { name } => match self.phase_of(name)? {
                 Phase::RetainingOld => self.finish(name, true, "finished by an operator".into()),
                 phase => {
@@ -159,14 +161,14 @@
         Ok(())
     }
 
-    /// The phase of a rollout that hasn't ended.
+    /// Returns the phase of a rollout that hasn't ended.
     fn phase_of(&self, name: &str) -> Result<Phase, CommandError> {
         let found = self.state.published.rollouts.get(name);
         let phase = found
-            .ok_or_else(|| CommandError::Unknown(name.to_owned()))?
+            .ok_or_else(|| CommandError::UnknownRollout(name.to_owned()))?
             .phase;
         if phase.has_ended() {
-            return Err(CommandError::Over {
+            return Err(CommandError::Ended {
                 name: name.to_owned(),
                 phase,
             });
@@ -204,14 +206,14 @@
         }
     }
 
-    fn skip_step(&mut self, name: &str, why: &str) -> Result<(), CommandError> {
+    fn skip_step(&mut self, name: &str, reason: &str) -> Result<(), CommandError> {
         match self.phase_of(name)? {
             Phase::Planned | Phase::Shifting => {
                 let run = self.state.runs.entry(name.to_owned()).or_default();
-                run.operator_advance = Some(format!("an operator went on: {why}"));
+                run.operator_advance = Some(format!("advanced by an operator: {reason}"));
                 Ok(())
             }
-            phase => Err(CommandError::NotAdvancing {
+            phase => Err(CommandError::NotAdvanceable {
                 name: name.to_owned(),
                 phase,
             }),
@@ -226,14 +228,14 @@
         random: u64,
     ) -> Result<(), CommandError> {
         let rollouts = &self.state.published.rollouts;
-        let rival = rollouts
+        let other = rollouts
             .values()
             .find(|r| !r.phase.has_ended() && r.plan.function == plan.function);
-        if let Some(rival) = rival {
-            return Err(CommandError::Rival {
-                rival: rival.plan.name.clone(),
+        if let Some(other) = other {
+            return Err(CommandError::AlreadyInProgress {
+                other: other.plan.name.clone(),
                 function: plan.function.clone(),
-                phase: rival.phase,
+                phase: other.phase,
             });
         }
         self.remove_oldest_ended();
@@ -241,7 +243,7 @@
         let rollout = Rollout {
             plan: Arc::new(plan.clone()),
             run: random,
-            number: before.map_or(0, |rollout| rollout.number),
+            revision: before.map_or(0, |rollout| rollout.revision),
             phase: Phase::Planned,
             step: 0,
             from: from.to_owned(),
@@ -265,7 +267,7 @@
         Ok(())
     }
 
-    /// Removes the rollout that ended first, if too many ended ones are kept.
+    /// Removes the rollout that ended first, if too many ended ones are stored.
     fn remove_oldest_ended(&mut self) {
         let rollouts = &self.state.published.rollouts;
         let ended: Vec<&String> = rollouts
--- a/crates/rollout/src/coordinator/mod.rs
+++ b/crates/rollout/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator of rollouts: it pools the evidence of all front ends, evaluates it by an ordered list of rules, and
+//! The coordinator of rollouts. It pools the evidence of all front ends, evaluates it by an ordered list of rules, and
 //! publishes the state of each rollout. Any one process can be the coordinator. Times are in seconds since 1970.
 
 mod command;
@@ -9,22 +9,22 @@
 pub use state::{CoordinatorState, Event, Run};
 
 use crate::frontend::EvidenceReport;
-use crate::state::{Epoch, Phase, Published, Rollout};
+use crate::state::{Epoch, Phase, PublishedState, Rollout};
 use rules::{RULES, Verdict};
 
 /// A front end that hasn't reported for this long doesn't hold a step, in seconds.
 const REPORT_TIMEOUT: f64 = 3.0;
-/// Reports are forgotten after this time, in seconds.
+/// Reports are discarded after this time, in seconds.
 const REPORT_EXPIRY: f64 = 10.0 * REPORT_TIMEOUT;
 /// The most events in the history of a rollout.
 const MAX_HISTORY: usize = 300;
-/// The most front ends whose report rounds are remembered.
+/// The most front ends whose last report round is stored.
 const MAX_ROUNDS: usize = 10_000;
 
 /// The coordinator of all rollouts, as a state machine without I/O.
 pub struct Coordinator {
     state: CoordinatorState,
-    /// The epoch of a newer coordinator. This one then only reports that.
+    /// The epoch of a newer coordinator. Once set, this one changes no rollout and rejects commands.
     superseded: Option<Epoch>,
     now: f64,
     changed: bool,
@@ -45,22 +45,22 @@
         coordinator
     }
 
-    /// The state published to front ends.
-    pub fn published(&self) -> &Published {
+    /// Returns the state published to front ends.
+    pub fn published(&self) -> &PublishedState {
         &self.state.published
     }
 
-    /// The state to persist.
+    /// Returns the state to persist.
     pub fn state(&self) -> &CoordinatorState {
         &self.state
     }
 
-    /// The epoch of a newer coordinator, if one is known.
+    /// Returns the epoch of a newer coordinator, if one is known.
     pub fn superseded(&self) -> Option<Epoch> {
         self.superseded
     }
 
-    /// Whether the published state has changed since the last call. It has to be persisted before it is sent.
+    /// Returns whether the published state has changed since the last call. It has to be persisted before it is sent.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
@@ -87,13 +87,13 @@
         };
         change(rollout);
         rollout.reason = reason.clone();
-        rollout.number += 1;
-        published.number += 1;
+        rollout.revision += 1;
+        published.revision += 1;
         self.changed = true;
         let event = Event {
             at: self.now,
             run: rollout.run,
-            number: rollout.number,
+            revision: rollout.revision,
             phase: rollout.phase,
             step: rollout.step,
             by_operator,
@@ -159,7 +159,7 @@
         true
     }
 
-    /// Evaluates each rollout. To be called about once a second and after a command.
+    /// Evaluates each rollout. Call it about once a second and after a command.
     pub fn tick(&mut self, now: f64) {
         let elapsed = (now - self.now).clamp(0.0, REPORT_TIMEOUT);
         self.now = now;
@@ -185,7 +185,7 @@
         }
         run.tests.record(&rollout.plan, now, &slots);
         if rollout.phase != Phase::Paused {
-            run.time += elapsed;
+            run.step_duration += elapsed;
         }
         let verdict = RULES
             .iter()
@@ -199,29 +199,37 @@
     /// Applies the verdict of the rules to a rollout in its phase.
     fn apply_verdict(&mut self, name: &str, rollout: &Rollout, verdict: Verdict) {
         match (verdict, rollout.phase) {
-            (Verdict::RollBack(why), _) => {
-                self.update_rollout(name, false, why, |rollout| {
+            (Verdict::RollBack(reason), _) => {
+                self.update_rollout(name, false, reason, |rollout| {
                     rollout.phase = Phase::RolledBack
                 });
             }
             (_, Phase::Paused) => {}
-            // Front ends load copies for the first step once it is published.
+            // The first step is published at once, since front ends load replicas only for a published step.
             (_, Phase::Planned) => {
                 let share = rollout.plan.steps.first().map_or(0.0, |step| step.share);
                 self.begin_step(name, format!("step 1: a share of {share}"), |rollout| {
                     rollout.phase = Phase::Shifting;
                 });
             }
-            (Verdict::Hold(why), _) => {
-                // The reason for a hold is published, but isn't a change.
+            (Verdict::Hold(reason), _) => {
+                // The reason for a hold is published without a new revision.
                 if let Some(rollout) = self.state.published.rollouts.get_mut(name) {
-                    rollout.reason = why;
+                    rollout.reason = reason;
                 }
             }
             (Verdict::Pass | Verdict::Advance(_), Phase::RetainingOld) => {
-                let retained_for = self.state.runs.get(name).map_or(0.0, |run| run.time);
+                let retained_for = self
+                    .state
+                    .runs
+                    .get(name)
+                    .map_or(0.0, |run| run.step_duration);
                 if retained_for >= rollout.plan.old_version_retention {
-                    self.finish(name, false, "the old version was kept long enough".into());
+                    self.finish(
+                        name,
+                        false,
+                        "the retention of the old version has ended".into(),
+                    );
                 }
             }
             (Verdict::Pass, _) => self.advance(name, rollout, None),
--- a/crates/rollout/src/evidence.rs
+++ b/crates/rollout/src/evidence.rs
@@ -1,7 +1,7 @@
 //! Evidence on the two versions of a rollout: the outcomes of their invocations, counted at each front end.
 //!
-//! Versions are compared within strata: the same trigger type, customer and location over the same short time. A fault
-//! that affects both versions then shows in both.
+//! Versions are compared within strata: the same trigger type, customer and location between the same two reports. A
+//! fault that affects both versions then shows in both.
 
 use crate::plan::{GATES, Gate};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 pub struct Counts {
     /// Final answers.
     pub answers: u64,
-    /// Answers of warm copies, whose latency is compared.
+    /// Answers of warm replicas, whose latency is compared.
     pub warm: u64,
     /// Loads that ended. For the baseline, those of all other versions, since they come from the same store.
     pub loads: u64,
@@ -55,7 +55,7 @@
             .for_each(|(a, b)| *a += b);
     }
 
-    /// The number of answers or loads that a gate's events are counted among.
+    /// Returns the number of answers or loads among which a gate's events are counted.
     pub fn sample_count(&self, gate: Gate) -> u64 {
         match gate {
             Gate::Errors | Gate::Throttled => self.answers,
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Whether all counts are zero.
+    /// Returns whether all counts are zero.
     pub fn is_empty(&self) -> bool {
         *self == Counts::default()
     }
 }
 
-/// The counts of one stratum over one short time at one front end.
+/// The counts of one stratum at one front end between two reports.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Slot {
@@ -95,10 +95,10 @@
     pub slots: Vec<Slot>,
     /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why the front end rolled back by itself, while it reached no coordinator.
+    /// The reason of a local rollback while the front end reached no coordinator.
     #[serde(rename = "tookBack")]
     pub local_rollback: Option<String>,
-    /// Whether the front end has copies of the new version, and therefore applies the step's share.
+    /// Whether the front end has replicas of the new version, and therefore applies the step's share.
     pub ready: bool,
     /// Invocations of the function a second at this front end.
     pub rate: f64,
@@ -110,18 +110,23 @@
     slots: BTreeMap<(StratumKey, u64), (Counts, Counts)>,
 }
 
-/// The most slots between two reports; beyond, answers aren't counted.
+/// The most slots between two reports. Answers that would need further slots aren't counted.
 const MAX_SLOTS: usize = 4_096;
 
 impl SlotCollector {
-    /// The counts of a cohort in a stratum; `None` if there are too many slots.
-    pub fn counts_mut(&mut self, cell: StratumKey, share: f64, arm: Cohort) -> Option<&mut Counts> {
-        let key = (cell, share.to_bits());
+    /// Returns the counts of a cohort in a stratum; `None` if there are too many slots.
+    pub fn counts_mut(
+        &mut self,
+        stratum: StratumKey,
+        share: f64,
+        cohort: Cohort,
+    ) -> Option<&mut Counts> {
+        let key = (stratum, share.to_bits());
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&key) {
             return None;
         }
         let both = self.slots.entry(key).or_default();
-        Some(if arm == Cohort::Baseline {
+        Some(if cohort == Cohort::Baseline {
             &mut both.0
         } else {
             &mut both.1
@@ -131,8 +136,8 @@
     /// Removes and returns the collected slots.
     pub fn take(&mut self) -> Vec<Slot> {
         let slots = std::mem::take(&mut self.slots);
-        let slot = |((cell, share), (old, new)): ((StratumKey, u64), (Counts, Counts))| Slot {
-            stratum: cell,
+        let slot = |((stratum, share), (old, new)): ((StratumKey, u64), (Counts, Counts))| Slot {
+            stratum,
             share: f64::from_bits(share),
             old,
             new,
@@ -141,12 +146,12 @@
     }
 }
 
-/// A quantile that is estimated incrementally: each value moves the estimate up in proportion to the quantile, or down in
+/// An incremental estimate of a quantile: each value moves the estimate up in proportion to the quantile, or down in
 /// proportion to the rest, relative to the estimate. Compare a value with the estimate before recording it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuantileEstimate {
     /// The estimate.
-    pub at: f64,
+    pub estimate: f64,
     count: u32,
 }
 
@@ -160,19 +165,19 @@
     pub fn record(&mut self, quantile: f64, value: f64) {
         self.count = self.count.saturating_add(1);
         if self.count <= Self::INITIAL_VALUES {
-            self.at = self.at.max(value);
+            self.estimate = self.estimate.max(value);
             return;
         }
         let step = (1.0 / f64::from(self.count - Self::INITIAL_VALUES).sqrt()).max(Self::MIN_STEP);
-        self.at *= if value > self.at {
+        self.estimate *= if value > self.estimate {
             1.0 + step * quantile
         } else {
             1.0 - step * (1.0 - quantile)
         };
     }
 
-    /// The estimate, once enough values were recorded.
+    /// Returns the estimate, once enough values were recorded.
     pub fn value(&self) -> Option<f64> {
-        (self.count > Self::INITIAL_VALUES).then_some(self.at)
+        (self.count > Self::INITIAL_VALUES).then_some(self.estimate)
     }
 }
--- a/crates/rollout/src/frontend/mod.rs
+++ b/crates/rollout/src/frontend/mod.rs
@@ -1,8 +1,7 @@
-//! The part of a rollout at a front end: traffic split, evidence, prewarming, and local rollback while no coordinator is
-//! reachable.
+//! Rollouts at a front end: traffic split, evidence, prewarming, and local rollback while no coordinator is reachable.
 //!
-//! A front end applies a step once it knows a copy of the new version, goes back to an earlier step at once, and never
-//! advances by itself.
+//! A front end applies a step once it knows enough replicas of the new version, returns to an earlier step at once, and
+//! never advances by itself.
 
 mod adopt;
 mod local;
@@ -10,14 +9,14 @@
 mod prewarm;
 mod report;
 
-pub use outcomes::AnswerOutcome;
+pub use outcomes::InvocationOutcome;
 pub use prewarm::PrewarmCommand;
 pub use report::EvidenceReport;
 
 use crate::evidence::{Cohort, EvidenceDelta, StratumKey};
 use crate::plan::StickyKey;
-use crate::split::{self, Caller};
-use crate::state::{Epoch, Phase, Published};
+use crate::split::{self, InvocationAttributes};
+use crate::state::{Epoch, Phase, PublishedState};
 use local::LocalRollout;
 use orchidtally_deployment::{Function, Version};
 use outcomes::FailingExecutors;
@@ -50,9 +49,9 @@
     key: Option<u64>,
 }
 
-/// Whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run, or is
-/// idempotent by itself. Idempotency keys are remembered by version, so an invocation with a key doesn't count as
-/// idempotent here.
+/// Returns whether an invocation of a version that was rolled back may be retried with the old one: if it hasn't run,
+/// or its trigger type is idempotent. Executors remember idempotency keys by version, so an invocation with a key
+/// doesn't count as idempotent here.
 pub fn may_migrate(is_idempotent: bool, may_have_run: bool) -> bool {
     is_idempotent || !may_have_run
 }
@@ -66,9 +65,9 @@
     pub count: u32,
     /// Index of its location.
     pub location: u16,
-    /// Whether copies are loaded by commands; otherwise the first invocations load them.
+    /// Whether replicas are loaded by load commands; otherwise the first invocations load them.
     pub sends_load_commands: bool,
-    /// Keep-alive of an idle copy in seconds.
+    /// Keep-alive time of an idle replica in seconds.
     pub keep_alive: f64,
 }
 
@@ -76,7 +75,7 @@
 #[derive(Debug)]
 pub struct TrafficSplit {
     front_end: FrontEndInfo,
-    published: Published,
+    published: PublishedState,
     newest_epoch: Epoch,
     /// Rollouts by the name of their function.
     rollouts: HashMap<String, LocalRollout>,
@@ -90,11 +89,11 @@
 }
 
 impl TrafficSplit {
-    /// A front end without rollouts.
+    /// Creates the state of a front end without rollouts.
     pub fn new(front_end: FrontEndInfo, now: f64) -> TrafficSplit {
         TrafficSplit {
             front_end,
-            published: Published::default(),
+            published: PublishedState::default(),
             newest_epoch: Epoch::default(),
             rollouts: HashMap::new(),
             last_contact_at: now,
@@ -105,12 +104,12 @@
         }
     }
 
-    /// The state that was last adopted from a coordinator.
-    pub fn published(&self) -> &Published {
+    /// Returns the state that was last adopted from a coordinator.
+    pub fn published(&self) -> &PublishedState {
         &self.published
     }
 
-    /// The sticky key of the rollout of a function, if one is in progress.
+    /// Returns the sticky key of the rollout of a function, if one is in progress.
     pub fn sticky_key(&self, function: &str) -> Option<&StickyKey> {
         let local = self
             .rollouts
@@ -119,7 +118,7 @@
         local.map(|local| &local.rollout.plan.key)
     }
 
-    /// The digest that an alias names, if it differs from the deployment file.
+    /// Returns the digest to which an alias points, if it differs from the deployment file.
     pub fn moved_alias(&self, function: &str, alias: &str) -> Option<&str> {
         self.published
             .aliases
@@ -128,14 +127,14 @@
             .map(String::as_str)
     }
 
-    /// Chooses the version of an invocation, once, at its admission. `requested` is the alias or digest that it names.
+    /// Chooses the version of an invocation, once, at its admission. `requested` is the alias or digest in the request.
     pub fn resolve(
         &mut self,
         function: &Function,
         requested: Option<&str>,
         trigger_type: usize,
         customer: usize,
-        caller: &Caller,
+        caller: &InvocationAttributes,
     ) -> Option<ResolvedVersion> {
         let alias = requested.unwrap_or("stable");
         let moved = self
@@ -156,7 +155,7 @@
         let is_split = !local.has_ended() && plan.alias == alias;
         let versions = (&local.from, &local.to);
         let (Some(step), (Some(from), Some(to)), true) =
-            (local.step_in_force(), versions, is_split)
+            (local.effective_step(), versions, is_split)
         else {
             return unsplit();
         };
@@ -195,7 +194,7 @@
             .find(|local| local.rollout.run == run)
     }
 
-    /// The old version of a rollout that was rolled back.
+    /// Returns the old version of a rollout that was rolled back.
     pub fn rollback_target(&self, run: u64) -> Option<Version> {
         let local = self
             .rollouts
--- a/crates/rollout/src/frontend/report.rs
+++ b/crates/rollout/src/frontend/report.rs
@@ -7,7 +7,7 @@
 use crate::state::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// A front end that hasn't heard from a coordinator for this long evaluates rollouts by itself, in seconds.
+/// Seconds without a response of a coordinator after which a front end evaluates rollouts on its own.
 const ISOLATION_TIMEOUT: f64 = 3.0;
 /// Interval of evaluations and reports of evidence, in seconds.
 const EVALUATION_INTERVAL: f64 = 1.0;
@@ -15,7 +15,7 @@
 const NEWEST_RATE_WEIGHT: f64 = 0.2;
 /// The shortest interval over which a rate is measured, in seconds.
 const MIN_RATE_INTERVAL: f64 = 1e-3;
-/// The most deltas that wait for a coordinator.
+/// The most deltas that are kept while no coordinator is reachable.
 const MAX_UNREPORTED: usize = 1_000;
 
 /// The report of a front end to a coordinator.
@@ -35,8 +35,9 @@
 }
 
 impl LocalRollout {
-    /// Why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is multiplied by
-    /// the number of front ends, since each of them evaluates.
+    /// Returns why this front end, which reaches no coordinator, rolls back by its own evidence. The threshold is
+    /// multiplied by the number of front ends: each of them runs its own tests, so the false positive rate is divided
+    /// among them.
     fn rollback_reason(&self, front_ends: u32) -> Option<String> {
         let plan = &self.rollout.plan;
         let threshold = plan.threshold() * f64::from(front_ends);
@@ -50,10 +51,10 @@
             ));
         }
         (self.digest_mismatches > 0)
-            .then(|| "a load found bytes that the digest doesn't name".into())
+            .then(|| "a load returned bytes that don't match the digest".into())
     }
 
-    /// The evidence since the last call, which is added to the front end's own tests as well.
+    /// Returns the evidence since the last call, which is added to the front end's own tests as well.
     fn take_delta(
         &mut self,
         now: f64,
@@ -65,7 +66,7 @@
         let plan = self.rollout.plan.clone();
         self.own_tests.record(&plan, now, &slots);
         let mut rolled_back = false;
-        if is_isolated && self.step_in_force().is_some() {
+        if is_isolated && self.effective_step().is_some() {
             self.local_rollback = self.rollback_reason(front_ends);
             rolled_back = self.local_rollback.is_some();
         }
@@ -79,7 +80,7 @@
             slots,
             digest_mismatches: std::mem::take(&mut self.digest_mismatches),
             local_rollback: self.local_rollback.clone(),
-            ready: is_ready && self.granted_step == self.rollout.active_step(),
+            ready: is_ready && self.applied_step == self.rollout.active_step(),
             rate,
         };
         LocalEvaluation { delta, rolled_back }
@@ -89,13 +90,13 @@
 /// The evaluation of a rollout by the front end itself.
 struct LocalEvaluation {
     delta: EvidenceDelta,
-    /// Whether the front end has rolled back by itself just now.
+    /// Whether this evaluation caused a local rollback.
     rolled_back: bool,
 }
 
 impl TrafficSplit {
     /// Applies steps that are ready, and evaluates rollouts if no coordinator is reachable. Returns the runs that it
-    /// rolled back. To be called several times a second.
+    /// rolled back. Call it several times a second.
     pub fn tick(&mut self, now: f64) -> Vec<u64> {
         let is_isolated = now - self.last_contact_at > ISOLATION_TIMEOUT;
         let is_evaluation_due = now - self.evaluated_at >= EVALUATION_INTERVAL;
@@ -111,7 +112,7 @@
                 .active_step()
                 .filter(|_| is_ready && !is_isolated)
             {
-                local.granted_step = Some(step);
+                local.applied_step = Some(step);
             }
             if !is_evaluation_due || local.has_ended() {
                 continue;
@@ -127,13 +128,13 @@
             }
             self.unreported.push(evaluation.delta);
         }
-        // If no coordinator is reachable for long, the oldest evidence is lost.
+        // If no coordinator is reachable for long, the oldest evidence is dropped.
         let excess = self.unreported.len().saturating_sub(MAX_UNREPORTED);
         self.unreported.drain(..excess);
         rolled_back
     }
 
-    /// The report of the next round.
+    /// Returns the report of the next round.
     pub fn report(&mut self, front_end: u64) -> EvidenceReport {
         self.round += 1;
         EvidenceReport {
--- a/crates/rollout/src/sequential.rs
+++ b/crates/rollout/src/sequential.rs
@@ -1,12 +1,12 @@
-//! An anytime-valid sequential test (e-process): it may be evaluated as often as wanted.
+//! An anytime-valid sequential test (e-process): repeated evaluation doesn't raise its false positive rate.
 //!
-//! Under the null hypothesis that the versions are alike, an event (an error, a slow answer) in a slot falls on the new
-//! version with a known probability: the share. The test bets against this hypothesis that the odds are some factor
+//! Under the null hypothesis that the versions behave alike, an event (an error, a slow answer) in a slot falls on the
+//! new version with a known probability: the share. The test bets against this hypothesis that the odds are some factor
 //! higher. Each event multiplies the wealth of a bet by its likelihood ratio. Under the null hypothesis the expected
 //! wealth never grows, so that it ever exceeds 1/a with probability of at most a (Ville's inequality for nonnegative
-//! supermartingales). A fault may begin at any time, so the wealth is spread over start times: the bet that starts with
-//! block j has 1/(j(j+1)) of it. One number for each factor represents all start times, since a product over the slots
-//! since j is a quotient of products since the start.
+//! supermartingales). A regression may begin at any time, so the wealth is spread over start times: the bet that starts
+//! with block j has 1/(j(j+1)) of it. One number for each factor represents all start times, since a product over the
+//! slots since j is a quotient of products since the start.
 
 use crate::evidence::{Counts, Slot, StratumKey};
 use crate::plan::{Gate, Plan};
@@ -28,7 +28,7 @@
 /// The events of one slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Events {
-    /// The probability that each event falls on the new version, if the versions are alike.
+    /// The probability that each event falls on the new version, if the versions behave alike.
     pub p: f64,
     /// Events of the new version.
     pub new: u64,
@@ -68,12 +68,12 @@
         for (wealth, odds) in self.wealth.iter_mut().zip(ODDS) {
             let bet = odds * p / (odds * p + 1.0 - p);
             let gain = new * (bet / p).ln() + old * ((1.0 - bet) / (1.0 - p)).ln();
-            // The limit only keeps the wealth finite: the test is decided long before.
+            // The limit only keeps the wealth finite: any threshold is exceeded long before.
             *wealth = (*wealth * gain.exp()).min(MAX_WEALTH);
         }
     }
 
-    /// The factor by which the wealth has grown: the evidence that the new version is worse, as odds to 1.
+    /// Returns the factor by which the wealth has grown: the evidence that the new version is worse, as odds to 1.
     pub fn evidence(&self) -> f64 {
         let unstarted = 1.0 / (self.bets_started as f64 + 1.0);
         self.wealth.iter().map(|p| p + unstarted).sum::<f64>() / ODDS.len() as f64
@@ -114,7 +114,7 @@
     }
 }
 
-/// The weights of the kinds of strata: half of the wealth is on all invocations, the rest is spread evenly.
+/// The weights of the kinds of strata: half of the wealth is bet on all invocations, the rest is split evenly.
 const KIND_WEIGHTS: [f64; 4] = [0.5, 1.0 / 6.0, 1.0 / 6.0, 1.0 / 6.0];
 
 /// One gate's test.
@@ -126,7 +126,7 @@
 }
 
 impl GateTest {
-    /// The weight of each stratum: the n-th of a kind has 1/(n(n+1)) of the kind's weight. The rest is not bet.
+    /// Returns the weight of each stratum: the n-th of a kind has 1/(n(n+1)) of the kind's weight. The rest is not bet.
     fn weights(&self) -> impl Iterator<Item = (f64, &EProcess)> {
         let mut seen = [0u32; KIND_WEIGHTS.len()];
         self.strata.iter().map(move |(stratum, process)| {
@@ -150,7 +150,7 @@
         sum + (1.0 - weight)
     }
 
-    /// The stratum with the strongest evidence, and that evidence.
+    /// Returns the stratum with the strongest evidence, and that evidence.
     fn strongest(&self) -> Option<(Stratum, f64)> {
         let by_stratum = self
             .strata
@@ -160,7 +160,7 @@
         by_stratum.max_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// The e-process of a stratum; `None` if too many strata of its kind are tested.
+    /// Returns the e-process of a stratum; `None` if too many strata of its kind are tested.
     fn process(&mut self, stratum: Stratum, blocks_started: u64) -> Option<&mut EProcess> {
         if let Some(n) = self.strata.iter().position(|(known, _)| *known == stratum) {
             return Some(&mut self.strata[n].1);
@@ -191,7 +191,7 @@
     next_at: f64,
 }
 
-/// The events of a slot that a gate counts; `None` if the slot has invocations of only one version.
+/// Returns the events of a slot that a gate counts; `None` if the slot has invocations of only one version.
 pub fn events(plan: &Plan, gate: Gate, slot: &Slot) -> Option<Events> {
     let policy = plan.gate(gate)?;
     let (old, new) = (slot.old.events[gate.index()], slot.new.events[gate.index()]);
@@ -245,12 +245,12 @@
         }
     }
 
-    /// The evidence of a gate that the new version is worse, as odds to 1.
+    /// Returns the evidence of a gate that the new version is worse, as odds to 1.
     pub fn evidence(&self, gate: Gate) -> f64 {
         self.gates.get(&gate).map_or(1.0, GateTest::evidence)
     }
 
-    /// The stratum with the strongest evidence of a gate, and that evidence.
+    /// Returns the stratum with the strongest evidence of a gate, and that evidence.
     pub fn strongest(&self, gate: Gate) -> Option<(Stratum, f64)> {
         self.gates.get(&gate)?.strongest()
     }
