--- a/crates/config-sync/src/keys.rs
+++ b/crates/config-sync/src/keys.rs
@@ -14,13 +14,13 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of buckets over which entries are distributed by a hash of their key. Part of the protocol: format 1.
+/// Number of buckets over which entries are distributed by a hash of their key. The number is part of [`FORMAT`] 1.
 pub const BUCKET_COUNT: usize = 1_024;
 /// Number of buckets whose digests share a key of the store.
 pub const BUCKETS_PER_GROUP: usize = 32;
-/// Number of keys that hold digests.
+/// Number of keys that contain digests.
 pub const GROUP_COUNT: usize = BUCKET_COUNT / BUCKETS_PER_GROUP;
-/// The most bytes of a kind and name together, with their slash.
+/// Maximum length of a key in bytes: of its kind, slash and name together.
 pub const MAX_KEY_BYTES: usize = 256;
 /// The format of keys and values that this crate reads and writes.
 pub const FORMAT: u32 = 1;
@@ -30,7 +30,7 @@
 pub enum EntryKeyError {
     /// The text has no slash.
     #[error("'{0}' has no kind; write it as KIND/NAME, such as functions/resize")]
-    NoKind(String),
+    MissingKind(String),
     /// The kind or the name is empty.
     #[error("'{0}' has an empty kind or name; write it as KIND/NAME, such as functions/resize")]
     Empty(String),
@@ -38,7 +38,7 @@
     #[error("the key has {0} bytes; at most {MAX_KEY_BYTES} are allowed, choose a shorter name")]
     TooLong(usize),
     /// The text has a control character.
-    #[error("the key holds a control character; use printable characters only")]
+    #[error("the key contains a control character; use printable characters only")]
     ControlCharacter,
 }
 
@@ -54,7 +54,7 @@
     /// If the text isn't of this form.
     pub fn parse(text: &str) -> Result<EntryKey, EntryKeyError> {
         let Some((kind, name)) = text.split_once('/') else {
-            return Err(EntryKeyError::NoKind(
+            return Err(EntryKeyError::MissingKind(
                 text.chars().take(MAX_KEY_BYTES).collect(),
             ));
         };
@@ -130,7 +130,7 @@
     bucket / BUCKETS_PER_GROUP
 }
 
-/// A half-open range of store keys, `[start, end)`, as range requests and watches take it.
+/// A half-open range of store keys, `[start, end)`, as in range requests and watches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRange {
     /// The first key.
@@ -149,7 +149,7 @@
         KeyRange { start: prefix, end }
     }
 
-    /// From the start of one range to the end of a later one.
+    /// The range from the start of this range to the end of `last`, which has to be a later range.
     pub fn through(self, last: KeyRange) -> KeyRange {
         KeyRange {
             start: self.start,
@@ -207,7 +207,7 @@
         KeyRange::of_prefix(format!("{}entries/{bucket:04x}/", self.prefix).into_bytes())
     }
 
-    /// The key that holds the digests of a group of buckets.
+    /// The key of the digests of a group of buckets.
     pub fn digest(&self, group: usize) -> Vec<u8> {
         format!("{}digests/{group:02x}", self.prefix).into_bytes()
     }
@@ -217,7 +217,7 @@
         KeyRange::of_prefix(format!("{}digests/", self.prefix).into_bytes())
     }
 
-    /// The key that barriers read.
+    /// The key of the generation, which barriers read.
     pub fn generation(&self) -> Vec<u8> {
         format!("{}generation", self.prefix).into_bytes()
     }
--- a/crates/config-sync/src/report.rs
+++ b/crates/config-sync/src/report.rs
@@ -11,12 +11,13 @@
     Following,
     /// The front end reads the changes that it missed.
     CatchingUp,
-    /// The store was rolled back, or is another one, without a higher generation. The last good view stays in force,
-    /// and nothing proves it current.
-    StoreSetBack,
+    /// The store was rolled back or replaced by another one, without a higher generation. The last good view stays in
+    /// force, but isn't proven current.
+    #[serde(rename = "store-set-back")]
+    StoreRolledBack,
     /// The store exceeds the front end's limits; the last good view stays in force.
     StoreTooLarge,
-    /// The generation key can't be read by this version.
+    /// The generation key has a format that this version can't read.
     UnknownFormat,
     /// The front end has ended and serves nothing any more. This last report expires after a while.
     Ended,
@@ -25,7 +26,7 @@
 /// The value of a report key, as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Identifies this report in [`ConfigSync::reported`](crate::ConfigSync::reported).
+    /// Identifies this report in [`ConfigSync::on_reported`](crate::ConfigSync::on_reported).
     pub sequence: u64,
     /// Every transaction up to this revision is applied, or listed in `rejected`, or counted in `rejected_omitted`.
     pub applied_revision: i64,
--- a/crates/deployment/src/trigger_types.rs
+++ b/crates/deployment/src/trigger_types.rs
@@ -1,16 +1,16 @@
-//! The `triggerTypes` section: what is promised to each class of invocations.
+//! The `triggerTypes` section: the latency objective, client timeout and delivery semantics of each trigger type.
 
 use crate::reader::{Fields, Place};
 use orchidtally_dispatch_policy::interface::{DeduplicationScope, Idempotency, TriggerType};
 
-/// What the program needs of a trigger type besides what the policy needs.
+/// The settings of a trigger type that the dispatch policy doesn't use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TriggerTypeSettings {
-    /// Its name.
+    /// The name of the trigger type.
     pub name: String,
-    /// Responses are passed on from their first byte.
+    /// Whether responses are streamed to the client from their first byte.
     pub streams_responses: bool,
-    /// Invocations over HTTP are journalled under their idempotency keys before they are dispatched.
+    /// Whether invocations over HTTP are journalled under their idempotency keys before they are dispatched.
     pub is_durable: bool,
 }
 
@@ -68,7 +68,7 @@
     let billed_value = fields.optional("billedValue", |place| place.number(0.001..=1e6));
     let late_value_fraction = fields.optional("lateShare", |place| place.number(0.0..=1.0));
     let (scope, window) = read_deduplication(&fields, idempotency);
-    let (streams_responses, is_durable) = read_answer_handling(&fields, idempotency);
+    let (streams_responses, is_durable) = read_response_handling(&fields, idempotency);
     let settings = TriggerTypeSettings {
         name: name?,
         streams_responses,
@@ -87,7 +87,7 @@
     Some((settings, trigger_type))
 }
 
-/// Reads among which executors, and for how many seconds, idempotency keys are remembered.
+/// Reads the deduplication scope and the deduplication window in seconds.
 fn read_deduplication(
     fields: &Fields,
     idempotency: Option<Idempotency>,
@@ -113,15 +113,15 @@
 }
 
 /// Reads whether responses are streamed, and whether invocations are durable.
-fn read_answer_handling(fields: &Fields, idempotency: Option<Idempotency>) -> (bool, bool) {
+fn read_response_handling(fields: &Fields, idempotency: Option<Idempotency>) -> (bool, bool) {
     let streams_responses = fields.at("streams").flag(false);
     let durable = fields.at("journalled");
     let is_durable = durable.flag(false);
     if is_durable && idempotency.is_some_and(|effect| effect != Idempotency::NonIdempotent) {
-        durable.fault("only a non-idempotent trigger type gains by it");
+        durable.fault("only a non-idempotent trigger type can be journalled");
     }
     if is_durable && streams_responses {
-        durable.fault("a streamed answer can't be kept");
+        durable.fault("a streamed answer can't be journalled");
     }
     (streams_responses, is_durable)
 }
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -13,11 +13,11 @@
     let published = shares.published();
     let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
-            json!({ "phase": r.phase, "step": r.step, "number": r.number, "reason": r.reason });
+            json!({ "phase": r.phase, "step": r.step, "number": r.revision, "reason": r.reason });
         (name.clone(), state)
     };
     let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(on).collect();
-    json!({ "term": published.epoch.term, "number": published.number, "rollouts": rollouts })
+    json!({ "term": published.epoch.term, "number": published.revision, "rollouts": rollouts })
 }
 
 /// The endpoint list and the front ends, where they come from etcd.
@@ -39,7 +39,7 @@
         })
         .collect();
     json!({
-        "age": cache.age(now),
+        "age": cache.response_age(now),
         "revision": cache.revision(),
         "executors": executors.known,
         "held": executors.retained,
@@ -47,7 +47,7 @@
         "wentBack": cache.store_rollbacks(),
         "faults": entry_errors,
         "frontEnds": estimate.count,
-        "shares": estimate.shares,
+        "shares": estimate.has_budget_share,
     })
 }
 
--- a/crates/platform-frontend/src/executor_connection.rs
+++ b/crates/platform-frontend/src/executor_connection.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 use orchidtally_dispatch_policy::interface::ExecutorId;
 use orchidtally_dispatch_policy::state::Ordered;
-use orchidtally_engine::evidence::TransportOutcome;
+use orchidtally_engine::transport_outcome::TransportOutcome;
 use orchidtally_platform_executor_protocol::Decoder;
 use orchidtally_socket_io::buffered::BufferedSocket;
 use std::cmp::Reverse;
@@ -179,7 +179,8 @@
         &self,
         evidence: TransportOutcome,
     ) -> impl Iterator<Item = (&InFlightDispatch, TransportOutcome)> {
-        let is_executor_fault = evidence == TransportOutcome::Malformed || !self.has_responded;
+        let is_executor_fault =
+            evidence == TransportOutcome::MalformedResponse || !self.has_responded;
         let faulty_sent_at = self
             .in_flight
             .values()
@@ -188,9 +189,9 @@
             .filter(|_| is_executor_fault);
         let attribute = move |sent_at| {
             if Some(Ordered(sent_at)) == faulty_sent_at {
-                TransportOutcome::Malformed
+                TransportOutcome::MalformedResponse
             } else {
-                TransportOutcome::Cut
+                TransportOutcome::ClosedForOtherDispatch
             }
         };
         self.in_flight
@@ -339,14 +340,14 @@
             .is_some_and(|since| now > since + PARTIAL_LINE_TIMEOUT)
         {
             return reason(
-                TransportOutcome::Malformed,
+                TransportOutcome::MalformedResponse,
                 "partial line was not completed",
             );
         }
         // Closes an idle connection before the executor does, so that no command is written to a connection that the
         // executor is closing.
         if self.is_idle() && (self.is_retired || self.is_idle_too_long(now, idle_timeout)) {
-            return reason(TransportOutcome::Broken, "idle");
+            return reason(TransportOutcome::ConnectionLost, "idle");
         }
         None
     }
--- a/crates/platform-frontend/src/process_clock.rs
+++ b/crates/platform-frontend/src/process_clock.rs
@@ -45,18 +45,18 @@
     /// The earliest time at which bytes that are read at `now` may have arrived: after a stall they may have waited in
     /// the socket for as long as it lasted.
     pub fn earliest_arrival(&self, now: f64) -> f64 {
-        self.stall_detector.arrival_bound(now)
+        self.stall_detector.earliest_arrival(now)
     }
 
     /// Returns the duration in seconds of a process stall that was detected since the last call, if any.
     pub fn take_stall(&mut self) -> Option<f64> {
-        self.stall_detector.take_stall()
+        self.stall_detector.take_longest_stall()
     }
 
     /// Slews the clock gradually towards the wall clock.
     pub fn adjust_to_wall_clock(&mut self) {
         self.clock
-            .anchor(self.started_at.elapsed().as_secs_f64(), wall_clock());
+            .synchronize(self.started_at.elapsed().as_secs_f64(), wall_clock());
     }
 }
 
--- a/crates/rollout/src/coordinator/state.rs
+++ b/crates/rollout/src/coordinator/state.rs
@@ -3,7 +3,7 @@
 use super::{REPORT_EXPIRY, REPORT_TIMEOUT};
 use crate::evidence::{Counts, EvidenceDelta, Slot};
 use crate::sequential::SequentialTests;
-use crate::state::{Phase, Published};
+use crate::state::{Phase, PublishedState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -15,8 +15,9 @@
     pub at: f64,
     /// The run of the rollout.
     pub run: u64,
-    /// The number of the rollout's state.
-    pub number: u64,
+    /// The revision of the rollout after the event.
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// The phase after the event.
     pub phase: Phase,
     /// Index of the step after the event.
@@ -33,14 +34,14 @@
 #[serde(rename_all = "camelCase")]
 pub struct CoordinatorState {
     /// The state published to front ends.
-    pub published: Published,
+    pub published: PublishedState,
     /// The evidence on each rollout, by its name.
     pub runs: BTreeMap<String, Run>,
     /// The last report round of each front end, and when it was received.
     pub rounds: BTreeMap<u64, (u64, f64)>,
 }
 
-/// What a front end last reported, apart from its counts.
+/// The last report of a front end, without its counts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct FrontEndReport {
     at: f64,
@@ -56,19 +57,21 @@
 pub struct Run {
     /// The sequential tests of all gates.
     pub tests: SequentialTests,
-    /// The counts of the present step: old and new version.
-    pub step: [Counts; 2],
+    /// The counts of the current step: old and new version.
+    #[serde(rename = "step")]
+    pub step_counts: [Counts; 2],
     /// The counts of the whole run: old and new version.
     #[serde(rename = "whole")]
-    pub total: [Counts; 2],
-    /// Duration of the present step in seconds, without pauses.
-    pub time: f64,
+    pub total_counts: [Counts; 2],
+    /// Seconds spent in the current step, without pauses.
+    #[serde(rename = "time")]
+    pub step_duration: f64,
     /// Whether a rule holds the step.
     #[serde(rename = "held")]
     pub is_held: bool,
     /// Loads whose bytes didn't match the digest.
     pub digest_mismatches: u64,
-    /// Why a front end rolled back by itself.
+    /// The reason of a front end's local rollback.
     #[serde(rename = "tookBack")]
     pub local_rollback: Option<String>,
     /// The last report of each front end.
@@ -84,7 +87,7 @@
 }
 
 impl Run {
-    /// A run without evidence that continues the history of an earlier run.
+    /// Creates a run without evidence that continues the history of an earlier run.
     pub(super) fn with_history(history: Vec<Event>) -> Run {
         Run {
             history,
@@ -92,12 +95,12 @@
         }
     }
 
-    /// Invocations of the function a second, over all front ends that reported recently.
+    /// Returns the invocations of the function a second, over all front ends that reported recently.
     pub fn rate(&self) -> f64 {
         self.reports.values().map(|report| report.rate).sum()
     }
 
-    /// For each front end that reported recently, whether it applies the step's share.
+    /// Returns, for each front end that reported recently, whether it applies the step's share.
     pub(super) fn readiness(&self, now: f64) -> Vec<bool> {
         self.reports
             .values()
@@ -120,8 +123,8 @@
             .or_else(|| delta.local_rollback.clone());
         for slot in &delta.slots {
             for (cohort, counts) in [slot.old, slot.new].iter().enumerate() {
-                self.step[cohort].add(counts);
-                self.total[cohort].add(counts);
+                self.step_counts[cohort].add(counts);
+                self.total_counts[cohort].add(counts);
             }
         }
         self.slots.extend_from_slice(&delta.slots);
@@ -137,11 +140,11 @@
     }
 
     pub(super) fn begin_step(&mut self) {
-        self.step = Default::default();
-        self.time = 0.0;
+        self.step_counts = Default::default();
+        self.step_duration = 0.0;
         self.is_held = false;
         self.operator_advance = None;
-        // Front ends haven't reported yet whether they are ready for this step.
+        // Reports so far are about the previous step.
         for report in self.reports.values_mut() {
             report.is_ready = false;
         }
--- a/crates/rollout/src/forecast.rs
+++ b/crates/rollout/src/forecast.rs
@@ -1,5 +1,5 @@
-//! Forecasts what a plan takes: load commands against the load budget, time, and whether its steps can get their
-//! samples. A plan that can't be fulfilled is rejected with these figures.
+//! Forecasts the cost of a plan: load commands against the load budget, duration, and whether its steps can get their
+//! samples. An infeasible plan is rejected with these figures.
 
 use crate::plan::{Gate, Plan};
 use orchidtally_deployment::{Deployment, Version};
@@ -7,7 +7,7 @@
 
 /// Fraction of the load budget's floor that rollouts may use; the rest is for ordinary placements.
 const LOAD_BUDGET_SHARE: f64 = 0.5;
-/// The highest planned utilization of a copy's lanes.
+/// The highest planned utilization of a replica's lanes.
 const MAX_UTILIZATION: f64 = 0.7;
 /// The ratio of the odds of errors that a step should detect, for the advice on samples.
 const DETECTED_ODDS: f64 = 2.0;
@@ -22,15 +22,16 @@
     pub step: usize,
     /// The share of the new version.
     pub share: f64,
-    /// Copies of the new version that are needed.
-    pub copies: u64,
+    /// Replicas of the new version that are needed.
+    #[serde(rename = "copies")]
+    pub replicas: u64,
     /// Load commands that all front ends send.
     #[serde(rename = "orders")]
     pub load_commands: u64,
     /// Seconds until the load commands are sent.
     #[serde(rename = "loading")]
     pub load_duration: f64,
-    /// Seconds until the samples are there; `None` if the rate of invocations is unknown.
+    /// Seconds until the samples are collected; `None` if the rate of invocations is unknown.
     #[serde(rename = "evidence")]
     pub sampling_duration: Option<f64>,
     /// Shortest duration of the step in seconds, from the first load command on.
@@ -41,7 +42,8 @@
     pub answers_to_detect: u64,
 }
 
-/// Load commands a second that all front ends together may send for rollouts; infinite without a load budget.
+/// Returns the limit of load commands a second that all front ends together may send for rollouts; infinite without a
+/// load budget.
 pub fn load_command_rate_limit(deployment: &Deployment) -> f64 {
     let policy = &deployment.policy;
     if !policy.allows_load_commands || policy.load_budget_window <= 0.0 {
@@ -50,32 +52,32 @@
     policy.front_ends * LOAD_BUDGET_SHARE * policy.load_budget_floor / policy.load_budget_window
 }
 
-/// The number of copies needed for a share of a rate of invocations.
-pub fn copies_for(rate: f64, share: f64, version: &Version) -> u64 {
+/// Returns the number of replicas needed for a share of a rate of invocations.
+pub fn replicas_for(rate: f64, share: f64, version: &Version) -> u64 {
     let work = version.expected_work.unwrap_or(0.0);
     (share * rate * work / (version.concurrency * MAX_UTILIZATION))
         .ceil()
         .max(1.0) as u64
 }
 
-fn copies(plan: &Plan, deployment: &Deployment, share: f64) -> u64 {
+fn replicas(plan: &Plan, deployment: &Deployment, share: f64) -> u64 {
     let version = deployment
         .function(&plan.function)
         .and_then(|f| f.version(&plan.to).cloned());
     let (Some(rate), Some(version)) = (plan.rate, version) else {
         return 1;
     };
-    copies_for(rate, share, &version)
+    replicas_for(rate, share, &version)
 }
 
-/// Invocations of the new version a second at a step.
+/// Returns the invocations of the new version a second at a step.
 fn new_rate(plan: &Plan, step: usize) -> Option<f64> {
     // An upper bound if the step applies to a part of the traffic.
     Some(plan.rate? * plan.steps[step].share)
 }
 
-/// The number of answers of the new version until the bet on twice the odds reaches the threshold, at the assumed rate
-/// of errors.
+/// Returns the number of answers of the new version until the bet on twice the odds reaches the threshold, at the
+/// assumed rate of errors.
 fn answers_to_detect(plan: &Plan, share: f64) -> u64 {
     let p = share.clamp(1e-4, 0.9999);
     let bet = DETECTED_ODDS * p / (DETECTED_ODDS * p + 1.0 - p);
@@ -86,22 +88,22 @@
     (events * bet / (DETECTED_ODDS * ASSUMED_ERROR_RATE)).ceil() as u64
 }
 
-/// The forecast of each step of a plan.
+/// Returns the forecast of each step of a plan.
 pub fn forecast(plan: &Plan, deployment: &Deployment) -> Vec<StepForecast> {
     let front_ends = deployment.policy.front_ends as u64;
-    let mut copies_before = 0;
+    let mut replicas_before = 0;
     let mut forecasts = vec![];
     for (index, step) in plan.steps.iter().enumerate() {
-        let copies = copies(plan, deployment, step.share);
-        // Each front end sends a command for each copy, as it has to know the copy itself.
-        let load_commands = copies.saturating_sub(copies_before) * front_ends;
-        copies_before = copies.max(copies_before);
+        let replicas = replicas(plan, deployment, step.share);
+        // Each front end sends a command for each replica, since it has to know the replica itself.
+        let load_commands = replicas.saturating_sub(replicas_before) * front_ends;
+        replicas_before = replicas.max(replicas_before);
         let load_duration = load_commands as f64 / plan.loads_per_second;
         let sampling_duration = new_rate(plan, index).map(|rate| step.min_samples as f64 / rate);
         forecasts.push(StepForecast {
             step: index,
             share: step.share,
-            copies,
+            replicas,
             load_commands,
             load_duration,
             sampling_duration,
@@ -114,23 +116,23 @@
     forecasts
 }
 
-/// A part of a plan that can't be fulfilled.
+/// An infeasible part of a plan.
 pub(crate) struct Infeasible {
     /// Index of the step; `None` for the rate of loads.
     pub(crate) step: Option<usize>,
-    /// Why it can't be fulfilled.
+    /// Why it is infeasible.
     pub(crate) reason: String,
 }
 
-/// Everything in a plan that can't be fulfilled.
+/// Returns the infeasible parts of a plan.
 pub(crate) fn check(plan: &Plan, deployment: &Deployment) -> Vec<Infeasible> {
     let mut infeasible = vec![];
     let rate_limit = load_command_rate_limit(deployment);
     let policy = &deployment.policy;
     if plan.loads_per_second > rate_limit {
         let reason = format!(
-            "{} a second can't be kept: the ration grants each of {} front ends {} orders in {} s without traffic, \
-             and rollouts may use {} of it, which is {rate_limit:.2} a second in all",
+            "{} a second exceeds the load budget: each of {} front ends may send {} load commands in {} s without \
+             traffic, and rollouts may use {} of it, which is {rate_limit:.2} a second in all",
             plan.loads_per_second,
             policy.front_ends,
             policy.load_budget_floor,
@@ -150,13 +152,15 @@
         && !policy.allows_load_commands
         && policy.rejects_unloaded
     {
-        let reason = "load failures can't be judged where nothing loads".into();
+        let reason =
+            "load failures can't be evaluated: neither load commands nor invocations load replicas"
+                .into();
         infeasible.push(Infeasible { step: None, reason });
     }
     infeasible
 }
 
-/// Why a step can't end within its longest duration.
+/// Returns why a step can't end within its longest duration, if it can't.
 fn check_step(plan: &Plan, forecast: &StepForecast) -> Option<String> {
     let step = &plan.steps[forecast.step];
     let longest = step.max_duration?;
@@ -166,9 +170,9 @@
         ..
     } = forecast;
     if *load_duration > longest {
-        let pace = plan.loads_per_second;
+        let rate = plan.loads_per_second;
         return Some(format!(
-            "{load_commands} orders to load at {pace} a second take {load_duration:.0} s, longer than the longest of {longest} s"
+            "{load_commands} load commands at {rate} a second take {load_duration:.0} s, longer than the longest of {longest} s"
         ));
     }
     let evidence = forecast
@@ -179,7 +183,7 @@
         new_rate(plan, forecast.step).unwrap_or(0.0),
     );
     Some(format!(
-        "its evidence can't come in time: {answers} answers at {rate:.3} a second take {evidence:.0} s after \
+        "its samples can't be collected in time: {answers} answers at {rate:.3} a second take {evidence:.0} s after \
          {load_duration:.0} s of loading, longer than the longest of {longest} s"
     ))
 }
--- a/crates/rollout/src/frontend/adopt.rs
+++ b/crates/rollout/src/frontend/adopt.rs
@@ -2,11 +2,11 @@
 
 use super::TrafficSplit;
 use super::local::LocalRollout;
-use crate::state::{Epoch, Published, Rollout};
+use crate::state::{Epoch, PublishedState, Rollout};
 use orchidtally_deployment::Function;
 
 impl TrafficSplit {
-    /// Records an epoch that became known in another way.
+    /// Records an epoch without adopting its state.
     pub fn observe_epoch(&mut self, epoch: Epoch) {
         self.newest_epoch = self.newest_epoch.max(epoch);
     }
@@ -16,7 +16,7 @@
     pub fn adopt(
         &mut self,
         now: f64,
-        published: Published,
+        published: PublishedState,
         find: impl Fn(&str) -> Option<Function>,
     ) -> Vec<u64> {
         self.last_contact_at = now;
@@ -56,7 +56,7 @@
         let mut rolled_back = vec![];
         let is_same_run = before.is_some_and(|local| local.rollout.run == rollout.run);
         if !is_same_run {
-            let replaced = before.filter(|local| local.step_in_force().is_some());
+            let replaced = before.filter(|local| local.effective_step().is_some());
             rolled_back.extend(replaced.map(|local| local.rollout.run));
             let local = LocalRollout::new(rollout.clone(), find(function), now);
             self.rollouts.insert(function.clone(), local);
@@ -69,28 +69,28 @@
         local.rollout = rollout.clone();
         if step != step_before || !is_same_run {
             local.begin_step();
-            // Front ends load one after the other, at the planned rate.
+            // Front ends send load commands one after the other, at the planned rate.
             local.next_load_at = now + index / rollout.plan.loads_per_second;
         }
         match step {
             None => {
-                if local.granted_step.take().is_some() {
+                if local.applied_step.take().is_some() {
                     rolled_back.push(rollout.run);
                 }
             }
-            // An earlier step applies at once, a later one when there are copies for it.
-            Some(step) => local.granted_step = local.granted_step.map(|granted| granted.min(step)),
+            // An earlier step applies at once, a later one once there are replicas for it.
+            Some(step) => local.applied_step = local.applied_step.map(|applied| applied.min(step)),
         }
         rolled_back
     }
 }
 
-/// Whether another rollout of the function is in progress after this one has ended.
-fn is_superseded(rollout: &Rollout, published: &Published) -> bool {
-    let is_rival = |other: &Rollout| {
+/// Returns whether another rollout of the function is in progress after this one has ended.
+fn is_superseded(rollout: &Rollout, published: &PublishedState) -> bool {
+    let is_successor = |other: &Rollout| {
         other.plan.function == rollout.plan.function
             && !other.phase.has_ended()
             && other.run != rollout.run
     };
-    rollout.phase.has_ended() && published.rollouts.values().any(is_rival)
+    rollout.phase.has_ended() && published.rollouts.values().any(is_successor)
 }
--- a/crates/rollout/src/frontend/outcomes.rs
+++ b/crates/rollout/src/frontend/outcomes.rs
@@ -7,8 +7,8 @@
 use orchidtally_deployment::Version;
 use std::collections::{HashMap, VecDeque};
 
-/// The most events of one sticky key, and the most resets at one executor, that count in a step. A fault of one
-/// customer must not decide.
+/// The most events of one sticky key, and the most resets at one executor, that count in a step, so that a fault of a
+/// single customer or executor doesn't cause a rollback.
 const MAX_EVENTS_PER_KEY: u8 = 3;
 /// The most sticky keys whose events are counted.
 const MAX_KEYS: usize = 100_000;
@@ -16,18 +16,18 @@
 const EXECUTOR_FAULT_THRESHOLD: usize = 2;
 /// How long failures at an executor count, in seconds.
 const FAILURE_WINDOW: f64 = 5.0;
-/// The most failures that are remembered of an executor, and the most executors.
+/// The most failures that are stored for an executor, and the most executors.
 const MAX_FAILURES: usize = 32;
 const MAX_EXECUTORS: usize = 10_000;
 
 /// The outcome of an invocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum AnswerOutcome {
+pub enum InvocationOutcome {
     /// The invocation succeeded.
     Succeeded {
         /// Duration in seconds of the dispatch that gave the answer.
-        took: f64,
-        /// Whether its copy was warm.
+        latency: f64,
+        /// Whether its replica was warm.
         warm: bool,
     },
     /// The invocation was throttled.
@@ -71,24 +71,24 @@
 
 impl SlowThresholds {
     /// Records the latency of an answer; returns the events that it counts as.
-    fn record(&mut self, plan: &Plan, cohort: Cohort, took: f64) -> [Option<Gate>; 2] {
+    fn record(&mut self, plan: &Plan, cohort: Cohort, latency: f64) -> [Option<Gate>; 2] {
         let ratio = |gate| plan.gate(gate).map_or(1.0, |policy| policy.ratio);
         let gates = [
             (Gate::Slow, 0.9, &mut self.slow),
             (Gate::SlowTail, 0.99, &mut self.slow_tail),
         ];
-        let events = gates.map(|(gate, quantile, tracked)| {
+        let events = gates.map(|(gate, quantile, estimate)| {
             let allowed = if cohort == Cohort::Canary {
                 ratio(gate)
             } else {
                 1.0
             };
-            let event = tracked
+            let event = estimate
                 .value()
-                .filter(|known| took > allowed * known)
+                .filter(|known| latency > allowed * known)
                 .map(|_| gate);
             if cohort == Cohort::Baseline {
-                tracked.record(quantile, took);
+                estimate.record(quantile, latency);
             }
             event
         });
@@ -101,7 +101,7 @@
     /// Records that a dispatch of a version failed at an executor: by a reset or time-out if `disconnected`, otherwise
     /// by its answer. Returns whether the failure counts against the version.
     ///
-    /// Failure mode: an executor that has one of the version's few copies is faulty.
+    /// Failure mode: an executor that has one of the version's few replicas is faulty.
     /// Risk: the version would be rolled back for a fault that isn't its own. Failures don't count if other versions
     /// fail at the executor too, and resets count only a few times for each executor.
     pub fn record_dispatch_failure(
@@ -133,7 +133,7 @@
     pub fn record_outcome(
         &mut self,
         assignment: &RolloutAssignment,
-        outcome: AnswerOutcome,
+        outcome: InvocationOutcome,
         failed: bool,
     ) {
         let Some(local) = self.rollout_of_run(assignment.run) else {
@@ -142,13 +142,18 @@
         let plan = local.rollout.plan.clone();
         let trigger_type = assignment.stratum.trigger_type;
         let own_events = match outcome {
-            AnswerOutcome::Errored | AnswerOutcome::Succeeded { warm: false, .. } => [None; 2],
-            AnswerOutcome::Throttled => [Some(Gate::Throttled), None],
-            AnswerOutcome::Succeeded { took, warm: true } => local
-                .slow
-                .entry(trigger_type)
-                .or_default()
-                .record(&plan, assignment.cohort, took),
+            InvocationOutcome::Errored | InvocationOutcome::Succeeded { warm: false, .. } => {
+                [None; 2]
+            }
+            InvocationOutcome::Throttled => [Some(Gate::Throttled), None],
+            InvocationOutcome::Succeeded {
+                latency,
+                warm: true,
+            } => local.slow.entry(trigger_type).or_default().record(
+                &plan,
+                assignment.cohort,
+                latency,
+            ),
         };
         let mut events = [own_events[0], own_events[1], failed.then_some(Gate::Errors)];
         if let Some(key) = assignment
@@ -164,7 +169,7 @@
                 events = [None; 3];
             }
         }
-        let is_warm = matches!(outcome, AnswerOutcome::Succeeded { warm: true, .. });
+        let is_warm = matches!(outcome, InvocationOutcome::Succeeded { warm: true, .. });
         let is_compared = is_warm
             && local
                 .slow
--- a/crates/rollout/src/plan/mod.rs
+++ b/crates/rollout/src/plan/mod.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum StickyKey {
-    /// The name of the invocation, so that each is assigned independently.
+    /// The identifier of the invocation, so that each is assigned independently.
     Invocation,
     /// The customer.
     Customer,
@@ -22,7 +22,7 @@
 }
 
 impl StickyKey {
-    /// Whether many invocations may have the same key, so that their failures are correlated.
+    /// Returns whether many invocations may have the same key, so that their failures are correlated.
     pub fn is_shared(&self) -> bool {
         !matches!(self, StickyKey::Invocation)
     }
@@ -86,7 +86,7 @@
 ];
 
 impl Gate {
-    /// The name of the gate in plans and reports.
+    /// Returns the name of the gate in plans and reports.
     pub fn name(self) -> &'static str {
         match self {
             Gate::Errors => "errors",
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The index of the gate in arrays by gate.
+    /// Returns the index of the gate in arrays by gate.
     pub fn index(self) -> usize {
         GATES.iter().position(|&g| g == self).unwrap_or(0)
     }
@@ -117,7 +117,7 @@
     pub rolls_back: bool,
 }
 
-/// What happens to a step if a gate has no data to compare.
+/// The action if a gate has no data to compare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum InconclusiveAction {
@@ -142,7 +142,7 @@
     pub from: String,
     /// The new version, by an alias or its digest.
     pub to: String,
-    /// The alias that moves to the new version at the end.
+    /// The alias that points to the new version after the rollout finishes.
     pub alias: String,
     /// The sticky key of the traffic split.
     pub key: StickyKey,
@@ -153,16 +153,16 @@
     /// The probability that a harmless rollout is rolled back, over its whole duration and all gates.
     #[serde(rename = "falseAlarm")]
     pub false_positive_rate: f64,
-    /// What happens to a step if a gate has no data to compare.
+    /// The action if a gate has no data to compare.
     #[serde(rename = "unjudged")]
     pub on_inconclusive: InconclusiveAction,
-    /// Loads of the new version a second, over all front ends.
+    /// The planned rate of loads of the new version a second, over all front ends.
     pub loads_per_second: f64,
     /// Rollouts with a higher priority load first.
     pub priority: u32,
     /// Share of the traffic that stays on the old version until the rollout finishes, for comparison.
     pub holdback: f64,
-    /// How long copies of the old version are retained after the last step.
+    /// How long replicas of the old version are kept alive after the last step.
     #[serde(rename = "keepFrom")]
     pub old_version_retention: f64,
     /// Invocations of the function a second over all front ends, if known in advance.
@@ -188,12 +188,13 @@
         }
     }
 
-    /// The policy of a gate, if it is enabled.
+    /// Returns the policy of a gate, if it is enabled.
     pub fn gate(&self, gate: Gate) -> Option<&GatePolicy> {
         self.gates.iter().find(|policy| policy.gate == gate)
     }
 
-    /// The evidence, as odds to 1, at which a gate rolls back: the inverse of its part of the false positive rate.
+    /// Returns the evidence, as odds to 1, at which a gate rolls back: the inverse of its part of the false positive
+    /// rate.
     pub fn threshold(&self) -> f64 {
         let gates = self
             .gates
--- a/crates/rollout/src/plan/parse.rs
+++ b/crates/rollout/src/plan/parse.rs
@@ -47,7 +47,7 @@
 const DEFAULT_MIN_DURATION: f64 = 60.0;
 const DEFAULT_MIN_SAMPLES: u64 = 100;
 
-/// The plan, or `None` if a fault prevents that. Faults are recorded in the document.
+/// Parses the plan; returns `None` if a fault prevents that. Faults are recorded in the document.
 pub(super) fn plan(root: &Place, deployment: &Deployment) -> Option<Plan> {
     let fields = root.object(&KEYS);
     let name = name(&fields);
@@ -112,7 +112,7 @@
     Some(plan)
 }
 
-/// Records a fault for each part of a plan that can't be fulfilled.
+/// Records a fault for each infeasible part of a plan.
 fn check_feasibility(fields: &Fields, plan: &Plan, deployment: &Deployment) {
     for infeasible in forecast::check(plan, deployment) {
         match infeasible.step {
@@ -133,7 +133,7 @@
     Some(name)
 }
 
-/// Whether the deployment lists a function; records a fault if not.
+/// Returns whether the deployment lists a function; records a fault if not.
 fn check_function(fields: &Fields, function: &str, deployment: &Deployment) -> bool {
     let is_known = deployment.functions.contains_key(function);
     if !is_known {
@@ -191,7 +191,7 @@
     }
 }
 
-/// A list of names, each of which has to be among the `known` ones.
+/// Reads a list of names, each of which has to be among the `known` ones.
 fn names(place: &Place, known: &[String], category: &str) -> Vec<String> {
     let names: Vec<(Place, String)> = place
         .list()
@@ -249,7 +249,7 @@
         .filter(|&longest| longest < step.min_duration)
     {
         fields.at("longest").fault(format!(
-            "{longest} s is under the least time of {} s",
+            "{longest} s is below the least time of {} s",
             step.min_duration
         ));
     }
@@ -258,7 +258,7 @@
     let previous = earlier.iter().rfind(is_for_same);
     if let Some(previous) = previous.filter(|previous| previous.share >= step.share) {
         fields.at("share").fault(format!(
-            "{} is no more than the {} of an earlier step for the same",
+            "{} doesn't exceed the {} of an earlier step for the same customers and locations",
             step.share, previous.share
         ));
     }
@@ -279,7 +279,7 @@
     ]
 }
 
-/// What a plan says of a gate.
+/// The action of a gate in a plan.
 #[derive(Clone, Copy)]
 enum GateAction {
     RollBack,
@@ -309,12 +309,12 @@
         }
     }
     if !gates.iter().any(|policy| policy.rolls_back) {
-        place.fault("no gate takes back: a version that is worse would go to everyone");
+        place.fault("no gate rolls back: a worse version would get all traffic");
     }
     gates
 }
 
-/// The policy of a gate, from its default; `None` if the gate is disabled.
+/// Returns the policy of a gate, from its default; `None` if the gate is disabled.
 fn gate_policy(place: &Place, mut policy: GatePolicy) -> Option<GatePolicy> {
     let fields = place.object(&["ratio", "action"]);
     if let Some(ratio) = fields.optional("ratio", |place| place.number(1.0..=100.0)) {
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -25,10 +25,11 @@
     Shifting,
     /// Paused by an operator.
     Paused,
-    /// All traffic except the holdback goes to the new version; copies of the old one are retained for a while.
+    /// All traffic except the holdback goes to the new version; replicas of the old one are kept alive until the
+    /// retention ends.
     #[serde(rename = "keeping")]
     RetainingOld,
-    /// Ended: the alias names the new version.
+    /// Ended: the alias points to the new version.
     Finished,
     /// Ended: all traffic goes to the old version.
     #[serde(rename = "takenBack")]
@@ -36,12 +37,12 @@
 }
 
 impl Phase {
-    /// Whether the rollout has ended.
+    /// Returns whether the rollout has ended.
     pub fn has_ended(self) -> bool {
         matches!(self, Phase::Finished | Phase::RolledBack)
     }
 
-    /// The name of the phase in messages to operators.
+    /// Returns the name of the phase in messages to operators.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Planned => "planned",
@@ -60,13 +61,14 @@
 pub struct Rollout {
     /// The plan.
     pub plan: Arc<Plan>,
-    /// Random identifier of this run. A plan that is started again is another run.
+    /// Random identifier of this run. Starting the same plan again creates another run.
     pub run: u64,
     /// Incremented with each change of this rollout.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// The phase.
     pub phase: Phase,
-    /// Index of the present step, while shifting or paused.
+    /// Index of the current step, while shifting or paused.
     pub step: usize,
     /// The digest of the old version.
     pub from: String,
@@ -77,7 +79,7 @@
 }
 
 impl Rollout {
-    /// Index of the step by which traffic is split; `None` while all of it goes to the old version.
+    /// Returns the index of the step by which traffic is split; `None` while all of it goes to the old version.
     pub fn active_step(&self) -> Option<usize> {
         match self.phase {
             Phase::Planned | Phase::RolledBack => None,
@@ -90,20 +92,21 @@
 /// The state of all rollouts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Published {
+pub struct PublishedState {
     /// The coordinator that published it.
     pub epoch: Epoch,
     /// Incremented with each change.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// Rollouts by name.
     pub rollouts: BTreeMap<String, Rollout>,
     /// Digests of aliases that differ from the deployment file, by function and alias.
     pub aliases: BTreeMap<String, BTreeMap<String, String>>,
 }
 
-impl Published {
-    /// Whether this state is newer than another one.
-    pub fn is_newer_than(&self, other: &Published) -> bool {
-        (self.epoch, self.number) > (other.epoch, other.number)
+impl PublishedState {
+    /// Returns whether this state is newer than another one.
+    pub fn is_newer_than(&self, other: &PublishedState) -> bool {
+        (self.epoch, self.revision) > (other.epoch, other.revision)
     }
 }
