--- a/crates/capacity-model/src/hollow/control.rs
+++ b/crates/capacity-model/src/hollow/control.rs
@@ -7,7 +7,9 @@
 use orchidtally_dispatch_policy::interface::*;
 use orchidtally_engine::{Engine, FailureReason, Host};
 use orchidtally_etcd::Client;
-use orchidtally_http_frontend::etcd::{MembershipHost, OwnEntry, StoreConnections, follow_store};
+use orchidtally_http_frontend::etcd::{
+    FrontEndEntry, MembershipHost, StoreConnections, follow_store,
+};
 use orchidtally_membership::{EndpointCache, Members};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -154,15 +156,15 @@
         &self.members
     }
 
-    fn own_entry(&self) -> OwnEntry {
-        OwnEntry {
+    fn front_end_entry(&self) -> FrontEndEntry {
+        FrontEndEntry {
             incarnation: self.incarnation,
             location: self.deployment.locations[0].clone(),
             listen_address: Some(LISTENS_AT),
         }
     }
 
-    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+    fn on_endpoint_update(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
         if kind == EndpointUpdateKind::Full {
             self.list_bytes
                 .set(self.connections.executors.traffic().received());
@@ -172,19 +174,19 @@
             .on_endpoint_update(self.now(), kind, rows, &mut NoCalls);
     }
 
-    fn endpoints_confirmed(&self, asked_at: f64) {
+    fn on_endpoints_confirmed(&self, asked_at: f64) {
         self.engine
             .borrow_mut()
             .on_view_confirmed(self.now(), asked_at, &mut NoCalls);
     }
 
-    fn endpoints_lost(&self, asked_at: f64) {
+    fn on_endpoint_request_unanswered(&self, asked_at: f64) {
         self.engine
             .borrow_mut()
             .on_view_request_unanswered(self.now(), asked_at);
     }
 
-    fn members_changed(&self) {
+    fn on_membership_change(&self) {
         let estimate = self.members.borrow().estimate(self.now());
         let view = MembershipView {
             front_ends: f64::from(estimate.count),
--- a/crates/cli/src/invoke.rs
+++ b/crates/cli/src/invoke.rs
@@ -78,7 +78,7 @@
     let headers = [
         (ingress::TRIGGER_TYPE, &arguments.trigger_type),
         (ingress::CUSTOMER, &arguments.customer),
-        (ingress::TOKEN, &arguments.token),
+        (ingress::IDEMPOTENCY_KEY, &arguments.token),
     ];
     for (name, value) in headers {
         if let Some(value) = value {
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -10,7 +10,7 @@
     DeleteRangeRequest, DeleteRangeResponse, PutRequest, PutResponse, RangeRequest, RangeResponse,
 };
 use orchidtally_etcd::{Client, ClientError, DELETE_RANGE, PUT, RANGE, range_end};
-use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS};
+use orchidtally_http_frontend::etcd::{EXECUTORS_PREFIX, FRONT_ENDS_PREFIX};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -127,13 +127,13 @@
 
     /// Executors, with the drains that operators have ordered, and front ends.
     fn standing(&self) -> Result<(Vec<Value>, Vec<Value>), u8> {
-        let all = self.list(EXECUTORS)?;
+        let all = self.list(EXECUTORS_PREFIX)?;
         let drained = |name: &str| all.iter().any(|(n, _, _)| *n == format!("{name}/drain"));
         let executors = all.iter().filter(|(name, _, _)| !name.ends_with("/drain"));
         let executors = executors.map(|(name, value, revision)| {
             json!({ "executor": name, "entry": value, "revision": revision, "drained": drained(name) })
         });
-        let front_ends = self.list(FRONT_ENDS)?;
+        let front_ends = self.list(FRONT_ENDS_PREFIX)?;
         let front_ends = front_ends
             .iter()
             .map(|(name, value, _)| json!({ "index": name, "entry": value }));
@@ -145,7 +145,7 @@
         let until = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, MAX_WAIT));
         loop {
             let mut behind = vec![];
-            for (index, value, _) in self.list(FRONT_ENDS)? {
+            for (index, value, _) in self.list(FRONT_ENDS_PREFIX)? {
                 let at = value
                     .get("at")
                     .and_then(Value::as_str)
@@ -271,12 +271,12 @@
     }
 
     fn drain_key(&self, executor: &SocketAddr) -> Bytes {
-        format!("{}{EXECUTORS}{executor}/drain", self.prefix).into()
+        format!("{}{EXECUTORS_PREFIX}{executor}/drain", self.prefix).into()
     }
 
     /// Drains executors; returns the revision of the last change.
     fn drain(&self, executors: &[SocketAddr]) -> Result<i64, u8> {
-        let known = self.list(EXECUTORS)?;
+        let known = self.list(EXECUTORS_PREFIX)?;
         let mut revision = 0;
         for executor in executors {
             if !known
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,10 +2,10 @@
 
 use crate::{BAD_INPUT, COULD_NOT_RUN, check_text, fail, local, read_text, signals};
 use orchidtally_deployment::Deployment;
-use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::FrontEndOptions;
 use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
-use orchidtally_http_frontend::mqtt::Triggers;
-use orchidtally_http_frontend::reload::Reloads;
+use orchidtally_http_frontend::mqtt::MessageTriggers;
+use orchidtally_http_frontend::reload::DeploymentReloads;
 use orchidtally_mqtt_triggers::TriggerSettings;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -150,11 +150,21 @@
 }
 
 /// Has the deployment file read again when the returned channel is sent to.
-fn watch_for_reloads(path: PathBuf, text: String) -> (async_channel::Sender<()>, Reloads) {
+fn watch_for_reloads(
+    path: PathBuf,
+    text: String,
+) -> (async_channel::Sender<()>, DeploymentReloads) {
     let (reread, rereads) = async_channel::bounded(1);
     let (tell, read) = async_channel::bounded(1);
     signals::read_again(path.clone(), rereads, tell);
-    (reread, Reloads { path, text, read })
+    (
+        reread,
+        DeploymentReloads {
+            path,
+            initial_text: text,
+            texts: read,
+        },
+    )
 }
 
 /// Seconds since 1970.
@@ -191,7 +201,7 @@
     let is_local = file.is_none();
     let index = deployment.policy.front_end_index as u32;
     let triggers = section
-        .map(|section| Triggers::open(section, index))
+        .map(|section| MessageTriggers::open(section, index))
         .transpose()
         .map_err(|e| {
             fail(
@@ -222,14 +232,14 @@
         .unzip();
     signals::follow(caught, stop, reread);
     greet(at, is_local);
-    let start = Start {
+    let start = FrontEndOptions {
         deployment,
         seed: arguments.seed.unwrap_or_else(rand::random),
-        ahead: arguments.clock_ahead,
-        step: arguments.clock_step,
-        stop: stopped,
-        random: arguments.random,
-        triggers,
+        clock_offset: arguments.clock_ahead,
+        clock_step: arguments.clock_step,
+        shutdown: stopped,
+        uses_random_policy: arguments.random,
+        message_triggers: triggers,
         durable_invocation_store,
         reloads,
     };
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -5,7 +5,7 @@
 use http::Method;
 use orchidtally_coordinator::{OperatorRequest, StopReason};
 use orchidtally_deployment::Deployment;
-use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::FrontEndOptions;
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_rollout::Phase;
 use orchidtally_socket_io::http::fetch as http_fetch;
@@ -151,14 +151,14 @@
     let (text, seed) = (text.to_owned(), u64::from(at.port()));
     let thread = std::thread::spawn(move || {
         let deployment = Deployment::parse(&text).unwrap_or_else(|f| panic!("{f:?}"));
-        let start = Start {
+        let start = FrontEndOptions {
             deployment,
             seed,
-            ahead,
-            step: None,
-            stop: stopped,
-            random: false,
-            triggers: None,
+            clock_offset: ahead,
+            clock_step: None,
+            shutdown: stopped,
+            uses_random_policy: false,
+            message_triggers: None,
             durable_invocation_store: None,
             reloads: None,
         };
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -4,8 +4,8 @@
 //! `cargo bench -p orchidtally-http-frontend --bench triggers`
 
 use bytes::Bytes;
-use orchidtally_http_frontend::Start;
-use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::FrontEndOptions;
+use orchidtally_http_frontend::mqtt::MessageTriggers;
 use orchidtally_journal::Journal;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_mqtt_triggers::Consumer;
@@ -140,19 +140,19 @@
             let (deployment, section) =
                 orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
             let section = section.unwrap_or_else(|| panic!("no section"));
-            let triggers = Triggers::open(section, 0)
+            let triggers = MessageTriggers::open(section, 0)
                 .unwrap_or_else(|e| panic!("{e}"))
-                .measured(synced, sharing);
+                .with_journal_options(synced, sharing);
             let listener = orchidtally_http_frontend::listen(unused_address())
                 .unwrap_or_else(|e| panic!("{e}"));
-            let start = Start {
+            let start = FrontEndOptions {
                 deployment,
                 seed: 7,
-                ahead: 0.0,
-                step: None,
-                stop: stopped,
-                random: false,
-                triggers: Some(triggers),
+                clock_offset: 0.0,
+                clock_step: None,
+                shutdown: stopped,
+                uses_random_policy: false,
+                message_triggers: Some(triggers),
                 durable_invocation_store: None,
                 reloads: None,
             };
@@ -257,9 +257,9 @@
             .unwrap_or_else(|f| panic!("{f:?}"));
     let section = section.unwrap_or_else(|| panic!("no section"));
     let began = Instant::now();
-    let triggers = Triggers::open(section, 0).unwrap_or_else(|e| panic!("{e}"));
+    let triggers = MessageTriggers::open(section, 0).unwrap_or_else(|e| panic!("{e}"));
     let consumer = Consumer::new(
-        &triggers.section,
+        &triggers.settings,
         &deployment,
         0,
         None,
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -124,7 +124,7 @@
     let (list, incoming) = first.map_err(WatchError::Connection)?;
     info!(%address, executors = list.rows.len(), "first endpoint list received");
     apply_update(router, &list)?;
-    router.endpoints_confirmed(asked_at);
+    router.on_endpoints_confirmed(asked_at);
     let pinger = incoming.pinger();
     // Updates that arrived before the answer to a ping are applied before it.
     future::or(
@@ -180,6 +180,6 @@
         answered
             .ok_or(WatchError::Silent)?
             .map_err(WatchError::Connection)?;
-        router.endpoints_confirmed(asked_at);
+        router.on_endpoints_confirmed(asked_at);
     }
 }
--- a/crates/http-frontend/src/etcd/executors.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -20,7 +20,7 @@
 
     fn notify_host(&self, update: Option<EndpointUpdate>) {
         if let Some(update) = update {
-            self.host.endpoints_changed(update.kind, &update.endpoints);
+            self.host.on_endpoint_update(update.kind, &update.endpoints);
         }
     }
 }
@@ -45,7 +45,7 @@
                 .borrow_mut()
                 .apply_list(now, entries::stamp(header), &list, &read);
         self.notify_host(update);
-        self.host.endpoints_confirmed(began);
+        self.host.on_endpoints_confirmed(began);
     }
 
     fn on_events(&self, header: &ResponseHeader, events: &[Event]) {
@@ -72,12 +72,12 @@
             .on_progress(self.host.now(), entries::stamp(header));
         // While a list is needed, the cache may differ from the store.
         if let Some(began) = began.filter(|_| self.next_request() != NextRequest::List) {
-            self.host.endpoints_confirmed(began);
+            self.host.on_endpoints_confirmed(began);
         }
     }
 
     fn on_failure(&self, began: f64) {
-        self.host.endpoints_lost(began);
+        self.host.on_endpoint_request_unanswered(began);
     }
 
     fn on_compaction(&self) {
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -37,7 +37,7 @@
             .members()
             .borrow_mut()
             .record_view(began, self.indices.borrow().iter().copied());
-        self.host.members_changed();
+        self.host.on_membership_change();
     }
 }
 
@@ -101,6 +101,6 @@
     }
 
     fn on_tick(&self) {
-        self.host.members_changed();
+        self.host.on_membership_change();
     }
 }
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -26,24 +26,24 @@
     fn members(&self) -> &RefCell<Members>;
 
     /// The front end's own entry.
-    fn own_entry(&self) -> OwnEntry;
+    fn front_end_entry(&self) -> FrontEndEntry;
 
     /// Executors have changed, or the first complete list has arrived.
-    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
+    fn on_endpoint_update(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
 
     /// The store has answered a request sent at `asked_at`: the endpoint list was current then.
-    fn endpoints_confirmed(&self, asked_at: f64);
+    fn on_endpoints_confirmed(&self, asked_at: f64);
 
     /// The store can't be followed: the request sent at `asked_at` has no answer.
-    fn endpoints_lost(&self, asked_at: f64);
+    fn on_endpoint_request_unanswered(&self, asked_at: f64);
 
     /// The front ends that share budgets, or this front end's share, may have changed.
-    fn members_changed(&self);
+    fn on_membership_change(&self);
 }
 
 /// A front end's own entry in the store, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct OwnEntry {
+pub struct FrontEndEntry {
     /// Distinguishes one start of a front end from another.
     #[serde(rename = "life")]
     pub incarnation: u64,
--- a/crates/http-frontend/src/etcd/mod.rs
+++ b/crates/http-frontend/src/etcd/mod.rs
@@ -12,7 +12,7 @@
 mod registration;
 mod router_membership;
 
-pub use host::{MembershipHost, OwnEntry, StoreConnections};
+pub use host::{FrontEndEntry, MembershipHost, StoreConnections};
 pub use router_membership::follow_membership;
 
 use async_executor::{LocalExecutor, Task};
@@ -20,9 +20,9 @@
 use std::rc::Rc;
 
 /// Where executors have their entries, behind the deployment's prefix.
-pub const EXECUTORS: &str = "executors/";
+pub const EXECUTORS_PREFIX: &str = "executors/";
 /// Where front ends have their entries, behind the deployment's prefix.
-pub const FRONT_ENDS: &str = "front-ends/";
+pub const FRONT_ENDS_PREFIX: &str = "front-ends/";
 
 /// Follows executors and front ends for a host, and keeps its own entry, until the tasks are dropped.
 pub fn follow_store<H: MembershipHost + 'static>(
@@ -31,8 +31,8 @@
     etcd: &EtcdSettings,
     tasks: &Rc<LocalExecutor<'static>>,
 ) -> Vec<Task<()>> {
-    let executors_prefix = format!("{}{EXECUTORS}", etcd.prefix);
-    let front_ends_prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
+    let executors_prefix = format!("{}{EXECUTORS_PREFIX}", etcd.prefix);
+    let front_ends_prefix = format!("{}{FRONT_ENDS_PREFIX}", etcd.prefix);
     let executors = executors::EndpointFollower::new(host.clone());
     let front_ends = front_ends::FrontEndsFollower::new(host.clone());
     let registration =
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -1,6 +1,6 @@
 //! A front end's own entry in the store, under an index that no other has, and its lease.
 
-use super::FRONT_ENDS;
+use super::FRONT_ENDS_PREFIX;
 use super::entries;
 use super::follow::{FIRST_RETRY_DELAY, REQUEST_TIMEOUT, list};
 use super::host::MembershipHost;
@@ -44,7 +44,7 @@
 
 impl<H: MembershipHost> Registration<H> {
     pub fn new(host: Rc<H>, client: Rc<Client>, etcd: &EtcdSettings) -> Registration<H> {
-        let prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
+        let prefix = format!("{}{FRONT_ENDS_PREFIX}", etcd.prefix);
         Registration {
             host,
             client,
@@ -106,7 +106,7 @@
             members.on_lease_renewed(began, ttl);
         }
         info!(index, "registered in the store");
-        self.host.members_changed();
+        self.host.on_membership_change();
         Ok(Some(Lease {
             id: granted.id,
             ttl,
@@ -117,7 +117,7 @@
     /// Puts the entry where no other stands.
     fn claim_transaction(&self, index: u32, lease: i64) -> TxnRequest {
         let key = Bytes::from(format!("{}{index}", self.prefix));
-        let value = serde_json::json!(self.host.own_entry()).to_string();
+        let value = serde_json::json!(self.host.front_end_entry()).to_string();
         let is_free = Compare {
             result: CompareResult::Equal.into(),
             target: CompareTarget::Create.into(),
--- a/crates/http-frontend/src/etcd/router_membership.rs
+++ b/crates/http-frontend/src/etcd/router_membership.rs
@@ -1,6 +1,6 @@
 //! The router of a front end as the host of the membership state machines.
 
-use super::{MembershipHost, OwnEntry, StoreConnections, follow_store};
+use super::{FrontEndEntry, MembershipHost, StoreConnections, follow_store};
 use crate::router::Router;
 use orchidtally_deployment::{Deployment, EtcdSettings};
 use orchidtally_dispatch_policy::interface::{Endpoint, EndpointUpdateKind};
@@ -26,15 +26,15 @@
         &self.members
     }
 
-    fn own_entry(&self) -> OwnEntry {
-        OwnEntry {
+    fn front_end_entry(&self) -> FrontEndEntry {
+        FrontEndEntry {
             incarnation: self.sender.get().incarnation,
             location: self.location().to_owned(),
             listen_address: self.listen_address.get(),
         }
     }
 
-    fn endpoints_changed(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
+    fn on_endpoint_update(&self, kind: EndpointUpdateKind, rows: &[Endpoint]) {
         if kind == EndpointUpdateKind::Full {
             info!(executors = rows.len(), "first endpoint list received");
         }
@@ -43,15 +43,15 @@
         });
     }
 
-    fn endpoints_confirmed(&self, asked_at: f64) {
-        Router::endpoints_confirmed(self, asked_at);
+    fn on_endpoints_confirmed(&self, asked_at: f64) {
+        Router::on_endpoints_confirmed(self, asked_at);
     }
 
-    fn endpoints_lost(&self, asked_at: f64) {
-        Router::endpoints_lost(self, asked_at);
+    fn on_endpoint_request_unanswered(&self, asked_at: f64) {
+        Router::on_endpoint_request_unanswered(self, asked_at);
     }
 
-    fn members_changed(&self) {
+    fn on_membership_change(&self) {
         self.update_membership_view();
     }
 }
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -1,6 +1,6 @@
 //! Response bodies, and problem documents for errors.
 
-use super::STAY_AWAY;
+use super::RETRY_AFTER_MS;
 use crate::router::ResponseTruncated;
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
@@ -115,7 +115,7 @@
 pub(super) fn set_retry_after(headers: &mut HeaderMap, time: f64) {
     headers.insert(RETRY_AFTER, HeaderValue::from(time.ceil().max(1.0) as u64));
     headers.insert(
-        HeaderName::from_static(STAY_AWAY),
+        HeaderName::from_static(RETRY_AFTER_MS),
         HeaderValue::from((time * 1e3).ceil() as u64),
     );
 }
--- a/crates/http-frontend/src/ingress/durable_invocation.rs
+++ b/crates/http-frontend/src/ingress/durable_invocation.rs
@@ -1,7 +1,7 @@
 //! Durable invocations over HTTP: the recorded outcome of an earlier invocation with the same idempotency key.
 
 use super::answer::{Answer, Problem, problem};
-use super::{BODY_LEFT_OUT, RECORDED};
+use super::{BODY_OMITTED, RECORDED};
 use crate::durable_invocation_store::{
     DurableInvocationStore, JournalUnavailable, PersistedInvocation,
 };
@@ -87,7 +87,7 @@
     if is_complete {
         response
     } else {
-        mark(response, BODY_LEFT_OUT)
+        mark(response, BODY_OMITTED)
     }
 }
 
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -1,7 +1,7 @@
 //! Reads the headers of a request.
 
 use super::answer::Problem;
-use super::{CUSTOMER, INVOCATION, REPEAT, TIME_LEFT, TOKEN, TRIGGER_TYPE};
+use super::{CLIENT_RETRY, CUSTOMER, IDEMPOTENCY_KEY, INVOCATION, TIME_LEFT, TRIGGER_TYPE};
 use crate::router::{NamedCustomer, Revision, TriggerTypeInForce};
 use http::{HeaderMap, StatusCode};
 use orchidtally_dispatch_policy::interface::Idempotency;
@@ -53,10 +53,10 @@
         let (trigger_place, trigger_type) = trigger_type(headers, revision)?;
         let customer = customer(headers, revision)?;
         let policy = &trigger_type.policy;
-        let token = header(headers, TOKEN)?;
+        let token = header(headers, IDEMPOTENCY_KEY)?;
         if policy.idempotency == Idempotency::Keyed && token.is_none() {
             return Err(Problem::bad(format!(
-                "header '{TOKEN}' is missing; this trigger type is tokened"
+                "header '{IDEMPOTENCY_KEY}' is missing; this trigger type is tokened"
             )));
         }
         let time_left = time_left(headers)?.map_or(policy.client_timeout, |time| {
@@ -126,11 +126,11 @@
 }
 
 fn repeat(headers: &HeaderMap) -> Result<bool, Problem> {
-    match header(headers, REPEAT)? {
+    match header(headers, CLIENT_RETRY)? {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
         Some(other) => Err(Problem::bad(format!(
-            "header '{REPEAT}': '{other}' is neither 0 nor 1"
+            "header '{CLIENT_RETRY}': '{other}' is neither 0 nor 1"
         ))),
     }
 }
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -45,17 +45,17 @@
 /// The header with the milliseconds until the client times out.
 pub const TIME_LEFT: &str = "orchidtally-time-left";
 /// The header that is `1` for a client retry.
-pub const REPEAT: &str = "orchidtally-repeat";
+pub const CLIENT_RETRY: &str = "orchidtally-repeat";
 /// The header with the invocation's name in logs and traces; a random one is used where the client gives none.
 pub const INVOCATION: &str = "orchidtally-invocation";
 /// The header that is `1` where the answer is that of an earlier invocation with the same name.
 pub const RECORDED: &str = "orchidtally-recorded";
 /// The header that is `1` where the body of such an answer was too long to be retained.
-pub const BODY_LEFT_OUT: &str = "orchidtally-body-left-out";
+pub const BODY_OMITTED: &str = "orchidtally-body-left-out";
 /// The header with the idempotency key.
-pub const TOKEN: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The header with the milliseconds after which to retry; `Retry-After` has whole seconds only.
-pub const STAY_AWAY: &str = "orchidtally-stay-away";
+pub const RETRY_AFTER_MS: &str = "orchidtally-stay-away";
 
 async fn respond(
     router: Rc<Router>,
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -37,25 +37,25 @@
 const SPARE_REJECTIONS: usize = 16;
 
 /// What a front end starts with.
-pub struct Start {
+pub struct FrontEndOptions {
     /// The deployment file.
     pub deployment: Deployment,
     /// Seeds the random choices; also the front end's incarnation, so each start needs another one.
     pub seed: u64,
     /// Seconds by which the wall clock is taken to be ahead, for tests of skew.
-    pub ahead: f64,
+    pub clock_offset: f64,
     /// When the wall clock is stepped and by how much, both in seconds, for tests.
-    pub step: Option<(f64, f64)>,
+    pub clock_step: Option<(f64, f64)>,
     /// A message or the end of this channel shuts the front end down gracefully.
-    pub stop: async_channel::Receiver<()>,
+    pub shutdown: async_channel::Receiver<()>,
     /// Whether executors are chosen at random instead of by the dispatch policy, for comparisons.
-    pub random: bool,
+    pub uses_random_policy: bool,
     /// What message triggers need, where the deployment file has a broker.
-    pub triggers: Option<mqtt::Triggers>,
+    pub message_triggers: Option<mqtt::MessageTriggers>,
     /// The store of durable HTTP invocations, where the deployment file has a journal.
     pub durable_invocation_store: Option<durable_invocation_store::DurableInvocationStore>,
     /// Where the deployment file may be read again.
-    pub reloads: Option<reload::Reloads>,
+    pub reloads: Option<reload::DeploymentReloads>,
 }
 
 /// Binds the listen address.
@@ -67,14 +67,14 @@
 }
 
 /// Runs a front end on this thread until it is stopped and all open invocations are answered. Returns its counters.
-pub fn run(start: Start, listener: Async<TcpListener>) -> Counters {
+pub fn run(options: FrontEndOptions, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
-    let durable_invocation_store = start.durable_invocation_store.map(Rc::new);
+    let durable_invocation_store = options.durable_invocation_store.map(Rc::new);
     let router = Router::new(
-        start.deployment,
-        start.seed,
-        start.ahead,
-        start.random,
+        options.deployment,
+        options.seed,
+        options.clock_offset,
+        options.uses_random_policy,
         durable_invocation_store,
         endpoint_source::watch,
         &spawner,
@@ -85,7 +85,11 @@
     spawner.spawn(router.clone().run_timers()).detach();
     spawner.spawn(router.clone().watch_clock()).detach();
     spawner
-        .spawn(router.clone().run_maintenance(start.ahead, start.step))
+        .spawn(
+            router
+                .clone()
+                .run_maintenance(options.clock_offset, options.clock_step),
+        )
         .detach();
     if !router.deployment.coordinators.is_empty() {
         spawner
@@ -102,19 +106,25 @@
             }
         }
     }
-    if let Some(reloads) = start.reloads {
+    if let Some(reloads) = options.reloads {
         spawner
             .spawn(reload::follow(router.clone(), reloads))
             .detach();
     }
     let (stop_consumer, consumer_stopped) = async_channel::bounded::<()>(1);
     let consumer = MessageConsumer {
-        task: start.triggers.and_then(|triggers| {
+        task: options.message_triggers.and_then(|triggers| {
             router.spawn(mqtt::consume(router.clone(), triggers, consumer_stopped))
         }),
         stop: stop_consumer,
     };
-    let work = serve_connections(router, spawner.clone(), listener, start.stop, consumer);
+    let work = serve_connections(
+        router,
+        spawner.clone(),
+        listener,
+        options.shutdown,
+        consumer,
+    );
     async_io::block_on(spawner.run(work))
 }
 
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -91,13 +91,13 @@
     Codec(#[from] CodecError),
 }
 
-fn tls_connector(section: &TlsSettings) -> Result<TlsConnector, ConnectError> {
+fn tls_connector(settings: &TlsSettings) -> Result<TlsConnector, ConnectError> {
     let mut roots = RootCertStore::empty();
-    for certificate in CertificateDer::pem_file_iter(&section.authorities)? {
+    for certificate in CertificateDer::pem_file_iter(&settings.authorities)? {
         roots.add(certificate?)?;
     }
     let config = ClientConfig::builder().with_root_certificates(roots);
-    let config = match &section.identity {
+    let config = match &settings.identity {
         Some((certificates, key)) => {
             let chain: Result<Vec<_>, _> = CertificateDer::pem_file_iter(certificates)?.collect();
             config.with_client_auth_cert(chain?, PrivateKeyDer::from_pem_file(key)?)?
@@ -108,10 +108,10 @@
 }
 
 pub(super) async fn connect(
-    section: &TriggerSettings,
+    settings: &TriggerSettings,
 ) -> Result<Box<dyn BrokerStream>, ConnectError> {
-    let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIMEOUT).await?;
-    let Some(tls) = &section.tls else {
+    let stream = orchidtally_socket_io::connect(settings.broker, CONNECT_TIMEOUT).await?;
+    let Some(tls) = &settings.tls else {
         return Ok(Box::new(stream));
     };
     // The files are read for each connection, so that replaced files are used from the next connection on.
@@ -126,7 +126,7 @@
 pub(super) async fn read(
     mut stream: impl AsyncRead + Unpin,
     number: u64,
-    section: Rc<TriggerSettings>,
+    settings: Rc<TriggerSettings>,
     inputs: async_channel::Sender<Input>,
 ) {
     let (mut buffer, mut bytes) = (BytesMut::new(), vec![0; 16 * 1024]);
@@ -139,8 +139,8 @@
         loop {
             match decode(
                 &mut buffer,
-                section.version,
-                section.largest_packet as usize,
+                settings.version,
+                settings.largest_packet as usize,
             ) {
                 Ok(Some((_, packet))) => {
                     if inputs.send(Input::Packet(number, packet)).await.is_err() {
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -1,6 +1,6 @@
 //! The main loop of the message triggers.
 
-use super::Triggers;
+use super::MessageTriggers;
 use super::connection::Input;
 use super::host::{ConsumerHost, JournalResult};
 use super::tls_files::CHECK_INTERVAL;
@@ -36,11 +36,11 @@
 /// Serves message triggers until the front end shuts down and all messages in flight are answered.
 pub async fn consume(
     router: Rc<Router>,
-    triggers: Triggers,
+    triggers: MessageTriggers,
     draining: async_channel::Receiver<()>,
 ) {
-    let Triggers {
-        section,
+    let MessageTriggers {
+        settings,
         journal,
         records,
         truncated_bytes,
@@ -52,26 +52,26 @@
             truncated_bytes, "journal of the previous incarnation read"
         );
     }
-    let section = Rc::new(section);
+    let settings = Rc::new(settings);
     let (index, password) = (
         router.deployment.policy.front_end_index as u32,
-        read_password(&section),
+        read_password(&settings),
     );
     let consumer = Consumer::new(
-        &section,
+        &settings,
         &router.deployment,
         index,
         password,
         &records,
         router.now(),
     );
-    let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
+    let most_entries = ENTRIES_PER_MESSAGE * settings.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
     let journal = GroupCommit::with_max_batch(journal, most_entries, max_batch);
     let mut host = ConsumerHost::new(
         router.clone(),
-        section,
+        settings,
         consumer,
         journal,
         input_sender,
@@ -162,8 +162,8 @@
     }
 }
 
-fn read_password(section: &TriggerSettings) -> Option<Bytes> {
-    let file = section.password_file.as_ref()?;
+fn read_password(settings: &TriggerSettings) -> Option<Bytes> {
+    let file = settings.password_file.as_ref()?;
     match std::fs::read(file) {
         Ok(bytes) => Some(Bytes::from(bytes.trim_ascii_end().to_vec())),
         Err(fault) => {
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -40,7 +40,7 @@
 /// A consumer with the connection, journal and invocations that it controls.
 pub(super) struct ConsumerHost {
     router: Rc<Router>,
-    section: Rc<TriggerSettings>,
+    settings: Rc<TriggerSettings>,
     pub(super) consumer: Consumer,
     journal: GroupCommit,
     inputs: async_channel::Sender<Input>,
@@ -59,7 +59,7 @@
 impl ConsumerHost {
     pub(super) fn new(
         router: Rc<Router>,
-        section: Rc<TriggerSettings>,
+        settings: Rc<TriggerSettings>,
         consumer: Consumer,
         journal: GroupCommit,
         inputs: async_channel::Sender<Input>,
@@ -67,13 +67,13 @@
     ) -> ConsumerHost {
         let now = router.now();
         ConsumerHost {
-            tls_files: TlsFiles::new(&section, now),
+            tls_files: TlsFiles::new(&settings, now),
             in_force: DeploymentInForce {
                 revision: 1,
                 deployment: router.deployment.clone(),
             },
             router,
-            section,
+            settings,
             consumer,
             journal,
             inputs,
@@ -133,9 +133,9 @@
 
     fn start_connecting(&mut self) {
         self.tls_files.note();
-        let (section, inputs) = (self.section.clone(), self.inputs.clone());
+        let (settings, inputs) = (self.settings.clone(), self.inputs.clone());
         let work = async move {
-            let connected = connect(&section).await;
+            let connected = connect(&settings).await;
             // There is no receiver once the front end has ended.
             let _ = inputs.send(Input::Connected(connected)).await;
         };
@@ -151,7 +151,7 @@
         let read = self.router.spawn(read(
             reader,
             number,
-            self.section.clone(),
+            self.settings.clone(),
             self.inputs.clone(),
         ));
         let write = self.router.spawn(write(
@@ -174,7 +174,7 @@
         let Some(_) = self.connection.take() else {
             return;
         };
-        warn!(broker = %self.section.broker, why, "broker connection lost");
+        warn!(broker = %self.settings.broker, why, "broker connection lost");
         self.consumer.connection_lost();
         self.connect_later();
     }
@@ -194,7 +194,7 @@
                 match stream {
                     Ok(stream) => self.connected(stream),
                     Err(fault) => {
-                        warn!(broker = %self.section.broker, %fault, "broker unreachable");
+                        warn!(broker = %self.settings.broker, %fault, "broker unreachable");
                         self.connect_later();
                     }
                 }
@@ -301,7 +301,7 @@
         match notice {
             Notice::Connected { session_present } => {
                 self.retry_after = FIRST_RETRY;
-                info!(broker = %self.section.broker, session_present, "connected to the broker");
+                info!(broker = %self.settings.broker, session_present, "connected to the broker");
             }
             Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
             Notice::SetAside { topic, why } => {
@@ -329,7 +329,7 @@
         while bytes.len() < MAX_OUTBOX_BYTES
             && let Some(packet) = self.consumer.next_packet()
         {
-            match encode(&packet, self.section.version) {
+            match encode(&packet, self.settings.version) {
                 Ok(encoded) => bytes.extend_from_slice(&encoded),
                 Err(fault) => error!(%fault, "packet can't be encoded"),
             }
--- a/crates/http-frontend/src/mqtt/mod.rs
+++ b/crates/http-frontend/src/mqtt/mod.rs
@@ -9,4 +9,4 @@
 mod triggers;
 
 pub use consume::consume;
-pub use triggers::{Triggers, records};
+pub use triggers::{MessageTriggers, records};
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -16,9 +16,9 @@
 }
 
 impl TlsFiles {
-    pub(super) fn new(section: &TriggerSettings, now: f64) -> TlsFiles {
+    pub(super) fn new(settings: &TriggerSettings, now: f64) -> TlsFiles {
         let mut paths = vec![];
-        if let Some(tls) = &section.tls {
+        if let Some(tls) = &settings.tls {
             paths.push(tls.authorities.clone());
             paths.extend(
                 tls.identity
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -10,9 +10,9 @@
 const MAX_BATCH: usize = 1_024;
 
 /// The settings of the message triggers, and their journal with its recovered records.
-pub struct Triggers {
+pub struct MessageTriggers {
     /// The section of the deployment file.
-    pub section: TriggerSettings,
+    pub settings: TriggerSettings,
     pub(super) journal: Journal,
     pub(super) records: Vec<Record>,
     pub(super) truncated_bytes: u64,
@@ -45,13 +45,13 @@
     Ok(records)
 }
 
-impl Triggers {
+impl MessageTriggers {
     /// Opens the journal of the front end with this index.
     ///
     /// # Errors
     /// The journal can't be opened, or a record in it is malformed.
-    pub fn open(section: TriggerSettings, index: u32) -> io::Result<Triggers> {
-        let folder = section.folder(index);
+    pub fn open(settings: TriggerSettings, index: u32) -> io::Result<MessageTriggers> {
+        let folder = settings.folder(index);
         let (journal, found) = Journal::open(&folder)?;
         let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
             bad(
@@ -59,8 +59,8 @@
                 format!("an entry can't be read, so that nothing is served: {e}"),
             )
         })?;
-        Ok(Triggers {
-            section,
+        Ok(MessageTriggers {
+            settings,
             journal,
             records,
             truncated_bytes: found.truncated_bytes,
@@ -74,13 +74,13 @@
     }
 
     /// Changes the journal for measurements: whether it syncs to disk, and how many entries share a sync.
-    pub fn measured(self, synced: bool, max_batch: usize) -> Triggers {
+    pub fn with_journal_options(self, synced: bool, max_batch: usize) -> MessageTriggers {
         let journal = if synced {
             self.journal
         } else {
             self.journal.without_syncs()
         };
-        Triggers {
+        MessageTriggers {
             journal,
             max_batch,
             ..self
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -11,13 +11,13 @@
 use tracing::{error, info, warn};
 
 /// The deployment file and its reloads.
-pub struct Reloads {
+pub struct DeploymentReloads {
     /// The path, for log messages.
     pub path: PathBuf,
     /// The text with which the front end started.
-    pub text: String,
+    pub initial_text: String,
     /// The text after each reload. A channel bounded to one element suffices, as only the newest text counts.
-    pub read: async_channel::Receiver<io::Result<String>>,
+    pub texts: async_channel::Receiver<io::Result<String>>,
 }
 
 /// Why a reloaded file is not in force. The previous configuration stays in force.
@@ -60,14 +60,14 @@
 }
 
 /// Applies reloads for as long as the front end lives.
-pub async fn follow(router: Rc<Router>, reloads: Reloads) {
-    let Reloads {
+pub async fn follow(router: Rc<Router>, reloads: DeploymentReloads) {
+    let DeploymentReloads {
         path,
-        mut text,
-        read,
+        initial_text: mut text,
+        texts,
     } = reloads;
     let file = path.display();
-    while let Ok(newest) = read.recv().await {
+    while let Ok(newest) = texts.recv().await {
         if router.is_draining() {
             warn!(%file, "the deployment file is not read again: this front end is shutting down");
             continue;
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -10,14 +10,14 @@
 
 impl Router {
     /// The source has answered a request sent at `asked_at`: the list was current then.
-    pub fn endpoints_confirmed(&self, asked_at: f64) {
+    pub fn on_endpoints_confirmed(&self, asked_at: f64) {
         self.run_engine(|engine, now, action_executor| {
             engine.on_view_confirmed(now, asked_at, action_executor)
         });
     }
 
     /// The request sent to the source at `asked_at` has no answer.
-    pub fn endpoints_lost(&self, asked_at: f64) {
+    pub fn on_endpoint_request_unanswered(&self, asked_at: f64) {
         self.run_engine(|engine, now, _| engine.on_view_request_unanswered(now, asked_at));
     }
 
--- a/crates/http-frontend/tests/front_end_kit/mod.rs
+++ b/crates/http-frontend/tests/front_end_kit/mod.rs
@@ -4,7 +4,7 @@
 
 use async_io::Async;
 use orchidtally_deployment::Deployment;
-use orchidtally_http_frontend::{Counters, Start};
+use orchidtally_http_frontend::{Counters, FrontEndOptions};
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources};
 use orchidtally_test_servers::store::PackageStore;
@@ -47,16 +47,16 @@
 pub fn start_options(
     deployment: Deployment,
     seed: u64,
-    stop: async_channel::Receiver<()>,
-) -> Start {
-    Start {
+    shutdown: async_channel::Receiver<()>,
+) -> FrontEndOptions {
+    FrontEndOptions {
         deployment,
         seed,
-        ahead: 0.0,
-        step: None,
-        stop,
-        random: false,
-        triggers: None,
+        clock_offset: 0.0,
+        clock_step: None,
+        shutdown,
+        uses_random_policy: false,
+        message_triggers: None,
         durable_invocation_store: None,
         reloads: None,
     }
--- a/crates/http-frontend/tests/stored_formats.rs
+++ b/crates/http-frontend/tests/stored_formats.rs
@@ -3,7 +3,7 @@
 
 use orchidtally_config_sync::{Rejection, Report, ReportedState};
 use orchidtally_http_frontend::config::{ConfigStatus, PublishedReport};
-use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS, OwnEntry};
+use orchidtally_http_frontend::etcd::{EXECUTORS_PREFIX, FRONT_ENDS_PREFIX, FrontEndEntry};
 use orchidtally_http_frontend::ingress;
 use orchidtally_mqtt_triggers::consumer::Counters;
 
@@ -13,12 +13,12 @@
         ingress::TRIGGER_TYPE,
         ingress::CUSTOMER,
         ingress::TIME_LEFT,
-        ingress::REPEAT,
+        ingress::CLIENT_RETRY,
         ingress::INVOCATION,
         ingress::RECORDED,
-        ingress::BODY_LEFT_OUT,
-        ingress::TOKEN,
-        ingress::STAY_AWAY,
+        ingress::BODY_OMITTED,
+        ingress::IDEMPOTENCY_KEY,
+        ingress::RETRY_AFTER_MS,
     ];
     let expected = [
         "orchidtally-trigger-type",
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_front_ends_entry_in_etcd_has_the_text_of_the_format() {
-    let entry = OwnEntry {
+    let entry = FrontEndEntry {
         incarnation: u64::MAX,
         location: "east".into(),
         listen_address: Some("127.0.0.1:7300".parse().expect("an address")),
@@ -46,7 +46,7 @@
         text,
         r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#
     );
-    let unknown = serde_json::to_string(&OwnEntry {
+    let unknown = serde_json::to_string(&FrontEndEntry {
         listen_address: None,
         ..entry
     })
@@ -55,7 +55,10 @@
         unknown,
         r#"{"life":18446744073709551615,"location":"east","at":null}"#
     );
-    assert_eq!((EXECUTORS, FRONT_ENDS), ("executors/", "front-ends/"));
+    assert_eq!(
+        (EXECUTORS_PREFIX, FRONT_ENDS_PREFIX),
+        ("executors/", "front-ends/")
+    );
 }
 
 fn rejection() -> Rejection {
--- a/crates/http-frontend/tests/trigger_kit/mod.rs
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use front_end_kit::{FrontEndThread, run_within, start_executor, start_options};
-use orchidtally_http_frontend::Start;
+use orchidtally_http_frontend::FrontEndOptions;
 use orchidtally_http_frontend::durable_invocation_store::DurableInvocationStore;
-use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::mqtt::MessageTriggers;
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_test_servers::broker::{BrokerServer, Message, StreamWrapper};
@@ -85,14 +85,14 @@
     FrontEndThread::spawn(move |listening| {
         let (deployment, section) =
             orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
-        let triggers = Some(Triggers::open(section.unwrap(), 0).unwrap());
+        let triggers = Some(MessageTriggers::open(section.unwrap(), 0).unwrap());
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
             .as_secs_f64();
         let durable_invocation_store = DurableInvocationStore::open(&deployment, now).unwrap();
-        let start = Start {
-            triggers,
+        let start = FrontEndOptions {
+            message_triggers: triggers,
             durable_invocation_store,
             ..start_options(deployment, 7, listening.stopped)
         };
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -7,7 +7,7 @@
 use futures_rustls::TlsAcceptor;
 use futures_rustls::pki_types::PrivateKeyDer;
 use futures_rustls::rustls::ServerConfig;
-use orchidtally_http_frontend::mqtt::Triggers;
+use orchidtally_http_frontend::mqtt::MessageTriggers;
 use orchidtally_test_servers::broker::{ByteStream, StreamWrapper};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use std::cell::RefCell;
@@ -171,7 +171,7 @@
     let (_, section) = orchidtally_mqtt_triggers::read(&w.text).unwrap();
     let section = section.unwrap();
     let open = || {
-        Triggers::open(section.clone(), 0)
+        MessageTriggers::open(section.clone(), 0)
             .map(|_| ())
             .map_err(|e| e.to_string())
     };
