--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -12,7 +12,7 @@
 
 /// Why the configuration doesn't admit an invocation.
 #[derive(Clone, Debug, Error, PartialEq)]
-pub enum Refusal {
+pub enum AdmissionDenial {
     /// An entry that the invocation uses is disabled.
     #[error("'{key}' is not allowed by the configuration in force; ask whoever writes it")]
     NotAllowed {
@@ -42,14 +42,13 @@
     },
 }
 
-impl Refusal {
+impl AdmissionDenial {
     /// Seconds after which a retry may help; `None` if it won't.
     pub fn retry_after(&self) -> Option<f64> {
         match self {
-            Refusal::NotAllowed { .. } => None,
-            Refusal::Stale { retry_after, .. } | Refusal::NotLoaded { retry_after } => {
-                Some(*retry_after)
-            }
+            AdmissionDenial::NotAllowed { .. } => None,
+            AdmissionDenial::Stale { retry_after, .. }
+            | AdmissionDenial::NotLoaded { retry_after } => Some(*retry_after),
         }
     }
 }
@@ -80,7 +79,7 @@
 /// Decides whether invocations are admitted by the configuration in force.
 pub struct Admission {
     pub(super) host: Rc<FrontEndConfigHost>,
-    pub(super) without_view: UnsyncedBehavior,
+    pub(super) unsynced_behavior: UnsyncedBehavior,
     /// The Retry-After of clients, in seconds.
     pub(super) retry_after: f64,
 }
@@ -93,34 +92,38 @@
 
     /// Ends the configuration host and marks the front end as ended in the store; to be called once it serves nothing.
     pub async fn detach(&self) {
-        self.host.leave().await;
+        self.host.deregister().await;
     }
 
     /// Why an invocation that was admitted under a view, or under none, may not be dispatched now.
-    pub fn refusal(&self, admitted: Option<&ConfigView>, subject: &Subject) -> Option<Refusal> {
+    pub fn denial(
+        &self,
+        admitted: Option<&ConfigView>,
+        subject: &Subject,
+    ) -> Option<AdmissionDenial> {
         subject.keys().find_map(|key| {
             let known = admitted.filter(|view| view.get(&key).is_some());
             let verdict = match known {
                 Some(view) => self.host.still_admits(view, &key),
                 None => self.host.admits(&key),
             };
-            self.refusal_of(verdict, key)
+            self.denial_of(verdict, key)
         })
     }
 
-    fn refusal_of(&self, verdict: Verdict, key: String) -> Option<Refusal> {
+    fn denial_of(&self, verdict: Verdict, key: String) -> Option<AdmissionDenial> {
         let retry_after = self.retry_after;
         match verdict {
             // An entry that the store doesn't have is defined by the deployment file.
             Verdict::Serve | Verdict::Unknown => None,
-            Verdict::RefuseNotAllowed => Some(Refusal::NotAllowed { key }),
-            Verdict::RefuseStale { age } => Some(Refusal::Stale {
+            Verdict::RefuseNotAllowed => Some(AdmissionDenial::NotAllowed { key }),
+            Verdict::RefuseStale { age } => Some(AdmissionDenial::Stale {
                 key,
                 age,
                 retry_after,
             }),
-            Verdict::NotLoaded if self.without_view == UnsyncedBehavior::Serve => None,
-            Verdict::NotLoaded => Some(Refusal::NotLoaded { retry_after }),
+            Verdict::NotLoaded if self.unsynced_behavior == UnsyncedBehavior::Serve => None,
+            Verdict::NotLoaded => Some(AdmissionDenial::NotLoaded { retry_after }),
         }
     }
 }
--- a/crates/http-frontend/src/config/attachment.rs
+++ b/crates/http-frontend/src/config/attachment.rs
@@ -38,7 +38,7 @@
 pub fn attach(
     front_end: &Rc<dyn ConfigurableFrontEnd>,
     configuration: &Configuration,
-    tasks: &Rc<LocalExecutor<'static>>,
+    spawner: &Rc<LocalExecutor<'static>>,
 ) -> Result<Admission, SettingsError> {
     let deployment = front_end.deployment();
     let index = deployment.policy.front_end_index as u32;
@@ -47,7 +47,7 @@
     let mut settings = HostSettings::new(format!("{index}-{incarnation:016x}"));
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
     settings.lease = Duration::from_secs_f64(configuration.lease);
-    let client = Client::new(configuration.endpoints.clone(), tasks.clone());
+    let client = Client::new(configuration.endpoints.clone(), spawner.clone());
     client.set_user_agent(settings.front_end.clone());
     // Front ends spread over the members.
     (0..incarnation % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
@@ -57,12 +57,12 @@
     let target: Weak<dyn ConfigurableFrontEnd> = Rc::downgrade(front_end);
     let sync = sync_settings(configuration);
     let host: Rc<FrontEndConfigHost> =
-        FrontEndConfigHost::new(sync, schema, incarnation, settings, client, tasks, target)?;
+        FrontEndConfigHost::new(sync, schema, incarnation, settings, client, spawner, target)?;
     host.restore();
-    tasks.spawn(host.clone().run()).detach();
+    spawner.spawn(host.clone().run()).detach();
     Ok(Admission {
         host,
-        without_view: configuration.without_view,
+        unsynced_behavior: configuration.without_view,
         retry_after: configuration.proof_interval,
     })
 }
--- a/crates/http-frontend/src/config/backoff.rs
+++ b/crates/http-frontend/src/config/backoff.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 
 /// The first and the longest delay, in seconds.
-const FIRST: f64 = 0.1;
-const LONGEST: f64 = 2.0;
+const INITIAL_DELAY: f64 = 0.1;
+const MAX_DELAY: f64 = 2.0;
 
 /// An exponential backoff with jitter: each delay is drawn between half and one and a half of its length.
 /// Failure mode: front ends lose the store at the same time. Risk: they would reconnect at the same time.
@@ -16,21 +16,21 @@
 impl Default for Backoff {
     fn default() -> Backoff {
         Backoff {
-            next: Cell::new(FIRST),
+            next: Cell::new(INITIAL_DELAY),
         }
     }
 }
 
 impl Backoff {
     /// The delay before the next attempt, in seconds; `drawn` is a random number between 0 and 1.
-    pub fn pause(&self, drawn: f64) -> f64 {
-        let pause = self.next.get();
-        self.next.set((2.0 * pause).min(LONGEST));
-        pause * (0.5 + drawn)
+    pub fn next_delay(&self, random: f64) -> f64 {
+        let delay = self.next.get();
+        self.next.set((2.0 * delay).min(MAX_DELAY));
+        delay * (0.5 + random)
     }
 
     /// Resets the delay after an answer of the store.
     pub fn reset(&self) {
-        self.next.set(FIRST);
+        self.next.set(INITIAL_DELAY);
     }
 }
--- a/crates/http-frontend/src/config/deployment_schema.rs
+++ b/crates/http-frontend/src/config/deployment_schema.rs
@@ -38,12 +38,12 @@
 
 impl DeploymentSchema {
     fn check_trigger_type(&self, spec: &TriggerTypeSpec) -> Result<(), InvalidEntry> {
-        let least = 2.0 * self.answer_margin;
-        if spec.timeout > least {
+        let min_timeout = 2.0 * self.answer_margin;
+        if spec.timeout > min_timeout {
             return Ok(());
         }
         let reason = format!(
-            "the timeout of {} s leaves no time: answers leave {least} s earlier",
+            "the timeout of {} s leaves no time: answers leave {min_timeout} s earlier",
             spec.timeout
         );
         Err(InvalidEntry::new(
@@ -55,17 +55,17 @@
 
 fn check_function(key: &EntryKey, spec: &FunctionSpec) -> Result<(), InvalidEntry> {
     let name = key.name();
-    check_function_name(name).map_err(|wanted| {
+    check_function_name(name).map_err(|expected| {
         InvalidEntry::new(
             format!("'{name}' is no name of a function"),
-            format!("write it under {FUNCTIONS}/ with {wanted}"),
+            format!("write it under {FUNCTIONS}/ with {expected}"),
         )
     })?;
     for version in &spec.versions {
-        check_digest(&version.digest).map_err(|wanted| {
+        check_digest(&version.digest).map_err(|expected| {
             InvalidEntry::new(
                 format!("'{}' is no digest", version.digest),
-                format!("give 'sha256:...': {wanted}"),
+                format!("give 'sha256:...': {expected}"),
             )
         })?;
     }
--- a/crates/http-frontend/src/config/deregistration.rs
+++ b/crates/http-frontend/src/config/deregistration.rs
@@ -18,14 +18,14 @@
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T> {
     /// Disconnects for good, after the front end has stopped serving, and lets writers know that it has ended instead of
     /// being missing. Takes at most a second where the store doesn't answer.
-    pub async fn leave(&self) {
+    pub async fn deregister(&self) {
         let was_connected = self.status().connected;
         self.stop();
         // Without a lease there is no report that a writer could wait for.
         let Some(lease) = self.lease.take().filter(|_| was_connected) else {
             return;
         };
-        match orchidtally_socket_io::with_timeout(DEREGISTRATION_TIMEOUT, self.announce_end(lease))
+        match orchidtally_socket_io::with_timeout(DEREGISTRATION_TIMEOUT, self.report_ended(lease))
             .await
         {
             Some(Ok(())) => {
@@ -41,7 +41,7 @@
     }
 
     /// Revokes the lease first: a report still in flight is deleted with it, or rejected.
-    async fn announce_end(&self, lease: Lease) -> Result<(), ClientError> {
+    async fn report_ended(&self, lease: Lease) -> Result<(), ClientError> {
         let revoke = LeaseRevokeRequest { id: lease.id };
         self.client
             .unary::<LeaseRevokeResponse>(LEASE_REVOKE, &revoke, DEREGISTRATION_TIMEOUT)
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -22,7 +22,7 @@
 }
 
 /// The failure that an error means to the state machine; `None` if the connection or the member is unusable.
-fn refused(fault: &ClientError) -> Option<RequestFailure> {
+fn request_failure(fault: &ClientError) -> Option<RequestFailure> {
     let ClientError::Rejected(status) = fault else {
         return None;
     };
@@ -55,14 +55,14 @@
             keys_only: request.keys_only,
             ..RangeRequest::default()
         };
-        let answered = self
+        let response = self
             .client
             .unary::<RangeResponse>(RANGE, &question, self.settings.request_timeout)
             .await;
         if !self.is_in_session(session) {
             return;
         }
-        match answered {
+        match response {
             Ok(answer) => {
                 // Other responses share the connection, so its counter can't be used.
                 let bytes = answer.encoded_len() + ENVELOPE_BYTES;
@@ -77,7 +77,7 @@
                 };
                 self.feed(|core, now| core.range_answer(now, answer));
             }
-            Err(fault) => self.request_failed(session, request.id, &fault),
+            Err(fault) => self.on_request_failure(session, request.id, &fault),
         }
     }
 
@@ -88,16 +88,16 @@
             key,
             ..RangeRequest::default()
         };
-        let answered = self
+        let response = self
             .client
             .unary::<RangeResponse>(RANGE, &question, self.settings.request_timeout)
             .await;
         if !self.is_in_session(session) {
             return;
         }
-        match answered {
+        match response {
             Ok(answer) => {
-                self.store_answered();
+                self.on_store_response();
                 let header = header(answer.header.as_ref());
                 let generation = answer
                     .kvs
@@ -115,14 +115,14 @@
                     )
                 });
             }
-            Err(fault) => self.request_failed(session, id, &fault),
+            Err(fault) => self.on_request_failure(session, id, &fault),
         }
     }
 
-    fn request_failed(&self, session: u64, id: RequestId, fault: &ClientError) {
-        match refused(fault) {
+    fn on_request_failure(&self, session: u64, id: RequestId, fault: &ClientError) {
+        match request_failure(fault) {
             Some(failure) => self.feed(|core, now| core.request_failed(now, id, failure)),
-            None => self.session_failed(session, fault),
+            None => self.on_session_failure(session, fault),
         }
     }
 }
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -19,7 +19,7 @@
 use tracing::{error, info};
 
 /// The longest time between two checks of the timers, in seconds.
-const LONGEST_WAIT: f64 = 60.0;
+const MAX_WAIT: f64 = 60.0;
 
 /// Configuration distribution at one front end, on sockets. It lives on one thread.
 pub struct ConfigHost<S: Schema, T> {
@@ -27,15 +27,15 @@
     pub(super) settings: HostSettings,
     pub(super) client: Client,
     pub(super) target: T,
-    tasks: Weak<LocalExecutor<'static>>,
+    spawner: Weak<LocalExecutor<'static>>,
     /// Counts connections; results that belong to an earlier one are ignored.
     pub(super) session: Cell<u64>,
     pub(super) is_connected: Cell<bool>,
-    pub(super) connect_at: Cell<f64>,
+    pub(super) reconnect_at: Cell<f64>,
     /// No member has answered since the connection to one failed.
     pub(super) is_unreachable: Cell<bool>,
     pub(super) backoff: Backoff,
-    watch: RefCell<Option<Watching>>,
+    watch: RefCell<Option<OpenWatch>>,
     pub(super) lease: Cell<Option<Lease>>,
     pub(super) pending_view: RefCell<Option<PendingView<S::Entry>>>,
     pub(super) applied_at: Cell<f64>,
@@ -47,9 +47,9 @@
 }
 
 /// The open watch, which ends when dropped.
-struct Watching {
+struct OpenWatch {
     _task: Option<Task<()>>,
-    asks: async_channel::Sender<()>,
+    progress_requests: async_channel::Sender<()>,
 }
 
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T>
@@ -66,7 +66,7 @@
         seed: u64,
         settings: HostSettings,
         client: Client,
-        tasks: &Rc<LocalExecutor<'static>>,
+        spawner: &Rc<LocalExecutor<'static>>,
         target: T,
     ) -> Result<Rc<ConfigHost<S, T>>, SettingsError> {
         let core = ConfigSync::new(sync, schema, seed, boot_time())?;
@@ -75,10 +75,10 @@
             settings,
             client,
             target,
-            tasks: Rc::downgrade(tasks),
+            spawner: Rc::downgrade(spawner),
             session: Cell::new(0),
             is_connected: Cell::new(false),
-            connect_at: Cell::new(f64::NEG_INFINITY),
+            reconnect_at: Cell::new(f64::NEG_INFINITY),
             is_unreachable: Cell::new(false),
             backoff: Backoff::default(),
             watch: RefCell::default(),
@@ -116,19 +116,19 @@
         if let Some(revision) = restored.revision {
             info!(revision, "configuration restored from its snapshot");
         }
-        self.perform();
+        self.perform_actions();
     }
 
     /// Follows the store for as long as the task lives.
     pub async fn run(self: Rc<Self>) {
         loop {
-            if !self.is_connected.get() && self.now() >= self.connect_at.get() {
+            if !self.is_connected.get() && self.now() >= self.reconnect_at.get() {
                 self.connect();
             }
-            self.perform();
+            self.perform_actions();
             self.apply_pending_view();
             self.write_next_snapshot();
-            let wait = (self.next_timer() - self.now()).clamp(0.0, LONGEST_WAIT);
+            let wait = (self.next_timer() - self.now()).clamp(0.0, MAX_WAIT);
             // The host itself owns the sender, so the channel stays open.
             let woken = async {
                 let _ = self.wake.1.recv().await;
@@ -140,7 +140,7 @@
     /// Disconnects for good, as a process that dies. The lease in the store expires.
     pub fn stop(&self) {
         self.is_connected.set(false);
-        self.connect_at.set(f64::INFINITY);
+        self.reconnect_at.set(f64::INFINITY);
         drop(self.watch.take());
         self.core.borrow_mut().disconnected(self.now());
     }
@@ -149,7 +149,7 @@
         let connect = if self.is_connected.get() {
             f64::INFINITY
         } else {
-            self.connect_at.get()
+            self.reconnect_at.get()
         };
         let retry = self
             .pending_view
@@ -170,19 +170,19 @@
         drop(self.watch.take());
         self.core.borrow_mut().connected(self.now());
         let (host, session) = (self.clone(), self.session.get());
-        self.spawn(async move { host.keep_lease(session).await });
+        self.spawn(async move { host.renew_lease_until_disconnected(session).await });
     }
 
     /// Performs all pending actions of the state machine.
-    fn perform(self: &Rc<Self>) {
+    fn perform_actions(self: &Rc<Self>) {
         loop {
             let action = self.core.borrow_mut().poll(self.now());
             let Some(action) = action else { break };
-            self.perform_one(action);
+            self.perform_action(action);
         }
     }
 
-    fn perform_one(self: &Rc<Self>, action: Action<S::Entry>) {
+    fn perform_action(self: &Rc<Self>, action: Action<S::Entry>) {
         let (host, session) = (self.clone(), self.session.get());
         match action {
             Action::Watch { from_revision } => self.watch(from_revision),
@@ -192,9 +192,9 @@
                 self.client.fail_over();
             }
             Action::RequestProgress => {
-                if let Some(watching) = &*self.watch.borrow() {
+                if let Some(open_watch) = &*self.watch.borrow() {
                     // A request that is queued already has the same effect.
-                    let _ = watching.asks.try_send(());
+                    let _ = open_watch.progress_requests.try_send(());
                 }
             }
             Action::Read(request) => self.spawn(async move { host.read(session, request).await }),
@@ -206,12 +206,18 @@
     }
 
     fn watch(self: &Rc<Self>, from_revision: i64) {
-        let (asks, asked) = async_channel::bounded(1);
+        let (progress_requests, progress_requested) = async_channel::bounded(1);
         let (host, session) = (self.clone(), self.session.get());
-        let task = self.tasks.upgrade().map(|tasks| {
-            tasks.spawn(async move { host.follow_watch(session, from_revision, asked).await })
+        let task = self.spawner.upgrade().map(|spawner| {
+            spawner.spawn(async move {
+                host.follow_watch(session, from_revision, progress_requested)
+                    .await
+            })
         });
-        self.watch.replace(Some(Watching { _task: task, asks }));
+        self.watch.replace(Some(OpenWatch {
+            _task: task,
+            progress_requests,
+        }));
     }
 
     fn report(self: &Rc<Self>, report: Report) {
@@ -231,8 +237,8 @@
     }
 
     pub(super) fn spawn(&self, work: impl Future<Output = ()> + 'static) {
-        if let Some(tasks) = self.tasks.upgrade() {
-            tasks.spawn(work).detach();
+        if let Some(spawner) = self.spawner.upgrade() {
+            spawner.spawn(work).detach();
         }
     }
 }
--- a/crates/http-frontend/src/config/lease.rs
+++ b/crates/http-frontend/src/config/lease.rs
@@ -5,5 +5,5 @@
 pub(super) struct Lease {
     pub(super) id: i64,
     /// The store keeps the lease at least until then, in seconds of [`super::boot_time`].
-    pub(super) until: f64,
+    pub(super) valid_until: f64,
 }
--- a/crates/http-frontend/src/config/lease_renewal.rs
+++ b/crates/http-frontend/src/config/lease_renewal.rs
@@ -14,12 +14,16 @@
 use tracing::warn;
 
 /// Renewals within the time to live of a lease.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TTL: u32 = 3;
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// The current lease, or a new one.
     pub(super) async fn lease(&self) -> Result<Lease, ClientError> {
-        if let Some(lease) = self.lease.get().filter(|lease| self.now() < lease.until) {
+        if let Some(lease) = self
+            .lease
+            .get()
+            .filter(|lease| self.now() < lease.valid_until)
+        {
             return Ok(lease);
         }
         let lease = self.grant_lease(self.settings.lease).await?;
@@ -29,34 +33,34 @@
 
     /// Grants a new lease.
     pub(super) async fn grant_lease(&self, time_to_live: Duration) -> Result<Lease, ClientError> {
-        let asked_at = self.now();
-        let question = LeaseGrantRequest {
+        let requested_at = self.now();
+        let request = LeaseGrantRequest {
             ttl: time_to_live.as_secs().max(1) as i64,
             id: 0,
         };
         let granted: LeaseGrantResponse = self
             .client
-            .unary(LEASE_GRANT, &question, self.settings.request_timeout)
+            .unary(LEASE_GRANT, &request, self.settings.request_timeout)
             .await?;
         Ok(Lease {
             id: granted.id,
-            until: asked_at + granted.ttl as f64,
+            valid_until: requested_at + granted.ttl as f64,
         })
     }
 
     /// Renews the lease for as long as the session lasts.
-    pub(super) async fn keep_lease(&self, session: u64) {
-        let mut renewing: Option<BidirectionalStream<LeaseKeepAliveResponse>> = None;
+    pub(super) async fn renew_lease_until_disconnected(&self, session: u64) {
+        let mut renewal_stream: Option<BidirectionalStream<LeaseKeepAliveResponse>> = None;
         while self.is_in_session(session) {
-            Timer::after(self.settings.lease / RENEWALS).await;
+            Timer::after(self.settings.lease / RENEWALS_PER_TTL).await;
             let Some(lease) = self.lease.get().filter(|_| self.is_in_session(session)) else {
                 continue;
             };
-            match self.renew(lease, &mut renewing).await {
+            match self.renew(lease, &mut renewal_stream).await {
                 Ok(Some(renewed)) => self.lease.set(Some(renewed)),
-                Ok(None) => self.lease_lost(),
+                Ok(None) => self.on_lease_expired(),
                 Err(fault) => {
-                    self.session_failed(session, &fault);
+                    self.on_session_failure(session, &fault);
                     return;
                 }
             }
@@ -67,33 +71,33 @@
     async fn renew(
         &self,
         lease: Lease,
-        renewing: &mut Option<BidirectionalStream<LeaseKeepAliveResponse>>,
+        renewal_stream: &mut Option<BidirectionalStream<LeaseKeepAliveResponse>>,
     ) -> Result<Option<Lease>, ClientError> {
-        let asked_at = self.now();
-        let question = LeaseKeepAliveRequest { id: lease.id };
-        let stream = match renewing {
+        let requested_at = self.now();
+        let request = LeaseKeepAliveRequest { id: lease.id };
+        let stream = match renewal_stream {
             Some(stream) => {
-                stream.send(&question)?;
+                stream.send(&request)?;
                 stream
             }
-            None => renewing.insert(
+            None => renewal_stream.insert(
                 self.client
-                    .open_stream(LEASE_KEEP_ALIVE, &question, self.settings.request_timeout)
+                    .open_stream(LEASE_KEEP_ALIVE, &request, self.settings.request_timeout)
                     .await?,
             ),
         };
-        let answer =
+        let response =
             orchidtally_socket_io::with_timeout(self.settings.request_timeout, stream.next()).await;
-        let answer = answer.unwrap_or(Err(ClientError::TimedOut))?;
+        let response = response.unwrap_or(Err(ClientError::TimedOut))?;
         let renewed = Lease {
             id: lease.id,
-            until: asked_at + answer.ttl as f64,
+            valid_until: requested_at + response.ttl as f64,
         };
-        Ok((answer.ttl > 0).then_some(renewed))
+        Ok((response.ttl > 0).then_some(renewed))
     }
 
     /// The lease has expired, and the report with it: it is written again under a new lease.
-    fn lease_lost(&self) {
+    fn on_lease_expired(&self) {
         warn!(
             "lease of the configuration report expired while this front end runs: reporting again"
         );
--- a/crates/http-frontend/src/config/mod.rs
+++ b/crates/http-frontend/src/config/mod.rs
@@ -29,7 +29,7 @@
 mod view_application;
 mod watch;
 
-pub use admission::{Admission, Refusal, Subject};
+pub use admission::{Admission, AdmissionDenial, Subject};
 pub use attachment::{attach, sync_settings};
 pub use clock::boot_time;
 pub use deployment_schema::DeploymentSchema;
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -30,12 +30,12 @@
 impl Overlay<'_> {
     /// All trigger types: those of the file in its order, then those that only the store has, by name.
     pub fn trigger_types(&self) -> Vec<(TriggerTypeSettings, TriggerType)> {
-        let listed = self
+        let from_file = self
             .deployment
             .trigger_types
             .iter()
             .zip(&self.deployment.policy.trigger_types);
-        let mut all: Vec<(TriggerTypeSettings, TriggerType)> = listed
+        let mut all: Vec<(TriggerTypeSettings, TriggerType)> = from_file
             .map(|(trigger, policy)| (trigger.clone(), policy.clone()))
             .collect();
         for (name, spec) in self.stored_trigger_types() {
@@ -52,8 +52,8 @@
 
     /// All customers with their quotas: those of the file in its order, then those that only the store has, by name.
     pub fn customers(&self) -> Vec<(String, f64)> {
-        let listed = self.deployment.customers.iter().cloned();
-        let mut all: Vec<(String, f64)> = listed
+        let from_file = self.deployment.customers.iter().cloned();
+        let mut all: Vec<(String, f64)> = from_file
             .zip(self.deployment.policy.quotas.iter().copied())
             .collect();
         for (name, quota) in self.stored_quotas() {
@@ -102,11 +102,11 @@
 
     fn stored_quotas(&self) -> BTreeMap<&str, f64> {
         let of_kind = self.view.into_iter().flat_map(|view| view.of_kind(QUOTAS));
-        let shares = of_kind.filter_map(|(key, record)| match &record.entry {
+        let quotas = of_kind.filter_map(|(key, record)| match &record.entry {
             GatewayEntry::Quota(spec) => Some((key.name(), spec.calls_per_second)),
             GatewayEntry::TriggerType(_) | GatewayEntry::Function(_) => None,
         });
-        shares.collect()
+        quotas.collect()
     }
 }
 
@@ -136,7 +136,7 @@
         .iter()
         .map(|version| self::version(name, version))
         .collect();
-    let place = |digest: &String| {
+    let position = |digest: &String| {
         spec.versions
             .iter()
             .position(|version| version.digest == *digest)
@@ -144,7 +144,7 @@
     let named = spec
         .aliases
         .iter()
-        .filter_map(|(alias, digest)| Some((alias.clone(), place(digest)?)));
+        .filter_map(|(alias, digest)| Some((alias.clone(), position(digest)?)));
     let mut aliases: BTreeMap<String, usize> = named.collect();
     aliases.entry(STABLE.into()).or_insert(0);
     Function {
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -29,7 +29,7 @@
                 }
                 self.feed(|core, now| core.report_failed(now, sequence));
             }
-            Err(fault) => self.session_failed(session, &fault),
+            Err(fault) => self.on_session_failure(session, &fault),
         }
     }
 
--- a/crates/http-frontend/src/config/session.rs
+++ b/crates/http-frontend/src/config/session.rs
@@ -25,7 +25,7 @@
     }
 
     /// The store has answered a request that needs its quorum.
-    pub(super) fn store_answered(&self) {
+    pub(super) fn on_store_response(&self) {
         self.backoff.reset();
         if self.is_unreachable.replace(false) {
             info!(endpoint = ?self.client.endpoint(), "configuration store reachable again");
@@ -33,7 +33,7 @@
     }
 
     /// Ends the session; the next member is tried after a backoff.
-    pub(super) fn session_failed(&self, session: u64, fault: &ClientError) {
+    pub(super) fn on_session_failure(&self, session: u64, fault: &ClientError) {
         if !self.is_in_session(session) {
             return;
         }
@@ -45,8 +45,8 @@
         }
         self.is_connected.set(false);
         self.client.fail_over();
-        self.connect_at
-            .set(self.now() + self.backoff.pause(rand::random()));
+        self.reconnect_at
+            .set(self.now() + self.backoff.next_delay(rand::random()));
         self.feed(|core, now| core.disconnected(now));
     }
 
--- a/crates/http-frontend/src/config/snapshot_file.rs
+++ b/crates/http-frontend/src/config/snapshot_file.rs
@@ -28,11 +28,11 @@
     /// The snapshots on disk, newest first, and the errors of files that can't be read. A missing file is no error.
     pub fn read(&self) -> (Vec<Vec<u8>>, Vec<io::Error>) {
         let (mut found, mut errors) = (vec![], vec![]);
-        for path in [self.path.clone(), self.beside("previous")] {
+        for path in [self.path.clone(), self.with_suffix("previous")] {
             match read_bounded(&path) {
                 Ok(bytes) => found.push(bytes),
                 Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-                Err(error) => errors.push(named(&path, &error)),
+                Err(error) => errors.push(with_path(&path, &error)),
             }
         }
         (found, errors)
@@ -44,27 +44,27 @@
     /// The previous snapshot still exists then, under one of the two names.
     pub fn replace(&self, bytes: &[u8]) -> io::Result<()> {
         self.try_replace(bytes)
-            .map_err(|error| named(&self.path, &error))
+            .map_err(|error| with_path(&self.path, &error))
     }
 
     fn try_replace(&self, bytes: &[u8]) -> io::Result<()> {
-        let new = self.beside("new");
+        let new = self.with_suffix("new");
         let mut file = File::create(&new)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        match fs::rename(&self.path, self.beside("previous")) {
+        match fs::rename(&self.path, self.with_suffix("previous")) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
             _ => {}
         }
         fs::rename(&new, &self.path)?;
-        let folder = self
+        let directory = self
             .path
             .parent()
-            .filter(|folder| !folder.as_os_str().is_empty());
-        File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
+            .filter(|directory| !directory.as_os_str().is_empty());
+        File::open(directory.unwrap_or(Path::new(".")))?.sync_all()
     }
 
-    fn beside(&self, suffix: &str) -> PathBuf {
+    fn with_suffix(&self, suffix: &str) -> PathBuf {
         let mut name = OsString::from(self.path.as_os_str());
         name.push(".");
         name.push(suffix);
@@ -78,6 +78,6 @@
     Ok(bytes)
 }
 
-fn named(path: &Path, error: &io::Error) -> io::Error {
+fn with_path(path: &Path, error: &io::Error) -> io::Error {
     io::Error::new(error.kind(), format!("{}: {error}", path.display()))
 }
--- a/crates/http-frontend/src/config/snapshot_writer.rs
+++ b/crates/http-frontend/src/config/snapshot_writer.rs
@@ -47,12 +47,12 @@
                     .unwrap_or_else(|_| Err(io::Error::other("its thread ended"))),
                 Err(error) => Err(error),
             };
-            host.snapshot_written(written, bytes);
+            host.on_snapshot_written(written, bytes);
         });
     }
 
     /// Handles the result of a write. A failed one is retried later, unless there is a newer snapshot.
-    fn snapshot_written(self: &Rc<Self>, written: io::Result<()>, bytes: Arc<Vec<u8>>) {
+    fn on_snapshot_written(self: &Rc<Self>, written: io::Result<()>, bytes: Arc<Vec<u8>>) {
         let fault = written.err().map(|error| error.to_string());
         if let Some(fault) = &fault {
             error!(
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -31,58 +31,62 @@
     pub(super) async fn follow_watch(
         &self,
         session: u64,
-        from: i64,
-        asks: async_channel::Receiver<()>,
+        from_revision: i64,
+        progress_requests: async_channel::Receiver<()>,
     ) {
-        if let Err(fault) = self.try_follow(session, from, &asks).await
+        if let Err(fault) = self
+            .follow_until_end(session, from_revision, &progress_requests)
+            .await
             && self.is_in_session(session)
         {
-            self.session_failed(session, &fault);
+            self.on_session_failure(session, &fault);
         }
     }
 
-    async fn try_follow(
+    async fn follow_until_end(
         &self,
         session: u64,
-        from: i64,
-        asks: &async_channel::Receiver<()>,
+        from_revision: i64,
+        progress_requests: &async_channel::Receiver<()>,
     ) -> Result<(), ClientError> {
         let prefix = self.core.borrow().keyspace().entries().start;
-        let mut watch = Watch::new(prefix, from);
-        let mut both: BidirectionalStream<WatchResponse> = self
+        let mut watch = Watch::new(prefix, from_revision);
+        let mut stream: BidirectionalStream<WatchResponse> = self
             .client
             .open_stream(WATCH, &watch.request(), self.settings.request_timeout)
             .await?;
-        let mut is_quiet = false;
+        let mut is_silent = false;
         loop {
             let received = self.client.traffic().received();
-            let next = async { Some(both.next().await) };
-            let asked = async {
+            let next = async { Some(stream.next().await) };
+            let progress_requested = async {
                 // The channel stays open as long as the watch is wanted.
-                let _ = asks.recv().await;
+                let _ = progress_requests.recv().await;
                 None
             };
-            let half = self.settings.request_timeout / 2;
-            let next =
-                orchidtally_socket_io::with_timeout(half, futures_lite::future::or(next, asked))
-                    .await;
+            let half_timeout = self.settings.request_timeout / 2;
+            let next = orchidtally_socket_io::with_timeout(
+                half_timeout,
+                futures_lite::future::or(next, progress_requested),
+            )
+            .await;
             if !self.is_in_session(session) {
                 return Ok(());
             }
             match next {
                 Some(Some(response)) => {
-                    is_quiet = false;
+                    is_silent = false;
                     if !self.on_watch_events(watch.on_response(response?)) {
                         return Ok(());
                     }
                 }
-                Some(None) => both.send(&progress_request())?,
+                Some(None) => stream.send(&progress_request())?,
                 // Other responses on the connection show that the store is reachable as well.
-                None if self.client.traffic().received() > received => is_quiet = false,
-                None if is_quiet => return Err(ClientError::TimedOut),
+                None if self.client.traffic().received() > received => is_silent = false,
+                None if is_silent => return Err(ClientError::TimedOut),
                 None => {
-                    is_quiet = true;
-                    both.send(&progress_request())?;
+                    is_silent = true;
+                    stream.send(&progress_request())?;
                 }
             }
         }
@@ -93,17 +97,23 @@
         for event in events {
             match event {
                 WatchEvent::Created => {}
-                WatchEvent::Events { header: of, events } => {
+                WatchEvent::Events {
+                    header: batch_header,
+                    events,
+                } => {
                     let changes = events.into_iter().filter_map(change).collect();
                     let batch = WatchBatch {
-                        header: header(Some(&of)),
+                        header: header(Some(&batch_header)),
                         changes,
                         complete: true,
                     };
                     self.feed(|core, now| core.watch_batch(now, batch));
                 }
-                WatchEvent::Progress { header: of, .. } => {
-                    self.feed(|core, now| core.watch_progress(now, header(Some(&of))));
+                WatchEvent::Progress {
+                    header: batch_header,
+                    ..
+                } => {
+                    self.feed(|core, now| core.watch_progress(now, header(Some(&batch_header))));
                 }
                 WatchEvent::Compacted { revision } => {
                     self.feed(|core, now| core.watch_compacted(now, revision));
--- a/crates/http-frontend/src/durable_invocation_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -12,9 +12,9 @@
 use tracing::{error, info};
 
 /// The longest body that is retained with its answer, in bytes.
-const MAX_BODY: usize = 64 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024;
 /// The most entries that are queued for the disk.
-const MAX_WAITING: usize = 65_536;
+const MAX_QUEUED_ENTRIES: usize = 65_536;
 /// The fraction of the journal's length limit above which its entries are replaced by a snapshot.
 const SNAPSHOT_THRESHOLD: f64 = 0.5;
 /// Bytes that the journal adds to each entry.
@@ -28,7 +28,7 @@
     entry_bytes: Cell<u64>,
     max_bytes: u64,
     /// An entry was not persisted: a snapshot has to succeed before another invocation begins.
-    failed: Cell<bool>,
+    has_failed: Cell<bool>,
 }
 
 /// No durable invocation can begin, because the journal can't be written.
@@ -37,18 +37,18 @@
 pub struct JournalUnavailable;
 
 /// Decodes the records of a journal, in order.
-fn read_records(folder: &Path, found: &Recovered) -> io::Result<Vec<Record>> {
-    let mut records: Vec<Record> = match &found.snapshot {
+fn read_records(folder: &Path, recovered: &Recovered) -> io::Result<Vec<Record>> {
+    let mut records: Vec<Record> = match &recovered.snapshot {
         Some(snapshot) => serde_json::from_slice(snapshot).map_err(io::Error::from)?,
         None => vec![],
     };
-    for entry in &found.entries {
+    for entry in &recovered.entries {
         let record = serde_json::from_slice(entry).map_err(|e| {
-            let what = format!(
+            let message = format!(
                 "{}: an entry can't be read, so that nothing is served: {e}",
                 folder.display()
             );
-            io::Error::new(io::ErrorKind::InvalidData, what)
+            io::Error::new(io::ErrorKind::InvalidData, message)
         })?;
         records.push(record);
     }
@@ -65,10 +65,10 @@
             return Ok(None);
         };
         let folder = settings.folder(deployment.policy.front_end_index as u32);
-        let (journal, found) = Journal::open(&folder)?;
-        let records = read_records(&folder, &found)?;
+        let (journal, recovered) = Journal::open(&folder)?;
+        let records = read_records(&folder, &recovered)?;
         let invocations =
-            DurableInvocations::new(settings.retention, settings.max_retained, MAX_BODY)
+            DurableInvocations::new(settings.retention, settings.max_retained, MAX_BODY_BYTES)
                 .recover(&records, now);
         if !invocations.is_empty() {
             info!(
@@ -79,9 +79,9 @@
         Ok(Some(DurableInvocationStore {
             invocations: RefCell::new(invocations),
             entry_bytes: Cell::new(journal.length()),
-            journal: GroupCommit::new(journal, MAX_WAITING),
+            journal: GroupCommit::new(journal, MAX_QUEUED_ENTRIES),
             max_bytes: settings.max_bytes,
-            failed: Cell::new(false),
+            has_failed: Cell::new(false),
         }))
     }
 
@@ -105,7 +105,7 @@
         });
         let is_persisted = queued.is_ok() && result.await.unwrap_or(false);
         if !is_persisted {
-            self.failed.set(true);
+            self.has_failed.set(true);
         }
         is_persisted
     }
@@ -122,7 +122,7 @@
         });
         let is_replaced = queued.is_ok() && result.await.unwrap_or(false);
         if is_replaced {
-            self.failed.set(false);
+            self.has_failed.set(false);
             self.entry_bytes.set(0);
         }
         is_replaced
@@ -130,7 +130,7 @@
 
     fn needs_snapshot(&self) -> bool {
         let is_long = self.entry_bytes.get() as f64 > SNAPSHOT_THRESHOLD * self.max_bytes as f64;
-        self.failed.get() || is_long
+        self.has_failed.get() || is_long
     }
 
     /// Begins an invocation under a name. The start of a new one is persisted when this returns.
@@ -153,10 +153,10 @@
             durable_invocation_store: self.clone(),
             name: name.to_owned(),
             now,
-            open: true,
+            is_open: true,
         };
         if !self.persist(record).await {
-            persisted.open = false;
+            persisted.is_open = false;
             self.invocations.borrow_mut().forget(name);
             return Err(JournalUnavailable);
         }
@@ -169,35 +169,37 @@
     durable_invocation_store: Rc<DurableInvocationStore>,
     name: String,
     now: f64,
-    open: bool,
+    is_open: bool,
 }
 
 impl PersistedInvocation {
     /// Records the final answer. It is persisted when this returns, unless the journal can't be written; it is kept in
     /// memory in any case.
-    pub async fn record_answer(mut self, now: f64, ran: bool, status: u16, body: &Bytes) {
-        self.open = false;
-        let record = self
-            .durable_invocation_store
-            .invocations
-            .borrow_mut()
-            .end(now, &self.name, ran, status, body);
+    pub async fn record_answer(mut self, now: f64, may_have_run: bool, status: u16, body: &Bytes) {
+        self.is_open = false;
+        let record = self.durable_invocation_store.invocations.borrow_mut().end(
+            now,
+            &self.name,
+            may_have_run,
+            status,
+            body,
+        );
         self.durable_invocation_store.persist(&record).await;
     }
 }
 
 impl Drop for PersistedInvocation {
     fn drop(&mut self) {
-        if !self.open {
+        if !self.is_open {
             return;
         }
-        let left = self
+        let cancelled = self
             .durable_invocation_store
             .invocations
             .borrow_mut()
             .client_cancelled(self.now, &self.name);
         // Without this entry the outcome is unknown after a crash as well.
-        let entry = left.and_then(|record| serde_json::to_vec(&record).ok());
+        let entry = cancelled.and_then(|record| serde_json::to_vec(&record).ok());
         if let Some(entry) = entry {
             let _ = self.durable_invocation_store.journal.append(entry, |_| {});
         }
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -33,7 +33,7 @@
     UnknownKind,
     /// It has not answered a ping in time.
     #[error("it did not answer in time")]
-    Silent,
+    TimedOut,
 }
 
 /// Converts a row of an endpoint list to an endpoint of the deployment.
@@ -49,7 +49,7 @@
     if !deployment.allows_address(address) {
         return Err(EntryError::AddressNotAllowed);
     }
-    let place = |names: &[String], name: &str, category: &'static str| {
+    let position = |names: &[String], name: &str, category: &'static str| {
         let first = name.is_empty().then_some(0);
         let found = first.or_else(|| names.iter().position(|n| n == name));
         found
@@ -72,8 +72,8 @@
     };
     Ok(Endpoint {
         executor: ExecutorId(address.ip(), address.port()),
-        zone: place(&deployment.locations, &row.location, "location")?,
-        kind: place(&deployment.kinds, &row.kind, "kind")?,
+        zone: position(&deployment.locations, &row.location, "location")?,
+        kind: position(&deployment.kinds, &row.kind, "kind")?,
         cell: u16::try_from(row.cell).map_err(|_| EntryError::CellOutOfRange(row.cell))?,
         state,
         weight: row.weight,
@@ -94,23 +94,21 @@
     router: &Rc<Router>,
     address: SocketAddr,
 ) -> Result<std::convert::Infallible, WatchError> {
-    let bounds = &router.deployment.limits;
+    let deployment_limits = &router.deployment.limits;
     let limits = ConnectionLimits {
-        streams_per_connection: 1,
+        max_streams_per_connection: 1,
         connections: 1,
-        connect_time: Duration::from_secs_f64(bounds.connect_timeout),
-        idle_close: Duration::ZERO,
-        header_bytes: bounds.max_header_bytes,
+        connect_timeout: Duration::from_secs_f64(deployment_limits.connect_timeout),
+        idle_timeout: Duration::ZERO,
+        max_header_bytes: deployment_limits.max_header_bytes,
     };
     let pool = Pool::new(address, limits, router.spawner());
-    let question = frame(&v1::RosterWatch {
+    let request = frame(&v1::RosterWatch {
         from: Some(router.sender.get()),
     });
-    let asked_at = router.now();
+    let requested_at = router.now();
     let first = async {
-        let mut incoming = pool
-            .begin(ENDPOINT_LIST_PATH, || Some(question), &[])
-            .await?;
+        let mut incoming = pool.send(ENDPOINT_LIST_PATH, || Some(request), &[]).await?;
         Ok((
             incoming
                 .message::<v1::RosterUpdate>(MAX_ENDPOINT_LIST_LENGTH)
@@ -120,15 +118,15 @@
     };
     let first = orchidtally_socket_io::with_timeout(PING_TIMEOUT, first)
         .await
-        .ok_or(WatchError::Silent)?;
+        .ok_or(WatchError::TimedOut)?;
     let (list, incoming) = first.map_err(WatchError::Connection)?;
     info!(%address, executors = list.rows.len(), "first endpoint list received");
     apply_update(router, &list)?;
-    router.on_endpoints_confirmed(asked_at);
+    router.on_endpoints_confirmed(requested_at);
     let pinger = incoming.pinger();
     // Updates that arrived before the answer to a ping are applied before it.
     future::or(
-        apply_changes(router, incoming),
+        apply_updates(router, incoming),
         ping_publisher(router, &pinger),
     )
     .await
@@ -142,7 +140,7 @@
         v1::RosterKind::RosterUnspecified => return Err(WatchError::UnknownKind),
     };
     let now = router.now();
-    let read =
+    let decode =
         |roster_row: &v1::RosterRow| match endpoint_from_row(&router.deployment, roster_row, now) {
             Ok(row) => Some(row),
             Err(error) => {
@@ -150,14 +148,14 @@
                 None
             }
         };
-    let rows: Vec<Endpoint> = update.rows.iter().filter_map(read).collect();
+    let rows: Vec<Endpoint> = update.rows.iter().filter_map(decode).collect();
     router.run_engine(|engine, now, action_executor| {
         engine.on_endpoint_update(now, kind, &rows, action_executor)
     });
     Ok(())
 }
 
-async fn apply_changes(
+async fn apply_updates(
     router: &Router,
     mut incoming: Incoming,
 ) -> Result<std::convert::Infallible, WatchError> {
@@ -175,11 +173,11 @@
 ) -> Result<std::convert::Infallible, WatchError> {
     loop {
         Timer::after(PING_INTERVAL).await;
-        let asked_at = router.now();
+        let requested_at = router.now();
         let answered = orchidtally_socket_io::with_timeout(PING_TIMEOUT, pinger.ping()).await;
         answered
-            .ok_or(WatchError::Silent)?
+            .ok_or(WatchError::TimedOut)?
             .map_err(WatchError::Connection)?;
-        router.on_endpoints_confirmed(asked_at);
+        router.on_endpoints_confirmed(requested_at);
     }
 }
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -9,7 +9,7 @@
 use orchidtally_membership::{EntryChange, EntryError, StoreRevision};
 
 /// The store and the revision of an answer.
-pub(super) fn stamp(header: &ResponseHeader) -> StoreRevision {
+pub(super) fn store_revision(header: &ResponseHeader) -> StoreRevision {
     StoreRevision {
         cluster: header.cluster_id,
         revision: header.revision,
@@ -17,7 +17,7 @@
 }
 
 /// An entry as a list has it.
-pub(super) fn listed(entry: &KeyValue) -> EntryChange<'_> {
+pub(super) fn entry_change(entry: &KeyValue) -> EntryChange<'_> {
     EntryChange {
         key: &entry.key,
         value: Some(&entry.value[..]),
@@ -32,7 +32,7 @@
 }
 
 fn changed(event: &Event) -> Option<EntryChange<'_>> {
-    let change = listed(event.kv.as_ref()?);
+    let change = entry_change(event.kv.as_ref()?);
     let is_deleted = event.r#type() == EventType::Delete;
     Some(EntryChange {
         value: change.value.filter(|_| !is_deleted),
@@ -41,7 +41,7 @@
 }
 
 /// The index of a front end by the key of its entry.
-pub(super) fn index(key: &[u8]) -> Option<u32> {
+pub(super) fn front_end_index(key: &[u8]) -> Option<u32> {
     std::str::from_utf8(key)
         .ok()?
         .rsplit('/')
@@ -51,7 +51,7 @@
 }
 
 /// Decodes an executor's entry.
-pub(super) fn executor(
+pub(super) fn decode_executor(
     deployment: &Deployment,
     key: &[u8],
     value: &[u8],
@@ -63,32 +63,32 @@
     let address = key
         .and_then(|key| key.rsplit('/').next())
         .ok_or(EntryError::MissingAddress)?;
-    let text = |name: &str| {
+    let string_field = |name: &str| {
         fields
             .get(name)
             .and_then(|field| field.as_str())
             .unwrap_or_default()
             .to_owned()
     };
-    let number = |field: &'static str, absent: f64| {
+    let number_field = |field: &'static str, default: f64| {
         fields
             .get(field)
-            .map_or(Some(absent), serde_json::Value::as_f64)
+            .map_or(Some(default), serde_json::Value::as_f64)
             .ok_or(EntryError::NotANumber { field })
     };
-    let state = match text("standing").as_str() {
+    let state = match string_field("standing").as_str() {
         "ready" => v1::Standing::Ready,
         "draining" => v1::Standing::Draining,
         other => return Err(EntryError::UnknownState(other.into())),
     };
     let roster_row = v1::RosterRow {
         address: address.into(),
-        location: text("location"),
-        kind: text("kind"),
-        cell: number("cell", 0.0)? as u32,
+        location: string_field("location"),
+        kind: string_field("kind"),
+        cell: number_field("cell", 0.0)? as u32,
         standing: state.into(),
-        weight: number("weight", 1.0)?,
-        since: number("since", 0.0)?,
+        weight: number_field("weight", 1.0)?,
+        since: number_field("since", 0.0)?,
     };
     endpoint_from_row(deployment, &roster_row, now)
 }
--- a/crates/http-frontend/src/etcd/executors.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -34,30 +34,33 @@
         self.host.cache().borrow().next_request()
     }
 
-    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
+    fn on_list(&self, requested_at: f64, header: &ResponseHeader, list: &[KeyValue]) {
         let now = self.host.now();
-        let list: Vec<EntryChange> = list.iter().map(entries::listed).collect();
-        let read =
-            |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
-        let update =
-            self.host
-                .cache()
-                .borrow_mut()
-                .apply_list(now, entries::stamp(header), &list, &read);
+        let list: Vec<EntryChange> = list.iter().map(entries::entry_change).collect();
+        let decode = |key: &[u8], value: &[u8]| {
+            entries::decode_executor(self.host.deployment(), key, value, now)
+        };
+        let update = self.host.cache().borrow_mut().apply_list(
+            now,
+            entries::store_revision(header),
+            &list,
+            &decode,
+        );
         self.notify_host(update);
-        self.host.on_endpoints_confirmed(began);
+        self.host.on_endpoints_confirmed(requested_at);
     }
 
     fn on_events(&self, header: &ResponseHeader, events: &[Event]) {
         let now = self.host.now();
         let changes = entries::changes(events);
-        let read =
-            |key: &[u8], value: &[u8]| entries::executor(self.host.deployment(), key, value, now);
+        let decode = |key: &[u8], value: &[u8]| {
+            entries::decode_executor(self.host.deployment(), key, value, now)
+        };
         let update = self.host.cache().borrow_mut().apply_events(
             now,
-            entries::stamp(header),
+            entries::store_revision(header),
             &changes,
-            &read,
+            &decode,
         );
         for (key, error) in self.host.cache().borrow().entry_errors() {
             debug!(key = %String::from_utf8_lossy(key), %error, "executor entry can't be read, keeping its last valid value");
@@ -65,19 +68,21 @@
         self.notify_host(update);
     }
 
-    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader) {
+    fn on_progress(&self, requested_at: Option<f64>, header: &ResponseHeader) {
         self.host
             .cache()
             .borrow_mut()
-            .on_progress(self.host.now(), entries::stamp(header));
+            .on_progress(self.host.now(), entries::store_revision(header));
         // While a list is needed, the cache may differ from the store.
-        if let Some(began) = began.filter(|_| self.next_request() != NextRequest::List) {
-            self.host.on_endpoints_confirmed(began);
+        if let Some(requested_at) =
+            requested_at.filter(|_| self.next_request() != NextRequest::List)
+        {
+            self.host.on_endpoints_confirmed(requested_at);
         }
     }
 
-    fn on_failure(&self, began: f64) {
-        self.host.on_endpoint_request_unanswered(began);
+    fn on_failure(&self, requested_at: f64) {
+        self.host.on_endpoint_request_unanswered(requested_at);
     }
 
     fn on_compaction(&self) {
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -21,8 +21,8 @@
 const PAGE_SIZE: i64 = 2_000;
 /// The first and the longest retry delay, in seconds. Each delay is drawn between zero and twice its length.
 /// Failure mode: front ends lose the store at the same time. Risk: they would reconnect at the same time.
-pub(super) const FIRST_RETRY_DELAY: f64 = 0.1;
-const LONGEST_RETRY_DELAY: f64 = 5.0;
+pub(super) const INITIAL_RETRY_DELAY: f64 = 0.1;
+const MAX_RETRY_DELAY: f64 = 5.0;
 
 /// Follows a prefix of the store. Times are in seconds of the follower's clock.
 pub(super) trait Follower {
@@ -33,17 +33,17 @@
     fn next_request(&self) -> NextRequest;
 
     /// A list has arrived whose request was sent at `began`.
-    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]);
+    fn on_list(&self, requested_at: f64, header: &ResponseHeader, list: &[KeyValue]);
 
     /// Events of the watch have arrived.
     fn on_events(&self, header: &ResponseHeader, events: &[Event]);
 
     /// The watch is complete up to the revision of `header`: the store had nothing else when the request was sent at
     /// `began`. Without a request the age of that statement is unknown.
-    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader);
+    fn on_progress(&self, requested_at: Option<f64>, header: &ResponseHeader);
 
     /// An attempt that began at `began` has failed.
-    fn on_failure(&self, began: f64);
+    fn on_failure(&self, requested_at: f64);
 
     /// The revision from which the watch would continue is compacted.
     fn on_compaction(&self);
@@ -84,18 +84,18 @@
 
 /// Follows a prefix for as long as it is polled.
 pub(super) async fn follow(client: Rc<Client>, prefix: String, follower: impl Follower) {
-    let mut delay = FIRST_RETRY_DELAY;
+    let mut delay = INITIAL_RETRY_DELAY;
     loop {
-        let began = follower.now();
+        let requested_at = follower.now();
         match follow_once(&client, &prefix, &follower).await {
-            Ok(()) => delay = FIRST_RETRY_DELAY,
+            Ok(()) => delay = INITIAL_RETRY_DELAY,
             Err(fault) => {
                 warn!(endpoint = ?client.endpoint(), prefix, %fault, "store watch failed, retrying");
-                follower.on_failure(began);
+                follower.on_failure(requested_at);
                 client.fail_over();
-                let drawn = delay * 2.0 * rand::random::<f64>();
-                async_io::Timer::after(Duration::from_secs_f64(drawn)).await;
-                delay = (2.0 * delay).min(LONGEST_RETRY_DELAY);
+                let jittered_delay = delay * 2.0 * rand::random::<f64>();
+                async_io::Timer::after(Duration::from_secs_f64(jittered_delay)).await;
+                delay = (2.0 * delay).min(MAX_RETRY_DELAY);
             }
         }
         follower.on_tick();
@@ -109,9 +109,9 @@
     follower: &impl Follower,
 ) -> Result<(), ClientError> {
     if follower.next_request() == NextRequest::List {
-        let began = follower.now();
+        let requested_at = follower.now();
         let list = list(client, prefix).await?;
-        follower.on_list(began, &list.header, &list.entries);
+        follower.on_list(requested_at, &list.header, &list.entries);
     }
     let NextRequest::Watch(from) = follower.next_request() else {
         return Ok(());
@@ -126,14 +126,14 @@
         let response = orchidtally_socket_io::with_timeout(time_left, stream.next()).await;
         if let Some(response) = response {
             for event in watch.on_response(response?) {
-                if apply_event(event, prefix, &mut requests, follower) == Watched::Ended {
+                if apply_event(event, prefix, &mut requests, follower) == WatchState::Ended {
                     return Ok(());
                 }
             }
         }
         match requests.due(follower.now()) {
-            Some(Due::Request) => stream.send(&progress_request())?,
-            Some(Due::Failure) => return Err(ClientError::TimedOut),
+            Some(DueAction::Request) => stream.send(&progress_request())?,
+            Some(DueAction::Failure) => return Err(ClientError::TimedOut),
             None => {}
         }
         follower.on_tick();
@@ -145,12 +145,12 @@
 
 /// Progress requests of a watch, one at a time: an answer doesn't name its request.
 struct ProgressRequests {
-    asked_at: f64,
+    requested_at: f64,
     is_answered: bool,
 }
 
 /// What is due.
-enum Due {
+enum DueAction {
     /// The next request is to be sent.
     Request,
     /// The last request timed out.
@@ -161,7 +161,7 @@
     /// For a watch that begins now; the first request is due at once.
     fn new(now: f64) -> ProgressRequests {
         ProgressRequests {
-            asked_at: now - PROGRESS_INTERVAL,
+            requested_at: now - PROGRESS_INTERVAL,
             is_answered: true,
         }
     }
@@ -173,24 +173,24 @@
         } else {
             PROGRESS_TIMEOUT
         };
-        (self.asked_at + time - now).clamp(0.0, PROGRESS_TIMEOUT)
+        (self.requested_at + time - now).clamp(0.0, PROGRESS_TIMEOUT)
     }
 
     /// What is due now; a request that is due counts as sent.
-    fn due(&mut self, now: f64) -> Option<Due> {
+    fn due(&mut self, now: f64) -> Option<DueAction> {
         if self.due_in(now) > 0.0 {
             return None;
         }
         if !self.is_answered {
-            return Some(Due::Failure);
+            return Some(DueAction::Failure);
         }
-        (self.asked_at, self.is_answered) = (now, false);
-        Some(Due::Request)
+        (self.requested_at, self.is_answered) = (now, false);
+        Some(DueAction::Request)
     }
 
     /// When the request was sent that is answered now; `None` if there was none.
-    fn answered(&mut self) -> Option<f64> {
-        (!std::mem::replace(&mut self.is_answered, true)).then_some(self.asked_at)
+    fn on_response(&mut self) -> Option<f64> {
+        (!std::mem::replace(&mut self.is_answered, true)).then_some(self.requested_at)
     }
 }
 
@@ -202,7 +202,7 @@
 
 /// Whether a watch continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Watched {
+enum WatchState {
     Continues,
     Ended,
 }
@@ -213,23 +213,27 @@
     prefix: &str,
     requests: &mut ProgressRequests,
     follower: &impl Follower,
-) -> Watched {
+) -> WatchState {
     match event {
         WatchEvent::Created => {}
         WatchEvent::Events { header, events } => follower.on_events(&header, &events),
         WatchEvent::Progress { header, is_answer } => {
-            let asked_at = if is_answer { requests.answered() } else { None };
-            follower.on_progress(asked_at, &header);
+            let requested_at = if is_answer {
+                requests.on_response()
+            } else {
+                None
+            };
+            follower.on_progress(requested_at, &header);
         }
         WatchEvent::Compacted { revision } => {
             info!(prefix, revision, "watch compacted, listing again");
             follower.on_compaction();
-            return Watched::Ended;
+            return WatchState::Ended;
         }
         WatchEvent::Cancelled { reason } => {
             warn!(prefix, reason, "watch cancelled by the store");
-            return Watched::Ended;
+            return WatchState::Ended;
         }
     }
-    Watched::Continues
+    WatchState::Continues
 }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -12,9 +12,9 @@
 /// Feeds a host's membership and notifies the host of changes.
 pub(super) struct FrontEndsFollower<H> {
     host: Rc<H>,
-    stamp: Cell<Option<StoreRevision>>,
+    store_revision: Cell<Option<StoreRevision>>,
     /// A list has to come before the next watch.
-    is_stale: Cell<bool>,
+    needs_list: Cell<bool>,
     indices: RefCell<BTreeSet<u32>>,
     /// When the last question that was answered was sent.
     current_as_of: Cell<f64>,
@@ -24,19 +24,19 @@
     pub fn new(host: Rc<H>) -> FrontEndsFollower<H> {
         FrontEndsFollower {
             host,
-            stamp: Cell::new(None),
-            is_stale: Cell::new(false),
+            store_revision: Cell::new(None),
+            needs_list: Cell::new(false),
             indices: RefCell::default(),
             current_as_of: Cell::new(f64::NEG_INFINITY),
         }
     }
 
-    fn saw(&self, began: f64) {
-        self.current_as_of.set(began);
+    fn record_view(&self, requested_at: f64) {
+        self.current_as_of.set(requested_at);
         self.host
             .members()
             .borrow_mut()
-            .record_view(began, self.indices.borrow().iter().copied());
+            .record_view(requested_at, self.indices.borrow().iter().copied());
         self.host.on_membership_change();
     }
 }
@@ -47,25 +47,28 @@
     }
 
     fn next_request(&self) -> NextRequest {
-        match self.stamp.get() {
-            Some(stamp) if !self.is_stale.get() => NextRequest::Watch(stamp.revision + 1),
+        match self.store_revision.get() {
+            Some(store_revision) if !self.needs_list.get() => {
+                NextRequest::Watch(store_revision.revision + 1)
+            }
             _ => NextRequest::List,
         }
     }
 
-    fn on_list(&self, began: f64, header: &ResponseHeader, list: &[KeyValue]) {
+    fn on_list(&self, requested_at: f64, header: &ResponseHeader, list: &[KeyValue]) {
         *self.indices.borrow_mut() = list
             .iter()
-            .filter_map(|entry| entries::index(&entry.key))
+            .filter_map(|entry| entries::front_end_index(&entry.key))
             .collect();
-        self.stamp.set(Some(entries::stamp(header)));
-        self.is_stale.set(false);
-        self.saw(began);
+        self.store_revision
+            .set(Some(entries::store_revision(header)));
+        self.needs_list.set(false);
+        self.record_view(requested_at);
     }
 
     fn on_events(&self, header: &ResponseHeader, events: &[Event]) {
         for change in entries::changes(events) {
-            let Some(index) = entries::index(change.key) else {
+            let Some(index) = entries::front_end_index(change.key) else {
                 continue;
             };
             match change.value {
@@ -73,23 +76,24 @@
                 None => self.indices.borrow_mut().remove(&index),
             };
         }
-        self.stamp.set(Some(entries::stamp(header)));
+        self.store_revision
+            .set(Some(entries::store_revision(header)));
         // The delay of an event is unknown: the view is as old as the last answered request.
-        self.saw(self.current_as_of.get());
+        self.record_view(self.current_as_of.get());
     }
 
-    fn on_progress(&self, began: Option<f64>, header: &ResponseHeader) {
-        let stamp = entries::stamp(header);
-        let is_other = |known: StoreRevision| {
-            known.cluster != stamp.cluster || known.revision > stamp.revision
+    fn on_progress(&self, requested_at: Option<f64>, header: &ResponseHeader) {
+        let store_revision = entries::store_revision(header);
+        let is_inconsistent = |known: StoreRevision| {
+            known.cluster != store_revision.cluster || known.revision > store_revision.revision
         };
-        if self.stamp.get().is_some_and(is_other) {
-            self.is_stale.set(true);
+        if self.store_revision.get().is_some_and(is_inconsistent) {
+            self.needs_list.set(true);
             return;
         }
-        self.stamp.set(Some(stamp));
-        if let Some(began) = began {
-            self.saw(began);
+        self.store_revision.set(Some(store_revision));
+        if let Some(requested_at) = requested_at {
+            self.record_view(requested_at);
         }
     }
 
@@ -97,7 +101,7 @@
     fn on_failure(&self, _began: f64) {}
 
     fn on_compaction(&self) {
-        self.is_stale.set(true);
+        self.needs_list.set(true);
     }
 
     fn on_tick(&self) {
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -32,10 +32,10 @@
     fn on_endpoint_update(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
 
     /// The store has answered a request sent at `asked_at`: the endpoint list was current then.
-    fn on_endpoints_confirmed(&self, asked_at: f64);
+    fn on_endpoints_confirmed(&self, requested_at: f64);
 
     /// The store can't be followed: the request sent at `asked_at` has no answer.
-    fn on_endpoint_request_unanswered(&self, asked_at: f64);
+    fn on_endpoint_request_unanswered(&self, requested_at: f64);
 
     /// The front ends that share budgets, or this front end's share, may have changed.
     fn on_membership_change(&self);
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -2,7 +2,7 @@
 
 use super::FRONT_ENDS_PREFIX;
 use super::entries;
-use super::follow::{FIRST_RETRY_DELAY, REQUEST_TIMEOUT, list};
+use super::follow::{INITIAL_RETRY_DELAY, REQUEST_TIMEOUT, list};
 use super::host::MembershipHost;
 use bytes::Bytes;
 use orchidtally_deployment::EtcdSettings;
@@ -20,7 +20,7 @@
 use tracing::{debug, info, warn};
 
 /// Renewals within the time to live of a lease.
-const RENEWALS: f64 = 4.0;
+const RENEWALS_PER_TTL: f64 = 4.0;
 
 /// Registers a host and keeps its entry's lease.
 pub(super) struct Registration<H> {
@@ -39,7 +39,7 @@
     /// Its time to live in seconds.
     ttl: f64,
     /// The store keeps the lease at least until then, by the host's clock.
-    until: f64,
+    valid_until: f64,
 }
 
 impl<H: MembershipHost> Registration<H> {
@@ -61,18 +61,18 @@
                 Ok(Some(lease)) => {
                     lost_claims = 0;
                     if let Err(fault) = self.keep_lease(lease).await {
-                        self.failed(&fault);
+                        self.on_failure(&fault);
                     }
                 }
                 Ok(None) => lost_claims += 1,
-                Err(fault) => self.failed(&fault),
+                Err(fault) => self.on_failure(&fault),
             }
-            let delay = FIRST_RETRY_DELAY * (1.0 + 2.0 * rand::random::<f64>());
+            let delay = INITIAL_RETRY_DELAY * (1.0 + 2.0 * rand::random::<f64>());
             async_io::Timer::after(Duration::from_secs_f64(delay)).await;
         }
     }
 
-    fn failed(&self, fault: &ClientError) {
+    fn on_failure(&self, fault: &ClientError) {
         warn!(endpoint = ?self.client.endpoint(), %fault, "membership lease can't be renewed");
         self.client.fail_over();
     }
@@ -82,10 +82,10 @@
         let entries = list(&self.client, &self.prefix).await?.entries;
         let used_indices: BTreeSet<u32> = entries
             .iter()
-            .filter_map(|entry| entries::index(&entry.key))
+            .filter_map(|entry| entries::front_end_index(&entry.key))
             .collect();
         let index = Members::choose_index(&used_indices, rand::random(), lost_claims);
-        let began = self.host.now();
+        let requested_at = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.requested_ttl,
             id: 0,
@@ -103,14 +103,14 @@
         {
             let mut members = self.host.members().borrow_mut();
             members.on_claimed(self.host.now(), index, 0.0);
-            members.on_lease_renewed(began, ttl);
+            members.on_lease_renewed(requested_at, ttl);
         }
         info!(index, "registered in the store");
         self.host.on_membership_change();
         Ok(Some(Lease {
             id: granted.id,
             ttl,
-            until: began + ttl,
+            valid_until: requested_at + ttl,
         }))
     }
 
@@ -141,24 +141,24 @@
 
     /// Renews a lease until the store has ended it, or has not answered for the time to live.
     async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
-        let interval = Duration::from_secs_f64(lease.ttl / RENEWALS);
+        let interval = Duration::from_secs_f64(lease.ttl / RENEWALS_PER_TTL);
         loop {
             async_io::Timer::after(interval).await;
-            let began = self.host.now();
+            let requested_at = self.host.now();
             match self.renew(lease.id).await {
                 Ok(answer) if answer.ttl > 0 => {
-                    lease.until = began + answer.ttl as f64;
+                    lease.valid_until = requested_at + answer.ttl as f64;
                     self.host
                         .members()
                         .borrow_mut()
-                        .on_lease_renewed(began, answer.ttl as f64);
+                        .on_lease_renewed(requested_at, answer.ttl as f64);
                 }
                 Ok(_) => {
                     warn!("membership lease expired while this front end runs");
                     self.host.members().borrow_mut().on_entry_lost();
                     return Ok(());
                 }
-                Err(fault) if self.host.now() > lease.until => {
+                Err(fault) if self.host.now() > lease.valid_until => {
                     self.host.members().borrow_mut().on_entry_lost();
                     return Err(fault);
                 }
@@ -171,10 +171,10 @@
     }
 
     async fn renew(&self, id: i64) -> Result<LeaseKeepAliveResponse, ClientError> {
-        let question = LeaseKeepAliveRequest { id };
+        let request = LeaseKeepAliveRequest { id };
         let mut stream = self
             .client
-            .open_stream::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
+            .open_stream::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &request, REQUEST_TIMEOUT)
             .await?;
         orchidtally_socket_io::with_timeout(REQUEST_TIMEOUT, stream.next())
             .await
--- a/crates/http-frontend/src/etcd/router_membership.rs
+++ b/crates/http-frontend/src/etcd/router_membership.rs
@@ -43,12 +43,12 @@
         });
     }
 
-    fn on_endpoints_confirmed(&self, asked_at: f64) {
-        Router::on_endpoints_confirmed(self, asked_at);
+    fn on_endpoints_confirmed(&self, requested_at: f64) {
+        Router::on_endpoints_confirmed(self, requested_at);
     }
 
-    fn on_endpoint_request_unanswered(&self, asked_at: f64) {
-        Router::on_endpoint_request_unanswered(self, asked_at);
+    fn on_endpoint_request_unanswered(&self, requested_at: f64) {
+        Router::on_endpoint_request_unanswered(self, requested_at);
     }
 
     fn on_membership_change(&self) {
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -12,14 +12,14 @@
 use std::task::{Context, Poll, ready};
 
 /// The body of a response.
-pub enum Answer {
+pub enum ResponseBody {
     /// A complete body.
     Chunks(VecDeque<Bytes>),
     /// The chunks of a streamed response, as they arrive.
     Streamed(Pin<Box<async_channel::Receiver<Result<Bytes, ResponseTruncated>>>>),
 }
 
-impl Body for Answer {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = ResponseTruncated;
 
@@ -29,23 +29,23 @@
     ) -> Poll<Option<Result<Frame<Bytes>, ResponseTruncated>>> {
         use futures_lite::stream::Stream;
         Poll::Ready(match self.get_mut() {
-            Answer::Chunks(chunks) => chunks.pop_front().map(|c| Ok(Frame::data(c))),
-            Answer::Streamed(parts) => {
-                ready!(parts.as_mut().poll_next(cx)).map(|part| part.map(Frame::data))
+            ResponseBody::Chunks(chunks) => chunks.pop_front().map(|c| Ok(Frame::data(c))),
+            ResponseBody::Streamed(chunks) => {
+                ready!(chunks.as_mut().poll_next(cx)).map(|chunk| chunk.map(Frame::data))
             }
         })
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Answer::Chunks(chunks) if chunks.is_empty())
+        matches!(self, ResponseBody::Chunks(chunks) if chunks.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Answer::Chunks(chunks) => {
+            ResponseBody::Chunks(chunks) => {
                 SizeHint::with_exact(chunks.iter().map(|c| c.len() as u64).sum())
             }
-            Answer::Streamed(_) => SizeHint::default(),
+            ResponseBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
@@ -81,7 +81,7 @@
     }
 
     /// Nothing of what is refused here was ever dispatched.
-    pub(super) fn response(self) -> Response<Answer> {
+    pub(super) fn response(self) -> Response<ResponseBody> {
         let mut response = problem(self.status, self.title, &self.detail, false);
         if let Some(time) = self.retry_after {
             set_retry_after(response.headers_mut(), time);
@@ -95,7 +95,7 @@
     title: &str,
     detail: &str,
     may_have_run: bool,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let body = json!({
         "type": "about:blank",
         "title": title,
@@ -103,7 +103,7 @@
         "detail": detail,
         "mayHaveRun": may_have_run,
     });
-    let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
+    let mut response = Response::new(ResponseBody::Chunks([Bytes::from(body.to_string())].into()));
     *response.status_mut() = status;
     response.headers_mut().insert(
         CONTENT_TYPE,
--- a/crates/http-frontend/src/ingress/durable_invocation.rs
+++ b/crates/http-frontend/src/ingress/durable_invocation.rs
@@ -1,6 +1,6 @@
 //! Durable invocations over HTTP: the recorded outcome of an earlier invocation with the same idempotency key.
 
-use super::answer::{Answer, Problem, problem};
+use super::answer::{Problem, ResponseBody, problem};
 use super::{BODY_OMITTED, RECORDED};
 use crate::durable_invocation_store::{
     DurableInvocationStore, JournalUnavailable, PersistedInvocation,
@@ -17,7 +17,7 @@
     /// It is new, and its start is persisted.
     New(PersistedInvocation),
     /// An earlier one has the same name: this is the response to it.
-    Known(Response<Answer>),
+    Recorded(Response<ResponseBody>),
 }
 
 /// Begins a durable invocation under a name.
@@ -28,7 +28,7 @@
 ) -> Result<DurableStart, Problem> {
     match durable_invocation_store.begin(router.now(), name).await {
         Ok((InvocationState::New(_), Some(persisted))) => Ok(DurableStart::New(persisted)),
-        Ok((state, _)) => Ok(DurableStart::Known(recorded(state))),
+        Ok((state, _)) => Ok(DurableStart::Recorded(recorded_response(state))),
         Err(JournalUnavailable) => {
             let detail = "the journal can't be written; nothing has run";
             let mut problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "throttled", detail);
@@ -39,16 +39,16 @@
 }
 
 /// The response for a durable invocation that was begun before.
-pub(super) fn recorded(state: InvocationState) -> Response<Answer> {
+pub(super) fn recorded_response(state: InvocationState) -> Response<ResponseBody> {
     match state {
         InvocationState::Ended(DurableOutcome::Answered {
             status,
             body,
             is_complete,
-        }) => mark(recorded_answer(status, body, is_complete), RECORDED),
+        }) => set_flag_header(recorded_answer(status, body, is_complete), RECORDED),
         InvocationState::Ended(DurableOutcome::Unknown) => {
             let detail = "the front end died, or its client left, with its dispatch out: whether it ran isn't known";
-            mark(
+            set_flag_header(
                 problem(
                     StatusCode::INTERNAL_SERVER_ERROR,
                     "unknown outcome",
@@ -71,13 +71,13 @@
     }
 }
 
-fn recorded_answer(status: u16, body: Bytes, is_complete: bool) -> Response<Answer> {
+fn recorded_answer(status: u16, body: Bytes, is_complete: bool) -> Response<ResponseBody> {
     let chunks = if body.is_empty() {
         [].into()
     } else {
         [body].into()
     };
-    let mut response = Response::new(Answer::Chunks(chunks));
+    let mut response = Response::new(ResponseBody::Chunks(chunks));
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     if status != StatusCode::OK {
         let problem = HeaderValue::from_static("application/problem+json");
@@ -87,12 +87,15 @@
     if is_complete {
         response
     } else {
-        mark(response, BODY_OMITTED)
+        set_flag_header(response, BODY_OMITTED)
     }
 }
 
 /// Adds a header with the value 1.
-fn mark(mut response: Response<Answer>, header: &'static str) -> Response<Answer> {
+fn set_flag_header(
+    mut response: Response<ResponseBody>,
+    header: &'static str,
+) -> Response<ResponseBody> {
     response.headers_mut().insert(
         HeaderName::from_static(header),
         HeaderValue::from_static("1"),
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -33,14 +33,14 @@
 /// The settings of an invocation in the headers of a request.
 pub(super) struct InvocationHeaders<'r> {
     /// The position of the trigger type in the revision.
-    pub(super) trigger_place: usize,
+    pub(super) trigger_type_position: usize,
     pub(super) trigger_type: Rc<TriggerTypeInForce>,
     pub(super) customer: NamedCustomer<'r>,
-    pub(super) token: Option<&'r str>,
+    pub(super) idempotency_key: Option<&'r str>,
     /// Seconds until the client times out.
     pub(super) time_left: f64,
     /// Whether it is a client retry.
-    pub(super) repeat: bool,
+    pub(super) is_retry: bool,
     /// The name of the invocation, where the client gives one.
     pub(super) invocation: Option<&'r str>,
 }
@@ -50,11 +50,11 @@
         headers: &'r HeaderMap,
         revision: &Revision,
     ) -> Result<InvocationHeaders<'r>, Problem> {
-        let (trigger_place, trigger_type) = trigger_type(headers, revision)?;
+        let (trigger_type_position, trigger_type) = trigger_type(headers, revision)?;
         let customer = customer(headers, revision)?;
         let policy = &trigger_type.policy;
-        let token = header(headers, IDEMPOTENCY_KEY)?;
-        if policy.idempotency == Idempotency::Keyed && token.is_none() {
+        let idempotency_key = header(headers, IDEMPOTENCY_KEY)?;
+        if policy.idempotency == Idempotency::Keyed && idempotency_key.is_none() {
             return Err(Problem::bad(format!(
                 "header '{IDEMPOTENCY_KEY}' is missing; this trigger type is tokened"
             )));
@@ -63,11 +63,11 @@
             time.min(policy.client_timeout)
         });
         Ok(InvocationHeaders {
-            trigger_place,
+            trigger_type_position,
             customer,
-            token,
+            idempotency_key,
             time_left,
-            repeat: repeat(headers)?,
+            is_retry: is_retry(headers)?,
             invocation: header(headers, INVOCATION)?,
             trigger_type,
         })
@@ -87,7 +87,7 @@
             .only_trigger_type()
             .ok_or_else(|| Problem::bad(format!("header '{TRIGGER_TYPE}' is missing"))),
     };
-    found.map(|(place, trigger_type)| (place, trigger_type.clone()))
+    found.map(|(position, trigger_type)| (position, trigger_type.clone()))
 }
 
 fn customer<'r>(headers: &'r HeaderMap, revision: &Revision) -> Result<NamedCustomer<'r>, Problem> {
@@ -125,7 +125,7 @@
     Ok(Some(f64::from(milliseconds) / 1e3))
 }
 
-fn repeat(headers: &HeaderMap) -> Result<bool, Problem> {
+fn is_retry(headers: &HeaderMap) -> Result<bool, Problem> {
     match header(headers, CLIENT_RETRY)? {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -1,10 +1,10 @@
 //! Performs the invocation of a request.
 
 use super::INVOCATION;
-use super::answer::{Answer, Problem};
+use super::answer::{Problem, ResponseBody};
 use super::durable_invocation::{DurableStart, begin_durable};
 use super::headers::{InvocationHeaders, header};
-use super::request::{body, function_of};
+use super::request::{body, function_name};
 use super::response::{FinalResponse, rejection_problem};
 use crate::durable_invocation_store::PersistedInvocation;
 use crate::router::{IngressRequest, Revision, Router};
@@ -27,35 +27,35 @@
 pub(super) async fn invoke(
     router: &Router,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Problem> {
+) -> Result<Response<ResponseBody>, Problem> {
     let arrived = router.arrived_by();
     let revision = router.revision();
     let (parts, incoming) = request.into_parts();
-    let path_name = function_of(parts.uri.path())?;
+    let path_function = function_name(parts.uri.path())?;
     check_method(&parts.method)?;
-    let asked_headers = InvocationHeaders::read(&parts.headers, &revision)?;
-    let is_named = asked_headers.invocation.is_some();
-    let invocation = asked_headers
+    let invocation_headers = InvocationHeaders::read(&parts.headers, &revision)?;
+    let is_named = invocation_headers.invocation.is_some();
+    let invocation = invocation_headers
         .invocation
         .map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
     let Target { function, resolved } = target(
         router,
         &revision,
-        &path_name,
+        &path_function,
         &parts.headers,
-        &asked_headers,
+        &invocation_headers,
         &invocation,
     )?;
     let InvocationHeaders {
         trigger_type,
         customer,
-        token,
+        idempotency_key,
         time_left,
-        repeat,
+        is_retry,
         ..
-    } = asked_headers;
+    } = invocation_headers;
     let (payload, payload_bytes) = body(router, incoming, content_length(&parts.headers)).await?;
-    let bounds = &router.deployment.limits;
+    let limits = &router.deployment.limits;
     let ingress_request = IngressRequest {
         name: invocation.clone(),
         function: function.name,
@@ -63,11 +63,11 @@
         revision: revision.clone(),
         trigger_type: trigger_type.clone(),
         customer,
-        token: token.unwrap_or_default(),
-        repeat,
+        idempotency_key: idempotency_key.unwrap_or_default(),
+        is_retry,
         timeout_at: arrived + time_left
-            - bounds.response_margin
-            - router.open() as f64 * bounds.response_margin_per_open,
+            - limits.response_margin
+            - router.open_invocations() as f64 * limits.response_margin_per_open,
         payload,
         payload_bytes,
     };
@@ -75,10 +75,10 @@
     router
         .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
-    let persisted = if trigger_type.trigger.is_durable {
-        match begin_if_possible(router, is_named, &invocation).await? {
+    let persisted = if trigger_type.settings.is_durable {
+        match begin_if_journaled(router, is_named, &invocation).await? {
             Some(DurableStart::New(persisted)) => Some(persisted),
-            Some(DurableStart::Known(response)) => return Ok(response),
+            Some(DurableStart::Recorded(response)) => return Ok(response),
             None => None,
         }
     } else {
@@ -114,7 +114,7 @@
 }
 
 /// Begins a durable invocation, which the client has to name; `None` where the deployment has no journal.
-async fn begin_if_possible(
+async fn begin_if_journaled(
     router: &Router,
     is_named: bool,
     invocation: &str,
@@ -132,7 +132,7 @@
 
 /// Records the final answer of a durable invocation. A streamed answer isn't recorded: its outcome stays unknown.
 async fn record(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
-    let Answer::Chunks(chunks) = answer.response.body() else {
+    let ResponseBody::Chunks(chunks) = answer.response.body() else {
         return;
     };
     let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
@@ -146,29 +146,29 @@
 fn target(
     router: &Router,
     revision: &Revision,
-    path_name: &str,
+    path_function: &str,
     headers: &HeaderMap,
-    asked_headers: &InvocationHeaders,
+    invocation_headers: &InvocationHeaders,
     invocation: &str,
 ) -> Result<Target, Problem> {
-    let (name, version) = match path_name.split_once('@') {
+    let (name, version) = match path_function.split_once('@') {
         Some((name, version)) => (name, Some(version)),
-        None => (path_name, None),
+        None => (path_function, None),
     };
-    let unknown = |what: String| Problem::new(StatusCode::NOT_FOUND, "unknown function", what);
+    let unknown = |detail: String| Problem::new(StatusCode::NOT_FOUND, "unknown function", detail);
     let function = revision
         .function(name)
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
-    let customer = asked_headers.customer;
+    let customer = invocation_headers.customer;
     // The sticky key of the traffic split, during a rollout.
     let key = router.traffic_split.borrow().sticky_key(name).cloned();
     let key = match &key {
         None | Some(StickyKey::Invocation) => None,
         Some(StickyKey::Customer) => Some(customer.name),
-        Some(StickyKey::Token) => asked_headers.token,
+        Some(StickyKey::Token) => invocation_headers.idempotency_key,
         Some(StickyKey::Header(name)) => header(headers, name)?,
     };
-    let who = Caller {
+    let caller = Caller {
         customer: customer.name,
         location: router.location(),
         key: key.unwrap_or(invocation),
@@ -177,9 +177,9 @@
         .resolve(
             &function,
             version,
-            asked_headers.trigger_place,
+            invocation_headers.trigger_type_position,
             customer.index,
-            &who,
+            &caller,
         )
         .ok_or_else(|| {
             unknown(format!(
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -11,12 +11,12 @@
 mod response;
 mod status;
 
-pub use answer::Answer;
+pub use answer::ResponseBody;
 
 use crate::router::Router;
 use answer::{Problem, problem};
 use async_executor::LocalExecutor;
-use durable_invocation::recorded;
+use durable_invocation::recorded_response;
 use futures_lite::future;
 use futures_lite::io::AsyncWriteExt;
 use http::{Method, Request, Response, StatusCode};
@@ -60,16 +60,17 @@
 async fn respond(
     router: Rc<Router>,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     if request.method() == Method::GET && request.uri().path() == "/v1/front-end" {
         return Ok(status(&router));
     }
-    let asked = request
+    let requested_invocation = request
         .uri()
         .path()
         .strip_prefix("/v1/invocations/")
         .filter(|_| request.method() == Method::GET);
-    if let (Some(name), Some(durable_invocation_store)) = (asked, &router.durable_invocation_store)
+    if let (Some(name), Some(durable_invocation_store)) =
+        (requested_invocation, &router.durable_invocation_store)
     {
         let unknown = || {
             problem(
@@ -81,7 +82,7 @@
         };
         return Ok(durable_invocation_store
             .state(name)
-            .map_or_else(unknown, recorded));
+            .map_or_else(unknown, recorded_response));
     }
     Ok(invoke(&router, request)
         .await
@@ -119,15 +120,15 @@
 
 /// Answers a connection beyond the connection limit, and closes it.
 pub async fn reject_connection(mut stream: Stream) {
-    const FULL: &[u8] =
+    const UNAVAILABLE_RESPONSE: &[u8] =
         b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
-    let say = async {
+    let send_response = async {
         let socket = stream.socket();
-        socket.write_all(FULL).await?;
+        socket.write_all(UNAVAILABLE_RESPONSE).await?;
         socket.close().await
     };
     // The client has its answer, or has disconnected before.
-    let _ = with_timeout(Duration::from_secs(1), say).await;
+    let _ = with_timeout(Duration::from_secs(1), send_response).await;
 }
 
 /// Serves one connection until it ends, or until `draining` closes and its open requests are answered.
@@ -144,31 +145,31 @@
         return;
     }
     let builder = connection_builder(&router, time);
-    let has_asked = Rc::new(Cell::new(false));
+    let has_received_request = Rc::new(Cell::new(false));
     let service = {
-        let (router, has_asked) = (router.clone(), has_asked.clone());
+        let (router, has_received_request) = (router.clone(), has_received_request.clone());
         hyper::service::service_fn(move |request| {
-            has_asked.set(true);
+            has_received_request.set(true);
             respond(router.clone(), request)
         })
     };
     let mut connection = pin!(builder.serve_connection(stream, service));
-    let too_slow = async {
+    let header_timeout = async {
         async_io::Timer::after(2 * time).await;
-        if has_asked.get() {
+        if has_received_request.get() {
             future::pending().await
         } else {
             None
         }
     };
-    let left = async {
+    let shutdown = async {
         // Nothing is ever sent; closing the channel is the signal.
         let _ = draining.recv().await;
         None
     };
     let ended = future::or(
         async { Some(connection.as_mut().await) },
-        future::or(too_slow, left),
+        future::or(header_timeout, shutdown),
     )
     .await;
     let ended = match ended {
@@ -183,34 +184,34 @@
         }
     };
     if let Err(fault) = ended {
-        log_end(peer, &*fault);
+        log_connection_error(peer, &*fault);
     }
 }
 
 /// The limits of a connection; `time` is the timeout of request headers and of keep-alive pings.
 fn connection_builder(router: &Router, time: Duration) -> auto::Builder<Spawner> {
-    let bounds = &router.deployment.limits;
+    let limits = &router.deployment.limits;
     let mut builder = auto::Builder::new(Spawner(router.spawner()));
     builder
         .http1()
         .timer(SmolTimer::new())
         .header_read_timeout(time)
-        .max_buf_size(bounds.max_header_bytes as usize);
+        .max_buf_size(limits.max_header_bytes as usize);
     builder
         .http2()
         .timer(SmolTimer::new())
-        .max_header_list_size(bounds.max_header_bytes)
+        .max_header_list_size(limits.max_header_bytes)
         .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
         .keep_alive_interval(Some(time))
         .keep_alive_timeout(time);
     builder
 }
 
-fn log_end(peer: Option<SocketAddr>, fault: &(dyn std::error::Error + 'static)) {
-    let broke_off = fault
+fn log_connection_error(peer: Option<SocketAddr>, fault: &(dyn std::error::Error + 'static)) {
+    let is_disconnect = fault
         .downcast_ref::<hyper::Error>()
         .is_some_and(|error| error.is_incomplete_message() || error.is_canceled());
-    if broke_off {
+    if is_disconnect {
         debug!(?peer, %fault, "client disconnected")
     } else {
         warn!(?peer, %fault, "connection closed")
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The function that a path names.
-pub(super) fn function_of(path: &str) -> Result<String, Problem> {
+pub(super) fn function_name(path: &str) -> Result<String, Problem> {
     let unknown = || {
         Problem::new(
             StatusCode::NOT_FOUND,
@@ -31,8 +31,8 @@
             bytes.push(byte);
             continue;
         }
-        let digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
-        let (Some(high), Some(low)) = (digit(rest.next()), digit(rest.next())) else {
+        let hex_digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
+        let (Some(high), Some(low)) = (hex_digit(rest.next()), hex_digit(rest.next())) else {
             return Err(Problem::bad(
                 "the path has a '%' without two hexadecimal digits",
             ));
@@ -48,19 +48,19 @@
     incoming: Incoming,
     content_length: Option<u64>,
 ) -> Result<(Vec<Bytes>, u64), Problem> {
-    let bounds = &router.deployment.limits;
+    let limits = &router.deployment.limits;
     let too_large = || {
-        let detail = format!("{} bytes at most are taken", bounds.max_body_bytes);
+        let detail = format!("{} bytes at most are taken", limits.max_body_bytes);
         Problem::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is too large",
             detail,
         )
     };
-    if content_length.is_some_and(|n| n > bounds.max_body_bytes as u64) {
+    if content_length.is_some_and(|n| n > limits.max_body_bytes as u64) {
         return Err(too_large());
     }
-    let gather = async {
+    let read_all = async {
         let (mut chunks, mut length) = (vec![], 0u64);
         let mut incoming = incoming;
         while let Some(frame) = incoming.frame().await {
@@ -69,7 +69,7 @@
                 && !chunk.is_empty()
             {
                 length += chunk.len() as u64;
-                if length > bounds.max_body_bytes as u64 {
+                if length > limits.max_body_bytes as u64 {
                     return Err(too_large());
                 }
                 chunks.push(chunk);
@@ -77,14 +77,17 @@
         }
         Ok((chunks, length))
     };
-    with_timeout(Duration::from_secs_f64(bounds.request_read_timeout), gather)
-        .await
-        .unwrap_or_else(|| {
-            let detail = format!("it has to be here within {} s", bounds.request_read_timeout);
-            Err(Problem::new(
-                StatusCode::REQUEST_TIMEOUT,
-                "the body came too slowly",
-                detail,
-            ))
-        })
+    with_timeout(
+        Duration::from_secs_f64(limits.request_read_timeout),
+        read_all,
+    )
+    .await
+    .unwrap_or_else(|| {
+        let detail = format!("it has to be here within {} s", limits.request_read_timeout);
+        Err(Problem::new(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body came too slowly",
+            detail,
+        ))
+    })
 }
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -1,14 +1,14 @@
 //! The responses to final answers, and to invocations that are not admitted.
 
-use super::answer::{Answer, Problem, problem, set_retry_after};
-use crate::config::Refusal;
+use super::answer::{Problem, ResponseBody, problem, set_retry_after};
+use crate::config::AdmissionDenial;
 use crate::router::{AnswerLost, ExecutorResponse, FinalAnswer, RejectionReason, Router};
 use http::{Response, StatusCode};
 use orchidtally_engine::FailureReason;
 
 /// The response to a final answer.
 pub(super) struct FinalResponse {
-    pub(super) response: Response<Answer>,
+    pub(super) response: Response<ResponseBody>,
     /// Whether the function may have run.
     pub(super) may_have_run: bool,
 }
@@ -19,8 +19,8 @@
         match answer {
             Ok(FinalAnswer::Succeeded(executor_response)) => {
                 let response = Response::new(match executor_response {
-                    ExecutorResponse::Complete(chunks) => Answer::Chunks(chunks.into()),
-                    ExecutorResponse::Streamed(parts) => Answer::Streamed(Box::pin(parts)),
+                    ExecutorResponse::Complete(chunks) => ResponseBody::Chunks(chunks.into()),
+                    ExecutorResponse::Streamed(chunks) => ResponseBody::Streamed(Box::pin(chunks)),
                 });
                 FinalResponse {
                     response,
@@ -29,22 +29,22 @@
             }
             Ok(FinalAnswer::Rejected {
                 retry_after,
-                past_share,
-            }) => FinalResponse::rejected(retry_after, past_share),
+                over_quota,
+            }) => FinalResponse::rejected(retry_after, over_quota),
             Ok(FinalAnswer::Failed {
-                cause,
+                reason,
                 may_have_run,
-            }) => FinalResponse::failed(cause, may_have_run),
-            Ok(FinalAnswer::Refused {
-                refusal,
+            }) => FinalResponse::failed(reason, may_have_run),
+            Ok(FinalAnswer::Denied {
+                denial,
                 may_have_run,
             }) => {
-                let (status, title) = refusal_status(&refusal);
-                let refused =
-                    FinalResponse::problem(status, title, &refusal.to_string(), may_have_run);
-                match refusal.retry_after() {
-                    Some(time) => refused.retry_after(time),
-                    None => refused,
+                let (status, title) = denial_status(&denial);
+                let response =
+                    FinalResponse::problem(status, title, &denial.to_string(), may_have_run);
+                match denial.retry_after() {
+                    Some(time) => response.retry_after(time),
+                    None => response,
                 }
             }
             Err(lost) => {
@@ -54,8 +54,8 @@
         }
     }
 
-    fn rejected(retry_after: f64, past_share: bool) -> FinalResponse {
-        let (status, detail) = if past_share {
+    fn rejected(retry_after: f64, over_quota: bool) -> FinalResponse {
+        let (status, detail) = if over_quota {
             (
                 StatusCode::TOO_MANY_REQUESTS,
                 "the customer has had its share; nothing has run",
@@ -96,10 +96,10 @@
 }
 
 /// The status and title of an invocation that the configuration doesn't admit.
-fn refusal_status(refusal: &Refusal) -> (StatusCode, &'static str) {
-    match refusal {
-        Refusal::NotAllowed { .. } => (StatusCode::FORBIDDEN, "not allowed"),
-        Refusal::Stale { .. } | Refusal::NotLoaded { .. } => {
+fn denial_status(denial: &AdmissionDenial) -> (StatusCode, &'static str) {
+    match denial {
+        AdmissionDenial::NotAllowed { .. } => (StatusCode::FORBIDDEN, "not allowed"),
+        AdmissionDenial::Stale { .. } | AdmissionDenial::NotLoaded { .. } => {
             (StatusCode::SERVICE_UNAVAILABLE, "throttled")
         }
     }
@@ -118,10 +118,10 @@
             router.deployment.policy.max_retry_after,
         ),
         RejectionReason::ShuttingDown => throttled("this front end is ending; ask another", 0.0),
-        RejectionReason::Refused(refusal) => {
-            let (status, title) = refusal_status(&refusal);
-            let mut problem = Problem::new(status, title, refusal.to_string());
-            problem.retry_after = refusal.retry_after();
+        RejectionReason::Denied(denial) => {
+            let (status, title) = denial_status(&denial);
+            let mut problem = Problem::new(status, title, denial.to_string());
+            problem.retry_after = denial.retry_after();
             problem
         }
     }
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -1,6 +1,6 @@
 //! `GET /v1/front-end`: the status of the front end.
 
-use super::answer::Answer;
+use super::answer::ResponseBody;
 use crate::router::Router;
 use bytes::Bytes;
 use http::Response;
@@ -9,19 +9,19 @@
 
 /// The rollouts as this front end has them.
 fn rollouts(router: &Router) -> serde_json::Value {
-    let shares = router.traffic_split.borrow();
-    let published = shares.published();
-    let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
+    let traffic_split = router.traffic_split.borrow();
+    let published = traffic_split.published();
+    let rollout_state = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
             json!({ "phase": r.phase, "step": r.step, "number": r.number, "reason": r.reason });
         (name.clone(), state)
     };
-    let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(on).collect();
+    let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(rollout_state).collect();
     json!({ "term": published.epoch.term, "number": published.number, "rollouts": rollouts })
 }
 
 /// The endpoint list and the front ends, where they come from etcd.
-fn roster(router: &Router) -> serde_json::Value {
+fn endpoint_list_status(router: &Router) -> serde_json::Value {
     if !matches!(
         router.deployment.endpoint_source,
         orchidtally_deployment::EndpointSource::Etcd(_)
@@ -58,7 +58,7 @@
     };
     json!({
         "connected": status.connected,
-        "inHand": status.in_hand,
+        "inHand": status.in_flight,
         "waiting": status.waiting,
         "journalWorks": status.journal_works,
         "messages": status.counters,
@@ -66,7 +66,7 @@
 }
 
 /// The status of the front end, as JSON.
-pub(super) fn status(router: &Router) -> Response<Answer> {
+pub(super) fn status(router: &Router) -> Response<ResponseBody> {
     let counters = router.counters();
     let body = json!({
         "deployment": router.deployment.name,
@@ -74,8 +74,8 @@
         "index": router.sender.get().index,
         "frontEnds": router.sender.get().count,
         "configuration": router.admission.get().map(|admission| admission.host().status()),
-        "roster": roster(router),
-        "open": router.open(),
+        "roster": endpoint_list_status(router),
+        "open": router.open_invocations(),
         "taken": counters.admitted,
         "refused": counters.not_admitted,
         "succeeded": counters.succeeded,
@@ -89,7 +89,7 @@
         "rollouts": rollouts(router),
         "mqtt": triggers(router),
     });
-    let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
+    let mut response = Response::new(ResponseBody::Chunks([Bytes::from(body.to_string())].into()));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -140,23 +140,23 @@
     spawner: Rc<LocalExecutor<'static>>,
     max_connections: usize,
     /// How many are open.
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     rejected: Cell<u64>,
 }
 
 impl ClientConnections {
     /// Serves a connection, or answers that there are too many. The rejections in progress have a limit as well; beyond
     /// it a connection is closed without an answer.
-    fn add(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
+    fn accept(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
         let max_connections = self.max_connections;
         let max_rejections = max_connections / 4 + SPARE_REJECTIONS;
-        if self.open.get() < max_connections {
-            let guard = ConnectionGuard::new(&self.open);
+        if self.open_connections.get() < max_connections {
+            let guard = ConnectionGuard::new(&self.open_connections);
             let work = serve(self.router.clone(), stream, draining.clone(), guard);
             self.spawner.spawn(work).detach();
-        } else if self.open.get() < max_connections + max_rejections {
+        } else if self.open_connections.get() < max_connections + max_rejections {
             self.count_rejection();
-            let guard = ConnectionGuard::new(&self.open);
+            let guard = ConnectionGuard::new(&self.open_connections);
             let work = async move {
                 reject_connection(stream).await;
                 drop(guard);
@@ -179,8 +179,8 @@
     }
 
     /// Whether an invocation or a connection is open.
-    fn is_busy(&self) -> bool {
-        self.router.open() > 0 || self.open.get() > 0
+    fn has_open_work(&self) -> bool {
+        self.router.open_invocations() > 0 || self.open_connections.get() > 0
     }
 }
 
@@ -196,7 +196,7 @@
         max_connections: router.deployment.limits.max_connections,
         router,
         spawner,
-        open: Rc::new(Cell::new(0)),
+        open_connections: Rc::new(Cell::new(0)),
         rejected: Cell::new(0),
     };
     let (drain, draining) = async_channel::bounded::<()>(1);
@@ -210,7 +210,7 @@
         let Some(stream) = future::or(stopped, accepted).await else {
             break;
         };
-        connections.add(stream, &draining);
+        connections.accept(stream, &draining);
     }
     drop(listener);
     shut_down(&connections, consumer, drain).await;
@@ -236,18 +236,18 @@
     }
     router.start_draining();
     info!(
-        open = router.open(),
-        connections = connections.open.get(),
+        open = router.open_invocations(),
+        connections = connections.open_connections.get(),
         "termination signal received, draining"
     );
     drop(drain);
-    while connections.is_busy() && Instant::now() < deadline {
+    while connections.has_open_work() && Instant::now() < deadline {
         Timer::after(DRAIN_POLL_INTERVAL).await;
     }
-    if connections.is_busy() {
+    if connections.has_open_work() {
         warn!(
-            open = router.open(),
-            connections = connections.open.get(),
+            open = router.open_invocations(),
+            connections = connections.open_connections.get(),
             "shutdown deadline reached with open connections"
         );
     }
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -35,7 +35,7 @@
     /// A packet from the connection of this number.
     Packet(u64, Packet),
     /// The connection of this number ended.
-    Lost(u64, ConnectionLost),
+    Disconnected(u64, ConnectionLost),
     /// The outbox has space again.
     OutboxDrained,
     /// The final answer of an invocation, by the number of its message.
@@ -153,7 +153,7 @@
         }
     };
     // There is no receiver once the front end has ended.
-    let _ = inputs.send(Input::Lost(number, ended)).await;
+    let _ = inputs.send(Input::Disconnected(number, ended)).await;
 }
 
 /// Writes the outbox until the connection ends.
@@ -176,7 +176,7 @@
                 stream.flush().await
             };
             if let Err(fault) = written.await {
-                let _ = inputs.send(Input::Lost(number, fault.into())).await;
+                let _ = inputs.send(Input::Disconnected(number, fault.into())).await;
                 return;
             }
             if full && inputs.send(Input::OutboxDrained).await.is_err() {
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -65,10 +65,10 @@
         &records,
         router.now(),
     );
-    let most_entries = ENTRIES_PER_MESSAGE * settings.most_held() + SPARE_ENTRIES;
+    let max_entries = ENTRIES_PER_MESSAGE * settings.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
-    let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
-    let journal = GroupCommit::with_max_batch(journal, most_entries, max_batch);
+    let (result_sender, journal_results) = async_channel::bounded(2 * max_entries);
+    let journal = GroupCommit::with_max_batch(journal, max_entries, max_batch);
     let mut host = ConsumerHost::new(
         router.clone(),
         settings,
@@ -142,13 +142,13 @@
         if is_draining && host.consumer.backlog().0 == 0 {
             return;
         }
-        let longest = if host.uses_tls() {
+        let max_sleep = if host.uses_tls() {
             CHECK_INTERVAL
         } else {
             MAX_SLEEP
         };
         let sleep =
-            Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, longest));
+            Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, max_sleep));
         match queues.next(sleep, is_draining).await {
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -19,11 +19,11 @@
 use tracing::{error, info, warn};
 
 /// Seconds until the first reconnect attempt; each delay varies by half of it.
-const FIRST_RETRY: f64 = 0.1;
+const INITIAL_RETRY_DELAY: f64 = 0.1;
 /// The longest delay between two attempts, in seconds.
-const LONGEST_RETRY: f64 = 5.0;
+const MAX_RETRY_DELAY: f64 = 5.0;
 /// How long sending the last packets may take at shutdown.
-const CLOSE_TIME: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A result of the journal's thread: whether it succeeded.
 pub(super) enum JournalResult {
@@ -48,8 +48,8 @@
     connection: Option<Connection>,
     connecting: Option<Task<()>>,
     connection_count: u64,
-    connect_at: f64,
-    retry_after: f64,
+    reconnect_at: f64,
+    retry_delay: f64,
     invocations: HashMap<u64, Task<()>>,
     journal_works: bool,
     tls_files: TlsFiles,
@@ -81,8 +81,8 @@
             connection: None,
             connecting: None,
             connection_count: 0,
-            connect_at: now,
-            retry_after: FIRST_RETRY,
+            reconnect_at: now,
+            retry_delay: INITIAL_RETRY_DELAY,
             invocations: HashMap::new(),
             journal_works: true,
         }
@@ -96,26 +96,26 @@
     /// When the next tick is due without any input.
     pub(super) fn next_tick_at(&self) -> f64 {
         let is_idle = self.connection.is_none() && self.connecting.is_none();
-        let connect_at = if is_idle {
-            self.connect_at
+        let reconnect_at = if is_idle {
+            self.reconnect_at
         } else {
             f64::INFINITY
         };
-        self.consumer.next_tick_at().min(connect_at)
+        self.consumer.next_tick_at().min(reconnect_at)
     }
 
     /// Runs what is due.
     pub(super) fn tick(&mut self) {
         let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
-            self.lost(&ended.to_string());
+            self.on_connection_lost(&ended.to_string());
         }
-        if self.connection.is_none() && self.connecting.is_none() && now >= self.connect_at {
+        if self.connection.is_none() && self.connecting.is_none() && now >= self.reconnect_at {
             self.start_connecting();
         }
         self.check_tls_files(now);
-        self.perform();
-        self.report();
+        self.perform_actions();
+        self.update_status();
     }
 
     /// Ends a connection whose certificates were replaced; the next one uses the new ones.
@@ -124,15 +124,15 @@
         if is_due && self.connection.is_some() && self.tls_files.have_changed() {
             info!("TLS files changed, reconnecting");
             self.consumer.disconnect(now);
-            self.perform();
+            self.perform_actions();
             self.connection = None;
             self.consumer.connection_lost();
-            self.connect_at = now;
+            self.reconnect_at = now;
         }
     }
 
     fn start_connecting(&mut self) {
-        self.tls_files.note();
+        self.tls_files.record_modification_time();
         let (settings, inputs) = (self.settings.clone(), self.inputs.clone());
         let work = async move {
             let connected = connect(&settings).await;
@@ -142,7 +142,7 @@
         self.connecting = self.router.spawn(work);
     }
 
-    fn connected(&mut self, stream: Box<dyn BrokerStream>) {
+    fn on_connected(&mut self, stream: Box<dyn BrokerStream>) {
         self.connection_count += 1;
         let number = self.connection_count;
         let (reader, writer) = futures_lite::io::split(stream);
@@ -170,43 +170,45 @@
         self.consumer.connect(self.router.now());
     }
 
-    fn lost(&mut self, why: &str) {
+    fn on_connection_lost(&mut self, why: &str) {
         let Some(_) = self.connection.take() else {
             return;
         };
         warn!(broker = %self.settings.broker, why, "broker connection lost");
         self.consumer.connection_lost();
-        self.connect_later();
+        self.schedule_reconnect();
     }
 
-    fn connect_later(&mut self) {
-        self.connect_at = self.router.now() + self.retry_after * (0.5 + rand::random::<f64>());
-        self.retry_after = (2.0 * self.retry_after).min(LONGEST_RETRY);
+    fn schedule_reconnect(&mut self) {
+        self.reconnect_at = self.router.now() + self.retry_delay * (0.5 + rand::random::<f64>());
+        self.retry_delay = (2.0 * self.retry_delay).min(MAX_RETRY_DELAY);
     }
 
     /// Passes an input of a connection or an invocation to the consumer.
     pub(super) fn apply(&mut self, input: Input) {
         let now = self.router.now();
-        let is_present = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
+        let is_current = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
         match input {
             Input::Connected(stream) => {
                 self.connecting = None;
                 match stream {
-                    Ok(stream) => self.connected(stream),
+                    Ok(stream) => self.on_connected(stream),
                     Err(fault) => {
                         warn!(broker = %self.settings.broker, %fault, "broker unreachable");
-                        self.connect_later();
+                        self.schedule_reconnect();
                     }
                 }
             }
-            Input::Packet(number, packet) if is_present(number) => {
+            Input::Packet(number, packet) if is_current(number) => {
                 let deployment = self.deployment_in_force();
                 if let Err(ended) = self.consumer.received(now, packet, &deployment) {
-                    self.lost(&ended.to_string());
+                    self.on_connection_lost(&ended.to_string());
                 }
             }
-            Input::Lost(number, why) if is_present(number) => self.lost(&why.to_string()),
-            Input::Packet(..) | Input::Lost(..) | Input::OutboxDrained => {}
+            Input::Disconnected(number, why) if is_current(number) => {
+                self.on_connection_lost(&why.to_string())
+            }
+            Input::Packet(..) | Input::Disconnected(..) | Input::OutboxDrained => {}
             Input::InvocationEnded(message_number, answer) => {
                 self.invocations.remove(&message_number);
                 self.consumer.invocation_ended(now, message_number, answer);
@@ -236,7 +238,7 @@
         self.in_force.deployment.clone()
     }
 
-    fn perform(&mut self) {
+    fn perform_actions(&mut self) {
         while let Some(action) = self.consumer.next_action() {
             match action {
                 HostAction::Append(entry) => self.append(entry),
@@ -300,7 +302,7 @@
     fn log(&mut self, notice: Notice) {
         match notice {
             Notice::Connected { session_present } => {
-                self.retry_after = FIRST_RETRY;
+                self.retry_delay = INITIAL_RETRY_DELAY;
                 info!(broker = %self.settings.broker, session_present, "connected to the broker");
             }
             Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
@@ -340,12 +342,12 @@
         }
     }
 
-    fn report(&self) {
-        let (in_hand, waiting) = self.consumer.backlog();
+    fn update_status(&self) {
+        let (in_flight, waiting) = self.consumer.backlog();
         self.router.triggers.set(Some(TriggerStatus {
             counters: self.consumer.counters(),
             connected: self.consumer.is_connected(),
-            in_hand,
+            in_flight,
             waiting,
             journal_works: self.journal_works,
         }));
@@ -354,7 +356,7 @@
     /// Disconnects from the broker in order.
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.router.now());
-        self.perform();
+        self.perform_actions();
         let Some(connection) = self.connection.take() else {
             return;
         };
@@ -362,7 +364,7 @@
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
         if let Some(write) = write {
-            let _ = orchidtally_socket_io::with_timeout(CLOSE_TIME, write).await;
+            let _ = orchidtally_socket_io::with_timeout(CLOSE_TIMEOUT, write).await;
         }
     }
 }
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -1,6 +1,6 @@
 //! Performs the invocation of a message.
 
-use crate::config::Refusal;
+use crate::config::AdmissionDenial;
 use crate::router::{
     AnswerLost, ExecutorResponse, FinalAnswer, IngressRequest, NamedCustomer, RejectionReason,
     Router,
@@ -16,26 +16,26 @@
 
 /// The answer to a message that the configuration doesn't admit: rejected if it may be admitted later and certainly
 /// hasn't run, failed otherwise.
-fn refused(refusal: &Refusal, may_have_run: bool) -> Answer {
-    if refusal.retry_after().is_some() && !may_have_run {
+fn denied_answer(denial: &AdmissionDenial, may_have_run: bool) -> Answer {
+    if denial.retry_after().is_some() && !may_have_run {
         return Answer::Rejected;
     }
     Answer::Failed {
-        reason: refusal.to_string(),
+        reason: denial.to_string(),
         may_have_run,
     }
 }
 
 /// Invokes the function of a message; returns the final answer.
 pub(super) async fn invoke(router: Rc<Router>, message: StoredMessage, ready_by: f64) -> Answer {
-    let ingress_request = match ask(&router, &message, ready_by) {
+    let ingress_request = match build_request(&router, &message, ready_by) {
         Ok(ingress_request) => ingress_request,
         Err(answer) => return answer,
     };
     match router.invoke(ingress_request).await {
         Ok(answer) => final_answer(answer),
         Err(RejectionReason::AtCapacity | RejectionReason::ShuttingDown) => Answer::Rejected,
-        Err(RejectionReason::Refused(refusal)) => refused(&refusal, false),
+        Err(RejectionReason::Denied(denial)) => denied_answer(&denial, false),
     }
 }
 
@@ -43,20 +43,20 @@
 ///
 /// # Errors
 /// The answer to a message that can't be invoked.
-fn ask<'m>(
+fn build_request<'m>(
     router: &Router,
     message: &'m StoredMessage,
     ready_by: f64,
 ) -> Result<IngressRequest<'m>, Answer> {
-    let errored = |why: String| Answer::Failed {
+    let failed = |why: String| Answer::Failed {
         reason: why,
         may_have_run: false,
     };
     let revision = router.revision();
     let target = &message.target;
-    let (trigger_place, trigger_type) =
+    let (trigger_type_position, trigger_type) =
         revision.trigger_type(&target.trigger_type).ok_or_else(|| {
-            errored(format!(
+            failed(format!(
                 "there is no trigger type '{}' any more",
                 target.trigger_type
             ))
@@ -65,14 +65,14 @@
         Some(customer) => customer.index,
         None if !revision.has_customers() => 0,
         None => {
-            return Err(errored(format!(
+            return Err(failed(format!(
                 "there is no customer '{}' any more",
                 target.customer
             )));
         }
     };
     let function = revision.function(&target.function).ok_or_else(|| {
-        errored(format!(
+        failed(format!(
             "there is no function '{}' any more",
             target.function
         ))
@@ -80,9 +80,9 @@
     if ready_by <= router.now() {
         return Err(Answer::Rejected);
     }
-    let resolved =
-        resolve(router, message, &function, trigger_place, customer).ok_or_else(|| {
-            errored(format!(
+    let resolved = resolve(router, message, &function, trigger_type_position, customer)
+        .ok_or_else(|| {
+            failed(format!(
                 "function '{}' has no version 'stable'",
                 target.function
             ))
@@ -97,8 +97,8 @@
             index: customer,
             name: &target.customer,
         },
-        token: &target.token,
-        repeat: false,
+        idempotency_key: &target.token,
+        is_retry: false,
         timeout_at: ready_by,
         payload_bytes: message.payload.len() as u64,
         payload: vec![message.payload.clone()],
@@ -146,15 +146,15 @@
             may_have_run: true,
         },
         Ok(FinalAnswer::Rejected { .. }) => Answer::Rejected,
-        Ok(FinalAnswer::Refused {
-            refusal,
+        Ok(FinalAnswer::Denied {
+            denial,
             may_have_run,
-        }) => refused(&refusal, may_have_run),
+        }) => denied_answer(&denial, may_have_run),
         Ok(FinalAnswer::Failed {
-            cause,
+            reason,
             may_have_run,
         }) => {
-            let why = match cause {
+            let why = match reason {
                 FailureReason::TimedOut => "no answer came in time",
                 FailureReason::Failed => "the executor failed",
             };
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -40,7 +40,7 @@
     }
 
     /// When the newest of the files was changed.
-    fn newest(&self) -> Option<SystemTime> {
+    fn latest_modification(&self) -> Option<SystemTime> {
         let changed_at = |path: &PathBuf| {
             std::fs::metadata(path)
                 .and_then(|file| file.modified())
@@ -50,8 +50,8 @@
     }
 
     /// A connection is being made with the files as they are now.
-    pub(super) fn note(&mut self) {
-        self.changed_at = self.newest();
+    pub(super) fn record_modification_time(&mut self) {
+        self.changed_at = self.latest_modification();
     }
 
     /// Whether a check is due.
@@ -65,6 +65,6 @@
 
     /// Whether a file was changed since the present connection was made.
     pub(super) fn have_changed(&self) -> bool {
-        self.newest() != self.changed_at
+        self.latest_modification() != self.changed_at
     }
 }
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -20,10 +20,10 @@
     pub(super) max_batch: usize,
 }
 
-fn bad(folder: &Path, what: impl std::fmt::Display) -> io::Error {
+fn invalid_data(folder: &Path, detail: impl std::fmt::Display) -> io::Error {
     io::Error::new(
         io::ErrorKind::InvalidData,
-        format!("{}: {what}", folder.display()),
+        format!("{}: {detail}", folder.display()),
     )
 }
 
@@ -54,7 +54,7 @@
         let folder = settings.folder(index);
         let (journal, found) = Journal::open(&folder)?;
         let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
-            bad(
+            invalid_data(
                 &folder,
                 format!("an entry can't be read, so that nothing is served: {e}"),
             )
--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -11,8 +11,8 @@
 /// An open HTTP/2 connection to an executor.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Bytes>,
-    pub(super) streams: Cell<usize>,
-    pub(super) closed: Cell<bool>,
+    pub(super) open_streams: Cell<usize>,
+    pub(super) is_closed: Cell<bool>,
     pub(super) idle_since: Cell<Instant>,
     /// Bytes passed to the kernel so far.
     pub(super) written: Rc<Cell<u64>>,
@@ -42,23 +42,23 @@
 }
 
 /// Names what an error on a stream showed; `orchidtally_engine::evidence` derives from that whether the request may have run.
-pub(super) fn observed_failure(
+pub(super) fn transport_outcome(
     e: &h2::Error,
-    sent_from: u64,
+    written_before: u64,
     connection: &Connection,
 ) -> TransportOutcome {
     if e.is_remote() && e.is_go_away() {
         return TransportOutcome::AboveLast;
     }
     if e.is_remote() && e.is_reset() {
-        let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
-        return if unseen {
+        let is_unprocessed = e.reason() == Some(h2::Reason::REFUSED_STREAM);
+        return if is_unprocessed {
             TransportOutcome::Refused
         } else {
             TransportOutcome::Reset
         };
     }
-    if connection.written.get() == sent_from {
+    if connection.written.get() == written_before {
         TransportOutcome::Unwritten
     } else {
         TransportOutcome::Broken
--- a/crates/http-frontend/src/pool/exchange.rs
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -1,6 +1,6 @@
 //! Requests to an executor: a message and a payload on a stream of their own.
 
-use super::connection::observed_failure;
+use super::connection::transport_outcome;
 use super::{Incoming, Pool};
 use bytes::Bytes;
 use orchidtally_engine::evidence::TransportOutcome;
@@ -27,48 +27,51 @@
         head: impl FnOnce() -> Option<Bytes>,
         payload: &[Bytes],
     ) -> Result<(M, Incoming), TransportOutcome> {
-        let mut incoming = self.begin(path, head, payload).await?;
+        let mut incoming = self.send(path, head, payload).await?;
         let message = incoming.message(MAX_MESSAGE_LENGTH).await?;
         Ok((message, incoming))
     }
 
     /// Sends the same, and reads nothing of what comes back.
-    pub async fn begin(
+    pub async fn send(
         self: &Rc<Self>,
         path: &str,
         head: impl FnOnce() -> Option<Bytes>,
         payload: &[Bytes],
     ) -> Result<Incoming, TransportOutcome> {
-        let lease = self.lease().await?;
+        let lease = self.acquire_stream().await?;
         let Some(head) = head() else {
             return Err(TransportOutcome::Withheld);
         };
-        let sent_from = lease.connection.written.get();
-        let classify = |e: &h2::Error| observed_failure(e, sent_from, &lease.connection);
-        let request = http::Request::post(format!("http://{}{path}", self.to))
+        let written_before = lease.connection.written.get();
+        let classify = |e: &h2::Error| transport_outcome(e, written_before, &lease.connection);
+        let request = http::Request::post(format!("http://{}{path}", self.address))
             .header(http::header::CONTENT_TYPE, CONTENT_TYPE)
             .body(())
             .map_err(|_| TransportOutcome::Withheld)?;
         let mut sender = lease.connection.sender.clone();
-        let (response, mut out) = sender
+        let (response, mut send_stream) = sender
             .send_request(request, false)
             .map_err(|e| classify(&e))?;
         // The chunks are handed over as they are; they go out as the peer's window lets them.
         let last = payload.len();
-        out.send_data(head, last == 0).map_err(|e| classify(&e))?;
+        send_stream
+            .send_data(head, last == 0)
+            .map_err(|e| classify(&e))?;
         for (n, chunk) in payload.iter().enumerate() {
-            out.send_data(chunk.clone(), n + 1 == last)
+            send_stream
+                .send_data(chunk.clone(), n + 1 == last)
                 .map_err(|e| classify(&e))?;
         }
         let response = response.await.map_err(|e| classify(&e))?;
         if response.status() != http::StatusCode::OK {
-            warn!(executor = %self.to, status = %response.status(), path, "executor rejected a message");
+            warn!(executor = %self.address, status = %response.status(), path, "executor rejected a message");
             return Err(TransportOutcome::Malformed);
         }
         Ok(Incoming {
             stream: response.into_body(),
             deframer: Deframer::default(),
-            sent_from,
+            written_before,
             lease,
         })
     }
--- a/crates/http-frontend/src/pool/incoming.rs
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -1,7 +1,7 @@
 //! Reading an executor's response.
 
-use super::Lease;
-use super::connection::{Pinger, observed_failure};
+use super::StreamLease;
+use super::connection::{Pinger, transport_outcome};
 use bytes::Bytes;
 use orchidtally_engine::evidence::TransportOutcome;
 use orchidtally_executor_protocol::Deframer;
@@ -12,8 +12,8 @@
 pub struct Incoming {
     pub(super) stream: h2::RecvStream,
     pub(super) deframer: Deframer,
-    pub(super) sent_from: u64,
-    pub(super) lease: Lease,
+    pub(super) written_before: u64,
+    pub(super) lease: StreamLease,
 }
 
 impl Incoming {
@@ -32,7 +32,11 @@
                 self.deframer.push(chunk);
                 Ok(true)
             }
-            Some(Err(e)) => Err(observed_failure(&e, self.sent_from, &self.lease.connection)),
+            Some(Err(e)) => Err(transport_outcome(
+                &e,
+                self.written_before,
+                &self.lease.connection,
+            )),
         }
     }
 
@@ -52,8 +56,8 @@
                 Err(fault) => fault,
             };
             // No new streams are opened on it; those in flight may still succeed.
-            if !self.lease.connection.closed.replace(true) {
-                let executor = self.lease.pool.to;
+            if !self.lease.connection.is_closed.replace(true) {
+                let executor = self.lease.pool.address;
                 warn!(%executor, %fault, "connection closed: a message can't be decoded");
             }
             return Err(TransportOutcome::Malformed);
@@ -81,7 +85,7 @@
         while let Some(chunk) = self.next_chunk().await? {
             length += chunk.len();
             if length > max_length {
-                warn!(executor = %self.lease.pool.to, max_length, "response exceeds the length limit");
+                warn!(executor = %self.lease.pool.address, max_length, "response exceeds the length limit");
                 return Err(TransportOutcome::Malformed);
             }
             chunks.push(chunk);
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -24,15 +24,15 @@
 #[derive(Clone, Copy)]
 pub struct ConnectionLimits {
     /// Streams that one connection carries at a time.
-    pub streams_per_connection: usize,
+    pub max_streams_per_connection: usize,
     /// Connections that are open or being opened at a time.
     pub connections: usize,
     /// The time for a connect with its handshake, and for the wait for a stream.
-    pub connect_time: Duration,
+    pub connect_timeout: Duration,
     /// A connection without streams is closed after this time.
-    pub idle_close: Duration,
+    pub idle_timeout: Duration,
     /// The longest list of response headers, in bytes; messages and payloads have limits of their own.
-    pub header_bytes: u32,
+    pub max_header_bytes: u32,
 }
 
 #[derive(Default)]
@@ -45,22 +45,24 @@
 
 /// The connections to one executor.
 pub struct Pool {
-    to: SocketAddr,
+    address: SocketAddr,
     limits: ConnectionLimits,
     spawner: Weak<LocalExecutor<'static>>,
     state: RefCell<State>,
 }
 
 /// A reserved stream on a connection, released when dropped.
-struct Lease {
+struct StreamLease {
     pool: Rc<Pool>,
     connection: Rc<Connection>,
 }
 
-impl Drop for Lease {
+impl Drop for StreamLease {
     fn drop(&mut self) {
         let connection = &self.connection;
-        connection.streams.set(connection.streams.get() - 1);
+        connection
+            .open_streams
+            .set(connection.open_streams.get() - 1);
         connection.idle_since.set(Instant::now());
         self.pool.wake_one();
     }
@@ -68,12 +70,12 @@
 
 impl Pool {
     pub fn new(
-        to: SocketAddr,
+        address: SocketAddr,
         limits: ConnectionLimits,
         spawner: Weak<LocalExecutor<'static>>,
     ) -> Rc<Pool> {
         Rc::new(Pool {
-            to,
+            address,
             limits,
             spawner,
             state: RefCell::default(),
@@ -81,15 +83,15 @@
     }
 
     /// Closes idle connections; returns whether the pool is empty and unused.
-    pub fn sweep(&self) -> bool {
+    pub fn close_idle_connections(&self) -> bool {
         let mut state = self.state.borrow_mut();
-        let idle = |connection: &Rc<Connection>| {
-            connection.streams.get() == 0
-                && connection.idle_since.get().elapsed() >= self.limits.idle_close
+        let is_idle = |connection: &Rc<Connection>| {
+            connection.open_streams.get() == 0
+                && connection.idle_since.get().elapsed() >= self.limits.idle_timeout
         };
         state
             .connections
-            .retain(|connection| !connection.closed.get() && !idle(connection));
+            .retain(|connection| !connection.is_closed.get() && !is_idle(connection));
         state.connections.is_empty() && state.connecting == 0 && state.waiters.is_empty()
     }
 
@@ -110,53 +112,55 @@
         }
     }
 
-    fn lease_free_stream(self: &Rc<Self>) -> Option<Lease> {
+    fn try_acquire_stream(self: &Rc<Self>) -> Option<StreamLease> {
         let state = self.state.borrow();
         let has_free_stream = |connection: &&Rc<Connection>| {
-            !connection.closed.get()
-                && connection.streams.get() < self.limits.streams_per_connection
+            !connection.is_closed.get()
+                && connection.open_streams.get() < self.limits.max_streams_per_connection
         };
         let connection = state.connections.iter().find(has_free_stream)?.clone();
-        connection.streams.set(connection.streams.get() + 1);
-        Some(Lease {
+        connection
+            .open_streams
+            .set(connection.open_streams.get() + 1);
+        Some(StreamLease {
             pool: self.clone(),
             connection,
         })
     }
 
-    async fn lease(self: &Rc<Self>) -> Result<Lease, TransportOutcome> {
-        let deadline = Instant::now() + self.limits.connect_time;
+    async fn acquire_stream(self: &Rc<Self>) -> Result<StreamLease, TransportOutcome> {
+        let deadline = Instant::now() + self.limits.connect_timeout;
         loop {
-            while let Some(lease) = self.lease_free_stream() {
+            while let Some(lease) = self.try_acquire_stream() {
                 // A connection that the peer is closing accepts no new stream.
                 if lease.connection.sender.clone().ready().await.is_ok() {
                     return Ok(lease);
                 }
-                lease.connection.closed.set(true);
+                lease.connection.is_closed.set(true);
             }
             let (wake, woken) = oneshot::channel();
-            let opens = {
+            let opens_connection = {
                 let mut state = self.state.borrow_mut();
                 state
                     .connections
-                    .retain(|connection| !connection.closed.get());
+                    .retain(|connection| !connection.is_closed.get());
                 state.waiters.push_back(wake);
-                let expected_streams = state.connecting * self.limits.streams_per_connection;
+                let expected_streams = state.connecting * self.limits.max_streams_per_connection;
                 let open = state.connections.len() + state.connecting;
-                let opens =
+                let opens_connection =
                     open < self.limits.connections && state.waiters.len() > expected_streams;
-                state.connecting += usize::from(opens);
-                opens
+                state.connecting += usize::from(opens_connection);
+                opens_connection
             };
-            if opens {
+            if opens_connection {
                 let Some(spawner) = self.spawner.upgrade() else {
                     return Err(TransportOutcome::NoConnection);
                 };
                 // In a task of its own, which continues where the dispatch that started it is cancelled.
                 spawner.spawn(self.clone().open()).detach();
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            match orchidtally_socket_io::with_timeout(left, woken).await {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            match orchidtally_socket_io::with_timeout(time_left, woken).await {
                 Some(Ok(None)) => {}
                 Some(Ok(Some(why))) => return Err(why),
                 Some(Err(_)) | None => {
--- a/crates/http-frontend/src/pool/opening.rs
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -29,7 +29,8 @@
     /// Opens a connection and drives it to its end.
     pub(super) async fn open(self: Rc<Self>) {
         let handshake =
-            orchidtally_socket_io::with_timeout(self.limits.connect_time, self.handshake()).await;
+            orchidtally_socket_io::with_timeout(self.limits.connect_timeout, self.handshake())
+                .await;
         self.state.borrow_mut().connecting -= 1;
         let handshake = match handshake {
             Some(Ok(handshake)) => handshake,
@@ -38,8 +39,8 @@
         };
         let connection = Rc::new(Connection {
             sender: handshake.sender,
-            streams: Cell::new(0),
-            closed: Cell::new(false),
+            open_streams: Cell::new(0),
+            is_closed: Cell::new(false),
             idle_since: Cell::new(Instant::now()),
             written: handshake.written,
             ping: RefCell::new(handshake.ping),
@@ -50,27 +51,28 @@
         drop(connection);
         let ended = handshake.driver.await;
         if let Some(connection) = weak_connection.upgrade() {
-            connection.closed.set(true);
+            connection.is_closed.set(true);
         }
         self.state
             .borrow_mut()
             .connections
-            .retain(|c| !c.closed.get());
+            .retain(|c| !c.is_closed.get());
         match ended {
             Err(e) if !e.is_io() && !e.is_remote() => {
-                warn!(executor = %self.to, fault = %e, "connection closed: protocol violation by the executor");
+                warn!(executor = %self.address, fault = %e, "connection closed: protocol violation by the executor");
             }
-            Err(e) => debug!(executor = %self.to, fault = %e, "connection broken"),
+            Err(e) => debug!(executor = %self.address, fault = %e, "connection broken"),
             Ok(()) => {}
         }
     }
 
     async fn handshake(&self) -> io::Result<Handshake> {
-        let stream = orchidtally_socket_io::connect(self.to, self.limits.connect_time).await?;
+        let stream =
+            orchidtally_socket_io::connect(self.address, self.limits.connect_timeout).await?;
         let written = stream.bytes_written();
         let mut builder = h2::client::Builder::new();
         builder
-            .max_header_list_size(self.limits.header_bytes)
+            .max_header_list_size(self.limits.max_header_bytes)
             .enable_push(false);
         builder
             .initial_window_size(STREAM_WINDOW)
@@ -90,13 +92,13 @@
 
     /// Waiting dispatches fail unless another connection stands.
     fn on_connect_failure(&self, why: &str) {
-        debug!(executor = %self.to, why, "connect failed");
+        debug!(executor = %self.address, why, "connect failed");
         let all_closed = self
             .state
             .borrow()
             .connections
             .iter()
-            .all(|c| c.closed.get());
+            .all(|c| c.is_closed.get());
         if all_closed {
             self.wake_all(Some(TransportOutcome::NoConnection));
         }
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -28,30 +28,34 @@
     Unreadable(#[from] io::Error),
     /// The file is invalid.
     #[error("it has {} faults; mend them, as `orchidtally check` tells them too", .0.len())]
-    Faults(Vec<DeploymentFault>),
+    Invalid(Vec<DeploymentFault>),
     /// Some changes only take effect at a restart.
     #[error("{} of its changes need a restart; restart this front end, or take them back", .0.len())]
     NeedsRestart(Vec<DeploymentFault>),
     /// The front end rejects the configuration.
     #[error(transparent)]
-    Refused(#[from] ApplyError),
+    Rejected(#[from] ApplyError),
 }
 
 impl ReloadError {
     /// The places in the file that cause the error, as far as they are known.
-    fn places(&self) -> &[DeploymentFault] {
+    fn deployment_faults(&self) -> &[DeploymentFault] {
         match self {
-            ReloadError::Faults(places) | ReloadError::NeedsRestart(places) => places,
-            ReloadError::Unreadable(_) | ReloadError::Refused(_) => &[],
+            ReloadError::Invalid(faults) | ReloadError::NeedsRestart(faults) => faults,
+            ReloadError::Unreadable(_) | ReloadError::Rejected(_) => &[],
         }
     }
 }
 
 /// Puts the text of a file in force; `before` is the text in force until then.
-fn reload(router: &Router, before: &str, read: io::Result<String>) -> Result<String, ReloadError> {
+fn reload(
+    router: &Router,
+    current_text: &str,
+    read: io::Result<String>,
+) -> Result<String, ReloadError> {
     let text = read?;
-    let (deployment, _) = orchidtally_mqtt_triggers::read(&text).map_err(ReloadError::Faults)?;
-    let needed = restart_needed(before, &text);
+    let (deployment, _) = orchidtally_mqtt_triggers::read(&text).map_err(ReloadError::Invalid)?;
+    let needed = restart_needed(current_text, &text);
     if !needed.is_empty() {
         return Err(ReloadError::NeedsRestart(needed));
     }
@@ -80,8 +84,8 @@
                 info!(%file, revision = revision.number, functions, "the deployment file was read again and is in force");
             }
             Err(fault) => {
-                for place in fault.places() {
-                    error!("{file}:{place}");
+                for location in fault.deployment_faults() {
+                    error!("{file}:{location}");
                 }
                 error!(%file, %fault, "the deployment file is not applied: the previous configuration stays in force");
             }
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-pub const EXCHANGE: &str = "/v1/rollouts/exchange";
+pub const EXCHANGE_PATH: &str = "/v1/rollouts/exchange";
 /// The timeout of a request; a coordinator that has not answered by then is polled again in the next round.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -30,9 +30,12 @@
 }
 
 /// Exchanges a report for the published state with one coordinator.
-async fn exchange(at: SocketAddr, report: &EvidenceReport) -> Result<Published, ExchangeError> {
+async fn exchange(
+    address: SocketAddr,
+    report: &EvidenceReport,
+) -> Result<Published, ExchangeError> {
     let body = serde_json::to_vec(report).map_err(ExchangeError::Encode)?;
-    let (status, answer) = fetch(at, Method::POST, EXCHANGE, body, REQUEST_TIMEOUT)
+    let (status, answer) = fetch(address, Method::POST, EXCHANGE_PATH, body, REQUEST_TIMEOUT)
         .await
         .map_err(ExchangeError::Request)?;
     if status != StatusCode::OK {
@@ -44,23 +47,23 @@
 
 /// Polls all coordinators, round after round, for as long as the front end lives.
 pub async fn poll_coordinators(router: Rc<Router>) {
-    let pause = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
+    let interval = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
     let mut is_reachable = true;
     loop {
         let report = router
             .traffic_split
             .borrow_mut()
             .report(router.sender.get().incarnation);
-        let rounds: Vec<_> = router
+        let requests: Vec<_> = router
             .deployment
             .coordinators
             .iter()
-            .map(|&at| (at, report.clone()))
+            .map(|&address| (address, report.clone()))
             .collect();
-        let tasks: Vec<_> = rounds
+        let tasks: Vec<_> = requests
             .into_iter()
-            .filter_map(|(at, report)| {
-                router.spawn(async move { (at, exchange(at, &report).await) })
+            .filter_map(|(address, report)| {
+                router.spawn(async move { (address, exchange(address, &report).await) })
             })
             .collect();
         let (mut newest, mut faults) = (None::<Published>, vec![]);
@@ -75,7 +78,7 @@
                         newest = Some(published);
                     }
                 }
-                (at, Err(fault)) => faults.push(format!("{at}: {fault}")),
+                (address, Err(fault)) => faults.push(format!("{address}: {fault}")),
             }
         }
         match (&newest, is_reachable) {
@@ -92,6 +95,6 @@
         }
         router.apply_rollouts(newest);
         future::yield_now().await;
-        async_io::Timer::after(pause).await;
+        async_io::Timer::after(interval).await;
     }
 }
--- a/crates/http-frontend/src/router/action_executor.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -26,7 +26,7 @@
 pub(super) struct VersionName {
     function: Rc<str>,
     digest: Rc<str>,
-    pub(super) at: Instant,
+    pub(super) last_used_at: Instant,
 }
 
 /// Performs the actions of the engine.
@@ -67,26 +67,32 @@
         }
     }
 
-    fn pool(&mut self, router: &Rc<Router>, to: ExecutorId) -> Rc<Pool> {
-        let bounds = &router.deployment.limits;
+    fn pool(&mut self, router: &Rc<Router>, executor: ExecutorId) -> Rc<Pool> {
+        let deployment_limits = &router.deployment.limits;
         let limits = ConnectionLimits {
-            streams_per_connection: bounds.max_streams_per_connection,
-            connections: bounds.max_connections_per_executor,
-            connect_time: seconds(bounds.connect_timeout),
-            idle_close: seconds(bounds.idle_timeout),
-            header_bytes: bounds.max_header_bytes,
+            max_streams_per_connection: deployment_limits.max_streams_per_connection,
+            connections: deployment_limits.max_connections_per_executor,
+            connect_timeout: seconds(deployment_limits.connect_timeout),
+            idle_timeout: seconds(deployment_limits.idle_timeout),
+            max_header_bytes: deployment_limits.max_header_bytes,
         };
-        let new = || Pool::new(SocketAddr::new(to.0, to.1), limits, router.spawner());
-        self.pools.entry(to).or_insert_with(new).clone()
+        let new = || {
+            Pool::new(
+                SocketAddr::new(executor.0, executor.1),
+                limits,
+                router.spawner(),
+            )
+        };
+        self.pools.entry(executor).or_insert_with(new).clone()
     }
 
-    pub(super) fn remember_version(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
+    pub(super) fn record_version_name(&mut self, key: u64, function: Rc<str>, digest: Rc<str>) {
         self.version_names.insert(
             key,
             VersionName {
                 function,
                 digest,
-                at: Instant::now(),
+                last_used_at: Instant::now(),
             },
         );
     }
@@ -97,10 +103,10 @@
         now: f64,
         client: Client,
     ) -> Result<u32, AdmissionError> {
-        self.remember_version(
+        self.record_version_name(
             client.request.function,
-            client.work.function.clone(),
-            client.work.digest.clone(),
+            client.context.function.clone(),
+            client.context.digest.clone(),
         );
         let request = client.request.clone();
         self.admitting = Some(client);
@@ -113,19 +119,21 @@
 
     /// Sends the final answer of an invocation to its client; no other function does. The outcome is evidence on its
     /// version.
-    fn answer(&mut self, invocation: u32, answer: FinalAnswer) {
+    fn send_final_answer(&mut self, invocation: u32, answer: FinalAnswer) {
         let Some(client) = self.clients.remove(&invocation) else {
             return;
         };
         let timing = self.timing.take();
-        if let (Some(invoked), Some(router)) = (client.work.invoked, self.router.upgrade())
-            && let Some(to) = add_evidence(&router, &client, &invoked, &answer, timing)
+        if let (Some(rollout_assignment), Some(router)) =
+            (client.context.rollout_assignment, self.router.upgrade())
+            && let Some(target_version) =
+                add_evidence(&router, &client, &rollout_assignment, &answer, timing)
             && client.request.timeout_at - router.now() > MIN_TIME_TO_MIGRATE
         {
             self.migrations.push(Migration {
                 client,
-                to,
-                dispatched: MAX_DISPATCHES,
+                target_version,
+                prior_dispatches: MAX_DISPATCHES,
             });
             return;
         }
@@ -135,15 +143,15 @@
 
     fn send_load_command(
         &mut self,
-        to: ExecutorId,
+        executor: ExecutorId,
         function: u64,
         kind: v1::OrderKind,
-        copies: u8,
+        replicas: u8,
     ) {
         let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(named) = self.version_names.get(&function) else {
+        let Some(version_name) = self.version_names.get(&function) else {
             warn!(
                 function,
                 "load command skipped: function not invoked recently"
@@ -153,15 +161,15 @@
         let order = v1::Order {
             from: Some(router.sender.get()),
             kind: kind.into(),
-            function: named.function.to_string(),
-            digest: named.digest.to_string(),
-            copies: copies.into(),
+            function: version_name.function.to_string(),
+            digest: version_name.digest.to_string(),
+            copies: replicas.into(),
         };
-        let pool = self.pool(&router, to);
+        let pool = self.pool(&router, executor);
         if let Some(task) = router.spawn(
             router
                 .clone()
-                .send_load_command(to, pool, order, function, self.now),
+                .send_load_command(executor, pool, order, function, self.now),
         ) {
             task.detach();
         }
@@ -176,27 +184,27 @@
         }
     }
 
-    fn dispatch(&mut self, invocation: u32, dispatch: u8, to: ExecutorId, _within: f64) {
+    fn dispatch(&mut self, invocation: u32, dispatch: u8, executor: ExecutorId, _within: f64) {
         let Some(router) = self.router.upgrade() else {
             return;
         };
         let Some(client) = self.clients.get(&invocation) else {
             return;
         };
-        let (work, version) = (client.work.clone(), client.request.function);
+        let (context, version) = (client.context.clone(), client.request.function);
         let timeout_at = client.request.timeout_at;
-        work.last.set(executor_number(to));
-        let pool = self.pool(&router, to);
-        let work = Dispatch {
+        context.last_executor.set(executor_number(executor));
+        let pool = self.pool(&router, executor);
+        let context = Dispatch {
             invocation,
             number: dispatch,
-            to,
+            executor,
             pool,
-            work,
+            context,
             version,
             timeout_at,
         };
-        if let Some(task) = router.spawn(router.clone().dispatch(work)) {
+        if let Some(task) = router.spawn(router.clone().dispatch(context)) {
             self.dispatch_tasks.insert((invocation, dispatch), task);
         }
     }
@@ -211,56 +219,56 @@
             .executor_response
             .take()
             .unwrap_or(ExecutorResponse::Complete(vec![]));
-        self.answer(invocation, FinalAnswer::Succeeded(executor_response));
+        self.send_final_answer(invocation, FinalAnswer::Succeeded(executor_response));
     }
 
-    fn rejected(&mut self, invocation: u32, retry_after: f64, past_share: bool) {
-        self.answer(
+    fn rejected(&mut self, invocation: u32, retry_after: f64, over_quota: bool) {
+        self.send_final_answer(
             invocation,
             FinalAnswer::Rejected {
                 retry_after,
-                past_share,
+                over_quota,
             },
         );
     }
 
-    fn failed(&mut self, invocation: u32, cause: FailureReason, may_have_run: bool) {
-        self.answer(
+    fn failed(&mut self, invocation: u32, reason: FailureReason, may_have_run: bool) {
+        self.send_final_answer(
             invocation,
             FinalAnswer::Failed {
-                cause,
+                reason,
                 may_have_run,
             },
         );
     }
 
-    fn load(&mut self, to: ExecutorId, function: u64, copies: u8) {
-        self.send_load_command(to, function, v1::OrderKind::Hold, copies);
+    fn load(&mut self, executor: ExecutorId, function: u64, replicas: u8) {
+        self.send_load_command(executor, function, v1::OrderKind::Hold, replicas);
     }
 
-    fn query_replicas(&mut self, to: ExecutorId, function: u64) {
-        self.send_load_command(to, function, v1::OrderKind::Ask, 0);
+    fn query_replicas(&mut self, executor: ExecutorId, function: u64) {
+        self.send_load_command(executor, function, v1::OrderKind::Ask, 0);
     }
 
-    fn unload(&mut self, to: ExecutorId, function: u64) {
-        self.send_load_command(to, function, v1::OrderKind::Unload, 0);
+    fn unload(&mut self, executor: ExecutorId, function: u64) {
+        self.send_load_command(executor, function, v1::OrderKind::Unload, 0);
     }
 
-    fn health_check(&mut self, to: ExecutorId) {
+    fn health_check(&mut self, executor: ExecutorId) {
         let Some(router) = self.router.upgrade() else {
             return;
         };
-        let pool = self.pool(&router, to);
+        let pool = self.pool(&router, executor);
         let probe = frame(&v1::Probe {
             from: Some(router.sender.get()),
         });
-        let work = async move {
+        let context = async move {
             let answered = pool
                 .exchange::<v1::ProbeAnswer>(HEALTH_CHECK_PATH, probe, &[])
                 .await;
-            debug!(executor = %to.0, report = ?answered.ok().map(|a| a.0.report), "health check finished");
+            debug!(executor = %executor.0, report = ?answered.ok().map(|a| a.0.report), "health check finished");
         };
-        if let Some(task) = router.spawn(work) {
+        if let Some(task) = router.spawn(context) {
             task.detach();
         }
     }
--- a/crates/http-frontend/src/router/dispatch_admission.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -4,7 +4,7 @@
 use super::Router;
 use super::invocation::{FinalAnswer, InvocationContext, RejectionReason};
 use super::revision::Revision;
-use crate::config::{Admission, Refusal, Subject};
+use crate::config::{Admission, AdmissionDenial, Subject};
 use orchidtally_dispatch_policy::interface::DispatchStatus;
 use orchidtally_engine::NO_METADATA;
 
@@ -24,47 +24,47 @@
         revision: &Revision,
         subject: &Subject,
     ) -> Result<(), RejectionReason> {
-        let refusal = self
+        let denial = self
             .admission
             .get()
-            .and_then(|admission| admission.refusal(revision.view.as_deref(), subject));
-        refusal.map_or(Ok(()), |refusal| Err(RejectionReason::Refused(refusal)))
+            .and_then(|admission| admission.denial(revision.view.as_deref(), subject));
+        denial.map_or(Ok(()), |denial| Err(RejectionReason::Denied(denial)))
     }
 
     /// Why a dispatch may not be sent now.
-    pub(super) fn dispatch_refusal(&self, work: &InvocationContext) -> Option<Refusal> {
-        let trigger_type = &work.trigger_type.trigger.name;
+    pub(super) fn dispatch_denial(&self, context: &InvocationContext) -> Option<AdmissionDenial> {
+        let trigger_type = &context.trigger_type.settings.name;
         let subject = Subject {
-            function: &work.function,
+            function: &context.function,
             trigger_type,
-            customer: &work.customer,
+            customer: &context.customer,
         };
         self.admission
             .get()?
-            .refusal(work.revision.view.as_deref(), &subject)
+            .denial(context.revision.view.as_deref(), &subject)
     }
 
     /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is in flight, whose
     /// answer goes to the client.
-    pub(super) fn on_dispatch_refused(&self, invocation: u32, number: u8, refusal: Refusal) {
+    pub(super) fn on_dispatch_denied(&self, invocation: u32, number: u8, denial: AdmissionDenial) {
         self.run_engine(|engine, now, action_executor| {
             if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, number)) {
                 task.detach();
             }
             let sent = engine.dispatch_count(invocation);
-            let another_in_flight = (0..sent).any(|m| {
+            let has_other_in_flight = (0..sent).any(|m| {
                 action_executor
                     .dispatch_tasks
                     .contains_key(&(invocation, m as u8))
             });
-            if !another_in_flight {
+            if !has_other_in_flight {
                 // An earlier one may have run: how it ended isn't known here.
                 let may_have_run = sent > 1;
                 engine.on_client_cancel(now, invocation, action_executor);
                 if let Some(client) = action_executor.clients.remove(&invocation) {
                     // A client that went away meanwhile needs no answer.
-                    let _ = client.reply.send(FinalAnswer::Refused {
-                        refusal,
+                    let _ = client.reply.send(FinalAnswer::Denied {
+                        denial,
                         may_have_run,
                     });
                 }
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -18,7 +18,7 @@
 /// Chunks of a streamed response that are buffered for a client that reads slowly.
 const MAX_STREAM_CHUNKS: usize = 8;
 /// Microseconds in a second.
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 /// The interval between two warnings about a duplicate index.
 const INDEX_WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
@@ -28,9 +28,9 @@
     pub(super) invocation: u32,
     /// The number of the dispatch among those of the invocation.
     pub(super) number: u8,
-    pub(super) to: ExecutorId,
+    pub(super) executor: ExecutorId,
     pub(super) pool: Rc<Pool>,
-    pub(super) work: Rc<InvocationContext>,
+    pub(super) context: Rc<InvocationContext>,
     /// The key of the function's version.
     pub(super) version: u64,
     /// When the client's timeout ends.
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy)]
 pub(super) struct Timing {
     /// Seconds from its start to its response.
-    pub(super) took: f64,
+    pub(super) elapsed: f64,
     /// Whether the executor had a warm replica.
-    pub(super) warm: bool,
+    pub(super) is_warm: bool,
 }
 
 /// How a dispatch ended.
@@ -117,41 +117,41 @@
     fn on_duplicate_index(&self, executor: ExecutorId) {
         self.duplicate_index_reports
             .set(self.duplicate_index_reports.get() + 1);
-        let warned_lately = self
-            .warned_of_index
+        let warned_recently = self
+            .duplicate_index_warned_at
             .get()
             .is_some_and(|at| at.elapsed() < INDEX_WARNING_INTERVAL);
-        if !warned_lately {
-            self.warned_of_index.set(Some(Instant::now()));
+        if !warned_recently {
+            self.duplicate_index_warned_at.set(Some(Instant::now()));
             error!(index = self.sender.get().index, executor = %executor.0, "duplicate front-end index: another front end uses it");
         }
     }
 
     /// Sends a dispatch and reports its end to the engine.
     pub(super) async fn dispatch(self: Rc<Self>, dispatch: Dispatch) {
-        let began = Instant::now();
-        let refusal = Cell::new(None);
+        let started_at = Instant::now();
+        let denial = Cell::new(None);
         let head = || {
-            let refused = self.dispatch_refusal(&dispatch.work);
-            let may_leave = refused.is_none() && self.is_dispatch_still_valid(&dispatch);
-            refusal.set(refused);
-            may_leave.then(|| frame(&self.dispatch_head(&dispatch)))
+            let current_denial = self.dispatch_denial(&dispatch.context);
+            let may_send = current_denial.is_none() && self.is_dispatch_still_valid(&dispatch);
+            denial.set(current_denial);
+            may_send.then(|| frame(&self.dispatch_head(&dispatch)))
         };
-        let payload = &dispatch.work.payload;
-        let exchanged = dispatch
+        let payload = &dispatch.context.payload;
+        let result = dispatch
             .pool
             .exchange_if::<v1::Answer>(DISPATCH_PATH, head, payload)
             .await;
-        if let Some(refusal) = refusal.take() {
-            return self.on_dispatch_refused(dispatch.invocation, dispatch.number, refusal);
+        if let Some(denial) = denial.take() {
+            return self.on_dispatch_denied(dispatch.invocation, dispatch.number, denial);
         }
-        self.record_reachability(dispatch.to, exchanged.as_ref().err().copied());
-        match exchanged {
+        self.record_reachability(dispatch.executor, result.as_ref().err().copied());
+        match result {
             Ok((answer, incoming)) => {
-                self.on_dispatch_answer(&dispatch, began, answer, incoming)
+                self.on_dispatch_response(&dispatch, started_at, answer, incoming)
                     .await
             }
-            Err(outcome) => self.on_dispatch_broken(&dispatch, outcome),
+            Err(outcome) => self.on_transport_failure(&dispatch, outcome),
         }
     }
 
@@ -165,30 +165,31 @@
     }
 
     fn dispatch_head(&self, dispatch: &Dispatch) -> v1::Dispatch {
-        let work = &dispatch.work;
-        let effect = match work.trigger_type.policy.idempotency {
+        let context = &dispatch.context;
+        let effect = match context.trigger_type.policy.idempotency {
             Idempotency::Idempotent => v1::Effect::Idempotent,
             Idempotency::Keyed => v1::Effect::Tokened,
             Idempotency::NonIdempotent => v1::Effect::NonIdempotent,
         };
         v1::Dispatch {
             from: Some(self.sender.get()),
-            invocation: work.name.clone(),
-            number: work.dispatched + u32::from(dispatch.number),
-            digest: work.digest.to_string(),
-            function: work.function.to_string(),
-            trigger_type: work.trigger_type.trigger.name.clone(),
-            customer: work.customer.clone(),
+            invocation: context.name.clone(),
+            number: context.prior_dispatches + u32::from(dispatch.number),
+            digest: context.digest.to_string(),
+            function: context.function.to_string(),
+            trigger_type: context.trigger_type.settings.name.clone(),
+            customer: context.customer.clone(),
             effect: effect.into(),
-            token: work.token.clone(),
-            time_left: ((dispatch.timeout_at - self.now()).max(0.0) * MICROSECONDS) as u64,
-            payload_bytes: work.payload_bytes,
+            token: context.idempotency_key.clone(),
+            time_left: ((dispatch.timeout_at - self.now()).max(0.0) * MICROSECONDS_PER_SECOND)
+                as u64,
+            payload_bytes: context.payload_bytes,
         }
     }
 
-    fn on_dispatch_broken(&self, dispatch: &Dispatch, outcome: TransportOutcome) {
+    fn on_transport_failure(&self, dispatch: &Dispatch, outcome: TransportOutcome) {
         let status = evidence::dispatch_status(outcome);
-        debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.to.0, ?outcome, "dispatch ended without a response");
+        debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.executor.0, ?outcome, "dispatch ended without a response");
         // One that certainly never ran shows nothing about the version.
         if !status.never_ran() {
             self.record_version_failure(dispatch, true);
@@ -204,19 +205,19 @@
         );
     }
 
-    async fn on_dispatch_answer(
+    async fn on_dispatch_response(
         &self,
         dispatch: &Dispatch,
-        began: Instant,
+        started_at: Instant,
         answer: v1::Answer,
         mut incoming: Incoming,
     ) {
         if answer.index_taken {
-            self.on_duplicate_index(dispatch.to);
+            self.on_duplicate_index(dispatch.executor);
         }
-        let found = replica_state(&answer);
-        if matches!(found, ReplicaState::ColdStart | ReplicaState::LoadFailed) {
-            let succeeded = found == ReplicaState::ColdStart;
+        let state = replica_state(&answer);
+        if matches!(state, ReplicaState::ColdStart | ReplicaState::LoadFailed) {
+            let succeeded = state == ReplicaState::ColdStart;
             self.traffic_split.borrow_mut().record_load_result(
                 dispatch.version,
                 succeeded,
@@ -224,14 +225,14 @@
             );
         }
         let timing = || Timing {
-            took: began.elapsed().as_secs_f64(),
-            warm: matches!(found, ReplicaState::Warm | ReplicaState::Unknown),
+            elapsed: started_at.elapsed().as_secs_f64(),
+            is_warm: matches!(state, ReplicaState::Warm | ReplicaState::Unknown),
         };
         let (outcome, executor_response) = self
             .receive_response(dispatch, &answer, timing(), &mut incoming)
             .await;
         let metadata = ResponseMetadata {
-            replica_state: found,
+            replica_state: state,
             function_concurrency: answer.crowd,
             load_report: &answer.report,
         };
@@ -255,10 +256,10 @@
         timing: Timing,
         incoming: &mut Incoming,
     ) -> (TransportOutcome, Option<ExecutorResponse>) {
-        let may_stream = dispatch.work.trigger_type.trigger.streams_responses;
+        let may_stream = dispatch.context.trigger_type.settings.streams_responses;
         let status = match answer.ending() {
             v1::Ending::Ok if answer.streams && may_stream => {
-                return (self.stream_answer(dispatch, timing, incoming).await, None);
+                return (self.stream_response(dispatch, timing, incoming).await, None);
             }
             v1::Ending::Ok => {
                 let max_length = self.deployment.limits.max_response_bytes;
@@ -284,13 +285,13 @@
     }
 
     /// Forwards a streamed response, unless another dispatch of the invocation has answered.
-    async fn stream_answer(
+    async fn stream_response(
         &self,
         dispatch: &Dispatch,
         timing: Timing,
         incoming: &mut Incoming,
     ) -> TransportOutcome {
-        let (parts, body) = async_channel::bounded(MAX_STREAM_CHUNKS);
+        let (chunk_sender, body) = async_channel::bounded(MAX_STREAM_CHUNKS);
         let is_first = self.run_engine(|engine, now, action_executor| {
             action_executor.executor_response = Some(ExecutorResponse::Streamed(body));
             action_executor.timing = Some(timing);
@@ -304,55 +305,55 @@
             is_first
         });
         if is_first {
-            self.forward_stream(incoming, parts).await
+            self.forward_stream(incoming, chunk_sender).await
         } else {
             TransportOutcome::Reset
         }
     }
 
     /// A dispatch failed in a way that may count against its version.
-    fn record_version_failure(&self, dispatch: &Dispatch, broke: bool) {
-        let executor = executor_number(dispatch.to);
-        let counts = self.traffic_split.borrow_mut().record_dispatch_failure(
+    fn record_version_failure(&self, dispatch: &Dispatch, transport_failed: bool) {
+        let executor = executor_number(dispatch.executor);
+        let counts_against_version = self.traffic_split.borrow_mut().record_dispatch_failure(
             self.now(),
             executor,
             dispatch.version,
-            broke,
+            transport_failed,
         );
-        let failed = &dispatch.work.failed;
-        failed.set(failed.get() | counts);
+        let failed = &dispatch.context.version_failed;
+        failed.set(failed.get() | counts_against_version);
     }
 
     /// Forwards the chunks of a streamed response. A client that does not read within the read timeout is dropped.
     async fn forward_stream(
         &self,
         incoming: &mut Incoming,
-        parts: async_channel::Sender<Result<Bytes, ResponseTruncated>>,
+        chunk_sender: async_channel::Sender<Result<Bytes, ResponseTruncated>>,
     ) -> TransportOutcome {
-        let time = seconds(self.deployment.limits.request_read_timeout);
+        let timeout = seconds(self.deployment.limits.request_read_timeout);
         loop {
-            let part = match orchidtally_socket_io::with_timeout(time, incoming.next_chunk()).await
-            {
-                Some(Ok(Some(part))) => Ok(part),
-                Some(Ok(None)) => return TransportOutcome::Answered(DispatchStatus::Ok),
-                Some(Err(outcome)) => {
-                    let _ = orchidtally_socket_io::with_timeout(
-                        time,
-                        parts.send(Err(ResponseTruncated)),
-                    )
-                    .await;
-                    return outcome;
-                }
-                None => {
-                    let _ = orchidtally_socket_io::with_timeout(
-                        time,
-                        parts.send(Err(ResponseTruncated)),
-                    )
-                    .await;
-                    return TransportOutcome::TimedOut;
-                }
-            };
-            match orchidtally_socket_io::with_timeout(time, parts.send(part)).await {
+            let chunk =
+                match orchidtally_socket_io::with_timeout(timeout, incoming.next_chunk()).await {
+                    Some(Ok(Some(chunk))) => Ok(chunk),
+                    Some(Ok(None)) => return TransportOutcome::Answered(DispatchStatus::Ok),
+                    Some(Err(outcome)) => {
+                        let _ = orchidtally_socket_io::with_timeout(
+                            timeout,
+                            chunk_sender.send(Err(ResponseTruncated)),
+                        )
+                        .await;
+                        return outcome;
+                    }
+                    None => {
+                        let _ = orchidtally_socket_io::with_timeout(
+                            timeout,
+                            chunk_sender.send(Err(ResponseTruncated)),
+                        )
+                        .await;
+                        return TransportOutcome::TimedOut;
+                    }
+                };
+            match orchidtally_socket_io::with_timeout(timeout, chunk_sender.send(chunk)).await {
                 Some(Ok(())) => {}
                 // The client disconnected, or stopped reading.
                 Some(Err(_)) | None => {
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -2,7 +2,7 @@
 
 use super::Router;
 use super::revision::{Revision, TriggerTypeInForce};
-use crate::config::{Refusal, Subject};
+use crate::config::{AdmissionDenial, Subject};
 use bytes::Bytes;
 use futures_channel::oneshot;
 use orchidtally_deployment::Function;
@@ -44,13 +44,13 @@
     /// The digest of its version; empty where the function has none.
     pub digest: Rc<str>,
     /// Set where a rollout chose its version.
-    pub invoked: Option<RolloutAssignment>,
+    pub rollout_assignment: Option<RolloutAssignment>,
     /// A dispatch of it failed in a way that counts against its version.
-    pub failed: Cell<bool>,
+    pub version_failed: Cell<bool>,
     /// Identifies the executor of the last dispatch; 0 before the first.
-    pub last: Cell<u64>,
+    pub last_executor: Cell<u64>,
     /// The number of dispatches before it migrated to another version.
-    pub dispatched: u32,
+    pub prior_dispatches: u32,
     /// The revision that it was admitted under.
     pub revision: Rc<Revision>,
     /// The trigger type, as that revision has it.
@@ -58,7 +58,7 @@
     /// The name of the customer; empty where there is none.
     pub customer: String,
     /// The idempotency key; empty where there is none.
-    pub token: String,
+    pub idempotency_key: String,
     /// The body, in chunks.
     pub payload: Vec<Bytes>,
     /// The length of the body in bytes.
@@ -89,9 +89,9 @@
     /// Its customer in that revision.
     pub customer: NamedCustomer<'a>,
     /// The idempotency key; empty where there is none.
-    pub token: &'a str,
+    pub idempotency_key: &'a str,
     /// Whether it is a client retry.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// When the final answer is due, in seconds of [`Router::now`].
     pub timeout_at: f64,
     /// The body, in chunks.
@@ -103,7 +103,7 @@
 impl IngressRequest<'_> {
     /// The names of the configuration entries that it uses.
     pub fn subject(&self) -> Subject<'_> {
-        let trigger_type = &self.trigger_type.trigger.name;
+        let trigger_type = &self.trigger_type.settings.name;
         Subject {
             function: &self.function,
             trigger_type,
@@ -120,12 +120,12 @@
     /// The front end is shutting down.
     ShuttingDown,
     /// The configuration doesn't admit it.
-    Refused(Refusal),
+    Denied(AdmissionDenial),
 }
 
 impl From<AdmissionError> for RejectionReason {
-    fn from(refused: AdmissionError) -> RejectionReason {
-        match refused {
+    fn from(error: AdmissionError) -> RejectionReason {
+        match error {
             AdmissionError::AtCapacity => RejectionReason::AtCapacity,
             AdmissionError::ShuttingDown => RejectionReason::ShuttingDown,
         }
@@ -159,19 +159,19 @@
         /// Seconds after which the client may retry.
         retry_after: f64,
         /// Whether the customer is over its quota.
-        past_share: bool,
+        over_quota: bool,
     },
     /// No executor has responded in time, or the function failed.
     Failed {
         /// The reason of the failure.
-        cause: FailureReason,
+        reason: FailureReason,
         /// Whether the function may have run.
         may_have_run: bool,
     },
     /// The configuration doesn't admit it any more.
-    Refused {
+    Denied {
         /// The reason.
-        refusal: Refusal,
+        denial: AdmissionDenial,
         /// Whether the function may have run.
         may_have_run: bool,
     },
@@ -179,7 +179,7 @@
 
 /// The client that waits for the final answer of an invocation.
 pub(super) struct Client {
-    pub(super) work: Rc<InvocationContext>,
+    pub(super) context: Rc<InvocationContext>,
     pub(super) request: InvocationRequest,
     /// The engine's id of it, which changes when it migrates to another version.
     pub(super) invocation: Rc<Cell<u32>>,
@@ -191,12 +191,12 @@
     fn admit(
         &self,
         request: InvocationRequest,
-        work: InvocationContext,
+        context: InvocationContext,
     ) -> Result<AdmittedInvocation, AdmissionError> {
         let (reply, answer) = oneshot::channel();
         let invocation = Rc::new(Cell::new(0));
         let client = Client {
-            work: Rc::new(work),
+            context: Rc::new(context),
             request,
             invocation: invocation.clone(),
             reply,
@@ -231,35 +231,35 @@
         self.check_admission(&ingress_request.revision, &ingress_request.subject())?;
         let ResolvedVersion {
             version,
-            assignment: invoked,
+            assignment: rollout_assignment,
         } = ingress_request.resolved;
         let request = InvocationRequest {
             trigger_type: ingress_request.trigger_type.index,
             customer: ingress_request.customer.index,
             function: version.key,
-            is_retry: ingress_request.repeat,
+            is_retry: ingress_request.is_retry,
             is_migrated: false,
             timeout_at: ingress_request.timeout_at,
             expected_work: version.expected_work,
             concurrency: version.concurrency,
             load_time: version.load_time,
         };
-        let work = InvocationContext {
+        let context = InvocationContext {
             name: ingress_request.name,
             function: ingress_request.function,
             digest: version.digest,
-            invoked,
-            failed: Cell::new(false),
-            last: Cell::new(0),
-            dispatched: 0,
+            rollout_assignment,
+            version_failed: Cell::new(false),
+            last_executor: Cell::new(0),
+            prior_dispatches: 0,
             revision: ingress_request.revision,
             trigger_type: ingress_request.trigger_type,
             customer: ingress_request.customer.name.to_owned(),
-            token: ingress_request.token.to_owned(),
+            idempotency_key: ingress_request.idempotency_key.to_owned(),
             payload: ingress_request.payload,
             payload_bytes: ingress_request.payload_bytes,
         };
-        Ok(self.admit(request, work)?)
+        Ok(self.admit(request, context)?)
     }
 
     /// The name of the front end's own location.
@@ -314,7 +314,7 @@
                 replicas: prewarm.copies,
             };
             let (is_known, is_ordered) = self.run_engine(|engine, now, action_executor| {
-                action_executor.remember_version(
+                action_executor.record_version_name(
                     prewarm.version.key,
                     prewarm.function.as_str().into(),
                     prewarm.version.digest.clone(),
--- a/crates/http-frontend/src/router/load_command.rs
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -10,9 +10,9 @@
 
 impl Router {
     /// Asks the dispatch policy again right before a load command that was given at `given_at` is sent.
-    fn is_load_still_valid(&self, to: ExecutorId, given_at: f64) -> bool {
+    fn is_load_still_valid(&self, to: ExecutorId, issued_at: f64) -> bool {
         let now = self.observe_clock();
-        self.engine.borrow_mut().revalidate_load(now, to, given_at)
+        self.engine.borrow_mut().revalidate_load(now, to, issued_at)
     }
 
     /// Sends a load command, query or unload command, and reports the result of a load to the engine.
@@ -20,26 +20,26 @@
         self: Rc<Self>,
         to: ExecutorId,
         pool: Rc<Pool>,
-        order: v1::Order,
+        command: v1::Order,
         function: u64,
-        given_at: f64,
+        issued_at: f64,
     ) {
-        let time = seconds(self.deployment.limits.load_command_timeout);
+        let timeout = seconds(self.deployment.limits.load_command_timeout);
         // One that loads nothing may always be sent.
         let head = || {
-            let may_leave =
-                order.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, given_at);
-            may_leave.then(|| frame(&order))
+            let may_send =
+                command.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, issued_at);
+            may_send.then(|| frame(&command))
         };
         let exchange = pool.exchange_if::<v1::OrderAnswer>(LOAD_PATH, head, &[]);
-        let answered = orchidtally_socket_io::with_timeout(time, exchange).await;
-        let mut differs = false;
+        let answered = orchidtally_socket_io::with_timeout(timeout, exchange).await;
+        let mut digest_differs = false;
         let outcome = match answered {
             None => TransportOutcome::TimedOut,
             Some(Err(outcome)) => outcome,
             Some(Ok((answer, _))) => match answer.ending() {
                 _ if answer.digest_differs => {
-                    differs = true;
+                    digest_differs = true;
                     TransportOutcome::Answered(DispatchStatus::Error)
                 }
                 v1::Ending::Ok => TransportOutcome::Answered(DispatchStatus::Ok),
@@ -50,18 +50,18 @@
                 v1::Ending::Unspecified => TransportOutcome::Malformed,
             },
         };
-        if order.kind() == v1::OrderKind::Hold {
-            let ending = evidence::dispatch_status(outcome);
+        if command.kind() == v1::OrderKind::Hold {
+            let status = evidence::dispatch_status(outcome);
             // An executor that is gone or full shows nothing about the version.
-            if matches!(ending, DispatchStatus::Ok | DispatchStatus::Error) {
+            if matches!(status, DispatchStatus::Ok | DispatchStatus::Error) {
                 self.traffic_split.borrow_mut().record_load_result(
                     function,
-                    ending == DispatchStatus::Ok,
-                    differs,
+                    status == DispatchStatus::Ok,
+                    digest_differs,
                 );
             }
             self.run_engine(|engine, now, action_executor| {
-                engine.on_load_result(now, to, function, ending, action_executor)
+                engine.on_load_result(now, to, function, status, action_executor)
             });
         }
     }
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -76,9 +76,9 @@
     stall_detector: RefCell<StallDetector>,
     started: Instant,
     spawner: Weak<LocalExecutor<'static>>,
-    armed_for: Cell<f64>,
+    timer_deadline: Cell<f64>,
     timer_wakeup: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    warned_of_index: Cell<Option<Instant>>,
+    duplicate_index_warned_at: Cell<Option<Instant>>,
     /// The number of responses that reported a duplicate of this front end's index.
     pub duplicate_index_reports: Cell<u64>,
     /// The status of the message triggers, where there are any.
@@ -117,15 +117,15 @@
     pub fn new(
         deployment: Deployment,
         seed: u64,
-        ahead: f64,
-        random: bool,
+        clock_offset: f64,
+        uses_random_policy: bool,
         durable_invocation_store: Option<Rc<DurableInvocationStore>>,
         watch_endpoints: EndpointWatcher,
         spawner: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Router> {
         let deployment = Rc::new(deployment);
         let started = Instant::now();
-        let clock = RefCell::new(Clock::new(0.0, wall_clock_seconds() + ahead));
+        let clock = RefCell::new(Clock::new(0.0, wall_clock_seconds() + clock_offset));
         let now = clock.borrow_mut().read(0.0);
         let sender = v1::Sender {
             index: deployment.policy.front_end_index as u32,
@@ -135,7 +135,7 @@
         let router = Rc::new_cyclic(|router: &Weak<Router>| {
             let mut action_executor = ActionExecutor::new(router.clone());
             let max_open = deployment.limits.max_open_invocations;
-            let engine = if random {
+            let engine = if uses_random_policy {
                 Engine::with_baseline(Box::new(RandomPolicy::new(seed)), max_open, now)
             } else {
                 let policy = deployment.policy.clone();
@@ -145,7 +145,7 @@
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
-                sends_load_commands: deployment.policy.allows_load_commands && !random,
+                sends_load_commands: deployment.policy.allows_load_commands && !uses_random_policy,
                 keep_alive: deployment.policy.keep_alive,
             };
             Router {
@@ -162,9 +162,9 @@
                 stall_detector: RefCell::new(StallDetector::new(now)),
                 started,
                 spawner: Rc::downgrade(spawner),
-                armed_for: Cell::new(f64::INFINITY),
+                timer_deadline: Cell::new(f64::INFINITY),
                 timer_wakeup: async_channel::bounded(1),
-                warned_of_index: Cell::new(None),
+                duplicate_index_warned_at: Cell::new(None),
                 duplicate_index_reports: Cell::new(0),
                 triggers: Cell::new(None),
                 durable_invocation_store,
@@ -221,7 +221,7 @@
             action_executor.readmit(&mut engine, now, migration);
         }
         drop(action_executor);
-        if engine.next_deadline() < self.armed_for.get() {
+        if engine.next_deadline() < self.timer_deadline.get() {
             // Where the channel is full, the timer is being woken already.
             let _ = self.timer_wakeup.0.try_send(());
         }
@@ -232,7 +232,7 @@
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.engine.borrow().next_deadline();
-            self.armed_for.set(due);
+            self.timer_deadline.set(due);
             let left = due - self.now();
             if left > 0.0 {
                 let woken = async {
@@ -255,16 +255,20 @@
 
     /// Follows the wall clock, closes idle connections and removes unused names, for as long as the front end lives.
     /// `step` is when the wall clock is stepped and by how much, both in seconds, for tests.
-    pub async fn run_maintenance(self: Rc<Self>, ahead: f64, step: Option<(f64, f64)>) {
+    pub async fn run_maintenance(
+        self: Rc<Self>,
+        clock_offset: f64,
+        clock_step: Option<(f64, f64)>,
+    ) {
         let mut warned = false;
         loop {
             Timer::after(HOUSEKEEPING_INTERVAL).await;
             let monotonic = self.started.elapsed().as_secs_f64();
             let mut clock = self.clock.borrow_mut();
-            let stepped = step
+            let stepped = clock_step
                 .filter(|(at, _)| monotonic >= *at)
                 .map_or(0.0, |(_, by)| by);
-            clock.anchor(monotonic, wall_clock_seconds() + ahead + stepped);
+            clock.anchor(monotonic, wall_clock_seconds() + clock_offset + stepped);
             let clock_error = clock.wall_clock_lag();
             drop(clock);
             let is_far_off = clock_error.abs() > self.deployment.policy.max_clock_skew / 2.0;
@@ -276,10 +280,12 @@
             }
             warned = is_far_off;
             let mut action_executor = self.action_executor.borrow_mut();
-            action_executor.pools.retain(|_, pool| !pool.sweep());
             action_executor
-                .version_names
-                .retain(|_, named| named.at.elapsed() < VERSION_NAME_RETENTION);
+                .pools
+                .retain(|_, pool| !pool.close_idle_connections());
+            action_executor.version_names.retain(|_, version_name| {
+                version_name.last_used_at.elapsed() < VERSION_NAME_RETENTION
+            });
         }
     }
 
@@ -295,7 +301,7 @@
     }
 
     /// The number of open invocations.
-    pub fn open(&self) -> usize {
+    pub fn open_invocations(&self) -> usize {
         self.engine.borrow().open_invocations()
     }
 
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -28,9 +28,9 @@
             .trigger_types()
             .into_iter()
             .enumerate()
-            .map(|(index, (trigger, policy))| {
+            .map(|(index, (settings, policy))| {
                 Rc::new(TriggerTypeInForce {
-                    trigger,
+                    settings,
                     policy,
                     index,
                 })
@@ -77,12 +77,12 @@
         let (current, indices) = (self.current(), self.trigger_types.borrow());
         let mut assigned = BTreeSet::new();
         let mut next = vec![];
-        for (trigger, policy) in overlay.trigger_types() {
+        for (settings, policy) in overlay.trigger_types() {
             let existing = current
-                .trigger_type(&trigger.name)
+                .trigger_type(&settings.name)
                 .map(|(_, existing)| existing);
-            if let Some(existing) =
-                existing.filter(|existing| existing.trigger == trigger && existing.policy == policy)
+            if let Some(existing) = existing
+                .filter(|existing| existing.settings == settings && existing.policy == policy)
             {
                 next.push(existing.clone());
                 continue;
@@ -93,7 +93,7 @@
             }
             assigned.insert(index);
             next.push(Rc::new(TriggerTypeInForce {
-                trigger,
+                settings,
                 policy,
                 index,
             }));
@@ -198,7 +198,7 @@
         let quotas = self.revisions.quotas_by_index(&customers);
         check_quotas(&quotas)?;
         let current = self.revision();
-        let is_new = |candidate: &&Rc<TriggerTypeInForce>| {
+        let is_added = |candidate: &&Rc<TriggerTypeInForce>| {
             !current
                 .trigger_types
                 .iter()
@@ -206,7 +206,7 @@
         };
         // What the engine accepts before it rejects something is under indices that no invocation can use.
         self.run_engine(|engine, now, _| {
-            for added in trigger_types.iter().filter(is_new) {
+            for added in trigger_types.iter().filter(is_added) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
             }
             engine.set_quotas(now, quotas)
--- a/crates/http-frontend/src/router/revision.rs
+++ b/crates/http-frontend/src/router/revision.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct TriggerTypeInForce {
     /// Its settings for the ingress.
-    pub trigger: TriggerTypeSettings,
+    pub settings: TriggerTypeSettings,
     /// Its settings for the dispatch policy.
     pub policy: TriggerType,
     /// Its index in the engine.
@@ -50,7 +50,7 @@
         self.trigger_types
             .iter()
             .enumerate()
-            .find(|(_, trigger_type)| trigger_type.trigger.name == name)
+            .find(|(_, trigger_type)| trigger_type.settings.name == name)
     }
 
     /// The trigger type of invocations that name none: there has to be just one.
@@ -65,7 +65,7 @@
     pub fn trigger_type_names(&self) -> Vec<&str> {
         self.trigger_types
             .iter()
-            .map(|trigger_type| trigger_type.trigger.name.as_str())
+            .map(|trigger_type| trigger_type.settings.name.as_str())
             .collect()
     }
 
@@ -94,22 +94,22 @@
 
     /// This revision as a deployment in which the trigger types of `start` keep their positions, removed ones included.
     /// The rules of message triggers refer to trigger types by these positions.
-    pub fn aligned_to(&self, start: &Deployment) -> Deployment {
+    pub fn aligned_to(&self, initial: &Deployment) -> Deployment {
         let mut aligned = Deployment {
-            policy: start.policy.clone(),
+            policy: initial.policy.clone(),
             ..(*self.deployment).clone()
         };
-        aligned.trigger_types = start.trigger_types.clone();
+        aligned.trigger_types = initial.trigger_types.clone();
         aligned.customers = self.customers.keys().cloned().collect();
         let overlay = self.overlay();
         let stored = overlay
             .stored_functions()
             .map(|function| (function.name.clone(), function));
         aligned.functions.extend(stored);
-        for (place, trigger) in start.trigger_types.iter().enumerate() {
-            if let Some((_, trigger_type)) = self.trigger_type(&trigger.name) {
-                aligned.policy.trigger_types[place] = trigger_type.policy.clone();
-                aligned.trigger_types[place] = trigger_type.trigger.clone();
+        for (position, settings) in initial.trigger_types.iter().enumerate() {
+            if let Some((_, trigger_type)) = self.trigger_type(&settings.name) {
+                aligned.policy.trigger_types[position] = trigger_type.policy.clone();
+                aligned.trigger_types[position] = trigger_type.settings.clone();
             }
         }
         aligned
@@ -119,7 +119,7 @@
 /// The references to items by the engine's index.
 #[derive(Debug)]
 pub(super) struct Indices<T> {
-    holders: Vec<Weak<T>>,
+    references: Vec<Weak<T>>,
 }
 
 impl<T> Indices<T> {
@@ -129,7 +129,7 @@
         T: 'h,
     {
         Indices {
-            holders: initial.map(Rc::downgrade).collect(),
+            references: initial.map(Rc::downgrade).collect(),
         }
     }
 
@@ -140,7 +140,7 @@
         is_used: impl Fn(usize) -> bool,
     ) -> usize {
         let is_unreferenced = |index: usize| {
-            self.holders
+            self.references
                 .get(index)
                 .is_none_or(|h| h.strong_count() == 0)
         };
@@ -151,15 +151,15 @@
     }
 
     /// Assigns an index to an item.
-    pub(super) fn assign(&mut self, index: usize, holder: &Rc<T>) {
-        if self.holders.len() <= index {
-            self.holders.resize_with(index + 1, Weak::new);
+    pub(super) fn assign(&mut self, index: usize, item: &Rc<T>) {
+        if self.references.len() <= index {
+            self.references.resize_with(index + 1, Weak::new);
         }
-        self.holders[index] = Rc::downgrade(holder);
+        self.references[index] = Rc::downgrade(item);
     }
 
     /// All items that are referenced.
     pub(super) fn in_use(&self) -> impl Iterator<Item = Rc<T>> {
-        self.holders.iter().filter_map(Weak::upgrade)
+        self.references.iter().filter_map(Weak::upgrade)
     }
 }
--- a/crates/http-frontend/src/router/trigger_status.rs
+++ b/crates/http-frontend/src/router/trigger_status.rs
@@ -10,7 +10,7 @@
     /// Whether the broker has accepted the connection.
     pub connected: bool,
     /// Messages that were accepted and are not finished.
-    pub in_hand: usize,
+    pub in_flight: usize,
     /// Messages that wait to be accepted.
     pub waiting: usize,
     /// Whether the journal can be written.
