--- a/crates/http-frontend/src/router/version_evidence.rs
+++ b/crates/http-frontend/src/router/version_evidence.rs
@@ -14,42 +14,53 @@
 pub(super) fn add_evidence(
     router: &Router,
     client: &Client,
-    invoked: &RolloutAssignment,
+    rollout_assignment: &RolloutAssignment,
     answer: &FinalAnswer,
     timing: Option<Timing>,
 ) -> Option<Version> {
     let mut traffic_split = router.traffic_split.borrow_mut();
-    let work = &client.work;
+    let context = &client.context;
     let (outcome, may_have_run) = match answer {
         FinalAnswer::Succeeded(_) => {
-            let Timing { took, warm } = timing.unwrap_or(Timing {
-                took: 0.0,
-                warm: false,
+            let Timing { elapsed, is_warm } = timing.unwrap_or(Timing {
+                elapsed: 0.0,
+                is_warm: false,
             });
-            (AnswerOutcome::Succeeded { took, warm }, true)
+            (
+                AnswerOutcome::Succeeded {
+                    took: elapsed,
+                    warm: is_warm,
+                },
+                true,
+            )
         }
         FinalAnswer::Rejected { .. } => (AnswerOutcome::Throttled, false),
-        FinalAnswer::Refused { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
+        FinalAnswer::Denied { may_have_run, .. } => (AnswerOutcome::Throttled, *may_have_run),
         FinalAnswer::Failed { may_have_run, .. } => (AnswerOutcome::Errored, *may_have_run),
     };
     if let FinalAnswer::Failed {
-        cause: FailureReason::TimedOut,
+        reason: FailureReason::TimedOut,
         ..
     } = answer
-        && work.last.get() != 0
+        && context.last_executor.get() != 0
     {
-        let counts = traffic_split.record_dispatch_failure(
+        let counts_against_version = traffic_split.record_dispatch_failure(
             router.now(),
-            work.last.get(),
+            context.last_executor.get(),
             client.request.function,
             true,
         );
-        work.failed.set(work.failed.get() | counts);
+        context
+            .version_failed
+            .set(context.version_failed.get() | counts_against_version);
     }
-    traffic_split.record_outcome(invoked, outcome, work.failed.get());
+    traffic_split.record_outcome(rollout_assignment, outcome, context.version_failed.get());
     let has_failed = !matches!(outcome, AnswerOutcome::Succeeded { .. });
-    let is_idempotent = work.trigger_type.policy.idempotency == Idempotency::Idempotent;
-    let moves =
-        has_failed && may_migrate(is_idempotent, may_have_run) && invoked.cohort == Cohort::Canary;
-    traffic_split.rollback_target(invoked.run).filter(|_| moves)
+    let is_idempotent = context.trigger_type.policy.idempotency == Idempotency::Idempotent;
+    let migrates = has_failed
+        && may_migrate(is_idempotent, may_have_run)
+        && rollout_assignment.cohort == Cohort::Canary;
+    traffic_split
+        .rollback_target(rollout_assignment.run)
+        .filter(|_| migrates)
 }
--- a/crates/http-frontend/src/router/version_migration.rs
+++ b/crates/http-frontend/src/router/version_migration.rs
@@ -12,8 +12,8 @@
 /// An invocation of a rolled-back version, to be admitted again for the old one.
 pub(super) struct Migration {
     pub(super) client: Client,
-    pub(super) to: Version,
-    pub(super) dispatched: u32,
+    pub(super) target_version: Version,
+    pub(super) prior_dispatches: u32,
 }
 
 impl ActionExecutor {
@@ -22,20 +22,20 @@
         let Some(router) = self.router.upgrade() else {
             return;
         };
-        let Some(to) = router.traffic_split.borrow().rollback_target(run) else {
+        let Some(target_version) = router.traffic_split.borrow().rollback_target(run) else {
             return;
         };
-        let is_new = |client: &Client| {
+        let runs_rolled_back_version = |client: &Client| {
             client
-                .work
-                .invoked
+                .context
+                .rollout_assignment
                 .is_some_and(|i| i.run == run && i.cohort == Cohort::Canary)
         };
         let mut waiting: Vec<u32> = self
             .clients
             .iter()
             .filter(|(invocation, client)| {
-                is_new(client) && engine.dispatch_count(**invocation) == 0
+                runs_rolled_back_version(client) && engine.dispatch_count(**invocation) == 0
             })
             .map(|(&invocation, _)| invocation)
             .collect();
@@ -45,8 +45,8 @@
             if let Some(client) = self.clients.remove(&invocation) {
                 self.migrations.push(Migration {
                     client,
-                    to: to.clone(),
-                    dispatched: 0,
+                    target_version: target_version.clone(),
+                    prior_dispatches: 0,
                 });
             }
         }
@@ -57,42 +57,46 @@
         let Migration {
             client:
                 Client {
-                    work,
+                    context,
                     mut request,
                     invocation,
                     reply,
                 },
-            to,
-            dispatched,
+            target_version,
+            prior_dispatches,
         } = migration;
-        info!(invocation = work.name, function = %work.function, from = %work.digest, to = %to.digest, "invocation migrated to the old version");
-        (request.function, request.is_migrated) = (to.key, true);
+        info!(invocation = context.name, function = %context.function, from = %context.digest, to = %target_version.digest, "invocation migrated to the old version");
+        (request.function, request.is_migrated) = (target_version.key, true);
         (
             request.concurrency,
             request.load_time,
             request.expected_work,
-        ) = (to.concurrency, to.load_time, to.expected_work);
-        let work = Rc::new(InvocationContext {
-            name: work.name.clone(),
-            function: work.function.clone(),
-            digest: to.digest.clone(),
-            invoked: None,
-            failed: Cell::new(false),
-            last: Cell::new(0),
-            dispatched: work.dispatched + dispatched,
-            revision: work.revision.clone(),
-            trigger_type: work.trigger_type.clone(),
-            customer: work.customer.clone(),
-            token: work.token.clone(),
-            payload: work.payload.clone(),
-            payload_bytes: work.payload_bytes,
+        ) = (
+            target_version.concurrency,
+            target_version.load_time,
+            target_version.expected_work,
+        );
+        let context = Rc::new(InvocationContext {
+            name: context.name.clone(),
+            function: context.function.clone(),
+            digest: target_version.digest.clone(),
+            rollout_assignment: None,
+            version_failed: Cell::new(false),
+            last_executor: Cell::new(0),
+            prior_dispatches: context.prior_dispatches + prior_dispatches,
+            revision: context.revision.clone(),
+            trigger_type: context.trigger_type.clone(),
+            customer: context.customer.clone(),
+            idempotency_key: context.idempotency_key.clone(),
+            payload: context.payload.clone(),
+            payload_bytes: context.payload_bytes,
         });
         if self
             .admit(
                 engine,
                 now,
                 Client {
-                    work,
+                    context,
                     request,
                     invocation,
                     reply,
@@ -104,7 +108,7 @@
             // The front end is shutting down or at capacity. A client retry is harmless: otherwise it would not be migrated.
             let _ = client.reply.send(FinalAnswer::Rejected {
                 retry_after: 0.0,
-                past_share: false,
+                over_quota: false,
             });
         }
     }
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -10,15 +10,15 @@
 
 impl Router {
     /// The source has answered a request sent at `asked_at`: the list was current then.
-    pub fn on_endpoints_confirmed(&self, asked_at: f64) {
+    pub fn on_endpoints_confirmed(&self, requested_at: f64) {
         self.run_engine(|engine, now, action_executor| {
-            engine.on_view_confirmed(now, asked_at, action_executor)
+            engine.on_view_confirmed(now, requested_at, action_executor)
         });
     }
 
     /// The request sent to the source at `asked_at` has no answer.
-    pub fn on_endpoint_request_unanswered(&self, asked_at: f64) {
-        self.run_engine(|engine, now, _| engine.on_view_request_unanswered(now, asked_at));
+    pub fn on_endpoint_request_unanswered(&self, requested_at: f64) {
+        self.run_engine(|engine, now, _| engine.on_view_request_unanswered(now, requested_at));
     }
 
     /// The earliest time at which bytes that are read now can have arrived: they may have waited during a process stall.
