--- a/crates/http-frontend/src/config/admission.rs
+++ b/crates/http-frontend/src/config/admission.rs
@@ -1,7 +1,8 @@
-//! Whether the configuration in force admits an invocation. It is asked when an invocation is admitted, and again right
+//! Decides whether the configuration in force admits an invocation: when the invocation is admitted, and again right
 //! before the first byte of a dispatch is sent.
 //!
-//! Failure mode: a process that was paused continues with an old view. Risk: it would run what is not allowed any more.
+//! Failure mode: a process that was paused continues with an old view. Risk: it would run functions that are no longer
+//! allowed.
 
 use super::front_end::FrontEndConfigHost;
 use super::overlay::{ConfigView, FUNCTIONS, QUOTAS, TRIGGER_TYPES};
@@ -19,7 +20,7 @@
         /// The key of the entry.
         key: String,
     },
-    /// The view is too old to tell whether an entry is still allowed.
+    /// The view is too old to decide whether an entry is still allowed.
     #[error(
         "whether '{key}' is still allowed was last certain {age:.1} s ago, which is too long; ask again, or another \
          front end"
@@ -85,17 +86,19 @@
 }
 
 impl Admission {
-    /// The configuration host that is asked.
+    /// The configuration host.
     pub fn host(&self) -> &Rc<FrontEndConfigHost> {
         &self.host
     }
 
-    /// Ends the configuration host and marks the front end as ended in the store; to be called once it serves nothing.
+    /// Stops the configuration host and reports to the store that the front end has ended. To be called once the front
+    /// end serves no invocations.
     pub async fn detach(&self) {
         self.host.deregister().await;
     }
 
-    /// Why an invocation that was admitted under a view, or under none, may not be dispatched now.
+    /// Why an invocation may not be admitted or dispatched now; `None` if it may. `admitted` is the view under which it
+    /// was admitted, if any.
     pub fn denial(
         &self,
         admitted: Option<&ConfigView>,
@@ -114,7 +117,7 @@
     fn denial_of(&self, verdict: Verdict, key: String) -> Option<AdmissionDenial> {
         let retry_after = self.retry_after;
         match verdict {
-            // An entry that the store doesn't have is defined by the deployment file.
+            // An entry that the store doesn't have comes from the deployment file.
             Verdict::Serve | Verdict::Unknown => None,
             Verdict::RefuseNotAllowed => Some(AdmissionDenial::NotAllowed { key }),
             Verdict::RefuseStale { age } => Some(AdmissionDenial::Stale {
--- a/crates/http-frontend/src/config/attachment.rs
+++ b/crates/http-frontend/src/config/attachment.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Makes a front end follow the configuration store: from its snapshot at once, from the store as soon as that answers.
-/// Returns what decides whether the configuration admits an invocation.
+/// Makes a front end follow the configuration store. It starts from its snapshot, and from the store's state as soon as
+/// the store responds. Returns the admission check of the configuration.
 ///
 /// # Errors
 /// The settings are out of range.
@@ -43,13 +43,13 @@
     let deployment = front_end.deployment();
     let index = deployment.policy.front_end_index as u32;
     let incarnation = front_end.incarnation();
-    // Two processes with one index, or one after the other, are two front ends to the store.
+    // Each process has its own name in the store, even if another one uses, or has used, the same index.
     let mut settings = HostSettings::new(format!("{index}-{incarnation:016x}"));
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
     settings.lease = Duration::from_secs_f64(configuration.lease);
     let client = Client::new(configuration.endpoints.clone(), spawner.clone());
     client.set_user_agent(settings.front_end.clone());
-    // Front ends spread over the members.
+    // Spreads the front ends over the store's members.
     (0..incarnation % configuration.endpoints.len().max(1) as u64).for_each(|_| client.fail_over());
     let schema = DeploymentSchema {
         answer_margin: deployment.limits.response_margin,
--- a/crates/http-frontend/src/config/deployment_schema.rs
+++ b/crates/http-frontend/src/config/deployment_schema.rs
@@ -1,4 +1,5 @@
-//! The schema of the gateway's configuration entries, with the checks that the deployment file makes of the same values.
+//! The schema of the gateway's configuration entries, with the checks that apply to the same values in the deployment
+//! file.
 
 use super::overlay::FUNCTIONS;
 use orchidtally_config_sync::schema::{
@@ -7,7 +8,7 @@
 use orchidtally_config_sync::{EntryKey, GatewaySchema, Schema, View};
 use orchidtally_deployment::{check_digest, check_function_name};
 
-/// The gateway's schema, extended by the checks of the deployment file.
+/// The gateway's schema with the checks of the deployment file.
 #[derive(Clone, Copy, Debug)]
 pub struct DeploymentSchema {
     /// How long before the client timeout an answer is sent, in seconds.
--- a/crates/http-frontend/src/config/deregistration.rs
+++ b/crates/http-frontend/src/config/deregistration.rs
@@ -16,8 +16,8 @@
 const LAST_REPORT_TTL_FACTOR: f64 = 2.0;
 
 impl<S: Schema + 'static, T: ConfigTarget<S::Entry> + 'static> ConfigHost<S, T> {
-    /// Disconnects for good, after the front end has stopped serving, and lets writers know that it has ended instead of
-    /// being missing. Takes at most a second where the store doesn't answer.
+    /// Disconnects permanently once the front end has stopped serving, and reports that it has ended, so that writers
+    /// don't treat it as missing. Takes at most a second if the store doesn't respond.
     pub async fn deregister(&self) {
         let was_connected = self.status().connected;
         self.stop();
--- a/crates/http-frontend/src/config/exchange.rs
+++ b/crates/http-frontend/src/config/exchange.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The failure that an error means to the state machine; `None` if the connection or the member is unusable.
+/// Converts an error to a failure for the state machine; `None` if the connection or the member is unusable.
 fn request_failure(fault: &ClientError) -> Option<RequestFailure> {
     let ClientError::Rejected(status) = fault else {
         return None;
@@ -64,7 +64,7 @@
         }
         match response {
             Ok(answer) => {
-                // Other responses share the connection, so its counter can't be used.
+                // The connection's byte counter includes other responses, so the size is computed.
                 let bytes = answer.encoded_len() + ENVELOPE_BYTES;
                 let header = header(answer.header.as_ref());
                 let entries = answer.kvs.into_iter().map(entry).collect();
--- a/crates/http-frontend/src/config/front_end.rs
+++ b/crates/http-frontend/src/config/front_end.rs
@@ -20,7 +20,7 @@
     /// Puts a view in force over the deployment file, as a whole or not at all.
     ///
     /// # Errors
-    /// Nothing has changed then.
+    /// A value is rejected. Nothing has changed then.
     fn apply_view(&self, view: &Arc<ConfigView>) -> Result<(), ApplyError>;
 }
 
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -1,4 +1,4 @@
-//! The host of the configuration state machine: performs its actions, and feeds it answers and time.
+//! The host of the configuration state machine: performs its actions, and passes responses and the time to it.
 
 use super::backoff::Backoff;
 use super::clock::boot_time;
@@ -21,18 +21,18 @@
 /// The longest time between two checks of the timers, in seconds.
 const MAX_WAIT: f64 = 60.0;
 
-/// Configuration distribution at one front end, on sockets. It lives on one thread.
+/// Configuration distribution at one front end, on sockets. It runs on one thread.
 pub struct ConfigHost<S: Schema, T> {
     pub(super) core: RefCell<ConfigSync<S>>,
     pub(super) settings: HostSettings,
     pub(super) client: Client,
     pub(super) target: T,
     spawner: Weak<LocalExecutor<'static>>,
-    /// Counts connections; results that belong to an earlier one are ignored.
+    /// The number of the current session; results of earlier sessions are ignored.
     pub(super) session: Cell<u64>,
     pub(super) is_connected: Cell<bool>,
     pub(super) reconnect_at: Cell<f64>,
-    /// No member has answered since the connection to one failed.
+    /// Set from the failure of a session until a member responds.
     pub(super) is_unreachable: Cell<bool>,
     pub(super) backoff: Backoff,
     watch: RefCell<Option<OpenWatch>>,
@@ -46,7 +46,7 @@
     pub(super) wake: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
-/// The open watch, which ends when dropped.
+/// The open watch. Dropping it ends the watch.
 struct OpenWatch {
     _task: Option<Task<()>>,
     progress_requests: async_channel::Sender<()>,
@@ -56,7 +56,8 @@
 where
     S::Entry: 'static,
 {
-    /// A host that isn't running yet. `seed` determines the random delays; it should differ between front ends.
+    /// Creates a host, which [`ConfigHost::run`] starts. `seed` determines the random delays; it should differ between
+    /// front ends.
     ///
     /// # Errors
     /// The settings are out of range.
@@ -93,7 +94,7 @@
         }))
     }
 
-    /// Starts from the snapshot on disk, if there is one; to be called before [`ConfigHost::run`].
+    /// Restores the snapshot on disk, if there is one; to be called before [`ConfigHost::run`].
     pub fn restore(self: &Rc<Self>) {
         let Some(file) = &self.settings.snapshot else {
             return;
@@ -106,7 +107,7 @@
         self.restore_from(&newest_first);
     }
 
-    /// Starts from the first usable one of some snapshots; to be called before [`ConfigHost::run`].
+    /// Restores the first usable one of the given snapshots; to be called before [`ConfigHost::run`].
     pub fn restore_from(self: &Rc<Self>, newest_first: &[&[u8]]) {
         let restored = self.core.borrow_mut().restore(self.now(), newest_first);
         for error in &restored.passed_over {
@@ -119,7 +120,7 @@
         self.perform_actions();
     }
 
-    /// Follows the store for as long as the task lives.
+    /// Follows the store. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             if !self.is_connected.get() && self.now() >= self.reconnect_at.get() {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Disconnects for good, as a process that dies. The lease in the store expires.
+    /// Disconnects permanently without deregistration, as a crash does. The lease in the store expires.
     pub fn stop(&self) {
         self.is_connected.set(false);
         self.reconnect_at.set(f64::INFINITY);
@@ -193,7 +194,7 @@
             }
             Action::RequestProgress => {
                 if let Some(open_watch) = &*self.watch.borrow() {
-                    // A request that is queued already has the same effect.
+                    // A request that is already queued has the same effect.
                     let _ = open_watch.progress_requests.try_send(());
                 }
             }
--- a/crates/http-frontend/src/config/overlay.rs
+++ b/crates/http-frontend/src/config/overlay.rs
@@ -12,7 +12,7 @@
 pub(super) const FUNCTIONS: &str = "functions";
 pub(super) const QUOTAS: &str = "quotas";
 pub(super) const TRIGGER_TYPES: &str = "trigger-types";
-/// The alias that plain invocations go by.
+/// The alias that invocations without a version use.
 const STABLE: &str = "stable";
 
 /// A view of the gateway's configuration.
@@ -110,7 +110,8 @@
     }
 }
 
-/// A trigger type that is only in the store. It is non-idempotent, as nothing says that running twice is harmless.
+/// A trigger type that only the store has. It is non-idempotent, as the store doesn't state whether its invocations may
+/// run twice.
 fn new_trigger_type(name: &str, spec: &TriggerTypeSpec) -> (TriggerTypeSettings, TriggerType) {
     let trigger = TriggerTypeSettings {
         name: name.into(),
--- a/crates/http-frontend/src/config/queries.rs
+++ b/crates/http-frontend/src/config/queries.rs
@@ -22,7 +22,7 @@
         self.core.borrow().is_loaded()
     }
 
-    /// Every transaction up to this revision is applied or rejected.
+    /// The revision up to which every transaction is applied or rejected.
     pub fn applied_revision(&self) -> i64 {
         self.core.borrow().applied_revision()
     }
--- a/crates/http-frontend/src/config/report.rs
+++ b/crates/http-frontend/src/config/report.rs
@@ -9,7 +9,7 @@
 use orchidtally_etcd::{ClientError, ConnectionError, PUT};
 use tracing::debug;
 
-/// The gRPC status of a lease that doesn't exist.
+/// The gRPC status of a request with a lease that doesn't exist.
 const NOT_FOUND: u32 = 5;
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
--- a/crates/http-frontend/src/config/session.rs
+++ b/crates/http-frontend/src/config/session.rs
@@ -12,10 +12,10 @@
         boot_time()
     }
 
-    /// Feeds the state machine, and wakes the main loop to perform its actions.
+    /// Passes an input to the state machine, and wakes the main loop to perform its actions.
     pub(super) fn feed(&self, input: impl FnOnce(&mut ConfigSync<S>, f64)) {
         input(&mut self.core.borrow_mut(), self.now());
-        // Where the channel is full, the host is being woken already.
+        // A full channel already wakes the main loop.
         let _ = self.wake.0.try_send(());
     }
 
--- a/crates/http-frontend/src/config/snapshot_queue.rs
+++ b/crates/http-frontend/src/config/snapshot_queue.rs
@@ -1,6 +1,6 @@
 //! The snapshots that wait to be written.
 
-/// Snapshots are written one at a time; only the newest of those that wait is kept.
+/// Snapshots are written one at a time; of those that wait, only the newest is queued.
 #[derive(Default)]
 pub(super) struct SnapshotQueue {
     pub(super) is_writing: bool,
--- a/crates/http-frontend/src/config/snapshot_writer.rs
+++ b/crates/http-frontend/src/config/snapshot_writer.rs
@@ -35,7 +35,7 @@
         let started = std::thread::Builder::new()
             .name("snapshot".into())
             .spawn(move || {
-                // The host may be gone by then.
+                // The host may have been dropped.
                 let _ = result_sender.send_blocking(file.replace(&written));
             });
         let host = self.clone();
--- a/crates/http-frontend/src/config/status.rs
+++ b/crates/http-frontend/src/config/status.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ConfigStatus {
-    /// How the configuration relates to the store.
+    /// The synchronization state of the configuration.
     pub state: ReportedState,
     /// Whether the store is connected.
     pub connected: bool,
@@ -15,7 +15,7 @@
     pub loaded: bool,
     /// The generation of the store that is followed.
     pub generation: u64,
-    /// Every transaction up to this revision is applied or rejected.
+    /// The revision up to which every transaction is applied or rejected.
     pub applied_revision: i64,
     /// The number of entries of the view.
     pub entries: usize,
--- a/crates/http-frontend/src/config/target.rs
+++ b/crates/http-frontend/src/config/target.rs
@@ -1,4 +1,4 @@
-//! What configuration views are applied to.
+//! The target of configuration views.
 
 use orchidtally_config_sync::View;
 use orchidtally_dispatch_policy::interface::ConfigError;
@@ -22,12 +22,12 @@
     Rejected(#[from] ConfigError),
 }
 
-/// What views are put in force at.
+/// A target that configuration views are applied to.
 pub trait ConfigTarget<E> {
     /// Puts a view in force, as a whole or not at all.
     ///
     /// # Errors
-    /// Nothing has changed then. The host retries with the newest view every second, and reports nothing until that
-    /// succeeds.
+    /// A value is rejected. Nothing has changed then. The host retries with the newest view every second, and reports
+    /// nothing until that succeeds.
     fn apply(&self, view: &Arc<View<E>>) -> Result<(), ApplyError>;
 }
--- a/crates/http-frontend/src/config/view_application.rs
+++ b/crates/http-frontend/src/config/view_application.rs
@@ -1,4 +1,5 @@
-//! Applies configuration views to the target, together where they follow each other closely, and again after an error.
+//! Applies configuration views to the target. Views that follow each other closely are applied together, and a rejected
+//! view is retried.
 
 use super::ConfigTarget;
 use super::host::ConfigHost;
@@ -7,8 +8,8 @@
 use std::sync::Arc;
 use tracing::{debug, error};
 
-/// Views that follow each other within this time, in seconds, are applied together. What a newer view disables takes
-/// effect at once in any case: the state machine is asked for each invocation.
+/// Views that follow each other within this time, in seconds, are applied together. Entries that a newer view disables
+/// are denied at once in any case, as each invocation is checked against the state machine.
 const APPLY_INTERVAL: f64 = 0.05;
 /// A view that the target rejected is applied again after this time, in seconds.
 const APPLY_RETRY: f64 = 1.0;
--- a/crates/http-frontend/src/config/watch.rs
+++ b/crates/http-frontend/src/config/watch.rs
@@ -27,7 +27,8 @@
 }
 
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
-    /// Follows a watch from a revision until it ends; a message on `asks` makes it request the progress.
+    /// Follows a watch from a revision until it ends. A message on `progress_requests` makes it send a progress
+    /// request.
     pub(super) async fn follow_watch(
         &self,
         session: u64,
@@ -60,7 +61,7 @@
             let received = self.client.traffic().received();
             let next = async { Some(stream.next().await) };
             let progress_requested = async {
-                // The channel stays open as long as the watch is wanted.
+                // The channel stays open as long as the watch does.
                 let _ = progress_requests.recv().await;
                 None
             };
--- a/crates/http-frontend/src/durable_invocation_store.rs
+++ b/crates/http-frontend/src/durable_invocation_store.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 use tracing::{error, info};
 
-/// The longest body that is retained with its answer, in bytes.
+/// The longest response body that is retained, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The most entries that are queued for the disk.
+/// The maximum number of entries that are queued for the journal.
 const MAX_QUEUED_ENTRIES: usize = 65_536;
 /// The fraction of the journal's length limit above which its entries are replaced by a snapshot.
 const SNAPSHOT_THRESHOLD: f64 = 0.5;
@@ -27,7 +27,7 @@
     /// Bytes of the entries since the last snapshot.
     entry_bytes: Cell<u64>,
     max_bytes: u64,
-    /// An entry was not persisted: a snapshot has to succeed before another invocation begins.
+    /// Set when an entry was not persisted. Another invocation begins only after a snapshot has succeeded.
     has_failed: Cell<bool>,
 }
 
@@ -45,7 +45,7 @@
     for entry in &recovered.entries {
         let record = serde_json::from_slice(entry).map_err(|e| {
             let message = format!(
-                "{}: an entry can't be read, so that nothing is served: {e}",
+                "{}: an entry can't be read, the front end does not start: {e}",
                 folder.display()
             );
             io::Error::new(io::ErrorKind::InvalidData, message)
--- a/crates/http-frontend/src/endpoint_publisher.rs
+++ b/crates/http-frontend/src/endpoint_publisher.rs
@@ -26,13 +26,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum WatchError {
     /// There is no connection, or it broke, or a message can't be decoded.
-    #[error("its connection ended: {0:?}")]
+    #[error("the connection ended: {0:?}")]
     Connection(TransportOutcome),
-    /// It sent something that is neither a snapshot nor a delta.
-    #[error("it sent a message of an unknown kind; it may be newer than this front end")]
+    /// A message is neither a snapshot nor a delta.
+    #[error("message of an unknown kind; the publisher may be newer than this front end")]
     UnknownKind,
-    /// It has not answered a ping in time.
-    #[error("it did not answer in time")]
+    /// The first list or the answer to a ping did not arrive in time.
+    #[error("no response in time")]
     TimedOut,
 }
 
--- a/crates/http-frontend/src/endpoint_source.rs
+++ b/crates/http-frontend/src/endpoint_source.rs
@@ -7,8 +7,9 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// Subscribes to the endpoint list of the deployment. Returns the task that has to be replaced at the next call: there
-/// is none for a list in the deployment itself, nor for etcd, which is followed for as long as the front end lives.
+/// Subscribes to the deployment's endpoint source. Returns the subscription's task, which the task of the next call
+/// replaces. There is none for a list in the deployment itself, nor for etcd, which is followed for the lifetime of the
+/// front end.
 pub fn watch(router: &Rc<Router>) -> Option<Task<()>> {
     match &router.deployment.endpoint_source {
         EndpointSource::Listed(_) => None,
--- a/crates/http-frontend/src/etcd/entries.rs
+++ b/crates/http-frontend/src/etcd/entries.rs
@@ -8,7 +8,7 @@
 use orchidtally_executor_protocol::v1;
 use orchidtally_membership::{EntryChange, EntryError, StoreRevision};
 
-/// The store and the revision of an answer.
+/// The store and the revision of a response.
 pub(super) fn store_revision(header: &ResponseHeader) -> StoreRevision {
     StoreRevision {
         cluster: header.cluster_id,
@@ -16,7 +16,7 @@
     }
 }
 
-/// An entry as a list has it.
+/// Converts an entry of a list.
 pub(super) fn entry_change(entry: &KeyValue) -> EntryChange<'_> {
     EntryChange {
         key: &entry.key,
--- a/crates/http-frontend/src/etcd/executors.rs
+++ b/crates/http-frontend/src/etcd/executors.rs
@@ -73,7 +73,7 @@
             .cache()
             .borrow_mut()
             .on_progress(self.host.now(), entries::store_revision(header));
-        // While a list is needed, the cache may differ from the store.
+        // As long as a list is needed, the cache may differ from the store.
         if let Some(requested_at) =
             requested_at.filter(|_| self.next_request() != NextRequest::List)
         {
--- a/crates/http-frontend/src/etcd/follow.rs
+++ b/crates/http-frontend/src/etcd/follow.rs
@@ -1,4 +1,4 @@
-//! Lists and watches of one prefix of the store, for as long as they are wanted.
+//! Lists and watches one prefix of the store.
 
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::{
@@ -19,7 +19,7 @@
 const PROGRESS_TIMEOUT: f64 = 2.8;
 /// Entries in one page of a list.
 const PAGE_SIZE: i64 = 2_000;
-/// The first and the longest retry delay, in seconds. Each delay is drawn between zero and twice its length.
+/// The first and the longest retry delay, in seconds. Each delay is multiplied by a random factor between 0 and 2.
 /// Failure mode: front ends lose the store at the same time. Risk: they would reconnect at the same time.
 pub(super) const INITIAL_RETRY_DELAY: f64 = 0.1;
 const MAX_RETRY_DELAY: f64 = 5.0;
@@ -29,26 +29,26 @@
     /// The time.
     fn now(&self) -> f64;
 
-    /// What is needed next.
+    /// The request that the follower needs next.
     fn next_request(&self) -> NextRequest;
 
-    /// A list has arrived whose request was sent at `began`.
+    /// A list has arrived whose request was sent at `requested_at`.
     fn on_list(&self, requested_at: f64, header: &ResponseHeader, list: &[KeyValue]);
 
     /// Events of the watch have arrived.
     fn on_events(&self, header: &ResponseHeader, events: &[Event]);
 
-    /// The watch is complete up to the revision of `header`: the store had nothing else when the request was sent at
-    /// `began`. Without a request the age of that statement is unknown.
+    /// The watch is complete up to the revision of `header`: the store had no other events when the progress request
+    /// was sent at `requested_at`. Without a request, the time at which this was so is unknown.
     fn on_progress(&self, requested_at: Option<f64>, header: &ResponseHeader);
 
-    /// An attempt that began at `began` has failed.
+    /// An attempt that began at `requested_at` has failed.
     fn on_failure(&self, requested_at: f64);
 
     /// The revision from which the watch would continue is compacted.
     fn on_compaction(&self);
 
-    /// Time has passed.
+    /// Called after each response, after each timeout, and between attempts.
     fn on_tick(&self);
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Follows a prefix for as long as it is polled.
+/// Follows a prefix. Never returns.
 pub(super) async fn follow(client: Rc<Client>, prefix: String, follower: impl Follower) {
     let mut delay = INITIAL_RETRY_DELAY;
     loop {
@@ -102,7 +102,7 @@
     }
 }
 
-/// Lists, where the follower needs that, and watches until it needs another list or the watch ends.
+/// Lists if the follower needs a list, and watches until it needs another list or the watch ends.
 async fn follow_once(
     client: &Client,
     prefix: &str,
@@ -143,13 +143,13 @@
     }
 }
 
-/// Progress requests of a watch, one at a time: an answer doesn't name its request.
+/// The progress requests of a watch. Only one is outstanding at a time, as a response doesn't identify its request.
 struct ProgressRequests {
     requested_at: f64,
     is_answered: bool,
 }
 
-/// What is due.
+/// A due step of the progress requests.
 enum DueAction {
     /// The next request is to be sent.
     Request,
@@ -158,7 +158,7 @@
 }
 
 impl ProgressRequests {
-    /// For a watch that begins now; the first request is due at once.
+    /// Creates the state for a watch that begins now; the first request is due at once.
     fn new(now: f64) -> ProgressRequests {
         ProgressRequests {
             requested_at: now - PROGRESS_INTERVAL,
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Until something is due, in seconds.
+    /// Seconds until the next step is due.
     fn due_in(&self, now: f64) -> f64 {
         let time = if self.is_answered {
             PROGRESS_INTERVAL
@@ -176,7 +176,7 @@
         (self.requested_at + time - now).clamp(0.0, PROGRESS_TIMEOUT)
     }
 
-    /// What is due now; a request that is due counts as sent.
+    /// The step that is due now; a due request counts as sent.
     fn due(&mut self, now: f64) -> Option<DueAction> {
         if self.due_in(now) > 0.0 {
             return None;
@@ -188,7 +188,7 @@
         Some(DueAction::Request)
     }
 
-    /// When the request was sent that is answered now; `None` if there was none.
+    /// Records a response and returns when its request was sent; `None` if no request was outstanding.
     fn on_response(&mut self) -> Option<f64> {
         (!std::mem::replace(&mut self.is_answered, true)).then_some(self.requested_at)
     }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -13,10 +13,10 @@
 pub(super) struct FrontEndsFollower<H> {
     host: Rc<H>,
     store_revision: Cell<Option<StoreRevision>>,
-    /// A list has to come before the next watch.
+    /// A list is needed before the next watch.
     needs_list: Cell<bool>,
     indices: RefCell<BTreeSet<u32>>,
-    /// When the last question that was answered was sent.
+    /// When the last answered request was sent.
     current_as_of: Cell<f64>,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// How old the view is, is known from when it was seen last.
+    /// The age of the view follows from the last answered request.
     fn on_failure(&self, _began: f64) {}
 
     fn on_compaction(&self) {
--- a/crates/http-frontend/src/etcd/host.rs
+++ b/crates/http-frontend/src/etcd/host.rs
@@ -1,4 +1,4 @@
-//! The host of the membership state machines: what they read from a front end, and what they notify it of.
+//! The host of the membership state machines: the inputs that they read from a front end, and their notifications.
 
 use async_executor::LocalExecutor;
 use orchidtally_deployment::{Deployment, EtcdSettings};
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A front end that learns of its executors and of the other front ends from a store. It lives on one thread. Neither
-/// the cache nor the members are borrowed while it is notified of a change.
+/// A front end that gets its executors and the other front ends from a store. It runs on one thread. Neither the cache
+/// nor the members are borrowed while it is notified of a change.
 pub trait MembershipHost {
-    /// Seconds by its own clock.
+    /// The time in seconds, by the host's clock.
     fn now(&self) -> f64;
 
     /// The deployment against which executor entries are validated.
@@ -31,10 +31,10 @@
     /// Executors have changed, or the first complete list has arrived.
     fn on_endpoint_update(&self, kind: EndpointUpdateKind, rows: &[Endpoint]);
 
-    /// The store has answered a request sent at `asked_at`: the endpoint list was current then.
+    /// The store has answered a request that was sent at `requested_at`: the endpoint list was current then.
     fn on_endpoints_confirmed(&self, requested_at: f64);
 
-    /// The store can't be followed: the request sent at `asked_at` has no answer.
+    /// The store has not answered the request that was sent at `requested_at`, and can't be followed.
     fn on_endpoint_request_unanswered(&self, requested_at: f64);
 
     /// The front ends that share budgets, or this front end's share, may have changed.
@@ -62,12 +62,12 @@
     pub executors: Rc<Client>,
     /// Follows the front ends.
     pub front_ends: Rc<Client>,
-    /// Keeps the front end's own entry.
+    /// Registers the front end and renews its lease.
     pub registration: Rc<Client>,
 }
 
 impl StoreConnections {
-    /// Connections to a deployment's store, not open yet. `name` is their user agent.
+    /// Creates connections to a deployment's store, which open on first use. `name` is their user agent.
     pub fn new(
         etcd: &EtcdSettings,
         name: &str,
--- a/crates/http-frontend/src/etcd/mod.rs
+++ b/crates/http-frontend/src/etcd/mod.rs
@@ -19,12 +19,12 @@
 use orchidtally_deployment::EtcdSettings;
 use std::rc::Rc;
 
-/// Where executors have their entries, behind the deployment's prefix.
+/// The prefix of the executors' entries, after the deployment's prefix.
 pub const EXECUTORS_PREFIX: &str = "executors/";
-/// Where front ends have their entries, behind the deployment's prefix.
+/// The prefix of the front ends' entries, after the deployment's prefix.
 pub const FRONT_ENDS_PREFIX: &str = "front-ends/";
 
-/// Follows executors and front ends for a host, and keeps its own entry, until the tasks are dropped.
+/// Follows executors and front ends for a host, and registers the host's own entry, until the tasks are dropped.
 pub fn follow_store<H: MembershipHost + 'static>(
     host: &Rc<H>,
     connections: &StoreConnections,
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -1,4 +1,4 @@
-//! A front end's own entry in the store, under an index that no other has, and its lease.
+//! A front end's own entry in the store, under a unique index, and its lease.
 
 use super::FRONT_ENDS_PREFIX;
 use super::entries;
@@ -22,7 +22,7 @@
 /// Renewals within the time to live of a lease.
 const RENEWALS_PER_TTL: f64 = 4.0;
 
-/// Registers a host and keeps its entry's lease.
+/// Registers a host and renews its entry's lease.
 pub(super) struct Registration<H> {
     host: Rc<H>,
     client: Rc<Client>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Claims an index and keeps the entry's lease, again and again for as long as it is polled.
+    /// Claims an index and renews the entry's lease; claims another one when the lease is lost. Never returns.
     pub async fn run(self) {
         let mut lost_claims = 0;
         loop {
@@ -77,7 +77,7 @@
         self.client.fail_over();
     }
 
-    /// Puts the entry under a free index; `None` if another front end was faster.
+    /// Writes the entry under a free index; `None` if another front end has claimed the index first.
     async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, ClientError> {
         let entries = list(&self.client, &self.prefix).await?.entries;
         let used_indices: BTreeSet<u32> = entries
@@ -114,7 +114,7 @@
         }))
     }
 
-    /// Puts the entry where no other stands.
+    /// A transaction that writes the entry if its key doesn't exist.
     fn claim_transaction(&self, index: u32, lease: i64) -> TxnRequest {
         let key = Bytes::from(format!("{}{index}", self.prefix));
         let value = serde_json::json!(self.host.front_end_entry()).to_string();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Renews a lease until the store has ended it, or has not answered for the time to live.
+    /// Renews a lease until it has expired in the store, or the store has not answered for the time to live.
     async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
         let interval = Duration::from_secs_f64(lease.ttl / RENEWALS_PER_TTL);
         loop {
--- a/crates/http-frontend/src/etcd/router_membership.rs
+++ b/crates/http-frontend/src/etcd/router_membership.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// Follows the endpoint list and the membership for as long as the front end lives.
+/// Follows the endpoint list and the membership for the lifetime of the front end.
 pub fn follow_membership(router: &Rc<Router>, etcd: &EtcdSettings) {
     let Some(tasks) = router.spawner().upgrade() else {
         return;
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -80,7 +80,8 @@
         )
     }
 
-    /// Nothing of what is refused here was ever dispatched.
+    /// The response to the request. It states that the function has not run, as a request with a problem is never
+    /// dispatched.
     pub(super) fn response(self) -> Response<ResponseBody> {
         let mut response = problem(self.status, self.title, &self.detail, false);
         if let Some(time) = self.retry_after {
--- a/crates/http-frontend/src/ingress/durable_invocation.rs
+++ b/crates/http-frontend/src/ingress/durable_invocation.rs
@@ -16,7 +16,7 @@
 pub(super) enum DurableStart {
     /// It is new, and its start is persisted.
     New(PersistedInvocation),
-    /// An earlier one has the same name: this is the response to it.
+    /// An earlier invocation has the same name; this is the response for it.
     Recorded(Response<ResponseBody>),
 }
 
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -71,7 +71,7 @@
         payload,
         payload_bytes,
     };
-    // Checked before its start is persisted: a rejected invocation leaves no record.
+    // Admission is checked before the start is persisted, so that a rejected invocation leaves no record.
     router
         .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
@@ -142,7 +142,8 @@
         .await;
 }
 
-/// The function that a path names, perhaps with a version after '@', and the version that the invocation gets.
+/// Resolves the function that the path names, with an optional version after '@', to the version that the invocation
+/// gets.
 fn target(
     router: &Router,
     revision: &Revision,
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -127,7 +127,7 @@
         socket.write_all(UNAVAILABLE_RESPONSE).await?;
         socket.close().await
     };
-    // The client has its answer, or has disconnected before.
+    // The client may have disconnected.
     let _ = with_timeout(Duration::from_secs(1), send_response).await;
 }
 
@@ -163,7 +163,7 @@
         }
     };
     let shutdown = async {
-        // Nothing is ever sent; closing the channel is the signal.
+        // No message is ever sent; closing the channel is the signal.
         let _ = draining.recv().await;
         None
     };
@@ -188,7 +188,8 @@
     }
 }
 
-/// The limits of a connection; `time` is the timeout of request headers and of keep-alive pings.
+/// Creates a connection builder with the deployment's limits; `time` is the timeout of request headers and of
+/// keep-alive pings.
 fn connection_builder(router: &Router, time: Duration) -> auto::Builder<Spawner> {
     let limits = &router.deployment.limits;
     let mut builder = auto::Builder::new(Spawner(router.spawner()));
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -42,7 +42,8 @@
     String::from_utf8(bytes).map_err(|_| Problem::bad("the function's name is not UTF-8"))
 }
 
-/// Reads the body of a request in chunks, with its length in bytes. `content_length` is what its header says.
+/// Reads the body of a request in chunks, and returns them with the length in bytes. `content_length` is the value of
+/// the request's header.
 pub(super) async fn body(
     router: &Router,
     incoming: Incoming,
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -7,7 +7,7 @@
 use http::header::{CONTENT_TYPE, HeaderValue};
 use serde_json::json;
 
-/// The rollouts as this front end has them.
+/// The state of the rollouts at this front end.
 fn rollouts(router: &Router) -> serde_json::Value {
     let traffic_split = router.traffic_split.borrow();
     let published = traffic_split.published();
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -1,7 +1,7 @@
 //! The HTTP front end: accepts invocations over HTTP and from MQTT messages, and dispatches them to executors.
 //!
 //! A front end is one thread that owns one engine and with it one dispatch policy; it shares nothing with other front
-//! ends. [`run`] serves until it is stopped; [`Start`] is what it starts with.
+//! ends. [`run`] serves until shutdown, with the settings in [`FrontEndOptions`].
 
 pub mod config;
 pub mod durable_invocation_store;
@@ -29,32 +29,34 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// A front end that shuts down waits this long beyond the longest client timeout, then ends in any case.
+/// How long a shutdown waits for open invocations beyond the longest client timeout. The front end exits after that in
+/// any case.
 const DRAIN_MARGIN: Duration = Duration::from_secs(1);
-/// How often a front end that shuts down checks whether everything is answered.
+/// How often a shutdown checks for open invocations and connections.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections that may be rejected at a time, besides a quarter of the connection limit.
+/// Concurrent rejections that are allowed in addition to a quarter of the connection limit.
 const SPARE_REJECTIONS: usize = 16;
 
-/// What a front end starts with.
+/// The settings and inputs of a front end.
 pub struct FrontEndOptions {
     /// The deployment file.
     pub deployment: Deployment,
-    /// Seeds the random choices; also the front end's incarnation, so each start needs another one.
+    /// The seed of the random choices. It is also the front end's incarnation, so that each start needs a different
+    /// one.
     pub seed: u64,
-    /// Seconds by which the wall clock is taken to be ahead, for tests of skew.
+    /// Seconds that are added to the wall clock, for tests of clock skew.
     pub clock_offset: f64,
-    /// When the wall clock is stepped and by how much, both in seconds, for tests.
+    /// When the wall clock is stepped, in seconds after the start, and by how many seconds, for tests.
     pub clock_step: Option<(f64, f64)>,
-    /// A message or the end of this channel shuts the front end down gracefully.
+    /// A message on this channel, or its closing, starts a graceful shutdown.
     pub shutdown: async_channel::Receiver<()>,
     /// Whether executors are chosen at random instead of by the dispatch policy, for comparisons.
     pub uses_random_policy: bool,
-    /// What message triggers need, where the deployment file has a broker.
+    /// The message triggers, if the deployment file has a broker.
     pub message_triggers: Option<mqtt::MessageTriggers>,
-    /// The store of durable HTTP invocations, where the deployment file has a journal.
+    /// The store of durable HTTP invocations, if the deployment file has a journal.
     pub durable_invocation_store: Option<durable_invocation_store::DurableInvocationStore>,
-    /// Where the deployment file may be read again.
+    /// The reloads of the deployment file, if it can be reloaded.
     pub reloads: Option<reload::DeploymentReloads>,
 }
 
@@ -66,7 +68,8 @@
     orchidtally_socket_io::listen(at)
 }
 
-/// Runs a front end on this thread until it is stopped and all open invocations are answered. Returns its counters.
+/// Runs a front end on this thread until it is shut down and all open invocations are answered, or the shutdown
+/// deadline has passed. Returns its counters.
 pub fn run(options: FrontEndOptions, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
     let durable_invocation_store = options.durable_invocation_store.map(Rc::new);
@@ -128,25 +131,25 @@
     async_io::block_on(spawner.run(work))
 }
 
-/// The task that consumes messages, and what ends it when dropped.
+/// The task that consumes messages, and the channel whose closing stops it.
 struct MessageConsumer {
     task: Option<Task<()>>,
     stop: async_channel::Sender<()>,
 }
 
-/// Client connections, and what they need to be served.
+/// Accepts client connections within the connection limit.
 struct ClientConnections {
     router: Rc<Router>,
     spawner: Rc<LocalExecutor<'static>>,
     max_connections: usize,
-    /// How many are open.
+    /// The number of open connections, including those that are being rejected.
     open_connections: Rc<Cell<usize>>,
     rejected: Cell<u64>,
 }
 
 impl ClientConnections {
-    /// Serves a connection, or answers that there are too many. The rejections in progress have a limit as well; beyond
-    /// it a connection is closed without an answer.
+    /// Serves a connection, or rejects it with a response if the connection limit is reached. Concurrent rejections are
+    /// limited as well: beyond that limit, a connection is closed without a response.
     fn accept(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
         let max_connections = self.max_connections;
         let max_rejections = max_connections / 4 + SPARE_REJECTIONS;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Logs rejected connections ever more rarely.
+    /// Counts a rejected connection, and logs the count whenever it is a power of two.
     fn count_rejection(&self) {
         let rejected = self.rejected.get() + 1;
         self.rejected.set(rejected);
@@ -202,7 +205,7 @@
     let (drain, draining) = async_channel::bounded::<()>(1);
     loop {
         let stopped = async {
-            // A closed channel stops as a message does.
+            // Closing the channel has the same effect as a message.
             let _ = stop.recv().await;
             None
         };
@@ -217,7 +220,7 @@
     connections.router.counters()
 }
 
-/// Answers what is open, up to the longest client timeout, and deregisters the front end.
+/// Waits for open invocations, up to the longest client timeout and a margin, and deregisters the front end.
 async fn shut_down(
     connections: &ClientConnections,
     consumer: MessageConsumer,
@@ -228,7 +231,7 @@
     let deadline =
         Instant::now() + Duration::from_secs_f64(router.longest_timeout()) + DRAIN_MARGIN;
     if let Some(task) = consumer.task {
-        // Messages in flight may have to be dispatched yet.
+        // Messages in flight may still have to be dispatched, so admission stops only after them.
         let drained = orchidtally_socket_io::with_timeout(deadline - Instant::now(), task).await;
         if drained.is_none() {
             warn!("shutdown deadline reached with messages in flight; the journal keeps them");
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the broker: plain or by TLS, read and written by a task each.
+//! The connection to the broker, plain or by TLS, with a reader task and a writer task.
 
 use async_executor::Task;
 use bytes::BytesMut;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes that are queued for the broker.
+/// The maximum number of bytes that are queued for the broker.
 pub(super) const MAX_OUTBOX_BYTES: usize = 512 * 1024;
 /// The timeout of a connect, and of the TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(super) struct Outbox {
     pub(super) bytes: RefCell<BytesMut>,
-    pub(super) ended: Cell<bool>,
+    pub(super) is_closing: Cell<bool>,
 }
 
 /// An open connection to the broker.
@@ -69,7 +69,7 @@
     /// A certificate or key is invalid.
     #[error("TLS: {0}")]
     Certificate(#[from] futures_rustls::rustls::Error),
-    /// The name in the settings is no server name.
+    /// The name in the settings is not a valid server name.
     #[error("{0}")]
     ServerName(#[from] InvalidDnsNameError),
     /// The handshake took too long.
@@ -123,7 +123,7 @@
 }
 
 /// Reads packets until the connection ends.
-pub(super) async fn read(
+pub(super) async fn read_packets(
     mut stream: impl AsyncRead + Unpin,
     number: u64,
     settings: Rc<TriggerSettings>,
@@ -157,7 +157,7 @@
 }
 
 /// Writes the outbox until the connection ends.
-pub(super) async fn write(
+pub(super) async fn write_outbox(
     mut stream: impl AsyncWrite + Unpin,
     number: u64,
     outbox: Rc<Outbox>,
@@ -183,8 +183,8 @@
                 return;
             }
         }
-        if outbox.ended.get() {
-            // The disconnect packet is sent; whether closing succeeds makes no difference.
+        if outbox.is_closing.get() {
+            // The disconnect packet is sent, so a failure to close has no effect.
             let _ = stream.close().await;
             return;
         }
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tracing::{debug, error, info};
 
-/// Inputs that wait to be processed; the socket is not read meanwhile.
+/// The maximum number of queued inputs. The socket is not read while the queue is full.
 const MAX_INPUTS: usize = 1_024;
 /// The longest sleep in seconds.
 const MAX_SLEEP: f64 = 60.0;
@@ -21,7 +21,7 @@
 const ENTRIES_PER_MESSAGE: usize = 8;
 const SPARE_ENTRIES: usize = 1_024;
 
-/// What ends a sleep.
+/// An event that wakes the main loop.
 #[allow(
     clippy::large_enum_variant,
     reason = "it is matched at once and never stored"
@@ -107,7 +107,7 @@
             if is_draining {
                 future::pending::<()>().await;
             }
-            // Nothing is ever sent; closing the channel is the signal.
+            // No message is ever sent; closing the channel is the signal.
             let _ = self.draining.recv().await;
             Some(Wake::Drain)
         };
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,7 +1,7 @@
 //! Performs the actions of a consumer: packets, journal entries and invocations.
 
 use super::connection::{
-    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read, write,
+    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read_packets, write_outbox,
 };
 use super::invoke::invoke;
 use super::tls_files::TlsFiles;
@@ -18,11 +18,12 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// Seconds until the first reconnect attempt; each delay varies by half of it.
+/// The delay before the first reconnect attempt, in seconds. Each delay is multiplied by a random factor between 0.5
+/// and 1.5.
 const INITIAL_RETRY_DELAY: f64 = 0.1;
 /// The longest delay between two attempts, in seconds.
 const MAX_RETRY_DELAY: f64 = 5.0;
-/// How long sending the last packets may take at shutdown.
+/// The timeout of sending the last packets at shutdown.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A result of the journal's thread: whether it succeeded.
@@ -104,7 +105,7 @@
         self.consumer.next_tick_at().min(reconnect_at)
     }
 
-    /// Runs what is due.
+    /// Runs due timers, reconnects if that is due, and performs the pending actions.
     pub(super) fn tick(&mut self) {
         let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
@@ -148,13 +149,13 @@
         let (reader, writer) = futures_lite::io::split(stream);
         let (wake, woken) = async_channel::bounded(1);
         let outbox = Rc::new(Outbox::default());
-        let read = self.router.spawn(read(
+        let read = self.router.spawn(read_packets(
             reader,
             number,
             self.settings.clone(),
             self.inputs.clone(),
         ));
-        let write = self.router.spawn(write(
+        let write = self.router.spawn(write_outbox(
             writer,
             number,
             outbox.clone(),
@@ -265,7 +266,8 @@
             let _ = results.send_blocking(JournalResult::Appended(appended.is_ok()));
         };
         if self.journal.append(entry, done).is_err() {
-            // The thread has died: the queue can hold an entry of every message in flight, so it is never full.
+            // The journal's thread has died. The queue is never full, as it has space for the entries of all messages
+            // in flight.
             self.consumer.journal_appended(self.router.now(), false);
         }
     }
@@ -337,7 +339,7 @@
             }
         }
         if !bytes.is_empty() {
-            // A full channel has woken it already.
+            // A full channel already wakes the writer.
             let _ = connection.wake.try_send(());
         }
     }
@@ -353,14 +355,14 @@
         }));
     }
 
-    /// Disconnects from the broker in order.
+    /// Sends the last packets and closes the connection to the broker.
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.router.now());
         self.perform_actions();
         let Some(connection) = self.connection.take() else {
             return;
         };
-        connection.outbox.ended.set(true);
+        connection.outbox.is_closing.set(true);
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
         if let Some(write) = write {
--- a/crates/http-frontend/src/mqtt/invoke.rs
+++ b/crates/http-frontend/src/mqtt/invoke.rs
@@ -14,8 +14,8 @@
 use orchidtally_rollout::split::Caller;
 use std::rc::Rc;
 
-/// The answer to a message that the configuration doesn't admit: rejected if it may be admitted later and certainly
-/// hasn't run, failed otherwise.
+/// The answer to a message that the configuration doesn't admit: rejected if it may be admitted later and has not run,
+/// failed otherwise.
 fn denied_answer(denial: &AdmissionDenial, may_have_run: bool) -> Answer {
     if denial.retry_after().is_some() && !may_have_run {
         return Answer::Rejected;
--- a/crates/http-frontend/src/mqtt/mod.rs
+++ b/crates/http-frontend/src/mqtt/mod.rs
@@ -1,5 +1,5 @@
 //! Message triggers on sockets: the connection to the MQTT broker, the journal's thread and the invocations. The state
-//! machine `Consumer` of `orchidtally-mqtt-triggers` decides what is done.
+//! machine `Consumer` of `orchidtally-mqtt-triggers` makes the decisions.
 
 mod connection;
 mod consume;
@@ -9,4 +9,4 @@
 mod triggers;
 
 pub use consume::consume;
-pub use triggers::{MessageTriggers, records};
+pub use triggers::{MessageTriggers, decode_records};
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -10,7 +10,7 @@
 /// Modification times of the TLS files.
 pub(super) struct TlsFiles {
     paths: Vec<PathBuf>,
-    /// When the newest file was changed, as of the present connection.
+    /// The newest modification time when the current connection was opened.
     changed_at: Option<SystemTime>,
     next_check_at: f64,
 }
@@ -49,7 +49,7 @@
         self.paths.iter().filter_map(changed_at).max()
     }
 
-    /// A connection is being made with the files as they are now.
+    /// Records the modification time of the files that the next connection uses.
     pub(super) fn record_modification_time(&mut self) {
         self.changed_at = self.latest_modification();
     }
@@ -63,7 +63,7 @@
         true
     }
 
-    /// Whether a file was changed since the present connection was made.
+    /// Whether a file was changed since the current connection was opened.
     pub(super) fn have_changed(&self) -> bool {
         self.latest_modification() != self.changed_at
     }
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -1,4 +1,4 @@
-//! What a front end needs to serve message triggers.
+//! The settings and the journal of the message triggers.
 
 use orchidtally_journal::Journal;
 use orchidtally_mqtt_triggers::TriggerSettings;
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// The snapshot or an entry is malformed.
-pub fn records(
+pub fn decode_records(
     snapshot: Option<&[u8]>,
     entries: &[Vec<u8>],
 ) -> Result<Vec<Record>, serde_json::Error> {
@@ -53,10 +53,10 @@
     pub fn open(settings: TriggerSettings, index: u32) -> io::Result<MessageTriggers> {
         let folder = settings.folder(index);
         let (journal, found) = Journal::open(&folder)?;
-        let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
+        let records = decode_records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
             invalid_data(
                 &folder,
-                format!("an entry can't be read, so that nothing is served: {e}"),
+                format!("an entry can't be read, the front end does not start: {e}"),
             )
         })?;
         Ok(MessageTriggers {
@@ -68,12 +68,12 @@
         })
     }
 
-    /// The records that the previous incarnation left.
+    /// The records of the previous incarnation.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// Changes the journal for measurements: whether it syncs to disk, and how many entries share a sync.
+    /// Sets whether the journal syncs to disk, and the maximum number of entries that share a sync; for benchmarks.
     pub fn with_journal_options(self, synced: bool, max_batch: usize) -> MessageTriggers {
         let journal = if synced {
             self.journal
--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an executor, and what its failures show.
+//! One connection to an executor, and the classification of its failures.
 
 use bytes::Bytes;
 use h2::client::SendRequest;
@@ -16,7 +16,7 @@
     pub(super) idle_since: Cell<Instant>,
     /// Bytes passed to the kernel so far.
     pub(super) written: Rc<Cell<u64>>,
-    /// `None` while a ping waits for its answer.
+    /// `None` while a ping is outstanding.
     pub(super) ping: RefCell<Option<PingPong>>,
 }
 
@@ -24,10 +24,10 @@
 pub struct Pinger(pub(super) Rc<Connection>);
 
 impl Pinger {
-    /// Asks whether the peer is there. Whatever it sent before its answer has arrived by then.
+    /// Sends a ping and waits for the answer. Frames that the peer sent before the answer have arrived by then.
     ///
     /// # Errors
-    /// The connection is broken, or another ping is waiting for its answer.
+    /// The connection is broken, or another ping is outstanding.
     pub async fn ping(&self) -> Result<(), TransportOutcome> {
         let mut ping = self
             .0
@@ -41,7 +41,8 @@
     }
 }
 
-/// Names what an error on a stream showed; `orchidtally_engine::evidence` derives from that whether the request may have run.
+/// Classifies an error on a stream; `orchidtally_engine::evidence` derives from that whether the request may have run.
+/// `written_before` is the number of bytes that were written to the connection before the request.
 pub(super) fn transport_outcome(
     e: &h2::Error,
     written_before: u64,
--- a/crates/http-frontend/src/pool/exchange.rs
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 impl Pool {
-    /// Sends a message and a payload on a stream of their own and reads the message that comes back.
+    /// Sends a message and a payload on a stream of their own and reads the response message.
     pub async fn exchange<M: Message + Default>(
         self: &Rc<Self>,
         path: &str,
@@ -20,7 +20,8 @@
         self.exchange_if(path, || Some(head), payload).await
     }
 
-    /// The same, with a message that is made right before the bytes go out, or none if they are not to.
+    /// Like [`Pool::exchange`], with a message that is built right before it is sent. If `head` returns `None`, nothing
+    /// is sent and the outcome is [`TransportOutcome::Withheld`].
     pub async fn exchange_if<M: Message + Default>(
         self: &Rc<Self>,
         path: &str,
@@ -32,7 +33,7 @@
         Ok((message, incoming))
     }
 
-    /// Sends the same, and reads nothing of what comes back.
+    /// Like [`Pool::exchange_if`], but returns the response without reading its message.
     pub async fn send(
         self: &Rc<Self>,
         path: &str,
@@ -53,7 +54,7 @@
         let (response, mut send_stream) = sender
             .send_request(request, false)
             .map_err(|e| classify(&e))?;
-        // The chunks are handed over as they are; they go out as the peer's window lets them.
+        // The chunks are queued without copying; the peer's flow control window determines when they are sent.
         let last = payload.len();
         send_stream
             .send_data(head, last == 0)
--- a/crates/http-frontend/src/pool/incoming.rs
+++ b/crates/http-frontend/src/pool/incoming.rs
@@ -27,7 +27,7 @@
         match self.stream.data().await {
             None => Ok(false),
             Some(Ok(chunk)) => {
-                // Flow control capacity is released at once: the callers bound what they buffer.
+                // Flow control capacity is released at once, as the callers limit what they buffer.
                 let _ = self.stream.flow_control().release_capacity(chunk.len());
                 self.deframer.push(chunk);
                 Ok(true)
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -1,6 +1,6 @@
-//! Connections to one executor: opened as streams are wanted, up to a limit, shared by many dispatches, and closed when
-//! idle. The end of a stream is reported as the transport saw it; `orchidtally_engine::evidence` derives from that
-//! whether a request may have run.
+//! Connections to one executor: opened on demand, up to a limit, shared by many dispatches, and closed when idle. The
+//! end of a stream is reported as the transport observed it; `orchidtally_engine::evidence` derives from that whether a
+//! request may have run.
 
 mod connection;
 mod exchange;
@@ -27,7 +27,7 @@
     pub max_streams_per_connection: usize,
     /// Connections that are open or being opened at a time.
     pub connections: usize,
-    /// The time for a connect with its handshake, and for the wait for a stream.
+    /// The timeout of a connect with its handshake, and of the wait for a stream.
     pub connect_timeout: Duration,
     /// A connection without streams is closed after this time.
     pub idle_timeout: Duration,
@@ -39,7 +39,7 @@
 struct State {
     connections: Vec<Rc<Connection>>,
     connecting: usize,
-    /// Those that wait for a stream; each is woken to look again, or gets the reason why there is none.
+    /// Tasks that wait for a stream. Each is woken to try again, or gets the reason why no stream is available.
     waiters: VecDeque<oneshot::Sender<Option<TransportOutcome>>>,
 }
 
@@ -107,7 +107,7 @@
     fn wake_all(&self, why: Option<TransportOutcome>) {
         let waiters = std::mem::take(&mut self.state.borrow_mut().waiters);
         for waiter in waiters {
-            // One that has stopped waiting needs no answer.
+            // The waiter may have been cancelled.
             let _ = waiter.send(why);
         }
     }
@@ -156,7 +156,8 @@
                 let Some(spawner) = self.spawner.upgrade() else {
                     return Err(TransportOutcome::NoConnection);
                 };
-                // In a task of its own, which continues where the dispatch that started it is cancelled.
+                // The connect runs in a task of its own, so that it continues if the dispatch that needs it is
+                // cancelled.
                 spawner.spawn(self.clone().open()).detach();
             }
             let time_left = deadline.saturating_duration_since(Instant::now());
--- a/crates/http-frontend/src/pool/opening.rs
+++ b/crates/http-frontend/src/pool/opening.rs
@@ -35,7 +35,7 @@
         let handshake = match handshake {
             Some(Ok(handshake)) => handshake,
             Some(Err(fault)) => return self.on_connect_failure(&fault.to_string()),
-            None => return self.on_connect_failure("no handshake in time"),
+            None => return self.on_connect_failure("handshake timed out"),
         };
         let connection = Rc::new(Connection {
             sender: handshake.sender,
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Waiting dispatches fail unless another connection stands.
+    /// Fails the waiting dispatches, unless another connection is open.
     fn on_connect_failure(&self, why: &str) {
         debug!(executor = %self.address, why, "connect failed");
         let all_closed = self
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reloads the deployment file while the front end runs. What can change without a restart is put in force, as a whole
-//! or not at all.
+//! Reloads the deployment file while the front end runs. A reload is applied as a whole or rejected as a whole; one
+//! that needs a restart is rejected.
 
 use crate::config::ApplyError;
 use crate::router::Router;
@@ -20,17 +20,17 @@
     pub texts: async_channel::Receiver<io::Result<String>>,
 }
 
-/// Why a reloaded file is not in force. The previous configuration stays in force.
+/// Why a reloaded file is not applied. The previous configuration stays in force.
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The file can't be read.
-    #[error("it can't be read: {0}; put it back, readable for this user")]
+    #[error("the file can't be read: {0}; restore it, readable for this user")]
     Unreadable(#[from] io::Error),
     /// The file is invalid.
-    #[error("it has {} faults; mend them, as `orchidtally check` tells them too", .0.len())]
+    #[error("the file has {} faults; fix them, `orchidtally check` lists them too", .0.len())]
     Invalid(Vec<DeploymentFault>),
     /// Some changes only take effect at a restart.
-    #[error("{} of its changes need a restart; restart this front end, or take them back", .0.len())]
+    #[error("{} of its changes need a restart; restart this front end, or revert them", .0.len())]
     NeedsRestart(Vec<DeploymentFault>),
     /// The front end rejects the configuration.
     #[error(transparent)]
@@ -38,7 +38,7 @@
 }
 
 impl ReloadError {
-    /// The places in the file that cause the error, as far as they are known.
+    /// The faults in the file, with their locations; empty if the error is not in the file's text.
     fn deployment_faults(&self) -> &[DeploymentFault] {
         match self {
             ReloadError::Invalid(faults) | ReloadError::NeedsRestart(faults) => faults,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Puts the text of a file in force; `before` is the text in force until then.
+/// Applies the text of a reloaded file and returns it; `current_text` is the text in force until then.
 fn reload(
     router: &Router,
     current_text: &str,
@@ -63,7 +63,7 @@
     Ok(text)
 }
 
-/// Applies reloads for as long as the front end lives.
+/// Applies reloads until their channel is closed.
 pub async fn follow(router: Rc<Router>, reloads: DeploymentReloads) {
     let DeploymentReloads {
         path,
--- a/crates/http-frontend/src/rollouts.rs
+++ b/crates/http-frontend/src/rollouts.rs
@@ -1,4 +1,4 @@
-//! Exchanges evidence for the published state of rollouts with the coordinators.
+//! Sends the evidence on rollouts to the coordinators, and receives the published state of the rollouts.
 
 use crate::router::Router;
 use futures_lite::future;
@@ -12,6 +12,7 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
+/// The path of an exchange at a coordinator.
 pub const EXCHANGE_PATH: &str = "/v1/rollouts/exchange";
 /// The timeout of a request; a coordinator that has not answered by then is polled again in the next round.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -25,7 +26,7 @@
     Request(#[source] std::io::Error),
     #[error("{status}: {body}")]
     Status { status: StatusCode, body: String },
-    #[error("its answer can't be read: {0}")]
+    #[error("the response can't be decoded: {0}")]
     Decode(#[source] serde_json::Error),
 }
 
@@ -45,7 +46,7 @@
     serde_json::from_slice(&answer).map_err(ExchangeError::Decode)
 }
 
-/// Polls all coordinators, round after round, for as long as the front end lives.
+/// Polls all coordinators at the poll interval. Never returns.
 pub async fn poll_coordinators(router: Rc<Router>) {
     let interval = Duration::from_secs_f64(router.deployment.rollout_poll_interval);
     let mut is_reachable = true;
--- a/crates/http-frontend/src/router/action_executor.rs
+++ b/crates/http-frontend/src/router/action_executor.rs
@@ -19,7 +19,7 @@
 
 /// An invocation with less time left than this, in seconds, is not migrated to another version.
 const MIN_TIME_TO_MIGRATE: f64 = 0.05;
-/// Dispatch numbers reserved for the attempts before a migration; later ones are numbered from here.
+/// Dispatch numbers that are reserved for the attempts before a migration; later dispatches are numbered from here.
 const MAX_DISPATCHES: u32 = 256;
 
 /// The names of a function and its version, for load commands.
@@ -117,8 +117,8 @@
         admitted_invocation
     }
 
-    /// Sends the final answer of an invocation to its client; no other function does. The outcome is evidence on its
-    /// version.
+    /// Sends the final answer of an invocation to its client, and adds it to the evidence on the version. An invocation
+    /// that may migrate to the old version is queued for that instead.
     fn send_final_answer(&mut self, invocation: u32, answer: FinalAnswer) {
         let Some(client) = self.clients.remove(&invocation) else {
             return;
@@ -137,7 +137,7 @@
             });
             return;
         }
-        // A client that went away meanwhile needs no answer.
+        // The client may have disconnected.
         let _ = client.reply.send(answer);
     }
 
--- a/crates/http-frontend/src/router/dispatch_admission.rs
+++ b/crates/http-frontend/src/router/dispatch_admission.rs
@@ -9,7 +9,7 @@
 use orchidtally_engine::NO_METADATA;
 
 impl Router {
-    /// Sets what decides whether the configuration admits an invocation; only the first call has an effect.
+    /// Sets the admission check of the configuration; only the first call has an effect.
     pub fn set_admission(&self, admission: Admission) {
         // A front end has one configuration host.
         let _ = self.admission.set(admission);
@@ -44,8 +44,8 @@
             .denial(context.revision.view.as_deref(), &subject)
     }
 
-    /// A dispatch was withheld: its invocation is answered at once, unless another dispatch of it is in flight, whose
-    /// answer goes to the client.
+    /// Handles a dispatch that was denied before its first byte was sent. The client gets the denial at once, unless
+    /// another dispatch of the invocation is in flight; then it gets the result of that one.
     pub(super) fn on_dispatch_denied(&self, invocation: u32, number: u8, denial: AdmissionDenial) {
         self.run_engine(|engine, now, action_executor| {
             if let Some(task) = action_executor.dispatch_tasks.remove(&(invocation, number)) {
@@ -58,11 +58,11 @@
                     .contains_key(&(invocation, m as u8))
             });
             if !has_other_in_flight {
-                // An earlier one may have run: how it ended isn't known here.
+                // An earlier dispatch may have run: its result is not known here.
                 let may_have_run = sent > 1;
                 engine.on_client_cancel(now, invocation, action_executor);
                 if let Some(client) = action_executor.clients.remove(&invocation) {
-                    // A client that went away meanwhile needs no answer.
+                    // The client may have disconnected.
                     let _ = client.reply.send(FinalAnswer::Denied {
                         denial,
                         may_have_run,
--- a/crates/http-frontend/src/router/exchange.rs
+++ b/crates/http-frontend/src/router/exchange.rs
@@ -54,7 +54,7 @@
     timing: Option<Timing>,
 }
 
-/// In which state the executor found its copy of the function.
+/// The state of the function's replica when the dispatch reached the executor.
 fn replica_state(answer: &v1::Answer) -> ReplicaState {
     match answer.found() {
         v1::Found::Untold => ReplicaState::Unknown,
@@ -86,7 +86,7 @@
         });
     }
 
-    /// Records whether the end of an exchange shows that the executor is reachable.
+    /// Records in the endpoint cache whether an exchange reached its executor. Only a list from etcd uses this.
     fn record_reachability(&self, executor: ExecutorId, outcome: Option<TransportOutcome>) {
         if !matches!(self.deployment.endpoint_source, EndpointSource::Etcd(_)) {
             return;
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Another front end uses the index of this one, so that both use the same time slots at executors in slow start.
+    /// Counts and logs a response which reports that another front end uses the index of this one. Both then use the
+    /// same time slots at executors in slow start.
     fn on_duplicate_index(&self, executor: ExecutorId) {
         self.duplicate_index_reports
             .set(self.duplicate_index_reports.get() + 1);
@@ -155,8 +156,9 @@
         }
     }
 
-    /// Asks the dispatch policy again right before the first byte is sent, which may have waited for a connection: the
-    /// executor may drain by now, or the client's time or the window of its idempotency key may be over.
+    /// Revalidates a dispatch right before its first byte is sent. The dispatch may have waited for a connection:
+    /// meanwhile the executor may have begun to drain, or the client timeout or the window of the idempotency key may
+    /// have ended.
     fn is_dispatch_still_valid(&self, dispatch: &Dispatch) -> bool {
         let now = self.observe_clock();
         self.engine
@@ -190,7 +192,7 @@
     fn on_transport_failure(&self, dispatch: &Dispatch, outcome: TransportOutcome) {
         let status = evidence::dispatch_status(outcome);
         debug!(invocation = dispatch.invocation, n = dispatch.number, executor = %dispatch.executor.0, ?outcome, "dispatch ended without a response");
-        // One that certainly never ran shows nothing about the version.
+        // A dispatch that never ran is no evidence on the version.
         if !status.never_ran() {
             self.record_version_failure(dispatch, true);
         }
@@ -311,7 +313,7 @@
         }
     }
 
-    /// A dispatch failed in a way that may count against its version.
+    /// Records a failed dispatch, which may count against its version.
     fn record_version_failure(&self, dispatch: &Dispatch, transport_failed: bool) {
         let executor = executor_number(dispatch.executor);
         let counts_against_version = self.traffic_split.borrow_mut().record_dispatch_failure(
--- a/crates/http-frontend/src/router/invocation.rs
+++ b/crates/http-frontend/src/router/invocation.rs
@@ -45,7 +45,7 @@
     pub digest: Rc<str>,
     /// Set where a rollout chose its version.
     pub rollout_assignment: Option<RolloutAssignment>,
-    /// A dispatch of it failed in a way that counts against its version.
+    /// Set when a dispatch of it failed in a way that counts against its version.
     pub version_failed: Cell<bool>,
     /// Identifies the executor of the last dispatch; 0 before the first.
     pub last_executor: Cell<u64>,
@@ -74,7 +74,7 @@
     pub name: &'a str,
 }
 
-/// An invocation as an ingress requests it.
+/// A request of an ingress to invoke a function.
 pub struct IngressRequest<'a> {
     /// The name of the invocation.
     pub name: String,
@@ -132,12 +132,12 @@
     }
 }
 
-/// The executor broke off a streamed response.
+/// The executor ended a streamed response before it was complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the executor broke off in the middle of its answer")]
+#[error("the executor ended its response before it was complete")]
 pub struct ResponseTruncated;
 
-/// The front end lost track of an invocation, which may have run.
+/// The front end dropped an invocation without a final answer. The function may have run.
 #[derive(Debug, thiserror::Error)]
 #[error("the front end lost track of it")]
 pub struct AnswerLost;
@@ -288,8 +288,8 @@
         )
     }
 
-    /// Applies the published rollouts and what is due: waiting invocations of a rolled-back version migrate, and versions
-    /// are prewarmed.
+    /// Applies the published rollouts. Waiting invocations of a rolled-back version migrate to the old version, and
+    /// versions that are due are prewarmed.
     pub fn apply_rollouts(&self, published: Option<Published>) {
         let now = self.now();
         let revision = self.revision();
--- a/crates/http-frontend/src/router/load_command.rs
+++ b/crates/http-frontend/src/router/load_command.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 impl Router {
-    /// Asks the dispatch policy again right before a load command that was given at `given_at` is sent.
+    /// Revalidates a load command, which was issued at `issued_at`, right before it is sent.
     fn is_load_still_valid(&self, to: ExecutorId, issued_at: f64) -> bool {
         let now = self.observe_clock();
         self.engine.borrow_mut().revalidate_load(now, to, issued_at)
@@ -25,7 +25,7 @@
         issued_at: f64,
     ) {
         let timeout = seconds(self.deployment.limits.load_command_timeout);
-        // One that loads nothing may always be sent.
+        // Queries and unload commands need no revalidation.
         let head = || {
             let may_send =
                 command.kind() != v1::OrderKind::Hold || self.is_load_still_valid(to, issued_at);
@@ -52,7 +52,7 @@
         };
         if command.kind() == v1::OrderKind::Hold {
             let status = evidence::dispatch_status(outcome);
-            // An executor that is gone or full shows nothing about the version.
+            // An unreachable or full executor is no evidence on the version.
             if matches!(status, DispatchStatus::Ok | DispatchStatus::Error) {
                 self.traffic_split.borrow_mut().record_load_result(
                     function,
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router of a front end: its engine, and what performs the engine's actions on sockets. It lives on one thread and
-//! shares nothing with other front ends.
+//! The router of a front end: the engine, and the executor of the engine's actions on sockets. It runs on one thread
+//! and shares no state with other front ends.
 
 mod action_executor;
 mod dispatch_admission;
@@ -57,7 +57,7 @@
 
 /// The state of one front end.
 pub struct Router {
-    /// The deployment with which the front end started; what may have changed since is in [`Router::revision`].
+    /// The deployment with which the front end started; settings that can change since are in [`Router::revision`].
     pub deployment: Rc<Deployment>,
     revisions: Revisions,
     /// The identity of the front end towards executors. Its index changes when it claims one in etcd.
@@ -66,10 +66,10 @@
     pub cache: RefCell<EndpointCache>,
     /// The membership, where it comes from etcd.
     pub members: RefCell<Members>,
-    /// The number of time slots of shared budgets, and since when it is that.
+    /// The number of time slots of shared budgets, and the time of its last change.
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
-    /// The rollouts as this front end knows them.
+    /// The rollouts, and the versions that invocations get.
     pub traffic_split: RefCell<TrafficSplit>,
     action_executor: RefCell<ActionExecutor>,
     clock: RefCell<Clock>,
@@ -89,11 +89,11 @@
     pub admission: OnceCell<Admission>,
     is_draining: Cell<bool>,
     watch_endpoints: EndpointWatcher,
-    /// The address at which it accepts invocations.
+    /// The address at which the front end accepts invocations.
     pub listen_address: Cell<Option<SocketAddr>>,
 }
 
-/// A number that distinguishes executors; never 0.
+/// A hash that identifies an executor; never 0.
 fn executor_number(executor: ExecutorId) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     executor.hash(&mut hasher);
@@ -112,8 +112,9 @@
 }
 
 impl Router {
-    /// A router that doesn't follow a source of endpoints yet. `ahead` are seconds by which its wall clock is taken to be
-    /// ahead, for tests of skew; `random` replaces the dispatch policy by random choice, for comparisons.
+    /// Creates a router, which isn't subscribed to an endpoint source yet. `clock_offset` is added to the wall clock,
+    /// in seconds, for tests of clock skew; `uses_random_policy` replaces the dispatch policy by random choice, for
+    /// comparisons.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -207,7 +208,7 @@
         self.spawner.clone()
     }
 
-    /// Calls the engine, and performs its actions. Every input of the engine passes here.
+    /// Passes an input to the engine and performs the resulting actions.
     pub fn run_engine<T>(
         &self,
         input: impl FnOnce(&mut Engine, f64, &mut ActionExecutor) -> T,
@@ -222,13 +223,13 @@
         }
         drop(action_executor);
         if engine.next_deadline() < self.timer_deadline.get() {
-            // Where the channel is full, the timer is being woken already.
+            // A full channel already wakes the timer task.
             let _ = self.timer_wakeup.0.try_send(());
         }
         result
     }
 
-    /// Runs the engine's timers for as long as the front end lives.
+    /// Runs the engine's timers. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.engine.borrow().next_deadline();
@@ -236,7 +237,7 @@
             let left = due - self.now();
             if left > 0.0 {
                 let woken = async {
-                    // The router itself holds the other end.
+                    // The router owns the sender, so the channel stays open.
                     let _ = self.timer_wakeup.1.recv().await;
                 };
                 if due.is_finite() {
@@ -253,8 +254,8 @@
         }
     }
 
-    /// Follows the wall clock, closes idle connections and removes unused names, for as long as the front end lives.
-    /// `step` is when the wall clock is stepped and by how much, both in seconds, for tests.
+    /// Follows the wall clock, closes idle connections and removes unused version names. Never returns. `clock_step` is
+    /// when the wall clock is stepped, in seconds after the start, and by how many seconds, for tests.
     pub async fn run_maintenance(
         self: Rc<Self>,
         clock_offset: f64,
@@ -310,8 +311,9 @@
         self.engine.borrow().counters()
     }
 
-    /// Notifies the dispatch policy of the number of front ends that share the fleet. The number of time slots is a power
-    /// of two, so that it changes rarely; a front end uses a new number once all others must have seen it.
+    /// Notifies the dispatch policy of the number of front ends that share the fleet. The number of time slots is a
+    /// power of two, so that it changes rarely. After a change, the front end has no share of the budgets until all
+    /// others must have seen the new number.
     pub fn update_membership_view(&self) {
         let now = self.now();
         let estimate = self.members.borrow().estimate(now);
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -68,7 +68,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Trigger types of the next revision; one that is unchanged is that of the current revision.
+    /// The trigger types of the next revision. An unchanged one is shared with the current revision.
     fn next_trigger_types(
         &self,
         overlay: &Overlay,
@@ -101,7 +101,7 @@
         Ok(next)
     }
 
-    /// Customers of the next revision; one that was known keeps its index.
+    /// The customers of the next revision. A customer of the current revision keeps its index.
     fn next_customers(&self, overlay: &Overlay) -> HashMap<String, Rc<CustomerInForce>> {
         let (current, indices) = (self.current(), self.customers.borrow());
         let mut assigned = BTreeSet::new();
@@ -159,7 +159,7 @@
         self.revisions.current()
     }
 
-    /// The longest client timeout that anything open may have, in seconds.
+    /// The longest client timeout of any open invocation, in seconds.
     pub fn longest_timeout(&self) -> f64 {
         self.revisions.longest_timeout()
     }
@@ -168,7 +168,7 @@
     /// they were admitted. Everything else in the deployment is ignored: it takes effect at a restart.
     ///
     /// # Errors
-    /// Nothing is changed then.
+    /// A value is invalid, or there are too many trigger types. Nothing is changed then.
     pub fn reconfigure(&self, deployment: Rc<Deployment>) -> Result<Rc<Revision>, ApplyError> {
         let view = self.revision().view.clone();
         self.replace_revision(deployment, view)
@@ -204,7 +204,7 @@
                 .iter()
                 .any(|existing| Rc::ptr_eq(existing, candidate))
         };
-        // What the engine accepts before it rejects something is under indices that no invocation can use.
+        // If the engine rejects a value, those that it accepted before have indices that no invocation can use.
         self.run_engine(|engine, now, _| {
             for added in trigger_types.iter().filter(is_added) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
--- a/crates/http-frontend/src/router/revision.rs
+++ b/crates/http-frontend/src/router/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions of what can change while a front end runs: functions, quotas and trigger types.
+//! Revisions of the settings that can change while a front end runs: functions, quotas and trigger types.
 //!
 //! An invocation sees one revision from its admission to its end: it references the [`Revision`] while it is looked up,
 //! and its [`TriggerTypeInForce`] while it is open. The engine's index of a trigger type or a customer is reused only
@@ -45,7 +45,7 @@
 }
 
 impl Revision {
-    /// A trigger type by its name, with its place among all.
+    /// A trigger type by its name, with its position among all.
     pub fn trigger_type(&self, name: &str) -> Option<(usize, &Rc<TriggerTypeInForce>)> {
         self.trigger_types
             .iter()
@@ -53,7 +53,7 @@
             .find(|(_, trigger_type)| trigger_type.settings.name == name)
     }
 
-    /// The trigger type of invocations that name none: there has to be just one.
+    /// The trigger type of invocations that name none; `None` unless there is exactly one.
     pub fn only_trigger_type(&self) -> Option<(usize, &Rc<TriggerTypeInForce>)> {
         self.trigger_types
             .first()
@@ -92,7 +92,8 @@
         }
     }
 
-    /// This revision as a deployment in which the trigger types of `start` keep their positions, removed ones included.
+    /// This revision as a deployment in which the trigger types of `initial` keep their positions, removed ones
+    /// included.
     /// The rules of message triggers refer to trigger types by these positions.
     pub fn aligned_to(&self, initial: &Deployment) -> Deployment {
         let mut aligned = Deployment {
@@ -116,7 +117,7 @@
     }
 }
 
-/// The references to items by the engine's index.
+/// Weak references to items, by the engine's index.
 #[derive(Debug)]
 pub(super) struct Indices<T> {
     references: Vec<Weak<T>>,
--- a/crates/http-frontend/src/router/version_migration.rs
+++ b/crates/http-frontend/src/router/version_migration.rs
@@ -17,7 +17,8 @@
 }
 
 impl ActionExecutor {
-    /// Moves waiting invocations that were never dispatched to the old version, idempotent or not: nothing has run.
+    /// Migrates waiting invocations that were never dispatched to the old version. Non-idempotent ones migrate as well,
+    /// as nothing has run.
     pub(super) fn migrate_waiting(&mut self, engine: &mut Engine, now: f64, run: u64) {
         let Some(router) = self.router.upgrade() else {
             return;
@@ -105,7 +106,8 @@
             .is_err()
             && let Some(client) = self.admitting.take()
         {
-            // The front end is shutting down or at capacity. A client retry is harmless: otherwise it would not be migrated.
+            // The front end is shutting down or at capacity. A client retry is safe, as only invocations that may run
+            // again are migrated.
             let _ = client.reply.send(FinalAnswer::Rejected {
                 retry_after: 0.0,
                 over_quota: false,
--- a/crates/http-frontend/src/router/view_age.rs
+++ b/crates/http-frontend/src/router/view_age.rs
@@ -9,14 +9,14 @@
 use tracing::warn;
 
 impl Router {
-    /// The source has answered a request sent at `asked_at`: the list was current then.
+    /// The source has answered a request that was sent at `requested_at`: the list was current then.
     pub fn on_endpoints_confirmed(&self, requested_at: f64) {
         self.run_engine(|engine, now, action_executor| {
             engine.on_view_confirmed(now, requested_at, action_executor)
         });
     }
 
-    /// The request sent to the source at `asked_at` has no answer.
+    /// The source has not answered the request that was sent at `requested_at`.
     pub fn on_endpoint_request_unanswered(&self, requested_at: f64) {
         self.run_engine(|engine, now, _| engine.on_view_request_unanswered(now, requested_at));
     }
@@ -40,7 +40,7 @@
         now
     }
 
-    /// Reads the clock often enough to distinguish a process stall from idleness, for as long as the front end lives.
+    /// Reads the clock often enough to distinguish a process stall from idleness. Never returns.
     pub async fn watch_clock(self: Rc<Self>) {
         loop {
             Timer::after(Duration::from_secs_f64(MAX_OBSERVATION_INTERVAL)).await;
