--- a/crates/capacity-model/tests/hollow.rs
+++ b/crates/capacity-model/tests/hollow.rs
@@ -24,7 +24,7 @@
     assert_eq!(sync_settings(&section), entries::settings());
     assert_eq!(
         section.lease,
-        HostSettings::new("hollow").lease.as_secs_f64()
+        HostSettings::new("hollow").lease_ttl.as_secs_f64()
     );
     assert_eq!(section.endpoints, endpoints());
 }
--- a/crates/http-frontend/src/config/attachment.rs
+++ b/crates/http-frontend/src/config/attachment.rs
@@ -46,7 +46,7 @@
     // Each process has its own name in the store, even if another one uses, or has used, the same index.
     let mut settings = HostSettings::new(format!("{index}-{incarnation:016x}"));
     settings.snapshot = Some(SnapshotFile::new(configuration.snapshot(index)));
-    settings.lease = Duration::from_secs_f64(configuration.lease);
+    settings.lease_ttl = Duration::from_secs_f64(configuration.lease);
     let client = Client::new(configuration.endpoints.clone(), spawner.clone());
     client.set_user_agent(settings.front_end.clone());
     // Spreads the front ends over the store's members.
--- a/crates/http-frontend/src/config/host.rs
+++ b/crates/http-frontend/src/config/host.rs
@@ -202,7 +202,7 @@
             Action::Barrier { id } => self.spawn(async move { host.barrier(session, id).await }),
             Action::WriteSnapshot { bytes, .. } => self.write_snapshot(bytes),
             Action::Report(report) => self.report(report),
-            Action::Apply(view) => self.schedule(view),
+            Action::Apply(view) => self.schedule_view(view),
         }
     }
 
@@ -224,7 +224,7 @@
     fn report(self: &Rc<Self>, report: Report) {
         self.log_rejections(&report);
         if let Some(pending) = self.pending_view.take() {
-            self.apply(pending.view);
+            self.apply_view(pending.view);
         }
         if self.pending_view.borrow().is_some() {
             // The report would contain a revision that isn't in force here.
--- a/crates/http-frontend/src/config/lease_renewal.rs
+++ b/crates/http-frontend/src/config/lease_renewal.rs
@@ -26,7 +26,7 @@
         {
             return Ok(lease);
         }
-        let lease = self.grant_lease(self.settings.lease).await?;
+        let lease = self.grant_lease(self.settings.lease_ttl).await?;
         self.lease.set(Some(lease));
         Ok(lease)
     }
@@ -52,7 +52,7 @@
     pub(super) async fn renew_lease_until_disconnected(&self, session: u64) {
         let mut renewal_stream: Option<BidirectionalStream<LeaseKeepAliveResponse>> = None;
         while self.is_in_session(session) {
-            Timer::after(self.settings.lease / RENEWALS_PER_TTL).await;
+            Timer::after(self.settings.lease_ttl / RENEWALS_PER_TTL).await;
             let Some(lease) = self.lease.get().filter(|_| self.is_in_session(session)) else {
                 continue;
             };
--- a/crates/http-frontend/src/config/settings.rs
+++ b/crates/http-frontend/src/config/settings.rs
@@ -11,7 +11,7 @@
     /// Where the snapshot is stored; `None` for no snapshot.
     pub snapshot: Option<SnapshotFile>,
     /// The time to live of the front end's lease in the store.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// The time after which a request without an answer, or a silent store, has failed.
     pub request_timeout: Duration,
 }
@@ -22,7 +22,7 @@
         HostSettings {
             front_end: front_end.into(),
             snapshot: None,
-            lease: Duration::from_secs(10),
+            lease_ttl: Duration::from_secs(10),
             request_timeout: Duration::from_millis(2_500),
         }
     }
--- a/crates/http-frontend/src/config/view_application.rs
+++ b/crates/http-frontend/src/config/view_application.rs
@@ -15,10 +15,10 @@
 const APPLY_RETRY: f64 = 1.0;
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// Puts a view in force, at once or together with those that follow it closely.
-    pub(super) fn schedule(&self, view: Arc<View<S::Entry>>) {
+    pub(super) fn schedule_view(&self, view: Arc<View<S::Entry>>) {
         let due = self.applied_at.get() + APPLY_INTERVAL;
         if self.now() >= due {
-            self.apply(view);
+            self.apply_view(view);
         } else {
             self.pending_view.replace(Some(PendingView {
                 view,
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn apply(&self, view: Arc<View<S::Entry>>) {
+    pub(super) fn apply_view(&self, view: Arc<View<S::Entry>>) {
         self.applied_at.set(self.now());
         match self.target.apply(&view) {
             Ok(()) => {
@@ -56,7 +56,7 @@
         let is_due = |pending: &mut PendingView<S::Entry>| self.now() >= pending.retry_at;
         let due = self.pending_view.borrow_mut().take_if(is_due);
         if let Some(pending) = due {
-            self.apply(pending.view);
+            self.apply_view(pending.view);
         }
     }
 }
--- a/crates/http-frontend/src/etcd/front_ends.rs
+++ b/crates/http-frontend/src/etcd/front_ends.rs
@@ -84,8 +84,8 @@
 
     fn on_progress(&self, requested_at: Option<f64>, header: &ResponseHeader) {
         let store_revision = entries::store_revision(header);
-        let is_inconsistent = |known: StoreRevision| {
-            known.cluster != store_revision.cluster || known.revision > store_revision.revision
+        let is_inconsistent = |current: StoreRevision| {
+            current.cluster != store_revision.cluster || current.revision > store_revision.revision
         };
         if self.store_revision.get().is_some_and(is_inconsistent) {
             self.needs_list.set(true);
--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -60,7 +60,7 @@
             match self.claim(lost_claims).await {
                 Ok(Some(lease)) => {
                     lost_claims = 0;
-                    if let Err(fault) = self.keep_lease(lease).await {
+                    if let Err(fault) = self.renew_lease_until_lost(lease).await {
                         self.on_failure(&fault);
                     }
                 }
@@ -140,7 +140,7 @@
     }
 
     /// Renews a lease until it has expired in the store, or the store has not answered for the time to live.
-    async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
+    async fn renew_lease_until_lost(&self, mut lease: Lease) -> Result<(), ClientError> {
         let interval = Duration::from_secs_f64(lease.ttl / RENEWALS_PER_TTL);
         loop {
             async_io::Timer::after(interval).await;
--- a/crates/http-frontend/src/ingress/answer.rs
+++ b/crates/http-frontend/src/ingress/answer.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    pub(super) fn bad(detail: impl Into<String>) -> Problem {
+    pub(super) fn bad_request(detail: impl Into<String>) -> Problem {
         Problem::new(
             StatusCode::BAD_REQUEST,
             "the invocation is malformed",
--- a/crates/http-frontend/src/ingress/headers.rs
+++ b/crates/http-frontend/src/ingress/headers.rs
@@ -17,13 +17,15 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(Problem::bad(format!("header '{name}' is given twice")));
+        return Err(Problem::bad_request(format!(
+            "header '{name}' is given twice"
+        )));
     }
     let text = value
         .to_str()
-        .map_err(|_| Problem::bad(format!("header '{name}' is not plain text")))?;
+        .map_err(|_| Problem::bad_request(format!("header '{name}' is not plain text")))?;
     if text.is_empty() || text.len() > MAX_NAME_LENGTH {
-        return Err(Problem::bad(format!(
+        return Err(Problem::bad_request(format!(
             "header '{name}' must have 1 to {MAX_NAME_LENGTH} letters"
         )));
     }
@@ -55,7 +57,7 @@
         let policy = &trigger_type.policy;
         let idempotency_key = header(headers, IDEMPOTENCY_KEY)?;
         if policy.idempotency == Idempotency::Keyed && idempotency_key.is_none() {
-            return Err(Problem::bad(format!(
+            return Err(Problem::bad_request(format!(
                 "header '{IDEMPOTENCY_KEY}' is missing; this trigger type is tokened"
             )));
         }
@@ -81,11 +83,11 @@
     let found = match header(headers, TRIGGER_TYPE)? {
         Some(name) => revision.trigger_type(name).ok_or_else(|| {
             let known = revision.trigger_type_names().join(", ");
-            Problem::bad(format!("no trigger type '{name}'; known are {known}"))
+            Problem::bad_request(format!("no trigger type '{name}'; known are {known}"))
         }),
         None => revision
             .only_trigger_type()
-            .ok_or_else(|| Problem::bad(format!("header '{TRIGGER_TYPE}' is missing"))),
+            .ok_or_else(|| Problem::bad_request(format!("header '{TRIGGER_TYPE}' is missing"))),
     };
     found.map(|(position, trigger_type)| (position, trigger_type.clone()))
 }
@@ -98,7 +100,8 @@
             name: given.unwrap_or_default(),
         });
     }
-    let name = given.ok_or_else(|| Problem::bad(format!("header '{CUSTOMER}' is missing")))?;
+    let name =
+        given.ok_or_else(|| Problem::bad_request(format!("header '{CUSTOMER}' is missing")))?;
     match revision.customer(name) {
         Some(customer) => Ok(NamedCustomer {
             index: customer.index,
@@ -118,7 +121,7 @@
         return Ok(None);
     };
     let milliseconds: u32 = text.parse().map_err(|_| {
-        Problem::bad(format!(
+        Problem::bad_request(format!(
             "header '{TIME_LEFT}': '{text}' is no whole number of ms"
         ))
     })?;
@@ -129,7 +132,7 @@
     match header(headers, CLIENT_RETRY)? {
         None | Some("0") => Ok(false),
         Some("1") => Ok(true),
-        Some(other) => Err(Problem::bad(format!(
+        Some(other) => Err(Problem::bad_request(format!(
             "header '{CLIENT_RETRY}': '{other}' is neither 0 nor 1"
         ))),
     }
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -4,7 +4,7 @@
 use super::answer::{Problem, ResponseBody};
 use super::durable_invocation::{DurableStart, begin_durable};
 use super::headers::{InvocationHeaders, header};
-use super::request::{body, function_name};
+use super::request::{function_name, read_body};
 use super::response::{FinalResponse, rejection_problem};
 use crate::durable_invocation_store::PersistedInvocation;
 use crate::router::{IngressRequest, Revision, Router};
@@ -28,7 +28,7 @@
     router: &Router,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Problem> {
-    let arrived = router.arrived_by();
+    let arrived_at = router.arrived_by();
     let revision = router.revision();
     let (parts, incoming) = request.into_parts();
     let path_function = function_name(parts.uri.path())?;
@@ -38,7 +38,7 @@
     let invocation = invocation_headers
         .invocation
         .map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
-    let Target { function, resolved } = target(
+    let Target { function, resolved } = resolve_target(
         router,
         &revision,
         &path_function,
@@ -54,7 +54,8 @@
         is_retry,
         ..
     } = invocation_headers;
-    let (payload, payload_bytes) = body(router, incoming, content_length(&parts.headers)).await?;
+    let (payload, payload_bytes) =
+        read_body(router, incoming, content_length(&parts.headers)).await?;
     let limits = &router.deployment.limits;
     let ingress_request = IngressRequest {
         name: invocation.clone(),
@@ -65,7 +66,7 @@
         customer,
         idempotency_key: idempotency_key.unwrap_or_default(),
         is_retry,
-        timeout_at: arrived + time_left
+        timeout_at: arrived_at + time_left
             - limits.response_margin
             - router.open_invocations() as f64 * limits.response_margin_per_open,
         payload,
@@ -88,9 +89,9 @@
         .invoke(ingress_request)
         .await
         .map_err(|why| rejection_problem(router, why))?;
-    let final_response = FinalResponse::of(answer);
+    let final_response = FinalResponse::from_answer(answer);
     if let Some(persisted) = persisted {
-        record(router, persisted, &final_response).await;
+        record_answer(router, persisted, &final_response).await;
     }
     let mut response = final_response.response;
     if let Ok(value) = HeaderValue::from_str(&invocation) {
@@ -125,13 +126,13 @@
     if !is_named {
         let detail =
             format!("header '{INVOCATION}' is missing; this trigger type is journalled by it");
-        return Err(Problem::bad(detail));
+        return Err(Problem::bad_request(detail));
     }
     begin_durable(router, store, invocation).await.map(Some)
 }
 
 /// Records the final answer of a durable invocation. A streamed answer isn't recorded: its outcome stays unknown.
-async fn record(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
+async fn record_answer(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
     let ResponseBody::Chunks(chunks) = answer.response.body() else {
         return;
     };
@@ -144,7 +145,7 @@
 
 /// Resolves the function that the path names, with an optional version after '@', to the version that the invocation
 /// gets.
-fn target(
+fn resolve_target(
     router: &Router,
     revision: &Revision,
     path_function: &str,
--- a/crates/http-frontend/src/ingress/mod.rs
+++ b/crates/http-frontend/src/ingress/mod.rs
@@ -25,7 +25,7 @@
 use invoke::invoke;
 use orchidtally_socket_io::{Stream, with_timeout};
 use smol_hyper::rt::SmolTimer;
-use status::status;
+use status::status_response;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::future::Future;
@@ -57,12 +57,12 @@
 /// The header with the milliseconds after which to retry; `Retry-After` has whole seconds only.
 pub const RETRY_AFTER_MS: &str = "orchidtally-stay-away";
 
-async fn respond(
+async fn handle_request(
     router: Rc<Router>,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
     if request.method() == Method::GET && request.uri().path() == "/v1/front-end" {
-        return Ok(status(&router));
+        return Ok(status_response(&router));
     }
     let requested_invocation = request
         .uri()
@@ -150,7 +150,7 @@
         let (router, has_received_request) = (router.clone(), has_received_request.clone());
         hyper::service::service_fn(move |request| {
             has_received_request.set(true);
-            respond(router.clone(), request)
+            handle_request(router.clone(), request)
         })
     };
     let mut connection = pin!(builder.serve_connection(stream, service));
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -33,18 +33,18 @@
         }
         let hex_digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
         let (Some(high), Some(low)) = (hex_digit(rest.next()), hex_digit(rest.next())) else {
-            return Err(Problem::bad(
+            return Err(Problem::bad_request(
                 "the path has a '%' without two hexadecimal digits",
             ));
         };
         bytes.push((16 * high + low) as u8);
     }
-    String::from_utf8(bytes).map_err(|_| Problem::bad("the function's name is not UTF-8"))
+    String::from_utf8(bytes).map_err(|_| Problem::bad_request("the function's name is not UTF-8"))
 }
 
 /// Reads the body of a request in chunks, and returns them with the length in bytes. `content_length` is the value of
 /// the request's header.
-pub(super) async fn body(
+pub(super) async fn read_body(
     router: &Router,
     incoming: Incoming,
     content_length: Option<u64>,
@@ -65,7 +65,8 @@
         let (mut chunks, mut length) = (vec![], 0u64);
         let mut incoming = incoming;
         while let Some(frame) = incoming.frame().await {
-            let frame = frame.map_err(|e| Problem::bad(format!("the body broke off: {e}")))?;
+            let frame =
+                frame.map_err(|e| Problem::bad_request(format!("the body broke off: {e}")))?;
             if let Ok(chunk) = frame.into_data()
                 && !chunk.is_empty()
             {
--- a/crates/http-frontend/src/ingress/response.rs
+++ b/crates/http-frontend/src/ingress/response.rs
@@ -15,7 +15,7 @@
 
 impl FinalResponse {
     /// The response to a final answer.
-    pub(super) fn of(answer: Result<FinalAnswer, AnswerLost>) -> FinalResponse {
+    pub(super) fn from_answer(answer: Result<FinalAnswer, AnswerLost>) -> FinalResponse {
         match answer {
             Ok(FinalAnswer::Succeeded(executor_response)) => {
                 let response = Response::new(match executor_response {
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 
 /// The state of the rollouts at this front end.
-fn rollouts(router: &Router) -> serde_json::Value {
+fn rollout_status(router: &Router) -> serde_json::Value {
     let traffic_split = router.traffic_split.borrow();
     let published = traffic_split.published();
     let rollout_state = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
@@ -52,7 +52,7 @@
 }
 
 /// The status of the message triggers.
-fn triggers(router: &Router) -> serde_json::Value {
+fn trigger_status(router: &Router) -> serde_json::Value {
     let Some(status) = router.triggers.get() else {
         return serde_json::Value::Null;
     };
@@ -66,7 +66,7 @@
 }
 
 /// The status of the front end, as JSON.
-pub(super) fn status(router: &Router) -> Response<ResponseBody> {
+pub(super) fn status_response(router: &Router) -> Response<ResponseBody> {
     let counters = router.counters();
     let body = json!({
         "deployment": router.deployment.name,
@@ -86,8 +86,8 @@
         "orders": counters.load_commands,
         "overdue": counters.overdue,
         "indexTaken": router.duplicate_index_reports.get(),
-        "rollouts": rollouts(router),
-        "mqtt": triggers(router),
+        "rollouts": rollout_status(router),
+        "mqtt": trigger_status(router),
     });
     let mut response = Response::new(ResponseBody::Chunks([Bytes::from(body.to_string())].into()));
     response
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -111,7 +111,7 @@
     }
     if let Some(reloads) = options.reloads {
         spawner
-            .spawn(reload::follow(router.clone(), reloads))
+            .spawn(reload::apply_reloads(router.clone(), reloads))
             .detach();
     }
     let (stop_consumer, consumer_stopped) = async_channel::bounded::<()>(1);
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Default)]
-struct State {
+struct PoolState {
     connections: Vec<Rc<Connection>>,
     connecting: usize,
     /// Tasks that wait for a stream. Each is woken to try again, or gets the reason why no stream is available.
@@ -48,7 +48,7 @@
     address: SocketAddr,
     limits: ConnectionLimits,
     spawner: Weak<LocalExecutor<'static>>,
-    state: RefCell<State>,
+    state: RefCell<PoolState>,
 }
 
 /// A reserved stream on a connection, released when dropped.
--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -64,7 +64,7 @@
 }
 
 /// Applies reloads until their channel is closed.
-pub async fn follow(router: Rc<Router>, reloads: DeploymentReloads) {
+pub async fn apply_reloads(router: Rc<Router>, reloads: DeploymentReloads) {
     let DeploymentReloads {
         path,
         initial_text: mut text,
