--- a/crates/http-frontend/src/reload.rs
+++ b/crates/http-frontend/src/reload.rs
@@ -24,10 +24,10 @@
 #[derive(Debug, Error)]
 pub enum ReloadError {
     /// The file can't be read.
-    #[error("the file can't be read: {0}; restore it, readable for this user")]
+    #[error("it can't be read: {0}; restore the file, readable for this user")]
     Unreadable(#[from] io::Error),
     /// The file is invalid.
-    #[error("the file has {} faults; fix them, `orchidtally check` lists them too", .0.len())]
+    #[error("it has {} faults; fix them, `orchidtally check` lists them too", .0.len())]
     Invalid(Vec<DeploymentFault>),
     /// Some changes only take effect at a restart.
     #[error("{} of its changes need a restart; restart this front end, or revert them", .0.len())]
