--- a/crates/http-frontend/src/config/view_application.rs
+++ b/crates/http-frontend/src/config/view_application.rs
@@ -1,4 +1,5 @@
-//! Applies configuration views to the target, together where they follow each other closely, and again after an error.
+//! Applies configuration views to the target. Views that follow each other closely are applied together, and a rejected
+//! view is retried.
 
 use super::ConfigTarget;
 use super::host::ConfigHost;
@@ -7,17 +8,17 @@
 use std::sync::Arc;
 use tracing::{debug, error};
 
-/// Views that follow each other within this time, in seconds, are applied together. What a newer view disables takes
-/// effect at once in any case: the state machine is asked for each invocation.
+/// Views that follow each other within this time, in seconds, are applied together. Entries that a newer view disables
+/// are denied at once in any case, as each invocation is checked against the state machine.
 const APPLY_INTERVAL: f64 = 0.05;
 /// A view that the target rejected is applied again after this time, in seconds.
 const APPLY_RETRY: f64 = 1.0;
 impl<S: Schema, T: ConfigTarget<S::Entry>> ConfigHost<S, T> {
     /// Puts a view in force, at once or together with those that follow it closely.
-    pub(super) fn schedule(&self, view: Arc<View<S::Entry>>) {
+    pub(super) fn schedule_view(&self, view: Arc<View<S::Entry>>) {
         let due = self.applied_at.get() + APPLY_INTERVAL;
         if self.now() >= due {
-            self.apply(view);
+            self.apply_view(view);
         } else {
             self.pending_view.replace(Some(PendingView {
                 view,
@@ -26,7 +27,7 @@
         }
     }
 
-    pub(super) fn apply(&self, view: Arc<View<S::Entry>>) {
+    pub(super) fn apply_view(&self, view: Arc<View<S::Entry>>) {
         self.applied_at.set(self.now());
         match self.target.apply(&view) {
             Ok(()) => {
@@ -55,7 +56,7 @@
         let is_due = |pending: &mut PendingView<S::Entry>| self.now() >= pending.retry_at;
         let due = self.pending_view.borrow_mut().take_if(is_due);
         if let Some(pending) = due {
-            self.apply(pending.view);
+            self.apply_view(pending.view);
         }
     }
 }
--- a/crates/http-frontend/src/ingress/invoke.rs
+++ b/crates/http-frontend/src/ingress/invoke.rs
@@ -1,10 +1,10 @@
 //! Performs the invocation of a request.
 
 use super::INVOCATION;
-use super::answer::{Answer, Problem};
+use super::answer::{Problem, ResponseBody};
 use super::durable_invocation::{DurableStart, begin_durable};
 use super::headers::{InvocationHeaders, header};
-use super::request::{body, function_of};
+use super::request::{function_name, read_body};
 use super::response::{FinalResponse, rejection_problem};
 use crate::durable_invocation_store::PersistedInvocation;
 use crate::router::{IngressRequest, Revision, Router};
@@ -27,35 +27,36 @@
 pub(super) async fn invoke(
     router: &Router,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Problem> {
-    let arrived = router.arrived_by();
+) -> Result<Response<ResponseBody>, Problem> {
+    let arrived_at = router.arrived_by();
     let revision = router.revision();
     let (parts, incoming) = request.into_parts();
-    let path_name = function_of(parts.uri.path())?;
+    let path_function = function_name(parts.uri.path())?;
     check_method(&parts.method)?;
-    let asked_headers = InvocationHeaders::read(&parts.headers, &revision)?;
-    let is_named = asked_headers.invocation.is_some();
-    let invocation = asked_headers
+    let invocation_headers = InvocationHeaders::read(&parts.headers, &revision)?;
+    let is_named = invocation_headers.invocation.is_some();
+    let invocation = invocation_headers
         .invocation
         .map_or_else(|| format!("{:016x}", rand::random::<u64>()), str::to_owned);
-    let Target { function, resolved } = target(
+    let Target { function, resolved } = resolve_target(
         router,
         &revision,
-        &path_name,
+        &path_function,
         &parts.headers,
-        &asked_headers,
+        &invocation_headers,
         &invocation,
     )?;
     let InvocationHeaders {
         trigger_type,
         customer,
-        token,
+        idempotency_key,
         time_left,
-        repeat,
+        is_retry,
         ..
-    } = asked_headers;
-    let (payload, payload_bytes) = body(router, incoming, content_length(&parts.headers)).await?;
-    let bounds = &router.deployment.limits;
+    } = invocation_headers;
+    let (payload, payload_bytes) =
+        read_body(router, incoming, content_length(&parts.headers)).await?;
+    let limits = &router.deployment.limits;
     let ingress_request = IngressRequest {
         name: invocation.clone(),
         function: function.name,
@@ -63,22 +64,22 @@
         revision: revision.clone(),
         trigger_type: trigger_type.clone(),
         customer,
-        token: token.unwrap_or_default(),
-        repeat,
-        timeout_at: arrived + time_left
-            - bounds.response_margin
-            - router.open() as f64 * bounds.response_margin_per_open,
+        idempotency_key: idempotency_key.unwrap_or_default(),
+        is_retry,
+        timeout_at: arrived_at + time_left
+            - limits.response_margin
+            - router.open_invocations() as f64 * limits.response_margin_per_open,
         payload,
         payload_bytes,
     };
-    // Checked before its start is persisted: a rejected invocation leaves no record.
+    // Admission is checked before the start is persisted, so that a rejected invocation leaves no record.
     router
         .check_admission(&revision, &ingress_request.subject())
         .map_err(|why| rejection_problem(router, why))?;
-    let persisted = if trigger_type.trigger.is_durable {
-        match begin_if_possible(router, is_named, &invocation).await? {
+    let persisted = if trigger_type.settings.is_durable {
+        match begin_if_journaled(router, is_named, &invocation).await? {
             Some(DurableStart::New(persisted)) => Some(persisted),
-            Some(DurableStart::Known(response)) => return Ok(response),
+            Some(DurableStart::Recorded(response)) => return Ok(response),
             None => None,
         }
     } else {
@@ -88,9 +89,9 @@
         .invoke(ingress_request)
         .await
         .map_err(|why| rejection_problem(router, why))?;
-    let final_response = FinalResponse::of(answer);
+    let final_response = FinalResponse::from_answer(answer);
     if let Some(persisted) = persisted {
-        record(router, persisted, &final_response).await;
+        record_answer(router, persisted, &final_response).await;
     }
     let mut response = final_response.response;
     if let Ok(value) = HeaderValue::from_str(&invocation) {
@@ -114,7 +115,7 @@
 }
 
 /// Begins a durable invocation, which the client has to name; `None` where the deployment has no journal.
-async fn begin_if_possible(
+async fn begin_if_journaled(
     router: &Router,
     is_named: bool,
     invocation: &str,
@@ -125,14 +126,14 @@
     if !is_named {
         let detail =
             format!("header '{INVOCATION}' is missing; this trigger type is journalled by it");
-        return Err(Problem::bad(detail));
+        return Err(Problem::bad_request(detail));
     }
     begin_durable(router, store, invocation).await.map(Some)
 }
 
 /// Records the final answer of a durable invocation. A streamed answer isn't recorded: its outcome stays unknown.
-async fn record(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
-    let Answer::Chunks(chunks) = answer.response.body() else {
+async fn record_answer(router: &Router, persisted: PersistedInvocation, answer: &FinalResponse) {
+    let ResponseBody::Chunks(chunks) = answer.response.body() else {
         return;
     };
     let body = Bytes::from(chunks.iter().flatten().copied().collect::<Vec<u8>>());
@@ -142,33 +143,34 @@
         .await;
 }
 
-/// The function that a path names, perhaps with a version after '@', and the version that the invocation gets.
-fn target(
+/// Resolves the function that the path names, with an optional version after '@', to the version that the invocation
+/// gets.
+fn resolve_target(
     router: &Router,
     revision: &Revision,
-    path_name: &str,
+    path_function: &str,
     headers: &HeaderMap,
-    asked_headers: &InvocationHeaders,
+    invocation_headers: &InvocationHeaders,
     invocation: &str,
 ) -> Result<Target, Problem> {
-    let (name, version) = match path_name.split_once('@') {
+    let (name, version) = match path_function.split_once('@') {
         Some((name, version)) => (name, Some(version)),
-        None => (path_name, None),
+        None => (path_function, None),
     };
-    let unknown = |what: String| Problem::new(StatusCode::NOT_FOUND, "unknown function", what);
+    let unknown = |detail: String| Problem::new(StatusCode::NOT_FOUND, "unknown function", detail);
     let function = revision
         .function(name)
         .ok_or_else(|| unknown(format!("no function '{name}'")))?;
-    let customer = asked_headers.customer;
+    let customer = invocation_headers.customer;
     // The sticky key of the traffic split, during a rollout.
     let key = router.traffic_split.borrow().sticky_key(name).cloned();
     let key = match &key {
         None | Some(StickyKey::Invocation) => None,
         Some(StickyKey::Customer) => Some(customer.name),
-        Some(StickyKey::Token) => asked_headers.token,
+        Some(StickyKey::Token) => invocation_headers.idempotency_key,
         Some(StickyKey::Header(name)) => header(headers, name)?,
     };
-    let who = InvocationAttributes {
+    let caller = InvocationAttributes {
         customer: customer.name,
         location: router.location(),
         key: key.unwrap_or(invocation),
@@ -177,9 +179,9 @@
         .resolve(
             &function,
             version,
-            asked_headers.trigger_place,
+            invocation_headers.trigger_type_position,
             customer.index,
-            &who,
+            &caller,
         )
         .ok_or_else(|| {
             unknown(format!(
--- a/crates/http-frontend/src/ingress/request.rs
+++ b/crates/http-frontend/src/ingress/request.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The function that a path names.
-pub(super) fn function_of(path: &str) -> Result<String, Problem> {
+pub(super) fn function_name(path: &str) -> Result<String, Problem> {
     let unknown = || {
         Problem::new(
             StatusCode::NOT_FOUND,
@@ -31,45 +31,47 @@
             bytes.push(byte);
             continue;
         }
-        let digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
-        let (Some(high), Some(low)) = (digit(rest.next()), digit(rest.next())) else {
-            return Err(Problem::bad(
+        let hex_digit = |b: Option<u8>| b.and_then(|b| char::from(b).to_digit(16));
+        let (Some(high), Some(low)) = (hex_digit(rest.next()), hex_digit(rest.next())) else {
+            return Err(Problem::bad_request(
                 "the path has a '%' without two hexadecimal digits",
             ));
         };
         bytes.push((16 * high + low) as u8);
     }
-    String::from_utf8(bytes).map_err(|_| Problem::bad("the function's name is not UTF-8"))
+    String::from_utf8(bytes).map_err(|_| Problem::bad_request("the function's name is not UTF-8"))
 }
 
-/// Reads the body of a request in chunks, with its length in bytes. `content_length` is what its header says.
-pub(super) async fn body(
+/// Reads the body of a request in chunks, and returns them with the length in bytes. `content_length` is the value of
+/// the request's header.
+pub(super) async fn read_body(
     router: &Router,
     incoming: Incoming,
     content_length: Option<u64>,
 ) -> Result<(Vec<Bytes>, u64), Problem> {
-    let bounds = &router.deployment.limits;
+    let limits = &router.deployment.limits;
     let too_large = || {
-        let detail = format!("{} bytes at most are taken", bounds.max_body_bytes);
+        let detail = format!("{} bytes at most are taken", limits.max_body_bytes);
         Problem::new(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is too large",
             detail,
         )
     };
-    if content_length.is_some_and(|n| n > bounds.max_body_bytes as u64) {
+    if content_length.is_some_and(|n| n > limits.max_body_bytes as u64) {
         return Err(too_large());
     }
-    let gather = async {
+    let read_all = async {
         let (mut chunks, mut length) = (vec![], 0u64);
         let mut incoming = incoming;
         while let Some(frame) = incoming.frame().await {
-            let frame = frame.map_err(|e| Problem::bad(format!("the body broke off: {e}")))?;
+            let frame =
+                frame.map_err(|e| Problem::bad_request(format!("the body broke off: {e}")))?;
             if let Ok(chunk) = frame.into_data()
                 && !chunk.is_empty()
             {
                 length += chunk.len() as u64;
-                if length > bounds.max_body_bytes as u64 {
+                if length > limits.max_body_bytes as u64 {
                     return Err(too_large());
                 }
                 chunks.push(chunk);
@@ -77,14 +79,17 @@
         }
         Ok((chunks, length))
     };
-    with_timeout(Duration::from_secs_f64(bounds.request_read_timeout), gather)
-        .await
-        .unwrap_or_else(|| {
-            let detail = format!("it has to be here within {} s", bounds.request_read_timeout);
-            Err(Problem::new(
-                StatusCode::REQUEST_TIMEOUT,
-                "the body came too slowly",
-                detail,
-            ))
-        })
+    with_timeout(
+        Duration::from_secs_f64(limits.request_read_timeout),
+        read_all,
+    )
+    .await
+    .unwrap_or_else(|| {
+        let detail = format!("it has to be here within {} s", limits.request_read_timeout);
+        Err(Problem::new(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body came too slowly",
+            detail,
+        ))
+    })
 }
--- a/crates/http-frontend/src/lib.rs
+++ b/crates/http-frontend/src/lib.rs
@@ -1,7 +1,7 @@
 //! The HTTP front end: accepts invocations over HTTP and from MQTT messages, and dispatches them to executors.
 //!
 //! A front end is one thread that owns one engine and with it one dispatch policy; it shares nothing with other front
-//! ends. [`run`] serves until it is stopped; [`Start`] is what it starts with.
+//! ends. [`run`] serves until shutdown, with the settings in [`FrontEndOptions`].
 
 pub mod config;
 pub mod durable_invocation_store;
@@ -29,33 +29,35 @@
 use std::time::{Duration, Instant};
 use tracing::{error, info, warn};
 
-/// A front end that shuts down waits this long beyond the longest client timeout, then ends in any case.
+/// How long a shutdown waits for open invocations beyond the longest client timeout. The front end exits after that in
+/// any case.
 const DRAIN_MARGIN: Duration = Duration::from_secs(1);
-/// How often a front end that shuts down checks whether everything is answered.
+/// How often a shutdown checks for open invocations and connections.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Connections that may be rejected at a time, besides a quarter of the connection limit.
+/// Concurrent rejections that are allowed in addition to a quarter of the connection limit.
 const SPARE_REJECTIONS: usize = 16;
 
-/// What a front end starts with.
-pub struct Start {
+/// The settings and inputs of a front end.
+pub struct FrontEndOptions {
     /// The deployment file.
     pub deployment: Deployment,
-    /// Seeds the random choices; also the front end's incarnation, so each start needs another one.
+    /// The seed of the random choices. It is also the front end's incarnation, so that each start needs a different
+    /// one.
     pub seed: u64,
-    /// Seconds by which the wall clock is taken to be ahead, for tests of skew.
-    pub ahead: f64,
-    /// When the wall clock is stepped and by how much, both in seconds, for tests.
-    pub step: Option<(f64, f64)>,
-    /// A message or the end of this channel shuts the front end down gracefully.
-    pub stop: async_channel::Receiver<()>,
+    /// Seconds that are added to the wall clock, for tests of clock skew.
+    pub clock_offset: f64,
+    /// When the wall clock is stepped, in seconds after the start, and by how many seconds, for tests.
+    pub clock_step: Option<(f64, f64)>,
+    /// A message on this channel, or its closing, starts a graceful shutdown.
+    pub shutdown: async_channel::Receiver<()>,
     /// Whether executors are chosen at random instead of by the dispatch policy, for comparisons.
-    pub random: bool,
-    /// What message triggers need, where the deployment file has a broker.
-    pub triggers: Option<mqtt::Triggers>,
-    /// The store of durable HTTP invocations, where the deployment file has a journal.
+    pub uses_random_policy: bool,
+    /// The message triggers, if the deployment file has a broker.
+    pub message_triggers: Option<mqtt::MessageTriggers>,
+    /// The store of durable HTTP invocations, if the deployment file has a journal.
     pub durable_invocation_store: Option<durable_invocation_store::DurableInvocationStore>,
-    /// Where the deployment file may be read again.
-    pub reloads: Option<reload::Reloads>,
+    /// The reloads of the deployment file, if it can be reloaded.
+    pub reloads: Option<reload::DeploymentReloads>,
 }
 
 /// Binds the listen address.
@@ -66,15 +68,16 @@
     orchidtally_socket_io::listen(at)
 }
 
-/// Runs a front end on this thread until it is stopped and all open invocations are answered. Returns its counters.
-pub fn run(start: Start, listener: Async<TcpListener>) -> Counters {
+/// Runs a front end on this thread until it is shut down and all open invocations are answered, or the shutdown
+/// deadline has passed. Returns its counters.
+pub fn run(options: FrontEndOptions, listener: Async<TcpListener>) -> Counters {
     let spawner = Rc::new(LocalExecutor::new());
-    let durable_invocation_store = start.durable_invocation_store.map(Rc::new);
+    let durable_invocation_store = options.durable_invocation_store.map(Rc::new);
     let router = Router::new(
-        start.deployment,
-        start.seed,
-        start.ahead,
-        start.random,
+        options.deployment,
+        options.seed,
+        options.clock_offset,
+        options.uses_random_policy,
         durable_invocation_store,
         endpoint_source::watch,
         &spawner,
@@ -85,7 +88,11 @@
     spawner.spawn(router.clone().run_timers()).detach();
     spawner.spawn(router.clone().watch_clock()).detach();
     spawner
-        .spawn(router.clone().run_maintenance(start.ahead, start.step))
+        .spawn(
+            router
+                .clone()
+                .run_maintenance(options.clock_offset, options.clock_step),
+        )
         .detach();
     if !router.deployment.coordinators.is_empty() {
         spawner
@@ -102,51 +109,57 @@
             }
         }
     }
-    if let Some(reloads) = start.reloads {
+    if let Some(reloads) = options.reloads {
         spawner
-            .spawn(reload::follow(router.clone(), reloads))
+            .spawn(reload::apply_reloads(router.clone(), reloads))
             .detach();
     }
     let (stop_consumer, consumer_stopped) = async_channel::bounded::<()>(1);
     let consumer = MessageConsumer {
-        task: start.triggers.and_then(|triggers| {
+        task: options.message_triggers.and_then(|triggers| {
             router.spawn(mqtt::consume(router.clone(), triggers, consumer_stopped))
         }),
         stop: stop_consumer,
     };
-    let work = serve_connections(router, spawner.clone(), listener, start.stop, consumer);
+    let work = serve_connections(
+        router,
+        spawner.clone(),
+        listener,
+        options.shutdown,
+        consumer,
+    );
     async_io::block_on(spawner.run(work))
 }
 
-/// The task that consumes messages, and what ends it when dropped.
+/// The task that consumes messages, and the channel whose closing stops it.
 struct MessageConsumer {
     task: Option<Task<()>>,
     stop: async_channel::Sender<()>,
 }
 
-/// Client connections, and what they need to be served.
+/// Accepts client connections within the connection limit.
 struct ClientConnections {
     router: Rc<Router>,
     spawner: Rc<LocalExecutor<'static>>,
     max_connections: usize,
-    /// How many are open.
-    open: Rc<Cell<usize>>,
+    /// The number of open connections, including those that are being rejected.
+    open_connections: Rc<Cell<usize>>,
     rejected: Cell<u64>,
 }
 
 impl ClientConnections {
-    /// Serves a connection, or answers that there are too many. The rejections in progress have a limit as well; beyond
-    /// it a connection is closed without an answer.
-    fn add(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
+    /// Serves a connection, or rejects it with a response if the connection limit is reached. Concurrent rejections are
+    /// limited as well: beyond that limit, a connection is closed without a response.
+    fn accept(&self, stream: Stream, draining: &async_channel::Receiver<()>) {
         let max_connections = self.max_connections;
         let max_rejections = max_connections / 4 + SPARE_REJECTIONS;
-        if self.open.get() < max_connections {
-            let guard = ConnectionGuard::new(&self.open);
+        if self.open_connections.get() < max_connections {
+            let guard = ConnectionGuard::new(&self.open_connections);
             let work = serve(self.router.clone(), stream, draining.clone(), guard);
             self.spawner.spawn(work).detach();
-        } else if self.open.get() < max_connections + max_rejections {
+        } else if self.open_connections.get() < max_connections + max_rejections {
             self.count_rejection();
-            let guard = ConnectionGuard::new(&self.open);
+            let guard = ConnectionGuard::new(&self.open_connections);
             let work = async move {
                 reject_connection(stream).await;
                 drop(guard);
@@ -155,7 +168,7 @@
         }
     }
 
-    /// Logs rejected connections ever more rarely.
+    /// Counts a rejected connection, and logs the count whenever it is a power of two.
     fn count_rejection(&self) {
         let rejected = self.rejected.get() + 1;
         self.rejected.set(rejected);
@@ -169,8 +182,8 @@
     }
 
     /// Whether an invocation or a connection is open.
-    fn is_busy(&self) -> bool {
-        self.router.open() > 0 || self.open.get() > 0
+    fn has_open_work(&self) -> bool {
+        self.router.open_invocations() > 0 || self.open_connections.get() > 0
     }
 }
 
@@ -186,13 +199,13 @@
         max_connections: router.deployment.limits.max_connections,
         router,
         spawner,
-        open: Rc::new(Cell::new(0)),
+        open_connections: Rc::new(Cell::new(0)),
         rejected: Cell::new(0),
     };
     let (drain, draining) = async_channel::bounded::<()>(1);
     loop {
         let stopped = async {
-            // A closed channel stops as a message does.
+            // Closing the channel has the same effect as a message.
             let _ = stop.recv().await;
             None
         };
@@ -200,14 +213,14 @@
         let Some(stream) = future::or(stopped, accepted).await else {
             break;
         };
-        connections.add(stream, &draining);
+        connections.accept(stream, &draining);
     }
     drop(listener);
     shut_down(&connections, consumer, drain).await;
     connections.router.counters()
 }
 
-/// Answers what is open, up to the longest client timeout, and deregisters the front end.
+/// Waits for open invocations, up to the longest client timeout and a margin, and deregisters the front end.
 async fn shut_down(
     connections: &ClientConnections,
     consumer: MessageConsumer,
@@ -218,7 +231,7 @@
     let deadline =
         Instant::now() + Duration::from_secs_f64(router.longest_timeout()) + DRAIN_MARGIN;
     if let Some(task) = consumer.task {
-        // Messages in flight may have to be dispatched yet.
+        // Messages in flight may still have to be dispatched, so admission stops only after them.
         let drained = orchidtally_socket_io::with_timeout(deadline - Instant::now(), task).await;
         if drained.is_none() {
             warn!("shutdown deadline reached with messages in flight; the journal keeps them");
@@ -226,18 +239,18 @@
     }
     router.start_draining();
     info!(
-        open = router.open(),
-        connections = connections.open.get(),
+        open = router.open_invocations(),
+        connections = connections.open_connections.get(),
         "termination signal received, draining"
     );
     drop(drain);
-    while connections.is_busy() && Instant::now() < deadline {
+    while connections.has_open_work() && Instant::now() < deadline {
         Timer::after(DRAIN_POLL_INTERVAL).await;
     }
-    if connections.is_busy() {
+    if connections.has_open_work() {
         warn!(
-            open = router.open(),
-            connections = connections.open.get(),
+            open = router.open_invocations(),
+            connections = connections.open_connections.get(),
             "shutdown deadline reached with open connections"
         );
     }
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -1,6 +1,6 @@
 //! The main loop of the message triggers.
 
-use super::Triggers;
+use super::MessageTriggers;
 use super::connection::Input;
 use super::host::{ConsumerHost, JournalResult};
 use super::tls_files::CHECK_INTERVAL;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tracing::{debug, error, info};
 
-/// Inputs that wait to be processed; the socket is not read meanwhile.
+/// The maximum number of queued inputs. The socket is not read while the queue is full.
 const MAX_INPUTS: usize = 1_024;
 /// The longest sleep in seconds.
 const MAX_SLEEP: f64 = 60.0;
@@ -21,7 +21,7 @@
 const ENTRIES_PER_MESSAGE: usize = 8;
 const SPARE_ENTRIES: usize = 1_024;
 
-/// What ends a sleep.
+/// An event that wakes the main loop.
 #[allow(
     clippy::large_enum_variant,
     reason = "it is matched at once and never stored"
@@ -36,11 +36,11 @@
 /// Serves message triggers until the front end shuts down and all messages in flight are answered.
 pub async fn consume(
     router: Rc<Router>,
-    triggers: Triggers,
+    triggers: MessageTriggers,
     draining: async_channel::Receiver<()>,
 ) {
-    let Triggers {
-        section,
+    let MessageTriggers {
+        settings,
         journal,
         records,
         truncated_bytes,
@@ -52,26 +52,26 @@
             truncated_bytes, "journal of the previous incarnation read"
         );
     }
-    let section = Rc::new(section);
+    let settings = Rc::new(settings);
     let (index, password) = (
         router.deployment.policy.front_end_index as u32,
-        read_password(&section),
+        read_password(&settings),
     );
     let consumer = Consumer::new(
-        &section,
+        &settings,
         &router.deployment,
         index,
         password,
         &records,
         router.now(),
     );
-    let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
+    let max_entries = ENTRIES_PER_MESSAGE * settings.most_held() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
-    let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
-    let journal = GroupCommit::with_max_batch(journal, most_entries, max_batch);
+    let (result_sender, journal_results) = async_channel::bounded(2 * max_entries);
+    let journal = GroupCommit::with_max_batch(journal, max_entries, max_batch);
     let mut host = ConsumerHost::new(
         router.clone(),
-        section,
+        settings,
         consumer,
         journal,
         input_sender,
@@ -107,7 +107,7 @@
             if is_draining {
                 future::pending::<()>().await;
             }
-            // Nothing is ever sent; closing the channel is the signal.
+            // No message is ever sent; closing the channel is the signal.
             let _ = self.draining.recv().await;
             Some(Wake::Drain)
         };
@@ -142,13 +142,13 @@
         if is_draining && host.consumer.backlog().0 == 0 {
             return;
         }
-        let longest = if host.uses_tls() {
+        let max_sleep = if host.uses_tls() {
             CHECK_INTERVAL
         } else {
             MAX_SLEEP
         };
         let sleep =
-            Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, longest));
+            Duration::from_secs_f64((host.next_tick_at() - router.now()).clamp(0.0, max_sleep));
         match queues.next(sleep, is_draining).await {
             Some(Wake::Input(input)) => host.apply(input),
             Some(Wake::JournalResult(result)) => host.apply_journal_result(result),
@@ -162,8 +162,8 @@
     }
 }
 
-fn read_password(section: &TriggerSettings) -> Option<Bytes> {
-    let file = section.password_file.as_ref()?;
+fn read_password(settings: &TriggerSettings) -> Option<Bytes> {
+    let file = settings.password_file.as_ref()?;
     match std::fs::read(file) {
         Ok(bytes) => Some(Bytes::from(bytes.trim_ascii_end().to_vec())),
         Err(fault) => {
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -10,15 +10,15 @@
 /// Modification times of the TLS files.
 pub(super) struct TlsFiles {
     paths: Vec<PathBuf>,
-    /// When the newest file was changed, as of the present connection.
+    /// The newest modification time when the current connection was opened.
     changed_at: Option<SystemTime>,
     next_check_at: f64,
 }
 
 impl TlsFiles {
-    pub(super) fn new(section: &TriggerSettings, now: f64) -> TlsFiles {
+    pub(super) fn new(settings: &TriggerSettings, now: f64) -> TlsFiles {
         let mut paths = vec![];
-        if let Some(tls) = &section.tls {
+        if let Some(tls) = &settings.tls {
             paths.push(tls.authorities.clone());
             paths.extend(
                 tls.identity
@@ -40,7 +40,7 @@
     }
 
     /// When the newest of the files was changed.
-    fn newest(&self) -> Option<SystemTime> {
+    fn latest_modification(&self) -> Option<SystemTime> {
         let changed_at = |path: &PathBuf| {
             std::fs::metadata(path)
                 .and_then(|file| file.modified())
@@ -49,9 +49,9 @@
         self.paths.iter().filter_map(changed_at).max()
     }
 
-    /// A connection is being made with the files as they are now.
-    pub(super) fn note(&mut self) {
-        self.changed_at = self.newest();
+    /// Records the modification time of the files that the next connection uses.
+    pub(super) fn record_modification_time(&mut self) {
+        self.changed_at = self.latest_modification();
     }
 
     /// Whether a check is due.
@@ -63,8 +63,8 @@
         true
     }
 
-    /// Whether a file was changed since the present connection was made.
+    /// Whether a file was changed since the current connection was opened.
     pub(super) fn have_changed(&self) -> bool {
-        self.newest() != self.changed_at
+        self.latest_modification() != self.changed_at
     }
 }
--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an executor, and what its failures show.
+//! One connection to an executor, and the classification of its failures.
 
 use bytes::Bytes;
 use h2::client::SendRequest;
@@ -11,12 +11,12 @@
 /// An open HTTP/2 connection to an executor.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Bytes>,
-    pub(super) streams: Cell<usize>,
-    pub(super) closed: Cell<bool>,
+    pub(super) open_streams: Cell<usize>,
+    pub(super) is_closed: Cell<bool>,
     pub(super) idle_since: Cell<Instant>,
     /// Bytes passed to the kernel so far.
     pub(super) written: Rc<Cell<u64>>,
-    /// `None` while a ping waits for its answer.
+    /// `None` while a ping is outstanding.
     pub(super) ping: RefCell<Option<PingPong>>,
 }
 
@@ -24,10 +24,10 @@
 pub struct Pinger(pub(super) Rc<Connection>);
 
 impl Pinger {
-    /// Asks whether the peer is there. Whatever it sent before its answer has arrived by then.
+    /// Sends a ping and waits for the answer. Frames that the peer sent before the answer have arrived by then.
     ///
     /// # Errors
-    /// The connection is broken, or another ping is waiting for its answer.
+    /// The connection is broken, or another ping is outstanding.
     pub async fn ping(&self) -> Result<(), TransportOutcome> {
         let mut ping = self
             .0
@@ -43,24 +43,25 @@
     }
 }
 
-/// Names what an error on a stream showed; `orchidtally_engine::evidence` derives from that whether the request may have run.
-pub(super) fn observed_failure(
+/// Classifies an error on a stream; `orchidtally_engine::evidence` derives from that whether the request may have run.
+/// `written_before` is the number of bytes that were written to the connection before the request.
+pub(super) fn transport_outcome(
     e: &h2::Error,
-    sent_from: u64,
+    written_before: u64,
     connection: &Connection,
 ) -> TransportOutcome {
     if e.is_remote() && e.is_go_away() {
         return TransportOutcome::AboveLastStreamId;
     }
     if e.is_remote() && e.is_reset() {
-        let unseen = e.reason() == Some(h2::Reason::REFUSED_STREAM);
-        return if unseen {
+        let is_unprocessed = e.reason() == Some(h2::Reason::REFUSED_STREAM);
+        return if is_unprocessed {
             TransportOutcome::StreamRefused
         } else {
             TransportOutcome::StreamReset
         };
     }
-    if connection.written.get() == sent_from {
+    if connection.written.get() == written_before {
         TransportOutcome::NothingWritten
     } else {
         TransportOutcome::ConnectionLost
--- a/crates/http-frontend/src/router/mod.rs
+++ b/crates/http-frontend/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! The router of a front end: its engine, and what performs the engine's actions on sockets. It lives on one thread and
-//! shares nothing with other front ends.
+//! The router of a front end: the engine, and the executor of the engine's actions on sockets. It runs on one thread
+//! and shares no state with other front ends.
 
 mod action_executor;
 mod dispatch_admission;
@@ -57,7 +57,7 @@
 
 /// The state of one front end.
 pub struct Router {
-    /// The deployment with which the front end started; what may have changed since is in [`Router::revision`].
+    /// The deployment with which the front end started; settings that can change since are in [`Router::revision`].
     pub deployment: Rc<Deployment>,
     revisions: Revisions,
     /// The identity of the front end towards executors. Its index changes when it claims one in etcd.
@@ -66,19 +66,19 @@
     pub cache: RefCell<EndpointCache>,
     /// The membership, where it comes from etcd.
     pub members: RefCell<MembershipTracker>,
-    /// The number of time slots of shared budgets, and since when it is that.
+    /// The number of time slots of shared budgets, and the time of its last change.
     slot_count: Cell<(u32, f64)>,
     engine: RefCell<Engine>,
-    /// The rollouts as this front end knows them.
+    /// The rollouts, and the versions that invocations get.
     pub traffic_split: RefCell<TrafficSplit>,
     action_executor: RefCell<ActionExecutor>,
     clock: RefCell<Clock>,
     stall_detector: RefCell<StallDetector>,
     started: Instant,
     spawner: Weak<LocalExecutor<'static>>,
-    armed_for: Cell<f64>,
+    timer_deadline: Cell<f64>,
     timer_wakeup: (async_channel::Sender<()>, async_channel::Receiver<()>),
-    warned_of_index: Cell<Option<Instant>>,
+    duplicate_index_warned_at: Cell<Option<Instant>>,
     /// The number of responses that reported a duplicate of this front end's index.
     pub duplicate_index_reports: Cell<u64>,
     /// The status of the message triggers, where there are any.
@@ -89,11 +89,11 @@
     pub admission: OnceCell<Admission>,
     is_draining: Cell<bool>,
     watch_endpoints: EndpointWatcher,
-    /// The address at which it accepts invocations.
+    /// The address at which the front end accepts invocations.
     pub listen_address: Cell<Option<SocketAddr>>,
 }
 
-/// A number that distinguishes executors; never 0.
+/// A hash that identifies an executor; never 0.
 fn executor_number(executor: ExecutorId) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     executor.hash(&mut hasher);
@@ -112,20 +112,21 @@
 }
 
 impl Router {
-    /// A router that doesn't follow a source of endpoints yet. `ahead` are seconds by which its wall clock is taken to be
-    /// ahead, for tests of skew; `random` replaces the dispatch policy by random choice, for comparisons.
+    /// Creates a router, which isn't subscribed to an endpoint source yet. `clock_offset` is added to the wall clock,
+    /// in seconds, for tests of clock skew; `uses_random_policy` replaces the dispatch policy by random choice, for
+    /// comparisons.
     pub fn new(
         deployment: Deployment,
         seed: u64,
-        ahead: f64,
-        random: bool,
+        clock_offset: f64,
+        uses_random_policy: bool,
         durable_invocation_store: Option<Rc<DurableInvocationStore>>,
         watch_endpoints: EndpointWatcher,
         spawner: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Router> {
         let deployment = Rc::new(deployment);
         let started = Instant::now();
-        let clock = RefCell::new(Clock::new(0.0, wall_clock_seconds() + ahead));
+        let clock = RefCell::new(Clock::new(0.0, wall_clock_seconds() + clock_offset));
         let now = clock.borrow_mut().read(0.0);
         let sender = v1::Sender {
             index: deployment.policy.front_end_index as u32,
@@ -135,7 +136,7 @@
         let router = Rc::new_cyclic(|router: &Weak<Router>| {
             let mut action_executor = ActionExecutor::new(router.clone());
             let max_open = deployment.limits.max_open_invocations;
-            let engine = if random {
+            let engine = if uses_random_policy {
                 Engine::with_baseline(Box::new(RandomPolicy::new(seed)), max_open, now)
             } else {
                 let policy = deployment.policy.clone();
@@ -145,7 +146,7 @@
                 index: sender.index,
                 count: sender.count,
                 location: deployment.policy.zone.into(),
-                sends_load_commands: deployment.policy.allows_load_commands && !random,
+                sends_load_commands: deployment.policy.allows_load_commands && !uses_random_policy,
                 keep_alive: deployment.policy.keep_alive,
             };
             Router {
@@ -162,9 +163,9 @@
                 stall_detector: RefCell::new(StallDetector::new(now)),
                 started,
                 spawner: Rc::downgrade(spawner),
-                armed_for: Cell::new(f64::INFINITY),
+                timer_deadline: Cell::new(f64::INFINITY),
                 timer_wakeup: async_channel::bounded(1),
-                warned_of_index: Cell::new(None),
+                duplicate_index_warned_at: Cell::new(None),
                 duplicate_index_reports: Cell::new(0),
                 triggers: Cell::new(None),
                 durable_invocation_store,
@@ -207,7 +208,7 @@
         self.spawner.clone()
     }
 
-    /// Calls the engine, and performs its actions. Every input of the engine passes here.
+    /// Passes an input to the engine and performs the resulting actions.
     pub fn run_engine<T>(
         &self,
         input: impl FnOnce(&mut Engine, f64, &mut ActionExecutor) -> T,
@@ -221,22 +222,22 @@
             action_executor.readmit(&mut engine, now, migration);
         }
         drop(action_executor);
-        if engine.next_deadline() < self.armed_for.get() {
-            // Where the channel is full, the timer is being woken already.
+        if engine.next_deadline() < self.timer_deadline.get() {
+            // A full channel already wakes the timer task.
             let _ = self.timer_wakeup.0.try_send(());
         }
         result
     }
 
-    /// Runs the engine's timers for as long as the front end lives.
+    /// Runs the engine's timers. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let due = self.engine.borrow().next_deadline();
-            self.armed_for.set(due);
+            self.timer_deadline.set(due);
             let left = due - self.now();
             if left > 0.0 {
                 let woken = async {
-                    // The router itself holds the other end.
+                    // The router owns the sender, so the channel stays open.
                     let _ = self.timer_wakeup.1.recv().await;
                 };
                 if due.is_finite() {
@@ -253,18 +254,22 @@
         }
     }
 
-    /// Follows the wall clock, closes idle connections and removes unused names, for as long as the front end lives.
-    /// `step` is when the wall clock is stepped and by how much, both in seconds, for tests.
-    pub async fn run_maintenance(self: Rc<Self>, ahead: f64, step: Option<(f64, f64)>) {
+    /// Follows the wall clock, closes idle connections and removes unused version names. Never returns. `clock_step` is
+    /// when the wall clock is stepped, in seconds after the start, and by how many seconds, for tests.
+    pub async fn run_maintenance(
+        self: Rc<Self>,
+        clock_offset: f64,
+        clock_step: Option<(f64, f64)>,
+    ) {
         let mut warned = false;
         loop {
             Timer::after(HOUSEKEEPING_INTERVAL).await;
             let monotonic = self.started.elapsed().as_secs_f64();
             let mut clock = self.clock.borrow_mut();
-            let stepped = step
+            let stepped = clock_step
                 .filter(|(at, _)| monotonic >= *at)
                 .map_or(0.0, |(_, by)| by);
-            clock.synchronize(monotonic, wall_clock_seconds() + ahead + stepped);
+            clock.synchronize(monotonic, wall_clock_seconds() + clock_offset + stepped);
             let clock_error = clock.wall_clock_lag();
             drop(clock);
             let is_far_off = clock_error.abs() > self.deployment.policy.max_clock_skew / 2.0;
@@ -276,10 +281,12 @@
             }
             warned = is_far_off;
             let mut action_executor = self.action_executor.borrow_mut();
-            action_executor.pools.retain(|_, pool| !pool.sweep());
             action_executor
-                .version_names
-                .retain(|_, named| named.at.elapsed() < VERSION_NAME_RETENTION);
+                .pools
+                .retain(|_, pool| !pool.close_idle_connections());
+            action_executor.version_names.retain(|_, version_name| {
+                version_name.last_used_at.elapsed() < VERSION_NAME_RETENTION
+            });
         }
     }
 
@@ -295,7 +302,7 @@
     }
 
     /// The number of open invocations.
-    pub fn open(&self) -> usize {
+    pub fn open_invocations(&self) -> usize {
         self.engine.borrow().open_invocations()
     }
 
@@ -304,8 +311,9 @@
         self.engine.borrow().counters()
     }
 
-    /// Notifies the dispatch policy of the number of front ends that share the fleet. The number of time slots is a power
-    /// of two, so that it changes rarely; a front end uses a new number once all others must have seen it.
+    /// Notifies the dispatch policy of the number of front ends that share the fleet. The number of time slots is a
+    /// power of two, so that it changes rarely. After a change, the front end has no share of the budgets until all
+    /// others must have seen the new number.
     pub fn update_membership_view(&self) {
         let now = self.now();
         let estimate = self.members.borrow().estimate(now);
--- a/crates/http-frontend/src/router/reconfigure.rs
+++ b/crates/http-frontend/src/router/reconfigure.rs
@@ -28,9 +28,9 @@
             .trigger_types()
             .into_iter()
             .enumerate()
-            .map(|(index, (trigger, policy))| {
+            .map(|(index, (settings, policy))| {
                 Rc::new(TriggerTypeInForce {
-                    trigger,
+                    settings,
                     policy,
                     index,
                 })
@@ -68,7 +68,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Trigger types of the next revision; one that is unchanged is that of the current revision.
+    /// The trigger types of the next revision. An unchanged one is shared with the current revision.
     fn next_trigger_types(
         &self,
         overlay: &Overlay,
@@ -77,12 +77,12 @@
         let (current, indices) = (self.current(), self.trigger_types.borrow());
         let mut assigned = BTreeSet::new();
         let mut next = vec![];
-        for (trigger, policy) in overlay.trigger_types() {
+        for (settings, policy) in overlay.trigger_types() {
             let existing = current
-                .trigger_type(&trigger.name)
+                .trigger_type(&settings.name)
                 .map(|(_, existing)| existing);
-            if let Some(existing) =
-                existing.filter(|existing| existing.trigger == trigger && existing.policy == policy)
+            if let Some(existing) = existing
+                .filter(|existing| existing.settings == settings && existing.policy == policy)
             {
                 next.push(existing.clone());
                 continue;
@@ -93,7 +93,7 @@
             }
             assigned.insert(index);
             next.push(Rc::new(TriggerTypeInForce {
-                trigger,
+                settings,
                 policy,
                 index,
             }));
@@ -101,7 +101,7 @@
         Ok(next)
     }
 
-    /// Customers of the next revision; one that was known keeps its index.
+    /// The customers of the next revision. A customer of the current revision keeps its index.
     fn next_customers(&self, overlay: &Overlay) -> HashMap<String, Rc<CustomerInForce>> {
         let (current, indices) = (self.current(), self.customers.borrow());
         let mut assigned = BTreeSet::new();
@@ -159,7 +159,7 @@
         self.revisions.current()
     }
 
-    /// The longest client timeout that anything open may have, in seconds.
+    /// The longest client timeout of any open invocation, in seconds.
     pub fn longest_timeout(&self) -> f64 {
         self.revisions.longest_timeout()
     }
@@ -168,7 +168,7 @@
     /// they were admitted. Everything else in the deployment is ignored: it takes effect at a restart.
     ///
     /// # Errors
-    /// Nothing is changed then.
+    /// A value is invalid, or there are too many trigger types. Nothing is changed then.
     pub fn reconfigure(&self, deployment: Rc<Deployment>) -> Result<Rc<Revision>, ApplyError> {
         let view = self.revision().view.clone();
         self.replace_revision(deployment, view)
@@ -198,15 +198,15 @@
         let quotas = self.revisions.quotas_by_index(&customers);
         check_quotas(&quotas)?;
         let current = self.revision();
-        let is_new = |candidate: &&Rc<TriggerTypeInForce>| {
+        let is_added = |candidate: &&Rc<TriggerTypeInForce>| {
             !current
                 .trigger_types
                 .iter()
                 .any(|existing| Rc::ptr_eq(existing, candidate))
         };
-        // What the engine accepts before it rejects something is under indices that no invocation can use.
+        // If the engine rejects a value, those that it accepted before have indices that no invocation can use.
         self.run_engine(|engine, now, _| {
-            for added in trigger_types.iter().filter(is_new) {
+            for added in trigger_types.iter().filter(is_added) {
                 engine.set_trigger_type(now, added.index, added.policy.clone())?;
             }
             engine.set_quotas(now, quotas)
