--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -11,7 +11,7 @@
 use orchidtally_mqtt::{CodecError, decode};
 use orchidtally_mqtt_triggers::TriggerSettings;
 use orchidtally_mqtt_triggers::ledger::Answer;
-use orchidtally_mqtt_triggers::section::TlsSettings;
+use orchidtally_mqtt_triggers::settings::TlsSettings;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -93,11 +93,11 @@
 
 fn tls_connector(section: &TlsSettings) -> Result<TlsConnector, ConnectError> {
     let mut roots = RootCertStore::empty();
-    for certificate in CertificateDer::pem_file_iter(&section.authorities)? {
+    for certificate in CertificateDer::pem_file_iter(&section.ca_certificates)? {
         roots.add(certificate?)?;
     }
     let config = ClientConfig::builder().with_root_certificates(roots);
-    let config = match &section.identity {
+    let config = match &section.client_identity {
         Some((certificates, key)) => {
             let chain: Result<Vec<_>, _> = CertificateDer::pem_file_iter(certificates)?.collect();
             config.with_client_auth_cert(chain?, PrivateKeyDer::from_pem_file(key)?)?
@@ -116,7 +116,7 @@
     };
     // The files are read for each connection, so that replaced files are used from the next connection on.
     let connector = tls_connector(tls)?;
-    let name = ServerName::try_from(tls.name.clone())?;
+    let name = ServerName::try_from(tls.server_name.clone())?;
     let handshake =
         orchidtally_socket_io::with_timeout(CONNECT_TIMEOUT, connector.connect(name, stream)).await;
     Ok(Box::new(handshake.ok_or(ConnectError::TimedOut)??))
@@ -140,7 +140,7 @@
             match decode(
                 &mut buffer,
                 section.version,
-                section.largest_packet as usize,
+                section.max_packet_size as usize,
             ) {
                 Ok(Some((_, packet))) => {
                     if inputs.send(Input::Packet(number, packet)).await.is_err() {
--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -65,7 +65,7 @@
         &records,
         router.now(),
     );
-    let most_entries = ENTRIES_PER_MESSAGE * section.most_held() + SPARE_ENTRIES;
+    let most_entries = ENTRIES_PER_MESSAGE * section.max_held_messages() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * most_entries);
     let journal = GroupCommit::with_max_batch(journal, most_entries, max_batch);
--- a/crates/http-frontend/src/mqtt/tls_files.rs
+++ b/crates/http-frontend/src/mqtt/tls_files.rs
@@ -19,9 +19,9 @@
     pub(super) fn new(section: &TriggerSettings, now: f64) -> TlsFiles {
         let mut paths = vec![];
         if let Some(tls) = &section.tls {
-            paths.push(tls.authorities.clone());
+            paths.push(tls.ca_certificates.clone());
             paths.extend(
-                tls.identity
+                tls.client_identity
                     .iter()
                     .flat_map(|(certificates, key)| [certificates, key])
                     .cloned(),
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -51,7 +51,7 @@
     /// # Errors
     /// The journal can't be opened, or a record in it is malformed.
     pub fn open(section: TriggerSettings, index: u32) -> io::Result<Triggers> {
-        let folder = section.folder(index);
+        let folder = section.journal_dir(index);
         let (journal, found) = Journal::open(&folder)?;
         let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
             bad(
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -176,7 +176,7 @@
             .map_err(|e| e.to_string())
     };
     open().unwrap();
-    let (mut journal, _) = orchidtally_journal::Journal::open(&section.folder(0)).unwrap();
+    let (mut journal, _) = orchidtally_journal::Journal::open(&section.journal_dir(0)).unwrap();
     journal.append(b"{\"what\":\"nothing known\"}").unwrap();
     assert!(open().unwrap_err().contains("another process has it open"));
     drop(journal);
--- a/crates/mqtt-triggers/src/consumer/actions.rs
+++ b/crates/mqtt-triggers/src/consumer/actions.rs
@@ -86,7 +86,7 @@
             topic: message.topic.clone(),
             why: why.clone(),
         });
-        let token = self.set_aside_topic.as_ref().and_then(|topic| {
+        let token = self.dead_letter_topic.as_ref().and_then(|topic| {
             self.session
                 .publish(now, topic, copy.payload, Qos::AtLeastOnce, copy.properties)
                 .ok()
--- a/crates/mqtt-triggers/src/consumer/events.rs
+++ b/crates/mqtt-triggers/src/consumer/events.rs
@@ -68,9 +68,11 @@
                 payload: &d.payload,
             })
             .collect();
-        let actions =
-            self.ledger
-                .session_resumed(self.session_present, &redelivered, self.hands_over);
+        let actions = self.ledger.session_resumed(
+            self.session_present,
+            &redelivered,
+            self.reassigns_unacknowledged,
+        );
         self.perform(now, actions);
         for delivery in postponed {
             self.take(now, delivery, deployment)?;
--- a/crates/mqtt-triggers/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -102,7 +102,7 @@
         let waiting = Waiting {
             trigger_type: call.trigger_type,
             value: policy.billed_value,
-            until: until - self.answer_margin,
+            until: until - self.reply_margin,
             key: call.key,
         };
         if !self.admission.enqueue(message_id, waiting) {
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -17,7 +17,7 @@
 use crate::admission::AdmissionQueue;
 use crate::ledger::{Answer, Ledger, Record, StoredMessage};
 use crate::rules::Rules;
-use crate::section::TriggerSettings;
+use crate::settings::TriggerSettings;
 use actions::Publication;
 use bytes::Bytes;
 use delivery_numbers::DeliveryNumbers;
@@ -52,9 +52,9 @@
     rules: Rules,
     version: Version,
     /// The topic to which messages that are set aside are copied.
-    set_aside_topic: Option<String>,
-    hands_over: bool,
-    answer_margin: f64,
+    dead_letter_topic: Option<String>,
+    reassigns_unacknowledged: bool,
+    reply_margin: f64,
     session: Session,
     admission: AdmissionQueue,
     ledger: Ledger,
@@ -90,7 +90,7 @@
     ) -> Consumer {
         let mut options = section.session_options(index);
         options.password = password;
-        let (ledger, actions) = Ledger::recover(records, section.most_times, now);
+        let (ledger, actions) = Ledger::recover(records, section.max_deliveries, now);
         let receive_maximum = usize::from(section.receive_maximum);
         let most_waiting = match section.version {
             Version::V5 => receive_maximum,
@@ -99,17 +99,17 @@
         let mut consumer = Consumer {
             rules: section.rules.clone(),
             version: section.version,
-            set_aside_topic: section.set_aside.clone(),
-            hands_over: section.hands_over,
-            answer_margin: section.answer_margin,
+            dead_letter_topic: section.dead_letter_topic.clone(),
+            reassigns_unacknowledged: section.reassigns_unacknowledged,
+            reply_margin: section.reply_margin,
             session: Session::new(options),
             admission: AdmissionQueue::new(
                 deployment.trigger_types.len(),
-                section.in_flight,
+                section.max_in_flight,
                 most_waiting,
             ),
             ledger,
-            journal: JournalWriter::new(section.journal_bytes),
+            journal: JournalWriter::new(section.max_journal_bytes),
             pending: BTreeMap::new(),
             poison_messages: VecDeque::new(),
             postponed: None,
@@ -163,7 +163,7 @@
 
     /// When the answer to a message has to be ready.
     pub fn ready_by(&self, message_id: u64) -> f64 {
-        self.ledger.expires_at(message_id) - self.answer_margin
+        self.ledger.expires_at(message_id) - self.reply_margin
     }
 
     /// What has happened so far.
--- a/crates/mqtt-triggers/src/ledger/recovery.rs
+++ b/crates/mqtt-triggers/src/ledger/recovery.rs
@@ -35,7 +35,7 @@
         &mut self,
         session_present: bool,
         redelivered: &[Redelivery],
-        hands_over: bool,
+        reassigns_unacknowledged: bool,
     ) -> Vec<Action> {
         let is_unowned = |message: &Message| !message.is_owned && !message.is_claiming;
         let unowned: Vec<u64> = self
@@ -56,7 +56,7 @@
             if was_acknowledged && message.confirms {
                 continue;
             }
-            if was_acknowledged && !hands_over {
+            if was_acknowledged && !reassigns_unacknowledged {
                 message.is_claiming = true;
                 actions.push(Action::Persist(Record::Owned { message_id }));
                 continue;
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -7,9 +7,9 @@
 pub mod ledger;
 pub mod pattern;
 pub mod rules;
-pub mod section;
+pub mod settings;
 
 pub use consumer::Consumer;
 pub use pattern::Pattern;
 pub use rules::{Poison, Rules};
-pub use section::{TriggerSettings, read};
+pub use settings::{TriggerSettings, read};
--- a/crates/mqtt-triggers/src/section.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
     /// The certificates of the authorities that are trusted.
-    pub authorities: PathBuf,
+    pub ca_certificates: PathBuf,
     /// The files of the client's certificates and key, where the broker wants them.
-    pub identity: Option<(PathBuf, PathBuf)>,
+    pub client_identity: Option<(PathBuf, PathBuf)>,
     /// The name that the broker's certificate has to be for.
-    pub name: String,
+    pub server_name: String,
 }
 
 /// The `mqtt` section.
@@ -44,20 +44,20 @@
     /// The most deliveries that may be unacknowledged at a time.
     pub receive_maximum: u16,
     /// The most invocations at a time.
-    pub in_flight: usize,
+    pub max_in_flight: usize,
     /// The size in bytes of the largest packet that is accepted.
-    pub largest_packet: u32,
+    pub max_packet_size: u32,
     /// The broker gives a message of QoS 1 that is not acknowledged to another subscriber of the group.
-    pub hands_over: bool,
+    pub reassigns_unacknowledged: bool,
     journal: String,
     /// Bytes of the journal from which on nothing new is taken.
-    pub journal_bytes: u64,
+    pub max_journal_bytes: u64,
     /// The topic to which messages that are set aside are copied.
-    pub set_aside: Option<String>,
+    pub dead_letter_topic: Option<String>,
     /// How often a message is taken before it is set aside.
-    pub most_times: u32,
+    pub max_deliveries: u32,
     /// Seconds by which an answer has to be ready before its publisher gives up.
-    pub answer_margin: f64,
+    pub reply_margin: f64,
     /// The trigger rules.
     pub rules: Rules,
 }
@@ -69,7 +69,7 @@
 pub fn read(text: &str) -> Result<(Deployment, Option<TriggerSettings>), Vec<DeploymentFault>> {
     Deployment::parse_with(text, |place, deployment| {
         if place.is_given() {
-            section(place, deployment)
+            read_section(place, deployment)
         } else {
             None
         }
@@ -109,7 +109,7 @@
     pub const ANSWER_MARGIN: f64 = 0.1;
 }
 
-fn section(place: &Place, deployment: &Deployment) -> Option<TriggerSettings> {
+fn read_section(place: &Place, deployment: &Deployment) -> Option<TriggerSettings> {
     let fields = place.object(&KEYS);
     let broker = fields
         .at("broker")
@@ -132,11 +132,11 @@
         .text()
         .map(|text| own(&journal.at("folder"), text, deployment));
     let rules = Rules::at(&fields.at("triggers"), deployment);
-    let (set_aside, most_times) = set_aside(&fields, &rules);
+    let (dead_letter_topic, max_deliveries) = dead_letter_settings(&fields, &rules);
     if version == Version::V311 {
         check_reply_topics(&fields, &rules);
     }
-    let answer_margin = answer_margin(&fields, &rules);
+    let reply_margin = reply_margin(&fields, &rules);
     let group = group(&fields);
     let whole = |key, range, default: u32| {
         fields
@@ -150,10 +150,10 @@
     };
     let session_expiry = seconds("sessionExpiry", 60.0..=2_592_000.0, default::SESSION_EXPIRY);
     let keep_alive = seconds("keepAlive", 1.0..=3_600.0, default::KEEP_ALIVE);
-    let largest_packet = fields
+    let max_packet_size = fields
         .optional("largestPacket", |p| p.bytes(1_024.0..=2e8))
         .unwrap_or(default::LARGEST_PACKET);
-    let journal_bytes = journal
+    let max_journal_bytes = journal
         .optional("maxBytes", |p| p.bytes(65_536.0..=1e12))
         .unwrap_or(default::JOURNAL_BYTES);
     Some(TriggerSettings {
@@ -169,14 +169,14 @@
         keep_alive: keep_alive as u16,
         session_expiry: session_expiry as u32,
         receive_maximum: whole("receiveMaximum", 1..=20_000, default::RECEIVE_MAXIMUM) as u16,
-        in_flight: whole("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
-        largest_packet: largest_packet as u32,
-        hands_over: fields.at("handsOver").flag(true),
+        max_in_flight: whole("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
+        max_packet_size: max_packet_size as u32,
+        reassigns_unacknowledged: fields.at("handsOver").flag(true),
         journal: folder?,
-        journal_bytes: journal_bytes as u64,
-        set_aside,
-        most_times,
-        answer_margin,
+        max_journal_bytes: max_journal_bytes as u64,
+        dead_letter_topic,
+        max_deliveries,
+        reply_margin,
         rules,
     })
 }
@@ -202,16 +202,16 @@
             None
         }
     };
-    let authorities = fields.at("authorities").text()?.into();
+    let ca_certificates = fields.at("authorities").text()?.into();
     Some(TlsSettings {
-        authorities,
-        identity,
-        name: fields.at("name").text()?,
+        ca_certificates,
+        client_identity: identity,
+        server_name: fields.at("name").text()?,
     })
 }
 
 /// The topic to which messages that are set aside are copied, and after how many tries that is done.
-fn set_aside(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
+fn dead_letter_settings(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
     let fields = fields.optional_object("setAside", &["topic", "after"]);
     let topic = fields.optional("topic", Place::text);
     if let Some(topic) = &topic {
@@ -227,10 +227,10 @@
                 .fault("what is set aside would come back as a message");
         }
     }
-    let most_times = fields
+    let max_deliveries = fields
         .optional("after", |p| p.integer(1..=1_000))
         .unwrap_or(default::MOST_TIMES);
-    (topic, most_times)
+    (topic, max_deliveries)
 }
 
 /// Version 3.1.1 has no response topics.
@@ -246,7 +246,7 @@
     }
 }
 
-fn answer_margin(fields: &Fields, rules: &Rules) -> f64 {
+fn reply_margin(fields: &Fields, rules: &Rules) -> f64 {
     let margin = fields
         .optional("answerMargin", |p| p.seconds(0.001..=60.0))
         .unwrap_or(default::ANSWER_MARGIN);
@@ -277,13 +277,13 @@
 
 impl TriggerSettings {
     /// The folder of a front end's journal.
-    pub fn folder(&self, index: u32) -> PathBuf {
+    pub fn journal_dir(&self, index: u32) -> PathBuf {
         self.journal.replace(INDEX, &index.to_string()).into()
     }
 
     /// The most messages in hand at a time: those that wait and those in flight.
-    pub fn most_held(&self) -> usize {
-        usize::from(self.receive_maximum) + self.in_flight
+    pub fn max_held_messages(&self) -> usize {
+        usize::from(self.receive_maximum) + self.max_in_flight
     }
 
     /// The options of a front end's session, without the password.
@@ -309,11 +309,11 @@
             keep_alive: self.keep_alive,
             session_expiry: self.session_expiry,
             receive_maximum: self.receive_maximum,
-            largest_packet: self.largest_packet,
+            max_packet_size: self.max_packet_size,
             topic_aliases: 64,
             will: None,
             filters: filters.into_values().collect(),
-            most_waiting: self.most_held(),
+            most_waiting: self.max_held_messages(),
             confirms: true,
         }
     }
--- a/crates/mqtt-triggers/tests/deployment_keys.rs
+++ b/crates/mqtt-triggers/tests/deployment_keys.rs
@@ -101,7 +101,7 @@
         max_body_bytes: body_bytes,
         max_response_bytes: answer_bytes,
         request_read_timeout: sender_time,
-        response_margin: answer_margin,
+        response_margin: reply_margin,
         response_margin_per_open: answer_time,
         max_streams_per_connection: streams_per_connection,
         max_connections_per_executor: connections_per_executor,
@@ -115,7 +115,7 @@
     );
     assert_eq!((body_bytes, answer_bytes), (8 << 20, 9 << 20));
     assert_eq!(
-        (sender_time, answer_margin, answer_time),
+        (sender_time, reply_margin, answer_time),
         (11.0, 0.03, 0.002)
     );
     assert_eq!((streams_per_connection, connections_per_executor), (32, 5));
@@ -222,18 +222,22 @@
         (14, 7_200, 104)
     );
     assert_eq!(
-        (broker.in_flight, broker.largest_packet, broker.hands_over),
+        (
+            broker.max_in_flight,
+            broker.max_packet_size,
+            broker.reassigns_unacknowledged
+        ),
         (105, 3 << 20, false)
     );
     assert_eq!(
         (
-            broker.journal_bytes,
-            broker.most_times,
-            broker.answer_margin
+            broker.max_journal_bytes,
+            broker.max_deliveries,
+            broker.reply_margin
         ),
         (2 << 20, 6, 0.2)
     );
-    assert_eq!(broker.set_aside.as_deref(), Some("ops/set-aside"));
+    assert_eq!(broker.dead_letter_topic.as_deref(), Some("ops/set-aside"));
 }
 
 #[test]
--- a/crates/mqtt-triggers/tests/ledger_model/main.rs
+++ b/crates/mqtt-triggers/tests/ledger_model/main.rs
@@ -39,7 +39,7 @@
 const NO_FAULT: Shape = Shape {
     effect: Idempotency::NonIdempotent,
     qos2: true,
-    hands_over: false,
+    reassigns_unacknowledged: false,
     crashes: 2,
     planted_fault: PlantedFault::Nothing,
 };
@@ -64,7 +64,7 @@
     // acknowledgement and its confirmation.
     let handed = Shape {
         qos2: false,
-        hands_over: true,
+        reassigns_unacknowledged: true,
         crashes: 1,
         ..NO_FAULT
     };
--- a/crates/mqtt-triggers/tests/ledger_model/state.rs
+++ b/crates/mqtt-triggers/tests/ledger_model/state.rs
@@ -49,7 +49,7 @@
     pub effect: Idempotency,
     pub qos2: bool,
     /// With QoS 1: what is not acknowledged goes to the other when its front end dies.
-    pub hands_over: bool,
+    pub reassigns_unacknowledged: bool,
     pub crashes: u32,
     pub planted_fault: PlantedFault,
 }
@@ -271,7 +271,7 @@
         (fe.ledger, fe.tasks) = (None, VecDeque::new());
         for message in 0..MESSAGES {
             if !shape.qos2
-                && shape.hands_over
+                && shape.reassigns_unacknowledged
                 && self.broker[message] == BrokerState::Delivered(front_end)
             {
                 self.broker[message] = BrokerState::Waiting;
@@ -316,7 +316,7 @@
                 payload: &empty,
             })
             .collect();
-        let tasks = ledger.session_resumed(true, &given, shape.hands_over);
+        let tasks = ledger.session_resumed(true, &given, shape.reassigns_unacknowledged);
         fe.tasks.extend(confirmed.into_iter().map(Task::Confirmed));
         fe.tasks.extend(tasks.into_iter().map(Task::Action));
         fe.ledger = Some(ledger);
--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -9,7 +9,7 @@
 use orchidtally_mqtt_triggers::Consumer;
 use orchidtally_mqtt_triggers::consumer::HostAction;
 use orchidtally_mqtt_triggers::ledger::{Answer, Record};
-use orchidtally_mqtt_triggers::section::{TriggerSettings, read};
+use orchidtally_mqtt_triggers::settings::{TriggerSettings, read};
 use orchidtally_test_servers::broker::{Action, Broker, GivesTwice};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -17,7 +17,11 @@
 
 pub const FRONT_ENDS: usize = 3;
 
-pub fn deployment(version: &str, qos: u8, hands_over: bool) -> (Deployment, TriggerSettings) {
+pub fn deployment(
+    version: &str,
+    qos: u8,
+    reassigns_unacknowledged: bool,
+) -> (Deployment, TriggerSettings) {
     let text = format!(
         r#"{{
             frontEnds: {{ count: {FRONT_ENDS} }},
@@ -29,7 +33,7 @@
             otherFunctions: {{}},
             executors: {{ list: [{{ address: "127.0.0.1:7001" }}] }},
             mqtt: {{
-                broker: "127.0.0.1:1883", version: "{version}", receiveMaximum: 4, inFlight: 4, handsOver: {hands_over},
+                broker: "127.0.0.1:1883", version: "{version}", receiveMaximum: 4, inFlight: 4, handsOver: {reassigns_unacknowledged},
                 journal: {{ folder: "{{index}}", maxBytes: "64KiB" }}, setAside: {{ topic: "aside", after: 50 }},
                 triggers: [
                     {{ topic: "act/{{id}}", function: "f", triggerType: "act", answer: "done/{{id}}", qos: {qos} }},
@@ -95,10 +99,14 @@
 }
 
 impl World {
-    pub fn new(seed: u64, (version, qos, hands_over): (&str, u8, bool), planted: Planted) -> World {
-        let (deployment, section) = deployment(version, qos, hands_over);
+    pub fn new(
+        seed: u64,
+        (version, qos, reassigns_unacknowledged): (&str, u8, bool),
+        planted: Planted,
+    ) -> World {
+        let (deployment, section) = deployment(version, qos, reassigns_unacknowledged);
         let mut broker = Broker::default();
-        broker.faults.hands_over = hands_over;
+        broker.faults.hands_over = reassigns_unacknowledged;
         broker.faults.reorders = seed.is_multiple_of(2);
         let gives_twice = || GivesTwice::one_in(5, Filter::parse("#").unwrap());
         broker.faults.gives_twice = (planted == Planted::GivesTwice).then(gives_twice);
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -39,7 +39,7 @@
     /// The most deliveries that may be unacknowledged at a time: the client's receive maximum.
     pub receive_maximum: u16,
     /// The size in bytes of the largest packet that the client accepts.
-    pub largest_packet: u32,
+    pub max_packet_size: u32,
     /// The greatest topic alias that the client accepts; 0 for none.
     pub topic_aliases: u16,
     /// The will, if there is one.
@@ -167,7 +167,7 @@
         if options.version == Version::V5 {
             properties.push(Property::SessionExpiry(options.session_expiry));
             properties.push(Property::ReceiveMaximum(options.receive_maximum.max(1)));
-            properties.push(Property::MaximumPacketSize(options.largest_packet.max(1)));
+            properties.push(Property::MaximumPacketSize(options.max_packet_size.max(1)));
             properties.push(Property::TopicAliasMaximum(options.topic_aliases));
         }
         let connect = Connect {
--- a/crates/mqtt/tests/session/main.rs
+++ b/crates/mqtt/tests/session/main.rs
@@ -20,7 +20,7 @@
         keep_alive: 20,
         session_expiry: 3_600,
         receive_maximum: 3,
-        largest_packet: 100_000,
+        max_packet_size: 100_000,
         topic_aliases: 2,
         will: None,
         filters: vec![Subscription {
