--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -233,8 +233,8 @@
         let taken = Record::Accepted {
             message_id: n,
             idempotency: Idempotency::NonIdempotent,
-            packet: Some((n % 60_000) as u16 + 1),
-            confirms: true,
+            packet_id: Some((n % 60_000) as u16 + 1),
+            is_qos2: true,
             delivery_count: 1,
             stored: Rc::new(held),
             answer: None,
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -285,7 +285,7 @@
         let Some(message) = self.consumer.message(message_number).cloned() else {
             return;
         };
-        let ready_by = self.consumer.ready_by(message_number);
+        let ready_by = self.consumer.reply_deadline(message_number);
         let (router, inputs) = (self.router.clone(), self.inputs.clone());
         let work = async move {
             let answer = invoke(router, message, ready_by).await;
@@ -303,8 +303,10 @@
                 self.retry_after = FIRST_RETRY;
                 info!(broker = %self.section.broker, session_present, "connected to the broker");
             }
-            Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
-            Notice::SetAside { topic, why } => {
+            Notice::SubscriptionsRejected(filters) => {
+                error!(?filters, "broker rejected subscriptions")
+            }
+            Notice::DeadLettered { topic, reason: why } => {
                 warn!(topic, why, "message dead-lettered to the set-aside topic")
             }
             Notice::NotPublished { topic, code } => {
@@ -314,7 +316,7 @@
                 self.journal_works = false;
                 error!("journal can't be written: no messages are accepted until it can");
             }
-            Notice::JournalBack => {
+            Notice::JournalRecovered => {
                 self.journal_works = true;
                 info!("journal writable again");
             }
--- a/crates/mqtt-triggers/src/admission.rs
+++ b/crates/mqtt-triggers/src/admission.rs
@@ -7,27 +7,27 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The weight of the newest answer in the usual time of a trigger type.
-const NEWEST_WEIGHT: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// The part of a message's time left that an answer is assumed to take, where no answer of its trigger type is
 /// known.
-const UNKNOWN_SHARE: f64 = 0.25;
+const UNKNOWN_DURATION_FRACTION: f64 = 0.25;
 /// The factor by which a throttled answer cuts the limit, and the least limit.
-const CUT_FACTOR: f64 = 0.7;
-const LEAST_LIMIT: f64 = 1.0;
+const DECREASE_FACTOR: f64 = 0.7;
+const MIN_LIMIT: f64 = 1.0;
 /// What was admitted earlier than this many seconds after a cut does not cut the limit again.
-const CUT_PAUSE: f64 = 0.1;
+const DECREASE_INTERVAL: f64 = 0.1;
 /// The least time in seconds that an answer is assumed to take.
-const LEAST_TIME: f64 = 1e-6;
+const MIN_DURATION: f64 = 1e-6;
 
 /// A message that waits.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct WaitingMessage {
     /// The index of its trigger type.
     pub trigger_type: usize,
     /// What an answer in time earns.
     pub value: f64,
     /// When its publisher gives up.
-    pub until: f64,
+    pub deadline: f64,
     /// Messages of one key are admitted in their order, one at a time.
     pub key: Option<String>,
 }
@@ -51,8 +51,8 @@
 /// Messages that wait, and the invocations in flight.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    most_waiting: usize,
-    waiting: BTreeMap<u64, Waiting>,
+    max_waiting: usize,
+    waiting: BTreeMap<u64, WaitingMessage>,
     /// The waiting messages of each key, the oldest first.
     queues: BTreeMap<String, VecDeque<u64>>,
     /// Keys of which a message is in flight.
@@ -61,23 +61,23 @@
     /// The usual time of an answer in seconds, by trigger type.
     typical_durations: Vec<Option<f64>>,
     limit: f64,
-    most_in_flight: f64,
-    last_cut_at: f64,
+    max_in_flight: f64,
+    last_decrease_at: f64,
 }
 
 impl AdmissionQueue {
     /// An empty queue. `most_waiting` is the client's receive maximum.
-    pub fn new(trigger_types: usize, most_in_flight: usize, most_waiting: usize) -> AdmissionQueue {
+    pub fn new(trigger_types: usize, max_in_flight: usize, max_waiting: usize) -> AdmissionQueue {
         AdmissionQueue {
-            most_waiting,
+            max_waiting,
             waiting: BTreeMap::new(),
             queues: BTreeMap::new(),
             active_keys: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             typical_durations: vec![None; trigger_types],
-            limit: most_in_flight as f64,
-            most_in_flight: most_in_flight as f64,
-            last_cut_at: f64::NEG_INFINITY,
+            limit: max_in_flight as f64,
+            max_in_flight: max_in_flight as f64,
+            last_decrease_at: f64::NEG_INFINITY,
         }
     }
 
@@ -93,8 +93,8 @@
 
     /// Offers a message under a number that grows. Returns false where as many messages wait as may: a broker that
     /// keeps to the receive maximum never comes to that.
-    pub fn enqueue(&mut self, message_id: u64, message: Waiting) -> bool {
-        if self.waiting.len() >= self.most_waiting
+    pub fn enqueue(&mut self, message_id: u64, message: WaitingMessage) -> bool {
+        if self.waiting.len() >= self.max_waiting
             || message.trigger_type >= self.typical_durations.len()
         {
             return false;
@@ -110,12 +110,13 @@
     }
 
     /// The time that an answer usually takes.
-    fn typical_duration(&self, message: &Waiting, now: f64) -> f64 {
-        let time_left = (message.until - now).max(0.0);
-        self.typical_durations[message.trigger_type].unwrap_or(UNKNOWN_SHARE * time_left)
+    fn typical_duration(&self, message: &WaitingMessage, now: f64) -> f64 {
+        let remaining = (message.deadline - now).max(0.0);
+        self.typical_durations[message.trigger_type]
+            .unwrap_or(UNKNOWN_DURATION_FRACTION * remaining)
     }
 
-    fn remove_waiting(&mut self, message_id: u64) -> Option<Waiting> {
+    fn remove_waiting(&mut self, message_id: u64) -> Option<WaitingMessage> {
         let message = self.waiting.remove(&message_id)?;
         if let Some(key) = &message.key
             && let Some(queue) = self.queues.get_mut(key)
@@ -129,7 +130,7 @@
     }
 
     /// Whether no message of its key has to come before it.
-    fn is_first_of_key(&self, message_id: u64, message: &Waiting) -> bool {
+    fn is_first_of_key(&self, message_id: u64, message: &WaitingMessage) -> bool {
         message.key.as_ref().is_none_or(|key| {
             !self.active_keys.contains(key)
                 && self.queues.get(key).and_then(VecDeque::front) == Some(&message_id)
@@ -140,18 +141,18 @@
     /// earn the most for their time, the newest first, since it has all of its time before it.
     pub fn decide(&mut self, now: f64) -> Vec<Decision> {
         let mut decisions = vec![];
-        for message_id in self.late(now) {
+        for message_id in self.overdue(now) {
             self.remove_waiting(message_id);
             decisions.push(Decision::Reject(message_id));
         }
-        while (self.in_flight.len() as f64) < self.limit.floor().max(LEAST_LIMIT) {
-            let Some(message_id) = self.most_valuable(now) else {
+        while (self.in_flight.len() as f64) < self.limit.floor().max(MIN_LIMIT) {
+            let Some(message_id) = self.highest_value_rate(now) else {
                 break;
             };
             let Some(message) = self.remove_waiting(message_id) else {
                 break;
             };
-            let Waiting {
+            let WaitingMessage {
                 trigger_type, key, ..
             } = message;
             self.active_keys.extend(key.clone());
@@ -169,26 +170,28 @@
     }
 
     /// Messages that can't be answered in time.
-    fn late(&self, now: f64) -> Vec<u64> {
-        let is_late = |message: &Waiting| now + self.typical_duration(message, now) > message.until;
+    fn overdue(&self, now: f64) -> Vec<u64> {
+        let is_overdue =
+            |message: &WaitingMessage| now + self.typical_duration(message, now) > message.deadline;
         self.waiting
             .iter()
-            .filter(|(_, message)| is_late(message))
+            .filter(|(_, message)| is_overdue(message))
             .map(|(&message_id, _)| message_id)
             .collect()
     }
 
     /// The message that earns the most for its time; of several the newest.
-    fn most_valuable(&self, now: f64) -> Option<u64> {
-        let priority_weight =
-            |message: &Waiting| message.value / self.typical_duration(message, now).max(LEAST_TIME);
+    fn highest_value_rate(&self, now: f64) -> Option<u64> {
+        let value_rate = |message: &WaitingMessage| {
+            message.value / self.typical_duration(message, now).max(MIN_DURATION)
+        };
         let candidates = self
             .waiting
             .iter()
             .filter(|(message_id, message)| self.is_first_of_key(**message_id, message));
         let best = candidates.max_by(|a, b| {
-            priority_weight(a.1)
-                .total_cmp(&priority_weight(b.1))
+            value_rate(a.1)
+                .total_cmp(&value_rate(b.1))
                 .then(a.0.cmp(b.0))
         });
         best.map(|(&message_id, _)| message_id)
@@ -220,17 +223,17 @@
             self.active_keys.remove(key);
         }
         if throttled {
-            if message.admitted_at > self.last_cut_at + CUT_PAUSE {
-                self.limit = (self.limit * CUT_FACTOR).max(LEAST_LIMIT);
-                self.last_cut_at = now;
+            if message.admitted_at > self.last_decrease_at + DECREASE_INTERVAL {
+                self.limit = (self.limit * DECREASE_FACTOR).max(MIN_LIMIT);
+                self.last_decrease_at = now;
             }
             return;
         }
-        self.limit = (self.limit + 1.0 / self.limit).min(self.most_in_flight);
-        let took = now - message.admitted_at;
+        self.limit = (self.limit + 1.0 / self.limit).min(self.max_in_flight);
+        let duration = now - message.admitted_at;
         let typical_duration = &mut self.typical_durations[message.trigger_type];
-        *typical_duration = Some(
-            typical_duration.map_or(took, |typical| typical + NEWEST_WEIGHT * (took - typical)),
-        );
+        *typical_duration = Some(typical_duration.map_or(duration, |typical| {
+            typical + SMOOTHING_FACTOR * (duration - typical)
+        }));
     }
 }
--- a/crates/mqtt-triggers/src/consumer/actions.rs
+++ b/crates/mqtt-triggers/src/consumer/actions.rs
@@ -1,6 +1,6 @@
 //! Performs the actions of the ledger.
 
-use super::reply::{encode_reply, encode_set_aside_copy};
+use super::reply::{encode_dead_letter, encode_reply};
 use super::{Consumer, HostAction, Notice};
 use crate::ledger::{Action, Answer};
 use orchidtally_mqtt::packet::Qos;
@@ -12,13 +12,13 @@
     /// The answer to a message.
     Reply(u64),
     /// The copy of a message that is set aside.
-    SetAsideCopy(u64),
+    DeadLetter(u64),
 }
 
 impl Publication {
     /// The number of the message for which it is published.
     pub(super) fn message(self) -> u64 {
-        let (Publication::Reply(message_id) | Publication::SetAsideCopy(message_id)) = self;
+        let (Publication::Reply(message_id) | Publication::DeadLetter(message_id)) = self;
         message_id
     }
 }
@@ -53,7 +53,9 @@
                 self.admission.cancel(message_id);
                 self.host_actions.push_back(HostAction::Cancel(message_id));
             }
-            Action::SetAside(message_id) => return self.publish_set_aside_copy(now, message_id),
+            Action::PublishDeadLetter(message_id) => {
+                return self.publish_dead_letter(now, message_id);
+            }
             Action::ReserveReplyId(message_id) => match self.session.reserve() {
                 Some(id) => return self.ledger.reply_id_reserved(message_id, id),
                 None => self.waiting_for_reply_id.push_back(message_id),
@@ -61,8 +63,8 @@
             Action::Publish {
                 message_id,
                 id,
-                is_republished: again,
-            } => return self.publish_reply(now, message_id, id, again),
+                is_republished,
+            } => return self.publish_reply(now, message_id, id, is_republished),
             Action::Release { message_id, id } => {
                 let token = self.session.release(now, id);
                 self.publications
@@ -72,19 +74,19 @@
         vec![]
     }
 
-    fn publish_set_aside_copy(&mut self, now: f64, message_id: u64) -> Vec<Action> {
+    fn publish_dead_letter(&mut self, now: f64, message_id: u64) -> Vec<Action> {
         let (message, answer) = (
             self.ledger.message(message_id),
             self.ledger.answer(message_id),
         );
-        let (Some(message), Some(Answer::SetAside { reason: why })) = (message, answer) else {
+        let (Some(message), Some(Answer::DeadLettered { reason })) = (message, answer) else {
             return vec![];
         };
         self.counters.set_aside += 1;
-        let copy = encode_set_aside_copy(self.version, message, why);
-        self.notices.push_back(Notice::SetAside {
+        let copy = encode_dead_letter(self.version, message, reason);
+        self.notices.push_back(Notice::DeadLettered {
             topic: message.topic.clone(),
-            why: why.clone(),
+            reason: reason.clone(),
         });
         let token = self.dead_letter_topic.as_ref().and_then(|topic| {
             self.session
@@ -94,15 +96,21 @@
         match token {
             Some(token) => {
                 self.publications
-                    .insert(token, Publication::SetAsideCopy(message_id));
+                    .insert(token, Publication::DeadLetter(message_id));
                 vec![]
             }
             // There is no topic for it, or it would never be taken there.
-            None => self.ledger.set_aside(message_id),
+            None => self.ledger.dead_letter_published(message_id),
         }
     }
 
-    fn publish_reply(&mut self, now: f64, message_id: u64, id: u16, again: bool) -> Vec<Action> {
+    fn publish_reply(
+        &mut self,
+        now: f64,
+        message_id: u64,
+        id: u16,
+        is_republished: bool,
+    ) -> Vec<Action> {
         let (message, answer) = (
             self.ledger.message(message_id),
             self.ledger.answer(message_id),
@@ -123,7 +131,7 @@
             let encoded = encode_reply(self.version, message, answer);
             let (payload, properties) = (encoded.payload, encoded.properties);
             self.session
-                .publish_as(now, id, again, &reply.topic, payload, properties)
+                .publish_as(now, id, is_republished, &reply.topic, payload, properties)
                 .ok()
         });
         match token {
--- a/crates/mqtt-triggers/src/consumer/events.rs
+++ b/crates/mqtt-triggers/src/consumer/events.rs
@@ -31,18 +31,19 @@
         match event {
             Event::Connected { session_present } => {
                 self.session_present = session_present;
-                self.postponed = Some(vec![]);
+                self.deferred_deliveries = Some(vec![]);
                 self.notices
                     .push_back(Notice::Connected { session_present });
             }
             Event::Subscribed { refused } => {
                 if !refused.is_empty() {
-                    self.notices.push_back(Notice::Refused(refused));
+                    self.notices
+                        .push_back(Notice::SubscriptionsRejected(refused));
                 }
             }
-            Event::Delivered(delivery) => match &mut self.postponed {
-                Some(postponed) => postponed.push(delivery),
-                None => self.take(now, delivery, deployment)?,
+            Event::Delivered(delivery) => match &mut self.deferred_deliveries {
+                Some(deferred_deliveries) => deferred_deliveries.push(delivery),
+                None => self.handle_delivery(now, delivery, deployment)?,
             },
             Event::Resumed => self.resumed(now, deployment)?,
             Event::Confirmed { number } => self.confirmed(now, number),
@@ -59,11 +60,11 @@
 
     /// The broker has sent again what it had to send again.
     fn resumed(&mut self, now: f64, deployment: &Deployment) -> Result<(), ConnectionError> {
-        let postponed = self.postponed.take().unwrap_or_default();
-        let redelivered: Vec<Redelivery> = postponed
+        let deferred_deliveries = self.deferred_deliveries.take().unwrap_or_default();
+        let redelivered: Vec<Redelivery> = deferred_deliveries
             .iter()
             .map(|d| Redelivery {
-                packet: d.id,
+                packet_id: d.id,
                 topic: &d.topic,
                 payload: &d.payload,
             })
@@ -74,8 +75,8 @@
             self.reassigns_unacknowledged,
         );
         self.perform(now, actions);
-        for delivery in postponed {
-            self.take(now, delivery, deployment)?;
+        for delivery in deferred_deliveries {
+            self.handle_delivery(now, delivery, deployment)?;
         }
         Ok(())
     }
@@ -104,7 +105,7 @@
             self.not_published(publication.message(), Some(code));
         }
         let actions = match publication {
-            Publication::SetAsideCopy(message_id) => self.ledger.set_aside(message_id),
+            Publication::DeadLetter(message_id) => self.ledger.dead_letter_published(message_id),
             Publication::Reply(message_id) => {
                 self.counters.answered += u64::from(!is_refused);
                 self.ledger.reply_completed(message_id)
--- a/crates/mqtt-triggers/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -1,9 +1,9 @@
 //! How deliveries become messages in hand.
 
 use super::{Consumer, DECISION_INTERVAL};
-use crate::admission::{Decision, Waiting};
+use crate::admission::{Decision, WaitingMessage};
 use crate::ledger::{Answer, DeliveryId, Idempotency, InvocationTarget, StoredMessage};
-use crate::rules::{Call, Rules};
+use crate::rules::{Invocation, Rules};
 use orchidtally_deployment::Deployment;
 use orchidtally_dispatch_policy::interface;
 use orchidtally_mqtt::packet::Qos;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct PendingMessage {
     delivery: DeliveryId,
-    effect: Idempotency,
+    idempotency: Idempotency,
     message: StoredMessage,
 }
 
@@ -21,18 +21,18 @@
 pub(super) struct PoisonMessage {
     pub(super) message_id: u64,
     delivery: Delivery,
-    why: String,
+    reason: String,
 }
 
 fn delivery_id(delivery: &Delivery) -> DeliveryId {
     DeliveryId {
-        packet: delivery.number.map(|_| delivery.id),
-        confirms: delivery.qos == Qos::ExactlyOnce,
+        packet_id: delivery.number.map(|_| delivery.id),
+        is_qos2: delivery.qos == Qos::ExactlyOnce,
     }
 }
 
 /// Whether the invocation of a message may run more than once.
-fn effect(policy: &interface::TriggerType, now: f64) -> Idempotency {
+fn idempotency(policy: &interface::TriggerType, now: f64) -> Idempotency {
     match (policy.idempotency, policy.deduplication_scope) {
         (interface::Idempotency::Idempotent, _) => Idempotency::Idempotent,
         (interface::Idempotency::Keyed, interface::DeduplicationScope::All) => Idempotency::Keyed {
@@ -47,16 +47,16 @@
 
 impl Consumer {
     /// When the publisher of a message gives up.
-    fn answer_until(&self, call: &Call, now: f64) -> f64 {
-        let rule_time_left = self.rules.list[call.rule].time_left;
-        let since_sent = call
+    fn expires_at(&self, invocation: &Invocation, now: f64) -> f64 {
+        let rule_timeout = self.rules.list[invocation.rule].timeout;
+        let since_sent = invocation
             .sent_at
-            .map_or(f64::INFINITY, |sent_at| sent_at + rule_time_left);
-        since_sent.min(now + call.time_left)
+            .map_or(f64::INFINITY, |sent_at| sent_at + rule_timeout);
+        since_sent.min(now + invocation.timeout)
     }
 
     /// Takes a delivery in. It waits unacknowledged until it is admitted.
-    pub(super) fn take(
+    pub(super) fn handle_delivery(
         &mut self,
         now: f64,
         delivery: Delivery,
@@ -74,36 +74,38 @@
         if let Some(number) = delivery.number {
             self.deliveries.insert(message_id, number);
         }
-        match self.rules.call(deployment, &delivery) {
-            Ok(call) => self.offer(now, message_id, delivery, call, deployment),
+        match self.rules.invocation(deployment, &delivery) {
+            Ok(invocation) => {
+                self.enqueue_invocation(now, message_id, delivery, invocation, deployment)
+            }
             Err(poison) => {
-                let why = poison.to_string();
+                let reason = poison.to_string();
                 self.poison_messages.push_back(PoisonMessage {
                     message_id,
                     delivery,
-                    why,
+                    reason,
                 });
                 Ok(())
             }
         }
     }
 
-    fn offer(
+    fn enqueue_invocation(
         &mut self,
         now: f64,
         message_id: u64,
         delivery: Delivery,
-        call: Call,
+        invocation: Invocation,
         deployment: &Deployment,
     ) -> Result<(), ConnectionError> {
-        let policy = &deployment.policy.trigger_types[call.trigger_type];
-        let effect = effect(policy, now);
-        let until = self.answer_until(&call, now);
-        let waiting = Waiting {
-            trigger_type: call.trigger_type,
+        let policy = &deployment.policy.trigger_types[invocation.trigger_type];
+        let idempotency = idempotency(policy, now);
+        let expires_at = self.expires_at(&invocation, now);
+        let waiting = WaitingMessage {
+            trigger_type: invocation.trigger_type,
             value: policy.billed_value,
-            until: until - self.reply_margin,
-            key: call.key,
+            deadline: expires_at - self.reply_margin,
+            key: invocation.key,
         };
         if !self.admission.enqueue(message_id, waiting) {
             if delivery.number.is_none() {
@@ -114,27 +116,33 @@
                 "more deliveries than can be held",
             ));
         }
-        let has_token = policy.idempotency == interface::Idempotency::Keyed;
+        let has_key = policy.idempotency == interface::Idempotency::Keyed;
         let target = InvocationTarget {
-            function: call.function,
-            trigger_type: deployment.trigger_types[call.trigger_type].name.clone(),
-            customer: call.customer,
-            token: if has_token { call.token } else { String::new() },
+            function: invocation.function,
+            trigger_type: deployment.trigger_types[invocation.trigger_type]
+                .name
+                .clone(),
+            customer: invocation.customer,
+            token: if has_key {
+                invocation.token
+            } else {
+                String::new()
+            },
         };
         let id = delivery_id(&delivery);
         let message = StoredMessage {
-            name: call.name,
+            name: invocation.name,
             topic: delivery.topic,
-            payload: call.payload,
-            reply: call.answer,
+            payload: invocation.payload,
+            reply: invocation.reply,
             target,
-            expires_at: until,
+            expires_at,
         };
         self.pending.insert(
             message_id,
             PendingMessage {
                 delivery: id,
-                effect,
+                idempotency,
                 message,
             },
         );
@@ -147,11 +155,11 @@
         let must_wait = self.journal.is_failing()
             || self.journal.is_full()
             || self.is_draining
-            || self.postponed.is_some();
+            || self.deferred_deliveries.is_some();
         if must_wait {
             return;
         }
-        self.set_poison_messages_aside(now);
+        self.dead_letter_poison_messages(now);
         for decision in self.admission.decide(now) {
             let (message_id, answer) = match decision {
                 Decision::Admit(message_id) => (message_id, None),
@@ -164,12 +172,12 @@
             self.counters.given_up += u64::from(answer.is_some());
             let PendingMessage {
                 delivery,
-                effect,
+                idempotency,
                 message,
             } = pending;
             let actions =
                 self.ledger
-                    .delivered(message_id, effect, delivery, message.into(), answer);
+                    .delivered(message_id, idempotency, delivery, message.into(), answer);
             if self.ledger.answer(message_id).is_some() {
                 // It was set aside: nothing is dispatched for it.
                 self.admission.cancel(message_id);
@@ -178,11 +186,11 @@
         }
     }
 
-    fn set_poison_messages_aside(&mut self, now: f64) {
+    fn dead_letter_poison_messages(&mut self, now: f64) {
         while let Some(PoisonMessage {
             message_id,
             delivery,
-            why,
+            reason,
         }) = self.poison_messages.pop_front()
         {
             let id = delivery_id(&delivery);
@@ -194,7 +202,7 @@
                 target: InvocationTarget::default(),
                 expires_at: now,
             };
-            let answer = Some(Answer::SetAside { reason: why });
+            let answer = Some(Answer::DeadLettered { reason });
             let actions = self.ledger.delivered(
                 message_id,
                 Idempotency::NonIdempotent,
--- a/crates/mqtt-triggers/src/consumer/journal_writer.rs
+++ b/crates/mqtt-triggers/src/consumer/journal_writer.rs
@@ -161,7 +161,7 @@
             return;
         }
         if self.journal.retry_at.take().is_some() {
-            self.notices.push_back(Notice::JournalBack);
+            self.notices.push_back(Notice::JournalRecovered);
         }
         let (in_snapshot, missing) = self.journal.take_refused();
         for record in missing {
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -64,7 +64,7 @@
     /// Deliveries that can never become invocations.
     poison_messages: VecDeque<PoisonMessage>,
     /// Deliveries that arrived since the connection was made, until the broker has sent again what it had to.
-    postponed: Option<Vec<Delivery>>,
+    deferred_deliveries: Option<Vec<Delivery>>,
     session_present: bool,
     deliveries: DeliveryNumbers,
     /// What is being published, by the session's token.
@@ -92,7 +92,7 @@
         options.password = password;
         let (ledger, actions) = Ledger::recover(records, section.max_deliveries, now);
         let receive_maximum = usize::from(section.receive_maximum);
-        let most_waiting = match section.version {
+        let max_waiting = match section.version {
             Version::V5 => receive_maximum,
             Version::V311 => UNANNOUNCED_RECEIVE_FACTOR * receive_maximum,
         };
@@ -106,13 +106,13 @@
             admission: AdmissionQueue::new(
                 deployment.trigger_types.len(),
                 section.max_in_flight,
-                most_waiting,
+                max_waiting,
             ),
             ledger,
             journal: JournalWriter::new(section.max_journal_bytes),
             pending: BTreeMap::new(),
             poison_messages: VecDeque::new(),
-            postponed: None,
+            deferred_deliveries: None,
             session_present: false,
             deliveries: DeliveryNumbers::default(),
             publications: BTreeMap::new(),
@@ -162,7 +162,7 @@
     }
 
     /// When the answer to a message has to be ready.
-    pub fn ready_by(&self, message_id: u64) -> f64 {
+    pub fn reply_deadline(&self, message_id: u64) -> f64 {
         self.ledger.expires_at(message_id) - self.reply_margin
     }
 
@@ -184,7 +184,7 @@
     /// The connection is gone. The broker gives again what was not admitted.
     pub fn connection_lost(&mut self) {
         self.session.connection_lost();
-        self.postponed = None;
+        self.deferred_deliveries = None;
         let pending = std::mem::take(&mut self.pending).into_keys();
         let poison = self
             .poison_messages
--- a/crates/mqtt-triggers/src/consumer/notice.rs
+++ b/crates/mqtt-triggers/src/consumer/notice.rs
@@ -11,13 +11,13 @@
         session_present: bool,
     },
     /// The broker refused these filters, with these reason codes.
-    Refused(Vec<(String, u8)>),
+    SubscriptionsRejected(Vec<(String, u8)>),
     /// A message was set aside.
-    SetAside {
+    DeadLettered {
         /// The topic of the message.
         topic: String,
         /// The reason.
-        why: String,
+        reason: String,
     },
     /// An answer was not published.
     NotPublished {
@@ -29,7 +29,7 @@
     /// The journal can't be written: no message is admitted until it can.
     JournalFailed,
     /// The journal can be written again.
-    JournalBack,
+    JournalRecovered,
 }
 
 /// Counts of what has happened to messages.
--- a/crates/mqtt-triggers/src/consumer/reply.rs
+++ b/crates/mqtt-triggers/src/consumer/reply.rs
@@ -37,15 +37,15 @@
                 false,
             ),
             Answer::Failed {
-                reason: why,
+                reason,
                 may_have_run,
-            } => ("errored", why.as_str(), *may_have_run),
+            } => ("errored", reason.as_str(), *may_have_run),
             Answer::Unknown => (
                 "unknown",
                 "the front end died with its dispatch out: whether it ran isn't known",
                 true,
             ),
-            Answer::SetAside { reason: why } => ("setAside", why.as_str(), false),
+            Answer::DeadLettered { reason } => ("setAside", reason.as_str(), false),
         };
         Summary {
             outcome,
@@ -106,16 +106,16 @@
 }
 
 /// The copy of a message that is set aside.
-pub(super) fn encode_set_aside_copy(
+pub(super) fn encode_dead_letter(
     version: Version,
     message: &StoredMessage,
-    why: &str,
+    reason: &str,
 ) -> Encoded {
     let payload = match version {
         Version::V5 => message.payload.clone(),
         Version::V311 => json!({
             "topic": message.topic,
-            "why": why,
+            "why": reason,
             "payloadBase64": STANDARD.encode(&message.payload),
         })
         .to_string()
@@ -123,7 +123,7 @@
     };
     let properties = vec![
         user_property(TOPIC_PROPERTY, &message.topic),
-        user_property(REASON_PROPERTY, why),
+        user_property(REASON_PROPERTY, reason),
     ];
     Encoded {
         payload,
--- a/crates/mqtt-triggers/src/ledger/action.rs
+++ b/crates/mqtt-triggers/src/ledger/action.rs
@@ -14,7 +14,7 @@
     /// Dispatch the invocation; `Ledger::invocation_ended` with its final answer.
     Dispatch(u64),
     /// Publish a copy where operators find it; `Ledger::set_aside` once that is done.
-    SetAside(u64),
+    PublishDeadLetter(u64),
     /// Reserve a packet identifier for the answer; `Ledger::reply_id_reserved` with it.
     ReserveReplyId(u64),
     /// Publish the answer under its packet identifier.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeliveryId {
     /// The packet identifier; `None` with QoS 0.
-    pub packet: Option<u16>,
+    pub packet_id: Option<u16>,
     /// Whether the delivery has QoS 2, with which the broker says what it has received.
-    pub confirms: bool,
+    pub is_qos2: bool,
 }
--- a/crates/mqtt-triggers/src/ledger/message.rs
+++ b/crates/mqtt-triggers/src/ledger/message.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub(super) idempotency: Idempotency,
-    pub(super) packet: Option<u16>,
-    pub(super) confirms: bool,
+    pub(super) packet_id: Option<u16>,
+    pub(super) is_qos2: bool,
     /// How often the message has been delivered.
     pub(super) delivery_count: u32,
     pub(super) stored: Rc<StoredMessage>,
@@ -43,17 +43,19 @@
     ) -> Message {
         Message {
             idempotency,
-            packet: delivery.packet,
-            confirms: delivery.confirms,
+            packet_id: delivery.packet_id,
+            is_qos2: delivery.is_qos2,
             delivery_count,
             stored,
             is_persisted: true,
             is_claiming: false,
             // A broker never delivers a message of QoS 0 again.
-            is_owned: delivery.packet.is_none(),
+            is_owned: delivery.packet_id.is_none(),
             was_dispatched: false,
             // A message that is set aside is answered once its copy is published.
-            is_answered: answer.as_ref().is_some_and(|answer| !answer.is_set_aside()),
+            is_answered: answer
+                .as_ref()
+                .is_some_and(|answer| !answer.is_dead_lettered()),
             answer,
             is_answer_pending: false,
             reply_id: None,
@@ -67,20 +69,20 @@
     pub(super) fn records(&self, message_id: u64) -> Vec<Record> {
         let answer = || self.answer.clone();
         let answered_at_once = answer().filter(|_| self.is_answered && !self.was_dispatched);
-        let set_aside = answer().filter(Answer::is_set_aside);
-        let is_persisted = Record::Accepted {
+        let dead_letter = answer().filter(Answer::is_dead_lettered);
+        let accepted = Record::Accepted {
             message_id,
             idempotency: self.idempotency,
-            packet: self.packet,
-            confirms: self.confirms,
+            packet_id: self.packet_id,
+            is_qos2: self.is_qos2,
             delivery_count: self.delivery_count,
             stored: self.stored.clone(),
-            answer: answered_at_once.or(set_aside),
+            answer: answered_at_once.or(dead_letter),
         };
         let is_non_idempotent = self.idempotency == Idempotency::NonIdempotent;
         let records = [
-            Some(is_persisted),
-            (self.is_owned && self.packet.is_some()).then_some(Record::Owned { message_id }),
+            Some(accepted),
+            (self.is_owned && self.packet_id.is_some()).then_some(Record::Owned { message_id }),
             (self.was_dispatched && is_non_idempotent)
                 .then_some(Record::Dispatching { message_id }),
             answer()
--- a/crates/mqtt-triggers/src/ledger/mod.rs
+++ b/crates/mqtt-triggers/src/ledger/mod.rs
@@ -43,7 +43,7 @@
 }
 
 fn too_many_deliveries(delivery_count: u32) -> Answer {
-    Answer::SetAside {
+    Answer::DeadLettered {
         reason: format!("it was taken {delivery_count} times without coming to an end"),
     }
 }
@@ -114,8 +114,8 @@
         stored: Rc<StoredMessage>,
         answer: Option<Answer>,
     ) -> Vec<Action> {
-        let DeliveryId { packet, confirms } = delivery;
-        let before = packet
+        let DeliveryId { packet_id, is_qos2 } = delivery;
+        let before = packet_id
             .and_then(|id| self.redelivered_messages.remove(&id))
             .filter(|r| r.topic == stored.topic);
         let delivery_count = before.map_or(1, |before| before.delivery_count + 1);
@@ -126,8 +126,8 @@
         let record = Record::Accepted {
             message_id,
             idempotency,
-            packet,
-            confirms,
+            packet_id,
+            is_qos2,
             delivery_count,
             stored,
             answer,
@@ -164,7 +164,7 @@
                 }
             }
             Record::Owned { .. } => {
-                let mut actions = if message.confirms {
+                let mut actions = if message.is_qos2 {
                     vec![Action::Complete(message_id)]
                 } else {
                     vec![]
@@ -215,7 +215,7 @@
         match &message.answer {
             Some(_) if message.is_answered => self.send_reply(message_id),
             Some(_) if message.is_answer_pending => vec![],
-            Some(Answer::SetAside { .. }) => vec![Action::SetAside(message_id)],
+            Some(Answer::DeadLettered { .. }) => vec![Action::PublishDeadLetter(message_id)],
             Some(answer) => {
                 message.is_answer_pending = true;
                 vec![Action::Persist(Record::Answered {
@@ -270,7 +270,7 @@
     }
 
     /// The copy of a message that is set aside is where operators find it, or there is no place for it.
-    pub fn set_aside(&mut self, message_id: u64) -> Vec<Action> {
+    pub fn dead_letter_published(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self.messages.get_mut(&message_id).filter(|message| {
             message.is_owned && !message.is_answer_pending && !message.is_answered
         }) else {
@@ -339,15 +339,15 @@
             Record::Accepted {
                 message_id,
                 idempotency,
-                packet,
-                confirms,
+                packet_id,
+                is_qos2,
                 delivery_count,
                 stored,
                 answer,
             } => {
                 let delivery = DeliveryId {
-                    packet: *packet,
-                    confirms: *confirms,
+                    packet_id: *packet_id,
+                    is_qos2: *is_qos2,
                 };
                 let message = Message::accepted(
                     *idempotency,
--- a/crates/mqtt-triggers/src/ledger/record.rs
+++ b/crates/mqtt-triggers/src/ledger/record.rs
@@ -57,7 +57,8 @@
     Unknown,
     /// The message can never become an invocation, or it was delivered too often without coming to an end; nothing has
     /// run for it.
-    SetAside {
+    #[serde(rename = "setAside")]
+    DeadLettered {
         /// The reason, for the publisher and the operator.
         #[serde(rename = "why")]
         reason: String,
@@ -65,8 +66,8 @@
 }
 
 impl Answer {
-    pub(super) fn is_set_aside(&self) -> bool {
-        matches!(self, Answer::SetAside { .. })
+    pub(super) fn is_dead_lettered(&self) -> bool {
+        matches!(self, Answer::DeadLettered { .. })
     }
 }
 
@@ -152,9 +153,11 @@
         #[serde(rename = "effect")]
         idempotency: Idempotency,
         /// The packet identifier of its delivery; `None` with QoS 0.
-        packet: Option<u16>,
+        #[serde(rename = "packet")]
+        packet_id: Option<u16>,
         /// Whether the delivery has QoS 2, with which the broker says what it has received.
-        confirms: bool,
+        #[serde(rename = "confirms")]
+        is_qos2: bool,
         /// How often the message has been delivered.
         #[serde(rename = "times")]
         delivery_count: u32,
--- a/crates/mqtt-triggers/src/ledger/recovery.rs
+++ b/crates/mqtt-triggers/src/ledger/recovery.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Redelivery<'a> {
     /// Its packet identifier.
-    pub packet: u16,
+    pub packet_id: u16,
     /// Its topic.
     pub topic: &'a str,
     /// Its payload.
@@ -16,7 +16,7 @@
 
 impl Redelivery<'_> {
     fn is_of(&self, message: &Message) -> bool {
-        message.packet == Some(self.packet)
+        message.packet_id == Some(self.packet_id)
             && message.stored.topic == self.topic
             && message.stored.payload == *self.payload
     }
@@ -50,10 +50,10 @@
             let Some(message) = self.messages.get_mut(&message_id) else {
                 continue;
             };
-            let is_repeated = message.packet.is_none()
+            let is_repeated = message.packet_id.is_none()
                 || redelivered.iter().any(|delivery| delivery.is_of(message));
             let was_acknowledged = session_present && !is_repeated && message.is_persisted;
-            if was_acknowledged && message.confirms {
+            if was_acknowledged && message.is_qos2 {
                 continue;
             }
             if was_acknowledged && !reassigns_unacknowledged {
@@ -71,9 +71,9 @@
         let Some(message) = self.messages.remove(&message_id) else {
             return vec![];
         };
-        if let Some(packet) = message.packet {
+        if let Some(packet_id) = message.packet_id {
             self.redelivered_messages.insert(
-                packet,
+                packet_id,
                 RedeliveredMessage {
                     topic: message.stored.topic.clone(),
                     delivery_count: message.delivery_count,
@@ -103,11 +103,11 @@
     /// yet that it has received the acknowledgement.
     pub fn unconfirmed(&self) -> impl Iterator<Item = (u64, u16)> {
         let waits =
-            |message: &&Message| message.is_persisted && message.confirms && !message.is_owned;
+            |message: &&Message| message.is_persisted && message.is_qos2 && !message.is_owned;
         self.messages
             .iter()
             .filter(move |(_, message)| waits(message))
-            .filter_map(|(&message_id, message)| Some((message_id, message.packet?)))
+            .filter_map(|(&message_id, message)| Some((message_id, message.packet_id?)))
     }
 
     /// Restores the ledger of a front end that crashed from the records of its journal. The actions have to be
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use consumer::Consumer;
 pub use pattern::Pattern;
-pub use rules::{Poison, Rules};
+pub use rules::{PoisonReason, Rules};
 pub use settings::{TriggerSettings, read};
--- a/crates/mqtt-triggers/src/pattern.rs
+++ b/crates/mqtt-triggers/src/pattern.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
+enum Level {
     Text(String),
-    Name(String),
-    Rest(String),
+    Placeholder(String),
+    RestPlaceholder(String),
 }
 
 /// What a topic has at each name of a pattern.
@@ -17,75 +17,78 @@
 /// A topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
-    levels: Vec<Part>,
+    levels: Vec<Level>,
 }
 
 /// Why a text is no topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
+pub enum PatternError {
     /// This level has a brace and is no name in braces.
     #[error(
         "the level '{0}': a name in braces has to be a whole level, of letters, digits and '_'"
     )]
-    Braces(String),
+    InvalidPlaceholder(String),
     /// This name is given twice.
     #[error("the name '{0}' is given twice")]
-    Twice(String),
+    DuplicatePlaceholder(String),
     /// A level that stands for all that follow is not the last one.
     #[error("only the last level can stand for all that follow")]
-    Rest,
+    RestNotLast,
     /// No topic can match it, for this reason.
     #[error("no topic: {0}")]
-    Topic(String),
+    InvalidFilter(String),
 }
 
 impl Pattern {
     /// Parses a pattern.
-    pub fn parse(text: &str) -> Result<Pattern, Invalid> {
-        let mut levels: Vec<Part> = vec![];
+    pub fn parse(text: &str) -> Result<Pattern, PatternError> {
+        let mut levels: Vec<Level> = vec![];
         for level in text.split('/') {
             let braced = level.strip_prefix('{').and_then(|l| l.strip_suffix('}'));
             let part = match braced {
-                None if level.contains(['{', '}']) => return Err(Invalid::Braces(level.into())),
+                None if level.contains(['{', '}']) => {
+                    return Err(PatternError::InvalidPlaceholder(level.into()));
+                }
                 None if level.contains(['+', '#']) => {
-                    return Err(Invalid::Topic(
+                    return Err(PatternError::InvalidFilter(
                         "wildcards are written as names in braces".into(),
                     ));
                 }
-                None => Part::Text(level.into()),
+                None => Level::Text(level.into()),
                 Some(inner) => {
                     let name = inner.strip_suffix("...").unwrap_or(inner);
                     if name.is_empty()
                         || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
                     {
-                        return Err(Invalid::Braces(level.into()));
+                        return Err(PatternError::InvalidPlaceholder(level.into()));
                     }
-                    let known = |p: &Part| matches!(p, Part::Name(n) | Part::Rest(n) if n == name);
+                    let known = |p: &Level| matches!(p, Level::Placeholder(n) | Level::RestPlaceholder(n) if n == name);
                     if levels.iter().any(known) {
-                        return Err(Invalid::Twice(name.into()));
+                        return Err(PatternError::DuplicatePlaceholder(name.into()));
                     }
                     if name.len() < inner.len() {
-                        Part::Rest(name.into())
+                        Level::RestPlaceholder(name.into())
                     } else {
-                        Part::Name(name.into())
+                        Level::Placeholder(name.into())
                     }
                 }
             };
-            if matches!(levels.last(), Some(Part::Rest(_))) {
-                return Err(Invalid::Rest);
+            if matches!(levels.last(), Some(Level::RestPlaceholder(_))) {
+                return Err(PatternError::RestNotLast);
             }
             levels.push(part);
         }
         let pattern = Pattern { levels };
-        Filter::parse(&pattern.filter_text()).map_err(|e| Invalid::Topic(e.to_string()))?;
+        Filter::parse(&pattern.filter_text())
+            .map_err(|e| PatternError::InvalidFilter(e.to_string()))?;
         Ok(pattern)
     }
 
     fn filter_text(&self) -> String {
-        let level = |p: &Part| match p {
-            Part::Text(text) => text.clone(),
-            Part::Name(_) => "+".into(),
-            Part::Rest(_) => "#".into(),
+        let level = |p: &Level| match p {
+            Level::Text(text) => text.clone(),
+            Level::Placeholder(_) => "+".into(),
+            Level::RestPlaceholder(_) => "#".into(),
         };
         self.levels
             .iter()
@@ -100,10 +103,10 @@
     }
 
     /// The names in their order.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    pub fn placeholders(&self) -> impl Iterator<Item = &str> {
         self.levels.iter().filter_map(|p| match p {
-            Part::Name(n) | Part::Rest(n) => Some(n.as_str()),
-            Part::Text(_) => None,
+            Level::Placeholder(n) | Level::RestPlaceholder(n) => Some(n.as_str()),
+            Level::Text(_) => None,
         })
     }
 
@@ -111,7 +114,7 @@
     pub fn captures(&self, topic: &str) -> Option<Captures> {
         let found = self.filter().captures(topic)?;
         Some(
-            self.names()
+            self.placeholders()
                 .map(str::to_owned)
                 .zip(found.into_iter().map(str::to_owned))
                 .collect(),
@@ -119,12 +122,14 @@
     }
 
     /// The topic with these in place of the names; `None` where one is missing.
-    pub fn filled(&self, captures: &Captures) -> Option<String> {
+    pub fn fill(&self, captures: &Captures) -> Option<String> {
         let mut levels = vec![];
         for part in &self.levels {
             levels.push(match part {
-                Part::Text(text) => text.as_str(),
-                Part::Name(name) | Part::Rest(name) => captures.get(name)?.as_str(),
+                Level::Text(text) => text.as_str(),
+                Level::Placeholder(name) | Level::RestPlaceholder(name) => {
+                    captures.get(name)?.as_str()
+                }
             });
         }
         Some(levels.join("/"))
--- a/crates/mqtt-triggers/src/rules/mod.rs
+++ b/crates/mqtt-triggers/src/rules/mod.rs
@@ -3,7 +3,7 @@
 mod parse;
 mod poison;
 
-pub use poison::Poison;
+pub use poison::PoisonReason;
 
 use crate::ledger::Reply;
 use crate::pattern::{Captures, Pattern};
@@ -84,11 +84,11 @@
     /// Messages of one key are taken in their order. Without a key no order is kept.
     key: Option<Value>,
     /// Seconds within which a message has to be answered, unless it expires earlier.
-    pub time_left: f64,
+    pub timeout: f64,
     /// What a payload has to be.
     pub payload_format: PayloadFormat,
     /// The greatest length of a payload in bytes.
-    pub most_bytes: usize,
+    pub max_payload_bytes: usize,
     /// Where the answer goes.
     pub reply_to: ReplyTo,
     /// The quality of service of the subscription.
@@ -100,7 +100,7 @@
 
 /// A message as an invocation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct Invocation {
     /// The index of the rule.
     pub rule: usize,
     /// The name of the function.
@@ -112,9 +112,9 @@
     /// Messages of one key are taken in their order.
     pub key: Option<String>,
     /// Seconds within which the message has to be answered, from its delivery on.
-    pub time_left: f64,
+    pub timeout: f64,
     /// Where the answer goes; `None` where nobody wants one.
-    pub answer: Option<Reply>,
+    pub reply: Option<Reply>,
     /// The name of the invocation, in logs too. A message that is delivered again has the same.
     pub name: String,
     /// The idempotency token.
@@ -171,8 +171,12 @@
     }
 
     /// The invocation that a message becomes, or why it can never become one.
-    pub fn call(&self, deployment: &Deployment, delivery: &Delivery) -> Result<Call, Poison> {
-        let found = self.find(&delivery.topic).ok_or(Poison::NoRule)?;
+    pub fn invocation(
+        &self,
+        deployment: &Deployment,
+        delivery: &Delivery,
+    ) -> Result<Invocation, PoisonReason> {
+        let found = self.find(&delivery.topic).ok_or(PoisonReason::NoRule)?;
         let Match {
             index,
             rule,
@@ -181,21 +185,21 @@
         rule.check_payload(&delivery.payload)?;
         let function = rule.function.of(captures).to_owned();
         if deployment.function(&function).is_none() {
-            return Err(Poison::UnknownFunction(function));
+            return Err(PoisonReason::UnknownFunction(function));
         }
         let customer = rule.customer.of(captures).to_owned();
         if !deployment.customers.is_empty() && !deployment.customers.contains(&customer) {
-            return Err(Poison::UnknownCustomer(customer));
+            return Err(PoisonReason::UnknownCustomer(customer));
         }
         let sent_at = rule.sent_at(delivery)?;
-        Ok(Call {
+        Ok(Invocation {
             rule: *index,
             function,
             trigger_type: rule.trigger_type,
             customer,
             key: rule.key.as_ref().map(|key| key.of(captures).to_owned()),
-            time_left: expiry(delivery).map_or(rule.time_left, |expiry| expiry.min(rule.time_left)),
-            answer: self.reply_to(&found, delivery)?,
+            timeout: expiry(delivery).map_or(rule.timeout, |expiry| expiry.min(rule.timeout)),
+            reply: self.reply_to(&found, delivery)?,
             name: Rules::name(delivery),
             token: token(delivery, rule.token.as_ref()),
             sent_at,
@@ -203,17 +207,17 @@
         })
     }
 
-    fn reply_to(&self, found: &Match, delivery: &Delivery) -> Result<Option<Reply>, Poison> {
+    fn reply_to(&self, found: &Match, delivery: &Delivery) -> Result<Option<Reply>, PoisonReason> {
         let topic = match &found.rule.reply_to {
             ReplyTo::Nowhere => return Ok(None),
-            ReplyTo::Topic(pattern) => pattern.filled(&found.captures),
+            ReplyTo::Topic(pattern) => pattern.fill(&found.captures),
             ReplyTo::ResponseTopic => response_topic(delivery),
         };
         let topic = topic
             .filter(|topic| check_topic(topic).is_ok())
-            .ok_or(Poison::NoResponseTopic)?;
+            .ok_or(PoisonReason::NoResponseTopic)?;
         if self.is_trigger(&topic) {
-            return Err(Poison::Loop(topic));
+            return Err(PoisonReason::Loop(topic));
         }
         let correlation = correlation_data(delivery).cloned().unwrap_or_default();
         Ok(Some(Reply { topic, correlation }))
@@ -221,28 +225,28 @@
 }
 
 impl Rule {
-    fn check_payload(&self, payload: &Bytes) -> Result<(), Poison> {
-        if payload.len() > self.most_bytes {
-            return Err(Poison::TooLong {
+    fn check_payload(&self, payload: &Bytes) -> Result<(), PoisonReason> {
+        if payload.len() > self.max_payload_bytes {
+            return Err(PoisonReason::TooLong {
                 bytes: payload.len(),
-                most: self.most_bytes,
+                max: self.max_payload_bytes,
             });
         }
         match self.payload_format {
             PayloadFormat::Bytes => {}
             PayloadFormat::Text => {
-                std::str::from_utf8(payload).map_err(|_| Poison::NotText)?;
+                std::str::from_utf8(payload).map_err(|_| PoisonReason::NotText)?;
             }
             PayloadFormat::Json => {
                 serde_json::from_slice::<serde::de::IgnoredAny>(payload)
-                    .map_err(|error| Poison::NotJson(error.to_string()))?;
+                    .map_err(|error| PoisonReason::NotJson(error.to_string()))?;
             }
         }
         Ok(())
     }
 
     /// When a message was sent, in seconds since 1970, where it says so.
-    fn sent_at(&self, delivery: &Delivery) -> Result<Option<f64>, Poison> {
+    fn sent_at(&self, delivery: &Delivery) -> Result<Option<f64>, PoisonReason> {
         let stated = self
             .sent_at
             .as_ref()
@@ -250,7 +254,7 @@
         let Some(text) = stated else { return Ok(None) };
         match text.parse::<u64>() {
             Ok(milliseconds) => Ok(Some(milliseconds as f64 / 1e3)),
-            Err(_) => Err(Poison::SentAt(text.to_owned())),
+            Err(_) => Err(PoisonReason::SentAt(text.to_owned())),
         }
     }
 }
--- a/crates/mqtt-triggers/src/rules/parse.rs
+++ b/crates/mqtt-triggers/src/rules/parse.rs
@@ -10,9 +10,9 @@
 use orchidtally_mqtt::packet::Qos;
 
 /// The time in seconds that messages of an unknown trigger type have: the rule is refused anyway.
-const DEFAULT_TIMEOUT: f64 = 3_600.0;
+const FALLBACK_TIMEOUT: f64 = 3_600.0;
 /// The shortest time in seconds within which messages may have to be answered.
-const MIN_TIME_LEFT: f64 = 0.001;
+const MIN_TIMEOUT: f64 = 0.001;
 
 const KEYS: [&str; 12] = [
     "topic",
@@ -97,12 +97,15 @@
         let function = self.value(&fields.at("function"), &is_function, "function");
         let customer = self.customer();
         let key = fields.optional("key", |place| self.value(place, &|_| true, "key"));
-        let timeout = trigger_type.map_or(DEFAULT_TIMEOUT, |t| {
+        let client_timeout = trigger_type.map_or(FALLBACK_TIMEOUT, |t| {
             self.deployment.policy.trigger_types[t].client_timeout
         });
-        let time_left = fields.optional("timeLeft", |place| place.seconds(MIN_TIME_LEFT..=timeout));
+        let timeout = fields.optional("timeLeft", |place| {
+            place.seconds(MIN_TIMEOUT..=client_timeout)
+        });
         let body_bytes = self.deployment.limits.max_body_bytes;
-        let most_bytes = fields.optional("maxBytes", |place| place.bytes(1.0..=body_bytes as f64));
+        let max_payload_bytes =
+            fields.optional("maxBytes", |place| place.bytes(1.0..=body_bytes as f64));
         let qos = fields.optional("qos", |place| Qos::from_bits(place.integer(0..=2)? as u8));
         Some(Rule {
             payload_format: self.payload_format(),
@@ -113,8 +116,8 @@
             trigger_type: trigger_type?,
             customer: customer?,
             key,
-            time_left: time_left.unwrap_or(timeout),
-            most_bytes: most_bytes.map_or(body_bytes, |bytes| bytes as usize),
+            timeout: timeout.unwrap_or(client_timeout),
+            max_payload_bytes: max_payload_bytes.map_or(body_bytes, |bytes| bytes as usize),
             reply_to: reply_to?,
             qos: qos.unwrap_or(Qos::ExactlyOnce),
         })
@@ -148,7 +151,7 @@
                 let pattern =
                     place.parsed("a topic pattern, 'response' or 'none'", Pattern::parse)?;
                 pattern
-                    .names()
+                    .placeholders()
                     .for_each(|name| self.check_captured(&place, name));
                 Some(ReplyTo::Topic(pattern))
             }
@@ -204,7 +207,7 @@
         if self
             .topic
             .as_ref()
-            .is_some_and(|topic| !topic.names().any(|known| known == name))
+            .is_some_and(|topic| !topic.placeholders().any(|known| known == name))
         {
             place.fault(format!("the topic gives no '{name}'"));
         }
--- a/crates/mqtt-triggers/src/rules/poison.rs
+++ b/crates/mqtt-triggers/src/rules/poison.rs
@@ -2,17 +2,17 @@
 
 /// Why a message can never become an invocation. It is set aside with this reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Poison {
+pub enum PoisonReason {
     /// No rule is for its topic.
     #[error("no trigger is for its topic")]
     NoRule,
     /// The payload is longer than the rule allows.
-    #[error("a payload of {bytes} bytes, {most} at most")]
+    #[error("a payload of {bytes} bytes, {max} at most")]
     TooLong {
         /// The length of the payload in bytes.
         bytes: usize,
         /// The greatest length in bytes.
-        most: usize,
+        max: usize,
     },
     /// The payload has to be a text and is not.
     #[error("the payload is not UTF-8")]
--- a/crates/mqtt-triggers/src/settings.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -250,15 +250,11 @@
     let margin = fields
         .optional("answerMargin", |p| p.seconds(0.001..=60.0))
         .unwrap_or(default::ANSWER_MARGIN);
-    if let Some(rule) = rules
-        .list
-        .iter()
-        .find(|rule| rule.time_left <= 2.0 * margin)
-    {
+    if let Some(rule) = rules.list.iter().find(|rule| rule.timeout <= 2.0 * margin) {
         let what = format!(
             "leaves no time: '{}' has {} s",
             rule.topic.filter(),
-            rule.time_left
+            rule.timeout
         );
         fields.at("answerMargin").fault(what);
     }
--- a/crates/mqtt-triggers/tests/admission.rs
+++ b/crates/mqtt-triggers/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission against a plain queue under more than can be served, and its promises under drawn courses.
 
-use orchidtally_mqtt_triggers::admission::{AdmissionQueue, Decision, Waiting};
+use orchidtally_mqtt_triggers::admission::{AdmissionQueue, Decision, WaitingMessage};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -22,7 +22,7 @@
                 0..=1 => {
                     n += 1;
                     let key = (key > 0).then(|| key.to_string());
-                    let m = Waiting { trigger_type: (n % 2) as usize, value: time, until: now + time, key: key.clone() };
+                    let m = WaitingMessage { trigger_type: (n % 2) as usize, value: time, deadline: now + time, key: key.clone() };
                     if a.enqueue(n, m) {
                         offered.push(n);
                         keys.extend(key.map(|k| (n, k)));
@@ -67,9 +67,9 @@
     const SERVERS: usize = 4;
     const TIME: f64 = 0.1;
     let mut admission = AdmissionQueue::new(2, SERVERS, 60);
-    let mut broker: VecDeque<(u64, Waiting)> = VecDeque::new();
+    let mut broker: VecDeque<(u64, WaitingMessage)> = VecDeque::new();
     let mut plain: VecDeque<u64> = VecDeque::new();
-    let mut messages: BTreeMap<u64, Waiting> = BTreeMap::new();
+    let mut messages: BTreeMap<u64, WaitingMessage> = BTreeMap::new();
     let mut flying: Vec<(f64, u64)> = vec![];
     let (mut earned, mut n, mut seed) = (0.0, 0, 7u64);
     for step in 0..30_000 {
@@ -78,7 +78,7 @@
             if at > now {
                 return true;
             }
-            earned += if at <= messages[&n].until {
+            earned += if at <= messages[&n].deadline {
                 messages[&n].value
             } else {
                 0.0
@@ -93,10 +93,10 @@
             n += 1;
             let dear = n % 5 == 0;
             let value = if dear { 5.0 } else { 1.0 };
-            let m = Waiting {
+            let m = WaitingMessage {
                 trigger_type: usize::from(dear),
                 value,
-                until: now + 1.0,
+                deadline: now + 1.0,
                 key: None,
             };
             messages.insert(n, m.clone());
@@ -144,10 +144,10 @@
             n += 1;
             a.enqueue(
                 n,
-                Waiting {
+                WaitingMessage {
                     trigger_type: 0,
                     value: 1.0,
-                    until: now + 60.0,
+                    deadline: now + 60.0,
                     key: None,
                 },
             );
--- a/crates/mqtt-triggers/tests/ledger_model/state.rs
+++ b/crates/mqtt-triggers/tests/ledger_model/state.rs
@@ -147,8 +147,8 @@
             message_id,
             shape.effect,
             DeliveryId {
-                packet: Some(message as u16 + 1),
-                confirms: shape.qos2,
+                packet_id: Some(message as u16 + 1),
+                is_qos2: shape.qos2,
             },
             stored_message(message),
             None,
@@ -249,7 +249,7 @@
                 fe.tasks.push_back(Task::Completed(message_id));
                 vec![]
             }
-            Task::Action(Action::SetAside(_) | Action::Cancel(_)) => vec![],
+            Task::Action(Action::PublishDeadLetter(_) | Action::Cancel(_)) => vec![],
             Task::Confirmed(message_id) => ledger.confirmed(message_id),
             Task::InvocationEnded(message_id) => ledger.invocation_ended(
                 message_id,
@@ -311,7 +311,7 @@
             .iter()
             .zip(&topics)
             .map(|(&message, topic)| Redelivery {
-                packet: message as u16 + 1,
+                packet_id: message as u16 + 1,
                 topic,
                 payload: &empty,
             })
--- a/crates/mqtt-triggers/tests/rules.rs
+++ b/crates/mqtt-triggers/tests/rules.rs
@@ -5,7 +5,7 @@
 use orchidtally_mqtt::packet::{Property, Qos};
 use orchidtally_mqtt::session::Delivery;
 use orchidtally_mqtt_triggers::ledger::Reply;
-use orchidtally_mqtt_triggers::{Pattern, Poison, Rules};
+use orchidtally_mqtt_triggers::{Pattern, PoisonReason, Rules};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -51,31 +51,35 @@
         Property::MessageExpiry(1),
         Property::CorrelationData(data.clone()),
     ];
-    let call = rules
-        .call(&d, &message("house/9/set/mist", "{}", asked))
+    let invocation = rules
+        .invocation(&d, &message("house/9/set/mist", "{}", asked))
         .unwrap();
     assert_eq!(
-        (call.rule, call.function.as_str(), call.key.as_deref()),
+        (
+            invocation.rule,
+            invocation.function.as_str(),
+            invocation.key.as_deref()
+        ),
         (0, "mist", Some("9"))
     );
     assert_eq!(
-        (call.customer.as_str(), call.time_left),
+        (invocation.customer.as_str(), invocation.timeout),
         ("rose", 1.0),
         "the lesser of expiry and the rule's time"
     );
     assert_eq!(
-        call.answer,
+        invocation.reply,
         Some(Reply {
             topic: "house/9/done/mist".into(),
             correlation: data
         })
     );
     let response = |topic: &str| vec![Property::ResponseTopic(topic.into())];
-    let call = rules
-        .call(&d, &message("ask/rose/a/b", "x", response("me/1")))
+    let invocation = rules
+        .invocation(&d, &message("ask/rose/a/b", "x", response("me/1")))
         .unwrap();
     assert_eq!(
-        (call.answer, call.time_left),
+        (invocation.reply, invocation.timeout),
         (
             Some(Reply {
                 topic: "me/1".into(),
@@ -85,40 +89,43 @@
         )
     );
     assert_eq!(
-        rules.call(&d, &message("log", "x", vec![])).unwrap().answer,
+        rules
+            .invocation(&d, &message("log", "x", vec![]))
+            .unwrap()
+            .reply,
         None
     );
     for (m, expected) in [
-        (message("other", "", vec![]), Poison::NoRule),
+        (message("other", "", vec![]), PoisonReason::NoRule),
         (
             message(
                 "house/9/set/mist",
                 &format!("\"{}\"", "a".repeat(70)),
                 vec![],
             ),
-            Poison::TooLong {
-                bytes: 72,
-                most: 64,
-            },
+            PoisonReason::TooLong { bytes: 72, max: 64 },
         ),
         (
             message("house/9/set/nothing", "{}", vec![]),
-            Poison::UnknownFunction("nothing".into()),
+            PoisonReason::UnknownFunction("nothing".into()),
         ),
         (
             message("ask/tulip/a", "", response("me")),
-            Poison::UnknownCustomer("tulip".into()),
+            PoisonReason::UnknownCustomer("tulip".into()),
+        ),
+        (
+            message("ask/rose/a", "", vec![]),
+            PoisonReason::NoResponseTopic,
         ),
-        (message("ask/rose/a", "", vec![]), Poison::NoResponseTopic),
         (
             message("ask/rose/a", "", response("ask/rose/b")),
-            Poison::Loop("ask/rose/b".into()),
+            PoisonReason::Loop("ask/rose/b".into()),
         ),
     ] {
-        assert_eq!(rules.call(&d, &m), Err(expected));
+        assert_eq!(rules.invocation(&d, &m), Err(expected));
     }
     let broken = rules
-        .call(&d, &message("house/9/set/mist", "{", vec![]))
+        .invocation(&d, &message("house/9/set/mist", "{", vec![]))
         .unwrap_err();
     assert!(
         broken
@@ -175,7 +182,7 @@
     #[test]
     fn no_section_and_no_message_is_too_odd(
         topic in "[a-c{}/+#$.]{0,12}", answer in "[a-c{}/+#]{0,8}", given in "[a-z/\u{0}]{0,8}", qos in 0u8..4,
-        payload in proptest::collection::vec(any::<u8>(), 0..20), sent in "[0-9]{0,25}", names in proptest::collection::vec(("[a-z-]{0,24}", "[ -~]{0,9}"), 0..4),
+        payload in proptest::collection::vec(any::<u8>(), 0..20), sent in "[0-9]{0,25}", user_properties in proptest::collection::vec(("[a-z-]{0,24}", "[ -~]{0,9}"), 0..4),
     ) {
         let text = format!(
             r#"{{ triggerTypes: [{{ name: "t", effect: "tokened", group: "all", window: "9s", objective: "1s", timeout: "5s" }}],
@@ -187,14 +194,14 @@
             Err(faults) => prop_assert!(!faults.is_empty() && faults.iter().all(|f| f.key.starts_with("mqtt"))),
             Ok((d, section)) => {
                 let rules = section.unwrap().rules;
-                let mut properties: Vec<Property> = names.into_iter().map(|(k, v)| Property::User(k, v)).collect();
+                let mut properties: Vec<Property> = user_properties.into_iter().map(|(k, v)| Property::User(k, v)).collect();
                 properties.push(Property::User("sent".into(), sent));
                 let m = Delivery { payload: payload.into(), ..message(&given, "", properties) };
-                if let Ok(call) = rules.call(&d, &m) {
-                    prop_assert!(rules.list[call.rule].topic.filter().matches(&given));
-                    prop_assert!(call.answer.is_none_or(|a| !rules.list[0].topic.filter().matches(&a.topic)));
-                    prop_assert!(serde_json::from_slice::<serde_json::Value>(&call.payload).is_ok());
-                    prop_assert_eq!(call.token, rules.call(&d, &m).unwrap().token);
+                if let Ok(invocation) = rules.invocation(&d, &m) {
+                    prop_assert!(rules.list[invocation.rule].topic.filter().matches(&given));
+                    prop_assert!(invocation.reply.is_none_or(|a| !rules.list[0].topic.filter().matches(&a.topic)));
+                    prop_assert!(serde_json::from_slice::<serde_json::Value>(&invocation.payload).is_ok());
+                    prop_assert_eq!(invocation.token, rules.invocation(&d, &m).unwrap().token);
                 }
             }
         }
@@ -220,7 +227,7 @@
             return Ok(());
         };
         if let Some(captures) = parsed.captures(&topic) {
-            prop_assert_eq!(parsed.filled(&captures).unwrap(), topic);
+            prop_assert_eq!(parsed.fill(&captures).unwrap(), topic);
         } else {
             prop_assert!(topic.is_empty(), "{} does not match {}", pattern, topic);
         }
--- a/crates/mqtt-triggers/tests/stored_formats.rs
+++ b/crates/mqtt-triggers/tests/stored_formats.rs
@@ -57,8 +57,8 @@
     let ledger::Record::Accepted {
         message_id: n,
         idempotency: effect,
-        packet,
-        confirms,
+        packet_id,
+        is_qos2,
         delivery_count: times,
         stored: held,
         answer,
@@ -67,7 +67,7 @@
         panic!("{:?}", records[0]);
     };
     assert_eq!(
-        (*n, *effect, *packet, *confirms, *times),
+        (*n, *effect, *packet_id, *is_qos2, *times),
         (1, Idempotency::Idempotent, Some(7), true, 1)
     );
     assert_eq!(
@@ -127,7 +127,7 @@
             may_have_run: true,
         },
         Answer::Unknown,
-        Answer::SetAside {
+        Answer::DeadLettered {
             reason: "taken too often".into(),
         },
     ];
