--- a/crates/mqtt-triggers/src/consumer/actions.rs
+++ b/crates/mqtt-triggers/src/consumer/actions.rs
@@ -56,7 +56,7 @@
             Action::PublishDeadLetter(message_id) => {
                 return self.publish_dead_letter(now, message_id);
             }
-            Action::ReserveReplyId(message_id) => match self.session.reserve() {
+            Action::ReserveReplyId(message_id) => match self.session.reserve_packet_id() {
                 Some(id) => return self.ledger.reply_id_reserved(message_id, id),
                 None => self.waiting_for_reply_id.push_back(message_id),
             },
@@ -131,7 +131,7 @@
             let encoded = encode_reply(self.version, message, answer);
             let (payload, properties) = (encoded.payload, encoded.properties);
             self.session
-                .publish_as(now, id, is_republished, &reply.topic, payload, properties)
+                .publish_with_id(now, id, is_republished, &reply.topic, payload, properties)
                 .ok()
         });
         match token {
--- a/crates/mqtt-triggers/src/settings.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -306,11 +306,11 @@
             session_expiry: self.session_expiry,
             receive_maximum: self.receive_maximum,
             max_packet_size: self.max_packet_size,
-            topic_aliases: 64,
+            topic_alias_maximum: 64,
             will: None,
-            filters: filters.into_values().collect(),
-            most_waiting: self.max_held_messages(),
-            confirms: true,
+            subscriptions: filters.into_values().collect(),
+            max_queued_publishes: self.max_held_messages(),
+            requests_confirmation: true,
         }
     }
 }
--- a/crates/mqtt/src/codec/decode.rs
+++ b/crates/mqtt/src/codec/decode.rs
@@ -34,7 +34,7 @@
     if header.packet_length > max_length {
         return Err(CodecError::TooLarge {
             length: header.packet_length,
-            most: max_length,
+            max_length,
         });
     }
     check_flags(&header)?;
--- a/crates/mqtt/src/codec/encode.rs
+++ b/crates/mqtt/src/codec/encode.rs
@@ -19,7 +19,7 @@
     if body.len() > MAX_REMAINING_LENGTH {
         return Err(CodecError::TooLarge {
             length: body.len(),
-            most: MAX_REMAINING_LENGTH,
+            max_length: MAX_REMAINING_LENGTH,
         });
     }
     let mut bytes = Vec::with_capacity(body.len() + MAX_HEADER_LENGTH);
--- a/crates/mqtt/src/codec/mod.rs
+++ b/crates/mqtt/src/codec/mod.rs
@@ -87,12 +87,12 @@
     #[error("malformed packet: {0}")]
     Malformed(&'static str),
     /// The packet is longer than is accepted.
-    #[error("a packet of {length} bytes, {most} at most")]
+    #[error("a packet of {length} bytes, {max_length} at most")]
     TooLarge {
         /// The packet's length in bytes.
         length: usize,
         /// The greatest length in bytes that is accepted.
-        most: usize,
+        max_length: usize,
     },
     /// The protocol version is neither 3.1.1 nor 5.
     #[error("protocol version {0}, 4 (3.1.1) or 5 is spoken")]
--- a/crates/mqtt/src/filter.rs
+++ b/crates/mqtt/src/filter.rs
@@ -15,7 +15,7 @@
 
 /// Why a topic name or a topic filter is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
+pub enum FilterError {
     /// It is empty.
     #[error("it is empty")]
     Empty,
@@ -24,29 +24,29 @@
     TooLong,
     /// It contains U+0000.
     #[error("it has the character U+0000")]
-    Null,
+    NulCharacter,
     /// `#` has to stand for all levels from the last on, `+` for a whole level; a topic name has neither.
     #[error("'+' has to stand for a whole level and '#' for all levels from the last on")]
     Wildcard,
     /// A shared subscription has to be `$share/GROUP/FILTER`, the group without wildcards.
     #[error("'$share/GROUP/FILTER' is wanted, the group without '+', '#' and '/'")]
-    Share,
+    SharedSubscription,
 }
 
-fn check(text: &str) -> Result<(), Invalid> {
+fn check(text: &str) -> Result<(), FilterError> {
     match text {
-        "" => Err(Invalid::Empty),
-        t if t.len() > MAX_LENGTH => Err(Invalid::TooLong),
-        t if t.contains('\0') => Err(Invalid::Null),
+        "" => Err(FilterError::Empty),
+        t if t.len() > MAX_LENGTH => Err(FilterError::TooLong),
+        t if t.contains('\0') => Err(FilterError::NulCharacter),
         _ => Ok(()),
     }
 }
 
 /// Checks that a message can be published to a topic.
-pub fn check_topic(topic: &str) -> Result<(), Invalid> {
+pub fn check_topic(topic: &str) -> Result<(), FilterError> {
     check(topic)?;
     if topic.contains(['+', '#']) {
-        Err(Invalid::Wildcard)
+        Err(FilterError::Wildcard)
     } else {
         Ok(())
     }
@@ -54,13 +54,15 @@
 
 impl Filter {
     /// Parses a filter as it stands in a SUBSCRIBE.
-    pub fn parse(text: &str) -> Result<Filter, Invalid> {
+    pub fn parse(text: &str) -> Result<Filter, FilterError> {
         check(text)?;
         let mut start = 0;
         if let Some(rest) = text.strip_prefix("$share/") {
-            let (group, filter) = rest.split_once('/').ok_or(Invalid::Share)?;
+            let (group, filter) = rest
+                .split_once('/')
+                .ok_or(FilterError::SharedSubscription)?;
             if group.is_empty() || group.contains(['+', '#']) || filter.is_empty() {
-                return Err(Invalid::Share);
+                return Err(FilterError::SharedSubscription);
             }
             start = text.len() - filter.len();
         }
@@ -69,7 +71,7 @@
             let last = n + 1 == levels.len();
             let alone = level.len() == 1;
             if level.contains('+') && !alone || level.contains('#') && !(alone && last) {
-                return Err(Invalid::Wildcard);
+                return Err(FilterError::Wildcard);
             }
         }
         Ok(Filter {
--- a/crates/mqtt/src/session/deadlines.rs
+++ b/crates/mqtt/src/session/deadlines.rs
@@ -20,7 +20,7 @@
 
 /// A SUBSCRIBE that the server has not answered yet.
 #[derive(Clone, Debug)]
-pub(super) struct Subscribing {
+pub(super) struct PendingSubscribe {
     pub(super) id: u16,
     pub(super) sent_at: f64,
 }
@@ -29,7 +29,8 @@
     /// Has the server confirm what was acknowledged by PUBACK. A server processes a connection's packets in order:
     /// its answer to a ping confirms what was acknowledged before that.
     pub(super) fn request_confirmation(&mut self, now: f64) {
-        if self.options.confirms && self.ping.is_none() && !self.unconfirmed.is_empty() {
+        if self.options.requests_confirmation && self.ping.is_none() && !self.unconfirmed.is_empty()
+        {
             self.send_ping(now, false);
         }
     }
@@ -69,7 +70,7 @@
             ConnectionState::Connected => f64::INFINITY,
         };
         let subscribed_by = self
-            .subscribing
+            .pending_subscribe
             .as_ref()
             .map_or(f64::INFINITY, |request| request.sent_at + REQUEST_TIMEOUT);
         let ping_at = match &self.ping {
@@ -97,7 +98,7 @@
         let is_late = |sent_at: f64| now >= sent_at + REQUEST_TIMEOUT;
         let is_silent = matches!(self.state, ConnectionState::Connecting(sent_at) if is_late(sent_at))
             || self
-                .subscribing
+                .pending_subscribe
                 .as_ref()
                 .is_some_and(|request| is_late(request.sent_at))
             || self
@@ -105,7 +106,7 @@
                 .as_ref()
                 .is_some_and(|ping| now >= ping.sent_at + self.ping_timeout());
         if is_silent {
-            return Err(ConnectionError::Silent);
+            return Err(ConnectionError::Timeout);
         }
         self.send_ping(now, false);
         Ok(())
--- a/crates/mqtt/src/session/event.rs
+++ b/crates/mqtt/src/session/event.rs
@@ -46,7 +46,7 @@
     },
     /// After a connection was made: the server has sent again all that it had to send again.
     Resumed,
-    /// A message of `Session::publish_as` has been recorded by the server and waits for its release.
+    /// A message of `Session::publish_with_id` has been recorded by the server and waits for its release.
     Recorded {
         /// The token of the message.
         token: u64,
@@ -74,7 +74,7 @@
     Protocol(&'static str),
     /// The server did not answer in time.
     #[error("the server did not answer in time")]
-    Silent,
+    Timeout,
 }
 
 /// A message was not accepted for publishing: too many messages wait already, its packet identifier is in use, or
--- a/crates/mqtt/src/session/incoming.rs
+++ b/crates/mqtt/src/session/incoming.rs
@@ -109,7 +109,7 @@
                 _ => None,
             });
         let Some(alias) = alias else { return Ok(()) };
-        if alias > self.options.topic_aliases {
+        if alias > self.options.topic_alias_maximum {
             return Err(ConnectionError::Protocol("a topic alias over the maximum"));
         }
         if publish.topic.is_empty() {
@@ -149,7 +149,7 @@
     pub(super) fn released(&mut self, now: f64, pubrel: Ack) -> Vec<Event> {
         // A delivery that is not known was released before: that the answer was lost is not an error.
         let number = self.received.get(&pubrel.id).copied();
-        if !self.options.confirms || number.is_none() {
+        if !self.options.requests_confirmation || number.is_none() {
             self.received.remove(&pubrel.id);
             let is_known = number.is_some() || self.options.version == Version::V311;
             let code = if is_known {
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -13,9 +13,9 @@
 
 use crate::packet::*;
 use bytes::Bytes;
-use deadlines::{Ping, Subscribing};
+use deadlines::{PendingSubscribe, Ping};
 use incoming::Unacknowledged;
-use outgoing::{Outgoing, Waiting};
+use outgoing::{Outgoing, QueuedPublish};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The receive maximum of a server that states none.
@@ -41,17 +41,17 @@
     /// The size in bytes of the largest packet that the client accepts.
     pub max_packet_size: u32,
     /// The greatest topic alias that the client accepts; 0 for none.
-    pub topic_aliases: u16,
+    pub topic_alias_maximum: u16,
     /// The will, if there is one.
     pub will: Option<Will>,
     /// The subscriptions of the session.
-    pub filters: Vec<Subscription>,
+    pub subscriptions: Vec<Subscription>,
     /// The most messages that wait for a packet identifier or for the server's receive maximum.
-    pub most_waiting: usize,
+    pub max_queued_publishes: usize,
     /// Whether the server is asked, by pings, to confirm the acknowledgements that it has received. If so,
     /// `Event::Confirmed` and `Event::Resumed` are reported, and the host calls `Session::complete` for each
     /// confirmed delivery of QoS 2.
-    pub confirms: bool,
+    pub requests_confirmation: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -77,7 +77,7 @@
     /// The number of those that were.
     in_flight: usize,
     /// Messages without a packet identifier.
-    waiting: VecDeque<Waiting>,
+    queued: VecDeque<QueuedPublish>,
     /// Packet identifiers that the host has reserved and not used yet.
     reserved: BTreeSet<u16>,
     last_token: u64,
@@ -92,10 +92,10 @@
     unconfirmed: Vec<u64>,
     /// Topics by topic alias, on this connection.
     aliases: BTreeMap<u16, String>,
-    subscribing: Option<Subscribing>,
+    pending_subscribe: Option<PendingSubscribe>,
     /// What the server has granted: its receive maximum, its maximum packet size and its keep alive.
     server_receive_maximum: u16,
-    server_packet_size: usize,
+    server_max_packet_size: usize,
     keep_alive: f64,
     last_sent_at: f64,
     ping: Option<Ping>,
@@ -113,7 +113,7 @@
             send_order: VecDeque::new(),
             unsent: VecDeque::new(),
             in_flight: 0,
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             reserved: BTreeSet::new(),
             last_token: 0,
             last_id: 0,
@@ -122,9 +122,9 @@
             last_delivery: 0,
             unconfirmed: vec![],
             aliases: BTreeMap::new(),
-            subscribing: None,
+            pending_subscribe: None,
             server_receive_maximum: DEFAULT_RECEIVE_MAXIMUM,
-            server_packet_size: usize::MAX,
+            server_max_packet_size: usize::MAX,
             last_sent_at: 0.0,
             ping: None,
         }
@@ -141,8 +141,8 @@
     }
 
     /// The number of messages that the server has not acknowledged.
-    pub fn unpublished(&self) -> usize {
-        self.waiting.len() + self.outgoing.len()
+    pub fn unacknowledged_publishes(&self) -> usize {
+        self.queued.len() + self.outgoing.len()
     }
 
     /// The number of deliveries that the host has not acknowledged.
@@ -168,7 +168,7 @@
             properties.push(Property::SessionExpiry(options.session_expiry));
             properties.push(Property::ReceiveMaximum(options.receive_maximum.max(1)));
             properties.push(Property::MaximumPacketSize(options.max_packet_size.max(1)));
-            properties.push(Property::TopicAliasMaximum(options.topic_aliases));
+            properties.push(Property::TopicAliasMaximum(options.topic_alias_maximum));
         }
         let connect = Connect {
             clean: options.session_expiry == 0,
@@ -192,7 +192,7 @@
         self.unacknowledged.clear();
         self.unconfirmed.clear();
         self.aliases.clear();
-        self.subscribing = None;
+        self.pending_subscribe = None;
         self.ping = None;
     }
 
@@ -235,7 +235,7 @@
                 "a session present after a clean start",
             ));
         }
-        self.note_server_limits(&ack.properties);
+        self.apply_server_limits(&ack.properties);
         self.state = ConnectionState::Connected;
         if !ack.session_present {
             // The server has forgotten which messages it has: all that it did not record are sent as new, under the
@@ -250,26 +250,26 @@
         self.outgoing
             .values_mut()
             .for_each(|message| message.sent = false);
-        if !ack.session_present && !self.options.filters.is_empty() {
+        if !ack.session_present && !self.options.subscriptions.is_empty() {
             self.subscribe(now)?;
         }
-        if self.options.confirms {
+        if self.options.requests_confirmation {
             self.send_ping(now, true);
         }
-        self.send_waiting(now);
+        self.send_queued(now);
         Ok(vec![Event::Connected {
             session_present: ack.session_present,
         }])
     }
 
-    fn note_server_limits(&mut self, properties: &Properties) {
+    fn apply_server_limits(&mut self, properties: &Properties) {
         self.server_receive_maximum = DEFAULT_RECEIVE_MAXIMUM;
-        self.server_packet_size = usize::MAX;
+        self.server_max_packet_size = usize::MAX;
         self.keep_alive = f64::from(self.options.keep_alive);
         for property in properties {
             match property {
                 Property::ReceiveMaximum(value) => self.server_receive_maximum = *value,
-                Property::MaximumPacketSize(value) => self.server_packet_size = *value as usize,
+                Property::MaximumPacketSize(value) => self.server_max_packet_size = *value as usize,
                 Property::ServerKeepAlive(value) => self.keep_alive = f64::from(*value),
                 Property::AssignedClientId(id) => self.options.client_id = id.clone(),
                 _ => {}
@@ -278,14 +278,14 @@
     }
 
     fn subscribe(&mut self, now: f64) -> Result<(), ConnectionError> {
-        let Some(id) = self.fresh_id() else {
+        let Some(id) = self.unused_id() else {
             return Err(ConnectionError::Protocol("no packet id is free"));
         };
-        self.subscribing = Some(Subscribing { id, sent_at: now });
+        self.pending_subscribe = Some(PendingSubscribe { id, sent_at: now });
         let subscribe = Subscribe {
             id,
             properties: vec![],
-            filters: self.options.filters.clone(),
+            filters: self.options.subscriptions.clone(),
         };
         self.send(now, Packet::Subscribe(subscribe));
         Ok(())
@@ -293,18 +293,18 @@
 
     fn subscribed(&mut self, codes: Codes) -> Result<Vec<Event>, ConnectionError> {
         if self
-            .subscribing
-            .take_if(|subscribing| subscribing.id == codes.id)
+            .pending_subscribe
+            .take_if(|pending_subscribe| pending_subscribe.id == codes.id)
             .is_none()
         {
             return Err(ConnectionError::Protocol("a SUBACK for nothing"));
         }
-        if codes.codes.len() != self.options.filters.len() {
+        if codes.codes.len() != self.options.subscriptions.len() {
             return Err(ConnectionError::Protocol(
                 "a SUBACK with another number of codes",
             ));
         }
-        let subscriptions = self.options.filters.iter().zip(&codes.codes);
+        let subscriptions = self.options.subscriptions.iter().zip(&codes.codes);
         let refused = subscriptions
             .filter(|(_, code)| **code >= reason_code::FAILURE)
             .map(|(subscription, code)| (subscription.filter.clone(), *code))
--- a/crates/mqtt/src/session/outgoing.rs
+++ b/crates/mqtt/src/session/outgoing.rs
@@ -9,7 +9,7 @@
 
 /// A message that has no packet identifier yet.
 #[derive(Clone, Debug)]
-pub(super) struct Waiting {
+pub(super) struct QueuedPublish {
     token: u64,
     publish: Publish,
 }
@@ -41,7 +41,7 @@
 
 impl Session {
     /// A packet identifier that nothing else has.
-    pub(super) fn fresh_id(&mut self) -> Option<u16> {
+    pub(super) fn unused_id(&mut self) -> Option<u16> {
         for _ in 0..=u16::MAX {
             self.last_id = if self.last_id == u16::MAX {
                 1
@@ -52,9 +52,9 @@
             let in_use = self.outgoing.contains_key(&id)
                 || self.reserved.contains(&id)
                 || self
-                    .subscribing
+                    .pending_subscribe
                     .as_ref()
-                    .is_some_and(|subscribing| subscribing.id == id);
+                    .is_some_and(|pending_subscribe| pending_subscribe.id == id);
             if !in_use {
                 return Some(id);
             }
@@ -62,9 +62,9 @@
         None
     }
 
-    /// Reserves a packet identifier for `publish_as`: nothing else gets it until that message has come to its end.
-    pub fn reserve(&mut self) -> Option<u16> {
-        let id = self.fresh_id()?;
+    /// Reserves a packet identifier for `publish_with_id`: nothing else gets it until that message has come to its end.
+    pub fn reserve_packet_id(&mut self) -> Option<u16> {
+        let id = self.unused_id()?;
         self.reserved.insert(id);
         Some(id)
     }
@@ -77,7 +77,7 @@
             _ => 8,
         };
         let properties: usize = properties.iter().map(length).sum();
-        topic.len() + payload.len() + properties + PUBLISH_OVERHEAD <= self.server_packet_size
+        topic.len() + payload.len() + properties + PUBLISH_OVERHEAD <= self.server_max_packet_size
     }
 
     fn supported(&self, properties: Properties) -> Properties {
@@ -97,8 +97,8 @@
         qos: Qos,
         properties: Properties,
     ) -> Result<u64, PublishRejected> {
-        let has_room = self.waiting.len() < self.options.most_waiting;
-        if !has_room || !self.fits(topic, &payload, &properties) {
+        let has_capacity = self.queued.len() < self.options.max_queued_publishes;
+        if !has_capacity || !self.fits(topic, &payload, &properties) {
             return Err(PublishRejected);
         }
         self.last_token += 1;
@@ -111,19 +111,19 @@
             payload,
             ..Publish::default()
         };
-        self.waiting.push_back(Waiting { token, publish });
-        self.send_waiting(now);
+        self.queued.push_back(QueuedPublish { token, publish });
+        self.send_queued(now);
         Ok(token)
     }
 
     /// Publishes a message with QoS 2 under a packet identifier of the host, which keeps it across a crash of the
     /// process. `again` says that it may have been published before. The server records the message, then the host
     /// releases it, then it is published.
-    pub fn publish_as(
+    pub fn publish_with_id(
         &mut self,
         now: f64,
         id: u16,
-        again: bool,
+        is_republished: bool,
         topic: &str,
         payload: Bytes,
         properties: Properties,
@@ -141,10 +141,10 @@
             payload,
             ..Publish::default()
         };
-        Ok(self.add_host_message(now, publish, again, false))
+        Ok(self.add_host_message(now, publish, is_republished, false))
     }
 
-    /// Releases a message of `publish_as` that was recorded, and returns its token. One that is not known was
+    /// Releases a message of `publish_with_id` that was recorded, and returns its token. One that is not known was
     /// published before the process crashed.
     pub fn release(&mut self, now: f64, id: u16) -> u64 {
         let Some(message) = self.outgoing.get_mut(&id) else {
@@ -185,26 +185,26 @@
         self.outgoing.insert(id, message);
         self.send_order.push_back(id);
         self.unsent.push_back(id);
-        self.send_waiting(now);
+        self.send_queued(now);
         token
     }
 
     /// Sends what waits, within the server's receive maximum: first what was sent over an earlier connection.
-    pub(super) fn send_waiting(&mut self, now: f64) {
+    pub(super) fn send_queued(&mut self, now: f64) {
         while self.is_connected() && self.in_flight < usize::from(self.server_receive_maximum) {
             if let Some(id) = self.unsent.pop_front() {
                 self.send_outgoing(now, id);
                 continue;
             }
-            let Some(Waiting { token, mut publish }) = self.waiting.pop_front() else {
+            let Some(QueuedPublish { token, mut publish }) = self.queued.pop_front() else {
                 return;
             };
             if publish.qos == Qos::AtMostOnce {
                 self.send(now, Packet::Publish(publish));
                 continue;
             }
-            let Some(id) = self.fresh_id() else {
-                self.waiting.push_front(Waiting { token, publish });
+            let Some(id) = self.unused_id() else {
+                self.queued.push_front(QueuedPublish { token, publish });
                 return;
             };
             publish.id = id;
@@ -304,7 +304,7 @@
         };
         self.send_order.retain(|&other| other != id);
         self.in_flight -= usize::from(message.sent);
-        self.send_waiting(now);
+        self.send_queued(now);
         vec![Event::Published {
             token: message.token,
             code,
--- a/crates/mqtt/tests/codec/main.rs
+++ b/crates/mqtt/tests/codec/main.rs
@@ -4,7 +4,7 @@
 mod strategies;
 
 use bytes::BytesMut;
-use orchidtally_mqtt::filter::{Invalid, check_topic};
+use orchidtally_mqtt::filter::{FilterError, check_topic};
 use orchidtally_mqtt::packet::*;
 use orchidtally_mqtt::{CodecError, Filter, decode, encode};
 use proptest::prelude::*;
@@ -209,16 +209,16 @@
     assert_eq!(shared.captures("house/7/get"), None);
     assert!(!Filter::parse("#").unwrap().matches("$SYS/uptime"));
     for (text, why) in [
-        ("", Invalid::Empty),
-        ("a/b#", Invalid::Wildcard),
-        ("#/a", Invalid::Wildcard),
-        ("a+/b", Invalid::Wildcard),
-        ("$share/x", Invalid::Share),
-        ("$share//a", Invalid::Share),
-        ("$share/x+/a", Invalid::Share),
-        ("a\0", Invalid::Null),
+        ("", FilterError::Empty),
+        ("a/b#", FilterError::Wildcard),
+        ("#/a", FilterError::Wildcard),
+        ("a+/b", FilterError::Wildcard),
+        ("$share/x", FilterError::SharedSubscription),
+        ("$share//a", FilterError::SharedSubscription),
+        ("$share/x+/a", FilterError::SharedSubscription),
+        ("a\0", FilterError::NulCharacter),
     ] {
         assert_eq!(Filter::parse(text), Err(why), "{text:?}");
     }
-    assert_eq!(check_topic("a/+"), Err(Invalid::Wildcard));
+    assert_eq!(check_topic("a/+"), Err(FilterError::Wildcard));
 }
--- a/crates/mqtt/tests/session/main.rs
+++ b/crates/mqtt/tests/session/main.rs
@@ -21,17 +21,17 @@
         session_expiry: 3_600,
         receive_maximum: 3,
         max_packet_size: 100_000,
-        topic_aliases: 2,
+        topic_alias_maximum: 2,
         will: None,
-        filters: vec![Subscription {
+        subscriptions: vec![Subscription {
             filter: "in/#".into(),
             qos: Qos::ExactlyOnce,
             no_local: false,
             retain_as_published: false,
             retain_handling: 0,
         }],
-        most_waiting: 50,
-        confirms: false,
+        max_queued_publishes: 50,
+        requests_confirmation: false,
     }
 }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    fn again(&mut self) {
+    fn is_republished(&mut self) {
         self.session.connection_lost();
         self.server.to_client.clear();
         self.session.connect(self.now);
@@ -129,7 +129,7 @@
             published: BTreeMap::new(),
             sent: BTreeMap::new(),
         };
-        p.again();
+        p.is_republished();
         let mut n = 0;
         for step in steps {
             n += 1;
@@ -139,11 +139,11 @@
                     let token = p.session.publish(p.now, "out/x", n.to_string().into(), qos, vec![]).unwrap();
                     p.sent.insert(token, (n, qos));
                 }
-                Step::Arrives(qos) => p.server.waiting.push_back((n, qos)),
+                Step::Arrives(qos) => p.server.queued.push_back((n, qos)),
                 Step::Break(up, down) => {
                     p.up(up);
                     p.down(down);
-                    p.again();
+                    p.is_republished();
                     p.held.clear();
                 }
                 Step::Work => {
@@ -168,7 +168,7 @@
                 prop_assert!(p.session.acknowledge(p.now, d.number.unwrap(), 0));
             }
         }
-        prop_assert_eq!((p.session.unpublished(), p.server.in_flight.len(), p.server.waiting.len()), (0, 0, 0));
+        prop_assert_eq!((p.session.unacknowledged_publishes(), p.server.in_flight.len(), p.server.queued.len()), (0, 0, 0));
         for (token, (n, qos)) in &p.sent {
             prop_assert_eq!(p.published.get(token), Some(&1), "each is told once");
             let times = p.server.accepted.iter().filter(|t| *t == n).count();
@@ -203,7 +203,7 @@
     s.connect(0.0);
     assert_eq!(
         (s.next_tick_at(), s.tick(10.0)),
-        (10.0, Err(ConnectionError::Silent))
+        (10.0, Err(ConnectionError::Timeout))
     );
     let mut s = connected(Version::V5);
     let answer = Packet::SubAck(Codes {
@@ -237,7 +237,7 @@
     answered.tick(8.0).unwrap();
     answered.received(8.1, Packet::PingResp).unwrap();
     assert_eq!(answered.next_tick_at(), 16.0);
-    assert_eq!(s.tick(12.0), Err(ConnectionError::Silent));
+    assert_eq!(s.tick(12.0), Err(ConnectionError::Timeout));
 }
 
 #[test]
--- a/crates/mqtt/tests/session/server.rs
+++ b/crates/mqtt/tests/session/server.rs
@@ -13,7 +13,7 @@
     pub releasing: BTreeSet<u16>,
     /// To be delivered: those in_flight by packet id, with whether they were recorded, and those that wait.
     pub in_flight: BTreeMap<u16, (u32, Qos, bool)>,
-    pub waiting: VecDeque<(u32, Qos)>,
+    pub queued: VecDeque<(u32, Qos)>,
     pub next_id: u16,
     pub to_client: VecDeque<Packet>,
 }
@@ -37,7 +37,7 @@
 
     pub fn pump(&mut self) {
         while self.in_flight.len() < 3 {
-            let Some((n, qos)) = self.waiting.pop_front() else {
+            let Some((n, qos)) = self.queued.pop_front() else {
                 return;
             };
             self.next_id += 1;
@@ -58,14 +58,14 @@
                     ..ConnAck::default()
                 }));
                 for (&id, &(n, qos, recorded)) in &self.in_flight {
-                    let again = match recorded {
+                    let is_republished = match recorded {
                         true => Packet::PubRel(Ack {
                             id,
                             ..Ack::default()
                         }),
                         false => self.publish(id, (n, qos), true),
                     };
-                    self.to_client.push_back(again);
+                    self.to_client.push_back(is_republished);
                 }
             }
             Packet::Subscribe(s) => {
