--- a/crates/mqtt-triggers/src/admission.rs
+++ b/crates/mqtt-triggers/src/admission.rs
@@ -1,43 +1,45 @@
-//! Admission: which of the messages that wait at this front end are taken next, and which can't be answered in time
-//! any more. The broker keeps the rest: what is not admitted is not acknowledged, and the receive maximum bounds it.
+//! Admission control: decides which waiting messages are invoked next, and rejects those that can no longer be
+//! answered in time. A message is not acknowledged until it is admitted, so that the receive maximum bounds the queue
+//! and the broker keeps the rest.
 //!
-//! The limit on invocations in flight grows by one for each round of answers in time and is cut where an answer is
-//! throttled (additive increase, multiplicative decrease).
+//! The limit on invocations in flight is adapted by additive increase, multiplicative decrease: it grows by one per
+//! round of successful answers and is reduced when an answer is throttled.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The weight of the newest answer in the usual time of a trigger type.
+/// The weight of the newest duration in the moving average of a trigger type.
 const SMOOTHING_FACTOR: f64 = 0.05;
-/// The part of a message's time left that an answer is assumed to take, where no answer of its trigger type is
-/// known.
+/// The fraction of a message's remaining time that its invocation is assumed to take, as long as no duration of its
+/// trigger type has been measured.
 const UNKNOWN_DURATION_FRACTION: f64 = 0.25;
-/// The factor by which a throttled answer cuts the limit, and the least limit.
+/// The factor by which a throttled answer reduces the limit.
 const DECREASE_FACTOR: f64 = 0.7;
+/// The lower bound of the limit on invocations in flight.
 const MIN_LIMIT: f64 = 1.0;
-/// What was admitted earlier than this many seconds after a cut does not cut the limit again.
+/// Throttled invocations that were admitted less than this many seconds after a decrease don't cause another one.
 const DECREASE_INTERVAL: f64 = 0.1;
-/// The least time in seconds that an answer is assumed to take.
+/// The minimum duration in seconds that an invocation is assumed to take.
 const MIN_DURATION: f64 = 1e-6;
 
-/// A message that waits.
+/// A message that waits for admission.
 #[derive(Clone, Debug)]
 pub struct WaitingMessage {
     /// The index of its trigger type.
     pub trigger_type: usize,
-    /// What an answer in time earns.
+    /// The billed value of an answer in time.
     pub value: f64,
-    /// When its publisher gives up.
+    /// When the answer has to be ready, in seconds since 1970.
     pub deadline: f64,
-    /// Messages of one key are admitted in their order, one at a time.
+    /// Messages with the same key are admitted in order and one at a time; `None` for no ordering.
     pub key: Option<String>,
 }
 
-/// What becomes of a message that waited, by its number.
+/// A decision on a waiting message, with its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is invoked.
+    /// The message is to be invoked.
     Admit(u64),
-    /// It can't be answered in time: it is answered as throttled at once, as nothing has run.
+    /// The message can't be answered in time: it is answered as throttled without an invocation.
     Reject(u64),
 }
 
@@ -48,17 +50,17 @@
     admitted_at: f64,
 }
 
-/// Messages that wait, and the invocations in flight.
+/// The queue of waiting messages and the invocations in flight.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     max_waiting: usize,
     waiting: BTreeMap<u64, WaitingMessage>,
-    /// The waiting messages of each key, the oldest first.
+    /// The waiting messages of each key, oldest first.
     queues: BTreeMap<String, VecDeque<u64>>,
-    /// Keys of which a message is in flight.
+    /// Keys with a message in flight.
     active_keys: BTreeSet<String>,
     in_flight: BTreeMap<u64, InFlight>,
-    /// The usual time of an answer in seconds, by trigger type.
+    /// The moving average of the invocation duration in seconds, by trigger type; `None` until one is measured.
     typical_durations: Vec<Option<f64>>,
     limit: f64,
     max_in_flight: f64,
@@ -66,7 +68,7 @@
 }
 
 impl AdmissionQueue {
-    /// An empty queue. `most_waiting` is the client's receive maximum.
+    /// Creates an empty queue. `max_waiting` is normally the client's receive maximum.
     pub fn new(trigger_types: usize, max_in_flight: usize, max_waiting: usize) -> AdmissionQueue {
         AdmissionQueue {
             max_waiting,
@@ -81,18 +83,18 @@
         }
     }
 
-    /// The number of messages that wait.
+    /// The number of waiting messages.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// The number of messages that were admitted and are not finished.
+    /// The number of admitted messages without a final answer.
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Offers a message under a number that grows. Returns false where as many messages wait as may: a broker that
-    /// keeps to the receive maximum never comes to that.
+    /// Adds a message to the queue. Ids have to increase. Returns false if the queue is full, which can't happen with
+    /// a broker that observes the receive maximum, or if the trigger type is unknown.
     pub fn enqueue(&mut self, message_id: u64, message: WaitingMessage) -> bool {
         if self.waiting.len() >= self.max_waiting
             || message.trigger_type >= self.typical_durations.len()
@@ -109,7 +111,7 @@
         true
     }
 
-    /// The time that an answer usually takes.
+    /// The expected duration of the invocation in seconds.
     fn typical_duration(&self, message: &WaitingMessage, now: f64) -> f64 {
         let remaining = (message.deadline - now).max(0.0);
         self.typical_durations[message.trigger_type]
@@ -129,7 +131,7 @@
         Some(message)
     }
 
-    /// Whether no message of its key has to come before it.
+    /// Whether no other message of the same key has to be admitted or finished first.
     fn is_first_of_key(&self, message_id: u64, message: &WaitingMessage) -> bool {
         message.key.as_ref().is_none_or(|key| {
             !self.active_keys.contains(key)
@@ -137,8 +139,8 @@
         })
     }
 
-    /// Decides on the messages that wait: those that can't be in time are given up, and the room goes to those that
-    /// earn the most for their time, the newest first, since it has all of its time before it.
+    /// Rejects messages that can't be answered in time and admits others up to the limit, in the order of their value
+    /// per second of expected duration. The newest of equal messages is preferred because it has the most time left.
     pub fn decide(&mut self, now: f64) -> Vec<Decision> {
         let mut decisions = vec![];
         for message_id in self.overdue(now) {
@@ -169,7 +171,7 @@
         decisions
     }
 
-    /// Messages that can't be answered in time.
+    /// Returns the messages that can't be answered in time.
     fn overdue(&self, now: f64) -> Vec<u64> {
         let is_overdue =
             |message: &WaitingMessage| now + self.typical_duration(message, now) > message.deadline;
@@ -180,7 +182,7 @@
             .collect()
     }
 
-    /// The message that earns the most for its time; of several the newest.
+    /// Returns the message with the highest value per second of expected duration; the newest if several are equal.
     fn highest_value_rate(&self, now: f64) -> Option<u64> {
         let value_rate = |message: &WaitingMessage| {
             message.value / self.typical_duration(message, now).max(MIN_DURATION)
@@ -197,7 +199,8 @@
         best.map(|(&message_id, _)| message_id)
     }
 
-    /// An admitted message has no end here: the broker gives it again, or it is set aside.
+    /// Frees the slot and the key of an admitted message that gets no answer from an invocation, because the broker
+    /// redelivers it or it becomes a dead letter.
     pub fn cancel(&mut self, message_id: u64) {
         if let Some(key) = self
             .in_flight
@@ -208,13 +211,14 @@
         }
     }
 
-    /// The connection is lost: the broker gives again what waits.
+    /// Removes all waiting messages. Called when the connection is lost: the broker redelivers them.
     pub fn clear_waiting(&mut self) {
         self.waiting.clear();
         self.queues.clear();
     }
 
-    /// An invocation has had its final answer. A throttled one cuts the limit: there is no room for as many.
+    /// Records the final answer of an invocation. A throttled answer reduces the limit, as there is no capacity for
+    /// that many invocations; any other answer raises it and updates the expected duration.
     pub fn finished(&mut self, now: f64, message_id: u64, throttled: bool) {
         let Some(message) = self.in_flight.remove(&message_id) else {
             return;
--- a/crates/mqtt-triggers/src/consumer/actions.rs
+++ b/crates/mqtt-triggers/src/consumer/actions.rs
@@ -1,4 +1,4 @@
-//! Performs the actions of the ledger.
+//! Performs the actions that the ledger returns.
 
 use super::reply::{encode_dead_letter, encode_reply};
 use super::{Consumer, HostAction, Notice};
@@ -11,12 +11,12 @@
 pub(super) enum Publication {
     /// The answer to a message.
     Reply(u64),
-    /// The copy of a message that is set aside.
+    /// A dead letter.
     DeadLetter(u64),
 }
 
 impl Publication {
-    /// The number of the message for which it is published.
+    /// The id of the message for which it is published.
     pub(super) fn message(self) -> u64 {
         let (Publication::Reply(message_id) | Publication::DeadLetter(message_id)) = self;
         message_id
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Performs an action; returns those that follow from it.
+    /// Performs an action and returns the actions that follow from it.
     fn perform_one(&mut self, now: f64, action: Action) -> Vec<Action> {
         match action {
             Action::Persist(record) => self.persist(record),
             Action::Acknowledge(message_id) => {
-                // Where the connection was lost meanwhile, the broker gives the message again.
+                // If the connection was lost in the meantime, the broker redelivers the message.
                 if let Some(delivery) = self.deliveries.delivery(message_id) {
                     self.session.acknowledge(now, delivery, 0);
                 }
@@ -99,7 +99,7 @@
                     .insert(token, Publication::DeadLetter(message_id));
                 vec![]
             }
-            // There is no topic for it, or it would never be taken there.
+            // There is no topic for dead letters, or the broker would never accept this one.
             None => self.ledger.dead_letter_published(message_id),
         }
     }
@@ -126,7 +126,7 @@
             reason: "the answer is longer than the broker takes".into(),
             may_have_run: true,
         };
-        // An answer that is not accepted is replaced by one that says so.
+        // An answer that the session rejects is replaced by a failure that states the reason.
         let token = [answer, &too_long].into_iter().find_map(|answer| {
             let encoded = encode_reply(self.version, message, answer);
             let (payload, properties) = (encoded.payload, encoded.properties);
--- a/crates/mqtt-triggers/src/consumer/delivery_numbers.rs
+++ b/crates/mqtt-triggers/src/consumer/delivery_numbers.rs
@@ -1,4 +1,4 @@
-//! Which delivery of the session brought which message.
+//! Maps messages to the session's deliveries and back.
 
 use std::collections::BTreeMap;
 
@@ -21,12 +21,12 @@
         }
     }
 
-    /// The delivery of a message; `None` where the connection over which it came is lost.
+    /// The delivery number of a message; `None` after the connection on which it arrived is lost.
     pub(super) fn delivery(&self, message_id: u64) -> Option<u64> {
         self.delivery_of.get(&message_id).copied()
     }
 
-    /// The message of a delivery.
+    /// The message id of a delivery.
     pub(super) fn message(&self, delivery: u64) -> Option<u64> {
         self.message_of.get(&delivery).copied()
     }
--- a/crates/mqtt-triggers/src/consumer/events.rs
+++ b/crates/mqtt-triggers/src/consumer/events.rs
@@ -1,4 +1,4 @@
-//! What the broker sends.
+//! Handles packets from the broker and the session events that result from them.
 
 use super::actions::Publication;
 use super::{Consumer, Notice};
@@ -8,7 +8,7 @@
 use orchidtally_mqtt::session::{ConnectionError, Event};
 
 impl Consumer {
-    /// A packet has arrived from the broker. After an error the connection has to be closed.
+    /// Handles a packet from the broker. After an error the connection has to be closed.
     pub fn received(
         &mut self,
         now: f64,
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// The broker has sent again what it had to send again.
+    /// Handles the end of the broker's redeliveries after a connect.
     fn resumed(&mut self, now: f64, deployment: &Deployment) -> Result<(), ConnectionError> {
         let deferred_deliveries = self.deferred_deliveries.take().unwrap_or_default();
         let redelivered: Vec<Redelivery> = deferred_deliveries
@@ -91,7 +91,7 @@
                 let actions = self.ledger.confirmed(message_id);
                 self.perform(now, actions);
             }
-            // That it is owned is persisted already, or the message is done with.
+            // The ownership is persisted already, or the message is completed.
             None => self.session.complete(now, delivery),
         }
     }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes that what should be published for a message was not.
+    /// Counts and reports that an answer or a dead letter could not be published.
     pub(super) fn not_published(&mut self, message_id: u64, code: Option<u8>) {
         self.counters.not_published += 1;
         let reply = self
--- a/crates/mqtt-triggers/src/consumer/intake.rs
+++ b/crates/mqtt-triggers/src/consumer/intake.rs
@@ -1,4 +1,4 @@
-//! How deliveries become messages in hand.
+//! Handles deliveries until they are admitted to the ledger.
 
 use super::{Consumer, DECISION_INTERVAL};
 use crate::admission::{Decision, WaitingMessage};
@@ -9,7 +9,7 @@
 use orchidtally_mqtt::packet::Qos;
 use orchidtally_mqtt::session::{ConnectionError, Delivery};
 
-/// A delivery that waits to be admitted.
+/// A delivery that waits for admission.
 #[derive(Clone, Debug)]
 pub(super) struct PendingMessage {
     delivery: DeliveryId,
@@ -17,7 +17,7 @@
     message: StoredMessage,
 }
 
-/// A delivery that can never become an invocation.
+/// A delivery that can never be invoked.
 pub(super) struct PoisonMessage {
     pub(super) message_id: u64,
     delivery: Delivery,
@@ -31,14 +31,15 @@
     }
 }
 
-/// Whether the invocation of a message may run more than once.
+/// Returns whether the invocation of a message may run more than once.
 fn idempotency(policy: &interface::TriggerType, now: f64) -> Idempotency {
     match (policy.idempotency, policy.deduplication_scope) {
         (interface::Idempotency::Idempotent, _) => Idempotency::Idempotent,
         (interface::Idempotency::Keyed, interface::DeduplicationScope::All) => Idempotency::Keyed {
             expires_at: now + policy.deduplication_window,
         },
-        // A token that is remembered in a part of the fleet protects within that part alone.
+        // Failure mode: executors that deduplicate only within a part of the fleet don't recognize a token on an
+        // executor of another part, so that a retry could run twice. Such types are handled as non-idempotent.
         (interface::Idempotency::Keyed | interface::Idempotency::NonIdempotent, _) => {
             Idempotency::NonIdempotent
         }
@@ -46,7 +47,7 @@
 }
 
 impl Consumer {
-    /// When the publisher of a message gives up.
+    /// The time at which the publisher of a message gives up.
     fn expires_at(&self, invocation: &Invocation, now: f64) -> f64 {
         let rule_timeout = self.rules.list[invocation.rule].timeout;
         let since_sent = invocation
@@ -55,7 +56,8 @@
         since_sent.min(now + invocation.timeout)
     }
 
-    /// Takes a delivery in. It waits unacknowledged until it is admitted.
+    /// Queues a delivery, which stays unacknowledged until it is admitted. Retained messages are acknowledged and not
+    /// invoked.
     pub(super) fn handle_delivery(
         &mut self,
         now: f64,
@@ -113,7 +115,7 @@
                 return Ok(());
             }
             return Err(ConnectionError::Protocol(
-                "more deliveries than can be held",
+                "more deliveries than the client can queue",
             ));
         }
         let has_key = policy.idempotency == interface::Idempotency::Keyed;
@@ -149,7 +151,7 @@
         Ok(())
     }
 
-    /// Admits what can be admitted now, and answers at once what can't be answered in time.
+    /// Admits messages up to the limits and rejects those that can't be answered in time.
     pub(super) fn decide(&mut self, now: f64) {
         self.next_decision_at = now + DECISION_INTERVAL;
         let must_wait = self.journal.is_failing()
@@ -179,7 +181,7 @@
                 self.ledger
                     .delivered(message_id, idempotency, delivery, message.into(), answer);
             if self.ledger.answer(message_id).is_some() {
-                // It was set aside: nothing is dispatched for it.
+                // It has an answer already, such as a dead letter: nothing is dispatched for it.
                 self.admission.cancel(message_id);
             }
             self.perform(now, actions);
--- a/crates/mqtt-triggers/src/consumer/journal_writer.rs
+++ b/crates/mqtt-triggers/src/consumer/journal_writer.rs
@@ -1,44 +1,44 @@
-//! Records on their way to the journal.
+//! Passes records to the journal and recovers from failed writes.
 //!
-//! When the journal refuses an entry, what it holds is not known: the disk may be full, or a sync may have failed.
-//! Then no record is appended until a snapshot of all that is in hand has replaced the journal's content.
+//! After a failed append the content of the journal is unknown: the disk may be full, or a sync may have failed. No
+//! record is appended after that until a snapshot of the whole state has replaced the journal's content.
 
 use super::{Consumer, HostAction, Notice};
 use crate::ledger::Record;
 use std::collections::VecDeque;
 
-/// Seconds until a snapshot is tried after the journal refused an entry.
+/// Seconds between a failed write and the attempt to write a snapshot.
 const RETRY_AFTER: f64 = 0.5;
-/// The part of the journal's bound from which on its entries are replaced by a snapshot.
+/// The fraction of the journal's maximum size at which its entries are replaced by a snapshot.
 const SNAPSHOT_THRESHOLD: f64 = 0.5;
 /// Bytes that the journal adds to each entry.
 const ENTRY_OVERHEAD: u64 = 12;
 
-/// The result of an append.
+/// The result of an append operation.
 enum Appended {
     /// The record is on the disk.
     Persisted(Record),
-    /// The journal refused the record.
+    /// The append failed.
     Refused,
-    /// Nothing new: the record was handed over after one that was refused, or none was.
+    /// The result of a record appended after a failed one, which is known to have failed too, or of no known record.
     Ignored,
 }
 
 /// The state of a consumer's journal.
 pub(super) struct JournalWriter {
-    /// Records that were handed to the host, oldest first.
+    /// Records passed to the host whose results have not arrived, oldest first.
     outstanding: VecDeque<Record>,
-    /// Records that the journal refused, and those that came since.
+    /// Records that could not be appended, and those created since then.
     refused: VecDeque<Record>,
-    /// Results to come of records that were handed over after one that was refused: these were refused too.
+    /// The number of outstanding results of records that were appended after a failed one: these have failed too.
     refused_results: usize,
-    /// The number of refused records, oldest first, that are in the snapshot that is being written.
+    /// The number of refused records, counted from the oldest, that the snapshot being written contains.
     in_snapshot: usize,
-    /// When a snapshot is tried; set while the journal can't be written.
+    /// When the next snapshot is attempted; `None` while the journal can be written.
     retry_at: Option<f64>,
     /// A snapshot is being written.
     is_replacing: bool,
-    /// Bytes of the entries since the last snapshot, of that snapshot, and the bound of both.
+    /// Bytes of the entries since the last snapshot, bytes of that snapshot, and the maximum of their sum.
     entry_bytes: u64,
     snapshot_bytes: u64,
     most_bytes: u64,
@@ -64,19 +64,19 @@
         self.retry_at.is_some()
     }
 
-    /// Whether the journal holds more than it may.
+    /// Whether the journal exceeds its maximum size.
     pub(super) fn is_full(&self) -> bool {
         self.entry_bytes + self.snapshot_bytes > self.most_bytes
     }
 
-    /// Whether the journal's content is to be replaced by a snapshot now.
+    /// Whether a snapshot has to be written now.
     pub(super) fn is_snapshot_due(&self, now: f64) -> bool {
         let retries = self.retry_at.is_some_and(|at| now >= at) && self.refused_results == 0;
         let is_long = self.entry_bytes as f64 > SNAPSHOT_THRESHOLD * self.most_bytes as f64;
         (retries || is_long && !self.is_failing()) && !self.is_replacing
     }
 
-    /// The snapshot, of records on the disk and those that are not.
+    /// Starts a snapshot of these records, which are on disk, and of those that are not yet. Returns its content.
     pub(super) fn begin_snapshot(&mut self, mut records: Vec<Record>) -> Vec<u8> {
         records.extend(self.outstanding.iter().chain(&self.refused).cloned());
         let snapshot = serde_json::to_vec(&records).unwrap_or_default();
@@ -87,7 +87,7 @@
         snapshot
     }
 
-    /// The entry to append for a record; `None` while the journal can't be written.
+    /// Returns the entry to append for a record; `None` while the journal can't be written.
     fn append(&mut self, record: Record) -> Option<Vec<u8>> {
         if self.is_failing() {
             self.refused.push_back(record);
@@ -110,14 +110,14 @@
         if succeeded {
             return Appended::Persisted(record);
         }
-        // What was handed over after it was refused too. The records stay in their order, before those to come.
+        // Records appended after the failed one have failed too. All of them keep their order, before later records.
         self.refused_results = self.outstanding.len();
         self.refused.push_back(record);
         self.refused.append(&mut self.outstanding);
         Appended::Refused
     }
 
-    /// The refused records that the new snapshot contains, and those that came while it was written.
+    /// Takes the refused records: those that the new snapshot contains, and those added while it was written.
     fn take_refused(&mut self) -> (VecDeque<Record>, VecDeque<Record>) {
         let mut in_snapshot = std::mem::take(&mut self.refused);
         let missing = in_snapshot.split_off(self.in_snapshot.min(in_snapshot.len()));
@@ -126,14 +126,14 @@
 }
 
 impl Consumer {
-    /// Hands a record to the journal.
+    /// Passes a record to the journal.
     pub(super) fn persist(&mut self, record: Record) {
         if let Some(entry) = self.journal.append(record) {
             self.host_actions.push_back(HostAction::Append(entry));
         }
     }
 
-    /// The journal has persisted the next of the entries that were handed to it, or it can't.
+    /// Handles the result of the next outstanding `HostAction::Append`.
     pub fn journal_appended(&mut self, now: f64, succeeded: bool) {
         match self.journal.appended(succeeded) {
             Appended::Persisted(record) => self.record_persisted(now, &record),
@@ -150,10 +150,10 @@
         self.next_decision_at = now;
     }
 
-    /// All that the journal holds has been replaced, or could not be.
+    /// Handles the result of a `HostAction::Replace`.
     ///
-    /// Guards promises against a disk that is full or that was not synced: what such a journal holds is not known,
-    /// so that all that is in hand is written anew.
+    /// Failure mode: after a full disk or a failed sync the content of the journal is unknown, and records on which
+    /// guarantees rest may be missing. The snapshot therefore contains the whole state, including the failed records.
     pub fn journal_replaced(&mut self, now: f64, succeeded: bool) {
         self.journal.is_replacing = false;
         if !succeeded {
@@ -175,7 +175,8 @@
 
     fn record_persisted(&mut self, now: f64, record: &Record) {
         if let Record::Done { message_id } = record {
-            // Guards a place in flight against a message that was given again before it was dispatched.
+            // Failure mode: a message that the broker redelivers before it is dispatched would keep its slot in flight
+            // forever, as no answer of its invocation frees it.
             self.admission.cancel(*message_id);
             self.deliveries.remove(*message_id);
         }
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -1,8 +1,8 @@
-//! A front end's consumer of messages as a state machine without I/O.
+//! A front end's message consumer as a state machine without I/O.
 //!
-//! It joins the session with the broker, the trigger rules, admission and the ledger. Packets, answers, results of
-//! the journal and the time come in; packets, entries for the journal and invocations go out. As it does no I/O, the
-//! same code is tested against a simulated disk and network. Times are in seconds since 1970.
+//! The consumer combines the broker session, the trigger rules, admission and the ledger. Its inputs are packets,
+//! answers, results of journal writes and the time; its outputs are packets, journal entries and invocations. Because it
+//! does no I/O, tests run the same code against a simulated disk and network. Times are in seconds since 1970.
 
 mod actions;
 mod delivery_numbers;
@@ -28,30 +28,30 @@
 use orchidtally_mqtt::session::{ConnectionError, Delivery, Session};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The longest time between two decisions while messages wait, in seconds.
+/// The maximum time between two admission decisions while messages wait, in seconds.
 const DECISION_INTERVAL: f64 = 0.02;
-/// The most deliveries that wait, as a multiple of the receive maximum, where the broker is not told of it: version
-/// 3.1.1 has no receive maximum.
+/// The maximum number of waiting deliveries with MQTT 3.1.1, as a multiple of the configured receive maximum. That
+/// version can't announce a receive maximum, so that the broker may exceed it.
 const UNANNOUNCED_RECEIVE_FACTOR: usize = 4;
 
-/// What the host has to do, in this order.
+/// An action that the host has to perform, in the order in which the consumer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostAction {
-    /// Append an entry to the journal. Results are passed to `Consumer::journal_appended` in the same order.
+    /// Append an entry to the journal and pass the result to `Consumer::journal_appended`, in the same order.
     Append(Vec<u8>),
-    /// Replace all that the journal holds. The result is passed to `Consumer::journal_replaced`.
+    /// Replace the content of the journal and pass the result to `Consumer::journal_replaced`.
     Replace(Vec<u8>),
-    /// Invoke for a message. The final answer is passed to `Consumer::invocation_ended`.
+    /// Invoke the function for the message with this id and pass the final answer to `Consumer::invocation_ended`.
     Invoke(u64),
-    /// Cancel an invocation that is still open. Its answer is not passed on.
+    /// Cancel the open invocation of the message with this id. Its answer is ignored.
     Cancel(u64),
 }
 
-/// A front end's consumer of messages.
+/// A front end's message consumer.
 pub struct Consumer {
     rules: Rules,
     version: Version,
-    /// The topic to which messages that are set aside are copied.
+    /// The topic to which dead letters are published.
     dead_letter_topic: Option<String>,
     reassigns_unacknowledged: bool,
     reply_margin: f64,
@@ -59,17 +59,17 @@
     admission: AdmissionQueue,
     ledger: Ledger,
     journal: JournalWriter,
-    /// Deliveries that wait to be admitted, by message number.
+    /// Deliveries that wait for admission, by message id.
     pending: BTreeMap<u64, PendingMessage>,
-    /// Deliveries that can never become invocations.
+    /// Deliveries that can never be invoked.
     poison_messages: VecDeque<PoisonMessage>,
-    /// Deliveries that arrived since the connection was made, until the broker has sent again what it had to.
+    /// Deliveries that arrive between the connection and the end of the broker's redeliveries; `None` after that.
     deferred_deliveries: Option<Vec<Delivery>>,
     session_present: bool,
     deliveries: DeliveryNumbers,
-    /// What is being published, by the session's token.
+    /// Messages that are being published, by session token.
     publications: BTreeMap<u64, Publication>,
-    /// Messages whose answers wait for a free packet identifier.
+    /// Ids of messages whose answers wait for a free packet identifier.
     waiting_for_reply_id: VecDeque<u64>,
     host_actions: VecDeque<HostAction>,
     notices: VecDeque<Notice>,
@@ -79,7 +79,8 @@
 }
 
 impl Consumer {
-    /// A consumer that is not connected yet. `index` is the front end's, `records` are what its journal holds.
+    /// Creates a consumer that is not connected yet. `index` is the index of the front end, and `records` is the
+    /// content of its journal.
     pub fn new(
         section: &TriggerSettings,
         deployment: &Deployment,
@@ -131,7 +132,7 @@
         consumer
     }
 
-    /// The protocol version that is spoken with the broker.
+    /// The MQTT protocol version of the connection.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -141,47 +142,47 @@
         self.session.is_connected()
     }
 
-    /// The next packet to send to the broker.
+    /// Takes the next packet to send to the broker.
     pub fn next_packet(&mut self) -> Option<Packet> {
         self.session.next_packet()
     }
 
-    /// The next action for the host.
+    /// Takes the next action for the host.
     pub fn next_action(&mut self) -> Option<HostAction> {
         self.host_actions.pop_front()
     }
 
-    /// The next notice for the operator.
+    /// Takes the next notice for the operator.
     pub fn next_notice(&mut self) -> Option<Notice> {
         self.notices.pop_front()
     }
 
-    /// A message in hand by its number.
+    /// Returns an admitted message by its id; `None` once it is completed.
     pub fn message(&self, message_id: u64) -> Option<&StoredMessage> {
         self.ledger.message(message_id)
     }
 
-    /// When the answer to a message has to be ready.
+    /// The time at which the answer to a message has to be ready.
     pub fn reply_deadline(&self, message_id: u64) -> f64 {
         self.ledger.expires_at(message_id) - self.reply_margin
     }
 
-    /// What has happened so far.
+    /// Counters since the consumer was created.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The number of messages in hand, and of those that wait to be admitted.
+    /// The number of messages in the ledger, and the number of messages that wait for admission.
     pub fn backlog(&self) -> (usize, usize) {
         (self.ledger.len(), self.pending.len())
     }
 
-    /// The host has opened a connection to the broker.
+    /// Starts the session on a connection that the host has opened to the broker.
     pub fn connect(&mut self, now: f64) {
         self.session.connect(now);
     }
 
-    /// The connection is gone. The broker gives again what was not admitted.
+    /// Handles the loss of the connection. Messages that were not admitted are dropped: the broker redelivers them.
     pub fn connection_lost(&mut self) {
         self.session.connection_lost();
         self.deferred_deliveries = None;
@@ -196,17 +197,17 @@
         self.admission.clear_waiting();
     }
 
-    /// From now on no message is admitted; those in hand come to their end.
+    /// Stops the admission of messages; the admitted ones are completed.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
 
-    /// Ends the connection in order.
+    /// Sends a DISCONNECT.
     pub fn disconnect(&mut self, now: f64) {
         self.session.disconnect(now);
     }
 
-    /// The final answer of a message's invocation.
+    /// Handles the final answer of a message's invocation.
     pub fn invocation_ended(&mut self, now: f64, message_id: u64, answer: Answer) {
         self.admission
             .finished(now, message_id, answer == Answer::Rejected);
@@ -228,7 +229,8 @@
         self.session.next_tick_at().min(decision_at)
     }
 
-    /// Does what is due. After an error the connection has to be closed.
+    /// Performs the actions that are due: snapshots, admission and keep alive. After an error the connection has to be
+    /// closed.
     pub fn tick(&mut self, now: f64) -> Result<(), ConnectionError> {
         if self.journal.is_snapshot_due(now) {
             let snapshot = self.journal.begin_snapshot(self.ledger.snapshot());
--- a/crates/mqtt-triggers/src/consumer/reply.rs
+++ b/crates/mqtt-triggers/src/consumer/reply.rs
@@ -1,5 +1,5 @@
-//! How answers, and copies of messages that are set aside, are encoded. Version 3.1.1 has no properties, so that
-//! everything stands in the payload there.
+//! Encodes answers and dead letters as MQTT messages. MQTT 3.1.1 has no properties, so that the payload contains
+//! everything there.
 
 use crate::ledger::{Answer, StoredMessage};
 use crate::rules::NAME_PROPERTY;
@@ -9,18 +9,18 @@
 use orchidtally_mqtt::packet::{Properties, Property, Version};
 use serde_json::json;
 
-/// User properties of what is published.
+/// User properties of answers and dead letters.
 const OUTCOME_PROPERTY: &str = "orchidtally-outcome";
 const TOPIC_PROPERTY: &str = "orchidtally-topic";
 const REASON_PROPERTY: &str = "orchidtally-why";
 
-/// The content of a message to publish.
+/// The payload and properties of a message to publish.
 pub(super) struct Encoded {
     pub(super) payload: Bytes,
     pub(super) properties: Properties,
 }
 
-/// What an answer says beside the response.
+/// The outcome that an answer states besides the response.
 struct Summary<'a> {
     outcome: &'static str,
     detail: &'a str,
@@ -68,7 +68,7 @@
     Property::User(name.into(), value.into())
 }
 
-/// The answer to a message.
+/// Encodes the answer to a message.
 pub(super) fn encode_reply(version: Version, message: &StoredMessage, answer: &Answer) -> Encoded {
     let summary = Summary::of(answer);
     let mut body = summary.body(&message.name);
@@ -105,7 +105,7 @@
     }
 }
 
-/// The copy of a message that is set aside.
+/// Encodes a message that becomes a dead letter.
 pub(super) fn encode_dead_letter(
     version: Version,
     message: &StoredMessage,
--- a/crates/mqtt-triggers/src/durable_invocations.rs
+++ b/crates/mqtt-triggers/src/durable_invocations.rs
@@ -1,33 +1,33 @@
-//! Durable invocations, for clients over HTTP and trigger types that are journalled: an invocation is persisted under its
-//! name (the idempotency key) before it is dispatched, and its answer before that is sent. An invocation that is
-//! requested again under that name never runs again: the answer is repeated, or the client is told that it is not known
-//! whether it ran. Times are in seconds since 1970.
+//! Durable invocations, for HTTP clients and trigger types that are journalled. An invocation is persisted under its
+//! name (the idempotency key) before it is dispatched, and its answer is persisted before it is sent. A repeated request
+//! under the same name never runs again: it receives the stored answer, or an answer that says that it is unknown
+//! whether the invocation ran. Times are in seconds since 1970.
 
 use crate::ledger::base64_bytes;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How an invocation ended.
+/// The outcome of an invocation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "came")]
 pub enum DurableOutcome {
-    /// It was answered. A body that is longer than the limit is left out.
+    /// The invocation was answered. A body longer than the limit is not stored.
     Answered {
         /// The HTTP status of the answer.
         status: u16,
         /// The body of the answer.
         #[serde(with = "base64_bytes")]
         body: Bytes,
-        /// Whether the body is complete, or was left out.
+        /// Whether the body is stored; false if it was longer than the limit.
         #[serde(rename = "whole")]
         is_complete: bool,
     },
-    /// The front end crashed, or the client went away, after it may have been dispatched.
+    /// The front end crashed, or the client disconnected, after the invocation may have been dispatched.
     Unknown,
 }
 
-/// An entry of the journal.
+/// A journal record of durable invocations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "promise")]
 pub enum Record {
@@ -36,20 +36,20 @@
     Accepted {
         /// The name of the invocation.
         name: String,
-        /// When it happened, in seconds since 1970.
+        /// The time of the event, in seconds since 1970.
         at: f64,
     },
-    /// It has ended.
+    /// An invocation has ended.
     #[serde(rename = "over")]
     Ended {
         /// The name of the invocation.
         name: String,
-        /// When it happened, in seconds since 1970.
+        /// The time of the event, in seconds since 1970.
         at: f64,
-        /// How it ended.
+        /// Its outcome.
         outcome: DurableOutcome,
     },
-    /// It has not run: the name is free again.
+    /// An invocation ended without having run: its name can be used again.
     #[serde(rename = "dropped")]
     Released {
         /// The name of the invocation.
@@ -63,35 +63,35 @@
     outcome: Option<DurableOutcome>,
 }
 
-/// The state of an invocation by its name.
+/// The state of a named invocation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum InvocationState {
-    /// It is new, and accepted once this record is on the disk.
+    /// The name is new. The invocation is accepted once this record is on disk.
     New(Record),
-    /// It has no answer yet.
+    /// The invocation has no answer yet.
     Running,
-    /// It has ended.
+    /// The invocation has ended.
     Ended(DurableOutcome),
-    /// The limit of retained names is reached.
+    /// The name is new, but the maximum number of names is retained already.
     Full,
 }
 
 /// The durable invocations of a front end.
 #[derive(Clone, Debug, Default)]
 pub struct DurableInvocations {
-    /// Seconds for which a name is retained after its answer.
+    /// Seconds for which a name is retained after its invocation has ended.
     retention: f64,
-    /// The most names that are retained.
+    /// The maximum number of retained names.
     max_names: usize,
-    /// The most bytes of a body that is retained.
+    /// The maximum length of a retained body, in bytes.
     max_body_length: usize,
     by_name: BTreeMap<String, DurableInvocation>,
-    /// Names whose invocations have ended, in the order in which they are forgotten.
+    /// Names of ended invocations with the times of their ends, in the order in which they expire.
     ended: VecDeque<(f64, String)>,
 }
 
 impl DurableInvocations {
-    /// No invocations yet.
+    /// Creates an empty set of invocations.
     pub fn new(retention: f64, max_names: usize, max_body_length: usize) -> DurableInvocations {
         DurableInvocations {
             retention,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Restores the invocations of a journal. Those that were open when the front end crashed have an unknown outcome.
+    /// Restores the invocations from journal records. Invocations without an end get an unknown outcome.
     pub fn recover(self, records: &[Record], now: f64) -> DurableInvocations {
         let mut invocations = self.with_records(records);
         invocations.end_open(now);
@@ -109,7 +109,7 @@
         invocations
     }
 
-    /// Applies records, and leaves open what is open.
+    /// Applies journal records. Invocations without an end stay running.
     pub fn with_records(mut self, records: &[Record]) -> DurableInvocations {
         records.iter().for_each(|record| self.apply(record));
         self
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The number of names that are retained.
+    /// The number of retained names.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
@@ -181,7 +181,7 @@
         self.by_name.is_empty()
     }
 
-    /// The state of a name, without a change.
+    /// Returns the state of a name without expiring or accepting anything; `None` if the name is not retained.
     pub fn state(&self, name: &str) -> Option<InvocationState> {
         self.by_name.get(name).map(|entry| {
             entry
@@ -191,7 +191,8 @@
         })
     }
 
-    /// An invocation is requested under a name.
+    /// Handles a request for an invocation: expires old names, then returns the state of this one.
+    /// `InvocationState::New` reserves the name, and the caller persists the record before it dispatches.
     pub fn begin(&mut self, now: f64, name: &str) -> InvocationState {
         self.expire(now);
         if let Some(state) = self.state(name) {
@@ -208,7 +209,8 @@
         InvocationState::New(record)
     }
 
-    /// An invocation has its final answer. If it has not run, the name is free again.
+    /// Ends an invocation with its final answer and returns the record to persist. If the invocation has not run, its
+    /// name is released.
     pub fn end(&mut self, now: f64, name: &str, ran: bool, status: u16, body: &Bytes) -> Record {
         let record = if ran {
             let is_complete = body.len() <= self.max_body_length;
@@ -236,7 +238,8 @@
         record
     }
 
-    /// The client of an invocation cancelled it before the answer.
+    /// Ends an invocation whose client disconnected before the answer. Returns the record to persist; `None` if the
+    /// invocation is not running.
     pub fn client_cancelled(&mut self, now: f64, name: &str) -> Option<Record> {
         let open = self
             .by_name
@@ -253,12 +256,12 @@
         })
     }
 
-    /// The record of a new invocation could not be persisted: it is not accepted and nothing has run.
+    /// Removes a new invocation whose record could not be persisted and that has not run.
     pub fn forget(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// The records that lead to this state: a snapshot of the journal.
+    /// Returns the records of a journal snapshot, from which `recover` restores this state.
     pub fn records(&self) -> Vec<Record> {
         let mut records: Vec<Record> = self
             .by_name
@@ -275,7 +278,7 @@
                 },
             })
             .collect();
-        // In the order in which they are forgotten.
+        // `ended` has to be in the order in which names expire.
         let at = |record: &Record| match record {
             Record::Accepted { at, .. } | Record::Ended { at, .. } => *at,
             Record::Released { .. } => 0.0,
--- a/crates/mqtt-triggers/src/ledger/message.rs
+++ b/crates/mqtt-triggers/src/ledger/message.rs
@@ -1,9 +1,9 @@
-//! A message in the ledger, and how far it has come.
+//! The state of a message in the ledger.
 
 use super::{Answer, DeliveryId, Idempotency, Record, StoredMessage};
 use std::rc::Rc;
 
-/// A message and the steps that were completed for it.
+/// A message and the steps completed for it.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     pub(super) idempotency: Idempotency,
@@ -12,20 +12,20 @@
     /// How often the message has been delivered.
     pub(super) delivery_count: u32,
     pub(super) stored: Rc<StoredMessage>,
-    /// `Record::Accepted` is on the disk.
+    /// `Record::Accepted` is on disk.
     pub(super) is_persisted: bool,
-    /// `Record::Owned` is being written, and is on the disk.
+    /// `Record::Owned` is being written; `is_owned` says that it is on disk.
     pub(super) is_claiming: bool,
     pub(super) is_owned: bool,
     /// The invocation may have been dispatched.
     pub(super) was_dispatched: bool,
     pub(super) answer: Option<Answer>,
-    /// `Record::Answered` is being written, and is on the disk.
+    /// `Record::Answered` is being written; `is_answered` says that it is on disk.
     pub(super) is_answer_pending: bool,
     pub(super) is_answered: bool,
-    /// The packet identifier of the answer, once it was chosen.
+    /// The packet identifier of the answer, once it is reserved.
     pub(super) reply_id: Option<u16>,
-    /// The broker has recorded the answer, and that is on the disk.
+    /// The broker has recorded the answer (PUBREC); `is_reply_released` says that `Record::Released` is on disk.
     pub(super) is_reply_recorded: bool,
     pub(super) is_reply_released: bool,
     /// `Record::Done` is being written.
@@ -33,7 +33,7 @@
 }
 
 impl Message {
-    /// A message that was just accepted.
+    /// Creates the state after `Record::Accepted`.
     pub(super) fn accepted(
         idempotency: Idempotency,
         delivery: DeliveryId,
@@ -49,10 +49,10 @@
             stored,
             is_persisted: true,
             is_claiming: false,
-            // A broker never delivers a message of QoS 0 again.
+            // A QoS 0 message is never redelivered, to this or to another front end.
             is_owned: delivery.packet_id.is_none(),
             was_dispatched: false,
-            // A message that is set aside is answered once its copy is published.
+            // A dead letter is answered once it is published.
             is_answered: answer
                 .as_ref()
                 .is_some_and(|answer| !answer.is_dead_lettered()),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The records that lead to this state, in a valid order.
+    /// Returns records from which this state is restored, in a valid order.
     pub(super) fn records(&self, message_id: u64) -> Vec<Record> {
         let answer = || self.answer.clone();
         let answered_at_once = answer().filter(|_| self.is_answered && !self.was_dispatched);
--- a/crates/mqtt-triggers/src/ledger/mod.rs
+++ b/crates/mqtt-triggers/src/ledger/mod.rs
@@ -1,13 +1,14 @@
-//! The order in which a message is persisted, acknowledged, dispatched and answered, so that it has one effect and
-//! one answer although the front end may crash between any two of these steps.
+//! The ledger orders the steps that persist, acknowledge, dispatch and answer a message, so that the message has one
+//! effect and one answer even if the front end crashes between any two steps.
 //!
-//! A front end takes over a message before its effect: the message is persisted, acknowledged, and the
-//! acknowledgement confirmed (by PUBREL, or with QoS 1 by the answer to a ping that was sent after it, as a broker
-//! processes the packets of a connection in order). Until then the broker may deliver the message to another front
-//! end; from then on this front end owns it. The answer is published with QoS 2 under a packet identifier that is
-//! persisted first, so that a front end that restarts continues that exchange instead of beginning another.
+//! A front end owns a message before it dispatches it: it persists the message, acknowledges it, and waits for the
+//! confirmation of the acknowledgement. The confirmation is the PUBREL, or with QoS 1 the response to a ping sent after
+//! the acknowledgement, as a broker processes the packets of a connection in order. Until then the broker may deliver
+//! the message to another front end. Only idempotent messages are dispatched earlier. The answer is published with
+//! QoS 2 under a packet identifier that is persisted first, so that a restarted front end continues the same exchange
+//! instead of publishing a second answer.
 //!
-//! The ledger does no I/O: its methods return the actions that its host has to perform, in their order.
+//! The ledger does no I/O: its methods return the actions that the host has to perform, in this order.
 
 mod action;
 mod message;
@@ -23,11 +24,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A message that the broker delivers again.
+/// A message that was left to the broker, which redelivers it.
 #[derive(Clone, Debug)]
 struct RedeliveredMessage {
     topic: String,
-    /// How often it was delivered before.
+    /// The number of earlier deliveries.
     delivery_count: u32,
 }
 
@@ -36,9 +37,9 @@
 pub struct Ledger {
     messages: BTreeMap<u64, Message>,
     last_id: u64,
-    /// How often a message may be delivered before it is set aside.
+    /// The number of deliveries after which a message becomes a dead letter.
     max_deliveries: u32,
-    /// Messages that the broker delivers again, by packet identifier.
+    /// Messages that the broker redelivers, by packet identifier.
     redelivered_messages: BTreeMap<u16, RedeliveredMessage>,
 }
 
@@ -49,7 +50,7 @@
 }
 
 impl Ledger {
-    /// An empty ledger. A message that was delivered more than `max_deliveries` times is set aside.
+    /// Creates an empty ledger. A message delivered more than `max_deliveries` times becomes a dead letter.
     pub fn new(max_deliveries: u32) -> Ledger {
         Ledger {
             max_deliveries,
@@ -67,15 +68,15 @@
         self.messages.is_empty()
     }
 
-    /// A message by its id.
+    /// Returns a message by its id.
     pub fn message(&self, message_id: u64) -> Option<&StoredMessage> {
         self.messages
             .get(&message_id)
             .map(|message| &*message.stored)
     }
 
-    /// When the publisher gives up or, for a message that was delivered again, its idempotency key is forgotten, in seconds since
-    /// 1970.
+    /// The time at which the publisher gives up or, if that is earlier, a redelivered message's idempotency key expires.
+    /// In seconds since 1970; 0 for an unknown message.
     pub fn expires_at(&self, message_id: u64) -> f64 {
         self.messages
             .get(&message_id)
@@ -87,25 +88,25 @@
             })
     }
 
-    /// The final answer to a message, if there is one.
+    /// Returns the final answer to a message, if there is one.
     pub fn answer(&self, message_id: u64) -> Option<&Answer> {
         self.messages.get(&message_id)?.answer.as_ref()
     }
 
-    /// Whether it is persisted that the broker delivers the message to nobody else, or the message is completed.
+    /// Whether the ownership of the message is persisted, or the message is completed.
     pub fn is_owned(&self, message_id: u64) -> bool {
         self.messages
             .get(&message_id)
             .is_none_or(|message| message.is_owned)
     }
 
-    /// An id for the next message.
+    /// Allocates the id of the next message.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// A message was delivered and is to be invoked, or has its answer already.
+    /// Accepts a delivered message. Without an answer it is invoked.
     pub fn delivered(
         &mut self,
         message_id: u64,
@@ -142,7 +143,7 @@
         actions
     }
 
-    /// A record is on the disk.
+    /// Handles a record that is now on disk.
     pub fn persisted(&mut self, record: &Record) -> Vec<Action> {
         let message_id = record.message_id();
         if !self.messages.contains_key(&message_id) {
@@ -194,7 +195,8 @@
         }
     }
 
-    /// The broker has confirmed the acknowledgement: from now on it delivers the message to nobody else.
+    /// Handles the broker's confirmation of an acknowledgement: the broker does not deliver the message to any other
+    /// front end after it.
     pub fn confirmed(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self
             .messages
@@ -207,7 +209,7 @@
         vec![Action::Persist(Record::Owned { message_id })]
     }
 
-    /// The next step of a message that this front end owns.
+    /// Returns the next step of a message that this front end owns.
     fn proceed(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The final answer of an invocation.
+    /// Handles the final answer of an invocation.
     pub fn invocation_ended(&mut self, message_id: u64, answer: Answer) -> Vec<Action> {
         let Some(message) = self
             .messages
@@ -243,8 +245,8 @@
         else {
             return vec![];
         };
-        // Failure mode: a dispatch was in flight when a front end crashed; that the message has not run this time
-        // proves nothing. Risk: an answer says "may have run" although nothing did.
+        // Failure mode: a dispatch of an earlier delivery was in flight when a front end crashed, so that the message
+        // may have run even if it has not run this time. Risk: an answer says "may have run" although nothing ran.
         let may_have_run_before =
             message.delivery_count > 1 && message.idempotency != Idempotency::NonIdempotent;
         message.answer = Some(match (answer, message.idempotency) {
@@ -261,7 +263,7 @@
             },
             (answer, _) => answer,
         });
-        // Nobody may receive an answer to a message that another front end may answer too.
+        // The answer waits until the message is owned, as another front end may answer it before that.
         if message.is_owned && message.is_persisted {
             self.proceed(message_id)
         } else {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// The copy of a message that is set aside is where operators find it, or there is no place for it.
+    /// Continues after a dead letter was published, or could not be because no topic accepts it.
     pub fn dead_letter_published(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self.messages.get_mut(&message_id).filter(|message| {
             message.is_owned && !message.is_answer_pending && !message.is_answered
@@ -293,7 +295,7 @@
         }
     }
 
-    /// A packet identifier was reserved for the answer; no other exchange has it.
+    /// Handles the packet identifier reserved for the answer. No other exchange may use it.
     pub fn reply_id_reserved(&mut self, message_id: u64, id: u16) -> Vec<Action> {
         let Some(message) = self
             .messages
@@ -306,7 +308,7 @@
         vec![Action::Persist(Record::Publishing { message_id, id })]
     }
 
-    /// The broker has recorded the answer (PUBREC).
+    /// Handles the broker's PUBREC for the answer.
     pub fn reply_recorded(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self
             .messages
@@ -319,8 +321,8 @@
         vec![Action::Persist(Record::Released { message_id })]
     }
 
-    /// The broker has completed the exchange of the answer (PUBCOMP), or will never take the answer, or nobody
-    /// wants one.
+    /// Completes the message: the broker has completed the exchange of the answer (PUBCOMP) or rejected the answer, or
+    /// no answer is published.
     pub fn reply_completed(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self
             .messages
@@ -333,7 +335,7 @@
         vec![Action::Persist(Record::Done { message_id })]
     }
 
-    /// Applies a record to the state.
+    /// Updates the state with a record.
     fn apply(&mut self, record: &Record) {
         match record {
             Record::Accepted {
--- a/crates/mqtt-triggers/src/ledger/record.rs
+++ b/crates/mqtt-triggers/src/ledger/record.rs
@@ -1,6 +1,6 @@
-//! What the ledger's journal holds: messages, their answers, and the steps that were taken for them.
+//! The journal records of the ledger: messages, their answers, and the steps completed for them.
 //!
-//! Records are stored as JSON. Their names are part of the journal's format.
+//! Records are stored as JSON. The serialized names are part of the journal's format.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -12,18 +12,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Idempotency {
-    /// Running again is harmless: the message may be dispatched before this front end owns it, and again after a
+    /// Repeated execution is harmless: the message may be dispatched before this front end owns it, and again after a
     /// crash.
     Idempotent,
-    /// Running again under the message's idempotency key is harmless until the key is forgotten (seconds since 1970). The
-    /// message is dispatched once this front end owns it: the executors of another one may not know the token.
+    /// Repeated execution under the message's idempotency key is harmless until the key expires. The message is
+    /// dispatched only after this front end owns it, as the executors of another front end may not know the key.
     #[serde(rename = "tokened")]
     Keyed {
-        /// When the key is forgotten, in seconds since 1970.
+        /// The time at which the key expires, in seconds since 1970.
         #[serde(rename = "until")]
         expires_at: f64,
     },
-    /// The message is dispatched once, after this front end owns it.
+    /// The message is dispatched at most once, after this front end owns it.
     NonIdempotent,
 }
 
@@ -41,7 +41,7 @@
         #[serde(with = "base64_bytes")]
         payload: Bytes,
     },
-    /// There was no capacity in time; nothing has run.
+    /// There was no capacity in time. The function has not run.
     #[serde(rename = "throttled")]
     Rejected,
     /// The invocation failed.
@@ -55,8 +55,8 @@
     },
     /// The front end crashed after the dispatch: whether the function ran is not known.
     Unknown,
-    /// The message can never become an invocation, or it was delivered too often without coming to an end; nothing has
-    /// run for it.
+    /// The message can never be invoked, or it was delivered too often without an answer. It is published as a dead
+    /// letter and not dispatched again.
     #[serde(rename = "setAside")]
     DeadLettered {
         /// The reason, for the publisher and the operator.
@@ -71,7 +71,7 @@
     }
 }
 
-/// Bytes as a text in base64.
+/// Serializes bytes as a base64 string.
 pub(crate) mod base64_bytes {
     use super::*;
 
@@ -88,7 +88,7 @@
     }
 }
 
-/// Where an answer is published.
+/// The destination of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
     /// The topic.
@@ -102,7 +102,7 @@
     pub correlation: Bytes,
 }
 
-/// What a message invokes, by names that outlive a change of the deployment file.
+/// The target of an invocation, by names, which stay valid when the deployment file changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct InvocationTarget {
@@ -117,7 +117,7 @@
     pub token: String,
 }
 
-/// A message as the journal keeps it.
+/// A message as stored in the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct StoredMessage {
@@ -128,18 +128,18 @@
     /// The payload.
     #[serde(with = "base64_bytes")]
     pub payload: Bytes,
-    /// Where the answer goes; `None` where nobody wants one.
+    /// The destination of the answer; `None` if no answer is published.
     pub reply: Option<Reply>,
-    /// What the message invokes.
+    /// The target of the invocation.
     #[serde(rename = "work")]
     pub target: InvocationTarget,
-    /// When the publisher gives up, in seconds since 1970.
+    /// The time at which the publisher gives up, in seconds since 1970.
     #[serde(rename = "until")]
     pub expires_at: f64,
 }
 
-/// An entry of the journal. Entries are read in the order in which they were written. The id of a
-/// message is unique within the journal.
+/// A journal record. Records are read in the order in which they were written. The id of a message is unique within
+/// the journal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "what")]
 pub enum Record {
@@ -155,7 +155,7 @@
         /// The packet identifier of its delivery; `None` with QoS 0.
         #[serde(rename = "packet")]
         packet_id: Option<u16>,
-        /// Whether the delivery has QoS 2, with which the broker says what it has received.
+        /// Whether the delivery has QoS 2, with which the broker confirms each acknowledgement.
         #[serde(rename = "confirms")]
         is_qos2: bool,
         /// How often the message has been delivered.
@@ -164,23 +164,23 @@
         /// The message itself.
         #[serde(rename = "held")]
         stored: Rc<StoredMessage>,
-        /// The answer, where nothing is dispatched for the message.
+        /// The answer, if nothing is dispatched for the message.
         answer: Option<Answer>,
     },
-    /// The broker delivers the message to nobody else.
+    /// The front end owns the message: the broker does not deliver it to any other.
     Owned {
         /// The id of the message.
         #[serde(rename = "n")]
         message_id: u64,
     },
-    /// The message is dispatched again after a crash.
+    /// The message is about to be dispatched again after a crash.
     #[serde(rename = "again")]
     Retrying {
         /// The id of the message.
         #[serde(rename = "n")]
         message_id: u64,
     },
-    /// The dispatch of a non-idempotent message follows.
+    /// A non-idempotent message is about to be dispatched.
     Dispatching {
         /// The id of the message.
         #[serde(rename = "n")]
@@ -194,7 +194,7 @@
         /// The final answer.
         answer: Answer,
     },
-    /// The answer is published under this packet identifier.
+    /// The answer is about to be published under this packet identifier.
     Publishing {
         /// The id of the message.
         #[serde(rename = "n")]
@@ -202,13 +202,13 @@
         /// The packet identifier of the answer.
         id: u16,
     },
-    /// The broker has recorded the answer: only its release is sent again.
+    /// The broker has recorded the answer (PUBREC). After a crash only the PUBREL is sent again.
     Released {
         /// The id of the message.
         #[serde(rename = "n")]
         message_id: u64,
     },
-    /// Nothing is left to be done for the message.
+    /// The message is completed.
     Done {
         /// The id of the message.
         #[serde(rename = "n")]
--- a/crates/mqtt-triggers/src/ledger/recovery.rs
+++ b/crates/mqtt-triggers/src/ledger/recovery.rs
@@ -1,9 +1,9 @@
-//! Taking up messages after a lost connection or a crash.
+//! Continues messages after a lost connection or a crash.
 
 use super::{Action, Answer, Idempotency, Ledger, Message, Record, RedeliveredMessage};
 use bytes::Bytes;
 
-/// A delivery that the broker has sent again.
+/// A delivery that the broker sent after the session was resumed.
 #[derive(Clone, Copy, Debug)]
 pub struct Redelivery<'a> {
     /// Its packet identifier.
@@ -23,14 +23,12 @@
 }
 
 impl Ledger {
-    /// The session was resumed after a lost connection or a crash, and the broker has sent again what it had to
-    /// send again.
+    /// Handles the end of the broker's redeliveries after a lost connection or a crash.
     ///
-    /// A delivery of QoS 1 that the broker did not send again it has let go of: it has received the
-    /// acknowledgement. Of a delivery of QoS 2 it speaks until it is told that this is persisted. `hands_over` says
-    /// that the broker may give a message of QoS 1 that is not acknowledged to another client of a shared
-    /// subscription, as the standard allows; then such a message is left to that client, and has no answer if there
-    /// is none. With QoS 2 the standard forbids it.
+    /// A QoS 1 message that the broker does not redeliver was acknowledged: the broker has received the PUBACK. A QoS 2
+    /// message keeps its exchange until its completion is persisted. `reassigns_unacknowledged` says that the broker may
+    /// deliver an unacknowledged QoS 1 message to another client of a shared subscription, which the standard allows
+    /// (but not with QoS 2). The message is left to that client then, and gets no answer if there is no such client.
     pub fn session_resumed(
         &mut self,
         session_present: bool,
@@ -66,7 +64,7 @@
         actions
     }
 
-    /// Leaves a message to the broker, which gives it again.
+    /// Removes a message that the broker redelivers, and cancels its invocation.
     fn forget(&mut self, message_id: u64) -> Vec<Action> {
         let Some(message) = self.messages.remove(&message_id) else {
             return vec![];
@@ -88,7 +86,7 @@
         actions
     }
 
-    /// The records that state what is known to be on the disk: a snapshot of the journal.
+    /// Returns the records of a journal snapshot, which restore the state that is known to be on disk.
     pub fn snapshot(&self) -> Vec<Record> {
         let on_disk = self
             .messages
@@ -99,8 +97,8 @@
             .collect()
     }
 
-    /// The numbers and packet identifiers of QoS 2 deliveries that were taken, and of which the broker has not said
-    /// yet that it has received the acknowledgement.
+    /// Returns the message ids and packet identifiers of the QoS 2 deliveries that are persisted and whose
+    /// acknowledgements the broker has not confirmed.
     pub fn unconfirmed(&self) -> impl Iterator<Item = (u64, u16)> {
         let waits =
             |message: &&Message| message.is_persisted && message.is_qos2 && !message.is_owned;
@@ -110,8 +108,9 @@
             .filter_map(|(&message_id, message)| Some((message_id, message.packet_id?)))
     }
 
-    /// Restores the ledger of a front end that crashed from the records of its journal. The actions have to be
-    /// performed before the session is resumed: what the broker had not confirmed it gives again, or says so.
+    /// Restores a ledger from the records of its journal. The returned actions have to be performed before the session
+    /// is resumed. Messages whose acknowledgements were not confirmed wait for the broker to confirm them or to
+    /// redeliver the messages.
     pub fn recover(records: &[Record], max_deliveries: u32, now: f64) -> (Ledger, Vec<Action>) {
         let mut ledger = Ledger::new(max_deliveries);
         records.iter().for_each(|record| ledger.apply(record));
@@ -119,14 +118,15 @@
         for message_id in ledger.messages.keys().copied().collect::<Vec<u64>>() {
             actions.extend(ledger.resume(message_id, now));
         }
-        // Guards a packet identifier that is in use against being reserved again: answers that have one come first.
+        // Failure mode: a new answer could reserve a packet identifier that an answer from before the crash still uses.
+        // Answers that have an identifier therefore come first.
         actions.sort_by_key(|action| {
             !matches!(action, Action::Publish { .. } | Action::Release { .. })
         });
         (ledger, actions)
     }
 
-    /// The next step of a message after a crash.
+    /// Returns the next step of a message after a crash.
     fn resume(&mut self, message_id: u64, now: f64) -> Vec<Action> {
         let Some(message) = self.messages.get_mut(&message_id) else {
             return vec![];
@@ -144,7 +144,7 @@
             }
             None => {}
         }
-        // The broker says next whose it is: it confirms the acknowledgement, or gives the message again.
+        // The broker decides next: it confirms the acknowledgement, or redelivers the message.
         if !message.is_owned {
             return vec![];
         }
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Triggers without I/O: which message becomes which invocation, when messages are admitted, and in which order they
-//! are persisted, acknowledged, dispatched and answered, so that each message has one effect and one answer.
+//! MQTT triggers as state machines without I/O. The crate maps messages to invocations, admits messages, and orders
+//! the steps that persist, acknowledge, dispatch and answer them, so that each message has one effect and one answer.
 
 pub mod admission;
 pub mod consumer;
--- a/crates/mqtt-triggers/src/pattern.rs
+++ b/crates/mqtt-triggers/src/pattern.rs
@@ -1,5 +1,5 @@
-//! Topic patterns with names, such as `house/{house}/set/{what...}`. A name in braces stands for a whole level; with
-//! `...` it stands for all levels from there on.
+//! Topic patterns with named placeholders, such as `house/{house}/set/{what...}`. A placeholder matches exactly one
+//! level; with `...` it matches all remaining levels and must be the last one.
 
 use orchidtally_mqtt::Filter;
 use std::collections::BTreeMap;
@@ -11,36 +11,36 @@
     RestPlaceholder(String),
 }
 
-/// What a topic has at each name of a pattern.
+/// The part of a topic that each placeholder of a pattern matched, by placeholder name.
 pub type Captures = BTreeMap<String, String>;
 
-/// A topic pattern.
+/// A parsed topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
     levels: Vec<Level>,
 }
 
-/// Why a text is no topic pattern.
+/// The reason why a text is not a valid topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PatternError {
-    /// This level has a brace and is no name in braces.
+    /// This level contains a brace but is not a placeholder.
     #[error(
-        "the level '{0}': a name in braces has to be a whole level, of letters, digits and '_'"
+        "the level '{0}': a placeholder has to be a whole level, of letters, digits and '_' in braces"
     )]
     InvalidPlaceholder(String),
-    /// This name is given twice.
-    #[error("the name '{0}' is given twice")]
+    /// Two placeholders have this name.
+    #[error("the placeholder '{0}' occurs twice")]
     DuplicatePlaceholder(String),
-    /// A level that stands for all that follow is not the last one.
-    #[error("only the last level can stand for all that follow")]
+    /// A placeholder for all remaining levels is not the last level.
+    #[error("a placeholder with '...' has to be the last level")]
     RestNotLast,
-    /// No topic can match it, for this reason.
-    #[error("no topic: {0}")]
+    /// The pattern is not a valid topic filter, for this reason.
+    #[error("not a valid topic pattern: {0}")]
     InvalidFilter(String),
 }
 
 impl Pattern {
-    /// Parses a pattern.
+    /// Parses a pattern and checks that it is a valid topic filter.
     pub fn parse(text: &str) -> Result<Pattern, PatternError> {
         let mut levels: Vec<Level> = vec![];
         for level in text.split('/') {
@@ -51,7 +51,7 @@
                 }
                 None if level.contains(['+', '#']) => {
                     return Err(PatternError::InvalidFilter(
-                        "wildcards are written as names in braces".into(),
+                        "wildcards are written as placeholders in braces".into(),
                     ));
                 }
                 None => Level::Text(level.into()),
@@ -97,12 +97,12 @@
             .join("/")
     }
 
-    /// The filter that matches the same topics.
+    /// Returns the topic filter that matches the same topics.
     pub fn filter(&self) -> Filter {
-        Filter::parse(&self.filter_text()).expect("it was parsed when the pattern was")
+        Filter::parse(&self.filter_text()).expect("Pattern::parse has validated the filter")
     }
 
-    /// The names in their order.
+    /// Iterates over the names of the placeholders, in the order of their levels.
     pub fn placeholders(&self) -> impl Iterator<Item = &str> {
         self.levels.iter().filter_map(|p| match p {
             Level::Placeholder(n) | Level::RestPlaceholder(n) => Some(n.as_str()),
@@ -110,7 +110,7 @@
         })
     }
 
-    /// What a topic has at each name; `None` where the pattern does not match it.
+    /// Matches a topic and returns the captured levels; `None` if the topic does not match.
     pub fn captures(&self, topic: &str) -> Option<Captures> {
         let found = self.filter().captures(topic)?;
         Some(
@@ -121,7 +121,7 @@
         )
     }
 
-    /// The topic with these in place of the names; `None` where one is missing.
+    /// Builds a topic by replacing each placeholder with its captured value; `None` if a value is missing.
     pub fn fill(&self, captures: &Captures) -> Option<String> {
         let mut levels = vec![];
         for part in &self.levels {
--- a/crates/mqtt-triggers/src/rules/mod.rs
+++ b/crates/mqtt-triggers/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! Trigger rules: which message becomes which invocation, and where its answer goes.
+//! Trigger rules: map messages to invocations and determine the topics of the answers.
 
 mod parse;
 mod poison;
@@ -14,16 +14,16 @@
 use orchidtally_mqtt::session::Delivery;
 use sha2::{Digest, Sha256};
 
-/// The user property by which a publisher may name an invocation, and by which answers name it.
+/// The user property in which a publisher may name an invocation; answers carry the name in the same property.
 pub const NAME_PROPERTY: &str = "orchidtally-invocation";
-/// The user property by which a publisher may state an idempotency token.
+/// The user property in which a publisher may state an idempotency token.
 const TOKEN_PROPERTY: &str = "idempotency-key";
-/// The greatest length in bytes of a name that a publisher states.
+/// The maximum length in bytes of an invocation name stated by a publisher; longer names are ignored.
 const MAX_NAME_LENGTH: usize = 128;
-/// Bytes of a token that is derived from a message.
+/// The length in bytes of a token derived from a message.
 const TOKEN_BYTES: usize = 16;
 
-/// What a payload has to be.
+/// The required format of a payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PayloadFormat {
     /// Any bytes.
@@ -34,23 +34,23 @@
     Json,
 }
 
-/// Where an answer goes.
+/// The destination of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplyTo {
-    /// To the message's response topic, with its correlation data.
+    /// The response topic of the message, with its correlation data.
     ResponseTopic,
-    /// To a topic of the rule.
+    /// A topic built from the rule's pattern and the captures of the message's topic.
     Topic(Pattern),
-    /// Nowhere: no answer is published.
+    /// No answer is published.
     Nowhere,
 }
 
-/// A text of a rule.
+/// A value of a rule: fixed, or captured from the topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Value {
-    /// The text itself.
+    /// The value itself.
     Fixed(String),
-    /// What the topic has at a name of the rule's pattern.
+    /// The name of a placeholder in the rule's topic pattern.
     Captured(String),
 }
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// What makes two messages the same: a message that is delivered again, to another front end too, has the same
-/// token.
+/// The part of a message from which its idempotency token is derived. A redelivered message has the same token, also on
+/// another front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum TokenSource {
     UserProperty(String),
@@ -75,30 +75,30 @@
 /// A trigger rule.
 #[derive(Clone, Debug)]
 pub struct Rule {
-    /// The topics of the messages that the rule is for.
+    /// The topics that the rule matches.
     pub topic: Pattern,
     function: Value,
     /// The index of the trigger type in the deployment.
     pub trigger_type: usize,
     customer: Value,
-    /// Messages of one key are taken in their order. Without a key no order is kept.
+    /// Messages with the same key are admitted in order; without a key there is no ordering.
     key: Option<Value>,
-    /// Seconds within which a message has to be answered, unless it expires earlier.
+    /// Seconds within which a message has to be answered; its message expiry may shorten the time.
     pub timeout: f64,
-    /// What a payload has to be.
+    /// The required format of the payload.
     pub payload_format: PayloadFormat,
-    /// The greatest length of a payload in bytes.
+    /// The maximum length of a payload in bytes.
     pub max_payload_bytes: usize,
-    /// Where the answer goes.
+    /// The destination of the answers.
     pub reply_to: ReplyTo,
     /// The quality of service of the subscription.
     pub qos: Qos,
     token: Option<TokenSource>,
-    /// The user property that states when the message was sent, in ms since 1970.
+    /// The user property that contains the time at which a message was sent, in milliseconds since 1970.
     sent_at: Option<String>,
 }
 
-/// A message as an invocation.
+/// The invocation that a message maps to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Invocation {
     /// The index of the rule.
@@ -109,30 +109,30 @@
     pub trigger_type: usize,
     /// The name of the customer; empty where the deployment has none.
     pub customer: String,
-    /// Messages of one key are taken in their order.
+    /// Messages with the same key are admitted in order; `None` for no ordering.
     pub key: Option<String>,
-    /// Seconds within which the message has to be answered, from its delivery on.
+    /// Seconds after its delivery within which the message has to be answered.
     pub timeout: f64,
-    /// Where the answer goes; `None` where nobody wants one.
+    /// The destination of the answer; `None` if no answer is published.
     pub reply: Option<Reply>,
-    /// The name of the invocation, in logs too. A message that is delivered again has the same.
+    /// The name of the invocation, which logs show too. A redelivered message has the same name.
     pub name: String,
     /// The idempotency token.
     pub token: String,
-    /// When the message was sent, in seconds since 1970, where it says so.
+    /// The time at which the message was sent, in seconds since 1970; `None` if the message does not state it.
     pub sent_at: Option<f64>,
     /// The payload.
     pub payload: Bytes,
 }
 
-/// The trigger rules of a deployment, of which at most one is for a message.
+/// The trigger rules of a deployment. At most one of them matches a topic.
 #[derive(Clone, Debug, Default)]
 pub struct Rules {
     /// The rules in their order in the deployment file.
     pub list: Vec<Rule>,
 }
 
-/// The rule that is for a message.
+/// The rule that matches a topic, with the captures.
 struct Match<'a> {
     index: usize,
     rule: &'a Rule,
@@ -150,27 +150,27 @@
         })
     }
 
-    /// Whether a message to this topic would be taken as a trigger.
+    /// Whether a rule matches this topic.
     fn is_trigger(&self, topic: &str) -> bool {
         self.list
             .iter()
             .any(|rule| rule.topic.filter().matches(topic))
     }
 
-    /// The name of the invocation of a message.
+    /// Returns the name of a message's invocation: the name that the publisher states, or one derived from the message.
     pub fn name(delivery: &Delivery) -> String {
         let stated = user_property(delivery, NAME_PROPERTY)
             .filter(|name| !name.is_empty() && name.len() <= MAX_NAME_LENGTH);
         stated.map_or_else(|| token(delivery, None), str::to_owned)
     }
 
-    /// Where the answer to a message goes that can't become an invocation.
+    /// Returns the destination of the answer to a message that can't be invoked; `None` if no answer can be published.
     pub fn reply(&self, delivery: &Delivery) -> Option<Reply> {
         let found = self.find(&delivery.topic)?;
         self.reply_to(&found, delivery).ok().flatten()
     }
 
-    /// The invocation that a message becomes, or why it can never become one.
+    /// Maps a message to its invocation, or returns the reason why the message can never be invoked.
     pub fn invocation(
         &self,
         deployment: &Deployment,
@@ -245,7 +245,7 @@
         Ok(())
     }
 
-    /// When a message was sent, in seconds since 1970, where it says so.
+    /// Returns the time at which a message was sent, in seconds since 1970; `None` if the message does not state it.
     fn sent_at(&self, delivery: &Delivery) -> Result<Option<f64>, PoisonReason> {
         let stated = self
             .sent_at
@@ -289,7 +289,7 @@
         })
 }
 
-/// Seconds until a message expires.
+/// Returns the message expiry interval in seconds.
 fn expiry(delivery: &Delivery) -> Option<f64> {
     delivery
         .properties
@@ -300,9 +300,9 @@
         })
 }
 
-/// A token that is the same for a message that is delivered again, and differs between messages that differ in their
-/// topic or in what the source says. Without a source that is the user property for it, the correlation data, or
-/// the payload, whichever the message has first.
+/// Derives a token from the topic and the part of the message that the source names. A redelivered message has the same
+/// token. Without a source, the part is the first that the message has of the user property for tokens, the correlation
+/// data and the payload.
 fn token(delivery: &Delivery, source: Option<&TokenSource>) -> String {
     let property = |name: &str| user_property(delivery, name).map(str::as_bytes);
     let correlation_data = || correlation_data(delivery).map(|data| &data[..]);
--- a/crates/mqtt-triggers/src/rules/parse.rs
+++ b/crates/mqtt-triggers/src/rules/parse.rs
@@ -1,7 +1,7 @@
-//! Reads trigger rules from the deployment file: `mqtt: { triggers: [...] }`.
+//! Parses the trigger rules of a deployment file: `mqtt: { triggers: [...] }`.
 //!
-//! Rules are checked as a whole too: no two filters may match one message, no answer may come back as a message, and
-//! functions, trigger types and customers have to exist.
+//! Functions, trigger types and customers have to exist. The rules are also checked against each other: no two filters
+//! may match the same topic, and no answer may be published to a topic that a rule matches.
 
 use super::{PayloadFormat, ReplyTo, Rule, Rules, TokenSource, Value};
 use crate::pattern::Pattern;
@@ -9,9 +9,9 @@
 use orchidtally_deployment::reader::{DeploymentFault, Document, Fields, Place};
 use orchidtally_mqtt::packet::Qos;
 
-/// The time in seconds that messages of an unknown trigger type have: the rule is refused anyway.
+/// The upper bound in seconds of a timeout if the trigger type is unknown; such a rule is rejected in any case.
 const FALLBACK_TIMEOUT: f64 = 3_600.0;
-/// The shortest time in seconds within which messages may have to be answered.
+/// The minimum timeout of a rule, in seconds.
 const MIN_TIMEOUT: f64 = 0.001;
 
 const KEYS: [&str; 12] = [
@@ -30,7 +30,7 @@
 ];
 
 impl Rules {
-    /// Reads a document with a list of rules, or returns every fault in it.
+    /// Parses a document with a list of rules. On failure, returns all faults.
     pub fn read(text: &str, deployment: &Deployment) -> Result<Rules, Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Reads the list at a place, and notes every fault in it there.
+    /// Parses the list at a place and reports its faults there.
     pub fn at(list: &Place, deployment: &Deployment) -> Rules {
         let places = list.list();
         if places.is_empty() {
-            list.fault("at least one trigger is wanted");
+            list.fault("must contain at least one trigger");
         }
         let rules: Vec<(Place, Rule)> = places
             .iter()
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads one rule.
+/// Parses one rule.
 struct RuleReader<'a, 'd> {
     fields: Fields<'a, 'd>,
     deployment: &'d Deployment,
@@ -134,7 +134,7 @@
             && *reply_to != ReplyTo::Nowhere
         {
             self.fields.at("triggerType").fault(
-                "its answers are streamed, which a message can't be; 'answer' would have to be 'none'",
+                "its answers are streamed, which MQTT messages can't be; set 'answer' to 'none'",
             );
         }
     }
@@ -186,7 +186,7 @@
             .unwrap_or(PayloadFormat::Bytes)
     }
 
-    /// A fixed text, which has to be known, or a name of the topic in braces.
+    /// Parses a value: a placeholder of the topic pattern in braces, or a fixed text that `is_known` accepts.
     fn value(&self, place: &Place, is_known: &dyn Fn(&str) -> bool, what: &str) -> Option<Value> {
         let text = place.text()?;
         if let Some(name) = text
@@ -202,14 +202,14 @@
         Some(Value::Fixed(text))
     }
 
-    /// Notes a fault where the topic has no such name.
+    /// Reports a fault if the topic pattern has no such placeholder.
     fn check_captured(&self, place: &Place, name: &str) {
         if self
             .topic
             .as_ref()
             .is_some_and(|topic| !topic.placeholders().any(|known| known == name))
         {
-            place.fault(format!("the topic gives no '{name}'"));
+            place.fault(format!("the topic pattern has no placeholder '{name}'"));
         }
     }
 }
@@ -225,19 +225,19 @@
         .strip_prefix("property:")
         .filter(|name| !name.is_empty());
     if property.is_none() {
-        place.fault("'correlation', 'payload' or 'property:' and a user property's name is wanted");
+        place.fault("must be 'correlation', 'payload' or 'property:' followed by the name of a user property");
     }
     property.map(|name| TokenSource::UserProperty(name.into()))
 }
 
-/// Notes the faults that only all rules together show.
+/// Reports rules whose filters overlap, and rules whose answers would trigger another invocation.
 fn check_overlaps(rules: &[(Place, Rule)]) {
     for (index, (place, rule)) in rules.iter().enumerate() {
         let filter = rule.topic.filter();
         let overlaps = |(_, other): &(Place, Rule)| other.topic.filter().overlaps(&filter);
         if let Some(other) = rules[..index].iter().position(overlaps) {
             place.fault(format!(
-                "'{filter}' and the filter of triggers[{other}] can match one message"
+                "'{filter}' and the filter of triggers[{other}] overlap"
             ));
         }
         let ReplyTo::Topic(answer) = &rule.reply_to else {
@@ -247,7 +247,7 @@
         let comes_back = |(_, other): &(Place, Rule)| other.topic.filter().overlaps(&answer);
         if let Some(other) = rules.iter().position(comes_back) {
             place.fault(format!(
-                "its answers to '{answer}' can come back as messages of triggers[{other}]"
+                "its answers to '{answer}' would be consumed by triggers[{other}]"
             ));
         }
     }
--- a/crates/mqtt-triggers/src/rules/poison.rs
+++ b/crates/mqtt-triggers/src/rules/poison.rs
@@ -1,9 +1,9 @@
-//! Why a message can't become an invocation.
+//! Reasons for which a message can't be invoked.
 
-/// Why a message can never become an invocation. It is set aside with this reason.
+/// The reason why a message can never be invoked. The message becomes a dead letter with this reason.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PoisonReason {
-    /// No rule is for its topic.
+    /// No rule matches its topic.
     #[error("no trigger is for its topic")]
     NoRule,
     /// The payload is longer than the rule allows.
@@ -11,13 +11,13 @@
     TooLong {
         /// The length of the payload in bytes.
         bytes: usize,
-        /// The greatest length in bytes.
+        /// The maximum length in bytes.
         max: usize,
     },
-    /// The payload has to be a text and is not.
+    /// The rule requires text, and the payload is not valid UTF-8.
     #[error("the payload is not UTF-8")]
     NotText,
-    /// The payload has to be JSON and is not, with the reason.
+    /// The rule requires JSON, and the payload is not valid JSON, for this reason.
     #[error("the payload is not JSON: {0}")]
     NotJson(String),
     /// The deployment has no function of this name.
@@ -26,13 +26,13 @@
     /// The deployment has no customer of this name.
     #[error("there is no customer '{0}'")]
     UnknownCustomer(String),
-    /// There is no topic to which the answer can be published.
+    /// The message has no valid response topic, which its rule requires.
     #[error("it names no response topic that can be answered to")]
     NoResponseTopic,
-    /// The answer to this topic would come back as a message.
+    /// A rule matches this topic of the answer, so that the answer would trigger another invocation.
     #[error("its answer to '{0}' would come back as a message")]
     Loop(String),
-    /// The user property that states when it was sent has this value.
+    /// The user property with the sending time has this value, which is not a number of milliseconds.
     #[error("'{0}' is no time in ms since 1970")]
     SentAt(String),
 }
--- a/crates/mqtt-triggers/src/settings.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `mqtt` section of a deployment file: the broker, the session, the journal, and the triggers.
+//! Parses the `mqtt` section of a deployment file: the broker, the session, the journal, and the triggers.
 
 use crate::rules::{ReplyTo, Rules};
 use orchidtally_deployment::reader::{Fields, Place};
@@ -10,62 +10,62 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The files of TLS in PEM, which are read for each connection.
+/// Paths of the TLS files in PEM format. The files are read again for each connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// The certificates of the authorities that are trusted.
+    /// The trusted CA certificates.
     pub ca_certificates: PathBuf,
-    /// The files of the client's certificates and key, where the broker wants them.
+    /// The client's certificate chain and private key, if the broker requires client authentication.
     pub client_identity: Option<(PathBuf, PathBuf)>,
-    /// The name that the broker's certificate has to be for.
+    /// The host name that the broker's certificate must be valid for.
     pub server_name: String,
 }
 
-/// The `mqtt` section.
+/// Settings of the `mqtt` section.
 #[derive(Clone, Debug)]
 pub struct TriggerSettings {
     /// The address of the broker.
     pub broker: SocketAddr,
-    /// The protocol version that is spoken.
+    /// The MQTT protocol version of the connection.
     pub version: Version,
     client_id: String,
-    /// The user name, where the broker wants one.
+    /// The user name, if the broker requires one.
     pub username: Option<String>,
-    /// The file that holds the password.
+    /// The file that contains the password.
     pub password_file: Option<PathBuf>,
-    /// Set where the connection uses TLS.
+    /// The TLS files; `None` for a connection without TLS.
     pub tls: Option<TlsSettings>,
-    /// The group of the shared subscriptions, by which front ends share the messages.
+    /// The group of the shared subscriptions, which distributes the messages over the front ends.
     pub group: String,
     /// Seconds without a packet after which a ping is sent.
     pub keep_alive: u16,
-    /// Seconds for which the broker keeps the session without a connection.
+    /// Seconds for which the broker keeps the session after the connection is lost.
     pub session_expiry: u32,
-    /// The most deliveries that may be unacknowledged at a time.
+    /// The maximum number of unacknowledged deliveries.
     pub receive_maximum: u16,
-    /// The most invocations at a time.
+    /// The maximum number of concurrent invocations.
     pub max_in_flight: usize,
-    /// The size in bytes of the largest packet that is accepted.
+    /// The maximum size of a received packet, in bytes.
     pub max_packet_size: u32,
-    /// The broker gives a message of QoS 1 that is not acknowledged to another subscriber of the group.
+    /// Whether the broker redelivers an unacknowledged QoS 1 message to another subscriber of the group.
     pub reassigns_unacknowledged: bool,
     journal: String,
-    /// Bytes of the journal from which on nothing new is taken.
+    /// The journal size in bytes above which no new messages are accepted.
     pub max_journal_bytes: u64,
-    /// The topic to which messages that are set aside are copied.
+    /// The topic to which dead letters are published; `None` if they are only logged.
     pub dead_letter_topic: Option<String>,
-    /// How often a message is taken before it is set aside.
+    /// The number of deliveries after which a message becomes a dead letter.
     pub max_deliveries: u32,
-    /// Seconds by which an answer has to be ready before its publisher gives up.
+    /// Seconds between the time at which an answer has to be ready and the time at which its publisher gives up.
     pub reply_margin: f64,
     /// The trigger rules.
     pub rules: Rules,
 }
 
-/// What the front end's index replaces in a text.
+/// Placeholder for the front end's index in the client identifier and the journal path.
 const INDEX: &str = "{index}";
 
-/// Reads a deployment file with its `mqtt` section, if it has one, or returns every fault in both.
+/// Parses a deployment file and its optional `mqtt` section. On failure, returns all faults of both.
 pub fn read(text: &str) -> Result<(Deployment, Option<TriggerSettings>), Vec<DeploymentFault>> {
     Deployment::parse_with(text, |place, deployment| {
         if place.is_given() {
@@ -96,7 +96,7 @@
     "triggers",
 ];
 
-/// Defaults of what the section leaves out; times in seconds, sizes in bytes.
+/// Default values; times in seconds, sizes in bytes.
 mod default {
     pub const GROUP: &str = "orchidtally";
     pub const KEEP_ALIVE: f64 = 15.0;
@@ -122,7 +122,7 @@
         true => fields
             .at("clientId")
             .text()
-            .map(|text| own(&fields.at("clientId"), text, deployment)),
+            .map(|text| per_front_end(&fields.at("clientId"), text, deployment)),
         false => Some(format!("{}-{INDEX}", deployment.name)),
     };
     let tls = fields.optional("tls", tls);
@@ -130,7 +130,7 @@
     let folder = journal
         .at("folder")
         .text()
-        .map(|text| own(&journal.at("folder"), text, deployment));
+        .map(|text| per_front_end(&journal.at("folder"), text, deployment));
     let rules = Rules::at(&fields.at("triggers"), deployment);
     let (dead_letter_topic, max_deliveries) = dead_letter_settings(&fields, &rules);
     if version == Version::V311 {
@@ -181,11 +181,12 @@
     })
 }
 
-/// A text that each front end needs for itself, because it has a session and a journal of its own.
-fn own(place: &Place, text: String, deployment: &Deployment) -> String {
+/// Checks that a value that must differ between front ends contains the index placeholder if there are several.
+/// Every front end needs its own session and its own journal.
+fn per_front_end(place: &Place, text: String, deployment: &Deployment) -> String {
     if deployment.policy.front_ends > 1.0 && !text.contains(INDEX) {
         place.fault(format!(
-            "there are several front ends; '{INDEX}' has to stand in it for each one's own"
+            "must contain '{INDEX}': each of the front ends needs its own"
         ));
     }
     text
@@ -198,7 +199,7 @@
         (Some(certificate), Some(key)) => Some((certificate, key)),
         (None, None) => None,
         _ => {
-            place.fault("'certificate' and 'key' belong together");
+            place.fault("'certificate' and 'key' must be set together");
             None
         }
     };
@@ -210,13 +211,15 @@
     })
 }
 
-/// The topic to which messages that are set aside are copied, and after how many tries that is done.
+/// Returns the topic for dead letters, if there is one, and the number of deliveries after which a message becomes one.
 fn dead_letter_settings(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
     let fields = fields.optional_object("setAside", &["topic", "after"]);
     let topic = fields.optional("topic", Place::text);
     if let Some(topic) = &topic {
         if let Err(why) = check_topic(topic) {
-            fields.at("topic").fault(format!("no topic: {why}"));
+            fields
+                .at("topic")
+                .fault(format!("not a valid topic: {why}"));
         } else if rules
             .list
             .iter()
@@ -224,7 +227,7 @@
         {
             fields
                 .at("topic")
-                .fault("what is set aside would come back as a message");
+                .fault("a trigger subscribes to this topic: dead letters would be consumed again");
         }
     }
     let max_deliveries = fields
@@ -233,7 +236,7 @@
     (topic, max_deliveries)
 }
 
-/// Version 3.1.1 has no response topics.
+/// Reports a rule that answers to the response topic, which MQTT 3.1.1 does not have.
 fn check_reply_topics(fields: &Fields, rules: &Rules) {
     let without_topic = rules
         .list
@@ -241,7 +244,7 @@
         .position(|rule| rule.reply_to == ReplyTo::ResponseTopic);
     if let Some(index) = without_topic {
         fields.at("triggers").fault(format!(
-            "triggers[{index}]: version 3.1.1 has no response topics; 'answer' has to name one"
+            "triggers[{index}]: MQTT 3.1.1 has no response topics; set 'answer' to a topic or 'none'"
         ));
     }
 }
@@ -252,7 +255,7 @@
         .unwrap_or(default::ANSWER_MARGIN);
     if let Some(rule) = rules.list.iter().find(|rule| rule.timeout <= 2.0 * margin) {
         let what = format!(
-            "leaves no time: '{}' has {} s",
+            "must be less than half of the 'timeLeft' of each trigger: '{}' has {} s",
             rule.topic.filter(),
             rule.timeout
         );
@@ -266,23 +269,23 @@
         .optional("group", Place::text)
         .unwrap_or_else(|| default::GROUP.into());
     if group.contains(['/', '+', '#']) {
-        fields.at("group").fault("must not have '/', '+' and '#'");
+        fields.at("group").fault("must not contain '/', '+' or '#'");
     }
     group
 }
 
 impl TriggerSettings {
-    /// The folder of a front end's journal.
+    /// The directory of a front end's journal.
     pub fn journal_dir(&self, index: u32) -> PathBuf {
         self.journal.replace(INDEX, &index.to_string()).into()
     }
 
-    /// The most messages in hand at a time: those that wait and those in flight.
+    /// The maximum number of messages that a front end holds: waiting and in flight.
     pub fn max_held_messages(&self) -> usize {
         usize::from(self.receive_maximum) + self.max_in_flight
     }
 
-    /// The options of a front end's session, without the password.
+    /// Session options of the front end with this index. The password is not set.
     pub fn session_options(&self, index: u32) -> SessionOptions {
         let mut filters: BTreeMap<String, Subscription> = BTreeMap::new();
         for rule in &self.rules.list {
--- a/crates/mqtt-triggers/tests/rules.rs
+++ b/crates/mqtt-triggers/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Trigger rules: what messages become, and which rules are refused.
+//! Tests of trigger rules: the invocations that messages map to, and the rules that are rejected.
 
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
@@ -43,16 +43,16 @@
 }
 
 #[test]
-fn messages_become_invocations_with_their_names_times_and_answers() {
+fn messages_map_to_invocations_with_their_names_timeouts_and_replies() {
     let d = deployment();
     let rules = Rules::read(RULES, &d).unwrap_or_else(|f| panic!("{f:?}"));
-    let data = Bytes::from_static(b"7");
-    let asked = vec![
+    let correlation = Bytes::from_static(b"7");
+    let properties = vec![
         Property::MessageExpiry(1),
-        Property::CorrelationData(data.clone()),
+        Property::CorrelationData(correlation.clone()),
     ];
     let invocation = rules
-        .invocation(&d, &message("house/9/set/mist", "{}", asked))
+        .invocation(&d, &message("house/9/set/mist", "{}", properties))
         .unwrap();
     assert_eq!(
         (
@@ -65,13 +65,13 @@
     assert_eq!(
         (invocation.customer.as_str(), invocation.timeout),
         ("rose", 1.0),
-        "the lesser of expiry and the rule's time"
+        "the lesser of the message expiry and the rule's timeout"
     );
     assert_eq!(
         invocation.reply,
         Some(Reply {
             topic: "house/9/done/mist".into(),
-            correlation: data
+            correlation: correlation
         })
     );
     let response = |topic: &str| vec![Property::ResponseTopic(topic.into())];
@@ -124,19 +124,19 @@
     ] {
         assert_eq!(rules.invocation(&d, &m), Err(expected));
     }
-    let broken = rules
+    let error = rules
         .invocation(&d, &message("house/9/set/mist", "{", vec![]))
         .unwrap_err();
     assert!(
-        broken
+        error
             .to_string()
             .starts_with("the payload is not JSON: EOF"),
-        "{broken}"
+        "{error}"
     );
 }
 
 #[test]
-fn rules_that_overlap_loop_or_name_nothing_are_faults_with_their_places() {
+fn overlapping_looping_and_dangling_rules_are_reported_with_their_positions() {
     let d = deployment();
     let text = r#"{ triggers: [
   { topic: "a/{x}", function: "{y}", triggerType: "setpoint", customer: "rose", answer: "b/{x}" },
@@ -144,43 +144,44 @@
   { topic: "b/{rest...}", function: "fog", triggerType: "watch", customer: "rose" },
   { topic: "d/{x...}/e", function: "mist", triggerType: "setpont", payload: "xml" },
 ] }"#;
-    let told: Vec<String> = Rules::read(text, &d)
+    let faults: Vec<String> = Rules::read(text, &d)
         .unwrap_err()
         .iter()
         .map(ToString::to_string)
         .collect();
     for part in [
-        "2:31: triggers[0].function: the topic gives no 'y'",
-        "2:3: triggers[0]: its answers to 'b/+' can come back as messages of triggers[1]",
-        "3:3: triggers[1]: '+/c' and the filter of triggers[0] can match one message",
+        "2:31: triggers[0].function: the topic pattern has no placeholder 'y'",
+        "2:3: triggers[0]: its answers to 'b/+' would be consumed by triggers[1]",
+        "3:3: triggers[1]: '+/c' and the filter of triggers[0] overlap",
         "no customer 'tulip'",
-        "4:3: triggers[2]: 'b/#' and the filter of triggers[1] can match one message",
+        "4:3: triggers[2]: 'b/#' and the filter of triggers[1] overlap",
         "no function 'fog'",
         "its answers are streamed",
-        "only the last level can stand for all that follow",
+        "a placeholder with '...' has to be the last level",
         "'setpont' is none of 'setpoint', 'watch'",
         "triggers[3].customer: is missing",
         "'xml' is none of 'bytes', 'text', 'json'",
     ] {
         assert!(
-            told.iter().any(|t| t.contains(part)),
+            faults.iter().any(|t| t.contains(part)),
             "{part} is not in:\n{}",
-            told.join("\n")
+            faults.join("\n")
         );
     }
     assert!(
         Rules::read("{ triggers: [] }", &d).unwrap_err()[0]
             .message
-            .contains("at least one")
+            .contains("at least one trigger")
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: RngSeed::Fixed(2), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever a section says it is read or told what is wrong, and whatever comes is judged.
+    /// Arbitrary settings are either accepted or rejected with a fault in the `mqtt` section, and arbitrary messages
+    /// either map to a valid invocation or are rejected, without a panic.
     #[test]
-    fn no_section_and_no_message_is_too_odd(
+    fn arbitrary_settings_and_messages_are_handled(
         topic in "[a-c{}/+#$.]{0,12}", answer in "[a-c{}/+#]{0,8}", given in "[a-z/\u{0}]{0,8}", qos in 0u8..4,
         payload in proptest::collection::vec(any::<u8>(), 0..20), sent in "[0-9]{0,25}", user_properties in proptest::collection::vec(("[a-z-]{0,24}", "[ -~]{0,9}"), 0..4),
     ) {
@@ -207,9 +208,9 @@
         }
     }
 
-    /// What a pattern takes apart it puts together again.
+    /// Filling a pattern with the captures of a topic yields that topic.
     #[test]
-    fn a_topic_filled_in_again_is_the_same(levels in proptest::collection::vec(("[a-c]{0,2}", 0u8..3), 1..5), rest in "[a-c/]{0,5}") {
+    fn filling_a_pattern_with_its_captures_restores_the_topic(levels in proptest::collection::vec(("[a-c]{0,2}", 0u8..3), 1..5), rest in "[a-c/]{0,5}") {
         let last = levels.len() - 1;
         let (mut pattern, mut topic) = (vec![], vec![]);
         for (n, (text, kind)) in levels.iter().enumerate() {
