--- a/crates/mqtt-triggers/tests/admission.rs
+++ b/crates/mqtt-triggers/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission against a plain queue under more than can be served, and its promises under drawn courses.
+//! Tests of admission: its invariants under random inputs, and its value under overload compared with a FIFO queue.
 
 use orchidtally_mqtt_triggers::admission::{AdmissionQueue, Decision, WaitingMessage};
 use proptest::prelude::*;
@@ -10,140 +10,143 @@
 
     #[test]
     fn each_message_is_decided_once_and_keys_keep_their_order(steps in proptest::collection::vec((0u8..4, 0u64..3, 0.05..2.0f64, any::<bool>()), 1..120)) {
-        let mut a = AdmissionQueue::new(2, 4, 20);
-        let (mut now, mut n) = (0.0, 0);
+        let mut queue = AdmissionQueue::new(2, 4, 20);
+        let (mut now, mut message_id) = (0.0, 0);
         let mut keys: BTreeMap<u64, String> = BTreeMap::new();
-        let (mut offered, mut decided) = (vec![], vec![]);
-        let mut flying: VecDeque<u64> = VecDeque::new();
+        let (mut enqueued, mut decided) = (vec![], vec![]);
+        let mut in_flight: VecDeque<u64> = VecDeque::new();
         let mut last: BTreeMap<String, u64> = BTreeMap::new();
-        for (what, key, time, throttled) in steps {
+        for (action, key, time, throttled) in steps {
             now += time / 20.0;
-            match what {
+            match action {
                 0..=1 => {
-                    n += 1;
+                    message_id += 1;
                     let key = (key > 0).then(|| key.to_string());
-                    let m = WaitingMessage { trigger_type: (n % 2) as usize, value: time, deadline: now + time, key: key.clone() };
-                    if a.enqueue(n, m) {
-                        offered.push(n);
-                        keys.extend(key.map(|k| (n, k)));
+                    let message = WaitingMessage { trigger_type: (message_id % 2) as usize, value: time, deadline: now + time, key: key.clone() };
+                    if queue.enqueue(message_id, message) {
+                        enqueued.push(message_id);
+                        keys.extend(key.map(|k| (message_id, k)));
                     }
                 }
                 2 => {
-                    if let Some(n) = flying.pop_front() {
-                        a.finished(now, n, throttled);
+                    if let Some(message_id) = in_flight.pop_front() {
+                        queue.finished(now, message_id, throttled);
                     }
                 }
                 _ => now += time,
             }
-            prop_assert!(a.waiting() <= 20);
-            for d in a.decide(now) {
-                let (Decision::Admit(n) | Decision::Reject(n)) = d;
-                decided.push(n);
-                if let Decision::Admit(n) = d {
-                    if let Some(key) = keys.get(&n) {
-                        prop_assert!(flying.iter().all(|f| keys.get(f) != Some(key)), "two of a key in flight");
-                        prop_assert!(last.insert(key.clone(), n).is_none_or(|before| before < n), "out of order");
+            prop_assert!(queue.waiting() <= 20);
+            for decision in queue.decide(now) {
+                let (Decision::Admit(message_id) | Decision::Reject(message_id)) = decision;
+                decided.push(message_id);
+                if let Decision::Admit(message_id) = decision {
+                    if let Some(key) = keys.get(&message_id) {
+                        prop_assert!(in_flight.iter().all(|f| keys.get(f) != Some(key)), "two messages with the same key in flight");
+                        prop_assert!(last.insert(key.clone(), message_id).is_none_or(|before| before < message_id), "messages of a key out of order");
                     }
-                    flying.push_back(n);
+                    in_flight.push_back(message_id);
                 }
             }
-            prop_assert!(a.in_flight() <= 4 && a.in_flight() == flying.len());
+            prop_assert!(queue.in_flight() <= 4 && queue.in_flight() == in_flight.len());
         }
         now += 100.0;
-        while let Some(n) = flying.pop_front() {
-            a.finished(now, n, false);
+        while let Some(message_id) = in_flight.pop_front() {
+            queue.finished(now, message_id, false);
         }
-        decided.extend(a.decide(now).into_iter().map(|d| match d {
-            Decision::Admit(n) | Decision::Reject(n) => n,
+        decided.extend(queue.decide(now).into_iter().map(|decision| match decision {
+            Decision::Admit(message_id) | Decision::Reject(message_id) => message_id,
         }));
         decided.sort_unstable();
-        prop_assert_eq!(decided, offered, "each once");
+        prop_assert_eq!(decided, enqueued, "each message is decided exactly once");
     }
 }
 
-/// Messages at three times of what four servers can do; what is answered in time earns its value. A broker keeps
-/// what does not fit.
-fn earned(first_come: bool) -> f64 {
+/// Simulates messages at three times the capacity of four servers and returns the total value of the answers in time.
+/// The broker keeps the messages that don't fit into the queue.
+fn total_value(is_fifo: bool) -> f64 {
     const SERVERS: usize = 4;
     const TIME: f64 = 0.1;
     let mut admission = AdmissionQueue::new(2, SERVERS, 60);
     let mut broker: VecDeque<(u64, WaitingMessage)> = VecDeque::new();
-    let mut plain: VecDeque<u64> = VecDeque::new();
+    let mut fifo: VecDeque<u64> = VecDeque::new();
     let mut messages: BTreeMap<u64, WaitingMessage> = BTreeMap::new();
-    let mut flying: Vec<(f64, u64)> = vec![];
-    let (mut earned, mut n, mut seed) = (0.0, 0, 7u64);
+    let mut in_flight: Vec<(f64, u64)> = vec![];
+    let (mut total_value, mut message_id, mut seed) = (0.0, 0, 7u64);
     for step in 0..30_000 {
         let now = f64::from(step) * 0.001;
-        flying.retain(|&(at, n)| {
+        in_flight.retain(|&(at, message_id)| {
             if at > now {
                 return true;
             }
-            earned += if at <= messages[&n].deadline {
-                messages[&n].value
+            total_value += if at <= messages[&message_id].deadline {
+                messages[&message_id].value
             } else {
                 0.0
             };
-            admission.finished(now, n, false);
+            admission.finished(now, message_id, false);
             false
         });
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         if (seed >> 33) % 1_000 < 120 {
-            n += 1;
-            let dear = n % 5 == 0;
-            let value = if dear { 5.0 } else { 1.0 };
-            let m = WaitingMessage {
-                trigger_type: usize::from(dear),
+            message_id += 1;
+            let is_valuable = message_id % 5 == 0;
+            let value = if is_valuable { 5.0 } else { 1.0 };
+            let message = WaitingMessage {
+                trigger_type: usize::from(is_valuable),
                 value,
                 deadline: now + 1.0,
                 key: None,
             };
-            messages.insert(n, m.clone());
-            broker.push_back((n, m));
+            messages.insert(message_id, message.clone());
+            broker.push_back((message_id, message));
         }
-        if first_come {
-            plain.extend(broker.drain(..).map(|b| b.0));
-            while flying.len() < SERVERS
-                && let Some(n) = plain.pop_front()
+        if is_fifo {
+            fifo.extend(broker.drain(..).map(|b| b.0));
+            while in_flight.len() < SERVERS
+                && let Some(message_id) = fifo.pop_front()
             {
-                flying.push((now + TIME, n));
+                in_flight.push((now + TIME, message_id));
             }
             continue;
         }
         while admission.waiting() < 60
-            && let Some((n, m)) = broker.pop_front()
+            && let Some((message_id, message)) = broker.pop_front()
         {
-            assert!(admission.enqueue(n, m));
+            assert!(admission.enqueue(message_id, message));
         }
-        for d in admission.decide(now) {
-            if let Decision::Admit(n) = d {
-                flying.push((now + TIME, n));
+        for decision in admission.decide(now) {
+            if let Decision::Admit(message_id) = decision {
+                in_flight.push((now + TIME, message_id));
             }
         }
     }
-    earned
+    total_value
 }
 
 #[test]
-fn under_three_times_the_load_it_earns_far_more_than_first_come_first_served() {
-    let (own, plain) = (earned(false), earned(true));
+fn at_three_times_the_capacity_admission_earns_far_more_than_fifo() {
+    let (admission_value, fifo_value) = (total_value(false), total_value(true));
     println!(
-        "value answered in time: {own:.0} against {plain:.0} first come first served, {:.1} times",
-        own / plain
+        "value answered in time: {admission_value:.0}, FIFO {fifo_value:.0}, ratio {:.1}",
+        admission_value / fifo_value
+    );
+    assert!(
+        admission_value > 5.0 * fifo_value,
+        "admission {admission_value}, FIFO {fifo_value}"
     );
-    assert!(own > 5.0 * plain, "{own} against {plain}");
 }
 
 #[test]
-fn throttled_answers_cut_what_is_in_flight_and_others_let_it_grow_again() {
-    let mut a = AdmissionQueue::new(1, 10, 1_000);
-    let mut n = 0;
-    let mut round = |a: &mut AdmissionQueue, now: f64, throttled: bool| {
+fn throttled_answers_reduce_the_limit_and_others_raise_it() {
+    let mut queue = AdmissionQueue::new(1, 10, 1_000);
+    let mut message_id = 0;
+    let mut run_round = |queue: &mut AdmissionQueue, now: f64, throttled: bool| {
         for _ in 0..20 {
-            n += 1;
-            a.enqueue(
-                n,
+            message_id += 1;
+            queue.enqueue(
+                message_id,
                 WaitingMessage {
                     trigger_type: 0,
                     value: 1.0,
@@ -152,23 +155,28 @@
                 },
             );
         }
-        let taken = a.decide(now);
-        let on: Vec<u64> = taken
+        let decisions = queue.decide(now);
+        let admitted: Vec<u64> = decisions
             .iter()
-            .filter_map(|d| {
-                if let Decision::Admit(n) = d {
-                    Some(*n)
+            .filter_map(|decision| {
+                if let Decision::Admit(message_id) = decision {
+                    Some(*message_id)
                 } else {
                     None
                 }
             })
             .collect();
-        on.iter()
-            .for_each(|&n| a.finished(now + 0.01, n, throttled));
-        on.len()
+        admitted
+            .iter()
+            .for_each(|&message_id| queue.finished(now + 0.01, message_id, throttled));
+        admitted.len()
     };
-    let limits: Vec<usize> = (0..4).map(|r| round(&mut a, f64::from(r), true)).collect();
-    assert_eq!(limits, [10, 7, 4, 3], "one cut a round");
-    let last = (4..40).map(|r| round(&mut a, f64::from(r), false)).last();
+    let limits: Vec<usize> = (0..4)
+        .map(|r| run_round(&mut queue, f64::from(r), true))
+        .collect();
+    assert_eq!(limits, [10, 7, 4, 3], "one decrease per round");
+    let last = (4..40)
+        .map(|r| run_round(&mut queue, f64::from(r), false))
+        .last();
     assert_eq!(last, Some(10));
 }
--- a/crates/mqtt-triggers/tests/deployment_keys.rs
+++ b/crates/mqtt-triggers/tests/deployment_keys.rs
@@ -1,5 +1,5 @@
-//! The keys of deployment files are an interface: each is read under its name. `every_key.json` has every key, those of
-//! the `mqtt` section too, as a rule with a value that differs from what stands where it is left out.
+//! Tests that each key of a deployment file is read under its name. `every_key.json` contains every key, including those
+//! of the `mqtt` section, in general with a value that differs from the default.
 
 use orchidtally_deployment::{EndpointSource, Limits};
 use orchidtally_mqtt_triggers::read;
@@ -7,7 +7,7 @@
 
 const EVERY_KEY: &str = include_str!("deployment_keys/every_key.json");
 
-/// Keys with the value that stands where they are left out: they are proven by the values of others.
+/// Keys whose value in the fixture is the default. Removing them changes nothing; the values of other keys cover them.
 const WITH_DEFAULT: [&str; 5] = [
     "/loading/orders",
     "/mqtt/version",
@@ -20,14 +20,14 @@
     serde_json::from_str(EVERY_KEY).expect("the fixture is JSON")
 }
 
-/// What a file is read as, in words that differ where a value does; or its faults.
+/// Returns the debug output of the parsed file, which differs if a value differs, or its faults.
 fn read_as(file: &Value) -> Result<String, Vec<String>> {
     let read = read(&file.to_string());
     read.map(|read| format!("{read:?}"))
         .map_err(|faults| faults.iter().map(ToString::to_string).collect())
 }
 
-/// The pointers to all members of objects.
+/// Collects the JSON pointers to all members of objects.
 fn pointers(value: &Value, pointer: &str, found: &mut Vec<String>) {
     if let Value::Object(members) = value {
         for (key, member) in members {
@@ -45,20 +45,20 @@
 
 #[test]
 fn each_key_of_a_deployment_file_is_read() {
-    let whole = every_key();
-    let expected = read_as(&whole).expect("the fixture is sound");
+    let complete = every_key();
+    let expected = read_as(&complete).expect("the fixture is valid");
     let mut all = vec![];
-    pointers(&whole, "", &mut all);
+    pointers(&complete, "", &mut all);
     assert_eq!(all.len(), 196, "{all:#?}");
     for pointer in all {
-        let mut without = whole.clone();
+        let mut reduced = complete.clone();
         let (place, key) = pointer.rsplit_once('/').expect("a pointer");
-        without
+        reduced
             .pointer_mut(place)
             .and_then(Value::as_object_mut)
             .expect("an object")
             .remove(key);
-        let makes_no_difference = read_as(&without) == Ok(expected.clone());
+        let makes_no_difference = read_as(&reduced) == Ok(expected.clone());
         assert_eq!(
             makes_no_difference,
             WITH_DEFAULT.contains(&pointer.as_str()),
@@ -68,24 +68,24 @@
 }
 
 #[test]
-fn a_key_that_is_misspelt_is_a_fault_at_each_place() {
-    let whole = every_key();
+fn a_misspelt_key_is_reported_at_each_place() {
+    let complete = every_key();
     let mut all = vec![];
-    pointers(&whole, "", &mut all);
+    pointers(&complete, "", &mut all);
     all.retain(|pointer| !pointer.contains("/aliases/"));
     for pointer in all {
-        let mut misspelt = whole.clone();
+        let mut misspelt = complete.clone();
         let (place, key) = pointer.rsplit_once('/').expect("a pointer");
         let members = misspelt
             .pointer_mut(place)
             .and_then(Value::as_object_mut)
             .expect("an object");
-        let value = members.remove(key).expect("it is there");
+        let value = members.remove(key).expect("the key exists");
         members.insert(format!("{key}X"), value);
         let faults = read_as(&misspelt).expect_err(&pointer);
-        let told = format!("{key}X: unknown key, is '{key}' meant?");
+        let expected = format!("{key}X: unknown key, is '{key}' meant?");
         assert!(
-            faults.iter().any(|fault| fault.contains(&told)),
+            faults.iter().any(|fault| fault.contains(&expected)),
             "{pointer}: {faults:?}"
         );
     }
@@ -93,7 +93,7 @@
 
 #[test]
 fn limits_have_the_values_of_their_keys() {
-    let (deployment, _) = read(EVERY_KEY).expect("the fixture is sound");
+    let (deployment, _) = read(EVERY_KEY).expect("the fixture is valid");
     let Limits {
         max_open_invocations: open_invocations,
         max_connections: connections,
@@ -124,7 +124,7 @@
 
 #[test]
 fn the_policy_has_the_values_of_its_keys() {
-    let (deployment, _) = read(EVERY_KEY).expect("the fixture is sound");
+    let (deployment, _) = read(EVERY_KEY).expect("the fixture is valid");
     let policy = deployment.policy;
     assert_eq!(
         (
@@ -188,9 +188,11 @@
 }
 
 #[test]
-fn the_store_of_configuration_and_the_broker_have_the_values_of_their_keys() {
-    let (deployment, section) = read(EVERY_KEY).expect("the fixture is sound");
-    let store = deployment.configuration.expect("there is one");
+fn the_configuration_store_and_the_broker_have_the_values_of_their_keys() {
+    let (deployment, section) = read(EVERY_KEY).expect("the fixture is valid");
+    let store = deployment
+        .configuration
+        .expect("the fixture has a configuration section");
     assert_eq!(
         (store.freshness, store.in_force_within, store.proof_interval),
         (16.0, 19.0, 4.0)
@@ -212,7 +214,7 @@
         ),
         (6.0, 10e3, 20e3, 13.0)
     );
-    let broker = section.expect("there is one");
+    let broker = section.expect("the fixture has an mqtt section");
     assert_eq!(
         (
             broker.keep_alive,
@@ -246,7 +248,7 @@
         let mut file = every_key();
         file["executors"] = executors;
         read(&file.to_string())
-            .expect("it is sound")
+            .expect("the file is valid")
             .0
             .endpoint_source
     };
--- a/crates/mqtt-triggers/tests/ledger_model/state.rs
+++ b/crates/mqtt-triggers/tests/ledger_model/state.rs
@@ -1,4 +1,4 @@
-//! The state of broker, front ends and disks, and every step that can follow it.
+//! The model's state (broker, front ends and disks) and its transitions.
 
 use bytes::Bytes;
 use orchidtally_mqtt_triggers::ledger::{
@@ -11,17 +11,17 @@
 
 pub const MESSAGES: usize = 2;
 
-/// What the broker knows of a message; by front end.
+/// The broker's state of a message, with the index of the front end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BrokerState {
     Waiting,
     Delivered(usize),
-    /// PUBREC has come.
+    /// PUBREC has arrived.
     Recorded(usize),
     Completed,
 }
 
-/// What a front end does next: a thing to do, or something that it is told.
+/// A pending step of a front end: an action to perform, or an event to handle.
 #[derive(Clone, Debug)]
 pub enum Task {
     Action(Action),
@@ -32,26 +32,26 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum PlantedFault {
-    Nothing,
-    /// The acknowledgement goes out before the message is on the disk.
-    AcknowledgeFirst,
-    /// That a dispatch went out is not on the disk.
-    ForgetsDispatch,
-    /// A recovered answer gets a packet id of its own.
-    FreshId,
-    /// The broker may use a packet id again before it is written down that the message is owned.
-    CompletesFirst,
+pub enum InjectedFault {
+    NoFault,
+    /// The acknowledgement is sent before the message is on disk.
+    AcknowledgesBeforePersisting,
+    /// The record of a dispatch is not written.
+    OmitsDispatchRecord,
+    /// A recovered answer gets a new packet identifier.
+    NewPacketId,
+    /// The broker may reuse a packet identifier before the ownership of the message is persisted.
+    CompletesBeforeOwned,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    pub effect: Idempotency,
+pub struct Scenario {
+    pub idempotency: Idempotency,
     pub qos2: bool,
-    /// With QoS 1: what is not acknowledged goes to the other when its front end dies.
+    /// With QoS 1: an unacknowledged message is delivered to the other front end when its front end crashes.
     pub reassigns_unacknowledged: bool,
     pub crashes: u32,
-    pub planted_fault: PlantedFault,
+    pub injected_fault: InjectedFault,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -59,9 +59,9 @@
     ledger: Option<Ledger>,
     journal: Vec<Record>,
     tasks: VecDeque<Task>,
-    /// Exchanges of answers that the broker has recorded and not released.
+    /// Packet identifiers of answers that the broker has recorded and that are not released.
     exchanges: BTreeSet<u16>,
-    ids: u16,
+    last_packet_id: u16,
 }
 
 #[derive(Clone)]
@@ -103,7 +103,7 @@
 }
 
 impl State {
-    pub fn new(shape: Shape) -> State {
+    pub fn new(scenario: Scenario) -> State {
         let mut front_ends: [FrontEnd; 2] = Default::default();
         front_ends
             .iter_mut()
@@ -114,7 +114,7 @@
             broker: [BrokerState::Waiting; MESSAGES],
             effects: [0; MESSAGES],
             answers,
-            crashes: shape.crashes,
+            crashes: scenario.crashes,
             key: String::new(),
         };
         state.keyed()
@@ -138,32 +138,38 @@
             .ok()
     }
 
-    fn give(&mut self, front_end: usize, message: usize, shape: Shape) {
+    fn deliver(&mut self, front_end: usize, message: usize, scenario: Scenario) {
         self.broker[message] = BrokerState::Delivered(front_end);
         let fe = &mut self.front_ends[front_end];
         let Some(ledger) = &mut fe.ledger else { return };
         let message_id = ledger.next_id();
         let tasks = ledger.delivered(
             message_id,
-            shape.effect,
+            scenario.idempotency,
             DeliveryId {
                 packet_id: Some(message as u16 + 1),
-                is_qos2: shape.qos2,
+                is_qos2: scenario.qos2,
             },
             stored_message(message),
             None,
         );
-        if shape.planted_fault == PlantedFault::AcknowledgeFirst {
+        if scenario.injected_fault == InjectedFault::AcknowledgesBeforePersisting {
             fe.tasks
                 .push_back(Task::Action(Action::Acknowledge(message_id)));
         }
         fe.tasks.extend(tasks.into_iter().map(Task::Action));
     }
 
-    /// The broker hears an acknowledgement.
-    fn acknowledged(&mut self, front_end: usize, message_id: u64, message: usize, shape: Shape) {
+    /// Handles an acknowledgement at the broker.
+    fn acknowledged(
+        &mut self,
+        front_end: usize,
+        message_id: u64,
+        message: usize,
+        scenario: Scenario,
+    ) {
         if self.broker[message] == BrokerState::Delivered(front_end) {
-            self.broker[message] = if shape.qos2 {
+            self.broker[message] = if scenario.qos2 {
                 BrokerState::Recorded(front_end)
             } else {
                 BrokerState::Completed
@@ -174,7 +180,7 @@
             .push_back(Task::Confirmed(message_id));
     }
 
-    fn perform(&mut self, front_end: usize, shape: Shape) {
+    fn perform(&mut self, front_end: usize, scenario: Scenario) {
         let Some(task) = self.front_ends[front_end].tasks.pop_front() else {
             return;
         };
@@ -189,9 +195,9 @@
         };
         let fe = &mut self.front_ends[front_end];
         let Some(ledger) = &mut fe.ledger else { return };
-        let more = match task {
+        let actions = match task {
             Task::Action(Action::Persist(record)) => {
-                if shape.planted_fault != PlantedFault::ForgetsDispatch
+                if scenario.injected_fault != InjectedFault::OmitsDispatchRecord
                     || !matches!(record, Record::Dispatching { .. })
                 {
                     fe.journal.push(record.clone());
@@ -200,10 +206,12 @@
             }
             Task::Action(Action::Acknowledge(message_id)) => {
                 if let Some(message) = message {
-                    if shape.planted_fault == PlantedFault::CompletesFirst && shape.qos2 {
+                    if scenario.injected_fault == InjectedFault::CompletesBeforeOwned
+                        && scenario.qos2
+                    {
                         self.broker[message] = BrokerState::Completed;
                     }
-                    self.acknowledged(front_end, message_id, message, shape);
+                    self.acknowledged(front_end, message_id, message, scenario);
                 }
                 vec![]
             }
@@ -223,19 +231,19 @@
                 vec![]
             }
             Task::Action(Action::ReserveReplyId(message_id)) => {
-                fe.ids += 1;
-                ledger.reply_id_reserved(message_id, fe.ids)
+                fe.last_packet_id += 1;
+                ledger.reply_id_reserved(message_id, fe.last_packet_id)
             }
             Task::Action(Action::Publish {
                 message_id,
                 mut id,
-                is_republished: again,
+                is_republished,
             }) => {
-                if shape.planted_fault == PlantedFault::FreshId && again {
-                    fe.ids += 1;
-                    id = fe.ids;
+                if scenario.injected_fault == InjectedFault::NewPacketId && is_republished {
+                    fe.last_packet_id += 1;
+                    id = fe.last_packet_id;
                 }
-                // The broker keeps the id of an exchange until it is released.
+                // The broker keeps the packet identifier of an exchange until it is released, and ignores duplicates.
                 if fe.exchanges.insert(id)
                     && let (Some(message), Some(answer)) = (message, ledger.answer(message_id))
                 {
@@ -262,16 +270,16 @@
         };
         self.front_ends[front_end]
             .tasks
-            .extend(more.into_iter().map(Task::Action));
+            .extend(actions.into_iter().map(Task::Action));
     }
 
-    fn die(&mut self, front_end: usize, shape: Shape) {
+    fn crash(&mut self, front_end: usize, scenario: Scenario) {
         self.crashes -= 1;
         let fe = &mut self.front_ends[front_end];
         (fe.ledger, fe.tasks) = (None, VecDeque::new());
         for message in 0..MESSAGES {
-            if !shape.qos2
-                && shape.reassigns_unacknowledged
+            if !scenario.qos2
+                && scenario.reassigns_unacknowledged
                 && self.broker[message] == BrokerState::Delivered(front_end)
             {
                 self.broker[message] = BrokerState::Waiting;
@@ -279,35 +287,35 @@
         }
     }
 
-    /// Comes back, and the broker takes its session up again.
-    fn come_back(&mut self, front_end: usize, shape: Shape) {
+    /// Restarts a front end, whose session the broker resumes.
+    fn restart(&mut self, front_end: usize, scenario: Scenario) {
         let fe = &mut self.front_ends[front_end];
         let (mut ledger, tasks) = Ledger::recover(&fe.journal, 9, 0.0);
         fe.tasks.extend(tasks.into_iter().map(Task::Action));
         let unconfirmed: Vec<(u64, u16)> = ledger.unconfirmed().collect();
-        let mut again = vec![];
+        let mut redelivered = vec![];
         let mut confirmed = vec![];
         for message in 0..MESSAGES {
-            let known = unconfirmed.iter().find(|u| usize::from(u.1) == message + 1);
-            match (self.broker[message], known) {
-                // The session says PUBREC to what was taken before, and is told PUBREL.
+            let unconfirmed_entry = unconfirmed.iter().find(|u| usize::from(u.1) == message + 1);
+            match (self.broker[message], unconfirmed_entry) {
+                // The session repeats the PUBREC of a persisted message, and the broker answers with PUBREL.
                 (BrokerState::Delivered(g) | BrokerState::Recorded(g), Some(&(message_id, _)))
                     if g == front_end =>
                 {
                     self.broker[message] = BrokerState::Recorded(front_end);
                     confirmed.push(message_id);
                 }
-                // It says PUBCOMP to what it doesn't know.
+                // The session answers PUBCOMP to an unknown PUBREL.
                 (BrokerState::Recorded(g), None) if g == front_end => {
                     self.broker[message] = BrokerState::Completed
                 }
-                (BrokerState::Delivered(g), None) if g == front_end => again.push(message),
+                (BrokerState::Delivered(g), None) if g == front_end => redelivered.push(message),
                 _ => {}
             }
         }
-        let topics: Vec<String> = again.iter().map(usize::to_string).collect();
+        let topics: Vec<String> = redelivered.iter().map(usize::to_string).collect();
         let empty = Bytes::new();
-        let given: Vec<Redelivery> = again
+        let redeliveries: Vec<Redelivery> = redelivered
             .iter()
             .zip(&topics)
             .map(|(&message, topic)| Redelivery {
@@ -316,44 +324,44 @@
                 payload: &empty,
             })
             .collect();
-        let tasks = ledger.session_resumed(true, &given, shape.reassigns_unacknowledged);
+        let tasks = ledger.session_resumed(true, &redeliveries, scenario.reassigns_unacknowledged);
         fe.tasks.extend(confirmed.into_iter().map(Task::Confirmed));
         fe.tasks.extend(tasks.into_iter().map(Task::Action));
         fe.ledger = Some(ledger);
-        for message in again {
-            self.give(front_end, message, shape);
+        for message in redelivered {
+            self.deliver(front_end, message, scenario);
         }
     }
 
-    pub fn next(&self, shape: Shape) -> Vec<State> {
+    pub fn next(&self, scenario: Scenario) -> Vec<State> {
         let mut states = vec![];
-        let mut also = |change: &dyn Fn(&mut State)| {
+        let mut add = |change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
             change(&mut state);
             states.push(state.keyed());
         };
         for front_end in 0..2 {
             if self.front_ends[front_end].ledger.is_none() {
-                also(&|s| s.come_back(front_end, shape));
+                add(&|s| s.restart(front_end, scenario));
                 continue;
             }
             if !self.front_ends[front_end].tasks.is_empty() {
-                also(&|s| s.perform(front_end, shape));
+                add(&|s| s.perform(front_end, scenario));
             }
-            // One that has nothing in hand loses nothing by its death.
+            // The crash of a front end without pending tasks changes nothing.
             if self.crashes > 0 && !self.front_ends[front_end].tasks.is_empty() {
-                also(&|s| s.die(front_end, shape));
+                add(&|s| s.crash(front_end, scenario));
             }
             for message in
                 (0..MESSAGES).filter(|&message| self.broker[message] == BrokerState::Waiting)
             {
-                also(&|s| s.give(front_end, message, shape));
+                add(&|s| s.deliver(front_end, message, scenario));
             }
         }
         states
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_final(&self) -> bool {
         self.front_ends
             .iter()
             .all(|front_end| front_end.ledger.is_some() && front_end.tasks.is_empty())
--- a/crates/mqtt-triggers/tests/rules.rs
+++ b/crates/mqtt-triggers/tests/rules.rs
@@ -71,7 +71,7 @@
         invocation.reply,
         Some(Reply {
             topic: "house/9/done/mist".into(),
-            correlation: correlation
+            correlation
         })
     );
     let response = |topic: &str| vec![Property::ResponseTopic(topic.into())];
--- a/crates/mqtt-triggers/tests/simulated.rs
+++ b/crates/mqtt-triggers/tests/simulated.rs
@@ -1,26 +1,25 @@
-//! Random courses of front ends' consumers against a broker: front ends die between any two steps, come back, and die
-//! again.
+//! Random scenarios of several consumers against a broker, in which front ends crash between any two steps and restart.
 
 mod simulation;
 
 use bytes::Bytes;
 use orchidtally_mqtt::packet::{Property, Qos, Version};
 use orchidtally_test_servers::broker::Message;
-use simulation::{FRONT_ENDS, Planted, World};
+use simulation::{FRONT_ENDS, InjectedFault, Simulation};
 
 const KINDS: [&str; 4] = ["act", "look", "plan", "json"];
 
 #[derive(Debug, Default)]
-struct Found {
+struct Findings {
     messages: u32,
-    twice: u32,
+    duplicate_answers: u32,
     unanswered: u32,
-    effects_twice: u32,
+    duplicate_effects: u32,
     unknown: u32,
-    /// Answers that say what is not so.
-    untrue: u32,
-    kills: u32,
-    fails: u32,
+    /// Answers that state an outcome which contradicts the effects.
+    incorrect: u32,
+    crashes: u32,
+    disk_failures: u32,
 }
 
 fn outcome(message: &Message, version: Version) -> String {
@@ -40,8 +39,13 @@
     }
 }
 
-fn course(seed: u64, shape: (&str, u8, bool), planted: Planted, found: &mut Found) {
-    let mut w = World::new(seed, shape, planted);
+fn run_scenario(
+    seed: u64,
+    shape: (&str, u8, bool),
+    injected_fault: InjectedFault,
+    findings: &mut Findings,
+) {
+    let mut simulation = Simulation::new(seed, shape, injected_fault);
     let may_fail = seed.is_multiple_of(3);
     for message in 0..8 {
         let kind = KINDS[message % KINDS.len()];
@@ -57,129 +61,154 @@
             )],
             until: f64::INFINITY,
         };
-        let out = w.broker.publish(w.now, m);
-        w.perform(out);
+        let actions = simulation.broker.publish(simulation.now, m);
+        simulation.perform(actions);
         for _ in 0..40 {
-            w.step(may_fail);
+            simulation.step(may_fail);
         }
     }
     for _ in 0..8 {
-        w.now += 1.0;
-        (0..FRONT_ENDS).for_each(|n| w.settle(n));
+        simulation.now += 1.0;
+        (0..FRONT_ENDS).for_each(|n| simulation.settle(n));
     }
-    found.kills += w.kills;
-    found.fails += w.front_ends.iter().map(|f| f.fails).sum::<u32>();
-    let before = (found.twice, found.unanswered, found.effects_twice);
+    findings.crashes += simulation.crashes;
+    findings.disk_failures += simulation
+        .front_ends
+        .iter()
+        .map(|f| f.disk_failures)
+        .sum::<u32>();
+    let before = (
+        findings.duplicate_answers,
+        findings.unanswered,
+        findings.duplicate_effects,
+    );
     for message in 0..8 {
         let kind = KINDS[message % KINDS.len()];
-        // 3.1.1 has no properties: the name is derived there, and effects are told by what the executors saw.
+        // MQTT 3.1.1 has no properties: invocation names are derived there, so that effects can't be attributed.
         let topic = format!("done/{message}");
-        let answers: Vec<&Message> = w
+        let answers: Vec<&Message> = simulation
             .broker
             .published
             .iter()
             .filter(|m| m.topic == topic)
             .collect();
-        found.messages += 1;
-        found.twice += u32::from(answers.len() > 1);
-        found.unanswered += u32::from(answers.is_empty());
-        if w.version == Version::V311 {
+        findings.messages += 1;
+        findings.duplicate_answers += u32::from(answers.len() > 1);
+        findings.unanswered += u32::from(answers.is_empty());
+        if simulation.version == Version::V311 {
             continue;
         }
-        let effects = w
+        let effects = simulation
             .effects
             .get(&format!("{kind}-{message}"))
             .copied()
             .unwrap_or(0);
-        found.effects_twice += u32::from(kind == "act" && effects > 1);
+        findings.duplicate_effects += u32::from(kind == "act" && effects > 1);
         for answer in answers {
-            let outcome = outcome(answer, w.version);
-            found.unknown += u32::from(outcome == "unknown");
-            let so = match outcome.as_str() {
+            let outcome = outcome(answer, simulation.version);
+            findings.unknown += u32::from(outcome == "unknown");
+            let is_correct = match outcome.as_str() {
                 "succeeded" => effects >= 1,
                 "setAside" | "throttled" => effects == 0,
                 "unknown" => kind == "act",
                 _ => false,
             };
-            found.untrue += u32::from(!so);
+            findings.incorrect += u32::from(!is_correct);
         }
     }
-    if planted == Planted::Nothing && !shape.2 {
-        let now = (found.twice, found.unanswered, found.effects_twice);
+    if injected_fault == InjectedFault::NoFault && !shape.2 {
+        let now = (
+            findings.duplicate_answers,
+            findings.unanswered,
+            findings.duplicate_effects,
+        );
         assert_eq!(now, before, "seed {seed}");
-        let left: Vec<_> = w
+        let remaining: Vec<_> = simulation
             .front_ends
             .iter()
             .map(|f| f.consumer.as_ref().unwrap().backlog())
             .collect();
         assert_eq!(
-            left,
+            remaining,
             vec![(0, 0); FRONT_ENDS],
-            "seed {seed}: nothing is left in hand"
+            "seed {seed}: a consumer still holds messages"
         );
         assert_eq!(
-            (w.broker.waiting(), w.broker.given()),
+            (simulation.broker.waiting(), simulation.broker.given()),
             (0, 0),
-            "seed {seed}: nor at the broker"
+            "seed {seed}: the broker still holds messages"
         );
     }
 }
 
-fn courses(seeds: u64, shape: (&str, u8, bool), planted: Planted) -> Found {
-    let mut found = Found::default();
-    (0..seeds).for_each(|seed| course(seed, shape, planted, &mut found));
-    println!("{shape:?} {planted:?}: {found:?}");
-    found
+fn run_scenarios(seeds: u64, shape: (&str, u8, bool), injected_fault: InjectedFault) -> Findings {
+    let mut findings = Findings::default();
+    (0..seeds).for_each(|seed| run_scenario(seed, shape, injected_fault, &mut findings));
+    println!("{shape:?} {injected_fault:?}: {findings:?}");
+    findings
 }
 
 #[test]
-fn each_message_has_one_answer_and_one_effect_though_front_ends_die_anywhere() {
-    let found = courses(6_000, ("5", 2, false), Planted::Nothing);
+fn each_message_has_one_answer_and_one_effect_despite_crashes() {
+    let findings = run_scenarios(6_000, ("5", 2, false), InjectedFault::NoFault);
     assert!(
-        found.kills > 8_000 && found.fails > 500 && found.unknown > 50,
-        "{found:?}"
+        findings.crashes > 8_000 && findings.disk_failures > 500 && findings.unknown > 50,
+        "{findings:?}"
     );
     assert_eq!(
         (
-            found.twice,
-            found.unanswered,
-            found.effects_twice,
-            found.untrue
+            findings.duplicate_answers,
+            findings.unanswered,
+            findings.duplicate_effects,
+            findings.incorrect
         ),
         (0, 0, 0, 0)
     );
-    let found = courses(2_000, ("5", 1, false), Planted::Nothing);
+    let findings = run_scenarios(2_000, ("5", 1, false), InjectedFault::NoFault);
     assert_eq!(
         (
-            found.twice,
-            found.unanswered,
-            found.effects_twice,
-            found.untrue
+            findings.duplicate_answers,
+            findings.unanswered,
+            findings.duplicate_effects,
+            findings.incorrect
         ),
         (0, 0, 0, 0)
     );
-    let found = courses(2_000, ("3.1.1", 2, false), Planted::Nothing);
-    assert_eq!((found.twice, found.unanswered), (0, 0));
+    let findings = run_scenarios(2_000, ("3.1.1", 2, false), InjectedFault::NoFault);
+    assert_eq!((findings.duplicate_answers, findings.unanswered), (0, 0));
 }
 
 #[test]
-fn where_the_broker_hands_messages_over_none_is_done_or_answered_twice() {
-    let found = courses(2_000, ("5", 1, true), Planted::Nothing);
-    assert_eq!((found.twice, found.effects_twice, found.untrue), (0, 0, 0));
-    // One that died after its acknowledgement and before it was sure of that leaves its message to others, and there
-    // may be none: with QoS 2 the standard forbids to hand it over.
+fn a_broker_that_reassigns_messages_causes_no_duplicate_effect_or_answer() {
+    let findings = run_scenarios(2_000, ("5", 1, true), InjectedFault::NoFault);
+    assert_eq!(
+        (
+            findings.duplicate_answers,
+            findings.duplicate_effects,
+            findings.incorrect
+        ),
+        (0, 0, 0)
+    );
+    // A front end that crashes between its acknowledgement and the confirmation leaves the message to other clients, and
+    // the broker may deliver it to none. With QoS 2 the standard forbids the reassignment.
     assert!(
-        found.unanswered > 0 && 4 * found.unanswered < found.messages,
-        "{found:?}"
+        findings.unanswered > 0 && 4 * findings.unanswered < findings.messages,
+        "{findings:?}"
     );
 }
 
 #[test]
-fn planted_faults_are_found() {
-    let lying = courses(200, ("5", 2, false), Planted::LyingDisk);
-    assert!(lying.unanswered > 0 || lying.effects_twice > 0, "{lying:?}");
-    let forgets = courses(200, ("5", 2, false), Planted::ForgetsDispatch);
-    assert!(forgets.effects_twice > 0, "{forgets:?}");
-    let twice = courses(50, ("5", 2, false), Planted::GivesTwice);
-    assert!(twice.effects_twice > 0 && twice.twice > 0, "{twice:?}");
+fn injected_faults_are_detected() {
+    let unsynced = run_scenarios(200, ("5", 2, false), InjectedFault::ReportsUnsyncedWrites);
+    assert!(
+        unsynced.unanswered > 0 || unsynced.duplicate_effects > 0,
+        "{unsynced:?}"
+    );
+    let omitted = run_scenarios(200, ("5", 2, false), InjectedFault::OmitsDispatchRecord);
+    assert!(omitted.duplicate_effects > 0, "{omitted:?}");
+    let duplicated = run_scenarios(50, ("5", 2, false), InjectedFault::DeliversTwice);
+    assert!(
+        duplicated.duplicate_effects > 0 && duplicated.duplicate_answers > 0,
+        "{duplicated:?}"
+    );
 }
--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Front ends' consumers against a broker, over a network that breaks at any packet and disks that lose what was not
-//! synced.
+//! A simulation of consumers and a broker, with a network that fails between any two packets and disks that lose data
+//! that was not synced.
 
 use bytes::{Bytes, BytesMut};
 use orchidtally_deployment::Deployment;
@@ -48,46 +48,46 @@
     (deployment, section.unwrap())
 }
 
-/// A fault that is planted, to see that it is found.
+/// A fault that is injected to check that the tests detect it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Planted {
-    Nothing,
-    /// The disk says that it has kept what it has not: so do acknowledgements come before the journal.
-    LyingDisk,
-    /// That a dispatch goes out is never written.
-    ForgetsDispatch,
-    /// The broker gives a message to two.
-    GivesTwice,
+pub enum InjectedFault {
+    NoFault,
+    /// The disk reports writes as synced that are not, so that messages are acknowledged before they are persisted.
+    ReportsUnsyncedWrites,
+    /// The records of dispatches are not written.
+    OmitsDispatchRecord,
+    /// The broker delivers messages to two clients.
+    DeliversTwice,
 }
 
 #[derive(Default)]
 pub struct FrontEnd {
     pub consumer: Option<Consumer>,
-    /// Entries on the disk, and what was handed over and is not synced: `None` replaces all.
+    /// The journal entries on disk, and the writes that are not synced, with whether each replaces the whole journal.
     pub disk: Vec<Vec<u8>>,
     pub unsynced: VecDeque<(bool, Vec<u8>)>,
     pub connection: Option<u64>,
-    pub up: VecDeque<Packet>,
-    pub down: VecDeque<Packet>,
-    /// Invocations that are out: by message, its name and whether it has run.
-    pub out: BTreeMap<u64, (String, bool)>,
-    pub fails: u32,
-    /// An entry was not kept: none is until all is replaced.
-    pub failed: bool,
+    pub to_broker: VecDeque<Packet>,
+    pub to_consumer: VecDeque<Packet>,
+    /// Open invocations by message id: the name and whether the function has run.
+    pub open_invocations: BTreeMap<u64, (String, bool)>,
+    pub disk_failures: u32,
+    /// A write has failed: all appends fail until the journal is replaced.
+    pub disk_failed: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub random: SmallRng,
     pub now: f64,
     pub version: Version,
     pub deployment: Deployment,
     pub section: TriggerSettings,
-    pub planted: Planted,
+    pub injected_fault: InjectedFault,
     pub broker: Broker,
     pub front_ends: Vec<FrontEnd>,
     pub connections: u64,
     pub effects: BTreeMap<String, u32>,
-    pub kills: u32,
+    pub crashes: u32,
 }
 
 pub fn records(disk: &[Vec<u8>]) -> Vec<Record> {
@@ -98,44 +98,45 @@
     disk.iter().flat_map(read).collect()
 }
 
-impl World {
+impl Simulation {
     pub fn new(
         seed: u64,
         (version, qos, reassigns_unacknowledged): (&str, u8, bool),
-        planted: Planted,
-    ) -> World {
+        injected_fault: InjectedFault,
+    ) -> Simulation {
         let (deployment, section) = deployment(version, qos, reassigns_unacknowledged);
         let mut broker = Broker::default();
         broker.faults.hands_over = reassigns_unacknowledged;
         broker.faults.reorders = seed.is_multiple_of(2);
-        let gives_twice = || GivesTwice::one_in(5, Filter::parse("#").unwrap());
-        broker.faults.gives_twice = (planted == Planted::GivesTwice).then(gives_twice);
-        let mut world = World {
+        let duplicate_deliveries = || GivesTwice::one_in(5, Filter::parse("#").unwrap());
+        broker.faults.gives_twice =
+            (injected_fault == InjectedFault::DeliversTwice).then(duplicate_deliveries);
+        let mut simulation = Simulation {
             random: SmallRng::seed_from_u64(seed),
             now: 1_000.0,
             version: section.version,
             deployment,
             section,
-            planted,
+            injected_fault,
             broker,
             front_ends: (0..FRONT_ENDS).map(|_| FrontEnd::default()).collect(),
             connections: 0,
             effects: BTreeMap::new(),
-            kills: 0,
+            crashes: 0,
         };
         for n in 0..FRONT_ENDS {
-            world.start(n);
-            world.connect(n);
-            // All have subscribed before the first message.
-            world.settle(n);
+            simulation.start(n);
+            simulation.connect(n);
+            // Every consumer has to subscribe before the first message.
+            simulation.settle(n);
         }
-        world
+        simulation
     }
 
     pub fn start(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        let records = records(&fe.disk);
-        fe.consumer = Some(Consumer::new(
+        let front_end = &mut self.front_ends[n];
+        let records = records(&front_end.disk);
+        front_end.consumer = Some(Consumer::new(
             &self.section,
             &self.deployment,
             n as u32,
@@ -143,73 +144,72 @@
             &records,
             self.now,
         ));
-        self.work(n);
+        self.process_outputs(n);
     }
 
     pub fn connect(&mut self, n: usize) {
         self.connections += 1;
-        let fe = &mut self.front_ends[n];
-        fe.connection = Some(self.connections);
-        (fe.up, fe.down) = Default::default();
-        if let Some(consumer) = &mut fe.consumer {
+        let front_end = &mut self.front_ends[n];
+        front_end.connection = Some(self.connections);
+        (front_end.to_broker, front_end.to_consumer) = Default::default();
+        if let Some(consumer) = &mut front_end.consumer {
             consumer.connect(self.now);
         }
-        self.work(n);
+        self.process_outputs(n);
     }
 
-    pub fn cut(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        let Some(connection) = fe.connection.take() else {
+    pub fn disconnect(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        let Some(connection) = front_end.connection.take() else {
             return;
         };
-        (fe.up, fe.down) = Default::default();
-        if let Some(consumer) = &mut fe.consumer {
+        (front_end.to_broker, front_end.to_consumer) = Default::default();
+        if let Some(consumer) = &mut front_end.consumer {
             consumer.connection_lost();
         }
-        let out = self.broker.lost(self.now, connection, false);
-        self.perform(out);
-        self.work(n);
+        let actions = self.broker.lost(self.now, connection, false);
+        self.perform(actions);
+        self.process_outputs(n);
     }
 
-    /// Dies: of what was not synced a part from the start may be on the disk, and what was out may yet run.
-    pub fn kill(&mut self, n: usize) {
-        self.kills += 1;
-        let fe = &mut self.front_ends[n];
-        let kept = if fe.failed {
+    /// Crashes a front end. A random prefix of the unsynced writes reaches the disk, and open invocations may still run.
+    pub fn crash(&mut self, n: usize) {
+        self.crashes += 1;
+        let front_end = &mut self.front_ends[n];
+        let synced = if front_end.disk_failed {
             0
         } else {
-            self.random.random_range(0..=fe.unsynced.len())
+            self.random.random_range(0..=front_end.unsynced.len())
         };
-        let lies = self.planted == Planted::LyingDisk;
-        for (replaces, bytes) in
-            std::mem::take(&mut fe.unsynced)
-                .into_iter()
-                .take(if lies { 0 } else { kept })
+        let reports_unsynced = self.injected_fault == InjectedFault::ReportsUnsyncedWrites;
+        for (is_replacement, bytes) in std::mem::take(&mut front_end.unsynced)
+            .into_iter()
+            .take(if reports_unsynced { 0 } else { synced })
         {
-            if replaces {
-                fe.disk.clear();
+            if is_replacement {
+                front_end.disk.clear();
             }
-            fe.disk.push(bytes);
+            front_end.disk.push(bytes);
         }
-        (fe.consumer, fe.failed) = (None, false);
-        for (name, ran) in std::mem::take(&mut fe.out).into_values() {
+        (front_end.consumer, front_end.disk_failed) = (None, false);
+        for (name, ran) in std::mem::take(&mut front_end.open_invocations).into_values() {
             if !ran && self.random.random() {
                 *self.effects.entry(name).or_default() += 1;
             }
         }
-        self.cut(n);
+        self.disconnect(n);
     }
 
-    pub fn perform(&mut self, out: Vec<Action>) {
-        for out in out {
-            match out {
+    pub fn perform(&mut self, actions: Vec<Action>) {
+        for actions in actions {
+            match actions {
                 Action::Send(to, packet) => {
-                    if let Some(fe) = self
+                    if let Some(front_end) = self
                         .front_ends
                         .iter_mut()
                         .find(|f| f.connection == Some(to))
                     {
-                        fe.down.push_back(packet);
+                        front_end.to_consumer.push_back(packet);
                     }
                 }
                 Action::Close(to) => {
@@ -218,49 +218,49 @@
                         .iter()
                         .position(|f| f.connection == Some(to))
                     {
-                        self.cut(n);
+                        self.disconnect(n);
                     }
                 }
             }
         }
     }
 
-    /// What a front end does by itself: entries and packets are handed over, dispatches go out.
-    pub fn work(&mut self, n: usize) {
-        let planted = self.planted;
-        let fe = &mut self.front_ends[n];
-        let Some(consumer) = &mut fe.consumer else {
+    /// Processes the outputs of a consumer: journal entries, invocations and packets.
+    pub fn process_outputs(&mut self, n: usize) {
+        let injected_fault = self.injected_fault;
+        let front_end = &mut self.front_ends[n];
+        let Some(consumer) = &mut front_end.consumer else {
             return;
         };
         while let Some(action) = consumer.next_action() {
             match action {
                 HostAction::Append(bytes) => {
-                    let forgotten = planted == Planted::ForgetsDispatch
+                    let is_omitted = injected_fault == InjectedFault::OmitsDispatchRecord
                         && String::from_utf8_lossy(&bytes).contains("\"dispatching\"");
-                    if forgotten {
-                        // So that it is kept in order.
-                        fe.unsynced.push_back((false, b"[]".to_vec()));
+                    if is_omitted {
+                        // An empty write keeps the results in order.
+                        front_end.unsynced.push_back((false, b"[]".to_vec()));
                     } else {
-                        fe.unsynced.push_back((false, bytes));
+                        front_end.unsynced.push_back((false, bytes));
                     }
-                    if planted == Planted::LyingDisk {
+                    if injected_fault == InjectedFault::ReportsUnsyncedWrites {
                         consumer.journal_appended(self.now, true);
                     }
                 }
                 HostAction::Replace(bytes) => {
-                    fe.unsynced.push_back((true, bytes));
-                    if planted == Planted::LyingDisk {
+                    front_end.unsynced.push_back((true, bytes));
+                    if injected_fault == InjectedFault::ReportsUnsyncedWrites {
                         consumer.journal_replaced(self.now, true);
                     }
                 }
-                HostAction::Invoke(m) => {
+                HostAction::Invoke(message_id) => {
                     let name = consumer
-                        .message(m)
+                        .message(message_id)
                         .map_or_else(String::new, |h| h.name.clone());
-                    fe.out.insert(m, (name, false));
+                    front_end.open_invocations.insert(message_id, (name, false));
                 }
-                HostAction::Cancel(m) => {
-                    if let Some((name, false)) = fe.out.remove(&m)
+                HostAction::Cancel(message_id) => {
+                    if let Some((name, false)) = front_end.open_invocations.remove(&message_id)
                         && self.random.random()
                     {
                         *self.effects.entry(name).or_default() += 1;
@@ -269,99 +269,104 @@
             }
         }
         while let Some(packet) = consumer.next_packet() {
-            // Each goes through the codec.
+            // Each packet is encoded and decoded.
             let mut bytes = BytesMut::from(&encode(&packet, self.version).unwrap()[..]);
             let (_, packet) = decode(&mut bytes, self.version, 1_000_000)
                 .unwrap()
                 .unwrap();
-            if fe.connection.is_some() {
-                fe.up.push_back(packet);
+            if front_end.connection.is_some() {
+                front_end.to_broker.push_back(packet);
             }
         }
     }
 
-    pub fn up(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        let (Some(connection), Some(packet)) = (fe.connection, fe.up.pop_front()) else {
+    pub fn deliver_to_broker(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        let (Some(connection), Some(packet)) =
+            (front_end.connection, front_end.to_broker.pop_front())
+        else {
             return;
         };
-        let out = self
+        let actions = self
             .broker
             .received(self.now, connection, self.version, packet);
-        self.perform(out);
+        self.perform(actions);
     }
 
-    pub fn down(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        let (Some(consumer), Some(packet)) = (&mut fe.consumer, fe.down.pop_front()) else {
+    pub fn deliver_to_consumer(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        let (Some(consumer), Some(packet)) =
+            (&mut front_end.consumer, front_end.to_consumer.pop_front())
+        else {
             return;
         };
         if let Err(ended) = consumer.received(self.now, packet, &self.deployment) {
-            panic!("the broker and the consumer don't understand each other: {ended}");
+            panic!("the consumer rejected a packet of the broker: {ended}");
         }
-        self.work(n);
+        self.process_outputs(n);
     }
 
-    /// The disk comes to its next entry, or fails.
+    /// Syncs the next write, or fails it.
     pub fn sync(&mut self, n: usize, may_fail: bool) {
-        let fails = may_fail && self.random.random_range(0..12) == 0;
-        let lies = self.planted == Planted::LyingDisk;
-        let fe = &mut self.front_ends[n];
-        let (Some(consumer), Some((replaces, bytes))) = (&mut fe.consumer, fe.unsynced.pop_front())
+        let disk_failures = may_fail && self.random.random_range(0..12) == 0;
+        let reports_unsynced = self.injected_fault == InjectedFault::ReportsUnsyncedWrites;
+        let front_end = &mut self.front_ends[n];
+        let (Some(consumer), Some((is_replacement, bytes))) =
+            (&mut front_end.consumer, front_end.unsynced.pop_front())
         else {
             return;
         };
-        let fails = fails || fe.failed && !replaces;
-        fe.failed = fails;
-        if fails {
-            fe.fails += 1;
+        let disk_failures = disk_failures || front_end.disk_failed && !is_replacement;
+        front_end.disk_failed = disk_failures;
+        if disk_failures {
+            front_end.disk_failures += 1;
         } else {
-            if replaces {
-                fe.disk.clear();
+            if is_replacement {
+                front_end.disk.clear();
             }
-            fe.disk.push(bytes);
+            front_end.disk.push(bytes);
         }
-        match replaces {
-            _ if lies => {}
-            true => consumer.journal_replaced(self.now, !fails),
-            false => consumer.journal_appended(self.now, !fails),
+        match is_replacement {
+            _ if reports_unsynced => {}
+            true => consumer.journal_replaced(self.now, !disk_failures),
+            false => consumer.journal_appended(self.now, !disk_failures),
         }
-        self.work(n);
+        self.process_outputs(n);
     }
 
-    pub fn run(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        let Some((&m, (name, ran))) = fe.out.iter_mut().next() else {
+    pub fn advance_invocation(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        let Some((&message_id, (name, ran))) = front_end.open_invocations.iter_mut().next() else {
             return;
         };
         if !std::mem::replace(ran, true) {
             *self.effects.entry(name.clone()).or_default() += 1;
             return;
         }
-        fe.out.remove(&m);
-        if let Some(consumer) = &mut fe.consumer {
+        front_end.open_invocations.remove(&message_id);
+        if let Some(consumer) = &mut front_end.consumer {
             consumer.invocation_ended(
                 self.now,
-                m,
+                message_id,
                 Answer::Succeeded {
                     payload: Bytes::from_static(b"well"),
                 },
             );
         }
-        self.work(n);
+        self.process_outputs(n);
     }
 
-    pub fn turn(&mut self, n: usize) {
-        let fe = &mut self.front_ends[n];
-        if let Some(consumer) = &mut fe.consumer
+    pub fn tick_consumer(&mut self, n: usize) {
+        let front_end = &mut self.front_ends[n];
+        if let Some(consumer) = &mut front_end.consumer
             && consumer.tick(self.now).is_err()
         {
-            self.cut(n);
+            self.disconnect(n);
         }
-        self.work(n);
+        self.process_outputs(n);
     }
 
-    /// All goes well for a while.
+    /// Runs a front end without faults for several rounds.
     pub fn settle(&mut self, n: usize) {
         if self.front_ends[n].consumer.is_none() {
             self.start(n);
@@ -370,8 +375,12 @@
             self.connect(n);
         }
         for _ in 0..20 {
-            self.turn(n);
-            for step in [World::up, World::down, World::run] {
+            self.tick_consumer(n);
+            for step in [
+                Simulation::deliver_to_broker,
+                Simulation::deliver_to_consumer,
+                Simulation::advance_invocation,
+            ] {
                 for _ in 0..10 {
                     step(self, n);
                 }
@@ -386,13 +395,13 @@
         let n = self.random.random_range(0..FRONT_ENDS);
         self.now += 0.01;
         match self.random.random_range(0..100) {
-            0..=27 => self.up(n),
-            28..=55 => self.down(n),
+            0..=27 => self.deliver_to_broker(n),
+            28..=55 => self.deliver_to_consumer(n),
             56..=75 => self.sync(n, may_fail),
-            76..=87 => self.run(n),
-            88..=91 => self.turn(n),
-            92..=93 => self.cut(n),
-            94..=95 => self.kill(n),
+            76..=87 => self.advance_invocation(n),
+            88..=91 => self.tick_consumer(n),
+            92..=93 => self.disconnect(n),
+            94..=95 => self.crash(n),
             _ if self.front_ends[n].consumer.is_none() => self.start(n),
             _ if self.front_ends[n].connection.is_none() => self.connect(n),
             _ => {}
--- a/crates/mqtt-triggers/tests/stored_formats.rs
+++ b/crates/mqtt-triggers/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! The JSON of journal records is a stored format: a new build has to read what an older one wrote, and to write the
-//! same. The examples were written by hand against the build of version 0.2.0 and must not be changed.
+//! Tests that the JSON of journal records stays compatible: a build has to read the records of older builds and write
+//! the same text. The fixtures were written by hand against version 0.2.0 and must not be changed.
 
 use bytes::Bytes;
 use orchidtally_mqtt_triggers::durable_invocations::{
@@ -10,9 +10,9 @@
 use serde::de::DeserializeOwned;
 
 const LEDGER: &str = include_str!("stored_formats/ledger.jsonl");
-const PROMISES: &str = include_str!("stored_formats/promises.jsonl");
+const DURABLE_INVOCATIONS: &str = include_str!("stored_formats/promises.jsonl");
 
-/// Reads one record a line, and checks that each is written again byte for byte.
+/// Reads one record per line, and checks that each serializes to the same bytes.
 fn read_and_rewrite<Record: Serialize + DeserializeOwned>(lines: &str) -> Vec<Record> {
     let read_line = |line: &str| {
         let record: Record =
@@ -23,7 +23,7 @@
     lines.lines().map(read_line).collect()
 }
 
-/// The values of a key in all lines, without repetitions that follow each other.
+/// Returns the values of a key in all lines, without consecutive duplicates.
 fn tags(lines: &str, key: &str) -> Vec<String> {
     let tag = |line: &str| {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn ledger_records_are_read_and_written_again() {
+fn ledger_records_round_trip() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
     assert_eq!(records.len(), 14);
     let expected = [
@@ -52,35 +52,45 @@
 }
 
 #[test]
-fn a_taken_message_has_the_values_of_its_record() {
+fn an_accepted_message_has_the_values_of_its_record() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
     let ledger::Record::Accepted {
-        message_id: n,
-        idempotency: effect,
+        message_id,
+        idempotency,
         packet_id,
         is_qos2,
-        delivery_count: times,
-        stored: held,
+        delivery_count,
+        stored,
         answer,
     } = &records[0]
     else {
         panic!("{:?}", records[0]);
     };
     assert_eq!(
-        (*n, *effect, *packet_id, *is_qos2, *times),
+        (
+            *message_id,
+            *idempotency,
+            *packet_id,
+            *is_qos2,
+            *delivery_count
+        ),
         (1, Idempotency::Idempotent, Some(7), true, 1)
     );
     assert_eq!(
-        (held.name.as_str(), held.topic.as_str(), held.expires_at),
+        (
+            stored.name.as_str(),
+            stored.topic.as_str(),
+            stored.expires_at
+        ),
         ("m-1", "orders/new", 1764600000.5)
     );
-    assert_eq!(held.payload, Bytes::from_static(b"hello\0\xff"));
+    assert_eq!(stored.payload, Bytes::from_static(b"hello\0\xff"));
     let reply = Reply {
         topic: "answers/m-1".into(),
         correlation: Bytes::from_static(b"corr"),
     };
-    assert_eq!(held.reply, Some(reply));
-    let target = &held.target;
+    assert_eq!(stored.reply, Some(reply));
+    let target = &stored.target;
     let names = [
         &target.function,
         &target.trigger_type,
@@ -92,18 +102,15 @@
 }
 
 #[test]
-fn effects_and_answers_have_the_values_of_their_records() {
+fn idempotency_and_answers_have_the_values_of_their_records() {
     let records: Vec<ledger::Record> = read_and_rewrite(LEDGER);
-    let effect = |record: &ledger::Record| match record {
-        ledger::Record::Accepted {
-            idempotency: effect,
-            ..
-        } => Some(*effect),
+    let idempotency = |record: &ledger::Record| match record {
+        ledger::Record::Accepted { idempotency, .. } => Some(*idempotency),
         _ => None,
     };
-    let effects: Vec<Idempotency> = records.iter().filter_map(effect).collect();
+    let idempotencies: Vec<Idempotency> = records.iter().filter_map(idempotency).collect();
     assert_eq!(
-        effects,
+        idempotencies,
         [
             Idempotency::Idempotent,
             Idempotency::Keyed {
@@ -153,50 +160,56 @@
 }
 
 #[test]
-fn promises_are_read_and_written_again() {
-    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
+fn durable_invocation_records_round_trip() {
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(DURABLE_INVOCATIONS);
     assert_eq!(records.len(), 5);
-    assert_eq!(tags(PROMISES, "promise"), ["taken", "over", "dropped"]);
+    assert_eq!(
+        tags(DURABLE_INVOCATIONS, "promise"),
+        ["taken", "over", "dropped"]
+    );
 }
 
 #[test]
-fn promises_have_the_values_of_their_records() {
-    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
-    let promises = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
-    let answered = |status, body: &'static [u8], whole| {
+fn durable_invocations_have_the_values_of_their_records() {
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(DURABLE_INVOCATIONS);
+    let invocations = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
+    let answered = |status, body: &'static [u8], is_complete| {
         InvocationState::Ended(DurableOutcome::Answered {
             status,
             body: Bytes::from_static(body),
-            is_complete: whole,
+            is_complete: is_complete,
         })
     };
     assert_eq!(
-        promises.state("invocation-1"),
+        invocations.state("invocation-1"),
         Some(InvocationState::Running)
     );
     assert_eq!(
-        promises.state("invocation-2"),
+        invocations.state("invocation-2"),
         Some(answered(200, b"hello\0\xff", true))
     );
     assert_eq!(
-        promises.state("invocation-3"),
+        invocations.state("invocation-3"),
         Some(answered(504, b"", false))
     );
     assert_eq!(
-        promises.state("invocation-4"),
+        invocations.state("invocation-4"),
         Some(InvocationState::Ended(DurableOutcome::Unknown))
     );
-    assert_eq!(promises.state("invocation-5"), None);
+    assert_eq!(invocations.state("invocation-5"), None);
 }
 
 #[test]
-fn a_snapshot_of_promises_is_the_records_that_still_count() {
-    let records: Vec<durable_invocations::Record> = read_and_rewrite(PROMISES);
-    let promises = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
-    let written: Vec<String> = promises
+fn a_snapshot_of_durable_invocations_omits_released_names() {
+    let records: Vec<durable_invocations::Record> = read_and_rewrite(DURABLE_INVOCATIONS);
+    let invocations = DurableInvocations::new(600.0, 100, 1_000).with_records(&records);
+    let written: Vec<String> = invocations
         .records()
         .iter()
         .map(|record| serde_json::to_string(record).unwrap())
         .collect();
-    assert_eq!(written, PROMISES.lines().take(4).collect::<Vec<_>>());
+    assert_eq!(
+        written,
+        DURABLE_INVOCATIONS.lines().take(4).collect::<Vec<_>>()
+    );
 }
