--- a/crates/mqtt-triggers/tests/durable_invocations.rs
+++ b/crates/mqtt-triggers/tests/durable_invocations.rs
@@ -63,7 +63,7 @@
                     let is_complete = body.len() <= 4;
                     let body = if is_complete { body } else { Bytes::new() };
                     n.running = false;
-                    n.ended = Some((now, DurableOutcome::Answered { status: 200, body, is_complete: is_complete }));
+                    n.ended = Some((now, DurableOutcome::Answered { status: 200, body, is_complete }));
                 }
                 7 if n.running => {
                     journal.push(invocations.end(now, &name, false, 503, &Bytes::new()));
--- a/crates/mqtt-triggers/tests/stored_formats.rs
+++ b/crates/mqtt-triggers/tests/stored_formats.rs
@@ -177,7 +177,7 @@
         InvocationState::Ended(DurableOutcome::Answered {
             status,
             body: Bytes::from_static(body),
-            is_complete: is_complete,
+            is_complete,
         })
     };
     assert_eq!(
--- a/crates/mqtt/src/codec/decode.rs
+++ b/crates/mqtt/src/codec/decode.rs
@@ -11,7 +11,7 @@
 use crate::packet::*;
 use bytes::{Buf, BytesMut};
 
-/// The first bytes of a packet: its type, its flags, and the lengths in bytes of this header and of the packet.
+/// The fixed header of a packet, with the lengths of the header and of the whole packet in bytes.
 struct FixedHeader {
     packet_type: u8,
     flags: u8,
@@ -19,10 +19,10 @@
     packet_length: usize,
 }
 
-/// Takes the next packet off the front of a buffer; `None` until all of it has arrived.
+/// Removes and decodes the first packet of a buffer; returns `None` until the packet is complete.
 ///
-/// A packet longer than `max_length` bytes is refused. `version` is the version of the connection; a CONNECT states
-/// its own, which is returned, so that a server decodes the first packet with either.
+/// A packet longer than `max_length` bytes is an error. `version` is the version of the connection. A CONNECT states its
+/// own version, which is returned with it, so that a server may pass either version for the first packet.
 pub fn decode(
     buffer: &mut BytesMut,
     version: Version,
@@ -46,7 +46,7 @@
     let mut reader = Reader::new(bytes);
     let (version, packet) = read_packet(&mut reader, version, &header)?;
     if reader.has_remaining() {
-        malformed("bytes after its end")
+        malformed("trailing bytes after the packet")
     } else {
         Ok(Some((version, packet)))
     }
@@ -65,12 +65,12 @@
         header_length += 1;
         if byte & VARINT_CONTINUES == 0 {
             if header_length > 2 && byte == 0 {
-                return malformed("a length in more bytes than it needs");
+                return malformed("a variable byte integer in more bytes than needed");
             }
             break;
         }
         if header_length > VARINT_BYTES {
-            return malformed("a length of more than four bytes");
+            return malformed("a variable byte integer of more than four bytes");
         }
     }
     Ok(Some(FixedHeader {
@@ -90,7 +90,7 @@
     if header.flags == expected {
         Ok(())
     } else {
-        malformed("reserved flags")
+        malformed("invalid reserved flags")
     }
 }
 
@@ -121,14 +121,14 @@
         packet_type::AUTH if version == Version::V5 => {
             Packet::Auth(read_reason(reader, version, packet_type)?)
         }
-        _ => return malformed("a packet type that this version doesn't have"),
+        _ => return malformed("an unknown packet type for this version"),
     };
     Ok((version, packet))
 }
 
 fn read_connect(reader: &mut Reader) -> Result<(Version, Connect)> {
     if reader.text()? != "MQTT" {
-        return malformed("the protocol's name is not MQTT");
+        return malformed("the protocol name is not MQTT");
     }
     let version = match reader.u8()? {
         LEVEL_V311 => Version::V311,
@@ -171,18 +171,18 @@
 fn read_will(reader: &mut Reader, version: Version, flags: u8) -> Result<Option<Will>> {
     let qos = Qos::from_bits(flags >> connect_flag::WILL_QOS_SHIFT & QOS_BITS);
     let Some(qos) = qos.filter(|_| flags & connect_flag::RESERVED == 0) else {
-        return malformed("reserved flags of a CONNECT");
+        return malformed("invalid flags in a CONNECT");
     };
     if flags & connect_flag::WILL == 0 {
         if flags & connect_flag::WILL_OPTIONS != 0 {
-            return malformed("flags of a will without one");
+            return malformed("will flags without a will");
         }
         return Ok(None);
     }
     let properties = read_properties(reader, version, WILL)?;
     let topic = reader.text()?;
     if check_topic(&topic).is_err() {
-        return malformed("a will's topic that nothing can be published to");
+        return malformed("an invalid will topic");
     }
     let retain = flags & connect_flag::WILL_RETAIN != 0;
     Ok(Some(Will {
@@ -197,7 +197,7 @@
 fn read_connack(reader: &mut Reader, version: Version) -> Result<ConnAck> {
     let flags = reader.u8()?;
     if flags > 1 {
-        return malformed("reserved flags of a CONNACK");
+        return malformed("invalid flags in a CONNACK");
     }
     let code = reader.u8()?;
     let properties = read_properties(reader, version, packet_type::CONNACK)?;
@@ -227,7 +227,7 @@
         .iter()
         .any(|property| matches!(property, Property::TopicAlias(_)));
     if check_topic(&topic).is_err() && !(topic.is_empty() && has_alias) {
-        return malformed("a topic that nothing can be published to");
+        return malformed("an invalid topic name");
     }
     let retain = flags & publish_flag::RETAIN != 0;
     Ok(Publish {
@@ -251,7 +251,7 @@
     })
 }
 
-/// A reason code and its properties. What is left out is a success without properties.
+/// Reads a reason code and properties. If they are omitted, the reason is success without properties.
 fn read_reason(reader: &mut Reader, version: Version, packet_type: u8) -> Result<Reason> {
     if version == Version::V311 || !reader.has_remaining() {
         return Ok(Reason::default());
@@ -292,7 +292,7 @@
     let retain_handling = options >> subscribe_option::RETAIN_HANDLING_SHIFT & 3;
     let qos = Qos::from_bits(options & QOS_BITS);
     let Some(qos) = qos.filter(|_| options & reserved == 0 && retain_handling < 3) else {
-        return malformed("options of a subscription");
+        return malformed("invalid subscription options");
     };
     let no_local = options & subscribe_option::NO_LOCAL != 0;
     let retain_as_published = options & subscribe_option::RETAIN_AS_PUBLISHED != 0;
@@ -325,14 +325,14 @@
     })
 }
 
-/// A SUBACK or UNSUBACK. Only the UNSUBACK of version 3.1.1 has no codes.
+/// Reads a SUBACK or UNSUBACK. Only the UNSUBACK of version 3.1.1 has no codes.
 fn read_codes(reader: &mut Reader, version: Version, packet_type: u8) -> Result<Codes> {
     let id = reader.nonzero_u16()?;
     let properties = read_properties(reader, version, packet_type)?;
     let codes = reader.remaining().to_vec();
     let has_codes = version == Version::V5 || packet_type == packet_type::SUBACK;
     if has_codes == codes.is_empty() {
-        return malformed("codes that are not one a filter");
+        return malformed("missing or unexpected reason codes");
     }
     Ok(Codes {
         id,
--- a/crates/mqtt/src/codec/encode.rs
+++ b/crates/mqtt/src/codec/encode.rs
@@ -9,10 +9,10 @@
 use crate::packet::*;
 use bytes::Bytes;
 
-/// The most bytes of a fixed header.
+/// The maximum length of a fixed header, in bytes.
 const MAX_HEADER_LENGTH: usize = 5;
 
-/// Encodes a packet. What its fields can't hold, such as a string of over 65535 bytes, is an error.
+/// Encodes a packet. Values that can't be represented, such as a string longer than 65535 bytes, are errors.
 pub fn encode(packet: &Packet, version: Version) -> Result<Bytes> {
     let mut body = vec![];
     let (packet_type, flags) = put_body(&mut body, packet, version)?;
@@ -29,7 +29,7 @@
     Ok(bytes.into())
 }
 
-/// Appends what follows the fixed header; returns the type of the packet and its flags.
+/// Appends the part of a packet after the fixed header; returns the packet type and the flags.
 fn put_body(out: &mut Vec<u8>, packet: &Packet, version: Version) -> Result<(u8, u8)> {
     Ok(match packet {
         Packet::Connect(connect) => {
@@ -148,7 +148,7 @@
     Ok(dup | publish.qos.bits() << publish_flag::QOS_SHIFT | retain)
 }
 
-/// Appends one of the acknowledgements of a PUBLISH.
+/// Appends a PUBACK, PUBREC, PUBREL or PUBCOMP.
 fn put_ack(out: &mut Vec<u8>, version: Version, ack: &Ack) -> Result<()> {
     out.extend(ack.id.to_be_bytes());
     put_reason(out, version, ack.code, &ack.properties)
@@ -193,7 +193,7 @@
     put_properties(out, version, &codes.properties)
 }
 
-/// Appends a reason code and its properties; a success without properties is left out.
+/// Appends a reason code and properties. Success without properties is omitted.
 fn put_reason(
     out: &mut Vec<u8>,
     version: Version,
--- a/crates/mqtt/src/codec/mod.rs
+++ b/crates/mqtt/src/codec/mod.rs
@@ -13,16 +13,16 @@
 pub use decode::decode;
 pub use encode::encode;
 
-/// The greatest remaining length that the four bytes of a variable byte integer can state.
+/// The maximum remaining length, which is the largest value of a variable byte integer.
 const MAX_REMAINING_LENGTH: usize = 268_435_455;
 
-/// The bit that says that another byte of a variable byte integer follows, and the bits of its value.
+/// The continuation bit and the value bits of each byte of a variable byte integer.
 const VARINT_CONTINUES: u8 = 0x80;
 const VARINT_VALUE: u8 = 0x7f;
-/// The most bytes of a variable byte integer.
+/// The maximum length of a variable byte integer, in bytes.
 const VARINT_BYTES: usize = 4;
 
-/// Control packet types, as they stand in the upper half of a packet's first byte.
+/// Control packet types: the upper four bits of a packet's first byte.
 mod packet_type {
     pub const CONNECT: u8 = 1;
     pub const CONNACK: u8 = 2;
@@ -41,30 +41,31 @@
     pub const AUTH: u8 = 15;
 }
 
-/// The lower half of the first byte of PUBREL, SUBSCRIBE and UNSUBSCRIBE; it is 0 for all others but PUBLISH.
+/// The flags (lower four bits of the first byte) of PUBREL, SUBSCRIBE and UNSUBSCRIBE. All other packet types except
+/// PUBLISH have the flags 0.
 const REQUEST_FLAGS: u8 = 2;
 
-/// Bits of the flags of a CONNECT.
+/// Flag bits of a CONNECT.
 mod connect_flag {
     pub const RESERVED: u8 = 0x01;
     pub const CLEAN: u8 = 0x02;
     pub const WILL: u8 = 0x04;
     pub const WILL_QOS_SHIFT: u8 = 3;
     pub const WILL_RETAIN: u8 = 0x20;
-    /// QoS and retain flag of a will.
+    /// The QoS bits and the retain flag of a will.
     pub const WILL_OPTIONS: u8 = 0x38;
     pub const PASSWORD: u8 = 0x40;
     pub const USERNAME: u8 = 0x80;
 }
 
-/// Bits of the flags of a PUBLISH.
+/// Flag bits of a PUBLISH.
 mod publish_flag {
     pub const RETAIN: u8 = 0x01;
     pub const QOS_SHIFT: u8 = 1;
     pub const DUP: u8 = 0x08;
 }
 
-/// Bits of the options of a subscription.
+/// Option bits of a subscription.
 mod subscribe_option {
     pub const NO_LOCAL: u8 = 0x04;
     pub const RETAIN_AS_PUBLISHED: u8 = 0x08;
@@ -73,29 +74,29 @@
     pub const RESERVED_V5: u8 = 0xc0;
 }
 
-/// The two bits of a QoS, wherever it stands.
+/// The mask of a two-bit QoS after its shift.
 const QOS_BITS: u8 = 0x03;
 
-/// The protocol levels of the versions, as a CONNECT states them.
+/// The protocol levels in a CONNECT.
 const LEVEL_V311: u8 = 4;
 const LEVEL_V5: u8 = 5;
 
-/// Why bytes could not be decoded, or a packet could not be encoded. The connection has to be closed.
+/// A failure to decode or encode a packet. The connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// The packet violates the standard, in the standard's terms.
+    /// The packet violates the standard as described.
     #[error("malformed packet: {0}")]
     Malformed(&'static str),
-    /// The packet is longer than is accepted.
-    #[error("a packet of {length} bytes, {max_length} at most")]
+    /// The packet is longer than the limit.
+    #[error("a packet of {length} bytes exceeds the limit of {max_length} bytes")]
     TooLarge {
-        /// The packet's length in bytes.
+        /// The length of the packet in bytes.
         length: usize,
-        /// The greatest length in bytes that is accepted.
+        /// The limit in bytes.
         max_length: usize,
     },
-    /// The protocol version is neither 3.1.1 nor 5.
-    #[error("protocol version {0}, 4 (3.1.1) or 5 is spoken")]
+    /// The protocol level is neither 4 (MQTT 3.1.1) nor 5.
+    #[error("unsupported protocol level {0}, expected 4 (MQTT 3.1.1) or 5")]
     Version(u8),
 }
 
--- a/crates/mqtt/src/codec/property.rs
+++ b/crates/mqtt/src/codec/property.rs
@@ -10,11 +10,11 @@
 use crate::filter::check_topic;
 use crate::packet::{Properties, Property, Version};
 
-/// What carries properties: a packet by its type, or the will of a CONNECT. The will has the packet type 0, which
-/// the standard reserves.
+/// The carrier number of a CONNECT's will. Other carriers of properties are identified by their packet type, of which
+/// the standard reserves 0.
 pub(super) const WILL: u8 = 0;
 
-/// The packet types that may carry a property, as a bit for each type.
+/// Returns a bit set of the packet types that may carry a property.
 fn carriers(property: &Property) -> u16 {
     let any_of = |types: &[u8]| {
         types
@@ -52,7 +52,7 @@
     }
 }
 
-/// The identifier of a property.
+/// Returns the identifier of a property.
 fn id(property: &Property) -> u8 {
     match property {
         Property::PayloadFormat(_) => 0x01,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Whether a property may stand more than once in what carries it.
+/// Whether a property may occur more than once in this carrier.
 fn may_repeat(property: &Property, carrier: u8) -> bool {
     match property {
         Property::User(..) => true,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Reads the properties of a packet type, or of a will. Version 3.1.1 has none.
+/// Reads the properties of a packet or a will. Version 3.1.1 has none.
 pub(super) fn read_properties(
     reader: &mut Reader,
     version: Version,
@@ -109,11 +109,11 @@
     while reader.has_remaining() {
         let property = read_property(&mut reader)?;
         if carriers(&property) & 1 << carrier == 0 {
-            return malformed("a property that this packet can't have");
+            return malformed("a property that is not allowed in this packet");
         }
         let is_repeated = properties.iter().any(|other| id(other) == id(&property));
         if is_repeated && !may_repeat(&property, carrier) {
-            return malformed("a property given twice");
+            return malformed("a duplicate property");
         }
         properties.push(property);
     }
@@ -162,12 +162,12 @@
 fn read_response_topic(reader: &mut Reader) -> Result<String> {
     let topic = reader.text()?;
     if check_topic(&topic).is_err() {
-        return malformed("a response topic that nothing can be published to");
+        return malformed("an invalid response topic");
     }
     Ok(topic)
 }
 
-/// Appends properties after their length. Version 3.1.1 has none.
+/// Appends length-prefixed properties. Version 3.1.1 has none.
 pub(super) fn put_properties(
     out: &mut Vec<u8>,
     version: Version,
--- a/crates/mqtt/src/codec/reader.rs
+++ b/crates/mqtt/src/codec/reader.rs
@@ -17,14 +17,14 @@
         !self.bytes.is_empty()
     }
 
-    /// Takes all bytes that are left.
+    /// Takes all remaining bytes.
     pub(super) fn remaining(&mut self) -> Bytes {
         std::mem::take(&mut self.bytes)
     }
 
     pub(super) fn take(&mut self, length: usize) -> Result<Bytes> {
         if self.bytes.len() < length {
-            malformed("it ends within a field")
+            malformed("the packet ends within a field")
         } else {
             Ok(self.bytes.split_to(length))
         }
@@ -42,7 +42,7 @@
         Ok(self.take(4)?.get_u32())
     }
 
-    /// A byte that has to be 0 or 1.
+    /// Reads a byte that has to be 0 or 1.
     pub(super) fn flag(&mut self) -> Result<u8> {
         match self.u8()? {
             byte @ 0..=1 => Ok(byte),
@@ -50,15 +50,15 @@
         }
     }
 
-    /// A two byte integer that must not be 0, such as a packet identifier.
+    /// Reads a two byte integer that must not be 0, such as a packet identifier.
     pub(super) fn nonzero_u16(&mut self) -> Result<u16> {
         match self.u16()? {
-            0 => malformed("a 0 where the standard allows none"),
+            0 => malformed("a zero value that the standard forbids"),
             value => Ok(value),
         }
     }
 
-    /// A variable byte integer, which must not have more bytes than it needs.
+    /// Reads a variable byte integer. Encodings longer than the minimum are malformed.
     pub(super) fn varint(&mut self) -> Result<u32> {
         let mut value = 0u32;
         for position in 0..VARINT_BYTES {
@@ -66,28 +66,28 @@
             value |= u32::from(byte & VARINT_VALUE) << (7 * position);
             if byte & VARINT_CONTINUES == 0 {
                 return if position > 0 && byte == 0 {
-                    malformed("a length in more bytes than it needs")
+                    malformed("a variable byte integer in more bytes than needed")
                 } else {
                     Ok(value)
                 };
             }
         }
-        malformed("a length of more than four bytes")
+        malformed("a variable byte integer of more than four bytes")
     }
 
-    /// Binary data after its length.
+    /// Reads length-prefixed binary data.
     pub(super) fn binary(&mut self) -> Result<Bytes> {
         let length = self.u16()?;
         self.take(length.into())
     }
 
-    /// A string in UTF-8 after its length.
+    /// Reads a length-prefixed UTF-8 string.
     pub(super) fn text(&mut self) -> Result<String> {
         let bytes = self.binary()?;
         match std::str::from_utf8(&bytes) {
-            Ok(text) if text.contains('\0') => malformed("a text with U+0000"),
+            Ok(text) if text.contains('\0') => malformed("a string with U+0000"),
             Ok(text) => Ok(text.to_owned()),
-            Err(_) => malformed("a text that is not UTF-8"),
+            Err(_) => malformed("a string that is not UTF-8"),
         }
     }
 }
--- a/crates/mqtt/src/codec/writer.rs
+++ b/crates/mqtt/src/codec/writer.rs
@@ -1,4 +1,4 @@
-//! Encoding of the data types that packets consist of.
+//! Writes the primitive data types of the standards.
 
 use super::{CodecError, Result, VARINT_CONTINUES, VARINT_VALUE};
 
@@ -15,10 +15,10 @@
     }
 }
 
-/// Appends binary data after its length.
+/// Appends length-prefixed binary data.
 pub(super) fn put_binary(out: &mut Vec<u8>, bytes: &[u8]) -> Result<()> {
     let length = u16::try_from(bytes.len())
-        .map_err(|_| CodecError::Malformed("a field of over 65535 bytes"))?;
+        .map_err(|_| CodecError::Malformed("a field longer than 65535 bytes"))?;
     out.extend(length.to_be_bytes());
     out.extend(bytes);
     Ok(())
--- a/crates/mqtt/src/filter.rs
+++ b/crates/mqtt/src/filter.rs
@@ -1,35 +1,39 @@
-//! Topic names and topic filters: which are valid, what a filter matches, and whether two filters overlap.
+//! Topic names and topic filters: validation, matching, and overlaps of filters.
 
 use std::fmt;
 
-/// The greatest length of a topic name or filter, in bytes.
+/// The maximum length of a topic name or filter, in bytes.
 const MAX_LENGTH: usize = 65_535;
 
-/// A valid topic filter, with the group where the subscription is shared.
+/// A valid topic filter, with the group if the subscription is shared.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Filter {
     text: String,
-    /// Where the filter itself begins in the text, after the prefix of a shared subscription.
+    /// The byte offset of the filter in the text, after the prefix of a shared subscription.
     start: usize,
 }
 
-/// Why a topic name or a topic filter is not valid.
+/// The reason why a topic name or a topic filter is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FilterError {
     /// It is empty.
     #[error("it is empty")]
     Empty,
-    /// It is longer than a string of the protocol can be.
-    #[error("it has over 65535 bytes")]
+    /// It is longer than the longest string of the protocol.
+    #[error("it is longer than 65535 bytes")]
     TooLong,
     /// It contains U+0000.
-    #[error("it has the character U+0000")]
+    #[error("it contains the character U+0000")]
     NulCharacter,
-    /// `#` has to stand for all levels from the last on, `+` for a whole level; a topic name has neither.
-    #[error("'+' has to stand for a whole level and '#' for all levels from the last on")]
+    /// A wildcard is misplaced: `+` has to be a whole level and `#` the whole last level. A topic name has neither.
+    #[error(
+        "'+' has to be a whole level and '#' the whole last level of a filter; topic names have no wildcards"
+    )]
     Wildcard,
-    /// A shared subscription has to be `$share/GROUP/FILTER`, the group without wildcards.
-    #[error("'$share/GROUP/FILTER' is wanted, the group without '+', '#' and '/'")]
+    /// A shared subscription does not have the form `$share/GROUP/FILTER`, with a group without wildcards.
+    #[error(
+        "a shared subscription has the form '$share/GROUP/FILTER', with a group without '+', '#' and '/'"
+    )]
     SharedSubscription,
 }
 
@@ -53,7 +57,7 @@
 }
 
 impl Filter {
-    /// Parses a filter as it stands in a SUBSCRIBE.
+    /// Parses a filter of a SUBSCRIBE, which may be a shared subscription.
     pub fn parse(text: &str) -> Result<Filter, FilterError> {
         check(text)?;
         let mut start = 0;
@@ -80,12 +84,12 @@
         })
     }
 
-    /// The filter as it stands in a SUBSCRIBE.
+    /// The filter as written in a SUBSCRIBE, with the prefix of a shared subscription.
     pub fn as_str(&self) -> &str {
         &self.text
     }
 
-    /// The group of a shared subscription.
+    /// The group of a shared subscription; `None` for other subscriptions.
     pub fn group(&self) -> Option<&str> {
         (self.start > 0).then(|| &self.text["$share/".len()..self.start - 1])
     }
@@ -94,10 +98,10 @@
         self.text[self.start..].split('/')
     }
 
-    /// What each wildcard stands for in a topic, in order; for `#` all of its levels. `None` where the filter does
-    /// not match the topic.
+    /// Matches a topic and returns the part that each wildcard matched, in order; for `#` these are all remaining
+    /// levels. Returns `None` if the filter does not match.
     pub fn captures<'t>(&self, topic: &'t str) -> Option<Vec<&'t str>> {
-        // A wildcard at the start does not match the topics of the server itself, such as $SYS.
+        // A leading wildcard does not match topics of the server, such as $SYS.
         if topic.starts_with('$') && matches!(self.levels().next(), Some("+" | "#")) {
             return None;
         }
@@ -105,7 +109,7 @@
         let mut rest = Some(topic);
         for level in self.levels() {
             if level == "#" {
-                // It matches its parent level too.
+                // `#` also matches its parent level.
                 captures.push(rest.unwrap_or_default());
                 return Some(captures);
             }
@@ -131,7 +135,7 @@
     /// Whether there is a topic that both filters match.
     pub fn overlaps(&self, other: &Filter) -> bool {
         let (a, b): (Vec<&str>, Vec<&str>) = (self.levels().collect(), other.levels().collect());
-        // A wildcard at the start matches no topic that begins with '$'.
+        // A leading wildcard does not match topics that begin with '$'.
         let hidden =
             |one: &[&str], two: &[&str]| matches!(one[0], "+" | "#") && two[0].starts_with('$');
         if hidden(&a, &b) || hidden(&b, &a) {
@@ -140,7 +144,7 @@
         let mut n = 0;
         loop {
             match (a.get(n), b.get(n)) {
-                // `#` matches its parent too; but a topic of one empty level is not valid.
+                // `#` also matches its parent level; but a topic of one empty level is invalid.
                 (Some(&"#"), None) | (None, Some(&"#")) => {
                     return n > 1 || !a[0].is_empty() && !b[0].is_empty();
                 }
--- a/crates/mqtt/src/lib.rs
+++ b/crates/mqtt/src/lib.rs
@@ -1,5 +1,5 @@
-//! MQTT 3.1.1 and 5 by the OASIS standards, without I/O: control packets and their encoding, topic names and
-//! filters, and a client's session. Names are those of the standards.
+//! MQTT 3.1.1 and 5 according to the OASIS standards, without I/O: control packets and their encoding, topic names and
+//! filters, and the session of a client. Names follow the standards.
 
 mod codec;
 pub mod filter;
--- a/crates/mqtt/src/packet.rs
+++ b/crates/mqtt/src/packet.rs
@@ -1,13 +1,13 @@
-//! The control packets of MQTT 3.1.1 and 5, named as in the standards. Fields that version 3.1.1 lacks are empty or
-//! absent in its packets.
+//! The control packets of MQTT 3.1.1 and 5, named as in the standards. Fields that version 3.1.1 does not have are empty
+//! or `None` in its packets.
 
 use bytes::Bytes;
 
-/// Reason codes that a session looks at.
+/// Reason codes that a session interprets.
 pub mod reason_code {
-    /// The first of the codes that report a failure.
+    /// The lowest reason code that reports a failure.
     pub const FAILURE: u8 = 0x80;
-    /// The packet identifier of an acknowledgement is not known.
+    /// The packet identifier of an acknowledgement is unknown.
     pub const PACKET_IDENTIFIER_NOT_FOUND: u8 = 0x92;
 }
 
@@ -33,12 +33,12 @@
 }
 
 impl Qos {
-    /// The two bits that stand for it in packets.
+    /// The two-bit encoding.
     pub fn bits(self) -> u8 {
         self as u8
     }
 
-    /// The QoS that two bits stand for; `None` for the reserved value 3.
+    /// Decodes two bits; `None` for the reserved value 3.
     pub fn from_bits(bits: u8) -> Option<Qos> {
         [Qos::AtMostOnce, Qos::AtLeastOnce, Qos::ExactlyOnce]
             .get(usize::from(bits))
@@ -148,7 +148,7 @@
 pub struct ConnAck {
     /// Whether the server has kept the client's session.
     pub session_present: bool,
-    /// 0 where the connection is accepted.
+    /// The reason code; 0 if the connection is accepted.
     pub code: u8,
     /// The properties of version 5.
     pub properties: Properties,
@@ -157,15 +157,15 @@
 /// PUBLISH.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Publish {
-    /// Whether this may be another delivery of a message that was sent before.
+    /// Whether this may be a redelivery.
     pub dup: bool,
     /// The quality of service.
     pub qos: Qos,
     /// Whether the server retains the message.
     pub retain: bool,
-    /// Empty where a topic alias of version 5 stands for it.
+    /// The topic; empty if a topic alias of version 5 replaces it.
     pub topic: String,
-    /// The packet identifier; 0 with QoS 0, and never otherwise.
+    /// The packet identifier; 0 if and only if the QoS is 0.
     pub id: u16,
     /// The properties of version 5.
     pub properties: Properties,
@@ -191,11 +191,11 @@
     pub filter: String,
     /// The quality of service.
     pub qos: Qos,
-    /// Whether the client's own messages are left out.
+    /// Whether the client's own messages are not delivered to it.
     pub no_local: bool,
     /// Whether the retain flag is kept as published.
     pub retain_as_published: bool,
-    /// When retained messages are sent: 0 at each subscription, 1 at a new one, 2 never.
+    /// When retained messages are sent: 0 on each subscribe, 1 only for a new subscription, 2 never.
     pub retain_handling: u8,
 }
 
--- a/crates/mqtt/src/session/deadlines.rs
+++ b/crates/mqtt/src/session/deadlines.rs
@@ -1,20 +1,20 @@
-//! Keep alive, and the times within which the server has to answer.
+//! Keep alive, and timeouts for the server's responses.
 
 use super::{ConnectionError, ConnectionState, Event, Session};
 use crate::packet::Packet;
 
-/// The part of the keep alive within which the server has to answer a ping.
+/// The timeout of a ping as a fraction of the keep alive.
 const PING_TIMEOUT_SHARE: f64 = 0.5;
-/// Seconds within which the server has to answer a CONNECT or a SUBSCRIBE, and a ping where there is no keep alive.
+/// The timeout in seconds of a CONNECT or a SUBSCRIBE, and of a ping if there is no keep alive.
 const REQUEST_TIMEOUT: f64 = 10.0;
 
 /// A PINGREQ that the server has not answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Ping {
     sent_at: f64,
-    /// It follows CONNECT: the server sends all that it has to send again before its answer.
+    /// Whether it is the first ping of the connection. The server sends its redeliveries before the PINGRESP.
     follows_connect: bool,
-    /// The deliveries that were acknowledged by PUBACK before it.
+    /// The numbers of the deliveries that were acknowledged by PUBACK before the ping.
     acknowledged: Vec<u64>,
 }
 
@@ -26,8 +26,8 @@
 }
 
 impl Session {
-    /// Has the server confirm what was acknowledged by PUBACK. A server processes a connection's packets in order:
-    /// its answer to a ping confirms what was acknowledged before that.
+    /// Sends a ping if there are unconfirmed PUBACKs and no ping is outstanding. A server processes the packets of a
+    /// connection in order, so that its PINGRESP confirms all earlier PUBACKs.
     pub(super) fn request_confirmation(&mut self, now: f64) {
         if self.options.requests_confirmation && self.ping.is_none() && !self.unconfirmed.is_empty()
         {
@@ -45,7 +45,7 @@
         self.send(now, Packet::PingReq);
     }
 
-    /// PINGRESP has arrived.
+    /// Handles a PINGRESP.
     pub(super) fn ping_answered(&mut self, now: f64) -> Vec<Event> {
         let Some(ping) = self.ping.take() else {
             return vec![];
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Sends a ping that is due, and notices a server that does not answer.
+    /// Sends a ping if one is due. Returns an error if the server has not answered in time.
     pub fn tick(&mut self, now: f64) -> Result<(), ConnectionError> {
         if now < self.next_tick_at() {
             return Ok(());
--- a/crates/mqtt/src/session/event.rs
+++ b/crates/mqtt/src/session/event.rs
@@ -1,30 +1,30 @@
-//! What a session reports to its host.
+//! Events and errors that a session reports to its host.
 
 use crate::packet::{Properties, Qos};
 use bytes::Bytes;
 
-/// A message from the server, to be acknowledged by its number where it has one.
+/// A message from the server. The host acknowledges it by its number, if it has one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// The number by which the host acknowledges it; `None` with QoS 0, which is not acknowledged.
+    /// The delivery number for `Session::acknowledge`; `None` with QoS 0.
     pub number: Option<u64>,
-    /// Its packet identifier; 0 with QoS 0.
+    /// The packet identifier; 0 with QoS 0.
     pub id: u16,
-    /// The topic to which it was published.
+    /// The topic to which the message was published.
     pub topic: String,
     /// The payload.
     pub payload: Bytes,
-    /// The quality of service with which it is delivered.
+    /// The quality of service of the delivery.
     pub qos: Qos,
-    /// The server says that it may have been delivered before. That the server does not say so proves nothing.
+    /// Whether the server marks the delivery as a possible duplicate. An unmarked delivery may be a duplicate too.
     pub dup: bool,
-    /// Whether it is a retained message, which the server sends because of the subscription.
+    /// Whether it is a retained message, sent because of a new subscription.
     pub retained: bool,
-    /// Its properties; empty in version 3.1.1.
+    /// The properties; empty in version 3.1.1.
     pub properties: Properties,
 }
 
-/// What has happened to a session.
+/// An event of a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The server has accepted the connection.
@@ -32,9 +32,9 @@
         /// Whether the server has kept the session.
         session_present: bool,
     },
-    /// The server has answered the subscriptions.
+    /// The server has answered the SUBSCRIBE.
     Subscribed {
-        /// The filters that it refused, with their reason codes.
+        /// The rejected filters with their reason codes.
         refused: Vec<(String, u8)>,
     },
     /// A message was delivered.
@@ -44,43 +44,43 @@
         /// The number of the delivery.
         number: u64,
     },
-    /// After a connection was made: the server has sent again all that it had to send again.
+    /// The server has sent all redeliveries of a new connection.
     Resumed,
-    /// A message of `Session::publish_with_id` has been recorded by the server and waits for its release.
+    /// The server has recorded a message of `Session::publish_with_id` (PUBREC). The host has to release it.
     Recorded {
         /// The token of the message.
         token: u64,
     },
-    /// A published message has been acknowledged by the server, or refused.
+    /// The server has acknowledged or rejected a published message.
     Published {
         /// The token of the message.
         token: u64,
-        /// The reason code; from `reason_code::FAILURE` on it was refused.
+        /// The reason code; the message was rejected if it is `reason_code::FAILURE` or higher.
         code: u8,
     },
 }
 
-/// Why a connection has to be closed.
+/// The reason why a connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionError {
-    /// The server refused the connection with this code.
-    #[error("the server refused the connection with {0:#04x}")]
+    /// The server refused the connection with this reason code.
+    #[error("the server refused the connection with reason code {0:#04x}")]
     Refused(u8),
-    /// The server ended the connection with this code.
-    #[error("the server ended the connection with {0:#04x}")]
+    /// The server sent a DISCONNECT with this reason code.
+    #[error("the server closed the connection with reason code {0:#04x}")]
     Disconnected(u8),
-    /// The server violated the standard.
-    #[error("the server broke the protocol: {0}")]
+    /// The server violated the standard as described.
+    #[error("the server violated the protocol: {0}")]
     Protocol(&'static str),
     /// The server did not answer in time.
     #[error("the server did not answer in time")]
     Timeout,
 }
 
-/// A message was not accepted for publishing: too many messages wait already, its packet identifier is in use, or
-/// it is longer than the server accepts.
+/// A message can't be published: the queue is full, its packet identifier is in use, or it exceeds the server's maximum
+/// packet size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "the message can't be published: too many wait, its id is in use, or it is too long for the server"
+    "the message can't be published: the queue is full, its packet identifier is in use, or it is too long for the server"
 )]
 pub struct PublishRejected;
--- a/crates/mqtt/src/session/incoming.rs
+++ b/crates/mqtt/src/session/incoming.rs
@@ -11,15 +11,15 @@
 }
 
 impl Session {
-    /// Restores a delivery of QoS 2 that was acknowledged before the process crashed; returns its number.
+    /// Restores a QoS 2 delivery that was acknowledged before the process crashed. Returns its delivery number.
     pub fn restore_received(&mut self, id: u16) -> u64 {
         self.last_delivery += 1;
         self.received.insert(id, self.last_delivery);
         self.last_delivery
     }
 
-    /// The host has done with a delivery: the server may forget it. Returns whether that could still be said; if
-    /// not, the server delivers the message again. A code from `reason_code::FAILURE` on rejects it.
+    /// Acknowledges a delivery, or rejects it with a code of `reason_code::FAILURE` or higher. Returns false if the
+    /// connection of the delivery is lost or the number is unknown; the server redelivers the message then.
     pub fn acknowledge(&mut self, now: f64, number: u64, code: u8) -> bool {
         let Some(Unacknowledged { id, qos }) = self.unacknowledged.remove(&number) else {
             return false;
@@ -30,7 +30,7 @@
             properties: vec![],
         };
         if qos == Qos::ExactlyOnce {
-            // A failure ends the exchange here.
+            // A PUBREC with a failure completes the exchange.
             if code < reason_code::FAILURE {
                 self.received.insert(id, number);
             }
@@ -43,8 +43,8 @@
         true
     }
 
-    /// The host has persisted that a delivery of QoS 2 was confirmed. Only now may the server use its packet
-    /// identifier for another message, so that a host that crashed can tell the two apart.
+    /// Completes a confirmed QoS 2 delivery by PUBCOMP, after the host has persisted the confirmation. The server may not
+    /// reuse the packet identifier before that, so that a host can distinguish the two messages after a crash.
     pub fn complete(&mut self, now: f64, number: u64) {
         let found = self
             .received
@@ -65,7 +65,7 @@
         }
     }
 
-    /// PUBLISH has arrived.
+    /// Handles a PUBLISH.
     pub(super) fn delivered(
         &mut self,
         now: f64,
@@ -73,7 +73,7 @@
     ) -> Result<Vec<Event>, ConnectionError> {
         self.resolve_alias(&mut publish)?;
         if publish.qos == Qos::ExactlyOnce && self.received.contains_key(&publish.id) {
-            // It was acknowledged before; the server did not receive that.
+            // The message is acknowledged already, but the server has not received the PUBREC.
             self.send(
                 now,
                 Packet::PubRec(Ack {
@@ -99,7 +99,7 @@
         })])
     }
 
-    /// Sets the topic of a message that has an alias in its place, or the alias of its topic.
+    /// Sets the topic of a message that has only an alias, or stores the alias of its topic.
     fn resolve_alias(&mut self, publish: &mut Publish) -> Result<(), ConnectionError> {
         let alias = publish
             .properties
@@ -110,7 +110,7 @@
             });
         let Some(alias) = alias else { return Ok(()) };
         if alias > self.options.topic_alias_maximum {
-            return Err(ConnectionError::Protocol("a topic alias over the maximum"));
+            return Err(ConnectionError::Protocol("a topic alias above the maximum"));
         }
         if publish.topic.is_empty() {
             let topic = self.aliases.get(&alias);
@@ -131,7 +131,9 @@
             .values()
             .any(|delivery| delivery.id == id)
         {
-            return Err(ConnectionError::Protocol("a packet id that is in use"));
+            return Err(ConnectionError::Protocol(
+                "a packet identifier that is in use",
+            ));
         }
         let receive_maximum = usize::from(self.options.receive_maximum.max(1));
         if self.options.version == Version::V5 && self.unacknowledged.len() >= receive_maximum {
@@ -145,9 +147,9 @@
         Ok(self.last_delivery)
     }
 
-    /// PUBREL has arrived.
+    /// Handles a PUBREL.
     pub(super) fn released(&mut self, now: f64, pubrel: Ack) -> Vec<Event> {
-        // A delivery that is not known was released before: that the answer was lost is not an error.
+        // An unknown delivery was completed before. That its PUBCOMP was lost is not an error.
         let number = self.received.get(&pubrel.id).copied();
         if !self.options.requests_confirmation || number.is_none() {
             self.received.remove(&pubrel.id);
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -1,8 +1,8 @@
-//! A client's session as a state machine without I/O.
+//! The session of a client as a state machine without I/O.
 //!
-//! The host passes in the packets that arrive and the time, and takes out the packets to send. A session outlives
-//! its connections for as long as the server keeps it too. A delivery is acknowledged when the host says so, which
-//! is how the host holds the server back. Times are in seconds on the host's clock.
+//! The host passes received packets and the time to the session and takes the packets to send from it. A session
+//! survives the loss of a connection as long as the server keeps it. Deliveries are acknowledged by the host, which
+//! applies backpressure to the server through the receive maximum. Times are in seconds on the host's clock.
 
 mod deadlines;
 mod event;
@@ -18,39 +18,40 @@
 use outgoing::{Outgoing, QueuedPublish};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The receive maximum of a server that states none.
+/// The default receive maximum of a server.
 const DEFAULT_RECEIVE_MAXIMUM: u16 = 65_535;
 
-/// What a client asks for in its CONNECT and SUBSCRIBE, and its own limits.
+/// The parameters of CONNECT and SUBSCRIBE, and limits of the client.
 #[derive(Clone, Debug)]
 pub struct SessionOptions {
-    /// The protocol version that is spoken.
+    /// The protocol version.
     pub version: Version,
-    /// The client identifier, under which the server keeps the session.
+    /// The client identifier, which identifies the session at the server.
     pub client_id: String,
-    /// The user name, where the server wants one.
+    /// The user name, if the server requires one.
     pub username: Option<String>,
-    /// The password, where the server wants one.
+    /// The password, if the server requires one.
     pub password: Option<Bytes>,
-    /// Seconds without a packet after which a ping is sent; 0 for none.
+    /// Seconds without a sent packet after which a ping is sent; 0 disables pings.
     pub keep_alive: u16,
-    /// Seconds for which the server is to keep the session without a connection; 0 for a clean session.
+    /// Seconds for which the server keeps the session without a connection; 0 for a clean session.
     pub session_expiry: u32,
-    /// The most deliveries that may be unacknowledged at a time: the client's receive maximum.
+    /// The client's receive maximum: the maximum number of unacknowledged deliveries.
     pub receive_maximum: u16,
-    /// The size in bytes of the largest packet that the client accepts.
+    /// The maximum size of a received packet, in bytes.
     pub max_packet_size: u32,
-    /// The greatest topic alias that the client accepts; 0 for none.
+    /// The highest topic alias that the server may use; 0 for none.
     pub topic_alias_maximum: u16,
-    /// The will, if there is one.
+    /// The will message, if there is one.
     pub will: Option<Will>,
     /// The subscriptions of the session.
     pub subscriptions: Vec<Subscription>,
-    /// The most messages that wait for a packet identifier or for the server's receive maximum.
+    /// The maximum number of queued messages that have not been sent because no packet identifier is free or the server's
+    /// receive maximum is reached.
     pub max_queued_publishes: usize,
-    /// Whether the server is asked, by pings, to confirm the acknowledgements that it has received. If so,
-    /// `Event::Confirmed` and `Event::Resumed` are reported, and the host calls `Session::complete` for each
-    /// confirmed delivery of QoS 2.
+    /// Whether to send pings by which the server confirms that it has received acknowledgements. If so, the session
+    /// reports `Event::Confirmed` and `Event::Resumed`, and the host calls `Session::complete` for each confirmed QoS 2
+    /// delivery.
     pub requests_confirmation: bool,
 }
 
@@ -66,24 +67,24 @@
 pub struct Session {
     options: SessionOptions,
     state: ConnectionState,
-    /// Packets to be sent over this connection.
+    /// Packets to send over this connection.
     packets: VecDeque<Packet>,
-    /// Messages that have a packet identifier, by that identifier.
+    /// Published messages by packet identifier.
     outgoing: BTreeMap<u16, Outgoing>,
     /// Identifiers of `outgoing` in the order in which they were first sent.
     send_order: VecDeque<u16>,
-    /// Those of them that were not sent over this connection.
+    /// Identifiers of `outgoing` that were not sent over this connection.
     unsent: VecDeque<u16>,
-    /// The number of those that were.
+    /// The number of messages in `outgoing` that were sent over this connection.
     in_flight: usize,
-    /// Messages without a packet identifier.
+    /// Published messages without a packet identifier.
     queued: VecDeque<QueuedPublish>,
-    /// Packet identifiers that the host has reserved and not used yet.
+    /// Packet identifiers that the host has reserved and not used.
     reserved: BTreeSet<u16>,
     last_token: u64,
     last_id: u16,
-    /// Delivery numbers of QoS 2 messages that were acknowledged and are not released yet, by packet identifier:
-    /// the session does not deliver these again.
+    /// Delivery numbers of QoS 2 messages that are acknowledged and not completed, by packet identifier. The session does
+    /// not deliver these again.
     received: BTreeMap<u16, u64>,
     /// Deliveries of this connection that the host has not acknowledged, by number.
     unacknowledged: BTreeMap<u64, Unacknowledged>,
@@ -93,7 +94,7 @@
     /// Topics by topic alias, on this connection.
     aliases: BTreeMap<u16, String>,
     pending_subscribe: Option<PendingSubscribe>,
-    /// What the server has granted: its receive maximum, its maximum packet size and its keep alive.
+    /// Limits of the server: its receive maximum, its maximum packet size and the keep alive.
     server_receive_maximum: u16,
     server_max_packet_size: usize,
     keep_alive: f64,
@@ -102,7 +103,7 @@
 }
 
 impl Session {
-    /// A new session, not connected yet.
+    /// Creates a session that is not connected yet.
     pub fn new(options: SessionOptions) -> Session {
         Session {
             keep_alive: f64::from(options.keep_alive),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The protocol version that is spoken.
+    /// The protocol version.
     pub fn version(&self) -> Version {
         self.options.version
     }
@@ -140,7 +141,7 @@
         self.state == ConnectionState::Connected
     }
 
-    /// The number of messages that the server has not acknowledged.
+    /// The number of published messages that the server has not acknowledged.
     pub fn unacknowledged_publishes(&self) -> usize {
         self.queued.len() + self.outgoing.len()
     }
@@ -150,7 +151,7 @@
         self.unacknowledged.len()
     }
 
-    /// The next packet to send.
+    /// Takes the next packet to send.
     pub fn next_packet(&mut self) -> Option<Packet> {
         self.packets.pop_front()
     }
@@ -160,7 +161,7 @@
         self.packets.push_back(packet);
     }
 
-    /// The host has opened a connection to the server.
+    /// Starts the session on a connection that the host has opened to the server.
     pub fn connect(&mut self, now: f64) {
         let options = &self.options;
         let mut properties = vec![];
@@ -184,8 +185,7 @@
         self.send(now, Packet::Connect(connect));
     }
 
-    /// The connection is gone. What was delivered over it can't be acknowledged any more: the server delivers it
-    /// again.
+    /// Handles the loss of the connection. Its deliveries can't be acknowledged any more; the server redelivers them.
     pub fn connection_lost(&mut self) {
         self.state = ConnectionState::Disconnected;
         self.packets.clear();
@@ -196,7 +196,7 @@
         self.ping = None;
     }
 
-    /// Ends the connection in order, so that the will is not published.
+    /// Sends a DISCONNECT, so that the server does not publish the will.
     pub fn disconnect(&mut self, now: f64) {
         if self.is_connected() {
             self.send(now, Packet::Disconnect(Reason::default()));
@@ -204,7 +204,7 @@
         }
     }
 
-    /// A packet has arrived from the server. After an error the connection has to be closed.
+    /// Handles a packet from the server. After an error the connection has to be closed.
     pub fn received(&mut self, now: f64, packet: Packet) -> Result<Vec<Event>, ConnectionError> {
         if let (ConnectionState::Connecting(_), Packet::ConnAck(ack)) = (self.state, &packet) {
             return self.connected(now, ack);
@@ -222,7 +222,9 @@
             Packet::UnsubAck(_) => Ok(vec![]),
             Packet::PingResp => Ok(self.ping_answered(now)),
             Packet::Disconnect(reason) => Err(ConnectionError::Disconnected(reason.code)),
-            _ => Err(ConnectionError::Protocol("a packet that no server sends")),
+            _ => Err(ConnectionError::Protocol(
+                "a packet type that servers must not send",
+            )),
         }
     }
 
@@ -238,8 +240,8 @@
         self.apply_server_limits(&ack.properties);
         self.state = ConnectionState::Connected;
         if !ack.session_present {
-            // The server has forgotten which messages it has: all that it did not record are sent as new, under the
-            // same identifier and token. It may have passed on those that it had recorded.
+            // The server has lost the session state. Messages that it did not record are sent as new messages with the
+            // same identifier and token. It may have forwarded those that it had recorded.
             self.received.clear();
             self.outgoing
                 .values_mut()
@@ -279,7 +281,7 @@
 
     fn subscribe(&mut self, now: f64) -> Result<(), ConnectionError> {
         let Some(id) = self.unused_id() else {
-            return Err(ConnectionError::Protocol("no packet id is free"));
+            return Err(ConnectionError::Protocol("no free packet identifier"));
         };
         self.pending_subscribe = Some(PendingSubscribe { id, sent_at: now });
         let subscribe = Subscribe {
@@ -297,11 +299,11 @@
             .take_if(|pending_subscribe| pending_subscribe.id == codes.id)
             .is_none()
         {
-            return Err(ConnectionError::Protocol("a SUBACK for nothing"));
+            return Err(ConnectionError::Protocol("a SUBACK without a SUBSCRIBE"));
         }
         if codes.codes.len() != self.options.subscriptions.len() {
             return Err(ConnectionError::Protocol(
-                "a SUBACK with another number of codes",
+                "a SUBACK with a wrong number of reason codes",
             ));
         }
         let subscriptions = self.options.subscriptions.iter().zip(&codes.codes);
--- a/crates/mqtt/src/session/outgoing.rs
+++ b/crates/mqtt/src/session/outgoing.rs
@@ -4,30 +4,30 @@
 use crate::packet::*;
 use bytes::Bytes;
 
-/// Bytes that a PUBLISH has beside its topic, payload and properties, at the most.
+/// The maximum length in bytes of a PUBLISH without its topic, payload and properties.
 const PUBLISH_OVERHEAD: usize = 16;
 
-/// A message that has no packet identifier yet.
+/// A published message that has no packet identifier yet.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedPublish {
     token: u64,
     publish: Publish,
 }
 
-/// A message of QoS 1 or 2 that the server has not acknowledged to the end.
+/// A QoS 1 or 2 message whose exchange with the server is not completed.
 #[derive(Clone, Debug)]
 pub(super) struct Outgoing {
     token: u64,
     publish: Publish,
-    /// It was sent over this connection.
+    /// Whether it was sent over this connection.
     pub(super) sent: bool,
-    /// It was sent over an earlier connection.
+    /// Whether it was sent before, so that the next PUBLISH has the DUP flag.
     pub(super) sent_before: bool,
-    /// The server has sent PUBREC.
+    /// Whether the server has sent PUBREC.
     recorded: bool,
-    /// From now on only PUBREL is sent.
+    /// Whether it is released: only PUBREL is sent from then on.
     released: bool,
-    /// The host says when it is to be released.
+    /// Whether the host decides when it is released.
     released_by_host: bool,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Session {
-    /// A packet identifier that nothing else has.
+    /// Allocates an unused packet identifier; `None` if all are in use.
     pub(super) fn unused_id(&mut self) -> Option<u16> {
         for _ in 0..=u16::MAX {
             self.last_id = if self.last_id == u16::MAX {
@@ -62,7 +62,8 @@
         None
     }
 
-    /// Reserves a packet identifier for `publish_with_id`: nothing else gets it until that message has come to its end.
+    /// Reserves a packet identifier for `publish_with_id`. It is not used for anything else until the exchange of that
+    /// message is completed. Returns `None` if all are in use.
     pub fn reserve_packet_id(&mut self) -> Option<u16> {
         let id = self.unused_id()?;
         self.reserved.insert(id);
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Publishes a message. Returns the token under which its end is reported; nothing is reported with QoS 0.
+    /// Publishes a message. Returns the token with which `Event::Published` reports its result; there is no event with
+    /// QoS 0.
     pub fn publish(
         &mut self,
         now: f64,
@@ -116,9 +118,9 @@
         Ok(token)
     }
 
-    /// Publishes a message with QoS 2 under a packet identifier of the host, which keeps it across a crash of the
-    /// process. `again` says that it may have been published before. The server records the message, then the host
-    /// releases it, then it is published.
+    /// Publishes a message with QoS 2 under a packet identifier from `reserve_packet_id`, which the host persists to
+    /// continue the exchange after a crash. `is_republished` says that the message may have been sent before. After
+    /// `Event::Recorded` the host calls `release`. Returns the token of the message.
     pub fn publish_with_id(
         &mut self,
         now: f64,
@@ -144,8 +146,8 @@
         Ok(self.add_host_message(now, publish, is_republished, false))
     }
 
-    /// Releases a message of `publish_with_id` that was recorded, and returns its token. One that is not known was
-    /// published before the process crashed.
+    /// Releases a recorded message of `publish_with_id` and returns its token. An unknown message was published before the
+    /// process crashed; its PUBREL is sent again.
     pub fn release(&mut self, now: f64, id: u16) -> u64 {
         let Some(message) = self.outgoing.get_mut(&id) else {
             let publish = Publish {
@@ -189,7 +191,7 @@
         token
     }
 
-    /// Sends what waits, within the server's receive maximum: first what was sent over an earlier connection.
+    /// Sends unsent messages within the server's receive maximum, beginning with those that have a packet identifier.
     pub(super) fn send_queued(&mut self, now: f64) {
         while self.is_connected() && self.in_flight < usize::from(self.server_receive_maximum) {
             if let Some(id) = self.unsent.pop_front() {
@@ -232,7 +234,7 @@
         let packet = if message.released {
             Packet::PubRel(ack(id, 0))
         } else if message.recorded {
-            // The host has not released it yet.
+            // The host has not released the message yet.
             return;
         } else {
             let dup = std::mem::replace(&mut message.sent_before, true);
@@ -244,7 +246,7 @@
         self.send(now, packet);
     }
 
-    /// PUBREC has arrived.
+    /// Handles a PUBREC.
     pub(super) fn recorded(
         &mut self,
         now: f64,
@@ -276,7 +278,7 @@
         Ok(vec![])
     }
 
-    /// PUBACK has arrived for a message of QoS 1, or PUBCOMP for one of QoS 2.
+    /// Handles the PUBACK of a QoS 1 message or the PUBCOMP of a QoS 2 message.
     pub(super) fn completed(
         &mut self,
         now: f64,
@@ -284,15 +286,15 @@
         qos: Qos,
     ) -> Result<Vec<Event>, ConnectionError> {
         let Some(message) = self.outgoing.get(&ack.id) else {
-            // It belongs to an earlier connection, or to a session that the server had forgotten.
+            // It belongs to an exchange of an earlier connection or of an earlier session.
             return Ok(vec![]);
         };
         if message.publish.qos != qos || qos == Qos::ExactlyOnce && !message.released {
             return Err(ConnectionError::Protocol(
-                "an acknowledgement of another kind",
+                "an acknowledgement that does not match the QoS",
             ));
         }
-        // A server that does not know an identifier which it had recorded has completed that message before.
+        // If the server does not know an identifier that it had recorded, it has completed that exchange before.
         let was_completed =
             qos == Qos::ExactlyOnce && ack.code == reason_code::PACKET_IDENTIFIER_NOT_FOUND;
         Ok(self.finish(now, ack.id, if was_completed { 0 } else { ack.code }))
--- a/crates/mqtt/tests/codec/main.rs
+++ b/crates/mqtt/tests/codec/main.rs
@@ -1,5 +1,5 @@
-//! Packets there and back, in pieces, against bytes written down from the standards, and against nonsense; filters
-//! against a plain model.
+//! Tests of the codec and of topic filters: round trips in chunks of any size, bytes of the standards, malformed input,
+//! and a reference implementation of matching.
 
 mod strategies;
 
@@ -24,33 +24,33 @@
     #![proptest_config(config(400, 5))]
 
     #[test]
-    fn packets_of_version_5_come_back_as_they_were_in_pieces_of_any_size(packets in proptest::collection::vec(packet(), 1..5), piece in 1usize..40) {
+    fn version_5_packets_round_trip_in_chunks_of_any_size(packets in proptest::collection::vec(packet(), 1..5), chunk_size in 1usize..40) {
         let bytes: Vec<u8> = packets.iter().flat_map(|p| encode(p, Version::V5).unwrap().to_vec()).collect();
-        let (mut buf, mut found) = (BytesMut::new(), vec![]);
-        for part in bytes.chunks(piece) {
-            buf.extend_from_slice(part);
+        let (mut buf, mut decoded) = (BytesMut::new(), vec![]);
+        for chunk in bytes.chunks(chunk_size) {
+            buf.extend_from_slice(chunk);
             while let Some((_, packet)) = decode(&mut buf, Version::V5, 1_000_000).unwrap() {
-                found.push(packet);
+                decoded.push(packet);
             }
         }
         prop_assert!(buf.is_empty());
-        prop_assert_eq!(found, packets);
+        prop_assert_eq!(decoded, packets);
     }
 
     #[test]
-    fn what_version_3_1_1_can_say_comes_back(packet in packet()) {
+    fn version_3_1_1_packets_round_trip(packet in packet()) {
         let Ok(bytes) = encode(&packet, Version::V311) else {
             prop_assert!(matches!(packet, Packet::Auth(_)));
             return Ok(());
         };
         let mut buf = BytesMut::from(&bytes[..]);
-        let (_, found) = decode(&mut buf, Version::V311, 1_000_000).unwrap().unwrap();
-        // The bytes say the same: there is one way to write each.
-        prop_assert_eq!(encode(&found, Version::V311).unwrap(), bytes);
+        let (_, decoded) = decode(&mut buf, Version::V311, 1_000_000).unwrap().unwrap();
+        // The encoding is canonical, so that equal bytes mean equal packets.
+        prop_assert_eq!(encode(&decoded, Version::V311).unwrap(), bytes);
     }
 
     #[test]
-    fn nonsense_is_a_fault_or_a_packet_and_never_more(bytes in proptest::collection::vec(any::<u8>(), 0..200), v5: bool) {
+    fn arbitrary_bytes_decode_to_a_valid_packet_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200), v5: bool) {
         let version = if v5 { Version::V5 } else { Version::V311 };
         let mut buf = BytesMut::from(&bytes[..]);
         while let Ok(Some((version, packet))) = decode(&mut buf, version, 500) {
@@ -60,24 +60,24 @@
     }
 
     #[test]
-    fn a_byte_changed_anywhere_breaks_nothing_but_the_packet(packet in packet(), at: prop::sample::Index, to: u8) {
+    fn a_changed_byte_yields_a_valid_packet_or_an_error(packet in packet(), position: prop::sample::Index, value: u8) {
         let mut bytes = encode(&packet, Version::V5).unwrap().to_vec();
-        let at = at.index(bytes.len());
-        bytes[at] = to;
+        let position = position.index(bytes.len());
+        bytes[position] = value;
         let mut buf = BytesMut::from(&bytes[..]);
-        if let Ok(Some((_, found))) = decode(&mut buf, Version::V5, 10_000) {
-            prop_assert!(encode(&found, Version::V5).is_ok());
+        if let Ok(Some((_, decoded))) = decode(&mut buf, Version::V5, 10_000) {
+            prop_assert!(encode(&decoded, Version::V5).is_ok());
         }
     }
 
-    /// Beside it: every topic of up to three of four levels.
+    /// Compares filters with a recursive reference implementation on every topic of up to four levels.
     #[test]
-    fn filters_match_and_overlap_as_plain_recursion_has_it(a in "(\\$?[ab]|\\+|)(/([ab]|\\+|)){0,2}(/#)?", b in "(\\$?[ab]|\\+|)(/([ab]|\\+|)){0,2}(/#)?") {
-        fn plain(filter: &[&str], topic: &[&str]) -> bool {
+    fn filters_match_and_overlap_like_the_reference(a in "(\\$?[ab]|\\+|)(/([ab]|\\+|)){0,2}(/#)?", b in "(\\$?[ab]|\\+|)(/([ab]|\\+|)){0,2}(/#)?") {
+        fn matches_reference(filter: &[&str], topic: &[&str]) -> bool {
             match (filter, topic) {
                 (["#"], _) | ([], []) => true,
-                (["+", f @ ..], [_, t @ ..]) => plain(f, t),
-                ([x, f @ ..], [y, t @ ..]) if x == y => plain(f, t),
+                (["+", f @ ..], [_, t @ ..]) => matches_reference(f, t),
+                ([x, f @ ..], [y, t @ ..]) if x == y => matches_reference(f, t),
                 _ => false,
             }
         }
@@ -94,7 +94,7 @@
             let name = topic.join("/");
             let expected = |f: &str| {
                 let f: Vec<&str> = f.split('/').collect();
-                plain(&f, topic) && !(name.starts_with('$') && ["+", "#"].contains(&f[0]))
+                matches_reference(&f, topic) && !(name.starts_with('$') && ["+", "#"].contains(&f[0]))
             };
             prop_assert_eq!(fa.matches(&name), expected(&a), "{} on {}", &a, &name);
             both |= fa.matches(&name) && fb.matches(&name);
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn bytes_as_the_standards_have_them() {
-    // A CONNECT of 3.1.1 and a PUBLISH of QoS 1, by hand.
+fn packets_have_the_encoding_of_the_standards() {
+    // A CONNECT of 3.1.1 and a PUBLISH of QoS 1, encoded by hand.
     let connect = b"\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01a";
     let mut buf = BytesMut::from(&connect[..]);
     let (version, packet) = decode(&mut buf, Version::V5, 100).unwrap().unwrap();
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_the_standards_forbid_is_named() {
+fn violations_of_the_standards_are_reported() {
     let fault = |bytes: &[u8]| match decode(&mut BytesMut::from(bytes), Version::V5, 100) {
         Err(fault) => fault.to_string(),
         other => panic!("{bytes:?}: {other:?}"),
@@ -147,42 +147,42 @@
         (&b"\x36\x05\x00\x01a\x00\x01"[..], "a QoS of 3"),
         (
             b"\x32\x06\x00\x01a\x00\x00\x00",
-            "a 0 where the standard allows none",
+            "a zero value that the standard forbids",
         ),
         (b"\x38\x04\x00\x01a\x00", "DUP with QoS 0"),
-        (
-            b"\x30\x05\x00\x02a+\x00",
-            "a topic that nothing can be published to",
-        ),
+        (b"\x30\x05\x00\x02a+\x00", "an invalid topic name"),
         (b"\x30\x04\x00\x01\xff\x00", "not UTF-8"),
         (b"\x30\x04\x00\x01\x00\x00", "U+0000"),
         (b"\x30\xff\xff\xff\xff\x01", "more than four bytes"),
-        (b"\xc0\x80\x00", "more bytes than it needs"),
-        (b"\xc1\x00", "reserved flags"),
-        (b"\x00\x00", "a packet type that this version doesn't have"),
+        (b"\xc0\x80\x00", "more bytes than needed"),
+        (b"\xc1\x00", "invalid reserved flags"),
+        (b"\x00\x00", "an unknown packet type for this version"),
         (b"\x82\x03\x00\x01\x00", "a SUBSCRIBE without filters"),
         (
             b"\x40\x08\x00\x01\x00\x04\x21\x00\x01\x00",
-            "a property that this packet can't have",
+            "a property that is not allowed in this packet",
         ),
         (
             b"\x30\x0a\x00\x01a\x06\x01\x00\x01\x01\x23\x00",
-            "a property given twice",
+            "a duplicate property",
         ),
-        (b"\xc0\x01\x00", "bytes after its end"),
+        (b"\xc0\x01\x00", "trailing bytes after the packet"),
         (
             b"\x10\x0d\x00\x04MQTT\x03\x02\x00\x3c\x00\x01a",
-            "protocol version 3, 4 (3.1.1) or 5",
+            "unsupported protocol level 3, expected 4 (MQTT 3.1.1) or 5",
+        ),
+        (
+            b"\x30\x70\x00",
+            "a packet of 114 bytes exceeds the limit of 100 bytes",
         ),
-        (b"\x30\x70\x00", "a packet of 114 bytes, 100 at most"),
     ] {
-        let told = fault(bytes);
-        assert!(told.contains(what), "{bytes:?}: {told}, not {what}");
+        let message = fault(bytes);
+        assert!(message.contains(what), "{bytes:?}: {message}, not {what}");
     }
     assert_eq!(
         decode(&mut BytesMut::from(&b"\x30\x05\x00"[..]), Version::V5, 100),
         Ok(None),
-        "more is to come"
+        "an incomplete packet is not an error"
     );
     let long = Packet::Publish(Publish {
         topic: "a".repeat(70_000),
@@ -190,12 +190,12 @@
     });
     assert_eq!(
         encode(&long, Version::V5),
-        Err(CodecError::Malformed("a field of over 65535 bytes"))
+        Err(CodecError::Malformed("a field longer than 65535 bytes"))
     );
 }
 
 #[test]
-fn filters_name_their_group_and_capture_what_wildcards_stand_for() {
+fn filters_return_their_group_and_the_captures_of_wildcards() {
     let shared = Filter::parse("$share/front-ends/house/+/set/#").unwrap();
     assert_eq!(
         (shared.group(), shared.to_string().as_str()),
--- a/crates/mqtt/tests/codec/strategies.rs
+++ b/crates/mqtt/tests/codec/strategies.rs
@@ -24,16 +24,16 @@
     ]
 }
 
-pub fn user() -> impl Strategy<Value = Properties> {
+pub fn user_properties() -> impl Strategy<Value = Properties> {
     proptest::collection::vec(
         (text(), text()).prop_map(|(k, v)| Property::User(k, v)),
         0..3,
     )
 }
 
-pub fn of_publish() -> impl Strategy<Value = Properties> {
+pub fn publish_properties() -> impl Strategy<Value = Properties> {
     (
-        user(),
+        user_properties(),
         any::<u32>(),
         topic(),
         binary(),
@@ -57,24 +57,28 @@
 
 pub fn packet() -> impl Strategy<Value = Packet> {
     let ack = || {
-        (1u16.., any::<u8>(), user()).prop_map(|(id, code, properties)| Ack {
+        (1u16.., any::<u8>(), user_properties()).prop_map(|(id, code, properties)| Ack {
             id,
             code,
             properties,
         })
     };
-    let reason =
-        || (any::<u8>(), user()).prop_map(|(code, properties)| Reason { code, properties });
+    let reason = || {
+        (any::<u8>(), user_properties()).prop_map(|(code, properties)| Reason { code, properties })
+    };
     let codes = || {
-        (1u16.., user(), proptest::collection::vec(any::<u8>(), 1..4)).prop_map(
-            |(id, properties, codes)| Codes {
+        (
+            1u16..,
+            user_properties(),
+            proptest::collection::vec(any::<u8>(), 1..4),
+        )
+            .prop_map(|(id, properties, codes)| Codes {
                 id,
                 properties,
                 codes,
-            },
-        )
+            })
     };
-    let will = (topic(), binary(), qos(), any::<bool>(), user()).prop_map(
+    let will = (topic(), binary(), qos(), any::<bool>(), user_properties()).prop_map(
         |(topic, payload, qos, retain, mut p)| {
             p.push(Property::WillDelay(7));
             Will {
@@ -89,7 +93,7 @@
     let connect = (
         any::<bool>(),
         any::<u16>(),
-        user(),
+        user_properties(),
         text(),
         proptest::option::of(will),
         proptest::option::of((text(), proptest::option::of(binary()))),
@@ -115,7 +119,7 @@
         any::<bool>(),
         topic(),
         1u16..,
-        of_publish(),
+        publish_properties(),
         binary(),
     )
         .prop_map(|(dup, qos, retain, topic, id, properties, payload)| {
@@ -142,7 +146,7 @@
     );
     let subscribe = (
         1u16..,
-        user(),
+        user_properties(),
         proptest::collection::vec(subscription, 1..4),
     )
         .prop_map(|(id, properties, filters)| Subscribe {
@@ -150,21 +154,23 @@
             properties,
             filters,
         });
-    let unsubscribe = (1u16.., user(), proptest::collection::vec(topic(), 1..4)).prop_map(
-        |(id, properties, filters)| Unsubscribe {
+    let unsubscribe = (
+        1u16..,
+        user_properties(),
+        proptest::collection::vec(topic(), 1..4),
+    )
+        .prop_map(|(id, properties, filters)| Unsubscribe {
             id,
             properties,
             filters,
+        });
+    let connack = (any::<bool>(), any::<u8>(), user_properties()).prop_map(
+        |(session_present, code, properties)| ConnAck {
+            session_present,
+            code,
+            properties,
         },
     );
-    let connack =
-        (any::<bool>(), any::<u8>(), user()).prop_map(|(session_present, code, properties)| {
-            ConnAck {
-                session_present,
-                code,
-                properties,
-            }
-        });
     prop_oneof![
         connect.prop_map(Packet::Connect),
         connack.prop_map(Packet::ConnAck),
--- a/crates/mqtt/tests/session/main.rs
+++ b/crates/mqtt/tests/session/main.rs
@@ -1,5 +1,5 @@
-//! A session against a plain server that keeps its state, over connections that break at any packet boundary, in
-//! simulated time.
+//! Tests of the session against a reference server that keeps its state, with connections that break between any two
+//! packets and simulated time.
 
 mod server;
 
@@ -38,10 +38,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Publish(Qos),
-    Arrives(Qos),
-    /// So many packets each way, then the connection breaks.
-    Break(usize, usize),
-    Work,
+    Deliver(Qos),
+    /// Transfers up to this many packets to the server and to the client, then breaks the connection.
+    BreakConnection(usize, usize),
+    Transfer,
     Acknowledge,
 }
 
@@ -49,26 +49,26 @@
     let qos = || prop_oneof![Just(Qos::AtLeastOnce), Just(Qos::ExactlyOnce)];
     prop_oneof![
         3 => qos().prop_map(Step::Publish),
-        3 => qos().prop_map(Step::Arrives),
-        2 => (0usize..4, 0usize..4).prop_map(|(a, b)| Step::Break(a, b)),
-        2 => Just(Step::Work),
+        3 => qos().prop_map(Step::Deliver),
+        2 => (0usize..4, 0usize..4).prop_map(|(a, b)| Step::BreakConnection(a, b)),
+        2 => Just(Step::Transfer),
         3 => Just(Step::Acknowledge),
     ]
 }
 
-struct Play {
+struct Harness {
     session: Session,
     server: Server,
     now: f64,
-    held: VecDeque<Delivery>,
-    /// By payload: how often delivered, and whether an acknowledgement was said.
+    unacknowledged: VecDeque<Delivery>,
+    /// By payload: the number of deliveries, and whether an acknowledgement was sent.
     delivered: BTreeMap<u32, (u32, bool)>,
     published: BTreeMap<u64, u32>,
     sent: BTreeMap<u64, (u32, Qos)>,
 }
 
-impl Play {
-    fn up(&mut self, n: usize) {
+impl Harness {
+    fn transfer_to_server(&mut self, n: usize) {
         for _ in 0..n {
             let Some(packet) = self.session.next_packet() else {
                 return;
@@ -77,7 +77,7 @@
         }
     }
 
-    fn down(&mut self, n: usize) {
+    fn transfer_to_client(&mut self, n: usize) {
         for _ in 0..n {
             let Some(packet) = self.server.to_client.pop_front() else {
                 return;
@@ -90,13 +90,13 @@
                             .entry(payload_number(&d.payload))
                             .or_default();
                         seen.0 += 1;
-                        assert!(seen.0 == 1 || d.dup, "a redelivery of this server says so");
-                        self.held.push_back(d);
+                        assert!(seen.0 == 1 || d.dup, "a redelivery has the DUP flag");
+                        self.unacknowledged.push_back(d);
                     }
                     Event::Published { token, code: 0 } => {
                         *self.published.entry(token).or_default() += 1
                     }
-                    Event::Published { .. } => panic!("nothing was refused"),
+                    Event::Published { .. } => panic!("the server rejected no message"),
                     Event::Subscribed { refused } => assert!(refused.is_empty()),
                     Event::Connected { .. }
                     | Event::Confirmed { .. }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn is_republished(&mut self) {
+    fn reconnect(&mut self) {
         self.session.connection_lost();
         self.server.to_client.clear();
         self.session.connect(self.now);
@@ -120,59 +120,59 @@
     #[test]
     fn messages_survive_connections_that_break_anywhere(steps in proptest::collection::vec(step(), 1..60), v5: bool) {
         let version = if v5 { Version::V5 } else { Version::V311 };
-        let mut p = Play {
+        let mut harness = Harness {
             session: Session::new(options(version)),
             server: Server::default(),
             now: 0.0,
-            held: VecDeque::new(),
+            unacknowledged: VecDeque::new(),
             delivered: BTreeMap::new(),
             published: BTreeMap::new(),
             sent: BTreeMap::new(),
         };
-        p.is_republished();
+        harness.reconnect();
         let mut n = 0;
         for step in steps {
             n += 1;
-            p.now += 0.1;
+            harness.now += 0.1;
             match step {
                 Step::Publish(qos) => {
-                    let token = p.session.publish(p.now, "out/x", n.to_string().into(), qos, vec![]).unwrap();
-                    p.sent.insert(token, (n, qos));
+                    let token = harness.session.publish(harness.now, "out/x", n.to_string().into(), qos, vec![]).unwrap();
+                    harness.sent.insert(token, (n, qos));
                 }
-                Step::Arrives(qos) => p.server.queued.push_back((n, qos)),
-                Step::Break(up, down) => {
-                    p.up(up);
-                    p.down(down);
-                    p.is_republished();
-                    p.held.clear();
+                Step::Deliver(qos) => harness.server.queued.push_back((n, qos)),
+                Step::BreakConnection(transfer_to_server, transfer_to_client) => {
+                    harness.transfer_to_server(transfer_to_server);
+                    harness.transfer_to_client(transfer_to_client);
+                    harness.reconnect();
+                    harness.unacknowledged.clear();
                 }
-                Step::Work => {
-                    p.up(100);
-                    p.down(100);
-                    prop_assert!(p.session.unacknowledged() <= 3, "the receive maximum holds the server back");
+                Step::Transfer => {
+                    harness.transfer_to_server(100);
+                    harness.transfer_to_client(100);
+                    prop_assert!(harness.session.unacknowledged() <= 3, "the server exceeded the receive maximum");
                 }
                 Step::Acknowledge => {
-                    if let Some(d) = p.held.pop_front() {
-                        let said = p.session.acknowledge(p.now, d.number.unwrap(), 0);
-                        p.delivered.get_mut(&payload_number(&d.payload)).unwrap().1 = said;
+                    if let Some(d) = harness.unacknowledged.pop_front() {
+                        let was_sent = harness.session.acknowledge(harness.now, d.number.unwrap(), 0);
+                        harness.delivered.get_mut(&payload_number(&d.payload)).unwrap().1 = was_sent;
                     }
                 }
             }
         }
-        // In peace all of it comes to its end.
+        // Without further faults all exchanges complete.
         for _ in 0..200 {
-            p.up(100);
-            p.server.pump();
-            p.down(100);
-            while let Some(d) = p.held.pop_front() {
-                prop_assert!(p.session.acknowledge(p.now, d.number.unwrap(), 0));
+            harness.transfer_to_server(100);
+            harness.server.pump();
+            harness.transfer_to_client(100);
+            while let Some(d) = harness.unacknowledged.pop_front() {
+                prop_assert!(harness.session.acknowledge(harness.now, d.number.unwrap(), 0));
             }
         }
-        prop_assert_eq!((p.session.unacknowledged_publishes(), p.server.in_flight.len(), p.server.queued.len()), (0, 0, 0));
-        for (token, (n, qos)) in &p.sent {
-            prop_assert_eq!(p.published.get(token), Some(&1), "each is told once");
-            let times = p.server.accepted.iter().filter(|t| *t == n).count();
-            prop_assert!(times == 1 || *qos == Qos::AtLeastOnce && times > 1, "{} was taken {} times", n, times);
+        prop_assert_eq!((harness.session.unacknowledged_publishes(), harness.server.in_flight.len(), harness.server.queued.len()), (0, 0, 0));
+        for (token, (n, qos)) in &harness.sent {
+            prop_assert_eq!(harness.published.get(token), Some(&1), "each result is reported once");
+            let times = harness.server.accepted.iter().filter(|t| *t == n).count();
+            prop_assert!(times == 1 || *qos == Qos::AtLeastOnce && times > 1, "{} was accepted {} times", n, times);
         }
     }
 }
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_silent_server_is_noticed_and_a_quiet_one_pinged() {
+fn an_unresponsive_server_times_out_and_an_idle_connection_is_pinged() {
     let mut s = Session::new(options(Version::V5));
     s.connect(0.0);
     assert_eq!(
@@ -217,7 +217,11 @@
             refused: vec![("in/#".into(), 0x87)]
         }]
     );
-    assert_eq!(s.next_tick_at(), 8.0, "the server's keep alive counts");
+    assert_eq!(
+        s.next_tick_at(),
+        8.0,
+        "the server's keep alive overrides the client's"
+    );
     assert_eq!(s.tick(7.0), Ok(()));
     assert_eq!(s.next_packet(), None);
     s.tick(8.0).unwrap();
@@ -241,7 +245,7 @@
 }
 
 #[test]
-fn what_a_server_may_not_say_ends_the_connection() {
+fn protocol_violations_of_the_server_end_the_connection() {
     let publish = |id, topic: &str, properties| {
         Packet::Publish(Publish {
             qos: Qos::AtLeastOnce,
@@ -251,34 +255,35 @@
             ..Publish::default()
         })
     };
-    let told = |packets: Vec<Packet>| {
+    let error = |packets: Vec<Packet>| {
         let mut s = connected(Version::V5);
         packets
             .into_iter()
-            .find_map(|p| s.received(1.0, p).err())
+            .find_map(|harness| s.received(1.0, harness).err())
             .map(|e| e.to_string())
             .unwrap_or_default()
     };
     let four = (1..5).map(|id| publish(id, "in/a", vec![])).collect();
-    assert!(told(four).contains("more deliveries than the receive maximum"));
+    assert!(error(four).contains("more deliveries than the receive maximum"));
     assert!(
-        told(vec![publish(1, "in/a", vec![]), publish(1, "in/b", vec![])])
-            .contains("a packet id that is in use")
+        error(vec![publish(1, "in/a", vec![]), publish(1, "in/b", vec![])])
+            .contains("a packet identifier that is in use")
     );
     assert!(
-        told(vec![publish(1, "in/a", vec![Property::TopicAlias(3)])]).contains("over the maximum")
+        error(vec![publish(1, "in/a", vec![Property::TopicAlias(3)])])
+            .contains("above the maximum")
     );
-    assert!(told(vec![publish(1, "", vec![Property::TopicAlias(1)])]).contains("never set"));
-    assert!(told(vec![Packet::PingReq]).contains("no server sends"));
+    assert!(error(vec![publish(1, "", vec![Property::TopicAlias(1)])]).contains("never set"));
+    assert!(error(vec![Packet::PingReq]).contains("servers must not send"));
     assert!(
-        told(vec![Packet::Disconnect(Reason {
+        error(vec![Packet::Disconnect(Reason {
             code: 0x8e,
             properties: vec![]
         })])
         .contains("0x8e")
     );
     assert!(
-        told(vec![
+        error(vec![
             publish(1, "in/a", vec![Property::TopicAlias(1)]),
             publish(2, "", vec![Property::TopicAlias(1)])
         ])
@@ -299,7 +304,7 @@
 }
 
 #[test]
-fn what_is_longer_than_the_server_takes_or_too_many_is_turned_down_at_once() {
+fn a_message_over_the_servers_packet_size_or_the_queue_limit_is_rejected() {
     let mut s = connected(Version::V5);
     assert!(
         s.publish(0.0, "out/x", vec![0; 600].into(), Qos::AtLeastOnce, vec![])
@@ -313,6 +318,6 @@
     assert!(
         s.publish(1.0, "out/x", Bytes::new(), Qos::AtLeastOnce, vec![])
             .is_err(),
-        "as many wait as may"
+        "the queue is full"
     );
 }
--- a/crates/mqtt/tests/session/server.rs
+++ b/crates/mqtt/tests/session/server.rs
@@ -1,4 +1,4 @@
-//! A simple reference server that keeps its state over lost connections.
+//! A reference server that keeps its state across lost connections.
 
 use bytes::Bytes;
 use orchidtally_mqtt::packet::*;
@@ -11,7 +11,7 @@
     /// Payloads that it has accepted, each once.
     pub accepted: Vec<u32>,
     pub releasing: BTreeSet<u16>,
-    /// To be delivered: those in_flight by packet id, with whether they were recorded, and those that wait.
+    /// Unacknowledged deliveries by packet identifier, with whether PUBREC has arrived, and queued messages.
     pub in_flight: BTreeMap<u16, (u32, Qos, bool)>,
     pub queued: VecDeque<(u32, Qos)>,
     pub next_id: u16,
@@ -58,14 +58,14 @@
                     ..ConnAck::default()
                 }));
                 for (&id, &(n, qos, recorded)) in &self.in_flight {
-                    let is_republished = match recorded {
+                    let retransmission = match recorded {
                         true => Packet::PubRel(Ack {
                             id,
                             ..Ack::default()
                         }),
                         false => self.publish(id, (n, qos), true),
                     };
-                    self.to_client.push_back(is_republished);
+                    self.to_client.push_back(retransmission);
                 }
             }
             Packet::Subscribe(s) => {
--- a/crates/mqtt/tests/stored_formats.rs
+++ b/crates/mqtt/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! One example of each control packet of MQTT in both versions, with each property that it may carry, as bytes that
-//! brokers read and write. `packets.txt` was written by the build of version 0.2.0 and must not be changed.
+//! Tests that the encoding of packets stays compatible, with one example of each control packet in both versions and
+//! each property that it may carry. `packets.txt` was written by version 0.2.0 and must not be changed.
 
 use bytes::{Bytes, BytesMut};
 use orchidtally_mqtt::packet::{
@@ -8,11 +8,11 @@
 };
 use orchidtally_mqtt::{Version, decode, encode};
 
-/// A name and the bytes in hexadecimal digits on each line.
+/// A packet name and the bytes in hexadecimal digits per line.
 const PACKETS: &str = include_str!("stored_formats/packets.txt");
 const MAX_LENGTH: usize = 1 << 20;
 
-fn user() -> Property {
+fn user_property() -> Property {
     Property::User("name".into(), "value".into())
 }
 
@@ -26,13 +26,13 @@
     }
 }
 
-fn connect(properties: Properties, of_will: Properties) -> Packet {
+fn connect(properties: Properties, will_properties: Properties) -> Packet {
     Packet::Connect(Connect {
         clean: true,
         keep_alive: 60,
         properties,
         client_id: "client".into(),
-        will: Some(will(of_will)),
+        will: Some(will(will_properties)),
         username: Some("user".into()),
         password: Some(Bytes::from_static(b"secret")),
     })
@@ -79,21 +79,21 @@
     }
 }
 
-/// Packets that both versions have; `carried` picks out properties, of which version 3.1.1 has none.
+/// Packets that both versions have; `carried` drops the properties in version 3.1.1.
 fn packets(version: Version) -> Vec<(&'static str, Packet)> {
-    let is_newer = version == Version::V5;
-    let carried = |properties: Properties| if is_newer { properties } else { vec![] };
-    let code = |code: u8| if is_newer { code } else { 0 };
-    let reason = || carried(vec![Property::Reason("why".into()), user()]);
+    let is_v5 = version == Version::V5;
+    let carried = |properties: Properties| if is_v5 { properties } else { vec![] };
+    let code = |code: u8| if is_v5 { code } else { 0 };
+    let reason = || carried(vec![Property::Reason("why".into()), user_property()]);
     let unsubscribe = Unsubscribe {
         id: 13,
-        properties: carried(vec![user()]),
+        properties: carried(vec![user_property()]),
         filters: vec!["a/+".into()],
     };
     let refused = ConnAck {
         session_present: false,
-        code: if is_newer { 0x87 } else { 5 },
-        properties: carried(of_connack()),
+        code: if is_v5 { 0x87 } else { 5 },
+        properties: carried(connack_properties()),
     };
     let codes = |codes| Codes {
         id: 14,
@@ -103,7 +103,7 @@
     vec![
         (
             "connect",
-            connect(carried(of_connect()), carried(of_will())),
+            connect(carried(connect_properties()), carried(will_properties())),
         ),
         (
             "connack-accepted",
@@ -116,7 +116,7 @@
         ("publish-at-most-once", publish(Qos::AtMostOnce, vec![])),
         (
             "publish-at-least-once",
-            publish(Qos::AtLeastOnce, carried(of_publish())),
+            publish(Qos::AtLeastOnce, carried(publish_properties())),
         ),
         ("publish-exactly-once", publish(Qos::ExactlyOnce, vec![])),
         ("puback", Packet::PubAck(ack(code(0x10), reason()))),
@@ -126,15 +126,15 @@
         (
             "subscribe",
             subscribe(
-                carried(vec![Property::SubscriptionId(300), user()]),
-                is_newer,
+                carried(vec![Property::SubscriptionId(300), user_property()]),
+                is_v5,
             ),
         ),
         ("suback", Packet::SubAck(codes(vec![0, 1, 2, 0x80]))),
         ("unsubscribe", Packet::Unsubscribe(unsubscribe)),
         (
             "unsuback",
-            Packet::UnsubAck(codes(if is_newer { vec![0, 0x11] } else { vec![] })),
+            Packet::UnsubAck(codes(if is_v5 { vec![0, 0x11] } else { vec![] })),
         ),
         ("pingreq", Packet::PingReq),
         ("pingresp", Packet::PingResp),
@@ -143,7 +143,7 @@
 }
 
 /// Packets that only version 5 has.
-fn newer_packets() -> Vec<(&'static str, Packet)> {
+fn v5_packets() -> Vec<(&'static str, Packet)> {
     let disconnect = vec![
         Property::SessionExpiry(3_600),
         Property::ServerReference("elsewhere".into()),
@@ -171,7 +171,7 @@
     ]
 }
 
-fn of_connect() -> Properties {
+fn connect_properties() -> Properties {
     vec![
         Property::SessionExpiry(3_600),
         Property::AuthMethod("method".into()),
@@ -181,19 +181,19 @@
         Property::ReceiveMaximum(256),
         Property::TopicAliasMaximum(64),
         Property::MaximumPacketSize(2_097_152),
-        user(),
+        user_property(),
     ]
 }
 
-fn of_will() -> Properties {
+fn will_properties() -> Properties {
     vec![
         Property::WillDelay(7),
         Property::ContentType("text/plain".into()),
-        user(),
+        user_property(),
     ]
 }
 
-fn of_connack() -> Properties {
+fn connack_properties() -> Properties {
     vec![
         Property::AssignedClientId("assigned".into()),
         Property::ServerKeepAlive(30),
@@ -208,7 +208,7 @@
     ]
 }
 
-fn of_publish() -> Properties {
+fn publish_properties() -> Properties {
     vec![
         Property::PayloadFormat(1),
         Property::MessageExpiry(60),
@@ -218,7 +218,7 @@
         Property::SubscriptionId(300),
         Property::SubscriptionId(1),
         Property::TopicAlias(5),
-        user(),
+        user_property(),
     ]
 }
 
@@ -232,7 +232,7 @@
     [
         named("3.1.1", Version::V311, packets(Version::V311)),
         named("5", Version::V5, packets(Version::V5)),
-        named("5", Version::V5, newer_packets()),
+        named("5", Version::V5, v5_packets()),
     ]
     .concat()
 }
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn each_packet_is_written_as_its_bytes() {
+fn each_packet_encodes_to_its_bytes() {
     let line = |(name, version, packet): (String, Version, Packet)| {
         format!(
             "{name} {}",
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn each_packet_is_read_from_its_bytes() {
+fn each_packet_decodes_from_its_bytes() {
     let examples = examples();
     assert_eq!(PACKETS.lines().count(), examples.len());
     for (line, (name, version, packet)) in PACKETS.lines().zip(examples) {
