--- a/crates/cli/tests/config_store.rs
+++ b/crates/cli/tests/config_store.rs
@@ -5,7 +5,7 @@
 mod config_kit;
 mod serve_kit;
 
-use config_kit::{Writer, deployment_with, executor, folder, function, on, until};
+use config_kit::{Writer, deployment_with, executor, function, run, temp_dir, wait_until};
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::etcd::EtcdServer;
@@ -39,7 +39,7 @@
 fn what_was_taken_away_during_a_pause_is_refused_on_waking() {
     let stage = TestEnvironment::new(1);
     let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let snapshot = folder("pause").join("s");
+    let snapshot = temp_dir("pause").join("s");
     // One stream at a time, so that an invocation waits behind another one for its bytes to go out.
     let limits =
         r#"limits: { streamsPerConnection: 1, connectionsPerExecutor: 1, connectTime: "10s" },"#;
@@ -47,16 +47,16 @@
     let path = file("pause.json5", &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+    run(&stage, async {
         writer
             .write(&[("functions/secret", Some(function(true, "refuse")))])
             .await;
-        until(&stage, "it may be called", async || {
+        wait_until(&stage, "it may be called", async || {
             answered(serve.send("secret", &[])).await.0 == 200
         })
         .await;
         let before = serve.send("slow", &named("before"));
-        until(&stage, "it is out", async || ran(&stage, "before") == 1).await;
+        wait_until(&stage, "it is out", async || ran(&stage, "before") == 1).await;
         let waiting = serve.send("secret", &named("waiting"));
         stage.sleep(0.3).await;
         serve.signal("STOP");
@@ -81,7 +81,7 @@
             200,
             "what was out before is answered"
         );
-        until(&stage, "it has read what changed", async || {
+        wait_until(&stage, "it has read what changed", async || {
             answered(serve.send("secret", &[])).await.0 == 403
         })
         .await;
@@ -93,18 +93,18 @@
     let stage = TestEnvironment::new(2);
     let etcd = EtcdServer::start(&stage, 3).unwrap();
     let executor = executor(&stage);
-    let snapshot = folder("reload-store").join("s");
+    let snapshot = temp_dir("reload-store").join("s");
     let text = deployment_with(executor, &etcd.addresses, &snapshot, "");
     let path = file("reload-store.json5", &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
     let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+    run(&stage, async {
         let stored = [
             ("functions/listed", Some(function(false, "serve"))),
             ("functions/stored", Some(function(true, "serve"))),
         ];
         writer.write(&stored).await;
-        until(&stage, "it is there", async || {
+        wait_until(&stage, "it is there", async || {
             answered(serve.send("stored", &[])).await.0 == 200
         })
         .await;
@@ -116,7 +116,7 @@
             ),
         );
         serve.signal("HUP");
-        until(&stage, "the file's is there", async || {
+        wait_until(&stage, "the file's is there", async || {
             answered(serve.send("other", &[])).await.0 == 200
         })
         .await;
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -5,7 +5,7 @@
 mod config_kit;
 mod serve_kit;
 
-use config_kit::{on, until};
+use config_kit::{run, wait_until};
 use orchidtally_etcd::rpc::PutRequest;
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::etcd::EtcdServer;
@@ -81,8 +81,8 @@
     );
     let path = file(name, &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
-    on(stage, async {
-        until(stage, "it serves", async || {
+    run(stage, async {
+        wait_until(stage, "it serves", async || {
             answered(serve.send("first", &[])).await == 200
         })
         .await;
--- a/crates/http-frontend/tests/client_requests.rs
+++ b/crates/http-frontend/tests/client_requests.rs
@@ -1,11 +1,14 @@
-//! Clients, drains and ends of front ends that are hard to handle, each case with a front end of its own and the
-//! smallest test servers that bring it about.
+//! Tests of difficult client behaviour, drains and shutdowns. Each test has its own front end and the smallest set of test
+//! servers that reproduces the case.
 
 mod gateway_kit;
 
 use async_io::Async;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
-use gateway_kit::{ACT, LOOK, all, ask, description, executor, gateway, listed, on, row, status};
+use gateway_kit::{
+    IDEMPOTENT, NON_IDEMPOTENT, deployment_text, endpoint, executor, executor_list, gateway,
+    invoke_all, request, run, status,
+};
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
@@ -14,119 +17,137 @@
 use std::net::TcpStream;
 
 #[test]
-fn twenty_invocations_waiting_on_a_load_go_elsewhere_when_it_drains() {
-    let stage = TestEnvironment::new(1);
-    // Both load slowly; whichever is drawn is told to drain.
-    let two = [executor(&stage, 0, 0.8), executor(&stage, 1, 0.8)];
-    let rows = two
+fn invocations_waiting_for_a_load_move_to_another_executor_when_theirs_drains() {
+    let environment = TestEnvironment::new(1);
+    // Both executors load slowly; the one that receives the load command drains.
+    let two = [
+        executor(&environment, 0, 0.8),
+        executor(&environment, 1, 0.8),
+    ];
+    let endpoints = two
         .iter()
-        .map(|e| row(e.spec.number, e.address, EndpointState::Ready))
+        .map(|e| endpoint(e.spec.number, e.address, EndpointState::Ready))
         .collect();
-    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
+    let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
     publisher.delay.set(0.0);
-    let gateway = gateway(description(
+    let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         "",
     ));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let (heard, drained, told) = on(&stage, async {
-        stage.sleep(0.2).await;
-        let asks = (0..20).map(|n| ask(&format!("a{n}"), LOOK)).collect();
-        let work = all(&stage, &caller, asks);
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let (outcomes, drained, drained_at) = run(&environment, async {
+        environment.sleep(0.2).await;
+        let requests = (0..20)
+            .map(|n| request(&format!("a{n}"), IDEMPOTENT))
+            .collect();
+        let work = invoke_all(&environment, &client, requests);
         let drain = async {
-            stage.sleep(0.3).await;
-            let ordered = stage.records().iter().find_map(|r| match r {
+            environment.sleep(0.3).await;
+            let ordered = environment.records().iter().find_map(|r| match r {
                 TrafficRecord::LoadCommandArrived { executor, .. } => Some(*executor),
                 _ => None,
             });
-            let drained = ordered.expect("a load was ordered");
+            let drained = ordered.expect("a load command has arrived");
             two[drained].draining.set(true);
             publisher.change(drained, EndpointState::Draining, f64::NEG_INFINITY);
-            (drained, stage.now())
+            (drained, environment.now())
         };
-        let (heard, (drained, told)) = futures_lite::future::zip(work, drain).await;
-        (heard, drained, told)
+        let (outcomes, (drained, drained_at)) = futures_lite::future::zip(work, drain).await;
+        (outcomes, drained, drained_at)
     });
-    assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
-    let late = stage.records().iter().any(|r| match r {
+    assert!(outcomes.iter().all(|h| status(h) == 200), "{outcomes:?}");
+    let was_dispatched_late = environment.records().iter().any(|r| match r {
         TrafficRecord::DispatchArrived { at, executor, .. } => {
-            *executor == drained && *at > told + 0.1
+            *executor == drained && *at > drained_at + 0.1
         }
         _ => false,
     });
-    assert!(!late, "something was sent to the draining one");
+    assert!(
+        !was_dispatched_late,
+        "an invocation was dispatched to the draining executor"
+    );
     assert_eq!(gateway.end().succeeded, 20);
 }
 
 #[test]
-fn a_client_that_leaves_during_a_placement_is_forgotten_and_the_placement_still_counts() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.5);
-    let gateway = gateway(description(&listed(&[one.address]), ""));
-    on(&stage, async {
-        for plain in [true, false] {
-            let caller = TestClient::new(&stage, 0, 0, gateway.at, plain);
-            let function = format!("f-{plain}");
-            let leaves = ClientRequest {
+fn a_client_that_disconnects_during_a_load_is_cancelled_and_the_replica_is_used() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.5);
+    let gateway = gateway(deployment_text(&executor_list(&[one.address]), ""));
+    run(&environment, async {
+        for is_http1 in [true, false] {
+            let client = TestClient::new(&environment, 0, 0, gateway.address, is_http1);
+            let function = format!("f-{is_http1}");
+            let cancelled = ClientRequest {
                 function: function.clone(),
                 cancels_after: Some(0.15),
-                ..ask("leaves", ACT)
+                ..request("leaves", NON_IDEMPOTENT)
             };
-            assert_eq!(caller.invoke(&leaves).await, ClientOutcome::Cancelled);
-            stage.sleep(0.6).await;
+            assert_eq!(client.invoke(&cancelled).await, ClientOutcome::Cancelled);
+            environment.sleep(0.6).await;
             let next = ClientRequest {
                 function,
                 time_left: 0.4,
-                ..ask("next", ACT)
+                ..request("next", NON_IDEMPOTENT)
             };
-            assert_eq!(status(&caller.invoke(&next).await), 200, "the copy stands");
+            assert_eq!(
+                status(&client.invoke(&next).await),
+                200,
+                "the replica is loaded"
+            );
         }
     });
-    let ran = stage
+    let ran = environment
         .records()
         .iter()
         .filter(|r| matches!(r, TrafficRecord::ExecutionStarted { .. }))
         .count();
-    assert_eq!(ran, 2, "nothing was sent for those that left");
-    let tally = gateway.end();
+    assert_eq!(ran, 2, "a cancelled invocation was dispatched");
+    let counters = gateway.end();
     assert_eq!(
-        (tally.admitted, tally.cancelled_by_client, tally.succeeded),
+        (
+            counters.admitted,
+            counters.cancelled_by_client,
+            counters.succeeded
+        ),
         (4, 2, 2)
     );
 }
 
 #[test]
-fn a_slow_upload_holds_nothing_and_is_told_so() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.01);
-    let gateway = gateway(description(&listed(&[one.address]), ""));
-    on(&stage, async {
-        let mut slow = Async::<TcpStream>::connect(gateway.at).await.unwrap();
+fn a_slow_upload_blocks_no_other_request_and_times_out() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.01);
+    let gateway = gateway(deployment_text(&executor_list(&[one.address]), ""));
+    run(&environment, async {
+        let mut slow = Async::<TcpStream>::connect(gateway.address).await.unwrap();
         let head = b"POST /v1/functions/f/invocations HTTP/1.1\r\nhost: x\r\n\
                      orchidtally-trigger-type: act\r\ncontent-length: 100\r\n\r\nhalf";
         slow.write_all(head).await.unwrap();
-        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-        let asks = (0..20).map(|n| ask(&format!("a{n}"), LOOK)).collect();
-        let heard = all(&stage, &caller, asks).await;
-        assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
+        let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+        let requests = (0..20)
+            .map(|n| request(&format!("a{n}"), IDEMPOTENT))
+            .collect();
+        let outcomes = invoke_all(&environment, &client, requests).await;
+        assert!(outcomes.iter().all(|h| status(h) == 200), "{outcomes:?}");
         let mut answer = vec![0; 12];
         slow.read_exact(&mut answer).await.unwrap();
         assert_eq!(answer, b"HTTP/1.1 408");
     });
-    assert_eq!(gateway.end().admitted, 20, "the slow one was never taken");
+    assert_eq!(gateway.end().admitted, 20, "the slow request was admitted");
 }
 
 #[test]
-fn what_is_malformed_gets_its_4xx_and_reaches_no_executor() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.01);
+fn malformed_requests_get_a_4xx_status_and_reach_no_executor() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.01);
     let more = "customers: [{ name: \"known\", share: 10 }],";
-    let gateway = gateway(description(&listed(&[one.address]), more));
-    on(&stage, async {
-        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
+    let gateway = gateway(deployment_text(&executor_list(&[one.address]), more));
+    run(&environment, async {
+        let client = TestClient::new(&environment, 0, 0, gateway.address, false);
         let known = ClientRequest {
             customer: "known".into(),
-            ..ask("a", LOOK)
+            ..request("a", IDEMPOTENT)
         };
         let cases = [
             (
@@ -173,69 +194,77 @@
             ),
             (known.clone(), 200),
         ];
-        for (ask, expected) in cases {
-            let heard = caller.invoke(&ask).await;
-            assert_eq!(status(&heard), expected, "{ask:?}: {heard:?}");
+        for (request, expected) in cases {
+            let outcome = client.invoke(&request).await;
+            assert_eq!(status(&outcome), expected, "{request:?}: {outcome:?}");
         }
     });
-    let reached = stage
+    let dispatched = environment
         .records()
         .iter()
         .filter(|r| matches!(r, TrafficRecord::DispatchArrived { .. }))
         .count();
-    assert_eq!(reached, 1);
+    assert_eq!(dispatched, 1);
     assert_eq!(gateway.end().admitted, 1);
 }
 
 #[test]
-fn an_ending_front_end_answers_what_is_open_and_takes_nothing_new() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.6);
-    let gateway = gateway(description(&listed(&[one.address]), ""));
-    let at = gateway.at;
-    let caller = TestClient::new(&stage, 0, 0, at, false);
-    on(&stage, async {
-        let asks = (0..10).map(|n| ask(&format!("a{n}"), ACT)).collect();
+fn a_stopping_front_end_answers_open_invocations_and_accepts_no_connections() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.6);
+    let gateway = gateway(deployment_text(&executor_list(&[one.address]), ""));
+    let at = gateway.address;
+    let client = TestClient::new(&environment, 0, 0, at, false);
+    run(&environment, async {
+        let requests = (0..10)
+            .map(|n| request(&format!("a{n}"), NON_IDEMPOTENT))
+            .collect();
         let stop = async {
-            stage.sleep(0.2).await;
+            environment.sleep(0.2).await;
             gateway.stop.close();
-            stage.sleep(0.1).await;
+            environment.sleep(0.1).await;
             let refused =
                 orchidtally_socket_io::connect(at, std::time::Duration::from_secs(1)).await;
-            assert!(refused.is_err(), "it listens no more");
+            assert!(refused.is_err(), "the front end still accepts connections");
         };
-        let (heard, ()) = futures_lite::future::zip(all(&stage, &caller, asks), stop).await;
-        assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
+        let (outcomes, ()) =
+            futures_lite::future::zip(invoke_all(&environment, &client, requests), stop).await;
+        assert!(outcomes.iter().all(|h| status(h) == 200), "{outcomes:?}");
     });
     assert_eq!(gateway.end().succeeded, 10);
 }
 
 #[test]
-fn two_front_ends_with_one_index_are_told() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.01);
-    let two = [1, 2].map(|_| gateway(description(&listed(&[one.address]), "")));
-    // Their seeds are their incarnations, and differ as they would in service.
-    let standing = on(&stage, async {
+fn two_front_ends_with_the_same_index_are_reported() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.01);
+    let two = [1, 2].map(|_| gateway(deployment_text(&executor_list(&[one.address]), "")));
+    // The incarnations are the seeds, which differ as in production.
+    let front_end_status = run(&environment, async {
         for round in 0..3 {
             for (n, gateway) in two.iter().enumerate() {
-                let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
+                let client = TestClient::new(&environment, 0, 0, gateway.address, false);
                 assert_eq!(
-                    status(&caller.invoke(&ask(&format!("{round}-{n}"), LOOK)).await),
+                    status(
+                        &client
+                            .invoke(&request(&format!("{round}-{n}"), IDEMPOTENT))
+                            .await
+                    ),
                     200
                 );
             }
         }
-        let mut socket = Async::<TcpStream>::connect(two[0].at).await.unwrap();
-        let ask = b"GET /v1/front-end HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
-        socket.write_all(ask).await.unwrap();
+        let mut socket = Async::<TcpStream>::connect(two[0].address).await.unwrap();
+        let request = b"GET /v1/front-end HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
+        socket.write_all(request).await.unwrap();
         let mut text = String::new();
         socket.read_to_string(&mut text).await.unwrap();
         text
     });
     assert!(
-        standing.contains("\"indexTaken\":") && !standing.contains("\"indexTaken\":0"),
-        "{standing}"
+        front_end_status.contains("\"indexTaken\":")
+            && !front_end_status.contains("\"indexTaken\":0"),
+        "{front_end_status}"
     );
     for gateway in two {
         gateway.end();
@@ -244,19 +273,22 @@
 
 #[test]
 fn an_executor_outside_the_allowed_networks_is_never_used() {
-    let stage = TestEnvironment::new(1);
-    let outside = executor(&stage, 0, 0.01);
-    let rows = vec![row(0, outside.address, EndpointState::Ready)];
-    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-    let own = format!("{}/32", publisher.address.ip());
-    let within = format!(
-        "publisher: \"{}\", allowedNetworks: [\"{own}\", \"10.0.0.0/8\"]",
+    let environment = TestEnvironment::new(1);
+    let outside = executor(&environment, 0, 0.01);
+    let endpoints = vec![endpoint(0, outside.address, EndpointState::Ready)];
+    let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
+    let publisher_network = format!("{}/32", publisher.address.ip());
+    let source = format!(
+        "publisher: \"{}\", allowedNetworks: [\"{publisher_network}\", \"10.0.0.0/8\"]",
         publisher.address
     );
-    // The executor's own address is let out of the list once the file was checked.
-    for (networks, expected) in [(within.clone(), 200), (within.replace(&own, "::1/128"), 0)] {
+    // The second case excludes the address that the publisher and the executor share.
+    for (networks, expected) in [
+        (source.clone(), 200),
+        (source.replace(&publisher_network, "::1/128"), 0),
+    ] {
         if expected == 0 {
-            let faults = Deployment::parse(&description(&networks, ""))
+            let faults = Deployment::parse(&deployment_text(&networks, ""))
                 .expect_err("the publisher is outside");
             assert!(
                 faults[0]
@@ -266,29 +298,30 @@
             );
             continue;
         }
-        let gateway = gateway(description(&networks, ""));
-        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
+        let gateway = gateway(deployment_text(&networks, ""));
+        let client = TestClient::new(&environment, 0, 0, gateway.address, false);
         assert_eq!(
-            status(&on(&stage, caller.invoke(&ask("a", LOOK)))),
+            status(&run(&environment, client.invoke(&request("a", IDEMPOTENT)))),
             expected
         );
         gateway.end();
     }
-    let far = row(1, "192.0.2.7:7000".parse().unwrap(), EndpointState::Ready);
-    let publisher = Publisher::start(&stage, unused_address(), vec![far]).unwrap();
-    let within = format!(
+    let outside_endpoint = endpoint(1, "192.0.2.7:7000".parse().unwrap(), EndpointState::Ready);
+    let publisher =
+        Publisher::start(&environment, unused_address(), vec![outside_endpoint]).unwrap();
+    let source = format!(
         "publisher: \"{}\", allowedNetworks: [\"127.0.0.0/8\"]",
         publisher.address
     );
-    let gateway = gateway(description(&within, ""));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let heard = on(
-        &stage,
-        caller.invoke(&ClientRequest {
+    let gateway = gateway(deployment_text(&source, ""));
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let outcome = run(
+        &environment,
+        client.invoke(&ClientRequest {
             time_left: 0.5,
-            ..ask("b", ACT)
+            ..request("b", NON_IDEMPOTENT)
         }),
     );
-    assert_eq!(status(&heard), 503, "{heard:?}");
+    assert_eq!(status(&outcome), 503, "{outcome:?}");
     assert_eq!(gateway.end().dispatches, 0);
 }
--- a/crates/http-frontend/tests/config_faults.rs
+++ b/crates/http-frontend/tests/config_faults.rs
@@ -1,86 +1,96 @@
-//! Stores that fall silent, leases that end, and front ends that reconnect, on loopback sockets.
+//! Tests of unresponsive stores, expired leases and reconnecting front ends, on loopback sockets.
 
 mod config_kit;
 
-use config_kit::{FrontEnd, Writer, deployment, executor, folder, function, on, until};
+use config_kit::{FrontEnd, Writer, deployment, executor, function, run, temp_dir, wait_until};
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::etcd::EtcdServer;
 
-/// A silent store has to be noticed within this time, in seconds.
+/// The maximum time in seconds to detect an unresponsive store.
 const NOTICED_WITHIN: f64 = 3.0;
-/// The kit's lease, in seconds.
+/// The lease in the deployment of `config_kit`, in seconds.
 const LEASE: f64 = 3.0;
 
 #[test]
-fn a_silent_store_is_noticed_and_left_and_what_changed_meanwhile_comes_in() {
-    let stage = TestEnvironment::new(11);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let snapshot = folder("config-silent").join("s");
-    let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+fn an_unresponsive_store_is_detected_and_missed_changes_are_applied_later() {
+    let environment = TestEnvironment::new(11);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let snapshot = temp_dir("config-silent").join("s");
+    let front_end = FrontEnd::start(
+        deployment(executor(&environment), &etcd.addresses, &snapshot),
+        1,
+    );
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
         writer
             .write(&[("functions/f", Some(function(true, "refuse")))])
             .await;
-        until(&stage, "it is there", async || {
+        wait_until(&environment, "the function is served", async || {
             front_end.status("f").await == 200
         })
         .await;
-        let silent_from = stage.now();
-        etcd.faults.stalled.set(silent_from + 5.0);
-        until(&stage, "noticed", async || {
-            front_end.configuration().await["connected"] == false
-        })
+        let stalled_at = environment.now();
+        etcd.faults.stalled.set(stalled_at + 5.0);
+        wait_until(
+            &environment,
+            "the store is reported as disconnected",
+            async || front_end.configuration().await["connected"] == false,
+        )
         .await;
-        let noticed = stage.now() - silent_from;
-        assert!(noticed < NOTICED_WITHIN, "{noticed} s");
-        until(&stage, "refused when too old", async || {
-            front_end.status("f").await == 503
-        })
+        let detected = environment.now() - stalled_at;
+        assert!(detected < NOTICED_WITHIN, "{detected} s");
+        wait_until(
+            &environment,
+            "the function is refused when the view is too old",
+            async || front_end.status("f").await == 503,
+        )
         .await;
         assert_eq!(
             front_end.status("listed").await,
             200,
-            "what doesn't ask for a proof goes on"
+            "functions without a freshness requirement are served"
         );
         writer
             .write(&[("functions/g", Some(function(true, "serve")))])
             .await;
-        let healed = stage.now();
-        until(&stage, "both hold again", async || {
+        let healed = environment.now();
+        wait_until(&environment, "both functions are served", async || {
             front_end.status("g").await == 200 && front_end.status("f").await == 200
         })
         .await;
-        let took = stage.now() - healed;
-        assert!(took < 18.0, "{took} s");
+        let elapsed = environment.now() - healed;
+        assert!(elapsed < 18.0, "{elapsed} s");
     });
 }
 
 #[test]
-fn the_report_stands_as_long_as_the_front_end_and_no_longer() {
-    let stage = TestEnvironment::new(12);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let snapshot = folder("config-lease").join("s");
-    let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
-        until(&stage, "it reports", async || {
+fn the_report_exists_exactly_as_long_as_the_front_end() {
+    let environment = TestEnvironment::new(12);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let snapshot = temp_dir("config-lease").join("s");
+    let front_end = FrontEnd::start(
+        deployment(executor(&environment), &etcd.addresses, &snapshot),
+        1,
+    );
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
+        wait_until(&environment, "the front end reports", async || {
             writer.reports().await.len() == 1
         })
         .await;
-        let end = stage.now() + 2.5 * LEASE;
-        while stage.now() < end {
-            assert_eq!(writer.reports().await.len(), 1, "its lease is renewed");
-            stage.sleep(0.2).await;
+        let end = environment.now() + 2.5 * LEASE;
+        while environment.now() < end {
+            assert_eq!(writer.reports().await.len(), 1, "the lease is renewed");
+            environment.sleep(0.2).await;
         }
         etcd.store.borrow_mut().expire_all();
         assert_eq!(writer.reports().await.len(), 0);
-        until(&stage, "it reports anew", async || {
+        wait_until(&environment, "the front end reports again", async || {
             writer.reports().await.len() == 1
         })
         .await;
         drop(front_end);
-        until(&stage, "its report goes with it", async || {
+        wait_until(&environment, "the report is removed", async || {
             writer.reports().await.is_empty()
         })
         .await;
@@ -88,29 +98,32 @@
 }
 
 #[test]
-fn a_compaction_that_overtakes_the_watch_loses_no_change_and_no_deletion() {
-    let stage = TestEnvironment::new(13);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let snapshot = folder("config-compacted").join("s");
-    let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+fn a_compaction_beyond_the_watched_revision_loses_no_change_or_deletion() {
+    let environment = TestEnvironment::new(13);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let snapshot = temp_dir("config-compacted").join("s");
+    let front_end = FrontEnd::start(
+        deployment(executor(&environment), &etcd.addresses, &snapshot),
+        1,
+    );
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
         let entries = [
             ("functions/gone", Some(function(true, "serve"))),
             ("functions/kept", Some(function(true, "serve"))),
         ];
         writer.write(&entries).await;
-        until(&stage, "they are there", async || {
+        wait_until(&environment, "the functions are served", async || {
             front_end.status("gone").await == 200
         })
         .await;
-        // It hears nothing while these are written and compacted.
-        etcd.faults.stalled.set(stage.now() + 4.0);
-        until(&stage, "it is cut off", async || {
+        // The front end receives nothing while these entries are written and compacted.
+        etcd.faults.stalled.set(environment.now() + 4.0);
+        wait_until(&environment, "the front end is disconnected", async || {
             front_end.configuration().await["connected"] == false
         })
         .await;
-        stage.sleep(1.5).await;
+        environment.sleep(1.5).await;
         writer
             .write(&[
                 ("functions/gone", None),
@@ -119,7 +132,7 @@
             .await;
         let revision = etcd.store.borrow().revision;
         etcd.store.borrow_mut().compact(revision).unwrap();
-        until(&stage, "the new one is there", async || {
+        wait_until(&environment, "the new function is served", async || {
             front_end.status("new").await == 200
         })
         .await;
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -1,4 +1,4 @@
-//! A store of configuration on loopback sockets, its writer, and front ends that follow it.
+//! Shared test code: a configuration store on loopback sockets, its writer, and front ends that follow it.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -31,14 +31,14 @@
 use std::time::Duration;
 
 pub const PREFIX: &str = "orchidtally/config/";
-/// Seconds that invocations of functions whose names begin with `slow` take.
+/// The duration in seconds of invocations of functions whose names begin with `slow`.
 pub const SLOW: f64 = 1.0;
-/// What nothing here takes longer than, in seconds.
-const PATIENCE: f64 = 20.0;
+/// The timeout of `wait_until`, in seconds.
+const WAIT_TIMEOUT: f64 = 20.0;
 const EXCHANGE_TIME: Duration = Duration::from_millis(700);
 
-/// Runs a case to its end.
-pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+/// Runs a test case to its end.
+pub fn run<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     run_within(environment, 60.0, work)
 }
 
@@ -61,26 +61,26 @@
     start_executor(environment, 1, program).address
 }
 
-/// A folder of the test's own, empty.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty directory for a test.
+pub fn temp_dir(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// A function as the store has it, in the one version that executors of the kit load.
+/// The stored document of a function, with the only version that the executors of these tests load.
 pub fn function(allowed: bool, when_stale: &str) -> Value {
     let version = format!("sha256:{}", digest(b""));
     json!({ "when_stale": when_stale, "spec": { "allowed": allowed, "versions": [{ "digest": version, "lanes": 32 }] } })
 }
 
-/// A deployment that follows a store, with times short enough for a test.
+/// The text of a deployment file that follows a store, with short timeouts.
 pub fn deployment(executor: SocketAddr, endpoints: &[SocketAddr], snapshot: &Path) -> String {
     deployment_with(executor, endpoints, snapshot, "")
 }
 
-/// The same with further sections.
+/// Like `deployment`, with further sections.
 pub fn deployment_with(
     executor: SocketAddr,
     endpoints: &[SocketAddr],
@@ -107,9 +107,9 @@
     )
 }
 
-/// A front end on a thread of its own; dropping it ends it.
+/// A front end on its own thread, which is stopped on drop.
 pub struct FrontEnd {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     stop: Option<async_channel::Sender<()>>,
     thread: Option<JoinHandle<Counters>>,
 }
@@ -122,23 +122,23 @@
             orchidtally_http_frontend::run(start, listening.listener)
         });
         FrontEnd {
-            at: front_end.at,
+            address: front_end.address,
             stop: Some(front_end.stop),
             thread: Some(front_end.thread),
         }
     }
 
-    /// Invokes a function: the status and the answer's body.
+    /// Invokes a function and returns the status and the body of the response.
     pub async fn invoke(&self, function: &str) -> (u16, String) {
         let path = format!("/v1/functions/{function}/invocations");
-        let asked = orchidtally_socket_io::http::fetch(
-            self.at,
+        let response = orchidtally_socket_io::http::fetch(
+            self.address,
             Method::POST,
             &path,
             "hi",
             Duration::from_secs(5),
         );
-        let (status, body) = asked.await.unwrap();
+        let (status, body) = response.await.unwrap();
         (status.as_u16(), String::from_utf8_lossy(&body).into_owned())
     }
 
@@ -146,16 +146,16 @@
         self.invoke(function).await.0
     }
 
-    /// What it says of its configuration.
+    /// Fetches the configuration status of the front end.
     pub async fn configuration(&self) -> Value {
-        let asked = orchidtally_socket_io::http::fetch(
-            self.at,
+        let response = orchidtally_socket_io::http::fetch(
+            self.address,
             Method::GET,
             "/v1/front-end",
             "",
             Duration::from_secs(5),
         );
-        let (status, body) = asked.await.unwrap();
+        let (status, body) = response.await.unwrap();
         assert_eq!(status, StatusCode::OK);
         serde_json::from_slice::<Value>(&body).unwrap()["configuration"].clone()
     }
@@ -165,22 +165,29 @@
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take() {
-            // Whoever panicked in it has said so.
+            // A panic of the thread is printed already.
             let _ = thread.join();
         }
     }
 }
 
-/// Waits until something is so.
-pub async fn until(stage: &TestEnvironment, what: &str, mut is_so: impl AsyncFnMut() -> bool) {
-    let end = stage.now() + PATIENCE;
-    while !is_so().await {
-        assert!(stage.now() < end, "not within {PATIENCE} s: {what}");
-        stage.sleep(0.02).await;
+/// Waits until a condition holds; panics with `what` after `WAIT_TIMEOUT`.
+pub async fn wait_until(
+    environment: &TestEnvironment,
+    what: &str,
+    mut condition: impl AsyncFnMut() -> bool,
+) {
+    let end = environment.now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(
+            environment.now() < end,
+            "timeout after {WAIT_TIMEOUT} s: {what}"
+        );
+        environment.sleep(0.02).await;
     }
 }
 
-/// Writes configuration as an operator's tool does.
+/// Writes configuration like an operator's tool.
 pub struct Writer {
     client: Client,
     keyspace: Keyspace,
@@ -188,8 +195,8 @@
 }
 
 impl Writer {
-    pub fn new(stage: &TestEnvironment, etcd: &EtcdServer) -> Writer {
-        let client = Client::new(etcd.addresses.clone(), stage.tasks.clone());
+    pub fn new(environment: &TestEnvironment, etcd: &EtcdServer) -> Writer {
+        let client = Client::new(etcd.addresses.clone(), environment.tasks.clone());
         Writer {
             client,
             keyspace: Keyspace::new(PREFIX),
@@ -197,7 +204,7 @@
         }
     }
 
-    /// Writes entries together; without a document an entry is deleted. Gives the revision.
+    /// Writes entries in one transaction and returns its revision. An entry without a document is deleted.
     pub async fn write(&self, entries: &[(&str, Option<Value>)]) -> i64 {
         let changes: Vec<EntryChange> = entries
             .iter()
@@ -216,7 +223,7 @@
                     self.tries.set(self.tries.get() + 1);
                     assert!(
                         self.tries.get() < 50,
-                        "the writer reaches no member: {fault}"
+                        "the writer can't reach any member: {fault}"
                     );
                     self.client.fail_over();
                     async_io::Timer::after(Duration::from_millis(100)).await;
@@ -225,7 +232,7 @@
         }
     }
 
-    /// The revision, or `None` if another writer was faster.
+    /// Returns the revision, or `None` if a concurrent write caused a conflict.
     async fn try_write(&self, changes: &[EntryChange]) -> Result<Option<i64>, ClientError> {
         let mut read = ReadValues::new();
         for key in writer::keys_to_read(&self.keyspace, changes) {
@@ -276,7 +283,7 @@
             .then(|| answer.header.unwrap_or_default().revision))
     }
 
-    /// All reports that stand in the store, by front end, as JSON.
+    /// Reads all reports in the store as JSON, by front end.
     pub async fn raw_reports(&self) -> BTreeMap<String, Value> {
         let range = self.keyspace.reports();
         let question = RangeRequest {
@@ -305,7 +312,7 @@
             .collect()
     }
 
-    /// The same, as the core's writer takes them.
+    /// Reads all reports in the store, by front end.
     pub async fn reports(&self) -> BTreeMap<String, Report> {
         let raw = self.raw_reports().await;
         raw.into_iter()
--- a/crates/http-frontend/tests/config_sync.rs
+++ b/crates/http-frontend/tests/config_sync.rs
@@ -1,8 +1,8 @@
-//! Front ends that follow a store of configuration on loopback sockets.
+//! Tests of front ends that follow a configuration store on loopback sockets.
 
 mod config_kit;
 
-use config_kit::{FrontEnd, Writer, deployment, executor, folder, function, on, until};
+use config_kit::{FrontEnd, Writer, deployment, executor, function, run, temp_dir, wait_until};
 use orchidtally_config_sync::in_force::Written;
 use orchidtally_config_sync::{InForce, in_force};
 use orchidtally_test_servers::TestEnvironment;
@@ -11,23 +11,23 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// The cluster's id of the kit's store.
+/// The cluster id of the test store.
 const CLUSTER: u64 = 7;
-/// What a change may take to be in force in these tests, in seconds.
+/// The maximum time for a change to be in force, in seconds.
 const IN_FORCE_WITHIN: f64 = 3.0;
 
 #[test]
-fn a_change_is_in_force_at_two_front_ends_without_a_restart_and_the_writer_sees_it() {
-    let stage = TestEnvironment::new(1);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let (executor, folder) = (executor(&stage), folder("config-two"));
+fn a_change_takes_effect_on_two_front_ends_without_a_restart_and_the_writer_sees_it() {
+    let environment = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let (executor, temp_dir) = (executor(&environment), temp_dir("config-two"));
     let front_ends = [1, 2].map(|n| {
-        let snapshot = folder.join(format!("{n}.snapshot"));
+        let snapshot = temp_dir.join(format!("{n}.snapshot"));
         FrontEnd::start(deployment(executor, &etcd.addresses, &snapshot), n)
     });
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
-        until(&stage, "both report", async || {
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
+        wait_until(&environment, "both report", async || {
             writer.reports().await.len() == 2
         })
         .await;
@@ -55,16 +55,16 @@
             revision,
             generation: 0,
             cluster: CLUSTER,
-            at: stage.now(),
+            at: environment.now(),
         };
-        until(&stage, "in force everywhere", async || {
+        wait_until(&environment, "in force everywhere", async || {
             let reports = writer.reports().await;
-            let now = stage.now();
+            let now = environment.now();
             in_force(&written, now, &live, &live, &reports, IN_FORCE_WITHIN) == InForce::Everywhere
         })
         .await;
-        let took = stage.now() - written.at;
-        assert!(took < IN_FORCE_WITHIN, "{took} s");
+        let elapsed = environment.now() - written.at;
+        assert!(elapsed < IN_FORCE_WITHIN, "{elapsed} s");
         for front_end in &front_ends {
             assert_eq!(front_end.status("added").await, 200);
             let (status, body) = front_end.invoke("listed").await;
@@ -75,9 +75,11 @@
             .write(&[("functions/listed", None), ("functions/added", None)])
             .await;
         for front_end in &front_ends {
-            until(&stage, "the file counts again", async || {
-                front_end.status("listed").await == 200
-            })
+            wait_until(
+                &environment,
+                "the deployment file applies again",
+                async || front_end.status("listed").await == 200,
+            )
             .await;
             assert_eq!(front_end.status("added").await, 404);
         }
@@ -85,17 +87,20 @@
 }
 
 #[test]
-fn a_transaction_half_of_which_is_invalid_is_rejected_whole_with_key_reason_and_remedy() {
-    let stage = TestEnvironment::new(2);
-    let etcd = EtcdServer::start(&stage, 1).unwrap();
-    let snapshot = folder("config-invalid").join("s");
-    let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+fn a_partly_invalid_transaction_is_rejected_completely_with_key_reason_and_remedy() {
+    let environment = TestEnvironment::new(2);
+    let etcd = EtcdServer::start(&environment, 1).unwrap();
+    let snapshot = temp_dir("config-invalid").join("s");
+    let front_end = FrontEnd::start(
+        deployment(executor(&environment), &etcd.addresses, &snapshot),
+        1,
+    );
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
         writer
             .write(&[("functions/before", Some(function(true, "serve")))])
             .await;
-        until(&stage, "the first", async || {
+        wait_until(&environment, "the first function is served", async || {
             front_end.status("before").await == 200
         })
         .await;
@@ -110,7 +115,7 @@
         writer
             .write(&[("functions/after", Some(function(true, "serve")))])
             .await;
-        until(&stage, "others go on", async || {
+        wait_until(&environment, "later transactions are applied", async || {
             front_end.status("after").await == 200
         })
         .await;
@@ -122,49 +127,53 @@
             (404, 404)
         );
         assert_eq!(front_end.status("before").await, 200);
-        let told = &front_end.configuration().await["rejected"][0];
+        let rejection = &front_end.configuration().await["rejected"][0];
         assert_eq!(
-            (&told["key"], &told["revision"]),
+            (&rejection["key"], &rejection["revision"]),
             (&json!("functions/bad"), &json!(rejected))
         );
         assert!(
-            told["reason"].as_str().unwrap().contains("'nowhere'"),
-            "{told}"
+            rejection["reason"].as_str().unwrap().contains("'nowhere'"),
+            "{rejection}"
         );
         assert!(
-            told["remedy"]
+            rejection["remedy"]
                 .as_str()
                 .unwrap()
                 .contains("write the trigger type first"),
-            "{told}"
+            "{rejection}"
         );
-        until(&stage, "it is in the store's report", async || {
+        wait_until(&environment, "the rejection is in the report", async || {
             let reports = writer.reports().await;
             reports
                 .values()
                 .any(|report| report.rejected.iter().any(|r| r.key == "functions/bad"))
         })
         .await;
-        // What the deployment file asks for holds in the store as well.
+        // The constraints of the deployment file also apply to entries of the store.
         let no_time = json!({ "spec": { "objective": 0.01, "timeout": 0.04 } });
         writer.write(&[("trigger-types/http", Some(no_time))]).await;
-        until(&stage, "the second rejection", async || {
-            let told = front_end.configuration().await["rejected"].to_string();
-            told.contains("raise the timeout, or lower 'limits.answerMargin'")
-        })
+        wait_until(
+            &environment,
+            "the second transaction is rejected",
+            async || {
+                let rejection = front_end.configuration().await["rejected"].to_string();
+                rejection.contains("raise the timeout, or lower 'limits.answerMargin'")
+            },
+        )
         .await;
         assert_eq!(front_end.status("before").await, 200);
     });
 }
 
 #[test]
-fn with_the_store_away_it_starts_from_its_snapshot_and_refuses_what_may_have_been_taken_away() {
-    let stage = TestEnvironment::new(3);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let (executor, snapshot) = (executor(&stage), folder("config-away").join("s"));
+fn without_the_store_it_starts_from_its_snapshot_and_refuses_functions_that_need_a_fresh_view() {
+    let environment = TestEnvironment::new(3);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let (executor, snapshot) = (executor(&environment), temp_dir("config-away").join("s"));
     let text = deployment(executor, &etcd.addresses, &snapshot);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
         let first = FrontEnd::start(text.clone(), 1);
         let revision = writer
             .write(&[
@@ -172,11 +181,11 @@
                 ("functions/secret", Some(function(true, "refuse"))),
             ])
             .await;
-        until(&stage, "it is there", async || {
+        wait_until(&environment, "the function is served", async || {
             first.status("secret").await == 200
         })
         .await;
-        stage.sleep(0.5).await;
+        environment.sleep(0.5).await;
         drop(first);
         (0..3).for_each(|member| etcd.stop(member));
         let second = FrontEnd::start(text.clone(), 2);
@@ -189,11 +198,11 @@
         assert_eq!(status, 503, "{body}");
         assert!(body.contains("\"mayHaveRun\":false"), "{body}");
         (0..3).for_each(|member| etcd.restart(member));
-        until(&stage, "it is proven current again", async || {
+        wait_until(&environment, "the view is fresh again", async || {
             second.status("secret").await == 200
         })
         .await;
-        // Neither store nor snapshot: nothing says what may be called.
+        // Without a store and a snapshot it is unknown which functions are allowed.
         drop(second);
         (0..3).for_each(|member| etcd.stop(member));
         std::fs::remove_dir_all(snapshot.parent().unwrap()).unwrap();
@@ -202,14 +211,16 @@
         assert_eq!(status, 503, "{body}");
         assert!(body.contains("no configuration is loaded yet"), "{body}");
         (0..3).for_each(|member| etcd.restart(member));
-        until(&stage, "it has read the store", async || {
-            third.status("kept").await == 200
-        })
+        wait_until(
+            &environment,
+            "the front end has read the store",
+            async || third.status("kept").await == 200,
+        )
         .await;
-        // Its folder is gone: that is told, and ends nothing.
-        until(
-            &stage,
-            "the snapshot's fault is told in the store",
+        // The directory of the snapshot is gone, which is reported and does not stop the front end.
+        wait_until(
+            &environment,
+            "the snapshot fault is in the report",
             async || {
                 writer
                     .raw_reports()
@@ -223,37 +234,44 @@
 }
 
 #[test]
-fn a_store_that_was_set_back_is_not_followed() {
-    let stage = TestEnvironment::new(4);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let snapshot = folder("config-back").join("s");
-    let front_end = FrontEnd::start(deployment(executor(&stage), &etcd.addresses, &snapshot), 1);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+fn a_store_restored_from_a_backup_is_not_followed() {
+    let environment = TestEnvironment::new(4);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let snapshot = temp_dir("config-back").join("s");
+    let front_end = FrontEnd::start(
+        deployment(executor(&environment), &etcd.addresses, &snapshot),
+        1,
+    );
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
         let allowed = writer
             .write(&[("functions/f", Some(function(true, "serve")))])
             .await;
-        until(&stage, "allowed", async || {
+        wait_until(&environment, "the function is allowed", async || {
             front_end.status("f").await == 200
         })
         .await;
         writer
             .write(&[("functions/f", Some(function(false, "serve")))])
             .await;
-        until(&stage, "taken away", async || {
-            front_end.status("f").await == 403
-        })
+        wait_until(
+            &environment,
+            "the function is not allowed any more",
+            async || front_end.status("f").await == 403,
+        )
         .await;
         etcd.store.borrow_mut().restore(allowed);
         etcd.cut_off();
-        until(&stage, "it says so", async || {
-            front_end.configuration().await["state"] == "store-set-back"
-        })
+        wait_until(
+            &environment,
+            "the front end reports the restored store",
+            async || front_end.configuration().await["state"] == "store-set-back",
+        )
         .await;
         assert_eq!(
             front_end.status("f").await,
             403,
-            "the older permission is not back"
+            "the older permission must not apply again"
         );
         let generation = json!({ "format": 1, "generation": 1 }).to_string();
         let key = format!("{}generation", config_kit::PREFIX);
@@ -263,30 +281,32 @@
             ..Default::default()
         };
         etcd.store.borrow_mut().put(&put).unwrap();
-        until(&stage, "a higher generation is followed", async || {
-            front_end.status("f").await == 200
-        })
+        wait_until(
+            &environment,
+            "a higher generation is followed",
+            async || front_end.status("f").await == 200,
+        )
         .await;
     });
 }
 
 #[test]
-fn two_of_five_members_die_in_the_middle_of_a_change() {
-    let stage = TestEnvironment::new(5);
-    let etcd = EtcdServer::start_in_regions(&stage, &[0, 0, 1, 1, 2]).unwrap();
-    let (executor, folder) = (executor(&stage), folder("config-members"));
+fn a_change_survives_the_crash_of_two_of_five_members() {
+    let environment = TestEnvironment::new(5);
+    let etcd = EtcdServer::start_in_regions(&environment, &[0, 0, 1, 1, 2]).unwrap();
+    let (executor, temp_dir) = (executor(&environment), temp_dir("config-members"));
     let front_ends = [1, 2, 3].map(|n| {
-        let snapshot = folder.join(format!("{n}.snapshot"));
+        let snapshot = temp_dir.join(format!("{n}.snapshot"));
         FrontEnd::start(deployment(executor, &etcd.addresses, &snapshot), n)
     });
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
-        until(&stage, "all report", async || {
+    let writer = Writer::new(&environment, &etcd);
+    run(&environment, async {
+        wait_until(&environment, "all report", async || {
             writer.reports().await.len() == 3
         })
         .await;
         etcd.crash_in_next_transaction(CrashPoint::AfterCommit, 2);
-        let begun = Instant::now();
+        let started = Instant::now();
         writer
             .write(&[
                 ("functions/a", Some(function(true, "refuse"))),
@@ -294,13 +314,17 @@
             ])
             .await;
         for front_end in &front_ends {
-            until(&stage, "in force", async || {
+            wait_until(&environment, "in force", async || {
                 front_end.status("a").await == 200
             })
             .await;
-            assert_eq!(front_end.status("b").await, 200, "both or neither");
+            assert_eq!(
+                front_end.status("b").await,
+                200,
+                "a transaction is applied completely"
+            );
         }
-        let took = begun.elapsed().as_secs_f64();
-        assert!(took < 18.0, "{took} s");
+        let elapsed = started.elapsed().as_secs_f64();
+        assert!(elapsed < 18.0, "{elapsed} s");
     });
 }
--- a/crates/http-frontend/tests/dispatch_revalidation.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -1,4 +1,5 @@
-//! What was decided is asked again as its bytes leave, which may be long after: dispatches that wait for a stream.
+//! Tests that a dispatch decision is validated again when the dispatch is sent, which may be long after the decision if
+//! the dispatch waits for a free stream.
 
 mod gateway_kit;
 
@@ -11,7 +12,7 @@
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::rc::Rc;
 
-/// Seconds that an invocation takes; the next one waits for its stream for as long.
+/// The duration of an invocation in seconds, for which the next one waits for its stream.
 const WORK: f64 = 0.6;
 
 fn slow_executor(environment: &TestEnvironment) -> Rc<Executor> {
@@ -26,40 +27,45 @@
     })
 }
 
-/// A front end with one stream to each executor.
+/// Starts a front end with one stream per executor.
 fn narrow_gateway(source: &str) -> Gateway {
     let narrow =
         "limits: { connectTime: \"3s\", streamsPerConnection: 1, connectionsPerExecutor: 1,";
-    let text = description(source, "loading: { orders: false }");
+    let text = deployment_text(source, "loading: { orders: false }");
     gateway(text.replace("limits: { connectTime: \"200ms\",", narrow))
 }
 
 #[test]
 fn nothing_leaves_for_an_executor_that_was_told_draining_while_it_waited_for_a_stream() {
-    let stage = TestEnvironment::new(1);
-    let one = slow_executor(&stage);
+    let environment = TestEnvironment::new(1);
+    let one = slow_executor(&environment);
     let publisher = Publisher::start(
-        &stage,
+        &environment,
         unused_address(),
-        vec![row(0, one.address, EndpointState::Ready)],
+        vec![endpoint(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
     publisher.delay.set(0.0);
     let gateway = narrow_gateway(&format!("publisher: \"{}\"", publisher.address));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    on(&stage, async {
-        assert_eq!(status(&caller.invoke(&ask("warms", LOOK)).await), 200);
-        let out = all(
-            &stage,
-            &caller,
-            (0..3).map(|n| ask(&format!("a{n}"), ACT)).collect(),
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    run(&environment, async {
+        assert_eq!(
+            status(&client.invoke(&request("warms", IDEMPOTENT)).await),
+            200
+        );
+        let invocations = invoke_all(
+            &environment,
+            &client,
+            (0..3)
+                .map(|n| request(&format!("a{n}"), NON_IDEMPOTENT))
+                .collect(),
         );
         let drain = async {
-            stage.sleep(WORK / 3.0).await;
+            environment.sleep(WORK / 3.0).await;
             publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
         };
-        let (heard, ()) = futures_lite::future::zip(out, drain).await;
-        let statuses: Vec<u16> = heard.iter().map(status).collect();
+        let (outcomes, ()) = futures_lite::future::zip(invocations, drain).await;
+        let statuses: Vec<u16> = outcomes.iter().map(status).collect();
         assert_eq!(
             statuses.iter().filter(|&&s| s == 200).count(),
             1,
@@ -68,29 +74,40 @@
     });
     let reached = |r: &TrafficRecord| matches!(r, TrafficRecord::DispatchArrived { invocation, .. } if invocation.starts_with('a'));
     assert_eq!(
-        stage.records().iter().filter(|r| reached(r)).count(),
+        environment.records().iter().filter(|r| reached(r)).count(),
         1,
-        "only the one that had its stream"
+        "only the invocation with a stream may reach the draining executor"
     );
     gateway.end();
 }
 
-/// The term: at most what the client has left, with 0.15 s of slack.
+/// The time sent to the executor is at most the client's remaining time, with a tolerance of 0.15 s.
 #[test]
-fn an_executor_is_told_the_time_that_is_left_as_the_dispatch_leaves() {
-    let stage = TestEnvironment::new(2);
-    let one = slow_executor(&stage);
-    let gateway = narrow_gateway(&listed(&[one.address]));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    on(&stage, async {
-        assert_eq!(status(&caller.invoke(&ask("warms", LOOK)).await), 200);
-        let asked = ask("waits", ACT);
-        let heard = all(&stage, &caller, vec![ask("goes", ACT), asked.clone()]).await;
-        assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
-        let (told, left) = (one.last_time_left.get(), asked.time_left - WORK);
+fn an_executor_receives_the_remaining_time_at_the_moment_of_sending() {
+    let environment = TestEnvironment::new(2);
+    let one = slow_executor(&environment);
+    let gateway = narrow_gateway(&executor_list(&[one.address]));
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    run(&environment, async {
+        assert_eq!(
+            status(&client.invoke(&request("warms", IDEMPOTENT)).await),
+            200
+        );
+        let waiting = request("waits", NON_IDEMPOTENT);
+        let outcomes = invoke_all(
+            &environment,
+            &client,
+            vec![request("goes", NON_IDEMPOTENT), waiting.clone()],
+        )
+        .await;
+        assert!(
+            outcomes.iter().all(|outcome| status(outcome) == 200),
+            "{outcomes:?}"
+        );
+        let (received, remaining) = (one.last_time_left.get(), waiting.time_left - WORK);
         assert!(
-            told <= left + 0.15 && told > left / 2.0,
-            "{told} s of {left}"
+            received <= remaining + 0.15 && received > remaining / 2.0,
+            "{received} s of {remaining}"
         );
     });
     gateway.end();
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -1,4 +1,4 @@
-//! A front end that follows etcd on sockets: an operator's drain, another start, entries that can't be read.
+//! Tests a front end that follows etcd on sockets: drains by an operator, repeated registrations and unreadable entries.
 
 mod front_end_kit;
 
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+fn run<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     run_within(environment, 30.0, work)
 }
 
@@ -32,13 +32,13 @@
     })
 }
 
-struct World {
-    stage: TestEnvironment,
+struct TestBed {
+    environment: TestEnvironment,
     etcd: Rc<EtcdServer>,
     executors: Vec<Rc<Executor>>,
 }
 
-impl World {
+impl TestBed {
     fn put(&self, n: usize, value: &str) {
         let key = format!("/orchidtally/executors/{}", self.executors[n].address).into();
         let put = PutRequest {
@@ -49,11 +49,11 @@
         self.etcd.store.borrow_mut().put(&put).unwrap();
     }
 
-    fn mark(&self, n: usize, drains: bool) {
+    fn set_drain(&self, n: usize, is_draining: bool) {
         let key: Bytes =
             format!("/orchidtally/executors/{}/drain", self.executors[n].address).into();
         let mut store = self.etcd.store.borrow_mut();
-        if drains {
+        if is_draining {
             store
                 .put(&PutRequest {
                     key,
@@ -69,62 +69,62 @@
         }
     }
 
-    async fn standing(&self, at: SocketAddr) -> Value {
+    async fn front_end_status(&self, at: SocketAddr) -> Value {
         let time = Duration::from_secs(2);
-        let asked = orchidtally_socket_io::http::fetch(
+        let response = orchidtally_socket_io::http::fetch(
             at,
             http::Method::GET,
             "/v1/front-end",
             vec![],
             time,
         );
-        serde_json::from_slice(&asked.await.unwrap().1).unwrap()
+        serde_json::from_slice(&response.await.unwrap().1).unwrap()
     }
 
-    async fn until(&self, at: SocketAddr, is_so: impl Fn(&Value) -> bool) -> Value {
+    async fn until(&self, at: SocketAddr, condition: impl Fn(&Value) -> bool) -> Value {
         loop {
-            let standing = self.standing(at).await;
-            if is_so(&standing["roster"]) {
-                return standing["roster"].clone();
+            let front_end_status = self.front_end_status(at).await;
+            if condition(&front_end_status["roster"]) {
+                return front_end_status["roster"].clone();
             }
-            self.stage.sleep(0.02).await;
+            self.environment.sleep(0.02).await;
         }
     }
 
-    /// Where some invocations ran.
-    async fn ran(&self, caller: &TestClient, label: &str) -> Vec<usize> {
+    /// Invokes some functions and returns the executors on which they ran.
+    async fn executors_used(&self, client: &TestClient, label: &str) -> Vec<usize> {
         for n in 0..20 {
-            let ask = ClientRequest {
+            let request = ClientRequest {
                 invocation: format!("{label}-{n}"),
                 function: format!("f{}", n % 5),
                 trigger_type: (0, "look".into()),
                 time_left: 3.0,
                 ..ClientRequest::default()
             };
-            let heard = caller.invoke(&ask).await;
+            let outcome = client.invoke(&request).await;
             assert!(
-                matches!(heard, ClientOutcome::Answered { status: 200, .. }),
-                "{label}: {heard:?}"
+                matches!(outcome, ClientOutcome::Answered { status: 200, .. }),
+                "{label}: {outcome:?}"
             );
         }
-        executors_of(&self.stage, label)
+        executors_of(&self.environment, label)
     }
 }
 
 const READY: &str = r#"{"standing":"ready","since":1}"#;
 
 #[test]
-fn drains_hold_over_another_registration_and_bad_entries_change_nothing() {
-    let stage = TestEnvironment::new(3);
-    let etcd = EtcdServer::start(&stage, 2).unwrap();
-    let executors = (0..3).map(|n| executor(&stage, n)).collect();
-    let w = World {
-        stage,
+fn drains_survive_a_new_registration_and_unreadable_entries_are_ignored() {
+    let environment = TestEnvironment::new(3);
+    let etcd = EtcdServer::start(&environment, 2).unwrap();
+    let executors = (0..3).map(|n| executor(&environment, n)).collect();
+    let test_bed = TestBed {
+        environment,
         etcd,
         executors,
     };
-    (0..3).for_each(|n| w.put(n, READY));
-    let endpoints: Vec<String> = w
+    (0..3).for_each(|n| test_bed.put(n, READY));
+    let endpoints: Vec<String> = test_bed
         .etcd
         .addresses
         .iter()
@@ -141,47 +141,51 @@
         let start = start_options(deployment, 5, listening.stopped);
         orchidtally_http_frontend::run(start, listening.listener)
     });
-    let at = front_end.at;
-    let caller = TestClient::new(&w.stage, 0, 0, at, false);
-    on(&w.stage, async {
-        let heard = |revision: i64| {
+    let at = front_end.address;
+    let client = TestClient::new(&test_bed.environment, 0, 0, at, false);
+    run(&test_bed.environment, async {
+        let has_revision = |revision: i64| {
             move |r: &Value| {
                 r["revision"]
                     .as_i64()
                     .is_some_and(|known| known >= revision)
             }
         };
-        let revision = || w.etcd.store.borrow().revision;
-        w.until(at, |r| r["executors"] == 3).await;
-        assert!(!w.ran(&caller, "before").await.is_empty());
-        w.mark(0, true);
-        w.mark(1, true);
-        w.until(at, heard(revision())).await;
-        assert_eq!(w.ran(&caller, "drained").await, [2]);
-        // They register again, as after a lost lease; what the operator said stays.
-        (0..2).for_each(|n| w.put(n, READY));
-        w.until(at, heard(revision())).await;
-        assert_eq!(w.ran(&caller, "again").await, [2]);
-        // The last one writes nonsense: it is named, and its last good entry counts.
-        w.put(2, "{\"standing\":");
-        let roster = w.until(at, heard(revision())).await;
+        let revision = || test_bed.etcd.store.borrow().revision;
+        test_bed.until(at, |r| r["executors"] == 3).await;
+        assert!(!test_bed.executors_used(&client, "before").await.is_empty());
+        test_bed.set_drain(0, true);
+        test_bed.set_drain(1, true);
+        test_bed.until(at, has_revision(revision())).await;
+        assert_eq!(test_bed.executors_used(&client, "drained").await, [2]);
+        // The executors register again, as after a lost lease. The operator's drains stay in effect.
+        (0..2).for_each(|n| test_bed.put(n, READY));
+        test_bed.until(at, has_revision(revision())).await;
+        assert_eq!(test_bed.executors_used(&client, "again").await, [2]);
+        // The last executor writes an unreadable entry: it is reported, and the last valid entry stays in effect.
+        test_bed.put(2, "{\"standing\":");
+        let roster = test_bed.until(at, has_revision(revision())).await;
         assert_eq!(roster["faults"].as_object().unwrap().len(), 1, "{roster}");
-        assert_eq!(w.ran(&caller, "nonsense").await, [2]);
-        w.mark(1, false);
-        w.mark(2, true);
-        w.until(at, heard(revision())).await;
-        assert_eq!(w.ran(&caller, "withdrawn").await, [1]);
-        // The store is away for longer than a lease: what is known is served on.
-        w.etcd.faults.stalled.set(w.stage.now() + 3.0);
-        w.etcd.cut_off();
-        w.stage.sleep(2.5).await;
-        assert_eq!(w.ran(&caller, "away").await, [1]);
-        let standing = w.standing(at).await;
+        assert_eq!(test_bed.executors_used(&client, "nonsense").await, [2]);
+        test_bed.set_drain(1, false);
+        test_bed.set_drain(2, true);
+        test_bed.until(at, has_revision(revision())).await;
+        assert_eq!(test_bed.executors_used(&client, "withdrawn").await, [1]);
+        // The store is unavailable for longer than a lease: the front end serves from the known list.
+        test_bed
+            .etcd
+            .faults
+            .stalled
+            .set(test_bed.environment.now() + 3.0);
+        test_bed.etcd.cut_off();
+        test_bed.environment.sleep(2.5).await;
+        assert_eq!(test_bed.executors_used(&client, "away").await, [1]);
+        let front_end_status = test_bed.front_end_status(at).await;
         assert_eq!(
-            standing["roster"]["shares"], false,
-            "nobody can say by how many to share"
+            front_end_status["roster"]["shares"], false,
+            "the number of front ends that share the executors is unknown"
         );
-        w.until(at, |r| r["shares"] == true).await;
+        test_bed.until(at, |r| r["shares"] == true).await;
     });
     front_end.end();
 }
--- a/crates/http-frontend/tests/executor_connection_failures.rs
+++ b/crates/http-frontend/tests/executor_connection_failures.rs
@@ -1,10 +1,13 @@
-//! Executors whose connections fail: what is retried, and what ends as failed.
+//! Tests of failing executor connections: which invocations are retried and which fail.
 
 mod gateway_kit;
 mod scripted_executor;
 
 use bytes::Bytes;
-use gateway_kit::{ACT, LOOK, all, ask, description, executor, gateway, listed, on, row, status};
+use gateway_kit::{
+    IDEMPOTENT, NON_IDEMPOTENT, deployment_text, endpoint, executor, executor_list, gateway,
+    invoke_all, request, run, status,
+};
 use orchidtally_invariants::{EndpointState, FinalAnswer};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::publisher::Publisher;
@@ -15,101 +18,118 @@
 use std::rc::Rc;
 
 #[test]
-fn an_executor_that_dies_after_the_first_bytes_leaves_a_non_idempotent_invocation_errored() {
-    let stage = TestEnvironment::new(1);
+fn a_non_idempotent_invocation_fails_if_its_executor_crashes_after_receiving_it() {
+    let environment = TestEnvironment::new(1);
     let dispatches = Rc::new(Cell::new(0));
-    let counted = dispatches.clone();
-    // Dies with each dispatch, once it is here whole.
-    let dies = move |f: &raw::Frame| {
+    let counter = dispatches.clone();
+    // Breaks the connection once a dispatch has arrived completely.
+    let breaks = move |f: &raw::Frame| {
         if f.ends_stream() {
-            counted.set(counted.get() + 1);
+            counter.set(counter.get() + 1);
             return Next::Break(vec![]);
         }
         Next::Say(vec![])
     };
-    let two = [scripted(&stage, dies.clone()), scripted(&stage, dies)];
-    let gateway = gateway(description(&listed(&two), NO_LOAD_COMMANDS));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let heard = on(&stage, caller.invoke(&ask("a", ACT)));
+    let two = [
+        scripted(&environment, breaks.clone()),
+        scripted(&environment, breaks),
+    ];
+    let gateway = gateway(deployment_text(&executor_list(&two), NO_LOAD_COMMANDS));
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let outcome = run(&environment, client.invoke(&request("a", NON_IDEMPOTENT)));
     let ClientOutcome::Answered {
         answer: FinalAnswer::Failed,
         may_have_run,
         ..
-    } = heard
+    } = outcome
     else {
-        panic!("{heard:?}")
+        panic!("{outcome:?}")
     };
     assert!(may_have_run);
-    assert_eq!(dispatches.get(), 1, "never repeated");
+    assert_eq!(
+        dispatches.get(),
+        1,
+        "a non-idempotent invocation was dispatched again"
+    );
     assert_eq!(gateway.end().failed, 1);
 }
 
 #[test]
-fn an_executor_that_dies_before_any_byte_costs_nothing() {
-    let stage = TestEnvironment::new(1);
-    let gone = reserve_address().unwrap();
-    let stands = executor(&stage, 0, 0.01);
-    let gateway = gateway(description(
-        &listed(&[gone, stands.address]),
+fn dispatches_to_an_unreachable_executor_are_retried_elsewhere() {
+    let environment = TestEnvironment::new(1);
+    let unreachable = reserve_address().unwrap();
+    let available = executor(&environment, 0, 0.01);
+    let gateway = gateway(deployment_text(
+        &executor_list(&[unreachable, available.address]),
         NO_LOAD_COMMANDS,
     ));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let asks = (0..12)
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let requests = (0..12)
         .map(|n| ClientRequest {
             function: format!("f{n}"),
-            ..ask(&format!("a{n}"), ACT)
+            ..request(&format!("a{n}"), NON_IDEMPOTENT)
         })
         .collect();
-    let heard = on(&stage, all(&stage, &caller, asks));
-    assert!(heard.iter().all(|h| status(h) == 200), "{heard:?}");
-    let tally = gateway.end();
-    assert_eq!(tally.succeeded, 12);
+    let outcomes = run(&environment, invoke_all(&environment, &client, requests));
+    assert!(outcomes.iter().all(|h| status(h) == 200), "{outcomes:?}");
+    let counters = gateway.end();
+    assert_eq!(counters.succeeded, 12);
     assert!(
-        tally.dispatches > 12,
-        "some went to the dead one first: {tally:?}"
+        counters.dispatches > 12,
+        "no dispatch went to the unreachable executor first: {counters:?}"
     );
 }
 
-/// Eight dispatches are out, the peer names the fourth as the last that it looked at and breaks off.
+/// With eight dispatches in flight, the executor sends GOAWAY with the fourth as the last processed stream and closes the
+/// connection. Only the streams above it may be retried.
 #[test]
-fn of_dispatches_at_a_closing_peer_those_above_the_last_stream_alone_go_elsewhere() {
-    let stage = TestEnvironment::new(1);
+fn only_dispatches_above_the_last_stream_of_a_goaway_are_retried() {
+    let environment = TestEnvironment::new(1);
     let streams = Rc::new(RefCell::new(vec![]));
-    let seen = streams.clone();
-    let closes = scripted(&stage, move |f| {
+    let stream_ids = streams.clone();
+    let closes = scripted(&environment, move |f| {
         if !f.ends_stream() {
             return Next::Say(vec![]);
         }
-        let mut seen = seen.borrow_mut();
-        seen.push(f.stream);
-        match seen.len() {
+        let mut stream_ids = stream_ids.borrow_mut();
+        stream_ids.push(f.stream);
+        match stream_ids.len() {
             1 => Next::Say(answered(f.stream)),
             2..9 => Next::Say(vec![]),
-            9 => Next::Break(raw::go_away(seen[4], 0)),
+            9 => Next::Break(raw::go_away(stream_ids[4], 0)),
             _ => Next::Say(answered(f.stream)),
         }
     });
-    let other = executor(&stage, 1, 0.01);
-    let rows = vec![
-        row(0, closes, EndpointState::Ready),
-        row(1, other.address, EndpointState::Gone),
+    let other = executor(&environment, 1, 0.01);
+    let endpoints = vec![
+        endpoint(0, closes, EndpointState::Ready),
+        endpoint(1, other.address, EndpointState::Gone),
     ];
-    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
+    let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
     publisher.delay.set(0.0);
-    let gateway = gateway(description(
+    let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         NO_LOAD_COMMANDS,
     ));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let heard = on(&stage, async {
-        assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let outcomes = run(&environment, async {
+        assert_eq!(
+            status(&client.invoke(&request("first", NON_IDEMPOTENT)).await),
+            200
+        );
         publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
-        let asks = (0..16).map(|n| ask(&format!("a{n}"), ACT)).collect();
-        all(&stage, &caller, asks).await
+        let requests = (0..16)
+            .map(|n| request(&format!("a{n}"), NON_IDEMPOTENT))
+            .collect();
+        invoke_all(&environment, &client, requests).await
     });
-    let errored: Vec<_> = heard.iter().filter(|h| status(h) != 200).collect();
-    assert_eq!(errored.len(), 4, "those up to the last stream: {heard:?}");
-    assert!(errored.iter().all(|h| matches!(
+    let failed: Vec<_> = outcomes.iter().filter(|h| status(h) != 200).collect();
+    assert_eq!(
+        failed.len(),
+        4,
+        "the streams up to the last one have to fail: {outcomes:?}"
+    );
+    assert!(failed.iter().all(|h| matches!(
         h,
         ClientOutcome::Answered {
             may_have_run: true,
@@ -118,96 +138,101 @@
     )));
     assert!(
         streams.borrow().len() >= 9,
-        "eight were out beside the first"
+        "eight dispatches have to be in flight besides the first"
     );
-    let tally = gateway.end();
-    assert_eq!(tally.succeeded, 13);
+    let counters = gateway.end();
+    assert_eq!(counters.succeeded, 13);
     assert!(
-        tally.dispatches >= 17 + 4,
-        "each of the other four went once more: {tally:?}"
+        counters.dispatches >= 17 + 4,
+        "each of the other four has to be dispatched again: {counters:?}"
     );
 }
 
 #[test]
-fn a_refused_stream_is_proof_and_another_reset_is_none() {
+fn a_refused_stream_is_retried_and_other_resets_are_not() {
     for (code, expected) in [(raw::REFUSED_STREAM, 200), (8, 502)] {
-        let stage = TestEnvironment::new(1);
-        let resets = scripted(&stage, move |f| {
+        let environment = TestEnvironment::new(1);
+        let resets = scripted(&environment, move |f| {
             Next::Say(if f.ends_stream() {
                 raw::reset(f.stream, code)
             } else {
                 vec![]
             })
         });
-        let other = executor(&stage, 1, 0.01);
-        let rows = vec![
-            row(0, resets, EndpointState::Ready),
-            row(1, other.address, EndpointState::Gone),
+        let other = executor(&environment, 1, 0.01);
+        let endpoints = vec![
+            endpoint(0, resets, EndpointState::Ready),
+            endpoint(1, other.address, EndpointState::Gone),
         ];
-        let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-        let gateway = gateway(description(
+        let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
+        let gateway = gateway(deployment_text(
             &format!("publisher: \"{}\"", publisher.address),
             NO_LOAD_COMMANDS,
         ));
-        let caller = TestClient::new(&stage, 0, 0, gateway.at, true);
-        let heard = on(&stage, async {
-            // The second executor appears once the first has answered.
-            let invoked = stage.spawn({
-                let caller = caller.clone();
-                async move { caller.invoke(&ask("a", ACT)).await }
+        let client = TestClient::new(&environment, 0, 0, gateway.address, true);
+        let outcome = run(&environment, async {
+            // The second executor is added after the first has reset the stream.
+            let invoked = environment.spawn({
+                let client = client.clone();
+                async move { client.invoke(&request("a", NON_IDEMPOTENT)).await }
             });
-            stage.sleep(0.4).await;
+            environment.sleep(0.4).await;
             publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
             invoked.await
         });
-        assert_eq!(status(&heard), expected, "code {code}: {heard:?}");
+        assert_eq!(status(&outcome), expected, "code {code}: {outcome:?}");
         gateway.end();
     }
 }
 
 #[test]
-fn an_executor_that_stops_reading_blocks_no_other() {
-    let stage = TestEnvironment::new(1);
-    let deaf = scripted(&stage, |_| Next::StopReading);
-    let one = executor(&stage, 0, 0.01);
-    let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
-    let text = description(
-        &listed(&[deaf, one.address, more[0], more[1]]),
+fn an_executor_that_stops_reading_does_not_block_the_others() {
+    let environment = TestEnvironment::new(1);
+    let unresponsive = scripted(&environment, |_| Next::StopReading);
+    let one = executor(&environment, 0, 0.01);
+    let other_addresses = [1, 2].map(|n| executor(&environment, n, 0.01).address);
+    let text = deployment_text(
+        &executor_list(&[
+            unresponsive,
+            one.address,
+            other_addresses[0],
+            other_addresses[1],
+        ]),
         NO_LOAD_COMMANDS,
     );
     let gateway = gateway(text.replace("objective: \"2s\"", "objective: \"300ms\""));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    let heard = on(&stage, async {
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    let outcomes = run(&environment, async {
         let payload = Bytes::from(vec![7; 100_000]);
-        let asks = (0..40)
+        let requests = (0..40)
             .map(|n| ClientRequest {
                 function: format!("f{}", n % 10),
                 payload: payload.clone(),
-                ..ask(&format!("a{n}"), LOOK)
+                ..request(&format!("a{n}"), IDEMPOTENT)
             })
             .collect();
-        let heard = all(&stage, &caller, asks).await;
-        // Once it is known to be silent nothing waits for it.
-        let later = stage.now();
-        let asks = (0..20)
+        let outcomes = invoke_all(&environment, &client, requests).await;
+        // Once the executor is known to be unresponsive, invocations don't wait for it.
+        let second_round_at = environment.now();
+        let requests = (0..20)
             .map(|n| ClientRequest {
                 function: format!("g{n}"),
                 time_left: 1.5,
-                ..ask(&format!("b{n}"), LOOK)
+                ..request(&format!("b{n}"), IDEMPOTENT)
             })
             .collect();
-        let after = all(&stage, &caller, asks).await;
-        // One at a time is still tried there.
-        let well = after.iter().filter(|h| status(h) == 200).count();
-        assert!(well >= 10, "{well} of 20: {after:?}");
+        let after = invoke_all(&environment, &client, requests).await;
+        // The front end still probes it with one invocation at a time.
+        let succeeded = after.iter().filter(|h| status(h) == 200).count();
+        assert!(succeeded >= 10, "{succeeded} of 20: {after:?}");
         assert!(
-            stage.now() - later < 2.0,
-            "they took {} s",
-            stage.now() - later
+            environment.now() - second_round_at < 2.0,
+            "the invocations took {} s",
+            environment.now() - second_round_at
         );
-        heard
+        outcomes
     });
-    let succeeded = heard.iter().filter(|h| status(h) == 200).count();
+    let succeeded = outcomes.iter().filter(|h| status(h) == 200).count();
     assert!(succeeded >= 20, "{succeeded} of 40 succeeded");
     gateway.end();
 }
--- a/crates/http-frontend/tests/executor_replacement.rs
+++ b/crates/http-frontend/tests/executor_replacement.rs
@@ -1,68 +1,80 @@
-//! An executor that is replaced by another at the same address.
+//! Tests the replacement of an executor by another one at the same address.
 
 mod gateway_kit;
 
-use gateway_kit::{ACT, all, ask, description, executor, gateway, on, row, status};
+use gateway_kit::{
+    NON_IDEMPOTENT, deployment_text, endpoint, executor, gateway, invoke_all, request, run, status,
+};
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::client::TestClient;
 use orchidtally_test_servers::publisher::Publisher;
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 
 #[test]
-fn a_replacement_at_the_same_address_has_none_of_the_copies_of_the_one_before() {
-    let stage = TestEnvironment::new(1);
-    let one = executor(&stage, 0, 0.15);
+fn replicas_of_the_previous_executor_are_not_assumed_on_a_replacement_at_the_same_address() {
+    let environment = TestEnvironment::new(1);
+    let one = executor(&environment, 0, 0.15);
     let publisher = Publisher::start(
-        &stage,
+        &environment,
         unused_address(),
-        vec![row(0, one.address, EndpointState::Ready)],
+        vec![endpoint(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
     publisher.delay.set(0.0);
     let soon_warm = "safety: { cold: \"50ms\", fall: \"10ms\" }";
-    let gateway = gateway(description(
+    let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         soon_warm,
     ));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    on(&stage, async {
-        assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
-        let out = all(
-            &stage,
-            &caller,
-            (0..5).map(|n| ask(&format!("a{n}"), ACT)).collect(),
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    run(&environment, async {
+        assert_eq!(
+            status(&client.invoke(&request("first", NON_IDEMPOTENT)).await),
+            200
+        );
+        let invocations = invoke_all(
+            &environment,
+            &client,
+            (0..5)
+                .map(|n| request(&format!("a{n}"), NON_IDEMPOTENT))
+                .collect(),
         );
         let replace = async {
-            stage.sleep(0.003).await;
+            environment.sleep(0.003).await;
             one.crash();
             let loads_before = one.store.fetched.get();
             publisher.change(0, EndpointState::Gone, f64::NEG_INFINITY);
-            stage.sleep(0.3).await;
+            environment.sleep(0.3).await;
             one.restart().unwrap();
             publisher.change(0, EndpointState::Ready, one.started_at());
-            stage.sleep(0.1).await;
+            environment.sleep(0.1).await;
             loads_before
         };
-        let (heard, loads_before) = futures_lite::future::zip(out, replace).await;
+        let (outcomes, loads_before) = futures_lite::future::zip(invocations, replace).await;
         assert!(
-            heard.iter().all(|h| [200, 502, 503].contains(&status(h))),
-            "{heard:?}"
+            outcomes
+                .iter()
+                .all(|h| [200, 502, 503].contains(&status(h))),
+            "{outcomes:?}"
         );
-        let after = all(
-            &stage,
-            &caller,
-            (0..10).map(|n| ask(&format!("b{n}"), ACT)).collect(),
+        let after = invoke_all(
+            &environment,
+            &client,
+            (0..10)
+                .map(|n| request(&format!("b{n}"), NON_IDEMPOTENT))
+                .collect(),
         )
         .await;
         assert!(after.iter().all(|h| status(h) == 200), "{after:?}");
-        // On a busy machine some of the first five wait for the replacement, and one of them may load the copy.
+        // On a busy machine some of the first five invocations wait for the replacement, and one of them may load the
+        // replica.
         let loads = one.store.fetched.get() - loads_before;
         assert_eq!(
             loads, 1,
-            "the replacement loaded its copy once, for all that came to it"
+            "the replacement has to load its replica exactly once"
         );
     });
-    let mut ran: Vec<_> = (stage.records().iter())
+    let mut ran: Vec<_> = (environment.records().iter())
         .filter_map(|r| {
             if let TrafficRecord::ExecutionStarted { invocation, .. } = r {
                 Some(invocation.clone())
@@ -72,8 +84,8 @@
         })
         .collect();
     ran.sort();
-    let all = ran.len();
+    let execution_count = ran.len();
     ran.dedup();
-    assert_eq!(ran.len(), all, "no effect twice");
+    assert_eq!(ran.len(), execution_count, "an invocation ran twice");
     gateway.end();
 }
--- a/crates/http-frontend/tests/front_end_kit/mod.rs
+++ b/crates/http-frontend/tests/front_end_kit/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of a front end on loopback sockets have in common: the front end's thread, executors and records.
+//! Shared code of the tests with a front end on loopback sockets: the front end's thread, executors and records.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::thread::JoinHandle;
 
-/// Runs a test's work to its end; the test fails after `time_limit` seconds.
+/// Runs a test case to its end; the test fails after `time_limit` seconds.
 pub fn run_within<T>(
     environment: &TestEnvironment,
     time_limit: f64,
@@ -22,12 +22,12 @@
 ) -> T {
     let late = async {
         environment.sleep(time_limit).await;
-        panic!("the case did not end");
+        panic!("the test case exceeded its time limit");
     };
     async_io::block_on(environment.tasks.run(futures_lite::future::or(work, late)))
 }
 
-/// Starts an executor that serves the functions of a catalogue.
+/// Starts an executor that serves the functions of this catalogue.
 pub fn start_executor(
     environment: &TestEnvironment,
     number: usize,
@@ -43,7 +43,7 @@
     Executor::start(environment, spec, unused_address(), resources).unwrap()
 }
 
-/// What a front end without triggers, durable invocations and reloads starts with.
+/// The start options of a front end without triggers, durable invocations and reloads.
 pub fn start_options(
     deployment: Deployment,
     seed: u64,
@@ -62,17 +62,17 @@
     }
 }
 
-/// Where a front end on a thread of its own listens.
+/// The listener of a front end on its own thread.
 pub struct Listening {
     pub listener: Async<TcpListener>,
-    pub at: SocketAddr,
-    /// Ends when the front end is stopped.
+    pub address: SocketAddr,
+    /// Closed when the front end is to stop.
     pub stopped: async_channel::Receiver<()>,
 }
 
-/// A front end on a thread of its own.
+/// A front end on its own thread.
 pub struct FrontEndThread {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Dropping it stops the front end.
     pub stop: async_channel::Sender<()>,
     pub thread: JoinHandle<Counters>,
@@ -86,11 +86,15 @@
         let (stop, stopped) = async_channel::bounded(1);
         let listening = Listening {
             listener,
-            at,
+            address: at,
             stopped,
         };
         let thread = std::thread::spawn(move || run(listening));
-        FrontEndThread { at, stop, thread }
+        FrontEndThread {
+            address: at,
+            stop,
+            thread,
+        }
     }
 
     /// Stops the front end gracefully and returns its counters.
@@ -100,7 +104,7 @@
     }
 }
 
-/// The executors at which invocations ran whose names begin with `label`, each once, in order.
+/// Returns the executors on which invocations ran whose names begin with `label`, sorted and without duplicates.
 pub fn executors_of(environment: &TestEnvironment, label: &str) -> Vec<usize> {
     let executor_of = |record: &TrafficRecord| match record {
         TrafficRecord::ExecutionStarted {
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -1,4 +1,4 @@
-//! A front end on loopback sockets, its executors and its clients.
+//! Shared test code: a front end on loopback sockets, its executors and its clients.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -20,15 +20,15 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 
-/// A front end on a thread of its own.
+/// A front end on its own thread, with its log.
 pub struct Gateway {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub stop: async_channel::Sender<()>,
     thread: JoinHandle<Counters>,
     pub log: Log,
 }
 
-/// Warnings and errors that a front end logs.
+/// The warnings and errors that a front end logs.
 #[derive(Clone, Default)]
 pub struct Log(Arc<Mutex<Vec<u8>>>);
 
@@ -53,7 +53,7 @@
 }
 
 /// The text of a deployment file with these executors.
-pub fn description(executors: &str, more: &str) -> String {
+pub fn deployment_text(executors: &str, more: &str) -> String {
     format!(
         r#"{{
             triggerTypes: [
@@ -68,8 +68,8 @@
     )
 }
 
-/// A list of executors in the deployment file.
-pub fn listed(executors: &[SocketAddr]) -> String {
+/// The executor list of a deployment file.
+pub fn executor_list(executors: &[SocketAddr]) -> String {
     let list: Vec<_> = executors
         .iter()
         .map(|a| format!("{{ address: \"{a}\" }}"))
@@ -89,12 +89,12 @@
             lines.with_writer(move || writer.clone()).finish(),
         );
         let deployment = Deployment::parse(&text).unwrap();
-        let seed = u64::from(listening.at.port());
+        let seed = u64::from(listening.address.port());
         let start = start_options(deployment, seed, listening.stopped);
         orchidtally_http_frontend::run(start, listening.listener)
     });
     Gateway {
-        at: front_end.at,
+        address: front_end.address,
         stop: front_end.stop,
         thread: front_end.thread,
         log,
@@ -102,22 +102,25 @@
 }
 
 impl Gateway {
-    /// Stops it gracefully and returns its counts.
+    /// Stops the front end gracefully and returns its counters.
     pub fn end(self) -> Counters {
         drop(self.stop);
-        let tally = self.thread.join().unwrap();
-        assert_eq!(tally.overdue, 0, "the module answers in time by itself");
-        tally
+        let counters = self.thread.join().unwrap();
+        assert_eq!(
+            counters.overdue, 0,
+            "the dispatch policy has to answer each invocation before its timeout"
+        );
+        counters
     }
 }
 
-/// Runs work to its end, with what the environment has started.
-pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+/// Runs a test case to its end.
+pub fn run<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     run_within(environment, 30.0, work)
 }
 
-/// A request by its name and trigger type.
-pub fn ask(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
+/// Creates a request with this name and trigger type.
+pub fn request(name: &str, trigger_type: (usize, &str)) -> ClientRequest {
     ClientRequest {
         invocation: name.into(),
         function: "f".into(),
@@ -128,38 +131,38 @@
     }
 }
 
-pub const LOOK: (usize, &str) = (0, "look");
-pub const ACT: (usize, &str) = (1, "act");
+pub const IDEMPOTENT: (usize, &str) = (0, "look");
+pub const NON_IDEMPOTENT: (usize, &str) = (1, "act");
 
 /// The status of a response.
-pub fn status(heard: &ClientOutcome) -> u16 {
-    match heard {
+pub fn status(outcome: &ClientOutcome) -> u16 {
+    match outcome {
         ClientOutcome::Answered { status, .. } => *status,
         other => panic!("no answer: {other:?}"),
     }
 }
 
-/// Sends requests at once and waits for all responses.
-pub async fn all(
-    stage: &TestEnvironment,
-    caller: &Rc<TestClient>,
-    asks: Vec<ClientRequest>,
+/// Sends requests concurrently and waits for all outcomes.
+pub async fn invoke_all(
+    environment: &TestEnvironment,
+    client: &Rc<TestClient>,
+    requests: Vec<ClientRequest>,
 ) -> Vec<ClientOutcome> {
-    let tasks: Vec<_> = asks
+    let tasks: Vec<_> = requests
         .into_iter()
-        .map(|ask| {
-            let caller = caller.clone();
-            stage.spawn(async move { caller.invoke(&ask).await })
+        .map(|request| {
+            let client = client.clone();
+            environment.spawn(async move { client.invoke(&request).await })
         })
         .collect();
-    let mut heard = vec![];
+    let mut outcome = vec![];
     for task in tasks {
-        heard.push(task.await);
+        outcome.push(task.await);
     }
-    heard
+    outcome
 }
 
-/// Starts an executor whose functions take this long to load.
+/// Starts an executor with this load time of functions, in seconds.
 pub fn executor(environment: &TestEnvironment, number: usize, load_time: f64) -> Rc<Executor> {
     start_executor(environment, number, move |_| {
         Some(Program {
@@ -172,8 +175,8 @@
     })
 }
 
-/// An executor's row in the publisher's list.
-pub fn row(executor: usize, address: SocketAddr, standing: EndpointState) -> PublishedEndpoint {
+/// An executor's entry in the publisher's list.
+pub fn endpoint(executor: usize, address: SocketAddr, state: EndpointState) -> PublishedEndpoint {
     PublishedEndpoint {
         executor,
         address,
@@ -181,7 +184,7 @@
         kind: String::new(),
         cell: 0,
         weight: 1.0,
-        state: standing,
+        state: state,
         started_at: f64::NEG_INFINITY,
     }
 }
--- a/crates/http-frontend/tests/malformed_bytes.rs
+++ b/crates/http-frontend/tests/malformed_bytes.rs
@@ -1,11 +1,13 @@
-//! Executors and clients that send malformed bytes.
+//! Tests of executors and clients that send malformed bytes.
 
 mod gateway_kit;
 mod scripted_executor;
 
 use async_io::Async;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
-use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, status};
+use gateway_kit::{
+    IDEMPOTENT, deployment_text, executor, gateway, invoke_all, request, run, status,
+};
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::raw::{self, Kind, Next};
@@ -15,15 +17,15 @@
 use std::rc::Rc;
 
 #[test]
-fn bytes_that_are_no_messages_close_their_connection_alone() {
-    let stage = TestEnvironment::new(1);
-    // A peer agrees to settings once on a connection.
+fn malformed_bytes_close_only_their_own_connection() {
+    let environment = TestEnvironment::new(1);
+    // The SETTINGS frames count the connections, as there is one acknowledgement per connection.
     let opened = [(); 2].map(|()| Rc::new(Cell::new(0)));
     let count = |opened: &Cell<usize>, f: &raw::Frame| {
         opened.set(opened.get() + usize::from(f.kind == Kind::Settings));
     };
     let [one, two] = opened.clone();
-    let garbage = scripted(&stage, move |f| {
+    let garbage = scripted(&environment, move |f| {
         count(&one, f);
         if f.kind == Kind::Headers {
             Next::Say(vec![0xff; 300])
@@ -31,9 +33,9 @@
             Next::Say(vec![])
         }
     });
-    let wrong = scripted(&stage, move |f| {
+    let wrong = scripted(&environment, move |f| {
         count(&two, f);
-        // An answer whose message runs past its end.
+        // A response whose message is longer than its frame.
         let bytes = [
             raw::ok(f.stream),
             raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true),
@@ -41,9 +43,9 @@
         .concat();
         Next::Say(if f.ends_stream() { bytes } else { vec![] })
     });
-    let one = executor(&stage, 0, 0.01);
-    // In locations of their own: where two of one broke, the module takes the rest of it for as cold.
-    let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
+    let one = executor(&environment, 0, 0.01);
+    // Each executor has its own location: after two failures in a location the policy treats the rest of it as cold.
+    let more = [1, 2].map(|n| executor(&environment, n, 0.01).address);
     let five = [
         (garbage, "a"),
         (wrong, "b"),
@@ -55,11 +57,11 @@
         .map(|(at, place)| format!("{{ address: \"{at}\", location: \"{place}\" }}"))
         .join(", ");
     let more = format!("locations: [\"a\", \"b\", \"c\", \"d\", \"e\"], {NO_LOAD_COMMANDS}");
-    let gateway = gateway(description(&format!("list: [{list}]"), &more));
-    on(&stage, async {
+    let gateway = gateway(deployment_text(&format!("list: [{list}]"), &more));
+    run(&environment, async {
         let mut preface = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_vec();
         preface.extend(raw::settings());
-        // Headers of one stream id, sent twice: the second is a fault of the whole connection.
+        // HEADERS with the same stream id twice: the second frame is a connection error.
         let path = b"/v1/functions/f/invocations";
         let mut headers = vec![0x83, 0x86, 0x04, path.len() as u8];
         headers.extend(path);
@@ -77,8 +79,8 @@
             nonsense,
             b"\x00\x01\x02 nonsense\r\n\r\n".to_vec(),
         ] {
-            let mut socket = Async::<TcpStream>::connect(gateway.at).await.unwrap();
-            // It may be cut off while it still writes.
+            let mut socket = Async::<TcpStream>::connect(gateway.address).await.unwrap();
+            // The front end may close the connection during the write.
             let _ = socket.write_all(&bytes).await;
             let mut rest = vec![];
             let closed = orchidtally_socket_io::with_timeout(
@@ -90,22 +92,25 @@
         assert_eq!(
             gateway.log.lines_with("connection closed"),
             4,
-            "a line for each"
+            "one line per connection"
         );
-        let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-        // Where both executors drawn for a function are bad it may fail; which are drawn hangs on their ports.
-        for (round, least) in [("a", 18), ("b", 18)] {
-            let asks = (0..30)
+        let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+        // A function may fail if both executors drawn for it are faulty. Which ones are drawn depends on their ports.
+        for (round, minimum) in [("a", 18), ("b", 18)] {
+            let requests = (0..30)
                 .map(|n| ClientRequest {
                     function: format!("{round}{n}"),
-                    ..ask(&format!("{round}{n}"), LOOK)
+                    ..request(&format!("{round}{n}"), IDEMPOTENT)
                 })
                 .collect();
-            let heard = all(&stage, &caller, asks).await;
-            let well = heard.iter().filter(|h| status(h) == 200).count();
-            assert!(well >= least, "{well} of 30 in round {round}: {heard:?}");
+            let outcomes = invoke_all(&environment, &client, requests).await;
+            let succeeded = outcomes.iter().filter(|h| status(h) == 200).count();
+            assert!(
+                succeeded >= minimum,
+                "{succeeded} of 30 in round {round}: {outcomes:?}"
+            );
         }
-        stage.sleep(0.1).await;
+        environment.sleep(0.1).await;
         for (executor, opened) in [garbage, wrong].iter().zip(&opened) {
             let lines = gateway.log.lines_with(&format!("executor={executor}"));
             assert!(
--- a/crates/http-frontend/tests/publisher_loss.rs
+++ b/crates/http-frontend/tests/publisher_loss.rs
@@ -1,87 +1,96 @@
-//! A front end whose publisher is lost without a word: nothing is told of its end, and the list stands still.
+//! Tests of a front end whose connection to the publisher is lost without being closed, so that the endpoint list does not
+//! change any more.
 
 mod gateway_kit;
 
 use gateway_kit::front_end_kit::executors_of;
-use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, row, status};
+use gateway_kit::{
+    IDEMPOTENT, deployment_text, endpoint, executor, gateway, invoke_all, request, run, status,
+};
 use orchidtally_invariants::EndpointState;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
 use orchidtally_test_servers::fault_proxy::FaultProxy;
 use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 
-/// For so long a front end may take a publisher for there that isn't, in seconds, and then ask it anew.
+/// The maximum time in seconds to detect a lost publisher and reconnect.
 const FOUND_OUT_WITHIN: f64 = 6.0;
 
 /// Invokes some functions and returns the executors at which they ran.
 async fn invoke_some(
-    stage: &TestEnvironment,
-    caller: &std::rc::Rc<TestClient>,
+    environment: &TestEnvironment,
+    client: &std::rc::Rc<TestClient>,
     label: &str,
 ) -> Vec<usize> {
-    let asks = (0..24).map(|n| ClientRequest {
+    let requests = (0..24).map(|n| ClientRequest {
         function: format!("f{}", n % 8),
-        ..ask(&format!("{label}-{n}"), LOOK)
+        ..request(&format!("{label}-{n}"), IDEMPOTENT)
     });
-    let heard = all(stage, caller, asks.collect()).await;
-    assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
-    executors_of(stage, label)
+    let outcomes = invoke_all(environment, client, requests.collect()).await;
+    assert!(
+        outcomes.iter().all(|outcome| status(outcome) == 200),
+        "{outcomes:?}"
+    );
+    executors_of(environment, label)
 }
 
 #[test]
-fn a_publisher_whose_path_is_lost_is_asked_anew() {
-    let stage = TestEnvironment::new(1);
-    let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    let rows = (0..2)
-        .map(|n| row(n, executors[n].address, EndpointState::Ready))
+fn a_lost_connection_to_the_publisher_is_detected_and_reopened() {
+    let environment = TestEnvironment::new(1);
+    let executors: Vec<_> = (0..2).map(|n| executor(&environment, n, 0.01)).collect();
+    let endpoints = (0..2)
+        .map(|n| endpoint(n, executors[n].address, EndpointState::Ready))
         .collect();
-    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
+    let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
     publisher.delay.set(0.0);
-    let path = FaultProxy::start(&stage, publisher.address).unwrap();
-    let gateway = gateway(description(&format!("publisher: \"{}\"", path.address), ""));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    on(&stage, async {
+    let path = FaultProxy::start(&environment, publisher.address).unwrap();
+    let gateway = gateway(deployment_text(
+        &format!("publisher: \"{}\"", path.address),
+        "",
+    ));
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    run(&environment, async {
         assert_eq!(
-            invoke_some(&stage, &caller, "before").await,
+            invoke_some(&environment, &client, "before").await,
             [0, 1],
             "both serve"
         );
         path.freeze();
         publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
-        stage.sleep(FOUND_OUT_WITHIN).await;
+        environment.sleep(FOUND_OUT_WITHIN).await;
         assert_eq!(
-            invoke_some(&stage, &caller, "after").await,
+            invoke_some(&environment, &client, "after").await,
             [1],
-            "the other was told to drain"
+            "the other executor drains"
         );
     });
     gateway.end();
 }
 
-/// The first message of a publisher is as long as its list.
+/// The first message of a publisher contains the whole list and can exceed the size of a message's head.
 #[test]
-fn a_list_longer_than_the_head_of_a_message_is_taken() {
-    let stage = TestEnvironment::new(2);
-    let executors: Vec<_> = (0..2).map(|n| executor(&stage, n, 0.01)).collect();
-    let mut rows: Vec<PublishedEndpoint> = (0..2)
-        .map(|n| row(n, executors[n].address, EndpointState::Ready))
+fn a_list_longer_than_the_head_of_a_message_is_accepted() {
+    let environment = TestEnvironment::new(2);
+    let executors: Vec<_> = (0..2).map(|n| executor(&environment, n, 0.01)).collect();
+    let mut endpoints: Vec<PublishedEndpoint> = (0..2)
+        .map(|n| endpoint(n, executors[n].address, EndpointState::Ready))
         .collect();
     let others = (2..3_000).map(|n: u16| {
-        row(
+        endpoint(
             usize::from(n),
             ([127, 0, 0, 1], n).into(),
             EndpointState::Gone,
         )
     });
-    rows.extend(others);
-    let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-    let gateway = gateway(description(
+    endpoints.extend(others);
+    let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
+    let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         "",
     ));
-    let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
-    on(&stage, async {
-        assert_eq!(invoke_some(&stage, &caller, "long").await, [0, 1]);
+    let client = TestClient::new(&environment, 0, 0, gateway.address, false);
+    run(&environment, async {
+        assert_eq!(invoke_some(&environment, &client, "long").await, [0, 1]);
     });
     gateway.end();
 }
--- a/crates/http-frontend/tests/scripted_executor/mod.rs
+++ b/crates/http-frontend/tests/scripted_executor/mod.rs
@@ -1,4 +1,4 @@
-//! An executor whose answers to HTTP/2 frames are scripted.
+//! Shared test code: an executor whose responses to HTTP/2 frames are scripted.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// The section of a deployment file that switches load commands off.
+/// The section of a deployment file that disables load commands.
 pub const NO_LOAD_COMMANDS: &str = "loading: { orders: false },";
 
 /// The message of a successful response from a warm replica.
@@ -26,22 +26,22 @@
     [raw::ok(stream), raw::data(stream, &warm(), true)].concat()
 }
 
-/// A scripted executor: `script` gets each frame of each connection.
+/// Starts a scripted executor and returns its address. `script` is called with each frame of each connection.
 pub fn scripted(
-    stage: &TestEnvironment,
+    environment: &TestEnvironment,
     script: impl FnMut(&raw::Frame) -> Next + 'static,
 ) -> SocketAddr {
     let listener = Async::<TcpListener>::bind(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
     let script = Rc::new(RefCell::new(script));
-    let serve = stage.clone();
-    stage
+    let serve = environment.clone();
+    environment
         .spawn(async move {
             while let Ok(socket) = raw::accept(&listener).await {
                 let script = script.clone();
                 serve
                     .spawn(async move {
-                        // It ends as the script wants it, or with its peer.
+                        // The connection ends by the script or by the peer; both are expected.
                         let _ = raw::connection(socket, move |f| (script.borrow_mut())(f)).await;
                     })
                     .detach();
--- a/crates/http-frontend/tests/stored_formats.rs
+++ b/crates/http-frontend/tests/stored_formats.rs
@@ -1,5 +1,5 @@
-//! What a front end writes into stores and says of itself is read by other builds and by operators' tools: names of
-//! headers, its entry among the front ends, its report on the configuration. The texts must not be changed.
+//! Tests that formats read by other builds and by operators' tools stay compatible: the names of headers, the entry of a
+//! front end in etcd, and its report on the configuration. The texts must not be changed.
 
 use orchidtally_config_sync::{Rejection, Report, ReportedState};
 use orchidtally_http_frontend::config::{ConfigStatus, PublishedReport};
@@ -41,7 +41,7 @@
         location: "east".into(),
         listen_address: Some("127.0.0.1:7300".parse().expect("an address")),
     };
-    let text = serde_json::to_string(&entry).expect("it can be written");
+    let text = serde_json::to_string(&entry).expect("serialization succeeds");
     assert_eq!(
         text,
         r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#
@@ -50,7 +50,7 @@
         listen_address: None,
         ..entry
     })
-    .expect("it can be written");
+    .expect("serialization succeeds");
     assert_eq!(
         unknown,
         r#"{"life":18446744073709551615,"location":"east","at":null}"#
@@ -83,7 +83,7 @@
         report,
         snapshot_fault: Some("the disk is full".into()),
     };
-    let text = serde_json::to_string(&published).expect("it can be written");
+    let text = serde_json::to_string(&published).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/published_report.json").trim_end()
@@ -94,7 +94,7 @@
     };
     assert!(
         !serde_json::to_string(&without)
-            .expect("it can be written")
+            .expect("serialization succeeds")
             .contains("snapshot_fault")
     );
 }
@@ -115,7 +115,7 @@
         bytes_sent: 3,
         bytes_received: 4,
     };
-    let text = serde_json::to_string(&status).expect("it can be written");
+    let text = serde_json::to_string(&status).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/config_status.json").trim_end()
@@ -135,7 +135,7 @@
         not_published: 8,
         dropped: 9,
     };
-    let text = serde_json::to_string(&counters).expect("it can be written");
+    let text = serde_json::to_string(&counters).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/counters.json").trim_end()
--- a/crates/http-frontend/tests/trigger_kit/mod.rs
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -1,4 +1,4 @@
-//! A front end on loopback sockets that serves message triggers, with its broker and its executor.
+//! Shared test code: a front end on loopback sockets that serves MQTT triggers, with its broker and its executor.
 
 #[path = "../front_end_kit/mod.rs"]
 pub mod front_end_kit;
@@ -18,26 +18,26 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A broker, an executor, and the deployment file of a front end that serves both.
-pub struct World {
-    pub stage: TestEnvironment,
+/// A broker, an executor, and the deployment file of a front end that uses both.
+pub struct TestBed {
+    pub environment: TestEnvironment,
     pub broker: Rc<BrokerServer>,
     _executor: Rc<Executor>,
     pub text: String,
 }
 
-/// An empty folder of the test's own.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty directory for a test.
+pub fn temp_dir(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("triggers-{name}"));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// Starts a broker and an executor; `at` is where the front end keeps its journals.
-pub fn world(at: &Path, version: &str, tls: &str, wrap: Option<StreamWrapper>) -> World {
-    let stage = TestEnvironment::new(1);
-    let executor = start_executor(&stage, 0, |_| {
+/// Starts a broker and an executor. `at` is the directory of the front end's journals.
+pub fn test_bed(at: &Path, version: &str, tls: &str, wrap: Option<StreamWrapper>) -> TestBed {
+    let environment = TestEnvironment::new(1);
+    let executor = start_executor(&environment, 0, |_| {
         Some(Program {
             concurrency: 32,
             load_time: 0.05,
@@ -46,7 +46,7 @@
             ..Program::default()
         })
     });
-    let broker = BrokerServer::start(&stage, unused_address(), wrap).unwrap();
+    let broker = BrokerServer::start(&environment, unused_address(), wrap).unwrap();
     let text = format!(
         r#"{{
             triggerTypes: [
@@ -71,8 +71,8 @@
         broker.address,
         at.display()
     );
-    World {
-        stage,
+    TestBed {
+        environment,
         broker,
         _executor: executor,
         text,
@@ -100,12 +100,12 @@
     })
 }
 
-/// Runs work to its end, with what the environment has started.
-pub fn on<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
+/// Runs a test case to its end.
+pub fn run<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     run_within(environment, 40.0, work)
 }
 
-impl World {
+impl TestBed {
     /// Publishes a message to the front end's triggers.
     pub fn publish(&self, topic: &str, payload: &str) {
         self.broker.publish(Message {
@@ -118,34 +118,34 @@
         });
     }
 
-    /// The answers so far on a topic, with their outcome.
+    /// Returns the outcomes and payloads of the answers published to a topic so far.
     pub fn answers(&self, topic: &str) -> Vec<(String, String)> {
         let broker = self.broker.broker.borrow();
         let outcome = |m: &Message| {
-            let told = m.properties.iter().find_map(|p| match p {
+            let outcome = m.properties.iter().find_map(|p| match p {
                 Property::User(name, value) if name == "orchidtally-outcome" => Some(value.clone()),
                 _ => None,
             });
-            told.unwrap_or_default()
+            outcome.unwrap_or_default()
         };
         let of = broker.published.iter().filter(|m| m.topic == topic);
         of.map(|m| (outcome(m), String::from_utf8_lossy(&m.payload).into_owned()))
             .collect()
     }
 
-    /// Waits for the next answer on a topic.
+    /// Waits for an answer on a topic and returns the latest.
     pub async fn answer(&self, topic: &str) -> (String, String) {
         loop {
             if let Some(answer) = self.answers(topic).pop() {
                 return answer;
             }
-            self.stage.sleep(0.01).await;
+            self.environment.sleep(0.01).await;
         }
     }
 
-    /// How often functions have run.
+    /// The number of executions of functions.
     pub fn runs(&self) -> usize {
-        self.stage
+        self.environment
             .records()
             .iter()
             .filter(|r| matches!(r, TrafficRecord::ExecutionStarted { .. }))
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -1,4 +1,4 @@
-//! Triggers on sockets: a front end, executors, and the broker stand-in with its faults.
+//! Tests of MQTT triggers on sockets, with a front end, executors, and a test broker that injects faults.
 
 mod trigger_kit;
 
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use trigger_kit::front_end_kit::FrontEndThread;
-use trigger_kit::{World, folder, gateway, on, world};
+use trigger_kit::{TestBed, gateway, run, temp_dir, test_bed};
 
 fn succeeded(payload: &str) -> (String, String) {
     ("succeeded".into(), payload.into())
@@ -23,19 +23,19 @@
 type Identity = (rcgen::Certificate, rcgen::KeyPair);
 
 fn identity() -> Identity {
-    let made = rcgen::generate_simple_self_signed(vec!["broker.test".into()]).unwrap();
-    (made.cert, made.signing_key)
+    let certified_key = rcgen::generate_simple_self_signed(vec!["broker.test".into()]).unwrap();
+    (certified_key.cert, certified_key.signing_key)
 }
 
 #[test]
-fn messages_are_answered_over_tls_whose_certificates_are_read_for_each_connection() {
-    let at = folder("tls");
+fn tls_certificates_are_read_again_for_each_connection() {
+    let at = temp_dir("tls");
     let current: Rc<RefCell<Identity>> = Rc::new(RefCell::new(identity()));
-    let (pem, mine) = (at.join("authorities.pem"), current.clone());
+    let (pem, broker_identity) = (at.join("authorities.pem"), current.clone());
     std::fs::write(&pem, current.borrow().0.pem()).unwrap();
     let wrap: StreamWrapper = Rc::new(move |stream| {
         let (chain, key) = {
-            let identity = mine.borrow();
+            let identity = broker_identity.borrow();
             let key = PrivateKeyDer::Pkcs8(identity.1.serialize_der().into());
             (vec![identity.0.der().clone()], key)
         };
@@ -44,11 +44,11 @@
                 .with_no_client_auth()
                 .with_single_cert(chain, key)
                 .ok()?;
-            let shaken = TlsAcceptor::from(Arc::new(config))
+            let tls_stream = TlsAcceptor::from(Arc::new(config))
                 .accept(stream)
                 .await
                 .ok()?;
-            Some(Box::new(shaken) as Box<dyn ByteStream>)
+            Some(Box::new(tls_stream) as Box<dyn ByteStream>)
         }
         .boxed_local()
     });
@@ -56,108 +56,113 @@
         r#"tls: {{ authorities: "{}", name: "broker.test" }},"#,
         pem.display()
     );
-    let w = world(&at, "5", &tls, Some(wrap));
-    let gateway = gateway(&w.text);
-    on(&w.stage, async {
-        w.stage.sleep(0.3).await;
-        w.publish("act/1", "warm");
-        assert_eq!(w.answer("done/1").await, succeeded("warm"));
-        // The broker gets another certificate: it is not believed until the file has it.
+    let test_bed = test_bed(&at, "5", &tls, Some(wrap));
+    let gateway = gateway(&test_bed.text);
+    run(&test_bed.environment, async {
+        test_bed.environment.sleep(0.3).await;
+        test_bed.publish("act/1", "warm");
+        assert_eq!(test_bed.answer("done/1").await, succeeded("warm"));
+        // The broker gets another certificate, which is not trusted until the file contains it.
         *current.borrow_mut() = identity();
-        w.broker.break_all();
-        w.publish("act/2", "warmer");
-        w.stage.sleep(0.8).await;
+        test_bed.broker.break_all();
+        test_bed.publish("act/2", "warmer");
+        test_bed.environment.sleep(0.8).await;
         assert!(
-            w.answers("done/2").is_empty(),
-            "nobody speaks to a broker that isn't known"
+            test_bed.answers("done/2").is_empty(),
+            "a message was consumed from an untrusted broker"
         );
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
-        assert_eq!(w.answer("done/2").await, succeeded("warmer"));
-        // Files that change end the connection that stands.
-        let before = w.broker.accepted();
-        w.stage.sleep(0.05).await;
+        assert_eq!(test_bed.answer("done/2").await, succeeded("warmer"));
+        // A change of the files closes the current connection.
+        let before = test_bed.broker.accepted();
+        test_bed.environment.sleep(0.05).await;
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
-        while w.broker.accepted() == before {
-            w.stage.sleep(0.05).await;
+        while test_bed.broker.accepted() == before {
+            test_bed.environment.sleep(0.05).await;
         }
-        w.publish("act/3", "again");
-        assert_eq!(w.answer("done/3").await, succeeded("again"));
+        test_bed.publish("act/3", "again");
+        assert_eq!(test_bed.answer("done/3").await, succeeded("again"));
     });
     gateway.end();
 }
 
 #[test]
-fn a_broker_that_refuses_talks_nonsense_is_silent_or_forgets_is_found_again() {
-    let at = folder("faults");
-    let w = world(&at, "5", "", None);
-    let gateway = gateway(&w.text);
+fn the_front_end_reconnects_after_each_kind_of_broker_fault() {
+    let at = temp_dir("faults");
+    let test_bed = test_bed(&at, "5", "", None);
+    let gateway = gateway(&test_bed.text);
     let mut n = 0;
-    let mut again = async |w: &World| {
+    let mut check_message = async |test_bed: &TestBed| {
         n += 1;
-        w.stage.sleep(0.3).await;
-        w.publish(&format!("act/{n}"), "x");
-        assert_eq!(w.answer(&format!("done/{n}")).await, succeeded("x"));
+        test_bed.environment.sleep(0.3).await;
+        test_bed.publish(&format!("act/{n}"), "x");
+        assert_eq!(test_bed.answer(&format!("done/{n}")).await, succeeded("x"));
     };
-    on(&w.stage, async {
-        again(&w).await;
-        // CONNACK: server unavailable, not authorized.
-        w.broker
+    run(&test_bed.environment, async {
+        check_message(&test_bed).await;
+        // CONNACK reason codes: server unavailable, and banned or not authorized.
+        test_bed
+            .broker
             .broker
             .borrow_mut()
             .faults
             .refuses
             .extend([0x88, 0x87]);
-        w.broker.break_all();
-        again(&w).await;
-        assert!(w.broker.broker.borrow().faults.refuses.is_empty());
-        w.broker.malformed.set(true);
-        w.broker.break_all();
-        again(&w).await;
-        assert!(!w.broker.malformed.get());
-        // Longer than half of the keep alive without an answer to a ping.
-        w.broker.silent.set(w.stage.now() + 2.5);
-        again(&w).await;
-        w.broker.restart(0.2, false).await.unwrap();
-        w.stage.sleep(1.0).await;
-        again(&w).await;
+        test_bed.broker.break_all();
+        check_message(&test_bed).await;
+        assert!(test_bed.broker.broker.borrow().faults.refuses.is_empty());
+        test_bed.broker.malformed.set(true);
+        test_bed.broker.break_all();
+        check_message(&test_bed).await;
+        assert!(!test_bed.broker.malformed.get());
+        // The broker does not answer a ping for longer than half of the keep alive.
+        test_bed.broker.silent.set(test_bed.environment.now() + 2.5);
+        check_message(&test_bed).await;
+        test_bed.broker.restart(0.2, false).await.unwrap();
+        test_bed.environment.sleep(1.0).await;
+        check_message(&test_bed).await;
     });
-    assert_eq!(w.runs(), 5, "each once");
+    assert_eq!(
+        test_bed.runs(),
+        5,
+        "each message has to be executed exactly once"
+    );
     gateway.end();
 }
 
 #[test]
-fn what_can_never_be_invoked_is_set_aside_and_answered_and_old_state_is_left_alone() {
-    let at = folder("aside");
-    let w = world(&at, "5", "", None);
-    let gateway = gateway(&w.text);
-    on(&w.stage, async {
-        w.stage.sleep(0.3).await;
-        w.publish("look/1", "no json");
-        let (outcome, told) = w.answer("done/1").await;
+fn a_message_that_can_never_be_invoked_becomes_a_dead_letter_and_is_answered() {
+    let at = temp_dir("aside");
+    let test_bed = test_bed(&at, "5", "", None);
+    let gateway = gateway(&test_bed.text);
+    run(&test_bed.environment, async {
+        test_bed.environment.sleep(0.3).await;
+        test_bed.publish("look/1", "no json");
+        let (outcome, body) = test_bed.answer("done/1").await;
         assert!(
-            outcome == "setAside" && told.contains("not JSON"),
-            "{outcome} {told}"
+            outcome == "setAside" && body.contains("not JSON"),
+            "{outcome} {body}"
         );
-        assert_eq!(w.answer("aside").await.1, "no json");
-        w.publish("look/2", "{}");
-        assert_eq!(w.answer("done/2").await, succeeded("{}"));
+        assert_eq!(test_bed.answer("aside").await.1, "no json");
+        test_bed.publish("look/2", "{}");
+        assert_eq!(test_bed.answer("done/2").await, succeeded("{}"));
     });
-    assert_eq!(w.runs(), 1);
+    assert_eq!(test_bed.runs(), 1);
     gateway.end();
 }
 
 #[test]
-fn version_3_1_1_has_its_outcomes_in_the_payload() {
-    let at = folder("v311");
-    let w = world(&at, "3.1.1", "", None);
-    let gateway = gateway(&w.text);
-    on(&w.stage, async {
-        w.stage.sleep(0.3).await;
-        w.publish("act/1", "warm");
-        let (_, told) = w.answer("done/1").await;
-        let told: serde_json::Value = serde_json::from_str(&told).unwrap();
+fn answers_in_version_3_1_1_have_their_outcome_in_the_payload() {
+    let at = temp_dir("v311");
+    let test_bed = test_bed(&at, "3.1.1", "", None);
+    let gateway = gateway(&test_bed.text);
+    run(&test_bed.environment, async {
+        test_bed.environment.sleep(0.3).await;
+        test_bed.publish("act/1", "warm");
+        let (_, body) = test_bed.answer("done/1").await;
+        let body: serde_json::Value = serde_json::from_str(&body).unwrap();
         assert_eq!(
-            (&told["outcome"], &told["payload"]),
+            (&body["outcome"], &body["payload"]),
             (&"succeeded".into(), &"warm".into())
         );
     });
@@ -165,10 +170,10 @@
 }
 
 #[test]
-fn a_journal_that_is_damaged_or_not_its_own_is_not_served_from() {
-    let at = folder("damaged");
-    let w = world(&at, "5", "", None);
-    let (_, section) = orchidtally_mqtt_triggers::read(&w.text).unwrap();
+fn a_locked_or_unreadable_journal_is_rejected() {
+    let at = temp_dir("damaged");
+    let test_bed = test_bed(&at, "5", "", None);
+    let (_, section) = orchidtally_mqtt_triggers::read(&test_bed.text).unwrap();
     let section = section.unwrap();
     let open = || {
         Triggers::open(section.clone(), 0)
@@ -182,24 +187,24 @@
     drop(journal);
     assert!(
         open().unwrap_err().contains("an entry can't be read"),
-        "nothing is skipped in silence"
+        "an unreadable entry must not be skipped"
     );
 }
 
 #[test]
 fn a_journalled_invocation_never_runs_again_under_its_name() {
-    let at = folder("promises");
-    let w = world(&at, "5", "", None);
-    // As a front end left it that died with this one's dispatch out.
-    let left = at.join("promises-0");
-    let (mut journal, _) = orchidtally_journal::Journal::open(&left).unwrap();
+    let at = temp_dir("promises");
+    let test_bed = test_bed(&at, "5", "", None);
+    // The journal of a front end that crashed with the dispatch of "lost" in flight.
+    let journal_dir = at.join("promises-0");
+    let (mut journal, _) = orchidtally_journal::Journal::open(&journal_dir).unwrap();
     journal
         .append(br#"{"promise":"taken","name":"lost","at":999999999.0}"#)
         .unwrap();
     drop(journal);
     let invoke = async |gateway: &FrontEndThread, name: &str, payload: &'static str| {
-        let caller = TestClient::new(&w.stage, 0, 0, gateway.at, true);
-        let ask = ClientRequest {
+        let client = TestClient::new(&test_bed.environment, 0, 0, gateway.address, true);
+        let request = ClientRequest {
             invocation: name.into(),
             function: "mist".into(),
             trigger_type: (0, "act".into()),
@@ -207,43 +212,49 @@
             payload: payload.into(),
             ..ClientRequest::default()
         };
-        match caller.invoke(&ask).await {
+        match client.invoke(&request).await {
             ClientOutcome::Answered { status, body, .. } => {
                 (status, String::from_utf8_lossy(&body).into_owned())
             }
             other => panic!("{other:?}"),
         }
     };
-    let first = gateway(&w.text);
-    on(&w.stage, async {
-        w.stage.sleep(0.2).await;
+    let first = gateway(&test_bed.text);
+    run(&test_bed.environment, async {
+        test_bed.environment.sleep(0.2).await;
         assert_eq!(invoke(&first, "one", "a").await, (200, "a".into()));
         assert_eq!(
             invoke(&first, "one", "b").await,
             (200, "a".into()),
-            "the first answer is said again"
+            "the first answer is repeated"
         );
-        let (status, told) = invoke(&first, "lost", "c").await;
+        let (status, body) = invoke(&first, "lost", "c").await;
         assert!(
-            status == 500 && told.contains("unknown outcome"),
-            "{status} {told}"
+            status == 500 && body.contains("unknown outcome"),
+            "{status} {body}"
         );
     });
     first.end();
-    let second = gateway(&w.text);
-    on(&w.stage, async {
+    let second = gateway(&test_bed.text);
+    run(&test_bed.environment, async {
         assert_eq!(
             invoke(&second, "one", "d").await,
             (200, "a".into()),
-            "it outlives the front end"
+            "the answer survives a restart of the front end"
         );
         assert_eq!(invoke(&second, "two", "e").await, (200, "e".into()));
         let time = std::time::Duration::from_secs(2);
         let known = async |name: &str| {
             let path = format!("/v1/invocations/{name}");
-            orchidtally_socket_io::http::fetch(second.at, http::Method::GET, &path, vec![], time)
-                .await
-                .unwrap()
+            orchidtally_socket_io::http::fetch(
+                second.address,
+                http::Method::GET,
+                &path,
+                vec![],
+                time,
+            )
+            .await
+            .unwrap()
         };
         assert_eq!(
             known("one").await,
@@ -256,5 +267,5 @@
         assert_eq!(known("three").await.0, http::StatusCode::NOT_FOUND);
     });
     second.end();
-    assert_eq!(w.runs(), 2);
+    assert_eq!(test_bed.runs(), 2);
 }
