--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -1,5 +1,5 @@
-//! Messages a second and their time through one front end, with the journal synced in groups, once an entry, and
-//! not at all; the time to take up a journal by its size; a backlog most of which is past its time.
+//! Benchmarks of MQTT triggers on one front end: throughput and latency with group commits, with one sync per journal
+//! entry and without syncs; the recovery time by journal size; and a backlog of mostly expired messages.
 //!
 //! `cargo bench -p orchidtally-http-frontend --bench triggers`
 
@@ -22,20 +22,20 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 const MESSAGES: usize = 6_000;
-const ONE_BY_ONE: usize = 800;
+const SEQUENTIAL_MESSAGES: usize = 800;
 const IN_FLIGHT: usize = 64;
 const BACKLOG: usize = 100_000;
-/// Of the backlog, one in so many can still be in time.
+/// One of this many messages of the backlog can still be answered in time.
 const IN_TIME: usize = 50;
 
-fn folder(name: &str) -> PathBuf {
+fn bench_dir(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("bench-triggers-{name}"));
-    // One of an earlier run.
+    // The directory may exist from an earlier run.
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-fn text(executor: &str, broker: &str, at: &Path) -> String {
+fn deployment_text(executor: &str, broker: &str, at: &Path) -> String {
     format!(
         r#"{{
             triggerTypes: [{{ name: "act", effect: "nonIdempotent", objective: "10s", timeout: "60s" }}],
@@ -52,23 +52,23 @@
     )
 }
 
-fn wall() -> f64 {
+fn unix_time() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0.0, |d| d.as_secs_f64())
 }
 
-struct Run {
+struct TestBed {
     broker: Rc<BrokerServer>,
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     _executor: Rc<Executor>,
-    text: String,
+    deployment_text: String,
 }
 
-fn run(at: &Path) -> Run {
-    let stage = TestEnvironment::new(1);
-    let around = SharedResources {
-        store: PackageStore::new(&stage, 8.0, 8),
+fn test_bed(at: &Path) -> TestBed {
+    let environment = TestEnvironment::new(1);
+    let resources = SharedResources {
+        store: PackageStore::new(&environment, 8.0, 8),
         catalogue: Rc::new(|_| {
             Some(Program {
                 concurrency: 64,
@@ -82,28 +82,28 @@
         deduplication_window: 5.0,
     };
     let executor = Executor::start(
-        &stage,
+        &environment,
         ExecutorSpec::with_ample_capacity(0),
         unused_address(),
-        around,
+        resources,
     )
     .unwrap_or_else(|e| panic!("{e}"));
     let broker =
-        BrokerServer::start(&stage, unused_address(), None).unwrap_or_else(|e| panic!("{e}"));
-    let text = text(
+        BrokerServer::start(&environment, unused_address(), None).unwrap_or_else(|e| panic!("{e}"));
+    let deployment_text = deployment_text(
         &executor.address.to_string(),
         &broker.address.to_string(),
         at,
     );
-    Run {
+    TestBed {
         broker,
-        stage,
+        environment,
         _executor: executor,
-        text,
+        deployment_text,
     }
 }
 
-impl Run {
+impl TestBed {
     fn publish(&self, n: usize, sent: f64) {
         self.broker.publish(Message {
             topic: format!("act/{n}"),
@@ -118,8 +118,8 @@
         });
     }
 
-    /// The numbers of messages that were answered since, with whether they succeeded.
-    fn heard(&self) -> Vec<(usize, bool)> {
+    /// Takes the answers published since the last call: the message numbers, and whether the invocations succeeded.
+    fn take_answers(&self) -> Vec<(usize, bool)> {
         let answers = std::mem::take(&mut self.broker.broker.borrow_mut().published);
         let read = |m: &Message| {
             let n = m.topic.strip_prefix("done/")?.parse().ok()?;
@@ -132,17 +132,17 @@
     fn serve(
         &self,
         synced: bool,
-        sharing: usize,
+        max_group: usize,
     ) -> (async_channel::Sender<()>, std::thread::JoinHandle<()>) {
         let (stop, stopped) = async_channel::bounded(1);
-        let text = self.text.clone();
+        let deployment_text = self.deployment_text.clone();
         let thread = std::thread::spawn(move || {
-            let (deployment, section) =
-                orchidtally_mqtt_triggers::read(&text).unwrap_or_else(|f| panic!("{f:?}"));
+            let (deployment, section) = orchidtally_mqtt_triggers::read(&deployment_text)
+                .unwrap_or_else(|f| panic!("{f:?}"));
             let section = section.unwrap_or_else(|| panic!("no section"));
             let triggers = Triggers::open(section, 0)
                 .unwrap_or_else(|e| panic!("{e}"))
-                .measured(synced, sharing);
+                .measured(synced, max_group);
             let listener = orchidtally_http_frontend::listen(unused_address())
                 .unwrap_or_else(|e| panic!("{e}"));
             let start = Start {
@@ -167,55 +167,64 @@
     times[((times.len() - 1) as f64 * share) as usize]
 }
 
-/// Messages a second, and the median and 0.99 quantile of their times in ms.
-fn throughput(name: &str, synced: bool, sharing: usize, in_flight: usize) -> (f64, f64, f64) {
-    let messages = if in_flight == 1 { ONE_BY_ONE } else { MESSAGES };
-    let at = folder(name);
-    let run = run(&at);
-    let (stop, thread) = run.serve(synced, sharing);
+/// Returns the messages per second, and the median and the 0.99 quantile of their latencies in ms.
+fn throughput(name: &str, synced: bool, max_group: usize, in_flight: usize) -> (f64, f64, f64) {
+    let messages = if in_flight == 1 {
+        SEQUENTIAL_MESSAGES
+    } else {
+        MESSAGES
+    };
+    let at = bench_dir(name);
+    let test_bed = test_bed(&at);
+    let (stop, thread) = test_bed.serve(synced, max_group);
     let work = async {
-        run.stage.sleep(0.3).await;
+        test_bed.environment.sleep(0.3).await;
         let (mut sent, mut done) = (0, 0);
-        let mut began: HashMap<usize, Instant> = HashMap::new();
+        let mut started_at: HashMap<usize, Instant> = HashMap::new();
         let mut times = vec![];
-        let warm = messages / 10;
+        let warm_up = messages / 10;
         let mut from = Instant::now();
         while done < messages {
             while sent < messages && sent - done < in_flight {
-                run.publish(sent, wall());
-                began.insert(sent, Instant::now());
+                test_bed.publish(sent, unix_time());
+                started_at.insert(sent, Instant::now());
                 sent += 1;
             }
-            run.stage.sleep(0.0003).await;
-            for (n, well) in run.heard() {
-                assert!(well, "message {n} did not succeed");
+            test_bed.environment.sleep(0.0003).await;
+            for (n, succeeded) in test_bed.take_answers() {
+                assert!(succeeded, "message {n} did not succeed");
                 done += 1;
-                if done == warm {
+                if done == warm_up {
                     from = Instant::now();
                 }
-                if let Some(at) = began.remove(&n).filter(|_| done > warm) {
+                if let Some(at) = started_at.remove(&n).filter(|_| done > warm_up) {
                     times.push(1e3 * at.elapsed().as_secs_f64());
                 }
             }
         }
-        let rate = (messages - warm) as f64 / from.elapsed().as_secs_f64();
+        let rate = (messages - warm_up) as f64 / from.elapsed().as_secs_f64();
         (rate, quantile(&mut times, 0.5), quantile(&mut times, 0.99))
     };
-    let measured = async_io::block_on(run.stage.tasks.run(work));
+    let measured = async_io::block_on(test_bed.environment.tasks.run(work));
     drop(stop);
-    async_io::block_on(run.stage.tasks.run(run.stage.sleep(0.6)));
+    async_io::block_on(
+        test_bed
+            .environment
+            .tasks
+            .run(test_bed.environment.sleep(0.6)),
+    );
     thread
         .join()
         .unwrap_or_else(|_| panic!("the front end died"));
     measured
 }
 
-fn recovery(in_hand: u64) -> (f64, u64) {
-    let at = folder("recovery");
+fn recovery(message_count: u64) -> (f64, u64) {
+    let at = bench_dir("recovery");
     let (mut journal, _) = Journal::open(&at).unwrap_or_else(|e| panic!("{e}"));
     let mut entries = vec![];
-    for n in 1..=in_hand {
-        let held = StoredMessage {
+    for n in 1..=message_count {
+        let stored = StoredMessage {
             name: format!("message-{n}"),
             topic: format!("act/{n}"),
             payload: Bytes::from_static(&[b'x'; 100]),
@@ -230,17 +239,17 @@
             },
             expires_at: 2e9,
         };
-        let taken = Record::Accepted {
+        let accepted = Record::Accepted {
             message_id: n,
             idempotency: Idempotency::NonIdempotent,
             packet_id: Some((n % 60_000) as u16 + 1),
             is_qos2: true,
             delivery_count: 1,
-            stored: Rc::new(held),
+            stored: Rc::new(stored),
             answer: None,
         };
         for record in [
-            taken,
+            accepted,
             Record::Owned { message_id: n },
             Record::Dispatching { message_id: n },
         ] {
@@ -253,10 +262,10 @@
     let bytes = journal.length();
     drop(journal);
     let (deployment, section) =
-        orchidtally_mqtt_triggers::read(&text("127.0.0.1:1", "127.0.0.1:2", &at))
+        orchidtally_mqtt_triggers::read(&deployment_text("127.0.0.1:1", "127.0.0.1:2", &at))
             .unwrap_or_else(|f| panic!("{f:?}"));
     let section = section.unwrap_or_else(|| panic!("no section"));
-    let began = Instant::now();
+    let started_at = Instant::now();
     let triggers = Triggers::open(section, 0).unwrap_or_else(|e| panic!("{e}"));
     let consumer = Consumer::new(
         &triggers.section,
@@ -266,107 +275,107 @@
         triggers.records(),
         1e9,
     );
-    let took = began.elapsed().as_secs_f64();
-    assert_eq!(consumer.backlog().0, in_hand as usize);
-    (took, bytes)
+    let elapsed = started_at.elapsed().as_secs_f64();
+    assert_eq!(consumer.backlog().0, message_count as usize);
+    (elapsed, bytes)
 }
 
 fn backlog() {
-    let at = folder("backlog");
-    let run = run(&at);
-    // So that the group is known there.
-    let (stop, thread) = run.serve(true, 1_024);
+    let at = bench_dir("backlog");
+    let test_bed = test_bed(&at);
+    // The front end has to subscribe once, so that the broker knows the group.
+    let (stop, thread) = test_bed.serve(true, 1_024);
     let work = async {
-        run.stage.sleep(0.3).await;
-        run.publish(BACKLOG, wall());
-        while run.heard().is_empty() {
-            run.stage.sleep(0.01).await;
+        test_bed.environment.sleep(0.3).await;
+        test_bed.publish(BACKLOG, unix_time());
+        while test_bed.take_answers().is_empty() {
+            test_bed.environment.sleep(0.01).await;
         }
     };
-    async_io::block_on(run.stage.tasks.run(work));
+    async_io::block_on(test_bed.environment.tasks.run(work));
     drop(stop);
     let ended = async {
         while !thread.is_finished() {
-            run.stage.sleep(0.01).await;
+            test_bed.environment.sleep(0.01).await;
         }
     };
-    async_io::block_on(run.stage.tasks.run(ended));
-    let now = wall();
-    let late = |n: usize| !n.is_multiple_of(IN_TIME);
+    async_io::block_on(test_bed.environment.tasks.run(ended));
+    let now = unix_time();
+    let is_late = |n: usize| !n.is_multiple_of(IN_TIME);
     for n in 0..BACKLOG {
-        run.publish(n, if late(n) { now - 3_600.0 } else { now });
+        test_bed.publish(n, if is_late(n) { now - 3_600.0 } else { now });
     }
-    let (stop, thread) = run.serve(true, 1_024);
+    let (stop, thread) = test_bed.serve(true, 1_024);
     let work = async {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut answers: HashMap<usize, bool> = HashMap::new();
-        let (mut in_time, mut last_in_time, mut most) = (0, 0.0, 0);
-        while answers.len() < BACKLOG && began.elapsed().as_secs() < 150 {
-            run.stage.sleep(0.01).await;
-            most = most.max(run.broker.broker.borrow().given());
-            for (n, well) in run.heard() {
+        let (mut in_time, mut last_in_time, mut max_held) = (0, 0.0, 0);
+        while answers.len() < BACKLOG && started_at.elapsed().as_secs() < 150 {
+            test_bed.environment.sleep(0.01).await;
+            max_held = max_held.max(test_bed.broker.broker.borrow().given());
+            for (n, succeeded) in test_bed.take_answers() {
                 assert!(
-                    answers.insert(n, well).is_none(),
+                    answers.insert(n, succeeded).is_none(),
                     "message {n} was answered twice"
                 );
-                if !late(n) {
-                    in_time += usize::from(well);
-                    last_in_time = began.elapsed().as_secs_f64();
+                if !is_late(n) {
+                    in_time += usize::from(succeeded);
+                    last_in_time = started_at.elapsed().as_secs_f64();
                 }
             }
         }
-        let took = began.elapsed().as_secs_f64();
+        let elapsed = started_at.elapsed().as_secs_f64();
         println!(
-            "backlog of {BACKLOG}, {} of them past their time: {} answers in {took:.1} s; {in_time} of {} in time, the last \
-             after {last_in_time:.1} s; {most} in hand at the most",
+            "backlog of {BACKLOG}, {} of them expired: {} answers in {elapsed:.1} s; {in_time} of {} in time, the last \
+             after {last_in_time:.1} s; at most {max_held} held",
             BACKLOG - BACKLOG / IN_TIME,
             answers.len(),
             BACKLOG / IN_TIME
         );
-        assert_eq!(answers.len(), BACKLOG, "each gets its answer");
+        assert_eq!(answers.len(), BACKLOG, "some messages got no answer");
     };
-    async_io::block_on(run.stage.tasks.run(work));
+    async_io::block_on(test_bed.environment.tasks.run(work));
     drop(stop);
     let ended = async {
         while !thread.is_finished() {
-            run.stage.sleep(0.01).await;
+            test_bed.environment.sleep(0.01).await;
         }
     };
-    async_io::block_on(run.stage.tasks.run(ended));
+    async_io::block_on(test_bed.environment.tasks.run(ended));
 }
 
 fn main() {
     let mut ratios = vec![];
     for round in 0..3 {
         for in_flight in [IN_FLIGHT, 1] {
-            let off = throughput("off", false, 1_024, in_flight);
-            let shared = throughput("shared", true, 1_024, in_flight);
-            let single = throughput("single", true, 1, in_flight);
+            let no_sync = throughput("off", false, 1_024, in_flight);
+            let group = throughput("shared", true, 1_024, in_flight);
+            let per_entry = throughput("single", true, 1, in_flight);
             println!(
-                "round {round}, {in_flight} in flight: messages/s, median and 0.99 quantile in ms"
+                "round {round}, {in_flight} in flight: messages/s, median and 0.99 quantile of the latency in ms"
             );
             for (name, m) in [
-                ("no syncs", off),
-                ("shared syncs", shared),
-                ("one sync an entry", single),
+                ("no syncs", no_sync),
+                ("group commit", group),
+                ("one sync per entry", per_entry),
             ] {
                 println!("  {name:<18} {:>7.0} {:>8.1} {:>8.1}", m.0, m.1, m.2);
             }
             if in_flight == IN_FLIGHT {
-                ratios.push(shared.0 / single.0);
+                ratios.push(group.0 / per_entry.0);
             }
         }
     }
     println!(
-        "shared syncs against one an entry at {IN_FLIGHT} in flight: {:.1} times",
+        "throughput ratio of group commit to one sync per entry at {IN_FLIGHT} in flight: {:.1}",
         quantile(&mut ratios, 0.5)
     );
-    for in_hand in [1_000, 10_000, 50_000] {
-        let (took, bytes) = recovery(in_hand);
+    for message_count in [1_000, 10_000, 50_000] {
+        let (elapsed, bytes) = recovery(message_count);
         println!(
-            "recovery of {in_hand} messages in hand, {:.1} MB: {:.0} ms",
+            "recovery of {message_count} messages, {:.1} MB: {:.0} ms",
             bytes as f64 / 1e6,
-            1e3 * took
+            1e3 * elapsed
         );
     }
     backlog();
