--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -215,7 +215,7 @@
     );
     thread
         .join()
-        .unwrap_or_else(|_| panic!("the front end died"));
+        .unwrap_or_else(|_| panic!("the front end thread panicked"));
     measured
 }
 
--- a/crates/http-frontend/tests/dispatch_revalidation.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn nothing_leaves_for_an_executor_that_was_told_draining_while_it_waited_for_a_stream() {
+fn a_dispatch_waiting_for_a_stream_is_not_sent_to_a_draining_executor() {
     let environment = TestEnvironment::new(1);
     let one = slow_executor(&environment);
     let publisher = Publisher::start(
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -184,7 +184,7 @@
         kind: String::new(),
         cell: 0,
         weight: 1.0,
-        state: state,
+        state,
         started_at: f64::NEG_INFINITY,
     }
 }
--- a/crates/mqtt-triggers/src/consumer/mod.rs
+++ b/crates/mqtt-triggers/src/consumer/mod.rs
@@ -82,35 +82,35 @@
     /// Creates a consumer that is not connected yet. `index` is the index of the front end, and `records` is the
     /// content of its journal.
     pub fn new(
-        section: &TriggerSettings,
+        settings: &TriggerSettings,
         deployment: &Deployment,
         index: u32,
         password: Option<Bytes>,
         records: &[Record],
         now: f64,
     ) -> Consumer {
-        let mut options = section.session_options(index);
+        let mut options = settings.session_options(index);
         options.password = password;
-        let (ledger, actions) = Ledger::recover(records, section.max_deliveries, now);
-        let receive_maximum = usize::from(section.receive_maximum);
-        let max_waiting = match section.version {
+        let (ledger, actions) = Ledger::recover(records, settings.max_deliveries, now);
+        let receive_maximum = usize::from(settings.receive_maximum);
+        let max_waiting = match settings.version {
             Version::V5 => receive_maximum,
             Version::V311 => UNANNOUNCED_RECEIVE_FACTOR * receive_maximum,
         };
         let mut consumer = Consumer {
-            rules: section.rules.clone(),
-            version: section.version,
-            dead_letter_topic: section.dead_letter_topic.clone(),
-            reassigns_unacknowledged: section.reassigns_unacknowledged,
-            reply_margin: section.reply_margin,
+            rules: settings.rules.clone(),
+            version: settings.version,
+            dead_letter_topic: settings.dead_letter_topic.clone(),
+            reassigns_unacknowledged: settings.reassigns_unacknowledged,
+            reply_margin: settings.reply_margin,
             session: Session::new(options),
             admission: AdmissionQueue::new(
                 deployment.trigger_types.len(),
-                section.max_in_flight,
+                settings.max_in_flight,
                 max_waiting,
             ),
             ledger,
-            journal: JournalWriter::new(section.max_journal_bytes),
+            journal: JournalWriter::new(settings.max_journal_bytes),
             pending: BTreeMap::new(),
             poison_messages: VecDeque::new(),
             deferred_deliveries: None,
--- a/crates/mqtt-triggers/src/settings.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -138,7 +138,7 @@
     }
     let reply_margin = reply_margin(&fields, &rules);
     let group = group(&fields);
-    let whole = |key, range, default: u32| {
+    let integer = |key, range, default: u32| {
         fields
             .optional(key, |p| p.integer(range))
             .unwrap_or(default)
@@ -168,8 +168,8 @@
         group,
         keep_alive: keep_alive as u16,
         session_expiry: session_expiry as u32,
-        receive_maximum: whole("receiveMaximum", 1..=20_000, default::RECEIVE_MAXIMUM) as u16,
-        max_in_flight: whole("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
+        receive_maximum: integer("receiveMaximum", 1..=20_000, default::RECEIVE_MAXIMUM) as u16,
+        max_in_flight: integer("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
         max_packet_size: max_packet_size as u32,
         reassigns_unacknowledged: fields.at("handsOver").flag(true),
         journal: folder?,
@@ -238,11 +238,11 @@
 
 /// Reports a rule that answers to the response topic, which MQTT 3.1.1 does not have.
 fn check_reply_topics(fields: &Fields, rules: &Rules) {
-    let without_topic = rules
+    let rule_index = rules
         .list
         .iter()
         .position(|rule| rule.reply_to == ReplyTo::ResponseTopic);
-    if let Some(index) = without_topic {
+    if let Some(index) = rule_index {
         fields.at("triggers").fault(format!(
             "triggers[{index}]: MQTT 3.1.1 has no response topics; set 'answer' to a topic or 'none'"
         ));
--- a/crates/mqtt-triggers/tests/ledger_model/main.rs
+++ b/crates/mqtt-triggers/tests/ledger_model/main.rs
@@ -45,7 +45,7 @@
 };
 
 #[test]
-fn a_non_idempotent_message_has_one_effect_at_the_most_and_one_answer() {
+fn a_non_idempotent_message_has_at_most_one_effect_and_one_answer() {
     let exactly_once = Findings {
         effects: 1,
         answers: 1,
