--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -201,8 +201,8 @@
     }
 
     pub fn perform(&mut self, actions: Vec<Action>) {
-        for actions in actions {
-            match actions {
+        for action in actions {
+            match action {
                 Action::Send(to, packet) => {
                     if let Some(front_end) = self
                         .front_ends
@@ -308,7 +308,7 @@
 
     /// Syncs the next write, or fails it.
     pub fn sync(&mut self, n: usize, may_fail: bool) {
-        let disk_failures = may_fail && self.random.random_range(0..12) == 0;
+        let fails = may_fail && self.random.random_range(0..12) == 0;
         let reports_unsynced = self.injected_fault == InjectedFault::ReportsUnsyncedWrites;
         let front_end = &mut self.front_ends[n];
         let (Some(consumer), Some((is_replacement, bytes))) =
@@ -316,9 +316,9 @@
         else {
             return;
         };
-        let disk_failures = disk_failures || front_end.disk_failed && !is_replacement;
-        front_end.disk_failed = disk_failures;
-        if disk_failures {
+        let fails = fails || front_end.disk_failed && !is_replacement;
+        front_end.disk_failed = fails;
+        if fails {
             front_end.disk_failures += 1;
         } else {
             if is_replacement {
@@ -328,8 +328,8 @@
         }
         match is_replacement {
             _ if reports_unsynced => {}
-            true => consumer.journal_replaced(self.now, !disk_failures),
-            false => consumer.journal_appended(self.now, !disk_failures),
+            true => consumer.journal_replaced(self.now, !fails),
+            false => consumer.journal_appended(self.now, !fails),
         }
         self.process_outputs(n);
     }
