--- a/crates/http-frontend/src/mqtt/consume.rs
+++ b/crates/http-frontend/src/mqtt/consume.rs
@@ -65,7 +65,7 @@
         &records,
         router.now(),
     );
-    let max_entries = ENTRIES_PER_MESSAGE * settings.most_held() + SPARE_ENTRIES;
+    let max_entries = ENTRIES_PER_MESSAGE * settings.max_held_messages() + SPARE_ENTRIES;
     let (input_sender, inputs) = async_channel::bounded(MAX_INPUTS);
     let (result_sender, journal_results) = async_channel::bounded(2 * max_entries);
     let journal = GroupCommit::with_max_batch(journal, max_entries, max_batch);
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -51,7 +51,7 @@
     /// # Errors
     /// The journal can't be opened, or a record in it is malformed.
     pub fn open(settings: TriggerSettings, index: u32) -> io::Result<MessageTriggers> {
-        let folder = settings.folder(index);
+        let folder = settings.journal_dir(index);
         let (journal, found) = Journal::open(&folder)?;
         let records = decode_records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
             invalid_data(
--- a/crates/mqtt-triggers/src/consumer/events.rs
+++ b/crates/mqtt-triggers/src/consumer/events.rs
@@ -1,4 +1,4 @@
-//! What the broker sends.
+//! Handles packets from the broker and the session events that result from them.
 
 use super::actions::Publication;
 use super::{Consumer, Notice};
@@ -8,7 +8,7 @@
 use orchidtally_mqtt::session::{ConnectionError, Event};
 
 impl Consumer {
-    /// A packet has arrived from the broker. After an error the connection has to be closed.
+    /// Handles a packet from the broker. After an error the connection has to be closed.
     pub fn received(
         &mut self,
         now: f64,
@@ -31,18 +31,19 @@
         match event {
             Event::Connected { session_present } => {
                 self.session_present = session_present;
-                self.postponed = Some(vec![]);
+                self.deferred_deliveries = Some(vec![]);
                 self.notices
                     .push_back(Notice::Connected { session_present });
             }
             Event::Subscribed { refused } => {
                 if !refused.is_empty() {
-                    self.notices.push_back(Notice::Refused(refused));
+                    self.notices
+                        .push_back(Notice::SubscriptionsRejected(refused));
                 }
             }
-            Event::Delivered(delivery) => match &mut self.postponed {
-                Some(postponed) => postponed.push(delivery),
-                None => self.take(now, delivery, deployment)?,
+            Event::Delivered(delivery) => match &mut self.deferred_deliveries {
+                Some(deferred_deliveries) => deferred_deliveries.push(delivery),
+                None => self.handle_delivery(now, delivery, deployment)?,
             },
             Event::Resumed => self.resumed(now, deployment)?,
             Event::Confirmed { number } => self.confirmed(now, number),
@@ -57,23 +58,25 @@
         Ok(())
     }
 
-    /// The broker has sent again what it had to send again.
+    /// Handles the end of the broker's redeliveries after a connect.
     fn resumed(&mut self, now: f64, deployment: &Deployment) -> Result<(), ConnectionError> {
-        let postponed = self.postponed.take().unwrap_or_default();
-        let redelivered: Vec<Redelivery> = postponed
+        let deferred_deliveries = self.deferred_deliveries.take().unwrap_or_default();
+        let redelivered: Vec<Redelivery> = deferred_deliveries
             .iter()
             .map(|d| Redelivery {
-                packet: d.id,
+                packet_id: d.id,
                 topic: &d.topic,
                 payload: &d.payload,
             })
             .collect();
-        let actions =
-            self.ledger
-                .session_resumed(self.session_present, &redelivered, self.hands_over);
+        let actions = self.ledger.session_resumed(
+            self.session_present,
+            &redelivered,
+            self.reassigns_unacknowledged,
+        );
         self.perform(now, actions);
-        for delivery in postponed {
-            self.take(now, delivery, deployment)?;
+        for delivery in deferred_deliveries {
+            self.handle_delivery(now, delivery, deployment)?;
         }
         Ok(())
     }
@@ -88,7 +91,7 @@
                 let actions = self.ledger.confirmed(message_id);
                 self.perform(now, actions);
             }
-            // That it is owned is persisted already, or the message is done with.
+            // The ownership is persisted already, or the message is completed.
             None => self.session.complete(now, delivery),
         }
     }
@@ -102,7 +105,7 @@
             self.not_published(publication.message(), Some(code));
         }
         let actions = match publication {
-            Publication::SetAsideCopy(message_id) => self.ledger.set_aside(message_id),
+            Publication::DeadLetter(message_id) => self.ledger.dead_letter_published(message_id),
             Publication::Reply(message_id) => {
                 self.counters.answered += u64::from(!is_refused);
                 self.ledger.reply_completed(message_id)
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Notes that what should be published for a message was not.
+    /// Counts and reports that an answer or a dead letter could not be published.
     pub(super) fn not_published(&mut self, message_id: u64, code: Option<u8>) {
         self.counters.not_published += 1;
         let reply = self
--- a/crates/mqtt-triggers/src/lib.rs
+++ b/crates/mqtt-triggers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Triggers without I/O: which message becomes which invocation, when messages are admitted, and in which order they
-//! are persisted, acknowledged, dispatched and answered, so that each message has one effect and one answer.
+//! MQTT triggers as state machines without I/O. The crate maps messages to invocations, admits messages, and orders
+//! the steps that persist, acknowledge, dispatch and answer them, so that each message has one effect and one answer.
 
 pub mod admission;
 pub mod consumer;
@@ -7,9 +7,9 @@
 pub mod ledger;
 pub mod pattern;
 pub mod rules;
-pub mod section;
+pub mod settings;
 
 pub use consumer::Consumer;
 pub use pattern::Pattern;
-pub use rules::{Poison, Rules};
-pub use section::{TriggerSettings, read};
+pub use rules::{PoisonReason, Rules};
+pub use settings::{TriggerSettings, read};
--- a/crates/mqtt-triggers/src/pattern.rs
+++ b/crates/mqtt-triggers/src/pattern.rs
@@ -1,91 +1,94 @@
-//! Topic patterns with names, such as `house/{house}/set/{what...}`. A name in braces stands for a whole level; with
-//! `...` it stands for all levels from there on.
+//! Topic patterns with named placeholders, such as `house/{house}/set/{what...}`. A placeholder matches exactly one
+//! level; with `...` it matches all remaining levels and must be the last one.
 
 use orchidtally_mqtt::Filter;
 use std::collections::BTreeMap;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
+enum Level {
     Text(String),
-    Name(String),
-    Rest(String),
+    Placeholder(String),
+    RestPlaceholder(String),
 }
 
-/// What a topic has at each name of a pattern.
+/// The part of a topic that each placeholder of a pattern matched, by placeholder name.
 pub type Captures = BTreeMap<String, String>;
 
-/// A topic pattern.
+/// A parsed topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
-    levels: Vec<Part>,
+    levels: Vec<Level>,
 }
 
-/// Why a text is no topic pattern.
+/// The reason why a text is not a valid topic pattern.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Invalid {
-    /// This level has a brace and is no name in braces.
+pub enum PatternError {
+    /// This level contains a brace but is not a placeholder.
     #[error(
-        "the level '{0}': a name in braces has to be a whole level, of letters, digits and '_'"
+        "the level '{0}': a placeholder has to be a whole level, of letters, digits and '_' in braces"
     )]
-    Braces(String),
-    /// This name is given twice.
-    #[error("the name '{0}' is given twice")]
-    Twice(String),
-    /// A level that stands for all that follow is not the last one.
-    #[error("only the last level can stand for all that follow")]
-    Rest,
-    /// No topic can match it, for this reason.
-    #[error("no topic: {0}")]
-    Topic(String),
+    InvalidPlaceholder(String),
+    /// Two placeholders have this name.
+    #[error("the placeholder '{0}' occurs twice")]
+    DuplicatePlaceholder(String),
+    /// A placeholder for all remaining levels is not the last level.
+    #[error("a placeholder with '...' has to be the last level")]
+    RestNotLast,
+    /// The pattern is not a valid topic filter, for this reason.
+    #[error("not a valid topic pattern: {0}")]
+    InvalidFilter(String),
 }
 
 impl Pattern {
-    /// Parses a pattern.
-    pub fn parse(text: &str) -> Result<Pattern, Invalid> {
-        let mut levels: Vec<Part> = vec![];
+    /// Parses a pattern and checks that it is a valid topic filter.
+    pub fn parse(text: &str) -> Result<Pattern, PatternError> {
+        let mut levels: Vec<Level> = vec![];
         for level in text.split('/') {
             let braced = level.strip_prefix('{').and_then(|l| l.strip_suffix('}'));
             let part = match braced {
-                None if level.contains(['{', '}']) => return Err(Invalid::Braces(level.into())),
+                None if level.contains(['{', '}']) => {
+                    return Err(PatternError::InvalidPlaceholder(level.into()));
+                }
                 None if level.contains(['+', '#']) => {
-                    return Err(Invalid::Topic(
-                        "wildcards are written as names in braces".into(),
+                    return Err(PatternError::InvalidFilter(
+                        "wildcards are written as placeholders in braces".into(),
                     ));
                 }
-                None => Part::Text(level.into()),
+                None => Level::Text(level.into()),
                 Some(inner) => {
                     let name = inner.strip_suffix("...").unwrap_or(inner);
                     if name.is_empty()
                         || !name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_')
                     {
-                        return Err(Invalid::Braces(level.into()));
+                        return Err(PatternError::InvalidPlaceholder(level.into()));
                     }
-                    let known = |p: &Part| matches!(p, Part::Name(n) | Part::Rest(n) if n == name);
+                    let known = |p: &Level| matches!(p, Level::Placeholder(n) | Level::RestPlaceholder(n) if n == name);
                     if levels.iter().any(known) {
-                        return Err(Invalid::Twice(name.into()));
+                        return Err(PatternError::DuplicatePlaceholder(name.into()));
                     }
                     if name.len() < inner.len() {
-                        Part::Rest(name.into())
+                        Level::RestPlaceholder(name.into())
                     } else {
-                        Part::Name(name.into())
+                        Level::Placeholder(name.into())
                     }
                 }
             };
-            if matches!(levels.last(), Some(Part::Rest(_))) {
-                return Err(Invalid::Rest);
+            if matches!(levels.last(), Some(Level::RestPlaceholder(_))) {
+                return Err(PatternError::RestNotLast);
             }
             levels.push(part);
         }
         let pattern = Pattern { levels };
-        Filter::parse(&pattern.filter_text()).map_err(|e| Invalid::Topic(e.to_string()))?;
+        Filter::parse(&pattern.filter_text())
+            .map_err(|e| PatternError::InvalidFilter(e.to_string()))?;
         Ok(pattern)
     }
 
     fn filter_text(&self) -> String {
-        let level = |p: &Part| match p {
-            Part::Text(text) => text.clone(),
-            Part::Name(_) => "+".into(),
-            Part::Rest(_) => "#".into(),
+        let level = |p: &Level| match p {
+            Level::Text(text) => text.clone(),
+            Level::Placeholder(_) => "+".into(),
+            Level::RestPlaceholder(_) => "#".into(),
         };
         self.levels
             .iter()
@@ -94,37 +97,39 @@
             .join("/")
     }
 
-    /// The filter that matches the same topics.
+    /// Returns the topic filter that matches the same topics.
     pub fn filter(&self) -> Filter {
-        Filter::parse(&self.filter_text()).expect("it was parsed when the pattern was")
+        Filter::parse(&self.filter_text()).expect("Pattern::parse has validated the filter")
     }
 
-    /// The names in their order.
-    pub fn names(&self) -> impl Iterator<Item = &str> {
+    /// Iterates over the names of the placeholders, in the order of their levels.
+    pub fn placeholders(&self) -> impl Iterator<Item = &str> {
         self.levels.iter().filter_map(|p| match p {
-            Part::Name(n) | Part::Rest(n) => Some(n.as_str()),
-            Part::Text(_) => None,
+            Level::Placeholder(n) | Level::RestPlaceholder(n) => Some(n.as_str()),
+            Level::Text(_) => None,
         })
     }
 
-    /// What a topic has at each name; `None` where the pattern does not match it.
+    /// Matches a topic and returns the captured levels; `None` if the topic does not match.
     pub fn captures(&self, topic: &str) -> Option<Captures> {
         let found = self.filter().captures(topic)?;
         Some(
-            self.names()
+            self.placeholders()
                 .map(str::to_owned)
                 .zip(found.into_iter().map(str::to_owned))
                 .collect(),
         )
     }
 
-    /// The topic with these in place of the names; `None` where one is missing.
-    pub fn filled(&self, captures: &Captures) -> Option<String> {
+    /// Builds a topic by replacing each placeholder with its captured value; `None` if a value is missing.
+    pub fn fill(&self, captures: &Captures) -> Option<String> {
         let mut levels = vec![];
         for part in &self.levels {
             levels.push(match part {
-                Part::Text(text) => text.as_str(),
-                Part::Name(name) | Part::Rest(name) => captures.get(name)?.as_str(),
+                Level::Text(text) => text.as_str(),
+                Level::Placeholder(name) | Level::RestPlaceholder(name) => {
+                    captures.get(name)?.as_str()
+                }
             });
         }
         Some(levels.join("/"))
--- a/crates/mqtt/src/session/mod.rs
+++ b/crates/mqtt/src/session/mod.rs
@@ -1,8 +1,8 @@
-//! A client's session as a state machine without I/O.
+//! The session of a client as a state machine without I/O.
 //!
-//! The host passes in the packets that arrive and the time, and takes out the packets to send. A session outlives
-//! its connections for as long as the server keeps it too. A delivery is acknowledged when the host says so, which
-//! is how the host holds the server back. Times are in seconds on the host's clock.
+//! The host passes received packets and the time to the session and takes the packets to send from it. A session
+//! survives the loss of a connection as long as the server keeps it. Deliveries are acknowledged by the host, which
+//! applies backpressure to the server through the receive maximum. Times are in seconds on the host's clock.
 
 mod deadlines;
 mod event;
@@ -13,45 +13,46 @@
 
 use crate::packet::*;
 use bytes::Bytes;
-use deadlines::{Ping, Subscribing};
+use deadlines::{PendingSubscribe, Ping};
 use incoming::Unacknowledged;
-use outgoing::{Outgoing, Waiting};
+use outgoing::{Outgoing, QueuedPublish};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The receive maximum of a server that states none.
+/// The default receive maximum of a server.
 const DEFAULT_RECEIVE_MAXIMUM: u16 = 65_535;
 
-/// What a client asks for in its CONNECT and SUBSCRIBE, and its own limits.
+/// The parameters of CONNECT and SUBSCRIBE, and limits of the client.
 #[derive(Clone, Debug)]
 pub struct SessionOptions {
-    /// The protocol version that is spoken.
+    /// The protocol version.
     pub version: Version,
-    /// The client identifier, under which the server keeps the session.
+    /// The client identifier, which identifies the session at the server.
     pub client_id: String,
-    /// The user name, where the server wants one.
+    /// The user name, if the server requires one.
     pub username: Option<String>,
-    /// The password, where the server wants one.
+    /// The password, if the server requires one.
     pub password: Option<Bytes>,
-    /// Seconds without a packet after which a ping is sent; 0 for none.
+    /// Seconds without a sent packet after which a ping is sent; 0 disables pings.
     pub keep_alive: u16,
-    /// Seconds for which the server is to keep the session without a connection; 0 for a clean session.
+    /// Seconds for which the server keeps the session without a connection; 0 for a clean session.
     pub session_expiry: u32,
-    /// The most deliveries that may be unacknowledged at a time: the client's receive maximum.
+    /// The client's receive maximum: the maximum number of unacknowledged deliveries.
     pub receive_maximum: u16,
-    /// The size in bytes of the largest packet that the client accepts.
-    pub largest_packet: u32,
-    /// The greatest topic alias that the client accepts; 0 for none.
-    pub topic_aliases: u16,
-    /// The will, if there is one.
+    /// The maximum size of a received packet, in bytes.
+    pub max_packet_size: u32,
+    /// The highest topic alias that the server may use; 0 for none.
+    pub topic_alias_maximum: u16,
+    /// The will message, if there is one.
     pub will: Option<Will>,
     /// The subscriptions of the session.
-    pub filters: Vec<Subscription>,
-    /// The most messages that wait for a packet identifier or for the server's receive maximum.
-    pub most_waiting: usize,
-    /// Whether the server is asked, by pings, to confirm the acknowledgements that it has received. If so,
-    /// `Event::Confirmed` and `Event::Resumed` are reported, and the host calls `Session::complete` for each
-    /// confirmed delivery of QoS 2.
-    pub confirms: bool,
+    pub subscriptions: Vec<Subscription>,
+    /// The maximum number of queued messages that have not been sent because no packet identifier is free or the server's
+    /// receive maximum is reached.
+    pub max_queued_publishes: usize,
+    /// Whether to send pings by which the server confirms that it has received acknowledgements. If so, the session
+    /// reports `Event::Confirmed` and `Event::Resumed`, and the host calls `Session::complete` for each confirmed QoS 2
+    /// delivery.
+    pub requests_confirmation: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -66,24 +67,24 @@
 pub struct Session {
     options: SessionOptions,
     state: ConnectionState,
-    /// Packets to be sent over this connection.
+    /// Packets to send over this connection.
     packets: VecDeque<Packet>,
-    /// Messages that have a packet identifier, by that identifier.
+    /// Published messages by packet identifier.
     outgoing: BTreeMap<u16, Outgoing>,
     /// Identifiers of `outgoing` in the order in which they were first sent.
     send_order: VecDeque<u16>,
-    /// Those of them that were not sent over this connection.
+    /// Identifiers of `outgoing` that were not sent over this connection.
     unsent: VecDeque<u16>,
-    /// The number of those that were.
+    /// The number of messages in `outgoing` that were sent over this connection.
     in_flight: usize,
-    /// Messages without a packet identifier.
-    waiting: VecDeque<Waiting>,
-    /// Packet identifiers that the host has reserved and not used yet.
+    /// Published messages without a packet identifier.
+    queued: VecDeque<QueuedPublish>,
+    /// Packet identifiers that the host has reserved and not used.
     reserved: BTreeSet<u16>,
     last_token: u64,
     last_id: u16,
-    /// Delivery numbers of QoS 2 messages that were acknowledged and are not released yet, by packet identifier:
-    /// the session does not deliver these again.
+    /// Delivery numbers of QoS 2 messages that are acknowledged and not completed, by packet identifier. The session does
+    /// not deliver these again.
     received: BTreeMap<u16, u64>,
     /// Deliveries of this connection that the host has not acknowledged, by number.
     unacknowledged: BTreeMap<u64, Unacknowledged>,
@@ -92,17 +93,17 @@
     unconfirmed: Vec<u64>,
     /// Topics by topic alias, on this connection.
     aliases: BTreeMap<u16, String>,
-    subscribing: Option<Subscribing>,
-    /// What the server has granted: its receive maximum, its maximum packet size and its keep alive.
+    pending_subscribe: Option<PendingSubscribe>,
+    /// Limits of the server: its receive maximum, its maximum packet size and the keep alive.
     server_receive_maximum: u16,
-    server_packet_size: usize,
+    server_max_packet_size: usize,
     keep_alive: f64,
     last_sent_at: f64,
     ping: Option<Ping>,
 }
 
 impl Session {
-    /// A new session, not connected yet.
+    /// Creates a session that is not connected yet.
     pub fn new(options: SessionOptions) -> Session {
         Session {
             keep_alive: f64::from(options.keep_alive),
@@ -113,7 +114,7 @@
             send_order: VecDeque::new(),
             unsent: VecDeque::new(),
             in_flight: 0,
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             reserved: BTreeSet::new(),
             last_token: 0,
             last_id: 0,
@@ -122,15 +123,15 @@
             last_delivery: 0,
             unconfirmed: vec![],
             aliases: BTreeMap::new(),
-            subscribing: None,
+            pending_subscribe: None,
             server_receive_maximum: DEFAULT_RECEIVE_MAXIMUM,
-            server_packet_size: usize::MAX,
+            server_max_packet_size: usize::MAX,
             last_sent_at: 0.0,
             ping: None,
         }
     }
 
-    /// The protocol version that is spoken.
+    /// The protocol version.
     pub fn version(&self) -> Version {
         self.options.version
     }
@@ -140,9 +141,9 @@
         self.state == ConnectionState::Connected
     }
 
-    /// The number of messages that the server has not acknowledged.
-    pub fn unpublished(&self) -> usize {
-        self.waiting.len() + self.outgoing.len()
+    /// The number of published messages that the server has not acknowledged.
+    pub fn unacknowledged_publishes(&self) -> usize {
+        self.queued.len() + self.outgoing.len()
     }
 
     /// The number of deliveries that the host has not acknowledged.
@@ -150,7 +151,7 @@
         self.unacknowledged.len()
     }
 
-    /// The next packet to send.
+    /// Takes the next packet to send.
     pub fn next_packet(&mut self) -> Option<Packet> {
         self.packets.pop_front()
     }
@@ -160,15 +161,15 @@
         self.packets.push_back(packet);
     }
 
-    /// The host has opened a connection to the server.
+    /// Starts the session on a connection that the host has opened to the server.
     pub fn connect(&mut self, now: f64) {
         let options = &self.options;
         let mut properties = vec![];
         if options.version == Version::V5 {
             properties.push(Property::SessionExpiry(options.session_expiry));
             properties.push(Property::ReceiveMaximum(options.receive_maximum.max(1)));
-            properties.push(Property::MaximumPacketSize(options.largest_packet.max(1)));
-            properties.push(Property::TopicAliasMaximum(options.topic_aliases));
+            properties.push(Property::MaximumPacketSize(options.max_packet_size.max(1)));
+            properties.push(Property::TopicAliasMaximum(options.topic_alias_maximum));
         }
         let connect = Connect {
             clean: options.session_expiry == 0,
@@ -184,19 +185,18 @@
         self.send(now, Packet::Connect(connect));
     }
 
-    /// The connection is gone. What was delivered over it can't be acknowledged any more: the server delivers it
-    /// again.
+    /// Handles the loss of the connection. Its deliveries can't be acknowledged any more; the server redelivers them.
     pub fn connection_lost(&mut self) {
         self.state = ConnectionState::Disconnected;
         self.packets.clear();
         self.unacknowledged.clear();
         self.unconfirmed.clear();
         self.aliases.clear();
-        self.subscribing = None;
+        self.pending_subscribe = None;
         self.ping = None;
     }
 
-    /// Ends the connection in order, so that the will is not published.
+    /// Sends a DISCONNECT, so that the server does not publish the will.
     pub fn disconnect(&mut self, now: f64) {
         if self.is_connected() {
             self.send(now, Packet::Disconnect(Reason::default()));
@@ -204,7 +204,7 @@
         }
     }
 
-    /// A packet has arrived from the server. After an error the connection has to be closed.
+    /// Handles a packet from the server. After an error the connection has to be closed.
     pub fn received(&mut self, now: f64, packet: Packet) -> Result<Vec<Event>, ConnectionError> {
         if let (ConnectionState::Connecting(_), Packet::ConnAck(ack)) = (self.state, &packet) {
             return self.connected(now, ack);
@@ -222,7 +222,9 @@
             Packet::UnsubAck(_) => Ok(vec![]),
             Packet::PingResp => Ok(self.ping_answered(now)),
             Packet::Disconnect(reason) => Err(ConnectionError::Disconnected(reason.code)),
-            _ => Err(ConnectionError::Protocol("a packet that no server sends")),
+            _ => Err(ConnectionError::Protocol(
+                "a packet type that servers must not send",
+            )),
         }
     }
 
@@ -235,11 +237,11 @@
                 "a session present after a clean start",
             ));
         }
-        self.note_server_limits(&ack.properties);
+        self.apply_server_limits(&ack.properties);
         self.state = ConnectionState::Connected;
         if !ack.session_present {
-            // The server has forgotten which messages it has: all that it did not record are sent as new, under the
-            // same identifier and token. It may have passed on those that it had recorded.
+            // The server has lost the session state. Messages that it did not record are sent as new messages with the
+            // same identifier and token. It may have forwarded those that it had recorded.
             self.received.clear();
             self.outgoing
                 .values_mut()
@@ -250,26 +252,26 @@
         self.outgoing
             .values_mut()
             .for_each(|message| message.sent = false);
-        if !ack.session_present && !self.options.filters.is_empty() {
+        if !ack.session_present && !self.options.subscriptions.is_empty() {
             self.subscribe(now)?;
         }
-        if self.options.confirms {
+        if self.options.requests_confirmation {
             self.send_ping(now, true);
         }
-        self.send_waiting(now);
+        self.send_queued(now);
         Ok(vec![Event::Connected {
             session_present: ack.session_present,
         }])
     }
 
-    fn note_server_limits(&mut self, properties: &Properties) {
+    fn apply_server_limits(&mut self, properties: &Properties) {
         self.server_receive_maximum = DEFAULT_RECEIVE_MAXIMUM;
-        self.server_packet_size = usize::MAX;
+        self.server_max_packet_size = usize::MAX;
         self.keep_alive = f64::from(self.options.keep_alive);
         for property in properties {
             match property {
                 Property::ReceiveMaximum(value) => self.server_receive_maximum = *value,
-                Property::MaximumPacketSize(value) => self.server_packet_size = *value as usize,
+                Property::MaximumPacketSize(value) => self.server_max_packet_size = *value as usize,
                 Property::ServerKeepAlive(value) => self.keep_alive = f64::from(*value),
                 Property::AssignedClientId(id) => self.options.client_id = id.clone(),
                 _ => {}
@@ -278,14 +280,14 @@
     }
 
     fn subscribe(&mut self, now: f64) -> Result<(), ConnectionError> {
-        let Some(id) = self.fresh_id() else {
-            return Err(ConnectionError::Protocol("no packet id is free"));
+        let Some(id) = self.unused_id() else {
+            return Err(ConnectionError::Protocol("no free packet identifier"));
         };
-        self.subscribing = Some(Subscribing { id, sent_at: now });
+        self.pending_subscribe = Some(PendingSubscribe { id, sent_at: now });
         let subscribe = Subscribe {
             id,
             properties: vec![],
-            filters: self.options.filters.clone(),
+            filters: self.options.subscriptions.clone(),
         };
         self.send(now, Packet::Subscribe(subscribe));
         Ok(())
@@ -293,18 +295,18 @@
 
     fn subscribed(&mut self, codes: Codes) -> Result<Vec<Event>, ConnectionError> {
         if self
-            .subscribing
-            .take_if(|subscribing| subscribing.id == codes.id)
+            .pending_subscribe
+            .take_if(|pending_subscribe| pending_subscribe.id == codes.id)
             .is_none()
         {
-            return Err(ConnectionError::Protocol("a SUBACK for nothing"));
+            return Err(ConnectionError::Protocol("a SUBACK without a SUBSCRIBE"));
         }
-        if codes.codes.len() != self.options.filters.len() {
+        if codes.codes.len() != self.options.subscriptions.len() {
             return Err(ConnectionError::Protocol(
-                "a SUBACK with another number of codes",
+                "a SUBACK with a wrong number of reason codes",
             ));
         }
-        let subscriptions = self.options.filters.iter().zip(&codes.codes);
+        let subscriptions = self.options.subscriptions.iter().zip(&codes.codes);
         let refused = subscriptions
             .filter(|(_, code)| **code >= reason_code::FAILURE)
             .map(|(subscription, code)| (subscription.filter.clone(), *code))
