--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -1,6 +1,7 @@
-//! The real program between scripted executors and clients on sockets, with a resolver that stays silent.
+//! Runs the `orchidtally` binary as a platform front end between scripted executors and clients on loopback sockets. Its
+//! resolver never answers.
 
-// Each test program uses a part of it.
+// Each test binary uses a part of this module.
 #![allow(dead_code)]
 
 use orchidtally_platform_client_protocol as frames;
@@ -14,51 +15,56 @@
 use std::time::{Duration, Instant};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_orchidtally");
-pub const CALM: &str = "0000000000000001";
-pub const BREAKS_OFF: &str = "0000000000000002";
-pub const NOISE: &str = "0000000000000003";
-pub const SILENT: &str = "0000000000000004";
+/// Function whose executor responds at once.
+pub const PROMPT: &str = "0000000000000001";
+/// Function whose executor closes the connection in the middle of its first response.
+pub const TRUNCATED_RESPONSE: &str = "0000000000000002";
+/// Function whose executor sends an unreadable line as its first response.
+pub const GARBAGE_RESPONSE: &str = "0000000000000003";
+/// Function whose executor never responds to the first dispatch.
+pub const NO_RESPONSE: &str = "0000000000000004";
+/// Function whose executor responds after 0.9 s.
 pub const SLOW: &str = "0000000000000005";
 
-/// Dispatches by the client's id, as they came to executors.
-pub type Seen = Arc<Mutex<HashMap<String, Vec<Value>>>>;
+/// Dispatches that the executors received, in order of arrival, by the invocation ID that the client chose.
+pub type DispatchLog = Arc<Mutex<HashMap<String, Vec<Value>>>>;
 
-/// An executor that answers a function's first dispatch of each id as the function's name says, and any
-/// other well.
-pub fn executor(seen: Seen) -> SocketAddr {
+/// Starts an executor that handles the first dispatch of each invocation as the function's name says, and responds
+/// with success to any further one.
+pub fn start_executor(dispatch_log: DispatchLog) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (stream, seen) = (stream.unwrap(), seen.clone());
-            std::thread::spawn(move || attend(stream, &seen));
+            let (stream, dispatch_log) = (stream.unwrap(), dispatch_log.clone());
+            std::thread::spawn(move || serve_connection(stream, &dispatch_log));
         }
     });
-    at
+    address
 }
 
-fn attend(stream: TcpStream, seen: &Seen) {
-    let mut out = stream.try_clone().unwrap();
+fn serve_connection(stream: TcpStream, dispatch_log: &DispatchLog) {
+    let mut output = stream.try_clone().unwrap();
     for line in BufReader::new(stream).lines() {
         let Ok(line) = line else { return };
         let message: Value = serde_json::from_str(&line).unwrap();
-        let (id, f) = (message["i"].as_str().unwrap().to_owned(), &message["f"]);
-        let first = message["t"] == "DO" && {
-            let mut seen = seen.lock().unwrap();
-            let all = seen.entry(id.clone()).or_default();
-            all.push(message.clone());
-            all.len() == 1
+        let (id, fields) = (message["i"].as_str().unwrap().to_owned(), &message["f"]);
+        let is_first = message["t"] == "DO" && {
+            let mut dispatch_log = dispatch_log.lock().unwrap();
+            let dispatches_of_id = dispatch_log.entry(id.clone()).or_default();
+            dispatches_of_id.push(message.clone());
+            dispatches_of_id.len() == 1
         };
         let answer = match (
             message["t"].as_str().unwrap(),
-            f["item"].as_str().unwrap_or_default(),
+            fields["item"].as_str().unwrap_or_default(),
         ) {
-            ("DO", BREAKS_OFF) if first => {
-                out.write_all(br#"{"t":"DONE","i":""#).unwrap();
-                return out.shutdown(std::net::Shutdown::Both).unwrap();
+            ("DO", TRUNCATED_RESPONSE) if is_first => {
+                output.write_all(br#"{"t":"DONE","i":""#).unwrap();
+                return output.shutdown(std::net::Shutdown::Both).unwrap();
             }
-            ("DO", NOISE) if first => "\u{1}noise\n".into(),
-            ("DO", SILENT) if first => continue,
+            ("DO", GARBAGE_RESPONSE) if is_first => "\u{1}noise\n".into(),
+            ("DO", NO_RESPONSE) if is_first => continue,
             ("DO", item) => {
                 if item == SLOW {
                     std::thread::sleep(Duration::from_millis(900));
@@ -70,22 +76,25 @@
             ("PIN", _) => json!({"t": "DONE", "i": id, "f": {"count": 1}}).to_string() + "\n",
             _ => continue,
         };
-        if out.write_all(answer.as_bytes()).is_err() {
+        if output.write_all(answer.as_bytes()).is_err() {
             return;
         }
     }
 }
 
+/// A running front end, which is killed when this value is dropped.
 pub struct FrontEnd {
     pub process: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
+    /// The settings file.
     pub file: PathBuf,
-    pub seen: Seen,
+    /// The dispatches that its executors received.
+    pub dispatch_log: DispatchLog,
 }
 
 impl Drop for FrontEnd {
     fn drop(&mut self) {
-        // One that has ended needs no end.
+        // Fails if the process has exited already.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
@@ -106,49 +115,59 @@
     })
 }
 
+/// An entry of the endpoint list.
 pub fn host(n: usize, dial: SocketAddr) -> Value {
     json!({"host": format!("s-{n}"), "dial": dial, "site": "east", "class": "std", "block": 1,
         "health": "SERVING", "share": 4, "born_ms": 0})
 }
 
-/// What a front end is told, and where it is to listen.
-pub fn told(hosts: &[Value], sockets: usize) -> (String, SocketAddr) {
+/// Returns the text of a front end's settings file and the address that it listens on.
+pub fn settings_file(hosts: &[Value], sockets: usize) -> (String, SocketAddr) {
     let resolver = UdpSocket::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let at = orchidtally_test_servers::reserve_address().unwrap();
-    let told = json!({
-        "name": "n0", "listen": at, "seed": "8c1f30d27a5be964", "dns": resolver,
+    let address = orchidtally_test_servers::reserve_address().unwrap();
+    let settings = json!({
+        "name": "n0", "listen": address, "seed": "8c1f30d27a5be964", "dns": resolver,
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}, "settings": settings(),
         "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
     });
-    (told.to_string(), at)
+    (settings.to_string(), address)
 }
 
+/// Starts a front end with two executors and 128 sockets, and waits until it listens.
 pub fn start(name: &str) -> FrontEnd {
-    start_among(name, 2, 128)
+    start_with_executors(name, 2, 128)
 }
 
-pub fn start_among(name: &str, executors: usize, sockets: usize) -> FrontEnd {
-    let seen = Seen::default();
+/// Starts a front end with its own executors, and waits until it listens.
+pub fn start_with_executors(name: &str, executors: usize, sockets: usize) -> FrontEnd {
+    let dispatch_log = DispatchLog::default();
     let hosts: Vec<Value> = (1..=executors)
-        .map(|n| host(n, executor(seen.clone())))
+        .map(|n| host(n, start_executor(dispatch_log.clone())))
         .collect();
-    start_with(name, &hosts, sockets, seen)
+    start_with_hosts(name, &hosts, sockets, dispatch_log)
 }
 
-pub fn start_with(name: &str, hosts: &[Value], sockets: usize, seen: Seen) -> FrontEnd {
-    let (told, at) = told(hosts, sockets);
+/// Starts a front end with the given endpoint list, and waits until it listens.
+pub fn start_with_hosts(
+    name: &str,
+    hosts: &[Value],
+    sockets: usize,
+    dispatch_log: DispatchLog,
+) -> FrontEnd {
+    let (settings, address) = settings_file(hosts, sockets);
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
-    std::fs::write(&file, told).unwrap();
-    let front = FrontEnd::begin(file, at, seen);
-    front.listens();
-    front
+    std::fs::write(&file, settings).unwrap();
+    let front_end = FrontEnd::spawn(file, address, dispatch_log);
+    front_end.wait_until_listening();
+    front_end
 }
 
 impl FrontEnd {
-    pub fn begin(file: PathBuf, at: SocketAddr, seen: Seen) -> FrontEnd {
+    /// Starts the process and returns without waiting until it listens.
+    pub fn spawn(file: PathBuf, address: SocketAddr, dispatch_log: DispatchLog) -> FrontEnd {
         let mut command = Command::new(PROGRAM);
         command
             .args(["serve", "--platform"])
@@ -156,25 +175,25 @@
             .stderr(Stdio::null());
         FrontEnd {
             process: command.spawn().unwrap(),
-            at,
+            address,
             file,
-            seen,
+            dispatch_log,
         }
     }
 
-    pub fn listens(&self) {
-        let begun = Instant::now();
-        while TcpStream::connect(self.at).is_err() {
+    pub fn wait_until_listening(&self) {
+        let started_at = Instant::now();
+        while TcpStream::connect(self.address).is_err() {
             assert!(
-                begun.elapsed() < Duration::from_secs(10),
-                "it never listened"
+                started_at.elapsed() < Duration::from_secs(10),
+                "the front end did not start to listen"
             );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
     pub fn client(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.at).unwrap();
+        let stream = TcpStream::connect(self.address).unwrap();
         stream
             .set_read_timeout(Some(Duration::from_secs(6)))
             .unwrap();
@@ -182,14 +201,14 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let told = Command::new("sh")
+        let status = Command::new("sh")
             .args(["-c", &format!("kill -{name} {}", self.process.id())])
             .status();
-        assert!(told.unwrap().success());
+        assert!(status.unwrap().success());
     }
 
     pub fn dispatches(&self, id: &str) -> Vec<Value> {
-        self.seen
+        self.dispatch_log
             .lock()
             .unwrap()
             .get(id)
@@ -207,13 +226,20 @@
         ("replay", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
         ("tags", "memory_mb:512;lanes:2;load_ms:20"),
     ];
-    let mut out = vec![];
-    frames::write_frame(&mut out, frames::INVOKE, stream, None, Some(&fields), body);
-    out
+    let mut output = vec![];
+    frames::write_frame(
+        &mut output,
+        frames::INVOKE,
+        stream,
+        None,
+        Some(&fields),
+        body,
+    );
+    output
 }
 
-/// The next frame: its type, stream, code and body; `None` at the end of the connection.
-pub fn next(client: &mut TcpStream) -> Option<(u8, u32, u8, Vec<u8>)> {
+/// Reads the next frame: its type, stream, code and body. Returns `None` at the end of the connection.
+pub fn read_frame(client: &mut TcpStream) -> Option<(u8, u32, u8, Vec<u8>)> {
     let mut length = [0; 4];
     client.read_exact(&mut length).ok()?;
     let mut frame = vec![0; u32::from_be_bytes(length) as usize];
@@ -226,11 +252,13 @@
     Some((frame[0], stream, frame[5], body.to_vec()))
 }
 
-pub fn ask(client: &mut TcpStream, invocation: &[u8]) -> (u8, u32, u8, Vec<u8>) {
+/// Sends a frame and reads the next one that the front end sends.
+pub fn exchange(client: &mut TcpStream, invocation: &[u8]) -> (u8, u32, u8, Vec<u8>) {
     client.write_all(invocation).unwrap();
-    next(client).expect("an answer")
+    read_frame(client).expect("the front end responds")
 }
 
-pub fn id(n: u64) -> String {
+/// The wire form of an invocation ID or a function's name.
+pub fn hex_id(n: u64) -> String {
     format!("{n:016x}")
 }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front end as the platform starts it.
+//! Runs the `orchidtally` binary as the platform starts its front end: `serve --platform` with the settings file named in
+//! `LB_CONFIG`.
 
 mod kit;
 
@@ -14,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn bodies_and_fields_are_passed_on_unchanged_and_what_is_unusable_is_told() {
-    let front = start("calm");
-    let mut client = front.client();
+fn bodies_and_fields_are_forwarded_unchanged_and_invalid_invocations_are_rejected() {
+    let front_end = start("calm");
+    let mut client = front_end.client();
     let mut ready = vec![];
     frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
     assert_eq!(
-        ask(&mut client, &ready),
+        exchange(&mut client, &ready),
         (frames::READINESS, 0, frames::READY_CODE, vec![])
     );
     for (n, body) in [
@@ -28,78 +29,88 @@
         (2, b"\x00\n\xff"),
         (3, &[9; frames::MAX_BODY_LENGTH]),
     ] {
-        let answer = ask(
+        let answer = exchange(
             &mut client,
-            &invocation(n, &id(n.into()), "update", CALM, body),
+            &invocation(n, &hex_id(n.into()), "update", PROMPT, body),
         );
         assert_eq!(
             answer,
             (frames::RESPONSE, n, frames::SUCCEEDED, body.to_vec())
         );
-        let [sent] = front
-            .dispatches(&id(n.into()))
+        let [sent] = front_end
+            .dispatches(&hex_id(n.into()))
             .try_into()
-            .expect("one dispatch");
+            .expect("exactly one dispatch");
         assert_eq!(
             (&sent["f"]["cls"], &sent["f"]["item"]),
-            (&json!("update"), &json!(CALM))
+            (&json!("update"), &json!(PROMPT))
         );
         assert_eq!(sent["f"]["nonce"], "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
         assert!((1..=3000).contains(&sent["f"]["limit"].as_u64().unwrap()));
         assert_eq!(STANDARD.decode(sent["b"].as_str().unwrap()).unwrap(), body);
     }
-    let unusable = [
-        invocation(4, "xyz", "read", CALM, b""),
-        invocation(5, &id(5), "none", CALM, b""),
-        invocation(6, &id(6), "read", "12", b""),
-        invocation(7, &id(7), "read", CALM, &[0; frames::MAX_BODY_LENGTH + 1]),
-        invocation(8, &id(8), "read", CALM, &[0; 100_000]),
+    let invalid = [
+        invocation(4, "xyz", "read", PROMPT, b""),
+        invocation(5, &hex_id(5), "none", PROMPT, b""),
+        invocation(6, &hex_id(6), "read", "12", b""),
+        invocation(
+            7,
+            &hex_id(7),
+            "read",
+            PROMPT,
+            &[0; frames::MAX_BODY_LENGTH + 1],
+        ),
+        invocation(8, &hex_id(8), "read", PROMPT, &[0; 100_000]),
     ];
-    for (n, bad) in (4..).zip(unusable) {
-        let (kind, stream, code, _) = ask(&mut client, &bad);
+    for (n, bad) in (4..).zip(invalid) {
+        let (kind, stream, code, _) = exchange(&mut client, &bad);
         assert_eq!((kind, stream, code), (frames::RESPONSE, n, frames::ERRORED));
         assert!(
-            front.dispatches(&id(n.into())).is_empty(),
-            "nothing unusable reaches an executor"
+            front_end.dispatches(&hex_id(n.into())).is_empty(),
+            "an invalid invocation must not reach an executor"
         );
     }
-    let used_before = ask(&mut client, &invocation(8, &id(9), "read", CALM, b""));
-    assert_eq!((used_before.1, used_before.2), (0, frames::ERRORED));
-    assert_eq!(next(&mut client), None, "it is closed after that");
+    let reused_stream = exchange(&mut client, &invocation(8, &hex_id(9), "read", PROMPT, b""));
+    assert_eq!((reused_stream.1, reused_stream.2), (0, frames::ERRORED));
+    assert_eq!(
+        read_frame(&mut client),
+        None,
+        "the front end closes the connection after that"
+    );
     for start in [
         &[0; 4][..],
         &60_000_000u32.to_be_bytes(),
         &[0, 0, 0, 9, 99, 0, 0, 0, 0],
     ] {
-        let mut client = front.client();
+        let mut client = front_end.client();
         client.write_all(start).unwrap();
-        let begun = Instant::now();
-        while next(&mut client).is_some() {}
+        let started_at = Instant::now();
+        while read_frame(&mut client).is_some() {}
         assert!(
-            begun.elapsed() < Duration::from_secs(3),
-            "{start:?} is answered or closed in time"
+            started_at.elapsed() < Duration::from_secs(3),
+            "{start:?} was neither answered nor closed in time"
         );
     }
 }
 
 #[test]
-fn spoilt_answers_reach_no_client_and_only_what_may_run_twice_does() {
-    let front = start("spoilt");
-    let mut client = front.client();
+fn invalid_responses_reach_no_client_and_only_idempotent_invocations_are_retried() {
+    let front_end = start("spoilt");
+    let mut client = front_end.client();
     let mut n = 0;
-    for function in [BREAKS_OFF, NOISE] {
+    for function in [TRUNCATED_RESPONSE, GARBAGE_RESPONSE] {
         for (service, code, dispatches) in [
             ("read", frames::SUCCEEDED, 2),
             ("command", frames::ERRORED, 1),
         ] {
             n += 1;
-            let answer = ask(
+            let answer = exchange(
                 &mut client,
-                &invocation(n, &id(n.into()), service, function, b"body"),
+                &invocation(n, &hex_id(n.into()), service, function, b"body"),
             );
             assert_eq!((answer.1, answer.2), (n, code), "{service} of {function}");
             assert_eq!(
-                front.dispatches(&id(n.into())).len(),
+                front_end.dispatches(&hex_id(n.into())).len(),
                 dispatches,
                 "{service} of {function}"
             );
@@ -108,29 +119,33 @@
 }
 
 #[test]
-fn ids_that_are_open_are_refused_and_clients_may_withdraw() {
-    let front = start("open");
-    let (mut one, mut other) = (front.client(), front.client());
-    one.write_all(&invocation(1, &id(1), "command", SILENT, b""))
+fn an_id_in_use_is_rejected_until_its_client_cancels() {
+    let front_end = start("open");
+    let (mut first, mut second) = (front_end.client(), front_end.client());
+    first
+        .write_all(&invocation(1, &hex_id(1), "command", NO_RESPONSE, b""))
         .unwrap();
-    let begun = Instant::now();
-    while front.dispatches(&id(1)).is_empty() {
+    let started_at = Instant::now();
+    while front_end.dispatches(&hex_id(1)).is_empty() {
         assert!(
-            begun.elapsed() < Duration::from_secs(5),
-            "it was never dispatched"
+            started_at.elapsed() < Duration::from_secs(5),
+            "the invocation was not dispatched"
         );
         std::thread::sleep(Duration::from_millis(5));
     }
-    let answer = ask(
-        &mut other,
-        &invocation(1, &id(1), "command", CALM, b"other"),
+    let answer = exchange(
+        &mut second,
+        &invocation(1, &hex_id(1), "command", PROMPT, b"other"),
     );
     assert_eq!(answer.2, frames::ERRORED);
-    let mut withdrawal = vec![];
-    frames::write_frame(&mut withdrawal, frames::CANCEL, 1, None, None, &[]);
-    one.write_all(&withdrawal).unwrap();
-    // No answer is owed for it; the next is that of another stream, and the id is free again.
-    let answer = ask(&mut one, &invocation(2, &id(1), "command", CALM, b"again"));
+    let mut cancel = vec![];
+    frames::write_frame(&mut cancel, frames::CANCEL, 1, None, None, &[]);
+    first.write_all(&cancel).unwrap();
+    // A withdrawn invocation gets no response: the next one is that of another stream, and the ID may be used again.
+    let answer = exchange(
+        &mut first,
+        &invocation(2, &hex_id(1), "command", PROMPT, b"again"),
+    );
     assert_eq!(
         answer,
         (frames::RESPONSE, 2, frames::SUCCEEDED, b"again".to_vec())
@@ -138,7 +153,7 @@
 }
 
 #[test]
-fn a_file_that_can_not_be_used_is_told_with_its_name_and_key() {
+fn an_unusable_settings_file_is_reported_with_its_name_and_key() {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad.json");
     let run = |text: &str| {
         std::fs::write(&file, text).unwrap();
@@ -148,22 +163,25 @@
             .output()
             .unwrap()
     };
-    let mut odd: Value = serde_json::from_str(&told(&[], 128).0).unwrap();
-    odd["settings"]["registryMode"] = "gossip".into();
-    let odd = odd.to_string();
+    let mut unknown_mode: Value = serde_json::from_str(&settings_file(&[], 128).0).unwrap();
+    unknown_mode["settings"]["registryMode"] = "gossip".into();
+    let unknown_mode = unknown_mode.to_string();
     let cases = [
         ("{", "bad.json"),
         (r#"{"name":"n0"}"#, "listen"),
         ("[]", "bad.json"),
-        (&odd, "'registryMode' has an unknown value 'gossip'"),
+        (
+            &unknown_mode,
+            "'registryMode' has an unknown value 'gossip'",
+        ),
     ];
-    for (text, named) in cases {
+    for (text, expected) in cases {
         let output = run(text);
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(2), "{text}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{text}: {stderr}");
         assert!(
-            said.contains("bad.json") && said.contains(named),
-            "{text}: {said}"
+            stderr.contains("bad.json") && stderr.contains(expected),
+            "{text}: {stderr}"
         );
     }
     let missing = Command::new(PROGRAM)
@@ -174,17 +192,18 @@
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// With 48 descriptors there is room for eight connections to executors: the one idle for longest gives way, or
-/// functions whose executors have none would find every place taken for good.
+/// 48 descriptors leave room for eight connections to executors. The front end closes the connection that has been idle
+/// for longest; otherwise the first eight executors would keep the connections, and functions of the others would fail
+/// for good.
 #[test]
-fn more_executors_than_descriptors_are_all_reached() {
-    let front = start_among("descriptors", 24, 48);
-    let mut client = front.client();
+fn more_executors_than_descriptors_all_serve() {
+    let front_end = start_with_executors("descriptors", 24, 48);
+    let mut client = front_end.client();
     for n in 1..=60 {
-        let function = id(0x1000 + n);
-        let (_, stream, code, _) = ask(
+        let function = hex_id(0x1000 + n);
+        let (_, stream, code, _) = exchange(
             &mut client,
-            &invocation(n as u32, &id(n), "command", &function, b"x"),
+            &invocation(n as u32, &hex_id(n), "command", &function, b"x"),
         );
         assert_eq!(
             (stream, code),
@@ -194,26 +213,30 @@
     }
 }
 
-/// Three of ten are left, with all the traffic; what was killed starts from nothing and serves.
+/// Three of ten front ends take all the traffic while seven are killed. The killed ones are restarted without any state
+/// and serve again.
 #[test]
-fn three_of_ten_front_ends_serve_on_after_the_rest_was_killed() {
-    let seen = Seen::default();
-    let hosts: Vec<Value> = (1..=3).map(|n| host(n, executor(seen.clone()))).collect();
-    let begin = |n: usize| start_with(&format!("killed-{n}"), &hosts, 128, seen.clone());
-    let mut all: Vec<FrontEnd> = (0..10).map(begin).collect();
-    let mut ids = 0;
-    let mut round = |fronts: &[FrontEnd], invocations: u32| {
-        let mut clients: Vec<TcpStream> = fronts.iter().map(FrontEnd::client).collect();
+fn three_of_ten_front_ends_serve_while_the_others_are_killed() {
+    let dispatch_log = DispatchLog::default();
+    let hosts: Vec<Value> = (1..=3)
+        .map(|n| host(n, start_executor(dispatch_log.clone())))
+        .collect();
+    let spawn =
+        |n: usize| start_with_hosts(&format!("killed-{n}"), &hosts, 128, dispatch_log.clone());
+    let mut front_ends: Vec<FrontEnd> = (0..10).map(spawn).collect();
+    let mut next_id = 0;
+    let mut round = |front_ends: &[FrontEnd], invocations: u32| {
+        let mut clients: Vec<TcpStream> = front_ends.iter().map(FrontEnd::client).collect();
         for n in 1..=invocations {
             for client in &mut clients {
-                ids += 1;
+                next_id += 1;
                 let service = ["read", "update", "command"][n as usize % 3];
                 client
                     .write_all(&invocation(
                         n,
-                        &id(ids),
+                        &hex_id(next_id),
                         service,
-                        &id(0x2000 + u64::from(n % 7)),
+                        &hex_id(0x2000 + u64::from(n % 7)),
                         b"x",
                     ))
                     .unwrap();
@@ -221,47 +244,57 @@
         }
         for client in &mut clients {
             for _ in 0..invocations {
-                assert_eq!(next(client).expect("an answer").2, frames::SUCCEEDED);
+                assert_eq!(
+                    read_frame(client).expect("the front end responds").2,
+                    frames::SUCCEEDED
+                );
             }
         }
     };
-    round(&all, 12);
-    // Dropped, a front end is killed.
-    all.truncate(3);
-    round(&all, 32);
-    all.extend((3..10).map(begin));
-    round(&all, 12);
-    let seen = seen.lock().unwrap();
-    let mut commands = seen.values().filter(|d| d[0]["f"]["cls"] == "command");
+    round(&front_ends, 12);
+    // Dropping a front end kills its process.
+    front_ends.truncate(3);
+    round(&front_ends, 32);
+    front_ends.extend((3..10).map(spawn));
+    round(&front_ends, 12);
+    let dispatch_log = dispatch_log.lock().unwrap();
+    let mut commands = dispatch_log
+        .values()
+        .filter(|d| d[0]["f"]["cls"] == "command");
     assert!(
         commands.all(|d| d.len() == 1),
-        "what may run once only was dispatched twice"
+        "a non-idempotent invocation was dispatched twice"
     );
 }
 
-/// Usual clients on a third of the descriptors, and a hundred bad ones a second: no usual connection is given up
-/// for them, and each invocation has its answer.
+/// Well-behaved clients use a third of the descriptors while a hundred misbehaving ones connect each second. The front end
+/// closes no well-behaved connection in their favour, and responds to each invocation.
 #[test]
-fn usual_clients_on_a_third_of_the_descriptors_do_not_feel_bad_ones() {
-    let front = start_among("crowd", 2, 192);
-    let mut usual: Vec<TcpStream> = (0..64).map(|_| front.client()).collect();
+fn well_behaved_clients_on_a_third_of_the_descriptors_are_unaffected_by_misbehaving_ones() {
+    let front_end = start_with_executors("crowd", 2, 192);
+    let mut well_behaved: Vec<TcpStream> = (0..64).map(|_| front_end.client()).collect();
     let mut bad: Vec<TcpStream> = vec![];
-    let mut ids = 0;
+    let mut next_id = 0;
     for n in 1..=4u32 {
-        for (m, client) in usual.iter_mut().enumerate() {
+        for (m, client) in well_behaved.iter_mut().enumerate() {
             if n > 1 {
-                // Silent ones, ones with half a frame, and ones that send noise come between any two.
-                let mut worse = front.client();
+                // Between two invocations one misbehaving client connects: it sends nothing, half a frame or garbage.
+                let mut misbehaving_client = front_end.client();
                 match m % 3 {
                     0 => {}
-                    1 => worse.write_all(&[0, 0, 1, 0, frames::INVOKE, 0]).unwrap(),
-                    _ => worse.write_all(&[0xff; 64]).unwrap(),
+                    1 => misbehaving_client
+                        .write_all(&[0, 0, 1, 0, frames::INVOKE, 0])
+                        .unwrap(),
+                    _ => misbehaving_client.write_all(&[0xff; 64]).unwrap(),
                 }
-                bad.push(worse);
+                bad.push(misbehaving_client);
                 std::thread::sleep(Duration::from_millis(10));
             }
-            ids += 1;
-            let answer = ask(client, &invocation(n, &id(ids), "command", CALM, b"usual"));
+            next_id += 1;
+            let answer = exchange(
+                client,
+                &invocation(n, &hex_id(next_id), "command", PROMPT, b"usual"),
+            );
             assert_eq!(
                 (answer.2, answer.3),
                 (frames::SUCCEEDED, b"usual".to_vec()),
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -1,4 +1,5 @@
-//! The real program where two events cross: a file that is half replaced, descriptors that run out.
+//! Runs the `orchidtally` binary where two conditions coincide: SIGHUP with a half-written settings file, and new
+//! connections with no free descriptor.
 
 mod kit;
 
@@ -11,53 +12,54 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// The signal came while the file was half written, and nobody read it again.
+/// Guards against a lost reload: SIGHUP arrived while the settings file was half written, and the front end did not read
+/// the file again.
 #[test]
-fn a_file_that_is_half_replaced_when_the_signal_comes_is_read_again() {
-    let seen = Seen::default();
-    let (told, at) = told(&[host(1, executor(seen.clone()))], 128);
+fn a_file_that_is_half_written_at_sighup_is_read_again() {
+    let dispatch_log = DispatchLog::default();
+    let (settings, address) = settings_file(&[host(1, start_executor(dispatch_log.clone()))], 128);
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("half.json");
-    std::fs::write(&file, &told).unwrap();
+    std::fs::write(&file, &settings).unwrap();
     let mut command = Command::new(PROGRAM);
     command
         .args(["serve", "--platform"])
         .env("LB_CONFIG", &file)
         .stderr(Stdio::piped());
-    let mut front = FrontEnd {
+    let mut front_end = FrontEnd {
         process: command.spawn().unwrap(),
-        at,
+        address,
         file,
-        seen,
+        dispatch_log,
     };
-    front.listens();
-    let mut log = BufReader::new(front.process.stderr.take().unwrap()).lines();
+    front_end.wait_until_listening();
+    let mut log = BufReader::new(front_end.process.stderr.take().unwrap()).lines();
     let resolver = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let mut new: Value = serde_json::from_str(&told).unwrap();
+    let mut new: Value = serde_json::from_str(&settings).unwrap();
     new["dns"] = resolver.local_addr().unwrap().to_string().into();
     let new = new.to_string();
-    std::fs::write(&front.file, &new[..new.len() / 2]).unwrap();
-    front.signal("HUP");
+    std::fs::write(&front_end.file, &new[..new.len() / 2]).unwrap();
+    front_end.signal("HUP");
     assert!(
         log.any(|line| line.unwrap().contains("settings file cannot be used yet")),
-        "it was read half"
+        "the front end reads the half-written file"
     );
-    let mut client = front.client();
+    let mut client = front_end.client();
     assert_eq!(
-        ask(&mut client, &invocation(1, &id(1), "read", CALM, b"")).2,
+        exchange(&mut client, &invocation(1, &hex_id(1), "read", PROMPT, b"")).2,
         frames::SUCCEEDED
     );
-    std::fs::write(&front.file, &new).unwrap();
+    std::fs::write(&front_end.file, &new).unwrap();
     resolver
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
     assert!(
         resolver.recv(&mut [0; 512]).is_ok(),
-        "the new resolver is asked"
+        "the front end queries the new resolver"
     );
 }
 
-/// Processor time that a process has used, in seconds.
-fn used(process: u32) -> f64 {
+/// CPU time that a process has used, in seconds.
+fn cpu_time(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit_once(") ").unwrap().1.split(' ').collect();
     let ticks: f64 = fields[11..13]
@@ -67,96 +69,112 @@
     ticks / 100.0
 }
 
-/// With no descriptor left and connections waiting it asked for them over and over, on a whole core.
+/// Guards against a busy loop: with no free descriptor and connections waiting, the front end retried `accept` without a
+/// pause and used a whole core.
 #[test]
-fn accepting_without_descriptors_neither_spins_nor_shuts_clients_out_for_good() {
-    let seen = Seen::default();
+fn accepting_without_descriptors_neither_spins_nor_blocks_clients_for_good() {
+    let dispatch_log = DispatchLog::default();
     let hosts = [
-        host(1, executor(seen.clone())),
-        host(2, executor(seen.clone())),
+        host(1, start_executor(dispatch_log.clone())),
+        host(2, start_executor(dispatch_log.clone())),
     ];
-    let (told, at) = told(&hosts, 128);
+    let (settings, address) = settings_file(&hosts, 128);
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("descriptors.json");
-    std::fs::write(&file, told).unwrap();
-    // Fewer than it was told of.
+    std::fs::write(&file, settings).unwrap();
+    // Fewer descriptors than the settings file gives.
     let mut command = Command::new("sh");
     command.args([
         "-c",
         &format!("ulimit -n 48; exec {PROGRAM} serve --platform"),
     ]);
     command.env("LB_CONFIG", &file).stderr(Stdio::null());
-    let front = FrontEnd {
+    let front_end = FrontEnd {
         process: command.spawn().unwrap(),
-        at,
+        address,
         file,
-        seen,
+        dispatch_log,
     };
-    front.listens();
-    // More than it has descriptors for, each with an invocation that takes until its client gives up.
+    front_end.wait_until_listening();
+    // More clients than descriptors, each with an invocation that stays open until its client closes the connection.
     let busy: Vec<TcpStream> = (0..60)
         .map(|n| {
-            let mut client = front.client();
+            let mut client = front_end.client();
             client
-                .write_all(&invocation(1, &id(1_000 + n), "command", SILENT, b""))
+                .write_all(&invocation(
+                    1,
+                    &hex_id(1_000 + n),
+                    "command",
+                    NO_RESPONSE,
+                    b"",
+                ))
                 .unwrap();
             client
         })
         .collect();
     std::thread::sleep(Duration::from_millis(300));
-    let before = used(front.process.id());
+    let before = cpu_time(front_end.process.id());
     std::thread::sleep(Duration::from_millis(600));
-    let spent = used(front.process.id()) - before;
-    assert!(spent < 0.3, "{spent} s of processor time in 0.6 s");
-    // It waits already when descriptors come free; no other connection tells of it.
-    let mut client = front.client();
+    let spent = cpu_time(front_end.process.id()) - before;
+    assert!(spent < 0.3, "{spent} s of CPU time in 0.6 s");
+    // This client waits already when descriptors are freed, and no later connection triggers another `accept`.
+    let mut client = front_end.client();
     drop(busy);
     assert_eq!(
-        ask(&mut client, &invocation(1, &id(1), "read", CALM, b"")).2,
+        exchange(&mut client, &invocation(1, &hex_id(1), "read", PROMPT, b"")).2,
         frames::SUCCEEDED
     );
 }
 
-/// Idle clients take all they can while the resolver says nothing and is then another: usual ones are served.
+/// Idle clients open as many connections as they can, first while the resolver does not answer and then while it is
+/// replaced. Other clients are served.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_away_shut_nobody_out() {
-    let front = start_among("idle", 4, 64);
-    let mut usual = front.client();
+fn idle_clients_that_fill_the_descriptors_during_a_resolver_outage_block_nobody() {
+    let front_end = start_with_executors("idle", 4, 64);
+    let mut established = front_end.client();
     assert_eq!(
-        ask(&mut usual, &invocation(1, &id(1), "read", CALM, b"")).2,
+        exchange(
+            &mut established,
+            &invocation(1, &hex_id(1), "read", PROMPT, b"")
+        )
+        .2,
         frames::SUCCEEDED
     );
-    let mut idle: Vec<TcpStream> = (0..200).map(|_| front.client()).collect();
+    let mut idle: Vec<TcpStream> = (0..200).map(|_| front_end.client()).collect();
     assert_eq!(
-        ask(&mut usual, &invocation(2, &id(2), "read", CALM, b"")).2,
+        exchange(
+            &mut established,
+            &invocation(2, &hex_id(2), "read", PROMPT, b"")
+        )
+        .2,
         frames::SUCCEEDED,
-        "it stays"
+        "the established connection stays open"
     );
     let mut new: Value =
-        serde_json::from_str(&std::fs::read_to_string(&front.file).unwrap()).unwrap();
+        serde_json::from_str(&std::fs::read_to_string(&front_end.file).unwrap()).unwrap();
     let resolver = UdpSocket::bind("127.0.0.1:0").unwrap();
     resolver
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
     new["dns"] = resolver.local_addr().unwrap().to_string().into();
-    std::fs::write(&front.file, new.to_string()).unwrap();
-    front.signal("HUP");
+    std::fs::write(&front_end.file, new.to_string()).unwrap();
+    front_end.signal("HUP");
     assert!(
         resolver.recv(&mut [0; 512]).is_ok(),
-        "the file is read and the new one asked"
+        "the front end reads the file and queries the new resolver"
     );
-    idle.extend((0..100).map(|_| front.client()));
-    let begun = Instant::now();
+    idle.extend((0..100).map(|_| front_end.client()));
+    let started_at = Instant::now();
     let mut ready = vec![];
     frames::write_frame(&mut ready, frames::READINESS_QUERY, 0, None, Some(&[]), &[]);
-    let mut new = front.client();
-    assert_eq!(ask(&mut new, &ready).2, frames::READY_CODE);
+    let mut new = front_end.client();
+    assert_eq!(exchange(&mut new, &ready).2, frames::READY_CODE);
     assert_eq!(
-        ask(&mut new, &invocation(1, &id(3), "read", CALM, b"")).2,
+        exchange(&mut new, &invocation(1, &hex_id(3), "read", PROMPT, b"")).2,
         frames::SUCCEEDED
     );
     assert!(
-        begun.elapsed() < Duration::from_secs(5),
+        started_at.elapsed() < Duration::from_secs(5),
         "{:?}",
-        begun.elapsed()
+        started_at.elapsed()
     );
 }
