--- a/crates/cli/tests/kit/mod.rs
+++ b/crates/cli/tests/kit/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the `orchidtally` binary as a platform front end between scripted executors and clients on loopback sockets. Its
-//! resolver never answers.
+//! Runs the `orchidtally` binary as a platform front end between scripted executors and clients on loopback sockets.
+//! Its resolver never answers.
 
 // Each test binary uses a part of this module.
 #![allow(dead_code)]
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,5 +1,5 @@
-//! Runs the `orchidtally` binary as the platform starts its front end: `serve --platform` with the settings file named in
-//! `LB_CONFIG`.
+//! Runs the `orchidtally` binary as the platform starts its front end: `serve --platform` with the settings file named
+//! in `LB_CONFIG`.
 
 mod kit;
 
@@ -267,8 +267,8 @@
     );
 }
 
-/// Well-behaved clients use a third of the descriptors while a hundred misbehaving ones connect each second. The front end
-/// closes no well-behaved connection in their favour, and responds to each invocation.
+/// Well-behaved clients use a third of the descriptors while a hundred misbehaving ones connect each second. The front
+/// end closes no well-behaved connection in their favour, and responds to each invocation.
 #[test]
 fn well_behaved_clients_on_a_third_of_the_descriptors_are_unaffected_by_misbehaving_ones() {
     let front_end = start_with_executors("crowd", 2, 192);
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -12,8 +12,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Guards against a lost reload: SIGHUP arrived while the settings file was half written, and the front end did not read
-/// the file again.
+/// Guards against a lost reload: SIGHUP arrived while the settings file was half written, and the front end did not
+/// read the file again.
 #[test]
 fn a_file_that_is_half_written_at_sighup_is_read_again() {
     let dispatch_log = DispatchLog::default();
@@ -69,8 +69,8 @@
     ticks / 100.0
 }
 
-/// Guards against a busy loop: with no free descriptor and connections waiting, the front end retried `accept` without a
-/// pause and used a whole core.
+/// Guards against a busy loop: with no free descriptor and connections waiting, the front end retried `accept` without
+/// a pause and used a whole core.
 #[test]
 fn accepting_without_descriptors_neither_spins_nor_blocks_clients_for_good() {
     let dispatch_log = DispatchLog::default();
--- a/crates/cli/tests/platform_end.rs
+++ b/crates/cli/tests/platform_end.rs
@@ -105,7 +105,8 @@
     }
 }
 
-/// SIGHUP and SIGTERM arrive together while an invocation is open: it gets its response, and the process exits by itself.
+/// SIGHUP and SIGTERM arrive together while an invocation is open: it gets its response, and the process exits by
+/// itself.
 #[test]
 fn a_reload_during_shutdown_loses_no_invocation() {
     let mut front_end = start("both");
@@ -132,9 +133,9 @@
     assert_eq!(front_end.process.wait().unwrap().code(), Some(0));
 }
 
-/// Clients keep sending on open connections after the front end has announced its shutdown. Each invocation gets a response
-/// for as long as they send. 0.7 s after SIGTERM an invocation is throttled instead of accepted, because one that takes
-/// long could be killed with the process.
+/// Clients keep sending on open connections after the front end has announced its shutdown. Each invocation gets a
+/// response for as long as they send. 0.7 s after SIGTERM an invocation is throttled instead of accepted, because one
+/// that takes long could be killed with the process.
 #[test]
 fn clients_that_keep_sending_after_the_shutdown_notice_get_responses() {
     let mut front_end = start("goes-on");
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -1,44 +1,52 @@
-//! The real program over connections that are reset, cut in the middle of a line, stalled and late.
+//! Scenarios of platform front ends whose connections to executors are reset, cut in the middle of a line, stalled or
+//! slow to be established.
 //!
-//! What is stalled on its way to an executor has left the front end before: for that the rules are judged that go by
-//! what is done, and not those that go by when it arrives.
+//! A request that is stalled on its way to an executor was sent before the stall. The tests that hold requests back
+//! therefore leave out the rules that depend on the time of arrival (3 and 5), and check those that depend on what
+//! runs.
 
-mod day;
+mod scenario;
 
-use day::*;
 use orchidtally_invariants::Verdict;
 use orchidtally_test_servers::fault_proxy::FaultProxy;
+use scenario::*;
 use std::rc::Rc;
 
 const EXECUTORS: usize = 6;
-/// Seconds between two faults of a day.
-const BETWEEN: f64 = 0.25;
-/// Number of a rule.
-const DRAINS: u8 = 3;
-const ORDERS: u8 = 5;
+/// Seconds between two faults.
+const FAULT_INTERVAL: f64 = 0.25;
+/// The number of the rule on draining executors.
+const DRAIN_RULE: u8 = 3;
+/// The number of the rule on load commands.
+const LOAD_COMMAND_RULE: u8 = 5;
 
-/// The links of an executor.
-fn links(day: &Day, x: usize) -> Vec<Rc<FaultProxy>> {
-    day.executors[x].links.borrow().clone()
+/// The fault proxies in front of an executor.
+fn links(fleet: &Fleet, x: usize) -> Vec<Rc<FaultProxy>> {
+    fleet.executors[x].links.borrow().clone()
 }
 
-/// That the links were used: else a day would prove nothing.
-fn assert_used(day: &Day) {
+/// Asserts that connections went through the fault proxies; otherwise the scenario would test nothing.
+fn assert_proxies_used(fleet: &Fleet) {
     let taken: u64 = (0..EXECUTORS)
-        .flat_map(|x| links(day, x))
+        .flat_map(|x| links(fleet, x))
         .map(|link| link.taken.get())
         .sum();
-    assert!(taken > 0, "no connection went over a link");
+    assert!(taken > 0, "no connection went through a fault proxy");
 }
 
-/// That no rule is broken but those named.
-fn kept_but(name: &str, (verdict, succeeded): (Verdict, f64), unjudged: &[u8], least: f64) {
-    let judged = verdict
+/// Asserts that no rule is broken, apart from those in `excluded`.
+fn assert_rules_hold_except(
+    name: &str,
+    (verdict, succeeded): (Verdict, f64),
+    excluded: &[u8],
+    least: f64,
+) {
+    let checked_rules = verdict
         .rules
         .iter()
-        .filter(|rule| !unjudged.contains(&rule.rule));
-    let breaches: Vec<&String> = judged.flat_map(|rule| &rule.examples).collect();
-    assert!(breaches.is_empty(), "{name}: {breaches:#?}");
+        .filter(|rule| !excluded.contains(&rule.rule));
+    let violations: Vec<&String> = checked_rules.flat_map(|rule| &rule.examples).collect();
+    assert!(violations.is_empty(), "{name}: {violations:#?}");
     assert!(
         verdict.rules[0].checked > 50 && verdict.rules[1].checked > 50,
         "{name}: {verdict:?}"
@@ -47,78 +55,85 @@
 }
 
 #[test]
-fn connections_that_are_reset_over_and_over_break_no_rule() {
-    let day = play_prepared("links-reset", 2, 4.0, Day::link, |day| async move {
+fn repeated_connection_resets_break_no_rule() {
+    let outcome = run_scenario_with_setup("links-reset", 2, 4.0, Fleet::link, |fleet| async move {
         for n in 0..10 {
-            day.stage.sleep(BETWEEN).await;
-            links(&day, n % EXECUTORS)
+            fleet.environment.sleep(FAULT_INTERVAL).await;
+            links(&fleet, n % EXECUTORS)
                 .iter()
                 .for_each(|link| link.reset());
         }
-        assert_used(&day);
+        assert_proxies_used(&fleet);
     });
-    kept("links-reset", day, 0.8);
+    assert_rules_hold("links-reset", outcome, 0.8);
 }
 
 #[test]
-fn lines_that_are_cut_in_two_break_no_rule() {
-    let day = play_prepared("links-half", 2, 4.0, Day::link, |day| async move {
+fn connections_reset_within_a_line_break_no_rule() {
+    let outcome = run_scenario_with_setup("links-half", 2, 4.0, Fleet::link, |fleet| async move {
         for n in 0..10 {
-            day.stage.sleep(BETWEEN).await;
+            fleet.environment.sleep(FAULT_INTERVAL).await;
             let bytes = 40 + 70 * n;
-            links(&day, n % EXECUTORS)
+            links(&fleet, n % EXECUTORS)
                 .iter()
                 .for_each(|link| link.reset_after.set(Some(bytes)));
         }
-        assert_used(&day);
+        assert_proxies_used(&fleet);
     });
-    kept("links-half", day, 0.8);
+    assert_rules_hold("links-half", outcome, 0.8);
 }
 
 #[test]
-fn answers_that_come_late_and_together_break_no_rule() {
-    let day = play_prepared("links-answers", 2, 4.0, Day::link, |day| async move {
-        for n in 0..6 {
-            day.stage.sleep(2.0 * BETWEEN).await;
-            let until = day.stage.now() + 0.4;
-            links(&day, n % EXECUTORS)
-                .iter()
-                .for_each(|link| link.stalls_answers.set(until));
-        }
-        assert_used(&day);
-    });
-    kept("links-answers", day, 0.8);
+fn responses_held_back_and_released_together_break_no_rule() {
+    let outcome =
+        run_scenario_with_setup("links-answers", 2, 4.0, Fleet::link, |fleet| async move {
+            for n in 0..6 {
+                fleet.environment.sleep(2.0 * FAULT_INTERVAL).await;
+                let until = fleet.environment.now() + 0.4;
+                links(&fleet, n % EXECUTORS)
+                    .iter()
+                    .for_each(|link| link.stalls_answers.set(until));
+            }
+            assert_proxies_used(&fleet);
+        });
+    assert_rules_hold("links-answers", outcome, 0.8);
 }
 
 #[test]
-fn requests_that_are_released_after_a_stall_run_nothing_twice() {
-    let day = play_prepared("links-requests", 2, 4.0, Day::link, |day| async move {
-        for n in 0..4 {
-            day.stage.sleep(3.0 * BETWEEN).await;
-            let until = day.stage.now() + 0.6;
-            links(&day, n % EXECUTORS)
-                .iter()
-                .for_each(|link| link.stalls_requests.set(until));
-        }
-        assert_used(&day);
-    });
-    kept_but("links-requests", day, &[DRAINS, ORDERS], 0.7);
+fn requests_released_after_a_stall_run_nothing_twice() {
+    let outcome =
+        run_scenario_with_setup("links-requests", 2, 4.0, Fleet::link, |fleet| async move {
+            for n in 0..4 {
+                fleet.environment.sleep(3.0 * FAULT_INTERVAL).await;
+                let until = fleet.environment.now() + 0.6;
+                links(&fleet, n % EXECUTORS)
+                    .iter()
+                    .for_each(|link| link.stalls_requests.set(until));
+            }
+            assert_proxies_used(&fleet);
+        });
+    assert_rules_hold_except(
+        "links-requests",
+        outcome,
+        &[DRAIN_RULE, LOAD_COMMAND_RULE],
+        0.7,
+    );
 }
 
 #[test]
-fn connections_that_are_late_to_be_made_break_no_rule() {
-    let late = |day: &Day| {
-        day.link();
+fn slow_connection_setup_breaks_no_rule() {
+    let set_up = |fleet: &Fleet| {
+        fleet.link();
         (0..EXECUTORS)
-            .flat_map(|x| links(day, x))
+            .flat_map(|x| links(fleet, x))
             .for_each(|link| link.dial_delay.set(0.2));
     };
-    let day = play_prepared("links-dial", 2, 4.0, late, |day| async move {
-        day.stage.sleep(1.5).await;
+    let outcome = run_scenario_with_setup("links-dial", 2, 4.0, set_up, |fleet| async move {
+        fleet.environment.sleep(1.5).await;
         (0..EXECUTORS)
-            .flat_map(|x| links(&day, x))
+            .flat_map(|x| links(&fleet, x))
             .for_each(|link| link.reset());
-        assert_used(&day);
+        assert_proxies_used(&fleet);
     });
-    kept_but("links-dial", day, &[DRAINS, ORDERS], 0.7);
+    assert_rules_hold_except("links-dial", outcome, &[DRAIN_RULE, LOAD_COMMAND_RULE], 0.7);
 }
--- a/crates/cli/tests/platform_shim.rs
+++ b/crates/cli/tests/platform_shim.rs
@@ -1,48 +1,51 @@
-//! The real program on a machine whose wall clock is stepped and whose system calls fail now and then
-//! (`examples/fault_shim.rs`).
+//! Scenarios of platform front ends on a machine whose wall clock is stepped and whose system calls fail at times. The
+//! library `examples/fault_shim.rs` injects these faults.
 
-mod day;
+mod scenario;
 
-use day::*;
 use orchidtally_invariants::{EndpointState, TrafficRecord};
+use scenario::*;
 use std::cell::Cell;
 use std::rc::Rc;
 
 const HOUR: f64 = 3_600.0;
 
 #[test]
-fn a_wall_clock_that_is_stepped_changes_no_span_of_time() {
-    for by in [HOUR, -HOUR, 3.0, -3.0] {
-        let name = format!("stepped{by}");
-        let step = |day: &Day| day.shim(&[("FAULT_WALL", format!("1.2,{by}"))]);
-        let day = play_prepared(&name, 2, 4.0, step, |day| async move {
-            day.stage.sleep(1.5).await;
-            day.change(0, EndpointState::Draining);
-            day.stage.sleep(0.5).await;
-            day.signal(0, "TERM");
-            day.stage.sleep(1.0).await;
-            day.change(1, EndpointState::Gone);
+fn a_wall_clock_step_changes_no_duration() {
+    for clock_step in [HOUR, -HOUR, 3.0, -3.0] {
+        let name = format!("stepped{clock_step}");
+        let set_up = |fleet: &Fleet| {
+            fleet.preload_fault_shim(&[("FAULT_WALL", format!("1.2,{clock_step}"))])
+        };
+        let outcome = run_scenario_with_setup(&name, 2, 4.0, set_up, |fleet| async move {
+            fleet.environment.sleep(1.5).await;
+            fleet.set_endpoint_state(0, EndpointState::Draining);
+            fleet.environment.sleep(0.5).await;
+            fleet.signal(0, "TERM");
+            fleet.environment.sleep(1.0).await;
+            fleet.set_endpoint_state(1, EndpointState::Gone);
         });
-        assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
-        kept(&name, day, 0.7);
+        assert!(outcome.0.rules[2].checked > 0, "{:?}", outcome.0);
+        assert_rules_hold(&name, outcome, 0.7);
     }
 }
 
-/// An executor that has just started, on the list of a front end that starts an hour ahead of it.
+/// An executor that has just started is on the endpoint list of a front end whose wall clock is an hour ahead or
+/// behind. The front end must still treat the executor as cold.
 #[test]
-fn a_front_end_that_starts_after_a_step_takes_a_new_executor_for_new() {
-    for ahead in [0.0, HOUR, -HOUR] {
-        let (reached_cold, reached) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
-        let counts = (reached_cold.clone(), reached.clone());
-        let name = format!("starts-ahead{ahead}");
-        let shim = |day: &Day| {
-            day.shim(&[("FAULT_WALL", format!("0,{ahead}"))]);
-            (2..6).for_each(|x| day.change(x, EndpointState::Gone));
-            day.executors[0].started_at.set(day.stage.now());
+fn a_front_end_with_a_wrong_wall_clock_recognises_a_cold_executor() {
+    for clock_offset in [0.0, HOUR, -HOUR] {
+        let (cold_dispatches, warm_dispatches) = (Rc::new(Cell::new(0)), Rc::new(Cell::new(0)));
+        let counts = (cold_dispatches.clone(), warm_dispatches.clone());
+        let name = format!("starts-ahead{clock_offset}");
+        let set_up = |fleet: &Fleet| {
+            fleet.preload_fault_shim(&[("FAULT_WALL", format!("0,{clock_offset}"))]);
+            (2..6).for_each(|x| fleet.set_endpoint_state(x, EndpointState::Gone));
+            fleet.executors[0].started_at.set(fleet.environment.now());
         };
-        let (verdict, _) = play_prepared(&name, 1, 2.0, shim, |day| async move {
-            day.stage.sleep(0.75).await;
-            for record in day.stage.records() {
+        let (verdict, _) = run_scenario_with_setup(&name, 1, 2.0, set_up, |fleet| async move {
+            fleet.environment.sleep(0.75).await;
+            for record in fleet.environment.records() {
                 let TrafficRecord::DispatchArrived { executor, .. } = record else {
                     continue;
                 };
@@ -52,59 +55,65 @@
         });
         println!(
             "{name}: {} cold, {} warm",
-            reached_cold.get(),
-            reached.get()
+            cold_dispatches.get(),
+            warm_dispatches.get()
         );
         assert!(verdict.holds(), "{verdict:?}");
-        assert!(reached.get() >= 10, "{name}: the warm one serves");
-        // Warm, it would get as many as the other; its budget grants one for each span at the start.
         assert!(
-            4 * reached_cold.get() <= reached.get(),
+            warm_dispatches.get() >= 10,
+            "{name}: the warm executor serves"
+        );
+        // A warm executor would get as many as the other one. The budget of a cold executor grants one dispatch for
+        // each time span at the start.
+        assert!(
+            4 * cold_dispatches.get() <= warm_dispatches.get(),
             "{name}: {} cold",
-            reached_cold.get()
+            cold_dispatches.get()
         );
     }
 }
 
-/// Nothing is held against executors, no client goes without an answer, and a drain is heard of.
+/// Failed system calls of the front end do not count against executors, every client gets a response, and a drain is
+/// still noticed.
 #[test]
-fn system_calls_that_fail_now_and_then_break_nothing() {
+fn intermittent_system_call_failures_break_no_rule() {
     for (seed, percent) in [(1, 2), (2, 10), (3, 10), (4, 15), (5, 15)] {
         let name = format!("calls-{seed}");
-        let shim = |day: &Day| {
-            day.shim(&[
+        let set_up = |fleet: &Fleet| {
+            fleet.preload_fault_shim(&[
                 ("FAULT_PERCENT", format!("{percent}")),
                 ("FAULT_SEED", format!("{seed}")),
             ]);
         };
-        let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
-            day.stage.sleep(0.6).await;
-            day.change(0, EndpointState::Draining);
-            day.stage.sleep(0.8).await;
-            day.signal(0, "HUP");
-            day.change(1, EndpointState::Gone);
+        let outcome = run_scenario_with_setup(&name, 2, 3.0, set_up, |fleet| async move {
+            fleet.environment.sleep(0.6).await;
+            fleet.set_endpoint_state(0, EndpointState::Draining);
+            fleet.environment.sleep(0.8).await;
+            fleet.signal(0, "HUP");
+            fleet.set_endpoint_state(1, EndpointState::Gone);
         });
-        assert!(day.0.rules[2].checked > 0, "{:?}", day.0);
-        kept(&name, day, 0.95);
+        assert!(outcome.0.rules[2].checked > 0, "{:?}", outcome.0);
+        assert_rules_hold(&name, outcome, 0.95);
     }
 }
 
-/// A connection that is broken shows as ETIMEDOUT or EHOSTUNREACH too; what was sent over it may have run all the same.
+/// A broken connection can also show as ETIMEDOUT or EHOSTUNREACH. What was sent over it may have run nevertheless, so
+/// the front end must not treat such an error as a failure to connect.
 #[test]
 fn connections_that_break_with_any_error_break_no_rule() {
     for (seed, broken) in [(1, 5), (2, 20), (3, 60)] {
         let name = format!("broken-{seed}");
-        let shim = |day: &Day| {
-            day.shim(&[
+        let set_up = |fleet: &Fleet| {
+            fleet.preload_fault_shim(&[
                 ("FAULT_BROKEN", format!("{broken}")),
                 ("FAULT_SEED", format!("{seed}")),
             ]);
         };
-        let day = play_prepared(&name, 2, 3.0, shim, |day| async move {
-            day.stage.sleep(1.0).await;
-            day.change(0, EndpointState::Draining);
+        let outcome = run_scenario_with_setup(&name, 2, 3.0, set_up, |fleet| async move {
+            fleet.environment.sleep(1.0).await;
+            fleet.set_endpoint_state(0, EndpointState::Draining);
         });
-        println!("{name}: {} succeeded", day.1);
-        kept(&name, day, 0.6);
+        println!("{name}: {} succeeded", outcome.1);
+        assert_rules_hold(&name, outcome, 0.6);
     }
 }
--- a/crates/cli/tests/platform_soak.rs
+++ b/crates/cli/tests/platform_soak.rs
@@ -1,48 +1,52 @@
-//! Days with faults drawn by seed, alone and together: a few real front ends, signals in series, clients that go on using
-//! their connections until the kill. A short run by default; for a long one, by hand:
+//! Soak test with random faults drawn by seed, one at a time and overlapping: a few front end processes, series of
+//! signals, and clients that keep using their connections until the process is killed. The default run is short. A long
+//! run:
 //!
 //! ```text
 //! SOAK_SEEDS=60 cargo test --release -p orchidtally-cli --test platform_soak -- --nocapture
 //! ```
 //!
-//! `SOAK_FIRST` is the first seed. Each seed has a line; the last one counts the rules checked and broken.
+//! `SOAK_FIRST` is the first seed. The test prints a line for each seed, and at the end the number of checks and of
+//! broken rules.
 
-mod day;
+mod scenario;
 mod soak_faults;
 
-use day::*;
 use orchidtally_invariants::Verdict;
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
-use soak_faults::{FRONT_ENDS, Fault, Wrong, draw, inflict};
+use scenario::*;
+use soak_faults::{FRONT_ENDS, Fault, Problems, apply, draw};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+/// Duration of a scenario's traffic, in seconds.
 const SECONDS: f64 = 7.0;
 
-/// Short deadlines: of the settings, and of the clients.
-const SHORT: f64 = 0.3;
+/// A short client timeout, for the settings and for the clients, in seconds.
+const SHORT_TIMEOUT: f64 = 0.3;
 
-/// The share of invocations that are withdrawn.
-const LEAVING: f64 = 0.1;
+/// The share of invocations that their clients cancel.
+const CANCELLED_SHARE: f64 = 0.1;
 
-/// Days that are played at a time.
-const AT_A_TIME: usize = 4;
+/// Scenarios that run at the same time.
+const CONCURRENT_SCENARIOS: usize = 4;
 
-const SHORT_RUN: u64 = 12;
+/// Seeds of the default run.
+const DEFAULT_SEEDS: u64 = 12;
 
-/// What a day came to.
-struct Played {
+/// The result of a seed.
+struct SeedResult {
     seed: u64,
     verdict: Verdict,
     faults: Vec<Fault>,
-    wrong: Vec<String>,
+    problems: Vec<String>,
 }
 
-impl Played {
-    fn is_sound(&self) -> bool {
-        self.verdict.holds() && self.wrong.is_empty()
+impl SeedResult {
+    fn has_passed(&self) -> bool {
+        self.verdict.holds() && self.problems.is_empty()
     }
 
     fn line(&self) -> String {
@@ -62,21 +66,21 @@
             v.failed,
             v.cancelled_by_client,
             broken.join(" "),
-            if self.is_sound() { "" } else { "  BAD" }
+            if self.has_passed() { "" } else { "  BAD" }
         )
     }
 }
 
-fn play_seed(seed: u64) -> Played {
+fn run_seed(seed: u64) -> SeedResult {
     let mut random = SmallRng::seed_from_u64(seed);
-    let day = Day::new(&format!("soak-{seed}"), FRONT_ENDS, seed);
+    let fleet = Fleet::new(&format!("soak-{seed}"), FRONT_ENDS, seed);
     if random.random_bool(0.3) {
-        day.allow.set(SHORT);
-        day.deadline.set(SHORT);
+        fleet.time_allowed.set(SHORT_TIMEOUT);
+        fleet.client_timeout.set(SHORT_TIMEOUT);
     }
-    day.leaving.set(LEAVING);
-    // Before the first list, which tells the links' addresses.
-    day.link();
+    fleet.cancelled_share.set(CANCELLED_SHARE);
+    // Before the first endpoint list, which contains the proxies' addresses.
+    fleet.link();
     let percent = if random.random_bool(0.3) {
         random.random_range(1..8)
     } else {
@@ -84,101 +88,116 @@
     };
     let step = *[0.0, 0.0, 3_600.0, -3_600.0, 5.0, -5.0]
         .choose(&mut random)
-        .expect("there are some");
-    day.shim(&[
+        .expect("the list is not empty");
+    fleet.preload_fault_shim(&[
         ("FAULT_PERCENT", format!("{percent}")),
         ("FAULT_SEED", format!("{seed}")),
         ("FAULT_WALL", format!("2,{step}")),
     ]);
-    let (wrong, mut faults) = (Wrong::default(), vec![]);
+    let (problems, mut faults) = (Problems::default(), vec![]);
     let all = async {
         for j in 0..FRONT_ENDS {
-            day.start(j).await;
+            fleet.start(j).await;
         }
         let script = async {
-            let mut under_way = vec![];
-            while day.stage.now() < SECONDS - 1.0 {
-                day.stage.sleep(random.random_range(0.15..0.9)).await;
+            let mut running_faults = vec![];
+            while fleet.environment.now() < SECONDS - 1.0 {
+                fleet
+                    .environment
+                    .sleep(random.random_range(0.15..0.9))
+                    .await;
                 let fault = draw(&mut random);
                 faults.push(fault);
-                under_way.push(day.stage.spawn(inflict(day.clone(), fault, wrong.clone())));
+                running_faults.push(fleet.environment.spawn(apply(
+                    fleet.clone(),
+                    fault,
+                    problems.clone(),
+                )));
             }
-            for fault in under_way {
+            for fault in running_faults {
                 fault.await;
             }
         };
-        futures_lite::future::zip(day.traffic(SECONDS), script).await;
+        futures_lite::future::zip(fleet.run_traffic(SECONDS), script).await;
     };
-    async_io::block_on(day.stage.tasks.run(all));
-    for process in day.processes.borrow_mut().iter_mut().flatten() {
+    async_io::block_on(fleet.environment.tasks.run(all));
+    for process in fleet.processes.borrow_mut().iter_mut().flatten() {
         if let Some(status) = process.try_wait().unwrap() {
-            wrong
+            problems
                 .borrow_mut()
-                .push(format!("a front end ended by itself: {status}"));
+                .push(format!("a front end exited without a signal: {status}"));
         }
     }
-    let wrong = wrong.borrow().clone();
-    Played {
+    let problems = problems.borrow().clone();
+    SeedResult {
         seed,
-        verdict: day.verdict(),
+        verdict: fleet.verdict(),
         faults,
-        wrong,
+        problems,
     }
 }
 
-fn number(key: &str, otherwise: u64) -> u64 {
+fn env_number(key: &str, default: u64) -> u64 {
     std::env::var(key)
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(otherwise)
+        .unwrap_or(default)
 }
 
 #[test]
-fn days_with_faults_drawn_by_seed_keep_the_rules() {
-    let (first, count) = (number("SOAK_FIRST", 1), number("SOAK_SEEDS", SHORT_RUN));
-    let (next, played) = (AtomicU64::new(first), Mutex::new(vec![]));
+fn random_faults_drawn_by_seed_break_no_rule() {
+    let (first, count) = (
+        env_number("SOAK_FIRST", 1),
+        env_number("SOAK_SEEDS", DEFAULT_SEEDS),
+    );
+    let (next_seed, results) = (AtomicU64::new(first), Mutex::new(vec![]));
     std::thread::scope(|scope| {
-        for _ in 0..AT_A_TIME {
+        for _ in 0..CONCURRENT_SCENARIOS {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                     if seed >= first + count {
                         return;
                     }
-                    let day = play_seed(seed);
-                    println!("{}", day.line());
-                    let breaches = day.verdict.rules.iter().flat_map(|r| &r.examples);
-                    breaches
-                        .chain(&day.wrong)
-                        .for_each(|what| println!("    {what}"));
-                    if !day.is_sound() {
-                        println!("    faults: {:?}", day.faults);
+                    let result = run_seed(seed);
+                    println!("{}", result.line());
+                    let violations = result.verdict.rules.iter().flat_map(|r| &r.examples);
+                    violations
+                        .chain(&result.problems)
+                        .for_each(|failure| println!("    {failure}"));
+                    if !result.has_passed() {
+                        println!("    faults: {:?}", result.faults);
                     }
-                    let broken = day.verdict.rules.iter().map(|r| r.violations).sum::<u64>();
-                    let checked = day.verdict.rules.iter().map(|r| r.checked).sum::<u64>();
-                    played
+                    let broken = result
+                        .verdict
+                        .rules
+                        .iter()
+                        .map(|r| r.violations)
+                        .sum::<u64>();
+                    let checked = result.verdict.rules.iter().map(|r| r.checked).sum::<u64>();
+                    results
                         .lock()
                         .unwrap()
-                        .push((seed, broken, checked, day.is_sound()));
+                        .push((seed, broken, checked, result.has_passed()));
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap();
-    played.sort_unstable();
-    let (broken, checked): (u64, u64) = played
+    let mut results = results.into_inner().unwrap();
+    results.sort_unstable();
+    let (broken, checked): (u64, u64) = results
         .iter()
         .fold((0, 0), |sum, p| (sum.0 + p.1, sum.1 + p.2));
-    let bad: Vec<u64> = played.iter().filter(|p| !p.3).map(|p| p.0).collect();
-    let worst = played
+    let bad: Vec<u64> = results.iter().filter(|p| !p.3).map(|p| p.0).collect();
+    let worst = results
         .iter()
         .max_by_key(|p| p.1)
         .filter(|p| p.1 > 0)
         .map(|p| p.0);
     println!(
         "{} seeds: {checked} checks, {broken} broken, bad seeds {bad:?}, worst {worst:?}",
-        played.len()
+        results.len()
     );
-    assert!(checked > 500 * count, "too little was checked: {checked}");
+    assert!(checked > 500 * count, "too few checks: {checked}");
     assert!(bad.is_empty(), "seeds {bad:?}");
 }
--- a/crates/cli/tests/soak_faults/mod.rs
+++ b/crates/cli/tests/soak_faults/mod.rs
@@ -1,6 +1,7 @@
-//! The faults of a soak: drawn by seed, and applied to the processes and test servers of a day.
+//! The faults of the soak test: drawn from a seeded generator and applied to the front ends' processes and the test
+//! servers.
 
-use crate::day::*;
+use crate::scenario::*;
 use orchidtally_invariants::{EndpointState, TrafficRecord};
 use orchidtally_test_servers::platform::{AnswerFault, ResponseFault};
 use rand::RngExt;
@@ -13,49 +14,49 @@
 
 pub const EXECUTORS: usize = 6;
 
-/// Executors that stay ready whatever is drawn.
-const STAY: usize = 2;
+/// The first executors, which stay ready whatever faults are drawn.
+const STABLE_EXECUTORS: usize = 2;
 
-/// A change of the list counts as told after so long.
-const TOLD_WITHIN: f64 = 1.5;
+/// Time after which a change of the endpoint list counts as announced, in seconds.
+const ANNOUNCED_WITHIN: f64 = 1.5;
 
-/// SIGKILL comes so long after SIGTERM, and the longest client timeout of the settings.
-const KILLED_AFTER: f64 = 0.7;
+/// Time between SIGTERM and SIGKILL in addition to the client timeout of the settings, in seconds.
+const KILL_DELAY: f64 = 0.7;
 
-/// One fault of a day.
+/// A fault of the soak test. Times are in seconds.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A share of the resolver's answers is odd for a while.
-    OddAnswers(AnswerFault, f64, f64),
-    /// The resolver answers nothing for a while.
-    Silence(f64),
-    /// A share of an executor's answers is spoilt from now on.
-    SpoiltAnswers(usize, ResponseFault, f64),
-    /// An executor's machine is not heard for a while.
-    Vanish(usize, f64),
-    /// An executor stands otherwise from now on.
-    Change(usize, EndpointState),
+    /// A share of the resolver's answers has a fault for a while.
+    FaultyAnswers(AnswerFault, f64, f64),
+    /// The resolver does not answer for a while.
+    ResolverOutage(f64),
+    /// A share of an executor's responses has a fault from now on.
+    InvalidResponses(usize, ResponseFault, f64),
+    /// An executor's machine is silent for a while.
+    ExecutorSilence(usize, f64),
+    /// An executor changes its state on the endpoint list.
+    StateChange(usize, EndpointState),
     /// All connections to an executor are reset.
-    Reset(usize),
-    /// So many more bytes reach an executor from each front end, then the connection is reset.
-    HalfLine(usize, usize),
-    /// What an executor sends comes only after a while.
-    StalledAnswers(usize, f64),
-    /// A front end is stopped for a while.
-    Stop(u32, f64),
-    /// The same, and shortly after it was stopped an executor begins to drain.
-    StopThroughDrain(u32, usize, f64),
-    /// A front end gets SIGHUP so many times.
-    HangUp(u32, u32),
-    /// A front end is told to end, and killed at the earliest; another starts.
-    Replace(u32),
-    /// A front end is killed outright; another starts.
+    ConnectionReset(usize),
+    /// Each front end's connection to an executor is reset after the given number of further bytes.
+    ResetWithinLine(usize, usize),
+    /// An executor's responses are held back for a while.
+    StalledResponses(usize, f64),
+    /// A front end is paused (SIGSTOP) for a while.
+    Pause(u32, f64),
+    /// A front end is paused for a while, and an executor begins to drain shortly after the pause began.
+    DrainDuringPause(u32, usize, f64),
+    /// A front end gets SIGHUP the given number of times.
+    Reload(u32, u32),
+    /// A front end gets SIGTERM, and SIGKILL at the earliest time that is allowed; a new one starts.
+    Restart(u32),
+    /// A front end is killed without SIGTERM; a new one starts.
     Kill(u32),
 }
 
-/// Draws a fault.
+/// Draws a random fault.
 pub fn draw(random: &mut SmallRng) -> Fault {
-    let odd = [
+    let answer_faults = [
         AnswerFault::Dropped,
         AnswerFault::WrongId,
         AnswerFault::Truncated,
@@ -70,7 +71,7 @@
         AnswerFault::UnreadableText,
         AnswerFault::WrongState,
     ];
-    let spoils = [
+    let response_faults = [
         ResponseFault::ResetUnread,
         ResponseFault::CutShort,
         ResponseFault::Garbage,
@@ -80,175 +81,180 @@
     ];
     let (front_end, executor) = (
         random.random_range(0..FRONT_ENDS),
-        random.random_range(STAY..EXECUTORS),
+        random.random_range(STABLE_EXECUTORS..EXECUTORS),
     );
     let time = random.random_range(0.3..1.2);
     let any_executor = random.random_range(0..EXECUTORS);
     match random.random_range(0..16) {
         0..3 => {
-            let odd = *odd.choose(random).expect("there are some");
-            Fault::OddAnswers(odd, random.random_range(0.2..0.6), time)
+            let answer_fault = *answer_faults.choose(random).expect("the list is not empty");
+            Fault::FaultyAnswers(answer_fault, random.random_range(0.2..0.6), time)
         }
-        3 => Fault::Silence(3.0 * time),
+        3 => Fault::ResolverOutage(3.0 * time),
         4 => {
-            let spoil = *spoils.choose(random).expect("there are some");
-            Fault::SpoiltAnswers(any_executor, spoil, 0.05)
+            let response_fault = *response_faults
+                .choose(random)
+                .expect("the list is not empty");
+            Fault::InvalidResponses(any_executor, response_fault, 0.05)
         }
-        5 => Fault::Vanish(executor, time),
-        6 => Fault::Change(executor, EndpointState::Draining),
-        7 => Fault::Change(executor, EndpointState::Gone),
-        8 => Fault::Change(executor, EndpointState::Ready),
-        9 => Fault::Stop(front_end, 1.8 * time),
-        10 => Fault::HangUp(front_end, random.random_range(1..5)),
-        11 => Fault::StopThroughDrain(front_end, executor, random.random_range(1.0..4.0)),
-        12 => Fault::Reset(any_executor),
-        13 => Fault::HalfLine(any_executor, random.random_range(0..2_000)),
-        14 => Fault::StalledAnswers(any_executor, time),
-        _ if random.random_bool(0.5) => Fault::Replace(front_end),
+        5 => Fault::ExecutorSilence(executor, time),
+        6 => Fault::StateChange(executor, EndpointState::Draining),
+        7 => Fault::StateChange(executor, EndpointState::Gone),
+        8 => Fault::StateChange(executor, EndpointState::Ready),
+        9 => Fault::Pause(front_end, 1.8 * time),
+        10 => Fault::Reload(front_end, random.random_range(1..5)),
+        11 => Fault::DrainDuringPause(front_end, executor, random.random_range(1.0..4.0)),
+        12 => Fault::ConnectionReset(any_executor),
+        13 => Fault::ResetWithinLine(any_executor, random.random_range(0..2_000)),
+        14 => Fault::StalledResponses(any_executor, time),
+        _ if random.random_bool(0.5) => Fault::Restart(front_end),
         _ => Fault::Kill(front_end),
     }
 }
 
-/// What is found wrong with a day besides its rules.
-pub type Wrong = Rc<std::cell::RefCell<Vec<String>>>;
+/// Failures other than broken rules.
+pub type Problems = Rc<std::cell::RefCell<Vec<String>>>;
 
-/// Whether the process of a front end is there and under no other fault.
-fn take(day: &Day, j: u32) -> Option<Child> {
-    day.processes.borrow_mut()[j as usize].take()
+/// Takes a front end's process. Returns `None` if another fault has taken it.
+fn take_process(fleet: &Fleet, j: u32) -> Option<Child> {
+    fleet.processes.borrow_mut()[j as usize].take()
 }
 
-async fn change(day: &Day, x: usize, standing: EndpointState) {
-    if standing == EndpointState::Ready {
-        if !day.executors[x].draining.replace(false) {
+async fn change_state(fleet: &Fleet, x: usize, state: EndpointState) {
+    if state == EndpointState::Ready {
+        if !fleet.executors[x].draining.replace(false) {
             return;
         }
-        // It comes back as one that has just started, after it was gone.
-        day.change(x, EndpointState::Gone);
-        day.stage.sleep(0.4).await;
-        day.executors[x].started_at.set(day.stage.now());
+        // The executor is removed first, and returns as one that has just started.
+        fleet.set_endpoint_state(x, EndpointState::Gone);
+        fleet.environment.sleep(0.4).await;
+        fleet.executors[x].started_at.set(fleet.environment.now());
     } else {
-        day.executors[x].draining.set(true);
+        fleet.executors[x].draining.set(true);
     }
-    day.change(x, standing);
-    day.resolver.notify_later(TOLD_WITHIN, FRONT_ENDS);
+    fleet.set_endpoint_state(x, state);
+    fleet.resolver.notify_later(ANNOUNCED_WITHIN, FRONT_ENDS);
 }
 
-/// Waits for the end of a process that was told to end; kills it at the earliest that it may be.
-async fn ended(day: &Day, process: &mut Child, wrong: &Wrong) {
-    let by = day.stage.now() + day.deadline.get() + KILLED_AFTER;
-    while day.stage.now() < by {
+/// Waits for a process to exit after SIGTERM, and kills it at the earliest time that is allowed.
+async fn wait_for_exit(fleet: &Fleet, process: &mut Child, problems: &Problems) {
+    let by = fleet.environment.now() + fleet.client_timeout.get() + KILL_DELAY;
+    while fleet.environment.now() < by {
         if let Some(status) = process.try_wait().unwrap() {
             if status.code() != Some(0) {
-                wrong
+                problems
                     .borrow_mut()
-                    .push(format!("a front end told to end ended with {status}"));
+                    .push(format!("a front end exited with {status} after SIGTERM"));
             }
             return;
         }
-        day.stage.sleep(0.01).await;
+        fleet.environment.sleep(0.01).await;
     }
-    wrong
+    problems
         .borrow_mut()
-        .push("a front end had to be killed after its time".to_owned());
+        .push("a front end did not exit in time after SIGTERM and was killed".to_owned());
     process.kill().unwrap();
     process.wait().unwrap();
 }
 
-/// Stops a front end for a while; an executor begins to drain meanwhile.
-async fn stop(day: &Rc<Day>, j: u32, time: f64, drains: Option<usize>) {
-    let Some(process) = take(day, j) else { return };
-    let at = day.stage.now();
+/// Pauses a front end for a while. The executor `draining`, if any, begins to drain meanwhile.
+async fn pause(fleet: &Rc<Fleet>, j: u32, time: f64, draining: Option<usize>) {
+    let Some(process) = take_process(fleet, j) else {
+        return;
+    };
+    let at = fleet.environment.now();
     signal(process.id(), "STOP");
-    day.stage.sleep(0.1).await;
-    if let Some(x) = drains {
-        change(day, x, EndpointState::Draining).await;
+    fleet.environment.sleep(0.1).await;
+    if let Some(x) = draining {
+        change_state(fleet, x, EndpointState::Draining).await;
     }
-    day.stage.sleep(time).await;
+    fleet.environment.sleep(time).await;
     signal(process.id(), "CONT");
-    day.stage.record(TrafficRecord::FrontEndPaused {
+    fleet.environment.record(TrafficRecord::FrontEndPaused {
         at,
         front_end: j,
-        until: day.stage.now(),
+        until: fleet.environment.now(),
     });
-    day.processes.borrow_mut()[j as usize] = Some(process);
+    fleet.processes.borrow_mut()[j as usize] = Some(process);
 }
 
-pub async fn inflict(day: Rc<Day>, fault: Fault, wrong: Wrong) {
+/// Applies a fault and waits until it is over.
+pub async fn apply(fleet: Rc<Fleet>, fault: Fault, problems: Problems) {
     match fault {
-        Fault::OddAnswers(odd, share, time) => {
-            day.resolver.answer_fault.set(Some((odd, share)));
-            day.stage.sleep(time).await;
-            day.resolver.answer_fault.set(None);
+        Fault::FaultyAnswers(answer_fault, share, time) => {
+            fleet.resolver.answer_fault.set(Some((answer_fault, share)));
+            fleet.environment.sleep(time).await;
+            fleet.resolver.answer_fault.set(None);
         }
-        Fault::Silence(time) => day.resolver.stop_answering(time, 4.5, FRONT_ENDS),
-        Fault::SpoiltAnswers(x, spoil, share) => day.executors[x]
+        Fault::ResolverOutage(time) => fleet.resolver.stop_answering(time, 4.5, FRONT_ENDS),
+        Fault::InvalidResponses(x, response_fault, share) => fleet.executors[x]
             .faults
             .response_fault
-            .set(Some((spoil, share))),
-        Fault::Vanish(x, time) => day.executors[x].go_silent(time),
-        Fault::Reset(x) => day.executors[x]
+            .set(Some((response_fault, share))),
+        Fault::ExecutorSilence(x, time) => fleet.executors[x].go_silent(time),
+        Fault::ConnectionReset(x) => fleet.executors[x]
             .links
             .borrow()
             .iter()
             .for_each(|link| link.reset()),
-        Fault::HalfLine(x, bytes) => {
-            day.executors[x]
+        Fault::ResetWithinLine(x, bytes) => {
+            fleet.executors[x]
                 .links
                 .borrow()
                 .iter()
                 .for_each(|link| link.reset_after.set(Some(bytes)));
         }
-        Fault::StalledAnswers(x, time) => {
-            let until = day.stage.now() + time;
-            day.executors[x]
+        Fault::StalledResponses(x, time) => {
+            let until = fleet.environment.now() + time;
+            fleet.executors[x]
                 .links
                 .borrow()
                 .iter()
                 .for_each(|link| link.stalls_answers.set(until));
         }
-        Fault::Change(x, standing) => change(&day, x, standing).await,
-        Fault::Stop(j, time) => stop(&day, j, time, None).await,
-        Fault::StopThroughDrain(j, x, time) => stop(&day, j, time, Some(x)).await,
-        Fault::HangUp(j, times) => {
+        Fault::StateChange(x, state) => change_state(&fleet, x, state).await,
+        Fault::Pause(j, time) => pause(&fleet, j, time, None).await,
+        Fault::DrainDuringPause(j, x, time) => pause(&fleet, j, time, Some(x)).await,
+        Fault::Reload(j, times) => {
             for _ in 0..times {
-                let Some(id) = day.processes.borrow()[j as usize].as_ref().map(Child::id) else {
+                let Some(id) = fleet.processes.borrow()[j as usize].as_ref().map(Child::id) else {
                     return;
                 };
-                let moved = day.resolver.open(j).unwrap();
-                day.dns.borrow_mut()[j as usize] = moved;
-                // Half of it first, as by a slow writer.
-                std::fs::write(day.file(j), "{").unwrap();
+                let new_address = fleet.resolver.open(j).unwrap();
+                fleet.resolver_addresses.borrow_mut()[j as usize] = new_address;
+                // An incomplete file first, as a slow writer leaves it.
+                std::fs::write(fleet.settings_path(j), "{").unwrap();
                 signal(id, "HUP");
-                day.stage.sleep(0.1).await;
-                day.configure(j);
+                fleet.environment.sleep(0.1).await;
+                fleet.write_settings(j);
             }
         }
-        Fault::Replace(j) => {
-            let Some(mut process) = take(&day, j) else {
+        Fault::Restart(j) => {
+            let Some(mut process) = take_process(&fleet, j) else {
                 return;
             };
             signal(process.id(), "TERM");
-            ended(&day, &mut process, &wrong).await;
-            day.start(j).await;
+            wait_for_exit(&fleet, &mut process, &problems).await;
+            fleet.start(j).await;
         }
         Fault::Kill(j) => {
-            let Some(mut process) = take(&day, j) else {
+            let Some(mut process) = take_process(&fleet, j) else {
                 return;
             };
-            day.stage.record(TrafficRecord::FrontEndKilled {
-                at: day.stage.now(),
+            fleet.environment.record(TrafficRecord::FrontEndKilled {
+                at: fleet.environment.now(),
                 front_end: j,
             });
             process.kill().unwrap();
             process.wait().unwrap();
-            day.start(j).await;
+            fleet.start(j).await;
         }
     }
 }
 
 fn signal(id: u32, name: &str) {
-    let told = std::process::Command::new("sh")
+    let status = std::process::Command::new("sh")
         .args(["-c", &format!("kill -{name} {id}")])
         .status();
-    assert!(told.unwrap().success());
+    assert!(status.unwrap().success());
 }
