--- a/crates/cli/tests/config_store.rs
+++ b/crates/cli/tests/config_store.rs
@@ -1,5 +1,5 @@
-//! A real `orchidtally serve` that follows a store of configuration: one that is paused for longer than its freshness bound wakes with an old view of the
-//! configuration: what was taken away meanwhile is refused.
+//! Runs `orchidtally serve` with a configuration store. A process that is paused for longer than its freshness bound
+//! resumes with an outdated configuration, and must reject what was revoked meanwhile.
 
 #[path = "../../http-frontend/tests/config_kit/mod.rs"]
 mod config_kit;
@@ -9,106 +9,113 @@
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::etcd::EtcdServer;
-use serve_kit::{Serve, answer, file, replace};
+use serve_kit::{Serve, read_response, replace_file, write_file};
 use std::net::TcpStream;
 
-/// Seconds that it is paused for; the kit's freshness bound is 1.5 s.
+/// Duration of the pause in seconds. The freshness bound of `config_kit` is 1.5 s.
 const PAUSE: f64 = 2.5;
 
-/// Does what blocks on a thread of its own, so that store and executor go on.
-async fn unblock<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
-    let (tell, told) = async_channel::bounded(1);
-    std::thread::spawn(move || tell.send_blocking(work()));
-    told.recv().await.unwrap()
+/// Runs blocking work on a thread of its own, so that the store and the executor keep running.
+async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
+    let (sender, receiver) = async_channel::bounded(1);
+    std::thread::spawn(move || sender.send_blocking(work()));
+    receiver.recv().await.unwrap()
 }
 
-async fn answered(stream: TcpStream) -> (u16, String) {
-    unblock(move || answer(stream)).await
+async fn response(stream: TcpStream) -> (u16, String) {
+    run_blocking(move || read_response(stream)).await
 }
 
-fn ran(stage: &TestEnvironment, wanted: &str) -> usize {
-    let is_it = |record: &&TrafficRecord| matches!(record, TrafficRecord::ExecutionStarted { invocation, .. } if invocation == wanted);
-    stage.records().iter().filter(is_it).count()
+fn execution_count(environment: &TestEnvironment, expected: &str) -> usize {
+    let is_start = |record: &&TrafficRecord| matches!(record, TrafficRecord::ExecutionStarted { invocation, .. } if invocation == expected);
+    environment.records().iter().filter(is_start).count()
 }
 
-fn named(name: &str) -> [(&str, &str); 1] {
+fn with_id(name: &str) -> [(&str, &str); 1] {
     [("orchidtally-invocation", name)]
 }
 
 #[test]
-fn what_was_taken_away_during_a_pause_is_refused_on_waking() {
-    let stage = TestEnvironment::new(1);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
+fn functions_revoked_during_a_pause_are_rejected_after_it() {
+    let environment = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
     let snapshot = folder("pause").join("s");
-    // One stream at a time, so that an invocation waits behind another one for its bytes to go out.
+    // One stream at a time, so that a second invocation waits to be sent until the first one has its response.
     let limits =
         r#"limits: { streamsPerConnection: 1, connectionsPerExecutor: 1, connectTime: "10s" },"#;
-    let text = deployment_with(executor(&stage), &etcd.addresses, &snapshot, limits);
-    let path = file("pause.json5", &text);
+    let text = deployment_with(executor(&environment), &etcd.addresses, &snapshot, limits);
+    let path = write_file("pause.json5", &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+    let writer = Writer::new(&environment, &etcd);
+    on(&environment, async {
         writer
             .write(&[("functions/secret", Some(function(true, "refuse")))])
             .await;
-        until(&stage, "it may be called", async || {
-            answered(serve.send("secret", &[])).await.0 == 200
+        until(&environment, "the function may be invoked", async || {
+            response(serve.send("secret", &[])).await.0 == 200
         })
         .await;
-        let before = serve.send("slow", &named("before"));
-        until(&stage, "it is out", async || ran(&stage, "before") == 1).await;
-        let waiting = serve.send("secret", &named("waiting"));
-        stage.sleep(0.3).await;
+        let before = serve.send("slow", &with_id("before"));
+        until(&environment, "the invocation runs", async || {
+            execution_count(&environment, "before") == 1
+        })
+        .await;
+        let waiting = serve.send("secret", &with_id("waiting"));
+        environment.sleep(0.3).await;
         serve.signal("STOP");
         writer
             .write(&[("functions/secret", Some(function(false, "refuse")))])
             .await;
-        let late = serve.send("secret", &named("late"));
-        stage.sleep(PAUSE).await;
+        let late = serve.send("secret", &with_id("late"));
+        environment.sleep(PAUSE).await;
         serve.signal("CONT");
         for (name, stream) in [("waiting", waiting), ("late", late)] {
-            let (status, body) = answered(stream).await;
+            let (status, body) = response(stream).await;
             assert!(matches!(status, 403 | 503), "{name}: {body}");
             assert!(
                 body.contains("functions/secret"),
-                "{name} was refused for what was taken away: {body}"
+                "{name}: the rejection must name the revoked function: {body}"
             );
             assert!(body.contains("\"mayHaveRun\":false"), "{name}: {body}");
-            assert_eq!(ran(&stage, name), 0, "{name}");
+            assert_eq!(execution_count(&environment, name), 0, "{name}");
         }
         assert_eq!(
-            answered(before).await.0,
+            response(before).await.0,
             200,
-            "what was out before is answered"
+            "the invocation that ran before the pause gets its response"
         );
-        until(&stage, "it has read what changed", async || {
-            answered(serve.send("secret", &[])).await.0 == 403
-        })
+        until(
+            &environment,
+            "the front end has read the change",
+            async || response(serve.send("secret", &[])).await.0 == 403,
+        )
         .await;
     });
 }
 
 #[test]
-fn a_file_that_is_read_again_stands_under_what_the_store_has() {
-    let stage = TestEnvironment::new(2);
-    let etcd = EtcdServer::start(&stage, 3).unwrap();
-    let executor = executor(&stage);
+fn the_store_takes_precedence_over_a_reloaded_file() {
+    let environment = TestEnvironment::new(2);
+    let etcd = EtcdServer::start(&environment, 3).unwrap();
+    let executor = executor(&environment);
     let snapshot = folder("reload-store").join("s");
     let text = deployment_with(executor, &etcd.addresses, &snapshot, "");
-    let path = file("reload-store.json5", &text);
+    let path = write_file("reload-store.json5", &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
-    let writer = Writer::new(&stage, &etcd);
-    on(&stage, async {
+    let writer = Writer::new(&environment, &etcd);
+    on(&environment, async {
         let stored = [
             ("functions/listed", Some(function(false, "serve"))),
             ("functions/stored", Some(function(true, "serve"))),
         ];
         writer.write(&stored).await;
-        until(&stage, "it is there", async || {
-            answered(serve.send("stored", &[])).await.0 == 200
-        })
+        until(
+            &environment,
+            "the function of the store is served",
+            async || response(serve.send("stored", &[])).await.0 == 200,
+        )
         .await;
-        replace(
+        replace_file(
             &path,
             &text.replace(
                 r#"{ name: "slow", lanes: 32 }"#,
@@ -116,13 +123,15 @@
             ),
         );
         serve.signal("HUP");
-        until(&stage, "the file's is there", async || {
-            answered(serve.send("other", &[])).await.0 == 200
-        })
+        until(
+            &environment,
+            "the function of the file is served",
+            async || response(serve.send("other", &[])).await.0 == 200,
+        )
         .await;
         for (function, status) in [("stored", 200), ("listed", 403), ("slow", 404)] {
             assert_eq!(
-                answered(serve.send(function, &[])).await.0,
+                response(serve.send(function, &[])).await.0,
                 status,
                 "{function}"
             );
--- a/crates/cli/tests/disk_faults.rs
+++ b/crates/cli/tests/disk_faults.rs
@@ -1,47 +1,49 @@
-//! A real `orchidtally serve` with a journal on a disk that can't be written for a while, and that is killed after.
+//! Runs `orchidtally serve` with a journal on a disk on which writes fail for a while, and kills the process
+//! afterwards.
 
 mod serve_kit;
 
-use serve_kit::{PROGRAM, SLOW, Serve, answer, executor, file};
+use serve_kit::{PROGRAM, SLOW_WORK, Serve, read_response, start_executor, write_file};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// When the disk begins to fail after the first write, and for how long, in seconds.
+/// Time from the first write until the disk begins to fail, in seconds.
 const FAILS_AFTER: f64 = 1.0;
+/// Duration of the disk's failure, in seconds.
 const FAILS_FOR: f64 = 2.0;
 
 fn folder(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // It may not be there yet.
+    // Fails if the directory does not exist yet.
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-fn named(name: &str) -> [(&str, &str); 2] {
+fn with_id(name: &str) -> [(&str, &str); 2] {
     [
         ("orchidtally-invocation", name),
         ("orchidtally-trigger-type", "act"),
     ]
 }
 
-/// Whether an answer is that of an invocation of before.
-fn is_recorded(answer: &str) -> bool {
-    answer.contains("orchidtally-recorded: 1")
+/// Whether a response is the recorded one of an earlier invocation.
+fn is_recorded(response: &str) -> bool {
+    response.contains("orchidtally-recorded: 1")
 }
 
 #[test]
-fn what_was_promised_is_kept_though_the_disk_fails_for_a_while_and_a_kill_follows() {
+fn accepted_invocations_survive_a_disk_failure_and_a_kill() {
     let journal = folder("disk-faults-journal");
     let text = format!(
         r#"{{ triggerTypes: [{{ name: "act", effect: "nonIdempotent", objective: "2s", timeout: "5s", journalled: true }}],
             otherFunctions: {{ lanes: 32, loadTime: "100ms" }}, executors: {{ list: [{{ address: "{}" }}] }},
             journal: {{ folder: "{}", keep: "1h", mostKept: 1000, maxBytes: "1MiB" }} }}"#,
-        executor(),
+        start_executor(),
         journal.display()
     );
-    let deployment = file("disk-faults.json5", &text);
+    let deployment = write_file("disk-faults.json5", &text);
     let arguments = ["--deployment", deployment.to_str().unwrap()];
     let disk = format!("{FAILS_AFTER},{FAILS_FOR},disk-faults-journal");
     let serve = Serve::start_shimmed(&[("FAULT_DISK", disk)], &arguments);
@@ -49,44 +51,44 @@
     let wait_until = |seconds: f64| {
         std::thread::sleep(Duration::from_secs_f64(seconds).saturating_sub(first_write.elapsed()));
     };
-    let before = serve.invoke("f", &named("before"));
+    let before = serve.invoke("f", &with_id("before"));
     assert_eq!(before.0, 200, "{before:?}");
-    // Promised while the disk is sound; its answer comes while it isn't.
-    wait_until(FAILS_AFTER - SLOW / 2.0);
-    let across = serve.send("slow", &named("across"));
+    // Accepted while the disk works; its response arrives while the disk fails.
+    wait_until(FAILS_AFTER - SLOW_WORK / 2.0);
+    let across = serve.send("slow", &with_id("across"));
     wait_until(FAILS_AFTER + 0.2);
-    let refused: Vec<(u16, String)> = (0..3)
-        .map(|n| serve.invoke("f", &named(&format!("refused-{n}"))))
+    let rejected: Vec<(u16, String)> = (0..3)
+        .map(|n| serve.invoke("f", &with_id(&format!("refused-{n}"))))
         .collect();
-    for (status, text) in &refused {
-        assert_eq!(*status, 503, "nothing may be promised: {text}");
+    for (status, text) in &rejected {
+        assert_eq!(*status, 503, "no invocation may be accepted: {text}");
         assert!(text.contains("nothing has run"), "{text}");
     }
-    let across = answer(across);
+    let across = read_response(across);
     wait_until(FAILS_AFTER + FAILS_FOR + 1.0);
-    let again = serve.invoke("f", &named("refused-0"));
+    let again = serve.invoke("f", &with_id("refused-0"));
     assert_eq!((again.0, is_recorded(&again.1)), (200, false), "{again:?}");
-    assert!(is_recorded(&serve.invoke("f", &named("before")).1));
+    assert!(is_recorded(&serve.invoke("f", &with_id("before")).1));
     serve.signal("KILL");
     drop(serve);
-    let checked = Command::new(PROGRAM)
+    let check = Command::new(PROGRAM)
         .args(["journal", "check"])
         .arg(&journal)
         .output()
         .unwrap();
-    assert!(checked.status.success(), "{checked:?}");
+    assert!(check.status.success(), "{check:?}");
     let serve = Serve::start(&arguments);
     for name in ["before", "refused-0"] {
-        let kept = serve.invoke("f", &named(name));
+        let response = serve.invoke("f", &with_id(name));
         assert_eq!(
-            (kept.0, is_recorded(&kept.1)),
+            (response.0, is_recorded(&response.1)),
             (200, true),
-            "{name}: {kept:?}"
+            "{name}: {response:?}"
         );
     }
-    let kept = serve.invoke("slow", &named("across"));
+    let response = serve.invoke("slow", &with_id("across"));
     assert!(
-        is_recorded(&kept.1),
-        "it must not run again: {across:?}, then {kept:?}"
+        is_recorded(&response.1),
+        "the invocation must not run again: {across:?}, then {response:?}"
     );
 }
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -1,5 +1,5 @@
-//! A real `orchidtally serve` that is stopped while an executor is told to drain: what it knew before is asked anew
-//! before anything goes out.
+//! Pauses `orchidtally serve` while an executor begins to drain. After the pause, the process must confirm its endpoint
+//! list before it dispatches anything.
 
 #[path = "../../http-frontend/tests/config_kit/mod.rs"]
 mod config_kit;
@@ -13,17 +13,18 @@
 use orchidtally_test_servers::publisher::{PublishedEndpoint, Publisher};
 use orchidtally_test_servers::store::PackageStore;
 use orchidtally_test_servers::{TestEnvironment, unused_address};
-use serve_kit::{Serve, answer, file};
+use serve_kit::{Serve, read_response, write_file};
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// For how long the process is stopped, in seconds: longer than any grace.
-const STOPPED_FOR: f64 = 3.0;
-/// Requests that wait in its sockets when it goes on. Each is for a function of its own: with only eight functions, drawn
-/// ports placed all of them at one executor about once in 130 runs, and "both serve" failed.
+/// Duration of the pause in seconds, longer than any drain grace.
+const PAUSE: f64 = 3.0;
+/// Requests that wait in the process's sockets when it resumes. Each is for a different function: with only eight
+/// functions, the random ports placed all of them at one executor about once in 130 runs, and the check that both
+/// executors serve failed.
 const WAITING_REQUESTS: usize = 24;
 
-fn executor(stage: &TestEnvironment, number: usize) -> Rc<Executor> {
+fn start_executor(environment: &TestEnvironment, number: usize) -> Rc<Executor> {
     let program = || Program {
         concurrency: 32,
         load_time: 0.02,
@@ -31,29 +32,29 @@
         run: echo,
         ..Program::default()
     };
-    let around = SharedResources {
-        store: PackageStore::new(stage, 8.0, 8),
+    let resources = SharedResources {
+        store: PackageStore::new(environment, 8.0, 8),
         catalogue: Rc::new(move |_| Some(program())),
         token_cache: Rc::default(),
         deduplication_window: 5.0,
     };
     Executor::start(
-        stage,
+        environment,
         ExecutorSpec::with_ample_capacity(number),
         unused_address(),
-        around,
+        resources,
     )
     .unwrap()
 }
 
-async fn answered(stream: TcpStream) -> u16 {
-    let (tell, told) = async_channel::bounded(1);
-    std::thread::spawn(move || tell.send_blocking(answer(stream).0));
-    told.recv().await.unwrap()
+async fn response_status(stream: TcpStream) -> u16 {
+    let (sender, receiver) = async_channel::bounded(1);
+    std::thread::spawn(move || sender.send_blocking(read_response(stream).0));
+    receiver.recv().await.unwrap()
 }
 
-/// Executors at which invocations ran whose names begin so.
-fn ran_at(stage: &TestEnvironment, label: &str) -> Vec<usize> {
+/// The executors that ran invocations whose IDs begin with `label`.
+fn executors_that_ran(environment: &TestEnvironment, label: &str) -> Vec<usize> {
     let of = |record: &TrafficRecord| match record {
         TrafficRecord::ExecutionStarted {
             executor,
@@ -62,10 +63,10 @@
         } if invocation.starts_with(label) => Some(*executor),
         _ => None,
     };
-    let mut ran: Vec<usize> = stage.records().iter().filter_map(of).collect();
-    ran.sort_unstable();
-    ran.dedup();
-    ran
+    let mut executors: Vec<usize> = environment.records().iter().filter_map(of).collect();
+    executors.sort_unstable();
+    executors.dedup();
+    executors
 }
 
 fn send(serve: &Serve, label: &str, n: usize) -> TcpStream {
@@ -73,51 +74,61 @@
     serve.send(&format!("f{n}"), &[("orchidtally-invocation", &name)])
 }
 
-/// Stops the process, lets `drain` tell that the first executor drains, and counts where requests run that waited.
-fn drains_during_a_stop(stage: &TestEnvironment, source: &str, name: &str, drain: impl FnOnce()) {
+/// Pauses the process, calls `drain` to announce that the first executor drains, and checks that the requests that
+/// waited run at the other executor only.
+fn check_drain_during_pause(
+    environment: &TestEnvironment,
+    source: &str,
+    name: &str,
+    drain: impl FnOnce(),
+) {
     let text = format!(
         r#"{{ triggerTypes: [{{ name: "look", effect: "idempotent", objective: "2s", timeout: "8s" }}],
             otherFunctions: {{ lanes: 32, loadTime: "100ms" }}, executors: {{ {source} }} }}"#
     );
-    let path = file(name, &text);
+    let path = write_file(name, &text);
     let serve = Serve::start(&["--deployment", path.to_str().unwrap()]);
-    on(stage, async {
-        until(stage, "it serves", async || {
-            answered(serve.send("first", &[])).await == 200
+    on(environment, async {
+        until(environment, "the front end serves", async || {
+            response_status(serve.send("first", &[])).await == 200
         })
         .await;
         for n in 0..WAITING_REQUESTS {
-            assert_eq!(answered(send(&serve, "before", n)).await, 200);
+            assert_eq!(response_status(send(&serve, "before", n)).await, 200);
         }
-        assert_eq!(ran_at(stage, "before"), [0, 1], "both serve");
+        assert_eq!(
+            executors_that_ran(environment, "before"),
+            [0, 1],
+            "both executors serve"
+        );
         serve.signal("STOP");
         drain();
-        stage.sleep(STOPPED_FOR).await;
+        environment.sleep(PAUSE).await;
         let waiting: Vec<TcpStream> = (0..WAITING_REQUESTS)
             .map(|n| send(&serve, "waited", n))
             .collect();
-        stage.sleep(0.1).await;
+        environment.sleep(0.1).await;
         serve.signal("CONT");
         for stream in waiting {
-            assert_eq!(answered(stream).await, 200);
+            assert_eq!(response_status(stream).await, 200);
         }
     });
     assert_eq!(
-        ran_at(stage, "waited"),
+        executors_that_ran(environment, "waited"),
         [1],
-        "the other was told to drain long ago:\n{}",
+        "a request ran at the executor that drains:\n{}",
         serve.log()
     );
 }
 
 #[test]
-fn nothing_leaves_on_a_list_of_etcd_from_before_a_stop() {
-    let stage = TestEnvironment::new(1);
-    let etcd = EtcdServer::start(&stage, 1).unwrap();
-    let executors: Vec<_> = (0..2).map(|n| executor(&stage, n)).collect();
-    let put = |n: usize, standing: &str| {
+fn nothing_is_dispatched_on_an_etcd_list_from_before_a_pause() {
+    let environment = TestEnvironment::new(1);
+    let etcd = EtcdServer::start(&environment, 1).unwrap();
+    let executors: Vec<_> = (0..2).map(|n| start_executor(&environment, n)).collect();
+    let put = |n: usize, state: &str| {
         let key = format!("/orchidtally/executors/{}", executors[n].address).into();
-        let value = format!(r#"{{"standing":"{standing}","since":1}}"#).into();
+        let value = format!(r#"{{"standing":"{state}","since":1}}"#).into();
         etcd.store
             .borrow_mut()
             .put(&PutRequest {
@@ -132,17 +143,17 @@
         r#"etcd: {{ endpoints: ["{}"], lease: "10s" }}"#,
         etcd.addresses[0]
     );
-    drains_during_a_stop(&stage, &source, "stop-etcd.json5", || {
-        // The store is slow to tell it, so that the requests that waited are read before.
-        etcd.faults.stalled.set(stage.now() + STOPPED_FOR + 0.5);
+    check_drain_during_pause(&environment, &source, "stop-etcd.json5", || {
+        // The store is slow to answer, so that the front end reads the waiting requests before it learns of the drain.
+        etcd.faults.stalled.set(environment.now() + PAUSE + 0.5);
         put(0, "draining");
     });
 }
 
 #[test]
-fn nothing_leaves_on_a_publishers_list_from_before_a_stop() {
-    let stage = TestEnvironment::new(2);
-    let executors: Vec<_> = (0..2).map(|n| executor(&stage, n)).collect();
+fn nothing_is_dispatched_on_a_publisher_list_from_before_a_pause() {
+    let environment = TestEnvironment::new(2);
+    let executors: Vec<_> = (0..2).map(|n| start_executor(&environment, n)).collect();
     let row = |n: usize| PublishedEndpoint {
         executor: n,
         address: executors[n].address,
@@ -153,9 +164,9 @@
         state: EndpointState::Ready,
         started_at: f64::NEG_INFINITY,
     };
-    let publisher = Publisher::start(&stage, unused_address(), vec![row(0), row(1)]).unwrap();
+    let publisher = Publisher::start(&environment, unused_address(), vec![row(0), row(1)]).unwrap();
     publisher.delay.set(0.0);
     let source = format!(r#"publisher: "{}""#, publisher.address);
     let drain = || publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
-    drains_during_a_stop(&stage, &source, "stop-publisher.json5", drain);
+    check_drain_during_pause(&environment, &source, "stop-publisher.json5", drain);
 }
--- a/crates/cli/tests/serve_kit/mod.rs
+++ b/crates/cli/tests/serve_kit/mod.rs
@@ -1,6 +1,6 @@
-//! A real `orchidtally serve` on loopback, with executors within the test's process, for tests that signal it.
+//! Runs `orchidtally serve` on loopback with executors in the test's process, for tests that send signals to it.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test binary uses a part of this module.
 
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::executor::{Executor, ExecutorSpec, Program, SharedResources, echo};
@@ -14,19 +14,19 @@
 use std::time::{Duration, Instant};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_orchidtally");
-/// What nothing here takes longer than.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Seconds that invocations of functions whose names begin with `slow` take.
-pub const SLOW: f64 = 1.0;
-
-/// Starts an executor on a thread of its own; it serves any function until the test ends.
-pub fn executor() -> SocketAddr {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Time within which everything that these tests wait for has to happen.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Run time of functions whose names begin with `slow`, in seconds.
+pub const SLOW_WORK: f64 = 1.0;
+
+/// Starts an executor on a thread of its own. It serves any function until the test process exits.
+pub fn start_executor() -> SocketAddr {
+    let (address_sender, address_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = TestEnvironment::new(1);
+        let environment = TestEnvironment::new(1);
         let program = |name: &str| {
             let work = if name.starts_with("slow") {
-                SLOW
+                SLOW_WORK
             } else {
                 0.001
             };
@@ -38,49 +38,50 @@
                 ..Program::default()
             })
         };
-        let around = SharedResources {
-            store: PackageStore::new(&stage, 8.0, 8),
+        let resources = SharedResources {
+            store: PackageStore::new(&environment, 8.0, 8),
             catalogue: Rc::new(program),
             token_cache: Rc::default(),
             deduplication_window: 5.0,
         };
         let executor = Executor::start(
-            &stage,
+            &environment,
             ExecutorSpec::with_ample_capacity(1),
             orchidtally_test_servers::unused_address(),
-            around,
+            resources,
         )
         .unwrap();
-        tell.send(executor.address).unwrap();
-        async_io::block_on(stage.tasks.run(std::future::pending::<()>()));
+        address_sender.send(executor.address).unwrap();
+        async_io::block_on(environment.tasks.run(std::future::pending::<()>()));
     });
-    told.recv().unwrap()
+    address_receiver.recv().unwrap()
 }
 
-/// A file of the test's own.
-pub fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file in the tests' temporary directory.
+pub fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// Puts a text under a path at once, as an operator's tool does.
-pub fn replace(path: &Path, text: &str) {
-    let beside = path.with_extension("new");
-    std::fs::write(&beside, text).unwrap();
-    std::fs::rename(&beside, path).unwrap();
+/// Replaces a file atomically, by a rename, as an operator's tool does.
+pub fn replace_file(path: &Path, text: &str) {
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text).unwrap();
+    std::fs::rename(&temporary, path).unwrap();
 }
 
 /// A front end's process.
 pub struct Serve {
     pub process: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
+    /// What the process has written to standard error.
     log: Arc<Mutex<String>>,
 }
 
 impl Drop for Serve {
     fn drop(&mut self) {
-        // It may have ended already; a paused one ends by this as well.
+        // Fails if the process has exited already. SIGKILL also ends a paused process.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
@@ -92,12 +93,13 @@
         Serve::start_with(arguments, |_| {})
     }
 
-    /// The same; `meanwhile` gets the process before it listens.
+    /// Like [`Serve::start`], but calls `meanwhile` with the process before it listens.
     pub fn start_with(arguments: &[&str], meanwhile: impl FnOnce(&Child)) -> Serve {
         Serve::start_in(&[], arguments, meanwhile)
     }
 
-    /// The same with the library of faults in `examples/fault_shim.rs`, which reads these variables.
+    /// Like [`Serve::start`], with the fault library of `examples/fault_shim.rs` preloaded. `variables` are the
+    /// library's environment variables.
     pub fn start_shimmed(variables: &[(&str, String)], arguments: &[&str]) -> Serve {
         let shim = PathBuf::from(PROGRAM)
             .with_file_name("examples")
@@ -126,75 +128,85 @@
             .spawn()
             .unwrap();
         let log = Arc::<Mutex<String>>::default();
-        let mut errors = BufReader::new(process.stderr.take().unwrap());
-        let kept = log.clone();
+        let mut stderr = BufReader::new(process.stderr.take().unwrap());
+        let log_writer = log.clone();
         std::thread::spawn(move || {
             let mut line = String::new();
-            while errors.read_line(&mut line).is_ok_and(|count| count > 0) {
-                kept.lock().unwrap().push_str(&line);
+            while stderr.read_line(&mut line).is_ok_and(|count| count > 0) {
+                log_writer.lock().unwrap().push_str(&line);
                 line.clear();
             }
         });
         meanwhile(&process);
-        let mut told = String::new();
+        let mut first_line = String::new();
         BufReader::new(process.stdout.take().unwrap())
-            .read_line(&mut told)
+            .read_line(&mut first_line)
             .unwrap();
-        let at = told
+        let address = first_line
             .trim()
             .strip_prefix("listening on http://")
-            .and_then(|at| at.parse().ok());
-        let at = at.unwrap_or_else(|| panic!("it said '{told}': {}", log.lock().unwrap()));
-        Serve { process, at, log }
+            .and_then(|address| address.parse().ok());
+        let address = address.unwrap_or_else(|| {
+            panic!(
+                "unexpected first line of the output: '{first_line}'\n{}",
+                log.lock().unwrap()
+            )
+        });
+        Serve {
+            process,
+            address,
+            log,
+        }
     }
 
-    /// Sends it a signal, such as `HUP`.
+    /// Sends a signal, such as `HUP`, to the process.
     pub fn signal(&self, name: &str) {
         signal(&self.process, name);
     }
 
+    /// The log so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// Waits until its log holds a text so many times.
-    pub fn logs(&self, text: &str, times: usize) {
-        let begun = Instant::now();
+    /// Waits until the log contains `text` at least `times` times.
+    pub fn wait_for_log(&self, text: &str, times: usize) {
+        let started_at = Instant::now();
         while self.log().matches(text).count() < times {
             assert!(
-                begun.elapsed() < PATIENCE,
-                "'{text}' is not {times} times in its log:\n{}",
+                started_at.elapsed() < TIMEOUT,
+                "the log does not contain '{text}' {times} times:\n{}",
                 self.log()
             );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Whether it still runs.
+    /// Whether the process still runs.
     pub fn is_alive(&mut self) -> bool {
         self.process.try_wait().unwrap().is_none()
     }
 
-    /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
-        let begun = Instant::now();
+    /// Waits for the process to exit.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let started_at = Instant::now();
         loop {
             if let Some(status) = self.process.try_wait().unwrap() {
                 return status;
             }
             assert!(
-                begun.elapsed() < PATIENCE,
-                "it did not end:\n{}",
+                started_at.elapsed() < TIMEOUT,
+                "the process did not exit:\n{}",
                 self.log()
             );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Sends an invocation; its answer is read from what this gives.
+    /// Sends an invocation. Returns the connection on which the response arrives.
     pub fn send(&self, function: &str, headers: &[(&str, &str)]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.at).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let mut stream = TcpStream::connect(self.address).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let mut request = format!(
             "POST /v1/functions/{function}/invocations HTTP/1.1\r\nhost: test\r\nconnection: close\r\ncontent-length: 2\r\n"
         );
@@ -207,18 +219,18 @@
         stream
     }
 
-    /// Invokes a function: the status and the whole answer.
+    /// Invokes a function. Returns the status code and the whole response.
     pub fn invoke(&self, function: &str, headers: &[(&str, &str)]) -> (u16, String) {
-        answer(self.send(function, headers))
+        read_response(self.send(function, headers))
     }
 
-    /// The status of an invocation of a function.
+    /// Invokes a function. Returns the status code.
     pub fn status(&self, function: &str) -> u16 {
         self.invoke(function, &[]).0
     }
 }
 
-/// Sends a process a signal, such as `HUP`.
+/// Sends a signal, such as `HUP`, to a process.
 pub fn signal(process: &Child, name: &str) {
     let id = process.id().to_string();
     assert!(
@@ -230,8 +242,8 @@
     );
 }
 
-/// Reads the answer to an invocation.
-pub fn answer(mut stream: TcpStream) -> (u16, String) {
+/// Reads the response to an invocation. Returns the status code and the whole response.
+pub fn read_response(mut stream: TcpStream) -> (u16, String) {
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     let status = text
@@ -239,7 +251,7 @@
         .nth(1)
         .and_then(|status| status.parse().ok());
     (
-        status.unwrap_or_else(|| panic!("no answer: '{text}'")),
+        status.unwrap_or_else(|| panic!("the response has no status: '{text}'")),
         text,
     )
 }
