--- a/crates/cli/tests/command_line/input.rs
+++ b/crates/cli/tests/command_line/input.rs
@@ -1,21 +1,21 @@
-//! Scenario and deployment files: those with faults, and those of the users' bench.
+//! Scenario and deployment files: invalid ones, and scenarios of the users' bench.
 
-use crate::support::{file, run, text};
+use crate::support::{run, text, write_file};
 
 #[test]
-fn bad_input_is_told_with_its_place_and_exit_code_2() {
-    let day = file(
+fn invalid_input_is_reported_with_its_position_and_exit_code_2() {
+    let scenario = write_file(
         "bad-day.json5",
         "{\n  length: '5s',\n  troubles: [{ kind: 'crsh', at: '1s', for: '1s' }],\n}",
     );
-    let output = run(&["rehearse", day.to_str().unwrap()]);
+    let output = run(&["rehearse", scenario.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
-    let told = text(&output.stderr);
+    let stderr = text(&output.stderr);
     assert!(
-        told.contains("bad-day.json5:3:22: troubles[0].kind: 'crsh' is none of 'crash'"),
-        "{told}"
+        stderr.contains("bad-day.json5:3:22: troubles[0].kind: 'crsh' is none of 'crash'"),
+        "{stderr}"
     );
-    let deployment = file(
+    let deployment = write_file(
         "bad.json5",
         "{ triggerTypes: [], otherFunctions: { lanes: 1 }, executors: {} }",
     );
@@ -48,22 +48,22 @@
 }
 
 #[test]
-fn a_day_of_the_bench_is_carried_over_as_far_as_it_goes() {
-    let day = r#"{ "length": 5000000, "zones": ["a", "b"], "servers": [1, 2, 3, 4, 5, 6], "balancers": [1, 2],
+fn a_scenario_of_the_bench_is_imported_as_far_as_supported() {
+    let scenario = r#"{ "length": 5000000, "zones": ["a", "b"], "servers": [1, 2, 3, 4, 5, 6], "balancers": [1, 2],
         "traffic": { "load": 0.2 }, "classes": [],
         "troubles": [{ "kind": "crash", "at": 1000000, "len": 1000000, "size": 0.2 }, { "kind": "eclipse" }] }"#;
-    let day = file("bench-day.json", day);
-    let output = run(&["rehearse", "--bench-day", day.to_str().unwrap()]);
-    let out = text(&output.stdout);
-    assert_eq!(output.status.code(), Some(0), "{out}");
+    let scenario = write_file("bench-day.json", scenario);
+    let output = run(&["rehearse", "--bench-day", scenario.to_str().unwrap()]);
+    let stdout = text(&output.stdout);
+    assert_eq!(output.status.code(), Some(0), "{stdout}");
     assert!(
-        out.contains("not carried over: the trouble 'eclipse'"),
-        "{out}"
+        stdout.contains("not carried over: the trouble 'eclipse'"),
+        "{stdout}"
     );
-    assert!(out.contains("crash"), "{out}");
-    let other = file("no-day.json", "{}");
+    assert!(stdout.contains("crash"), "{stdout}");
+    let not_a_scenario = write_file("no-day.json", "{}");
     assert_eq!(
-        run(&["rehearse", "--bench-day", other.to_str().unwrap()])
+        run(&["rehearse", "--bench-day", not_a_scenario.to_str().unwrap()])
             .status
             .code(),
         Some(2)
--- a/crates/cli/tests/command_line/main.rs
+++ b/crates/cli/tests/command_line/main.rs
@@ -1,4 +1,4 @@
-//! The commands as a user runs them: exit codes, what they print, and whole rehearsals.
+//! Runs the commands as a user does and checks exit codes, output and whole rehearsals.
 
 mod input;
 mod rehearsal;
--- a/crates/cli/tests/command_line/rehearsal.rs
+++ b/crates/cli/tests/command_line/rehearsal.rs
@@ -1,10 +1,10 @@
-//! Whole rehearsals: scenarios that keep the rules, and injected violations that are found.
+//! Whole rehearsals: scenarios in which no rule is broken, and injected violations that are found.
 
-use crate::support::{PROGRAM, broken, file, run, text, verdict};
+use crate::support::{PROGRAM, broken_rules, run, text, verdict, write_file};
 use std::process::{Child, Command, Stdio};
 
 #[test]
-fn bad_days_of_some_seeds_keep_all_rules() {
+fn generated_scenarios_of_several_seeds_break_no_rule() {
     for seed in ["1", "2", "3"] {
         let output = run(&["rehearse", "--length", "6", "--seed", seed]);
         let verdict = verdict(&output);
@@ -15,7 +15,7 @@
             text(&output.stdout)
         );
         assert_eq!(verdict["verdict"], "kept");
-        assert!(broken(&verdict).is_empty());
+        assert!(broken_rules(&verdict).is_empty());
         assert!(
             verdict["invocations"].as_u64().unwrap() > 1_500,
             "{verdict}"
@@ -23,7 +23,7 @@
         for rule in verdict["rules"].as_array().unwrap() {
             assert!(
                 rule["checked"].as_u64().unwrap() > 50,
-                "seed {seed} hardly tried rule {rule}"
+                "seed {seed} checked rule {rule} too few times"
             );
         }
         let overdue = text(&output.stdout).contains("in the module's place");
@@ -32,14 +32,19 @@
 }
 
 #[test]
-fn front_ends_whose_clocks_differ_by_a_second_push_no_cold_executor_over() {
-    let day = r#"{ length: "7s", clockSkew: "1s", clockStep: "60s", rate: 150, troubles: [
+fn clock_differences_between_front_ends_overload_no_cold_executor() {
+    let scenario = r#"{ length: "7s", clockSkew: "1s", clockStep: "60s", rate: 150, troubles: [
         { kind: "crash", at: "1s", for: "1s", size: 0.3 },
         { kind: "deploy", at: "3s", for: "3s", size: 0.5 },
         { kind: "loseLocation", at: "5s", for: "1s" },
     ] }"#;
-    let day = file("clocks.json5", day);
-    let output = run(&["rehearse", day.to_str().unwrap(), "--front-end-log", "warn"]);
+    let scenario = write_file("clocks.json5", scenario);
+    let output = run(&[
+        "rehearse",
+        scenario.to_str().unwrap(),
+        "--front-end-log",
+        "warn",
+    ]);
     let verdict = verdict(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     let cold = &verdict["rules"][3];
@@ -52,20 +57,20 @@
         .count();
     assert_eq!(
         logged, 1,
-        "one front end's clock was stepped, and it says so once"
+        "one front end's clock was stepped, and the step is logged once"
     );
 }
 
 #[test]
-fn clients_of_front_ends_killed_at_the_peak_are_served_by_the_others() {
-    let day = r#"{ length: "5s", rate: 300, troubles: [{ kind: "killFrontEnds", at: "1500ms", for: "2s", size: 0.5 }] }"#;
-    let day = file("killed.json5", day);
-    let output = run(&["rehearse", day.to_str().unwrap()]);
+fn clients_of_killed_front_ends_are_served_by_the_others() {
+    let scenario = r#"{ length: "5s", rate: 300, troubles: [{ kind: "killFrontEnds", at: "1500ms", for: "2s", size: 0.5 }] }"#;
+    let scenario = write_file("killed.json5", scenario);
+    let output = run(&["rehearse", scenario.to_str().unwrap()]);
     let verdict = verdict(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
-    let of = |key: &str| verdict[key].as_u64().unwrap();
+    let count = |key: &str| verdict[key].as_u64().unwrap();
     assert!(
-        of("succeeded") as f64 > 0.95 * of("invocations") as f64,
+        count("succeeded") as f64 > 0.95 * count("invocations") as f64,
         "{}",
         text(&output.stdout)
     );
@@ -76,21 +81,21 @@
         .unwrap();
     assert!(
         !lost.contains(", 0 were at"),
-        "none was out at the kill: {lost}"
+        "no invocation was open at the kill: {lost}"
     );
 }
 
 #[test]
-fn each_planted_breach_is_found_and_named() {
-    let day =
+fn each_injected_violation_is_found_under_its_rule() {
+    let scenario =
         r#"{ length: "4s", frontEnds: 2, executors: 6, locations: 2, rate: 60, functions: 10 }"#;
-    let day = file("planted.json5", day);
+    let scenario = write_file("injected.json5", scenario);
     let children: Vec<(u64, Child)> = (1..=5)
         .map(|rule| {
             let mut command = Command::new(PROGRAM);
             command
                 .arg("rehearse")
-                .arg(&day)
+                .arg(&scenario)
                 .args(["--inject-violation", &rule.to_string()]);
             (
                 rule,
@@ -112,46 +117,50 @@
         );
         let verdict = verdict(&output);
         assert_eq!(verdict["verdict"], "broken");
-        assert_eq!(broken(&verdict), [rule], "{}", text(&output.stdout));
+        assert_eq!(broken_rules(&verdict), [rule], "{}", text(&output.stdout));
     }
 }
 
 #[test]
-fn messages_have_one_answer_and_one_effect_though_half_of_the_front_ends_are_killed() {
-    let day = r#"{ length: "8s", rate: 200, frontEnds: 6, executors: 6, troubles: [
+fn messages_have_one_response_and_one_effect_while_front_ends_are_killed() {
+    let scenario = r#"{ length: "8s", rate: 200, frontEnds: 6, executors: 6, troubles: [
         { kind: "killFrontEnds", at: "2s", for: "2s", size: 0.46 },
         { kind: "deploy", at: "3s", for: "2s", size: 0.5 },
         { kind: "killFrontEnds", at: "5s", for: "1s", size: 1 },
     ] }"#;
-    let day = file("messages.json5", day);
-    let play = |more: &[&str]| {
+    let scenario = write_file("messages.json5", scenario);
+    let rehearse = |more: &[&str]| {
         let mut command = Command::new(PROGRAM);
-        command.arg("rehearse").arg(&day).arg("--mqtt").args(more);
+        command
+            .arg("rehearse")
+            .arg(&scenario)
+            .arg("--mqtt")
+            .args(more);
         command
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
             .unwrap()
     };
-    let (well, planted) = (play(&[]), play(&["--inject-violation", "6"]));
-    let output = well.wait_with_output().unwrap();
+    let (without_violation, injected) = (rehearse(&[]), rehearse(&["--inject-violation", "6"]));
+    let output = without_violation.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
     let mqtt = verdict(&output)["mqtt"].clone();
-    let of = |key: &str| mqtt[key].as_u64().unwrap();
+    let count = |key: &str| mqtt[key].as_u64().unwrap();
     assert!(
-        of("messages") > 150 && of("answers") == of("messages"),
+        count("messages") > 150 && count("answers") == count("messages"),
         "{mqtt}"
     );
     assert_eq!(
         (
-            of("answered_twice"),
-            of("unanswered"),
-            of("effects_twice"),
-            of("untrue")
+            count("answered_twice"),
+            count("unanswered"),
+            count("effects_twice"),
+            count("untrue")
         ),
         (0, 0, 0, 0)
     );
-    let output = planted.wait_with_output().unwrap();
+    let output = injected.wait_with_output().unwrap();
     assert_eq!(output.status.code(), Some(1), "{}", text(&output.stdout));
     assert!(
         verdict(&output)["mqtt"]["effects_twice"].as_u64().unwrap() > 0,
@@ -161,11 +170,15 @@
 }
 
 #[test]
-fn a_roster_from_etcd_that_is_torn_compacted_and_set_back_keeps_all_rules() {
+fn etcd_watch_losses_compactions_and_rollbacks_break_no_rule() {
     let output = run(&["rehearse", "--etcd", "--length", "8"]);
     let verdict = verdict(&output);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stdout));
-    assert!(broken(&verdict).is_empty(), "{}", text(&output.stdout));
+    assert!(
+        broken_rules(&verdict).is_empty(),
+        "{}",
+        text(&output.stdout)
+    );
     let roster = &verdict["roster"];
     assert_eq!(
         (&roster["stale_dispatches"], &roster["cold_fallen"]),
@@ -176,7 +189,7 @@
         "{roster}"
     );
     assert!(roster["relists"].as_u64().unwrap() > 0, "{roster}");
-    let planted = run(&[
+    let injected = run(&[
         "rehearse",
         "--etcd",
         "--length",
@@ -184,27 +197,33 @@
         "--inject-violation",
         "2",
     ]);
-    assert_eq!(planted.status.code(), Some(1), "{}", text(&planted.stdout));
+    assert_eq!(
+        injected.status.code(),
+        Some(1),
+        "{}",
+        text(&injected.stdout)
+    );
 }
 
 #[test]
-fn a_rollout_that_goes_wrong_under_a_bad_day_is_taken_back_in_time() {
-    let day = r#"{ length: "14s", rate: 160, troubles: [
+fn a_faulty_rollout_is_rolled_back_in_time_under_other_faults() {
+    let scenario = r#"{ length: "14s", rate: 160, troubles: [
         { kind: "crash", at: "3s", for: "1s", size: 0.2 },
         { kind: "deploy", at: "5s", for: "4s", size: 0.5 },
         { kind: "killFrontEnds", at: "6s", for: "1s", size: 0.5 },
     ] }"#;
-    let day = file("rollout-day.json5", day);
+    let scenario = write_file("rollout-day.json5", scenario);
     let children: Vec<(&str, Child)> = ["fails", "other-bytes", "fine"]
         .into_iter()
-        .map(|new| {
+        .map(|new_version| {
             let mut command = Command::new(PROGRAM);
-            command
-                .arg("rehearse")
-                .arg(&day)
-                .args(["--rollout", "--new-version", new]);
+            command.arg("rehearse").arg(&scenario).args([
+                "--rollout",
+                "--new-version",
+                new_version,
+            ]);
             (
-                new,
+                new_version,
                 command
                     .stdout(Stdio::piped())
                     .stderr(Stdio::null())
@@ -213,31 +232,31 @@
             )
         })
         .collect();
-    for (new, child) in children {
+    for (new_version, child) in children {
         let output = child.wait_with_output().unwrap();
         assert_eq!(
             output.status.code(),
             Some(0),
-            "{new}: {}",
+            "{new_version}: {}",
             text(&output.stdout)
         );
         let rollout = verdict(&output)["rollout"].clone();
-        let number = |key: &str| rollout[key].as_u64().unwrap();
+        let count = |key: &str| rollout[key].as_u64().unwrap();
         assert_eq!(
-            (number("effects_twice"), number("orders_over_ration")),
+            (count("effects_twice"), count("orders_over_ration")),
             (0, 0)
         );
         assert_eq!(
-            number("digest_mismatches"),
+            count("digest_mismatches"),
             0,
-            "bytes that a digest doesn't name never run"
+            "only packages that match their digest may run"
         );
-        match new {
-            "fine" => assert!(number("ran_new") > 10, "{}", text(&output.stdout)),
-            "other-bytes" => assert_eq!(number("ran_new"), 0),
+        match new_version {
+            "fine" => assert!(count("ran_new") > 10, "{}", text(&output.stdout)),
+            "other-bytes" => assert_eq!(count("ran_new"), 0),
             _ => {}
         }
-        if new != "fine" {
+        if new_version != "fine" {
             assert_eq!(rollout["state"], "taken back");
             assert!(rollout["back_in_s"].as_f64().unwrap() <= 5.0, "{rollout}");
         }
--- a/crates/cli/tests/command_line/rollout.rs
+++ b/crates/cli/tests/command_line/rollout.rs
@@ -1,22 +1,22 @@
-//! The operator's commands on a rollout, and on the journal that its coordinator keeps.
+//! The operator's commands for a rollout and for the coordinator's journal.
 
-use crate::support::{PROGRAM, file, run, text};
+use crate::support::{PROGRAM, run, text, write_file};
 use std::io::{BufRead, BufReader};
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
 
 #[test]
-fn an_operator_plans_starts_pauses_and_takes_back_a_rollout() {
+fn an_operator_plans_starts_pauses_and_rolls_back_a_rollout() {
     let (old, new) = ("1".repeat(64), "2".repeat(64));
     let deployment = format!(
         "{{ frontEnds: {{ count: 4 }}, triggerTypes: [{{ name: 'look', effect: 'idempotent', objective: '1s', timeout: '3s' }}], \
          functions: [{{ name: 'mist', versions: [{{ digest: 'sha256:{old}' }}, {{ digest: 'sha256:{new}' }}], \
          aliases: {{ stable: 'sha256:{old}', next: 'sha256:{new}' }} }}], executors: {{ list: [{{ address: '127.0.0.1:7001' }}] }} }}"
     );
-    let deployment = file("rolled.json5", &deployment);
+    let deployment = write_file("rolled.json5", &deployment);
     let state = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("rollout-state");
     let _ = std::fs::remove_dir_all(&state);
-    let mut serving = Command::new(PROGRAM)
+    let mut coordinator = Command::new(PROGRAM)
         .args([
             "rollout",
             "coordinate",
@@ -33,38 +33,38 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let mut first = String::new();
-    BufReader::new(serving.stdout.take().unwrap())
-        .read_line(&mut first)
+    let mut first_line = String::new();
+    BufReader::new(coordinator.stdout.take().unwrap())
+        .read_line(&mut first_line)
         .unwrap();
-    let at = first
+    let address = first_line
         .trim()
         .strip_prefix("listening on http://")
         .unwrap()
         .to_owned();
     let rollout = |arguments: &[&str]| {
-        let output = run(&[&["rollout"], arguments, &["--at", &at]].concat());
+        let output = run(&[&["rollout"], arguments, &["--at", &address]].concat());
         (
             output.status.code(),
             text(&output.stdout),
             text(&output.stderr),
         )
     };
-    let bad = file(
+    let invalid = write_file(
         "bad-plan.json5",
         "{ name: 'r', function: 'mist',\n  to: 'later', steps: [{ share: 2 }] }",
     );
-    let (code, _, told) = rollout(&["start", bad.to_str().unwrap()]);
+    let (code, _, stderr) = rollout(&["start", invalid.to_str().unwrap()]);
     assert_eq!(code, Some(2));
     assert!(
-        told.contains("bad-plan.json5:2:7: to: 'later' is no alias or digest of 'mist'"),
-        "{told}"
+        stderr.contains("bad-plan.json5:2:7: to: 'later' is no alias or digest of 'mist'"),
+        "{stderr}"
     );
     assert!(
-        told.contains("bad-plan.json5:2:33: steps[0].share: 2 is out of range"),
-        "{told}"
+        stderr.contains("bad-plan.json5:2:33: steps[0].share: 2 is out of range"),
+        "{stderr}"
     );
-    let plan = file(
+    let plan = write_file(
         "plan.json5",
         "{ name: 'r', function: 'mist', to: 'next', loadsPerSecond: 0.5, steps: [{ share: 0.1 }, { share: 1 }] }",
     );
@@ -79,7 +79,11 @@
         "a dry run starts nothing"
     );
     assert_eq!(rollout(&["start", plan]).0, Some(0));
-    assert_eq!(rollout(&["start", plan]).0, Some(1), "it is on already");
+    assert_eq!(
+        rollout(&["start", plan]).0,
+        Some(1),
+        "the rollout has started already"
+    );
     assert_eq!(rollout(&["pause", "r"]).0, Some(0));
     let (_, status, _) = rollout(&["status", "r", "--output", "json"]);
     assert!(status.contains("\"phase\":\"paused\""), "{status}");
@@ -87,7 +91,7 @@
     assert_eq!(
         rollout(&["finish", "r"]).0,
         Some(1),
-        "its last step is not on"
+        "the last step has not started"
     );
     assert_eq!(rollout(&["back", "r", "--why", "it smells"]).0, Some(0));
     let (_, history, _) = rollout(&["history", "r"]);
@@ -95,10 +99,14 @@
         history.contains("it smells") && history.contains("hand"),
         "{history}"
     );
-    drop(serving.stdin.take());
-    assert!(serving.wait().unwrap().success());
-    assert_eq!(rollout(&["status"]).0, Some(3), "nobody is there");
-    // What it kept can be looked into, folded, and is found damaged where it is.
+    drop(coordinator.stdin.take());
+    assert!(coordinator.wait().unwrap().success());
+    assert_eq!(
+        rollout(&["status"]).0,
+        Some(3),
+        "the coordinator has stopped"
+    );
+    // The journal can be shown and compacted, and damage to it is found.
     let folder = state.to_str().unwrap();
     let shown = text(&run(&["journal", "show", folder]).stdout);
     assert!(
--- a/crates/cli/tests/command_line/support.rs
+++ b/crates/cli/tests/command_line/support.rs
@@ -1,4 +1,4 @@
-//! Runs the program and reads what it prints.
+//! Runs the `orchidtally` binary and reads its output.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -13,23 +13,25 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-pub fn file(name: &str, content: &str) -> PathBuf {
+/// Writes a file in the tests' temporary directory.
+pub fn write_file(name: &str, content: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).unwrap();
     path
 }
 
-/// Its last line as JSON.
+/// Parses the last line of the output, which is the verdict as JSON.
 pub fn verdict(output: &Output) -> serde_json::Value {
-    let out = text(&output.stdout);
-    let last = out
+    let stdout = text(&output.stdout);
+    let last_line = stdout
         .lines()
         .last()
         .unwrap_or_else(|| panic!("nothing printed: {}", text(&output.stderr)));
-    serde_json::from_str(last).unwrap()
+    serde_json::from_str(last_line).unwrap()
 }
 
-pub fn broken(verdict: &serde_json::Value) -> Vec<u64> {
+/// The numbers of the rules that a verdict reports as broken.
+pub fn broken_rules(verdict: &serde_json::Value) -> Vec<u64> {
     let rules = verdict["rules"].as_array().unwrap();
     assert_eq!(rules.len(), 5);
     rules
--- a/crates/cli/tests/command_line_texts.rs
+++ b/crates/cli/tests/command_line_texts.rs
@@ -1,7 +1,7 @@
-//! What the commands print and how they end is an interface: help of every command, checks of the examples, and what
-//! is told of a journal. The texts in `command_line_texts` were printed by the build of version 0.2.0.
+//! The output and exit codes of the commands are an interface: the help of every command, the checks of the examples,
+//! and the output on journals. Version 0.2.0 printed the texts in `command_line_texts`.
 //!
-//! After a wanted change `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test command_line_texts` writes them anew.
+//! After an intended change, `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test command_line_texts` rewrites them.
 
 use orchidtally_journal::Journal;
 use std::collections::VecDeque;
@@ -24,11 +24,14 @@
         .unwrap()
 }
 
-/// A command with all that it printed and its exit code, as a shell would show them.
+/// Runs a command. Returns the command with its output and its exit code.
 fn transcript(folder: &Path, arguments: &[&str]) -> String {
     let output = run(folder, arguments);
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
-    let code = output.status.code().expect("it ended by itself");
+    let code = output
+        .status
+        .code()
+        .expect("the command exits without a signal");
     format!(
         "$ orchidtally {}\n{}--- standard error\n{}--- exit code {code}\n\n",
         arguments.join(" "),
@@ -37,8 +40,8 @@
     )
 }
 
-/// Compares a text with the committed one of this name.
-fn check(name: &str, text: &str) {
+/// Compares a text with the committed fixture of this name.
+fn assert_matches_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/command_line_texts")
         .join(name);
@@ -53,12 +56,12 @@
     assert_eq!(text, committed, "{name}");
 }
 
-fn here() -> PathBuf {
+fn temporary_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
 }
 
 fn empty_folder(name: &str) -> PathBuf {
-    let folder = here().join(format!("command-line-texts-{name}"));
+    let folder = temporary_folder().join(format!("command-line-texts-{name}"));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
     folder
@@ -68,7 +71,7 @@
 fn sub_commands(help: &str) -> Vec<String> {
     let listed = help.lines().skip_while(|line| *line != "Commands:").skip(1);
     let listed = listed.take_while(|line| !line.is_empty());
-    // A command is indented by two; what is told of it may go on in lines that are indented further.
+    // A command is indented by two spaces; further lines of its description are indented more.
     let names = listed
         .filter_map(|line| line.strip_prefix("  "))
         .filter(|line| !line.starts_with(' '));
@@ -81,19 +84,19 @@
 #[test]
 fn each_command_prints_its_help() {
     let mut texts = String::new();
-    let mut waiting = VecDeque::from([vec![]]);
+    let mut pending = VecDeque::from([vec![]]);
     let mut commands: Vec<String> = vec![];
-    while let Some(command) = waiting.pop_front() {
+    while let Some(command) = pending.pop_front() {
         let mut arguments: Vec<&str> = command.iter().map(String::as_str).collect();
         arguments.push("--help");
-        texts += &transcript(&here(), &arguments);
-        let help = String::from_utf8(run(&here(), &arguments).stdout).unwrap();
+        texts += &transcript(&temporary_folder(), &arguments);
+        let help = String::from_utf8(run(&temporary_folder(), &arguments).stdout).unwrap();
         for name in sub_commands(&help) {
-            waiting.push_back([command.clone(), vec![name]].concat());
+            pending.push_back([command.clone(), vec![name]].concat());
         }
         commands.push(command.join(" "));
     }
-    check("help.txt", &texts);
+    assert_matches_fixture("help.txt", &texts);
     for name in [
         "serve",
         "check",
@@ -118,13 +121,13 @@
     ];
     let texts: String = commands
         .iter()
-        .map(|command| transcript(&here(), &[command, "-h"]))
+        .map(|command| transcript(&temporary_folder(), &[command, "-h"]))
         .collect();
-    check("short_help.txt", &texts);
+    assert_matches_fixture("short_help.txt", &texts);
 }
 
 #[test]
-fn examples_are_checked_with_the_same_words() {
+fn checks_of_the_examples_print_the_same_text() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/deployments");
     let mut names: Vec<String> = fs::read_dir(&folder)
         .unwrap()
@@ -136,19 +139,19 @@
         .iter()
         .map(|name| transcript(&folder, &["check", name]))
         .collect();
-    check("examples.txt", &texts);
+    assert_matches_fixture("examples.txt", &texts);
 }
 
 #[test]
-fn bad_input_is_told_with_the_same_words_and_codes() {
+fn invalid_input_gives_the_same_messages_and_exit_codes() {
     let folder = empty_folder("bad-input");
-    let bad = r#"{
+    let invalid = r#"{
   listen: "nowhere",
   triggerTypes: [{ name: "a", effect: "twice", timeout: "1s", objective: "2s" }],
   functions: [{ name: "f", lanes: 0 }, { name: "f" }],
   safty: {},
 }"#;
-    fs::write(folder.join("bad.json5"), bad).unwrap();
+    fs::write(folder.join("bad.json5"), invalid).unwrap();
     fs::write(
         folder.join("bad-day.json5"),
         "{ length: '5s', troubles: [{ kind: 'crsh', at: '1s', for: '1s' }] }",
@@ -170,10 +173,10 @@
         .iter()
         .map(|arguments| transcript(&folder, arguments))
         .collect();
-    check("bad_input.txt", &texts);
+    assert_matches_fixture("bad_input.txt", &texts);
 }
 
-/// Checks and shows a journal of these entries, folds them, and shows it again.
+/// Checks and shows a journal with these entries, compacts it, and shows and compacts it again.
 fn journal_transcript(name: &str, entries: &str) -> String {
     let folder = empty_folder(name);
     let (mut journal, _) = Journal::open(&folder.join("state")).unwrap();
@@ -189,21 +192,21 @@
 }
 
 #[test]
-fn journals_are_checked_shown_and_compacted_with_the_same_words() {
-    check("journal_ledger.txt", &journal_transcript("ledger", LEDGER));
-    check(
+fn journal_commands_print_the_same_text() {
+    assert_matches_fixture("journal_ledger.txt", &journal_transcript("ledger", LEDGER));
+    assert_matches_fixture(
         "journal_promises.txt",
         &journal_transcript("promises", PROMISES),
     );
-    check(
+    assert_matches_fixture(
         "journal_coordinator.txt",
         &journal_transcript("coordinator", COORDINATOR_STATE),
     );
-    check(
+    assert_matches_fixture(
         "journal_unknown.txt",
         &journal_transcript("unknown", "no record of any kind\n"),
     );
-    check(
+    assert_matches_fixture(
         "journal_absent.txt",
         &transcript(&empty_folder("absent"), &["journal", "check", "absent"]),
     );
--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -1,5 +1,5 @@
-//! The pages that a newcomer reads first name only files that exist, and the page for whoever is on call has every
-//! message that the programs warn with.
+//! Checks of the documentation: the introductory pages name only files that exist, and the on-call page lists every
+//! warning and error that the processes log.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,8 @@
     "docs/glossary.md",
 ];
 
-/// Where files of these names are, if the text does not say it: the front ends and the dispatch policy.
+/// Folders in which a file is looked up if a page gives its name without a path: the front ends and the dispatch
+/// policy.
 const SOURCE_FOLDERS: [&str; 4] = [
     "crates/platform-frontend/src",
     "crates/http-frontend/src",
@@ -30,7 +31,7 @@
     "crates/platform-frontend",
 ];
 
-/// Texts between backticks, outside of fenced and indented blocks.
+/// The code spans of a Markdown page, without those in fenced and indented blocks.
 fn code_spans(page: &str) -> Vec<String> {
     let mut spans = vec![];
     let mut is_fenced = false;
@@ -95,7 +96,7 @@
     files
 }
 
-/// The string literals of a macro's arguments, which `code` begins with.
+/// The string literals in a macro's arguments. `code` begins after the opening parenthesis.
 fn string_literals(code: &str) -> Vec<String> {
     let mut literals = vec![];
     let mut current: Option<String> = None;
@@ -104,7 +105,7 @@
     while let Some(character) = characters.next() {
         match (&mut current, character) {
             (Some(_), '\\') if characters.peek() == Some(&'\n') => {
-                // A line that is continued without its indentation.
+                // A line continuation drops the indentation of the next line.
                 while characters.next_if(|next| next.is_whitespace()).is_some() {}
             }
             (Some(literal), '\\') => literal.extend(characters.next()),
@@ -122,7 +123,7 @@
     literals
 }
 
-/// The texts of the calls of `warn!` and `error!` in a source file; those without a text of their own are left out.
+/// The messages of `warn!` and `error!` in a source file, without calls that have no constant message.
 fn logged_messages(source: &str) -> Vec<String> {
     ["warn!(", "error!("]
         .iter()
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn on_call_page_has_every_warning_and_error() {
+fn the_on_call_page_lists_every_warning_and_error() {
     let page = std::fs::read_to_string(root().join("docs/on-call.md")).unwrap();
     let mut missing = vec![];
     let mut checked = 0;
--- a/crates/cli/tests/endpoint_texts.rs
+++ b/crates/cli/tests/endpoint_texts.rs
@@ -1,7 +1,7 @@
-//! What a front end and a coordinator answer over HTTP is an interface: status codes, headers and JSON. The texts in
-//! `endpoint_texts` are those of the build of version 0.2.0.
+//! The HTTP responses of a front end and a coordinator are an interface: status codes, headers and JSON. The texts in
+//! `endpoint_texts` are those of version 0.2.0.
 //!
-//! After a wanted change `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test endpoint_texts` writes them anew.
+//! After an intended change, `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test endpoint_texts` rewrites them.
 
 use serde_json::Value;
 use std::fs;
@@ -15,14 +15,14 @@
 /// Headers whose values differ from one run to the next.
 const VARYING_HEADERS: [&str; 2] = ["date", "orchidtally-invocation"];
 
-/// A process that listens, and ends with its input.
-struct Serving {
+/// A listening process, which exits when its input is closed.
+struct ListeningProcess {
     process: Child,
     address: String,
 }
 
-impl Serving {
-    fn start(arguments: &[&str]) -> Serving {
+impl ListeningProcess {
+    fn start(arguments: &[&str]) -> ListeningProcess {
         let mut command = Command::new(PROGRAM);
         command
             .args(arguments)
@@ -32,22 +32,22 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
-        let mut first = String::new();
+            .expect("the process starts");
+        let mut first_line = String::new();
         BufReader::new(process.stdout.take().expect("a pipe"))
-            .read_line(&mut first)
+            .read_line(&mut first_line)
             .expect("a line");
-        let address = first
+        let address = first_line
             .trim()
             .strip_prefix("listening on http://")
-            .expect(&first)
+            .expect(&first_line)
             .to_owned();
-        Serving { process, address }
+        ListeningProcess { process, address }
     }
 
     /// Sends a request; returns the whole response.
     fn exchange(&self, request_line: &str, headers: &[(&str, &str)], body: &str) -> String {
-        let mut stream = TcpStream::connect(&self.address).expect("it listens");
+        let mut stream = TcpStream::connect(&self.address).expect("the process listens");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a timeout");
@@ -59,7 +59,7 @@
         request += &format!("content-length: {}\r\n\r\n{body}", body.len());
         stream
             .write_all(request.as_bytes())
-            .expect("the request is taken");
+            .expect("the request can be sent");
         let mut response = String::new();
         stream
             .read_to_string(&mut response)
@@ -67,7 +67,7 @@
         response
     }
 
-    /// The request, and its response without what varies.
+    /// Sends a request. Returns the request and its response, without the values of headers that vary.
     fn transcript(&self, request_line: &str, headers: &[(&str, &str)], body: &str) -> String {
         let response = self.exchange(request_line, headers, body);
         let (head, body) = response.split_once("\r\n\r\n").expect("a head and a body");
@@ -82,7 +82,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for ListeningProcess {
     fn drop(&mut self) {
         drop(self.process.stdin.take());
         let _ = self.process.wait();
@@ -98,8 +98,8 @@
     }
 }
 
-/// Compares a text with the committed one of this name.
-fn check(name: &str, text: &str) {
+/// Compares a text with the committed fixture of this name.
+fn assert_matches_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/endpoint_texts")
         .join(name);
@@ -111,8 +111,8 @@
     assert_eq!(text, committed, "{name} is now\n{text}");
 }
 
-/// The keys of a JSON value with the kinds of their values.
-fn shape(value: &Value, path: &str, lines: &mut Vec<String>) {
+/// Lists the paths in a JSON value with the types of their values.
+fn collect_shape(value: &Value, path: &str, lines: &mut Vec<String>) {
     let kind = match value {
         Value::Null => "null",
         Value::Bool(_) => "true or false",
@@ -120,13 +120,13 @@
         Value::String(_) => "text",
         Value::Array(list) => {
             list.iter()
-                .for_each(|member| shape(member, &format!("{path}[]"), lines));
+                .for_each(|member| collect_shape(member, &format!("{path}[]"), lines));
             "list"
         }
         Value::Object(members) => {
             members
                 .iter()
-                .for_each(|(key, member)| shape(member, &format!("{path}.{key}"), lines));
+                .for_each(|(key, member)| collect_shape(member, &format!("{path}.{key}"), lines));
             "object"
         }
     };
@@ -136,7 +136,7 @@
 fn shape_text(text: &str) -> String {
     let value: Value = serde_json::from_str(text.trim_end()).expect(text);
     let mut lines = vec![];
-    shape(&value, "", &mut lines);
+    collect_shape(&value, "", &mut lines);
     lines.sort();
     lines.dedup();
     lines.join("\n") + "\n"
@@ -146,8 +146,8 @@
 type InvocationRequest = (String, Vec<(&'static str, &'static str)>, &'static str);
 
 #[test]
-fn a_front_end_answers_invocations_with_the_same_words() {
-    let front_end = Serving::start(&["serve", "--seed", "1"]);
+fn invocations_get_the_same_responses() {
+    let front_end = ListeningProcess::start(&["serve", "--seed", "1"]);
     let invoke = |function: &str| format!("POST /v1/functions/{function}/invocations");
     let requests: [InvocationRequest; 9] = [
         (invoke("upper"), vec![], "dawn"),
@@ -172,38 +172,38 @@
         .iter()
         .map(|(line, headers, body)| front_end.transcript(line, headers, body))
         .collect();
-    check("invocations.txt", &texts);
+    assert_matches_fixture("invocations.txt", &texts);
 }
 
 #[test]
-fn a_front_end_tells_its_status_by_the_same_keys() {
-    let front_end = Serving::start(&["serve", "--seed", "1"]);
+fn the_status_of_a_front_end_has_the_same_keys() {
+    let front_end = ListeningProcess::start(&["serve", "--seed", "1"]);
     let response = front_end.exchange("GET /v1/front-end", &[], "");
     let (head, body) = response.split_once("\r\n\r\n").expect("a head and a body");
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-    check("front_end_status.txt", &shape_text(body));
+    assert_matches_fixture("front_end_status.txt", &shape_text(body));
 }
 
-fn here() -> PathBuf {
+fn temporary_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
 }
 
-fn file(name: &str, content: &str) -> String {
-    let path = here().join(name);
+fn write_file(name: &str, content: &str) -> String {
+    let path = temporary_folder().join(name);
     fs::write(&path, content).expect("the file can be written");
     path.into_os_string()
         .into_string()
         .expect("a path in UTF-8")
 }
 
-/// A coordinator with files of its own, by the name of the test.
-fn coordinator(name: &str) -> Serving {
+/// Starts a coordinator with files of its own, which are named after the test.
+fn start_coordinator(name: &str) -> ListeningProcess {
     let deployment = include_str!("endpoint_texts/deployment.json5");
-    let deployment = file(&format!("endpoint-texts-{name}.json5"), deployment);
-    let state = here().join(format!("endpoint-texts-{name}-state"));
+    let deployment = write_file(&format!("endpoint-texts-{name}.json5"), deployment);
+    let state = temporary_folder().join(format!("endpoint-texts-{name}-state"));
     let _ = fs::remove_dir_all(&state);
     let state = state.to_str().expect("a path in UTF-8");
-    Serving::start(&[
+    ListeningProcess::start(&[
         "rollout",
         "coordinate",
         "--deployment",
@@ -214,14 +214,14 @@
 }
 
 /// Runs `orchidtally rollout`; returns its output and exit code.
-fn rollout(coordinator: &Serving, arguments: &[&str]) -> (String, Option<i32>) {
+fn rollout(coordinator: &ListeningProcess, arguments: &[&str]) -> (String, Option<i32>) {
     let mut command = Command::new(PROGRAM);
     let output = command
         .arg("rollout")
         .args(arguments)
         .args(["--at", &coordinator.address])
         .output();
-    let output = output.expect("the program starts");
+    let output = output.expect("the process starts");
     (
         String::from_utf8(output.stdout).expect("text"),
         output.status.code(),
@@ -229,44 +229,44 @@
 }
 
 #[test]
-fn a_rollout_is_forecast_with_the_same_words_and_figures() {
-    let coordinator = coordinator("forecast");
-    let plan = file(
+fn a_rollout_forecast_has_the_same_text_and_figures() {
+    let coordinator = start_coordinator("forecast");
+    let plan = write_file(
         "endpoint-texts-plan.json5",
         include_str!("endpoint_texts/plan.json5"),
     );
     let (table, code) = rollout(&coordinator, &["start", &plan, "--dry-run"]);
     assert_eq!(code, Some(0));
-    check("dry_run_table.txt", &table);
+    assert_matches_fixture("dry_run_table.txt", &table);
     let (json, code) = rollout(
         &coordinator,
         &["start", &plan, "--dry-run", "--output", "json"],
     );
     assert_eq!(code, Some(0));
-    check("dry_run.json", &json);
+    assert_matches_fixture("dry_run.json", &json);
 }
 
 #[test]
-fn a_rollout_is_told_by_the_same_keys() {
-    let coordinator = coordinator("told");
-    let plan = file(
+fn the_status_of_a_rollout_has_the_same_keys() {
+    let coordinator = start_coordinator("status");
+    let plan = write_file(
         "endpoint-texts-started.json5",
         include_str!("endpoint_texts/plan.json5"),
     );
     assert_eq!(rollout(&coordinator, &["start", &plan]).1, Some(0));
     assert_eq!(rollout(&coordinator, &["pause", "pinned"]).1, Some(0));
     let (status, _) = rollout(&coordinator, &["status", "--output", "json"]);
-    check("rollout_status.txt", &shape_text(&status));
+    assert_matches_fixture("rollout_status.txt", &shape_text(&status));
     let (history, _) = rollout(&coordinator, &["history", "pinned", "--output", "json"]);
-    check("rollout_history.txt", &shape_text(&history));
+    assert_matches_fixture("rollout_history.txt", &shape_text(&history));
     let response = coordinator.exchange("GET /v1/rollouts", &[], "");
     let (_, body) = response.split_once("\r\n\r\n").expect("a head and a body");
-    check("rollouts.txt", &shape_text(body));
+    assert_matches_fixture("rollouts.txt", &shape_text(body));
 }
 
 #[test]
-fn a_coordinator_refuses_with_the_same_words() {
-    let coordinator = coordinator("refuses");
+fn a_coordinator_rejects_requests_with_the_same_text() {
+    let coordinator = start_coordinator("rejects");
     let requests = [
         (
             "POST /v1/rollouts/orders",
@@ -285,5 +285,5 @@
         .iter()
         .map(|(line, body)| coordinator.transcript(line, &[], body))
         .collect();
-    check("coordinator_refusals.txt", &texts);
+    assert_matches_fixture("coordinator_refusals.txt", &texts);
 }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -95,7 +95,7 @@
 
 #[test]
 fn invalid_responses_reach_no_client_and_only_idempotent_invocations_are_retried() {
-    let front_end = start("spoilt");
+    let front_end = start("invalid-responses");
     let mut client = front_end.client();
     let mut n = 0;
     for function in [TRUNCATED_RESPONSE, GARBAGE_RESPONSE] {
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -122,7 +122,7 @@
 
 /// Runs a script without a front end. Returns the rules that the invariant checker finds broken.
 fn broken_rules<F: Future<Output = ()>>(script: impl FnOnce(Rc<Fleet>) -> F) -> Vec<u8> {
-    let fleet = Fleet::new("planted", 1, 5);
+    let fleet = Fleet::new("injected", 1, 5);
     fleet.incarnations.begin(0);
     fleet.resolver.initial_list(0);
     async_io::block_on(fleet.environment.tasks.run(script(fleet.clone())));
--- a/crates/cli/tests/platform_end.rs
+++ b/crates/cli/tests/platform_end.rs
@@ -138,7 +138,7 @@
 /// that takes long could be killed with the process.
 #[test]
 fn clients_that_keep_sending_after_the_shutdown_notice_get_responses() {
-    let mut front_end = start("goes-on");
+    let mut front_end = start("keeps-sending");
     let (mut client, mut other) = (front_end.client(), front_end.client());
     assert_eq!(
         exchange(&mut other, &invocation(1, &hex_id(1), "read", PROMPT, b"")).2,
--- a/crates/cli/tests/platform_soak.rs
+++ b/crates/cli/tests/platform_soak.rs
@@ -125,7 +125,7 @@
         if let Some(status) = process.try_wait().unwrap() {
             problems
                 .borrow_mut()
-                .push(format!("a front end exited without a signal: {status}"));
+                .push(format!("a front end exited unexpectedly: {status}"));
         }
     }
     let problems = problems.borrow().clone();
--- a/crates/cli/tests/roster.rs
+++ b/crates/cli/tests/roster.rs
@@ -1,4 +1,4 @@
-//! `orchidtally roster` against the store's stand-in.
+//! Runs `orchidtally roster` against the test etcd server.
 
 use orchidtally_etcd::rpc::PutRequest;
 use orchidtally_test_servers::TestEnvironment;
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn executors_are_listed_drained_and_given_back() {
-    let (tell, told) = std::sync::mpsc::channel();
+fn executors_are_listed_drained_and_undrained() {
+    let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = TestEnvironment::new(1);
-        let etcd = EtcdServer::start(&stage, 2).unwrap();
+        let environment = TestEnvironment::new(1);
+        let etcd = EtcdServer::start(&environment, 2).unwrap();
         let put = PutRequest {
             key: "/orchidtally/executors/10.0.0.1:7000".into(),
             value: r#"{"location":"north","kind":"gpu","cell":3,"standing":"ready","since":1}"#
@@ -34,10 +34,10 @@
             ..PutRequest::default()
         };
         etcd.store.borrow_mut().put(&put).unwrap();
-        tell.send(etcd.addresses.clone()).unwrap();
-        async_io::block_on(stage.tasks.run(futures_lite::future::pending::<()>()));
+        sender.send(etcd.addresses.clone()).unwrap();
+        async_io::block_on(environment.tasks.run(futures_lite::future::pending::<()>()));
     });
-    let addresses = told.recv().unwrap();
+    let addresses = receiver.recv().unwrap();
     let endpoints: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
     let deployment = |executors: &str| {
         format!(
@@ -77,33 +77,33 @@
         ),
         (&true.into(), 1)
     );
-    let back = roster(&file, &["undrain", "10.0.0.1:7000"]);
+    let undrained = roster(&file, &["undrain", "10.0.0.1:7000"]);
     assert!(
-        text(&back.stdout).contains("is drained no more"),
+        text(&undrained.stdout).contains("is drained no more"),
         "{}",
-        text(&back.stdout)
+        text(&undrained.stdout)
     );
     assert!(text(&roster(&file, &["undrain", "10.0.0.1:7000"]).stdout).contains("was not drained"));
     let watched = text(&roster(&file, &["watch", "--seconds", "0.2"]).stdout);
     assert!(watched.contains("ready"), "{watched}");
-    // A deployment whose executors are listed, and a store that is not there.
-    let other = folder.join("roster-listed.json5");
+    // A deployment with a fixed list of executors, and one whose store is unreachable.
+    let other_deployment = folder.join("roster-listed.json5");
     std::fs::write(
-        &other,
+        &other_deployment,
         deployment(r#"list: [{ address: "10.0.0.1:7000" }]"#),
     )
     .unwrap();
-    assert_eq!(roster(&other, &["list"]).status.code(), Some(2));
+    assert_eq!(roster(&other_deployment, &["list"]).status.code(), Some(2));
     std::fs::write(
-        &other,
+        &other_deployment,
         deployment(r#"etcd: { endpoints: ["127.0.0.1:1"] }"#),
     )
     .unwrap();
-    let away = roster(&other, &["list"]);
-    assert_eq!(away.status.code(), Some(3));
+    let unreachable = roster(&other_deployment, &["list"]);
+    assert_eq!(unreachable.status.code(), Some(3));
     assert!(
-        text(&away.stderr).contains("the store is unreachable"),
+        text(&unreachable.stderr).contains("the store is unreachable"),
         "{}",
-        text(&away.stderr)
+        text(&unreachable.stderr)
     );
 }
--- a/crates/cli/tests/scenario/mod.rs
+++ b/crates/cli/tests/scenario/mod.rs
@@ -25,8 +25,7 @@
 pub const DEDUPLICATION_WINDOW: f64 = 5.0;
 /// The drain grace that the platform grants, in seconds. A front end queries its resolver about six times within it.
 pub const DRAIN_GRACE: f64 = 1.0;
-/// Clients that cancel do so within this time, in seconds. It is about what an invocation takes, so that some cancel
-/// before and some after the response.
+/// Clients that cancel do so within this time, in seconds: about the duration of an invocation.
 const MAX_CANCELLATION_DELAY: f64 = 0.05;
 
 fn settings(front_ends: u32, index: u32, client_timeout: f64) -> Value {
@@ -150,7 +149,7 @@
 
     /// The settings file of a front end.
     pub fn settings_path(&self, j: u32) -> PathBuf {
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("day-{}-{j}.json", self.name))
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("scenario-{}-{j}.json", self.name))
     }
 
     /// The front end's log file, to which each incarnation appends.
