--- a/crates/cli/src/invoke.rs
+++ b/crates/cli/src/invoke.rs
@@ -1,6 +1,6 @@
 //! `orchidtally invoke`: invokes a function at a front end.
 
-use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail};
+use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use orchidtally_http_frontend::ingress;
@@ -11,29 +11,30 @@
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// The function.
+    /// The name of the function.
     name: String,
-    /// The front end.
+    /// The front end's address.
     #[arg(long, default_value = "127.0.0.1:7300")]
     at: SocketAddr,
-    /// The body; from standard input where neither this nor --file is given and it is no terminal.
+    /// The request body. Without this and --file it is read from standard input, unless that is a terminal.
     #[arg(long, short)]
     data: Option<String>,
-    /// A file with the body.
+    /// A file with the request body.
     #[arg(long, conflicts_with = "data")]
     file: Option<PathBuf>,
-    /// The trigger type; not needed where the deployment has only one.
+    /// The trigger type; optional if the deployment has only one.
     #[arg(long, short)]
     trigger_type: Option<String>,
+    /// The customer of the invocation.
     #[arg(long)]
     customer: Option<String>,
-    /// The token of a tokened invocation.
+    /// The deduplication token of a tokened invocation.
     #[arg(long)]
     token: Option<String>,
-    /// How long to wait, in milliseconds.
+    /// Client timeout, in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     time_left: u32,
-    /// Print status and headers as well, on standard error.
+    /// Also print the status and headers, on standard error.
     #[arg(long, short)]
     verbose: bool,
 }
@@ -52,12 +53,12 @@
     }
 }
 
-/// A path segment with all but plain letters escaped.
-fn escaped(name: &str) -> String {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
+/// Percent-encodes a path segment, except for the unreserved characters of RFC 3986.
+fn percent_encoded(name: &str) -> String {
+    let is_unreserved = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     name.bytes()
         .map(|b| {
-            if plain(b) {
+            if is_unreserved(b) {
                 char::from(b).to_string()
             } else {
                 format!("%{b:02X}")
@@ -66,12 +67,15 @@
         .collect()
 }
 
-/// The request that the arguments describe.
+/// Builds the HTTP request that the arguments describe.
 fn request(
     arguments: &Arguments,
     payload: Vec<u8>,
 ) -> Result<http::Request<Full<Bytes>>, http::Error> {
-    let path = format!("/v1/functions/{}/invocations", escaped(&arguments.name));
+    let path = format!(
+        "/v1/functions/{}/invocations",
+        percent_encoded(&arguments.name)
+    );
     let mut request = http::Request::post(path)
         .header(http::header::HOST, arguments.at.to_string())
         .header(ingress::TIME_LEFT, arguments.time_left.to_string());
@@ -88,7 +92,7 @@
     request.body(Full::new(Bytes::from(payload)))
 }
 
-/// Sends a request; returns the head and the body of its response.
+/// Sends a request and returns the head and the body of its response. `time` limits only the connecting.
 async fn exchange(
     at: SocketAddr,
     request: http::Request<Full<Bytes>>,
@@ -98,16 +102,16 @@
     let (mut sender, driver) = hyper::client::conn::http1::handshake(stream)
         .await
         .map_err(std::io::Error::other)?;
-    let work = async {
+    let round_trip = async {
         let (parts, body) = sender.send_request(request).await?.into_parts();
         Ok::<_, hyper::Error>((parts, body.collect().await?.to_bytes()))
     };
-    let drive = async {
-        // The response says how the connection ended.
+    let drive_connection = async {
+        // A connection error is returned by `send_request`.
         let _ = driver.await;
         futures_lite::future::pending().await
     };
-    futures_lite::future::or(work, drive)
+    futures_lite::future::or(round_trip, drive_connection)
         .await
         .map_err(std::io::Error::other)
 }
@@ -119,24 +123,26 @@
     }
 }
 
-/// Invokes a function and prints its response.
+/// Invokes a function and prints the response body: on standard output if the status is a success, otherwise on
+/// standard error.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
-    let payload = payload(&arguments).map_err(|e| fail(BAD_INPUT, format!("no body: {e}")))?;
+    let payload = payload(&arguments)
+        .map_err(|e| fail(BAD_INPUT, format!("can't read the request body: {e}")))?;
     let request = request(&arguments, payload).map_err(|e| fail(BAD_INPUT, e))?;
     let (at, time) = (
         arguments.at,
         Duration::from_millis(arguments.time_left.into()),
     );
-    let answered = async_io::block_on(orchidtally_socket_io::with_timeout(
+    let response = async_io::block_on(orchidtally_socket_io::with_timeout(
         time,
         exchange(at, request, time),
     ));
-    let (parts, body) = match answered {
-        Some(Ok(answered)) => answered,
+    let (parts, body) = match response {
+        Some(Ok(response)) => response,
         Some(Err(e)) => return Err(fail(COULD_NOT_RUN, format!("{at}: {e}"))),
         None => {
-            let reason = format!("{at}: no answer within {} ms", arguments.time_left);
-            return Err(fail(NOT_SO, reason));
+            let reason = format!("{at}: no response within {} ms", arguments.time_left);
+            return Err(fail(NEGATIVE_RESULT, reason));
         }
     };
     if arguments.verbose {
@@ -148,7 +154,11 @@
     } else {
         Box::new(std::io::stderr())
     };
-    // A reader that closed the pipe has seen what it wanted.
+    // A write error is ignored: the reader may have closed the pipe on purpose.
     let _ = out.write_all(&body).and_then(|()| out.flush());
-    if is_success { Ok(()) } else { Err(NOT_SO) }
+    if is_success {
+        Ok(())
+    } else {
+        Err(NEGATIVE_RESULT)
+    }
 }
--- a/crates/cli/src/journal.rs
+++ b/crates/cli/src/journal.rs
@@ -1,6 +1,6 @@
-//! `orchidtally journal`: looks into a folder of durable state.
+//! `orchidtally journal`: inspects and compacts a journal folder.
 
-use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail};
+use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail};
 use clap::Subcommand;
 use orchidtally_journal::{Journal, Recovered, inspect};
 use orchidtally_mqtt_triggers::durable_invocations::{self, DurableInvocations};
@@ -18,19 +18,20 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Tell whether a journal is whole, and what its end is like. Changes nothing.
+    /// Check a journal for damage and for an incomplete append at its end. Changes nothing.
     Check { folder: PathBuf },
-    /// Print the snapshot and the entries since, one a line; what is not text as hexadecimal digits.
+    /// Print the snapshot and the entries since, one per line; binary entries in hexadecimal.
     Show { folder: PathBuf },
-    /// Fold a journal's entries into a snapshot: a coordinator's, that of triggers, or of promises.
+    /// Replace a journal's entries with a snapshot. Journals of coordinators, MQTT triggers and durable invocations are
+    /// supported.
     Compact { folder: PathBuf },
 }
 
-/// Prints why a journal can't be used; returns the exit code.
+/// Prints the error of a journal and returns the exit code for it.
 fn journal_failure(folder: &Path, error: &std::io::Error) -> u8 {
     eprintln!("{error}");
     match error.kind() {
-        ErrorKind::InvalidData => NOT_SO,
+        ErrorKind::InvalidData => NEGATIVE_RESULT,
         ErrorKind::NotFound => fail(
             BAD_INPUT,
             format!("{}: there is no journal", folder.display()),
@@ -39,97 +40,98 @@
     }
 }
 
-/// An entry as a line.
-fn line(bytes: &[u8]) -> String {
+/// An entry as a line: as it is if it is printable text, in hexadecimal otherwise.
+fn format_entry(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.contains(char::is_control) => text.into(),
         _ => bytes.iter().map(|b| format!("{b:02x}")).collect(),
     }
 }
 
-/// The records of a journal, if all of them are of this kind.
-fn records_of_kind<R: DeserializeOwned>(found: &Recovered) -> Option<Vec<R>> {
-    let mut records: Vec<R> = match &found.snapshot {
+/// Decodes the snapshot and the entries of a journal; `None` if one of them is not a record of type `R`.
+fn records_of_kind<R: DeserializeOwned>(recovered: &Recovered) -> Option<Vec<R>> {
+    let mut records: Vec<R> = match &recovered.snapshot {
         Some(state) => serde_json::from_slice(state).ok()?,
         None => vec![],
     };
-    for entry in &found.entries {
+    for entry in &recovered.entries {
         records.push(serde_json::from_slice(entry).ok()?);
     }
     Some(records)
 }
 
-/// A snapshot of the state that all entries lead to.
-fn snapshot(found: &Recovered) -> Option<Vec<u8>> {
-    if let Some(records) = records_of_kind::<ledger::Record>(found) {
-        // The actions are for its front end.
+/// The snapshot that replaces all entries; `None` if the journal is of no known kind.
+fn snapshot(recovered: &Recovered) -> Option<Vec<u8>> {
+    if let Some(records) = records_of_kind::<ledger::Record>(recovered) {
+        // The recovery actions are dropped: only a front end can carry them out.
         let (ledger, _) = Ledger::recover(&records, u32::MAX, 0.0);
         return serde_json::to_vec(&ledger.snapshot()).ok();
     }
-    if let Some(records) = records_of_kind::<durable_invocations::Record>(found) {
+    if let Some(records) = records_of_kind::<durable_invocations::Record>(recovered) {
         let all =
             DurableInvocations::new(f64::INFINITY, usize::MAX, usize::MAX).with_records(&records);
         return serde_json::to_vec(&all.records()).ok();
     }
-    // Each of a coordinator's entries is its whole state.
-    let last = found.entries.last()?;
+    // A coordinator writes its complete state with each entry, so the last one is the snapshot.
+    let last = recovered.entries.last()?;
     serde_json::from_slice::<CoordinatorState>(last).ok()?;
     Some(last.clone())
 }
 
+/// Runs a journal command.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     match arguments.command {
         Command::Check { folder } => {
-            let found = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            let bytes: usize = found.entries.iter().map(Vec::len).sum();
-            let snapshot = found.snapshot.map_or("no snapshot".into(), |s| {
+            let recovered = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
+            let bytes: usize = recovered.entries.iter().map(Vec::len).sum();
+            let snapshot = recovered.snapshot.map_or("no snapshot".into(), |s| {
                 format!("a snapshot of {} bytes", s.len())
             });
             println!(
                 "whole: {snapshot}, {} entries of {bytes} bytes since",
-                found.entries.len()
+                recovered.entries.len()
             );
-            if found.truncated_bytes > 0 {
+            if recovered.truncated_bytes > 0 {
                 println!(
-                    "{} bytes at the end are an append that was cut short; opening it drops them",
-                    found.truncated_bytes
+                    "the last {} bytes are an incomplete append; they are dropped when the journal is opened",
+                    recovered.truncated_bytes
                 );
             }
         }
         Command::Show { folder } => {
-            let found = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            found
+            let recovered = inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
+            recovered
                 .snapshot
                 .iter()
-                .for_each(|s| println!("snapshot {}", line(s)));
-            found
+                .for_each(|s| println!("snapshot {}", format_entry(s)));
+            recovered
                 .entries
                 .iter()
                 .enumerate()
-                .for_each(|(n, e)| println!("{n} {}", line(e)));
+                .for_each(|(n, e)| println!("{n} {}", format_entry(e)));
         }
         Command::Compact { folder } => {
-            // Opening makes a folder where there is none, which is not meant here.
+            // `Journal::open` creates a missing folder; `inspect` reports it as an error instead.
             inspect(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            let (mut journal, found) =
+            let (mut journal, recovered) =
                 Journal::open(&folder).map_err(|e| journal_failure(&folder, &e))?;
-            if found.entries.is_empty() {
-                println!("nothing to fold");
+            if recovered.entries.is_empty() {
+                println!("nothing to compact");
                 return Ok(());
             }
-            let Some(state) = snapshot(&found) else {
+            let Some(state) = snapshot(&recovered) else {
                 eprintln!(
-                    "{}: what it holds is of no known kind; it is left as it is",
+                    "{}: unknown kind of journal; left unchanged",
                     folder.display()
                 );
-                return Err(NOT_SO);
+                return Err(NEGATIVE_RESULT);
             };
             let before = journal.length();
             journal
                 .snapshot(&state)
                 .map_err(|e| journal_failure(&folder, &e))?;
             println!(
-                "{before} bytes of entries folded into a snapshot of {} bytes",
+                "{before} bytes of entries compacted into a snapshot of {} bytes",
                 state.len()
             );
         }
--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -1,4 +1,4 @@
-//! A few executors within the process, with small built-in functions, for `serve` without a deployment file.
+//! In-process executors with small built-in functions, for `serve` without a deployment file.
 
 use bytes::Bytes;
 use orchidtally_deployment::Deployment;
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A function that every local executor has.
+/// A function that every local executor provides.
 pub struct BuiltInFunction {
     /// The name in the path of an invocation.
     pub name: &'static str,
@@ -67,16 +67,17 @@
 /// The number of local executors.
 const EXECUTORS: usize = 3;
 
-/// Starts the executors on a thread of their own and gives the deployment that holds them.
+/// Starts the local executors on a background thread and returns a deployment that lists them. `listen` replaces the
+/// front end's default address.
 pub fn deployment(listen: Option<SocketAddr>) -> io::Result<Deployment> {
     let (started_sender, started_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let stage = TestEnvironment::new(1);
-        let started = start(&stage);
-        let tasks = stage.tasks.clone();
+        let environment = TestEnvironment::new(1);
+        let started = start(&environment);
+        let tasks = environment.tasks.clone();
         match started {
             Ok(executors) => {
-                // The front end waits for this; it can't be gone.
+                // Can't fail: the receiver below waits for this message.
                 let _ = started_sender
                     .send(Ok(executors.iter().map(|e| e.address).collect::<Vec<_>>()));
                 async_io::block_on(tasks.run(futures_lite::future::pending::<()>()));
@@ -114,8 +115,8 @@
     Ok(deployment)
 }
 
-fn start(stage: &TestEnvironment) -> io::Result<Vec<Rc<Executor>>> {
-    let store = PackageStore::new(stage, 4.0, 32);
+fn start(environment: &TestEnvironment) -> io::Result<Vec<Rc<Executor>>> {
+    let store = PackageStore::new(environment, 4.0, 32);
     let catalogue: Catalogue = Rc::new(|name| {
         let function = FUNCTIONS.iter().find(|f| f.name == name)?;
         Some(Program {
@@ -126,7 +127,7 @@
             ..Program::default()
         })
     });
-    let one = |number| {
+    let start_one = |number| {
         let spec = ExecutorSpec {
             cores: 4,
             memory: 64.0,
@@ -142,11 +143,11 @@
             deduplication_window: 60.0,
         };
         Executor::start(
-            stage,
+            environment,
             spec,
             orchidtally_test_servers::unused_address(),
             resources,
         )
     };
-    (0..EXECUTORS).map(one).collect()
+    (0..EXECUTORS).map(start_one).collect()
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,7 +1,7 @@
 //! `orchidtally`: the gateway daemon and its command-line tool.
 //!
-//! Results go to standard output, logs and progress to standard error. Commands return the exit code of a failure after
-//! they have printed the reason: 1 if what was asked about is not so, 2 for bad input, 3 if the command could not run.
+//! Results go to standard output, logs and progress to standard error. A command that fails prints the reason and
+//! returns an exit code: 1 if the result is negative, 2 for bad input, 3 if the command could not run.
 
 mod invoke;
 mod journal;
@@ -23,15 +23,15 @@
 
 /// Runs invocations on executors that load functions on demand.
 ///
-/// Start one on this machine with `orchidtally serve`; check a deployment file with `orchidtally check FILE`;
-/// see how decisions and rules hold through a bad day with `orchidtally rehearse`.
+/// Start a front end on this machine with `orchidtally serve`. Validate a deployment file with
+/// `orchidtally check FILE`. Test dispatching and the five rules under scripted faults with `orchidtally rehearse`.
 #[derive(Parser)]
 #[command(name = "orchidtally", version)]
 struct Arguments {
-    /// How log lines on standard error look.
+    /// Format of the log lines on standard error.
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     log_format: Format,
-    /// What is logged: error, warn, info, debug, trace, or a filter such as `orchidtally_http_frontend=debug`.
+    /// Log level (error, warn, info, debug, trace) or a filter such as `orchidtally_http_frontend=debug`.
     #[arg(long, global = true, default_value = "info")]
     log: String,
     #[command(subcommand)]
@@ -46,57 +46,60 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a front end. Without a deployment file: one with three local executors and built-in functions.
+    /// Run a front end. Without a deployment file, it uses three local executors with built-in functions.
     Serve(serve::Arguments),
-    /// Check a deployment file and tell every fault in it, with line, column and key.
+    /// Validate a deployment file and report every error in it, with line, column and key.
     Check {
         /// The file, in JSON5.
         file: PathBuf,
     },
-    /// Invoke a function at a front end and print its answer.
+    /// Invoke a function at a front end and print the response.
     Invoke(invoke::Arguments),
-    /// Play a scripted bad day with real front ends on loopback, and check the five rules from the traffic.
+    /// Run real front ends on loopback under scripted faults, and check the five rules against the traffic.
     Rehearse(rehearse::Arguments),
-    /// Shift a function's traffic to a new version gradually, watch it, take it back.
+    /// Shift a function's traffic to a new version gradually, monitor the rollout, roll it back.
     Rollout(rollout::Arguments),
-    /// See and change the roster in etcd: list, watch, drain, undrain.
+    /// Show and change the executors registered in etcd: list, watch, drain, undrain.
     Roster(roster::Arguments),
-    /// Look into a folder of durable state: check, show, compact.
+    /// Inspect a journal folder: check, show, compact.
     Journal(journal::Arguments),
-    /// Measure a front end on this machine against a direct client, a bare relay and random choice.
+    /// Benchmark a front end on this machine against a direct client, a plain relay and random choice.
     Measure(measure::Arguments),
 }
 
-/// The exit code if what was asked about is not so.
-pub const NOT_SO: u8 = 1;
+/// The exit code of a command that ran and whose result is negative, such as a check that failed.
+pub const NEGATIVE_RESULT: u8 = 1;
 /// The exit code for bad input.
 pub const BAD_INPUT: u8 = 2;
-/// The exit code if the command could not run.
+/// The exit code of a command that could not run, such as for an unreachable server.
 pub const COULD_NOT_RUN: u8 = 3;
 
-/// Prints why a command fails; returns its exit code.
+/// Prints the reason of a failure to standard error and returns `code`.
 pub fn fail(code: u8, reason: impl std::fmt::Display) -> u8 {
     eprintln!("{reason}");
     code
 }
 
-/// Reads a deployment file; faults are printed with the file's name.
+/// Reads a deployment file without its triggers. Errors are printed with the file's name.
 pub fn read_deployment(file: &Path) -> Result<Deployment, u8> {
-    read_whole(file).map(|read| read.0)
+    read_with_triggers(file).map(|read| read.0)
 }
 
-/// Reads a deployment file with its triggers, where it has some.
-pub fn read_whole(file: &Path) -> Result<(Deployment, Option<TriggerSettings>), u8> {
-    check_text(file, &read_text(file)?)
+/// Reads a deployment file and its MQTT triggers, if it has any. Errors are printed with the file's name.
+pub fn read_with_triggers(file: &Path) -> Result<(Deployment, Option<TriggerSettings>), u8> {
+    parse_deployment(file, &read_text(file)?)
 }
 
-/// The text of a deployment file.
+/// Reads a file as text. An I/O error is printed with the file's name.
 pub fn read_text(file: &Path) -> Result<String, u8> {
     std::fs::read_to_string(file).map_err(|e| fail(BAD_INPUT, format!("{}: {e}", file.display())))
 }
 
-/// Reads the text of a deployment file; faults are printed with the file's name.
-pub fn check_text(file: &Path, text: &str) -> Result<(Deployment, Option<TriggerSettings>), u8> {
+/// Parses the text of a deployment file. Errors are printed with the name of `file`.
+pub fn parse_deployment(
+    file: &Path,
+    text: &str,
+) -> Result<(Deployment, Option<TriggerSettings>), u8> {
     orchidtally_mqtt_triggers::read(text).map_err(|faults| {
         for fault in &faults {
             eprintln!("{}:{fault}", file.display());
@@ -105,8 +108,8 @@
     })
 }
 
-/// What `check` says of the store of configuration; nothing where there is none.
-fn store_of(deployment: &Deployment) -> String {
+/// The part of the summary of `check` that describes the configuration store; empty if there is none.
+fn configuration_summary(deployment: &Deployment) -> String {
     let count = deployment
         .configuration
         .as_ref()
@@ -134,9 +137,9 @@
         Format::Text => logs.init(),
         Format::Json => logs.json().init(),
     }
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Serve(a) => serve::run(a),
-        Command::Check { file } => read_whole(&file).map(|(d, mqtt)| {
+        Command::Check { file } => read_with_triggers(&file).map(|(d, mqtt)| {
             println!(
                 "{}: sound; '{}', {} trigger types, {} functions listed, {} triggers by messages{}",
                 file.display(),
@@ -144,7 +147,7 @@
                 d.trigger_types.len(),
                 d.functions.len(),
                 mqtt.map_or(0, |m| m.rules.list.len()),
-                store_of(&d)
+                configuration_summary(&d)
             );
         }),
         Command::Invoke(a) => invoke::run(a),
@@ -154,7 +157,7 @@
         Command::Journal(a) => journal::run(a),
         Command::Measure(a) => measure::run(a),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(code) => ExitCode::from(code),
     }
--- a/crates/cli/src/measure/memory.rs
+++ b/crates/cli/src/measure/memory.rs
@@ -1,33 +1,36 @@
-//! The memory that open invocations and idle connections take in a front end.
+//! Measures how much memory open invocations and idle connections take in a front end.
 
-use super::process::{Part, deployment};
+use super::process::{MeasuredProcess, write_deployment};
 use orchidtally_test_servers::{ExchangeError, TestEnvironment, baseline};
 use serde::Serialize;
 use std::io;
 use std::time::Duration;
 
+/// The result of the memory measurement.
 #[derive(Serialize)]
 pub(super) struct Memory {
-    /// Bytes of the front end for each open invocation, and for each idle connection.
+    /// Bytes of the front end per open invocation.
     pub(super) open_invocation: f64,
+    /// Bytes of the front end per idle connection.
     pub(super) idle_connection: f64,
-    /// Invocations offered at once, and the resident memory that this came to at the most.
+    /// Invocations sent at once.
     pub(super) offered: usize,
+    /// The peak of the front end's resident memory meanwhile, in bytes.
     pub(super) most_bytes: f64,
-    /// How many of them had a final answer within their client timeout.
+    /// How many of the offered invocations had a final answer within their client timeout.
     pub(super) answered_in_time: usize,
 }
 
-/// Memory of a front end with many invocations open at a slow executor.
+/// Measures a front end with many invocations open at a slow executor; `None` if the system does not report memory use.
 pub(super) fn memory() -> io::Result<Option<Memory>> {
-    const OPEN: usize = 20_000;
+    const MAX_OPEN_INVOCATIONS: usize = 20_000;
     const CONNECTIONS: usize = 200;
     const STREAMS: usize = 1_000;
-    const TIME: f64 = 8.0;
-    let slow = Part::start(&["measure", "--part", "executor=30x16"])?;
-    let file = deployment(&slow.all, OPEN)?;
+    const HOLD_TIME: f64 = 8.0;
+    let slow_executor = MeasuredProcess::start(&["measure", "--part", "executor=30x16"])?;
+    let file = write_deployment(&slow_executor.addresses, MAX_OPEN_INVOCATIONS)?;
     let path = file.display().to_string();
-    let front_end = Part::start(&[
+    let front_end = MeasuredProcess::start(&[
         "--log",
         "error",
         "serve",
@@ -37,42 +40,65 @@
         "127.0.0.1:0",
         "--until-input-ends",
     ])?;
-    let stage = TestEnvironment::new(1);
-    let tasks = stage.tasks.clone();
+    let environment = TestEnvironment::new(1);
+    let tasks = environment.tasks.clone();
     let sleep =
         |time: f64| async move { async_io::Timer::after(Duration::from_secs_f64(time)).await };
-    let answered = std::rc::Rc::new(std::cell::Cell::new(0));
+    let answered_count = std::rc::Rc::new(std::cell::Cell::new(0));
     let work = async {
         sleep(0.3).await;
-        let empty = front_end.memory();
-        let idle = baseline::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered).await?;
+        let empty_bytes = front_end.memory();
+        let idle_connections = baseline::hold(
+            &environment,
+            front_end.at,
+            CONNECTIONS,
+            0,
+            HOLD_TIME,
+            &answered_count,
+        )
+        .await?;
         sleep(0.3).await;
-        let connected = front_end.memory();
-        drop(idle);
-        let some = baseline::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered).await?;
+        let connected_bytes = front_end.memory();
+        drop(idle_connections);
+        let some = baseline::hold(
+            &environment,
+            front_end.at,
+            10,
+            STREAMS,
+            HOLD_TIME,
+            &answered_count,
+        )
+        .await?;
         sleep(0.5).await;
         let open = front_end.memory();
-        let many =
-            baseline::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered).await?;
-        let mut most = 0.0f64;
-        for _ in 0..(TIME * 10.0) as usize + 10 {
+        let many = baseline::hold(
+            &environment,
+            front_end.at,
+            CONNECTIONS,
+            STREAMS,
+            HOLD_TIME,
+            &answered_count,
+        )
+        .await?;
+        let mut peak_bytes = 0.0f64;
+        for _ in 0..(HOLD_TIME * 10.0) as usize + 10 {
             sleep(0.1).await;
-            most = most.max(front_end.memory().unwrap_or(0.0));
+            peak_bytes = peak_bytes.max(front_end.memory().unwrap_or(0.0));
         }
         drop((some, many));
-        Ok::<_, ExchangeError>((empty, connected, open, most))
+        Ok::<_, ExchangeError>((empty_bytes, connected_bytes, open, peak_bytes))
     };
-    let seen = async_io::block_on(tasks.run(work)).map_err(io::Error::other)?;
-    // It lies in the temporary folder, where nobody misses it.
+    let measured = async_io::block_on(tasks.run(work)).map_err(io::Error::other)?;
+    // An error is ignored: a file left in the temporary folder does no harm.
     let _ = std::fs::remove_file(file);
-    let (Some(empty), Some(connected), Some(open), most) = seen else {
+    let (Some(empty_bytes), Some(connected_bytes), Some(open), peak_bytes) = measured else {
         return Ok(None);
     };
     Ok(Some(Memory {
-        idle_connection: (connected - empty) / CONNECTIONS as f64,
-        open_invocation: (open - connected) / (10 * STREAMS) as f64,
+        idle_connection: (connected_bytes - empty_bytes) / CONNECTIONS as f64,
+        open_invocation: (open - connected_bytes) / (10 * STREAMS) as f64,
         offered: (CONNECTIONS + 10) * STREAMS,
-        most_bytes: most,
-        answered_in_time: answered.get(),
+        most_bytes: peak_bytes,
+        answered_in_time: answered_count.get(),
     }))
 }
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! `orchidtally measure`: a front end on this machine against a direct client, a bare relay and the same front
-//! end with random choice. Ratios in one run; each part is one process on one thread.
+//! `orchidtally measure`: compares a front end on this machine with a direct client, a plain relay and the same front
+//! end with random choice. Each runs as one process on one thread; ratios are comparable only within one run.
 
 mod memory;
 mod process;
@@ -9,35 +9,35 @@
 use memory::{Memory, memory};
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::baseline::{self, BaselineRequest, Observed};
-use process::{Part, deployment, play};
+use process::{MeasuredProcess, run_part, write_deployment};
 use serde::Serialize;
 use std::io;
 use std::net::SocketAddr;
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// Seconds for each measurement.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 3.0)]
     time: f64,
-    /// Streams that the client keeps open where throughput is measured.
+    /// Concurrent streams of the client in the throughput measurement.
     #[arg(long, default_value_t = 64)]
     streams: usize,
-    /// Bytes of a body.
+    /// Size of a request body, in bytes.
     #[arg(long, default_value_t = 256)]
     payload: usize,
-    /// Functions that invocations go round.
+    /// Number of functions that are invoked in turn.
     #[arg(long, default_value_t = 16)]
     functions: usize,
-    /// Executors: addresses of one process, each of which the front end takes for one.
+    /// Number of executors that the front end sees: addresses of a single process.
     #[arg(long, default_value_t = 16)]
     executors: usize,
-    /// Leave the measurement of memory out.
+    /// Skip the memory measurement.
     #[arg(long)]
     no_memory: bool,
-    /// How the result is printed.
+    /// Format of the result.
     #[arg(long, value_enum, default_value_t = Output::Table)]
     output: Output,
-    /// Plays a part of a measurement: an executor, or a relay to this address.
+    /// Run as one process of a measurement: `executor=DELAY[xCOUNT]` or `relay=ADDRESS`.
     #[arg(long, hide = true)]
     part: Option<String>,
 }
@@ -48,17 +48,19 @@
     Json,
 }
 
+/// The throughput and latency over one path to an executor.
 #[derive(Serialize)]
 struct Row {
     way: &'static str,
     per_second: f64,
     of_direct: f64,
-    /// CPU of the process in the middle, in microseconds an invocation.
+    /// CPU time of the front end or relay, in microseconds per invocation.
     cpu_us: Option<f64>,
     median_us: f64,
     failed: u64,
 }
 
+/// The result of a run, as it is printed in JSON.
 #[derive(Serialize)]
 struct Measurement {
     ways: Vec<Row>,
@@ -70,46 +72,49 @@
     times.get(times.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
+/// Sends requests over so many streams for the measurement's duration.
 fn load(
     to: SocketAddr,
-    ask: BaselineRequest,
+    request: BaselineRequest,
     streams: usize,
     arguments: &Arguments,
 ) -> io::Result<Observed> {
-    let stage = TestEnvironment::new(1);
-    let tasks = stage.tasks.clone();
-    let seen = async_io::block_on(tasks.run(baseline::load(
-        &stage,
+    let environment = TestEnvironment::new(1);
+    let tasks = environment.tasks.clone();
+    let observed = async_io::block_on(tasks.run(baseline::load(
+        &environment,
         to,
-        ask,
+        request,
         streams,
         arguments.time,
         arguments.payload,
     )));
-    seen.map_err(io::Error::other)
+    observed.map_err(io::Error::other)
 }
 
+/// Measures one path: throughput and CPU time over all streams, then the latency over a single stream. `of_direct` is
+/// filled in by the caller.
 fn way(
     name: &'static str,
     to: SocketAddr,
-    middle: Option<&Part>,
-    ask: BaselineRequest,
+    measured_process: Option<&MeasuredProcess>,
+    request: BaselineRequest,
     arguments: &Arguments,
 ) -> io::Result<Row> {
     eprintln!("measuring {name}");
-    // Connections stand and copies are known before it counts.
-    let warm = Arguments {
+    // Warms up first: connections are open and replicas are known before the measurement begins.
+    let warm_up = Arguments {
         time: 0.3,
         part: None,
         ..*arguments
     };
-    load(to, ask, arguments.streams, &warm)?;
-    let before = middle.and_then(Part::cpu);
-    let busy = load(to, ask, arguments.streams, arguments)?;
-    let after = middle.and_then(Part::cpu);
-    let quiet = load(
+    load(to, request, arguments.streams, &warm_up)?;
+    let before = measured_process.and_then(MeasuredProcess::cpu);
+    let concurrent = load(to, request, arguments.streams, arguments)?;
+    let after = measured_process.and_then(MeasuredProcess::cpu);
+    let single_stream = load(
         to,
-        ask,
+        request,
         1,
         &Arguments {
             time: arguments.time / 2.0,
@@ -117,25 +122,27 @@
             ..*arguments
         },
     )?;
-    let used = before.zip(after).map(|(before, after)| after - before);
+    let cpu_seconds = before.zip(after).map(|(before, after)| after - before);
     Ok(Row {
         way: name,
-        per_second: busy.succeeded as f64 / busy.seconds,
+        per_second: concurrent.succeeded as f64 / concurrent.seconds,
         of_direct: 1.0,
-        cpu_us: used.map(|u| 1e6 * u / (busy.succeeded + busy.failed).max(1) as f64),
-        median_us: 1e6 * median(quiet.times),
-        failed: busy.failed + quiet.failed,
+        cpu_us: cpu_seconds
+            .map(|u| 1e6 * u / (concurrent.succeeded + concurrent.failed).max(1) as f64),
+        median_us: 1e6 * median(single_stream.times),
+        failed: concurrent.failed + single_stream.failed,
     })
 }
 
+/// Starts all processes and measures each path, and memory unless it is skipped.
 fn measure(arguments: &Arguments) -> io::Result<Measurement> {
-    let executor = Part::start(&[
+    let executor = MeasuredProcess::start(&[
         "measure",
         "--part",
         &format!("executor=0x{}", arguments.executors),
     ])?;
-    let relay = Part::start(&["measure", "--part", &format!("relay={}", executor.at)])?;
-    let file = deployment(&executor.all, 20_001)?;
+    let relay = MeasuredProcess::start(&["measure", "--part", &format!("relay={}", executor.at)])?;
+    let file = write_deployment(&executor.addresses, 20_001)?;
     let path = file.display().to_string();
     let serve = [
         "--log",
@@ -147,9 +154,9 @@
         "127.0.0.1:0",
         "--until-input-ends",
     ];
-    let front_end = Part::start(&serve)?;
-    let random = Part::start(&[&serve[..], &["--random"]].concat())?;
-    let ask = BaselineRequest::Invocation {
+    let front_end = MeasuredProcess::start(&serve)?;
+    let random = MeasuredProcess::start(&[&serve[..], &["--random"]].concat())?;
+    let request = BaselineRequest::Invocation {
         functions: arguments.functions,
     };
     let mut ways = vec![
@@ -167,8 +174,20 @@
             BaselineRequest::Dispatch,
             arguments,
         )?,
-        way("front end", front_end.at, Some(&front_end), ask, arguments)?,
-        way("random choice", random.at, Some(&random), ask, arguments)?,
+        way(
+            "front end",
+            front_end.at,
+            Some(&front_end),
+            request,
+            arguments,
+        )?,
+        way(
+            "random choice",
+            random.at,
+            Some(&random),
+            request,
+            arguments,
+        )?,
     ];
     let direct = ways[0].per_second;
     ways.iter_mut()
@@ -184,9 +203,10 @@
     })
 }
 
+/// Runs a measurement, or one of its processes.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     if let Some(part) = &arguments.part {
-        return play(part);
+        return run_part(part);
     }
     if arguments.streams == 0
         || arguments.functions == 0
@@ -194,19 +214,19 @@
         || !(0.1..=600.0).contains(&arguments.time)
     {
         eprintln!(
-            "--streams and --functions have to be 1 at least, --executors 1 to 1000, --time 0.1 to 600 seconds"
+            "--streams and --functions must be at least 1, --executors 1 to 1000, --time 0.1 to 600 seconds"
         );
         return Err(BAD_INPUT);
     }
     let result = measure(&arguments).map_err(|e| {
-        eprintln!("could not measure: {e}");
+        eprintln!("the measurement failed: {e}");
         COULD_NOT_RUN
     })?;
     if let Output::Json = arguments.output {
         println!("{}", serde_json::to_string(&result).unwrap_or_default());
         return Ok(());
     }
-    println!("way              a second  of direct  CPU us an inv.  median alone  failed");
+    println!("path           per second  of direct  CPU us per inv  median, idle  failed");
     for row in &result.ways {
         let cpu = row.cpu_us.map_or("-".into(), |c| format!("{c:.1}"));
         println!(
@@ -216,11 +236,11 @@
     }
     if let Some(memory) = &result.memory {
         println!(
-            "bytes an open invocation {:.0}, an idle connection {:.0}",
+            "bytes per open invocation {:.0}, per idle connection {:.0}",
             memory.open_invocation, memory.idle_connection
         );
         println!(
-            "{} offered at once: {:.0} MB at the most, {} answered within their client timeout",
+            "{} invocations at once: {:.0} MB peak, {} answered within their client timeout",
             memory.offered,
             memory.most_bytes / 1e6,
             memory.answered_in_time
--- a/crates/cli/src/measure/process.rs
+++ b/crates/cli/src/measure/process.rs
@@ -1,4 +1,4 @@
-//! Processes of a measurement: this program again as a front end, an executor or a relay.
+//! Processes of a measurement: this executable, started as a front end, an executor or a relay.
 
 use crate::{BAD_INPUT, COULD_NOT_RUN};
 use orchidtally_test_servers::TestEnvironment;
@@ -7,25 +7,27 @@
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 
-/// A process of the measurement, ended with it.
-pub(super) struct Part {
+/// A process of the measurement. It is killed when the value is dropped.
+pub(super) struct MeasuredProcess {
     child: Child,
+    /// The first of its addresses.
     pub(super) at: SocketAddr,
-    /// All addresses that it takes connections at.
-    pub(super) all: Vec<SocketAddr>,
+    /// All addresses that the process listens on.
+    pub(super) addresses: Vec<SocketAddr>,
 }
 
-impl Drop for Part {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // An error means that the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Part {
-    /// Starts one that prints its address at the end of its first line.
-    pub(super) fn start(arguments: &[&str]) -> io::Result<Part> {
+impl MeasuredProcess {
+    /// Starts this executable with `arguments`. Its first line of output has to end with `/` and its addresses,
+    /// separated by commas.
+    pub(super) fn start(arguments: &[&str]) -> io::Result<MeasuredProcess> {
         let mut command = Command::new(std::env::current_exe()?);
         let mut child = command
             .args(arguments)
@@ -38,21 +40,28 @@
             .ok_or_else(|| io::Error::other("no standard output"))?;
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line)?;
-        let all = line
+        let addresses = line
             .trim()
             .rsplit('/')
             .next()
             .unwrap_or_default()
             .split(',')
             .map(str::parse);
-        let all = all
+        let addresses = addresses
             .collect::<Result<Vec<SocketAddr>, _>>()
             .map_err(io::Error::other)?;
-        let at = *all.first().ok_or_else(|| io::Error::other("no address"))?;
-        Ok(Part { child, at, all })
+        let at = *addresses
+            .first()
+            .ok_or_else(|| io::Error::other("no address"))?;
+        Ok(MeasuredProcess {
+            child,
+            at,
+            addresses,
+        })
     }
 
-    /// CPU seconds so far; none where the system doesn't tell.
+    /// User and system CPU time so far, in seconds; `None` if `/proc` does not provide it. The kernel is assumed to
+    /// count 100 ticks per second.
     pub(super) fn cpu(&self) -> Option<f64> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).ok()?;
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
@@ -60,7 +69,7 @@
         Some((ticks(11)? + ticks(12)?) / 100.0)
     }
 
-    /// Resident memory in bytes.
+    /// Resident memory, in bytes; `None` if `/proc` does not provide it.
     pub(super) fn memory(&self) -> Option<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find(|l| l.starts_with("VmRSS:"))?;
@@ -68,8 +77,12 @@
     }
 }
 
-pub(super) fn deployment(executors: &[SocketAddr], open: usize) -> io::Result<std::path::PathBuf> {
-    let list: Vec<_> = executors
+/// Writes a deployment file with these executors and this limit of open invocations to the temporary folder.
+pub(super) fn write_deployment(
+    executors: &[SocketAddr],
+    max_open_invocations: usize,
+) -> io::Result<std::path::PathBuf> {
+    let executor_list: Vec<_> = executors
         .iter()
         .map(|a| format!("{{ address: \"{a}\" }}"))
         .collect();
@@ -78,27 +91,28 @@
             triggerTypes: [{{ name: "look", effect: "idempotent", objective: "4s", timeout: "9s", lateShare: 1 }}],
             otherFunctions: {{ lanes: 64, loadTime: "50ms" }},
             executors: {{ allowedNetworks: ["127.0.0.0/8"], list: [{}] }},
-            limits: {{ openInvocations: {open}, streamsPerConnection: 1000 }},
+            limits: {{ openInvocations: {max_open_invocations}, streamsPerConnection: 1000 }},
             loading: {{ orders: false, tellsCrowd: false, keepAlive: "60s" }},
         }}"#,
-        list.join(", ")
+        executor_list.join(", ")
     );
     let file = std::env::temp_dir().join(format!(
-        "orchidtally-measure-{}-{open}.json5",
+        "orchidtally-measure-{}-{max_open_invocations}.json5",
         std::process::id()
     ));
     std::fs::write(&file, text)?;
     Ok(file)
 }
 
-/// Plays a part until it is ended.
-pub(super) fn play(part: &str) -> Result<(), u8> {
+/// Runs an executor or a relay until standard input ends. `part` is a value of `--part`.
+pub(super) fn run_part(part: &str) -> Result<(), u8> {
     let listen = || orchidtally_socket_io::listen(orchidtally_test_servers::unused_address());
     let (kind, value) = part.split_once('=').ok_or(BAD_INPUT)?;
-    // The module keeps to a limit at each executor, so that one alone would hold back a busy client.
-    let (value, ports) = value.split_once('x').unwrap_or((value, "1"));
-    let ports: usize = ports.parse().map_err(|_| BAD_INPUT)?;
-    let listeners = (0..ports)
+    // The dispatch policy limits the concurrency at each executor, so a single executor would throttle a busy client:
+    // the process listens on several addresses.
+    let (value, listener_count) = value.split_once('x').unwrap_or((value, "1"));
+    let listener_count: usize = listener_count.parse().map_err(|_| BAD_INPUT)?;
+    let listeners = (0..listener_count)
         .map(|_| listen())
         .collect::<io::Result<Vec<_>>>()
         .map_err(|e| {
@@ -109,22 +123,22 @@
         .iter()
         .filter_map(|l| Some(l.get_ref().local_addr().ok()?.to_string()))
         .collect();
-    let stage = TestEnvironment::new(1);
-    let tasks = stage.tasks.clone();
+    let environment = TestEnvironment::new(1);
+    let tasks = environment.tasks.clone();
     println!("http://{}", at.join(","));
-    crate::serve::at_end_of_input(|| std::process::exit(0));
+    crate::serve::on_input_end(|| std::process::exit(0));
     for listener in listeners {
         match kind {
             "relay" => {
                 let to = value.parse().map_err(|_| BAD_INPUT)?;
-                stage
-                    .spawn(baseline::relay(stage.clone(), listener, to))
+                environment
+                    .spawn(baseline::relay(environment.clone(), listener, to))
                     .detach();
             }
             "executor" => {
                 let delay = value.parse().map_err(|_| BAD_INPUT)?;
-                stage
-                    .spawn(baseline::executor(stage.clone(), listener, delay))
+                environment
+                    .spawn(baseline::executor(environment.clone(), listener, delay))
                     .detach();
             }
             _ => return Err(BAD_INPUT),
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -9,7 +9,7 @@
 mod rolling;
 mod scenario;
 
-use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_text};
+use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail, read_text};
 use evidence::MissingEvidence;
 use orchidtally_invariants::{MessageReport, TrafficRecord, Verdict, check_messages, check_rules};
 use scenario::Scenario;
@@ -151,7 +151,7 @@
     if verdict.holds() && rolled_well && carried_well {
         Ok(())
     } else {
-        Err(NOT_SO)
+        Err(NEGATIVE_RESULT)
     }
 }
 
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -1,6 +1,6 @@
-//! `orchidtally rollout`: runs a coordinator, and sends it an operator's orders.
+//! `orchidtally rollout`: runs a coordinator, and sends it an operator's requests.
 
-use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_deployment, read_text};
+use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail, read_deployment, read_text};
 use async_signal::{Signal, Signals};
 use clap::{Subcommand, ValueEnum};
 use futures_lite::StreamExt;
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// How long the coordinator may take to answer.
+/// Time limit of a request to the coordinator.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[derive(clap::Args)]
@@ -31,7 +31,7 @@
 }
 
 #[derive(clap::Args)]
-struct Where {
+struct Target {
     /// The coordinator's address.
     #[arg(long, default_value = "127.0.0.1:7400")]
     at: SocketAddr,
@@ -42,92 +42,108 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the coordinator. Its state is in a folder that one process at a time may use.
+    /// Run the coordinator. Only one process at a time may use its state folder.
     Coordinate {
-        /// The deployment file, as the front ends have it.
+        /// The deployment file, the same as the front ends'.
         #[arg(long)]
         deployment: PathBuf,
-        /// Where the state is kept.
+        /// The folder in which the state is stored.
         #[arg(long)]
         state: PathBuf,
+        /// Address to listen on.
         #[arg(long, default_value = "127.0.0.1:7400")]
         listen: SocketAddr,
-        /// End when standard input ends.
+        /// Shut down when standard input ends.
         #[arg(long, hide = true)]
         until_input_ends: bool,
     },
-    /// Start a rollout by a plan in JSON5.
+    /// Start a rollout.
     Start {
+        /// The file with the plan, in JSON5.
         plan: PathBuf,
-        /// Show the steps, the loads against the ration and the expected time, and start nothing.
+        /// Only show the steps, their load commands, the load budget and the expected duration.
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Show all rollouts, or one, with the evidence and why the next step has not come.
+    /// Show the state and evidence of all rollouts, or of one, and why the next step has not started.
     Status {
+        /// The name of the rollout.
         name: Option<String>,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Hold the step that is on. Gates that fail still take the rollout back.
+    /// Pause at the current step. A gate that fails still rolls back.
     Pause {
+        /// The name of the rollout.
         name: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Go on after a pause.
+    /// Resume a paused rollout.
     Resume {
+        /// The name of the rollout.
         name: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Take the rollout back: all new invocations go to the old version.
+    /// Roll back: all new invocations go to the old version.
     Back {
+        /// The name of the rollout.
         name: String,
-        /// For the history.
+        /// The reason, recorded in the history.
         #[arg(long, default_value = "an operator took it back")]
         why: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Go to the next step though evidence or time is missing. A gate that failed is not overridden.
+    /// Start the next step before its evidence and time are complete. Does not override a gate that failed.
     Advance {
+        /// The name of the rollout.
         name: String,
-        /// For the history.
+        /// The reason, recorded in the history.
         #[arg(long)]
         why: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// End a rollout whose last step is on, without keeping the old version any longer.
+    /// Finish a rollout in its last step, without keeping the old version any longer.
     Finish {
+        /// The name of the rollout.
         name: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
-    /// Show what became of a rollout, from its start on.
+    /// Show the events of a rollout since its start.
     History {
+        /// The name of the rollout.
         name: String,
         #[command(flatten)]
-        place: Where,
+        target: Target,
     },
 }
 
-/// Sends a request to the coordinator. Faults that it names are printed after the name of the file that they are in.
-fn ask(place: &Where, method: Method, path: &str, body: Vec<u8>, file: &str) -> Result<Value, u8> {
-    let asked = async_io::block_on(orchidtally_socket_io::http::fetch(
-        place.at,
+/// Sends a request to the coordinator. Errors in its response are printed with the prefix `file`, as they concern the
+/// plan in that file.
+fn send_request(
+    target: &Target,
+    method: Method,
+    path: &str,
+    body: Vec<u8>,
+    file: &str,
+) -> Result<Value, u8> {
+    let response = async_io::block_on(orchidtally_socket_io::http::fetch(
+        target.at,
         method,
         path,
         body,
         REQUEST_TIMEOUT,
     ));
-    let (status, body) = asked.map_err(|e| {
+    let (status, body) = response.map_err(|e| {
         fail(
             COULD_NOT_RUN,
-            format!("no coordinator at {}: {e}", place.at),
+            format!("can't reach the coordinator at {}: {e}", target.at),
         )
     })?;
     let value: Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -143,37 +159,44 @@
         eprintln!("{file}{}", fault.as_str().unwrap_or_default());
     }
     if faults.is_empty() {
-        eprintln!("the coordinator answered {status}");
+        eprintln!("the coordinator responded with status {status}");
     }
     Err(match status {
         StatusCode::BAD_REQUEST => BAD_INPUT,
-        StatusCode::CONFLICT | StatusCode::NOT_FOUND => NOT_SO,
+        StatusCode::CONFLICT | StatusCode::NOT_FOUND => NEGATIVE_RESULT,
         _ => COULD_NOT_RUN,
     })
 }
 
-fn order(place: &Where, order: &OperatorRequest, file: &str) -> Result<Value, u8> {
-    let body = serde_json::to_vec(order).map_err(|_| COULD_NOT_RUN)?;
-    ask(place, Method::POST, "/v1/rollouts/orders", body, file)
+/// Sends an operator's request to the coordinator.
+fn send_operator_request(
+    target: &Target,
+    request: &OperatorRequest,
+    file: &str,
+) -> Result<Value, u8> {
+    let body = serde_json::to_vec(request).map_err(|_| COULD_NOT_RUN)?;
+    send_request(target, Method::POST, "/v1/rollouts/orders", body, file)
 }
 
-fn read<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, u8> {
+/// Decodes a response of the coordinator.
+fn decode<T: serde::de::DeserializeOwned>(value: &Value) -> Result<T, u8> {
     serde_json::from_value(value.clone()).map_err(|e| {
         fail(
             COULD_NOT_RUN,
-            format!("the coordinator's answer can't be read: {e}"),
+            format!("can't decode the coordinator's response: {e}"),
         )
     })
 }
 
+/// Prints the forecast of a dry run.
 fn show_steps(value: &Value, output: Output) -> Result<(), u8> {
     if output == Output::Json {
         println!("{value}");
         return Ok(());
     }
-    let steps: Vec<StepForecast> = read(&value["steps"])?;
+    let steps: Vec<StepForecast> = decode(&value["steps"])?;
     println!(
-        "step    share  copies  orders  loading s  evidence s  least time s  answers to tell twice the errors"
+        "step    share  copies   loads  loading s  evidence s  least time s  responses to detect twice the errors"
     );
     let mut total = 0.0;
     for s in &steps {
@@ -192,7 +215,7 @@
         );
         total += s.duration;
     }
-    println!("at least {total:.0} s in all, where nothing looks worse");
+    println!("at least {total:.0} s in total, if no gate fails");
     println!(
         "loads: {} a second in all, of {} that the ration grants rollouts",
         value["loadsPerSecond"], value["granted"]
@@ -200,14 +223,18 @@
     Ok(())
 }
 
-fn show_status(value: &Value, only: Option<&str>, output: Output) -> Result<(), u8> {
-    let list: Vec<Status> = read(&value["rollouts"])?;
+/// Prints all rollouts, or only the one of a name.
+fn show_status(value: &Value, name_filter: Option<&str>, output: Output) -> Result<(), u8> {
+    let list: Vec<Status> = decode(&value["rollouts"])?;
     let shown: Vec<_> = list
         .iter()
-        .filter(|s| only.is_none_or(|n| n == s.name))
+        .filter(|s| name_filter.is_none_or(|n| n == s.name))
         .collect();
-    if let (Some(name), true) = (only, shown.is_empty()) {
-        return Err(fail(NOT_SO, format!("there is no rollout '{name}'")));
+    if let (Some(name), true) = (name_filter, shown.is_empty()) {
+        return Err(fail(
+            NEGATIVE_RESULT,
+            format!("there is no rollout '{name}'"),
+        ));
     }
     if output == Output::Json {
         println!("{}", serde_json::to_string(&shown).unwrap_or_default());
@@ -235,7 +262,7 @@
     );
     println!("  {}", status.reason);
     println!(
-        "  gate           old         new         evidence it is worse (takes back at {:.0})",
+        "  gate           old         new         evidence of regression (rolls back at {:.0})",
         status.rollback_threshold
     );
     let events = |counts: &Counts, gate: Gate| {
@@ -259,7 +286,7 @@
         println!("{value}");
         return Ok(());
     }
-    let events: Vec<Event> = read(value)?;
+    let events: Vec<Event> = decode(value)?;
     println!("seconds since 1970  run               number  phase       step  by      why");
     for e in events {
         let by = if e.by_operator { "hand" } else { "rules" };
@@ -275,26 +302,27 @@
     Ok(())
 }
 
+/// Runs a coordinator until a signal or the end of standard input stops it.
 fn coordinate(
     deployment: &std::path::Path,
     state: &std::path::Path,
     listen: SocketAddr,
-    ends: bool,
+    until_input_ends: bool,
 ) -> Result<(), u8> {
     let deployment = read_deployment(deployment)?;
-    let could_not = |reason: String| fail(COULD_NOT_RUN, reason);
+    let run_error = |reason: String| fail(COULD_NOT_RUN, reason);
     let listener = orchidtally_socket_io::listen(listen)
-        .map_err(|e| could_not(format!("can't listen at {listen}: {e}")))?;
+        .map_err(|e| run_error(format!("can't listen at {listen}: {e}")))?;
     let at = listener.get_ref().local_addr().unwrap_or(listen);
     let (stop, stopped) = async_channel::bounded(1);
-    if ends {
+    if until_input_ends {
         let stop = stop.clone();
-        crate::serve::at_end_of_input(move || {
+        crate::serve::on_input_end(move || {
             stop.close();
         });
     }
     let mut signals = Signals::new([Signal::Term, Signal::Int])
-        .map_err(|e| could_not(format!("can't wait for signals: {e}")))?;
+        .map_err(|e| run_error(format!("can't wait for signals: {e}")))?;
     std::thread::spawn(move || {
         async_io::block_on(signals.next());
         stop.close();
@@ -303,20 +331,21 @@
     match orchidtally_coordinator::run(deployment, state, listener, stopped) {
         Ok(StopReason::Stopped) => Ok(()),
         Ok(StopReason::Superseded(epoch)) => Err(fail(
-            NOT_SO,
+            NEGATIVE_RESULT,
             format!(
                 "another coordinator, of term {}, has taken over",
                 epoch.term
             ),
         )),
-        Err(e) => Err(could_not(format!("the state can't be kept: {e}"))),
+        Err(e) => Err(run_error(format!("the state can't be kept: {e}"))),
     }
 }
 
+/// Runs a rollout command.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
-    let change = |place: &Where, name: &str, change: OperatorRequest| {
-        let value = order(place, &change, "")?;
-        show_status(&value, Some(name), place.output)
+    let send_change = |target: &Target, name: &str, request: OperatorRequest| {
+        let value = send_operator_request(target, &request, "")?;
+        show_status(&value, Some(name), target.output)
     };
     match arguments.command {
         Command::Coordinate {
@@ -328,12 +357,12 @@
         Command::Start {
             plan,
             dry_run,
-            place,
+            target,
         } => {
             let text = read_text(&plan)?;
             let file = format!("{}:", plan.display());
-            let value = order(
-                &place,
+            let value = send_operator_request(
+                &target,
                 &OperatorRequest::Start {
                     plan: text,
                     dry: dry_run,
@@ -341,43 +370,43 @@
                 &file,
             )?;
             if dry_run {
-                show_steps(&value, place.output)
+                show_steps(&value, target.output)
             } else {
-                show_status(&value, None, place.output)
+                show_status(&value, None, target.output)
             }
         }
-        Command::Status { name, place } => {
-            let value = ask(&place, Method::GET, "/v1/rollouts", vec![], "")?;
-            show_status(&value, name.as_deref(), place.output)
+        Command::Status { name, target } => {
+            let value = send_request(&target, Method::GET, "/v1/rollouts", vec![], "")?;
+            show_status(&value, name.as_deref(), target.output)
         }
-        Command::Pause { name, place } => {
-            change(&place, &name.clone(), OperatorRequest::Pause { name })
+        Command::Pause { name, target } => {
+            send_change(&target, &name.clone(), OperatorRequest::Pause { name })
         }
-        Command::Resume { name, place } => {
-            change(&place, &name.clone(), OperatorRequest::Resume { name })
+        Command::Resume { name, target } => {
+            send_change(&target, &name.clone(), OperatorRequest::Resume { name })
         }
-        Command::Back { name, why, place } => change(
-            &place,
+        Command::Back { name, why, target } => send_change(
+            &target,
             &name.clone(),
             OperatorRequest::RollBack { name, why },
         ),
-        Command::Advance { name, why, place } => change(
-            &place,
+        Command::Advance { name, why, target } => send_change(
+            &target,
             &name.clone(),
             OperatorRequest::Advance { name, why },
         ),
-        Command::Finish { name, place } => {
-            change(&place, &name.clone(), OperatorRequest::Finish { name })
+        Command::Finish { name, target } => {
+            send_change(&target, &name.clone(), OperatorRequest::Finish { name })
         }
-        Command::History { name, place } => {
-            let value = ask(
-                &place,
+        Command::History { name, target } => {
+            let value = send_request(
+                &target,
                 Method::GET,
                 &format!("/v1/rollouts/{name}/history"),
                 vec![],
                 "",
             )?;
-            show_history(&value, place.output)
+            show_history(&value, target.output)
         }
     }
 }
--- a/crates/cli/src/roster.rs
+++ b/crates/cli/src/roster.rs
@@ -1,6 +1,6 @@
-//! `orchidtally roster`: the roster in etcd, as operators see and change it.
+//! `orchidtally roster`: shows the executors and front ends registered in etcd, and drains executors.
 
-use crate::{BAD_INPUT, COULD_NOT_RUN, NOT_SO, fail, read_deployment};
+use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail, read_deployment};
 use bytes::Bytes;
 use clap::Subcommand;
 use futures_lite::future::block_on;
@@ -28,46 +28,53 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Print executors and front ends as they stand in the store.
+    /// Print the executors and front ends that are registered in the store.
     List {
-        /// As one JSON object.
+        /// Print one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Print each change until interrupted, or for so many seconds.
+    /// Print each change of an executor's entry until interrupted.
     Watch {
+        /// Stop after so many seconds.
         #[arg(long, value_name = "SECONDS")]
         seconds: Option<f64>,
     },
-    /// Have executors drained: nothing new is sent there. It outlives their registering again.
+    /// Drain executors: front ends dispatch nothing new to them. A drain stays in force if an executor registers
+    /// again.
     Drain {
+        /// Addresses of the executors.
         #[arg(required = true)]
         executors: Vec<SocketAddr>,
-        /// Wait until every front end has heard of it, for so many seconds at the most.
+        /// Wait until every front end has received the change, for so many seconds at most.
         #[arg(long, value_name = "SECONDS")]
         wait: Option<f64>,
     },
-    /// Withdraw a drain.
+    /// Cancel the drain of executors.
     Undrain {
+        /// Addresses of the executors.
         #[arg(required = true)]
         executors: Vec<SocketAddr>,
+        /// Wait until every front end has received the change, for so many seconds at most.
         #[arg(long, value_name = "SECONDS")]
         wait: Option<f64>,
     },
 }
 
-/// How long a request may take.
+/// Time limit of a request to the store or to a front end.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Requests that are sent to one endpoint after the other.
-const MAX_TRIES: usize = 3;
-/// The time between two looks at the store, and at the front ends.
+/// Attempts of a request; each goes to the next member of the store.
+const MAX_ATTEMPTS: usize = 3;
+/// Interval between two reads of the store by `watch`.
 const WATCH_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between two queries of all front ends by `--wait`.
 const WAIT_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest watch and the longest wait, in seconds.
+/// Upper limit of `watch --seconds`, in seconds.
 const MAX_WATCH: f64 = 1e6;
+/// Upper limit of `--wait`, in seconds.
 const MAX_WAIT: f64 = 3_600.0;
 
-/// The store with the list of executors.
+/// A connection to the etcd store in which executors and front ends are registered.
 struct Store {
     client: Client,
     prefix: String,
@@ -75,46 +82,46 @@
 }
 
 impl Store {
-    /// Runs work to its end.
-    fn on<T>(&self, work: impl Future<Output = T>) -> T {
+    /// Blocks until `work` is complete, and runs the client's tasks meanwhile.
+    fn block_on<T>(&self, work: impl Future<Output = T>) -> T {
         block_on(self.tasks.run(work))
     }
 
-    /// Sends a request to one endpoint after the other.
-    fn ask<M: prost::Message + Default>(
+    /// Sends a request; fails over to the next member if one is unreachable or times out. The last error is printed.
+    fn send<M: prost::Message + Default>(
         &self,
         path: &str,
-        question: &impl prost::Message,
+        request: &impl prost::Message,
     ) -> Result<M, u8> {
-        let mut last = None;
-        for _ in 0..MAX_TRIES {
-            match self.on(self.client.unary(path, question, REQUEST_TIMEOUT)) {
-                Ok(answer) => return Ok(answer),
-                Err(fault @ (ClientError::Unreachable(_) | ClientError::TimedOut)) => {
-                    last = Some(fault);
+        let mut last_error = None;
+        for _ in 0..MAX_ATTEMPTS {
+            match self.block_on(self.client.unary(path, request, REQUEST_TIMEOUT)) {
+                Ok(response) => return Ok(response),
+                Err(error @ (ClientError::Unreachable(_) | ClientError::TimedOut)) => {
+                    last_error = Some(error);
                     self.client.fail_over();
                 }
-                Err(fault) => {
-                    last = Some(fault);
+                Err(error) => {
+                    last_error = Some(error);
                     break;
                 }
             }
         }
         Err(fail(
             COULD_NOT_RUN,
-            last.map_or_else(String::new, |fault| fault.to_string()),
+            last_error.map_or_else(String::new, |error| error.to_string()),
         ))
     }
 
-    /// The entries of a kind: names, values and revisions.
-    fn list(&self, what: &str) -> Result<Vec<(String, Value, i64)>, u8> {
-        let prefix = format!("{}{what}", self.prefix);
-        let question = RangeRequest {
+    /// Reads the entries below a prefix. Returns their names, values and revisions.
+    fn list(&self, kind_prefix: &str) -> Result<Vec<(String, Value, i64)>, u8> {
+        let prefix = format!("{}{kind_prefix}", self.prefix);
+        let request = RangeRequest {
             key: prefix.clone().into(),
             range_end: range_end(prefix.as_bytes()).into(),
             ..RangeRequest::default()
         };
-        let answer: RangeResponse = self.ask(RANGE, &question)?;
+        let response: RangeResponse = self.send(RANGE, &request)?;
         let read = |kv: orchidtally_etcd::rpc::KeyValue| {
             let key = String::from_utf8_lossy(&kv.key).into_owned();
             let name = key.strip_prefix(&prefix).unwrap_or(&key).to_owned();
@@ -122,11 +129,11 @@
                 .unwrap_or_else(|_| json!({ "unreadable": String::from_utf8_lossy(&kv.value) }));
             (name, value, kv.mod_revision)
         };
-        Ok(answer.kvs.into_iter().map(read).collect())
+        Ok(response.kvs.into_iter().map(read).collect())
     }
 
-    /// Executors, with the drains that operators have ordered, and front ends.
-    fn standing(&self) -> Result<(Vec<Value>, Vec<Value>), u8> {
+    /// Reads the executors, each with whether an operator has drained it, and the front ends.
+    fn entries(&self) -> Result<(Vec<Value>, Vec<Value>), u8> {
         let all = self.list(EXECUTORS)?;
         let drained = |name: &str| all.iter().any(|(n, _, _)| *n == format!("{name}/drain"));
         let executors = all.iter().filter(|(name, _, _)| !name.ends_with("/drain"));
@@ -140,7 +147,7 @@
         Ok((executors.collect(), front_ends.collect()))
     }
 
-    /// Waits until each front end knows a revision.
+    /// Waits until each front end knows a revision of the store.
     fn wait(&self, revision: i64, seconds: f64) -> Result<(), u8> {
         let until = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, MAX_WAIT));
         loop {
@@ -150,32 +157,32 @@
                     .get("at")
                     .and_then(Value::as_str)
                     .and_then(|a| a.parse::<SocketAddr>().ok());
-                let heard = at.and_then(|at| {
-                    let asked = orchidtally_socket_io::http::fetch(
+                let known_revision = at.and_then(|at| {
+                    let fetched = orchidtally_socket_io::http::fetch(
                         at,
                         Method::GET,
                         "/v1/front-end",
                         vec![],
                         REQUEST_TIMEOUT,
                     );
-                    let (_, body) = self.on(asked).ok()?;
-                    let standing: Value = serde_json::from_slice(&body).ok()?;
-                    standing.pointer("/roster/revision")?.as_i64()
+                    let (_, body) = self.block_on(fetched).ok()?;
+                    let status: Value = serde_json::from_slice(&body).ok()?;
+                    status.pointer("/roster/revision")?.as_i64()
                 });
-                if heard.is_none_or(|r| r < revision) {
+                if known_revision.is_none_or(|r| r < revision) {
                     behind.push(index);
                 }
             }
             if behind.is_empty() {
-                println!("every front end has heard of it");
+                println!("every front end has received the change");
                 return Ok(());
             }
             if Instant::now() > until {
                 println!(
-                    "front ends that have not heard of it: {}",
+                    "front ends that have not received the change: {}",
                     behind.join(", ")
                 );
-                return Err(NOT_SO);
+                return Err(NEGATIVE_RESULT);
             }
             std::thread::sleep(WAIT_INTERVAL);
         }
@@ -194,7 +201,7 @@
     else {
         return Err(fail(
             BAD_INPUT,
-            format!("{}: its executors come from no etcd", file.display()),
+            format!("{}: executors.etcd is missing", file.display()),
         ));
     };
     let tasks = Rc::new(async_executor::LocalExecutor::new());
@@ -205,31 +212,32 @@
     })
 }
 
-/// An executor as a line of a table.
-fn line(e: &Value) -> String {
-    let of = |key: &str| match e.pointer(key) {
+/// Formats an executor as a row of the table.
+fn format_row(e: &Value) -> String {
+    let field = |key: &str| match e.pointer(key) {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Null) | None => "-".into(),
         Some(other) => other.to_string(),
     };
-    let standing = if e["drained"] == true {
+    let status = if e["drained"] == true {
         "drained".into()
     } else {
-        of("/entry/standing")
+        field("/entry/standing")
     };
     format!(
-        "{:<24} {standing:<9} {:<12} {:<8} {:>5} {:>9}",
-        of("/executor"),
-        of("/entry/location"),
-        of("/entry/kind"),
-        of("/entry/cell"),
-        of("/revision")
+        "{:<24} {status:<9} {:<12} {:<8} {:>5} {:>9}",
+        field("/executor"),
+        field("/entry/location"),
+        field("/entry/kind"),
+        field("/entry/cell"),
+        field("/revision")
     )
 }
 
 impl Store {
+    /// Prints the executors and front ends.
     fn print(&self, as_json: bool) -> Result<(), u8> {
-        let (executors, front_ends) = self.standing()?;
+        let (executors, front_ends) = self.entries()?;
         if as_json {
             println!(
                 "{}",
@@ -240,7 +248,7 @@
         println!("executor                 standing  location     kind      cell  revision");
         executors
             .iter()
-            .for_each(|executor| println!("{}", line(executor)));
+            .for_each(|executor| println!("{}", format_row(executor)));
         println!(
             "{} executors, {} front ends",
             executors.len(),
@@ -249,20 +257,20 @@
         Ok(())
     }
 
-    /// Prints each change, without end or for some seconds.
+    /// Prints each change, for so many seconds or without end.
     fn watch(&self, seconds: Option<f64>) -> Result<(), u8> {
         let until = seconds
             .map(|time| Instant::now() + Duration::from_secs_f64(time.clamp(0.0, MAX_WATCH)));
         let mut before: Vec<Value> = vec![];
         while until.is_none_or(|until| Instant::now() < until) {
-            let (now, _) = self.standing()?;
+            let (now, _) = self.entries()?;
             now.iter()
                 .filter(|e| !before.contains(e))
-                .for_each(|e| println!("{}", line(e)));
-            let is_there = |e: &&Value| now.iter().any(|n| n["executor"] == e["executor"]);
+                .for_each(|e| println!("{}", format_row(e)));
+            let is_present = |e: &&Value| now.iter().any(|n| n["executor"] == e["executor"]);
             before
                 .iter()
-                .filter(|e| !is_there(e))
+                .filter(|e| !is_present(e))
                 .for_each(|e| println!("{} is gone", e["executor"]));
             before = now;
             std::thread::sleep(WATCH_INTERVAL);
@@ -283,21 +291,23 @@
                 .iter()
                 .any(|(name, _, _)| *name == executor.to_string())
             {
-                eprintln!("{executor} has no entry in the store; it is drained once it has");
+                eprintln!(
+                    "{executor} has no entry in the store yet; the drain applies once it registers"
+                );
             }
             let put = PutRequest {
                 key: self.drain_key(executor),
                 value: "{}".into(),
                 ..PutRequest::default()
             };
-            let done: PutResponse = self.ask(PUT, &put)?;
+            let done: PutResponse = self.send(PUT, &put)?;
             revision = done.header.unwrap_or_default().revision;
             println!("{executor} is drained as of revision {revision}");
         }
         Ok(revision)
     }
 
-    /// Withdraws drains; returns the revision of the last change.
+    /// Cancels drains; returns the revision of the last change.
     fn undrain(&self, executors: &[SocketAddr]) -> Result<i64, u8> {
         let mut revision = 0;
         for executor in executors {
@@ -305,7 +315,7 @@
                 key: self.drain_key(executor),
                 ..DeleteRangeRequest::default()
             };
-            let done: DeleteRangeResponse = self.ask(DELETE_RANGE, &delete)?;
+            let done: DeleteRangeResponse = self.send(DELETE_RANGE, &delete)?;
             revision = done.header.unwrap_or_default().revision;
             if done.deleted == 0 {
                 println!("{executor} was not drained");
@@ -317,7 +327,7 @@
     }
 }
 
-/// Prints or changes the list of executors in etcd.
+/// Prints or changes the executors registered in etcd.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     let store = open(&arguments)?;
     let (revision, wait) = match arguments.command {
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to a front end: SIGTERM and SIGINT end it, SIGHUP has its deployment file read again.
+//! Signal handling of a front end: SIGTERM and SIGINT shut it down, SIGHUP reloads its deployment file.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -6,14 +6,14 @@
 use std::path::PathBuf;
 use tracing::{info, warn};
 
-/// Catches the signals from now on; what comes before [`follow`] waits.
-pub fn catch() -> io::Result<Signals> {
+/// Installs the signal handlers. Signals that arrive before [`spawn_handler`] is called are queued.
+pub fn install() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Handles the signals on a thread of its own. The first that ends the front end closes `stop`; `reload` receives a
-/// message for each SIGHUP unless one is waiting already.
-pub fn follow(
+/// Handles the signals on a background thread. SIGTERM and SIGINT close `stop`; each SIGHUP sends a message to `reload`
+/// unless one is queued already.
+pub fn spawn_handler(
     signals: Signals,
     stop: async_channel::Sender<()>,
     reload: Option<async_channel::Sender<()>>,
@@ -30,7 +30,7 @@
         match (signal, &reload) {
             (Ok(Signal::Hup), Some(reload)) => {
                 info!("reload signal received, reading the deployment file again");
-                // One that waits is read after this signal as well.
+                // If the channel is full, the queued reload reads the file after this signal.
                 let _ = reload.try_send(());
             }
             (Ok(Signal::Hup), None) => {
@@ -44,13 +44,13 @@
             }
         }
     }
-    // Without signals nothing could end the front end later: it ends now.
+    // The signal stream has ended, so no later signal could stop the front end: it stops now.
     stop.close();
 }
 
-/// Reads a file on a thread of its own for each message on `reload`, and sends its text to `read`. A file system
-/// that hangs blocks nothing else.
-pub fn read_again(
+/// Reads a file on a background thread for each message on `reload`, and sends its text to `read`. A separate thread
+/// keeps a file system that hangs from blocking the front end.
+pub fn spawn_file_reader(
     path: PathBuf,
     reload: async_channel::Receiver<()>,
     read: async_channel::Sender<io::Result<String>>,
