--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/execution/mod.rs
@@ -7,9 +7,9 @@
 mod setup;
 mod traffic;
 
-use super::endpoints::Roster;
+use super::endpoint_store::Roster;
 use super::messages::Messages;
-use super::rolling::{self, Rolling};
+use super::rollout_run::{self, Rolling};
 use super::scenario::Scenario;
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{self as invariants, Limits, TrafficRecord};
@@ -52,7 +52,7 @@
     /// What front ends log.
     pub front_end_log: String,
     /// The rollout that is played under the day.
-    pub rollout: Option<rolling::Options>,
+    pub rollout: Option<rollout_run::Options>,
     /// Whether messages are published too.
     pub messages: bool,
     /// Whether the list of executors comes from etcd.
@@ -70,7 +70,7 @@
     /// Remarks for the reader.
     pub notes: Vec<String>,
     /// What became of the rollout.
-    pub rollout: Option<rolling::Observed>,
+    pub rollout: Option<rollout_run::Observed>,
     /// The list of executors in etcd.
     pub roster: Option<Rc<Roster>>,
     /// Lists that front ends had to ask for again.
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/execution/setup.rs
@@ -1,9 +1,9 @@
 //! Sets a rehearsal up: the deployment file that front ends read, executors, the roster's source and front ends.
 
 use super::{FrontEnd, Options, Rehearsal, TRANSIT};
-use crate::rehearse::endpoints::Roster;
+use crate::rehearse::endpoint_store::Roster;
 use crate::rehearse::messages::Messages;
-use crate::rehearse::rolling::Rolling;
+use crate::rehearse::rollout_run::Rolling;
 use crate::rehearse::scenario::Scenario;
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{DeduplicationScope, EndpointState, Idempotency, Limits, TriggerType};
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/execution/traffic.rs
@@ -1,7 +1,7 @@
 //! The clients of a day: what they offer, to which front end, and what they make of the answer.
 
 use super::{Rehearsal, SHARES, WARM_UP};
-use crate::rehearse::rolling;
+use crate::rehearse::rollout_run;
 use bytes::Bytes;
 use orchidtally_invariants::{FinalAnswer, Idempotency};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
@@ -58,7 +58,7 @@
         let function = match kind.name.as_str() {
             // A part of the traffic is the function's that is rolled out.
             _ if self.rolling.is_some() && kind.name != "watch" && self.drawn(0.35) => {
-                rolling::FUNCTION.into()
+                rollout_run::FUNCTION.into()
             }
             "watch" => format!("watch-{}", self.function(now)),
             _ => self.function(now),
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -1,12 +1,12 @@
 //! `orchidtally rehearse`: a scripted day on loopback with real front-end processes, and the five rules
 //! checked from the traffic.
 
-mod endpoints;
+mod endpoint_store;
 mod evidence;
+mod execution;
 mod messages;
-mod play;
 mod report;
-mod rolling;
+mod rollout_run;
 mod scenario;
 
 use crate::{BAD_INPUT, COULD_NOT_RUN, NEGATIVE_RESULT, fail, read_text};
@@ -38,8 +38,8 @@
     #[arg(long, value_name = "PLAN", num_args = 0..=1, default_missing_value = BUILT_IN)]
     rollout: Option<String>,
     /// What the new version of that rollout is like.
-    #[arg(long, value_enum, default_value_t = rolling::NewVersion::FailsLater)]
-    new_version: rolling::NewVersion,
+    #[arg(long, value_enum, default_value_t = rollout_run::NewVersion::FailsLater)]
+    new_version: rollout_run::NewVersion,
     /// Lets controllers publish messages beside the day's traffic, by way of a broker with faults of its own.
     #[arg(long)]
     mqtt: bool,
@@ -79,16 +79,16 @@
 }
 
 /// The rollout that the arguments ask for.
-fn rollout(arguments: &Arguments) -> Result<Option<rolling::Options>, u8> {
+fn rollout(arguments: &Arguments) -> Result<Option<rollout_run::Options>, u8> {
     let Some(file) = &arguments.rollout else {
         return Ok(None);
     };
     let plan = if file == BUILT_IN {
-        rolling::PLAN.into()
+        rollout_run::PLAN.into()
     } else {
         read_text(file.as_ref())?
     };
-    Ok(Some(rolling::Options {
+    Ok(Some(rollout_run::Options {
         plan,
         new: arguments.new_version,
     }))
@@ -113,7 +113,7 @@
         ));
     }
     let scenario = scenario(&arguments)?;
-    let options = play::Options {
+    let options = execution::Options {
         seed: arguments.seed,
         inject_violation: arguments.inject_violation,
         front_end_log: arguments.front_end_log.clone(),
@@ -121,7 +121,7 @@
         etcd: arguments.etcd,
         rollout: rollout(&arguments)?,
     };
-    let played = play::play(&scenario, &options)
+    let played = execution::play(&scenario, &options)
         .map_err(|e| fail(COULD_NOT_RUN, format!("the day could not be played: {e}")))?;
     if let Some(file) = &arguments.records {
         write_records(file, &played.records)?;
@@ -146,7 +146,7 @@
     let rolled_well = played
         .rollout
         .as_ref()
-        .is_none_or(rolling::Observed::is_well);
+        .is_none_or(rollout_run::Observed::is_well);
     let carried_well = messages.as_ref().is_none_or(MessageReport::holds);
     if verdict.holds() && rolled_well && carried_well {
         Ok(())
--- a/crates/cli/src/rehearse/report.rs
+++ b/crates/cli/src/rehearse/report.rs
@@ -1,8 +1,8 @@
 //! The report of a rehearsal on standard output.
 
-use super::play::Played;
+use super::execution::Played;
 use super::scenario::Scenario;
-use super::{endpoints, rolling};
+use super::{endpoint_store, rollout_run};
 use orchidtally_invariants::{FinalAnswer, MessageReport, TrafficRecord, Verdict};
 use serde::Serialize;
 use std::collections::HashMap;
@@ -18,7 +18,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     mqtt: Option<&'a MessageReport>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    roster: Option<endpoints::Observed>,
+    roster: Option<endpoint_store::Observed>,
     /// Whether the violation that was asked for took place.
     #[serde(skip_serializing_if = "Option::is_none")]
     injected: Option<bool>,
@@ -28,7 +28,7 @@
 #[derive(Serialize)]
 struct RolloutReport<'a> {
     #[serde(flatten)]
-    observed: &'a rolling::Observed,
+    observed: &'a rollout_run::Observed,
     effects_twice: u64,
     orders_over_ration: u64,
 }
@@ -132,7 +132,7 @@
     }
 }
 
-fn print_rollout(observed: &rolling::Observed) {
+fn print_rollout(observed: &rollout_run::Observed) {
     println!("rollout: {}", observed.state);
     for line in &observed.notified {
         println!("  {line}");
