--- a/crates/cli/src/rehearse/endpoint_store.rs
+++ b/crates/cli/src/rehearse/endpoint_store.rs
@@ -1,5 +1,6 @@
-//! A store beside a day: executors have their entries in it with leases, front ends follow it, and it is torn off,
-//! stalled, compacted, set back and loses all leases at once.
+//! An etcd test server for a rehearsal: executors register in it with leases and front ends watch it. Its faults are
+//! lost connections, stalls, the expiry of all leases at once, a compaction past the watchers and a restore of older
+//! data.
 
 use orchidtally_etcd::rpc::event::EventType;
 use orchidtally_etcd::rpc::{Event, PutRequest, RangeRequest};
@@ -15,55 +16,63 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// Prefix of the keys of executors.
 const PREFIX: &str = "/orchidtally/executors/";
-/// The lease of an executor's entry in seconds, and the seconds between two renewals.
-const LEASE: i64 = 2;
-const RENEWED: f64 = 0.4;
-/// One in so many messages breaks its connection.
-const BREAKS_EVERY: u64 = 120;
+/// Time to live of an executor's lease, in seconds.
+const LEASE_TTL: i64 = 2;
+/// Seconds between two renewals of a lease.
+const RENEWAL_INTERVAL: f64 = 0.4;
+/// The server breaks all connections after every so many messages.
+const MESSAGES_PER_DISCONNECT: u64 = 120;
 
-/// The list of executors in etcd.
-pub struct Roster {
-    stage: TestEnvironment,
+/// The etcd server and the executors' entries in it.
+pub struct EndpointStore {
+    environment: TestEnvironment,
+    /// The server.
     pub etcd: Rc<EtcdServer>,
-    /// Lease and standing of each executor.
+    /// Lease and state of each executor's entry, by number.
     entries: RefCell<Vec<(i64, EndpointState)>>,
     executors: RefCell<Vec<Rc<Executor>>>,
-    /// Location and cell of each.
-    place: Place,
+    /// Returns the location and cell of an executor by number.
+    placement: Placement,
 }
 
-type Place = Box<dyn Fn(usize) -> (u32, u32)>;
+type Placement = Box<dyn Fn(usize) -> (u32, u32)>;
 
-/// What the last line of the output says of the list of executors.
+/// The summary of drains and endpoint lists in the last line of the output.
 #[derive(Debug, Default, Serialize)]
 pub struct Observed {
+    /// Notifications of front ends that an executor drains.
     pub drains: u64,
+    /// The longest time between such a notification and a later dispatch of that front end to the executor, in seconds.
     pub worst_drain_s: f64,
+    /// Violations of rule 3.
     pub stale_dispatches: u64,
+    /// Endpoint lists that front ends had to read again.
     pub relists: u64,
+    /// Violations of rule 4.
     pub cold_fallen: u64,
 }
 
-impl Roster {
-    /// A store without entries. `place` returns an executor's location and cell.
+impl EndpointStore {
+    /// Starts a server without entries. `place` returns an executor's location and cell.
     pub fn new(
-        stage: &TestEnvironment,
-        place: impl Fn(usize) -> (u32, u32) + 'static,
-    ) -> io::Result<Rc<Roster>> {
-        let etcd = EtcdServer::start(stage, 3)?;
+        environment: &TestEnvironment,
+        placement: impl Fn(usize) -> (u32, u32) + 'static,
+    ) -> io::Result<Rc<EndpointStore>> {
+        let etcd = EtcdServer::start(environment, 3)?;
         let (entries, executors) = Default::default();
-        Ok(Rc::new(Roster {
-            stage: stage.clone(),
+        Ok(Rc::new(EndpointStore {
+            environment: environment.clone(),
             etcd,
             entries,
             executors,
-            place: Box::new(place),
+            placement: Box::new(placement),
         }))
     }
 
-    /// The part of the deployment file that names the store.
-    pub fn description(&self) -> String {
+    /// The setting of the deployment file that names the server.
+    pub fn deployment_setting(&self) -> String {
         let endpoints: Vec<String> = self
             .etcd
             .addresses
@@ -76,29 +85,31 @@
         )
     }
 
-    /// The store's members.
+    /// The addresses of the server's members.
     pub fn endpoints(&self) -> Vec<SocketAddr> {
         self.etcd.addresses.clone()
     }
 
-    /// What the keys of executors begin with.
+    /// The prefix of the keys of executors.
     pub fn prefix(&self) -> &'static str {
         PREFIX
     }
 
+    /// The value of an executor's entry.
     fn value(&self, e: &Executor) -> String {
-        let (location, cell) = (self.place)(e.spec.number);
+        let (location, cell) = (self.placement)(e.spec.number);
         let state = match self.entries.borrow()[e.spec.number].1 {
             EndpointState::Draining => "draining",
             _ => "ready",
         };
         let value = json!({
             "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": state,
-            "since": self.stage.wall(e.started_at()),
+            "since": self.environment.wall(e.started_at()),
         });
         value.to_string()
     }
 
+    /// Writes an executor's entry.
     fn put(&self, e: &Executor) {
         let put = PutRequest {
             key: format!("{PREFIX}{}", e.address).into(),
@@ -107,16 +118,19 @@
             prev_kv: false,
         };
         if let Err(status) = self.etcd.store.borrow_mut().put(&put) {
-            eprintln!("executor {} has no entry: {status}", e.spec.number);
+            eprintln!(
+                "executor {} could not be registered: {status}",
+                e.spec.number
+            );
         }
     }
 
-    /// Enters all executors, and records what front ends are told of them from now on.
+    /// Registers all executors, keeps their leases alive, and records the notifications that front ends receive.
     pub fn start(self: &Rc<Self>, executors: &[Rc<Executor>]) {
-        let now = self.stage.now();
+        let now = self.environment.now();
         *self.executors.borrow_mut() = executors.to_vec();
         for e in executors {
-            let lease = self.etcd.store.borrow_mut().grant(now, LEASE).id;
+            let lease = self.etcd.store.borrow_mut().grant(now, LEASE_TTL).id;
             self.entries
                 .borrow_mut()
                 .push((lease, EndpointState::Ready));
@@ -126,8 +140,8 @@
             .iter()
             .map(|e| (format!("{PREFIX}{}", e.address), e.spec.number))
             .collect();
-        let (stage, all) = (self.stage.clone(), executors.to_vec());
-        let hears = move |agent: &str, event: &Event| {
+        let (environment, all) = (self.environment.clone(), executors.to_vec());
+        let record_notification = move |agent: &str, event: &Event| {
             let Some((index, incarnation)) = agent.split_once('.') else {
                 return;
             };
@@ -145,8 +159,8 @@
                 }
                 _ => EndpointState::Ready,
             };
-            let (at, since) = (stage.now(), all[executor].started_at());
-            stage.record(TrafficRecord::EndpointNotified {
+            let (at, since) = (environment.now(), all[executor].started_at());
+            environment.record(TrafficRecord::EndpointNotified {
                 at,
                 front_end,
                 incarnation,
@@ -155,35 +169,36 @@
                 started_at: since,
             });
         };
-        *self.etcd.notified.borrow_mut() = Some(Rc::new(hears));
-        let me = self.clone();
+        *self.etcd.notified.borrow_mut() = Some(Rc::new(record_notification));
+        let this = self.clone();
         let renewals = async move {
             loop {
-                me.stage.sleep(RENEWED).await;
-                let up: Vec<_> = me
+                this.environment.sleep(RENEWAL_INTERVAL).await;
+                let running: Vec<_> = this
                     .executors
                     .borrow()
                     .iter()
                     .filter(|e| e.is_up())
                     .cloned()
                     .collect();
-                up.iter().for_each(|e| me.renew(e));
+                running.iter().for_each(|e| this.renew(e));
             }
         };
-        self.stage.spawn(renewals).detach();
+        self.environment.spawn(renewals).detach();
     }
 
-    /// Keeps an entry: its lease, and what it says, which a store that was set back may have otherwise.
+    /// Renews an executor's lease. Writes the entry again if the lease has expired or the value differs, as after a
+    /// restore of older data.
     fn renew(&self, e: &Executor) {
-        let now = self.stage.now();
+        let now = self.environment.now();
         let lease = self.entries.borrow()[e.spec.number].0;
-        let over = self.etcd.store.borrow_mut().keep_alive(now, lease).ttl == 0;
-        if over {
+        let has_expired = self.etcd.store.borrow_mut().keep_alive(now, lease).ttl == 0;
+        if has_expired {
             self.entries.borrow_mut()[e.spec.number].0 =
-                self.etcd.store.borrow_mut().grant(now, LEASE).id;
+                self.etcd.store.borrow_mut().grant(now, LEASE_TTL).id;
         }
         let expected = self.value(e);
-        let question = RangeRequest {
+        let request = RangeRequest {
             key: format!("{PREFIX}{}", e.address).into(),
             ..RangeRequest::default()
         };
@@ -191,10 +206,10 @@
             .etcd
             .store
             .borrow()
-            .range(&question)
+            .range(&request)
             .map(|record| record.kvs)
             .unwrap_or_default();
-        if over
+        if has_expired
             || found
                 .first()
                 .is_none_or(|kv| kv.value != expected.as_bytes())
@@ -203,8 +218,8 @@
         }
     }
 
-    /// What an executor, or whoever stops it, says of it.
-    pub fn change(&self, e: &Executor, state: EndpointState) {
+    /// Changes the state of an executor's entry; [`EndpointState::Gone`] revokes its lease.
+    pub fn set_state(&self, e: &Executor, state: EndpointState) {
         if state == EndpointState::Gone {
             let lease = self.entries.borrow()[e.spec.number].0;
             self.etcd.store.borrow_mut().revoke(lease);
@@ -214,22 +229,22 @@
         self.renew(e);
     }
 
-    /// What goes wrong with the store through a day.
-    pub async fn perform(self: Rc<Self>, from: f64, length: f64) {
+    /// Injects the server's faults into a scenario that starts at `from` and takes `length` seconds.
+    pub async fn inject_faults(self: Rc<Self>, from: f64, length: f64) {
         let until = async |share: f64| {
-            self.stage
-                .sleep(from + share * length - self.stage.now())
+            self.environment
+                .sleep(from + share * length - self.environment.now())
                 .await
         };
         until(0.15).await;
-        self.etcd.faults.breaks_every.set(BREAKS_EVERY);
+        self.etcd.faults.breaks_every.set(MESSAGES_PER_DISCONNECT);
         until(0.3).await;
-        self.etcd.faults.stalled.set(self.stage.now() + 1.5);
+        self.etcd.faults.stalled.set(self.environment.now() + 1.5);
         until(0.45).await;
         self.etcd.store.borrow_mut().expire_all();
         until(0.55).await;
-        // While all watchers are off it changes, and is compacted past what they had seen.
-        self.etcd.faults.stalled.set(self.stage.now() + 0.3);
+        // With all watchers disconnected, the data changes and is compacted past the revision that they had read.
+        self.etcd.faults.stalled.set(self.environment.now() + 0.3);
         self.etcd.cut_off();
         self.executors
             .borrow()
@@ -238,32 +253,32 @@
             .for_each(|e| self.put(e));
         let revision = self.etcd.store.borrow().revision;
         if let Err(status) = self.etcd.store.borrow_mut().compact(revision) {
-            eprintln!("nothing was compacted: {status}");
+            eprintln!("the compaction failed: {status}");
         }
         until(0.65).await;
         self.etcd.faults.delay.set(0.1);
         until(0.75).await;
         self.etcd.faults.delay.set(0.0);
         self.etcd.faults.breaks_every.set(0);
-        // Older data, as after a restore.
+        // Goes back to older data, as a restore does.
         let revision = self.etcd.store.borrow().revision;
         self.etcd.store.borrow_mut().restore(revision - 6);
-        // It is another cluster then.
+        // A restored cluster has a new id.
         self.etcd.store.borrow_mut().cluster += 1;
         self.etcd.cut_off();
     }
 
-    /// How soon after it was told of a drain each front end had sent its last dispatch.
+    /// Summarises the records. `stale` and `overloads` are the numbers of violations of rules 3 and 4.
     pub fn observed(
         &self,
         records: &[TrafficRecord],
         relists: u64,
-        (stale, fallen): (u64, u64),
+        (stale, overloads): (u64, u64),
     ) -> Observed {
-        let mut seen = Observed {
+        let mut observed = Observed {
             relists,
             stale_dispatches: stale,
-            cold_fallen: fallen,
+            cold_fallen: overloads,
             ..Observed::default()
         };
         let mut drains: HashMap<(u64, usize), f64> = HashMap::new();
@@ -279,7 +294,7 @@
                     ..
                 } => {
                     drains.entry((*incarnation, *executor)).or_insert_with(|| {
-                        seen.drains += 1;
+                        observed.drains += 1;
                         *at
                     });
                 }
@@ -297,12 +312,12 @@
                     ..
                 } => {
                     if let Some(notified) = drains.get(&(*incarnation, *executor)) {
-                        seen.worst_drain_s = seen.worst_drain_s.max(at - notified);
+                        observed.worst_drain_s = observed.worst_drain_s.max(at - notified);
                     }
                 }
                 _ => {}
             }
         }
-        seen
+        observed
     }
 }
--- a/crates/cli/src/rehearse/evidence.rs
+++ b/crates/cli/src/rehearse/evidence.rs
@@ -1,41 +1,42 @@
-//! Whether a violation that was injected took place, told from the records alone and more strictly than the checks
-//! judge it: what holds here has to be found by them.
+//! Decides from the records whether an injected violation took place. The conditions are stricter than those of the
+//! rule checks, so that the checks have to find every violation that is accepted here.
 
 use orchidtally_invariants::{EndpointState, Idempotency, Limits, TrafficRecord};
 use orchidtally_test_servers::misbehaving_front_end;
 use std::collections::{HashMap, HashSet};
 
-/// The client whose invocations nobody answers.
+/// The client whose invocations are left unanswered.
 pub const UNANSWERED_CLIENT: u32 = 9_999;
-/// What the names of invocations begin with that an injection dispatches.
+/// Prefix of the names of injected invocations.
 pub const INVOCATION_PREFIX: &str = "rogue-";
 
-/// What the records lack for a violation of a rule.
+/// Why the records do not show the violation of a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MissingEvidence {
     #[error("no invocation was left without an answer")]
     Unanswered,
     #[error("no invocation of a non-idempotent type ran at two executors")]
-    RanTwice,
-    #[error("the injecting front end was never told that an executor drains")]
+    ExecutedTwice,
+    #[error("the injecting front end was never notified that an executor drains")]
     DrainNotification,
     #[error(
-        "no dispatch reached a draining executor later than the grace and what messages may take"
+        "no dispatch reached a draining executor after the grace and the transit time of messages"
     )]
     LateDispatch,
-    #[error("the injecting front end was never told of an executor's cold start")]
+    #[error("the injecting front end was never notified of an executor's cold start")]
     StartNotification,
-    #[error(
-        "no cold executor was pushed over by dispatches that were mostly the injecting front end's"
-    )]
-    PushedOver,
-    #[error("the orders to load that were given could all have been within the ration")]
-    OrdersOverRation,
+    #[error("no cold executor was overloaded mostly by the injecting front end's dispatches")]
+    ColdExecutorOverloaded,
+    #[error("all load commands could have been within the load budget")]
+    LoadCommandsOverBudget,
     #[error("no message of a non-idempotent type ran twice")]
-    MessageRanTwice,
+    MessageExecutedTwice,
 }
 
-/// The evidence of a rule's injected violation, or what is missing for it.
+/// Checks that the records show the violation of a rule.
+///
+/// # Errors
+/// What is missing for the violation.
 pub fn of_violation(
     rule: u8,
     limits: &Limits,
@@ -45,16 +46,16 @@
     records.sort_by(|a, b| a.at().total_cmp(&b.at()));
     match rule {
         1 => unanswered(&records),
-        2 => ran_twice(&records),
+        2 => executed_twice(&records),
         3 => dispatched_after_drain(limits, &records),
-        4 => pushed_over(limits, &records),
-        5 => over_ration(limits, &records),
-        _ => message_ran_twice(limits, &records),
+        4 => cold_executor_overloaded(limits, &records),
+        5 => over_load_budget(limits, &records),
+        _ => message_executed_twice(limits, &records),
     }
 }
 
-fn found_or(found: bool, missing: MissingEvidence) -> Result<(), MissingEvidence> {
-    if found { Ok(()) } else { Err(missing) }
+fn ok_if(condition: bool, missing: MissingEvidence) -> Result<(), MissingEvidence> {
+    if condition { Ok(()) } else { Err(missing) }
 }
 
 fn unanswered(records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
@@ -66,11 +67,11 @@
     };
     let sent: HashSet<String> = records.iter().filter_map(sent).collect();
     let timed_out = |record: &&TrafficRecord| matches!(record, TrafficRecord::ClientTimedOut { invocation, .. } if sent.contains(invocation));
-    found_or(records.iter().any(timed_out), MissingEvidence::Unanswered)
+    ok_if(records.iter().any(timed_out), MissingEvidence::Unanswered)
 }
 
-fn ran_twice(records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
-    let mut ran_at: HashMap<&str, HashSet<usize>> = HashMap::new();
+fn executed_twice(records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+    let mut executed_at: HashMap<&str, HashSet<usize>> = HashMap::new();
     for record in records {
         if let TrafficRecord::ExecutionStarted {
             executor,
@@ -79,16 +80,17 @@
         } = record
             && invocation.starts_with(INVOCATION_PREFIX)
         {
-            ran_at.entry(invocation).or_default().insert(*executor);
+            executed_at.entry(invocation).or_default().insert(*executor);
         }
     }
-    found_or(
-        ran_at.values().any(|executors| executors.len() > 1),
-        MissingEvidence::RanTwice,
+    ok_if(
+        executed_at.values().any(|executors| executors.len() > 1),
+        MissingEvidence::ExecutedTwice,
     )
 }
 
-/// Since when the injecting front end has been told that an executor is not to be used.
+/// When the injecting front end was first notified that the executor drains or is gone; `None` if the last notification
+/// was that it is ready.
 pub fn drain_notified_at(records: &[TrafficRecord], executor: usize) -> Option<f64> {
     let mut notified: Vec<(f64, EndpointState)> = records
         .iter()
@@ -167,7 +169,7 @@
     })
 }
 
-/// Whether the injecting front end was told of a start of an executor that is no earlier than `since`.
+/// Whether the injecting front end was notified of a start of the executor at `since` or later.
 pub fn was_notified_of_start(records: &[TrafficRecord], expected: usize, since: f64) -> bool {
     records.iter().any(|record| match record {
         TrafficRecord::EndpointNotified {
@@ -184,9 +186,12 @@
     })
 }
 
-fn pushed_over(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+fn cold_executor_overloaded(
+    limits: &Limits,
+    records: &[&TrafficRecord],
+) -> Result<(), MissingEvidence> {
     let mut notified_of_start: HashMap<usize, f64> = HashMap::new();
-    let mut reached: HashMap<usize, Vec<(f64, bool)>> = HashMap::new();
+    let mut arrivals: HashMap<usize, Vec<(f64, bool)>> = HashMap::new();
     for record in records {
         match record {
             TrafficRecord::EndpointNotified {
@@ -203,7 +208,7 @@
                 executor,
                 ..
             } => {
-                reached
+                arrivals
                     .entry(*executor)
                     .or_default()
                     .push((*at, *incarnation == misbehaving_front_end::INCARNATION));
@@ -214,15 +219,15 @@
                 started_at: since,
             } if notified_of_start.get(executor).is_some_and(|t| t >= since) => {
                 let began = since.max(at - limits.overload_window);
-                let lately = || {
-                    reached
+                let recent = || {
+                    arrivals
                         .get(executor)
                         .into_iter()
                         .flatten()
                         .filter(|record| record.0 >= began)
                 };
-                let injected = lately().filter(|record| record.1).count();
-                if 3 * injected > 2 * lately().count() {
+                let injected = recent().filter(|record| record.1).count();
+                if 3 * injected > 2 * recent().count() {
                     return Ok(());
                 }
             }
@@ -231,23 +236,24 @@
     }
     let was_notified = notified_of_start.values().any(|since| since.is_finite());
     Err(if was_notified {
-        MissingEvidence::PushedOver
+        MissingEvidence::ColdExecutorOverloaded
     } else {
         MissingEvidence::StartNotification
     })
 }
 
-/// Counts what all front ends were offered in place of one, and leaves out executors that were deaf at any time.
-fn over_ration(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
-    let deaf = |record: &&TrafficRecord| {
+/// Counts the invocations of all front ends instead of those of one, and leaves out executors that paused reading at
+/// any time: both make the condition stricter than the rule's check.
+fn over_load_budget(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
+    let paused_executor = |record: &&TrafficRecord| {
         if let TrafficRecord::ReadsPaused { executor, .. } = record {
             Some(*executor)
         } else {
             None
         }
     };
-    let deaf: HashSet<usize> = records.iter().filter_map(deaf).collect();
-    let mut orders: Vec<f64> = vec![];
+    let paused_executor: HashSet<usize> = records.iter().filter_map(paused_executor).collect();
+    let mut load_commands: Vec<f64> = vec![];
     let mut requests: Vec<f64> = vec![];
     let mut published = 0;
     for record in records {
@@ -262,21 +268,22 @@
                 ..
             } if *incarnation == misbehaving_front_end::INCARNATION
                 && *copies > 0
-                && !deaf.contains(executor) =>
+                && !paused_executor.contains(executor) =>
             {
-                orders.push(*at);
+                load_commands.push(*at);
                 let from = at - limits.load_budget_window;
-                let given = orders
+                let command_count = load_commands
                     .iter()
                     .filter(|&&t| t > from + limits.max_transit_time)
                     .count();
-                let taken = requests
+                let invocation_count = requests
                     .iter()
                     .filter(|&&t| t > from - limits.max_transit_time)
                     .count()
                     + published;
-                if given as f64
-                    > limits.load_budget_floor + limits.load_budget_fraction * taken as f64
+                if command_count as f64
+                    > limits.load_budget_floor
+                        + limits.load_budget_fraction * invocation_count as f64
                 {
                     return Ok(());
                 }
@@ -284,11 +291,14 @@
             _ => {}
         }
     }
-    Err(MissingEvidence::OrdersOverRation)
+    Err(MissingEvidence::LoadCommandsOverBudget)
 }
 
-fn message_ran_twice(limits: &Limits, records: &[&TrafficRecord]) -> Result<(), MissingEvidence> {
-    let has_effect_once = |name: &str| {
+fn message_executed_twice(
+    limits: &Limits,
+    records: &[&TrafficRecord],
+) -> Result<(), MissingEvidence> {
+    let is_non_idempotent = |name: &str| {
         limits
             .trigger_types
             .iter()
@@ -299,18 +309,18 @@
             invocation,
             trigger_type,
             ..
-        } if has_effect_once(trigger_type) => Some(invocation.clone()),
+        } if is_non_idempotent(trigger_type) => Some(invocation.clone()),
         _ => None,
     };
     let messages: HashSet<String> = records.iter().filter_map(message).collect();
-    let mut ran: HashSet<&str> = HashSet::new();
+    let mut executed: HashSet<&str> = HashSet::new();
     for record in records {
         if let TrafficRecord::ExecutionStarted { invocation, .. } = record
             && messages.contains(invocation)
-            && !ran.insert(invocation)
+            && !executed.insert(invocation)
         {
             return Ok(());
         }
     }
-    Err(MissingEvidence::MessageRanTwice)
+    Err(MissingEvidence::MessageExecutedTwice)
 }
--- a/crates/cli/src/rehearse/execution/faults.rs
+++ b/crates/cli/src/rehearse/execution/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong through a day, as its script says.
+//! Applies the faults of a scenario.
 
 use super::Rehearsal;
 use crate::rehearse::scenario::{FaultKind, ScheduledFault};
@@ -8,7 +8,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Seconds between the notice of a preemption and the end of the executor.
+/// Seconds between the notice of a preemption and the executor's crash.
 const PREEMPTION_NOTICE: f64 = 0.4;
 
 /// Whether an executor is up and not draining.
@@ -17,58 +17,66 @@
 }
 
 impl Rehearsal {
-    pub(super) fn drawn(&self, share: f64) -> bool {
-        self.stage.unit() < share
+    /// Returns true with a probability of `share`.
+    pub(super) fn chance(&self, share: f64) -> bool {
+        self.environment.unit() < share
     }
 
-    /// Some of a list, without those that the script has down already.
-    pub(super) fn some<T: Clone>(&self, of: &[T], share: f64, fits: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Draws a share of a list, at least one, from the elements that fit.
+    pub(super) fn sample<T: Clone>(
+        &self,
+        of: &[T],
+        share: f64,
+        fits: impl Fn(&T) -> bool,
+    ) -> Vec<T> {
         let mut fitting: Vec<T> = of.iter().filter(|x| fits(x)).cloned().collect();
         let n = ((of.len() as f64 * share).round() as usize).clamp(1, fitting.len().max(1));
         while fitting.len() > n {
-            fitting.swap_remove((self.stage.unit() * fitting.len() as f64) as usize);
+            fitting.swap_remove((self.environment.unit() * fitting.len() as f64) as usize);
         }
         fitting
     }
 
-    pub(super) fn perform_later(self: &Rc<Self>, from: f64, fault: ScheduledFault) {
+    /// Applies a fault at its time in a scenario that begins at `from`.
+    pub(super) fn schedule_fault(self: &Rc<Self>, from: f64, fault: ScheduledFault) {
         let rehearsal = self.clone();
         self.in_background(async move {
             rehearsal
-                .stage
-                .sleep(from + fault.at - rehearsal.stage.now())
+                .environment
+                .sleep(from + fault.at - rehearsal.environment.now())
                 .await;
             rehearsal.apply_fault(&fault).await;
         });
     }
 
-    fn switch(&self, which: &(TimedFault, Cell<f64>), fault: &ScheduledFault) {
-        which.1.set(fault.size);
-        which.0.set(self.stage.now() + fault.duration);
+    /// Activates a fault of the traffic.
+    fn activate(&self, timed_fault: &(TimedFault, Cell<f64>), fault: &ScheduledFault) {
+        timed_fault.1.set(fault.size);
+        timed_fault.0.set(self.environment.now() + fault.duration);
     }
 
-    /// Executors that are up and not draining, as many as the size of a fault says.
-    fn victims(&self, fault: &ScheduledFault) -> Vec<Rc<Executor>> {
-        self.some(&self.executors, fault.size, is_available)
+    /// Draws the executors that a fault affects from those that are up and not draining.
+    fn draw_executors(&self, fault: &ScheduledFault) -> Vec<Rc<Executor>> {
+        self.sample(&self.executors, fault.size, is_available)
     }
 
     async fn apply_fault(self: &Rc<Self>, fault: &ScheduledFault) {
-        let until = self.stage.now() + fault.duration;
+        let until = self.environment.now() + fault.duration;
         match fault.kind {
             FaultKind::Crash => self.crash_executors(fault),
             FaultKind::Hang => {
-                for executor in self.victims(fault) {
+                for executor in self.draw_executors(fault) {
                     executor.faults.hangs.set(until);
                 }
             }
             FaultKind::FastErrors => {
-                for executor in self.victims(fault) {
+                for executor in self.draw_executors(fault) {
                     executor.faults.fails_at_once.set(until);
                 }
             }
             FaultKind::ExecutorsStopReading => self.pause_reads(fault, until),
             FaultKind::SlowHandshakes => {
-                for executor in self.victims(fault) {
+                for executor in self.draw_executors(fault) {
                     executor.faults.slow_handshakes.set(until);
                 }
             }
@@ -82,113 +90,121 @@
             FaultKind::LoseLocation => self.lose_location(fault),
             FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
-            FaultKind::MassRelease => self.executors.iter().for_each(|e| e.drop_copies()),
+            FaultKind::MassRelease => self
+                .executors
+                .iter()
+                .for_each(|executor| executor.drop_copies()),
             FaultKind::StoreRefuses => self.store.refusing.set(until),
-            FaultKind::ImpatientClients => self.switch(&self.impatient, fault),
-            FaultKind::HotFunction => self.switch(&self.hot, fault),
-            FaultKind::OneTimeFunctions => self.switch(&self.one_offs, fault),
-            FaultKind::TrafficShift => self.switch(&self.shifted, fault),
-            FaultKind::RepeatingClients => self.switch(&self.repeating, fault),
+            FaultKind::ImpatientClients => self.activate(&self.impatient, fault),
+            FaultKind::HotFunction => self.activate(&self.hot, fault),
+            FaultKind::OneTimeFunctions => self.activate(&self.one_time, fault),
+            FaultKind::TrafficShift => self.activate(&self.shifted, fault),
+            FaultKind::RepeatingClients => self.activate(&self.repeating, fault),
             FaultKind::KillFrontEnds => self.kill_front_ends(fault).await,
             FaultKind::RollFrontEnds => self.roll_front_ends(fault).await,
-            FaultKind::Garbage => self.garbage(until).await,
-            FaultKind::ClientsStopReading => self.stop_reading(until).await,
-            FaultKind::SlowClients => self.slow_senders(until).await,
+            FaultKind::Garbage => self.send_garbage(until).await,
+            FaultKind::ClientsStopReading => self.flood_without_reading(until).await,
+            FaultKind::SlowClients => self.send_slowly(until).await,
         }
     }
 
     fn crash_executors(self: &Rc<Self>, fault: &ScheduledFault) {
-        for executor in self.victims(fault) {
-            self.down_and_up(executor, fault.duration);
+        for executor in self.draw_executors(fault) {
+            self.crash_and_restart(executor, fault.duration);
         }
     }
 
+    /// Makes executors stop reading from their sockets, and records it for the check of load commands.
     fn pause_reads(&self, fault: &ScheduledFault, until: f64) {
-        for executor in self.victims(fault) {
+        for executor in self.draw_executors(fault) {
             executor.faults.reads_paused.set(until);
-            self.stage.record(TrafficRecord::ReadsPaused {
-                at: self.stage.now(),
+            self.environment.record(TrafficRecord::ReadsPaused {
+                at: self.environment.now(),
                 executor: executor.spec.number,
                 until,
             });
         }
     }
 
-    /// Drains and restarts executors one after the other.
+    /// Drains and restarts executors in sequence.
     async fn roll_executors(&self, fault: &ScheduledFault) {
-        let executors = self.victims(fault);
+        let executors = self.draw_executors(fault);
         let time_each = fault.duration / executors.len() as f64;
         for executor in executors {
-            self.roll(&executor, time_each.clamp(0.3, 1.2)).await;
+            self.restart_gracefully(&executor, time_each.clamp(0.3, 1.2))
+                .await;
         }
     }
 
-    /// Takes executors away at short notice, one after the other, and brings each back.
+    /// Drains and crashes executors at short notice in sequence, and restarts each after the fault's duration.
     async fn preempt_executors(&self, fault: &ScheduledFault) {
-        for executor in self.victims(fault) {
+        for executor in self.draw_executors(fault) {
             self.notify(&executor, EndpointState::Draining);
             executor.draining.set(true);
-            self.stage.sleep(PREEMPTION_NOTICE).await;
+            self.environment.sleep(PREEMPTION_NOTICE).await;
             executor.crash();
             self.notify(&executor, EndpointState::Gone);
-            self.stage.sleep(fault.duration).await;
-            self.bring_up(&executor);
+            self.environment.sleep(fault.duration).await;
+            self.restart_executor(&executor);
         }
     }
 
-    /// Crashes all executors of a location that is drawn by chance.
+    /// Crashes all executors of a random location.
     fn lose_location(self: &Rc<Self>, fault: &ScheduledFault) {
-        let lost = (self.stage.unit() * f64::from(self.scenario.locations)) as usize;
+        let lost = (self.environment.unit() * f64::from(self.scenario.locations)) as usize;
         let locations = self.scenario.locations as usize;
         for executor in &self.executors {
             if executor.spec.number % locations == lost && is_available(executor) {
-                self.down_and_up(executor.clone(), fault.duration);
+                self.crash_and_restart(executor.clone(), fault.duration);
             }
         }
     }
 
-    pub(super) fn notify(&self, e: &Executor, state: EndpointState) {
-        if let Some(roster) = &self.roster {
-            roster.change(e, state);
+    /// Changes the state of an executor in the endpoint list.
+    pub(super) fn notify(&self, executor: &Executor, state: EndpointState) {
+        if let Some(endpoint_store) = &self.endpoint_store {
+            endpoint_store.set_state(executor, state);
             return;
         }
-        self.publisher.change(e.spec.number, state, e.started_at());
+        self.publisher
+            .change(executor.spec.number, state, executor.started_at());
     }
 
-    pub(super) fn bring_up(&self, e: &Executor) {
-        if e.is_up() {
+    /// Restarts an executor that is down, and lists it as ready.
+    pub(super) fn restart_executor(&self, executor: &Executor) {
+        if executor.is_up() {
             return;
         }
-        match e.restart() {
-            Ok(()) => self.notify(e, EndpointState::Ready),
-            Err(fault) => eprintln!("executor {} did not come up: {fault}", e.spec.number),
+        match executor.restart() {
+            Ok(()) => self.notify(executor, EndpointState::Ready),
+            Err(fault) => eprintln!("executor {} did not restart: {fault}", executor.spec.number),
         }
     }
 
-    /// A crash of which the publisher hears only once the executor is back.
-    fn down_and_up(self: &Rc<Self>, e: Rc<Executor>, duration: f64) {
-        e.crash();
+    /// Crashes an executor and restarts it after `duration`. The endpoint list changes only after the restart.
+    fn crash_and_restart(self: &Rc<Self>, executor: Rc<Executor>, duration: f64) {
+        executor.crash();
         let rehearsal = self.clone();
         self.in_background(async move {
-            rehearsal.stage.sleep(duration).await;
-            rehearsal.bring_up(&e);
+            rehearsal.environment.sleep(duration).await;
+            rehearsal.restart_executor(&executor);
         });
     }
 
-    /// A graceful restart, as a deploy makes it.
-    async fn roll(&self, e: &Rc<Executor>, time: f64) {
-        if !e.is_up() {
+    /// Restarts an executor gracefully, as a deployment does: drains it for at most `time` seconds first.
+    async fn restart_gracefully(&self, executor: &Rc<Executor>, time: f64) {
+        if !executor.is_up() {
             return;
         }
-        self.notify(e, EndpointState::Draining);
-        e.draining.set(true);
-        e.send_go_away();
-        let until = self.stage.now() + time;
-        while e.pending() > 0 && self.stage.now() < until {
-            self.stage.sleep(0.02).await;
+        self.notify(executor, EndpointState::Draining);
+        executor.draining.set(true);
+        executor.send_go_away();
+        let until = self.environment.now() + time;
+        while executor.pending() > 0 && self.environment.now() < until {
+            self.environment.sleep(0.02).await;
         }
-        e.crash();
-        self.stage.sleep(0.2).await;
-        self.bring_up(e);
+        executor.crash();
+        self.environment.sleep(0.2).await;
+        self.restart_executor(executor);
     }
 }
--- a/crates/cli/src/rehearse/execution/injection.rs
+++ b/crates/cli/src/rehearse/execution/injection.rs
@@ -1,7 +1,7 @@
-//! Violations of the rules, injected into the traffic so that the checks can be seen to find them. An attempt may come
-//! to nothing on a bad day or a busy machine: it is made again until the records show the violation, or time is up.
+//! Injects violations of the rules into the traffic, to test that the checks find them. An attempt can fail because of
+//! the scenario's faults or a busy machine, so it is repeated until the records show the violation or time is up.
 
-use super::{Rehearsal, TRANSIT};
+use super::{MAX_TRANSIT_TIME, Rehearsal};
 use crate::rehearse::evidence::{self, INVOCATION_PREFIX, UNANSWERED_CLIENT};
 use orchidtally_invariants::EndpointState;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
@@ -10,30 +10,33 @@
 use orchidtally_test_servers::unused_address;
 use std::rc::Rc;
 
-/// Attempts end so long after the day at the latest, in seconds: sooner than the rehearsal waits for what is open.
-const TIME_AFTER_DAY: f64 = 3.0;
-/// Between looks at the records, in seconds.
-const LOOK_INTERVAL: f64 = 0.1;
-/// A dispatch to a draining executor comes so much later than any allowance, in seconds.
+/// Seconds after the end of the scenario at which attempts end. The rehearsal waits longer than this for open work.
+const TIME_AFTER_SCENARIO: f64 = 3.0;
+/// Interval between two reads of the records, in seconds.
+const POLL_INTERVAL: f64 = 0.1;
+/// Time by which a dispatch to a draining executor exceeds all allowances, in seconds.
 const DRAIN_MARGIN: f64 = 1.0;
-/// In which a dispatch has to be answered, in seconds.
-const DISPATCH_TIME: f64 = 1.0;
-/// In which a front end has to be told of an executor that started, in seconds; it is cold no longer than 4 s.
-const TELL_TIME: f64 = 2.0;
-/// Dispatches that push a cold executor over, and orders to load, of one attempt.
+/// Time limit of an injected dispatch, in seconds.
+const DISPATCH_TIMEOUT: f64 = 1.0;
+/// Time within which the front end has to be notified of an executor's start, in seconds. An executor is cold for only
+/// 4 s, so a later notification leaves no time for the violation.
+const NOTIFICATION_TIMEOUT: f64 = 2.0;
+/// Dispatches that overload a cold executor, or load commands, in one attempt.
 const BURST: usize = 400;
-/// Between dispatches of one invocation, in seconds, and how many of those are made before the records are looked at.
+/// Interval between two invocations that are dispatched twice, in seconds.
 const PAIR_INTERVAL: f64 = 0.05;
+/// Invocations that are dispatched twice between two reads of the records.
 const PAIRS: usize = 10;
 
 impl Rehearsal {
-    /// Injects a violation of a rule from 1 to 5. Whether it took place is told by `evidence`.
-    pub(super) async fn inject_violation(self: Rc<Self>, rule: u8, day_begins: f64) {
-        let until = day_begins + self.scenario.length + TIME_AFTER_DAY;
-        let misbehaving = MisbehavingFrontEnd::new(&self.stage, 0, self.scenario.front_ends);
-        let watching = (rule == 3 || rule == 4).then(|| self.follow_roster(&misbehaving));
+    /// Injects a violation of a rule from 1 to 5. `evidence::of_violation` decides whether it took place.
+    pub(super) async fn inject_violation(self: Rc<Self>, rule: u8, scenario_start: f64) {
+        let until = scenario_start + self.scenario.length + TIME_AFTER_SCENARIO;
+        let misbehaving = MisbehavingFrontEnd::new(&self.environment, 0, self.scenario.front_ends);
+        let subscription =
+            (rule == 3 || rule == 4).then(|| self.follow_endpoint_list(&misbehaving));
         let mut attempt = 0;
-        while self.stage.now() < until && !self.is_violated(rule) {
+        while self.environment.now() < until && !self.is_violated(rule) {
             match rule {
                 1 => self.leave_unanswered().await,
                 2 => self.dispatch_twice(&misbehaving, attempt).await,
@@ -41,36 +44,39 @@
                     self.dispatch_after_drain(&misbehaving, attempt, until)
                         .await
                 }
-                4 => self.push_over_cold(&misbehaving, attempt).await,
-                _ => self.order_over_ration(&misbehaving).await,
+                4 => self.overload_cold_executor(&misbehaving, attempt).await,
+                _ => self.exceed_load_budget(&misbehaving).await,
             }
             attempt += 1;
-            self.stage.sleep(LOOK_INTERVAL).await;
+            self.environment.sleep(POLL_INTERVAL).await;
         }
-        drop(watching);
+        drop(subscription);
     }
 
     fn is_violated(&self, rule: u8) -> bool {
         let mut limits = self.limits.clone();
         limits.max_transit_time += self.lag.get();
-        evidence::of_violation(rule, &limits, &self.stage.records()).is_ok()
+        evidence::of_violation(rule, &limits, &self.environment.records()).is_ok()
     }
 
-    /// The injecting front end hears of the roster as the others do.
-    fn follow_roster(&self, misbehaving: &Rc<MisbehavingFrontEnd>) -> async_executor::Task<()> {
-        match &self.roster {
-            Some(roster) => self.stage.spawn(
+    /// Subscribes the injecting front end to the same endpoint list as the others.
+    fn follow_endpoint_list(
+        &self,
+        misbehaving: &Rc<MisbehavingFrontEnd>,
+    ) -> async_executor::Task<()> {
+        match &self.endpoint_store {
+            Some(endpoint_store) => self.environment.spawn(
                 misbehaving
                     .clone()
-                    .follow_store(roster.endpoints(), roster.prefix()),
+                    .follow_store(endpoint_store.endpoints(), endpoint_store.prefix()),
             ),
             None => self
-                .stage
+                .environment
                 .spawn(misbehaving.clone().follow(self.publisher.address)),
         }
     }
 
-    /// Executors that take work, those first that no script has touched yet.
+    /// Executors that accept work; those that have not been restarted come first.
     fn usable_executors(&self) -> Vec<Rc<Executor>> {
         let usable = |e: &&Rc<Executor>| e.is_up() && !e.draining.get();
         let (untouched, restarted): (Vec<_>, Vec<_>) = self
@@ -82,7 +88,7 @@
         [untouched, restarted].concat()
     }
 
-    /// Rule 1: an invocation at a front end that never answers.
+    /// Rule 1: sends an invocation to a server that never answers.
     async fn leave_unanswered(&self) {
         let Ok(silent) = orchidtally_socket_io::listen(unused_address()) else {
             return;
@@ -90,29 +96,29 @@
         let Ok(at) = silent.get_ref().local_addr() else {
             return;
         };
-        let hold = self.stage.spawn(async move {
-            let mut taken = vec![];
+        let server_task = self.environment.spawn(async move {
+            let mut connections = vec![];
             loop {
-                taken.push(orchidtally_socket_io::accept(&silent).await);
+                connections.push(orchidtally_socket_io::accept(&silent).await);
             }
         });
-        let ask = ClientRequest {
-            invocation: self.name(),
+        let request = ClientRequest {
+            invocation: self.next_name(),
             function: "fn-1".into(),
             trigger_type: (0, self.limits.trigger_types[0].name.clone()),
             time_left: 1.0,
             ..ClientRequest::default()
         };
-        // A front end that the script knows nothing of, so that it never kills it.
+        // This index belongs to no front end of the scenario, so no fault kills it.
         let index = self.front_ends.len() as u32;
-        TestClient::new(&self.stage, UNANSWERED_CLIENT, index, at, true)
-            .invoke(&ask)
+        TestClient::new(&self.environment, UNANSWERED_CLIENT, index, at, true)
+            .invoke(&request)
             .await;
-        drop(hold);
+        drop(server_task);
     }
 
-    /// Rule 2: one invocation that must not run twice, at two executors. Which ones changes each time: on a bad day
-    /// one of the two may be full, hang or be gone.
+    /// Rule 2: dispatches non-idempotent invocations to two executors each. The pair changes with each invocation, as
+    /// an executor may be full, hang or be gone.
     async fn dispatch_twice(&self, misbehaving: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         for pair in 0..PAIRS {
             let number = attempt * PAIRS + pair;
@@ -120,7 +126,7 @@
             if usable.len() < 2 {
                 return;
             }
-            let two = [
+            let addresses = [
                 usable[number % usable.len()].address,
                 usable[(number + 1) % usable.len()].address,
             ];
@@ -129,18 +135,18 @@
                 format!("{INVOCATION_PREFIX}2-{number}"),
             );
             let both = async move {
-                for (dispatch, at) in two.into_iter().enumerate() {
+                for (dispatch, at) in addresses.into_iter().enumerate() {
                     misbehaving
                         .dispatch(at, &name, dispatch as u32, "fn-1", "act")
                         .await;
                 }
             };
-            self.stage.spawn(both).detach();
-            self.stage.sleep(PAIR_INTERVAL).await;
+            self.environment.spawn(both).detach();
+            self.environment.sleep(PAIR_INTERVAL).await;
         }
     }
 
-    /// Rule 3: a dispatch to an executor long after its drain was told.
+    /// Rule 3: dispatches to an executor long after the notification of its drain.
     async fn dispatch_after_drain(
         &self,
         misbehaving: &Rc<MisbehavingFrontEnd>,
@@ -151,54 +157,61 @@
         let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
             return;
         };
-        let began = self.stage.now();
+        let began = self.environment.now();
         self.notify(executor, EndpointState::Draining);
         let mut was_notified = false;
-        while self.stage.now() < until && executor.is_up() && !executor.draining.get() {
-            self.stage.sleep(LOOK_INTERVAL).await;
+        while self.environment.now() < until && executor.is_up() && !executor.draining.get() {
+            self.environment.sleep(POLL_INTERVAL).await;
             let notified_at =
-                evidence::drain_notified_at(&self.stage.records(), executor.spec.number);
+                evidence::drain_notified_at(&self.environment.records(), executor.spec.number);
             if was_notified && notified_at.is_none() {
-                // The script has given it back.
+                // A fault of the scenario has restarted the executor.
                 return;
             }
             was_notified |= notified_at.is_some();
-            let allowed = self.limits.drain_grace + TRANSIT + self.lag.get() + DRAIN_MARGIN;
-            let Some(notified_at) = notified_at.filter(|at| self.stage.now() > at + allowed) else {
+            let allowed =
+                self.limits.drain_grace + MAX_TRANSIT_TIME + self.lag.get() + DRAIN_MARGIN;
+            let Some(notified_at) = notified_at.filter(|at| self.environment.now() > at + allowed)
+            else {
                 continue;
             };
             let name = format!(
                 "{INVOCATION_PREFIX}3-{attempt}-{:.0}",
                 1e3 * (notified_at - began)
             );
-            self.dispatch_in_time(misbehaving, executor, &name).await;
+            self.dispatch_with_timeout(misbehaving, executor, &name)
+                .await;
             break;
         }
-        // Where a script has drained or ended it meanwhile, that is what counts.
+        // If a fault of the scenario has drained or ended the executor meanwhile, its state is left alone.
         if executor.is_up() && !executor.draining.get() {
             self.notify(executor, EndpointState::Ready);
         }
     }
 
-    /// Rule 4: more work than a cold executor can take, from a front end that was told of its start.
-    async fn push_over_cold(&self, misbehaving: &Rc<MisbehavingFrontEnd>, attempt: usize) {
+    /// Rule 4: overloads a cold executor from a front end that was notified of its start.
+    async fn overload_cold_executor(&self, misbehaving: &Rc<MisbehavingFrontEnd>, attempt: usize) {
         let usable = self.usable_executors();
         let Some(executor) = usable.get(attempt % usable.len().max(1)) else {
             return;
         };
         executor.crash();
-        self.stage.sleep(0.1).await;
-        self.bring_up(executor);
+        self.environment.sleep(0.1).await;
+        self.restart_executor(executor);
         let since = executor.started_at();
-        let timeout = self.stage.now() + TELL_TIME;
-        while !evidence::was_notified_of_start(&self.stage.records(), executor.spec.number, since) {
-            if self.stage.now() > timeout {
+        let timeout = self.environment.now() + NOTIFICATION_TIMEOUT;
+        while !evidence::was_notified_of_start(
+            &self.environment.records(),
+            executor.spec.number,
+            since,
+        ) {
+            if self.environment.now() > timeout {
                 return;
             }
-            self.stage.sleep(LOOK_INTERVAL).await;
+            self.environment.sleep(POLL_INTERVAL).await;
         }
-        // The first one opens the connection, so that the rest comes all at once.
-        self.dispatch_in_time(
+        // The first dispatch opens the connection, so that the others arrive all at once.
+        self.dispatch_with_timeout(
             misbehaving,
             executor,
             &format!("{INVOCATION_PREFIX}4-{attempt}-first"),
@@ -208,33 +221,34 @@
             let (misbehaving, at) = (misbehaving.clone(), executor.address);
             let name = format!("{INVOCATION_PREFIX}4-{attempt}-{number}");
             let dispatch = async move { misbehaving.dispatch(at, &name, 0, "fn-1", "look").await };
-            self.stage.spawn(dispatch).detach();
+            self.environment.spawn(dispatch).detach();
         }
-        self.stage.sleep(self.limits.overload_window).await;
+        self.environment.sleep(self.limits.overload_window).await;
     }
 
-    /// Rule 5: more orders to load than any share of the day's invocations grants.
-    async fn order_over_ration(&self, misbehaving: &Rc<MisbehavingFrontEnd>) {
+    /// Rule 5: sends more load commands than the scenario's invocations allow.
+    async fn exceed_load_budget(&self, misbehaving: &Rc<MisbehavingFrontEnd>) {
         for number in 0..BURST {
             let executor = &self.executors[number % self.executors.len()];
             let (misbehaving, at) = (misbehaving.clone(), executor.address);
-            self.stage
+            self.environment
                 .spawn(async move { misbehaving.hold(at, "fn-1").await })
                 .detach();
             if number % 20 == 0 {
-                self.stage.sleep(0.01).await;
+                self.environment.sleep(0.01).await;
             }
         }
     }
 
-    async fn dispatch_in_time(
+    /// Dispatches and waits for the answer, at most for the time limit.
+    async fn dispatch_with_timeout(
         &self,
         misbehaving: &MisbehavingFrontEnd,
         executor: &Executor,
         name: &str,
     ) {
         let dispatch = misbehaving.dispatch(executor.address, name, 0, "fn-1", "look");
-        // What became of it is on record at the executor, or is not.
-        futures_lite::future::or(dispatch, self.stage.sleep(DISPATCH_TIME)).await;
+        // The result is ignored: only the executor's records count.
+        futures_lite::future::or(dispatch, self.environment.sleep(DISPATCH_TIMEOUT)).await;
     }
 }
--- a/crates/cli/src/rehearse/execution/processes.rs
+++ b/crates/cli/src/rehearse/execution/processes.rs
@@ -1,6 +1,6 @@
-//! Front ends as processes of their own: started, killed, ended and replaced.
+//! Starts, kills and restarts the front ends' processes.
 
-use super::{FrontEnd, NOTICE, Rehearsal, START_TIME};
+use super::{FAILURE_DETECTION_TIME, FrontEnd, Rehearsal, START_TIMEOUT};
 use crate::rehearse::scenario::ScheduledFault;
 use bytes::Bytes;
 use futures_lite::future;
@@ -12,132 +12,149 @@
 use std::time::Duration;
 
 impl Rehearsal {
-    pub(super) fn start(&self, fe: &FrontEnd) -> io::Result<()> {
+    /// Starts a front end's process.
+    pub(super) fn start(&self, front_end: &FrontEnd) -> io::Result<()> {
         let mut command = Command::new(std::env::current_exe()?);
         command
-            .args(["--log", &self.log, "serve", "--deployment"])
+            .args(["--log", &self.front_end_log, "serve", "--deployment"])
             .arg(&self.file)
             .args([
                 "--listen",
-                &fe.at.to_string(),
+                &front_end.at.to_string(),
                 "--index",
-                &fe.index.to_string(),
+                &front_end.index.to_string(),
             ])
-            .args(["--clock-ahead", &fe.ahead.to_string()])
+            .args(["--clock-ahead", &front_end.clock_ahead.to_string()])
             .arg("--until-input-ends")
             .stdin(Stdio::piped())
             .stdout(Stdio::null());
-        if fe.step != 0.0 {
+        if front_end.clock_step != 0.0 {
             command.args([
                 "--clock-step",
-                &format!("{},{}", self.scenario.length / 2.0, fe.step),
+                &format!("{},{}", self.scenario.length / 2.0, front_end.clock_step),
             ]);
         }
-        *fe.child.borrow_mut() = Some(command.spawn()?);
+        *front_end.child.borrow_mut() = Some(command.spawn()?);
         Ok(())
     }
 
-    pub(super) async fn until_up(&self, fe: &FrontEnd) -> io::Result<()> {
-        let until = self.stage.now() + START_TIME;
+    /// Waits until a front end accepts connections.
+    ///
+    /// # Errors
+    /// The process exits, or does not accept connections within [`START_TIMEOUT`].
+    pub(super) async fn wait_until_up(&self, front_end: &FrontEnd) -> io::Result<()> {
+        let until = self.environment.now() + START_TIMEOUT;
         loop {
-            if orchidtally_socket_io::connect(fe.at, Duration::from_millis(200))
+            if orchidtally_socket_io::connect(front_end.at, Duration::from_millis(200))
                 .await
                 .is_ok()
             {
-                self.stage.record(TrafficRecord::FrontEndReady {
-                    at: self.stage.now(),
-                    front_end: fe.index,
+                self.environment.record(TrafficRecord::FrontEndReady {
+                    at: self.environment.now(),
+                    front_end: front_end.index,
                 });
-                fe.used.set(true);
+                front_end.in_use.set(true);
                 return Ok(());
             }
-            if let Some(child) = fe.child.borrow_mut().as_mut()
+            if let Some(child) = front_end.child.borrow_mut().as_mut()
                 && let Some(status) = child.try_wait()?
             {
                 return Err(io::Error::other(format!(
-                    "front end {} ended at its start: {status}",
-                    fe.index
+                    "front end {} exited at its start: {status}",
+                    front_end.index
                 )));
             }
-            if self.stage.now() > until {
+            if self.environment.now() > until {
                 return Err(io::Error::other(format!(
                     "front end {} did not start",
-                    fe.index
+                    front_end.index
                 )));
             }
-            self.stage.sleep(0.02).await;
+            self.environment.sleep(0.02).await;
         }
     }
 
+    /// Kills front ends at once and restarts them after the fault's duration.
     pub(super) async fn kill_front_ends(self: &Rc<Self>, fault: &ScheduledFault) {
-        let some = self.some(&self.front_ends, fault.size, |f| f.used.get());
-        for fe in &some {
-            self.stage.record(TrafficRecord::FrontEndKilled {
-                at: self.stage.now(),
-                front_end: fe.index,
+        let selected = self.sample(&self.front_ends, fault.size, |f| f.in_use.get());
+        for front_end in &selected {
+            self.environment.record(TrafficRecord::FrontEndKilled {
+                at: self.environment.now(),
+                front_end: front_end.index,
             });
-            if let Some(mut child) = fe.child.borrow_mut().take() {
-                // Outright, as a machine that is lost.
+            if let Some(mut child) = front_end.child.borrow_mut().take() {
+                // SIGKILL, to simulate the loss of a machine.
                 let _ = child.kill();
                 let _ = child.wait();
             }
         }
-        self.stage.sleep(NOTICE).await;
-        some.iter().for_each(|fe| fe.used.set(false));
-        self.stage.sleep((fault.duration - NOTICE).max(0.1)).await;
-        for fe in &some {
-            self.again(fe).await;
+        self.environment.sleep(FAILURE_DETECTION_TIME).await;
+        selected
+            .iter()
+            .for_each(|front_end| front_end.in_use.set(false));
+        self.environment
+            .sleep((fault.duration - FAILURE_DETECTION_TIME).max(0.1))
+            .await;
+        for front_end in &selected {
+            self.restart(front_end).await;
         }
     }
 
-    async fn again(&self, fe: &FrontEnd) {
-        let started = self.start(fe);
+    /// Restarts a front end and waits until it accepts connections.
+    async fn restart(&self, front_end: &FrontEnd) {
+        let started = self.start(front_end);
         let up = match started {
-            Ok(()) => self.until_up(fe).await,
+            Ok(()) => self.wait_until_up(front_end).await,
             Err(e) => Err(e),
         };
         if let Err(e) = up {
-            eprintln!("front end {} did not come up again: {e}", fe.index);
+            eprintln!("front end {} did not restart: {e}", front_end.index);
         }
     }
 
+    /// Restarts front ends gracefully in sequence. Stops when fewer than two are in use.
     pub(super) async fn roll_front_ends(self: &Rc<Self>, fault: &ScheduledFault) {
-        let some = self.some(&self.front_ends, fault.size, |f| f.used.get());
-        for fe in some {
-            if self.front_ends.iter().filter(|f| f.used.get()).count() < 2 {
+        let selected = self.sample(&self.front_ends, fault.size, |f| f.in_use.get());
+        for front_end in selected {
+            if self.front_ends.iter().filter(|f| f.in_use.get()).count() < 2 {
                 return;
             }
-            fe.used.set(false);
-            self.stage.sleep(NOTICE).await;
-            let Some(mut child) = fe.child.borrow_mut().take() else {
+            front_end.in_use.set(false);
+            self.environment.sleep(FAILURE_DETECTION_TIME).await;
+            let Some(mut child) = front_end.child.borrow_mut().take() else {
                 continue;
             };
-            // By the tool that every system has, since the standard library sends no other signal.
-            let notified = Command::new("kill")
+            // Uses the `kill` tool, as the standard library can send only SIGKILL.
+            let signalled = Command::new("kill")
                 .args(["-TERM", &child.id().to_string()])
                 .status();
-            if !notified.is_ok_and(|s| s.success()) {
-                eprintln!("front end {} could not be told to end", fe.index);
+            if !signalled.is_ok_and(|s| s.success()) {
+                eprintln!("front end {} could not be sent SIGTERM", front_end.index);
             }
-            let until = self.stage.now() + 8.0;
+            let until = self.environment.now() + 8.0;
             loop {
                 match child.try_wait() {
-                    Ok(None) if self.stage.now() < until => self.stage.sleep(0.02).await,
+                    Ok(None) if self.environment.now() < until => {
+                        self.environment.sleep(0.02).await
+                    }
                     Ok(Some(status)) if status.success() => break,
                     other => {
-                        eprintln!("front end {} did not end well: {other:?}", fe.index);
+                        eprintln!(
+                            "front end {} did not shut down cleanly: {other:?}",
+                            front_end.index
+                        );
                         let _ = child.kill();
                         let _ = child.wait();
                         break;
                     }
                 }
             }
-            self.again(&fe).await;
+            self.restart(&front_end).await;
         }
     }
 }
 
-/// Why a front end did not report its state. The text is that of the cause.
+/// Why a front end did not report its state. It is displayed as its cause.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StateError {
     /// No connection could be opened.
@@ -149,27 +166,27 @@
     /// The exchange failed.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// There was no response in time.
-    #[error("no answer")]
+    /// There was no response within 2 s.
+    #[error("no response in time")]
     TimedOut,
     /// The response is not UTF-8.
     #[error(transparent)]
     NotUtf8(#[from] std::string::FromUtf8Error),
 }
 
-/// The state that a front end reports, as JSON.
-pub(super) async fn state(at: SocketAddr) -> Result<String, StateError> {
+/// Reads the state that a front end reports, as JSON.
+pub(super) async fn fetch_state(at: SocketAddr) -> Result<String, StateError> {
     use http_body_util::{BodyExt, Empty};
     let stream = orchidtally_socket_io::connect(at, Duration::from_secs(1)).await?;
     let (mut sender, driver) =
         hyper::client::conn::http1::handshake::<_, Empty<Bytes>>(stream).await?;
-    let ask = http::Request::get("/v1/front-end")
+    let request = http::Request::get("/v1/front-end")
         .header(http::header::HOST, at.to_string())
         .body(Empty::new())?;
-    let work = async {
+    let round_trip = async {
         Ok::<_, hyper::Error>(
             sender
-                .send_request(ask)
+                .send_request(request)
                 .await?
                 .into_body()
                 .collect()
@@ -177,12 +194,15 @@
                 .to_bytes(),
         )
     };
-    let drive = async {
+    let drive_connection = async {
         let _ = driver.await;
         future::pending().await
     };
-    let body =
-        orchidtally_socket_io::with_timeout(Duration::from_secs(2), future::or(work, drive)).await;
+    let body = orchidtally_socket_io::with_timeout(
+        Duration::from_secs(2),
+        future::or(round_trip, drive_connection),
+    )
+    .await;
     Ok(String::from_utf8(
         body.ok_or(StateError::TimedOut)??.to_vec(),
     )?)
--- a/crates/cli/src/rehearse/execution/setup.rs
+++ b/crates/cli/src/rehearse/execution/setup.rs
@@ -1,9 +1,9 @@
-//! Sets a rehearsal up: the deployment file that front ends read, executors, the roster's source and front ends.
+//! Sets up a rehearsal: the deployment file for the front ends, executors, the source of the endpoint list, front ends.
 
-use super::{FrontEnd, Options, Rehearsal, TRANSIT};
-use crate::rehearse::endpoint_store::Roster;
+use super::{FrontEnd, MAX_TRANSIT_TIME, Options, Rehearsal};
+use crate::rehearse::endpoint_store::EndpointStore;
 use crate::rehearse::messages::Messages;
-use crate::rehearse::rollout_run::Rolling;
+use crate::rehearse::rollout_run::RolloutRun;
 use crate::rehearse::scenario::Scenario;
 use orchidtally_deployment::Deployment;
 use orchidtally_invariants::{DeduplicationScope, EndpointState, Idempotency, Limits, TriggerType};
@@ -20,13 +20,15 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What each executor has, and what a copy takes.
+/// Cores of an executor.
 const CORES: usize = 2;
+/// Memory of an executor.
 const MEMORY_MB: f64 = 2_000.0;
-const COPY_MB: f64 = 100.0;
+/// Memory that a replica takes.
+const REPLICA_MB: f64 = 100.0;
 
-/// The deployment file that front ends read.
-fn description(scenario: &Scenario, source: &str, sections: &str) -> String {
+/// The text of the deployment file.
+fn deployment_text(scenario: &Scenario, endpoint_source: &str, sections: &str) -> String {
     let locations: Vec<String> = (0..scenario.locations)
         .map(|n| format!("\"room-{n}\""))
         .collect();
@@ -43,7 +45,7 @@
     {{ name: "watch", effect: "idempotent", objective: "500ms", timeout: "4s", streams: true }},
   ],
   otherFunctions: {{ lanes: 4, memory: "100MB", loadTime: "300ms" }},
-  executors: {{ allowedNetworks: ["127.0.0.0/8"], {source} }},
+  executors: {{ allowedNetworks: ["127.0.0.0/8"], {endpoint_source} }},
   limits: {{
     maxDispatches: 4, maxRetryAfter: "1s", openInvocations: 4000, connections: 400, bodyBytes: "64KiB",
     senderTime: "1s", answerMargin: "200ms", streamsPerConnection: 64, connectionsPerExecutor: 4,
@@ -61,7 +63,7 @@
     )
 }
 
-/// What the rules are checked against, from the same description that the front ends read.
+/// The limits that the rules are checked against, from the same deployment that the front ends read.
 fn limits(deployment: &Deployment) -> Limits {
     let policy = &deployment.policy;
     let trigger_type = |(trigger, ty): (
@@ -107,27 +109,27 @@
         load_budget_floor: policy.load_budget_floor,
         load_budget_fraction: policy.load_budget_fraction,
         load_budget_window: policy.load_budget_window,
-        max_transit_time: TRANSIT,
+        max_transit_time: MAX_TRANSIT_TIME,
         cancellation_margin: None,
     }
 }
 
-/// The cell of an executor. Executors are dealt to locations in turn; cells are pairs within a location.
+/// The cell of an executor. Executors are assigned to locations in turn; a cell is a pair within a location.
 pub(super) fn cell(n: usize, scenario: &Scenario) -> u32 {
     let locations = scenario.locations as usize;
     ((n / locations / 2) * locations + n % locations) as u32
 }
 
-/// The functions: that of a rollout, and any other name.
-fn catalogue(rolling: Option<Rc<Rolling>>) -> Catalogue {
+/// The catalogue of functions: the rollout's function, and a default program for any other name.
+fn catalogue(rollout: Option<Rc<RolloutRun>>) -> Catalogue {
     Rc::new(move |name| {
-        if let Some(program) = rolling.as_ref().and_then(|rolling| rolling.program(name)) {
+        if let Some(program) = rollout.as_ref().and_then(|rollout| rollout.program(name)) {
             return Some(program);
         }
         let streams = if name.starts_with("watch") { 3 } else { 0 };
         Some(Program {
             concurrency: 4,
-            memory: COPY_MB,
+            memory: REPLICA_MB,
             load_time: 0.3,
             work: 0.02,
             run: echo,
@@ -137,8 +139,8 @@
     })
 }
 
-/// What an executor is like.
-fn make(number: usize) -> ExecutorSpec {
+/// The specification of an executor.
+fn executor_spec(number: usize) -> ExecutorSpec {
     ExecutorSpec {
         number,
         cores: CORES,
@@ -158,8 +160,9 @@
     }
 }
 
+/// Starts all executors. Those of a cell share a token cache.
 fn start_executors(
-    stage: &TestEnvironment,
+    environment: &TestEnvironment,
     scenario: &Scenario,
     store: &Rc<PackageStore>,
     catalogue: &Catalogue,
@@ -167,24 +170,24 @@
     let mut tokens: HashMap<u32, Rc<TokenCache>> = HashMap::new();
     let mut executors = vec![];
     for number in 0..scenario.executors {
-        let around = SharedResources {
+        let resources = SharedResources {
             store: store.clone(),
             catalogue: catalogue.clone(),
             token_cache: tokens.entry(cell(number, scenario)).or_default().clone(),
             deduplication_window: 3.0,
         };
         executors.push(Executor::start(
-            stage,
-            make(number),
+            environment,
+            executor_spec(number),
             unused_address(),
-            around,
+            resources,
         )?);
     }
     Ok(executors)
 }
 
-/// An executor's row in the publisher's list.
-fn row(executor: &Executor, scenario: &Scenario) -> PublishedEndpoint {
+/// An executor's entry in the publisher's endpoint list.
+fn published_endpoint(executor: &Executor, scenario: &Scenario) -> PublishedEndpoint {
     let number = executor.spec.number;
     PublishedEndpoint {
         executor: number,
@@ -198,13 +201,14 @@
     }
 }
 
-/// Front ends that are not started yet, with their clients. Their wall clocks are spread over the day's skew.
-fn front_ends(stage: &TestEnvironment, scenario: &Scenario) -> io::Result<Vec<Rc<FrontEnd>>> {
+/// Creates the front ends, which are not started yet, and their clients. Their wall clocks are spread evenly over the
+/// scenario's skew.
+fn front_ends(environment: &TestEnvironment, scenario: &Scenario) -> io::Result<Vec<Rc<FrontEnd>>> {
     let mut front_ends = vec![];
     for n in 0..scenario.front_ends as usize {
         let (index, at) = (n as u32, reserve_address()?);
-        let callers = (0..4)
-            .map(|c| TestClient::new(stage, 10 * index + c, index, at, c == 3))
+        let clients = (0..4)
+            .map(|c| TestClient::new(environment, 10 * index + c, index, at, c == 3))
             .collect();
         let spread = if scenario.front_ends > 1 {
             n as f64 / f64::from(scenario.front_ends - 1)
@@ -215,79 +219,82 @@
             index,
             at,
             child: RefCell::default(),
-            used: Cell::new(true),
-            callers,
-            ahead: scenario.clock_skew * (spread - 0.5),
-            step: if n == 0 { scenario.clock_step } else { 0.0 },
+            in_use: Cell::new(true),
+            clients,
+            clock_ahead: scenario.clock_skew * (spread - 0.5),
+            clock_step: if n == 0 { scenario.clock_step } else { 0.0 },
         }));
     }
     Ok(front_ends)
 }
 
-/// The list of executors in etcd.
-fn etcd_roster(stage: &TestEnvironment, scenario: &Scenario) -> io::Result<Rc<Roster>> {
+/// Starts an etcd server for the endpoint list.
+fn start_endpoint_store(
+    environment: &TestEnvironment,
+    scenario: &Scenario,
+) -> io::Result<Rc<EndpointStore>> {
     let scenario = scenario.clone();
-    Roster::new(stage, move |n| {
+    EndpointStore::new(environment, move |n| {
         (n as u32 % scenario.locations, cell(n, &scenario))
     })
 }
 
-/// Where the deployment file of a rehearsal is written.
+/// The path of the deployment file, in the temporary folder.
 fn deployment_path(seed: u64) -> PathBuf {
     let name = format!("orchidtally-rehearsal-{}-{seed}.json5", std::process::id());
     std::env::temp_dir().join(name)
 }
 
-/// Sets a rehearsal up; front ends are not started yet.
+/// Sets up a rehearsal. The front ends are not started yet.
 pub(super) fn set_up(
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     scenario: &Scenario,
     options: &Options,
 ) -> io::Result<Rc<Rehearsal>> {
-    let store = PackageStore::new(&stage, 12.0, 48);
-    let rolling = options
+    let store = PackageStore::new(&environment, 12.0, 48);
+    let rollout = options
         .rollout
         .as_ref()
-        .map(|options| Rolling::new(&stage, options));
-    let rolling = rolling.transpose()?.map(Rc::new);
+        .map(|options| RolloutRun::new(&environment, options));
+    let rollout = rollout.transpose()?.map(Rc::new);
     let messages = if options.messages {
-        Some(Rc::new(Messages::new(&stage, options.seed)?))
+        Some(Rc::new(Messages::new(&environment, options.seed)?))
     } else {
         None
     };
-    let executors = start_executors(&stage, scenario, &store, &catalogue(rolling.clone()))?;
-    let rows = executors
+    let executors = start_executors(&environment, scenario, &store, &catalogue(rollout.clone()))?;
+    let published_endpoints = executors
         .iter()
-        .map(|executor| row(executor, scenario))
+        .map(|executor| published_endpoint(executor, scenario))
         .collect();
-    let publisher = Publisher::start(&stage, unused_address(), rows)?;
-    let roster = if options.etcd {
-        Some(etcd_roster(&stage, scenario)?)
+    let publisher = Publisher::start(&environment, unused_address(), published_endpoints)?;
+    let endpoint_store = if options.etcd {
+        Some(start_endpoint_store(&environment, scenario)?)
     } else {
         None
     };
-    let source = match &roster {
-        Some(roster) => roster.description(),
+    let endpoint_source = match &endpoint_store {
+        Some(endpoint_store) => endpoint_store.deployment_setting(),
         None => format!("publisher: \"{}\"", publisher.address),
     };
-    let mut sections = rolling
+    let mut sections = rollout
         .as_ref()
-        .map(|rolling| rolling.description())
+        .map(|rollout| rollout.deployment_sections())
         .unwrap_or_default();
     sections += &messages
         .as_ref()
-        .map(|messages| messages.description())
+        .map(|messages| messages.deployment_section())
         .unwrap_or_default();
-    let text = description(scenario, &source, &sections);
+    let text = deployment_text(scenario, &endpoint_source, &sections);
     let deployment = Deployment::parse(&text).map_err(|f| io::Error::other(format!("{f:?}")))?;
     let file = deployment_path(options.seed);
     std::fs::write(&file, text)?;
     Ok(Rc::new(Rehearsal {
-        front_ends: front_ends(&stage, scenario)?,
-        stage,
+        front_ends: front_ends(&environment, scenario)?,
+        environment,
         scenario: scenario.clone(),
         seed: options.seed,
-        log: options.front_end_log.clone(),
+        front_end_log: options.front_end_log.clone(),
         file,
         limits: limits(&deployment),
         deployment,
@@ -296,15 +303,15 @@
         executors,
         impatient: Default::default(),
         hot: Default::default(),
-        one_offs: Default::default(),
+        one_time: Default::default(),
         shifted: Default::default(),
         repeating: Default::default(),
-        pending: Cell::new(0),
-        names: Cell::new(0),
+        running_parts: Cell::new(0),
+        name_count: Cell::new(0),
         lag: Cell::new(0.0),
-        rolling,
+        rollout,
         messages,
-        roster,
+        endpoint_store,
         relists: Cell::new(0),
     }))
 }
--- a/crates/cli/src/rehearse/execution/traffic.rs
+++ b/crates/cli/src/rehearse/execution/traffic.rs
@@ -1,6 +1,6 @@
-//! The clients of a day: what they offer, to which front end, and what they make of the answer.
+//! The clients of a scenario: which invocations they send, to which front end, and when they retry.
 
-use super::{Rehearsal, SHARES, WARM_UP};
+use super::{Rehearsal, TRIGGER_TYPE_SHARES, WARM_UP};
 use crate::rehearse::rollout_run;
 use bytes::Bytes;
 use orchidtally_invariants::{FinalAnswer, Idempotency};
@@ -8,93 +8,99 @@
 use std::rc::Rc;
 
 impl Rehearsal {
-    /// The traffic rises before the day begins, so that it finds copies loaded; then it is even.
-    pub(super) async fn traffic(self: Rc<Self>, from: f64) {
-        let mut next = self.stage.now();
+    /// Sends invocations at random times. The rate rises before the scenario begins at `from`, so that replicas are
+    /// loaded by then, and is constant afterwards.
+    pub(super) async fn run_traffic(self: Rc<Self>, from: f64) {
+        let mut next = self.environment.now();
         let end = from + self.scenario.length;
         while next < end {
-            self.stage.sleep(next - self.stage.now()).await;
-            self.offer_one();
+            self.environment.sleep(next - self.environment.now()).await;
+            self.send_one();
             let risen = (1.0 - (from - next) / WARM_UP).clamp(0.1, 1.0);
-            next += -(1.0 - self.stage.unit()).ln() / (risen * self.scenario.rate);
+            next += -(1.0 - self.environment.unit()).ln() / (risen * self.scenario.rate);
         }
     }
 
-    pub(super) fn name(&self) -> String {
-        self.names.set(self.names.get() + 1);
-        format!("{}-{}", self.seed, self.names.get())
+    /// A name for an invocation or a token, unique within the rehearsal.
+    pub(super) fn next_name(&self) -> String {
+        self.name_count.set(self.name_count.get() + 1);
+        format!("{}-{}", self.seed, self.name_count.get())
     }
 
-    /// One of the functions, a few of them often.
+    /// Draws a function; a few of them are popular.
     fn function(&self, now: f64) -> String {
-        let s = &self.stage;
-        if self.hot.0.is_active(now) && self.drawn(self.hot.1.get()) {
+        let s = &self.environment;
+        if self.hot.0.is_active(now) && self.chance(self.hot.1.get()) {
             return "hot".into();
         }
-        if self.one_offs.0.is_active(now) && self.drawn(self.one_offs.1.get()) {
-            return format!("once-{}", self.names.get());
+        if self.one_time.0.is_active(now) && self.chance(self.one_time.1.get()) {
+            return format!("once-{}", self.name_count.get());
         }
         let n = (self.scenario.functions as f64).powf(s.unit()) as usize - 1;
         format!("fn-{n}")
     }
 
-    fn offer_one(self: &Rc<Self>) {
-        let now = self.stage.now();
-        let mut drawn = self.stage.unit();
-        let ty = SHARES.iter().position(|s| {
-            drawn -= s;
-            drawn < 0.0
+    /// Sends a random invocation in the background.
+    fn send_one(self: &Rc<Self>) {
+        let now = self.environment.now();
+        let mut remainder = self.environment.unit();
+        let type_index = TRIGGER_TYPE_SHARES.iter().position(|s| {
+            remainder -= s;
+            remainder < 0.0
         });
-        let ty = ty.unwrap_or(0);
-        let kind = &self.limits.trigger_types[ty];
-        let timeout = self.deployment.policy.trigger_types[ty].client_timeout;
-        let short = self.impatient.0.is_active(now) && self.drawn(self.impatient.1.get());
-        let time_left = if short {
-            0.35 + 0.5 * self.stage.unit()
+        let type_index = type_index.unwrap_or(0);
+        let trigger_type = &self.limits.trigger_types[type_index];
+        let timeout = self.deployment.policy.trigger_types[type_index].client_timeout;
+        let is_impatient = self.impatient.0.is_active(now) && self.chance(self.impatient.1.get());
+        let time_left = if is_impatient {
+            0.35 + 0.5 * self.environment.unit()
         } else {
             timeout
         };
-        let leaves_after = (short && self.drawn(0.3)).then(|| 0.05 + 0.3 * self.stage.unit());
-        let function = match kind.name.as_str() {
-            // A part of the traffic is the function's that is rolled out.
-            _ if self.rolling.is_some() && kind.name != "watch" && self.drawn(0.35) => {
+        let cancel_delay =
+            (is_impatient && self.chance(0.3)).then(|| 0.05 + 0.3 * self.environment.unit());
+        let function = match trigger_type.name.as_str() {
+            // A share of the traffic invokes the function that is rolled out.
+            _ if self.rollout.is_some() && trigger_type.name != "watch" && self.chance(0.35) => {
                 rollout_run::FUNCTION.into()
             }
             "watch" => format!("watch-{}", self.function(now)),
             _ => self.function(now),
         };
-        let token = if kind.idempotency == Idempotency::Keyed {
-            self.name()
+        let token = if trigger_type.idempotency == Idempotency::Keyed {
+            self.next_name()
         } else {
             String::new()
         };
-        let size = if self.drawn(0.02) { 40_000 } else { 200 };
-        let ask = ClientRequest {
-            invocation: self.name(),
+        let size = if self.chance(0.02) { 40_000 } else { 200 };
+        let request = ClientRequest {
+            invocation: self.next_name(),
             function,
-            trigger_type: (ty, kind.name.clone()),
+            trigger_type: (type_index, trigger_type.name.clone()),
             token,
             time_left,
             payload: Bytes::from(vec![b'x'; size]),
-            cancels_after: leaves_after,
+            cancels_after: cancel_delay,
             ..ClientRequest::default()
         };
-        let effect = kind.idempotency;
+        let idempotency = trigger_type.idempotency;
         let rehearsal = self.clone();
-        self.in_background(async move { rehearsal.invoke(ask, effect).await });
+        self.in_background(async move { rehearsal.invoke(request, idempotency).await });
     }
 
-    /// One invocation and what its client makes of the answer: it asks again where that is harmless, and
-    /// some clients do without end.
-    async fn invoke(&self, mut ask: ClientRequest, effect: Idempotency) {
-        let began = self.stage.now();
-        let timeout = ask.time_left;
-        let abuses = self.repeating.0.is_active(began) && self.drawn(self.repeating.1.get());
-        let mut tries = if abuses { 8 } else { 2 };
+    /// Sends an invocation. The client retries once where a repetition is harmless; an abusive client retries at once,
+    /// up to seven times.
+    async fn invoke(&self, mut request: ClientRequest, idempotency: Idempotency) {
+        let began = self.environment.now();
+        let timeout = request.time_left;
+        let is_abusive = self.repeating.0.is_active(began) && self.chance(self.repeating.1.get());
+        let mut attempts = if is_abusive { 8 } else { 2 };
         loop {
-            let Some(caller) = self.caller() else { return };
-            let received = caller.invoke(&ask).await;
-            let (again, pause) = match &received {
+            let Some(pick_client) = self.pick_client() else {
+                return;
+            };
+            let outcome = pick_client.invoke(&request).await;
+            let (may_retry, pause) = match &outcome {
                 ClientOutcome::Answered {
                     answer: FinalAnswer::Succeeded | FinalAnswer::NotAdmitted,
                     ..
@@ -102,39 +108,43 @@
                 | ClientOutcome::Cancelled => return,
                 ClientOutcome::Answered {
                     answer: FinalAnswer::Rejected,
-                    retry_after: stay_away,
+                    retry_after: delay,
                     ..
-                } => (true, *stay_away),
-                ClientOutcome::Answered { may_have_run, .. } => {
-                    (effect != Idempotency::NonIdempotent || !may_have_run, 0.1)
-                }
+                } => (true, *delay),
+                ClientOutcome::Answered { may_have_run, .. } => (
+                    idempotency != Idempotency::NonIdempotent || !may_have_run,
+                    0.1,
+                ),
                 ClientOutcome::ConnectionLost | ClientOutcome::TimedOut => {
-                    (effect != Idempotency::NonIdempotent, 0.1)
+                    (idempotency != Idempotency::NonIdempotent, 0.1)
                 }
             };
-            let pause = if abuses { 0.01 } else { pause };
-            let left = began + timeout - self.stage.now() - pause;
-            tries -= 1;
-            if !again || tries == 0 || left < 0.3 {
+            let pause = if is_abusive { 0.01 } else { pause };
+            let left = began + timeout - self.environment.now() - pause;
+            attempts -= 1;
+            if !may_retry || attempts == 0 || left < 0.3 {
                 return;
             }
-            self.stage.sleep(pause).await;
-            ask.invocation = self.name();
-            ask.is_retry = true;
-            ask.time_left = left;
+            self.environment.sleep(pause).await;
+            request.invocation = self.next_name();
+            request.is_retry = true;
+            request.time_left = left;
         }
     }
 
-    /// The front layer: any front end that it knows to be up, all of one location's where traffic is shifted.
-    fn caller(&self) -> Option<Rc<TestClient>> {
-        let used: Vec<_> = self.front_ends.iter().filter(|f| f.used.get()).collect();
-        let mut among = used.clone();
-        if self.shifted.0.is_active(self.stage.now()) && self.drawn(self.shifted.1.get()) {
-            among.truncate(1.max(used.len() / 3));
+    /// Picks a client of a front end in use, as a load balancer in front of them would; of the first third of them
+    /// where traffic is shifted.
+    fn pick_client(&self) -> Option<Rc<TestClient>> {
+        let in_use: Vec<_> = self.front_ends.iter().filter(|f| f.in_use.get()).collect();
+        let mut candidates = in_use.clone();
+        if self.shifted.0.is_active(self.environment.now()) && self.chance(self.shifted.1.get()) {
+            candidates.truncate(1.max(in_use.len() / 3));
         }
-        let fe = among.get((self.stage.unit() * among.len() as f64) as usize)?;
-        fe.callers
-            .get((self.stage.unit() * fe.callers.len() as f64) as usize)
+        let front_end =
+            candidates.get((self.environment.unit() * candidates.len() as f64) as usize)?;
+        front_end
+            .clients
+            .get((self.environment.unit() * front_end.clients.len() as f64) as usize)
             .cloned()
     }
 }
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -1,5 +1,5 @@
-//! Controllers and their broker beside a day: messages become invocations at front ends that are killed, over
-//! connections that break, by way of a broker that goes down.
+//! MQTT messages for a rehearsal: controllers publish through a broker whose connections break and which restarts once,
+//! and front ends, some of which are killed, turn the messages into invocations.
 
 use bytes::Bytes;
 use orchidtally_invariants::TrafficRecord;
@@ -13,54 +13,56 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Of the day's rate, the messages.
-const PART: f64 = 0.15;
-/// Of the messages, the share of each trigger type.
-const SHARES: [(&str, f64); 3] = [("act", 0.5), ("look", 0.3), ("plan", 0.2)];
+/// The rate of messages, as a share of the scenario's rate of invocations.
+const MESSAGE_SHARE: f64 = 0.15;
+/// The share of each trigger type in the messages.
+const TRIGGER_TYPE_SHARES: [(&str, f64); 3] = [("act", 0.5), ("look", 0.3), ("plan", 0.2)];
+/// The number of houses in the topics.
 const HOUSES: f64 = 12.0;
-/// A connection breaks with each so-manieth packet.
-const BREAKS_EVERY: u64 = 400;
-/// The topics of the messages that must not run twice, by their trigger type.
-const RUN_ONCE_TOPICS: &str = "house/+/act/+";
-/// Of these messages, one in so many is given to two front ends where that is wanted.
-const GIVES_TWICE_EVERY: u64 = 20;
+/// One in so many packets breaks its connection.
+const PACKETS_PER_DISCONNECT: u64 = 400;
+/// Topic filter of the messages of the non-idempotent trigger type, which must not be executed twice.
+const NON_IDEMPOTENT_TOPICS: &str = "house/+/act/+";
+/// One in so many of these messages is delivered to two front ends, if duplicates are enabled.
+const DUPLICATE_INTERVAL: u64 = 20;
 
-/// Messages that are published beside a day's traffic.
+/// The broker, and the messages that are published beside the scenario's traffic.
 pub struct Messages {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     broker: Rc<BrokerServer>,
     folder: PathBuf,
     sent: Cell<u64>,
-    open: RefCell<BTreeSet<String>>,
+    /// Invocations of messages that have no answer yet.
+    unanswered: RefCell<BTreeSet<String>>,
 }
 
 impl Messages {
     /// Starts the broker.
-    pub fn new(stage: &TestEnvironment, seed: u64) -> io::Result<Messages> {
+    pub fn new(environment: &TestEnvironment, seed: u64) -> io::Result<Messages> {
         let folder = std::env::temp_dir().join(format!(
             "orchidtally-messages-{}-{seed}",
             std::process::id()
         ));
-        let broker = BrokerServer::start(stage, unused_address(), None)?;
+        let broker = BrokerServer::start(environment, unused_address(), None)?;
         broker.broker.borrow_mut().faults.reorders = true;
         Ok(Messages {
-            stage: stage.clone(),
+            environment: environment.clone(),
             broker,
             folder,
             sent: Cell::new(0),
-            open: RefCell::default(),
+            unanswered: RefCell::default(),
         })
     }
 
-    /// The section of the deployment file.
-    pub fn description(&self) -> String {
+    /// The section `mqtt` of the deployment file.
+    pub fn deployment_section(&self) -> String {
         let trigger = |(name, _): &(&str, f64)| {
             format!(
                 r#"{{ topic: "house/{{house}}/{name}/{{function}}", function: "{{function}}", triggerType: "{name}",
                      answer: "response", timeLeft: "3s" }}"#
             )
         };
-        let triggers: Vec<String> = SHARES.iter().map(trigger).collect();
+        let triggers: Vec<String> = TRIGGER_TYPE_SHARES.iter().map(trigger).collect();
         format!(
             r#"mqtt: {{
     broker: "{}", clientId: "front-end-{{index}}", receiveMaximum: 64, inFlight: 64, handsOver: false, keepAlive: "2s",
@@ -74,26 +76,27 @@
         )
     }
 
+    /// Publishes a message of a random trigger type, house and function.
     fn publish_one(&self) {
-        let mut drawn = self.stage.unit();
-        let kind = SHARES.iter().find(|s| {
-            drawn -= s.1;
-            drawn < 0.0
+        let mut remainder = self.environment.unit();
+        let trigger_type = TRIGGER_TYPE_SHARES.iter().find(|s| {
+            remainder -= s.1;
+            remainder < 0.0
         });
-        let kind = kind.map_or("act", |k| k.0);
+        let trigger_type = trigger_type.map_or("act", |k| k.0);
         self.sent.set(self.sent.get() + 1);
         let invocation = format!("message-{}", self.sent.get());
-        let house = (self.stage.unit() * HOUSES) as u32;
-        let function = format!("fn-{}", (self.stage.unit() * 6.0) as u32);
-        self.open.borrow_mut().insert(invocation.clone());
-        let at = self.stage.now();
-        self.stage.record(TrafficRecord::MessagePublished {
+        let house = (self.environment.unit() * HOUSES) as u32;
+        let function = format!("fn-{}", (self.environment.unit() * 6.0) as u32);
+        self.unanswered.borrow_mut().insert(invocation.clone());
+        let at = self.environment.now();
+        self.environment.record(TrafficRecord::MessagePublished {
             at,
             invocation: invocation.clone(),
-            trigger_type: kind.into(),
+            trigger_type: trigger_type.into(),
         });
         self.broker.publish(Message {
-            topic: format!("house/{house}/{kind}/{function}"),
+            topic: format!("house/{house}/{trigger_type}/{function}"),
             payload: Bytes::from_static(b"setpoint"),
             qos: Qos::ExactlyOnce,
             retain: false,
@@ -106,80 +109,86 @@
         });
     }
 
+    /// Records the answers that front ends have published.
     fn receive(&self) {
         let published = std::mem::take(&mut self.broker.broker.borrow_mut().published);
         for message in published {
-            let user = |expected: &str| {
+            let user_property = |expected: &str| {
                 let value = message.properties.iter().find_map(|p| match p {
                     Property::User(name, value) if name == expected => Some(value.clone()),
                     _ => None,
                 });
                 value.unwrap_or_default()
             };
-            let invocation = user("orchidtally-invocation");
-            self.open.borrow_mut().remove(&invocation);
-            let outcome = user("orchidtally-outcome");
-            self.stage.record(TrafficRecord::MessageAnswered {
-                at: self.stage.now(),
+            let invocation = user_property("orchidtally-invocation");
+            self.unanswered.borrow_mut().remove(&invocation);
+            let outcome = user_property("orchidtally-outcome");
+            self.environment.record(TrafficRecord::MessageAnswered {
+                at: self.environment.now(),
                 invocation,
                 outcome,
             });
         }
     }
 
-    /// Lets the broker give some of the messages that must not run twice to two front ends. Of the others a second
-    /// run breaks no rule, so that a day in which the fault fell on those alone would prove nothing.
-    fn give_twice(&self) {
-        let filter = Filter::parse(RUN_ONCE_TOPICS).expect("a valid filter");
-        let fault = GivesTwice::one_in(GIVES_TWICE_EVERY, filter);
+    /// Makes the broker deliver some messages of the non-idempotent type to two front ends. A second execution of the
+    /// other types breaks no rule, so a run in which only those are duplicated would prove nothing.
+    fn enable_duplicates(&self) {
+        let filter = Filter::parse(NON_IDEMPOTENT_TOPICS).expect("a valid filter");
+        let fault = GivesTwice::one_in(DUPLICATE_INTERVAL, filter);
         self.broker.broker.borrow_mut().faults.gives_twice = Some(fault);
     }
 
-    /// Publishes through the day, breaks connections, takes the broker down once with its state, and waits for the
-    /// last answers. `twice`: it gives some messages to two front ends, which has to be found.
-    pub async fn perform(self: Rc<Self>, from: f64, length: f64, rate: f64, twice: bool) {
-        if twice {
-            self.give_twice();
+    /// Publishes for the duration of the scenario, breaks connections, restarts the broker once with its state, and
+    /// waits at most 15 s for the last answers. With `with_duplicates` some messages are delivered to two front ends, a
+    /// violation that the check has to find.
+    pub async fn run(self: Rc<Self>, from: f64, length: f64, rate: f64, with_duplicates: bool) {
+        if with_duplicates {
+            self.enable_duplicates();
         }
-        let me = self.clone();
-        let network = self.stage.spawn(async move {
-            me.stage.sleep(from + 0.2 * length - me.stage.now()).await;
-            me.broker.breaks_every.set(BREAKS_EVERY);
-            me.stage.sleep(0.3 * length).await;
-            if let Err(fault) = me.broker.restart(0.5, true).await {
-                eprintln!("the broker did not come up again: {fault}");
+        let this = self.clone();
+        let network = self.environment.spawn(async move {
+            this.environment
+                .sleep(from + 0.2 * length - this.environment.now())
+                .await;
+            this.broker.breaks_every.set(PACKETS_PER_DISCONNECT);
+            this.environment.sleep(0.3 * length).await;
+            if let Err(fault) = this.broker.restart(0.5, true).await {
+                eprintln!("the broker did not restart: {fault}");
             }
-            me.stage.sleep(0.1 * length).await;
-            me.broker.slow.set(0.01);
-            me.stage.sleep(0.05 * length).await;
-            me.broker.slow.set(0.0);
-            me.broker.silent.set(me.stage.now() + 0.5);
-            me.stage.sleep(0.15 * length).await;
-            me.broker.breaks_every.set(0);
+            this.environment.sleep(0.1 * length).await;
+            this.broker.slow.set(0.01);
+            this.environment.sleep(0.05 * length).await;
+            this.broker.slow.set(0.0);
+            this.broker.silent.set(this.environment.now() + 0.5);
+            this.environment.sleep(0.15 * length).await;
+            this.broker.breaks_every.set(0);
         });
         let mut next = from;
         while next < from + length {
-            while self.stage.now() < next {
+            while self.environment.now() < next {
                 self.receive();
-                self.stage.sleep((next - self.stage.now()).min(0.01)).await;
+                self.environment
+                    .sleep((next - self.environment.now()).min(0.01))
+                    .await;
             }
             self.publish_one();
-            next += -(1.0 - self.stage.unit()).ln() / (PART * rate);
+            next += -(1.0 - self.environment.unit()).ln() / (MESSAGE_SHARE * rate);
         }
         network.await;
-        let until = self.stage.now() + 15.0;
-        while !self.open.borrow().is_empty() && self.stage.now() < until {
+        let until = self.environment.now() + 15.0;
+        while !self.unanswered.borrow().is_empty() && self.environment.now() < until {
             self.receive();
-            self.stage.sleep(0.01).await;
+            self.environment.sleep(0.01).await;
         }
-        // One too many would come about now.
-        self.stage.sleep(0.5).await;
+        // Leaves time for surplus answers to arrive.
+        self.environment.sleep(0.5).await;
         self.receive();
     }
 
-    /// Removes what the rehearsal has left on the disk.
-    pub fn end(&self) {
-        // It lies in the temporary folder, where nobody misses it.
+    /// Removes the front ends' journals.
+    pub fn remove_files(&self) {
+        // An error is ignored: a folder left in the temporary folder does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -1,5 +1,5 @@
-//! `orchidtally rehearse`: a scripted day on loopback with real front-end processes, and the five rules
-//! checked from the traffic.
+//! `orchidtally rehearse`: runs real front-end processes on loopback under a script of traffic and faults, and checks
+//! the five rules against the recorded traffic.
 
 mod endpoint_store;
 mod evidence;
@@ -19,41 +19,43 @@
 
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// A day file in JSON5; without one the built-in bad day is played.
+    /// The scenario file, in JSON5. By default a built-in scenario with every kind of fault.
     #[arg(value_name = "DAY")]
     scenario: Option<PathBuf>,
-    /// Draws another day of the same kind, and all chance within it.
+    /// Seed of the built-in scenario's faults and of all randomness within the run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of the built-in day, in seconds.
+    /// Duration of the built-in scenario, in seconds.
     #[arg(long, default_value_t = 20.0)]
     length: f64,
-    /// Injects a violation of this rule into the traffic; it has to be found. 6, with --mqtt: messages given twice.
+    /// Inject a violation of this rule into the traffic, to test that the check detects it. 6, with --mqtt: the broker
+    /// delivers messages twice.
     #[arg(long, alias = "sabotage", value_name = "RULE", value_parser = clap::value_parser!(u8).range(1..=6))]
     inject_violation: Option<u8>,
-    /// A day as the users' bench prints it, scaled down to this machine.
+    /// A scenario as the users' bench prints it, scaled down to this machine.
     #[arg(long, value_name = "FILE", conflicts_with = "scenario")]
     bench_day: Option<PathBuf>,
-    /// Plays a rollout of the function 'mist' under the day, by this plan or a built-in one.
+    /// Also run a rollout of the function 'mist', by this plan or a built-in one.
     #[arg(long, value_name = "PLAN", num_args = 0..=1, default_missing_value = BUILT_IN)]
     rollout: Option<String>,
-    /// What the new version of that rollout is like.
+    /// Behaviour of the new version in that rollout.
     #[arg(long, value_enum, default_value_t = rollout_run::NewVersion::FailsLater)]
     new_version: rollout_run::NewVersion,
-    /// Lets controllers publish messages beside the day's traffic, by way of a broker with faults of its own.
+    /// Also publish messages as controllers do, through an MQTT broker with faults of its own.
     #[arg(long)]
     mqtt: bool,
-    /// Has executors and front ends in a store that speaks etcd's protocol and has faults of its own.
+    /// Register executors and front ends in an etcd test server with faults of its own.
     #[arg(long)]
     etcd: bool,
-    /// Writes every record of the traffic here, one JSON object a line.
+    /// Write every record of the traffic to this file, one JSON object per line.
     #[arg(long, value_name = "FILE")]
     records: Option<PathBuf>,
-    /// What the front ends log on standard error; by default only faults.
+    /// Log filter of the front ends, which log to standard error.
     #[arg(long, default_value = "error")]
     front_end_log: String,
 }
 
+/// Reads or builds the scenario that the arguments select, and prints what of a bench scenario is not carried over.
 fn scenario(arguments: &Arguments) -> Result<Scenario, u8> {
     if let Some(file) = &arguments.scenario {
         return Scenario::read(&read_text(file)?).map_err(|faults| {
@@ -66,19 +68,19 @@
     if let Some(file) = &arguments.bench_day {
         let bench = scenario::from_bench(&read_text(file)?)
             .map_err(|e| fail(BAD_INPUT, format!("{}: {e}", file.display())))?;
-        for what in bench.left_out {
-            println!("not carried over: {what}");
+        for note in bench.left_out {
+            println!("not carried over: {note}");
         }
         return Ok(bench.scenario);
     }
     if !(4.0..=600.0).contains(&arguments.length) {
-        let reason = format!("--length {}: 4 to 600 seconds are wanted", arguments.length);
+        let reason = format!("--length {}: expected 4 to 600 seconds", arguments.length);
         return Err(fail(BAD_INPUT, reason));
     }
     Ok(Scenario::with_all_faults(arguments.seed, arguments.length))
 }
 
-/// The rollout that the arguments ask for.
+/// The options of the rollout; `None` if none was requested.
 fn rollout(arguments: &Arguments) -> Result<Option<rollout_run::Options>, u8> {
     let Some(file) = &arguments.rollout else {
         return Ok(None);
@@ -94,7 +96,7 @@
     }))
 }
 
-/// Writes the records of the traffic, one a line.
+/// Writes the records of the traffic as JSON, one per line.
 fn write_records(file: &Path, records: &[TrafficRecord]) -> Result<(), u8> {
     let lines: Vec<String> = records
         .iter()
@@ -104,12 +106,12 @@
         .map_err(|e| fail(COULD_NOT_RUN, format!("{}: {e}", file.display())))
 }
 
-/// Plays a day and checks the rules.
+/// Runs a scenario, prints the report and checks the rules.
 pub fn run(arguments: Arguments) -> Result<(), u8> {
     if arguments.inject_violation == Some(6) && !arguments.mqtt {
         return Err(fail(
             BAD_INPUT,
-            "--inject-violation 6 is a broker's fault: --mqtt is wanted with it",
+            "--inject-violation 6 injects a fault of the broker and requires --mqtt",
         ));
     }
     let scenario = scenario(&arguments)?;
@@ -121,21 +123,21 @@
         etcd: arguments.etcd,
         rollout: rollout(&arguments)?,
     };
-    let played = execution::play(&scenario, &options)
-        .map_err(|e| fail(COULD_NOT_RUN, format!("the day could not be played: {e}")))?;
+    let outcome = execution::execute(&scenario, &options)
+        .map_err(|e| fail(COULD_NOT_RUN, format!("the scenario could not run: {e}")))?;
     if let Some(file) = &arguments.records {
-        write_records(file, &played.records)?;
+        write_records(file, &outcome.records)?;
     }
-    let verdict = check_rules(&played.limits, &played.fleet, &played.records);
+    let verdict = check_rules(&outcome.limits, &outcome.fleet, &outcome.records);
     let messages = arguments
         .mqtt
-        .then(|| check_messages(&played.limits, &played.records));
+        .then(|| check_messages(&outcome.limits, &outcome.records));
     let injected = arguments
         .inject_violation
-        .map(|rule| evidence::of_violation(rule, &played.limits, &played.records));
+        .map(|rule| evidence::of_violation(rule, &outcome.limits, &outcome.records));
     report::print(
         &scenario,
-        &played,
+        &outcome,
         &verdict,
         messages.as_ref(),
         injected.map(|found| found.is_ok()),
@@ -143,19 +145,20 @@
     if let (Some(rule), Some(injected)) = (arguments.inject_violation, injected) {
         check_injection(rule, injected, &verdict, messages.as_ref())?;
     }
-    let rolled_well = played
+    let rollout_succeeded = outcome
         .rollout
         .as_ref()
-        .is_none_or(rollout_run::Observed::is_well);
-    let carried_well = messages.as_ref().is_none_or(MessageReport::holds);
-    if verdict.holds() && rolled_well && carried_well {
+        .is_none_or(rollout_run::Observed::succeeded);
+    let messages_hold = messages.as_ref().is_none_or(MessageReport::holds);
+    if verdict.holds() && rollout_succeeded && messages_hold {
         Ok(())
     } else {
         Err(NEGATIVE_RESULT)
     }
 }
 
-/// A violation that was asked for has to have taken place and to be found; else nothing is proved either way.
+/// Fails unless the requested violation took place and the check found it; otherwise the run proves nothing about the
+/// check.
 fn check_injection(
     rule: u8,
     injected: Result<(), MissingEvidence>,
@@ -164,9 +167,7 @@
 ) -> Result<(), u8> {
     if let Err(missing) = injected {
         eprintln!("no violation of rule {rule} could be injected: {missing}");
-        eprintln!(
-            "give it more room: a longer day (--length), fewer troubles, or a less busy machine"
-        );
+        eprintln!("try a longer day (--length), fewer faults or a less busy machine");
         return Err(COULD_NOT_RUN);
     }
     let is_found = match messages {
@@ -177,8 +178,8 @@
             .any(|record| record.rule == rule && record.violations > 0),
     };
     if !is_found {
-        eprintln!("a violation of rule {rule} was injected and not found: the check is at fault");
-        eprintln!("play it again with --records FILE and report the file");
+        eprintln!("a violation of rule {rule} was injected and not found: the check is faulty");
+        eprintln!("run it again with --records FILE and report the file");
         return Err(COULD_NOT_RUN);
     }
     Ok(())
--- a/crates/cli/src/rehearse/report.rs
+++ b/crates/cli/src/rehearse/report.rs
@@ -1,6 +1,6 @@
 //! The report of a rehearsal on standard output.
 
-use super::execution::Played;
+use super::execution::Outcome;
 use super::scenario::Scenario;
 use super::{endpoint_store, rollout_run};
 use orchidtally_invariants::{FinalAnswer, MessageReport, TrafficRecord, Verdict};
@@ -19,12 +19,12 @@
     mqtt: Option<&'a MessageReport>,
     #[serde(skip_serializing_if = "Option::is_none")]
     roster: Option<endpoint_store::Observed>,
-    /// Whether the violation that was asked for took place.
+    /// Whether the requested violation took place.
     #[serde(skip_serializing_if = "Option::is_none")]
     injected: Option<bool>,
 }
 
-/// What the last line says of a rollout.
+/// The rollout in the last line.
 #[derive(Serialize)]
 struct RolloutReport<'a> {
     #[serde(flatten)]
@@ -33,7 +33,7 @@
     orders_over_ration: u64,
 }
 
-/// The value at a rank, given as a share of all; NaN where there is none.
+/// A quantile of sorted values; NaN if there are none.
 fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (sorted.len() as f64 * share) as usize;
     sorted
@@ -48,19 +48,20 @@
     "effects",
     "drains",
     "cold executors",
-    "orders to load",
+    "load commands",
 ];
 
-/// Prints the faults of a scenario, the service, what the rules found, and all of it as JSON on the last line.
+/// Prints the scenario's faults, the service by trigger type and the violations of each rule, then a summary as JSON on
+/// the last line.
 pub fn print(
     scenario: &Scenario,
-    played: &Played,
+    outcome: &Outcome,
     verdict: &Verdict,
     messages: Option<&MessageReport>,
     injected: Option<bool>,
 ) {
-    print_faults(scenario, &played.notes);
-    print_service(played);
+    print_faults(scenario, &outcome.notes);
+    print_service(outcome);
     println!(
         "  of {} invocations, {} were at front ends that were killed and {} clients left early",
         verdict.invocations, verdict.lost_to_failures, verdict.cancelled_by_client
@@ -73,7 +74,7 @@
             .find(|record| record.rule == rule)
             .map_or(0, |record| record.violations)
     };
-    let rollout = played.rollout.as_ref().map(|observed| {
+    let rollout = outcome.rollout.as_ref().map(|observed| {
         print_rollout(observed);
         RolloutReport {
             observed,
@@ -84,10 +85,10 @@
     if let Some(messages) = messages {
         print_messages(messages);
     }
-    let roster = played.roster.as_ref().map(|endpoints| {
-        endpoints.observed(
-            &played.records,
-            played.relists,
+    let roster = outcome.endpoint_store.as_ref().map(|endpoint_store| {
+        endpoint_store.observed(
+            &outcome.records,
+            outcome.relists,
             (violations(3), violations(4)),
         )
     });
@@ -103,6 +104,7 @@
     println!("{}", serde_json::to_string(&line).unwrap_or_default());
 }
 
+/// Prints the scenario's faults and the remarks on the run.
 fn print_faults(scenario: &Scenario, notes: &[String]) {
     println!("troubles:");
     for fault in &scenario.faults {
@@ -119,6 +121,7 @@
     }
 }
 
+/// Prints the result of each rule, with examples of violations.
 fn print_rules(verdict: &Verdict) {
     println!("rules:");
     for (rule, name) in verdict.rules.iter().zip(RULE_NAMES) {
@@ -132,13 +135,15 @@
     }
 }
 
+/// Prints the rollout's state and history.
 fn print_rollout(observed: &rollout_run::Observed) {
     println!("rollout: {}", observed.state);
-    for line in &observed.notified {
+    for line in &observed.report_lines {
         println!("  {line}");
     }
 }
 
+/// Prints the numbers of MQTT messages and answers, with examples of violations.
 fn print_messages(messages: &MessageReport) {
     println!(
         "messages: {} published, {} answers, {} of them of unknown outcome",
@@ -149,19 +154,20 @@
     }
 }
 
-/// What became of the invocations of one trigger type.
+/// The outcomes of the invocations of one trigger type.
 #[derive(Default)]
-struct Service {
+struct ServiceSummary {
     sent: u32,
     in_time: u64,
     succeeded: u64,
     throttled: u64,
     errored: u64,
-    /// Times of those that succeeded, in seconds.
+    /// Latencies of the invocations that succeeded, in seconds.
     times: Vec<f64>,
 }
 
-impl Service {
+impl ServiceSummary {
+    /// Counts an invocation. `end` is the time and kind of its final answer.
     fn add(&mut self, objective: f64, offered_at: f64, end: Option<&(f64, FinalAnswer)>) {
         self.sent += 1;
         match end {
@@ -177,6 +183,7 @@
         }
     }
 
+    /// Prints a row of the table.
     fn print(mut self, name: &str) {
         self.times.sort_by(f64::total_cmp);
         let share = |count: u64| 100.0 * count as f64 / f64::from(self.sent.max(1));
@@ -193,13 +200,13 @@
     }
 }
 
-/// Prints what became of invocations, by trigger type.
-fn print_service(played: &Played) {
+/// Prints the outcomes of invocations by trigger type.
+fn print_service(outcome: &Outcome) {
     println!("service by trigger type:");
     println!(
         "  trigger type     offered  in objective  succeeded  throttled  errored   median    0.99"
     );
-    let ends: HashMap<&str, (f64, FinalAnswer)> = played
+    let ends: HashMap<&str, (f64, FinalAnswer)> = outcome
         .records
         .iter()
         .filter_map(|record| match record {
@@ -211,9 +218,9 @@
             _ => None,
         })
         .collect();
-    for (index, known) in played.limits.trigger_types.iter().enumerate() {
-        let mut service = Service::default();
-        for record in &played.records {
+    for (index, known) in outcome.limits.trigger_types.iter().enumerate() {
+        let mut service = ServiceSummary::default();
+        for record in &outcome.records {
             if let TrafficRecord::InvocationSent {
                 at,
                 invocation,
--- a/crates/cli/src/rehearse/rollout_run.rs
+++ b/crates/cli/src/rehearse/rollout_run.rs
@@ -1,5 +1,6 @@
-//! A rollout within a rehearsed day: a coordinator as a process of its own, killed outright on the way, and a new
-//! version that is as the options have it. What came of it is read off the stand-ins' records.
+//! A rollout during a rehearsal. The coordinator runs as a separate process and is killed and restarted on the way; the
+//! new version behaves as the options say. The result is derived from the coordinator's history and the records of the
+//! test servers.
 
 use bytes::Bytes;
 use clap::ValueEnum;
@@ -22,19 +23,24 @@
 
 /// The function that is rolled out.
 pub const FUNCTION: &str = "mist";
-const OLD: &[u8] = b"mist, first version";
-const NEW: &[u8] = b"mist, second version";
+/// The packages of both versions.
+const OLD_PACKAGE: &[u8] = b"mist, first version";
+const NEW_PACKAGE: &[u8] = b"mist, second version";
+/// Time limit of a request to the coordinator.
 const TIMEOUT: Duration = Duration::from_secs(2);
-const NEVER: &str = "never started";
-/// Within this a rollout that is taken back has to be at an end everywhere, in seconds.
-const BACK_WITHIN: f64 = 5.0;
+/// The state of a rollout that never started.
+const NEVER_STARTED: &str = "never started";
+/// Time within which a rollback has to take effect at all front ends, in seconds.
+const MAX_ROLLBACK_TIME: f64 = 5.0;
 
-/// Of the day: when the rollout begins, the coordinator is killed, and a version that fails later begins to. An
-/// operator takes it back at the last.
-const BEGINS: f64 = 0.05;
-const KILLED: f64 = 0.3;
-const FAILS: f64 = 0.45;
-const BY_HAND: f64 = 0.85;
+/// When the rollout starts, as a share of the scenario's duration like the constants below.
+const START_AT: f64 = 0.05;
+/// When the coordinator is killed.
+const KILL_AT: f64 = 0.3;
+/// When a version that fails later begins to fail.
+const FAIL_AT: f64 = 0.45;
+/// When the operator rolls back a rollout that is still running.
+const ROLL_BACK_AT: f64 = 0.85;
 
 /// The built-in plan.
 pub const PLAN: &str = r#"{
@@ -48,68 +54,72 @@
   ],
 }"#;
 
+/// Behaviour of the new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum NewVersion {
-    /// As good as the old one.
+    /// Behaves like the old version.
     Fine,
-    /// Fails often, from the first on.
+    /// Fails half of its dispatches from the start.
     Fails,
-    /// Begins to fail in the middle of the day.
+    /// Begins to fail half of its dispatches in the middle of the scenario.
     FailsLater,
-    /// Takes three times as long.
+    /// Takes three times as long as the old version.
     Slow,
-    /// The store has other bytes than its digest names.
+    /// The bytes in the store do not match the version's digest.
     OtherBytes,
 }
 
-/// The options of the rollout that is played under a day.
+/// The options of the rollout.
 pub struct Options {
     /// The text of the plan.
     pub plan: String,
-    /// What the new version is like.
+    /// The behaviour of the new version.
     pub new: NewVersion,
 }
 
-/// What came of the rollout.
+/// The result of the rollout.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Observed {
+    /// The last phase, or [`NEVER_STARTED`].
     pub state: String,
-    /// From the moment at which it was taken back until the last invocation offered after it that came to the
-    /// new version; none where it was not taken back.
+    /// Seconds between the rollback and the sending of the last invocation that the new version executed; `None` if the
+    /// rollout was not rolled back.
     pub back_in_s: Option<f64>,
+    /// Executions for which the loaded digest differs from the requested one.
     pub digest_mismatches: u64,
-    /// Dispatches of the new version that ran.
+    /// Dispatches that the new version executed.
     pub ran_new: u64,
+    /// Lines for the report: the history, errors and the dispatches of the new version.
     #[serde(skip)]
-    pub notified: Vec<String>,
+    pub report_lines: Vec<String>,
 }
 
 impl Observed {
-    /// Whether it came to the end that it should.
-    pub fn is_well(&self) -> bool {
-        // A rehearsal whose rollout never began has tried nothing.
-        self.state != NEVER
+    /// Whether the rollout started, loaded no wrong bytes and, if rolled back, was rolled back in time.
+    pub fn succeeded(&self) -> bool {
+        // A rollout that never started has tested nothing.
+        self.state != NEVER_STARTED
             && self.digest_mismatches == 0
-            && self.back_in_s.is_none_or(|s| s <= BACK_WITHIN)
+            && self.back_in_s.is_none_or(|s| s <= MAX_ROLLBACK_TIME)
     }
 }
 
-/// An order to the coordinator that it did not take. The text is that of the cause.
+/// Why an operator's request to the coordinator failed. It is displayed as its cause.
 #[derive(Debug, thiserror::Error)]
-enum OrderError {
-    /// The order can't be written as JSON.
+enum RequestError {
+    /// The request can't be encoded as JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
     /// The coordinator gave no response.
     #[error(transparent)]
     NoResponse(#[from] io::Error),
-    /// The coordinator rejected the order.
+    /// The coordinator rejected the request.
     #[error("{reason}")]
     Rejected { reason: String },
 }
 
-/// The name that a plan gives; whether it is sound is the coordinator's to say.
-fn name(plan: &str) -> String {
+/// The name in a plan; empty if there is none. The coordinator validates the plan.
+fn plan_name(plan: &str) -> String {
     let document = Document::new(plan);
     let value = document.parse();
     let name = value.as_ref().and_then(|v| match v {
@@ -119,35 +129,40 @@
     name.unwrap_or_default()
 }
 
-/// A rollout that is played under a day.
-pub struct Rolling {
-    stage: TestEnvironment,
+/// A rollout that runs beside the scenario's traffic.
+pub struct RolloutRun {
+    environment: TestEnvironment,
     plan: String,
-    /// The rollout's, as the plan gives it.
+    /// The name of the rollout, from the plan.
     name: String,
     new: NewVersion,
-    fails: Cell<f64>,
+    /// The share of the new version's dispatches that fail.
+    failure_share: Cell<f64>,
+    /// The coordinator's address.
     at: SocketAddr,
+    /// The coordinator's state folder.
     state: PathBuf,
+    /// The coordinator's process, while it runs.
     child: RefCell<Option<Child>>,
     history: RefCell<Vec<Event>>,
-    faults: RefCell<Vec<String>>,
+    /// Errors for the report.
+    errors: RefCell<Vec<String>>,
 }
 
-impl Rolling {
+impl RolloutRun {
     /// A rollout whose coordinator is not started yet.
-    pub fn new(stage: &TestEnvironment, options: &Options) -> io::Result<Rolling> {
+    pub fn new(environment: &TestEnvironment, options: &Options) -> io::Result<RolloutRun> {
         let at = reserve_address()?;
         let state =
             std::env::temp_dir().join(format!("orchidtally-rollout-{}", std::process::id()));
-        // One of an earlier process with this number.
+        // Removes the folder of an earlier process with the same id, if there is one.
         let _ = std::fs::remove_dir_all(&state);
-        Ok(Rolling {
-            stage: stage.clone(),
+        Ok(RolloutRun {
+            environment: environment.clone(),
             plan: options.plan.clone(),
-            name: name(&options.plan),
+            name: plan_name(&options.plan),
             new: options.new,
-            fails: Cell::new(if options.new == NewVersion::Fails {
+            failure_share: Cell::new(if options.new == NewVersion::Fails {
                 0.5
             } else {
                 0.0
@@ -156,13 +171,13 @@
             state,
             child: RefCell::default(),
             history: RefCell::default(),
-            faults: RefCell::default(),
+            errors: RefCell::default(),
         })
     }
 
-    /// The sections of the deployment file.
-    pub fn description(&self) -> String {
-        let (old, new) = (digest(OLD), digest(NEW));
+    /// The sections of the deployment file that describe the function and the coordinator.
+    pub fn deployment_sections(&self) -> String {
+        let (old, new) = (digest(OLD_PACKAGE), digest(NEW_PACKAGE));
         format!(
             r#"functions: [{{ name: "{FUNCTION}", lanes: 4, memory: "100MB", loadTime: "300ms", work: "20ms",
     versions: [{{ digest: "sha256:{old}" }}, {{ digest: "sha256:{new}" }}],
@@ -172,14 +187,14 @@
         )
     }
 
-    /// What the store has under a name.
+    /// The program that the store holds under a name; `None` if the name is not a version of the function.
     pub fn program(&self, name: &str) -> Option<Program> {
         let named = name.strip_prefix(FUNCTION)?.strip_prefix('@')?;
-        let is_new = named == digest(NEW);
+        let is_new = named == digest(NEW_PACKAGE);
         let bytes: &[u8] = match (is_new, self.new) {
             (true, NewVersion::OtherBytes) => b"something else",
-            (true, _) => NEW,
-            (false, _) => OLD,
+            (true, _) => NEW_PACKAGE,
+            (false, _) => OLD_PACKAGE,
         };
         Some(Program {
             concurrency: 4,
@@ -192,11 +207,16 @@
             },
             run: echo,
             package: Bytes::from_static(bytes),
-            fails: if is_new { self.fails.get() } else { 0.0 },
+            fails: if is_new {
+                self.failure_share.get()
+            } else {
+                0.0
+            },
             ..Program::default()
         })
     }
 
+    /// Starts the coordinator.
     pub fn start(&self, deployment: &Path) -> io::Result<()> {
         let mut command = Command::new(std::env::current_exe()?);
         command
@@ -220,47 +240,50 @@
 
     fn kill(&self) {
         if let Some(mut child) = self.child.borrow_mut().take() {
-            // It may have ended by itself.
+            // An error means that the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    pub fn end(&self) {
+    /// Kills the coordinator and removes its state.
+    pub fn shut_down(&self) {
         self.kill();
-        // It lies in the temporary folder, where nobody misses it.
+        // An error is ignored: a folder left in the temporary folder does no harm.
         let _ = std::fs::remove_dir_all(&self.state);
     }
 
-    async fn order(&self, order: &OperatorRequest) -> Result<(), OrderError> {
-        let body = serde_json::to_vec(order)?;
+    /// Sends an operator's request to the coordinator.
+    async fn send(&self, request: &OperatorRequest) -> Result<(), RequestError> {
+        let body = serde_json::to_vec(request)?;
         let (status, body) =
             fetch(self.at, Method::POST, "/v1/rollouts/orders", body, TIMEOUT).await?;
         if status.is_success() {
             Ok(())
         } else {
-            Err(OrderError::Rejected {
+            Err(RequestError::Rejected {
                 reason: String::from_utf8_lossy(&body).into_owned(),
             })
         }
     }
 
-    /// Until the coordinator takes it, for some seconds.
-    async fn insist(&self, order: OperatorRequest) {
-        let until = self.stage.now() + 5.0;
+    /// Repeats a request until the coordinator accepts it, for at most 5 s.
+    async fn send_until_accepted(&self, request: OperatorRequest) {
+        let until = self.environment.now() + 5.0;
         loop {
-            match self.order(&order).await {
+            match self.send(&request).await {
                 Ok(()) => return,
-                Err(fault) if self.stage.now() > until => {
-                    self.faults.borrow_mut().push(fault.to_string());
+                Err(fault) if self.environment.now() > until => {
+                    self.errors.borrow_mut().push(fault.to_string());
                     return;
                 }
-                Err(_) => self.stage.sleep(0.1).await,
+                Err(_) => self.environment.sleep(0.1).await,
             }
         }
     }
 
-    async fn look(&self) {
+    /// Reads the rollout's history from the coordinator; keeps the previous one if that fails.
+    async fn update_history(&self) {
         let path = format!("/v1/rollouts/{}/history", self.name);
         if let Ok((status, body)) = fetch(self.at, Method::GET, &path, vec![], TIMEOUT).await
             && status.is_success()
@@ -270,54 +293,69 @@
         }
     }
 
-    pub async fn perform(&self, from: f64, length: f64, deployment: &Path) {
+    /// Runs the rollout in a scenario that starts at `from` and takes `length` seconds.
+    pub async fn run(&self, from: f64, length: f64, deployment: &Path) {
         let moment = |part: f64| from + part * length;
-        self.stage.sleep(moment(BEGINS) - self.stage.now()).await;
-        self.insist(OperatorRequest::Start {
+        self.environment
+            .sleep(moment(START_AT) - self.environment.now())
+            .await;
+        self.send_until_accepted(OperatorRequest::Start {
             plan: self.plan.clone(),
             dry: false,
         })
         .await;
-        self.stage.sleep(moment(KILLED) - self.stage.now()).await;
-        self.look().await;
+        self.environment
+            .sleep(moment(KILL_AT) - self.environment.now())
+            .await;
+        self.update_history().await;
         self.kill();
-        self.stage.sleep(0.5).await;
+        self.environment.sleep(0.5).await;
         if let Err(fault) = self.start(deployment) {
-            self.faults
+            self.errors
                 .borrow_mut()
-                .push(format!("the coordinator did not start again: {fault}"));
+                .push(format!("the coordinator did not restart: {fault}"));
         }
-        self.stage.sleep(moment(FAILS) - self.stage.now()).await;
+        self.environment
+            .sleep(moment(FAIL_AT) - self.environment.now())
+            .await;
         if self.new == NewVersion::FailsLater {
-            self.fails.set(0.5);
+            self.failure_share.set(0.5);
         }
-        self.stage.sleep(moment(BY_HAND) - self.stage.now()).await;
-        self.look().await;
-        let on = self
+        self.environment
+            .sleep(moment(ROLL_BACK_AT) - self.environment.now())
+            .await;
+        self.update_history().await;
+        let is_running = self
             .history
             .borrow()
             .last()
             .is_some_and(|e| !e.phase.has_ended());
-        if on && self.new != NewVersion::Fine {
-            self.insist(OperatorRequest::RollBack {
+        if is_running && self.new != NewVersion::Fine {
+            self.send_until_accepted(OperatorRequest::RollBack {
                 name: self.name.clone(),
-                why: "the rehearsal takes it back".into(),
+                why: "the rehearsal rolls it back".into(),
             })
             .await;
         }
-        self.stage.sleep(moment(1.0) - self.stage.now()).await;
-        self.look().await;
+        self.environment
+            .sleep(moment(1.0) - self.environment.now())
+            .await;
+        self.update_history().await;
     }
 
+    /// Derives the result from the history and the traffic records.
     pub fn observed(&self, records: &[TrafficRecord]) -> Observed {
         let history = self.history.borrow();
-        let state = history.last().map_or(NEVER, |e| e.phase.name()).to_owned();
-        // The coordinator's clock is the machine's; the records' began with the stage.
+        let state = history
+            .last()
+            .map_or(NEVER_STARTED, |e| e.phase.name())
+            .to_owned();
+        // The history has wall-clock times; the records' times count from the start of the test environment.
         let back = history
             .iter()
             .find(|e| e.phase == orchidtally_rollout::Phase::RolledBack);
-        let back = back.map(|e| e.at - self.stage.wall(0.0));
-        let mut seen = Observed {
+        let back = back.map(|e| e.at - self.environment.wall(0.0));
+        let mut observed = Observed {
             state,
             ..Observed::default()
         };
@@ -330,7 +368,7 @@
                 _ => None,
             })
             .collect();
-        let (new, mut last) = (digest(NEW), 0.0f64);
+        let (new, mut last) = (digest(NEW_PACKAGE), 0.0f64);
         for record in records {
             let TrafficRecord::VersionExecuted {
                 invocation,
@@ -341,23 +379,25 @@
             else {
                 continue;
             };
-            seen.digest_mismatches += u64::from(named != loaded);
+            observed.digest_mismatches += u64::from(named != loaded);
             if *named == new {
-                seen.ran_new += 1;
+                observed.ran_new += 1;
                 last = last.max(sent.get(invocation.as_str()).copied().unwrap_or(0.0));
             }
         }
-        seen.back_in_s = back.map(|back| (last - back).max(0.0));
+        observed.back_in_s = back.map(|back| (last - back).max(0.0));
         let first = history.first().map_or(0.0, |e| e.at);
-        seen.notified = history
+        observed.report_lines = history
             .iter()
             .map(|e| format!("{:>6.2} s  {}: {}", e.at - first, e.phase.name(), e.reason))
             .collect();
-        seen.notified.extend(self.faults.borrow().iter().cloned());
-        seen.notified.push(format!(
-            "{} dispatches of the new version ran",
-            seen.ran_new
+        observed
+            .report_lines
+            .extend(self.errors.borrow().iter().cloned());
+        observed.report_lines.push(format!(
+            "{} dispatches of the new version were executed",
+            observed.ran_new
         ));
-        seen
+        observed
     }
 }
--- a/crates/cli/tests/rehearse_injection.rs
+++ b/crates/cli/tests/rehearse_injection.rs
@@ -83,7 +83,7 @@
     could_not_be_injected(
         &output,
         3,
-        "the injecting front end was never told that an executor drains",
+        "the injecting front end was never notified that an executor drains",
     );
 }
 
