--- a/crates/cli/examples/fault_shim.rs
+++ b/crates/cli/examples/fault_shim.rs
@@ -1,25 +1,29 @@
-//! A library that is loaded into a front end's process before the C library (LD_PRELOAD) and makes its system calls fail
-//! as Linux documents, by seed, and its wall clock step. Monotonic time is untouched. It is a preloaded library and no
-//! seam in the program, so that the very program that is released runs, with the calls of all its libraries.
+//! Fault injection for a front end's process: a library that is loaded before the C library (`LD_PRELOAD`), makes
+//! system calls fail with the errors that Linux documents, chosen by a seed, and steps the wall clock. Monotonic time
+//! is unchanged. A preloaded library needs no test hooks in the program: the released executable runs, and the calls of
+//! all its libraries are covered.
 //!
 //! | variable | meaning |
 //! | --- | --- |
-//! | `FAULT_WALL` | `AFTER,BY`: so many seconds after the first look at the clock, the wall clock is so many ahead |
-//! | `FAULT_PERCENT` | how many in a hundred calls fail or are short; 0 where it is left out |
-//! | `FAULT_SEED` | which of them |
-//! | `FAULT_BROKEN` | how many in a thousand reads and writes of connections that it made itself say that they are broken |
-//! | `FAULT_DISK` | `AFTER,FOR,FOLDER`: see below |
+//! | `FAULT_WALL` | `AFTER,BY`: the wall clock steps forward by `BY` seconds, `AFTER` seconds after it is first read |
+//! | `FAULT_PERCENT` | percentage of calls that fail or are cut short |
+//! | `FAULT_SEED` | seed that selects those calls; 1 by default |
+//! | `FAULT_BROKEN` | per mille of reads and writes of outgoing connections that fail as if the connection were lost |
+//! | `FAULT_DISK` | `AFTER,FOR,FOLDER`: disk errors, see below |
 //!
-//! `FAULT_DISK`: from so many seconds after the first write on, and for so many, writes and syncs of files fail whose
-//! paths contain `FOLDER`: the first write is cut in half, then there is ENOSPC and EIO in turn.
+//! Both shares are 0 by default.
+//!
+//! `FAULT_DISK`: writes and syncs of files whose paths contain `FOLDER` fail for `FOR` seconds, beginning `AFTER`
+//! seconds after the first write or sync of any file. The first write is cut in half; the calls after it fail with EIO
+//! and ENOSPC in turn.
 
 use libc::{c_int, c_void, epoll_event, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::time::Instant;
 
-/// What the environment asks for.
-struct Plan {
+/// The faults that the environment variables describe, except for disk errors.
+struct FaultPlan {
     wall_after: f64,
     wall_by: f64,
     percent: u64,
@@ -27,7 +31,7 @@
     seed: u64,
 }
 
-/// Kinds of calls, each with a stream of chance of its own.
+/// Kinds of calls, each with a random sequence of its own.
 #[derive(Clone, Copy)]
 enum Call {
     Accept,
@@ -39,13 +43,14 @@
     Broken,
 }
 
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
+/// The faults, read from the environment at the first call.
+fn plan() -> &'static FaultPlan {
+    static PLAN: OnceLock<FaultPlan> = OnceLock::new();
     PLAN.get_or_init(|| {
         let text = |key| std::env::var(key).unwrap_or_default();
         let wall = text("FAULT_WALL");
         let (after, by) = wall.split_once(',').unwrap_or(("0", "0"));
-        Plan {
+        FaultPlan {
             wall_after: after.parse().unwrap_or(0.0),
             wall_by: by.parse().unwrap_or(0.0),
             percent: text("FAULT_PERCENT").parse().unwrap_or(0),
@@ -55,7 +60,7 @@
     })
 }
 
-/// The next number of a call's stream (SplitMix64).
+/// The next number in a call's random sequence (SplitMix64).
 fn draw(call: Call) -> u64 {
     static COUNTS: [AtomicU64; 7] = [const { AtomicU64::new(0) }; 7];
     let count = COUNTS[call as usize].fetch_add(1, Ordering::Relaxed);
@@ -68,42 +73,43 @@
     z ^ z >> 31
 }
 
-/// Whether a call fails, and a number to choose how by.
+/// Decides whether a call fails. Returns a number that selects the error.
 fn fails(call: Call) -> Option<usize> {
     let percent = plan().percent;
     if percent == 0 {
         return None;
     }
-    let drawn = draw(call);
-    (drawn % 100 < percent).then_some((drawn / 100) as usize)
+    let random = draw(call);
+    (random % 100 < percent).then_some((random / 100) as usize)
 }
 
-/// Fails with one of some errors.
+/// Sets `errno` to one of `errors`, selected by `choice`, and returns -1.
 fn fail(choice: usize, errors: &[c_int]) -> c_int {
-    // SAFETY: the C library's place of this thread's error.
+    // SAFETY: the C library returns a valid pointer to this thread's `errno`.
     unsafe { *libc::__errno_location() = errors[choice % errors.len()] };
     -1
 }
 
-/// The function of a name that would have been called.
+/// The function of the C library that the function of this name replaces.
 macro_rules! real {
     ($name:literal, $kind:ty) => {{
         static REAL: OnceLock<usize> = OnceLock::new();
-        // SAFETY: the name ends with a zero; the C library has a function of that name and kind.
+        // SAFETY: the name is NUL-terminated.
         let at =
             *REAL.get_or_init(|| unsafe { libc::dlsym(libc::RTLD_NEXT, $name.as_ptr()) as usize });
-        // SAFETY: as above.
+        // SAFETY: the C library has a function of that name and type.
         unsafe { std::mem::transmute::<usize, $kind>(at) }
     }};
 }
 
-/// Where and when files can't be written.
+/// The disk errors of `FAULT_DISK`.
 struct DiskPlan {
     after: f64,
     time: f64,
     folder: String,
 }
 
+/// The disk errors, read from the environment at the first call; `None` if the variable is missing or invalid.
 fn disk_plan() -> Option<&'static DiskPlan> {
     static PLAN: OnceLock<Option<DiskPlan>> = OnceLock::new();
     let read = || {
@@ -120,7 +126,7 @@
     PLAN.get_or_init(read).as_ref()
 }
 
-/// Whether a call on a file fails now, and how many have before it.
+/// Decides whether a call on a file fails now. Returns how many calls have failed before it.
 fn disk_fails(file: c_int) -> Option<usize> {
     static FIRST: OnceLock<Instant> = OnceLock::new();
     static COUNT: AtomicUsize = AtomicUsize::new(0);
@@ -134,10 +140,11 @@
     is_in_folder.then(|| COUNT.fetch_add(1, Ordering::Relaxed))
 }
 
+/// Errors of a write or sync.
 const DISK_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
 
 /// # Safety
-/// As `write` of the C library.
+/// The same contract as that of `write` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(file: c_int, bytes: *const c_void, size: size_t) -> ssize_t {
     let real = real!(
@@ -149,67 +156,71 @@
         Some(count) => return fail(count, &DISK_ERRORS) as ssize_t,
         None => size,
     };
-    // SAFETY: the caller's promise; no more than it gave is written.
+    // SAFETY: the caller upholds the contract; `size` is at most the caller's.
     unsafe { real(file, bytes, size) }
 }
 
 /// # Safety
-/// As `fsync` of the C library.
+/// The same contract as that of `fsync` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(file: c_int) -> c_int {
     let real = real!(c"fsync", unsafe extern "C" fn(c_int) -> c_int);
     match disk_fails(file) {
         Some(count) => fail(count, &DISK_ERRORS),
-        // SAFETY: the caller's promise.
+        // SAFETY: the caller upholds the contract.
         None => unsafe { real(file) },
     }
 }
 
 /// # Safety
-/// As `fdatasync` of the C library.
+/// The same contract as that of `fdatasync` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
     let real = real!(c"fdatasync", unsafe extern "C" fn(c_int) -> c_int);
     match disk_fails(file) {
         Some(count) => fail(count, &DISK_ERRORS),
-        // SAFETY: the caller's promise.
+        // SAFETY: the caller upholds the contract.
         None => unsafe { real(file) },
     }
 }
 
-/// Descriptors below this are looked after.
-const MOST_DESCRIPTORS: usize = 4_096;
-/// Whether a descriptor is a connection that the process has made itself.
-static OWN_CONNECTIONS: [AtomicBool; MOST_DESCRIPTORS] =
-    [const { AtomicBool::new(false) }; MOST_DESCRIPTORS];
+/// Only descriptors below this number are tracked.
+const MAX_DESCRIPTORS: usize = 4_096;
+/// Whether each descriptor is an outgoing connection.
+static OUTGOING_CONNECTIONS: [AtomicBool; MAX_DESCRIPTORS] =
+    [const { AtomicBool::new(false) }; MAX_DESCRIPTORS];
 
-fn set_own(file: c_int, is_own: bool) {
-    if let Some(own) = usize::try_from(file)
+/// Records whether a descriptor is an outgoing connection.
+fn set_outgoing(file: c_int, is_outgoing: bool) {
+    if let Some(outgoing) = usize::try_from(file)
         .ok()
-        .and_then(|file| OWN_CONNECTIONS.get(file))
+        .and_then(|file| OUTGOING_CONNECTIONS.get(file))
     {
-        own.store(is_own, Ordering::Relaxed);
+        outgoing.store(is_outgoing, Ordering::Relaxed);
     }
 }
 
-/// Whether a connection is to be seen broken with this call, and a number to choose how by.
-fn breaks(file: c_int) -> Option<usize> {
-    let is_own = usize::try_from(file)
+/// Decides whether a call on a connection fails as if the connection were lost. Returns a number that selects the
+/// error.
+fn connection_fails(file: c_int) -> Option<usize> {
+    let is_outgoing = usize::try_from(file)
         .ok()
-        .and_then(|file| OWN_CONNECTIONS.get(file))?;
-    if plan().broken == 0 || !is_own.load(Ordering::Relaxed) || !is_stream(file) {
+        .and_then(|file| OUTGOING_CONNECTIONS.get(file))?;
+    if plan().broken == 0 || !is_outgoing.load(Ordering::Relaxed) || !is_stream(file) {
         return None;
     }
-    let drawn = draw(Call::Broken);
-    (drawn % 1_000 < plan().broken).then_some((drawn / 1_000) as usize)
+    let random = draw(Call::Broken);
+    (random % 1_000 < plan().broken).then_some((random / 1_000) as usize)
 }
 
-const BROKEN: [c_int; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
+/// Errors of a lost connection.
+const CONNECTION_ERRORS: [c_int; 3] = [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ECONNRESET];
 
+/// Whether a descriptor is a stream socket.
 fn is_stream(socket: c_int) -> bool {
     let (mut kind, mut size) = (0 as c_int, size_of::<c_int>() as socklen_t);
-    // SAFETY: both places are this function's, and the size is the kind's.
-    let told = unsafe {
+    // SAFETY: both pointers refer to local variables, and `size` is the size of `kind`.
+    let result = unsafe {
         libc::getsockopt(
             socket,
             libc::SOL_SOCKET,
@@ -218,22 +229,22 @@
             &raw mut size,
         )
     };
-    told == 0 && kind == libc::SOCK_STREAM
+    result == 0 && kind == libc::SOCK_STREAM
 }
 
 /// # Safety
-/// As `clock_gettime` of the C library.
+/// The same contract as that of `clock_gettime` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, at: *mut timespec) -> c_int {
     let real = real!(
         c"clock_gettime",
         unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int
     );
-    // SAFETY: the caller's promise.
+    // SAFETY: the caller upholds the contract.
     let result = unsafe { real(clock, at) };
     if clock == libc::CLOCK_REALTIME && result == 0 {
         static FIRST: OnceLock<f64> = OnceLock::new();
-        // SAFETY: the call above has filled it.
+        // SAFETY: the successful call above has filled `at`, which is therefore valid.
         let at = unsafe { &mut *at };
         let now = at.tv_sec as f64 + at.tv_nsec as f64 / 1e9;
         if now >= FIRST.get_or_init(|| now) + plan().wall_after {
@@ -244,7 +255,7 @@
 }
 
 /// # Safety
-/// As `accept4` of the C library.
+/// The same contract as that of `accept4` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     s: c_int,
@@ -266,16 +277,16 @@
     match fails(Call::Accept) {
         Some(choice) => fail(choice, &errors),
         None => {
-            // SAFETY: the caller's promise.
+            // SAFETY: the caller upholds the contract.
             let taken = unsafe { real(s, at, size, flags) };
-            set_own(taken, false);
+            set_outgoing(taken, false);
             taken
         }
     }
 }
 
 /// # Safety
-/// As `socket` of the C library.
+/// The same contract as that of `socket` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let real = real!(
@@ -284,13 +295,13 @@
     );
     match fails(Call::Socket) {
         Some(choice) => fail(choice, &[libc::ENFILE, libc::ENOBUFS]),
-        // SAFETY: the caller's promise.
+        // SAFETY: the caller upholds the contract.
         None => unsafe { real(domain, kind, protocol) },
     }
 }
 
 /// # Safety
-/// As `connect` of the C library.
+/// The same contract as that of `connect` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(s: c_int, at: *const sockaddr, size: socklen_t) -> c_int {
     let real = real!(
@@ -303,15 +314,15 @@
             &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS],
         ),
         None => {
-            set_own(s, true);
-            // SAFETY: the caller's promise.
+            set_outgoing(s, true);
+            // SAFETY: the caller upholds the contract.
             unsafe { real(s, at, size) }
         }
     }
 }
 
 /// # Safety
-/// As `send` of the C library.
+/// The same contract as that of `send` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     s: c_int,
@@ -323,8 +334,8 @@
         c"send",
         unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t
     );
-    if let Some(choice) = breaks(s) {
-        return fail(choice, &BROKEN) as ssize_t;
+    if let Some(choice) = connection_fails(s) {
+        return fail(choice, &CONNECTION_ERRORS) as ssize_t;
     }
     let size = match fails(Call::Send) {
         Some(choice) if !is_stream(s) => {
@@ -333,32 +344,32 @@
         Some(choice) => size.min(1).max(choice % size.max(1)),
         None => size,
     };
-    // SAFETY: the caller's promise; no more than it gave is sent.
+    // SAFETY: the caller upholds the contract; `size` is at most the caller's.
     unsafe { real(s, bytes, size, flags) }
 }
 
 /// # Safety
-/// As `recv` of the C library.
+/// The same contract as that of `recv` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(s: c_int, into: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
     let real = real!(
         c"recv",
         unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t
     );
-    if let Some(choice) = breaks(s) {
-        return fail(choice, &BROKEN) as ssize_t;
+    if let Some(choice) = connection_fails(s) {
+        return fail(choice, &CONNECTION_ERRORS) as ssize_t;
     }
     let size = match fails(Call::Receive) {
         Some(_) if !is_stream(s) => return fail(0, &[libc::EINTR]) as ssize_t,
         Some(choice) => size.min(1).max(choice % size.clamp(1, 64)),
         None => size,
     };
-    // SAFETY: the caller's promise; no more than it has room for is read.
+    // SAFETY: the caller upholds the contract; `size` is at most the caller's.
     unsafe { real(s, into, size, flags) }
 }
 
 /// # Safety
-/// As `epoll_wait` of the C library.
+/// The same contract as that of `epoll_wait` in the C library.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     e: c_int,
@@ -372,7 +383,7 @@
     );
     match fails(Call::Wait) {
         Some(choice) => fail(choice, &[libc::EINTR]),
-        // SAFETY: the caller's promise.
+        // SAFETY: the caller upholds the contract.
         None => unsafe { real(e, into, most, time) },
     }
 }
--- a/crates/cli/src/rehearse/scenario/bench.rs
+++ b/crates/cli/src/rehearse/scenario/bench.rs
@@ -1,14 +1,14 @@
-//! Scenarios of the users' bench, as far as a rehearsal can play them.
+//! Conversion of the users' bench scenarios, as far as a rehearsal supports them.
 
 use super::{FAULT_KINDS, Scenario, ScheduledFault};
 
-/// A time in microseconds, as the users' bench prints it, in seconds.
+/// Converts microseconds, the unit of the users' bench, to seconds.
 fn from_micros(micros: f64) -> f64 {
     micros / 1e6
 }
 
-/// Troubles of a day of the users' bench, with their times stretched to another length; `left_out` gets those that the
-/// rehearsal does not know.
+/// Converts the faults of a bench scenario, with their times scaled by `stretch`. Those of unknown kinds are appended
+/// to `left_out`.
 fn bench_faults(
     scenario: &serde_json::Value,
     stretch: f64,
@@ -27,20 +27,20 @@
             .get("kind")
             .and_then(|kind| kind.as_str())
             .unwrap_or("unnamed");
-        let known = FAULT_KINDS
+        let description = FAULT_KINDS
             .iter()
-            .find(|known| known.bench_name == Some(name));
-        let Some(known) = known else {
+            .find(|description| description.bench_name == Some(name));
+        let Some(description) = description else {
             left_out.push(format!("the trouble '{name}'"));
             continue;
         };
         let size = field("size")
             .filter(|size| *size > 0.0 && *size <= 1.0)
-            .unwrap_or(known.default_size);
+            .unwrap_or(description.default_size);
         let at = (from_micros(field("at").unwrap_or(0.0)) * stretch).clamp(0.0, length);
         let duration = (from_micros(field("len").unwrap_or(1e6)) * stretch).clamp(0.2, length);
         faults.push(ScheduledFault {
-            kind: known.kind,
+            kind: description.kind,
             at,
             duration,
             size,
@@ -49,30 +49,30 @@
     faults
 }
 
-/// A scenario of the users' bench as it can be played here.
+/// A converted scenario of the users' bench.
 pub struct BenchScenario {
     /// The scenario, scaled down to this machine.
     pub scenario: Scenario,
-    /// What of it could not be carried over, for the reader.
+    /// Descriptions of what could not be carried over, for the user.
     pub left_out: Vec<String>,
 }
 
-/// A file that is no scenario of the users' bench.
+/// Why a file is not a scenario of the users' bench.
 #[derive(Debug, thiserror::Error)]
 pub enum BenchError {
-    /// It is no JSON.
-    #[error("not a day of the bench: {0}")]
+    /// The file is not JSON.
+    #[error("not a scenario of the bench: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// It has no length.
-    #[error("not a day of the bench: it has no length")]
+    /// The scenario has no length.
+    #[error("not a scenario of the bench: it has no length")]
     NoLength,
 }
 
-/// Sections of a bench file that a rehearsal does not follow, by JSON pointer, and what is said of each.
-const NOT_FOLLOWED: [(&str, &str); 4] = [
+/// Sections of a bench file that a rehearsal ignores: the JSON pointer and the description for the user.
+const IGNORED_SECTIONS: [(&str, &str); 4] = [
     (
         "/traffic/shape",
-        "the shape of the traffic over the day: it is even",
+        "the shape of the traffic over time: the rate is constant",
     ),
     (
         "/classes",
@@ -84,27 +84,31 @@
         "sizes, loads and popularity of its functions: the rehearsal's own are used",
     ),
 ];
-/// Invocations a second that one executor can run.
+/// Invocations per second that one executor can execute.
 const RATE_PER_EXECUTOR: f64 = 40.0;
-/// The highest rate that is played, in invocations a second.
+/// The highest rate of a converted scenario, in invocations per second.
 const MAX_RATE: f64 = 600.0;
 
-/// Reads a scenario as the users' bench prints it, scaled down to this machine.
+/// Converts a scenario that the users' bench printed, scaled down to this machine.
 ///
 /// # Errors
-/// The text is no JSON, or has no length.
+/// The text is not JSON, or the scenario has no length.
 pub fn from_bench(text: &str) -> Result<BenchScenario, BenchError> {
-    let bench_day: serde_json::Value = serde_json::from_str(text)?;
-    let number = |key: &str| bench_day.pointer(key).and_then(serde_json::Value::as_f64);
+    let bench_scenario: serde_json::Value = serde_json::from_str(text)?;
+    let number = |key: &str| {
+        bench_scenario
+            .pointer(key)
+            .and_then(serde_json::Value::as_f64)
+    };
     let seconds = from_micros(number("/length").ok_or(BenchError::NoLength)?);
     let mut left_out = vec![];
     let length = seconds.clamp(5.0, 30.0);
     let stretch = length / seconds;
     if (stretch - 1.0).abs() > 1e-9 {
-        left_out.push(format!("{seconds:.1} s are played in {length:.1} s"));
+        left_out.push(format!("{seconds:.1} s are scaled to {length:.1} s"));
     }
     let count = |key: &str| {
-        bench_day
+        bench_scenario
             .get(key)
             .and_then(|list| list.as_array())
             .map(Vec::len)
@@ -117,18 +121,18 @@
     let (executors, front_ends) = (servers.clamp(locations, 24), balancers.clamp(1, 6));
     if (executors, front_ends) != (servers, balancers) {
         left_out.push(format!(
-            "{servers} executors and {balancers} front ends are played by {executors} and {front_ends}"
+            "{servers} executors and {balancers} front ends are replaced by {executors} and {front_ends}"
         ));
     }
-    let faults = bench_faults(&bench_day, stretch, length, &mut left_out);
-    let not_followed = NOT_FOLLOWED
+    let faults = bench_faults(&bench_scenario, stretch, length, &mut left_out);
+    let ignored = IGNORED_SECTIONS
         .iter()
-        .filter(|(key, _)| bench_day.pointer(key).is_some());
-    left_out.extend(not_followed.map(|(_, what)| (*what).to_owned()));
+        .filter(|(key, _)| bench_scenario.pointer(key).is_some());
+    left_out.extend(ignored.map(|(_, note)| (*note).to_owned()));
     let load = number("/traffic/load").unwrap_or(0.7);
     let rate = (load * executors as f64 * RATE_PER_EXECUTOR).min(MAX_RATE);
     left_out.push(format!(
-        "its rate: {rate:.0} invocations a second, {load:.2} of what these executors can do"
+        "its rate: {rate:.0} invocations per second are sent, {load:.2} of these executors' capacity"
     ));
     let scenario = Scenario {
         length,
--- a/crates/cli/src/rehearse/scenario/fault_kind.rs
+++ b/crates/cli/src/rehearse/scenario/fault_kind.rs
@@ -1,70 +1,70 @@
 //! The kinds of faults, and their names in scenario files.
 
-/// What goes wrong. `size` is the share of those that it can befall.
+/// A kind of fault. `size` in a scenario is the share of the candidates that a fault affects, such as of the executors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// Executors crash and come back.
+    /// Executors crash and restart.
     Crash,
-    /// Executors answer nothing for a while.
+    /// Executors stop answering for a while.
     Hang,
-    /// Executors answer with errors at once.
+    /// Executors answer with errors immediately.
     FastErrors,
-    /// Executors are told to drain, end and come back cold, one after the other.
+    /// Executors are drained and restarted cold in sequence.
     RollingDeploy,
-    /// Executors drain at short notice and are gone.
+    /// Executors are drained at short notice and then crash.
     Preemption,
-    /// Changes of the roster are kept back.
+    /// The publisher holds back changes of the endpoint list.
     StaleEndpoints,
-    /// The publisher breaks all connections off.
+    /// The publisher closes all connections.
     PublisherDisconnect,
     /// Executors report their load late.
     LateReports,
-    /// All copies of all functions are dropped at once.
+    /// All executors drop all replicas at once.
     MassRelease,
-    /// Clients wait a fraction of their time only, or leave.
+    /// Clients wait only a fraction of their client timeout, or cancel.
     ImpatientClients,
-    /// A part of the traffic is for one function.
+    /// A share of the traffic invokes one function.
     HotFunction,
-    /// A part of the traffic is for functions that are invoked once.
+    /// A share of the traffic invokes functions that are invoked only once.
     OneTimeFunctions,
-    /// The traffic goes to the front ends of one location.
+    /// A share of the traffic goes to a third of the front ends.
     TrafficShift,
     /// All executors of a location crash.
     LoseLocation,
     /// Executors accept connections slowly.
     SlowHandshakes,
-    /// Clients ask again without end.
+    /// Clients retry at once and often.
     RepeatingClients,
-    /// Front ends are killed and come back.
+    /// Front ends are killed and restarted.
     KillFrontEnds,
     /// Front ends are restarted gracefully.
     RollFrontEnds,
-    /// Executors read nothing from their sockets.
+    /// Executors stop reading from their sockets.
     ExecutorsStopReading,
-    /// Bytes that are no messages, to front ends and executors.
+    /// Clients send invalid bytes to front ends and executors.
     Garbage,
-    /// Clients that send and never read.
+    /// Clients send requests and never read the responses.
     ClientsStopReading,
-    /// Clients that send a byte now and then.
+    /// Clients send requests one byte at a time.
     SlowClients,
-    /// The executors' store refuses loads.
+    /// The executors' package store refuses loads.
     StoreRefuses,
 }
 
-/// A kind of fault as scenario files have it.
+/// A kind of fault as it is named in scenario files.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultDescription {
     /// The kind.
     pub kind: FaultKind,
     /// The name in scenario files.
     pub name: &'static str,
-    /// The share of those that it can befall, where a file does not say.
+    /// The size if a scenario file gives none.
     pub default_size: f64,
-    /// The name on the users' bench, where it has the kind too.
+    /// The name on the users' bench; `None` if the bench does not have the kind.
     pub bench_name: Option<&'static str>,
 }
 
-const fn described(
+const fn description(
     kind: FaultKind,
     name: &'static str,
     default_size: f64,
@@ -78,76 +78,76 @@
     }
 }
 
-/// Every kind of fault. Scenarios that are drawn by a seed depend on this order.
+/// Every kind of fault. The order determines which scenario a seed generates.
 pub const FAULT_KINDS: [FaultDescription; 23] = [
-    described(FaultKind::Crash, "crash", 0.17, Some("crash")),
-    described(FaultKind::Hang, "hang", 0.17, Some("hang")),
-    described(
+    description(FaultKind::Crash, "crash", 0.17, Some("crash")),
+    description(FaultKind::Hang, "hang", 0.17, Some("hang")),
+    description(
         FaultKind::FastErrors,
         "fastErrors",
         0.17,
         Some("fast_errors"),
     ),
-    described(FaultKind::RollingDeploy, "deploy", 0.5, Some("deploy")),
-    described(FaultKind::Preemption, "preempt", 0.1, Some("preempt")),
-    described(
+    description(FaultKind::RollingDeploy, "deploy", 0.5, Some("deploy")),
+    description(FaultKind::Preemption, "preempt", 0.1, Some("preempt")),
+    description(
         FaultKind::StaleEndpoints,
         "staleRoster",
         1.0,
         Some("discovery_stale"),
     ),
-    described(FaultKind::PublisherDisconnect, "rosterCut", 1.0, None),
-    described(
+    description(FaultKind::PublisherDisconnect, "rosterCut", 1.0, None),
+    description(
         FaultKind::LateReports,
         "lateReports",
         1.0,
         Some("report_late"),
     ),
-    described(FaultKind::MassRelease, "rerelease", 1.0, Some("flush")),
-    described(
+    description(FaultKind::MassRelease, "rerelease", 1.0, Some("flush")),
+    description(
         FaultKind::ImpatientClients,
         "shortPatience",
         0.3,
         Some("give_up"),
     ),
-    described(FaultKind::HotFunction, "hotFunction", 0.4, Some("hot_key")),
-    described(FaultKind::OneTimeFunctions, "oneOffs", 0.15, Some("scan")),
-    described(FaultKind::TrafficShift, "shift", 0.7, Some("shift")),
-    described(
+    description(FaultKind::HotFunction, "hotFunction", 0.4, Some("hot_key")),
+    description(FaultKind::OneTimeFunctions, "oneOffs", 0.15, Some("scan")),
+    description(FaultKind::TrafficShift, "shift", 0.7, Some("shift")),
+    description(
         FaultKind::LoseLocation,
         "loseLocation",
         0.33,
         Some("zone_loss"),
     ),
-    described(
+    description(
         FaultKind::SlowHandshakes,
         "slowHandshakes",
         0.3,
         Some("handshake_slow"),
     ),
-    described(
+    description(
         FaultKind::RepeatingClients,
         "repeatingClients",
         0.3,
         Some("retry_abuse"),
     ),
-    described(
+    description(
         FaultKind::KillFrontEnds,
         "killFrontEnds",
         0.5,
         Some("balancer_crash"),
     ),
-    described(
+    description(
         FaultKind::RollFrontEnds,
         "rollFrontEnds",
         0.5,
         Some("balancer_roll"),
     ),
-    described(FaultKind::ExecutorsStopReading, "halfOpen", 0.1, None),
-    described(FaultKind::Garbage, "garbage", 1.0, None),
-    described(FaultKind::ClientsStopReading, "stopReading", 1.0, None),
-    described(FaultKind::SlowClients, "slowSenders", 1.0, None),
-    described(FaultKind::StoreRefuses, "storeRefuses", 1.0, None),
+    description(FaultKind::ExecutorsStopReading, "halfOpen", 0.1, None),
+    description(FaultKind::Garbage, "garbage", 1.0, None),
+    description(FaultKind::ClientsStopReading, "stopReading", 1.0, None),
+    description(FaultKind::SlowClients, "slowSenders", 1.0, None),
+    description(FaultKind::StoreRefuses, "storeRefuses", 1.0, None),
 ];
 
 impl FaultKind {
--- a/crates/cli/src/rehearse/scenario/mod.rs
+++ b/crates/cli/src/rehearse/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! The script of a day: the traffic, and what goes wrong when.
+//! Scenarios: the traffic and the scheduled faults of a rehearsal.
 
 mod bench;
 mod fault_kind;
@@ -10,23 +10,23 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// Something that goes wrong. Times are in seconds.
+/// A fault of a scenario. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// What goes wrong.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// When, from the begin of the day.
+    /// The start, from the beginning of the scenario.
     pub at: f64,
-    /// For how long.
+    /// The duration; some kinds of faults take effect at once and ignore it.
     pub duration: f64,
-    /// The share of those that it can befall.
+    /// The share of the candidates that the fault affects.
     pub size: f64,
 }
 
-/// The script of a day. Times are in seconds.
+/// A scenario of a rehearsal. Times are in seconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The length of the day.
+    /// The duration of the scenario.
     pub length: f64,
     /// The number of front ends.
     pub front_ends: u32,
@@ -34,25 +34,25 @@
     pub executors: usize,
     /// The number of locations.
     pub locations: u32,
-    /// Invocations a second, without those that clients send again.
+    /// Invocations per second, without retries.
     pub rate: f64,
     /// The number of functions.
     pub functions: usize,
-    /// What goes wrong, in the order of time.
+    /// The faults; those of the built-in scenario are sorted by time.
     pub faults: Vec<ScheduledFault>,
     /// The greatest difference between the wall clocks of two front ends.
     pub clock_skew: f64,
-    /// By how much the wall clock of one front end is stepped in the middle of the day.
+    /// The step of one front end's wall clock in the middle of the scenario.
     pub clock_step: f64,
 }
 
 impl Scenario {
-    /// The built-in bad day: every kind of trouble, overlapping, drawn by the seed.
+    /// The built-in scenario: every kind of fault once, overlapping, at times drawn from the seed.
     pub fn with_all_faults(seed: u64, length: f64) -> Scenario {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut faults = vec![];
         for known in FAULT_KINDS {
-            // Nothing in the first tenth, so that there is a day to spoil; the last fifth sees recovery.
+            // The first tenth has no faults, so that they meet normal operation; the last fifth is for the recovery.
             let at = length * random.random_range(0.1..0.6);
             let duration = length * random.random_range(0.1..0.22);
             faults.push(ScheduledFault {
@@ -76,7 +76,10 @@
         }
     }
 
-    /// Reads a day file, or tells every fault in it.
+    /// Parses a scenario file.
+    ///
+    /// # Errors
+    /// All errors in the file.
     pub fn read(text: &str) -> Result<Scenario, Vec<DeploymentFault>> {
         let document = Document::new(text);
         let Some(value) = document.parse() else {
@@ -98,11 +101,12 @@
         let length = top
             .optional("length", |p| p.seconds(1.0..=600.0))
             .unwrap_or(default.length);
-        let whole = |key: &str, most: u32, absent: u32| {
-            top.optional(key, |p| p.integer(1..=most)).unwrap_or(absent)
+        let integer_or = |key: &str, max: u32, default_value: u32| {
+            top.optional(key, |p| p.integer(1..=max))
+                .unwrap_or(default_value)
         };
-        let locations = whole("locations", 50, default.locations);
-        let executors = whole("executors", 200, default.executors as u32);
+        let locations = integer_or("locations", 50, default.locations);
+        let executors = integer_or("executors", 200, default.executors as u32);
         if executors < locations {
             let place = if top.at("executors").is_given() {
                 top.at("executors")
@@ -110,18 +114,18 @@
                 top.at("locations")
             };
             place.fault(format!(
-                "{executors} executors are too few for {locations} locations"
+                "{executors} executors are not enough for {locations} locations"
             ));
         }
         let scenario = Scenario {
             length,
-            front_ends: whole("frontEnds", 32, default.front_ends),
+            front_ends: integer_or("frontEnds", 32, default.front_ends),
             executors: executors as usize,
             locations,
             rate: top
                 .optional("rate", |p| p.number(0.1..=5_000.0))
                 .unwrap_or(default.rate),
-            functions: whole("functions", 100_000, default.functions as u32) as usize,
+            functions: integer_or("functions", 100_000, default.functions as u32) as usize,
             faults: top
                 .at("troubles")
                 .list()
@@ -144,6 +148,7 @@
     }
 }
 
+/// Parses a fault of a scenario; `None` if a required field is invalid.
 fn fault(place: &Place, length: f64) -> Option<ScheduledFault> {
     let fields = place.object(&["kind", "at", "for", "size"]);
     let names: Vec<(&str, FaultKind)> = FAULT_KINDS
