--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -94,7 +94,7 @@
 
 /// Measures one path: throughput and CPU time over all streams, then the latency over a single stream. `of_direct` is
 /// filled in by the caller.
-fn way(
+fn measure_path(
     name: &'static str,
     to: SocketAddr,
     measured_process: Option<&MeasuredProcess>,
@@ -160,28 +160,28 @@
         functions: arguments.functions,
     };
     let mut ways = vec![
-        way(
+        measure_path(
             "direct",
             executor.at,
             None,
             BaselineRequest::Dispatch,
             arguments,
         )?,
-        way(
+        measure_path(
             "relay",
             relay.at,
             Some(&relay),
             BaselineRequest::Dispatch,
             arguments,
         )?,
-        way(
+        measure_path(
             "front end",
             front_end.at,
             Some(&front_end),
             request,
             arguments,
         )?,
-        way(
+        measure_path(
             "random choice",
             random.at,
             Some(&random),
--- a/crates/cli/src/rehearse/mod.rs
+++ b/crates/cli/src/rehearse/mod.rs
@@ -167,7 +167,7 @@
 ) -> Result<(), u8> {
     if let Err(missing) = injected {
         eprintln!("no violation of rule {rule} could be injected: {missing}");
-        eprintln!("try a longer day (--length), fewer faults or a less busy machine");
+        eprintln!("try a longer scenario (--length), fewer faults or a less busy machine");
         return Err(COULD_NOT_RUN);
     }
     let is_found = match messages {
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -217,7 +217,7 @@
     }
     println!("at least {total:.0} s in total, if no gate fails");
     println!(
-        "loads: {} a second in all, of {} that the ration grants rollouts",
+        "loads: {} per second in total, of {} that the load budget grants rollouts",
         value["loadsPerSecond"], value["granted"]
     );
     Ok(())
