--- a/crates/cli/tests/rehearse_injection.rs
+++ b/crates/cli/tests/rehearse_injection.rs
@@ -56,7 +56,7 @@
     assert_eq!(line["injected"], false, "{line}");
     let expected = format!("no violation of rule {rule} could be injected: {reason}");
     assert!(
-        stderr.contains(&expected) && stderr.contains("longer day"),
+        stderr.contains(&expected) && stderr.contains("longer scenario"),
         "{stderr}"
     );
 }
@@ -84,7 +84,7 @@
     assert_not_injected(
         &output,
         3,
-        "the injecting front end was never told that an executor drains",
+        "the injecting front end was never notified that an executor drains",
     );
 }
 
