--- a/crates/http-frontend/src/etcd/registration.rs
+++ b/crates/http-frontend/src/etcd/registration.rs
@@ -1,8 +1,8 @@
-//! A front end's own entry in the store, under an index that no other has, and its lease.
+//! A front end's own entry in the store, under a unique index, and its lease.
 
-use super::FRONT_ENDS;
+use super::FRONT_ENDS_PREFIX;
 use super::entries;
-use super::follow::{FIRST_RETRY_DELAY, REQUEST_TIMEOUT, list};
+use super::follow::{INITIAL_RETRY_DELAY, REQUEST_TIMEOUT, list};
 use super::host::MembershipHost;
 use bytes::Bytes;
 use orchidtally_deployment::EtcdSettings;
@@ -20,9 +20,9 @@
 use tracing::{debug, info, warn};
 
 /// Renewals within the time to live of a lease.
-const RENEWALS: f64 = 4.0;
+const RENEWALS_PER_TTL: f64 = 4.0;
 
-/// Registers a host and keeps its entry's lease.
+/// Registers a host and renews its entry's lease.
 pub(super) struct Registration<H> {
     host: Rc<H>,
     client: Rc<Client>,
@@ -39,12 +39,12 @@
     /// Its time to live in seconds.
     ttl: f64,
     /// The store keeps the lease at least until then, by the host's clock.
-    until: f64,
+    valid_until: f64,
 }
 
 impl<H: MembershipHost> Registration<H> {
     pub fn new(host: Rc<H>, client: Rc<Client>, etcd: &EtcdSettings) -> Registration<H> {
-        let prefix = format!("{}{FRONT_ENDS}", etcd.prefix);
+        let prefix = format!("{}{FRONT_ENDS_PREFIX}", etcd.prefix);
         Registration {
             host,
             client,
@@ -53,39 +53,39 @@
         }
     }
 
-    /// Claims an index and keeps the entry's lease, again and again for as long as it is polled.
+    /// Claims an index and renews the entry's lease; claims another one when the lease is lost. Never returns.
     pub async fn run(self) {
         let mut lost_claims = 0;
         loop {
             match self.claim(lost_claims).await {
                 Ok(Some(lease)) => {
                     lost_claims = 0;
-                    if let Err(fault) = self.keep_lease(lease).await {
-                        self.failed(&fault);
+                    if let Err(fault) = self.renew_lease_until_lost(lease).await {
+                        self.on_failure(&fault);
                     }
                 }
                 Ok(None) => lost_claims += 1,
-                Err(fault) => self.failed(&fault),
+                Err(fault) => self.on_failure(&fault),
             }
-            let delay = FIRST_RETRY_DELAY * (1.0 + 2.0 * rand::random::<f64>());
+            let delay = INITIAL_RETRY_DELAY * (1.0 + 2.0 * rand::random::<f64>());
             async_io::Timer::after(Duration::from_secs_f64(delay)).await;
         }
     }
 
-    fn failed(&self, fault: &ClientError) {
+    fn on_failure(&self, fault: &ClientError) {
         warn!(endpoint = ?self.client.endpoint(), %fault, "membership lease can't be renewed");
         self.client.fail_over();
     }
 
-    /// Puts the entry under a free index; `None` if another front end was faster.
+    /// Writes the entry under a free index; `None` if another front end has claimed the index first.
     async fn claim(&self, lost_claims: u32) -> Result<Option<Lease>, ClientError> {
         let entries = list(&self.client, &self.prefix).await?.entries;
         let used_indices: BTreeSet<u32> = entries
             .iter()
-            .filter_map(|entry| entries::index(&entry.key))
+            .filter_map(|entry| entries::front_end_index(&entry.key))
             .collect();
         let index = MembershipTracker::choose_index(&used_indices, rand::random(), lost_claims);
-        let began = self.host.now();
+        let requested_at = self.host.now();
         let grant = LeaseGrantRequest {
             ttl: self.requested_ttl,
             id: 0,
@@ -103,21 +103,21 @@
         {
             let mut members = self.host.members().borrow_mut();
             members.on_claimed(self.host.now(), index, 0.0);
-            members.on_lease_renewed(began, ttl);
+            members.on_lease_renewed(requested_at, ttl);
         }
         info!(index, "registered in the store");
-        self.host.members_changed();
+        self.host.on_membership_change();
         Ok(Some(Lease {
             id: granted.id,
             ttl,
-            until: began + ttl,
+            valid_until: requested_at + ttl,
         }))
     }
 
-    /// Puts the entry where no other stands.
+    /// A transaction that writes the entry if its key doesn't exist.
     fn claim_transaction(&self, index: u32, lease: i64) -> TxnRequest {
         let key = Bytes::from(format!("{}{index}", self.prefix));
-        let value = serde_json::json!(self.host.own_entry()).to_string();
+        let value = serde_json::json!(self.host.front_end_entry()).to_string();
         let is_free = Compare {
             result: CompareResult::Equal.into(),
             target: CompareTarget::Create.into(),
@@ -139,26 +139,26 @@
         }
     }
 
-    /// Renews a lease until the store has ended it, or has not answered for the time to live.
-    async fn keep_lease(&self, mut lease: Lease) -> Result<(), ClientError> {
-        let interval = Duration::from_secs_f64(lease.ttl / RENEWALS);
+    /// Renews a lease until it has expired in the store, or the store has not answered for the time to live.
+    async fn renew_lease_until_lost(&self, mut lease: Lease) -> Result<(), ClientError> {
+        let interval = Duration::from_secs_f64(lease.ttl / RENEWALS_PER_TTL);
         loop {
             async_io::Timer::after(interval).await;
-            let began = self.host.now();
+            let requested_at = self.host.now();
             match self.renew(lease.id).await {
                 Ok(answer) if answer.ttl > 0 => {
-                    lease.until = began + answer.ttl as f64;
+                    lease.valid_until = requested_at + answer.ttl as f64;
                     self.host
                         .members()
                         .borrow_mut()
-                        .on_lease_renewed(began, answer.ttl as f64);
+                        .on_lease_renewed(requested_at, answer.ttl as f64);
                 }
                 Ok(_) => {
                     warn!("membership lease expired while this front end runs");
                     self.host.members().borrow_mut().on_entry_lost();
                     return Ok(());
                 }
-                Err(fault) if self.host.now() > lease.until => {
+                Err(fault) if self.host.now() > lease.valid_until => {
                     self.host.members().borrow_mut().on_entry_lost();
                     return Err(fault);
                 }
@@ -171,10 +171,10 @@
     }
 
     async fn renew(&self, id: i64) -> Result<LeaseKeepAliveResponse, ClientError> {
-        let question = LeaseKeepAliveRequest { id };
+        let request = LeaseKeepAliveRequest { id };
         let mut stream = self
             .client
-            .open_stream::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &question, REQUEST_TIMEOUT)
+            .open_stream::<LeaseKeepAliveResponse>(LEASE_KEEP_ALIVE, &request, REQUEST_TIMEOUT)
             .await?;
         orchidtally_socket_io::with_timeout(REQUEST_TIMEOUT, stream.next())
             .await
--- a/crates/http-frontend/src/ingress/status.rs
+++ b/crates/http-frontend/src/ingress/status.rs
@@ -1,27 +1,27 @@
 //! `GET /v1/front-end`: the status of the front end.
 
-use super::answer::Answer;
+use super::answer::ResponseBody;
 use crate::router::Router;
 use bytes::Bytes;
 use http::Response;
 use http::header::{CONTENT_TYPE, HeaderValue};
 use serde_json::json;
 
-/// The rollouts as this front end has them.
-fn rollouts(router: &Router) -> serde_json::Value {
-    let shares = router.traffic_split.borrow();
-    let published = shares.published();
-    let on = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
+/// The state of the rollouts at this front end.
+fn rollout_status(router: &Router) -> serde_json::Value {
+    let traffic_split = router.traffic_split.borrow();
+    let published = traffic_split.published();
+    let rollout_state = |(name, r): (&String, &orchidtally_rollout::Rollout)| {
         let state =
             json!({ "phase": r.phase, "step": r.step, "number": r.revision, "reason": r.reason });
         (name.clone(), state)
     };
-    let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(on).collect();
+    let rollouts: serde_json::Map<_, _> = published.rollouts.iter().map(rollout_state).collect();
     json!({ "term": published.epoch.term, "number": published.revision, "rollouts": rollouts })
 }
 
 /// The endpoint list and the front ends, where they come from etcd.
-fn roster(router: &Router) -> serde_json::Value {
+fn endpoint_list_status(router: &Router) -> serde_json::Value {
     if !matches!(
         router.deployment.endpoint_source,
         orchidtally_deployment::EndpointSource::Etcd(_)
@@ -52,13 +52,13 @@
 }
 
 /// The status of the message triggers.
-fn triggers(router: &Router) -> serde_json::Value {
+fn trigger_status(router: &Router) -> serde_json::Value {
     let Some(status) = router.triggers.get() else {
         return serde_json::Value::Null;
     };
     json!({
         "connected": status.connected,
-        "inHand": status.in_hand,
+        "inHand": status.in_flight,
         "waiting": status.waiting,
         "journalWorks": status.journal_works,
         "messages": status.counters,
@@ -66,7 +66,7 @@
 }
 
 /// The status of the front end, as JSON.
-pub(super) fn status(router: &Router) -> Response<Answer> {
+pub(super) fn status_response(router: &Router) -> Response<ResponseBody> {
     let counters = router.counters();
     let body = json!({
         "deployment": router.deployment.name,
@@ -74,8 +74,8 @@
         "index": router.sender.get().index,
         "frontEnds": router.sender.get().count,
         "configuration": router.admission.get().map(|admission| admission.host().status()),
-        "roster": roster(router),
-        "open": router.open(),
+        "roster": endpoint_list_status(router),
+        "open": router.open_invocations(),
         "taken": counters.admitted,
         "refused": counters.not_admitted,
         "succeeded": counters.succeeded,
@@ -86,10 +86,10 @@
         "orders": counters.load_commands,
         "overdue": counters.overdue,
         "indexTaken": router.duplicate_index_reports.get(),
-        "rollouts": rollouts(router),
-        "mqtt": triggers(router),
+        "rollouts": rollout_status(router),
+        "mqtt": trigger_status(router),
     });
-    let mut response = Response::new(Answer::Chunks([Bytes::from(body.to_string())].into()));
+    let mut response = Response::new(ResponseBody::Chunks([Bytes::from(body.to_string())].into()));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/http-frontend/src/mqtt/connection.rs
+++ b/crates/http-frontend/src/mqtt/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the broker: plain or by TLS, read and written by a task each.
+//! The connection to the broker, plain or by TLS, with a reader task and a writer task.
 
 use async_executor::Task;
 use bytes::BytesMut;
@@ -11,7 +11,7 @@
 use orchidtally_mqtt::{CodecError, decode};
 use orchidtally_mqtt_triggers::TriggerSettings;
 use orchidtally_mqtt_triggers::ledger::Answer;
-use orchidtally_mqtt_triggers::section::TlsSettings;
+use orchidtally_mqtt_triggers::settings::TlsSettings;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes that are queued for the broker.
+/// The maximum number of bytes that are queued for the broker.
 pub(super) const MAX_OUTBOX_BYTES: usize = 512 * 1024;
 /// The timeout of a connect, and of the TLS handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
@@ -35,7 +35,7 @@
     /// A packet from the connection of this number.
     Packet(u64, Packet),
     /// The connection of this number ended.
-    Lost(u64, ConnectionLost),
+    Disconnected(u64, ConnectionLost),
     /// The outbox has space again.
     OutboxDrained,
     /// The final answer of an invocation, by the number of its message.
@@ -46,7 +46,7 @@
 #[derive(Default)]
 pub(super) struct Outbox {
     pub(super) bytes: RefCell<BytesMut>,
-    pub(super) ended: Cell<bool>,
+    pub(super) is_closing: Cell<bool>,
 }
 
 /// An open connection to the broker.
@@ -69,7 +69,7 @@
     /// A certificate or key is invalid.
     #[error("TLS: {0}")]
     Certificate(#[from] futures_rustls::rustls::Error),
-    /// The name in the settings is no server name.
+    /// The name in the settings is not a valid server name.
     #[error("{0}")]
     ServerName(#[from] InvalidDnsNameError),
     /// The handshake took too long.
@@ -91,13 +91,13 @@
     Codec(#[from] CodecError),
 }
 
-fn tls_connector(section: &TlsSettings) -> Result<TlsConnector, ConnectError> {
+fn tls_connector(settings: &TlsSettings) -> Result<TlsConnector, ConnectError> {
     let mut roots = RootCertStore::empty();
-    for certificate in CertificateDer::pem_file_iter(&section.authorities)? {
+    for certificate in CertificateDer::pem_file_iter(&settings.ca_certificates)? {
         roots.add(certificate?)?;
     }
     let config = ClientConfig::builder().with_root_certificates(roots);
-    let config = match &section.identity {
+    let config = match &settings.client_identity {
         Some((certificates, key)) => {
             let chain: Result<Vec<_>, _> = CertificateDer::pem_file_iter(certificates)?.collect();
             config.with_client_auth_cert(chain?, PrivateKeyDer::from_pem_file(key)?)?
@@ -108,25 +108,25 @@
 }
 
 pub(super) async fn connect(
-    section: &TriggerSettings,
+    settings: &TriggerSettings,
 ) -> Result<Box<dyn BrokerStream>, ConnectError> {
-    let stream = orchidtally_socket_io::connect(section.broker, CONNECT_TIMEOUT).await?;
-    let Some(tls) = &section.tls else {
+    let stream = orchidtally_socket_io::connect(settings.broker, CONNECT_TIMEOUT).await?;
+    let Some(tls) = &settings.tls else {
         return Ok(Box::new(stream));
     };
     // The files are read for each connection, so that replaced files are used from the next connection on.
     let connector = tls_connector(tls)?;
-    let name = ServerName::try_from(tls.name.clone())?;
+    let name = ServerName::try_from(tls.server_name.clone())?;
     let handshake =
         orchidtally_socket_io::with_timeout(CONNECT_TIMEOUT, connector.connect(name, stream)).await;
     Ok(Box::new(handshake.ok_or(ConnectError::TimedOut)??))
 }
 
 /// Reads packets until the connection ends.
-pub(super) async fn read(
+pub(super) async fn read_packets(
     mut stream: impl AsyncRead + Unpin,
     number: u64,
-    section: Rc<TriggerSettings>,
+    settings: Rc<TriggerSettings>,
     inputs: async_channel::Sender<Input>,
 ) {
     let (mut buffer, mut bytes) = (BytesMut::new(), vec![0; 16 * 1024]);
@@ -139,8 +139,8 @@
         loop {
             match decode(
                 &mut buffer,
-                section.version,
-                section.largest_packet as usize,
+                settings.version,
+                settings.max_packet_size as usize,
             ) {
                 Ok(Some((_, packet))) => {
                     if inputs.send(Input::Packet(number, packet)).await.is_err() {
@@ -153,11 +153,11 @@
         }
     };
     // There is no receiver once the front end has ended.
-    let _ = inputs.send(Input::Lost(number, ended)).await;
+    let _ = inputs.send(Input::Disconnected(number, ended)).await;
 }
 
 /// Writes the outbox until the connection ends.
-pub(super) async fn write(
+pub(super) async fn write_outbox(
     mut stream: impl AsyncWrite + Unpin,
     number: u64,
     outbox: Rc<Outbox>,
@@ -176,15 +176,15 @@
                 stream.flush().await
             };
             if let Err(fault) = written.await {
-                let _ = inputs.send(Input::Lost(number, fault.into())).await;
+                let _ = inputs.send(Input::Disconnected(number, fault.into())).await;
                 return;
             }
             if full && inputs.send(Input::OutboxDrained).await.is_err() {
                 return;
             }
         }
-        if outbox.ended.get() {
-            // The disconnect packet is sent; whether closing succeeds makes no difference.
+        if outbox.is_closing.get() {
+            // The disconnect packet is sent, so a failure to close has no effect.
             let _ = stream.close().await;
             return;
         }
--- a/crates/http-frontend/src/mqtt/host.rs
+++ b/crates/http-frontend/src/mqtt/host.rs
@@ -1,7 +1,7 @@
 //! Performs the actions of a consumer: packets, journal entries and invocations.
 
 use super::connection::{
-    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read, write,
+    BrokerStream, Connection, Input, MAX_OUTBOX_BYTES, Outbox, connect, read_packets, write_outbox,
 };
 use super::invoke::invoke;
 use super::tls_files::TlsFiles;
@@ -18,12 +18,13 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// Seconds until the first reconnect attempt; each delay varies by half of it.
-const FIRST_RETRY: f64 = 0.1;
+/// The delay before the first reconnect attempt, in seconds. Each delay is multiplied by a random factor between 0.5
+/// and 1.5.
+const INITIAL_RETRY_DELAY: f64 = 0.1;
 /// The longest delay between two attempts, in seconds.
-const LONGEST_RETRY: f64 = 5.0;
-/// How long sending the last packets may take at shutdown.
-const CLOSE_TIME: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: f64 = 5.0;
+/// The timeout of sending the last packets at shutdown.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A result of the journal's thread: whether it succeeded.
 pub(super) enum JournalResult {
@@ -40,7 +41,7 @@
 /// A consumer with the connection, journal and invocations that it controls.
 pub(super) struct ConsumerHost {
     router: Rc<Router>,
-    section: Rc<TriggerSettings>,
+    settings: Rc<TriggerSettings>,
     pub(super) consumer: Consumer,
     journal: GroupCommit,
     inputs: async_channel::Sender<Input>,
@@ -48,8 +49,8 @@
     connection: Option<Connection>,
     connecting: Option<Task<()>>,
     connection_count: u64,
-    connect_at: f64,
-    retry_after: f64,
+    reconnect_at: f64,
+    retry_delay: f64,
     invocations: HashMap<u64, Task<()>>,
     journal_works: bool,
     tls_files: TlsFiles,
@@ -59,7 +60,7 @@
 impl ConsumerHost {
     pub(super) fn new(
         router: Rc<Router>,
-        section: Rc<TriggerSettings>,
+        settings: Rc<TriggerSettings>,
         consumer: Consumer,
         journal: GroupCommit,
         inputs: async_channel::Sender<Input>,
@@ -67,13 +68,13 @@
     ) -> ConsumerHost {
         let now = router.now();
         ConsumerHost {
-            tls_files: TlsFiles::new(&section, now),
+            tls_files: TlsFiles::new(&settings, now),
             in_force: DeploymentInForce {
                 revision: 1,
                 deployment: router.deployment.clone(),
             },
             router,
-            section,
+            settings,
             consumer,
             journal,
             inputs,
@@ -81,8 +82,8 @@
             connection: None,
             connecting: None,
             connection_count: 0,
-            connect_at: now,
-            retry_after: FIRST_RETRY,
+            reconnect_at: now,
+            retry_delay: INITIAL_RETRY_DELAY,
             invocations: HashMap::new(),
             journal_works: true,
         }
@@ -96,26 +97,26 @@
     /// When the next tick is due without any input.
     pub(super) fn next_tick_at(&self) -> f64 {
         let is_idle = self.connection.is_none() && self.connecting.is_none();
-        let connect_at = if is_idle {
-            self.connect_at
+        let reconnect_at = if is_idle {
+            self.reconnect_at
         } else {
             f64::INFINITY
         };
-        self.consumer.next_tick_at().min(connect_at)
+        self.consumer.next_tick_at().min(reconnect_at)
     }
 
-    /// Runs what is due.
+    /// Runs due timers, reconnects if that is due, and performs the pending actions.
     pub(super) fn tick(&mut self) {
         let now = self.router.now();
         if let Err(ended) = self.consumer.tick(now) {
-            self.lost(&ended.to_string());
+            self.on_connection_lost(&ended.to_string());
         }
-        if self.connection.is_none() && self.connecting.is_none() && now >= self.connect_at {
+        if self.connection.is_none() && self.connecting.is_none() && now >= self.reconnect_at {
             self.start_connecting();
         }
         self.check_tls_files(now);
-        self.perform();
-        self.report();
+        self.perform_actions();
+        self.update_status();
     }
 
     /// Ends a connection whose certificates were replaced; the next one uses the new ones.
@@ -124,37 +125,37 @@
         if is_due && self.connection.is_some() && self.tls_files.have_changed() {
             info!("TLS files changed, reconnecting");
             self.consumer.disconnect(now);
-            self.perform();
+            self.perform_actions();
             self.connection = None;
             self.consumer.connection_lost();
-            self.connect_at = now;
+            self.reconnect_at = now;
         }
     }
 
     fn start_connecting(&mut self) {
-        self.tls_files.note();
-        let (section, inputs) = (self.section.clone(), self.inputs.clone());
+        self.tls_files.record_modification_time();
+        let (settings, inputs) = (self.settings.clone(), self.inputs.clone());
         let work = async move {
-            let connected = connect(&section).await;
+            let connected = connect(&settings).await;
             // There is no receiver once the front end has ended.
             let _ = inputs.send(Input::Connected(connected)).await;
         };
         self.connecting = self.router.spawn(work);
     }
 
-    fn connected(&mut self, stream: Box<dyn BrokerStream>) {
+    fn on_connected(&mut self, stream: Box<dyn BrokerStream>) {
         self.connection_count += 1;
         let number = self.connection_count;
         let (reader, writer) = futures_lite::io::split(stream);
         let (wake, woken) = async_channel::bounded(1);
         let outbox = Rc::new(Outbox::default());
-        let read = self.router.spawn(read(
+        let read = self.router.spawn(read_packets(
             reader,
             number,
-            self.section.clone(),
+            self.settings.clone(),
             self.inputs.clone(),
         ));
-        let write = self.router.spawn(write(
+        let write = self.router.spawn(write_outbox(
             writer,
             number,
             outbox.clone(),
@@ -170,43 +171,45 @@
         self.consumer.connect(self.router.now());
     }
 
-    fn lost(&mut self, why: &str) {
+    fn on_connection_lost(&mut self, why: &str) {
         let Some(_) = self.connection.take() else {
             return;
         };
-        warn!(broker = %self.section.broker, why, "broker connection lost");
+        warn!(broker = %self.settings.broker, why, "broker connection lost");
         self.consumer.connection_lost();
-        self.connect_later();
+        self.schedule_reconnect();
     }
 
-    fn connect_later(&mut self) {
-        self.connect_at = self.router.now() + self.retry_after * (0.5 + rand::random::<f64>());
-        self.retry_after = (2.0 * self.retry_after).min(LONGEST_RETRY);
+    fn schedule_reconnect(&mut self) {
+        self.reconnect_at = self.router.now() + self.retry_delay * (0.5 + rand::random::<f64>());
+        self.retry_delay = (2.0 * self.retry_delay).min(MAX_RETRY_DELAY);
     }
 
     /// Passes an input of a connection or an invocation to the consumer.
     pub(super) fn apply(&mut self, input: Input) {
         let now = self.router.now();
-        let is_present = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
+        let is_current = |number: u64| self.connection.as_ref().is_some_and(|c| c.number == number);
         match input {
             Input::Connected(stream) => {
                 self.connecting = None;
                 match stream {
-                    Ok(stream) => self.connected(stream),
+                    Ok(stream) => self.on_connected(stream),
                     Err(fault) => {
-                        warn!(broker = %self.section.broker, %fault, "broker unreachable");
-                        self.connect_later();
+                        warn!(broker = %self.settings.broker, %fault, "broker unreachable");
+                        self.schedule_reconnect();
                     }
                 }
             }
-            Input::Packet(number, packet) if is_present(number) => {
+            Input::Packet(number, packet) if is_current(number) => {
                 let deployment = self.deployment_in_force();
                 if let Err(ended) = self.consumer.received(now, packet, &deployment) {
-                    self.lost(&ended.to_string());
+                    self.on_connection_lost(&ended.to_string());
                 }
             }
-            Input::Lost(number, why) if is_present(number) => self.lost(&why.to_string()),
-            Input::Packet(..) | Input::Lost(..) | Input::OutboxDrained => {}
+            Input::Disconnected(number, why) if is_current(number) => {
+                self.on_connection_lost(&why.to_string())
+            }
+            Input::Packet(..) | Input::Disconnected(..) | Input::OutboxDrained => {}
             Input::InvocationEnded(message_number, answer) => {
                 self.invocations.remove(&message_number);
                 self.consumer.invocation_ended(now, message_number, answer);
@@ -236,7 +239,7 @@
         self.in_force.deployment.clone()
     }
 
-    fn perform(&mut self) {
+    fn perform_actions(&mut self) {
         while let Some(action) = self.consumer.next_action() {
             match action {
                 HostAction::Append(entry) => self.append(entry),
@@ -263,7 +266,8 @@
             let _ = results.send_blocking(JournalResult::Appended(appended.is_ok()));
         };
         if self.journal.append(entry, done).is_err() {
-            // The thread has died: the queue can hold an entry of every message in flight, so it is never full.
+            // The journal's thread has died. The queue is never full, as it has space for the entries of all messages
+            // in flight.
             self.consumer.journal_appended(self.router.now(), false);
         }
     }
@@ -285,7 +289,7 @@
         let Some(message) = self.consumer.message(message_number).cloned() else {
             return;
         };
-        let ready_by = self.consumer.ready_by(message_number);
+        let ready_by = self.consumer.reply_deadline(message_number);
         let (router, inputs) = (self.router.clone(), self.inputs.clone());
         let work = async move {
             let answer = invoke(router, message, ready_by).await;
@@ -300,11 +304,13 @@
     fn log(&mut self, notice: Notice) {
         match notice {
             Notice::Connected { session_present } => {
-                self.retry_after = FIRST_RETRY;
-                info!(broker = %self.section.broker, session_present, "connected to the broker");
+                self.retry_delay = INITIAL_RETRY_DELAY;
+                info!(broker = %self.settings.broker, session_present, "connected to the broker");
+            }
+            Notice::SubscriptionsRejected(filters) => {
+                error!(?filters, "broker rejected subscriptions")
             }
-            Notice::Refused(filters) => error!(?filters, "broker rejected subscriptions"),
-            Notice::SetAside { topic, why } => {
+            Notice::DeadLettered { topic, reason: why } => {
                 warn!(topic, why, "message dead-lettered to the set-aside topic")
             }
             Notice::NotPublished { topic, code } => {
@@ -314,7 +320,7 @@
                 self.journal_works = false;
                 error!("journal can't be written: no messages are accepted until it can");
             }
-            Notice::JournalBack => {
+            Notice::JournalRecovered => {
                 self.journal_works = true;
                 info!("journal writable again");
             }
@@ -329,40 +335,40 @@
         while bytes.len() < MAX_OUTBOX_BYTES
             && let Some(packet) = self.consumer.next_packet()
         {
-            match encode(&packet, self.section.version) {
+            match encode(&packet, self.settings.version) {
                 Ok(encoded) => bytes.extend_from_slice(&encoded),
                 Err(fault) => error!(%fault, "packet can't be encoded"),
             }
         }
         if !bytes.is_empty() {
-            // A full channel has woken it already.
+            // A full channel already wakes the writer.
             let _ = connection.wake.try_send(());
         }
     }
 
-    fn report(&self) {
-        let (in_hand, waiting) = self.consumer.backlog();
+    fn update_status(&self) {
+        let (in_flight, waiting) = self.consumer.backlog();
         self.router.triggers.set(Some(TriggerStatus {
             counters: self.consumer.counters(),
             connected: self.consumer.is_connected(),
-            in_hand,
+            in_flight,
             waiting,
             journal_works: self.journal_works,
         }));
     }
 
-    /// Disconnects from the broker in order.
+    /// Sends the last packets and closes the connection to the broker.
     pub(super) async fn close(mut self) {
         self.consumer.disconnect(self.router.now());
-        self.perform();
+        self.perform_actions();
         let Some(connection) = self.connection.take() else {
             return;
         };
-        connection.outbox.ended.set(true);
+        connection.outbox.is_closing.set(true);
         let _ = connection.wake.try_send(());
         let [_, write] = connection._tasks;
         if let Some(write) = write {
-            let _ = orchidtally_socket_io::with_timeout(CLOSE_TIME, write).await;
+            let _ = orchidtally_socket_io::with_timeout(CLOSE_TIMEOUT, write).await;
         }
     }
 }
--- a/crates/http-frontend/src/mqtt/triggers.rs
+++ b/crates/http-frontend/src/mqtt/triggers.rs
@@ -1,4 +1,4 @@
-//! What a front end needs to serve message triggers.
+//! The settings and the journal of the message triggers.
 
 use orchidtally_journal::Journal;
 use orchidtally_mqtt_triggers::TriggerSettings;
@@ -10,9 +10,9 @@
 const MAX_BATCH: usize = 1_024;
 
 /// The settings of the message triggers, and their journal with its recovered records.
-pub struct Triggers {
+pub struct MessageTriggers {
     /// The section of the deployment file.
-    pub section: TriggerSettings,
+    pub settings: TriggerSettings,
     pub(super) journal: Journal,
     pub(super) records: Vec<Record>,
     pub(super) truncated_bytes: u64,
@@ -20,10 +20,10 @@
     pub(super) max_batch: usize,
 }
 
-fn bad(folder: &Path, what: impl std::fmt::Display) -> io::Error {
+fn invalid_data(folder: &Path, detail: impl std::fmt::Display) -> io::Error {
     io::Error::new(
         io::ErrorKind::InvalidData,
-        format!("{}: {what}", folder.display()),
+        format!("{}: {detail}", folder.display()),
     )
 }
 
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// The snapshot or an entry is malformed.
-pub fn records(
+pub fn decode_records(
     snapshot: Option<&[u8]>,
     entries: &[Vec<u8>],
 ) -> Result<Vec<Record>, serde_json::Error> {
@@ -45,22 +45,22 @@
     Ok(records)
 }
 
-impl Triggers {
+impl MessageTriggers {
     /// Opens the journal of the front end with this index.
     ///
     /// # Errors
     /// The journal can't be opened, or a record in it is malformed.
-    pub fn open(section: TriggerSettings, index: u32) -> io::Result<Triggers> {
-        let folder = section.folder(index);
+    pub fn open(settings: TriggerSettings, index: u32) -> io::Result<MessageTriggers> {
+        let folder = settings.journal_dir(index);
         let (journal, found) = Journal::open(&folder)?;
-        let records = records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
-            bad(
+        let records = decode_records(found.snapshot.as_deref(), &found.entries).map_err(|e| {
+            invalid_data(
                 &folder,
-                format!("an entry can't be read, so that nothing is served: {e}"),
+                format!("an entry can't be read, the front end does not start: {e}"),
             )
         })?;
-        Ok(Triggers {
-            section,
+        Ok(MessageTriggers {
+            settings,
             journal,
             records,
             truncated_bytes: found.truncated_bytes,
@@ -68,19 +68,19 @@
         })
     }
 
-    /// The records that the previous incarnation left.
+    /// The records of the previous incarnation.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
 
-    /// Changes the journal for measurements: whether it syncs to disk, and how many entries share a sync.
-    pub fn measured(self, synced: bool, max_batch: usize) -> Triggers {
+    /// Sets whether the journal syncs to disk, and the maximum number of entries that share a sync; for benchmarks.
+    pub fn with_journal_options(self, synced: bool, max_batch: usize) -> MessageTriggers {
         let journal = if synced {
             self.journal
         } else {
             self.journal.without_syncs()
         };
-        Triggers {
+        MessageTriggers {
             journal,
             max_batch,
             ..self
--- a/crates/http-frontend/tests/stored_formats.rs
+++ b/crates/http-frontend/tests/stored_formats.rs
@@ -1,9 +1,9 @@
-//! What a front end writes into stores and says of itself is read by other builds and by operators' tools: names of
-//! headers, its entry among the front ends, its report on the configuration. The texts must not be changed.
+//! Tests that formats read by other builds and by operators' tools stay compatible: the names of headers, the entry of a
+//! front end in etcd, and its report on the configuration. The texts must not be changed.
 
 use orchidtally_config_sync::{Rejection, Report, ReportedState};
 use orchidtally_http_frontend::config::{ConfigStatus, PublishedReport};
-use orchidtally_http_frontend::etcd::{EXECUTORS, FRONT_ENDS, OwnEntry};
+use orchidtally_http_frontend::etcd::{EXECUTORS_PREFIX, FRONT_ENDS_PREFIX, FrontEndEntry};
 use orchidtally_http_frontend::ingress;
 use orchidtally_mqtt_triggers::consumer::Counters;
 
@@ -13,12 +13,12 @@
         ingress::TRIGGER_TYPE,
         ingress::CUSTOMER,
         ingress::TIME_LEFT,
-        ingress::REPEAT,
+        ingress::CLIENT_RETRY,
         ingress::INVOCATION,
         ingress::RECORDED,
-        ingress::BODY_LEFT_OUT,
-        ingress::TOKEN,
-        ingress::STAY_AWAY,
+        ingress::BODY_OMITTED,
+        ingress::IDEMPOTENCY_KEY,
+        ingress::RETRY_AFTER_MS,
     ];
     let expected = [
         "orchidtally-trigger-type",
@@ -36,26 +36,29 @@
 
 #[test]
 fn a_front_ends_entry_in_etcd_has_the_text_of_the_format() {
-    let entry = OwnEntry {
+    let entry = FrontEndEntry {
         incarnation: u64::MAX,
         location: "east".into(),
         listen_address: Some("127.0.0.1:7300".parse().expect("an address")),
     };
-    let text = serde_json::to_string(&entry).expect("it can be written");
+    let text = serde_json::to_string(&entry).expect("serialization succeeds");
     assert_eq!(
         text,
         r#"{"life":18446744073709551615,"location":"east","at":"127.0.0.1:7300"}"#
     );
-    let unknown = serde_json::to_string(&OwnEntry {
+    let unknown = serde_json::to_string(&FrontEndEntry {
         listen_address: None,
         ..entry
     })
-    .expect("it can be written");
+    .expect("serialization succeeds");
     assert_eq!(
         unknown,
         r#"{"life":18446744073709551615,"location":"east","at":null}"#
     );
-    assert_eq!((EXECUTORS, FRONT_ENDS), ("executors/", "front-ends/"));
+    assert_eq!(
+        (EXECUTORS_PREFIX, FRONT_ENDS_PREFIX),
+        ("executors/", "front-ends/")
+    );
 }
 
 fn rejection() -> Rejection {
@@ -83,7 +86,7 @@
         report,
         snapshot_fault: Some("the disk is full".into()),
     };
-    let text = serde_json::to_string(&published).expect("it can be written");
+    let text = serde_json::to_string(&published).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/published_report.json").trim_end()
@@ -94,7 +97,7 @@
     };
     assert!(
         !serde_json::to_string(&without)
-            .expect("it can be written")
+            .expect("serialization succeeds")
             .contains("snapshot_fault")
     );
 }
@@ -115,7 +118,7 @@
         bytes_sent: 3,
         bytes_received: 4,
     };
-    let text = serde_json::to_string(&status).expect("it can be written");
+    let text = serde_json::to_string(&status).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/config_status.json").trim_end()
@@ -135,7 +138,7 @@
         not_published: 8,
         dropped: 9,
     };
-    let text = serde_json::to_string(&counters).expect("it can be written");
+    let text = serde_json::to_string(&counters).expect("serialization succeeds");
     assert_eq!(
         text,
         include_str!("stored_formats/counters.json").trim_end()
--- a/crates/mqtt-triggers/src/section.rs
+++ b/crates/mqtt-triggers/src/settings.rs
@@ -1,4 +1,4 @@
-//! The `mqtt` section of a deployment file: the broker, the session, the journal, and the triggers.
+//! Parses the `mqtt` section of a deployment file: the broker, the session, the journal, and the triggers.
 
 use crate::rules::{ReplyTo, Rules};
 use orchidtally_deployment::reader::{Fields, Place};
@@ -10,66 +10,66 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The files of TLS in PEM, which are read for each connection.
+/// Paths of the TLS files in PEM format. The files are read again for each connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// The certificates of the authorities that are trusted.
-    pub authorities: PathBuf,
-    /// The files of the client's certificates and key, where the broker wants them.
-    pub identity: Option<(PathBuf, PathBuf)>,
-    /// The name that the broker's certificate has to be for.
-    pub name: String,
+    /// The trusted CA certificates.
+    pub ca_certificates: PathBuf,
+    /// The client's certificate chain and private key, if the broker requires client authentication.
+    pub client_identity: Option<(PathBuf, PathBuf)>,
+    /// The host name that the broker's certificate must be valid for.
+    pub server_name: String,
 }
 
-/// The `mqtt` section.
+/// Settings of the `mqtt` section.
 #[derive(Clone, Debug)]
 pub struct TriggerSettings {
     /// The address of the broker.
     pub broker: SocketAddr,
-    /// The protocol version that is spoken.
+    /// The MQTT protocol version of the connection.
     pub version: Version,
     client_id: String,
-    /// The user name, where the broker wants one.
+    /// The user name, if the broker requires one.
     pub username: Option<String>,
-    /// The file that holds the password.
+    /// The file that contains the password.
     pub password_file: Option<PathBuf>,
-    /// Set where the connection uses TLS.
+    /// The TLS files; `None` for a connection without TLS.
     pub tls: Option<TlsSettings>,
-    /// The group of the shared subscriptions, by which front ends share the messages.
+    /// The group of the shared subscriptions, which distributes the messages over the front ends.
     pub group: String,
     /// Seconds without a packet after which a ping is sent.
     pub keep_alive: u16,
-    /// Seconds for which the broker keeps the session without a connection.
+    /// Seconds for which the broker keeps the session after the connection is lost.
     pub session_expiry: u32,
-    /// The most deliveries that may be unacknowledged at a time.
+    /// The maximum number of unacknowledged deliveries.
     pub receive_maximum: u16,
-    /// The most invocations at a time.
-    pub in_flight: usize,
-    /// The size in bytes of the largest packet that is accepted.
-    pub largest_packet: u32,
-    /// The broker gives a message of QoS 1 that is not acknowledged to another subscriber of the group.
-    pub hands_over: bool,
+    /// The maximum number of concurrent invocations.
+    pub max_in_flight: usize,
+    /// The maximum size of a received packet, in bytes.
+    pub max_packet_size: u32,
+    /// Whether the broker redelivers an unacknowledged QoS 1 message to another subscriber of the group.
+    pub reassigns_unacknowledged: bool,
     journal: String,
-    /// Bytes of the journal from which on nothing new is taken.
-    pub journal_bytes: u64,
-    /// The topic to which messages that are set aside are copied.
-    pub set_aside: Option<String>,
-    /// How often a message is taken before it is set aside.
-    pub most_times: u32,
-    /// Seconds by which an answer has to be ready before its publisher gives up.
-    pub answer_margin: f64,
+    /// The journal size in bytes above which no new messages are accepted.
+    pub max_journal_bytes: u64,
+    /// The topic to which dead letters are published; `None` if they are only logged.
+    pub dead_letter_topic: Option<String>,
+    /// The number of deliveries after which a message becomes a dead letter.
+    pub max_deliveries: u32,
+    /// Seconds between the time at which an answer has to be ready and the time at which its publisher gives up.
+    pub reply_margin: f64,
     /// The trigger rules.
     pub rules: Rules,
 }
 
-/// What the front end's index replaces in a text.
+/// Placeholder for the front end's index in the client identifier and the journal path.
 const INDEX: &str = "{index}";
 
-/// Reads a deployment file with its `mqtt` section, if it has one, or returns every fault in both.
+/// Parses a deployment file and its optional `mqtt` section. On failure, returns all faults of both.
 pub fn read(text: &str) -> Result<(Deployment, Option<TriggerSettings>), Vec<DeploymentFault>> {
     Deployment::parse_with(text, |place, deployment| {
         if place.is_given() {
-            section(place, deployment)
+            read_section(place, deployment)
         } else {
             None
         }
@@ -96,7 +96,7 @@
     "triggers",
 ];
 
-/// Defaults of what the section leaves out; times in seconds, sizes in bytes.
+/// Default values; times in seconds, sizes in bytes.
 mod default {
     pub const GROUP: &str = "orchidtally";
     pub const KEEP_ALIVE: f64 = 15.0;
@@ -109,7 +109,7 @@
     pub const ANSWER_MARGIN: f64 = 0.1;
 }
 
-fn section(place: &Place, deployment: &Deployment) -> Option<TriggerSettings> {
+fn read_section(place: &Place, deployment: &Deployment) -> Option<TriggerSettings> {
     let fields = place.object(&KEYS);
     let broker = fields
         .at("broker")
@@ -122,7 +122,7 @@
         true => fields
             .at("clientId")
             .text()
-            .map(|text| own(&fields.at("clientId"), text, deployment)),
+            .map(|text| per_front_end(&fields.at("clientId"), text, deployment)),
         false => Some(format!("{}-{INDEX}", deployment.name)),
     };
     let tls = fields.optional("tls", tls);
@@ -130,15 +130,15 @@
     let folder = journal
         .at("folder")
         .text()
-        .map(|text| own(&journal.at("folder"), text, deployment));
+        .map(|text| per_front_end(&journal.at("folder"), text, deployment));
     let rules = Rules::at(&fields.at("triggers"), deployment);
-    let (set_aside, most_times) = set_aside(&fields, &rules);
+    let (dead_letter_topic, max_deliveries) = dead_letter_settings(&fields, &rules);
     if version == Version::V311 {
         check_reply_topics(&fields, &rules);
     }
-    let answer_margin = answer_margin(&fields, &rules);
+    let reply_margin = reply_margin(&fields, &rules);
     let group = group(&fields);
-    let whole = |key, range, default: u32| {
+    let integer = |key, range, default: u32| {
         fields
             .optional(key, |p| p.integer(range))
             .unwrap_or(default)
@@ -150,10 +150,10 @@
     };
     let session_expiry = seconds("sessionExpiry", 60.0..=2_592_000.0, default::SESSION_EXPIRY);
     let keep_alive = seconds("keepAlive", 1.0..=3_600.0, default::KEEP_ALIVE);
-    let largest_packet = fields
+    let max_packet_size = fields
         .optional("largestPacket", |p| p.bytes(1_024.0..=2e8))
         .unwrap_or(default::LARGEST_PACKET);
-    let journal_bytes = journal
+    let max_journal_bytes = journal
         .optional("maxBytes", |p| p.bytes(65_536.0..=1e12))
         .unwrap_or(default::JOURNAL_BYTES);
     Some(TriggerSettings {
@@ -168,24 +168,25 @@
         group,
         keep_alive: keep_alive as u16,
         session_expiry: session_expiry as u32,
-        receive_maximum: whole("receiveMaximum", 1..=20_000, default::RECEIVE_MAXIMUM) as u16,
-        in_flight: whole("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
-        largest_packet: largest_packet as u32,
-        hands_over: fields.at("handsOver").flag(true),
+        receive_maximum: integer("receiveMaximum", 1..=20_000, default::RECEIVE_MAXIMUM) as u16,
+        max_in_flight: integer("inFlight", 1..=100_000, default::IN_FLIGHT) as usize,
+        max_packet_size: max_packet_size as u32,
+        reassigns_unacknowledged: fields.at("handsOver").flag(true),
         journal: folder?,
-        journal_bytes: journal_bytes as u64,
-        set_aside,
-        most_times,
-        answer_margin,
+        max_journal_bytes: max_journal_bytes as u64,
+        dead_letter_topic,
+        max_deliveries,
+        reply_margin,
         rules,
     })
 }
 
-/// A text that each front end needs for itself, because it has a session and a journal of its own.
-fn own(place: &Place, text: String, deployment: &Deployment) -> String {
+/// Checks that a value that must differ between front ends contains the index placeholder if there are several.
+/// Every front end needs its own session and its own journal.
+fn per_front_end(place: &Place, text: String, deployment: &Deployment) -> String {
     if deployment.policy.front_ends > 1.0 && !text.contains(INDEX) {
         place.fault(format!(
-            "there are several front ends; '{INDEX}' has to stand in it for each one's own"
+            "must contain '{INDEX}': each of the front ends needs its own"
         ));
     }
     text
@@ -198,25 +199,27 @@
         (Some(certificate), Some(key)) => Some((certificate, key)),
         (None, None) => None,
         _ => {
-            place.fault("'certificate' and 'key' belong together");
+            place.fault("'certificate' and 'key' must be set together");
             None
         }
     };
-    let authorities = fields.at("authorities").text()?.into();
+    let ca_certificates = fields.at("authorities").text()?.into();
     Some(TlsSettings {
-        authorities,
-        identity,
-        name: fields.at("name").text()?,
+        ca_certificates,
+        client_identity: identity,
+        server_name: fields.at("name").text()?,
     })
 }
 
-/// The topic to which messages that are set aside are copied, and after how many tries that is done.
-fn set_aside(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
+/// Returns the topic for dead letters, if there is one, and the number of deliveries after which a message becomes one.
+fn dead_letter_settings(fields: &Fields, rules: &Rules) -> (Option<String>, u32) {
     let fields = fields.optional_object("setAside", &["topic", "after"]);
     let topic = fields.optional("topic", Place::text);
     if let Some(topic) = &topic {
         if let Err(why) = check_topic(topic) {
-            fields.at("topic").fault(format!("no topic: {why}"));
+            fields
+                .at("topic")
+                .fault(format!("not a valid topic: {why}"));
         } else if rules
             .list
             .iter()
@@ -224,41 +227,37 @@
         {
             fields
                 .at("topic")
-                .fault("what is set aside would come back as a message");
+                .fault("a trigger subscribes to this topic: dead letters would be consumed again");
         }
     }
-    let most_times = fields
+    let max_deliveries = fields
         .optional("after", |p| p.integer(1..=1_000))
         .unwrap_or(default::MOST_TIMES);
-    (topic, most_times)
+    (topic, max_deliveries)
 }
 
-/// Version 3.1.1 has no response topics.
+/// Reports a rule that answers to the response topic, which MQTT 3.1.1 does not have.
 fn check_reply_topics(fields: &Fields, rules: &Rules) {
-    let without_topic = rules
+    let rule_index = rules
         .list
         .iter()
         .position(|rule| rule.reply_to == ReplyTo::ResponseTopic);
-    if let Some(index) = without_topic {
+    if let Some(index) = rule_index {
         fields.at("triggers").fault(format!(
-            "triggers[{index}]: version 3.1.1 has no response topics; 'answer' has to name one"
+            "triggers[{index}]: MQTT 3.1.1 has no response topics; set 'answer' to a topic or 'none'"
         ));
     }
 }
 
-fn answer_margin(fields: &Fields, rules: &Rules) -> f64 {
+fn reply_margin(fields: &Fields, rules: &Rules) -> f64 {
     let margin = fields
         .optional("answerMargin", |p| p.seconds(0.001..=60.0))
         .unwrap_or(default::ANSWER_MARGIN);
-    if let Some(rule) = rules
-        .list
-        .iter()
-        .find(|rule| rule.time_left <= 2.0 * margin)
-    {
+    if let Some(rule) = rules.list.iter().find(|rule| rule.timeout <= 2.0 * margin) {
         let what = format!(
-            "leaves no time: '{}' has {} s",
+            "must be less than half of the 'timeLeft' of each trigger: '{}' has {} s",
             rule.topic.filter(),
-            rule.time_left
+            rule.timeout
         );
         fields.at("answerMargin").fault(what);
     }
@@ -270,23 +269,23 @@
         .optional("group", Place::text)
         .unwrap_or_else(|| default::GROUP.into());
     if group.contains(['/', '+', '#']) {
-        fields.at("group").fault("must not have '/', '+' and '#'");
+        fields.at("group").fault("must not contain '/', '+' or '#'");
     }
     group
 }
 
 impl TriggerSettings {
-    /// The folder of a front end's journal.
-    pub fn folder(&self, index: u32) -> PathBuf {
+    /// The directory of a front end's journal.
+    pub fn journal_dir(&self, index: u32) -> PathBuf {
         self.journal.replace(INDEX, &index.to_string()).into()
     }
 
-    /// The most messages in hand at a time: those that wait and those in flight.
-    pub fn most_held(&self) -> usize {
-        usize::from(self.receive_maximum) + self.in_flight
+    /// The maximum number of messages that a front end holds: waiting and in flight.
+    pub fn max_held_messages(&self) -> usize {
+        usize::from(self.receive_maximum) + self.max_in_flight
     }
 
-    /// The options of a front end's session, without the password.
+    /// Session options of the front end with this index. The password is not set.
     pub fn session_options(&self, index: u32) -> SessionOptions {
         let mut filters: BTreeMap<String, Subscription> = BTreeMap::new();
         for rule in &self.rules.list {
@@ -309,12 +308,12 @@
             keep_alive: self.keep_alive,
             session_expiry: self.session_expiry,
             receive_maximum: self.receive_maximum,
-            largest_packet: self.largest_packet,
-            topic_aliases: 64,
+            max_packet_size: self.max_packet_size,
+            topic_alias_maximum: 64,
             will: None,
-            filters: filters.into_values().collect(),
-            most_waiting: self.most_held(),
-            confirms: true,
+            subscriptions: filters.into_values().collect(),
+            max_queued_publishes: self.max_held_messages(),
+            requests_confirmation: true,
         }
     }
 }
