--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -121,7 +121,7 @@
         Some(Program {
             concurrency: 8,
             load_time: 0.1,
-            work: 0.001,
+            cpu_time: 0.001,
             run: function.code,
             ..Program::default()
         })
@@ -130,7 +130,7 @@
         let spec = ExecutorSpec {
             cores: 4,
             memory: 64.0,
-            queue: 200,
+            queue_capacity: 200,
             keep_alive: 30.0,
             report_fields: vec!["backlog".into()],
             ..ExecutorSpec::with_ample_capacity(number)
--- a/crates/cli/src/rehearse/play/faults.rs
+++ b/crates/cli/src/rehearse/play/faults.rs
@@ -63,7 +63,7 @@
             }
             FaultKind::FastErrors => {
                 for executor in self.victims(fault) {
-                    executor.faults.fails_at_once.set(until);
+                    executor.faults.fails_immediately.set(until);
                 }
             }
             FaultKind::ExecutorsStopReading => self.pause_reads(fault, until),
@@ -82,7 +82,7 @@
             FaultKind::LoseLocation => self.lose_location(fault),
             FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
-            FaultKind::MassRelease => self.executors.iter().for_each(|e| e.drop_copies()),
+            FaultKind::MassRelease => self.executors.iter().for_each(|e| e.unload_all()),
             FaultKind::StoreRefuses => self.store.refusing.set(until),
             FaultKind::ImpatientClients => self.switch(&self.impatient, fault),
             FaultKind::HotFunction => self.switch(&self.hot, fault),
--- a/crates/cli/src/rehearse/play/setup.rs
+++ b/crates/cli/src/rehearse/play/setup.rs
@@ -129,9 +129,9 @@
             concurrency: 4,
             memory: COPY_MB,
             load_time: 0.3,
-            work: 0.02,
+            cpu_time: 0.02,
             run: echo,
-            streams,
+            response_parts: streams,
             ..Program::default()
         })
     })
@@ -143,7 +143,7 @@
         number,
         cores: CORES,
         memory: MEMORY_MB,
-        queue: 40,
+        queue_capacity: 40,
         keep_alive: 6.0,
         rejects_unloaded: false,
         reports_failed_load_as_miss: number.is_multiple_of(2),
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -185,14 +185,14 @@
             concurrency: 4,
             memory: 100.0,
             load_time: 0.3,
-            work: if is_new && self.new == NewVersion::Slow {
+            cpu_time: if is_new && self.new == NewVersion::Slow {
                 0.06
             } else {
                 0.02
             },
             run: echo,
             package: Bytes::from_static(bytes),
-            fails: if is_new { self.fails.get() } else { 0.0 },
+            failure_probability: if is_new { self.fails.get() } else { 0.0 },
             ..Program::default()
         })
     }
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -27,7 +27,7 @@
     let program = || Program {
         concurrency: 32,
         load_time: 0.02,
-        work: 0.002,
+        cpu_time: 0.002,
         run: echo,
         ..Program::default()
     };
--- a/crates/cli/tests/serve_kit/mod.rs
+++ b/crates/cli/tests/serve_kit/mod.rs
@@ -33,7 +33,7 @@
             Some(Program {
                 concurrency: 64,
                 load_time: 0.01,
-                work,
+                cpu_time: work,
                 run: echo,
                 ..Program::default()
             })
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -83,7 +83,7 @@
                 Some(Program {
                     concurrency: 32,
                     load_time: if is_new { load.get() } else { 0.05 },
-                    work: 0.005,
+                    cpu_time: 0.005,
                     package: Bytes::from_static(if is_new { NEW } else { OLD }),
                     ..Program::default()
                 })
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -73,7 +73,7 @@
             Some(Program {
                 concurrency: 64,
                 load_time: 0.05,
-                work: 0.0005,
+                cpu_time: 0.0005,
                 run: echo,
                 ..Program::default()
             })
--- a/crates/http-frontend/tests/config_kit/mod.rs
+++ b/crates/http-frontend/tests/config_kit/mod.rs
@@ -53,7 +53,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.01,
-            work,
+            cpu_time: work,
             run: echo,
             ..Program::default()
         })
--- a/crates/http-frontend/tests/dispatch_revalidation.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -19,7 +19,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.01,
-            work: WORK,
+            cpu_time: WORK,
             run: echo,
             ..Program::default()
         })
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -25,7 +25,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.02,
-            work: 0.002,
+            cpu_time: 0.002,
             run: echo,
             ..Program::default()
         })
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -165,7 +165,7 @@
         Some(Program {
             concurrency: 32,
             load_time,
-            work: 0.005,
+            cpu_time: 0.005,
             run: echo,
             ..Program::default()
         })
--- a/crates/http-frontend/tests/trigger_kit/mod.rs
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -41,7 +41,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.05,
-            work: 0.005,
+            cpu_time: 0.005,
             run: echo,
             ..Program::default()
         })
--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -18,10 +18,10 @@
 use tracing::{debug, warn};
 
 impl Executor {
-    pub(super) async fn connection(self: Rc<Self>, stream: Stream, leaving: Receiver<()>) {
-        let now = self.stage.now();
+    pub(super) async fn connection(self: Rc<Self>, stream: Stream, go_away_signal: Receiver<()>) {
+        let now = self.environment.now();
         if self.faults.slow_handshakes.is_active(now) {
-            self.stage
+            self.environment
                 .sleep(self.faults.slow_handshakes.ends_at() - now)
                 .await;
         }
@@ -40,22 +40,22 @@
         };
         // Streams end with their connection.
         let streams = async_executor::LocalExecutor::new();
-        let mut said_goodbye = false;
+        let mut sent_go_away = false;
         let serve = async {
             loop {
-                while self.faults.reads_paused.is_active(self.stage.now()) {
-                    self.stage.sleep(0.05).await;
+                while self.faults.reads_paused.is_active(self.environment.now()) {
+                    self.environment.sleep(0.05).await;
                 }
-                let goodbye = async {
-                    if said_goodbye {
+                let go_away = async {
+                    if sent_go_away {
                         future::pending::<()>().await;
                     }
-                    let _ = leaving.recv().await;
+                    let _ = go_away_signal.recv().await;
                     None
                 };
-                match future::or(async { Some(connection.accept().await) }, goodbye).await {
+                match future::or(async { Some(connection.accept().await) }, go_away).await {
                     None => {
-                        said_goodbye = true;
+                        sent_go_away = true;
                         connection.graceful_shutdown();
                     }
                     Some(None) => return,
@@ -81,7 +81,7 @@
         request: http::Request<h2::RecvStream>,
         mut respond: SendResponse<Bytes>,
     ) {
-        let typed = request
+        let is_expected_type = request
             .headers()
             .get(http::header::CONTENT_TYPE)
             .is_some_and(|t| t == CONTENT_TYPE);
@@ -90,15 +90,15 @@
             stream: request.into_body(),
             deframer: Deframer::default(),
         };
-        if !typed {
-            refuse(&mut respond, http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
+        if !is_expected_type {
+            reject(&mut respond, http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
             return;
         }
         // A peer that resets its stream ends the work.
-        let done = match path.as_str() {
+        let sent = match path.as_str() {
             DISPATCH_PATH => {
-                let Some(dispatch) = body.message::<v1::Dispatch>().await else {
-                    return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
+                let Some(dispatch) = body.read_message::<v1::Dispatch>().await else {
+                    return reject(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
                 match self.serve_dispatch(dispatch, &mut body, &mut respond).await {
                     Some(sent) => sent,
@@ -106,22 +106,22 @@
                 }
             }
             LOAD_PATH => {
-                let Some(order) = body.message::<v1::Order>().await else {
-                    return refuse(&mut respond, http::StatusCode::BAD_REQUEST);
+                let Some(order) = body.read_message::<v1::Order>().await else {
+                    return reject(&mut respond, http::StatusCode::BAD_REQUEST);
                 };
-                let answer = self.clone().order(order).await;
-                answer_with(&mut respond, &answer, vec![])
+                let answer = self.clone().execute_load_command(order).await;
+                send_response(&mut respond, &answer, vec![])
             }
-            HEALTH_CHECK_PATH => answer_with(
+            HEALTH_CHECK_PATH => send_response(
                 &mut respond,
                 &v1::ProbeAnswer {
                     report: self.report(),
                 },
                 vec![],
             ),
-            _ => return refuse(&mut respond, http::StatusCode::NOT_FOUND),
+            _ => return reject(&mut respond, http::StatusCode::NOT_FOUND),
         };
-        if let Err(fault) = done {
+        if let Err(fault) = sent {
             debug!(executor = %self.address, %fault, "an answer could not be sent");
         }
     }
@@ -142,16 +142,16 @@
         let DispatchResponse {
             answer,
             output,
-            mut in_hand,
+            mut pending_dispatch,
             outcome,
         } = response?;
-        let sent = if output.streams > 0 {
-            self.stream_out(respond, &answer, output.payload, output.streams)
+        let sent = if output.response_parts > 0 {
+            self.send_in_parts(respond, &answer, output.payload, output.response_parts)
                 .await
         } else {
-            answer_with(respond, &answer, output.payload)
+            send_response(respond, &answer, output.payload)
         };
-        in_hand.end(if sent.is_ok() {
+        pending_dispatch.end(if sent.is_ok() {
             outcome
         } else {
             DispatchOutcome::Abandoned
@@ -159,7 +159,7 @@
         Some(sent)
     }
 
-    async fn stream_out(
+    async fn send_in_parts(
         &self,
         respond: &mut SendResponse<Bytes>,
         answer: &v1::Answer,
@@ -169,7 +169,7 @@
         let mut out = respond.send_response(http::Response::new(()), false)?;
         out.send_data(frame(answer), false)?;
         for n in 0..parts {
-            self.stage.sleep(0.02).await;
+            self.environment.sleep(0.02).await;
             for chunk in &payload {
                 out.send_data(chunk.clone(), false)?;
             }
@@ -187,7 +187,7 @@
 }
 
 impl Body {
-    async fn more(&mut self) -> bool {
+    async fn read_chunk(&mut self) -> bool {
         match self.stream.data().await {
             Some(Ok(chunk)) => {
                 let _ = self.stream.flow_control().release_capacity(chunk.len());
@@ -198,11 +198,11 @@
         }
     }
 
-    async fn message<M: Message + Default>(&mut self) -> Option<M> {
+    async fn read_message<M: Message + Default>(&mut self) -> Option<M> {
         loop {
             match self.deframer.next_message(MAX_MESSAGE_LENGTH) {
                 Ok(Some(message)) => return Some(message),
-                Ok(None) if self.more().await => {}
+                Ok(None) if self.read_chunk().await => {}
                 Ok(None) => return None,
                 Err(fault) => {
                     warn!(%fault, "invalid message received");
@@ -212,20 +212,20 @@
         }
     }
 
-    pub(super) async fn rest(&mut self) -> Vec<Bytes> {
-        while self.more().await {}
+    pub(super) async fn read_payload(&mut self) -> Vec<Bytes> {
+        while self.read_chunk().await {}
         std::iter::from_fn(|| self.deframer.next_payload_chunk()).collect()
     }
 }
 
-fn refuse(respond: &mut SendResponse<Bytes>, status: http::StatusCode) {
+fn reject(respond: &mut SendResponse<Bytes>, status: http::StatusCode) {
     let mut response = http::Response::new(());
     *response.status_mut() = status;
     // The peer may be gone already.
     let _ = respond.send_response(response, true);
 }
 
-fn answer_with(
+fn send_response(
     respond: &mut SendResponse<Bytes>,
     head: &impl Message,
     payload: Vec<Bytes>,
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -2,9 +2,9 @@
 
 use super::Executor;
 use super::connection::Body;
-use super::copies::Unloaded;
-use super::guards::{InHand, Running};
-use super::program::{FunctionError, Program, package};
+use super::guards::{PendingDispatch, Running};
+use super::program::{FunctionError, Program, package_name};
+use super::replicas::LoadFailure;
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_executor_protocol::v1;
@@ -17,13 +17,13 @@
 const FAST_ERROR_TIME: f64 = 0.002;
 
 impl Executor {
-    fn index_taken(&self, from: v1::Sender) -> bool {
-        let now = self.stage.now();
-        let mut received = self.received.borrow_mut();
-        let of = received.entry(from.index).or_default();
-        of.insert(from.incarnation, now);
-        of.retain(|_, at| now < *at + 1.0);
-        of.len() > 1
+    fn is_index_shared(&self, from: v1::Sender) -> bool {
+        let now = self.environment.now();
+        let mut recent_incarnations = self.recent_incarnations.borrow_mut();
+        let incarnations = recent_incarnations.entry(from.index).or_default();
+        incarnations.insert(from.incarnation, now);
+        incarnations.retain(|_, at| now < *at + 1.0);
+        incarnations.len() > 1
     }
 
     pub(super) async fn dispatch(
@@ -32,8 +32,8 @@
         body: &mut Body,
     ) -> DispatchResponse {
         let from = dispatch.from.unwrap_or_default();
-        self.stage.record(TrafficRecord::DispatchArrived {
-            at: self.stage.now(),
+        self.environment.record(TrafficRecord::DispatchArrived {
+            at: self.environment.now(),
             executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
@@ -44,22 +44,23 @@
         });
         self.last_time_left
             .set(dispatch.time_left as f64 / MICROSECONDS);
-        self.in_hand.set(self.in_hand.get() + 1);
-        let in_hand = InHand {
+        self.pending_dispatches
+            .set(self.pending_dispatches.get() + 1);
+        let pending_dispatch = PendingDispatch {
             executor: self.clone(),
             invocation: dispatch.invocation.clone(),
             number: dispatch.number,
             ended: false,
         };
         let function_concurrency = self
-            .copies
+            .replicas
             .borrow()
-            .get(&package(&dispatch.function, &dispatch.digest))
-            .map_or(0, |c| c.running + c.held);
+            .get(&package_name(&dispatch.function, &dispatch.digest))
+            .map_or(0, |c| c.running + c.waiting);
         let mut answer = v1::Answer {
             crowd: function_concurrency.min(30) as u32,
             report: self.report(),
-            index_taken: self.index_taken(from),
+            index_taken: self.is_index_shared(from),
             ..v1::Answer::default()
         };
         let output = self.run(&dispatch, body, &mut answer).await;
@@ -68,11 +69,11 @@
             v1::Ending::Full | v1::Ending::Miss => DispatchOutcome::Rejected,
             v1::Ending::Error | v1::Ending::Unspecified => DispatchOutcome::Failed,
         };
-        answer.streams = output.streams > 0;
+        answer.streams = output.response_parts > 0;
         DispatchResponse {
             answer,
             output,
-            in_hand,
+            pending_dispatch,
             outcome,
         }
     }
@@ -102,9 +103,9 @@
         body: &mut Body,
         answer: &mut v1::Answer,
     ) -> Result<Output, DispatchFailure> {
-        let name = package(&dispatch.function, &dispatch.digest);
+        let name = package_name(&dispatch.function, &dispatch.digest);
         let program = (self.catalogue)(&name);
-        let work = program.as_ref().map_or(0.0, |program| program.work);
+        let work = program.as_ref().map_or(0.0, |program| program.cpu_time);
         if self.would_overload(work) {
             self.overload();
             future::pending::<()>().await;
@@ -112,12 +113,12 @@
         self.wait_while_hanging().await;
         let program = program.ok_or(DispatchFailure::UnknownFunction)?;
         self.check_admission().await?;
-        let payload = body.rest().await;
-        let loads = !self.spec.rejects_unloaded;
+        let payload = body.read_payload().await;
+        let may_load = !self.spec.rejects_unloaded;
         let found = self
-            .copy(&name, &dispatch.digest, &program, loads)
+            .loaded_replica(&name, &dispatch.digest, &program, may_load)
             .await
-            .map_err(|unloaded| self.load_failure(unloaded))?;
+            .map_err(|load_failure| self.load_failure(load_failure))?;
         let slot = self
             .slot(&name)
             .await
@@ -126,60 +127,68 @@
         self.record_execution(dispatch, &slot.digest);
         self.running.set(self.running.get() + 1);
         let _running = Running(&self.running);
-        self.stage.sleep(self.run_time(&program)).await;
-        if self.fails_by_chance(&program, &dispatch.trigger_type) {
+        self.environment.sleep(self.run_time(&program)).await;
+        if self.draws_failure(&program, &dispatch.trigger_type) {
             answer.set_found(found);
-            return Err(DispatchFailure::ByChance);
+            return Err(DispatchFailure::RandomFailure);
         }
         let payload = (program.run)(&payload)?;
         answer.set_found(found);
         Ok(Output {
             payload,
-            streams: program.streams,
+            response_parts: program.response_parts,
         })
     }
 
     async fn wait_while_hanging(&self) {
         let hangs = &self.faults.hangs;
-        while hangs.is_active(self.stage.now()) {
-            self.stage.sleep(hangs.ends_at() - self.stage.now()).await;
+        while hangs.is_active(self.environment.now()) {
+            self.environment
+                .sleep(hangs.ends_at() - self.environment.now())
+                .await;
         }
     }
 
     /// Whether the executor takes a dispatch of a known function, before anything is loaded for it.
     async fn check_admission(&self) -> Result<(), DispatchFailure> {
-        if self.faults.fails_at_once.is_active(self.stage.now()) {
-            self.stage.sleep(FAST_ERROR_TIME).await;
-            return Err(DispatchFailure::FailsAtOnce);
+        if self
+            .faults
+            .fails_immediately
+            .is_active(self.environment.now())
+        {
+            self.environment.sleep(FAST_ERROR_TIME).await;
+            return Err(DispatchFailure::InjectedFault);
         }
         if self.draining.get() {
             return Err(DispatchFailure::Draining);
         }
-        if self.in_hand.get() > self.spec.queue + self.spec.cores {
+        if self.pending_dispatches.get() > self.spec.queue_capacity + self.spec.cores {
             return Err(DispatchFailure::QueueFull);
         }
         Ok(())
     }
 
-    fn load_failure(&self, unloaded: Unloaded) -> DispatchFailure {
-        match unloaded {
-            Unloaded::Failed => DispatchFailure::LoadFailed {
+    fn load_failure(&self, load_failure: LoadFailure) -> DispatchFailure {
+        match load_failure {
+            LoadFailure::Failed => DispatchFailure::LoadFailed {
                 is_miss: self.spec.reports_failed_load_as_miss,
             },
-            Unloaded::OtherBytes => DispatchFailure::DigestDiffers,
-            Unloaded::NoCapacity => DispatchFailure::NoMemory,
-            Unloaded::Missing => DispatchFailure::NotLoaded,
+            LoadFailure::DigestMismatch => DispatchFailure::DigestDiffers,
+            LoadFailure::NoCapacity => DispatchFailure::NoMemory,
+            LoadFailure::Missing => DispatchFailure::NotLoaded,
         }
     }
 
     /// Records that the dispatch runs, or that its effect was deduplicated, and which version runs.
     fn record_execution(&self, dispatch: &v1::Dispatch, loaded_digest: &str) {
-        let at = self.stage.now();
+        let at = self.environment.now();
         let executor = self.spec.number;
         let invocation = dispatch.invocation.clone();
         let is_duplicate = !dispatch.token.is_empty()
-            && !self.tokens.is_new(&dispatch.token, at, self.token_window);
-        self.stage.record(if is_duplicate {
+            && !self
+                .token_cache
+                .is_new(&dispatch.token, at, self.deduplication_window);
+        self.environment.record(if is_duplicate {
             TrafficRecord::Deduplicated {
                 at,
                 executor,
@@ -193,7 +202,7 @@
             }
         });
         if !dispatch.digest.is_empty() {
-            self.stage.record(TrafficRecord::VersionExecuted {
+            self.environment.record(TrafficRecord::VersionExecuted {
                 at,
                 executor,
                 invocation: dispatch.invocation.clone(),
@@ -206,22 +215,23 @@
     /// How long this run takes among those that share the cores, in seconds; drawn at random.
     fn run_time(&self, program: &Program) -> f64 {
         let runs_per_core = (self.running.get() as f64 / self.spec.cores as f64).max(1.0);
-        let (slow_chance, slow_factor) = program.slow;
-        let slow = if self.stage.unit() < slow_chance {
+        let (slow_chance, slow_factor) = program.slow_runs;
+        let slow = if self.environment.unit() < slow_chance {
             slow_factor
         } else {
             1.0
         };
-        program.work * (0.7 + 0.6 * self.stage.unit()) * runs_per_core * slow / self.warmth()
+        program.cpu_time * (0.7 + 0.6 * self.environment.unit()) * runs_per_core * slow
+            / self.slow_start_factor()
     }
 
     /// Draws whether this run fails, as the program wants it of some trigger type or of all.
-    fn fails_by_chance(&self, program: &Program, trigger_type: &str) -> bool {
+    fn draws_failure(&self, program: &Program, trigger_type: &str) -> bool {
         let may_fail = program
-            .fails_for
+            .failing_trigger_type
             .as_ref()
             .is_none_or(|failing| failing == trigger_type);
-        may_fail && self.stage.unit() < program.fails
+        may_fail && self.environment.unit() < program.failure_probability
     }
 }
 
@@ -229,7 +239,7 @@
 pub(super) struct DispatchResponse {
     pub(super) answer: v1::Answer,
     pub(super) output: Output,
-    pub(super) in_hand: InHand,
+    pub(super) pending_dispatch: PendingDispatch,
     /// How the dispatch ends once the answer is sent.
     pub(super) outcome: DispatchOutcome,
 }
@@ -240,7 +250,7 @@
     /// The chunks of the result.
     pub(super) payload: Vec<Bytes>,
     /// Parts in which the result is streamed; none for a whole one.
-    pub(super) streams: usize,
+    pub(super) response_parts: usize,
 }
 
 /// Why a dispatch gave no result. Its text is the detail of the answer.
@@ -250,7 +260,7 @@
     UnknownFunction,
     /// A scripted fault.
     #[error("out of order")]
-    FailsAtOnce,
+    InjectedFault,
     #[error("draining")]
     Draining,
     #[error("the queue is full")]
@@ -269,7 +279,7 @@
     UnloadedMeanwhile,
     /// The program is set to fail sometimes.
     #[error("this version fails")]
-    ByChance,
+    RandomFailure,
     #[error(transparent)]
     Function(#[from] FunctionError),
 }
@@ -278,9 +288,9 @@
     fn ending(&self) -> v1::Ending {
         match self {
             Self::UnknownFunction
-            | Self::FailsAtOnce
+            | Self::InjectedFault
             | Self::LoadFailed { is_miss: false }
-            | Self::ByChance
+            | Self::RandomFailure
             | Self::Function(_) => v1::Ending::Error,
             Self::Draining | Self::QueueFull | Self::NoMemory | Self::UnloadedMeanwhile => {
                 v1::Ending::Full
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -7,29 +7,33 @@
 use std::rc::Rc;
 
 /// A dispatch in hand; dropped before its end it was abandoned, or crashed with the executor.
-pub(super) struct InHand {
+pub(super) struct PendingDispatch {
     pub(super) executor: Rc<Executor>,
     pub(super) invocation: String,
     pub(super) number: u32,
     pub(super) ended: bool,
 }
 
-impl InHand {
+impl PendingDispatch {
     pub(super) fn end(&mut self, ending: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.executor.in_hand.set(self.executor.in_hand.get() - 1);
-            self.executor.stage.record(TrafficRecord::DispatchEnded {
-                at: self.executor.stage.now(),
-                executor: self.executor.spec.number,
-                invocation: self.invocation.clone(),
-                number: self.number,
-                outcome: ending,
-            });
+            self.executor
+                .pending_dispatches
+                .set(self.executor.pending_dispatches.get() - 1);
+            self.executor
+                .environment
+                .record(TrafficRecord::DispatchEnded {
+                    at: self.executor.environment.now(),
+                    executor: self.executor.spec.number,
+                    invocation: self.invocation.clone(),
+                    number: self.number,
+                    outcome: ending,
+                });
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for PendingDispatch {
     fn drop(&mut self) {
         let crashed = self
             .executor
@@ -57,7 +61,7 @@
 pub(super) struct Slot {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
-    pub(super) back: Sender<()>,
+    pub(super) release_slot: Sender<()>,
     /// Of the copy's bytes. It stays the same where the copy is unloaded while it runs.
     pub(super) digest: String,
 }
@@ -65,24 +69,24 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         // The copy may be gone with its lanes.
-        let _ = self.back.try_send(());
-        if let Some(copy) = self.executor.copies.borrow_mut().get_mut(&self.function) {
-            copy.running = copy.running.saturating_sub(1);
-            copy.used_at = self.executor.stage.now();
+        let _ = self.release_slot.try_send(());
+        if let Some(replica) = self.executor.replicas.borrow_mut().get_mut(&self.function) {
+            replica.running = replica.running.saturating_sub(1);
+            replica.used_at = self.executor.environment.now();
         }
     }
 }
 
 /// One of those that wait for a copy.
-pub(super) struct WaitingForCopy {
+pub(super) struct WaitingForReplica {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
 }
 
-impl Drop for WaitingForCopy {
+impl Drop for WaitingForReplica {
     fn drop(&mut self) {
-        if let Some(copy) = self.executor.copies.borrow_mut().get_mut(&self.function) {
-            copy.held = copy.held.saturating_sub(1);
+        if let Some(replica) = self.executor.replicas.borrow_mut().get_mut(&self.function) {
+            replica.waiting = replica.waiting.saturating_sub(1);
         }
     }
 }
--- a/crates/test-servers/src/executor/load_commands.rs
+++ b/crates/test-servers/src/executor/load_commands.rs
@@ -1,18 +1,18 @@
 //! Orders to hold copies of a function, or to unload them.
 
 use super::Executor;
-use super::copies::Unloaded;
-use super::program::package;
+use super::program::package_name;
+use super::replicas::LoadFailure;
 use orchidtally_executor_protocol::v1;
 use orchidtally_invariants::TrafficRecord;
 use std::rc::Rc;
 
 impl Executor {
-    pub(super) async fn order(self: Rc<Self>, order: v1::Order) -> v1::OrderAnswer {
+    pub(super) async fn execute_load_command(self: Rc<Self>, order: v1::Order) -> v1::OrderAnswer {
         let from = order.from.unwrap_or_default();
         let hold = order.kind() == v1::OrderKind::Hold;
-        self.stage.record(TrafficRecord::LoadCommandArrived {
-            at: self.stage.now(),
+        self.environment.record(TrafficRecord::LoadCommandArrived {
+            at: self.environment.now(),
             executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
@@ -24,38 +24,38 @@
         };
         answer.set_ending(v1::Ending::Ok);
         if hold {
-            while self.faults.hangs.is_active(self.stage.now()) {
-                self.stage
-                    .sleep(self.faults.hangs.ends_at() - self.stage.now())
+            while self.faults.hangs.is_active(self.environment.now()) {
+                self.environment
+                    .sleep(self.faults.hangs.ends_at() - self.environment.now())
                     .await;
             }
-            let name = package(&order.function, &order.digest);
+            let name = package_name(&order.function, &order.digest);
             let loaded = match (self.catalogue)(&name) {
-                Some(_) if self.draining.get() => Err(Unloaded::NoCapacity),
+                Some(_) if self.draining.get() => Err(LoadFailure::NoCapacity),
                 Some(program) => self
-                    .copy(&name, &order.digest, &program, true)
+                    .loaded_replica(&name, &order.digest, &program, true)
                     .await
                     .map(|_| ()),
-                None => Err(Unloaded::Failed),
+                None => Err(LoadFailure::Failed),
             };
-            answer.digest_differs = matches!(loaded, Err(Unloaded::OtherBytes));
+            answer.digest_differs = matches!(loaded, Err(LoadFailure::DigestMismatch));
             answer.set_ending(match loaded {
                 Ok(()) => v1::Ending::Ok,
-                Err(Unloaded::Failed | Unloaded::OtherBytes) => v1::Ending::Error,
-                Err(Unloaded::NoCapacity | Unloaded::Missing) => v1::Ending::Full,
+                Err(LoadFailure::Failed | LoadFailure::DigestMismatch) => v1::Ending::Error,
+                Err(LoadFailure::NoCapacity | LoadFailure::Missing) => v1::Ending::Full,
             });
         } else if order.kind() == v1::OrderKind::Unload {
-            let name = package(&order.function, &order.digest);
-            let mut copies = self.copies.borrow_mut();
-            if copies
+            let name = package_name(&order.function, &order.digest);
+            let mut replicas = self.replicas.borrow_mut();
+            if replicas
                 .get(&name)
-                .is_some_and(|c| c.loaded && c.running == 0 && c.held == 0)
+                .is_some_and(|c| c.loaded && c.running == 0 && c.waiting == 0)
             {
-                copies.remove(&name);
+                replicas.remove(&name);
             }
         }
-        let name = package(&order.function, &order.digest);
-        answer.copies = u32::from(self.copies.borrow().get(&name).is_some_and(|c| c.loaded));
+        let name = package_name(&order.function, &order.digest);
+        answer.copies = u32::from(self.replicas.borrow().get(&name).is_some_and(|c| c.loaded));
         answer
     }
 }
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -3,23 +3,23 @@
 //! faults that a script puts on it.
 
 mod connection;
-mod copies;
 mod dispatch;
 mod guards;
 mod load_commands;
 mod program;
+mod replicas;
 mod slow_start;
 mod spec;
 
-pub use program::{Catalogue, FunctionCode, FunctionError, Program, digest, echo, package};
+pub use program::{Catalogue, FunctionCode, FunctionError, Program, digest, echo, package_name};
 pub use spec::{ExecutorSpec, Faults, SharedResources, TokenCache};
 
 use crate::TestEnvironment;
 use crate::store::PackageStore;
 use async_channel::Sender;
 use async_executor::Task;
-use copies::Copy;
 use futures_lite::future;
+use replicas::Replica;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::{SocketAddr, TcpStream};
@@ -33,73 +33,73 @@
     pub faults: Faults,
     /// Where it listens.
     pub address: SocketAddr,
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     /// The store from which it loads functions.
     pub store: Rc<PackageStore>,
     catalogue: Catalogue,
-    tokens: Rc<TokenCache>,
-    token_window: f64,
-    copies: RefCell<HashMap<String, Copy>>,
+    token_cache: Rc<TokenCache>,
+    deduplication_window: f64,
+    replicas: RefCell<HashMap<String, Replica>>,
     /// Packages that were found to be others than their digests name.
-    other_bytes: RefCell<HashSet<String>>,
-    in_hand: Cell<usize>,
+    digest_mismatches: RefCell<HashSet<String>>,
+    pending_dispatches: Cell<usize>,
     running: Cell<usize>,
     /// Whether it takes no new dispatches.
     pub draining: Cell<bool>,
     /// When it started; minus infinity for long ago.
-    since: Cell<f64>,
+    started_at: Cell<f64>,
     /// When work came lately and how much, while it is cold.
-    arrived: RefCell<VecDeque<(f64, f64)>>,
+    recent_work: RefCell<VecDeque<(f64, f64)>>,
     /// Backlogs by time, for reports that are late.
     backlogs: RefCell<VecDeque<(f64, f32, f32)>>,
     /// Incarnations heard under each index, and when.
-    received: RefCell<HashMap<u32, HashMap<u64, f64>>>,
+    recent_incarnations: RefCell<HashMap<u32, HashMap<u64, f64>>>,
     serving: RefCell<Option<Task<()>>>,
-    open: RefCell<Vec<TcpStream>>,
-    goodbye: RefCell<Option<Sender<()>>>,
-    me: Weak<Executor>,
+    open_sockets: RefCell<Vec<TcpStream>>,
+    go_away: RefCell<Option<Sender<()>>>,
+    weak_self: Weak<Executor>,
     /// How many times it was overloaded during slow start.
     pub overload_count: Cell<u32>,
     /// The time that clients had left, as the last dispatch told it, in seconds.
     pub last_time_left: Cell<f64>,
-    falling: Cell<bool>,
+    is_restarting: Cell<bool>,
 }
 
 impl Executor {
     /// Starts one; port 0 takes any free one.
     pub fn start(
-        stage: &TestEnvironment,
+        environment: &TestEnvironment,
         spec: ExecutorSpec,
         at: SocketAddr,
-        around: SharedResources,
+        resources: SharedResources,
     ) -> std::io::Result<Rc<Executor>> {
         let listener = orchidtally_socket_io::listen(at)?;
         let address = listener.get_ref().local_addr()?;
-        let executor = Rc::new_cyclic(|me| Executor {
+        let executor = Rc::new_cyclic(|weak_self| Executor {
             spec,
             faults: Faults::default(),
             address,
-            stage: stage.clone(),
-            store: around.store,
-            catalogue: around.catalogue,
-            tokens: around.token_cache,
-            token_window: around.deduplication_window,
-            copies: RefCell::default(),
-            other_bytes: RefCell::default(),
-            in_hand: Cell::new(0),
+            environment: environment.clone(),
+            store: resources.store,
+            catalogue: resources.catalogue,
+            token_cache: resources.token_cache,
+            deduplication_window: resources.deduplication_window,
+            replicas: RefCell::default(),
+            digest_mismatches: RefCell::default(),
+            pending_dispatches: Cell::new(0),
             running: Cell::new(0),
             draining: Cell::new(false),
-            since: Cell::new(f64::NEG_INFINITY),
-            arrived: RefCell::default(),
+            started_at: Cell::new(f64::NEG_INFINITY),
+            recent_work: RefCell::default(),
             backlogs: RefCell::default(),
-            received: RefCell::default(),
+            recent_incarnations: RefCell::default(),
             serving: RefCell::default(),
-            open: RefCell::default(),
-            goodbye: RefCell::default(),
-            me: me.clone(),
+            open_sockets: RefCell::default(),
+            go_away: RefCell::default(),
+            weak_self: weak_self.clone(),
             overload_count: Cell::new(0),
             last_time_left: Cell::new(f64::INFINITY),
-            falling: Cell::new(false),
+            is_restarting: Cell::new(false),
         });
         executor.serve(listener);
         Ok(executor)
@@ -107,7 +107,7 @@
 
     /// When it last started, in seconds of the environment's clock; minus infinity for long ago.
     pub fn started_at(&self) -> f64 {
-        self.since.get()
+        self.started_at.get()
     }
 
     /// Whether it accepts connections.
@@ -117,107 +117,113 @@
 
     /// Dispatches that are waiting or running.
     pub fn pending(&self) -> usize {
-        self.in_hand.get()
+        self.pending_dispatches.get()
     }
 
     fn serve(&self, listener: async_io::Async<std::net::TcpListener>) {
-        let Some(me) = self.me.upgrade() else { return };
-        let (goodbye, leaving) = async_channel::bounded(1);
-        *self.goodbye.borrow_mut() = Some(goodbye);
+        let Some(executor) = self.weak_self.upgrade() else {
+            return;
+        };
+        let (go_away, go_away_signal) = async_channel::bounded(1);
+        *self.go_away.borrow_mut() = Some(go_away);
         let work = async move {
             // Connections live and die with this task.
             let connections = async_executor::LocalExecutor::new();
             let accepting = async {
                 loop {
                     let stream = orchidtally_socket_io::accept(&listener).await;
-                    let mut open = me.open.borrow_mut();
-                    open.retain(|s| s.peer_addr().is_ok());
-                    open.extend(stream.abort_handle());
-                    drop(open);
+                    let mut open_sockets = executor.open_sockets.borrow_mut();
+                    open_sockets.retain(|s| s.peer_addr().is_ok());
+                    open_sockets.extend(stream.abort_handle());
+                    drop(open_sockets);
                     connections
-                        .spawn(me.clone().connection(stream, leaving.clone()))
+                        .spawn(executor.clone().connection(stream, go_away_signal.clone()))
                         .detach();
                 }
             };
             connections
-                .run(future::or(accepting, me.clone().run_housekeeping()))
+                .run(future::or(accepting, executor.clone().run_housekeeping()))
                 .await
         };
-        *self.serving.borrow_mut() = Some(self.stage.spawn(work));
+        *self.serving.borrow_mut() = Some(self.environment.spawn(work));
     }
 
     /// Ends at once: connections are reset, and what is in hand is lost.
     pub fn crash(&self) {
         let serving = self.serving.borrow_mut().take();
-        for stream in self.open.borrow_mut().drain(..) {
+        for stream in self.open_sockets.borrow_mut().drain(..) {
             orchidtally_socket_io::reset_on_close(&stream);
         }
         drop(serving);
-        self.copies.borrow_mut().clear();
-        self.arrived.borrow_mut().clear();
+        self.replicas.borrow_mut().clear();
+        self.recent_work.borrow_mut().clear();
         self.backlogs.borrow_mut().clear();
     }
 
     /// Starts again at its address, cold.
     pub fn restart(&self) -> std::io::Result<()> {
         self.draining.set(false);
-        self.since.set(self.stage.now());
+        self.started_at.set(self.environment.now());
         self.serve(orchidtally_socket_io::listen(self.address)?);
         Ok(())
     }
 
     /// Drops every copy, as a new release of all functions does. What runs goes on.
-    pub fn drop_copies(&self) {
-        self.copies.borrow_mut().retain(|_, c| !c.loaded);
+    pub fn unload_all(&self) {
+        self.replicas.borrow_mut().retain(|_, c| !c.loaded);
     }
 
     /// Tells all peers that it goes: what is in hand is finished, nothing new is taken.
     pub fn send_go_away(&self) {
-        self.goodbye.borrow_mut().take();
+        self.go_away.borrow_mut().take();
     }
 
     async fn run_housekeeping(self: Rc<Self>) {
         loop {
-            self.stage.sleep(0.1).await;
-            let now = self.stage.now();
-            let waiting = self.in_hand.get().saturating_sub(self.running.get()) as f32;
+            self.environment.sleep(0.1).await;
+            let now = self.environment.now();
+            let waiting = self
+                .pending_dispatches
+                .get()
+                .saturating_sub(self.running.get()) as f32;
             let memory = self.memory_used() / self.spec.memory;
             let mut backlogs = self.backlogs.borrow_mut();
             backlogs.push_back((now, waiting, memory as f32));
             while backlogs.front().is_some_and(|b| b.0 < now - 10.0) {
                 backlogs.pop_front();
             }
-            let keep = self.spec.keep_alive;
-            let idle =
-                |c: &Copy| c.loaded && c.running == 0 && c.held == 0 && now > c.used_at + keep;
-            self.copies.borrow_mut().retain(|_, c| !idle(c));
+            let keep_alive = self.spec.keep_alive;
+            let idle = |c: &Replica| {
+                c.loaded && c.running == 0 && c.waiting == 0 && now > c.used_at + keep_alive
+            };
+            self.replicas.borrow_mut().retain(|_, c| !idle(c));
         }
     }
 
     fn memory_used(&self) -> f64 {
-        self.copies.borrow().values().map(|c| c.memory).sum()
+        self.replicas.borrow().values().map(|c| c.memory).sum()
     }
 
     fn report(&self) -> Vec<f32> {
-        let now = self.stage.now();
-        let late = if self.faults.delayed_reports.is_active(now) {
+        let now = self.environment.now();
+        let age = if self.faults.delayed_reports.is_active(now) {
             8.0
         } else {
             self.spec.report_delay
         };
         let backlogs = self.backlogs.borrow();
-        let notified = backlogs
+        let report = backlogs
             .iter()
             .rev()
-            .find(|b| b.0 <= now - late)
+            .find(|b| b.0 <= now - age)
             .or(backlogs.front())
             .copied();
-        let (_, waiting, memory) = notified.unwrap_or_default();
-        let noise = 1.0 + self.spec.report_noise * (2.0 * self.stage.unit() - 1.0);
+        let (_, waiting, memory) = report.unwrap_or_default();
+        let noise = 1.0 + self.spec.report_noise * (2.0 * self.environment.unit() - 1.0);
         let value = |field: &String| match field.as_str() {
             "backlog" => waiting * noise as f32,
             "memory" => memory,
-            "outstanding" => self.in_hand.get() as f32,
+            "outstanding" => self.pending_dispatches.get() as f32,
             _ => 0.0,
         };
         self.spec.report_fields.iter().map(value).collect()
--- a/crates/test-servers/src/executor/program.rs
+++ b/crates/test-servers/src/executor/program.rs
@@ -25,19 +25,19 @@
     /// In seconds, where nobody else loads.
     pub load_time: f64,
     /// Work of an invocation on a free core, in seconds.
-    pub work: f64,
+    pub cpu_time: f64,
     /// What it answers.
     pub run: FunctionCode,
     /// Parts in which the answer is streamed; none for a whole one.
-    pub streams: usize,
+    pub response_parts: usize,
     /// What the store gives for it; its digest is that of the version.
     pub package: Bytes,
     /// The chance that an invocation fails.
-    pub fails: f64,
+    pub failure_probability: f64,
     /// The one trigger type whose invocations fail; all of them where there is none.
-    pub fails_for: Option<String>,
+    pub failing_trigger_type: Option<String>,
     /// Of its runs, those that take so many times longer.
-    pub slow: (f64, f64),
+    pub slow_runs: (f64, f64),
 }
 
 impl Default for Program {
@@ -46,19 +46,19 @@
             concurrency: 1,
             memory: 1.0,
             load_time: 0.01,
-            work: 0.001,
+            cpu_time: 0.001,
             run: echo,
-            streams: 0,
+            response_parts: 0,
             package: Bytes::new(),
-            fails: 0.0,
-            fails_for: None,
-            slow: (0.0, 1.0),
+            failure_probability: 0.0,
+            failing_trigger_type: None,
+            slow_runs: (0.0, 1.0),
         }
     }
 }
 
 /// The name under which the store has a version.
-pub fn package(function: &str, digest: &str) -> String {
+pub fn package_name(function: &str, digest: &str) -> String {
     if digest.is_empty() {
         function.to_owned()
     } else {
--- a/crates/test-servers/src/executor/slow_start.rs
+++ b/crates/test-servers/src/executor/slow_start.rs
@@ -5,52 +5,56 @@
 use tracing::warn;
 
 impl Executor {
-    pub(super) fn warmth(&self) -> f64 {
-        let age = (self.stage.now() - self.since.get()) / self.spec.slow_start_duration;
+    pub(super) fn slow_start_factor(&self) -> f64 {
+        let age = (self.environment.now() - self.started_at.get()) / self.spec.slow_start_duration;
         (self.spec.slow_start_initial_weight + (1.0 - self.spec.slow_start_initial_weight) * age)
             .min(1.0)
     }
 
     /// Counts work that comes while it is cold; tells whether that was too much.
     pub(super) fn would_overload(&self, work: f64) -> bool {
-        let (now, warmth) = (self.stage.now(), self.warmth());
-        if warmth >= 1.0 {
+        let (now, slow_start_factor) = (self.environment.now(), self.slow_start_factor());
+        if slow_start_factor >= 1.0 {
             return false;
         }
-        let mut arrived = self.arrived.borrow_mut();
-        arrived.push_back((now, work));
-        while arrived
+        let mut recent_work = self.recent_work.borrow_mut();
+        recent_work.push_back((now, work));
+        while recent_work
             .front()
             .is_some_and(|a| a.0 < now - self.spec.overload_window)
         {
-            arrived.pop_front();
+            recent_work.pop_front();
         }
-        let sum: f64 = arrived.iter().map(|a| a.1).sum();
+        let sum: f64 = recent_work.iter().map(|a| a.1).sum();
         // One invocation alone pushes nothing over, however long it runs.
-        let most =
-            self.spec.overload_factor * warmth * self.spec.cores as f64 * self.spec.overload_window;
-        arrived.len() > 2 && sum > most
+        let limit = self.spec.overload_factor
+            * slow_start_factor
+            * self.spec.cores as f64
+            * self.spec.overload_window;
+        recent_work.len() > 2 && sum > limit
     }
 
     pub(super) fn overload(&self) {
-        if self.falling.replace(true) {
+        if self.is_restarting.replace(true) {
             return;
         }
         self.overload_count.set(self.overload_count.get() + 1);
-        let (at, since) = (self.stage.now(), self.since.get());
-        self.stage.record(TrafficRecord::ExecutorOverloaded {
+        let (at, started_at) = (self.environment.now(), self.started_at.get());
+        self.environment.record(TrafficRecord::ExecutorOverloaded {
             at,
             executor: self.spec.number,
-            started_at: since,
+            started_at,
         });
-        let Some(me) = self.me.upgrade() else { return };
-        self.stage
+        let Some(executor) = self.weak_self.upgrade() else {
+            return;
+        };
+        self.environment
             .spawn(async move {
-                me.crash();
-                me.stage.sleep(me.spec.downtime).await;
-                me.falling.set(false);
-                if let Err(e) = me.restart() {
-                    warn!(executor = %me.address, fault = %e, "restart failed");
+                executor.crash();
+                executor.environment.sleep(executor.spec.downtime).await;
+                executor.is_restarting.set(false);
+                if let Err(e) = executor.restart() {
+                    warn!(executor = %executor.address, fault = %e, "restart failed");
                 }
             })
             .detach();
--- a/crates/test-servers/src/executor/spec.rs
+++ b/crates/test-servers/src/executor/spec.rs
@@ -17,7 +17,7 @@
     /// Memory for copies of functions, in the unit of `Program::memory`.
     pub memory: f64,
     /// The most invocations that wait.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// How long an idle copy stays loaded.
     pub keep_alive: f64,
     /// Rejects a dispatch of a function that is not loaded, in place of loading it.
@@ -49,7 +49,7 @@
             number,
             cores: 8,
             memory: 100.0,
-            queue: 100,
+            queue_capacity: 100,
             keep_alive: 10.0,
             rejects_unloaded: false,
             reports_failed_load_as_miss: true,
@@ -88,7 +88,7 @@
     /// Nothing is answered, and nothing run.
     pub hangs: TimedFault,
     /// Every dispatch errors at once.
-    pub fails_at_once: TimedFault,
+    pub fails_immediately: TimedFault,
     /// Connections are accepted, and their handshake waits.
     pub slow_handshakes: TimedFault,
     /// Nothing is read from any socket.
