--- a/crates/test-servers/src/executor/connection.rs
+++ b/crates/test-servers/src/executor/connection.rs
@@ -1,4 +1,5 @@
-//! Connections of front ends: their streams, what is asked over them, and answers in one piece or in parts.
+//! Connections of front ends: reads requests from HTTP/2 streams and sends answers, as one message or
+//! streamed in parts.
 
 use super::Executor;
 use super::dispatch::DispatchResponse;
@@ -38,7 +39,7 @@
         else {
             return;
         };
-        // Streams end with their connection.
+        // Dropping this local executor when the connection ends cancels the tasks of its streams.
         let streams = async_executor::LocalExecutor::new();
         let mut sent_go_away = false;
         let serve = async {
@@ -94,7 +95,7 @@
             reject(&mut respond, http::StatusCode::UNSUPPORTED_MEDIA_TYPE);
             return;
         }
-        // A peer that resets its stream ends the work.
+        // A dispatch is cancelled when the peer resets its stream.
         let sent = match path.as_str() {
             DISPATCH_PATH => {
                 let Some(dispatch) = body.read_message::<v1::Dispatch>().await else {
@@ -122,11 +123,11 @@
             _ => return reject(&mut respond, http::StatusCode::NOT_FOUND),
         };
         if let Err(fault) = sent {
-            debug!(executor = %self.address, %fault, "an answer could not be sent");
+            debug!(executor = %self.address, %fault, "failed to send the response");
         }
     }
 
-    /// Runs a dispatch and sends its answer; `None` where the peer reset the stream before that.
+    /// Runs a dispatch and sends its answer. Returns `None` if the peer resets the stream first.
     async fn serve_dispatch(
         self: &Rc<Self>,
         dispatch: v1::Dispatch,
@@ -221,7 +222,7 @@
 fn reject(respond: &mut SendResponse<Bytes>, status: http::StatusCode) {
     let mut response = http::Response::new(());
     *response.status_mut() = status;
-    // The peer may be gone already.
+    // Sending fails if the peer has closed the connection; nothing is left to do then.
     let _ = respond.send_response(response, true);
 }
 
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatches: taken in hand, loaded for, run, and answered with how they ended.
+//! Handles dispatches: admission, loading of the function, its run and the answer with the outcome.
 
 use super::Executor;
 use super::connection::Body;
@@ -13,10 +13,11 @@
 
 /// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
-/// How long a scripted failure at once takes, in seconds.
+/// Time until the answer to a dispatch while `Faults::fails_immediately` is active, in seconds.
 const FAST_ERROR_TIME: f64 = 0.002;
 
 impl Executor {
+    /// Records a sender and returns whether another incarnation sent under the same index within the last second.
     fn is_index_shared(&self, from: v1::Sender) -> bool {
         let now = self.environment.now();
         let mut recent_incarnations = self.recent_incarnations.borrow_mut();
@@ -26,6 +27,8 @@
         incarnations.len() > 1
     }
 
+    /// Runs a dispatch and returns its answer. The dispatch counts as pending until `DispatchResponse::pending_dispatch`
+    /// is ended or dropped.
     pub(super) async fn dispatch(
         self: Rc<Self>,
         dispatch: v1::Dispatch,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Loads, waits and runs; leaves in the answer how it ended.
+    /// Loads the function if necessary and runs it; writes the ending to `answer`.
     async fn run(
         self: &Rc<Self>,
         dispatch: &v1::Dispatch,
@@ -123,7 +126,7 @@
             .slot(&name)
             .await
             .ok_or(DispatchFailure::UnloadedMeanwhile)?;
-        // From here on it runs: its effect counts as done.
+        // From here on the effect counts as executed, even if the run fails or is cancelled.
         self.record_execution(dispatch, &slot.digest);
         self.running.set(self.running.get() + 1);
         let _running = Running(&self.running);
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Whether the executor takes a dispatch of a known function, before anything is loaded for it.
+    /// Decides whether a dispatch of a known function is admitted, before its function is loaded.
     async fn check_admission(&self) -> Result<(), DispatchFailure> {
         if self
             .faults
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Records that the dispatch runs, or that its effect was deduplicated, and which version runs.
+    /// Records the start of an execution, or its deduplication by idempotency key, and the version that runs.
     fn record_execution(&self, dispatch: &v1::Dispatch, loaded_digest: &str) {
         let at = self.environment.now();
         let executor = self.spec.number;
@@ -212,7 +215,7 @@
         }
     }
 
-    /// How long this run takes among those that share the cores, in seconds; drawn at random.
+    /// Draws the duration of a run in seconds. Runs take longer while they outnumber the cores, and during slow start.
     fn run_time(&self, program: &Program) -> f64 {
         let runs_per_core = (self.running.get() as f64 / self.spec.cores as f64).max(1.0);
         let (slow_chance, slow_factor) = program.slow_runs;
@@ -225,7 +228,7 @@
             / self.slow_start_factor()
     }
 
-    /// Draws whether this run fails, as the program wants it of some trigger type or of all.
+    /// Draws whether a run fails, with the program's failure probability for this trigger type.
     fn draws_failure(&self, program: &Program, trigger_type: &str) -> bool {
         let may_fail = program
             .failing_trigger_type
@@ -235,40 +238,40 @@
     }
 }
 
-/// The answer to a dispatch, which is in hand until it is sent.
+/// The answer to a dispatch, which stays pending until the answer is sent.
 pub(super) struct DispatchResponse {
     pub(super) answer: v1::Answer,
     pub(super) output: Output,
     pub(super) pending_dispatch: PendingDispatch,
-    /// How the dispatch ends once the answer is sent.
+    /// The outcome to record if the answer is sent.
     pub(super) outcome: DispatchOutcome,
 }
 
-/// What a dispatch gave back.
+/// The result of a run.
 #[derive(Default)]
 pub(super) struct Output {
-    /// The chunks of the result.
+    /// The result in chunks.
     pub(super) payload: Vec<Bytes>,
-    /// Parts in which the result is streamed; none for a whole one.
+    /// The number of parts in which the result is streamed; 0 to send it as one message.
     pub(super) response_parts: usize,
 }
 
-/// Why a dispatch gave no result. Its text is the detail of the answer.
+/// Why a dispatch has no result. Its display text is the `detail` of the answer.
 #[derive(Debug, thiserror::Error)]
 enum DispatchFailure {
     #[error("no such function")]
     UnknownFunction,
-    /// A scripted fault.
+    /// `Faults::fails_immediately` is active.
     #[error("out of order")]
     InjectedFault,
     #[error("draining")]
     Draining,
     #[error("the queue is full")]
     QueueFull,
-    /// The store gave nothing; this counts as a miss where the executor is set so.
+    /// The fetch from the store failed; `is_miss` is `ExecutorSpec::reports_failed_load_as_miss`.
     #[error("")]
     LoadFailed { is_miss: bool },
-    /// The store gave other bytes than the digest names.
+    /// The digest of the fetched package differs from the requested one.
     #[error("")]
     DigestDiffers,
     #[error("no memory")]
@@ -277,7 +280,7 @@
     NotLoaded,
     #[error("unloaded meanwhile")]
     UnloadedMeanwhile,
-    /// The program is set to fail sometimes.
+    /// The run failed by `Program::failure_probability`.
     #[error("this version fails")]
     RandomFailure,
     #[error(transparent)]
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Writes the failure into the answer.
+    /// Writes the ending and details of the failure to `answer`.
     fn describe(&self, answer: &mut v1::Answer) {
         answer.set_ending(self.ending());
         answer.detail = self.to_string();
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -1,4 +1,4 @@
-//! What a dispatch holds while it is in hand, given back when it is dropped: however it ends, nothing stays taken.
+//! Guards for the resources of a dispatch. They release on drop, so that a cancelled dispatch leaks nothing.
 
 use super::Executor;
 use async_channel::Sender;
@@ -6,7 +6,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A dispatch in hand; dropped before its end it was abandoned, or crashed with the executor.
+/// A dispatch that waits or runs. If it is dropped before `end`, it is recorded as crashed where the executor is down,
+/// and as abandoned otherwise.
 pub(super) struct PendingDispatch {
     pub(super) executor: Rc<Executor>,
     pub(super) invocation: String,
@@ -15,6 +16,7 @@
 }
 
 impl PendingDispatch {
+    /// Records the outcome and decrements the count of pending dispatches; does nothing on a second call.
     pub(super) fn end(&mut self, ending: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
             self.executor
@@ -48,7 +50,7 @@
     }
 }
 
-/// A place on a core, given back when dropped.
+/// Counts a running dispatch; decrements the counter on drop.
 pub(super) struct Running<'a>(pub(super) &'a Cell<usize>);
 
 impl Drop for Running<'_> {
@@ -57,18 +59,18 @@
     }
 }
 
-/// A lane of a copy, given back when dropped.
+/// A concurrency slot of a replica, released on drop.
 pub(super) struct Slot {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
     pub(super) release_slot: Sender<()>,
-    /// Of the copy's bytes. It stays the same where the copy is unloaded while it runs.
+    /// The digest of the package that this slot runs, even if the replica is unloaded meanwhile.
     pub(super) digest: String,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // The copy may be gone with its lanes.
+        // Fails if the replica was unloaded, which closes the channel of its slots.
         let _ = self.release_slot.try_send(());
         if let Some(replica) = self.executor.replicas.borrow_mut().get_mut(&self.function) {
             replica.running = replica.running.saturating_sub(1);
@@ -77,7 +79,7 @@
     }
 }
 
-/// One of those that wait for a copy.
+/// Counts a dispatch that waits for a slot of a replica; decrements the counter on drop.
 pub(super) struct WaitingForReplica {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
--- a/crates/test-servers/src/executor/load_commands.rs
+++ b/crates/test-servers/src/executor/load_commands.rs
@@ -1,4 +1,4 @@
-//! Orders to hold copies of a function, or to unload them.
+//! Handles load commands, which load a replica of a function or unload it.
 
 use super::Executor;
 use super::program::package_name;
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -1,6 +1,6 @@
-//! An executor: cores, memory, copies with lanes, loads from the store, a bounded queue, tokens it remembers
-//! with its group, a cold start in which it can be pushed over, reports that come late and noisy; and the
-//! faults that a script puts on it.
+//! A simulated executor behind a real socket. It models cores, memory, replicas with a concurrency limit, loads from
+//! the store, a bounded queue, deduplication within a group, slow start with overload, and late, noisy load reports.
+//! A script can inject faults.
 
 mod connection;
 mod dispatch;
@@ -25,13 +25,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::{Rc, Weak};
 
-/// An executor on a socket, with what it holds.
+/// An executor that listens on a socket.
 pub struct Executor {
-    /// What the executor is like.
+    /// The executor's configuration.
     pub spec: ExecutorSpec,
     /// Faults that a script sets.
     pub faults: Faults,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     environment: TestEnvironment,
     /// The store from which it loads functions.
@@ -40,33 +40,33 @@
     token_cache: Rc<TokenCache>,
     deduplication_window: f64,
     replicas: RefCell<HashMap<String, Replica>>,
-    /// Packages that were found to be others than their digests name.
+    /// Names of packages whose digest differed from the requested one.
     digest_mismatches: RefCell<HashSet<String>>,
     pending_dispatches: Cell<usize>,
     running: Cell<usize>,
-    /// Whether it takes no new dispatches.
+    /// Whether it rejects new dispatches.
     pub draining: Cell<bool>,
-    /// When it started; minus infinity for long ago.
+    /// When it last started; minus infinity before the first restart.
     started_at: Cell<f64>,
-    /// When work came lately and how much, while it is cold.
+    /// Arrival times and amounts of the work within the overload window during slow start.
     recent_work: RefCell<VecDeque<(f64, f64)>>,
-    /// Backlogs by time, for reports that are late.
+    /// Time, backlog and used fraction of memory over the last 10 seconds, from which delayed reports are made.
     backlogs: RefCell<VecDeque<(f64, f32, f32)>>,
-    /// Incarnations heard under each index, and when.
+    /// The front ends' incarnations by index, with the time of their last dispatch.
     recent_incarnations: RefCell<HashMap<u32, HashMap<u64, f64>>>,
     serving: RefCell<Option<Task<()>>>,
     open_sockets: RefCell<Vec<TcpStream>>,
     go_away: RefCell<Option<Sender<()>>>,
     weak_self: Weak<Executor>,
-    /// How many times it was overloaded during slow start.
+    /// The number of overloads during slow start.
     pub overload_count: Cell<u32>,
-    /// The time that clients had left, as the last dispatch told it, in seconds.
+    /// The time left in the last dispatch received, in seconds; infinity before the first one.
     pub last_time_left: Cell<f64>,
     is_restarting: Cell<bool>,
 }
 
 impl Executor {
-    /// Starts one; port 0 takes any free one.
+    /// Starts an executor. Port 0 selects a free port.
     pub fn start(
         environment: &TestEnvironment,
         spec: ExecutorSpec,
@@ -105,7 +105,7 @@
         Ok(executor)
     }
 
-    /// When it last started, in seconds of the environment's clock; minus infinity for long ago.
+    /// When it last started, in seconds of the environment's clock; minus infinity before the first restart.
     pub fn started_at(&self) -> f64 {
         self.started_at.get()
     }
@@ -115,7 +115,7 @@
         self.serving.borrow().is_some()
     }
 
-    /// Dispatches that are waiting or running.
+    /// The number of dispatches that are waiting or running.
     pub fn pending(&self) -> usize {
         self.pending_dispatches.get()
     }
@@ -127,7 +127,7 @@
         let (go_away, go_away_signal) = async_channel::bounded(1);
         *self.go_away.borrow_mut() = Some(go_away);
         let work = async move {
-            // Connections live and die with this task.
+            // Dropping this task cancels the tasks of all connections.
             let connections = async_executor::LocalExecutor::new();
             let accepting = async {
                 loop {
@@ -148,7 +148,7 @@
         *self.serving.borrow_mut() = Some(self.environment.spawn(work));
     }
 
-    /// Ends at once: connections are reset, and what is in hand is lost.
+    /// Stops at once: connections are reset, and pending dispatches are lost.
     pub fn crash(&self) {
         let serving = self.serving.borrow_mut().take();
         for stream in self.open_sockets.borrow_mut().drain(..) {
@@ -160,7 +160,7 @@
         self.backlogs.borrow_mut().clear();
     }
 
-    /// Starts again at its address, cold.
+    /// Starts again at the same address, without replicas and in slow start.
     pub fn restart(&self) -> std::io::Result<()> {
         self.draining.set(false);
         self.started_at.set(self.environment.now());
@@ -168,16 +168,17 @@
         Ok(())
     }
 
-    /// Drops every copy, as a new release of all functions does. What runs goes on.
+    /// Unloads every replica, as a new release of all functions does. Running dispatches continue.
     pub fn unload_all(&self) {
         self.replicas.borrow_mut().retain(|_, c| !c.loaded);
     }
 
-    /// Tells all peers that it goes: what is in hand is finished, nothing new is taken.
+    /// Sends GOAWAY to all peers: streams in progress finish, and new ones are not accepted.
     pub fn send_go_away(&self) {
         self.go_away.borrow_mut().take();
     }
 
+    /// Samples the backlog and unloads replicas that are idle beyond the keep-alive time, every 0.1 s.
     async fn run_housekeeping(self: Rc<Self>) {
         loop {
             self.environment.sleep(0.1).await;
@@ -204,6 +205,7 @@
         self.replicas.borrow().values().map(|c| c.memory).sum()
     }
 
+    /// The values of `ExecutorSpec::report_fields`, delayed and with noise as configured.
     fn report(&self) -> Vec<f32> {
         let now = self.environment.now();
         let age = if self.faults.delayed_reports.is_active(now) {
--- a/crates/test-servers/src/executor/program.rs
+++ b/crates/test-servers/src/executor/program.rs
@@ -1,42 +1,42 @@
-//! Functions as executors know them: what they need and do, and the packages that the store has of them.
+//! Definitions of functions: their resource needs, their code, and their packages in the store.
 
 use bytes::Bytes;
 use sha2::{Digest, Sha256};
 use std::rc::Rc;
 
-/// Why a function gave no result. Its text is the detail of the executor's answer.
+/// Why a function has no result. Its display text is the `detail` of the executor's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FunctionError {
-    /// The function works on text, and the payload is none.
+    /// The function expects text, and the payload is not UTF-8.
     #[error("the body is not UTF-8")]
     NotUtf8,
 }
 
-/// The code of a function: from the chunks of the payload to those of the result.
+/// The code of a function. It maps the chunks of the payload to the chunks of the result.
 pub type FunctionCode = fn(&[Bytes]) -> Result<Vec<Bytes>, FunctionError>;
 
-/// What a function needs and does.
+/// The definition of a function: its resource needs and its behaviour.
 #[derive(Clone)]
 pub struct Program {
-    /// Invocations that a copy runs at a time.
+    /// The number of invocations that a replica runs at a time.
     pub concurrency: usize,
-    /// Of a copy, in the unit of `ExecutorSpec::memory`.
+    /// The memory of a replica, in the unit of `ExecutorSpec::memory`.
     pub memory: f64,
-    /// In seconds, where nobody else loads.
+    /// The time to load it while the store serves no other fetch, in seconds.
     pub load_time: f64,
-    /// Work of an invocation on a free core, in seconds.
+    /// The mean duration of a run on a free core, in seconds.
     pub cpu_time: f64,
-    /// What it answers.
+    /// The code that computes the result.
     pub run: FunctionCode,
-    /// Parts in which the answer is streamed; none for a whole one.
+    /// The number of parts in which the answer is streamed; 0 to send it as one message.
     pub response_parts: usize,
-    /// What the store gives for it; its digest is that of the version.
+    /// The package in the store; its SHA-256 digest identifies the version.
     pub package: Bytes,
-    /// The chance that an invocation fails.
+    /// The probability that a run fails, from 0 to 1.
     pub failure_probability: f64,
-    /// The one trigger type whose invocations fail; all of them where there is none.
+    /// The only trigger type whose runs fail; `None` for all trigger types.
     pub failing_trigger_type: Option<String>,
-    /// Of its runs, those that take so many times longer.
+    /// The fraction of runs that are slow, and the factor by which they take longer.
     pub slow_runs: (f64, f64),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The name under which the store has a version.
+/// The name of a version in the store; the function's name alone where `digest` is empty.
 pub fn package_name(function: &str, digest: &str) -> String {
     if digest.is_empty() {
         function.to_owned()
@@ -66,7 +66,7 @@
     }
 }
 
-/// SHA-256 in hexadecimal digits.
+/// The SHA-256 digest of a package, in hexadecimal digits.
 pub fn digest(package: &[u8]) -> String {
     Sha256::digest(package)
         .iter()
@@ -74,10 +74,10 @@
         .collect()
 }
 
-/// Answers with what it was asked.
+/// Function code that returns the payload unchanged.
 pub fn echo(payload: &[Bytes]) -> Result<Vec<Bytes>, FunctionError> {
     Ok(payload.to_vec())
 }
 
-/// Tells of each function what it is, or that there is none.
+/// Looks up a function by its package name; `None` if there is no such function.
 pub type Catalogue = Rc<dyn Fn(&str) -> Option<Program>>;
--- a/crates/test-servers/src/executor/replicas.rs
+++ b/crates/test-servers/src/executor/replicas.rs
@@ -1,4 +1,5 @@
-//! Copies of functions: loaded from the store once for all that wait, unloaded for room, run lane by lane.
+//! Replicas of functions. A replica is loaded from the store once for all waiting dispatches, runs as many of them at
+//! a time as its function's concurrency allows, and is evicted when memory is needed.
 
 use super::Executor;
 use super::guards::{Slot, WaitingForReplica};
@@ -7,23 +8,26 @@
 use orchidtally_executor_protocol::v1;
 use std::rc::Rc;
 
-/// A copy of a function.
+/// A function that is loaded, or being loaded, on an executor.
 pub(super) struct Replica {
-    /// Loading until the last sender is dropped; `None` once it is loaded.
+    /// Closes when the load ends, successfully or not; `None` once the replica is loaded.
     pub(super) loading: Option<Receiver<()>>,
     pub(super) loaded: bool,
     pub(super) running: usize,
+    /// Dispatches that wait for a free slot.
     pub(super) waiting: usize,
     pub(super) used_at: f64,
+    /// Has one message for each free slot.
     pub(super) free_slots: Receiver<()>,
     pub(super) release_slot: Sender<()>,
     pub(super) memory: f64,
-    /// Of the bytes that were loaded.
+    /// SHA-256 of the loaded package, in hexadecimal digits.
     pub(super) digest: String,
 }
 
 impl Executor {
-    /// Waits until a copy stands; begins to load one where none does.
+    /// Waits until the function is loaded. If it isn't, starts a load, or fails with `LoadFailure::Missing` where
+    /// `may_load` is false.
     pub(super) async fn loaded_replica(
         self: &Rc<Self>,
         function: &str,
@@ -55,7 +59,7 @@
                 } else {
                     found
                 };
-                // Nothing is ever sent: the channel closes when the load has ended.
+                // Nothing is sent over this channel; it closes when the load ends.
                 let _ = loading.recv().await;
                 continue;
             }
@@ -68,12 +72,12 @@
         }
     }
 
-    /// Begins to load a copy; those who wait for it hear when its channel closes.
+    /// Starts to load a replica. The channel `Replica::loading` closes when the load ends.
     fn begin_load(self: &Rc<Self>, function: &str, requested_digest: &str, program: &Program) {
         let (ended, loading) = async_channel::bounded(1);
         let (release_slot, free_slots) = async_channel::bounded(program.concurrency.max(1));
         for _ in 0..program.concurrency.max(1) {
-            // The channel has room for just these.
+            // Never fails: the channel's capacity is the number of slots.
             let _ = release_slot.try_send(());
         }
         let replica = Replica {
@@ -118,7 +122,7 @@
         self.environment.spawn(load).detach();
     }
 
-    /// Unloads idle copies, the longest unused first, until so much memory is free.
+    /// Unloads idle replicas, the least recently used first, until `memory` is free.
     fn make_room(&self, memory: f64) -> Result<(), LoadFailure> {
         while self.memory_used() + memory > self.spec.memory {
             let mut replicas = self.replicas.borrow_mut();
@@ -136,7 +140,7 @@
         Ok(())
     }
 
-    /// A lane of a copy, once one is free.
+    /// Waits for a free slot of a replica; returns `None` if the replica is unloaded meanwhile.
     pub(super) async fn slot(self: &Rc<Self>, function: &str) -> Option<Slot> {
         let (free_slots, release_slot, digest) = {
             let mut replicas = self.replicas.borrow_mut();
@@ -164,11 +168,13 @@
     }
 }
 
-/// Why there is no copy.
+/// Why a function has no loaded replica.
 pub(super) enum LoadFailure {
     Failed,
-    /// What was fetched is not what the digest names.
+    /// The digest of the fetched package differs from the requested one.
     DigestMismatch,
+    /// Replicas in use occupy the memory, or the executor is draining.
     NoCapacity,
+    /// The function is not loaded, and the caller does not allow a load.
     Missing,
 }
--- a/crates/test-servers/src/executor/spec.rs
+++ b/crates/test-servers/src/executor/spec.rs
@@ -1,4 +1,4 @@
-//! What an executor is like, what surrounds it, and the faults that a script puts on it.
+//! The configuration of an executor, the resources that it shares with others, and the faults that a script injects.
 
 use super::program::Catalogue;
 use crate::TimedFault;
@@ -7,43 +7,44 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// What an executor is like. Times are in seconds.
+/// The configuration of an executor. Times are in seconds.
 #[derive(Clone)]
 pub struct ExecutorSpec {
-    /// Its place in the fleet.
+    /// The executor's number in the fleet.
     pub number: usize,
-    /// Invocations that run at a time without slowing each other.
+    /// The number of invocations that run at a time without slowing each other.
     pub cores: usize,
-    /// Memory for copies of functions, in the unit of `Program::memory`.
+    /// Memory for replicas of functions, in the unit of `Program::memory`.
     pub memory: f64,
-    /// The most invocations that wait.
+    /// The largest number of dispatches that wait in addition to one per core. Further dispatches are rejected.
     pub queue_capacity: usize,
-    /// How long an idle copy stays loaded.
+    /// How long an idle replica stays loaded.
     pub keep_alive: f64,
-    /// Rejects a dispatch of a function that is not loaded, in place of loading it.
+    /// Whether a dispatch of a function that is not loaded is rejected instead of loading the function.
     pub rejects_unloaded: bool,
-    /// A dispatch whose load fails ends in `Ending::Miss`, which proves that it never ran, else in an error.
+    /// Whether a dispatch whose load fails ends in `Ending::Miss`, which proves that it never ran. Otherwise it ends in
+    /// `Ending::Error`.
     pub reports_failed_load_as_miss: bool,
     /// How long slow start lasts.
     pub slow_start_duration: f64,
-    /// The part of its capacity that it has at its start, from 0 to 1.
+    /// The fraction of its capacity that is available right after a start, from 0 to 1.
     pub slow_start_initial_weight: f64,
-    /// The load, as a multiple of its capacity at that time, that overloads it during slow start.
+    /// The load that overloads it during slow start, as a multiple of its capacity at that time.
     pub overload_factor: f64,
-    /// The time over which that load is counted.
+    /// The window over which that load is summed.
     pub overload_window: f64,
-    /// How long it is down after it was overloaded.
+    /// How long it is down after an overload.
     pub downtime: f64,
-    /// The age of what reports tell.
+    /// The age of the values in a report.
     pub report_delay: f64,
-    /// The greatest relative error of a report.
+    /// The largest relative error of the backlog in a report.
     pub report_noise: f64,
-    /// The names of the figures in a report: `backlog`, `memory` or `outstanding`.
+    /// The names of the values in a report, in their order: `backlog`, `memory` or `outstanding`.
     pub report_fields: Vec<String>,
 }
 
 impl ExecutorSpec {
-    /// One with room that is warm at once and tells no reports.
+    /// A configuration with ample capacity, no slow start, and empty reports.
     pub fn with_ample_capacity(number: usize) -> ExecutorSpec {
         ExecutorSpec {
             number,
@@ -65,12 +66,13 @@
     }
 }
 
-/// Tokens that the executors of a group have seen, and when.
+/// Idempotency keys that the executors of a group have received, and when.
 #[derive(Default)]
 pub struct TokenCache(RefCell<HashMap<String, f64>>);
 
 impl TokenCache {
-    /// Whether it is new within the window; it is remembered either way.
+    /// Whether a key was not received within the last `window` seconds. Stores a new key; an earlier one keeps its
+    /// time.
     pub(super) fn is_new(&self, token: &str, now: f64, window: f64) -> bool {
         let mut seen = self.0.borrow_mut();
         seen.retain(|_, at| now < *at + window);
@@ -82,29 +84,29 @@
     }
 }
 
-/// What a script may put on an executor.
+/// The faults that a script can inject into an executor.
 #[derive(Default)]
 pub struct Faults {
-    /// Nothing is answered, and nothing run.
+    /// Dispatches and load commands wait until the fault ends.
     pub hangs: TimedFault,
-    /// Every dispatch errors at once.
+    /// Every dispatch of a known function ends in an error at once.
     pub fails_immediately: TimedFault,
-    /// Connections are accepted, and their handshake waits.
+    /// Connections are accepted, but their handshake waits until the fault ends.
     pub slow_handshakes: TimedFault,
-    /// Nothing is read from any socket.
+    /// Nothing is read from any connection.
     pub reads_paused: TimedFault,
-    /// Reports come so much later.
+    /// The values in reports are 8 seconds old, instead of `ExecutorSpec::report_delay`.
     pub delayed_reports: TimedFault,
 }
 
-/// What an executor shares with others.
+/// Resources that executors share.
 pub struct SharedResources {
-    /// The store from which they load functions.
+    /// The store from which functions are loaded.
     pub store: Rc<PackageStore>,
-    /// The functions that they know.
+    /// The functions that exist.
     pub catalogue: Catalogue,
-    /// Shared by the executors of its group.
+    /// The idempotency keys that the executors of a group have received.
     pub token_cache: Rc<TokenCache>,
-    /// How long tokens are remembered, in seconds.
+    /// How long idempotency keys are stored, in seconds.
     pub deduplication_window: f64,
 }
