--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -5,7 +5,7 @@
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::filter::Filter;
 use orchidtally_mqtt::packet::{Property, Qos};
-use orchidtally_test_servers::broker::{BrokerServer, GivesTwice, Message};
+use orchidtally_test_servers::broker::{BrokerServer, DuplicateDelivery, Message};
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -42,7 +42,7 @@
             std::process::id()
         ));
         let broker = BrokerServer::start(stage, unused_address(), None)?;
-        broker.broker.borrow_mut().faults.reorders = true;
+        broker.broker.borrow_mut().faults.reverses_redelivery = true;
         Ok(Messages {
             stage: stage.clone(),
             broker,
@@ -102,7 +102,7 @@
                 Property::CorrelationData(invocation.clone().into()),
                 Property::User("orchidtally-invocation".into(), invocation),
             ],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
@@ -131,8 +131,8 @@
     /// run breaks no rule, so that a day in which the fault fell on those alone would prove nothing.
     fn give_twice(&self) {
         let filter = Filter::parse(RUN_ONCE_TOPICS).expect("a valid filter");
-        let fault = GivesTwice::one_in(GIVES_TWICE_EVERY, filter);
-        self.broker.broker.borrow_mut().faults.gives_twice = Some(fault);
+        let fault = DuplicateDelivery::one_in(GIVES_TWICE_EVERY, filter);
+        self.broker.broker.borrow_mut().faults.duplicate_delivery = Some(fault);
     }
 
     /// Publishes through the day, breaks connections, takes the broker down once with its state, and waits for the
@@ -144,18 +144,18 @@
         let me = self.clone();
         let network = self.stage.spawn(async move {
             me.stage.sleep(from + 0.2 * length - me.stage.now()).await;
-            me.broker.breaks_every.set(BREAKS_EVERY);
+            me.broker.resets_every.set(BREAKS_EVERY);
             me.stage.sleep(0.3 * length).await;
             if let Err(fault) = me.broker.restart(0.5, true).await {
                 eprintln!("the broker did not come up again: {fault}");
             }
             me.stage.sleep(0.1 * length).await;
-            me.broker.slow.set(0.01);
+            me.broker.send_delay.set(0.01);
             me.stage.sleep(0.05 * length).await;
-            me.broker.slow.set(0.0);
-            me.broker.silent.set(me.stage.now() + 0.5);
+            me.broker.send_delay.set(0.0);
+            me.broker.stalled.set(me.stage.now() + 0.5);
             me.stage.sleep(0.15 * length).await;
-            me.broker.breaks_every.set(0);
+            me.broker.resets_every.set(0);
         });
         let mut next = from;
         while next < from + length {
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -114,7 +114,7 @@
                 "sent".into(),
                 ((sent * 1e3) as u64).to_string(),
             )],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
@@ -303,7 +303,7 @@
         let (mut in_time, mut last_in_time, mut most) = (0, 0.0, 0);
         while answers.len() < BACKLOG && began.elapsed().as_secs() < 150 {
             run.stage.sleep(0.01).await;
-            most = most.max(run.broker.broker.borrow().given());
+            most = most.max(run.broker.broker.borrow().unacknowledged());
             for (n, well) in run.heard() {
                 assert!(
                     answers.insert(n, well).is_none(),
--- a/crates/http-frontend/tests/trigger_kit/mod.rs
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -114,7 +114,7 @@
             qos: Qos::ExactlyOnce,
             retain: false,
             properties: vec![],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -64,7 +64,7 @@
         assert_eq!(w.answer("done/1").await, succeeded("warm"));
         // The broker gets another certificate: it is not believed until the file has it.
         *current.borrow_mut() = identity();
-        w.broker.break_all();
+        w.broker.reset_all_connections();
         w.publish("act/2", "warmer");
         w.stage.sleep(0.8).await;
         assert!(
@@ -74,10 +74,10 @@
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
         assert_eq!(w.answer("done/2").await, succeeded("warmer"));
         // Files that change end the connection that stands.
-        let before = w.broker.accepted();
+        let before = w.broker.accepted_connections();
         w.stage.sleep(0.05).await;
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
-        while w.broker.accepted() == before {
+        while w.broker.accepted_connections() == before {
             w.stage.sleep(0.05).await;
         }
         w.publish("act/3", "again");
@@ -105,17 +105,17 @@
             .broker
             .borrow_mut()
             .faults
-            .refuses
+            .connect_refusals
             .extend([0x88, 0x87]);
-        w.broker.break_all();
+        w.broker.reset_all_connections();
         again(&w).await;
-        assert!(w.broker.broker.borrow().faults.refuses.is_empty());
-        w.broker.malformed.set(true);
-        w.broker.break_all();
+        assert!(w.broker.broker.borrow().faults.connect_refusals.is_empty());
+        w.broker.sends_malformed.set(true);
+        w.broker.reset_all_connections();
         again(&w).await;
-        assert!(!w.broker.malformed.get());
+        assert!(!w.broker.sends_malformed.get());
         // Longer than half of the keep alive without an answer to a ping.
-        w.broker.silent.set(w.stage.now() + 2.5);
+        w.broker.stalled.set(w.stage.now() + 2.5);
         again(&w).await;
         w.broker.restart(0.2, false).await.unwrap();
         w.stage.sleep(1.0).await;
--- a/crates/mqtt-triggers/tests/simulated.rs
+++ b/crates/mqtt-triggers/tests/simulated.rs
@@ -55,7 +55,7 @@
                 "orchidtally-invocation".into(),
                 format!("{kind}-{message}"),
             )],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         };
         let out = w.broker.publish(w.now, m);
         w.perform(out);
@@ -118,7 +118,7 @@
             "seed {seed}: nothing is left in hand"
         );
         assert_eq!(
-            (w.broker.waiting(), w.broker.given()),
+            (w.broker.undelivered(), w.broker.unacknowledged()),
             (0, 0),
             "seed {seed}: nor at the broker"
         );
--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -10,7 +10,7 @@
 use orchidtally_mqtt_triggers::consumer::HostAction;
 use orchidtally_mqtt_triggers::ledger::{Answer, Record};
 use orchidtally_mqtt_triggers::section::{TriggerSettings, read};
-use orchidtally_test_servers::broker::{Action, Broker, GivesTwice};
+use orchidtally_test_servers::broker::{Action, Broker, DuplicateDelivery};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -98,10 +98,10 @@
     pub fn new(seed: u64, (version, qos, hands_over): (&str, u8, bool), planted: Planted) -> World {
         let (deployment, section) = deployment(version, qos, hands_over);
         let mut broker = Broker::default();
-        broker.faults.hands_over = hands_over;
-        broker.faults.reorders = seed.is_multiple_of(2);
-        let gives_twice = || GivesTwice::one_in(5, Filter::parse("#").unwrap());
-        broker.faults.gives_twice = (planted == Planted::GivesTwice).then(gives_twice);
+        broker.faults.reassigns_unacknowledged = hands_over;
+        broker.faults.reverses_redelivery = seed.is_multiple_of(2);
+        let gives_twice = || DuplicateDelivery::one_in(5, Filter::parse("#").unwrap());
+        broker.faults.duplicate_delivery = (planted == Planted::GivesTwice).then(gives_twice);
         let mut world = World {
             random: SmallRng::seed_from_u64(seed),
             now: 1_000.0,
@@ -158,7 +158,7 @@
         if let Some(consumer) = &mut fe.consumer {
             consumer.connection_lost();
         }
-        let out = self.broker.lost(self.now, connection, false);
+        let out = self.broker.connection_closed(self.now, connection, false);
         self.perform(out);
         self.work(n);
     }
@@ -279,7 +279,7 @@
         };
         let out = self
             .broker
-            .received(self.now, connection, self.version, packet);
+            .handle_packet(self.now, connection, self.version, packet);
         self.perform(out);
     }
 
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -30,7 +30,7 @@
     /// Its properties; empty in version 3.1.1.
     pub properties: Properties,
     /// When it expires.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 #[derive(Debug)]
@@ -55,29 +55,29 @@
 #[derive(Debug, Default)]
 pub struct BrokerFaults {
     /// CONNECTs are refused with these codes, one after the other.
-    pub refuses: VecDeque<u8>,
+    pub connect_refusals: VecDeque<u8>,
     /// What was not acknowledged is sent again in reverse order.
-    pub reorders: bool,
+    pub reverses_redelivery: bool,
     /// QoS 1 messages of a lost connection go to other members of the group, without being marked as duplicates.
-    pub hands_over: bool,
+    pub reassigns_unacknowledged: bool,
     /// Some messages of a group are delivered to two members.
-    pub gives_twice: Option<GivesTwice>,
+    pub duplicate_delivery: Option<DuplicateDelivery>,
 }
 
 /// Which messages of a group are delivered to two members.
 #[derive(Debug)]
-pub struct GivesTwice {
+pub struct DuplicateDelivery {
     filter: Filter,
-    every: u64,
+    interval: u64,
     matched: u64,
 }
 
-impl GivesTwice {
+impl DuplicateDelivery {
     /// One in `every` messages whose topic matches the filter.
-    pub fn one_in(every: u64, filter: Filter) -> GivesTwice {
-        GivesTwice {
+    pub fn one_in(interval: u64, filter: Filter) -> DuplicateDelivery {
+        DuplicateDelivery {
             filter,
-            every,
+            interval,
             matched: 0,
         }
     }
@@ -88,7 +88,7 @@
             return false;
         }
         self.matched += 1;
-        self.matched.is_multiple_of(self.every)
+        self.matched.is_multiple_of(self.interval)
     }
 }
 
@@ -105,7 +105,7 @@
     sessions: BTreeMap<String, ClientSession>,
     connections: BTreeMap<u64, Connection>,
     /// Messages of shared subscriptions that were delivered to nobody.
-    shared: BTreeMap<SharedSubscription, VecDeque<Message>>,
+    shared_queues: BTreeMap<SharedSubscription, VecDeque<Message>>,
     retained: BTreeMap<String, Message>,
     /// The faults to inject.
     pub faults: BrokerFaults,
@@ -116,8 +116,11 @@
 
 impl Broker {
     /// The number of messages that were delivered to nobody.
-    pub fn waiting(&self) -> usize {
-        self.shared.values().map(VecDeque::len).sum::<usize>()
+    pub fn undelivered(&self) -> usize {
+        self.shared_queues
+            .values()
+            .map(VecDeque::len)
+            .sum::<usize>()
             + self
                 .sessions
                 .values()
@@ -126,7 +129,7 @@
     }
 
     /// The number of messages that were delivered and are not acknowledged.
-    pub fn given(&self) -> usize {
+    pub fn unacknowledged(&self) -> usize {
         self.sessions
             .values()
             .map(ClientSession::unacknowledged)
@@ -141,7 +144,7 @@
     }
 
     /// Drops a client's session, as after a loss of state.
-    pub fn forget(&mut self, client: &str) {
+    pub fn remove_session(&mut self, client: &str) {
         self.sessions.remove(client);
     }
 
@@ -162,7 +165,7 @@
                 self.retained.insert(message.topic.clone(), message.clone());
             }
         }
-        let live = Message {
+        let unretained = Message {
             retain: false,
             ..message
         };
@@ -171,7 +174,7 @@
             let matching = session
                 .filters
                 .iter()
-                .filter(|(filter, _)| filter.matches(&live.topic));
+                .filter(|(filter, _)| filter.matches(&unretained.topic));
             let unshared = matching
                 .clone()
                 .filter(|(filter, _)| filter.group().is_none());
@@ -183,20 +186,20 @@
             }
             if let Some(qos) = unshared_qos {
                 session.queue.push_back(Message {
-                    qos: qos.min(live.qos),
-                    ..live.clone()
+                    qos: qos.min(unretained.qos),
+                    ..unretained.clone()
                 });
             }
         }
         for (shared, qos) in groups {
-            let queue = self.shared.entry(shared).or_default();
+            let queue = self.shared_queues.entry(shared).or_default();
             let message = Message {
-                qos: qos.min(live.qos),
-                ..live.clone()
+                qos: qos.min(unretained.qos),
+                ..unretained.clone()
             };
             if self
                 .faults
-                .gives_twice
+                .duplicate_delivery
                 .as_mut()
                 .is_some_and(|fault| fault.applies_to(&message.topic))
             {
@@ -230,8 +233,9 @@
         let Some(session) = self.sessions.get_mut(&connection.client) else {
             return false;
         };
-        let has_room = session.unacknowledged() < usize::from(connection.receive_maximum);
-        if session.connection != Some(number) || !has_room {
+        let is_below_receive_maximum =
+            session.unacknowledged() < usize::from(connection.receive_maximum);
+        if session.connection != Some(number) || !is_below_receive_maximum {
             return false;
         }
         let mut next = session.queue.pop_front();
@@ -239,10 +243,13 @@
             let Some(shared) = SharedSubscription::of(filter).filter(|_| next.is_none()) else {
                 continue;
             };
-            next = self.shared.get_mut(&shared).and_then(VecDeque::pop_front);
+            next = self
+                .shared_queues
+                .get_mut(&shared)
+                .and_then(VecDeque::pop_front);
         }
         let Some(message) = next else { return false };
-        if message.until > now {
+        if message.expires_at > now {
             let packet = session.deliver(message, now, connection.version);
             actions.push(Action::Send(number, packet));
         }
@@ -250,7 +257,7 @@
     }
 
     /// A connection has ended, in order or not.
-    pub fn lost(&mut self, now: f64, number: u64, in_order: bool) -> Vec<Action> {
+    pub fn connection_closed(&mut self, now: f64, number: u64, is_orderly: bool) -> Vec<Action> {
         let mut actions = vec![];
         let Some(connection) = self.connections.remove(&number) else {
             return actions;
@@ -258,17 +265,20 @@
         let session = self.sessions.get_mut(&connection.client);
         if let Some(session) = session.filter(|session| session.connection == Some(number)) {
             session.connection = None;
-            session.until = now + connection.session_expiry;
-            if self.faults.hands_over {
-                for (shared, message) in session.take_shared() {
-                    self.shared.entry(shared).or_default().push_front(message);
+            session.expires_at = now + connection.session_expiry;
+            if self.faults.reassigns_unacknowledged {
+                for (shared, message) in session.take_unacknowledged_shared() {
+                    self.shared_queues
+                        .entry(shared)
+                        .or_default()
+                        .push_front(message);
                 }
             }
             if connection.session_expiry == 0.0 {
                 self.sessions.remove(&connection.client);
             }
         }
-        if let Some(will) = connection.will.filter(|_| !in_order) {
+        if let Some(will) = connection.will.filter(|_| !is_orderly) {
             let Will {
                 topic,
                 payload,
@@ -282,7 +292,7 @@
                 qos,
                 retain,
                 properties,
-                until: f64::INFINITY,
+                expires_at: f64::INFINITY,
             });
         }
         self.deliver(now, &mut actions);
--- a/crates/test-servers/src/broker/requests.rs
+++ b/crates/test-servers/src/broker/requests.rs
@@ -47,7 +47,7 @@
 
 impl Broker {
     /// A packet has arrived over a connection; the first one has to be CONNECT.
-    pub fn received(
+    pub fn handle_packet(
         &mut self,
         now: f64,
         number: u64,
@@ -63,7 +63,7 @@
         if let Packet::Disconnect(_) = packet
             && self.has_session(number)
         {
-            let mut actions = self.lost(now, number, true);
+            let mut actions = self.connection_closed(now, number, true);
             actions.push(Action::Close(number));
             return actions;
         }
@@ -91,7 +91,7 @@
         version: Version,
         connect: Connect,
     ) -> Vec<Action> {
-        if let Some(code) = self.faults.refuses.pop_front() {
+        if let Some(code) = self.faults.connect_refusals.pop_front() {
             let refusal = Packet::ConnAck(ConnAck {
                 code,
                 ..ConnAck::default()
@@ -99,7 +99,7 @@
             return vec![Action::Send(number, refusal), Action::Close(number)];
         }
         self.sessions
-            .retain(|_, session| session.connection.is_some() || session.until > now);
+            .retain(|_, session| session.connection.is_some() || session.expires_at > now);
         let mut actions = vec![];
         let before = self
             .sessions
@@ -107,11 +107,11 @@
             .and_then(|session| session.connection);
         if let Some(before) = before {
             // A client that connects again takes its session over.
-            actions.extend(self.lost(now, before, true));
+            actions.extend(self.connection_closed(now, before, true));
             actions.push(Action::Close(before));
         }
         if connect.clean {
-            self.forget(&connect.client_id);
+            self.remove_session(&connect.client_id);
         }
         let request = SessionRequest::of(version, &connect);
         let session_present = self.sessions.contains_key(&connect.client_id);
@@ -122,7 +122,7 @@
             ..ConnAck::default()
         });
         actions.push(Action::Send(number, accepted));
-        let repeated = session.redeliver(now, version, self.faults.reorders);
+        let repeated = session.redeliver(now, version, self.faults.reverses_redelivery);
         actions.extend(
             repeated
                 .into_iter()
@@ -165,7 +165,7 @@
                     ),
                 };
                 if is_new {
-                    self.accept(now, publish);
+                    self.accept_publish(now, publish);
                 }
                 answers
             }
@@ -183,14 +183,14 @@
                 })]
             }
             Packet::PubRec(pubrec) if pubrec.code < reason_code::FAILURE => {
-                session.recorded(pubrec.id);
+                session.pubrec_received(pubrec.id);
                 vec![Packet::PubRel(Ack {
                     id: pubrec.id,
                     ..Ack::default()
                 })]
             }
             Packet::PubAck(ack) | Packet::PubComp(ack) | Packet::PubRec(ack) => {
-                session.completed(ack.id);
+                session.complete(ack.id);
                 vec![]
             }
             Packet::Subscribe(subscribe) => {
@@ -218,8 +218,8 @@
     }
 
     /// Takes a message that a client has published.
-    fn accept(&mut self, now: f64, publish: Publish) {
-        let until = expires_at(&publish.properties, now);
+    fn accept_publish(&mut self, now: f64, publish: Publish) {
+        let expires_at = expires_at(&publish.properties, now);
         let Publish {
             topic,
             payload,
@@ -234,7 +234,7 @@
             qos,
             retain,
             properties,
-            until,
+            expires_at,
         };
         self.published.push(message.clone());
         self.route(message);
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -34,7 +34,7 @@
 
 /// A broker on sockets, with faults of its network.
 pub struct BrokerServer {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     /// Where it listens.
     pub address: SocketAddr,
     /// The broker.
@@ -44,13 +44,13 @@
     last_connection: Cell<u64>,
     wrapper: Option<StreamWrapper>,
     /// Nothing is read or written until then.
-    pub silent: TimedFault,
+    pub stalled: TimedFault,
     /// Seconds that each packet to a client is delayed.
-    pub slow: Cell<f64>,
+    pub send_delay: Cell<f64>,
     /// One in so many packets breaks its connection; 0 for none.
-    pub breaks_every: Cell<u64>,
+    pub resets_every: Cell<u64>,
     /// The next connection gets bytes that are no packet.
-    pub malformed: Cell<bool>,
+    pub sends_malformed: Cell<bool>,
     packets: Cell<u64>,
     listening: RefCell<Option<async_executor::Task<()>>>,
 }
@@ -58,22 +58,22 @@
 impl BrokerServer {
     /// Starts a broker that listens at an address.
     pub fn start(
-        stage: &TestEnvironment,
-        at: SocketAddr,
+        environment: &TestEnvironment,
+        address: SocketAddr,
         wrapper: Option<StreamWrapper>,
     ) -> std::io::Result<Rc<BrokerServer>> {
-        let listener = orchidtally_socket_io::listen(at)?;
+        let listener = orchidtally_socket_io::listen(address)?;
         let server = Rc::new(BrokerServer {
-            stage: stage.clone(),
+            environment: environment.clone(),
             address: listener.get_ref().local_addr()?,
             broker: RefCell::default(),
             writers: RefCell::default(),
             last_connection: Cell::new(0),
             wrapper,
-            silent: TimedFault::default(),
-            slow: Cell::new(0.0),
-            breaks_every: Cell::new(0),
-            malformed: Cell::new(false),
+            stalled: TimedFault::default(),
+            send_delay: Cell::new(0.0),
+            resets_every: Cell::new(0),
+            sends_malformed: Cell::new(false),
             packets: Cell::new(0),
             listening: RefCell::default(),
         });
@@ -86,40 +86,43 @@
         let accept = async move {
             loop {
                 let stream = orchidtally_socket_io::accept(&listener).await;
-                server.stage.spawn(server.clone().serve(stream)).detach();
+                server
+                    .environment
+                    .spawn(server.clone().serve(stream))
+                    .detach();
             }
         };
-        *self.listening.borrow_mut() = Some(self.stage.spawn(accept));
+        *self.listening.borrow_mut() = Some(self.environment.spawn(accept));
     }
 
     /// Stops the broker and starts it again after some seconds, with its state or without.
     pub async fn restart(self: &Rc<Self>, after: f64, keeps_state: bool) -> std::io::Result<()> {
         *self.listening.borrow_mut() = None;
-        self.break_all();
+        self.reset_all_connections();
         if !keeps_state {
             *self.broker.borrow_mut() = Broker::default();
         }
-        self.stage.sleep(after).await;
-        let until = self.stage.now() + LISTEN_TIMEOUT;
+        self.environment.sleep(after).await;
+        let deadline = self.environment.now() + LISTEN_TIMEOUT;
         loop {
             match orchidtally_socket_io::listen(self.address) {
                 Ok(listener) => {
                     self.listen(listener);
                     return Ok(());
                 }
-                Err(e) if self.stage.now() > until => return Err(e),
-                Err(_) => self.stage.sleep(LISTEN_RETRY).await,
+                Err(e) if self.environment.now() > deadline => return Err(e),
+                Err(_) => self.environment.sleep(LISTEN_RETRY).await,
             }
         }
     }
 
     /// The number of connections that were accepted so far.
-    pub fn accepted(&self) -> u64 {
+    pub fn accepted_connections(&self) -> u64 {
         self.last_connection.get()
     }
 
     /// Breaks all connections.
-    pub fn break_all(&self) {
+    pub fn reset_all_connections(&self) {
         let numbers: Vec<u64> = self.writers.borrow().keys().copied().collect();
         numbers.into_iter().for_each(|number| self.close(number));
     }
@@ -129,16 +132,19 @@
             // A full channel belongs to a connection that is not read from: it ends when its writer gives up.
             let _ = writer.try_send(None);
         }
-        let actions = self
-            .broker
-            .borrow_mut()
-            .lost(self.stage.now(), number, false);
+        let actions =
+            self.broker
+                .borrow_mut()
+                .connection_closed(self.environment.now(), number, false);
         self.perform(actions);
     }
 
     /// Publishes a message that comes from no client.
     pub fn publish(&self, message: Message) {
-        let actions = self.broker.borrow_mut().publish(self.stage.now(), message);
+        let actions = self
+            .broker
+            .borrow_mut()
+            .publish(self.environment.now(), message);
         self.perform(actions);
     }
 
@@ -160,21 +166,21 @@
     }
 
     /// Whether a connection breaks with this packet.
-    fn breaks(&self) -> bool {
+    fn is_reset_due(&self) -> bool {
         self.packets.set(self.packets.get() + 1);
-        let every = self.breaks_every.get();
-        every > 0 && self.packets.get().is_multiple_of(every)
+        let interval = self.resets_every.get();
+        interval > 0 && self.packets.get().is_multiple_of(interval)
     }
 
-    async fn wait_while_silent(&self) {
-        self.stage
-            .sleep(self.silent.ends_at() - self.stage.now())
+    async fn wait_while_stalled(&self) {
+        self.environment
+            .sleep(self.stalled.ends_at() - self.environment.now())
             .await;
     }
 
     /// Serves one connection until it ends.
     async fn serve(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
-        let breaker = stream.abort_handle();
+        let reset_handle = stream.abort_handle();
         let stream: Box<dyn ByteStream> = match &self.wrapper {
             Some(wrapper) => match wrapper(stream).await {
                 Some(stream) => stream,
@@ -186,14 +192,14 @@
         self.last_connection.set(number);
         let (writer, packets) = async_channel::bounded::<Option<Bytes>>(MAX_QUEUED_PACKETS);
         let (reader, socket) = futures_lite::io::split(stream);
-        if self.malformed.replace(false) {
+        if self.sends_malformed.replace(false) {
             let _ = writer.try_send(Some(Bytes::from_static(MALFORMED)));
         }
         self.writers.borrow_mut().insert(number, writer);
         let server = self.clone();
-        let writing = self.stage.spawn(async move {
+        let writing = self.environment.spawn(async move {
             server.write(socket, packets).await;
-            if let Some(socket) = breaker {
+            if let Some(socket) = reset_handle {
                 orchidtally_socket_io::reset_on_close(&socket);
                 let _ = socket.shutdown(Shutdown::Both);
             }
@@ -210,9 +216,9 @@
         packets: async_channel::Receiver<Option<Bytes>>,
     ) {
         while let Ok(Some(bytes)) = packets.recv().await {
-            self.wait_while_silent().await;
-            self.stage.sleep(self.slow.get()).await;
-            if self.breaks() || socket.write_all(&bytes).await.is_err() {
+            self.wait_while_stalled().await;
+            self.environment.sleep(self.send_delay.get()).await;
+            if self.is_reset_due() || socket.write_all(&bytes).await.is_err() {
                 return;
             }
         }
@@ -236,14 +242,16 @@
                     Ok(None) => break,
                     Err(_) => return,
                 };
-                self.wait_while_silent().await;
-                if self.breaks() || !self.writers.borrow().contains_key(&number) {
+                self.wait_while_stalled().await;
+                if self.is_reset_due() || !self.writers.borrow().contains_key(&number) {
                     return;
                 }
-                let actions =
-                    self.broker
-                        .borrow_mut()
-                        .received(self.stage.now(), number, version, packet);
+                let actions = self.broker.borrow_mut().handle_packet(
+                    self.environment.now(),
+                    number,
+                    version,
+                    packet,
+                );
                 self.perform(actions);
             }
         }
--- a/crates/test-servers/src/broker/session.rs
+++ b/crates/test-servers/src/broker/session.rs
@@ -39,7 +39,7 @@
     /// Packet identifiers of QoS 2 messages that the client has not released yet.
     pub(super) incoming: BTreeSet<u16>,
     /// When the session expires, while there is no connection.
-    pub(super) until: f64,
+    pub(super) expires_at: f64,
 }
 
 impl ClientSession {
@@ -48,7 +48,7 @@
         self.unacknowledged.len()
     }
 
-    fn fresh_id(&mut self) -> u16 {
+    fn next_packet_id(&mut self) -> u16 {
         loop {
             self.last_id = self.last_id.checked_add(1).unwrap_or(1);
             if !self.unacknowledged.contains_key(&self.last_id) {
@@ -62,7 +62,7 @@
         if message.qos == Qos::AtMostOnce {
             return publish_packet(&message, 0, false, now, version);
         }
-        let id = self.fresh_id();
+        let id = self.next_packet_id();
         let packet = publish_packet(&message, id, false, now, version);
         self.unacknowledged
             .insert(id, (message, DeliveryState::Sent));
@@ -90,24 +90,24 @@
     }
 
     /// The client has sent PUBREC.
-    pub(super) fn recorded(&mut self, id: u16) {
+    pub(super) fn pubrec_received(&mut self, id: u16) {
         if let Some((_, state)) = self.unacknowledged.get_mut(&id) {
             *state = DeliveryState::Recorded;
         }
     }
 
     /// A delivery has come to its end.
-    pub(super) fn completed(&mut self, id: u16) {
+    pub(super) fn complete(&mut self, id: u16) {
         self.unacknowledged.remove(&id);
         self.order.retain(|&other| other != id);
     }
 
     /// Takes the QoS 1 deliveries that are not acknowledged, the newest first, with the shared subscriptions that
     /// they belong to.
-    pub(super) fn take_shared(&mut self) -> Vec<(SharedSubscription, Message)> {
+    pub(super) fn take_unacknowledged_shared(&mut self) -> Vec<(SharedSubscription, Message)> {
         let has_qos_1 = |id: &u16| self.unacknowledged[id].0.qos == Qos::AtLeastOnce;
         let ids: Vec<u16> = self.order.iter().copied().filter(has_qos_1).collect();
-        let mut taken = vec![];
+        let mut messages = vec![];
         for id in ids.into_iter().rev() {
             let Some((message, _)) = self.unacknowledged.remove(&id) else {
                 continue;
@@ -118,10 +118,10 @@
                 .iter()
                 .filter(|(filter, _)| filter.matches(&message.topic));
             if let Some(shared) = matching.find_map(|(filter, _)| SharedSubscription::of(filter)) {
-                taken.push((shared, message));
+                messages.push((shared, message));
             }
         }
-        taken
+        messages
     }
 }
 
@@ -133,7 +133,7 @@
     };
     for property in &mut properties {
         if let Property::MessageExpiry(left) = property {
-            *left = (message.until - now).ceil().max(1.0) as u32;
+            *left = (message.expires_at - now).ceil().max(1.0) as u32;
         }
     }
     let (topic, payload) = (message.topic.clone(), message.payload.clone());
