--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -1,8 +1,8 @@
-//! An MQTT broker, 3.1.1 and 5, with what front ends and publishers need: sessions, shared subscriptions, all three
-//! QoS, receive maximum, expiry, retained messages and wills.
+//! An MQTT broker for versions 3.1.1 and 5. It implements sessions, shared subscriptions, all three QoS levels, receive
+//! maximum, message and session expiry, retained messages and wills.
 //!
-//! [`Broker`] is a state machine without I/O; [`BrokerServer`] runs one on sockets. It keeps its state for as long as
-//! it lives, and injects the faults that a test asks for. Times are in seconds on the host's clock.
+//! [`Broker`] is a state machine without I/O; [`BrokerServer`] runs one on sockets. The state is in memory only. Tests
+//! can inject faults. Times are in seconds on the host's clock.
 
 mod requests;
 mod server;
@@ -42,7 +42,7 @@
     will: Option<Will>,
 }
 
-/// What the host has to do for a connection, by its number.
+/// What the host has to do for a connection, which is identified by its number.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Send a packet.
@@ -54,11 +54,11 @@
 /// Faults that the broker injects.
 #[derive(Debug, Default)]
 pub struct BrokerFaults {
-    /// CONNECTs are refused with these codes, one after the other.
+    /// The next CONNECT packets are refused with these reason codes, one code for each packet.
     pub connect_refusals: VecDeque<u8>,
-    /// What was not acknowledged is sent again in reverse order.
+    /// Unacknowledged messages are redelivered in reverse order after a reconnection.
     pub reverses_redelivery: bool,
-    /// QoS 1 messages of a lost connection go to other members of the group, without being marked as duplicates.
+    /// Unacknowledged QoS 1 messages of a closed connection go to other members of the group, without the DUP flag.
     pub reassigns_unacknowledged: bool,
     /// Some messages of a group are delivered to two members.
     pub duplicate_delivery: Option<DuplicateDelivery>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Counts a message, and returns whether it is one of those.
+    /// Counts a matching message, and returns whether it is to be delivered twice.
     fn applies_to(&mut self, topic: &str) -> bool {
         if !self.filter.matches(topic) {
             return false;
@@ -99,12 +99,12 @@
     filter: String,
 }
 
-/// The broker.
+/// The state of a broker: sessions, connections, queues and retained messages.
 #[derive(Debug, Default)]
 pub struct Broker {
     sessions: BTreeMap<String, ClientSession>,
     connections: BTreeMap<u64, Connection>,
-    /// Messages of shared subscriptions that were delivered to nobody.
+    /// Messages of shared subscriptions that are not delivered to any member yet.
     shared_queues: BTreeMap<SharedSubscription, VecDeque<Message>>,
     retained: BTreeMap<String, Message>,
     /// The faults to inject.
@@ -115,7 +115,7 @@
 }
 
 impl Broker {
-    /// The number of messages that were delivered to nobody.
+    /// The number of queued messages, which are not delivered to any client yet.
     pub fn undelivered(&self) -> usize {
         self.shared_queues
             .values()
@@ -128,7 +128,7 @@
                 .sum::<usize>()
     }
 
-    /// The number of messages that were delivered and are not acknowledged.
+    /// The number of messages that are delivered but not acknowledged.
     pub fn unacknowledged(&self) -> usize {
         self.sessions
             .values()
@@ -143,7 +143,7 @@
             .map_or(Version::V5, |connection| connection.version)
     }
 
-    /// Drops a client's session, as after a loss of state.
+    /// Removes a client's session, as a loss of state does.
     pub fn remove_session(&mut self, client: &str) {
         self.sessions.remove(client);
     }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Delivers what waits to clients that have room, one message to each in turn.
+    /// Delivers queued messages to clients below their receive maximum, one message to each in turn.
     fn deliver(&mut self, now: f64, actions: &mut Vec<Action>) {
         loop {
             let mut delivered = false;
@@ -225,7 +225,8 @@
         }
     }
 
-    /// Delivers a message over a connection; returns whether there was one.
+    /// Sends the next queued message, unless it has expired, over a connection. Returns whether a message was taken from a
+    /// queue.
     fn deliver_one(&mut self, now: f64, number: u64, actions: &mut Vec<Action>) -> bool {
         let Some(connection) = self.connections.get(&number) else {
             return false;
@@ -256,7 +257,7 @@
         true
     }
 
-    /// A connection has ended, in order or not.
+    /// Handles the end of a connection. The will is published unless the end is orderly.
     pub fn connection_closed(&mut self, now: f64, number: u64, is_orderly: bool) -> Vec<Action> {
         let mut actions = vec![];
         let Some(connection) = self.connections.remove(&number) else {
--- a/crates/test-servers/src/broker/requests.rs
+++ b/crates/test-servers/src/broker/requests.rs
@@ -1,13 +1,13 @@
-//! What clients ask of the broker.
+//! Handles the packets that clients send.
 
 use super::{Action, Broker, Connection, Message};
 use orchidtally_mqtt::Filter;
 use orchidtally_mqtt::packet::*;
 
-/// The receive maximum of clients of version 3.1.1, which can't state one.
+/// The receive maximum of version 3.1.1 clients; that version has no property to set it.
 const DEFAULT_RECEIVE_MAXIMUM: u16 = 20;
 
-/// What a CONNECT asks of its session.
+/// The session parameters of a CONNECT packet.
 struct SessionRequest {
     receive_maximum: u16,
     /// Seconds for which the session is kept without a connection.
@@ -46,7 +46,7 @@
 }
 
 impl Broker {
-    /// A packet has arrived over a connection; the first one has to be CONNECT.
+    /// Handles a packet from a connection. The first packet has to be CONNECT; any other closes the connection.
     pub fn handle_packet(
         &mut self,
         now: f64,
@@ -106,7 +106,7 @@
             .get(&connect.client_id)
             .and_then(|session| session.connection);
         if let Some(before) = before {
-            // A client that connects again takes its session over.
+            // The new connection takes over the client's session, and the old one is closed.
             actions.extend(self.connection_closed(now, before, true));
             actions.push(Action::Close(before));
         }
@@ -140,7 +140,7 @@
         actions
     }
 
-    /// The answers to a packet; `None` where the connection has to be closed.
+    /// Returns the packets that answer a packet, or `None` if the connection has to be closed.
     fn answer(
         &mut self,
         now: f64,
@@ -217,7 +217,7 @@
         })
     }
 
-    /// Takes a message that a client has published.
+    /// Records and routes a message that a client has published.
     fn accept_publish(&mut self, now: f64, publish: Publish) {
         let expires_at = expires_at(&publish.properties, now);
         let Publish {
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -1,4 +1,4 @@
-//! The broker on sockets, with faults of its network.
+//! A broker on sockets, with injected network faults.
 
 use super::{Action, Broker, Message};
 use crate::{TestEnvironment, TimedFault};
@@ -13,50 +13,51 @@
 
 /// The size in bytes of the largest packet that is accepted.
 const MAX_PACKET_SIZE: usize = 1_048_576;
-/// Packets that wait to be written to a connection.
+/// The largest number of packets queued for a connection; further ones are dropped.
 const MAX_QUEUED_PACKETS: usize = 100_000;
-/// Bytes that no control packet begins with.
+/// Bytes that don't form a control packet: its type is the reserved value 0, and its length is malformed.
 const MALFORMED: &[u8] = &[0x00, 0xff, 0xff, 0xff, 0xff, 0xff];
-/// Seconds for which a restart tries to listen at its address again, and between two tries.
+/// How long a restart retries to listen at its address, in seconds.
 const LISTEN_TIMEOUT: f64 = 2.0;
+/// The interval between these attempts, in seconds.
 const LISTEN_RETRY: f64 = 0.02;
 
 /// Any stream, plain or encrypted.
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// Wraps a stream that was accepted in another, as TLS does; `None` where that fails.
+/// Wraps an accepted stream, for instance in TLS. Returns `None` if the handshake fails.
 pub type StreamWrapper = Rc<
     dyn Fn(
         orchidtally_socket_io::Stream,
     ) -> futures_lite::future::BoxedLocal<Option<Box<dyn ByteStream>>>,
 >;
 
-/// A broker on sockets, with faults of its network.
+/// A broker that listens on a socket.
 pub struct BrokerServer {
     environment: TestEnvironment,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// The broker.
     pub broker: RefCell<Broker>,
-    /// Where packets for a connection go; `None` ends it.
+    /// The queues of encoded packets by connection number; `None` in a queue ends the connection.
     writers: RefCell<BTreeMap<u64, async_channel::Sender<Option<Bytes>>>>,
     last_connection: Cell<u64>,
     wrapper: Option<StreamWrapper>,
-    /// Nothing is read or written until then.
+    /// While active, no packet is handled or written.
     pub stalled: TimedFault,
-    /// Seconds that each packet to a client is delayed.
+    /// The delay before each packet to a client, in seconds.
     pub send_delay: Cell<f64>,
-    /// One in so many packets breaks its connection; 0 for none.
+    /// Every n-th packet, in either direction, resets its connection; 0 disables the fault.
     pub resets_every: Cell<u64>,
-    /// The next connection gets bytes that are no packet.
+    /// The next connection is sent bytes that don't form a packet; the flag is cleared then.
     pub sends_malformed: Cell<bool>,
     packets: Cell<u64>,
     listening: RefCell<Option<async_executor::Task<()>>>,
 }
 
 impl BrokerServer {
-    /// Starts a broker that listens at an address.
+    /// Starts a broker. Port 0 selects a free port.
     pub fn start(
         environment: &TestEnvironment,
         address: SocketAddr,
@@ -95,7 +96,11 @@
         *self.listening.borrow_mut() = Some(self.environment.spawn(accept));
     }
 
-    /// Stops the broker and starts it again after some seconds, with its state or without.
+    /// Stops the broker and starts it again after `after` seconds. `keeps_state` says whether its state survives.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address can't be listened at within `LISTEN_TIMEOUT`.
     pub async fn restart(self: &Rc<Self>, after: f64, keeps_state: bool) -> std::io::Result<()> {
         *self.listening.borrow_mut() = None;
         self.reset_all_connections();
@@ -121,7 +126,7 @@
         self.last_connection.get()
     }
 
-    /// Breaks all connections.
+    /// Resets all connections.
     pub fn reset_all_connections(&self) {
         let numbers: Vec<u64> = self.writers.borrow().keys().copied().collect();
         numbers.into_iter().for_each(|number| self.close(number));
@@ -129,7 +134,7 @@
 
     fn close(&self, number: u64) {
         if let Some(writer) = self.writers.borrow_mut().remove(&number) {
-            // A full channel belongs to a connection that is not read from: it ends when its writer gives up.
+            // A full queue belongs to a client that doesn't read. Its connection ends when the writer's queue has closed.
             let _ = writer.try_send(None);
         }
         let actions =
@@ -165,7 +170,7 @@
         }
     }
 
-    /// Whether a connection breaks with this packet.
+    /// Counts a packet, and returns whether it resets its connection.
     fn is_reset_due(&self) -> bool {
         self.packets.set(self.packets.get() + 1);
         let interval = self.resets_every.get();
--- a/crates/test-servers/src/broker/session.rs
+++ b/crates/test-servers/src/broker/session.rs
@@ -1,4 +1,4 @@
-//! The session of one client at the broker.
+//! The broker's state for one client.
 
 use super::{Message, SharedSubscription};
 use orchidtally_mqtt::Filter;
@@ -16,7 +16,7 @@
     }
 }
 
-/// How far the delivery of a message has come.
+/// The state of a delivery with QoS 1 or 2.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DeliveryState {
     Sent,
@@ -24,7 +24,7 @@
     Recorded,
 }
 
-/// The session of one client.
+/// A client's subscriptions, queued messages and unacknowledged deliveries.
 #[derive(Debug, Default)]
 pub(super) struct ClientSession {
     pub(super) connection: Option<u64>,
@@ -33,7 +33,7 @@
     pub(super) queue: VecDeque<Message>,
     /// Deliveries that are not acknowledged, by packet identifier.
     unacknowledged: BTreeMap<u16, (Message, DeliveryState)>,
-    /// Their packet identifiers in the order of delivery.
+    /// The packet identifiers of `unacknowledged` in the order of delivery.
     order: VecDeque<u16>,
     last_id: u16,
     /// Packet identifiers of QoS 2 messages that the client has not released yet.
@@ -48,6 +48,7 @@
         self.unacknowledged.len()
     }
 
+    /// The next packet identifier that is not in use.
     fn next_packet_id(&mut self) -> u16 {
         loop {
             self.last_id = self.last_id.checked_add(1).unwrap_or(1);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The packet that delivers a message.
+    /// Returns the PUBLISH packet for a message, and stores the message as unacknowledged if its QoS is 1 or 2.
     pub(super) fn deliver(&mut self, message: Message, now: f64, version: Version) -> Packet {
         if message.qos == Qos::AtMostOnce {
             return publish_packet(&message, 0, false, now, version);
@@ -70,7 +71,7 @@
         packet
     }
 
-    /// The packets that continue deliveries over a new connection.
+    /// Returns the packets that resume unacknowledged deliveries over a new connection, in reverse order if `reversed`.
     pub(super) fn redeliver(&self, now: f64, version: Version, reversed: bool) -> Vec<Packet> {
         let mut ids: Vec<u16> = self.order.iter().copied().collect();
         if reversed {
@@ -89,21 +90,20 @@
         ids.into_iter().filter_map(packet).collect()
     }
 
-    /// The client has sent PUBREC.
+    /// Handles PUBREC: from now on PUBREL is redelivered in place of PUBLISH.
     pub(super) fn pubrec_received(&mut self, id: u16) {
         if let Some((_, state)) = self.unacknowledged.get_mut(&id) {
             *state = DeliveryState::Recorded;
         }
     }
 
-    /// A delivery has come to its end.
+    /// Removes a delivery that the client has acknowledged.
     pub(super) fn complete(&mut self, id: u16) {
         self.unacknowledged.remove(&id);
         self.order.retain(|&other| other != id);
     }
 
-    /// Takes the QoS 1 deliveries that are not acknowledged, the newest first, with the shared subscriptions that
-    /// they belong to.
+    /// Removes the unacknowledged QoS 1 deliveries, and returns those of shared subscriptions, the newest first.
     pub(super) fn take_unacknowledged_shared(&mut self) -> Vec<(SharedSubscription, Message)> {
         let has_qos_1 = |id: &u16| self.unacknowledged[id].0.qos == Qos::AtLeastOnce;
         let ids: Vec<u16> = self.order.iter().copied().filter(has_qos_1).collect();
