--- a/crates/cli/src/rehearse/endpoints.rs
+++ b/crates/cli/src/rehearse/endpoints.rs
@@ -94,7 +94,7 @@
         };
         let value = json!({
             "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": state,
-            "since": self.stage.wall(e.started_at()),
+            "since": self.stage.unix_time(e.started_at()),
         });
         value.to_string()
     }
@@ -224,12 +224,18 @@
         until(0.15).await;
         self.etcd.faults.breaks_every.set(BREAKS_EVERY);
         until(0.3).await;
-        self.etcd.faults.stalled.set(self.stage.now() + 1.5);
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.stage.now() + 1.5);
         until(0.45).await;
         self.etcd.store.borrow_mut().expire_all();
         until(0.55).await;
         // While all watchers are off it changes, and is compacted past what they had seen.
-        self.etcd.faults.stalled.set(self.stage.now() + 0.3);
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.stage.now() + 0.3);
         self.etcd.cut_off();
         self.executors
             .borrow()
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -75,7 +75,7 @@
     }
 
     fn publish_one(&self) {
-        let mut drawn = self.stage.unit();
+        let mut drawn = self.stage.random_unit();
         let kind = SHARES.iter().find(|s| {
             drawn -= s.1;
             drawn < 0.0
@@ -83,8 +83,8 @@
         let kind = kind.map_or("act", |k| k.0);
         self.sent.set(self.sent.get() + 1);
         let invocation = format!("message-{}", self.sent.get());
-        let house = (self.stage.unit() * HOUSES) as u32;
-        let function = format!("fn-{}", (self.stage.unit() * 6.0) as u32);
+        let house = (self.stage.random_unit() * HOUSES) as u32;
+        let function = format!("fn-{}", (self.stage.random_unit() * 6.0) as u32);
         self.open.borrow_mut().insert(invocation.clone());
         let at = self.stage.now();
         self.stage.record(TrafficRecord::MessagePublished {
@@ -153,7 +153,7 @@
             me.broker.send_delay.set(0.01);
             me.stage.sleep(0.05 * length).await;
             me.broker.send_delay.set(0.0);
-            me.broker.stalled.set(me.stage.now() + 0.5);
+            me.broker.stalled.activate_until(me.stage.now() + 0.5);
             me.stage.sleep(0.15 * length).await;
             me.broker.resets_every.set(0);
         });
@@ -164,7 +164,7 @@
                 self.stage.sleep((next - self.stage.now()).min(0.01)).await;
             }
             self.publish_one();
-            next += -(1.0 - self.stage.unit()).ln() / (PART * rate);
+            next += -(1.0 - self.stage.random_unit()).ln() / (PART * rate);
         }
         network.await;
         let until = self.stage.now() + 15.0;
--- a/crates/cli/src/rehearse/play/faults.rs
+++ b/crates/cli/src/rehearse/play/faults.rs
@@ -18,7 +18,7 @@
 
 impl Rehearsal {
     pub(super) fn drawn(&self, share: f64) -> bool {
-        self.stage.unit() < share
+        self.stage.random_unit() < share
     }
 
     /// Some of a list, without those that the script has down already.
@@ -26,7 +26,7 @@
         let mut fitting: Vec<T> = of.iter().filter(|x| fits(x)).cloned().collect();
         let n = ((of.len() as f64 * share).round() as usize).clamp(1, fitting.len().max(1));
         while fitting.len() > n {
-            fitting.swap_remove((self.stage.unit() * fitting.len() as f64) as usize);
+            fitting.swap_remove((self.stage.random_unit() * fitting.len() as f64) as usize);
         }
         fitting
     }
@@ -44,7 +44,7 @@
 
     fn switch(&self, which: &(TimedFault, Cell<f64>), fault: &ScheduledFault) {
         which.1.set(fault.size);
-        which.0.set(self.stage.now() + fault.duration);
+        which.0.activate_until(self.stage.now() + fault.duration);
     }
 
     /// Executors that are up and not draining, as many as the size of a fault says.
@@ -58,32 +58,32 @@
             FaultKind::Crash => self.crash_executors(fault),
             FaultKind::Hang => {
                 for executor in self.victims(fault) {
-                    executor.faults.hangs.set(until);
+                    executor.faults.hangs.activate_until(until);
                 }
             }
             FaultKind::FastErrors => {
                 for executor in self.victims(fault) {
-                    executor.faults.fails_immediately.set(until);
+                    executor.faults.fails_immediately.activate_until(until);
                 }
             }
             FaultKind::ExecutorsStopReading => self.pause_reads(fault, until),
             FaultKind::SlowHandshakes => {
                 for executor in self.victims(fault) {
-                    executor.faults.slow_handshakes.set(until);
+                    executor.faults.slow_handshakes.activate_until(until);
                 }
             }
             FaultKind::LateReports => {
                 for executor in &self.executors {
-                    executor.faults.delayed_reports.set(until);
+                    executor.faults.delayed_reports.activate_until(until);
                 }
             }
             FaultKind::RollingDeploy => self.roll_executors(fault).await,
             FaultKind::Preemption => self.preempt_executors(fault).await,
             FaultKind::LoseLocation => self.lose_location(fault),
-            FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
+            FaultKind::StaleEndpoints => self.publisher.delay_changes_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
             FaultKind::MassRelease => self.executors.iter().for_each(|e| e.unload_all()),
-            FaultKind::StoreRefuses => self.store.refusing.set(until),
+            FaultKind::StoreRefuses => self.store.refusing.activate_until(until),
             FaultKind::ImpatientClients => self.switch(&self.impatient, fault),
             FaultKind::HotFunction => self.switch(&self.hot, fault),
             FaultKind::OneTimeFunctions => self.switch(&self.one_offs, fault),
@@ -105,7 +105,7 @@
 
     fn pause_reads(&self, fault: &ScheduledFault, until: f64) {
         for executor in self.victims(fault) {
-            executor.faults.reads_paused.set(until);
+            executor.faults.reads_paused.activate_until(until);
             self.stage.record(TrafficRecord::ReadsPaused {
                 at: self.stage.now(),
                 executor: executor.spec.number,
@@ -138,7 +138,7 @@
 
     /// Crashes all executors of a location that is drawn by chance.
     fn lose_location(self: &Rc<Self>, fault: &ScheduledFault) {
-        let lost = (self.stage.unit() * f64::from(self.scenario.locations)) as usize;
+        let lost = (self.stage.random_unit() * f64::from(self.scenario.locations)) as usize;
         let locations = self.scenario.locations as usize;
         for executor in &self.executors {
             if executor.spec.number % locations == lost && is_available(executor) {
@@ -152,7 +152,8 @@
             roster.change(e, state);
             return;
         }
-        self.publisher.change(e.spec.number, state, e.started_at());
+        self.publisher
+            .update_state(e.spec.number, state, e.started_at());
     }
 
     pub(super) fn bring_up(&self, e: &Executor) {
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -100,7 +100,7 @@
             invocation: self.name(),
             function: "fn-1".into(),
             trigger_type: (0, self.limits.trigger_types[0].name.clone()),
-            time_left: 1.0,
+            timeout: 1.0,
             ..ClientRequest::default()
         };
         // A front end that the script knows nothing of, so that it never kills it.
--- a/crates/cli/src/rehearse/play/misbehaving_clients.rs
+++ b/crates/cli/src/rehearse/play/misbehaving_clients.rs
@@ -16,7 +16,7 @@
             };
             n += 1;
             let mut bytes: Vec<u8> = (0..600)
-                .map(|_| (self.stage.unit() * 256.0) as u8)
+                .map(|_| (self.stage.random_unit() * 256.0) as u8)
                 .collect();
             match n % 4 {
                 // A preface, then no frames; headers without end; a wrong version.
--- a/crates/cli/src/rehearse/play/traffic.rs
+++ b/crates/cli/src/rehearse/play/traffic.rs
@@ -16,7 +16,7 @@
             self.stage.sleep(next - self.stage.now()).await;
             self.offer_one();
             let risen = (1.0 - (from - next) / WARM_UP).clamp(0.1, 1.0);
-            next += -(1.0 - self.stage.unit()).ln() / (risen * self.scenario.rate);
+            next += -(1.0 - self.stage.random_unit()).ln() / (risen * self.scenario.rate);
         }
     }
 
@@ -34,13 +34,13 @@
         if self.one_offs.0.is_active(now) && self.drawn(self.one_offs.1.get()) {
             return format!("once-{}", self.names.get());
         }
-        let n = (self.scenario.functions as f64).powf(s.unit()) as usize - 1;
+        let n = (self.scenario.functions as f64).powf(s.random_unit()) as usize - 1;
         format!("fn-{n}")
     }
 
     fn offer_one(self: &Rc<Self>) {
         let now = self.stage.now();
-        let mut drawn = self.stage.unit();
+        let mut drawn = self.stage.random_unit();
         let ty = SHARES.iter().position(|s| {
             drawn -= s;
             drawn < 0.0
@@ -50,11 +50,12 @@
         let timeout = self.deployment.policy.trigger_types[ty].client_timeout;
         let short = self.impatient.0.is_active(now) && self.drawn(self.impatient.1.get());
         let time_left = if short {
-            0.35 + 0.5 * self.stage.unit()
+            0.35 + 0.5 * self.stage.random_unit()
         } else {
             timeout
         };
-        let leaves_after = (short && self.drawn(0.3)).then(|| 0.05 + 0.3 * self.stage.unit());
+        let leaves_after =
+            (short && self.drawn(0.3)).then(|| 0.05 + 0.3 * self.stage.random_unit());
         let function = match kind.name.as_str() {
             // A part of the traffic is the function's that is rolled out.
             _ if self.rolling.is_some() && kind.name != "watch" && self.drawn(0.35) => {
@@ -73,10 +74,10 @@
             invocation: self.name(),
             function,
             trigger_type: (ty, kind.name.clone()),
-            token,
-            time_left,
+            idempotency_key: token,
+            timeout: time_left,
             payload: Bytes::from(vec![b'x'; size]),
-            cancels_after: leaves_after,
+            cancel_after: leaves_after,
             ..ClientRequest::default()
         };
         let effect = kind.idempotency;
@@ -88,7 +89,7 @@
     /// some clients do without end.
     async fn invoke(&self, mut ask: ClientRequest, effect: Idempotency) {
         let began = self.stage.now();
-        let timeout = ask.time_left;
+        let timeout = ask.timeout;
         let abuses = self.repeating.0.is_active(began) && self.drawn(self.repeating.1.get());
         let mut tries = if abuses { 8 } else { 2 };
         loop {
@@ -121,7 +122,7 @@
             self.stage.sleep(pause).await;
             ask.invocation = self.name();
             ask.is_retry = true;
-            ask.time_left = left;
+            ask.timeout = left;
         }
     }
 
@@ -132,9 +133,9 @@
         if self.shifted.0.is_active(self.stage.now()) && self.drawn(self.shifted.1.get()) {
             among.truncate(1.max(used.len() / 3));
         }
-        let fe = among.get((self.stage.unit() * among.len() as f64) as usize)?;
+        let fe = among.get((self.stage.random_unit() * among.len() as f64) as usize)?;
         fe.callers
-            .get((self.stage.unit() * fe.callers.len() as f64) as usize)
+            .get((self.stage.random_unit() * fe.callers.len() as f64) as usize)
             .cloned()
     }
 }
--- a/crates/cli/src/rehearse/rolling.rs
+++ b/crates/cli/src/rehearse/rolling.rs
@@ -316,7 +316,7 @@
         let back = history
             .iter()
             .find(|e| e.phase == orchidtally_rollout::Phase::RolledBack);
-        let back = back.map(|e| e.at - self.stage.wall(0.0));
+        let back = back.map(|e| e.at - self.stage.unix_time(0.0));
         let mut seen = Observed {
             state,
             ..Observed::default()
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -233,9 +233,10 @@
                     body: n.to_string().into_bytes(),
                 };
                 let (client, day) = (client.clone(), self.clone());
-                let leaves = self.leaving.get() > 0.0 && self.stage.unit() < self.leaving.get();
+                let leaves =
+                    self.leaving.get() > 0.0 && self.stage.random_unit() < self.leaving.get();
                 let patience = if leaves {
-                    LONGEST_PATIENCE * self.stage.unit()
+                    LONGEST_PATIENCE * self.stage.random_unit()
                 } else {
                     f64::INFINITY
                 };
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -134,7 +134,9 @@
     );
     drains_during_a_stop(&stage, &source, "stop-etcd.json5", || {
         // The store is slow to tell it, so that the requests that waited are read before.
-        etcd.faults.stalled.set(stage.now() + STOPPED_FOR + 0.5);
+        etcd.faults
+            .stalled
+            .activate_until(stage.now() + STOPPED_FOR + 0.5);
         put(0, "draining");
     });
 }
@@ -154,8 +156,8 @@
         started_at: f64::NEG_INFINITY,
     };
     let publisher = Publisher::start(&stage, unused_address(), vec![row(0), row(1)]).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let source = format!(r#"publisher: "{}""#, publisher.address);
-    let drain = || publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+    let drain = || publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
     drains_during_a_stop(&stage, &source, "stop-publisher.json5", drain);
 }
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -83,7 +83,7 @@
             let until = day.stage.now() + 0.4;
             links(&day, n % EXECUTORS)
                 .iter()
-                .for_each(|link| link.stalls_answers.set(until));
+                .for_each(|link| link.stalls_answers.activate_until(until));
         }
         assert_used(&day);
     });
@@ -98,7 +98,7 @@
             let until = day.stage.now() + 0.6;
             links(&day, n % EXECUTORS)
                 .iter()
-                .for_each(|link| link.stalls_requests.set(until));
+                .for_each(|link| link.stalls_requests.activate_until(until));
         }
         assert_used(&day);
     });
--- a/crates/coordinator/tests/kit/mod.rs
+++ b/crates/coordinator/tests/kit/mod.rs
@@ -236,7 +236,7 @@
         invocation: name.into(),
         function: "f".into(),
         trigger_type: (trigger_type.0, trigger_type.1.into()),
-        time_left: 4.0,
+        timeout: 4.0,
         ..ClientRequest::default()
     }
 }
--- a/crates/http-frontend/tests/client_requests.rs
+++ b/crates/http-frontend/tests/client_requests.rs
@@ -23,7 +23,7 @@
         .map(|e| row(e.spec.number, e.address, EndpointState::Ready))
         .collect();
     let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
         "",
@@ -41,7 +41,7 @@
             });
             let drained = ordered.expect("a load was ordered");
             two[drained].draining.set(true);
-            publisher.change(drained, EndpointState::Draining, f64::NEG_INFINITY);
+            publisher.update_state(drained, EndpointState::Draining, f64::NEG_INFINITY);
             (drained, stage.now())
         };
         let (heard, (drained, told)) = futures_lite::future::zip(work, drain).await;
@@ -69,14 +69,14 @@
             let function = format!("f-{plain}");
             let leaves = ClientRequest {
                 function: function.clone(),
-                cancels_after: Some(0.15),
+                cancel_after: Some(0.15),
                 ..ask("leaves", ACT)
             };
             assert_eq!(caller.invoke(&leaves).await, ClientOutcome::Cancelled);
             stage.sleep(0.6).await;
             let next = ClientRequest {
                 function,
-                time_left: 0.4,
+                timeout: 0.4,
                 ..ask("next", ACT)
             };
             assert_eq!(status(&caller.invoke(&next).await), 200, "the copy stands");
@@ -285,7 +285,7 @@
     let heard = on(
         &stage,
         caller.invoke(&ClientRequest {
-            time_left: 0.5,
+            timeout: 0.5,
             ..ask("b", ACT)
         }),
     );
--- a/crates/http-frontend/tests/config_deregistration.rs
+++ b/crates/http-frontend/tests/config_deregistration.rs
@@ -122,7 +122,7 @@
             writer.reports().await.len() == 2
         })
         .await;
-        etcd.faults.stalled.set(stage.now() + 10.0);
+        etcd.faults.stalled.activate_until(stage.now() + 10.0);
         let ending = std::thread::spawn(move || end(silent));
         until(&stage, "the end", async || ending.is_finished()).await;
         let took = ending.join().unwrap();
--- a/crates/http-frontend/tests/config_faults.rs
+++ b/crates/http-frontend/tests/config_faults.rs
@@ -27,7 +27,7 @@
         })
         .await;
         let silent_from = stage.now();
-        etcd.faults.stalled.set(silent_from + 5.0);
+        etcd.faults.stalled.activate_until(silent_from + 5.0);
         until(&stage, "noticed", async || {
             front_end.configuration().await["connected"] == false
         })
@@ -105,7 +105,7 @@
         })
         .await;
         // It hears nothing while these are written and compacted.
-        etcd.faults.stalled.set(stage.now() + 4.0);
+        etcd.faults.stalled.activate_until(stage.now() + 4.0);
         until(&stage, "it is cut off", async || {
             front_end.configuration().await["connected"] == false
         })
--- a/crates/http-frontend/tests/dispatch_revalidation.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -44,7 +44,7 @@
         vec![row(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = narrow_gateway(&format!("publisher: \"{}\"", publisher.address));
     let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     on(&stage, async {
@@ -56,7 +56,7 @@
         );
         let drain = async {
             stage.sleep(WORK / 3.0).await;
-            publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+            publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
         };
         let (heard, ()) = futures_lite::future::zip(out, drain).await;
         let statuses: Vec<u16> = heard.iter().map(status).collect();
@@ -87,7 +87,7 @@
         let asked = ask("waits", ACT);
         let heard = all(&stage, &caller, vec![ask("goes", ACT), asked.clone()]).await;
         assert!(heard.iter().all(|heard| status(heard) == 200), "{heard:?}");
-        let (told, left) = (one.last_time_left.get(), asked.time_left - WORK);
+        let (told, left) = (one.last_time_left.get(), asked.timeout - WORK);
         assert!(
             told <= left + 0.15 && told > left / 2.0,
             "{told} s of {left}"
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -98,7 +98,7 @@
                 invocation: format!("{label}-{n}"),
                 function: format!("f{}", n % 5),
                 trigger_type: (0, "look".into()),
-                time_left: 3.0,
+                timeout: 3.0,
                 ..ClientRequest::default()
             };
             let heard = caller.invoke(&ask).await;
@@ -172,7 +172,7 @@
         w.until(at, heard(revision())).await;
         assert_eq!(w.ran(&caller, "withdrawn").await, [1]);
         // The store is away for longer than a lease: what is known is served on.
-        w.etcd.faults.stalled.set(w.stage.now() + 3.0);
+        w.etcd.faults.stalled.activate_until(w.stage.now() + 3.0);
         w.etcd.cut_off();
         w.stage.sleep(2.5).await;
         assert_eq!(w.ran(&caller, "away").await, [1]);
--- a/crates/http-frontend/tests/executor_connection_failures.rs
+++ b/crates/http-frontend/tests/executor_connection_failures.rs
@@ -95,7 +95,7 @@
         row(1, other.address, EndpointState::Gone),
     ];
     let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
         NO_LOAD_COMMANDS,
@@ -103,7 +103,7 @@
     let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
     let heard = on(&stage, async {
         assert_eq!(status(&caller.invoke(&ask("first", ACT)).await), 200);
-        publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
+        publisher.update_state(1, EndpointState::Ready, f64::NEG_INFINITY);
         let asks = (0..16).map(|n| ask(&format!("a{n}"), ACT)).collect();
         all(&stage, &caller, asks).await
     });
@@ -157,7 +157,7 @@
                 async move { caller.invoke(&ask("a", ACT)).await }
             });
             stage.sleep(0.4).await;
-            publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
+            publisher.update_state(1, EndpointState::Ready, f64::NEG_INFINITY);
             invoked.await
         });
         assert_eq!(status(&heard), expected, "code {code}: {heard:?}");
@@ -192,7 +192,7 @@
         let asks = (0..20)
             .map(|n| ClientRequest {
                 function: format!("g{n}"),
-                time_left: 1.5,
+                timeout: 1.5,
                 ..ask(&format!("b{n}"), LOOK)
             })
             .collect();
--- a/crates/http-frontend/tests/executor_replacement.rs
+++ b/crates/http-frontend/tests/executor_replacement.rs
@@ -18,7 +18,7 @@
         vec![row(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let soon_warm = "safety: { cold: \"50ms\", fall: \"10ms\" }";
     let gateway = gateway(description(
         &format!("publisher: \"{}\"", publisher.address),
@@ -36,10 +36,10 @@
             stage.sleep(0.003).await;
             one.crash();
             let loads_before = one.store.fetched.get();
-            publisher.change(0, EndpointState::Gone, f64::NEG_INFINITY);
+            publisher.update_state(0, EndpointState::Gone, f64::NEG_INFINITY);
             stage.sleep(0.3).await;
             one.restart().unwrap();
-            publisher.change(0, EndpointState::Ready, one.started_at());
+            publisher.update_state(0, EndpointState::Ready, one.started_at());
             stage.sleep(0.1).await;
             loads_before
         };
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -122,7 +122,7 @@
         invocation: name.into(),
         function: "f".into(),
         trigger_type: (trigger_type.0, trigger_type.1.into()),
-        time_left: 3.0,
+        timeout: 3.0,
         payload: Bytes::from_static(b"payload"),
         ..ClientRequest::default()
     }
--- a/crates/http-frontend/tests/publisher_loss.rs
+++ b/crates/http-frontend/tests/publisher_loss.rs
@@ -36,7 +36,7 @@
         .map(|n| row(n, executors[n].address, EndpointState::Ready))
         .collect();
     let publisher = Publisher::start(&stage, unused_address(), rows).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let path = FaultProxy::start(&stage, publisher.address).unwrap();
     let gateway = gateway(description(&format!("publisher: \"{}\"", path.address), ""));
     let caller = TestClient::new(&stage, 0, 0, gateway.at, false);
@@ -47,7 +47,7 @@
             "both serve"
         );
         path.freeze();
-        publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+        publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
         stage.sleep(FOUND_OUT_WITHIN).await;
         assert_eq!(
             invoke_some(&stage, &caller, "after").await,
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -115,7 +115,7 @@
         again(&w).await;
         assert!(!w.broker.sends_malformed.get());
         // Longer than half of the keep alive without an answer to a ping.
-        w.broker.stalled.set(w.stage.now() + 2.5);
+        w.broker.stalled.activate_until(w.stage.now() + 2.5);
         again(&w).await;
         w.broker.restart(0.2, false).await.unwrap();
         w.stage.sleep(1.0).await;
@@ -203,7 +203,7 @@
             invocation: name.into(),
             function: "mist".into(),
             trigger_type: (0, "act".into()),
-            time_left: 4.0,
+            timeout: 4.0,
             payload: payload.into(),
             ..ClientRequest::default()
         };
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -225,8 +225,7 @@
         }
     }
 
-    /// Sends the next queued message, unless it has expired, over a connection. Returns whether a message was taken from a
-    /// queue.
+    /// Sends the next queued message, unless it has expired, over a connection. Returns whether a message was dequeued.
     fn deliver_one(&mut self, now: f64, number: u64, actions: &mut Vec<Action>) -> bool {
         let Some(connection) = self.connections.get(&number) else {
             return false;
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -134,7 +134,7 @@
 
     fn close(&self, number: u64) {
         if let Some(writer) = self.writers.borrow_mut().remove(&number) {
-            // A full queue belongs to a client that doesn't read. Its connection ends when the writer's queue has closed.
+            // The queue is full if the client doesn't read. Its connection then ends once the queue is written.
             let _ = writer.try_send(None);
         }
         let actions =
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -25,15 +25,15 @@
     /// The customer; empty for none.
     pub customer: String,
     /// The idempotency key; empty for none.
-    pub token: String,
+    pub idempotency_key: String,
     /// What the client has left, in seconds.
-    pub time_left: f64,
+    pub timeout: f64,
     /// Whether the client sends it again after an earlier answer.
     pub is_retry: bool,
     /// The body.
     pub payload: Bytes,
     /// It goes away after so long, answer or not.
-    pub cancels_after: Option<f64>,
+    pub cancel_after: Option<f64>,
 }
 
 /// What came of an invocation at its client.
@@ -62,7 +62,7 @@
 
 /// A client's way to one front end.
 pub struct TestClient {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     /// The client's number in records.
     pub number: u32,
     /// The index of the front end.
@@ -71,7 +71,7 @@
     pub address: SocketAddr,
     /// Over HTTP/1.1, on a connection for each invocation; else all share one of HTTP/2.
     pub uses_http1: bool,
-    shared: RefCell<Option<SendRequest<Bytes>>>,
+    http2_sender: RefCell<Option<SendRequest<Bytes>>>,
 }
 
 /// The meaning of a failure in the middle of a body: a response of known length was lost with its connection.
@@ -91,49 +91,51 @@
 impl TestClient {
     /// A client without a connection yet. `plain` is for HTTP/1.1.
     pub fn new(
-        stage: &TestEnvironment,
+        environment: &TestEnvironment,
         number: u32,
         front_end: u32,
-        at: SocketAddr,
-        plain: bool,
+        address: SocketAddr,
+        uses_http1: bool,
     ) -> Rc<TestClient> {
         Rc::new(TestClient {
-            stage: stage.clone(),
+            environment: environment.clone(),
             number,
             front_end,
-            address: at,
-            uses_http1: plain,
-            shared: RefCell::default(),
+            address,
+            uses_http1,
+            http2_sender: RefCell::default(),
         })
     }
 
     /// Offers an invocation and notes what comes of it.
-    pub async fn invoke(&self, ask: &ClientRequest) -> ClientOutcome {
-        let at = self.stage.now();
-        let until = at + ask.time_left;
-        let invocation = ask.invocation.clone();
-        self.stage.record(TrafficRecord::InvocationSent {
+    pub async fn invoke(&self, client_request: &ClientRequest) -> ClientOutcome {
+        let at = self.environment.now();
+        let deadline = at + client_request.timeout;
+        let invocation = client_request.invocation.clone();
+        self.environment.record(TrafficRecord::InvocationSent {
             at,
             client: self.number,
             invocation: invocation.clone(),
             front_end: self.front_end,
-            trigger_type: ask.trigger_type.0,
-            timeout_at: until,
+            trigger_type: client_request.trigger_type.0,
+            timeout_at: deadline,
         });
-        let gave_up = async {
-            self.stage.sleep(until - self.stage.now()).await;
+        let timed_out = async {
+            self.environment
+                .sleep(deadline - self.environment.now())
+                .await;
             ClientOutcome::TimedOut
         };
-        let left = async {
-            match ask.cancels_after {
-                Some(time) => self.stage.sleep(time).await,
+        let cancelled = async {
+            match client_request.cancel_after {
+                Some(time) => self.environment.sleep(time).await,
                 None => future::pending().await,
             }
             ClientOutcome::Cancelled
         };
         let sent = async {
-            match self.send(ask).await {
-                Ok((parts, body)) => received(&parts, body),
+            match self.send(client_request).await {
+                Ok((parts, body)) => outcome_of_response(&parts, body),
                 Err(ExchangeError::StreamBrokenOff) => ClientOutcome::Answered {
                     answer: FinalAnswer::Failed,
                     status: 200,
@@ -144,9 +146,9 @@
                 Err(_) => ClientOutcome::ConnectionLost,
             }
         };
-        let received = future::or(sent, future::or(left, gave_up)).await;
-        let at = self.stage.now();
-        self.stage.record(match &received {
+        let outcome = future::or(sent, future::or(cancelled, timed_out)).await;
+        let at = self.environment.now();
+        self.environment.record(match &outcome {
             ClientOutcome::Answered { answer, .. } => TrafficRecord::AnswerReceived {
                 at,
                 invocation,
@@ -156,46 +158,55 @@
             ClientOutcome::TimedOut => TrafficRecord::ClientTimedOut { at, invocation },
             ClientOutcome::Cancelled => TrafficRecord::ClientCancelled { at, invocation },
         });
-        received
+        outcome
     }
 
-    fn request(&self, ask: &ClientRequest, place: &str) -> http::Result<http::Request<()>> {
-        let mut request =
-            http::Request::post(format!("{place}/v1/functions/{}/invocations", ask.function))
-                .header("orchidtally-trigger-type", &ask.trigger_type.1)
-                .header("orchidtally-invocation", &ask.invocation)
-                .header(
-                    "orchidtally-time-left",
-                    ((ask.time_left * 1e3) as u64).to_string(),
-                );
-        if !ask.token.is_empty() {
-            request = request.header("idempotency-key", &ask.token);
+    fn request(
+        &self,
+        client_request: &ClientRequest,
+        origin: &str,
+    ) -> http::Result<http::Request<()>> {
+        let mut request = http::Request::post(format!(
+            "{origin}/v1/functions/{}/invocations",
+            client_request.function
+        ))
+        .header("orchidtally-trigger-type", &client_request.trigger_type.1)
+        .header("orchidtally-invocation", &client_request.invocation)
+        .header(
+            "orchidtally-time-left",
+            ((client_request.timeout * 1e3) as u64).to_string(),
+        );
+        if !client_request.idempotency_key.is_empty() {
+            request = request.header("idempotency-key", &client_request.idempotency_key);
         }
-        if !ask.customer.is_empty() {
-            request = request.header("orchidtally-customer", &ask.customer);
+        if !client_request.customer.is_empty() {
+            request = request.header("orchidtally-customer", &client_request.customer);
         }
-        if ask.is_retry {
+        if client_request.is_retry {
             request = request.header("orchidtally-repeat", "1");
         }
         request.body(())
     }
 
-    async fn send(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send(&self, client_request: &ClientRequest) -> Result<RawResponse, ExchangeError> {
         if self.uses_http1 {
-            self.send_over_http1(ask).await
+            self.send_over_http1(client_request).await
         } else {
-            self.send_over_http2(ask).await
+            self.send_over_http2(client_request).await
         }
     }
 
-    async fn send_over_http1(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send_over_http1(
+        &self,
+        client_request: &ClientRequest,
+    ) -> Result<RawResponse, ExchangeError> {
         let stream = orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
-        let driver = self.stage.spawn(driver);
+        let driver = self.environment.spawn(driver);
         let mut request = self
-            .request(ask, "")?
-            .map(|()| Full::new(ask.payload.clone()));
+            .request(client_request, "")?
+            .map(|()| Full::new(client_request.payload.clone()));
         let host = http::HeaderValue::from_str(&self.address.to_string())?;
         request.headers_mut().insert(http::header::HOST, host);
         let (parts, body) = sender.send_request(request).await?.into_parts();
@@ -209,35 +220,39 @@
     }
 
     async fn connect(&self) -> Result<SendRequest<Bytes>, ExchangeError> {
-        if let Some(shared) = self.shared.borrow().clone() {
-            return Ok(shared);
+        if let Some(sender) = self.http2_sender.borrow().clone() {
+            return Ok(sender);
         }
         let stream: Stream =
             orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (sender, driver) = h2::client::handshake(stream).await?;
-        self.stage
+        self.environment
             .spawn(async move {
                 // How it ended is heard by those whose streams it carried.
                 let _ = driver.await;
             })
             .detach();
-        *self.shared.borrow_mut() = Some(sender.clone());
+        *self.http2_sender.borrow_mut() = Some(sender.clone());
         Ok(sender)
     }
 
-    async fn send_over_http2(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send_over_http2(
+        &self,
+        client_request: &ClientRequest,
+    ) -> Result<RawResponse, ExchangeError> {
         let mut sender = match self.connect().await?.ready().await {
             Ok(sender) => sender,
             Err(_) => {
                 // The connection had ended before: a new one.
-                self.shared.borrow_mut().take();
+                self.http2_sender.borrow_mut().take();
                 self.connect().await?.ready().await?
             }
         };
-        let request = self.request(ask, &format!("http://{}", self.address))?;
-        let (response, mut out) = sender.send_request(request, ask.payload.is_empty())?;
-        if !ask.payload.is_empty() {
-            out.send_data(ask.payload.clone(), true)?;
+        let request = self.request(client_request, &format!("http://{}", self.address))?;
+        let (response, mut out) =
+            sender.send_request(request, client_request.payload.is_empty())?;
+        if !client_request.payload.is_empty() {
+            out.send_data(client_request.payload.clone(), true)?;
         }
         let (parts, mut body) = response.await?.into_parts();
         let mut complete = vec![];
@@ -250,14 +265,17 @@
     }
 }
 
-fn received(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
+fn outcome_of_response(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
-    let stay_away = parts
+    let retry_after = parts
         .headers
         .get("orchidtally-stay-away")
         .and_then(|v| v.to_str().ok());
-    let stay_away = stay_away.and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0) / 1e3;
+    let retry_after = retry_after
+        .and_then(|v| v.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1e3;
     let answer = match status {
         200 => FinalAnswer::Succeeded,
         429 | 503 => FinalAnswer::Rejected,
@@ -268,7 +286,7 @@
         answer,
         status,
         body,
-        retry_after: stay_away,
+        retry_after,
         may_have_run,
     }
 }
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -27,8 +27,8 @@
         incarnations.len() > 1
     }
 
-    /// Runs a dispatch and returns its answer. The dispatch counts as pending until `DispatchResponse::pending_dispatch`
-    /// is ended or dropped.
+    /// Runs a dispatch and returns its answer. The dispatch counts as pending until
+    /// `DispatchResponse::pending_dispatch` is ended or dropped.
     pub(super) async fn dispatch(
         self: Rc<Self>,
         dispatch: v1::Dispatch,
@@ -219,12 +219,12 @@
     fn run_time(&self, program: &Program) -> f64 {
         let runs_per_core = (self.running.get() as f64 / self.spec.cores as f64).max(1.0);
         let (slow_chance, slow_factor) = program.slow_runs;
-        let slow = if self.environment.unit() < slow_chance {
+        let slow = if self.environment.random_unit() < slow_chance {
             slow_factor
         } else {
             1.0
         };
-        program.cpu_time * (0.7 + 0.6 * self.environment.unit()) * runs_per_core * slow
+        program.cpu_time * (0.7 + 0.6 * self.environment.random_unit()) * runs_per_core * slow
             / self.slow_start_factor()
     }
 
@@ -234,7 +234,7 @@
             .failing_trigger_type
             .as_ref()
             .is_none_or(|failing| failing == trigger_type);
-        may_fail && self.environment.unit() < program.failure_probability
+        may_fail && self.environment.random_unit() < program.failure_probability
     }
 }
 
--- a/crates/test-servers/src/executor/mod.rs
+++ b/crates/test-servers/src/executor/mod.rs
@@ -221,7 +221,7 @@
             .or(backlogs.front())
             .copied();
         let (_, waiting, memory) = report.unwrap_or_default();
-        let noise = 1.0 + self.spec.report_noise * (2.0 * self.environment.unit() - 1.0);
+        let noise = 1.0 + self.spec.report_noise * (2.0 * self.environment.random_unit() - 1.0);
         let value = |field: &String| match field.as_str() {
             "backlog" => waiting * noise as f32,
             "memory" => memory,
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -34,7 +34,7 @@
     /// The tasks of the thread.
     pub tasks: Rc<LocalExecutor<'static>>,
     started: Instant,
-    started_wall: f64,
+    started_unix_time: f64,
     records: Rc<RefCell<Vec<TrafficRecord>>>,
     random: Rc<RefCell<SmallRng>>,
 }
@@ -45,7 +45,7 @@
         TestEnvironment {
             tasks: Rc::new(LocalExecutor::new()),
             started: Instant::now(),
-            started_wall: SystemTime::now()
+            started_unix_time: SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .map_or(0.0, |d| d.as_secs_f64()),
             records: Rc::default(),
@@ -59,9 +59,9 @@
     }
 
     /// A moment of the environment's clock in seconds since 1970, as endpoint lists have it.
-    pub fn wall(&self, at: f64) -> f64 {
+    pub fn unix_time(&self, at: f64) -> f64 {
         if at.is_finite() {
-            self.started_wall + at
+            self.started_unix_time + at
         } else {
             0.0
         }
@@ -78,7 +78,7 @@
     }
 
     /// A number from 0 up to, but not including, 1.
-    pub fn unit(&self) -> f64 {
+    pub fn random_unit(&self) -> f64 {
         self.random.borrow_mut().random()
     }
 
@@ -132,7 +132,7 @@
 
 impl TimedFault {
     /// Switches on until this moment, in seconds of the environment's clock; an earlier one changes nothing.
-    pub fn set(&self, at: f64) {
+    pub fn activate_until(&self, at: f64) {
         self.0.set(self.0.get().max(at));
     }
 
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -179,7 +179,7 @@
     /// From here on it reads nothing and takes no connection, as a machine that has vanished.
     pub fn go_silent(&self, time: f64) {
         let at = self.stage.now();
-        self.faults.silent.set(at + time);
+        self.faults.silent.activate_until(at + time);
         self.stage.record(TrafficRecord::ReadsPaused {
             at,
             executor: self.number,
@@ -312,7 +312,7 @@
             .faults
             .response_fault
             .get()
-            .filter(|s| self.stage.unit() < s.1)
+            .filter(|s| self.stage.random_unit() < s.1)
             .map(|s| s.0);
         if spoil == Some(ResponseFault::ResetUnread) {
             return way.cut();
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -123,7 +123,7 @@
     /// Answers nothing for a time. Whatever it would have told counts as told at the latest `counts_after` after that
     /// began.
     pub fn stop_answering(self: &Rc<Self>, time: f64, counts_after: f64, front_ends: u32) {
-        self.outage.set(self.stage.now() + time);
+        self.outage.activate_until(self.stage.now() + time);
         let me = self.clone();
         let counting = async move {
             me.stage.sleep(counts_after).await;
@@ -167,7 +167,7 @@
     }
 
     fn started(&self, executor: &Executor) -> u64 {
-        (self.stage.wall(executor.started_at.get()) * 1e3) as u64
+        (self.stage.unix_time(executor.started_at.get()) * 1e3) as u64
     }
 
     /// The list as a front end's configuration has it at its start.
@@ -287,7 +287,7 @@
                 let fault = me
                     .answer_fault
                     .get()
-                    .filter(|o| me.stage.unit() < o.1)
+                    .filter(|o| me.stage.random_unit() < o.1)
                     .map(|o| o.0);
                 let id = u16::from_be_bytes([query[0], query[1]]);
                 let closed = me.only_address.get().is_some_and(|only| only != at);
@@ -320,7 +320,7 @@
                 }
                 let (me, socket) = (me.clone(), socket.clone());
                 let late = match fault {
-                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.stage.unit(),
+                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.stage.random_unit(),
                     Some(AnswerFault::DelayedBy(ms)) => f64::from(ms) / 1e3,
                     _ => 0.0,
                 };
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -33,119 +33,125 @@
 }
 
 /// Changes that wait for one front end at the most; past that it is cut off and asks again.
-const MOST_WAITING: usize = 1_024;
+const MAX_QUEUED_CHANGES: usize = 1_024;
 
 /// The publisher of the list, on a socket.
 pub struct Publisher {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     /// Where it listens.
     pub address: SocketAddr,
-    rows: RefCell<Vec<PublishedEndpoint>>,
+    endpoints: RefCell<Vec<PublishedEndpoint>>,
     revision: Cell<u64>,
     watchers: RefCell<Vec<Sender<(f64, PublishedEndpoint)>>>,
     /// How late changes are told, at the most.
-    pub delay: Cell<f64>,
+    pub max_delay: Cell<f64>,
     /// Changes are kept back until then, and new watchers get what stood before.
     pub stale: TimedFault,
     /// Where it is stale: the list as it stood.
-    held_back: RefCell<Option<Vec<PublishedEndpoint>>>,
-    cut: RefCell<(Sender<()>, Receiver<()>)>,
+    stale_endpoints: RefCell<Option<Vec<PublishedEndpoint>>>,
+    disconnect: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
 impl Publisher {
     /// Starts one; port 0 takes any free one.
     pub fn start(
-        stage: &TestEnvironment,
-        at: SocketAddr,
-        rows: Vec<PublishedEndpoint>,
+        environment: &TestEnvironment,
+        address: SocketAddr,
+        endpoints: Vec<PublishedEndpoint>,
     ) -> std::io::Result<Rc<Publisher>> {
-        let listener = orchidtally_socket_io::listen(at)?;
+        let listener = orchidtally_socket_io::listen(address)?;
         let publisher = Rc::new(Publisher {
-            stage: stage.clone(),
+            environment: environment.clone(),
             address: listener.get_ref().local_addr()?,
-            rows: RefCell::new(rows),
+            endpoints: RefCell::new(endpoints),
             revision: Cell::new(1),
             watchers: RefCell::default(),
-            delay: Cell::new(0.1),
+            max_delay: Cell::new(0.1),
             stale: TimedFault::default(),
-            held_back: RefCell::default(),
-            cut: RefCell::new(async_channel::bounded(1)),
+            stale_endpoints: RefCell::default(),
+            disconnect: RefCell::new(async_channel::bounded(1)),
         });
-        let me = publisher.clone();
+        let server = publisher.clone();
         let accept = async move {
             loop {
                 let stream = orchidtally_socket_io::accept(&listener).await;
-                me.stage.spawn(me.clone().connection(stream)).detach();
+                server
+                    .environment
+                    .spawn(server.clone().connection(stream))
+                    .detach();
             }
         };
-        stage.spawn(accept).detach();
+        environment.spawn(accept).detach();
         Ok(publisher)
     }
 
     /// Enters a change and tells it, later by chance within the delay.
-    pub fn change(&self, executor: usize, state: EndpointState, since: f64) {
-        if self.stale.is_active(self.stage.now()) && self.held_back.borrow().is_none() {
-            *self.held_back.borrow_mut() = Some(self.rows.borrow().clone());
+    pub fn update_state(&self, executor: usize, state: EndpointState, since: f64) {
+        if self.stale.is_active(self.environment.now()) && self.stale_endpoints.borrow().is_none() {
+            *self.stale_endpoints.borrow_mut() = Some(self.endpoints.borrow().clone());
         }
-        let row = {
-            let mut rows = self.rows.borrow_mut();
-            let Some(row) = rows.iter_mut().find(|r| r.executor == executor) else {
+        let endpoint = {
+            let mut endpoints = self.endpoints.borrow_mut();
+            let Some(endpoint) = endpoints
+                .iter_mut()
+                .find(|endpoint| endpoint.executor == executor)
+            else {
                 return;
             };
-            row.state = state;
-            row.started_at = row.started_at.max(since);
-            row.clone()
+            endpoint.state = state;
+            endpoint.started_at = endpoint.started_at.max(since);
+            endpoint.clone()
         };
         self.revision.set(self.revision.get() + 1);
-        let now = self.stage.now();
+        let now = self.environment.now();
         self.watchers.borrow_mut().retain(|w| {
-            let late = self.delay.get() * self.stage.unit();
-            w.try_send((now.max(self.stale.ends_at()) + late, row.clone()))
+            let delay = self.max_delay.get() * self.environment.random_unit();
+            w.try_send((now.max(self.stale.ends_at()) + delay, endpoint.clone()))
                 .is_ok()
         });
     }
 
     /// Breaks all connections off.
     pub fn disconnect_all(&self) {
-        *self.cut.borrow_mut() = async_channel::bounded(1);
+        *self.disconnect.borrow_mut() = async_channel::bounded(1);
         self.watchers.borrow_mut().clear();
     }
 
     /// Keeps all changes back until then.
-    pub fn hold_back_until(&self, until: f64) {
-        self.stale.set(until);
+    pub fn delay_changes_until(&self, until: f64) {
+        self.stale.activate_until(until);
     }
 
-    fn wire(&self, row: &PublishedEndpoint) -> v1::RosterRow {
-        let state = match row.state {
+    fn to_wire(&self, endpoint: &PublishedEndpoint) -> v1::RosterRow {
+        let state = match endpoint.state {
             EndpointState::Ready => v1::Standing::Ready,
             EndpointState::Draining => v1::Standing::Draining,
             EndpointState::Gone => v1::Standing::Gone,
         };
         v1::RosterRow {
-            address: row.address.to_string(),
-            location: row.location.clone(),
-            kind: row.kind.clone(),
-            cell: row.cell,
+            address: endpoint.address.to_string(),
+            location: endpoint.location.clone(),
+            kind: endpoint.kind.clone(),
+            cell: endpoint.cell,
             standing: state.into(),
-            weight: row.weight,
-            since: self.stage.wall(row.started_at),
+            weight: endpoint.weight,
+            since: self.environment.unix_time(endpoint.started_at),
         }
     }
 
-    fn notified(&self, to: v1::Sender, row: &PublishedEndpoint) {
-        self.stage.record(TrafficRecord::EndpointNotified {
-            at: self.stage.now(),
+    fn record_notification(&self, to: v1::Sender, endpoint: &PublishedEndpoint) {
+        self.environment.record(TrafficRecord::EndpointNotified {
+            at: self.environment.now(),
             front_end: to.index,
             incarnation: to.incarnation,
-            executor: row.executor,
-            state: row.state,
-            started_at: row.started_at,
+            executor: endpoint.executor,
+            state: endpoint.state,
+            started_at: endpoint.started_at,
         });
     }
 
     async fn connection(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
-        let cut = self.cut.borrow().1.clone();
+        let disconnect = self.disconnect.borrow().1.clone();
         let serve = async {
             let Ok(mut connection) = h2::server::handshake(stream).await else {
                 return;
@@ -158,11 +164,11 @@
             };
             streams.run(accept).await;
         };
-        let cut = async {
+        let disconnect = async {
             // Closed when the connections are cut off.
-            let _ = cut.recv().await;
+            let _ = disconnect.recv().await;
         };
-        future::or(serve, cut).await;
+        future::or(serve, disconnect).await;
     }
 
     async fn watch(
@@ -186,12 +192,12 @@
             }
         };
         let to = watch.from.unwrap_or_default();
-        let (tell, changes) = async_channel::bounded(MOST_WAITING);
-        self.watchers.borrow_mut().push(tell);
-        let stale = self.stale.is_active(self.stage.now());
-        let rows = match self.held_back.borrow().as_ref().filter(|_| stale) {
-            Some(held_back) => held_back.clone(),
-            None => self.rows.borrow().clone(),
+        let (sender, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
+        self.watchers.borrow_mut().push(sender);
+        let stale = self.stale.is_active(self.environment.now());
+        let endpoints = match self.stale_endpoints.borrow().as_ref().filter(|_| stale) {
+            Some(stale_endpoints) => stale_endpoints.clone(),
+            None => self.endpoints.borrow().clone(),
         };
         let Ok(mut out) = respond.send_response(http::Response::new(()), false) else {
             return;
@@ -203,12 +209,14 @@
                 rows,
             })
         };
-        rows.iter().for_each(|row| self.notified(to, row));
+        endpoints
+            .iter()
+            .for_each(|endpoint| self.record_notification(to, endpoint));
         // What is gone is left out of a full list.
-        let listed = rows
+        let listed = endpoints
             .iter()
-            .filter(|r| r.state != EndpointState::Gone)
-            .map(|r| self.wire(r))
+            .filter(|endpoint| endpoint.state != EndpointState::Gone)
+            .map(|endpoint| self.to_wire(endpoint))
             .collect();
         if out
             .send_data(update(v1::RosterKind::FullList, listed), false)
@@ -216,11 +224,14 @@
         {
             return;
         }
-        while let Ok((at, row)) = changes.recv().await {
-            self.stage.sleep(at - self.stage.now()).await;
-            self.notified(to, &row);
+        while let Ok((at, endpoint)) = changes.recv().await {
+            self.environment.sleep(at - self.environment.now()).await;
+            self.record_notification(to, &endpoint);
             if out
-                .send_data(update(v1::RosterKind::Delta, vec![self.wire(&row)]), false)
+                .send_data(
+                    update(v1::RosterKind::Delta, vec![self.to_wire(&endpoint)]),
+                    false,
+                )
                 .is_err()
             {
                 return;
