--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: they offer invocations to front ends over HTTP/2 or HTTP/1.1, wait as long as they said, and note
-//! what they hear.
+//! Clients that send invocations to front ends over HTTP/2 or HTTP/1.1, wait for the answer until their timeout, and
+//! record the outcome.
 
 use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
@@ -13,54 +13,54 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One invocation as a client offers it.
+/// An invocation as a client sends it.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
     /// The id of the invocation.
     pub invocation: String,
     /// The name of the function.
     pub function: String,
-    /// Its place among the deployment's, and its name.
+    /// The index of the trigger type in the deployment's list, and its name.
     pub trigger_type: (usize, String),
     /// The customer; empty for none.
     pub customer: String,
     /// The idempotency key; empty for none.
     pub idempotency_key: String,
-    /// What the client has left, in seconds.
+    /// The client timeout, in seconds.
     pub timeout: f64,
-    /// Whether the client sends it again after an earlier answer.
+    /// Whether the client repeats an invocation that it has sent before.
     pub is_retry: bool,
-    /// The body.
+    /// The body of the request.
     pub payload: Bytes,
-    /// It goes away after so long, answer or not.
+    /// Seconds after which the client cancels the invocation if there is no answer yet; `None` to never cancel.
     pub cancel_after: Option<f64>,
 }
 
-/// What came of an invocation at its client.
+/// The outcome of an invocation at its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
     /// The front end answered.
     Answered {
-        /// What the status means.
+        /// The meaning of the status.
         answer: FinalAnswer,
         /// The HTTP status.
         status: u16,
         /// The body of the response.
         body: Bytes,
-        /// How long the client should stay away, in seconds; 0 where the response does not say.
+        /// How long the client should wait before it retries, in seconds; 0 if the response does not say.
         retry_after: f64,
         /// Whether the response says that the function may have run.
         may_have_run: bool,
     },
-    /// The connection broke, or none came about.
+    /// The connection failed, or could not be opened.
     ConnectionLost,
-    /// There was no answer within the client's time.
+    /// There was no answer within the client timeout.
     TimedOut,
-    /// The client left before an answer.
+    /// The client cancelled the invocation before an answer.
     Cancelled,
 }
 
-/// A client's way to one front end.
+/// A client of one front end.
 pub struct TestClient {
     environment: TestEnvironment,
     /// The client's number in records.
@@ -69,12 +69,13 @@
     pub front_end: u32,
     /// The address of the front end.
     pub address: SocketAddr,
-    /// Over HTTP/1.1, on a connection for each invocation; else all share one of HTTP/2.
+    /// Whether each invocation has a connection of its own over HTTP/1.1. Otherwise all share one HTTP/2 connection.
     pub uses_http1: bool,
     http2_sender: RefCell<Option<SendRequest<Bytes>>>,
 }
 
-/// The meaning of a failure in the middle of a body: a response of known length was lost with its connection.
+/// Classifies a failure in the middle of a body. Where the response has a known length, or no success status, its
+/// connection was lost; otherwise the front end ended a streamed response early.
 fn body_failure(parts: &http::response::Parts, fault: impl Into<ExchangeError>) -> ExchangeError {
     let is_streamed = parts.status == http::StatusCode::OK
         && !parts.headers.contains_key(http::header::CONTENT_LENGTH);
@@ -89,7 +90,7 @@
 type RawResponse = (http::response::Parts, Bytes);
 
 impl TestClient {
-    /// A client without a connection yet. `plain` is for HTTP/1.1.
+    /// Creates a client, which connects at its first invocation. `number` is its number in records.
     pub fn new(
         environment: &TestEnvironment,
         number: u32,
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Offers an invocation and notes what comes of it.
+    /// Sends an invocation, waits for its outcome and records it.
     pub async fn invoke(&self, client_request: &ClientRequest) -> ClientOutcome {
         let at = self.environment.now();
         let deadline = at + client_request.timeout;
@@ -228,7 +229,7 @@
         let (sender, driver) = h2::client::handshake(stream).await?;
         self.environment
             .spawn(async move {
-                // How it ended is heard by those whose streams it carried.
+                // An error of the connection also fails its streams, which report it.
                 let _ = driver.await;
             })
             .detach();
@@ -243,7 +244,7 @@
         let mut sender = match self.connect().await?.ready().await {
             Ok(sender) => sender,
             Err(_) => {
-                // The connection had ended before: a new one.
+                // The shared connection has ended, so a new one is opened.
                 self.http2_sender.borrow_mut().take();
                 self.connect().await?.ready().await?
             }
@@ -265,6 +266,7 @@
     }
 }
 
+/// The outcome that a complete response stands for.
 fn outcome_of_response(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,5 +1,6 @@
 //! Test servers for the gateway: executors that load functions from a shared store, the publisher of the endpoint
-//! list, etcd, brokers, and clients. All of them run on one thread, share one clock and append to one list of records.
+//! list, etcd, MQTT brokers, and clients. All of them run on one thread, share a clock and append to one list of
+//! records.
 
 pub mod baseline;
 pub mod broker;
@@ -28,10 +29,10 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What all test servers of a rehearsal share: the thread's tasks, the clock, random numbers and the records.
+/// The state that all test servers of a rehearsal share: tasks, clock, random numbers and records.
 #[derive(Clone)]
 pub struct TestEnvironment {
-    /// The tasks of the thread.
+    /// The executor of the thread's tasks.
     pub tasks: Rc<LocalExecutor<'static>>,
     started: Instant,
     started_unix_time: f64,
@@ -40,7 +41,7 @@
 }
 
 impl TestEnvironment {
-    /// An environment whose clock starts now and whose random numbers follow the seed.
+    /// Creates an environment whose clock starts now and whose random numbers are seeded.
     pub fn new(seed: u64) -> TestEnvironment {
         TestEnvironment {
             tasks: Rc::new(LocalExecutor::new()),
@@ -58,7 +59,8 @@
         self.started.elapsed().as_secs_f64()
     }
 
-    /// A moment of the environment's clock in seconds since 1970, as endpoint lists have it.
+    /// Converts a time of the environment's clock to seconds since 1970, as endpoint lists state it. Returns 0 for an
+    /// infinite time.
     pub fn unix_time(&self, at: f64) -> f64 {
         if at.is_finite() {
             self.started_unix_time + at
@@ -77,7 +79,7 @@
         self.records.borrow().clone()
     }
 
-    /// A number from 0 up to, but not including, 1.
+    /// A random number from 0 up to, but not including, 1.
     pub fn random_unit(&self) -> f64 {
         self.random.borrow_mut().random()
     }
@@ -90,7 +92,7 @@
         self.tasks.spawn(work)
     }
 
-    /// Waits for some seconds, at most a day; not at all where the time is not positive.
+    /// Waits for `time` seconds, at most a day. Returns at once if `time` is not positive.
     pub async fn sleep(&self, time: f64) {
         if time > 0.0 {
             Timer::after(Duration::from_secs_f64(time.min(86_400.0))).await;
@@ -98,13 +100,14 @@
     }
 }
 
-/// Any free port of a loopback address that this process alone uses. On the address that all share, a port
-/// given up in a crash may be another rehearsal's, or the near end of anybody's connection, by the time of
-/// the restart.
+/// Port 0 on a loopback address that only this process uses, to listen at any free port.
+///
+/// On 127.0.0.1, which all processes share, the port of a crashed server may be taken before the server restarts: by
+/// another rehearsal's server, or as the local port of any connection.
 pub fn unused_address() -> SocketAddr {
     let [_, a, b, c] = std::process::id().to_be_bytes();
     let own = SocketAddr::from((Ipv4Addr::new(127, 1 | a, b, c), 0));
-    // Some systems have the one loopback address only.
+    // Some systems configure only 127.0.0.1 on the loopback interface.
     if TcpListener::bind(own).is_ok() {
         own
     } else {
@@ -112,8 +115,12 @@
     }
 }
 
-/// A port of that address for another process to listen at later: outside of the range from which systems give free
-/// ports, so that nothing that is started meanwhile gets it.
+/// Reserves a port on the address of [`unused_address`] at which another process can listen later. It is outside of the
+/// range of ephemeral ports, so that the system doesn't assign it to anything that starts meanwhile.
+///
+/// # Errors
+///
+/// Fails if a port can't be bound, or if none below 32000 is left.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU16 = AtomicU16::new(20_000);
     let mut at = unused_address();
@@ -126,22 +133,22 @@
     }
 }
 
-/// A switch that is on until a moment.
+/// A fault that is active until a set time.
 #[derive(Default)]
 pub struct TimedFault(Cell<f64>);
 
 impl TimedFault {
-    /// Switches on until this moment, in seconds of the environment's clock; an earlier one changes nothing.
+    /// Activates the fault until `at`, in seconds of the environment's clock. Never shortens it.
     pub fn activate_until(&self, at: f64) {
         self.0.set(self.0.get().max(at));
     }
 
-    /// Whether it is on at this moment.
+    /// Whether it is active at `now`.
     pub fn is_active(&self, now: f64) -> bool {
         now < self.0.get()
     }
 
-    /// The moment at which it switches off, in seconds of the environment's clock.
+    /// When it ends, in seconds of the environment's clock.
     pub fn ends_at(&self) -> f64 {
         self.0.get()
     }
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -1,5 +1,5 @@
-//! The publisher of the roster: full lists and deltas, as late as the script wants them, and a record of what
-//! it told whom.
+//! The publisher of the endpoint list. It sends full lists and deltas, delayed as the script asks, and records which
+//! front end was sent what.
 
 use crate::{TestEnvironment, TimedFault};
 use async_channel::{Receiver, Sender};
@@ -16,44 +16,47 @@
 pub struct PublishedEndpoint {
     /// The executor's number.
     pub executor: usize,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// The name of its location.
     pub location: String,
     /// The kind of machine.
     pub kind: String,
-    /// The cell within which executors share the tokens they have seen.
+    /// The cell, whose executors deduplicate by idempotency key together.
     pub cell: u32,
-    /// Its weight for the front ends' choice.
+    /// Its weight in the front ends' selection.
     pub weight: f64,
     /// Its state.
     pub state: EndpointState,
-    /// On the stage's clock.
+    /// When it last started, in seconds of the environment's clock.
     pub started_at: f64,
 }
 
-/// Changes that wait for one front end at the most; past that it is cut off and asks again.
+/// The largest number of changes queued for a front end. Past that the stream ends, and the front end requests a full
+/// list again.
 const MAX_QUEUED_CHANGES: usize = 1_024;
 
-/// The publisher of the list, on a socket.
+/// A publisher of the endpoint list that listens on a socket.
 pub struct Publisher {
     environment: TestEnvironment,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     endpoints: RefCell<Vec<PublishedEndpoint>>,
     revision: Cell<u64>,
     watchers: RefCell<Vec<Sender<(f64, PublishedEndpoint)>>>,
-    /// How late changes are told, at the most.
+    /// The largest delay of a change, in seconds; each change to each front end has a random one up to it.
     pub max_delay: Cell<f64>,
-    /// Changes are kept back until then, and new watchers get what stood before.
+    /// While active, changes are delayed until its end, and new watchers get the list as it was before the first
+    /// delayed change.
     pub stale: TimedFault,
-    /// Where it is stale: the list as it stood.
+    /// The list before the first change that was delayed by `stale`.
     stale_endpoints: RefCell<Option<Vec<PublishedEndpoint>>>,
+    /// Closed to disconnect all front ends, and then replaced.
     disconnect: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
 impl Publisher {
-    /// Starts one; port 0 takes any free one.
+    /// Starts a publisher. Port 0 selects a free port.
     pub fn start(
         environment: &TestEnvironment,
         address: SocketAddr,
@@ -85,7 +88,8 @@
         Ok(publisher)
     }
 
-    /// Enters a change and tells it, later by chance within the delay.
+    /// Changes an executor's state and start time, and sends the change to each front end after a random delay of up to
+    /// `max_delay`.
     pub fn update_state(&self, executor: usize, state: EndpointState, since: f64) {
         if self.stale.is_active(self.environment.now()) && self.stale_endpoints.borrow().is_none() {
             *self.stale_endpoints.borrow_mut() = Some(self.endpoints.borrow().clone());
@@ -111,13 +115,13 @@
         });
     }
 
-    /// Breaks all connections off.
+    /// Disconnects all front ends.
     pub fn disconnect_all(&self) {
         *self.disconnect.borrow_mut() = async_channel::bounded(1);
         self.watchers.borrow_mut().clear();
     }
 
-    /// Keeps all changes back until then.
+    /// Delays all changes until this moment, in seconds of the environment's clock.
     pub fn delay_changes_until(&self, until: f64) {
         self.stale.activate_until(until);
     }
@@ -165,7 +169,7 @@
             streams.run(accept).await;
         };
         let disconnect = async {
-            // Closed when the connections are cut off.
+            // The channel closes when all front ends are disconnected.
             let _ = disconnect.recv().await;
         };
         future::or(serve, disconnect).await;
@@ -212,7 +216,7 @@
         endpoints
             .iter()
             .for_each(|endpoint| self.record_notification(to, endpoint));
-        // What is gone is left out of a full list.
+        // A full list omits executors that are gone.
         let listed = endpoints
             .iter()
             .filter(|endpoint| endpoint.state != EndpointState::Gone)
