--- a/crates/cli/src/measure/memory.rs
+++ b/crates/cli/src/measure/memory.rs
@@ -45,15 +45,18 @@
     let work = async {
         sleep(0.3).await;
         let empty = front_end.memory();
-        let idle = baseline::hold(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered).await?;
+        let idle =
+            baseline::open_streams(&stage, front_end.at, CONNECTIONS, 0, TIME, &answered).await?;
         sleep(0.3).await;
         let connected = front_end.memory();
         drop(idle);
-        let some = baseline::hold(&stage, front_end.at, 10, STREAMS, TIME, &answered).await?;
+        let some =
+            baseline::open_streams(&stage, front_end.at, 10, STREAMS, TIME, &answered).await?;
         sleep(0.5).await;
         let open = front_end.memory();
         let many =
-            baseline::hold(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered).await?;
+            baseline::open_streams(&stage, front_end.at, CONNECTIONS, STREAMS, TIME, &answered)
+                .await?;
         let mut most = 0.0f64;
         for _ in 0..(TIME * 10.0) as usize + 10 {
             sleep(0.1).await;
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -8,7 +8,7 @@
 use clap::ValueEnum;
 use memory::{Memory, memory};
 use orchidtally_test_servers::TestEnvironment;
-use orchidtally_test_servers::baseline::{self, BaselineRequest, Observed};
+use orchidtally_test_servers::baseline::{self, BaselineRequest, LoadResult};
 use process::{Part, deployment, play};
 use serde::Serialize;
 use std::io;
@@ -75,10 +75,10 @@
     ask: BaselineRequest,
     streams: usize,
     arguments: &Arguments,
-) -> io::Result<Observed> {
+) -> io::Result<LoadResult> {
     let stage = TestEnvironment::new(1);
     let tasks = stage.tasks.clone();
-    let seen = async_io::block_on(tasks.run(baseline::load(
+    let seen = async_io::block_on(tasks.run(baseline::run_closed_loop(
         &stage,
         to,
         ask,
@@ -123,7 +123,7 @@
         per_second: busy.succeeded as f64 / busy.seconds,
         of_direct: 1.0,
         cpu_us: used.map(|u| 1e6 * u / (busy.succeeded + busy.failed).max(1) as f64),
-        median_us: 1e6 * median(quiet.times),
+        median_us: 1e6 * median(quiet.latencies),
         failed: busy.failed + quiet.failed,
     })
 }
--- a/crates/cli/src/rehearse/play/injection.rs
+++ b/crates/cli/src/rehearse/play/injection.rs
@@ -62,11 +62,11 @@
             Some(roster) => self.stage.spawn(
                 misbehaving
                     .clone()
-                    .follow_store(roster.endpoints(), roster.prefix()),
+                    .watch_store(roster.endpoints(), roster.prefix()),
             ),
             None => self
                 .stage
-                .spawn(misbehaving.clone().follow(self.publisher.address)),
+                .spawn(misbehaving.clone().watch_publisher(self.publisher.address)),
         }
     }
 
@@ -219,7 +219,7 @@
             let executor = &self.executors[number % self.executors.len()];
             let (misbehaving, at) = (misbehaving.clone(), executor.address);
             self.stage
-                .spawn(async move { misbehaving.hold(at, "fn-1").await })
+                .spawn(async move { misbehaving.send_load_command(at, "fn-1").await })
                 .detach();
             if number % 20 == 0 {
                 self.stage.sleep(0.01).await;
--- a/crates/cli/src/rehearse/play/mod.rs
+++ b/crates/cli/src/rehearse/play/mod.rs
@@ -280,8 +280,8 @@
     async fn final_reports(&self) -> Vec<String> {
         let mut notes = vec![format!(
             "the store gave {} loads and turned {} away",
-            self.store.fetched.get(),
-            self.store.refused.get()
+            self.store.completed_fetches.get(),
+            self.store.refused_fetches.get()
         )];
         for fe in &self.front_ends {
             match state(fe.at).await {
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -26,7 +26,7 @@
 fn assert_used(day: &Day) {
     let taken: u64 = (0..EXECUTORS)
         .flat_map(|x| links(day, x))
-        .map(|link| link.taken.get())
+        .map(|link| link.accepted_connections.get())
         .sum();
     assert!(taken > 0, "no connection went over a link");
 }
@@ -83,7 +83,7 @@
             let until = day.stage.now() + 0.4;
             links(&day, n % EXECUTORS)
                 .iter()
-                .for_each(|link| link.stalls_answers.activate_until(until));
+                .for_each(|link| link.stalls_responses.activate_until(until));
         }
         assert_used(&day);
     });
@@ -111,7 +111,7 @@
         day.link();
         (0..EXECUTORS)
             .flat_map(|x| links(day, x))
-            .for_each(|link| link.dial_delay.set(0.2));
+            .for_each(|link| link.connect_delay.set(0.2));
     };
     let day = play_prepared("links-dial", 2, 4.0, late, |day| async move {
         day.stage.sleep(1.5).await;
--- a/crates/cli/tests/soak_faults/mod.rs
+++ b/crates/cli/tests/soak_faults/mod.rs
@@ -204,7 +204,7 @@
                 .links
                 .borrow()
                 .iter()
-                .for_each(|link| link.stalls_answers.activate_until(until));
+                .for_each(|link| link.stalls_responses.activate_until(until));
         }
         Fault::Change(x, standing) => change(&day, x, standing).await,
         Fault::Stop(j, time) => stop(&day, j, time, None).await,
--- a/crates/http-frontend/tests/executor_connection_failures.rs
+++ b/crates/http-frontend/tests/executor_connection_failures.rs
@@ -8,7 +8,7 @@
 use orchidtally_invariants::{EndpointState, FinalAnswer};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::raw::{self, Next};
+use orchidtally_test_servers::raw::{self, ScriptAction};
 use orchidtally_test_servers::{TestEnvironment, reserve_address, unused_address};
 use scripted_executor::{NO_LOAD_COMMANDS, answered, scripted};
 use std::cell::{Cell, RefCell};
@@ -23,9 +23,9 @@
     let dies = move |f: &raw::Frame| {
         if f.ends_stream() {
             counted.set(counted.get() + 1);
-            return Next::Break(vec![]);
+            return ScriptAction::SendAndReset(vec![]);
         }
-        Next::Say(vec![])
+        ScriptAction::Send(vec![])
     };
     let two = [scripted(&stage, dies.clone()), scripted(&stage, dies)];
     let gateway = gateway(description(&listed(&two), NO_LOAD_COMMANDS));
@@ -78,15 +78,15 @@
     let seen = streams.clone();
     let closes = scripted(&stage, move |f| {
         if !f.ends_stream() {
-            return Next::Say(vec![]);
+            return ScriptAction::Send(vec![]);
         }
         let mut seen = seen.borrow_mut();
         seen.push(f.stream);
         match seen.len() {
-            1 => Next::Say(answered(f.stream)),
-            2..9 => Next::Say(vec![]),
-            9 => Next::Break(raw::go_away(seen[4], 0)),
-            _ => Next::Say(answered(f.stream)),
+            1 => ScriptAction::Send(answered(f.stream)),
+            2..9 => ScriptAction::Send(vec![]),
+            9 => ScriptAction::SendAndReset(raw::go_away(seen[4], 0)),
+            _ => ScriptAction::Send(answered(f.stream)),
         }
     });
     let other = executor(&stage, 1, 0.01);
@@ -133,7 +133,7 @@
     for (code, expected) in [(raw::REFUSED_STREAM, 200), (8, 502)] {
         let stage = TestEnvironment::new(1);
         let resets = scripted(&stage, move |f| {
-            Next::Say(if f.ends_stream() {
+            ScriptAction::Send(if f.ends_stream() {
                 raw::reset(f.stream, code)
             } else {
                 vec![]
@@ -168,7 +168,7 @@
 #[test]
 fn an_executor_that_stops_reading_blocks_no_other() {
     let stage = TestEnvironment::new(1);
-    let deaf = scripted(&stage, |_| Next::StopReading);
+    let deaf = scripted(&stage, |_| ScriptAction::StopReading);
     let one = executor(&stage, 0, 0.01);
     let more = [1, 2].map(|n| executor(&stage, n, 0.01).address);
     let text = description(
--- a/crates/http-frontend/tests/executor_replacement.rs
+++ b/crates/http-frontend/tests/executor_replacement.rs
@@ -35,7 +35,7 @@
         let replace = async {
             stage.sleep(0.003).await;
             one.crash();
-            let loads_before = one.store.fetched.get();
+            let loads_before = one.store.completed_fetches.get();
             publisher.update_state(0, EndpointState::Gone, f64::NEG_INFINITY);
             stage.sleep(0.3).await;
             one.restart().unwrap();
@@ -56,7 +56,7 @@
         .await;
         assert!(after.iter().all(|h| status(h) == 200), "{after:?}");
         // On a busy machine some of the first five wait for the replacement, and one of them may load the copy.
-        let loads = one.store.fetched.get() - loads_before;
+        let loads = one.store.completed_fetches.get() - loads_before;
         assert_eq!(
             loads, 1,
             "the replacement loaded its copy once, for all that came to it"
--- a/crates/http-frontend/tests/malformed_bytes.rs
+++ b/crates/http-frontend/tests/malformed_bytes.rs
@@ -8,7 +8,7 @@
 use gateway_kit::{LOOK, all, ask, description, executor, gateway, on, status};
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
-use orchidtally_test_servers::raw::{self, Kind, Next};
+use orchidtally_test_servers::raw::{self, FrameKind, ScriptAction};
 use scripted_executor::{NO_LOAD_COMMANDS, scripted};
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -20,15 +20,15 @@
     // A peer agrees to settings once on a connection.
     let opened = [(); 2].map(|()| Rc::new(Cell::new(0)));
     let count = |opened: &Cell<usize>, f: &raw::Frame| {
-        opened.set(opened.get() + usize::from(f.kind == Kind::Settings));
+        opened.set(opened.get() + usize::from(f.kind == FrameKind::Settings));
     };
     let [one, two] = opened.clone();
     let garbage = scripted(&stage, move |f| {
         count(&one, f);
-        if f.kind == Kind::Headers {
-            Next::Say(vec![0xff; 300])
+        if f.kind == FrameKind::Headers {
+            ScriptAction::Send(vec![0xff; 300])
         } else {
-            Next::Say(vec![])
+            ScriptAction::Send(vec![])
         }
     });
     let wrong = scripted(&stage, move |f| {
@@ -39,7 +39,7 @@
             raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true),
         ]
         .concat();
-        Next::Say(if f.ends_stream() { bytes } else { vec![] })
+        ScriptAction::Send(if f.ends_stream() { bytes } else { vec![] })
     });
     let one = executor(&stage, 0, 0.01);
     // In locations of their own: where two of one broke, the module takes the rest of it for as cold.
--- a/crates/http-frontend/tests/scripted_executor/mod.rs
+++ b/crates/http-frontend/tests/scripted_executor/mod.rs
@@ -4,7 +4,7 @@
 
 use async_io::Async;
 use orchidtally_executor_protocol::{frame, v1};
-use orchidtally_test_servers::raw::{self, Next};
+use orchidtally_test_servers::raw::{self, ScriptAction};
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -29,7 +29,7 @@
 /// A scripted executor: `script` gets each frame of each connection.
 pub fn scripted(
     stage: &TestEnvironment,
-    script: impl FnMut(&raw::Frame) -> Next + 'static,
+    script: impl FnMut(&raw::Frame) -> ScriptAction + 'static,
 ) -> SocketAddr {
     let listener = Async::<TcpListener>::bind(unused_address()).unwrap();
     let at = listener.get_ref().local_addr().unwrap();
--- a/crates/test-servers/src/baseline.rs
+++ b/crates/test-servers/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The least that speaks HTTP/2 on these sockets, to measure the gateway against: an executor that answers at
-//! once, a relay that decides nothing, and a client that keeps so many streams open.
+//! Minimal HTTP/2 programs as a baseline for measurements of the gateway: an executor that answers at once, a relay
+//! without any policy, and a client that keeps a number of streams open.
 
 use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-fn windows(builder: &mut h2::client::Builder) {
+fn set_windows(builder: &mut h2::client::Builder) {
     builder
         .initial_window_size(1 << 20)
         .initial_connection_window_size(4 << 20)
@@ -18,7 +18,7 @@
 }
 
 /// Reads a body to its end.
-async fn drain(mut body: h2::RecvStream) -> Result<Vec<Bytes>, h2::Error> {
+async fn read_body(mut body: h2::RecvStream) -> Result<Vec<Bytes>, h2::Error> {
     let mut chunks = vec![];
     while let Some(chunk) = body.data().await {
         let chunk = chunk?;
@@ -28,15 +28,18 @@
     Ok(chunks)
 }
 
-/// Serves streams, each by `answer`, until the thread ends.
-async fn serve<F, W>(stage: TestEnvironment, listener: async_io::Async<TcpListener>, answer: F)
-where
+/// Accepts connections and serves each of their streams with `answer`, until it is dropped.
+async fn serve<F, W>(
+    environment: TestEnvironment,
+    listener: async_io::Async<TcpListener>,
+    answer: F,
+) where
     F: Fn(http::Request<h2::RecvStream>, h2::server::SendResponse<Bytes>) -> W + Clone + 'static,
     W: Future<Output = Result<(), ExchangeError>> + 'static,
 {
     loop {
         let stream = orchidtally_socket_io::accept(&listener).await;
-        let (stage_, answer) = (stage.clone(), answer.clone());
+        let (connection_environment, answer) = (environment.clone(), answer.clone());
         let connection = async move {
             let mut builder = h2::server::Builder::new();
             builder
@@ -48,25 +51,31 @@
             };
             while let Some(Ok((request, respond))) = connection.accept().await {
                 let work = answer(request, respond);
-                // A stream that breaks is its client's to count.
-                stage_.spawn(async move { drop(work.await) }).detach();
+                // Errors are dropped here; the client counts the failed stream.
+                connection_environment
+                    .spawn(async move { drop(work.await) })
+                    .detach();
             }
         };
-        stage.spawn(connection).detach();
+        environment.spawn(connection).detach();
     }
 }
 
-/// An executor that has every function loaded and echoes at once, after `delay` seconds.
-pub async fn executor(stage: TestEnvironment, listener: async_io::Async<TcpListener>, delay: f64) {
+/// Serves as an executor that has every function loaded, and answers with an empty result after `delay` seconds.
+pub async fn executor(
+    environment: TestEnvironment,
+    listener: async_io::Async<TcpListener>,
+    delay: f64,
+) {
     let mut answer = v1::Answer::default();
     answer.set_ending(v1::Ending::Ok);
     answer.set_found(v1::Found::Warm);
     let head = frame(&answer);
-    let clock = stage.clone();
-    serve(stage, listener, move |request, mut respond| {
+    let clock = environment.clone();
+    serve(environment, listener, move |request, mut respond| {
         let (head, clock) = (head.clone(), clock.clone());
         async move {
-            drain(request.into_body()).await?;
+            read_body(request.into_body()).await?;
             clock.sleep(delay).await;
             let mut out = respond.send_response(http::Response::new(()), false)?;
             out.send_data(head, true)?;
@@ -76,24 +85,28 @@
     .await;
 }
 
-/// Passes streams on as they are.
-pub async fn relay(stage: TestEnvironment, listener: async_io::Async<TcpListener>, to: SocketAddr) {
-    let Ok(onward) = connect(&stage, to).await else {
+/// Forwards the body of each stream to the executor at `to`, and the response back, unchanged.
+pub async fn relay(
+    environment: TestEnvironment,
+    listener: async_io::Async<TcpListener>,
+    to: SocketAddr,
+) {
+    let Ok(upstream) = connect(&environment, to).await else {
         return;
     };
-    let onward = Rc::new(RefCell::new(onward));
-    serve(stage, listener, move |request, mut respond| {
-        let onward = onward.clone();
+    let upstream = Rc::new(RefCell::new(upstream));
+    serve(environment, listener, move |request, mut respond| {
+        let upstream = upstream.clone();
         async move {
-            let chunks = drain(request.into_body()).await?;
+            let chunks = read_body(request.into_body()).await?;
             let request = dispatch(to)?;
-            let sender = onward.borrow().clone();
+            let sender = upstream.borrow().clone();
             let (response, mut out) = sender.ready().await?.send_request(request, false)?;
             for chunk in chunks {
                 out.send_data(chunk, false)?;
             }
             out.send_data(Bytes::new(), true)?;
-            let chunks = drain(response.await?.into_body()).await?;
+            let chunks = read_body(response.await?.into_body()).await?;
             let mut out = respond.send_response(http::Response::new(()), false)?;
             for chunk in chunks {
                 out.send_data(chunk, false)?;
@@ -112,15 +125,17 @@
 }
 
 async fn connect(
-    stage: &TestEnvironment,
+    environment: &TestEnvironment,
     to: SocketAddr,
 ) -> Result<SendRequest<Bytes>, ExchangeError> {
     let stream = orchidtally_socket_io::connect(to, std::time::Duration::from_secs(2)).await?;
     let mut builder = h2::client::Builder::new();
-    windows(&mut builder);
+    set_windows(&mut builder);
     let (sender, driver) = builder.handshake::<_, Bytes>(stream).await?;
-    // Whoever sends next hears how it ended.
-    stage.spawn(async move { drop(driver.await) }).detach();
+    // An error of the connection also fails the next request, which reports it.
+    environment
+        .spawn(async move { drop(driver.await) })
+        .detach();
     Ok(sender)
 }
 
@@ -129,35 +144,36 @@
 pub enum BaselineRequest {
     /// A dispatch to an executor.
     Dispatch,
-    /// An invocation of one of so many functions in turn.
+    /// An invocation; the functions take turns.
     Invocation {
-        /// How many functions take turns.
+        /// The number of functions.
         functions: usize,
     },
 }
 
-/// What a closed loop of so many streams saw.
-pub struct Observed {
+/// The result of a closed loop.
+pub struct LoadResult {
     /// Responses with status 200.
     pub succeeded: u64,
     /// Responses with another status.
     pub failed: u64,
     /// How long the loop ran, in seconds.
     pub seconds: f64,
-    /// Times of the succeeded ones, in seconds.
-    pub times: Vec<f64>,
+    /// Latencies of the responses with status 200, in seconds.
+    pub latencies: Vec<f64>,
 }
 
-/// Keeps so many streams open for a time, each sending again once it is answered.
-pub async fn load(
-    stage: &TestEnvironment,
+/// Runs a closed loop for `time` seconds. `streams` requests with bodies of `payload` bytes are in progress at a time;
+/// the next one is sent when one is answered.
+pub async fn run_closed_loop(
+    environment: &TestEnvironment,
     to: SocketAddr,
-    ask: BaselineRequest,
+    request_kind: BaselineRequest,
     streams: usize,
     time: f64,
     payload: usize,
-) -> Result<Observed, ExchangeError> {
-    let sender = connect(stage, to).await?;
+) -> Result<LoadResult, ExchangeError> {
+    let sender = connect(environment, to).await?;
     let head = frame(&v1::Dispatch {
         from: Some(v1::Sender {
             index: 0,
@@ -171,74 +187,74 @@
         payload_bytes: payload as u64,
         ..v1::Dispatch::default()
     });
-    let tally = Rc::new(Tally::default());
+    let counts = Rc::new(Counts::default());
     let load_stream = LoadStream {
         sender,
         to,
-        ask,
+        request_kind,
         head,
         body: Bytes::from(vec![b'x'; payload]),
         started: Instant::now(),
         time,
-        tally: tally.clone(),
+        counts: counts.clone(),
     };
     let started = load_stream.started;
     let mut tasks = vec![];
-    for first_turn in 0..streams {
-        tasks.push(stage.spawn(load_stream.clone().run(first_turn)));
+    for first_sequence in 0..streams {
+        tasks.push(environment.spawn(load_stream.clone().run(first_sequence)));
     }
     for task in tasks {
         task.await?;
     }
-    Ok(Observed {
-        succeeded: tally.succeeded.get(),
-        failed: tally.failed.get(),
+    Ok(LoadResult {
+        succeeded: counts.succeeded.get(),
+        failed: counts.failed.get(),
         seconds: started.elapsed().as_secs_f64(),
-        times: tally.times.take(),
+        latencies: counts.latencies.take(),
     })
 }
 
-/// What the streams of a closed loop have counted.
+/// Counters that the streams of a closed loop share.
 #[derive(Default)]
-struct Tally {
+struct Counts {
     succeeded: Cell<u64>,
     failed: Cell<u64>,
-    /// Times of the succeeded ones, in seconds.
-    times: RefCell<Vec<f64>>,
+    /// Latencies of the responses with status 200, in seconds.
+    latencies: RefCell<Vec<f64>>,
 }
 
-/// One stream of a closed loop: it sends again once it is answered.
+/// One of the concurrent request sequences of a closed loop. It sends the next request once the last one is answered.
 #[derive(Clone)]
 struct LoadStream {
     sender: SendRequest<Bytes>,
     to: SocketAddr,
-    ask: BaselineRequest,
+    request_kind: BaselineRequest,
     /// The message that begins a dispatch.
     head: Bytes,
     body: Bytes,
     started: Instant,
     /// How long requests are sent, in seconds.
     time: f64,
-    tally: Rc<Tally>,
+    counts: Rc<Counts>,
 }
 
 impl LoadStream {
-    async fn run(self, first_turn: usize) -> Result<(), ExchangeError> {
-        let mut turn = first_turn;
+    async fn run(self, first_sequence: usize) -> Result<(), ExchangeError> {
+        let mut sequence = first_sequence;
         while self.started.elapsed().as_secs_f64() < self.time {
-            turn += 1;
-            self.exchange(turn).await?;
+            sequence += 1;
+            self.exchange(sequence).await?;
         }
         Ok(())
     }
 
-    fn request(&self, turn: usize) -> http::Result<http::Request<()>> {
-        match self.ask {
+    fn request(&self, sequence: usize) -> http::Result<http::Request<()>> {
+        match self.request_kind {
             BaselineRequest::Dispatch => dispatch(self.to),
             BaselineRequest::Invocation { functions } => http::Request::post(format!(
                 "http://{}/v1/functions/f{}/invocations",
                 self.to,
-                turn % functions
+                sequence % functions
             ))
             .header("orchidtally-time-left", "4000")
             .body(()),
@@ -246,41 +262,42 @@
     }
 
     /// Sends one request and counts its response.
-    async fn exchange(&self, turn: usize) -> Result<(), ExchangeError> {
+    async fn exchange(&self, sequence: usize) -> Result<(), ExchangeError> {
         let sent_at = Instant::now();
-        let request = self.request(turn)?;
+        let request = self.request(sequence)?;
         let mut sender = self.sender.clone().ready().await?;
         let (response, mut out) = sender.send_request(request, false)?;
-        if self.ask == BaselineRequest::Dispatch {
+        if self.request_kind == BaselineRequest::Dispatch {
             out.send_data(self.head.clone(), false)?;
         }
         out.send_data(self.body.clone(), true)?;
         let response = response.await?;
         let is_success = response.status() == http::StatusCode::OK;
-        drain(response.into_body()).await?;
+        read_body(response.into_body()).await?;
         if is_success {
-            self.tally.succeeded.set(self.tally.succeeded.get() + 1);
+            self.counts.succeeded.set(self.counts.succeeded.get() + 1);
             let time = sent_at.elapsed().as_secs_f64();
-            self.tally.times.borrow_mut().push(time);
+            self.counts.latencies.borrow_mut().push(time);
         } else {
-            self.tally.failed.set(self.tally.failed.get() + 1);
+            self.counts.failed.set(self.counts.failed.get() + 1);
         }
         Ok(())
     }
 }
 
-/// Opens so many connections and streams at once and holds them. Final answers within `time` are counted.
-pub async fn hold(
-    stage: &TestEnvironment,
+/// Opens `connections` connections with `streams` streams each and returns them open. Counts the responses that arrive
+/// within `time` seconds in `answered`.
+pub async fn open_streams(
+    environment: &TestEnvironment,
     to: SocketAddr,
     connections: usize,
     streams: usize,
     time: f64,
     answered: &Rc<Cell<usize>>,
 ) -> Result<Vec<SendRequest<Bytes>>, ExchangeError> {
-    let mut held = vec![];
+    let mut senders = vec![];
     for _ in 0..connections {
-        let sender = connect(stage, to).await?;
+        let sender = connect(environment, to).await?;
         for n in 0..streams {
             let request =
                 http::Request::post(format!("http://{to}/v1/functions/f{}/invocations", n % 50))
@@ -288,14 +305,14 @@
                     .body(())?;
             let (response, mut out) = sender.clone().ready().await?.send_request(request, false)?;
             out.send_data(Bytes::from_static(b"0123456789"), true)?;
-            let (began, answered) = (Instant::now(), answered.clone());
-            let hear = async move {
-                let well = response.await.is_ok() && began.elapsed().as_secs_f64() <= time;
-                answered.set(answered.get() + usize::from(well));
+            let (sent_at, answered) = (Instant::now(), answered.clone());
+            let receive = async move {
+                let in_time = response.await.is_ok() && sent_at.elapsed().as_secs_f64() <= time;
+                answered.set(answered.get() + usize::from(in_time));
             };
-            stage.spawn(hear).detach();
+            environment.spawn(receive).detach();
         }
-        held.push(sender);
+        senders.push(sender);
     }
-    Ok(held)
+    Ok(senders)
 }
--- a/crates/test-servers/src/exchange_error.rs
+++ b/crates/test-servers/src/exchange_error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// An HTTP exchange without a complete response. Its text is that of its source.
+/// Why an HTTP exchange has no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// No connection could be opened.
@@ -14,13 +14,13 @@
     /// The connection or the stream over HTTP/2 failed.
     #[error(transparent)]
     Http2(#[from] h2::Error),
-    /// A request with these fields can't be built.
+    /// The request's URI or headers are invalid.
     #[error(transparent)]
     Request(#[from] http::Error),
-    /// The address is no value for the field `Host`.
+    /// The address is not a valid value of the `Host` header.
     #[error(transparent)]
     Host(#[from] http::header::InvalidHeaderValue),
-    /// A streamed response broke off after its beginning, which is how a front end tells that it failed.
-    #[error("the answer broke off")]
+    /// A streamed response ended early, which is how a front end reports a failure after it has sent the status.
+    #[error("the response ended early")]
     StreamBrokenOff,
 }
--- a/crates/test-servers/src/fault_proxy.rs
+++ b/crates/test-servers/src/fault_proxy.rs
@@ -1,5 +1,4 @@
-//! A TCP proxy that does to connections what networks do: it stalls them, cuts a message in two, resets, and is late to
-//! make a connection.
+//! A TCP proxy that injects network faults: stalls, resets in the middle of a message, and delayed connections.
 
 use crate::{TestEnvironment, TimedFault, unused_address};
 use async_channel::Sender;
@@ -12,129 +11,135 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes that are read at a time, at the most.
-const CHUNK: usize = 4 * 1024;
-/// Between looks whether a stall is over, in seconds.
-const POLL: f64 = 0.005;
+/// The largest number of bytes that are read at a time.
+const MAX_READ: usize = 4 * 1024;
+/// The interval between checks whether a stall has ended, in seconds.
+const POLL_INTERVAL: f64 = 0.005;
 
-/// One proxy before one server. Its faults hold for all connections over it, or for those that it had when the script
-/// asked for them.
+/// A proxy in front of one server. A fault applies to all connections, or to those that are open when the script
+/// injects it.
 pub struct FaultProxy {
-    stage: TestEnvironment,
-    /// Where clients connect.
+    environment: TestEnvironment,
+    /// The address at which clients connect.
     pub address: SocketAddr,
     server: SocketAddr,
-    /// Nothing passes from clients until then, on any connection; it is delivered afterwards.
+    /// While active, bytes from clients are delayed on all connections and forwarded afterwards.
     pub stalls_requests: TimedFault,
-    /// The same of what servers send.
-    pub stalls_answers: TimedFault,
-    /// A connection is made to the server so many seconds after the client's.
-    pub dial_delay: Cell<f64>,
-    /// So many more bytes from clients pass, then the connection over which the next one comes is reset.
+    /// The same for bytes from the server.
+    pub stalls_responses: TimedFault,
+    /// The delay between a client's connection and the one to the server, in seconds.
+    pub connect_delay: Cell<f64>,
+    /// The number of bytes from clients still to be forwarded. The connection that exceeds it is reset, and this becomes
+    /// `None`.
     pub reset_after: Cell<Option<usize>>,
-    /// Of connections that are taken now.
+    /// The generation of newly accepted connections.
     generation: Cell<u64>,
     /// Connections of generations before this one are frozen.
     frozen_before: Cell<u64>,
-    /// Tells present connections to end by a reset.
-    resets: RefCell<Vec<Sender<()>>>,
-    /// Connections that it has taken so far.
-    pub taken: Cell<u64>,
+    /// Signals the open connections to reset.
+    reset_signals: RefCell<Vec<Sender<()>>>,
+    /// The number of connections accepted so far.
+    pub accepted_connections: Cell<u64>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy before a server.
-    pub fn start(stage: &TestEnvironment, server: SocketAddr) -> io::Result<Rc<FaultProxy>> {
+    /// Starts a proxy in front of a server.
+    pub fn start(environment: &TestEnvironment, server: SocketAddr) -> io::Result<Rc<FaultProxy>> {
         let listener = Async::<TcpListener>::bind(unused_address())?;
         let proxy = Rc::new(FaultProxy {
-            stage: stage.clone(),
+            environment: environment.clone(),
             address: listener.get_ref().local_addr()?,
             server,
             stalls_requests: TimedFault::default(),
-            stalls_answers: TimedFault::default(),
-            dial_delay: Cell::new(0.0),
+            stalls_responses: TimedFault::default(),
+            connect_delay: Cell::new(0.0),
             reset_after: Cell::new(None),
             generation: Cell::new(1),
             frozen_before: Cell::new(0),
-            resets: RefCell::default(),
-            taken: Cell::new(0),
+            reset_signals: RefCell::default(),
+            accepted_connections: Cell::new(0),
         });
-        let me = proxy.clone();
+        let proxy_clone = proxy.clone();
         let accept = async move {
             while let Ok((client, _)) = listener.accept().await {
-                me.taken.set(me.taken.get() + 1);
-                let connection = me.clone().carry(client, me.generation.get());
-                me.stage.spawn(connection).detach();
+                proxy_clone
+                    .accepted_connections
+                    .set(proxy_clone.accepted_connections.get() + 1);
+                let connection = proxy_clone
+                    .clone()
+                    .proxy_connection(client, proxy_clone.generation.get());
+                proxy_clone.environment.spawn(connection).detach();
             }
         };
-        stage.spawn(accept).detach();
+        environment.spawn(accept).detach();
         Ok(proxy)
     }
 
-    /// Nothing passes on the present connections any more, for good, and nobody is told: a lost network path.
+    /// Stops forwarding on the open connections for good without closing them, as a lost network path does.
     pub fn freeze(&self) {
         self.generation.set(self.generation.get() + 1);
         self.frozen_before.set(self.generation.get());
     }
 
-    /// Resets the present connections on the client's side.
+    /// Resets the open connections on the client's side.
     pub fn reset(&self) {
-        for connection in self.resets.borrow_mut().drain(..) {
-            // One that has ended already hears nothing.
+        for connection in self.reset_signals.borrow_mut().drain(..) {
+            // Fails for a connection that has ended or is already being reset.
             let _ = connection.try_send(());
         }
     }
 
-    /// Carries a client's connection until both sides have ended it, or it is reset.
-    async fn carry(self: Rc<Self>, client: Async<TcpStream>, generation: u64) {
-        self.stage.sleep(self.dial_delay.get()).await;
+    /// Connects to the server and forwards both directions until both have ended, or the connection is reset.
+    async fn proxy_connection(self: Rc<Self>, client: Async<TcpStream>, generation: u64) {
+        self.environment.sleep(self.connect_delay.get()).await;
         let Ok(server) = Async::<TcpStream>::connect(self.server).await else {
             return;
         };
-        let (reset, is_reset) = async_channel::bounded(1);
-        self.resets
+        let (reset, reset_signal) = async_channel::bounded(1);
+        self.reset_signals
             .borrow_mut()
             .retain(|connection| !connection.is_closed());
-        self.resets.borrow_mut().push(reset.clone());
-        let to_server = self.pass(&client, &server, generation, Some(&reset));
-        let to_client = self.pass(&server, &client, generation, None);
-        let carried = async {
+        self.reset_signals.borrow_mut().push(reset.clone());
+        let to_server = self.forward(&client, &server, generation, Some(&reset));
+        let to_client = self.forward(&server, &client, generation, None);
+        let forwarded = async {
             future::zip(to_server, to_client).await;
             false
         };
-        let broken_off = async { is_reset.recv().await.is_ok() };
-        if future::or(carried, broken_off).await {
-            // Closed without lingering a connection sends a reset; one that has ended already needs none.
+        let reset_requested = async { reset_signal.recv().await.is_ok() };
+        if future::or(forwarded, reset_requested).await {
+            // A close with a linger time of zero sends a reset. Setting it fails for a connection that has ended, which
+            // needs none.
             let _ = socket2::SockRef::from(client.get_ref()).set_linger(Some(Duration::ZERO));
         }
     }
 
-    /// Passes one direction's bytes on to its end. `reset` is given for the direction from the client.
-    async fn pass(
+    /// Forwards one direction until its end. `reset` is given for the direction from the client only.
+    async fn forward(
         &self,
         mut from: &Async<TcpStream>,
         mut to: &Async<TcpStream>,
         generation: u64,
         reset: Option<&Sender<()>>,
     ) {
-        let mut chunk = vec![0; CHUNK];
+        let mut chunk = vec![0; MAX_READ];
         while let Ok(length @ 1..) = from.read(&mut chunk).await {
             let stalled = if reset.is_some() {
                 &self.stalls_requests
             } else {
-                &self.stalls_answers
+                &self.stalls_responses
             };
-            self.hold_back(generation, stalled).await;
-            let passes = if reset.is_some() {
-                self.let_pass(length)
+            self.wait_while_stalled(generation, stalled).await;
+            let allowed = if reset.is_some() {
+                self.use_allowance(length)
             } else {
                 length
             };
-            if to.write_all(&chunk[..passes]).await.is_err() {
+            if to.write_all(&chunk[..allowed]).await.is_err() {
                 break;
             }
-            if let Some(reset) = reset.filter(|_| passes < length) {
-                // It may be told so already.
+            if let Some(reset) = reset.filter(|_| allowed < length) {
+                // Fails if a reset is already signalled.
                 let _ = reset.try_send(());
                 return future::pending().await;
             }
@@ -143,15 +148,15 @@
         let _ = to.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Waits while the script lets nothing pass.
-    async fn hold_back(&self, generation: u64, stalled: &TimedFault) {
-        while generation < self.frozen_before.get() || stalled.is_active(self.stage.now()) {
-            self.stage.sleep(POLL).await;
+    /// Waits while the connection is frozen or the direction is stalled.
+    async fn wait_while_stalled(&self, generation: u64, stalled: &TimedFault) {
+        while generation < self.frozen_before.get() || stalled.is_active(self.environment.now()) {
+            self.environment.sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// How many of some bytes pass before a reset that the script wants.
-    fn let_pass(&self, length: usize) -> usize {
+    /// Returns how many of `length` bytes may be forwarded before a reset, and deducts them from `reset_after`.
+    fn use_allowance(&self, length: usize) -> usize {
         let Some(left) = self.reset_after.get() else {
             return length;
         };
--- a/crates/test-servers/src/misbehaving_front_end.rs
+++ b/crates/test-servers/src/misbehaving_front_end.rs
@@ -1,5 +1,5 @@
-//! A front end that breaks the rules on purpose, so that the checks can be seen to find it. It speaks the
-//! executors' protocol under the index of a real one.
+//! A front end that violates the rules on purpose, to verify that the checks detect it. It speaks the executors'
+//! protocol under the index of a real front end.
 
 use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
@@ -14,29 +14,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The life under which it is known in records.
+/// Its incarnation in records.
 pub const INCARNATION: u64 = 0x0bad_0bad;
-/// Between tries to follow a roster whose source broke the connection off, in seconds.
+/// The interval between attempts to watch the endpoint list after the connection to its source has ended, in seconds.
 const RETRY_INTERVAL: f64 = 0.1;
-const STORE_TIME: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A front end that breaks the rules.
+/// A front end that violates the rules.
 pub struct MisbehavingFrontEnd {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     sender: v1::Sender,
     connections: RefCell<HashMap<SocketAddr, h2::client::SendRequest<Bytes>>>,
 }
 
 impl MisbehavingFrontEnd {
-    /// One that sends under this index among so many front ends.
-    pub fn new(stage: &TestEnvironment, index: u32, count: u32) -> Rc<MisbehavingFrontEnd> {
+    /// Creates a front end that sends under `index`, out of `count` front ends.
+    pub fn new(environment: &TestEnvironment, index: u32, count: u32) -> Rc<MisbehavingFrontEnd> {
         let sender = v1::Sender {
             index,
             count,
             incarnation: INCARNATION,
         };
         Rc::new(MisbehavingFrontEnd {
-            stage: stage.clone(),
+            environment: environment.clone(),
             sender,
             connections: RefCell::default(),
         })
@@ -54,9 +54,9 @@
             None => {
                 let stream = orchidtally_socket_io::connect(to, Duration::from_secs(1)).await?;
                 let (sender, driver) = h2::client::handshake(stream).await?;
-                self.stage
+                self.environment
                     .spawn(async move {
-                        // Whoever sends next hears of it.
+                        // An error of the connection also fails the next request, which reports it.
                         let _ = driver.await;
                     })
                     .detach();
@@ -78,57 +78,57 @@
         Ok(response.await?.into_body())
     }
 
-    /// Follows the roster as a front end does, and asks for it again when the publisher breaks off.
-    pub async fn follow(self: Rc<Self>, publisher: SocketAddr) {
+    /// Watches the endpoint list of a publisher, and requests it again when the stream ends.
+    pub async fn watch_publisher(self: Rc<Self>, publisher: SocketAddr) {
         loop {
-            let ask = frame(&v1::RosterWatch {
+            let request = frame(&v1::RosterWatch {
                 from: Some(self.sender),
             });
-            if let Ok(mut notified) = self.send(publisher, ENDPOINT_LIST_PATH, ask).await {
-                while let Some(Ok(chunk)) = notified.data().await {
-                    // Fails only where the stream has ended, which the next read tells.
-                    let _ = notified.flow_control().release_capacity(chunk.len());
+            if let Ok(mut updates) = self.send(publisher, ENDPOINT_LIST_PATH, request).await {
+                while let Some(Ok(chunk)) = updates.data().await {
+                    // Fails only if the stream has ended, which the next read reports.
+                    let _ = updates.flow_control().release_capacity(chunk.len());
                 }
             }
             self.connections.borrow_mut().remove(&publisher);
-            self.stage.sleep(RETRY_INTERVAL).await;
+            self.environment.sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Follows the roster from a store, and lists it again when the store breaks off.
-    pub async fn follow_store(self: Rc<Self>, endpoints: Vec<SocketAddr>, prefix: &'static str) {
-        let client = Client::new(endpoints, self.stage.tasks.clone());
+    /// Watches the endpoint list in etcd, and lists it again when the watch ends.
+    pub async fn watch_store(self: Rc<Self>, endpoints: Vec<SocketAddr>, prefix: &'static str) {
+        let client = Client::new(endpoints, self.environment.tasks.clone());
         client.set_user_agent(format!("{}.{}", self.sender.index, self.sender.incarnation));
         loop {
-            // Whatever ends it, the next endpoint is asked.
-            let _ = self.follow_store_once(&client, prefix).await;
+            // Whatever the error is, the next attempt uses the next endpoint.
+            let _ = self.watch_store_once(&client, prefix).await;
             client.fail_over();
-            self.stage.sleep(RETRY_INTERVAL).await;
+            self.environment.sleep(RETRY_INTERVAL).await;
         }
     }
 
-    async fn follow_store_once(&self, client: &Client, prefix: &str) -> Result<(), ClientError> {
+    async fn watch_store_once(&self, client: &Client, prefix: &str) -> Result<(), ClientError> {
         let list = RangeRequest {
             key: Bytes::copy_from_slice(prefix.as_bytes()),
             range_end: range_end(prefix.as_bytes()).into(),
             ..RangeRequest::default()
         };
         let listed: RangeResponse = client
-            .unary(orchidtally_etcd::RANGE, &list, STORE_TIME)
+            .unary(orchidtally_etcd::RANGE, &list, STORE_TIMEOUT)
             .await?;
         let next = listed.header.map_or(0, |header| header.revision) + 1;
         let mut watch = Watch::new(prefix.as_bytes().to_vec(), next);
-        let mut notified = client
-            .open_stream::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIME)
+        let mut updates = client
+            .open_stream::<WatchResponse>(orchidtally_etcd::WATCH, &watch.request(), STORE_TIMEOUT)
             .await?;
         loop {
-            if notified.next().await?.canceled {
+            if updates.next().await?.canceled {
                 return Ok(());
             }
         }
     }
 
-    /// Dispatches without asking anyone.
+    /// Sends a dispatch to an executor without any check of the rules.
     pub async fn dispatch(
         &self,
         to: SocketAddr,
@@ -146,14 +146,14 @@
             time_left: 1_000_000,
             ..v1::Dispatch::default()
         });
-        // Whatever comes of it is on record at the executor.
+        // The executor records the outcome.
         if let Ok(mut answer) = self.send(to, DISPATCH_PATH, head).await {
             while let Some(Ok(_)) = answer.data().await {}
         }
     }
 
     /// Sends a load command for one copy of a function, whatever the load budget is.
-    pub async fn hold(&self, to: SocketAddr, function: &str) {
+    pub async fn send_load_command(&self, to: SocketAddr, function: &str) {
         let (kind, function) = (v1::OrderKind::Hold.into(), function.to_owned());
         let order = frame(&v1::Order {
             from: Some(self.sender),
--- a/crates/test-servers/src/raw.rs
+++ b/crates/test-servers/src/raw.rs
@@ -1,13 +1,13 @@
-//! A scripted HTTP/2 peer that writes frames by hand, for what no library would send: GOAWAY in the middle of
-//! streams, bytes that are no frames, responses that never end. It reads no header fields.
+//! A scripted HTTP/2 server that writes raw frames, for behaviour that no library produces: GOAWAY in the middle of
+//! streams, bytes that are not frames, responses that never end. It does not decode header fields.
 
 use async_io::Async;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 use std::net::{TcpListener, TcpStream};
 
-/// The type of a frame, as far as scripts tell them apart.
+/// The type of a frame; types that scripts don't need to distinguish are `Other`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FrameKind {
     /// DATA.
     Data,
     /// HEADERS.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Frame {
     /// The type.
-    pub kind: Kind,
+    pub kind: FrameKind,
     /// The flags.
     pub flags: u8,
     /// The id of the stream; 0 for the connection.
@@ -38,20 +38,20 @@
 }
 
 impl Frame {
-    /// Whether the peer sends nothing more on the stream.
+    /// Whether the END_STREAM flag is set.
     pub fn ends_stream(&self) -> bool {
-        matches!(self.kind, Kind::Data | Kind::Headers) && self.flags & 1 != 0
+        matches!(self.kind, FrameKind::Data | FrameKind::Headers) && self.flags & 1 != 0
     }
 }
 
 /// What the script does next.
-pub enum Next {
+pub enum ScriptAction {
     /// Send these bytes.
-    Say(Vec<u8>),
-    /// Say it, then end the connection.
-    Close(Vec<u8>),
-    /// Say it, then reset the connection.
-    Break(Vec<u8>),
+    Send(Vec<u8>),
+    /// Send these bytes, then close the connection.
+    SendAndClose(Vec<u8>),
+    /// Send these bytes, then reset the connection.
+    SendAndReset(Vec<u8>),
     /// Read nothing more, and leave the connection open.
     StopReading,
 }
@@ -102,13 +102,13 @@
     let mut payload = vec![0; length];
     socket.read_exact(&mut payload).await?;
     let kind = match head[3] {
-        0 => Kind::Data,
-        1 => Kind::Headers,
-        3 => Kind::Reset,
-        4 => Kind::Settings,
-        6 => Kind::Ping,
-        7 => Kind::GoAway,
-        other => Kind::Other(other),
+        0 => FrameKind::Data,
+        1 => FrameKind::Headers,
+        3 => FrameKind::Reset,
+        4 => FrameKind::Settings,
+        6 => FrameKind::Ping,
+        7 => FrameKind::GoAway,
+        other => FrameKind::Other(other),
     };
     Ok(Frame {
         kind,
@@ -118,41 +118,41 @@
     })
 }
 
-/// Serves one connection by a script, which hears each frame. Settings and pings are answered by themselves.
+/// Serves one connection and calls the script for each frame. SETTINGS and PING frames are acknowledged without it.
 pub async fn connection(
     mut socket: Async<TcpStream>,
-    mut script: impl FnMut(&Frame) -> Next,
+    mut script: impl FnMut(&Frame) -> ScriptAction,
 ) -> std::io::Result<()> {
     let mut preface = [0; 24];
     socket.read_exact(&mut preface).await?;
     socket.write_all(&settings()).await?;
     loop {
-        let frame_in = read(&mut socket).await?;
-        match frame_in.kind {
-            Kind::Settings if frame_in.flags & 1 == 0 => {
+        let received = read(&mut socket).await?;
+        match received.kind {
+            FrameKind::Settings if received.flags & 1 == 0 => {
                 socket.write_all(&frame(4, 1, 0, &[])).await?
             }
-            Kind::Ping if frame_in.flags & 1 == 0 => {
-                socket.write_all(&frame(6, 1, 0, &frame_in.payload)).await?
+            FrameKind::Ping if received.flags & 1 == 0 => {
+                socket.write_all(&frame(6, 1, 0, &received.payload)).await?
             }
-            _ => match script(&frame_in) {
-                Next::Say(bytes) => socket.write_all(&bytes).await?,
-                Next::Close(bytes) => {
+            _ => match script(&received) {
+                ScriptAction::Send(bytes) => socket.write_all(&bytes).await?,
+                ScriptAction::SendAndClose(bytes) => {
                     socket.write_all(&bytes).await?;
                     return socket.close().await;
                 }
-                Next::Break(bytes) => {
+                ScriptAction::SendAndReset(bytes) => {
                     socket.write_all(&bytes).await?;
                     orchidtally_socket_io::reset_on_close(socket.get_ref());
                     return Ok(());
                 }
-                Next::StopReading => futures_lite::future::pending().await,
+                ScriptAction::StopReading => futures_lite::future::pending().await,
             },
         }
     }
 }
 
-/// The next connection, as a plain socket.
+/// Accepts the next connection.
 pub async fn accept(listener: &Async<TcpListener>) -> std::io::Result<Async<TcpStream>> {
     listener.accept().await.map(|a| a.0)
 }
--- a/crates/test-servers/src/store.rs
+++ b/crates/test-servers/src/store.rs
@@ -1,26 +1,27 @@
-//! The shared store from which executors load functions: the more fetch at a time, the slower all of them,
-//! and past a bound it turns fetches away.
+//! The shared store from which executors load functions. Concurrent fetches slow each other down, and past a limit
+//! further ones are refused.
 
 use crate::{TestEnvironment, TimedFault};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The store of packages.
+/// A store of function packages with limited throughput.
 pub struct PackageStore {
-    stage: TestEnvironment,
-    /// Fetches at a time that do not slow each other.
-    pub smooth: f64,
-    /// Fetches at a time past which further ones are refused.
-    pub most: usize,
+    environment: TestEnvironment,
+    /// The number of concurrent fetches up to which each runs at full speed.
+    pub full_speed_fetches: f64,
+    /// The largest number of concurrent fetches; further ones are refused.
+    pub max_fetches: usize,
     fetching: Cell<usize>,
     /// All fetches are refused while this is active.
     pub refusing: TimedFault,
-    /// Fetches that were refused.
-    pub refused: Cell<u64>,
-    /// Fetches that succeeded.
-    pub fetched: Cell<u64>,
+    /// The number of refused fetches.
+    pub refused_fetches: Cell<u64>,
+    /// The number of successful fetches.
+    pub completed_fetches: Cell<u64>,
 }
 
+/// Counts a fetch in progress; decrements the counter on drop.
 struct Fetching<'a>(&'a Cell<usize>);
 
 impl Drop for Fetching<'_> {
@@ -30,41 +31,47 @@
 }
 
 impl PackageStore {
-    /// A store without fetches; `smooth` and `most` as in the fields.
-    pub fn new(stage: &TestEnvironment, smooth: f64, most: usize) -> Rc<PackageStore> {
+    /// Creates a store; for `full_speed_fetches` and `max_fetches` see the fields.
+    pub fn new(
+        environment: &TestEnvironment,
+        full_speed_fetches: f64,
+        max_fetches: usize,
+    ) -> Rc<PackageStore> {
         Rc::new(PackageStore {
-            stage: stage.clone(),
-            smooth,
-            most,
+            environment: environment.clone(),
+            full_speed_fetches,
+            max_fetches,
             fetching: Cell::new(0),
             refusing: TimedFault::default(),
-            refused: Cell::new(0),
-            fetched: Cell::new(0),
+            refused_fetches: Cell::new(0),
+            completed_fetches: Cell::new(0),
         })
     }
 
-    /// Fetches what takes `time` where nobody else does. Tells whether it came.
+    /// Fetches a package that takes `time` seconds at full speed. Returns whether the fetch succeeded.
     pub async fn fetch(&self, time: f64) -> bool {
-        if self.refusing.is_active(self.stage.now()) || self.fetching.get() >= self.most {
-            self.refused.set(self.refused.get() + 1);
-            self.stage.sleep(0.02).await;
+        if self.refusing.is_active(self.environment.now())
+            || self.fetching.get() >= self.max_fetches
+        {
+            self.refused_fetches.set(self.refused_fetches.get() + 1);
+            self.environment.sleep(0.02).await;
             return false;
         }
         self.fetching.set(self.fetching.get() + 1);
         let _fetching = Fetching(&self.fetching);
-        // In steps, so that what comes later slows what is under way.
+        // The fetch proceeds in steps, so that later fetches slow down those in progress.
         let mut left = time;
         while left > 0.0 {
             let step = left.min(0.05);
-            let slowed = (self.fetching.get() as f64 / self.smooth).max(1.0);
-            self.stage.sleep(step * slowed).await;
+            let slowed = (self.fetching.get() as f64 / self.full_speed_fetches).max(1.0);
+            self.environment.sleep(step * slowed).await;
             left -= step;
-            if self.refusing.is_active(self.stage.now()) {
-                self.refused.set(self.refused.get() + 1);
+            if self.refusing.is_active(self.environment.now()) {
+                self.refused_fetches.set(self.refused_fetches.get() + 1);
                 return false;
             }
         }
-        self.fetched.set(self.fetched.get() + 1);
+        self.completed_fetches.set(self.completed_fetches.get() + 1);
         true
     }
 }
