--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -96,15 +96,19 @@
         *self.listening.borrow_mut() = Some(self.environment.spawn(accept));
     }
 
-    /// Stops the broker and starts it again after `after` seconds. `keeps_state` says whether its state survives.
+    /// Stops the broker and starts it again after `after` seconds. `preserves_state` says whether its state survives.
     ///
     /// # Errors
     ///
     /// Fails if the address can't be listened at within `LISTEN_TIMEOUT`.
-    pub async fn restart(self: &Rc<Self>, after: f64, keeps_state: bool) -> std::io::Result<()> {
+    pub async fn restart(
+        self: &Rc<Self>,
+        after: f64,
+        preserves_state: bool,
+    ) -> std::io::Result<()> {
         *self.listening.borrow_mut() = None;
         self.reset_all_connections();
-        if !keeps_state {
+        if !preserves_state {
             *self.broker.borrow_mut() = Broker::default();
         }
         self.environment.sleep(after).await;
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -266,7 +266,7 @@
     }
 }
 
-/// The outcome that a complete response stands for.
+/// Maps a complete response to the outcome.
 fn outcome_of_response(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
--- a/crates/test-servers/src/executor/load_commands.rs
+++ b/crates/test-servers/src/executor/load_commands.rs
@@ -10,20 +10,20 @@
 impl Executor {
     pub(super) async fn execute_load_command(self: Rc<Self>, order: v1::Order) -> v1::OrderAnswer {
         let from = order.from.unwrap_or_default();
-        let hold = order.kind() == v1::OrderKind::Hold;
+        let is_load = order.kind() == v1::OrderKind::Hold;
         self.environment.record(TrafficRecord::LoadCommandArrived {
             at: self.environment.now(),
             executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
-            replicas: if hold { order.copies } else { 0 },
+            replicas: if is_load { order.copies } else { 0 },
         });
         let mut answer = v1::OrderAnswer {
             report: self.report(),
             ..v1::OrderAnswer::default()
         };
         answer.set_ending(v1::Ending::Ok);
-        if hold {
+        if is_load {
             while self.faults.hangs.is_active(self.environment.now()) {
                 self.environment
                     .sleep(self.faults.hangs.ends_at() - self.environment.now())
--- a/crates/test-servers/src/executor/replicas.rs
+++ b/crates/test-servers/src/executor/replicas.rs
@@ -66,7 +66,7 @@
             if !may_load {
                 return Err(LoadFailure::Missing);
             }
-            self.make_room(program.memory)?;
+            self.evict_idle_replicas(program.memory)?;
             found = v1::Found::Loaded;
             self.begin_load(function, requested_digest, program);
         }
@@ -123,12 +123,12 @@
     }
 
     /// Unloads idle replicas, the least recently used first, until `memory` is free.
-    fn make_room(&self, memory: f64) -> Result<(), LoadFailure> {
+    fn evict_idle_replicas(&self, memory: f64) -> Result<(), LoadFailure> {
         while self.memory_used() + memory > self.spec.memory {
             let mut replicas = self.replicas.borrow_mut();
-            let idle = replicas
-                .iter()
-                .filter(|(_, c)| c.loaded && c.running == 0 && c.waiting == 0);
+            let idle = replicas.iter().filter(|(_, replica)| {
+                replica.loaded && replica.running == 0 && replica.waiting == 0
+            });
             let oldest = idle
                 .min_by(|a, b| a.1.used_at.total_cmp(&b.1.used_at))
                 .map(|(name, _)| name.clone());
--- a/crates/test-servers/src/executor/spec.rs
+++ b/crates/test-servers/src/executor/spec.rs
@@ -74,12 +74,12 @@
     /// Whether a key was not received within the last `window` seconds. Stores a new key; an earlier one keeps its
     /// time.
     pub(super) fn is_new(&self, token: &str, now: f64, window: f64) -> bool {
-        let mut seen = self.0.borrow_mut();
-        seen.retain(|_, at| now < *at + window);
-        if seen.contains_key(token) {
+        let mut received_at = self.0.borrow_mut();
+        received_at.retain(|_, at| now < *at + window);
+        if received_at.contains_key(token) {
             return false;
         }
-        seen.insert(token.to_owned(), now);
+        received_at.insert(token.to_owned(), now);
         true
     }
 }
