--- a/crates/test-servers/src/fault_proxy.rs
+++ b/crates/test-servers/src/fault_proxy.rs
@@ -29,8 +29,8 @@
     pub stalls_responses: TimedFault,
     /// The delay between a client's connection and the one to the server, in seconds.
     pub connect_delay: Cell<f64>,
-    /// The number of bytes from clients still to be forwarded. The connection that exceeds it is reset, and this becomes
-    /// `None`.
+    /// The number of bytes from clients still to be forwarded. The connection that exceeds it is reset, and this
+    /// becomes `None`.
     pub reset_after: Cell<Option<usize>>,
     /// The generation of newly accepted connections.
     generation: Cell<u64>,
