--- a/crates/cli/src/measure/memory.rs
+++ b/crates/cli/src/measure/memory.rs
@@ -48,7 +48,7 @@
     let work = async {
         sleep(0.3).await;
         let empty_bytes = front_end.memory();
-        let idle_connections = baseline::hold(
+        let idle_connections = baseline::open_streams(
             &environment,
             front_end.at,
             CONNECTIONS,
@@ -60,7 +60,7 @@
         sleep(0.3).await;
         let connected_bytes = front_end.memory();
         drop(idle_connections);
-        let some = baseline::hold(
+        let some = baseline::open_streams(
             &environment,
             front_end.at,
             10,
@@ -71,7 +71,7 @@
         .await?;
         sleep(0.5).await;
         let open = front_end.memory();
-        let many = baseline::hold(
+        let many = baseline::open_streams(
             &environment,
             front_end.at,
             CONNECTIONS,
--- a/crates/cli/src/measure/mod.rs
+++ b/crates/cli/src/measure/mod.rs
@@ -8,7 +8,7 @@
 use clap::ValueEnum;
 use memory::{Memory, memory};
 use orchidtally_test_servers::TestEnvironment;
-use orchidtally_test_servers::baseline::{self, BaselineRequest, Observed};
+use orchidtally_test_servers::baseline::{self, BaselineRequest, LoadResult};
 use process::{MeasuredProcess, run_part, write_deployment};
 use serde::Serialize;
 use std::io;
@@ -78,10 +78,10 @@
     request: BaselineRequest,
     streams: usize,
     arguments: &Arguments,
-) -> io::Result<Observed> {
+) -> io::Result<LoadResult> {
     let environment = TestEnvironment::new(1);
     let tasks = environment.tasks.clone();
-    let observed = async_io::block_on(tasks.run(baseline::load(
+    let observed = async_io::block_on(tasks.run(baseline::run_closed_loop(
         &environment,
         to,
         request,
@@ -129,7 +129,7 @@
         of_direct: 1.0,
         cpu_us: cpu_seconds
             .map(|u| 1e6 * u / (concurrent.succeeded + concurrent.failed).max(1) as f64),
-        median_us: 1e6 * median(single_stream.times),
+        median_us: 1e6 * median(single_stream.latencies),
         failed: concurrent.failed + single_stream.failed,
     })
 }
--- a/crates/cli/src/rehearse/endpoint_store.rs
+++ b/crates/cli/src/rehearse/endpoint_store.rs
@@ -104,7 +104,7 @@
         };
         let value = json!({
             "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": state,
-            "since": self.environment.wall(e.started_at()),
+            "since": self.environment.unix_time(e.started_at()),
         });
         value.to_string()
     }
@@ -239,12 +239,18 @@
         until(0.15).await;
         self.etcd.faults.breaks_every.set(MESSAGES_PER_DISCONNECT);
         until(0.3).await;
-        self.etcd.faults.stalled.set(self.environment.now() + 1.5);
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.environment.now() + 1.5);
         until(0.45).await;
         self.etcd.store.borrow_mut().expire_all();
         until(0.55).await;
         // With all watchers disconnected, the data changes and is compacted past the revision that they had read.
-        self.etcd.faults.stalled.set(self.environment.now() + 0.3);
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.environment.now() + 0.3);
         self.etcd.cut_off();
         self.executors
             .borrow()
--- a/crates/cli/src/rehearse/execution/faults.rs
+++ b/crates/cli/src/rehearse/execution/faults.rs
@@ -19,7 +19,7 @@
 impl Rehearsal {
     /// Returns true with a probability of `share`.
     pub(super) fn chance(&self, share: f64) -> bool {
-        self.environment.unit() < share
+        self.environment.random_unit() < share
     }
 
     /// Draws a share of a list, at least one, from the elements that fit.
@@ -32,7 +32,7 @@
         let mut fitting: Vec<T> = of.iter().filter(|x| fits(x)).cloned().collect();
         let n = ((of.len() as f64 * share).round() as usize).clamp(1, fitting.len().max(1));
         while fitting.len() > n {
-            fitting.swap_remove((self.environment.unit() * fitting.len() as f64) as usize);
+            fitting.swap_remove((self.environment.random_unit() * fitting.len() as f64) as usize);
         }
         fitting
     }
@@ -52,7 +52,9 @@
     /// Activates a fault of the traffic.
     fn activate(&self, timed_fault: &(TimedFault, Cell<f64>), fault: &ScheduledFault) {
         timed_fault.1.set(fault.size);
-        timed_fault.0.set(self.environment.now() + fault.duration);
+        timed_fault
+            .0
+            .activate_until(self.environment.now() + fault.duration);
     }
 
     /// Draws the executors that a fault affects from those that are up and not draining.
@@ -66,35 +68,35 @@
             FaultKind::Crash => self.crash_executors(fault),
             FaultKind::Hang => {
                 for executor in self.draw_executors(fault) {
-                    executor.faults.hangs.set(until);
+                    executor.faults.hangs.activate_until(until);
                 }
             }
             FaultKind::FastErrors => {
                 for executor in self.draw_executors(fault) {
-                    executor.faults.fails_at_once.set(until);
+                    executor.faults.fails_immediately.activate_until(until);
                 }
             }
             FaultKind::ExecutorsStopReading => self.pause_reads(fault, until),
             FaultKind::SlowHandshakes => {
                 for executor in self.draw_executors(fault) {
-                    executor.faults.slow_handshakes.set(until);
+                    executor.faults.slow_handshakes.activate_until(until);
                 }
             }
             FaultKind::LateReports => {
                 for executor in &self.executors {
-                    executor.faults.delayed_reports.set(until);
+                    executor.faults.delayed_reports.activate_until(until);
                 }
             }
             FaultKind::RollingDeploy => self.roll_executors(fault).await,
             FaultKind::Preemption => self.preempt_executors(fault).await,
             FaultKind::LoseLocation => self.lose_location(fault),
-            FaultKind::StaleEndpoints => self.publisher.hold_back_until(until),
+            FaultKind::StaleEndpoints => self.publisher.delay_changes_until(until),
             FaultKind::PublisherDisconnect => self.publisher.disconnect_all(),
             FaultKind::MassRelease => self
                 .executors
                 .iter()
-                .for_each(|executor| executor.drop_copies()),
-            FaultKind::StoreRefuses => self.store.refusing.set(until),
+                .for_each(|executor| executor.unload_all()),
+            FaultKind::StoreRefuses => self.store.refusing.activate_until(until),
             FaultKind::ImpatientClients => self.activate(&self.impatient, fault),
             FaultKind::HotFunction => self.activate(&self.hot, fault),
             FaultKind::OneTimeFunctions => self.activate(&self.one_time, fault),
@@ -117,7 +119,7 @@
     /// Makes executors stop reading from their sockets, and records it for the check of load commands.
     fn pause_reads(&self, fault: &ScheduledFault, until: f64) {
         for executor in self.draw_executors(fault) {
-            executor.faults.reads_paused.set(until);
+            executor.faults.reads_paused.activate_until(until);
             self.environment.record(TrafficRecord::ReadsPaused {
                 at: self.environment.now(),
                 executor: executor.spec.number,
@@ -151,7 +153,7 @@
 
     /// Crashes all executors of a random location.
     fn lose_location(self: &Rc<Self>, fault: &ScheduledFault) {
-        let lost = (self.environment.unit() * f64::from(self.scenario.locations)) as usize;
+        let lost = (self.environment.random_unit() * f64::from(self.scenario.locations)) as usize;
         let locations = self.scenario.locations as usize;
         for executor in &self.executors {
             if executor.spec.number % locations == lost && is_available(executor) {
@@ -167,7 +169,7 @@
             return;
         }
         self.publisher
-            .change(executor.spec.number, state, executor.started_at());
+            .update_state(executor.spec.number, state, executor.started_at());
     }
 
     /// Restarts an executor that is down, and lists it as ready.
--- a/crates/cli/src/rehearse/execution/injection.rs
+++ b/crates/cli/src/rehearse/execution/injection.rs
@@ -68,11 +68,11 @@
             Some(endpoint_store) => self.environment.spawn(
                 misbehaving
                     .clone()
-                    .follow_store(endpoint_store.endpoints(), endpoint_store.prefix()),
+                    .watch_store(endpoint_store.endpoints(), endpoint_store.prefix()),
             ),
             None => self
                 .environment
-                .spawn(misbehaving.clone().follow(self.publisher.address)),
+                .spawn(misbehaving.clone().watch_publisher(self.publisher.address)),
         }
     }
 
@@ -106,7 +106,7 @@
             invocation: self.next_name(),
             function: "fn-1".into(),
             trigger_type: (0, self.limits.trigger_types[0].name.clone()),
-            time_left: 1.0,
+            timeout: 1.0,
             ..ClientRequest::default()
         };
         // This index belongs to no front end of the scenario, so no fault kills it.
@@ -232,7 +232,7 @@
             let executor = &self.executors[number % self.executors.len()];
             let (misbehaving, at) = (misbehaving.clone(), executor.address);
             self.environment
-                .spawn(async move { misbehaving.hold(at, "fn-1").await })
+                .spawn(async move { misbehaving.send_load_command(at, "fn-1").await })
                 .detach();
             if number % 20 == 0 {
                 self.environment.sleep(0.01).await;
--- a/crates/cli/src/rehearse/execution/mod.rs
+++ b/crates/cli/src/rehearse/execution/mod.rs
@@ -292,8 +292,8 @@
     async fn final_reports(&self) -> Vec<String> {
         let mut notes = vec![format!(
             "the store served {} loads and refused {}",
-            self.store.fetched.get(),
-            self.store.refused.get()
+            self.store.completed_fetches.get(),
+            self.store.refused_fetches.get()
         )];
         for front_end in &self.front_ends {
             match fetch_state(front_end.at).await {
--- a/crates/cli/src/rehearse/execution/setup.rs
+++ b/crates/cli/src/rehearse/execution/setup.rs
@@ -131,9 +131,9 @@
             concurrency: 4,
             memory: REPLICA_MB,
             load_time: 0.3,
-            work: 0.02,
+            cpu_time: 0.02,
             run: echo,
-            streams,
+            response_parts: streams,
             ..Program::default()
         })
     })
@@ -145,7 +145,7 @@
         number,
         cores: CORES,
         memory: MEMORY_MB,
-        queue: 40,
+        queue_capacity: 40,
         keep_alive: 6.0,
         rejects_unloaded: false,
         reports_failed_load_as_miss: number.is_multiple_of(2),
--- a/crates/cli/src/rehearse/execution/traffic.rs
+++ b/crates/cli/src/rehearse/execution/traffic.rs
@@ -17,7 +17,7 @@
             self.environment.sleep(next - self.environment.now()).await;
             self.send_one();
             let risen = (1.0 - (from - next) / WARM_UP).clamp(0.1, 1.0);
-            next += -(1.0 - self.environment.unit()).ln() / (risen * self.scenario.rate);
+            next += -(1.0 - self.environment.random_unit()).ln() / (risen * self.scenario.rate);
         }
     }
 
@@ -36,14 +36,14 @@
         if self.one_time.0.is_active(now) && self.chance(self.one_time.1.get()) {
             return format!("once-{}", self.name_count.get());
         }
-        let n = (self.scenario.functions as f64).powf(s.unit()) as usize - 1;
+        let n = (self.scenario.functions as f64).powf(s.random_unit()) as usize - 1;
         format!("fn-{n}")
     }
 
     /// Sends a random invocation in the background.
     fn send_one(self: &Rc<Self>) {
         let now = self.environment.now();
-        let mut remainder = self.environment.unit();
+        let mut remainder = self.environment.random_unit();
         let type_index = TRIGGER_TYPE_SHARES.iter().position(|s| {
             remainder -= s;
             remainder < 0.0
@@ -53,12 +53,12 @@
         let timeout = self.deployment.policy.trigger_types[type_index].client_timeout;
         let is_impatient = self.impatient.0.is_active(now) && self.chance(self.impatient.1.get());
         let time_left = if is_impatient {
-            0.35 + 0.5 * self.environment.unit()
+            0.35 + 0.5 * self.environment.random_unit()
         } else {
             timeout
         };
         let cancel_delay =
-            (is_impatient && self.chance(0.3)).then(|| 0.05 + 0.3 * self.environment.unit());
+            (is_impatient && self.chance(0.3)).then(|| 0.05 + 0.3 * self.environment.random_unit());
         let function = match trigger_type.name.as_str() {
             // A share of the traffic invokes the function that is rolled out.
             _ if self.rollout.is_some() && trigger_type.name != "watch" && self.chance(0.35) => {
@@ -77,10 +77,10 @@
             invocation: self.next_name(),
             function,
             trigger_type: (type_index, trigger_type.name.clone()),
-            token,
-            time_left,
+            idempotency_key: token,
+            timeout: time_left,
             payload: Bytes::from(vec![b'x'; size]),
-            cancels_after: cancel_delay,
+            cancel_after: cancel_delay,
             ..ClientRequest::default()
         };
         let idempotency = trigger_type.idempotency;
@@ -92,7 +92,7 @@
     /// up to seven times.
     async fn invoke(&self, mut request: ClientRequest, idempotency: Idempotency) {
         let began = self.environment.now();
-        let timeout = request.time_left;
+        let timeout = request.timeout;
         let is_abusive = self.repeating.0.is_active(began) && self.chance(self.repeating.1.get());
         let mut attempts = if is_abusive { 8 } else { 2 };
         loop {
@@ -128,7 +128,7 @@
             self.environment.sleep(pause).await;
             request.invocation = self.next_name();
             request.is_retry = true;
-            request.time_left = left;
+            request.timeout = left;
         }
     }
 
@@ -141,10 +141,10 @@
             candidates.truncate(1.max(in_use.len() / 3));
         }
         let front_end =
-            candidates.get((self.environment.unit() * candidates.len() as f64) as usize)?;
+            candidates.get((self.environment.random_unit() * candidates.len() as f64) as usize)?;
         front_end
             .clients
-            .get((self.environment.unit() * front_end.clients.len() as f64) as usize)
+            .get((self.environment.random_unit() * front_end.clients.len() as f64) as usize)
             .cloned()
     }
 }
--- a/crates/cli/src/rehearse/messages.rs
+++ b/crates/cli/src/rehearse/messages.rs
@@ -5,7 +5,7 @@
 use orchidtally_invariants::TrafficRecord;
 use orchidtally_mqtt::filter::Filter;
 use orchidtally_mqtt::packet::{Property, Qos};
-use orchidtally_test_servers::broker::{BrokerServer, GivesTwice, Message};
+use orchidtally_test_servers::broker::{BrokerServer, DuplicateDelivery, Message};
 use orchidtally_test_servers::{TestEnvironment, unused_address};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
             std::process::id()
         ));
         let broker = BrokerServer::start(environment, unused_address(), None)?;
-        broker.broker.borrow_mut().faults.reorders = true;
+        broker.broker.borrow_mut().faults.reverses_redelivery = true;
         Ok(Messages {
             environment: environment.clone(),
             broker,
@@ -78,7 +78,7 @@
 
     /// Publishes a message of a random trigger type, house and function.
     fn publish_one(&self) {
-        let mut remainder = self.environment.unit();
+        let mut remainder = self.environment.random_unit();
         let trigger_type = TRIGGER_TYPE_SHARES.iter().find(|s| {
             remainder -= s.1;
             remainder < 0.0
@@ -86,8 +86,8 @@
         let trigger_type = trigger_type.map_or("act", |k| k.0);
         self.sent.set(self.sent.get() + 1);
         let invocation = format!("message-{}", self.sent.get());
-        let house = (self.environment.unit() * HOUSES) as u32;
-        let function = format!("fn-{}", (self.environment.unit() * 6.0) as u32);
+        let house = (self.environment.random_unit() * HOUSES) as u32;
+        let function = format!("fn-{}", (self.environment.random_unit() * 6.0) as u32);
         self.unanswered.borrow_mut().insert(invocation.clone());
         let at = self.environment.now();
         self.environment.record(TrafficRecord::MessagePublished {
@@ -105,7 +105,7 @@
                 Property::CorrelationData(invocation.clone().into()),
                 Property::User("orchidtally-invocation".into(), invocation),
             ],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
@@ -135,8 +135,8 @@
     /// other types breaks no rule, so a run in which only those are duplicated would prove nothing.
     fn enable_duplicates(&self) {
         let filter = Filter::parse(NON_IDEMPOTENT_TOPICS).expect("a valid filter");
-        let fault = GivesTwice::one_in(DUPLICATE_INTERVAL, filter);
-        self.broker.broker.borrow_mut().faults.gives_twice = Some(fault);
+        let fault = DuplicateDelivery::one_in(DUPLICATE_INTERVAL, filter);
+        self.broker.broker.borrow_mut().faults.duplicate_delivery = Some(fault);
     }
 
     /// Publishes for the duration of the scenario, breaks connections, restarts the broker once with its state, and
@@ -151,18 +151,20 @@
             this.environment
                 .sleep(from + 0.2 * length - this.environment.now())
                 .await;
-            this.broker.breaks_every.set(PACKETS_PER_DISCONNECT);
+            this.broker.resets_every.set(PACKETS_PER_DISCONNECT);
             this.environment.sleep(0.3 * length).await;
             if let Err(fault) = this.broker.restart(0.5, true).await {
                 eprintln!("the broker did not restart: {fault}");
             }
             this.environment.sleep(0.1 * length).await;
-            this.broker.slow.set(0.01);
+            this.broker.send_delay.set(0.01);
             this.environment.sleep(0.05 * length).await;
-            this.broker.slow.set(0.0);
-            this.broker.silent.set(this.environment.now() + 0.5);
+            this.broker.send_delay.set(0.0);
+            this.broker
+                .stalled
+                .activate_until(this.environment.now() + 0.5);
             this.environment.sleep(0.15 * length).await;
-            this.broker.breaks_every.set(0);
+            this.broker.resets_every.set(0);
         });
         let mut next = from;
         while next < from + length {
@@ -173,7 +175,7 @@
                     .await;
             }
             self.publish_one();
-            next += -(1.0 - self.environment.unit()).ln() / (MESSAGE_SHARE * rate);
+            next += -(1.0 - self.environment.random_unit()).ln() / (MESSAGE_SHARE * rate);
         }
         network.await;
         let until = self.environment.now() + 15.0;
--- a/crates/cli/tests/http_standstill.rs
+++ b/crates/cli/tests/http_standstill.rs
@@ -28,7 +28,7 @@
     let program = || Program {
         concurrency: 32,
         load_time: 0.02,
-        work: 0.002,
+        cpu_time: 0.002,
         run: echo,
         ..Program::default()
     };
@@ -145,7 +145,9 @@
     );
     check_drain_during_pause(&environment, &source, "stop-etcd.json5", || {
         // The store is slow to answer, so that the front end reads the waiting requests before it learns of the drain.
-        etcd.faults.stalled.set(environment.now() + PAUSE + 0.5);
+        etcd.faults
+            .stalled
+            .activate_until(environment.now() + PAUSE + 0.5);
         put(0, "draining");
     });
 }
@@ -165,8 +167,8 @@
         started_at: f64::NEG_INFINITY,
     };
     let publisher = Publisher::start(&environment, unused_address(), vec![row(0), row(1)]).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let source = format!(r#"publisher: "{}""#, publisher.address);
-    let drain = || publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+    let drain = || publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
     check_drain_during_pause(&environment, &source, "stop-publisher.json5", drain);
 }
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -29,7 +29,7 @@
 fn assert_proxies_used(fleet: &Fleet) {
     let taken: u64 = (0..EXECUTORS)
         .flat_map(|x| links(fleet, x))
-        .map(|link| link.taken.get())
+        .map(|link| link.accepted_connections.get())
         .sum();
     assert!(taken > 0, "no connection went through a fault proxy");
 }
@@ -92,7 +92,7 @@
                 let until = fleet.environment.now() + 0.4;
                 links(&fleet, n % EXECUTORS)
                     .iter()
-                    .for_each(|link| link.stalls_answers.set(until));
+                    .for_each(|link| link.stalls_responses.activate_until(until));
             }
             assert_proxies_used(&fleet);
         });
@@ -108,7 +108,7 @@
                 let until = fleet.environment.now() + 0.6;
                 links(&fleet, n % EXECUTORS)
                     .iter()
-                    .for_each(|link| link.stalls_requests.set(until));
+                    .for_each(|link| link.stalls_requests.activate_until(until));
             }
             assert_proxies_used(&fleet);
         });
@@ -126,7 +126,7 @@
         fleet.link();
         (0..EXECUTORS)
             .flat_map(|x| links(fleet, x))
-            .for_each(|link| link.dial_delay.set(0.2));
+            .for_each(|link| link.connect_delay.set(0.2));
     };
     let outcome = run_scenario_with_setup("links-dial", 2, 4.0, set_up, |fleet| async move {
         fleet.environment.sleep(1.5).await;
--- a/crates/cli/tests/scenario/mod.rs
+++ b/crates/cli/tests/scenario/mod.rs
@@ -249,9 +249,9 @@
                 };
                 let (client, fleet) = (client.clone(), self.clone());
                 let cancels = self.cancelled_share.get() > 0.0
-                    && self.environment.unit() < self.cancelled_share.get();
+                    && self.environment.random_unit() < self.cancelled_share.get();
                 let cancel_after = if cancels {
-                    MAX_CANCELLATION_DELAY * self.environment.unit()
+                    MAX_CANCELLATION_DELAY * self.environment.random_unit()
                 } else {
                     f64::INFINITY
                 };
--- a/crates/cli/tests/soak_faults/mod.rs
+++ b/crates/cli/tests/soak_faults/mod.rs
@@ -210,7 +210,7 @@
                 .links
                 .borrow()
                 .iter()
-                .for_each(|link| link.stalls_answers.set(until));
+                .for_each(|link| link.stalls_responses.activate_until(until));
         }
         Fault::StateChange(x, state) => change_state(&fleet, x, state).await,
         Fault::Pause(j, time) => pause(&fleet, j, time, None).await,
--- a/crates/http-frontend/benches/triggers.rs
+++ b/crates/http-frontend/benches/triggers.rs
@@ -73,7 +73,7 @@
             Some(Program {
                 concurrency: 64,
                 load_time: 0.05,
-                work: 0.0005,
+                cpu_time: 0.0005,
                 run: echo,
                 ..Program::default()
             })
@@ -114,7 +114,7 @@
                 "sent".into(),
                 ((sent * 1e3) as u64).to_string(),
             )],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
@@ -312,7 +312,7 @@
         let (mut in_time, mut last_in_time, mut max_held) = (0, 0.0, 0);
         while answers.len() < BACKLOG && started_at.elapsed().as_secs() < 150 {
             test_bed.environment.sleep(0.01).await;
-            max_held = max_held.max(test_bed.broker.broker.borrow().given());
+            max_held = max_held.max(test_bed.broker.broker.borrow().unacknowledged());
             for (n, succeeded) in test_bed.take_answers() {
                 assert!(
                     answers.insert(n, succeeded).is_none(),
--- a/crates/http-frontend/tests/config_faults.rs
+++ b/crates/http-frontend/tests/config_faults.rs
@@ -30,7 +30,7 @@
         })
         .await;
         let stalled_at = environment.now();
-        etcd.faults.stalled.set(stalled_at + 5.0);
+        etcd.faults.stalled.activate_until(stalled_at + 5.0);
         wait_until(
             &environment,
             "the store is reported as disconnected",
@@ -118,7 +118,7 @@
         })
         .await;
         // The front end receives nothing while these entries are written and compacted.
-        etcd.faults.stalled.set(environment.now() + 4.0);
+        etcd.faults.stalled.activate_until(environment.now() + 4.0);
         wait_until(&environment, "the front end is disconnected", async || {
             front_end.configuration().await["connected"] == false
         })
--- a/crates/http-frontend/tests/gateway_kit/mod.rs
+++ b/crates/http-frontend/tests/gateway_kit/mod.rs
@@ -125,7 +125,7 @@
         invocation: name.into(),
         function: "f".into(),
         trigger_type: (trigger_type.0, trigger_type.1.into()),
-        time_left: 3.0,
+        timeout: 3.0,
         payload: Bytes::from_static(b"payload"),
         ..ClientRequest::default()
     }
@@ -168,7 +168,7 @@
         Some(Program {
             concurrency: 32,
             load_time,
-            work: 0.005,
+            cpu_time: 0.005,
             run: echo,
             ..Program::default()
         })
--- a/crates/http-frontend/tests/publisher_loss.rs
+++ b/crates/http-frontend/tests/publisher_loss.rs
@@ -42,7 +42,7 @@
         .map(|n| endpoint(n, executors[n].address, EndpointState::Ready))
         .collect();
     let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let path = FaultProxy::start(&environment, publisher.address).unwrap();
     let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", path.address),
@@ -56,7 +56,7 @@
             "both serve"
         );
         path.freeze();
-        publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+        publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
         environment.sleep(FOUND_OUT_WITHIN).await;
         assert_eq!(
             invoke_some(&environment, &client, "after").await,
--- a/crates/http-frontend/tests/triggers.rs
+++ b/crates/http-frontend/tests/triggers.rs
@@ -64,7 +64,7 @@
         assert_eq!(test_bed.answer("done/1").await, succeeded("warm"));
         // The broker gets another certificate, which is not trusted until the file contains it.
         *current.borrow_mut() = identity();
-        test_bed.broker.break_all();
+        test_bed.broker.reset_all_connections();
         test_bed.publish("act/2", "warmer");
         test_bed.environment.sleep(0.8).await;
         assert!(
@@ -74,10 +74,10 @@
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
         assert_eq!(test_bed.answer("done/2").await, succeeded("warmer"));
         // A change of the files closes the current connection.
-        let before = test_bed.broker.accepted();
+        let before = test_bed.broker.accepted_connections();
         test_bed.environment.sleep(0.05).await;
         std::fs::write(&pem, current.borrow().0.pem()).unwrap();
-        while test_bed.broker.accepted() == before {
+        while test_bed.broker.accepted_connections() == before {
             test_bed.environment.sleep(0.05).await;
         }
         test_bed.publish("act/3", "again");
@@ -106,17 +106,28 @@
             .broker
             .borrow_mut()
             .faults
-            .refuses
+            .connect_refusals
             .extend([0x88, 0x87]);
-        test_bed.broker.break_all();
+        test_bed.broker.reset_all_connections();
         check_message(&test_bed).await;
-        assert!(test_bed.broker.broker.borrow().faults.refuses.is_empty());
-        test_bed.broker.malformed.set(true);
-        test_bed.broker.break_all();
+        assert!(
+            test_bed
+                .broker
+                .broker
+                .borrow()
+                .faults
+                .connect_refusals
+                .is_empty()
+        );
+        test_bed.broker.sends_malformed.set(true);
+        test_bed.broker.reset_all_connections();
         check_message(&test_bed).await;
-        assert!(!test_bed.broker.malformed.get());
+        assert!(!test_bed.broker.sends_malformed.get());
         // The broker does not answer a ping for longer than half of the keep alive.
-        test_bed.broker.silent.set(test_bed.environment.now() + 2.5);
+        test_bed
+            .broker
+            .stalled
+            .activate_until(test_bed.environment.now() + 2.5);
         check_message(&test_bed).await;
         test_bed.broker.restart(0.2, false).await.unwrap();
         test_bed.environment.sleep(1.0).await;
@@ -208,7 +219,7 @@
             invocation: name.into(),
             function: "mist".into(),
             trigger_type: (0, "act".into()),
-            time_left: 4.0,
+            timeout: 4.0,
             payload: payload.into(),
             ..ClientRequest::default()
         };
--- a/crates/mqtt-triggers/tests/simulated.rs
+++ b/crates/mqtt-triggers/tests/simulated.rs
@@ -59,7 +59,7 @@
                 "orchidtally-invocation".into(),
                 format!("{kind}-{message}"),
             )],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         };
         let actions = simulation.broker.publish(simulation.now, m);
         simulation.perform(actions);
@@ -134,7 +134,10 @@
             "seed {seed}: a consumer still holds messages"
         );
         assert_eq!(
-            (simulation.broker.waiting(), simulation.broker.given()),
+            (
+                simulation.broker.undelivered(),
+                simulation.broker.unacknowledged()
+            ),
             (0, 0),
             "seed {seed}: the broker still holds messages"
         );
--- a/crates/mqtt-triggers/tests/simulation/mod.rs
+++ b/crates/mqtt-triggers/tests/simulation/mod.rs
@@ -10,7 +10,7 @@
 use orchidtally_mqtt_triggers::consumer::HostAction;
 use orchidtally_mqtt_triggers::ledger::{Answer, Record};
 use orchidtally_mqtt_triggers::settings::{TriggerSettings, read};
-use orchidtally_test_servers::broker::{Action, Broker, GivesTwice};
+use orchidtally_test_servers::broker::{Action, Broker, DuplicateDelivery};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -106,10 +106,10 @@
     ) -> Simulation {
         let (deployment, section) = deployment(version, qos, reassigns_unacknowledged);
         let mut broker = Broker::default();
-        broker.faults.hands_over = reassigns_unacknowledged;
-        broker.faults.reorders = seed.is_multiple_of(2);
-        let duplicate_deliveries = || GivesTwice::one_in(5, Filter::parse("#").unwrap());
-        broker.faults.gives_twice =
+        broker.faults.reassigns_unacknowledged = reassigns_unacknowledged;
+        broker.faults.reverses_redelivery = seed.is_multiple_of(2);
+        let duplicate_deliveries = || DuplicateDelivery::one_in(5, Filter::parse("#").unwrap());
+        broker.faults.duplicate_delivery =
             (injected_fault == InjectedFault::DeliversTwice).then(duplicate_deliveries);
         let mut simulation = Simulation {
             random: SmallRng::seed_from_u64(seed),
@@ -167,7 +167,7 @@
         if let Some(consumer) = &mut front_end.consumer {
             consumer.connection_lost();
         }
-        let actions = self.broker.lost(self.now, connection, false);
+        let actions = self.broker.connection_closed(self.now, connection, false);
         self.perform(actions);
         self.process_outputs(n);
     }
@@ -289,7 +289,7 @@
         };
         let actions = self
             .broker
-            .received(self.now, connection, self.version, packet);
+            .handle_packet(self.now, connection, self.version, packet);
         self.perform(actions);
     }
 
--- a/crates/test-servers/src/broker/mod.rs
+++ b/crates/test-servers/src/broker/mod.rs
@@ -1,8 +1,8 @@
-//! An MQTT broker, 3.1.1 and 5, with what front ends and publishers need: sessions, shared subscriptions, all three
-//! QoS, receive maximum, expiry, retained messages and wills.
+//! An MQTT broker for versions 3.1.1 and 5. It implements sessions, shared subscriptions, all three QoS levels, receive
+//! maximum, message and session expiry, retained messages and wills.
 //!
-//! [`Broker`] is a state machine without I/O; [`BrokerServer`] runs one on sockets. It keeps its state for as long as
-//! it lives, and injects the faults that a test asks for. Times are in seconds on the host's clock.
+//! [`Broker`] is a state machine without I/O; [`BrokerServer`] runs one on sockets. The state is in memory only. Tests
+//! can inject faults. Times are in seconds on the host's clock.
 
 mod requests;
 mod server;
@@ -30,7 +30,7 @@
     /// Its properties; empty in version 3.1.1.
     pub properties: Properties,
     /// When it expires.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     will: Option<Will>,
 }
 
-/// What the host has to do for a connection, by its number.
+/// What the host has to do for a connection, which is identified by its number.
 #[derive(Debug, PartialEq)]
 pub enum Action {
     /// Send a packet.
@@ -54,41 +54,41 @@
 /// Faults that the broker injects.
 #[derive(Debug, Default)]
 pub struct BrokerFaults {
-    /// CONNECTs are refused with these codes, one after the other.
-    pub refuses: VecDeque<u8>,
-    /// What was not acknowledged is sent again in reverse order.
-    pub reorders: bool,
-    /// QoS 1 messages of a lost connection go to other members of the group, without being marked as duplicates.
-    pub hands_over: bool,
+    /// The next CONNECT packets are refused with these reason codes, one code for each packet.
+    pub connect_refusals: VecDeque<u8>,
+    /// Unacknowledged messages are redelivered in reverse order after a reconnection.
+    pub reverses_redelivery: bool,
+    /// Unacknowledged QoS 1 messages of a closed connection go to other members of the group, without the DUP flag.
+    pub reassigns_unacknowledged: bool,
     /// Some messages of a group are delivered to two members.
-    pub gives_twice: Option<GivesTwice>,
+    pub duplicate_delivery: Option<DuplicateDelivery>,
 }
 
 /// Which messages of a group are delivered to two members.
 #[derive(Debug)]
-pub struct GivesTwice {
+pub struct DuplicateDelivery {
     filter: Filter,
-    every: u64,
+    interval: u64,
     matched: u64,
 }
 
-impl GivesTwice {
+impl DuplicateDelivery {
     /// One in `every` messages whose topic matches the filter.
-    pub fn one_in(every: u64, filter: Filter) -> GivesTwice {
-        GivesTwice {
+    pub fn one_in(interval: u64, filter: Filter) -> DuplicateDelivery {
+        DuplicateDelivery {
             filter,
-            every,
+            interval,
             matched: 0,
         }
     }
 
-    /// Counts a message, and returns whether it is one of those.
+    /// Counts a matching message, and returns whether it is to be delivered twice.
     fn applies_to(&mut self, topic: &str) -> bool {
         if !self.filter.matches(topic) {
             return false;
         }
         self.matched += 1;
-        self.matched.is_multiple_of(self.every)
+        self.matched.is_multiple_of(self.interval)
     }
 }
 
@@ -99,13 +99,13 @@
     filter: String,
 }
 
-/// The broker.
+/// The state of a broker: sessions, connections, queues and retained messages.
 #[derive(Debug, Default)]
 pub struct Broker {
     sessions: BTreeMap<String, ClientSession>,
     connections: BTreeMap<u64, Connection>,
-    /// Messages of shared subscriptions that were delivered to nobody.
-    shared: BTreeMap<SharedSubscription, VecDeque<Message>>,
+    /// Messages of shared subscriptions that are not delivered to any member yet.
+    shared_queues: BTreeMap<SharedSubscription, VecDeque<Message>>,
     retained: BTreeMap<String, Message>,
     /// The faults to inject.
     pub faults: BrokerFaults,
@@ -115,9 +115,12 @@
 }
 
 impl Broker {
-    /// The number of messages that were delivered to nobody.
-    pub fn waiting(&self) -> usize {
-        self.shared.values().map(VecDeque::len).sum::<usize>()
+    /// The number of queued messages, which are not delivered to any client yet.
+    pub fn undelivered(&self) -> usize {
+        self.shared_queues
+            .values()
+            .map(VecDeque::len)
+            .sum::<usize>()
             + self
                 .sessions
                 .values()
@@ -125,8 +128,8 @@
                 .sum::<usize>()
     }
 
-    /// The number of messages that were delivered and are not acknowledged.
-    pub fn given(&self) -> usize {
+    /// The number of messages that are delivered but not acknowledged.
+    pub fn unacknowledged(&self) -> usize {
         self.sessions
             .values()
             .map(ClientSession::unacknowledged)
@@ -140,8 +143,8 @@
             .map_or(Version::V5, |connection| connection.version)
     }
 
-    /// Drops a client's session, as after a loss of state.
-    pub fn forget(&mut self, client: &str) {
+    /// Removes a client's session, as a loss of state does.
+    pub fn remove_session(&mut self, client: &str) {
         self.sessions.remove(client);
     }
 
@@ -162,7 +165,7 @@
                 self.retained.insert(message.topic.clone(), message.clone());
             }
         }
-        let live = Message {
+        let unretained = Message {
             retain: false,
             ..message
         };
@@ -171,7 +174,7 @@
             let matching = session
                 .filters
                 .iter()
-                .filter(|(filter, _)| filter.matches(&live.topic));
+                .filter(|(filter, _)| filter.matches(&unretained.topic));
             let unshared = matching
                 .clone()
                 .filter(|(filter, _)| filter.group().is_none());
@@ -183,20 +186,20 @@
             }
             if let Some(qos) = unshared_qos {
                 session.queue.push_back(Message {
-                    qos: qos.min(live.qos),
-                    ..live.clone()
+                    qos: qos.min(unretained.qos),
+                    ..unretained.clone()
                 });
             }
         }
         for (shared, qos) in groups {
-            let queue = self.shared.entry(shared).or_default();
+            let queue = self.shared_queues.entry(shared).or_default();
             let message = Message {
-                qos: qos.min(live.qos),
-                ..live.clone()
+                qos: qos.min(unretained.qos),
+                ..unretained.clone()
             };
             if self
                 .faults
-                .gives_twice
+                .duplicate_delivery
                 .as_mut()
                 .is_some_and(|fault| fault.applies_to(&message.topic))
             {
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Delivers what waits to clients that have room, one message to each in turn.
+    /// Delivers queued messages to clients below their receive maximum, one message to each in turn.
     fn deliver(&mut self, now: f64, actions: &mut Vec<Action>) {
         loop {
             let mut delivered = false;
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Delivers a message over a connection; returns whether there was one.
+    /// Sends the next queued message, unless it has expired, over a connection. Returns whether a message was dequeued.
     fn deliver_one(&mut self, now: f64, number: u64, actions: &mut Vec<Action>) -> bool {
         let Some(connection) = self.connections.get(&number) else {
             return false;
@@ -230,8 +233,9 @@
         let Some(session) = self.sessions.get_mut(&connection.client) else {
             return false;
         };
-        let has_room = session.unacknowledged() < usize::from(connection.receive_maximum);
-        if session.connection != Some(number) || !has_room {
+        let is_below_receive_maximum =
+            session.unacknowledged() < usize::from(connection.receive_maximum);
+        if session.connection != Some(number) || !is_below_receive_maximum {
             return false;
         }
         let mut next = session.queue.pop_front();
@@ -239,18 +243,21 @@
             let Some(shared) = SharedSubscription::of(filter).filter(|_| next.is_none()) else {
                 continue;
             };
-            next = self.shared.get_mut(&shared).and_then(VecDeque::pop_front);
+            next = self
+                .shared_queues
+                .get_mut(&shared)
+                .and_then(VecDeque::pop_front);
         }
         let Some(message) = next else { return false };
-        if message.until > now {
+        if message.expires_at > now {
             let packet = session.deliver(message, now, connection.version);
             actions.push(Action::Send(number, packet));
         }
         true
     }
 
-    /// A connection has ended, in order or not.
-    pub fn lost(&mut self, now: f64, number: u64, in_order: bool) -> Vec<Action> {
+    /// Handles the end of a connection. The will is published unless the end is orderly.
+    pub fn connection_closed(&mut self, now: f64, number: u64, is_orderly: bool) -> Vec<Action> {
         let mut actions = vec![];
         let Some(connection) = self.connections.remove(&number) else {
             return actions;
@@ -258,17 +265,20 @@
         let session = self.sessions.get_mut(&connection.client);
         if let Some(session) = session.filter(|session| session.connection == Some(number)) {
             session.connection = None;
-            session.until = now + connection.session_expiry;
-            if self.faults.hands_over {
-                for (shared, message) in session.take_shared() {
-                    self.shared.entry(shared).or_default().push_front(message);
+            session.expires_at = now + connection.session_expiry;
+            if self.faults.reassigns_unacknowledged {
+                for (shared, message) in session.take_unacknowledged_shared() {
+                    self.shared_queues
+                        .entry(shared)
+                        .or_default()
+                        .push_front(message);
                 }
             }
             if connection.session_expiry == 0.0 {
                 self.sessions.remove(&connection.client);
             }
         }
-        if let Some(will) = connection.will.filter(|_| !in_order) {
+        if let Some(will) = connection.will.filter(|_| !is_orderly) {
             let Will {
                 topic,
                 payload,
@@ -282,7 +292,7 @@
                 qos,
                 retain,
                 properties,
-                until: f64::INFINITY,
+                expires_at: f64::INFINITY,
             });
         }
         self.deliver(now, &mut actions);
--- a/crates/test-servers/src/broker/server.rs
+++ b/crates/test-servers/src/broker/server.rs
@@ -1,4 +1,4 @@
-//! The broker on sockets, with faults of its network.
+//! A broker on sockets, with injected network faults.
 
 use super::{Action, Broker, Message};
 use crate::{TestEnvironment, TimedFault};
@@ -13,67 +13,68 @@
 
 /// The size in bytes of the largest packet that is accepted.
 const MAX_PACKET_SIZE: usize = 1_048_576;
-/// Packets that wait to be written to a connection.
+/// The largest number of packets queued for a connection; further ones are dropped.
 const MAX_QUEUED_PACKETS: usize = 100_000;
-/// Bytes that no control packet begins with.
+/// Bytes that don't form a control packet: its type is the reserved value 0, and its length is malformed.
 const MALFORMED: &[u8] = &[0x00, 0xff, 0xff, 0xff, 0xff, 0xff];
-/// Seconds for which a restart tries to listen at its address again, and between two tries.
+/// How long a restart retries to listen at its address, in seconds.
 const LISTEN_TIMEOUT: f64 = 2.0;
+/// The interval between these attempts, in seconds.
 const LISTEN_RETRY: f64 = 0.02;
 
 /// Any stream, plain or encrypted.
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin {}
 impl<T: AsyncRead + AsyncWrite + Unpin> ByteStream for T {}
 
-/// Wraps a stream that was accepted in another, as TLS does; `None` where that fails.
+/// Wraps an accepted stream, for instance in TLS. Returns `None` if the handshake fails.
 pub type StreamWrapper = Rc<
     dyn Fn(
         orchidtally_socket_io::Stream,
     ) -> futures_lite::future::BoxedLocal<Option<Box<dyn ByteStream>>>,
 >;
 
-/// A broker on sockets, with faults of its network.
+/// A broker that listens on a socket.
 pub struct BrokerServer {
-    stage: TestEnvironment,
-    /// Where it listens.
+    environment: TestEnvironment,
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// The broker.
     pub broker: RefCell<Broker>,
-    /// Where packets for a connection go; `None` ends it.
+    /// The queues of encoded packets by connection number; `None` in a queue ends the connection.
     writers: RefCell<BTreeMap<u64, async_channel::Sender<Option<Bytes>>>>,
     last_connection: Cell<u64>,
     wrapper: Option<StreamWrapper>,
-    /// Nothing is read or written until then.
-    pub silent: TimedFault,
-    /// Seconds that each packet to a client is delayed.
-    pub slow: Cell<f64>,
-    /// One in so many packets breaks its connection; 0 for none.
-    pub breaks_every: Cell<u64>,
-    /// The next connection gets bytes that are no packet.
-    pub malformed: Cell<bool>,
+    /// While active, no packet is handled or written.
+    pub stalled: TimedFault,
+    /// The delay before each packet to a client, in seconds.
+    pub send_delay: Cell<f64>,
+    /// Every n-th packet, in either direction, resets its connection; 0 disables the fault.
+    pub resets_every: Cell<u64>,
+    /// The next connection is sent bytes that don't form a packet; the flag is cleared then.
+    pub sends_malformed: Cell<bool>,
     packets: Cell<u64>,
     listening: RefCell<Option<async_executor::Task<()>>>,
 }
 
 impl BrokerServer {
-    /// Starts a broker that listens at an address.
+    /// Starts a broker. Port 0 selects a free port.
     pub fn start(
-        stage: &TestEnvironment,
-        at: SocketAddr,
+        environment: &TestEnvironment,
+        address: SocketAddr,
         wrapper: Option<StreamWrapper>,
     ) -> std::io::Result<Rc<BrokerServer>> {
-        let listener = orchidtally_socket_io::listen(at)?;
+        let listener = orchidtally_socket_io::listen(address)?;
         let server = Rc::new(BrokerServer {
-            stage: stage.clone(),
+            environment: environment.clone(),
             address: listener.get_ref().local_addr()?,
             broker: RefCell::default(),
             writers: RefCell::default(),
             last_connection: Cell::new(0),
             wrapper,
-            silent: TimedFault::default(),
-            slow: Cell::new(0.0),
-            breaks_every: Cell::new(0),
-            malformed: Cell::new(false),
+            stalled: TimedFault::default(),
+            send_delay: Cell::new(0.0),
+            resets_every: Cell::new(0),
+            sends_malformed: Cell::new(false),
             packets: Cell::new(0),
             listening: RefCell::default(),
         });
@@ -86,59 +87,73 @@
         let accept = async move {
             loop {
                 let stream = orchidtally_socket_io::accept(&listener).await;
-                server.stage.spawn(server.clone().serve(stream)).detach();
+                server
+                    .environment
+                    .spawn(server.clone().serve(stream))
+                    .detach();
             }
         };
-        *self.listening.borrow_mut() = Some(self.stage.spawn(accept));
+        *self.listening.borrow_mut() = Some(self.environment.spawn(accept));
     }
 
-    /// Stops the broker and starts it again after some seconds, with its state or without.
-    pub async fn restart(self: &Rc<Self>, after: f64, keeps_state: bool) -> std::io::Result<()> {
+    /// Stops the broker and starts it again after `after` seconds. `preserves_state` says whether its state survives.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address can't be listened at within `LISTEN_TIMEOUT`.
+    pub async fn restart(
+        self: &Rc<Self>,
+        after: f64,
+        preserves_state: bool,
+    ) -> std::io::Result<()> {
         *self.listening.borrow_mut() = None;
-        self.break_all();
-        if !keeps_state {
+        self.reset_all_connections();
+        if !preserves_state {
             *self.broker.borrow_mut() = Broker::default();
         }
-        self.stage.sleep(after).await;
-        let until = self.stage.now() + LISTEN_TIMEOUT;
+        self.environment.sleep(after).await;
+        let deadline = self.environment.now() + LISTEN_TIMEOUT;
         loop {
             match orchidtally_socket_io::listen(self.address) {
                 Ok(listener) => {
                     self.listen(listener);
                     return Ok(());
                 }
-                Err(e) if self.stage.now() > until => return Err(e),
-                Err(_) => self.stage.sleep(LISTEN_RETRY).await,
+                Err(e) if self.environment.now() > deadline => return Err(e),
+                Err(_) => self.environment.sleep(LISTEN_RETRY).await,
             }
         }
     }
 
     /// The number of connections that were accepted so far.
-    pub fn accepted(&self) -> u64 {
+    pub fn accepted_connections(&self) -> u64 {
         self.last_connection.get()
     }
 
-    /// Breaks all connections.
-    pub fn break_all(&self) {
+    /// Resets all connections.
+    pub fn reset_all_connections(&self) {
         let numbers: Vec<u64> = self.writers.borrow().keys().copied().collect();
         numbers.into_iter().for_each(|number| self.close(number));
     }
 
     fn close(&self, number: u64) {
         if let Some(writer) = self.writers.borrow_mut().remove(&number) {
-            // A full channel belongs to a connection that is not read from: it ends when its writer gives up.
+            // The queue is full if the client doesn't read. Its connection then ends once the queue is written.
             let _ = writer.try_send(None);
         }
-        let actions = self
-            .broker
-            .borrow_mut()
-            .lost(self.stage.now(), number, false);
+        let actions =
+            self.broker
+                .borrow_mut()
+                .connection_closed(self.environment.now(), number, false);
         self.perform(actions);
     }
 
     /// Publishes a message that comes from no client.
     pub fn publish(&self, message: Message) {
-        let actions = self.broker.borrow_mut().publish(self.stage.now(), message);
+        let actions = self
+            .broker
+            .borrow_mut()
+            .publish(self.environment.now(), message);
         self.perform(actions);
     }
 
@@ -159,22 +174,22 @@
         }
     }
 
-    /// Whether a connection breaks with this packet.
-    fn breaks(&self) -> bool {
+    /// Counts a packet, and returns whether it resets its connection.
+    fn is_reset_due(&self) -> bool {
         self.packets.set(self.packets.get() + 1);
-        let every = self.breaks_every.get();
-        every > 0 && self.packets.get().is_multiple_of(every)
+        let interval = self.resets_every.get();
+        interval > 0 && self.packets.get().is_multiple_of(interval)
     }
 
-    async fn wait_while_silent(&self) {
-        self.stage
-            .sleep(self.silent.ends_at() - self.stage.now())
+    async fn wait_while_stalled(&self) {
+        self.environment
+            .sleep(self.stalled.ends_at() - self.environment.now())
             .await;
     }
 
     /// Serves one connection until it ends.
     async fn serve(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
-        let breaker = stream.abort_handle();
+        let reset_handle = stream.abort_handle();
         let stream: Box<dyn ByteStream> = match &self.wrapper {
             Some(wrapper) => match wrapper(stream).await {
                 Some(stream) => stream,
@@ -186,14 +201,14 @@
         self.last_connection.set(number);
         let (writer, packets) = async_channel::bounded::<Option<Bytes>>(MAX_QUEUED_PACKETS);
         let (reader, socket) = futures_lite::io::split(stream);
-        if self.malformed.replace(false) {
+        if self.sends_malformed.replace(false) {
             let _ = writer.try_send(Some(Bytes::from_static(MALFORMED)));
         }
         self.writers.borrow_mut().insert(number, writer);
         let server = self.clone();
-        let writing = self.stage.spawn(async move {
+        let writing = self.environment.spawn(async move {
             server.write(socket, packets).await;
-            if let Some(socket) = breaker {
+            if let Some(socket) = reset_handle {
                 orchidtally_socket_io::reset_on_close(&socket);
                 let _ = socket.shutdown(Shutdown::Both);
             }
@@ -210,9 +225,9 @@
         packets: async_channel::Receiver<Option<Bytes>>,
     ) {
         while let Ok(Some(bytes)) = packets.recv().await {
-            self.wait_while_silent().await;
-            self.stage.sleep(self.slow.get()).await;
-            if self.breaks() || socket.write_all(&bytes).await.is_err() {
+            self.wait_while_stalled().await;
+            self.environment.sleep(self.send_delay.get()).await;
+            if self.is_reset_due() || socket.write_all(&bytes).await.is_err() {
                 return;
             }
         }
@@ -236,14 +251,16 @@
                     Ok(None) => break,
                     Err(_) => return,
                 };
-                self.wait_while_silent().await;
-                if self.breaks() || !self.writers.borrow().contains_key(&number) {
+                self.wait_while_stalled().await;
+                if self.is_reset_due() || !self.writers.borrow().contains_key(&number) {
                     return;
                 }
-                let actions =
-                    self.broker
-                        .borrow_mut()
-                        .received(self.stage.now(), number, version, packet);
+                let actions = self.broker.borrow_mut().handle_packet(
+                    self.environment.now(),
+                    number,
+                    version,
+                    packet,
+                );
                 self.perform(actions);
             }
         }
--- a/crates/test-servers/src/broker/session.rs
+++ b/crates/test-servers/src/broker/session.rs
@@ -1,4 +1,4 @@
-//! The session of one client at the broker.
+//! The broker's state for one client.
 
 use super::{Message, SharedSubscription};
 use orchidtally_mqtt::Filter;
@@ -16,7 +16,7 @@
     }
 }
 
-/// How far the delivery of a message has come.
+/// The state of a delivery with QoS 1 or 2.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DeliveryState {
     Sent,
@@ -24,7 +24,7 @@
     Recorded,
 }
 
-/// The session of one client.
+/// A client's subscriptions, queued messages and unacknowledged deliveries.
 #[derive(Debug, Default)]
 pub(super) struct ClientSession {
     pub(super) connection: Option<u64>,
@@ -33,13 +33,13 @@
     pub(super) queue: VecDeque<Message>,
     /// Deliveries that are not acknowledged, by packet identifier.
     unacknowledged: BTreeMap<u16, (Message, DeliveryState)>,
-    /// Their packet identifiers in the order of delivery.
+    /// The packet identifiers of `unacknowledged` in the order of delivery.
     order: VecDeque<u16>,
     last_id: u16,
     /// Packet identifiers of QoS 2 messages that the client has not released yet.
     pub(super) incoming: BTreeSet<u16>,
     /// When the session expires, while there is no connection.
-    pub(super) until: f64,
+    pub(super) expires_at: f64,
 }
 
 impl ClientSession {
@@ -48,7 +48,8 @@
         self.unacknowledged.len()
     }
 
-    fn fresh_id(&mut self) -> u16 {
+    /// The next packet identifier that is not in use.
+    fn next_packet_id(&mut self) -> u16 {
         loop {
             self.last_id = self.last_id.checked_add(1).unwrap_or(1);
             if !self.unacknowledged.contains_key(&self.last_id) {
@@ -57,12 +58,12 @@
         }
     }
 
-    /// The packet that delivers a message.
+    /// Returns the PUBLISH packet for a message, and stores the message as unacknowledged if its QoS is 1 or 2.
     pub(super) fn deliver(&mut self, message: Message, now: f64, version: Version) -> Packet {
         if message.qos == Qos::AtMostOnce {
             return publish_packet(&message, 0, false, now, version);
         }
-        let id = self.fresh_id();
+        let id = self.next_packet_id();
         let packet = publish_packet(&message, id, false, now, version);
         self.unacknowledged
             .insert(id, (message, DeliveryState::Sent));
@@ -70,7 +71,7 @@
         packet
     }
 
-    /// The packets that continue deliveries over a new connection.
+    /// Returns the packets that resume unacknowledged deliveries over a new connection, in reverse order if `reversed`.
     pub(super) fn redeliver(&self, now: f64, version: Version, reversed: bool) -> Vec<Packet> {
         let mut ids: Vec<u16> = self.order.iter().copied().collect();
         if reversed {
@@ -89,25 +90,24 @@
         ids.into_iter().filter_map(packet).collect()
     }
 
-    /// The client has sent PUBREC.
-    pub(super) fn recorded(&mut self, id: u16) {
+    /// Handles PUBREC: from now on PUBREL is redelivered in place of PUBLISH.
+    pub(super) fn pubrec_received(&mut self, id: u16) {
         if let Some((_, state)) = self.unacknowledged.get_mut(&id) {
             *state = DeliveryState::Recorded;
         }
     }
 
-    /// A delivery has come to its end.
-    pub(super) fn completed(&mut self, id: u16) {
+    /// Removes a delivery that the client has acknowledged.
+    pub(super) fn complete(&mut self, id: u16) {
         self.unacknowledged.remove(&id);
         self.order.retain(|&other| other != id);
     }
 
-    /// Takes the QoS 1 deliveries that are not acknowledged, the newest first, with the shared subscriptions that
-    /// they belong to.
-    pub(super) fn take_shared(&mut self) -> Vec<(SharedSubscription, Message)> {
+    /// Removes the unacknowledged QoS 1 deliveries, and returns those of shared subscriptions, the newest first.
+    pub(super) fn take_unacknowledged_shared(&mut self) -> Vec<(SharedSubscription, Message)> {
         let has_qos_1 = |id: &u16| self.unacknowledged[id].0.qos == Qos::AtLeastOnce;
         let ids: Vec<u16> = self.order.iter().copied().filter(has_qos_1).collect();
-        let mut taken = vec![];
+        let mut messages = vec![];
         for id in ids.into_iter().rev() {
             let Some((message, _)) = self.unacknowledged.remove(&id) else {
                 continue;
@@ -118,10 +118,10 @@
                 .iter()
                 .filter(|(filter, _)| filter.matches(&message.topic));
             if let Some(shared) = matching.find_map(|(filter, _)| SharedSubscription::of(filter)) {
-                taken.push((shared, message));
+                messages.push((shared, message));
             }
         }
-        taken
+        messages
     }
 }
 
@@ -133,7 +133,7 @@
     };
     for property in &mut properties {
         if let Property::MessageExpiry(left) = property {
-            *left = (message.until - now).ceil().max(1.0) as u32;
+            *left = (message.expires_at - now).ceil().max(1.0) as u32;
         }
     }
     let (topic, payload) = (message.topic.clone(), message.payload.clone());
--- a/crates/test-servers/src/executor/guards.rs
+++ b/crates/test-servers/src/executor/guards.rs
@@ -1,4 +1,4 @@
-//! What a dispatch holds while it is in hand, given back when it is dropped: however it ends, nothing stays taken.
+//! Guards for the resources of a dispatch. They release on drop, so that a cancelled dispatch leaks nothing.
 
 use super::Executor;
 use async_channel::Sender;
@@ -6,30 +6,36 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A dispatch in hand; dropped before its end it was abandoned, or crashed with the executor.
-pub(super) struct InHand {
+/// A dispatch that waits or runs. If it is dropped before `end`, it is recorded as crashed where the executor is down,
+/// and as abandoned otherwise.
+pub(super) struct PendingDispatch {
     pub(super) executor: Rc<Executor>,
     pub(super) invocation: String,
     pub(super) number: u32,
     pub(super) ended: bool,
 }
 
-impl InHand {
+impl PendingDispatch {
+    /// Records the outcome and decrements the count of pending dispatches; does nothing on a second call.
     pub(super) fn end(&mut self, ending: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.executor.in_hand.set(self.executor.in_hand.get() - 1);
-            self.executor.stage.record(TrafficRecord::DispatchEnded {
-                at: self.executor.stage.now(),
-                executor: self.executor.spec.number,
-                invocation: self.invocation.clone(),
-                number: self.number,
-                outcome: ending,
-            });
+            self.executor
+                .pending_dispatches
+                .set(self.executor.pending_dispatches.get() - 1);
+            self.executor
+                .environment
+                .record(TrafficRecord::DispatchEnded {
+                    at: self.executor.environment.now(),
+                    executor: self.executor.spec.number,
+                    invocation: self.invocation.clone(),
+                    number: self.number,
+                    outcome: ending,
+                });
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for PendingDispatch {
     fn drop(&mut self) {
         let crashed = self
             .executor
@@ -44,7 +50,7 @@
     }
 }
 
-/// A place on a core, given back when dropped.
+/// Counts a running dispatch; decrements the counter on drop.
 pub(super) struct Running<'a>(pub(super) &'a Cell<usize>);
 
 impl Drop for Running<'_> {
@@ -53,36 +59,36 @@
     }
 }
 
-/// A lane of a copy, given back when dropped.
+/// A concurrency slot of a replica, released on drop.
 pub(super) struct Slot {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
-    pub(super) back: Sender<()>,
-    /// Of the copy's bytes. It stays the same where the copy is unloaded while it runs.
+    pub(super) release_slot: Sender<()>,
+    /// The digest of the package that this slot runs, even if the replica is unloaded meanwhile.
     pub(super) digest: String,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        // The copy may be gone with its lanes.
-        let _ = self.back.try_send(());
-        if let Some(copy) = self.executor.copies.borrow_mut().get_mut(&self.function) {
-            copy.running = copy.running.saturating_sub(1);
-            copy.used_at = self.executor.stage.now();
+        // Fails if the replica was unloaded, which closes the channel of its slots.
+        let _ = self.release_slot.try_send(());
+        if let Some(replica) = self.executor.replicas.borrow_mut().get_mut(&self.function) {
+            replica.running = replica.running.saturating_sub(1);
+            replica.used_at = self.executor.environment.now();
         }
     }
 }
 
-/// One of those that wait for a copy.
-pub(super) struct WaitingForCopy {
+/// Counts a dispatch that waits for a slot of a replica; decrements the counter on drop.
+pub(super) struct WaitingForReplica {
     pub(super) executor: Rc<Executor>,
     pub(super) function: String,
 }
 
-impl Drop for WaitingForCopy {
+impl Drop for WaitingForReplica {
     fn drop(&mut self) {
-        if let Some(copy) = self.executor.copies.borrow_mut().get_mut(&self.function) {
-            copy.held = copy.held.saturating_sub(1);
+        if let Some(replica) = self.executor.replicas.borrow_mut().get_mut(&self.function) {
+            replica.waiting = replica.waiting.saturating_sub(1);
         }
     }
 }
