--- a/crates/capacity-model/src/store/serve.rs
+++ b/crates/capacity-model/src/store/serve.rs
@@ -136,7 +136,7 @@
         bytes_received: client.bytes_received,
         bytes_sent: client.bytes_sent,
     };
-    served.clients().into_iter().map(usage).collect()
+    served.client_counters().into_iter().map(usage).collect()
 }
 
 fn put(served: &EtcdServer, entries: impl IntoIterator<Item = (Vec<u8>, Vec<u8>)>) -> Answer {
--- a/crates/cli/src/rehearse/endpoints.rs
+++ b/crates/cli/src/rehearse/endpoints.rs
@@ -155,7 +155,7 @@
                 started_at: since,
             });
         };
-        *self.etcd.notified.borrow_mut() = Some(Rc::new(hears));
+        *self.etcd.on_event.borrow_mut() = Some(Rc::new(hears));
         let me = self.clone();
         let renewals = async move {
             loop {
@@ -230,7 +230,7 @@
         until(0.55).await;
         // While all watchers are off it changes, and is compacted past what they had seen.
         self.etcd.faults.stalled.set(self.stage.now() + 0.3);
-        self.etcd.cut_off();
+        self.etcd.break_connections();
         self.executors
             .borrow()
             .iter()
@@ -250,7 +250,7 @@
         self.etcd.store.borrow_mut().restore(revision - 6);
         // It is another cluster then.
         self.etcd.store.borrow_mut().cluster += 1;
-        self.etcd.cut_off();
+        self.etcd.break_connections();
     }
 
     /// How soon after it was told of a drain each front end had sent its last dispatch.
--- a/crates/cli/tests/day/mod.rs
+++ b/crates/cli/tests/day/mod.rs
@@ -168,7 +168,7 @@
     pub fn link(&self) {
         self.executors
             .iter()
-            .for_each(|executor| executor.link().unwrap());
+            .for_each(|executor| executor.start_proxies().unwrap());
     }
 
     pub fn configure(&self, j: u32) {
@@ -229,7 +229,7 @@
                     id: n,
                     trigger_type: (ty, TYPES[ty]),
                     function: 0x100 + n * n % 11,
-                    allow: self.allow.get(),
+                    timeout: self.allow.get(),
                     body: n.to_string().into_bytes(),
                 };
                 let (client, day) = (client.clone(), self.clone());
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -135,7 +135,7 @@
         id: 1,
         trigger_type: (0, "read"),
         function: 1,
-        allow: 0.3,
+        timeout: 0.3,
         body: vec![],
     };
     day.clients[0].invoke(&ask).await;
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -19,7 +19,7 @@
 
 /// The links of an executor.
 fn links(day: &Day, x: usize) -> Vec<Rc<FaultProxy>> {
-    day.executors[x].links.borrow().clone()
+    day.executors[x].proxies.borrow().clone()
 }
 
 /// That the links were used: else a day would prove nothing.
--- a/crates/cli/tests/platform_views.rs
+++ b/crates/cli/tests/platform_views.rs
@@ -104,7 +104,7 @@
         day.stage.sleep(5.0).await;
         let moved = day.resolver.open(0).unwrap();
         day.dns.borrow_mut()[0] = moved;
-        day.resolver.close_all_but(moved);
+        day.resolver.answer_only_at(moved);
         day.configure(0);
         day.stage.sleep(4.2).await;
         day.change(0, EndpointState::Draining);
--- a/crates/cli/tests/soak_faults/mod.rs
+++ b/crates/cli/tests/soak_faults/mod.rs
@@ -130,7 +130,8 @@
         day.executors[x].draining.set(true);
     }
     day.change(x, standing);
-    day.resolver.notify_later(TOLD_WITHIN, FRONT_ENDS);
+    day.resolver
+        .count_as_notified_after(TOLD_WITHIN, FRONT_ENDS);
 }
 
 /// Waits for the end of a process that was told to end; kills it at the earliest that it may be.
@@ -187,13 +188,13 @@
             .set(Some((spoil, share))),
         Fault::Vanish(x, time) => day.executors[x].go_silent(time),
         Fault::Reset(x) => day.executors[x]
-            .links
+            .proxies
             .borrow()
             .iter()
             .for_each(|link| link.reset()),
         Fault::HalfLine(x, bytes) => {
             day.executors[x]
-                .links
+                .proxies
                 .borrow()
                 .iter()
                 .for_each(|link| link.reset_after.set(Some(bytes)));
@@ -201,7 +202,7 @@
         Fault::StalledAnswers(x, time) => {
             let until = day.stage.now() + time;
             day.executors[x]
-                .links
+                .proxies
                 .borrow()
                 .iter()
                 .for_each(|link| link.stalls_answers.set(until));
--- a/crates/http-frontend/tests/config_sync.rs
+++ b/crates/http-frontend/tests/config_sync.rs
@@ -245,7 +245,7 @@
         })
         .await;
         etcd.store.borrow_mut().restore(allowed);
-        etcd.cut_off();
+        etcd.break_connections();
         until(&stage, "it says so", async || {
             front_end.configuration().await["state"] == "store-set-back"
         })
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -173,7 +173,7 @@
         assert_eq!(w.ran(&caller, "withdrawn").await, [1]);
         // The store is away for longer than a lease: what is known is served on.
         w.etcd.faults.stalled.set(w.stage.now() + 3.0);
-        w.etcd.cut_off();
+        w.etcd.break_connections();
         w.stage.sleep(2.5).await;
         assert_eq!(w.ran(&caller, "away").await, [1]);
         let standing = w.standing(at).await;
--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -83,7 +83,7 @@
         self.messages.set(self.messages.get() + 1);
         let every = self.faults.breaks_every.get();
         if every > 0 && self.messages.get().is_multiple_of(every) {
-            self.cut_off();
+            self.break_connections();
             return Err(Broken);
         }
         Ok(())
@@ -114,7 +114,7 @@
     }
 
     pub(super) fn tell(&self, agent: &str, event: &Event) {
-        let on_event = self.notified.borrow().clone();
+        let on_event = self.on_event.borrow().clone();
         if let Some(on_event) = on_event {
             on_event(agent, event);
         }
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -45,7 +45,7 @@
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_link: Cell<u64>,
     /// Hears of each entry that is told to a client.
-    pub notified: RefCell<Option<EventListener>>,
+    pub on_event: RefCell<Option<EventListener>>,
 }
 
 impl EtcdServer {
@@ -87,7 +87,7 @@
             messages: Cell::new(0),
             links: RefCell::default(),
             next_link: Cell::new(0),
-            notified: RefCell::default(),
+            on_event: RefCell::default(),
         });
         for (listener, member, client_region) in listeners {
             stage
@@ -168,7 +168,7 @@
     }
 
     /// Breaks all connections off.
-    pub fn cut_off(&self) {
+    pub fn break_connections(&self) {
         self.links
             .borrow()
             .values()
@@ -190,7 +190,7 @@
     }
 
     /// What clients moved so far, by name.
-    pub fn clients(&self) -> Vec<ClientCounters> {
+    pub fn client_counters(&self) -> Vec<ClientCounters> {
         self.clients.snapshot()
     }
 
--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -28,7 +28,7 @@
     /// The number of the function.
     pub function: u64,
     /// The client's timeout in seconds.
-    pub allow: f64,
+    pub timeout: f64,
     /// The body, which the function echoes.
     pub body: Vec<u8>,
 }
@@ -132,7 +132,7 @@
         let (answer_sender, answers) = async_channel::bounded(2);
         open.waiting.borrow_mut().insert(stream, answer_sender);
         let (at, invocation) = (self.stage.now(), format!("{:016x}", ask.id));
-        let until = at + ask.allow + SOCKET_ALLOWANCE;
+        let until = at + ask.timeout + SOCKET_ALLOWANCE;
         self.stage.record(TrafficRecord::InvocationSent {
             at,
             client: self.front_end,
@@ -228,7 +228,7 @@
 /// The frame that sends an invocation.
 fn invoke_frame(stream: u32, ask: &ClientRequest) -> Vec<u8> {
     let invocation = format!("{:016x}", ask.id);
-    let allow = format!("{}", (ask.allow * 1e3) as u64);
+    let allow = format!("{}", (ask.timeout * 1e3) as u64);
     let function = format!("{:016x}", ask.function);
     let token = format!("{:032x}", ask.id);
     let fields = [
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -27,7 +27,7 @@
     /// Where it listens for each front end.
     pub addresses: Vec<SocketAddr>,
     /// What each front end's connections pass through, where a script wants that.
-    pub links: RefCell<Vec<Rc<FaultProxy>>>,
+    pub proxies: RefCell<Vec<Rc<FaultProxy>>>,
     /// Faults that a script sets.
     pub faults: Faults,
     /// Whether it takes no new dispatches.
@@ -35,7 +35,7 @@
     /// How long it takes to load a function, in seconds.
     pub load_time: f64,
     /// The work of an invocation, in seconds.
-    pub work: f64,
+    pub work_time: f64,
     /// When it last started; minus infinity for long ago.
     pub started_at: Cell<f64>,
     /// How long slow start lasts, in seconds.
@@ -128,11 +128,11 @@
             name: format!("s-{number:08x}"),
             cell: (number / 2) as u16,
             addresses: at,
-            links: RefCell::default(),
+            proxies: RefCell::default(),
             faults: Faults::default(),
             draining: Cell::default(),
             load_time: 0.05,
-            work: 0.01,
+            work_time: 0.01,
             started_at: Cell::new(f64::NEG_INFINITY),
             slow_start_duration: 1.0,
             overload_limit: 30,
@@ -157,19 +157,19 @@
 
 impl Executor {
     /// Puts a proxy before each of its addresses.
-    pub fn link(&self) -> std::io::Result<()> {
+    pub fn start_proxies(&self) -> std::io::Result<()> {
         let links = self
             .addresses
             .iter()
             .map(|&at| FaultProxy::start(&self.stage, at));
-        *self.links.borrow_mut() = links.collect::<std::io::Result<_>>()?;
+        *self.proxies.borrow_mut() = links.collect::<std::io::Result<_>>()?;
         Ok(())
     }
 
     /// Where a front end reaches it.
     pub fn address_for(&self, front_end: u32) -> SocketAddr {
         let link = self
-            .links
+            .proxies
             .borrow()
             .get(front_end as usize)
             .map(|link| link.address);
@@ -335,7 +335,7 @@
                 },
             },
         );
-        self.stage.sleep(self.work).await;
+        self.stage.sleep(self.work_time).await;
         let notified = json!({"tell": tell, "crowd": "1"});
         let done = line("DONE", &id, notified.clone(), &message["b"]);
         match spoil {
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -104,7 +104,7 @@
     }
 
     /// What happened so long ago counts as told, unless nobody is answered at all.
-    pub fn notify_later(self: &Rc<Self>, after: f64, front_ends: u32) {
+    pub fn count_as_notified_after(self: &Rc<Self>, after: f64, front_ends: u32) {
         let me = self.clone();
         let telling = async move {
             me.stage.sleep(after).await;
@@ -116,7 +116,7 @@
     }
 
     /// Nobody answers at the other addresses from now on.
-    pub fn close_all_but(&self, at: SocketAddr) {
+    pub fn answer_only_at(&self, at: SocketAddr) {
         self.only_address.set(Some(at));
     }
 
