--- a/crates/test-servers/src/etcd/clients.rs
+++ b/crates/test-servers/src/etcd/clients.rs
@@ -1,27 +1,28 @@
-//! What clients moved over their connections, by the names that they give themselves.
+//! Traffic counters per client, keyed by the `user-agent` that the client sends.
 
 use orchidtally_etcd::Traffic;
 use std::cell::{OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Names that are told apart; clients of further names count together under the empty one.
+/// The maximum number of client names that are counted separately. Clients with further names are counted under the
+/// empty name.
 const MAX_NAMES: usize = 16_384;
 
-/// A snapshot of what the clients of one name moved so far, at all members.
+/// A snapshot of the traffic of all clients with one name, summed over all members since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounters {
-    /// The header `user-agent` of a connection's first request; empty where it had none.
+    /// The `user-agent` header of the connection's first request; empty if it had none.
     pub name: String,
-    /// Connections that are open.
+    /// The number of open connections.
     pub connections_open: u64,
-    /// Bytes of the TCP streams, HTTP/2 included, from the clients.
+    /// Bytes received from the clients over TCP, including the HTTP/2 framing.
     pub bytes_received: u64,
-    /// The same to the clients.
+    /// Bytes sent to the clients over TCP, including the HTTP/2 framing.
     pub bytes_sent: u64,
 }
 
-/// The connections of the clients of one name.
+/// The open connections of the clients with one name, and the byte totals of their closed ones.
 #[derive(Debug, Default)]
 struct Connections {
     open: Vec<Rc<Traffic>>,
@@ -48,14 +49,14 @@
     }
 }
 
-/// All clients by name.
+/// The connections of all clients by client name.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     by_name: RefCell<BTreeMap<String, Connections>>,
 }
 
 impl Clients {
-    /// A connection that is open now. It is nobody's until its first request.
+    /// Tracks a new connection. It is counted for a client only from its first request on, which carries the name.
     pub fn connection(&self, traffic: Rc<Traffic>) -> ClientConnection<'_> {
         ClientConnection {
             clients: self,
@@ -85,7 +86,7 @@
     }
 }
 
-/// One open connection; dropping it counts it as closed.
+/// One open connection. Dropping it moves its byte counts to the closed connections of its client.
 pub(super) struct ClientConnection<'c> {
     clients: &'c Clients,
     traffic: Rc<Traffic>,
@@ -93,8 +94,8 @@
 }
 
 impl ClientConnection<'_> {
-    /// Takes the client's name from a request; that of the first one counts.
-    pub fn requested<B>(&self, request: &http::Request<B>) {
+    /// Assigns the connection to the client named in the request. Only the connection's first request has an effect.
+    pub fn on_request<B>(&self, request: &http::Request<B>) {
         self.name.get_or_init(|| {
             let header = request.headers().get(http::header::USER_AGENT);
             let name = header
--- a/crates/test-servers/src/etcd/cluster.rs
+++ b/crates/test-servers/src/etcd/cluster.rs
@@ -1,34 +1,35 @@
-//! Which members follow a leader: members that run, regions that can't reach each other, the quorum rule, and what a
-//! member without a leader still knows. A value; times are in seconds of the caller's clock.
+//! The cluster's membership and leadership: which members run, which regions are partitioned, who leads with a
+//! majority, and the view that a member without a leader still has. Does no I/O; times are
+//! in seconds on the caller's clock.
 
 use super::store::{Store, View};
 use std::collections::BTreeSet;
 
-/// A region's number; members and clients have one.
+/// The number of a region. Each member and each client belongs to one region.
 pub type Region = u32;
 
 #[derive(Debug)]
 struct Member {
     region: Region,
     is_running: bool,
-    /// What it knew when it lost its leader; none while it follows one.
+    /// The view at the time when the member lost its leader; `None` while it follows one.
     stale_view: Option<View>,
 }
 
 #[derive(Debug)]
 pub(super) struct Cluster {
     members: Vec<Member>,
-    /// Pairs of regions that can't reach each other, the lower number first.
+    /// Pairs of regions that can't reach each other, with the lower number first.
     cuts: BTreeSet<(Region, Region)>,
     leader: Option<usize>,
-    /// The raft term: grows with every election.
+    /// The Raft term, which increases with every election.
     term: u64,
-    /// When the leader acts: its election takes time.
-    leads_from: f64,
+    /// When the current leader's election completes; it can't commit before.
+    elected_at: f64,
 }
 
 impl Cluster {
-    /// A member in each of the regions named; the first one leads at once.
+    /// Creates a cluster with one member per entry of `regions`. The first member is the leader from the start.
     pub fn new(regions: &[Region]) -> Cluster {
         let member = |&region| Member {
             region,
@@ -41,7 +42,7 @@
             cuts: BTreeSet::new(),
             leader: Some(0),
             term: 1,
-            leads_from: f64::NEG_INFINITY,
+            elected_at: f64::NEG_INFINITY,
         }
     }
 
@@ -85,17 +86,18 @@
         self.term
     }
 
-    /// Whether a member reaches a leader that has a majority, and that is elected.
+    /// Whether the member reaches a leader that has a majority and whose election is complete.
     pub fn has_leader(&self, member: usize, now: f64) -> bool {
-        now >= self.leads_from && self.follows(member)
+        now >= self.elected_at && self.follows(member)
     }
 
-    /// Whether some leader can commit now.
+    /// Whether the cluster has a leader that can commit at `now`.
     pub fn can_commit(&self, now: f64) -> bool {
-        self.leader.is_some() && now >= self.leads_from
+        self.leader.is_some() && now >= self.elected_at
     }
 
-    /// What a member knows. A store that was set back by a restore is so for its stale members too.
+    /// The member's view of the store. A stale view never exceeds the store's revision, which a restore
+    /// may have lowered.
     pub fn view(&self, member: usize, store: &Store) -> View {
         let newest = store.view();
         match self.members[member].stale_view {
@@ -124,17 +126,17 @@
         2 * reached > self.members.len()
     }
 
-    /// Draws the consequences of members that stopped or started, and of cuts: a leader that still has a majority
-    /// stays, else the first member that can have one is elected, which takes `election_time`. A member that finds
-    /// a leader again has its state at once, as from a snapshot.
+    /// Recomputes leadership and views after a member stopped or started or a partition changed. A leader that still
+    /// has a majority stays; otherwise the first member with a majority is elected, which takes `election_time`
+    /// seconds. A member that reaches a leader again has the leader's state at once, as after a snapshot transfer.
     pub fn update(&mut self, now: f64, store: &mut Store, election_time: f64) {
         if !self.leader.is_some_and(|leader| self.has_majority(leader)) {
             self.leader = (0..self.members.len()).find(|&m| self.has_majority(m));
             if self.leader.is_some() {
                 self.term += 1;
-                self.leads_from = now + election_time;
-                // A new leader doesn't know when leases were renewed last.
-                store.leases.extend_all(self.leads_from);
+                self.elected_at = now + election_time;
+                // A new leader doesn't know when the leases were last renewed, so it gives each its full time to live.
+                store.leases.extend_all(self.elected_at);
             }
         }
         for member in 0..self.members.len() {
@@ -146,7 +148,7 @@
                 stale_view.get_or_insert(store.view());
             }
         }
-        // What a stale member has not heard to be compacted can still be read there.
+        // A stale member that missed a compaction still serves reads of the compacted revisions.
         store.pin(
             self.members
                 .iter()
--- a/crates/test-servers/src/etcd/counters.rs
+++ b/crates/test-servers/src/etcd/counters.rs
@@ -1,14 +1,14 @@
-//! What a member did, counted where it happens: exchanges as they are taken up, bytes at the socket.
+//! Counters of a member: requests when they are accepted, bytes at the socket.
 
 use std::cell::{Cell, RefCell};
 use std::ops::AddAssign;
 
-/// Exchanges by kind. A stream's messages count singly.
+/// The number of exchanges by kind. Each message on a stream counts as one exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exchanges {
-    /// Ranges that need a leader.
+    /// Linearizable ranges, which require a leader.
     pub linearizable_ranges: u64,
-    /// Ranges of a member's own state.
+    /// Serializable ranges, which a member answers from its own state.
     pub serializable_ranges: u64,
     /// Puts outside of transactions.
     pub puts: u64,
@@ -18,38 +18,38 @@
     pub transactions: u64,
     /// Compactions.
     pub compactions: u64,
-    /// Leases granted.
+    /// Lease grants.
     pub lease_grants: u64,
-    /// Leases revoked.
+    /// Lease revocations.
     pub lease_revocations: u64,
-    /// Renewals of leases.
+    /// Lease renewals.
     pub lease_renewals: u64,
-    /// Sign-ins by name and password.
+    /// Authentications by name and password.
     pub sign_ins: u64,
-    /// Watches that clients created.
+    /// Watches created by clients.
     pub watches_created: u64,
-    /// Requests for the progress of a stream's watches.
+    /// Progress requests on watch streams.
     pub progress_requests: u64,
-    /// Answers to watches with events in them.
+    /// Watch responses that carry events.
     pub watch_answers: u64,
-    /// Events in answers to watches.
+    /// Events in watch responses.
     pub watch_events: u64,
-    /// Answers to watches that tell a revision alone.
+    /// Watch responses that report only a revision.
     pub progress_answers: u64,
-    /// Exchanges that failed, by a status or because no leader was found in time.
+    /// Calls of unknown methods, and exchanges that timed out while they waited for a leader.
     pub failures: u64,
 }
 
-/// A snapshot of what a member, or all of them, did since the start.
+/// A snapshot of the counters of one member, or of all members together, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Bytes of the TCP streams, HTTP/2 included, from clients.
+    /// Bytes received from clients over TCP, including the HTTP/2 framing.
     pub bytes_received: u64,
-    /// The same to clients.
+    /// Bytes sent to clients over TCP, including the HTTP/2 framing.
     pub bytes_sent: u64,
-    /// Connections that are open.
+    /// The number of open connections.
     pub connections_open: u64,
-    /// Watches that are open.
+    /// The number of open watches.
     pub watches_open: u64,
     /// Exchanges by kind.
     pub exchanges: Exchanges,
@@ -86,7 +86,7 @@
     }
 }
 
-/// The counts of one member while it runs.
+/// The live counters of one member.
 #[derive(Debug, Default)]
 pub(super) struct MemberCounters {
     pub traffic: std::rc::Rc<orchidtally_etcd::Traffic>,
@@ -111,17 +111,17 @@
     }
 }
 
-/// Counts one more for as long as it lives.
-pub(super) struct Open<'a>(&'a Cell<u64>);
+/// Increments a gauge when it is created, and decrements it when it is dropped.
+pub(super) struct OpenGuard<'a>(&'a Cell<u64>);
 
-impl<'a> Open<'a> {
-    pub fn new(count: &'a Cell<u64>) -> Open<'a> {
+impl<'a> OpenGuard<'a> {
+    pub fn new(count: &'a Cell<u64>) -> OpenGuard<'a> {
         count.set(count.get() + 1);
-        Open(count)
+        OpenGuard(count)
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/test-servers/src/etcd/exchange.rs
+++ b/crates/test-servers/src/etcd/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange of a client with a member: its token, the wait for a leader, and the answer. Streams of lease renewals
-//! are served here too; those of watches in `watch`.
+//! Serves one request of a client to a member: checks its token, waits for a leader and answers. Lease keep-alive
+//! streams are served here too; watch streams are served in `watch`.
 
 use super::counters::Exchanges;
 use super::faults::CrashPoint;
@@ -17,23 +17,23 @@
 use prost::Message;
 use std::rc::Rc;
 
-/// The longest message on a stream of lease renewals, in bytes.
-const LONGEST_RENEWAL: usize = 1024;
-/// Between looks for a leader, in seconds; changes of the cluster are heard of sooner.
+/// The maximum size of a message on a lease keep-alive stream, in bytes.
+const MAX_RENEWAL_BYTES: usize = 1024;
+/// How often a waiting request checks for a leader, in seconds. Changes of the cluster wake it earlier.
 const LEADER_POLL: f64 = 0.05;
 
-/// Who asks which member.
+/// The origin of a request, and the member that serves it.
 #[derive(Clone, Debug)]
 pub(super) struct Caller {
     pub member: usize,
-    /// The name that the client gives itself, or nothing.
+    /// The client's `user-agent`; empty if it sends none.
     pub agent: String,
-    /// A stream of it is to end where the member has no leader.
+    /// Whether the client's watch streams end when the member has no leader.
     pub requires_leader: bool,
 }
 
-/// The connection is gone, or goes with this message.
-pub(super) struct Broken;
+/// The connection is closed, or an injected fault closes it with this message.
+pub(super) struct ConnectionClosed;
 
 fn read<M: Message + Default>(bytes: &mut BytesMut) -> Result<M, Status> {
     match decode_frame(bytes, MAX_REQUEST_BYTES) {
@@ -42,10 +42,10 @@
     }
 }
 
-/// The next part of a body, with its window given back; none at its end.
+/// Returns the next chunk of a body and releases its flow-control capacity; `None` at the end or after an error.
 pub(super) async fn next_chunk(body: &mut h2::RecvStream) -> Option<Bytes> {
     let chunk = body.data().await?.ok()?;
-    // Fails only where the stream has ended, which the next read tells.
+    // Fails only if the stream has ended, which the next read reports.
     let _ = body.flow_control().release_capacity(chunk.len());
     Some(chunk)
 }
@@ -68,37 +68,37 @@
 
 fn respond_with_status(mut respond: SendResponse<Bytes>, status: &Status) {
     if let Ok(mut out) = respond.send_response(response_head(), false) {
-        // The client may have gone.
+        // Fails if the client has disconnected.
         let _ = out.send_trailers(trailers(status));
     }
 }
 
 impl EtcdServer {
-    /// What a message waits for before it is answered: fails where the connections break with it.
-    pub(super) async fn wait_for_faults(&self) -> Result<(), Broken> {
-        self.stage.sleep(self.faults.delay.get()).await;
-        self.stage
-            .sleep(self.faults.stalled.ends_at() - self.stage.now())
+    /// Applies the injected delays to a message. Fails if the message is one with which all connections are closed.
+    pub(super) async fn wait_for_faults(&self) -> Result<(), ConnectionClosed> {
+        self.environment.sleep(self.faults.delay.get()).await;
+        self.environment
+            .sleep(self.faults.stalled.ends_at() - self.environment.now())
             .await;
         self.messages.set(self.messages.get() + 1);
         let every = self.faults.breaks_every.get();
         if every > 0 && self.messages.get().is_multiple_of(every) {
             self.break_connections();
-            return Err(Broken);
+            return Err(ConnectionClosed);
         }
         Ok(())
     }
 
-    /// Waits until the member follows a leader; fails when the time for that is over.
+    /// Waits until the member follows a leader. Fails as unavailable after `Timing::request_timeout`.
     async fn wait_for_leader(&self, member: usize) -> Result<(), Status> {
-        let deadline = self.stage.now() + self.timing.request_timeout.get();
+        let deadline = self.environment.now() + self.timing.request_timeout.get();
         while !self.has_leader(member) {
-            if self.stage.now() >= deadline {
+            if self.environment.now() >= deadline {
                 self.count(member, |exchanges| exchanges.failures += 1);
                 return refuse(UNAVAILABLE, "etcdserver: request timed out");
             }
             let changed = self.store.borrow().next_change();
-            future::or(changed, self.stage.sleep(LEADER_POLL)).await;
+            future::or(changed, self.environment.sleep(LEADER_POLL)).await;
         }
         Ok(())
     }
@@ -107,13 +107,15 @@
         self.counters[member].count(add);
     }
 
-    /// Headers of the store's answers are the member's from now on.
-    pub(super) fn answer_as(&self, member: usize) {
+    /// Sets the member whose id the store writes into response headers, together with the current term.
+    pub(super) fn set_responder(&self, member: usize) {
         let term = self.cluster.borrow().term();
-        self.store.borrow_mut().answer_as(member as u64 + 1, term);
+        self.store
+            .borrow_mut()
+            .set_responder(member as u64 + 1, term);
     }
 
-    pub(super) fn tell(&self, agent: &str, event: &Event) {
+    pub(super) fn notify_listener(&self, agent: &str, event: &Event) {
         let on_event = self.on_event.borrow().clone();
         if let Some(on_event) = on_event {
             on_event(agent, event);
@@ -143,8 +145,11 @@
             requires_leader,
         };
         let body = request.into_body();
-        let requested = self.faults.token.borrow().clone();
-        if requested.is_some() && requested != token && path != orchidtally_etcd::AUTHENTICATE {
+        let required_token = self.faults.token.borrow().clone();
+        if required_token.is_some()
+            && required_token != token
+            && path != orchidtally_etcd::AUTHENTICATE
+        {
             let message = "etcdserver: invalid auth token".into();
             return respond_with_status(
                 respond,
@@ -188,7 +193,7 @@
         } else if path == orchidtally_etcd::TXN {
             match self.answer_transaction(caller, &mut request).await {
                 Ok(answered) => answered,
-                Err(Broken) => return,
+                Err(ConnectionClosed) => return,
             }
         } else {
             self.answer_by_leader(caller, path, &mut request).await
@@ -201,7 +206,7 @@
             return;
         };
         if out.send_data(answer, false).is_ok() {
-            // The client may have gone.
+            // Fails if the client has disconnected.
             let _ = out.send_trailers(trailers(&Status {
                 code: 0,
                 message: String::new(),
@@ -218,7 +223,7 @@
             self.count(member, |exchanges| exchanges.linearizable_ranges += 1);
             self.wait_for_leader(member).await?;
         }
-        self.answer_as(member);
+        self.set_responder(member);
         let response = self.store.borrow().range_in(&request, self.view(member))?;
         for entry in &response.kvs {
             let event = Event {
@@ -226,17 +231,17 @@
                 kv: Some(entry.clone()),
                 prev_kv: None,
             };
-            self.tell(&caller.agent, &event);
+            self.notify_listener(&caller.agent, &event);
         }
         Ok(encode_frame(&response))
     }
 
-    /// A transaction, in which members may stop if the script wants it.
+    /// Answers a transaction, and stops members before or after its commit if a crash is planned.
     async fn answer_transaction(
         &self,
         caller: &Caller,
         request: &mut BytesMut,
-    ) -> Result<Result<Bytes, Status>, Broken> {
+    ) -> Result<Result<Bytes, Status>, ConnectionClosed> {
         let member = caller.member;
         self.count(member, |exchanges| exchanges.transactions += 1);
         let request: TxnRequest = match read(request) {
@@ -249,13 +254,13 @@
         let crash = self.faults.crash.take();
         if let Some(crash) = crash.filter(|crash| crash.point == CrashPoint::BeforeCommit) {
             self.crash(member, crash.members);
-            return Err(Broken);
+            return Err(ConnectionClosed);
         }
-        self.answer_as(member);
+        self.set_responder(member);
         let answered = self.store.borrow_mut().txn(&request);
         if let Some(crash) = crash {
             self.crash(member, crash.members);
-            return Err(Broken);
+            return Err(ConnectionClosed);
         }
         Ok(answered.map(|response| encode_frame(&response)))
     }
@@ -276,8 +281,8 @@
             _ => exchanges.failures += 1,
         });
         self.wait_for_leader(caller.member).await?;
-        self.answer_as(caller.member);
-        let now = self.stage.now();
+        self.set_responder(caller.member);
+        let now = self.environment.now();
         let mut store = self.store.borrow_mut();
         Ok(match path {
             orchidtally_etcd::PUT => encode_frame(&store.put(&read(request)?)?),
@@ -309,7 +314,7 @@
         })
     }
 
-    /// Each request on the stream has its answer, for as long as the member follows a leader.
+    /// Answers each renewal on a keep-alive stream. Ends the stream with an error when no leader is found in time.
     async fn renew_leases(
         &self,
         member: usize,
@@ -320,22 +325,22 @@
         while let Some(chunk) = next_chunk(&mut body).await {
             bytes.extend_from_slice(&chunk);
             while let Ok(Some(request)) =
-                decode_frame::<LeaseKeepAliveRequest>(&mut bytes, LONGEST_RENEWAL)
+                decode_frame::<LeaseKeepAliveRequest>(&mut bytes, MAX_RENEWAL_BYTES)
             {
                 if self.wait_for_faults().await.is_err() {
                     return;
                 }
                 self.count(member, |exchanges| exchanges.lease_renewals += 1);
                 if let Err(status) = self.wait_for_leader(member).await {
-                    // The client may have gone.
+                    // Fails if the client has disconnected.
                     let _ = out.send_trailers(trailers(&status));
                     return;
                 }
-                self.answer_as(member);
+                self.set_responder(member);
                 let answer = self
                     .store
                     .borrow_mut()
-                    .keep_alive(self.stage.now(), request.id);
+                    .keep_alive(self.environment.now(), request.id);
                 if out.send_data(encode_frame(&answer), false).is_err() {
                     return;
                 }
--- a/crates/test-servers/src/etcd/faults.rs
+++ b/crates/test-servers/src/etcd/faults.rs
@@ -1,52 +1,52 @@
-//! What a script can have the store do wrong, and how fast its members are.
+//! The faults that a test can inject into the server, and the timing of its members.
 
 use crate::TimedFault;
 use std::cell::{Cell, RefCell};
 
-/// Faults that a script switches on.
+/// Faults that a test sets.
 #[derive(Default)]
 pub struct Faults {
-    /// Each answer waits so long, in seconds: a slow store.
+    /// The delay before each answer, in seconds, as of a slow store.
     pub delay: Cell<f64>,
-    /// Nothing is answered until then: no leader.
+    /// No request is answered and no lease expires while this is active, as without a leader.
     pub stalled: TimedFault,
-    /// All connections are broken off with every so-manieth message; 0 for never.
+    /// All connections are closed with every n-th message; 0 disables the fault.
     pub breaks_every: Cell<u64>,
-    /// Exchanges without this token are refused.
+    /// The token that requests must carry; others are rejected as unauthenticated. `None` accepts all requests.
     pub token: RefCell<Option<String>>,
-    /// The next events for the watch of a client of this name are lost, and the watch goes on behind them.
+    /// The next events due to a client with this name are skipped; its watch continues after them.
     pub loses_events_of: RefCell<Option<String>>,
     pub(super) crash: Cell<Option<PlannedCrash>>,
 }
 
-/// When members stop within a transaction.
+/// The point within a transaction at which members stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// Nothing of it is committed.
+    /// The transaction is not committed.
     BeforeCommit,
-    /// It is committed, and its client does not hear of it.
+    /// The transaction is committed, but its client gets no answer.
     AfterCommit,
 }
 
-/// Members that stop with the next transaction.
+/// A crash of members during the next transaction.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlannedCrash {
     pub point: CrashPoint,
-    /// How many stop: the one that serves the transaction, and others from the first on.
+    /// How many members stop: the one that serves the transaction, then other running members in order.
     pub members: usize,
 }
 
-/// Times of the members, in seconds.
+/// The timing of the members, in seconds.
 pub struct Timing {
-    /// An exchange that finds no leader for so long fails as unavailable. etcd's is 7 s.
+    /// How long a request waits for a leader before it fails as unavailable. etcd uses 7 s.
     pub request_timeout: Cell<f64>,
-    /// From the loss of a leader to the next one. etcd's is 1 to 2 s.
+    /// The time from the loss of a leader to the next one. etcd takes 1 to 2 s.
     pub election_time: Cell<f64>,
-    /// A stream that requires a leader is ended after so long without one. etcd's is three election timeouts.
+    /// How long a stream that requires a leader stays open without one. etcd uses three election timeouts.
     pub leaderless_time: Cell<f64>,
-    /// Changes that a watch has to hear of are gathered for so long, and 50 us longer for each watch that is open.
+    /// How long changes are batched before watches are served. Each open watch adds 50 us.
     pub watch_batch_time: Cell<f64>,
-    /// A watch that asked for it hears of progress so often when there are no events. etcd's is 600 s.
+    /// How often a watch with progress notifications gets one when there are no events. etcd uses 600 s.
     pub progress_interval: Cell<f64>,
 }
 
--- a/crates/test-servers/src/etcd/history.rs
+++ b/crates/test-servers/src/etcd/history.rs
@@ -1,4 +1,4 @@
-//! Every version of every key since the last compaction, and the log of events in the order of their revisions.
+//! All versions of all keys since the last compaction, and the event log in revision order.
 
 use bytes::Bytes;
 use orchidtally_etcd::rpc::event::EventType;
@@ -8,7 +8,7 @@
 
 type KeyBounds<'a> = (Bound<&'a [u8]>, Bound<&'a [u8]>);
 
-/// The keys that a request names: one key, those before an end, or all from a key on.
+/// The keys that a request selects: a single key, a half-open range, or all keys from a start key on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRange {
     start: Bytes,
@@ -23,7 +23,7 @@
 }
 
 impl KeyRange {
-    /// As `key` and `range_end` of the protocol's requests give it.
+    /// Creates a range from the `key` and `range_end` fields of an etcd request.
     pub fn new(key: &[u8], range_end: &[u8]) -> KeyRange {
         let end = match range_end {
             [] => KeyRangeEnd::SingleKey,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Whether the range holds a key.
+    /// Whether the range includes a key.
     pub fn contains(&self, key: &[u8]) -> bool {
         match &self.end {
             KeyRangeEnd::SingleKey => key == self.start,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Bounds for an ordered map; none where no key can lie between them.
+    /// The bounds for a lookup in an ordered map; `None` if the range is empty.
     fn bounds(&self) -> Option<KeyBounds<'_>> {
         let start = &self.start[..];
         let end = match &self.end {
@@ -58,19 +58,19 @@
     }
 }
 
-/// What a key was from a revision on; no entry where it was deleted.
+/// The state of a key from a revision on; `entry` is `None` for a deletion.
 #[derive(Clone, Debug)]
 struct Version {
     revision: i64,
     entry: Option<KeyValue>,
 }
 
-/// The revision of an event; its entry is always there in a log of the store's own.
+/// The revision of an event. Events in the store's log always have an entry.
 pub(super) fn revision_of(event: &Event) -> i64 {
     event.kv.as_ref().map_or(0, |kv| kv.mod_revision)
 }
 
-/// Invariant: versions of a key and events of the log are ordered by revision.
+/// Invariant: the versions of each key and the events in the log are ordered by revision.
 #[derive(Debug, Default)]
 pub(super) struct History {
     keys: BTreeMap<Bytes, Vec<Version>>,
@@ -78,12 +78,12 @@
 }
 
 impl History {
-    /// A key as it was at a revision.
+    /// The entry of a key at a revision; `None` if the key did not exist then.
     pub fn entry_at(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
         entry_at(self.keys.get(key)?, revision)
     }
 
-    /// The entries of a range as they were at a revision, in the order of their keys.
+    /// The entries of a range at a revision, in key order.
     pub fn entries_at(&self, range: &KeyRange, revision: i64) -> impl Iterator<Item = &KeyValue> {
         let versions = range
             .bounds()
@@ -94,7 +94,7 @@
             .filter_map(move |(_, versions)| entry_at(versions, revision))
     }
 
-    /// Appends a version; `entry` is none for a deletion. Revisions never go down between calls.
+    /// Appends a version and its event; `entry` is `None` for a deletion. `revision` must not decrease between calls.
     pub fn write(&mut self, revision: i64, key: &Bytes, entry: Option<KeyValue>) {
         let event = match &entry {
             Some(entry) => Event {
@@ -122,7 +122,7 @@
             .push(Version { revision, entry });
     }
 
-    /// Events of a range with revisions from `from` to `to`, both inclusive.
+    /// The events of a range with revisions from `from` to `to`, both inclusive.
     pub fn events(&self, range: &KeyRange, from: i64, to: i64) -> impl Iterator<Item = &Event> {
         let first = self.log.partition_point(|event| revision_of(event) < from);
         let until_last = move |event: &&Event| revision_of(event) <= to;
@@ -134,7 +134,7 @@
             .filter(in_range)
     }
 
-    /// Drops what can't be read at `floor` or later.
+    /// Drops versions that no read at `floor` or later can return, and events before `floor`.
     pub fn drop_before(&mut self, floor: i64) {
         self.keys.retain(|_, versions| {
             let current = versions.partition_point(|v| v.revision <= floor);
@@ -144,11 +144,11 @@
             }
             !versions.is_empty()
         });
-        let held_back = self.log.partition_point(|event| revision_of(event) < floor);
-        self.log.drain(..held_back);
+        let first_kept = self.log.partition_point(|event| revision_of(event) < floor);
+        self.log.drain(..first_kept);
     }
 
-    /// Drops what was written after `last`.
+    /// Drops all versions and events with a revision after `last`.
     pub fn drop_after(&mut self, last: i64) {
         self.keys.retain(|_, versions| {
             versions.truncate(versions.partition_point(|v| v.revision <= last));
@@ -158,8 +158,8 @@
             .truncate(self.log.partition_point(|event| revision_of(event) <= last));
     }
 
-    /// Bytes of keys and values in all versions that are kept, and in the log. Values that versions and log share
-    /// count once; the containers' own overhead does not count.
+    /// The size in bytes of the keys and values of all retained versions, and of the version and event records. Values
+    /// that a version and the log share count once; container overhead is not included.
     pub fn payload_bytes(&self) -> u64 {
         let version = |v: &Version| v.entry.as_ref().map_or(0, |kv| kv.value.len());
         let of_key = |(key, versions): (&Bytes, &Vec<Version>)| {
--- a/crates/test-servers/src/etcd/lease.rs
+++ b/crates/test-servers/src/etcd/lease.rs
@@ -1,4 +1,4 @@
-//! Leases with the keys that go when they end. Times are in seconds of the caller's clock.
+//! Leases and the keys that are deleted when they end. Times are in seconds on the caller's clock.
 
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 }
 
 impl Leases {
-    /// A new lease's id.
+    /// Grants a lease for `time_to_live` seconds and returns its id.
     pub fn grant(&mut self, now: f64, time_to_live: i64) -> i64 {
         self.last_id += 1;
         let time_to_live = time_to_live as f64;
@@ -34,7 +34,7 @@
         self.leases.contains_key(&id)
     }
 
-    /// Renews a lease and returns its time to live in whole seconds; 0 for one that has ended.
+    /// Renews a lease and returns its time to live in whole seconds; 0 if the lease doesn't exist.
     pub fn keep_alive(&mut self, now: f64, id: i64) -> i64 {
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
@@ -43,7 +43,7 @@
         lease.time_to_live as i64
     }
 
-    /// Moves a key from one lease to another; 0 is no lease.
+    /// Moves a key from one lease to another. Id 0 means no lease.
     pub fn move_key(&mut self, key: &Bytes, from: i64, to: i64) {
         if let Some(lease) = self.leases.get_mut(&from) {
             lease.keys.remove(key);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Ends a lease and returns its keys; none where there is no such lease.
+    /// Removes a lease and returns its keys; `None` if the lease doesn't exist.
     pub fn remove(&mut self, id: i64) -> Option<BTreeSet<Bytes>> {
         self.leases.remove(&id).map(|lease| lease.keys)
     }
@@ -70,14 +70,14 @@
         self.leases.keys().copied().collect()
     }
 
-    /// Every lease gets its whole time from `now` on, as a new leader gives it.
+    /// Restarts the full time to live of every lease at `now`, as a new leader does.
     pub fn extend_all(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.ends_at = now + lease.time_to_live;
         }
     }
 
-    /// Attaches keys anew, as `entries` have them.
+    /// Replaces the keys of all leases by those in `entries`, which are pairs of key and lease id.
     pub fn reattach<'a>(&mut self, entries: impl Iterator<Item = (&'a Bytes, i64)>) {
         self.leases
             .values_mut()
--- a/crates/test-servers/src/etcd/link.rs
+++ b/crates/test-servers/src/etcd/link.rs
@@ -1,5 +1,5 @@
-//! A client's connection to a member. While the link between their regions is cut nothing passes, as over a network
-//! that loses every packet; what was under way arrives once it is healed.
+//! A client's connection to a member. While their regions are partitioned no data passes, as over a network that drops
+//! every packet; pending data arrives once the partition heals.
 
 use super::cluster::Region;
 use orchidtally_etcd::CountedStream;
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll, Waker};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The state of a connection, which its script holds beside the stream.
+/// The state of a connection that the server controls from outside its stream.
 #[derive(Debug)]
 pub(super) struct Link {
     pub member: usize,
@@ -19,8 +19,8 @@
     is_cut: Cell<bool>,
     reader: RefCell<Option<Waker>>,
     writer: RefCell<Option<Waker>>,
-    /// Closed once the connection is broken off.
-    alive: (async_channel::Sender<()>, async_channel::Receiver<()>),
+    /// The channel is closed when the connection is to end.
+    close_channel: (async_channel::Sender<()>, async_channel::Receiver<()>),
 }
 
 impl Link {
@@ -31,7 +31,7 @@
             is_cut: Cell::new(is_cut),
             reader: RefCell::default(),
             writer: RefCell::default(),
-            alive: async_channel::bounded(1),
+            close_channel: async_channel::bounded(1),
         }
     }
 
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Ends the connection.
-    pub fn break_off(&self) {
-        self.alive.0.close();
+    /// Ends the connection; wakes `closed`.
+    pub fn close(&self) {
+        self.close_channel.0.close();
     }
 
-    /// Waits until the connection is broken off.
-    pub async fn broken(&self) {
-        // Nothing is ever sent: the channel closes.
-        let _ = self.alive.1.recv().await;
+    /// Waits until the connection is to end.
+    pub async fn closed(&self) {
+        // Nothing is ever sent; `recv` returns when the channel is closed.
+        let _ = self.close_channel.1.recv().await;
     }
 
-    fn poll_passable(&self, cx: &mut Context<'_>, waiting: &RefCell<Option<Waker>>) -> Poll<()> {
+    fn poll_connected(&self, cx: &mut Context<'_>, waiting: &RefCell<Option<Waker>>) -> Poll<()> {
         if !self.is_cut.get() {
             return Poll::Ready(());
         }
@@ -67,9 +67,9 @@
     }
 }
 
-/// The stream of a connection, which passes nothing while its link is cut.
+/// The stream of a connection. Reads and writes are pending while its link is cut.
 pub(super) struct LinkStream {
-    /// Counted for its member and for its client.
+    /// Bytes are counted once for the member and once for the client.
     stream: CountedStream<CountedStream<Stream>>,
     link: Rc<Link>,
 }
@@ -86,7 +86,7 @@
         cx: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        std::task::ready!(self.link.poll_passable(cx, &self.link.reader));
+        std::task::ready!(self.link.poll_connected(cx, &self.link.reader));
         Pin::new(&mut self.stream).poll_read(cx, buffer)
     }
 }
@@ -97,7 +97,7 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.link.poll_passable(cx, &self.link.writer));
+        std::task::ready!(self.link.poll_connected(cx, &self.link.writer));
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
@@ -106,7 +106,7 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        std::task::ready!(self.link.poll_passable(cx, &self.link.writer));
+        std::task::ready!(self.link.poll_connected(cx, &self.link.writer));
         Pin::new(&mut self.stream).poll_write_vectored(cx, slices)
     }
 
--- a/crates/test-servers/src/etcd/mod.rs
+++ b/crates/test-servers/src/etcd/mod.rs
@@ -1,8 +1,8 @@
-//! A store that speaks etcd's v3 services KV, Watch and Lease: `Store` is the replicated state as a value, `Served` has
-//! it on sockets with several members in several regions, and does wrong where a script says so.
+//! A test server for etcd's v3 services KV, Watch and Lease. `Store` is the replicated state machine; `EtcdServer`
+//! serves it over sockets as a cluster of members in one or more regions, and injects the faults that a test sets.
 //!
-//! All members share one `Store`. One that reaches no leader with a majority keeps the view of the moment when it lost
-//! it: it answers serializable ranges and watches from that, and nothing else.
+//! All members share one `Store`. A member that can't reach a leader with a majority keeps the view that it had when it
+//! lost the leader, and answers only serializable ranges and watches, from that view.
 
 mod clients;
 mod cluster;
@@ -28,12 +28,12 @@
 
 use orchidtally_etcd::grpc::Status;
 
-/// Codes of gRPC beside those that `orchidtally_etcd::grpc` has.
+// gRPC status codes that `orchidtally_etcd::grpc` doesn't define.
 const INVALID_ARGUMENT: u32 = 3;
 const NOT_FOUND: u32 = 5;
 const UNIMPLEMENTED: u32 = 12;
 
-/// The longest request: etcd's default of `--max-request-bytes`.
+/// The maximum size of a request in bytes: etcd's default for `--max-request-bytes`.
 const MAX_REQUEST_BYTES: usize = 1_572_864;
 
 fn refuse<T>(code: u32, message: &str) -> Result<T, Status> {
--- a/crates/test-servers/src/etcd/server.rs
+++ b/crates/test-servers/src/etcd/server.rs
@@ -1,8 +1,8 @@
-//! Members on sockets, and the script's hands on them: members that stop and start, regions that are cut off.
+//! Serves the members over sockets, and lets a test stop and restart members and partition regions.
 
 use super::clients::{ClientCounters, Clients};
 use super::cluster::{Cluster, Region};
-use super::counters::{Counters, MemberCounters, Open};
+use super::counters::{Counters, MemberCounters, OpenGuard};
 use super::faults::{CrashPoint, Faults, PlannedCrash, Timing};
 use super::link::{Link, LinkStream};
 use super::store::{Store, View};
@@ -19,24 +19,24 @@
 
 /// The cluster's id at the start.
 const CLUSTER_ID: u64 = 7;
-/// Between looks at leases that may have ended, in seconds.
+/// How often the server checks for expired leases, in seconds.
 const EXPIRY_INTERVAL: f64 = 0.05;
 
-/// Hears of each entry that is told to a client, with the name that the client gives itself.
+/// Called with the client's `user-agent` and each entry that is sent to it.
 pub type EventListener = Rc<dyn Fn(&str, &Event)>;
 
-/// A store on sockets, with several members.
+/// An etcd cluster of one or more members, served over sockets.
 pub struct EtcdServer {
-    pub(super) stage: TestEnvironment,
-    /// Each member's address for clients of its own region.
+    pub(super) environment: TestEnvironment,
+    /// The address of each member for clients in the member's own region.
     pub addresses: Vec<SocketAddr>,
-    /// By client region, the address of each member: what comes over it counts as from that region.
+    /// The address of each member by client region. Connections to an address count as coming from its region.
     addresses_by_region: BTreeMap<Region, Vec<SocketAddr>>,
-    /// The replicated state. What a script writes here is committed, whatever members run.
+    /// The replicated state. Writes made here directly are committed, whichever members run.
     pub store: RefCell<Store>,
-    /// Faults that a script sets.
+    /// Faults that a test sets.
     pub faults: Faults,
-    /// Times that a script sets.
+    /// Timing that a test sets.
     pub timing: Timing,
     pub(super) cluster: RefCell<Cluster>,
     pub(super) counters: Vec<MemberCounters>,
@@ -44,19 +44,19 @@
     pub(super) messages: Cell<u64>,
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
     next_link: Cell<u64>,
-    /// Hears of each entry that is told to a client.
+    /// Called for each entry that is sent to a client.
     pub on_event: RefCell<Option<EventListener>>,
 }
 
 impl EtcdServer {
-    /// Starts so many members in one region. Fails where no address can be had.
-    pub fn start(stage: &TestEnvironment, members: usize) -> io::Result<Rc<EtcdServer>> {
-        EtcdServer::start_in_regions(stage, &vec![0; members])
+    /// Starts `members` members in one region. Fails if a member can't listen on an address.
+    pub fn start(environment: &TestEnvironment, members: usize) -> io::Result<Rc<EtcdServer>> {
+        EtcdServer::start_in_regions(environment, &vec![0; members])
     }
 
-    /// Starts a member in each of the regions named: `[0, 0, 1, 1, 2]` are five members in three regions.
+    /// Starts one member per entry of `regions`: `[0, 0, 1, 1, 2]` starts five members in three regions.
     pub fn start_in_regions(
-        stage: &TestEnvironment,
+        environment: &TestEnvironment,
         regions: &[Region],
     ) -> io::Result<Rc<EtcdServer>> {
         let cluster = Cluster::new(regions);
@@ -74,8 +74,8 @@
             }
         }
         let own_address = |(member, region): (usize, &Region)| addresses_by_region[region][member];
-        let served = Rc::new(EtcdServer {
-            stage: stage.clone(),
+        let server = Rc::new(EtcdServer {
+            environment: environment.clone(),
             addresses: regions.iter().enumerate().map(own_address).collect(),
             addresses_by_region,
             store: RefCell::new(Store::new(CLUSTER_ID)),
@@ -90,16 +90,16 @@
             on_event: RefCell::default(),
         });
         for (listener, member, client_region) in listeners {
-            stage
-                .spawn(served.clone().listen(listener, member, client_region))
+            environment
+                .spawn(server.clone().listen(listener, member, client_region))
                 .detach();
         }
-        stage.spawn(served.clone().expire_leases()).detach();
-        Ok(served)
+        environment.spawn(server.clone().expire_leases()).detach();
+        Ok(server)
     }
 
-    /// The members' addresses for clients of a region: a cut between that region and a member's holds for what comes
-    /// over them. Empty for a region without members.
+    /// The members' addresses for clients in a region. A partition between that region and a member's region applies to
+    /// connections to these addresses. Empty for a region without members.
     pub fn addresses_from(&self, client_region: Region) -> Vec<SocketAddr> {
         self.addresses_by_region
             .get(&client_region)
@@ -107,7 +107,7 @@
             .unwrap_or_default()
     }
 
-    /// Stops a member at once, as a machine that is lost: its connections break, and new ones do.
+    /// Stops a member at once, like a machine failure: closes its connections and any new ones.
     pub fn stop(&self, member: usize) {
         self.cluster.borrow_mut().set_running(member, false);
         self.update_cluster();
@@ -117,17 +117,17 @@
             .values()
             .filter(|link| link.member == member)
         {
-            link.break_off();
+            link.close();
         }
     }
 
-    /// Starts a member again, with the state that it had when it stopped until it hears of a leader.
+    /// Restarts a member. Until it reaches a leader, it has the view that it had when it stopped.
     pub fn restart(&self, member: usize) {
         self.cluster.borrow_mut().set_running(member, true);
         self.update_cluster();
     }
 
-    /// Cuts a region off from all others: its members, and its clients from the others' members.
+    /// Partitions a region from all others: both its members and its clients lose the members of other regions.
     pub fn cut(&self, region: Region) {
         let others = self.cluster.borrow().regions();
         others
@@ -136,20 +136,20 @@
         self.update_cluster();
     }
 
-    /// Cuts two regions off from each other; both still reach the rest.
+    /// Partitions two regions from each other; both still reach the other regions.
     pub fn cut_between(&self, a: Region, b: Region) {
         self.cluster.borrow_mut().cut(a, b);
         self.update_cluster();
     }
 
-    /// All regions reach each other again.
+    /// Removes all partitions.
     pub fn heal(&self) {
         self.cluster.borrow_mut().heal();
         self.update_cluster();
     }
 
-    /// With the next transaction so many members stop: the one that serves it, and others from the first on. The
-    /// transaction is then committed as a whole or not at all, and its client hears of neither.
+    /// Makes `members` members stop during the next transaction: the one that serves it, then other running members in
+    /// order. The transaction is committed as a whole or not at all, as `point` says, and its client gets no answer.
     pub fn crash_in_next_transaction(&self, point: CrashPoint, members: usize) {
         self.faults.crash.set(Some(PlannedCrash { point, members }));
     }
@@ -167,20 +167,17 @@
         stopping.into_iter().for_each(|member| self.stop(member));
     }
 
-    /// Breaks all connections off.
+    /// Closes all connections of all members.
     pub fn break_connections(&self) {
-        self.links
-            .borrow()
-            .values()
-            .for_each(|link| link.break_off());
+        self.links.borrow().values().for_each(|link| link.close());
     }
 
-    /// What a member did so far.
+    /// The counters of a member since the start.
     pub fn counters(&self, member: usize) -> Counters {
         self.counters[member].snapshot()
     }
 
-    /// What all members did so far.
+    /// The sum of all members' counters since the start.
     pub fn total_counters(&self) -> Counters {
         let mut total = Counters::default();
         self.counters
@@ -189,17 +186,19 @@
         total
     }
 
-    /// What clients moved so far, by name.
+    /// The traffic of the clients since the start, ordered by name.
     pub fn client_counters(&self) -> Vec<ClientCounters> {
         self.clients.snapshot()
     }
 
-    /// Whether a member follows a leader now.
+    /// Whether a member currently follows a leader.
     pub fn has_leader(&self, member: usize) -> bool {
-        self.cluster.borrow().has_leader(member, self.stage.now())
+        self.cluster
+            .borrow()
+            .has_leader(member, self.environment.now())
     }
 
-    /// What a member sees of the store.
+    /// A member's current view of the store.
     pub fn view(&self, member: usize) -> View {
         self.cluster.borrow().view(member, &self.store.borrow())
     }
@@ -208,7 +207,7 @@
         let mut cluster = self.cluster.borrow_mut();
         let election_time = self.timing.election_time.get();
         cluster.update(
-            self.stage.now(),
+            self.environment.now(),
             &mut self.store.borrow_mut(),
             election_time,
         );
@@ -219,8 +218,8 @@
 
     async fn expire_leases(self: Rc<Self>) {
         loop {
-            self.stage.sleep(EXPIRY_INTERVAL).await;
-            let now = self.stage.now();
+            self.environment.sleep(EXPIRY_INTERVAL).await;
+            let now = self.environment.now();
             if self.cluster.borrow().can_commit(now) && !self.faults.stalled.is_active(now) {
                 self.store.borrow_mut().expire(now);
             }
@@ -236,11 +235,11 @@
         loop {
             let stream = orchidtally_socket_io::accept(&listener).await;
             let cluster = self.cluster.borrow();
-            // The connection to a member that is stopped breaks here.
+            // A connection to a stopped member is closed here, when `stream` is dropped.
             if cluster.is_running(member) {
                 let is_cut = cluster.is_cut(client_region, cluster.region(member));
                 let link = Rc::new(Link::new(member, client_region, is_cut));
-                self.stage
+                self.environment
                     .spawn(self.clone().connection(stream, link))
                     .detach();
             }
@@ -251,7 +250,7 @@
         let key = self.next_link.replace(self.next_link.get() + 1);
         self.links.borrow_mut().insert(key, link.clone());
         let counters = &self.counters[link.member];
-        let open = Open::new(&counters.connections_open);
+        let open = OpenGuard::new(&counters.connections_open);
         let traffic = Rc::new(Traffic::default());
         let client = self.clients.connection(traffic.clone());
         let counted = CountedStream::new(
@@ -263,11 +262,11 @@
             let Ok(mut connection) = h2::server::handshake(stream).await else {
                 return;
             };
-            // Exchanges end with their connection.
+            // Dropped with the connection, which ends its exchanges.
             let exchanges = async_executor::LocalExecutor::new();
             let accept = async {
                 while let Some(Ok((request, respond))) = connection.accept().await {
-                    client.requested(&request);
+                    client.on_request(&request);
                     exchanges
                         .spawn(self.clone().exchange(link.member, request, respond))
                         .detach();
@@ -275,7 +274,7 @@
             };
             exchanges.run(accept).await;
         };
-        future::or(serve, link.broken()).await;
+        future::or(serve, link.closed()).await;
         drop(open);
         self.links.borrow_mut().remove(&key);
     }
--- a/crates/test-servers/src/etcd/store.rs
+++ b/crates/test-servers/src/etcd/store.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine as a value: keys with all their versions, and leases. No sockets and no clock of its
-//! own; what each member of a cluster has seen of it is told by `cluster`.
+//! The replicated state machine: keys with all their versions, and leases. It has no sockets and no clock of its own;
+//! `cluster` tracks how much of it each member has seen.
 
 use super::history::{History, KeyRange};
 use super::lease::Leases;
@@ -12,36 +12,36 @@
 /// The first revision of an empty store.
 const FIRST_REVISION: i64 = 1;
 
-/// How far a reader sees: all members that follow the leader see the newest state, a member that was cut off sees
-/// that of the moment when it was.
+/// The part of the history that a reader sees. Members that follow the leader see the newest state; a partitioned
+/// member sees the state from when it lost the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct View {
-    /// The last revision that is seen.
+    /// The last visible revision.
     pub revision: i64,
-    /// The last compaction that is known; 0 for none.
+    /// The revision of the last known compaction; 0 if there is none.
     pub compacted: i64,
 }
 
 /// Keys with all their versions since the last compaction, and leases.
 #[derive(Debug)]
 pub struct Store {
-    /// The cluster's id in the headers of answers.
+    /// The cluster id in response headers.
     pub cluster: u64,
     /// The newest revision.
     pub revision: i64,
-    /// Reads at an older revision than this are refused; 0 before the first compaction.
+    /// The revision of the last compaction; 0 before the first one. Reads at older revisions are rejected.
     pub compacted: i64,
     pub(super) history: History,
     pub(super) leases: Leases,
-    /// History from here on is kept in spite of a compaction, for members that have not heard of it.
+    /// The history from this revision on is kept despite compactions, for members that have not seen them.
     pinned: Option<i64>,
-    /// Who answers: the member's id and the raft term in the headers of answers.
-    answering: (u64, u64),
+    /// The member id and the Raft term in response headers.
+    responder: (u64, u64),
     changed: Notification,
 }
 
 impl Store {
-    /// An empty store of a cluster with this id.
+    /// Creates an empty store for the cluster with this id.
     pub fn new(cluster: u64) -> Store {
         Store {
             cluster,
@@ -50,18 +50,18 @@
             history: History::default(),
             leases: Leases::default(),
             pinned: None,
-            answering: (1, 1),
+            responder: (1, 1),
             changed: Notification::new(),
         }
     }
 
-    /// The header of an answer with the newest state.
+    /// The header of a response from the newest state.
     pub fn header(&self) -> Option<ResponseHeader> {
         self.header_of(self.view())
     }
 
     pub(super) fn header_of(&self, view: View) -> Option<ResponseHeader> {
-        let (member_id, raft_term) = self.answering;
+        let (member_id, raft_term) = self.responder;
         let (cluster_id, revision) = (self.cluster, view.revision);
         Some(ResponseHeader {
             cluster_id,
@@ -71,12 +71,12 @@
         })
     }
 
-    /// Headers are those of this member from now on.
-    pub(super) fn answer_as(&mut self, member_id: u64, raft_term: u64) {
-        self.answering = (member_id, raft_term);
+    /// Sets the member id and the Raft term for the following response headers.
+    pub(super) fn set_responder(&mut self, member_id: u64, raft_term: u64) {
+        self.responder = (member_id, raft_term);
     }
 
-    /// The newest state.
+    /// The view of the newest state.
     pub fn view(&self) -> View {
         View {
             revision: self.revision,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Is notified of the next change: a write, a compaction, or what a member sees.
+    /// Returns a listener for the next change: a write, a compaction, or a change of a member's view.
     pub(super) fn next_change(&self) -> EventListener {
         self.changed.listen()
     }
@@ -93,12 +93,12 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// A range of the newest state, or at the revision that the request names.
+    /// Reads a range from the newest state, or at the revision that the request names.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Status> {
         self.range_in(request, self.view())
     }
 
-    /// A range as a member with this view answers it.
+    /// Reads a range as a member with this view does. Fails for an empty key, a compacted or a future revision.
     pub fn range_in(&self, request: &RangeRequest, view: View) -> Result<RangeResponse, Status> {
         self.check_range(request, view)?;
         let revision = if request.revision > 0 {
@@ -126,7 +126,8 @@
         Ok(())
     }
 
-    /// `count` is that of all keys in the range, whatever else bounds the entries: so etcd gives it.
+    /// Reads a range that has been checked. As in etcd, `count` includes all keys of the range, regardless of the limit
+    /// and the revision filters.
     pub(super) fn read_range(
         &self,
         request: &RangeRequest,
@@ -173,7 +174,7 @@
         Ok(())
     }
 
-    /// Writes what was checked before; returns the entry that stood there.
+    /// Writes a put that has been checked, and returns the previous entry of the key.
     pub(super) fn write_put(&mut self, revision: i64, put: &PutRequest) -> Option<KeyValue> {
         let before = self.history.entry_at(&put.key, revision).cloned();
         let entry = KeyValue {
@@ -190,7 +191,7 @@
         before
     }
 
-    /// Deletes a range; returns the entries that stood there.
+    /// Deletes a range and returns the deleted entries.
     pub(super) fn write_delete(
         &mut self,
         revision: i64,
@@ -205,7 +206,7 @@
         deleted
     }
 
-    /// Puts one key, in a revision of its own.
+    /// Puts one key in a new revision. Fails for an empty key or an unknown lease.
     pub fn put(&mut self, put: &PutRequest) -> Result<PutResponse, Status> {
         self.check_put(put)?;
         let before = self.write_put(self.revision + 1, put);
@@ -216,7 +217,7 @@
         })
     }
 
-    /// Deletes a range, in a revision of its own if there was anything in it.
+    /// Deletes a range, in a new revision if it had any keys.
     pub fn delete(&mut self, delete: &DeleteRangeRequest) -> DeleteRangeResponse {
         let entries = self.write_delete(self.revision + 1, delete);
         if !entries.is_empty() {
@@ -231,13 +232,13 @@
         }
     }
 
-    /// What was written at the next revision is seen.
+    /// Makes the writes at the next revision visible.
     pub(super) fn commit(&mut self) {
         self.revision += 1;
         self.notify();
     }
 
-    /// Forgets versions that no read at `revision` or later can see.
+    /// Compacts the history up to `revision`. Fails if it is already compacted or in the future.
     pub fn compact(&mut self, revision: i64) -> Result<CompactionResponse, Status> {
         if revision <= self.compacted {
             return refuse(
@@ -264,14 +265,15 @@
         self.history.drop_before(floor);
     }
 
-    /// Keeps history from this revision on over compactions; none lets go of it.
+    /// Keeps the history from this revision on despite compactions; `None` releases it.
     pub(super) fn pin(&mut self, revision: Option<i64>) {
         if std::mem::replace(&mut self.pinned, revision) != revision {
             self.drop_compacted();
         }
     }
 
-    /// All events from a revision on; or the least one that can be watched from.
+    /// Returns all events of a range from a revision on. Fails with the lowest watchable revision if `from` is
+    /// compacted.
     pub fn events(&self, from: i64, key: &[u8], range_end: &[u8]) -> Result<Vec<Event>, i64> {
         let view = self.view();
         check_watchable(from, view)?;
@@ -282,7 +284,7 @@
             .collect())
     }
 
-    /// Grants a lease of so many seconds.
+    /// Grants a lease for `time_to_live` seconds.
     pub fn grant(&mut self, now: f64, time_to_live: i64) -> LeaseGrantResponse {
         let id = self.leases.grant(now, time_to_live);
         LeaseGrantResponse {
@@ -293,7 +295,7 @@
         }
     }
 
-    /// Renews a lease; the answer's time to live is 0 where it has ended.
+    /// Renews a lease. The time to live in the response is 0 if the lease has ended.
     pub fn keep_alive(&mut self, now: f64, id: i64) -> LeaseKeepAliveResponse {
         let ttl = self.leases.keep_alive(now, id);
         LeaseKeepAliveResponse {
@@ -303,7 +305,7 @@
         }
     }
 
-    /// Ends a lease, and deletes its keys in one revision.
+    /// Ends a lease and deletes its keys in one revision.
     pub fn revoke(&mut self, id: i64) {
         let keys = self.leases.remove(id).unwrap_or_default();
         if keys.is_empty() {
@@ -315,21 +317,21 @@
         self.commit();
     }
 
-    /// Ends leases whose time is over.
+    /// Ends the leases that have expired at `now`.
     pub fn expire(&mut self, now: f64) {
         for id in self.leases.ended(now) {
             self.revoke(id);
         }
     }
 
-    /// Ends all leases at once, though their owners live.
+    /// Ends all leases, even those that their owners still renew.
     pub fn expire_all(&mut self) {
         for id in self.leases.ids() {
             self.revoke(id);
         }
     }
 
-    /// Sets the store back to an older revision, as a restore from a backup does: what was written later never was.
+    /// Resets the store to an older revision, as a restore from a backup does. All later writes are lost.
     pub fn restore(&mut self, revision: i64) {
         let revision = revision.max(self.compacted).max(FIRST_REVISION);
         self.history.drop_after(revision);
@@ -341,7 +343,7 @@
         self.notify();
     }
 
-    /// Bytes of keys, values and history that are kept.
+    /// The size of the retained keys, values and history, in bytes.
     pub fn memory_bytes(&self) -> u64 {
         self.history.payload_bytes()
     }
@@ -354,7 +356,7 @@
     Ok(())
 }
 
-/// Fails with the least revision that can still be watched from.
+/// Checks that a watch can start at `from`. Fails with the lowest revision from which a watch can still start.
 pub(super) fn check_watchable(from: i64, view: View) -> Result<(), i64> {
     if from > 0 && view.compacted > 0 && from <= view.compacted {
         return Err(view.compacted + 1);
--- a/crates/test-servers/src/etcd/transaction.rs
+++ b/crates/test-servers/src/etcd/transaction.rs
@@ -1,5 +1,5 @@
-//! Transactions: all comparisons and operations are checked before the first write, so that one either applies as a
-//! whole, in one revision, or leaves nothing behind.
+//! Transactions. The form of the request and the operations of the chosen branch are checked before the first write, so
+//! a transaction either applies as a whole in one revision or has no effect.
 
 use super::history::KeyRange;
 use super::store::{Store, check_key};
@@ -12,14 +12,14 @@
 use orchidtally_etcd::rpc::*;
 use std::collections::BTreeSet;
 
-/// Comparisons, or operations of a branch, at the most: etcd's default of `--max-txn-ops`.
+/// The maximum number of comparisons, and of operations per branch: etcd's default for `--max-txn-ops`.
 pub const MAX_OPERATIONS: usize = 128;
 
 impl Store {
-    /// Applies a transaction in one revision, or fails without any effect.
+    /// Applies a transaction in one revision, or fails without effect.
     pub fn txn(&mut self, txn: &TxnRequest) -> Result<TxnResponse, Status> {
-        check_form(txn)?;
-        let succeeded = txn.compare.iter().all(|compare| self.holds(compare));
+        validate(txn)?;
+        let succeeded = txn.compare.iter().all(|compare| self.is_satisfied(compare));
         let operations = if succeeded {
             &txn.success
         } else {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Applies what was checked; tells whether it wrote. Reads see the writes before them.
+    /// Applies an operation that has been checked, and returns whether it wrote. Reads see earlier writes of the same
+    /// transaction.
     fn apply(&mut self, request: &Request, next: i64) -> (Response, bool) {
         match request {
             Request::RequestRange(range) => {
@@ -96,7 +97,7 @@
         }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let entry = self
             .history
             .entry_at(&compare.key, self.revision)
@@ -110,7 +111,7 @@
             (Some(TargetUnion::ModRevision(v)), CompareTarget::Mod) => entry.mod_revision.cmp(v),
             (Some(TargetUnion::Value(v)), CompareTarget::Value) => entry.value.cmp(v),
             (Some(TargetUnion::Lease(v)), CompareTarget::Lease) => entry.lease.cmp(v),
-            // What is left out is zero.
+            // An omitted operand means zero.
             (None, CompareTarget::Version) => entry.version.cmp(&0),
             (None, CompareTarget::Create) => entry.create_revision.cmp(&0),
             (None, CompareTarget::Mod) => entry.mod_revision.cmp(&0),
@@ -126,7 +127,7 @@
     }
 }
 
-fn check_form(txn: &TxnRequest) -> Result<(), Status> {
+fn validate(txn: &TxnRequest) -> Result<(), Status> {
     let longest = txn
         .compare
         .len()
@@ -142,7 +143,7 @@
     check_branch(&txn.failure)
 }
 
-/// A branch writes each key once at the most.
+/// Checks that a branch has no empty operation, puts no key twice and deletes no key that it puts.
 fn check_branch(operations: &[RequestOp]) -> Result<(), Status> {
     let mut put_keys: BTreeSet<&Bytes> = BTreeSet::new();
     let mut deleted: Vec<KeyRange> = vec![];
--- a/crates/test-servers/src/etcd/watch/delivery.rs
+++ b/crates/test-servers/src/etcd/watch/delivery.rs
@@ -1,24 +1,25 @@
-//! What a stream of watches sends: events, progress, and the end of a watch that a compaction has overtaken.
+//! What a watch stream sends: events, progress notifications, and cancellations of watches that need compacted
+//! revisions.
 
 use super::{ALL_WATCHES, Watch, WatchStream};
-use crate::etcd::exchange::Broken;
+use crate::etcd::exchange::ConnectionClosed;
 use crate::etcd::history::revision_of;
 use crate::etcd::store::{View, check_watchable};
 use orchidtally_etcd::grpc::encode_frame;
 use orchidtally_etcd::rpc::{Event, WatchResponse};
 
-/// Events in one part of a fragmented answer.
+/// The maximum number of events in a fragment of a response.
 const EVENTS_PER_FRAGMENT: usize = 50;
-/// Events in one answer, unless a single revision has more.
+/// The number of events after which a response ends at the next revision boundary.
 const EVENTS_PER_ANSWER: usize = 1_000;
 
 impl WatchStream<'_> {
-    /// Sends all that is due: events, ends of watches, and progress.
-    pub(super) async fn deliver(&mut self) -> Result<(), Broken> {
+    /// Sends everything that is due: events, cancellations and progress notifications.
+    pub(super) async fn deliver(&mut self) -> Result<(), ConnectionClosed> {
         let server = self.server;
         server
-            .stage
-            .sleep(server.faults.stalled.ends_at() - server.stage.now())
+            .environment
+            .sleep(server.faults.stalled.ends_at() - server.environment.now())
             .await;
         let mut at = 0;
         while at < self.watches.len() {
@@ -29,8 +30,8 @@
         self.deliver_progress().await
     }
 
-    /// Sends what a watch has to hear; tells whether it goes on.
-    async fn deliver_events(&mut self, at: usize) -> Result<bool, Broken> {
+    /// Sends the events that are due for a watch. Returns false if the watch was cancelled because of a compaction.
+    async fn deliver_events(&mut self, at: usize) -> Result<bool, ConnectionClosed> {
         loop {
             let view = self.view();
             let watch = &self.watches[at];
@@ -45,7 +46,7 @@
                     cancel_reason,
                     ..response
                 };
-                self.send_late(ended).await?;
+                self.send_after_faults(ended).await?;
                 return Ok(false);
             }
             let events = self.due_events(watch, view);
@@ -62,17 +63,17 @@
         }
     }
 
-    /// Whether a script wants the events that are due for this client to be lost, once.
+    /// Whether the events that are due for this client are dropped by an injected fault, which applies once.
     fn loses_events(&self) -> bool {
-        let mut unlucky = self.server.faults.loses_events_of.borrow_mut();
-        let is_unlucky = unlucky.as_ref() == Some(&self.caller.agent);
-        if is_unlucky {
-            *unlucky = None;
+        let mut affected_client = self.server.faults.loses_events_of.borrow_mut();
+        let is_affected = affected_client.as_ref() == Some(&self.caller.agent);
+        if is_affected {
+            *affected_client = None;
         }
-        is_unlucky
+        is_affected
     }
 
-    /// The next events of a watch, with whole revisions.
+    /// The next events for a watch. The events of one revision are never split between responses.
     fn due_events(&self, watch: &Watch, view: View) -> Vec<Event> {
         let store = self.server.store.borrow();
         let mut due: Vec<Event> = vec![];
@@ -96,7 +97,7 @@
         at: usize,
         events: Vec<Event>,
         view: View,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), ConnectionClosed> {
         let (id, is_fragmented) = (self.watches[at].id, self.watches[at].is_fragmented);
         let member = self.caller.member;
         self.server.count(member, |exchanges| {
@@ -112,38 +113,39 @@
         while let Some(part) = parts.next() {
             let fragment = parts.peek().is_some();
             let response = self.response(id, view);
-            self.send_late(WatchResponse {
+            self.send_after_faults(WatchResponse {
                 fragment,
                 events: part.to_vec(),
                 ..response
             })
             .await?;
         }
-        self.watches[at].answered_at = self.server.stage.now();
+        self.watches[at].answered_at = self.server.environment.now();
         Ok(())
     }
 
-    /// Tells how far watches have heard, which may be less than the member sees by now.
-    async fn deliver_progress(&mut self) -> Result<(), Broken> {
-        if std::mem::take(&mut self.is_progress_asked)
+    /// Sends the progress notifications that are due. They report the revision up to which the watches have been
+    /// served, which may be lower than the member's.
+    async fn deliver_progress(&mut self) -> Result<(), ConnectionClosed> {
+        if std::mem::take(&mut self.is_progress_requested)
             && let Some(received) = self.watches.iter().map(|watch| watch.next - 1).min()
         {
             self.send_progress(ALL_WATCHES, received).await?;
-            let now = self.server.stage.now();
+            let now = self.server.environment.now();
             self.watches
                 .iter_mut()
                 .for_each(|watch| watch.answered_at = now);
         }
         let interval = self.server.timing.progress_interval.get();
         for at in 0..self.watches.len() {
-            let now = self.server.stage.now();
+            let now = self.server.environment.now();
             let watch = &mut self.watches[at];
             if !watch.wants_progress || now < watch.answered_at + interval {
                 continue;
             }
             watch.answered_at = now;
             let (id, received) = (watch.id, watch.next - 1);
-            // One that waits for a revision to come has no progress yet.
+            // A watch that starts at a future revision has no progress yet.
             if received <= self.view().revision {
                 self.send_progress(id, received).await?;
             }
@@ -151,7 +153,7 @@
         Ok(())
     }
 
-    async fn send_progress(&mut self, id: i64, received: i64) -> Result<(), Broken> {
+    async fn send_progress(&mut self, id: i64, received: i64) -> Result<(), ConnectionClosed> {
         self.server.count(self.caller.member, |exchanges| {
             exchanges.progress_answers += 1
         });
@@ -161,31 +163,35 @@
             ..view
         };
         let response = self.response(id, view);
-        self.send_late(response).await
+        self.send_after_faults(response).await
     }
 
-    /// Sends an answer after what the script's faults make it wait for.
-    async fn send_late(&mut self, response: WatchResponse) -> Result<(), Broken> {
+    /// Sends a response after the delays of the injected faults.
+    async fn send_after_faults(&mut self, response: WatchResponse) -> Result<(), ConnectionClosed> {
         response
             .events
             .iter()
-            .for_each(|event| self.server.tell(&self.caller.agent, event));
+            .for_each(|event| self.server.notify_listener(&self.caller.agent, event));
         self.server.wait_for_faults().await?;
         self.send(response).await
     }
 
-    /// Sends an answer as the client's window allows it.
-    pub(super) async fn send(&mut self, response: WatchResponse) -> Result<(), Broken> {
+    /// Sends a response as the client's flow-control window permits.
+    pub(super) async fn send(&mut self, response: WatchResponse) -> Result<(), ConnectionClosed> {
         let mut bytes = encode_frame(&response);
         while !bytes.is_empty() {
             self.out.reserve_capacity(bytes.len());
             let mut capacity = self.out.capacity();
             if capacity == 0 {
                 let grown = std::future::poll_fn(|cx| self.out.poll_capacity(cx)).await;
-                capacity = grown.ok_or(Broken)?.map_err(|_| Broken)?;
+                capacity = grown
+                    .ok_or(ConnectionClosed)?
+                    .map_err(|_| ConnectionClosed)?;
             }
             let part = bytes.split_to(capacity.min(bytes.len()));
-            self.out.send_data(part, false).map_err(|_| Broken)?;
+            self.out
+                .send_data(part, false)
+                .map_err(|_| ConnectionClosed)?;
         }
         Ok(())
     }
--- a/crates/test-servers/src/etcd/watch/mod.rs
+++ b/crates/test-servers/src/etcd/watch/mod.rs
@@ -1,11 +1,11 @@
-//! A stream of watches on a member: events up to what the member sees, progress when it is asked for or wanted, and
-//! the end of a watch that a compaction has overtaken.
+//! A watch stream on a member. It delivers the events that the member sees and progress notifications, and cancels
+//! watches whose next revision has been compacted.
 
 mod delivery;
 
 use super::MAX_REQUEST_BYTES;
-use super::counters::Open;
-use super::exchange::{Broken, Caller, next_chunk};
+use super::counters::OpenGuard;
+use super::exchange::{Caller, ConnectionClosed, next_chunk};
 use super::history::KeyRange;
 use super::server::EtcdServer;
 use super::store::View;
@@ -15,30 +15,30 @@
 use orchidtally_etcd::rpc::watch_request::RequestUnion;
 use orchidtally_etcd::rpc::*;
 
-/// The id of an answer that tells the progress of all watches on the stream.
+/// The watch id of a response that concerns no single watch, such as the progress of all watches on a stream.
 const ALL_WATCHES: i64 = -1;
-/// For each watch that is open, changes are gathered so much longer, in seconds: about what it takes to serve one. Else
-/// thousands of watches, all served on one thread, would each be served for every single change of a burst.
-const GATHERING_PER_WATCH: f64 = 50e-6;
-/// A stream without watches that want progress looks up so often, in seconds.
+/// The time that each open watch adds to the batching of changes, in seconds: about the cost of serving one watch.
+/// Without it, thousands of watches on a single thread would each be served for every single change in a burst.
+const BATCH_TIME_PER_WATCH: f64 = 50e-6;
+/// The timer interval of a stream without watches that want progress notifications, in seconds.
 const IDLE_TIME: f64 = 3_600.0;
 
 struct Watch {
     id: i64,
     range: KeyRange,
-    /// The first revision that was not looked at yet.
+    /// The first revision that has not been examined yet.
     next: i64,
     is_fragmented: bool,
     wants_progress: bool,
-    /// When it was answered last, in seconds.
+    /// When the last response was sent, in seconds.
     answered_at: f64,
 }
 
-/// What comes to a stream of watches.
+/// The event that wakes a watch stream.
 enum Wake {
     Bytes(Option<Bytes>),
     Changed,
-    TimeOver,
+    TimerExpired,
 }
 
 struct WatchStream<'a> {
@@ -46,15 +46,16 @@
     caller: Caller,
     out: h2::SendStream<Bytes>,
     watches: Vec<Watch>,
-    open: Vec<Open<'a>>,
+    open: Vec<OpenGuard<'a>>,
     next_id: i64,
-    is_progress_asked: bool,
-    /// Since when the member has been without a leader.
+    is_progress_requested: bool,
+    /// When the stream first saw the member without a leader.
     leaderless_since: Option<f64>,
 }
 
 impl EtcdServer {
-    /// Serves the watches of a stream until its client ends it.
+    /// Serves a watch stream until the client ends it, the connection fails, or a required leader is missing for
+    /// `Timing::leaderless_time`.
     pub(super) async fn serve_watches(
         &self,
         caller: Caller,
@@ -69,14 +70,14 @@
             watches: vec![],
             open: vec![],
             next_id: 1,
-            is_progress_asked: false,
+            is_progress_requested: false,
             leaderless_since: None,
         };
         loop {
             let changed = self.store.borrow().next_change();
             if stream.has_lost_leader() {
                 let message = "etcdserver: no leader".to_owned();
-                // The client may have gone.
+                // Fails if the client has disconnected.
                 let _ = stream.out.send_trailers(trailers(&Status {
                     code: UNAVAILABLE,
                     message,
@@ -92,33 +93,33 @@
                 Wake::Changed
             };
             let timer = async {
-                self.stage
+                self.environment
                     .sleep(stream.next_progress_in().min(stream.leaderless_time_left()))
                     .await;
-                Wake::TimeOver
+                Wake::TimerExpired
             };
             match future::or(read, future::or(change, timer)).await {
                 Wake::Bytes(None) => return,
                 Wake::Bytes(Some(chunk)) => {
                     bytes.extend_from_slice(&chunk);
-                    if stream.take_requests(&mut bytes).await.is_err() {
+                    if stream.handle_requests(&mut bytes).await.is_err() {
                         return;
                     }
                 }
-                Wake::Changed => self.stage.sleep(self.gathering_time()).await,
-                Wake::TimeOver => {}
+                Wake::Changed => self.environment.sleep(self.batch_time()).await,
+                Wake::TimerExpired => {}
             }
         }
     }
 
-    /// For how long changes are gathered before watches are served, in seconds.
-    fn gathering_time(&self) -> f64 {
+    /// How long changes are batched before watches are served, in seconds.
+    fn batch_time(&self) -> f64 {
         let open: u64 = self
             .counters
             .iter()
             .map(|counters| counters.watches_open.get())
             .sum();
-        self.timing.watch_batch_time.get() + GATHERING_PER_WATCH * open as f64
+        self.timing.watch_batch_time.get() + BATCH_TIME_PER_WATCH * open as f64
     }
 }
 
@@ -128,7 +129,7 @@
     }
 
     fn response(&self, id: i64, view: View) -> WatchResponse {
-        self.server.answer_as(self.caller.member);
+        self.server.set_responder(self.caller.member);
         let header = self.server.store.borrow().header_of(view);
         WatchResponse {
             header,
@@ -143,20 +144,21 @@
             self.leaderless_since = None;
             return false;
         }
-        self.leaderless_since.get_or_insert(self.server.stage.now());
+        self.leaderless_since
+            .get_or_insert(self.server.environment.now());
         self.leaderless_time_left() <= 0.0
     }
 
-    /// Until the stream is ended for want of a leader, in seconds.
+    /// The time until the stream is ended because the member has no leader, in seconds.
     fn leaderless_time_left(&self) -> f64 {
         let time = self.server.timing.leaderless_time.get();
         self.leaderless_since
-            .map_or(IDLE_TIME, |since| since + time - self.server.stage.now())
+            .map_or(IDLE_TIME, |at| at + time - self.server.environment.now())
     }
 
-    /// Until a watch is told of progress, in seconds.
+    /// The time until the next progress notification is due, in seconds.
     fn next_progress_in(&self) -> f64 {
-        let now = self.server.stage.now();
+        let now = self.server.environment.now();
         let interval = self.server.timing.progress_interval.get();
         let waiting = self.watches.iter().filter(|w| w.wants_progress);
         waiting
@@ -165,9 +167,9 @@
             .max(0.0)
     }
 
-    async fn take_requests(&mut self, bytes: &mut BytesMut) -> Result<(), Broken> {
+    async fn handle_requests(&mut self, bytes: &mut BytesMut) -> Result<(), ConnectionClosed> {
         while let Some(request) =
-            decode_frame::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| Broken)?
+            decode_frame::<WatchRequest>(bytes, MAX_REQUEST_BYTES).map_err(|_| ConnectionClosed)?
         {
             match request.request_union {
                 Some(RequestUnion::CreateRequest(create)) => self.create(create).await?,
@@ -176,15 +178,15 @@
                     self.server.count(self.caller.member, |exchanges| {
                         exchanges.progress_requests += 1
                     });
-                    self.is_progress_asked = true;
+                    self.is_progress_requested = true;
                 }
-                None => return Err(Broken),
+                None => return Err(ConnectionClosed),
             }
         }
         Ok(())
     }
 
-    async fn create(&mut self, create: WatchCreateRequest) -> Result<(), Broken> {
+    async fn create(&mut self, create: WatchCreateRequest) -> Result<(), ConnectionClosed> {
         let member = self.caller.member;
         self.server
             .count(member, |exchanges| exchanges.watches_created += 1);
@@ -218,10 +220,10 @@
             next,
             is_fragmented: create.fragment,
             wants_progress: create.progress_notify,
-            answered_at: self.server.stage.now(),
+            answered_at: self.server.environment.now(),
         });
         self.open
-            .push(Open::new(&self.server.counters[member].watches_open));
+            .push(OpenGuard::new(&self.server.counters[member].watches_open));
         self.send(WatchResponse {
             created: true,
             ..self.response(id, view)
@@ -229,7 +231,7 @@
         .await
     }
 
-    async fn cancel(&mut self, id: i64) -> Result<(), Broken> {
+    async fn cancel(&mut self, id: i64) -> Result<(), ConnectionClosed> {
         let before = self.watches.len();
         self.watches.retain(|watch| watch.id != id);
         if self.watches.len() == before {
