--- a/crates/test-servers/src/platform/client.rs
+++ b/crates/test-servers/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Clients that send the platform's frames.
+//! Test clients that speak the platform's frame protocol.
 
 use crate::TestEnvironment;
 use async_channel::Sender;
@@ -11,77 +11,78 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// By the platform's rules time limits are longer by this on sockets, in seconds.
+/// The allowance that the platform's rules add to time limits over sockets, in seconds.
 const SOCKET_ALLOWANCE: f64 = 0.05;
-/// How long a client waits for an answer after its time limit, in seconds.
+/// How long a client waits for a late answer after its timeout, in seconds.
 const LATE_ANSWER_TIME: f64 = 0.5;
-/// How long a client waits for a second answer, which would break the rules, in seconds.
+/// How long a client waits for a second answer, which would violate the rules, in seconds.
 const SECOND_ANSWER_TIME: f64 = 0.3;
 
 /// One invocation as a client sends it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// The id of the invocation, which is its idempotency key too.
+    /// The id of the invocation, also used as its idempotency key.
     pub id: u64,
-    /// Its place among the settings' and its name.
+    /// The index of the trigger type in the settings, and its name.
     pub trigger_type: (usize, &'static str),
     /// The number of the function.
     pub function: u64,
     /// The client's timeout in seconds.
     pub timeout: f64,
-    /// The body, which the function echoes.
+    /// The request body, which the function echoes.
     pub body: Vec<u8>,
 }
 
-/// What a client heard: the answer's code, and its body.
+/// The status code and the body of a received answer.
 type ReceivedAnswer = (u8, Vec<u8>);
 
-struct Open {
+struct OpenConnection {
     stream: Rc<Async<TcpStream>>,
-    next: Cell<u32>,
+    next_stream: Cell<u32>,
     waiting: RefCell<HashMap<u32, Sender<ReceivedAnswer>>>,
-    /// Told to send no more, or ended.
-    over: Cell<bool>,
+    /// The front end has sent GO_AWAY, or the connection has ended.
+    is_closing: Cell<bool>,
 }
 
-/// A client's way to one front end: one connection, and a new one where that is over.
+/// A client of one front end. Uses one connection, and opens a new one when that has ended or got GO_AWAY.
 pub struct Client {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     front_end: u32,
     at: SocketAddr,
-    open: RefCell<Option<Rc<Open>>>,
+    open: RefCell<Option<Rc<OpenConnection>>>,
 }
 
 impl Client {
-    /// A client without a connection yet.
-    pub fn new(stage: &TestEnvironment, front_end: u32, at: SocketAddr) -> Rc<Client> {
+    /// Creates a client; the first invocation opens the connection.
+    pub fn new(environment: &TestEnvironment, front_end: u32, at: SocketAddr) -> Rc<Client> {
         Rc::new(Client {
-            stage: stage.clone(),
+            environment: environment.clone(),
             front_end,
             at,
             open: RefCell::default(),
         })
     }
 
-    async fn connection(&self) -> std::io::Result<Rc<Open>> {
-        let stands = self.open.borrow().clone().filter(|o| !o.over.get());
-        if let Some(open) = stands {
+    async fn connection(&self) -> std::io::Result<Rc<OpenConnection>> {
+        let existing = self.open.borrow().clone().filter(|o| !o.is_closing.get());
+        if let Some(open) = existing {
             return Ok(open);
         }
         let stream = Rc::new(Async::<TcpStream>::connect(self.at).await?);
-        let (next, waiting, over) = (Cell::new(1), RefCell::default(), Cell::new(false));
-        let open = Rc::new(Open {
+        let (next_stream, waiting, is_closing) =
+            (Cell::new(1), RefCell::default(), Cell::new(false));
+        let open = Rc::new(OpenConnection {
             stream,
-            next,
+            next_stream,
             waiting,
-            over,
+            is_closing,
         });
-        let listening = open.clone();
-        self.stage
+        let reader = open.clone();
+        self.environment
             .spawn(async move {
                 let mut decoder = frames::Decoder::default();
                 let mut buffer = vec![0; 16 * 1024];
-                'reading: while let Ok(n @ 1..) = (&*listening.stream).read(&mut buffer).await {
+                'reading: while let Ok(n @ 1..) = (&*reader.stream).read(&mut buffer).await {
                     decoder.push(&buffer[..n]);
                     loop {
                         let frame = match decoder.next_frame() {
@@ -91,14 +92,14 @@
                         };
                         let payload = frame.payload.unwrap_or_default();
                         match (frame.kind, payload.split_first()) {
-                            (frames::GO_AWAY, _) => listening.over.set(true),
+                            (frames::GO_AWAY, _) => reader.is_closing.set(true),
                             (frames::RESPONSE, Some((&code, rest))) => {
                                 let body = frames::parse_fields(rest)
                                     .map(|f| f.1.to_vec())
                                     .unwrap_or_default();
-                                let to = listening.waiting.borrow().get(&frame.stream).cloned();
+                                let to = reader.waiting.borrow().get(&frame.stream).cloned();
                                 if let Some(to) = to {
-                                    // A second answer has no room there, and is noted by who looks.
+                                    // Fails if the channel, which has room for a second answer, is full or closed.
                                     let _ = to.try_send((code, body));
                                 }
                             }
@@ -106,70 +107,71 @@
                         }
                     }
                 }
-                listening.over.set(true);
-                listening.waiting.borrow_mut().clear();
+                reader.is_closing.set(true);
+                reader.waiting.borrow_mut().clear();
             })
             .detach();
         *self.open.borrow_mut() = Some(open.clone());
         Ok(open)
     }
 
-    /// Sends an invocation and notes what comes of it; nothing where no connection came about.
-    pub async fn invoke(&self, ask: &ClientRequest) -> Option<FinalAnswer> {
-        self.invoke_with_timeout(ask, f64::INFINITY).await
+    /// Sends an invocation and records the outcome. Returns the final answer, or `None` if there is none or no
+    /// connection could be opened.
+    pub async fn invoke(&self, request: &ClientRequest) -> Option<FinalAnswer> {
+        self.invoke_with_timeout(request, f64::INFINITY).await
     }
 
-    /// The same, and withdraws the invocation if it has no answer after some seconds.
+    /// Like `invoke`, but cancels the invocation if it has no answer after `timeout` seconds.
     pub async fn invoke_with_timeout(
         &self,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         timeout: f64,
     ) -> Option<FinalAnswer> {
         let open = self.connection().await.ok()?;
-        let stream = open.next.get();
-        open.next.set(stream + 1);
-        // Room for a second answer, so that one is seen.
+        let stream = open.next_stream.get();
+        open.next_stream.set(stream + 1);
+        // The channel has room for a second answer, so that a duplicate is detected.
         let (answer_sender, answers) = async_channel::bounded(2);
         open.waiting.borrow_mut().insert(stream, answer_sender);
-        let (at, invocation) = (self.stage.now(), format!("{:016x}", ask.id));
-        let until = at + ask.timeout + SOCKET_ALLOWANCE;
-        self.stage.record(TrafficRecord::InvocationSent {
+        let (at, invocation) = (self.environment.now(), format!("{:016x}", request.id));
+        let until = at + request.timeout + SOCKET_ALLOWANCE;
+        self.environment.record(TrafficRecord::InvocationSent {
             at,
             client: self.front_end,
             invocation: invocation.clone(),
             front_end: self.front_end,
-            trigger_type: ask.trigger_type.0,
+            trigger_type: request.trigger_type.0,
             timeout_at: until,
         });
-        let frame = invoke_frame(stream, ask);
+        let frame = invoke_frame(stream, request);
         let received = async {
             (&*open.stream).write_all(&frame).await.ok()?;
             answers.recv().await.ok()
         };
         let timed_out = async {
-            self.stage
-                .sleep(until + LATE_ANSWER_TIME - self.stage.now())
+            self.environment
+                .sleep(until + LATE_ANSWER_TIME - self.environment.now())
                 .await;
             Some((0, vec![]))
         };
-        let leaves = async {
+        let client_timed_out = async {
             if timeout.is_finite() {
-                self.stage.sleep(timeout).await;
+                self.environment.sleep(timeout).await;
             } else {
                 future::pending::<()>().await;
             }
             None
         };
         let answered = async { Some(future::or(received, timed_out).await) };
-        let Some(received) = future::or(answered, leaves).await else {
-            self.withdraw(&open, stream, invocation).await;
+        let Some(received) = future::or(answered, client_timed_out).await else {
+            self.cancel(&open, stream, invocation).await;
             return None;
         };
-        let answer = self.record_answer(received, &ask.body, &invocation)?;
-        self.stage.sleep(SECOND_ANSWER_TIME).await;
+        let answer = self.record_answer(received, &request.body, &invocation)?;
+        self.environment.sleep(SECOND_ANSWER_TIME).await;
         if answers.try_recv().is_ok() {
-            self.stage.record(TrafficRecord::AnswerReceived {
-                at: self.stage.now(),
+            self.environment.record(TrafficRecord::AnswerReceived {
+                at: self.environment.now(),
                 invocation,
                 answer,
             });
@@ -178,45 +180,45 @@
         Some(answer)
     }
 
-    /// Cancels an invocation for a client that has left.
-    async fn withdraw(&self, open: &Open, stream: u32, invocation: String) {
+    /// Cancels an invocation whose client no longer waits for it, and records that.
+    async fn cancel(&self, open: &OpenConnection, stream: u32, invocation: String) {
         let mut frame = vec![];
         frames::write_frame(&mut frame, frames::CANCEL, stream, None, None, &[]);
-        // The front end may have gone.
+        // Fails if the front end has closed the connection.
         let _ = (&*open.stream).write_all(&frame).await;
-        self.stage.record(TrafficRecord::ClientCancelled {
-            at: self.stage.now(),
+        self.environment.record(TrafficRecord::ClientCancelled {
+            at: self.environment.now(),
             invocation,
         });
         open.waiting.borrow_mut().remove(&stream);
     }
 
-    /// Records what was received, or that there was nothing; returns the final answer, where it is one.
+    /// Records the answer, or that there was none. Returns it if it is a final answer.
     fn record_answer(
         &self,
         received: Option<ReceivedAnswer>,
         sent_body: &[u8],
         invocation: &str,
     ) -> Option<FinalAnswer> {
-        let at = self.stage.now();
+        let at = self.environment.now();
         let invocation = invocation.to_owned();
         let answer = match received {
             Some((frames::SUCCEEDED, body)) if body == sent_body => FinalAnswer::Succeeded,
             Some((frames::THROTTLED, _)) => FinalAnswer::Rejected,
             Some((frames::ERRORED, _)) => FinalAnswer::Failed,
-            // What no executor made, or nothing: as if there had been no answer.
+            // An answer that no executor produced, or none before the deadline, counts as a timeout.
             Some(_) => {
-                self.stage
+                self.environment
                     .record(TrafficRecord::ClientTimedOut { at, invocation });
                 return None;
             }
             None => {
-                self.stage
+                self.environment
                     .record(TrafficRecord::ConnectionLost { at, invocation });
                 return None;
             }
         };
-        self.stage.record(TrafficRecord::AnswerReceived {
+        self.environment.record(TrafficRecord::AnswerReceived {
             at,
             invocation,
             answer,
@@ -225,14 +227,14 @@
     }
 }
 
-/// The frame that sends an invocation.
-fn invoke_frame(stream: u32, ask: &ClientRequest) -> Vec<u8> {
-    let invocation = format!("{:016x}", ask.id);
-    let allow = format!("{}", (ask.timeout * 1e3) as u64);
-    let function = format!("{:016x}", ask.function);
-    let token = format!("{:032x}", ask.id);
+/// Encodes the INVOKE frame of a request.
+fn invoke_frame(stream: u32, request: &ClientRequest) -> Vec<u8> {
+    let invocation = format!("{:016x}", request.id);
+    let allow = format!("{}", (request.timeout * 1e3) as u64);
+    let function = format!("{:016x}", request.function);
+    let token = format!("{:032x}", request.id);
     let fields = [
-        ("service", ask.trigger_type.1),
+        ("service", request.trigger_type.1),
         ("ref", &invocation),
         ("allow", &allow),
         ("lookup", &function),
@@ -246,7 +248,7 @@
         stream,
         None,
         Some(&fields),
-        &ask.body,
+        &request.body,
     );
     frame
 }
--- a/crates/test-servers/src/platform/executor.rs
+++ b/crates/test-servers/src/platform/executor.rs
@@ -1,4 +1,4 @@
-//! Executors on the platform's lines.
+//! Test executors that speak the platform's line protocol.
 
 use super::Incarnations;
 use super::executor_faults::{Faults, ResponseFault};
@@ -16,66 +16,68 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// An executor with an address for each front end.
+/// An executor with a separate address for each front end.
 pub struct Executor {
-    /// Its number in the fleet.
+    /// The executor's number in the fleet.
     pub number: usize,
-    /// Its name in the list.
+    /// The executor's name in the endpoint list.
     pub name: String,
-    /// Executors of a cell share the tokens they have seen.
+    /// The executor's cell. Executors of a cell share the idempotency keys that they have seen.
     pub cell: u16,
-    /// Where it listens for each front end.
+    /// The listening address for each front end.
     pub addresses: Vec<SocketAddr>,
-    /// What each front end's connections pass through, where a script wants that.
+    /// The fault proxy for each front end; empty unless `start_proxies` was called.
     pub proxies: RefCell<Vec<Rc<FaultProxy>>>,
-    /// Faults that a script sets.
+    /// Faults that a test sets.
     pub faults: Faults,
-    /// Whether it takes no new dispatches.
+    /// Whether the executor rejects new dispatches and load commands.
     pub draining: Cell<bool>,
-    /// How long it takes to load a function, in seconds.
+    /// The time to load a function, in seconds.
     pub load_time: f64,
-    /// The work of an invocation, in seconds.
+    /// The execution time of an invocation, in seconds.
     pub work_time: f64,
-    /// When it last started; minus infinity for long ago.
+    /// When the executor last started; minus infinity if that is long ago.
     pub started_at: Cell<f64>,
-    /// How long slow start lasts, in seconds.
+    /// The duration of slow start, in seconds.
     pub slow_start_duration: f64,
-    /// Dispatches within a second that overload it during slow start.
+    /// More dispatches than this within one second overload the executor during slow start.
     pub overload_limit: usize,
     arrived: RefCell<Vec<f64>>,
     is_overloaded: Cell<bool>,
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     incarnations: Rc<Incarnations>,
     tokens: Rc<RefCell<HashMap<(u16, String), f64>>>,
     token_window: f64,
-    /// When the copy of a function stands.
+    /// When each function's replica is loaded.
     copies: RefCell<HashMap<String, f64>>,
     numbers: RefCell<HashMap<String, u32>>,
 }
 
-/// A dispatch in hand; dropped before its end it was abandoned.
-struct InHand {
+/// A dispatch in progress. If it is dropped before `end` is called, it is recorded as abandoned.
+struct ActiveDispatch {
     executor: Rc<Executor>,
     invocation: String,
     number: u32,
     ended: bool,
 }
 
-impl InHand {
-    fn end(&mut self, ending: DispatchOutcome) {
+impl ActiveDispatch {
+    fn end(&mut self, dispatch_outcome: DispatchOutcome) {
         if !std::mem::replace(&mut self.ended, true) {
-            self.executor.stage.record(TrafficRecord::DispatchEnded {
-                at: self.executor.stage.now(),
-                executor: self.executor.number,
-                invocation: self.invocation.clone(),
-                number: self.number,
-                outcome: ending,
-            });
+            self.executor
+                .environment
+                .record(TrafficRecord::DispatchEnded {
+                    at: self.executor.environment.now(),
+                    executor: self.executor.number,
+                    invocation: self.invocation.clone(),
+                    number: self.number,
+                    outcome: dispatch_outcome,
+                });
         }
     }
 }
 
-impl Drop for InHand {
+impl Drop for ActiveDispatch {
     fn drop(&mut self) {
         self.end(DispatchOutcome::Abandoned);
     }
@@ -85,7 +87,7 @@
     format!("{}\n", json!({"t": word, "i": id, "f": fields, "b": body})).into_bytes()
 }
 
-/// The ends of one connection from a front end.
+/// A connection from a front end, with the queue of its responses.
 #[derive(Clone)]
 struct FrontEndConnection {
     front_end: u32,
@@ -94,20 +96,21 @@
 }
 
 impl FrontEndConnection {
-    fn cut(&self) {
-        // One that is gone already needs no more.
+    fn close(&self) {
+        // Fails if the connection is already closed.
         let _ = self.stream.get_ref().shutdown(Shutdown::Both);
     }
 
-    async fn put(&self, line: Vec<u8>) {
-        // Nobody is there to hear it once the connection has ended.
+    async fn send(&self, line: Vec<u8>) {
+        // Fails if the connection has ended.
         let _ = self.answers.send(line).await;
     }
 }
 
-/// Executors with an address for each front end, in cells of two; they serve as long as the stage's tasks run.
+/// Starts executors with an address for each front end, in cells of two. They serve while the environment's tasks run.
+/// Fails if an address can't be bound.
 pub fn executors(
-    stage: &TestEnvironment,
+    environment: &TestEnvironment,
     incarnations: &Rc<Incarnations>,
     count: usize,
     front_ends: u32,
@@ -138,7 +141,7 @@
             overload_limit: 30,
             arrived: RefCell::default(),
             is_overloaded: Cell::default(),
-            stage: stage.clone(),
+            environment: environment.clone(),
             incarnations: incarnations.clone(),
             tokens: tokens.clone(),
             token_window,
@@ -146,7 +149,7 @@
             numbers: RefCell::default(),
         });
         for (front_end, listener) in (0..front_ends).zip(listeners) {
-            stage
+            environment
                 .spawn(executor.clone().serve(front_end, listener))
                 .detach();
         }
@@ -156,17 +159,17 @@
 }
 
 impl Executor {
-    /// Puts a proxy before each of its addresses.
+    /// Starts a fault proxy in front of each address.
     pub fn start_proxies(&self) -> std::io::Result<()> {
         let links = self
             .addresses
             .iter()
-            .map(|&at| FaultProxy::start(&self.stage, at));
+            .map(|&at| FaultProxy::start(&self.environment, at));
         *self.proxies.borrow_mut() = links.collect::<std::io::Result<_>>()?;
         Ok(())
     }
 
-    /// Where a front end reaches it.
+    /// The address at which a front end reaches the executor: its proxy's if there is one.
     pub fn address_for(&self, front_end: u32) -> SocketAddr {
         let link = self
             .proxies
@@ -176,77 +179,81 @@
         link.unwrap_or(self.addresses[front_end as usize])
     }
 
-    /// From here on it reads nothing and takes no connection, as a machine that has vanished.
+    /// Stops processing requests and connections for `time` seconds, like an unreachable machine.
     pub fn go_silent(&self, time: f64) {
-        let at = self.stage.now();
+        let at = self.environment.now();
         self.faults.silent.set(at + time);
-        self.stage.record(TrafficRecord::ReadsPaused {
+        self.environment.record(TrafficRecord::ReadsPaused {
             at,
             executor: self.number,
             until: at + time,
         });
     }
 
-    async fn silence(&self) {
-        while self.faults.silent.is_active(self.stage.now()) {
-            self.stage.sleep(0.01).await;
+    async fn wait_while_silent(&self) {
+        while self.faults.silent.is_active(self.environment.now()) {
+            self.environment.sleep(0.01).await;
         }
     }
 
     async fn serve(self: Rc<Self>, front_end: u32, listener: Async<TcpListener>) {
         while let Ok((stream, _)) = listener.accept().await {
-            self.silence().await;
-            self.stage
-                .spawn(self.clone().attend(front_end, stream))
+            self.wait_while_silent().await;
+            self.environment
+                .spawn(self.clone().serve_connection(front_end, stream))
                 .detach();
         }
     }
 
-    async fn attend(self: Rc<Self>, front_end: u32, stream: Async<TcpStream>) {
+    async fn serve_connection(self: Rc<Self>, front_end: u32, stream: Async<TcpStream>) {
         let (answers, queue) = async_channel::bounded::<Vec<u8>>(1_024);
-        let way = FrontEndConnection {
+        let connection = FrontEndConnection {
             front_end,
             stream: Rc::new(stream),
             answers,
         };
         let writing = async {
             while let Ok(line) = queue.recv().await {
-                if (&*way.stream).write_all(&line).await.is_err() {
+                if (&*connection.stream).write_all(&line).await.is_err() {
                     return;
                 }
             }
         };
         let reading = async {
-            // Dropped with the connection, which abandons what is open on it.
-            let mut works: HashMap<String, Task<()>> = HashMap::new();
-            let mut lines = BufReader::new(&*way.stream).lines();
+            // Dropped with the connection, which abandons the dispatches that are open on it.
+            let mut running: HashMap<String, Task<()>> = HashMap::new();
+            let mut lines = BufReader::new(&*connection.stream).lines();
             while let Some(Ok(line)) = lines.next().await {
-                self.silence().await;
+                self.wait_while_silent().await;
                 let Ok(message) = serde_json::from_str::<Value>(&line) else {
                     return;
                 };
                 let id = message["i"].as_str().unwrap_or_default().to_owned();
-                works.retain(|_, work| !work.is_finished());
+                running.retain(|_, work| !work.is_finished());
                 match message["t"].as_str() {
                     Some("DO") => {
-                        let in_hand = self.reached(front_end, &id, &message["f"]);
-                        let work = self.clone().work(in_hand, message, way.clone());
-                        works.insert(id, self.stage.spawn(work));
+                        let dispatch = self.record_arrival(front_end, &id, &message["f"]);
+                        let work = self.clone().execute(dispatch, message, connection.clone());
+                        running.insert(id, self.environment.spawn(work));
                     }
-                    Some("UNDO") => drop(works.remove(&id)),
+                    Some("UNDO") => drop(running.remove(&id)),
                     Some("PIN") => {
-                        let order = self.clone().order(id.clone(), message, way.clone());
-                        works.insert(id, self.stage.spawn(order));
+                        let order = self.clone().handle_load_command(
+                            id.clone(),
+                            message,
+                            connection.clone(),
+                        );
+                        running.insert(id, self.environment.spawn(order));
                     }
                     _ => {}
                 }
             }
         };
         future::or(reading, writing).await;
-        way.cut();
+        connection.close();
     }
 
-    fn reached(self: &Rc<Self>, front_end: u32, id: &str, fields: &Value) -> InHand {
+    fn record_arrival(self: &Rc<Self>, front_end: u32, id: &str, fields: &Value) -> ActiveDispatch {
         let text = |key: &str| fields[key].as_str().unwrap_or_default().to_owned();
         let number = {
             let mut numbers = self.numbers.borrow_mut();
@@ -254,8 +261,8 @@
             *number += 1;
             *number
         };
-        let at = self.stage.now();
-        self.stage.record(TrafficRecord::DispatchArrived {
+        let at = self.environment.now();
+        self.environment.record(TrafficRecord::DispatchArrived {
             at,
             executor: self.number,
             front_end,
@@ -272,13 +279,13 @@
             && arrived.len() > self.overload_limit
             && !self.is_overloaded.replace(true)
         {
-            self.stage.record(TrafficRecord::ExecutorOverloaded {
+            self.environment.record(TrafficRecord::ExecutorOverloaded {
                 at,
                 executor: self.number,
                 started_at: self.started_at.get(),
             });
         }
-        InHand {
+        ActiveDispatch {
             executor: self.clone(),
             invocation: id.to_owned(),
             number,
@@ -286,15 +293,16 @@
         }
     }
 
-    /// Waits until a copy of the function stands; tells how it was found.
+    /// Waits until a replica of the function is loaded. Returns whether the load was new ("cold"), already in progress
+    /// ("joined") or complete ("warm").
     async fn load(&self, function: &str) -> &'static str {
-        let now = self.stage.now();
+        let now = self.environment.now();
         let known = self.copies.borrow().get(function).copied();
-        let stands_at = known.unwrap_or(now + self.load_time);
+        let loaded_at = known.unwrap_or(now + self.load_time);
         self.copies
             .borrow_mut()
-            .insert(function.to_owned(), stands_at);
-        self.stage.sleep(stands_at - now).await;
+            .insert(function.to_owned(), loaded_at);
+        self.environment.sleep(loaded_at - now).await;
         match known {
             None => "cold",
             Some(at) if at > now => "joined",
@@ -302,26 +310,33 @@
         }
     }
 
-    async fn work(self: Rc<Self>, mut in_hand: InHand, message: Value, way: FrontEndConnection) {
-        let (id, fields) = (in_hand.invocation.clone(), &message["f"]);
+    async fn execute(
+        self: Rc<Self>,
+        mut dispatch: ActiveDispatch,
+        message: Value,
+        connection: FrontEndConnection,
+    ) {
+        let (id, fields) = (dispatch.invocation.clone(), &message["f"]);
         if self.draining.get() {
-            in_hand.end(DispatchOutcome::Rejected);
-            return way.put(line("WAIT", &id, json!({}), &Value::Null)).await;
+            dispatch.end(DispatchOutcome::Rejected);
+            return connection
+                .send(line("WAIT", &id, json!({}), &Value::Null))
+                .await;
         }
-        let spoil = self
+        let fault = self
             .faults
             .response_fault
             .get()
-            .filter(|s| self.stage.unit() < s.1)
+            .filter(|s| self.environment.unit() < s.1)
             .map(|s| s.0);
-        if spoil == Some(ResponseFault::ResetUnread) {
-            return way.cut();
+        if fault == Some(ResponseFault::ResetUnread) {
+            return connection.close();
         }
-        let tell = self.load(fields["item"].as_str().unwrap_or_default()).await;
-        let (at, executor, invocation) = (self.stage.now(), self.number, id.clone());
+        let load_state = self.load(fields["item"].as_str().unwrap_or_default()).await;
+        let (at, executor, invocation) = (self.environment.now(), self.number, id.clone());
         let token = fields["nonce"].as_str().map(|t| (self.cell, t.to_owned()));
         let seen = token.and_then(|t| self.tokens.borrow_mut().insert(t, at));
-        self.stage.record(
+        self.environment.record(
             match seen.is_some_and(|seen| at < seen + self.token_window) {
                 true => TrafficRecord::Deduplicated {
                     at,
@@ -335,46 +350,54 @@
                 },
             },
         );
-        self.stage.sleep(self.work_time).await;
-        let notified = json!({"tell": tell, "crowd": "1"});
-        let done = line("DONE", &id, notified.clone(), &message["b"]);
-        match spoil {
+        self.environment.sleep(self.work_time).await;
+        let response_fields = json!({"tell": load_state, "crowd": "1"});
+        let done = line("DONE", &id, response_fields.clone(), &message["b"]);
+        match fault {
             None => {}
             Some(ResponseFault::CutShort) => {
-                way.put(done[..done.len() / 2].to_vec()).await;
-                self.stage.sleep(0.01).await;
-                return way.cut();
+                connection.send(done[..done.len() / 2].to_vec()).await;
+                self.environment.sleep(0.01).await;
+                return connection.close();
             }
-            Some(ResponseFault::Garbage) => return way.put(b"\x01 noise\n".to_vec()).await,
+            Some(ResponseFault::Garbage) => return connection.send(b"\x01 noise\n".to_vec()).await,
             Some(ResponseFault::InvalidBody) => {
-                return way.put(line("DONE", &id, notified, &"%%%".into())).await;
+                return connection
+                    .send(line("DONE", &id, response_fields, &"%%%".into()))
+                    .await;
             }
-            Some(ResponseFault::Duplicated) => way.put(done.clone()).await,
+            Some(ResponseFault::Duplicated) => connection.send(done.clone()).await,
             Some(ResponseFault::Dropped | ResponseFault::ResetUnread) => {
                 return future::pending().await;
             }
         }
-        in_hand.end(DispatchOutcome::Succeeded);
-        way.put(done).await;
+        dispatch.end(DispatchOutcome::Succeeded);
+        connection.send(done).await;
     }
 
-    async fn order(self: Rc<Self>, tag: String, message: Value, way: FrontEndConnection) {
+    async fn handle_load_command(
+        self: Rc<Self>,
+        tag: String,
+        message: Value,
+        connection: FrontEndConnection,
+    ) {
         let fields = &message["f"];
         let copies = fields["count"].as_u64().unwrap_or_default() as u32;
-        self.stage.record(TrafficRecord::LoadCommandArrived {
-            at: self.stage.now(),
+        self.environment.record(TrafficRecord::LoadCommandArrived {
+            at: self.environment.now(),
             executor: self.number,
-            front_end: way.front_end,
-            incarnation: self.incarnations.of(way.front_end),
+            front_end: connection.front_end,
+            incarnation: self.incarnations.of(connection.front_end),
             replicas: copies,
         });
         if self.draining.get() {
-            return way
-                .put(line("WAIT", &tag, json!({"count": 0}), &Value::Null))
+            return connection
+                .send(line("WAIT", &tag, json!({"count": 0}), &Value::Null))
                 .await;
         }
         self.load(fields["item"].as_str().unwrap_or_default()).await;
-        way.put(line("DONE", &tag, json!({"count": copies}), &Value::Null))
+        connection
+            .send(line("DONE", &tag, json!({"count": copies}), &Value::Null))
             .await;
     }
 }
--- a/crates/test-servers/src/platform/executor_faults.rs
+++ b/crates/test-servers/src/platform/executor_faults.rs
@@ -3,28 +3,28 @@
 use crate::TimedFault;
 use std::cell::Cell;
 
-/// How an answer goes wrong.
+/// A fault in an executor's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseFault {
-    /// The connection is reset before anything is begun.
+    /// The connection is closed before the function is loaded or executed.
     ResetUnread,
-    /// It is reset within the answer.
+    /// The connection is closed in the middle of the response.
     CutShort,
-    /// Bytes that are no line of the protocol.
+    /// The response is replaced by bytes that are not a valid line of the protocol.
     Garbage,
-    /// A body that is no base64.
+    /// The response body is not valid base64.
     InvalidBody,
-    /// The answer is sent twice.
+    /// The response is sent twice.
     Duplicated,
-    /// The answer is not sent.
+    /// The response is not sent.
     Dropped,
 }
 
-/// What a script may put on an executor.
+/// The faults that a test can inject into an executor.
 #[derive(Default)]
 pub struct Faults {
-    /// Nothing is sent while this is active.
+    /// No connection is served and no request is processed while this is active.
     pub(super) silent: TimedFault,
-    /// What goes wrong with answers, and the chance that it does.
+    /// The fault in responses, and its probability for each dispatch.
     pub response_fault: Cell<Option<(ResponseFault, f64)>>,
 }
--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -1,4 +1,4 @@
-//! The resolver, which tells the list of executors over DNS.
+//! A test resolver that serves the endpoint list over DNS.
 
 use super::Incarnations;
 use super::executor::Executor;
@@ -13,68 +13,68 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// An executor as the list tells it.
+/// An executor and its state in the endpoint list.
 #[derive(Clone)]
 pub struct ListedEndpoint {
     /// The executor.
     pub executor: Rc<Executor>,
-    /// Its state in the list.
+    /// Its state in the endpoint list.
     pub state: EndpointState,
 }
 
-/// How an answer of the resolver goes wrong.
+/// A fault in the resolver's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerFault {
     /// No answer is sent.
     Dropped,
-    /// The answer has another id than the query.
+    /// The answer's id differs from the query's.
     WrongId,
     /// The answer is marked as truncated.
     Truncated,
-    /// The answer ends in its middle.
+    /// The second half of the answer is missing.
     CutShort,
-    /// The answer has the code of a server's failure.
+    /// The answer has the response code SERVFAIL.
     ServerFailure,
-    /// The list before this one.
+    /// The answer has the previous list with its serial.
     PreviousList,
-    /// The rows of the list before this one, under the present serial.
+    /// The answer has the entries of the previous list under the current serial.
     PreviousRows,
-    /// This list under a serial that is so much higher.
+    /// The answer has the current list under a serial that is higher by this number.
     SerialJump(u32),
-    /// Sent long after the next query, so that later ones overtake it.
+    /// The answer is delayed beyond the next query, so that later answers overtake it.
     Delayed,
-    /// Sent so many milliseconds late.
+    /// The answer is delayed by this many milliseconds.
     DelayedBy(u32),
-    /// Sent twice.
+    /// The answer is sent twice.
     Duplicated,
-    /// One executor's text is unreadable.
+    /// The TXT record of the first executor is malformed.
     UnreadableText,
-    /// One executor's standing is the other one.
+    /// The state of the first executor is inverted.
     WrongState,
 }
 
-/// The resolver, with an address for each front end.
+/// The resolver, with a separate address for each front end.
 pub struct Resolver {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     incarnations: Rc<Incarnations>,
     rows: RefCell<Vec<ListedEndpoint>>,
     previous: RefCell<(u32, Vec<ListedEndpoint>)>,
     serial: Cell<u32>,
-    /// What goes wrong with answers, and the chance that it does.
+    /// The fault in answers, and its probability for each query.
     pub answer_fault: Cell<Option<(AnswerFault, f64)>>,
-    /// Nothing is answered until then; since when.
+    /// No query is answered while this is active.
     outage: TimedFault,
     notified: RefCell<HashMap<(u64, usize), EndpointState>>,
-    /// The one address that answers, where the others no longer do.
+    /// If set, only this address answers.
     only_address: Cell<Option<SocketAddr>>,
 }
 
 const SERVICE: &str = "_data._tcp.farm.lan";
 
 impl Resolver {
-    /// A resolver that lists all executors as ready.
+    /// Creates a resolver that lists all executors as ready.
     pub fn new(
-        stage: &TestEnvironment,
+        environment: &TestEnvironment,
         incarnations: &Rc<Incarnations>,
         executors: &[Rc<Executor>],
     ) -> Rc<Resolver> {
@@ -84,7 +84,7 @@
         };
         let rows: Vec<ListedEndpoint> = executors.iter().map(ready).collect();
         Rc::new(Resolver {
-            stage: stage.clone(),
+            environment: environment.clone(),
             incarnations: incarnations.clone(),
             previous: RefCell::new((1, rows.clone())),
             rows: RefCell::new(rows),
@@ -96,48 +96,48 @@
         })
     }
 
-    /// An event: some executors stand otherwise from now on.
+    /// Changes the list and increments its serial.
     pub fn change(&self, change: impl FnOnce(&mut Vec<ListedEndpoint>)) {
         *self.previous.borrow_mut() = (self.serial.get(), self.rows.borrow().clone());
         change(&mut self.rows.borrow_mut());
         self.serial.set(self.serial.get() + 1);
     }
 
-    /// What happened so long ago counts as told, unless nobody is answered at all.
+    /// Records the list as known to all front ends after `after` seconds, unless no query is answered at that time.
     pub fn count_as_notified_after(self: &Rc<Self>, after: f64, front_ends: u32) {
         let me = self.clone();
-        let telling = async move {
-            me.stage.sleep(after).await;
-            if !me.outage.is_active(me.stage.now()) {
-                (0..front_ends).for_each(|j| me.tell(j));
+        let recording = async move {
+            me.environment.sleep(after).await;
+            if !me.outage.is_active(me.environment.now()) {
+                (0..front_ends).for_each(|j| me.record_notified(j));
             }
         };
-        self.stage.spawn(telling).detach();
+        self.environment.spawn(recording).detach();
     }
 
-    /// Nobody answers at the other addresses from now on.
+    /// Stops answering at all addresses but `at`.
     pub fn answer_only_at(&self, at: SocketAddr) {
         self.only_address.set(Some(at));
     }
 
-    /// Answers nothing for a time. Whatever it would have told counts as told at the latest `counts_after` after that
-    /// began.
+    /// Stops answering for `time` seconds. If that lasts longer than `counts_after` seconds, the list is recorded as
+    /// known to all front ends from then on.
     pub fn stop_answering(self: &Rc<Self>, time: f64, counts_after: f64, front_ends: u32) {
-        self.outage.set(self.stage.now() + time);
+        self.outage.set(self.environment.now() + time);
         let me = self.clone();
         let counting = async move {
-            me.stage.sleep(counts_after).await;
-            while me.outage.is_active(me.stage.now()) {
-                (0..front_ends).for_each(|j| me.tell(j));
-                me.stage.sleep(0.05).await;
+            me.environment.sleep(counts_after).await;
+            while me.outage.is_active(me.environment.now()) {
+                (0..front_ends).for_each(|j| me.record_notified(j));
+                me.environment.sleep(0.05).await;
             }
         };
-        self.stage.spawn(counting).detach();
+        self.environment.spawn(counting).detach();
     }
 
-    /// What a front end is told now, as far as it is new to its present life.
-    fn tell(&self, front_end: u32) {
-        let (at, incarnation) = (self.stage.now(), self.incarnations.of(front_end));
+    /// Records each state in the current list that is new to the front end's current incarnation.
+    fn record_notified(&self, front_end: u32) {
+        let (at, incarnation) = (self.environment.now(), self.incarnations.of(front_end));
         let rows = self.rows.borrow();
         let mut notified = self.notified.borrow_mut();
         let listed = |n: usize| rows.iter().find(|r| r.executor.number == n);
@@ -154,7 +154,7 @@
             let state = row.map_or(EndpointState::Gone, |r| r.state);
             let since = row.map_or(f64::NEG_INFINITY, |r| r.executor.started_at.get());
             if notified.insert((incarnation, executor), state) != Some(state) {
-                self.stage.record(TrafficRecord::EndpointNotified {
+                self.environment.record(TrafficRecord::EndpointNotified {
                     at,
                     front_end,
                     incarnation,
@@ -167,12 +167,12 @@
     }
 
     fn started(&self, executor: &Executor) -> u64 {
-        (self.stage.wall(executor.started_at.get()) * 1e3) as u64
+        (self.environment.wall(executor.started_at.get()) * 1e3) as u64
     }
 
-    /// The list as a front end's configuration has it at its start.
+    /// The endpoint list for a front end's initial configuration. Records it as known to the front end.
     pub fn initial_list(&self, front_end: u32) -> Value {
-        self.tell(front_end);
+        self.record_notified(front_end);
         let host = |row: &ListedEndpoint| {
             let e = &row.executor;
             let health = if row.state == EndpointState::Ready {
@@ -229,7 +229,7 @@
         packet.build_bytes_vec_compressed()
     }
 
-    /// Adds the records of one executor: SRV, A and TXT.
+    /// Adds the SRV, A and TXT records of one executor.
     fn push_endpoint<'a>(
         &self,
         packet: &mut Packet<'a>,
@@ -241,8 +241,8 @@
         let executor = &row.executor;
         let target = Name::new(target)?;
         let address = executor.address_for(front_end);
-        let has_wrong_state = fault == Some(AnswerFault::WrongState);
-        let priority = u16::from((row.state != EndpointState::Ready) != has_wrong_state);
+        let is_inverted = fault == Some(AnswerFault::WrongState);
+        let priority = u16::from((row.state != EndpointState::Ready) != is_inverted);
         let srv = RData::SRV(SRV {
             priority,
             weight: 40,
@@ -276,27 +276,27 @@
         Ok(())
     }
 
-    /// An address at which a front end may ask from now on.
+    /// Opens an address at which the front end can query the list. Fails if it can't be bound.
     pub fn open(self: &Rc<Self>, front_end: u32) -> std::io::Result<SocketAddr> {
         let socket = Rc::new(Async::<UdpSocket>::bind(unused_address())?);
         let at = socket.get_ref().local_addr()?;
-        let (me, stage) = (self.clone(), self.stage.clone());
+        let (me, environment) = (self.clone(), self.environment.clone());
         let serving = async move {
             let mut query = [0; 512];
             while let Ok((n, from)) = socket.recv_from(&mut query).await {
                 let fault = me
                     .answer_fault
                     .get()
-                    .filter(|o| me.stage.unit() < o.1)
+                    .filter(|o| me.environment.unit() < o.1)
                     .map(|o| o.0);
                 let id = u16::from_be_bytes([query[0], query[1]]);
                 let closed = me.only_address.get().is_some_and(|only| only != at);
-                if n < 12 || closed || me.outage.is_active(me.stage.now()) {
+                if n < 12 || closed || me.outage.is_active(me.environment.now()) {
                     continue;
                 }
                 if fault == Some(AnswerFault::Dropped) {
-                    // It was sent, so that what it holds is told.
-                    me.tell(front_end);
+                    // A dropped answer counts as sent, so the list is recorded as known.
+                    me.record_notified(front_end);
                     continue;
                 }
                 let Ok(mut list) = me.list(id, front_end, fault) else {
@@ -305,7 +305,7 @@
                 if fault == Some(AnswerFault::CutShort) {
                     list.truncate(list.len() / 2);
                 }
-                let is_told = matches!(
+                let is_notified = matches!(
                     fault,
                     None | Some(
                         AnswerFault::SerialJump(_)
@@ -315,12 +315,12 @@
                             | AnswerFault::UnreadableText
                     )
                 );
-                if is_told {
-                    me.tell(front_end);
+                if is_notified {
+                    me.record_notified(front_end);
                 }
                 let (me, socket) = (me.clone(), socket.clone());
                 let late = match fault {
-                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.stage.unit(),
+                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.environment.unit(),
                     Some(AnswerFault::DelayedBy(ms)) => f64::from(ms) / 1e3,
                     _ => 0.0,
                 };
@@ -328,23 +328,23 @@
                     let _ = socket.send_to(&list, from).await;
                 }
                 let sending = async move {
-                    me.stage.sleep(late).await;
-                    // One who is gone asks no more.
+                    me.environment.sleep(late).await;
+                    // Fails if the front end has closed its socket.
                     let _ = socket.send_to(&list, from).await;
                 };
                 if late > 0.0 {
-                    stage.spawn(sending).detach()
+                    environment.spawn(sending).detach()
                 } else {
                     sending.await
                 }
             }
         };
-        self.stage.spawn(serving).detach();
+        self.environment.spawn(serving).detach();
         Ok(at)
     }
 }
 
-/// Adds the SOA record, which tells the serial of the list.
+/// Adds the SOA record, which carries the serial of the list.
 fn push_authority(packet: &mut Packet<'_>, serial: u32) -> Result<(), simple_dns::SimpleDnsError> {
     let name = || Name::new("farm.lan");
     let (refresh, retry, expire, minimum) = (1, 1, 1, 0);
