--- a/crates/test-servers/tests/etcd_cluster.rs
+++ b/crates/test-servers/tests/etcd_cluster.rs
@@ -1,5 +1,5 @@
-//! Five members of the store's stand-in on sockets, over the client that the program uses: the quorum rule, members
-//! and regions that are away, and counted bytes.
+//! Tests of a cluster of five etcd test members over sockets, with the product's own etcd client: the quorum rule,
+//! stopped members, partitioned regions and byte counters.
 
 mod kit;
 
@@ -14,24 +14,24 @@
 
 #[test]
 fn a_quorum_is_kept_with_two_members_dead_and_lost_with_three() {
-    let (stage, served) = cluster(1);
-    on(&stage, async {
-        let clients: Vec<Client> = served
+    let (environment, server) = cluster(1);
+    run_with_timeout(&environment, async {
+        let clients: Vec<Client> = server
             .addresses
             .iter()
-            .map(|&at| client(&stage, at))
+            .map(|&at| client(&environment, at))
             .collect();
         put(&clients[4], "k", "1").await.unwrap();
-        served.stop(0);
-        served.stop(2);
-        // The leader was among them: another is elected while this waits.
+        server.stop(0);
+        server.stop(2);
+        // The leader was stopped too; another one is elected while this request waits.
         let answered = put(&clients[4], "k", "2").await.unwrap();
         assert_eq!(answered.header.unwrap().raft_term, 2);
         assert!(matches!(
             put(&clients[0], "k", "dead").await,
             Err(ClientError::Unreachable(_))
         ));
-        served.stop(1);
+        server.stop(1);
         for left in [3, 4] {
             assert!(
                 is_unavailable(&put(&clients[left], "k", "3").await),
@@ -51,7 +51,7 @@
                 Some("2")
             );
         }
-        served.restart(0);
+        server.restart(0);
         put(&clients[3], "k", "4").await.unwrap();
         let found = get(&clients[0], "k", false).await.unwrap();
         assert_eq!(
@@ -63,18 +63,18 @@
 
 #[test]
 fn a_region_that_is_cut_off_knows_what_it_knew_and_proves_nothing() {
-    let (stage, served) = cluster(2);
-    on(&stage, async {
-        let near = client(&stage, served.addresses[4]);
-        let far = client(&stage, served.addresses[1]);
+    let (environment, server) = cluster(2);
+    run_with_timeout(&environment, async {
+        let near = client(&environment, server.addresses[4]);
+        let far = client(&environment, server.addresses[1]);
         let old = revision(put(&far, "p/k", "old").await.unwrap().header);
         let mut watcher = Watcher::begin(&near, "p/", old + 1).await;
-        served.cut(2);
+        server.cut(2);
         let new = revision(put(&far, "p/k", "new").await.unwrap().header);
-        // Compaction by the others is not heard of either.
-        served.store.borrow_mut().compact(new).unwrap();
+        // The partitioned member doesn't learn of a compaction by the others either.
+        server.store.borrow_mut().compact(new).unwrap();
         assert_eq!(
-            (served.view(4).revision, served.view(4).compacted),
+            (server.view(4).revision, server.view(4).compacted),
             (old, 0)
         );
         let found = get(&near, "p/k", true).await.unwrap();
@@ -84,9 +84,13 @@
         );
         assert!(is_unavailable(&get(&near, "p/k", false).await));
         assert_eq!(watcher.progress().await, old);
-        assert_eq!(watcher.progress().await, old, "however often it is asked");
-        served.heal();
-        // It catches up by a snapshot, in which the compaction has overtaken this watch.
+        assert_eq!(
+            watcher.progress().await,
+            old,
+            "a repeated request gives the same revision"
+        );
+        server.heal();
+        // It catches up by a snapshot, in which the next revision of this watch is already compacted.
         assert_eq!(
             watcher.next().await,
             [WatchEvent::Compacted { revision: new + 1 }]
@@ -104,12 +108,12 @@
 
 #[test]
 fn the_larger_part_goes_on_whichever_region_is_cut_off() {
-    let (stage, served) = cluster(3);
-    on(&stage, async {
+    let (environment, server) = cluster(3);
+    run_with_timeout(&environment, async {
         for region in 0..3 {
-            served.cut(region);
-            for (member, &at) in served.addresses.iter().enumerate() {
-                let answered = put(&client(&stage, at), "k", "v").await;
+            server.cut(region);
+            for (member, &at) in server.addresses.iter().enumerate() {
+                let answered = put(&client(&environment, at), "k", "v").await;
                 let is_cut_off = REGIONS[member] == region;
                 assert_eq!(
                     answered.is_err(),
@@ -117,12 +121,12 @@
                     "region {region}, member {member}: {answered:?}"
                 );
             }
-            served.heal();
+            server.heal();
         }
-        // Two regions lose each other alone: the leader's side goes on, and the third region with it.
-        served.cut_between(0, 1);
+        // When only two regions lose each other, the leader's side and the third region can still write.
+        server.cut_between(0, 1);
         let can_write = async |member: usize| {
-            put(&client(&stage, served.addresses[member]), "k", "v")
+            put(&client(&environment, server.addresses[member]), "k", "v")
                 .await
                 .is_ok()
         };
@@ -140,12 +144,12 @@
 
 #[test]
 fn clients_of_a_region_that_is_cut_off_wait_and_are_answered_when_it_heals() {
-    let (stage, served) = cluster(4);
-    on(&stage, async {
-        let abroad = client(&stage, served.addresses_from(2)[0]);
+    let (environment, server) = cluster(4);
+    run_with_timeout(&environment, async {
+        let abroad = client(&environment, server.addresses_from(2)[0]);
         put(&abroad, "k", "1").await.unwrap();
-        let before = served.counters(0).bytes_received;
-        served.cut(2);
+        let before = server.counters(0).bytes_received;
+        server.cut(2);
         let short = Duration::from_millis(300);
         let put = PutRequest {
             key: "k".into(),
@@ -157,11 +161,15 @@
             matches!(answered, Err(ClientError::TimedOut)),
             "{answered:?}"
         );
-        assert_eq!(served.counters(0).bytes_received, before, "nothing passes");
-        let again = client(&stage, served.addresses_from(2)[0]);
+        assert_eq!(
+            server.counters(0).bytes_received,
+            before,
+            "no bytes pass through the partition"
+        );
+        let again = client(&environment, server.addresses_from(2)[0]);
         let healing = async {
-            stage.sleep(0.3).await;
-            served.heal();
+            environment.sleep(0.3).await;
+            server.heal();
         };
         let (answered, ()) = future::zip(get(&again, "k", false), healing).await;
         answered.unwrap();
@@ -174,10 +182,10 @@
         (CrashPoint::BeforeCommit, false),
         (CrashPoint::AfterCommit, true),
     ] {
-        let (stage, served) = cluster(5);
-        on(&stage, async {
-            let serving = client(&stage, served.addresses[2]);
-            let other = client(&stage, served.addresses[4]);
+        let (environment, server) = cluster(5);
+        run_with_timeout(&environment, async {
+            let serving = client(&environment, server.addresses[2]);
+            let other = client(&environment, server.addresses[4]);
             put(&serving, "a", "0").await.unwrap();
             let op = |key: &'static str| RequestOp {
                 request: Some(Request::RequestPut(PutRequest {
@@ -197,7 +205,7 @@
                 success: vec![op("a"), op("b")],
                 failure: vec![],
             };
-            served.crash_in_next_transaction(point, 2);
+            server.crash_in_next_transaction(point, 2);
             let answered = serving.unary::<TxnResponse>(TXN, &txn, ANSWER_TIME).await;
             assert!(
                 matches!(answered, Err(ClientError::Unreachable(_))),
@@ -213,22 +221,22 @@
                 (Some("0".into()), None),
             );
             assert_eq!(found, if committed { whole } else { none }, "{point:?}");
-            // It may be asked again: the comparison keeps it from being applied twice.
+            // The client can retry: the comparison prevents a second application.
             let again = other
                 .unary::<TxnResponse>(TXN, &txn, ANSWER_TIME)
                 .await
                 .unwrap();
             assert_eq!(again.succeeded, !committed, "{point:?}");
-            assert!(!served.has_leader(2) && served.has_leader(4));
+            assert!(!server.has_leader(2) && server.has_leader(4));
         });
     }
 }
 
 #[test]
 fn leases_live_on_over_an_election_and_end_without_renewal() {
-    let (stage, served) = cluster(6);
-    on(&stage, async {
-        let any = client(&stage, served.addresses[4]);
+    let (environment, server) = cluster(6);
+    run_with_timeout(&environment, async {
+        let any = client(&environment, server.addresses[4]);
         let grant = LeaseGrantRequest { ttl: 1, id: 0 };
         let lease: LeaseGrantResponse = any.unary(LEASE_GRANT, &grant, ANSWER_TIME).await.unwrap();
         let leased = PutRequest {
@@ -239,45 +247,45 @@
         any.unary::<PutResponse>(PUT, &leased, ANSWER_TIME)
             .await
             .unwrap();
-        (0..3).for_each(|member| served.stop(member));
-        stage.sleep(1.5).await;
+        (0..3).for_each(|member| server.stop(member));
+        environment.sleep(1.5).await;
         assert_eq!(
             get(&any, "l", true).await.unwrap().kvs.len(),
             1,
-            "nobody can end it"
+            "without a leader the lease does not expire"
         );
-        served.restart(0);
+        server.restart(0);
         assert_eq!(
             get(&any, "l", false).await.unwrap().kvs.len(),
             1,
-            "it has its whole time again"
+            "the new leader restarts the full time to live"
         );
         while !get(&any, "l", false).await.unwrap().kvs.is_empty() {
-            stage.sleep(0.05).await;
+            environment.sleep(0.05).await;
         }
     });
 }
 
 #[test]
 fn both_ends_of_a_connection_count_the_same_bytes() {
-    let (stage, served) = cluster(11);
-    on(&stage, async {
-        let client = client(&stage, served.addresses[3]);
+    let (environment, server) = cluster(11);
+    run_with_timeout(&environment, async {
+        let client = client(&environment, server.addresses[3]);
         for n in 0..20 {
             put(&client, &format!("k/{n}"), "value").await.unwrap();
         }
-        // What the client sent last may be on its way.
-        while served.counters(3).bytes_received < client.traffic().sent() {
-            stage.sleep(0.01).await;
+        // The client's last bytes may still be in transit.
+        while server.counters(3).bytes_received < client.traffic().sent() {
+            environment.sleep(0.01).await;
         }
-        let counted = served.counters(3);
+        let counted = server.counters(3);
         assert_eq!(counted.bytes_received, client.traffic().sent());
         assert_eq!(counted.bytes_sent, client.traffic().received());
         assert_eq!((counted.exchanges.puts, counted.connections_open), (20, 1));
         assert_eq!(
-            served.total_counters(),
+            server.total_counters(),
             counted,
-            "no other member had anything to do"
+            "the other members served no requests"
         );
     });
 }
--- a/crates/test-servers/tests/etcd_store/compaction.rs
+++ b/crates/test-servers/tests/etcd_store/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction, restore and leases: what a store still holds after them.
+//! The contents of a store after compaction, restore and lease expiry.
 
 use crate::support::{keys, letters, put, under};
 use orchidtally_etcd::grpc::OUT_OF_RANGE;
@@ -65,7 +65,7 @@
     store.expire(6.0);
     assert!(
         store.range(&under("l/")).unwrap().kvs.is_empty(),
-        "the lease has the key again"
+        "the restore attaches the key to its lease again"
     );
     assert_eq!(store.keep_alive(6.0, lease).ttl, 0);
 }
--- a/crates/test-servers/tests/etcd_store/main.rs
+++ b/crates/test-servers/tests/etcd_store/main.rs
@@ -1,4 +1,4 @@
-//! The stand-in's store as a value: what ranges give, transactions as a whole, compaction and restore.
+//! Tests of the etcd test server's state machine without sockets: ranges, transactions, compaction and restore.
 
 mod compaction;
 mod range;
--- a/crates/test-servers/tests/etcd_store/range.rs
+++ b/crates/test-servers/tests/etcd_store/range.rs
@@ -1,4 +1,4 @@
-//! Ranges: bounds by revision, what they leave out, and what they cost.
+//! Range requests: revision filters, omitted fields, key bounds and cost.
 
 use crate::support::{INVALID_ARGUMENT, keys, letters, put, put_op, under};
 use orchidtally_etcd::range_end;
@@ -14,7 +14,11 @@
     };
     let found = store.range(&since).unwrap();
     assert_eq!(keys(&found), ["k/b", "k/e"]);
-    assert_eq!((found.count, found.more), (5, false), "as etcd counts");
+    assert_eq!(
+        (found.count, found.more),
+        (5, false),
+        "the count ignores the filters, as in etcd"
+    );
     let until = RangeRequest {
         max_mod_revision: 4,
         ..under("k/")
@@ -88,7 +92,8 @@
     assert_eq!(range(b"", b"").unwrap_err().code, INVALID_ARGUMENT);
 }
 
-/// 21,000 keys that change often, and questions that name few of them: a scan of all would take minutes.
+/// Guards against ranges and event reads that scan the whole store: with 21,000 frequently changed keys and requests
+/// that select few of them, full scans would take minutes.
 #[test]
 fn a_range_costs_what_it_names_and_not_what_the_store_holds() {
     let mut store = Store::new(1);
--- a/crates/test-servers/tests/etcd_store/support.rs
+++ b/crates/test-servers/tests/etcd_store/support.rs
@@ -1,4 +1,4 @@
-//! Requests to a store, and a small store to ask.
+//! Request builders and a small test store.
 
 use bytes::Bytes;
 use orchidtally_etcd::range_end;
@@ -38,7 +38,7 @@
         .collect()
 }
 
-/// Keys a to e at revisions 2 to 6, of which b was changed again at 7.
+/// A store with the keys `k/a` to `k/e` created at revisions 2 to 6, and `k/b` modified at revision 7.
 pub fn letters() -> Store {
     let mut store = Store::new(1);
     for key in ["k/a", "k/b", "k/c", "k/d", "k/e"] {
--- a/crates/test-servers/tests/etcd_store/transaction.rs
+++ b/crates/test-servers/tests/etcd_store/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: applied in one revision or not at all, and the branch that comparisons choose.
+//! Transactions: atomicity, and the choice of the branch by comparisons.
 
 use crate::support::{INVALID_ARGUMENT, letters, put, put_op, under};
 use bytes::Bytes;
--- a/crates/test-servers/tests/kit/mod.rs
+++ b/crates/test-servers/tests/kit/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the store's members share: a cluster in three regions, clients, and watchers.
-#![allow(dead_code, reason = "each test file uses its part")]
+//! Helpers shared by the tests of the etcd cluster: a cluster in three regions, clients and watchers.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bytes::Bytes;
 use futures_lite::future;
@@ -16,30 +16,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Two regions with two members and one with one.
+/// The region of each member: two regions with two members each, and one with a single member.
 pub const REGIONS: [u32; 5] = [0, 0, 1, 1, 2];
 pub const ANSWER_TIME: Duration = Duration::from_secs(5);
-/// Generous: what a loaded machine may take for any one case.
+/// The time limit of a test case in seconds, generous enough for a loaded machine.
 pub const CASE_TIME: f64 = 60.0;
 
-pub fn on<T>(stage: &TestEnvironment, work: impl Future<Output = T>) -> T {
+pub fn run_with_timeout<T>(environment: &TestEnvironment, work: impl Future<Output = T>) -> T {
     let late = async {
-        stage.sleep(CASE_TIME).await;
-        panic!("the case did not end");
+        environment.sleep(CASE_TIME).await;
+        panic!("the test case did not finish within {CASE_TIME} s");
     };
-    async_io::block_on(stage.tasks.run(future::or(work, late)))
+    async_io::block_on(environment.tasks.run(future::or(work, late)))
 }
 
 pub fn cluster(seed: u64) -> (TestEnvironment, Rc<EtcdServer>) {
-    let stage = TestEnvironment::new(seed);
-    let served = EtcdServer::start_in_regions(&stage, &REGIONS).unwrap();
-    served.timing.election_time.set(0.2);
-    served.timing.request_timeout.set(0.4);
-    (stage, served)
+    let environment = TestEnvironment::new(seed);
+    let server = EtcdServer::start_in_regions(&environment, &REGIONS).unwrap();
+    server.timing.election_time.set(0.2);
+    server.timing.request_timeout.set(0.4);
+    (environment, server)
 }
 
-pub fn client(stage: &TestEnvironment, to: SocketAddr) -> Client {
-    Client::new(vec![to], stage.tasks.clone())
+pub fn client(environment: &TestEnvironment, to: SocketAddr) -> Client {
+    Client::new(vec![to], environment.tasks.clone())
 }
 
 pub async fn put(client: &Client, key: &str, value: &str) -> Result<PutResponse, ClientError> {
@@ -104,25 +104,25 @@
         self.watch.on_response(self.stream.next().await.unwrap())
     }
 
-    /// Waits until so many events have come, and counts them.
+    /// Waits until at least `wanted` events have been received, and returns their number.
     pub async fn events(&mut self, wanted: usize) -> usize {
-        let mut heard = 0;
-        while heard < wanted {
-            for told in self.next().await {
-                if let WatchEvent::Events { events, .. } = told {
-                    heard += events.len();
+        let mut received = 0;
+        while received < wanted {
+            for event in self.next().await {
+                if let WatchEvent::Events { events, .. } = event {
+                    received += events.len();
                 }
             }
         }
-        heard
+        received
     }
 
-    /// The revision that the member tells when it is asked for progress.
+    /// Requests a progress notification and returns its revision.
     pub async fn progress(&mut self) -> i64 {
-        let ask = RequestUnion::ProgressRequest(WatchProgressRequest {});
+        let request = RequestUnion::ProgressRequest(WatchProgressRequest {});
         self.stream
             .send(&WatchRequest {
-                request_union: Some(ask),
+                request_union: Some(request),
             })
             .unwrap();
         loop {
@@ -133,12 +133,12 @@
     }
 }
 
-/// Puts a key as a script does, whatever members run.
-pub fn put_here(served: &EtcdServer, key: &str) -> i64 {
+/// Puts a key directly into the replicated state, whichever members run, and returns the new revision.
+pub fn put_directly(server: &EtcdServer, key: &str) -> i64 {
     let put = PutRequest {
         key: Bytes::from(key.to_owned()),
         value: "v".into(),
         ..PutRequest::default()
     };
-    revision(served.store.borrow_mut().put(&put).unwrap().header)
+    revision(server.store.borrow_mut().put(&put).unwrap().header)
 }
