--- a/crates/test-servers/src/platform/resolver.rs
+++ b/crates/test-servers/src/platform/resolver.rs
@@ -105,11 +105,11 @@
 
     /// Records the list as known to all front ends after `after` seconds, unless no query is answered at that time.
     pub fn count_as_notified_after(self: &Rc<Self>, after: f64, front_ends: u32) {
-        let me = self.clone();
+        let resolver = self.clone();
         let recording = async move {
-            me.environment.sleep(after).await;
-            if !me.outage.is_active(me.environment.now()) {
-                (0..front_ends).for_each(|j| me.record_notified(j));
+            resolver.environment.sleep(after).await;
+            if !resolver.outage.is_active(resolver.environment.now()) {
+                (0..front_ends).for_each(|j| resolver.record_notified(j));
             }
         };
         self.environment.spawn(recording).detach();
@@ -124,12 +124,12 @@
     /// known to all front ends from then on.
     pub fn stop_answering(self: &Rc<Self>, time: f64, counts_after: f64, front_ends: u32) {
         self.outage.set(self.environment.now() + time);
-        let me = self.clone();
+        let resolver = self.clone();
         let counting = async move {
-            me.environment.sleep(counts_after).await;
-            while me.outage.is_active(me.environment.now()) {
-                (0..front_ends).for_each(|j| me.record_notified(j));
-                me.environment.sleep(0.05).await;
+            resolver.environment.sleep(counts_after).await;
+            while resolver.outage.is_active(resolver.environment.now()) {
+                (0..front_ends).for_each(|j| resolver.record_notified(j));
+                resolver.environment.sleep(0.05).await;
             }
         };
         self.environment.spawn(counting).detach();
@@ -280,26 +280,26 @@
     pub fn open(self: &Rc<Self>, front_end: u32) -> std::io::Result<SocketAddr> {
         let socket = Rc::new(Async::<UdpSocket>::bind(unused_address())?);
         let at = socket.get_ref().local_addr()?;
-        let (me, environment) = (self.clone(), self.environment.clone());
+        let (resolver, environment) = (self.clone(), self.environment.clone());
         let serving = async move {
             let mut query = [0; 512];
             while let Ok((n, from)) = socket.recv_from(&mut query).await {
-                let fault = me
+                let fault = resolver
                     .answer_fault
                     .get()
-                    .filter(|o| me.environment.unit() < o.1)
+                    .filter(|o| resolver.environment.unit() < o.1)
                     .map(|o| o.0);
                 let id = u16::from_be_bytes([query[0], query[1]]);
-                let closed = me.only_address.get().is_some_and(|only| only != at);
-                if n < 12 || closed || me.outage.is_active(me.environment.now()) {
+                let closed = resolver.only_address.get().is_some_and(|only| only != at);
+                if n < 12 || closed || resolver.outage.is_active(resolver.environment.now()) {
                     continue;
                 }
                 if fault == Some(AnswerFault::Dropped) {
                     // A dropped answer counts as sent, so the list is recorded as known.
-                    me.record_notified(front_end);
+                    resolver.record_notified(front_end);
                     continue;
                 }
-                let Ok(mut list) = me.list(id, front_end, fault) else {
+                let Ok(mut list) = resolver.list(id, front_end, fault) else {
                     continue;
                 };
                 if fault == Some(AnswerFault::CutShort) {
@@ -316,11 +316,11 @@
                     )
                 );
                 if is_notified {
-                    me.record_notified(front_end);
+                    resolver.record_notified(front_end);
                 }
-                let (me, socket) = (me.clone(), socket.clone());
+                let (resolver, socket) = (resolver.clone(), socket.clone());
                 let late = match fault {
-                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * me.environment.unit(),
+                    Some(AnswerFault::Delayed) => 0.2 + 0.3 * resolver.environment.unit(),
                     Some(AnswerFault::DelayedBy(ms)) => f64::from(ms) / 1e3,
                     _ => 0.0,
                 };
@@ -328,7 +328,7 @@
                     let _ = socket.send_to(&list, from).await;
                 }
                 let sending = async move {
-                    me.environment.sleep(late).await;
+                    resolver.environment.sleep(late).await;
                     // Fails if the front end has closed its socket.
                     let _ = socket.send_to(&list, from).await;
                 };
