--- a/crates/cli/src/rehearse/endpoint_store.rs
+++ b/crates/cli/src/rehearse/endpoint_store.rs
@@ -169,7 +169,7 @@
                 started_at: since,
             });
         };
-        *self.etcd.notified.borrow_mut() = Some(Rc::new(record_notification));
+        *self.etcd.on_event.borrow_mut() = Some(Rc::new(record_notification));
         let this = self.clone();
         let renewals = async move {
             loop {
@@ -251,7 +251,7 @@
             .faults
             .stalled
             .activate_until(self.environment.now() + 0.3);
-        self.etcd.cut_off();
+        self.etcd.break_connections();
         self.executors
             .borrow()
             .iter()
@@ -271,7 +271,7 @@
         self.etcd.store.borrow_mut().restore(revision - 6);
         // A restored cluster has a new id.
         self.etcd.store.borrow_mut().cluster += 1;
-        self.etcd.cut_off();
+        self.etcd.break_connections();
     }
 
     /// Summarises the records. `stale` and `overloads` are the numbers of violations of rules 3 and 4.
--- a/crates/cli/tests/platform_days.rs
+++ b/crates/cli/tests/platform_days.rs
@@ -145,7 +145,7 @@
         id: 1,
         trigger_type: (0, "read"),
         function: 1,
-        allow: 0.3,
+        timeout: 0.3,
         body: vec![],
     };
     fleet.clients[0].invoke(&request).await;
--- a/crates/cli/tests/platform_links.rs
+++ b/crates/cli/tests/platform_links.rs
@@ -22,7 +22,7 @@
 
 /// The fault proxies in front of an executor.
 fn links(fleet: &Fleet, x: usize) -> Vec<Rc<FaultProxy>> {
-    fleet.executors[x].links.borrow().clone()
+    fleet.executors[x].proxies.borrow().clone()
 }
 
 /// Asserts that connections went through the fault proxies; otherwise the scenario would test nothing.
--- a/crates/cli/tests/platform_views.rs
+++ b/crates/cli/tests/platform_views.rs
@@ -114,7 +114,7 @@
         fleet.environment.sleep(5.0).await;
         let new_address = fleet.resolver.open(0).unwrap();
         fleet.resolver_addresses.borrow_mut()[0] = new_address;
-        fleet.resolver.close_all_but(new_address);
+        fleet.resolver.answer_only_at(new_address);
         fleet.write_settings(0);
         fleet.environment.sleep(4.2).await;
         fleet.set_endpoint_state(0, EndpointState::Draining);
--- a/crates/http-frontend/tests/config_sync.rs
+++ b/crates/http-frontend/tests/config_sync.rs
@@ -261,7 +261,7 @@
         )
         .await;
         etcd.store.borrow_mut().restore(allowed);
-        etcd.cut_off();
+        etcd.break_connections();
         wait_until(
             &environment,
             "the front end reports the restored store",
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -177,7 +177,7 @@
             .faults
             .stalled
             .activate_until(test_bed.environment.now() + 3.0);
-        test_bed.etcd.cut_off();
+        test_bed.etcd.break_connections();
         test_bed.environment.sleep(2.5).await;
         assert_eq!(test_bed.executors_used(&client, "away").await, [1]);
         let front_end_status = test_bed.front_end_status(at).await;
