--- a/crates/cli/src/local.rs
+++ b/crates/cli/src/local.rs
@@ -122,7 +122,7 @@
         Some(Program {
             concurrency: 8,
             load_time: 0.1,
-            work: 0.001,
+            cpu_time: 0.001,
             run: function.code,
             ..Program::default()
         })
@@ -131,7 +131,7 @@
         let spec = ExecutorSpec {
             cores: 4,
             memory: 64.0,
-            queue: 200,
+            queue_capacity: 200,
             keep_alive: 30.0,
             report_fields: vec!["backlog".into()],
             ..ExecutorSpec::with_ample_capacity(number)
--- a/crates/cli/src/rehearse/endpoint_store.rs
+++ b/crates/cli/src/rehearse/endpoint_store.rs
@@ -104,7 +104,7 @@
         };
         let value = json!({
             "location": format!("room-{location}"), "kind": "box", "cell": cell, "standing": state,
-            "since": self.environment.wall(e.started_at()),
+            "since": self.environment.unix_time(e.started_at()),
         });
         value.to_string()
     }
@@ -169,7 +169,7 @@
                 started_at: since,
             });
         };
-        *self.etcd.notified.borrow_mut() = Some(Rc::new(record_notification));
+        *self.etcd.on_event.borrow_mut() = Some(Rc::new(record_notification));
         let this = self.clone();
         let renewals = async move {
             loop {
@@ -239,13 +239,19 @@
         until(0.15).await;
         self.etcd.faults.breaks_every.set(MESSAGES_PER_DISCONNECT);
         until(0.3).await;
-        self.etcd.faults.stalled.set(self.environment.now() + 1.5);
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.environment.now() + 1.5);
         until(0.45).await;
         self.etcd.store.borrow_mut().expire_all();
         until(0.55).await;
         // With all watchers disconnected, the data changes and is compacted past the revision that they had read.
-        self.etcd.faults.stalled.set(self.environment.now() + 0.3);
-        self.etcd.cut_off();
+        self.etcd
+            .faults
+            .stalled
+            .activate_until(self.environment.now() + 0.3);
+        self.etcd.break_connections();
         self.executors
             .borrow()
             .iter()
@@ -265,7 +271,7 @@
         self.etcd.store.borrow_mut().restore(revision - 6);
         // A restored cluster has a new id.
         self.etcd.store.borrow_mut().cluster += 1;
-        self.etcd.cut_off();
+        self.etcd.break_connections();
     }
 
     /// Summarises the records. `stale` and `overloads` are the numbers of violations of rules 3 and 4.
--- a/crates/cli/src/rehearse/execution/misbehaving_clients.rs
+++ b/crates/cli/src/rehearse/execution/misbehaving_clients.rs
@@ -16,7 +16,7 @@
             };
             count += 1;
             let mut bytes: Vec<u8> = (0..600)
-                .map(|_| (self.environment.unit() * 256.0) as u8)
+                .map(|_| (self.environment.random_unit() * 256.0) as u8)
                 .collect();
             match count % 4 {
                 // An HTTP/2 preface without frames; endless headers; an unknown HTTP version; otherwise random bytes.
--- a/crates/cli/src/rehearse/rollout_run.rs
+++ b/crates/cli/src/rehearse/rollout_run.rs
@@ -200,14 +200,14 @@
             concurrency: 4,
             memory: 100.0,
             load_time: 0.3,
-            work: if is_new && self.new == NewVersion::Slow {
+            cpu_time: if is_new && self.new == NewVersion::Slow {
                 0.06
             } else {
                 0.02
             },
             run: echo,
             package: Bytes::from_static(bytes),
-            fails: if is_new {
+            failure_probability: if is_new {
                 self.failure_share.get()
             } else {
                 0.0
@@ -354,7 +354,7 @@
         let back = history
             .iter()
             .find(|e| e.phase == orchidtally_rollout::Phase::RolledBack);
-        let back = back.map(|e| e.at - self.environment.wall(0.0));
+        let back = back.map(|e| e.at - self.environment.unix_time(0.0));
         let mut observed = Observed {
             state,
             ..Observed::default()
--- a/crates/cli/tests/scenario/mod.rs
+++ b/crates/cli/tests/scenario/mod.rs
@@ -181,7 +181,7 @@
     pub fn link(&self) {
         self.executors
             .iter()
-            .for_each(|executor| executor.link().unwrap());
+            .for_each(|executor| executor.start_proxies().unwrap());
     }
 
     /// Writes a front end's settings file, with the resolver's current address and endpoint list.
@@ -244,14 +244,14 @@
                     id: n,
                     trigger_type: (ty, TRIGGER_TYPES[ty]),
                     function: 0x100 + n * n % 11,
-                    allow: self.time_allowed.get(),
+                    timeout: self.time_allowed.get(),
                     body: n.to_string().into_bytes(),
                 };
                 let (client, fleet) = (client.clone(), self.clone());
                 let cancels = self.cancelled_share.get() > 0.0
-                    && self.environment.unit() < self.cancelled_share.get();
+                    && self.environment.random_unit() < self.cancelled_share.get();
                 let cancel_after = if cancels {
-                    MAX_CANCELLATION_DELAY * self.environment.unit()
+                    MAX_CANCELLATION_DELAY * self.environment.random_unit()
                 } else {
                     f64::INFINITY
                 };
--- a/crates/cli/tests/soak_faults/mod.rs
+++ b/crates/cli/tests/soak_faults/mod.rs
@@ -133,7 +133,9 @@
         fleet.executors[x].draining.set(true);
     }
     fleet.set_endpoint_state(x, state);
-    fleet.resolver.notify_later(ANNOUNCED_WITHIN, FRONT_ENDS);
+    fleet
+        .resolver
+        .count_as_notified_after(ANNOUNCED_WITHIN, FRONT_ENDS);
 }
 
 /// Waits for a process to exit after SIGTERM, and kills it at the earliest time that is allowed.
@@ -193,13 +195,13 @@
             .set(Some((response_fault, share))),
         Fault::ExecutorSilence(x, time) => fleet.executors[x].go_silent(time),
         Fault::ConnectionReset(x) => fleet.executors[x]
-            .links
+            .proxies
             .borrow()
             .iter()
             .for_each(|link| link.reset()),
         Fault::ResetWithinLine(x, bytes) => {
             fleet.executors[x]
-                .links
+                .proxies
                 .borrow()
                 .iter()
                 .for_each(|link| link.reset_after.set(Some(bytes)));
@@ -207,10 +209,10 @@
         Fault::StalledResponses(x, time) => {
             let until = fleet.environment.now() + time;
             fleet.executors[x]
-                .links
+                .proxies
                 .borrow()
                 .iter()
-                .for_each(|link| link.stalls_answers.set(until));
+                .for_each(|link| link.stalls_responses.activate_until(until));
         }
         Fault::StateChange(x, state) => change_state(&fleet, x, state).await,
         Fault::Pause(j, time) => pause(&fleet, j, time, None).await,
--- a/crates/http-frontend/tests/client_requests.rs
+++ b/crates/http-frontend/tests/client_requests.rs
@@ -29,7 +29,7 @@
         .map(|e| endpoint(e.spec.number, e.address, EndpointState::Ready))
         .collect();
     let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         "",
@@ -49,7 +49,7 @@
             });
             let drained = ordered.expect("a load command has arrived");
             two[drained].draining.set(true);
-            publisher.change(drained, EndpointState::Draining, f64::NEG_INFINITY);
+            publisher.update_state(drained, EndpointState::Draining, f64::NEG_INFINITY);
             (drained, environment.now())
         };
         let (outcomes, (drained, drained_at)) = futures_lite::future::zip(work, drain).await;
@@ -80,14 +80,14 @@
             let function = format!("f-{is_http1}");
             let cancelled = ClientRequest {
                 function: function.clone(),
-                cancels_after: Some(0.15),
+                cancel_after: Some(0.15),
                 ..request("leaves", NON_IDEMPOTENT)
             };
             assert_eq!(client.invoke(&cancelled).await, ClientOutcome::Cancelled);
             environment.sleep(0.6).await;
             let next = ClientRequest {
                 function,
-                time_left: 0.4,
+                timeout: 0.4,
                 ..request("next", NON_IDEMPOTENT)
             };
             assert_eq!(
@@ -318,7 +318,7 @@
     let outcome = run(
         &environment,
         client.invoke(&ClientRequest {
-            time_left: 0.5,
+            timeout: 0.5,
             ..request("b", NON_IDEMPOTENT)
         }),
     );
--- a/crates/http-frontend/tests/config_deregistration.rs
+++ b/crates/http-frontend/tests/config_deregistration.rs
@@ -122,7 +122,7 @@
             writer.reports().await.len() == 2
         })
         .await;
-        etcd.faults.stalled.set(environment.now() + 10.0);
+        etcd.faults.stalled.activate_until(environment.now() + 10.0);
         let ending = std::thread::spawn(move || end(silent));
         wait_until(&environment, "the shutdown is complete", async || {
             ending.is_finished()
--- a/crates/http-frontend/tests/dispatch_revalidation.rs
+++ b/crates/http-frontend/tests/dispatch_revalidation.rs
@@ -20,7 +20,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.01,
-            work: WORK,
+            cpu_time: WORK,
             run: echo,
             ..Program::default()
         })
@@ -45,7 +45,7 @@
         vec![endpoint(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = narrow_gateway(&format!("publisher: \"{}\"", publisher.address));
     let client = TestClient::new(&environment, 0, 0, gateway.address, false);
     run(&environment, async {
@@ -62,7 +62,7 @@
         );
         let drain = async {
             environment.sleep(WORK / 3.0).await;
-            publisher.change(0, EndpointState::Draining, f64::NEG_INFINITY);
+            publisher.update_state(0, EndpointState::Draining, f64::NEG_INFINITY);
         };
         let (outcomes, ()) = futures_lite::future::zip(invocations, drain).await;
         let statuses: Vec<u16> = outcomes.iter().map(status).collect();
@@ -104,7 +104,7 @@
             outcomes.iter().all(|outcome| status(outcome) == 200),
             "{outcomes:?}"
         );
-        let (received, remaining) = (one.last_time_left.get(), waiting.time_left - WORK);
+        let (received, remaining) = (one.last_time_left.get(), waiting.timeout - WORK);
         assert!(
             received <= remaining + 0.15 && received > remaining / 2.0,
             "{received} s of {remaining}"
--- a/crates/http-frontend/tests/etcd.rs
+++ b/crates/http-frontend/tests/etcd.rs
@@ -25,7 +25,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.02,
-            work: 0.002,
+            cpu_time: 0.002,
             run: echo,
             ..Program::default()
         })
@@ -98,7 +98,7 @@
                 invocation: format!("{label}-{n}"),
                 function: format!("f{}", n % 5),
                 trigger_type: (0, "look".into()),
-                time_left: 3.0,
+                timeout: 3.0,
                 ..ClientRequest::default()
             };
             let outcome = client.invoke(&request).await;
@@ -176,8 +176,8 @@
             .etcd
             .faults
             .stalled
-            .set(test_bed.environment.now() + 3.0);
-        test_bed.etcd.cut_off();
+            .activate_until(test_bed.environment.now() + 3.0);
+        test_bed.etcd.break_connections();
         test_bed.environment.sleep(2.5).await;
         assert_eq!(test_bed.executors_used(&client, "away").await, [1]);
         let front_end_status = test_bed.front_end_status(at).await;
--- a/crates/http-frontend/tests/executor_connection_failures.rs
+++ b/crates/http-frontend/tests/executor_connection_failures.rs
@@ -11,7 +11,7 @@
 use orchidtally_invariants::{EndpointState, FinalAnswer};
 use orchidtally_test_servers::client::{ClientOutcome, ClientRequest, TestClient};
 use orchidtally_test_servers::publisher::Publisher;
-use orchidtally_test_servers::raw::{self, Next};
+use orchidtally_test_servers::raw::{self, ScriptAction};
 use orchidtally_test_servers::{TestEnvironment, reserve_address, unused_address};
 use scripted_executor::{NO_LOAD_COMMANDS, answered, scripted};
 use std::cell::{Cell, RefCell};
@@ -26,9 +26,9 @@
     let breaks = move |f: &raw::Frame| {
         if f.ends_stream() {
             counter.set(counter.get() + 1);
-            return Next::Break(vec![]);
+            return ScriptAction::SendAndReset(vec![]);
         }
-        Next::Say(vec![])
+        ScriptAction::Send(vec![])
     };
     let two = [
         scripted(&environment, breaks.clone()),
@@ -89,15 +89,15 @@
     let stream_ids = streams.clone();
     let closes = scripted(&environment, move |f| {
         if !f.ends_stream() {
-            return Next::Say(vec![]);
+            return ScriptAction::Send(vec![]);
         }
         let mut stream_ids = stream_ids.borrow_mut();
         stream_ids.push(f.stream);
         match stream_ids.len() {
-            1 => Next::Say(answered(f.stream)),
-            2..9 => Next::Say(vec![]),
-            9 => Next::Break(raw::go_away(stream_ids[4], 0)),
-            _ => Next::Say(answered(f.stream)),
+            1 => ScriptAction::Send(answered(f.stream)),
+            2..9 => ScriptAction::Send(vec![]),
+            9 => ScriptAction::SendAndReset(raw::go_away(stream_ids[4], 0)),
+            _ => ScriptAction::Send(answered(f.stream)),
         }
     });
     let other = executor(&environment, 1, 0.01);
@@ -106,7 +106,7 @@
         endpoint(1, other.address, EndpointState::Gone),
     ];
     let publisher = Publisher::start(&environment, unused_address(), endpoints).unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
         NO_LOAD_COMMANDS,
@@ -117,7 +117,7 @@
             status(&client.invoke(&request("first", NON_IDEMPOTENT)).await),
             200
         );
-        publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
+        publisher.update_state(1, EndpointState::Ready, f64::NEG_INFINITY);
         let requests = (0..16)
             .map(|n| request(&format!("a{n}"), NON_IDEMPOTENT))
             .collect();
@@ -153,7 +153,7 @@
     for (code, expected) in [(raw::REFUSED_STREAM, 200), (8, 502)] {
         let environment = TestEnvironment::new(1);
         let resets = scripted(&environment, move |f| {
-            Next::Say(if f.ends_stream() {
+            ScriptAction::Send(if f.ends_stream() {
                 raw::reset(f.stream, code)
             } else {
                 vec![]
@@ -177,7 +177,7 @@
                 async move { client.invoke(&request("a", NON_IDEMPOTENT)).await }
             });
             environment.sleep(0.4).await;
-            publisher.change(1, EndpointState::Ready, f64::NEG_INFINITY);
+            publisher.update_state(1, EndpointState::Ready, f64::NEG_INFINITY);
             invoked.await
         });
         assert_eq!(status(&outcome), expected, "code {code}: {outcome:?}");
@@ -188,7 +188,7 @@
 #[test]
 fn an_executor_that_stops_reading_does_not_block_the_others() {
     let environment = TestEnvironment::new(1);
-    let unresponsive = scripted(&environment, |_| Next::StopReading);
+    let unresponsive = scripted(&environment, |_| ScriptAction::StopReading);
     let one = executor(&environment, 0, 0.01);
     let other_addresses = [1, 2].map(|n| executor(&environment, n, 0.01).address);
     let text = deployment_text(
@@ -217,7 +217,7 @@
         let requests = (0..20)
             .map(|n| ClientRequest {
                 function: format!("g{n}"),
-                time_left: 1.5,
+                timeout: 1.5,
                 ..request(&format!("b{n}"), IDEMPOTENT)
             })
             .collect();
--- a/crates/http-frontend/tests/executor_replacement.rs
+++ b/crates/http-frontend/tests/executor_replacement.rs
@@ -20,7 +20,7 @@
         vec![endpoint(0, one.address, EndpointState::Ready)],
     )
     .unwrap();
-    publisher.delay.set(0.0);
+    publisher.max_delay.set(0.0);
     let soon_warm = "safety: { cold: \"50ms\", fall: \"10ms\" }";
     let gateway = gateway(deployment_text(
         &format!("publisher: \"{}\"", publisher.address),
@@ -42,11 +42,11 @@
         let replace = async {
             environment.sleep(0.003).await;
             one.crash();
-            let loads_before = one.store.fetched.get();
-            publisher.change(0, EndpointState::Gone, f64::NEG_INFINITY);
+            let loads_before = one.store.completed_fetches.get();
+            publisher.update_state(0, EndpointState::Gone, f64::NEG_INFINITY);
             environment.sleep(0.3).await;
             one.restart().unwrap();
-            publisher.change(0, EndpointState::Ready, one.started_at());
+            publisher.update_state(0, EndpointState::Ready, one.started_at());
             environment.sleep(0.1).await;
             loads_before
         };
@@ -68,7 +68,7 @@
         assert!(after.iter().all(|h| status(h) == 200), "{after:?}");
         // On a busy machine some of the first five invocations wait for the replacement, and one of them may load the
         // replica.
-        let loads = one.store.fetched.get() - loads_before;
+        let loads = one.store.completed_fetches.get() - loads_before;
         assert_eq!(
             loads, 1,
             "the replacement has to load its replica exactly once"
--- a/crates/http-frontend/tests/malformed_bytes.rs
+++ b/crates/http-frontend/tests/malformed_bytes.rs
@@ -10,7 +10,7 @@
 };
 use orchidtally_test_servers::TestEnvironment;
 use orchidtally_test_servers::client::{ClientRequest, TestClient};
-use orchidtally_test_servers::raw::{self, Kind, Next};
+use orchidtally_test_servers::raw::{self, FrameKind, ScriptAction};
 use scripted_executor::{NO_LOAD_COMMANDS, scripted};
 use std::cell::Cell;
 use std::net::TcpStream;
@@ -22,15 +22,15 @@
     // The SETTINGS frames count the connections, as there is one acknowledgement per connection.
     let opened = [(); 2].map(|()| Rc::new(Cell::new(0)));
     let count = |opened: &Cell<usize>, f: &raw::Frame| {
-        opened.set(opened.get() + usize::from(f.kind == Kind::Settings));
+        opened.set(opened.get() + usize::from(f.kind == FrameKind::Settings));
     };
     let [one, two] = opened.clone();
     let garbage = scripted(&environment, move |f| {
         count(&one, f);
-        if f.kind == Kind::Headers {
-            Next::Say(vec![0xff; 300])
+        if f.kind == FrameKind::Headers {
+            ScriptAction::Send(vec![0xff; 300])
         } else {
-            Next::Say(vec![])
+            ScriptAction::Send(vec![])
         }
     });
     let wrong = scripted(&environment, move |f| {
@@ -41,7 +41,7 @@
             raw::data(f.stream, &[0, 0, 0, 2, 0x0a, 0xff], true),
         ]
         .concat();
-        Next::Say(if f.ends_stream() { bytes } else { vec![] })
+        ScriptAction::Send(if f.ends_stream() { bytes } else { vec![] })
     });
     let one = executor(&environment, 0, 0.01);
     // Each executor has its own location: after two failures in a location the policy treats the rest of it as cold.
--- a/crates/http-frontend/tests/trigger_kit/mod.rs
+++ b/crates/http-frontend/tests/trigger_kit/mod.rs
@@ -41,7 +41,7 @@
         Some(Program {
             concurrency: 32,
             load_time: 0.05,
-            work: 0.005,
+            cpu_time: 0.005,
             run: echo,
             ..Program::default()
         })
@@ -114,7 +114,7 @@
             qos: Qos::ExactlyOnce,
             retain: false,
             properties: vec![],
-            until: f64::INFINITY,
+            expires_at: f64::INFINITY,
         });
     }
 
--- a/crates/test-servers/src/client.rs
+++ b/crates/test-servers/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: they offer invocations to front ends over HTTP/2 or HTTP/1.1, wait as long as they said, and note
-//! what they hear.
+//! Clients that send invocations to front ends over HTTP/2 or HTTP/1.1, wait for the answer until their timeout, and
+//! record the outcome.
 
 use crate::{ExchangeError, TestEnvironment};
 use bytes::Bytes;
@@ -13,68 +13,69 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One invocation as a client offers it.
+/// An invocation as a client sends it.
 #[derive(Clone, Debug, Default)]
 pub struct ClientRequest {
     /// The id of the invocation.
     pub invocation: String,
     /// The name of the function.
     pub function: String,
-    /// Its place among the deployment's, and its name.
+    /// The index of the trigger type in the deployment's list, and its name.
     pub trigger_type: (usize, String),
     /// The customer; empty for none.
     pub customer: String,
     /// The idempotency key; empty for none.
-    pub token: String,
-    /// What the client has left, in seconds.
-    pub time_left: f64,
-    /// Whether the client sends it again after an earlier answer.
+    pub idempotency_key: String,
+    /// The client timeout, in seconds.
+    pub timeout: f64,
+    /// Whether the client repeats an invocation that it has sent before.
     pub is_retry: bool,
-    /// The body.
+    /// The body of the request.
     pub payload: Bytes,
-    /// It goes away after so long, answer or not.
-    pub cancels_after: Option<f64>,
+    /// Seconds after which the client cancels the invocation if there is no answer yet; `None` to never cancel.
+    pub cancel_after: Option<f64>,
 }
 
-/// What came of an invocation at its client.
+/// The outcome of an invocation at its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
     /// The front end answered.
     Answered {
-        /// What the status means.
+        /// The meaning of the status.
         answer: FinalAnswer,
         /// The HTTP status.
         status: u16,
         /// The body of the response.
         body: Bytes,
-        /// How long the client should stay away, in seconds; 0 where the response does not say.
+        /// How long the client should wait before it retries, in seconds; 0 if the response does not say.
         retry_after: f64,
         /// Whether the response says that the function may have run.
         may_have_run: bool,
     },
-    /// The connection broke, or none came about.
+    /// The connection failed, or could not be opened.
     ConnectionLost,
-    /// There was no answer within the client's time.
+    /// There was no answer within the client timeout.
     TimedOut,
-    /// The client left before an answer.
+    /// The client cancelled the invocation before an answer.
     Cancelled,
 }
 
-/// A client's way to one front end.
+/// A client of one front end.
 pub struct TestClient {
-    stage: TestEnvironment,
+    environment: TestEnvironment,
     /// The client's number in records.
     pub number: u32,
     /// The index of the front end.
     pub front_end: u32,
     /// The address of the front end.
     pub address: SocketAddr,
-    /// Over HTTP/1.1, on a connection for each invocation; else all share one of HTTP/2.
+    /// Whether each invocation has a connection of its own over HTTP/1.1. Otherwise all share one HTTP/2 connection.
     pub uses_http1: bool,
-    shared: RefCell<Option<SendRequest<Bytes>>>,
+    http2_sender: RefCell<Option<SendRequest<Bytes>>>,
 }
 
-/// The meaning of a failure in the middle of a body: a response of known length was lost with its connection.
+/// Classifies a failure in the middle of a body. Where the response has a known length, or no success status, its
+/// connection was lost; otherwise the front end ended a streamed response early.
 fn body_failure(parts: &http::response::Parts, fault: impl Into<ExchangeError>) -> ExchangeError {
     let is_streamed = parts.status == http::StatusCode::OK
         && !parts.headers.contains_key(http::header::CONTENT_LENGTH);
@@ -89,51 +90,53 @@
 type RawResponse = (http::response::Parts, Bytes);
 
 impl TestClient {
-    /// A client without a connection yet. `plain` is for HTTP/1.1.
+    /// Creates a client, which connects at its first invocation. `number` is its number in records.
     pub fn new(
-        stage: &TestEnvironment,
+        environment: &TestEnvironment,
         number: u32,
         front_end: u32,
-        at: SocketAddr,
-        plain: bool,
+        address: SocketAddr,
+        uses_http1: bool,
     ) -> Rc<TestClient> {
         Rc::new(TestClient {
-            stage: stage.clone(),
+            environment: environment.clone(),
             number,
             front_end,
-            address: at,
-            uses_http1: plain,
-            shared: RefCell::default(),
+            address,
+            uses_http1,
+            http2_sender: RefCell::default(),
         })
     }
 
-    /// Offers an invocation and notes what comes of it.
-    pub async fn invoke(&self, ask: &ClientRequest) -> ClientOutcome {
-        let at = self.stage.now();
-        let until = at + ask.time_left;
-        let invocation = ask.invocation.clone();
-        self.stage.record(TrafficRecord::InvocationSent {
+    /// Sends an invocation, waits for its outcome and records it.
+    pub async fn invoke(&self, client_request: &ClientRequest) -> ClientOutcome {
+        let at = self.environment.now();
+        let deadline = at + client_request.timeout;
+        let invocation = client_request.invocation.clone();
+        self.environment.record(TrafficRecord::InvocationSent {
             at,
             client: self.number,
             invocation: invocation.clone(),
             front_end: self.front_end,
-            trigger_type: ask.trigger_type.0,
-            timeout_at: until,
+            trigger_type: client_request.trigger_type.0,
+            timeout_at: deadline,
         });
-        let gave_up = async {
-            self.stage.sleep(until - self.stage.now()).await;
+        let timed_out = async {
+            self.environment
+                .sleep(deadline - self.environment.now())
+                .await;
             ClientOutcome::TimedOut
         };
-        let left = async {
-            match ask.cancels_after {
-                Some(time) => self.stage.sleep(time).await,
+        let cancelled = async {
+            match client_request.cancel_after {
+                Some(time) => self.environment.sleep(time).await,
                 None => future::pending().await,
             }
             ClientOutcome::Cancelled
         };
         let sent = async {
-            match self.send(ask).await {
-                Ok((parts, body)) => received(&parts, body),
+            match self.send(client_request).await {
+                Ok((parts, body)) => outcome_of_response(&parts, body),
                 Err(ExchangeError::StreamBrokenOff) => ClientOutcome::Answered {
                     answer: FinalAnswer::Failed,
                     status: 200,
@@ -144,9 +147,9 @@
                 Err(_) => ClientOutcome::ConnectionLost,
             }
         };
-        let received = future::or(sent, future::or(left, gave_up)).await;
-        let at = self.stage.now();
-        self.stage.record(match &received {
+        let outcome = future::or(sent, future::or(cancelled, timed_out)).await;
+        let at = self.environment.now();
+        self.environment.record(match &outcome {
             ClientOutcome::Answered { answer, .. } => TrafficRecord::AnswerReceived {
                 at,
                 invocation,
@@ -156,46 +159,55 @@
             ClientOutcome::TimedOut => TrafficRecord::ClientTimedOut { at, invocation },
             ClientOutcome::Cancelled => TrafficRecord::ClientCancelled { at, invocation },
         });
-        received
+        outcome
     }
 
-    fn request(&self, ask: &ClientRequest, place: &str) -> http::Result<http::Request<()>> {
-        let mut request =
-            http::Request::post(format!("{place}/v1/functions/{}/invocations", ask.function))
-                .header("orchidtally-trigger-type", &ask.trigger_type.1)
-                .header("orchidtally-invocation", &ask.invocation)
-                .header(
-                    "orchidtally-time-left",
-                    ((ask.time_left * 1e3) as u64).to_string(),
-                );
-        if !ask.token.is_empty() {
-            request = request.header("idempotency-key", &ask.token);
+    fn request(
+        &self,
+        client_request: &ClientRequest,
+        origin: &str,
+    ) -> http::Result<http::Request<()>> {
+        let mut request = http::Request::post(format!(
+            "{origin}/v1/functions/{}/invocations",
+            client_request.function
+        ))
+        .header("orchidtally-trigger-type", &client_request.trigger_type.1)
+        .header("orchidtally-invocation", &client_request.invocation)
+        .header(
+            "orchidtally-time-left",
+            ((client_request.timeout * 1e3) as u64).to_string(),
+        );
+        if !client_request.idempotency_key.is_empty() {
+            request = request.header("idempotency-key", &client_request.idempotency_key);
         }
-        if !ask.customer.is_empty() {
-            request = request.header("orchidtally-customer", &ask.customer);
+        if !client_request.customer.is_empty() {
+            request = request.header("orchidtally-customer", &client_request.customer);
         }
-        if ask.is_retry {
+        if client_request.is_retry {
             request = request.header("orchidtally-repeat", "1");
         }
         request.body(())
     }
 
-    async fn send(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send(&self, client_request: &ClientRequest) -> Result<RawResponse, ExchangeError> {
         if self.uses_http1 {
-            self.send_over_http1(ask).await
+            self.send_over_http1(client_request).await
         } else {
-            self.send_over_http2(ask).await
+            self.send_over_http2(client_request).await
         }
     }
 
-    async fn send_over_http1(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send_over_http1(
+        &self,
+        client_request: &ClientRequest,
+    ) -> Result<RawResponse, ExchangeError> {
         let stream = orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (mut sender, driver) =
             hyper::client::conn::http1::handshake::<_, Full<Bytes>>(stream).await?;
-        let driver = self.stage.spawn(driver);
+        let driver = self.environment.spawn(driver);
         let mut request = self
-            .request(ask, "")?
-            .map(|()| Full::new(ask.payload.clone()));
+            .request(client_request, "")?
+            .map(|()| Full::new(client_request.payload.clone()));
         let host = http::HeaderValue::from_str(&self.address.to_string())?;
         request.headers_mut().insert(http::header::HOST, host);
         let (parts, body) = sender.send_request(request).await?.into_parts();
@@ -209,35 +221,39 @@
     }
 
     async fn connect(&self) -> Result<SendRequest<Bytes>, ExchangeError> {
-        if let Some(shared) = self.shared.borrow().clone() {
-            return Ok(shared);
+        if let Some(sender) = self.http2_sender.borrow().clone() {
+            return Ok(sender);
         }
         let stream: Stream =
             orchidtally_socket_io::connect(self.address, Duration::from_secs(2)).await?;
         let (sender, driver) = h2::client::handshake(stream).await?;
-        self.stage
+        self.environment
             .spawn(async move {
-                // How it ended is heard by those whose streams it carried.
+                // An error of the connection also fails its streams, which report it.
                 let _ = driver.await;
             })
             .detach();
-        *self.shared.borrow_mut() = Some(sender.clone());
+        *self.http2_sender.borrow_mut() = Some(sender.clone());
         Ok(sender)
     }
 
-    async fn send_over_http2(&self, ask: &ClientRequest) -> Result<RawResponse, ExchangeError> {
+    async fn send_over_http2(
+        &self,
+        client_request: &ClientRequest,
+    ) -> Result<RawResponse, ExchangeError> {
         let mut sender = match self.connect().await?.ready().await {
             Ok(sender) => sender,
             Err(_) => {
-                // The connection had ended before: a new one.
-                self.shared.borrow_mut().take();
+                // The shared connection has ended, so a new one is opened.
+                self.http2_sender.borrow_mut().take();
                 self.connect().await?.ready().await?
             }
         };
-        let request = self.request(ask, &format!("http://{}", self.address))?;
-        let (response, mut out) = sender.send_request(request, ask.payload.is_empty())?;
-        if !ask.payload.is_empty() {
-            out.send_data(ask.payload.clone(), true)?;
+        let request = self.request(client_request, &format!("http://{}", self.address))?;
+        let (response, mut out) =
+            sender.send_request(request, client_request.payload.is_empty())?;
+        if !client_request.payload.is_empty() {
+            out.send_data(client_request.payload.clone(), true)?;
         }
         let (parts, mut body) = response.await?.into_parts();
         let mut complete = vec![];
@@ -250,14 +266,18 @@
     }
 }
 
-fn received(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
+/// Maps a complete response to the outcome.
+fn outcome_of_response(parts: &http::response::Parts, body: Bytes) -> ClientOutcome {
     let status = parts.status.as_u16();
     let may_have_run = body.windows(18).any(|w| w == b"\"mayHaveRun\":true,");
-    let stay_away = parts
+    let retry_after = parts
         .headers
         .get("orchidtally-stay-away")
         .and_then(|v| v.to_str().ok());
-    let stay_away = stay_away.and_then(|v| v.parse::<f64>().ok()).unwrap_or(0.0) / 1e3;
+    let retry_after = retry_after
+        .and_then(|v| v.parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1e3;
     let answer = match status {
         200 => FinalAnswer::Succeeded,
         429 | 503 => FinalAnswer::Rejected,
@@ -268,7 +288,7 @@
         answer,
         status,
         body,
-        retry_after: stay_away,
+        retry_after,
         may_have_run,
     }
 }
--- a/crates/test-servers/src/executor/dispatch.rs
+++ b/crates/test-servers/src/executor/dispatch.rs
@@ -1,10 +1,10 @@
-//! Dispatches: taken in hand, loaded for, run, and answered with how they ended.
+//! Handles dispatches: admission, loading of the function, its run and the answer with the outcome.
 
 use super::Executor;
 use super::connection::Body;
-use super::copies::Unloaded;
-use super::guards::{InHand, Running};
-use super::program::{FunctionError, Program, package};
+use super::guards::{PendingDispatch, Running};
+use super::program::{FunctionError, Program, package_name};
+use super::replicas::LoadFailure;
 use bytes::Bytes;
 use futures_lite::future;
 use orchidtally_executor_protocol::v1;
@@ -13,27 +13,30 @@
 
 /// Microseconds in a second.
 const MICROSECONDS: f64 = 1e6;
-/// How long a scripted failure at once takes, in seconds.
+/// Time until the answer to a dispatch while `Faults::fails_immediately` is active, in seconds.
 const FAST_ERROR_TIME: f64 = 0.002;
 
 impl Executor {
-    fn index_taken(&self, from: v1::Sender) -> bool {
-        let now = self.stage.now();
-        let mut received = self.received.borrow_mut();
-        let of = received.entry(from.index).or_default();
-        of.insert(from.incarnation, now);
-        of.retain(|_, at| now < *at + 1.0);
-        of.len() > 1
+    /// Records a sender and returns whether another incarnation sent under the same index within the last second.
+    fn is_index_shared(&self, from: v1::Sender) -> bool {
+        let now = self.environment.now();
+        let mut recent_incarnations = self.recent_incarnations.borrow_mut();
+        let incarnations = recent_incarnations.entry(from.index).or_default();
+        incarnations.insert(from.incarnation, now);
+        incarnations.retain(|_, at| now < *at + 1.0);
+        incarnations.len() > 1
     }
 
+    /// Runs a dispatch and returns its answer. The dispatch counts as pending until
+    /// `DispatchResponse::pending_dispatch` is ended or dropped.
     pub(super) async fn dispatch(
         self: Rc<Self>,
         dispatch: v1::Dispatch,
         body: &mut Body,
     ) -> DispatchResponse {
         let from = dispatch.from.unwrap_or_default();
-        self.stage.record(TrafficRecord::DispatchArrived {
-            at: self.stage.now(),
+        self.environment.record(TrafficRecord::DispatchArrived {
+            at: self.environment.now(),
             executor: self.spec.number,
             front_end: from.index,
             incarnation: from.incarnation,
@@ -44,22 +47,23 @@
         });
         self.last_time_left
             .set(dispatch.time_left as f64 / MICROSECONDS);
-        self.in_hand.set(self.in_hand.get() + 1);
-        let in_hand = InHand {
+        self.pending_dispatches
+            .set(self.pending_dispatches.get() + 1);
+        let pending_dispatch = PendingDispatch {
             executor: self.clone(),
             invocation: dispatch.invocation.clone(),
             number: dispatch.number,
             ended: false,
         };
         let function_concurrency = self
-            .copies
+            .replicas
             .borrow()
-            .get(&package(&dispatch.function, &dispatch.digest))
-            .map_or(0, |c| c.running + c.held);
+            .get(&package_name(&dispatch.function, &dispatch.digest))
+            .map_or(0, |c| c.running + c.waiting);
         let mut answer = v1::Answer {
             crowd: function_concurrency.min(30) as u32,
             report: self.report(),
-            index_taken: self.index_taken(from),
+            index_taken: self.is_index_shared(from),
             ..v1::Answer::default()
         };
         let output = self.run(&dispatch, body, &mut answer).await;
@@ -68,16 +72,16 @@
             v1::Ending::Full | v1::Ending::Miss => DispatchOutcome::Rejected,
             v1::Ending::Error | v1::Ending::Unspecified => DispatchOutcome::Failed,
         };
-        answer.streams = output.streams > 0;
+        answer.streams = output.response_parts > 0;
         DispatchResponse {
             answer,
             output,
-            in_hand,
+            pending_dispatch,
             outcome,
         }
     }
 
-    /// Loads, waits and runs; leaves in the answer how it ended.
+    /// Loads the function if necessary and runs it; writes the ending to `answer`.
     async fn run(
         self: &Rc<Self>,
         dispatch: &v1::Dispatch,
@@ -102,9 +106,9 @@
         body: &mut Body,
         answer: &mut v1::Answer,
     ) -> Result<Output, DispatchFailure> {
-        let name = package(&dispatch.function, &dispatch.digest);
+        let name = package_name(&dispatch.function, &dispatch.digest);
         let program = (self.catalogue)(&name);
-        let work = program.as_ref().map_or(0.0, |program| program.work);
+        let work = program.as_ref().map_or(0.0, |program| program.cpu_time);
         if self.would_overload(work) {
             self.overload();
             future::pending::<()>().await;
@@ -112,74 +116,82 @@
         self.wait_while_hanging().await;
         let program = program.ok_or(DispatchFailure::UnknownFunction)?;
         self.check_admission().await?;
-        let payload = body.rest().await;
-        let loads = !self.spec.rejects_unloaded;
+        let payload = body.read_payload().await;
+        let may_load = !self.spec.rejects_unloaded;
         let found = self
-            .copy(&name, &dispatch.digest, &program, loads)
+            .loaded_replica(&name, &dispatch.digest, &program, may_load)
             .await
-            .map_err(|unloaded| self.load_failure(unloaded))?;
+            .map_err(|load_failure| self.load_failure(load_failure))?;
         let slot = self
             .slot(&name)
             .await
             .ok_or(DispatchFailure::UnloadedMeanwhile)?;
-        // From here on it runs: its effect counts as done.
+        // From here on the effect counts as executed, even if the run fails or is cancelled.
         self.record_execution(dispatch, &slot.digest);
         self.running.set(self.running.get() + 1);
         let _running = Running(&self.running);
-        self.stage.sleep(self.run_time(&program)).await;
-        if self.fails_by_chance(&program, &dispatch.trigger_type) {
+        self.environment.sleep(self.run_time(&program)).await;
+        if self.draws_failure(&program, &dispatch.trigger_type) {
             answer.set_found(found);
-            return Err(DispatchFailure::ByChance);
+            return Err(DispatchFailure::RandomFailure);
         }
         let payload = (program.run)(&payload)?;
         answer.set_found(found);
         Ok(Output {
             payload,
-            streams: program.streams,
+            response_parts: program.response_parts,
         })
     }
 
     async fn wait_while_hanging(&self) {
         let hangs = &self.faults.hangs;
-        while hangs.is_active(self.stage.now()) {
-            self.stage.sleep(hangs.ends_at() - self.stage.now()).await;
+        while hangs.is_active(self.environment.now()) {
+            self.environment
+                .sleep(hangs.ends_at() - self.environment.now())
+                .await;
         }
     }
 
-    /// Whether the executor takes a dispatch of a known function, before anything is loaded for it.
+    /// Decides whether a dispatch of a known function is admitted, before its function is loaded.
     async fn check_admission(&self) -> Result<(), DispatchFailure> {
-        if self.faults.fails_at_once.is_active(self.stage.now()) {
-            self.stage.sleep(FAST_ERROR_TIME).await;
-            return Err(DispatchFailure::FailsAtOnce);
+        if self
+            .faults
+            .fails_immediately
+            .is_active(self.environment.now())
+        {
+            self.environment.sleep(FAST_ERROR_TIME).await;
+            return Err(DispatchFailure::InjectedFault);
         }
         if self.draining.get() {
             return Err(DispatchFailure::Draining);
         }
-        if self.in_hand.get() > self.spec.queue + self.spec.cores {
+        if self.pending_dispatches.get() > self.spec.queue_capacity + self.spec.cores {
             return Err(DispatchFailure::QueueFull);
         }
         Ok(())
     }
 
-    fn load_failure(&self, unloaded: Unloaded) -> DispatchFailure {
-        match unloaded {
-            Unloaded::Failed => DispatchFailure::LoadFailed {
+    fn load_failure(&self, load_failure: LoadFailure) -> DispatchFailure {
+        match load_failure {
+            LoadFailure::Failed => DispatchFailure::LoadFailed {
                 is_miss: self.spec.reports_failed_load_as_miss,
             },
-            Unloaded::OtherBytes => DispatchFailure::DigestDiffers,
-            Unloaded::NoCapacity => DispatchFailure::NoMemory,
-            Unloaded::Missing => DispatchFailure::NotLoaded,
+            LoadFailure::DigestMismatch => DispatchFailure::DigestDiffers,
+            LoadFailure::NoCapacity => DispatchFailure::NoMemory,
+            LoadFailure::Missing => DispatchFailure::NotLoaded,
         }
     }
 
-    /// Records that the dispatch runs, or that its effect was deduplicated, and which version runs.
+    /// Records the start of an execution, or its deduplication by idempotency key, and the version that runs.
     fn record_execution(&self, dispatch: &v1::Dispatch, loaded_digest: &str) {
-        let at = self.stage.now();
+        let at = self.environment.now();
         let executor = self.spec.number;
         let invocation = dispatch.invocation.clone();
         let is_duplicate = !dispatch.token.is_empty()
-            && !self.tokens.is_new(&dispatch.token, at, self.token_window);
-        self.stage.record(if is_duplicate {
+            && !self
+                .token_cache
+                .is_new(&dispatch.token, at, self.deduplication_window);
+        self.environment.record(if is_duplicate {
             TrafficRecord::Deduplicated {
                 at,
                 executor,
@@ -193,7 +205,7 @@
             }
         });
         if !dispatch.digest.is_empty() {
-            self.stage.record(TrafficRecord::VersionExecuted {
+            self.environment.record(TrafficRecord::VersionExecuted {
                 at,
                 executor,
                 invocation: dispatch.invocation.clone(),
@@ -203,62 +215,63 @@
         }
     }
 
-    /// How long this run takes among those that share the cores, in seconds; drawn at random.
+    /// Draws the duration of a run in seconds. Runs take longer while they outnumber the cores, and during slow start.
     fn run_time(&self, program: &Program) -> f64 {
         let runs_per_core = (self.running.get() as f64 / self.spec.cores as f64).max(1.0);
-        let (slow_chance, slow_factor) = program.slow;
-        let slow = if self.stage.unit() < slow_chance {
+        let (slow_chance, slow_factor) = program.slow_runs;
+        let slow = if self.environment.random_unit() < slow_chance {
             slow_factor
         } else {
             1.0
         };
-        program.work * (0.7 + 0.6 * self.stage.unit()) * runs_per_core * slow / self.warmth()
+        program.cpu_time * (0.7 + 0.6 * self.environment.random_unit()) * runs_per_core * slow
+            / self.slow_start_factor()
     }
 
-    /// Draws whether this run fails, as the program wants it of some trigger type or of all.
-    fn fails_by_chance(&self, program: &Program, trigger_type: &str) -> bool {
+    /// Draws whether a run fails, with the program's failure probability for this trigger type.
+    fn draws_failure(&self, program: &Program, trigger_type: &str) -> bool {
         let may_fail = program
-            .fails_for
+            .failing_trigger_type
             .as_ref()
             .is_none_or(|failing| failing == trigger_type);
-        may_fail && self.stage.unit() < program.fails
+        may_fail && self.environment.random_unit() < program.failure_probability
     }
 }
 
-/// The answer to a dispatch, which is in hand until it is sent.
+/// The answer to a dispatch, which stays pending until the answer is sent.
 pub(super) struct DispatchResponse {
     pub(super) answer: v1::Answer,
     pub(super) output: Output,
-    pub(super) in_hand: InHand,
-    /// How the dispatch ends once the answer is sent.
+    pub(super) pending_dispatch: PendingDispatch,
+    /// The outcome to record if the answer is sent.
     pub(super) outcome: DispatchOutcome,
 }
 
-/// What a dispatch gave back.
+/// The result of a run.
 #[derive(Default)]
 pub(super) struct Output {
-    /// The chunks of the result.
+    /// The result in chunks.
     pub(super) payload: Vec<Bytes>,
-    /// Parts in which the result is streamed; none for a whole one.
-    pub(super) streams: usize,
+    /// The number of parts in which the result is streamed; 0 to send it as one message.
+    pub(super) response_parts: usize,
 }
 
-/// Why a dispatch gave no result. Its text is the detail of the answer.
+/// Why a dispatch has no result. Its display text is the `detail` of the answer.
 #[derive(Debug, thiserror::Error)]
 enum DispatchFailure {
     #[error("no such function")]
     UnknownFunction,
-    /// A scripted fault.
+    /// `Faults::fails_immediately` is active.
     #[error("out of order")]
-    FailsAtOnce,
+    InjectedFault,
     #[error("draining")]
     Draining,
     #[error("the queue is full")]
     QueueFull,
-    /// The store gave nothing; this counts as a miss where the executor is set so.
+    /// The fetch from the store failed; `is_miss` is `ExecutorSpec::reports_failed_load_as_miss`.
     #[error("")]
     LoadFailed { is_miss: bool },
-    /// The store gave other bytes than the digest names.
+    /// The digest of the fetched package differs from the requested one.
     #[error("")]
     DigestDiffers,
     #[error("no memory")]
@@ -267,9 +280,9 @@
     NotLoaded,
     #[error("unloaded meanwhile")]
     UnloadedMeanwhile,
-    /// The program is set to fail sometimes.
+    /// The run failed by `Program::failure_probability`.
     #[error("this version fails")]
-    ByChance,
+    RandomFailure,
     #[error(transparent)]
     Function(#[from] FunctionError),
 }
@@ -278,9 +291,9 @@
     fn ending(&self) -> v1::Ending {
         match self {
             Self::UnknownFunction
-            | Self::FailsAtOnce
+            | Self::InjectedFault
             | Self::LoadFailed { is_miss: false }
-            | Self::ByChance
+            | Self::RandomFailure
             | Self::Function(_) => v1::Ending::Error,
             Self::Draining | Self::QueueFull | Self::NoMemory | Self::UnloadedMeanwhile => {
                 v1::Ending::Full
@@ -291,7 +304,7 @@
         }
     }
 
-    /// Writes the failure into the answer.
+    /// Writes the ending and details of the failure to `answer`.
     fn describe(&self, answer: &mut v1::Answer) {
         answer.set_ending(self.ending());
         answer.detail = self.to_string();
--- a/crates/test-servers/src/publisher.rs
+++ b/crates/test-servers/src/publisher.rs
@@ -1,5 +1,5 @@
-//! The publisher of the roster: full lists and deltas, as late as the script wants them, and a record of what
-//! it told whom.
+//! The publisher of the endpoint list. It sends full lists and deltas, delayed as the script asks, and records which
+//! front end was sent what.
 
 use crate::{TestEnvironment, TimedFault};
 use async_channel::{Receiver, Sender};
@@ -16,136 +16,146 @@
 pub struct PublishedEndpoint {
     /// The executor's number.
     pub executor: usize,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// The name of its location.
     pub location: String,
     /// The kind of machine.
     pub kind: String,
-    /// The cell within which executors share the tokens they have seen.
+    /// The cell, whose executors deduplicate by idempotency key together.
     pub cell: u32,
-    /// Its weight for the front ends' choice.
+    /// Its weight in the front ends' selection.
     pub weight: f64,
     /// Its state.
     pub state: EndpointState,
-    /// On the stage's clock.
+    /// When it last started, in seconds of the environment's clock.
     pub started_at: f64,
 }
 
-/// Changes that wait for one front end at the most; past that it is cut off and asks again.
-const MOST_WAITING: usize = 1_024;
+/// The largest number of changes queued for a front end. Past that the stream ends, and the front end requests a full
+/// list again.
+const MAX_QUEUED_CHANGES: usize = 1_024;
 
-/// The publisher of the list, on a socket.
+/// A publisher of the endpoint list that listens on a socket.
 pub struct Publisher {
-    stage: TestEnvironment,
-    /// Where it listens.
+    environment: TestEnvironment,
+    /// The address at which it listens.
     pub address: SocketAddr,
-    rows: RefCell<Vec<PublishedEndpoint>>,
+    endpoints: RefCell<Vec<PublishedEndpoint>>,
     revision: Cell<u64>,
     watchers: RefCell<Vec<Sender<(f64, PublishedEndpoint)>>>,
-    /// How late changes are told, at the most.
-    pub delay: Cell<f64>,
-    /// Changes are kept back until then, and new watchers get what stood before.
+    /// The largest delay of a change, in seconds; each change to each front end has a random one up to it.
+    pub max_delay: Cell<f64>,
+    /// While active, changes are delayed until its end, and new watchers get the list as it was before the first
+    /// delayed change.
     pub stale: TimedFault,
-    /// Where it is stale: the list as it stood.
-    held_back: RefCell<Option<Vec<PublishedEndpoint>>>,
-    cut: RefCell<(Sender<()>, Receiver<()>)>,
+    /// The list before the first change that was delayed by `stale`.
+    stale_endpoints: RefCell<Option<Vec<PublishedEndpoint>>>,
+    /// Closed to disconnect all front ends, and then replaced.
+    disconnect: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
 impl Publisher {
-    /// Starts one; port 0 takes any free one.
+    /// Starts a publisher. Port 0 selects a free port.
     pub fn start(
-        stage: &TestEnvironment,
-        at: SocketAddr,
-        rows: Vec<PublishedEndpoint>,
+        environment: &TestEnvironment,
+        address: SocketAddr,
+        endpoints: Vec<PublishedEndpoint>,
     ) -> std::io::Result<Rc<Publisher>> {
-        let listener = orchidtally_socket_io::listen(at)?;
+        let listener = orchidtally_socket_io::listen(address)?;
         let publisher = Rc::new(Publisher {
-            stage: stage.clone(),
+            environment: environment.clone(),
             address: listener.get_ref().local_addr()?,
-            rows: RefCell::new(rows),
+            endpoints: RefCell::new(endpoints),
             revision: Cell::new(1),
             watchers: RefCell::default(),
-            delay: Cell::new(0.1),
+            max_delay: Cell::new(0.1),
             stale: TimedFault::default(),
-            held_back: RefCell::default(),
-            cut: RefCell::new(async_channel::bounded(1)),
+            stale_endpoints: RefCell::default(),
+            disconnect: RefCell::new(async_channel::bounded(1)),
         });
-        let me = publisher.clone();
+        let server = publisher.clone();
         let accept = async move {
             loop {
                 let stream = orchidtally_socket_io::accept(&listener).await;
-                me.stage.spawn(me.clone().connection(stream)).detach();
+                server
+                    .environment
+                    .spawn(server.clone().connection(stream))
+                    .detach();
             }
         };
-        stage.spawn(accept).detach();
+        environment.spawn(accept).detach();
         Ok(publisher)
     }
 
-    /// Enters a change and tells it, later by chance within the delay.
-    pub fn change(&self, executor: usize, state: EndpointState, since: f64) {
-        if self.stale.is_active(self.stage.now()) && self.held_back.borrow().is_none() {
-            *self.held_back.borrow_mut() = Some(self.rows.borrow().clone());
+    /// Changes an executor's state and start time, and sends the change to each front end after a random delay of up to
+    /// `max_delay`.
+    pub fn update_state(&self, executor: usize, state: EndpointState, since: f64) {
+        if self.stale.is_active(self.environment.now()) && self.stale_endpoints.borrow().is_none() {
+            *self.stale_endpoints.borrow_mut() = Some(self.endpoints.borrow().clone());
         }
-        let row = {
-            let mut rows = self.rows.borrow_mut();
-            let Some(row) = rows.iter_mut().find(|r| r.executor == executor) else {
+        let endpoint = {
+            let mut endpoints = self.endpoints.borrow_mut();
+            let Some(endpoint) = endpoints
+                .iter_mut()
+                .find(|endpoint| endpoint.executor == executor)
+            else {
                 return;
             };
-            row.state = state;
-            row.started_at = row.started_at.max(since);
-            row.clone()
+            endpoint.state = state;
+            endpoint.started_at = endpoint.started_at.max(since);
+            endpoint.clone()
         };
         self.revision.set(self.revision.get() + 1);
-        let now = self.stage.now();
+        let now = self.environment.now();
         self.watchers.borrow_mut().retain(|w| {
-            let late = self.delay.get() * self.stage.unit();
-            w.try_send((now.max(self.stale.ends_at()) + late, row.clone()))
+            let delay = self.max_delay.get() * self.environment.random_unit();
+            w.try_send((now.max(self.stale.ends_at()) + delay, endpoint.clone()))
                 .is_ok()
         });
     }
 
-    /// Breaks all connections off.
+    /// Disconnects all front ends.
     pub fn disconnect_all(&self) {
-        *self.cut.borrow_mut() = async_channel::bounded(1);
+        *self.disconnect.borrow_mut() = async_channel::bounded(1);
         self.watchers.borrow_mut().clear();
     }
 
-    /// Keeps all changes back until then.
-    pub fn hold_back_until(&self, until: f64) {
-        self.stale.set(until);
+    /// Delays all changes until this moment, in seconds of the environment's clock.
+    pub fn delay_changes_until(&self, until: f64) {
+        self.stale.activate_until(until);
     }
 
-    fn wire(&self, row: &PublishedEndpoint) -> v1::RosterRow {
-        let state = match row.state {
+    fn to_wire(&self, endpoint: &PublishedEndpoint) -> v1::RosterRow {
+        let state = match endpoint.state {
             EndpointState::Ready => v1::Standing::Ready,
             EndpointState::Draining => v1::Standing::Draining,
             EndpointState::Gone => v1::Standing::Gone,
         };
         v1::RosterRow {
-            address: row.address.to_string(),
-            location: row.location.clone(),
-            kind: row.kind.clone(),
-            cell: row.cell,
+            address: endpoint.address.to_string(),
+            location: endpoint.location.clone(),
+            kind: endpoint.kind.clone(),
+            cell: endpoint.cell,
             standing: state.into(),
-            weight: row.weight,
-            since: self.stage.wall(row.started_at),
+            weight: endpoint.weight,
+            since: self.environment.unix_time(endpoint.started_at),
         }
     }
 
-    fn notified(&self, to: v1::Sender, row: &PublishedEndpoint) {
-        self.stage.record(TrafficRecord::EndpointNotified {
-            at: self.stage.now(),
+    fn record_notification(&self, to: v1::Sender, endpoint: &PublishedEndpoint) {
+        self.environment.record(TrafficRecord::EndpointNotified {
+            at: self.environment.now(),
             front_end: to.index,
             incarnation: to.incarnation,
-            executor: row.executor,
-            state: row.state,
-            started_at: row.started_at,
+            executor: endpoint.executor,
+            state: endpoint.state,
+            started_at: endpoint.started_at,
         });
     }
 
     async fn connection(self: Rc<Self>, stream: orchidtally_socket_io::Stream) {
-        let cut = self.cut.borrow().1.clone();
+        let disconnect = self.disconnect.borrow().1.clone();
         let serve = async {
             let Ok(mut connection) = h2::server::handshake(stream).await else {
                 return;
@@ -158,11 +168,11 @@
             };
             streams.run(accept).await;
         };
-        let cut = async {
-            // Closed when the connections are cut off.
-            let _ = cut.recv().await;
+        let disconnect = async {
+            // The channel closes when all front ends are disconnected.
+            let _ = disconnect.recv().await;
         };
-        future::or(serve, cut).await;
+        future::or(serve, disconnect).await;
     }
 
     async fn watch(
@@ -186,12 +196,12 @@
             }
         };
         let to = watch.from.unwrap_or_default();
-        let (tell, changes) = async_channel::bounded(MOST_WAITING);
-        self.watchers.borrow_mut().push(tell);
-        let stale = self.stale.is_active(self.stage.now());
-        let rows = match self.held_back.borrow().as_ref().filter(|_| stale) {
-            Some(held_back) => held_back.clone(),
-            None => self.rows.borrow().clone(),
+        let (sender, changes) = async_channel::bounded(MAX_QUEUED_CHANGES);
+        self.watchers.borrow_mut().push(sender);
+        let stale = self.stale.is_active(self.environment.now());
+        let endpoints = match self.stale_endpoints.borrow().as_ref().filter(|_| stale) {
+            Some(stale_endpoints) => stale_endpoints.clone(),
+            None => self.endpoints.borrow().clone(),
         };
         let Ok(mut out) = respond.send_response(http::Response::new(()), false) else {
             return;
@@ -203,12 +213,14 @@
                 rows,
             })
         };
-        rows.iter().for_each(|row| self.notified(to, row));
-        // What is gone is left out of a full list.
-        let listed = rows
+        endpoints
             .iter()
-            .filter(|r| r.state != EndpointState::Gone)
-            .map(|r| self.wire(r))
+            .for_each(|endpoint| self.record_notification(to, endpoint));
+        // A full list omits executors that are gone.
+        let listed = endpoints
+            .iter()
+            .filter(|endpoint| endpoint.state != EndpointState::Gone)
+            .map(|endpoint| self.to_wire(endpoint))
             .collect();
         if out
             .send_data(update(v1::RosterKind::FullList, listed), false)
@@ -216,11 +228,14 @@
         {
             return;
         }
-        while let Ok((at, row)) = changes.recv().await {
-            self.stage.sleep(at - self.stage.now()).await;
-            self.notified(to, &row);
+        while let Ok((at, endpoint)) = changes.recv().await {
+            self.environment.sleep(at - self.environment.now()).await;
+            self.record_notification(to, &endpoint);
             if out
-                .send_data(update(v1::RosterKind::Delta, vec![self.wire(&row)]), false)
+                .send_data(
+                    update(v1::RosterKind::Delta, vec![self.to_wire(&endpoint)]),
+                    false,
+                )
                 .is_err()
             {
                 return;
