--- a/crates/cli/tests/command_line_texts.rs
+++ b/crates/cli/tests/command_line_texts.rs
@@ -1,5 +1,5 @@
 //! The output and exit codes of the commands are an interface: the help of every command, the checks of the examples,
-//! and the output on journals. Version 0.2.0 printed the texts in `command_line_texts`.
+//! and the output on journals. The expected texts are in `command_line_texts`.
 //!
 //! After an intended change, `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test command_line_texts` rewrites them.
 
--- a/crates/cli/tests/endpoint_texts.rs
+++ b/crates/cli/tests/endpoint_texts.rs
@@ -1,5 +1,5 @@
-//! The HTTP responses of a front end and a coordinator are an interface: status codes, headers and JSON. The texts in
-//! `endpoint_texts` are those of version 0.2.0.
+//! The HTTP responses of a front end and a coordinator are an interface: status codes, headers and JSON. The
+//! expected texts are in `endpoint_texts`.
 //!
 //! After an intended change, `UPDATE_FIXTURES=1 cargo test -p orchidtally-cli --test endpoint_texts` rewrites them.
 
--- a/crates/platform-discovery/tests/view.rs
+++ b/crates/platform-discovery/tests/view.rs
@@ -155,6 +155,21 @@
     assert_eq!(polled.ready(), [0, 1]);
 }
 
+/// Guards against a drain that one damaged answer ends. The executor restarts while it is withdrawn and is listed as
+/// draining with its new start time, so that an answer with this start time is no sign of a further restart.
+#[test]
+fn one_damaged_answer_ends_no_drain_after_a_restart_that_was_listed_as_draining() {
+    let mut polled = PolledView::new(&list(1, 2, &[]));
+    polled.apply(&list(2, 2, &[1]));
+    let mut draining = list(3, 2, &[1]);
+    draining.endpoints[1].endpoint.started_at = 9.0;
+    polled.apply(&draining);
+    let mut damaged = list(3, 2, &[]);
+    damaged.endpoints[1].endpoint.started_at = 9.0;
+    polled.apply(&damaged);
+    assert_eq!(polled.ready(), [0]);
+}
+
 #[test]
 fn one_damaged_state_is_corrected_by_the_answers_after_it() {
     let mut polled = PolledView::new(&list(1, 2, &[]));
