--- a/crates/http-frontend/src/pool/connection.rs
+++ b/crates/http-frontend/src/pool/connection.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Classifies an error on a stream; `orchidtally_engine::evidence` derives from that whether the request may have run.
-/// `written_before` is the number of bytes that were written to the connection before the request.
+/// Classifies an error on a stream; `orchidtally_engine::transport_outcome` derives from that whether the request may
+/// have run. `written_before` is the number of bytes that were written to the connection before the request.
 pub(super) fn transport_outcome(
     e: &h2::Error,
     written_before: u64,
--- a/crates/http-frontend/src/pool/exchange.rs
+++ b/crates/http-frontend/src/pool/exchange.rs
@@ -21,7 +21,7 @@
     }
 
     /// Like [`Pool::exchange`], with a message that is built right before it is sent. If `head` returns `None`, nothing
-    /// is sent and the outcome is [`TransportOutcome::Withheld`].
+    /// is sent and the outcome is [`TransportOutcome::NeverSent`].
     pub async fn exchange_if<M: Message + Default>(
         self: &Rc<Self>,
         path: &str,
--- a/crates/http-frontend/src/pool/mod.rs
+++ b/crates/http-frontend/src/pool/mod.rs
@@ -1,6 +1,6 @@
 //! Connections to one executor: opened on demand, up to a limit, shared by many dispatches, and closed when idle. The
-//! end of a stream is reported as the transport observed it; `orchidtally_engine::evidence` derives from that whether a
-//! request may have run.
+//! end of a stream is reported as the transport observed it; `orchidtally_engine::transport_outcome` derives from that
+//! whether a request may have run.
 
 mod connection;
 mod exchange;
